--- a/crates/agent/src/host.rs
+++ b/crates/agent/src/host.rs
@@ -85,7 +85,10 @@
 /// # Errors
 /// A key holds nothing of use.
 pub fn check(settings: &Settings) -> eyre::Result<()> {
-    eyre::ensure!(!settings.seed_peers.is_empty(), "seed_peers is empty: nobody to call");
+    eyre::ensure!(
+        !settings.seed_peers.is_empty(),
+        "seed_peers is empty: nobody to call"
+    );
     Ok(())
 }
 
@@ -94,12 +97,29 @@
     ///
     /// # Errors
     /// The address is not to be had.
-    pub fn open(settings: Settings, file: Option<PathBuf>, clock: Clock, ring: &Ring) -> eyre::Result<Host> {
+    pub fn open(
+        settings: Settings,
+        file: Option<PathBuf>,
+        clock: Clock,
+        ring: &Ring,
+    ) -> eyre::Result<Host> {
         let mut wires = Wires::new(&[SIGTERM, SIGHUP]).wrap_err("opening the loop")?;
         let feed = settings.feed_address();
-        wires.listen(feed).wrap_err_with(|| format!("listening for the proxy on {feed}"))?;
-        let shift = settings.ip.octets().iter().map(|part| usize::from(*part)).sum();
-        let mut links = Links::new(&settings.zone, &settings.region, settings.zones.clone(), shift);
+        wires
+            .listen(feed)
+            .wrap_err_with(|| format!("listening for the proxy on {feed}"))?;
+        let shift = settings
+            .ip
+            .octets()
+            .iter()
+            .map(|part| usize::from(*part))
+            .sum();
+        let mut links = Links::new(
+            &settings.zone,
+            &settings.region,
+            settings.zones.clone(),
+            shift,
+        );
         links.seeds(settings.seeds());
         let mut deadlines = Deadlines::default();
         let now = clock.now();
@@ -150,10 +170,16 @@
     /// The system's wait failed.
     pub fn step(&mut self, longest: i64, happenings: &mut Vec<Happening>) -> eyre::Result<()> {
         let now = self.clock.now();
-        let due = self.deadlines.earliest().unwrap_or(i64::MAX).min(now + longest);
+        let due = self
+            .deadlines
+            .earliest()
+            .unwrap_or(i64::MAX)
+            .min(now + longest);
         let until = if happenings.is_empty() { due } else { now };
         let clock = self.clock.clone();
-        self.wires.wait(Some(until), || clock.now(), happenings).wrap_err("waiting")?;
+        self.wires
+            .wait(Some(until), || clock.now(), happenings)
+            .wrap_err("waiting")?;
         let now = self.clock.now();
         for happening in happenings.drain(..) {
             self.happened(now, happening);
@@ -246,7 +272,12 @@
         match self.wires.connect(to, now) {
             Ok(key) => {
                 self.deadlines.enter(now + CONNECT, Due::Connect(key));
-                self.link = Some(Link { key, to, told: false, astray: None });
+                self.link = Some(Link {
+                    key,
+                    to,
+                    told: false,
+                    astray: None,
+                });
             }
             Err(_) => self.deadlines.enter(now + AGAIN, Due::Again),
         }
@@ -291,7 +322,11 @@
     }
 
     fn stands(&mut self, standing: Standing) {
-        let standing = if self.ending && standing == Standing::Ready { Standing::Leaving } else { standing };
+        let standing = if self.ending && standing == Standing::Ready {
+            Standing::Leaving
+        } else {
+            standing
+        };
         if std::mem::replace(&mut self.standing, standing) != standing {
             self.beat();
         }
@@ -311,7 +346,9 @@
             return self.proxy_said(now, key);
         }
         loop {
-            let Some(wire) = self.wires.get_mut(key) else { return };
+            let Some(wire) = self.wires.get_mut(key) else {
+                return;
+            };
             match frames::take::<Down>(&mut wire.input) {
                 Ok(Some(message)) => self.heard(now, key, message),
                 Ok(None) => return,
@@ -339,13 +376,24 @@
                 let (in_touch, replicas) = (who.in_touch, who.replicas.clone());
                 if let Some((_, to)) = self.homeward.filter(|(home, _)| *home == key && in_touch) {
                     self.homeward = None;
-                    if let Some(old) = self.link.replace(Link { key, to, told: true, astray: None }) {
+                    if let Some(old) = self.link.replace(Link {
+                        key,
+                        to,
+                        told: true,
+                        astray: None,
+                    }) {
                         self.wires.close(old.key);
                     }
                 }
-                let Some(link) = self.link.as_mut().filter(|link| link.key == key) else { return };
+                let Some(link) = self.link.as_mut().filter(|link| link.key == key) else {
+                    return;
+                };
                 link.told = true;
-                link.astray = if in_touch { None } else { link.astray.or(Some(now)) };
+                link.astray = if in_touch {
+                    None
+                } else {
+                    link.astray.or(Some(now))
+                };
                 if in_touch {
                     self.links.told(&replicas);
                     self.links.settled();
@@ -384,7 +432,9 @@
 
     fn proxy_said(&mut self, now: i64, key: WireKey) {
         loop {
-            let Some(wire) = self.wires.get_mut(key) else { return };
+            let Some(wire) = self.wires.get_mut(key) else {
+                return;
+            };
             match frames::take::<Up>(&mut wire.input) {
                 Ok(Some(Up::Hello(edge))) => {
                     let new = self.edge.replace(edge.clone()) != Some(edge);
@@ -396,7 +446,12 @@
                 Ok(Some(Up::Beat(standing))) => self.stands(standing),
                 Ok(Some(Up::Adds { batch, time, adds })) => self.adds(now, key, batch, time, adds),
                 Ok(Some(Up::Load(reports))) => {
-                    if let Some(link) = self.link.as_ref().filter(|link| link.told).map(|link| link.key) {
+                    if let Some(link) = self
+                        .link
+                        .as_ref()
+                        .filter(|link| link.told)
+                        .map(|link| link.key)
+                    {
                         self.put(link, &Up::Load(reports));
                     }
                 }
@@ -410,23 +465,43 @@
         }
     }
 
-    fn adds(&mut self, now: i64, proxy: WireKey, batch: u64, time: i64, adds: Vec<protocol::messages::Add>) {
-        let up = self.count.filter(|(key, ..)| self.wires.get(*key).is_some_and(|wire| wire.up()));
+    fn adds(
+        &mut self,
+        now: i64,
+        proxy: WireKey,
+        batch: u64,
+        time: i64,
+        adds: Vec<protocol::messages::Add>,
+    ) {
+        let up = self
+            .count
+            .filter(|(key, ..)| self.wires.get(*key).is_some_and(|wire| wire.up()));
         // Without the clock of the others its windows are not theirs.
         let up = up.filter(|_| self.known.time(now).is_some());
-        let Some((key, ..)) = up else { return self.put(proxy, &Down::NotCounted(batch)) };
+        let Some((key, ..)) = up else {
+            return self.put(proxy, &Down::NotCounted(batch));
+        };
         self.batch += 1;
         self.batches.insert(self.batch, (proxy, batch));
         // Guards the memory against a holder that answers nothing: the proxy has given the oldest up.
         if self.batches.len() > 2_000 {
             self.batches.pop_first();
         }
-        self.put(key, &Up::Adds { batch: self.batch, time, adds });
+        self.put(
+            key,
+            &Up::Adds {
+                batch: self.batch,
+                time,
+                adds,
+            },
+        );
     }
 
     fn due(&mut self, now: i64, due: Due) {
         match due {
-            Due::Connect(key) if self.wires.get(key).is_some_and(|wire| !wire.up()) => self.lost(now, key),
+            Due::Connect(key) if self.wires.get(key).is_some_and(|wire| !wire.up()) => {
+                self.lost(now, key)
+            }
             Due::Connect(_) => {}
             Due::Look => self.look(now),
             Due::Again => self.open_link(now),
@@ -450,10 +525,14 @@
         self.beat();
         if now - self.asked_last >= ASK_TIME {
             self.asked_last = now;
-            let keys =
-                self.count.map(|(key, ..)| key).into_iter().chain(self.link.as_ref().map(|link| link.key));
-            for key in
-                keys.filter(|key| self.wires.get(*key).is_some_and(|wire| wire.up())).collect::<Vec<_>>()
+            let keys = self
+                .count
+                .map(|(key, ..)| key)
+                .into_iter()
+                .chain(self.link.as_ref().map(|link| link.key));
+            for key in keys
+                .filter(|key| self.wires.get(*key).is_some_and(|wire| wire.up()))
+                .collect::<Vec<_>>()
             {
                 self.ask_time(now, key);
             }
@@ -462,8 +541,12 @@
                 self.put(key, &self.known.holding());
             }
         }
-        let count = self.count.and_then(|(key, ..)| Some((key, self.wires.get(key)?)));
-        if let Some((key, _)) = count.filter(|(_, wire)| wire.up() && now - wire.heard > COUNT_SILENT) {
+        let count = self
+            .count
+            .and_then(|(key, ..)| Some((key, self.wires.get(key)?)));
+        if let Some((key, _)) =
+            count.filter(|(_, wire)| wire.up() && now - wire.heard > COUNT_SILENT)
+        {
             self.lost(now, key);
         }
         let Some(link) = &self.link else { return };
@@ -485,8 +568,16 @@
         if let Some((old, _)) = self.homeward.take() {
             self.wires.close(old);
         }
-        let linked = self.link.as_ref().filter(|link| link.told).map(|link| link.to);
-        let Some(home) = self.links.home().filter(|home| linked.is_some_and(|to| to != *home)) else {
+        let linked = self
+            .link
+            .as_ref()
+            .filter(|link| link.told)
+            .map(|link| link.to);
+        let Some(home) = self
+            .links
+            .home()
+            .filter(|home| linked.is_some_and(|to| to != *home))
+        else {
             return;
         };
         if let Ok(key) = self.wires.connect(home, now) {
@@ -502,6 +593,7 @@
         let standing = self.standing;
         self.stands(standing);
         self.finished |= self.proxy.is_none();
-        self.deadlines.enter(now + self.settings.bounds.grace.0 - GRACE_LEFT, Due::End);
+        self.deadlines
+            .enter(now + self.settings.bounds.grace.0 - GRACE_LEFT, Due::End);
     }
 }
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -46,12 +46,16 @@
 impl Reply {
     /// Status and body of the answer.
     pub fn parts(self) -> (u16, Vec<u8>) {
-        let error = |status: u16, text: &str| (status, json!({"error": text}).to_string().into_bytes());
+        let error =
+            |status: u16, text: &str| (status, json!({"error": text}).to_string().into_bytes());
         match self {
             Reply::Done => (200, b"{}".to_vec()),
             Reply::Items(body) | Reply::Status(body) => (200, body),
             Reply::Invalid(text) => error(400, &text),
-            Reply::Conflict => error(409, "ver: another change stands at this version or a higher one"),
+            Reply::Conflict => error(
+                409,
+                "ver: another change stands at this version or a higher one",
+            ),
             Reply::Unknown(text) => error(404, &text),
             Reply::Unavailable(text) => error(503, text),
             Reply::Method => error(405, "method"),
@@ -66,16 +70,32 @@
 pub fn decode(request: Request) -> Result<Command, Reply> {
     let path = request.target.split('?').next().unwrap_or_default();
     let mut parts = path.split('/').skip(1);
-    let command = match (parts.next(), parts.next(), parts.next(), parts.next(), parts.next()) {
-        (Some("api"), Some("cfg"), Some("patch"), None, None) => ("POST", Command::Patch(request.body)),
+    let command = match (
+        parts.next(),
+        parts.next(),
+        parts.next(),
+        parts.next(),
+        parts.next(),
+    ) {
+        (Some("api"), Some("cfg"), Some("patch"), None, None) => {
+            ("POST", Command::Patch(request.body))
+        }
         (Some("api"), Some("cfg"), Some("get"), None, None) => ("GET", Command::Get),
         (Some("api"), Some("status"), None, None, None) => ("GET", Command::Status),
-        (Some("api"), Some("drain"), Some(zone), Some(word @ ("begin" | "finish")), None) => {
-            ("POST", Command::Drain { zone: zone.to_string(), on: word == "begin" })
-        }
+        (Some("api"), Some("drain"), Some(zone), Some(word @ ("begin" | "finish")), None) => (
+            "POST",
+            Command::Drain {
+                zone: zone.to_string(),
+                on: word == "begin",
+            },
+        ),
         _ => return Err(Reply::Unknown(format!("path: {path}"))),
     };
-    if request.method == command.0 { Ok(command.1) } else { Err(Reply::Method) }
+    if request.method == command.0 {
+        Ok(command.1)
+    } else {
+        Err(Reply::Method)
+    }
 }
 
 #[cfg(test)]
@@ -85,9 +105,12 @@
     use test_case::test_case;
 
     fn read(method: &str, target: &str) -> Result<Command, Reply> {
-        let mut input = format!("{method} {target} HTTP/1.1\r\nContent-Length: 2\r\n\r\n{{}}").into_bytes();
+        let mut input =
+            format!("{method} {target} HTTP/1.1\r\nContent-Length: 2\r\n\r\n{{}}").into_bytes();
         let mut incoming: Incoming<RequestHead> = Incoming::default();
-        incoming.read(&mut input, 100, &FrameLimits::default()).unwrap();
+        incoming
+            .read(&mut input, 100, &FrameLimits::default())
+            .unwrap();
         let (head, _, body) = incoming.into_parts().unwrap();
         decode(Request::new(head, body))
     }
--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -41,7 +41,11 @@
 impl Holding {
     /// How long it has held less than there is, in microseconds; counted from when it last said to hold all.
     pub fn behind(&self, now: i64, digest: u64) -> i64 {
-        if self.digest == digest { 0 } else { now - self.whole }
+        if self.digest == digest {
+            0
+        } else {
+            now - self.whole
+        }
     }
 }
 
@@ -91,7 +95,8 @@
         if !self.zones.contains_key(&link) {
             self.counting.insert(link, now);
         }
-        self.counting.retain(|_, heard| now - *heard <= limits::COUNTING);
+        self.counting
+            .retain(|_, heard| now - *heard <= limits::COUNTING);
     }
 
     /// What the agent on a link holds, if it has said so.
@@ -101,7 +106,11 @@
 
     /// When something is owed to them.
     pub(super) fn wake(&self) -> Option<i64> {
-        self.owed.then_some(self.counts).into_iter().chain(self.later.values().copied()).min()
+        self.owed
+            .then_some(self.counts)
+            .into_iter()
+            .chain(self.later.values().copied())
+            .min()
     }
 }
 
@@ -116,7 +125,12 @@
                 self.agents.zones.insert(link, zone.clone());
                 let to = || vec![link];
                 // All of a zone stand on the same: what is news goes to all of them afterwards.
-                let told = self.agents.told.get(&zone).cloned().unwrap_or_else(|| self.who(now, &zone));
+                let told = self
+                    .agents
+                    .told
+                    .get(&zone)
+                    .cloned()
+                    .unwrap_or_else(|| self.who(now, &zone));
                 out.push(Output::Tell(to(), Down::Who(told.who.clone())));
                 self.agents.told.insert(zone, told);
                 if !self.agents.have.contains_key(&link) && self.has_home(now, &home) {
@@ -131,9 +145,24 @@
                 false
             }
             Up::Holding { items, digest } => {
-                let before = self.agents.holding.get(&link).map_or(now, |before| before.whole);
-                let whole = if digest == self.news.holding().1 { now } else { before };
-                self.agents.holding.insert(link, Holding { items, digest, whole });
+                let before = self
+                    .agents
+                    .holding
+                    .get(&link)
+                    .map_or(now, |before| before.whole);
+                let whole = if digest == self.news.holding().1 {
+                    now
+                } else {
+                    before
+                };
+                self.agents.holding.insert(
+                    link,
+                    Holding {
+                        items,
+                        digest,
+                        whole,
+                    },
+                );
                 self.credit(now, link, out);
                 false
             }
@@ -165,7 +194,10 @@
                 }
                 let counts = !behind && !self.count.held(now);
                 let down = match self.holds(now, Duty::Count).filter(|_| counts) {
-                    Some(term) => Down::Totals { batch, totals: self.count.add(now, term, share, &adds) },
+                    Some(term) => Down::Totals {
+                        batch,
+                        totals: self.count.add(now, term, share, &adds),
+                    },
                     None => Down::NotCounted(batch),
                 };
                 out.push(Output::Tell(vec![link], down));
@@ -179,19 +211,35 @@
 
     /// An agent of this zone has a replica of its own, and that is well as far as is known here.
     fn has_home(&self, now: i64, zone: &str) -> bool {
-        let replica = self.zones.iter().position(|other| other == zone).map(|replica| replica as Replica);
-        replica
-            .is_some_and(|replica| replica != self.replicas.me().replica && self.replicas.hears(now, replica))
+        let replica = self
+            .zones
+            .iter()
+            .position(|other| other == zone)
+            .map(|replica| replica as Replica);
+        replica.is_some_and(|replica| {
+            replica != self.replicas.me().replica && self.replicas.hears(now, replica)
+        })
     }
 
     /// Tells an agent all that it lacks.
     fn tell_all(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
         let have = self.agents.have.remove(&link).unwrap_or_default();
         if self.listed.known() {
-            let list = Down::Servers { version: self.listed.version(), servers: self.listed.list(now) };
+            let list = Down::Servers {
+                version: self.listed.version(),
+                servers: self.listed.list(now),
+            };
             out.push(Output::Tell(vec![link], list));
         }
-        self.agents.owing.insert(link, Owed { have, after: None, open: 0, moved: now });
+        self.agents.owing.insert(
+            link,
+            Owed {
+                have,
+                after: None,
+                open: 0,
+                moved: now,
+            },
+        );
         self.tell_more(now, link, out);
     }
 
@@ -206,7 +254,9 @@
 
     /// Tells an agent the next pieces of what it lacks.
     fn tell_more(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        let Some(owed) = self.agents.owing.get_mut(&link) else { return };
+        let Some(owed) = self.agents.owing.get_mut(&link) else {
+            return;
+        };
         let room = limits::PIECES.saturating_sub(owed.open);
         if room == 0 {
             return;
@@ -216,7 +266,10 @@
         more |= pieces.len() > room;
         pieces.truncate(room);
         for piece in pieces {
-            owed.after = piece.last().map(|item| item.name.clone()).or(owed.after.take());
+            owed.after = piece
+                .last()
+                .map(|item| item.name.clone())
+                .or(owed.after.take());
             (owed.open, owed.moved) = (owed.open + 1, now);
             let items = piece.into_iter().cloned().collect();
             out.push(Output::Tell(vec![link], Down::Items(items)));
@@ -253,7 +306,11 @@
     fn reached(&self) -> f64 {
         let all = self.members.lately();
         let here = self.agents.counting.len();
-        if here >= all { 1.0 } else { (here as f64 / all as f64).max(limits::LEAST_REACHED) }
+        if here >= all {
+            1.0
+        } else {
+            (here as f64 / all as f64).max(limits::LEAST_REACHED)
+        }
     }
 
     /// An agent's link is gone.
@@ -273,7 +330,9 @@
     /// The holder of the count, as far as known, and its term.
     fn holder(&self, now: i64) -> Option<(SocketAddr, u64)> {
         let holder = self.duties[Duty::Count as usize].holder(now);
-        let own = self.holds(now, Duty::Count).map(|term| (self.replicas.me().replica, term));
+        let own = self
+            .holds(now, Duty::Count)
+            .map(|term| (self.replicas.me().replica, term));
         let (replica, term) = own.or(holder.map(|term| (term.by.replica, term.number)))?;
         Some((self.replicas.address(replica)?, term))
     }
@@ -291,7 +350,10 @@
             limiters: limiters.max(self.members.lately() as u32),
             in_zone,
         };
-        Told { who, replicas: self.replicas.revision() }
+        Told {
+            who,
+            replicas: self.replicas.revision(),
+        }
     }
 
     /// What is news to agents of a zone that were told `before`; it is looked for after most inputs, and costs little
@@ -325,11 +387,14 @@
         for (link, zone) in &self.agents.zones {
             zones.entry(zone).or_default().push(*link);
         }
-        let (mut told, mut quiet, mut news) = (std::mem::take(&mut self.agents.told), Vec::new(), false);
+        let (mut told, mut quiet, mut news) =
+            (std::mem::take(&mut self.agents.told), Vec::new(), false);
         told.retain(|zone, _| zones.contains_key(zone));
         self.agents.owed = false;
         for (zone, links) in zones {
-            let change = told.get(zone).map_or(Change::Much, |before| self.news_since(now, zone, before));
+            let change = told
+                .get(zone)
+                .map_or(Change::Much, |before| self.news_since(now, zone, before));
             // Danger: when many limiters start, each would be told of each by all.
             let later = change == Change::Little && now < self.agents.counts;
             self.agents.owed |= later;
@@ -362,7 +427,9 @@
     /// Tells the agents that they know all that is in force.
     pub(super) fn tell_whole(&self, out: &mut Vec<Output>) {
         let mut links = self.agents.links();
-        links.retain(|link| !self.agents.later.contains_key(link) && !self.agents.owing.contains_key(link));
+        links.retain(|link| {
+            !self.agents.later.contains_key(link) && !self.agents.owing.contains_key(link)
+        });
         if !links.is_empty() {
             out.push(Output::Tell(links, Down::Whole));
         }
--- a/crates/control/src/core/agreement.rs
+++ b/crates/control/src/core/agreement.rs
@@ -43,13 +43,22 @@
 impl Reading {
     /// What a replica is to be asked for.
     fn question(&self, replica: Replica) -> Question {
-        let after = self.transfers.get(&replica).and_then(|(_, transfer)| transfer.after.clone());
-        Question { parts: self.parts.clone(), after }
+        let after = self
+            .transfers
+            .get(&replica)
+            .and_then(|(_, transfer)| transfer.after.clone());
+        Question {
+            parts: self.parts.clone(),
+            after,
+        }
     }
 
     /// Takes note of a piece of an answer. What an incarnation before has told does not count.
     fn took(&mut self, by: (Replica, Incarnation), piece: &Piece) -> Option<Then> {
-        let (incarnation, transfer) = self.transfers.entry(by.0).or_insert((by.1, Transfer::default()));
+        let (incarnation, transfer) = self
+            .transfers
+            .entry(by.0)
+            .or_insert((by.1, Transfer::default()));
         if *incarnation != by.1 {
             (*incarnation, *transfer) = (by.1, Transfer::default());
         }
@@ -96,10 +105,16 @@
             Command::Status => {}
             Command::Get => self.read(now, call, None, deadline, out),
             Command::Drain { zone, .. } if !self.zones.contains(&zone) => {
-                out.push(Output::Answer(call, Reply::Unknown(format!("zone: {zone:?}"))));
+                out.push(Output::Answer(
+                    call,
+                    Reply::Unknown(format!("zone: {zone:?}")),
+                ));
             }
             Command::Drain { zone, on } => {
-                let name = Name { kind: Kind::Zone, name: zone };
+                let name = Name {
+                    kind: Kind::Zone,
+                    name: zone,
+                };
                 self.round(now, Some(call), Want::Zone(name, on), deadline, out);
             }
             Command::Patch(body) => {
@@ -115,7 +130,14 @@
         }
     }
 
-    fn change(&mut self, now: i64, call: u64, items: Vec<Item>, deadline: i64, out: &mut Vec<Output>) {
+    fn change(
+        &mut self,
+        now: i64,
+        call: u64,
+        items: Vec<Item>,
+        deadline: i64,
+        out: &mut Vec<Output>,
+    ) {
         if items.is_empty() {
             return out.push(Output::Answer(call, Reply::Done));
         }
@@ -145,7 +167,10 @@
             let names = self.unfinished.take(now, self.replicas.me().replica);
             if !names.is_empty() {
                 let number = self.number();
-                self.rounds.insert(number, Round::new(Want::Finish(names), now, now + limits::REPAIR));
+                self.rounds.insert(
+                    number,
+                    Round::new(Want::Finish(names), now, now + limits::REPAIR),
+                );
             }
         }
         if self.rounds.is_empty() {
@@ -154,33 +179,58 @@
         let numbers: Vec<u64> = self.rounds.keys().copied().collect();
         let mut busy: BTreeSet<Name> = BTreeSet::new();
         for number in numbers {
-            let Some(round) = self.rounds.get(&number) else { continue };
+            let Some(round) = self.rounds.get(&number) else {
+                continue;
+            };
             if now >= round.deadline || !self.replicas.takes_part() {
                 // The others' votes may do without this replica's; where they did not, its disk is what is to be mended.
-                let why = if self.full { DISK } else { "no answer of more than half of the replicas" };
+                let why = if self.full {
+                    DISK
+                } else {
+                    "no answer of more than half of the replicas"
+                };
                 self.over(now, number, Some(Reply::Unavailable(why)), out);
                 continue;
             }
-            let names = if self.rounds.len() > 1 { round.names() } else { Vec::new() };
+            let names = if self.rounds.len() > 1 {
+                round.names()
+            } else {
+                Vec::new()
+            };
             // Two rounds of one process for one item would only hinder each other.
             let free = names.iter().all(|name| !busy.contains(name));
             busy.extend(names);
             let due = round.waits() && round.wake <= now;
             if due && free && self.finished(number) {
                 // Danger: it would only refuse others at work on these registers.
-                self.steps(now, number, vec![Step::Outcome(Outcome::Done), Step::Over], out);
+                self.steps(
+                    now,
+                    number,
+                    vec![Step::Outcome(Outcome::Done), Step::Over],
+                    out,
+                );
             } else if due && free {
                 self.round += 1;
-                let ballot = Ballot { round: duties::over(round.seen, self.round), by: self.replicas.me() };
+                let ballot = Ballot {
+                    round: duties::over(round.seen, self.round),
+                    by: self.replicas.me(),
+                };
                 self.round = ballot.round;
-                let step = self.rounds.get_mut(&number).map(|round| round.begin(now, ballot));
+                let step = self
+                    .rounds
+                    .get_mut(&number)
+                    .map(|round| round.begin(now, ballot));
                 self.steps(now, number, step.into_iter().collect(), out);
             } else if due {
                 if let Some(round) = self.rounds.get_mut(&number) {
                     round.wake = now + limits::RESEND / 10;
                 }
             } else if !round.waits() && round.wake <= now {
-                let steps = self.rounds.get_mut(&number).map(|round| round.due(now)).unwrap_or_default();
+                let steps = self
+                    .rounds
+                    .get_mut(&number)
+                    .map(|round| round.due(now))
+                    .unwrap_or_default();
                 self.steps(now, number, steps, out);
             }
         }
@@ -189,12 +239,18 @@
     /// When what is not known to be chosen is to be finished. While the others tell what is, there is no need.
     pub(super) fn finish_wake(&self) -> Option<i64> {
         let wake = self.unfinished.wake(self.replicas.me().replica)?;
-        Some(if self.asks() { wake.max(self.next_sync) } else { wake })
+        Some(if self.asks() {
+            wake.max(self.next_sync)
+        } else {
+            wake
+        })
     }
 
     /// A round that only finishes what was found, and all of that is known to be chosen by now.
     fn finished(&self, number: u64) -> bool {
-        let Some(round) = self.rounds.get(&number).filter(|round| round.finishes()) else { return false };
+        let Some(round) = self.rounds.get(&number).filter(|round| round.finishes()) else {
+            return false;
+        };
         match self.finishing.get(&number) {
             Some(reading) => reading.open(&self.news).is_empty(),
             None => !round.names().iter().any(|name| self.unfinished.holds(name)),
@@ -217,7 +273,11 @@
                 Step::All(body) => self.all(now, number, body, out),
                 Step::Chosen(ballot, items) => {
                     self.spread(Body::Chosen(ballot), out);
-                    self.learn(now, items.into_iter().map(|item| (ballot, item)).collect(), out);
+                    self.learn(
+                        now,
+                        items.into_iter().map(|item| (ballot, item)).collect(),
+                        out,
+                    );
                 }
                 Step::Outcome(outcome) => {
                     let reply = match outcome {
@@ -240,15 +300,21 @@
 
     /// To all replicas that have not answered, this one included.
     fn all(&mut self, now: i64, number: u64, body: Body, out: &mut Vec<Output>) {
-        let Some(round) = self.rounds.get(&number) else { return };
+        let Some(round) = self.rounds.get(&number) else {
+            return;
+        };
         let me = self.replicas.me().replica;
-        let to =
-            (0..self.replicas.count() as Replica).filter(|replica| *replica != me && round.missing(*replica));
-        let to = to.filter_map(|replica| self.replicas.address(replica)).collect();
+        let to = (0..self.replicas.count() as Replica)
+            .filter(|replica| *replica != me && round.missing(*replica));
+        let to = to
+            .filter_map(|replica| self.replicas.address(replica))
+            .collect();
         let own = round.missing(me);
         self.send(to, body.clone(), out);
         match body {
-            Body::Prepare { ballot, names } if own => self.prepare_at(now, None, ballot, &names, out),
+            Body::Prepare { ballot, names } if own => {
+                self.prepare_at(now, None, ballot, &names, out)
+            }
             Body::Accept { ballot, items } if own => self.accept_at(now, None, ballot, &items, out),
             _ => {}
         }
@@ -279,10 +345,15 @@
         }
         match self.registers.prepare(ballot, names) {
             Ok(accepted) => {
-                let rows =
-                    names.iter().map(|name| Row::Register(name.clone(), self.registers.register(name)));
+                let rows = names
+                    .iter()
+                    .map(|name| Row::Register(name.clone(), self.registers.register(name)));
                 let rows = rows.collect();
-                self.write(rows, Some(After::Vote(from, Body::Promise { ballot, accepted })), out);
+                self.write(
+                    rows,
+                    Some(After::Vote(from, Body::Promise { ballot, accepted })),
+                    out,
+                );
             }
             Err(seen) => self.send_to_peer(now, from, Body::Nack { ballot, seen }, out),
         }
@@ -317,8 +388,9 @@
                     self.settle(now, &item.name);
                 }
                 let name = |item: &Item| item.name.clone();
-                let rows =
-                    items.iter().map(|item| Row::Register(name(item), self.registers.register(&item.name)));
+                let rows = items
+                    .iter()
+                    .map(|item| Row::Register(name(item), self.registers.register(&item.name)));
                 let rows = rows.collect();
                 self.write(rows, Some(After::Vote(from, Body::Accepted(ballot))), out);
             }
@@ -347,7 +419,10 @@
                 Learned::Nothing => {}
                 learned => {
                     if self.registers.adopt(ballot, &item) {
-                        rows.push(Row::Register(item.name.clone(), self.registers.register(&item.name)));
+                        rows.push(Row::Register(
+                            item.name.clone(),
+                            self.registers.register(&item.name),
+                        ));
                     }
                     rows.push(Row::Chosen(ballot, item.clone()));
                     news.extend((learned == Learned::News).then(|| item.clone()));
@@ -373,30 +448,50 @@
     ) {
         match body {
             Body::Promise { ballot, accepted } => {
-                let Some(number) = self.number_of(ballot) else { return };
-                let Some(round) = self.rounds.get_mut(&number) else { return };
+                let Some(number) = self.number_of(ballot) else {
+                    return;
+                };
+                let Some(round) = self.rounds.get_mut(&number) else {
+                    return;
+                };
                 let steps = round.promised(now, by, accepted, &self.replicas, &self.news);
                 self.steps(now, number, steps, out);
             }
             Body::Accepted(ballot) => {
-                let Some(number) = self.number_of(ballot) else { return };
-                let Some(round) = self.rounds.get_mut(&number) else { return };
+                let Some(number) = self.number_of(ballot) else {
+                    return;
+                };
+                let Some(round) = self.rounds.get_mut(&number) else {
+                    return;
+                };
                 let steps = round.accepted(by, &self.replicas);
                 self.steps(now, number, steps, out);
             }
             Body::Nack { ballot, seen } => {
-                let Some(number) = self.number_of(ballot) else { return };
+                let Some(number) = self.number_of(ballot) else {
+                    return;
+                };
                 self.round = self.round.max(seen.round);
-                let Some(round) = self.rounds.get(&number) else { return };
+                let Some(round) = self.rounds.get(&number) else {
+                    return;
+                };
                 // Danger: proposers of one register that all begin anew at once refuse each other for seconds.
                 let (least, most) = round.pause();
                 let pause = least + self.draw(most) as i64;
-                let Some(round) = self.rounds.get_mut(&number) else { return };
+                let Some(round) = self.rounds.get_mut(&number) else {
+                    return;
+                };
                 let steps = round.refused(now, by.0, seen, pause, &self.replicas);
                 self.steps(now, number, steps, out);
             }
             Body::Registers { id, piece } => self.answered(now, id, (from, by), piece, out),
-            Body::Vote { duty, term, at, granted, newest } => {
+            Body::Vote {
+                duty,
+                term,
+                at,
+                granted,
+                newest,
+            } => {
                 self.voted(now, by, duty, term, at, (granted, newest), out);
             }
             _ => {}
@@ -404,14 +499,27 @@
     }
 
     fn number_of(&self, ballot: Ballot) -> Option<u64> {
-        self.rounds.iter().find(|(_, round)| round.ballot() == ballot).map(|(number, _)| *number)
+        self.rounds
+            .iter()
+            .find(|(_, round)| round.ballot() == ballot)
+            .map(|(number, _)| *number)
     }
 
     /// Begins a reading.
-    fn read(&mut self, now: i64, call: u64, patch: Option<Vec<u8>>, deadline: i64, out: &mut Vec<Output>) {
+    fn read(
+        &mut self,
+        now: i64,
+        call: u64,
+        patch: Option<Vec<u8>>,
+        deadline: i64,
+        out: &mut Vec<Output>,
+    ) {
         let id = self.number();
         let me = self.replicas.me();
-        let found = self.registers.held().map(|(ballot, item)| (item.name.clone(), (*ballot, item.clone())));
+        let found = self
+            .registers
+            .held()
+            .map(|(ballot, item)| (item.name.clone(), (*ballot, item.clone())));
         let reading = Reading {
             call,
             patch,
@@ -423,18 +531,33 @@
             deadline,
             wake: now + limits::RESEND,
         };
-        self.spread(Body::Read { id: self.question(id), question: reading.question(me.replica) }, out);
+        self.spread(
+            Body::Read {
+                id: self.question(id),
+                question: reading.question(me.replica),
+            },
+            out,
+        );
         self.readings.insert(id, reading);
         self.read_whole(now, id, out);
     }
 
     /// The question of a reading.
     fn question(&self, number: u64) -> QuestionId {
-        QuestionId { by: self.replicas.me(), number }
+        QuestionId {
+            by: self.replicas.me(),
+            number,
+        }
     }
 
     /// Another replica asks for all that was accepted.
-    pub(super) fn asked(&self, from: SocketAddr, id: QuestionId, question: &Question, out: &mut Vec<Output>) {
+    pub(super) fn asked(
+        &self,
+        from: SocketAddr,
+        id: QuestionId,
+        question: &Question,
+        out: &mut Vec<Output>,
+    ) {
         for piece in self.registers.answer(self.bounds, question) {
             self.send(vec![from], Body::Registers { id, piece }, out);
         }
@@ -454,13 +577,19 @@
             return;
         }
         let id = id.number;
-        let Some(reading) = self.readings.get_mut(&id) else { return };
+        let Some(reading) = self.readings.get_mut(&id) else {
+            return;
+        };
         let then = reading.took(by, &piece);
         if then.is_some() {
             reading.wake = now + limits::RESEND;
         }
         for (ballot, item) in piece.items {
-            if reading.found.get(&item.name).is_none_or(|(known, _)| *known < ballot) {
+            if reading
+                .found
+                .get(&item.name)
+                .is_none_or(|(known, _)| *known < ballot)
+            {
                 reading.found.insert(item.name.clone(), (ballot, item));
             }
         }
@@ -471,14 +600,23 @@
             }
             Some(Then::Ask) => {
                 let question = reading.question(by.0);
-                self.send(vec![from], Body::Read { id: self.question(id), question }, out);
+                self.send(
+                    vec![from],
+                    Body::Read {
+                        id: self.question(id),
+                        question,
+                    },
+                    out,
+                );
             }
             _ => {}
         }
     }
 
     fn read_whole(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
-        let Some(reading) = self.readings.get_mut(&id) else { return };
+        let Some(reading) = self.readings.get_mut(&id) else {
+            return;
+        };
         let counted = reading
             .votes
             .iter()
@@ -494,26 +632,36 @@
             reading.wake = settles;
             return;
         }
-        let Some(reading) = self.readings.remove(&id) else { return };
+        let Some(reading) = self.readings.remove(&id) else {
+            return;
+        };
         if open.is_empty() {
             return self.read_out(now, reading, out);
         }
         let deadline = reading.deadline;
         let number = self.number();
         self.finishing.insert(number, reading);
-        self.rounds.insert(number, Round::new(Want::Finish(open), now, deadline));
+        self.rounds
+            .insert(number, Round::new(Want::Finish(open), now, deadline));
         self.rounds_turn(now, out);
     }
 
     /// All that was found is chosen, or lost.
     fn read_out(&mut self, now: i64, reading: Reading, out: &mut Vec<Output>) {
         let lost = reading.open(&self.news);
-        let found = reading.found.values().map(|(_, item)| item).filter(|item| !lost.contains(&item.name));
+        let found = reading
+            .found
+            .values()
+            .map(|(_, item)| item)
+            .filter(|item| !lost.contains(&item.name));
         // Of one version what is chosen goes first.
         let found: Items = newest(self.news.all().map(|(_, item)| item).chain(found));
         let found = found.values();
         let Some(patch) = reading.patch else {
-            return out.push(Output::Answer(reading.call, Reply::Items(items::write_all(found))));
+            return out.push(Output::Answer(
+                reading.call,
+                Reply::Items(items::write_all(found)),
+            ));
         };
         match items::read_patch(&patch, &newest(found)) {
             Ok(items) => self.change(now, reading.call, items, reading.deadline, out),
@@ -523,9 +671,14 @@
 
     /// Asks again those that have not answered, and ends what took too long.
     pub(super) fn readings_turn(&mut self, now: i64, out: &mut Vec<Output>) {
-        let due = self.readings.iter().filter(|(_, reading)| now >= reading.wake.min(reading.deadline));
+        let due = self
+            .readings
+            .iter()
+            .filter(|(_, reading)| now >= reading.wake.min(reading.deadline));
         for id in due.map(|(id, _)| *id).collect::<Vec<_>>() {
-            let Some(reading) = self.readings.get_mut(&id) else { continue };
+            let Some(reading) = self.readings.get_mut(&id) else {
+                continue;
+            };
             if now >= reading.deadline {
                 let reply = Reply::Unavailable("no answer of more than half of the replicas");
                 out.push(Output::Answer(reading.call, reply));
@@ -537,11 +690,18 @@
                 self.read_whole(now, id, out);
                 continue;
             }
-            let missing =
-                (0..self.replicas.count() as Replica).filter(|replica| !reading.votes.contains_key(replica));
+            let missing = (0..self.replicas.count() as Replica)
+                .filter(|replica| !reading.votes.contains_key(replica));
             let ask = |replica| Some((self.replicas.address(replica)?, reading.question(replica)));
             for (to, question) in missing.filter_map(ask).collect::<Vec<_>>() {
-                self.send(vec![to], Body::Read { id: self.question(id), question }, out);
+                self.send(
+                    vec![to],
+                    Body::Read {
+                        id: self.question(id),
+                        question,
+                    },
+                    out,
+                );
             }
         }
     }
@@ -551,7 +711,10 @@
 fn newest<'a>(all: impl Iterator<Item = &'a Item>) -> Items {
     let mut newest = Items::new();
     for item in all {
-        if newest.get(&item.name).is_none_or(|known| known.ver < item.ver) {
+        if newest
+            .get(&item.name)
+            .is_none_or(|known| known.ver < item.ver)
+        {
             newest.insert(item.name.clone(), item.clone());
         }
     }
--- a/crates/control/src/core/handover.rs
+++ b/crates/control/src/core/handover.rs
@@ -43,7 +43,10 @@
         if !self.sent.is_empty() {
             return Vec::new();
         }
-        lacking.into_iter().filter(|(_, item)| owed.contains(&item.name)).collect()
+        lacking
+            .into_iter()
+            .filter(|(_, item)| owed.contains(&item.name))
+            .collect()
     }
 }
 
@@ -62,7 +65,10 @@
 impl Handover {
     /// So many other replicas hold all of it.
     fn whole(&self) -> usize {
-        self.receivers.values().filter(|receiver| receiver.whole()).count()
+        self.receivers
+            .values()
+            .filter(|receiver| receiver.whole())
+            .count()
     }
 
     /// Nothing new is voted on.
@@ -86,12 +92,18 @@
     pub(super) fn begin_handover(&mut self, now: i64) {
         // One that has rebuilt nothing counts for nothing, and holds nothing that others lack.
         let done = self.replicas.me().incarnation == Incarnation::NONE;
-        self.handover = Some(Handover { wake: now, done, ..Handover::default() });
+        self.handover = Some(Handover {
+            wake: now,
+            done,
+            ..Handover::default()
+        });
     }
 
     /// Asks those again that have not confirmed all, and looks whether enough have.
     pub(super) fn handover_turn(&mut self, now: i64, out: &mut Vec<Output>) {
-        let Some(mut handover) = self.handover.take() else { return };
+        let Some(mut handover) = self.handover.take() else {
+            return;
+        };
         if !handover.done && self.look_over(&mut handover, out) {
             handover.done = true;
         }
@@ -129,10 +141,19 @@
         let me = self.replicas.me().replica;
         for replica in (0..self.replicas.count() as Replica).filter(|replica| *replica != me) {
             let receiver = handover.receivers.entry(replica).or_default();
-            let Some(address) = self.replicas.address(replica) else { continue };
+            let Some(address) = self.replicas.address(replica) else {
+                continue;
+            };
             if !receiver.whole() || (self.replicas.aside() && !handover.succeeded) {
                 receiver.sent.clear();
-                self.send(vec![address], Body::HandOver { id: 0, items: Vec::new() }, out);
+                self.send(
+                    vec![address],
+                    Body::HandOver {
+                        id: 0,
+                        items: Vec::new(),
+                    },
+                    out,
+                );
             }
         }
     }
@@ -153,8 +174,15 @@
         self.learn(now, items, out);
         let parts = self.news.parts().to_vec();
         // Only one that is whole speaks under its incarnation, and only the newest one is heard.
-        let whole = self.replicas.hears(now, replica).then(|| self.replicas.newest(replica));
-        let body = Body::Holding { id, parts, whole: whole.unwrap_or(Incarnation::NONE) };
+        let whole = self
+            .replicas
+            .hears(now, replica)
+            .then(|| self.replicas.newest(replica));
+        let body = Body::Holding {
+            id,
+            parts,
+            whole: whole.unwrap_or(Incarnation::NONE),
+        };
         // Rows are written in order: once this is there, all before it is.
         self.write(Vec::new(), Some(After::Vote(Some(from), body)), out);
     }
@@ -169,18 +197,30 @@
     ) {
         let me = self.replicas.me();
         // Danger: one that is done stays, as it is what keeps this replica from voting.
-        let Some(mut handover) = self.handover.take_if(|handover| !handover.done) else { return };
+        let Some(mut handover) = self.handover.take_if(|handover| !handover.done) else {
+            return;
+        };
         handover.succeeded |= whole > me.incarnation;
         let receiver = handover.receivers.entry(from.1).or_default();
         let items = receiver.holds(id, parts, &self.news);
         // All of it at once: the leaver has its grace only, and its receivers ask no further question.
-        let bounds = Bounds { question: usize::MAX, ..self.bounds };
+        let bounds = Bounds {
+            question: usize::MAX,
+            ..self.bounds
+        };
         let (pieces, _) = split(bounds, items.into_iter(), |(_, item)| item);
         for piece in pieces.into_iter().filter(|piece| !piece.is_empty()) {
             self.number += 1;
             let names = piece.iter().map(|(_, item)| item.name.clone()).collect();
             receiver.sent.insert(self.number, names);
-            self.send(vec![from.0], Body::HandOver { id: self.number, items: piece }, out);
+            self.send(
+                vec![from.0],
+                Body::HandOver {
+                    id: self.number,
+                    items: piece,
+                },
+                out,
+            );
         }
         self.handover = Some(handover);
     }
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Each concern has a module of its own: [`replicas`] who holds each replica, [`registers`] and [`rounds`] how items are
 //! agreed on, [`duties`] what one replica does for all, [`members`] the edges' leases, [`count`] the shared count, [`news`]
-//! what is chosen, [`servers`] the platform's list, [`repair`] what was lost or left undone, [`handover`] how one leaves.
+//! what is chosen, [`servers`] the platform's list, [`repair`] what was lost or left undone, `handover` how one leaves.
 
 mod agents;
 mod agreement;
@@ -44,7 +44,9 @@
 use self::news::News;
 use self::outbox::After;
 use self::overload_homes::OverloadHomes;
-use self::peer_messages::{Ballot, Body, Duty, Incarnation, PeerMessage, Replica, Speaker, Term, Told};
+use self::peer_messages::{
+    Ballot, Body, Duty, Incarnation, PeerMessage, Replica, Speaker, Term, Told,
+};
 use self::reclaim::Displaced;
 use self::registers::{Register, Registers};
 use self::repair::{Rebuild, Unfinished};
@@ -241,10 +243,20 @@
     /// A core that starts now.
     pub fn new(now: i64, setup: Setup) -> Core {
         let count = setup.zones.len();
-        let replica = setup.zones.iter().position(|zone| *zone == setup.zone).unwrap_or_default() as Replica;
+        let replica = setup
+            .zones
+            .iter()
+            .position(|zone| *zone == setup.zone)
+            .unwrap_or_default() as Replica;
         let own = setup.restored.own;
-        let me = Speaker { replica, incarnation: own.incarnation, run: own.run };
-        let address = setup.address.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)));
+        let me = Speaker {
+            replica,
+            incarnation: own.incarnation,
+            run: own.run,
+        };
+        let address = setup
+            .address
+            .unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)));
         let mut replicas = Replicas::new(me, count, address, setup.seeds);
         replicas.restore(&own.incarnations, &own.addresses);
         let registers = Registers::restore(own.floor, setup.restored.registers);
@@ -312,7 +324,9 @@
         }
         match input {
             Input::Tick => {}
-            Input::PeerMessage(from, peer_message) => self.peer_message(now, from, peer_message, out),
+            Input::PeerMessage(from, peer_message) => {
+                self.peer_message(now, from, peer_message, out)
+            }
             Input::LinkUp(peer) => {
                 if let Some(rebuild) = &mut self.rebuild {
                     rebuild.linked(now, peer);
@@ -336,16 +350,38 @@
 
     /// When it wants to be called again at the latest.
     pub fn next(&self) -> i64 {
-        let rounds = self.rounds.values().map(|round| round.wake.min(round.deadline));
-        let readings = self.readings.values().map(|reading| reading.wake.min(reading.deadline));
-        let rebuild = self.rebuild.iter().filter(|rebuild| !rebuild.written).map(|rebuild| rebuild.wake);
+        let rounds = self
+            .rounds
+            .values()
+            .map(|round| round.wake.min(round.deadline));
+        let readings = self
+            .readings
+            .values()
+            .map(|reading| reading.wake.min(reading.deadline));
+        let rebuild = self
+            .rebuild
+            .iter()
+            .filter(|rebuild| !rebuild.written)
+            .map(|rebuild| rebuild.wake);
         let able = self.replicas.takes_part() && self.touch && !self.full;
         let finish = self.finish_wake().filter(|_| able);
         let able = able && !self.stopping;
-        let duties = self.duties.iter().filter(|duty| able || duty.bids()).map(Ballots::wake);
-        let all = rounds.chain(readings).chain(rebuild).chain(finish).chain(duties);
-        let all = all.chain(self.agents.wake()).chain(self.overload_homes.next());
-        let all = all.chain(self.handover.iter().filter_map(Handover::wake)).chain(self.reclaim_wake());
+        let duties = self
+            .duties
+            .iter()
+            .filter(|duty| able || duty.bids())
+            .map(Ballots::wake);
+        let all = rounds
+            .chain(readings)
+            .chain(rebuild)
+            .chain(finish)
+            .chain(duties);
+        let all = all
+            .chain(self.agents.wake())
+            .chain(self.overload_homes.next());
+        let all = all
+            .chain(self.handover.iter().filter_map(Handover::wake))
+            .chain(self.reclaim_wake());
         all.fold(self.next_beat, i64::min)
     }
 
@@ -446,7 +482,13 @@
     }
 
     /// All messages that are not for this replica alone are told apart here.
-    fn peer_message(&mut self, now: i64, from: SocketAddr, peer_message: PeerMessage, out: &mut Vec<Output>) {
+    fn peer_message(
+        &mut self,
+        now: i64,
+        from: SocketAddr,
+        peer_message: PeerMessage,
+        out: &mut Vec<Output>,
+    ) {
         let heard = self.replicas.hear(now, from, &peer_message);
         if heard.changed {
             self.replicas_changed(now, out);
@@ -458,9 +500,10 @@
         match peer_message.body {
             Body::AskMembers => self.send(vec![from], Body::Members(self.members.list()), out),
             Body::AskServers => self.send_servers(now, from, out),
-            Body::Record { incarnation, question } => {
-                self.record(from, peer_message.by.replica, incarnation, question, out)
-            }
+            Body::Record {
+                incarnation,
+                question,
+            } => self.record(from, peer_message.by.replica, incarnation, question, out),
             Body::HandOver { id, items } => self.take_over(now, (from, by.0), id, items, out),
             // One of an older incarnation learns of the newer one by any message.
             Body::Beat(_) if !heard.counts && peer_message.by.incarnation != Incarnation::NONE => {
@@ -479,7 +522,12 @@
                     self.tell_servers(now, out);
                 }
             }
-            Body::Recorded { incarnation, floor, piece, terms } => {
+            Body::Recorded {
+                incarnation,
+                floor,
+                piece,
+                terms,
+            } => {
                 self.recorded(now, (from, by), incarnation, floor, piece, &terms, out);
             }
             Body::Holding { id, parts, whole } => {
@@ -493,22 +541,45 @@
             _ if !self.replicas.takes_part() => {}
             Body::Prepare { ballot, names } => self.prepare(now, from, ballot, &names, out),
             Body::Accept { ballot, items } => self.accept(now, from, ballot, &items, out),
-            Body::Bid { duty, term, at, holds } => {
-                self.bid(now, Some(from), peer_message.by, duty, term, (at, holds), out);
+            Body::Bid {
+                duty,
+                term,
+                at,
+                holds,
+            } => {
+                self.bid(
+                    now,
+                    Some(from),
+                    peer_message.by,
+                    duty,
+                    term,
+                    (at, holds),
+                    out,
+                );
             }
             Body::Release { duty, term, vain } => {
                 self.duties[duty as usize].released(now, peer_message.by, term, vain);
             }
             Body::Read { id, question } => self.asked(from, id, &question, out),
             Body::Sync { id, parts } => self.sync_asked(from, id, &parts, out),
-            Body::Entries { id, entries } => self.entries_told(now, (from, by.0), id, &entries, out),
+            Body::Entries { id, entries } => {
+                self.entries_told(now, (from, by.0), id, &entries, out)
+            }
             Body::Fetch { id, wanted } => self.fetch_asked(from, id, &wanted, out),
-            Body::Learn { id, piece, items, then } => {
+            Body::Learn {
+                id,
+                piece,
+                items,
+                then,
+            } => {
                 self.learn(now, items, out);
                 self.told_chosen(now, (from, by.0), id, (piece, then), out);
             }
             Body::Chosen(ballot) => {
-                let held = self.registers.held().filter(|(accepted, _)| *accepted == ballot);
+                let held = self
+                    .registers
+                    .held()
+                    .filter(|(accepted, _)| *accepted == ballot);
                 let items = held.cloned().collect();
                 self.learn(now, items, out);
             }
--- a/crates/control/src/core/news.rs
+++ b/crates/control/src/core/news.rs
@@ -35,12 +35,17 @@
     pub fn learn(&mut self, ballot: Ballot, item: &Item) -> Learned {
         let learned = match self.chosen.get(&item.name) {
             Some((_, old)) if old.ver > item.ver => return Learned::Nothing,
-            Some((known, old)) if old.ver == item.ver && *known >= ballot => return Learned::Nothing,
+            Some((known, old)) if old.ver == item.ver && *known >= ballot => {
+                return Learned::Nothing;
+            }
             Some((_, old)) if old.ver == item.ver => Learned::Again,
             _ => Learned::News,
         };
         self.turn(ballot, item);
-        if let Some((ballot, item)) = self.chosen.insert(item.name.clone(), (ballot, item.clone())) {
+        if let Some((ballot, item)) = self
+            .chosen
+            .insert(item.name.clone(), (ballot, item.clone()))
+        {
             self.turn(ballot, &item);
         }
         learned
@@ -90,14 +95,22 @@
 
     /// What is chosen of the parts of which another replica knows something else.
     pub fn differing<'a>(&'a self, parts: &'a [u64]) -> impl Iterator<Item = &'a (Ballot, Item)> {
-        self.all().filter(|(_, item)| self.parts.differ(parts, &item.name))
+        self.all()
+            .filter(|(_, item)| self.parts.differ(parts, &item.name))
     }
 
     /// What an agent lacks that has these parts, after a name.
-    pub fn lacking<'a>(&'a self, have: &'a [u64], after: Option<&Name>) -> impl Iterator<Item = &'a Item> {
-        let rest =
-            self.chosen.range::<Name, _>((after.map_or(Bound::Unbounded, Bound::Excluded), Bound::Unbounded));
-        rest.map(|(_, (_, item))| item).filter(|item| self.versions.differ(have, &item.name))
+    pub fn lacking<'a>(
+        &'a self,
+        have: &'a [u64],
+        after: Option<&Name>,
+    ) -> impl Iterator<Item = &'a Item> {
+        let rest = self.chosen.range::<Name, _>((
+            after.map_or(Bound::Unbounded, Bound::Excluded),
+            Bound::Unbounded,
+        ));
+        rest.map(|(_, (_, item))| item)
+            .filter(|item| self.versions.differ(have, &item.name))
     }
 }
 
--- a/crates/control/src/core/outbox.rs
+++ b/crates/control/src/core/outbox.rs
@@ -23,7 +23,11 @@
         if !to.is_empty() {
             out.push(Output::Send(
                 to,
-                PeerMessage { by: self.replicas.me(), incarnations: self.replicas.incarnations(), body },
+                PeerMessage {
+                    by: self.replicas.me(),
+                    incarnations: self.replicas.incarnations(),
+                    body,
+                },
             ));
         }
     }
@@ -53,7 +57,10 @@
             incarnation: self.replicas.me().incarnation,
             run: self.run,
             floor: self.registers.floor(),
-            terms: self.terms().chain(self.duties.iter().map(Ballots::kept)).collect(),
+            terms: self
+                .terms()
+                .chain(self.duties.iter().map(Ballots::kept))
+                .collect(),
             incarnations: self.replicas.incarnations(),
             addresses: self.replicas.addresses(),
         }
@@ -71,7 +78,12 @@
             Some(to) => self.send(vec![to], body, out),
             None => {
                 let me = self.replicas.me();
-                self.vote(now, (self.replicas.here(), (me.replica, me.incarnation)), body, out);
+                self.vote(
+                    now,
+                    (self.replicas.here(), (me.replica, me.incarnation)),
+                    body,
+                    out,
+                );
             }
         }
     }
@@ -79,7 +91,11 @@
     /// The disk takes nothing more, or takes it again. Until it does, this replica promises, accepts and grants nothing new.
     pub(super) fn disk_full(&mut self, full: bool, out: &mut Vec<Output>) {
         if std::mem::replace(&mut self.full, full) != full {
-            let text = if full { "votes on nothing new: the disk refuses it" } else { "votes again" };
+            let text = if full {
+                "votes on nothing new: the disk refuses it"
+            } else {
+                "votes again"
+            };
             out.push(Output::Note(text.to_string()));
         }
     }
@@ -88,13 +104,24 @@
     pub(super) fn written(&mut self, now: i64, number: u64, out: &mut Vec<Output>) {
         for after in self.after.remove(&number).into_iter().flatten() {
             match after {
-                After::Vote(to, body) if self.replicas.takes_part() => self.send_to_peer(now, to, body, out),
+                After::Vote(to, body) if self.replicas.takes_part() => {
+                    self.send_to_peer(now, to, body, out)
+                }
                 After::Vote(..) => {}
                 After::Recorded(to, incarnation, question) => {
                     let floor = self.registers.highest();
                     for piece in self.registers.answer(self.bounds, &question) {
                         let terms = self.terms().collect();
-                        self.send(vec![to], Body::Recorded { incarnation, floor, piece, terms }, out);
+                        self.send(
+                            vec![to],
+                            Body::Recorded {
+                                incarnation,
+                                floor,
+                                piece,
+                                terms,
+                            },
+                            out,
+                        );
                     }
                 }
                 After::Begin(incarnation) => self.begin(now, incarnation, out),
--- a/crates/control/src/core/overload_homes.rs
+++ b/crates/control/src/core/overload_homes.rs
@@ -37,13 +37,18 @@
 
     fn judge(&mut self, me: Replica, region: &str, svc: &str) -> &mut Judge {
         let key = (region.to_string(), svc.to_string());
-        self.judges.entry(key).or_insert_with(|| Judge::new(me.into()))
+        self.judges
+            .entry(key)
+            .or_insert_with(|| Judge::new(me.into()))
     }
 
     pub(super) fn told(&mut self, now: i64, me: Replica, link: u64, reports: &[Report]) {
-        let Some(region) = self.regions.get(&link).cloned() else { return };
+        let Some(region) = self.regions.get(&link).cloned() else {
+            return;
+        };
         for report in reports {
-            self.judge(me, &region, &report.svc).report(now, link, report);
+            self.judge(me, &region, &report.svc)
+                .report(now, link, report);
         }
     }
 
@@ -71,7 +76,9 @@
 
     fn levels(&self, region: &str) -> Vec<Level> {
         let judged = self.judges.iter().filter(|((at, _), _)| at == region);
-        judged.filter_map(|((_, svc), judge)| judge.level(svc)).collect()
+        judged
+            .filter_map(|((_, svc), judge)| judge.level(svc))
+            .collect()
     }
 }
 
@@ -81,7 +88,8 @@
         if now < self.overload_homes.due {
             return;
         }
-        (self.overload_homes.due, self.overload_homes.steps) = (now + STEP, self.overload_homes.steps + 1);
+        (self.overload_homes.due, self.overload_homes.steps) =
+            (now + STEP, self.overload_homes.steps + 1);
         self.overload_homes.look(now);
         self.share_strain(now, out);
         let mut regions: BTreeMap<&String, Vec<u64>> = BTreeMap::new();
@@ -103,11 +111,20 @@
         let mut regions: BTreeMap<&String, Vec<(String, Share)>> = BTreeMap::new();
         for ((region, svc), judge) in &self.overload_homes.judges {
             if let Some(share) = judge.to_share(now) {
-                regions.entry(region).or_default().push((svc.clone(), share));
+                regions
+                    .entry(region)
+                    .or_default()
+                    .push((svc.clone(), share));
             }
         }
         for (region, services) in regions {
-            self.spread(Body::Strain { region: region.clone(), services }, out);
+            self.spread(
+                Body::Strain {
+                    region: region.clone(),
+                    services,
+                },
+                out,
+            );
         }
     }
 }
--- a/crates/control/src/core/peer_messages.rs
+++ b/crates/control/src/core/peer_messages.rs
@@ -16,7 +16,9 @@
 
 /// An incarnation of a replica. It goes on while its disk stays; who comes with an empty disk begins a new one. Ordered; the mark,
 /// drawn by chance, tells apart two that begin the same number at once.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Incarnation {
     /// Its number; 0 is none yet.
     pub number: u32,
@@ -32,7 +34,9 @@
 }
 
 /// Who speaks: a replica, its incarnation, and the run of its process within that.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Speaker {
     /// The replica.
     pub replica: Replica,
@@ -43,7 +47,9 @@
 }
 
 /// The number of a proposal. No two proposals share one: the run changes with each start of a process.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Ballot {
     /// Rises with each try.
     pub round: u64,
@@ -59,7 +65,9 @@
 
 /// The number of a question. A process that starts anew counts from the beginning, so that a number alone would be found
 /// again: an answer that is late counts only for the very process that asked.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct QuestionId {
     /// Who asks.
     pub by: Speaker,
@@ -334,11 +342,17 @@
 
     use super::{Incarnation, Replica};
 
-    pub fn serialize<S: Serializer>(incarnations: &[Incarnation], to: S) -> Result<S::Ok, S::Error> {
-        let later =
-            incarnations.iter().enumerate().filter(|(_, incarnation)| **incarnation != Incarnation::FIRST);
-        let later: Vec<(Replica, Incarnation)> =
-            later.map(|(at, incarnation)| (at as Replica, *incarnation)).collect();
+    pub fn serialize<S: Serializer>(
+        incarnations: &[Incarnation],
+        to: S,
+    ) -> Result<S::Ok, S::Error> {
+        let later = incarnations
+            .iter()
+            .enumerate()
+            .filter(|(_, incarnation)| **incarnation != Incarnation::FIRST);
+        let later: Vec<(Replica, Incarnation)> = later
+            .map(|(at, incarnation)| (at as Replica, *incarnation))
+            .collect();
         (incarnations.len() as Replica, later).serialize(to)
     }
 
--- a/crates/control/src/core/periodic.rs
+++ b/crates/control/src/core/periodic.rs
@@ -65,7 +65,11 @@
         }
         self.matches(now, replica, beat.chosen, out);
         let strikes = self.strikes.entry(replica).or_default();
-        *strikes = if beat.chosen == self.news.digest() { 0 } else { *strikes + 1 };
+        *strikes = if beat.chosen == self.news.digest() {
+            0
+        } else {
+            *strikes + 1
+        };
         if *strikes >= 2 && now >= self.next_sync && self.replicas.takes_part() {
             *strikes = 0;
             self.next_sync = now + limits::ASK;
@@ -148,7 +152,9 @@
             return self.tell_who(now, true, out);
         }
         if self.replicas.aside() {
-            out.push(Output::Notice("this replica has a newer incarnation: stepping aside".to_string()));
+            out.push(Output::Notice(
+                "this replica has a newer incarnation: stepping aside".to_string(),
+            ));
             return self.tell_who(now, true, out);
         }
         if self.replicas.takes_part() {
@@ -182,7 +188,11 @@
             out.push(Output::Peers(self.replicas.peers()));
             self.spread(Body::Replicas(self.replicas.addresses()), out);
         }
-        self.write(vec![Row::Own(self.own())], Some(After::Recorded(from, incarnation, question)), out);
+        self.write(
+            vec![Row::Own(self.own())],
+            Some(After::Recorded(from, incarnation, question)),
+            out,
+        );
     }
 
     /// A replica that has rebuilt nothing yet asks on.
@@ -190,7 +200,9 @@
         let mark = self.draw(1 << 32) as u32;
         let me = self.replicas.me().replica;
         let newest = self.replicas.newest(me);
-        let Some(rebuild) = self.rebuild.as_mut().filter(|rebuild| !rebuild.written) else { return };
+        let Some(rebuild) = self.rebuild.as_mut().filter(|rebuild| !rebuild.written) else {
+            return;
+        };
         if newest > rebuild.incarnation || rebuild.incarnation == Incarnation::NONE {
             rebuild.choose(newest, mark);
         }
@@ -198,7 +210,14 @@
             rebuild.wake = now + limits::REBUILD;
             let (incarnation, to_ask) = (rebuild.incarnation, rebuild.to_ask(&self.replicas));
             for (to, question) in to_ask {
-                self.send(vec![to], Body::Record { incarnation, question }, out);
+                self.send(
+                    vec![to],
+                    Body::Record {
+                        incarnation,
+                        question,
+                    },
+                    out,
+                );
             }
         }
     }
@@ -215,14 +234,23 @@
         terms: &[Term],
         out: &mut Vec<Output>,
     ) {
-        let Some(rebuild) = self.rebuild.as_mut().filter(|rebuild| !rebuild.written) else { return };
+        let Some(rebuild) = self.rebuild.as_mut().filter(|rebuild| !rebuild.written) else {
+            return;
+        };
         if rebuild.incarnation != incarnation {
             return;
         }
         match rebuild.answered(now, by, (floor, terms), piece, &self.replicas) {
             Answered::Nothing => return,
             Answered::Ask(question) => {
-                return self.send(vec![from], Body::Record { incarnation, question }, out);
+                return self.send(
+                    vec![from],
+                    Body::Record {
+                        incarnation,
+                        question,
+                    },
+                    out,
+                );
             }
             Answered::Enough => {}
         }
@@ -236,8 +264,9 @@
         }
         self.round = self.round.max(rebuild.floor.round);
         let registers = self.registers.all();
-        let mut rows: Vec<Row> =
-            registers.map(|(name, register)| Row::Register(name.clone(), register.clone())).collect();
+        let mut rows: Vec<Row> = registers
+            .map(|(name, register)| Row::Register(name.clone(), register.clone()))
+            .collect();
         let mut own = self.own();
         own.incarnation = incarnation;
         own.incarnations[usize::from(self.replicas.me().replica)] = incarnation;
@@ -263,7 +292,11 @@
             let term = self.duties[duty as usize].term();
             Ballots::new(duty, me, count, (term, Term::default()), now)
         });
-        let names: Vec<_> = self.registers.held().map(|(_, item)| item.name.clone()).collect();
+        let names: Vec<_> = self
+            .registers
+            .held()
+            .map(|(_, item)| item.name.clone())
+            .collect();
         names.iter().for_each(|name| self.settle(now, name));
         if self.stopping {
             // It was told to end while it had nothing to hand over; now it has.
@@ -323,20 +356,28 @@
     /// The platform's list goes to a replica.
     pub(super) fn send_servers(&self, now: i64, to: SocketAddr, out: &mut Vec<Output>) {
         if self.listed.known() {
-            let body = Body::Servers { version: self.listed.version(), servers: self.listed.list(now) };
+            let body = Body::Servers {
+                version: self.listed.version(),
+                servers: self.listed.list(now),
+            };
             self.send(vec![to], body, out);
         }
     }
 
     /// The platform's list was read here.
     pub(super) fn platform_read(&mut self, now: i64, servers: Vec<Server>, out: &mut Vec<Output>) {
-        let held = self.holds(now, Duty::Poll).filter(|term| *term >= self.listed.version().0);
+        let held = self
+            .holds(now, Duty::Poll)
+            .filter(|term| *term >= self.listed.version().0);
         let news = match held {
             Some(term) => self.listed.read(now, term, servers),
             None => self.asks_first() && self.listed.told(now, servers::FIRST, servers),
         };
         if news {
-            let body = Body::Servers { version: self.listed.version(), servers: self.listed.list(now) };
+            let body = Body::Servers {
+                version: self.listed.version(),
+                servers: self.listed.list(now),
+            };
             self.spread(body, out);
             self.tell_servers(now, out);
         }
@@ -365,7 +406,12 @@
                 self.give_back(now, duty, lost, out);
             }
             if let Some(bid) = bid.filter(|_| self.replicas.takes_part()) {
-                let body = Body::Bid { duty, term: bid.term, at: bid.at, holds: bid.holds };
+                let body = Body::Bid {
+                    duty,
+                    term: bid.term,
+                    at: bid.at,
+                    holds: bid.holds,
+                };
                 self.spread(body, out);
                 let me = self.replicas.me();
                 self.bid(now, None, me, duty, bid.term, (bid.at, bid.holds), out);
@@ -398,10 +444,20 @@
         }
         let verdict = self.duties[duty as usize].vote(now, by, term, holds);
         let granted = verdict.granted;
-        let body = Body::Vote { duty, term: Term { number: term, by }, at, granted, newest: verdict.newest };
+        let body = Body::Vote {
+            duty,
+            term: Term { number: term, by },
+            at,
+            granted,
+            newest: verdict.newest,
+        };
         if verdict.save && !self.full {
             // A term must never be granted twice, not even after all were killed at once.
-            self.write(vec![Row::Own(self.own())], Some(After::Vote(from, body)), out);
+            self.write(
+                vec![Row::Own(self.own())],
+                Some(After::Vote(from, body)),
+                out,
+            );
         } else {
             self.send_to_peer(now, from, body, out);
         }
@@ -424,7 +480,11 @@
             return;
         }
         let term = term.number;
-        let verdict = Verdict { granted, save: false, newest };
+        let verdict = Verdict {
+            granted,
+            save: false,
+            newest,
+        };
         let ballots = &mut self.duties[duty as usize];
         if ballots.voted(by, term, at, verdict, &self.replicas) {
             ballots.announce(now);
@@ -436,7 +496,9 @@
     pub(super) fn stop(&mut self, now: i64, out: &mut Vec<Output>) {
         self.stopping = true;
         self.begin_handover(now);
-        Duty::ALL.into_iter().for_each(|duty| self.unable(now, duty, out));
+        Duty::ALL
+            .into_iter()
+            .for_each(|duty| self.unable(now, duty, out));
     }
 
     /// A duty goes back: another replica may do better.
--- a/crates/control/src/core/reclaim.rs
+++ b/crates/control/src/core/reclaim.rs
@@ -29,14 +29,20 @@
             self.displaced = None;
             return;
         }
-        let begin = || Displaced { heard: now, silent: BTreeMap::new(), wake: now };
+        let begin = || Displaced {
+            heard: now,
+            silent: BTreeMap::new(),
+            wake: now,
+        };
         let displaced = self.displaced.get_or_insert_with(begin);
         if now < displaced.wake {
             return;
         }
         displaced.wake = now + limits::BEAT;
         displaced.silent.retain(|_, at| now - *at <= limits::TOUCH);
-        if now - displaced.heard >= limits::RECLAIM && displaced.silent.len() >= self.replicas.others() {
+        if now - displaced.heard >= limits::RECLAIM
+            && displaced.silent.len() >= self.replicas.others()
+        {
             out.push(Output::Notice(
                 "nobody hears the newer incarnation of this replica: rebuilding".to_string(),
             ));
@@ -45,13 +51,21 @@
             self.rebuild = Some(Rebuild::default());
             return self.rebuild_turn(now, out);
         }
-        self.spread(Body::HandOver { id: 0, items: Vec::new() }, out);
+        self.spread(
+            Body::HandOver {
+                id: 0,
+                items: Vec::new(),
+            },
+            out,
+        );
     }
 
     /// Another replica says which incarnation of this slot it hears.
     pub(super) fn slot_heard(&mut self, now: i64, replica: Replica, whole: Incarnation) {
         let own = self.replicas.me().incarnation;
-        let Some(displaced) = &mut self.displaced else { return };
+        let Some(displaced) = &mut self.displaced else {
+            return;
+        };
         if whole > own {
             displaced.heard = now;
             displaced.silent.clear();
--- a/crates/control/src/core/repair.rs
+++ b/crates/control/src/core/repair.rs
@@ -54,7 +54,9 @@
         let mut rebuild = Rebuild::default();
         for (ballot, item) in held {
             rebuild.digests.turn(&item.name, digest(ballot, item));
-            rebuild.found.insert(item.name.clone(), (*ballot, item.clone()));
+            rebuild
+                .found
+                .insert(item.name.clone(), (*ballot, item.clone()));
         }
         rebuild
     }
@@ -63,7 +65,10 @@
     pub fn choose(&mut self, newest: Incarnation, mark: u32) {
         if newest >= self.incarnation {
             *self = Rebuild {
-                incarnation: Incarnation { number: newest.max(Incarnation::FIRST).number + 1, mark },
+                incarnation: Incarnation {
+                    number: newest.max(Incarnation::FIRST).number + 1,
+                    mark,
+                },
                 near: self.near,
                 // What was gathered was accepted under its ballots all the same.
                 found: std::mem::take(&mut self.found),
@@ -85,7 +90,9 @@
 
     /// Whom to ask now, and for what: those that have not told all; the near one alone at first.
     pub fn to_ask(&mut self, replicas: &Replicas) -> Vec<(SocketAddr, Question)> {
-        let first = self.near.filter(|_| !std::mem::replace(&mut self.tried, true));
+        let first = self
+            .near
+            .filter(|_| !std::mem::replace(&mut self.tried, true));
         if let Some(near) = first.filter(|_| self.answers.is_empty()) {
             return vec![(near, self.question(None))];
         }
@@ -98,12 +105,20 @@
             .collect();
         let peers = replicas.peers().into_iter();
         let open = peers.filter(|peer| begun.get(peer).is_none_or(|transfer| !transfer.done));
-        open.map(|peer| (peer, self.question(begun.get(&peer).and_then(|transfer| transfer.after.clone()))))
-            .collect()
+        open.map(|peer| {
+            (
+                peer,
+                self.question(begun.get(&peer).and_then(|transfer| transfer.after.clone())),
+            )
+        })
+        .collect()
     }
 
     fn question(&self, after: Option<Name>) -> Question {
-        Question { parts: self.digests.parts().to_vec(), after }
+        Question {
+            parts: self.digests.parts().to_vec(),
+            after,
+        }
     }
 
     /// Most of the others have told all, each in an incarnation that counts.
@@ -123,7 +138,11 @@
         piece: Piece,
         replicas: &Replicas,
     ) -> Answered {
-        let (_, transfer) = match self.answers.entry(by.0).or_insert((by.1, Transfer::default())) {
+        let (_, transfer) = match self
+            .answers
+            .entry(by.0)
+            .or_insert((by.1, Transfer::default()))
+        {
             // What an incarnation before has told counts for nothing: it may have lost what this one was to hear.
             of if of.0 != by.1 => {
                 *of = (by.1, Transfer::default());
@@ -138,7 +157,11 @@
             self.wake = if first { now } else { now + limits::REBUILD };
         }
         for (ballot, item) in piece.items {
-            if self.found.get(&item.name).is_none_or(|(known, _)| *known < ballot) {
+            if self
+                .found
+                .get(&item.name)
+                .is_none_or(|(known, _)| *known < ballot)
+            {
                 self.digests.turn(&item.name, digest(&ballot, &item));
                 if let Some((ballot, item)) = self.found.insert(item.name.clone(), (ballot, item)) {
                     self.digests.turn(&item.name, digest(&ballot, &item));
@@ -152,7 +175,10 @@
                 None => self.terms.push(*term),
             }
         }
-        let after = self.answers.get(&by.0).and_then(|(_, transfer)| transfer.after.clone());
+        let after = self
+            .answers
+            .get(&by.0)
+            .and_then(|(_, transfer)| transfer.after.clone());
         match then {
             Some(Then::Ask) => Answered::Ask(self.question(after)),
             _ if self.enough(replicas) => Answered::Enough,
@@ -163,7 +189,11 @@
 
 /// One has told all, and it is the first.
 fn first_done(answers: &BTreeMap<Replica, (Incarnation, Transfer)>) -> bool {
-    answers.values().filter(|(_, transfer)| transfer.done).count() == 1
+    answers
+        .values()
+        .filter(|(_, transfer)| transfer.done)
+        .count()
+        == 1
 }
 
 /// Registers whose values are not known to be chosen, and since when.
@@ -195,7 +225,10 @@
         if self.busy.len() >= limits::FINISHING {
             return None;
         }
-        let idle = self.since.iter().filter(|(name, _)| !self.busy.contains(*name));
+        let idle = self
+            .since
+            .iter()
+            .filter(|(name, _)| !self.busy.contains(*name));
         let earliest = idle.map(|(_, since)| *since).min()?;
         Some(earliest + limits::UNFINISHED + i64::from(replica) * limits::UNFINISHED_STEP)
     }
@@ -207,7 +240,10 @@
         }
         // Those that came soon after go along.
         let soon = now - limits::UNFINISHED / 2;
-        let due = self.since.iter().filter(|(name, since)| **since <= soon && !self.busy.contains(*name));
+        let due = self
+            .since
+            .iter()
+            .filter(|(name, since)| **since <= soon && !self.busy.contains(*name));
         let room = limits::FINISHING - self.busy.len();
         let due: Vec<Name> = due.take(room).map(|(name, _)| name.clone()).collect();
         self.busy.extend(due.iter().cloned());
--- a/crates/control/src/core/replicas.rs
+++ b/crates/control/src/core/replicas.rs
@@ -55,13 +55,24 @@
                 hears: true,
             };
         }
-        Replicas { me, address, seeds, places, aside: false, revision: 0, abandoned: false }
+        Replicas {
+            me,
+            address,
+            seeds,
+            places,
+            aside: false,
+            revision: 0,
+            abandoned: false,
+        }
     }
 
     /// Takes in what was on disk about the others.
     pub fn restore(&mut self, incarnations: &[Incarnation], addresses: &[Option<SocketAddr>]) {
-        for (at, place) in
-            self.places.iter_mut().enumerate().filter(|(at, _)| *at != usize::from(self.me.replica))
+        for (at, place) in self
+            .places
+            .iter_mut()
+            .enumerate()
+            .filter(|(at, _)| *at != usize::from(self.me.replica))
         {
             place.incarnation = incarnations.get(at).copied().unwrap_or_default();
             place.address = addresses.get(at).copied().flatten();
@@ -130,19 +141,24 @@
 
     /// Where the replicas are, as far as it is sure.
     pub fn addresses(&self) -> Vec<Option<SocketAddr>> {
-        self.places.iter().map(|place| place.address.filter(|_| place.sure)).collect()
+        self.places
+            .iter()
+            .map(|place| place.address.filter(|_| place.sure))
+            .collect()
     }
 
     /// Some replica has an incarnation, and where it is then is not known.
     pub fn unsure(&self) -> bool {
-        self.places.iter().any(|place| place.incarnation != Incarnation::NONE && !place.sure)
+        self.places
+            .iter()
+            .any(|place| place.incarnation != Incarnation::NONE && !place.sure)
     }
 
     /// Another one lacks an address that is known here.
     pub fn knows_more(&self, incarnations: &[Incarnation], told: &[Option<SocketAddr>]) -> bool {
         let known = |(at, place): (usize, &Place)| {
-            let lacks =
-                told.get(at).is_some_and(Option::is_none) && incarnations.get(at) == Some(&place.incarnation);
+            let lacks = told.get(at).is_some_and(Option::is_none)
+                && incarnations.get(at) == Some(&place.incarnation);
             place.sure && place.incarnation != Incarnation::NONE && lacks
         };
         self.places.iter().enumerate().any(known)
@@ -150,7 +166,10 @@
 
     /// The newest incarnation of a replica.
     pub fn newest(&self, replica: Replica) -> Incarnation {
-        self.places.get(usize::from(replica)).map(|place| place.incarnation).unwrap_or_default()
+        self.places
+            .get(usize::from(replica))
+            .map(|place| place.incarnation)
+            .unwrap_or_default()
     }
 
     /// Where a replica is reached.
@@ -162,22 +181,34 @@
     pub fn rest(&self) -> Vec<SocketAddr> {
         let me = usize::from(self.me.replica);
         let others = self.places.iter().enumerate().filter(|(at, _)| *at != me);
-        others.filter_map(|(_, place)| place.address).filter(|address| *address != self.address).collect()
+        others
+            .filter_map(|(_, place)| place.address)
+            .filter(|address| *address != self.address)
+            .collect()
     }
 
     /// Whom to keep a link with: the other replicas, and who may know them.
     pub fn peers(&self) -> Vec<SocketAddr> {
         let mut peers = self.rest();
-        peers.extend(self.seeds.iter().copied().filter(|seed| *seed != self.address));
+        peers.extend(
+            self.seeds
+                .iter()
+                .copied()
+                .filter(|seed| *seed != self.address),
+        );
         peers.sort_unstable();
         peers.dedup();
         peers
     }
 
     /// Where the replicas are that are known, by their zones, for agents.
-    pub fn for_agents<'a>(&self, zones: &'a [String]) -> impl Iterator<Item = (&'a str, SocketAddr)> {
-        let at =
-            |(replica, zone): (usize, &'a String)| Some((zone.as_str(), self.address(replica as Replica)?));
+    pub fn for_agents<'a>(
+        &self,
+        zones: &'a [String],
+    ) -> impl Iterator<Item = (&'a str, SocketAddr)> {
+        let at = |(replica, zone): (usize, &'a String)| {
+            Some((zone.as_str(), self.address(replica as Replica)?))
+        };
         zones.iter().enumerate().filter_map(at)
     }
 
@@ -192,15 +223,27 @@
     }
 
     /// Takes an incarnation in, whoever told of it.
-    pub fn learn(&mut self, replica: Replica, incarnation: Incarnation, address: Option<SocketAddr>) -> bool {
+    pub fn learn(
+        &mut self,
+        replica: Replica,
+        incarnation: Incarnation,
+        address: Option<SocketAddr>,
+    ) -> bool {
         let news = self.learned(replica, incarnation, address);
         self.revision += u64::from(news);
         news
     }
 
-    fn learned(&mut self, replica: Replica, incarnation: Incarnation, address: Option<SocketAddr>) -> bool {
+    fn learned(
+        &mut self,
+        replica: Replica,
+        incarnation: Incarnation,
+        address: Option<SocketAddr>,
+    ) -> bool {
         let own = replica == self.me.replica;
-        let Some(place) = self.places.get_mut(usize::from(replica)) else { return false };
+        let Some(place) = self.places.get_mut(usize::from(replica)) else {
+            return false;
+        };
         if own && incarnation >= place.incarnation {
             let newer = incarnation > place.incarnation;
             place.incarnation = incarnation;
@@ -215,8 +258,13 @@
         }
         if incarnation > place.incarnation {
             let sure = address.is_some();
-            *place =
-                Place { incarnation, address: address.or(place.address), sure, heard: None, hears: false };
+            *place = Place {
+                incarnation,
+                address: address.or(place.address),
+                sure,
+                heard: None,
+                hears: false,
+            };
             return true;
         }
         // Danger: two replicas that were replaced at once would each keep to where the other one was.
@@ -242,7 +290,11 @@
             changed |= self.learn(at as Replica, *incarnation, told.get(at).copied().flatten());
         }
         if peer_message.by.incarnation != Incarnation::NONE {
-            changed |= self.learn(peer_message.by.replica, peer_message.by.incarnation, Some(from));
+            changed |= self.learn(
+                peer_message.by.replica,
+                peer_message.by.incarnation,
+                Some(from),
+            );
         }
         let counts = self.counts(peer_message.by.replica, peer_message.by.incarnation)
             && peer_message.by.replica != self.me.replica;
@@ -259,12 +311,19 @@
             }
         }
         self.revision += u64::from(changed);
-        Heard { counts, changed, returned }
+        Heard {
+            counts,
+            changed,
+            returned,
+        }
     }
 
     /// A replica was heard of late.
     pub fn hears(&self, now: i64, replica: Replica) -> bool {
-        let heard = self.places.get(usize::from(replica)).and_then(|place| place.heard);
+        let heard = self
+            .places
+            .get(usize::from(replica))
+            .and_then(|place| place.heard);
         replica == self.me.replica || heard.is_some_and(|heard| now - heard <= limits::TOUCH)
     }
 
--- a/crates/control/src/core/rounds.rs
+++ b/crates/control/src/core/rounds.rs
@@ -32,8 +32,14 @@
     }
 
     fn large(&self) -> bool {
-        let Want::Items(items) = self else { return false };
-        items.iter().map(|item| item.spec.as_deref().map_or(0, str::len)).sum::<usize>() > limits::LARGE
+        let Want::Items(items) = self else {
+            return false;
+        };
+        items
+            .iter()
+            .map(|item| item.spec.as_deref().map_or(0, str::len))
+            .sum::<usize>()
+            > limits::LARGE
     }
 }
 
@@ -132,7 +138,11 @@
     }
 
     fn resend(&self, now: i64) -> i64 {
-        now + if self.want.large() { limits::RESEND_LARGE } else { limits::RESEND }
+        now + if self.want.large() {
+            limits::RESEND_LARGE
+        } else {
+            limits::RESEND
+        }
     }
 
     /// Begins, with a ballot over all that were seen.
@@ -143,13 +153,19 @@
         self.votes.clear();
         self.nacks.clear();
         self.wake = self.resend(now);
-        Step::All(Body::Prepare { ballot, names: self.want.names() })
+        Step::All(Body::Prepare {
+            ballot,
+            names: self.want.names(),
+        })
     }
 
     fn won(&self, replicas: &Replicas) -> bool {
         // A vote counts only from the newest incarnation that any voter of the round knows; a message's incarnations are taken in
         // before its vote is, so the table here knows them all.
-        self.votes.iter().filter(|(replica, incarnation)| replicas.counts(**replica, **incarnation)).count()
+        self.votes
+            .iter()
+            .filter(|(replica, incarnation)| replicas.counts(**replica, **incarnation))
+            .count()
             >= replicas.majority()
     }
 
@@ -162,9 +178,14 @@
         replicas: &Replicas,
         news: &News,
     ) -> Vec<Step> {
-        let Phase::Prepares(found) = &mut self.phase else { return Vec::new() };
+        let Phase::Prepares(found) = &mut self.phase else {
+            return Vec::new();
+        };
         for (ballot, item) in accepted {
-            if found.get(&item.name).is_none_or(|(known, _)| *known < ballot) {
+            if found
+                .get(&item.name)
+                .is_none_or(|(known, _)| *known < ballot)
+            {
                 found.insert(item.name.clone(), (ballot, item));
             }
         }
@@ -188,7 +209,10 @@
         self.votes.clear();
         self.nacks.clear();
         self.wake = self.resend(now);
-        let step = Step::All(Body::Accept { ballot: self.ballot, items: items.clone() });
+        let step = Step::All(Body::Accept {
+            ballot: self.ballot,
+            items: items.clone(),
+        });
         self.phase = Phase::Accepts(items);
         vec![step]
     }
@@ -200,15 +224,25 @@
         let old = |name: &Name| {
             let found = found.get(name).map(|(_, item)| item);
             let chosen = news.chosen(name);
-            chosen.filter(|chosen| found.is_none_or(|found| found.ver <= chosen.ver)).or(found)
+            chosen
+                .filter(|chosen| found.is_none_or(|found| found.ver <= chosen.ver))
+                .or(found)
         };
         let open = |item: &&Item| !news.has(item);
-        let finish = || found.values().map(|(_, item)| item).filter(open).cloned().collect::<Vec<_>>();
+        let finish = || {
+            found
+                .values()
+                .map(|(_, item)| item)
+                .filter(open)
+                .cloned()
+                .collect::<Vec<_>>()
+        };
         match &self.want {
             Want::Finish(_) => (finish(), Outcome::Done),
             Want::Items(items) => {
-                let differs =
-                    |item: &Item| old(&item.name).is_some_and(|old| old.ver == item.ver && !same(old, item));
+                let differs = |item: &Item| {
+                    old(&item.name).is_some_and(|old| old.ver == item.ver && !same(old, item))
+                };
                 if items.iter().any(differs) {
                     return conflict(items, found, finish());
                 }
@@ -217,7 +251,9 @@
                     match old(&item.name) {
                         // A lower version has no effect, and that is in order: a later change has overtaken it.
                         // Its own version is there already: the call was sent before.
-                        Some(old) if old.ver >= item.ver => proposed.extend(open(&old).then(|| old.clone())),
+                        Some(old) if old.ver >= item.ver => {
+                            proposed.extend(open(&old).then(|| old.clone()))
+                        }
                         _ => proposed.push(item.clone()),
                     }
                 }
@@ -225,12 +261,21 @@
             }
             Want::Zone(name, on) => {
                 let stands = old(name).and_then(|item| item.spec.as_deref()) == Some("true");
-                let overtaken = self.proposed.is_some_and(|own| old(name).is_some_and(|item| item.ver > own));
+                let overtaken = self
+                    .proposed
+                    .is_some_and(|own| old(name).is_some_and(|item| item.ver > own));
                 if stands == *on || overtaken {
                     return (finish(), Outcome::Done);
                 }
                 let ver = old(name).map_or(1, |item| item.ver + 1);
-                (vec![Item { name: name.clone(), ver, spec: Some(on.to_string()) }], Outcome::Done)
+                (
+                    vec![Item {
+                        name: name.clone(),
+                        ver,
+                        spec: Some(on.to_string()),
+                    }],
+                    Outcome::Done,
+                )
             }
         }
     }
@@ -264,8 +309,15 @@
     /// How long to wait after a refusal: at the least, and by chance. The more often, the longer; and who only finishes
     /// what was found gives way, as the one that refuses it by a higher proposal finishes it as well.
     pub fn pause(&self) -> (i64, u64) {
-        let least = if self.finishes() { limits::YIELD } else { limits::PAUSE };
-        (least, limits::SPREAD << self.tries.saturating_sub(1).min(limits::SPREADS))
+        let least = if self.finishes() {
+            limits::YIELD
+        } else {
+            limits::PAUSE
+        };
+        (
+            least,
+            limits::SPREAD << self.tries.saturating_sub(1).min(limits::SPREADS),
+        )
     }
 
     /// A replica has promised something to a higher proposal. `pause` is how long to wait, if it begins again.
@@ -279,7 +331,8 @@
     ) -> Vec<Step> {
         self.seen = self.seen.max(seen);
         self.nacks.insert(replica);
-        let may = |replica: &Replica| replicas.hears(now, *replica) && !self.nacks.contains(replica);
+        let may =
+            |replica: &Replica| replicas.hears(now, *replica) && !self.nacks.contains(replica);
         let possible = (0..replicas.count() as Replica).filter(may).count();
         if self.waits() || possible >= replicas.majority() {
             return Vec::new();
@@ -299,8 +352,14 @@
         let body = match &self.phase {
             Phase::Waits => return Vec::new(),
             _ if !self.nacks.is_empty() => return self.again(now + limits::PAUSE),
-            Phase::Prepares(_) => Body::Prepare { ballot: self.ballot, names: self.want.names() },
-            Phase::Accepts(items) => Body::Accept { ballot: self.ballot, items: items.clone() },
+            Phase::Prepares(_) => Body::Prepare {
+                ballot: self.ballot,
+                names: self.want.names(),
+            },
+            Phase::Accepts(items) => Body::Accept {
+                ballot: self.ballot,
+                items: items.clone(),
+            },
         };
         vec![Step::All(body)]
     }
@@ -317,16 +376,21 @@
 /// be found there and finished. A refusal must rule that out: what was found is proposed anew, also where it is chosen
 /// already, so that what a former try left counts no more. Where nothing was found there is nothing to put in its place;
 /// what stands as the call has it is in force, and what was overtaken may have been: then the caller gets no clear answer.
-fn conflict(items: &[Item], found: &BTreeMap<Name, (Ballot, Item)>, open: Vec<Item>) -> (Vec<Item>, Outcome) {
+fn conflict(
+    items: &[Item],
+    found: &BTreeMap<Name, (Ballot, Item)>,
+    open: Vec<Item>,
+) -> (Vec<Item>, Outcome) {
     let excluded = |item: &Item| {
         let differs = |old: &Item| old.ver < item.ver || old.ver == item.ver && !same(old, item);
         found.get(&item.name).is_some_and(|(_, old)| differs(old))
     };
     match items {
         [_] => (open, Outcome::Conflict),
-        _ if items.iter().all(excluded) => {
-            (found.values().map(|(_, item)| item.clone()).collect(), Outcome::Conflict)
-        }
+        _ if items.iter().all(excluded) => (
+            found.values().map(|(_, item)| item.clone()).collect(),
+            Outcome::Conflict,
+        ),
         _ => (open, Outcome::Partly),
     }
 }
--- a/crates/control/src/core/sync.rs
+++ b/crates/control/src/core/sync.rs
@@ -26,7 +26,14 @@
     /// Asks a replica for what it knows to be chosen and is not known here.
     pub(super) fn sync(&mut self, from: SocketAddr, out: &mut Vec<Output>) {
         let id = self.syncing();
-        self.send(vec![from], Body::Sync { id, parts: self.news.parts().to_vec() }, out);
+        self.send(
+            vec![from],
+            Body::Sync {
+                id,
+                parts: self.news.parts().to_vec(),
+            },
+            out,
+        );
     }
 
     /// A question about what is chosen waits for its answer.
@@ -35,22 +42,56 @@
     }
 
     fn syncing(&mut self) -> u64 {
-        self.syncing = Syncing { id: self.syncs_from + self.number(), pieces: 0 };
+        self.syncing = Syncing {
+            id: self.syncs_from + self.number(),
+            pieces: 0,
+        };
         self.syncing.id
     }
 
     /// Another replica wants what differs from what it knows. Little is told at once, of much first the names.
-    pub(super) fn sync_asked(&self, from: SocketAddr, id: u64, known: &[u64], out: &mut Vec<Output>) {
+    pub(super) fn sync_asked(
+        &self,
+        from: SocketAddr,
+        id: u64,
+        known: &[u64],
+        out: &mut Vec<Output>,
+    ) {
         let differing: Vec<&(Ballot, Item)> = self.news.differing(known).collect();
         let little = self.bounds.piece / limits::LITTLE;
-        let bounds = Bounds { piece: little, question: little };
+        let bounds = Bounds {
+            piece: little,
+            question: little,
+        };
         let (mut pieces, more) = split(bounds, differing.iter(), |(_, item)| item);
         if pieces.len() == 1 && !more {
-            let items = pieces.remove(0).into_iter().map(|entry| (*entry).clone()).collect();
-            return self.send(vec![from], Body::Learn { id, piece: 0, items, then: Then::End }, out);
+            let items = pieces
+                .remove(0)
+                .into_iter()
+                .map(|entry| (*entry).clone())
+                .collect();
+            return self.send(
+                vec![from],
+                Body::Learn {
+                    id,
+                    piece: 0,
+                    items,
+                    then: Then::End,
+                },
+                out,
+            );
         }
-        let entries = differing.iter().map(|(ballot, item)| (digests::key(&item.name), *ballot));
-        self.send(vec![from], Body::Entries { id, entries: entries.collect() }, out);
+        let entries = differing
+            .iter()
+            .map(|(ballot, item)| (digests::key(&item.name), *ballot));
+        self.send(
+            vec![from],
+            Body::Entries {
+                id,
+                entries: entries.collect(),
+            },
+            out,
+        );
     }
 
     /// What another replica knows of the parts that differ: what is newer than here is asked for.
@@ -65,9 +106,14 @@
         if id != self.syncing.id {
             return;
         }
-        let known = self.news.all().map(|(ballot, item)| (digests::key(&item.name), *ballot));
+        let known = self
+            .news
+            .all()
+            .map(|(ballot, item)| (digests::key(&item.name), *ballot));
         let known: BTreeMap<u64, Ballot> = known.collect();
-        let newer = entries.iter().filter(|(key, ballot)| known.get(key).is_none_or(|own| own < ballot));
+        let newer = entries
+            .iter()
+            .filter(|(key, ballot)| known.get(key).is_none_or(|own| own < ballot));
         let wanted: Vec<u64> = newer.map(|(key, _)| *key).collect();
         if wanted.is_empty() {
             // It is the other one that is behind.
@@ -80,13 +126,31 @@
     }
 
     /// Another replica asks for these.
-    pub(super) fn fetch_asked(&self, from: SocketAddr, id: u64, wanted: &[u64], out: &mut Vec<Output>) {
+    pub(super) fn fetch_asked(
+        &self,
+        from: SocketAddr,
+        id: u64,
+        wanted: &[u64],
+        out: &mut Vec<Output>,
+    ) {
         let wanted: BTreeSet<u64> = wanted.iter().copied().collect();
-        let found = self.news.all().filter(|(_, item)| wanted.contains(&digests::key(&item.name)));
+        let found = self
+            .news
+            .all()
+            .filter(|(_, item)| wanted.contains(&digests::key(&item.name)));
         let (pieces, more) = split(self.bounds, found.cloned(), |(_, item)| item);
         let then = followed(pieces.len(), more);
         for ((items, then), piece) in pieces.into_iter().zip(then).zip(0..) {
-            self.send(vec![from], Body::Learn { id, piece, items, then }, out);
+            self.send(
+                vec![from],
+                Body::Learn {
+                    id,
+                    piece,
+                    items,
+                    then,
+                },
+                out,
+            );
         }
     }
 
--- a/crates/control/src/disk/aside.rs
+++ b/crates/control/src/disk/aside.rs
@@ -20,7 +20,9 @@
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
         let name = entry.file_name().to_string_lossy().into_owned();
-        let number = name.strip_prefix(ASIDE).and_then(|name| name.split('-').next()?.parse().ok());
+        let number = name
+            .strip_prefix(ASIDE)
+            .and_then(|name| name.split('-').next()?.parse().ok());
         if let Some(number) = number {
             all.push((number, entry.path()));
         }
@@ -54,7 +56,10 @@
     let mut numbers: Vec<u32> = kept.iter().map(|(number, _)| *number).collect();
     numbers.dedup();
     let old = numbers.len().saturating_sub(KEPT - 1);
-    for (_, path) in kept.iter().filter(|(number, _)| numbers[..old].contains(number)) {
+    for (_, path) in kept
+        .iter()
+        .filter(|(number, _)| numbers[..old].contains(number))
+    {
         fs::remove_file(path).wrap_err_with(step)?;
     }
     Ok(name(""))
--- a/crates/control/src/disk/log.rs
+++ b/crates/control/src/disk/log.rs
@@ -30,14 +30,21 @@
 }
 
 fn word(bytes: &[u8], at: usize) -> u32 {
-    bytes.get(at..at + 4).and_then(|word| word.try_into().ok()).map_or(0, u32::from_be_bytes)
+    bytes
+        .get(at..at + 4)
+        .and_then(|word| word.try_into().ok())
+        .map_or(0, u32::from_be_bytes)
 }
 
 /// SQLite's checksum, on top of that of what came before.
 fn sum(bytes: &[u8], big: bool, before: (u32, u32)) -> (u32, u32) {
     let word = |word: &[u8]| {
         let word = word.try_into().unwrap_or_default();
-        if big { u32::from_be_bytes(word) } else { u32::from_le_bytes(word) }
+        if big {
+            u32::from_be_bytes(word)
+        } else {
+            u32::from_le_bytes(word)
+        }
     };
     bytes.chunks_exact(8).fold(before, |(one, two), pair| {
         let one = one.wrapping_add(word(&pair[..4])).wrapping_add(two);
@@ -66,7 +73,12 @@
     let slot = |number: usize| {
         let at = HEAD + number * (FRAME + page);
         let salts = u64::from(word(log, at + 8)) << 32 | u64::from(word(log, at + 12));
-        Slot { at, page: word(log, at), commit: word(log, at + 4), salts }
+        Slot {
+            at,
+            page: word(log, at),
+            commit: word(log, at + 4),
+            salts,
+        }
     };
     (0..slots).map(slot).collect()
 }
@@ -90,13 +102,26 @@
     if !whole || word(log, 8) as usize != page {
         // The head is torn where the log begins anew; then all that the log held before is in the file by now.
         let first = slots.first().map(|slot| slot.salts);
-        let run: Vec<Slot> = slots.iter().copied().take_while(|slot| Some(slot.salts) == first).collect();
-        let ends = run.iter().rposition(|slot| slot.commit != 0).map_or(0, |last| last + 1);
-        let newest: BTreeMap<u32, usize> = run[..ends].iter().map(|slot| (slot.page, slot.at)).collect();
-        let lacks = newest.iter().any(|(number, at)| !stands(*number, content(*at)));
+        let run: Vec<Slot> = slots
+            .iter()
+            .copied()
+            .take_while(|slot| Some(slot.salts) == first)
+            .collect();
+        let ends = run
+            .iter()
+            .rposition(|slot| slot.commit != 0)
+            .map_or(0, |last| last + 1);
+        let newest: BTreeMap<u32, usize> = run[..ends]
+            .iter()
+            .map(|slot| (slot.page, slot.at))
+            .collect();
+        let lacks = newest
+            .iter()
+            .any(|(number, at)| !stands(*number, content(*at)));
         if lacks || (ends == 0 && !slots.is_empty()) {
-            read.harm =
-                Some("the head of the log is harmed, and the file lacks what the log holds".to_string());
+            read.harm = Some(
+                "the head of the log is harmed, and the file lacks what the log holds".to_string(),
+            );
         }
         return read;
     }
@@ -124,15 +149,21 @@
     let (mut over, mut known) = (false, BTreeSet::new());
     for slot in slots[good..].iter().filter(own) {
         if over {
-            read.harm = Some(format!("frame {good} of the log is harmed, and a later commit follows"));
+            read.harm = Some(format!(
+                "frame {good} of the log is harmed, and a later commit follows"
+            ));
         }
         over |= slot.commit != 0 && slot.whole();
     }
     // The mark of a commit may be harmed itself; but a commit of few pages writes none of them twice.
     let tail: Vec<&Slot> = slots[read.frames..].iter().filter(own).collect();
-    let twice = tail.iter().any(|slot| slot.whole() && !known.insert(slot.page));
+    let twice = tail
+        .iter()
+        .any(|slot| slot.whole() && !known.insert(slot.page));
     if good < slots.len() && tail.len() <= FEW && twice && read.harm.is_none() {
-        read.harm = Some(format!("frame {good} of the log is harmed, and more than one commit follows"));
+        read.harm = Some(format!(
+            "frame {good} of the log is harmed, and more than one commit follows"
+        ));
     }
     read
 }
--- a/crates/control/src/disk/mod.rs
+++ b/crates/control/src/disk/mod.rs
@@ -63,23 +63,30 @@
 }
 
 impl Reach {
-    const PLAIN: Reach = Reach { vfs: None, sync: aside::sync };
+    const PLAIN: Reach = Reach {
+        vfs: None,
+        sync: aside::sync,
+    };
 }
 
 /// Whether an error says that the files are harmed, and not that the disk takes or gives nothing now.
 fn harmed(error: &eyre::Report) -> bool {
     use rusqlite::Error;
-    error.chain().any(|cause| match cause.downcast_ref::<Error>() {
-        None => cause.is::<Harm>(),
-        Some(Error::SqliteFailure(error, _)) => match error.code {
-            ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase | ErrorCode::TypeMismatch => true,
-            // Not what can't be read at all: it may be read the next time, also at all replicas that share a fault.
-            _ => error.extended_code == ffi::SQLITE_ERROR,
-        },
-        Some(Error::SqlInputError { .. } | Error::QueryReturnedNoRows) => true,
-        Some(Error::InvalidColumnType(..) | Error::IntegralValueOutOfRange(..)) => true,
-        Some(_) => false,
-    })
+    error
+        .chain()
+        .any(|cause| match cause.downcast_ref::<Error>() {
+            None => cause.is::<Harm>(),
+            Some(Error::SqliteFailure(error, _)) => match error.code {
+                ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase | ErrorCode::TypeMismatch => {
+                    true
+                }
+                // Not what can't be read at all: it may be read the next time, also at all replicas that share a fault.
+                _ => error.extended_code == ffi::SQLITE_ERROR,
+            },
+            Some(Error::SqlInputError { .. } | Error::QueryReturnedNoRows) => true,
+            Some(Error::InvalidColumnType(..) | Error::IntegralValueOutOfRange(..)) => true,
+            Some(_) => false,
+        })
 }
 
 fn length(path: &Path) -> io::Result<Option<u64>> {
@@ -116,7 +123,10 @@
 fn look(folder: &Path) -> eyre::Result<()> {
     let path = |end: &str| folder.join(format!("{FILE}{end}"));
     let step = || format!("disk: looking at {}", path("").display());
-    if length(&path("-journal")).wrap_err_with(step)?.is_some_and(|length| length > 0) {
+    if length(&path("-journal"))
+        .wrap_err_with(step)?
+        .is_some_and(|length| length > 0)
+    {
         // Cut in the first moment of all: SQLite takes it back.
         return Ok(());
     }
@@ -149,7 +159,10 @@
     let read = log::read(&log, page, stands);
     // The schema's version is in the first page.
     let first = read.pages.get(&1).map(|at| log::content(&log, *at, page));
-    let version = first.unwrap_or(&head).get(60..64).and_then(|word| word.try_into().ok());
+    let version = first
+        .unwrap_or(&head)
+        .get(60..64)
+        .and_then(|word| word.try_into().ok());
     if version.is_some_and(|version| u32::from_be_bytes(version) > NEWEST) {
         // SQLite would put a log beside the file even where it only reads: looked at in memory, it stays as it is.
         verify(folder)?;
@@ -165,7 +178,9 @@
     let mut statement = connection.prepare(text).wrap_err_with(step)?;
     let mut rows = statement.query([]).wrap_err_with(step)?;
     let row = rows.next().wrap_err_with(step)?;
-    Ok(row.and_then(|row| row.get::<_, String>(0).ok()).unwrap_or_default())
+    Ok(row
+        .and_then(|row| row.get::<_, String>(0).ok())
+        .unwrap_or_default())
 }
 
 /// SQLite's own check of a database.
@@ -187,7 +202,9 @@
         let mut connection = opened.wrap_err("disk: opening")?;
         // Danger: what is refused must stay as it is. SQLite would write the log into the file as it closes it.
         let kept = DbConfig::SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE;
-        connection.set_db_config(kept, true).wrap_err("disk: opening")?;
+        connection
+            .set_db_config(kept, true)
+            .wrap_err("disk: opening")?;
         // Danger: exclusive first. Otherwise the log's index lies in mapped memory that processes share.
         pragma(&connection, "PRAGMA locking_mode=EXCLUSIVE")?;
         pragma(&connection, "PRAGMA synchronous=FULL")?;
@@ -205,9 +222,18 @@
         if !faults.is_empty() {
             return Err(Harm(faults).into());
         }
-        connection.set_db_config(kept, false).wrap_err("disk: opening")?;
+        connection
+            .set_db_config(kept, false)
+            .wrap_err("disk: opening")?;
         let log = folder.join(format!("{FILE}-wal"));
-        Ok((Store { connection, log, most: LOG }, restored))
+        Ok((
+            Store {
+                connection,
+                log,
+                most: LOG,
+            },
+            restored,
+        ))
     }
 
     /// Opens the database of a folder. `bootstrap`: the whole system starts for the first time, so that an empty disk is
@@ -248,14 +274,20 @@
             store.commit([&Row::Own(restored.own.clone())])?;
         }
         (reach.sync)(folder).wrap_err_with(step)?;
-        Ok(Opened { store, restored, lost })
+        Ok(Opened {
+            store,
+            restored,
+            lost,
+        })
     }
 
     fn clear(&mut self) -> eyre::Result<()> {
         let step = "disk: clearing";
         let transaction = self.connection.transaction().wrap_err(step)?;
         for table in rows::TABLES {
-            transaction.execute(&format!("DELETE FROM {table}"), []).wrap_err(step)?;
+            transaction
+                .execute(&format!("DELETE FROM {table}"), [])
+                .wrap_err(step)?;
         }
         transaction.commit().wrap_err(step)
     }
