--- a/crates/control/src/disk/queue.rs
+++ b/crates/control/src/disk/queue.rs
@@ -61,12 +61,18 @@
 
 impl Desk {
     pub(super) fn new(store: Store) -> Desk {
-        Desk { store, numbers: Vec::new(), rows: BTreeMap::new(), refused: false }
+        Desk {
+            store,
+            numbers: Vec::new(),
+            rows: BTreeMap::new(),
+            refused: false,
+        }
     }
 
     pub(super) fn order(&mut self, (number, rows): Order) {
         self.numbers.push(number);
-        self.rows.extend(rows.into_iter().map(|row| (place(&row), row)));
+        self.rows
+            .extend(rows.into_iter().map(|row| (place(&row), row)));
     }
 
     /// Rows that wait.
@@ -81,7 +87,10 @@
             Ok(()) => {
                 self.rows.clear();
                 let again = std::mem::take(&mut self.refused).then_some(Heard::Taken);
-                again.into_iter().chain(self.numbers.drain(..).map(Heard::Written)).collect()
+                again
+                    .into_iter()
+                    .chain(self.numbers.drain(..).map(Heard::Written))
+                    .collect()
             }
             Err(error) if harmed(&error) => vec![Heard::Failed(error)],
             Err(_) if self.refused => Vec::new(),
@@ -100,8 +109,12 @@
 /// No thread can be started.
 pub fn spawn(store: Store, done: calloop::channel::Sender<Heard>) -> eyre::Result<Sender<Order>> {
     let (orders, queue) = mpsc::channel();
-    let thread = thread::Builder::new().name("disk".to_string()).stack_size(STACK);
-    thread.spawn(move || serve(Desk::new(store), &queue, &done)).wrap_err("disk: starting its thread")?;
+    let thread = thread::Builder::new()
+        .name("disk".to_string())
+        .stack_size(STACK);
+    thread
+        .spawn(move || serve(Desk::new(store), &queue, &done))
+        .wrap_err("disk: starting its thread")?;
     Ok(orders)
 }
 
@@ -123,7 +136,10 @@
             desk.order(first);
             most -= 1;
         }
-        queue.try_iter().take(most).for_each(|order| desk.order(order));
+        queue
+            .try_iter()
+            .take(most)
+            .for_each(|order| desk.order(order));
         for report in desk.write() {
             let last = matches!(report, Heard::Failed(_));
             if done.send(report).is_err() || last {
--- a/crates/control/src/disk/rows.rs
+++ b/crates/control/src/disk/rows.rs
@@ -42,7 +42,11 @@
 
 impl Harm {
     pub(super) fn of(what: impl Into<String>) -> Harm {
-        Harm(vec![Fault { table: String::new(), name: String::new(), what: what.into() }])
+        Harm(vec![Fault {
+            table: String::new(),
+            name: String::new(),
+            what: what.into(),
+        }])
     }
 }
 
@@ -84,7 +88,11 @@
 fn shown(name: &[u8]) -> String {
     match decode::<Name>(name) {
         Ok(name) => name.to_string(),
-        Err(_) => name.iter().take(24).map(|byte| format!("{byte:02x}")).collect(),
+        Err(_) => name
+            .iter()
+            .take(24)
+            .map(|byte| format!("{byte:02x}"))
+            .collect(),
     }
 }
 
@@ -93,7 +101,11 @@
     let (table, name, value) = match row {
         Row::Own(own) => ("own", None, encode(own)?),
         Row::Register(name, register) => ("registers", Some(encode(name)?), encode(register)?),
-        Row::Chosen(ballot, item) => ("chosen", Some(encode(&item.name)?), encode(&(ballot, item))?),
+        Row::Chosen(ballot, item) => (
+            "chosen",
+            Some(encode(&item.name)?),
+            encode(&(ballot, item))?,
+        ),
     };
     let sum = sum(table, name.as_deref().unwrap_or_default(), &value);
     let step = || format!("disk: writing {table}");
@@ -125,12 +137,18 @@
         (_, true) => "name, value, sum",
         (_, false) => "name, value",
     };
-    let mut statement = connection.prepare(&format!("SELECT {columns} FROM {table}")).wrap_err_with(step)?;
+    let mut statement = connection
+        .prepare(&format!("SELECT {columns} FROM {table}"))
+        .wrap_err_with(step)?;
     let mut rows = statement.query([]).wrap_err_with(step)?;
     while let Some(row) = rows.next().wrap_err_with(step)? {
         let named = row.get_ref(0).wrap_err_with(step)?;
         let value = row.get_ref(1).wrap_err_with(step)?;
-        let told = if sums { Some(row.get_ref(2).wrap_err_with(step)?) } else { None };
+        let told = if sums {
+            Some(row.get_ref(2).wrap_err_with(step)?)
+        } else {
+            None
+        };
         let checked = || {
             let (name, value) = (bytes(named)?, bytes(value)?);
             match told {
@@ -142,7 +160,11 @@
         };
         if let Err(what) = checked().and_then(|(name, value)| one(name, value)) {
             let name = named.as_blob().map(shown).unwrap_or_default();
-            faults.push(Fault { table: table.to_string(), name, what });
+            faults.push(Fault {
+                table: table.to_string(),
+                name,
+                what,
+            });
         }
     }
     Ok(())
@@ -158,7 +180,11 @@
     })?;
     each(connection, "registers", sums, &mut faults, |name, value| {
         let (name, register) = (decode::<Name>(name)?, decode::<Register>(value)?);
-        if register.accepted.as_ref().is_some_and(|(_, item)| item.name != name) {
+        if register
+            .accepted
+            .as_ref()
+            .is_some_and(|(_, item)| item.name != name)
+        {
             return Err(other());
         }
         restored.registers.push((name, register));
@@ -179,23 +205,31 @@
 pub(super) fn sum_up(transaction: &Transaction<'_>, table: &str) -> eyre::Result<()> {
     let step = || format!("disk: summing up {table}");
     let key = if table == "own" { "one" } else { "name" };
-    let next =
-        format!("SELECT {key}, value FROM {table} WHERE ?1 IS NULL OR {key} > ?1 ORDER BY {key} LIMIT 1");
+    let next = format!(
+        "SELECT {key}, value FROM {table} WHERE ?1 IS NULL OR {key} > ?1 ORDER BY {key} LIMIT 1"
+    );
     let text = format!("UPDATE {table} SET sum = ?1 WHERE {key} = ?2");
     let mut update = transaction.prepare(&text).wrap_err_with(step)?;
     let mut next = transaction.prepare(&next).wrap_err_with(step)?;
     let mut at = rusqlite::types::Value::Null;
     loop {
         let read = |row: &rusqlite::Row<'_>| {
-            Ok((row.get::<_, rusqlite::types::Value>(0)?, row.get::<_, Vec<u8>>(1)?))
+            Ok((
+                row.get::<_, rusqlite::types::Value>(0)?,
+                row.get::<_, Vec<u8>>(1)?,
+            ))
         };
         let found = next.query_row([&at], read).optional().wrap_err_with(step)?;
-        let Some((name, value)) = found else { return Ok(()) };
+        let Some((name, value)) = found else {
+            return Ok(());
+        };
         let bytes = match &name {
             rusqlite::types::Value::Blob(name) => name.as_slice(),
             _ => &[],
         };
-        update.execute(params![sum(table, bytes, &value), name]).wrap_err_with(step)?;
+        update
+            .execute(params![sum(table, bytes, &value), name])
+            .wrap_err_with(step)?;
         at = name;
     }
 }
--- a/crates/control/src/disk/schema.rs
+++ b/crates/control/src/disk/schema.rs
@@ -38,7 +38,9 @@
 fn has(connection: &Connection, table: &str) -> eyre::Result<bool> {
     let text = "SELECT 1 FROM sqlite_schema WHERE type = 'table' AND name = ?1";
     let found = connection.query_row(text, [table], |_| Ok(())).optional();
-    found.map(|found| found.is_some()).wrap_err("disk: reading the schema")
+    found
+        .map(|found| found.is_some())
+        .wrap_err("disk: reading the schema")
 }
 
 /// The version of a database.
@@ -47,10 +49,14 @@
 /// It is harmed, or newer than this program knows.
 pub(super) fn found(connection: &Connection) -> eyre::Result<Found> {
     let step = "disk: reading the schema's version";
-    let head = connection.query_row("PRAGMA user_version", [], |row| row.get::<_, i64>(0)).wrap_err(step)?;
+    let head = connection
+        .query_row("PRAGMA user_version", [], |row| row.get::<_, i64>(0))
+        .wrap_err(step)?;
     let stated = if has(connection, "schema")? {
         let read = |row: &rusqlite::Row<'_>| Ok((row.get::<_, i64>(0)?, row.get::<_, i64>(1)?));
-        let stated = connection.query_row("SELECT version, sum FROM schema", [], read).wrap_err(step)?;
+        let stated = connection
+            .query_row("SELECT version, sum FROM schema", [], read)
+            .wrap_err(step)?;
         Some(stated)
             .filter(|(version, sum)| *sum == i64::from(stated_sum(*version)))
             .map(|(version, _)| version)
@@ -100,7 +106,11 @@
     let version = i64::from(NEWEST);
     transaction.execute_batch(STATED).wrap_err_with(step)?;
     let text = "INSERT INTO schema VALUES (1, ?1, ?2)";
-    transaction.execute(text, params![version, stated_sum(version)]).wrap_err_with(step)?;
-    transaction.pragma_update(None, "user_version", version).wrap_err_with(step)?;
+    transaction
+        .execute(text, params![version, stated_sum(version)])
+        .wrap_err_with(step)?;
+    transaction
+        .pragma_update(None, "user_version", version)
+        .wrap_err_with(step)?;
     transaction.commit().wrap_err_with(step)
 }
--- a/crates/control/src/disk/trials/cost.rs
+++ b/crates/control/src/disk/trials/cost.rs
@@ -29,10 +29,21 @@
 
 impl Kept {
     fn new(folder: &Path, way: Way, watched: bool) -> Kept {
-        let reach = if watched { Reach { vfs: Some("watched"), sync: folder_synced } } else { Reach::PLAIN };
+        let reach = if watched {
+            Reach {
+                vfs: Some("watched"),
+                sync: folder_synced,
+            }
+        } else {
+            Reach::PLAIN
+        };
         let connection = match way {
             Way::Own => {
-                let file = OpenOptions::new().create(true).append(true).open(folder.join("own.log")).unwrap();
+                let file = OpenOptions::new()
+                    .create(true)
+                    .append(true)
+                    .open(folder.join("own.log"))
+                    .unwrap();
                 return Kept::Own(folder.to_path_buf(), file);
             }
             Way::Log => return Kept::Store(Store::open_by(reach, folder, true).unwrap().store),
@@ -44,13 +55,21 @@
                     None => Connection::open_with_flags(folder.join(FILE), flags),
                 };
                 let connection = opened.unwrap();
-                for text in ["locking_mode=EXCLUSIVE", &format!("journal_mode={mode}"), "synchronous=FULL"] {
+                for text in [
+                    "locking_mode=EXCLUSIVE",
+                    &format!("journal_mode={mode}"),
+                    "synchronous=FULL",
+                ] {
                     crate::disk::pragma(&connection, &format!("PRAGMA {text}")).unwrap();
                 }
                 connection
             }
         };
-        Kept::Store(Store { connection, log: PathBuf::new(), most: u64::MAX })
+        Kept::Store(Store {
+            connection,
+            log: PathBuf::new(),
+            most: u64::MAX,
+        })
     }
 
     fn commit(&mut self, rows: &[Row]) {
@@ -70,7 +89,11 @@
                     record.extend(bytes);
                 }
                 let at = file.metadata().unwrap().len();
-                step(folder, Step::Write("own.log".to_string(), at, record.clone())).unwrap();
+                step(
+                    folder,
+                    Step::Write("own.log".to_string(), at, record.clone()),
+                )
+                .unwrap();
                 step(folder, Step::Sync("own.log".to_string())).unwrap();
                 file.write_all(&record).unwrap();
                 if !tapes().contains_key(folder) {
@@ -86,7 +109,11 @@
     let folder = tempfile::tempdir().unwrap();
     drop(open(tempfile::tempdir().unwrap().path(), false));
     let mut kept = Kept::new(folder.path(), way, watched);
-    kept.commit(&(0..ITEMS).flat_map(|n| rows(&format!("s{n}"), n + 1)).collect::<Vec<_>>());
+    kept.commit(
+        &(0..ITEMS)
+            .flat_map(|n| rows(&format!("s{n}"), n + 1))
+            .collect::<Vec<_>>(),
+    );
     if watched {
         watch(folder.path());
     }
@@ -94,15 +121,25 @@
     for ver in 0..COMMITS {
         // A change is written by the two votes and by the news of it: three commits of one row.
         let at = format!("s{}", chance.below(ITEMS as usize));
-        let [Row::Register(name, accepted), chosen] = &rows(&at, 5_000 + ver)[..] else { unreachable!() };
-        let promised = Register { promised: accepted.promised, accepted: None };
+        let [Row::Register(name, accepted), chosen] = &rows(&at, 5_000 + ver)[..] else {
+            unreachable!()
+        };
+        let promised = Register {
+            promised: accepted.promised,
+            accepted: None,
+        };
         kept.commit(&[Row::Register(name.clone(), promised)]);
         kept.commit(&[Row::Register(name.clone(), accepted.clone())]);
         kept.commit(std::slice::from_ref(chosen));
     }
     let spent = begin.elapsed().as_secs_f64() * 1e3 / COMMITS as f64;
-    let steps = if watched { steps(folder.path()) } else { Vec::new() };
-    let (mut syncs, mut bytes, mut known) = (0, 0, BTreeSet::from([FILE, "headworks.db-wal", "own.log"]));
+    let steps = if watched {
+        steps(folder.path())
+    } else {
+        Vec::new()
+    };
+    let (mut syncs, mut bytes, mut known) =
+        (0, 0, BTreeSet::from([FILE, "headworks.db-wal", "own.log"]));
     for step in &steps {
         match step {
             // A new file's name is synced with it.
@@ -112,7 +149,11 @@
             _ => {}
         }
     }
-    (syncs as f64 / COMMITS as f64, bytes as f64 / COMMITS as f64, spent)
+    (
+        syncs as f64 / COMMITS as f64,
+        bytes as f64 / COMMITS as f64,
+        spent,
+    )
 }
 
 #[test]
@@ -147,10 +188,15 @@
     }
     let left = files(folder.path());
     drop(opened);
-    for (name, files) in [("after an end", files(folder.path())), ("after a loss of power", left)] {
+    for (name, files) in [
+        ("after an end", files(folder.path())),
+        ("after a loss of power", left),
+    ] {
         let folder = lay(&files);
-        let sizes: Vec<String> =
-            files.iter().map(|(name, bytes)| format!("{name} {}", bytes.len())).collect();
+        let sizes: Vec<String> = files
+            .iter()
+            .map(|(name, bytes)| format!("{name} {}", bytes.len()))
+            .collect();
         let begin = Instant::now();
         verify(folder.path()).unwrap();
         let verified = begin.elapsed().as_secs_f64() * 1e3;
@@ -158,7 +204,10 @@
         let opened = Store::open(folder.path(), false).unwrap();
         let spent = begin.elapsed().as_secs_f64() * 1e3;
         assert_eq!(opened.restored.registers.len(), 10_000);
-        println!("{name}: {spent:.0} ms, verify {verified:.0} ms; {}", sizes.join(", "));
+        println!(
+            "{name}: {spent:.0} ms, verify {verified:.0} ms; {}",
+            sizes.join(", ")
+        );
     }
     // The same contents in an own log: read, checked and decoded.
     let folder = tempfile::tempdir().unwrap();
--- a/crates/control/src/disk/trials/cuts.rs
+++ b/crates/control/src/disk/trials/cuts.rs
@@ -90,7 +90,10 @@
             self.synced.insert(file.to_string(), Vec::new());
             self.fresh.insert(file.to_string());
         }
-        self.loose.push(Loose { file: file.to_string(), change });
+        self.loose.push(Loose {
+            file: file.to_string(),
+            change,
+        });
     }
 
     /// What may be found after a loss of power now.
@@ -100,18 +103,40 @@
         let mut ways = vec![vec![(0, ALL); count], vec![(0, 0); count]];
         for at in 0..count {
             let length = self.loose[at].length();
-            let parts = [(0, 0), (0, 8), (0, 512), (0, length / 2), (512, ALL), (length / 2, ALL), (8, ALL)];
+            let parts = [
+                (0, 0),
+                (0, 8),
+                (0, 512),
+                (0, length / 2),
+                (512, ALL),
+                (length / 2, ALL),
+                (8, ALL),
+            ];
             for part in parts {
                 // Those before are there and those after not; or all others are.
                 let before = |other: usize| if other < at { (0, ALL) } else { (0, 0) };
-                ways.push((0..count).map(|other| if other == at { part } else { before(other) }).collect());
-                ways.push((0..count).map(|other| if other == at { part } else { (0, ALL) }).collect());
+                ways.push(
+                    (0..count)
+                        .map(|other| if other == at { part } else { before(other) })
+                        .collect(),
+                );
+                ways.push(
+                    (0..count)
+                        .map(|other| if other == at { part } else { (0, ALL) })
+                        .collect(),
+                );
             }
-            ways.push((0..count).map(|other| if other == at { (0, ALL) } else { (0, 0) }).collect());
+            ways.push(
+                (0..count)
+                    .map(|other| if other == at { (0, ALL) } else { (0, 0) })
+                    .collect(),
+            );
         }
         for _ in 0..if count > 1 { 6 } else { 0 } {
             ways.push(
-                (0..count).map(|_| [(0, 0), (0, ALL), (0, 512), (512, ALL)][chance.below(4)]).collect(),
+                (0..count)
+                    .map(|_| [(0, 0), (0, ALL), (0, 512), (512, ALL)][chance.below(4)])
+                    .collect(),
             );
         }
         let mut images = BTreeSet::new();
@@ -134,7 +159,10 @@
 
 /// Hands all that may be found after each step to `check`, with how many commits were told by then. Gives how many.
 fn cut(base: Files, steps: &[Step], mut check: impl FnMut(usize, usize, &Files)) -> usize {
-    let mut disk = Disk { synced: base, ..Disk::default() };
+    let mut disk = Disk {
+        synced: base,
+        ..Disk::default()
+    };
     let (mut told, mut seen, mut chance) = (0, BTreeSet::new(), Chance(1));
     for (number, step) in steps.iter().enumerate() {
         disk.step(step);
@@ -150,7 +178,8 @@
 
 fn open_cut(number: usize, image: &Files, bootstrap: bool) -> Opened {
     let folder = lay(image);
-    let opened = open(folder.path(), bootstrap).unwrap_or_else(|error| panic!("step {number}: {error:#}"));
+    let opened =
+        open(folder.path(), bootstrap).unwrap_or_else(|error| panic!("step {number}: {error:#}"));
     assert_eq!(opened.lost, None, "step {number}");
     opened
 }
@@ -170,7 +199,10 @@
     let mut runs = BTreeSet::new();
     let images = cut(Files::new(), &steps, |number, told, image| {
         let (incarnation, run) = own(&open_cut(number, image, true));
-        assert!(incarnation == Incarnation::FIRST && run > told as u32, "step {number}: run {run}");
+        assert!(
+            incarnation == Incarnation::FIRST && run > told as u32,
+            "step {number}: run {run}"
+        );
         runs.insert((told, run));
     });
     assert!(images > 100, "{images}");
@@ -178,9 +210,18 @@
 }
 
 fn commits() -> Vec<Vec<Row>> {
-    let all =
-        |first: u64| (first..first + 12).flat_map(move |n| rows(&format!("s{n}"), 100 * first + n)).collect();
-    vec![all(0), rows("s3", 2_000), all(6), rows("s3", 2_001), [rows("s4", 5_000), rows("new", 1)].concat()]
+    let all = |first: u64| {
+        (first..first + 12)
+            .flat_map(move |n| rows(&format!("s{n}"), 100 * first + n))
+            .collect()
+    };
+    vec![
+        all(0),
+        rows("s3", 2_000),
+        all(6),
+        rows("s3", 2_001),
+        [rows("s4", 5_000), rows("new", 1)].concat(),
+    ]
 }
 
 /// What is done to a store beside commits.
@@ -217,16 +258,30 @@
         }
     }
     let steps = steps(folder.path());
-    let emptied = steps.iter().filter(|step| matches!(step, Step::Length(file, 0) if file.ends_with("-wal")));
-    assert_eq!(emptied.count(), if matches!(beside, Beside::Checkpoint) { 2 } else { 0 });
-    let states: Vec<_> = (1..=commits.len()).map(|count| after(&commits[..count])).collect();
+    let emptied = steps
+        .iter()
+        .filter(|step| matches!(step, Step::Length(file, 0) if file.ends_with("-wal")));
+    assert_eq!(
+        emptied.count(),
+        if matches!(beside, Beside::Checkpoint) {
+            2
+        } else {
+            0
+        }
+    );
+    let states: Vec<_> = (1..=commits.len())
+        .map(|count| after(&commits[..count]))
+        .collect();
     let mut newer = 0;
     let images = cut(base, &steps, |number, told, image| {
         let opened = open_cut(number, image, false);
         let held = held(&opened);
         let next = states.get(told + 1) == Some(&held);
         newer += usize::from(next);
-        assert!(next || held == states[told], "step {number}, {told} told: {held:?}");
+        assert!(
+            next || held == states[told],
+            "step {number}, {told} told: {held:?}"
+        );
         assert!((2..=run + 1).contains(&opened.restored.own.run));
     });
     assert!(images > 100 && newer > 0, "{images} {newer}");
@@ -235,7 +290,11 @@
 #[test]
 fn a_migration_cut_anywhere_is_not_begun_or_done() {
     let commits = commits();
-    let before = Own { incarnation: Incarnation { number: 4, mark: 9 }, run: 6, ..Own::default() };
+    let before = Own {
+        incarnation: Incarnation { number: 4, mark: 9 },
+        run: 6,
+        ..Own::default()
+    };
     let folder = unversioned(&commits, &before);
     let base = files(folder.path());
     watch(folder.path());
@@ -246,7 +305,9 @@
     let mut kinds = BTreeMap::new();
     let images = cut(base, &steps, |number, told, image| {
         let folder = lay(image);
-        *kinds.entry(super::super::verify(folder.path()).unwrap().schema).or_insert(0) += 1;
+        *kinds
+            .entry(super::super::verify(folder.path()).unwrap().schema)
+            .or_insert(0) += 1;
         let opened = open_cut(number, image, true);
         assert_eq!(held(&opened), expected, "step {number}");
         let (incarnation, run) = own(&opened);
@@ -255,6 +316,12 @@
             "step {number}: {run}"
         );
     });
-    assert!(images > 100 && kinds[&0] > 0 && kinds[&1] > 0, "{images} {kinds:?}");
-    assert_eq!((held(&opened), own(&opened)), (expected, (before.incarnation, 7)));
+    assert!(
+        images > 100 && kinds[&0] > 0 && kinds[&1] > 0,
+        "{images} {kinds:?}"
+    );
+    assert_eq!(
+        (held(&opened), own(&opened)),
+        (expected, (before.incarnation, 7))
+    );
 }
--- a/crates/control/src/disk/trials/full.rs
+++ b/crates/control/src/disk/trials/full.rs
@@ -37,11 +37,17 @@
             assert!(left >= 5, "{left}");
             return;
         }
-        assert!(heard.len() == 1 && heard[0].contains("refused: disk: "), "{heard:?}");
+        assert!(
+            heard.len() == 1 && heard[0].contains("refused: disk: "),
+            "{heard:?}"
+        );
         // Power is lost now: all of it is there, or nothing.
         let whole = [first.clone(), rows("s", 2), rows("u", 1)];
         let lost = open(lay(&files(folder.path())).path(), false).unwrap();
-        assert!(lost.lost.is_none() && [after(&whole[..1]), after(&whole)].contains(&held(&lost)), "{left}");
+        assert!(
+            lost.lost.is_none() && [after(&whole[..1]), after(&whole)].contains(&held(&lost)),
+            "{left}"
+        );
         // Told once; what is ordered meanwhile waits too.
         desk.order((3, rows("s", 3)));
         assert_eq!(said(desk.write()), [""; 0]);
@@ -52,7 +58,10 @@
         drop(desk);
         let opened = open(folder.path(), false).unwrap();
         assert_eq!(opened.lost, None);
-        assert_eq!(held(&opened), after(&[whole.concat(), rows("s", 3), rows("v", 1)]));
+        assert_eq!(
+            held(&opened),
+            after(&[whole.concat(), rows("s", 3), rows("v", 1)])
+        );
     }
 }
 
@@ -71,13 +80,20 @@
     fail(folder.path(), None);
     assert_eq!(desk.write().len(), 301);
     drop(desk);
-    assert_eq!(held(&open(folder.path(), false).unwrap()), after(&[rows("s", 300)]));
+    assert_eq!(
+        held(&open(folder.path(), false).unwrap()),
+        after(&[rows("s", 300)])
+    );
 }
 
 #[test]
 fn a_start_on_a_full_disk_ends_and_harms_nothing() {
     let folder = tempfile::tempdir().unwrap();
-    open(folder.path(), true).unwrap().store.commit(&rows("s", 1)).unwrap();
+    open(folder.path(), true)
+        .unwrap()
+        .store
+        .commit(&rows("s", 1))
+        .unwrap();
     watch(folder.path());
     fail(folder.path(), Some((0, ErrorKind::StorageFull)));
     let why = open(folder.path(), false).err().unwrap();
--- a/crates/control/src/disk/trials/growth.rs
+++ b/crates/control/src/disk/trials/growth.rs
@@ -15,14 +15,21 @@
     let folder = tempfile::tempdir().unwrap();
     let mut store = Store::open(folder.path(), true).unwrap().store;
     let length = |end: &str| {
-        std::fs::metadata(folder.path().join(format!("{FILE}{end}"))).map_or(0, |metadata| metadata.len())
+        std::fs::metadata(folder.path().join(format!("{FILE}{end}")))
+            .map_or(0, |metadata| metadata.len())
     };
     let (mut most, mut rows) = ((0, 0), Vec::new());
     for number in 0..changes {
         let mut item = item(&format!("item-{:05}", number % items), 1 + number / items);
         item.spec = (number % 5 != 0).then(|| "x".repeat(260));
-        let ballot = Ballot { round: number, ..Ballot::default() };
-        let register = Register { promised: ballot, accepted: Some((ballot, item.clone())) };
+        let ballot = Ballot {
+            round: number,
+            ..Ballot::default()
+        };
+        let register = Register {
+            promised: ballot,
+            accepted: Some((ballot, item.clone())),
+        };
         rows.push(Row::Register(item.name.clone(), register));
         rows.push(Row::Chosen(ballot, item));
         if rows.len() >= 2 * TOGETHER || number + 1 == changes {
--- a/crates/control/src/disk/trials/harm.rs
+++ b/crates/control/src/disk/trials/harm.rs
@@ -13,13 +13,19 @@
 const LOG: &str = "headworks.db-wal";
 
 fn many() -> Vec<Row> {
-    (0..40).flat_map(|n| rows(&format!("s{n}"), 100 + n)).collect()
+    (0..40)
+        .flat_map(|n| rows(&format!("s{n}"), 100 + n))
+        .collect()
 }
 
 /// A folder whose file holds `many`, and whose program has ended.
 fn closed() -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
-    open(folder.path(), true).unwrap().store.commit(&many()).unwrap();
+    open(folder.path(), true)
+        .unwrap()
+        .store
+        .commit(&many())
+        .unwrap();
     folder
 }
 
@@ -32,11 +38,20 @@
     let folder = tempfile::tempdir().unwrap();
     // On the machine's own files.
     let mut opened = Store::open(folder.path(), true).unwrap();
-    assert_eq!((opened.restored.own.incarnation, opened.restored.own.run), (Incarnation::FIRST, 1));
-    opened.store.commit(&[rows("s", 7), rows("s", 8), rows("t", 1)].concat()).unwrap();
+    assert_eq!(
+        (opened.restored.own.incarnation, opened.restored.own.run),
+        (Incarnation::FIRST, 1)
+    );
+    opened
+        .store
+        .commit(&[rows("s", 7), rows("s", 8), rows("t", 1)].concat())
+        .unwrap();
     drop(opened);
     let opened = Store::open(folder.path(), false).unwrap();
-    assert_eq!((opened.restored.own.incarnation, opened.restored.own.run), (Incarnation::FIRST, 2));
+    assert_eq!(
+        (opened.restored.own.incarnation, opened.restored.own.run),
+        (Incarnation::FIRST, 2)
+    );
     assert_eq!(held(&opened), after(&[rows("s", 8), rows("t", 1)]));
     assert_eq!(opened.lost, None);
 }
@@ -48,7 +63,10 @@
     assert_eq!(opened.restored, Restored::default());
     opened.store.commit(&rows("s", 7)).unwrap();
     drop(opened);
-    assert_eq!(open(folder.path(), false).unwrap().restored, Restored::default());
+    assert_eq!(
+        open(folder.path(), false).unwrap().restored,
+        Restored::default()
+    );
 }
 
 /// Does harm to a folder with `many`.
@@ -63,7 +81,10 @@
         "empty" => bytes.clear(),
         "bit" => {
             let text = br#"{"ver":103,"text":"xxx"#;
-            let at = bytes.windows(text.len()).rposition(|window| window == text).unwrap();
+            let at = bytes
+                .windows(text.len())
+                .rposition(|window| window == text)
+                .unwrap();
             bytes[at + 20] ^= 4;
         }
         sql => return plain(folder).execute_batch(sql).unwrap(),
@@ -99,20 +120,35 @@
     // The operators' settings may still say that the system starts for the first time.
     let opened = open(folder.path(), true).unwrap();
     let lost = opened.lost.unwrap();
-    assert!(lost.contains(named) && lost.contains("aside-1-headworks.db"), "{lost}");
+    assert!(
+        lost.contains(named) && lost.contains("aside-1-headworks.db"),
+        "{lost}"
+    );
     assert_eq!(opened.restored, Restored::default());
     drop(opened.store);
     assert_eq!(files(folder.path())["aside-1-headworks.db"], harmed[FILE]);
-    assert!(!verify_file(&folder.path().join("aside-1-headworks.db")).unwrap().faults.is_empty());
+    assert!(
+        !verify_file(&folder.path().join("aside-1-headworks.db"))
+            .unwrap()
+            .faults
+            .is_empty()
+    );
     let opened = open(folder.path(), true).unwrap();
-    assert_eq!((opened.lost, opened.restored), (None, Restored::default()), "nor at the next start");
+    assert_eq!(
+        (opened.lost, opened.restored),
+        (None, Restored::default()),
+        "nor at the next start"
+    );
 }
 
 #[test]
 fn a_bit_of_a_row_is_not_seen_by_the_databases_own_check() {
     let folder = closed();
     harm(folder.path(), "bit");
-    assert_eq!(crate::disk::pragma(&plain(folder.path()), "PRAGMA quick_check").unwrap(), "ok");
+    assert_eq!(
+        crate::disk::pragma(&plain(folder.path()), "PRAGMA quick_check").unwrap(),
+        "ok"
+    );
 }
 
 #[test]
@@ -123,8 +159,18 @@
         assert!(open(folder.path(), false).unwrap().lost.is_some());
     }
     let files = files(folder.path());
-    let kept: Vec<&String> = files.keys().filter(|name| name.starts_with("aside")).collect();
-    assert_eq!(kept, ["aside-3-headworks.db", "aside-4-headworks.db", "aside-5-headworks.db"]);
+    let kept: Vec<&String> = files
+        .keys()
+        .filter(|name| name.starts_with("aside"))
+        .collect();
+    assert_eq!(
+        kept,
+        [
+            "aside-3-headworks.db",
+            "aside-4-headworks.db",
+            "aside-5-headworks.db"
+        ]
+    );
 }
 
 /// After so many syncs of the folder the power is lost; renames after the last one may have got there or not.
@@ -143,9 +189,17 @@
         assert!(open(folder.path(), false).is_err());
         steps(folder.path());
         if !renamed && syncs == 0 {
-            std::fs::rename(folder.path().join("aside-1-headworks.db"), folder.path().join(FILE)).unwrap();
+            std::fs::rename(
+                folder.path().join("aside-1-headworks.db"),
+                folder.path().join(FILE),
+            )
+            .unwrap();
         } else if !renamed {
-            std::fs::rename(folder.path().join("aside-1-headworks.db-wal"), folder.path().join(LOG)).unwrap();
+            std::fs::rename(
+                folder.path().join("aside-1-headworks.db-wal"),
+                folder.path().join(LOG),
+            )
+            .unwrap();
         }
         let opened = open(folder.path(), true).unwrap();
         assert_eq!(opened.restored, Restored::default(), "{renamed}");
@@ -158,8 +212,9 @@
     let folder = closed();
     let connection = plain(folder.path());
     let sum = crate::disk::rows::sum("schema", &[], &7_i64.to_le_bytes());
-    let newer =
-        format!("PRAGMA user_version = 7; UPDATE schema SET version = 7, sum = {sum}; DROP TABLE chosen");
+    let newer = format!(
+        "PRAGMA user_version = 7; UPDATE schema SET version = 7, sum = {sum}; DROP TABLE chosen"
+    );
     connection.execute_batch(&newer).unwrap();
     let before = if logged {
         files(folder.path())
@@ -171,22 +226,35 @@
     let folder = lay(&before);
     std::fs::remove_file(folder.path().join("headworks.db-shm")).ok();
     let before = files(folder.path());
-    for error in [Store::open(folder.path(), true).err(), verify(folder.path()).err()] {
+    for error in [
+        Store::open(folder.path(), true).err(),
+        verify(folder.path()).err(),
+    ] {
         let error = format!("{:#}", error.unwrap());
-        assert!(error.contains("schema version 7") && error.contains("up to 1"), "{error}");
+        assert!(
+            error.contains("schema version 7") && error.contains("up to 1"),
+            "{error}"
+        );
     }
     assert!(files(folder.path()) == before);
 }
 
 #[test]
 fn an_unversioned_file_with_a_row_that_does_not_decode_gets_no_checksum() {
-    let own = crate::core::Own { incarnation: Incarnation::FIRST, run: 3, ..Default::default() };
+    let own = crate::core::Own {
+        incarnation: Incarnation::FIRST,
+        run: 3,
+        ..Default::default()
+    };
     let folder = unversioned(&[many()], &own);
     plain(folder.path())
         .execute_batch("UPDATE registers SET value = x'ff' WHERE name = x'02027334'")
         .unwrap();
     let lost = open(folder.path(), false).unwrap().lost.unwrap();
-    assert!(lost.contains("registers svcs/s4: does not decode"), "{lost}");
+    assert!(
+        lost.contains("registers svcs/s4: does not decode"),
+        "{lost}"
+    );
 }
 
 #[test]
@@ -199,13 +267,24 @@
     let before = files(folder.path());
     let report = verify(folder.path()).unwrap();
     assert_eq!((report.schema, report.incarnation, report.run), (1, 1, 1));
-    assert_eq!((report.registers, report.chosen, report.commits), (40, 40, 4));
-    assert_eq!((report.highest, report.faults), (BTreeMap::from([("svcs", 2_000)]), vec![]));
+    assert_eq!(
+        (report.registers, report.chosen, report.commits),
+        (40, 40, 4)
+    );
+    assert_eq!(
+        (report.highest, report.faults),
+        (BTreeMap::from([("svcs", 2_000)]), vec![])
+    );
     assert_eq!(files(folder.path()), before);
     drop(opened);
     let report = verify(folder.path()).unwrap();
     assert_eq!((report.registers, report.commits), (40, 0));
-    assert!(report.to_string().contains("highest version 2000 of svcs\n"), "{report}");
+    assert!(
+        report
+            .to_string()
+            .contains("highest version 2000 of svcs\n"),
+        "{report}"
+    );
 }
 
 /// What one harm did to a start.
@@ -222,7 +301,9 @@
     let folder = tempfile::tempdir().unwrap();
     let mut opened = open(folder.path(), true).unwrap();
     // Many enough for several pages: not every commit writes the same ones.
-    let first = (0..120).flat_map(|n| rows(&format!("s{n}"), 100 + n)).collect();
+    let first = (0..120)
+        .flat_map(|n| rows(&format!("s{n}"), 100 + n))
+        .collect();
     let changed = ["s3", "s97", "s44", "s110", "s17"];
     let changes = changed.iter().zip(2_000..).map(|(at, ver)| rows(at, ver));
     let commits: Vec<Vec<Row>> = std::iter::once(first).chain(changes).collect();
@@ -231,17 +312,26 @@
         begins = std::fs::metadata(folder.path().join(LOG)).unwrap().len() as usize;
         opened.store.commit(commit).unwrap();
         if number == 0 {
-            opened.store.connection.query_row("PRAGMA wal_checkpoint(TRUNCATE)", [], |_| Ok(())).unwrap();
+            opened
+                .store
+                .connection
+                .query_row("PRAGMA wal_checkpoint(TRUNCATE)", [], |_| Ok(()))
+                .unwrap();
         }
     }
-    (files(folder.path()), begins, (4..=6).map(|count| after(&commits[..count])).collect())
+    (
+        files(folder.path()),
+        begins,
+        (4..=6).map(|count| after(&commits[..count])).collect(),
+    )
 }
 
 #[test]
 fn a_bit_of_any_head_of_the_log_before_the_last_commit_is_seen() {
     let (base, last, _) = half_logged();
     let frame = 24 + 4_096;
-    let frames = (0..(last - 32) / frame).flat_map(|number| (0..24).map(move |at| 32 + number * frame + at));
+    let frames =
+        (0..(last - 32) / frame).flat_map(|number| (0..24).map(move |at| 32 + number * frame + at));
     let unseen = (0..32).chain(frames).filter(|at| {
         let mut files = base.clone();
         files.get_mut(LOG).unwrap()[*at] ^= 1;
@@ -259,7 +349,9 @@
     let mut log = files(folder.path()).remove(LOG).unwrap();
     let mark = log.len() - 3 * (24 + 4_096);
     log[mark..mark + 24].fill(0);
-    let harm = crate::disk::log::read(&log, 4_096, |_, _| false).harm.unwrap();
+    let harm = crate::disk::log::read(&log, 4_096, |_, _| false)
+        .harm
+        .unwrap();
     assert!(harm.contains("more than one commit follows"), "{harm}");
 }
 
@@ -269,13 +361,23 @@
     let file = base.get_mut(FILE).unwrap();
     // Pages keep copies in their free room: all of them.
     for at in 0..file.len() - 30 {
-        file[at + 20] ^= if file[at..].starts_with(b"\"ver\":175") { 4 } else { 0 };
+        file[at + 20] ^= if file[at..].starts_with(b"\"ver\":175") {
+            4
+        } else {
+            0
+        };
     }
     let folder = lay(&base);
     let lost = open(folder.path(), false).unwrap().lost.unwrap();
-    assert!(lost.contains("svcs/s75: does not match its checksum"), "{lost}");
+    assert!(
+        lost.contains("svcs/s75: does not match its checksum"),
+        "{lost}"
+    );
     let files = files(folder.path());
-    assert!(files["aside-1-headworks.db"] == base[FILE] && files["aside-1-headworks.db-wal"] == base[LOG]);
+    assert!(
+        files["aside-1-headworks.db"] == base[FILE]
+            && files["aside-1-headworks.db-wal"] == base[LOG]
+    );
 }
 
 #[test]
@@ -310,13 +412,29 @@
             None if held(&opened) == states[2] => Seen::Nothing,
             None if may && held(&opened) == states[1] => Seen::Before,
             None if may && marked && held(&opened) == states[0] => Seen::Before,
-            lost => panic!("{trial}: {at} of {}: {lost:?}", if logged { LOG } else { FILE }),
+            lost => panic!(
+                "{trial}: {at} of {}: {lost:?}",
+                if logged { LOG } else { FILE }
+            ),
         };
-        assert_eq!(report.faults.is_empty(), found != Seen::PutAside, "{trial}: {report}");
+        assert_eq!(
+            report.faults.is_empty(),
+            found != Seen::PutAside,
+            "{trial}: {report}"
+        );
         *seen.entry((logged, found)).or_insert(0) += 1;
     }
     // Most of the file's bytes are free, or stand anew in the log.
-    let seen: Vec<_> = seen.into_iter().filter(|(_, count)| *count >= 100).map(|(what, _)| what).collect();
-    let all = [(false, Seen::Nothing), (false, Seen::PutAside), (true, Seen::PutAside), (true, Seen::Before)];
+    let seen: Vec<_> = seen
+        .into_iter()
+        .filter(|(_, count)| *count >= 100)
+        .map(|(what, _)| what)
+        .collect();
+    let all = [
+        (false, Seen::Nothing),
+        (false, Seen::PutAside),
+        (true, Seen::PutAside),
+        (true, Seen::Before),
+    ];
     assert!(seen == all, "{seen:?}");
 }
--- a/crates/control/src/disk/trials/mod.rs
+++ b/crates/control/src/disk/trials/mod.rs
@@ -19,7 +19,9 @@
 use std::time::Duration;
 
 use protocol::items::{Item, Kind, Name};
-use sqlite_vfs::{DatabaseHandle, LockKind, OpenAccess, OpenOptions as Wanted, Vfs, WalDisabled, register};
+use sqlite_vfs::{
+    DatabaseHandle, LockKind, OpenAccess, OpenOptions as Wanted, Vfs, WalDisabled, register,
+};
 
 use super::{Opened, Reach, Store};
 use crate::core::Row;
@@ -51,13 +53,18 @@
 
 fn tapes() -> MutexGuard<'static, Tapes> {
     static TAPES: OnceLock<Mutex<Tapes>> = OnceLock::new();
-    TAPES.get_or_init(Mutex::default).lock().unwrap_or_else(PoisonError::into_inner)
+    TAPES
+        .get_or_init(Mutex::default)
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Notes a step in a folder that is watched, or fails.
 fn step(folder: &Path, step: Step) -> Result<(), Error> {
     let mut tapes = tapes();
-    let Some(tape) = tapes.get_mut(folder) else { return Ok(()) };
+    let Some(tape) = tapes.get_mut(folder) else {
+        return Ok(());
+    };
     if let Some((left, kind)) = &mut tape.fails {
         match left.checked_sub(1) {
             Some(less) => *left = less,
@@ -90,7 +97,10 @@
 
 fn parts(path: &str) -> (PathBuf, String) {
     let path = Path::new(path);
-    (path.parent().unwrap().to_path_buf(), path.file_name().unwrap().to_string_lossy().into_owned())
+    (
+        path.parent().unwrap().to_path_buf(),
+        path.file_name().unwrap().to_string_lossy().into_owned(),
+    )
 }
 
 impl Vfs for Watched {
@@ -99,7 +109,12 @@
     fn open(&self, path: &str, wanted: Wanted) -> Result<Handle, Error> {
         let (folder, name) = parts(path);
         let create = matches!(wanted.access, OpenAccess::Create | OpenAccess::CreateNew);
-        let file = OpenOptions::new().read(true).write(true).create(create).truncate(false).open(path)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(create)
+            .truncate(false)
+            .open(path)?;
         Ok(Handle { file, folder, name })
     }
 
@@ -120,7 +135,9 @@
     fn random(&self, buffer: &mut [i8]) {
         static CHANCE: Mutex<Chance> = Mutex::new(Chance(7));
         let mut chance = CHANCE.lock().unwrap();
-        buffer.iter_mut().for_each(|byte| *byte = chance.below(256) as u8 as i8);
+        buffer
+            .iter_mut()
+            .for_each(|byte| *byte = chance.below(256) as u8 as i8);
     }
 
     fn sleep(&self, duration: Duration) -> Duration {
@@ -140,7 +157,10 @@
     }
 
     fn write_all_at(&mut self, bytes: &[u8], at: u64) -> Result<(), Error> {
-        step(&self.folder, Step::Write(self.name.clone(), at, bytes.to_vec()))?;
+        step(
+            &self.folder,
+            Step::Write(self.name.clone(), at, bytes.to_vec()),
+        )?;
         self.file.write_all_at(bytes, at)
     }
 
@@ -178,7 +198,14 @@
 fn open(folder: &Path, bootstrap: bool) -> eyre::Result<Opened> {
     static ONCE: OnceLock<()> = OnceLock::new();
     ONCE.get_or_init(|| register("watched", Watched, false).unwrap());
-    Store::open_by(Reach { vfs: Some("watched"), sync: folder_synced }, folder, bootstrap)
+    Store::open_by(
+        Reach {
+            vfs: Some("watched"),
+            sync: folder_synced,
+        },
+        folder,
+        bootstrap,
+    )
 }
 
 /// Chance with a seed.
@@ -193,18 +220,34 @@
 }
 
 fn name(name: &str) -> Name {
-    Name { kind: Kind::Service, name: name.to_string() }
+    Name {
+        kind: Kind::Service,
+        name: name.to_string(),
+    }
 }
 
 fn item(at: &str, ver: u64) -> Item {
-    Item { name: name(at), ver, spec: Some(format!("{{\"ver\":{ver},\"text\":\"{}\"}}", "x".repeat(60))) }
+    Item {
+        name: name(at),
+        ver,
+        spec: Some(format!("{{\"ver\":{ver},\"text\":\"{}\"}}", "x".repeat(60))),
+    }
 }
 
 /// What one change writes at a replica.
 fn rows(at: &str, ver: u64) -> Vec<Row> {
-    let ballot = Ballot { round: ver, ..Ballot::default() };
-    let register = Register { promised: ballot, accepted: Some((ballot, item(at, ver))) };
-    vec![Row::Register(name(at), register), Row::Chosen(ballot, item(at, ver))]
+    let ballot = Ballot {
+        round: ver,
+        ..Ballot::default()
+    };
+    let register = Register {
+        promised: ballot,
+        accepted: Some((ballot, item(at, ver))),
+    };
+    vec![
+        Row::Register(name(at), register),
+        Row::Chosen(ballot, item(at, ver)),
+    ]
 }
 
 /// Registers and chosen items.
@@ -225,17 +268,30 @@
 
 /// What a store was opened with, in the same form.
 fn held(opened: &Opened) -> Held {
-    let chosen =
-        opened.restored.chosen.iter().map(|(ballot, item)| (item.name.clone(), (*ballot, item.clone())));
-    (opened.restored.registers.iter().cloned().collect(), chosen.collect())
+    let chosen = opened
+        .restored
+        .chosen
+        .iter()
+        .map(|(ballot, item)| (item.name.clone(), (*ballot, item.clone())));
+    (
+        opened.restored.registers.iter().cloned().collect(),
+        chosen.collect(),
+    )
 }
 
 type Files = BTreeMap<String, Vec<u8>>;
 
 fn files(folder: &Path) -> Files {
-    let entries = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap());
+    let entries = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap());
     entries
-        .map(|entry| (entry.file_name().into_string().unwrap(), std::fs::read(entry.path()).unwrap()))
+        .map(|entry| {
+            (
+                entry.file_name().into_string().unwrap(),
+                std::fs::read(entry.path()).unwrap(),
+            )
+        })
         .collect()
 }
 
@@ -259,16 +315,28 @@
     let (registers, chosen) = after(commits);
     let bytes = |table: &str, name: Vec<u8>, value: Vec<u8>| {
         let text = format!("INSERT INTO {table} VALUES (?1, ?2)");
-        connection.execute(&text, rusqlite::params![name, value]).unwrap();
+        connection
+            .execute(&text, rusqlite::params![name, value])
+            .unwrap();
     };
     for (name, register) in &registers {
-        bytes("registers", postcard::to_allocvec(name).unwrap(), postcard::to_allocvec(register).unwrap());
+        bytes(
+            "registers",
+            postcard::to_allocvec(name).unwrap(),
+            postcard::to_allocvec(register).unwrap(),
+        );
     }
     for (name, chosen) in &chosen {
-        bytes("chosen", postcard::to_allocvec(name).unwrap(), postcard::to_allocvec(chosen).unwrap());
+        bytes(
+            "chosen",
+            postcard::to_allocvec(name).unwrap(),
+            postcard::to_allocvec(chosen).unwrap(),
+        );
     }
     let own = postcard::to_allocvec(own).unwrap();
-    connection.execute("INSERT INTO own VALUES (1, ?1)", [own]).unwrap();
+    connection
+        .execute("INSERT INTO own VALUES (1, ?1)", [own])
+        .unwrap();
     drop(connection);
     folder
 }
--- a/crates/control/src/disk/verify.rs
+++ b/crates/control/src/disk/verify.rs
@@ -36,7 +36,11 @@
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "schema version  {}", self.schema)?;
-        writeln!(f, "incarnation, run       {}, {}", self.incarnation, self.run)?;
+        writeln!(
+            f,
+            "incarnation, run       {}, {}",
+            self.incarnation, self.run
+        )?;
         writeln!(f, "registers       {}", self.registers)?;
         writeln!(f, "chosen items    {}", self.chosen)?;
         for (kind, ver) in &self.highest {
@@ -46,7 +50,11 @@
         if self.faults.is_empty() {
             return write!(f, "no faults");
         }
-        let faults: Vec<String> = self.faults.iter().map(|fault| format!("FAULT {fault}")).collect();
+        let faults: Vec<String> = self
+            .faults
+            .iter()
+            .map(|fault| format!("FAULT {fault}"))
+            .collect();
         write!(f, "{}", faults.join("\n"))
     }
 }
@@ -74,7 +82,10 @@
         Err(error) => return Err(error).wrap_err_with(step),
     };
     if bytes.is_empty() && log.is_empty() {
-        return Err(eyre!("disk: {} is empty: its program has not come to write anything", file.display()));
+        return Err(eyre!(
+            "disk: {} is empty: its program has not come to write anything",
+            file.display()
+        ));
     }
     let mut found = Report {
         schema: 0,
@@ -112,10 +123,14 @@
     let page = page_size(&bytes);
     let place = |number: u32| (number as usize).saturating_sub(1) * page;
     let read = log::read(log, page, |number, content| {
-        bytes.get(place(number)..).is_some_and(|there| there.starts_with(content))
+        bytes
+            .get(place(number)..)
+            .is_some_and(|there| there.starts_with(content))
     });
     found.commits = read.commits;
-    found.faults.extend(read.harm.into_iter().flat_map(|harm| Harm::of(harm).0));
+    found
+        .faults
+        .extend(read.harm.into_iter().flat_map(|harm| Harm::of(harm).0));
     if let Some(size) = read.size {
         // A page of a size that no log can have filled is harm; it must not take all memory.
         if size as usize > bytes.len() / page + read.pages.len() {
@@ -134,10 +149,14 @@
 fn rows_of(image: &[u8], found: &mut Report) -> eyre::Result<Restored> {
     let mut connection = Connection::open_in_memory().wrap_err("disk: opening a copy")?;
     let length = image.len();
-    connection.deserialize_read_exact(MAIN_DB, image, length, true).wrap_err("disk: opening a copy")?;
+    connection
+        .deserialize_read_exact(MAIN_DB, image, length, true)
+        .wrap_err("disk: opening a copy")?;
     let version = schema::found(&connection)?;
     check(&connection)?;
-    let schema::Found::Version(version) = version else { return Ok(Restored::default()) };
+    let schema::Found::Version(version) = version else {
+        return Ok(Restored::default());
+    };
     found.schema = version;
     let (restored, faults) = rows::all(&connection, version > 0)?;
     found.faults.extend(faults);
@@ -147,7 +166,10 @@
 fn sum_up(restored: &Restored, found: &mut Report) {
     (found.incarnation, found.run) = (restored.own.incarnation.number, restored.own.run);
     (found.registers, found.chosen) = (restored.registers.len(), restored.chosen.len());
-    let accepted = restored.registers.iter().filter_map(|(_, register)| register.accepted.as_ref());
+    let accepted = restored
+        .registers
+        .iter()
+        .filter_map(|(_, register)| register.accepted.as_ref());
     for (_, item) in accepted.chain(&restored.chosen) {
         let highest = found.highest.entry(item.name.kind.word()).or_default();
         *highest = (*highest).max(item.ver);
--- a/crates/control/src/host/callers.rs
+++ b/crates/control/src/host/callers.rs
@@ -19,13 +19,18 @@
 impl Host {
     /// Reads calls, one after the other: the next one is looked at once this one is answered.
     pub(super) fn read_call(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         if connection.waits || connection.closing {
             return;
         }
         let operator = connection.role == Role::Operator;
         let most = if operator { limits::CALL_BYTES } else { 1_024 };
-        if let Err(fault) = connection.incoming.read(&mut connection.input, most, &self.frames) {
+        if let Err(fault) = connection
+            .incoming
+            .read(&mut connection.input, most, &self.frames)
+        {
             return self.refuse(key, fault);
         }
         if !connection.incoming.whole() {
@@ -36,11 +41,17 @@
             return;
         }
         connection.told_to_go_on = false;
-        let Some((head, _, body)) = std::mem::take(&mut connection.incoming).into_parts() else { return };
+        let Some((head, _, body)) = std::mem::take(&mut connection.incoming).into_parts() else {
+            return;
+        };
         connection.last = !head.keep_alive;
         connection.waits = true;
         let request = Request::new(head, body);
-        if operator { self.operator(key, request) } else { self.client(key, &request) }
+        if operator {
+            self.operator(key, request)
+        } else {
+            self.client(key, &request)
+        }
     }
 
     fn refuse(&mut self, key: ConnectionKey, fault: Malformed) {
@@ -54,7 +65,9 @@
 
     /// A caller's end of the connection is closed by now. What it sent next, if anything, is kept.
     fn left(&mut self, key: ConnectionKey) -> bool {
-        let Some(connection) = self.connections.get_mut(key) else { return true };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return true;
+        };
         match (&*connection.stream).read(&mut self.scratch) {
             Ok(0) => true,
             Ok(length) => {
@@ -74,7 +87,12 @@
         let large = request.body.len() > limits::LARGE;
         match calls::decode(request) {
             Ok(command) => {
-                let deadline = self.now() + if large { limits::CALL_LARGE } else { limits::CALL };
+                let deadline = self.now()
+                    + if large {
+                        limits::CALL_LARGE
+                    } else {
+                        limits::CALL
+                    };
                 self.feed(Input::Call(key.data().as_ffi(), command, deadline));
             }
             Err(reply) => {
@@ -100,7 +118,11 @@
 
     /// Answers a caller, and looks at what it asks next.
     pub(super) fn answer(&mut self, key: ConnectionKey, status: u16, body: &[u8]) {
-        let Some(connection) = self.connections.get_mut(key).filter(|connection| connection.waits) else {
+        let Some(connection) = self
+            .connections
+            .get_mut(key)
+            .filter(|connection| connection.waits)
+        else {
             return;
         };
         connection.waits = false;
@@ -120,7 +142,9 @@
     /// Asks the platform for its list, while this replica has that duty.
     pub(super) fn poll(&mut self, now: i64) {
         let holds = self.core.polls(now);
-        let Some(poller) = &mut self.poller else { return };
+        let Some(poller) = &mut self.poller else {
+            return;
+        };
         if poller.late(now) {
             warn!(self.log, "the platform does not answer"; "peer" => poller.address.to_string());
             if let Some(key) = poller.connection.take() {
@@ -131,7 +155,9 @@
         if !holds {
             return poller.rest();
         }
-        let Some(request) = poller.due(now) else { return };
+        let Some(request) = poller.due(now) else {
+            return;
+        };
         let (kept, address) = (poller.connection, poller.address);
         let key = match kept.filter(|key| self.connections.contains_key(*key)) {
             Some(key) => Some(key),
@@ -154,8 +180,12 @@
     }
 
     pub(super) fn read_page(&mut self, key: ConnectionKey) {
-        let Some(poller) = &mut self.poller else { return };
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(poller) = &mut self.poller else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         // What came answers nothing that was asked here. Left where it is, it would answer the next question.
         if !poller.waits() || poller.connection != Some(key) {
             poller.connection.take_if(|kept| *kept == key);
@@ -183,7 +213,11 @@
     /// The platform's connection has ended. One that was kept may end at any time: then the round begins anew.
     pub(super) fn platform_lost(&mut self, key: ConnectionKey, since: i64) {
         let now = self.now();
-        let Some(poller) = self.poller.as_mut().filter(|poller| poller.connection == Some(key)) else {
+        let Some(poller) = self
+            .poller
+            .as_mut()
+            .filter(|poller| poller.connection == Some(key))
+        else {
             return;
         };
         poller.connection = None;
--- a/crates/control/src/host/links.rs
+++ b/crates/control/src/host/links.rs
@@ -23,8 +23,12 @@
 impl Host {
     /// The first bytes tell a replica from an agent.
     pub(super) fn who_is_it(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        let Some(first) = connection.input.first_chunk::<4>() else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Some(first) = connection.input.first_chunk::<4>() else {
+            return;
+        };
         if *first == SEAT {
             connection.input.drain(..SEAT.len());
             connection.role = Role::Replica { peer: None };
@@ -38,7 +42,9 @@
     /// A connection that was opened here is up.
     pub(super) fn came_up(&mut self, key: ConnectionKey) {
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         connection.heard = now;
         if let Role::Replica { peer: Some(peer) } = connection.role {
             let mut bytes = SEAT.to_vec();
@@ -56,7 +62,9 @@
 
     pub(super) fn read_replica(&mut self, key: ConnectionKey) {
         loop {
-            let Some(connection) = self.connections.get_mut(key) else { return };
+            let Some(connection) = self.connections.get_mut(key) else {
+                return;
+            };
             let said = match frames::take::<Said>(&mut connection.input) {
                 Ok(Some(said)) => said,
                 Ok(None) => return,
@@ -69,7 +77,9 @@
             match (said, connection.role) {
                 (Said::Quiet, _) => {}
                 (Said::Here(address), Role::Replica { peer: None }) => {
-                    connection.role = Role::Replica { peer: Some(address) };
+                    connection.role = Role::Replica {
+                        peer: Some(address),
+                    };
                     let mut bytes = Vec::new();
                     frames::put(&mut bytes, &Said::Here(self.address));
                     self.write(key, &bytes);
@@ -86,7 +96,9 @@
 
     pub(super) fn read_agent(&mut self, key: ConnectionKey) {
         loop {
-            let Some(connection) = self.connections.get_mut(key) else { return };
+            let Some(connection) = self.connections.get_mut(key) else {
+                return;
+            };
             match frames::take::<Up>(&mut connection.input) {
                 Ok(Some(up)) => self.feed(Input::Agent(key.data().as_ffi(), up)),
                 Ok(None) => return,
@@ -101,10 +113,13 @@
 
     /// A link with a peer has ended; another one with it takes its place, if there is one.
     pub(super) fn link_lost(&mut self, key: ConnectionKey, peer: Option<SocketAddr>) {
-        let Some(peer) = peer.filter(|peer| self.links.get(peer) == Some(&key)) else { return };
+        let Some(peer) = peer.filter(|peer| self.links.get(peer) == Some(&key)) else {
+            return;
+        };
         debug!(self.log, "a link has ended"; "peer" => peer.to_string());
         let other = self.connections.iter().find(|(_, connection)| {
-            connection.up && matches!(connection.role, Role::Replica { peer: Some(other) } if other == peer)
+            connection.up
+                && matches!(connection.role, Role::Replica { peer: Some(other) } if other == peer)
         });
         match other.map(|(key, _)| key) {
             Some(other) => _ = self.links.insert(peer, other),
@@ -121,7 +136,9 @@
         let mut opening: Vec<SocketAddr> = Vec::new();
         let (mut quiet, mut second) = (Vec::new(), Vec::new());
         for (key, connection) in &self.connections {
-            let Role::Replica { peer: Some(peer) } = connection.role else { continue };
+            let Role::Replica { peer: Some(peer) } = connection.role else {
+                continue;
+            };
             if !connection.up {
                 opening.push(peer);
                 continue;
@@ -142,7 +159,11 @@
             if peer == self.address || self.links.contains_key(&peer) || opening.contains(&peer) {
                 continue;
             }
-            let later = if self.address > peer { limits::REDIAL_SECOND } else { 0 };
+            let later = if self.address > peer {
+                limits::REDIAL_SECOND
+            } else {
+                0
+            };
             let since = *self.missed.entry(peer).or_insert(now);
             if now >= since + later {
                 self.missed.insert(peer, now + limits::REDIAL);
--- a/crates/control/src/host/lookups.rs
+++ b/crates/control/src/host/lookups.rs
@@ -13,7 +13,11 @@
 impl Lookups {
     /// The first of them waits until then.
     pub(super) fn wake(&self) -> i64 {
-        self.0.iter().map(|(_, _, until)| *until).min().unwrap_or(i64::MAX)
+        self.0
+            .iter()
+            .map(|(_, _, until)| *until)
+            .min()
+            .unwrap_or(i64::MAX)
     }
 }
 
@@ -22,7 +26,11 @@
     pub(super) fn lookup(&mut self, key: ConnectionKey, region: String) {
         let now = self.now();
         let expects = self.core.in_touch(now) || now < limits::LOOKUP_START;
-        let until = if expects && self.stopped.is_none() { now + limits::LOOKUP } else { now };
+        let until = if expects && self.stopped.is_none() {
+            now + limits::LOOKUP
+        } else {
+            now
+        };
         if !self.answered(now, key, &region, until) {
             self.lookups.0.push((key, region, until));
         }
--- a/crates/control/src/host/mod.rs
+++ b/crates/control/src/host/mod.rs
@@ -107,7 +107,8 @@
 /// An address can't be had, or the disk does not write.
 pub fn serve(settings: &Settings, log: Logger) -> eyre::Result<()> {
     let places = places(settings)?;
-    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).wrap_err("signals")?;
+    let signals =
+        Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).wrap_err("signals")?;
     let opened = Store::open(&places.folder, settings.bootstrap)?;
     if let Some(why) = &opened.lost {
         error!(log, "the disk can't be trusted and counts as empty"; "why" => why);
@@ -149,16 +150,25 @@
         stall: Stall::default(),
         next_upkeep: 0,
         stopped: None,
-        grace: settings.bounds.grace.0.saturating_sub(limits::GRACE_MARGIN).max(STAY),
+        grace: settings
+            .bounds
+            .grace
+            .0
+            .saturating_sub(limits::GRACE_MARGIN)
+            .max(STAY),
         failed: None,
     };
     let handle = events.handle();
-    let signalled = |event: calloop::signals::Event, _: &mut _, host: &mut Host| match event.signal() {
-        // The settings are read at the start alone: nothing here changes with them later.
-        Signal::SIGHUP => {}
-        _ => host.stop(),
-    };
-    handle.insert_source(signals, signalled).map_err(|e| e.error).wrap_err("signals")?;
+    let signalled =
+        |event: calloop::signals::Event, _: &mut _, host: &mut Host| match event.signal() {
+            // The settings are read at the start alone: nothing here changes with them later.
+            Signal::SIGHUP => {}
+            _ => host.stop(),
+        };
+    handle
+        .insert_source(signals, signalled)
+        .map_err(|e| e.error)
+        .wrap_err("signals")?;
     let reported = |event: Event<Heard>, _: &mut _, host: &mut Host| match event {
         Event::Msg(Heard::Written(number)) => {
             host.look_for_stall();
@@ -175,12 +185,19 @@
         Event::Msg(Heard::Failed(error)) => host.failed = Some(error),
         Event::Closed => {}
     };
-    handle.insert_source(written, reported).map_err(|e| e.error).wrap_err("disk: its reports")?;
-    for (address, role) in
-        [(places.core, Role::Fresh), (places.operators, Role::Operator), (places.clients, Role::Client)]
-    {
-        let listener = connections::listen(address).wrap_err_with(|| format!("listening at {address}"))?;
-        host.watch(listener, role).wrap_err_with(|| format!("listening at {address}"))?;
+    handle
+        .insert_source(written, reported)
+        .map_err(|e| e.error)
+        .wrap_err("disk: its reports")?;
+    for (address, role) in [
+        (places.core, Role::Fresh),
+        (places.operators, Role::Operator),
+        (places.clients, Role::Client),
+    ] {
+        let listener =
+            connections::listen(address).wrap_err_with(|| format!("listening at {address}"))?;
+        host.watch(listener, role)
+            .wrap_err_with(|| format!("listening at {address}"))?;
     }
     host.turn();
     while !host.finished() {
@@ -216,7 +233,11 @@
     fn next(&self) -> i64 {
         let poller = self.poller.as_ref().filter(|_| self.core.polls(self.now()));
         let poller = poller.map_or(i64::MAX, Poller::wake);
-        self.core.next().min(self.next_upkeep).min(poller).min(self.lookups.wake())
+        self.core
+            .next()
+            .min(self.next_upkeep)
+            .min(poller)
+            .min(self.lookups.wake())
     }
 
     fn stop(&mut self) {
@@ -232,14 +253,20 @@
         if self.core.handed_over() {
             info!(self.log, #AT_ONCE, "handed over: a majority holds all without this replica");
         } else {
-            warn!(self.log, "ends at the end of its grace, and a majority without it may not hold all");
+            warn!(
+                self.log,
+                "ends at the end of its grace, and a majority without it may not hold all"
+            );
         }
     }
 
     fn finished(&self) -> bool {
-        let Some(stopped) = self.stopped else { return self.failed.is_some() };
+        let Some(stopped) = self.stopped else {
+            return self.failed.is_some();
+        };
         let since = self.now() - stopped;
-        let owed = |connection: &Connection| connection.up && connection.backlog() > 0 || connection.waits;
+        let owed =
+            |connection: &Connection| connection.up && connection.backlog() > 0 || connection.waits;
         let idle = self.core.idle() && !self.connections.values().any(owed);
         let answered = since >= limits::STOP || (idle && since >= STAY);
         self.failed.is_some() || since >= self.grace || (answered && self.core.handed_over())
@@ -247,12 +274,16 @@
 
     fn watch(&mut self, listener: TcpListener, role: Role) -> io::Result<()> {
         let source = Generic::new(listener, Interest::READ, Mode::Level);
-        let accept =
-            move |_: Readiness, listener: &mut calloop::generic::NoIoDrop<TcpListener>, host: &mut Host| {
-                host.accept(listener, role);
-                Ok(PostAction::Continue)
-            };
-        self.handle.insert_source(source, accept).map(|_| ()).map_err(|e| e.error.into())
+        let accept = move |_: Readiness,
+                           listener: &mut calloop::generic::NoIoDrop<TcpListener>,
+                           host: &mut Host| {
+            host.accept(listener, role);
+            Ok(PostAction::Continue)
+        };
+        self.handle
+            .insert_source(source, accept)
+            .map(|_| ())
+            .map_err(|e| e.error.into())
     }
 
     fn accept(&mut self, listener: &TcpListener, role: Role) {
@@ -270,7 +301,9 @@
             if caller && self.callers >= limits::CALLERS {
                 continue;
             }
-            let ready = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
+            let ready = stream
+                .set_nonblocking(true)
+                .and_then(|()| stream.set_nodelay(true));
             if let Err(error) = ready.and_then(|()| self.register(stream, role, true).map(|_| ())) {
                 warn!(self.log, "a connection can't be taken"; "why" => error.to_string());
             } else if caller {
@@ -279,10 +312,17 @@
         }
     }
 
-    fn register(&mut self, stream: std::net::TcpStream, role: Role, up: bool) -> io::Result<ConnectionKey> {
+    fn register(
+        &mut self,
+        stream: std::net::TcpStream,
+        role: Role,
+        up: bool,
+    ) -> io::Result<ConnectionKey> {
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let key = self.connections.insert(Connection::new(stream, role, up, self.now()));
+        let key = self
+            .connections
+            .insert(Connection::new(stream, role, up, self.now()));
         let ready = move |_: Readiness, _: &mut _, host: &mut Host| {
             host.ready(key);
             Ok(PostAction::Continue)
@@ -301,7 +341,8 @@
 
     /// Opens a connection; it must come up by its deadline.
     fn connect(&mut self, address: SocketAddr, role: Role) -> Option<ConnectionKey> {
-        let opened = connections::connect(address).and_then(|stream| self.register(stream, role, false));
+        let opened =
+            connections::connect(address).and_then(|stream| self.register(stream, role, false));
         opened
             .inspect_err(|error| debug!(self.log, "connecting"; "peer" => address.to_string(), "why" => error.to_string()))
             .ok()
@@ -309,7 +350,9 @@
 
     /// Takes a connection out of all tables.
     fn close(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.remove(key) else { return };
+        let Some(connection) = self.connections.remove(key) else {
+            return;
+        };
         if let Some(token) = connection.token {
             self.handle.remove(token);
         }
@@ -324,7 +367,9 @@
 
     fn ready(&mut self, key: ConnectionKey) {
         self.look_for_stall();
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         if !connection.up {
             match connection.stream.take_error() {
                 Ok(None) if connection.stream.peer_addr().is_ok() => connection.up = true,
@@ -333,7 +378,11 @@
             }
             self.came_up(key);
         }
-        if self.connections.get(key).is_some_and(|connection| connection.backlog() > 0) {
+        if self
+            .connections
+            .get(key)
+            .is_some_and(|connection| connection.backlog() > 0)
+        {
             self.flush(key);
         }
         self.read(key);
@@ -343,7 +392,9 @@
     fn read(&mut self, key: ConnectionKey) {
         loop {
             let now = self.now();
-            let Some(connection) = self.connections.get_mut(key) else { return };
+            let Some(connection) = self.connections.get_mut(key) else {
+                return;
+            };
             // What follows waits until the request before it is answered.
             connection.unread = connection.waits && connection.input.len() >= limits::READ;
             if connection.unread {
@@ -362,7 +413,9 @@
                         self.look(key);
                     }
                 }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock && caller => return self.look(key),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock && caller => {
+                    return self.look(key);
+                }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return self.close(key),
@@ -385,7 +438,9 @@
     /// Appends bytes to what is to be written.
     fn write(&mut self, key: ConnectionKey, bytes: &[u8]) {
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         // Guards the memory against a peer that does not read.
         if connection.backlog() + bytes.len() > limits::BACKLOG {
             return self.close(key);
@@ -396,7 +451,11 @@
     }
 
     fn flush(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key).filter(|connection| connection.up) else {
+        let Some(connection) = self
+            .connections
+            .get_mut(key)
+            .filter(|connection| connection.up)
+        else {
             return;
         };
         while connection.backlog() > 0 {
@@ -451,7 +510,10 @@
     }
 
     fn send(&mut self, to: &[SocketAddr], peer_message: PeerMessage) {
-        let links: Vec<ConnectionKey> = to.iter().filter_map(|peer| self.links.get(peer).copied()).collect();
+        let links: Vec<ConnectionKey> = to
+            .iter()
+            .filter_map(|peer| self.links.get(peer).copied())
+            .collect();
         if links.is_empty() {
             return;
         }
@@ -494,7 +556,10 @@
                 Role::Platform => false,
             }
         };
-        let dead = self.connections.iter().filter(|(_, connection)| gone(connection));
+        let dead = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| gone(connection));
         for key in dead.map(|(key, _)| key).collect::<Vec<_>>() {
             self.close(key);
         }
--- a/crates/control/src/host/poller.rs
+++ b/crates/control/src/host/poller.rs
@@ -51,17 +51,32 @@
     pub(super) fn new(settings: &CloudApi) -> Poller {
         // Some calls are left for who had the duty before, and for a clock that runs a little off.
         let rate = (settings.per_s * 0.8).max(0.5);
-        let limits = FrameLimits { body_bytes: limits::PAGE_BYTES, ..FrameLimits::default() };
+        let limits = FrameLimits {
+            body_bytes: limits::PAGE_BYTES,
+            ..FrameLimits::default()
+        };
         let gap = (1e6 / rate) as i64;
         let (connection, round) = (None, None);
-        Poller { address: settings.addr, gap, next: 0, free: 0, connection, round, failed: 0, limits }
+        Poller {
+            address: settings.addr,
+            gap,
+            next: 0,
+            free: 0,
+            connection,
+            round,
+            failed: 0,
+            limits,
+        }
     }
 
     /// To be looked at again then, while this replica has the duty.
     pub(super) fn wake(&self) -> i64 {
         match &self.round {
             None => self.next.max(self.free),
-            Some(Round { deadline: Some(deadline), .. }) => *deadline,
+            Some(Round {
+                deadline: Some(deadline),
+                ..
+            }) => *deadline,
             Some(_) => self.free,
         }
     }
@@ -70,33 +85,53 @@
     pub(super) fn due(&mut self, now: i64) -> Option<String> {
         if self.round.is_none() && now >= self.next {
             self.next = now + limits::POLL;
-            self.round = Some(Round { servers: Vec::new(), page: None, deadline: None });
+            self.round = Some(Round {
+                servers: Vec::new(),
+                page: None,
+                deadline: None,
+            });
         }
-        let round = self.round.as_mut().filter(|round| round.deadline.is_none() && now >= self.free)?;
+        let round = self
+            .round
+            .as_mut()
+            .filter(|round| round.deadline.is_none() && now >= self.free)?;
         self.free = now + self.gap;
         round.deadline = Some(now + limits::PAGE);
         let query = round.page.as_deref().map(|page| {
             let page: String = form_urlencoded::byte_serialize(page.as_bytes()).collect();
             format!("?pagetok={page}")
         });
-        Some(format!("GET /insts{} HTTP/1.1\r\nHost: {}\r\n\r\n", query.unwrap_or_default(), self.address))
+        Some(format!(
+            "GET /insts{} HTTP/1.1\r\nHost: {}\r\n\r\n",
+            query.unwrap_or_default(),
+            self.address
+        ))
     }
 
     /// The page that is asked for has not come in time.
     pub(super) fn late(&self, now: i64) -> bool {
-        self.round.as_ref().and_then(|round| round.deadline).is_some_and(|deadline| now >= deadline)
+        self.round
+            .as_ref()
+            .and_then(|round| round.deadline)
+            .is_some_and(|deadline| now >= deadline)
     }
 
     /// A call is out.
     pub(super) fn waits(&self) -> bool {
-        self.round.as_ref().is_some_and(|round| round.deadline.is_some())
+        self.round
+            .as_ref()
+            .is_some_and(|round| round.deadline.is_some())
     }
 
     /// Gives the round up; the next one comes at its time. Gives whether too many have failed in a row.
     pub(super) fn give_up(&mut self) -> bool {
         self.round = None;
         self.failed += 1;
-        if self.failed >= FAILURES { std::mem::take(&mut self.failed) > 0 } else { false }
+        if self.failed >= FAILURES {
+            std::mem::take(&mut self.failed) > 0
+        } else {
+            false
+        }
     }
 
     /// This replica has not got the duty: what it has read so far is of no use later.
@@ -138,7 +173,11 @@
                 Ok((Come::List(round.servers), kept))
             }
             Some(next) => {
-                self.round = Some(Round { servers: round.servers, page: Some(next), deadline: None });
+                self.round = Some(Round {
+                    servers: round.servers,
+                    page: Some(next),
+                    deadline: None,
+                });
                 Ok((Come::Page, kept))
             }
         }
@@ -153,18 +192,33 @@
         let body = format!(
             r#"{{"insts":{{"cols":["id","svc","addr","zone"],"rows":[["i","s","10.0.0.1:80","a"]]}},"next_cursor":{next}}}"#
         );
-        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
+        .into_bytes()
     }
 
     #[test]
     fn a_list_is_whole_with_its_last_page_and_calls_keep_their_distance() {
-        let settings =
-            CloudApi { addr: "10.2.0.1:80".parse().unwrap(), per_s: 50.0, max_lag: Default::default() };
+        let settings = CloudApi {
+            addr: "10.2.0.1:80".parse().unwrap(),
+            per_s: 50.0,
+            max_lag: Default::default(),
+        };
         let mut poller = Poller::new(&settings);
         assert!(poller.due(0).unwrap().starts_with("GET /insts HTTP"));
-        assert!(matches!(poller.read(&mut page(r#""p/1""#)).unwrap().0, Come::Page));
+        assert!(matches!(
+            poller.read(&mut page(r#""p/1""#)).unwrap().0,
+            Come::Page
+        ));
         assert!(poller.due(1_000).is_none());
-        assert!(poller.due(poller.wake()).unwrap().starts_with("GET /insts?pagetok=p%2F1 HTTP"));
+        assert!(
+            poller
+                .due(poller.wake())
+                .unwrap()
+                .starts_with("GET /insts?pagetok=p%2F1 HTTP")
+        );
         match poller.read(&mut page("null")).unwrap().0 {
             Come::List(servers) => assert_eq!(servers.len(), 2),
             _ => panic!("no list"),
@@ -172,21 +226,31 @@
         // Over the rate: nothing of the round counts, and the next one comes at its time.
         assert!(poller.due(900_000).is_none());
         assert!(poller.due(1_000_000).is_some());
-        assert!(poller.read(&mut b"HTTP/1.1 429 x\r\nContent-Length: 0\r\n\r\n".to_vec()).is_err());
+        assert!(
+            poller
+                .read(&mut b"HTTP/1.1 429 x\r\nContent-Length: 0\r\n\r\n".to_vec())
+                .is_err()
+        );
         assert!(poller.due(1_900_000).is_none() && poller.due(2_000_000).is_some());
         assert!(!poller.late(2_999_999) && poller.late(3_000_000));
     }
 
     #[test]
     fn behind_a_second_answer_no_other_question_goes_on_the_same_connection() {
-        let settings =
-            CloudApi { addr: "10.2.0.1:80".parse().unwrap(), per_s: 50.0, max_lag: Default::default() };
+        let settings = CloudApi {
+            addr: "10.2.0.1:80".parse().unwrap(),
+            per_s: 50.0,
+            max_lag: Default::default(),
+        };
         for cut in 0..=page("null").len() {
             let mut poller = Poller::new(&settings);
             assert!(poller.due(0).is_some());
             let mut input = [page(r#""p/1""#), page("null")[..cut].to_vec()].concat();
             let (come, kept) = poller.read(&mut input).unwrap();
-            assert!(matches!(come, Come::Page) && kept == (cut == 0), "{cut} bytes behind it");
+            assert!(
+                matches!(come, Come::Page) && kept == (cut == 0),
+                "{cut} bytes behind it"
+            );
         }
     }
 }
--- a/crates/control/src/host/stall.rs
+++ b/crates/control/src/host/stall.rs
@@ -43,13 +43,18 @@
 impl Host {
     /// Looks whether the process stood still; if so, all its links are given up.
     pub(super) fn look_for_stall(&mut self) {
-        let Some(stood) = self.stall.stood(self.now()) else { return };
+        let Some(stood) = self.stall.stood(self.now()) else {
+            return;
+        };
         info!(self.log, #AT_ONCE, "stood still: all links are given up"; "ms" => stood / 1_000);
-        let old = self.connections.iter().filter(|(_, connection)| match connection.role {
-            Role::Fresh | Role::Replica { .. } | Role::Agent | Role::Platform => true,
-            // These end by themselves, where the caller is gone.
-            Role::Operator | Role::Client => false,
-        });
+        let old = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| match connection.role {
+                Role::Fresh | Role::Replica { .. } | Role::Agent | Role::Platform => true,
+                // These end by themselves, where the caller is gone.
+                Role::Operator | Role::Client => false,
+            });
         for key in old.map(|(key, _)| key).collect::<Vec<ConnectionKey>>() {
             self.close(key);
         }
@@ -70,7 +75,10 @@
         }
         assert!(!stall.lasts());
         let now = 99 * 200_000 + limits::STOOD;
-        assert_eq!((stall.stood(now), stall.stood(now + 1)), (Some(limits::STOOD), None));
+        assert_eq!(
+            (stall.stood(now), stall.stood(now + 1)),
+            (Some(limits::STOOD), None)
+        );
         (0..limits::STOOD_TURNS).for_each(|_| {
             assert!(stall.lasts());
             stall.turned(now + 2);
--- a/crates/control/src/lookup.rs
+++ b/crates/control/src/lookup.rs
@@ -14,11 +14,19 @@
 
 /// The addresses for a client of a region, best first; none where no edge is ready.
 pub fn addresses(members: &[&Told], region: &str) -> Vec<SocketAddr> {
-    let ready = || members.iter().filter(|told| told.standing == Standing::Ready);
+    let ready = || {
+        members
+            .iter()
+            .filter(|told| told.standing == Standing::Ready)
+    };
     let near = ready().filter(|told| told.edge.region == region);
     let mut found: Vec<SocketAddr> = near.map(|told| told.edge.http).collect();
     if found.len() < FEW {
-        found.extend(ready().filter(|told| told.edge.region != region).map(|told| told.edge.http));
+        found.extend(
+            ready()
+                .filter(|told| told.edge.region != region)
+                .map(|told| told.edge.http),
+        );
     }
     found.truncate(limits::ADDRESSES);
     found
@@ -28,13 +36,17 @@
 pub fn region(target: &str) -> Option<String> {
     let query = target.split_once('?')?.1;
     let mut pairs = form_urlencoded::parse(query.as_bytes());
-    pairs.find(|(key, _)| key == "region").map(|(_, value)| value.into_owned())
+    pairs
+        .find(|(key, _)| key == "region")
+        .map(|(_, value)| value.into_owned())
 }
 
 /// The body of an answer that holds for `ttl` microseconds.
 pub fn body(addresses: &[SocketAddr], ttl: i64) -> Vec<u8> {
     let addresses: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
-    json!({"addrs": addresses, "ttl": format!("{}ms", ttl / 1_000)}).to_string().into_bytes()
+    json!({"addrs": addresses, "ttl": format!("{}ms", ttl / 1_000)})
+        .to_string()
+        .into_bytes()
 }
 
 #[cfg(test)]
@@ -61,7 +73,11 @@
         };
         let members: Vec<Told> = edges.split(' ').enumerate().map(one).collect();
         let found = addresses(&members.iter().collect::<Vec<_>>(), asked);
-        found.iter().map(|address| address.to_string()[7..8].to_string()).collect::<Vec<_>>().join(" ")
+        found
+            .iter()
+            .map(|address| address.to_string()[7..8].to_string())
+            .collect::<Vec<_>>()
+            .join(" ")
     }
 
     #[test_case("ar ar br br", "a", "0 1"; "the region's own")]
@@ -76,9 +92,16 @@
 
     #[test]
     fn a_query_is_read_and_an_answer_written() {
-        assert_eq!(region("/api/lookup?name=x.example&region=serra&zone=a").as_deref(), Some("serra"));
-        assert_eq!((region("/api/lookup"), region("/api/lookup?name=x")), (None, None));
-        let text = String::from_utf8(body(&["10.1.0.33:8686".parse().unwrap()], 2_000_000)).unwrap();
+        assert_eq!(
+            region("/api/lookup?name=x.example&region=serra&zone=a").as_deref(),
+            Some("serra")
+        );
+        assert_eq!(
+            (region("/api/lookup"), region("/api/lookup?name=x")),
+            (None, None)
+        );
+        let text =
+            String::from_utf8(body(&["10.1.0.33:8686".parse().unwrap()], 2_000_000)).unwrap();
         assert_eq!(text, r#"{"addrs":["10.1.0.33:8686"],"ttl":"2000ms"}"#);
     }
 }
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -5,7 +5,11 @@
 use protocol::program::{self, Started};
 
 fn main() -> ExitCode {
-    program::run("control", control::host::check, |Started { settings, ring, .. }| {
-        control::host::serve(&settings, ring.logger("control", &settings.node))
-    })
+    program::run(
+        "control",
+        control::host::check,
+        |Started { settings, ring, .. }| {
+            control::host::serve(&settings, ring.logger("control", &settings.node))
+        },
+    )
 }
--- a/crates/control/tests/answers.rs
+++ b/crates/control/tests/answers.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 
 use control::calls::Command;
-use control::core::peer_messages::{Beat, Body, Duty, Incarnation, PeerMessage, QuestionId, Speaker, Term};
+use control::core::peer_messages::{
+    Beat, Body, Duty, Incarnation, PeerMessage, QuestionId, Speaker, Term,
+};
 use control::core::transfer::{Bounds, Piece, Then};
 use control::core::{Core, Input, Output, Own, Restored, Setup};
 
@@ -14,7 +16,11 @@
 const RUN: u32 = 2;
 
 fn speaker(replica: u8, run: u32) -> Speaker {
-    Speaker { replica, incarnation: Incarnation::FIRST, run }
+    Speaker {
+        replica,
+        incarnation: Incarnation::FIRST,
+        run,
+    }
 }
 
 fn address(replica: u8) -> SocketAddr {
@@ -44,9 +50,16 @@
             seeds: Vec::new(),
             seed: 1,
             bounds: Bounds::default(),
-            restored: Restored { own, ..Restored::default() },
+            restored: Restored {
+                own,
+                ..Restored::default()
+            },
         };
-        Asker { core: Core::new(0, setup), now: 0, out: Vec::new() }
+        Asker {
+            core: Core::new(0, setup),
+            now: 0,
+            out: Vec::new(),
+        }
     }
 
     fn take(&mut self, input: Input) {
@@ -55,14 +68,24 @@
 
     fn heard(&mut self, replica: u8, body: Body) {
         let incarnations = vec![Incarnation::FIRST; 3];
-        let message = PeerMessage { by: speaker(replica, 1), incarnations, body };
+        let message = PeerMessage {
+            by: speaker(replica, 1),
+            incarnations,
+            body,
+        };
         self.take(Input::PeerMessage(address(replica), message));
     }
 
     /// It hears both of the others, and both hear it.
     fn in_touch(&mut self) {
         for replica in [1, 2] {
-            self.heard(replica, Body::Beat(Beat { hears: 0b111, ..Beat::default() }));
+            self.heard(
+                replica,
+                Body::Beat(Beat {
+                    hears: 0b111,
+                    ..Beat::default()
+                }),
+            );
         }
     }
 
@@ -79,7 +102,12 @@
     let mut asker = Asker::new();
     let bid = |asker: &Asker| {
         asker.sent().find_map(|body| match body {
-            Body::Bid { duty: Duty::Poll, term, at, .. } => Some((*term, *at)),
+            Body::Bid {
+                duty: Duty::Poll,
+                term,
+                at,
+                ..
+            } => Some((*term, *at)),
             _ => None,
         })
     };
@@ -94,7 +122,10 @@
     // Its clock counts from its start, and its term was not on disk when the process before it ended.
     let vote = |run| Body::Vote {
         duty: Duty::Poll,
-        term: Term { number, by: speaker(0, run) },
+        term: Term {
+            number,
+            by: speaker(0, run),
+        },
         at,
         granted: true,
         newest: number,
@@ -111,7 +142,11 @@
 
 /// The answer of one that has accepted the same as the asking one.
 fn same() -> Piece {
-    Piece { after: None, items: Vec::new(), then: Then::End }
+    Piece {
+        after: None,
+        items: Vec::new(),
+        then: Then::End,
+    }
 }
 
 #[test]
@@ -126,11 +161,25 @@
     });
     let id = asked.expect("a question");
     assert_eq!(id.by, speaker(0, RUN));
-    let answered = |asker: &Asker| asker.out.iter().any(|output| matches!(output, Output::Answer(7, _)));
+    let answered = |asker: &Asker| {
+        asker
+            .out
+            .iter()
+            .any(|output| matches!(output, Output::Answer(7, _)))
+    };
     // "The same as the asking one": that was another one.
     for replica in [1, 2] {
-        let before = QuestionId { by: speaker(0, RUN - 1), ..id };
-        asker.heard(replica, Body::Registers { id: before, piece: same() });
+        let before = QuestionId {
+            by: speaker(0, RUN - 1),
+            ..id
+        };
+        asker.heard(
+            replica,
+            Body::Registers {
+                id: before,
+                piece: same(),
+            },
+        );
         assert!(!answered(&asker));
     }
     asker.heard(2, Body::Registers { id, piece: same() });
--- a/crates/control/tests/core.rs
+++ b/crates/control/tests/core.rs
@@ -51,14 +51,28 @@
 fn of_two_contents_for_one_version_one_stands_and_one_is_acknowledged() {
     for seed in 0..40 {
         let mut cluster = started(seed);
-        let calls = [cluster.call(0, service("s", 7, 1)), cluster.call(5, service("s", 7, 2))];
+        let calls = [
+            cluster.call(0, service("s", 7, 1)),
+            cluster.call(5, service("s", 7, 2)),
+        ];
         cluster.run(2 * SECOND);
         let replies = calls.map(|call| cluster.reply(call));
-        let done = replies.iter().filter(|reply| **reply == Some(Reply::Done)).count();
-        assert_eq!((done, replies.contains(&Some(Reply::Conflict))), (1, true), "{seed}: {replies:?}");
+        let done = replies
+            .iter()
+            .filter(|reply| **reply == Some(Reply::Done))
+            .count();
+        assert_eq!(
+            (done, replies.contains(&Some(Reply::Conflict))),
+            (1, true),
+            "{seed}: {replies:?}"
+        );
         cluster.check_contents();
         assert!(cluster.agree() && cluster.chosen(0).len() == 1, "{seed}");
-        let won = if replies[0] == Some(Reply::Done) { "/1" } else { "/2" };
+        let won = if replies[0] == Some(Reply::Done) {
+            "/1"
+        } else {
+            "/2"
+        };
         assert!(read_back(&mut cluster, 3).contains(won));
     }
 }
@@ -103,7 +117,10 @@
     cluster.run(1_500 * MS);
     let mut lines = vec![cluster.line(&["s"])];
     // The part without a majority says so at once.
-    assert!(matches!(cluster.ask(1, service("s", 2, 1)), Some(Reply::Unavailable(_))));
+    assert!(matches!(
+        cluster.ask(1, service("s", 2, 1)),
+        Some(Reply::Unavailable(_))
+    ));
     assert!(matches!(cluster.reply(early), Some(Reply::Unavailable(_))));
     assert_eq!(cluster.ask(2, service("s", 3, 1)), Some(Reply::Done));
     cluster.run(2 * SECOND);
@@ -124,12 +141,23 @@
 #[test_case(false; "the smaller part is heard and does not hear")]
 fn of_a_core_cut_one_way_only_the_larger_part_acknowledges(hears: bool) {
     let mut cluster = started(16);
-    let pairs = [0, 1].into_iter().flat_map(|one| [2, 3, 4, 5].map(|other| (one, other)));
-    cluster.cuts.extend(pairs.map(|(one, other)| if hears { (one, other) } else { (other, one) }));
+    let pairs = [0, 1]
+        .into_iter()
+        .flat_map(|one| [2, 3, 4, 5].map(|other| (one, other)));
+    cluster
+        .cuts
+        .extend(pairs.map(|(one, other)| if hears { (one, other) } else { (other, one) }));
     let early = cluster.call(1, service("s", 1, 1));
     cluster.run(1_500 * MS);
-    assert!(matches!(cluster.reply(early), Some(Reply::Unavailable(_))), "{:?}", cluster.reply(early));
-    assert!(matches!(cluster.ask(0, service("s", 2, 2)), Some(Reply::Unavailable(_))));
+    assert!(
+        matches!(cluster.reply(early), Some(Reply::Unavailable(_))),
+        "{:?}",
+        cluster.reply(early)
+    );
+    assert!(matches!(
+        cluster.ask(0, service("s", 2, 2)),
+        Some(Reply::Unavailable(_))
+    ));
     assert_eq!(cluster.ask(2, service("s", 3, 3)), Some(Reply::Done));
     cluster.run(2 * SECOND);
     let mut lines = vec![cluster.line(&["s"])];
@@ -146,7 +174,11 @@
         ),
     );
     cluster.check_contents();
-    assert!(cluster.agree() && cluster.faults.is_empty(), "{:?}", cluster.faults);
+    assert!(
+        cluster.agree() && cluster.faults.is_empty(),
+        "{:?}",
+        cluster.faults
+    );
 }
 
 #[test]
@@ -232,8 +264,14 @@
     cluster.kill(0);
     cluster.kill(1);
     cluster.kill(new);
-    assert!(!matches!(cluster.ask(2, service("s", 9, 2)), Some(Reply::Done)));
-    assert!(matches!(cluster.ask(5, Command::Get), Some(Reply::Unavailable(_))));
+    assert!(!matches!(
+        cluster.ask(2, service("s", 9, 2)),
+        Some(Reply::Done)
+    ));
+    assert!(matches!(
+        cluster.ask(5, Command::Get),
+        Some(Reply::Unavailable(_))
+    ));
     lines.push(cluster.line(&["s"]));
     cluster.start(new);
     cluster.run(2 * SECOND);
@@ -286,7 +324,10 @@
     cluster.start(5);
     cluster.run(2 * SECOND);
     let mut lines = vec![cluster.line(&["s"])];
-    assert!(matches!(cluster.ask(5, Command::Get), Some(Reply::Unavailable(_))));
+    assert!(matches!(
+        cluster.ask(5, Command::Get),
+        Some(Reply::Unavailable(_))
+    ));
     cluster.heal();
     cluster.run(SECOND);
     lines.push(cluster.line(&["s"]));
@@ -316,19 +357,46 @@
         Incarnation::FIRST,
         core.incarnation(),
     ];
-    let by = Speaker { replica: 0, incarnation: Incarnation::FIRST, run: 1 };
-    let names = vec![Name { kind: Kind::Tenant, name: "t".to_string() }];
-    let body = Body::Prepare { ballot: Ballot { round: 1, ..Ballot::default() }, names };
+    let by = Speaker {
+        replica: 0,
+        incarnation: Incarnation::FIRST,
+        run: 1,
+    };
+    let names = vec![Name {
+        kind: Kind::Tenant,
+        name: "t".to_string(),
+    }];
+    let body = Body::Prepare {
+        ballot: Ballot {
+            round: 1,
+            ..Ballot::default()
+        },
+        names,
+    };
     let mut out = Vec::new();
     // Below the highest promise, on a register of which nobody knows anything any more.
-    let peer_message = PeerMessage { by, incarnations, body };
+    let peer_message = PeerMessage {
+        by,
+        incarnations,
+        body,
+    };
     core.take(
         node.clock.at(cluster.now),
         Input::PeerMessage("10.0.0.0:7740".parse().unwrap(), peer_message),
         &mut out,
     );
-    let refused =
-        |output: &Output| matches!(output, Output::Send(_, PeerMessage { body: Body::Nack { .. }, .. }));
+    let refused = |output: &Output| {
+        matches!(
+            output,
+            Output::Send(
+                _,
+                PeerMessage {
+                    body: Body::Nack { .. },
+                    ..
+                }
+            )
+        )
+    };
     assert!(out.iter().any(refused), "{out:?}");
 }
 
@@ -343,8 +411,13 @@
     let heard = |cluster: &Cluster| {
         // Nothing in it, and not the first: a sign of life.
         let sign = |(at, down): &(usize, &Down)| *at > 1 && *down == &Down::Items(Vec::new());
-        let told = cluster.nodes[5].told.iter().map(|(_, down)| down).enumerate();
-        let told = told.filter(|told| !matches!(told.1, Down::Who(_) | Down::Levels { .. }) && !sign(told));
+        let told = cluster.nodes[5]
+            .told
+            .iter()
+            .map(|(_, down)| down)
+            .enumerate();
+        let told = told
+            .filter(|told| !matches!(told.1, Down::Who(_) | Down::Levels { .. }) && !sign(told));
         told.map(|(_, down)| match down {
             Down::Items(items) => format!("{} items", items.len()),
             down => format!("{down:?}"),
@@ -358,21 +431,55 @@
 
 #[test]
 fn the_only_replica_there_is_tells_the_whole() {
-    let own = Own { incarnation: Incarnation::FIRST, run: 1, ..Own::default() };
+    let own = Own {
+        incarnation: Incarnation::FIRST,
+        run: 1,
+        ..Own::default()
+    };
     let (zones, zone, seeds) = (vec!["a".to_string()], "a".to_string(), Vec::new());
-    let (address, restored) = ("10.0.0.0:7740".parse().ok(), Restored { own, ..Restored::default() });
-    let mut core = Core::new(0, Setup { zones, zone, address, seeds, seed: 1, restored, ..Setup::default() });
+    let (address, restored) = (
+        "10.0.0.0:7740".parse().ok(),
+        Restored {
+            own,
+            ..Restored::default()
+        },
+    );
+    let mut core = Core::new(
+        0,
+        Setup {
+            zones,
+            zone,
+            address,
+            seeds,
+            seed: 1,
+            restored,
+            ..Setup::default()
+        },
+    );
     let mut out = Vec::new();
     core.take(0, Input::Agent(1, Up::Hello(edge("e1", "a"))), &mut out);
     (1..10).for_each(|beat| core.take(beat * 500 * MS, Input::Tick, &mut out));
-    assert!(out.iter().any(|output| matches!(output, Output::Tell(_, Down::Whole))), "{out:?}");
+    assert!(
+        out.iter()
+            .any(|output| matches!(output, Output::Tell(_, Down::Whole))),
+        "{out:?}"
+    );
 }
 
 #[test]
 fn all_killed_at_once_come_back_with_what_was_acknowledged() {
     let mut cluster = started(5);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
-    assert_eq!(cluster.ask(1, Command::Drain { zone: "c".into(), on: true }), Some(Reply::Done));
+    assert_eq!(
+        cluster.ask(
+            1,
+            Command::Drain {
+                zone: "c".into(),
+                on: true
+            }
+        ),
+        Some(Reply::Done)
+    );
     let terms = cluster.terms.clone();
     ALL.iter().for_each(|at| cluster.kill(*at));
     let mut lines = vec![cluster.line(&["s", "c"])];
@@ -391,7 +498,11 @@
     );
     // The terms of the duties go on rising.
     for duty in Duty::ALL {
-        let before = terms.keys().filter(|(of, _)| *of == duty).map(|(_, term)| *term).max();
+        let before = terms
+            .keys()
+            .filter(|(of, _)| *of == duty)
+            .map(|(_, term)| *term)
+            .max();
         assert!(Some(cluster.holders(duty)[0].1) > before, "{duty:?}");
     }
 }
@@ -427,7 +538,10 @@
         8.7s  oP  o   o   .   oC  o",
     );
     let after = cluster.holders(Duty::Count)[0];
-    assert!(after.0 != before.0 && after.1 > before.1 + 1, "{before:?} {after:?}");
+    assert!(
+        after.0 != before.0 && after.1 > before.1 + 1,
+        "{before:?} {after:?}"
+    );
     assert!(cluster.faults.is_empty(), "{:?}", cluster.faults);
 }
 
@@ -436,7 +550,10 @@
 fn after_all_were_killed_the_list_is_there_before_anybody_has_the_duty() {
     let mut cluster = started(5);
     let polls = |cluster: &Cluster, at: usize| {
-        cluster.nodes[at].core.as_ref().is_some_and(|core| core.polls(cluster.now))
+        cluster.nodes[at]
+            .core
+            .as_ref()
+            .is_some_and(|core| core.polls(cluster.now))
     };
     ALL.iter().for_each(|at| cluster.kill(*at));
     ALL.iter().for_each(|at| cluster.start(*at));
@@ -450,11 +567,18 @@
     let told = |cluster: &Cluster| {
         let told = cluster.nodes[2].told.iter().rev();
         told.into_iter().find_map(|(_, down)| {
-            if let Down::Servers { version, .. } = down { Some(*version) } else { None }
+            if let Down::Servers { version, .. } = down {
+                Some(*version)
+            } else {
+                None
+            }
         })
     };
     assert_eq!(told(&cluster), Some((0, 1)));
-    assert!(ALL.iter().all(|at| !polls(&cluster, *at)), "a list is known");
+    assert!(
+        ALL.iter().all(|at| !polls(&cluster, *at)),
+        "a list is known"
+    );
     // Any list of a poller goes before it.
     cluster.run(2 * SECOND);
     let (holder, term) = cluster.holders(Duty::Poll)[0];
@@ -505,16 +629,33 @@
     cluster.run(230 * MS);
     assert_eq!(cluster.reply(first), Some(Reply::Done));
     assert_eq!(cluster.ask(5, call("s")), Some(Reply::Done));
-    assert!(matches!(cluster.ask(5, call("unknown")), Some(Reply::Invalid(text)) if text.contains("svc")));
+    assert!(
+        matches!(cluster.ask(5, call("unknown")), Some(Reply::Invalid(text)) if text.contains("svc"))
+    );
     cluster.run(SECOND);
     assert!(cluster.agree());
-    assert_eq!(cluster.chosen(3).keys().filter(|name| name.kind == Kind::Route).count(), 350);
+    assert_eq!(
+        cluster
+            .chosen(3)
+            .keys()
+            .filter(|name| name.kind == Kind::Route)
+            .count(),
+        350
+    );
 }
 
 #[test]
 fn an_evacuation_is_begun_and_ended_once() {
     let mut cluster = started(8);
-    let mut drain = |zone: &str, on| cluster.ask(2, Command::Drain { zone: zone.into(), on });
+    let mut drain = |zone: &str, on| {
+        cluster.ask(
+            2,
+            Command::Drain {
+                zone: zone.into(),
+                on,
+            },
+        )
+    };
     assert_eq!(drain("c", false), Some(Reply::Done));
     assert_eq!(drain("c", true), Some(Reply::Done));
     assert_eq!(drain("c", true), Some(Reply::Done));
@@ -553,7 +694,12 @@
 
 fn edge(node: &str, zone: &str) -> Edge {
     let http = "10.1.0.9:8686".parse().unwrap();
-    Edge { node: node.to_string(), zone: zone.to_string(), region: "r".to_string(), http }
+    Edge {
+        node: node.to_string(),
+        zone: zone.to_string(),
+        region: "r".to_string(),
+        http,
+    }
 }
 
 #[test]
@@ -565,7 +711,10 @@
     let members = |cluster: &Cluster, at: usize| {
         let core = cluster.nodes[at].core.as_ref().unwrap();
         let now = cluster.nodes[at].clock.at(cluster.now);
-        core.members(now).iter().map(|told| (told.edge.node.clone(), told.standing)).collect::<Vec<_>>()
+        core.members(now)
+            .iter()
+            .map(|told| (told.edge.node.clone(), told.standing))
+            .collect::<Vec<_>>()
     };
     let ready = vec![("e1".to_string(), Standing::Ready)];
     assert!(ALL.iter().all(|at| members(&cluster, *at) == ready));
@@ -574,14 +723,31 @@
     cluster.feed(4, Input::Agent(2, Up::Hello(edge("e1", "a"))));
     cluster.feed(4, Input::Agent(2, Up::Beat(Standing::Leaving)));
     cluster.run(100 * MS);
-    assert!(ALL.iter().all(|at| members(&cluster, *at) == [("e1".to_string(), Standing::Leaving)]));
+    assert!(
+        ALL.iter()
+            .all(|at| members(&cluster, *at) == [("e1".to_string(), Standing::Leaving)])
+    );
     cluster.run(4 * SECOND);
     assert!(ALL.iter().all(|at| members(&cluster, *at).is_empty()));
 
-    let add = |time| Up::Adds { batch: 5, time, adds: vec![Add { name: 1, units: 2.0, life: SECOND }] };
+    let add = |time| Up::Adds {
+        batch: 5,
+        time,
+        adds: vec![Add {
+            name: 1,
+            units: 2.0,
+            life: SECOND,
+        }],
+    };
     cluster.feed(3, Input::Agent(3, add(TIME)));
     cluster.feed(2, Input::Agent(4, add(TIME)));
-    assert_eq!(cluster.nodes[3].told.last().unwrap().1, Down::Totals { batch: 5, totals: vec![2.0] });
+    assert_eq!(
+        cluster.nodes[3].told.last().unwrap().1,
+        Down::Totals {
+            batch: 5,
+            totals: vec![2.0]
+        }
+    );
     assert_eq!(cluster.nodes[2].told.last().unwrap().1, Down::NotCounted(5));
 }
 
@@ -591,7 +757,15 @@
 #[test]
 fn limiters_whose_clocks_are_apart_do_not_count_side_by_side() {
     let mut cluster = started(10);
-    let add = |time| Up::Adds { batch: 5, time, adds: vec![Add { name: 1, units: 2.0, life: 90 * SECOND }] };
+    let add = |time| Up::Adds {
+        batch: 5,
+        time,
+        adds: vec![Add {
+            name: 1,
+            units: 2.0,
+            life: 90 * SECOND,
+        }],
+    };
     let counted = |cluster: &mut Cluster, link, time| {
         cluster.feed(3, Input::Agent(link, add(time)));
         matches!(cluster.nodes[3].told.last(), Some((_, Down::Totals { .. })))
@@ -612,7 +786,10 @@
     cluster.run(SECOND);
     cluster.feed(5, Input::Agent(9, Up::Clock(0)));
     let told = cluster.nodes[5].told.last().unwrap();
-    assert!(matches!(told, (9, Down::Time(time)) if *time > TIME + 4 * SECOND), "{told:?}");
+    assert!(
+        matches!(told, (9, Down::Time(time)) if *time > TIME + 4 * SECOND),
+        "{told:?}"
+    );
 }
 
 #[test]
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -21,12 +21,20 @@
 
 fn edge(node: &str) -> Edge {
     let http = "10.1.0.9:8686".parse().unwrap();
-    Edge { node: node.to_string(), zone: "e".to_string(), region: "r2".to_string(), http }
+    Edge {
+        node: node.to_string(),
+        zone: "e".to_string(),
+        region: "r2".to_string(),
+        http,
+    }
 }
 
 fn in_touch(cluster: &Cluster) -> bool {
     let node = &cluster.nodes[AT];
-    node.core.as_ref().unwrap().in_touch(node.clock.at(cluster.now))
+    node.core
+        .as_ref()
+        .unwrap()
+        .in_touch(node.clock.at(cluster.now))
 }
 
 fn told(cluster: &Cluster, wanted: impl Fn(&Down) -> bool) -> bool {
@@ -58,7 +66,10 @@
     for after in [0, 500 * MS, 2 * SECOND, 20 * SECOND] {
         cluster.run(after);
         let reply = cluster.ask(AT, command.clone());
-        assert!(matches!(reply, Some(Reply::Unavailable(_))), "{after}: {reply:?}");
+        assert!(
+            matches!(reply, Some(Reply::Unavailable(_))),
+            "{after}: {reply:?}"
+        );
     }
 }
 
@@ -69,8 +80,14 @@
     cluster.run(2 * SECOND);
     cluster.feed(AT, Input::Agent(1, Up::Hello(edge("e1"))));
     cluster.run(SECOND);
-    assert!(told(&cluster, |down| matches!(down, Down::Who(who) if !who.in_touch && who.holder.is_none())));
-    assert!(told(&cluster, |down| matches!(down, Down::Items(items) if !items.is_empty())));
+    assert!(told(
+        &cluster,
+        |down| matches!(down, Down::Who(who) if !who.in_touch && who.holder.is_none())
+    ));
+    assert!(told(
+        &cluster,
+        |down| matches!(down, Down::Items(items) if !items.is_empty())
+    ));
     assert!(!told(&cluster, |down| *down == Down::Whole));
     assert_eq!(cluster.ask(0, service("s", 2, 2)), Some(Reply::Done));
     cluster.heal();
@@ -96,10 +113,28 @@
     let others: Vec<usize> = (0..6).filter(|at| *at != holder).collect();
     cluster.cut(&[holder], &others);
     cluster.run(1_500 * MS);
-    let adds = Up::Adds { batch: 5, time: 0, adds: vec![Add { name: 1, units: 2.0, life: SECOND }] };
+    let adds = Up::Adds {
+        batch: 5,
+        time: 0,
+        adds: vec![Add {
+            name: 1,
+            units: 2.0,
+            life: SECOND,
+        }],
+    };
     cluster.feed(holder, Input::Agent(3, adds));
-    assert!(cluster.nodes[holder].told.iter().any(|(_, down)| *down == Down::NotCounted(5)));
-    assert!(!cluster.nodes[holder].told.iter().any(|(_, down)| matches!(down, Down::Totals { .. })));
+    assert!(
+        cluster.nodes[holder]
+            .told
+            .iter()
+            .any(|(_, down)| *down == Down::NotCounted(5))
+    );
+    assert!(
+        !cluster.nodes[holder]
+            .told
+            .iter()
+            .any(|(_, down)| matches!(down, Down::Totals { .. }))
+    );
 }
 
 #[test]
@@ -113,9 +148,18 @@
     while !in_touch(&cluster) {
         cluster.run(10 * MS);
     }
-    assert!(cluster.chosen(AT).values().any(|item| item.ver == 1 && item.spec.is_some()), "it knows by now");
+    assert!(
+        cluster
+            .chosen(AT)
+            .values()
+            .any(|item| item.ver == 1 && item.spec.is_some()),
+        "it knows by now"
+    );
     let reply = cluster.ask(AT, route("s"));
-    assert!(matches!(&reply, Some(Reply::Invalid(text)) if text.contains("no service")), "{reply:?}");
+    assert!(
+        matches!(&reply, Some(Reply::Invalid(text)) if text.contains("no service")),
+        "{reply:?}"
+    );
 }
 
 /// How long it is out of touch, and how: edges that others hold, and the one that it holds itself.
@@ -146,7 +190,11 @@
     }
     // As it is asked first, before anything else comes to it.
     let node = &cluster.nodes[AT];
-    let members = node.core.as_ref().unwrap().members(node.clock.at(cluster.now));
+    let members = node
+        .core
+        .as_ref()
+        .unwrap()
+        .members(node.clock.at(cluster.now));
     let members: Vec<&str> = members.iter().map(|told| told.edge.node.as_str()).collect();
     assert_eq!(members, named);
 }
--- a/crates/control/tests/cut_off_programs.rs
+++ b/crates/control/tests/cut_off_programs.rs
@@ -18,22 +18,53 @@
 
 fn whole(folder: &TempDir) -> Whole {
     let programs = beside(Path::new(env!("CARGO_BIN_EXE_control")), env!("CARGO"));
-    Whole::start(folder.path(), &programs, Size { zones: 3, edges: 1, net: net() }, soon()).unwrap()
+    Whole::start(
+        folder.path(),
+        &programs,
+        Size {
+            zones: 3,
+            edges: 1,
+            net: net(),
+        },
+        soon(),
+    )
+    .unwrap()
 }
 
 fn asked(whole: &Whole, replica: usize, method: &str, path: &str, body: &str) -> Reply {
-    call(whole.machines.ctl(replica), method, path, "", body.as_bytes(), soon()).unwrap()
+    call(
+        whole.machines.ctl(replica),
+        method,
+        path,
+        "",
+        body.as_bytes(),
+        soon(),
+    )
+    .unwrap()
 }
 
 /// How a replica sees the system; none while it does not answer.
 fn status(whole: &Whole, replica: usize) -> Value {
     let until = Instant::now() + Duration::from_millis(500);
-    let reply = call(whole.machines.ctl(replica), "GET", "/api/status", "", b"", until);
-    reply.ok().and_then(|reply| serde_json::from_slice(reply.body()).ok()).unwrap_or_default()
+    let reply = call(
+        whole.machines.ctl(replica),
+        "GET",
+        "/api/status",
+        "",
+        b"",
+        until,
+    );
+    reply
+        .ok()
+        .and_then(|reply| serde_json::from_slice(reply.body()).ok())
+        .unwrap_or_default()
 }
 
 fn until(wanted: impl Fn() -> bool, what: &str) {
-    assert!(wait_for(soon(), || wanted().then_some(())).is_some(), "{what}");
+    assert!(
+        wait_for(soon(), || wanted().then_some(())).is_some(),
+        "{what}"
+    );
 }
 
 #[test]
@@ -42,7 +73,10 @@
     let mut whole = whole(&folder);
     until(|| status(&whole, 2)["in_touch"] == true, "it is in touch");
     whole.machines.stand_still(Role::Control, 2);
-    let (stopped, stood) = (Instant::now(), Duration::from_micros(STOOD as u64 + 100_000));
+    let (stopped, stood) = (
+        Instant::now(),
+        Duration::from_micros(STOOD as u64 + 100_000),
+    );
     let mut late = Connection::open(whole.machines.ctl(2), soon()).unwrap();
     let order = b"POST /api/drain/z1/begin HTTP/1.1\r\nHost: core\r\nContent-Length: 0\r\n\r\n";
     late.send(order, soon()).unwrap();
@@ -59,12 +93,23 @@
         "the others miss it, and it stood still for long enough",
     );
     whole.machines.go_on(Role::Control, 2);
-    until(|| !misses(&whole) && status(&whole, 2)["in_touch"] == true, "it is back");
+    until(
+        || !misses(&whole) && status(&whole, 2)["in_touch"] == true,
+        "it is back",
+    );
     // What it took from before would be chosen within a second, the time that a call may take.
     let end = Instant::now() + Duration::from_millis(1_200);
     let chosen = || status(&whole, 0)["digest"].clone();
-    assert_eq!(wait_for(end, || Some(chosen()).filter(|chosen| *chosen != digest)), None);
-    assert!(whole.machines.log(Role::Control, 2).contains("stood still: all links are given up"));
+    assert_eq!(
+        wait_for(end, || Some(chosen()).filter(|chosen| *chosen != digest)),
+        None
+    );
+    assert!(
+        whole
+            .machines
+            .log(Role::Control, 2)
+            .contains("stood still: all links are given up")
+    );
     assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
 }
@@ -74,9 +119,11 @@
     let folder = TempDir::new().unwrap();
     let mut whole = whole(&folder);
     (0..2).for_each(|replica| whole.machines.kill(Role::Control, replica));
-    until(|| status(&whole, 2)["in_touch"] == false, "it is out of touch");
-    let object =
-        json!({"type": "routes", "meta": {"name": "new", "ver": 1}, "spec": route("/new/", "unheard-of")});
+    until(
+        || status(&whole, 2)["in_touch"] == false,
+        "it is out of touch",
+    );
+    let object = json!({"type": "routes", "meta": {"name": "new", "ver": 1}, "spec": route("/new/", "unheard-of")});
     let refers = json!({"upsert": {"objs": [object]}}).to_string();
     for (method, path, body) in [
         ("POST", "/api/cfg/patch", refers.as_str()),
@@ -87,13 +134,27 @@
         let begun = Instant::now();
         let reply = asked(&whole, 2, method, path, body);
         assert_eq!((reply.status, path), (503, path), "{}", reply.text());
-        assert!(begun.elapsed() < Duration::from_secs(1), "a caller asks the next one after that");
+        assert!(
+            begun.elapsed() < Duration::from_secs(1),
+            "a caller asks the next one after that"
+        );
     }
-    let lookup = call(whole.machines.dir(2), "GET", "/api/lookup?name=x&region=r3", "", b"", soon()).unwrap();
+    let lookup = call(
+        whole.machines.dir(2),
+        "GET",
+        "/api/lookup?name=x&region=r3",
+        "",
+        b"",
+        soon(),
+    )
+    .unwrap();
     assert!(lookup.status == 200 && lookup.text().contains(&whole.machines.http(2).to_string()));
     // The edges are ready and serve by what they know.
     for edge in 0..whole.machines.edges() {
-        assert!(whole.machines.ready(edge) && whole.served_by(edge, "/read/1").is_some(), "edge {edge}");
+        assert!(
+            whole.machines.ready(edge) && whole.served_by(edge, "/read/1").is_some(),
+            "edge {edge}"
+        );
     }
     (0..2).for_each(|replica| whole.machines.start(Role::Control, replica).unwrap());
     let change = Change::default().set("routes", "reads", 2, route(READS, SERVICES[1]));
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -11,8 +11,8 @@
 use control::calls::Reply;
 use control::core::Own;
 use control::core::peer_messages::{
-    Ballot, Beat, Body, Duty, Incarnation, Moved, PeerMessage, Question, QuestionId, Said, Speaker, Term,
-    Told,
+    Ballot, Beat, Body, Duty, Incarnation, Moved, PeerMessage, Question, QuestionId, Said, Speaker,
+    Term, Told,
 };
 use control::core::registers::Register;
 use control::core::status::{DutySeen, LimiterSeen, ReplicaSeen, Status};
@@ -28,23 +28,43 @@
 }
 
 fn name(name: &str) -> Name {
-    Name { kind: Kind::Service, name: name.into() }
+    Name {
+        kind: Kind::Service,
+        name: name.into(),
+    }
 }
 
 fn item(at: &str, ver: u64) -> Item {
-    Item { name: name(at), ver, spec: Some(format!(r#"{{"maxconn":{ver}}}"#)) }
+    Item {
+        name: name(at),
+        ver,
+        spec: Some(format!(r#"{{"maxconn":{ver}}}"#)),
+    }
 }
 
 fn speaker() -> Speaker {
-    Speaker { replica: 2, incarnation: Incarnation { number: 3, mark: 0x9e37_79b9 }, run: 4 }
+    Speaker {
+        replica: 2,
+        incarnation: Incarnation {
+            number: 3,
+            mark: 0x9e37_79b9,
+        },
+        run: 4,
+    }
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, by: speaker() }
+    Ballot {
+        round,
+        by: speaker(),
+    }
 }
 
 fn term() -> Term {
-    Term { number: 12, by: speaker() }
+    Term {
+        number: 12,
+        by: speaker(),
+    }
 }
 
 fn entry(at: &str, ver: u64) -> (Ballot, Item) {
@@ -52,17 +72,31 @@
 }
 
 fn question() -> Question {
-    Question { parts: vec![0, 1, u64::MAX], after: Some(name("m")) }
+    Question {
+        parts: vec![0, 1, u64::MAX],
+        after: Some(name("m")),
+    }
 }
 
 fn question_id() -> QuestionId {
-    QuestionId { by: speaker(), number: 77 }
+    QuestionId {
+        by: speaker(),
+        number: 77,
+    }
 }
 
 fn told(standing: Standing, linked: bool) -> Told {
-    let edge =
-        Edge { node: "edge-1".into(), zone: "alajuela".into(), region: "meseta".into(), http: address(33) };
-    Told { edge, standing, linked }
+    let edge = Edge {
+        node: "edge-1".into(),
+        zone: "alajuela".into(),
+        region: "meseta".into(),
+        http: address(33),
+    };
+    Told {
+        edge,
+        standing,
+        linked,
+    }
 }
 
 fn server() -> Server {
@@ -78,16 +112,32 @@
 }
 
 fn pieces() -> [(&'static str, Piece); 3] {
-    let piece = |after: Option<Name>, then| Piece { after, items: vec![entry("n", 8)], then };
+    let piece = |after: Option<Name>, then| Piece {
+        after,
+        items: vec![entry("n", 8)],
+        then,
+    };
     [
         ("the last chunk", piece(None, Then::End)),
-        ("a chunk that another follows", piece(Some(name("m")), Then::Follows)),
-        ("a chunk after which more is to be requested", piece(Some(name("m")), Then::Ask)),
+        (
+            "a chunk that another follows",
+            piece(Some(name("m")), Then::Follows),
+        ),
+        (
+            "a chunk after which more is to be requested",
+            piece(Some(name("m")), Then::Ask),
+        ),
     ]
 }
 
 fn bodies() -> Vec<(&'static str, Body)> {
-    let beat = Beat { hears: 1 << 127 | 5, chosen: 6, servers: (7, 8), members: 9, time: -10 };
+    let beat = Beat {
+        hears: 1 << 127 | 5,
+        chosen: 6,
+        servers: (7, 8),
+        members: 9,
+        time: -10,
+    };
     let moved = Moved {
         before: 1,
         after: 2,
@@ -105,19 +155,87 @@
     vec![
         ("heartbeat", Body::Beat(beat)),
         ("replicas", Body::Replicas(vec![Some(address(10)), None])),
-        ("prepare", Body::Prepare { ballot: ballot(5), names: vec![name("a"), name("b")] }),
-        ("promise", Body::Promise { ballot: ballot(5), accepted: vec![entry("a", 1)] }),
-        ("accept", Body::Accept { ballot: ballot(5), items: vec![item("a", 2)] }),
+        (
+            "prepare",
+            Body::Prepare {
+                ballot: ballot(5),
+                names: vec![name("a"), name("b")],
+            },
+        ),
+        (
+            "promise",
+            Body::Promise {
+                ballot: ballot(5),
+                accepted: vec![entry("a", 1)],
+            },
+        ),
+        (
+            "accept",
+            Body::Accept {
+                ballot: ballot(5),
+                items: vec![item("a", 2)],
+            },
+        ),
         ("accepted", Body::Accepted(ballot(5))),
-        ("rejected", Body::Nack { ballot: ballot(5), seen: ballot(6) }),
+        (
+            "rejected",
+            Body::Nack {
+                ballot: ballot(5),
+                seen: ballot(6),
+            },
+        ),
         ("chosen", Body::Chosen(ballot(5))),
-        ("synchronize", Body::Sync { id: 1 << 48 | 9, parts: vec![1, 2] }),
-        ("digest entries", Body::Entries { id: 9, entries: vec![(u64::MAX, ballot(5))] }),
-        ("fetch", Body::Fetch { id: 9, wanted: vec![1, u64::MAX] }),
-        ("chosen items", Body::Learn { id: 9, piece: 1, items: vec![entry("a", 1)], then: Then::Follows }),
-        ("read", Body::Read { id: question_id(), question: question() }),
-        ("registers", Body::Registers { id: question_id(), piece: follows }),
-        ("record an incarnation", Body::Record { incarnation: speaker().incarnation, question: question() }),
+        (
+            "synchronize",
+            Body::Sync {
+                id: 1 << 48 | 9,
+                parts: vec![1, 2],
+            },
+        ),
+        (
+            "digest entries",
+            Body::Entries {
+                id: 9,
+                entries: vec![(u64::MAX, ballot(5))],
+            },
+        ),
+        (
+            "fetch",
+            Body::Fetch {
+                id: 9,
+                wanted: vec![1, u64::MAX],
+            },
+        ),
+        (
+            "chosen items",
+            Body::Learn {
+                id: 9,
+                piece: 1,
+                items: vec![entry("a", 1)],
+                then: Then::Follows,
+            },
+        ),
+        (
+            "read",
+            Body::Read {
+                id: question_id(),
+                question: question(),
+            },
+        ),
+        (
+            "registers",
+            Body::Registers {
+                id: question_id(),
+                piece: follows,
+            },
+        ),
+        (
+            "record an incarnation",
+            Body::Record {
+                incarnation: speaker().incarnation,
+                question: question(),
+            },
+        ),
         (
             "incarnation recorded",
             Body::Recorded {
@@ -127,19 +245,85 @@
                 terms: vec![term(), Term::default()],
             },
         ),
-        ("lease request", Body::Bid { duty: Duty::Poll, term: 12, at: 13, holds: false }),
-        ("lease renewal", Body::Bid { duty: Duty::Count, term: 12, at: 13, holds: true }),
-        ("lease vote", Body::Vote { duty: Duty::Count, term: term(), at: 13, granted: true, newest: 14 }),
-        ("lease release", Body::Release { duty: Duty::Poll, term: 12, vain: true }),
-        ("members", Body::Members(vec![told(Standing::Leaving, true)])),
+        (
+            "lease request",
+            Body::Bid {
+                duty: Duty::Poll,
+                term: 12,
+                at: 13,
+                holds: false,
+            },
+        ),
+        (
+            "lease renewal",
+            Body::Bid {
+                duty: Duty::Count,
+                term: 12,
+                at: 13,
+                holds: true,
+            },
+        ),
+        (
+            "lease vote",
+            Body::Vote {
+                duty: Duty::Count,
+                term: term(),
+                at: 13,
+                granted: true,
+                newest: 14,
+            },
+        ),
+        (
+            "lease release",
+            Body::Release {
+                duty: Duty::Poll,
+                term: 12,
+                vain: true,
+            },
+        ),
+        (
+            "members",
+            Body::Members(vec![told(Standing::Leaving, true)]),
+        ),
         ("membership change", Body::Moved(moved)),
         ("request for members", Body::AskMembers),
-        ("servers", Body::Servers { version: (4, 9), servers: vec![server()] }),
+        (
+            "servers",
+            Body::Servers {
+                version: (4, 9),
+                servers: vec![server()],
+            },
+        ),
         ("request for servers", Body::AskServers),
-        ("load", Body::Strain { region: "meseta".into(), services: vec![("records".into(), share)] }),
-        ("handover", Body::HandOver { id: 3, items: vec![entry("a", 1)] }),
-        ("handover confirmed", Body::Holding { id: 3, parts: vec![1, 2], whole: Incarnation::FIRST }),
-        ("the last chunk of registers", Body::Registers { id: question_id(), piece: last }),
+        (
+            "load",
+            Body::Strain {
+                region: "meseta".into(),
+                services: vec![("records".into(), share)],
+            },
+        ),
+        (
+            "handover",
+            Body::HandOver {
+                id: 3,
+                items: vec![entry("a", 1)],
+            },
+        ),
+        (
+            "handover confirmed",
+            Body::Holding {
+                id: 3,
+                parts: vec![1, 2],
+                whole: Incarnation::FIRST,
+            },
+        ),
+        (
+            "the last chunk of registers",
+            Body::Registers {
+                id: question_id(),
+                piece: last,
+            },
+        ),
     ]
 }
 
@@ -149,14 +333,24 @@
     let extra = bodies.split_off(bodies.len() - 1);
     let text = variants(&bodies) + &encodings(&extra);
     insta::assert_snapshot!("peer-messages", text);
-    insta::assert_snapshot!("continuations", variants(&pieces().map(|(label, piece)| (label, piece.then))));
-    insta::assert_snapshot!("roles", variants(&[("platform poller", Duty::Poll), ("counter", Duty::Count)]));
+    insta::assert_snapshot!(
+        "continuations",
+        variants(&pieces().map(|(label, piece)| (label, piece.then)))
+    );
+    insta::assert_snapshot!(
+        "roles",
+        variants(&[("platform poller", Duty::Poll), ("counter", Duty::Count)])
+    );
 }
 
 #[test]
 fn frames_between_replicas_keep_their_bytes() {
     let incarnations = vec![Incarnation::FIRST, Incarnation::NONE, speaker().incarnation];
-    let message = PeerMessage { by: speaker(), incarnations, body: Body::AskMembers };
+    let message = PeerMessage {
+        by: speaker(),
+        incarnations,
+        body: Body::AskMembers,
+    };
     let examples = [
         ("address of the sender", Said::Here(address(10))),
         ("nothing", Said::Quiet),
@@ -175,9 +369,15 @@
         incarnations: vec![Incarnation::FIRST, speaker().incarnation],
         addresses: vec![Some(address(10)), None],
     };
-    let register = Register { promised: ballot(301), accepted: Some(entry("a", 1)) };
+    let register = Register {
+        promised: ballot(301),
+        accepted: Some(entry("a", 1)),
+    };
     let mut text = encodings(&[("metadata, none", Own::default()), ("metadata", own)]);
-    text += &encodings(&[("register, empty", Register::default()), ("register", register)]);
+    text += &encodings(&[
+        ("register, empty", Register::default()),
+        ("register", register),
+    ]);
     text += &encodings(&[("chosen", entry("a", 1))]);
     text += &encodings(&[("name", name("a"))]);
     insta::assert_snapshot!("rows", text);
@@ -198,7 +398,12 @@
     let mut text = String::new();
     for (label, reply) in replies {
         let (status, body) = reply.parts();
-        writeln!(text, "{label}: {status} {}", String::from_utf8(body).unwrap()).unwrap();
+        writeln!(
+            text,
+            "{label}: {status} {}",
+            String::from_utf8(body).unwrap()
+        )
+        .unwrap();
     }
     insta::assert_snapshot!("operator-answers", text);
 }
@@ -230,7 +435,11 @@
             address: Some(address(11)),
             heard: true,
         }],
-        duties: vec![DutySeen { duty: "poll".into(), holder: Some("heredia".into()), term: 12 }],
+        duties: vec![DutySeen {
+            duty: "poll".into(),
+            holder: Some("heredia".into()),
+            term: 12,
+        }],
         limiters: vec![LimiterSeen {
             node: "edge-1".into(),
             zone: "alajuela".into(),
--- a/crates/control/tests/many_changes.rs
+++ b/crates/control/tests/many_changes.rs
@@ -22,7 +22,9 @@
 
 fn read(whole: &Whole, replica: usize, path: &str) -> Option<Value> {
     let reply = call(whole.machines.ctl(replica), "GET", path, "", b"", soon()).ok()?;
-    serde_json::from_slice(reply.body()).ok().filter(|_| reply.status == 200)
+    serde_json::from_slice(reply.body())
+        .ok()
+        .filter(|_| reply.status == 200)
 }
 
 /// A change of one service, or its drop, by the number of the change.
@@ -35,27 +37,53 @@
     };
     let at = whole.machines.ctl(number as usize % 2);
     let taken = || {
-        let reply = call(at, "POST", "/api/cfg/patch", "", body.to_string().as_bytes(), soon()).ok()?;
+        let reply = call(
+            at,
+            "POST",
+            "/api/cfg/patch",
+            "",
+            body.to_string().as_bytes(),
+            soon(),
+        )
+        .ok()?;
         (reply.status == 200).then_some(())
     };
-    assert!(wait_for(soon(), taken).is_some(), "change {number} is not taken");
+    assert!(
+        wait_for(soon(), taken).is_some(),
+        "change {number} is not taken"
+    );
 }
 
 #[test]
 fn a_replica_stopped_for_hundreds_of_changes_is_whole_soon_after_its_start() {
     let folder = TempDir::new().unwrap();
-    let size = Size { zones: 3, edges: 1, net: net() };
-    let mut whole =
-        Whole::start(folder.path(), &beside(Path::new(PROGRAM), env!("CARGO")), size, soon()).unwrap();
+    let size = Size {
+        zones: 3,
+        edges: 1,
+        net: net(),
+    };
+    let mut whole = Whole::start(
+        folder.path(),
+        &beside(Path::new(PROGRAM), env!("CARGO")),
+        size,
+        soon(),
+    )
+    .unwrap();
     (0..ITEMS).for_each(|number| change(&whole, number));
     whole.machines.kill(Role::Control, 2);
     (ITEMS..CHANGES).for_each(|number| change(&whole, number));
     whole.machines.start(Role::Control, 2).unwrap();
     let started = Instant::now();
     // What it knows itself, not what it reads from the others.
-    let digest = |replica| read(&whole, replica, "/api/status").map(|status| status["digest"].clone());
+    let digest =
+        |replica| read(&whole, replica, "/api/status").map(|status| status["digest"].clone());
     let same = || digest(2).filter(|own| !own.is_null() && Some(own) == digest(0).as_ref());
-    assert!(wait_for(soon(), same).is_some(), "{:?} at the one that was away, {:?}", digest(2), digest(0));
+    assert!(
+        wait_for(soon(), same).is_some(),
+        "{:?} at the one that was away, {:?}",
+        digest(2),
+        digest(0)
+    );
     println!("whole {} ms after its start", started.elapsed().as_millis());
     let items = wait_for(soon(), || read(&whole, 2, "/api/cfg/get")).unwrap();
     let shown = |name: &str| {
@@ -68,11 +96,17 @@
     for number in CHANGES - ITEMS..CHANGES {
         let dropped = number % 5 == 0;
         let wanted = (!dropped).then(|| json!(1 + number / ITEMS));
-        assert_eq!(shown(&format!("many-{:02}", number % ITEMS)), wanted, "change {number}");
+        assert_eq!(
+            shown(&format!("many-{:02}", number % ITEMS)),
+            wanted,
+            "change {number}"
+        );
     }
     for replica in 0..3 {
         let files = std::fs::read_dir(folder.path().join(format!("disk-{replica}"))).unwrap();
-        let bytes: u64 = files.map(|file| file.unwrap().metadata().unwrap().len()).sum();
+        let bytes: u64 = files
+            .map(|file| file.unwrap().metadata().unwrap().len())
+            .sum();
         println!("replica {replica}: {bytes} bytes on disk");
         assert!(bytes <= FILES, "replica {replica}: {bytes} bytes");
     }
--- a/crates/control/tests/repeated_orders.rs
+++ b/crates/control/tests/repeated_orders.rs
@@ -22,7 +22,11 @@
 
 /// The content of a service as all replicas know it.
 fn content(cluster: &Cluster, name: &str) -> Option<String> {
-    cluster.chosen(0).into_values().find(|item| item.name.name == name).and_then(|item| item.spec)
+    cluster
+        .chosen(0)
+        .into_values()
+        .find(|item| item.name.name == name)
+        .and_then(|item| item.spec)
 }
 
 #[test]
@@ -30,7 +34,10 @@
     let mut refused = 0;
     for seed in 0..60 {
         let mut cluster = started(seed);
-        assert_eq!(cluster.ask(1, services(&[("a", 4, 1), ("b", 4, 1)])), Some(Reply::Done));
+        assert_eq!(
+            cluster.ask(1, services(&[("a", 4, 1), ("b", 4, 1)])),
+            Some(Reply::Done)
+        );
         // The second takes one of the first one's items, before, while or after that has reached a few replicas.
         let both = cluster.call(0, services(&[("a", 5, 2), ("b", 5, 2)]));
         cluster.run((seed as i64 % 12) * 12 * MS);
@@ -41,7 +48,10 @@
         let taken = |name: &str| content(&cluster, name).is_some_and(|spec| spec.contains("/2"));
         if replies[0] == Some(Reply::Conflict) {
             refused += 1;
-            assert!(!taken("a") && !taken("b"), "{seed}: {replies:?}, and a part is in force");
+            assert!(
+                !taken("a") && !taken("b"),
+                "{seed}: {replies:?}, and a part is in force"
+            );
         }
         let again = cluster.ask(3, services(&[("a", 5, 2), ("b", 5, 2)]));
         let may = match replies[0] {
@@ -59,7 +69,10 @@
     let mut found = 0;
     for seed in 0..40 {
         let mut cluster = started(seed);
-        assert_eq!(cluster.ask(1, services(&[("a", 4, 1), ("b", 4, 1)])), Some(Reply::Done));
+        assert_eq!(
+            cluster.ask(1, services(&[("a", 4, 1), ("b", 4, 1)])),
+            Some(Reply::Done)
+        );
         // It reaches a few replicas at most, which are then not heard.
         cluster.call(0, services(&[("a", 5, 2), ("b", 5, 2)]));
         cluster.run((60 + seed as i64 % 10 * 14) * MS);
@@ -72,7 +85,10 @@
         assert!(cluster.agree());
         if other == Some(Reply::Done) && again == Some(Reply::Conflict) {
             found += 1;
-            assert!(content(&cluster, "a").is_some_and(|spec| spec.contains("/1")), "{seed}");
+            assert!(
+                content(&cluster, "a").is_some_and(|spec| spec.contains("/1")),
+                "{seed}"
+            );
         }
     }
     assert!(found > 0, "no call was refused");
@@ -84,14 +100,21 @@
     let route = r#"{"type":"routes","meta":{"name":"r","ver":5},"spec":{"host":"h","prefix":"/r/","kind":"idem",
         "timeout":"3s","target_time":"1s","svc":"s"}}"#;
     let object = r#"{"type":"svcs","meta":{"name":"s","ver":5},"spec":{"hcheck":"/1"}}"#;
-    let call = Command::Patch(format!(r#"{{"upsert":{{"objs":[{object},{route}]}}}}"#).into_bytes());
+    let call =
+        Command::Patch(format!(r#"{{"upsert":{{"objs":[{object},{route}]}}}}"#).into_bytes());
     let drop = |kind: &str, name: &str, ver: u64| {
-        Command::Patch(format!(r#"{{"remove":{{"{kind}":[{{"name":"{name}","ver":{ver}}}]}}}}"#).into_bytes())
+        Command::Patch(
+            format!(r#"{{"remove":{{"{kind}":[{{"name":"{name}","ver":{ver}}}]}}}}"#).into_bytes(),
+        )
     };
     assert_eq!(cluster.ask(2, call.clone()), Some(Reply::Done));
     let everywhere = |cluster: &mut Cluster, command: &Command, when: &str| {
         for at in cluster.holding() {
-            assert_eq!(cluster.ask(at, command.clone()), Some(Reply::Done), "at {at} {when}");
+            assert_eq!(
+                cluster.ask(at, command.clone()),
+                Some(Reply::Done),
+                "at {at} {when}"
+            );
         }
     };
     everywhere(&mut cluster, &call, "at once");
@@ -106,12 +129,18 @@
     cluster.run(3 * SECOND);
     everywhere(&mut cluster, &call, "at a newcomer too");
     for on in [true, false, true] {
-        let zone = Command::Drain { zone: "c".into(), on };
+        let zone = Command::Drain {
+            zone: "c".into(),
+            on,
+        };
         assert_eq!(cluster.ask(1, zone), Some(Reply::Done));
     }
     for ver in 1..=200 {
         assert_eq!(
-            cluster.ask(ver as usize % 4, service(&format!("o{}", ver % 20), ver, ver)),
+            cluster.ask(
+                ver as usize % 4,
+                service(&format!("o{}", ver % 20), ver, ver)
+            ),
             Some(Reply::Done)
         );
     }
@@ -125,5 +154,9 @@
         everywhere(&mut cluster, order, "after it was dropped");
     }
     assert_eq!(content(&cluster, "s"), None);
-    assert!(cluster.agree() && cluster.faults.is_empty(), "{:?}", cluster.faults);
+    assert!(
+        cluster.agree() && cluster.faults.is_empty(),
+        "{:?}",
+        cluster.faults
+    );
 }
--- a/crates/control/tests/resent.rs
+++ b/crates/control/tests/resent.rs
@@ -45,7 +45,9 @@
 
 impl Replicas {
     fn ctl(&self) -> Vec<SocketAddr> {
-        (0..self.0.machines.cores()).map(|number| self.0.machines.ctl(number)).collect()
+        (0..self.0.machines.cores())
+            .map(|number| self.0.machines.ctl(number))
+            .collect()
     }
 
     /// What every replica answers.
@@ -60,7 +62,11 @@
 #[test]
 fn of_two_operators_under_one_number_one_is_taken_and_stays_taken_however_often_it_is_sent_again() {
     let folder = TempDir::new().unwrap();
-    let size = Size { zones: 3, edges: 0, net: net() };
+    let size = Size {
+        zones: 3,
+        edges: 0,
+        net: net(),
+    };
     let programs = beside(Path::new(PROGRAM), env!("CARGO"));
     let mut replicas = Replicas(Whole::start(folder.path(), &programs, size, soon()).unwrap());
     let ctl = replicas.ctl();
@@ -74,15 +80,23 @@
             let both = [0, 1].map(|operator| scope.spawn(move || send(operator)));
             both.map(|one| one.join().unwrap())
         });
-        assert!(statuses == [200, 409] || statuses == [409, 200], "{statuses:?} for version {ver}");
+        assert!(
+            statuses == [200, 409] || statuses == [409, 200],
+            "{statuses:?} for version {ver}"
+        );
         let (taken, refused) = if statuses[0] == 200 { (0, 1) } else { (1, 0) };
         replicas.everywhere(&order(ver, taken), 200, "at once");
         replicas.everywhere(&order(ver, refused), 409, "to the other one");
     }
-    let taken = (0..2).find(|operator| patch(ctl[2], &order(4, *operator)) == 200).unwrap();
+    let taken = (0..2)
+        .find(|operator| patch(ctl[2], &order(4, *operator)) == 200)
+        .unwrap();
     let taken = order(4, taken);
     for zone in ["begin", "finish", "begin"] {
-        assert_eq!(clear(ctl[1], &format!("/api/drain/{}/{zone}", zones(3)[2].0), ""), 200);
+        assert_eq!(
+            clear(ctl[1], &format!("/api/drain/{}/{zone}", zones(3)[2].0), ""),
+            200
+        );
     }
     replicas.everywhere(&taken, 200, "after evacuations");
     (0..ctl.len()).for_each(|number| replicas.0.machines.kill(Role::Control, number));
@@ -95,7 +109,10 @@
     replicas.everywhere(&taken, 200, "after a disk was lost");
     for ver in 1..=60 {
         let other = json!({"type": "routes", "meta": {"name": "other", "ver": ver}, "spec": route("/other/", SERVICES[0])});
-        assert_eq!(patch(ctl[ver % 3], &json!({"upsert": {"objs": [other]}})), 200);
+        assert_eq!(
+            patch(ctl[ver % 3], &json!({"upsert": {"objs": [other]}})),
+            200
+        );
     }
     replicas.everywhere(&taken, 200, "after sixty changes of another item");
     for kind in ["routes", "svcs"] {
@@ -109,13 +126,19 @@
 /// How many items a replica knows to be chosen, evacuations among them.
 fn items(at: SocketAddr) -> u64 {
     let reply = call(at, "GET", "/api/status", "", b"", soon()).unwrap();
-    serde_json::from_slice::<Value>(reply.body()).unwrap()["items"].as_u64().unwrap()
+    serde_json::from_slice::<Value>(reply.body()).unwrap()["items"]
+        .as_u64()
+        .unwrap()
 }
 
 #[test]
 fn an_evacuation_whose_sender_left_while_the_replica_stood_still_is_not_begun() {
     let folder = TempDir::new().unwrap();
-    let size = Size { zones: 3, edges: 0, net: net() };
+    let size = Size {
+        zones: 3,
+        edges: 0,
+        net: net(),
+    };
     let programs = beside(Path::new(PROGRAM), env!("CARGO"));
     let mut whole = Whole::start(folder.path(), &programs, size, soon()).unwrap();
     let at = whole.machines.ctl(0);
@@ -138,13 +161,18 @@
             let status = sender.answer(soon()).unwrap().status;
             assert!(status == 200 || clear(at, &path, "") == 200, "{status}");
         }
-        assert_eq!(items(at) - before, u64::from(!gone), "the sender has left: {gone}");
+        assert_eq!(
+            items(at) - before,
+            u64::from(!gone),
+            "the sender has left: {gone}"
+        );
     }
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
 }
 
 /// A change of an item that stands from the start.
 fn order_of_limits(ver: u64) -> Value {
-    let spec = json!({"hdr_bytes": 16384, "body_bytes": 1_048_576, "hdr": "3000ms", "idle": "15000ms"});
+    let spec =
+        json!({"hdr_bytes": 16384, "body_bytes": 1_048_576, "hdr": "3000ms", "idle": "15000ms"});
     json!({"upsert": {"objs": [{"type": "limits", "meta": {"ver": ver}, "spec": spec}]}})
 }
--- a/crates/control/tests/rounds.rs
+++ b/crates/control/tests/rounds.rs
@@ -10,15 +10,33 @@
 use test_case::test_case;
 
 fn item(kind: Kind, ver: u64, spec: &str) -> Item {
-    Item { name: Name { kind, name: "a".to_string() }, ver, spec: Some(spec.to_string()) }
+    Item {
+        name: Name {
+            kind,
+            name: "a".to_string(),
+        },
+        ver,
+        spec: Some(spec.to_string()),
+    }
 }
 
 fn ballot(round: u64, replica: Replica, run: u32) -> Ballot {
-    Ballot { round, by: Speaker { replica, incarnation: Incarnation::FIRST, run } }
+    Ballot {
+        round,
+        by: Speaker {
+            replica,
+            incarnation: Incarnation::FIRST,
+            run,
+        },
+    }
 }
 
 fn three() -> Replicas {
-    let me = Speaker { replica: 0, incarnation: Incarnation::FIRST, run: 1 };
+    let me = Speaker {
+        replica: 0,
+        incarnation: Incarnation::FIRST,
+        run: 1,
+    };
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let mut replicas = Replicas::new(me, 3, address, Vec::new());
     replicas.restore(&[Incarnation::FIRST; 3], &[None; 3]);
@@ -33,9 +51,18 @@
     let own = ballot(1, 0, 1);
     round.begin(0, own);
     let replicas = three();
-    assert_eq!(round.promised(0, (0, Incarnation::FIRST), vec![], &replicas, &news), vec![]);
+    assert_eq!(
+        round.promised(0, (0, Incarnation::FIRST), vec![], &replicas, &news),
+        vec![]
+    );
     news.learn(ballot(1, 1, 0), chosen);
-    round.promised(0, (2, Incarnation::FIRST), vec![(ballot(1, 0, 0), left)], &replicas, &news)
+    round.promised(
+        0,
+        (2, Incarnation::FIRST),
+        vec![(ballot(1, 0, 0), left)],
+        &replicas,
+        &news,
+    )
 }
 
 fn service(spec: &str) -> Item {
@@ -45,7 +72,11 @@
 #[test_case("1", "1", "2" => Outcome::Conflict; "what is left has the wanted content and lost")]
 #[test_case("2", "1", "2" => Outcome::Done; "what is left has another content and the wanted one is chosen")]
 fn of_a_version_the_chosen_content_decides(wanted: &str, left: &str, chosen: &str) -> Outcome {
-    let steps = decided(Want::Items(vec![service(wanted)]), service(left), &service(chosen));
+    let steps = decided(
+        Want::Items(vec![service(wanted)]),
+        service(left),
+        &service(chosen),
+    );
     match steps.as_slice() {
         [Step::Outcome(outcome), Step::Over] => *outcome,
         other => panic!("{other:?}"),
@@ -55,7 +86,17 @@
 #[test]
 fn a_zone_is_judged_by_what_is_chosen() {
     let zone = |ver, spec: &str| item(Kind::Zone, ver, spec);
-    let steps = decided(Want::Zone(zone(1, "true").name, true), zone(1, "true"), &zone(2, "false"));
+    let steps = decided(
+        Want::Zone(zone(1, "true").name, true),
+        zone(1, "true"),
+        &zone(2, "false"),
+    );
     let proposed = vec![zone(3, "true")];
-    assert_eq!(steps, vec![Step::All(Body::Accept { ballot: ballot(1, 0, 1), items: proposed })]);
+    assert_eq!(
+        steps,
+        vec![Step::All(Body::Accept {
+            ballot: ballot(1, 0, 1),
+            items: proposed
+        })]
+    );
 }
--- a/crates/control/tests/second_loss.rs
+++ b/crates/control/tests/second_loss.rs
@@ -19,7 +19,10 @@
 
 /// How many of the machines that have the replicas hold this version of the service `s` on their disks.
 fn copies(cluster: &Cluster, ver: u64) -> usize {
-    let name = Name { kind: Kind::Service, name: "s".to_string() };
+    let name = Name {
+        kind: Kind::Service,
+        name: "s".to_string(),
+    };
     let holds = |at: &&usize| cluster.nodes[**at].disk.version(&name) >= Some(ver);
     cluster.holding().iter().filter(holds).count()
 }
@@ -85,13 +88,24 @@
     cluster.cut(&[new], &[2, 3, 5]);
     cluster.start(new);
     cluster.run(SECOND);
-    assert!(cluster.nodes[4].core.as_ref().is_some_and(|core| core.aside()));
+    assert!(
+        cluster.nodes[4]
+            .core
+            .as_ref()
+            .is_some_and(|core| core.aside())
+    );
     cluster.stop(4);
     cluster.run(2 * SECOND);
     assert!(!ended(&cluster, 4));
     cluster.heal();
     cluster.run(2 * SECOND);
-    assert!(ended(&cluster, 4) && cluster.nodes[new].core.as_ref().is_some_and(|core| core.takes_part()));
+    assert!(
+        ended(&cluster, 4)
+            && cluster.nodes[new]
+                .core
+                .as_ref()
+                .is_some_and(|core| core.takes_part())
+    );
     assert_eq!(copies(&cluster, 7), 6);
 }
 
@@ -126,7 +140,10 @@
     candidates.iter().for_each(|at| cluster.start(*at));
     cluster.run(3 * SECOND);
     let part = |cluster: &Cluster, at: usize| cluster.nodes[at].core.as_ref().unwrap().takes_part();
-    let won: Vec<usize> = candidates.into_iter().filter(|at| part(&cluster, *at)).collect();
+    let won: Vec<usize> = candidates
+        .into_iter()
+        .filter(|at| part(&cluster, *at))
+        .collect();
     assert_eq!(won.len(), 1, "{}", cluster.line(&["s"]));
     let left = candidates.into_iter().find(|at| *at != won[0]).unwrap();
     cluster.power(won[0]);
@@ -165,8 +182,20 @@
     cluster.run(SYNC);
     table.note(&cluster, "sync_time after");
     let expected = [4, 2, 5, 4, 6];
-    assert_eq!(table.0.iter().map(|(_, copies)| *copies).collect::<Vec<_>>(), expected, "{:?}", table.0);
-    assert!(matches!(cluster.ask(5, Command::Get), Some(Reply::Items(_))));
+    assert_eq!(
+        table
+            .0
+            .iter()
+            .map(|(_, copies)| *copies)
+            .collect::<Vec<_>>(),
+        expected,
+        "{:?}",
+        table.0
+    );
+    assert!(matches!(
+        cluster.ask(5, Command::Get),
+        Some(Reply::Items(_))
+    ));
 }
 
 #[test]
@@ -178,13 +207,22 @@
     let new = cluster.add(4);
     cluster.start(new);
     cluster.stop(4);
-    table.note(&cluster, "the new one has begun, the old one is told to end");
+    table.note(
+        &cluster,
+        "the new one has begun, the old one is told to end",
+    );
     cluster.run(150 * MS);
     (0..=new).for_each(|at| cluster.power(at));
     table.note(&cluster, "all without power, the old one gone for good");
-    [0, 1, 2, 3, 5, new].into_iter().for_each(|at| cluster.start(at));
+    [0, 1, 2, 3, 5, new]
+        .into_iter()
+        .for_each(|at| cluster.start(at));
     cluster.run(SYNC);
     table.note(&cluster, "sync_time after");
     let copies: Vec<usize> = table.0.iter().map(|(_, copies)| *copies).collect();
-    assert!(copies[0] == 3 && copies[1] >= 3 && copies[2] == 6, "{:?}", table.0);
+    assert!(
+        copies[0] == 3 && copies[1] >= 3 && copies[2] == 6,
+        "{:?}",
+        table.0
+    );
 }
--- a/crates/control/tests/second_loss_system.rs
+++ b/crates/control/tests/second_loss_system.rs
@@ -16,18 +16,43 @@
 }
 
 fn whole(folder: &TempDir) -> Whole {
-    let size = Size { zones: 3, edges: 1, net: net() };
-    Whole::start(folder.path(), &beside(Path::new(PROGRAM), env!("CARGO")), size, soon()).unwrap()
+    let size = Size {
+        zones: 3,
+        edges: 1,
+        net: net(),
+    };
+    Whole::start(
+        folder.path(),
+        &beside(Path::new(PROGRAM), env!("CARGO")),
+        size,
+        soon(),
+    )
+    .unwrap()
 }
 
 #[track_caller]
 fn says(whole: &Whole, number: usize, line: &str) {
-    let said = || whole.machines.log(Role::Control, number).contains(line).then_some(());
-    assert!(wait_for(soon(), said).is_some(), "{line}: {}", whole.machines.log(Role::Control, number));
+    let said = || {
+        whole
+            .machines
+            .log(Role::Control, number)
+            .contains(line)
+            .then_some(())
+    };
+    assert!(
+        wait_for(soon(), said).is_some(),
+        "{line}: {}",
+        whole.machines.log(Role::Control, number)
+    );
 }
 
 fn change(whole: &mut Whole, ver: u64) {
-    let change = Change::default().set("routes", "reads", ver, route(READS, SERVICES[ver as usize % 2]));
+    let change = Change::default().set(
+        "routes",
+        "reads",
+        ver,
+        route(READS, SERVICES[ver as usize % 2]),
+    );
     whole.operator.change(&change, soon()).unwrap();
 }
 
@@ -58,7 +83,11 @@
     whole.machines.kill(Role::Control, 1);
     whole.machines.write(Role::Control, 3, false).unwrap();
     whole.machines.start(Role::Control, 3).unwrap();
-    says(&whole, 0, "INFO this replica has a newer incarnation: stepping aside");
+    says(
+        &whole,
+        0,
+        "INFO this replica has a newer incarnation: stepping aside",
+    );
     whole.machines.tell_to_end(Role::Control, 0);
     // Without a successor that is whole it is there longer than it takes to answer what is under way.
     let early = Instant::now() + Duration::from_millis(700);
@@ -66,12 +95,25 @@
     assert!(!whole.machines.log(Role::Control, 3).contains("rebuilt: "));
     whole.machines.start(Role::Control, 1).unwrap();
     says(&whole, 3, "INFO rebuilt: incarnation 2, ");
-    assert!(whole.machines.ended(Role::Control, 0, soon()).is_some_and(|status| status.success()));
-    says(&whole, 0, "INFO handed over: a majority holds all without this replica");
+    assert!(
+        whole
+            .machines
+            .ended(Role::Control, 0, soon())
+            .is_some_and(|status| status.success())
+    );
+    says(
+        &whole,
+        0,
+        "INFO handed over: a majority holds all without this replica",
+    );
     // All that is left is killed at once, with the successor's disk among it.
     std::fs::remove_dir_all(folder.path().join("disk-0")).unwrap();
-    [1, 2, 3].into_iter().for_each(|number| whole.machines.kill(Role::Control, number));
-    [1, 2, 3].into_iter().for_each(|number| whole.machines.start(Role::Control, number).unwrap());
+    [1, 2, 3]
+        .into_iter()
+        .for_each(|number| whole.machines.kill(Role::Control, number));
+    [1, 2, 3]
+        .into_iter()
+        .for_each(|number| whole.machines.start(Role::Control, number).unwrap());
     assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
     change(&mut whole, 3);
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
--- a/crates/control/tests/stored.rs
+++ b/crates/control/tests/stored.rs
@@ -65,8 +65,16 @@
          "timeout": "3000ms", "target_time": "500ms", "svc": "records"}},
         {"type": "svcs", "meta": {"name": "records", "ver": 3}, "spec": {"hcheck": "/h", "maxconn": 110}}
     ]});
-    assert_eq!(configuration, Some(wanted), "{}", machines.log(Role::Control, 0));
+    assert_eq!(
+        configuration,
+        Some(wanted),
+        "{}",
+        machines.log(Role::Control, 0)
+    );
     let status = get("/api/status").unwrap();
     // The removed item and the zone's evacuation are items as well; each start of the process has a number of its own.
-    assert_eq!((&status["items"], &status["incarnation"], &status["run"]), (&json!(4), &json!(1), &json!(2)));
+    assert_eq!(
+        (&status["items"], &status["incarnation"], &status["run"]),
+        (&json!(4), &json!(1), &json!(2))
+    );
 }
--- a/crates/control/tests/system.rs
+++ b/crates/control/tests/system.rs
@@ -22,7 +22,11 @@
 }
 
 fn whole_of(folder: &TempDir, programs: &Path) -> Whole {
-    let size = Size { zones: 3, edges: 1, net: net() };
+    let size = Size {
+        zones: 3,
+        edges: 1,
+        net: net(),
+    };
     Whole::start(folder.path(), programs, size, soon()).unwrap()
 }
 
@@ -38,21 +42,36 @@
     whole.operator.change(&change, soon()).unwrap();
     let until = soon();
     for edge in 0..whole.machines.edges() {
-        let moved = || (whole.served_by(edge, "/read/2").as_deref() == Some(SERVICES[1])).then_some(());
-        assert!(wait_for(until, moved).is_some(), "edge {edge} goes by what was before");
-        assert_eq!(whole.served_by(edge, "/more/1").as_deref(), Some(SERVICES[1]));
+        let moved =
+            || (whole.served_by(edge, "/read/2").as_deref() == Some(SERVICES[1])).then_some(());
+        assert!(
+            wait_for(until, moved).is_some(),
+            "edge {edge} goes by what was before"
+        );
+        assert_eq!(
+            whole.served_by(edge, "/more/1").as_deref(),
+            Some(SERVICES[1])
+        );
         assert_eq!(whole.ask(edge, "/write/1").unwrap().status, 404);
     }
     // Without effect: a lower version, which is in order, and one call in which something is wrong.
     let older = Change::default().set("routes", "reads", 4, route(READS, SERVICES[0]));
     whole.operator.change(&older, soon()).unwrap();
-    let wrong = Change::default().set("routes", "more", 9, route("/more/", SERVICES[0])).set(
-        "routes",
-        "wrong",
-        9,
-        json!({"host": HOST, "prefix": "wrong"}),
+    let wrong = Change::default()
+        .set("routes", "more", 9, route("/more/", SERVICES[0]))
+        .set(
+            "routes",
+            "wrong",
+            9,
+            json!({"host": HOST, "prefix": "wrong"}),
+        );
+    assert!(
+        whole
+            .operator
+            .change(&wrong, soon())
+            .unwrap_err()
+            .contains("400")
     );
-    assert!(whole.operator.change(&wrong, soon()).unwrap_err().contains("400"));
     assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
 }
@@ -69,8 +88,12 @@
     // Its length says that more should come, and the operator is gone; then one that is whole by its length alone.
     for (length, status) in [(length, None), (part.len(), Some(400))] {
         let mut connection = Connection::open(whole.machines.ctl(0), soon()).unwrap();
-        let head = format!("POST /api/cfg/patch HTTP/1.1\r\nHost: core\r\nContent-Length: {length}\r\n\r\n");
-        connection.send(format!("{head}{part}").as_bytes(), soon()).unwrap();
+        let head = format!(
+            "POST /api/cfg/patch HTTP/1.1\r\nHost: core\r\nContent-Length: {length}\r\n\r\n"
+        );
+        connection
+            .send(format!("{head}{part}").as_bytes(), soon())
+            .unwrap();
         if let Some(status) = status {
             assert_eq!(connection.answer(soon()).unwrap().status, status);
         }
@@ -93,8 +116,12 @@
     assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
     let until = soon();
     for edge in 0..whole.machines.edges() {
-        let moved = || (whole.served_by(edge, "/read/2").as_deref() == Some(SERVICES[1])).then_some(());
-        assert!(wait_for(until, moved).is_some(), "edge {edge} goes by what was before");
+        let moved =
+            || (whole.served_by(edge, "/read/2").as_deref() == Some(SERVICES[1])).then_some(());
+        assert!(
+            wait_for(until, moved).is_some(),
+            "edge {edge} goes by what was before"
+        );
     }
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
 }
@@ -108,11 +135,22 @@
     whole.machines.write(Role::Control, 2, false).unwrap();
     whole.machines.start(Role::Control, 2).unwrap();
     // By the programs' own lines, as operators are told: none of them has met an error.
-    for (replica, line) in
-        [(2, "INFO rebuilt: incarnation 2, "), (0, "INFO replica 2 begins incarnation 2 at ")]
-    {
-        let said = || whole.machines.log(Role::Control, replica).contains(line).then_some(());
-        assert!(wait_for(soon(), said).is_some(), "{:?}", whole.machines.log(Role::Control, replica));
+    for (replica, line) in [
+        (2, "INFO rebuilt: incarnation 2, "),
+        (0, "INFO replica 2 begins incarnation 2 at "),
+    ] {
+        let said = || {
+            whole
+                .machines
+                .log(Role::Control, replica)
+                .contains(line)
+                .then_some(())
+        };
+        assert!(
+            wait_for(soon(), said).is_some(),
+            "{:?}",
+            whole.machines.log(Role::Control, replica)
+        );
     }
     assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
@@ -120,13 +158,20 @@
 
 /// The built programs, each started with SIGXFSZ ignored, as a write beyond a limit is an error only then.
 fn programs_that_may_be_limited(folder: &TempDir) -> std::path::PathBuf {
-    let (programs, built) = (folder.path().join("programs"), beside(Path::new(PROGRAM), env!("CARGO")));
+    let (programs, built) = (
+        folder.path().join("programs"),
+        beside(Path::new(PROGRAM), env!("CARGO")),
+    );
     std::fs::create_dir(&programs).unwrap();
     for role in [Role::Control, Role::Agent, Role::Proxy] {
         let (path, program) = (programs.join(role.program()), built.join(role.program()));
-        let text = format!("#!/bin/sh\ntrap '' XFSZ\nexec '{}' \"$@\"\n", program.display());
+        let text = format!(
+            "#!/bin/sh\ntrap '' XFSZ\nexec '{}' \"$@\"\n",
+            program.display()
+        );
         std::fs::write(&path, text).unwrap();
-        std::fs::set_permissions(&path, std::os::unix::fs::PermissionsExt::from_mode(0o755)).unwrap();
+        std::fs::set_permissions(&path, std::os::unix::fs::PermissionsExt::from_mode(0o755))
+            .unwrap();
     }
     programs
 }
@@ -137,30 +182,54 @@
     let mut whole = whole_of(&folder, &programs_that_may_be_limited(&folder));
     let at = whole.machines.ctl(0);
     let patch = |ver: u64, svc: &str| {
-        let object =
-            json!({"type": "routes", "meta": {"name": "full", "ver": ver}, "spec": route("/full/", svc)});
+        let object = json!({"type": "routes", "meta": {"name": "full", "ver": ver}, "spec": route("/full/", svc)});
         let body = json!({"upsert": {"objs": [object]}}).to_string();
         call(at, "POST", "/api/cfg/patch", "", body.as_bytes(), soon()).unwrap()
     };
     let says = |whole: &Whole, line: &str| {
-        let said = || whole.machines.log(Role::Control, 0).contains(line).then_some(());
-        assert!(wait_for(soon(), said).is_some(), "{line}: {}", whole.machines.log(Role::Control, 0));
+        let said = || {
+            whole
+                .machines
+                .log(Role::Control, 0)
+                .contains(line)
+                .then_some(())
+        };
+        assert!(
+            wait_for(soon(), said).is_some(),
+            "{line}: {}",
+            whole.machines.log(Role::Control, 0)
+        );
     };
     assert_eq!(patch(1, SERVICES[0]).status, 200);
     // Its log can't grow, and all writes go to its end.
-    let length = std::fs::metadata(folder.path().join("disk-0/headworks.db-wal")).unwrap().len();
-    whole.machines.most_bytes(Role::Control, 0, Some(length)).unwrap();
-    let refused = wait_for(soon(), || Some(patch(2, SERVICES[1])).filter(|reply| reply.status == 503));
-    let refused = refused.expect("its disk is full, and it takes writes").text().to_string();
-    assert!(refused.contains("the disk of this replica is full or fails"), "{refused}");
+    let length = std::fs::metadata(folder.path().join("disk-0/headworks.db-wal"))
+        .unwrap()
+        .len();
+    whole
+        .machines
+        .most_bytes(Role::Control, 0, Some(length))
+        .unwrap();
+    let refused = wait_for(soon(), || {
+        Some(patch(2, SERVICES[1])).filter(|reply| reply.status == 503)
+    });
+    let refused = refused
+        .expect("its disk is full, and it takes writes")
+        .text()
+        .to_string();
+    assert!(
+        refused.contains("the disk of this replica is full or fails"),
+        "{refused}"
+    );
     says(&whole, "ERRO the disk refuses writes, and is tried again");
     // The others are enough, and what they decide holds here too.
     let change = Change::default().set("routes", "full", 3, route("/full/", SERVICES[1]));
     whole.operator.change(&change, soon()).unwrap();
     let shows = || {
         let reply = call(at, "GET", "/api/cfg/get", "", b"", soon()).ok()?;
-        (reply.status == 200 && reply.text().contains("/full/") && reply.text().contains(r#""ver":3"#))
-            .then_some(())
+        (reply.status == 200
+            && reply.text().contains("/full/")
+            && reply.text().contains(r#""ver":3"#))
+        .then_some(())
     };
     assert!(wait_for(soon(), shows).is_some());
     whole.machines.most_bytes(Role::Control, 0, None).unwrap();
--- a/crates/control/tests/transfers.rs
+++ b/crates/control/tests/transfers.rs
@@ -12,25 +12,60 @@
 const OTHER: [u8; 4] = [10, 0, 1, 0];
 
 fn item(at: usize) -> Item {
-    let name = Name { kind: Kind::Service, name: format!("s{at:04}") };
-    Item { name, ver: 1, spec: Some("x".repeat(52)) }
+    let name = Name {
+        kind: Kind::Service,
+        name: format!("s{at:04}"),
+    };
+    Item {
+        name,
+        ver: 1,
+        spec: Some("x".repeat(52)),
+    }
 }
 
 /// A core of so many replicas that holds so many items of 100 bytes or so, and tells ten of them at once.
 fn core(replicas: usize, items: usize) -> Core {
     let zones: Vec<String> = (0..replicas).map(|at| format!("z{at}")).collect();
-    let ballot = Ballot { round: 1, ..Ballot::default() };
-    let register =
-        |item: Item| (item.name.clone(), Register { promised: ballot, accepted: Some((ballot, item)) });
+    let ballot = Ballot {
+        round: 1,
+        ..Ballot::default()
+    };
+    let register = |item: Item| {
+        (
+            item.name.clone(),
+            Register {
+                promised: ballot,
+                accepted: Some((ballot, item)),
+            },
+        )
+    };
     let incarnations = vec![Incarnation::FIRST; replicas];
     let restored = Restored {
-        own: Own { incarnation: Incarnation::FIRST, run: 1, incarnations, ..Own::default() },
+        own: Own {
+            incarnation: Incarnation::FIRST,
+            run: 1,
+            incarnations,
+            ..Own::default()
+        },
         registers: (0..items).map(item).map(register).collect(),
         chosen: (0..items).map(|at| (ballot, item(at))).collect(),
     };
     let zone = zones[0].clone();
-    let bounds = Bounds { piece: 1_060, question: 10_600 };
-    Core::new(0, Setup { zones, zone, seed: 1, restored, bounds, ..Setup::default() })
+    let bounds = Bounds {
+        piece: 1_060,
+        question: 10_600,
+    };
+    Core::new(
+        0,
+        Setup {
+            zones,
+            zone,
+            seed: 1,
+            restored,
+            bounds,
+            ..Setup::default()
+        },
+    )
 }
 
 fn take(core: &mut Core, now: i64, input: Input) -> Vec<Output> {
@@ -45,7 +80,12 @@
     take(&mut core, 0, Input::Tick);
     take(&mut core, 400 * MS, Input::Tick);
     let http = "10.1.0.1:80".parse().unwrap();
-    let edge = Edge { node: "e".into(), zone: "z0".into(), region: "r".into(), http };
+    let edge = Edge {
+        node: "e".into(),
+        zone: "z0".into(),
+        region: "r".into(),
+        http,
+    };
     let mut told = take(&mut core, 500 * MS, Input::Agent(7, Up::Hello(edge)));
     let (mut held, mut open, mut whole, mut asked) = (0, 0, false, 0);
     loop {
@@ -65,20 +105,40 @@
             break;
         }
         open -= 1;
-        let holding = Up::Holding { items: held as u32, digest: 1 };
+        let holding = Up::Holding {
+            items: held as u32,
+            digest: 1,
+        };
         told = take(&mut core, 500 * MS + asked, Input::Agent(7, holding));
     }
     assert_eq!((held, whole), (200, true));
 }
 
 fn from_other(body: Body) -> Input {
-    let by = Speaker { replica: 1, incarnation: Incarnation::FIRST, run: 1 };
+    let by = Speaker {
+        replica: 1,
+        incarnation: Incarnation::FIRST,
+        run: 1,
+    };
     let incarnations = vec![Incarnation::FIRST; 3];
-    Input::PeerMessage((OTHER, 7740).into(), PeerMessage { by, incarnations, body })
+    Input::PeerMessage(
+        (OTHER, 7740).into(),
+        PeerMessage {
+            by,
+            incarnations,
+            body,
+        },
+    )
 }
 
 fn bodies(out: Vec<Output>) -> Vec<Body> {
-    let body = |output| if let Output::Send(_, message) = output { Some(message.body) } else { None };
+    let body = |output| {
+        if let Output::Send(_, message) = output {
+            Some(message.body)
+        } else {
+            None
+        }
+    };
     out.into_iter().filter_map(body).collect()
 }
 
@@ -87,22 +147,37 @@
     let mut core = core(3, 50);
     let beat = |chosen| {
         let hears = 0b11;
-        from_other(Body::Beat(control::core::peer_messages::Beat { hears, chosen, ..Default::default() }))
+        from_other(Body::Beat(control::core::peer_messages::Beat {
+            hears,
+            chosen,
+            ..Default::default()
+        }))
     };
     let mut said = Vec::new();
     for at in 0..3 {
         said.extend(bodies(take(&mut core, at * 400 * MS, beat(99))));
     }
-    let asked =
-        said.iter().filter_map(|body| if let Body::Sync { id, .. } = body { Some(*id) } else { None });
+    let asked = said.iter().filter_map(|body| {
+        if let Body::Sync { id, .. } = body {
+            Some(*id)
+        } else {
+            None
+        }
+    });
     let ids: Vec<u64> = asked.collect();
     assert_eq!(ids.len(), 1, "one question at a time");
-    let newer = Ballot { round: 2, ..Ballot::default() };
+    let newer = Ballot {
+        round: 2,
+        ..Ballot::default()
+    };
     let entries = |id| {
         // Two are newer there, one is older.
         let keys = [item(3), item(4), item(5)].map(|item| digests::key(&item.name));
         let ballots = [newer, newer, Ballot::default()];
-        from_other(Body::Entries { id, entries: keys.into_iter().zip(ballots).collect() })
+        from_other(Body::Entries {
+            id,
+            entries: keys.into_iter().zip(ballots).collect(),
+        })
     };
     let first = bodies(take(&mut core, 1_300 * MS, entries(ids[0])));
     let fetch = first.iter().find_map(|body| match body {
@@ -112,17 +187,42 @@
     let (id, wanted) = fetch.expect("nothing is fetched");
     assert_eq!(wanted, 2);
     let led = |out: Vec<Output>| {
-        bodies(out).iter().any(|body| matches!(body, Body::Sync { .. } | Body::Fetch { .. }))
+        bodies(out)
+            .iter()
+            .any(|body| matches!(body, Body::Sync { .. } | Body::Fetch { .. }))
     };
-    assert!(!led(take(&mut core, 1_301 * MS, entries(ids[0]))), "a doubled answer is asked for again");
+    assert!(
+        !led(take(&mut core, 1_301 * MS, entries(ids[0]))),
+        "a doubled answer is asked for again"
+    );
     let learn = |id, piece, at, then| {
         let items = vec![(newer, Item { ver: 2, ..item(at) })];
-        from_other(Body::Learn { id, piece, items, then })
+        from_other(Body::Learn {
+            id,
+            piece,
+            items,
+            then,
+        })
     };
     // A piece after a gap is learned from and leads to nothing; the first one that asks leads on, once.
-    assert!(!led(take(&mut core, 1_302 * MS, learn(id, 1, 4, Then::Ask))));
+    assert!(!led(take(
+        &mut core,
+        1_302 * MS,
+        learn(id, 1, 4, Then::Ask)
+    )));
     assert!(led(take(&mut core, 1_303 * MS, learn(id, 0, 3, Then::Ask))));
-    assert!(!led(take(&mut core, 1_304 * MS, learn(id, 0, 3, Then::Ask))));
-    let ver = |core: &Core, at| core.chosen().find(|other| other.name == item(at).name).map(|item| item.ver);
-    assert_eq!((ver(&core, 3), ver(&core, 4), ver(&core, 5)), (Some(2), Some(2), Some(1)));
+    assert!(!led(take(
+        &mut core,
+        1_304 * MS,
+        learn(id, 0, 3, Then::Ask)
+    )));
+    let ver = |core: &Core, at| {
+        core.chosen()
+            .find(|other| other.name == item(at).name)
+            .map(|item| item.ver)
+    };
+    assert_eq!(
+        (ver(&core, 3), ver(&core, 4), ver(&core, 5)),
+        (Some(2), Some(2), Some(1))
+    );
 }
--- a/crates/ctl/src/configuration.rs
+++ b/crates/ctl/src/configuration.rs
@@ -32,7 +32,11 @@
 /// The hash that stands for a secret.
 pub fn hashed(salt: &str, secret: &str) -> String {
     let digest = Sha256::digest(format!("{salt}:{secret}").as_bytes());
-    let text: String = digest.iter().take(16).map(|byte| format!("{byte:02x}")).collect();
+    let text: String = digest
+        .iter()
+        .take(16)
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
     format!("{MARK}{text}")
 }
 
@@ -43,7 +47,9 @@
     /// It is none; the message names the item and the key.
     pub fn read(text: &[u8]) -> eyre::Result<Configuration> {
         let value: Value = serde_json::from_slice(text).wrap_err("configuration: no JSON")?;
-        let objects = value.get("objs").ok_or_else(|| eyre!("configuration: objs: missing"))?;
+        let objects = value
+            .get("objs")
+            .ok_or_else(|| eyre!("configuration: objs: missing"))?;
         let salt = match value.get("salt") {
             None => None,
             Some(Value::String(salt)) => Some(salt.clone()),
@@ -56,8 +62,8 @@
         let mut items = BTreeMap::new();
         for item in read {
             let text = item.spec.as_deref().unwrap_or_default();
-            let spec =
-                serde_json::from_str(text).wrap_err_with(|| format!("configuration: {}", item.name))?;
+            let spec = serde_json::from_str(text)
+                .wrap_err_with(|| format!("configuration: {}", item.name))?;
             items.insert(item.name.to_string(), (item.ver, spec));
         }
         Ok(Configuration { items, salt })
@@ -84,11 +90,19 @@
     pub fn write(&self) -> String {
         let one = |(name, (ver, spec)): (&String, &(u64, Map<String, Value>))| {
             let (kind, name) = name.split_once('/').unwrap_or((name, ""));
-            let meta = if name.is_empty() { json!({"ver": ver}) } else { json!({"name": name, "ver": ver}) };
+            let meta = if name.is_empty() {
+                json!({"ver": ver})
+            } else {
+                json!({"name": name, "ver": ver})
+            };
             json!({"type": kind, "meta": meta, "spec": spec}).to_string()
         };
         let lines: Vec<String> = self.items.iter().map(one).collect();
-        let salt = self.salt.as_ref().map(|salt| format!("\"salt\":{},", json!(salt))).unwrap_or_default();
+        let salt = self
+            .salt
+            .as_ref()
+            .map(|salt| format!("\"salt\":{},", json!(salt)))
+            .unwrap_or_default();
         format!("{{{salt}\"objs\":[\n{}\n]}}\n", lines.join(",\n"))
     }
 }
@@ -105,10 +119,16 @@
     #[test]
     fn what_is_written_out_is_read_back_and_shows_no_secret() {
         let plain = Configuration::read(TEXT.as_bytes()).unwrap();
-        assert_eq!(Configuration::read(plain.write().as_bytes()).unwrap(), plain);
+        assert_eq!(
+            Configuration::read(plain.write().as_bytes()).unwrap(),
+            plain
+        );
         let hidden = plain.clone().hidden("pepper");
         let text = hidden.write();
-        assert!(!text.contains("secret-1") && text.contains(&hashed("pepper", "secret-1")), "{text}");
+        assert!(
+            !text.contains("secret-1") && text.contains(&hashed("pepper", "secret-1")),
+            "{text}"
+        );
         assert_eq!(Configuration::read(text.as_bytes()).unwrap(), hidden);
         assert_ne!(hashed("pepper", "secret-1"), hashed("salt", "secret-1"));
     }
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -68,20 +68,35 @@
     let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     let one = |name: &String| {
         let of = |spec: &Map<String, Value>| spec.get(name).map(|value| plain(name, value));
-        Key { key: name.clone(), old: of(old), new: of(new) }
+        Key {
+            key: name.clone(),
+            old: of(old),
+            new: of(new),
+        }
     };
-    names.into_iter().map(one).filter(|key| key.old != key.new).collect()
+    names
+        .into_iter()
+        .map(one)
+        .filter(|key| key.old != key.new)
+        .collect()
 }
 
 /// Compares two configurations. Secrets are hashed before anything else is done with them.
 pub fn diff(old: Configuration, new: Configuration) -> Diff {
-    let salt = old.salt.clone().or_else(|| new.salt.clone()).unwrap_or_else(salt);
+    let salt = old
+        .salt
+        .clone()
+        .or_else(|| new.salt.clone())
+        .unwrap_or_else(salt);
     let (old, new) = (old.hidden(&salt), new.hidden(&salt));
     let salts = old.salt == new.salt;
     let mut diff = Diff::default();
     for (item, (ver, spec)) in &old.items {
         let Some((newer, other)) = new.items.get(item) else {
-            diff.dropped.push(Alone { item: item.clone(), ver: *ver });
+            diff.dropped.push(Alone {
+                item: item.clone(),
+                ver: *ver,
+            });
             continue;
         };
         let mut keys = keys(spec, other);
@@ -92,11 +107,24 @@
         if keys.is_empty() && ver == newer && !unsure {
             diff.same += 1;
         } else {
-            diff.changed.push(Changed { item: item.clone(), ver: (*ver, *newer), keys, unsure });
+            diff.changed.push(Changed {
+                item: item.clone(),
+                ver: (*ver, *newer),
+                keys,
+                unsure,
+            });
         }
     }
-    let added = new.items.iter().filter(|(item, _)| !old.items.contains_key(*item));
-    diff.added = added.map(|(item, (ver, _))| Alone { item: item.clone(), ver: *ver }).collect();
+    let added = new
+        .items
+        .iter()
+        .filter(|(item, _)| !old.items.contains_key(*item));
+    diff.added = added
+        .map(|(item, (ver, _))| Alone {
+            item: item.clone(),
+            ver: *ver,
+        })
+        .collect();
     diff
 }
 
@@ -109,8 +137,12 @@
 
 impl fmt::Display for Diff {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.added.iter().try_for_each(|one| writeln!(f, "+ {} at version {}", one.item, one.ver))?;
-        self.dropped.iter().try_for_each(|one| writeln!(f, "- {} at version {}", one.item, one.ver))?;
+        self.added
+            .iter()
+            .try_for_each(|one| writeln!(f, "+ {} at version {}", one.item, one.ver))?;
+        self.dropped
+            .iter()
+            .try_for_each(|one| writeln!(f, "- {} at version {}", one.item, one.ver))?;
         for one in &self.changed {
             let moved = match one.ver {
                 (old, new) if old == new && one.keys.is_empty() => format!("version {old}"),
@@ -120,16 +152,29 @@
             };
             writeln!(f, "~ {} {moved}", one.item)?;
             for key in &one.keys {
-                let text =
-                    |value: &Option<Value>| value.as_ref().map_or("nothing".to_string(), Value::to_string);
-                writeln!(f, "    {}: {} -> {}", key.key, text(&key.old), text(&key.new))?;
+                let text = |value: &Option<Value>| {
+                    value
+                        .as_ref()
+                        .map_or("nothing".to_string(), Value::to_string)
+                };
+                writeln!(
+                    f,
+                    "    {}: {} -> {}",
+                    key.key,
+                    text(&key.old),
+                    text(&key.new)
+                )?;
             }
             if one.unsure {
                 writeln!(f, "    {SECRETS}: hashed with two salts, can't be compared")?;
             }
         }
         let (added, dropped, changed) = (self.added.len(), self.dropped.len(), self.changed.len());
-        writeln!(f, "{added} added, {dropped} dropped, {changed} changed, {} the same", self.same)
+        writeln!(
+            f,
+            "{added} added, {dropped} dropped, {changed} changed, {} the same",
+            self.same
+        )
     }
 }
 
@@ -156,7 +201,11 @@
     #[test_case(r#""per_s":5"#, r#""per_s":6"#, "~ tenants/t version 3 in both, with two contents\n    per_s: 5 -> 6\n0 added, 0 dropped, 1 changed, 1 the same\n"; "two contents of one version")]
     #[test_case(r#""name":"s""#, r#""name":"r""#, "+ svcs/r at version 1\n- svcs/s at version 1\n1 added, 1 dropped, 0 changed, 1 the same\n"; "another name")]
     fn what_differs_is_named_by_item_and_key(from: &str, to: &str, is: &str) {
-        let new = if from.is_empty() { TURNED.to_string() } else { TURNED.replacen(from, to, 1) };
+        let new = if from.is_empty() {
+            TURNED.to_string()
+        } else {
+            TURNED.replacen(from, to, 1)
+        };
         assert_eq!(diff(read(OLD), read(&new)).to_string(), is);
     }
 
@@ -168,13 +217,24 @@
             diff(read(OLD).hidden("x"), changed.clone()),
             diff(read(OLD), changed.clone().hidden("x")),
         ] {
-            let keys: Vec<&str> = found.changed[0].keys.iter().map(|key| key.key.as_str()).collect();
+            let keys: Vec<&str> = found.changed[0]
+                .keys
+                .iter()
+                .map(|key| key.key.as_str())
+                .collect();
             assert_eq!((keys, found.changed[0].unsure), (vec![SECRETS], false));
             assert!(!found.to_string().contains("other-secret"), "{found}");
-            assert!(!serde_json::to_string(&found).unwrap().contains("other-secret"));
+            assert!(
+                !serde_json::to_string(&found)
+                    .unwrap()
+                    .contains("other-secret")
+            );
         }
         assert!(diff(read(OLD).hidden("x"), read(OLD)).is_empty());
         let two = diff(read(OLD).hidden("x"), changed.hidden("y"));
-        assert!(two.changed[0].unsure && two.to_string().contains("two salts"), "{two}");
+        assert!(
+            two.changed[0].unsure && two.to_string().contains("two salts"),
+            "{two}"
+        );
     }
 }
--- a/crates/ctl/src/http.rs
+++ b/crates/ctl/src/http.rs
@@ -16,19 +16,35 @@
 /// # Errors
 /// There is none in time, or another one; the message names the address and the step.
 pub fn get(at: SocketAddr, path: &str, until: Instant) -> eyre::Result<Vec<u8>> {
-    let (status, body) = ask(at, path, until).wrap_err_with(|| format!("asking {at} for {path}"))?;
-    let text = || String::from_utf8_lossy(&body).chars().take(200).collect::<String>();
-    ensure!(status == 200, "asking {at} for {path}: answered {status}: {}", text());
+    let (status, body) =
+        ask(at, path, until).wrap_err_with(|| format!("asking {at} for {path}"))?;
+    let text = || {
+        String::from_utf8_lossy(&body)
+            .chars()
+            .take(200)
+            .collect::<String>()
+    };
+    ensure!(
+        status == 200,
+        "asking {at} for {path}: answered {status}: {}",
+        text()
+    );
     Ok(body)
 }
 
 fn ask(at: SocketAddr, path: &str, until: Instant) -> eyre::Result<(u16, Vec<u8>)> {
     let left = || {
         let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() { Err(eyre!("no answer in time")) } else { Ok(left) }
+        if left.is_zero() {
+            Err(eyre!("no answer in time"))
+        } else {
+            Ok(left)
+        }
     };
     let mut stream = TcpStream::connect_timeout(&at, left()?).wrap_err("connecting")?;
-    stream.set_write_timeout(Some(left()?)).wrap_err("writing")?;
+    stream
+        .set_write_timeout(Some(left()?))
+        .wrap_err("writing")?;
     let request = format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).wrap_err("writing")?;
     let (mut input, mut part) = (Vec::new(), [0; 16 * 1024]);
@@ -48,17 +64,26 @@
 
 /// Status and body, once both are there.
 fn read(input: &[u8]) -> eyre::Result<Option<(u16, Vec<u8>)>> {
-    let Some(end) = input.windows(4).take(HEAD).position(|four| four == b"\r\n\r\n") else {
+    let Some(end) = input
+        .windows(4)
+        .take(HEAD)
+        .position(|four| four == b"\r\n\r\n")
+    else {
         ensure!(input.len() < HEAD, "reading: a head that does not end");
         return Ok(None);
     };
     let head = std::str::from_utf8(&input[..end]).wrap_err("reading: the head")?;
     let mut lines = head.split("\r\n");
-    let status = lines.next().and_then(|line| line.split(' ').nth(1)).and_then(|word| word.parse().ok());
+    let status = lines
+        .next()
+        .and_then(|line| line.split(' ').nth(1))
+        .and_then(|word| word.parse().ok());
     let status = status.ok_or_else(|| eyre!("reading: no status"))?;
     let length = lines.filter_map(|line| line.split_once(':'));
     let length = length.filter(|(name, _)| name.eq_ignore_ascii_case("content-length"));
-    let length = length.filter_map(|(_, value)| value.trim().parse::<usize>().ok()).next();
+    let length = length
+        .filter_map(|(_, value)| value.trim().parse::<usize>().ok())
+        .next();
     let length = length.ok_or_else(|| eyre!("reading: an answer without its length"))?;
     ensure!(length <= LONGEST, "reading: an answer of {length} bytes");
     let body = input.get(end + 4..end + 4 + length);
@@ -76,7 +101,10 @@
     #[test_case("HTTP/1.1 200 OK\r\nContent-", None; "a head on its way")]
     fn an_answer_is_read_once_it_is_whole(text: &str, is: Option<(u16, &str)>) {
         let read = read(text.as_bytes()).unwrap();
-        assert_eq!(read, is.map(|(status, body)| (status, body.as_bytes().to_vec())));
+        assert_eq!(
+            read,
+            is.map(|(status, body)| (status, body.as_bytes().to_vec()))
+        );
     }
 
     #[test_case("HTTP/1.1 200 OK\r\n\r\n{}", "length"; "no length")]
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -41,7 +41,11 @@
 /// Reads the files of a replica's folder while its program does not run, and says what stands there and what is harmed.
 /// Nothing is changed.
 #[derive(FromArgs)]
-#[argh(subcommand, name = "verify", example = "{command_name} /var/lib/streamarch")]
+#[argh(
+    subcommand,
+    name = "verify",
+    example = "{command_name} /var/lib/streamarch"
+)]
 struct Verify {
     /// the folder that `datadir` names, or a database file that was put aside
     #[argh(positional)]
@@ -53,7 +57,11 @@
 
 /// Replicas, incarnations, leases, duties, versions and what lags, as the replicas that are asked see it.
 #[derive(FromArgs)]
-#[argh(subcommand, name = "status", example = "{command_name} --at 10.1.0.10:8688,10.2.0.10:8688 --json")]
+#[argh(
+    subcommand,
+    name = "status",
+    example = "{command_name} --at 10.1.0.10:8688,10.2.0.10:8688 --json"
+)]
 struct Status {
     /// where operators call the replicas, with commas between
     #[argh(option)]
@@ -65,7 +73,11 @@
 
 /// Writes out the configuration that is in force, keys of tenants as hashes with a salt.
 #[derive(FromArgs)]
-#[argh(subcommand, name = "export", example = "{command_name} --at 10.1.0.10:8688 > before.json")]
+#[argh(
+    subcommand,
+    name = "export",
+    example = "{command_name} --at 10.1.0.10:8688 > before.json"
+)]
 struct Export {
     /// where operators call a replica
     #[argh(option)]
@@ -83,7 +95,11 @@
 
 /// Compares two configurations by item and key; each is a file or a replica's address.
 #[derive(FromArgs)]
-#[argh(subcommand, name = "diff", example = "{command_name} before.json 10.1.0.10:8688")]
+#[argh(
+    subcommand,
+    name = "diff",
+    example = "{command_name} before.json 10.1.0.10:8688"
+)]
 struct Diff {
     /// a file, or where operators call a replica
     #[argh(positional)]
@@ -97,7 +113,11 @@
 }
 
 fn addresses(text: &str) -> eyre::Result<Vec<SocketAddr>> {
-    let one = |word: &str| word.trim().parse().wrap_err_with(|| format!("--at: {word:?} is no address"));
+    let one = |word: &str| {
+        word.trim()
+            .parse()
+            .wrap_err_with(|| format!("--at: {word:?} is no address"))
+    };
     text.split(',').map(one).collect()
 }
 
@@ -119,7 +139,10 @@
 
 fn show<T: Serialize + std::fmt::Display>(json: bool, value: &T) -> eyre::Result<()> {
     if json {
-        println!("{}", serde_json::to_string_pretty(value).wrap_err("writing JSON")?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(value).wrap_err("writing JSON")?
+        );
     } else {
         print!("{value}");
     }
@@ -131,25 +154,48 @@
     match arguments.command {
         Sub::Status(Status { at, json }) => {
             let view = status::ask(&addresses(&at)?, || Instant::now() + ANSWER);
-            ensure!(view.told_anything(), "no replica answers: {}", view.findings.join("; "));
+            ensure!(
+                view.told_anything(),
+                "no replica answers: {}",
+                view.findings.join("; ")
+            );
             show(json, &view)?;
             Ok(!view.findings.is_empty())
         }
-        Sub::Export(Export { at, salt: wanted, plain, json }) => {
-            let at = *addresses(&at)?.first().ok_or_else(|| eyre!("--at: no address"))?;
+        Sub::Export(Export {
+            at,
+            salt: wanted,
+            plain,
+            json,
+        }) => {
+            let at = *addresses(&at)?
+                .first()
+                .ok_or_else(|| eyre!("--at: no address"))?;
             let all = fetch(at)?;
-            let all = if plain { all } else { all.hidden(&wanted.unwrap_or_else(salt)) };
+            let all = if plain {
+                all
+            } else {
+                all.hidden(&wanted.unwrap_or_else(salt))
+            };
             let text = all.write();
             if json {
-                let value: serde_json::Value = serde_json::from_str(&text).wrap_err("writing JSON")?;
-                println!("{}", serde_json::to_string_pretty(&value).wrap_err("writing JSON")?);
+                let value: serde_json::Value =
+                    serde_json::from_str(&text).wrap_err("writing JSON")?;
+                println!(
+                    "{}",
+                    serde_json::to_string_pretty(&value).wrap_err("writing JSON")?
+                );
             } else {
                 print!("{text}");
             }
             Ok(false)
         }
         Sub::Verify(Verify { path, json }) => {
-            let report = if path.is_dir() { disk::verify(&path)? } else { disk::verify_file(&path)? };
+            let report = if path.is_dir() {
+                disk::verify(&path)?
+            } else {
+                disk::verify_file(&path)?
+            };
             show(json, &report)?;
             Ok(!report.faults.is_empty())
         }
@@ -164,17 +210,18 @@
 fn main() -> ExitCode {
     let words: Vec<String> = std::env::args().collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let arguments = match Arguments::from_args(&["streamarchctl"], words.get(1..).unwrap_or_default()) {
-        Ok(arguments) => arguments,
-        Err(early) if early.status.is_ok() => {
-            println!("{}", early.output);
-            return ExitCode::SUCCESS;
-        }
-        Err(early) => {
-            eprintln!("{}", early.output);
-            return ExitCode::from(2);
-        }
-    };
+    let arguments =
+        match Arguments::from_args(&["streamarchctl"], words.get(1..).unwrap_or_default()) {
+            Ok(arguments) => arguments,
+            Err(early) if early.status.is_ok() => {
+                println!("{}", early.output);
+                return ExitCode::SUCCESS;
+            }
+            Err(early) => {
+                eprintln!("{}", early.output);
+                return ExitCode::from(2);
+            }
+        };
     match work(arguments) {
         Ok(found) => ExitCode::from(u8::from(found)),
         Err(error) => {
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -41,11 +41,20 @@
     let one = |at: &SocketAddr| {
         let body = http::get(*at, "/api/status", until());
         let status = body.and_then(|body| {
-            serde_json::from_slice::<Status>(&body).wrap_err_with(|| format!("reading what {at} tells"))
+            serde_json::from_slice::<Status>(&body)
+                .wrap_err_with(|| format!("reading what {at} tells"))
         });
         match status {
-            Ok(status) => Told { at: *at, status: Some(status), error: None },
-            Err(error) => Told { at: *at, status: None, error: Some(format!("{error:#}")) },
+            Ok(status) => Told {
+                at: *at,
+                status: Some(status),
+                error: None,
+            },
+            Err(error) => Told {
+                at: *at,
+                status: None,
+                error: Some(format!("{error:#}")),
+            },
         }
     };
     view(at.iter().map(one).collect())
@@ -66,7 +75,11 @@
     }
     let limiters: Vec<LimiterSeen> = limiters.into_values().collect();
     let findings = findings(&told, &limiters);
-    View { told, limiters, findings }
+    View {
+        told,
+        limiters,
+        findings,
+    }
 }
 
 fn findings(told: &[Told], limiters: &[LimiterSeen]) -> Vec<String> {
@@ -78,21 +91,43 @@
         };
         let zone = &status.zone;
         let states = [
-            (status.replaced, "was replaced: another machine stands for its replica"),
-            (!status.replaced && !status.takes_part, "has not rebuilt its disk yet"),
-            (status.takes_part && !status.in_touch, "is out of touch with more than half of the replicas"),
+            (
+                status.replaced,
+                "was replaced: another machine stands for its replica",
+            ),
+            (
+                !status.replaced && !status.takes_part,
+                "has not rebuilt its disk yet",
+            ),
+            (
+                status.takes_part && !status.in_touch,
+                "is out of touch with more than half of the replicas",
+            ),
             (status.disk_full, "has a full disk"),
         ];
-        found.extend(states.iter().filter(|(is, _)| *is).map(|(_, text)| format!("replica {zone} {text}")));
+        found.extend(
+            states
+                .iter()
+                .filter(|(is, _)| *is)
+                .map(|(_, text)| format!("replica {zone} {text}")),
+        );
         if !status.takes_part || !status.in_touch {
             continue;
         }
         let silent = status.replicas.iter().filter(|replica| !replica.heard);
-        found.extend(silent.map(|replica| format!("replica {zone} does not hear replica {}", replica.zone)));
+        found.extend(
+            silent.map(|replica| format!("replica {zone} does not hear replica {}", replica.zone)),
+        );
         let vacant = status.duties.iter().filter(|duty| duty.holder.is_none());
-        found.extend(vacant.map(|duty| format!("replica {zone} knows nobody with the duty {}", duty.duty)));
+        found.extend(
+            vacant.map(|duty| format!("replica {zone} knows nobody with the duty {}", duty.duty)),
+        );
     }
-    let parts = || told.iter().filter_map(|told| told.status.as_ref()).filter(|status| status.in_touch);
+    let parts = || {
+        told.iter()
+            .filter_map(|told| told.status.as_ref())
+            .filter(|status| status.in_touch)
+    };
     if let Some(first) = parts().next() {
         let other = parts().filter(|status| status.digest != first.digest);
         found.extend(other.map(|status| {
@@ -105,7 +140,9 @@
     for limiter in limiters {
         let node = &limiter.node;
         if !limiter.linked {
-            found.push(format!("limiter {node} is linked to no replica, its lease runs out"));
+            found.push(format!(
+                "limiter {node} is linked to no replica, its lease runs out"
+            ));
         } else if limiter.standing != "ready" {
             found.push(format!("limiter {node} is {}", limiter.standing));
         }
@@ -137,8 +174,13 @@
                 status if !status.in_touch => "out",
                 _ => "in",
             };
-            let own = status.duties.iter().filter(|duty| duty.holder.as_ref() == Some(&status.zone));
-            let own: Vec<String> = own.map(|duty| format!("{} (term {})", duty.duty, duty.term)).collect();
+            let own = status
+                .duties
+                .iter()
+                .filter(|duty| duty.holder.as_ref() == Some(&status.zone));
+            let own: Vec<String> = own
+                .map(|duty| format!("{} (term {})", duty.duty, duty.term))
+                .collect();
             let list = format!("{}.{}", status.servers.0, status.servers.1);
             writeln!(
                 f,
@@ -158,20 +200,29 @@
         )?;
         for one in &self.limiters {
             let items = one.items.map_or("?".to_string(), |items| items.to_string());
-            let behind = one.behind.map_or("?".to_string(), |behind| format!("{behind} ms"));
+            let behind = one
+                .behind
+                .map_or("?".to_string(), |behind| format!("{behind} ms"));
             writeln!(
                 f,
                 "{:<20} {:<12} {:<12} {:<8} {items:<7} {behind}",
                 one.node, one.zone, one.replica, one.standing
             )?;
         }
-        let left: usize =
-            self.told.iter().filter_map(|told| told.status.as_ref()).map(|s| s.left_out).max().unwrap_or(0);
+        let left: usize = self
+            .told
+            .iter()
+            .filter_map(|told| told.status.as_ref())
+            .map(|s| s.left_out)
+            .max()
+            .unwrap_or(0);
         if left > 0 {
             writeln!(f, "... and {left} more")?;
         }
         writeln!(f)?;
-        self.findings.iter().try_for_each(|finding| writeln!(f, "! {finding}"))?;
+        self.findings
+            .iter()
+            .try_for_each(|finding| writeln!(f, "! {finding}"))?;
         writeln!(f, "{} findings", self.findings.len())
     }
 }
@@ -183,9 +234,16 @@
     use test_case::test_case;
 
     fn replica(zone: &str) -> Status {
-        let replica =
-            |zone: &str| ReplicaSeen { zone: zone.to_string(), heard: true, ..ReplicaSeen::default() };
-        let duty = DutySeen { duty: "poll".into(), holder: Some("a".into()), term: 3 };
+        let replica = |zone: &str| ReplicaSeen {
+            zone: zone.to_string(),
+            heard: true,
+            ..ReplicaSeen::default()
+        };
+        let duty = DutySeen {
+            duty: "poll".into(),
+            holder: Some("a".into()),
+            term: 3,
+        };
         Status {
             zone: zone.to_string(),
             takes_part: true,
--- a/crates/ctl/tests/golden.rs
+++ b/crates/ctl/tests/golden.rs
@@ -25,8 +25,17 @@
         items: 350,
         digest: "0123456789abcdef".into(),
         servers: (4, 9),
-        replicas: vec![ReplicaSeen { zone: "heredia".into(), incarnation: 1, address, heard: true }],
-        duties: vec![DutySeen { duty: "count".into(), holder: None, term: 0 }],
+        replicas: vec![ReplicaSeen {
+            zone: "heredia".into(),
+            incarnation: 1,
+            address,
+            heard: true,
+        }],
+        duties: vec![DutySeen {
+            duty: "count".into(),
+            holder: None,
+            term: 0,
+        }],
         limiters: vec![LimiterSeen {
             node: "edge-1".into(),
             zone: "alajuela".into(),
@@ -44,8 +53,16 @@
 fn a_status_of_several_replicas_keeps_its_keys() {
     let at = |last: u8| std::net::SocketAddr::from(([10, 1, 0, last], 8688));
     let told = vec![
-        Told { at: at(10), status: Some(status()), error: None },
-        Told { at: at(11), status: None, error: Some("10.1.0.11:8688: refused".into()) },
+        Told {
+            at: at(10),
+            status: Some(status()),
+            error: None,
+        },
+        Told {
+            at: at(11),
+            status: None,
+            error: Some("10.1.0.11:8688: refused".into()),
+        },
     ];
     insta::assert_snapshot!("status", pretty(&view(told)));
 }
@@ -66,8 +83,11 @@
 
 #[test]
 fn a_report_on_stored_files_keeps_its_keys() {
-    let fault =
-        Fault { table: "chosen".into(), name: "svcs/a".into(), what: "does not match its checksum".into() };
+    let fault = Fault {
+        table: "chosen".into(),
+        name: "svcs/a".into(),
+        what: "does not match its checksum".into(),
+    };
     let report = Report {
         schema: 1,
         incarnation: 3,
