--- a/crates/dataplane/src/clock.rs
+++ b/crates/dataplane/src/clock.rs
@@ -26,19 +26,27 @@
 impl Clock {
     /// The system's clock.
     pub fn system() -> Clock {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let since = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         Clock(Source::System(Instant::now(), since.as_micros() as Micros))
     }
 
     /// A clock that starts anywhere and follows others, see [`Clock::raise`].
     pub fn steady() -> Clock {
-        Clock(Source::Steady(Instant::now(), Arc::new(AtomicI64::new(FIRST))))
+        Clock(Source::Steady(
+            Instant::now(),
+            Arc::new(AtomicI64::new(FIRST)),
+        ))
     }
 
     /// Others are at this time. A steady clock that is behind goes there; none goes back.
     pub fn raise(&self, to: Micros) {
         if let Source::Steady(start, ahead) = &self.0 {
-            ahead.fetch_max(to.saturating_sub(start.elapsed().as_micros() as Micros), Ordering::SeqCst);
+            ahead.fetch_max(
+                to.saturating_sub(start.elapsed().as_micros() as Micros),
+                Ordering::SeqCst,
+            );
         }
     }
 
--- a/crates/dataplane/src/deadlines.rs
+++ b/crates/dataplane/src/deadlines.rs
@@ -13,7 +13,10 @@
 
 impl<T> Default for Deadlines<T> {
     fn default() -> Deadlines<T> {
-        Deadlines { entries: BTreeMap::new(), next: 0 }
+        Deadlines {
+            entries: BTreeMap::new(),
+            next: 0,
+        }
     }
 }
 
--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -7,8 +7,8 @@
 use std::fmt;
 
 use streamarch::{
-    Action, AttemptEnd, Balancer, CounterName, CustomerId, Event, ListKind, LoadReport, Micros, Outcome,
-    OverNotice, Plan, Request, RequestId, ServerEntry, ServerId, Settings,
+    Action, AttemptEnd, Balancer, CounterName, CustomerId, Event, ListKind, LoadReport, Micros,
+    Outcome, OverNotice, Plan, Request, RequestId, ServerEntry, ServerId, Settings,
 };
 
 use crate::judging::{Judged, Judging};
@@ -229,11 +229,14 @@
             return Err(Misuse::Full);
         }
         let mut new = Vec::new();
-        let judge =
-            |judging: &mut Judging| judging.judge(now, authorisation.customer, authorisation.plan, &mut new);
+        let judge = |judging: &mut Judging| {
+            judging.judge(now, authorisation.customer, authorisation.plan, &mut new)
+        };
         let judged = self.judging.as_mut().map(judge);
         self.events.extend(new.into_iter().map(Event::Plan));
-        authorisation.plan = judged.as_ref().map_or(authorisation.plan, |judged| judged.position);
+        authorisation.plan = judged
+            .as_ref()
+            .map_or(authorisation.plan, |judged| judged.position);
         let held = Held {
             authorisation: authorisation.clone(),
             judged,
@@ -270,11 +273,18 @@
         outcome: Outcome,
         report: Option<LoadReport>,
     ) -> bool {
-        let Some(held) = self.held.get_mut(key) else { return false };
-        let Some(out) = held.out.take_if(|out| out.leg == leg) else { return false };
+        let Some(held) = self.held.get_mut(key) else {
+            return false;
+        };
+        let Some(out) = held.out.take_if(|out| out.leg == leg) else {
+            return false;
+        };
         let answers = outcome == Outcome::Ok && !held.done;
         held.done |= answers;
-        held.may_have_run |= !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        held.may_have_run |= !matches!(
+            outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+        );
         let finished = held.done;
         if finished {
             self.held.remove(key);
@@ -318,7 +328,11 @@
 
     /// The counter answered, or failed to.
     pub fn counted(&mut self, name: CounterName, outcome: Outcome, total: f64) {
-        self.events.push(Event::Counted { name, outcome, total });
+        self.events.push(Event::Counted {
+            name,
+            outcome,
+            total,
+        });
     }
 
     /// The counter answered a call whose outcome had been given before.
@@ -333,7 +347,11 @@
 
     /// A probe ended.
     pub fn probe_ended(&mut self, server: ServerId, outcome: Outcome, report: Option<LoadReport>) {
-        self.events.push(Event::ProbeEnd { server, outcome, report });
+        self.events.push(Event::ProbeEnd {
+            server,
+            outcome,
+            report,
+        });
     }
 
     /// News of the routing table.
@@ -354,7 +372,11 @@
     /// When [`Engine::handle`] has something to do next; the module is not called more often than its period.
     pub fn next(&self) -> Option<Micros> {
         let earliest = self.handled.map_or(Micros::MIN, |at| at + self.period);
-        let wanted = if self.events.is_empty() { self.wake } else { Some(Micros::MIN) };
+        let wanted = if self.events.is_empty() {
+            self.wake
+        } else {
+            Some(Micros::MIN)
+        };
         wanted.map(|at| at.max(earliest))
     }
 
@@ -384,24 +406,43 @@
 
     fn carry_out(&mut self, now: Micros, action: Action, orders: &mut Vec<Order>) {
         match action {
-            Action::Send { request, server, timeout } => {
-                self.send(now, key(request), server, timeout, orders)
-            }
-            Action::Shed { request, stay_away, over_quota } => {
-                self.answer(now, key(request), Ending::Declined { stay_away, over_quota }, orders)
-            }
+            Action::Send {
+                request,
+                server,
+                timeout,
+            } => self.send(now, key(request), server, timeout, orders),
+            Action::Shed {
+                request,
+                stay_away,
+                over_quota,
+            } => self.answer(
+                now,
+                key(request),
+                Ending::Declined {
+                    stay_away,
+                    over_quota,
+                },
+                orders,
+            ),
             Action::Fail(request) => self.answer(now, key(request), Ending::Failed, orders),
             Action::Cancel { request, attempt } => {
                 let key = key(request);
                 // Guards a request that could only fail by it: its body has gone on to that server and is no longer
                 // here. One that takes a long body in owes no answer yet, and so is easily taken for silent.
                 let moves = self.held.get(key).filter(|held| !held.body_gone);
-                if moves.and_then(|held| held.out).is_some_and(|out| out.leg == attempt) {
+                if moves
+                    .and_then(|held| held.out)
+                    .is_some_and(|out| out.leg == attempt)
+                {
                     orders.push(Order::StopLeg { key, leg: attempt });
                     self.leg_ended(now, key, attempt, Outcome::Cancelled, None);
                 }
             }
-            Action::Count { name, add, expires } => orders.push(Order::Count { name, add, life: expires }),
+            Action::Count { name, add, expires } => orders.push(Order::Count {
+                name,
+                add,
+                life: expires,
+            }),
             Action::Tell(limiter, notice) => orders.push(Order::Tell(limiter, notice)),
             Action::Probe(server) => orders.push(Order::Probe(server)),
             // The host watches the list from its start, whether the module asks for it or not.
@@ -419,7 +460,9 @@
         timeout: Micros,
         orders: &mut Vec<Order>,
     ) {
-        let Some(held) = self.held.get_mut(key) else { return };
+        let Some(held) = self.held.get_mut(key) else {
+            return;
+        };
         let leg = held.legs;
         held.legs += 1;
         // Guards rule 2: never two legs out, none after the end, whatever asks for them. The module is told that the
@@ -438,8 +481,15 @@
             self.events.push(Event::AttemptEnd(end));
             return;
         }
-        let expired = held.authorisation.valid_until.is_some_and(|until| until <= now);
-        held.out = Some(Out { leg, server, sent: now });
+        let expired = held
+            .authorisation
+            .valid_until
+            .is_some_and(|until| until <= now);
+        held.out = Some(Out {
+            leg,
+            server,
+            sent: now,
+        });
         // Guards the sign-off whose token runs out between try and retry: it is not sent again.
         if expired {
             let may_have_run = held.may_have_run;
@@ -450,15 +500,26 @@
             self.leg_ended(now, key, leg, Outcome::Moot, None);
             return;
         }
-        let given = if timeout == 0 { Micros::MAX } else { now.saturating_add(timeout.max(0)) };
+        let given = if timeout == 0 {
+            Micros::MAX
+        } else {
+            now.saturating_add(timeout.max(0))
+        };
         let deadline = held.authorisation.deadline.min(given);
-        orders.push(Order::StartLeg { key, leg, server, deadline });
+        orders.push(Order::StartLeg {
+            key,
+            leg,
+            server,
+            deadline,
+        });
     }
 
     /// Marks the end; true if it had not ended before. Where the module does not know of it yet, the slot is kept
     /// until it has decided again: what it decides on an earlier event may still be to send.
     fn end(&mut self, key: AuthorisationKey, unknown: bool) -> bool {
-        let Some(held) = self.held.get_mut(key).filter(|h| !h.done) else { return false };
+        let Some(held) = self.held.get_mut(key).filter(|h| !h.done) else {
+            return false;
+        };
         held.done = true;
         self.open -= 1;
         match (held.out.is_none(), unknown) {
@@ -469,7 +530,13 @@
         true
     }
 
-    fn answer(&mut self, now: Micros, key: AuthorisationKey, ending: Ending, orders: &mut Vec<Order>) {
+    fn answer(
+        &mut self,
+        now: Micros,
+        key: AuthorisationKey,
+        ending: Ending,
+        orders: &mut Vec<Order>,
+    ) {
         // Guards rule 1: the second of two final answers goes nowhere.
         if self.end(key, false) {
             orders.push(Order::Answer { key, ending });
--- a/crates/dataplane/src/judging.rs
+++ b/crates/dataplane/src/judging.rs
@@ -48,10 +48,22 @@
 impl Judging {
     /// The platform's plans, by name and position. `slack`: how far in the past a change may take effect.
     pub fn new(names: &[String], platform: &[Plan], slack: Micros) -> Judging {
-        let figures = |plan: &Plan| Figures { rate: plan.rate, burst: plan.burst };
-        let base: Base = names.iter().cloned().zip(platform.iter().map(figures)).collect();
+        let figures = |plan: &Plan| Figures {
+            rate: plan.rate,
+            burst: plan.burst,
+        };
+        let base: Base = names
+            .iter()
+            .cloned()
+            .zip(platform.iter().map(figures))
+            .collect();
         let (names, known) = (names.to_vec(), platform.to_vec());
-        Judging { book: Book::new(base, slack), names, known, positions: BTreeMap::new() }
+        Judging {
+            book: Book::new(base, slack),
+            names,
+            known,
+            positions: BTreeMap::new(),
+        }
     }
 
     /// The book.
@@ -69,10 +81,20 @@
 
     /// What a request is judged by that names a plan by its platform position. Plans that come up with it are put into
     /// `new`, in the order in which the module is to be told.
-    pub fn judge(&mut self, now: Micros, customer: CustomerId, named: usize, new: &mut Vec<Plan>) -> Judged {
+    pub fn judge(
+        &mut self,
+        now: Micros,
+        customer: CustomerId,
+        named: usize,
+        new: &mut Vec<Plan>,
+    ) -> Judged {
         let (position, plan) = self.at(now, now, customer, named, CHAIN, new);
         let name = self.names.get(plan).cloned().unwrap_or_default();
-        Judged { position, plan: name, version: self.book.version() }
+        Judged {
+            position,
+            plan: name,
+            version: self.book.version(),
+        }
     }
 
     /// Position in the module and platform position of what holds at an instant, as it is to be judged now.
@@ -85,20 +107,41 @@
         chain: usize,
         new: &mut Vec<Plan>,
     ) -> (usize, usize) {
-        let Some(name) = self.names.get(named) else { return (named, named) };
-        let Some(terms) = self.book.terms(customer.0, name, at) else { return (named, named) };
-        let Some(since) = terms.since else { return (named, named) };
-        let plan = self.names.iter().position(|n| *n == terms.plan).unwrap_or(named);
+        let Some(name) = self.names.get(named) else {
+            return (named, named);
+        };
+        let Some(terms) = self.book.terms(customer.0, name, at) else {
+            return (named, named);
+        };
+        let Some(since) = terms.since else {
+            return (named, named);
+        };
+        let plan = self
+            .names
+            .iter()
+            .position(|n| *n == terms.plan)
+            .unwrap_or(named);
         let window = self.known[named].window_length();
         // What was before matters in the window of the change alone: there use under it may not be known here.
         let fresh = chain > 0 && now - since < window;
-        let changed = fresh.then(|| (since, self.at(since - 1, now, customer, named, chain - 1, new).0));
+        let changed = fresh.then(|| {
+            (
+                since,
+                self.at(since - 1, now, customer, named, chain - 1, new).0,
+            )
+        });
         let came = (plan, exact(terms.figures), named, changed);
         if let Some(position) = self.positions.get(&came) {
             return (*position, plan);
         }
         let Figures { rate, burst } = terms.figures;
-        let figures = Plan { rate, burst, window, changed, ..self.known[plan].clone() };
+        let figures = Plan {
+            rate,
+            burst,
+            window,
+            changed,
+            ..self.known[plan].clone()
+        };
         let position = self.known.len();
         self.known.push(figures.clone());
         self.positions.insert(came, position);
--- a/crates/dataplane/src/legs.rs
+++ b/crates/dataplane/src/legs.rs
@@ -38,9 +38,9 @@
     /// What it is used for.
     pub fn errand(self) -> Option<E> {
         match self {
-            LegState::Connecting(errand) | LegState::Sending(errand) | LegState::Awaiting(errand) => {
-                Some(errand)
-            }
+            LegState::Connecting(errand)
+            | LegState::Sending(errand)
+            | LegState::Awaiting(errand) => Some(errand),
             LegState::Relaying | LegState::Idle => None,
         }
     }
@@ -108,7 +108,10 @@
 
 impl<K> Default for Pool<K> {
     fn default() -> Pool<K> {
-        Pool { places: BTreeMap::new(), connections: 0 }
+        Pool {
+            places: BTreeMap::new(),
+            connections: 0,
+        }
     }
 }
 
@@ -116,23 +119,37 @@
     /// The routing table names this server, at this address. Gives the idle connections to another one: who answers
     /// there now is not this server.
     pub fn listed(&mut self, server: ServerId, address: SocketAddr) -> Vec<K> {
-        let new = || Place { address, listed: true, taken_out: false, connections: 0, idle: Vec::new() };
+        let new = || Place {
+            address,
+            listed: true,
+            taken_out: false,
+            connections: 0,
+            idle: Vec::new(),
+        };
         let place = self.places.entry(server).or_insert_with(new);
         let moved = std::mem::replace(&mut place.address, address) != address;
         (place.listed, place.taken_out) = (true, false);
-        if moved { place.idle.iter().map(|(key, _)| *key).collect() } else { Vec::new() }
+        if moved {
+            place.idle.iter().map(|(key, _)| *key).collect()
+        } else {
+            Vec::new()
+        }
     }
 
     /// Operators have taken a server out: gives its idle connections, and keeps none until it is listed anew.
     pub fn taken_out(&mut self, server: ServerId) -> Vec<K> {
-        let Some(place) = self.places.get_mut(&server) else { return Vec::new() };
+        let Some(place) = self.places.get_mut(&server) else {
+            return Vec::new();
+        };
         place.taken_out = true;
         place.idle.iter().map(|(key, _)| *key).collect()
     }
 
     /// The server is gone from the routing table; gives its idle connections, which are of no more use.
     pub fn unlisted(&mut self, server: ServerId) -> Vec<K> {
-        let Some(place) = self.places.get_mut(&server) else { return Vec::new() };
+        let Some(place) = self.places.get_mut(&server) else {
+            return Vec::new();
+        };
         place.listed = false;
         let idle = place.idle.iter().map(|(key, _)| *key).collect();
         if place.connections == 0 {
@@ -161,7 +178,9 @@
 
     /// A connection was closed, whatever it did.
     pub fn closed(&mut self, server: ServerId, key: K) {
-        let Some(place) = self.places.get_mut(&server) else { return };
+        let Some(place) = self.places.get_mut(&server) else {
+            return;
+        };
         place.idle.retain(|(idle, _)| *idle != key);
         place.connections = place.connections.saturating_sub(1);
         self.connections = self.connections.saturating_sub(1);
@@ -173,7 +192,9 @@
     /// A connection has nothing to do. False if the server is gone or taken out: then it is to be closed.
     pub fn rest(&mut self, server: ServerId, key: K, now: Micros) -> bool {
         let used = |place: &&mut Place<K>| place.listed && !place.taken_out;
-        let Some(place) = self.places.get_mut(&server).filter(used) else { return false };
+        let Some(place) = self.places.get_mut(&server).filter(used) else {
+            return false;
+        };
         place.idle.push((key, now));
         true
     }
@@ -193,7 +214,12 @@
     pub fn retire(&mut self, before: Micros) -> Vec<K> {
         let mut old = Vec::new();
         for place in self.places.values_mut() {
-            old.extend(place.idle.extract_if(.., |(_, since)| *since <= before).map(|(key, _)| key));
+            old.extend(
+                place
+                    .idle
+                    .extract_if(.., |(_, since)| *since <= before)
+                    .map(|(key, _)| key),
+            );
         }
         old
     }
--- a/crates/dataplane/src/visits.rs
+++ b/crates/dataplane/src/visits.rs
@@ -46,7 +46,12 @@
 impl Visit {
     /// A connection that was taken now.
     pub fn new(now: Micros) -> Visit {
-        Visit { stage: Stage::Idle, since: now, answered: false, body: None }
+        Visit {
+            stage: Stage::Idle,
+            since: now,
+            answered: false,
+            body: None,
+        }
     }
 
     fn enter(&mut self, now: Micros, stage: Stage) {
@@ -64,7 +69,11 @@
 
     /// The head is whole, and so much of the body has come.
     pub fn uploading(&mut self, now: Micros, bytes: u64) {
-        let upload = self.body.get_or_insert(Upload { since: now, heard: now, bytes });
+        let upload = self.body.get_or_insert(Upload {
+            since: now,
+            heard: now,
+            bytes,
+        });
         if upload.bytes != bytes {
             (upload.heard, upload.bytes) = (now, bytes);
         }
@@ -72,7 +81,11 @@
 
     /// More was not asked for, so that none came.
     pub fn held_up(&mut self, now: Micros) {
-        self.body = self.body.map(|upload| Upload { since: now, heard: now, bytes: upload.bytes });
+        self.body = self.body.map(|upload| Upload {
+            since: now,
+            heard: now,
+            bytes: upload.bytes,
+        });
     }
 
     /// The client has taken in a part of its answer.
--- a/crates/emulator/src/counter.rs
+++ b/crates/emulator/src/counter.rs
@@ -37,11 +37,24 @@
 /// Reads a call's target.
 pub fn call(target: &str) -> Option<Call<'_>> {
     let (path, query) = target.split_once('?')?;
-    let name = path.strip_prefix("/v2/numbers/").filter(|n| !n.is_empty() && n.len() <= NAME)?;
-    let get = |key: &str| query.split('&').find_map(|p| p.strip_prefix(key)?.strip_prefix('='));
-    let delta = get("delta")?.parse::<f64>().ok().filter(|d| d.abs() <= 1e9)?;
+    let name = path
+        .strip_prefix("/v2/numbers/")
+        .filter(|n| !n.is_empty() && n.len() <= NAME)?;
+    let get = |key: &str| {
+        query
+            .split('&')
+            .find_map(|p| p.strip_prefix(key)?.strip_prefix('='))
+    };
+    let delta = get("delta")?
+        .parse::<f64>()
+        .ok()
+        .filter(|d| d.abs() <= 1e9)?;
     let life = get("life_ms")?.parse::<u64>().ok().filter(|l| *l >= 1)?;
-    Some(Call { name, delta, life: (life.min(60_000) * 1_000) as Micros })
+    Some(Call {
+        name,
+        delta,
+        life: (life.min(60_000) * 1_000) as Micros,
+    })
 }
 
 impl Counter {
@@ -49,7 +62,14 @@
     pub fn new(parts: usize, per_s: f64, beside: Micros) -> Counter {
         let parts = parts.max(1);
         let turn = parts as f64 * 1e6 / per_s;
-        Counter { totals: HashMap::new(), free: vec![0; parts], turn, beside, slower: 1.0, calls: 0 }
+        Counter {
+            totals: HashMap::new(),
+            free: vec![0; parts],
+            turn,
+            beside,
+            slower: 1.0,
+            calls: 0,
+        }
     }
 
     /// Adds, and gives the total and when it is told: a call waits for its part's turn.
@@ -58,14 +78,20 @@
         if self.calls.is_multiple_of(SWEEP) {
             self.totals.retain(|_, (_, end)| *end > now);
         }
-        let hash = call.name.bytes().fold(5_381_usize, |h, b| h.wrapping_mul(33) ^ usize::from(b));
+        let hash = call
+            .name
+            .bytes()
+            .fold(5_381_usize, |h, b| h.wrapping_mul(33) ^ usize::from(b));
         let parts = self.free.len();
         let free = &mut self.free[hash % parts];
         let begin = (*free).max(now);
         *free = begin + (self.turn * self.slower).round() as Micros;
         let told = *free + (self.beside as f64 * self.slower) as Micros;
         let end = now + call.life.min(LONGEST);
-        let entry = self.totals.entry(call.name.to_string()).or_insert((0.0, end));
+        let entry = self
+            .totals
+            .entry(call.name.to_string())
+            .or_insert((0.0, end));
         if entry.1 <= now {
             *entry = (0.0, end);
         }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -58,8 +58,11 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Party, String> {
-        let bad =
-            || format!("'{text}' is none of 'node:N', 'nodes:SHARE', 'counter', 'discovery', 'limiter:N'");
+        let bad = || {
+            format!(
+                "'{text}' is none of 'node:N', 'nodes:SHARE', 'counter', 'discovery', 'limiter:N'"
+            )
+        };
         match text.split_once(':') {
             None if text == "counter" => Ok(Party::Counter),
             None if text == "discovery" => Ok(Party::Discovery),
@@ -85,7 +88,9 @@
 
 impl<'de> Deserialize<'de> for Party {
     fn deserialize<D: serde::Deserializer<'de>>(reader: D) -> Result<Party, D::Error> {
-        String::deserialize(reader)?.parse().map_err(serde::de::Error::custom)
+        String::deserialize(reader)?
+            .parse()
+            .map_err(serde::de::Error::custom)
     }
 }
 
@@ -164,7 +169,10 @@
             return Err(Fault::at("on", "only records nodes drain or are replaced"));
         }
         if (self.kind == Kind::Pause) != matches!(self.on, Party::Limiter(_)) {
-            return Err(Fault::at("on", "only a limiter pauses, and a limiter does nothing else"));
+            return Err(Fault::at(
+                "on",
+                "only a limiter pauses, and a limiter does nothing else",
+            ));
         }
         if let Party::Limiter(number) = self.on
             && number >= limiters
@@ -172,7 +180,10 @@
             return Err(Fault::at("on", format!("there is no limiter {number}")));
         }
         if self.kind == Kind::Partition && self.limiter >= limiters {
-            return Err(Fault::at("limiter", format!("there is no limiter {}", self.limiter)));
+            return Err(Fault::at(
+                "limiter",
+                format!("there is no limiter {}", self.limiter),
+            ));
         }
         Ok(())
     }
@@ -204,11 +215,18 @@
         let parties: Vec<Party> = match fault.on {
             Party::Nodes(share) => {
                 let count = ((nodes as f64 * share).round() as usize).min(nodes);
-                index::sample(rng, nodes, count).iter().map(Party::Node).collect()
+                index::sample(rng, nodes, count)
+                    .iter()
+                    .map(Party::Node)
+                    .collect()
             }
             party => vec![party],
         };
-        let amount = if fault.kind == Kind::Spoil { fault.share } else { fault.times };
+        let amount = if fault.kind == Kind::Spoil {
+            fault.share
+        } else {
+            fault.times
+        };
         let span = (fault.for_ms * 1e3) as Micros;
         let mut at = (fault.at_s * 1e6) as Micros;
         while at < until {
@@ -224,7 +242,11 @@
                 };
                 turns.push(turn);
                 if fault.kind != Kind::Reset {
-                    turns.push(Turn { at: at + span, begins: false, ..turn });
+                    turns.push(Turn {
+                        at: at + span,
+                        begins: false,
+                        ..turn
+                    });
                 }
             }
             if fault.every_s <= 0.0 {
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -88,7 +88,11 @@
 
 impl Default for CounterPlan {
     fn default() -> CounterPlan {
-        CounterPlan { parts: 2, per_s: 800.0, ms: 0.5 }
+        CounterPlan {
+            parts: 2,
+            per_s: 800.0,
+            ms: 0.5,
+        }
     }
 }
 
@@ -104,7 +108,10 @@
 
 impl Default for DiscoveryPlan {
     fn default() -> DiscoveryPlan {
-        DiscoveryPlan { notice_ms: 1_500.0, beat_ms: 2_000.0 }
+        DiscoveryPlan {
+            notice_ms: 1_500.0,
+            beat_ms: 2_000.0,
+        }
     }
 }
 
@@ -131,11 +138,18 @@
         within("counter.parts", self.counter.parts as f64, 1.0, 64.0)?;
         within("counter.per_s", self.counter.per_s, 1.0, 1e7)?;
         within("counter.ms", self.counter.ms, 0.0, 10_000.0)?;
-        within("discovery.notice_ms", self.discovery.notice_ms, 0.0, 60_000.0)?;
+        within(
+            "discovery.notice_ms",
+            self.discovery.notice_ms,
+            0.0,
+            60_000.0,
+        )?;
         within("discovery.beat_ms", self.discovery.beat_ms, 10.0, 60_000.0)?;
         let bounds = (n.count, limiters);
-        let checked =
-            |(k, f): (usize, &FaultPlan)| f.check(bounds).map_err(|e| e.under(&format!("faults[{k}]")));
+        let checked = |(k, f): (usize, &FaultPlan)| {
+            f.check(bounds)
+                .map_err(|e| e.under(&format!("faults[{k}]")))
+        };
         self.faults.iter().enumerate().try_for_each(checked)
     }
 }
--- a/crates/emulator/src/reactor.rs
+++ b/crates/emulator/src/reactor.rs
@@ -59,7 +59,9 @@
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&to.into()) {
-        Err(error) if error.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {
+        Err(error)
+            if error.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) =>
+        {
             Err(error)
         }
         _ => Ok(socket.into()),
@@ -69,7 +71,9 @@
 /// Makes room for so many descriptors ahead, or for as many as the system allows. A process with several threads else
 /// stands still for some 20 ms each time its table of descriptors grows (at 256, 512 and so on), in the middle of the run.
 pub fn room_for(descriptors: usize) {
-    let Ok(any) = eventfd(0, EventfdFlags::CLOEXEC) else { return };
+    let Ok(any) = eventfd(0, EventfdFlags::CLOEXEC) else {
+        return;
+    };
     let mut highest = descriptors.min(i32::MAX as usize) as i32;
     while highest > 64 && rustix::io::fcntl_dupfd_cloexec(&any, highest).is_err() {
         highest /= 2;
@@ -95,7 +99,10 @@
             epoll::EventData::new_u64(WOKEN),
             epoll::EventFlags::IN | epoll::EventFlags::ET,
         )?;
-        Ok(Reactor { epoll, wake: Arc::new(wake) })
+        Ok(Reactor {
+            epoll,
+            wake: Arc::new(wake),
+        })
     }
 
     /// Lets other threads end a wait.
@@ -115,7 +122,12 @@
     /// The system's.
     pub fn add(&self, socket: impl AsFd, token: u64) -> io::Result<()> {
         use epoll::EventFlags as F;
-        epoll::add(&self.epoll, socket, epoll::EventData::new_u64(token), F::IN | F::OUT | F::RDHUP | F::ET)?;
+        epoll::add(
+            &self.epoll,
+            socket,
+            epoll::EventData::new_u64(token),
+            F::IN | F::OUT | F::RDHUP | F::ET,
+        )?;
         Ok(())
     }
 
@@ -128,7 +140,10 @@
         ready.clear();
         let time = longest.map(|us| {
             let us = us.max(0);
-            Timespec { tv_sec: us / 1_000_000, tv_nsec: (us % 1_000_000 * 1_000) as _ }
+            Timespec {
+                tv_sec: us / 1_000_000,
+                tv_nsec: (us % 1_000_000 * 1_000) as _,
+            }
         });
         let mut room = [const { MaybeUninit::uninit() }; AT_ONCE];
         let events: &[epoll::Event] = match epoll::wait(&self.epoll, &mut room, time.as_ref()) {
--- a/crates/emulator/src/roster.rs
+++ b/crates/emulator/src/roster.rs
@@ -44,7 +44,10 @@
 impl Roster {
     /// A list as it stands at the start.
     pub fn new(entries: Vec<Entry>) -> Roster {
-        Roster { entries, ..Roster::default() }
+        Roster {
+            entries,
+            ..Roster::default()
+        }
     }
 
     /// Version of the list.
@@ -81,7 +84,12 @@
     pub fn since(&self, from: Option<u64>, address: impl Fn(usize) -> String) -> String {
         let known = from.filter(|from| (1..=self.index()).contains(from));
         let told: Vec<&Entry> = match known {
-            Some(from) => self.changes.iter().filter(|(index, _)| *index > from).map(|(_, e)| e).collect(),
+            Some(from) => self
+                .changes
+                .iter()
+                .filter(|(index, _)| *index > from)
+                .map(|(_, e)| e)
+                .collect(),
             None => self.entries.iter().collect(),
         };
         let one = |e: &&Entry| {
@@ -90,7 +98,8 @@
         };
         let endpoints: Vec<_> = told.iter().map(one).collect();
         let whole = known.is_none();
-        serde_json::json!({"index": self.index(), "snapshot": whole, "endpoints": endpoints}).to_string()
+        serde_json::json!({"index": self.index(), "snapshot": whole, "endpoints": endpoints})
+            .to_string()
     }
 }
 
@@ -100,7 +109,13 @@
 
     #[test]
     fn a_watch_is_told_what_it_lacks() {
-        let entry = |node, status| Entry { node, name: format!("s-{node}"), rack: 0, status, since_ms: 0 };
+        let entry = |node, status| Entry {
+            node,
+            name: format!("s-{node}"),
+            rack: 0,
+            status,
+            since_ms: 0,
+        };
         let mut roster = Roster::new(vec![entry(0, Status::Ready), entry(1, Status::Ready)]);
         roster.change(50, entry(0, Status::Gone));
         assert!(!roster.tell(49) && roster.next() == Some(50) && roster.tell(50));
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -52,7 +52,10 @@
     /// # Errors
     /// The system's, most often for want of descriptors.
     pub fn start(plan: &WorldPlan, seed: u64, limiters: usize) -> io::Result<Serving> {
-        let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64;
+        let unix_ms = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_millis() as i64;
         let world = World::new(plan, seed, limiters, unix_ms);
         room_for(DESCRIPTORS);
         let reactor = Reactor::new()?;
@@ -74,16 +77,28 @@
         for service in host.world.services() {
             host.open(service)?;
         }
-        let lists = (0..limiters.max(1)).map(|limiter| host.list(None, limiter)).collect();
+        let lists = (0..limiters.max(1))
+            .map(|limiter| host.list(None, limiter))
+            .collect();
         let (orders, received) = mpsc::channel();
-        let thread =
-            std::thread::Builder::new().name("stand-ins".into()).spawn(move || host.run(&received))?;
-        Ok(Serving { addresses, lists, orders, waker, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("stand-ins".into())
+            .spawn(move || host.run(&received))?;
+        Ok(Serving {
+            addresses,
+            lists,
+            orders,
+            waker,
+            thread: Some(thread),
+        })
     }
 
     /// Where a limiter reaches a service.
     pub fn address(&self, service: Service, limiter: usize) -> Option<SocketAddr> {
-        let addresses = self.addresses.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let addresses = self
+            .addresses
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         addresses.get(&(service, limiter)).copied()
     }
 
@@ -107,7 +122,10 @@
     fn end(&mut self) -> Counts {
         let _ = self.orders.send(Order::Stop);
         self.waker.wake();
-        self.thread.take().and_then(|thread| thread.join().ok()).unwrap_or_default()
+        self.thread
+            .take()
+            .and_then(|thread| thread.join().ok())
+            .unwrap_or_default()
     }
 }
 
@@ -120,7 +138,11 @@
 }
 
 enum Door {
-    Listener { service: Service, limiter: usize, socket: TcpListener },
+    Listener {
+        service: Service,
+        limiter: usize,
+        socket: TcpListener,
+    },
     Line(Line),
 }
 
@@ -172,23 +194,36 @@
     }
 
     fn list(&self, from: Option<u64>, limiter: usize) -> String {
-        let addresses = self.addresses.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        let address =
-            |node| addresses.get(&(Service::Node(node), limiter)).map_or(String::new(), |a| a.to_string());
+        let addresses = self
+            .addresses
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
+        let address = |node| {
+            addresses
+                .get(&(Service::Node(node), limiter))
+                .map_or(String::new(), |a| a.to_string())
+        };
         self.world.list(from, address)
     }
 
     /// Listens for a service, at the addresses that it had if it had any.
     fn open(&mut self, service: Service) -> io::Result<()> {
         for limiter in 0..self.world.limiters().max(1) {
-            let mut addresses = self.addresses.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+            let mut addresses = self
+                .addresses
+                .lock()
+                .unwrap_or_else(|poisoned| poisoned.into_inner());
             let before = addresses.get(&(service, limiter)).copied();
             let socket = listen(before.unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))))?;
             addresses.insert((service, limiter), socket.local_addr()?);
             drop(addresses);
             let slot = self.doors.vacant_key();
             self.reactor.add(&socket, slot as u64)?;
-            self.doors.insert(Door::Listener { service, limiter, socket });
+            self.doors.insert(Door::Listener {
+                service,
+                limiter,
+                socket,
+            });
         }
         Ok(())
     }
@@ -199,7 +234,11 @@
         self.reactor.exact();
         loop {
             let next = self.world.next().map_or(beat_at, |at| at.min(beat_at));
-            let wait = if self.more.is_empty() { next - self.now() } else { 0 };
+            let wait = if self.more.is_empty() {
+                next - self.now()
+            } else {
+                0
+            };
             if self.reactor.wait(Some(wait), &mut ready).is_err() {
                 // Guards against a loop that fails at once for ever.
                 std::thread::sleep(Duration::from_millis(1));
@@ -248,12 +287,25 @@
 
     fn accept(&mut self, at: usize) {
         for _ in 0..ACCEPTS {
-            let Some(Door::Listener { service, limiter, socket }) = self.doors.get(at) else { return };
+            let Some(Door::Listener {
+                service,
+                limiter,
+                socket,
+            }) = self.doors.get(at)
+            else {
+                return;
+            };
             let (service, limiter) = (*service, *limiter);
             // Any error ends this turn: no more are waiting, or the system has no room now and the next one that
             // comes tries again.
-            let Ok((socket, _)) = socket.accept() else { return };
-            if socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true)).is_err() {
+            let Ok((socket, _)) = socket.accept() else {
+                return;
+            };
+            if socket
+                .set_nonblocking(true)
+                .and_then(|()| socket.set_nodelay(true))
+                .is_err()
+            {
                 continue;
             }
             let slot = self.doors.vacant_key();
@@ -261,7 +313,16 @@
                 continue;
             }
             let (read, write, owed) = (Vec::new(), Vec::new(), VecDeque::new());
-            let line = Line { service, limiter, socket, read, write, owed, watch: None, close: false };
+            let line = Line {
+                service,
+                limiter,
+                socket,
+                read,
+                write,
+                owed,
+                watch: None,
+                close: false,
+            };
             self.doors.insert(Door::Line(line));
         }
         self.more.push(at);
@@ -270,7 +331,9 @@
     /// Takes in what has come; whether the line stays.
     fn read(&mut self, at: usize, to_the_end: bool) -> bool {
         loop {
-            let Some(Door::Line(line)) = self.doors.get_mut(at) else { return true };
+            let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+                return true;
+            };
             match line.socket.read(&mut self.buffer) {
                 Ok(0) => return false,
                 Ok(length) => {
@@ -292,7 +355,9 @@
     /// Takes up whole requests; whether the line stays.
     fn requests(&mut self, at: usize) -> bool {
         let now = self.now();
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else { return true };
+        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+            return true;
+        };
         // Taken out, so that what it holds can be lent to the world beside the line.
         let mut bytes = std::mem::take(&mut line.read);
         let mut used = 0;
@@ -303,7 +368,9 @@
                 Err(http::Malformed) => break false,
             };
             used += request.length;
-            let Some(Door::Line(line)) = self.doors.get_mut(at) else { break true };
+            let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+                break true;
+            };
             if line.close {
                 break true;
             }
@@ -316,7 +383,17 @@
                 Service::Node(node) => match (request.id, request.target) {
                     (Some(id), _) => {
                         let (key, work) = (request.key, request.work);
-                        self.world.ask(now, Ask { node, limiter, token, id, key, work });
+                        self.world.ask(
+                            now,
+                            Ask {
+                                node,
+                                limiter,
+                                token,
+                                id,
+                                key,
+                                work,
+                            },
+                        );
                         None
                     }
                     (None, "/alive" | "/metrics/load") => {
@@ -353,10 +430,16 @@
     }
 
     fn discover(&mut self, at: usize, token: u64, target: &str) {
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else { return };
+        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+            return;
+        };
         let limiter = line.limiter;
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
-        let get = |key: &str| query.split('&').find_map(|p| p.strip_prefix(key)?.strip_prefix('='));
+        let get = |key: &str| {
+            query
+                .split('&')
+                .find_map(|p| p.strip_prefix(key)?.strip_prefix('='))
+        };
         let mut out = Vec::new();
         if path != "/discovery/hosts" {
             http::write_answer(&mut out, 404, "", b"");
@@ -378,18 +461,32 @@
     fn tell_watchers(&mut self, now: Micros, beat: bool) {
         let index = self.world.index();
         for at in std::mem::take(&mut self.watchers) {
-            let Some(Door::Line(line)) = self.doors.get(at) else { continue };
-            let (limiter, Some(told)) = (line.limiter, line.watch) else { continue };
+            let Some(Door::Line(line)) = self.doors.get(at) else {
+                continue;
+            };
+            let (limiter, Some(told)) = (line.limiter, line.watch) else {
+                continue;
+            };
             self.watchers.push(at);
             // Silence while it is cut off or stands still; the next beat tells what was missed.
-            if self.world.blocked(Service::Discovery, limiter, now).is_some() {
+            if self
+                .world
+                .blocked(Service::Discovery, limiter, now)
+                .is_some()
+            {
                 continue;
             }
-            let text = if told < index { self.list(Some(told), limiter) } else { String::new() };
+            let text = if told < index {
+                self.list(Some(told), limiter)
+            } else {
+                String::new()
+            };
             if text.is_empty() && !beat {
                 continue;
             }
-            let Some(Door::Line(line)) = self.doors.get_mut(at) else { continue };
+            let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+                continue;
+            };
             line.watch = Some(index);
             chunk(&mut line.write, &text);
             if !line.flush() {
@@ -405,12 +502,19 @@
                 match reply {
                     Reply::Served => http::write_answer(&mut out, 200, "", &self.body),
                     Reply::Error => http::write_answer(&mut out, 500, "", b""),
-                    Reply::TurnedAway => http::write_answer(&mut out, 503, "X-Never-Ran: 1\r\n", b""),
+                    Reply::TurnedAway => {
+                        http::write_answer(&mut out, 503, "X-Never-Ran: 1\r\n", b"")
+                    }
                     Reply::Total(total) => {
                         http::write_answer(&mut out, 200, "", total.to_string().as_bytes())
                     }
                     Reply::Util(util) => {
-                        http::write_answer(&mut out, 200, "", format!("TEXT util={util:.3}").as_bytes());
+                        http::write_answer(
+                            &mut out,
+                            200,
+                            "",
+                            format!("TEXT util={util:.3}").as_bytes(),
+                        );
                     }
                     Reply::Noise => out.extend_from_slice(NOISE),
                 }
@@ -431,13 +535,14 @@
                 }
             }
             Word::Shut(service) => {
-                self.doors
-                    .retain(|_, door| !matches!(door, Door::Listener { service: s, .. } if *s == service));
+                self.doors.retain(
+                    |_, door| !matches!(door, Door::Listener { service: s, .. } if *s == service),
+                );
             }
             Word::Open(service) => {
-                let listens =
-                    |door: &Door| matches!(door, Door::Listener { service: s, .. } if *s == service);
-                if !self.doors.iter().any(|(_, door)| listens(door)) && self.open(service).is_err() {
+                let listens = |door: &Door| matches!(door, Door::Listener { service: s, .. } if *s == service);
+                if !self.doors.iter().any(|(_, door)| listens(door)) && self.open(service).is_err()
+                {
                     eprintln!("stand-ins: cannot listen again for {service:?}");
                 }
             }
@@ -447,8 +552,12 @@
 
     fn answer(&mut self, token: u64, bytes: Vec<u8>) {
         let at = slot(token);
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else { return };
-        let Some(owed) = line.owed.iter_mut().find(|(t, _)| *t == token) else { return };
+        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+            return;
+        };
+        let Some(owed) = line.owed.iter_mut().find(|(t, _)| *t == token) else {
+            return;
+        };
         owed.1 = Some(bytes);
         while let Some((_, Some(bytes))) = line.owed.front_mut() {
             line.write.append(bytes);
@@ -466,7 +575,9 @@
             return;
         }
         if let Door::Line(line) = self.doors.remove(at) {
-            line.owed.iter().for_each(|(token, _)| self.world.left(now, *token));
+            line.owed
+                .iter()
+                .for_each(|(token, _)| self.world.left(now, *token));
         }
     }
 }
--- a/crates/emulator/src/system/calls.rs
+++ b/crates/emulator/src/system/calls.rs
@@ -86,7 +86,9 @@
     /// # Errors
     /// It was not written whole in time.
     pub fn send(&mut self, request: &[u8], until: Instant) -> Result<(), Failure> {
-        self.stream.set_write_timeout(Some(left(until).ok_or(Failure::Late)?)).map_err(Failure::NotSent)?;
+        self.stream
+            .set_write_timeout(Some(left(until).ok_or(Failure::Late)?))
+            .map_err(Failure::NotSent)?;
         self.stream.write_all(request).map_err(Failure::NotSent)
     }
 
@@ -98,12 +100,19 @@
         let mut bytes = Vec::new();
         let mut room = vec![0; READ];
         loop {
-            self.stream.set_read_timeout(Some(left(until).ok_or(Failure::Late)?)).map_err(Failure::Broken)?;
+            self.stream
+                .set_read_timeout(Some(left(until).ok_or(Failure::Late)?))
+                .map_err(Failure::Broken)?;
             let length = match self.stream.read(&mut room) {
                 Ok(0) if bytes.is_empty() => return Err(Failure::Closed),
                 Ok(length) => length,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-                Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
+                Err(error)
+                    if matches!(
+                        error.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                    ) =>
+                {
                     return Err(Failure::Late);
                 }
                 Err(error) => return Err(Failure::Broken(error)),
@@ -111,14 +120,27 @@
             bytes.extend_from_slice(&room[..length]);
             let read = http::answer(&bytes, length == 0);
             let none = |_| Failure::Broken(io::Error::other("no answer in the protocol"));
-            let Some(http::Answer { status, retry_after, close, head, length }) = read.map_err(none)? else {
+            let Some(http::Answer {
+                status,
+                retry_after,
+                close,
+                head,
+                length,
+            }) = read.map_err(none)?
+            else {
                 continue;
             };
             if bytes.len() > length {
                 return Err(Failure::Surplus);
             }
             self.used += 1;
-            return Ok(Reply { status, retry_after, close, bytes, head });
+            return Ok(Reply {
+                status,
+                retry_after,
+                close,
+                bytes,
+                head,
+            });
         }
     }
 }
@@ -137,7 +159,11 @@
 ) -> Result<Reply, Failure> {
     let mut connection = Connection::open(to, until)?;
     let length = body.len();
-    let host = if lines.contains("Host: ") { String::new() } else { format!("Host: {to}\r\n") };
+    let host = if lines.contains("Host: ") {
+        String::new()
+    } else {
+        format!("Host: {to}\r\n")
+    };
     let mut request = format!(
         "{method} {path} HTTP/1.1\r\n{host}{lines}Connection: close\r\nContent-Length: {length}\r\n\r\n"
     )
--- a/crates/emulator/src/system/operator.rs
+++ b/crates/emulator/src/system/operator.rs
@@ -36,7 +36,11 @@
     fn body(&self) -> String {
         let (mut objs, mut remove) = (Vec::new(), BTreeMap::<&str, Vec<Value>>::new());
         for (kind, name, ver, spec) in &self.0 {
-            let meta = if name.is_empty() { json!({"ver": ver}) } else { json!({"name": name, "ver": ver}) };
+            let meta = if name.is_empty() {
+                json!({"ver": ver})
+            } else {
+                json!({"name": name, "ver": ver})
+            };
             match spec {
                 Some(spec) => objs.push(json!({"type": kind, "meta": meta, "spec": spec})),
                 None => remove.entry(kind).or_default().push(meta),
@@ -58,7 +62,11 @@
 impl Operator {
     /// One who knows these control programs.
     pub fn new(ctl: Vec<SocketAddr>) -> Operator {
-        Operator { ctl, turn: 0, acknowledged: BTreeMap::new() }
+        Operator {
+            ctl,
+            turn: 0,
+            acknowledged: BTreeMap::new(),
+        }
     }
 
     /// Sends a change until it is taken.
@@ -68,7 +76,10 @@
     pub fn change(&mut self, change: &Change, until: Instant) -> Result<(), String> {
         self.order("POST", "/api/cfg/patch", &change.body(), until)?;
         for (kind, name, ver, spec) in &change.0 {
-            let held = self.acknowledged.entry((kind.clone(), name.clone())).or_insert((0, None));
+            let held = self
+                .acknowledged
+                .entry((kind.clone(), name.clone()))
+                .or_insert((0, None));
             if *ver > held.0 {
                 *held = (*ver, spec.clone());
             }
@@ -82,7 +93,8 @@
     /// It was refused, or not taken in time.
     pub fn evacuate(&mut self, zone: &str, begin: bool, until: Instant) -> Result<(), String> {
         let word = if begin { "begin" } else { "finish" };
-        self.order("POST", &format!("/api/drain/{zone}/{word}"), "", until).map(drop)
+        self.order("POST", &format!("/api/drain/{zone}/{word}"), "", until)
+            .map(drop)
     }
 
     /// What is read back and is not what was acknowledged, by name; nothing where all is well.
@@ -91,24 +103,48 @@
     /// There is no answer in time.
     pub fn differences(&mut self, until: Instant) -> Result<Vec<String>, String> {
         let reply = self.order("GET", "/api/cfg/get", "", until)?;
-        let read: Value = serde_json::from_slice(reply.body()).map_err(|e| format!("reading back: {e}"))?;
+        let read: Value =
+            serde_json::from_slice(reply.body()).map_err(|e| format!("reading back: {e}"))?;
         let item = |object: &Value| {
             let text = |v: &Value| v.as_str().unwrap_or_default().to_string();
             let (kind, name) = (text(&object["type"]), text(&object["meta"]["name"]));
-            Some(((kind, name), (object["meta"]["ver"].as_u64()?, Some(object["spec"].clone()))))
+            Some((
+                (kind, name),
+                (
+                    object["meta"]["ver"].as_u64()?,
+                    Some(object["spec"].clone()),
+                ),
+            ))
         };
         let objects = read["objs"].as_array().ok_or("reading back: no objs")?;
         let read: BTreeMap<_, _> = objects.iter().filter_map(item).collect();
-        let stands = self.acknowledged.iter().filter(|(_, (_, spec))| spec.is_some());
-        let differs = stands.filter(|(name, item)| read.get(*name) != Some(*item)).map(|(name, _)| name);
-        let stands =
-            |name: &(String, String)| self.acknowledged.get(name).is_some_and(|(_, spec)| spec.is_some());
+        let stands = self
+            .acknowledged
+            .iter()
+            .filter(|(_, (_, spec))| spec.is_some());
+        let differs = stands
+            .filter(|(name, item)| read.get(*name) != Some(*item))
+            .map(|(name, _)| name);
+        let stands = |name: &(String, String)| {
+            self.acknowledged
+                .get(name)
+                .is_some_and(|(_, spec)| spec.is_some())
+        };
         let more = read.keys().filter(|name| !stands(name));
-        Ok(differs.chain(more).map(|(kind, name)| format!("{kind}/{name}")).collect())
+        Ok(differs
+            .chain(more)
+            .map(|(kind, name)| format!("{kind}/{name}"))
+            .collect())
     }
 
     /// Calls one control program after the other.
-    fn order(&mut self, method: &str, path: &str, body: &str, until: Instant) -> Result<Reply, String> {
+    fn order(
+        &mut self,
+        method: &str,
+        path: &str,
+        body: &str,
+        until: Instant,
+    ) -> Result<Reply, String> {
         let (mut pause, mut refused) = (PAUSE, 0);
         let mut last = "no control program is known".to_string();
         while Instant::now() < until && !self.ctl.is_empty() {
@@ -117,8 +153,9 @@
                 Ok(reply) if (200..300).contains(&reply.status) => return Ok(reply),
                 Ok(reply) => {
                     last = format!("{method} {path} at {to}: {} {}", reply.status, reply.text());
-                    refused +=
-                        u32::from((400..500).contains(&reply.status) && !matches!(reply.status, 408 | 429));
+                    refused += u32::from(
+                        (400..500).contains(&reply.status) && !matches!(reply.status, 408 | 429),
+                    );
                     if refused >= 3 || matches!(reply.status, 400 | 409 | 412 | 413 | 422) {
                         return Err(last);
                     }
@@ -146,7 +183,8 @@
         let reply = one(to, method, &path, body, until)?;
         let place = reply.line("Location").filter(|_| reply.status == 307);
         let place = place.and_then(|place| place.strip_prefix("http://")?.split_once('/'));
-        let Some((address, rest)) = place.and_then(|(at, rest)| Some((at.parse().ok()?, rest))) else {
+        let Some((address, rest)) = place.and_then(|(at, rest)| Some((at.parse().ok()?, rest)))
+        else {
             return Ok(reply);
         };
         (to, path) = (address, format!("/{rest}"));
@@ -154,7 +192,20 @@
     one(to, method, &path, body, until)
 }
 
-fn one(to: SocketAddr, method: &str, path: &str, body: &str, until: Instant) -> Result<Reply, Failure> {
+fn one(
+    to: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+    until: Instant,
+) -> Result<Reply, Failure> {
     let until = until.min(Instant::now() + SILENCE);
-    call(to, method, path, "Content-Type: application/json\r\n", body.as_bytes(), until)
+    call(
+        to,
+        method,
+        path,
+        "Content-Type: application/json\r\n",
+        body.as_bytes(),
+        until,
+    )
 }
--- a/crates/emulator/src/system/town.rs
+++ b/crates/emulator/src/system/town.rs
@@ -86,9 +86,16 @@
         let host = Arc::new(Mutex::new(host));
         let stop = Arc::new(AtomicBool::new(false));
         let (served, told) = (host.clone(), stop.clone());
-        let thread =
-            std::thread::Builder::new().name("town".into()).spawn(move || run(&served, &reactor, &told))?;
-        Ok(Town { host, platform, waker, stop, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("town".into())
+            .spawn(move || run(&served, &reactor, &told))?;
+        Ok(Town {
+            host,
+            platform,
+            waker,
+            stop,
+            thread: Some(thread),
+        })
     }
 
     fn host(&self) -> MutexGuard<'_, Host> {
@@ -107,13 +114,24 @@
     pub fn found(&self, make: Make, warm: bool, at: Option<SocketAddr>) -> io::Result<usize> {
         let mut host = self.host();
         let number = host.found;
-        let at = host.open(Some(number), at.unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))))?;
+        let at = host.open(
+            Some(number),
+            at.unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
+        )?;
         let now = host.now();
         let server = Server::new(make, format!("i-{number:04x}"), now, warm);
         let (id, make) = server.known();
         let (svc, zone, slots) = (make.svc.clone(), make.zone.clone(), make.slots);
         let warm_at = server.warm_at();
-        let entry = Entry { id: id.to_string(), svc, address: at, zone, slots, draining: false, warm_at };
+        let entry = Entry {
+            id: id.to_string(),
+            svc,
+            address: at,
+            zone,
+            slots,
+            draining: false,
+            warm_at,
+        };
         host.platform.change(now, |entries| entries.push(entry));
         host.servers.insert(number, (at, server));
         host.found += 1;
@@ -124,11 +142,16 @@
     pub fn leave(&self, number: usize) {
         let mut host = self.host();
         let (now, drain) = (host.now(), host.drain);
-        let Some((_, server)) = host.servers.get_mut(&number) else { return };
+        let Some((_, server)) = host.servers.get_mut(&number) else {
+            return;
+        };
         server.leave();
         let id = server.known().0.to_string();
         let leaving = |entries: &mut Vec<Entry>| {
-            entries.iter_mut().filter(|e| e.id == id).for_each(|e| e.draining = true);
+            entries
+                .iter_mut()
+                .filter(|e| e.id == id)
+                .for_each(|e| e.draining = true);
         };
         let told = host.platform.change(now, leaving);
         host.servers
@@ -143,7 +166,8 @@
         let now = host.now();
         let (at, server) = host.servers.remove(&number)?;
         let id = server.known().0.to_string();
-        host.platform.change(now, |entries| entries.retain(|e| e.id != id));
+        host.platform
+            .change(now, |entries| entries.retain(|e| e.id != id));
         host.doors.retain(|_, door| match door {
             Door::Listener(of, _) => *of != Some(number),
             Door::Line(line) => line.at != Some(number),
@@ -154,14 +178,20 @@
     /// The next answers of a server suffer these.
     pub fn trouble(&self, number: usize, troubles: &[Trouble]) {
         let mut host = self.host();
-        host.servers.get_mut(&number).into_iter().for_each(|(_, server)| server.troubles.extend(troubles));
+        host.servers
+            .get_mut(&number)
+            .into_iter()
+            .for_each(|(_, server)| server.troubles.extend(troubles));
     }
 
     /// A server stands still for so long.
     pub fn freeze(&self, number: usize, span: Micros) {
         let mut host = self.host();
         let now = host.now();
-        host.servers.get_mut(&number).into_iter().for_each(|(_, server)| server.freeze(now, now + span));
+        host.servers
+            .get_mut(&number)
+            .into_iter()
+            .for_each(|(_, server)| server.freeze(now, now + span));
         host.frozen.push(number);
         drop(host);
         self.waker.wake();
@@ -200,7 +230,10 @@
             std::thread::sleep(Duration::from_millis(1));
         }
         let mut host = lock();
-        ready.iter().filter(|event| event.token != WOKEN).for_each(|event| host.ready(event, &mut room));
+        ready
+            .iter()
+            .filter(|event| event.token != WOKEN)
+            .for_each(|event| host.ready(event, &mut room));
         host.turn(&mut room);
     }
 }
@@ -211,7 +244,11 @@
     }
 
     fn wait(&self) -> Micros {
-        let next = self.servers.values().filter_map(|(_, server)| server.next()).min();
+        let next = self
+            .servers
+            .values()
+            .filter_map(|(_, server)| server.next())
+            .min();
         next.map_or(LOOK, |at| (at - self.now()).clamp(0, LOOK))
     }
 
@@ -232,10 +269,14 @@
                 given.push(one);
             }
         }
-        given.into_iter().for_each(|(token, given)| self.give(token, given));
-        let stands = |host: &Host, n: &usize| host.servers.get(n).is_some_and(|(_, s)| s.frozen > now);
-        let (frozen, thawed): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.frozen).into_iter().partition(|n| stands(self, n));
+        given
+            .into_iter()
+            .for_each(|(token, given)| self.give(token, given));
+        let stands =
+            |host: &Host, n: &usize| host.servers.get(n).is_some_and(|(_, s)| s.frozen > now);
+        let (frozen, thawed): (Vec<_>, Vec<_>) = std::mem::take(&mut self.frozen)
+            .into_iter()
+            .partition(|n| stands(self, n));
         self.frozen = frozen;
         let of = |line: &Line| line.at.is_some_and(|at| thawed.contains(&at));
         let lines: Vec<usize> = self
@@ -249,8 +290,15 @@
         }
         let servers = &self.servers;
         self.doors.retain(|_, door| match door {
-            Door::Line(Line { at: Some(at), owed: None, heard, .. }) => {
-                let keep = servers.get(at).map_or(0, |(_, server)| server.known().1.keep_s * 1_000_000);
+            Door::Line(Line {
+                at: Some(at),
+                owed: None,
+                heard,
+                ..
+            }) => {
+                let keep = servers
+                    .get(at)
+                    .map_or(0, |(_, server)| server.known().1.keep_s * 1_000_000);
                 now - *heard < keep
             }
             _ => true,
@@ -271,12 +319,27 @@
         while let Some(Door::Listener(of, listener)) = self.doors.get(at) {
             let of = *of;
             // Any error ends this turn: no more are waiting, or the next one that comes tries again.
-            let Ok((socket, _)) = listener.accept() else { return };
+            let Ok((socket, _)) = listener.accept() else {
+                return;
+            };
             let slot = self.doors.vacant_key();
-            let able = socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true));
-            if able.and_then(|()| self.reactor.add(&socket, slot as u64)).is_ok() {
+            let able = socket
+                .set_nonblocking(true)
+                .and_then(|()| socket.set_nodelay(true));
+            if able
+                .and_then(|()| self.reactor.add(&socket, slot as u64))
+                .is_ok()
+            {
                 let (read, write) = (Vec::new(), Vec::new());
-                let line = Line { at: of, socket, read, write, owed: None, close: false, heard: now };
+                let line = Line {
+                    at: of,
+                    socket,
+                    read,
+                    write,
+                    owed: None,
+                    close: false,
+                    heard: now,
+                };
                 self.doors.insert(Door::Line(line));
             }
         }
@@ -285,8 +348,14 @@
     /// Writes and reads what can be; nothing at a server that stands still.
     fn look(&mut self, at: usize, readable: bool, room: &mut [u8]) {
         let now = self.now();
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else { return };
-        if line.at.and_then(|at| self.servers.get(&at)).is_some_and(|(_, server)| server.frozen > now) {
+        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+            return;
+        };
+        if line
+            .at
+            .and_then(|at| self.servers.get(&at))
+            .is_some_and(|(_, server)| server.frozen > now)
+        {
             return;
         }
         let mut stays = flush(&mut line.socket, &mut line.write);
@@ -309,7 +378,9 @@
     /// Takes up the next request if it is whole and none is owed.
     fn request(&mut self, at: usize) {
         let now = self.now();
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else { return };
+        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+            return;
+        };
         if line.owed.is_some() || line.close || line.read.is_empty() {
             return;
         }
@@ -327,11 +398,25 @@
             None => {
                 let (status, body) = self.platform.answer(now, request.method, request.target);
                 let mut out = Vec::new();
-                http::write_answer(&mut out, status, "Content-Type: application/json\r\n", body.as_bytes());
-                Some((out, if request.close { Then::Close } else { Then::Keep }))
+                http::write_answer(
+                    &mut out,
+                    status,
+                    "Content-Type: application/json\r\n",
+                    body.as_bytes(),
+                );
+                Some((
+                    out,
+                    if request.close {
+                        Then::Close
+                    } else {
+                        Then::Keep
+                    },
+                ))
             }
             Some(number) => {
-                let Some((_, server)) = self.servers.get_mut(&number) else { return };
+                let Some((_, server)) = self.servers.get_mut(&number) else {
+                    return;
+                };
                 server.ask(now, token, &Asked::of(&request, &bytes), &mut self.ledger)
             }
         };
@@ -344,7 +429,9 @@
 
     fn give(&mut self, token: u64, (bytes, then): Given) {
         let (at, now) = (slot(token), self.now());
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else { return };
+        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+            return;
+        };
         if line.owed != Some(token) {
             return;
         }
@@ -361,7 +448,11 @@
 
     fn close(&mut self, at: usize) {
         let now = self.now();
-        if let Some(Door::Line(Line { at: Some(number), owed: Some(token), .. })) = self.doors.try_remove(at)
+        if let Some(Door::Line(Line {
+            at: Some(number),
+            owed: Some(token),
+            ..
+        })) = self.doors.try_remove(at)
             && let Some((_, server)) = self.servers.get_mut(&number)
         {
             server.left(now, token, &mut self.ledger);
--- a/crates/emulator/src/system/whole.rs
+++ b/crates/emulator/src/system/whole.rs
@@ -59,7 +59,15 @@
 /// A server of a service.
 pub fn make(svc: &str, zone: &str) -> Make {
     let (svc, zone) = (svc.to_string(), zone.to_string());
-    Make { svc, zone, slots: 8, queue: 16, work: 8_000, warmup: 1_000_000, keep_s: 5 }
+    Make {
+        svc,
+        zone,
+        slots: 8,
+        queue: 16,
+        work: 8_000,
+        warmup: 1_000_000,
+        keep_s: 5,
+    }
 }
 
 /// A route to a service.
@@ -72,12 +80,18 @@
 /// The first configuration, all of version 1.
 pub fn first() -> Change {
     let service = json!({"hcheck": HEALTH, "maxconn": 200, "proto": "h1", "tls": false, "warmup": "1s", "cold_rate_s": 20.0});
-    let services =
-        SERVICES.iter().fold(Change::default(), |change, svc| change.set("svcs", svc, 1, service.clone()));
+    let services = SERVICES.iter().fold(Change::default(), |change, svc| {
+        change.set("svcs", svc, 1, service.clone())
+    });
     services
         .set("routes", "reads", 1, route(READS, SERVICES[0]))
         .set("routes", "writes", 1, route(WRITES, SERVICES[0]))
-        .set("tenants", TENANT, 1, json!({"apikeys": [KEY], "prio": 1, "per_s": 0, "burst": 0, "pins": []}))
+        .set(
+            "tenants",
+            TENANT,
+            1,
+            json!({"apikeys": [KEY], "prio": 1, "per_s": 0, "burst": 0, "pins": []}),
+        )
         .set(
             "limits",
             "",
@@ -91,9 +105,22 @@
     ///
     /// # Errors
     /// What could not be had, or did not come about in time.
-    pub fn start(folder: &Path, programs: &Path, size: Size, until: Instant) -> Result<Whole, String> {
+    pub fn start(
+        folder: &Path,
+        programs: &Path,
+        size: Size,
+        until: Instant,
+    ) -> Result<Whole, String> {
         let system = |error: std::io::Error| error.to_string();
-        let town = Town::start(platform::Make { lag: LAG, page: 5, per_s: PER_S }, DRAIN).map_err(system)?;
+        let town = Town::start(
+            platform::Make {
+                lag: LAG,
+                page: 5,
+                per_s: PER_S,
+            },
+            DRAIN,
+        )
+        .map_err(system)?;
         let zones = zones(size.zones);
         for (zone, _) in &zones {
             for svc in SERVICES.iter().flat_map(|svc| [svc; SERVERS]) {
@@ -102,12 +129,24 @@
         }
         let (folder, programs) = (folder.to_path_buf(), programs.to_path_buf());
         let (net, edges, platform) = (size.net, size.edges, town.platform());
-        let plan = Plan { folder, programs, net, zones, edges, platform, per_s: PER_S };
+        let plan = Plan {
+            folder,
+            programs,
+            net,
+            zones,
+            edges,
+            platform,
+            per_s: PER_S,
+        };
         let mut machines = Machines::new(plan).map_err(system)?;
         machines.start_cores().map_err(system)?;
         machines.start_edges().map_err(system)?;
         let operator = Operator::new((0..machines.cores()).map(|n| machines.ctl(n)).collect());
-        let mut whole = Whole { town, machines, operator };
+        let mut whole = Whole {
+            town,
+            machines,
+            operator,
+        };
         whole.operator.change(&first(), until)?;
         if !whole.machines.all_ready(until) {
             return Err(format!(
@@ -125,7 +164,11 @@
     pub fn ask(&self, edge: usize, path: &str) -> Result<Reply, Failure> {
         static ASKED: AtomicU64 = AtomicU64::new(0);
         let id = format!("once-{}", ASKED.fetch_add(1, Ordering::Relaxed));
-        let method = if path.starts_with(WRITES) { "POST" } else { "GET" };
+        let method = if path.starts_with(WRITES) {
+            "POST"
+        } else {
+            "GET"
+        };
         call(
             self.machines.http(edge),
             method,
@@ -138,12 +181,17 @@
 
     /// The service that runs a request to an edge; none where it has no success.
     pub fn served_by(&self, edge: usize, path: &str) -> Option<String> {
-        let reply = self.ask(edge, path).ok().filter(|reply| reply.status == 200)?;
+        let reply = self
+            .ask(edge, path)
+            .ok()
+            .filter(|reply| reply.status == 200)?;
         Some(reply.text().split(' ').next()?.to_string())
     }
 }
 
 /// Lines of a client's request; `left`: the time it will wait, in milliseconds.
 pub fn lines(id: &str, left: u128) -> String {
-    format!("Host: {HOST}\r\nAuthorization: Bearer {KEY}\r\nX-Request-Id: {id}\r\nX-Time-Left: {left}\r\n")
+    format!(
+        "Host: {HOST}\r\nAuthorization: Bearer {KEY}\r\nX-Request-Id: {id}\r\nX-Time-Left: {left}\r\n"
+    )
 }
--- a/crates/limiter/src/bans.rs
+++ b/crates/limiter/src/bans.rs
@@ -35,14 +35,22 @@
 
     /// Guards against a clock that is behind the one by which another process marked the server: the later call holds.
     fn next(&self, name: &str, now: Micros) -> Micros {
-        self.0.get(name).map_or(now, |mark| now.max(mark.changed() + 1))
+        self.0
+            .get(name)
+            .map_or(now, |mark| now.max(mark.changed() + 1))
     }
 
     /// Takes a server out; false if it was out. The first call's time goes on to count.
     pub fn disable(&mut self, name: &str, now: Micros) -> bool {
         let first = !self.out(name);
         if first {
-            self.0.insert(name.to_string(), Mark { out: self.next(name, now), back: None });
+            self.0.insert(
+                name.to_string(),
+                Mark {
+                    out: self.next(name, now),
+                    back: None,
+                },
+            );
         }
         first
     }
@@ -50,7 +58,9 @@
     /// Calls a server back, however often it was taken out; false if it was not.
     pub fn enable(&mut self, name: &str, now: Micros) -> bool {
         let called = self.next(name, now);
-        let Some(mark) = self.0.get_mut(name).filter(|mark| mark.back.is_none()) else { return false };
+        let Some(mark) = self.0.get_mut(name).filter(|mark| mark.back.is_none()) else {
+            return false;
+        };
         mark.back = Some(called);
         true
     }
@@ -58,10 +68,16 @@
     /// Takes over what another process of this limiter knows later. Gives the names of which something has changed.
     pub fn merge(&mut self, other: &Bans) -> Vec<String> {
         let later = |(name, mark): &(&String, &Mark)| {
-            self.0.get(*name).is_none_or(|known| known.changed() < mark.changed())
+            self.0
+                .get(*name)
+                .is_none_or(|known| known.changed() < mark.changed())
         };
-        let news: Vec<(String, Mark)> =
-            other.0.iter().filter(later).map(|(name, mark)| (name.clone(), *mark)).collect();
+        let news: Vec<(String, Mark)> = other
+            .0
+            .iter()
+            .filter(later)
+            .map(|(name, mark)| (name.clone(), *mark))
+            .collect();
         self.0.extend(news.iter().cloned());
         news.into_iter().map(|(name, _)| name).collect()
     }
@@ -76,7 +92,10 @@
             Some(Mark { back: None, .. }) if entry.state == ServerState::Ready => {
                 entry.state = ServerState::Draining
             }
-            Some(Mark { out, back: Some(back) }) if entry.started < *out => entry.started = *back,
+            Some(Mark {
+                out,
+                back: Some(back),
+            }) if entry.started < *out => entry.started = *back,
             _ => {}
         }
         entry
--- a/crates/limiter/src/cli.rs
+++ b/crates/limiter/src/cli.rs
@@ -38,9 +38,12 @@
     Help,
 }
 
-fn parse(args: impl IntoIterator<Item = OsString>) -> Result<(Command, Environment, Logging), lexopt::Error> {
+fn parse(
+    args: impl IntoIterator<Item = OsString>,
+) -> Result<(Command, Environment, Logging), lexopt::Error> {
     let mut parser = lexopt::Parser::from_iter(args);
-    let (mut command, mut environment, mut logging) = (None, Environment::read(), Logging::default());
+    let (mut command, mut environment, mut logging) =
+        (None, Environment::read(), Logging::default());
     while let Some(arg) = parser.next()? {
         match arg {
             Long("config") => environment.config = Some(parser.value()?.string()?),
@@ -52,13 +55,17 @@
                     "text" => Format::Text,
                     "json" => Format::Json,
                     other => {
-                        return Err(format!("--log-format: '{other}' is neither 'text' nor 'json'").into());
+                        return Err(format!(
+                            "--log-format: '{other}' is neither 'text' nor 'json'"
+                        )
+                        .into());
                     }
                 }
             }
             Long("log-level") => {
                 let level = parser.value()?.string()?;
-                let unknown = |_| format!("--log-level: '{level}' is none of error, warn, info and debug");
+                let unknown =
+                    |_| format!("--log-level: '{level}' is none of error, warn, info and debug");
                 logging.level = level.parse().map_err(unknown)?;
             }
             Short('h') | Long("help") => command = Some(Command::Help),
@@ -102,14 +109,16 @@
             println!("streamarch {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
-        Command::CheckConfig => {
-            environment.load().map(|_| println!("configuration in order")).map_err(|e| e.to_string())
-        }
+        Command::CheckConfig => environment
+            .load()
+            .map(|_| println!("configuration in order"))
+            .map_err(|e| e.to_string()),
         Command::Usage(words) => crate::use_cli::run(&words),
         Command::Serve => {
             logging.start();
             let loaded = environment.load();
-            let serve = |config| net::serve(config, move || environment.load()).map_err(|e| e.to_string());
+            let serve =
+                |config| net::serve(config, move || environment.load()).map_err(|e| e.to_string());
             loaded.map_err(|e| e.to_string()).and_then(serve)
         }
     };
--- a/crates/limiter/src/config/file.rs
+++ b/crates/limiter/src/config/file.rs
@@ -39,7 +39,9 @@
         let number = Option::<f64>::deserialize(reader)?.unwrap_or_default();
         match (0.0..=f64::from(u32::MAX)).contains(&number) {
             true => Ok(Count(number as u32)),
-            false => Err(serde::de::Error::custom(format!("is {number}, not a count"))),
+            false => Err(serde::de::Error::custom(format!(
+                "is {number}, not a count"
+            ))),
         }
     }
 }
@@ -54,7 +56,9 @@
             Value::Null => Ok(Flag(false)),
             Value::Bool(flag) => Ok(Flag(flag)),
             Value::Number(number) => Ok(Flag(number.as_f64() != Some(0.0))),
-            other => Err(serde::de::Error::custom(format!("is {other}, not true or false"))),
+            other => Err(serde::de::Error::custom(format!(
+                "is {other}, not true or false"
+            ))),
         }
     }
 }
@@ -211,9 +215,15 @@
         };
         match self.semantics.as_deref() {
             Some("retryable") => Ok(Repeat::Safe),
-            Some("dedup") => Ok(Repeat::Keyed { group, window: self.repeat_window_us.micros() }),
+            Some("dedup") => Ok(Repeat::Keyed {
+                group,
+                window: self.repeat_window_us.micros(),
+            }),
             Some("fragile") => Ok(Repeat::Unsafe),
-            Some(other) => Err(Fault::at("Semantics", format!("unknown semantics '{other}'"))),
+            Some(other) => Err(Fault::at(
+                "Semantics",
+                format!("unknown semantics '{other}'"),
+            )),
             None => Err(Fault::at("Semantics", "is missing")),
         }
     }
@@ -258,8 +268,11 @@
     }
 
     fn check_lanes(&self) -> Result<(), Fault> {
-        let one =
-            |(k, lane): (usize, &Lane)| lane.repeat().map(drop).map_err(|e| e.under(&format!("Lanes[{k}]")));
+        let one = |(k, lane): (usize, &Lane)| {
+            lane.repeat()
+                .map(drop)
+                .map_err(|e| e.under(&format!("Lanes[{k}]")))
+        };
         self.lanes().iter().enumerate().try_for_each(one)
     }
 
@@ -282,7 +295,11 @@
     pub(super) fn names(&self) -> Names {
         Names {
             classes: self.lanes().iter().filter_map(|l| l.name.clone()).collect(),
-            plans: self.tariffs().iter().filter_map(|t| t.name.clone()).collect(),
+            plans: self
+                .tariffs()
+                .iter()
+                .filter_map(|t| t.name.clone())
+                .collect(),
             zones: self.failure_domains.clone().unwrap_or_default(),
             kinds: self.skus.clone().unwrap_or_default(),
         }
@@ -290,12 +307,18 @@
 
     /// Probes bring load reports.
     pub(super) fn reports(&self) -> bool {
-        self.report.as_ref().and_then(|r| r.how.as_deref()).is_some_and(|how| how != "none")
+        self.report
+            .as_ref()
+            .and_then(|r| r.how.as_deref())
+            .is_some_and(|how| how != "none")
     }
 
     pub(super) fn module(&self) -> Settings {
         let allow = self.permissions.unwrap_or_default();
-        let (rules, facts) = (self.rules.unwrap_or_default(), self.specifics.unwrap_or_default());
+        let (rules, facts) = (
+            self.rules.unwrap_or_default(),
+            self.specifics.unwrap_or_default(),
+        );
         Settings {
             gateways: self.instances.0,
             own_number: self.slot_no.0,
@@ -331,13 +354,21 @@
     /// The default limits, drawn in by what the settings and the machine allow.
     pub(super) fn limits(&self, machine: &Machine, operators: bool) -> Limits {
         let defaults = Limits::default();
-        let (allow, facts) = (self.permissions.unwrap_or_default(), self.specifics.unwrap_or_default());
+        let (allow, facts) = (
+            self.permissions.unwrap_or_default(),
+            self.specifics.unwrap_or_default(),
+        );
         let or = |value: Micros, default: Micros| if value > 0 { value } else { default };
         let sockets = machine.sockets.0 as usize;
         // What is neither a client's nor a server's connection: standard streams, loop, timers, listeners, counter
         // (twice while it moves), watch, datagrams, operators where they call, and some to spare. Of the rest clients have the larger share: a
         // third of all descriptors may be held for requests at once, and silent connections come on top.
-        let spare = 40 + if operators { defaults.operator_connections + 4 } else { 0 };
+        let spare = 40
+            + if operators {
+                defaults.operator_connections + 4
+            } else {
+                0
+            };
         let share = |tenths: usize| match sockets {
             0 => usize::MAX,
             _ => (sockets.saturating_sub(spare) * tenths / 10).max(8),
@@ -357,10 +388,19 @@
                 .saturating_mul(2)
                 .clamp(8 * 1024, defaults.relay_window),
             held: or(Micros::from(allow.most_held.0), defaults.held as Micros) as usize,
-            most_units: if most_units > 0.0 { (most_units * 1_000.0) as u64 } else { defaults.most_units },
+            most_units: if most_units > 0.0 {
+                (most_units * 1_000.0) as u64
+            } else {
+                defaults.most_units
+            },
             connect: or(allow.connect_timeout_us.micros(), defaults.connect),
-            leg_idle: defaults.leg_idle.min(or(allow.conn_idle_us.micros(), 15_000_000) * 6 / 10),
-            counter_wait: or(facts.counter_timeout_us.micros() * COUNTER_PATIENCE, defaults.counter_wait),
+            leg_idle: defaults
+                .leg_idle
+                .min(or(allow.conn_idle_us.micros(), 15_000_000) * 6 / 10),
+            counter_wait: or(
+                facts.counter_timeout_us.micros() * COUNTER_PATIENCE,
+                defaults.counter_wait,
+            ),
             // The end by force comes no sooner than the longest deadline, 3 s at least, and 0.7 s more.
             drain: waits.fold(3_000_000, Micros::max) + 600_000,
             ..defaults
--- a/crates/limiter/src/config/fronts.rs
+++ b/crates/limiter/src/config/fronts.rs
@@ -71,16 +71,21 @@
 const CACHE_S: f64 = 86_400.0;
 
 fn callers(files: Vec<CallerFile>, names: &Names) -> Result<Vec<Caller>, Fault> {
-    let one =
-        |(k, file): (usize, CallerFile)| file.caller(names).map_err(|e| e.under(&format!("callers[{k}]")));
+    let one = |(k, file): (usize, CallerFile)| {
+        file.caller(names)
+            .map_err(|e| e.under(&format!("callers[{k}]")))
+    };
     files.into_iter().enumerate().map(one).collect()
 }
 
 impl CallerFile {
     fn caller(self, names: &Names) -> Result<Caller, Fault> {
         let account = need("account", self.account)?;
-        let customer = platform::customer(&account).ok_or(Fault::at("account", "is not 16 hex digits"))?;
-        let plan = self.plan.and_then(|plan| names.plans.iter().position(|name| *name == plan));
+        let customer =
+            platform::customer(&account).ok_or(Fault::at("account", "is not 16 hex digits"))?;
+        let plan = self
+            .plan
+            .and_then(|plan| names.plans.iter().position(|name| *name == plan));
         Ok(Caller {
             id: need("id", self.id)?,
             secret: need("secret", self.secret)?,
@@ -97,8 +102,13 @@
     /// The first key that is unknown, missing or cannot be used, under `introspection`.
     pub fn introspect(&mut self, text: &str) -> Result<(), ConfigError> {
         let file: File = own("introspection", text)?;
-        let Some(listen) = file.listen else { return Ok(()) };
-        self.introspection = Some(self.second_front(listen, file).map_err(|e| e.under("introspection"))?);
+        let Some(listen) = file.listen else {
+            return Ok(());
+        };
+        self.introspection = Some(
+            self.second_front(listen, file)
+                .map_err(|e| e.under("introspection"))?,
+        );
         Ok(())
     }
 
@@ -120,7 +130,10 @@
             repeat: Repeat::Safe,
             stream: false,
         }];
-        settings.plans.push(Plan { price: 1.0, ..Plan::default() });
+        settings.plans.push(Plan {
+            price: 1.0,
+            ..Plan::default()
+        });
         (settings.may_probe, settings.may_tell) = (false, false);
         Ok(Introspection {
             listen,
@@ -151,5 +164,8 @@
 pub fn callers_text(text: &[u8], names: &Names) -> Result<Option<Vec<Caller>>, ConfigError> {
     let text = std::str::from_utf8(text).map_err(|_| Fault::at("", "not JSON: not UTF-8"))?;
     let document: Document = config_check::read(text)?;
-    Ok(document.callers.map(|files| callers(files, names)).transpose()?)
+    Ok(document
+        .callers
+        .map(|files| callers(files, names))
+        .transpose()?)
 }
--- a/crates/limiter/src/config/members.rs
+++ b/crates/limiter/src/config/members.rs
@@ -60,7 +60,9 @@
     /// The first key that is unknown, missing or cannot be used, under `raft`.
     pub fn agree(&mut self, text: &str) -> Result<(), ConfigError> {
         let file: File = own("raft", text)?;
-        let Some(listen) = file.listen else { return Ok(()) };
+        let Some(listen) = file.listen else {
+            return Ok(());
+        };
         self.cluster = Some(file.cluster(listen).map_err(|e| e.under("raft"))?);
         Ok(())
     }
@@ -68,8 +70,15 @@
 
 impl File {
     fn cluster(self, listen: SocketAddr) -> Result<Cluster, Fault> {
-        let one = |(k, m): (usize, &MemberFile)| m.member().map_err(|e| e.under(&format!("members[{k}]")));
-        let members = self.members.iter().enumerate().map(one).collect::<Result<Vec<_>, _>>()?;
+        let one = |(k, m): (usize, &MemberFile)| {
+            m.member().map_err(|e| e.under(&format!("members[{k}]")))
+        };
+        let members = self
+            .members
+            .iter()
+            .enumerate()
+            .map(one)
+            .collect::<Result<Vec<_>, _>>()?;
         let id = u64::from(self.id);
         if members.iter().filter(|(member, _)| *member == id).count() != 1 {
             return Err(Fault::at("id", "is not that of exactly one of the members"));
@@ -83,6 +92,12 @@
             return Err(Fault::at("secret", "is not 16 or more visible characters"));
         }
         let folder = need("folder", self.folder)?;
-        Ok(Cluster { listen, id, members, folder, secret })
+        Ok(Cluster {
+            listen,
+            id,
+            members,
+            folder,
+            secret,
+        })
     }
 }
--- a/crates/limiter/src/config/mod.rs
+++ b/crates/limiter/src/config/mod.rs
@@ -51,7 +51,13 @@
 
 /// Reads a file of our own; its faults are named under what it is.
 fn own<T: DeserializeOwned>(what: &str, text: &str) -> Result<T, Fault> {
-    config_check::read(text).map_err(|fault| if fault.key.is_empty() { fault } else { fault.under(what) })
+    config_check::read(text).map_err(|fault| {
+        if fault.key.is_empty() {
+            fault
+        } else {
+            fault.under(what)
+        }
+    })
 }
 
 fn need<T>(key: &str, value: Option<T>) -> Result<T, Fault> {
@@ -134,8 +140,12 @@
     name: &str,
     value: Option<SocketAddr>,
 ) -> Result<Option<SocketAddr>, Fault> {
-    let Some(text) = variable else { return Ok(value) };
-    let parsed = text.parse().map_err(|_| Fault::at(name, format!("'{text}' is no address with a port")));
+    let Some(text) = variable else {
+        return Ok(value);
+    };
+    let parsed = text
+        .parse()
+        .map_err(|_| Fault::at(name, format!("'{text}' is no address with a port")));
     parsed.map(Some)
 }
 
@@ -162,7 +172,10 @@
     /// # Errors
     /// A file that cannot be read or is faulty, by its key.
     pub fn load(&self) -> Result<Config, ConfigError> {
-        let path = self.config.clone().ok_or_else(|| Fault::at("ROUTER_CONFIG", "is not set"))?;
+        let path = self
+            .config
+            .clone()
+            .ok_or_else(|| Fault::at("ROUTER_CONFIG", "is not set"))?;
         let mut config = self.parse(&read(path)?)?;
         if let Some(path) = self.introspection.clone() {
             config.introspect(&read(path)?)?;
@@ -189,8 +202,14 @@
         let seed = u64::from_str_radix(file.seed.as_deref().unwrap_or("1"), 16);
         Ok(Config {
             name: self.name.clone().or(file.name).unwrap_or_default(),
-            listen: need("listen", address(&self.listen, "ROUTER_LISTEN", file.listen)?)?,
-            discovery: need("discovery", address(&self.discovery, "ROUTER_DISCOVERY", file.discovery)?)?,
+            listen: need(
+                "listen",
+                address(&self.listen, "ROUTER_LISTEN", file.listen)?,
+            )?,
+            discovery: need(
+                "discovery",
+                address(&self.discovery, "ROUTER_DISCOVERY", file.discovery)?,
+            )?,
             discovery_in_file: file.discovery,
             counter: file.counter,
             peer_listen: file.peer_listen,
@@ -198,8 +217,13 @@
             known: file.known,
             ops,
             // Without an inherited socket no two processes of a limiter overlap.
-            shared_folder: self.passed.as_ref().and(self.folder.as_ref()).map(PathBuf::from),
-            passed: passed.map_err(|_| Fault::at(inherited::VARIABLE, "is no descriptor's number"))?,
+            shared_folder: self
+                .passed
+                .as_ref()
+                .and(self.folder.as_ref())
+                .map(PathBuf::from),
+            passed: passed
+                .map_err(|_| Fault::at(inherited::VARIABLE, "is no descriptor's number"))?,
             seed: seed.map_err(|_| Fault::at("seed", "is not a number in hex"))?,
             names: settings.names(),
             reports: settings.reports(),
--- a/crates/limiter/src/counter.rs
+++ b/crates/limiter/src/counter.rs
@@ -53,14 +53,22 @@
 
 impl Call {
     fn ended(&self, outcome: Outcome) -> Counted {
-        Counted { asker: self.asker, name: self.name, outcome, total: 0.0 }
+        Counted {
+            asker: self.asker,
+            name: self.name,
+            outcome,
+            total: 0.0,
+        }
     }
 }
 
 /// The total in an answer, where it can be read.
 fn total(answer: &Answer) -> Option<f64> {
     let text = std::str::from_utf8(&answer.body).ok()?;
-    text.trim().parse::<f64>().ok().filter(|total| total.is_finite())
+    text.trim()
+        .parse::<f64>()
+        .ok()
+        .filter(|total| total.is_finite())
 }
 
 /// Whether an answer came whole from the counter. Behind one that is spoilt nothing more is to be expected on its
@@ -90,8 +98,23 @@
 
 impl Line {
     /// Enters a call.
-    pub fn call(&mut self, asker: usize, name: CounterName, add: f64, life: Micros, deadline: Micros) {
-        self.unsent.push_back(Call { asker, name, add, life, deadline, written: 0, given: false });
+    pub fn call(
+        &mut self,
+        asker: usize,
+        name: CounterName,
+        add: f64,
+        life: Micros,
+        deadline: Micros,
+    ) {
+        self.unsent.push_back(Call {
+            asker,
+            name,
+            add,
+            life,
+            deadline,
+            written: 0,
+            given: false,
+        });
     }
 
     /// The connection is up.
@@ -143,7 +166,9 @@
     /// matter: a line that went silent under load would be written to, and fail its calls, for as long as they come.
     pub fn stale(&self, before: Micros) -> bool {
         let earliest = self.waiting.front();
-        self.up && self.heard <= before && earliest.is_some_and(|call| call.given && call.written <= before)
+        self.up
+            && self.heard <= before
+            && earliest.is_some_and(|call| call.given && call.written <= before)
     }
 
     /// The answer to the earliest call written did not come in time.
@@ -154,7 +179,9 @@
     /// An answer came: it belongs to the earliest call written.
     pub fn answered(&mut self, now: Micros, answer: &Answer) -> Heard {
         (self.used, self.heard) = (now, now);
-        let Some(call) = self.waiting.pop_front() else { return Heard::Unasked };
+        let Some(call) = self.waiting.pop_front() else {
+            return Heard::Unasked;
+        };
         // Guards the order: a late answer is matched off to its own call, and its total told to nobody.
         if call.given {
             return Heard::Late { asker: call.asker };
@@ -166,12 +193,19 @@
             (503, _) => (Outcome::Full, 0.0),
             _ => (Outcome::Error, 0.0),
         };
-        Heard::Counted(Counted { total, ..call.ended(outcome) })
+        Heard::Counted(Counted {
+            total,
+            ..call.ended(outcome)
+        })
     }
 
     /// Gives the outcomes of calls whose time is up. One that was never written is withdrawn: nothing is added.
     pub fn expire(&mut self, now: Micros, counted: &mut Vec<Counted>) {
-        for call in self.waiting.iter_mut().filter(|call| !call.given && call.deadline <= now) {
+        for call in self
+            .waiting
+            .iter_mut()
+            .filter(|call| !call.given && call.deadline <= now)
+        {
             call.given = true;
             counted.push(call.ended(Outcome::TimedOut));
         }
--- a/crates/limiter/src/front/mod.rs
+++ b/crates/limiter/src/front/mod.rs
@@ -27,21 +27,36 @@
     /// The same of a request whose body goes on while it comes.
     pub fn streamed(request: &Request, extent: Extent) -> Forward {
         match extent {
-            Extent::Length(length) => Forward::with(request, &format!("Content-Length: {length}\r\n")),
-            Extent::Chunked | Extent::UntilClose => Forward::with(request, "Transfer-Encoding: chunked\r\n"),
+            Extent::Length(length) => {
+                Forward::with(request, &format!("Content-Length: {length}\r\n"))
+            }
+            Extent::Chunked | Extent::UntilClose => {
+                Forward::with(request, "Transfer-Encoding: chunked\r\n")
+            }
         }
     }
 
     fn with(request: &Request, framing: &str) -> Forward {
-        let mut head = format!("{} {} HTTP/1.1\r\nHost: backend.local\r\n", request.method, request.target);
+        let mut head = format!(
+            "{} {} HTTP/1.1\r\nHost: backend.local\r\n",
+            request.method, request.target
+        );
         for name in ["X-Trace-Id", "X-Qos", "Idempotency-Key", "Content-Type"] {
             if let Some(value) = request.headers.get(name) {
                 head.push_str(&format!("{name}: {value}\r\n"));
             }
         }
         head.push_str(framing);
-        let id = request.headers.get("X-Trace-Id").unwrap_or_default().to_string();
-        Forward { head: head.into_bytes(), body: request.body.clone(), id }
+        let id = request
+            .headers
+            .get("X-Trace-Id")
+            .unwrap_or_default()
+            .to_string();
+        Forward {
+            head: head.into_bytes(),
+            body: request.body.clone(),
+            id,
+        }
     }
 }
 
