--- a/crates/limiter/src/front/platform.rs
+++ b/crates/limiter/src/front/platform.rs
@@ -26,7 +26,9 @@
 
 fn number(text: &str) -> Option<f64> {
     // Guards against what Rust's parser takes beside plain decimals: signs, exponents, "inf" and "nan".
-    let plain = !text.is_empty() && text.len() <= 20 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    let plain = !text.is_empty()
+        && text.len() <= 20
+        && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     text.parse::<f64>().ok().filter(|n| plain && n.is_finite())
 }
 
@@ -42,47 +44,92 @@
 
 impl Platform {
     /// Reads class, method, key, id and time. `now`: when the last byte came.
-    pub fn basics(&self, request: &Request, limits: &Limits, now: Micros) -> Result<Basics, Rejection> {
+    pub fn basics(
+        &self,
+        request: &Request,
+        limits: &Limits,
+        now: Micros,
+    ) -> Result<Basics, Rejection> {
         let headers = &request.headers;
         let path = request.target.split('?').next().unwrap_or_default();
-        let name = path.strip_prefix('/').unwrap_or_default().split('/').next().unwrap_or_default();
-        let class = self.names.classes.iter().position(|c| c == name).ok_or(reject(404, "no such class"))?;
+        let name = path
+            .strip_prefix('/')
+            .unwrap_or_default()
+            .split('/')
+            .next()
+            .unwrap_or_default();
+        let class = self
+            .names
+            .classes
+            .iter()
+            .position(|c| c == name)
+            .ok_or(reject(404, "no such class"))?;
         if headers.has("X-Qos") && headers.get("X-Qos") != Some(name) {
             return Err(reject(400, "X-Qos is not the path's class"));
         }
-        let trace = headers.get("X-Trace-Id").filter(|t| !t.is_empty() && t.len() <= 128);
+        let trace = headers
+            .get("X-Trace-Id")
+            .filter(|t| !t.is_empty() && t.len() <= 128);
         trace.ok_or(reject(400, "X-Trace-Id"))?;
-        let safe = self.classes.get(class).is_some_and(|c| c.repeat == Repeat::Safe);
-        let keyed = self.classes.get(class).is_some_and(|c| matches!(c.repeat, Repeat::Keyed { .. }));
+        let safe = self
+            .classes
+            .get(class)
+            .is_some_and(|c| c.repeat == Repeat::Safe);
+        let keyed = self
+            .classes
+            .get(class)
+            .is_some_and(|c| matches!(c.repeat, Repeat::Keyed { .. }));
         if request.method != if safe { "GET" } else { "POST" } {
             return Err(reject(400, "the class has another method"));
         }
         if safe && !request.body.is_empty() {
             return Err(reject(400, "a request that is safe to repeat has no body"));
         }
-        if keyed && headers.get("Idempotency-Key").is_none_or(|k| k.is_empty() || k.len() > 256) {
+        if keyed
+            && headers
+                .get("Idempotency-Key")
+                .is_none_or(|k| k.is_empty() || k.len() > 256)
+        {
             return Err(reject(400, "Idempotency-Key"));
         }
-        let deadline = self.wait(headers, limits, now).ok_or(reject(400, "X-Expires-In"))?;
-        Ok(Basics { class, deadline, again: headers.get("X-Second-Try") == Some("1") })
+        let deadline = self
+            .wait(headers, limits, now)
+            .ok_or(reject(400, "X-Expires-In"))?;
+        Ok(Basics {
+            class,
+            deadline,
+            again: headers.get("X-Second-Try") == Some("1"),
+        })
     }
 
     /// When the final answer is due, by `X-Expires-In`.
     pub fn wait(&self, headers: &Headers, limits: &Limits, now: Micros) -> Option<Micros> {
-        let wait = headers.get("X-Expires-In").and_then(number).filter(|s| *s > 0.0 && *s <= LONGEST_WAIT)?;
+        let wait = headers
+            .get("X-Expires-In")
+            .and_then(number)
+            .filter(|s| *s > 0.0 && *s <= LONGEST_WAIT)?;
         let wait = (wait * 1e6) as Micros;
         // Guards rule 1: the client's time began at its send, and the final answer needs time on its way back.
         Some(now + wait - limits.answer_margin.min(wait / 2))
     }
 
     /// Reads a whole request.
-    pub fn read(&self, request: &Request, limits: &Limits, now: Micros) -> Result<Authorisation, Rejection> {
+    pub fn read(
+        &self,
+        request: &Request,
+        limits: &Limits,
+        now: Micros,
+    ) -> Result<Authorisation, Rejection> {
         let basics = self.basics(request, limits, now)?;
         let headers = &request.headers;
         headers.get("X-Qos").ok_or(reject(400, "X-Qos"))?;
-        let plan = headers.get("X-Tier").and_then(|name| self.names.plans.iter().position(|p| p == name));
+        let plan = headers
+            .get("X-Tier")
+            .and_then(|name| self.names.plans.iter().position(|p| p == name));
         let plan = plan.ok_or(reject(400, "X-Tier"))?;
-        let terms = headers.get("X-Call-Terms").ok_or(reject(400, "X-Call-Terms"))?;
+        let terms = headers
+            .get("X-Call-Terms")
+            .ok_or(reject(400, "X-Call-Terms"))?;
         let (units, (spread, first)) = self.terms(terms, limits, None)?;
         Ok(Authorisation {
             class: basics.class,
@@ -99,7 +146,12 @@
     }
 
     /// Reads `units=2,spread=3,first=1`; each once, others ignored. The set may be left out where it is known.
-    pub fn terms(&self, text: &str, limits: &Limits, set: Option<Set>) -> Result<(f64, Set), Rejection> {
+    pub fn terms(
+        &self,
+        text: &str,
+        limits: &Limits,
+        set: Option<Set>,
+    ) -> Result<(f64, Set), Rejection> {
         let bad = reject(400, "X-Call-Terms");
         let (mut units, mut spread, mut first) = (None, None, None);
         for part in text.split(',') {
@@ -115,7 +167,8 @@
                 return Err(bad);
             }
         }
-        let units = units.filter(|units| *units > 0.0 && units * 1_000.0 <= limits.most_units as f64);
+        let units =
+            units.filter(|units| *units > 0.0 && units * 1_000.0 <= limits.most_units as f64);
         let most = f64::from(self.limiters.max(1));
         let told = spread.zip(first).and_then(|(spread, first)| {
             let whole = spread.fract() == 0.0 && first.fract() == 0.0;
@@ -132,8 +185,12 @@
 /// The customer in the query: `account`, once, 16 hex digits.
 fn account(target: &str) -> Option<CustomerId> {
     let (_, query) = target.split_once('?')?;
-    let mut named = query.split('&').filter_map(|part| part.strip_prefix("account="));
-    let (text, None) = (named.next()?, named.next()) else { return None };
+    let mut named = query
+        .split('&')
+        .filter_map(|part| part.strip_prefix("account="));
+    let (text, None) = (named.next()?, named.next()) else {
+        return None;
+    };
     customer(text)
 }
 
@@ -147,10 +204,18 @@
 /// The status of an ending, and how long the client had better stay away.
 pub fn status(ending: Ending) -> (u16, Micros) {
     match ending {
-        Ending::Declined { stay_away, over_quota: true } => (429, stay_away),
-        Ending::Declined { stay_away, over_quota: false } => (503, stay_away),
+        Ending::Declined {
+            stay_away,
+            over_quota: true,
+        } => (429, stay_away),
+        Ending::Declined {
+            stay_away,
+            over_quota: false,
+        } => (503, stay_away),
         Ending::Failed => (504, 0),
-        Ending::Expired { may_have_run: false } => (401, 0),
+        Ending::Expired {
+            may_have_run: false,
+        } => (401, 0),
         Ending::Expired { may_have_run: true } => (504, 0),
     }
 }
--- a/crates/limiter/src/handover.rs
+++ b/crates/limiter/src/handover.rs
@@ -60,14 +60,21 @@
     /// # Errors
     /// What is no whole record, or another limiter's.
     pub fn decode(bytes: &[u8], limiter: &str) -> Result<Record, Unusable> {
-        let end = bytes.iter().position(|byte| *byte == b'\n').filter(|_| bytes.len() <= LONGEST);
+        let end = bytes
+            .iter()
+            .position(|byte| *byte == b'\n')
+            .filter(|_| bytes.len() <= LONGEST);
         let (head, body) = bytes.split_at(end.ok_or(Unusable::Damaged)?);
         let body = &body[1..];
         if head != format!("{FORM} {:08x}", crc32fast::hash(body)).as_bytes() {
             return Err(Unusable::Damaged);
         }
         let record: Record = serde_json::from_slice(body).map_err(|_| Unusable::Damaged)?;
-        if record.limiter == limiter { Ok(record) } else { Err(Unusable::Foreign) }
+        if record.limiter == limiter {
+            Ok(record)
+        } else {
+            Err(Unusable::Foreign)
+        }
     }
 }
 
@@ -76,7 +83,10 @@
     use super::*;
 
     fn record() -> Record {
-        let mut record = Record { limiter: "n3".to_string(), ..Record::default() };
+        let mut record = Record {
+            limiter: "n3".to_string(),
+            ..Record::default()
+        };
         record.bans.disable("s-1", 7);
         record.bans.disable("s-2", 8);
         record.bans.enable("s-2", 9);
@@ -89,11 +99,22 @@
         assert_eq!(Record::decode(&bytes, "n3"), Ok(record()));
         assert_eq!(Record::decode(&bytes, "n4"), Err(Unusable::Foreign));
         for at in 0..bytes.len() {
-            assert_eq!(Record::decode(&bytes[..at], "n3"), Err(Unusable::Damaged), "cut at {at}");
+            assert_eq!(
+                Record::decode(&bytes[..at], "n3"),
+                Err(Unusable::Damaged),
+                "cut at {at}"
+            );
             let mut changed = bytes.clone();
             changed[at] ^= 1;
-            assert_eq!(Record::decode(&changed, "n3"), Err(Unusable::Damaged), "changed at {at}");
+            assert_eq!(
+                Record::decode(&changed, "n3"),
+                Err(Unusable::Damaged),
+                "changed at {at}"
+            );
         }
-        assert_eq!(Record::decode(&[bytes.as_slice(), b" "].concat(), "n3"), Err(Unusable::Damaged));
+        assert_eq!(
+            Record::decode(&[bytes.as_slice(), b" "].concat(), "n3"),
+            Err(Unusable::Damaged)
+        );
     }
 }
--- a/crates/limiter/src/logging.rs
+++ b/crates/limiter/src/logging.rs
@@ -31,14 +31,19 @@
 
 impl Default for Logging {
     fn default() -> Logging {
-        Logging { format: Format::Text, level: Level::INFO }
+        Logging {
+            format: Format::Text,
+            level: Level::INFO,
+        }
     }
 }
 
 impl Logging {
     /// Logs from now on, in the whole process. The first call of a process holds.
     pub fn start(self) {
-        let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_max_level(self.level);
+        let log = tracing_subscriber::fmt()
+            .with_writer(std::io::stderr)
+            .with_max_level(self.level);
         // An embedder that has a log of its own keeps it.
         let _ = match self.format {
             Format::Text => log.event_format(Lines).try_init(),
--- a/crates/limiter/src/net/handover.rs
+++ b/crates/limiter/src/net/handover.rs
@@ -29,7 +29,10 @@
 impl Handover {
     /// In this folder; nothing is read or written yet.
     pub fn new(folder: &Path) -> Handover {
-        Handover { path: folder.join("streamarch-operations"), seen: None }
+        Handover {
+            path: folder.join("streamarch-operations"),
+            seen: None,
+        }
     }
 
     fn mark(&self) -> Option<(u64, i64, i64, u64)> {
--- a/crates/limiter/src/net/host/acquirers.rs
+++ b/crates/limiter/src/net/host/acquirers.rs
@@ -21,10 +21,15 @@
             return false;
         }
         let (door, listener, _) = &self.listeners[at];
-        let role = Role::Acquirer { door: *door, waits: None };
+        let role = Role::Acquirer {
+            door: *door,
+            waits: None,
+        };
         match listener.accept() {
             Ok((stream, _)) => {
-                let ready = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
+                let ready = stream
+                    .set_nonblocking(true)
+                    .and_then(|()| stream.set_nodelay(true));
                 match ready.and_then(|()| self.register(stream, role, true)) {
                     Ok(key) => {
                         self.acquirers += 1;
@@ -39,7 +44,8 @@
                 if !passing.contains(&error.kind()) {
                     self.warn(&format!("cannot accept: {error}"));
                     self.pause_accepting();
-                    self.deadlines.enter(self.now() + self.limits.accept_retry, Due::Accept);
+                    self.deadlines
+                        .enter(self.now() + self.limits.accept_retry, Due::Accept);
                 }
                 false
             }
@@ -51,9 +57,15 @@
     fn make_room(&mut self) -> bool {
         let now = self.now();
         loop {
-            let acquirers = self.connections.iter().filter(|(_, c)| matches!(c.role, Role::Acquirer { .. }));
-            let spared = acquirers.filter_map(|(key, c)| Some((c.visit.spared(now, &self.limits)?, key)));
-            let Some((rank, key)) = spared.min() else { break };
+            let acquirers = self
+                .connections
+                .iter()
+                .filter(|(_, c)| matches!(c.role, Role::Acquirer { .. }));
+            let spared =
+                acquirers.filter_map(|(key, c)| Some((c.visit.spared(now, &self.limits)?, key)));
+            let Some((rank, key)) = spared.min() else {
+                break;
+            };
             // Guards a request that is there already, but not read.
             self.read(key);
             let still = |c: &Connection| c.visit.spared(now, &self.limits) == Some(rank);
@@ -67,7 +79,8 @@
             self.warn("at the most connections: accepting paused");
         }
         self.pause_accepting();
-        self.deadlines.enter(now + self.limits.accept_retry, Due::Accept);
+        self.deadlines
+            .enter(now + self.limits.accept_retry, Due::Accept);
         false
     }
 
@@ -80,14 +93,19 @@
 
     pub(super) fn resume_accepting(&mut self) {
         if !self.accepting {
-            self.accepting = self.listeners.iter().all(|(_, _, token)| self.handle.enable(token).is_ok());
+            self.accepting = self
+                .listeners
+                .iter()
+                .all(|(_, _, token)| self.handle.enable(token).is_ok());
         }
     }
 
     /// Sees to it that the connection is looked at when its time is up. One entry serves it for as long as its
     /// deadline only moves on.
     pub(super) fn arm(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         let closing = self.lifecycle.closing_idle(self.clock.now(), &self.limits);
         let at = connection.visit.deadline(closing, &self.limits);
         if let Some(at) = at.filter(|at| *at < connection.armed) {
@@ -98,20 +116,30 @@
 
     /// A connection may have been as it is for too long.
     pub(super) fn visit_due(&mut self, now: Micros, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         connection.armed = Micros::MAX;
         let closing = self.lifecycle.closing_idle(now, &self.limits);
-        let over =
-            |c: &Connection, limits: &Limits| c.visit.deadline(closing, limits).is_some_and(|at| at <= now);
+        let over = |c: &Connection, limits: &Limits| {
+            c.visit
+                .deadline(closing, limits)
+                .is_some_and(|at| at <= now)
+        };
         if over(connection, &self.limits) {
             // What is there already is taken, not lost to the close.
             self.read(key);
         }
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         if !over(connection, &self.limits) {
             return self.arm(key);
         }
-        let late = Rejection { status: 408, text: "the request did not come whole in time" };
+        let late = Rejection {
+            status: 408,
+            text: "the request did not come whole in time",
+        };
         match connection.visit.stage {
             Stage::Partial => self.reject(key, &late, true),
             // Where the server is slow the client is not asked for more.
@@ -129,7 +157,9 @@
     /// An answer is written whole: the connection is free for the next request, or ends.
     pub(super) fn answer_written(&mut self, key: ConnectionKey) {
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         let closing = connection.closing;
         let more = connection.unread || !connection.input.is_empty();
         connection.visit.written(now, closing);
@@ -154,7 +184,9 @@
 
     /// Takes what has been read off a connection's input.
     fn consume(&mut self, key: ConnectionKey, length: usize) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         let length = length.min(connection.input.len());
         connection.input.drain(..length);
         connection.input.shrink_to(connection.input.len().max(1024));
@@ -163,9 +195,13 @@
 
     pub(super) fn read_request(&mut self, key: ConnectionKey) {
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         // One request at a time: what comes while one is out waits.
-        let Role::Acquirer { door, .. } = connection.role else { return };
+        let Role::Acquirer { door, .. } = connection.role else {
+            return;
+        };
         if connection.uploading().is_some() {
             return self.read_upload(key);
         }
@@ -177,10 +213,17 @@
             Reading::Request(incoming) => incoming,
             _ => Incoming::default(),
         };
-        let read = incoming.read(&mut connection.input, self.limits.request_bytes, &self.limits);
+        let read = incoming.read(
+            &mut connection.input,
+            self.limits.request_bytes,
+            &self.limits,
+        );
         if let Err(malformed) = read {
             self.partial -= before - connection.held();
-            let rejection = Rejection { status: malformed.status(), text: "malformed" };
+            let rejection = Rejection {
+                status: malformed.status(),
+                text: "malformed",
+            };
             return self.reject(key, &rejection, true);
         }
         if !incoming.whole() {
@@ -191,9 +234,15 @@
             }
             let long = incoming.longer(self.limits.kept_bytes);
             // Or all that clients have under way is more than may be held.
-            let crowded = length > self.limits.body_bytes as u64 && self.partial > self.limits.partial_bytes;
-            if waits == Some(true) && length == 0 && !std::mem::replace(&mut connection.told_to_go_on, true) {
-                connection.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
+            let crowded =
+                length > self.limits.body_bytes as u64 && self.partial > self.limits.partial_bytes;
+            if waits == Some(true)
+                && length == 0
+                && !std::mem::replace(&mut connection.told_to_go_on, true)
+            {
+                connection
+                    .output
+                    .extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                 self.dirty.push(key);
             }
             if waits.is_some() && (long || crowded) {
@@ -206,12 +255,18 @@
         }
         connection.told_to_go_on = false;
         self.partial -= before - connection.held();
-        let Some((head, _, body)) = incoming.into_parts() else { return };
+        let Some((head, _, body)) = incoming.into_parts() else {
+            return;
+        };
         let request = Request::new(head, body);
         connection.last = !request.keep_alive;
         if request.method == "GET" && request.target == "/up" {
             let serving = self.lifecycle.serving() && self.table.serving();
-            let (status, text): (u16, &[u8]) = if serving { (200, b"up\n") } else { (503, b"not serving\n") };
+            let (status, text): (u16, &[u8]) = if serving {
+                (200, b"up\n")
+            } else {
+                (503, b"not serving\n")
+            };
             return self.answer(key, status, &[], text);
         }
         match door {
@@ -221,7 +276,13 @@
         }
         match self.platform.read(&request, &self.limits, now) {
             Ok(authorisation) => {
-                self.take(key, RECORDS, authorisation, Forward::of(&request), Purpose::Platform);
+                self.take(
+                    key,
+                    RECORDS,
+                    authorisation,
+                    Forward::of(&request),
+                    Purpose::Platform,
+                );
             }
             Err(rejection) => self.reject(key, &rejection, false),
         }
@@ -241,7 +302,10 @@
         if self.open_ids.contains(&forward.id) {
             return self.reject(
                 key,
-                &Rejection { status: 409, text: "X-Trace-Id is that of an open request" },
+                &Rejection {
+                    status: 409,
+                    text: "X-Trace-Id is that of an open request",
+                },
                 false,
             );
         }
@@ -253,7 +317,14 @@
                     self.open_ids.insert(forward.id.clone());
                 }
                 self.partial += forward.body.len();
-                known.pending.insert(authorisation, Pending { origin: key, forward, purpose });
+                known.pending.insert(
+                    authorisation,
+                    Pending {
+                        origin: key,
+                        forward,
+                        purpose,
+                    },
+                );
                 if let Some(connection) = self.connections.get_mut(key)
                     && let Role::Acquirer { waits, .. } = &mut connection.role
                 {
@@ -274,7 +345,9 @@
 
     /// The request is answered: what is here of it is of no more use.
     pub(super) fn drop_rest(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         let before = connection.held();
         connection.reading = Reading::Nothing;
         self.partial -= before - connection.held();
@@ -291,14 +364,26 @@
     }
 
     /// Writes an answer to a client; the connection is then free for the next request.
-    pub(super) fn answer(&mut self, key: ConnectionKey, status: u16, headers: &[(&str, &str)], body: &[u8]) {
+    pub(super) fn answer(
+        &mut self,
+        key: ConnectionKey,
+        status: u16,
+        headers: &[(&str, &str)],
+        body: &[u8],
+    ) {
         let now = self.now();
         let close = self.last_answer(key);
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        let Role::Acquirer { waits, .. } = &mut connection.role else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Role::Acquirer { waits, .. } = &mut connection.role else {
+            return;
+        };
         *waits = None;
         self.drop_rest(key);
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         framing::write_answer(&mut connection.output, status, headers, body, close);
         connection.closing = close;
         connection.visit.answering(now);
@@ -333,7 +418,9 @@
 
     /// The final answer of an authorisation that no server's answer ends.
     pub(super) fn ended(&mut self, ticket: Ticket, ending: Ending) {
-        let Some(pending) = self.settle(ticket) else { return };
+        let Some(pending) = self.settle(ticket) else {
+            return;
+        };
         match pending.purpose {
             Purpose::Platform => {
                 let (status, stay_away) = platform::status(ending);
@@ -345,10 +432,15 @@
 
     /// The final answer of an authorisation that a server gave.
     pub(super) fn served(&mut self, ticket: Ticket, answer: Answer) {
-        let Some(pending) = self.settle(ticket) else { return };
+        let Some(pending) = self.settle(ticket) else {
+            return;
+        };
         match pending.purpose {
             Purpose::Platform | Purpose::Record => {
-                let kind = answer.headers.get("Content-Type").map(|kind| ("Content-Type", kind));
+                let kind = answer
+                    .headers
+                    .get("Content-Type")
+                    .map(|kind| ("Content-Type", kind));
                 self.answer(pending.origin, 200, kind.as_slice(), &answer.body);
             }
             purpose => self.found(pending.origin, purpose, &answer),
--- a/crates/limiter/src/net/host/agreement.rs
+++ b/crates/limiter/src/net/host/agreement.rs
@@ -24,14 +24,23 @@
         let ids: Vec<u64> = cluster.members.iter().map(|(id, _)| *id).collect();
         let member = Member::open(cluster.id, &ids, &cluster.folder).map_err(io::Error::other)?;
         let others = cluster.members.iter().filter(|(id, _)| *id != cluster.id);
-        let others = others.map(|(id, address)| Other { id: *id, address: *address, connection: None });
-        Ok(Agreement { member, others: others.collect(), secret: cluster.secret.clone() })
+        let others = others.map(|(id, address)| Other {
+            id: *id,
+            address: *address,
+            connection: None,
+        });
+        Ok(Agreement {
+            member,
+            others: others.collect(),
+            secret: cluster.secret.clone(),
+        })
     }
 }
 
 impl Host {
     pub(super) fn raft_tick(&mut self, now: Micros) {
-        self.deadlines.enter(now + self.limits.raft_tick, Due::RaftTick);
+        self.deadlines
+            .enter(now + self.limits.raft_tick, Due::RaftTick);
         if let Some(agreement) = &mut self.agreement {
             let stepped = agreement.member.tick();
             _ = self.stepped(stepped);
@@ -43,7 +52,9 @@
     fn stepped(&mut self, stepped: Result<raft::News, RaftError>) -> Result<(), RaftError> {
         match stepped {
             Ok(news) => {
-                news.letters.into_iter().for_each(|letter| self.post(letter));
+                news.letters
+                    .into_iter()
+                    .for_each(|letter| self.post(letter));
                 if let Some(document) = news.document {
                     self.take_document(&document);
                 }
@@ -60,9 +71,20 @@
     }
 
     fn post(&mut self, letter: raft::Letter) {
-        let Some(agreement) = &self.agreement else { return };
-        let Some(at) = agreement.others.iter().position(|other| other.id == letter.to) else { return };
-        let (address, known) = (agreement.others[at].address, agreement.others[at].connection);
+        let Some(agreement) = &self.agreement else {
+            return;
+        };
+        let Some(at) = agreement
+            .others
+            .iter()
+            .position(|other| other.id == letter.to)
+        else {
+            return;
+        };
+        let (address, known) = (
+            agreement.others[at].address,
+            agreement.others[at].connection,
+        );
         let head = format!(
             "POST /raft HTTP/1.1\r\nHost: {address}\r\nAuthorization: Bearer {}\r\nContent-Length: {}\r\n\r\n",
             agreement.secret,
@@ -79,7 +101,11 @@
             agreement.others[at].connection = Some(key);
         }
         // Guards the memory where a member takes nothing in: the protocol bears the loss of messages.
-        if self.connections.get(key).is_some_and(|c| c.output.len() < 4 * self.limits.body_bytes) {
+        if self
+            .connections
+            .get(key)
+            .is_some_and(|c| c.output.len() < 4 * self.limits.body_bytes)
+        {
             self.write(key, head.as_bytes());
             self.write(key, &letter.bytes);
         }
@@ -87,7 +113,9 @@
 
     /// Other members' answers say nothing that the protocol's own messages don't.
     pub(super) fn read_receipts(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         loop {
             match framing::answer(&connection.input, false, &self.limits) {
                 Ok(Some((_, length))) => _ = connection.input.drain(..length),
@@ -105,21 +133,35 @@
 
     /// A request at the members' own address.
     pub(super) fn read_agreement(&mut self, key: ConnectionKey, request: &Request) {
-        let Some(agreement) = &mut self.agreement else { return self.answer(key, 503, &[], b"") };
-        let shown = request.headers.get("Authorization").and_then(|value| value.strip_prefix("Bearer "));
+        let Some(agreement) = &mut self.agreement else {
+            return self.answer(key, 503, &[], b"");
+        };
+        let shown = request
+            .headers
+            .get("Authorization")
+            .and_then(|value| value.strip_prefix("Bearer "));
         if !shown.is_some_and(|shown| same(shown, &agreement.secret)) {
             return self.answer(key, 401, &[("WWW-Authenticate", "Bearer")], b"");
         }
         match (request.method.as_str(), request.target.as_str()) {
             ("POST", "/raft") => {
                 let stepped = agreement.member.receive(&request.body);
-                let status = if self.stepped(stepped).is_ok() { 200 } else { 400 };
+                let status = if self.stepped(stepped).is_ok() {
+                    200
+                } else {
+                    400
+                };
                 self.answer(key, status, &[], b"");
             }
             ("GET", "/configuration") => {
                 let (document, index) = agreement.member.document();
                 let (document, tag) = (document.to_vec(), format!("\"{index}\""));
-                self.answer(key, 200, &[("Content-Type", "application/json"), ("ETag", &tag)], &document);
+                self.answer(
+                    key,
+                    200,
+                    &[("Content-Type", "application/json"), ("ETag", &tag)],
+                    &document,
+                );
             }
             ("PUT", "/configuration") => {
                 if let Err(error) = config::callers_text(&request.body, &self.platform.names) {
@@ -129,10 +171,16 @@
                 match self.stepped(stepped) {
                     Ok(()) => self.answer(key, 202, &[], b""),
                     Err(RaftError::NotLeader(Some(leader))) => self.point_to(key, leader),
-                    Err(RaftError::BadDocument) => self.answer(key, 400, &[], b"no JSON object, or too long"),
-                    Err(error) => {
-                        self.decline(key, 503, self.limits.stay_away, &[], error.to_string().as_bytes())
+                    Err(RaftError::BadDocument) => {
+                        self.answer(key, 400, &[], b"no JSON object, or too long")
                     }
+                    Err(error) => self.decline(
+                        key,
+                        503,
+                        self.limits.stay_away,
+                        &[],
+                        error.to_string().as_bytes(),
+                    ),
                 }
             }
             _ => self.answer(key, 404, &[], b""),
@@ -140,7 +188,10 @@
     }
 
     fn point_to(&mut self, key: ConnectionKey, leader: u64) {
-        let others = self.agreement.as_ref().map_or(&[][..], |agreement| &agreement.others);
+        let others = self
+            .agreement
+            .as_ref()
+            .map_or(&[][..], |agreement| &agreement.others);
         let place = others.iter().find(|other| other.id == leader);
         match place.map(|other| format!("http://{}/configuration", other.address)) {
             Some(place) => self.answer(key, 307, &[("Location", &place)], b""),
@@ -152,7 +203,10 @@
     fn take_document(&mut self, document: &[u8]) {
         match config::callers_text(document, &self.platform.names) {
             Ok(Some(callers)) => {
-                self.log(&format!("configuration agreed on: {} callers", callers.len()));
+                self.log(&format!(
+                    "configuration agreed on: {} callers",
+                    callers.len()
+                ));
                 if let Some(tokens) = &mut self.tokens {
                     tokens.set_callers(callers);
                 }
--- a/crates/limiter/src/net/host/counting.rs
+++ b/crates/limiter/src/net/host/counting.rs
@@ -17,8 +17,12 @@
     }
 
     pub(super) fn write_line(&mut self, now: Micros, line: usize) {
-        let Some(key) = self.lines[line].connection else { return };
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(key) = self.lines[line].connection else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         let before = connection.output.len();
         self.lines[line].write(now, "counter", &mut connection.output);
         if connection.output.len() > before {
@@ -31,8 +35,13 @@
         let mut counted = Vec::new();
         let (mut at, mut bad) = (0, false);
         // Guards against an answer that claims to be longer than any number: it would swallow those behind it.
-        let limits = Limits { body_bytes: self.limits.total_bytes, ..self.limits.clone() };
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let limits = Limits {
+            body_bytes: self.limits.total_bytes,
+            ..self.limits.clone()
+        };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         while at < connection.input.len() {
             match framing::framed_answer(&connection.input[at..], &limits) {
                 Ok(Some((answer, length))) => {
@@ -62,8 +71,14 @@
 
     /// Where an answer has begun and does not end in time, nothing more will be heard on its connection.
     fn drop_stuck(&mut self, line: usize) {
-        let begun = |key| self.connections.get(key).is_some_and(|c| !c.input.is_empty());
-        if let Some(key) = self.lines[line].connection.filter(|key| self.lines[line].overdue() && begun(*key))
+        let begun = |key| {
+            self.connections
+                .get(key)
+                .is_some_and(|c| !c.input.is_empty())
+        };
+        if let Some(key) = self.lines[line]
+            .connection
+            .filter(|key| self.lines[line].overdue() && begun(*key))
         {
             self.broken(key);
         }
@@ -88,7 +103,9 @@
 
     pub(super) fn take_counted(&mut self, counted: Vec<Counted>) {
         for one in counted {
-            self.services[one.asker].engine.counted(one.name, one.outcome, one.total);
+            self.services[one.asker]
+                .engine
+                .counted(one.name, one.outcome, one.total);
         }
     }
 }
--- a/crates/limiter/src/net/host/datagrams.rs
+++ b/crates/limiter/src/net/host/datagrams.rs
@@ -4,7 +4,9 @@
 
 impl Host {
     pub(super) fn read_datagrams(&mut self) {
-        let Some(socket) = &self.datagrams else { return };
+        let Some(socket) = &self.datagrams else {
+            return;
+        };
         let mut bytes = [0; 512];
         while let Ok((length, from)) = socket.recv_from(&mut bytes) {
             if let Some(notice) = self.peers.read(from, &bytes[..length], self.plans) {
--- a/crates/limiter/src/net/host/ending.rs
+++ b/crates/limiter/src/net/host/ending.rs
@@ -16,8 +16,10 @@
             self.log("told to end: new connections are left to others, finishing");
             self.leave_listeners();
         }
-        self.deadlines.enter(now + self.limits.notice, Due::NoticeOver);
-        self.deadlines.enter(now + self.limits.drain, Due::DrainOver);
+        self.deadlines
+            .enter(now + self.limits.notice, Due::NoticeOver);
+        self.deadlines
+            .enter(now + self.limits.drain, Due::DrainOver);
     }
 
     /// Listening sockets are only closed: one that is shared goes on to listen for the others.
@@ -38,11 +40,16 @@
             self.accept();
             self.leave_listeners();
         }
-        let acquirers = self.connections.iter().filter(|(_, c)| matches!(c.role, Role::Acquirer { .. }));
+        let acquirers = self
+            .connections
+            .iter()
+            .filter(|(_, c)| matches!(c.role, Role::Acquirer { .. }));
         for key in acquirers.map(|(key, _)| key).collect::<Vec<_>>() {
             // What is there already is taken; a close that crosses a request is made good by the client.
             self.read(key);
-            let Some(connection) = self.connections.get_mut(key) else { continue };
+            let Some(connection) = self.connections.get_mut(key) else {
+                continue;
+            };
             match connection.visit.stage {
                 Stage::Idle if connection.visit.answered => _ = self.close(key),
                 _ => self.arm(key),
--- a/crates/limiter/src/net/host/errands.rs
+++ b/crates/limiter/src/net/host/errands.rs
@@ -27,13 +27,19 @@
         deadline: Micros,
     ) {
         while let Some(key) = self.services[service].pool.reuse(server) {
-            let Some(connection) = self.connections.get_mut(key) else { continue };
+            let Some(connection) = self.connections.get_mut(key) else {
+                continue;
+            };
             // Guards against a close that came meanwhile: what is written then would end in a reset.
             if !quiet(&connection.stream) {
                 self.close(key);
                 continue;
             }
-            connection.role = Role::Server { service, server, state: LegState::Sending(errand) };
+            connection.role = Role::Server {
+                service,
+                server,
+                state: LegState::Sending(errand),
+            };
             self.out_on(key, service, errand, deadline);
             return self.send_errand(now, key);
         }
@@ -41,17 +47,25 @@
         if open >= self.limits.leg_connections {
             match self.services.iter().find_map(|s| s.pool.idlest()) {
                 Some(key) => _ = self.close(key),
-                None => return self.end_errand(service, server, errand, Outcome::ConnectFailed, None),
+                None => {
+                    return self.end_errand(service, server, errand, Outcome::ConnectFailed, None);
+                }
             }
         }
-        let role = Role::Server { service, server, state: LegState::Connecting(errand) };
+        let role = Role::Server {
+            service,
+            server,
+            state: LegState::Connecting(errand),
+        };
         let address = self.services[service].pool.address(server);
         match address.map(|address| self.connect(address, role)) {
             Some(Ok(key)) => {
                 self.services[service].pool.opened(server);
                 self.out_on(key, service, errand, deadline);
             }
-            Some(Err(_)) | None => self.end_errand(service, server, errand, Outcome::ConnectFailed, None),
+            Some(Err(_)) | None => {
+                self.end_errand(service, server, errand, Outcome::ConnectFailed, None)
+            }
         }
     }
 
@@ -64,21 +78,45 @@
 
     /// The connection is up: writes what the errand carries.
     pub(super) fn send_errand(&mut self, now: Micros, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        let Role::Server { service, server, state } = &mut connection.role else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Role::Server {
+            service,
+            server,
+            state,
+        } = &mut connection.role
+        else {
+            return;
+        };
         let known = &self.services[*service];
         *state = state.connected();
         match state.errand() {
             Some(Errand::Probe) => {
-                let host = known.pool.address(*server).map(|a| a.to_string()).unwrap_or_default();
-                connection.output.extend(probes::request(&host, self.reports));
+                let host = known
+                    .pool
+                    .address(*server)
+                    .map(|a| a.to_string())
+                    .unwrap_or_default();
+                connection
+                    .output
+                    .extend(probes::request(&host, self.reports));
             }
             Some(Errand::Leg(authorisation, _)) => {
-                let Some(pending) = known.pending.get(authorisation) else { return };
-                let left = known.engine.deadline(authorisation).map_or(0, |at| (at - now).max(0));
+                let Some(pending) = known.pending.get(authorisation) else {
+                    return;
+                };
+                let left = known
+                    .engine
+                    .deadline(authorisation)
+                    .map_or(0, |at| (at - now).max(0));
                 connection.output.extend_from_slice(&pending.forward.head);
                 // Writing to a vector cannot fail.
-                let _ = write!(connection.output, "X-Expires-In: {:.3}\r\n\r\n", left as f64 / 1e6);
+                let _ = write!(
+                    connection.output,
+                    "X-Expires-In: {:.3}\r\n\r\n",
+                    left as f64 / 1e6
+                );
                 connection.output.extend_from_slice(&pending.forward.body);
                 let origin = pending.origin;
                 self.start_upload(origin, key);
@@ -89,8 +127,17 @@
     }
 
     pub(super) fn read_answer(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        let Role::Server { service, server, state } = connection.role else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Role::Server {
+            service,
+            server,
+            state,
+        } = connection.role
+        else {
+            return;
+        };
         if let Reading::Relay(_, to) = connection.reading {
             return self.read_relayed(key, to);
         }
@@ -104,16 +151,27 @@
         }
         match framing::answer(&connection.input, false, &self.limits) {
             Ok(None) => {
-                if !matches!(std::mem::replace(&mut connection.reading, Reading::Begun), Reading::Begun) {
-                    self.deadlines.enter(self.clock.now() + self.limits.answer_rest, Due::Rest(key, errand));
+                if !matches!(
+                    std::mem::replace(&mut connection.reading, Reading::Begun),
+                    Reading::Begun
+                ) {
+                    self.deadlines.enter(
+                        self.clock.now() + self.limits.answer_rest,
+                        Due::Rest(key, errand),
+                    );
                 }
             }
             Ok(Some((answer, length))) => {
-                let clean = connection.input.len() == length && answer.keep_alive && connection.all_sent();
+                let clean =
+                    connection.input.len() == length && answer.keep_alive && connection.all_sent();
                 connection.input.clear();
                 connection.input.shrink_to(4 * 1024);
                 connection.reading = Reading::Nothing;
-                connection.role = Role::Server { service, server, state: LegState::Idle };
+                connection.role = Role::Server {
+                    service,
+                    server,
+                    state: LegState::Idle,
+                };
                 self.end_errand(service, server, errand, Outcome::Reset, Some(answer));
                 let now = self.now();
                 if !(clean && self.services[service].pool.rest(server, key, now)) {
@@ -137,7 +195,9 @@
         answer: Option<Answer>,
     ) {
         let now = self.now();
-        let header = answer.as_ref().and_then(|a| a.headers.get("Endpoint-Load-Metrics"));
+        let header = answer
+            .as_ref()
+            .and_then(|a| a.headers.get("Endpoint-Load-Metrics"));
         let report: Option<LoadReport> = header.and_then(probes::report);
         match errand {
             Errand::Leg(authorisation, leg) => {
@@ -149,16 +209,22 @@
                 self.leg_left_upload(service, authorisation);
                 let known = &mut self.services[service];
                 known.legs.remove(authorisation);
-                let answers = known.engine.leg_ended(now, authorisation, leg, outcome, report);
+                let answers = known
+                    .engine
+                    .leg_ended(now, authorisation, leg, outcome, report);
                 if let (true, Some(answer)) = (answers, answer) {
                     self.served((service, authorisation), answer);
                 }
             }
             Errand::Probe => {
-                let body = answer.as_ref().and_then(|a| std::str::from_utf8(&a.body).ok());
+                let body = answer
+                    .as_ref()
+                    .and_then(|a| std::str::from_utf8(&a.body).ok());
                 let report = report.or(body.and_then(probes::report));
                 let outcome = answer.as_ref().map_or(otherwise, probes::outcome);
-                self.services[service].engine.probe_ended(server, outcome, report);
+                self.services[service]
+                    .engine
+                    .probe_ended(server, outcome, report);
             }
         }
     }
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -74,7 +74,12 @@
 
 impl Service {
     fn new(engine: Engine) -> Service {
-        Service { engine, pool: Pool::default(), pending: SecondaryMap::new(), legs: SecondaryMap::new() }
+        Service {
+            engine,
+            pool: Pool::default(),
+            pending: SecondaryMap::new(),
+            legs: SecondaryMap::new(),
+        }
     }
 }
 
@@ -84,7 +89,11 @@
     /// The acquirer side: a client's, and what it waits for.
     Acquirer { door: Door, waits: Option<Ticket> },
     /// A server's, of the service whose engine sends to it.
-    Server { service: usize, server: ServerId, state: LegState },
+    Server {
+        service: usize,
+        server: ServerId,
+        state: LegState,
+    },
     /// The counter's, by its line.
     Counter(usize),
     /// Discovery's.
@@ -279,8 +288,11 @@
 }
 
 fn nonblocking_connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let socket =
-        Socket::new(Domain::for_address(address), Type::STREAM.nonblocking().cloexec(), Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM.nonblocking().cloexec(),
+        Some(Protocol::TCP),
+    )?;
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&address.into()) {
         Ok(()) => {}
@@ -335,13 +347,20 @@
 
 impl Host {
     /// Opens the sockets and starts from the list as last held.
-    pub fn open(config: Config, handle: LoopHandle<'static, Host>, clock: Clock) -> io::Result<Host> {
+    pub fn open(
+        config: Config,
+        handle: LoopHandle<'static, Host>,
+        clock: Clock,
+    ) -> io::Result<Host> {
         let limits = config.limits;
         let mut table = RoutingTable::new(config.names.zones.clone(), config.names.kinds.clone());
         let settings = config.settings;
         let module = settings.clone();
-        let platform =
-            Platform { names: config.names, classes: settings.classes.clone(), limiters: settings.gateways };
+        let platform = Platform {
+            names: config.names,
+            classes: settings.classes.clone(),
+            limiters: settings.gateways,
+        };
         let tell = settings.may_tell;
         let known = table.known(&config.known).unwrap_or_else(|error| {
             tracing::warn!(limiter = %config.name, "known list not taken: {error}");
@@ -360,11 +379,19 @@
             None => bind(config.listen, &limits)?,
         };
         open_door(Door::Platform, platform_listener)?;
-        let mut services = vec![Service::new(Engine::new(settings, config.seed, limits.held))];
+        let mut services = vec![Service::new(Engine::new(
+            settings,
+            config.seed,
+            limits.held,
+        ))];
         let mut tokens = None;
         if let Some(front) = config.introspection {
             open_door(Door::Introspection, bind(front.listen, &limits)?)?;
-            services.push(Service::new(Engine::new(front.settings.clone(), !config.seed, limits.held)));
+            services.push(Service::new(Engine::new(
+                front.settings.clone(),
+                !config.seed,
+                limits.held,
+            )));
             tokens = Some(Tokens::new(front, plans));
         }
         let mut agreement = None;
@@ -411,9 +438,14 @@
             table,
             discovery: config.discovery,
             discovery_in_file: config.discovery_in_file,
-            watch: Watch { wait: limits.watch_retry, ..Watch::default() },
+            watch: Watch {
+                wait: limits.watch_retry,
+                ..Watch::default()
+            },
             counter,
-            lines: (0..limits.counter_connections).map(|_| Line::default()).collect(),
+            lines: (0..limits.counter_connections)
+                .map(|_| Line::default())
+                .collect(),
             datagrams,
             peers: Peers::new(config.peers),
             plans,
@@ -437,7 +469,8 @@
         for line in 0..host.lines.len() {
             host.open_line(line);
         }
-        host.deadlines.enter(host.now() + host.limits.leg_idle / 4, Due::Retire);
+        host.deadlines
+            .enter(host.now() + host.limits.leg_idle / 4, Due::Retire);
         host.log(&format!("serving on {}", host.addresses()?.0));
         Ok(host)
     }
@@ -449,8 +482,14 @@
 
     /// Where the fronts listen: the platform's, and introspection's if it is on.
     pub fn addresses(&self) -> io::Result<(SocketAddr, Option<SocketAddr>)> {
-        let of = |door| self.listeners.iter().find(|(d, _, _)| *d == door).map(|(_, l, _)| l.local_addr());
-        let platform = of(Door::Platform).unwrap_or_else(|| Err(io::ErrorKind::NotConnected.into()))?;
+        let of = |door| {
+            self.listeners
+                .iter()
+                .find(|(d, _, _)| *d == door)
+                .map(|(_, l, _)| l.local_addr())
+        };
+        let platform =
+            of(Door::Platform).unwrap_or_else(|| Err(io::ErrorKind::NotConnected.into()))?;
         Ok((platform, of(Door::Introspection).transpose()?))
     }
 
@@ -459,7 +498,10 @@
         if !self.again.is_empty() {
             return Some(Micros::MIN);
         }
-        let engines = self.services.iter().filter_map(|service| service.engine.next());
+        let engines = self
+            .services
+            .iter()
+            .filter_map(|service| service.engine.next());
         self.deadlines.earliest().into_iter().chain(engines).min()
     }
 
@@ -517,7 +559,12 @@
             }
             Due::Errand(key, errand) => {
                 let role = self.connections.get(key).map(|c| c.role);
-                let Some(Role::Server { service, server, state }) = role else {
+                let Some(Role::Server {
+                    service,
+                    server,
+                    state,
+                }) = role
+                else {
                     return;
                 };
                 if state.errand() == Some(errand) {
@@ -526,8 +573,17 @@
                 }
             }
             Due::Rest(key, errand) => {
-                let Some(connection) = self.connections.get(key) else { return };
-                let Role::Server { service, server, state } = connection.role else { return };
+                let Some(connection) = self.connections.get(key) else {
+                    return;
+                };
+                let Role::Server {
+                    service,
+                    server,
+                    state,
+                } = connection.role
+                else {
+                    return;
+                };
                 let until = connection.heard + self.limits.answer_rest;
                 if state.errand() == Some(errand) && until > now {
                     self.deadlines.enter(until, Due::Rest(key, errand));
@@ -543,11 +599,15 @@
             Due::Counter(line) => self.expire_line(now, line),
             Due::Retire => {
                 let before = now - self.limits.leg_idle;
-                let old = self.services.iter_mut().flat_map(|service| service.pool.retire(before));
+                let old = self
+                    .services
+                    .iter_mut()
+                    .flat_map(|service| service.pool.retire(before));
                 for key in old.collect::<Vec<_>>() {
                     self.close(key);
                 }
-                self.deadlines.enter(now + self.limits.leg_idle / 4, Due::Retire);
+                self.deadlines
+                    .enter(now + self.limits.leg_idle / 4, Due::Retire);
             }
             Due::RaftTick => self.raft_tick(now),
             Due::Accept => self.resume_accepting(),
@@ -561,7 +621,10 @@
                     self.broken(key);
                 } else {
                     let heard = self.watch.heard;
-                    self.deadlines.enter(heard + self.limits.watch_silent, Due::WatchSilent(key, heard));
+                    self.deadlines.enter(
+                        heard + self.limits.watch_silent,
+                        Due::WatchSilent(key, heard),
+                    );
                 }
             }
             Due::NoticeOver => self.notice_over(),
@@ -573,9 +636,12 @@
 
     fn carry_out(&mut self, now: Micros, service: usize, order: Order) {
         match order {
-            Order::StartLeg { key, leg, server, deadline } => {
-                self.start_leg(now, (service, key), leg, server, deadline)
-            }
+            Order::StartLeg {
+                key,
+                leg,
+                server,
+                deadline,
+            } => self.start_leg(now, (service, key), leg, server, deadline),
             Order::StopLeg { key, .. } => {
                 self.leg_left_upload(service, key);
                 if let Some(connection) = self.services[service].legs.remove(key) {
@@ -587,8 +653,8 @@
                 let line = (name.0 % self.lines.len().max(1) as u64) as usize;
                 let deadline = now + self.limits.counter_wait;
                 let (known, limits) = (&self.lines[line], &self.limits);
-                let of_no_use =
-                    known.rested(now - limits.counter_idle) || known.stale(now - limits.counter_stale);
+                let of_no_use = known.rested(now - limits.counter_idle)
+                    || known.stale(now - limits.counter_stale);
                 if let Some(old) = known.connection.filter(|_| of_no_use) {
                     // Guards against a call that crosses the counter's close of an idle connection, or that waits
                     // behind calls which a counter that died will never answer.
@@ -600,12 +666,18 @@
                     self.open_line(line);
                 }
             }
-            Order::Probe(server) => {
-                self.start_errand(now, service, server, Errand::Probe, now + self.limits.probe_wait)
-            }
+            Order::Probe(server) => self.start_errand(
+                now,
+                service,
+                server,
+                Errand::Probe,
+                now + self.limits.probe_wait,
+            ),
             Order::Tell(number, notice) => {
                 let to = self.peers.address(number);
-                if let (Some(to), Some(socket), Some(bytes)) = (to, &self.datagrams, peers::encode(&notice)) {
+                if let (Some(to), Some(socket), Some(bytes)) =
+                    (to, &self.datagrams, peers::encode(&notice))
+                {
                     // A datagram that cannot be sent is lost, as any may be.
                     let _ = socket.send_to(&bytes, to);
                 }
@@ -657,7 +729,8 @@
     /// Opens a connection; it must come up within the limit for that.
     fn connect(&mut self, address: SocketAddr, role: Role) -> io::Result<ConnectionKey> {
         let key = self.register(nonblocking_connect(address)?, role, false)?;
-        self.deadlines.enter(self.now() + self.limits.connect, Due::Connect(key));
+        self.deadlines
+            .enter(self.now() + self.limits.connect, Due::Connect(key));
         Ok(key)
     }
 
@@ -673,9 +746,14 @@
                 self.partial -= connection.held();
                 self.resume_accepting();
                 // What a server still sends is for nobody.
-                connection.source.into_iter().for_each(|source| _ = self.close(source));
+                connection
+                    .source
+                    .into_iter()
+                    .for_each(|source| _ = self.close(source));
             }
-            Role::Server { service, server, .. } => self.services[service].pool.closed(server, key),
+            Role::Server {
+                service, server, ..
+            } => self.services[service].pool.closed(server, key),
             Role::Operator => self.operator_left(key),
             Role::Counter(_) | Role::Watch | Role::Member(_) => {}
         }
@@ -685,20 +763,32 @@
     /// The other side closed or broke a connection, or it never came up.
     fn broken(&mut self, key: ConnectionKey) {
         let now = self.now();
-        let Some(connection) = self.close(key) else { return };
+        let Some(connection) = self.close(key) else {
+            return;
+        };
         match connection.role {
-            Role::Acquirer { waits: Some(ticket), .. } => self.abandon(now, ticket),
+            Role::Acquirer {
+                waits: Some(ticket),
+                ..
+            } => self.abandon(now, ticket),
             Role::Acquirer { waits: None, .. } => {}
-            Role::Server { service, server, state } => {
+            Role::Server {
+                service,
+                server,
+                state,
+            } => {
                 if let Reading::Relay(_, to) = connection.reading {
                     // Cut off here too, so that the client can tell.
                     self.close(to);
                 }
                 if let Some(errand) = state.errand() {
                     // Only an introspection server's answer may end with its connection: it is judged by its text.
-                    let ended =
-                        (service == TOKENS).then(|| framing::answer(&connection.input, true, &self.limits));
-                    let answer = ended.and_then(Result::ok).flatten().map(|(answer, _)| answer);
+                    let ended = (service == TOKENS)
+                        .then(|| framing::answer(&connection.input, true, &self.limits));
+                    let answer = ended
+                        .and_then(Result::ok)
+                        .flatten()
+                        .map(|(answer, _)| answer);
                     self.end_errand(service, server, errand, state.broken(), answer);
                 }
             }
@@ -717,7 +807,9 @@
     fn abandon(&mut self, now: Micros, ticket: Ticket) {
         self.settle(ticket);
         let mut orders = std::mem::take(&mut self.orders);
-        self.services[ticket.0].engine.client_left(now, ticket.1, &mut orders);
+        self.services[ticket.0]
+            .engine
+            .client_left(now, ticket.1, &mut orders);
         for order in orders.drain(..) {
             self.carry_out(now, ticket.0, order);
         }
@@ -736,7 +828,9 @@
     }
 
     fn ready(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         if !connection.up {
             match connection.stream.take_error() {
                 Ok(None) if connection.stream.peer_addr().is_ok() => connection.up = true,
@@ -745,7 +839,11 @@
             }
             self.came_up(key);
         }
-        if self.connections.get(key).is_some_and(|c| c.written < c.output.len()) {
+        if self
+            .connections
+            .get(key)
+            .is_some_and(|c| c.written < c.output.len())
+        {
             self.flush(key);
         }
         self.read(key);
@@ -766,7 +864,8 @@
                 );
                 self.write(key, request.as_bytes());
                 self.watch.heard = now;
-                self.deadlines.enter(now + self.limits.watch_silent, Due::WatchSilent(key, now));
+                self.deadlines
+                    .enter(now + self.limits.watch_silent, Due::WatchSilent(key, now));
             }
             Some(Role::Acquirer { .. } | Role::Member(_) | Role::Operator) | None => {}
         }
@@ -783,9 +882,13 @@
             // so that its leaving is seen.
             (Role::Acquirer { .. }, Stage::Open) if connection.uploading().is_some() => {
                 // Guards it against a client that is faster than the server which gets its body.
-                let leg =
-                    connection.uploading().and_then(Upload::leg).and_then(|leg| self.connections.get(leg));
-                let held = leg.map_or(connection.held(), |leg| leg.backlog() + connection.input.len());
+                let leg = connection
+                    .uploading()
+                    .and_then(Upload::leg)
+                    .and_then(|leg| self.connections.get(leg));
+                let held = leg.map_or(connection.held(), |leg| {
+                    leg.backlog() + connection.input.len()
+                });
                 return limits.relay_window.saturating_sub(held);
             }
             (Role::Acquirer { .. }, Stage::Open | Stage::Answering) => limits.pipelined_bytes,
@@ -803,7 +906,9 @@
                 };
                 return most.saturating_sub(connection.input.len());
             }
-            (Role::Operator, _) => return (limits.operator_line + 2).saturating_sub(connection.input.len()),
+            (Role::Operator, _) => {
+                return (limits.operator_line + 2).saturating_sub(connection.input.len());
+            }
             // Guards the memory against a peer that only ever sends.
             _ => {
                 let most = limits.head_bytes + limits.body_bytes + limits.line_bytes;
@@ -812,8 +917,11 @@
         };
         // A usual request has room also where large ones have taken all that may be held.
         let shared = limits.partial_bytes.saturating_sub(self.partial);
-        let own = limits.pipelined_bytes.saturating_sub(connection.input.len());
-        most.saturating_sub(connection.input.len()).min(shared.max(own))
+        let own = limits
+            .pipelined_bytes
+            .saturating_sub(connection.input.len());
+        most.saturating_sub(connection.input.len())
+            .min(shared.max(own))
     }
 
     /// Takes in all there is and may be taken in.
@@ -849,11 +957,17 @@
     fn read(&mut self, key: ConnectionKey) {
         for _ in 0..self.limits.read_rounds.max(1) {
             let Some(come) = self.fill(key) else { return };
-            match self.connections.get(key).map(|c| (c.role, c.input.is_empty())) {
+            match self
+                .connections
+                .get(key)
+                .map(|c| (c.role, c.input.is_empty()))
+            {
                 // Danger: a client that has gone (its end read with its request, as after a pause) is abandoned just
                 // below; handed in, its request would first cost a call of the counter, and a burst of them starves
                 // the other limiters' calls.
-                Some((Role::Acquirer { .. }, false)) if !matches!(come, Come::End) => self.read_request(key),
+                Some((Role::Acquirer { .. }, false)) if !matches!(come, Come::End) => {
+                    self.read_request(key)
+                }
                 Some((Role::Server { .. }, false)) => self.read_answer(key),
                 Some((Role::Counter(line), false)) => self.read_totals(key, line),
                 Some((Role::Watch, false)) => self.read_watch(key),
@@ -871,13 +985,16 @@
                 Come::Broken => return self.broken(key),
                 Come::Full => {}
             }
-            let Some(connection) = self.connections.get(key) else { return };
+            let Some(connection) = self.connections.get(key) else {
+                return;
+            };
             let room = self.room(connection) > 0;
             match connection.role {
                 // The rest waits until the request before it is answered.
                 Role::Acquirer { .. } if !room => return,
                 Role::Acquirer { .. }
-                    if connection.visit.stage != Stage::Partial && connection.uploading().is_none() =>
+                    if connection.visit.stage != Stage::Partial
+                        && connection.uploading().is_none() =>
                 {
                     return;
                 }
@@ -900,14 +1017,18 @@
 
     fn flush(&mut self, key: ConnectionKey) {
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(key).filter(|c| c.up) else { return };
+        let Some(connection) = self.connections.get_mut(key).filter(|c| c.up) else {
+            return;
+        };
         while connection.written < connection.output.len() {
             match (&*connection.stream).write(&connection.output[connection.written..]) {
                 Ok(length) => {
                     connection.written += length;
                     connection.visit.progress(now);
                 }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return self.held_up(key),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    return self.held_up(key);
+                }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return self.broken(key),
             }
@@ -924,8 +1045,11 @@
         connection.output.shrink_to(4 * 1024);
         if let Role::Server { service, state, .. } = &mut connection.role {
             let before = std::mem::replace(state, state.written());
-            if let (true, Some(Errand::Leg(authorisation, _))) = (before != *state, state.errand()) {
-                self.services[*service].engine.leg_written(now, authorisation);
+            if let (true, Some(Errand::Leg(authorisation, _))) = (before != *state, state.errand())
+            {
+                self.services[*service]
+                    .engine
+                    .leg_written(now, authorisation);
             }
         }
         match connection.role {
--- a/crates/limiter/src/net/host/operators.rs
+++ b/crates/limiter/src/net/host/operators.rs
@@ -15,19 +15,29 @@
     pub(super) fn listen_to_operators(&mut self, address: SocketAddr) -> io::Result<()> {
         let accept = |host: &mut Host| host.accept_operators();
         let (listener, _) = watch_listener(&self.handle, bind(address, &self.limits)?, accept)?;
-        self.operators = Some(Operators { listener, callers: Callers::default() });
+        self.operators = Some(Operators {
+            listener,
+            callers: Callers::default(),
+        });
         Ok(())
     }
 
     /// Where operators call, if they may.
     pub fn operators_address(&self) -> Option<SocketAddr> {
-        self.operators.as_ref().and_then(|operators| operators.listener.local_addr().ok())
+        self.operators
+            .as_ref()
+            .and_then(|operators| operators.listener.local_addr().ok())
     }
 
     fn accept_operators(&mut self) {
-        let listener = self.operators.as_ref().map(|operators| operators.listener.clone());
+        let listener = self
+            .operators
+            .as_ref()
+            .map(|operators| operators.listener.clone());
         while let Some(Ok((stream, _))) = listener.as_ref().map(|listener| listener.accept()) {
-            let ready = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
+            let ready = stream
+                .set_nonblocking(true)
+                .and_then(|()| stream.set_nodelay(true));
             let key = match ready.and_then(|()| self.register(stream, Role::Operator, true)) {
                 Ok(key) => key,
                 Err(error) => {
@@ -36,9 +46,13 @@
                 }
             };
             let now = self.now();
-            let spared = self.operators.as_mut().and_then(|o| o.callers.came(key, now, &self.limits));
+            let spared = self
+                .operators
+                .as_mut()
+                .and_then(|o| o.callers.came(key, now, &self.limits));
             spared.into_iter().for_each(|oldest| _ = self.close(oldest));
-            self.deadlines.enter(now + self.limits.operator_wait, Due::Callers);
+            self.deadlines
+                .enter(now + self.limits.operator_wait, Due::Callers);
             // The line is there already, most often.
             self.read(key);
         }
@@ -46,17 +60,25 @@
 
     /// Callers that finish no call in time are gone.
     pub(super) fn callers_due(&mut self, now: Micros) {
-        while let Some(key) = self.operators.as_ref().and_then(|o| o.callers.overdue(now, &self.limits)) {
+        while let Some(key) = self
+            .operators
+            .as_ref()
+            .and_then(|o| o.callers.overdue(now, &self.limits))
+        {
             self.close(key);
         }
     }
 
     pub(super) fn operator_left(&mut self, key: ConnectionKey) {
-        self.operators.iter_mut().for_each(|operators| operators.callers.left(key));
+        self.operators
+            .iter_mut()
+            .for_each(|operators| operators.callers.left(key));
     }
 
     pub(super) fn read_call(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         if connection.closing {
             // What comes behind the call is thrown away, so that the close does not reset the answer.
             return connection.input.clear();
@@ -80,15 +102,23 @@
             true => tracing::debug!(limiter = %self.name, "operators: {asked}: {answer}"),
             false => self.log(&format!("operators: {asked}: {answer}")),
         }
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         connection.closing = true;
-        connection.output.extend_from_slice(format!("{answer}\n").as_bytes());
+        connection
+            .output
+            .extend_from_slice(format!("{answer}\n").as_bytes());
         self.flush(key);
     }
 
     /// The answer is written. The end of it is told at once; the connection goes when the caller closes.
     pub(super) fn call_answered(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get(key).filter(|connection| connection.closing) else {
+        let Some(connection) = self
+            .connections
+            .get(key)
+            .filter(|connection| connection.closing)
+        else {
             return;
         };
         if connection.stream.shutdown(Shutdown::Write).is_err() {
@@ -123,7 +153,8 @@
 
     /// Clients are sent away, or no longer.
     pub(super) fn drain_changed(&mut self, now: Micros) {
-        self.deadlines.enter(now + self.limits.notice, Due::NoticeOver);
+        self.deadlines
+            .enter(now + self.limits.notice, Due::NoticeOver);
     }
 
     fn ban(
--- a/crates/limiter/src/net/host/overlap.rs
+++ b/crates/limiter/src/net/host/overlap.rs
@@ -13,14 +13,21 @@
 
     fn record(&self) -> Record {
         let (bans, drain) = (self.table.bans().clone(), self.lifecycle.drain_mark());
-        Record { limiter: self.name.clone(), bans, drain }
+        Record {
+            limiter: self.name.clone(),
+            bans,
+            drain,
+        }
     }
 
     /// Takes over what the other process knows later, and writes what it lacks.
     pub(super) fn look_at_handover(&mut self) {
         let now = self.now();
-        self.deadlines.enter(now + self.limits.handover_look, Due::Handover);
-        let Some(handover) = &mut self.handover else { return };
+        self.deadlines
+            .enter(now + self.limits.handover_look, Due::Handover);
+        let Some(handover) = &mut self.handover else {
+            return;
+        };
         match handover.look(&self.name) {
             Found::Same => {}
             Found::Unusable(why) => self.warn(&format!("operations record not taken over: {why}")),
@@ -44,7 +51,9 @@
     /// Operators asked for something: the other process is to know.
     pub(super) fn write_handover(&mut self) {
         let record = self.record();
-        let Some(handover) = &mut self.handover else { return };
+        let Some(handover) = &mut self.handover else {
+            return;
+        };
         if let Err(error) = handover.write(&record) {
             self.warn(&format!("operations record not written: {error}"));
         }
--- a/crates/limiter/src/net/host/relaying.rs
+++ b/crates/limiter/src/net/host/relaying.rs
@@ -6,46 +6,86 @@
     /// A long answer is the final one: it begins, and goes on as it comes.
     pub(super) fn begin_relay(&mut self, key: ConnectionKey, incoming: Incoming<AnswerHead>) {
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        let Role::Server { service, server, state } = connection.role else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Role::Server {
+            service,
+            server,
+            state,
+        } = connection.role
+        else {
+            return;
+        };
         let (extent, parts) = (incoming.extent, incoming.into_parts());
-        let (Some((head, reader, come)), Some(Errand::Leg(authorisation, leg))) = (parts, state.errand())
+        let (Some((head, reader, come)), Some(Errand::Leg(authorisation, leg))) =
+            (parts, state.errand())
         else {
             _ = self.close(key);
             return;
         };
-        connection.role = Role::Server { service, server, state: LegState::Relaying };
-        let report = head.headers.get("Endpoint-Load-Metrics").and_then(probes::report);
+        connection.role = Role::Server {
+            service,
+            server,
+            state: LegState::Relaying,
+        };
+        let report = head
+            .headers
+            .get("Endpoint-Load-Metrics")
+            .and_then(probes::report);
         let known = &mut self.services[service];
         known.legs.remove(authorisation);
-        let answers = known.engine.leg_ended(now, authorisation, leg, Outcome::Ok, report);
-        let pending = answers.then(|| self.settle((service, authorisation))).flatten();
+        let answers = known
+            .engine
+            .leg_ended(now, authorisation, leg, Outcome::Ok, report);
+        let pending = answers
+            .then(|| self.settle((service, authorisation)))
+            .flatten();
         let Some(to) = pending.map(|pending| pending.origin) else {
             _ = self.close(key);
             return;
         };
         let close = self.last_answer(to);
         self.drop_rest(to);
-        let Some(client) = self.connections.get_mut(to) else { return };
-        let Role::Acquirer { waits, .. } = &mut client.role else { return };
+        let Some(client) = self.connections.get_mut(to) else {
+            return;
+        };
+        let Role::Acquirer { waits, .. } = &mut client.role else {
+            return;
+        };
         *waits = None;
         client.closing = close;
         client.source = Some(key);
         client.visit.answering(now);
-        let kind = head.headers.get("Content-Type").map(|kind| ("Content-Type", kind));
-        let relay = Relay::begin((&head, extent), reader, &come, kind.into_iter(), close, &mut client.output);
+        let kind = head
+            .headers
+            .get("Content-Type")
+            .map(|kind| ("Content-Type", kind));
+        let relay = Relay::begin(
+            (&head, extent),
+            reader,
+            &come,
+            kind.into_iter(),
+            close,
+            &mut client.output,
+        );
         self.arm(to);
         if let Some(connection) = self.connections.get_mut(key) {
             connection.reading = Reading::Relay(relay, to);
         }
-        self.deadlines.enter(now + self.limits.relay_rest, Due::Relay(key));
+        self.deadlines
+            .enter(now + self.limits.relay_rest, Due::Relay(key));
         self.read_relayed(key, to);
     }
 
     /// More has come of an answer that is being relayed.
     pub(super) fn read_relayed(&mut self, key: ConnectionKey, to: ConnectionKey) {
-        let Some([server, client]) = self.connections.get_disjoint_mut([key, to]) else { return };
-        let Reading::Relay(relay, _) = &mut server.reading else { return };
+        let Some([server, client]) = self.connections.get_disjoint_mut([key, to]) else {
+            return;
+        };
+        let Reading::Relay(relay, _) = &mut server.reading else {
+            return;
+        };
         match relay.pass(&mut server.input, &mut client.output) {
             Ok(()) => self.relayed(key, to),
             Err(_) => self.broken(key),
@@ -55,14 +95,26 @@
     /// What has been passed on is written. Where the answer is whole, both connections are free of each other.
     fn relayed(&mut self, key: ConnectionKey, to: ConnectionKey) {
         let now = self.now();
-        let Some([server, client]) = self.connections.get_disjoint_mut([key, to]) else { return };
-        if let (Reading::Relay(relay, _), Role::Server { service, server: id, .. }) =
-            (&server.reading, server.role)
+        let Some([server, client]) = self.connections.get_disjoint_mut([key, to]) else {
+            return;
+        };
+        if let (
+            Reading::Relay(relay, _),
+            Role::Server {
+                service,
+                server: id,
+                ..
+            },
+        ) = (&server.reading, server.role)
             && relay.whole()
         {
             let clean = relay.reusable() && server.input.is_empty() && server.all_sent();
             server.reading = Reading::Nothing;
-            server.role = Role::Server { service, server: id, state: LegState::Idle };
+            server.role = Role::Server {
+                service,
+                server: id,
+                state: LegState::Idle,
+            };
             client.source = None;
             if !(clean && self.services[service].pool.rest(id, key, now)) {
                 self.close(key);
@@ -74,20 +126,36 @@
     /// More has come of an answer, and what that makes of it.
     pub(super) fn read_records(&mut self, key: ConnectionKey, errand: Errand) {
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        let Role::Server { service, server, .. } = connection.role else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Role::Server {
+            service, server, ..
+        } = connection.role
+        else {
+            return;
+        };
         let (mut incoming, first) = match std::mem::take(&mut connection.reading) {
             Reading::Answer(incoming) => (incoming, false),
             _ => (Incoming::default(), true),
         };
-        if incoming.read(&mut connection.input, self.limits.answer_bytes, &self.limits).is_err() {
+        if incoming
+            .read(
+                &mut connection.input,
+                self.limits.answer_bytes,
+                &self.limits,
+            )
+            .is_err()
+        {
             self.end_errand(service, server, errand, Outcome::Error, None);
             _ = self.close(key);
             return;
         }
         let long = incoming.longer(self.limits.body_bytes as u64);
         match (incoming.whole(), incoming.head().map(|head| head.status)) {
-            (_, Some(200)) if long && matches!(errand, Errand::Leg(..)) => self.begin_relay(key, incoming),
+            (_, Some(200)) if long && matches!(errand, Errand::Leg(..)) => {
+                self.begin_relay(key, incoming)
+            }
             (true, _) => self.answer_came(key, errand, incoming),
             // What else is long says nothing more than its head does.
             (_, Some(_)) if long => {
@@ -98,7 +166,8 @@
                 connection.reading = Reading::Answer(incoming);
                 // Most answers are there at once: the rest is waited for only where some of it is missing.
                 if first {
-                    self.deadlines.enter(now + self.limits.answer_rest, Due::Rest(key, errand));
+                    self.deadlines
+                        .enter(now + self.limits.answer_rest, Due::Rest(key, errand));
                 }
             }
         }
@@ -107,14 +176,28 @@
     /// An answer is there, as far as it is wanted.
     fn answer_came(&mut self, key: ConnectionKey, errand: Errand, incoming: Incoming<AnswerHead>) {
         let whole = incoming.whole();
-        let Some((head, _, body)) = incoming.into_parts() else { return };
+        let Some((head, _, body)) = incoming.into_parts() else {
+            return;
+        };
         let answer = Answer::new(head, body);
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        let Role::Server { service, server, .. } = connection.role else { return };
-        let clean = whole && connection.input.is_empty() && answer.keep_alive && connection.all_sent();
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Role::Server {
+            service, server, ..
+        } = connection.role
+        else {
+            return;
+        };
+        let clean =
+            whole && connection.input.is_empty() && answer.keep_alive && connection.all_sent();
         connection.input.clear();
         connection.input.shrink_to(4 * 1024);
-        connection.role = Role::Server { service, server, state: LegState::Idle };
+        connection.role = Role::Server {
+            service,
+            server,
+            state: LegState::Idle,
+        };
         self.end_errand(service, server, errand, Outcome::Reset, Some(answer));
         let now = self.now();
         if !(clean && self.services[service].pool.rest(server, key, now)) {
@@ -124,11 +207,17 @@
 
     /// A server's connection ended in order, which may be the end of its answer.
     pub(super) fn answer_ended(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        let Role::Server { state, .. } = connection.role else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Role::Server { state, .. } = connection.role else {
+            return;
+        };
         match (std::mem::take(&mut connection.reading), state.errand()) {
             (Reading::Relay(mut relay, to), _) => {
-                let Some(client) = self.connections.get_mut(to) else { return };
+                let Some(client) = self.connections.get_mut(to) else {
+                    return;
+                };
                 let whole = relay.ended(&mut client.output);
                 if whole {
                     client.source = None;
@@ -148,10 +237,18 @@
 
     /// A server may have fallen silent in the midst of an answer.
     pub(super) fn relay_due(&mut self, now: Micros, key: ConnectionKey) {
-        let Some(connection) = self.connections.get(key) else { return };
-        let Reading::Relay(..) = connection.reading else { return };
+        let Some(connection) = self.connections.get(key) else {
+            return;
+        };
+        let Reading::Relay(..) = connection.reading else {
+            return;
+        };
         // Where the client is slow the server is not asked for more; how slow that may be is the client's own limit.
-        let until = if connection.unread { now } else { connection.heard } + self.limits.relay_rest;
+        let until = if connection.unread {
+            now
+        } else {
+            connection.heard
+        } + self.limits.relay_rest;
         if until > now {
             self.deadlines.enter(until, Due::Relay(key));
         } else {
@@ -161,9 +258,15 @@
 
     /// The client takes in what is being relayed to it: more may be read, where there is room.
     pub(super) fn more_for(&mut self, to: ConnectionKey) {
-        let Some(connection) = self.connections.get(to) else { return };
+        let Some(connection) = self.connections.get(to) else {
+            return;
+        };
         let room = connection.backlog() < self.limits.relay_window;
-        let waits = |key: &ConnectionKey| self.connections.get(*key).is_some_and(|server| server.unread);
+        let waits = |key: &ConnectionKey| {
+            self.connections
+                .get(*key)
+                .is_some_and(|server| server.unread)
+        };
         if let Some(source) = connection.source.filter(|key| room && waits(key)) {
             self.again.push(source);
         }
@@ -171,7 +274,9 @@
 
     /// A connection takes in no more for now.
     pub(super) fn held_up(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         // Guards the memory: what was written must not be held for as long as more is passed on behind it.
         let passes_on = connection.source.is_some() || connection.feeding;
         if passes_on && connection.written >= connection.output.len() / 2 {
--- a/crates/limiter/src/net/host/reloading.rs
+++ b/crates/limiter/src/net/host/reloading.rs
@@ -9,7 +9,9 @@
     pub fn reload(&mut self, config: Config) {
         // Guards the override: the environment names the address of the start, and stands above the file until the
         // file itself changes.
-        let changed = config.discovery_in_file.filter(|_| config.discovery_in_file != self.discovery_in_file);
+        let changed = config
+            .discovery_in_file
+            .filter(|_| config.discovery_in_file != self.discovery_in_file);
         self.discovery_in_file = config.discovery_in_file;
         if let Some(discovery) = changed.filter(|address| *address != self.discovery) {
             self.discovery = discovery;
@@ -26,7 +28,9 @@
             }
         }
         self.peers.moved(config.peers);
-        if let (Some(tokens), Some(front), None) = (&mut self.tokens, config.introspection, &self.agreement) {
+        if let (Some(tokens), Some(front), None) =
+            (&mut self.tokens, config.introspection, &self.agreement)
+        {
             tokens.set_callers(front.callers);
         }
         let kept = [
@@ -34,19 +38,24 @@
             ("settings", config.settings == self.settings),
             ("limits", config.limits == self.limits),
         ];
-        let told = |address: Option<SocketAddr>| address.map_or("none".to_string(), |a| a.to_string());
+        let told =
+            |address: Option<SocketAddr>| address.map_or("none".to_string(), |a| a.to_string());
         self.log(&format!(
             "configuration taken: discovery {}, counter {}",
             self.discovery,
             told(self.counter)
         ));
         for (key, _) in kept.iter().filter(|(_, same)| !same) {
-            self.log(&format!("configuration: '{key}' has changed, which holds from the next start"));
+            self.log(&format!(
+                "configuration: '{key}' has changed, which holds from the next start"
+            ));
         }
     }
 
     /// A configuration that cannot be used changes nothing.
     pub fn refuse_reload(&self, error: &ConfigError) {
-        self.warn(&format!("configuration not taken, all stays as it was: {error}"));
+        self.warn(&format!(
+            "configuration not taken, all stays as it was: {error}"
+        ));
     }
 }
--- a/crates/limiter/src/net/host/tokens.rs
+++ b/crates/limiter/src/net/host/tokens.rs
@@ -2,7 +2,9 @@
 
 use super::*;
 use crate::engine::{Authorisation, Ending};
-use crate::front::introspection::{self, Asking, Cache, Caller, Challenge, Finding, Identity, Token};
+use crate::front::introspection::{
+    self, Asking, Cache, Caller, Challenge, Finding, Identity, Token,
+};
 use crate::front::platform::Basics;
 use crate::net::framing::Request;
 
@@ -49,13 +51,23 @@
 impl Host {
     /// The introspection servers are the token engine's routing table; it never changes.
     pub(super) fn list_upstreams(&mut self) {
-        let (Some(tokens), Some(service)) = (&self.tokens, self.services.get_mut(TOKENS)) else { return };
+        let (Some(tokens), Some(service)) = (&self.tokens, self.services.get_mut(TOKENS)) else {
+            return;
+        };
         let mut entries = Vec::new();
         for (n, address) in tokens.upstreams.iter().enumerate() {
             let server = ServerId(n as u32);
             service.pool.listed(server, *address);
             let state = streamarch::ServerState::Ready;
-            entries.push(ServerEntry { server, zone: 0, kind: 0, cell: 0, state, weight: 1.0, started: 0 });
+            entries.push(ServerEntry {
+                server,
+                zone: 0,
+                kind: 0,
+                cell: 0,
+                state,
+                weight: 1.0,
+                started: 0,
+            });
         }
         service.engine.listed(ListKind::Full, entries);
     }
@@ -66,16 +78,22 @@
         if path == "/introspect" {
             return self.read_question(now, key, &request);
         }
-        let read = self.platform.basics(&request, &self.limits, now).and_then(|basics| {
-            let query = request.target.split_once('?').map_or("", |(_, query)| query);
-            if query.split('&').any(|part| part.starts_with("account=")) {
-                return Err(crate::front::reject(400, "a token names the account"));
-            }
-            let terms = request.headers.get("X-Call-Terms").unwrap_or("units=1");
-            let everywhere = Some((self.platform.limiters.max(1), 0));
-            let (units, _) = self.platform.terms(terms, &self.limits, everywhere)?;
-            Ok((basics, units))
-        });
+        let read = self
+            .platform
+            .basics(&request, &self.limits, now)
+            .and_then(|basics| {
+                let query = request
+                    .target
+                    .split_once('?')
+                    .map_or("", |(_, query)| query);
+                if query.split('&').any(|part| part.starts_with("account=")) {
+                    return Err(crate::front::reject(400, "a token names the account"));
+                }
+                let terms = request.headers.get("X-Call-Terms").unwrap_or("units=1");
+                let everywhere = Some((self.platform.limiters.max(1), 0));
+                let (units, _) = self.platform.terms(terms, &self.limits, everywhere)?;
+                Ok((basics, units))
+            });
         let (basics, units) = match read {
             Ok(read) => read,
             Err(rejection) => return self.reject(key, &rejection, !request.keep_alive),
@@ -84,9 +102,16 @@
             Ok(token) => token,
             Err(challenge) => return self.challenge(key, challenge),
         };
-        let Some(tokens) = &mut self.tokens else { return };
+        let Some(tokens) = &mut self.tokens else {
+            return;
+        };
         let known = tokens.cache.get(&token, now);
-        let bearing = Bearing { request, basics, units, token };
+        let bearing = Bearing {
+            request,
+            basics,
+            units,
+            token,
+        };
         match known {
             Some(identity) => self.go_on(key, bearing, identity),
             None => {
@@ -99,16 +124,33 @@
                     ..Authorisation::default()
                 };
                 let forward = tokens.asking.forward(&bearing.token);
-                self.take(key, TOKENS, asking, forward, Purpose::Identify(Box::new(bearing)));
+                self.take(
+                    key,
+                    TOKENS,
+                    asking,
+                    forward,
+                    Purpose::Identify(Box::new(bearing)),
+                );
             }
         }
     }
 
     /// Whose the token is, is known: the work itself is asked for, in the same time and good no longer than it.
     fn go_on(&mut self, key: ConnectionKey, bearing: Bearing, identity: Identity) {
-        let Bearing { mut request, basics, units, .. } = bearing;
-        let joint = if request.target.contains('?') { '&' } else { '?' };
-        request.target.push_str(&format!("{joint}account={:016x}", identity.customer.0));
+        let Bearing {
+            mut request,
+            basics,
+            units,
+            ..
+        } = bearing;
+        let joint = if request.target.contains('?') {
+            '&'
+        } else {
+            '?'
+        };
+        request
+            .target
+            .push_str(&format!("{joint}account={:016x}", identity.customer.0));
         let authorisation = Authorisation {
             class: basics.class,
             plan: identity.plan,
@@ -121,7 +163,13 @@
             valid_until: identity.expires,
             ..Authorisation::default()
         };
-        self.take(key, RECORDS, authorisation, Forward::of(&request), Purpose::Record);
+        self.take(
+            key,
+            RECORDS,
+            authorisation,
+            Forward::of(&request),
+            Purpose::Record,
+        );
     }
 
     /// A caller asks about a token.
@@ -131,7 +179,11 @@
             return self.answer(key, 405, &[("Allow", "POST"), NO_STORE], b"");
         }
         let Some(caller) = introspection::caller(&request.headers, &tokens.callers) else {
-            let headers = [("WWW-Authenticate", "Basic realm=\"introspection\""), NO_STORE, JSON];
+            let headers = [
+                ("WWW-Authenticate", "Basic realm=\"introspection\""),
+                NO_STORE,
+                JSON,
+            ];
             return self.answer(key, 401, &headers, b"{\"error\":\"invalid_client\"}");
         };
         let token = match introspection::asked(request) {
@@ -162,7 +214,9 @@
     /// A leg whose answer is known already needs no server: the question has passed the caller's quota by then.
     pub(super) fn answered_from_cache(&mut self, now: Micros, ticket: Ticket, leg: u32) -> bool {
         let (service, key) = ticket;
-        let Some(tokens) = self.tokens.as_mut().filter(|_| service == TOKENS) else { return false };
+        let Some(tokens) = self.tokens.as_mut().filter(|_| service == TOKENS) else {
+            return false;
+        };
         let known = &mut self.services[service];
         let Some(Purpose::Introspect(token)) = known.pending.get(key).map(|p| &p.purpose) else {
             return false;
@@ -202,9 +256,11 @@
     pub(super) fn found(&mut self, key: ConnectionKey, purpose: Purpose, answer: &Answer) {
         let now = self.now();
         // Guards the instant between the two looks at the clock: fails closed.
-        let finding =
-            introspection::judge(answer, &self.platform.names.plans, now).unwrap_or(Finding::Inactive);
-        let Some(tokens) = &mut self.tokens else { return };
+        let finding = introspection::judge(answer, &self.platform.names.plans, now)
+            .unwrap_or(Finding::Inactive);
+        let Some(tokens) = &mut self.tokens else {
+            return;
+        };
         match (purpose, finding) {
             (Purpose::Identify(bearing), finding) => {
                 tokens.cache.keep(&bearing.token, finding, now);
@@ -226,7 +282,10 @@
         let ending = match purpose {
             // Whose it is could not be learned: nothing has run, and a retry is harmless.
             Purpose::Identify(_) if !matches!(ending, Ending::Declined { .. }) => {
-                Ending::Declined { stay_away: 0, over_quota: false }
+                Ending::Declined {
+                    stay_away: 0,
+                    over_quota: false,
+                }
             }
             _ => ending,
         };
--- a/crates/limiter/src/net/host/uploading.rs
+++ b/crates/limiter/src/net/host/uploading.rs
@@ -9,10 +9,16 @@
     /// A body that is not kept whole: the request is taken by its head.
     pub(super) fn begin_upload(&mut self, key: ConnectionKey, incoming: Incoming<RequestHead>) {
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        let Role::Acquirer { door, .. } = connection.role else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Role::Acquirer { door, .. } = connection.role else {
+            return;
+        };
         let (extent, come) = (incoming.extent, incoming.length);
-        let Some((head, reader, body)) = incoming.into_parts() else { return };
+        let Some((head, reader, body)) = incoming.into_parts() else {
+            return;
+        };
         self.partial += body.len();
         connection.last = !head.keep_alive;
         connection.told_to_go_on = false;
@@ -30,7 +36,9 @@
                 // The client's time counts from its last byte.
                 let left = match extent {
                     Extent::Length(length) => length.saturating_sub(come),
-                    Extent::Chunked | Extent::UntilClose => self.limits.request_bytes.saturating_sub(come),
+                    Extent::Chunked | Extent::UntilClose => {
+                        self.limits.request_bytes.saturating_sub(come)
+                    }
                 };
                 let rest = (left / self.limits.body_pace.max(1)) as Micros * 1_000_000;
                 authorisation.deadline += rest.min(self.limits.upload_longest);
@@ -49,8 +57,12 @@
     /// More has come of a body that goes on while it comes.
     pub(super) fn read_upload(&mut self, key: ConnectionKey) {
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        let Reading::Upload(upload) = &connection.reading else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Reading::Upload(upload) = &connection.reading else {
+            return;
+        };
         let (before, leg) = (connection.held(), upload.leg());
         let taken = match leg {
             None => Host::upload_on(connection, None),
@@ -59,9 +71,13 @@
                 None => return,
             },
         };
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         self.partial = (self.partial + connection.held()).saturating_sub(before);
-        let Reading::Upload(upload) = &connection.reading else { return };
+        let Reading::Upload(upload) = &connection.reading else {
+            return;
+        };
         let (whole, bytes) = (upload.whole(), upload.come());
         connection.visit.uploading(now, bytes);
         if taken.is_err() {
@@ -80,24 +96,38 @@
 
     /// Once some of a body is no longer here its request can't be moved to another server.
     fn body_gone(&mut self, key: ConnectionKey) {
-        let Some(connection) = self.connections.get(key) else { return };
-        if let Role::Acquirer { waits: Some((service, authorisation)), .. } = connection.role
+        let Some(connection) = self.connections.get(key) else {
+            return;
+        };
+        if let Role::Acquirer {
+            waits: Some((service, authorisation)),
+            ..
+        } = connection.role
             && connection.uploading().is_some_and(Upload::gone)
         {
             self.services[service].engine.body_gone(authorisation);
         }
     }
 
-    fn upload_on(connection: &mut Connection, out: Option<&mut Vec<u8>>) -> Result<(), framing::Malformed> {
-        let Reading::Upload(upload) = &mut connection.reading else { return Ok(()) };
+    fn upload_on(
+        connection: &mut Connection,
+        out: Option<&mut Vec<u8>>,
+    ) -> Result<(), framing::Malformed> {
+        let Reading::Upload(upload) = &mut connection.reading else {
+            return Ok(());
+        };
         upload.take(&mut connection.input, out)
     }
 
     /// A leg of such a request is up, and its head written: what is here goes on.
     pub(super) fn start_upload(&mut self, origin: ConnectionKey, leg: ConnectionKey) {
-        let Some([client, server]) = self.connections.get_disjoint_mut([origin, leg]) else { return };
+        let Some([client, server]) = self.connections.get_disjoint_mut([origin, leg]) else {
+            return;
+        };
         let before = client.held();
-        let Reading::Upload(upload) = &mut client.reading else { return };
+        let Reading::Upload(upload) = &mut client.reading else {
+            return;
+        };
         upload.start(leg, &mut server.output);
         let whole = upload.whole();
         self.partial = (self.partial + client.held()).saturating_sub(before);
@@ -117,7 +147,8 @@
     /// A leg is over.
     pub(super) fn leg_left_upload(&mut self, service: usize, authorisation: AuthorisationKey) {
         let pending = self.services[service].pending.get(authorisation);
-        let Some(client) = pending.and_then(|pending| self.connections.get_mut(pending.origin)) else {
+        let Some(client) = pending.and_then(|pending| self.connections.get_mut(pending.origin))
+        else {
             return;
         };
         if let Reading::Upload(upload) = &mut client.reading {
@@ -127,12 +158,22 @@
 
     /// A leg's connection takes in more: its client may be read on.
     pub(super) fn more_from(&mut self, leg: ConnectionKey) {
-        let Some(Role::Server { service, state, .. }) = self.connections.get(leg).map(|c| c.role) else {
+        let Some(Role::Server { service, state, .. }) = self.connections.get(leg).map(|c| c.role)
+        else {
             return;
         };
-        let Some(Errand::Leg(authorisation, _)) = state.errand() else { return };
-        let origin = self.services[service].pending.get(authorisation).map(|pending| pending.origin);
-        let waits = |key: &ConnectionKey| self.connections.get(*key).is_some_and(|client| client.unread);
+        let Some(Errand::Leg(authorisation, _)) = state.errand() else {
+            return;
+        };
+        let origin = self.services[service]
+            .pending
+            .get(authorisation)
+            .map(|pending| pending.origin);
+        let waits = |key: &ConnectionKey| {
+            self.connections
+                .get(*key)
+                .is_some_and(|client| client.unread)
+        };
         if let Some(origin) = origin.filter(waits) {
             self.again.push(origin);
         }
--- a/crates/limiter/src/net/host/watching.rs
+++ b/crates/limiter/src/net/host/watching.rs
@@ -25,7 +25,9 @@
 
     pub(super) fn read_watch(&mut self, key: ConnectionKey) {
         self.watch.heard = self.now();
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         let mut at = 0;
         let mut bad = false;
         if self.watch.stream.is_none() {
@@ -71,10 +73,21 @@
 
     pub(super) fn take_news(&mut self, news: News) {
         let records = &mut self.services[RECORDS];
-        let listed = news.addresses.into_iter().map(|(server, address)| records.pool.listed(server, address));
+        let listed = news
+            .addresses
+            .into_iter()
+            .map(|(server, address)| records.pool.listed(server, address));
         let mut idle: Vec<_> = listed.flatten().collect();
-        idle.extend(news.taken_out.into_iter().flat_map(|server| records.pool.taken_out(server)));
-        idle.extend(news.gone.into_iter().flat_map(|server| records.pool.unlisted(server)));
+        idle.extend(
+            news.taken_out
+                .into_iter()
+                .flat_map(|server| records.pool.taken_out(server)),
+        );
+        idle.extend(
+            news.gone
+                .into_iter()
+                .flat_map(|server| records.pool.unlisted(server)),
+        );
         records.engine.listed(news.kind, news.entries);
         for key in idle {
             self.close(key);
--- a/crates/limiter/src/net/inherited.rs
+++ b/crates/limiter/src/net/inherited.rs
@@ -29,17 +29,24 @@
         error => fault(format!("cannot be taken over: {error}")),
     })?;
     let socket = SockRef::from(&descriptor);
-    let listens =
-        socket.r#type().is_ok_and(|kind| kind == Type::STREAM) && socket.is_listener().unwrap_or(false);
-    let bound = socket.local_addr().ok().and_then(|address| address.as_socket());
+    let listens = socket.r#type().is_ok_and(|kind| kind == Type::STREAM)
+        && socket.is_listener().unwrap_or(false);
+    let bound = socket
+        .local_addr()
+        .ok()
+        .and_then(|address| address.as_socket());
     match bound {
         Some(bound) if listens && bound == address => {}
-        Some(bound) if listens => return Err(fault(format!("listens on {bound}, not on {address}"))),
+        Some(bound) if listens => {
+            return Err(fault(format!("listens on {bound}, not on {address}")));
+        }
         _ => return Err(fault("is no listening TCP socket".to_string())),
     }
     // Holds for all processes that share the socket, and each of them wants it: none may wait in an accept for a
     // connection that another has taken.
-    socket.set_nonblocking(true).map_err(|error| fault(format!("cannot be used: {error}")))?;
+    socket
+        .set_nonblocking(true)
+        .map_err(|error| fault(format!("cannot be used: {error}")))?;
     Ok(TcpListener::from(descriptor))
 }
 
@@ -66,20 +73,33 @@
     fn what_is_no_listening_socket_on_the_address_is_refused_by_key() {
         let held = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = held.local_addr().unwrap();
-        let (client, datagrams) =
-            (TcpStream::connect(address).unwrap(), UdpSocket::bind("127.0.0.1:0").unwrap());
+        let (client, datagrams) = (
+            TcpStream::connect(address).unwrap(),
+            UdpSocket::bind("127.0.0.1:0").unwrap(),
+        );
         let file = tempfile::tempfile().unwrap();
         let other = "127.0.0.1:1".parse().unwrap();
         for (number, address, text) in [
             (u32::MAX, address, "not open"),
             (100_000, address, "not open"),
-            (client.as_raw_fd() as u32, client.local_addr().unwrap(), "no listening TCP socket"),
-            (datagrams.as_raw_fd() as u32, datagrams.local_addr().unwrap(), "no listening TCP socket"),
+            (
+                client.as_raw_fd() as u32,
+                client.local_addr().unwrap(),
+                "no listening TCP socket",
+            ),
+            (
+                datagrams.as_raw_fd() as u32,
+                datagrams.local_addr().unwrap(),
+                "no listening TCP socket",
+            ),
             (file.as_raw_fd() as u32, address, "no listening TCP socket"),
             (held.as_raw_fd() as u32, other, "not on 127.0.0.1:1"),
         ] {
             let fault = listener(number, address).unwrap_err();
-            assert!(fault.key == VARIABLE && fault.to_string().contains(text), "{fault}");
+            assert!(
+                fault.key == VARIABLE && fault.to_string().contains(text),
+                "{fault}"
+            );
         }
     }
 }
--- a/crates/limiter/src/net/mod.rs
+++ b/crates/limiter/src/net/mod.rs
@@ -60,8 +60,12 @@
         let (stop, stopped) = make_ping()?;
         let (wake, woken) = make_ping()?;
         let (reload, reloaded) = channel::channel();
-        handle.insert_source(stopped, |(), _, host: &mut Host| host.drain()).map_err(|e| e.error)?;
-        handle.insert_source(woken, |(), _, _: &mut Host| {}).map_err(|e| e.error)?;
+        handle
+            .insert_source(stopped, |(), _, host: &mut Host| host.drain())
+            .map_err(|e| e.error)?;
+        handle
+            .insert_source(woken, |(), _, _: &mut Host| {})
+            .map_err(|e| e.error)?;
         let take = |event, _: &mut _, host: &mut Host| {
             if let channel::Event::Msg(config) = event {
                 host.reload(config);
@@ -69,7 +73,11 @@
         };
         handle.insert_source(reloaded, take).map_err(|e| e.error)?;
         let host = Host::open(config, handle, clock)?;
-        Ok(Daemon { events, host, remote: Remote { stop, wake, reload } })
+        Ok(Daemon {
+            events,
+            host,
+            remote: Remote { stop, wake, reload },
+        })
     }
 
     /// Where the fronts listen: the platform's, and introspection's if it is on.
@@ -91,7 +99,10 @@
     pub fn run(mut self) -> io::Result<()> {
         while !self.host.finished() {
             let now = self.host.now();
-            let wait = self.host.next().map(|at| Duration::from_micros(at.saturating_sub(now).max(0) as u64));
+            let wait = self
+                .host
+                .next()
+                .map(|at| Duration::from_micros(at.saturating_sub(now).max(0) as u64));
             self.events.dispatch(wait, &mut self.host)?;
             self.host.turn();
         }
@@ -101,7 +112,10 @@
 
 /// Runs the limiter until SIGTERM or SIGINT. At SIGHUP the configuration is loaded anew; one that is faulty is
 /// logged and changes nothing.
-pub fn serve(config: Config, load: impl Fn() -> Result<Config, ConfigError> + 'static) -> io::Result<()> {
+pub fn serve(
+    config: Config,
+    load: impl Fn() -> Result<Config, ConfigError> + 'static,
+) -> io::Result<()> {
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])?;
     let daemon = Daemon::open(config, Clock::system())?;
     let handle = daemon.events.handle();
@@ -112,6 +126,8 @@
         },
         _ => host.drain(),
     };
-    handle.insert_source(signals, signalled).map_err(|e| e.error)?;
+    handle
+        .insert_source(signals, signalled)
+        .map_err(|e| e.error)?;
     daemon.run()
 }
--- a/crates/limiter/src/operators.rs
+++ b/crates/limiter/src/operators.rs
@@ -46,7 +46,9 @@
             Fault::TooLong => "the line is too long",
             Fault::NotText => "the line is no text",
             Fault::Empty => "the line is empty",
-            Fault::Unknown => "no such call: ready, disable-server ID, enable-server ID, drain, resume",
+            Fault::Unknown => {
+                "no such call: ready, disable-server ID, enable-server ID, drain, resume"
+            }
             Fault::Missing => "the server's id is missing",
             Fault::Superfluous => "too many words",
         })
@@ -78,7 +80,9 @@
         let line = bytes[..end].strip_suffix(b"\r").unwrap_or(&bytes[..end]);
         // Guards the log as well: a name is shown there as it was given.
         let text = |byte: &u8| byte.is_ascii_graphic() || matches!(byte, b' ' | b'\t');
-        let line = std::str::from_utf8(line).ok().filter(|line| line.bytes().all(|byte| text(&byte)));
+        let line = std::str::from_utf8(line)
+            .ok()
+            .filter(|line| line.bytes().all(|byte| text(&byte)));
         let mut words = line.ok_or(Fault::NotText)?.split_ascii_whitespace();
         let name = words.next().ok_or(Fault::Empty)?;
         let mut id = || words.next().map(str::to_string).ok_or(Fault::Missing);
@@ -90,7 +94,11 @@
             "enable-server" => Call::EnableServer(id()?),
             _ => return Err(Fault::Unknown),
         };
-        if words.next().is_some() { Err(Fault::Superfluous) } else { Ok(Some(call)) }
+        if words.next().is_some() {
+            Err(Fault::Superfluous)
+        } else {
+            Ok(Some(call))
+        }
     }
 }
 
@@ -105,10 +113,17 @@
 
 impl Callers {
     /// One came. Gives who is to go for it.
-    pub fn came(&mut self, key: ConnectionKey, now: Micros, limits: &Limits) -> Option<ConnectionKey> {
+    pub fn came(
+        &mut self,
+        key: ConnectionKey,
+        now: Micros,
+        limits: &Limits,
+    ) -> Option<ConnectionKey> {
         self.known.push_back((key, now));
         let full = self.known.len() > limits.operator_connections;
-        full.then(|| self.known.pop_front()).flatten().map(|(oldest, _)| oldest)
+        full.then(|| self.known.pop_front())
+            .flatten()
+            .map(|(oldest, _)| oldest)
     }
 
     /// One is gone.
@@ -118,7 +133,10 @@
 
     /// The earliest one whose time is up.
     pub fn overdue(&self, now: Micros, limits: &Limits) -> Option<ConnectionKey> {
-        self.known.front().filter(|(_, since)| *since + limits.operator_wait <= now).map(|(key, _)| *key)
+        self.known
+            .front()
+            .filter(|(_, since)| *since + limits.operator_wait <= now)
+            .map(|(key, _)| *key)
     }
 }
 
@@ -140,7 +158,10 @@
             ("ready\r\n", Call::Ready),
             (" drain \n", Call::Drain),
             ("resume\nready\n", Call::Resume),
-            ("disable-server s-5be2a07c\r\n", Call::DisableServer("s-5be2a07c".into())),
+            (
+                "disable-server s-5be2a07c\r\n",
+                Call::DisableServer("s-5be2a07c".into()),
+            ),
             ("enable-server\t s-1\n", Call::EnableServer("s-1".into())),
         ] {
             assert_eq!(read(line.as_bytes()), Ok(Some(call)), "{line:?}");
@@ -171,9 +192,22 @@
     #[test]
     fn random_bytes_and_splits_are_read_alike() {
         let check = |bytes: Vec<u8>, plain: bool, cut: usize| {
-            let words = ["ready", "drain", "enable-server", " ", "\r", "\n", "s-1", "x", "\t", "\u{e9}"];
-            let text: Vec<u8> =
-                bytes.iter().flat_map(|b| words[usize::from(*b) % words.len()].bytes()).collect();
+            let words = [
+                "ready",
+                "drain",
+                "enable-server",
+                " ",
+                "\r",
+                "\n",
+                "s-1",
+                "x",
+                "\t",
+                "\u{e9}",
+            ];
+            let text: Vec<u8> = bytes
+                .iter()
+                .flat_map(|b| words[usize::from(*b) % words.len()].bytes())
+                .collect();
             let line = if plain { text } else { bytes };
             let whole = read(&line);
             let part = read(&line[..cut % (line.len() + 1)]);
@@ -191,16 +225,26 @@
 
     #[test]
     fn the_oldest_caller_goes_for_a_new_one_and_none_stays_for_ever() {
-        let limits = Limits { operator_connections: 2, operator_wait: 100, ..Limits::default() };
+        let limits = Limits {
+            operator_connections: 2,
+            operator_wait: 100,
+            ..Limits::default()
+        };
         let mut keys = SlotMap::<ConnectionKey, ()>::with_key();
         let [a, b, c] = [(); 3].map(|()| keys.insert(()));
         let mut callers = Callers::default();
-        assert_eq!((callers.came(a, 0, &limits), callers.came(b, 50, &limits)), (None, None));
+        assert_eq!(
+            (callers.came(a, 0, &limits), callers.came(b, 50, &limits)),
+            (None, None)
+        );
         assert_eq!(callers.overdue(99, &limits), None);
         assert_eq!(callers.overdue(100, &limits), Some(a));
         assert_eq!(callers.came(c, 60, &limits), Some(a));
         callers.left(b);
-        assert_eq!((callers.overdue(159, &limits), callers.overdue(160, &limits)), (None, Some(c)));
+        assert_eq!(
+            (callers.overdue(159, &limits), callers.overdue(160, &limits)),
+            (None, Some(c))
+        );
         callers.left(c);
         assert_eq!(callers.overdue(160, &limits), None);
     }
--- a/crates/limiter/src/raft/journal.rs
+++ b/crates/limiter/src/raft/journal.rs
@@ -51,7 +51,12 @@
     pub fn open(folder: &Path, store: &MemStorage) -> io::Result<Journal> {
         fs::create_dir_all(folder)?;
         let path = folder.join("raft.journal");
-        let mut file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
+        let mut file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(path)?;
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)?;
         let mut at = 0;
@@ -60,10 +65,13 @@
             match kind {
                 ENTRY => {
                     let entry = Entry::parse_from_bytes(content).map_err(|_| broken("an entry"))?;
-                    store.append(&[entry]).map_err(|_| broken("an entry out of place"))?;
+                    store
+                        .append(&[entry])
+                        .map_err(|_| broken("an entry out of place"))?;
                 }
                 STATE => {
-                    let state = HardState::parse_from_bytes(content).map_err(|_| broken("a state"))?;
+                    let state =
+                        HardState::parse_from_bytes(content).map_err(|_| broken("a state"))?;
                     store.set_hardstate(state);
                 }
                 _ => return Err(broken("an unknown kind of record")),
@@ -75,7 +83,10 @@
         file.sync_all()?;
         // The file's own name must last too.
         File::open(folder)?.sync_all()?;
-        Ok(Journal { file, length: at as u64 })
+        Ok(Journal {
+            file,
+            length: at as u64,
+        })
     }
 
     /// Its length in bytes.
@@ -109,7 +120,12 @@
     use raft::storage::Storage;
 
     fn entry(index: u64, term: u64) -> Entry {
-        Entry { index, term, data: format!("e{index}").into_bytes().into(), ..Entry::default() }
+        Entry {
+            index,
+            term,
+            data: format!("e{index}").into_bytes().into(),
+            ..Entry::default()
+        }
     }
 
     #[test]
@@ -119,7 +135,11 @@
         let mut journal = Journal::open(folder.path(), &MemStorage::new()).unwrap();
         let mut ends = vec![0];
         for index in 1..=3 {
-            let state = HardState { term: index, vote: 2, ..HardState::default() };
+            let state = HardState {
+                term: index,
+                vote: 2,
+                ..HardState::default()
+            };
             journal.keep(&[entry(index, 1)], Some(&state)).unwrap();
             ends.push(journal.length());
         }
@@ -130,7 +150,10 @@
             Journal::open(folder.path(), &store).unwrap();
             let records = ends.iter().filter(|end| **end <= cut as u64).count() as u64 - 1;
             let last = store.last_index().unwrap();
-            assert!(last == records || last == records + 1, "cut at {cut}: {last}");
+            assert!(
+                last == records || last == records + 1,
+                "cut at {cut}: {last}"
+            );
             assert_eq!(store.initial_state().unwrap().hard_state.term, records);
         }
     }
@@ -139,10 +162,15 @@
     fn a_later_leaders_entry_takes_the_place_of_one_that_was_never_committed() {
         let folder = tempfile::tempdir().unwrap();
         let mut journal = Journal::open(folder.path(), &MemStorage::new()).unwrap();
-        journal.keep(&[entry(1, 1), entry(2, 1), entry(3, 1)], None).unwrap();
+        journal
+            .keep(&[entry(1, 1), entry(2, 1), entry(3, 1)], None)
+            .unwrap();
         journal.keep(&[entry(2, 2)], None).unwrap();
         let store = MemStorage::new();
         Journal::open(folder.path(), &store).unwrap();
-        assert_eq!((store.last_index().unwrap(), store.term(2).unwrap()), (2, 2));
+        assert_eq!(
+            (store.last_index().unwrap(), store.term(2).unwrap()),
+            (2, 2)
+        );
     }
 }
--- a/crates/limiter/src/raft/mod.rs
+++ b/crates/limiter/src/raft/mod.rs
@@ -119,8 +119,18 @@
             pre_vote: true,
             ..raft::Config::default()
         };
-        let node = RawNode::new(&config, store, &slog::Logger::root(slog::Discard, slog::o!()))?;
-        Ok(Member { id, node, journal, document: b"{}".to_vec(), index: 0 })
+        let node = RawNode::new(
+            &config,
+            store,
+            &slog::Logger::root(slog::Discard, slog::o!()),
+        )?;
+        Ok(Member {
+            id,
+            node,
+            journal,
+            document: b"{}".to_vec(),
+            index: 0,
+        })
     }
 
     /// Time goes on.
@@ -138,7 +148,9 @@
         }
         match self.node.step(message) {
             // One that is out of date is no fault of the sender's.
-            Ok(()) | Err(raft::Error::ProposalDropped | raft::Error::StepPeerNotFound) => self.news(),
+            Ok(()) | Err(raft::Error::ProposalDropped | raft::Error::StepPeerNotFound) => {
+                self.news()
+            }
             Err(error) => Err(error.into()),
         }
     }
@@ -146,7 +158,9 @@
     /// Proposes a document; it holds once it is committed.
     pub fn propose(&mut self, document: &[u8]) -> Result<News, RaftError> {
         if self.node.raft.state != StateRole::Leader {
-            return Err(RaftError::NotLeader(Some(self.node.raft.leader_id).filter(|id| *id != 0)));
+            return Err(RaftError::NotLeader(
+                Some(self.node.raft.leader_id).filter(|id| *id != 0),
+            ));
         }
         let object = serde_json::from_slice::<serde_json::Map<String, serde_json::Value>>(document);
         if document.len() > DOCUMENT_BYTES || object.is_err() {
@@ -197,15 +211,24 @@
             messages.extend(ready.take_persisted_messages());
             let mut light = self.node.advance(ready);
             if let Some(commit) = light.commit_index() {
-                self.node.mut_store().wl().mut_hard_state().set_commit(commit);
+                self.node
+                    .mut_store()
+                    .wl()
+                    .mut_hard_state()
+                    .set_commit(commit);
             }
             messages.extend(light.take_messages());
             self.apply(light.take_committed_entries(), &mut news);
             self.node.advance_apply();
         }
         for message in messages {
-            let bytes = message.write_to_bytes().map_err(|_| RaftError::BadMessage)?;
-            news.letters.push(Letter { to: message.to, bytes });
+            let bytes = message
+                .write_to_bytes()
+                .map_err(|_| RaftError::BadMessage)?;
+            news.letters.push(Letter {
+                to: message.to,
+                bytes,
+            });
         }
         Ok(news)
     }
@@ -223,8 +246,10 @@
 
     impl Tier {
         fn new() -> Tier {
-            let mut tier =
-                Tier { folder: tempfile::tempdir().unwrap(), members: (0..3).map(|_| None).collect() };
+            let mut tier = Tier {
+                folder: tempfile::tempdir().unwrap(),
+                members: (0..3).map(|_| None).collect(),
+            };
             (1..=3).for_each(|id| tier.open(id));
             tier
         }
@@ -256,19 +281,33 @@
 
         fn leader(&self) -> u64 {
             let leads = |m: &&Member| m.leads();
-            let leaders: Vec<u64> = self.members.iter().flatten().filter(leads).map(|m| m.id).collect();
+            let leaders: Vec<u64> = self
+                .members
+                .iter()
+                .flatten()
+                .filter(leads)
+                .map(|m| m.id)
+                .collect();
             assert_eq!(leaders.len(), 1, "one leads");
             leaders[0]
         }
 
         fn propose(&mut self, text: &str) {
             let leader = self.leader();
-            let news = self.members[leader as usize - 1].as_mut().unwrap().propose(text.as_bytes()).unwrap();
+            let news = self.members[leader as usize - 1]
+                .as_mut()
+                .unwrap()
+                .propose(text.as_bytes())
+                .unwrap();
             self.deliver(news);
         }
 
         fn documents(&self) -> Vec<&[u8]> {
-            self.members.iter().flatten().map(|member| member.document().0).collect()
+            self.members
+                .iter()
+                .flatten()
+                .map(|member| member.document().0)
+                .collect()
         }
     }
 
@@ -308,7 +347,11 @@
         let mut tier = Tier::new();
         tier.pass(30);
         let leader = tier.leader();
-        let news = tier.members[leader as usize - 1].as_mut().unwrap().propose(b"{\"lost\":1}").unwrap();
+        let news = tier.members[leader as usize - 1]
+            .as_mut()
+            .unwrap()
+            .propose(b"{\"lost\":1}")
+            .unwrap();
         drop(news);
         assert!(tier.documents().iter().all(|document| *document == b"{}"));
     }
@@ -320,24 +363,36 @@
         let leader = tier.leader();
         let other = if leader == 1 { 2 } else { 1 };
         let member = tier.members[leader as usize - 1].as_mut().unwrap();
-        for bad in ["", "[]", "{", &format!("{{\"a\":\"{}\"}}", "x".repeat(DOCUMENT_BYTES))] {
-            assert!(matches!(member.propose(bad.as_bytes()), Err(RaftError::BadDocument)));
+        for bad in [
+            "",
+            "[]",
+            "{",
+            &format!("{{\"a\":\"{}\"}}", "x".repeat(DOCUMENT_BYTES)),
+        ] {
+            assert!(matches!(
+                member.propose(bad.as_bytes()),
+                Err(RaftError::BadDocument)
+            ));
         }
         assert!(member.receive(b"\xff\xff").is_err());
         let member = tier.members[other as usize - 1].as_mut().unwrap();
-        assert!(matches!(member.propose(b"{}"), Err(RaftError::NotLeader(Some(id))) if id == leader));
+        assert!(
+            matches!(member.propose(b"{}"), Err(RaftError::NotLeader(Some(id))) if id == leader)
+        );
     }
 
     #[test]
     fn a_vote_once_given_is_remembered_after_a_restart() {
         let mut tier = Tier::new();
         tier.pass(30);
-        let before: Vec<(u64, u64)> =
-            (tier.members.iter().flatten()).map(|m| (m.node.raft.term, m.node.raft.vote)).collect();
+        let before: Vec<(u64, u64)> = (tier.members.iter().flatten())
+            .map(|m| (m.node.raft.term, m.node.raft.vote))
+            .collect();
         assert!(before.iter().any(|(_, vote)| *vote != 0));
         (1..=3).for_each(|id| tier.open(id));
-        let after: Vec<(u64, u64)> =
-            (tier.members.iter().flatten()).map(|m| (m.node.raft.term, m.node.raft.vote)).collect();
+        let after: Vec<(u64, u64)> = (tier.members.iter().flatten())
+            .map(|m| (m.node.raft.term, m.node.raft.vote))
+            .collect();
         assert_eq!(before, after);
     }
 }
--- a/crates/limiter/src/routing_table.rs
+++ b/crates/limiter/src/routing_table.rs
@@ -26,7 +26,13 @@
 impl News {
     /// Nothing yet, to be read like this.
     pub fn new(kind: ListKind) -> News {
-        News { kind, entries: Vec::new(), addresses: Vec::new(), taken_out: Vec::new(), gone: Vec::new() }
+        News {
+            kind,
+            entries: Vec::new(),
+            addresses: Vec::new(),
+            taken_out: Vec::new(),
+            gone: Vec::new(),
+        }
     }
 }
 
@@ -78,14 +84,20 @@
 impl std::error::Error for BadLine {}
 
 fn position(names: &[String], name: &Value) -> u32 {
-    let found = name.as_str().and_then(|name| names.iter().position(|n| n == name));
+    let found = name
+        .as_str()
+        .and_then(|name| names.iter().position(|n| n == name));
     found.map_or(0, |n| n as u32)
 }
 
 impl RoutingTable {
     /// An empty table; `zones` and `kinds` give the names their numbers.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> RoutingTable {
-        RoutingTable { zones, kinds, ..RoutingTable::default() }
+        RoutingTable {
+            zones,
+            kinds,
+            ..RoutingTable::default()
+        }
     }
 
     /// Some server may be used.
@@ -98,7 +110,9 @@
 
     /// Some server is listed as ready, taken out or not.
     pub fn listing(&self) -> bool {
-        self.listed.values().any(|known| known.entry.state == ServerState::Ready)
+        self.listed
+            .values()
+            .any(|known| known.entry.state == ServerState::Ready)
     }
 
     /// Reads the list as last held.
@@ -121,14 +135,22 @@
         let index = list["index"].as_u64().ok_or(BadLine("index"))?;
         let full = list["snapshot"].as_bool().ok_or(BadLine("snapshot"))?;
         let lines = list["endpoints"].as_array().ok_or(BadLine("endpoints"))?;
-        let kind = if full { ListKind::Full } else { ListKind::Changes };
+        let kind = if full {
+            ListKind::Full
+        } else {
+            ListKind::Changes
+        };
         let mut news = News::new(kind);
         // All is read before any of it is taken: half a list must not replace a whole one.
-        let read = lines.iter().map(|line| self.entry(line)).collect::<Result<Vec<_>, _>>()?;
+        let read = lines
+            .iter()
+            .map(|line| self.entry(line))
+            .collect::<Result<Vec<_>, _>>()?;
         if full {
             let named = |name: &str| read.iter().any(|(n, _, _)| n == name);
             let lost: Vec<String> = self.listed.keys().filter(|n| !named(n)).cloned().collect();
-            lost.iter().for_each(|name| self.drop_listed(name, &mut news));
+            lost.iter()
+                .for_each(|name| self.drop_listed(name, &mut news));
         }
         for (name, address, mut entry) in read {
             let known = self.listed.get(&name).map(|known| known.entry.server);
@@ -153,7 +175,9 @@
     }
 
     fn drop_listed(&mut self, name: &str, news: &mut News) {
-        let Some(known) = self.listed.remove(name) else { return };
+        let Some(known) = self.listed.remove(name) else {
+            return;
+        };
         news.gone.push(known.entry.server);
         self.past.push_back(name.to_string());
         if self.past.len() > PAST {
@@ -163,10 +187,13 @@
 
     /// What holds of a listed server now, with the bans over the list.
     fn tell(&self, name: &str, news: &mut News) {
-        let Some(known) = self.listed.get(name) else { return };
+        let Some(known) = self.listed.get(name) else {
+            return;
+        };
         let server = known.entry.server;
         news.entries.push(self.bans.over(name, &known.entry));
-        news.addresses.extend(known.address.map(|address| (server, address)));
+        news.addresses
+            .extend(known.address.map(|address| (server, address)));
         news.taken_out.extend(self.bans.out(name).then_some(server));
     }
 
@@ -194,7 +221,10 @@
     /// Takes over the bans that another process of this limiter knows later.
     pub fn merge(&mut self, bans: &Bans) -> News {
         let mut news = News::new(ListKind::Changes);
-        self.bans.merge(bans).iter().for_each(|name| self.tell(name, &mut news));
+        self.bans
+            .merge(bans)
+            .iter()
+            .for_each(|name| self.tell(name, &mut news));
         news
     }
 
@@ -232,7 +262,10 @@
             server: ServerId(0),
             zone: position(&self.zones, &line["zone"]),
             kind: position(&self.kinds, &line["type"]),
-            cell: line["group"].as_u64().and_then(|g| u32::try_from(g).ok()).unwrap_or(0),
+            cell: line["group"]
+                .as_u64()
+                .and_then(|g| u32::try_from(g).ok())
+                .unwrap_or(0),
             state,
             weight: line["weight"].as_f64().unwrap_or(1.0),
             started: line["since_ms"].as_i64().unwrap_or(0).saturating_mul(1_000),
@@ -253,8 +286,11 @@
             )
         };
         let entries: Vec<String> = entries.iter().map(entry).collect();
-        format!("{{\"index\":{index},\"snapshot\":{full},\"endpoints\":[{}]}}\n", entries.join(","))
-            .into_bytes()
+        format!(
+            "{{\"index\":{index},\"snapshot\":{full},\"endpoints\":[{}]}}\n",
+            entries.join(",")
+        )
+        .into_bytes()
     }
 
     fn table() -> RoutingTable {
@@ -264,24 +300,64 @@
     #[test]
     fn entries_are_read_and_a_name_keeps_its_number() {
         let mut table = table();
-        let news = table.line(&line(4, true, &[("s-1", "Ready"), ("s-2", "Ready")])).unwrap().unwrap();
+        let news = table
+            .line(&line(4, true, &[("s-1", "Ready"), ("s-2", "Ready")]))
+            .unwrap()
+            .unwrap();
         let first = &news.entries[0];
-        assert_eq!((first.zone, first.kind, first.cell, first.weight, first.started), (1, 1, 3, 1.5, 7_000));
-        let again = table.line(&line(5, false, &[("s-1", "Terminating")])).unwrap().unwrap();
-        assert_eq!((again.kind, again.entries[0].server), (ListKind::Changes, first.server));
-        assert_eq!((again.entries[0].state, table.index), (ServerState::Draining, 5));
+        assert_eq!(
+            (
+                first.zone,
+                first.kind,
+                first.cell,
+                first.weight,
+                first.started
+            ),
+            (1, 1, 3, 1.5, 7_000)
+        );
+        let again = table
+            .line(&line(5, false, &[("s-1", "Terminating")]))
+            .unwrap()
+            .unwrap();
+        assert_eq!(
+            (again.kind, again.entries[0].server),
+            (ListKind::Changes, first.server)
+        );
+        assert_eq!(
+            (again.entries[0].state, table.index),
+            (ServerState::Draining, 5)
+        );
         assert!(table.serving(), "the other is ready");
     }
 
     #[test]
     fn what_is_gone_or_missing_from_a_whole_list_is_told_as_gone_once() {
         let mut table = table();
-        table.line(&line(1, true, &[("s-1", "Ready"), ("s-2", "Ready"), ("s-3", "Ready")])).unwrap();
-        let news = table.line(&line(2, false, &[("s-1", "Gone"), ("s-9", "Gone")])).unwrap().unwrap();
-        assert_eq!((news.entries.len(), news.gone.len()), (1, 1), "of s-9 nobody had heard");
-        let news = table.line(&line(3, true, &[("s-3", "Ready")])).unwrap().unwrap();
+        table
+            .line(&line(
+                1,
+                true,
+                &[("s-1", "Ready"), ("s-2", "Ready"), ("s-3", "Ready")],
+            ))
+            .unwrap();
+        let news = table
+            .line(&line(2, false, &[("s-1", "Gone"), ("s-9", "Gone")]))
+            .unwrap()
+            .unwrap();
+        assert_eq!(
+            (news.entries.len(), news.gone.len()),
+            (1, 1),
+            "of s-9 nobody had heard"
+        );
+        let news = table
+            .line(&line(3, true, &[("s-3", "Ready")]))
+            .unwrap()
+            .unwrap();
         assert_eq!((news.entries.len(), news.gone.len()), (1, 1));
-        let back = table.line(&line(4, false, &[("s-1", "Ready")])).unwrap().unwrap();
+        let back = table
+            .line(&line(4, false, &[("s-1", "Ready")]))
+            .unwrap()
+            .unwrap();
         assert!(back.entries[0].server.0 > 3, "a number is not used twice");
     }
 
@@ -299,7 +375,10 @@
             ("endpoints", "hosts"),
             ("{", ""),
         ] {
-            assert!(table.line(good.replacen(from, to, 1).as_bytes()).is_err(), "{from}");
+            assert!(
+                table.line(good.replacen(from, to, 1).as_bytes()).is_err(),
+                "{from}"
+            );
         }
         assert_eq!((table.index, table.listed.len()), (1, 1));
         assert_eq!(table.line(b"\r\n"), Ok(None));
@@ -309,12 +388,26 @@
     fn lists_of_a_large_fleet_change_all_at_once_to_none_and_back() {
         let mut table = table();
         let names: Vec<String> = (0..60).map(|n| format!("s-{n}")).collect();
-        let all = |status: &'static str| names.iter().map(|n| (n.as_str(), status)).collect::<Vec<_>>();
+        let all = |status: &'static str| {
+            names
+                .iter()
+                .map(|n| (n.as_str(), status))
+                .collect::<Vec<_>>()
+        };
         let first = table.line(&line(1, true, &all("Ready"))).unwrap().unwrap();
         assert_eq!((first.entries.len(), first.gone.len()), (60, 0));
         // Sixty changes in one line, each of a server known before.
-        let drained = table.line(&line(2, false, &all("Terminating"))).unwrap().unwrap();
-        assert!(drained.entries.iter().zip(&first.entries).all(|(a, b)| a.server == b.server));
+        let drained = table
+            .line(&line(2, false, &all("Terminating")))
+            .unwrap()
+            .unwrap();
+        assert!(
+            drained
+                .entries
+                .iter()
+                .zip(&first.entries)
+                .all(|(a, b)| a.server == b.server)
+        );
         assert!(!table.serving());
         let gone = table.line(&line(3, false, &all("Gone"))).unwrap().unwrap();
         assert_eq!((gone.entries.len(), gone.gone.len()), (60, 60));
@@ -345,13 +438,19 @@
                     0 | 1 => {
                         listed[at] = Some(state).filter(|s| *s != "Gone");
                         ever[at] |= state != "Gone";
-                        table.line(&line(now as u64, false, &[(names[at], state)])).unwrap().unwrap()
+                        table
+                            .line(&line(now as u64, false, &[(names[at], state)]))
+                            .unwrap()
+                            .unwrap()
                     }
                     2 => {
                         listed = [None; 3];
                         listed[at] = Some("Ready");
                         ever[at] = true;
-                        table.line(&line(now as u64, true, &[(names[at], "Ready")])).unwrap().unwrap()
+                        table
+                            .line(&line(now as u64, true, &[(names[at], "Ready")]))
+                            .unwrap()
+                            .unwrap()
                     }
                     call => {
                         let disables = call < 5;
@@ -377,8 +476,12 @@
                 if other.bans() != table.bans() || !table.merge(other.bans()).entries.is_empty() {
                     return false;
                 }
-                let known =
-                    |at: usize| table.listed.get(names[at]).map(|known| told.get(&known.entry.server));
+                let known = |at: usize| {
+                    table
+                        .listed
+                        .get(names[at])
+                        .map(|known| told.get(&known.entry.server))
+                };
                 for at in 0..3 {
                     let state = match (listed[at], out[at]) {
                         (None, _) => None,
@@ -412,8 +515,17 @@
         table.disable("s-1", 20_000).unwrap();
         table.disable("s-1", 25_000).unwrap();
         let (_, news) = table.enable("s-1", 30_000).unwrap();
-        assert_eq!((news.entries[0].started, news.entries[0].state), (30_000, ServerState::Ready));
-        let again = table.line(&line(2, false, &[("s-1", "Ready")])).unwrap().unwrap();
-        assert_eq!(again.entries[0].started, 30_000, "the list says the same as before");
+        assert_eq!(
+            (news.entries[0].started, news.entries[0].state),
+            (30_000, ServerState::Ready)
+        );
+        let again = table
+            .line(&line(2, false, &[("s-1", "Ready")]))
+            .unwrap()
+            .unwrap();
+        assert_eq!(
+            again.entries[0].started, 30_000,
+            "the list says the same as before"
+        );
     }
 }
--- a/crates/limiter/src/use_cli.rs
+++ b/crates/limiter/src/use_cli.rs
@@ -21,11 +21,15 @@
         ["show", folder] => show(Path::new(folder)),
         ["export", folder, out] => export(Path::new(folder), Path::new(out)),
         ["acknowledge", folder, number] => {
-            let number = number.parse().map_err(|_| format!("'{number}' is no batch's number"))?;
+            let number = number
+                .parse()
+                .map_err(|_| format!("'{number}' is no batch's number"))?;
             let mut export = Export::open(Path::new(folder)).map_err(|e| e.to_string())?;
             export.acknowledge(number).map_err(|e| e.to_string())
         }
-        _ => Err("usage: verify FOLDER, show FOLDER, export FOLDER OUT, acknowledge FOLDER N".into()),
+        _ => {
+            Err("usage: verify FOLDER, show FOLDER, export FOLDER OUT, acknowledge FOLDER N".into())
+        }
     }
 }
 
@@ -38,7 +42,9 @@
             Ok(life) => {
                 let unsure = life.tries.iter().filter(|t| t.unsure).count();
                 let (name, tries, torn) = (file_name(*number), life.tries.len(), life.torn);
-                println!("{name}: {tries} tries, {unsure} of them unsure, a torn tail of {torn} bytes");
+                println!(
+                    "{name}: {tries} tries, {unsure} of them unsure, a torn tail of {torn} bytes"
+                );
             }
             Err(error) => {
                 faults += 1;
@@ -48,7 +54,10 @@
     }
     match faults {
         0 => Ok(()),
-        _ => Err(format!("{faults} of {} lives can't be read whole", numbers.len())),
+        _ => Err(format!(
+            "{faults} of {} lives can't be read whole",
+            numbers.len()
+        )),
     }
 }
 
@@ -65,8 +74,12 @@
         b.plan,
         b.version,
         b.milli_units as f64 / 1e3,
-        b.reservation.as_deref().map_or(String::new(), |r| format!(" reservation {r}")),
-        b.key.as_deref().map_or(String::new(), |k| format!(" key {k}")),
+        b.reservation
+            .as_deref()
+            .map_or(String::new(), |r| format!(" reservation {r}")),
+        b.key
+            .as_deref()
+            .map_or(String::new(), |k| format!(" key {k}")),
         if b.again { " again" } else { "" },
         if t.unsure { " unsure" } else { "" }
     )
@@ -87,7 +100,10 @@
 
 fn export(folder: &Path, out: &Path) -> Result<(), String> {
     let mut export = Export::open(folder).map_err(|e| e.to_string())?;
-    match export.write(out, BATCH, &mut |_| true).map_err(|e| e.to_string())? {
+    match export
+        .write(out, BATCH, &mut |_| true)
+        .map_err(|e| e.to_string())?
+    {
         Some(batch) => println!(
             "batch {}: {} tries in {}",
             batch.number,
--- a/crates/limiter/tests/agreement.rs
+++ b/crates/limiter/tests/agreement.rs
@@ -8,8 +8,9 @@
 
 fn member(id: u32, addresses: &[String], folder: &std::path::Path) -> String {
     let members = addresses.iter().enumerate();
-    let members: Vec<String> =
-        members.map(|(n, a)| format!("{{\"id\":{},\"address\":\"{a}\"}}", n + 1)).collect();
+    let members: Vec<String> = members
+        .map(|(n, a)| format!("{{\"id\":{},\"address\":\"{a}\"}}", n + 1))
+        .collect();
     format!(
         r#"{{"listen":"{}","id":{id},"folder":"{}","secret":"{}","members":[{}]}}"#,
         addresses[id as usize - 1],
@@ -38,8 +39,9 @@
 fn members_agree_on_callers_and_a_caller_named_at_one_may_ask_at_another() {
     // A loopback address of this process's own: the members' addresses must be known before they listen.
     let pid = std::process::id();
-    let addresses: Vec<String> =
-        (1..=3).map(|n| format!("127.{}.{}.{n}:19301", pid / 250 % 250 + 2, pid % 250 + 1)).collect();
+    let addresses: Vec<String> = (1..=3)
+        .map(|n| format!("127.{}.{}.{n}:19301", pid / 250 % 250 + 2, pid % 250 + 1))
+        .collect();
     let folder = tempfile::tempdir().unwrap();
     let upstream = StandIn::start(|_, _| ok(r#"{"active":false}"#));
     let counter = counter();
@@ -53,8 +55,16 @@
     };
     let limiters: Vec<Limiter> = (1..=3).map(start).collect();
     let places: Vec<std::net::SocketAddr> = addresses.iter().map(|a| a.parse().unwrap()).collect();
-    assert!(limiters.iter().all(|l| question(l.introspection.unwrap()) == 401), "nobody may ask yet");
-    assert_eq!(ask(places[0], "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n").status, 401);
+    assert!(
+        limiters
+            .iter()
+            .all(|l| question(l.introspection.unwrap()) == 401),
+        "nobody may ask yet"
+    );
+    assert_eq!(
+        ask(places[0], "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n").status,
+        401
+    );
     let wrong = r#"{"callers":[{"id":"clerk","secret":"other","account":"5","plan":"taller"}]}"#;
     let answer = ask(places[0], &call("PUT", wrong));
     assert!(answer.status == 400 && answer.body.starts_with(b"key 'callers[0].account'"));
@@ -70,7 +80,8 @@
                     answer if answer.status == 202 => proposed = true,
                     answer if answer.status == 307 => {
                         let leader = answer.headers.get("Location").unwrap();
-                        pointed += usize::from(addresses.iter().any(|a| leader.contains(a.as_str())));
+                        pointed +=
+                            usize::from(addresses.iter().any(|a| leader.contains(a.as_str())));
                     }
                     answer => assert_eq!(answer.status, 503),
                 }
@@ -79,11 +90,20 @@
                 }
             }
         }
-        agreed = places.iter().all(|place| ask(*place, &call("GET", "")).body == right.as_bytes());
+        agreed = places
+            .iter()
+            .all(|place| ask(*place, &call("GET", "")).body == right.as_bytes());
         if agreed {
             break;
         }
     }
-    assert!(agreed, "proposed: {proposed}, pointed to the leader: {pointed} times");
-    assert!(limiters.iter().all(|l| question(l.introspection.unwrap()) == 200));
+    assert!(
+        agreed,
+        "proposed: {proposed}, pointed to the leader: {pointed} times"
+    );
+    assert!(
+        limiters
+            .iter()
+            .all(|l| question(l.introspection.unwrap()) == 200)
+    );
 }
--- a/crates/limiter/tests/clients.rs
+++ b/crates/limiter/tests/clients.rs
@@ -26,7 +26,10 @@
 /// A limiter with room for eight clients.
 fn small() -> Limiter {
     let text = config(&[nobody()], counter().address);
-    Limiter::start(&text.replacen('{', "{\"limits\":{\"sockets\":50},", 1), None)
+    Limiter::start(
+        &text.replacen('{', "{\"limits\":{\"sockets\":50},", 1),
+        None,
+    )
 }
 
 #[test]
@@ -57,11 +60,20 @@
 fn where_room_is_wanted_the_longest_idle_goes_and_never_one_whose_first_request_may_come() {
     let limiter = small();
     let mut clients: Vec<Client> = (0..6).map(|_| Client::connect(limiter.platform)).collect();
-    assert!(clients.iter_mut().all(|client| client.ask(UP).status == 200));
+    assert!(
+        clients
+            .iter_mut()
+            .all(|client| client.ask(UP).status == 200)
+    );
     let mut fresh: Vec<Client> = (0..3).map(|_| Client::connect(limiter.platform)).collect();
     // One too many is taken: the one that was answered first goes, and the new ones may still ask.
     assert!(clients.remove(0).answer().is_none());
-    assert!(fresh.iter_mut().chain(&mut clients).all(|client| client.ask(UP).status == 200));
+    assert!(
+        fresh
+            .iter_mut()
+            .chain(&mut clients)
+            .all(|client| client.ask(UP).status == 200)
+    );
 }
 
 #[test]
@@ -101,7 +113,8 @@
     let mut client = Client::connect(limiter.platform);
     let (bad, count) = ("GET /nothing HTTP/1.1\r\n\r\n", 20_000);
     let mut writer = client.stream.try_clone().unwrap();
-    let writing = std::thread::spawn(move || writer.write_all(bad.repeat(count).as_bytes()).is_ok());
+    let writing =
+        std::thread::spawn(move || writer.write_all(bad.repeat(count).as_bytes()).is_ok());
     for _ in 0..count {
         assert_eq!(client.answer().expect("an answer to each").status, 404);
     }
@@ -132,7 +145,10 @@
     let mut held = Some(held);
     let server = StandIn::start(move |_, _| {
         reached.send(()).unwrap();
-        held.take().map_or_else(|| ok("again"), |word| Reply::Held(word, Box::new(ok("first"))))
+        held.take().map_or_else(
+            || ok("again"),
+            |word| Reply::Held(word, Box::new(ok("first"))),
+        )
     });
     let limiter = Limiter::start(&config(&[server.address], counter().address), None);
     let mut first = Client::connect(limiter.platform);
@@ -142,7 +158,11 @@
     assert_eq!(server.count(), 1, "it has reached no server");
     release.send(()).unwrap();
     assert_eq!(first.answer().unwrap().body, b"first");
-    assert_eq!(ask(limiter.platform, &lookup("same")).body, b"again", "the id is free again");
+    assert_eq!(
+        ask(limiter.platform, &lookup("same")).body,
+        b"again",
+        "the id is free again"
+    );
 }
 
 #[test]
@@ -152,7 +172,10 @@
     let mut held = Some(held);
     let server = StandIn::start(move |_, _| {
         reached.send(()).unwrap();
-        held.take().map_or_else(|| ok("next"), |word| Reply::Held(word, Box::new(ok("first"))))
+        held.take().map_or_else(
+            || ok("next"),
+            |word| Reply::Held(word, Box::new(ok("first"))),
+        )
     });
     let limiter = Limiter::start(&config(&[server.address], counter().address), None);
     let mut client = Client::connect(limiter.platform);
--- a/crates/limiter/tests/common/mod.rs
+++ b/crates/limiter/tests/common/mod.rs
@@ -54,10 +54,14 @@
         let seen = Arc::new(Mutex::new(Vec::new()));
         let (ended, closed) = mpsc::channel();
         let (wrote, written) = mpsc::channel();
-        let (log, shared) = (seen.clone(), Arc::new(Mutex::new(move |r: &Request, n| reply(r, n))));
+        let (log, shared) = (
+            seen.clone(),
+            Arc::new(Mutex::new(move |r: &Request, n| reply(r, n))),
+        );
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (log, shared, ended, wrote) = (log.clone(), shared.clone(), ended.clone(), wrote.clone());
+                let (log, shared, ended, wrote) =
+                    (log.clone(), shared.clone(), ended.clone(), wrote.clone());
                 thread::spawn(move || {
                     let mut stream = stream.unwrap();
                     let mut bytes = Vec::new();
@@ -74,9 +78,13 @@
                         }
                         let mut out = Vec::new();
                         match reply {
-                            Reply::Answer(status, headers, body) => {
-                                framing::write_answer(&mut out, status, &headers, body.as_bytes(), false)
-                            }
+                            Reply::Answer(status, headers, body) => framing::write_answer(
+                                &mut out,
+                                status,
+                                &headers,
+                                body.as_bytes(),
+                                false,
+                            ),
                             Reply::Twice(body) => (0..2).for_each(|_| {
                                 framing::write_answer(&mut out, 200, &[], body.as_bytes(), false)
                             }),
@@ -92,7 +100,12 @@
                 });
             }
         });
-        StandIn { address, seen, closed, written }
+        StandIn {
+            address,
+            seen,
+            closed,
+            written,
+        }
     }
 
     pub fn count(&self) -> usize {
@@ -119,7 +132,10 @@
     let mut totals: BTreeMap<String, f64> = BTreeMap::new();
     StandIn::start(move |request, _| {
         let (name, query) = request.target.split_once('?').unwrap();
-        let delta = query.split('&').find_map(|p| p.strip_prefix("delta=")).unwrap();
+        let delta = query
+            .split('&')
+            .find_map(|p| p.strip_prefix("delta="))
+            .unwrap();
         let total = totals.entry(name.to_string()).or_default();
         *total += delta.parse::<f64>().unwrap();
         ok(&total.to_string())
@@ -180,20 +196,33 @@
     }
 
     pub fn start_with(config: &str, introspection: Option<&str>, raft: Option<&str>) -> Limiter {
-        let mut config = Environment::default().parse(config).expect("a good configuration");
-        raft.into_iter().for_each(|text| config.agree(text).expect("good members"));
-        introspection.into_iter().for_each(|text| config.introspect(text).expect("a good second front"));
+        let mut config = Environment::default()
+            .parse(config)
+            .expect("a good configuration");
+        raft.into_iter()
+            .for_each(|text| config.agree(text).expect("good members"));
+        introspection
+            .into_iter()
+            .for_each(|text| config.introspect(text).expect("a good second front"));
         let hand = Arc::new(AtomicI64::new(START));
         let clock = Clock::driven(hand.clone());
         let (tell, told) = mpsc::channel();
         let thread = thread::spawn(move || {
             let daemon = Daemon::open(config, clock).expect("sockets open");
             let (platform, second) = daemon.addresses().unwrap();
-            tell.send((platform, second, daemon.operators(), daemon.remote())).unwrap();
+            tell.send((platform, second, daemon.operators(), daemon.remote()))
+                .unwrap();
             daemon.run().expect("runs to its end");
         });
         let (platform, introspection, operators, remote) = told.recv().unwrap();
-        Limiter { platform, introspection, operators, hand, remote, thread: Some(thread) }
+        Limiter {
+            platform,
+            introspection,
+            operators,
+            hand,
+            remote,
+            thread: Some(thread),
+        }
     }
 
     /// Calls as operators do, and gives the answer's line.
@@ -218,7 +247,11 @@
 
     /// Gives it a new configuration.
     pub fn reload(&self, config: &str) {
-        self.remote.reload(Environment::default().parse(config).expect("a good configuration"));
+        self.remote.reload(
+            Environment::default()
+                .parse(config)
+                .expect("a good configuration"),
+        );
     }
 
     /// Tells it to end.
@@ -228,7 +261,11 @@
 
     /// Waits for its end.
     pub fn join(mut self) {
-        self.thread.take().unwrap().join().expect("ended without a panic");
+        self.thread
+            .take()
+            .unwrap()
+            .join()
+            .expect("ended without a panic");
     }
 }
 
@@ -242,7 +279,10 @@
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(HANG)).unwrap();
-        Client { stream, bytes: Vec::new() }
+        Client {
+            stream,
+            bytes: Vec::new(),
+        }
     }
 
     pub fn send(&mut self, text: &str) {
@@ -253,7 +293,9 @@
     pub fn answer(&mut self) -> Option<Answer> {
         let mut part = [0; 4096];
         loop {
-            if let Some((answer, length)) = framing::answer(&self.bytes, false, &Limits::default()).unwrap() {
+            if let Some((answer, length)) =
+                framing::answer(&self.bytes, false, &Limits::default()).unwrap()
+            {
                 self.bytes.drain(..length);
                 return Some(answer);
             }
@@ -295,8 +337,14 @@
     stream.set_nonblocking(false).unwrap();
     let mut bytes = vec![0; 1024];
     let length = stream.read(&mut bytes).unwrap();
-    let line = String::from_utf8_lossy(&bytes[..length]).lines().next().unwrap().to_string();
-    stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+    let line = String::from_utf8_lossy(&bytes[..length])
+        .lines()
+        .next()
+        .unwrap()
+        .to_string();
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .unwrap();
     (stream, line)
 }
 
@@ -304,7 +352,9 @@
 pub fn tell(stream: &mut TcpStream, line: &str) {
     let (a, b) = line.split_at(line.len() / 2);
     for part in [a, b] {
-        stream.write_all(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes()).unwrap();
+        stream
+            .write_all(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes())
+            .unwrap();
     }
 }
 
--- a/crates/limiter/tests/discovery.rs
+++ b/crates/limiter/tests/discovery.rs
@@ -42,10 +42,16 @@
     assert_eq!(line, "GET /discovery/hosts?watch=1&from=1 HTTP/1.1");
     up_becomes(&limiter, 503);
     let entry = |status: &str| {
-        format!("{{\"name\":\"s\",\"address\":\"{}\",\"status\":\"{status}\",\"group\":1}}", server.address)
+        format!(
+            "{{\"name\":\"s\",\"address\":\"{}\",\"status\":\"{status}\",\"group\":1}}",
+            server.address
+        )
     };
     let change = |index: u32, status: &str| {
-        format!("{{\"index\":{index},\"snapshot\":false,\"endpoints\":[{}]}}\n", entry(status))
+        format!(
+            "{{\"index\":{index},\"snapshot\":false,\"endpoints\":[{}]}}\n",
+            entry(status)
+        )
     };
     tell(&mut watch, "\n\n");
     tell(&mut watch, &change(2, "Ready"));
@@ -81,10 +87,14 @@
         reached.send(()).unwrap();
         // A total far beyond any allowance: whoever hears it declines.
         let over = || ok("1000000");
-        held.take().map_or_else(over, |word| Reply::Held(word, Box::new(over())))
+        held.take()
+            .map_or_else(over, |word| Reply::Held(word, Box::new(over())))
     });
     let (second, server) = (counter(), StandIn::start(|_, _| ok("served")));
-    let (old, new) = (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
+    let (old, new) = (
+        TcpListener::bind("127.0.0.1:0").unwrap(),
+        TcpListener::bind("127.0.0.1:0").unwrap(),
+    );
     let at = |listener: &TcpListener, counter| {
         config_at(listener.local_addr().unwrap(), &[server.address], counter)
     };
@@ -97,10 +107,25 @@
     limiter.reload(&at(&new, second.address));
     let (_watch, line) = watched(new.accept().unwrap().0);
     assert_eq!(line, "GET /discovery/hosts?watch=1&from=1 HTTP/1.1");
-    assert_eq!(former.read(&mut [0; 16]).unwrap(), 0, "the former watch is closed");
+    assert_eq!(
+        former.read(&mut [0; 16]).unwrap(),
+        0,
+        "the former watch is closed"
+    );
     release.send(()).unwrap();
-    assert_eq!(client.answer().unwrap().status, 429, "the former counter's answer is heard");
+    assert_eq!(
+        client.answer().unwrap().status,
+        429,
+        "the former counter's answer is heard"
+    );
     let before = first.count();
-    assert_eq!(client.ask(&lookup(6)).status, 200, "on the connection from before");
-    assert!(second.count() > 0 && first.count() == before, "later calls go to the new counter");
+    assert_eq!(
+        client.ask(&lookup(6)).status,
+        200,
+        "on the connection from before"
+    );
+    assert!(
+        second.count() > 0 && first.count() == before,
+        "later calls go to the new counter"
+    );
 }
--- a/crates/limiter/tests/golden.rs
+++ b/crates/limiter/tests/golden.rs
@@ -3,7 +3,9 @@
 use limiter::raft::Member;
 
 fn hex(bytes: &[u8]) -> String {
-    let lines = bytes.chunks(32).map(|line| line.iter().map(|byte| format!("{byte:02x}")).collect());
+    let lines = bytes
+        .chunks(32)
+        .map(|line| line.iter().map(|byte| format!("{byte:02x}")).collect());
     lines.collect::<Vec<String>>().join("\n")
 }
 
--- a/crates/limiter/tests/introspection.rs
+++ b/crates/limiter/tests/introspection.rs
@@ -56,12 +56,22 @@
     let config = config(&[records.address, records.address], counter().address);
     let limiter = Limiter::start(&config, Some(&front(&[upstream.address])));
     let at = limiter.introspection.expect("the second front is on");
-    Scene { records, upstream, limiter, at }
+    Scene {
+        records,
+        upstream,
+        limiter,
+        at,
+    }
 }
 
 fn assert_declined(answer: &Answer) {
     assert_eq!(answer.status, 503);
-    let wait: f64 = answer.headers.get("Retry-After").expect("when to come back").parse().unwrap();
+    let wait: f64 = answer
+        .headers
+        .get("Retry-After")
+        .expect("when to come back")
+        .parse()
+        .unwrap();
     assert!(wait > 0.0);
 }
 
@@ -70,13 +80,19 @@
     let scene = scene(|_, _| ok("signed"), |_, _| ok(ACTIVE));
     for n in 0..3 {
         let answer = ask(scene.at, &sign_off(&format!("k{n}"), "good", "4"));
-        assert_eq!((answer.status, answer.body.as_slice()), (200, b"signed".as_slice()));
+        assert_eq!(
+            (answer.status, answer.body.as_slice()),
+            (200, b"signed".as_slice())
+        );
     }
     assert_eq!((scene.records.count(), scene.upstream.count()), (3, 1));
     let seen = scene.records.seen.lock().unwrap();
     assert_eq!(seen[0].target, "/sign-off?term=2&account=0000000000000005");
     assert_eq!(seen[0].body, b"hours");
-    assert!(!seen[0].headers.has("Authorization"), "the token goes no further");
+    assert!(
+        !seen[0].headers.has("Authorization"),
+        "the token goes no further"
+    );
     let asked = scene.upstream.seen.lock().unwrap();
     assert!(asked[0].body.starts_with(b"token=good"));
     assert!(asked[0].headers.has("Authorization"));
@@ -87,10 +103,16 @@
     let scene = scene(|_, _| ok(""), |_, _| ok(r#"{"active":false}"#));
     let answer = ask(scene.at, &sign_off("k", "bad", "4"));
     assert_eq!(answer.status, 401);
-    assert_eq!(answer.headers.get("WWW-Authenticate"), Some("Bearer error=\"invalid_token\""));
+    assert_eq!(
+        answer.headers.get("WWW-Authenticate"),
+        Some("Bearer error=\"invalid_token\"")
+    );
     let none = sign_off("k", "x", "4").replace("Authorization: Bearer x\r\n", "");
     let answer = ask(scene.at, &none);
-    assert_eq!((answer.status, answer.headers.get("WWW-Authenticate")), (401, Some("Bearer")));
+    assert_eq!(
+        (answer.status, answer.headers.get("WWW-Authenticate")),
+        (401, Some("Bearer"))
+    );
     assert_eq!(ask(scene.at, &sign_off("k", "a b", "4")).status, 400);
     let named = sign_off("k", "x", "4").replace("term=2", "account=0000000000000005");
     assert_eq!(ask(scene.at, &named).status, 400);
@@ -127,7 +149,11 @@
 
 #[test]
 fn a_server_that_refuses_or_lies_fails_closed_and_harmlessly() {
-    let lies = ["", "{\"active\":\"yes\"}", r#"{"active":true,"sub":5,"plan":"empresa"}"#];
+    let lies = [
+        "",
+        "{\"active\":\"yes\"}",
+        r#"{"active":true,"sub":5,"plan":"empresa"}"#,
+    ];
     let past = r#"{"active":true,"sub":"0000000000000005","plan":"empresa","exp":999}"#;
     for lie in lies.into_iter().chain([past]) {
         let scene = scene(|_, _| ok("signed"), move |_, _| ok(lie));
@@ -136,13 +162,22 @@
         assert!(scene.upstream.count() >= 1);
     }
     for status in [500, 401, 503] {
-        let scene = scene(|_, _| ok("signed"), move |_, _| Reply::Answer(status, vec![], String::new()));
+        let scene = scene(
+            |_, _| ok("signed"),
+            move |_, _| Reply::Answer(status, vec![], String::new()),
+        );
         assert_declined(&ask(scene.at, &sign_off("k", "good", "4")));
         assert_eq!(scene.records.count(), 0);
     }
     let records = StandIn::start(|_, _| ok("signed"));
-    let limiter = Limiter::start(&config(&[records.address], counter().address), Some(&front(&[nobody()])));
-    assert_declined(&ask(limiter.introspection.unwrap(), &sign_off("k", "good", "4")));
+    let limiter = Limiter::start(
+        &config(&[records.address], counter().address),
+        Some(&front(&[nobody()])),
+    );
+    assert_declined(&ask(
+        limiter.introspection.unwrap(),
+        &sign_off("k", "good", "4"),
+    ));
     assert_eq!(records.count(), 0);
 }
 
@@ -192,23 +227,47 @@
     let scene = scene(
         |_, _| ok(""),
         |request, _| {
-            ok(if request.body.starts_with(b"token=good&") { ACTIVE } else { r#"{"active":false,"x":1}"# })
+            ok(if request.body.starts_with(b"token=good&") {
+                ACTIVE
+            } else {
+                r#"{"active":false,"x":1}"#
+            })
         },
     );
     let answer = ask(scene.at, &question("good"));
     assert_eq!(answer.headers.get("Cache-Control"), Some("no-store"));
     let told: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
-    assert_eq!((&told["active"], &told["sub"]), (&true.into(), &"0000000000000005".into()));
-    assert_eq!((&told["plan"], &told["exp"]), (&"empresa".into(), &2000.into()));
+    assert_eq!(
+        (&told["active"], &told["sub"]),
+        (&true.into(), &"0000000000000005".into())
+    );
+    assert_eq!(
+        (&told["plan"], &told["exp"]),
+        (&"empresa".into(), &2000.into())
+    );
     for unknown in ["other", "not%20a%20token"] {
-        assert_eq!(ask(scene.at, &question(unknown)).body, b"{\"active\":false}");
+        assert_eq!(
+            ask(scene.at, &question(unknown)).body,
+            b"{\"active\":false}"
+        );
     }
     let stranger = question("good").replace("b2ZmaWNlOnMzY3JldA==", "b2ZmaWNlOndyb25n");
     let answer = ask(scene.at, &stranger);
     assert_eq!(answer.status, 401);
-    assert!(answer.headers.get("WWW-Authenticate").is_some_and(|w| w.starts_with("Basic")));
-    assert_eq!(ask(scene.at, &question("good").replace("token=", "other=")).status, 400);
-    assert_eq!(ask(scene.at, "GET /introspect HTTP/1.1\r\nHost: x\r\n\r\n").status, 405);
+    assert!(
+        answer
+            .headers
+            .get("WWW-Authenticate")
+            .is_some_and(|w| w.starts_with("Basic"))
+    );
+    assert_eq!(
+        ask(scene.at, &question("good").replace("token=", "other=")).status,
+        400
+    );
+    assert_eq!(
+        ask(scene.at, "GET /introspect HTTP/1.1\r\nHost: x\r\n\r\n").status,
+        405
+    );
     assert_eq!(scene.records.count(), 0);
 }
 
@@ -230,14 +289,17 @@
 fn one_installation_asks_another() {
     let far = scene(|_, _| ok(""), |_, _| ok(ACTIVE));
     let records = StandIn::start(|_, _| ok("signed"));
-    let near = front(&[far.at]).replace("\"us\"", "\"office\"").replace("hush", "s3cret");
+    let near = front(&[far.at])
+        .replace("\"us\"", "\"office\"")
+        .replace("hush", "s3cret");
     let limiter = Limiter::start(&config(&[records.address], counter().address), Some(&near));
     let answer = ask(limiter.introspection.unwrap(), &sign_off("k", "good", "4"));
     assert_eq!((answer.status, records.count()), (200, 1));
 }
 
 #[test]
-fn against_a_server_that_stalls_refuses_and_lies_each_request_gets_one_answer_and_no_sign_off_runs_twice() {
+fn against_a_server_that_stalls_refuses_and_lies_each_request_gets_one_answer_and_no_sign_off_runs_twice()
+ {
     let (reached, arrived) = mpsc::channel();
     let scene = scene(
         |_, _| ok("signed"),
@@ -269,11 +331,15 @@
         // Lets a server that was found silent rest.
         scene.limiter.pass(5_000_000);
     }
-    let expected = "arlse".chars().map(|kind| ((kind, if kind == 'a' { 200 } else { 503 }), 12));
+    let expected = "arlse"
+        .chars()
+        .map(|kind| ((kind, if kind == 'a' { 200 } else { 503 }), 12));
     assert_eq!(statuses, expected.collect());
     let mut sent = BTreeMap::new();
     for request in scene.records.seen.lock().unwrap().iter() {
-        *sent.entry(request.headers.get("Idempotency-Key").unwrap().to_string()).or_insert(0) += 1;
+        *sent
+            .entry(request.headers.get("Idempotency-Key").unwrap().to_string())
+            .or_insert(0) += 1;
     }
     assert_eq!(sent.len(), 12, "only those whose client is known");
     assert!(sent.values().all(|times| *times == 1), "{sent:?}");
@@ -294,6 +360,9 @@
     (0..60).for_each(|_| assert_eq!(ask(at, &question(&token)).status, 200));
     assert_eq!(upstream.count(), 1, "the rest came from the cache");
     let long = format!("Content-Length: 70000\r\n\r\n{}", "x".repeat(70_000));
-    let answer = ask(at, &sign_off("k", &token, "2.5").replace("Content-Length: 5\r\n\r\nhours", &long));
+    let answer = ask(
+        at,
+        &sign_off("k", &token, "2.5").replace("Content-Length: 5\r\n\r\nhours", &long),
+    );
     assert_ne!(answer.status, 413, "there is room for a body again");
 }
--- a/crates/limiter/tests/judging.rs
+++ b/crates/limiter/tests/judging.rs
@@ -23,7 +23,13 @@
         repeat: Repeat::Safe,
         stream: false,
     };
-    let plan = |rate, burst| Plan { rate, burst, price: 1.0, over_cost: 1.0, ..Plan::default() };
+    let plan = |rate, burst| Plan {
+        rate,
+        burst,
+        price: 1.0,
+        over_cost: 1.0,
+        ..Plan::default()
+    };
     Settings {
         gateways: 2,
         classes: vec![class],
@@ -60,7 +66,10 @@
             started: 0,
         };
         let one = |number: u32| {
-            let settings = Settings { own_number: number, ..settings() };
+            let settings = Settings {
+                own_number: number,
+                ..settings()
+            };
             let judging = Judging::new(&names, &settings.plans, 2 * SECOND);
             let mut engine = Engine::new(settings, u64::from(number) + 7, 1_000);
             engine.judge_by(judging);
@@ -68,16 +77,28 @@
             engine
         };
         let engines = (0..2).map(one).collect();
-        Tier { engines, totals: BTreeMap::new(), now: START, silent: false, owed: Vec::new() }
+        Tier {
+            engines,
+            totals: BTreeMap::new(),
+            now: START,
+            silent: false,
+            owed: Vec::new(),
+        }
     }
 
     /// A change, given to every limiter. `after`: seconds from now.
     fn change(&mut self, id: &str, after: i64, what: &str) {
         let at = self.now + after * SECOND;
-        let text = format!("{{\"id\":\"{id}\",\"at\":{at},\"by\":\"op\",\"why\":\"test\",\"what\":{what}}}");
+        let text = format!(
+            "{{\"id\":\"{id}\",\"at\":{at},\"by\":\"op\",\"why\":\"test\",\"what\":{what}}}"
+        );
         let change = Change::read(&text).unwrap();
         for engine in &mut self.engines {
-            engine.judging().unwrap().apply(self.now, change.clone()).unwrap();
+            engine
+                .judging()
+                .unwrap()
+                .apply(self.now, change.clone())
+                .unwrap();
         }
     }
 
@@ -113,7 +134,10 @@
                         *self.totals.entry(name).or_default() += add;
                         self.owed.push((limiter, name));
                     }
-                    Order::Answer { ending: Ending::Declined { .. }, .. } => declined += 1,
+                    Order::Answer {
+                        ending: Ending::Declined { .. },
+                        ..
+                    } => declined += 1,
                     _ => {}
                 }
             }
@@ -154,7 +178,10 @@
     assert!((9..=11).contains(&used), "{used} of a store of 10");
     tier.change("m", 0, MOVE);
     let (here, there) = (tier.served(0, 20), tier.served(1, 20));
-    assert!(here + there <= 2, "{here} and {there} right after the change");
+    assert!(
+        here + there <= 2,
+        "{here} and {there} right after the change"
+    );
     // A second later 20 have flowed in, by the new rate.
     tier.now += SECOND;
     let flowed = tier.served(0, 60);
@@ -184,10 +211,18 @@
         tier.ask(0);
     }
     assert_eq!(tier.turn(0).0, 0, "they wait for the counter");
-    tier.change("f", 0, r#"{"figures":{"plan":"taller","figures":{"rate":1,"burst":2}}}"#);
+    tier.change(
+        "f",
+        0,
+        r#"{"figures":{"plan":"taller","figures":{"rate":1,"burst":2}}}"#,
+    );
     tier.silent = false;
     tier.count();
-    assert_eq!(tier.turn(0), (6, 0), "taken under the plan before, and within it");
+    assert_eq!(
+        tier.turn(0),
+        (6, 0),
+        "taken under the plan before, and within it"
+    );
     let after = tier.served(0, 20);
     assert!(after <= 3, "{after} of the 2 that the lower plan holds");
 }
@@ -198,7 +233,11 @@
     let (mut served, begin) = (0, tier.now);
     // Twenty seconds, with a change every half second; at either limiter in turn.
     for step in 0..40 {
-        tier.change(&format!("c{step}"), 0, if step % 2 == 0 { MOVE } else { BACK });
+        tier.change(
+            &format!("c{step}"),
+            0,
+            if step % 2 == 0 { MOVE } else { BACK },
+        );
         for k in 0..20 {
             tier.ask(k % 2);
             served += tier.turn(k % 2).0;
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -18,7 +18,10 @@
 
 /// Runs a property on the same random steps each time.
 fn check<T: Testable>(seed: u64, property: T) {
-    QuickCheck::new().rng(Gen::from_size_and_seed(60, seed)).tests(300).quickcheck(property);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(60, seed))
+        .tests(300)
+        .quickcheck(property);
 }
 
 /// A step, and a number to choose by.
@@ -53,7 +56,11 @@
                 }
             };
             let never = (Outcome::ConnectFailed, Outcome::ConnectFailed);
-            let expected = if whole { (Outcome::Reset, Outcome::TimedOut) } else { never };
+            let expected = if whole {
+                (Outcome::Reset, Outcome::TimedOut)
+            } else {
+                never
+            };
             if (state.broken(), state.overdue()) != expected || state.errand() != Some(errand) {
                 return false;
             }
@@ -91,7 +98,10 @@
                     let mut written = 0;
                     while let Some((request, length)) = framing::request(&out, &limits).unwrap() {
                         let (name, deadline) = unsent.pop_front().unwrap();
-                        if !request.target.starts_with(&format!("/v2/numbers/{name}?delta=1&life_ms=1")) {
+                        if !request
+                            .target
+                            .starts_with(&format!("/v2/numbers/{name}?delta=1&life_ms=1"))
+                        {
                             return false;
                         }
                         sent.push_back((name, deadline, false));
@@ -115,7 +125,8 @@
                             expected.push((name, outcome));
                         }
                         // Late: matched off to its own call, and told to nobody.
-                        (Heard::Late { asker: 0 }, Some((_, _, true))) | (Heard::Unasked, None) => {}
+                        (Heard::Late { asker: 0 }, Some((_, _, true))) | (Heard::Unasked, None) => {
+                        }
                         _ => return false,
                     }
                 }
@@ -126,8 +137,12 @@
                         call.2 = true;
                         expected.push((call.0, Outcome::TimedOut));
                     }
-                    expected
-                        .extend(unsent.iter().filter(|c| c.1 <= now).map(|c| (c.0, Outcome::ConnectFailed)));
+                    expected.extend(
+                        unsent
+                            .iter()
+                            .filter(|c| c.1 <= now)
+                            .map(|c| (c.0, Outcome::ConnectFailed)),
+                    );
                     unsent.retain(|c| c.1 > now);
                 }
                 5 => {
@@ -137,11 +152,19 @@
                 _ => {
                     line.broken(&mut got);
                     (up, leaving) = (false, false);
-                    expected.extend(sent.drain(..).filter(|c| !c.2).map(|c| (c.0, Outcome::TimedOut)));
+                    expected.extend(
+                        sent.drain(..)
+                            .filter(|c| !c.2)
+                            .map(|c| (c.0, Outcome::TimedOut)),
+                    );
                     expected.extend(unsent.drain(..).map(|c| (c.0, Outcome::ConnectFailed)));
                 }
             }
-            if !got.iter().map(|c| (c.name.0, c.outcome)).eq(expected.iter().copied()) {
+            if !got
+                .iter()
+                .map(|c| (c.name.0, c.outcome))
+                .eq(expected.iter().copied())
+            {
                 return false;
             }
             // It leaves once all that it wrote has its outcome, and takes along what it did not write.
@@ -170,7 +193,9 @@
         if now == 50 {
             let mut bytes = Vec::new();
             framing::write_answer(&mut bytes, 200, &[], b"1", false);
-            let (answer, _) = framing::answer(&bytes, false, &Limits::default()).unwrap().unwrap();
+            let (answer, _) = framing::answer(&bytes, false, &Limits::default())
+                .unwrap()
+                .unwrap();
             assert_eq!(line.answered(now, &answer), Heard::Late { asker: 0 });
         }
         assert_eq!(line.stale(now - 100), now >= 150, "at {now}");
@@ -219,7 +244,9 @@
                 }
                 4 => {
                     for key in pool.retire(now - 5) {
-                        let Some(place) = open.iter().position(|c| c.1 == key) else { return false };
+                        let Some(place) = open.iter().position(|c| c.1 == key) else {
+                            return false;
+                        };
                         if open[place].2.is_none_or(|since| since > now - 5) {
                             return false;
                         }
@@ -290,7 +317,11 @@
             let good = match visit.stage {
                 Stage::Open => owed && visit.deadline(false, &limits).is_none(),
                 Stage::Answering => writing && visit.deadline(false, &limits).is_some(),
-                _ => !owed && !writing && visit.deadline(false, &limits) == Some(waiting_since + span),
+                _ => {
+                    !owed
+                        && !writing
+                        && visit.deadline(false, &limits) == Some(waiting_since + span)
+                }
             };
             let fresh = now - waiting_since < limits.acquirer_fresh;
             let kept = owed || writing || (!last && fresh && (part || !answered));
@@ -312,11 +343,20 @@
         repeat,
         stream: false,
     };
-    let keyed = Repeat::Keyed { group: Group::Cell, window: 800_000 };
+    let keyed = Repeat::Keyed {
+        group: Group::Cell,
+        window: 800_000,
+    };
     Settings {
         gateways: 1,
         classes: vec![class(Repeat::Safe), class(keyed), class(Repeat::Unsafe)],
-        plans: vec![Plan { rate: 20.0, burst: 20.0, price: 1.0, over_cost: 1.0, ..Plan::default() }],
+        plans: vec![Plan {
+            rate: 20.0,
+            burst: 20.0,
+            price: 1.0,
+            over_cost: 1.0,
+            ..Plan::default()
+        }],
         period: 2_000,
         counter: true,
         counter_timeout: 30_000,
@@ -339,7 +379,10 @@
 }
 
 fn find(known: &mut [(AuthorisationKey, Seen)], key: AuthorisationKey) -> Option<&mut Seen> {
-    known.iter_mut().find(|(k, _)| *k == key).map(|(_, seen)| seen)
+    known
+        .iter_mut()
+        .find(|(k, _)| *k == key)
+        .map(|(_, seen)| seen)
 }
 
 #[test]
@@ -379,7 +422,13 @@
                         ..Authorisation::default()
                     };
                     let key = engine.take(now, authorisation).unwrap();
-                    known.push((key, Seen { class, ..Seen::default() }));
+                    known.push((
+                        key,
+                        Seen {
+                            class,
+                            ..Seen::default()
+                        },
+                    ));
                 }
                 4 | 5 if !known.is_empty() => {
                     let at = usize::from(by) % known.len();
@@ -399,7 +448,8 @@
                         return false;
                     }
                     if seen.out.take().is_some() {
-                        seen.may_have_run |= !matches!(outcome, Outcome::Full | Outcome::ConnectFailed);
+                        seen.may_have_run |=
+                            !matches!(outcome, Outcome::Full | Outcome::ConnectFailed);
                     }
                     seen.ended |= answers;
                 }
@@ -412,7 +462,11 @@
                     if let Some(name) = asked.pop_front() {
                         engine.counted(
                             name,
-                            if by > 200 { Outcome::TimedOut } else { Outcome::Ok },
+                            if by > 200 {
+                                Outcome::TimedOut
+                            } else {
+                                Outcome::Ok
+                            },
                             f64::from(by),
                         );
                     }
@@ -421,8 +475,11 @@
             engine.handle(now, &mut orders);
             for order in orders {
                 let good = match order {
-                    Order::StartLeg { key, leg, deadline, .. } => find(&mut known, key).is_some_and(|seen| {
-                        let fresh = !seen.ended && seen.out.is_none() && leg >= seen.legs && leg < 3;
+                    Order::StartLeg {
+                        key, leg, deadline, ..
+                    } => find(&mut known, key).is_some_and(|seen| {
+                        let fresh =
+                            !seen.ended && seen.out.is_none() && leg >= seen.legs && leg < 3;
                         let harmless = seen.class != 2 || !seen.may_have_run;
                         (seen.out, seen.legs) = (Some(leg), leg + 1);
                         fresh && harmless && deadline > now
@@ -430,9 +487,8 @@
                     Order::StopLeg { key, leg } => {
                         find(&mut known, key).is_some_and(|seen| seen.out.take() == Some(leg))
                     }
-                    Order::Answer { key, .. } => {
-                        find(&mut known, key).is_some_and(|seen| !std::mem::replace(&mut seen.ended, true))
-                    }
+                    Order::Answer { key, .. } => find(&mut known, key)
+                        .is_some_and(|seen| !std::mem::replace(&mut seen.ended, true)),
                     Order::Count { name, .. } => {
                         asked.push_back(name);
                         true
@@ -489,10 +545,15 @@
         }
         now += 10_000;
         engine.handle(now, &mut orders);
-        orders.iter().any(|order| matches!(order, Order::StartLeg { .. }))
+        orders
+            .iter()
+            .any(|order| matches!(order, Order::StartLeg { .. }))
     };
     for customer in 0..500 {
         assert!(!ask(&mut engine, customer, true));
     }
-    assert!(ask(&mut engine, 1_000, false), "no server is taken to be full of legs that were never sent");
+    assert!(
+        ask(&mut engine, 1_000, false),
+        "no server is taken to be full of legs that were never sent"
+    );
 }
--- a/crates/limiter/tests/operations.rs
+++ b/crates/limiter/tests/operations.rs
@@ -28,15 +28,25 @@
         ("enable-server s-0\n", "done"),
         ("\n", "error the line is empty"),
         ("disable-server\n", "error the server's id is missing"),
-        ("disable-server s-7\n", "error no server of this id was ever listed"),
-        ("enable-server s-7\n", "error no server of this id was ever listed"),
+        (
+            "disable-server s-7\n",
+            "error no server of this id was ever listed",
+        ),
+        (
+            "enable-server s-7\n",
+            "error no server of this id was ever listed",
+        ),
         ("disable-server s-0 s-0\n", "error too many words"),
         ("drain \u{7}\n", "error the line is no text"),
     ] {
         assert_eq!(limiter.call(line), answer, "{line:?}");
     }
     assert!(limiter.call("stop\n").starts_with("error no such call"));
-    assert!(limiter.call(&"x".repeat(4_000)).starts_with("error the line is too long"));
+    assert!(
+        limiter
+            .call(&"x".repeat(4_000))
+            .starts_with("error the line is too long")
+    );
     // A half line and a close.
     drop({
         let mut half = limiter.operator();
@@ -74,8 +84,17 @@
     };
     ask(0, 30);
     assert!(first.count() > 0 && second.count() > 0);
-    assert_eq!([limiter.call("disable-server s-0\n"), limiter.call("disable-server s-0\n")], ["done"; 2]);
-    first.closed.recv_timeout(HANG).expect("an idle connection to it goes at once");
+    assert_eq!(
+        [
+            limiter.call("disable-server s-0\n"),
+            limiter.call("disable-server s-0\n")
+        ],
+        ["done"; 2]
+    );
+    first
+        .closed
+        .recv_timeout(HANG)
+        .expect("an idle connection to it goes at once");
     let before = first.count();
     ask(30, 60);
     assert_eq!(first.count(), before);
@@ -121,8 +140,15 @@
     while server.count() < 3 {
         std::thread::yield_now();
     }
-    assert_eq!([limiter.call("drain\n"), limiter.call("drain\n")], ["done"; 2]);
-    assert_eq!(limiter.call("ready\n"), "done", "the process takes who still comes");
+    assert_eq!(
+        [limiter.call("drain\n"), limiter.call("drain\n")],
+        ["done"; 2]
+    );
+    assert_eq!(
+        limiter.call("ready\n"),
+        "done",
+        "the process takes who still comes"
+    );
     let refused = ask(limiter.platform, UP);
     assert!(refused.status == 503 && !refused.keep_alive);
     // In the notice both who comes and who is there are served, once.
@@ -139,7 +165,11 @@
     let answer = busy.answer().unwrap();
     assert!(answer.body == b"slow" && !answer.keep_alive && busy.rest().is_empty());
     limiter.pass(600 * MS);
-    assert_eq!(silent.rest(), "", "who says nothing can't hold the drain open");
+    assert_eq!(
+        silent.rest(),
+        "",
+        "who says nothing can't hold the drain open"
+    );
     // A half head can't either.
     let mut half = Client::connect(limiter.platform);
     half.send("GET /lookup HTTP/1.1\r\n");
@@ -159,7 +189,10 @@
     let waiting = Client::connect(limiter.platform);
     limiter.stop();
     while limiter.call("ready\n") != "error ending" {}
-    assert_eq!([limiter.call("drain\n"), limiter.call("resume\n")], ["done", "error ending"]);
+    assert_eq!(
+        [limiter.call("drain\n"), limiter.call("resume\n")],
+        ["done", "error ending"]
+    );
     limiter.pass(600 * MS);
     drop(waiting);
     limiter.join();
@@ -171,7 +204,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = listener.local_addr().unwrap();
     let servers = [first.address, second.address];
-    let limiter = Limiter::start(&with_operators(&config_at(discovery, &servers, counter().address)), None);
+    let limiter = Limiter::start(
+        &with_operators(&config_at(discovery, &servers, counter().address)),
+        None,
+    );
     let (mut watch, _) = watched(listener.accept().unwrap().0);
     assert_eq!(limiter.call("disable-server s-0\n"), "done");
     let entry = |name: usize, status: &str, since: i64| {
@@ -186,11 +222,17 @@
         (false, entry(0, "Ready", 900)),
         (false, entry(0, "Gone", 0)),
         (false, entry(0, "Ready", 1_000)),
-        (true, [entry(0, "Ready", 1_000), entry(1, "Ready", 0)].join(",")),
+        (
+            true,
+            [entry(0, "Ready", 1_000), entry(1, "Ready", 0)].join(","),
+        ),
     ];
     for (n, (whole, entries)) in lists.iter().enumerate() {
         let index = n + 2;
-        tell(&mut watch, &format!("{{\"index\":{index},\"snapshot\":{whole},\"endpoints\":[{entries}]}}\n"));
+        tell(
+            &mut watch,
+            &format!("{{\"index\":{index},\"snapshot\":{whole},\"endpoints\":[{entries}]}}\n"),
+        );
         (0..20).for_each(|m| assert_eq!(client.ask(&lookup(&format!("t{n}-{m}"))).body, b"second"));
     }
     assert_eq!(first.count(), 0);
--- a/crates/limiter/tests/platform.rs
+++ b/crates/limiter/tests/platform.rs
@@ -13,7 +13,10 @@
     reply: impl FnMut(&limiter::net::framing::Request, usize) -> Reply + Send + 'static,
 ) -> (StandIn, Limiter) {
     let server = StandIn::start(reply);
-    let limiter = Limiter::start(&config(&vec![server.address; names], counter().address), None);
+    let limiter = Limiter::start(
+        &config(&vec![server.address; names], counter().address),
+        None,
+    );
     (server, limiter)
 }
 
@@ -23,14 +26,25 @@
     let mut client = Client::connect(limiter.platform);
     for n in 0..3 {
         let answer = client.ask(&sign_off(&format!("k{n}")));
-        assert_eq!((answer.status, answer.body.as_slice()), (200, b"\0body\r\n".as_slice()));
+        assert_eq!(
+            (answer.status, answer.body.as_slice()),
+            (200, b"\0body\r\n".as_slice())
+        );
     }
     let seen = server.seen.lock().unwrap();
     assert_eq!(seen[0].target, "/sign-off?account=0000000000000005");
-    assert_eq!((seen[0].method.as_str(), seen[0].body.as_slice()), ("POST", b"hours".as_slice()));
+    assert_eq!(
+        (seen[0].method.as_str(), seen[0].body.as_slice()),
+        ("POST", b"hours".as_slice())
+    );
     assert_eq!(seen[0].headers.get("X-Trace-Id"), Some("t-k0"));
     assert_eq!(seen[0].headers.get("Idempotency-Key"), Some("k0"));
-    let left: f64 = seen[0].headers.get("X-Expires-In").unwrap().parse().unwrap();
+    let left: f64 = seen[0]
+        .headers
+        .get("X-Expires-In")
+        .unwrap()
+        .parse()
+        .unwrap();
     assert!(left > 0.0 && left < 2.5);
 }
 
@@ -60,11 +74,21 @@
         for text in [lookup("t"), sign_off("k")] {
             let (server, limiter) = start(1, move |_, n| if n == 0 { reply() } else { ok("done") });
             assert_eq!(ask(limiter.platform, &text).status, 200, "{name}");
-            assert_eq!(server.count(), 2, "{name}: once more, in the group of the first");
+            assert_eq!(
+                server.count(),
+                2,
+                "{name}: once more, in the group of the first"
+            );
         }
     }
     for status in [503, 504] {
-        let (server, limiter) = start(2, move |_, n| if n == 0 { never_ran(status) } else { ok("done") });
+        let (server, limiter) = start(2, move |_, n| {
+            if n == 0 {
+                never_ran(status)
+            } else {
+                ok("done")
+            }
+        });
         assert_eq!(ask(limiter.platform, &sign_off("k")).status, 200);
         assert_eq!(server.count(), 2);
     }
@@ -109,7 +133,10 @@
         (bad("X-Qos: sign-off", "X-Qos: lookup"), 400),
         (bad("X-Tier: empresa", "X-Tier: gold"), 400),
         (bad("account=0000000000000005", "account=5"), 400),
-        (bad("account=0000000000000005", "account=0000000200000000"), 400),
+        (
+            bad("account=0000000000000005", "account=0000000200000000"),
+            400,
+        ),
         (bad("?account=0000000000000005", ""), 400),
         (bad("X-Expires-In: 2.5", "X-Expires-In: -1"), 400),
         (bad("X-Expires-In: 2.5", "X-Expires-In: inf"), 400),
@@ -122,7 +149,13 @@
         (bad("Idempotency-Key: k\r\n", ""), 400),
         (bad("POST", "GET"), 400),
         (bad("/sign-off", "/other"), 404),
-        (bad("Content-Length: 5", "Content-Length: 5\r\nContent-Length: 6"), 400),
+        (
+            bad(
+                "Content-Length: 5",
+                "Content-Length: 5\r\nContent-Length: 6",
+            ),
+            400,
+        ),
         (bad("Content-Length: 5", "Content-Length: 60000000"), 413),
         (bad("Host", &long), 431),
     ] {
@@ -146,9 +179,15 @@
     arrived.recv().unwrap();
     drop(client);
     // An answered request after it: by then the limiter has seen the end of the first.
-    assert_eq!(ask(limiter.platform, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status, 200);
+    assert_eq!(
+        ask(limiter.platform, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status,
+        200
+    );
     release.send(()).unwrap();
-    server.closed.recv_timeout(std::time::Duration::from_secs(5)).expect("its connection is closed");
+    server
+        .closed
+        .recv_timeout(std::time::Duration::from_secs(5))
+        .expect("its connection is closed");
     assert_eq!(server.count(), 1);
 }
 
@@ -210,10 +249,19 @@
 
 #[test]
 fn a_connection_on_which_more_came_than_was_asked_is_closed() {
-    let (server, limiter) = start(1, |_, n| if n == 0 { Reply::Twice("first") } else { ok("second") });
+    let (server, limiter) = start(1, |_, n| {
+        if n == 0 {
+            Reply::Twice("first")
+        } else {
+            ok("second")
+        }
+    });
     let mut client = Client::connect(limiter.platform);
     assert_eq!(client.ask(&sign_off("k0")).body, b"first");
-    server.closed.recv_timeout(std::time::Duration::from_secs(5)).expect("its connection is closed");
+    server
+        .closed
+        .recv_timeout(std::time::Duration::from_secs(5))
+        .expect("its connection is closed");
     assert_eq!(client.ask(&sign_off("k1")).body, b"second");
 }
 
@@ -236,9 +284,17 @@
     client.send(&sign_off("k0"));
     arrived.recv().unwrap();
     limiter.pass(120_000);
-    assert_eq!(client.answer().unwrap().status, 200, "passes without an answer of the counter");
+    assert_eq!(
+        client.answer().unwrap().status,
+        200,
+        "passes without an answer of the counter"
+    );
     limiter.pass(500_000);
-    assert_eq!(client.ask(&sign_off("k1")).status, 200, "and the clock stands still for this one");
+    assert_eq!(
+        client.ask(&sign_off("k1")).status,
+        200,
+        "and the clock stands still for this one"
+    );
     assert!(counter.count() >= 2);
 }
 
@@ -265,8 +321,15 @@
             limiter.pass(120_000);
         }
         assert_eq!(client.answer().unwrap().status, 200);
-        counter.closed.recv_timeout(std::time::Duration::from_secs(5)).expect("its connection is closed");
-        assert_eq!(client.ask(&sign_off("k1")).status, 200, "and the clock stands still for this one");
+        counter
+            .closed
+            .recv_timeout(std::time::Duration::from_secs(5))
+            .expect("its connection is closed");
+        assert_eq!(
+            client.ask(&sign_off("k1")).status,
+            200,
+            "and the clock stands still for this one"
+        );
     }
 }
 
@@ -278,21 +341,33 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
     ];
     for bytes in spoilt {
-        let (server, limiter) = start(1, move |_, n| if n == 0 { Reply::Raw(bytes) } else { ok("done") });
+        let (server, limiter) = start(1, move |_, n| {
+            if n == 0 {
+                Reply::Raw(bytes)
+            } else {
+                ok("done")
+            }
+        });
         let mut client = Client::connect(limiter.platform);
         client.send(&sign_off("k"));
         server.written.recv().unwrap();
         ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n");
         limiter.pass(300_000);
         assert_eq!(client.answer().unwrap().body, b"done");
-        server.closed.recv_timeout(std::time::Duration::from_secs(5)).expect("its connection is closed");
+        server
+            .closed
+            .recv_timeout(std::time::Duration::from_secs(5))
+            .expect("its connection is closed");
     }
 }
 
 #[test]
 fn an_answer_without_a_length_is_not_passed_on() {
     let part = b"HTTP/1.1 200 OK\r\nServer: x\r\n\r\na part";
-    let (server, limiter) = start(1, move |_, n| if n == 0 { Reply::Raw(part) } else { ok("done") });
+    let (server, limiter) = start(
+        1,
+        move |_, n| if n == 0 { Reply::Raw(part) } else { ok("done") },
+    );
     assert_eq!(ask(limiter.platform, &lookup("t")).body, b"done");
     assert_eq!(server.count(), 2);
 }
