--- a/crates/limiter/tests/process.rs
+++ b/crates/limiter/tests/process.rs
@@ -37,12 +37,18 @@
     let mut log = BufReader::new(child.stderr.take().unwrap()).lines();
     let process = Process(child);
     // Ends with the log if the program does.
-    let mut line_with =
-        |text: &str| log.by_ref().map(Result::unwrap).find(|line| line.contains(text)).expect(text);
+    let mut line_with = |text: &str| {
+        log.by_ref()
+            .map(Result::unwrap)
+            .find(|line| line.contains(text))
+            .expect(text)
+    };
     let serving = line_with("serving on ");
     let address = serving.rsplit(' ').next().unwrap().parse().unwrap();
     let signal = |name: &str| {
-        let told = Command::new("sh").args(["-c", &format!("kill -{name} {}", process.0.id())]).status();
+        let told = Command::new("sh")
+            .args(["-c", &format!("kill -{name} {}", process.0.id())])
+            .status();
         assert!(told.unwrap().success());
     };
 
@@ -50,7 +56,10 @@
     write(&good.replace("\"discovery\":\"", "\"discovery\":\"nowhere"));
     signal("HUP");
     assert!(line_with("configuration not taken").contains("key 'discovery'"));
-    assert_eq!(ask(address, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status, 200);
+    assert_eq!(
+        ask(address, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status,
+        200
+    );
     write(&good);
     signal("HUP");
     line_with("configuration taken");
@@ -80,7 +89,10 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        Version { process: Process(child), operators }
+        Version {
+            process: Process(child),
+            operators,
+        }
     }
 
     /// Waits until it says that it takes clients.
@@ -89,13 +101,18 @@
         while std::net::TcpStream::connect(self.operators).is_err()
             || call(self.operators, "ready\n") != "done"
         {
-            assert!(self.process.0.try_wait().unwrap().is_none() && asked.elapsed() < HANG, "it starts");
+            assert!(
+                self.process.0.try_wait().unwrap().is_none() && asked.elapsed() < HANG,
+                "it starts"
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
 
     fn signal(&self, name: &str) {
-        let told = Command::new("sh").args(["-c", &format!("kill -{name} {}", self.process.0.id())]).status();
+        let told = Command::new("sh")
+            .args(["-c", &format!("kill -{name} {}", self.process.0.id())])
+            .status();
         assert!(told.unwrap().success());
     }
 
@@ -106,7 +123,10 @@
 
 /// An address that was free a moment ago; guards against two tests that are given the same one by holding none.
 fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 #[test]
@@ -118,11 +138,17 @@
     });
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    let peers = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let peers = UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let text = config(&[server.address], counter().address)
         .replace("127.0.0.1:0", &address.to_string())
         .replacen('{', &format!("{{\"peer_listen\":\"{peers}\","), 1)
-        .replace("\"Permissions\":{", "\"Permissions\":{\"PeerMessages\":true,");
+        .replace(
+            "\"Permissions\":{",
+            "\"Permissions\":{\"PeerMessages\":true,",
+        );
     let mut old = Version::start(folder.path(), &text, &socket);
     old.ready();
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
@@ -159,12 +185,18 @@
         new.ready();
         old.signal("TERM");
         let told = Instant::now();
-        assert!(old.ended() && told.elapsed() < Duration::from_secs(4), "what is idle does not keep it");
+        assert!(
+            old.ended() && told.elapsed() < Duration::from_secs(4),
+            "what is idle does not keep it"
+        );
         old = new;
     }
     serves_on();
     stop.store(true, std::sync::atomic::Ordering::SeqCst);
-    let asked: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
+    let asked: usize = clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .sum();
     assert_eq!(server.count(), asked, "each ran once");
 }
 
@@ -174,16 +206,24 @@
     let servers = ["out", "in"].map(|name| StandIn::start(move |_, _| ok(name)));
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    let text = config(&servers.each_ref().map(|server| server.address), counter().address)
-        .replace("127.0.0.1:0", &address.to_string());
+    let text = config(
+        &servers.each_ref().map(|server| server.address),
+        counter().address,
+    )
+    .replace("127.0.0.1:0", &address.to_string());
     // What an earlier process left torn stops nobody.
-    std::fs::write(folder.path().join("streamarch-operations"), "streamarch-operations-1 00").unwrap();
+    std::fs::write(
+        folder.path().join("streamarch-operations"),
+        "streamarch-operations-1 00",
+    )
+    .unwrap();
     let mut old = Version::start(folder.path(), &text, &socket);
     old.ready();
     assert_eq!(call(old.operators, "disable-server s-0\n"), "done");
     let mut new = Version::start(folder.path(), &text, &socket);
     new.ready();
-    let served = |count: usize| (0..count).all(|n| ask(address, &lookup(&format!("t{n}"))).body == b"in");
+    let served =
+        |count: usize| (0..count).all(|n| ask(address, &lookup(&format!("t{n}"))).body == b"in");
     assert!(served(40), "the new process has it out from its start");
     assert_eq!(servers[0].count(), 0);
     // Called back at the new one, and out again, with the server's fellow: the old one hears of it.
@@ -193,7 +233,11 @@
     thread::sleep(Duration::from_millis(300));
     new.signal("KILL");
     let up = ask(address, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!((up.status, up.keep_alive), (503, false), "the old one drains");
+    assert_eq!(
+        (up.status, up.keep_alive),
+        (503, false),
+        "the old one drains"
+    );
     assert_eq!(call(old.operators, "resume\n"), "done");
     let asked = Instant::now();
     while ask(address, &lookup("u")).body != b"out" {
@@ -209,7 +253,10 @@
 /// The most memory that a process has had, in KiB.
 fn most_memory(process: &Process) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.0.id())).unwrap();
-    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .unwrap();
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
@@ -240,7 +287,10 @@
                         _ => return,
                     }
                 }
-                let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n");
+                let _ = write!(
+                    stream,
+                    "HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n"
+                );
                 let _ = (0..LENGTH >> 20).try_for_each(|_| stream.write_all(&part));
             });
         }
@@ -258,11 +308,18 @@
         let mut client = std::net::TcpStream::connect(address).unwrap();
         let uploads = number.is_multiple_of(2);
         let text = match uploads {
-            true => sign_off(&format!("k{number}"))
-                .replace("Content-Length: 5\r\n\r\nhours", &format!("Content-Length: {LENGTH}\r\n\r\n")),
+            true => sign_off(&format!("k{number}")).replace(
+                "Content-Length: 5\r\n\r\nhours",
+                &format!("Content-Length: {LENGTH}\r\n\r\n"),
+            ),
             false => lookup(&format!("t{number}")),
         };
-        client.write_all(text.replace("X-Expires-In: 2.5", "X-Expires-In: 60").as_bytes()).unwrap();
+        client
+            .write_all(
+                text.replace("X-Expires-In: 2.5", "X-Expires-In: 60")
+                    .as_bytes(),
+            )
+            .unwrap();
         if uploads {
             let part = vec![3; 1 << 20];
             (0..LENGTH >> 20).for_each(|_| client.write_all(&part).unwrap());
@@ -278,13 +335,19 @@
         }
         come
     };
-    let clients: Vec<_> = (0..2 * EACH).map(|number| thread::spawn(move || transfer(number))).collect();
+    let clients: Vec<_> = (0..2 * EACH)
+        .map(|number| thread::spawn(move || transfer(number)))
+        .collect();
     for client in clients {
         assert!(client.join().unwrap() >= LENGTH);
     }
     let memory = most_memory(&limiter.process);
     println!("{memory} KiB for {} transfers of 32 MB", 2 * EACH);
-    assert!(memory < 24 * 1024, "{memory} KiB for {} transfers", 2 * EACH);
+    assert!(
+        memory < 24 * 1024,
+        "{memory} KiB for {} transfers",
+        2 * EACH
+    );
 }
 
 #[test]
@@ -294,19 +357,35 @@
     std::fs::write(&path, config(&[nobody()], nobody())).unwrap();
     let start = |options: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_streamarch"));
-        command.args(["serve", "--config"]).arg(&path).args(options).stderr(Stdio::piped()).spawn().unwrap()
+        command
+            .args(["serve", "--config"])
+            .arg(&path)
+            .args(options)
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap()
     };
     let first = |options: &[&str]| {
         let mut child = start(options);
         let mut line = String::new();
-        BufReader::new(child.stderr.take().unwrap()).read_line(&mut line).unwrap();
+        BufReader::new(child.stderr.take().unwrap())
+            .read_line(&mut line)
+            .unwrap();
         drop(Process(child));
         line
     };
     assert!(first(&[]).starts_with("n0 serving on 127.0.0.1:"));
     let json: serde_json::Value = serde_json::from_str(&first(&["--log-format", "json"])).unwrap();
-    assert_eq!((json["level"].as_str(), json["fields"]["limiter"].as_str()), (Some("INFO"), Some("n0")));
-    assert!(json["fields"]["message"].as_str().unwrap().starts_with("serving on "));
+    assert_eq!(
+        (json["level"].as_str(), json["fields"]["limiter"].as_str()),
+        (Some("INFO"), Some("n0"))
+    );
+    assert!(
+        json["fields"]["message"]
+            .as_str()
+            .unwrap()
+            .starts_with("serving on ")
+    );
     for options in [["--log-format", "xml"], ["--log-level", "loud"]] {
         let mut child = start(&options);
         assert_eq!(child.wait().unwrap().code(), Some(2), "{options:?}");
@@ -320,7 +399,12 @@
     {
         let (mut ledger, _) = usage::ledger::Ledger::open(&ledger, "n0").unwrap();
         (0..3).for_each(|n| {
-            _ = ledger.book(usage::booking::Booking { customer: n, ..Default::default() }).unwrap()
+            _ = ledger
+                .book(usage::booking::Booking {
+                    customer: n,
+                    ..Default::default()
+                })
+                .unwrap()
         });
         ledger.write().unwrap();
         ledger.went_out();
@@ -328,15 +412,30 @@
     }
     let call = |words: &[&str], paths: &[&std::path::Path], rest: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_streamarch"));
-        let output = command.arg("usage").args(words).args(paths).args(rest).output().unwrap();
-        (output.status.success(), String::from_utf8(output.stdout).unwrap())
+        let output = command
+            .arg("usage")
+            .args(words)
+            .args(paths)
+            .args(rest)
+            .output()
+            .unwrap();
+        (
+            output.status.success(),
+            String::from_utf8(output.stdout).unwrap(),
+        )
     };
     assert!(
-        call(&["verify"], &[&ledger], &[]).1.contains("3 tries, 0 of them unsure, a torn tail of 0 bytes")
+        call(&["verify"], &[&ledger], &[])
+            .1
+            .contains("3 tries, 0 of them unsure, a torn tail of 0 bytes")
     );
     assert_eq!(call(&["show"], &[&ledger], &[]).1.lines().count(), 3);
     for _ in 0..2 {
-        assert!(call(&["export"], &[&ledger, &out], &[]).1.starts_with("batch 1: 3 tries"));
+        assert!(
+            call(&["export"], &[&ledger, &out], &[])
+                .1
+                .starts_with("batch 1: 3 tries")
+        );
     }
     assert!(!call(&["acknowledge"], &[&ledger], &["2"]).0);
     assert!(call(&["acknowledge"], &[&ledger], &["1"]).0);
@@ -358,17 +457,23 @@
     let (server, counter) = (StandIn::start(|_, _| ok("served")), counter());
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    let text = config(&[server.address], counter.address).replace("127.0.0.1:0", &address.to_string());
+    let text =
+        config(&[server.address], counter.address).replace("127.0.0.1:0", &address.to_string());
     let mut process = Version::start(folder.path(), &text, &socket);
     process.ready();
     process.signal("STOP");
     for n in 0..3 {
         let mut gone = std::net::TcpStream::connect(address).unwrap();
-        gone.write_all(lookup(&format!("gone-{n}")).as_bytes()).unwrap();
+        gone.write_all(lookup(&format!("gone-{n}")).as_bytes())
+            .unwrap();
     }
     process.signal("CONT");
     thread::sleep(Duration::from_millis(300));
-    assert_eq!((counter.count(), server.count()), (0, 0), "no call and no leg for a client that has gone");
+    assert_eq!(
+        (counter.count(), server.count()),
+        (0, 0),
+        "no call and no leg for a client that has gone"
+    );
     assert_eq!(ask(address, &lookup("here")).status, 200, "it serves on");
     process.signal("TERM");
     assert!(process.ended());
--- a/crates/limiter/tests/relay.rs
+++ b/crates/limiter/tests/relay.rs
@@ -51,7 +51,10 @@
 
 /// Limits for the ends of a transfer, which hold messages whole.
 fn large() -> limiter::limits::Limits {
-    limiter::limits::Limits { body_bytes: 64 << 20, ..Default::default() }
+    limiter::limits::Limits {
+        body_bytes: 64 << 20,
+        ..Default::default()
+    }
 }
 
 /// Reads a whole answer of any length: what the limits of the others are for does not hold here.
@@ -84,7 +87,8 @@
         let body = pattern(300_000);
         let sent = body.clone();
         let server = raw_server(move |stream, _| {
-            let mut out = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\n".to_vec();
+            let mut out =
+                b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\n".to_vec();
             match framing {
                 "length" => out.extend(format!("content-length:  {} \r\n\r\n", sent.len()).bytes()),
                 "chunks" => out.extend(b"Transfer-Encoding: Chunked\r\n\r\n"),
@@ -97,31 +101,53 @@
                 out.extend_from_slice(part);
                 out.extend_from_slice(if framing == "chunks" { b"\r\n" } else { b"" });
             }
-            out.extend_from_slice(if framing == "chunks" { b"0\r\nTrailer: t\r\n\r\n" } else { b"" });
+            out.extend_from_slice(if framing == "chunks" {
+                b"0\r\nTrailer: t\r\n\r\n"
+            } else {
+                b""
+            });
             // Small pieces first, so that heads and chunks are cut anywhere.
-            out[..400].iter().for_each(|byte| stream.write_all(&[*byte]).unwrap());
+            out[..400]
+                .iter()
+                .for_each(|byte| stream.write_all(&[*byte]).unwrap());
             stream.write_all(&out[400..]).unwrap();
             let _ = stream.shutdown(Shutdown::Write);
         });
         let limiter = before(server);
         let mut stream = asks(&limiter, &lookup("t"));
         let answer = long_answer(&mut stream).expect("whole");
-        assert!(answer.status == 200 && answer.body == body && answer.keep_alive, "{framing}");
+        assert!(
+            answer.status == 200 && answer.body == body && answer.keep_alive,
+            "{framing}"
+        );
         // The connection is free for the next request.
         stream.write_all(lookup("u").as_bytes()).unwrap();
-        assert_eq!(long_answer(&mut stream).expect("whole").body, body, "{framing}");
+        assert_eq!(
+            long_answer(&mut stream).expect("whole").body,
+            body,
+            "{framing}"
+        );
     }
 }
 
 #[test]
 fn a_short_answer_that_ends_with_its_connection_is_whole_and_one_that_is_reset_is_not() {
     let server = raw_server(|stream, _| {
-        stream.write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it").unwrap();
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it")
+            .unwrap();
     });
-    assert_eq!(ask(before(server).platform, &lookup("t")).body, b"all of it");
+    assert_eq!(
+        ask(before(server).platform, &lookup("t")).body,
+        b"all of it"
+    );
     let server = raw_server(|stream, _| {
-        stream.write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\na part").unwrap();
-        socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO)).unwrap();
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\na part")
+            .unwrap();
+        socket2::SockRef::from(&*stream)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
     });
     assert_ne!(ask(before(server).platform, &lookup("t")).status, 200);
 }
@@ -132,8 +158,14 @@
         for head in ["Content-Length: 200000", "Transfer-Encoding: chunked"] {
             let (sent, told) = std::sync::mpsc::channel();
             let server = raw_server(move |stream, _| {
-                stream.write_all(format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n").as_bytes()).unwrap();
-                let chunk = if head.starts_with('T') { "186a0\r\n" } else { "" };
+                stream
+                    .write_all(format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n").as_bytes())
+                    .unwrap();
+                let chunk = if head.starts_with('T') {
+                    "186a0\r\n"
+                } else {
+                    ""
+                };
                 stream.write_all(chunk.as_bytes()).unwrap();
                 stream.write_all(&pattern(100_000)).unwrap();
                 let _ = sent.send(());
@@ -145,17 +177,25 @@
             let mut stream = asks(&limiter, &lookup("t"));
             told.recv_timeout(HANG).unwrap();
             let mut begun = vec![0; 90_000];
-            stream.read_exact(&mut begun).expect("what the server gave is passed on");
+            stream
+                .read_exact(&mut begun)
+                .expect("what the server gave is passed on");
             if silent {
                 // All that was sent has been read by then: what is asked now is answered in a later turn.
-                assert_eq!(ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status, 200);
+                assert_eq!(
+                    ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status,
+                    200
+                );
                 limiter.pass(8_500_000);
                 limiter.pass(4_500_000);
             }
             // The connection ends, short of what was promised, or without the last chunk.
             let mut rest = Vec::new();
             let _ = stream.read_to_end(&mut rest);
-            assert!(rest.len() < 20_000 && !rest.ends_with(b"0\r\n\r\n"), "{head}, silent: {silent}");
+            assert!(
+                rest.len() < 20_000 && !rest.ends_with(b"0\r\n\r\n"),
+                "{head}, silent: {silent}"
+            );
         }
     }
 }
@@ -172,8 +212,12 @@
     let mut stream = asks(&limiter, &lookup("t"));
     stream.read_exact(&mut [0; 100_000]).unwrap();
     drop(stream);
-    gone.recv_timeout(HANG).expect("the server's connection is closed too");
-    assert_eq!(ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status, 200);
+    gone.recv_timeout(HANG)
+        .expect("the server's connection is closed too");
+    assert_eq!(
+        ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status,
+        200
+    );
 }
 
 #[test]
@@ -181,15 +225,26 @@
     let server = StandIn::start(|request, _| ok(&request.body.len().to_string()));
     let limiter = before(server.address);
     let mut client = Client::connect(limiter.platform);
-    let request = sign_off("k")
-        .replace("Content-Length: 5\r\n\r\nhours", "Expect: 100-continue\r\nContent-Length: 65536\r\n\r\n");
+    let request = sign_off("k").replace(
+        "Content-Length: 5\r\n\r\nhours",
+        "Expect: 100-continue\r\nContent-Length: 65536\r\n\r\n",
+    );
     client.send(&request[..50]);
     // What is asked afterwards is answered in a later turn: the part has been read.
-    let seen = || assert_eq!(ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status, 200);
+    let seen = || {
+        assert_eq!(
+            ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status,
+            200
+        )
+    };
     seen();
     limiter.pass(1_900_000);
     client.send(&request[50..]);
-    assert_eq!(client.stream.read(&mut [0; 64]).unwrap(), 25, "100 Continue, at once");
+    assert_eq!(
+        client.stream.read(&mut [0; 64]).unwrap(),
+        25,
+        "100 Continue, at once"
+    );
     for _ in 0..16 {
         client.send(&"x".repeat(4_096));
         seen();
@@ -223,13 +278,21 @@
     let limiter = before(server);
     let head = sign_off("k");
     let length = format!("Content-Length: {}\r\n\r\n", body.len());
-    let mut plain = asks(&limiter, &head.replace("Content-Length: 5\r\n\r\nhours", &length));
+    let mut plain = asks(
+        &limiter,
+        &head.replace("Content-Length: 5\r\n\r\nhours", &length),
+    );
     plain.write_all(&body).unwrap();
     assert_eq!(long_answer(&mut plain).unwrap().status, 200);
-    let chunked = head.replace("Content-Length: 5\r\n\r\nhours", "Transfer-Encoding: chunked\r\n\r\n");
+    let chunked = head.replace(
+        "Content-Length: 5\r\n\r\nhours",
+        "Transfer-Encoding: chunked\r\n\r\n",
+    );
     let mut stream = asks(&limiter, &chunked.replace("t-k", "t-l"));
     for part in body.chunks(100_000) {
-        stream.write_all(format!("{:x}\r\n", part.len()).as_bytes()).unwrap();
+        stream
+            .write_all(format!("{:x}\r\n", part.len()).as_bytes())
+            .unwrap();
         stream.write_all(part).unwrap();
         stream.write_all(b"\r\n").unwrap();
     }
@@ -239,7 +302,10 @@
 
 /// A request with a body of this many bytes, as the start of it.
 fn with_body(key: &str, length: usize) -> String {
-    sign_off(key).replace("Content-Length: 5\r\n\r\nhours", &format!("Content-Length: {length}\r\n\r\n"))
+    sign_off(key).replace(
+        "Content-Length: 5\r\n\r\nhours",
+        &format!("Content-Length: {length}\r\n\r\n"),
+    )
 }
 
 #[test]
@@ -256,20 +322,37 @@
         while bytes.len() < 5_000_000 {
             more(stream, &mut part, &mut bytes);
         }
-        while limiter::net::framing::request(&bytes, &large()).unwrap().is_none() {
+        while limiter::net::framing::request(&bytes, &large())
+            .unwrap()
+            .is_none()
+        {
             more(stream, &mut part, &mut bytes);
         }
-        let (request, _) = limiter::net::framing::request(&bytes, &large()).unwrap().unwrap();
-        stream.write_all(if request.body == expected { SAME } else { OTHER }).unwrap();
+        let (request, _) = limiter::net::framing::request(&bytes, &large())
+            .unwrap()
+            .unwrap();
+        stream
+            .write_all(if request.body == expected {
+                SAME
+            } else {
+                OTHER
+            })
+            .unwrap();
     });
     let limiter = before(server);
     let mut client = asks(&limiter, &with_body("k", body.len()));
     client.write_all(&body[..2_000_000]).unwrap();
-    arrived.recv_timeout(HANG).expect("the server has the first of it before the last has come");
+    arrived
+        .recv_timeout(HANG)
+        .expect("the server has the first of it before the last has come");
     client.write_all(&body[2_000_000..]).unwrap();
     assert_eq!(long_answer(&mut client).unwrap().status, 200);
     client.write_all(b"GET /up HTTP/1.1\r\n\r\n").unwrap();
-    assert_eq!(long_answer(&mut client).unwrap().status, 200, "the connection goes on");
+    assert_eq!(
+        long_answer(&mut client).unwrap().status,
+        200,
+        "the connection goes on"
+    );
 }
 
 #[test]
@@ -289,11 +372,16 @@
     let limiter = Limiter::start(&config(&[server; 4], counter().address), None);
     let mut client = asks(&limiter, &with_body("k", 3_000_000));
     client.write_all(&pattern(1_000_000)).unwrap();
-    arrived.recv_timeout(HANG).expect("the server has the first of it");
+    arrived
+        .recv_timeout(HANG)
+        .expect("the server has the first of it");
     // Longer than a server may be silent before it is suspected, where there are no probes.
     for _ in 0..4 {
         limiter.pass(110_000);
-        assert_eq!(ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status, 200);
+        assert_eq!(
+            ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status,
+            200
+        );
     }
     client.write_all(&pattern(2_000_000)).unwrap();
     assert_eq!(long_answer(&mut client).expect("an answer").status, 200);
@@ -319,7 +407,9 @@
         });
         let limiter = Limiter::start(&config(&[server; 3], counter().address), None);
         let mut client = asks(&limiter, &with_body("k", 3_000_000));
-        client.write_all(&pattern(if taken == 0 { 20_000 } else { 1_100_000 })).unwrap();
+        client
+            .write_all(&pattern(if taken == 0 { 20_000 } else { 1_100_000 }))
+            .unwrap();
         if taken == 0 {
             while tries.load(std::sync::atomic::Ordering::SeqCst) < 2 {
                 thread::yield_now();
@@ -334,7 +424,8 @@
 }
 
 #[test]
-fn a_long_body_that_is_bad_by_its_head_or_falls_silent_is_answered_at_once_and_reaches_nobody_whole() {
+fn a_long_body_that_is_bad_by_its_head_or_falls_silent_is_answered_at_once_and_reaches_nobody_whole()
+ {
     let (left, gone) = std::sync::mpsc::channel();
     let server = raw_server(move |stream, _| {
         let mut part = vec![0; 1 << 16];
@@ -346,19 +437,33 @@
         ("X-Tier: empresa", "X-Tier: gold", 400),
         ("POST /sign-off", "GET /lookup", 400),
         ("Content-Length: 5000000", "Content-Length: 60000000", 413),
-        ("Content-Length: 5000000", "Content-Length: 5000000\r\nTransfer-Encoding: chunked", 400),
+        (
+            "Content-Length: 5000000",
+            "Content-Length: 5000000\r\nTransfer-Encoding: chunked",
+            400,
+        ),
     ] {
         let text = with_body("k", 5_000_000).replace(from, to);
-        assert_eq!(long_answer(&mut asks(&limiter, &text)).unwrap().status, status, "{to}");
+        assert_eq!(
+            long_answer(&mut asks(&limiter, &text)).unwrap().status,
+            status,
+            "{to}"
+        );
     }
     let mut client = asks(&limiter, &with_body("k", 5_000_000));
     client.write_all(&pattern(500_000)).unwrap();
-    let seen = || assert_eq!(ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status, 200);
+    let seen = || {
+        assert_eq!(
+            ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status,
+            200
+        )
+    };
     // Read by then, some in each turn.
     (0..100).for_each(|_| seen());
     limiter.pass(2_400_000);
     (0..3).for_each(|_| seen());
     limiter.pass(800_000);
     assert_eq!(long_answer(&mut client).unwrap().status, 408);
-    gone.recv_timeout(HANG).expect("its leg is ended, before the last byte");
+    gone.recv_timeout(HANG)
+        .expect("its leg is ended, before the last byte");
 }
--- a/crates/load/src/cli.rs
+++ b/crates/load/src/cli.rs
@@ -115,10 +115,14 @@
         match arg {
             Long("target") => {
                 let text = parser.value()?.string()?;
-                let address = text.strip_prefix("http://").unwrap_or(&text).trim_end_matches('/');
+                let address = text
+                    .strip_prefix("http://")
+                    .unwrap_or(&text)
+                    .trim_end_matches('/');
                 let address = address.replace("localhost", "127.0.0.1");
-                let parsed =
-                    address.parse().map_err(|_| format!("--target: '{text}' is no address with a port"))?;
+                let parsed = address
+                    .parse()
+                    .map_err(|_| format!("--target: '{text}' is no address with a port"))?;
                 options.targets.push(parsed);
             }
             Long("seconds") => options.seconds = Some(parser.value()?.parse()?),
@@ -143,7 +147,9 @@
             Long("agents") => options.agents = Some(parser.value()?.parse()?),
             Long("items") => options.items = Some(parser.value()?.parse()?),
             Long("gap") => options.gap = Some(parser.value()?.parse()?),
-            Long("log-format") => options.log_json = choice(&mut parser, "--log-format", ["text", "json"])?,
+            Long("log-format") => {
+                options.log_json = choice(&mut parser, "--log-format", ["text", "json"])?
+            }
             Long("log-level") => options.log_level = Some(parser.value()?.parse()?),
             Short('h') | Long("help") => options.words.insert(0, "help".into()),
             Short('V') | Long("version") => options.words.insert(0, "version".into()),
@@ -155,25 +161,41 @@
 }
 
 /// Whether the second of two words was given.
-fn choice(parser: &mut lexopt::Parser, option: &str, words: [&str; 2]) -> Result<bool, lexopt::Error> {
+fn choice(
+    parser: &mut lexopt::Parser,
+    option: &str,
+    words: [&str; 2],
+) -> Result<bool, lexopt::Error> {
     let word = parser.value()?.string()?;
     match words.iter().position(|w| *w == word) {
         Some(position) => Ok(position == 1),
-        None => Err(format!("{option}: '{word}' is neither '{}' nor '{}'", words[0], words[1]).into()),
+        None => Err(format!(
+            "{option}: '{word}' is neither '{}' nor '{}'",
+            words[0], words[1]
+        )
+        .into()),
     }
 }
 
 /// Runs the program with these arguments, its name left out. Exit codes: 0 done, 1 a fault on the way, 2 a wrong call
 /// or a scenario that can't be used.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let done = parse(args).map_err(|e| usage(e.to_string())).and_then(|options| {
-        let level = options.log_level.unwrap_or(tracing::Level::INFO);
-        let log =
-            tracing_subscriber::fmt().with_writer(std::io::stderr).with_max_level(level).with_target(false);
-        // Only the first one of a process holds: a second call from a test changes nothing.
-        let _ = if options.log_json { log.json().try_init() } else { log.with_ansi(false).try_init() };
-        command(&options)
-    });
+    let done = parse(args)
+        .map_err(|e| usage(e.to_string()))
+        .and_then(|options| {
+            let level = options.log_level.unwrap_or(tracing::Level::INFO);
+            let log = tracing_subscriber::fmt()
+                .with_writer(std::io::stderr)
+                .with_max_level(level)
+                .with_target(false);
+            // Only the first one of a process holds: a second call from a test changes nothing.
+            let _ = if options.log_json {
+                log.json().try_init()
+            } else {
+                log.with_ansi(false).try_init()
+            };
+            command(&options)
+        });
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(Failure::Usage(text)) => {
@@ -214,13 +236,21 @@
         ["stand-ins", path] => stand_ins(options, &scenario(Path::new(path))?),
         [] => Err(usage("a command is missing")),
         ["compare", ..] => Err(usage("compare takes two folders or more")),
-        other => Err(usage(format!("'{}' is no command, or not with these words", other.join(" ")))),
+        other => Err(usage(format!(
+            "'{}' is no command, or not with these words",
+            other.join(" ")
+        ))),
     }
 }
 
 /// Where the system's programs are.
 fn programs(options: &Options) -> PathBuf {
-    let beside = || trial::program().parent().map(Path::to_path_buf).unwrap_or_default();
+    let beside = || {
+        trial::program()
+            .parent()
+            .map(Path::to_path_buf)
+            .unwrap_or_default()
+    };
     options.programs.clone().unwrap_or_else(beside)
 }
 
@@ -233,8 +263,11 @@
         seconds: options.seconds.unwrap_or(10.0),
         programs: programs(options),
     };
-    if !(1..=9).contains(&plan.zones) || !(1..=3_000).contains(&plan.agents) || plan.items > 20_000 {
-        return Err(usage("1 to 9 zones, 1 to 3,000 agents, 20,000 items at most"));
+    if !(1..=9).contains(&plan.zones) || !(1..=3_000).contains(&plan.agents) || plan.items > 20_000
+    {
+        return Err(usage(
+            "1 to 9 zones, 1 to 3,000 agents, 20,000 items at most",
+        ));
     }
     if !(0.5..=600.0).contains(&plan.seconds) {
         return Err(usage("--seconds: a calm has 0.5 to 600"));
@@ -260,12 +293,19 @@
     }
     let played = system::play(&plan, &*stopped()?).map_err(fault)?;
     print!("{}", played.text());
-    if played.holds() { Ok(()) } else { Err(fault("something that must hold does not")) }
+    if played.holds() {
+        Ok(())
+    } else {
+        Err(fault("something that must hold does not"))
+    }
 }
 
 fn fleet(options: &Options, trouble: &str) -> Result<(), Failure> {
-    let trouble = Trouble::named(trouble)
-        .ok_or_else(|| usage(format!("'{trouble}' is none of calm, restart, zone and replace")))?;
+    let trouble = Trouble::named(trouble).ok_or_else(|| {
+        usage(format!(
+            "'{trouble}' is none of calm, restart, zone and replace"
+        ))
+    })?;
     let usual = Shape::default();
     let shape = Shape {
         gateways: options.gateways.unwrap_or(usual.gateways),
@@ -274,7 +314,9 @@
         ..usual
     };
     if !(1..=1_000).contains(&shape.gateways) || !(10..=1_000).contains(&shape.servers) {
-        return Err(usage("a fleet has 1 to 1,000 gateways and 10 to 1,000 servers"));
+        return Err(usage(
+            "a fleet has 1 to 1,000 gateways and 10 to 1,000 servers",
+        ));
     }
     let totals = fleet::play(&shape, trouble);
     if options.json {
@@ -286,17 +328,21 @@
 }
 
 fn scenario(path: &Path) -> Result<Scenario, Failure> {
-    let text = std::fs::read_to_string(path).map_err(|e| fault(format!("{}: {e}", path.display())))?;
+    let text =
+        std::fs::read_to_string(path).map_err(|e| fault(format!("{}: {e}", path.display())))?;
     Scenario::read(&text).map_err(|e| fault(format!("{}: {e}", path.display())))
 }
 
 fn seconds(mut scenario: Scenario, options: &Options) -> Result<Scenario, Failure> {
     if let Some(seconds) = options.seconds {
         scenario.seconds = seconds;
-        scenario.check().map_err(|e| usage(format!("--seconds: {e}")))?;
+        scenario
+            .check()
+            .map_err(|e| usage(format!("--seconds: {e}")))?;
     }
     if let Some(path) = &options.shared {
-        let text = std::fs::read_to_string(path).map_err(|e| fault(format!("{}: {e}", path.display())))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|e| fault(format!("{}: {e}", path.display())))?;
         let file = serde_json::from_str(&text).map_err(|e| usage(format!("--shared: {e}")))?;
         scenario.limiters.shared = Some(file);
     }
@@ -307,9 +353,14 @@
 /// Guards against limiters left running where the terminal of a run goes away.
 fn stopped() -> Result<Arc<AtomicBool>, Failure> {
     let stop = Arc::new(AtomicBool::new(false));
-    for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM, signal_hook::consts::SIGHUP] {
+    for signal in [
+        signal_hook::consts::SIGINT,
+        signal_hook::consts::SIGTERM,
+        signal_hook::consts::SIGHUP,
+    ] {
         // A second signal ends the program at once: nobody has to wait for a run that hangs.
-        signal_hook::flag::register_conditional_shutdown(signal, 130, stop.clone()).map_err(fault)?;
+        signal_hook::flag::register_conditional_shutdown(signal, 130, stop.clone())
+            .map_err(fault)?;
         signal_hook::flag::register(signal, stop.clone()).map_err(fault)?;
     }
     Ok(stop)
@@ -322,7 +373,14 @@
     }
     let seed = options.seed.unwrap_or(scenario.seed);
     let schedule = Schedule::lay(&scenario, seed, scenario.limiters.count);
-    send(options, scenario, schedule, seed, options.report.as_deref(), stopped()?)
+    send(
+        options,
+        scenario,
+        schedule,
+        seed,
+        options.report.as_deref(),
+        stopped()?,
+    )
 }
 
 fn send(
@@ -349,28 +407,49 @@
     } else {
         None
     };
-    let targets = trial.as_ref().map_or_else(|| options.targets.clone(), Trial::targets);
+    let targets = trial
+        .as_ref()
+        .map_or_else(|| options.targets.clone(), Trial::targets);
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let threads = match scenario.generator.threads {
         0 => driver::threads_for(requests as f64 / scenario.seconds, cores),
         threads => threads,
     };
-    let setup = Arc::new(Setup { scenario, schedule, targets: targets.len(), seed });
-    tracing::info!(requests, seconds = setup.scenario.seconds, threads, "sending");
+    let setup = Arc::new(Setup {
+        scenario,
+        schedule,
+        targets: targets.len(),
+        seed,
+    });
+    tracing::info!(
+        requests,
+        seconds = setup.scenario.seconds,
+        threads,
+        "sending"
+    );
     let before = trial.as_ref().map(Trial::cpu_us);
     if let Some(trial) = &mut trial {
         trial.begin(&setup.scenario);
     }
-    let progress = Progress { stop, ..Progress::default() };
+    let progress = Progress {
+        stop,
+        ..Progress::default()
+    };
     let outcomes = watched(&setup, &targets, threads, &progress)?;
     let mut summary = Summary::of(&setup, &outcomes);
     if let (Some(trial), Some(before)) = (trial, before) {
         let after = trial.cpu_us();
-        summary.limiter_cpu_us = after.iter().zip(&before).map(|(a, b)| a.saturating_sub(*b)).collect();
+        summary.limiter_cpu_us = after
+            .iter()
+            .zip(&before)
+            .map(|(a, b)| a.saturating_sub(*b))
+            .collect();
         summary.world = Some(trial.stop());
     }
     if !summary.adds_up {
-        return Err(fault("the outcomes do not add up to what was offered: a fault of this program"));
+        return Err(fault(
+            "the outcomes do not add up to what was offered: a fault of this program",
+        ));
     }
     if let Some(folder) = folder {
         report::write(folder, &setup, &outcomes.tries, &summary).map_err(fault)?;
@@ -395,9 +474,9 @@
         return driver::run(setup, targets, threads, progress).map_err(fault);
     }
     let bar = ProgressBar::new(setup.schedule.requests.len() as u64);
-    if let Ok(style) =
-        ProgressStyle::with_template("{wide_bar} {pos}/{len} requests, {msg} tries ended, {eta} left")
-    {
+    if let Ok(style) = ProgressStyle::with_template(
+        "{wide_bar} {pos}/{len} requests, {msg} tries ended, {eta} left",
+    ) {
         bar.set_style(style);
     }
     let over = AtomicBool::new(false);
@@ -417,8 +496,11 @@
 }
 
 fn compare(options: &Options, folders: &[&str]) -> Result<(), Failure> {
-    let read =
-        |folder: &&str| report::read(Path::new(folder)).map(|s| (folder.to_string(), s)).map_err(fault);
+    let read = |folder: &&str| {
+        report::read(Path::new(folder))
+            .map(|s| (folder.to_string(), s))
+            .map_err(fault)
+    };
     let runs = folders.iter().map(read).collect::<Result<Vec<_>, _>>()?;
     shown(options, "compare.html", report::compare(&runs))
 }
@@ -434,7 +516,12 @@
 
 /// Puts a value at a path such as `arrivals.0.rate` or `arrivals[0].rate`.
 fn put(text: &mut Json, path: &str, value: Json) -> Result<(), Failure> {
-    let parts: Vec<String> = path.replace('[', ".").replace(']', "").split('.').map(str::to_string).collect();
+    let parts: Vec<String> = path
+        .replace('[', ".")
+        .replace(']', "")
+        .split('.')
+        .map(str::to_string)
+        .collect();
     let mut at = text;
     for part in &parts {
         at = match at {
@@ -460,16 +547,21 @@
     let (Some(key), Some(values)) = (&options.key, &options.values) else {
         return Err(usage("sweep needs --key and --values"));
     };
-    let text = std::fs::read_to_string(path).map_err(|e| fault(format!("{}: {e}", path.display())))?;
-    let base: Json =
-        serde_json::from_str(&text).map_err(|e| fault(format!("{}: not JSON: {e}", path.display())))?;
+    let text =
+        std::fs::read_to_string(path).map_err(|e| fault(format!("{}: {e}", path.display())))?;
+    let base: Json = serde_json::from_str(&text)
+        .map_err(|e| fault(format!("{}: not JSON: {e}", path.display())))?;
     let mut scenarios = Vec::new();
     for value in values.split(',').map(str::trim) {
         let mut text = base.clone();
-        put(&mut text, key, serde_json::from_str(value).unwrap_or_else(|_| Json::String(value.to_string())))?;
+        put(
+            &mut text,
+            key,
+            serde_json::from_str(value).unwrap_or_else(|_| Json::String(value.to_string())),
+        )?;
         // All are checked before the first one runs.
-        let scenario =
-            Scenario::read(&text.to_string()).map_err(|e| fault(format!("{key} = {value}: {e}")))?;
+        let scenario = Scenario::read(&text.to_string())
+            .map_err(|e| fault(format!("{key} = {value}: {e}")))?;
         scenarios.push((value.to_string(), seconds(scenario, options)?));
     }
     let stop = stopped()?;
@@ -480,9 +572,22 @@
         }
         let seed = options.seed.unwrap_or(scenario.seed);
         let schedule = Schedule::lay(&scenario, seed, scenario.limiters.count);
-        let folder = options.report.as_ref().map(|f| f.join(value.replace('/', "-")));
+        let folder = options
+            .report
+            .as_ref()
+            .map(|f| f.join(value.replace('/', "-")));
         println!("{key} = {value}");
-        runs.push((value, send(options, scenario, schedule, seed, folder.as_deref(), stop.clone())?));
+        runs.push((
+            value,
+            send(
+                options,
+                scenario,
+                schedule,
+                seed,
+                folder.as_deref(),
+                stop.clone(),
+            )?,
+        ));
         if stop.load(Ordering::Relaxed) {
             break;
         }
@@ -497,8 +602,16 @@
         None => None,
     };
     Ok(mend::Mending {
-        duplicates: if options.drop_duplicates { mend::Duplicates::Drop } else { mend::Duplicates::Keep },
-        gaps: if options.close_gaps { mend::Gaps::Close } else { mend::Gaps::Keep },
+        duplicates: if options.drop_duplicates {
+            mend::Duplicates::Drop
+        } else {
+            mend::Duplicates::Keep
+        },
+        gaps: if options.close_gaps {
+            mend::Gaps::Close
+        } else {
+            mend::Gaps::Keep
+        },
         gap,
     })
 }
@@ -508,7 +621,11 @@
         "out of order: {} (sorted)\nduplicates: {} ({})\ngaps: {}, {:.3} s in all, the longest {:.3} s ({})",
         found.out_of_order,
         found.duplicates,
-        if options.drop_duplicates { "dropped" } else { "kept" },
+        if options.drop_duplicates {
+            "dropped"
+        } else {
+            "kept"
+        },
         found.gaps,
         found.in_gaps as f64 / 1e6,
         found.longest_gap as f64 / 1e6,
@@ -519,13 +636,23 @@
 fn import(options: &Options, from: &Path, to: &Path) -> Result<(), Failure> {
     let mending = mending(options)?;
     let file = File::open(from).map_err(|e| fault(format!("{}: {e}", from.display())))?;
-    let csv = from.extension().is_some_and(|e| e.eq_ignore_ascii_case("csv"));
-    let read = if csv { trace::read::csv(file) } else { trace::read::json_lines(BufReader::new(file)) };
+    let csv = from
+        .extension()
+        .is_some_and(|e| e.eq_ignore_ascii_case("csv"));
+    let read = if csv {
+        trace::read::csv(file)
+    } else {
+        trace::read::json_lines(BufReader::new(file))
+    };
     let mut rows = read.map_err(|e| fault(format!("{}: {e}", from.display())))?;
     let count = rows.len();
     let found = mend::mend(&mut rows, &mending);
     trace::store::write(to, &rows).map_err(fault)?;
-    println!("read: {count} requests\n{}\nwritten: {} requests", odd(&found, options), rows.len());
+    println!(
+        "read: {count} requests\n{}\nwritten: {} requests",
+        odd(&found, options),
+        rows.len()
+    );
     Ok(())
 }
 
@@ -535,7 +662,8 @@
     let span = rows.last().map_or(0.0, |r| r.at as f64 / 1e6);
     let accounts: std::collections::HashSet<u64> = rows.iter().map(|r| r.account).collect();
     let mut seconds = vec![0_u64; span as usize + 1];
-    rows.iter().for_each(|r| seconds[(r.at / 1_000_000) as usize] += 1);
+    rows.iter()
+        .for_each(|r| seconds[(r.at / 1_000_000) as usize] += 1);
     let busiest = seconds.iter().max().copied().unwrap_or(0);
     println!(
         "requests: {}\nlength: {span:.3} s\na second: {:.1} on average, {busiest} in the busiest\ncustomers: {}\n{}",
@@ -544,10 +672,16 @@
         accounts.len(),
         odd(&found, options)
     );
-    for (what, get) in [("plan", (|r| &r.plan) as fn(&trace::Row) -> &String), ("class", |r| &r.class)] {
+    for (what, get) in [
+        ("plan", (|r| &r.plan) as fn(&trace::Row) -> &String),
+        ("class", |r| &r.class),
+    ] {
         let mut counts = std::collections::BTreeMap::<&str, usize>::new();
-        rows.iter().for_each(|r| *counts.entry(get(r)).or_default() += 1);
-        counts.iter().for_each(|(name, count)| println!("{what} {name}: {count}"));
+        rows.iter()
+            .for_each(|r| *counts.entry(get(r)).or_default() += 1);
+        counts
+            .iter()
+            .for_each(|(name, count)| println!("{what} {name}: {count}"));
     }
     Ok(())
 }
@@ -555,7 +689,9 @@
 fn replay(options: &Options, path: &Path) -> Result<(), Failure> {
     let speed = options.speed.unwrap_or(1.0);
     if !(1e-3..=1e6).contains(&speed) {
-        return Err(usage(format!("--speed: {speed} is not between 0.001 and 1000000")));
+        return Err(usage(format!(
+            "--speed: {speed} is not between 0.001 and 1000000"
+        )));
     }
     let mut rows = trace::store::read(path).map_err(fault)?;
     if rows.is_empty() {
@@ -564,7 +700,10 @@
     mend::mend(&mut rows, &mending(options)?);
     let mut scenario = match &options.scenario {
         Some(path) => scenario(path)?,
-        None => Scenario { name: format!("Replay of {}", path.display()), ..Scenario::default() },
+        None => Scenario {
+            name: format!("Replay of {}", path.display()),
+            ..Scenario::default()
+        },
     };
     if !options.targets.is_empty() {
         scenario.limiters.count = options.targets.len();
@@ -572,7 +711,15 @@
     let seed = options.seed.unwrap_or(scenario.seed);
     let limiters = scenario.limiters.count;
     let schedule = trace::replay::lay(&mut scenario, &rows, limiters, speed);
-    send(options, scenario, schedule, seed, options.report.as_deref(), stopped()?).map(drop)
+    send(
+        options,
+        scenario,
+        schedule,
+        seed,
+        options.report.as_deref(),
+        stopped()?,
+    )
+    .map(drop)
 }
 
 fn stand_ins(options: &Options, scenario: &Scenario) -> Result<(), Failure> {
@@ -581,16 +728,23 @@
     let peers = trial::datagram_addresses(scenario.limiters.count).map_err(fault)?;
     for number in 0..scenario.limiters.count {
         let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        println!("{}", trial::configuration(scenario, seed, number, listen, &peers, &world));
+        println!(
+            "{}",
+            trial::configuration(scenario, seed, number, listen, &peers, &world)
+        );
     }
     let stop = stopped()?;
     world.begin((scenario.seconds * 1e6) as crate::Micros);
     // As long as it is wanted; without --seconds until a signal.
-    let until =
-        options.seconds.map(|s| std::time::Instant::now() + Duration::from_secs_f64(s.clamp(0.0, 86_400.0)));
+    let until = options
+        .seconds
+        .map(|s| std::time::Instant::now() + Duration::from_secs_f64(s.clamp(0.0, 86_400.0)));
     while !stop.load(Ordering::Relaxed) && until.is_none_or(|at| std::time::Instant::now() < at) {
         std::thread::sleep(Duration::from_millis(50));
     }
-    eprintln!("{}", serde_json::to_string(&world.stop()).unwrap_or_default());
+    eprintln!(
+        "{}",
+        serde_json::to_string(&world.stop()).unwrap_or_default()
+    );
     Ok(())
 }
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -70,26 +70,39 @@
     let most = (setup.scenario.generator.connections / threads).max(1);
     reactor::room_for(setup.scenario.generator.connections + 64 * threads);
     let start = Instant::now();
-    let reactors: Vec<Reactor> = (0..threads).map(|_| Reactor::new()).collect::<io::Result<_>>()?;
-    let clients = reactors.into_iter().enumerate().map(|(part, reactor)| Clients {
-        setup: setup.clone(),
-        generator: Generator::new(setup.clone(), part, threads),
-        reactor,
-        targets: targets
-            .iter()
-            .map(|at| Target { at: *at, idle: Vec::new(), waiting: VecDeque::new(), rising: 0 })
-            .collect(),
-        lines: Slab::new(),
-        by_token: BTreeMap::new(),
-        most,
-        start,
-        outcomes: Outcomes::default(),
-        buffer: vec![0; READ],
-    });
+    let reactors: Vec<Reactor> = (0..threads)
+        .map(|_| Reactor::new())
+        .collect::<io::Result<_>>()?;
+    let clients = reactors
+        .into_iter()
+        .enumerate()
+        .map(|(part, reactor)| Clients {
+            setup: setup.clone(),
+            generator: Generator::new(setup.clone(), part, threads),
+            reactor,
+            targets: targets
+                .iter()
+                .map(|at| Target {
+                    at: *at,
+                    idle: Vec::new(),
+                    waiting: VecDeque::new(),
+                    rising: 0,
+                })
+                .collect(),
+            lines: Slab::new(),
+            by_token: BTreeMap::new(),
+            most,
+            start,
+            outcomes: Outcomes::default(),
+            buffer: vec![0; READ],
+        });
     let parts: Vec<Outcomes> = std::thread::scope(|scope| {
         let run = |clients: Clients| scope.spawn(move || clients.run(progress));
         let running: Vec<_> = clients.map(run).collect();
-        running.into_iter().filter_map(|thread| thread.join().ok()).collect()
+        running
+            .into_iter()
+            .filter_map(|thread| thread.join().ok())
+            .collect()
     });
     if parts.len() < threads {
         return Err(io::Error::other("a part of the generator ended in a panic"));
@@ -171,8 +184,12 @@
                 }
             }
             let (more_taken, more_ended) = self.generator.progress();
-            progress.taken.fetch_add((more_taken - taken) as u64, Ordering::Relaxed);
-            progress.ended.fetch_add((more_ended - ended) as u64, Ordering::Relaxed);
+            progress
+                .taken
+                .fetch_add((more_taken - taken) as u64, Ordering::Relaxed);
+            progress
+                .ended
+                .fetch_add((more_ended - ended) as u64, Ordering::Relaxed);
             (taken, ended) = (more_taken, more_ended);
             if progress.stop.load(Ordering::Relaxed) && ends.is_none() {
                 self.generator.interrupt();
@@ -183,7 +200,10 @@
             if self.generator.done() || ends.is_some_and(|at| at <= now) {
                 break;
             }
-            let wait = self.generator.next().map_or(LOOK, |at| (at - now).clamp(0, LOOK));
+            let wait = self
+                .generator
+                .next()
+                .map_or(LOOK, |at| (at - now).clamp(0, LOOK));
             if self.reactor.wait(Some(wait), &mut ready).is_err() {
                 // Guards against a loop that fails at once for ever.
                 std::thread::sleep(std::time::Duration::from_millis(1));
@@ -221,7 +241,9 @@
                     self.targets[target].rising += 1;
                 }
                 Err(error) if refused(&error) => {
-                    let Some((token, _)) = self.targets[target].waiting.pop_front() else { return };
+                    let Some((token, _)) = self.targets[target].waiting.pop_front() else {
+                        return;
+                    };
                     self.generator.ended(token, self.now(), End::NotSent);
                 }
                 Err(_) => {
@@ -235,7 +257,9 @@
 
     /// Closes an idle connection to another target, if there is one, to make room.
     fn spare(&mut self) -> bool {
-        let Some(at) = self.targets.iter_mut().find_map(|t| t.idle.pop()) else { return false };
+        let Some(at) = self.targets.iter_mut().find_map(|t| t.idle.pop()) else {
+            return false;
+        };
         self.lines.remove(at);
         true
     }
@@ -243,7 +267,10 @@
     /// Drops the tries at the head of a queue whose clients have given up meanwhile.
     fn pass_over(&mut self, target: usize) {
         let waiting = &mut self.targets[target].waiting;
-        while waiting.front().is_some_and(|(token, sending)| !self.generator.waits(*token, sending.id)) {
+        while waiting
+            .front()
+            .is_some_and(|(token, sending)| !self.generator.waits(*token, sending.id))
+        {
             waiting.pop_front();
         }
     }
@@ -264,13 +291,24 @@
         let at = self.lines.vacant_key();
         self.reactor.add(&socket, at as u64)?;
         let (out, read) = (Vec::new(), Vec::new());
-        self.lines.insert(Line { socket, target, up: false, token: None, out, done: 0, read, used: false });
+        self.lines.insert(Line {
+            socket,
+            target,
+            up: false,
+            token: None,
+            out,
+            done: 0,
+            read,
+            used: false,
+        });
         Ok(at)
     }
 
     fn start_on(&mut self, at: usize, token: usize, sending: &Sending) {
         let now = self.now();
-        let Some(line) = self.lines.get_mut(at) else { return };
+        let Some(line) = self.lines.get_mut(at) else {
+            return;
+        };
         line.token = Some(token);
         line.out.clear();
         line.done = 0;
@@ -288,7 +326,9 @@
 
     fn ready(&mut self, event: &Ready) {
         let at = event.token as usize;
-        let Some(line) = self.lines.get_mut(at) else { return };
+        let Some(line) = self.lines.get_mut(at) else {
+            return;
+        };
         if !line.up {
             if !event.writable && !event.readable {
                 return;
@@ -314,7 +354,9 @@
 
     fn write(&mut self, at: usize) {
         loop {
-            let Some(line) = self.lines.get_mut(at) else { return };
+            let Some(line) = self.lines.get_mut(at) else {
+                return;
+            };
             if line.token.is_none() || line.done == line.out.len() {
                 return;
             }
@@ -339,7 +381,9 @@
 
     fn read(&mut self, at: usize, to_the_end: bool) {
         loop {
-            let Some(line) = self.lines.get_mut(at) else { return };
+            let Some(line) = self.lines.get_mut(at) else {
+                return;
+            };
             match line.socket.read(&mut self.buffer) {
                 Ok(0) => {
                     if !self.answer(at, true) && !self.renew(at) {
@@ -365,8 +409,12 @@
 
     /// Takes an answer if it is whole; whether it was.
     fn answer(&mut self, at: usize, ended: bool) -> bool {
-        let Some(line) = self.lines.get_mut(at) else { return true };
-        let Some(token) = line.token else { return false };
+        let Some(line) = self.lines.get_mut(at) else {
+            return true;
+        };
+        let Some(token) = line.token else {
+            return false;
+        };
         let whole = match http::answer(&line.read, ended) {
             Ok(Some(answer)) => answer,
             Ok(None) => return false,
@@ -388,8 +436,12 @@
         if !keep {
             self.lines.remove(at);
         }
-        let end = End::Answered { status: whole.status, retry_after: whole.retry_after };
-        self.generator.ended(token, now, if sound { end } else { End::Broken });
+        let end = End::Answered {
+            status: whole.status,
+            retry_after: whole.retry_after,
+        };
+        self.generator
+            .ended(token, now, if sound { end } else { End::Broken });
         if keep {
             self.free(at);
         }
@@ -400,12 +452,17 @@
     /// closed in order before any byte of an answer: the close crossed the request. A reset tells nothing of the kind
     /// and is a failure.
     fn renew(&mut self, at: usize) -> bool {
-        let Some(line) = self.lines.get(at).filter(|l| l.used && l.read.is_empty() && l.token.is_some())
+        let Some(line) = self
+            .lines
+            .get(at)
+            .filter(|l| l.used && l.read.is_empty() && l.token.is_some())
         else {
             return false;
         };
         let target = line.target;
-        let Ok(fresh) = self.open(target) else { return false };
+        let Ok(fresh) = self.open(target) else {
+            return false;
+        };
         self.outcomes.opened += 1;
         self.targets[target].rising += 1;
         let old = self.lines.remove(at);
@@ -416,7 +473,9 @@
     }
 
     fn broken(&mut self, at: usize) {
-        let Some(line) = self.lines.try_remove(at) else { return };
+        let Some(line) = self.lines.try_remove(at) else {
+            return;
+        };
         let target = &mut self.targets[line.target];
         target.idle.retain(|idle| *idle != at);
         target.rising -= usize::from(!line.up);
@@ -430,13 +489,16 @@
         self.by_token.remove(&token);
         let whole = line.done == line.out.len() && line.up;
         let now = self.now();
-        self.generator.ended(token, now, if whole { End::Broken } else { End::NotSent });
+        self.generator
+            .ended(token, now, if whole { End::Broken } else { End::NotSent });
     }
 }
 
 fn refused(error: &io::Error) -> bool {
     matches!(
         error.kind(),
-        io::ErrorKind::ConnectionRefused | io::ErrorKind::HostUnreachable | io::ErrorKind::NetworkUnreachable
+        io::ErrorKind::ConnectionRefused
+            | io::ErrorKind::HostUnreachable
+            | io::ErrorKind::NetworkUnreachable
     )
 }
--- a/crates/load/src/fleet/mod.rs
+++ b/crates/load/src/fleet/mod.rs
@@ -14,8 +14,8 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 use streamarch::{
-    Action, AttemptEnd, Balancer, Class, CustomerId, Event, ListKind, Outcome, Plan, Repeat, Request,
-    RequestId, ServerEntry, ServerId, ServerState, Settings,
+    Action, AttemptEnd, Balancer, Class, CustomerId, Event, ListKind, Outcome, Plan, Repeat,
+    Request, RequestId, ServerEntry, ServerId, ServerState, Settings,
 };
 
 use self::world::{Counter, Node, Quota};
@@ -56,7 +56,10 @@
             ("zone", Trouble::Zone),
             ("replace", Trouble::Replace),
         ];
-        names.iter().find(|(n, _)| *n == name).map(|(_, trouble)| *trouble)
+        names
+            .iter()
+            .find(|(n, _)| *n == name)
+            .map(|(_, trouble)| *trouble)
     }
 }
 
@@ -80,7 +83,14 @@
 impl Default for Shape {
     fn default() -> Shape {
         let (customers_per_server, calls_per_server) = (5, 5.2);
-        Shape { gateways: 100, servers: 60, customers_per_server, spread: 0.7, calls_per_server, seed: 1 }
+        Shape {
+            gateways: 100,
+            servers: 60,
+            customers_per_server,
+            spread: 0.7,
+            calls_per_server,
+            seed: 1,
+        }
     }
 }
 
@@ -153,22 +163,74 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let percent = |count| 100.0 * self.each(count);
         writeln!(f, "{} requests in {} s", self.asked, self.seconds)?;
-        writeln!(f, "served in time             {:>8.1} %", percent(self.served))?;
-        writeln!(f, "declined for the quota     {:>8.1} %", percent(self.over_quota))?;
-        writeln!(f, "  with half of it unused   {:>8.1} %", percent(self.with_room))?;
-        writeln!(f, "declined, no server        {:>8.1} %", percent(self.no_server))?;
-        writeln!(f, "failed                     {:>8.1} %", percent(self.failed))?;
-        writeln!(f, "quotas used                {:>8.1} % of what one gateway would", 100.0 * self.kept())?;
-        writeln!(f, "units beyond quotas        {:>8.1} %", 100.0 * self.beyond_share())?;
-        writeln!(f, "legs a request             {:>8.3}", self.each(self.legs))?;
+        writeln!(
+            f,
+            "served in time             {:>8.1} %",
+            percent(self.served)
+        )?;
+        writeln!(
+            f,
+            "declined for the quota     {:>8.1} %",
+            percent(self.over_quota)
+        )?;
+        writeln!(
+            f,
+            "  with half of it unused   {:>8.1} %",
+            percent(self.with_room)
+        )?;
+        writeln!(
+            f,
+            "declined, no server        {:>8.1} %",
+            percent(self.no_server)
+        )?;
+        writeln!(
+            f,
+            "failed                     {:>8.1} %",
+            percent(self.failed)
+        )?;
+        writeln!(
+            f,
+            "quotas used                {:>8.1} % of what one gateway would",
+            100.0 * self.kept()
+        )?;
+        writeln!(
+            f,
+            "units beyond quotas        {:>8.1} %",
+            100.0 * self.beyond_share()
+        )?;
+        writeln!(
+            f,
+            "legs a request             {:>8.3}",
+            self.each(self.legs)
+        )?;
         writeln!(f, "legs that never ran        {:>8}", self.unrun)?;
-        writeln!(f, "connections a request      {:>8.3}", self.each(self.opened))?;
+        writeln!(
+            f,
+            "connections a request      {:>8.3}",
+            self.each(self.opened)
+        )?;
         writeln!(f, "probes                     {:>8}", self.probes)?;
-        writeln!(f, "calls a second             {:>8.1}", self.a_second(self.calls))?;
-        writeln!(f, "messages a second          {:>8.1}", self.a_second(self.messages))?;
+        writeln!(
+            f,
+            "calls a second             {:>8.1}",
+            self.a_second(self.calls)
+        )?;
+        writeln!(
+            f,
+            "messages a second          {:>8.1}",
+            self.a_second(self.messages)
+        )?;
         writeln!(f, "most for one in a second   {:>8}", self.most_messages)?;
-        writeln!(f, "cold server pushed         {:>8.2} of what makes it fall", self.pushed)?;
-        writeln!(f, "decisions                  {:>8.1} us a request, of this machine", self.decision_us)
+        writeln!(
+            f,
+            "cold server pushed         {:>8.2} of what makes it fall",
+            self.pushed
+        )?;
+        writeln!(
+            f,
+            "decisions                  {:>8.1} us a request, of this machine",
+            self.decision_us
+        )
     }
 }
 
@@ -225,7 +287,13 @@
 }
 
 fn settings(gateways: usize) -> Settings {
-    let plan = |rate, burst, price, over_cost| Plan { rate, burst, price, over_cost, ..Plan::default() };
+    let plan = |rate, burst, price, over_cost| Plan {
+        rate,
+        burst,
+        price,
+        over_cost,
+        ..Plan::default()
+    };
     let class = |worth, aim, repeat| Class {
         aim,
         deadline: 4 * SECOND,
@@ -237,7 +305,11 @@
     Settings {
         gateways: gateways as u32,
         classes: vec![class(1.0, 1_500 * MS, Repeat::Safe)],
-        plans: vec![plan(1.2, 8.0, 0.8, 0.0), plan(2.9, 16.0, 1.3, 0.6), plan(8.8, 13.0, 1.8, 1.0)],
+        plans: vec![
+            plan(1.2, 8.0, 0.8, 0.0),
+            plan(2.9, 16.0, 1.3, 0.6),
+            plan(8.8, 13.0, 1.8, 1.0),
+        ],
         period: MS,
         counter: true,
         counter_timeout: 30 * MS,
@@ -279,7 +351,12 @@
             let plan = [0, 0, 1, 1, 2][number as usize % 5];
             let quota = Quota::full(&settings.plans[plan], START);
             let first = random.random_range(0..settings.gateways);
-            customers.push(Customer { plan, quota, alone: quota, first });
+            customers.push(Customer {
+                plan,
+                quota,
+                alone: quota,
+                first,
+            });
             let asks = settings.plans[plan].rate * if number % 10 == 4 { 3.0 } else { 0.45 };
             units_a_second += asks;
             asking.extend(std::iter::repeat_n(number, (asks * 100.0) as usize));
@@ -289,7 +366,9 @@
             spread: ((shape.spread * shape.gateways as f64) as u32).clamp(1, settings.gateways),
             gateways: Vec::new(),
             nodes: vec![Node::default(); shape.servers as usize],
-            listed: (0..shape.servers as usize).map(|n| entry(n, ServerState::Ready, 0)).collect(),
+            listed: (0..shape.servers as usize)
+                .map(|n| entry(n, ServerState::Ready, 0))
+                .collect(),
             customers,
             asking,
             per_step: units_a_second * STEP as f64 / SECOND as f64,
@@ -315,7 +394,10 @@
     }
 
     fn fresh(&mut self, number: usize) -> Balancer {
-        let settings = Settings { own_number: number as u32, ..self.settings.clone() };
+        let settings = Settings {
+            own_number: number as u32,
+            ..self.settings.clone()
+        };
         Balancer::new(settings, self.random.random())
     }
 
@@ -360,7 +442,8 @@
     /// Another server is there for one that drains.
     fn replace_one(&mut self, n: usize) {
         self.listed[n].state = ServerState::Draining;
-        self.listed.push(entry(self.nodes.len(), ServerState::Ready, self.now));
+        self.listed
+            .push(entry(self.nodes.len(), ServerState::Ready, self.now));
         self.nodes.push(Node::started(self.now));
     }
 
@@ -380,7 +463,8 @@
 
     fn later(&mut self, wait: Micros, gateway: usize, event: Event) {
         self.number += 1;
-        self.due.insert((self.now + wait, self.number), (gateway, event));
+        self.due
+            .insert((self.now + wait, self.number), (gateway, event));
     }
 
     fn run(&mut self, time: Micros) {
@@ -406,7 +490,11 @@
 
     fn finish(mut self) -> Totals {
         self.totals.seconds = (self.now - START) as f64 / SECOND as f64;
-        self.totals.pushed = self.nodes.iter().map(|node| node.pushed).fold(0.0, f64::max);
+        self.totals.pushed = self
+            .nodes
+            .iter()
+            .map(|node| node.pushed)
+            .fold(0.0, f64::max);
         self.totals.decision_us = self.busy.as_micros() as f64 / self.totals.asked.max(1) as f64;
         self.totals
     }
@@ -414,16 +502,30 @@
     // ----------------------------------------------------------------------------------- hosting
 
     fn ask(&mut self) {
-        let Some(customer) = self.asking.choose(&mut self.random).copied() else { return };
+        let Some(customer) = self.asking.choose(&mut self.random).copied() else {
+            return;
+        };
         let known = &mut self.customers[customer as usize];
         let (plan, first) = (known.plan, known.first);
-        self.totals.could += f64::from(u8::from(known.alone.take(&self.settings.plans[plan], self.now, 1.0)));
-        let gateway = (first + self.random.random_range(0..self.spread)) as usize % self.gateways.len();
+        self.totals.could += f64::from(u8::from(known.alone.take(
+            &self.settings.plans[plan],
+            self.now,
+            1.0,
+        )));
+        let gateway =
+            (first + self.random.random_range(0..self.spread)) as usize % self.gateways.len();
         self.number += 1;
         let (id, customer) = (RequestId(self.number), CustomerId(customer));
         let deadline = self.now + 4 * SECOND;
         let (spread, class, units, again) = (self.spread, 0, 1.0, false);
-        self.open.insert(id, Open { customer, attempts: 0, leg: None });
+        self.open.insert(
+            id,
+            Open {
+                customer,
+                attempts: 0,
+                leg: None,
+            },
+        );
         self.totals.asked += 1;
         let request = Request {
             id,
@@ -442,13 +544,25 @@
 
     /// A leg that has ended before, by the host's own doing, ends once only.
     fn ends(&mut self, gateway: usize, end: &AttemptEnd) -> bool {
-        let Some(open) = self.open.get_mut(&end.request) else { return false };
-        if open.leg.take_if(|(attempt, ..)| *attempt == end.attempt).is_none() {
+        let Some(open) = self.open.get_mut(&end.request) else {
+            return false;
+        };
+        if open
+            .leg
+            .take_if(|(attempt, ..)| *attempt == end.attempt)
+            .is_none()
+        {
             return false;
         }
-        self.totals.unrun += u64::from(matches!(end.outcome, Outcome::Full | Outcome::ConnectFailed));
+        self.totals.unrun += u64::from(matches!(
+            end.outcome,
+            Outcome::Full | Outcome::ConnectFailed
+        ));
         if end.outcome == Outcome::Ok {
-            self.idle.entry((gateway, end.server)).or_default().push(self.now);
+            self.idle
+                .entry((gateway, end.server))
+                .or_default()
+                .push(self.now);
             self.totals.served += u64::from(end.took <= self.settings.classes[0].aim);
         }
         if end.finished {
@@ -474,8 +588,14 @@
 
     fn act(&mut self, gateway: usize, action: Action) {
         match action {
-            Action::Send { request, server, .. } => self.send(gateway, request, server),
-            Action::Shed { request, over_quota, .. } => {
+            Action::Send {
+                request, server, ..
+            } => self.send(gateway, request, server),
+            Action::Shed {
+                request,
+                over_quota,
+                ..
+            } => {
                 self.declined(request, over_quota);
                 self.stop(gateway, request, true);
             }
@@ -487,7 +607,15 @@
             Action::Count { name, add, .. } => {
                 self.totals.calls += 1;
                 let (wait, outcome, total) = self.counter.add(self.now, name, add);
-                self.later(wait, gateway, Event::Counted { name, outcome, total });
+                self.later(
+                    wait,
+                    gateway,
+                    Event::Counted {
+                        name,
+                        outcome,
+                        total,
+                    },
+                );
             }
             Action::Tell(to, notice) => {
                 self.totals.messages += 1;
@@ -498,9 +626,20 @@
                 self.totals.probes += 1;
                 let node = &self.nodes[server.0 as usize];
                 let dead = node.silent || node.gone;
-                let (wait, outcome) =
-                    if dead { (NO_ANSWER, Outcome::TimedOut) } else { (5 * MS, Outcome::Ok) };
-                self.later(wait, gateway, Event::ProbeEnd { server, outcome, report: None });
+                let (wait, outcome) = if dead {
+                    (NO_ANSWER, Outcome::TimedOut)
+                } else {
+                    (5 * MS, Outcome::Ok)
+                };
+                self.later(
+                    wait,
+                    gateway,
+                    Event::ProbeEnd {
+                        server,
+                        outcome,
+                        report: None,
+                    },
+                );
             }
             Action::WakeAt(at) => self.later((at - self.now).max(0), gateway, Event::Timer),
             Action::WatchList | Action::Log(_) => {}
@@ -510,9 +649,13 @@
     fn declined(&mut self, request: RequestId, over_quota: bool) {
         self.totals.over_quota += u64::from(over_quota);
         self.totals.no_server += u64::from(!over_quota);
-        let Some(open) = self.open.get(&request).filter(|_| over_quota) else { return };
+        let Some(open) = self.open.get(&request).filter(|_| over_quota) else {
+            return;
+        };
         let customer = &mut self.customers[open.customer.0 as usize];
-        let room = customer.quota.has_room(&self.settings.plans[customer.plan], self.now);
+        let room = customer
+            .quota
+            .has_room(&self.settings.plans[customer.plan], self.now);
         self.totals.with_room += u64::from(room);
     }
 
@@ -535,20 +678,33 @@
     ) {
         let took = self.now + wait - sent;
         let (actual_units, report) = (None, None);
-        let end = AttemptEnd { request, attempt, server, outcome, took, finished, actual_units, report };
+        let end = AttemptEnd {
+            request,
+            attempt,
+            server,
+            outcome,
+            took,
+            finished,
+            actual_units,
+            report,
+        };
         self.later(wait, gateway, Event::AttemptEnd(end));
     }
 
     fn send(&mut self, gateway: usize, request: RequestId, server: ServerId) {
         let now = self.now;
-        let Some(open) = self.open.get_mut(&request) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
         let leg = (open.attempts, server, now);
         open.attempts += 1;
         open.leg = Some(leg);
         self.totals.legs += 1;
         if leg.0 == 0 {
             let customer = &mut self.customers[open.customer.0 as usize];
-            let inside = customer.quota.take(&self.settings.plans[customer.plan], now, 1.0);
+            let inside = customer
+                .quota
+                .take(&self.settings.plans[customer.plan], now, 1.0);
             self.totals.units += 1.0;
             self.totals.beyond += f64::from(u8::from(!inside));
         }
--- a/crates/load/src/fleet/world.rs
+++ b/crates/load/src/fleet/world.rs
@@ -33,12 +33,19 @@
 impl Node {
     /// A server that starts now, and is cold.
     pub fn started(now: Micros) -> Node {
-        Node { free: [now; CORES], started: now, ..Node::default() }
+        Node {
+            free: [now; CORES],
+            started: now,
+            ..Node::default()
+        }
     }
 
     /// It is there again, and cold.
     pub fn restart(&mut self, now: Micros) {
-        *self = Node { pushed: self.pushed, ..Node::started(now) };
+        *self = Node {
+            pushed: self.pushed,
+            ..Node::started(now)
+        };
     }
 
     /// The share of its capacity that it has.
@@ -85,7 +92,12 @@
 impl Counter {
     /// One that bears so many calls a second, and turns a call away that would wait longer than `line`.
     pub fn new(per_s: f64, line: Micros) -> Counter {
-        Counter { call: (SECOND / per_s) as Micros, line, free: 0, totals: BTreeMap::new() }
+        Counter {
+            call: (SECOND / per_s) as Micros,
+            line,
+            free: 0,
+            totals: BTreeMap::new(),
+        }
     }
 
     /// A call: how long its answer takes, and what it says.
@@ -111,7 +123,10 @@
 impl Quota {
     /// A full one.
     pub fn full(plan: &Plan, now: Micros) -> Quota {
-        Quota { level: plan.burst, at: now }
+        Quota {
+            level: plan.burst,
+            at: now,
+        }
     }
 
     fn fill(&mut self, plan: &Plan, now: Micros) {
--- a/crates/load/src/generator.rs
+++ b/crates/load/src/generator.rs
@@ -107,7 +107,9 @@
     /// The clients of every `parts`-th request, from `part` on.
     pub fn new(setup: Arc<Setup>, part: usize, parts: usize) -> Generator {
         let requests = setup.schedule.requests.len();
-        let rng = ChaCha8Rng::seed_from_u64(setup.seed ^ (part as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let rng = ChaCha8Rng::seed_from_u64(
+            setup.seed ^ (part as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        );
         Generator {
             part,
             parts: parts.max(1),
@@ -125,7 +127,11 @@
     }
 
     fn intended(&self) -> Option<&Intended> {
-        self.setup.schedule.requests.get(self.next).filter(|_| self.next < self.stop_at)
+        self.setup
+            .schedule
+            .requests
+            .get(self.next)
+            .filter(|_| self.next < self.stop_at)
     }
 
     /// When something is to be done next by the clock alone.
@@ -167,23 +173,43 @@
         ((usize::from(first) + usize::from(place)) % self.setup.targets.max(1)) as u16
     }
 
-    fn send(&mut self, request: u32, number: u8, target: u16, intended: Micros, until: Micros) -> Order {
-        let class =
-            &self.setup.scenario.classes[usize::from(self.setup.schedule.requests[request as usize].class)];
+    fn send(
+        &mut self,
+        request: u32,
+        number: u8,
+        target: u16,
+        intended: Micros,
+        until: Micros,
+    ) -> Order {
+        let class = &self.setup.scenario.classes
+            [usize::from(self.setup.schedule.requests[request as usize].class)];
         let [least, most] = class.try_share;
         let share = self.rng.random_range(least..=most);
         let deadline = until.min(intended + (class.deadline_ms * 1e3 * share) as Micros);
         let mut keys = ChaCha8Rng::seed_from_u64(self.setup.seed ^ (u64::from(request) << 20));
-        let sending =
-            Sending { request, number, target, id: self.rng.random(), key: keys.random(), deadline };
-        let token = self.open.insert(Open { sending: sending.clone(), intended, sent: None, until });
+        let sending = Sending {
+            request,
+            number,
+            target,
+            id: self.rng.random(),
+            key: keys.random(),
+            deadline,
+        };
+        let token = self.open.insert(Open {
+            sending: sending.clone(),
+            intended,
+            sent: None,
+            until,
+        });
         self.given_up.insert((deadline, token));
         Order::Send(token, sending)
     }
 
     /// Whether a try's client still waits: tokens are given out anew, ids are not.
     pub fn waits(&self, token: usize, id: u64) -> bool {
-        self.open.get(token).is_some_and(|open| open.sending.id == id)
+        self.open
+            .get(token)
+            .is_some_and(|open| open.sending.id == id)
     }
 
     /// A try's last byte was written.
@@ -200,19 +226,33 @@
 
     /// Ends a try; without an end on the wire its client has given up.
     fn close(&mut self, token: usize, now: Micros, end: Option<End>) {
-        let Some(open) = self.open.try_remove(token) else { return };
+        let Some(open) = self.open.try_remove(token) else {
+            return;
+        };
         let sending = &open.sending;
         self.given_up.remove(&(sending.deadline, token));
         let sent = open.sent.filter(|_| end != Some(End::NotSent));
         let (outcome, status, retry_after) = match end {
-            Some(End::Answered { status, retry_after }) => (Outcome::of(status), status, retry_after),
+            Some(End::Answered {
+                status,
+                retry_after,
+            }) => (Outcome::of(status), status, retry_after),
             _ if sent.is_none() => (Outcome::NotSent, 0, None),
             Some(_) => (Outcome::Failed, 0, None),
             None => (Outcome::Unanswered, 0, None),
         };
         let (request, number, target) = (sending.request, sending.number, sending.target);
         let intended = open.intended;
-        self.tries.push(Try { request, number, target, intended, sent, ended: now, status, outcome });
+        self.tries.push(Try {
+            request,
+            number,
+            target,
+            intended,
+            sent,
+            ended: now,
+            status,
+            outcome,
+        });
         if outcome != Outcome::Served {
             self.retry(&open, outcome, now, retry_after);
         }
@@ -245,8 +285,12 @@
         }
         if at < open.until {
             self.serial += 1;
-            let again =
-                Again { request: sending.request, number: sending.number + 1, target, until: open.until };
+            let again = Again {
+                request: sending.request,
+                number: sending.number + 1,
+                target,
+                until: open.until,
+            };
             self.again.insert((at, self.serial), again);
         }
     }
@@ -286,11 +330,20 @@
     let class = &setup.scenario.classes[usize::from(of.class)];
     let plan = &setup.scenario.workshops.plans[usize::from(workshop.plan)].name;
     let method = if class.keyed { "POST" } else { "GET" };
-    let (name, customer, id, units, key) =
-        (&class.name, workshop.customer, sending.id, of.units, sending.key);
+    let (name, customer, id, units, key) = (
+        &class.name,
+        workshop.customer,
+        sending.id,
+        of.units,
+        sending.key,
+    );
     let (spread, first) = workshop.set;
     let wait = remaining.max(1_000) as f64 / 1e6;
-    let again = if sending.number > 0 { "X-Second-Try: 1\r\n" } else { "" };
+    let again = if sending.number > 0 {
+        "X-Second-Try: 1\r\n"
+    } else {
+        ""
+    };
     // Writing to memory does not fail.
     let _ = write!(
         out,
@@ -301,7 +354,10 @@
     if class.keyed {
         let [least, most] = class.body_bytes;
         let length = least + (key as usize) % (most - least + 1);
-        let _ = write!(out, "Idempotency-Key: {key:032x}\r\nContent-Length: {length}\r\n\r\n");
+        let _ = write!(
+            out,
+            "Idempotency-Key: {key:032x}\r\nContent-Length: {length}\r\n\r\n"
+        );
         out.resize(out.len() + length, b'e');
     } else {
         out.extend_from_slice(b"\r\n");
--- a/crates/load/src/pauses.rs
+++ b/crates/load/src/pauses.rs
@@ -43,7 +43,9 @@
             thread::spawn(move || {
                 let mut sent = 0;
                 for turn in laid {
-                    let Party::Limiter(number) = turn.party else { continue };
+                    let Party::Limiter(number) = turn.party else {
+                        continue;
+                    };
                     let at = start + Duration::from_micros(turn.at.max(0) as u64);
                     // Waits in steps, so that the end of the run is not held up by a pause to come.
                     while Instant::now() < at {
@@ -53,14 +55,27 @@
                         thread::sleep((at - Instant::now()).min(Duration::from_millis(50)));
                     }
                     let Ok(ended) = told.lock() else { return sent };
-                    let Some(pid) = known.get(number).copied().filter(|_| !*ended) else { return sent };
-                    signal(pid, if turn.begins { Signal::STOP } else { Signal::CONT });
+                    let Some(pid) = known.get(number).copied().filter(|_| !*ended) else {
+                        return sent;
+                    };
+                    signal(
+                        pid,
+                        if turn.begins {
+                            Signal::STOP
+                        } else {
+                            Signal::CONT
+                        },
+                    );
                     sent += u64::from(turn.begins);
                 }
                 sent
             })
         });
-        Pauses { ended, pids, thread }
+        Pauses {
+            ended,
+            pids,
+            thread,
+        }
     }
 
     /// Ends the pauses: no more are begun, all are let go on. How many were begun.
@@ -69,7 +84,9 @@
             *ended = true;
         }
         self.pids.iter().for_each(|pid| signal(*pid, Signal::CONT));
-        self.thread.take().map_or(0, |thread| thread.join().unwrap_or(0))
+        self.thread
+            .take()
+            .map_or(0, |thread| thread.join().unwrap_or(0))
     }
 }
 
@@ -91,19 +108,32 @@
 
     #[test]
     fn a_limiter_stands_still_for_its_time_and_all_go_on_at_the_end() {
-        let text = r#"{"faults": [{"kind": "pause", "on": "limiter:1", "at_s": 0.05, "for_ms": 60000}]}"#;
+        let text =
+            r#"{"faults": [{"kind": "pause", "on": "limiter:1", "at_s": 0.05, "for_ms": 60000}]}"#;
         let plan: WorldPlan = config_check::read(text).unwrap();
-        assert!(plan.check(2).is_ok() && plan.check(1).is_err(), "there is no limiter 1 of one");
+        assert!(
+            plan.check(2).is_ok() && plan.check(1).is_err(),
+            "there is no limiter 1 of one"
+        );
         let wrong: WorldPlan = config_check::read(&text.replace("limiter:1", "counter")).unwrap();
         assert!(wrong.check(2).is_err(), "only a limiter pauses");
-        let mut children: Vec<_> = (0..2).map(|_| Command::new("sleep").arg("30").spawn().unwrap()).collect();
+        let mut children: Vec<_> = (0..2)
+            .map(|_| Command::new("sleep").arg("30").spawn().unwrap())
+            .collect();
         let pids = children.iter().map(|c| c.id() as i32).collect();
         let mut pauses = Pauses::begin(&plan, pids, 120_000_000);
         thread::sleep(Duration::from_millis(400));
-        assert_eq!([state(children[0].id()), state(children[1].id())], [Some('S'), Some('T')]);
+        assert_eq!(
+            [state(children[0].id()), state(children[1].id())],
+            [Some('S'), Some('T')]
+        );
         assert_eq!(pauses.end(), 1);
         thread::sleep(Duration::from_millis(50));
-        assert_eq!(state(children[1].id()), Some('S'), "let go on before the end of its pause");
+        assert_eq!(
+            state(children[1].id()),
+            Some('S'),
+            "let go on before the end of its pause"
+        );
         for child in &mut children {
             child.kill().unwrap();
             child.wait().unwrap();
--- a/crates/load/src/records.rs
+++ b/crates/load/src/records.rs
@@ -21,8 +21,13 @@
 }
 
 /// All outcomes, in the order in which they are told.
-pub const OUTCOMES: [Outcome; 5] =
-    [Outcome::Served, Outcome::Declined, Outcome::Failed, Outcome::Unanswered, Outcome::NotSent];
+pub const OUTCOMES: [Outcome; 5] = [
+    Outcome::Served,
+    Outcome::Declined,
+    Outcome::Failed,
+    Outcome::Unanswered,
+    Outcome::NotSent,
+];
 
 impl Outcome {
     /// Its name in files.
@@ -83,11 +88,18 @@
 /// Joins tries to one fate for each of `requests` intended ones. A request that was never written whole by any of its
 /// tries is not sent; else its last try that was written says how it ended.
 pub fn fates(requests: usize, tries: &[Try]) -> Vec<Fate> {
-    let none = Fate { outcome: Outcome::NotSent, ended: None, tries: 0, first_sent: None };
+    let none = Fate {
+        outcome: Outcome::NotSent,
+        ended: None,
+        tries: 0,
+        first_sent: None,
+    };
     let mut fates = vec![none; requests];
     let mut last: Vec<i16> = vec![-1; requests];
     for t in tries {
-        let Some(fate) = fates.get_mut(t.request as usize) else { continue };
+        let Some(fate) = fates.get_mut(t.request as usize) else {
+            continue;
+        };
         fate.tries += 1;
         fate.ended = fate.ended.max(Some(t.ended));
         if t.number == 0 {
@@ -118,10 +130,17 @@
             status: 0,
             outcome,
         };
-        let tries = [t(0, 0, Outcome::Failed), t(0, 1, Outcome::Served), t(1, 0, Outcome::Declined)];
+        let tries = [
+            t(0, 0, Outcome::Failed),
+            t(0, 1, Outcome::Served),
+            t(1, 0, Outcome::Declined),
+        ];
         let more = [t(1, 1, Outcome::NotSent), t(2, 0, Outcome::NotSent)];
         let fates = fates(4, &[&tries[..], &more[..]].concat());
-        let ends: Vec<_> = fates.iter().map(|f| (f.outcome, f.ended, f.tries)).collect();
+        let ends: Vec<_> = fates
+            .iter()
+            .map(|f| (f.outcome, f.ended, f.tries))
+            .collect();
         assert_eq!(
             ends,
             [
--- a/crates/load/src/report/mod.rs
+++ b/crates/load/src/report/mod.rs
@@ -48,7 +48,8 @@
         path,
         |e| ReportError::File(path.to_path_buf(), e),
         |mut file| {
-            file.write_all(text.as_bytes()).map_err(|e| ReportError::File(path.to_path_buf(), e))?;
+            file.write_all(text.as_bytes())
+                .map_err(|e| ReportError::File(path.to_path_buf(), e))?;
             Ok(file)
         },
     )
@@ -58,9 +59,15 @@
 ///
 /// # Errors
 /// The system's; a file that can't be written whole is not there.
-pub fn write(folder: &Path, setup: &Setup, tries: &[Try], summary: &Summary) -> Result<(), ReportError> {
+pub fn write(
+    folder: &Path,
+    setup: &Setup,
+    tries: &[Try],
+    summary: &Summary,
+) -> Result<(), ReportError> {
     fs::create_dir_all(folder).map_err(|e| ReportError::File(folder.to_path_buf(), e))?;
-    table::write(&folder.join("records.parquet"), &records(setup, tries)).map_err(ReportError::Table)?;
+    table::write(&folder.join("records.parquet"), &records(setup, tries))
+        .map_err(ReportError::Table)?;
     write_text(&folder.join("report.html"), &page::run(setup, summary))?;
     write_text(&folder.join("report.json"), &json(summary))
 }
@@ -92,11 +99,24 @@
         ("request", numbers(&|t| i64::from(t.request))),
         ("try", numbers(&|t| i64::from(t.number))),
         ("intended_us", numbers(&|t| t.intended)),
-        ("sent_us", Values::Perhaps(tries.iter().map(|t| t.sent).collect())),
+        (
+            "sent_us",
+            Values::Perhaps(tries.iter().map(|t| t.sent).collect()),
+        ),
         ("ended_us", numbers(&|t| t.ended)),
         ("account", numbers(&|t| workshop(t).customer as i64)),
-        ("plan", texts(&|t| plans[usize::from(workshop(t).plan)].name.clone())),
-        ("class", texts(&|t| setup.scenario.classes[usize::from(of(t).class)].name.clone())),
+        (
+            "plan",
+            texts(&|t| plans[usize::from(workshop(t).plan)].name.clone()),
+        ),
+        (
+            "class",
+            texts(&|t| {
+                setup.scenario.classes[usize::from(of(t).class)]
+                    .name
+                    .clone()
+            }),
+        ),
         ("units", numbers(&|t| i64::from(of(t).units))),
         ("target", numbers(&|t| i64::from(t.target))),
         ("status", numbers(&|t| i64::from(t.status))),
--- a/crates/load/src/report/page.rs
+++ b/crates/load/src/report/page.rs
@@ -13,7 +13,10 @@
 
 /// Text that means itself in HTML.
 pub fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 /// A page with a title.
@@ -30,7 +33,10 @@
     let mut text = String::from("<table>");
     for (k, row) in rows.iter().enumerate() {
         let cell = if k == 0 { "th" } else { "td" };
-        let cells: String = row.iter().map(|c| format!("<{cell}>{}</{cell}>", escaped(c))).collect();
+        let cells: String = row
+            .iter()
+            .map(|c| format!("<{cell}>{}</{cell}>", escaped(c)))
+            .collect();
         let _ = write!(text, "<tr>{cells}</tr>");
     }
     text + "</table>"
@@ -52,17 +58,32 @@
     let width = points.get(1).map_or(1.0, |p| p.at_s);
     // The last span is cut off by the run's end: its rate would look like a fall.
     let whole = &points[..points.len().saturating_sub(usize::from(points.len() > 2))];
-    Line { name: name.to_string(), points: whole.iter().map(|p| (p.at_s, get(p, width))).collect() }
+    Line {
+        name: name.to_string(),
+        points: whole.iter().map(|p| (p.at_s, get(p, width))).collect(),
+    }
 }
 
 /// The plots of one run.
 fn plots(summary: &Summary) -> String {
     let percentiles = |of: fn(&Point) -> &Times| -> Vec<Line> {
-        let line = |name, get: fn(&Times) -> u64| over_time(summary, name, |p, _| get(of(p)) as f64 / 1e3);
-        vec![line("p50", |t| t.p50), line("p90", |t| t.p90), line("p99", |t| t.p99), line("max", |t| t.max)]
+        let line =
+            |name, get: fn(&Times) -> u64| over_time(summary, name, |p, _| get(of(p)) as f64 / 1e3);
+        vec![
+            line("p50", |t| t.p50),
+            line("p90", |t| t.p90),
+            line("p99", |t| t.p99),
+            line("max", |t| t.max),
+        ]
     };
-    let rate = |name: &str, get: &dyn Fn(&Point) -> u64| over_time(summary, name, |p, w| get(p) as f64 / w);
-    let declined = summary.plans.iter().enumerate().map(|(k, plan)| rate(plan, &|p| p.declined_by_plan[k]));
+    let rate = |name: &str, get: &dyn Fn(&Point) -> u64| {
+        over_time(summary, name, |p, w| get(p) as f64 / w)
+    };
+    let declined = summary
+        .plans
+        .iter()
+        .enumerate()
+        .map(|(k, plan)| rate(plan, &|p| p.declined_by_plan[k]));
     let charts = [
         Chart {
             title: "Latency of what was served, from the intended time",
@@ -126,15 +147,34 @@
         );
     }
     if summary.interrupted {
-        body +=
-            "<p class=bad>The run was ended before its time; what was not taken up counts as not sent.</p>";
+        body += "<p class=bad>The run was ended before its time; what was not taken up counts as not sent.</p>";
     }
     let ends = |name: &str, e: &crate::summary::Ends| {
-        let numbers = [e.offered, e.served, e.declined, e.failed, e.unanswered, e.not_sent];
-        [vec![name.to_string()], numbers.map(|n| n.to_string()).to_vec()].concat()
+        let numbers = [
+            e.offered,
+            e.served,
+            e.declined,
+            e.failed,
+            e.unanswered,
+            e.not_sent,
+        ];
+        [
+            vec![name.to_string()],
+            numbers.map(|n| n.to_string()).to_vec(),
+        ]
+        .concat()
     };
-    let head =
-        ["", "offered", "served", "declined", "failed", "unanswered", "not sent"].map(String::from).to_vec();
+    let head = [
+        "",
+        "offered",
+        "served",
+        "declined",
+        "failed",
+        "unanswered",
+        "not sent",
+    ]
+    .map(String::from)
+    .to_vec();
     let all = crate::summary::Ends {
         offered: summary.offered,
         served: summary.served,
@@ -144,10 +184,22 @@
         not_sent: summary.not_sent,
     };
     let mut rows = vec![head, ends("all", &all)];
-    rows.extend(summary.by_plan.iter().map(|(name, e)| ends(&format!("plan {name}"), e)));
-    rows.extend(summary.by_class.iter().map(|(name, e)| ends(&format!("class {name}"), e)));
+    rows.extend(
+        summary
+            .by_plan
+            .iter()
+            .map(|(name, e)| ends(&format!("plan {name}"), e)),
+    );
+    rows.extend(
+        summary
+            .by_class
+            .iter()
+            .map(|(name, e)| ends(&format!("class {name}"), e)),
+    );
     body += &table(&rows);
-    let head = ["milliseconds", "count", "p50", "p90", "p99", "p99.9", "max"].map(String::from).to_vec();
+    let head = ["milliseconds", "count", "p50", "p90", "p99", "p99.9", "max"]
+        .map(String::from)
+        .to_vec();
     let mut rows = vec![
         head,
         times_row("from the intended time", &summary.latency_us),
@@ -169,7 +221,11 @@
     body += &plots(summary);
     if let Some(world) = &summary.world {
         let text = serde_json::to_string_pretty(world).unwrap_or_default();
-        let _ = write!(body, "<h2>What the emulated nodes counted</h2><pre>{}</pre>", escaped(&text));
+        let _ = write!(
+            body,
+            "<h2>What the emulated nodes counted</h2><pre>{}</pre>",
+            escaped(&text)
+        );
     }
     let scenario = serde_json::to_string_pretty(&setup.scenario).unwrap_or_default();
     let _ = write!(
@@ -178,6 +234,10 @@
         summary.seed,
         escaped(&scenario)
     );
-    let name = if summary.name.is_empty() { "A run" } else { &summary.name };
+    let name = if summary.name.is_empty() {
+        "A run"
+    } else {
+        &summary.name
+    };
     page(name, &body)
 }
--- a/crates/load/src/report/plot.rs
+++ b/crates/load/src/report/plot.rs
@@ -42,9 +42,10 @@
     /// The chart as SVG; empty where there is nothing to draw.
     pub fn svg(&self) -> String {
         let points = || self.lines.iter().flat_map(|l| l.points.iter());
-        let (Some(from), Some(until)) =
-            (points().map(|p| p.0).reduce(f64::min), points().map(|p| p.0).reduce(f64::max))
-        else {
+        let (Some(from), Some(until)) = (
+            points().map(|p| p.0).reduce(f64::min),
+            points().map(|p| p.0).reduce(f64::max),
+        ) else {
             return String::new();
         };
         let top = points().map(|p| p.1).fold(0.0, f64::max);
@@ -52,8 +53,18 @@
         let mut svg = String::new();
         // Drawing into memory fails on impossible ranges alone, and none is given.
         let drawn = if self.log {
-            let least = points().map(|p| p.1).filter(|y| *y > 0.0).fold(top, f64::min).max(LEAST) / 1.5;
-            self.draw(&mut svg, from..until, least, (least..top.max(least * 10.0) * 4.0).log_scale())
+            let least = points()
+                .map(|p| p.1)
+                .filter(|y| *y > 0.0)
+                .fold(top, f64::min)
+                .max(LEAST)
+                / 1.5;
+            self.draw(
+                &mut svg,
+                from..until,
+                least,
+                (least..top.max(least * 10.0) * 4.0).log_scale(),
+            )
         } else {
             self.draw(&mut svg, from..until, 0.0, 0.0..top.max(1e-9) * 1.3)
         };
@@ -86,8 +97,13 @@
             let colour = COLOURS[k % COLOURS.len()];
             let lifted = |(x, y): &(f64, f64)| (*x, if self.log { y.max(least) } else { *y });
             let series = LineSeries::new(line.points.iter().map(lifted), colour.stroke_width(2));
-            let swatch = move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour.stroke_width(2));
-            chart.draw_series(series).ok()?.label(line.name.clone()).legend(swatch);
+            let swatch =
+                move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour.stroke_width(2));
+            chart
+                .draw_series(series)
+                .ok()?
+                .label(line.name.clone())
+                .legend(swatch);
         }
         chart
             .configure_series_labels()
--- a/crates/load/src/report/side_by_side.rs
+++ b/crates/load/src/report/side_by_side.rs
@@ -23,16 +23,26 @@
     ("uncorrected p99, ms", |s| s.service_us.p99 as f64 / 1e3),
     ("lag p99.9, ms", |s| s.send_lag_us.p99_9 as f64 / 1e3),
     ("schedule held", |s| f64::from(u8::from(s.schedule_held))),
-    ("limiters' CPU a try, µs", |s| s.limiter_cpu_us.iter().sum::<u64>() as f64 / s.tries.max(1) as f64),
+    ("limiters' CPU a try, µs", |s| {
+        s.limiter_cpu_us.iter().sum::<u64>() as f64 / s.tries.max(1) as f64
+    }),
 ];
 
 fn figure(value: f64) -> String {
-    if value.fract() == 0.0 { format!("{value}") } else { format!("{value:.3}") }
+    if value.fract() == 0.0 {
+        format!("{value}")
+    } else {
+        format!("{value:.3}")
+    }
 }
 
 /// The figures as rows: the first run, and each other one with its difference from the first.
 fn rows(runs: &[(String, Summary)]) -> Vec<Vec<String>> {
-    let head = [vec![String::new()], runs.iter().map(|(name, _)| name.clone()).collect()].concat();
+    let head = [
+        vec![String::new()],
+        runs.iter().map(|(name, _)| name.clone()).collect(),
+    ]
+    .concat();
     let row = |(name, get): &Figure| {
         let base = get(&runs[0].1);
         let cell = |(k, (_, s)): (usize, &(String, Summary))| match get(s) {
@@ -40,9 +50,15 @@
             value if base == 0.0 => format!("{} (+{})", figure(value), figure(value)),
             value => format!("{} ({:+.1} %)", figure(value), (value / base - 1.0) * 100.0),
         };
-        [vec![name.to_string()], runs.iter().enumerate().map(cell).collect()].concat()
+        [
+            vec![name.to_string()],
+            runs.iter().enumerate().map(cell).collect(),
+        ]
+        .concat()
     };
-    std::iter::once(head).chain(FIGURES.iter().map(row)).collect()
+    std::iter::once(head)
+        .chain(FIGURES.iter().map(row))
+        .collect()
 }
 
 fn columns(rows: &[Vec<String>]) -> String {
@@ -52,7 +68,13 @@
             0 => format!("{text:<w$}", w = width(0)),
             _ => format!("  {text:>w$}", w = width(k)),
         };
-        row.iter().enumerate().map(cell).collect::<String>().trim_end().to_string() + "\n"
+        row.iter()
+            .enumerate()
+            .map(cell)
+            .collect::<String>()
+            .trim_end()
+            .to_string()
+            + "\n"
     };
     rows.iter().map(line).collect()
 }
@@ -61,7 +83,9 @@
 pub fn compare(runs: &[(String, Summary)]) -> (String, String) {
     let rows = rows(runs);
     let lines = |get: fn(&crate::summary::Point, f64) -> f64| {
-        runs.iter().map(|(name, s)| over_time(s, name, get)).collect::<Vec<Line>>()
+        runs.iter()
+            .map(|(name, s)| over_time(s, name, get))
+            .collect::<Vec<Line>>()
     };
     let charts = [
         Chart {
@@ -94,7 +118,10 @@
         },
     ];
     let plots: String = charts.iter().map(Chart::svg).collect();
-    (columns(&rows), page("Runs side by side", &format!("{}{plots}", table(&rows))))
+    (
+        columns(&rows),
+        page("Runs side by side", &format!("{}{plots}", table(&rows))),
+    )
 }
 
 /// A sweep over the values of one key: lines for a terminal, and a page with the knee.
@@ -104,11 +131,19 @@
     let at = |(k, (name, _)): (usize, &(String, Summary))| name.parse::<f64>().unwrap_or(k as f64);
     let xs: Vec<f64> = runs.iter().enumerate().map(at).collect();
     let line = |name: &str, get: &dyn Fn(&Summary) -> f64| {
-        let mut points: Vec<(f64, f64)> = xs.iter().copied().zip(runs.iter().map(|(_, s)| get(s))).collect();
+        let mut points: Vec<(f64, f64)> = xs
+            .iter()
+            .copied()
+            .zip(runs.iter().map(|(_, s)| get(s)))
+            .collect();
         points.sort_by(|a, b| a.0.total_cmp(&b.0));
-        Line { name: name.to_string(), points }
+        Line {
+            name: name.to_string(),
+            points,
+        }
     };
-    let a_second = |n: u64, s: &Summary| n as f64 / s.over_time.last().map_or(1.0, |p| p.at_s).max(0.1);
+    let a_second =
+        |n: u64, s: &Summary| n as f64 / s.over_time.last().map_or(1.0, |p| p.at_s).max(0.1);
     let charts = [
         Chart {
             title: "Offered against served",
@@ -141,5 +176,11 @@
         },
     ];
     let plots: String = charts.iter().map(Chart::svg).collect();
-    (columns(&rows), page(&format!("Sweep over {key}"), &format!("{}{plots}", table(&rows))))
+    (
+        columns(&rows),
+        page(
+            &format!("Sweep over {key}"),
+            &format!("{}{plots}", table(&rows)),
+        ),
+    )
 }
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -80,7 +80,11 @@
             plan("empresa", 0.35, 3.8, 18.0, 1.3, 0.6),
             plan("institucion", 0.15, 15.0, 30.0, 1.8, 1.0),
         ];
-        Workshops { count: 100, skew: 0.8, plans }
+        Workshops {
+            count: 100,
+            skew: 0.8,
+            plans,
+        }
     }
 }
 
@@ -172,7 +176,13 @@
 
 impl Default for Limiters {
     fn default() -> Limiters {
-        Limiters { count: 2, spread: [2, 4], uneven: 0.5, shift_s: [5.6, 25.0], shared: None }
+        Limiters {
+            count: 2,
+            spread: [2, 4],
+            uneven: 0.5,
+            shift_s: [5.6, 25.0],
+            shared: None,
+        }
     }
 }
 
@@ -194,7 +204,13 @@
 
 impl Default for Retries {
     fn default() -> Retries {
-        Retries { most: 3, wait_ms: [50.0, 400.0], elsewhere: 0.5, heed: 0.8, heed_most_ms: 1_000.0 }
+        Retries {
+            most: 3,
+            wait_ms: [50.0, 400.0],
+            elsewhere: 0.5,
+            heed: 0.8,
+            heed_most_ms: 1_000.0,
+        }
     }
 }
 
@@ -214,7 +230,12 @@
 
 impl Default for GeneratorPlan {
     fn default() -> GeneratorPlan {
-        GeneratorPlan { threads: 0, connections: 4_000, lag_bound_ms: 10.0, quota_window_s: 60.0 }
+        GeneratorPlan {
+            threads: 0,
+            connections: 4_000,
+            lag_bound_ms: 10.0,
+            quota_window_s: 60.0,
+        }
     }
 }
 
@@ -236,17 +257,24 @@
     pub fn check(&self) -> Result<(), Fault> {
         within("seconds", self.seconds, 0.001, 86_400.0)?;
         if self.arrivals.is_empty() {
-            return Err(Fault::at("arrivals", "is missing or empty: there is nothing to send"));
+            return Err(Fault::at(
+                "arrivals",
+                "is missing or empty: there is nothing to send",
+            ));
         }
         for (k, arrival) in self.arrivals.iter().enumerate() {
-            arrival.check(&self.workshops).map_err(|e| e.under(&format!("arrivals[{k}]")))?;
+            arrival
+                .check(&self.workshops)
+                .map_err(|e| e.under(&format!("arrivals[{k}]")))?;
         }
         self.workshops.check().map_err(|e| e.under("workshops"))?;
         if self.classes.is_empty() || self.classes.len() > 255 {
             return Err(Fault::at("classes", "are not 1 to 255"));
         }
         for (k, class) in self.classes.iter().enumerate() {
-            class.check().map_err(|e| e.under(&format!("classes[{k}]")))?;
+            class
+                .check()
+                .map_err(|e| e.under(&format!("classes[{k}]")))?;
         }
         self.limiters.check().map_err(|e| e.under("limiters"))?;
         self.retries.check().map_err(|e| e.under("retries"))?;
@@ -255,14 +283,20 @@
         within("generator.connections", g.connections as f64, 1.0, 1e6)?;
         within("generator.lag_bound_ms", g.lag_bound_ms, 0.001, 60_000.0)?;
         within("generator.quota_window_s", g.quota_window_s, 0.1, 86_400.0)?;
-        let requests: f64 = self.arrivals.iter().map(|a| a.expected(self.seconds, &self.workshops)).sum();
+        let requests: f64 = self
+            .arrivals
+            .iter()
+            .map(|a| a.expected(self.seconds, &self.workshops))
+            .sum();
         if requests > MOST_REQUESTS as f64 {
             return Err(Fault::at(
                 "arrivals",
                 format!("ask for {requests:.0} requests, {MOST_REQUESTS} at most"),
             ));
         }
-        self.world.check(self.limiters.count).map_err(|e| e.under("world"))
+        self.world
+            .check(self.limiters.count)
+            .map_err(|e| e.under("world"))
     }
 }
 
@@ -270,7 +304,10 @@
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     match !name.is_empty() && name.len() <= 64 && name.bytes().all(plain) {
         true => Ok(()),
-        false => Err(Fault::at("name", format!("'{name}' is not 1 to 64 letters, digits, '-', '_' or '.'"))),
+        false => Err(Fault::at(
+            "name",
+            format!("'{name}' is not 1 to 64 letters, digits, '-', '_' or '.'"),
+        )),
     }
 }
 
@@ -307,9 +344,17 @@
     fn check(&self) -> Result<(), Fault> {
         named(&self.name)?;
         within("share", self.share, 0.0, 1e6)?;
-        range("body_bytes", self.body_bytes.map(|b| b as f64), 0.0, 65_536.0)?;
+        range(
+            "body_bytes",
+            self.body_bytes.map(|b| b as f64),
+            0.0,
+            65_536.0,
+        )?;
         if !self.keyed && self.body_bytes[1] > 0 {
-            return Err(Fault::at("body_bytes", "a class that is safe to repeat has no body"));
+            return Err(Fault::at(
+                "body_bytes",
+                "a class that is safe to repeat has no body",
+            ));
         }
         within("aim_ms", self.aim_ms, 0.0, 3.6e6)?;
         within("deadline_ms", self.deadline_ms, 1.0, 3.6e6)?;
@@ -349,22 +394,36 @@
     fn a_minimal_scenario_is_whole_and_faults_name_their_keys() {
         let minimal = r#"{"seconds": 10, "arrivals": [{"shape": "constant", "rate": 500}]}"#;
         assert_eq!(Scenario::read(minimal).unwrap().classes.len(), 2);
-        assert_eq!(fault("{}"), "key 'arrivals': is missing or empty: there is nothing to send");
+        assert_eq!(
+            fault("{}"),
+            "key 'arrivals': is missing or empty: there is nothing to send"
+        );
         let arrivals = |a: &str| fault(&format!("{{\"arrivals\":[{a}]}}"));
         assert_eq!(
             arrivals(r#"{"shape":"constant","rat":5}"#),
             "key 'arrivals[0].rat': unknown key; did you mean 'rate'?"
         );
-        assert!(arrivals(r#"{"shape":"constant"}"#).starts_with("key 'arrivals[0].rate': is missing"));
-        assert!(arrivals(r#"{"shape":"constant","rate":-1}"#).starts_with("key 'arrivals[0].rate': is -1"));
+        assert!(
+            arrivals(r#"{"shape":"constant"}"#).starts_with("key 'arrivals[0].rate': is missing")
+        );
+        assert!(
+            arrivals(r#"{"shape":"constant","rate":-1}"#)
+                .starts_with("key 'arrivals[0].rate': is -1")
+        );
         assert!(arrivals(r#"{"shape":"constant","rate":1e7}"#).contains("50000000 at most"));
-        let with =
-            |more: &str| fault(&format!("{{\"arrivals\":[{{\"shape\":\"constant\",\"rate\":5}}],{more}}}"));
+        let with = |more: &str| {
+            fault(&format!(
+                "{{\"arrivals\":[{{\"shape\":\"constant\",\"rate\":5}}],{more}}}"
+            ))
+        };
         assert!(with(r#""limiters":{"count":0}"#).starts_with("key 'limiters.count'"));
         assert!(
-            with(r#""world":{"faults":[{"kind":"freeze","on":"node:10"}]}"#).contains("'world.faults[0].on'")
+            with(r#""world":{"faults":[{"kind":"freeze","on":"node:10"}]}"#)
+                .contains("'world.faults[0].on'")
+        );
+        assert!(
+            with(r#""workshops":{"plans":[{"name":"a b"}]}"#).contains("'workshops.plans[0].name'")
         );
-        assert!(with(r#""workshops":{"plans":[{"name":"a b"}]}"#).contains("'workshops.plans[0].name'"));
         assert!(with(r#""seconds":"ten""#).starts_with("key 'seconds': invalid type"));
     }
 }
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -56,7 +56,8 @@
         let weights = weights(&scenario.workshops, &workshops, &mut rng);
         let shares: Vec<f64> = scenario.classes.iter().map(|c| c.share).collect();
         // With no shares at all every class is as likely as another.
-        let classes = WeightedIndex::new(&shares).or_else(|_| WeightedIndex::new(vec![1.0; shares.len()]));
+        let classes =
+            WeightedIndex::new(&shares).or_else(|_| WeightedIndex::new(vec![1.0; shares.len()]));
         let mut drawn: Vec<(Micros, u32)> = Vec::new();
         for arrival in &scenario.arrivals {
             let mut rng = ChaCha8Rng::seed_from_u64(rng.random());
@@ -64,33 +65,50 @@
                 let name = &scenario.workshops.plans[usize::from(w.plan)].name;
                 arrival.plan.as_ref().is_none_or(|plan| plan == name)
             };
-            let mut fit: Vec<u32> =
-                (0..workshops.len() as u32).filter(|w| fits(&workshops[*w as usize])).collect();
+            let mut fit: Vec<u32> = (0..workshops.len() as u32)
+                .filter(|w| fits(&workshops[*w as usize]))
+                .collect();
             if fit.is_empty() {
                 // Few workshops and a small share: the plan is given to one, so that the traffic has a source.
-                let plan =
-                    scenario.workshops.plans.iter().position(|p| Some(&p.name) == arrival.plan.as_ref());
+                let plan = scenario
+                    .workshops
+                    .plans
+                    .iter()
+                    .position(|p| Some(&p.name) == arrival.plan.as_ref());
                 workshops[0].plan = plan.unwrap_or(0) as u8;
                 fit.push(0);
             }
             let random = arrival.random || arrival.shape == Shape::Poisson;
-            let few = arrival.workshops.unwrap_or(if arrival.shape == Shape::Spells { 1 } else { fit.len() });
+            let few = arrival
+                .workshops
+                .unwrap_or(if arrival.shape == Shape::Spells {
+                    1
+                } else {
+                    fit.len()
+                });
             if few < fit.len() {
                 fit.shuffle(&mut rng);
                 fit.truncate(few);
             }
             if arrival.shape == Shape::Spells {
                 for workshop in &fit {
-                    let plan = &scenario.workshops.plans[usize::from(workshops[*workshop as usize].plan)];
+                    let plan =
+                        &scenario.workshops.plans[usize::from(workshops[*workshop as usize].plan)];
                     let quota = plan.rate / mean_units(plan.units);
                     let points = arrival.points(scenario.seconds, quota, &mut rng);
-                    drawn.extend(instants(&points, random, &mut rng).into_iter().map(|at| (at, *workshop)));
+                    drawn.extend(
+                        instants(&points, random, &mut rng)
+                            .into_iter()
+                            .map(|at| (at, *workshop)),
+                    );
                 }
                 continue;
             }
             let points = arrival.points(scenario.seconds, 0.0, &mut rng);
             let weight: Vec<f64> = fit.iter().map(|w| weights[*w as usize]).collect();
-            let Ok(who) = WeightedIndex::new(&weight) else { continue };
+            let Ok(who) = WeightedIndex::new(&weight) else {
+                continue;
+            };
             let at = instants(&points, random, &mut rng);
             drawn.extend(at.into_iter().map(|at| (at, fit[who.sample(&mut rng)])));
         }
@@ -108,7 +126,10 @@
             }
         };
         let requests = drawn.into_iter().map(request).collect();
-        Schedule { workshops, requests }
+        Schedule {
+            workshops,
+            requests,
+        }
     }
 }
 
@@ -146,7 +167,11 @@
         while !customers.insert(customer) {
             customer = rng.random_range(1..CUSTOMERS);
         }
-        workshops.push(Workshop { customer, plan: plan as u8, set });
+        workshops.push(Workshop {
+            customer,
+            plan: plan as u8,
+            set,
+        });
     }
     workshops
 }
@@ -174,7 +199,12 @@
     fn new(scenario: &Scenario, workshops: &[Workshop], seed: u64) -> Favours {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let now = vec![(0, Micros::MIN); workshops.len()];
-        Favours { uneven: scenario.limiters.uneven, shift: scenario.limiters.shift_s, rng, now }
+        Favours {
+            uneven: scenario.limiters.uneven,
+            shift: scenario.limiters.shift_s,
+            rng,
+            now,
+        }
     }
 
     fn pick(&mut self, at: Micros, workshop: usize, set: (u16, u16), rng: &mut impl Rng) -> u16 {
@@ -185,7 +215,11 @@
         }
         let favoured = *favoured;
         // The place within the set; what it means among the limiters is for the sender.
-        if rng.random::<f64>() < self.uneven { favoured } else { rng.random_range(0..set.0) }
+        if rng.random::<f64>() < self.uneven {
+            favoured
+        } else {
+            rng.random_range(0..set.0)
+        }
     }
 }
 
@@ -214,7 +248,11 @@
         for spell in 0..6 {
             let mut counts = [0_usize; 3];
             let within = |r: &&Intended| r.at / 10_000_000 == spell;
-            schedule.requests.iter().filter(within).for_each(|r| counts[usize::from(r.limiter)] += 1);
+            schedule
+                .requests
+                .iter()
+                .filter(within)
+                .for_each(|r| counts[usize::from(r.limiter)] += 1);
             let most = *counts.iter().max().unwrap();
             assert!((3_900..4_800).contains(&most), "{counts:?}");
             favourites.insert(counts.iter().position(|n| *n == most));
--- a/crates/load/src/shapes.rs
+++ b/crates/load/src/shapes.rs
@@ -101,18 +101,33 @@
             ("peak_s", self.peak_s.is_some(), s == Surge),
             ("steps", self.steps.is_some(), s == Step),
             ("times", self.times.is_some(), matches!(s, Bursts | Spells)),
-            ("length_s", self.length_s.is_some(), matches!(s, Bursts | Spells)),
-            ("every_s", self.every_s.is_some(), matches!(s, Bursts | Spells)),
+            (
+                "length_s",
+                self.length_s.is_some(),
+                matches!(s, Bursts | Spells),
+            ),
+            (
+                "every_s",
+                self.every_s.is_some(),
+                matches!(s, Bursts | Spells),
+            ),
         ];
         for (key, given, taken) in takes {
             if given && !taken {
-                return Err(Fault::at(key, format!("is not taken by the shape {s:?}").to_lowercase()));
+                return Err(Fault::at(
+                    key,
+                    format!("is not taken by the shape {s:?}").to_lowercase(),
+                ));
             }
             if !given && taken && matches!(key, "rate" | "to_rate" | "steps") {
                 return Err(Fault::at(key, format!("is missing for the shape {s:?}")));
             }
         }
-        for (key, value) in [("rate", self.rate), ("to_rate", self.to_rate), ("times", self.times)] {
+        for (key, value) in [
+            ("rate", self.rate),
+            ("to_rate", self.to_rate),
+            ("times", self.times),
+        ] {
             value.map_or(Ok(()), |v| within(key, v, 0.0, HIGHEST))?;
         }
         for (key, value) in [("length_s", self.length_s), ("every_s", self.every_s)] {
@@ -120,8 +135,10 @@
         }
         within("scale", self.scale, 0.0, 1e6)?;
         within("from_s", self.from_s, 0.0, 86_400.0)?;
-        self.until_s.map_or(Ok(()), |u| within("until_s", u, self.from_s, 86_400.0))?;
-        self.peak_s.map_or(Ok(()), |p| within("peak_s", p, self.from_s, 86_400.0))?;
+        self.until_s
+            .map_or(Ok(()), |u| within("until_s", u, self.from_s, 86_400.0))?;
+        self.peak_s
+            .map_or(Ok(()), |p| within("peak_s", p, self.from_s, 86_400.0))?;
         let mut last = 0.0;
         for (k, [at, rate]) in self.steps.iter().flatten().enumerate() {
             within(&format!("steps[{k}][0]"), *at, last, 86_400.0)?;
@@ -137,13 +154,20 @@
                 format!("there is no plan '{plan}'; known are {}", known.join(", ")),
             ));
         }
-        self.workshops.map_or(Ok(()), |w| within("workshops", w as f64, 1.0, workshops.count as f64))
+        self.workshops.map_or(Ok(()), |w| {
+            within("workshops", w as f64, 1.0, workshops.count as f64)
+        })
     }
 
     /// About how many requests it brings in so long.
     pub fn expected(&self, seconds: f64, workshops: &Workshops) -> f64 {
         let highest = match self.shape {
-            Shape::Step => self.steps.iter().flatten().map(|s| s[1]).fold(0.0, f64::max),
+            Shape::Step => self
+                .steps
+                .iter()
+                .flatten()
+                .map(|s| s[1])
+                .fold(0.0, f64::max),
             Shape::Spells => {
                 let rate = workshops.plans.iter().map(|p| p.rate).fold(0.0, f64::max);
                 rate * self.times.unwrap_or(4.8) * self.workshops.unwrap_or(1) as f64
@@ -168,7 +192,8 @@
             Shape::Step => {
                 let steps = self.steps.as_deref().unwrap_or_default();
                 let end = |k: usize| steps.get(k + 1).map_or(until, |next| next[0]).min(until);
-                let level = |(k, [at, rate]): (usize, &[f64; 2])| [(at.max(from), *rate), (end(k), *rate)];
+                let level =
+                    |(k, [at, rate]): (usize, &[f64; 2])| [(at.max(from), *rate), (end(k), *rate)];
                 steps
                     .iter()
                     .enumerate()
@@ -177,9 +202,13 @@
                     .collect()
             }
             Shape::Surge => {
-                let peak = self.peak_s.unwrap_or(from + 0.8 * (until - from)).min(until);
+                let peak = self
+                    .peak_s
+                    .unwrap_or(from + 0.8 * (until - from))
+                    .min(until);
                 let top = self.to_rate.unwrap_or(rate);
-                let grown = |k: usize| ((4.0 * k as f64 / RISE as f64).exp() - 1.0) / (4.0_f64.exp() - 1.0);
+                let grown =
+                    |k: usize| ((4.0 * k as f64 / RISE as f64).exp() - 1.0) / (4.0_f64.exp() - 1.0);
                 let at = |k: usize| from + (peak - from) * k as f64 / RISE as f64;
                 let rise = (0..=RISE).map(|k| (at(k), rate + (top - rate) * grown(k)));
                 let away = (peak + 0.1 * (until - from)).min(until);
@@ -187,14 +216,18 @@
             }
             Shape::Bursts => {
                 let times = self.times.unwrap_or(6.1);
-                let (length, every) =
-                    (self.length_s.unwrap_or([1.7, 4.9]), self.every_s.unwrap_or([10.0, 22.0]));
+                let (length, every) = (
+                    self.length_s.unwrap_or([1.7, 4.9]),
+                    self.every_s.unwrap_or([10.0, 22.0]),
+                );
                 pulses(from, until, rate, rate * times, length, every, rng)
             }
             Shape::Spells => {
                 let high = quota * self.times.unwrap_or(4.8);
-                let (length, every) =
-                    (self.length_s.unwrap_or([10.0, 30.0]), self.every_s.unwrap_or([20.0, 60.0]));
+                let (length, every) = (
+                    self.length_s.unwrap_or([10.0, 30.0]),
+                    self.every_s.unwrap_or([20.0, 60.0]),
+                );
                 pulses(from, until, 0.0, high, length, every, rng)
             }
         };
@@ -243,7 +276,11 @@
         while wanted <= area {
             // Solves r0 x + slope x² / 2 = wanted in the form that stays exact as the slope nears 0.
             let root = (r0 * r0 + 2.0 * slope * wanted).max(0.0).sqrt();
-            let x = if r0 + root > 0.0 { 2.0 * wanted / (r0 + root) } else { span };
+            let x = if r0 + root > 0.0 {
+                2.0 * wanted / (r0 + root)
+            } else {
+                span
+            };
             instants.push(((t0 + x.min(span)) * 1e6) as Micros);
             wanted += step(false);
         }
@@ -264,7 +301,11 @@
         arrival.check(&Workshops::default()).unwrap();
         let mut rng = ChaCha8Rng::seed_from_u64(5);
         let points = arrival.points(seconds, 2.0, &mut rng);
-        instants(&points, arrival.random || arrival.shape == Shape::Poisson, &mut rng)
+        instants(
+            &points,
+            arrival.random || arrival.shape == Shape::Poisson,
+            &mut rng,
+        )
     }
 
     #[test]
@@ -277,7 +318,12 @@
         // Half of the time brings a quarter of a ramp from nothing.
         assert_eq!(ramp.iter().filter(|at| **at < 5_000_000).count(), 125);
         let step = shaped(r#"{"shape":"step","steps":[[0,10],[2,0],[4,100]]}"#, 5.0);
-        assert_eq!(step.iter().filter(|at| (2_000_000..4_000_000).contains(*at)).count(), 0);
+        assert_eq!(
+            step.iter()
+                .filter(|at| (2_000_000..4_000_000).contains(*at))
+                .count(),
+            0
+        );
         assert_eq!(step.len(), 120);
     }
 
@@ -286,17 +332,29 @@
         let at = shaped(r#"{"shape":"poisson","rate":1000}"#, 20.0);
         assert!((at.len() as f64 - 20_000.0).abs() < 600.0, "{}", at.len());
         let mut by_second = [0_f64; 20];
-        at.iter().for_each(|at| by_second[(*at / 1_000_000) as usize] += 1.0);
+        at.iter()
+            .for_each(|at| by_second[(*at / 1_000_000) as usize] += 1.0);
         let mean = at.len() as f64 / 20.0;
         let variance = by_second.iter().map(|n| (n - mean).powi(2)).sum::<f64>() / 19.0;
-        assert!((0.4..2.5).contains(&(variance / mean)), "{variance} over {mean}");
+        assert!(
+            (0.4..2.5).contains(&(variance / mean)),
+            "{variance} over {mean}"
+        );
     }
 
     #[test]
     fn bursts_are_six_times_the_rate_and_as_long_as_said() {
-        let at = shaped(r#"{"shape":"bursts","rate":100,"length_s":[2,2],"every_s":[10,10]}"#, 100.0);
-        let busy = (0..1_000).filter(|k| at.iter().filter(|at| **at / 100_000 == *k).count() > 50).count();
-        assert!((180..=220).contains(&busy), "{busy} tenths of a second above half of the burst's rate");
+        let at = shaped(
+            r#"{"shape":"bursts","rate":100,"length_s":[2,2],"every_s":[10,10]}"#,
+            100.0,
+        );
+        let busy = (0..1_000)
+            .filter(|k| at.iter().filter(|at| **at / 100_000 == *k).count() > 50)
+            .count();
+        assert!(
+            (180..=220).contains(&busy),
+            "{busy} tenths of a second above half of the burst's rate"
+        );
         let surge = shaped(r#"{"shape":"surge","rate":10,"to_rate":200}"#, 10.0);
         let in_second = |s: i64| surge.iter().filter(|at| **at / 1_000_000 == s).count();
         assert!(
--- a/crates/load/src/summary.rs
+++ b/crates/load/src/summary.rs
@@ -40,14 +40,17 @@
 
 impl Default for Counted {
     fn default() -> Counted {
-        Counted(Histogram::new_with_bounds(1, LONGEST, 3).expect("bounds that hold for any histogram"))
+        Counted(
+            Histogram::new_with_bounds(1, LONGEST, 3).expect("bounds that hold for any histogram"),
+        )
     }
 }
 
 impl Counted {
     /// Counts one.
     pub fn add(&mut self, span: Micros) {
-        self.0.saturating_record(span.clamp(1, LONGEST as Micros) as u64);
+        self.0
+            .saturating_record(span.clamp(1, LONGEST as Micros) as u64);
     }
 
     /// The percentiles so far.
@@ -190,36 +193,63 @@
         let scenario = &setup.scenario;
         let requests = &setup.schedule.requests;
         let fates = fates(requests.len(), &outcomes.tries);
-        let plans: Vec<String> = scenario.workshops.plans.iter().map(|p| p.name.clone()).collect();
-        let last = requests.last().map_or(0, |r| r.at).max((scenario.seconds * 1e6) as Micros).max(1);
+        let plans: Vec<String> = scenario
+            .workshops
+            .plans
+            .iter()
+            .map(|p| p.name.clone())
+            .collect();
+        let last = requests
+            .last()
+            .map_or(0, |r| r.at)
+            .max((scenario.seconds * 1e6) as Micros)
+            .max(1);
         let width = (last / POINTS as Micros + 1).max(100_000);
         let count = (last / width + 1) as usize;
         let mut points: Vec<(Point, [Counted; 3])> = (0..count)
             .map(|k| {
                 let at_s = (k as Micros * width) as f64 / 1e6;
-                let point = Point { at_s, declined_by_plan: vec![0; plans.len()], ..Point::default() };
-                (point, [Counted::default(), Counted::default(), Counted::default()])
+                let point = Point {
+                    at_s,
+                    declined_by_plan: vec![0; plans.len()],
+                    ..Point::default()
+                };
+                (
+                    point,
+                    [Counted::default(), Counted::default(), Counted::default()],
+                )
             })
             .collect();
         let (mut latency, mut lag, mut service) =
             (Counted::default(), Counted::default(), Counted::default());
         let mut by_end: BTreeMap<Outcome, Counted> = BTreeMap::new();
-        let (mut by_plan, mut by_class) =
-            (vec![Ends::default(); plans.len()], vec![Ends::default(); scenario.classes.len()]);
+        let (mut by_plan, mut by_class) = (
+            vec![Ends::default(); plans.len()],
+            vec![Ends::default(); scenario.classes.len()],
+        );
         let (mut ends, mut worth, mut kept) = (Ends::default(), 0.0, 0.0);
         for (request, fate) in requests.iter().zip(&fates) {
-            let Fate { outcome, ended, first_sent, .. } = *fate;
+            let Fate {
+                outcome,
+                ended,
+                first_sent,
+                ..
+            } = *fate;
             let plan = usize::from(setup.schedule.workshops[request.workshop as usize].plan);
             let class = &scenario.classes[usize::from(request.class)];
             let (point, [point_latency, point_served, point_lag]) =
                 &mut points[((request.at / width) as usize).min(count - 1)];
-            for counts in
-                [&mut ends, &mut by_plan[plan], &mut by_class[usize::from(request.class)], &mut point.ends]
-            {
+            for counts in [
+                &mut ends,
+                &mut by_plan[plan],
+                &mut by_class[usize::from(request.class)],
+                &mut point.ends,
+            ] {
                 counts.add(outcome);
             }
             point.declined_by_plan[plan] += u64::from(outcome == Outcome::Declined);
-            let value = class.worth * scenario.workshops.plans[plan].worth * f64::from(request.units);
+            let value =
+                class.worth * scenario.workshops.plans[plan].worth * f64::from(request.units);
             worth += value;
             if let Some(ended) = ended.filter(|_| outcome != Outcome::NotSent) {
                 let took = ended - request.at;
@@ -246,7 +276,13 @@
             }
         }
         let bound = (scenario.generator.lag_bound_ms * 1e3) as u64;
-        let told = [ends.served, ends.declined, ends.failed, ends.unanswered, ends.not_sent];
+        let told = [
+            ends.served,
+            ends.declined,
+            ends.failed,
+            ends.unanswered,
+            ends.not_sent,
+        ];
         let named = |names: Vec<String>, ends: Vec<Ends>| names.into_iter().zip(ends).collect();
         let classes: Vec<String> = scenario.classes.iter().map(|c| c.name.clone()).collect();
         let end_times = |o: &Outcome| by_end.get(o).map(|c| (o.name().to_string(), c.times()));
@@ -321,7 +357,11 @@
             self.retries,
             self.worth_kept,
             self.span_s,
-            if self.interrupted { ", ended before its time" } else { "" }
+            if self.interrupted {
+                ", ended before its time"
+            } else {
+                ""
+            }
         );
         text += "milliseconds                       p50       p90       p99     p99.9        max\n";
         text += &row("from the intended time", &self.latency_us);
--- a/crates/load/src/system/clients.rs
+++ b/crates/load/src/system/clients.rs
@@ -111,8 +111,14 @@
             for place in 0..self.places.len() {
                 scope.spawn(move || self.look_up(place));
             }
-            let workers: Vec<_> = (0..AT_ONCE).map(|_| scope.spawn(|| self.work(stop))).collect();
-            let tries = workers.into_iter().filter_map(|worker| worker.join().ok()).flatten().collect();
+            let workers: Vec<_> = (0..AT_ONCE)
+                .map(|_| scope.spawn(|| self.work(stop)))
+                .collect();
+            let tries = workers
+                .into_iter()
+                .filter_map(|worker| worker.join().ok())
+                .flatten()
+                .collect();
             self.over.store(true, Ordering::Relaxed);
             tries
         });
@@ -126,14 +132,18 @@
         while !self.over.load(Ordering::Relaxed) {
             let found = replicas.iter().take(3).find_map(|replica| {
                 let reply = call(*replica, "GET", &path, "", b"", Instant::now() + LOOK_UP).ok()?;
-                let body: Value =
-                    serde_json::from_slice(reply.body()).ok().filter(|_| reply.status == 200)?;
+                let body: Value = serde_json::from_slice(reply.body())
+                    .ok()
+                    .filter(|_| reply.status == 200)?;
                 let text = |v: &Value| v.as_str()?.parse().ok();
-                let addresses: Vec<SocketAddr> = body["addrs"].as_array()?.iter().filter_map(text).collect();
+                let addresses: Vec<SocketAddr> =
+                    body["addrs"].as_array()?.iter().filter_map(text).collect();
                 let ttl = body["ttl"].as_str()?.strip_suffix("ms")?.parse().ok()?;
-                Some((addresses, Duration::from_millis(ttl))).filter(|(addresses, _)| !addresses.is_empty())
+                Some((addresses, Duration::from_millis(ttl)))
+                    .filter(|(addresses, _)| !addresses.is_empty())
             });
-            let again = Instant::now() + found.as_ref().map_or(WAIT, |(_, ttl)| (*ttl).min(TTL_MAX));
+            let again =
+                Instant::now() + found.as_ref().map_or(WAIT, |(_, ttl)| (*ttl).min(TTL_MAX));
             if let Some((addresses, _)) = found {
                 *lock(&self.lists[place]) = addresses;
             }
@@ -149,7 +159,9 @@
         let (mut tries, mut open) = (Vec::new(), HashMap::new());
         while !stop.load(Ordering::Relaxed) {
             let request = self.next.fetch_add(1, Ordering::Relaxed);
-            let Some(at) = self.instants.get(request) else { break };
+            let Some(at) = self.instants.get(request) else {
+                break;
+            };
             let at = self.start + Duration::from_micros(*at as u64);
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
             self.request(request, at, &mut open, &mut tries);
@@ -164,19 +176,34 @@
         open: &mut HashMap<SocketAddr, Connection>,
         tries: &mut Vec<Try>,
     ) {
-        let mut rng =
-            ChaCha8Rng::seed_from_u64(self.seed ^ (request as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let mut rng = ChaCha8Rng::seed_from_u64(
+            self.seed ^ (request as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        );
         let rules = lock(&self.rules).clone();
         let written = rng.random::<f64>() < WRITTEN;
-        let reads: Vec<&str> = std::iter::once(READS).chain(rules.more.iter().copied()).collect();
-        let prefix = if written { WRITES } else { reads.choose(&mut rng).copied().unwrap_or(READS) };
+        let reads: Vec<&str> = std::iter::once(READS)
+            .chain(rules.more.iter().copied())
+            .collect();
+        let prefix = if written {
+            WRITES
+        } else {
+            reads.choose(&mut rng).copied().unwrap_or(READS)
+        };
         let path = format!("{prefix}{request}?of={}", rng.random::<u32>());
-        let body = if written { format!("what {request} writes") } else { String::new() };
+        let body = if written {
+            format!("what {request} writes")
+        } else {
+            String::new()
+        };
         let (until, mut intended, mut failed) = (at + DEADLINE, at, None);
         for number in 0..TRIES {
             let list = lock(&self.lists[request % self.places.len()]).clone();
             open.retain(|address, _| list.contains(address));
-            let others: Vec<_> = list.iter().copied().filter(|address| Some(*address) != failed).collect();
+            let others: Vec<_> = list
+                .iter()
+                .copied()
+                .filter(|address| Some(*address) != failed)
+                .collect();
             let Some(to) = others.choose(&mut rng).or(list.first()).copied() else {
                 tries.push(self.ended(request, number, intended, None, 0, Outcome::NotSent));
                 intended = Instant::now() + WAIT;
@@ -204,8 +231,13 @@
             }
             failed = Some(to);
             let left = until.saturating_duration_since(Instant::now());
-            let told = answer.ok().and_then(|reply| reply.retry_after).unwrap_or(0).max(0) as u64;
-            let wait = (WAIT * 2_u32.pow(number.into())).max(Duration::from_micros(told).min(left / 3));
+            let told = answer
+                .ok()
+                .and_then(|reply| reply.retry_after)
+                .unwrap_or(0)
+                .max(0) as u64;
+            let wait =
+                (WAIT * 2_u32.pow(number.into())).max(Duration::from_micros(told).min(left / 3));
             if wait >= left {
                 return;
             }
@@ -225,7 +257,16 @@
     ) -> Try {
         let since = |at: Instant| at.saturating_duration_since(self.start).as_micros() as Micros;
         let (intended, sent, ended) = (since(intended), sent.map(since), since(Instant::now()));
-        Try { request: request as u32, number, target: 0, intended, sent, ended, status, outcome }
+        Try {
+            request: request as u32,
+            number,
+            target: 0,
+            intended,
+            sent,
+            ended,
+            status,
+            outcome,
+        }
     }
 
     /// Whose answer it is, and whether the configuration in force allows it. `rules`: as they were before the sending.
@@ -242,21 +283,36 @@
             Ok(reply) if reply.status == 200 => {
                 let (who, ran) = reply.text().trim_end().split_once('\n').unwrap_or_default();
                 let own = ran == echo(id, method, path, TENANT, body.as_bytes());
-                if !own || reply.line("X-Server-Seal").is_none() || reply.line("X-Request-Id") != Some(id) {
+                if !own
+                    || reply.line("X-Server-Seal").is_none()
+                    || reply.line("X-Request-Id") != Some(id)
+                {
                     wrong.mixed.push(format!("{id} {path}: {:?}", reply.text()));
                 }
                 let svc = who.split(' ').next().unwrap_or_default();
-                if !rules.allowed.get(prefix).is_some_and(|allowed| allowed.contains(&svc)) {
+                if !rules
+                    .allowed
+                    .get(prefix)
+                    .is_some_and(|allowed| allowed.contains(&svc))
+                {
                     wrong.stale.push(format!("{id} {path}: run by {svc:?}"));
                 }
             }
             Ok(reply) if matches!(reply.status, 408 | 421 | 429 | 503) => {
-                wrong.refused.extend((method == "POST").then(|| id.to_string()));
+                wrong
+                    .refused
+                    .extend((method == "POST").then(|| id.to_string()));
             }
             Ok(reply) if (300..500).contains(&reply.status) => {
-                wrong.stale.push(format!("{id} {path}: {} {}", reply.status, reply.text().trim_end()));
+                wrong.stale.push(format!(
+                    "{id} {path}: {} {}",
+                    reply.status,
+                    reply.text().trim_end()
+                ));
             }
-            Err(Failure::Surplus) => wrong.mixed.push(format!("{id} {path}: bytes behind the answer")),
+            Err(Failure::Surplus) => wrong
+                .mixed
+                .push(format!("{id} {path}: bytes behind the answer")),
             _ => {}
         }
     }
@@ -271,13 +327,22 @@
     open: &mut HashMap<SocketAddr, Connection>,
     until: Instant,
 ) -> (Option<Instant>, Result<Reply, Failure>) {
-    let mut connection = match open.remove(&to).map_or_else(|| Connection::open(to, until), Ok) {
+    let mut connection = match open
+        .remove(&to)
+        .map_or_else(|| Connection::open(to, until), Ok)
+    {
         Ok(connection) => connection,
         Err(failure) => return (None, Err(failure)),
     };
     let method = if body.is_empty() { "GET" } else { "POST" };
-    let lines = lines(id, until.saturating_duration_since(Instant::now()).as_millis());
-    let request = format!("{method} {path} HTTP/1.1\r\n{lines}Content-Length: {}\r\n\r\n{body}", body.len());
+    let lines = lines(
+        id,
+        until.saturating_duration_since(Instant::now()).as_millis(),
+    );
+    let request = format!(
+        "{method} {path} HTTP/1.1\r\n{lines}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     if let Err(failure) = connection.send(request.as_bytes(), until) {
         return (None, Err(failure));
     }
--- a/crates/load/src/system/hollow.rs
+++ b/crates/load/src/system/hollow.rs
@@ -81,13 +81,25 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "all agents have everything after {} ms", self.whole.as_millis())?;
+        writeln!(
+            f,
+            "all agents have everything after {} ms",
+            self.whole.as_millis()
+        )?;
         for spent in &self.control {
             let megabytes = spent.resident as f64 / 1e6;
-            writeln!(f, "control program: {:.2}% of a core, {megabytes:.1} MB", spent.processor * 100.0)?;
+            writeln!(
+                f,
+                "control program: {:.2}% of a core, {megabytes:.1} MB",
+                spent.processor * 100.0
+            )?;
         }
         let (sent, heard) = self.messages;
-        writeln!(f, "agents: {sent:.0} messages/s sent, {heard:.0} taken in, {:.1} kB/s", self.bytes / 1e3)?;
+        writeln!(
+            f,
+            "agents: {sent:.0} messages/s sent, {heard:.0} taken in, {:.1} kB/s",
+            self.bytes / 1e3
+        )?;
         for (kind, rate) in &self.kinds {
             writeln!(f, "taken in: {rate:.1} {kind}/s")?;
         }
@@ -237,12 +249,20 @@
             }
             Down::Items(items) => {
                 let watched = |item: &&Item| item.name.name == WATCHED;
-                let newest = items.iter().filter(watched).map(|item| item.ver).max().unwrap_or_default();
+                let newest = items
+                    .iter()
+                    .filter(watched)
+                    .map(|item| item.ver)
+                    .max()
+                    .unwrap_or_default();
                 self.agents[agent].watched = self.agents[agent].watched.max(newest);
             }
             Down::Whole => self.agents[agent].whole = true,
             Down::Time(time) => self.ahead = self.ahead.max(time - self.clock.now()),
-            Down::Servers { .. } | Down::Totals { .. } | Down::NotCounted(_) | Down::Levels { .. } => {}
+            Down::Servers { .. }
+            | Down::Totals { .. }
+            | Down::NotCounted(_)
+            | Down::Levels { .. } => {}
         }
     }
 
@@ -280,12 +300,16 @@
         let waited = self.wires.wait(until, || clock.now(), happenings);
         waited.map_err(|error| format!("waiting: {error}"))?;
         for happening in std::mem::take(happenings) {
-            let (Happening::Up(key) | Happening::Came(key) | Happening::Ended(key) | Happening::Broken(key)) =
-                happening
+            let (Happening::Up(key)
+            | Happening::Came(key)
+            | Happening::Ended(key)
+            | Happening::Broken(key)) = happening
             else {
                 continue;
             };
-            let Some(agent) = self.owners.get(&key).copied() else { continue };
+            let Some(agent) = self.owners.get(&key).copied() else {
+                continue;
+            };
             match happening {
                 Happening::Up(key) => self.up(agent, key),
                 Happening::Came(key) => self.came(agent, key),
@@ -304,12 +328,19 @@
     }
 
     /// Turns until all agents are so; gives how long it took.
-    fn until(&mut self, limit: Duration, done: impl Fn(&Hollow) -> bool) -> Result<Duration, String> {
+    fn until(
+        &mut self,
+        limit: Duration,
+        done: impl Fn(&Hollow) -> bool,
+    ) -> Result<Duration, String> {
         let (began, mut happenings) = (Instant::now(), Vec::new());
         while !self.agents.iter().all(&done) {
             let left = self.agents.iter().filter(|agent| !done(agent)).count();
             if began.elapsed() > limit {
-                return Err(format!("{left} of {} agents are not there after {limit:?}", self.agents.len()));
+                return Err(format!(
+                    "{left} of {} agents are not there after {limit:?}",
+                    self.agents.len()
+                ));
             }
             self.turn(&mut happenings)?;
         }
@@ -323,12 +354,22 @@
         }
         let after = self.traffic;
         let (sent, heard) = (after.sent - before.sent, after.heard - before.heard);
-        Ok(Traffic { sent, heard, bytes: after.bytes - before.bytes, lost: after.lost })
+        Ok(Traffic {
+            sent,
+            heard,
+            bytes: after.bytes - before.bytes,
+            lost: after.lost,
+        })
     }
 }
 
 fn usages(whole: &Whole) -> Result<Vec<Usage>, String> {
-    let usage = |number| whole.machines.usage(Role::Control, number).map_err(|error| error.to_string());
+    let usage = |number| {
+        whole
+            .machines
+            .usage(Role::Control, number)
+            .map_err(|error| error.to_string())
+    };
     (0..whole.machines.cores()).map(usage).collect()
 }
 
@@ -336,9 +377,17 @@
     let numbers: Vec<usize> = (0..items).collect();
     for part in numbers.chunks(CALL_ROUTES) {
         let set = |change: Change, number: &usize| {
-            change.set("routes", &format!("r{number}"), 1, route(&format!("/r{number}/"), SERVICES[0]))
+            change.set(
+                "routes",
+                &format!("r{number}"),
+                1,
+                route(&format!("/r{number}/"), SERVICES[0]),
+            )
         };
-        whole.operator.change(&part.iter().fold(Change::default(), set), Instant::now() + ACK)?;
+        whole.operator.change(
+            &part.iter().fold(Change::default(), set),
+            Instant::now() + ACK,
+        )?;
     }
     Ok(())
 }
@@ -348,13 +397,21 @@
 /// # Errors
 /// The control programs can't be started, or the agents are not told all in time.
 pub fn measure(plan: &Plan) -> Result<Report, String> {
-    let folder = tempfile::TempDir::new().map_err(|error| format!("a folder for settings: {error}"))?;
+    let folder =
+        tempfile::TempDir::new().map_err(|error| format!("a folder for settings: {error}"))?;
     let net = net();
-    let size = Size { zones: plan.zones, edges: 0, net };
+    let size = Size {
+        zones: plan.zones,
+        edges: 0,
+        net,
+    };
     let mut whole = Whole::start(folder.path(), &plan.programs, size, Instant::now() + READY)?;
     configure(&mut whole, plan.items)?;
     let mut agents = Loop::new(plan, net)?;
-    let mut report = Report { whole: agents.until(WHOLE, |agent| agent.whole)?, ..Report::default() };
+    let mut report = Report {
+        whole: agents.until(WHOLE, |agent| agent.whole)?,
+        ..Report::default()
+    };
 
     agents.calm(Duration::from_secs_f64(plan.settle))?;
     let (before, began) = (usages(&whole)?, Instant::now());
@@ -366,20 +423,36 @@
         resident: after.resident,
     });
     report.control = spent.collect();
-    report.control.sort_by(|a, b| b.processor.total_cmp(&a.processor));
+    report
+        .control
+        .sort_by(|a, b| b.processor.total_cmp(&a.processor));
     report.messages = (traffic.sent as f64 / span, traffic.heard as f64 / span);
-    report.kinds = agents.kinds.iter().map(|(kind, count)| (*kind, *count as f64 / span)).collect();
+    report.kinds = agents
+        .kinds
+        .iter()
+        .map(|(kind, count)| (*kind, *count as f64 / span))
+        .collect();
     report.bytes = traffic.bytes as f64 / span;
 
     let change = Change::default().set("routes", WATCHED, 1, route("/watched/", SERVICES[0]));
     report.change = thread::scope(|scope| {
         let (began, operator) = (Instant::now(), &mut whole.operator);
-        let order = scope.spawn(move || operator.change(&change, began + ACK).map(|()| began.elapsed()));
+        let order = scope.spawn(move || {
+            operator
+                .change(&change, began + ACK)
+                .map(|()| began.elapsed())
+        });
         let told = agents.until(ACK, |agent| agent.watched > 0);
-        let acknowledged = order.join().map_err(|_| "the operator's thread failed".to_string())?;
+        let acknowledged = order
+            .join()
+            .map_err(|_| "the operator's thread failed".to_string())?;
         Ok::<_, String>((acknowledged?, told?))
     })?;
     report.lost = traffic.lost;
     let wrong = whole.machines.stop();
-    if wrong.is_empty() { Ok(report) } else { Err(wrong.join("\n")) }
+    if wrong.is_empty() {
+        Ok(report)
+    } else {
+        Err(wrong.join("\n"))
+    }
 }
--- a/crates/load/src/system/mod.rs
+++ b/crates/load/src/system/mod.rs
@@ -89,7 +89,17 @@
     /// The lines that a person reads.
     pub fn text(&self) -> String {
         let ms = |us: u64| us as f64 / 1e3;
-        let Played { asked, ok, late, refused, failed, tries, times, counts, .. } = self;
+        let Played {
+            asked,
+            ok,
+            late,
+            refused,
+            failed,
+            tries,
+            times,
+            counts,
+            ..
+        } = self;
         let mut text = self.lines.join("\n");
         // Writing to a string cannot fail.
         let _ = write!(
@@ -108,7 +118,11 @@
             counts.spoilt
         );
         for (what, held) in &self.held {
-            let _ = writeln!(text, "{} {what}", if *held { "holds:" } else { "DOES NOT HOLD:" });
+            let _ = writeln!(
+                text,
+                "{} {what}",
+                if *held { "holds:" } else { "DOES NOT HOLD:" }
+            );
         }
         text
     }
@@ -131,7 +145,11 @@
 pub fn play(plan: &Plan, stop: &AtomicBool) -> Result<Played, String> {
     let folder = tempfile::TempDir::new().map_err(|e| format!("a folder for settings: {e}"))?;
     let began = Instant::now();
-    let size = Size { zones: plan.zones, edges: plan.edges, net: NET };
+    let size = Size {
+        zones: plan.zones,
+        edges: plan.edges,
+        net: NET,
+    };
     let whole = Whole::start(folder.path(), &plan.programs, size, began + READY)?;
     let ready = format!(
         "{} control programs, {} edges, each with agent and proxy: ready after {:.1} s",
@@ -139,16 +157,36 @@
         whole.machines.edges(),
         began.elapsed().as_secs_f64()
     );
-    let places = zones(plan.zones).into_iter().enumerate().map(|(at, (zone, region))| {
-        let replicas = (0..plan.zones).map(|n| whole.machines.dir((at + n) % plan.zones)).collect();
-        (zone, region, replicas)
-    });
+    let places = zones(plan.zones)
+        .into_iter()
+        .enumerate()
+        .map(|(at, (zone, region))| {
+            let replicas = (0..plan.zones)
+                .map(|n| whole.machines.dir((at + n) % plan.zones))
+                .collect();
+            (zone, region, replicas)
+        });
     let allowed = HashMap::from([(READS, vec![SERVICES[0]]), (WRITES, vec![SERVICES[0]])]);
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let instants = instants(&[(0.0, RATE), (plan.seconds, RATE)], true, &mut rng);
-    let clients = Clients::new(instants, plan.seed, places.collect(), Rules { allowed, more: Vec::new() });
+    let clients = Clients::new(
+        instants,
+        plan.seed,
+        places.collect(),
+        Rules {
+            allowed,
+            more: Vec::new(),
+        },
+    );
     let (scale, held) = (plan.seconds / 15.0, Vec::new());
-    let mut day = Day { whole, clients: &clients, stop, scale, lines: vec![ready], held };
+    let mut day = Day {
+        whole,
+        clients: &clients,
+        stop,
+        scale,
+        lines: vec![ready],
+        held,
+    };
     let (tries, wrong) = std::thread::scope(|scope| {
         let running = scope.spawn(|| clients.run(stop));
         day.pass();
@@ -162,24 +200,40 @@
     fn at(&self, seconds: f64) {
         let at = self.clients.start + Duration::from_secs_f64(seconds * self.scale);
         while Instant::now() < at && !self.stop.load(Ordering::Relaxed) {
-            std::thread::sleep(at.saturating_duration_since(Instant::now()).min(Duration::from_millis(20)));
+            std::thread::sleep(
+                at.saturating_duration_since(Instant::now())
+                    .min(Duration::from_millis(20)),
+            );
         }
     }
 
     fn note(&mut self, text: impl AsRef<str>) {
-        let line = format!("{:>5.1} s  {}", self.clients.start.elapsed().as_secs_f64(), text.as_ref());
+        let line = format!(
+            "{:>5.1} s  {}",
+            self.clients.start.elapsed().as_secs_f64(),
+            text.as_ref()
+        );
         self.lines.push(line);
     }
 
     fn rules(&self, change: impl FnOnce(&mut Rules)) {
-        change(&mut self.clients.rules.lock().unwrap_or_else(std::sync::PoisonError::into_inner));
+        change(
+            &mut self
+                .clients
+                .rules
+                .lock()
+                .unwrap_or_else(std::sync::PoisonError::into_inner),
+        );
     }
 
     /// Sends a change; an order that is not taken is said and counts.
     fn change(&mut self, what: &str, change: &Change) {
         let began = Instant::now();
         match self.whole.operator.change(change, began + ACK) {
-            Ok(()) => self.note(format!("{what}: acknowledged after {} ms", began.elapsed().as_millis())),
+            Ok(()) => self.note(format!(
+                "{what}: acknowledged after {} ms",
+                began.elapsed().as_millis()
+            )),
             Err(error) => {
                 self.note(format!("{what}: {error}"));
                 self.held.push((format!("{what} is acknowledged"), false));
@@ -191,23 +245,31 @@
         let victim = 1 % self.whole.machines.cores();
         self.at(2.0);
         self.rules(|rules| rules.allowed.entry(READS).or_default().push(SERVICES[1]));
-        let change = Change::default().set("routes", "reads", 3, route(READS, SERVICES[1])).set(
-            "routes",
-            "more",
-            2,
-            route(MORE, SERVICES[1]),
-        );
+        let change = Change::default()
+            .set("routes", "reads", 3, route(READS, SERVICES[1]))
+            .set("routes", "more", 2, route(MORE, SERVICES[1]));
         self.change("reads go to another service, and a route is added", &change);
         let (began, edges) = (Instant::now(), self.whole.machines.edges());
-        let moved =
-            |edge| (self.whole.served_by(edge, "/read/check").as_deref() == Some(SERVICES[1])).then_some(());
+        let moved = |edge| {
+            (self.whole.served_by(edge, "/read/check").as_deref() == Some(SERVICES[1]))
+                .then_some(())
+        };
         let applied = (0..edges).all(|edge| wait_for(began + APPLY, || moved(edge)).is_some());
-        self.held.push(("a change is in force at all edges in time".into(), applied));
-        self.note(format!("it is in force at all edges {} ms later", began.elapsed().as_millis()));
+        self.held
+            .push(("a change is in force at all edges in time".into(), applied));
+        self.note(format!(
+            "it is in force at all edges {} ms later",
+            began.elapsed().as_millis()
+        ));
         self.at(2.0);
-        std::thread::sleep((began + APPLY).saturating_duration_since(Instant::now()).min(APPLY));
+        std::thread::sleep(
+            (began + APPLY)
+                .saturating_duration_since(Instant::now())
+                .min(APPLY),
+        );
         self.rules(|rules| {
-            rules.allowed = HashMap::from([(READS, vec![SERVICES[1]]), (WRITES, vec![SERVICES[0]])]);
+            rules.allowed =
+                HashMap::from([(READS, vec![SERVICES[1]]), (WRITES, vec![SERVICES[0]])]);
             rules.allowed.insert(MORE, vec![SERVICES[1]]);
             rules.more.push(MORE);
         });
@@ -225,21 +287,37 @@
         self.change("a key is added without it", &change);
         self.at(8.5);
         let started = self.whole.machines.start(Role::Control, victim);
-        self.held.push((format!("control program {victim} starts again"), started.is_ok()));
+        self.held.push((
+            format!("control program {victim} starts again"),
+            started.is_ok(),
+        ));
         self.note("it is started again");
         self.at(9.5);
-        let all = [Trouble::Reset, Trouble::Cut, Trouble::Garbled, Trouble::Extra];
+        let all = [
+            Trouble::Reset,
+            Trouble::Cut,
+            Trouble::Garbled,
+            Trouble::Extra,
+        ];
         for server in 1..4 {
             self.whole.town.trouble(server, &all.repeat(3));
         }
         self.whole.town.freeze(2, 700_000);
-        self.note("three servers reset, cut short, garble and add answers; one of them freezes for 0.7 s");
+        self.note(
+            "three servers reset, cut short, garble and add answers; one of them freezes for 0.7 s",
+        );
         self.at(12.0);
         if let Some(address) = self.whole.town.end(0) {
             let zone = &zones(1)[0].0;
-            let found = self.whole.town.found(make(SERVICES[1], zone), false, Some(address));
-            self.held.push(("the address is to be had again".into(), found.is_ok()));
-            self.note("the server that left has ended; a cold one of another service takes its address");
+            let found = self
+                .whole
+                .town
+                .found(make(SERVICES[1], zone), false, Some(address));
+            self.held
+                .push(("the address is to be had again".into(), found.is_ok()));
+            self.note(
+                "the server that left has ended; a cold one of another service takes its address",
+            );
         }
     }
 
@@ -248,7 +326,12 @@
         let differences = self.whole.operator.differences(Instant::now() + ACK);
         let ended = self.whole.machines.stop();
         let counts = self.whole.town.counts();
-        let mut played = Played { asked: requests, tries: tries.len(), counts, ..Played::default() };
+        let mut played = Played {
+            asked: requests,
+            tries: tries.len(),
+            counts,
+            ..Played::default()
+        };
         let mut times = Counted::default();
         for (at, fate) in self.clients.instants.iter().zip(fates(requests, tries)) {
             let took = fate.ended.map_or(0, |ended| ended - at);
@@ -263,25 +346,73 @@
             }
         }
         played.times = times.times();
-        let ran: Vec<&String> = wrong.refused.iter().filter(|id| self.whole.town.runs(id) > 0).collect();
+        let ran: Vec<&String> = wrong
+            .refused
+            .iter()
+            .filter(|id| self.whole.town.runs(id) > 0)
+            .collect();
         let mut must = |what: &str, held: bool, why: String| {
-            let why = if held { String::new() } else { format!(" ({why})") };
+            let why = if held {
+                String::new()
+            } else {
+                format!(" ({why})")
+            };
             self.held.push((format!("{what}{why}"), held));
         };
         let first = |all: &[String]| format!("{}, first {:?}", all.len(), all.first());
         let whole = !self.stop.load(Ordering::Relaxed);
-        must("the day is played to its end", whole, "it was interrupted".into());
-        must("nothing that may run once ran twice", counts.twice == 0, counts.twice.to_string());
-        must("nothing that was refused ran", ran.is_empty(), format!("{ran:?}"));
-        must("every success is the server's own answer to it", wrong.mixed.is_empty(), first(&wrong.mixed));
-        must("the configuration in force decides", wrong.stale.is_empty(), first(&wrong.stale));
-        must("no key went on to a server", counts.keys == 0, counts.keys.to_string());
-        must("nothing came to a server that left", counts.late == 0, counts.late.to_string());
+        must(
+            "the day is played to its end",
+            whole,
+            "it was interrupted".into(),
+        );
+        must(
+            "nothing that may run once ran twice",
+            counts.twice == 0,
+            counts.twice.to_string(),
+        );
+        must(
+            "nothing that was refused ran",
+            ran.is_empty(),
+            format!("{ran:?}"),
+        );
+        must(
+            "every success is the server's own answer to it",
+            wrong.mixed.is_empty(),
+            first(&wrong.mixed),
+        );
+        must(
+            "the configuration in force decides",
+            wrong.stale.is_empty(),
+            first(&wrong.stale),
+        );
+        must(
+            "no key went on to a server",
+            counts.keys == 0,
+            counts.keys.to_string(),
+        );
+        must(
+            "nothing came to a server that left",
+            counts.late == 0,
+            counts.late.to_string(),
+        );
         let same = differences.as_ref().is_ok_and(Vec::is_empty);
-        must("what is read back is what was acknowledged", same, format!("{differences:?}"));
-        must("all programs ended when told", ended.is_empty(), ended.join("; "));
+        must(
+            "what is read back is what was acknowledged",
+            same,
+            format!("{differences:?}"),
+        );
+        must(
+            "all programs ended when told",
+            ended.is_empty(),
+            ended.join("; "),
+        );
         let served = played.ok + played.late;
-        must("nine in ten are served", served * 10 >= requests * 9, format!("{served} of {requests}"));
+        must(
+            "nine in ten are served",
+            served * 10 >= requests * 9,
+            format!("{served} of {requests}"),
+        );
         (played.lines, played.held) = (self.lines, self.held);
         played
     }
--- a/crates/load/src/trace/read.rs
+++ b/crates/load/src/trace/read.rs
@@ -10,7 +10,9 @@
 use crate::trace::Row;
 
 /// The columns that a trace may have; `at` or `at_us` must be there, the others have defaults.
-pub const COLUMNS: [&str; 8] = ["at", "at_us", "account", "plan", "class", "units", "limiter", "id"];
+pub const COLUMNS: [&str; 8] = [
+    "at", "at_us", "account", "plan", "class", "units", "limiter", "id",
+];
 
 /// Longest instant, in seconds: a Unix time in microseconds fits.
 const LATEST: f64 = 1e12;
@@ -35,7 +37,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             TraceError::System(error) => write!(f, "{error}"),
-            TraceError::At { line, column, text } => write!(f, "line {line}, column {column}: {text}"),
+            TraceError::At { line, column, text } => {
+                write!(f, "line {line}, column {column}: {text}")
+            }
         }
     }
 }
@@ -43,7 +47,11 @@
 impl std::error::Error for TraceError {}
 
 fn at(line: u64, column: usize, text: impl Into<String>) -> TraceError {
-    TraceError::At { line, column: column as u64, text: text.into() }
+    TraceError::At {
+        line,
+        column: column as u64,
+        text: text.into(),
+    }
 }
 
 /// Sets one column of a row. Text as it stands in the file.
@@ -51,19 +59,32 @@
     let bad = |what: &str| format!("'{column}' is '{text}', not {what}");
     match column {
         "at" => {
-            let seconds = text.parse::<f64>().ok().filter(|s| (0.0..=LATEST).contains(s));
+            let seconds = text
+                .parse::<f64>()
+                .ok()
+                .filter(|s| (0.0..=LATEST).contains(s));
             row.at = (seconds.ok_or_else(|| bad("a time in seconds"))? * 1e6).round() as Micros;
         }
         "at_us" => {
-            let micros = text.parse::<Micros>().ok().filter(|us| *us >= 0 && *us as f64 <= LATEST * 1e6);
+            let micros = text
+                .parse::<Micros>()
+                .ok()
+                .filter(|us| *us >= 0 && *us as f64 <= LATEST * 1e6);
             row.at = micros.ok_or_else(|| bad("a time in whole microseconds"))?;
         }
         "account" => {
-            let number = u64::from_str_radix(text, 16).ok().filter(|n| *n < CUSTOMERS);
-            row.account = number.ok_or_else(|| bad("a customer: up to 16 hex digits, below 2^33"))?;
+            let number = u64::from_str_radix(text, 16)
+                .ok()
+                .filter(|n| *n < CUSTOMERS);
+            row.account =
+                number.ok_or_else(|| bad("a customer: up to 16 hex digits, below 2^33"))?;
         }
         "units" => {
-            row.units = text.parse().ok().filter(|u| *u > 0).ok_or_else(|| bad("1 to 255"))?;
+            row.units = text
+                .parse()
+                .ok()
+                .filter(|u| *u > 0)
+                .ok_or_else(|| bad("1 to 255"))?;
         }
         "limiter" => row.limiter = Some(text.parse().map_err(|_| bad("a limiter's number"))?),
         "id" => row.id = text.to_string(),
@@ -72,7 +93,11 @@
             if text.is_empty() || text.len() > 64 || !text.bytes().all(plain) {
                 return Err(bad("a name of letters, digits, '-', '_' and '.'"));
             }
-            *(if column == "plan" { &mut row.plan } else { &mut row.class }) = text.to_string();
+            *(if column == "plan" {
+                &mut row.plan
+            } else {
+                &mut row.class
+            }) = text.to_string();
         }
     }
     Ok(())
@@ -100,14 +125,23 @@
         let line = error.position().map_or(1, csv::Position::line);
         match error.into_kind() {
             csv::ErrorKind::Io(error) => TraceError::System(error),
-            csv::ErrorKind::UnequalLengths { expected_len, len, .. } => {
-                at(line, len as usize, format!("{len} fields where the head has {expected_len}"))
-            }
+            csv::ErrorKind::UnequalLengths {
+                expected_len, len, ..
+            } => at(
+                line,
+                len as usize,
+                format!("{len} fields where the head has {expected_len}"),
+            ),
             csv::ErrorKind::Utf8 { err, .. } => at(line, err.field() + 1, "not UTF-8"),
             other => at(line, 1, format!("{other:?}")),
         }
     };
-    let head: Vec<String> = reader.headers().map_err(fault)?.iter().map(|h| h.trim().to_string()).collect();
+    let head: Vec<String> = reader
+        .headers()
+        .map_err(fault)?
+        .iter()
+        .map(|h| h.trim().to_string())
+        .collect();
     check_head(&head)?;
     let mut rows = Vec::new();
     for record in reader.records() {
@@ -128,13 +162,21 @@
 fn check_head(head: &[String]) -> Result<(), TraceError> {
     for (k, name) in head.iter().enumerate() {
         if !COLUMNS.contains(&name.as_str()) {
-            return Err(at(1, k + 1, format!("unknown column '{name}'; known are {}", COLUMNS.join(", "))));
+            return Err(at(
+                1,
+                k + 1,
+                format!("unknown column '{name}'; known are {}", COLUMNS.join(", ")),
+            ));
         }
         if head[..k].contains(name) {
             return Err(at(1, k + 1, format!("column '{name}' stands twice")));
         }
     }
-    match head.iter().filter(|name| matches!(name.as_str(), "at" | "at_us")).count() {
+    match head
+        .iter()
+        .filter(|name| matches!(name.as_str(), "at" | "at_us"))
+        .count()
+    {
         1 => Ok(()),
         _ => Err(at(1, 1, "one of 'at' and 'at_us' must be there")),
     }
@@ -159,7 +201,9 @@
             // Where the key stands in its line, for the message.
             let place = || {
                 let quoted = format!("\"{column}\"");
-                text.windows(quoted.len()).position(|w| w == quoted.as_bytes()).map_or(1, |p| p + 1)
+                text.windows(quoted.len())
+                    .position(|w| w == quoted.as_bytes())
+                    .map_or(1, |p| p + 1)
             };
             if !COLUMNS.contains(&column.as_str()) {
                 return Err(at(
@@ -200,21 +244,33 @@
                     {\"at_us\":1250000}\n";
         let rows = csv(lines.as_bytes()).unwrap();
         assert_eq!(rows, json_lines(json.as_bytes()).unwrap());
-        assert_eq!((rows[0].at, rows[0].account, rows[1].units), (500_000, 255, 1));
+        assert_eq!(
+            (rows[0].at, rows[0].account, rows[1].units),
+            (500_000, 255, 1)
+        );
     }
 
     #[test]
     fn what_cannot_be_read_is_named_with_line_and_column() {
         let csv = |text: &str| fault(csv(text.as_bytes()));
-        assert_eq!(csv("at,units\n1,1\n2,none\n"), "line 3, column 2: 'units' is 'none', not 1 to 255");
-        assert_eq!(csv("at,units\n1,1\n2"), "line 3, column 1: 1 fields where the head has 2");
+        assert_eq!(
+            csv("at,units\n1,1\n2,none\n"),
+            "line 3, column 2: 'units' is 'none', not 1 to 255"
+        );
+        assert_eq!(
+            csv("at,units\n1,1\n2"),
+            "line 3, column 1: 1 fields where the head has 2"
+        );
         assert!(csv("at,unit\n").starts_with("line 1, column 2: unknown column 'unit'"));
         assert!(csv("units\n1\n").contains("'at' and 'at_us'"));
         assert!(csv("at\n-1\n").starts_with("line 2, column 1"));
         assert!(csv("at,account\n1,zz\n").contains("a customer"));
         let json = |text: &str| fault(json_lines(text.as_bytes()));
         assert!(json("{\"at\":1}\n{\"at\":1,\"uni").starts_with("line 2, column 12"));
-        assert_eq!(json("{\"at\":1,\"units\":0}\n"), "line 1, column 9: 'units' is '0', not 1 to 255");
+        assert_eq!(
+            json("{\"at\":1,\"units\":0}\n"),
+            "line 1, column 9: 'units' is '0', not 1 to 255"
+        );
         assert!(json("{\"units\":1}\n").contains("'at' and 'at_us'"));
         assert!(json("[1]\n").starts_with("line 1, column"));
     }
--- a/crates/load/src/trace/replay.rs
+++ b/crates/load/src/trace/replay.rs
@@ -18,24 +18,46 @@
         let plan = position(
             &mut scenario.workshops.plans,
             |p| p.name == row.plan,
-            || PlanPlan { name: row.plan.clone(), ..PlanPlan::default() },
+            || PlanPlan {
+                name: row.plan.clone(),
+                ..PlanPlan::default()
+            },
         );
         let class = position(
             &mut scenario.classes,
             |c| c.name == row.class,
-            || ClassPlan { name: row.class.clone(), ..ClassPlan::default() },
+            || ClassPlan {
+                name: row.class.clone(),
+                ..ClassPlan::default()
+            },
         );
         let customer = row.account % CUSTOMERS;
         let workshop = *known.entry(customer).or_insert_with(|| {
-            workshops.push(Workshop { customer, plan, set: (limiters, 0) });
+            workshops.push(Workshop {
+                customer,
+                plan,
+                set: (limiters, 0),
+            });
             workshops.len() as u32 - 1
         });
         let limiter = row.limiter.unwrap_or(requests.len() as u16) % limiters;
         let at = (row.at as f64 / speed) as Micros;
-        requests.push(Intended { at, workshop, class, units: row.units, limiter });
+        requests.push(Intended {
+            at,
+            workshop,
+            class,
+            units: row.units,
+            limiter,
+        });
+    }
+    scenario.seconds = requests
+        .last()
+        .map_or(0.0, |r| r.at as f64 / 1e6)
+        .max(0.001);
+    Schedule {
+        workshops,
+        requests,
     }
-    scenario.seconds = requests.last().map_or(0.0, |r| r.at as f64 / 1e6).max(0.001);
-    Schedule { workshops, requests }
 }
 
 /// The position of what fits; what doesn't stand there yet is put behind, with the figures of the first.
@@ -48,7 +70,9 @@
         Some(position) => position as u8,
         None if all.len() >= 255 => 254,
         None => {
-            let new = all.first().map_or_else(&new, |first| first.named_as(&new()));
+            let new = all
+                .first()
+                .map_or_else(&new, |first| first.named_as(&new()));
             all.push(new);
             all.len() as u8 - 1
         }
@@ -62,12 +86,18 @@
 
 impl Figures for PlanPlan {
     fn named_as(&self, other: &PlanPlan) -> PlanPlan {
-        PlanPlan { name: other.name.clone(), ..self.clone() }
+        PlanPlan {
+            name: other.name.clone(),
+            ..self.clone()
+        }
     }
 }
 
 impl Figures for ClassPlan {
     fn named_as(&self, other: &ClassPlan) -> ClassPlan {
-        ClassPlan { name: other.name.clone(), ..self.clone() }
+        ClassPlan {
+            name: other.name.clone(),
+            ..self.clone()
+        }
     }
 }
--- a/crates/load/src/trace/store.rs
+++ b/crates/load/src/trace/store.rs
@@ -18,7 +18,10 @@
         ("plan", texts(|r| r.plan.clone())),
         ("class", texts(|r| r.class.clone())),
         ("units", numbers(|r| i64::from(r.units))),
-        ("limiter", Values::Perhaps(rows.iter().map(|r| r.limiter.map(i64::from)).collect())),
+        (
+            "limiter",
+            Values::Perhaps(rows.iter().map(|r| r.limiter.map(i64::from)).collect()),
+        ),
         ("id", texts(|r| r.id.clone())),
     ];
     table::write(path, &table)
@@ -30,9 +33,16 @@
 /// A file that is missing, cut, or none of ours; a value out of its range, by its column.
 pub fn read(path: &Path) -> Result<Vec<Row>, TableError> {
     let stored = table::open(path)?;
-    let (at, accounts, units) =
-        (stored.numbers("at_us")?, stored.numbers("account")?, stored.numbers("units")?);
-    let (plans, classes, ids) = (stored.texts("plan")?, stored.texts("class")?, stored.texts("id")?);
+    let (at, accounts, units) = (
+        stored.numbers("at_us")?,
+        stored.numbers("account")?,
+        stored.numbers("units")?,
+    );
+    let (plans, classes, ids) = (
+        stored.texts("plan")?,
+        stored.texts("class")?,
+        stored.texts("id")?,
+    );
     let limiters = stored.perhaps("limiter")?;
     let bad = |column: &str| TableError::Column(path.to_path_buf(), column.to_string());
     let row = |k: usize| {
@@ -42,7 +52,10 @@
             plan: plans[k].clone(),
             class: classes[k].clone(),
             units: u8::try_from(units[k]).map_err(|_| bad("units"))?,
-            limiter: limiters[k].map(u16::try_from).transpose().map_err(|_| bad("limiter"))?,
+            limiter: limiters[k]
+                .map(u16::try_from)
+                .transpose()
+                .map_err(|_| bad("limiter"))?,
             id: ids[k].clone(),
         })
     };
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -35,7 +35,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             TrialError::System(what, error) => write!(f, "{what}: {error}"),
-            TrialError::NotReady(number, text) => write!(f, "limiter {number} did not become ready: {text}"),
+            TrialError::NotReady(number, text) => {
+                write!(f, "limiter {number} did not become ready: {text}")
+            }
         }
     }
 }
@@ -86,7 +88,13 @@
             "OverCost": p.over_cost, "BeyondEarns": 0.0, "Open": 0, "CeilingRate": 0.0, "CapDepth": 0.0,
             "HardSlack": 0.0})
     };
-    let most_units = scenario.workshops.plans.iter().map(|p| p.units[1]).max().unwrap_or(1);
+    let most_units = scenario
+        .workshops
+        .plans
+        .iter()
+        .map(|p| p.units[1])
+        .max()
+        .unwrap_or(1);
     json!({
         "Instances": limiters, "SlotNo": number, "PeriodUs": 2_000, "Discovery": "push", "Zone": 0,
         "FailureDomains": ["a"], "Skus": ["std-2c"], "WeightKind": "nominal",
@@ -111,8 +119,10 @@
     world: &Serving,
 ) -> Value {
     let address = |service| world.address(service, number).map(|a| a.to_string());
-    let known: Value =
-        world.list(number).and_then(|list| serde_json::from_str(list).ok()).unwrap_or_default();
+    let known: Value = world
+        .list(number)
+        .and_then(|list| serde_json::from_str(list).ok())
+        .unwrap_or_default();
     json!({
         "name": format!("n{number}"), "listen": listen.to_string(),
         "discovery": address(Service::Discovery), "counter": address(Service::Counter),
@@ -126,8 +136,9 @@
 
 /// Free ports for datagrams, taken all at once so that they differ.
 pub fn datagram_addresses(count: usize) -> io::Result<Vec<SocketAddr>> {
-    let sockets =
-        (0..count).map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))).collect::<io::Result<Vec<_>>>()?;
+    let sockets = (0..count)
+        .map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)))
+        .collect::<io::Result<Vec<_>>>()?;
     sockets.iter().map(UdpSocket::local_addr).collect()
 }
 
@@ -143,12 +154,17 @@
         logs: Option<&Path>,
     ) -> Result<Trial, TrialError> {
         let count = scenario.limiters.count;
-        let world = Serving::start(&scenario.world, seed, count).map_err(system("the emulated world"))?;
+        let world =
+            Serving::start(&scenario.world, seed, count).map_err(system("the emulated world"))?;
         let folder = TempDir::new().map_err(system("a folder for configurations"))?;
         let peers = datagram_addresses(count).map_err(system("sockets for datagrams"))?;
         let mut limiters = Vec::new();
         let shared = folder.path().join("shared.json");
-        let text = scenario.limiters.shared.as_ref().map_or_else(|| "{}".to_string(), Value::to_string);
+        let text = scenario
+            .limiters
+            .shared
+            .as_ref()
+            .map_or_else(|| "{}".to_string(), Value::to_string);
         std::fs::write(&shared, text).map_err(system(shared.display()))?;
         for number in 0..count {
             let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -157,8 +173,16 @@
             std::fs::write(&path, text).map_err(system(path.display()))?;
             limiters.push(Limiter::start(program, [&path, &shared], number, logs)?);
         }
-        limiters.iter().enumerate().try_for_each(|(number, l)| l.ready(number))?;
-        Ok(Trial { world: Some(world), limiters, pauses: None, _folder: folder })
+        limiters
+            .iter()
+            .enumerate()
+            .try_for_each(|(number, l)| l.ready(number))?;
+        Ok(Trial {
+            world: Some(world),
+            limiters,
+            pauses: None,
+            _folder: folder,
+        })
     }
 
     /// Where the limiters listen.
@@ -180,7 +204,11 @@
     pub fn cpu_us(&self) -> Vec<u64> {
         let used = |l: &Limiter| {
             let text = std::fs::read_to_string(format!("/proc/{}/schedstat", l.child.id())).ok()?;
-            text.split(' ').next()?.parse::<u64>().ok().map(|ns| ns / 1_000)
+            text.split(' ')
+                .next()?
+                .parse::<u64>()
+                .ok()
+                .map(|ns| ns / 1_000)
         };
         self.limiters.iter().map(|l| used(l).unwrap_or(0)).collect()
     }
@@ -226,7 +254,10 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
-            .map_err(system(format!("the limiter's program {}", program.display())))?;
+            .map_err(system(format!(
+                "the limiter's program {}",
+                program.display()
+            )))?;
         let mut log = match logs {
             Some(folder) => {
                 std::fs::create_dir_all(folder).map_err(system(folder.display()))?;
@@ -238,7 +269,11 @@
         let (tell, told) = mpsc::channel();
         let stderr = child.stderr.take();
         std::thread::spawn(move || {
-            for line in stderr.into_iter().flat_map(|s| BufReader::new(s).lines()).map_while(Result::ok) {
+            for line in stderr
+                .into_iter()
+                .flat_map(|s| BufReader::new(s).lines())
+                .map_while(Result::ok)
+            {
                 if let Some(log) = &mut log {
                     // A log that can't be kept does not end the run.
                     let _ = writeln!(log, "{line}");
@@ -250,7 +285,11 @@
         let mut last = String::new();
         let address = loop {
             match told.recv_timeout(until.saturating_duration_since(Instant::now())) {
-                Ok(line) => match line.split("serving on ").nth(1).and_then(|a| a.trim().parse().ok()) {
+                Ok(line) => match line
+                    .split("serving on ")
+                    .nth(1)
+                    .and_then(|a| a.trim().parse().ok())
+                {
                     Some(address) => break address,
                     None => last = line,
                 },
@@ -280,6 +319,9 @@
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        Err(TrialError::NotReady(number, "/up was not 200 in time".into()))
+        Err(TrialError::NotReady(
+            number,
+            "/up was not 200 in time".into(),
+        ))
     }
 }
--- a/crates/load/tests/faults.rs
+++ b/crates/load/tests/faults.rs
@@ -21,17 +21,30 @@
         limiter.display()
     );
     let folder = tempfile::tempdir().unwrap();
-    let (scenario, file) = (folder.path().join("scenario.json"), folder.path().join("shared.json"));
+    let (scenario, file) = (
+        folder.path().join("scenario.json"),
+        folder.path().join("shared.json"),
+    );
     std::fs::write(&scenario, scenario_text).unwrap();
     std::fs::write(&file, shared).unwrap();
     let output = Command::new(PROGRAM)
-        .args(["run", &scenario.display().to_string(), "--json", "--shared", &file.display().to_string()])
+        .args([
+            "run",
+            &scenario.display().to_string(),
+            "--json",
+            "--shared",
+            &file.display().to_string(),
+        ])
         .arg("--limiter")
         .arg(&limiter)
         .stdin(Stdio::null())
         .output()
         .unwrap();
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let report: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(report["adds_up"], true, "no request lost or answered twice");
     let windows = report["quota"]["by_window"].as_array().unwrap();
@@ -47,7 +60,10 @@
     let open = thread::spawn(|| by_window(LOST, "{}"));
     let sliced = by_window(LOST, r#"{"counter_lost": "slices"}"#);
     let open = open.join().unwrap();
-    assert!(sliced[1..3].iter().all(|r| *r <= 1.10), "with slices: {sliced:?}");
+    assert!(
+        sliced[1..3].iter().all(|r| *r <= 1.10),
+        "with slices: {sliced:?}"
+    );
     assert!(open[1..3].iter().any(|r| *r > 1.25), "open: {open:?}");
 }
 
@@ -61,5 +77,8 @@
 fn a_counter_back_empty_grants_no_window_twice() {
     let _alone = BENCH.lock().unwrap_or_else(|e| e.into_inner());
     let open = by_window(CRASH, "{}");
-    assert!(open[2..].iter().all(|r| *r <= 1.30), "after the crash: {open:?}");
+    assert!(
+        open[2..].iter().all(|r| *r <= 1.30),
+        "after the crash: {open:?}"
+    );
 }
--- a/crates/load/tests/fleet.rs
+++ b/crates/load/tests/fleet.rs
@@ -12,7 +12,10 @@
     assert!(totals.each(totals.opened) < 0.25, "{shown}");
     assert!(totals.beyond_share() < 0.2, "{shown}");
     assert!(totals.kept() > 0.9, "{shown}");
-    assert!(totals.each(totals.no_server + totals.failed) < 0.01, "{shown}");
+    assert!(
+        totals.each(totals.no_server + totals.failed) < 0.01,
+        "{shown}"
+    );
     totals
 }
 
@@ -35,7 +38,14 @@
 
 #[test]
 fn the_same_seed_gives_the_same_totals() {
-    let shape = Shape { gateways: 20, servers: 12, ..Shape::default() };
-    let play = || Totals { decision_us: 0.0, ..play(&shape, Trouble::Restart) };
+    let shape = Shape {
+        gateways: 20,
+        servers: 12,
+        ..Shape::default()
+    };
+    let play = || Totals {
+        decision_us: 0.0,
+        ..play(&shape, Trouble::Restart)
+    };
     assert_eq!(play().to_string(), play().to_string());
 }
--- a/crates/load/tests/sockets.rs
+++ b/crates/load/tests/sockets.rs
@@ -21,7 +21,12 @@
 fn setup(text: &str, targets: usize) -> Arc<Setup> {
     let scenario = Scenario::read(text).unwrap();
     let schedule = Schedule::lay(&scenario, 5, targets);
-    Arc::new(Setup { scenario, schedule, targets, seed: 5 })
+    Arc::new(Setup {
+        scenario,
+        schedule,
+        targets,
+        seed: 5,
+    })
 }
 
 fn run(setup: &Arc<Setup>, targets: &[SocketAddr], threads: usize) -> Summary {
@@ -42,7 +47,10 @@
     world.begin(1_000_000);
     let summary = run(&setup, &[node], 2);
     let counts = world.stop();
-    assert_eq!((summary.served, counts.arrived, counts.ids, counts.served), (200, 200, 200, 200));
+    assert_eq!(
+        (summary.served, counts.arrived, counts.ids, counts.served),
+        (200, 200, 200, 200)
+    );
     assert_eq!(summary.latency_us.count, 200);
 }
 
@@ -59,7 +67,10 @@
     world.begin(10_000_000);
     let summary = run(&setup, &[node], 1);
     let counts = world.stop();
-    assert!(counts.spoilt > 0 && summary.failed >= counts.spoilt, "{counts:?}");
+    assert!(
+        counts.spoilt > 0 && summary.failed >= counts.spoilt,
+        "{counts:?}"
+    );
     assert_eq!(counts.copies, 0);
     // Only a close that crossed a request on a kept connection has it sent once more, and then it had not arrived.
     assert!(counts.arrived <= 200 && counts.again == 0, "{counts:?}");
@@ -81,20 +92,30 @@
     );
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let summary = run(&setup(&text, 1), &[listener.local_addr().unwrap()], 1);
-    assert_eq!(summary.unanswered + summary.not_sent, 200, "{}", summary.text());
+    assert_eq!(
+        summary.unanswered + summary.not_sent,
+        200,
+        "{}",
+        summary.text()
+    );
 }
 
 #[test]
 fn too_few_connections_are_said_and_never_pass_as_a_held_schedule() {
-    let text = QUICK
-        .replace("\"work_ms\":1", "\"work_ms\":50")
-        .replace("\"retries\"", "\"generator\":{\"connections\":2},\"retries\"");
+    let text = QUICK.replace("\"work_ms\":1", "\"work_ms\":50").replace(
+        "\"retries\"",
+        "\"generator\":{\"connections\":2},\"retries\"",
+    );
     let setup = setup(&text, 1);
     let world = Serving::start(&setup.scenario.world, 1, 1).unwrap();
     let node = world.address(Service::Node(0), 0).unwrap();
     world.begin(10_000_000);
     let summary = run(&setup, &[node], 1);
-    assert!(summary.no_connections > 0 && !summary.schedule_held, "{}", summary.text());
+    assert!(
+        summary.no_connections > 0 && !summary.schedule_held,
+        "{}",
+        summary.text()
+    );
 }
 
 fn write(folder: &Path, name: &str, text: &str) -> String {
@@ -104,7 +125,11 @@
 }
 
 fn call(args: &[&str]) -> Output {
-    Command::new(PROGRAM).args(args).stdin(Stdio::null()).output().unwrap()
+    Command::new(PROGRAM)
+        .args(args)
+        .stdin(Stdio::null())
+        .output()
+        .unwrap()
 }
 
 fn json(output: &Output) -> serde_json::Value {
@@ -135,27 +160,44 @@
 #[test]
 fn a_run_out_of_descriptors_goes_on_and_adds_up() {
     let folder = tempfile::tempdir().unwrap();
-    let scenario = write(folder.path(), "s.json", &QUICK.replace("\"work_ms\":1", "\"work_ms\":200"));
+    let scenario = write(
+        folder.path(),
+        "s.json",
+        &QUICK.replace("\"work_ms\":1", "\"work_ms\":200"),
+    );
     let (address, _told) = server(b"");
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let silent = listener.local_addr().unwrap().to_string();
-    let line =
-        format!("ulimit -n 30; exec {PROGRAM} run {scenario} --target {silent} --target {address} --json");
+    let line = format!(
+        "ulimit -n 30; exec {PROGRAM} run {scenario} --target {silent} --target {address} --json"
+    );
     let output = Command::new("sh").args(["-c", &line]).output().unwrap();
     let report = json(&output);
-    assert_eq!((report["offered"].as_u64(), report["adds_up"].as_bool()), (Some(200), Some(true)));
+    assert_eq!(
+        (report["offered"].as_u64(), report["adds_up"].as_bool()),
+        (Some(200), Some(true))
+    );
     assert!(report["no_sockets"].as_u64() > Some(0), "{report}");
 }
 
 #[test]
 fn a_run_that_is_interrupted_writes_a_whole_report() {
     let folder = tempfile::tempdir().unwrap();
-    let text = r#"{"seconds":600,"arrivals":[{"shape":"constant","rate":50}],"retries":{"most":0}}"#;
+    let text =
+        r#"{"seconds":600,"arrivals":[{"shape":"constant","rate":50}],"retries":{"most":0}}"#;
     let scenario = write(folder.path(), "s.json", text);
-    let (address, told) = server(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok");
+    let (address, told) =
+        server(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok");
     let report = folder.path().join("report");
     let child = Command::new(PROGRAM)
-        .args(["run", &scenario, "--json", "--target", &address.to_string(), "--report"])
+        .args([
+            "run",
+            &scenario,
+            "--json",
+            "--target",
+            &address.to_string(),
+            "--report",
+        ])
         .arg(&report)
         .stdout(Stdio::piped())
         .spawn()
@@ -171,9 +213,15 @@
     let kept: serde_json::Value =
         serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
     assert_eq!(printed, kept);
-    assert_eq!((kept["interrupted"].as_bool(), kept["adds_up"].as_bool()), (Some(true), Some(true)));
+    assert_eq!(
+        (kept["interrupted"].as_bool(), kept["adds_up"].as_bool()),
+        (Some(true), Some(true))
+    );
     assert_eq!(kept["offered"].as_u64(), Some(30_000));
-    assert!(kept["served"].as_u64() >= Some(9) && kept["not_sent"].as_u64() > Some(20_000), "{kept}");
+    assert!(
+        kept["served"].as_u64() >= Some(9) && kept["not_sent"].as_u64() > Some(20_000),
+        "{kept}"
+    );
     let page = std::fs::read_to_string(report.join("report.html")).unwrap();
     assert!(page.contains("<svg") && page.contains("ended before its time"));
     let stored = table::open(&report.join("records.parquet")).unwrap();
@@ -198,7 +246,13 @@
     ];
     for (answer, key, tries) in cases {
         let (address, _told) = server(answer);
-        let report = json(&call(&["run", &scenario, "--target", &address.to_string(), "--json"]));
+        let report = json(&call(&[
+            "run",
+            &scenario,
+            "--target",
+            &address.to_string(),
+            "--json",
+        ]));
         assert_eq!(
             (report[key].as_u64(), report["tries"].as_u64()),
             (Some(20), Some(tries)),
@@ -213,28 +267,53 @@
     let lines = "at,account,class,id\n10.0,0a,lookup,a\n10.2,0b,sign-off,b\n10.1,0a,lookup,c\n10.2,0b,sign-off,b\n60,0c,lookup,d\n";
     let csv = write(folder.path(), "t.csv", lines);
     let trace = folder.path().join("t.parquet").display().to_string();
-    let done =
-        call(&["trace", "import", &csv, &trace, "--duplicates", "drop", "--gaps", "close", "--gap", "0.3"]);
+    let done = call(&[
+        "trace",
+        "import",
+        &csv,
+        &trace,
+        "--duplicates",
+        "drop",
+        "--gaps",
+        "close",
+        "--gap",
+        "0.3",
+    ]);
     let said = String::from_utf8(done.stdout).unwrap();
     assert!(
-        said.contains("out of order: 1") && said.contains("duplicates: 1") && said.contains("gaps: 1"),
+        said.contains("out of order: 1")
+            && said.contains("duplicates: 1")
+            && said.contains("gaps: 1"),
         "{said}"
     );
     let said = String::from_utf8(call(&["trace", "inspect", &trace]).stdout).unwrap();
-    assert!(said.contains("requests: 4\nlength: 0.500 s") && said.contains("class sign-off: 1"), "{said}");
-    let (address, _told) = server(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+    assert!(
+        said.contains("requests: 4\nlength: 0.500 s") && said.contains("class sign-off: 1"),
+        "{said}"
+    );
+    let (address, _told) =
+        server(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     let target = address.to_string();
-    let report = json(&call(&["trace", "replay", &trace, "--target", &target, "--json", "--speed", "5"]));
+    let report = json(&call(&[
+        "trace", "replay", &trace, "--target", &target, "--json", "--speed", "5",
+    ]));
     assert_eq!(report["served"].as_u64(), Some(4));
     assert!(report["by_class"]["sign-off"]["served"].as_u64() == Some(1));
 
     // A trace that can't be read is refused by its place, and what stood there before stays.
-    let cut = write(folder.path(), "cut.csv", "at,account,class,id\n1,0a,lookup,a\n2,0");
+    let cut = write(
+        folder.path(),
+        "cut.csv",
+        "at,account,class,id\n1,0a,lookup,a\n2,0",
+    );
     let before = std::fs::read(&trace).unwrap();
     let refused = call(&["trace", "import", &cut, &trace]);
     assert!(!refused.status.success());
     let said = String::from_utf8(refused.stderr).unwrap();
-    assert!(said.contains("line 3, column 2: 2 fields where the head has 4"), "{said}");
+    assert!(
+        said.contains("line 3, column 2: 2 fields where the head has 4"),
+        "{said}"
+    );
     assert_eq!(std::fs::read(&trace).unwrap(), before);
     std::fs::write(&trace, &before[..before.len() / 2]).unwrap();
     assert!(!call(&["trace", "inspect", &trace]).status.success());
@@ -245,7 +324,8 @@
     let folder = tempfile::tempdir().unwrap();
     let text = r#"{"seconds":0.3,"arrivals":[{"shape":"constant","rate":50}]}"#;
     let scenario = write(folder.path(), "s.json", text);
-    let (address, _told) = server(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+    let (address, _told) =
+        server(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     let target = address.to_string();
     let swept = folder.path().join("sweep");
     let at = swept.display().to_string();
@@ -263,14 +343,39 @@
     ];
     let output = call(&args);
     assert!(output.status.success(), "{output:?}");
-    assert!(std::fs::read_to_string(swept.join("sweep.html")).unwrap().contains("<svg"));
-    let (one, two) = (swept.join("50").display().to_string(), swept.join("100").display().to_string());
+    assert!(
+        std::fs::read_to_string(swept.join("sweep.html"))
+            .unwrap()
+            .contains("<svg")
+    );
+    let (one, two) = (
+        swept.join("50").display().to_string(),
+        swept.join("100").display().to_string(),
+    );
     let said = String::from_utf8(call(&["compare", &one, &two]).stdout).unwrap();
-    assert!(said.contains("offered") && said.contains("30 (+100.0 %)"), "{said}");
-    let refused =
-        call(&["sweep", &scenario, "--key", "arrivals[0].rate", "--values", "50,-1", "--target", &target]);
-    assert!(String::from_utf8(refused.stderr).unwrap().contains("'arrivals[0].rate': is -1"));
-    assert!(refused.stdout.is_empty(), "nothing is run before all values are checked");
+    assert!(
+        said.contains("offered") && said.contains("30 (+100.0 %)"),
+        "{said}"
+    );
+    let refused = call(&[
+        "sweep",
+        &scenario,
+        "--key",
+        "arrivals[0].rate",
+        "--values",
+        "50,-1",
+        "--target",
+        &target,
+    ]);
+    assert!(
+        String::from_utf8(refused.stderr)
+            .unwrap()
+            .contains("'arrivals[0].rate': is -1")
+    );
+    assert!(
+        refused.stdout.is_empty(),
+        "nothing is run before all values are checked"
+    );
 }
 
 #[test]
@@ -296,6 +401,13 @@
     }
     let good = write(folder.path(), "g.json", QUICK);
     let below_a_file = format!("{good}/report");
-    let refused = call(&["run", &good, "--target", "127.0.0.1:1", "--report", &below_a_file]);
+    let refused = call(&[
+        "run",
+        &good,
+        "--target",
+        "127.0.0.1:1",
+        "--report",
+        &below_a_file,
+    ]);
     assert_eq!((refused.status.code(), refused.stdout.len()), (Some(1), 0));
 }
--- a/crates/load/tests/stored.rs
+++ b/crates/load/tests/stored.rs
@@ -19,5 +19,8 @@
     let folder = tempfile::tempdir().unwrap();
     let written = folder.path().join("trace.parquet");
     store::write(&written, &recorded()).unwrap();
-    assert_eq!(std::fs::read(written).unwrap(), std::fs::read(stored).unwrap());
+    assert_eq!(
+        std::fs::read(written).unwrap(),
+        std::fs::read(stored).unwrap()
+    );
 }
