--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -15,7 +15,9 @@
 use http::{HeaderValue, Request, Response, StatusCode, header};
 use limiter::engine::{Authorisation, Ending, Engine, Order};
 use limiter::slots::AuthorisationKey;
-use streamarch::{CounterName, ListKind, Micros, Outcome, ServerEntry, ServerId, ServerState, Settings};
+use streamarch::{
+    CounterName, ListKind, Micros, Outcome, ServerEntry, ServerId, ServerState, Settings,
+};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 use tower_layer::Layer;
@@ -27,7 +29,12 @@
 /// What the module asks of a counter that all limiters share.
 pub trait Counter: Send + Sync + 'static {
     /// Adds to a number and gives the total; a new name lives for `life`. `None`: no answer, perhaps added.
-    fn add(&self, name: CounterName, add: f64, life: Duration) -> impl Future<Output = Option<f64>> + Send;
+    fn add(
+        &self,
+        name: CounterName,
+        add: f64,
+        life: Duration,
+    ) -> impl Future<Output = Option<f64>> + Send;
 }
 
 /// A counter within this process, for a single limiter.
@@ -84,16 +91,32 @@
 impl Gate {
     /// Starts an engine on the present tokio runtime; it ends with the last handle. Of the settings' attempts only
     /// the first is used: the wrapped service is called once for a request.
-    pub fn start(mut settings: Settings, seed: u64, most_held: usize, counter: impl Counter) -> Gate {
+    pub fn start(
+        mut settings: Settings,
+        seed: u64,
+        most_held: usize,
+        counter: impl Counter,
+    ) -> Gate {
         settings.max_attempts = 1;
         (settings.may_probe, settings.may_tell) = (false, false);
         let wait = Duration::from_micros(settings.counter_timeout.max(1) as u64);
         let mut engine = Engine::new(settings, seed, most_held);
         let state = ServerState::Ready;
-        let entry = ServerEntry { server: INNER, zone: 0, kind: 0, cell: 0, state, weight: 1.0, started: 0 };
+        let entry = ServerEntry {
+            server: INNER,
+            zone: 0,
+            kind: 0,
+            cell: 0,
+            state,
+            weight: 1.0,
+            started: 0,
+        };
         engine.listed(ListKind::Full, vec![entry]);
         let shared = Arc::new(Shared {
-            inner: Mutex::new(Inner { engine, waiting: BTreeMap::new() }),
+            inner: Mutex::new(Inner {
+                engine,
+                waiting: BTreeMap::new(),
+            }),
             changed: Notify::new(),
             start: Instant::now(),
             stay_away: limiter::limits::Limits::default().stay_away,
@@ -118,7 +141,10 @@
     /// A layer whose requests `identify` turns into authorisations; `None` lets a request by, unmetered. The
     /// deadline is given as the time that is left.
     pub fn layer<F>(&self, identify: F) -> LimiterLayer<F> {
-        LimiterLayer { gate: self.clone(), identify: Arc::new(identify) }
+        LimiterLayer {
+            gate: self.clone(),
+            identify: Arc::new(identify),
+        }
     }
 
     /// Requests whose final answer is owed.
@@ -136,18 +162,34 @@
         match order {
             Order::StartLeg { key, leg, .. } => {
                 // A receiver that is gone has told the engine so, or is about to.
-                _ = inner.waiting.remove(&key).map(|sender| sender.send(Verdict::Go(leg)));
+                _ = inner
+                    .waiting
+                    .remove(&key)
+                    .map(|sender| sender.send(Verdict::Go(leg)));
             }
             Order::Answer { key, ending } => {
-                _ = inner.waiting.remove(&key).map(|sender| sender.send(Verdict::End(ending)));
+                _ = inner
+                    .waiting
+                    .remove(&key)
+                    .map(|sender| sender.send(Verdict::End(ending)));
             }
             Order::Count { name, add, life } => {
                 let (shared, counter) = (shared.clone(), counter.clone());
                 tokio::spawn(async move {
                     let life = Duration::from_micros(life.max(0) as u64);
-                    let total = tokio::time::timeout(wait, counter.add(name, add, life)).await.ok().flatten();
-                    let outcome = if total.is_some() { Outcome::Ok } else { Outcome::TimedOut };
-                    shared.lock().engine.counted(name, outcome, total.unwrap_or(0.0));
+                    let total = tokio::time::timeout(wait, counter.add(name, add, life))
+                        .await
+                        .ok()
+                        .flatten();
+                    let outcome = if total.is_some() {
+                        Outcome::Ok
+                    } else {
+                        Outcome::TimedOut
+                    };
+                    shared
+                        .lock()
+                        .engine
+                        .counted(name, outcome, total.unwrap_or(0.0));
                     shared.changed.notify_one();
                 });
             }
@@ -166,7 +208,10 @@
 
 impl<F> Clone for LimiterLayer<F> {
     fn clone(&self) -> LimiterLayer<F> {
-        LimiterLayer { gate: self.gate.clone(), identify: self.identify.clone() }
+        LimiterLayer {
+            gate: self.gate.clone(),
+            identify: self.identify.clone(),
+        }
     }
 }
 
@@ -174,7 +219,11 @@
     type Service = LimiterService<S, F>;
 
     fn layer(&self, inner: S) -> LimiterService<S, F> {
-        LimiterService { gate: self.gate.clone(), identify: self.identify.clone(), inner }
+        LimiterService {
+            gate: self.gate.clone(),
+            identify: self.identify.clone(),
+            inner,
+        }
     }
 }
 
@@ -187,7 +236,11 @@
 
 impl<S: Clone, F> Clone for LimiterService<S, F> {
     fn clone(&self) -> LimiterService<S, F> {
-        LimiterService { gate: self.gate.clone(), identify: self.identify.clone(), inner: self.inner.clone() }
+        LimiterService {
+            gate: self.gate.clone(),
+            identify: self.identify.clone(),
+            inner: self.inner.clone(),
+        }
     }
 }
 
@@ -200,7 +253,10 @@
 impl Held {
     fn ended(&self, leg: u32, outcome: Outcome) {
         let now = self.shared.now();
-        self.shared.lock().engine.leg_ended(now, self.key, leg, outcome, None);
+        self.shared
+            .lock()
+            .engine
+            .leg_ended(now, self.key, leg, outcome, None);
         self.shared.changed.notify_one();
     }
 }
@@ -220,11 +276,14 @@
 fn ending<B: Default>(ending: Ending, least: Micros) -> Response<B> {
     let (status, stay_away) = limiter::front::platform::status(ending);
     let mut response = Response::new(B::default());
-    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
+    *response.status_mut() =
+        StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     if matches!(ending, Ending::Declined { .. }) {
         // Whole seconds: what HTTP's own `Retry-After` knows.
         let seconds = (stay_away.max(least) + 999_999) / 1_000_000;
-        response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from(seconds));
+        response
+            .headers_mut()
+            .insert(header::RETRY_AFTER, HeaderValue::from(seconds));
     }
     response
 }
@@ -263,14 +322,24 @@
                 let taken = inner.engine.take(now, authorisation);
                 taken.inspect(|key| _ = inner.waiting.insert(*key, sender))
             };
-            let full = Ending::Declined { stay_away: 0, over_quota: false };
-            let Ok(key) = taken else { return Ok(ending(full, shared.stay_away)) };
-            let held = Held { shared: shared.clone(), key };
+            let full = Ending::Declined {
+                stay_away: 0,
+                over_quota: false,
+            };
+            let Ok(key) = taken else {
+                return Ok(ending(full, shared.stay_away));
+            };
+            let held = Held {
+                shared: shared.clone(),
+                key,
+            };
             shared.changed.notify_one();
             match verdict.await {
                 Ok(Verdict::Go(leg)) => {
                     let answer = inner.call(request).await;
-                    let good = answer.as_ref().is_ok_and(|response| !response.status().is_server_error());
+                    let good = answer
+                        .as_ref()
+                        .is_ok_and(|response| !response.status().is_server_error());
                     held.ended(leg, if good { Outcome::Ok } else { Outcome::Error });
                     answer
                 }
--- a/crates/model-check/src/quorums.rs
+++ b/crates/model-check/src/quorums.rs
@@ -37,12 +37,22 @@
 impl<'a> Counting<'a> {
     /// For a round that a machine leads.
     pub fn round(state: &'a State, machine: usize, old_counts: bool) -> Counting<'a> {
-        Counting { state, machine, need: state.majority(), old_counts }
+        Counting {
+            state,
+            machine,
+            need: state.majority(),
+            old_counts,
+        }
     }
 
     /// For a machine that rebuilds.
     pub fn rebuild(state: &'a State, machine: usize, old_counts: bool) -> Counting<'a> {
-        Counting { state, machine, need: state.others(), old_counts }
+        Counting {
+            state,
+            machine,
+            need: state.others(),
+            old_counts,
+        }
     }
 
     fn own(&self) -> &Machine {
@@ -52,7 +62,11 @@
     /// What these votes tell together, if they are a quorum just now.
     pub fn quorum(&self, votes: &[Vote]) -> Option<Quorum> {
         let own = self.own();
-        let mut quorum = Quorum { table: own.table, floor: Ballot::default(), accepted: None };
+        let mut quorum = Quorum {
+            table: own.table,
+            floor: Ballot::default(),
+            accepted: None,
+        };
         for vote in votes {
             for (known, told) in quorum.table.iter_mut().zip(vote.by.table) {
                 *known = told.max(*known);
@@ -61,7 +75,9 @@
             quorum.accepted = quorum.accepted.max(vote.accepted);
         }
         let aside = own.status == Status::Member
-            && own.incarnation.is_some_and(|incarnation| quorum.table[own.replica] > incarnation);
+            && own
+                .incarnation
+                .is_some_and(|incarnation| quorum.table[own.replica] > incarnation);
         let mut counted = [false; REPLICAS];
         for vote in votes {
             let replica = self.state.machines[vote.by.machine].replica;
@@ -92,10 +108,15 @@
     /// `votes` are sorted by the machine that votes.
     fn choose(&self, votes: &[Vote], taken: &mut Vec<Vote>, found: &mut Vec<Quorum>) {
         let Some(first) = votes.first() else {
-            self.quorum(taken).into_iter().for_each(|quorum| put(found, quorum));
+            self.quorum(taken)
+                .into_iter()
+                .for_each(|quorum| put(found, quorum));
             return;
         };
-        let same = votes.iter().take_while(|vote| vote.by.machine == first.by.machine).count();
+        let same = votes
+            .iter()
+            .take_while(|vote| vote.by.machine == first.by.machine)
+            .count();
         let (these, rest) = votes.split_at(same);
         self.choose(rest, taken, found);
         for vote in these {
@@ -109,22 +130,49 @@
 impl State {
     /// The promises that came for the round that a machine leads.
     pub fn promises_for(&self, machine: usize) -> impl Iterator<Item = Vote> {
-        let ballot = self.machines[machine].leads.as_ref().map(|round| round.ballot);
-        let these = self.promises.iter().filter(move |promise| Some(promise.ballot) == ballot);
-        these.map(|promise| Vote { by: promise.by, floor: Ballot::default(), accepted: promise.accepted })
+        let ballot = self.machines[machine]
+            .leads
+            .as_ref()
+            .map(|round| round.ballot);
+        let these = self
+            .promises
+            .iter()
+            .filter(move |promise| Some(promise.ballot) == ballot);
+        these.map(|promise| Vote {
+            by: promise.by,
+            floor: Ballot::default(),
+            accepted: promise.accepted,
+        })
     }
 
     /// The acceptances that came for the round that a machine leads.
     pub fn accepted_for(&self, machine: usize) -> impl Iterator<Item = Vote> {
-        let ballot = self.machines[machine].leads.as_ref().map(|round| round.ballot);
-        let these = self.accepted.iter().filter(move |accepted| Some(accepted.ballot) == ballot);
-        these.map(|accepted| Vote { by: accepted.by, floor: Ballot::default(), accepted: None })
+        let ballot = self.machines[machine]
+            .leads
+            .as_ref()
+            .map(|round| round.ballot);
+        let these = self
+            .accepted
+            .iter()
+            .filter(move |accepted| Some(accepted.ballot) == ballot);
+        these.map(|accepted| Vote {
+            by: accepted.by,
+            floor: Ballot::default(),
+            accepted: None,
+        })
     }
 
     /// The answers that came to a machine that rebuilds.
     pub fn recorded_for(&self, machine: usize) -> impl Iterator<Item = Vote> {
         let status = self.machines[machine].status;
-        let these = self.recorded.iter().filter(move |told| status == Status::Rebuilds(told.incarnation));
-        these.map(|told| Vote { by: told.by, floor: told.floor, accepted: told.accepted })
+        let these = self
+            .recorded
+            .iter()
+            .filter(move |told| status == Status::Rebuilds(told.incarnation));
+        these.map(|told| Vote {
+            by: told.by,
+            floor: told.floor,
+            accepted: told.accepted,
+        })
     }
 }
--- a/crates/model-check/src/state.rs
+++ b/crates/model-check/src/state.rs
@@ -105,7 +105,10 @@
 
     /// A newer incarnation of its replica is known to it.
     pub fn aside(&self) -> bool {
-        self.status == Status::Member && self.incarnation.is_some_and(|own| self.table[self.replica] > own)
+        self.status == Status::Member
+            && self
+                .incarnation
+                .is_some_and(|own| self.table[self.replica] > own)
     }
 
     /// An incarnation is one that makes this machine begin another one: it rebuilds and this one is newer, or
@@ -113,7 +116,10 @@
     pub fn hears_own(&self, machine: usize, replica: usize, incarnation: Incarnation) -> bool {
         let newer = match self.status {
             Status::Rebuilds(wanted) => incarnation > wanted,
-            _ => self.incarnation.is_some_and(|own| incarnation > own) && incarnation.machine() == machine,
+            _ => {
+                self.incarnation.is_some_and(|own| incarnation > own)
+                    && incarnation.machine() == machine
+            }
         };
         replica == self.replica && newer
     }
@@ -245,12 +251,20 @@
         let machines = &self.machines;
         let leads = |ballot: Ballot, accepting: bool| {
             let rounds = machines.iter().filter_map(|machine| machine.leads.as_ref());
-            rounds.clone().any(|round| round.ballot == ballot && round.proposed.is_some() == accepting)
+            rounds
+                .clone()
+                .any(|round| round.ballot == ballot && round.proposed.is_some() == accepting)
         };
         self.promises.retain(|promise| leads(promise.ballot, false));
-        self.accepted.retain(|accepted| leads(accepted.ballot, true));
-        let rebuilds = |incarnation| machines.iter().any(|m| m.status == Status::Rebuilds(incarnation));
-        self.recorded.retain(|recorded| rebuilds(recorded.incarnation));
+        self.accepted
+            .retain(|accepted| leads(accepted.ballot, true));
+        let rebuilds = |incarnation| {
+            machines
+                .iter()
+                .any(|m| m.status == Status::Rebuilds(incarnation))
+        };
+        self.recorded
+            .retain(|recorded| rebuilds(recorded.incarnation));
     }
 }
 
--- a/crates/overload/src/admission.rs
+++ b/crates/overload/src/admission.rs
@@ -17,7 +17,11 @@
 
 impl Default for Service {
     fn default() -> Service {
-        Service { load: Load::default(), told: None, own: Judge::new(0) }
+        Service {
+            load: Load::default(),
+            told: None,
+            own: Judge::new(0),
+        }
     }
 }
 
@@ -32,7 +36,9 @@
 impl Admission {
     /// The border for a service: requests beyond it are turned away.
     pub fn border(&self, now: Micros, svc: &str) -> f64 {
-        let Some(service) = self.services.get(svc) else { return 1.0 };
+        let Some(service) = self.services.get(svc) else {
+            return 1.0;
+        };
         match &service.told {
             Some((level, _)) if !self.deaf(now) => level.border,
             None if !self.deaf(now) => 1.0,
@@ -67,7 +73,9 @@
     /// Home told these levels, and no others hold; they were judged so long ago.
     pub fn told(&mut self, now: Micros, levels: Vec<Level>, age: Micros) {
         self.heard = Some(now - age);
-        self.services.values_mut().for_each(|service| service.told = None);
+        self.services
+            .values_mut()
+            .for_each(|service| service.told = None);
         for level in levels {
             let service = self.services.entry(level.svc.clone()).or_default();
             service.told = Some((level, now - age));
@@ -88,7 +96,9 @@
             let told = service.told.as_ref().map(|(level, _)| level);
             let share = told.and_then(|level| Some(level.rate? / f64::from(level.limiters.max(1))));
             let asked = service.told.is_some() || deaf;
-            let Some(report) = service.load.report(now, svc, asked) else { continue };
+            let Some(report) = service.load.report(now, svc, asked) else {
+                continue;
+            };
             if deaf {
                 service.own.bound(share);
                 service.own.report(now, 0, &report);
--- a/crates/overload/src/order.rs
+++ b/crates/overload/src/order.rs
@@ -26,7 +26,11 @@
 /// The border that lets through `kept` a second of what is offered in each band.
 pub fn border(offered: &[f64; BANDS], kept: f64) -> f64 {
     let mut left = kept;
-    for (band, offered) in offered.iter().enumerate().filter(|(_, offered)| **offered > 0.0) {
+    for (band, offered) in offered
+        .iter()
+        .enumerate()
+        .filter(|(_, offered)| **offered > 0.0)
+    {
         if left < *offered {
             return (band as f64 + (left / offered).max(0.0)) / BANDS as f64;
         }
@@ -45,7 +49,9 @@
         assert!(place(band(0, 3), "x") < place(band(1, 0), "y"));
         assert!(place(band(2, 1), "x") < place(band(2, 2), "x"));
         assert!(place(band(9, 9), "x") < 1.0);
-        let low = (0..1_000).filter(|n| place(0, &format!("id-{n}")) * (BANDS as f64) < 0.3).count();
+        let low = (0..1_000)
+            .filter(|n| place(0, &format!("id-{n}")) * (BANDS as f64) < 0.3)
+            .count();
         assert!((260..340).contains(&low), "{low}");
     }
 
--- a/crates/overload/src/shedder.rs
+++ b/crates/overload/src/shedder.rs
@@ -70,7 +70,11 @@
         // A turn that let less through was shorter for it.
         let kept = self.kept.unwrap_or(1.0);
         let growth = (waited as f64 / self.waited_before.max(1) as f64 / kept).clamp(1.0, GROWTH);
-        let takes = if self.waited_before > LATE { waited as f64 * growth } else { 0.0 };
+        let takes = if self.waited_before > LATE {
+            waited as f64 * growth
+        } else {
+            0.0
+        };
         self.kept = (takes > AT_ONCE).then(|| (AT_ONCE / takes).max(LEAST));
         self.waited_before = waited;
         self.taken += count as u64;
@@ -92,9 +96,16 @@
     pub fn border(&self) -> f64 {
         let all: f64 = self.offered.iter().sum();
         let short = ((self.full - FULL) / (1.0 - FULL)).clamp(0.0, 1.0 - LEAST);
-        let room = if short > 0.0 { all * (1.0 - short) } else { f64::MAX };
+        let room = if short > 0.0 {
+            all * (1.0 - short)
+        } else {
+            f64::MAX
+        };
         let now = self.kept.map_or(f64::MAX, |kept| all * kept);
-        border(&self.offered, room.min(now).min(self.rate.unwrap_or(f64::MAX)))
+        border(
+            &self.offered,
+            room.min(now).min(self.rate.unwrap_or(f64::MAX)),
+        )
     }
 
     /// Whether what the node holds is so much that who is refused had better go.
@@ -118,13 +129,20 @@
         self.passed += (passed - self.passed) * gain;
         let taken = std::mem::take(&mut self.taken).max(1);
         let late = std::mem::take(&mut self.waited) / taken as Micros;
-        self.late = if late > LATE && self.waited_before > EASY { self.late + 1 } else { 0 };
+        self.late = if late > LATE && self.waited_before > EASY {
+            self.late + 1
+        } else {
+            0
+        };
         if late > LATE {
             self.strained = Some(now);
         }
         let offered: f64 = self.offered.iter().sum();
         if self.late >= STEPS {
-            if self.fell.is_some_and(|(at, waited)| now - at < FALL_EVERY || late < waited * 3 / 4) {
+            if self
+                .fell
+                .is_some_and(|(at, waited)| now - at < FALL_EVERY || late < waited * 3 / 4)
+            {
                 self.fell = self.fell.map(|(at, _)| (at, late));
                 return;
             }
@@ -136,10 +154,19 @@
         } else if let Some(rate) = self.rate.filter(|_| late < EASY) {
             let calm = self.strained.is_none_or(|at| now - at > CALM);
             let by = if late < EASY / 4 { RISE.1 } else { RISE.0 };
-            let grown = if self.passed >= rate * USED { rate * (1.0 + by) } else { rate };
-            self.rate = Some(grown.max(offered * LEAST)).filter(|_| !calm || offered >= rate * USED);
+            let grown = if self.passed >= rate * USED {
+                rate * (1.0 + by)
+            } else {
+                rate
+            };
+            self.rate =
+                Some(grown.max(offered * LEAST)).filter(|_| !calm || offered >= rate * USED);
         }
         let refuses = self.border() < 1.0;
-        self.since = if refuses { self.since.or(Some(now)) } else { None };
+        self.since = if refuses {
+            self.since.or(Some(now))
+        } else {
+            None
+        };
     }
 }
--- a/crates/plans/src/book.rs
+++ b/crates/plans/src/book.rs
@@ -86,9 +86,14 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Refusal::Faulty(fault) => write!(f, "{fault}"),
-            Refusal::IdTaken(version) => write!(f, "key 'id': another change has it, version {version}"),
+            Refusal::IdTaken(version) => {
+                write!(f, "key 'id': another change has it, version {version}")
+            }
             Refusal::Conflict { after, version } => {
-                write!(f, "key 'after': written against version {after}, the book is at {version}")
+                write!(
+                    f,
+                    "key 'after': written against version {after}, the book is at {version}"
+                )
             }
         }
     }
@@ -125,7 +130,9 @@
                 write!(f, "the book is at {version}, what came begins at {first}")
             }
             Parted::Differs(version) => write!(f, "the books differ in version {version}"),
-            Parted::Refused(version, refusal) => write!(f, "version {version} does not hold here: {refusal}"),
+            Parted::Refused(version, refusal) => {
+                write!(f, "version {version} does not hold here: {refusal}")
+            }
         }
     }
 }
@@ -145,7 +152,11 @@
 impl Book {
     /// A book over the platform's plans. `slack`: how far in the past a change may take effect, for what was on its way.
     pub fn new(base: Base, slack: Micros) -> Book {
-        Book { base, slack, ..Book::default() }
+        Book {
+            base,
+            slack,
+            ..Book::default()
+        }
     }
 
     /// The number of the latest change; 0: none.
@@ -171,7 +182,10 @@
             hash.update(serde_json::to_vec(&entry.change).unwrap_or_default());
             hash.update(b"\n");
         }
-        hash.finalize().iter().map(|byte| format!("{byte:02x}")).collect()
+        hash.finalize()
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect()
     }
 
     /// Takes a change, whole or not at all.
@@ -181,8 +195,15 @@
     pub fn apply(&mut self, now: Micros, change: Change) -> Result<Taken, Refusal> {
         change.check()?;
         if let Some(version) = self.ids.get(&change.id) {
-            let same = self.entries.get(*version as usize - 1).is_some_and(|entry| entry.change == change);
-            return if same { Ok(Taken::Before(*version)) } else { Err(Refusal::IdTaken(*version)) };
+            let same = self
+                .entries
+                .get(*version as usize - 1)
+                .is_some_and(|entry| entry.change == change);
+            return if same {
+                Ok(Taken::Before(*version))
+            } else {
+                Err(Refusal::IdTaken(*version))
+            };
         }
         let version = self.version();
         if let Some(after) = change.after.filter(|after| *after != version) {
@@ -192,18 +213,26 @@
             let late = (now - change.at) as f64 / 1e6;
             return Err(Fault::at(
                 "at",
-                format!("is {late:.3} s in the past, {:.3} s at most", self.slack as f64 / 1e6),
+                format!(
+                    "is {late:.3} s in the past, {:.3} s at most",
+                    self.slack as f64 / 1e6
+                ),
             )
             .into());
         }
-        self.fits(&change).map_err(|fault| fault.under(change.what.key()))?;
+        self.fits(&change)
+            .map_err(|fault| fault.under(change.what.key()))?;
         Ok(Taken::New(self.enter(now, change)))
     }
 
     fn enter(&mut self, taken: Micros, change: Change) -> u64 {
         let version = self.version() + 1;
         self.ids.insert(change.id.clone(), version);
-        self.entries.push(Entry { version, taken, change });
+        self.entries.push(Entry {
+            version,
+            taken,
+            change,
+        });
         version
     }
 
@@ -213,23 +242,40 @@
             true => Ok(()),
             false => {
                 let names: Vec<&str> = self.base.keys().map(String::as_str).collect();
-                Err(Fault::at("plan", format!("there is no plan '{plan}'; known are {}", names.join(", "))))
+                Err(Fault::at(
+                    "plan",
+                    format!("there is no plan '{plan}'; known are {}", names.join(", ")),
+                ))
             }
         };
         match &change.what {
             What::Figures { plan, .. } => known(plan),
             What::Move { plan, .. } => plan.as_deref().map_or(Ok(()), known),
-            What::Reserve { account: text, units, until, .. } => {
-                let customer = account(text).ok_or_else(|| Fault::at("account", "is no customer"))?;
+            What::Reserve {
+                account: text,
+                units,
+                until,
+                ..
+            } => {
+                let customer =
+                    account(text).ok_or_else(|| Fault::at("account", "is no customer"))?;
                 self.grantable(customer, *units, change.at, *until)
             }
             What::Cancel { reservation } => match self.made(reservation) {
-                None => Err(Fault::at("reservation", format!("there is none with the id '{reservation}'"))),
-                Some((_, end)) if change.at >= end => Err(Fault::at("reservation", "has ended by then")),
-                Some((from, _)) if change.at < from => Err(Fault::at("reservation", "has not begun by then")),
-                Some(_) if self.cancelled(reservation).is_some() => {
-                    Err(Fault::at("reservation", format!("'{reservation}' is cancelled already")))
+                None => Err(Fault::at(
+                    "reservation",
+                    format!("there is none with the id '{reservation}'"),
+                )),
+                Some((_, end)) if change.at >= end => {
+                    Err(Fault::at("reservation", "has ended by then"))
                 }
+                Some((from, _)) if change.at < from => {
+                    Err(Fault::at("reservation", "has not begun by then"))
+                }
+                Some(_) if self.cancelled(reservation).is_some() => Err(Fault::at(
+                    "reservation",
+                    format!("'{reservation}' is cancelled already"),
+                )),
                 Some(_) => Ok(()),
             },
         }
@@ -237,9 +283,20 @@
 
     /// Reservations of a customer may not together exceed what its plan could ever grant while they last. A customer
     /// whose plan the book does not know is taken at the most generous one: which plan holds, its requests say.
-    fn grantable(&self, customer: u64, units: f64, from: Micros, until: Micros) -> Result<(), Fault> {
+    fn grantable(
+        &self,
+        customer: u64,
+        units: f64,
+        from: Micros,
+        until: Micros,
+    ) -> Result<(), Fault> {
         let beside = |r: &Reservation| r.customer == customer && r.from < until && from < r.until;
-        let held: f64 = self.reservations().iter().filter(|r| beside(r)).map(|r| r.units).sum();
+        let held: f64 = self
+            .reservations()
+            .iter()
+            .filter(|r| beside(r))
+            .map(|r| r.units)
+            .sum();
         let moved = self.plan_of(customer, from);
         let most = self
             .base
@@ -263,12 +320,17 @@
     fn holding<T>(&self, at: Micros, get: impl Fn(&What) -> Option<T>) -> Option<(T, Micros)> {
         let due = self.entries.iter().filter(|entry| entry.change.at <= at);
         let named = due.filter_map(|e| get(&e.change.what).map(|t| (t, e.change.at, e.version)));
-        named.max_by_key(|(_, at, version)| (*at, *version)).map(|(t, at, _)| (t, at))
+        named
+            .max_by_key(|(_, at, version)| (*at, *version))
+            .map(|(t, at, _)| (t, at))
     }
 
     fn figures(&self, plan: &str, at: Micros) -> Option<(Figures, Option<Micros>)> {
         let changed = self.holding(at, |what| match what {
-            What::Figures { plan: name, figures } if name == plan => Some(*figures),
+            What::Figures {
+                plan: name,
+                figures,
+            } if name == plan => Some(*figures),
             _ => None,
         });
         match changed {
@@ -279,7 +341,10 @@
 
     fn moved(&self, customer: u64, at: Micros) -> Option<(Option<String>, Micros)> {
         self.holding(at, |what| match what {
-            What::Move { account: text, plan } if account(text) == Some(customer) => Some(plan.clone()),
+            What::Move {
+                account: text,
+                plan,
+            } if account(text) == Some(customer) => Some(plan.clone()),
             _ => None,
         })
     }
@@ -293,16 +358,33 @@
     /// such plan.
     pub fn terms(&self, customer: u64, named: &str, at: Micros) -> Option<Terms> {
         let moved = self.moved(customer, at);
-        let plan = moved.as_ref().and_then(|(plan, _)| plan.as_deref()).unwrap_or(named);
+        let plan = moved
+            .as_ref()
+            .and_then(|(plan, _)| plan.as_deref())
+            .unwrap_or(named);
         let (figures, changed) = self.figures(plan, at)?;
         let since = changed.max(moved.as_ref().map(|(_, since)| *since));
-        Some(Terms { version: self.version(), plan: plan.to_string(), figures, since })
+        Some(Terms {
+            version: self.version(),
+            plan: plan.to_string(),
+            figures,
+            since,
+        })
     }
 
     /// The next instant at which anything takes effect.
     pub fn next(&self, now: Micros) -> Option<Micros> {
-        let ends = self.reservations().into_iter().map(|r| r.until).collect::<BTreeSet<_>>();
-        self.entries.iter().map(|e| e.change.at).chain(ends).filter(|at| *at > now).min()
+        let ends = self
+            .reservations()
+            .into_iter()
+            .map(|r| r.until)
+            .collect::<BTreeSet<_>>();
+        self.entries
+            .iter()
+            .map(|e| e.change.at)
+            .chain(ends)
+            .filter(|at| *at > now)
+            .min()
     }
 
     fn made(&self, id: &str) -> Option<(Micros, Micros)> {
@@ -314,22 +396,36 @@
     }
 
     fn cancelled(&self, id: &str) -> Option<Micros> {
-        self.entries.iter().find_map(|entry| match &entry.change.what {
-            What::Cancel { reservation } if reservation == id => Some(entry.change.at),
-            _ => None,
-        })
+        self.entries
+            .iter()
+            .find_map(|entry| match &entry.change.what {
+                What::Cancel { reservation } if reservation == id => Some(entry.change.at),
+                _ => None,
+            })
     }
 
     /// All reservations, those that have ended included.
     pub fn reservations(&self) -> Vec<Reservation<'_>> {
-        self.entries.iter().filter_map(|entry| self.reservation(entry)).collect()
+        self.entries
+            .iter()
+            .filter_map(|entry| self.reservation(entry))
+            .collect()
     }
 
     fn reservation<'a>(&self, entry: &'a Entry) -> Option<Reservation<'a>> {
-        let What::Reserve { account: text, units, until, class, prefix } = &entry.change.what else {
+        let What::Reserve {
+            account: text,
+            units,
+            until,
+            class,
+            prefix,
+        } = &entry.change.what
+        else {
             return None;
         };
-        let until = self.cancelled(&entry.change.id).map_or(*until, |at| at.min(*until));
+        let until = self
+            .cancelled(&entry.change.id)
+            .map_or(*until, |at| at.min(*until));
         Some(Reservation {
             id: &entry.change.id,
             customer: account(text)?,
@@ -342,14 +438,23 @@
     }
 
     /// The reservation that a customer's request takes from: of those that fit, the one that ends first.
-    pub fn reserved(&self, customer: u64, class: &str, key: &str, at: Micros) -> Option<Reservation<'_>> {
+    pub fn reserved(
+        &self,
+        customer: u64,
+        class: &str,
+        key: &str,
+        at: Micros,
+    ) -> Option<Reservation<'_>> {
         let fits = |r: &Reservation| {
             r.customer == customer
                 && r.class == class
                 && (r.from..r.until).contains(&at)
                 && r.prefix.is_none_or(|prefix| key.starts_with(prefix))
         };
-        self.reservations().into_iter().filter(fits).min_by(|a, b| (a.until, a.id).cmp(&(b.until, b.id)))
+        self.reservations()
+            .into_iter()
+            .filter(fits)
+            .min_by(|a, b| (a.until, a.id).cmp(&(b.until, b.id)))
     }
 
     /// Takes over what another book has beyond this one. Entries that are here already are passed over.
@@ -361,23 +466,31 @@
         for entry in entries {
             let version = book.version();
             if entry.version > version + 1 {
-                return Err(Parted::Gap { version, first: entry.version });
+                return Err(Parted::Gap {
+                    version,
+                    first: entry.version,
+                });
             }
             if entry.version <= version {
-                let same = book.entries.get((entry.version as usize).wrapping_sub(1)) == Some(entry);
+                let same =
+                    book.entries.get((entry.version as usize).wrapping_sub(1)) == Some(entry);
                 if !same {
                     return Err(Parted::Differs(entry.version));
                 }
                 continue;
             }
             let refused = |refusal| Parted::Refused(entry.version, refusal);
-            entry.change.check().map_err(|fault| refused(fault.into()))?;
+            entry
+                .change
+                .check()
+                .map_err(|fault| refused(fault.into()))?;
             if let Some(taken) = book.ids.get(&entry.change.id) {
                 return Err(refused(Refusal::IdTaken(*taken)));
             }
             // The slack is the business of the book that took it first: here it may come late.
             let key = entry.change.what.key();
-            book.fits(&entry.change).map_err(|fault| refused(fault.under(key).into()))?;
+            book.fits(&entry.change)
+                .map_err(|fault| refused(fault.under(key).into()))?;
             book.enter(entry.taken, entry.change.clone());
         }
         *self = book;
--- a/crates/plans/src/change.rs
+++ b/crates/plans/src/change.rs
@@ -87,13 +87,18 @@
 /// A customer in 16 hex digits.
 pub fn account(text: &str) -> Option<u64> {
     let plain = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    u64::from_str_radix(text, 16).ok().filter(|number| plain && *number < CUSTOMERS)
+    u64::from_str_radix(text, 16)
+        .ok()
+        .filter(|number| plain && *number < CUSTOMERS)
 }
 
 fn text(key: &str, text: &str) -> Result<(), Fault> {
     match !text.trim().is_empty() && text.len() <= TEXT && !text.chars().any(char::is_control) {
         true => Ok(()),
-        false => Err(Fault::at(key, format!("is not 1 to {TEXT} printable bytes"))),
+        false => Err(Fault::at(
+            key,
+            format!("is not 1 to {TEXT} printable bytes"),
+        )),
     }
 }
 
@@ -129,7 +134,9 @@
         text("by", &self.by)?;
         text("why", &self.why)?;
         within("at", self.at as f64, 0.0, 1e17)?;
-        self.what.check(self.at).map_err(|fault| fault.under(self.what.key()))
+        self.what
+            .check(self.at)
+            .map_err(|fault| fault.under(self.what.key()))
     }
 }
 
@@ -158,11 +165,19 @@
                 known(account)?;
                 plan.as_deref().map_or(Ok(()), |plan| text("plan", plan))
             }
-            What::Reserve { account, units, until, class, prefix } => {
+            What::Reserve {
+                account,
+                units,
+                until,
+                class,
+                prefix,
+            } => {
                 known(account)?;
                 within("units", *units, f64::MIN_POSITIVE, HIGHEST)?;
                 text("class", class)?;
-                prefix.as_deref().map_or(Ok(()), |prefix| text("prefix", prefix))?;
+                prefix
+                    .as_deref()
+                    .map_or(Ok(()), |prefix| text("prefix", prefix))?;
                 match *until - at {
                     span if span <= 0 => Err(Fault::at("until", "is not after 'at'")),
                     span if span > LONGEST => Err(Fault::at("until", "is over 31 days after 'at'")),
--- a/crates/plans/src/store.rs
+++ b/crates/plans/src/store.rs
@@ -28,20 +28,32 @@
 impl Level {
     /// A full store.
     pub fn full(figures: Figures, at: Micros) -> Level {
-        Level { figures, left: figures.burst, at }
+        Level {
+            figures,
+            left: figures.burst,
+            at,
+        }
     }
 
     /// The level at a later instant. A clock that steps back fills nothing and empties nothing.
     pub fn on(self, now: Micros) -> Level {
         let passed = (now - self.at).max(0) as f64 / 1e6;
         let left = (self.left + passed * self.figures.rate).min(self.figures.burst);
-        Level { left, at: self.at.max(now), ..self }
+        Level {
+            left,
+            at: self.at.max(now),
+            ..self
+        }
     }
 
     /// Figures change at an instant.
     pub fn change(self, figures: Figures, at: Micros) -> Level {
         let before = self.on(at);
-        Level { figures, left: before.left.min(figures.burst), at: before.at }
+        Level {
+            figures,
+            left: before.left.min(figures.burst),
+            at: before.at,
+        }
     }
 
     /// Takes units if they are left; whether they were.
--- a/crates/protocol/src/digests.rs
+++ b/crates/protocol/src/digests.rs
@@ -69,8 +69,15 @@
     #[test]
     fn only_the_parts_that_differ_are_told() {
         let item = |at: usize, ver| {
-            let name = Name { kind: Kind::Route, name: format!("r{at}") };
-            Item { name, ver, spec: None }
+            let name = Name {
+                kind: Kind::Route,
+                name: format!("r{at}"),
+            };
+            Item {
+                name,
+                ver,
+                spec: None,
+            }
         };
         let all = |changed: usize| {
             let mut digests = Digests::default();
@@ -81,7 +88,9 @@
             digests
         };
         let (old, mut new) = (all(usize::MAX), all(77));
-        let differ = (0..5_000).filter(|at| old.differ(new.parts(), &item(*at, 1).name)).count();
+        let differ = (0..5_000)
+            .filter(|at| old.differ(new.parts(), &item(*at, 1).name))
+            .count();
         assert!((1..100).contains(&differ), "{differ}");
         assert!(old.differ(new.parts(), &item(77, 1).name) && old.differ(&[], &item(78, 1).name));
         new.turn(&item(77, 2).name, Digests::of(&item(77, 2)));
--- a/crates/protocol/src/program.rs
+++ b/crates/protocol/src/program.rs
@@ -44,7 +44,10 @@
         at_panic.write_out();
         usual(panic);
     }));
-    match start(arguments, check, &ring).and_then(|started| started.map_or(Ok(()), run)).wrap_err(name) {
+    match start(arguments, check, &ring)
+        .and_then(|started| started.map_or(Ok(()), run))
+        .wrap_err(name)
+    {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             ring.write_out();
@@ -59,13 +62,20 @@
     check: impl FnOnce(&Settings) -> eyre::Result<()>,
     ring: &Ring,
 ) -> eyre::Result<Option<Started>> {
-    let named = arguments.settings.or_else(|| std::env::var_os(VARIABLE).map(PathBuf::from));
-    let file = named.ok_or_else(|| eyre!("no settings: neither --settings nor {VARIABLE} names a file"))?;
+    let named = arguments
+        .settings
+        .or_else(|| std::env::var_os(VARIABLE).map(PathBuf::from));
+    let file = named
+        .ok_or_else(|| eyre!("no settings: neither --settings nor {VARIABLE} names a file"))?;
     let settings = Settings::load(&file)?;
     check(&settings).wrap_err_with(|| format!("in {}", file.display()))?;
     if arguments.check {
         println!("{}: in order", file.display());
         return Ok(None);
     }
-    Ok(Some(Started { settings, file, ring: ring.clone() }))
+    Ok(Some(Started {
+        settings,
+        file,
+        ring: ring.clone(),
+    }))
 }
