--- a/crates/simulation/src/chance.rs
+++ b/crates/simulation/src/chance.rs
@@ -20,7 +20,11 @@
 
     /// One of these.
     pub fn pick<T: Copy>(&mut self, all: &[T]) -> Option<T> {
-        if all.is_empty() { None } else { Some(all[self.below(all.len() as u64) as usize]) }
+        if all.is_empty() {
+            None
+        } else {
+            Some(all[self.below(all.len() as u64) as usize])
+        }
     }
 }
 
--- a/crates/simulation/src/cluster/lines.rs
+++ b/crates/simulation/src/cluster/lines.rs
@@ -10,7 +10,9 @@
     /// takes part; `P` and `C` are the duties; then the versions of the items by name.
     pub fn line(&self, names: &[&str]) -> String {
         let one = |node: &Node| {
-            let Some(core) = &node.core else { return ".".to_string() };
+            let Some(core) = &node.core else {
+                return ".".to_string();
+            };
             let now = node.clock.at(self.now);
             let mut text = match core {
                 core if core.aside() => "x",
@@ -27,9 +29,15 @@
             }
             text
         };
-        let columns: Vec<String> = self.nodes.iter().map(|node| format!("{:<6}", one(node))).collect();
+        let columns: Vec<String> = self
+            .nodes
+            .iter()
+            .map(|node| format!("{:<6}", one(node)))
+            .collect();
         let time = format!("{:>6}", format!("{:.1}s", self.now as f64 / 1e6));
-        format!("{time}  {}", columns.join("")).trim_end().to_string()
+        format!("{time}  {}", columns.join(""))
+            .trim_end()
+            .to_string()
     }
 }
 
@@ -44,7 +52,10 @@
 /// The whole text of a timeline.
 pub fn timeline(lines: &[String]) -> String {
     let head = "        a    b    c    d    e    f";
-    std::iter::once(head).chain(lines.iter().map(String::as_str)).collect::<Vec<_>>().join("\n")
+    std::iter::once(head)
+        .chain(lines.iter().map(String::as_str))
+        .collect::<Vec<_>>()
+        .join("\n")
 }
 
 /// Compares a timeline with what is drawn; how wide the columns are does not matter.
@@ -55,7 +66,9 @@
 pub fn assert_timeline(lines: &[String], drawn: &str) {
     let text = timeline(lines);
     let words = |text: &str| -> Vec<String> {
-        let lines = text.lines().map(|line| line.split_whitespace().collect::<Vec<_>>().join(" "));
+        let lines = text
+            .lines()
+            .map(|line| line.split_whitespace().collect::<Vec<_>>().join(" "));
         lines.filter(|line| !line.is_empty()).collect()
     };
     assert_eq!(words(&text), words(drawn), "\n{text}\n");
--- a/crates/simulation/src/count_lost.rs
+++ b/crates/simulation/src/count_lost.rs
@@ -28,7 +28,10 @@
 
 /// Draws the steps that begin at an instant; also when they end.
 pub(crate) fn draw(chance: &mut Chance, begin: i64, edges: usize) -> (Vec<Step>, i64) {
-    let mut draft = Draft { chance, steps: Vec::new() };
+    let mut draft = Draft {
+        chance,
+        steps: Vec::new(),
+    };
     let mut at = begin;
     for _ in 0..1 + draft.chance.below(2) {
         at = draft.round(at, edges);
@@ -43,7 +46,10 @@
 
 impl Draft<'_> {
     fn add(&mut self, at: i64, what: What) {
-        self.steps.push(Step { at: at / MS * MS, what });
+        self.steps.push(Step {
+            at: at / MS * MS,
+            what,
+        });
     }
 
     fn between(&mut self, least: i64, most: i64) -> i64 {
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -28,7 +28,9 @@
             match row {
                 Row::Own(own) => self.own = own,
                 Row::Register(name, register) => _ = self.registers.insert(name, register),
-                Row::Chosen(ballot, item) => _ = self.chosen.insert(item.name.clone(), (ballot, item)),
+                Row::Chosen(ballot, item) => {
+                    _ = self.chosen.insert(item.name.clone(), (ballot, item))
+                }
             }
         }
     }
@@ -50,14 +52,20 @@
     /// Of what waits, the first so many get there; the rest is lost.
     pub fn cut(&mut self, kept: usize) {
         let waiting = std::mem::take(&mut self.waiting);
-        waiting.into_iter().take(kept).for_each(|(_, rows)| self.apply(rows));
+        waiting
+            .into_iter()
+            .take(kept)
+            .for_each(|(_, rows)| self.apply(rows));
         self.stalled = 0;
     }
 
     /// What a process finds that starts; half a rebuilding counts for nothing.
     pub fn restore(&mut self) -> Restored {
         if self.own.incarnation == Incarnation::NONE {
-            *self = Disk { full: self.full, ..Disk::default() };
+            *self = Disk {
+                full: self.full,
+                ..Disk::default()
+            };
             return Restored::default();
         }
         self.own.run += 1;
@@ -70,18 +78,28 @@
 
     /// The version of an item that is on the disk, as a vote counts it.
     pub fn version(&self, name: &Name) -> Option<u64> {
-        self.registers.get(name)?.accepted.as_ref().map(|(_, item)| item.ver)
+        self.registers
+            .get(name)?
+            .accepted
+            .as_ref()
+            .map(|(_, item)| item.ver)
     }
 
     /// All versions that are on the disk.
     pub fn versions(&self) -> impl Iterator<Item = (&Name, u64)> {
-        self.registers.keys().filter_map(|name| Some((name, self.version(name)?)))
+        self.registers
+            .keys()
+            .filter_map(|name| Some((name, self.version(name)?)))
     }
 
     /// Deliberate harm, for the simulation's own tests: dropped items are not there after a start.
     pub fn forget_dropped(&mut self) {
-        self.registers
-            .retain(|_, register| register.accepted.as_ref().is_none_or(|(_, item)| item.spec.is_some()));
+        self.registers.retain(|_, register| {
+            register
+                .accepted
+                .as_ref()
+                .is_none_or(|(_, item)| item.spec.is_some())
+        });
         self.chosen.retain(|_, (_, item)| item.spec.is_some());
     }
 }
--- a/crates/simulation/src/play/holder.rs
+++ b/crates/simulation/src/play/holder.rs
@@ -14,7 +14,9 @@
             self.cluster.freeze(at, false);
             return self.cluster.start(at);
         }
-        let Some((at, _)) = self.cluster.holders(Duty::Count).first().copied() else { return };
+        let Some((at, _)) = self.cluster.holders(Duty::Count).first().copied() else {
+            return;
+        };
         self.holder = Some(at);
         match trouble {
             Holder::Kill => self.cluster.kill(at),
@@ -24,7 +26,9 @@
             }
             Holder::Wipe | Holder::Mend => {}
             Holder::Cut => {
-                let others: Vec<usize> = (0..self.cluster.nodes.len()).filter(|other| *other != at).collect();
+                let others: Vec<usize> = (0..self.cluster.nodes.len())
+                    .filter(|other| *other != at)
+                    .collect();
                 self.cluster.cut(&[at], &others);
             }
             Holder::Freeze => self.cluster.freeze(at, true),
