--- a/crates/usage/src/export.rs
+++ b/crates/usage/src/export.rs
@@ -95,13 +95,23 @@
             ExportError::Read(error) => write!(f, "{error}"),
             ExportError::Table(error) => write!(f, "{error}"),
             ExportError::Held(path) => write!(f, "{}: another process exports", path.display()),
-            ExportError::NotUnderWay { told, under_way: Some(number) } => {
+            ExportError::NotUnderWay {
+                told,
+                under_way: Some(number),
+            } => {
                 write!(f, "batch {told} is not under way, batch {number} is")
             }
-            ExportError::NotUnderWay { told, under_way: None } => {
+            ExportError::NotUnderWay {
+                told,
+                under_way: None,
+            } => {
                 write!(f, "batch {told} is not under way, none is")
             }
-            ExportError::Missing(r) => write!(f, "life {}: tries {} to {} are missing", r.life, r.from, r.to),
+            ExportError::Missing(r) => write!(
+                f,
+                "life {}: tries {} to {} are missing",
+                r.life, r.from, r.to
+            ),
         }
     }
 }
@@ -137,8 +147,12 @@
 
 /// Whether a file is locked by a process that lives; if not, it is locked here as long as the result is kept.
 fn lock(path: &Path) -> Result<Option<File>, ExportError> {
-    let file =
-        OpenOptions::new().create(true).truncate(false).write(true).open(path).map_err(system(path))?;
+    let file = OpenOptions::new()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(path)
+        .map_err(system(path))?;
     match file.try_lock() {
         Ok(()) => Ok(Some(file)),
         Err(TryLockError::WouldBlock) => Ok(None),
@@ -156,11 +170,17 @@
         let lock = lock(&folder.join("export.lock"))?.ok_or_else(held)?;
         let path = folder.join("export.json");
         let cursor = match fs::read_to_string(&path) {
-            Ok(text) => config_check::read(&text).map_err(|fault| ExportError::Cursor(path, fault))?,
+            Ok(text) => {
+                config_check::read(&text).map_err(|fault| ExportError::Cursor(path, fault))?
+            }
             Err(error) if error.kind() == io::ErrorKind::NotFound => Cursor::default(),
             Err(error) => return Err(ExportError::File(path, error)),
         };
-        Ok(Export { folder: folder.to_path_buf(), cursor, _lock: lock })
+        Ok(Export {
+            folder: folder.to_path_buf(),
+            cursor,
+            _lock: lock,
+        })
     }
 
     fn keep(&mut self, cursor: Cursor) -> Result<(), ExportError> {
@@ -173,7 +193,9 @@
         };
         table::whole(&path, |e| ExportError::File(path.clone(), e), write)?;
         // A rename outlasts a loss of power once its folder is on the disk.
-        File::open(&self.folder).and_then(|folder| folder.sync_all()).map_err(system(&self.folder))?;
+        File::open(&self.folder)
+            .and_then(|folder| folder.sync_all())
+            .map_err(system(&self.folder))?;
         self.cursor = cursor;
         Ok(())
     }
@@ -201,8 +223,13 @@
         let batch = match self.cursor.under_way.clone() {
             Some(batch) => batch,
             None => {
-                let Some(batch) = self.next(&lives, most) else { return Ok(None) };
-                self.keep(Cursor { under_way: Some(batch.clone()), ..self.cursor.clone() })?;
+                let Some(batch) = self.next(&lives, most) else {
+                    return Ok(None);
+                };
+                self.keep(Cursor {
+                    under_way: Some(batch.clone()),
+                    ..self.cursor.clone()
+                })?;
                 batch
             }
         };
@@ -211,9 +238,13 @@
         }
         let mut tries = Vec::new();
         for range in &batch.ranges {
-            let of = lives.get(&range.life).map(Vec::as_slice).unwrap_or_default();
-            let named =
-                of.get(range.from as usize - 1..range.to as usize).ok_or(ExportError::Missing(*range))?;
+            let of = lives
+                .get(&range.life)
+                .map(Vec::as_slice)
+                .unwrap_or_default();
+            let named = of
+                .get(range.from as usize - 1..range.to as usize)
+                .ok_or(ExportError::Missing(*range))?;
             tries.extend_from_slice(named);
         }
         fs::create_dir_all(out).map_err(system(out))?;
@@ -231,11 +262,18 @@
         }
         let under_way = self.cursor.under_way.as_ref().map(|b| b.number);
         let Some(batch) = self.cursor.under_way.clone().filter(|b| b.number == number) else {
-            return Err(ExportError::NotUnderWay { told: number, under_way });
+            return Err(ExportError::NotUnderWay {
+                told: number,
+                under_way,
+            });
         };
         let mut done = self.cursor.done.clone();
         done.extend(batch.ranges.iter().map(|range| (range.life, range.to)));
-        self.keep(Cursor { acknowledged: number, done, under_way: None })
+        self.keep(Cursor {
+            acknowledged: number,
+            done,
+            under_way: None,
+        })
     }
 
     /// All tries of which nothing will change any more: of a life that goes on those that are known to have gone out, of
@@ -243,10 +281,16 @@
     fn settled(&self) -> Result<BTreeMap<u64, Vec<Booked>>, ExportError> {
         let numbers = lives(&self.folder).map_err(system(&self.folder))?;
         let ended = lock(&self.folder.join("lock"))?;
-        let goes_on = if ended.is_none() { numbers.last().copied() } else { None };
+        let goes_on = if ended.is_none() {
+            numbers.last().copied()
+        } else {
+            None
+        };
         let mut settled = BTreeMap::new();
         for number in numbers {
-            let mut tries = reading::life(&self.folder, number).map_err(ExportError::Read)?.tries;
+            let mut tries = reading::life(&self.folder, number)
+                .map_err(ExportError::Read)?
+                .tries;
             if goes_on == Some(number) {
                 tries.retain(|t| !t.unsure);
             }
@@ -261,7 +305,11 @@
             let done = self.cursor.done.get(life).copied().unwrap_or(0);
             let to = (tries.len() as u64).min(done + room);
             if to > done {
-                ranges.push(Range { life: *life, from: done + 1, to });
+                ranges.push(Range {
+                    life: *life,
+                    from: done + 1,
+                    to,
+                });
                 room -= to - done;
             }
         }
@@ -272,7 +320,9 @@
 
 fn columns(tries: &[Booked]) -> Table {
     let numbers = |get: fn(&Booked) -> i64| Values::Numbers(tries.iter().map(get).collect());
-    let texts = |get: fn(&Booked) -> &str| Values::Texts(tries.iter().map(|t| get(t).to_string()).collect());
+    let texts = |get: fn(&Booked) -> &str| {
+        Values::Texts(tries.iter().map(|t| get(t).to_string()).collect())
+    };
     vec![
         ("limiter", texts(|t| &t.limiter)),
         ("life", numbers(|t| t.life as i64)),
@@ -283,8 +333,14 @@
         ("plan", texts(|t| &t.booking.plan)),
         ("plan_version", numbers(|t| t.booking.version as i64)),
         ("milli_units", numbers(|t| t.booking.milli_units as i64)),
-        ("reservation", texts(|t| t.booking.reservation.as_deref().unwrap_or_default())),
-        ("key", texts(|t| t.booking.key.as_deref().unwrap_or_default())),
+        (
+            "reservation",
+            texts(|t| t.booking.reservation.as_deref().unwrap_or_default()),
+        ),
+        (
+            "key",
+            texts(|t| t.booking.key.as_deref().unwrap_or_default()),
+        ),
         ("again", numbers(|t| i64::from(t.booking.again))),
         ("unsure", numbers(|t| i64::from(t.unsure))),
     ]
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -59,8 +59,12 @@
     let mut lives = Vec::new();
     for entry in fs::read_dir(folder)? {
         let name = entry?.file_name();
-        let number =
-            name.to_str().and_then(|n| n.strip_prefix("life-")?.strip_suffix(".use")?.parse::<u64>().ok());
+        let number = name.to_str().and_then(|n| {
+            n.strip_prefix("life-")?
+                .strip_suffix(".use")?
+                .parse::<u64>()
+                .ok()
+        });
         lives.extend(number);
     }
     lives.sort_unstable();
@@ -79,19 +83,34 @@
         };
         fs::create_dir_all(folder).map_err(system(folder))?;
         let path = folder.join("lock");
-        let lock =
-            OpenOptions::new().create(true).truncate(false).write(true).open(&path).map_err(system(&path))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(&path)
+            .map_err(system(&path))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Err(OpenError::Held(folder.to_path_buf())),
             Err(TryLockError::Error(error)) => return Err(OpenError::File(path, error)),
         }
-        let life = lives(folder).map_err(system(folder))?.last().copied().unwrap_or(0) + 1;
+        let life = lives(folder)
+            .map_err(system(folder))?
+            .last()
+            .copied()
+            .unwrap_or(0)
+            + 1;
         let path = folder.join(file_name(life));
-        let file = OpenOptions::new().create_new(true).write(true).open(&path).map_err(system(&path))?;
+        let file = OpenOptions::new()
+            .create_new(true)
+            .write(true)
+            .open(&path)
+            .map_err(system(&path))?;
         let mut ledger = Ledger::begin(file, limiter, life).map_err(system(&path))?;
         // The name must outlast a loss of power as the records do.
-        File::open(folder).and_then(|folder| folder.sync_all()).map_err(system(folder))?;
+        File::open(folder)
+            .and_then(|folder| folder.sync_all())
+            .map_err(system(folder))?;
         ledger._lock = Some(lock);
         Ok((ledger, life))
     }
@@ -103,9 +122,19 @@
     /// # Errors
     /// The system's.
     pub fn begin(disk: D, limiter: &str, life: u64) -> io::Result<Ledger<D>> {
-        let mut ledger =
-            Ledger { writer: Writer::new(disk), booked: 0, sent: 0, written: 0, told: 0, _lock: None };
-        let life = Record::Life { form: FORM, limiter: limiter.to_string(), life };
+        let mut ledger = Ledger {
+            writer: Writer::new(disk),
+            booked: 0,
+            sent: 0,
+            written: 0,
+            told: 0,
+            _lock: None,
+        };
+        let life = Record::Life {
+            form: FORM,
+            limiter: limiter.to_string(),
+            life,
+        };
         ledger.put(&life).map_err(io::Error::other)?;
         ledger.writer.write()?;
         ledger.writer.sync()?;
--- a/crates/usage/src/log.rs
+++ b/crates/usage/src/log.rs
@@ -63,7 +63,12 @@
 impl<D: Disk> Writer<D> {
     /// Appends to an empty file.
     pub fn new(disk: D) -> Writer<D> {
-        Writer { disk, whole: 0, torn: false, group: Vec::new() }
+        Writer {
+            disk,
+            whole: 0,
+            torn: false,
+            group: Vec::new(),
+        }
     }
 
     /// Puts a record into the group; nothing is written yet.
@@ -74,7 +79,8 @@
         if record.len() > LONGEST {
             return Err(TooLong(record.len()));
         }
-        self.group.extend_from_slice(&(record.len() as u32).to_le_bytes());
+        self.group
+            .extend_from_slice(&(record.len() as u32).to_le_bytes());
         self.group.extend_from_slice(&sum(record).to_le_bytes());
         self.group.extend_from_slice(record);
         Ok(())
@@ -169,7 +175,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LogError::File(path, error) => write!(f, "{}: {error}", path.display()),
-            LogError::Damaged { file, offset, behind } => {
+            LogError::Damaged {
+                file,
+                offset,
+                behind,
+            } => {
                 write!(
                     f,
                     "{}: damaged at byte {offset}, {behind} bytes from there on are not read",
@@ -189,7 +199,9 @@
 pub fn read(path: &Path) -> Result<Contents, LogError> {
     let mut bytes = Vec::new();
     let system = |error| LogError::File(path.to_path_buf(), error);
-    File::open(path).and_then(|mut file| file.read_to_end(&mut bytes)).map_err(system)?;
+    File::open(path)
+        .and_then(|mut file| file.read_to_end(&mut bytes))
+        .map_err(system)?;
     contents(&bytes).map_err(|offset| LogError::Damaged {
         file: path.to_path_buf(),
         offset,
@@ -206,12 +218,16 @@
     let mut at = 0;
     loop {
         let rest = &bytes[at..];
-        let torn = Contents { records: Vec::new(), torn: rest.len() as u64 };
+        let torn = Contents {
+            records: Vec::new(),
+            torn: rest.len() as u64,
+        };
         if rest.iter().all(|byte| *byte == 0) || rest.len() < HEAD {
             return Ok(Contents { records, ..torn });
         }
-        let word =
-            |from: usize| u32::from_le_bytes([rest[from], rest[from + 1], rest[from + 2], rest[from + 3]]);
+        let word = |from: usize| {
+            u32::from_le_bytes([rest[from], rest[from + 1], rest[from + 2], rest[from + 3]])
+        };
         let (length, told) = (word(0) as usize, word(4));
         if length > LONGEST {
             return Err(at as u64);
@@ -219,14 +235,22 @@
         let Some(record) = rest.get(HEAD..HEAD + length) else {
             // Danger: a changed length of a record in the middle also reaches past the end; then something whole
             // stands behind its head.
-            return if whole_behind(&rest[1..]) { Err(at as u64) } else { Ok(Contents { records, ..torn }) };
+            return if whole_behind(&rest[1..]) {
+                Err(at as u64)
+            } else {
+                Ok(Contents { records, ..torn })
+            };
         };
         if sum(record) != told {
             // A loss of power may leave zeros where a tail was to be; anything else is damage.
             let unwritten =
                 record.iter().rev().take_while(|byte| **byte == 0).count() == length && length > 0;
             let last = rest[HEAD + length..].iter().all(|byte| *byte == 0);
-            return if unwritten && last { Ok(Contents { records, ..torn }) } else { Err(at as u64) };
+            return if unwritten && last {
+                Ok(Contents { records, ..torn })
+            } else {
+                Err(at as u64)
+            };
         }
         records.push((at as u64, record.to_vec()));
         at += HEAD + length;
@@ -240,6 +264,8 @@
         let length = u32::from_le_bytes([rest[0], rest[1], rest[2], rest[3]]) as usize;
         let told = u32::from_le_bytes([rest[4], rest[5], rest[6], rest[7]]);
         (1..=LONGEST).contains(&length)
-            && rest.get(HEAD..HEAD + length).is_some_and(|record| sum(record) == told)
+            && rest
+                .get(HEAD..HEAD + length)
+                .is_some_and(|record| sum(record) == told)
     })
 }
--- a/crates/usage/src/reading.rs
+++ b/crates/usage/src/reading.rs
@@ -71,26 +71,50 @@
 pub fn life(folder: &Path, life: u64) -> Result<Life, ReadError> {
     let file = folder.join(file_name(life));
     let contents = log::read(&file).map_err(ReadError::Log)?;
-    let mut read = Life { tries: Vec::new(), torn: contents.torn };
+    let mut read = Life {
+        tries: Vec::new(),
+        torn: contents.torn,
+    };
     let (mut limiter, mut sent) = (None, 0);
     for (offset, bytes) in &contents.records {
-        let bad = |text: String| ReadError::Record { file: file.clone(), offset: *offset, text };
+        let bad = |text: String| ReadError::Record {
+            file: file.clone(),
+            offset: *offset,
+            text,
+        };
         match (postcard::from_bytes::<Record>(bytes), &limiter) {
             (Ok(Record::Life { form, .. }), None) if form != FORM => {
                 return Err(bad(format!("form {form}, this program reads {FORM}")));
             }
-            (Ok(Record::Life { limiter: name, life: told, .. }), None) if told == life => {
-                limiter = Some(name)
+            (
+                Ok(Record::Life {
+                    limiter: name,
+                    life: told,
+                    ..
+                }),
+                None,
+            ) if told == life => limiter = Some(name),
+            (Ok(Record::Try(number, booking)), Some(limiter))
+                if number == read.tries.len() as u64 + 1 =>
+            {
+                read.tries.push(Booked {
+                    limiter: limiter.clone(),
+                    life,
+                    number,
+                    booking,
+                    unsure: false,
+                });
             }
-            (Ok(Record::Try(number, booking)), Some(limiter)) if number == read.tries.len() as u64 + 1 => {
-                read.tries.push(Booked { limiter: limiter.clone(), life, number, booking, unsure: false });
+            (Ok(Record::Sent(upto)), Some(_)) if upto <= read.tries.len() as u64 => {
+                sent = sent.max(upto)
             }
-            (Ok(Record::Sent(upto)), Some(_)) if upto <= read.tries.len() as u64 => sent = sent.max(upto),
             (Ok(other), _) => return Err(bad(format!("out of place: {other:?}"))),
             (Err(error), _) => return Err(bad(error.to_string())),
         }
     }
-    read.tries.iter_mut().for_each(|t| t.unsure = t.number > sent);
+    read.tries
+        .iter_mut()
+        .for_each(|t| t.unsure = t.number > sent);
     Ok(read)
 }
 
@@ -100,5 +124,8 @@
 /// As [`life`].
 pub fn all(folder: &Path) -> Result<Vec<Life>, ReadError> {
     let lives = lives(folder).map_err(|e| ReadError::Folder(folder.to_path_buf(), e))?;
-    lives.into_iter().map(|number| life(folder, number)).collect()
+    lives
+        .into_iter()
+        .map(|number| life(folder, number))
+        .collect()
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -121,7 +121,11 @@
 
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
-        RetryBudget { earn: 0.1, most: 20.0, unrun: 0.2 }
+        RetryBudget {
+            earn: 0.1,
+            most: 20.0,
+            unrun: 0.2,
+        }
     }
 }
 
--- a/src/policy/meters.rs
+++ b/src/policy/meters.rs
@@ -17,8 +17,18 @@
 impl Store {
     /// Units against a rate.
     pub(super) fn of_rate(plan: &Plan) -> Store {
-        let &Plan { rate, burst, repaid, .. } = plan;
-        Store { rate, burst, window: plan.window_length(), most: burst + repaid }
+        let &Plan {
+            rate,
+            burst,
+            repaid,
+            ..
+        } = plan;
+        Store {
+            rate,
+            burst,
+            window: plan.window_length(),
+            most: burst + repaid,
+        }
     }
 
     fn fill(&self) -> f64 {
@@ -37,7 +47,10 @@
 /// Number of the window and the share of it left. Danger: demand crowds where all customers turn at once.
 pub(super) fn window_at(now: Micros, length: Micros, customer: CustomerId) -> (i64, f64) {
     let shifted = now + (mix(customer.0) % length as u64) as Micros;
-    (shifted.div_euclid(length), 1.0 - shifted.rem_euclid(length) as f64 / length as f64)
+    (
+        shifted.div_euclid(length),
+        1.0 - shifted.rem_euclid(length) as f64 / length as f64,
+    )
 }
 
 impl Meter {
@@ -80,7 +93,13 @@
     }
 
     /// A total came in. Danger: an emptied counter shows less than was added here; own adds then stand in.
-    pub(super) fn learn(&mut self, add: f64, total: f64, flowed: f64, (rate, now): (f64, Micros)) -> f64 {
+    pub(super) fn learn(
+        &mut self,
+        add: f64,
+        total: f64,
+        flowed: f64,
+        (rate, now): (f64, Micros),
+    ) -> f64 {
         self.own += add;
         // Danger: the one who was to add what the window before left over may have failed: it stands in here.
         let (total, least) = (total.max(self.own), self.own + self.debt);
@@ -109,7 +128,11 @@
 
 impl Customer {
     pub(super) fn meter(&mut self, open: bool) -> &mut Meter {
-        if open { &mut self.open } else { &mut self.units }
+        if open {
+            &mut self.open
+        } else {
+            &mut self.units
+        }
     }
 
     /// The share that its verdicts let through, less what notices to all its gateways keep out for a while.
@@ -123,13 +146,21 @@
 
     /// Danger: who stays over must not have back by the next notice what the last took. Told over is seen.
     pub(super) fn told_over(&mut self, now: Micros) {
-        (self.kept_out, self.told, self.seen) = (1.0 - self.let_in(now) * (1.0 - GRANT_GAIN), now, now);
+        (self.kept_out, self.told, self.seen) =
+            (1.0 - self.let_in(now) * (1.0 - GRANT_GAIN), now, now);
     }
 
     /// The hard ceiling, kept by each gateway alone: an even share, empty at its start: a restart fills none.
-    pub(super) fn take_ceiling(&mut self, plan: &Plan, spread: f64, units: f64, now: Micros) -> bool {
+    pub(super) fn take_ceiling(
+        &mut self,
+        plan: &Plan,
+        spread: f64,
+        units: f64,
+        now: Micros,
+    ) -> bool {
         let flow = (now - self.ceiling_at) as f64 / SECOND as f64 * plan.ceiling_rate / spread;
-        (self.ceiling, self.ceiling_at) = ((self.ceiling + flow).min(plan.ceiling_burst / spread), now);
+        (self.ceiling, self.ceiling_at) =
+            ((self.ceiling + flow).min(plan.ceiling_burst / spread), now);
         let fits = self.ceiling >= units;
         self.ceiling -= if fits { units } else { 0.0 };
         fits
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -36,11 +36,32 @@
 impl Balancer {
     /// A gateway that has just started and knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
-        let (means, works) = (vec![0.0; settings.classes.len()], vec![WORK_GUESS; settings.classes.len()]);
-        let known = Balancer { settings, random: seed, means, works, ..Balancer::default() };
-        let counter = CounterHealth { pace: known.first_pace(), climbs: true, ..CounterHealth::default() };
-        let (sharers, retries) = (SHARERS.min(known.gateways()), known.settings.retries.most / 2.0);
-        Balancer { counter, sharers, retries, ..known }
+        let (means, works) = (
+            vec![0.0; settings.classes.len()],
+            vec![WORK_GUESS; settings.classes.len()],
+        );
+        let known = Balancer {
+            settings,
+            random: seed,
+            means,
+            works,
+            ..Balancer::default()
+        };
+        let counter = CounterHealth {
+            pace: known.first_pace(),
+            climbs: true,
+            ..CounterHealth::default()
+        };
+        let (sharers, retries) = (
+            SHARERS.min(known.gateways()),
+            known.settings.retries.most / 2.0,
+        );
+        Balancer {
+            counter,
+            sharers,
+            retries,
+            ..known
+        }
     }
 
     /// Takes what happened up to `now` and appends what is to be done, in order.
@@ -49,12 +70,15 @@
         if self.booted.is_none() {
             self.booted = Some(self.now);
             self.due(self.now + TICK, Due::Tick);
-            self.actions.extend(self.settings.ask_for_list.then_some(Action::WatchList));
+            self.actions
+                .extend(self.settings.ask_for_list.then_some(Action::WatchList));
         }
         events.iter().for_each(|event| self.event(event));
         while let Some(entry) = self.dues.first_entry().filter(|e| e.key().0 <= self.now) {
             match entry.remove() {
-                Due::Wait(id) if self.held.get(&id).is_some_and(|h| h.calls > 0) => self.verdict(id),
+                Due::Wait(id) if self.held.get(&id).is_some_and(|h| h.calls > 0) => {
+                    self.verdict(id)
+                }
                 Due::Wait(_) => {}
                 Due::Deadline(id) => self.give_up(id),
                 Due::Tick => self.tick(),
@@ -74,13 +98,23 @@
             Event::ServerList { kind, entries } => self.on_list(*kind, entries),
             Event::Request(request) => self.on_request(request),
             Event::AttemptEnd(end) => self.on_attempt_end(end),
-            Event::StreamBegan { request, .. } => _ = self.held.get_mut(request).map(|h| h.streaming = true),
+            Event::StreamBegan { request, .. } => {
+                _ = self.held.get_mut(request).map(|h| h.streaming = true)
+            }
             Event::ClientLeft(id) => self.on_left(*id),
-            Event::Counted { name, outcome, total } => self.on_counted(*name, *outcome, *total),
+            Event::Counted {
+                name,
+                outcome,
+                total,
+            } => self.on_counted(*name, *outcome, *total),
             // Danger: a slow or crowded counter taken for lost. It is asked less until it answers in time.
             Event::CounterLate => self.counter.failures *= u32::from(self.counter_lost()),
             Event::CounterNew => (self.counter.since, self.counter.failures) = (self.now, 0),
-            Event::ProbeEnd { server, outcome, report } => self.on_probe(*server, *outcome, *report),
+            Event::ProbeEnd {
+                server,
+                outcome,
+                report,
+            } => self.on_probe(*server, *outcome, *report),
             Event::Told(notice) => self.on_told(*notice),
             Event::Plan(plan) => self.settings.plans.push(plan.clone()),
             Event::Timer => self.armed = None,
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -11,13 +11,18 @@
     /// The server where this request is likely to be done first, if any may take it.
     fn choose(&mut self, id: RequestId) -> Option<ServerId> {
         let share = self.worth_share(id);
-        let used = self.servers.values().filter(|s| s.used && s.ready && s.suspect.is_none());
+        let used = self
+            .servers
+            .values()
+            .filter(|s| s.used && s.ready && s.suspect.is_none());
         let bounds: f64 = used.map(|s| s.bound).sum();
         let out: u32 = self.servers.values().map(|s| s.out).sum();
         if f64::from(out) >= (bounds * share).max(1.0) {
             return None;
         }
-        let chances: Vec<f64> = (0..self.servers.len()).map(|_| -(1.0 - self.random()).ln()).collect();
+        let chances: Vec<f64> = (0..self.servers.len())
+            .map(|_| -(1.0 - self.random()).ln())
+            .collect();
         let held = self.held.get(&id)?;
         let work = self.work_of(held.request.class);
         // Danger: without chance all gateways would take the same servers and leave out the cold.
@@ -28,13 +33,21 @@
             let allowed = server.ready && server.suspect.is_none() && self.may_go(held, server);
             let rest = server.rests.get(&held.request.plan);
             let rests = rest.is_some_and(|r| r.until > self.now);
-            let most = if rest.is_some() { 1.0 } else { (server.bound * share).max(1.0) };
+            let most = if rest.is_some() {
+                1.0
+            } else {
+                (server.bound * share).max(1.0)
+            };
             let warmth = self.warmth(server);
             let fed = warmth < 1.0 && !self.cold_debt(server, work).1;
             if !allowed || rests || fed || f64::from(server.out) >= most {
                 continue;
             }
-            let again = if held.last == Some(*server_id) { AGAIN } else { 1.0 };
+            let again = if held.last == Some(*server_id) {
+                AGAIN
+            } else {
+                1.0
+            };
             let taken = self.taken_chance(server, held.request.plan) / again;
             let slowness = server.ratio(self.now) / (server.weight * warmth * taken);
             let turn = chance * slowness * server.ratio(self.now) / taken;
@@ -44,7 +57,10 @@
                 drawn.truncate(few);
             }
         }
-        drawn.iter().min_by(|a, b| a.1.total_cmp(&b.1)).map(|(_, _, server)| *server)
+        drawn
+            .iter()
+            .min_by(|a, b| a.1.total_cmp(&b.1))
+            .map(|(_, _, server)| *server)
     }
 
     /// The chance that this server takes a request of the plan: by its own ends, shrunk to those of its kind
@@ -53,45 +69,88 @@
         let all = self.kinds.get(&(server.kind, usize::MAX));
         let kind = self.kinds.get(&(server.kind, plan));
         let own = server.taken.get(&plan);
-        [all, kind, own].into_iter().flatten().fold(1.0, |expected, t| t.chance(self.now, expected))
+        [all, kind, own]
+            .into_iter()
+            .flatten()
+            .fold(1.0, |expected, t| t.chance(self.now, expected))
     }
 
     /// Rule 2: a keyed request that may have run goes only to servers that would drop its repeat. Danger: a
     /// small group may hold no other server that is used here.
     fn may_go(&self, held: &Held, server: &Server) -> bool {
-        let repeat = self.settings.classes.get(held.request.class).map(|c| c.repeat);
+        let repeat = self
+            .settings
+            .classes
+            .get(held.request.class)
+            .map(|c| c.repeat);
         match (repeat, held.ran) {
-            (Some(Repeat::Keyed { group: Group::Zone, .. }), Some(ran)) => server.zone == ran.zone,
-            (Some(Repeat::Keyed { group: Group::Cell, .. }), Some(ran)) => server.cell == ran.cell,
+            (
+                Some(Repeat::Keyed {
+                    group: Group::Zone, ..
+                }),
+                Some(ran),
+            ) => server.zone == ran.zone,
+            (
+                Some(Repeat::Keyed {
+                    group: Group::Cell, ..
+                }),
+                Some(ran),
+            ) => server.cell == ran.cell,
             (Some(Repeat::Keyed { .. } | Repeat::Safe | Repeat::Unsafe) | None, _) => server.used,
         }
     }
 
     fn worth_share(&self, id: RequestId) -> f64 {
-        let worth = self.held.get(&id).map_or(0.0, |h| self.worth_for_work(&h.request));
-        if self.usual_worth <= 0.0 { 1.0 } else { (worth / self.usual_worth).clamp(CHEAP_SHARE, 1.0) }
+        let worth = self
+            .held
+            .get(&id)
+            .map_or(0.0, |h| self.worth_for_work(&h.request));
+        if self.usual_worth <= 0.0 {
+            1.0
+        } else {
+            (worth / self.usual_worth).clamp(CHEAP_SHARE, 1.0)
+        }
     }
 
     pub(super) fn worth_for_work(&self, request: &Request) -> f64 {
-        let worth = self.settings.classes.get(request.class).map_or(0.0, |c| c.worth);
-        let price = self.settings.plans.get(request.plan).map_or(1.0, |p| p.price);
+        let worth = self
+            .settings
+            .classes
+            .get(request.class)
+            .map_or(0.0, |c| c.worth);
+        let price = self
+            .settings
+            .plans
+            .get(request.plan)
+            .map_or(1.0, |p| p.price);
         worth * price / self.work_of(request.class)
     }
 
     pub(super) fn place(&mut self, id: RequestId) {
-        let Some(server_id) = self.choose(id) else { return self.give_up(id) };
+        let Some(server_id) = self.choose(id) else {
+            return self.give_up(id);
+        };
         let now = self.now;
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         held.out.push((held.attempts, server_id, now));
         held.attempts += 1;
         let class = held.request.class;
         let work = self.work_of(class);
-        let debt = self.servers.get(&server_id).map_or(0.0, |s| self.cold_debt(s, work).0);
+        let debt = self
+            .servers
+            .get(&server_id)
+            .map_or(0.0, |s| self.cold_debt(s, work).0);
         if let Some(server) = self.servers.get_mut(&server_id) {
             (server.sent_work, server.sent_at) = (debt + work, now);
             server.out += 1;
             server.unheard.get_or_insert(now);
         }
-        self.actions.push(Action::Send { request: id, server: server_id, timeout: 0 });
+        self.actions.push(Action::Send {
+            request: id,
+            server: server_id,
+            timeout: 0,
+        });
     }
 }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -52,76 +52,136 @@
 
     /// The ordinary path: local count, then the calls; the verdict falls when they are answered.
     pub(super) fn ask(&mut self, id: RequestId) {
-        let Some(request) = self.held.get(&id).map(|h| h.request.clone()) else { return };
+        let Some(request) = self.held.get(&id).map(|h| h.request.clone()) else {
+            return;
+        };
         let (now, booted, who) = (self.now, self.booted.unwrap_or(self.now), request.customer);
-        let Some(plan) = self.settings.plans.get(request.plan).cloned() else { return self.place(id) };
+        let Some(plan) = self.settings.plans.get(request.plan).cloned() else {
+            return self.place(id);
+        };
         // Danger: who is unknown here may have used up much of the window under the plan before.
-        let same = |since| window_at(since, plan.window, who).0 == window_at(now, plan.window, who).0;
-        let changed = plan.changed.filter(|(since, _)| plan.window > 0 && same(*since));
+        let same =
+            |since| window_at(since, plan.window, who).0 == window_at(now, plan.window, who).0;
+        let changed = plan
+            .changed
+            .filter(|(since, _)| plan.window > 0 && same(*since));
         let before = changed.map_or(request.plan, |c| c.1);
         let unknown = || Customer::unknown(before, booted, USE_GUESS);
         let customer = self.customers.entry(who).or_insert_with(unknown);
         customer.seen = now;
         let last = std::mem::replace(&mut customer.plan, request.plan);
         let kept = |old: &&Plan| old.window.max(plan.window) > 0 && old.rate.min(plan.rate) > 0.0;
-        if let Some(old) = self.settings.plans.get(last).filter(|_| last != request.plan).filter(kept) {
-            customer.units.replan(Store::of_rate(old), Store::of_rate(&plan), who, now);
+        if let Some(old) = self
+            .settings
+            .plans
+            .get(last)
+            .filter(|_| last != request.plan)
+            .filter(kept)
+        {
+            customer
+                .units
+                .replan(Store::of_rate(old), Store::of_rate(&plan), who, now);
         }
         let granted = customer.granted(now).max(ASK_LEAST);
         let spread = f64::from(request.spread.clamp(1, self.settings.gateways.max(1)));
         let lost = self.counter_lost();
         // Danger: cut off, or with a counter that knows nothing of the open window, all gateways grant all.
-        let sliced = self.settings.lost_slices && (lost || now - self.counter.since < plan.window_length());
+        let sliced =
+            self.settings.lost_slices && (lost || now - self.counter.since < plan.window_length());
         // Danger: at a crowded counter denied tries hold places of the cap while they wait and deny others.
         let asks = plan.most_open == 0 || self.counter.pace >= 1.0 || self.random() < granted;
         let usable = asks && self.settings.counter && (!lost || now >= self.counter.next_probe);
         let first = self.settings.slice_first;
-        let share = if lost || first { 1.0 } else { self.call_share(&request) };
+        let share = if lost || first {
+            1.0
+        } else {
+            self.call_share(&request)
+        };
         // A crowded counter: the call of one request stands for those that make none.
-        let weight = if usable && self.random() < share { 1.0 / share } else { 0.0 };
+        let weight = if usable && self.random() < share {
+            1.0 / share
+        } else {
+            0.0
+        };
         let units = |open| if open { 1.0 } else { request.units };
-        let counted = |open| self.store_of(request.plan, open).map(|store| (open, store, units(open)));
+        let counted = |open| {
+            self.store_of(request.plan, open)
+                .map(|store| (open, store, units(open)))
+        };
         let meters: Vec<Counted> = [false, true].into_iter().filter_map(counted).collect();
         let how = (plan.most_open, spread, sliced, weight == 0.0);
         let (mut fits, within) = self.fits_here(who, how, &meters);
         // Danger: a share of the tries that pass unasked grows with them, and the refused come back at once.
-        let informed = plan.most_open == 0 && self.customers.get(&who).is_some_and(|c| c.units.read);
+        let informed =
+            plan.most_open == 0 && self.customers.get(&who).is_some_and(|c| c.units.read);
         fits = fits && (weight > 0.0 || informed || sliced || self.random() < self.alone(who));
         let ceiling = |c: &mut Customer| c.take_ceiling(&plan, spread, request.units, now);
-        fits = fits && (plan.ceiling_rate <= 0.0 || self.customers.get_mut(&who).is_some_and(ceiling));
+        fits =
+            fits && (plan.ceiling_rate <= 0.0 || self.customers.get_mut(&who).is_some_and(ceiling));
         if fits {
             self.count(&request, &meters, weight, spread);
         }
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         held.denied = !fits;
         if !fits || held.calls == 0 || lost || (first && within) {
             return self.verdict(id);
         }
-        let aim = self.settings.classes.get(request.class).map_or(SECOND, |c| c.aim);
+        let aim = self
+            .settings
+            .classes
+            .get(request.class)
+            .map_or(SECOND, |c| c.aim);
         self.due(now + (aim as f64 * WAIT_SHARE) as Micros, Due::Wait(id));
     }
 
     /// The store of a plan. Danger: attempts out of a dead gateway must not fill the cap for good: windows.
     fn store_of(&self, plan: usize, open: bool) -> Option<Store> {
         let plan = self.settings.plans.get(plan)?;
-        let places = Store { rate: 0.0, burst: plan.most_open.into(), window: OPEN_WINDOW, most: 0.0 };
-        let (store, kept) = if open { (places, places.burst) } else { (Store::of_rate(plan), plan.rate) };
+        let places = Store {
+            rate: 0.0,
+            burst: plan.most_open.into(),
+            window: OPEN_WINDOW,
+            most: 0.0,
+        };
+        let (store, kept) = if open {
+            (places, places.burst)
+        } else {
+            (Store::of_rate(plan), plan.rate)
+        };
         (kept > 0.0).then_some(store)
     }
 
     /// The chance to pass without a verdict: as verdicts went; none where passing beyond would cost more.
     fn alone(&self, customer: CustomerId) -> f64 {
-        let Some(known) = self.customers.get(&customer) else { return 1.0 };
-        let loss = self.settings.plans.get(known.plan).map_or(0.0, |p| (p.over_cost - p.over_worth).max(0.0));
+        let Some(known) = self.customers.get(&customer) else {
+            return 1.0;
+        };
+        let loss = self
+            .settings
+            .plans
+            .get(known.plan)
+            .map_or(0.0, |p| (p.over_cost - p.over_worth).max(0.0));
         let even = loss / (1.0 + loss);
         ((known.granted(self.now) - even) / (1.0 - even)).clamp(0.0, 1.0)
     }
 
     /// The local count: who is over past its slice makes no call; and whether all fit that do as this one.
-    fn fits_here(&mut self, who: CustomerId, how: (u32, f64, bool, bool), all: &[Counted]) -> (bool, bool) {
+    fn fits_here(
+        &mut self,
+        who: CustomerId,
+        how: (u32, f64, bool, bool),
+        all: &[Counted],
+    ) -> (bool, bool) {
         let (most, spread, sliced, alone) = how;
-        let (now, lost) = (self.now, alone || self.counter_lost() || self.counter.pace < PACE_LOW);
-        let Some(customer) = self.customers.get_mut(&who) else { return (true, false) };
+        let (now, lost) = (
+            self.now,
+            alone || self.counter_lost() || self.counter.pace < PACE_LOW,
+        );
+        let Some(customer) = self.customers.get_mut(&who) else {
+            return (true, false);
+        };
         let (mut fits, mut within) = (most == 0 || customer.out < i64::from(most), true);
         for (open, store, units) in all {
             let meter = customer.meter(*open);
@@ -129,9 +189,18 @@
             meter.asked += units;
             let past_slice = store.rate > 0.0 && meter.asked > (room / spread).max(*units);
             let told_lately = now - meter.called < VERDICT_FRESH;
-            let known = units + if alone { meter.expected(now) } else { meter.estimate() + meter.carry };
+            let known = units
+                + if alone {
+                    meter.expected(now)
+                } else {
+                    meter.estimate() + meter.carry
+                };
             fits &= known <= room || !(lost || (meter.over && (past_slice || told_lately)));
-            let fleet = if self.settings.slice_first { meter.fleet } else { meter.unheard };
+            let fleet = if self.settings.slice_first {
+                meter.fleet
+            } else {
+                meter.unheard
+            };
             let slice = fleet + (units * spread).min(room) <= room;
             fits &= !sliced || store.rate <= 0.0 || slice;
             within &= known <= room && slice;
@@ -142,9 +211,14 @@
     fn count(&mut self, request: &Request, meters: &[Counted], weight: f64, spread: f64) {
         let now = self.now;
         let (grant, mut counted) = (self.alone(request.customer), Vec::new());
-        let likely = self.customers.get(&request.customer).is_none_or(|c| c.granted(now) >= LIKELY);
+        let likely = self
+            .customers
+            .get(&request.customer)
+            .is_none_or(|c| c.granted(now) >= LIKELY);
         for &(open, store, units) in meters {
-            let Some(customer) = self.customers.get_mut(&request.customer) else { return };
+            let Some(customer) = self.customers.get_mut(&request.customer) else {
+                return;
+            };
             let meter = customer.meter(open);
             meter.unheard += if open { 0.0 } else { units * spread };
             meter.fleet += units * spread;
@@ -155,9 +229,17 @@
             }
             (meter.called, self.counter.next_probe) = (now, now + LOST_PROBE);
             // It adds its own if that is likely let through, and what is likely let through of others.
-            let own = units * if open || likely { 1.0 } else { ADD_LEAST.max(self.settings.add_least) };
+            let own = units
+                * if open || likely {
+                    1.0
+                } else {
+                    ADD_LEAST.max(self.settings.add_least)
+                };
             let others = units * (weight - 1.0) * grant;
-            let (stands_for, add) = (own + others - units, own + others + std::mem::take(&mut meter.carry));
+            let (stands_for, add) = (
+                own + others - units,
+                own + others + std::mem::take(&mut meter.carry),
+            );
             // Danger: the chance of few calls adds up over a window. Where those that one stood for do not
             // come, or are more, the next puts it right.
             meter.carry = if open { 0.0 } else { -others };
@@ -166,11 +248,23 @@
             let (id, window) = (Some(request.id), meter.window);
             counted.push((open, window, if open { own + others } else { own }));
             let customer = request.customer;
-            let call = Call { id, customer, window, add, stands_for, open, ..Call::default() };
+            let call = Call {
+                id,
+                customer,
+                window,
+                add,
+                stands_for,
+                open,
+                ..Call::default()
+            };
             self.call(call, store.window);
         }
-        self.customers.entry(request.customer).and_modify(|c| c.out += 1);
-        self.held.entry(request.id).and_modify(|h| (h.opened, h.counted) = (true, counted));
+        self.customers
+            .entry(request.customer)
+            .and_modify(|c| c.out += 1);
+        self.held
+            .entry(request.id)
+            .and_modify(|h| (h.opened, h.counted) = (true, counted));
     }
 
     /// The share of requests that make a call: more of those that may find the customer over at a cost.
@@ -178,8 +272,17 @@
         let known = self.customers.get(&request.customer);
         let used = known.map_or(USE_GUESS, |c| c.units.used.max(c.open.used).clamp(0.0, 1.0));
         let cost = |p: &Plan| p.price * p.over_cost;
-        let most = self.settings.plans.iter().map(cost).fold(f64::MIN_POSITIVE, f64::max);
-        let stake = self.settings.plans.get(request.plan).map_or(0.0, |p| cost(p) / most);
+        let most = self
+            .settings
+            .plans
+            .iter()
+            .map(cost)
+            .fold(f64::MIN_POSITIVE, f64::max);
+        let stake = self
+            .settings
+            .plans
+            .get(request.plan)
+            .map_or(0.0, |p| cost(p) / most);
         let favoured = self.counter.pace * PACE_FAVOUR.powf(used + stake - 1.0);
         favoured / (favoured + (1.0 - self.counter.pace))
     }
@@ -188,22 +291,40 @@
         // All gateways compute the same name.
         let count = mix(call.customer.0.wrapping_mul(2) + u64::from(call.open));
         let name = CounterName(mix(count ^ call.window as u64) >> 1);
-        let call = Call { made: self.now, ..call };
+        let call = Call {
+            made: self.now,
+            ..call
+        };
         self.calls.entry(name).or_default().push_back(call);
-        call.id.into_iter().for_each(|id| _ = self.held.get_mut(&id).map(|h| h.calls += 1));
-        self.actions.push(Action::Count { name, add: call.add, expires: 2 * length + SECOND });
+        call.id
+            .into_iter()
+            .for_each(|id| _ = self.held.get_mut(&id).map(|h| h.calls += 1));
+        self.actions.push(Action::Count {
+            name,
+            add: call.add,
+            expires: 2 * length + SECOND,
+        });
     }
 
     pub(super) fn on_counted(&mut self, name: CounterName, outcome: Outcome, total: f64) {
-        let Some(queue) = self.calls.get_mut(&name) else { return };
-        let Some(call) = queue.pop_front() else { return };
+        let Some(queue) = self.calls.get_mut(&name) else {
+            return;
+        };
+        let Some(call) = queue.pop_front() else {
+            return;
+        };
         if queue.is_empty() {
             self.calls.remove(&name);
         }
-        self.counter_heard(outcome, self.now - call.made > self.settings.counter_timeout);
+        self.counter_heard(
+            outcome,
+            self.now - call.made > self.settings.counter_timeout,
+        );
         let denied = self.answer(call, outcome, total);
         let Some(id) = call.id else { return };
-        let Some(held) = self.held.get_mut(&id).filter(|h| h.calls > 0) else { return };
+        let Some(held) = self.held.get_mut(&id).filter(|h| h.calls > 0) else {
+            return;
+        };
         held.denied |= denied;
         held.calls -= 1;
         if held.calls == 0 {
@@ -217,32 +338,53 @@
     /// Danger: each of hundreds of gateways lets a customer's first requests pass before it has a verdict of
     /// its own. While the counter is crowded a verdict against a customer is told to all its gateways.
     fn learn_grant(&mut self, id: RequestId) {
-        let Some((request, denied)) = self.held.get(&id).map(|h| (&h.request, h.denied)) else { return };
-        let (now, many, own) = (self.now, self.settings.gateways.max(1), self.settings.own_number);
-        let Some(known) = self.customers.get_mut(&request.customer) else { return };
+        let Some((request, denied)) = self.held.get(&id).map(|h| (&h.request, h.denied)) else {
+            return;
+        };
+        let (now, many, own) = (
+            self.now,
+            self.settings.gateways.max(1),
+            self.settings.own_number,
+        );
+        let Some(known) = self.customers.get_mut(&request.customer) else {
+            return;
+        };
         known.grant += (f64::from(u8::from(!denied)) - known.grant) * GRANT_GAIN;
         let crowded = self.settings.may_tell && self.counter.pace < 1.0;
         if !denied || !crowded || now - known.told < TELL_EVERY {
             return;
         }
         known.told_over(now);
-        let notice = OverNotice { customer: request.customer, plan: request.plan };
+        let notice = OverNotice {
+            customer: request.customer,
+            plan: request.plan,
+        };
         let set = (0..request.spread.min(many)).map(|n| (request.first % many + n) % many);
-        self.actions.extend(set.filter(|n| *n != own).map(|n| Action::Tell(n, notice)));
+        self.actions
+            .extend(set.filter(|n| *n != own).map(|n| Action::Tell(n, notice)));
     }
 
     /// Another gateway's verdict counts as one's own; it fades, so that the customer is tried again.
     pub(super) fn on_told(&mut self, notice: OverNotice) {
         let (now, booted) = (self.now, self.booted.unwrap_or(self.now));
         let unknown = || Customer::unknown(notice.plan, booted, 1.0);
-        self.customers.entry(notice.customer).or_insert_with(unknown).told_over(now);
+        self.customers
+            .entry(notice.customer)
+            .or_insert_with(unknown)
+            .told_over(now);
     }
 
     fn answer(&mut self, call: Call, outcome: Outcome, total: f64) -> bool {
         let (now, chance, grant) = (self.now, self.random(), self.alone(call.customer));
-        let Some(plan) = self.customers.get(&call.customer).map(|c| c.plan) else { return false };
-        let Some(store) = self.store_of(plan, call.open) else { return false };
-        let Some(known) = self.customers.get_mut(&call.customer) else { return false };
+        let Some(plan) = self.customers.get(&call.customer).map(|c| c.plan) else {
+            return false;
+        };
+        let Some(store) = self.store_of(plan, call.open) else {
+            return false;
+        };
+        let Some(known) = self.customers.get_mut(&call.customer) else {
+            return false;
+        };
         let meter = known.meter(call.open);
         let room = meter.turn(store, call.customer, now);
         let present = call.window == meter.window;
@@ -252,7 +394,8 @@
         match outcome {
             Outcome::Ok if present => {
                 // Danger: a give-back makes a count look fresh again; what still counts is added once.
-                let first = call.id.is_some() && (total - call.add).abs() < SAME * call.add && !meter.read;
+                let first =
+                    call.id.is_some() && (total - call.add).abs() < SAME * call.add && !meter.read;
                 meter.read |= call.id.is_some();
                 meter.debt = if call.carries { 0.0 } else { meter.debt };
                 let (told, flowed) = (total, room - store.burst);
@@ -269,7 +412,13 @@
                 meter.over = if asks { over } else { meter.over };
                 if first && store.rate > 0.0 {
                     // The first to count in a window reads the total of the one before, for all.
-                    let read = Call { id: None, window: call.window - 1, add: 0.0, stands_for: 0.0, ..call };
+                    let read = Call {
+                        id: None,
+                        window: call.window - 1,
+                        add: 0.0,
+                        stands_for: 0.0,
+                        ..call
+                    };
                     self.call(read, store.window);
                 }
                 over
@@ -279,7 +428,15 @@
                 let add = store.overhang(total).max(own);
                 (meter.current, meter.flying) = (meter.current + add, meter.flying + add);
                 if add > 0.0 {
-                    self.call(Call { window, add, carries: true, ..call }, store.window);
+                    self.call(
+                        Call {
+                            window,
+                            add,
+                            carries: true,
+                            ..call
+                        },
+                        store.window,
+                    );
                 }
                 false
             }
@@ -290,9 +447,14 @@
             // is given back leaves a counter that turns calls away below nothing.
             _ => {
                 let held = call.id.and_then(|id| self.held.get_mut(&id));
-                let units = held.as_ref().filter(|_| !call.open).map_or(0.0, |h| h.request.units);
+                let units = held
+                    .as_ref()
+                    .filter(|_| !call.open)
+                    .map_or(0.0, |h| h.request.units);
                 let counted = held.map(|h| &mut h.counted);
-                let own = counted.map_or(0.0, |c| c.extract_if(.., |c| c.0 == call.open).map(|c| c.2).sum());
+                let own = counted.map_or(0.0, |c| {
+                    c.extract_if(.., |c| c.0 == call.open).map(|c| c.2).sum()
+                });
                 if present {
                     meter.current -= call.add;
                     meter.carry += call.add - own;
@@ -310,25 +472,41 @@
         // Danger: one connection that breaks fails all calls on it at once, and the counter passes for lost.
         let unheard = !matches!(outcome, Outcome::Ok | Outcome::Full);
         let another = unheard && self.now - self.counter.failed >= FAILURES_APART;
-        self.counter.failed = if another { self.now } else { self.counter.failed };
+        self.counter.failed = if another {
+            self.now
+        } else {
+            self.counter.failed
+        };
         let (factor, silent) = match outcome {
             Outcome::Ok if self.counter.climbs && !slow => (PACE_CLIMB, 0),
             Outcome::Ok if !slow => (PACE_RISE, 0),
             Outcome::Ok | Outcome::Full => (PACE_CUT, 0),
-            _ => (PACE_CUT, self.counter.failures.saturating_add(u32::from(another))),
+            _ => (
+                PACE_CUT,
+                self.counter.failures.saturating_add(u32::from(another)),
+            ),
         };
         self.counter.failures = silent;
         self.counter.climbs &= outcome == Outcome::Ok && !slow;
         self.counter.pace = (self.counter.pace * factor).clamp(PACE_LEAST, 1.0);
         if lost != self.counter_lost() {
-            self.log(if lost { "counter is back" } else { "counter lost: requests pass" }.to_string());
+            self.log(
+                if lost {
+                    "counter is back"
+                } else {
+                    "counter lost: requests pass"
+                }
+                .to_string(),
+            );
             (self.counter.pace, self.counter.climbs) = (self.first_pace(), true);
         }
     }
 
     /// All calls are answered, or the wait for them is over: then the request passes.
     pub(super) fn verdict(&mut self, id: RequestId) {
-        let Some(held) = self.held.get_mut(&id).filter(|h| !h.done) else { return };
+        let Some(held) = self.held.get_mut(&id).filter(|h| !h.done) else {
+            return;
+        };
         held.calls = 0;
         if held.denied {
             self.give_back(id);
@@ -342,10 +520,14 @@
     /// What of its units was not added, or not used, is told at once. Danger: of many gateways each makes its
     /// next call for the customer windows later, and what passes on such verdicts is never counted.
     fn settle(&mut self, id: RequestId, used: bool) {
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         let units = held.request.units * if used { 1.0 } else { TRACE };
         let added = held.counted.iter_mut().filter(|(open, ..)| !open);
-        let spare: Vec<_> = added.map(|(_, at, own)| (*at, std::mem::replace(own, units) - units)).collect();
+        let spare: Vec<_> = added
+            .map(|(_, at, own)| (*at, std::mem::replace(own, units) - units))
+            .collect();
         for (window, units) in spare.into_iter().filter(|(_, units)| *units != 0.0) {
             self.add_back(id, false, window, units);
         }
@@ -358,21 +540,42 @@
     }
 
     fn add_back(&mut self, id: RequestId, open: bool, window: i64, units: f64) {
-        let Some(request) = self.held.get(&id).map(|h| h.request.clone()) else { return };
-        let Some(store) = self.store_of(request.plan, open) else { return };
+        let Some(request) = self.held.get(&id).map(|h| h.request.clone()) else {
+            return;
+        };
+        let Some(store) = self.store_of(request.plan, open) else {
+            return;
+        };
         let (customer, lost) = (request.customer, self.counter_lost());
-        let Some(meter) = self.customers.get_mut(&customer).map(|known| known.meter(open)) else { return };
+        let Some(meter) = self
+            .customers
+            .get_mut(&customer)
+            .map(|known| known.meter(open))
+        else {
+            return;
+        };
         meter.turn(store, customer, self.now);
         let present = window == meter.window;
         // A place is given up at once where they are scarce or no call follows soon, else with the next.
         let scarce = meter.current * 2.0 >= store.burst || meter.asked < store.burst;
-        let waits = lost || if open { !scarce && units <= 1.0 } else { units.abs() < LIKELY * request.units };
+        let waits = lost
+            || if open {
+                !scarce && units <= 1.0
+            } else {
+                units.abs() < LIKELY * request.units
+            };
         // Danger: given back to a later window than it was counted in, the new one would grant it again.
         if present && (open || !waits) {
             meter.flying += (-units).max(0.0);
             meter.current = (meter.current - units).max(0.0);
         }
-        let back = Call { customer, window, add: -units, open, ..Call::default() };
+        let back = Call {
+            customer,
+            window,
+            add: -units,
+            open,
+            ..Call::default()
+        };
         match (present, waits) {
             (true, true) => meter.carry -= units,
             (false, _) if open => {}
@@ -381,10 +584,18 @@
     }
 
     pub(super) fn close_open(&mut self, id: RequestId) {
-        let Some(held) = self.held.get_mut(&id).filter(|h| h.opened) else { return };
+        let Some(held) = self.held.get_mut(&id).filter(|h| h.opened) else {
+            return;
+        };
         held.opened = false;
-        let place = held.counted.iter().position(|(open, _, _)| *open).map(|n| held.counted.remove(n));
-        self.customers.entry(held.request.customer).and_modify(|c| c.out -= 1);
+        let place = held
+            .counted
+            .iter()
+            .position(|(open, _, _)| *open)
+            .map(|n| held.counted.remove(n));
+        self.customers
+            .entry(held.request.customer)
+            .and_modify(|c| c.out -= 1);
         if let Some((open, window, units)) = place {
             self.add_back(id, open, window, units);
         }
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -86,7 +86,10 @@
     fn learn_rest(&mut self, now: Micros, plan: usize, outcome: Outcome) {
         if outcome == Outcome::Ok {
             self.rests.remove(&plan);
-        } else if matches!(outcome, Outcome::Full | Outcome::TimedOut | Outcome::ConnectFailed) {
+        } else if matches!(
+            outcome,
+            Outcome::Full | Outcome::TimedOut | Outcome::ConnectFailed
+        ) {
             let rest = self.rests.entry(plan).or_default();
             if now >= rest.until {
                 rest.until = now + (REST_FIRST << rest.bad.min(16)).min(REST_LONGEST);
@@ -101,7 +104,9 @@
     }
 
     fn learn_report(&mut self, now: Micros, report: Option<LoadReport>) {
-        if let Some(told) = report.and_then(|r| r.active.map(|a| a - f64::from(self.out)).or(r.waiting)) {
+        if let Some(told) =
+            report.and_then(|r| r.active.map(|a| a - f64::from(self.out)).or(r.waiting))
+        {
             (self.others, self.others_at) = (told.max(0.0), now);
         }
     }
@@ -123,23 +128,45 @@
             // All gateways hear of a start at about the same time: their first requests are spread out.
             let first = self.settings.first_bound.0 / self.sharers;
             let (now, stagger, rank) = (self.now, self.random() * WORK_GUESS, self.random());
-            let server = self.servers.entry(entry.server).or_insert_with(|| Server::unknown(first, rank));
+            let server = self
+                .servers
+                .entry(entry.server)
+                .or_insert_with(|| Server::unknown(first, rank));
             if entry.started > server.started {
                 let (out, bound, sent_work, sent_at) = (server.out, server.bound, stagger, now);
-                *server = Server { out, bound, sent_work, sent_at, ..Server::unknown(first, server.rank) };
+                *server = Server {
+                    out,
+                    bound,
+                    sent_work,
+                    sent_at,
+                    ..Server::unknown(first, server.rank)
+                };
             }
             (server.zone, server.cell, server.kind) = (entry.zone, entry.cell, entry.kind);
             (server.started, server.ready) = (entry.started, entry.state == ServerState::Ready);
             server.gone = entry.state == ServerState::Gone;
-            server.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
+            server.weight = if entry.weight > 0.0 {
+                entry.weight
+            } else {
+                1.0
+            };
         }
         self.servers.retain(|_, s| !s.gone || s.out > 0);
-        let mut ranks: Vec<f64> = self.servers.values().filter(|s| s.ready).map(|s| s.rank).collect();
+        let mut ranks: Vec<f64> = self
+            .servers
+            .values()
+            .filter(|s| s.ready)
+            .map(|s| s.rank)
+            .collect();
         ranks.sort_by(f64::total_cmp);
         // Danger: where each of hundreds sends to all, each try needs a connection, each hears too little.
-        let used = (ranks.len() as f64 * SHARERS / self.gateways()).ceil().max(USED_LEAST);
+        let used = (ranks.len() as f64 * SHARERS / self.gateways())
+            .ceil()
+            .max(USED_LEAST);
         let last = ranks.get(used as usize - 1).copied().unwrap_or(1.0);
-        self.servers.values_mut().for_each(|s| s.used = s.rank <= last);
+        self.servers
+            .values_mut()
+            .for_each(|s| s.used = s.rank <= last);
         self.sharers = self.gateways() * (used / ranks.len().max(1) as f64).min(1.0);
     }
 
@@ -158,7 +185,10 @@
         let share = self.settings.fall_multiple * COLD_MARGIN / self.sharers;
         let rate = self.warmth(server) * share * server.weight.max(1.0);
         let debt = (server.sent_work - (self.now - server.sent_at) as f64 * rate).max(0.0);
-        (debt, debt <= 0.0 || debt + work <= rate * self.settings.fall_window as f64 / 2.0)
+        (
+            debt,
+            debt <= 0.0 || debt + work <= rate * self.settings.fall_window as f64 / 2.0,
+        )
     }
 
     pub(super) fn work_of(&self, class: usize) -> f64 {
@@ -167,28 +197,52 @@
 
     pub(super) fn server_outcome(&mut self, end: &AttemptEnd) {
         let (now, least) = (self.now, 1.0 / self.sharers);
-        let (class, plan) = self.held.get(&end.request).map(|h| (h.request.class, h.request.plan)).unzip();
-        let aim = class.and_then(|c| self.settings.classes.get(c)).map_or(SECOND, |c| c.aim);
-        let Some(server) = self.servers.get_mut(&end.server) else { return };
+        let (class, plan) = self
+            .held
+            .get(&end.request)
+            .map(|h| (h.request.class, h.request.plan))
+            .unzip();
+        let aim = class
+            .and_then(|c| self.settings.classes.get(c))
+            .map_or(SECOND, |c| c.aim);
+        let Some(server) = self.servers.get_mut(&end.server) else {
+            return;
+        };
         server.out = server.out.saturating_sub(1);
-        server.learn_bound(end.outcome, end.took as f64 > aim as f64 * LATE_SHARE, least);
+        server.learn_bound(
+            end.outcome,
+            end.took as f64 > aim as f64 * LATE_SHARE,
+            least,
+        );
         server.learn_rest(now, plan.unwrap_or(usize::MAX), end.outcome);
-        if let Some(plan) = plan.filter(|p| *p < self.settings.plans.len() && end.outcome != Outcome::Moot) {
+        if let Some(plan) =
+            plan.filter(|p| *p < self.settings.plans.len() && end.outcome != Outcome::Moot)
+        {
             // Danger: a server that fails at once has little out, looks idle and draws ever more work.
             let good = end.outcome == Outcome::Ok;
             server.taken.entry(plan).or_default().learn(now, good);
             for plans in [plan, usize::MAX] {
-                self.kinds.entry((server.kind, plans)).or_default().learn(now, good);
+                self.kinds
+                    .entry((server.kind, plans))
+                    .or_default()
+                    .learn(now, good);
             }
         }
         server.learn_report(now, end.report);
-        let heard = matches!(end.outcome, Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Reset);
+        let heard = matches!(
+            end.outcome,
+            Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Reset
+        );
         server.unheard = if heard { Some(now) } else { server.unheard }.filter(|_| server.out > 0);
         let known = class.and_then(|c| self.means.get_mut(c).zip(self.works.get_mut(c)));
         if let (Outcome::Ok, Some((mean, work))) = (end.outcome, known) {
             let took = end.took.max(1) as f64;
             *work += (took - *work) * if took < *work { WORK_DOWN } else { WORK_UP };
-            *mean = if *mean > 0.0 { *mean + (took - *mean) * MEAN_GAIN } else { took };
+            *mean = if *mean > 0.0 {
+                *mean + (took - *mean) * MEAN_GAIN
+            } else {
+                took
+            };
             server.learn_ratio(now, took / *mean);
         }
     }
@@ -201,7 +255,11 @@
         let least = self.settings.silent_least.max(SILENT_MIN);
         let patience = ((usual * SILENT_MULTIPLE) as Micros).max(least);
         let ready = self.servers.values().filter(|s| s.ready).count();
-        let mut suspects = self.servers.values().filter(|s| s.suspect.is_some()).count();
+        let mut suspects = self
+            .servers
+            .values()
+            .filter(|s| s.suspect.is_some())
+            .count();
         let mut trials = Vec::new();
         for (id, server) in self.servers.iter_mut().filter(|(_, s)| s.ready) {
             let silent = server.unheard.is_some_and(|t| now - t > patience);
@@ -221,37 +279,60 @@
             return;
         }
         self.swept = now;
-        let refill = |p: &Plan| (p.ceiling_burst / p.ceiling_rate.max(1e-9) * SECOND as f64) as Micros;
-        let longest = self.settings.plans.iter().map(refill).fold(CUSTOMER_KEPT, Micros::max);
-        self.customers.retain(|_, c| c.out > 0 || now - c.seen < longest);
+        let refill =
+            |p: &Plan| (p.ceiling_burst / p.ceiling_rate.max(1e-9) * SECOND as f64) as Micros;
+        let longest = self
+            .settings
+            .plans
+            .iter()
+            .map(refill)
+            .fold(CUSTOMER_KEPT, Micros::max);
+        self.customers
+            .retain(|_, c| c.out > 0 || now - c.seen < longest);
     }
 
     /// A suspected server's trial: a probe, or where there are none, the end of a confirmed suspicion.
     fn try_again(&mut self, id: ServerId) {
-        let Some(server) = self.servers.get_mut(&id) else { return };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
         match (self.settings.may_probe, server.confirmed) {
             (true, _) => self.actions.push(Action::Probe(id)),
-            (false, true) => (server.suspect, server.unheard, server.confirmed) = (None, None, false),
+            (false, true) => {
+                (server.suspect, server.unheard, server.confirmed) = (None, None, false)
+            }
             (false, false) => self.confirm(id),
         }
     }
 
     /// The probe failed too: one long request alone must not move work. What may be repeated is moved.
     fn confirm(&mut self, id: ServerId) {
-        let suspect = self.servers.get_mut(&id).filter(|s| s.suspect.is_some() && !s.confirmed);
+        let suspect = self
+            .servers
+            .get_mut(&id)
+            .filter(|s| s.suspect.is_some() && !s.confirmed);
         let Some(server) = suspect else { return };
         server.confirmed = true;
         self.log(format!("server {} suspected: silent", id.0));
         for (request, held) in self.held.iter().filter(|(_, h)| !h.done && !h.streaming) {
-            let repeat = self.settings.classes.get(held.request.class).map(|c| c.repeat);
+            let repeat = self
+                .settings
+                .classes
+                .get(held.request.class)
+                .map(|c| c.repeat);
             let moves = self.settings.may_cancel && repeat.is_some_and(|r| r != Repeat::Unsafe);
             let there = held.out.iter().filter(|(_, at, _)| moves && *at == id);
-            self.actions.extend(there.map(|(n, _, _)| Action::Cancel { request: *request, attempt: *n }));
+            self.actions.extend(there.map(|(n, _, _)| Action::Cancel {
+                request: *request,
+                attempt: *n,
+            }));
         }
     }
 
     pub(super) fn on_probe(&mut self, id: ServerId, outcome: Outcome, report: Option<LoadReport>) {
-        let Some(server) = self.servers.get_mut(&id) else { return };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
         server.learn_report(self.now, report);
         if outcome != Outcome::Ok {
             return self.confirm(id);
--- a/src/state.rs
+++ b/src/state.rs
@@ -237,7 +237,11 @@
     /// A customer of whom nothing is known; its ceiling fills from `since`, and it is
     /// taken to use this share of its allowance.
     pub(crate) fn unknown(plan: usize, since: Micros, used: f64) -> Customer {
-        let meter = || Meter { window: i64::MIN / 2, used, ..Meter::default() };
+        let meter = || Meter {
+            window: i64::MIN / 2,
+            used,
+            ..Meter::default()
+        };
         let (units, open) = (meter(), meter());
         Customer {
             plan,
@@ -254,6 +258,12 @@
 impl Server {
     /// A server of which nothing is known, not even a start.
     pub(crate) fn unknown(bound: f64, rank: f64) -> Server {
-        Server { bound, rank, ratio: 1.0, started: -1, ..Server::default() }
+        Server {
+            bound,
+            rank,
+            ratio: 1.0,
+            started: -1,
+            ..Server::default()
+        }
     }
 }
