--- a/crates/agent/src/host.rs
+++ b/crates/agent/src/host.rs
@@ -7,11 +7,11 @@
 use dataplane::clock::Clock;
 use dataplane::deadlines::Deadlines;
 use eyre::WrapErr;
+use protocol::connections::{ConnectionId, Connections, IoEvent};
 use protocol::frames;
-use protocol::messages::{Down, Edge, Standing, Up};
-use protocol::ring::{AT_ONCE, Ring};
+use protocol::log_ring::{IMMEDIATE, LogRing};
+use protocol::messages::{AgentMessage, ControlMessage, NodeInfo, NodeState};
 use protocol::settings::Settings;
-use protocol::wires::{Happening, WireKey, Wires};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use slog::{Logger, error, info, warn};
 
@@ -32,7 +32,7 @@
 
 /// A link to a control program.
 struct Link {
-    key: WireKey,
+    key: ConnectionId,
     to: SocketAddr,
     /// Its news begins.
     told: bool,
@@ -42,7 +42,7 @@
 
 #[derive(Debug)]
 enum Due {
-    Connect(WireKey),
+    Connect(ConnectionId),
     Look,
     Again,
     CountAgain,
@@ -58,22 +58,22 @@
     /// What was last wrong with it.
     fault: String,
     log: Logger,
-    wires: Wires,
+    wires: Connections,
     deadlines: Deadlines<Due>,
     links: Links,
     known: Known,
     link: Option<Link>,
     /// A link to the own zone's replica that is being tried beside the one elsewhere.
-    homeward: Option<(WireKey, SocketAddr)>,
-    count: Option<(WireKey, SocketAddr, u64)>,
+    homeward: Option<(ConnectionId, SocketAddr)>,
+    count: Option<(ConnectionId, SocketAddr, u64)>,
     /// Batches that are out, by their number on the count's link: the proxy's connection, and its number there.
-    batches: BTreeMap<u64, (WireKey, u64)>,
+    batches: BTreeMap<u64, (ConnectionId, u64)>,
     batch: u64,
     /// The limiters' clock was asked for last.
     asked_last: i64,
-    proxy: Option<WireKey>,
-    edge: Option<Edge>,
-    standing: Standing,
+    proxy: Option<ConnectionId>,
+    edge: Option<NodeInfo>,
+    standing: NodeState,
     /// The own zone's replica was looked for since the start.
     homed: bool,
     ending: bool,
@@ -101,10 +101,10 @@
         settings: Settings,
         file: Option<PathBuf>,
         clock: Clock,
-        ring: &Ring,
+        ring: &LogRing,
     ) -> eyre::Result<Host> {
-        let mut wires = Wires::new(&[SIGTERM, SIGHUP]).wrap_err("opening the loop")?;
-        let feed = settings.feed_address();
+        let mut wires = Connections::new(&[SIGTERM, SIGHUP]).wrap_err("opening the loop")?;
+        let feed = settings.agent_address();
         wires
             .listen(feed)
             .wrap_err_with(|| format!("listening for the proxy on {feed}"))?;
@@ -120,7 +120,7 @@
             settings.zones.clone(),
             shift,
         );
-        links.seeds(settings.seeds());
+        links.seeds(settings.seed_addresses());
         let mut deadlines = Deadlines::default();
         let now = clock.now();
         deadlines.enter(now, Due::Again);
@@ -144,7 +144,7 @@
             asked_last: 0,
             proxy: None,
             edge: None,
-            standing: Standing::Away,
+            standing: NodeState::Unavailable,
             homed: false,
             ending: false,
             finished: false,
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     /// The system's wait failed.
-    pub fn step(&mut self, longest: i64, happenings: &mut Vec<Happening>) -> eyre::Result<()> {
+    pub fn step(&mut self, longest: i64, happenings: &mut Vec<IoEvent>) -> eyre::Result<()> {
         let now = self.clock.now();
         let due = self
             .deadlines
@@ -191,49 +191,49 @@
         Ok(())
     }
 
-    fn is_link(&self, key: WireKey) -> bool {
+    fn is_link(&self, key: ConnectionId) -> bool {
         self.link.as_ref().is_some_and(|link| link.key == key)
     }
 
-    fn is_count(&self, key: WireKey) -> bool {
+    fn is_count(&self, key: ConnectionId) -> bool {
         self.count.is_some_and(|(count, ..)| count == key)
     }
 
-    fn is_homeward(&self, key: WireKey) -> bool {
+    fn is_homeward(&self, key: ConnectionId) -> bool {
         self.homeward.is_some_and(|(home, _)| home == key)
     }
 
-    fn happened(&mut self, now: i64, happening: Happening) {
+    fn happened(&mut self, now: i64, happening: IoEvent) {
         match happening {
-            Happening::Accepted(_, key) => self.proxy_came(now, key),
-            Happening::Signal(SIGTERM) => self.end(now),
-            Happening::Signal(_) => self.reread(),
-            Happening::Up(key) if self.is_count(key) => self.ask_time(now, key),
-            Happening::Up(key) => self.greet(now, key),
-            Happening::Came(key) => self.came(now, key),
-            Happening::Written(_) => {}
-            Happening::Ended(key) | Happening::Broken(key) => self.lost(now, key),
+            IoEvent::Accepted(_, key) => self.proxy_came(now, key),
+            IoEvent::Signal(SIGTERM) => self.end(now),
+            IoEvent::Signal(_) => self.reread(),
+            IoEvent::Connected(key) if self.is_count(key) => self.ask_time(now, key),
+            IoEvent::Connected(key) => self.greet(now, key),
+            IoEvent::Received(key) => self.came(now, key),
+            IoEvent::Flushed(_) => {}
+            IoEvent::PeerClosed(key) | IoEvent::Failed(key) => self.lost(now, key),
         }
     }
 
-    fn put<T: serde::Serialize>(&mut self, key: WireKey, message: &T) {
+    fn put<T: serde::Serialize>(&mut self, key: ConnectionId, message: &T) {
         if let Some(out) = self.wires.output(key) {
-            frames::put(out, message);
+            frames::encode(out, message);
         }
     }
 
-    fn greet(&mut self, now: i64, key: WireKey) {
+    fn greet(&mut self, now: i64, key: ConnectionId) {
         if let Some(edge) = self.edge.clone() {
             if let Some(have) = self.known.have() {
-                self.put(key, &Up::Have(have));
+                self.put(key, &AgentMessage::KnownDigests(have));
             }
-            self.put(key, &Up::Hello(edge));
+            self.put(key, &AgentMessage::Hello(edge));
             self.ask_time(now, key);
-            self.put(key, &Up::Beat(self.standing));
+            self.put(key, &AgentMessage::Heartbeat(self.standing));
         }
     }
 
-    fn proxy_came(&mut self, now: i64, key: WireKey) {
+    fn proxy_came(&mut self, now: i64, key: ConnectionId) {
         if let Some(old) = self.proxy.replace(key) {
             self.wires.close(old);
         }
@@ -247,12 +247,12 @@
     fn reread(&mut self) {
         let Some(file) = &self.file else { return };
         match Settings::load(file) {
-            Ok(settings) => self.links.seeds(settings.seeds()),
+            Ok(settings) => self.links.seeds(settings.seed_addresses()),
             Err(fault) => {
                 let fault = format!("{fault:#}");
                 // It is read over and over: what stays wrong is said once.
                 if fault != self.fault {
-                    warn!(self.log, #AT_ONCE, "settings not taken: {fault}"; "step" => "reading settings anew");
+                    warn!(self.log, #IMMEDIATE, "settings not taken: {fault}"; "step" => "reading settings anew");
                 }
                 self.fault = fault;
             }
@@ -285,7 +285,7 @@
 
     /// The link to the holder of the count follows who is who.
     fn open_count(&mut self, now: i64) {
-        let holder = self.known.who().and_then(|who| who.holder);
+        let holder = self.known.who().and_then(|who| who.counter);
         if self.count.map(|(_, to, term)| (to, term)) == holder {
             return;
         }
@@ -302,7 +302,7 @@
         }
     }
 
-    fn lost(&mut self, now: i64, key: WireKey) {
+    fn lost(&mut self, now: i64, key: ConnectionId) {
         self.wires.close(key);
         if self.is_link(key) {
             let to = self.link.take().map(|link| link.to);
@@ -316,14 +316,14 @@
             self.homeward = None;
         } else if self.proxy == Some(key) {
             self.proxy = None;
-            self.stands(Standing::Away);
+            self.stands(NodeState::Unavailable);
             self.finished |= self.ending;
         }
     }
 
-    fn stands(&mut self, standing: Standing) {
-        let standing = if self.ending && standing == Standing::Ready {
-            Standing::Leaving
+    fn stands(&mut self, standing: NodeState) {
+        let standing = if self.ending && standing == NodeState::Ready {
+            NodeState::Draining
         } else {
             standing
         };
@@ -337,11 +337,11 @@
             && self.edge.is_some()
         {
             let key = link.key;
-            self.put(key, &Up::Beat(self.standing));
+            self.put(key, &AgentMessage::Heartbeat(self.standing));
         }
     }
 
-    fn came(&mut self, now: i64, key: WireKey) {
+    fn came(&mut self, now: i64, key: ConnectionId) {
         if self.proxy == Some(key) {
             return self.proxy_said(now, key);
         }
@@ -349,7 +349,7 @@
             let Some(wire) = self.wires.get_mut(key) else {
                 return;
             };
-            match frames::take::<Down>(&mut wire.input) {
+            match frames::decode::<ControlMessage>(&mut wire.input) {
                 Ok(Some(message)) => self.heard(now, key, message),
                 Ok(None) => return,
                 Err(fault) => {
@@ -360,20 +360,20 @@
         }
     }
 
-    fn heard(&mut self, now: i64, key: WireKey, message: Down) {
+    fn heard(&mut self, now: i64, key: ConnectionId, message: ControlMessage) {
         match message {
-            Down::Totals { batch, totals } => {
+            ControlMessage::Totals { batch, totals } => {
                 if let Some((proxy, batch)) = self.batches.remove(&batch) {
-                    self.put(proxy, &Down::Totals { batch, totals });
+                    self.put(proxy, &ControlMessage::Totals { batch, totals });
                 }
             }
-            Down::NotCounted(batch) => {
+            ControlMessage::NotCounted(batch) => {
                 if let Some((proxy, batch)) = self.batches.remove(&batch) {
-                    self.put(proxy, &Down::NotCounted(batch));
+                    self.put(proxy, &ControlMessage::NotCounted(batch));
                 }
             }
-            Down::Who(ref who) => {
-                let (in_touch, replicas) = (who.in_touch, who.replicas.clone());
+            ControlMessage::ClusterView(ref who) => {
+                let (in_touch, replicas) = (who.has_quorum, who.replicas.clone());
                 if let Some((_, to)) = self.homeward.filter(|(home, _)| *home == key && in_touch) {
                     self.homeward = None;
                     if let Some(old) = self.link.replace(Link {
@@ -408,8 +408,10 @@
                 }
             }
             // Nothing is added for the way: guesses of it would drive the clock on, as whoever is ahead leads.
-            Down::Time(_) | Down::Servers { .. } | Down::Whole => self.pass_on(now, message),
-            Down::Items(ref items) => {
+            ControlMessage::Clock(_)
+            | ControlMessage::Servers { .. }
+            | ControlMessage::Complete => self.pass_on(now, message),
+            ControlMessage::Items(ref items) => {
                 let news = !items.is_empty();
                 self.pass_on(now, message);
                 if news && self.is_link(key) {
@@ -417,12 +419,12 @@
                 }
             }
             // Two links are open for a moment; only the one that is kept tells who is let through.
-            Down::Levels { .. } if !self.is_link(key) => {}
-            Down::Levels { .. } => self.pass_on(now, message),
+            ControlMessage::Levels { .. } if !self.is_link(key) => {}
+            ControlMessage::Levels { .. } => self.pass_on(now, message),
         }
     }
 
-    fn pass_on(&mut self, now: i64, message: Down) {
+    fn pass_on(&mut self, now: i64, message: ControlMessage) {
         if let Some(message) = self.known.take(now, message)
             && let Some(proxy) = self.proxy
         {
@@ -430,32 +432,38 @@
         }
     }
 
-    fn proxy_said(&mut self, now: i64, key: WireKey) {
+    fn proxy_said(&mut self, now: i64, key: ConnectionId) {
         loop {
             let Some(wire) = self.wires.get_mut(key) else {
                 return;
             };
-            match frames::take::<Up>(&mut wire.input) {
-                Ok(Some(Up::Hello(edge))) => {
+            match frames::decode::<AgentMessage>(&mut wire.input) {
+                Ok(Some(AgentMessage::Hello(edge))) => {
                     let new = self.edge.replace(edge.clone()) != Some(edge);
                     if let Some(link) = self.link.as_ref().filter(|_| new) {
                         let link = link.key;
                         self.greet(now, link);
                     }
                 }
-                Ok(Some(Up::Beat(standing))) => self.stands(standing),
-                Ok(Some(Up::Adds { batch, time, adds })) => self.adds(now, key, batch, time, adds),
-                Ok(Some(Up::Load(reports))) => {
+                Ok(Some(AgentMessage::Heartbeat(standing))) => self.stands(standing),
+                Ok(Some(AgentMessage::CounterBatch { batch, time, adds })) => {
+                    self.adds(now, key, batch, time, adds)
+                }
+                Ok(Some(AgentMessage::LoadReports(reports))) => {
                     if let Some(link) = self
                         .link
                         .as_ref()
                         .filter(|link| link.told)
                         .map(|link| link.key)
                     {
-                        self.put(link, &Up::Load(reports));
+                        self.put(link, &AgentMessage::LoadReports(reports));
                     }
                 }
-                Ok(Some(Up::Clock(_) | Up::Have(_) | Up::Holding { .. })) => {}
+                Ok(Some(
+                    AgentMessage::Clock(_)
+                    | AgentMessage::KnownDigests(_)
+                    | AgentMessage::ConfigState { .. },
+                )) => {}
                 Ok(None) => return,
                 Err(fault) => {
                     error!(self.log, "{fault}"; "step" => "reading", "peer" => "proxy");
@@ -468,18 +476,18 @@
     fn adds(
         &mut self,
         now: i64,
-        proxy: WireKey,
+        proxy: ConnectionId,
         batch: u64,
         time: i64,
-        adds: Vec<protocol::messages::Add>,
+        adds: Vec<protocol::messages::CounterAdd>,
     ) {
         let up = self
             .count
-            .filter(|(key, ..)| self.wires.get(*key).is_some_and(|wire| wire.up()));
+            .filter(|(key, ..)| self.wires.get(*key).is_some_and(|wire| wire.is_connected()));
         // Without the clock of the others its windows are not theirs.
         let up = up.filter(|_| self.known.time(now).is_some());
         let Some((key, ..)) = up else {
-            return self.put(proxy, &Down::NotCounted(batch));
+            return self.put(proxy, &ControlMessage::NotCounted(batch));
         };
         self.batch += 1;
         self.batches.insert(self.batch, (proxy, batch));
@@ -489,7 +497,7 @@
         }
         self.put(
             key,
-            &Up::Adds {
+            &AgentMessage::CounterBatch {
                 batch: self.batch,
                 time,
                 adds,
@@ -499,7 +507,7 @@
 
     fn due(&mut self, now: i64, due: Due) {
         match due {
-            Due::Connect(key) if self.wires.get(key).is_some_and(|wire| !wire.up()) => {
+            Due::Connect(key) if self.wires.get(key).is_some_and(|wire| !wire.is_connected()) => {
                 self.lost(now, key)
             }
             Due::Connect(_) => {}
@@ -512,8 +520,8 @@
     }
 
     /// Asks for the limiters' clock, and tells it.
-    fn ask_time(&mut self, now: i64, key: WireKey) {
-        self.put(key, &Up::Clock(self.known.time(now).unwrap_or(0)));
+    fn ask_time(&mut self, now: i64, key: ConnectionId) {
+        self.put(key, &AgentMessage::Clock(self.known.time(now).unwrap_or(0)));
     }
 
     /// A sign of life, and a look at how the link does.
@@ -531,7 +539,7 @@
                 .into_iter()
                 .chain(self.link.as_ref().map(|link| link.key));
             for key in keys
-                .filter(|key| self.wires.get(*key).is_some_and(|wire| wire.up()))
+                .filter(|key| self.wires.get(*key).is_some_and(|wire| wire.is_connected()))
                 .collect::<Vec<_>>()
             {
                 self.ask_time(now, key);
@@ -544,13 +552,16 @@
         let count = self
             .count
             .and_then(|(key, ..)| Some((key, self.wires.get(key)?)));
-        if let Some((key, _)) =
-            count.filter(|(_, wire)| wire.up() && now - wire.heard > COUNT_SILENT)
+        if let Some((key, _)) = count
+            .filter(|(_, wire)| wire.is_connected() && now - wire.last_received_at > COUNT_SILENT)
         {
             self.lost(now, key);
         }
         let Some(link) = &self.link else { return };
-        let heard = self.wires.get(link.key).map_or(i64::MIN, |wire| wire.heard);
+        let heard = self
+            .wires
+            .get(link.key)
+            .map_or(i64::MIN, |wire| wire.last_received_at);
         let silent = now - heard > SILENT && self.edge.is_some();
         if silent || link.astray.is_some_and(|since| now - since > OUT_OF_TOUCH) {
             let key = link.key;
--- a/crates/agent/src/known.rs
+++ b/crates/agent/src/known.rs
@@ -3,7 +3,7 @@
 use overload::judge::Level;
 use protocol::digests::Digests;
 use protocol::items::{Item, Items};
-use protocol::messages::{Down, Up, Who};
+use protocol::messages::{AgentMessage, ClusterView, ControlMessage};
 use protocol::platform::Server;
 
 /// A list of servers, and when it was told, in microseconds.
@@ -27,7 +27,7 @@
     /// Of these, by parts.
     digests: Digests,
     list: Option<List>,
-    who: Option<Who>,
+    who: Option<ClusterView>,
     /// A replica was heard last then, and one in touch with the core.
     heard: i64,
     in_touch: i64,
@@ -44,30 +44,30 @@
 
 impl Known {
     /// Takes news; gives what of it is new to the proxy.
-    pub fn take(&mut self, now: i64, message: Down) -> Option<Down> {
+    pub fn take(&mut self, now: i64, message: ControlMessage) -> Option<ControlMessage> {
         // Who is who comes only where it changes; whatever else is told is a sign of life beside it.
         self.heard = now;
         self.in_touch = if self.touch { now } else { self.in_touch };
         match message {
-            Down::Who(who) => {
-                self.touch = who.in_touch;
-                if who.in_touch {
+            ControlMessage::ClusterView(who) => {
+                self.touch = who.has_quorum;
+                if who.has_quorum {
                     (self.in_touch, self.alone) = (now, false);
                 }
                 // To the proxy it says whether this limiter is in touch.
-                let who = Who {
-                    in_touch: !self.alone,
+                let who = ClusterView {
+                    has_quorum: !self.alone,
                     ..who
                 };
-                let told = |who: &Who| (who.limiters, who.holder, who.in_touch);
+                let told = |who: &ClusterView| (who.limiters, who.counter, who.has_quorum);
                 let same = self
                     .who
                     .as_ref()
                     .is_some_and(|held| told(held) == told(&who));
                 self.who = Some(who.clone());
-                (!same).then_some(Down::Who(who))
+                (!same).then_some(ControlMessage::ClusterView(who))
             }
-            Down::Items(items) => {
+            ControlMessage::Items(items) => {
                 let newer = |item: &Item| {
                     self.items
                         .get(&item.name)
@@ -75,14 +75,14 @@
                 };
                 let new: Vec<Item> = items.into_iter().filter(newer).collect();
                 for item in &new {
-                    self.digests.turn(&item.name, Digests::of(item));
+                    self.digests.toggle(&item.name, Digests::item_digest(item));
                     if let Some(old) = self.items.insert(item.name.clone(), item.clone()) {
-                        self.digests.turn(&old.name, Digests::of(&old));
+                        self.digests.toggle(&old.name, Digests::item_digest(&old));
                     }
                 }
-                (!new.is_empty()).then_some(Down::Items(new))
+                (!new.is_empty()).then_some(ControlMessage::Items(new))
             }
-            Down::Servers { version, servers } => {
+            ControlMessage::Servers { version, servers } => {
                 if self
                     .list
                     .as_ref()
@@ -95,23 +95,23 @@
                     servers: servers.clone(),
                     at: now,
                 });
-                Some(Down::Servers { version, servers })
+                Some(ControlMessage::Servers { version, servers })
             }
-            Down::Whole => {
+            ControlMessage::Complete => {
                 let first = !std::mem::replace(&mut self.whole, true);
-                first.then_some(Down::Whole)
+                first.then_some(ControlMessage::Complete)
             }
-            Down::Time(time) => {
+            ControlMessage::Clock(time) => {
                 // The one that is ahead leads.
                 let newer = self.time(now).is_none_or(|held| held < time);
                 self.time = if newer { Some((time, now)) } else { self.time };
-                newer.then_some(Down::Time(time))
+                newer.then_some(ControlMessage::Clock(time))
             }
-            Down::Levels { age, levels } => {
+            ControlMessage::Levels { age, levels } => {
                 self.levels = Some((levels.clone(), now - age));
-                Some(Down::Levels { age, levels })
+                Some(ControlMessage::Levels { age, levels })
             }
-            Down::Totals { .. } | Down::NotCounted(_) => None,
+            ControlMessage::Totals { .. } | ControlMessage::NotCounted(_) => None,
         }
     }
 
@@ -121,31 +121,31 @@
     }
 
     /// Looks whether this limiter is alone by now; if so, what its proxy is told, once.
-    pub fn look(&mut self, now: i64) -> Option<Down> {
+    pub fn look(&mut self, now: i64) -> Option<ControlMessage> {
         let who = self.who.as_mut()?;
         if self.alone || (now - self.heard < ALONE && now - self.in_touch < ASTRAY) {
             return None;
         }
         self.alone = true;
-        (who.in_touch, who.holder) = (false, None);
-        Some(Down::Who(who.clone()))
+        (who.has_quorum, who.counter) = (false, None);
+        Some(ControlMessage::ClusterView(who.clone()))
     }
 
     /// Digests of the items, for a control program that is to tell what is missing; nothing where none is known.
     pub fn have(&self) -> Option<Vec<u64>> {
-        (!self.items.is_empty()).then(|| self.digests.parts().to_vec())
+        (!self.items.is_empty()).then(|| self.digests.buckets().to_vec())
     }
 
     /// How many items are known, and their digest, as the control program is told.
-    pub fn holding(&self) -> Up {
-        Up::Holding {
+    pub fn holding(&self) -> AgentMessage {
+        AgentMessage::ConfigState {
             items: self.items.len() as u32,
-            digest: self.digests.whole(),
+            digest: self.digests.combined(),
         }
     }
 
     /// Who is who, as last told.
-    pub fn who(&self) -> Option<&Who> {
+    pub fn who(&self) -> Option<&ClusterView> {
         self.who.as_ref()
     }
 
@@ -155,27 +155,30 @@
     }
 
     /// All that is known, for a proxy that knows nothing.
-    pub fn all(&self, now: i64) -> Vec<Down> {
-        let who = self.who.clone().map(Down::Who);
-        let items = Down::Items(self.items.values().cloned().collect());
+    pub fn all(&self, now: i64) -> Vec<ControlMessage> {
+        let who = self.who.clone().map(ControlMessage::ClusterView);
+        let items = ControlMessage::Items(self.items.values().cloned().collect());
         let list = self.list.as_ref().map(|list| {
             // What was left of their cold time when it was told, less what has passed since.
             let cooler = |server: &Server| Server {
-                cold: (server.cold - (now - list.at)).max(0),
+                warm_up_left: (server.warm_up_left - (now - list.at)).max(0),
                 ..server.clone()
             };
-            Down::Servers {
+            ControlMessage::Servers {
                 version: list.version,
                 servers: list.servers.iter().map(cooler).collect(),
             }
         });
-        let whole = self.whole.then_some(Down::Whole);
-        let levels = self.levels.iter().map(|(levels, at)| Down::Levels {
-            age: now - at,
-            levels: levels.clone(),
-        });
+        let whole = self.whole.then_some(ControlMessage::Complete);
+        let levels = self
+            .levels
+            .iter()
+            .map(|(levels, at)| ControlMessage::Levels {
+                age: now - at,
+                levels: levels.clone(),
+            });
         who.into_iter()
-            .chain(self.time(now).map(Down::Time))
+            .chain(self.time(now).map(ControlMessage::Clock))
             .chain([items])
             .chain(list)
             .chain(levels)
@@ -187,12 +190,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use protocol::items::{Kind, Name};
+    use protocol::items::{ItemKind, ItemName};
 
     fn item(ver: u64) -> Item {
         Item {
-            name: Name {
-                kind: Kind::Zone,
+            name: ItemName {
+                kind: ItemKind::Zone,
                 name: "z".into(),
             },
             ver,
@@ -200,7 +203,7 @@
         }
     }
 
-    fn list(version: (u64, u64), cold: i64) -> Down {
+    fn list(version: (u64, u64), cold: i64) -> ControlMessage {
         let addr = "10.128.0.9:8080".parse().unwrap();
         let server = Server {
             id: "i".into(),
@@ -208,10 +211,10 @@
             addr,
             zone: "z".into(),
             slots: 1,
-            up: true,
-            cold,
+            accepts_requests: true,
+            warm_up_left: cold,
         };
-        Down::Servers {
+        ControlMessage::Servers {
             version,
             servers: vec![server],
         }
@@ -220,11 +223,18 @@
     #[test]
     fn only_what_is_newer_goes_on() {
         let mut known = Known::default();
-        assert!(known.take(0, Down::Items(vec![item(3)])).is_some());
-        assert_eq!(known.take(0, Down::Items(vec![item(2), item(3)])), None);
+        assert!(
+            known
+                .take(0, ControlMessage::Items(vec![item(3)]))
+                .is_some()
+        );
+        assert_eq!(
+            known.take(0, ControlMessage::Items(vec![item(2), item(3)])),
+            None
+        );
         assert_eq!(
-            known.take(0, Down::Items(vec![item(2), item(5)])),
-            Some(Down::Items(vec![item(5)]))
+            known.take(0, ControlMessage::Items(vec![item(2), item(5)])),
+            Some(ControlMessage::Items(vec![item(5)]))
         );
         assert!(
             known.take(0, list((2, 1), 0)).is_some() && known.take(0, list((1, 9), 0)).is_none()
@@ -234,16 +244,24 @@
     #[test]
     fn a_proxy_that_starts_later_is_told_all_with_what_is_left_of_cold_times() {
         let mut known = Known::default();
-        for message in [Down::Items(vec![item(3)]), list((1, 1), 500), Down::Whole] {
+        for message in [
+            ControlMessage::Items(vec![item(3)]),
+            list((1, 1), 500),
+            ControlMessage::Complete,
+        ] {
             known.take(1_000, message);
         }
         let told = known.all(1_200);
         assert_eq!(
             told,
-            vec![Down::Items(vec![item(3)]), list((1, 1), 300), Down::Whole]
+            vec![
+                ControlMessage::Items(vec![item(3)]),
+                list((1, 1), 300),
+                ControlMessage::Complete
+            ]
         );
         // Nothing is whole before it was said to be.
-        assert!(!Known::default().all(0).contains(&Down::Whole));
+        assert!(!Known::default().all(0).contains(&ControlMessage::Complete));
     }
 
     #[test]
@@ -251,35 +269,35 @@
         let mut known = Known::default();
         known.take(
             0,
-            Down::Who(Who {
-                in_touch: true,
+            ControlMessage::ClusterView(ClusterView {
+                has_quorum: true,
                 limiters: 3,
-                ..Who::default()
+                ..ClusterView::default()
             }),
         );
         for at in (0..2 * ASTRAY).step_by(400_000) {
-            assert_eq!(known.take(at, Down::Items(Vec::new())), None);
+            assert_eq!(known.take(at, ControlMessage::Items(Vec::new())), None);
             assert_eq!(known.look(at + 1), None, "at {at}");
         }
         // Signs of life of a replica that said that it is out of touch are none of the core.
         known.take(
             2 * ASTRAY,
-            Down::Who(Who {
+            ControlMessage::ClusterView(ClusterView {
                 limiters: 3,
-                ..Who::default()
+                ..ClusterView::default()
             }),
         );
-        known.take(3 * ASTRAY, Down::Items(Vec::new()));
+        known.take(3 * ASTRAY, ControlMessage::Items(Vec::new()));
         assert!(known.look(3 * ASTRAY + 1).is_some());
     }
 
     #[test]
     fn a_limiter_that_hears_nothing_is_alone_and_its_proxy_is_told_once() {
         let who = |in_touch| {
-            Down::Who(Who {
+            ControlMessage::ClusterView(ClusterView {
                 limiters: 3,
-                in_touch,
-                ..Who::default()
+                has_quorum: in_touch,
+                ..ClusterView::default()
             })
         };
         let mut known = Known::default();
@@ -302,11 +320,11 @@
     fn the_clock_goes_on_between_two_tellings_and_never_back() {
         let mut known = Known::default();
         assert_eq!(
-            known.take(1_000, Down::Time(70_000)),
-            Some(Down::Time(70_000))
+            known.take(1_000, ControlMessage::Clock(70_000)),
+            Some(ControlMessage::Clock(70_000))
         );
-        assert_eq!(known.take(2_000, Down::Time(70_900)), None);
+        assert_eq!(known.take(2_000, ControlMessage::Clock(70_900)), None);
         assert_eq!(known.time(3_000), Some(72_000));
-        assert!(known.all(3_000).contains(&Down::Time(72_000)));
+        assert!(known.all(3_000).contains(&ControlMessage::Clock(72_000)));
     }
 }
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -4,13 +4,13 @@
 
 use agent::host::Host;
 use dataplane::clock::Clock;
-use protocol::program::{self, Started};
+use protocol::program::{self, ProgramContext};
 
 fn main() -> ExitCode {
     program::run(
         "agent",
         agent::host::check,
-        |Started {
+        |ProgramContext {
              settings,
              file,
              ring,
--- a/crates/agent/tests/restarts.rs
+++ b/crates/agent/tests/restarts.rs
@@ -10,13 +10,15 @@
 
 use agent::host::Host;
 use dataplane::clock::Clock;
+use protocol::connections::IoEvent;
 use protocol::frames;
-use protocol::items::{Item, Kind, Name};
-use protocol::messages::{Add, Down, Edge, Standing, Up, Who};
+use protocol::items::{Item, ItemKind, ItemName};
+use protocol::log_ring::LogRing;
+use protocol::messages::{
+    AgentMessage, ClusterView, ControlMessage, CounterAdd, NodeInfo, NodeState,
+};
 use protocol::platform::Server;
-use protocol::ring::Ring;
 use protocol::settings::Settings;
-use protocol::wires::Happening;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -43,7 +45,7 @@
 
     fn say(&mut self, message: &impl Serialize) {
         let mut bytes = Vec::new();
-        frames::put(&mut bytes, message);
+        frames::encode(&mut bytes, message);
         self.stream.write_all(&bytes).unwrap();
     }
 
@@ -55,7 +57,7 @@
                 Ok(0) => return true,
                 Ok(length) => self.input.extend_from_slice(&part[..length]),
                 Err(error) => {
-                    while let Some(message) = frames::take(&mut self.input).unwrap() {
+                    while let Some(message) = frames::decode(&mut self.input).unwrap() {
                         self.heard.push(message);
                     }
                     return error.kind() != ErrorKind::WouldBlock;
@@ -76,11 +78,11 @@
 struct Bench {
     host: Host,
     hand: Arc<AtomicI64>,
-    happenings: Vec<Happening>,
+    happenings: Vec<IoEvent>,
     feed: SocketAddr,
     replica: TcpListener,
-    link: Option<End<Up>>,
-    proxies: Vec<End<Down>>,
+    link: Option<End<AgentMessage>>,
+    proxies: Vec<End<ControlMessage>>,
 }
 
 impl Bench {
@@ -97,15 +99,15 @@
             let replica = TcpListener::bind("127.0.0.2:0").unwrap();
             let port = replica.local_addr().unwrap().port();
             let text = settings(port, seed);
-            let Ok(settings) = Settings::read(&text) else {
+            let Ok(settings) = Settings::parse(&text) else {
                 continue;
             };
             file.into_iter()
                 .for_each(|file| std::fs::write(file, &text).unwrap());
             let path = file.map(Path::to_path_buf);
-            let feed = settings.feed_address();
+            let feed = settings.agent_address();
             let clock = Clock::driven(hand.clone());
-            let Ok(host) = Host::open(settings, path, clock, &Ring::default()) else {
+            let Ok(host) = Host::open(settings, path, clock, &LogRing::default()) else {
                 continue;
             };
             replica.set_nonblocking(true).unwrap();
@@ -154,18 +156,18 @@
         self.proxies
             .push(End::new(TcpStream::connect(self.feed).unwrap()));
         let proxy = self.proxies.last_mut().unwrap();
-        proxy.say(&Up::Hello(edge()));
-        proxy.say(&Up::Beat(Standing::Ready));
+        proxy.say(&AgentMessage::Hello(edge()));
+        proxy.say(&AgentMessage::Heartbeat(NodeState::Ready));
     }
 
-    fn replica_says(&mut self, messages: &[Down]) {
+    fn replica_says(&mut self, messages: &[ControlMessage]) {
         self.until("link", |bench| bench.link.is_some());
         messages
             .iter()
             .for_each(|message| self.link.as_mut().unwrap().say(message));
     }
 
-    fn proxy_hears(&mut self, messages: &[Down]) {
+    fn proxy_hears(&mut self, messages: &[ControlMessage]) {
         self.until("news", |bench| {
             bench.proxies.last().unwrap().heard.len() >= messages.len()
         });
@@ -176,7 +178,7 @@
         );
     }
 
-    fn replica_hears(&mut self, message: &Up) {
+    fn replica_hears(&mut self, message: &AgentMessage) {
         let hears = |bench: &Bench| {
             bench
                 .link
@@ -188,39 +190,39 @@
     }
 }
 
-fn edge() -> Edge {
+fn edge() -> NodeInfo {
     let http = "10.1.0.3:80".parse().unwrap();
-    Edge {
-        node: "e".into(),
+    NodeInfo {
+        name: "e".into(),
         zone: "a".into(),
         region: "r".into(),
         http,
     }
 }
 
-fn who(holder: Option<(SocketAddr, u64)>) -> Down {
-    Down::Who(Who {
-        holder,
-        in_touch: true,
+fn who(holder: Option<(SocketAddr, u64)>) -> ControlMessage {
+    ControlMessage::ClusterView(ClusterView {
+        counter: holder,
+        has_quorum: true,
         limiters: 1,
-        in_zone: 1,
-        ..Who::default()
+        limiters_in_zone: 1,
+        ..ClusterView::default()
     })
 }
 
-fn items(versions: &[u64]) -> Down {
+fn items(versions: &[u64]) -> ControlMessage {
     let item = |(n, ver): (usize, &u64)| Item {
-        name: Name {
-            kind: Kind::Zone,
+        name: ItemName {
+            kind: ItemKind::Zone,
             name: format!("z{n}"),
         },
         ver: *ver,
         spec: Some("true".into()),
     };
-    Down::Items(versions.iter().enumerate().map(item).collect())
+    ControlMessage::Items(versions.iter().enumerate().map(item).collect())
 }
 
-fn servers(version: (u64, u64), cold: i64) -> Down {
+fn servers(version: (u64, u64), cold: i64) -> ControlMessage {
     let addr = "10.128.0.9:80".parse().unwrap();
     let server = Server {
         id: "i".into(),
@@ -228,10 +230,10 @@
         addr,
         zone: "a".into(),
         slots: 1,
-        up: true,
-        cold,
+        accepts_requests: true,
+        warm_up_left: cold,
     };
-    Down::Servers {
+    ControlMessage::Servers {
         version,
         servers: vec![server],
     }
@@ -241,25 +243,30 @@
 fn a_proxy_that_starts_anew_is_told_all_also_while_the_core_is_gone() {
     let mut bench = Bench::new();
     bench.proxy();
-    let told = [who(None), items(&[3, 5]), servers((2, 7), 0), Down::Whole];
+    let told = [
+        who(None),
+        items(&[3, 5]),
+        servers((2, 7), 0),
+        ControlMessage::Complete,
+    ];
     bench.replica_says(&told);
     // Nothing was known when it came.
     let news = [&[items(&[])], &told[..]].concat();
     bench.proxy_hears(&news);
-    bench.replica_hears(&Up::Beat(Standing::Ready));
+    bench.replica_hears(&AgentMessage::Heartbeat(NodeState::Ready));
     bench.proxies.clear();
-    bench.replica_hears(&Up::Beat(Standing::Away));
+    bench.replica_hears(&AgentMessage::Heartbeat(NodeState::Unavailable));
     bench.link = None;
     bench.proxy();
     bench.proxy_hears(&told);
     // The next replica hears who is here, and how it stands, and brings nothing but what is newer.
     bench.pass(200);
-    bench.replica_hears(&Up::Hello(edge()));
+    bench.replica_hears(&AgentMessage::Hello(edge()));
     bench.replica_says(&[
         who(None),
         items(&[2, 5]),
         servers((2, 6), 0),
-        Down::Whole,
+        ControlMessage::Complete,
         items(&[4]),
     ]);
     bench.proxy_hears(&[items(&[4])]);
@@ -278,17 +285,24 @@
             .unwrap()
             .heard
             .iter()
-            .all(|heard| matches!(heard, Up::Clock(0) | Up::Holding { items: 0, .. }))
+            .all(|heard| matches!(
+                heard,
+                AgentMessage::Clock(0) | AgentMessage::ConfigState { items: 0, .. }
+            ))
     );
     bench.proxy();
-    bench.replica_hears(&Up::Hello(edge()));
-    bench.replica_hears(&Up::Beat(Standing::Ready));
+    bench.replica_hears(&AgentMessage::Hello(edge()));
+    bench.replica_hears(&AgentMessage::Heartbeat(NodeState::Ready));
     // Cold times run on while they are kept here.
-    bench.replica_says(&[servers((1, 1), 500 * MS), Down::Whole]);
-    bench.proxy_hears(&[items(&[]), servers((1, 1), 500 * MS), Down::Whole]);
+    bench.replica_says(&[servers((1, 1), 500 * MS), ControlMessage::Complete]);
+    bench.proxy_hears(&[
+        items(&[]),
+        servers((1, 1), 500 * MS),
+        ControlMessage::Complete,
+    ]);
     bench.pass(600);
     bench.proxy();
-    bench.proxy_hears(&[items(&[]), servers((1, 1), 0), Down::Whole]);
+    bench.proxy_hears(&[items(&[]), servers((1, 1), 0), ControlMessage::Complete]);
 }
 
 #[test]
@@ -296,33 +310,33 @@
     let mut bench = Bench::new();
     bench.proxy();
     bench.proxy_hears(&[items(&[])]);
-    let adds = |batch| Up::Adds {
+    let adds = |batch| AgentMessage::CounterBatch {
         batch,
         time: 5,
-        adds: vec![Add {
-            name: 9,
+        adds: vec![CounterAdd {
+            counter: 9,
             units: 1.0,
-            life: 7,
+            ttl: 7,
         }],
     };
     bench.proxies[0].say(&adds(41));
-    bench.proxy_hears(&[Down::NotCounted(41)]);
+    bench.proxy_hears(&[ControlMessage::NotCounted(41)]);
     let holder = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = (holder.local_addr().unwrap(), 1);
     bench.replica_says(&[who(Some(at))]);
     bench.proxy_hears(&[who(Some(at))]);
     // The limiters' clock is not known yet: in what window the adds are nobody could say.
     bench.proxies[0].say(&adds(41));
-    bench.proxy_hears(&[Down::NotCounted(41)]);
-    bench.replica_says(&[Down::Time(7_000_000_000_000)]);
+    bench.proxy_hears(&[ControlMessage::NotCounted(41)]);
+    bench.replica_says(&[ControlMessage::Clock(7_000_000_000_000)]);
     bench.until("time", |bench| !bench.proxies[0].heard.is_empty());
     let told = std::mem::take(&mut bench.proxies[0].heard);
     assert!(
-        matches!(told[..], [Down::Time(time)] if time - 7_000_000_000_000 < 1_000_000),
+        matches!(told[..], [ControlMessage::Clock(time)] if time - 7_000_000_000_000 < 1_000_000),
         "{told:?}"
     );
     holder.set_nonblocking(true).unwrap();
-    let mut count: Option<End<Up>> = None;
+    let mut count: Option<End<AgentMessage>> = None;
     bench.until("link to the count", |_| {
         count = holder.accept().ok().map(|(stream, _)| End::new(stream));
         count.is_some()
@@ -333,13 +347,17 @@
     });
     bench.proxies[0].say(&adds(42));
     bench.until("adds there", |_| !count.look() && count.heard.len() > 1);
-    assert!(matches!(count.heard[0], Up::Clock(_)), "{:?}", count.heard);
+    assert!(
+        matches!(count.heard[0], AgentMessage::Clock(_)),
+        "{:?}",
+        count.heard
+    );
     assert_eq!(count.heard[1..], [adds(1)]);
-    count.say(&Down::Totals {
+    count.say(&ControlMessage::Totals {
         batch: 1,
         totals: vec![3.0],
     });
-    bench.proxy_hears(&[Down::Totals {
+    bench.proxy_hears(&[ControlMessage::Totals {
         batch: 42,
         totals: vec![3.0],
     }]);
--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use protocol::items::{Item, Name};
-use protocol::messages::{Down, Up, Who};
+use protocol::items::{Item, ItemName};
+use protocol::messages::{AgentMessage, ClusterView, ControlMessage};
 
 use super::peer_messages::{Duty, Replica};
 use super::transfer::split;
@@ -23,7 +23,7 @@
 /// What the agents of a zone were told last.
 #[derive(Clone, Debug)]
 struct Told {
-    who: Who,
+    who: ClusterView,
     /// The table of replicas, then.
     replicas: u64,
 }
@@ -55,7 +55,7 @@
     /// What it had at the start of its link, by parts.
     have: Vec<u64>,
     /// It was told all up to this name; what changes later is news, and told to it at once.
-    after: Option<Name>,
+    after: Option<ItemName>,
     /// Pieces that it has not said to hold.
     open: usize,
     /// When it last said so, or was told something.
@@ -116,9 +116,9 @@
 
 impl Core {
     /// A message of an agent.
-    pub(super) fn agent(&mut self, now: i64, link: u64, up: Up, out: &mut Vec<Output>) {
+    pub(super) fn agent(&mut self, now: i64, link: u64, up: AgentMessage, out: &mut Vec<Output>) {
         let changed = match up {
-            Up::Hello(edge) => {
+            AgentMessage::Hello(edge) => {
                 let (zone, home) = (edge.zone.clone(), edge.zone.clone());
                 self.overload_homes.joined(link, &edge.region);
                 let changed = self.members.hello(now, link, edge);
@@ -131,7 +131,10 @@
                     .get(&zone)
                     .cloned()
                     .unwrap_or_else(|| self.who(now, &zone));
-                out.push(Output::Tell(to(), Down::Who(told.who.clone())));
+                out.push(Output::Tell(
+                    to(),
+                    ControlMessage::ClusterView(told.who.clone()),
+                ));
                 self.agents.told.insert(zone, told);
                 if !self.agents.have.contains_key(&link) && self.has_home(now, &home) {
                     self.agents.later.insert(link, now + limits::BEAT);
@@ -140,11 +143,11 @@
                 }
                 changed
             }
-            Up::Have(parts) => {
+            AgentMessage::KnownDigests(parts) => {
                 self.agents.have.insert(link, parts);
                 false
             }
-            Up::Holding { items, digest } => {
+            AgentMessage::ConfigState { items, digest } => {
                 let before = self
                     .agents
                     .holding
@@ -166,39 +169,45 @@
                 self.credit(now, link, out);
                 false
             }
-            Up::Beat(standing) => {
+            AgentMessage::Heartbeat(standing) => {
                 let silent = |owed: &Owed| now - owed.moved > limits::PIECE_SILENT;
                 if self.agents.owing.get(&link).is_some_and(silent) {
                     self.credit(now, link, out);
                 }
                 self.members.beat(now, link, standing)
             }
-            Up::Load(reports) => {
+            AgentMessage::LoadReports(reports) => {
                 let me = self.replicas.me().replica;
                 self.overload_homes.told(now, me, link, &reports);
                 false
             }
-            Up::Clock(time) => {
+            AgentMessage::Clock(time) => {
                 self.raise(now, time);
                 self.agents.counts(now, link);
-                out.push(Output::Tell(vec![link], Down::Time(now + self.ahead)));
+                out.push(Output::Tell(
+                    vec![link],
+                    ControlMessage::Clock(now + self.ahead),
+                ));
                 false
             }
-            Up::Adds { batch, time, adds } => {
+            AgentMessage::CounterBatch { batch, time, adds } => {
                 self.raise(now, time);
                 self.agents.counts(now, link);
                 let share = self.reached();
                 let behind = now + self.ahead - time > limits::CLOCKS_APART;
                 if behind {
-                    out.push(Output::Tell(vec![link], Down::Time(now + self.ahead)));
+                    out.push(Output::Tell(
+                        vec![link],
+                        ControlMessage::Clock(now + self.ahead),
+                    ));
                 }
                 let counts = !behind && !self.count.held(now);
                 let down = match self.holds(now, Duty::Count).filter(|_| counts) {
-                    Some(term) => Down::Totals {
+                    Some(term) => ControlMessage::Totals {
                         batch,
                         totals: self.count.add(now, term, share, &adds),
                     },
-                    None => Down::NotCounted(batch),
+                    None => ControlMessage::NotCounted(batch),
                 };
                 out.push(Output::Tell(vec![link], down));
                 false
@@ -225,7 +234,7 @@
     fn tell_all(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
         let have = self.agents.have.remove(&link).unwrap_or_default();
         if self.listed.known() {
-            let list = Down::Servers {
+            let list = ControlMessage::Servers {
                 version: self.listed.version(),
                 servers: self.listed.list(now),
             };
@@ -272,12 +281,12 @@
                 .or(owed.after.take());
             (owed.open, owed.moved) = (owed.open + 1, now);
             let items = piece.into_iter().cloned().collect();
-            out.push(Output::Tell(vec![link], Down::Items(items)));
+            out.push(Output::Tell(vec![link], ControlMessage::Items(items)));
         }
         if !more {
             self.agents.owing.remove(&link);
             if self.whole && self.replicas.in_touch(now) {
-                out.push(Output::Tell(vec![link], Down::Whole));
+                out.push(Output::Tell(vec![link], ControlMessage::Complete));
             }
         }
     }
@@ -339,16 +348,16 @@
 
     fn who(&self, now: i64, zone: &str) -> Told {
         let (limiters, in_zone) = self.members.serving(zone);
-        let who = Who {
+        let who = ClusterView {
             replicas: self
                 .replicas
                 .for_agents(&self.zones)
                 .map(|(zone, at)| (zone.to_string(), at))
                 .collect(),
-            holder: self.holder(now),
-            in_touch: self.replicas.in_touch(now) && !self.stopping,
+            counter: self.holder(now),
+            has_quorum: self.replicas.in_touch(now) && !self.stopping,
             limiters: limiters.max(self.members.lately() as u32),
-            in_zone,
+            limiters_in_zone: in_zone,
         };
         Told {
             who,
@@ -363,15 +372,15 @@
         let (limiters, in_zone) = self.members.serving(zone);
         let limiters = limiters.max(self.members.lately() as u32);
         let in_touch = self.replicas.in_touch(now) && !self.stopping;
-        if before.holder != self.holder(now)
-            || before.in_touch != in_touch
+        if before.counter != self.holder(now)
+            || before.has_quorum != in_touch
             || told.replicas != self.replicas.revision()
         {
             return Change::Much;
         }
         // Danger: limiters that each take an even slice must not stay with a count that is too low by much.
         match before.limiters.abs_diff(limiters) {
-            0 if before.in_zone == in_zone => Change::Nothing,
+            0 if before.limiters_in_zone == in_zone => Change::Nothing,
             changed if changed * limits::COUNTED > before.limiters => Change::Much,
             _ => Change::Little,
         }
@@ -403,7 +412,10 @@
                 continue;
             }
             let who = self.who(now, zone);
-            out.push(Output::Tell(links, Down::Who(who.who.clone())));
+            out.push(Output::Tell(
+                links,
+                ControlMessage::ClusterView(who.who.clone()),
+            ));
             told.insert(zone.clone(), who);
             news = true;
         }
@@ -411,7 +423,7 @@
             self.agents.counts = now + limits::COUNTS;
         }
         if !quiet.is_empty() {
-            out.push(Output::Tell(quiet, Down::Items(Vec::new())));
+            out.push(Output::Tell(quiet, ControlMessage::Items(Vec::new())));
         }
         self.agents.told = told;
     }
@@ -420,7 +432,7 @@
     pub(super) fn tell_items(&self, items: Vec<Item>, out: &mut Vec<Output>) {
         let links = self.agents.links();
         if !links.is_empty() {
-            out.push(Output::Tell(links, Down::Items(items)));
+            out.push(Output::Tell(links, ControlMessage::Items(items)));
         }
     }
 
@@ -431,7 +443,7 @@
             !self.agents.later.contains_key(link) && !self.agents.owing.contains_key(link)
         });
         if !links.is_empty() {
-            out.push(Output::Tell(links, Down::Whole));
+            out.push(Output::Tell(links, ControlMessage::Complete));
         }
     }
 
@@ -440,7 +452,10 @@
         let links = self.agents.links();
         if !links.is_empty() {
             let (version, servers) = (self.listed.version(), self.listed.list(now));
-            out.push(Output::Tell(links, Down::Servers { version, servers }));
+            out.push(Output::Tell(
+                links,
+                ControlMessage::Servers { version, servers },
+            ));
         }
     }
 }
--- a/crates/control/src/core/agreement.rs
+++ b/crates/control/src/core/agreement.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use protocol::items::{self, Item, Items, Kind, Name};
+use protocol::items::{self, Item, ItemKind, ItemName, Items};
 
 use super::handover::Handover;
 use super::news::{Learned, News};
@@ -31,7 +31,7 @@
     /// Those that have told all, and how far the others have come.
     votes: BTreeMap<Replica, Incarnation>,
     transfers: BTreeMap<Replica, (Incarnation, Transfer)>,
-    found: BTreeMap<Name, (Ballot, Item)>,
+    found: BTreeMap<ItemName, (Ballot, Item)>,
     /// What was known here when it began.
     parts: Vec<u64>,
     /// More than half have answered; what is not known to be chosen by then is finished first.
@@ -66,9 +66,9 @@
     }
 
     /// What was found and is not known to be chosen. It may be lost again: nobody must have seen it then.
-    fn open(&self, news: &News) -> Vec<Name> {
+    fn open(&self, news: &News) -> Vec<ItemName> {
         let items = self.found.values().map(|(_, item)| item);
-        let open = items.filter(|item| item.name.kind != Kind::Zone && !news.has(item));
+        let open = items.filter(|item| item.name.kind != ItemKind::Zone && !news.has(item));
         open.map(|item| item.name.clone()).collect()
     }
 }
@@ -111,16 +111,16 @@
                 ));
             }
             Command::Drain { zone, on } => {
-                let name = Name {
-                    kind: Kind::Zone,
+                let name = ItemName {
+                    kind: ItemKind::Zone,
                     name: zone,
                 };
                 self.round(now, Some(call), Want::Zone(name, on), deadline, out);
             }
             Command::Patch(body) => {
                 // What was only accepted may be lost again, and with it what a change refers to.
-                match items::read_patch(&body, &self.news) {
-                    Ok(items) if self.whole || !items::depend_on_others(&items) => {
+                match items::parse_patch(&body, &self.news) {
+                    Ok(items) if self.whole || !items::depends_on_other_items(&items) => {
                         self.change(now, call, items, deadline, out);
                     }
                     // What it refers to may have been acknowledged, or dropped, elsewhere and not be known here yet.
@@ -177,7 +177,7 @@
             return;
         }
         let numbers: Vec<u64> = self.rounds.keys().copied().collect();
-        let mut busy: BTreeSet<Name> = BTreeSet::new();
+        let mut busy: BTreeSet<ItemName> = BTreeSet::new();
         for number in numbers {
             let Some(round) = self.rounds.get(&number) else {
                 continue;
@@ -325,7 +325,7 @@
         now: i64,
         from: SocketAddr,
         ballot: Ballot,
-        names: &[Name],
+        names: &[ItemName],
         out: &mut Vec<Output>,
     ) {
         self.prepare_at(now, Some(from), ballot, names, out);
@@ -336,7 +336,7 @@
         now: i64,
         from: Option<SocketAddr>,
         ballot: Ballot,
-        names: &[Name],
+        names: &[ItemName],
         out: &mut Vec<Output>,
     ) {
         self.round = self.round.max(ballot.round);
@@ -404,7 +404,7 @@
     }
 
     /// Whether a register is to be finished.
-    pub(super) fn settle(&mut self, now: i64, name: &Name) {
+    pub(super) fn settle(&mut self, now: i64, name: &ItemName) {
         match self.registers.accepted(name) {
             Some((_, item)) if !self.news.has(item) => self.unfinished.begun(now, name),
             _ => self.unfinished.finished(name),
@@ -526,7 +526,7 @@
             votes: BTreeMap::from([(me.replica, me.incarnation)]),
             transfers: BTreeMap::new(),
             found: found.collect(),
-            parts: self.registers.digests().parts().to_vec(),
+            parts: self.registers.digests().buckets().to_vec(),
             settles: None,
             deadline,
             wake: now + limits::RESEND,
@@ -660,10 +660,10 @@
         let Some(patch) = reading.patch else {
             return out.push(Output::Answer(
                 reading.call,
-                Reply::Items(items::write_all(found)),
+                Reply::Items(items::configuration_json(found)),
             ));
         };
-        match items::read_patch(&patch, &newest(found)) {
+        match items::parse_patch(&patch, &newest(found)) {
             Ok(items) => self.change(now, reading.call, items, reading.deadline, out),
             Err(error) => out.push(Output::Answer(reading.call, Reply::Invalid(error.0))),
         }
--- a/crates/control/src/core/count.rs
+++ b/crates/control/src/core/count.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use protocol::messages::Add;
+use protocol::messages::CounterAdd;
 
 use crate::limits;
 
@@ -36,7 +36,7 @@
 
     /// Adds in order; gives each total after its add. Where only a share of the limiters reaches the count, totals are told
     /// as if the others had added like these: they let even slices pass without it.
-    pub fn add(&mut self, now: i64, term: u64, share: f64, adds: &[Add]) -> Vec<f64> {
+    pub fn add(&mut self, now: i64, term: u64, share: f64, adds: &[CounterAdd]) -> Vec<f64> {
         if self.term != term {
             *self = Count {
                 term,
@@ -49,10 +49,10 @@
             self.sweep = now + limits::SWEEP;
             self.numbers.retain(|_, (_, until)| *until > now);
         }
-        let one = |add: &Add| {
-            let number = self.numbers.entry(add.name).or_insert((0.0, 0));
+        let one = |add: &CounterAdd| {
+            let number = self.numbers.entry(add.counter).or_insert((0.0, 0));
             if number.1 <= now {
-                *number = (0.0, now.saturating_add(add.life.max(0)));
+                *number = (0.0, now.saturating_add(add.ttl.max(0)));
             }
             // What is no number must not spoil the total for good.
             let alone = number.0 == 0.0;
@@ -75,10 +75,10 @@
     #[test]
     fn adds_are_in_order_and_a_new_term_starts_empty() {
         let mut count = Count::default();
-        let add = |name, units| Add {
-            name,
+        let add = |name, units| CounterAdd {
+            counter: name,
             units,
-            life: 1_000,
+            ttl: 1_000,
         };
         assert_eq!(
             count.add(0, 1, 1.0, &[add(1, 2.0), add(1, -0.5), add(2, 0.0)]),
@@ -96,10 +96,10 @@
     #[test]
     fn where_half_of_the_limiters_reach_it_the_others_have_their_part() {
         let mut count = Count::default();
-        let add = |units| Add {
-            name: 1,
+        let add = |units| CounterAdd {
+            counter: 1,
             units,
-            life: 1_000,
+            ttl: 1_000,
         };
         // Who adds first finds itself alone, as it carries over the window before.
         assert_eq!(count.add(0, 1, 0.5, &[add(3.0), add(1.0)]), [3.0, 8.0]);
@@ -108,10 +108,10 @@
 
     #[test]
     fn a_clock_that_goes_on_at_once_gives_no_window_twice() {
-        let add = [Add {
-            name: 1,
+        let add = [CounterAdd {
+            counter: 1,
             units: 1.0,
-            life: 1_000,
+            ttl: 1_000,
         }];
         let mut count = Count::default();
         count.hold(10, limits::WINDOW);
--- a/crates/control/src/core/handover.rs
+++ b/crates/control/src/core/handover.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use protocol::items::{Item, Name};
+use protocol::items::{Item, ItemName};
 
 use super::news::News;
 use super::outbox::After;
@@ -23,9 +23,9 @@
 #[derive(Clone, Debug, Default)]
 struct Receiver {
     /// What it lacked when it first answered and has not confirmed since; none before that.
-    owed: Option<BTreeSet<Name>>,
+    owed: Option<BTreeSet<ItemName>>,
     /// Items on their way to it, by the number of the message.
-    sent: BTreeMap<u64, Vec<Name>>,
+    sent: BTreeMap<u64, Vec<ItemName>>,
 }
 
 impl Receiver {
@@ -36,7 +36,7 @@
     /// What is on its disk, as it says. Gives the items to send it now.
     fn holds(&mut self, id: u64, parts: &[u64], news: &News) -> Vec<(Ballot, Item)> {
         let lacking: Vec<(Ballot, Item)> = news.differing(parts).cloned().collect();
-        let names: BTreeSet<Name> = lacking.iter().map(|(_, item)| item.name.clone()).collect();
+        let names: BTreeSet<ItemName> = lacking.iter().map(|(_, item)| item.name.clone()).collect();
         let confirmed = self.sent.remove(&id).unwrap_or_default();
         let owed = self.owed.get_or_insert_with(|| names.clone());
         owed.retain(|name| names.contains(name) && !confirmed.contains(name));
--- a/crates/control/src/core/members.rs
+++ b/crates/control/src/core/members.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hasher};
 
-use protocol::messages::{Edge, Standing};
+use protocol::messages::{NodeInfo, NodeState};
 
 use super::peer_messages::{Moved, Replica, Told};
 use crate::limits;
@@ -50,7 +50,7 @@
 pub struct Members {
     own: BTreeMap<String, Lease>,
     /// Who spoke first on each link: an agent may have two for a while.
-    links: BTreeMap<u64, Edge>,
+    links: BTreeMap<u64, NodeInfo>,
     hearsay: BTreeMap<Replica, Hearsay>,
     /// The replicas that tell of each machine: few do, and looking at all for each change would grow with the replicas.
     tellers: BTreeMap<String, BTreeSet<Replica>>,
@@ -158,17 +158,17 @@
             moved
                 .told
                 .iter()
-                .map(|told| (told.edge.node.clone(), told.clone())),
+                .map(|told| (told.edge.name.clone(), told.clone())),
         );
         *before = self.digest;
         Some(moved)
     }
 
     /// An agent has said who it is. Gives whether the list is another one.
-    pub fn hello(&mut self, now: i64, link: u64, edge: Edge) -> bool {
+    pub fn hello(&mut self, now: i64, link: u64, edge: NodeInfo) -> bool {
         // An agent that comes from another replica stands as it stood there until it says more.
         let known = self
-            .known(&edge.node)
+            .known(&edge.name)
             .filter(|told| told.edge == edge)
             .map(|told| told.standing);
         let standing = known.unwrap_or_default();
@@ -178,7 +178,7 @@
             standing,
             linked: true,
         };
-        let node = told.edge.node.clone();
+        let node = told.edge.name.clone();
         self.lease(
             &node,
             Some(Lease {
@@ -192,7 +192,7 @@
     }
 
     /// An agent has renewed its lease. Gives whether the list is another one.
-    pub fn beat(&mut self, now: i64, link: u64, standing: Standing) -> bool {
+    pub fn beat(&mut self, now: i64, link: u64, standing: NodeState) -> bool {
         let Some(edge) = self.links.get(&link).cloned() else {
             return false;
         };
@@ -200,11 +200,11 @@
         let same = |lease: &&mut Lease| {
             lease.told.linked && lease.told.standing == standing && lease.told.edge == edge
         };
-        if let Some(lease) = self.own.get_mut(&edge.node).filter(same) {
+        if let Some(lease) = self.own.get_mut(&edge.name).filter(same) {
             (lease.link, lease.heard) = (link, now);
             return false;
         }
-        let node = edge.node.clone();
+        let node = edge.name.clone();
         let told = Told {
             edge,
             standing,
@@ -226,13 +226,13 @@
     pub fn gone(&mut self, link: u64) -> bool {
         let edge = self.links.remove(&link);
         let held = edge
-            .and_then(|edge| self.own.get(&edge.node))
+            .and_then(|edge| self.own.get(&edge.name))
             .filter(|lease| lease.link == link);
         let Some(mut lease) = held.cloned() else {
             return false;
         };
         lease.told.linked = false;
-        let node = lease.told.edge.node.clone();
+        let node = lease.told.edge.name.clone();
         self.lease(&node, Some(lease));
         self.look(&node);
         self.settle()
@@ -256,10 +256,10 @@
         let mut serving = Serving::default();
         let mut away = BTreeSet::new();
         for told in self.all() {
-            let (node, zone) = (&told.edge.node, &told.edge.zone);
+            let (node, zone) = (&told.edge.name, &told.edge.zone);
             match told.standing {
-                Standing::Away => _ = away.insert(node.clone()),
-                Standing::Ready | Standing::Leaving => serving.set(node, Some(zone)),
+                NodeState::Unavailable => _ = away.insert(node.clone()),
+                NodeState::Ready | NodeState::Draining => serving.set(node, Some(zone)),
             }
         }
         self.serving = serving;
@@ -299,7 +299,7 @@
         let digest = digest(list.iter());
         let list: BTreeMap<String, Told> = list
             .into_iter()
-            .map(|told| (told.edge.node.clone(), told))
+            .map(|told| (told.edge.name.clone(), told))
             .collect();
         let nodes: Vec<String> = list.keys().cloned().collect();
         let new = Hearsay {
@@ -344,7 +344,7 @@
             .filter_map(|node| hearsay.list.remove(node));
         let digest = gone.fold(hearsay.digest, |digest, told| digest ^ one(&told));
         hearsay.digest = moved.told.iter().fold(digest, |digest, told| {
-            let old = hearsay.list.insert(told.edge.node.clone(), told.clone());
+            let old = hearsay.list.insert(told.edge.name.clone(), told.clone());
             digest ^ one(told) ^ old.as_ref().map_or(0, one)
         });
         (hearsay.changed, hearsay.heard) = (now, now);
@@ -355,12 +355,12 @@
         moved
             .told
             .iter()
-            .for_each(|told| self.tells(replica, &told.edge.node, true));
+            .for_each(|told| self.tells(replica, &told.edge.name, true));
         self.moved_there(&moved.told);
         moved
             .told
             .iter()
-            .map(|told| &told.edge.node)
+            .map(|told| &told.edge.name)
             .chain(&moved.gone)
             .for_each(|node| self.look(node));
         Some(self.settle())
@@ -371,10 +371,10 @@
         for told in list.iter().filter(|told| told.linked) {
             if self
                 .own
-                .get(&told.edge.node)
+                .get(&told.edge.name)
                 .is_some_and(|lease| !lease.told.linked)
             {
-                self.lease(&told.edge.node, None);
+                self.lease(&told.edge.name, None);
             }
         }
     }
@@ -433,7 +433,7 @@
     fn look(&mut self, node: &str) {
         let told = self
             .known(node)
-            .filter(|told| told.standing != Standing::Away);
+            .filter(|told| told.standing != NodeState::Unavailable);
         let zone = told.map(|told| told.edge.zone.clone());
         self.serving.set(node, zone.as_deref());
     }
@@ -502,7 +502,7 @@
         let mut best = BTreeMap::new();
         for (weight, one) in own.chain(others) {
             let entry = best
-                .entry(one.2.edge.node.as_str())
+                .entry(one.2.edge.name.as_str())
                 .or_insert((weight, one));
             if entry.0 < weight {
                 *entry = (weight, one);
@@ -518,10 +518,10 @@
 
     use super::*;
 
-    fn edge(node: &str) -> Edge {
+    fn edge(node: &str) -> NodeInfo {
         let (zone, region) = ("a".to_string(), "r".to_string());
-        Edge {
-            node: node.to_string(),
+        NodeInfo {
+            name: node.to_string(),
             zone,
             region,
             http: SocketAddr::from(([10, 0, 0, 1], 80)),
@@ -529,11 +529,11 @@
     }
 
     /// What another replica holds of this one's list.
-    fn held(other: &Members) -> Vec<(&str, Standing)> {
+    fn held(other: &Members) -> Vec<(&str, NodeState)> {
         other
             .all()
             .into_iter()
-            .map(|told| (told.edge.node.as_str(), told.standing))
+            .map(|told| (told.edge.name.as_str(), told.standing))
             .collect()
     }
 
@@ -544,17 +544,17 @@
         let first = one.news().unwrap();
         assert_eq!((first.told.len(), one.news()), (2, None));
         assert_eq!(other.moved(0, 7, first.clone()), Some(false));
-        assert!(one.beat(1, 1, Standing::Ready) && !one.beat(2, 1, Standing::Ready));
+        assert!(one.beat(1, 1, NodeState::Ready) && !one.beat(2, 1, NodeState::Ready));
         let second = one.news().unwrap();
         assert_eq!((second.told.len(), second.gone.len()), (1, 0));
-        assert!(one.beat(3, 2, Standing::Leaving));
+        assert!(one.beat(3, 2, NodeState::Draining));
         let third = one.news().unwrap();
         // The third comes before the second, and the first again.
         assert_eq!(other.moved(3, 7, third), None);
         assert_eq!(other.moved(4, 7, second), Some(false));
         assert_eq!(
             held(&other),
-            [("e", Standing::Ready), ("f", Standing::Away)]
+            [("e", NodeState::Ready), ("f", NodeState::Unavailable)]
         );
         assert!(
             !other.confirmed(5, 7, one.digest()),
@@ -565,11 +565,13 @@
         assert!(!other.confirmed(limits::ASK + 7, 7, one.digest()));
         assert_eq!(
             held(&other),
-            [("e", Standing::Ready), ("f", Standing::Leaving)]
+            [("e", NodeState::Ready), ("f", NodeState::Draining)]
         );
         assert_eq!(other.serving("a"), (2, 2));
         // One whose lease has run out goes by its name alone.
-        assert!(one.beat(limits::LEASE, 1, Standing::Ready) || one.expire(limits::LEASE + 4, true));
+        assert!(
+            one.beat(limits::LEASE, 1, NodeState::Ready) || one.expire(limits::LEASE + 4, true)
+        );
         let last = one.news().unwrap();
         assert_eq!(
             (last.told.len(), last.gone.as_slice()),
@@ -578,7 +580,7 @@
         assert_eq!(other.moved(limits::LEASE + 5, 7, last), Some(false));
         assert_eq!(
             (held(&other), other.serving("a")),
-            (vec![("e", Standing::Ready)], (1, 1))
+            (vec![("e", NodeState::Ready)], (1, 1))
         );
     }
 
@@ -587,10 +589,10 @@
         let mut members = Members::default();
         for (link, node) in [(1, "a"), (2, "b")] {
             members.hello(0, link, edge(node));
-            members.beat(0, link, Standing::Ready);
+            members.beat(0, link, NodeState::Ready);
         }
         members.expire(0, true);
-        members.beat(100, 1, Standing::Away);
+        members.beat(100, 1, NodeState::Unavailable);
         members.expire(limits::LEASE + 1, true);
         assert_eq!((members.all().len(), members.lately()), (1, 1));
         members.expire(limits::LATELY + 1, true);
@@ -622,7 +624,7 @@
     fn a_replica_out_of_touch_counts_on_those_that_it_hears_no_more() {
         let mut members = Members::default();
         members.hello(0, 1, edge("a"));
-        members.beat(0, 1, Standing::Ready);
+        members.beat(0, 1, NodeState::Ready);
         members.expire(0, true);
         let back = 2 * limits::LATELY;
         // The last is as a process finds it that stood still.
@@ -640,7 +642,7 @@
     fn an_edge_that_falls_silent_before_it_says_that_it_serves_counts_for_a_while() {
         let mut members = Members::default();
         members.hello(0, 1, edge("a"));
-        members.beat(0, 1, Standing::Away);
+        members.beat(0, 1, NodeState::Unavailable);
         members.expire(0, true);
         assert_eq!((members.all().len(), members.lately()), (1, 0));
         members.expire(limits::LEASE + 1, true);
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -30,8 +30,8 @@
 use std::net::SocketAddr;
 
 use dataplane::clock::FIRST;
-use protocol::items::{Item, Name};
-use protocol::messages::{Down, Up};
+use protocol::items::{Item, ItemName};
+use protocol::messages::{AgentMessage, ControlMessage};
 use protocol::platform::Server;
 use serde::{Deserialize, Serialize};
 
@@ -81,7 +81,7 @@
     /// About itself and the others.
     pub own: Own,
     /// Its registers.
-    pub registers: Vec<(Name, Register)>,
+    pub registers: Vec<(ItemName, Register)>,
     /// What it knew to be chosen.
     pub chosen: Vec<(Ballot, Item)>,
 }
@@ -119,7 +119,7 @@
     /// A call of the operators, answered by its number, until the deadline.
     Call(u64, Command, i64),
     /// A message on an agent's link.
-    Agent(u64, Up),
+    Agent(u64, AgentMessage),
     /// An agent's link is gone.
     AgentGone(u64),
     /// The platform's list was read whole.
@@ -138,7 +138,7 @@
     /// About itself and the others.
     Own(Own),
     /// A register.
-    Register(Name, Register),
+    Register(ItemName, Register),
     /// A chosen item.
     Chosen(Ballot, Item),
 }
@@ -155,7 +155,7 @@
     /// The answer to a call.
     Answer(u64, Reply),
     /// A message to agents, by their links.
-    Tell(Vec<u64>, Down),
+    Tell(Vec<u64>, ControlMessage),
     /// Something worth a line in the log.
     Note(String),
     /// The same, which operators are told to look for.
@@ -317,7 +317,11 @@
         // Who is who does not change by these, and they come often.
         let often = matches!(
             input,
-            Input::Agent(_, Up::Adds { .. } | Up::Load(_)) | Input::Written(_) | Input::Listed(_)
+            Input::Agent(
+                _,
+                AgentMessage::CounterBatch { .. } | AgentMessage::LoadReports(_)
+            ) | Input::Written(_)
+                | Input::Listed(_)
         );
         if now - self.next_beat >= limits::TOUCH {
             self.stood_still(now);
--- a/crates/control/src/core/news.rs
+++ b/crates/control/src/core/news.rs
@@ -4,7 +4,7 @@
 use std::ops::Bound;
 
 use protocol::digests::Digests;
-use protocol::items::{Held, Item, Name};
+use protocol::items::{Item, ItemLookup, ItemName};
 
 use super::peer_messages::Ballot;
 use super::registers::digest;
@@ -12,7 +12,7 @@
 /// The items that are known to be chosen.
 #[derive(Clone, Debug, Default)]
 pub struct News {
-    chosen: BTreeMap<Name, (Ballot, Item)>,
+    chosen: BTreeMap<ItemName, (Ballot, Item)>,
     digest: u64,
     /// By parts: of all, and of names and versions alone, as agents have them.
     parts: Digests,
@@ -54,17 +54,17 @@
     fn turn(&mut self, ballot: Ballot, item: &Item) {
         let digest = digest(&ballot, item);
         self.digest ^= digest;
-        self.parts.turn(&item.name, digest);
-        self.versions.turn(&item.name, Digests::of(item));
+        self.parts.toggle(&item.name, digest);
+        self.versions.toggle(&item.name, Digests::item_digest(item));
     }
 
     /// What is chosen of an item, if anything.
-    pub fn chosen(&self, name: &Name) -> Option<&Item> {
+    pub fn chosen(&self, name: &ItemName) -> Option<&Item> {
         self.chosen.get(name).map(|(_, item)| item)
     }
 
     /// The version that is chosen, if any.
-    pub fn version(&self, name: &Name) -> Option<u64> {
+    pub fn version(&self, name: &ItemName) -> Option<u64> {
         self.chosen(name).map(|item| item.ver)
     }
 
@@ -85,41 +85,41 @@
 
     /// Digests of all that is chosen, by parts.
     pub fn parts(&self) -> &[u64] {
-        self.parts.parts()
+        self.parts.buckets()
     }
 
     /// How many items there are, dropped ones included, and their digest, as agents hold them.
     pub fn holding(&self) -> (u32, u64) {
-        (self.chosen.len() as u32, self.versions.whole())
+        (self.chosen.len() as u32, self.versions.combined())
     }
 
     /// What is chosen of the parts of which another replica knows something else.
     pub fn differing<'a>(&'a self, parts: &'a [u64]) -> impl Iterator<Item = &'a (Ballot, Item)> {
         self.all()
-            .filter(|(_, item)| self.parts.differ(parts, &item.name))
+            .filter(|(_, item)| self.parts.bucket_differs(parts, &item.name))
     }
 
     /// What an agent lacks that has these parts, after a name.
     pub fn lacking<'a>(
         &'a self,
         have: &'a [u64],
-        after: Option<&Name>,
+        after: Option<&ItemName>,
     ) -> impl Iterator<Item = &'a Item> {
-        let rest = self.chosen.range::<Name, _>((
+        let rest = self.chosen.range::<ItemName, _>((
             after.map_or(Bound::Unbounded, Bound::Excluded),
             Bound::Unbounded,
         ));
         rest.map(|(_, (_, item))| item)
-            .filter(|item| self.versions.differ(have, &item.name))
+            .filter(|item| self.versions.bucket_differs(have, &item.name))
     }
 }
 
-impl Held for News {
-    fn held(&self, name: &Name) -> Option<&Item> {
+impl ItemLookup for News {
+    fn find_item(&self, name: &ItemName) -> Option<&Item> {
         self.chosen(name)
     }
 
-    fn all(&self) -> impl Iterator<Item = &Item> {
+    fn all_items(&self) -> impl Iterator<Item = &Item> {
         self.chosen.values().map(|(_, item)| item)
     }
 }
--- a/crates/control/src/core/overload_homes.rs
+++ b/crates/control/src/core/overload_homes.rs
@@ -6,7 +6,7 @@
 use overload::STEP;
 use overload::judge::{Judge, Level, Share};
 use overload::load::Report;
-use protocol::messages::Down;
+use protocol::messages::ControlMessage;
 
 use super::peer_messages::{Body, Replica};
 use super::{Core, Output};
@@ -100,7 +100,10 @@
         for (region, links) in regions {
             let levels = self.overload_homes.levels(region);
             if !levels.is_empty() || self.overload_homes.steps.is_multiple_of(QUIET) {
-                tell.push(Output::Tell(links, Down::Levels { age: 0, levels }));
+                tell.push(Output::Tell(
+                    links,
+                    ControlMessage::Levels { age: 0, levels },
+                ));
             }
         }
         out.append(&mut tell);
--- a/crates/control/src/core/peer_messages.rs
+++ b/crates/control/src/core/peer_messages.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use overload::judge::Share;
-use protocol::items::{Item, Name};
-use protocol::messages::{Edge, Standing};
+use protocol::items::{Item, ItemName};
+use protocol::messages::{NodeInfo, NodeState};
 use protocol::platform::Server;
 use serde::{Deserialize, Serialize};
 
@@ -102,9 +102,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
     /// The edge.
-    pub edge: Edge,
+    pub edge: NodeInfo,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: NodeState,
     /// Its agent is linked now; else its lease only runs out.
     pub linked: bool,
 }
@@ -143,7 +143,7 @@
     /// Digests of what it has, by parts.
     pub parts: Vec<u64>,
     /// It has all up to this name.
-    pub after: Option<Name>,
+    pub after: Option<ItemName>,
 }
 
 /// What a message says.
@@ -158,7 +158,7 @@
         /// The proposal.
         ballot: Ballot,
         /// The registers.
-        names: Vec<Name>,
+        names: Vec<ItemName>,
     },
     /// Promises, and what was accepted before.
     Promise {
--- a/crates/control/src/core/registers.rs
+++ b/crates/control/src/core/registers.rs
@@ -8,7 +8,7 @@
 use std::ops::Bound;
 
 use protocol::digests::Digests;
-use protocol::items::{Item, Name};
+use protocol::items::{Item, ItemName};
 use serde::{Deserialize, Serialize};
 
 use super::peer_messages::{Ballot, Question};
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Registers {
     floor: Ballot,
-    all: BTreeMap<Name, Register>,
+    all: BTreeMap<ItemName, Register>,
     digests: Digests,
 }
 
@@ -40,12 +40,12 @@
 
 impl Registers {
     /// As they were on disk.
-    pub fn restore(floor: Ballot, registers: Vec<(Name, Register)>) -> Registers {
+    pub fn restore(floor: Ballot, registers: Vec<(ItemName, Register)>) -> Registers {
         let held = registers
             .iter()
             .filter_map(|(_, register)| register.accepted.as_ref());
         let mut digests = Digests::default();
-        held.for_each(|(ballot, item)| digests.turn(&item.name, digest(ballot, item)));
+        held.for_each(|(ballot, item)| digests.toggle(&item.name, digest(ballot, item)));
         Registers {
             floor,
             all: registers.into_iter().collect(),
@@ -53,7 +53,7 @@
         }
     }
 
-    fn promised(&self, name: &Name) -> Ballot {
+    fn promised(&self, name: &ItemName) -> Ballot {
         self.all
             .get(name)
             .map_or(self.floor, |register| register.promised.max(self.floor))
@@ -63,7 +63,7 @@
     fn over<'a>(
         &self,
         ballot: Ballot,
-        names: impl Iterator<Item = &'a Name>,
+        names: impl Iterator<Item = &'a ItemName>,
     ) -> Result<(), Ballot> {
         match names.map(|name| self.promised(name)).max() {
             Some(promised) if promised > ballot => Err(promised),
@@ -78,7 +78,7 @@
     pub fn prepare(
         &mut self,
         ballot: Ballot,
-        names: &[Name],
+        names: &[ItemName],
     ) -> Result<Vec<(Ballot, Item)>, Ballot> {
         self.over(ballot, names.iter())?;
         for name in names {
@@ -104,10 +104,10 @@
     }
 
     fn set(&mut self, ballot: Ballot, item: Item) {
-        self.digests.turn(&item.name, digest(&ballot, &item));
+        self.digests.toggle(&item.name, digest(&ballot, &item));
         let register = self.all.entry(item.name.clone()).or_default();
         if let Some((ballot, item)) = register.accepted.replace((ballot, item)) {
-            self.digests.turn(&item.name, digest(&ballot, &item));
+            self.digests.toggle(&item.name, digest(&ballot, &item));
         }
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// What a register holds.
-    pub fn accepted(&self, name: &Name) -> Option<&(Ballot, Item)> {
+    pub fn accepted(&self, name: &ItemName) -> Option<&(Ballot, Item)> {
         self.all.get(name)?.accepted.as_ref()
     }
 
@@ -157,12 +157,12 @@
     }
 
     /// A register, as it goes to disk.
-    pub fn register(&self, name: &Name) -> Register {
+    pub fn register(&self, name: &ItemName) -> Register {
         self.all.get(name).cloned().unwrap_or_default()
     }
 
     /// All registers, as they go to disk.
-    pub fn all(&self) -> impl Iterator<Item = (&Name, &Register)> {
+    pub fn all(&self) -> impl Iterator<Item = (&ItemName, &Register)> {
         self.all.iter()
     }
 
@@ -178,13 +178,14 @@
             .as_ref()
             .map_or(Bound::Unbounded, Bound::Excluded);
         // In calm nothing differs, and no name has to be looked at.
-        let same = question.parts == self.digests.parts();
+        let same = question.parts == self.digests.buckets();
         let rest = self
             .all
-            .range::<Name, _>((from, Bound::Unbounded))
+            .range::<ItemName, _>((from, Bound::Unbounded))
             .filter(|_| !same);
         let held = rest.filter_map(|(_, register)| register.accepted.as_ref());
-        let differing = held.filter(|(_, item)| self.digests.differ(&question.parts, &item.name));
+        let differing =
+            held.filter(|(_, item)| self.digests.bucket_differs(&question.parts, &item.name));
         transfer::pieces(bounds, question.after.clone(), differing.cloned())
     }
 }
@@ -192,7 +193,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use protocol::items::Kind;
+    use protocol::items::ItemKind;
 
     fn ballot(round: u64) -> Ballot {
         Ballot {
@@ -203,8 +204,8 @@
 
     #[test]
     fn a_promise_binds_its_register_and_the_floor_all() {
-        let name = |name: &str| Name {
-            kind: Kind::Service,
+        let name = |name: &str| ItemName {
+            kind: ItemKind::Service,
             name: name.to_string(),
         };
         let item = |at: &str, ver| Item {
--- a/crates/control/src/core/repair.rs
+++ b/crates/control/src/core/repair.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use protocol::digests::Digests;
-use protocol::items::{Item, Name};
+use protocol::items::{Item, ItemName};
 
 use super::peer_messages::{Ballot, Incarnation, Question, Replica, Term};
 use super::registers::digest;
@@ -32,7 +32,7 @@
     /// How far each has told all, by its incarnation.
     answers: BTreeMap<Replica, (Incarnation, Transfer)>,
     /// What was accepted, by the highest ballot.
-    pub found: BTreeMap<Name, (Ballot, Item)>,
+    pub found: BTreeMap<ItemName, (Ballot, Item)>,
     /// Digests of this. Who holds the same of a part does not tell it again.
     digests: Digests,
     /// The first one with a link. It is asked alone at first: then most of the others have nothing to add.
@@ -53,7 +53,7 @@
     pub fn holding<'a>(held: impl Iterator<Item = &'a (Ballot, Item)>) -> Rebuild {
         let mut rebuild = Rebuild::default();
         for (ballot, item) in held {
-            rebuild.digests.turn(&item.name, digest(ballot, item));
+            rebuild.digests.toggle(&item.name, digest(ballot, item));
             rebuild
                 .found
                 .insert(item.name.clone(), (*ballot, item.clone()));
@@ -114,9 +114,9 @@
         .collect()
     }
 
-    fn question(&self, after: Option<Name>) -> Question {
+    fn question(&self, after: Option<ItemName>) -> Question {
         Question {
-            parts: self.digests.parts().to_vec(),
+            parts: self.digests.buckets().to_vec(),
             after,
         }
     }
@@ -162,9 +162,9 @@
                 .get(&item.name)
                 .is_none_or(|(known, _)| *known < ballot)
             {
-                self.digests.turn(&item.name, digest(&ballot, &item));
+                self.digests.toggle(&item.name, digest(&ballot, &item));
                 if let Some((ballot, item)) = self.found.insert(item.name.clone(), (ballot, item)) {
-                    self.digests.turn(&item.name, digest(&ballot, &item));
+                    self.digests.toggle(&item.name, digest(&ballot, &item));
                 }
             }
         }
@@ -199,23 +199,23 @@
 /// Registers whose values are not known to be chosen, and since when.
 #[derive(Clone, Debug, Default)]
 pub struct Unfinished {
-    since: BTreeMap<Name, i64>,
-    busy: BTreeSet<Name>,
+    since: BTreeMap<ItemName, i64>,
+    busy: BTreeSet<ItemName>,
 }
 
 impl Unfinished {
     /// Something was accepted that is not known to be chosen.
-    pub fn begun(&mut self, now: i64, name: &Name) {
+    pub fn begun(&mut self, now: i64, name: &ItemName) {
         self.since.entry(name.clone()).or_insert(now);
     }
 
     /// It is not known to be chosen.
-    pub fn holds(&self, name: &Name) -> bool {
+    pub fn holds(&self, name: &ItemName) -> bool {
         self.since.contains_key(name)
     }
 
     /// It is chosen by now.
-    pub fn finished(&mut self, name: &Name) {
+    pub fn finished(&mut self, name: &ItemName) {
         self.since.remove(name);
         self.busy.remove(name);
     }
@@ -234,7 +234,7 @@
     }
 
     /// Takes those that are due, once the first is.
-    pub fn take(&mut self, now: i64, replica: Replica) -> Vec<Name> {
+    pub fn take(&mut self, now: i64, replica: Replica) -> Vec<ItemName> {
         if self.wake(replica).is_none_or(|wake| wake > now) {
             return Vec::new();
         }
@@ -245,13 +245,13 @@
             .iter()
             .filter(|(name, since)| **since <= soon && !self.busy.contains(*name));
         let room = limits::FINISHING - self.busy.len();
-        let due: Vec<Name> = due.take(room).map(|(name, _)| name.clone()).collect();
+        let due: Vec<ItemName> = due.take(room).map(|(name, _)| name.clone()).collect();
         self.busy.extend(due.iter().cloned());
         due
     }
 
     /// A try to finish these is over.
-    pub fn tried(&mut self, now: i64, names: &[Name]) {
+    pub fn tried(&mut self, now: i64, names: &[ItemName]) {
         for name in names {
             self.busy.remove(name);
             if let Some(since) = self.since.get_mut(name) {
--- a/crates/control/src/core/rounds.rs
+++ b/crates/control/src/core/rounds.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use protocol::items::{Item, Name, same};
+use protocol::items::{Item, ItemName, has_same_content};
 
 use super::news::News;
 use super::peer_messages::{Ballot, Body, Incarnation, Replica};
@@ -16,14 +16,14 @@
     /// These items are to be in force, each by its version.
     Items(Vec<Item>),
     /// A zone is to be evacuated, or not.
-    Zone(Name, bool),
+    Zone(ItemName, bool),
     /// What was accepted is to be finished.
-    Finish(Vec<Name>),
+    Finish(Vec<ItemName>),
 }
 
 impl Want {
     /// The registers that it is about.
-    pub fn names(&self) -> Vec<Name> {
+    pub fn names(&self) -> Vec<ItemName> {
         match self {
             Want::Items(items) => items.iter().map(|item| item.name.clone()).collect(),
             Want::Zone(name, _) => vec![name.clone()],
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
     Waits,
-    Prepares(BTreeMap<Name, (Ballot, Item)>),
+    Prepares(BTreeMap<ItemName, (Ballot, Item)>),
     Accepts(Vec<Item>),
 }
 
@@ -118,7 +118,7 @@
     }
 
     /// The registers that it is about.
-    pub fn names(&self) -> Vec<Name> {
+    pub fn names(&self) -> Vec<ItemName> {
         self.want.names()
     }
 
@@ -218,10 +218,14 @@
     }
 
     /// What to propose in place of what was found, and what that means. Nothing is proposed for what is chosen already.
-    fn decide(&self, found: &BTreeMap<Name, (Ballot, Item)>, news: &News) -> (Vec<Item>, Outcome) {
+    fn decide(
+        &self,
+        found: &BTreeMap<ItemName, (Ballot, Item)>,
+        news: &News,
+    ) -> (Vec<Item>, Outcome) {
         // Danger: promises that were given before another proposal was chosen may hold what has lost against it
         // at the same version.
-        let old = |name: &Name| {
+        let old = |name: &ItemName| {
             let found = found.get(name).map(|(_, item)| item);
             let chosen = news.chosen(name);
             chosen
@@ -241,7 +245,8 @@
             Want::Finish(_) => (finish(), Outcome::Done),
             Want::Items(items) => {
                 let differs = |item: &Item| {
-                    old(&item.name).is_some_and(|old| old.ver == item.ver && !same(old, item))
+                    old(&item.name)
+                        .is_some_and(|old| old.ver == item.ver && !has_same_content(old, item))
                 };
                 if items.iter().any(differs) {
                     return conflict(items, found, finish());
@@ -378,11 +383,12 @@
 /// what stands as the call has it is in force, and what was overtaken may have been: then the caller gets no clear answer.
 fn conflict(
     items: &[Item],
-    found: &BTreeMap<Name, (Ballot, Item)>,
+    found: &BTreeMap<ItemName, (Ballot, Item)>,
     open: Vec<Item>,
 ) -> (Vec<Item>, Outcome) {
     let excluded = |item: &Item| {
-        let differs = |old: &Item| old.ver < item.ver || old.ver == item.ver && !same(old, item);
+        let differs =
+            |old: &Item| old.ver < item.ver || old.ver == item.ver && !has_same_content(old, item);
         found.get(&item.name).is_some_and(|(_, old)| differs(old))
     };
     match items {
--- a/crates/control/src/core/servers.rs
+++ b/crates/control/src/core/servers.rs
@@ -31,7 +31,7 @@
         servers.sort_by(|a, b| (&a.svc, &a.id).cmp(&(&b.svc, &b.id)));
         servers
             .into_iter()
-            .map(|server| (now + server.cold, server))
+            .map(|server| (now + server.warm_up_left, server))
             .map(|(at, server)| (server, at))
             .collect()
     }
@@ -45,7 +45,7 @@
             let (was, is) = ((was - now).max(0), (is - now).max(0));
             !same
                 || old.slots != new.slots
-                || old.up != new.up
+                || old.accepts_requests != new.accepts_requests
                 || (was == 0) != (is == 0) && is > 0
                 || (was - is).abs() > MOVED
         };
@@ -85,7 +85,7 @@
     /// The list, with coldness counted from now.
     pub fn list(&self, now: i64) -> Vec<Server> {
         let one = |(server, warm): &(Server, i64)| Server {
-            cold: (warm - now).max(0),
+            warm_up_left: (warm - now).max(0),
             ..server.clone()
         };
         self.servers.iter().map(one).collect()
@@ -109,8 +109,8 @@
             addr,
             zone,
             slots: 2,
-            up,
-            cold,
+            accepts_requests: up,
+            warm_up_left: cold,
         }
     }
 
@@ -137,7 +137,7 @@
         let mut listed = Listed::default();
         assert!(listed.told(0, (2, 5), vec![server("i", true, 900)]));
         assert!(!listed.told(0, (2, 4), vec![]) && !listed.told(0, (1, 9), vec![]));
-        assert_eq!(listed.list(300)[0].cold, 600);
-        assert_eq!(listed.list(1_000)[0].cold, 0);
+        assert_eq!(listed.list(300)[0].warm_up_left, 600);
+        assert_eq!(listed.list(1_000)[0].warm_up_left, 0);
     }
 }
--- a/crates/control/src/core/status.rs
+++ b/crates/control/src/core/status.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use protocol::messages::Standing;
+use protocol::messages::NodeState;
 use serde::{Deserialize, Serialize};
 
 use super::Core;
@@ -130,14 +130,14 @@
             |(replica, link, told): &(Option<Replica>, u64, &super::peer_messages::Told)| {
                 let holding = self.agents.holding(*link).filter(|_| replica.is_none());
                 LimiterSeen {
-                    node: told.edge.node.clone(),
+                    node: told.edge.name.clone(),
                     zone: told.edge.zone.clone(),
                     replica: zone(replica.unwrap_or(me.replica)),
                     linked: told.linked,
                     standing: match told.standing {
-                        Standing::Ready => "ready",
-                        Standing::Leaving => "leaving",
-                        Standing::Away => "away",
+                        NodeState::Ready => "ready",
+                        NodeState::Draining => "leaving",
+                        NodeState::Unavailable => "away",
                     }
                     .to_string(),
                     items: holding.map(|holding| holding.items),
@@ -174,8 +174,8 @@
     use crate::core::peer_messages::{Ballot, Incarnation};
     use crate::core::{Input, Output, Own, Restored, Setup};
     use protocol::digests::Digests;
-    use protocol::items::{Item, Kind, Name};
-    use protocol::messages::{Edge, Up};
+    use protocol::items::{Item, ItemKind, ItemName};
+    use protocol::messages::{AgentMessage, NodeInfo};
 
     fn look(core: &mut Core, now: i64) -> Status {
         let mut out = Vec::new();
@@ -189,8 +189,8 @@
 
     #[test]
     fn a_replica_out_of_touch_tells_who_lags_and_since_when_at_most() {
-        let name = Name {
-            kind: Kind::Service,
+        let name = ItemName {
+            kind: ItemKind::Service,
             name: "s".to_string(),
         };
         let item = Item {
@@ -217,20 +217,25 @@
             ..Setup::default()
         };
         let (mut core, mut out) = (Core::new(0, setup), Vec::new());
-        let edge = |node: &str| Edge {
-            node: node.to_string(),
+        let edge = |node: &str| NodeInfo {
+            name: node.to_string(),
             zone: "b".to_string(),
             region: "r".to_string(),
             http: SocketAddr::from(([10, 0, 0, 1], 80)),
         };
-        let digest = Digests::of(&item);
+        let digest = Digests::item_digest(&item);
         let mut take =
             |core: &mut Core, now, link, up| core.take(now, Input::Agent(link, up), &mut out);
         for (link, node) in [(1, "lags"), (2, "holds"), (3, "new")] {
-            take(&mut core, 0, link, Up::Hello(edge(node)));
+            take(&mut core, 0, link, AgentMessage::Hello(edge(node)));
         }
         for (now, link, digest) in [(100_000, 1, digest), (900_000, 1, 7), (900_000, 2, digest)] {
-            take(&mut core, now, link, Up::Holding { items: 1, digest });
+            take(
+                &mut core,
+                now,
+                link,
+                AgentMessage::ConfigState { items: 1, digest },
+            );
         }
         let status = look(&mut core, 1_100_000);
         assert_eq!(
--- a/crates/control/src/core/sync.rs
+++ b/crates/control/src/core/sync.rs
@@ -83,7 +83,7 @@
         }
         let entries = differing
             .iter()
-            .map(|(ballot, item)| (digests::key(&item.name), *ballot));
+            .map(|(ballot, item)| (digests::name_key(&item.name), *ballot));
         self.send(
             vec![from],
             Body::Entries {
@@ -109,7 +109,7 @@
         let known = self
             .news
             .all()
-            .map(|(ballot, item)| (digests::key(&item.name), *ballot));
+            .map(|(ballot, item)| (digests::name_key(&item.name), *ballot));
         let known: BTreeMap<u64, Ballot> = known.collect();
         let newer = entries
             .iter()
@@ -137,7 +137,7 @@
         let found = self
             .news
             .all()
-            .filter(|(_, item)| wanted.contains(&digests::key(&item.name)));
+            .filter(|(_, item)| wanted.contains(&digests::name_key(&item.name)));
         let (pieces, more) = split(self.bounds, found.cloned(), |(_, item)| item);
         let then = followed(pieces.len(), more);
         for ((items, then), piece) in pieces.into_iter().zip(then).zip(0..) {
--- a/crates/control/src/core/transfer.rs
+++ b/crates/control/src/core/transfer.rs
@@ -7,7 +7,7 @@
 //! that is lost is asked for again, one that comes twice or late moves nothing, and its contents are merged by ballot,
 //! so that they can do no harm.
 
-use protocol::items::{Item, Name};
+use protocol::items::{Item, ItemName};
 use serde::{Deserialize, Serialize};
 
 use super::peer_messages::Ballot;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Piece {
     /// It begins after this name.
-    pub after: Option<Name>,
+    pub after: Option<ItemName>,
     /// What is told.
     pub items: Vec<(Ballot, Item)>,
     /// What follows.
@@ -97,7 +97,7 @@
 /// The pieces that answer one question: `entries` in the order of their names, all of them after `after`.
 pub fn pieces(
     bounds: Bounds,
-    after: Option<Name>,
+    after: Option<ItemName>,
     entries: impl Iterator<Item = (Ballot, Item)>,
 ) -> Vec<Piece> {
     let (split, more) = split(bounds, entries, |(_, item)| item);
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transfer {
     /// All up to this name has come.
-    pub after: Option<Name>,
+    pub after: Option<ItemName>,
     /// All has.
     pub done: bool,
 }
@@ -148,12 +148,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use protocol::items::Kind;
+    use protocol::items::ItemKind;
 
     fn entries(count: usize, bytes: usize) -> Vec<(Ballot, Item)> {
         let one = |at: usize| {
-            let name = Name {
-                kind: Kind::Route,
+            let name = ItemName {
+                kind: ItemKind::Route,
                 name: format!("r{at:05}"),
             };
             (
@@ -172,7 +172,7 @@
     fn transferred(
         all: &[(Ballot, Item)],
         treat: impl Fn(usize, Vec<Piece>) -> Vec<Piece>,
-    ) -> (Vec<Name>, usize) {
+    ) -> (Vec<ItemName>, usize) {
         let (mut transfer, mut got, mut asked) = (Transfer::default(), Vec::new(), 0);
         while !transfer.done && asked < 100 {
             asked += 1;
@@ -195,7 +195,7 @@
     #[test]
     fn pieces_lost_doubled_and_out_of_order_leave_no_gap() {
         let all = entries(900, 20_000);
-        let names: Vec<Name> = all.iter().map(|(_, item)| item.name.clone()).collect();
+        let names: Vec<ItemName> = all.iter().map(|(_, item)| item.name.clone()).collect();
         let largest = |pieces: &[Piece]| {
             pieces
                 .iter()
--- a/crates/control/src/disk/queue.rs
+++ b/crates/control/src/disk/queue.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use eyre::WrapErr;
-use protocol::items::Name;
+use protocol::items::ItemName;
 
 use super::{Store, harmed};
 use crate::core::Row;
@@ -38,8 +38,8 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Place {
     Own,
-    Register(Name),
-    Chosen(Name),
+    Register(ItemName),
+    Chosen(ItemName),
 }
 
 fn place(row: &Row) -> Place {
--- a/crates/control/src/disk/rows.rs
+++ b/crates/control/src/disk/rows.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use eyre::WrapErr;
-use protocol::items::{Item, Name};
+use protocol::items::{Item, ItemName};
 use rusqlite::types::ValueRef;
 use rusqlite::{Connection, OptionalExtension, Transaction, params};
 use serde::Serialize;
@@ -86,7 +86,7 @@
 
 /// How a name is shown that may be harmed itself.
 fn shown(name: &[u8]) -> String {
-    match decode::<Name>(name) {
+    match decode::<ItemName>(name) {
         Ok(name) => name.to_string(),
         Err(_) => name
             .iter()
@@ -179,7 +179,7 @@
         Ok(())
     })?;
     each(connection, "registers", sums, &mut faults, |name, value| {
-        let (name, register) = (decode::<Name>(name)?, decode::<Register>(value)?);
+        let (name, register) = (decode::<ItemName>(name)?, decode::<Register>(value)?);
         if register
             .accepted
             .as_ref()
@@ -191,7 +191,7 @@
         Ok(())
     })?;
     each(connection, "chosen", sums, &mut faults, |name, value| {
-        let (name, (ballot, item)) = (decode::<Name>(name)?, decode::<(Ballot, Item)>(value)?);
+        let (name, (ballot, item)) = (decode::<ItemName>(name)?, decode::<(Ballot, Item)>(value)?);
         if item.name != name {
             return Err(other());
         }
--- a/crates/control/src/disk/trials/cost.rs
+++ b/crates/control/src/disk/trials/cost.rs
@@ -226,7 +226,7 @@
         assert_eq!(sum("log", &[], value).to_le_bytes(), head[4..]);
         // Every second record is a chosen item.
         match found % 2 {
-            0 => _ = postcard::from_bytes::<(Name, Register)>(value).unwrap(),
+            0 => _ = postcard::from_bytes::<(ItemName, Register)>(value).unwrap(),
             _ => _ = postcard::from_bytes::<(Ballot, Item)>(value).unwrap(),
         }
         (at, found) = (at + 8 + length, found + 1);
--- a/crates/control/src/disk/trials/mod.rs
+++ b/crates/control/src/disk/trials/mod.rs
@@ -18,7 +18,7 @@
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
 
-use protocol::items::{Item, Kind, Name};
+use protocol::items::{Item, ItemKind, ItemName};
 use sqlite_vfs::{
     DatabaseHandle, LockKind, OpenAccess, OpenOptions as Wanted, Vfs, WalDisabled, register,
 };
@@ -219,9 +219,9 @@
     }
 }
 
-fn name(name: &str) -> Name {
-    Name {
-        kind: Kind::Service,
+fn name(name: &str) -> ItemName {
+    ItemName {
+        kind: ItemKind::Service,
         name: name.to_string(),
     }
 }
@@ -251,7 +251,10 @@
 }
 
 /// Registers and chosen items.
-type Held = (BTreeMap<Name, Register>, BTreeMap<Name, (Ballot, Item)>);
+type Held = (
+    BTreeMap<ItemName, Register>,
+    BTreeMap<ItemName, (Ballot, Item)>,
+);
 
 /// What stands after some commits.
 fn after(commits: &[Vec<Row>]) -> Held {
--- a/crates/control/src/disk/verify.rs
+++ b/crates/control/src/disk/verify.rs
@@ -171,7 +171,7 @@
         .iter()
         .filter_map(|(_, register)| register.accepted.as_ref());
     for (_, item) in accepted.chain(&restored.chosen) {
-        let highest = found.highest.entry(item.name.kind.word()).or_default();
+        let highest = found.highest.entry(item.name.kind.wire_name()).or_default();
         *highest = (*highest).max(item.ver);
     }
 }
--- a/crates/control/src/host/links.rs
+++ b/crates/control/src/host/links.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use protocol::frames;
-use protocol::messages::Up;
+use protocol::messages::AgentMessage;
 use slog::{debug, warn};
 use slotmap::Key;
 
@@ -48,7 +48,7 @@
         connection.heard = now;
         if let Role::Replica { peer: Some(peer) } = connection.role {
             let mut bytes = SEAT.to_vec();
-            frames::put(&mut bytes, &Said::Here(self.address));
+            frames::encode(&mut bytes, &Said::Here(self.address));
             self.write(key, &bytes);
             self.linked(key, peer);
         }
@@ -65,7 +65,7 @@
             let Some(connection) = self.connections.get_mut(key) else {
                 return;
             };
-            let said = match frames::take::<Said>(&mut connection.input) {
+            let said = match frames::decode::<Said>(&mut connection.input) {
                 Ok(Some(said)) => said,
                 Ok(None) => return,
                 Err(error) => {
@@ -81,7 +81,7 @@
                         peer: Some(address),
                     };
                     let mut bytes = Vec::new();
-                    frames::put(&mut bytes, &Said::Here(self.address));
+                    frames::encode(&mut bytes, &Said::Here(self.address));
                     self.write(key, &bytes);
                     self.linked(key, address);
                 }
@@ -99,7 +99,7 @@
             let Some(connection) = self.connections.get_mut(key) else {
                 return;
             };
-            match frames::take::<Up>(&mut connection.input) {
+            match frames::decode::<AgentMessage>(&mut connection.input) {
                 Ok(Some(up)) => self.feed(Input::Agent(key.data().as_ffi(), up)),
                 Ok(None) => return,
                 Err(error) => {
@@ -152,7 +152,7 @@
             }
         }
         let mut bytes = Vec::new();
-        frames::put(&mut bytes, &Said::Quiet);
+        frames::encode(&mut bytes, &Said::Quiet);
         quiet.into_iter().for_each(|key| self.write(key, &bytes));
         second.into_iter().for_each(|key| self.close(key));
         for peer in self.peers.clone() {
--- a/crates/control/src/host/mod.rs
+++ b/crates/control/src/host/mod.rs
@@ -21,7 +21,7 @@
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness};
 use eyre::{WrapErr, eyre};
 use protocol::frames;
-use protocol::ring::AT_ONCE;
+use protocol::log_ring::IMMEDIATE;
 use protocol::settings::Settings;
 use slog::{Logger, debug, error, info, warn};
 use slotmap::{Key, KeyData};
@@ -121,7 +121,7 @@
         zones: settings.zones.keys().cloned().collect(),
         zone: settings.zone.clone(),
         address: Some(places.core),
-        seeds: settings.seeds(),
+        seeds: settings.seed_addresses(),
         seed: seed(settings),
         restored: opened.restored,
         bounds: Bounds::default(),
@@ -179,7 +179,7 @@
             host.feed(Input::Full(true));
         }
         Event::Msg(Heard::Taken) => {
-            info!(host.log, #AT_ONCE, "the disk takes writes again");
+            info!(host.log, #IMMEDIATE, "the disk takes writes again");
             host.feed(Input::Full(false));
         }
         Event::Msg(Heard::Failed(error)) => host.failed = Some(error),
@@ -251,7 +251,7 @@
     /// What operators look for before they take a machine and its disk away.
     fn say_goodbye(&self) {
         if self.core.handed_over() {
-            info!(self.log, #AT_ONCE, "handed over: a majority holds all without this replica");
+            info!(self.log, #IMMEDIATE, "handed over: a majority holds all without this replica");
         } else {
             warn!(
                 self.log,
@@ -497,13 +497,13 @@
                 }
                 Output::Tell(links, down) => {
                     let mut bytes = Vec::new();
-                    frames::put(&mut bytes, &down);
+                    frames::encode(&mut bytes, &down);
                     for link in links {
                         self.write(ConnectionKey::from(KeyData::from_ffi(link)), &bytes);
                     }
                 }
                 Output::Note(text) => info!(self.log, "{}", text),
-                Output::Notice(text) => info!(self.log, #AT_ONCE, "{}", text),
+                Output::Notice(text) => info!(self.log, #IMMEDIATE, "{}", text),
             }
         }
         self.out = out;
@@ -518,7 +518,7 @@
             return;
         }
         let mut bytes = Vec::new();
-        frames::put(&mut bytes, &Said::PeerMessage(peer_message));
+        frames::encode(&mut bytes, &Said::PeerMessage(peer_message));
         for link in links {
             self.write(link, &bytes);
         }
--- a/crates/control/src/host/poller.rs
+++ b/crates/control/src/host/poller.rs
@@ -165,7 +165,7 @@
         if answer.status != 200 {
             return Err(eyre!("status {}", answer.status)).wrap_err_with(step);
         }
-        let page = platform::page(&answer.body).wrap_err_with(step)?;
+        let page = platform::parse_page(&answer.body).wrap_err_with(step)?;
         round.servers.extend(page.servers);
         match page.next.filter(|next| !next.is_empty()) {
             None => {
--- a/crates/control/src/host/stall.rs
+++ b/crates/control/src/host/stall.rs
@@ -2,7 +2,7 @@
 //! Its peers have given these links up since. It gives them up as well, before it reads anything on them, so that no message
 //! is taken for younger than a link may be silent.
 
-use protocol::ring::AT_ONCE;
+use protocol::log_ring::IMMEDIATE;
 use slog::info;
 
 use super::Host;
@@ -46,7 +46,7 @@
         let Some(stood) = self.stall.stood(self.now()) else {
             return;
         };
-        info!(self.log, #AT_ONCE, "stood still: all links are given up"; "ms" => stood / 1_000);
+        info!(self.log, #IMMEDIATE, "stood still: all links are given up"; "ms" => stood / 1_000);
         let old = self
             .connections
             .iter()
--- a/crates/control/src/lookup.rs
+++ b/crates/control/src/lookup.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use protocol::messages::Standing;
+use protocol::messages::NodeState;
 use serde_json::json;
 
 use crate::core::peer_messages::Told;
@@ -17,7 +17,7 @@
     let ready = || {
         members
             .iter()
-            .filter(|told| told.standing == Standing::Ready)
+            .filter(|told| told.standing == NodeState::Ready)
     };
     let near = ready().filter(|told| told.edge.region == region);
     let mut found: Vec<SocketAddr> = near.map(|told| told.edge.http).collect();
@@ -52,22 +52,22 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use protocol::messages::Edge;
+    use protocol::messages::NodeInfo;
     use test_case::test_case;
 
     /// Edges as text: region, then r(eady), l(eaving) or a(way); the number is its place.
     fn lookup(edges: &str, asked: &str) -> String {
         let one = |(at, text): (usize, &str)| Told {
-            edge: Edge {
-                node: format!("edge-{at}"),
+            edge: NodeInfo {
+                name: format!("edge-{at}"),
                 zone: format!("{}1", &text[..1]),
                 region: text[..1].to_string(),
                 http: SocketAddr::from(([10, 0, 0, at as u8], 80)),
             },
             standing: match &text[1..] {
-                "r" => Standing::Ready,
-                "l" => Standing::Leaving,
-                _ => Standing::Away,
+                "r" => NodeState::Ready,
+                "l" => NodeState::Draining,
+                _ => NodeState::Unavailable,
             },
             linked: true,
         };
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -2,13 +2,13 @@
 
 use std::process::ExitCode;
 
-use protocol::program::{self, Started};
+use protocol::program::{self, ProgramContext};
 
 fn main() -> ExitCode {
     program::run(
         "control",
         control::host::check,
-        |Started { settings, ring, .. }| {
+        |ProgramContext { settings, ring, .. }| {
             control::host::serve(&settings, ring.logger("control", &settings.node))
         },
     )
--- a/crates/control/tests/core.rs
+++ b/crates/control/tests/core.rs
@@ -3,8 +3,8 @@
 use control::calls::{Command, Reply};
 use control::core::peer_messages::{Ballot, Body, Duty, Incarnation, PeerMessage, Speaker};
 use control::core::{Core, Input, Output, Own, Restored, Setup};
-use protocol::items::{Kind, Name};
-use protocol::messages::{Add, Down, Edge, Standing, Up};
+use protocol::items::{ItemKind, ItemName};
+use protocol::messages::{AgentMessage, ControlMessage, CounterAdd, NodeInfo, NodeState};
 use simulation::cluster::{Cluster, MS, SECOND, assert_timeline, service};
 use test_case::test_case;
 
@@ -362,8 +362,8 @@
         incarnation: Incarnation::FIRST,
         run: 1,
     };
-    let names = vec![Name {
-        kind: Kind::Tenant,
+    let names = vec![ItemName {
+        kind: ItemKind::Tenant,
         name: "t".to_string(),
     }];
     let body = Body::Prepare {
@@ -407,19 +407,25 @@
     cluster.run(SECOND);
     cluster.wipe(5);
     cluster.start(5);
-    cluster.feed(5, Input::Agent(1, Up::Hello(edge("e1", "f"))));
+    cluster.feed(5, Input::Agent(1, AgentMessage::Hello(edge("e1", "f"))));
     let heard = |cluster: &Cluster| {
         // Nothing in it, and not the first: a sign of life.
-        let sign = |(at, down): &(usize, &Down)| *at > 1 && *down == &Down::Items(Vec::new());
+        let sign = |(at, down): &(usize, &ControlMessage)| {
+            *at > 1 && *down == &ControlMessage::Items(Vec::new())
+        };
         let told = cluster.nodes[5]
             .told
             .iter()
             .map(|(_, down)| down)
             .enumerate();
-        let told = told
-            .filter(|told| !matches!(told.1, Down::Who(_) | Down::Levels { .. }) && !sign(told));
+        let told = told.filter(|told| {
+            !matches!(
+                told.1,
+                ControlMessage::ClusterView(_) | ControlMessage::Levels { .. }
+            ) && !sign(told)
+        });
         told.map(|(_, down)| match down {
-            Down::Items(items) => format!("{} items", items.len()),
+            ControlMessage::Items(items) => format!("{} items", items.len()),
             down => format!("{down:?}"),
         })
         .collect::<Vec<_>>()
@@ -457,11 +463,15 @@
         },
     );
     let mut out = Vec::new();
-    core.take(0, Input::Agent(1, Up::Hello(edge("e1", "a"))), &mut out);
+    core.take(
+        0,
+        Input::Agent(1, AgentMessage::Hello(edge("e1", "a"))),
+        &mut out,
+    );
     (1..10).for_each(|beat| core.take(beat * 500 * MS, Input::Tick, &mut out));
     assert!(
         out.iter()
-            .any(|output| matches!(output, Output::Tell(_, Down::Whole))),
+            .any(|output| matches!(output, Output::Tell(_, ControlMessage::Complete))),
         "{out:?}"
     );
 }
@@ -557,7 +567,7 @@
     };
     ALL.iter().for_each(|at| cluster.kill(*at));
     ALL.iter().for_each(|at| cluster.start(*at));
-    cluster.feed(2, Input::Agent(1, Up::Hello(edge("e1", "c"))));
+    cluster.feed(2, Input::Agent(1, AgentMessage::Hello(edge("e1", "c"))));
     // Two of six, so that a large core keeps to the platform's rate.
     assert_eq!(ALL.iter().filter(|at| polls(&cluster, **at)).count(), 2);
     cluster.run(500 * MS);
@@ -567,7 +577,7 @@
     let told = |cluster: &Cluster| {
         let told = cluster.nodes[2].told.iter().rev();
         told.into_iter().find_map(|(_, down)| {
-            if let Down::Servers { version, .. } = down {
+            if let ControlMessage::Servers { version, .. } = down {
                 Some(*version)
             } else {
                 None
@@ -588,8 +598,8 @@
         addr: "10.9.0.1:80".parse().unwrap(),
         zone: "a".into(),
         slots: 2,
-        up: true,
-        cold: 0,
+        accepts_requests: true,
+        warm_up_left: 0,
     };
     cluster.feed(holder, Input::Listed(vec![one]));
     cluster.run(100 * MS);
@@ -638,7 +648,7 @@
         cluster
             .chosen(3)
             .keys()
-            .filter(|name| name.kind == Kind::Route)
+            .filter(|name| name.kind == ItemKind::Route)
             .count(),
         350
     );
@@ -692,10 +702,10 @@
     );
 }
 
-fn edge(node: &str, zone: &str) -> Edge {
+fn edge(node: &str, zone: &str) -> NodeInfo {
     let http = "10.1.0.9:8686".parse().unwrap();
-    Edge {
-        node: node.to_string(),
+    NodeInfo {
+        name: node.to_string(),
         zone: zone.to_string(),
         region: "r".to_string(),
         http,
@@ -705,50 +715,59 @@
 #[test]
 fn members_are_who_renews_a_lease_anywhere_and_the_count_is_kept_by_one() {
     let mut cluster = started(10);
-    cluster.feed(1, Input::Agent(1, Up::Hello(edge("e1", "a"))));
-    cluster.feed(1, Input::Agent(1, Up::Beat(Standing::Ready)));
+    cluster.feed(1, Input::Agent(1, AgentMessage::Hello(edge("e1", "a"))));
+    cluster.feed(
+        1,
+        Input::Agent(1, AgentMessage::Heartbeat(NodeState::Ready)),
+    );
     cluster.run(100 * MS);
     let members = |cluster: &Cluster, at: usize| {
         let core = cluster.nodes[at].core.as_ref().unwrap();
         let now = cluster.nodes[at].clock.at(cluster.now);
         core.members(now)
             .iter()
-            .map(|told| (told.edge.node.clone(), told.standing))
+            .map(|told| (told.edge.name.clone(), told.standing))
             .collect::<Vec<_>>()
     };
-    let ready = vec![("e1".to_string(), Standing::Ready)];
+    let ready = vec![("e1".to_string(), NodeState::Ready)];
     assert!(ALL.iter().all(|at| members(&cluster, *at) == ready));
     // It moves to another replica, where it leaves; what the first one says of it counts no more.
     cluster.feed(1, Input::AgentGone(1));
-    cluster.feed(4, Input::Agent(2, Up::Hello(edge("e1", "a"))));
-    cluster.feed(4, Input::Agent(2, Up::Beat(Standing::Leaving)));
+    cluster.feed(4, Input::Agent(2, AgentMessage::Hello(edge("e1", "a"))));
+    cluster.feed(
+        4,
+        Input::Agent(2, AgentMessage::Heartbeat(NodeState::Draining)),
+    );
     cluster.run(100 * MS);
     assert!(
         ALL.iter()
-            .all(|at| members(&cluster, *at) == [("e1".to_string(), Standing::Leaving)])
+            .all(|at| members(&cluster, *at) == [("e1".to_string(), NodeState::Draining)])
     );
     cluster.run(4 * SECOND);
     assert!(ALL.iter().all(|at| members(&cluster, *at).is_empty()));
 
-    let add = |time| Up::Adds {
+    let add = |time| AgentMessage::CounterBatch {
         batch: 5,
         time,
-        adds: vec![Add {
-            name: 1,
+        adds: vec![CounterAdd {
+            counter: 1,
             units: 2.0,
-            life: SECOND,
+            ttl: SECOND,
         }],
     };
     cluster.feed(3, Input::Agent(3, add(TIME)));
     cluster.feed(2, Input::Agent(4, add(TIME)));
     assert_eq!(
         cluster.nodes[3].told.last().unwrap().1,
-        Down::Totals {
+        ControlMessage::Totals {
             batch: 5,
             totals: vec![2.0]
         }
     );
-    assert_eq!(cluster.nodes[2].told.last().unwrap().1, Down::NotCounted(5));
+    assert_eq!(
+        cluster.nodes[2].told.last().unwrap().1,
+        ControlMessage::NotCounted(5)
+    );
 }
 
 /// The limiters' clock, ahead of all that the replicas have of it.
@@ -757,24 +776,27 @@
 #[test]
 fn limiters_whose_clocks_are_apart_do_not_count_side_by_side() {
     let mut cluster = started(10);
-    let add = |time| Up::Adds {
+    let add = |time| AgentMessage::CounterBatch {
         batch: 5,
         time,
-        adds: vec![Add {
-            name: 1,
+        adds: vec![CounterAdd {
+            counter: 1,
             units: 2.0,
-            life: 90 * SECOND,
+            ttl: 90 * SECOND,
         }],
     };
     let counted = |cluster: &mut Cluster, link, time| {
         cluster.feed(3, Input::Agent(link, add(time)));
-        matches!(cluster.nodes[3].told.last(), Some((_, Down::Totals { .. })))
+        matches!(
+            cluster.nodes[3].told.last(),
+            Some((_, ControlMessage::Totals { .. }))
+        )
     };
     assert!(counted(&mut cluster, 1, TIME) && counted(&mut cluster, 2, TIME - 400 * MS));
     // Who is behind is told so, and counted once it follows.
     assert!(!counted(&mut cluster, 2, TIME - SECOND));
     let told = &cluster.nodes[3].told;
-    assert!(matches!(told[told.len() - 2], (2, Down::Time(time)) if time == TIME));
+    assert!(matches!(told[told.len() - 2], (2, ControlMessage::Clock(time)) if time == TIME));
     assert!(counted(&mut cluster, 2, TIME));
     // One that is ahead: under its names nothing was counted, so that nobody counts for as long as it is ahead.
     assert!(!counted(&mut cluster, 3, TIME + 2 * SECOND));
@@ -784,10 +806,10 @@
     assert!(counted(&mut cluster, 1, TIME + 4_010 * MS));
     // The other replicas have it by their beats, and a count that moves goes on with it.
     cluster.run(SECOND);
-    cluster.feed(5, Input::Agent(9, Up::Clock(0)));
+    cluster.feed(5, Input::Agent(9, AgentMessage::Clock(0)));
     let told = cluster.nodes[5].told.last().unwrap();
     assert!(
-        matches!(told, (9, Down::Time(time)) if *time > TIME + 4 * SECOND),
+        matches!(told, (9, ControlMessage::Clock(time)) if *time > TIME + 4 * SECOND),
         "{told:?}"
     );
 }
@@ -795,7 +817,7 @@
 #[test]
 fn the_platforms_list_reaches_all_replicas_and_who_missed_it_asks() {
     let mut cluster = started(11);
-    cluster.feed(5, Input::Agent(1, Up::Hello(edge("e1", "f"))));
+    cluster.feed(5, Input::Agent(1, AgentMessage::Hello(edge("e1", "f"))));
     cluster.cut(&[5], &[0, 1, 2, 3, 4]);
     cluster.feed(0, Input::Listed(vec![]));
     // Who does not hold the duty has nothing to say.
@@ -804,7 +826,7 @@
     let heard = |cluster: &Cluster| {
         let told = cluster.nodes[5].told.iter();
         told.filter_map(|(_, down)| match down {
-            Down::Servers { version, .. } => Some(*version),
+            ControlMessage::Servers { version, .. } => Some(*version),
             _ => None,
         })
         .collect::<Vec<_>>()
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -3,7 +3,7 @@
 use control::calls::{Command, Reply};
 use control::core::Input;
 use control::core::peer_messages::Duty;
-use protocol::messages::{Add, Down, Edge, Standing, Up};
+use protocol::messages::{AgentMessage, ControlMessage, CounterAdd, NodeInfo, NodeState};
 use simulation::cluster::{Cluster, MS, SECOND, service};
 use test_case::test_case;
 
@@ -19,10 +19,10 @@
     cluster
 }
 
-fn edge(node: &str) -> Edge {
+fn edge(node: &str) -> NodeInfo {
     let http = "10.1.0.9:8686".parse().unwrap();
-    Edge {
-        node: node.to_string(),
+    NodeInfo {
+        name: node.to_string(),
         zone: "e".to_string(),
         region: "r2".to_string(),
         http,
@@ -37,7 +37,7 @@
         .in_touch(node.clock.at(cluster.now))
 }
 
-fn told(cluster: &Cluster, wanted: impl Fn(&Down) -> bool) -> bool {
+fn told(cluster: &Cluster, wanted: impl Fn(&ControlMessage) -> bool) -> bool {
     cluster.nodes[AT].told.iter().any(|(_, down)| wanted(down))
 }
 
@@ -78,27 +78,27 @@
     let mut cluster = started();
     cluster.cut(&[AT], &OTHERS);
     cluster.run(2 * SECOND);
-    cluster.feed(AT, Input::Agent(1, Up::Hello(edge("e1"))));
+    cluster.feed(AT, Input::Agent(1, AgentMessage::Hello(edge("e1"))));
     cluster.run(SECOND);
     assert!(told(
         &cluster,
-        |down| matches!(down, Down::Who(who) if !who.in_touch && who.holder.is_none())
+        |down| matches!(down, ControlMessage::ClusterView(who) if !who.has_quorum && who.counter.is_none())
     ));
     assert!(told(
         &cluster,
-        |down| matches!(down, Down::Items(items) if !items.is_empty())
+        |down| matches!(down, ControlMessage::Items(items) if !items.is_empty())
     ));
-    assert!(!told(&cluster, |down| *down == Down::Whole));
+    assert!(!told(&cluster, |down| *down == ControlMessage::Complete));
     assert_eq!(cluster.ask(0, service("s", 2, 2)), Some(Reply::Done));
     cluster.heal();
     while !in_touch(&cluster) {
         cluster.run(10 * MS);
     }
     // In touch again, and yet it does not know what was chosen meanwhile.
-    cluster.feed(AT, Input::Agent(2, Up::Hello(edge("e2"))));
+    cluster.feed(AT, Input::Agent(2, AgentMessage::Hello(edge("e2"))));
     let knows = |cluster: &Cluster| cluster.chosen(AT).values().any(|item| item.ver == 2);
-    assert!(!knows(&cluster) && !told(&cluster, |down| *down == Down::Whole));
-    while !told(&cluster, |down| *down == Down::Whole) {
+    assert!(!knows(&cluster) && !told(&cluster, |down| *down == ControlMessage::Complete));
+    while !told(&cluster, |down| *down == ControlMessage::Complete) {
         assert!(cluster.now < 40 * SECOND, "it never says so");
         cluster.run(10 * MS);
     }
@@ -113,13 +113,13 @@
     let others: Vec<usize> = (0..6).filter(|at| *at != holder).collect();
     cluster.cut(&[holder], &others);
     cluster.run(1_500 * MS);
-    let adds = Up::Adds {
+    let adds = AgentMessage::CounterBatch {
         batch: 5,
         time: 0,
-        adds: vec![Add {
-            name: 1,
+        adds: vec![CounterAdd {
+            counter: 1,
             units: 2.0,
-            life: SECOND,
+            ttl: SECOND,
         }],
     };
     cluster.feed(holder, Input::Agent(3, adds));
@@ -127,13 +127,13 @@
         cluster.nodes[holder]
             .told
             .iter()
-            .any(|(_, down)| *down == Down::NotCounted(5))
+            .any(|(_, down)| *down == ControlMessage::NotCounted(5))
     );
     assert!(
         !cluster.nodes[holder]
             .told
             .iter()
-            .any(|(_, down)| matches!(down, Down::Totals { .. }))
+            .any(|(_, down)| matches!(down, ControlMessage::Totals { .. }))
     );
 }
 
@@ -170,8 +170,11 @@
 fn look_ups_name_nobody_after_a_lease(frozen: bool, span: i64, named: &[&str]) {
     let mut cluster = started();
     let beat = |cluster: &mut Cluster, at: usize, link: u64, node: &str| {
-        cluster.feed(at, Input::Agent(link, Up::Hello(edge(node))));
-        cluster.feed(at, Input::Agent(link, Up::Beat(Standing::Ready)));
+        cluster.feed(at, Input::Agent(link, AgentMessage::Hello(edge(node))));
+        cluster.feed(
+            at,
+            Input::Agent(link, AgentMessage::Heartbeat(NodeState::Ready)),
+        );
     };
     beat(&mut cluster, 0, 1, "far");
     beat(&mut cluster, AT, 2, "near");
@@ -185,7 +188,10 @@
     while cluster.now < end {
         cluster.run(400 * MS);
         if !frozen {
-            cluster.feed(AT, Input::Agent(2, Up::Beat(Standing::Ready)));
+            cluster.feed(
+                AT,
+                Input::Agent(2, AgentMessage::Heartbeat(NodeState::Ready)),
+            );
         }
     }
     // As it is asked first, before anything else comes to it.
@@ -195,6 +201,6 @@
         .as_ref()
         .unwrap()
         .members(node.clock.at(cluster.now));
-    let members: Vec<&str> = members.iter().map(|told| told.edge.node.as_str()).collect();
+    let members: Vec<&str> = members.iter().map(|told| told.edge.name.as_str()).collect();
     assert_eq!(members, named);
 }
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -19,17 +19,17 @@
 use control::core::transfer::{Piece, Then};
 use control::lookup;
 use overload::judge::Share;
-use protocol::items::{Item, Kind, Name};
-use protocol::messages::{Edge, Standing};
+use protocol::items::{Item, ItemKind, ItemName};
+use protocol::messages::{NodeInfo, NodeState};
 use protocol::platform::Server;
 
 fn address(last: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, last], 7740))
 }
 
-fn name(name: &str) -> Name {
-    Name {
-        kind: Kind::Service,
+fn name(name: &str) -> ItemName {
+    ItemName {
+        kind: ItemKind::Service,
         name: name.into(),
     }
 }
@@ -85,9 +85,9 @@
     }
 }
 
-fn told(standing: Standing, linked: bool) -> Told {
-    let edge = Edge {
-        node: "edge-1".into(),
+fn told(standing: NodeState, linked: bool) -> Told {
+    let edge = NodeInfo {
+        name: "edge-1".into(),
         zone: "alajuela".into(),
         region: "meseta".into(),
         http: address(33),
@@ -106,13 +106,13 @@
         addr: SocketAddr::from(([10, 128, 0, 9], 8080)),
         zone: "alajuela".into(),
         slots: 300,
-        up: false,
-        cold: 1_500_000,
+        accepts_requests: false,
+        warm_up_left: 1_500_000,
     }
 }
 
 fn pieces() -> [(&'static str, Piece); 3] {
-    let piece = |after: Option<Name>, then| Piece {
+    let piece = |after: Option<ItemName>, then| Piece {
         after,
         items: vec![entry("n", 8)],
         then,
@@ -141,7 +141,10 @@
     let moved = Moved {
         before: 1,
         after: 2,
-        told: vec![told(Standing::Ready, true), told(Standing::Away, false)],
+        told: vec![
+            told(NodeState::Ready, true),
+            told(NodeState::Unavailable, false),
+        ],
         gone: vec!["edge-9".into()],
     };
     let share = Share {
@@ -283,7 +286,7 @@
         ),
         (
             "members",
-            Body::Members(vec![told(Standing::Leaving, true)]),
+            Body::Members(vec![told(NodeState::Draining, true)]),
         ),
         ("membership change", Body::Moved(moved)),
         ("request for members", Body::AskMembers),
--- a/crates/control/tests/rounds.rs
+++ b/crates/control/tests/rounds.rs
@@ -6,12 +6,12 @@
 use control::core::peer_messages::{Ballot, Body, Incarnation, Replica, Speaker};
 use control::core::replicas::Replicas;
 use control::core::rounds::{Outcome, Round, Step, Want};
-use protocol::items::{Item, Kind, Name};
+use protocol::items::{Item, ItemKind, ItemName};
 use test_case::test_case;
 
-fn item(kind: Kind, ver: u64, spec: &str) -> Item {
+fn item(kind: ItemKind, ver: u64, spec: &str) -> Item {
     Item {
-        name: Name {
+        name: ItemName {
             kind,
             name: "a".to_string(),
         },
@@ -66,7 +66,7 @@
 }
 
 fn service(spec: &str) -> Item {
-    item(Kind::Service, 1, spec)
+    item(ItemKind::Service, 1, spec)
 }
 
 #[test_case("1", "1", "2" => Outcome::Conflict; "what is left has the wanted content and lost")]
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_zone_is_judged_by_what_is_chosen() {
-    let zone = |ver, spec: &str| item(Kind::Zone, ver, spec);
+    let zone = |ver, spec: &str| item(ItemKind::Zone, ver, spec);
     let steps = decided(
         Want::Zone(zone(1, "true").name, true),
         zone(1, "true"),
--- a/crates/control/tests/second_loss.rs
+++ b/crates/control/tests/second_loss.rs
@@ -2,7 +2,7 @@
 //! hold what was acknowledged.
 
 use control::calls::{Command, Reply};
-use protocol::items::{Kind, Name};
+use protocol::items::{ItemKind, ItemName};
 use simulation::cluster::{Cluster, MS, SECOND, service};
 use test_case::test_case;
 
@@ -19,8 +19,8 @@
 
 /// How many of the machines that have the replicas hold this version of the service `s` on their disks.
 fn copies(cluster: &Cluster, ver: u64) -> usize {
-    let name = Name {
-        kind: Kind::Service,
+    let name = ItemName {
+        kind: ItemKind::Service,
         name: "s".to_string(),
     };
     let holds = |at: &&usize| cluster.nodes[**at].disk.version(&name) >= Some(ver);
--- a/crates/control/tests/transfers.rs
+++ b/crates/control/tests/transfers.rs
@@ -5,15 +5,15 @@
 use control::core::transfer::{Bounds, Then};
 use control::core::{Core, Input, Output, Own, Restored, Setup};
 use protocol::digests;
-use protocol::items::{Item, Kind, Name};
-use protocol::messages::{Down, Edge, Up};
+use protocol::items::{Item, ItemKind, ItemName};
+use protocol::messages::{AgentMessage, ControlMessage, NodeInfo};
 
 const MS: i64 = 1_000;
 const OTHER: [u8; 4] = [10, 0, 1, 0];
 
 fn item(at: usize) -> Item {
-    let name = Name {
-        kind: Kind::Service,
+    let name = ItemName {
+        kind: ItemKind::Service,
         name: format!("s{at:04}"),
     };
     Item {
@@ -80,22 +80,26 @@
     take(&mut core, 0, Input::Tick);
     take(&mut core, 400 * MS, Input::Tick);
     let http = "10.1.0.1:80".parse().unwrap();
-    let edge = Edge {
-        node: "e".into(),
+    let edge = NodeInfo {
+        name: "e".into(),
         zone: "z0".into(),
         region: "r".into(),
         http,
     };
-    let mut told = take(&mut core, 500 * MS, Input::Agent(7, Up::Hello(edge)));
+    let mut told = take(
+        &mut core,
+        500 * MS,
+        Input::Agent(7, AgentMessage::Hello(edge)),
+    );
     let (mut held, mut open, mut whole, mut asked) = (0, 0, false, 0);
     loop {
         for output in std::mem::take(&mut told) {
             match output {
-                Output::Tell(_, Down::Items(items)) => {
+                Output::Tell(_, ControlMessage::Items(items)) => {
                     assert!(items.len() <= 10 && !whole, "{}", items.len());
                     (held, open) = (held + items.len(), open + usize::from(!items.is_empty()));
                 }
-                Output::Tell(_, Down::Whole) => whole = true,
+                Output::Tell(_, ControlMessage::Complete) => whole = true,
                 _ => {}
             }
         }
@@ -105,7 +109,7 @@
             break;
         }
         open -= 1;
-        let holding = Up::Holding {
+        let holding = AgentMessage::ConfigState {
             items: held as u32,
             digest: 1,
         };
@@ -172,7 +176,7 @@
     };
     let entries = |id| {
         // Two are newer there, one is older.
-        let keys = [item(3), item(4), item(5)].map(|item| digests::key(&item.name));
+        let keys = [item(3), item(4), item(5)].map(|item| digests::name_key(&item.name));
         let ballots = [newer, newer, Ballot::default()];
         from_other(Body::Entries {
             id,
--- a/crates/ctl/src/configuration.rs
+++ b/crates/ctl/src/configuration.rs
@@ -57,7 +57,7 @@
         };
         // Checked as a call of the operators would be.
         let call = json!({"upsert": {"objs": objects}}).to_string();
-        let read = items::read_patch(call.as_bytes(), &Items::new());
+        let read = items::parse_patch(call.as_bytes(), &Items::new());
         let read = read.map_err(|error| eyre!("configuration: {error}"))?;
         let mut items = BTreeMap::new();
         for item in read {
--- a/crates/load/src/system/hollow.rs
+++ b/crates/load/src/system/hollow.rs
@@ -12,10 +12,10 @@
 use emulator::system::machines::{Role, Usage, net};
 use emulator::system::operator::Change;
 use emulator::system::whole::{SERVICES, Size, Whole, route};
+use protocol::connections::{ConnectionId, Connections, IoEvent};
 use protocol::frames;
 use protocol::items::Item;
-use protocol::messages::{Down, Edge, Standing, Up};
-use protocol::wires::{Happening, WireKey, Wires};
+use protocol::messages::{AgentMessage, ControlMessage, NodeInfo, NodeState};
 
 use super::{ACK, READY};
 
@@ -116,10 +116,10 @@
 
 #[derive(Clone, Debug)]
 struct Hollow {
-    edge: Edge,
+    edge: NodeInfo,
     control: SocketAddr,
-    link: Option<WireKey>,
-    count: Option<(WireKey, SocketAddr)>,
+    link: Option<ConnectionId>,
+    count: Option<(ConnectionId, SocketAddr)>,
     beats: u64,
     due: i64,
     whole: bool,
@@ -135,42 +135,42 @@
 }
 
 struct Loop {
-    wires: Wires,
+    wires: Connections,
     clock: Clock,
     /// How far the limiters' clock is ahead of this process's, as the control programs tell it.
     ahead: i64,
     agents: Vec<Hollow>,
     /// Whose connection it is.
-    owners: HashMap<WireKey, usize>,
+    owners: HashMap<ConnectionId, usize>,
     traffic: Traffic,
     /// Messages that were taken in, by kind.
     kinds: BTreeMap<&'static str, u64>,
 }
 
 /// A message's kind, as the report names it.
-fn kind(down: &Down) -> &'static str {
+fn kind(down: &ControlMessage) -> &'static str {
     match down {
-        Down::Who(_) => "who",
-        Down::Items(items) if items.is_empty() => "heartbeats",
-        Down::Items(_) => "items",
-        Down::Servers { .. } => "servers",
-        Down::Whole => "whole",
-        Down::Totals { .. } | Down::NotCounted(_) => "totals",
-        Down::Time(_) => "time",
-        Down::Levels { .. } => "levels",
+        ControlMessage::ClusterView(_) => "who",
+        ControlMessage::Items(items) if items.is_empty() => "heartbeats",
+        ControlMessage::Items(_) => "items",
+        ControlMessage::Servers { .. } => "servers",
+        ControlMessage::Complete => "whole",
+        ControlMessage::Totals { .. } | ControlMessage::NotCounted(_) => "totals",
+        ControlMessage::Clock(_) => "time",
+        ControlMessage::Levels { .. } => "levels",
     }
 }
 
 impl Loop {
     fn new(plan: &Plan, net: (u8, u8)) -> Result<Loop, String> {
         let clock = Clock::steady();
-        let wires = Wires::new(&[]).map_err(|error| format!("opening the loop: {error}"))?;
+        let wires = Connections::new(&[]).map_err(|error| format!("opening the loop: {error}"))?;
         let now = clock.now();
         let agent = |number: usize| {
             let zone = number % plan.zones;
             Hollow {
-                edge: Edge {
-                    node: format!("hollow-{number}"),
+                edge: NodeInfo {
+                    name: format!("hollow-{number}"),
                     zone: format!("z{}", zone + 1),
                     region: format!("r{}", zone + 1),
                     http: SocketAddr::from(([127, 0, 9, 9], 8_686)),
@@ -196,14 +196,14 @@
         })
     }
 
-    fn put(&mut self, key: WireKey, message: &Up) {
+    fn put(&mut self, key: ConnectionId, message: &AgentMessage) {
         if let Some(out) = self.wires.output(key) {
-            frames::put(out, message);
+            frames::encode(out, message);
             self.traffic.sent += 1;
         }
     }
 
-    fn connect(&mut self, agent: usize, to: SocketAddr) -> Option<WireKey> {
+    fn connect(&mut self, agent: usize, to: SocketAddr) -> Option<ConnectionId> {
         // One that can't be opened is tried again at the next beat.
         let key = self.wires.connect(to, self.clock.now()).ok()?;
         self.owners.insert(key, agent);
@@ -217,28 +217,28 @@
             self.agents[agent].link = self.connect(agent, control);
             return;
         };
-        self.put(link, &Up::Beat(Standing::Ready));
+        self.put(link, &AgentMessage::Heartbeat(NodeState::Ready));
         let asks = self.agents[agent].beats.is_multiple_of(CLOCK_BEATS);
         if let Some((count, _)) = self.agents[agent].count.filter(|_| asks) {
             let now = self.clock.now();
-            self.put(count, &Up::Clock(now + self.ahead));
+            self.put(count, &AgentMessage::Clock(now + self.ahead));
         }
     }
 
-    fn up(&mut self, agent: usize, key: WireKey) {
+    fn up(&mut self, agent: usize, key: ConnectionId) {
         let now = self.clock.now();
         if self.agents[agent].link == Some(key) {
             let edge = self.agents[agent].edge.clone();
-            self.put(key, &Up::Hello(edge));
+            self.put(key, &AgentMessage::Hello(edge));
         }
-        self.put(key, &Up::Clock(now + self.ahead));
+        self.put(key, &AgentMessage::Clock(now + self.ahead));
     }
 
-    fn heard(&mut self, agent: usize, down: Down) {
+    fn heard(&mut self, agent: usize, down: ControlMessage) {
         *self.kinds.entry(kind(&down)).or_default() += 1;
         match down {
-            Down::Who(who) => {
-                let holder = who.holder.map(|(at, _)| at);
+            ControlMessage::ClusterView(who) => {
+                let holder = who.counter.map(|(at, _)| at);
                 if self.agents[agent].count.map(|(_, at)| at) != holder {
                     if let Some((old, _)) = self.agents[agent].count.take() {
                         self.close(old);
@@ -247,7 +247,7 @@
                     self.agents[agent].count = opened;
                 }
             }
-            Down::Items(items) => {
+            ControlMessage::Items(items) => {
                 let watched = |item: &&Item| item.name.name == WATCHED;
                 let newest = items
                     .iter()
@@ -257,24 +257,24 @@
                     .unwrap_or_default();
                 self.agents[agent].watched = self.agents[agent].watched.max(newest);
             }
-            Down::Whole => self.agents[agent].whole = true,
-            Down::Time(time) => self.ahead = self.ahead.max(time - self.clock.now()),
-            Down::Servers { .. }
-            | Down::Totals { .. }
-            | Down::NotCounted(_)
-            | Down::Levels { .. } => {}
+            ControlMessage::Complete => self.agents[agent].whole = true,
+            ControlMessage::Clock(time) => self.ahead = self.ahead.max(time - self.clock.now()),
+            ControlMessage::Servers { .. }
+            | ControlMessage::Totals { .. }
+            | ControlMessage::NotCounted(_)
+            | ControlMessage::Levels { .. } => {}
         }
     }
 
-    fn close(&mut self, key: WireKey) {
+    fn close(&mut self, key: ConnectionId) {
         self.wires.close(key);
         self.owners.remove(&key);
     }
 
-    fn came(&mut self, agent: usize, key: WireKey) {
+    fn came(&mut self, agent: usize, key: ConnectionId) {
         while let Some(wire) = self.wires.get_mut(key) {
             let before = wire.input.len();
-            match frames::take::<Down>(&mut wire.input) {
+            match frames::decode::<ControlMessage>(&mut wire.input) {
                 Ok(Some(down)) => {
                     self.traffic.bytes += (before - wire.input.len()) as u64;
                     self.traffic.heard += 1;
@@ -286,7 +286,7 @@
         }
     }
 
-    fn ended(&mut self, agent: usize, key: WireKey) {
+    fn ended(&mut self, agent: usize, key: ConnectionId) {
         self.traffic.lost += 1;
         self.close(key);
         let one = &mut self.agents[agent];
@@ -294,16 +294,16 @@
         one.count = one.count.filter(|(count, _)| *count != key);
     }
 
-    fn turn(&mut self, happenings: &mut Vec<Happening>) -> Result<(), String> {
+    fn turn(&mut self, happenings: &mut Vec<IoEvent>) -> Result<(), String> {
         let clock = self.clock.clone();
         let until = Some(clock.now() + TURN);
         let waited = self.wires.wait(until, || clock.now(), happenings);
         waited.map_err(|error| format!("waiting: {error}"))?;
         for happening in std::mem::take(happenings) {
-            let (Happening::Up(key)
-            | Happening::Came(key)
-            | Happening::Ended(key)
-            | Happening::Broken(key)) = happening
+            let (IoEvent::Connected(key)
+            | IoEvent::Received(key)
+            | IoEvent::PeerClosed(key)
+            | IoEvent::Failed(key)) = happening
             else {
                 continue;
             };
@@ -311,8 +311,8 @@
                 continue;
             };
             match happening {
-                Happening::Up(key) => self.up(agent, key),
-                Happening::Came(key) => self.came(agent, key),
+                IoEvent::Connected(key) => self.up(agent, key),
+                IoEvent::Received(key) => self.came(agent, key),
                 _ => self.ended(agent, key),
             }
         }
--- a/crates/model-check/tests/side_by_side/names.rs
+++ b/crates/model-check/tests/side_by_side/names.rs
@@ -6,7 +6,7 @@
 use control::core::peer_messages as code;
 use model_check::numbers::{Ballot, Incarnation, Value};
 use model_check::state::{REPLICAS, Table};
-use protocol::items::{Item, Kind, Name};
+use protocol::items::{Item, ItemKind, ItemName};
 
 /// The incarnations and runs that have come up.
 #[derive(Default)]
@@ -91,9 +91,9 @@
 }
 
 /// The item that all is about.
-pub fn name() -> Name {
-    Name {
-        kind: Kind::Tenant,
+pub fn name() -> ItemName {
+    ItemName {
+        kind: ItemKind::Tenant,
         name: "a".to_string(),
     }
 }
--- a/crates/model-check/tests/side_by_side/world.rs
+++ b/crates/model-check/tests/side_by_side/world.rs
@@ -469,7 +469,7 @@
                 incarnation,
                 question,
             } => {
-                let anew = question.parts == Digests::default().parts();
+                let anew = question.parts == Digests::default().buckets();
                 self.record(at, replica, *incarnation, anew, &given);
             }
             Body::Recorded {
--- a/crates/protocol/src/wires.rs
+++ b/crates/protocol/src/connections.rs
@@ -15,118 +15,118 @@
 
 slotmap::new_key_type! {
     /// A connection. The key of one that is gone finds nothing.
-    pub struct WireKey;
+    pub struct ConnectionId;
 }
 
 /// What happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happening {
+pub enum IoEvent {
     /// A connection was taken by the listener of this number.
-    Accepted(usize, WireKey),
+    Accepted(usize, ConnectionId),
     /// A connection that was opened from here is up.
-    Up(WireKey),
+    Connected(ConnectionId),
     /// Something came; it stands in the input.
-    Came(WireKey),
+    Received(ConnectionId),
     /// All that was to be written is written.
-    Written(WireKey),
+    Flushed(ConnectionId),
     /// The other side sends no more. The connection is still there.
-    Ended(WireKey),
+    PeerClosed(ConnectionId),
     /// The connection broke, or never came up. It is still there, of no use.
-    Broken(WireKey),
+    Failed(ConnectionId),
     /// The process got a signal.
     Signal(i32),
 }
 
 /// A connection.
 #[derive(Debug)]
-pub struct Wire {
+pub struct Connection {
     stream: TcpStream,
-    up: bool,
+    connected: bool,
     /// What came and was not taken yet.
     pub input: Vec<u8>,
     /// Most bytes that the input may hold; what is beyond waits with the system.
-    pub most: usize,
+    pub max_input_bytes: usize,
     output: Vec<u8>,
-    written: usize,
-    sent: u64,
+    written_bytes: usize,
+    sent_bytes: u64,
     /// More may be there than was read.
-    unread: bool,
-    marked: bool,
+    has_unread: bool,
+    flush_pending: bool,
     /// When something last came, in microseconds.
-    pub heard: i64,
+    pub last_received_at: i64,
 }
 
-impl Wire {
+impl Connection {
     /// Whether it is up.
-    pub fn up(&self) -> bool {
-        self.up
+    pub fn is_connected(&self) -> bool {
+        self.connected
     }
 
     /// Bytes that are not written yet.
     pub fn backlog(&self) -> usize {
-        self.output.len() - self.written
+        self.output.len() - self.written_bytes
     }
 
     /// Bytes that the system has taken since the connection was opened. Where none of a message is among them, nobody can
     /// have seen anything of it.
-    pub fn sent(&self) -> u64 {
-        self.sent
+    pub fn sent_bytes(&self) -> u64 {
+        self.sent_bytes
     }
 
     /// More may be there than was read, for want of room.
-    pub fn waits(&self) -> bool {
-        self.unread
+    pub fn has_unread(&self) -> bool {
+        self.has_unread
     }
 }
 
 /// All connections of a program.
-pub struct Wires {
+pub struct Connections {
     poll: Poll,
     events: Events,
     signals: Signals,
     listeners: Vec<Option<TcpListener>>,
-    wires: SlotMap<WireKey, Wire>,
-    dirty: Vec<WireKey>,
+    connections: SlotMap<ConnectionId, Connection>,
+    flush_queue: Vec<ConnectionId>,
     scratch: Vec<u8>,
     accepting: bool,
     /// When the last wait ended, and whether it brought all that was there.
-    woken: (i64, bool),
+    last_wake: (i64, bool),
 }
 
-const SIGNALS: Token = Token(1_000);
+const SIGNAL_TOKEN: Token = Token(1_000);
 /// Most events that one wait brings.
-const EVENTS: usize = 256;
+const MAX_EVENTS: usize = 256;
 /// Bytes asked of a socket at a time.
-const READ: usize = 32 * 1024;
+const READ_BYTES: usize = 32 * 1024;
 /// Connections that may wait with the system to be taken.
-const BACKLOG: i32 = 1_024;
+const LISTEN_BACKLOG: i32 = 1_024;
 /// What a buffer may keep once it is empty, in bytes.
-const KEPT: usize = 4 * 1024;
+const MAX_IDLE_BUFFER_BYTES: usize = 4 * 1024;
 
-fn token(key: WireKey) -> Token {
+fn token(key: ConnectionId) -> Token {
     Token(key.data().as_ffi() as usize)
 }
 
-impl Wires {
+impl Connections {
     /// Nothing yet but the signals that are listened to.
     ///
     /// # Errors
     /// The system grants no poll.
-    pub fn new(signals: &[i32]) -> io::Result<Wires> {
+    pub fn new(signals: &[i32]) -> io::Result<Connections> {
         let poll = Poll::new()?;
         let mut signals = Signals::new(signals)?;
         poll.registry()
-            .register(&mut signals, SIGNALS, Interest::READABLE)?;
-        Ok(Wires {
+            .register(&mut signals, SIGNAL_TOKEN, Interest::READABLE)?;
+        Ok(Connections {
             poll,
-            events: Events::with_capacity(EVENTS),
+            events: Events::with_capacity(MAX_EVENTS),
             signals,
             listeners: Vec::new(),
-            wires: SlotMap::with_key(),
-            dirty: Vec::new(),
-            scratch: vec![0; READ],
+            connections: SlotMap::with_key(),
+            flush_queue: Vec::new(),
+            scratch: vec![0; READ_BYTES],
             accepting: true,
-            woken: (0, true),
+            last_wake: (0, true),
         })
     }
 
@@ -139,7 +139,7 @@
         let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
         socket.bind(&address.into())?;
-        socket.listen(BACKLOG)?;
+        socket.listen(LISTEN_BACKLOG)?;
         let mut listener = TcpListener::from_std(socket.into());
         let number = self.listeners.len();
         self.poll
@@ -159,62 +159,62 @@
     ///
     /// # Errors
     /// The system refuses at once.
-    pub fn connect(&mut self, address: SocketAddr, now: i64) -> io::Result<WireKey> {
+    pub fn connect(&mut self, address: SocketAddr, now: i64) -> io::Result<ConnectionId> {
         let stream = TcpStream::connect(address)?;
         self.register(stream, false, now)
     }
 
-    fn register(&mut self, stream: TcpStream, up: bool, now: i64) -> io::Result<WireKey> {
+    fn register(&mut self, stream: TcpStream, up: bool, now: i64) -> io::Result<ConnectionId> {
         stream.set_nodelay(true)?;
-        let key = self.wires.insert(Wire {
+        let key = self.connections.insert(Connection {
             stream,
-            up,
+            connected: up,
             input: Vec::new(),
-            most: usize::MAX,
+            max_input_bytes: usize::MAX,
             output: Vec::new(),
-            written: 0,
-            sent: 0,
-            unread: false,
-            marked: false,
-            heard: now,
+            written_bytes: 0,
+            sent_bytes: 0,
+            has_unread: false,
+            flush_pending: false,
+            last_received_at: now,
         });
         let interest = Interest::READABLE | Interest::WRITABLE;
         match self
             .poll
             .registry()
-            .register(&mut self.wires[key].stream, token(key), interest)
+            .register(&mut self.connections[key].stream, token(key), interest)
         {
             Ok(()) => Ok(key),
             Err(error) => {
-                self.wires.remove(key);
+                self.connections.remove(key);
                 Err(error)
             }
         }
     }
 
     /// A connection.
-    pub fn get(&self, key: WireKey) -> Option<&Wire> {
-        self.wires.get(key)
+    pub fn get(&self, key: ConnectionId) -> Option<&Connection> {
+        self.connections.get(key)
     }
 
     /// A connection, to take from its input.
-    pub fn get_mut(&mut self, key: WireKey) -> Option<&mut Wire> {
-        self.wires.get_mut(key)
+    pub fn get_mut(&mut self, key: ConnectionId) -> Option<&mut Connection> {
+        self.connections.get_mut(key)
     }
 
     /// When the last wait ended, before anything was read; and whether it brought all that was there.
-    pub fn woken(&self) -> (i64, bool) {
-        self.woken
+    pub fn last_wake(&self) -> (i64, bool) {
+        self.last_wake
     }
 
     /// How many there are.
     pub fn len(&self) -> usize {
-        self.wires.len()
+        self.connections.len()
     }
 
     /// Bytes that all of them hold: what came and was not taken, what is not written, and room kept for more.
-    pub fn held(&self) -> usize {
-        self.wires
+    pub fn buffered_bytes(&self) -> usize {
+        self.connections
             .values()
             .map(|wire| wire.input.capacity() + wire.output.capacity())
             .sum()
@@ -222,33 +222,33 @@
 
     /// There are none.
     pub fn is_empty(&self) -> bool {
-        self.wires.is_empty()
+        self.connections.is_empty()
     }
 
     /// What is to be written on a connection at the end of the turn; none if it is gone.
-    pub fn output(&mut self, key: WireKey) -> Option<&mut Vec<u8>> {
-        let wire = self.wires.get_mut(key)?;
-        if !std::mem::replace(&mut wire.marked, true) {
-            self.dirty.push(key);
+    pub fn output(&mut self, key: ConnectionId) -> Option<&mut Vec<u8>> {
+        let wire = self.connections.get_mut(key)?;
+        if !std::mem::replace(&mut wire.flush_pending, true) {
+            self.flush_queue.push(key);
         }
         Some(&mut wire.output)
     }
 
     /// Closes a connection. What was not written is lost.
-    pub fn close(&mut self, key: WireKey) -> Option<Wire> {
-        self.wires.remove(key)
+    pub fn close(&mut self, key: ConnectionId) -> Option<Connection> {
+        self.connections.remove(key)
     }
 
     /// Tells the other side that nothing more follows; what it still sends is read.
-    pub fn shut(&mut self, key: WireKey) {
-        if let Some(wire) = self.wires.get(key) {
+    pub fn shutdown_write(&mut self, key: ConnectionId) {
+        if let Some(wire) = self.connections.get(key) {
             // One that broke is seen as such when it is read.
             let _ = wire.stream.shutdown(Shutdown::Write);
         }
     }
 
     /// No connection is taken until this is turned on again.
-    pub fn accepting(&mut self, accepting: bool, now: i64, happenings: &mut Vec<Happening>) {
+    pub fn set_accepting(&mut self, accepting: bool, now: i64, happenings: &mut Vec<IoEvent>) {
         if accepting && !std::mem::replace(&mut self.accepting, accepting) {
             (0..self.listeners.len()).for_each(|number| self.accept(number, now, happenings));
         }
@@ -256,8 +256,12 @@
     }
 
     /// Reads what had to wait because the input was full.
-    pub fn resume(&mut self, key: WireKey, now: i64, happenings: &mut Vec<Happening>) {
-        if self.wires.get(key).is_some_and(|wire| wire.unread) {
+    pub fn resume_reading(&mut self, key: ConnectionId, now: i64, happenings: &mut Vec<IoEvent>) {
+        if self
+            .connections
+            .get(key)
+            .is_some_and(|wire| wire.has_unread)
+        {
             self.read(key, true, now, happenings);
         }
     }
@@ -270,35 +274,35 @@
         &mut self,
         until: Option<i64>,
         clock: impl Fn() -> i64,
-        happenings: &mut Vec<Happening>,
+        happenings: &mut Vec<IoEvent>,
     ) -> io::Result<()> {
         // Up to the next millisecond: one that ends a little early would only wait again.
         let span = until.map(|at| Duration::from_micros(at.saturating_sub(clock()).max(0) as u64));
         let mut events = std::mem::replace(&mut self.events, Events::with_capacity(0));
         let waited = self.poll.poll(&mut events, span);
         let now = clock();
-        self.woken = (now, events.iter().count() < EVENTS);
+        self.last_wake = (now, events.iter().count() < MAX_EVENTS);
         for event in &events {
             match event.token() {
-                SIGNALS => happenings.extend(self.signals.pending().map(Happening::Signal)),
+                SIGNALS => happenings.extend(self.signals.pending().map(IoEvent::Signal)),
                 Token(number) if number < self.listeners.len() => {
                     self.accept(number, now, happenings)
                 }
                 Token(number) => {
-                    let key = WireKey::from(KeyData::from_ffi(number as u64));
-                    let Some(wire) = self.wires.get_mut(key) else {
+                    let key = ConnectionId::from(KeyData::from_ffi(number as u64));
+                    let Some(wire) = self.connections.get_mut(key) else {
                         continue;
                     };
-                    if !wire.up {
+                    if !wire.connected {
                         if event.is_error() || event.is_write_closed() {
-                            happenings.push(Happening::Broken(key));
+                            happenings.push(IoEvent::Failed(key));
                             continue;
                         }
                         if !event.is_writable() {
                             continue;
                         }
-                        wire.up = true;
-                        happenings.push(Happening::Up(key));
+                        wire.connected = true;
+                        happenings.push(IoEvent::Connected(key));
                     }
                     if event.is_writable() && wire.backlog() > 0 {
                         self.flush(key, happenings);
@@ -317,7 +321,7 @@
         }
     }
 
-    fn accept(&mut self, number: usize, now: i64, happenings: &mut Vec<Happening>) {
+    fn accept(&mut self, number: usize, now: i64, happenings: &mut Vec<IoEvent>) {
         while self.accepting {
             let Some(Some(listener)) = self.listeners.get(number) else {
                 return;
@@ -325,7 +329,7 @@
             match listener.accept() {
                 Ok((stream, _)) => {
                     if let Ok(key) = self.register(stream, true, now) {
-                        happenings.push(Happening::Accepted(number, key));
+                        happenings.push(IoEvent::Accepted(number, key));
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -336,24 +340,30 @@
     }
 
     /// Reads what is there. A read that fills less than was asked for has taken all: an end is told by the event.
-    fn read(&mut self, key: WireKey, to_the_end: bool, now: i64, happenings: &mut Vec<Happening>) {
-        let Some(wire) = self.wires.get_mut(key) else {
+    fn read(
+        &mut self,
+        key: ConnectionId,
+        to_the_end: bool,
+        now: i64,
+        happenings: &mut Vec<IoEvent>,
+    ) {
+        let Some(wire) = self.connections.get_mut(key) else {
             return;
         };
         let before = wire.input.len();
         let mut last = None;
         loop {
             let room = wire
-                .most
+                .max_input_bytes
                 .saturating_sub(wire.input.len())
                 .min(self.scratch.len());
-            wire.unread = room == 0;
+            wire.has_unread = room == 0;
             if room == 0 {
                 break;
             }
             match wire.stream.read(&mut self.scratch[..room]) {
                 Ok(0) => {
-                    last = Some(Happening::Ended(key));
+                    last = Some(IoEvent::PeerClosed(key));
                     break;
                 }
                 Ok(length) => {
@@ -365,56 +375,56 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
-                    last = Some(Happening::Broken(key));
+                    last = Some(IoEvent::Failed(key));
                     break;
                 }
             }
         }
         if wire.input.len() > before {
-            wire.heard = now;
-            happenings.push(Happening::Came(key));
+            wire.last_received_at = now;
+            happenings.push(IoEvent::Received(key));
         }
         happenings.extend(last);
     }
 
     /// Writes all that is to be written. To be called until it tells of nothing more.
-    pub fn flush_all(&mut self, happenings: &mut Vec<Happening>) {
-        let mut dirty = std::mem::take(&mut self.dirty);
+    pub fn flush_all(&mut self, happenings: &mut Vec<IoEvent>) {
+        let mut dirty = std::mem::take(&mut self.flush_queue);
         for key in dirty.drain(..) {
-            if let Some(wire) = self.wires.get_mut(key) {
-                wire.marked = false;
-                if wire.up && wire.backlog() > 0 {
+            if let Some(wire) = self.connections.get_mut(key) {
+                wire.flush_pending = false;
+                if wire.connected && wire.backlog() > 0 {
                     self.flush(key, happenings);
                 }
             }
         }
-        self.dirty = dirty;
+        self.flush_queue = dirty;
     }
 
-    fn flush(&mut self, key: WireKey, happenings: &mut Vec<Happening>) {
-        let Some(wire) = self.wires.get_mut(key) else {
+    fn flush(&mut self, key: ConnectionId, happenings: &mut Vec<IoEvent>) {
+        let Some(wire) = self.connections.get_mut(key) else {
             return;
         };
-        while wire.written < wire.output.len() {
-            match wire.stream.write(&wire.output[wire.written..]) {
+        while wire.written_bytes < wire.output.len() {
+            match wire.stream.write(&wire.output[wire.written_bytes..]) {
                 Ok(length) => {
-                    wire.written += length;
-                    wire.sent += length as u64;
+                    wire.written_bytes += length;
+                    wire.sent_bytes += length as u64;
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 // Danger: what came before the connection broke may be an answer, and say that nothing was run. It is told
                 // ahead of the break.
                 Err(_) => {
-                    self.read(key, true, self.woken.0, happenings);
-                    return happenings.push(Happening::Broken(key));
+                    self.read(key, true, self.last_wake.0, happenings);
+                    return happenings.push(IoEvent::Failed(key));
                 }
             }
         }
         wire.output.clear();
-        wire.output.shrink_to(KEPT);
-        wire.written = 0;
-        happenings.push(Happening::Written(key));
+        wire.output.shrink_to(MAX_IDLE_BUFFER_BYTES);
+        wire.written_bytes = 0;
+        happenings.push(IoEvent::Flushed(key));
     }
 }
 
@@ -423,7 +433,7 @@
     use super::*;
 
     /// Turns until something of the wanted kind happens; bounded.
-    fn until(wires: &mut Wires, wanted: fn(&Happening) -> bool) -> Happening {
+    fn until(wires: &mut Connections, wanted: fn(&IoEvent) -> bool) -> IoEvent {
         for _ in 0..200 {
             let mut happenings = Vec::new();
             wires.flush_all(&mut happenings);
@@ -437,51 +447,53 @@
 
     #[test]
     fn what_is_beyond_the_inputs_room_waits_and_an_end_is_told_after_what_came() {
-        let mut wires = Wires::new(&[]).unwrap();
+        let mut wires = Connections::new(&[]).unwrap();
         let (_, address) = wires.listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let near = wires.connect(address, 0).unwrap();
-        let Happening::Accepted(0, far) =
-            until(&mut wires, |h| matches!(h, Happening::Accepted(..)))
+        let IoEvent::Accepted(0, far) = until(&mut wires, |h| matches!(h, IoEvent::Accepted(..)))
         else {
             panic!()
         };
-        wires.get_mut(far).unwrap().most = 3;
+        wires.get_mut(far).unwrap().max_input_bytes = 3;
         wires.output(near).unwrap().extend_from_slice(b"hello");
-        until(&mut wires, |h| matches!(h, Happening::Came(_)));
+        until(&mut wires, |h| matches!(h, IoEvent::Received(_)));
         assert_eq!(wires.get(far).unwrap().input, b"hel");
         wires.get_mut(far).unwrap().input.clear();
         wires.close(near);
         let mut happenings = Vec::new();
         for _ in 0..200 {
-            wires.get_mut(far).unwrap().most = 100;
-            wires.resume(far, 0, &mut happenings);
+            wires.get_mut(far).unwrap().max_input_bytes = 100;
+            wires.resume_reading(far, 0, &mut happenings);
             wires.wait(Some(1_000), || 0, &mut happenings).unwrap();
-            if happenings.contains(&Happening::Ended(far)) {
+            if happenings.contains(&IoEvent::PeerClosed(far)) {
                 break;
             }
         }
         assert_eq!(wires.get(far).unwrap().input, b"lo");
-        let came = happenings.iter().position(|h| *h == Happening::Came(far));
-        assert!(came < happenings.iter().position(|h| *h == Happening::Ended(far)));
+        let came = happenings.iter().position(|h| *h == IoEvent::Received(far));
+        assert!(
+            came < happenings
+                .iter()
+                .position(|h| *h == IoEvent::PeerClosed(far))
+        );
     }
 
     #[test]
     fn what_came_ahead_of_a_reset_is_told_ahead_of_it_also_where_a_write_meets_it_first() {
-        let mut wires = Wires::new(&[]).unwrap();
+        let mut wires = Connections::new(&[]).unwrap();
         let (_, address) = wires.listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let near = wires.connect(address, 0).unwrap();
-        let Happening::Accepted(0, far) =
-            until(&mut wires, |h| matches!(h, Happening::Accepted(..)))
+        let IoEvent::Accepted(0, far) = until(&mut wires, |h| matches!(h, IoEvent::Accepted(..)))
         else {
             panic!()
         };
-        wires.get_mut(far).unwrap().most = 0;
+        wires.get_mut(far).unwrap().max_input_bytes = 0;
         wires
             .output(near)
             .unwrap()
             .extend_from_slice(b"a part of a request");
-        until(&mut wires, |h| matches!(h, Happening::Written(_)));
-        assert_eq!(wires.get(near).unwrap().sent(), 19);
+        until(&mut wires, |h| matches!(h, IoEvent::Flushed(_)));
+        assert_eq!(wires.get(near).unwrap().sent_bytes(), 19);
         // It answers without reading on, and closes: what it had not read resets the connection.
         wires
             .get_mut(far)
@@ -495,12 +507,12 @@
         wires.flush_all(&mut happenings);
         let place = |wanted| happenings.iter().position(|h| *h == wanted);
         assert!(
-            place(Happening::Came(near)) < place(Happening::Broken(near)),
+            place(IoEvent::Received(near)) < place(IoEvent::Failed(near)),
             "{happenings:?}"
         );
         assert_eq!(
             (
-                place(Happening::Came(near)).is_some(),
+                place(IoEvent::Received(near)).is_some(),
                 &wires.get(near).unwrap().input[..]
             ),
             (true, &b"not run"[..])
@@ -509,7 +521,7 @@
 
     #[test]
     fn what_was_due_at_any_time_before_is_not_waited_for() {
-        let mut wires = Wires::new(&[]).unwrap();
+        let mut wires = Connections::new(&[]).unwrap();
         wires
             .wait(Some(i64::MIN), || 1_000_000, &mut Vec::new())
             .unwrap();
@@ -517,7 +529,7 @@
 
     #[test]
     fn the_key_of_a_connection_that_is_gone_finds_nothing() {
-        let mut wires = Wires::new(&[]).unwrap();
+        let mut wires = Connections::new(&[]).unwrap();
         let (_, address) = wires.listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let old = wires.connect(address, 0).unwrap();
         wires.close(old);
--- a/crates/protocol/src/spans.rs
+++ b/crates/protocol/src/duration.rs
@@ -5,11 +5,11 @@
 
 /// A span of time in microseconds, written as `1500ms` or `2.5s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub i64);
+pub struct ConfigDuration(pub i64);
 
-impl Span {
+impl ConfigDuration {
     /// Reads a text.
-    pub fn read(text: &str) -> Option<Span> {
+    pub fn parse(text: &str) -> Option<ConfigDuration> {
         let text = text.trim();
         let (number, unit) = match text.strip_suffix("ms") {
             Some(number) => (number, 1e3),
@@ -17,7 +17,8 @@
         };
         let number: f64 = number.trim().parse().ok()?;
         let micros = number * unit;
-        (micros.is_finite() && (0.0..9e15).contains(&micros)).then_some(Span(micros as i64))
+        (micros.is_finite() && (0.0..9e15).contains(&micros))
+            .then_some(ConfigDuration(micros as i64))
     }
 
     /// Whole milliseconds in it.
@@ -26,15 +27,15 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Span {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Span, D::Error> {
+impl<'de> Deserialize<'de> for ConfigDuration {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<ConfigDuration, D::Error> {
         let text = String::deserialize(from)?;
-        Span::read(&text)
+        ConfigDuration::parse(&text)
             .ok_or_else(|| D::Error::custom(format!("{text:?} is no time such as 1500ms or 2.5s")))
     }
 }
 
-impl Serialize for Span {
+impl Serialize for ConfigDuration {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         to.collect_str(&format_args!("{}ms", self.0 as f64 / 1000.0))
     }
@@ -42,7 +43,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::Span;
+    use super::ConfigDuration;
     use test_case::test_case;
 
     #[test_case("1500ms", Some(1_500_000); "milliseconds")]
@@ -52,6 +53,6 @@
     #[test_case("-1s", None; "below nothing")]
     #[test_case("infs", None; "no number")]
     fn a_time_is_a_number_and_its_unit(text: &str, micros: Option<i64>) {
-        assert_eq!(Span::read(text).map(|span| span.0), micros);
+        assert_eq!(ConfigDuration::parse(text).map(|span| span.0), micros);
     }
 }
--- a/crates/protocol/src/frames.rs
+++ b/crates/protocol/src/frames.rs
@@ -6,30 +6,30 @@
 use serde::de::DeserializeOwned;
 
 /// Longest message, in bytes.
-pub const LONGEST: usize = 16 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Why bytes are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Garbled {
+pub enum DecodeError {
     /// Longer than any message.
-    Length,
+    TooLong,
     /// Not of the kind that is spoken here.
-    Content,
+    Malformed,
 }
 
-impl fmt::Display for Garbled {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Garbled::Length => "a message longer than any",
-            Garbled::Content => "a message of another kind",
+            DecodeError::TooLong => "a message longer than any",
+            DecodeError::Malformed => "a message of another kind",
         })
     }
 }
 
-impl std::error::Error for Garbled {}
+impl std::error::Error for DecodeError {}
 
 /// Appends a message to what is to be written.
-pub fn put<T: Serialize>(out: &mut Vec<u8>, message: &T) {
+pub fn encode<T: Serialize>(out: &mut Vec<u8>, message: &T) {
     let at = out.len();
     out.extend_from_slice(&[0; 4]);
     match postcard::to_extend(message, std::mem::take(out)) {
@@ -47,20 +47,20 @@
 ///
 /// # Errors
 /// What is there is none; the connection is of no more use.
-pub fn take<T: DeserializeOwned>(input: &mut Vec<u8>) -> Result<Option<T>, Garbled> {
+pub fn decode<T: DeserializeOwned>(input: &mut Vec<u8>) -> Result<Option<T>, DecodeError> {
     let Some((length, rest)) = input.split_first_chunk::<4>() else {
         return Ok(None);
     };
     let length = u32::from_le_bytes(*length) as usize;
-    if length > LONGEST {
-        return Err(Garbled::Length);
+    if length > MAX_MESSAGE_BYTES {
+        return Err(DecodeError::TooLong);
     }
     let Some(bytes) = rest.get(..length) else {
         return Ok(None);
     };
-    let (message, left) = postcard::take_from_bytes(bytes).map_err(|_| Garbled::Content)?;
+    let (message, left) = postcard::take_from_bytes(bytes).map_err(|_| DecodeError::Malformed)?;
     if !left.is_empty() {
-        return Err(Garbled::Content);
+        return Err(DecodeError::Malformed);
     }
     input.drain(..4 + length);
     Ok(Some(message))
@@ -69,28 +69,28 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::messages::{Add, Up};
+    use crate::messages::{AgentMessage, CounterAdd};
 
     #[test]
     fn messages_cut_at_every_byte_come_out_whole_and_in_order() {
         let sent = [
-            Up::Clock(5),
-            Up::Adds {
+            AgentMessage::Clock(5),
+            AgentMessage::CounterBatch {
                 batch: 3,
                 time: 8,
-                adds: vec![Add {
-                    name: 9,
+                adds: vec![CounterAdd {
+                    counter: 9,
                     units: -1.5,
-                    life: 7,
+                    ttl: 7,
                 }],
             },
         ];
         let mut bytes = Vec::new();
-        sent.iter().for_each(|message| put(&mut bytes, message));
+        sent.iter().for_each(|message| encode(&mut bytes, message));
         let (mut input, mut got) = (Vec::new(), Vec::new());
         for byte in bytes {
             input.push(byte);
-            got.extend(take::<Up>(&mut input).unwrap());
+            got.extend(decode::<AgentMessage>(&mut input).unwrap());
         }
         assert_eq!(got, sent);
     }
@@ -98,14 +98,17 @@
     #[test]
     fn what_is_no_message_is_told_apart_from_what_is_not_whole() {
         assert_eq!(
-            take::<Up>(&mut vec![255, 255, 255, 255]),
-            Err(Garbled::Length)
+            decode::<AgentMessage>(&mut vec![255, 255, 255, 255]),
+            Err(DecodeError::TooLong)
         );
-        assert_eq!(take::<Up>(&mut vec![1, 0, 0, 0, 99]), Err(Garbled::Content));
-        assert_eq!(take::<Up>(&mut vec![2, 0, 0, 0, 1]), Ok(None));
         assert_eq!(
-            take::<Up>(&mut vec![2, 0, 0, 0, 1, 9]),
-            Err(Garbled::Content)
+            decode::<AgentMessage>(&mut vec![1, 0, 0, 0, 99]),
+            Err(DecodeError::Malformed)
+        );
+        assert_eq!(decode::<AgentMessage>(&mut vec![2, 0, 0, 0, 1]), Ok(None));
+        assert_eq!(
+            decode::<AgentMessage>(&mut vec![2, 0, 0, 0, 1, 9]),
+            Err(DecodeError::Malformed)
         );
     }
 }
--- a/crates/protocol/src/items.rs
+++ b/crates/protocol/src/items.rs
@@ -9,11 +9,11 @@
 use serde_json::{Value, json};
 use validator::{Validate, ValidationError};
 
-use crate::spans::Span;
+use crate::duration::ConfigDuration;
 
 /// What an item is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum ItemKind {
     /// A route.
     Route,
     /// A tenant.
@@ -26,37 +26,42 @@
     Zone,
 }
 
-impl Kind {
+impl ItemKind {
     /// The word for it in calls. Zones have none: they are ordered by calls of their own.
-    pub fn word(self) -> &'static str {
+    pub fn wire_name(self) -> &'static str {
         match self {
-            Kind::Route => "routes",
-            Kind::Tenant => "tenants",
-            Kind::Service => "svcs",
-            Kind::Limits => "limits",
-            Kind::Zone => "zones",
+            ItemKind::Route => "routes",
+            ItemKind::Tenant => "tenants",
+            ItemKind::Service => "svcs",
+            ItemKind::Limits => "limits",
+            ItemKind::Zone => "zones",
         }
     }
 
-    fn read(word: &str) -> Option<Kind> {
-        [Kind::Route, Kind::Tenant, Kind::Service, Kind::Limits]
-            .into_iter()
-            .find(|kind| kind.word() == word)
+    fn read(word: &str) -> Option<ItemKind> {
+        [
+            ItemKind::Route,
+            ItemKind::Tenant,
+            ItemKind::Service,
+            ItemKind::Limits,
+        ]
+        .into_iter()
+        .find(|kind| kind.wire_name() == word)
     }
 }
 
 /// The name of an item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Name {
+pub struct ItemName {
     /// What it is.
-    pub kind: Kind,
+    pub kind: ItemKind,
     /// Its name among its kind; empty for the limits.
     pub name: String,
 }
 
-impl fmt::Display for Name {
+impl fmt::Display for ItemName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}", self.kind.word(), self.name)
+        write!(f, "{}/{}", self.kind.wire_name(), self.name)
     }
 }
 
@@ -64,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Item {
     /// Its name.
-    pub name: Name,
+    pub name: ItemName,
     /// Its version.
     pub ver: u64,
     /// Everything else, as the text that was sent; none where it was dropped.
@@ -74,9 +79,10 @@
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Repeat {
+pub enum Idempotency {
     /// May run more than once.
-    Idem,
+    #[serde(rename = "idem")]
+    Idempotent,
     /// At most once for each try of a client.
     Mutating,
     /// A large body; as mutating.
@@ -85,7 +91,7 @@
 
 /// A service of a split, and its weight.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
-pub struct Split {
+pub struct TrafficSplit {
     /// The service.
     pub svc: String,
     /// Its weight.
@@ -95,19 +101,19 @@
 
 /// A route.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
-#[validate(schema(function = "in_time"))]
+#[validate(schema(function = "check_route"))]
 pub struct Route {
     /// The host that it is of.
     pub host: String,
     /// What its paths begin with.
-    #[validate(custom(function = "slashed"))]
+    #[validate(custom(function = "check_prefix"))]
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Repeat,
+    pub kind: Idempotency,
     /// Longest time that a request is held.
-    pub timeout: Span,
+    pub timeout: ConfigDuration,
     /// An answer within this earns its full worth.
-    pub target_time: Span,
+    pub target_time: ConfigDuration,
     /// Its rank; 0 is highest.
     #[serde(default)]
     pub prio: u32,
@@ -117,9 +123,9 @@
     /// ...or several.
     #[serde(default)]
     #[validate(nested)]
-    pub split: Vec<Split>,
+    pub split: Vec<TrafficSplit>,
     /// Most servers that one try is sent to.
-    #[serde(default = "one")]
+    #[serde(default = "default_tries")]
     pub tries: u32,
     /// It needs no key.
     #[serde(default)]
@@ -129,36 +135,39 @@
     pub pins: Vec<String>,
 }
 
-fn one() -> u32 {
+fn default_tries() -> u32 {
     1
 }
 
-fn fault(key: &'static str, text: &'static str) -> ValidationError {
+fn validation_error(key: &'static str, text: &'static str) -> ValidationError {
     let mut error = ValidationError::new(key);
     error.message = Some(text.into());
     error
 }
 
-fn slashed(prefix: &str) -> Result<(), ValidationError> {
+fn check_prefix(prefix: &str) -> Result<(), ValidationError> {
     if prefix.starts_with('/') {
         Ok(())
     } else {
-        Err(fault("prefix", "does not begin with a slash"))
+        Err(validation_error("prefix", "does not begin with a slash"))
     }
 }
 
 /// A target so far over the time-out makes no sense.
-const MINUTE: i64 = 60_000_000;
+const MAX_TARGET_OVER_TIMEOUT: i64 = 60_000_000;
 
-fn in_time(route: &Route) -> Result<(), ValidationError> {
-    if route.target_time.0 - route.timeout.0 >= MINUTE {
-        return Err(fault(
+fn check_route(route: &Route) -> Result<(), ValidationError> {
+    if route.target_time.0 - route.timeout.0 >= MAX_TARGET_OVER_TIMEOUT {
+        return Err(validation_error(
             "target_time",
             "target_time: a minute or more over timeout",
         ));
     }
     if route.svc.is_none() == route.split.is_empty() {
-        return Err(fault("svc", "svc: either svc or split is wanted"));
+        return Err(validation_error(
+            "svc",
+            "svc: either svc or split is wanted",
+        ));
     }
     Ok(())
 }
@@ -204,18 +213,18 @@
     #[serde(default)]
     pub hcheck: String,
     /// Most connections that one of its servers takes from all callers together.
-    #[serde(default = "many")]
+    #[serde(default = "default_maxconn")]
     pub maxconn: u32,
     /// How long a server stays cold.
     #[serde(default)]
-    pub warmup: Span,
+    pub warmup: ConfigDuration,
     /// Requests a second that a cold server bears.
     #[serde(default)]
     #[validate(range(min = 0.0))]
     pub cold_rate_s: f64,
 }
 
-fn many() -> u32 {
+fn default_maxconn() -> u32 {
     100
 }
 
@@ -228,22 +237,22 @@
     /// Longest body, in bytes.
     pub body_bytes: u64,
     /// Time for a head.
-    pub hdr: Span,
+    pub hdr: ConfigDuration,
     /// Time between two requests.
-    pub idle: Span,
+    pub idle: ConfigDuration,
 }
 
 /// Why a call is not taken. Nothing of it comes into force.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Invalid(pub String);
+pub struct ConfigError(pub String);
 
-impl fmt::Display for Invalid {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Invalid {}
+impl std::error::Error for ConfigError {}
 
 #[derive(Deserialize)]
 struct Patch<'a> {
@@ -278,14 +287,15 @@
 ///
 /// # Errors
 /// It is dropped, or is not what its kind wants.
-pub fn spec<T: for<'a> Deserialize<'a> + Validate>(item: &Item) -> Result<T, Invalid> {
+pub fn parse_spec<T: for<'a> Deserialize<'a> + Validate>(item: &Item) -> Result<T, ConfigError> {
     let text = item
         .spec
         .as_deref()
-        .ok_or_else(|| Invalid(format!("{}: dropped", item.name)))?;
-    let read: T = serde_json::from_str(text).map_err(|e| Invalid(format!("{}: {e}", item.name)))?;
+        .ok_or_else(|| ConfigError(format!("{}: dropped", item.name)))?;
+    let read: T =
+        serde_json::from_str(text).map_err(|e| ConfigError(format!("{}: {e}", item.name)))?;
     read.validate().map_err(|e| {
-        Invalid(format!(
+        ConfigError(format!(
             "{}: {}",
             item.name,
             e.to_string().replace('\n', "; ")
@@ -295,39 +305,39 @@
 }
 
 /// Checks one item by itself.
-fn check(item: &Item) -> Result<(), Invalid> {
-    if item.name.name.is_empty() != (item.name.kind == Kind::Limits) {
-        return Err(Invalid(format!(
+fn check_item(item: &Item) -> Result<(), ConfigError> {
+    if item.name.name.is_empty() != (item.name.kind == ItemKind::Limits) {
+        return Err(ConfigError(format!(
             "{}: a name is wanted, and none for limits",
             item.name
         )));
     }
     match (item.name.kind, &item.spec) {
-        (_, None) | (Kind::Zone, _) => Ok(()),
-        (Kind::Route, _) => spec::<Route>(item).map(|_| ()),
-        (Kind::Tenant, _) => spec::<Tenant>(item).map(|_| ()),
-        (Kind::Service, _) => spec::<Service>(item).map(|_| ()),
-        (Kind::Limits, _) => spec::<ClientLimits>(item).map(|_| ()),
+        (_, None) | (ItemKind::Zone, _) => Ok(()),
+        (ItemKind::Route, _) => parse_spec::<Route>(item).map(|_| ()),
+        (ItemKind::Tenant, _) => parse_spec::<Tenant>(item).map(|_| ()),
+        (ItemKind::Service, _) => parse_spec::<Service>(item).map(|_| ()),
+        (ItemKind::Limits, _) => parse_spec::<ClientLimits>(item).map(|_| ()),
     }
 }
 
 /// The items that stand, dropped ones included: they keep their version.
-pub type Items = BTreeMap<Name, Item>;
+pub type Items = BTreeMap<ItemName, Item>;
 
 /// Items that stand, wherever they are kept: a call is checked against the few that it has to do with.
-pub trait Held {
+pub trait ItemLookup {
     /// One of them.
-    fn held(&self, name: &Name) -> Option<&Item>;
+    fn find_item(&self, name: &ItemName) -> Option<&Item>;
     /// All of them.
-    fn all(&self) -> impl Iterator<Item = &Item>;
+    fn all_items(&self) -> impl Iterator<Item = &Item>;
 }
 
-impl Held for Items {
-    fn held(&self, name: &Name) -> Option<&Item> {
+impl ItemLookup for Items {
+    fn find_item(&self, name: &ItemName) -> Option<&Item> {
         self.get(name)
     }
 
-    fn all(&self) -> impl Iterator<Item = &Item> {
+    fn all_items(&self) -> impl Iterator<Item = &Item> {
         self.values()
     }
 }
@@ -336,14 +346,14 @@
 ///
 /// # Errors
 /// The first fault, by the item and the key.
-pub fn read_patch(bytes: &[u8], standing: &impl Held) -> Result<Vec<Item>, Invalid> {
+pub fn parse_patch(bytes: &[u8], standing: &impl ItemLookup) -> Result<Vec<Item>, ConfigError> {
     let patch: Patch<'_> =
-        serde_json::from_slice(bytes).map_err(|e| Invalid(format!("call: {e}")))?;
+        serde_json::from_slice(bytes).map_err(|e| ConfigError(format!("call: {e}")))?;
     let mut items = Vec::new();
     for object in patch.upsert.objs {
-        let kind = Kind::read(&object.r#type)
-            .ok_or_else(|| Invalid(format!("type: {:?}", object.r#type)))?;
-        let name = Name {
+        let kind = ItemKind::read(&object.r#type)
+            .ok_or_else(|| ConfigError(format!("type: {:?}", object.r#type)))?;
+        let name = ItemName {
             kind,
             name: object.meta.name,
         };
@@ -354,9 +364,9 @@
         });
     }
     for (word, metas) in patch.remove {
-        let kind = Kind::read(&word).ok_or_else(|| Invalid(format!("remove: {word:?}")))?;
+        let kind = ItemKind::read(&word).ok_or_else(|| ConfigError(format!("remove: {word:?}")))?;
         let dropped = |meta: Meta| Item {
-            name: Name {
+            name: ItemName {
                 kind,
                 name: meta.name,
             },
@@ -365,24 +375,24 @@
         };
         items.extend(metas.into_iter().map(dropped));
     }
-    items.iter().try_for_each(check)?;
-    let items = newest(items)?;
-    refers(&items, standing)?;
+    items.iter().try_for_each(check_item)?;
+    let items = keep_newest_versions(items)?;
+    check_references(&items, standing)?;
     Ok(items)
 }
 
 /// Of items that a call names twice the one with the higher version, as if they had come one after the other.
-fn newest(items: Vec<Item>) -> Result<Vec<Item>, Invalid> {
+fn keep_newest_versions(items: Vec<Item>) -> Result<Vec<Item>, ConfigError> {
     let mut newest: Vec<Item> = Vec::with_capacity(items.len());
-    let mut places: BTreeMap<Name, usize> = BTreeMap::new();
+    let mut places: BTreeMap<ItemName, usize> = BTreeMap::new();
     for item in items {
         match places.get(&item.name).map(|at| &mut newest[*at]) {
             None => {
                 places.insert(item.name.clone(), newest.len());
                 newest.push(item);
             }
-            Some(held) if held.ver == item.ver && !same(held, &item) => {
-                return Err(Invalid(format!("{}: twice at one version", item.name)));
+            Some(held) if held.ver == item.ver && !has_same_content(held, &item) => {
+                return Err(ConfigError(format!("{}: twice at one version", item.name)));
             }
             Some(held) if held.ver < item.ver => *held = item,
             Some(_) => {}
@@ -393,11 +403,11 @@
 
 /// Whether what these say can be in order or not by what else stands: routes name services, and a service that is dropped
 /// may be named.
-pub fn depend_on_others(items: &[Item]) -> bool {
+pub fn depends_on_other_items(items: &[Item]) -> bool {
     items.iter().any(|item| match item.name.kind {
-        Kind::Route => item.spec.is_some(),
-        Kind::Service => item.spec.is_none(),
-        Kind::Tenant | Kind::Limits | Kind::Zone => false,
+        ItemKind::Route => item.spec.is_some(),
+        ItemKind::Service => item.spec.is_none(),
+        ItemKind::Tenant | ItemKind::Limits | ItemKind::Zone => false,
     })
 }
 
@@ -405,28 +415,30 @@
 ///
 /// An item whose version stands already, or was overtaken, has no effect: a call that was taken may be sent again after its
 /// services were dropped. Dropped items keep their version, so that what such a route names must be known at least.
-fn refers(items: &[Item], standing: &impl Held) -> Result<(), Invalid> {
+fn check_references(items: &[Item], standing: &impl ItemLookup) -> Result<(), ConfigError> {
     let newer = |item: &&Item| {
         standing
-            .held(&item.name)
+            .find_item(&item.name)
             .is_none_or(|old| old.ver < item.ver)
     };
-    let new: BTreeMap<&Name, &Item> = items
+    let new: BTreeMap<&ItemName, &Item> = items
         .iter()
         .filter(newer)
         .map(|item| (&item.name, item))
         .collect();
     let after = |svc: &str| {
-        let name = Name {
-            kind: Kind::Service,
+        let name = ItemName {
+            kind: ItemKind::Service,
             name: svc.to_string(),
         };
-        new.get(&name).copied().or_else(|| standing.held(&name))
+        new.get(&name)
+            .copied()
+            .or_else(|| standing.find_item(&name))
     };
     let stands = |svc: &str| after(svc).is_some_and(|item| item.spec.is_some());
     for item in items
         .iter()
-        .filter(|item| item.name.kind == Kind::Route && item.spec.is_some())
+        .filter(|item| item.name.kind == ItemKind::Route && item.spec.is_some())
     {
         let effective = new.contains_key(&item.name);
         let known = |svc: &str| {
@@ -436,30 +448,30 @@
                 after(svc).is_some()
             }
         };
-        first_unknown(item, known)?;
+        check_services_known(item, known)?;
     }
-    let dropped = |item: &&&Item| item.name.kind == Kind::Service && item.spec.is_none();
+    let dropped = |item: &&&Item| item.name.kind == ItemKind::Service && item.spec.is_none();
     let goes: Vec<&str> = new
         .values()
         .filter(dropped)
         .map(|item| item.name.name.as_str())
         .collect();
     let others = (!goes.is_empty())
-        .then(|| standing.all())
+        .then(|| standing.all_items())
         .into_iter()
         .flatten();
-    let others = others.filter(|item| item.name.kind == Kind::Route && item.spec.is_some());
+    let others = others.filter(|item| item.name.kind == ItemKind::Route && item.spec.is_some());
     for item in others.filter(|item| !new.contains_key(&item.name)) {
-        first_unknown(item, |svc| !goes.contains(&svc))?;
+        check_services_known(item, |svc| !goes.contains(&svc))?;
     }
     Ok(())
 }
 
 /// A fault for the first service that a route names and that is not known.
-fn first_unknown(item: &Item, known: impl Fn(&str) -> bool) -> Result<(), Invalid> {
-    let route: Route = spec(item)?;
+fn check_services_known(item: &Item, known: impl Fn(&str) -> bool) -> Result<(), ConfigError> {
+    let route: Route = parse_spec(item)?;
     match route.services().find(|(svc, _)| !known(svc)) {
-        Some((unknown, _)) => Err(Invalid(format!(
+        Some((unknown, _)) => Err(ConfigError(format!(
             "{}: svc: no service {unknown:?}",
             item.name
         ))),
@@ -468,23 +480,23 @@
 }
 
 /// The answer to a reading: every item that stands, as it was sent.
-pub fn write_all<'a>(items: impl Iterator<Item = &'a Item>) -> Vec<u8> {
-    let standing = items.filter(|item| item.name.kind != Kind::Zone);
+pub fn configuration_json<'a>(items: impl Iterator<Item = &'a Item>) -> Vec<u8> {
+    let standing = items.filter(|item| item.name.kind != ItemKind::Zone);
     let objects: Vec<Value> = standing
         .filter_map(|item| {
             let spec: Value = serde_json::from_str(item.spec.as_deref()?).ok()?;
             let meta = match item.name.kind {
-                Kind::Limits => json!({"ver": item.ver}),
+                ItemKind::Limits => json!({"ver": item.ver}),
                 _ => json!({"name": item.name.name, "ver": item.ver}),
             };
-            Some(json!({"type": item.name.kind.word(), "meta": meta, "spec": spec}))
+            Some(json!({"type": item.name.kind.wire_name(), "meta": meta, "spec": spec}))
         })
         .collect();
     json!({ "objs": objects }).to_string().into_bytes()
 }
 
 /// Whether two items say the same: the same spec, however it was laid out.
-pub fn same(a: &Item, b: &Item) -> bool {
+pub fn has_same_content(a: &Item, b: &Item) -> bool {
     let value = |item: &Item| {
         item.spec
             .as_deref()
@@ -515,13 +527,13 @@
 
     #[test]
     fn a_call_is_read_whole_and_read_back_as_it_was_sent() {
-        let items = read_patch(CALL.as_bytes(), &Items::new()).unwrap();
+        let items = parse_patch(CALL.as_bytes(), &Items::new()).unwrap();
         assert_eq!(items.len(), 5);
         assert_eq!(
             (items[4].name.name.as_str(), items[4].spec.as_deref()),
             ("old", None)
         );
-        let back: Value = serde_json::from_slice(&write_all(items.iter())).unwrap();
+        let back: Value = serde_json::from_slice(&configuration_json(items.iter())).unwrap();
         let sent: Value = serde_json::from_str(CALL).unwrap();
         assert_eq!(back["objs"], sent["upsert"]["objs"]);
     }
@@ -535,7 +547,7 @@
     #[test_case(r#""type":"limits""#, r#""type":"rules""#, "type"; "an unknown kind")]
     fn a_call_with_a_fault_is_refused_by_its_key(from: &str, to: &str, key: &str) {
         assert!(CALL.contains(from));
-        let error = read_patch(CALL.replacen(from, to, 1).as_bytes(), &Items::new()).unwrap_err();
+        let error = parse_patch(CALL.replacen(from, to, 1).as_bytes(), &Items::new()).unwrap_err();
         assert!(error.0.contains(key), "{error}");
     }
 
@@ -544,7 +556,7 @@
         let call = r#"{"upsert":{"objs":[{"type":"svcs","meta":{"name":"a","ver":7},"spec":{}},
             {"type":"svcs","meta":{"name":"b","ver":5},"spec":{}},{"type":"svcs","meta":{"name":"a","ver":6},"spec":{}}]},
             "remove":{"svcs":[{"name":"b","ver":9}]}}"#;
-        let items = read_patch(call.as_bytes(), &Items::new()).unwrap();
+        let items = parse_patch(call.as_bytes(), &Items::new()).unwrap();
         let read: Vec<_> = items
             .iter()
             .map(|i| (i.name.name.as_str(), i.ver, i.spec.is_some()))
@@ -555,21 +567,21 @@
     #[test]
     fn a_change_is_checked_against_the_few_items_that_it_names() {
         struct Few(Items);
-        impl Held for Few {
-            fn held(&self, name: &Name) -> Option<&Item> {
+        impl ItemLookup for Few {
+            fn find_item(&self, name: &ItemName) -> Option<&Item> {
                 self.0.get(name)
             }
-            fn all(&self) -> impl Iterator<Item = &Item> {
-                assert!(self.0.is_empty(), "it looks at all that stands");
+            fn all_items(&self) -> impl Iterator<Item = &Item> {
+                assert!(self.0.is_empty(), "it looks at all_items that stands");
                 self.0.values()
             }
         }
-        let standing = Few(stand(read_patch(CALL.as_bytes(), &Items::new()).unwrap()));
+        let standing = Few(stand(parse_patch(CALL.as_bytes(), &Items::new()).unwrap()));
         let call = |svc: &str| {
             CALL.replace(r#""ver":7"#, r#""ver":8"#)
                 .replace(r#"{"svc":"b","wt":10}"#, svc)
         };
-        let named = |svc: &str| read_patch(call(svc).as_bytes(), &standing);
+        let named = |svc: &str| parse_patch(call(svc).as_bytes(), &standing);
         assert_eq!(
             named(r#"{"svc":"b","wt":11}"#).map(|items| items.len()),
             Ok(5)
@@ -579,19 +591,19 @@
 
     #[test]
     fn a_service_that_a_standing_route_names_is_not_dropped() {
-        let standing = stand(read_patch(CALL.as_bytes(), &Items::new()).unwrap());
+        let standing = stand(parse_patch(CALL.as_bytes(), &Items::new()).unwrap());
         let drop = |ver: u64| format!(r#"{{"remove":{{"svcs":[{{"name":"b","ver":{ver}}}]}}}}"#);
-        assert!(read_patch(drop(8).as_bytes(), &standing).is_err());
+        assert!(parse_patch(drop(8).as_bytes(), &standing).is_err());
         // Without effect, it harms nothing.
-        assert!(read_patch(drop(6).as_bytes(), &standing).is_ok());
+        assert!(parse_patch(drop(6).as_bytes(), &standing).is_ok());
     }
 
     #[test]
     fn no_drop_is_refused_for_a_route_that_names_another_service_that_is_gone() {
-        let mut standing = stand(read_patch(CALL.as_bytes(), &Items::new()).unwrap());
+        let mut standing = stand(parse_patch(CALL.as_bytes(), &Items::new()).unwrap());
         // The route and this drop were taken at two replicas at once.
-        let name = Name {
-            kind: Kind::Service,
+        let name = ItemName {
+            kind: ItemKind::Service,
             name: "a".to_string(),
         };
         standing.insert(
@@ -603,7 +615,7 @@
             },
         );
         let drop = r#"{"remove":{"svcs":[{"name":"c","ver":8}]}}"#;
-        assert!(read_patch(drop.as_bytes(), &standing).is_ok());
-        assert!(read_patch(drop.replace("\"c\"", "\"b\"").as_bytes(), &standing).is_err());
+        assert!(parse_patch(drop.as_bytes(), &standing).is_ok());
+        assert!(parse_patch(drop.replace("\"c\"", "\"b\"").as_bytes(), &standing).is_err());
     }
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -4,13 +4,13 @@
 //! platform's list of servers. [`messages`] are what the programs say to each other and [`frames`] how that is put on a
 //! connection. [`ring`] keeps the log until something goes wrong.
 
+pub mod connections;
 pub mod digests;
+pub mod duration;
 pub mod frames;
 pub mod items;
+pub mod log_ring;
 pub mod messages;
 pub mod platform;
 pub mod program;
-pub mod ring;
 pub mod settings;
-pub mod spans;
-pub mod wires;
