--- a/crates/protocol/src/ring.rs
+++ b/crates/protocol/src/log_ring.rs
@@ -7,31 +7,31 @@
 use slog::{Drain, KV, Level, Logger, OwnedKVList, Record, Serializer, o};
 
 /// Most lines that the ring holds.
-const LINES: usize = 256;
+const MAX_LINES: usize = 256;
 
 /// The tag of a line that operators are told to look for: it comes out at once, alone, and is not kept.
-pub const AT_ONCE: &str = "at once";
+pub const IMMEDIATE: &str = "at once";
 
 #[derive(Default)]
-struct Held {
+struct RingState {
     lines: VecDeque<String>,
     dropped: u64,
 }
 
 /// Lines kept until something goes wrong.
 #[derive(Clone, Default)]
-pub struct Ring(Arc<Mutex<Held>>);
+pub struct LogRing(Arc<Mutex<RingState>>);
 
-struct Pairs(String);
+struct KeyValueWriter(String);
 
-impl Serializer for Pairs {
+impl Serializer for KeyValueWriter {
     fn emit_arguments(&mut self, key: slog::Key, value: &std::fmt::Arguments<'_>) -> slog::Result {
         self.0.push_str(&format!(" {key}={value}"));
         Ok(())
     }
 }
 
-impl Ring {
+impl LogRing {
     /// A logger for a program on a machine. What is `error` or worse writes out the ring at once; `warn` is kept like
     /// the rest.
     pub fn logger(&self, program: &'static str, node: &str) -> Logger {
@@ -42,7 +42,7 @@
     }
 
     /// Takes out what is held, oldest first.
-    pub fn take(&self) -> Vec<String> {
+    pub fn take_lines(&self) -> Vec<String> {
         let mut held = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let dropped = std::mem::take(&mut held.dropped);
         let lost = (dropped > 0).then(|| format!("({dropped} older lines are gone)"));
@@ -51,18 +51,18 @@
 
     /// Writes out what is held to standard error.
     pub fn write_out(&self) {
-        let text = self.take().join("\n");
+        let text = self.take_lines().join("\n");
         // A log that can't be written harms nothing.
         let _ = writeln!(std::io::stderr(), "{text}");
     }
 }
 
-impl Drain for Ring {
+impl Drain for LogRing {
     type Ok = ();
     type Err = slog::Never;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), slog::Never> {
-        let mut pairs = Pairs(String::new());
+        let mut pairs = KeyValueWriter(String::new());
         // Pairs that can't be written are left out; the line stands all the same.
         let _ = record.kv().serialize(record, &mut pairs);
         let _ = values.serialize(record, &mut pairs);
@@ -72,13 +72,13 @@
             record.msg(),
             pairs.0
         );
-        if record.tag() == AT_ONCE {
+        if record.tag() == IMMEDIATE {
             // A log that can't be written harms nothing.
             let _ = writeln!(std::io::stderr(), "{line}");
             return Ok(());
         }
         let mut held = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if held.lines.len() >= LINES {
+        if held.lines.len() >= MAX_LINES {
             held.lines.pop_front();
             held.dropped += 1;
         }
@@ -93,27 +93,27 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{AT_ONCE, LINES, Ring};
+    use super::{IMMEDIATE, LogRing, MAX_LINES};
     use slog::info;
 
     #[test]
     fn the_ring_holds_the_newest_lines_and_says_what_is_gone() {
-        let ring = Ring::default();
+        let ring = LogRing::default();
         let log = ring.logger("proxy", "edge-1");
-        (0..LINES + 3).for_each(|n| info!(log, "line {}", n; "peer" => "10.0.0.1"));
-        let lines = ring.take();
+        (0..MAX_LINES + 3).for_each(|n| info!(log, "line {}", n; "peer" => "10.0.0.1"));
+        let lines = ring.take_lines();
         assert_eq!(
             (lines.len(), lines[0].as_str()),
-            (LINES + 1, "(3 older lines are gone)")
+            (MAX_LINES + 1, "(3 older lines are gone)")
         );
         assert!(
             lines[1].contains("line 3") && lines[1].contains("peer=10.0.0.1"),
             "{}",
             lines[1]
         );
-        assert!(ring.take().is_empty());
+        assert!(ring.take_lines().is_empty());
         // What has come out at once is not written a second time.
-        info!(log, #AT_ONCE, "rebuilt");
-        assert!(ring.take().is_empty());
+        info!(log, #IMMEDIATE, "rebuilt");
+        assert!(ring.take_lines().is_empty());
     }
 }
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::spans::Span;
+use crate::duration::ConfigDuration;
 
 /// A server as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,9 +23,9 @@
     /// Requests that it works on at a time.
     pub slots: u32,
     /// It takes new requests.
-    pub up: bool,
+    pub accepts_requests: bool,
     /// How much longer it stays cold, in microseconds from when this was said.
-    pub cold: i64,
+    pub warm_up_left: i64,
 }
 
 /// A page of the list.
@@ -38,14 +38,14 @@
 }
 
 #[derive(Deserialize)]
-struct Raw {
-    insts: Table,
+struct RawPage {
+    insts: RawTable,
     #[serde(default)]
     next_cursor: Option<String>,
 }
 
 #[derive(Deserialize)]
-struct Table {
+struct RawTable {
     cols: Vec<String>,
     rows: Vec<Vec<Value>>,
 }
@@ -54,13 +54,13 @@
 ///
 /// # Errors
 /// It is not laid out as the platform's pages say, or a server in it lacks what is needed. Nothing of it counts then.
-pub fn page(bytes: &[u8]) -> eyre::Result<Page> {
-    let raw: Raw = serde_json::from_slice(bytes).wrap_err("list of servers")?;
+pub fn parse_page(bytes: &[u8]) -> eyre::Result<Page> {
+    let raw: RawPage = serde_json::from_slice(bytes).wrap_err("list of servers")?;
     let servers = raw
         .insts
         .rows
         .iter()
-        .map(|row| server(&raw.insts.cols, row))
+        .map(|row| parse_server(&raw.insts.cols, row))
         .collect::<eyre::Result<_>>()?;
     Ok(Page {
         servers,
@@ -68,7 +68,7 @@
     })
 }
 
-fn server(cols: &[String], row: &[Value]) -> eyre::Result<Server> {
+fn parse_server(cols: &[String], row: &[Value]) -> eyre::Result<Server> {
     let fields: BTreeMap<&str, &Value> = cols.iter().map(String::as_str).zip(row).collect();
     let text = |key: &str| fields.get(key).and_then(|v| v.as_str());
     let want = |key: &str| {
@@ -89,14 +89,17 @@
             .and_then(|v| v.as_u64())
             .unwrap_or(1)
             .clamp(1, 100_000) as u32,
-        up: text("state").is_none_or(|state| state == "up"),
-        cold: text("warm_left").and_then(Span::read).unwrap_or_default().0,
+        accepts_requests: text("state").is_none_or(|state| state == "up"),
+        warm_up_left: text("warm_left")
+            .and_then(ConfigDuration::parse)
+            .unwrap_or_default()
+            .0,
     })
 }
 
 #[cfg(test)]
 mod tests {
-    use super::page;
+    use super::parse_page;
     use test_case::test_case;
 
     const PAGE: &str = r#"{"insts":{"cols":["svc","addr","zone","ver","slots","state","warm_left","id"],
@@ -105,20 +108,20 @@
 
     #[test]
     fn columns_give_the_order_and_null_is_left_out() {
-        let read = page(PAGE.as_bytes()).unwrap();
+        let read = parse_page(PAGE.as_bytes()).unwrap();
         assert_eq!(read.next.as_deref(), Some("p-50"));
         assert_eq!(
             (
-                read.servers[0].up,
-                read.servers[0].cold,
+                read.servers[0].accepts_requests,
+                read.servers[0].warm_up_left,
                 read.servers[0].slots
             ),
             (false, 1_500_000, 2)
         );
         assert_eq!(
             (
-                read.servers[1].up,
-                read.servers[1].cold,
+                read.servers[1].accepts_requests,
+                read.servers[1].warm_up_left,
                 read.servers[1].slots
             ),
             (true, 0, 1)
@@ -131,7 +134,7 @@
     fn a_page_that_is_not_whole_counts_for_nothing(from: &str, to: &str, key: &str) {
         let error = format!(
             "{:#}",
-            page(PAGE.replacen(from, to, 1).as_bytes()).unwrap_err()
+            parse_page(PAGE.replacen(from, to, 1).as_bytes()).unwrap_err()
         );
         assert!(error.contains(key), "{error}");
     }
--- a/crates/protocol/src/program.rs
+++ b/crates/protocol/src/program.rs
@@ -6,8 +6,8 @@
 use argh::FromArgs;
 use eyre::{WrapErr, eyre};
 
-use crate::ring::Ring;
-use crate::settings::{Settings, VARIABLE};
+use crate::log_ring::LogRing;
+use crate::settings::{SETTINGS_VARIABLE, Settings};
 
 /// A program of the whole system; docs/system.md says what each does.
 #[derive(FromArgs)]
@@ -21,13 +21,13 @@
 }
 
 /// What a program starts with.
-pub struct Started {
+pub struct ProgramContext {
     /// Its settings...
     pub settings: Settings,
     /// ...and the file that they were read from.
     pub file: PathBuf,
     /// Its log.
-    pub ring: Ring,
+    pub ring: LogRing,
 }
 
 /// Reads arguments and settings, checks them, by the program's own wants as well, and runs the program. What went
@@ -35,10 +35,10 @@
 pub fn run(
     name: &'static str,
     check: impl FnOnce(&Settings) -> eyre::Result<()>,
-    run: impl FnOnce(Started) -> eyre::Result<()>,
+    run: impl FnOnce(ProgramContext) -> eyre::Result<()>,
 ) -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    let ring = Ring::default();
+    let ring = LogRing::default();
     let (at_panic, usual) = (ring.clone(), std::panic::take_hook());
     std::panic::set_hook(Box::new(move |panic| {
         at_panic.write_out();
@@ -60,20 +60,21 @@
 fn start(
     arguments: Arguments,
     check: impl FnOnce(&Settings) -> eyre::Result<()>,
-    ring: &Ring,
-) -> eyre::Result<Option<Started>> {
+    ring: &LogRing,
+) -> eyre::Result<Option<ProgramContext>> {
     let named = arguments
         .settings
-        .or_else(|| std::env::var_os(VARIABLE).map(PathBuf::from));
-    let file = named
-        .ok_or_else(|| eyre!("no settings: neither --settings nor {VARIABLE} names a file"))?;
+        .or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
+    let file = named.ok_or_else(|| {
+        eyre!("no settings: neither --settings nor {SETTINGS_VARIABLE} names a file")
+    })?;
     let settings = Settings::load(&file)?;
     check(&settings).wrap_err_with(|| format!("in {}", file.display()))?;
     if arguments.check {
         println!("{}: in order", file.display());
         return Ok(None);
     }
-    Ok(Some(Started {
+    Ok(Some(ProgramContext {
         settings,
         file,
         ring: ring.clone(),
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -9,14 +9,14 @@
 use serde::Deserialize;
 use validator::{Validate, ValidationError};
 
-use crate::spans::Span;
+use crate::duration::ConfigDuration;
 
 /// The variable that holds the path of the settings file.
-pub const VARIABLE: &str = "STREAMARCH_SETTINGS";
+pub const SETTINGS_VARIABLE: &str = "STREAMARCH_SETTINGS";
 
 /// The settings of one process.
 #[derive(Clone, Debug, Deserialize, Validate)]
-#[validate(schema(function = "whole"))]
+#[validate(schema(function = "check_consistency"))]
 pub struct Settings {
     /// Name of the machine.
     #[validate(length(min = 1))]
@@ -48,7 +48,7 @@
     /// What the machine has.
     #[serde(default)]
     #[validate(nested)]
-    pub limits: Machine,
+    pub limits: MachineLimits,
     /// Where the disk is, if there is one.
     #[serde(default)]
     pub datadir: Option<PathBuf>,
@@ -77,7 +77,7 @@
 /// What the machine has.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(default)]
-pub struct Machine {
+pub struct MachineLimits {
     /// Share of a core.
     #[validate(range(min = 0.0))]
     pub cpu_quota: f64,
@@ -91,9 +91,9 @@
     pub disk_mb: u64,
 }
 
-impl Default for Machine {
-    fn default() -> Machine {
-        Machine {
+impl Default for MachineLimits {
+    fn default() -> MachineLimits {
+        MachineLimits {
             cpu_quota: 1.0,
             mem_mb: 256,
             nofile: 4096,
@@ -108,7 +108,7 @@
         #[derive(Clone, Debug, Deserialize)]
         #[serde(default)]
         pub struct Bounds {
-            $($(#[$doc])* pub $name: Span,)*
+            $($(#[$doc])* pub $name: ConfigDuration,)*
             /// Most of what a service gets beyond first tries, as a share...
             pub retry_ratio: f64,
             /// ...and in all on top, within the window.
@@ -126,7 +126,7 @@
         impl Default for Bounds {
             fn default() -> Bounds {
                 Bounds {
-                    $($name: Span($default * 1000),)*
+                    $($name: ConfigDuration($default * 1000),)*
                     retry_ratio: 0.2,
                     retry_slack: 60.0,
                     quota_over: 0.1,
@@ -176,10 +176,10 @@
     pub per_s: f64,
     /// So far its list lags.
     #[serde(default)]
-    pub max_lag: Span,
+    pub max_lag: ConfigDuration,
 }
 
-fn whole(settings: &Settings) -> Result<(), ValidationError> {
+fn check_consistency(settings: &Settings) -> Result<(), ValidationError> {
     let fault = |key: &'static str, text: &'static str| {
         let mut error = ValidationError::new(key);
         error.message = Some(text.into());
@@ -203,7 +203,7 @@
     ///
     /// # Errors
     /// It is no YAML, a key is missing or of the wrong kind, or its value makes no sense.
-    pub fn read(text: &str) -> eyre::Result<Settings> {
+    pub fn parse(text: &str) -> eyre::Result<Settings> {
         let settings: Settings = serde_yaml_ng::from_str(text).wrap_err("settings")?;
         settings.validate().wrap_err("settings")?;
         Ok(settings)
@@ -216,7 +216,7 @@
     pub fn load(path: &Path) -> eyre::Result<Settings> {
         let text = std::fs::read_to_string(path)
             .wrap_err_with(|| format!("reading {}", path.display()))?;
-        Settings::read(&text).wrap_err_with(|| format!("in {}", path.display()))
+        Settings::parse(&text).wrap_err_with(|| format!("in {}", path.display()))
     }
 
     /// Where the control program of a machine with this address listens for replicas and agents.
@@ -226,7 +226,7 @@
 
     /// Where an agent waits for the proxy of its machine: nowhere but on loopback. A machine whose own address is one of
     /// loopback has its feed there, so that several can stand on one host.
-    pub fn feed_address(&self) -> SocketAddr {
+    pub fn agent_address(&self) -> SocketAddr {
         let ip = if self.ip.is_loopback() {
             self.ip
         } else {
@@ -236,7 +236,7 @@
     }
 
     /// Core addresses to begin with: those of the machines that the file names.
-    pub fn seeds(&self) -> Vec<SocketAddr> {
+    pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         let ports = |peer: &SocketAddr| SocketAddr::new(peer.ip(), self.port_range.0);
         self.seed_peers.iter().map(ports).collect()
     }
@@ -253,12 +253,12 @@
 
     #[test]
     fn a_file_with_fields_of_later_versions_is_read() {
-        let settings = Settings::read(TEXT).unwrap();
+        let settings = Settings::parse(TEXT).unwrap();
         assert_eq!(
             (settings.bounds.drain.0, settings.bounds.apply.0),
             (2_500_000, 4_000_000)
         );
-        assert_eq!(settings.seeds()[0].to_string(), "10.1.0.35:7740");
+        assert_eq!(settings.seed_addresses()[0].to_string(), "10.1.0.35:7740");
         assert!(!settings.bootstrap && settings.cloud_api.is_none());
     }
 
@@ -266,8 +266,8 @@
     #[test_case("127.0.2.3", "127.0.2.3:7741"; "one of several on a host")]
     fn the_feed_is_on_loopback(ip: &str, feed: &str) {
         let settings =
-            Settings::read(&TEXT.replacen("ip: 10.1.0.3", &format!("ip: {ip}"), 1)).unwrap();
-        assert_eq!(settings.feed_address().to_string(), feed);
+            Settings::parse(&TEXT.replacen("ip: 10.1.0.3", &format!("ip: {ip}"), 1)).unwrap();
+        assert_eq!(settings.agent_address().to_string(), feed);
     }
 
     #[test_case("zone: a", "zone: b", "zone"; "a zone of another region")]
@@ -278,7 +278,7 @@
     fn a_fault_names_its_key(from: &str, to: &str, key: &str) {
         let error = format!(
             "{:#}",
-            Settings::read(&TEXT.replacen(from, to, 1)).unwrap_err()
+            Settings::parse(&TEXT.replacen(from, to, 1)).unwrap_err()
         );
         assert!(error.contains(key), "{error}");
     }
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -10,29 +10,31 @@
 use overload::judge::Level;
 use overload::load::Report;
 use protocol::digests::{self, Digests};
+use protocol::duration::ConfigDuration;
 use protocol::frames;
-use protocol::items::{Item, Items, Kind, Name, read_patch, write_all};
-use protocol::messages::{Add, Down, Edge, Standing, Up, Who};
+use protocol::items::{Item, ItemKind, ItemName, Items, configuration_json, parse_patch};
+use protocol::messages::{
+    AgentMessage, ClusterView, ControlMessage, CounterAdd, NodeInfo, NodeState,
+};
 use protocol::platform::{self, Server};
 use protocol::settings::Settings;
-use protocol::spans::Span;
 
 fn address(last: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, last], 7740))
 }
 
-fn edge() -> Edge {
-    Edge {
-        node: "edge-1".into(),
+fn edge() -> NodeInfo {
+    NodeInfo {
+        name: "edge-1".into(),
         zone: "alajuela".into(),
         region: "meseta".into(),
         http: address(33),
     }
 }
 
-fn item(kind: Kind, name: &str, ver: u64, spec: Option<&str>) -> Item {
+fn item(kind: ItemKind, name: &str, ver: u64, spec: Option<&str>) -> Item {
     Item {
-        name: Name {
+        name: ItemName {
             kind,
             name: name.into(),
         },
@@ -48,8 +50,8 @@
         addr: SocketAddr::from(([10, 128, 0, 9], 8080)),
         zone: "alajuela".into(),
         slots: 300,
-        up: true,
-        cold: 1_500_000,
+        accepts_requests: true,
+        warm_up_left: 1_500_000,
     }
 }
 
@@ -79,87 +81,105 @@
 #[test]
 fn messages_to_a_control_program_keep_their_bytes() {
     let adds = vec![
-        Add {
-            name: 9,
+        CounterAdd {
+            counter: 9,
             units: -1.5,
-            life: 7_000_000,
+            ttl: 7_000_000,
         },
-        Add {
-            name: u64::MAX,
+        CounterAdd {
+            counter: u64::MAX,
             units: 2.0,
-            life: 1,
+            ttl: 1,
         },
     ];
     let examples = [
-        ("greeting", Up::Hello(edge())),
-        ("digests of what is known", Up::Have(vec![0, 1, u64::MAX])),
+        ("greeting", AgentMessage::Hello(edge())),
+        (
+            "digests of what is known",
+            AgentMessage::KnownDigests(vec![0, 1, u64::MAX]),
+        ),
         (
             "count and digest of what is known",
-            Up::Holding {
+            AgentMessage::ConfigState {
                 items: 350,
                 digest: 0x0123_4567_89ab_cdef,
             },
         ),
-        ("heartbeat, unavailable", Up::Beat(Standing::Away)),
-        ("heartbeat, ready", Up::Beat(Standing::Ready)),
-        ("heartbeat, draining", Up::Beat(Standing::Leaving)),
-        ("clock", Up::Clock(-5)),
+        (
+            "heartbeat, unavailable",
+            AgentMessage::Heartbeat(NodeState::Unavailable),
+        ),
+        (
+            "heartbeat, ready",
+            AgentMessage::Heartbeat(NodeState::Ready),
+        ),
+        (
+            "heartbeat, draining",
+            AgentMessage::Heartbeat(NodeState::Draining),
+        ),
+        ("clock", AgentMessage::Clock(-5)),
         (
             "adds to the shared counter",
-            Up::Adds {
+            AgentMessage::CounterBatch {
                 batch: 3,
                 time: 8,
                 adds,
             },
         ),
-        ("load", Up::Load(vec![report(), Report::default()])),
+        (
+            "load",
+            AgentMessage::LoadReports(vec![report(), Report::default()]),
+        ),
     ];
     insta::assert_snapshot!("to-control", variants(&examples));
 }
 
 #[test]
 fn messages_from_a_control_program_keep_their_bytes() {
-    let topology = Who {
+    let topology = ClusterView {
         replicas: vec![
             ("alajuela".into(), address(10)),
             ("heredia".into(), address(11)),
         ],
-        holder: Some((address(11), 12)),
-        in_touch: true,
+        counter: Some((address(11), 12)),
+        has_quorum: true,
         limiters: 18,
-        in_zone: 3,
+        limiters_in_zone: 3,
     };
-    let set = item(Kind::Route, "reads", 7, Some(r#"{"host":"h"}"#));
+    let set = item(ItemKind::Route, "reads", 7, Some(r#"{"host":"h"}"#));
     let examples = [
-        ("replicas and limiters", Down::Who(topology)),
+        (
+            "replicas and limiters",
+            ControlMessage::ClusterView(topology),
+        ),
         (
             "replicas and limiters, none known",
-            Down::Who(Who::default()),
+            ControlMessage::ClusterView(ClusterView::default()),
         ),
         (
             "items",
-            Down::Items(vec![set, item(Kind::Limits, "", 2, None)]),
+            ControlMessage::Items(vec![set, item(ItemKind::Limits, "", 2, None)]),
         ),
         (
             "servers",
-            Down::Servers {
+            ControlMessage::Servers {
                 version: (4, 9),
                 servers: vec![server()],
             },
         ),
-        ("complete", Down::Whole),
+        ("complete", ControlMessage::Complete),
         (
             "totals",
-            Down::Totals {
+            ControlMessage::Totals {
                 batch: 3,
                 totals: vec![0.0, 2.5],
             },
         ),
-        ("clock", Down::Time(1_790_000_000_000_000)),
-        ("not counted", Down::NotCounted(3)),
+        ("clock", ControlMessage::Clock(1_790_000_000_000_000)),
+        ("not counted", ControlMessage::NotCounted(3)),
         (
             "levels",
-            Down::Levels {
+            ControlMessage::Levels {
                 age: 40,
                 levels: vec![level(), Level::default()],
             },
@@ -171,11 +191,11 @@
 #[test]
 fn items_and_kinds_keep_their_bytes() {
     let examples = [
-        ("route", item(Kind::Route, "r", 1, Some("{}"))),
-        ("tenant", item(Kind::Tenant, "t", 128, Some("{}"))),
-        ("service", item(Kind::Service, "s", u64::MAX, None)),
-        ("limits", item(Kind::Limits, "", 4, Some("{}"))),
-        ("zone", item(Kind::Zone, "alajuela", 5, Some("true"))),
+        ("route", item(ItemKind::Route, "r", 1, Some("{}"))),
+        ("tenant", item(ItemKind::Tenant, "t", 128, Some("{}"))),
+        ("service", item(ItemKind::Service, "s", u64::MAX, None)),
+        ("limits", item(ItemKind::Limits, "", 4, Some("{}"))),
+        ("zone", item(ItemKind::Zone, "alajuela", 5, Some("true"))),
     ];
     insta::assert_snapshot!("items", encodings(&examples));
     let kinds = examples.map(|(label, item)| (label, item.name.kind));
@@ -185,11 +205,17 @@
 #[test]
 fn a_frame_is_the_length_and_then_the_message() {
     let mut bytes = Vec::new();
-    frames::put(&mut bytes, &Up::Clock(5));
-    frames::put(&mut bytes, &Down::Whole);
+    frames::encode(&mut bytes, &AgentMessage::Clock(5));
+    frames::encode(&mut bytes, &ControlMessage::Complete);
     assert_eq!(bytes, [2, 0, 0, 0, 4, 10, 1, 0, 0, 0, 3]);
-    assert_eq!(frames::take::<Up>(&mut bytes), Ok(Some(Up::Clock(5))));
-    assert_eq!(frames::take::<Down>(&mut bytes), Ok(Some(Down::Whole)));
+    assert_eq!(
+        frames::decode::<AgentMessage>(&mut bytes),
+        Ok(Some(AgentMessage::Clock(5)))
+    );
+    assert_eq!(
+        frames::decode::<ControlMessage>(&mut bytes),
+        Ok(Some(ControlMessage::Complete))
+    );
     assert!(bytes.is_empty());
 }
 
@@ -197,31 +223,31 @@
 #[test]
 fn digests_of_a_set_of_items_stay_the_same() {
     let items = [
-        item(Kind::Route, "r", 1, Some("{}")),
-        item(Kind::Zone, "alajuela", 5, None),
+        item(ItemKind::Route, "r", 1, Some("{}")),
+        item(ItemKind::Zone, "alajuela", 5, None),
     ];
     let mut set = Digests::default();
     let mut text = String::new();
     for item in &items {
-        set.turn(&item.name, Digests::of(item));
+        set.toggle(&item.name, Digests::item_digest(item));
         writeln!(
             text,
             "{}: key {:016x}, digest {:016x}",
             item.name,
-            digests::key(&item.name),
-            Digests::of(item)
+            digests::name_key(&item.name),
+            Digests::item_digest(item)
         )
         .unwrap();
     }
     for (at, part) in set
-        .parts()
+        .buckets()
         .iter()
         .enumerate()
         .filter(|(_, part)| **part != 0)
     {
-        writeln!(text, "part {at} of {}: {part:016x}", set.parts().len()).unwrap();
+        writeln!(text, "part {at} of {}: {part:016x}", set.buckets().len()).unwrap();
     }
-    writeln!(text, "all: {:016x}", set.whole()).unwrap();
+    writeln!(text, "all: {:016x}", set.combined()).unwrap();
     insta::assert_snapshot!("digests", text);
 }
 
@@ -238,10 +264,10 @@
 
 #[test]
 fn an_operators_call_is_read_by_the_names_of_the_pages_and_read_back() {
-    let items = read_patch(CALL.as_bytes(), &Items::new()).unwrap();
+    let items = parse_patch(CALL.as_bytes(), &Items::new()).unwrap();
     insta::assert_snapshot!(
         "configuration",
-        String::from_utf8(write_all(items.iter())).unwrap()
+        String::from_utf8(configuration_json(items.iter())).unwrap()
     );
 }
 
@@ -250,7 +276,7 @@
     let page = r#"{"insts":{"cols":["svc","addr","zone","ver","slots","state","warm_left","id"],
         "rows":[["records","10.128.0.9:8080","alajuela","v1",300,"up","1.5s","i-7"],
                 ["records","10.128.0.8:8080","alajuela",null,null,"draining",null,"i-8"]]},"next_cursor":"p-50"}"#;
-    let page = platform::page(page.as_bytes()).unwrap();
+    let page = platform::parse_page(page.as_bytes()).unwrap();
     assert_eq!(
         (page.next.as_deref(), &page.servers[0]),
         (Some("p-50"), &server())
@@ -273,7 +299,7 @@
           retry_window: 9ms, quota_window: 10ms, evac: 11ms, ttl_max: 12ms, retry_ratio: 1.5, retry_slack: 2.5,\n\
           quota_over: 3.5, quota_slack: 4.5, warm_over: 5.5, warm_slack: 6.5}\n\
         cloud_api: {addr: '10.2.0.1:80', per_s: 50, max_lag: 500ms}\n";
-    let settings = Settings::read(text).unwrap();
+    let settings = Settings::parse(text).unwrap();
     assert_eq!(
         (settings.node.as_str(), &settings.serves[..]),
         ("edge-1", &["edge".to_string()][..])
@@ -324,7 +350,7 @@
         bounds.sync_time,
         bounds.drain,
     ];
-    assert_eq!(spans.map(Span::millis), [1, 2, 3, 4, 5, 6]);
+    assert_eq!(spans.map(ConfigDuration::millis), [1, 2, 3, 4, 5, 6]);
     let spans = [
         bounds.grace,
         bounds.apply,
@@ -333,7 +359,7 @@
         bounds.evac,
         bounds.ttl_max,
     ];
-    assert_eq!(spans.map(Span::millis), [7, 8, 9, 10, 11, 12]);
+    assert_eq!(spans.map(ConfigDuration::millis), [7, 8, 9, 10, 11, 12]);
     let figures = [
         bounds.retry_ratio,
         bounds.retry_slack,
--- a/crates/protocol/tests/repeated_calls.rs
+++ b/crates/protocol/tests/repeated_calls.rs
@@ -1,6 +1,6 @@
 //! A call that was taken may be sent again after what it names was changed or dropped.
 
-use protocol::items::{Item, Items, read_patch};
+use protocol::items::{Item, Items, parse_patch};
 use test_case::test_case;
 
 const SERVICE: &str = r#"{"type":"svcs","meta":{"name":"a","ver":1},"spec":{}}"#;
@@ -24,7 +24,7 @@
 fn after(calls: &[String]) -> Items {
     let mut standing = Items::new();
     for call in calls {
-        let items: Vec<Item> = read_patch(call.as_bytes(), &standing).expect(call);
+        let items: Vec<Item> = parse_patch(call.as_bytes(), &standing).expect(call);
         for item in items {
             if standing
                 .get(&item.name)
@@ -49,13 +49,13 @@
         set(&moved)
     };
     let standing = after(&[call.clone(), set(&[other]), next, drop("svcs", "a", 2)]);
-    assert!(read_patch(call.as_bytes(), &standing).is_ok());
+    assert!(parse_patch(call.as_bytes(), &standing).is_ok());
     let alone = set(&[&route("r", 1, "a")]);
-    assert!(read_patch(alone.as_bytes(), &standing).is_ok());
+    assert!(parse_patch(alone.as_bytes(), &standing).is_ok());
     // It would come into force, or was never taken: no such service ever stood.
     for (ver, svc) in [(3, "a"), (1, "c"), (3, "c")] {
         let wrong = set(&[&route("r", ver, svc)]);
-        assert!(read_patch(wrong.as_bytes(), &standing).is_err(), "{wrong}");
+        assert!(parse_patch(wrong.as_bytes(), &standing).is_err(), "{wrong}");
     }
 }
 
@@ -65,12 +65,12 @@
     let mut standing = after(&calls);
     // Taken elsewhere at the same time as the drop: a route that names what is gone.
     let stale = after(&calls[..1]);
-    let racing = read_patch(set(&[&route("r", 1, "a")]).as_bytes(), &stale).unwrap();
+    let racing = parse_patch(set(&[&route("r", 1, "a")]).as_bytes(), &stale).unwrap();
     standing.extend(racing.into_iter().map(|item| (item.name.clone(), item)));
-    assert!(read_patch(calls[1].as_bytes(), &standing).is_ok());
-    assert!(read_patch(set(&[&route("r", 1, "a")]).as_bytes(), &standing).is_ok());
+    assert!(parse_patch(calls[1].as_bytes(), &standing).is_ok());
+    assert!(parse_patch(set(&[&route("r", 1, "a")]).as_bytes(), &standing).is_ok());
     let other = set(&[r#"{"type":"svcs","meta":{"name":"b","ver":1},"spec":{}}"#]);
-    let items = read_patch(other.as_bytes(), &standing).unwrap();
+    let items = parse_patch(other.as_bytes(), &standing).unwrap();
     standing.extend(items.into_iter().map(|item| (item.name.clone(), item)));
-    assert!(read_patch(drop("svcs", "b", 2).as_bytes(), &standing).is_ok());
+    assert!(parse_patch(drop("svcs", "b", 2).as_bytes(), &standing).is_ok());
 }
--- a/crates/proxy/src/config_store.rs
+++ b/crates/proxy/src/config_store.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use protocol::items::{ClientLimits, Invalid, Item, Items, Kind, Route, Service, Tenant, spec};
+use protocol::items::{
+    ClientLimits, ConfigError, Item, ItemKind, Items, Route, Service, Tenant, parse_spec,
+};
 
 /// A tenant with its name.
 #[derive(Clone, Debug, PartialEq)]
@@ -43,7 +45,7 @@
 impl ConfigStore {
     /// Takes items; one whose version is not higher than the one held has no effect. Items that can't be read are left
     /// out, and told.
-    pub fn apply(&mut self, items: Vec<Item>) -> (Touched, Vec<Invalid>) {
+    pub fn apply(&mut self, items: Vec<Item>) -> (Touched, Vec<ConfigError>) {
         let (mut touched, mut faults) = (Touched::default(), Vec::new());
         for item in items {
             // Guards against going back: news may come late, twice, and from two sources.
@@ -57,7 +59,7 @@
             match self.set(&item) {
                 Ok(()) => {
                     touched.any = true;
-                    let zone = item.name.kind == Kind::Zone;
+                    let zone = item.name.kind == ItemKind::Zone;
                     touched.zones |= zone;
                     let back = zone && !self.evacuated.contains(&item.name.name);
                     touched.back.extend(back.then(|| item.name.name.clone()));
@@ -72,24 +74,26 @@
         (touched, faults)
     }
 
-    fn set(&mut self, item: &Item) -> Result<(), Invalid> {
+    fn set(&mut self, item: &Item) -> Result<(), ConfigError> {
         let name = item.name.name.clone();
         let dropped = item.spec.is_none();
         match item.name.kind {
-            Kind::Route if dropped => _ = self.routes.remove(&name),
-            Kind::Route => _ = self.routes.insert(name, Rc::new(spec(item)?)),
-            Kind::Tenant if dropped => _ = self.tenants.remove(&name),
-            Kind::Tenant => {
-                let tenant = spec(item)?;
+            ItemKind::Route if dropped => _ = self.routes.remove(&name),
+            ItemKind::Route => _ = self.routes.insert(name, Rc::new(parse_spec(item)?)),
+            ItemKind::Tenant if dropped => _ = self.tenants.remove(&name),
+            ItemKind::Tenant => {
+                let tenant = parse_spec(item)?;
                 self.tenants
                     .insert(name.clone(), Rc::new(Named { name, tenant }));
             }
-            Kind::Service if dropped => _ = self.services.remove(&name),
-            Kind::Service => _ = self.services.insert(name, spec(item)?),
-            Kind::Limits if dropped => self.limits = None,
-            Kind::Limits => self.limits = Some(spec(item)?),
-            Kind::Zone if item.spec.as_deref() == Some("true") => _ = self.evacuated.insert(name),
-            Kind::Zone => _ = self.evacuated.remove(&name),
+            ItemKind::Service if dropped => _ = self.services.remove(&name),
+            ItemKind::Service => _ = self.services.insert(name, parse_spec(item)?),
+            ItemKind::Limits if dropped => self.limits = None,
+            ItemKind::Limits => self.limits = Some(parse_spec(item)?),
+            ItemKind::Zone if item.spec.as_deref() == Some("true") => {
+                _ = self.evacuated.insert(name)
+            }
+            ItemKind::Zone => _ = self.evacuated.remove(&name),
         }
         Ok(())
     }
@@ -165,12 +169,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use protocol::items::Name;
+    use protocol::items::ItemName;
     use test_case::test_case;
 
-    fn item(kind: Kind, name: &str, ver: u64, spec: Option<&str>) -> Item {
+    fn item(kind: ItemKind, name: &str, ver: u64, spec: Option<&str>) -> Item {
         Item {
-            name: Name {
+            name: ItemName {
                 kind,
                 name: name.to_string(),
             },
@@ -183,7 +187,7 @@
         let spec = format!(
             r#"{{"host":"{host}","prefix":"{prefix}","kind":"idem","timeout":"3s","target_time":"500ms","svc":"{svc}"}}"#
         );
-        item(Kind::Route, name, ver, Some(&spec))
+        item(ItemKind::Route, name, ver, Some(&spec))
     }
 
     #[test_case("h", "/a/1", Some("one"); "a prefix")]
@@ -222,7 +226,7 @@
             config_store.route("h", "/a/").unwrap().svc.as_deref(),
             Some("nine")
         );
-        config_store.apply(vec![item(Kind::Route, "x", 12, None)]);
+        config_store.apply(vec![item(ItemKind::Route, "x", 12, None)]);
         config_store.apply(vec![change(11, "eleven")]);
         assert!(
             config_store.route("h", "/a/").is_none(),
@@ -233,7 +237,7 @@
     #[test]
     fn a_zone_that_was_taken_back_is_told_also_to_who_did_not_know_it_was_emptied() {
         let mut config_store = ConfigStore::default();
-        let zone = |ver, spec| vec![item(Kind::Zone, "z", ver, Some(spec))];
+        let zone = |ver, spec| vec![item(ItemKind::Zone, "z", ver, Some(spec))];
         assert_eq!(config_store.apply(zone(4, "false")).0.back, ["z"]);
         assert_eq!(
             config_store.apply(zone(5, "true")).0.back,
@@ -252,7 +256,7 @@
         let mut config_store = ConfigStore::default();
         let tenant = |ver, keys: &str| {
             item(
-                Kind::Tenant,
+                ItemKind::Tenant,
                 "t",
                 ver,
                 Some(&format!(r#"{{"apikeys":[{keys}],"per_s":5,"burst":5}}"#)),
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -55,7 +55,7 @@
 }
 
 impl Host {
-    pub(super) fn took(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn took(&mut self, now: Micros, key: ConnectionId) {
         self.clients += 1;
         let client = Client {
             visit: Visit::new(now),
@@ -72,13 +72,13 @@
         };
         self.roles.insert(key, Role::Client(Box::new(client)));
         if let Some(wire) = self.wires.get_mut(key) {
-            wire.most = WINDOW;
+            wire.max_input_bytes = WINDOW;
         }
         self.arm(now, key);
         self.make_room(now);
     }
 
-    pub(super) fn client(&mut self, key: WireKey) -> Option<&mut Client> {
+    pub(super) fn client(&mut self, key: ConnectionId) -> Option<&mut Client> {
         match self.roles.get_mut(key) {
             Some(Role::Client(client)) => Some(client),
             _ => None,
@@ -86,7 +86,7 @@
     }
 
     /// Enters the deadline of a visit, if it is earlier than the one entered.
-    pub(super) fn arm(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn arm(&mut self, now: Micros, key: ConnectionId) {
         let closing = self.lifecycle.closing_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
@@ -101,7 +101,7 @@
         }
     }
 
-    pub(super) fn visit_due(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn visit_due(&mut self, now: Micros, key: ConnectionId) {
         let closing = self.lifecycle.closing_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
@@ -116,7 +116,10 @@
             .visit
             .deadline(closing, &self.limits)
             .is_some_and(|at| at <= now);
-        if over && client.upload.is_some() && self.wires.get(key).is_some_and(|wire| wire.waits()) {
+        if over
+            && client.upload.is_some()
+            && self.wires.get(key).is_some_and(|wire| wire.has_unread())
+        {
             client.visit.held_up(now);
         }
         match client.visit.deadline(closing, &self.limits) {
@@ -140,7 +143,7 @@
         }
     }
 
-    pub(super) fn client_gone(&mut self, now: Micros, key: WireKey, closing: Closing) {
+    pub(super) fn client_gone(&mut self, now: Micros, key: ConnectionId, closing: Closing) {
         self.note_closing(now, key, closing);
         if let Some(Role::Client(client)) = self.roles.remove(key) {
             self.clients -= 1;
@@ -165,7 +168,7 @@
         }
     }
 
-    pub(super) fn client_came(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn client_came(&mut self, now: Micros, key: ConnectionId) {
         let most = self.limits.request_bytes;
         let (Some(Role::Client(client)), Some(wire)) =
             (self.roles.get_mut(key), self.wires.get_mut(key))
@@ -177,7 +180,7 @@
             Stage::Lingering => {
                 wire.input.clear();
                 // Guards the answer: a close with input unread would reset the connection.
-                return self.again.extend(wire.waits().then_some(key));
+                return self.again.extend(wire.has_unread().then_some(key));
             }
             Stage::Open if client.upload.is_some() => return self.upload_came(now, key),
             // The rest waits until the request before it is answered.
@@ -198,7 +201,7 @@
             let incoming = std::mem::take(&mut client.incoming);
             (client.told_to_go_on, client.looked_at) = (false, false);
             client.visit.taken(now);
-            wire.most = AHEAD.max(wire.input.len());
+            wire.max_input_bytes = AHEAD.max(wire.input.len());
             if let Some((head, _, body)) = incoming.into_parts() {
                 self.take(now, key, head, body);
             }
@@ -238,18 +241,18 @@
         if self
             .wires
             .get(key)
-            .is_some_and(|wire| wire.input.len() < wire.most)
+            .is_some_and(|wire| wire.input.len() < wire.max_input_bytes)
         {
             let mut more = Vec::new();
-            self.wires.resume(key, now, &mut more);
+            self.wires.resume_reading(key, now, &mut more);
             self.again.extend(
                 more.iter()
-                    .any(|h| matches!(h, Happening::Came(_)))
+                    .any(|h| matches!(h, IoEvent::Received(_)))
                     .then_some(key),
             );
             if let Some(end) = more
                 .into_iter()
-                .find(|h| matches!(h, Happening::Ended(_) | Happening::Broken(_)))
+                .find(|h| matches!(h, IoEvent::PeerClosed(_) | IoEvent::Failed(_)))
             {
                 self.happened(now, end);
             }
@@ -257,7 +260,7 @@
     }
 
     /// What came is no request, or too long a one.
-    pub(super) fn refuse(&mut self, now: Micros, key: WireKey, fault: Malformed) {
+    pub(super) fn refuse(&mut self, now: Micros, key: ConnectionId, fault: Malformed) {
         let text = match fault {
             Malformed::Syntax => "no request",
             Malformed::HeadTooLarge => "head too large",
@@ -270,7 +273,7 @@
     }
 
     /// The client may send its body.
-    pub(super) fn go_on(&mut self, key: WireKey) {
+    pub(super) fn go_on(&mut self, key: ConnectionId) {
         let out = self.wires.output(key);
         out.into_iter()
             .for_each(|out| out.extend(b"HTTP/1.1 100 Continue\r\n\r\n"));
@@ -278,7 +281,7 @@
 
     /// Whether a request's turn has not come: it is refused then before its body is taken, and the connection closed
     /// behind the answer. Looked at once, when its head is there, where the route has one service: else it is not known.
-    fn waits_by_head(&mut self, now: Micros, key: WireKey) -> bool {
+    fn waits_by_head(&mut self, now: Micros, key: ConnectionId) -> bool {
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return false;
         };
@@ -319,7 +322,7 @@
     }
 
     /// A whole request was read.
-    fn take(&mut self, now: Micros, key: WireKey, head: RequestHead, body: Vec<u8>) {
+    fn take(&mut self, now: Micros, key: ConnectionId, head: RequestHead, body: Vec<u8>) {
         if let Some(client) = self.client(key) {
             client.last = !head.keep_alive;
         }
@@ -331,7 +334,7 @@
     pub(super) fn admit(
         &mut self,
         now: Micros,
-        key: WireKey,
+        key: ConnectionId,
         head: RequestHead,
         body: Vec<u8>,
         coming: Option<Coming>,
@@ -455,7 +458,7 @@
         self.answer_own(now, request.client, &answer);
     }
 
-    pub(super) fn answer_own(&mut self, now: Micros, key: WireKey, own: &Own) {
+    pub(super) fn answer_own(&mut self, now: Micros, key: ConnectionId, own: &Own) {
         let seconds = format!("{:.3}", own.stay_away as f64 / 1e6);
         let mut lines = vec![("Content-Type", "text/plain")];
         lines.extend((own.stay_away > 0).then_some(("Retry-After", seconds.as_str())));
@@ -478,7 +481,7 @@
     pub(super) fn answer_servers(
         &mut self,
         now: Micros,
-        key: WireKey,
+        key: ConnectionId,
         head: &AnswerHead,
         body: &[u8],
     ) {
@@ -501,7 +504,7 @@
     }
 
     /// An answer is to be written now; tells whether it is the last.
-    pub(super) fn answering(&mut self, now: Micros, key: WireKey) -> Option<bool> {
+    pub(super) fn answering(&mut self, now: Micros, key: ConnectionId) -> Option<bool> {
         let last = self.lifecycle.last_answers(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return None;
@@ -519,7 +522,7 @@
         Some(close)
     }
 
-    pub(super) fn answer_written(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn answer_written(&mut self, now: Micros, key: ConnectionId) {
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
@@ -533,12 +536,12 @@
         let last = client.last;
         client.visit.written(now, last);
         if let Some(wire) = self.wires.get_mut(key) {
-            wire.most = WINDOW;
+            wire.max_input_bytes = WINDOW;
             self.held = self.held + wire.input.len() - client.held;
             client.held = wire.input.len();
         }
         if last {
-            self.wires.shut(key);
+            self.wires.shutdown_write(key);
         }
         // What came behind the request, or waits with the system.
         self.again.push(key);
@@ -547,8 +550,8 @@
 
     /// Danger: the answer goes out with all others at the end of the turn. Were it written here, what else was due to be
     /// written would go out with it, and nobody would hear that it had.
-    pub(super) fn check_came(&mut self, key: WireKey) {
-        let ready = self.stands() == Standing::Ready;
+    pub(super) fn check_came(&mut self, key: ConnectionId) {
+        let ready = self.stands() == NodeState::Ready;
         let Some(wire) = self.wires.get_mut(key) else {
             return;
         };
--- a/crates/proxy/src/host/closing.rs
+++ b/crates/proxy/src/host/closing.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use dataplane::visits::Stage;
-use protocol::ring::AT_ONCE;
+use protocol::log_ring::IMMEDIATE;
 use slog::warn;
 
 use super::*;
@@ -46,7 +46,7 @@
 
 impl Host {
     /// Keeps a line where the proxy closes a connection on which it owes an answer, or holds bytes of a request.
-    pub(super) fn note_closing(&mut self, now: Micros, key: WireKey, closing: Closing) {
+    pub(super) fn note_closing(&mut self, now: Micros, key: ConnectionId, closing: Closing) {
         let Some(Role::Client(client)) = self.roles.get(key) else {
             return;
         };
@@ -66,7 +66,7 @@
             format_args!("client's connection closed with an answer owed: {closing}").to_string();
         if now >= self.said + SAID {
             self.said = now;
-            warn!(self.log, #AT_ONCE, "{text}"; "request" => id, "stage" => ?stage, "ms" => ms, "unread" => unread, "unwritten" => unwritten);
+            warn!(self.log, #IMMEDIATE, "{text}"; "request" => id, "stage" => ?stage, "ms" => ms, "unread" => unread, "unwritten" => unwritten);
         } else {
             warn!(self.log, "{text}"; "request" => id, "stage" => ?stage, "ms" => ms, "unread" => unread, "unwritten" => unwritten);
         }
--- a/crates/proxy/src/host/feeding.rs
+++ b/crates/proxy/src/host/feeding.rs
@@ -1,8 +1,8 @@
 //! The agent's link: what the proxy goes by comes in on it, and the adds to the shared count go out.
 
 use protocol::frames;
-use protocol::messages::{Down, Up, Who};
-use protocol::ring::AT_ONCE;
+use protocol::log_ring::IMMEDIATE;
+use protocol::messages::{AgentMessage, ClusterView, ControlMessage};
 use slog::{error, info, warn};
 use streamarch::{Outcome, ServerId};
 
@@ -20,7 +20,7 @@
         if self.feed.is_some() {
             return;
         }
-        match self.wires.connect(self.settings.feed_address(), now) {
+        match self.wires.connect(self.settings.agent_address(), now) {
             Ok(key) => {
                 self.roles.insert(key, Role::Feed);
                 self.feed = Some(key);
@@ -30,19 +30,19 @@
         }
     }
 
-    pub(super) fn feed_up(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn feed_up(&mut self, now: Micros, key: ConnectionId) {
         info!(self.log, "agent is there");
-        let hello = Up::Hello(self.edge());
+        let hello = AgentMessage::Hello(self.edge());
         if let Some(out) = self.wires.output(key) {
-            frames::put(out, &hello);
+            frames::encode(out, &hello);
         }
         self.standing = self.stands();
-        self.tell(&Up::Beat(self.standing));
+        self.tell(&AgentMessage::Heartbeat(self.standing));
         // What came up while there was none has no total.
         self.send_adds(now);
     }
 
-    pub(super) fn feed_lost(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn feed_lost(&mut self, now: Micros, key: ConnectionId) {
         self.drop_wire(key);
         self.feed = None;
         for batch in std::mem::take(&mut self.batches) {
@@ -51,9 +51,9 @@
         self.deadlines.enter(now + FEED_AGAIN, Due::Feed);
     }
 
-    fn tell(&mut self, message: &Up) {
+    fn tell(&mut self, message: &AgentMessage) {
         if let Some(out) = self.feed.and_then(|key| self.wires.output(key)) {
-            frames::put(out, message);
+            frames::encode(out, message);
         }
     }
 
@@ -62,7 +62,7 @@
         self.deadlines.enter(now + overload::STEP, Due::Load);
         let load = self.router.shedding().load(now);
         if !load.is_empty() {
-            self.tell(&Up::Load(load));
+            self.tell(&AgentMessage::LoadReports(load));
         }
     }
 
@@ -73,15 +73,15 @@
 
     pub(super) fn beat_now(&mut self) {
         self.standing = self.stands();
-        self.tell(&Up::Beat(self.standing));
+        self.tell(&AgentMessage::Heartbeat(self.standing));
     }
 
-    pub(super) fn feed_came(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn feed_came(&mut self, now: Micros, key: ConnectionId) {
         loop {
             let Some(wire) = self.wires.get_mut(key) else {
                 return;
             };
-            match frames::take::<Down>(&mut wire.input) {
+            match frames::decode::<ControlMessage>(&mut wire.input) {
                 Ok(Some(message)) => self.heard(now, message),
                 Ok(None) => break,
                 Err(fault) => {
@@ -95,39 +95,41 @@
         }
     }
 
-    fn heard(&mut self, now: Micros, message: Down) {
+    fn heard(&mut self, now: Micros, message: ControlMessage) {
         match message {
-            Down::Who(Who {
+            ControlMessage::ClusterView(ClusterView {
                 limiters,
-                holder,
-                in_touch,
+                counter: holder,
+                has_quorum: in_touch,
                 ..
             }) => {
                 self.router.limiters(now, limiters);
                 self.router.alone(!in_touch);
                 self.router.count_held(holder.map(|(_, term)| term));
             }
-            Down::Items(items) => {
+            ControlMessage::Items(items) => {
                 let (touched, faults) = self.config_store.apply(items);
                 for fault in faults {
-                    warn!(self.log, #AT_ONCE, "item left out: {fault}"; "step" => "reading items", "peer" => "agent");
+                    warn!(self.log, #IMMEDIATE, "item left out: {fault}"; "step" => "reading items", "peer" => "agent");
                 }
                 self.touched(now, touched);
             }
-            Down::Servers { version, servers } => {
+            ControlMessage::Servers { version, servers } => {
                 if self.server_table.take(now, version, servers) {
                     self.list(now);
                 }
             }
-            Down::Whole => self.told = true,
-            Down::Time(time) => {
+            ControlMessage::Complete => self.told = true,
+            ControlMessage::Clock(time) => {
                 self.clock.raise(time);
                 self.looked = self.clock.now();
                 self.router.jumped(time, time - now);
             }
-            Down::Levels { age, levels } => self.router.shedding().levels(now, age, levels),
-            Down::Totals { batch, totals } => self.totals(batch, &totals),
-            Down::NotCounted(batch) => {
+            ControlMessage::Levels { age, levels } => {
+                self.router.shedding().levels(now, age, levels)
+            }
+            ControlMessage::Totals { batch, totals } => self.totals(batch, &totals),
+            ControlMessage::NotCounted(batch) => {
                 if let Some(batch) = self.take_batch(batch) {
                     self.not_counted(&batch, Outcome::ConnectFailed);
                 }
@@ -188,7 +190,7 @@
         }
         let adds = std::mem::take(&mut self.adds);
         self.batch += 1;
-        let names = adds.iter().map(|add| add.name).collect();
+        let names = adds.iter().map(|add| add.counter).collect();
         let batch = Batch {
             number: self.batch,
             names,
@@ -198,11 +200,11 @@
         let up = self
             .feed
             .and_then(|key| self.wires.get(key))
-            .is_some_and(|wire| wire.up());
+            .is_some_and(|wire| wire.is_connected());
         if !up {
             return self.not_counted(&batch, Outcome::ConnectFailed);
         }
-        self.tell(&Up::Adds {
+        self.tell(&AgentMessage::CounterBatch {
             batch: self.batch,
             time: now,
             adds,
--- a/crates/proxy/src/host/legs.rs
+++ b/crates/proxy/src/host/legs.rs
@@ -4,8 +4,8 @@
 
 use dataplane::engine::Ending;
 use dataplane::framing::Extent;
-use protocol::items::Repeat;
-use protocol::wires::Wire;
+use protocol::connections::Connection;
+use protocol::items::Idempotency;
 
 use super::clients::has_body;
 use super::*;
@@ -89,7 +89,7 @@
         now: Micros,
         server: ServerId,
         errand: Errand,
-    ) -> Result<WireKey, Outcome> {
+    ) -> Result<ConnectionId, Outcome> {
         let request = match errand {
             Errand::Leg(request, ..) => self.requests.get(request),
             Errand::Probe(_) => None,
@@ -99,7 +99,7 @@
         // Guards against a second answer that comes late: the id would not tell it from the one to the next try.
         let sent_on = request.map_or(Vec::new(), |request| request.sent_on.clone());
         // Guards against a second refusal without an id that comes late: it would say of this request that it has not run.
-        let once = request.is_some_and(|request| request.route.kind != Repeat::Idem);
+        let once = request.is_some_and(|request| request.route.kind != Idempotency::Idempotent);
         let mut spared = Vec::new();
         let mut found = None;
         while let Some(key) = Some(server)
@@ -110,7 +110,7 @@
                 Some(Role::Leg(leg)) if leg.until > now && once && leg.nameless => spared.push(key),
                 Some(Role::Leg(leg)) if leg.until > now && !sent_on.contains(&key) => {
                     leg.state = LegState::Sending(errand);
-                    leg.sent_before = self.wires.get(key).map_or(0, Wire::sent);
+                    leg.sent_before = self.wires.get(key).map_or(0, Connection::sent_bytes);
                     found = Some(key);
                 }
                 _ => self.close_leg(key),
@@ -154,20 +154,20 @@
         self.wires
             .get_mut(key)
             .into_iter()
-            .for_each(|wire| wire.most = ANSWER_ROOM);
+            .for_each(|wire| wire.max_input_bytes = ANSWER_ROOM);
         self.pool.opened(server);
         self.deadlines.enter(now + CONNECT, Due::Connect(key));
         Ok(key)
     }
 
-    pub(super) fn close_leg(&mut self, key: WireKey) {
+    pub(super) fn close_leg(&mut self, key: ConnectionId) {
         if let Some(Role::Leg(leg)) = self.roles.remove(key) {
             self.pool.closed(leg.server, key);
         }
         self.wires.close(key);
     }
 
-    pub(super) fn close_idle(&mut self, keys: Vec<WireKey>) {
+    pub(super) fn close_idle(&mut self, keys: Vec<ConnectionId>) {
         keys.into_iter().for_each(|key| self.close_leg(key));
     }
 
@@ -196,11 +196,11 @@
 
     /// What the end of a leg's connection means now. Of a request that can't be repeated it is enough that a byte of it
     /// was written: a server may begin at the head.
-    fn ends_as(&self, key: WireKey) -> Option<Outcome> {
+    fn ends_as(&self, key: ConnectionId) -> Option<Outcome> {
         let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get(key), self.wires.get(key)) else {
             return None;
         };
-        let begun = wire.sent() > leg.sent_before;
+        let begun = wire.sent_bytes() > leg.sent_before;
         Some(match leg.state {
             LegState::Sending(Errand::Leg(request, ..)) if begun && !self.repeatable(request) => {
                 Outcome::Reset
@@ -212,7 +212,7 @@
     fn repeatable(&self, request: RequestKey) -> bool {
         self.requests
             .get(request)
-            .is_some_and(|request| request.route.kind == Repeat::Idem)
+            .is_some_and(|request| request.route.kind == Idempotency::Idempotent)
     }
 
     /// A leg is out whose server may run its request.
@@ -243,7 +243,7 @@
         self.close_leg(key);
     }
 
-    pub(super) fn answer_came(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn answer_came(&mut self, now: Micros, key: ConnectionId) {
         loop {
             let (Some(Role::Leg(leg)), Some(wire)) =
                 (self.roles.get_mut(key), self.wires.get_mut(key))
@@ -297,7 +297,7 @@
                 return match course(own, &leg.incoming, &self.limits) {
                     Course::Relayed => self.begin_relay(now, key, errand),
                     Course::Refused => self.leg_done(now, key, errand, Verdict::Garbled),
-                    Course::Kept => self.again.extend(wire.waits().then_some(key)),
+                    Course::Kept => self.again.extend(wire.has_unread().then_some(key)),
                 };
             }
             if verdict != Verdict::Foreign {
@@ -318,7 +318,7 @@
     }
 
     /// The answer on a connection is whole, or will never be good.
-    fn leg_done(&mut self, now: Micros, key: WireKey, errand: Errand, verdict: Verdict) {
+    fn leg_done(&mut self, now: Micros, key: ConnectionId, errand: Errand, verdict: Verdict) {
         let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get_mut(key), self.wires.get_mut(key))
         else {
             return;
@@ -397,7 +397,7 @@
     }
 
     /// A connection to a server broke, never came up, or the server closed it.
-    pub(super) fn leg_broken(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn leg_broken(&mut self, now: Micros, key: ConnectionId) {
         let Some(Role::Leg(leg)) = self.roles.get(key) else {
             return;
         };
@@ -449,7 +449,7 @@
         self.deadlines.enter(now + wait, Due::Probe(key));
     }
 
-    pub(super) fn probe_due(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn probe_due(&mut self, now: Micros, key: ConnectionId) {
         let Some(Role::Leg(leg)) = self.roles.get(key) else {
             return;
         };
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -24,11 +24,11 @@
 use dataplane::upload::Upload;
 use dataplane::visits::Visit;
 use eyre::{WrapErr, eyre};
+use protocol::connections::{ConnectionId, Connections, IoEvent};
 use protocol::items::Route;
-use protocol::messages::{Add, Edge, Standing};
-use protocol::ring::Ring;
+use protocol::log_ring::LogRing;
+use protocol::messages::{CounterAdd, NodeInfo, NodeState};
 use protocol::settings::Settings;
-use protocol::wires::{Happening, WireKey, Wires};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use slog::{Logger, info};
 use slotmap::{SecondaryMap, SlotMap};
@@ -100,9 +100,9 @@
     /// The band of its last request.
     band: usize,
     /// The server's connection from which its answer is being relayed.
-    source: Option<WireKey>,
+    source: Option<ConnectionId>,
     /// The body of its request that goes on while it comes.
-    upload: Option<Upload<WireKey>>,
+    upload: Option<Upload<ConnectionId>>,
 }
 
 /// A connection to a server.
@@ -127,7 +127,7 @@
 
 /// A request whose final answer is owed.
 struct Request {
-    client: WireKey,
+    client: ConnectionId,
     method: String,
     target: String,
     /// Header lines as they go on to servers.
@@ -142,7 +142,7 @@
     coming: Option<Extent>,
     ticket: Ticket,
     /// Connections to servers that it was sent on.
-    sent_on: Vec<WireKey>,
+    sent_on: Vec<ConnectionId>,
     /// It may have run.
     ran: bool,
     /// A server's failure, which is the answer if nothing better comes.
@@ -152,11 +152,11 @@
 /// What falls due.
 #[derive(Debug)]
 enum Due {
-    Connect(WireKey),
-    Visit(WireKey),
-    Probe(WireKey),
+    Connect(ConnectionId),
+    Visit(ConnectionId),
+    Probe(ConnectionId),
     /// An answer that is being relayed from this connection.
-    Relay(WireKey),
+    Relay(ConnectionId),
     /// A request whose long body came.
     Late(RequestKey),
     Batch,
@@ -186,9 +186,9 @@
     /// What clients are told of how long they may stay idle.
     stay: String,
     log: Logger,
-    ring: Ring,
-    wires: Wires,
-    roles: SecondaryMap<WireKey, Role>,
+    ring: LogRing,
+    wires: Connections,
+    roles: SecondaryMap<ConnectionId, Role>,
     clients: usize,
     /// Bytes of requests that are held for all clients.
     held: usize,
@@ -201,18 +201,18 @@
     server_table: ServerTable,
     router: RequestRouter,
     requests: SlotMap<RequestKey, Request>,
-    pool: Pool<WireKey>,
-    legs: HashMap<(usize, AuthorisationKey), WireKey>,
+    pool: Pool<ConnectionId>,
+    legs: HashMap<(usize, AuthorisationKey), ConnectionId>,
     steps: Vec<Step>,
-    feed: Option<WireKey>,
+    feed: Option<ConnectionId>,
     /// The agent has told all it knows, once.
     told: bool,
-    adds: Vec<Add>,
+    adds: Vec<CounterAdd>,
     batches: VecDeque<Batch>,
     batch: u64,
     /// Connections whose input is to be looked at again.
-    again: Vec<WireKey>,
-    standing: Standing,
+    again: Vec<ConnectionId>,
+    standing: NodeState,
     /// Nothing that came before this is waiting to be taken.
     looked: Micros,
     /// When a line on a connection that was closed with an answer owed last came out.
@@ -240,8 +240,8 @@
     ///
     /// # Errors
     /// An address is missing in the settings, or not to be had.
-    pub fn open(settings: Settings, clock: Clock, ring: Ring) -> eyre::Result<Host> {
-        let mut wires = Wires::new(&[SIGTERM, SIGHUP]).wrap_err("opening the loop")?;
+    pub fn open(settings: Settings, clock: Clock, ring: LogRing) -> eyre::Result<Host> {
+        let mut wires = Connections::new(&[SIGTERM, SIGHUP]).wrap_err("opening the loop")?;
         let http = settings
             .bind
             .http
@@ -300,7 +300,7 @@
             batches: VecDeque::new(),
             batch: 0,
             again: Vec::new(),
-            standing: Standing::Away,
+            standing: NodeState::Unavailable,
             looked: now,
             said: 0,
             settings,
@@ -320,7 +320,9 @@
             .requests
             .values()
             .map(|request| request.body.capacity());
-        self.wires.held() + self.roles.values().map(of).sum::<usize>() + bodies.sum::<usize>()
+        self.wires.buffered_bytes()
+            + self.roles.values().map(of).sum::<usize>()
+            + bodies.sum::<usize>()
     }
 
     /// Runs until told to end.
@@ -345,7 +347,7 @@
     ///
     /// # Errors
     /// The system's wait failed.
-    pub fn step(&mut self, longest: Micros, happenings: &mut Vec<Happening>) -> eyre::Result<()> {
+    pub fn step(&mut self, longest: Micros, happenings: &mut Vec<IoEvent>) -> eyre::Result<()> {
         let busy = !happenings.is_empty() || !self.again.is_empty();
         let due = [self.deadlines.earliest(), self.router.next()]
             .into_iter()
@@ -363,17 +365,17 @@
             .wrap_err("waiting")?;
         let came = happenings
             .iter()
-            .filter(|h| matches!(h, Happening::Came(_) | Happening::Accepted(..)));
+            .filter(|h| matches!(h, IoEvent::Received(_) | IoEvent::Accepted(..)));
         self.feel(now, until, came.count());
         self.turn(happenings);
         Ok(())
     }
 
-    fn turn(&mut self, happenings: &mut Vec<Happening>) {
+    fn turn(&mut self, happenings: &mut Vec<IoEvent>) {
         let now = self.clock.now();
         for key in std::mem::take(&mut self.again) {
-            self.wires.resume(key, now, happenings);
-            happenings.push(Happening::Came(key));
+            self.wires.resume_reading(key, now, happenings);
+            happenings.push(IoEvent::Received(key));
         }
         for happening in happenings.drain(..) {
             self.happened(now, happening);
@@ -426,21 +428,21 @@
         }
     }
 
-    fn happened(&mut self, now: Micros, happening: Happening) {
+    fn happened(&mut self, now: Micros, happening: IoEvent) {
         match happening {
-            Happening::Accepted(door, key) if door == self.doors.0 => self.took(now, key),
-            Happening::Accepted(_, key) => _ = self.roles.insert(key, Role::Check { last: false }),
-            Happening::Signal(SIGTERM) => self.leave(now),
+            IoEvent::Accepted(door, key) if door == self.doors.0 => self.took(now, key),
+            IoEvent::Accepted(_, key) => _ = self.roles.insert(key, Role::Check { last: false }),
+            IoEvent::Signal(SIGTERM) => self.leave(now),
             // The settings file holds nothing that a proxy takes over while it runs.
-            Happening::Signal(_) => {}
-            Happening::Up(key) => self.came_up(now, key),
-            Happening::Came(key) => self.came(now, key),
-            Happening::Written(key) => self.written(now, key),
-            Happening::Ended(key) | Happening::Broken(key) => self.broken(now, key),
+            IoEvent::Signal(_) => {}
+            IoEvent::Connected(key) => self.came_up(now, key),
+            IoEvent::Received(key) => self.came(now, key),
+            IoEvent::Flushed(key) => self.written(now, key),
+            IoEvent::PeerClosed(key) | IoEvent::Failed(key) => self.broken(now, key),
         }
     }
 
-    fn came_up(&mut self, now: Micros, key: WireKey) {
+    fn came_up(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get_mut(key) {
             Some(Role::Leg(leg)) => {
                 leg.state = leg.state.connected();
@@ -453,7 +455,7 @@
         }
     }
 
-    fn came(&mut self, now: Micros, key: WireKey) {
+    fn came(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get(key) {
             Some(Role::Client(_)) => self.client_came(now, key),
             Some(Role::Leg(_)) => self.answer_came(now, key),
@@ -463,7 +465,7 @@
         }
     }
 
-    fn written(&mut self, now: Micros, key: WireKey) {
+    fn written(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get_mut(key) {
             Some(Role::Client(_)) => self.answer_written(now, key),
             // What was written may have been an earlier part of it.
@@ -487,7 +489,7 @@
         }
     }
 
-    fn broken(&mut self, now: Micros, key: WireKey) {
+    fn broken(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get(key) {
             Some(Role::Client(_)) => self.client_gone(now, key, Closing::Left),
             Some(Role::Leg(_)) => self.leg_broken(now, key),
@@ -496,14 +498,14 @@
         }
     }
 
-    fn drop_wire(&mut self, key: WireKey) {
+    fn drop_wire(&mut self, key: ConnectionId) {
         self.roles.remove(key);
         self.wires.close(key);
     }
 
     fn due(&mut self, now: Micros, due: Due) {
         match due {
-            Due::Connect(key) if self.wires.get(key).is_some_and(|wire| !wire.up()) => {
+            Due::Connect(key) if self.wires.get(key).is_some_and(|wire| !wire.is_connected()) => {
                 self.broken(now, key)
             }
             Due::Connect(_) => {}
@@ -523,14 +525,14 @@
     }
 
     /// How the proxy stands: it serves once the agent has told it all, and there is something to serve.
-    fn stands(&self) -> Standing {
+    fn stands(&self) -> NodeState {
         match (
             self.lifecycle.ending(),
             self.told && self.config_store.serves() && self.server_table.any(),
         ) {
-            (true, _) => Standing::Leaving,
-            (false, true) => Standing::Ready,
-            (false, false) => Standing::Away,
+            (true, _) => NodeState::Draining,
+            (false, true) => NodeState::Ready,
+            (false, false) => NodeState::Unavailable,
         }
     }
 
@@ -548,7 +550,7 @@
 
     fn notice_over(&mut self, now: Micros) {
         self.wires.stop_listening(self.doors.0);
-        let clients: Vec<WireKey> = self
+        let clients: Vec<ConnectionId> = self
             .roles
             .iter()
             .filter(|(_, r)| matches!(r, Role::Client(_)))
@@ -574,12 +576,12 @@
         }
     }
 
-    fn edge(&self) -> Edge {
+    fn edge(&self) -> NodeInfo {
         let Settings {
             node, zone, region, ..
         } = &self.settings;
-        Edge {
-            node: node.clone(),
+        NodeInfo {
+            name: node.clone(),
             zone: zone.clone(),
             region: region.clone(),
             http: self.addresses.0,
--- a/crates/proxy/src/host/relaying.rs
+++ b/crates/proxy/src/host/relaying.rs
@@ -11,7 +11,7 @@
 /// An answer on its way.
 pub(super) struct Passage {
     relay: Relay,
-    to: WireKey,
+    to: ConnectionId,
     /// When the answer is due.
     deadline: Micros,
     /// Whether the server's connection may be used again, and until when after.
@@ -20,7 +20,7 @@
 
 impl Host {
     /// A long answer is the final one: it begins. From here on there is no other try, and no other answer.
-    pub(super) fn begin_relay(&mut self, now: Micros, key: WireKey, errand: Errand) {
+    pub(super) fn begin_relay(&mut self, now: Micros, key: ConnectionId, errand: Errand) {
         let Some(Role::Leg(leg)) = self.roles.get_mut(key) else {
             return;
         };
@@ -70,7 +70,7 @@
     }
 
     /// More has come of an answer that is being relayed.
-    pub(super) fn relay_came(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn relay_came(&mut self, now: Micros, key: ConnectionId) {
         let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get_mut(key), self.wires.get_mut(key))
         else {
             return;
@@ -86,7 +86,7 @@
         let (held_up, clean) = (!out.is_empty(), input.is_empty());
         if let Some(wire) = self.wires.get_mut(key) {
             wire.input = input;
-            wire.most = if held_up { 0 } else { self.limits.relay_window };
+            wire.max_input_bytes = if held_up { 0 } else { self.limits.relay_window };
         }
         match passed {
             Err(_) => self.cut(now, key, Closing::Garbled),
@@ -96,7 +96,7 @@
     }
 
     /// All of it has come: the server's connection is free of the client's.
-    fn relay_whole(&mut self, now: Micros, key: WireKey, clean: bool) {
+    fn relay_whole(&mut self, now: Micros, key: ConnectionId, clean: bool) {
         let Some(Role::Leg(leg)) = self.roles.get_mut(key) else {
             return;
         };
@@ -113,21 +113,21 @@
             self.close_leg(key);
         } else if let Some(wire) = self.wires.get_mut(key) {
             wire.input = Vec::new();
-            wire.most = ANSWER_ROOM;
+            wire.max_input_bytes = ANSWER_ROOM;
             self.again.push(key);
         }
     }
 
     /// The client has taken in what came so far: more may come.
-    pub(super) fn relay_on(&mut self, source: WireKey) {
+    pub(super) fn relay_on(&mut self, source: ConnectionId) {
         if let Some(wire) = self.wires.get_mut(source) {
-            wire.most = self.limits.relay_window;
+            wire.max_input_bytes = self.limits.relay_window;
             self.again.push(source);
         }
     }
 
     /// An answer that was begun breaks off. Its end was never written, and never is: its client's connection goes.
-    pub(super) fn cut(&mut self, now: Micros, key: WireKey, closing: Closing) {
+    pub(super) fn cut(&mut self, now: Micros, key: ConnectionId, closing: Closing) {
         let Some(Role::Leg(leg)) = self.roles.get_mut(key) else {
             return;
         };
@@ -139,7 +139,7 @@
     }
 
     /// An answer may have been on its way for too long.
-    pub(super) fn relay_due(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn relay_due(&mut self, now: Micros, key: ConnectionId) {
         let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get(key), self.wires.get(key)) else {
             return;
         };
@@ -151,7 +151,7 @@
             .is_some_and(|client| client.backlog() > 0);
         let until = ends(
             passage.deadline,
-            if held_up { now } else { wire.heard },
+            if held_up { now } else { wire.last_received_at },
             &self.limits,
         );
         match until > now {
--- a/crates/proxy/src/host/room.rs
+++ b/crates/proxy/src/host/room.rs
@@ -26,7 +26,7 @@
     /// How late the loop is with what it takes now, and how full it is. What a wait brought at once may have come during
     /// the whole turn before it; where a wait did not bring all, since earlier still. One that ends late kept what was due.
     pub(super) fn feel(&mut self, began: Micros, until: Micros, count: usize) {
-        let (woken, all) = self.wires.woken();
+        let (woken, all) = self.wires.last_wake();
         let at_once = woken - began <= AT_ONCE;
         let behind = if at_once { began - self.looked } else { 0 };
         let late = if until > began {
@@ -53,7 +53,7 @@
         if self.clients <= CLIENTS && self.wires.len() < self.descriptors() {
             return;
         }
-        let spared = |key: WireKey, client: &Client| {
+        let spared = |key: ConnectionId, client: &Client| {
             // Danger: of what this wait brought, this connection's next request may stand behind the new connection.
             let read = self
                 .wires
@@ -76,7 +76,7 @@
 
     /// If more is held than there is room for: the request that goes for it, of those whose body is still coming. It is of
     /// the lowest tier, and among those alike the largest.
-    pub(super) fn no_room(&self) -> Option<WireKey> {
+    pub(super) fn no_room(&self) -> Option<ConnectionId> {
         let coming = self.roles.iter().filter_map(|(key, role)| match role {
             Role::Client(client) if client.visit.stage == Stage::Partial => {
                 Some(((client.band, client.held), key))
--- a/crates/proxy/src/host/uploading.rs
+++ b/crates/proxy/src/host/uploading.rs
@@ -9,7 +9,7 @@
 
 impl Host {
     /// A body that is not kept whole: the request is taken by its head.
-    pub(super) fn begin_upload(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn begin_upload(&mut self, now: Micros, key: ConnectionId) {
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
@@ -46,7 +46,7 @@
     }
 
     /// More has come of a body that goes on while it comes.
-    pub(super) fn upload_came(&mut self, now: Micros, key: WireKey) {
+    pub(super) fn upload_came(&mut self, now: Micros, key: ConnectionId) {
         let (Some(Role::Client(client)), Some(wire)) =
             (self.roles.get_mut(key), self.wires.get_mut(key))
         else {
@@ -75,7 +75,7 @@
             client.visit.uploading(now, upload.come());
         }
         if let Some(wire) = self.wires.get_mut(key) {
-            wire.most = if whole { AHEAD.max(input.len()) } else { room };
+            wire.max_input_bytes = if whole { AHEAD.max(input.len()) } else { room };
             wire.input = input;
         }
         if let Some(Role::Leg(leg)) = leg.and_then(|leg| self.roles.get_mut(leg)) {
@@ -89,7 +89,7 @@
     }
 
     /// Its last byte has come: from here on the request has the time that its client gives it.
-    fn upload_whole(&mut self, now: Micros, key: WireKey) {
+    fn upload_whole(&mut self, now: Micros, key: ConnectionId) {
         let Some(request) = self.client(key).and_then(|client| client.request) else {
             return;
         };
@@ -100,7 +100,7 @@
     }
 
     /// The connection of the leg is up, and its head on its way: what is here goes on. There is no other leg after it.
-    pub(super) fn start_upload(&mut self, key: RequestKey, wire: WireKey) {
+    pub(super) fn start_upload(&mut self, key: RequestKey, wire: ConnectionId) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
@@ -125,13 +125,13 @@
             return;
         };
         if let Some(wire) = self.wires.get_mut(from) {
-            wire.most = self.limits.relay_window;
+            wire.max_input_bytes = self.limits.relay_window;
             self.again.push(from);
         }
     }
 
     /// A body that is none, or too long. Its end was never written, so that its server never runs it.
-    fn end_upload(&mut self, now: Micros, key: WireKey, fault: Malformed) {
+    fn end_upload(&mut self, now: Micros, key: ConnectionId, fault: Malformed) {
         if let Some(request) = self.client(key).and_then(|client| client.request.take()) {
             self.leave_off(now, request);
         }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -3,13 +3,13 @@
 use std::process::ExitCode;
 
 use dataplane::clock::Clock;
-use protocol::program::{self, Started};
+use protocol::program::{self, ProgramContext};
 use proxy::host::Host;
 
 fn main() -> ExitCode {
     program::run(
         "proxy",
         proxy::host::check,
-        |Started { settings, ring, .. }| Host::open(settings, Clock::steady(), ring)?.run(),
+        |ProgramContext { settings, ring, .. }| Host::open(settings, Clock::steady(), ring)?.run(),
     )
 }
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -13,7 +13,7 @@
 use dataplane::engine::{Authorisation, Ending, Engine, Order};
 use dataplane::slots::AuthorisationKey;
 use protocol::items::{Route, Tenant};
-use protocol::messages::Add;
+use protocol::messages::CounterAdd;
 use protocol::settings::Bounds;
 use slotmap::SecondaryMap;
 use streamarch::{CounterName, Micros, Outcome, ServerId, Settings};
@@ -63,7 +63,7 @@
     /// Give the final answer.
     Answer(RequestKey, Ending),
     /// Add to the shared count; [`RequestRouter::counted`] follows.
-    Count(Add),
+    Count(CounterAdd),
     /// Look whether a server is well, for the engine of this position.
     Probe(usize, ServerId),
 }
@@ -414,10 +414,10 @@
                 );
             }
             Order::Count { name, add, life } => {
-                steps.push(Step::Count(Add {
-                    name: name.0,
+                steps.push(Step::Count(CounterAdd {
+                    counter: name.0,
                     units: add,
-                    life,
+                    ttl: life,
                 }));
             }
             Order::Probe(server) => steps.push(Step::Probe(at, server)),
--- a/crates/proxy/src/router/placing.rs
+++ b/crates/proxy/src/router/placing.rs
@@ -1,7 +1,7 @@
 //! The engines that place what was let in, one for each service and set of regions.
 
 use dataplane::engine::{Authorisation, Engine};
-use protocol::items::{Repeat as Kind, Route};
+use protocol::items::{Idempotency as Kind, Route};
 use protocol::settings::Bounds;
 use streamarch::{Class, ListKind, Micros, Plan, Repeat, RetryBudget, ServerEntry, Settings};
 
@@ -31,7 +31,7 @@
 
 pub(super) fn class_of(route: &Route, prio: u32) -> usize {
     let rank = (prio as usize).min(WORTHS.len() - 1);
-    let repeat = usize::from(route.kind != Kind::Idem);
+    let repeat = usize::from(route.kind != Kind::Idempotent);
     (repeat * WORTHS.len() + rank) * AIMS.len() + nearest(route.target_time.0)
 }
 
--- a/crates/proxy/src/router/tests.rs
+++ b/crates/proxy/src/router/tests.rs
@@ -96,11 +96,14 @@
                         },
                     ) => self.refused += 1,
                     Step::Count(add) if self.count_answers => {
-                        let total = self.counts.entry(add.name).or_default();
+                        let total = self.counts.entry(add.counter).or_default();
                         *total += add.units;
-                        self.router.counted(add.name, Outcome::Ok, *total);
+                        self.router.counted(add.counter, Outcome::Ok, *total);
+                    }
+                    Step::Count(add) => {
+                        self.router
+                            .counted(add.counter, Outcome::ConnectFailed, 0.0)
                     }
-                    Step::Count(add) => self.router.counted(add.name, Outcome::ConnectFailed, 0.0),
                     other => panic!("{other:?}"),
                 }
             }
@@ -342,7 +345,7 @@
     assert!((1..40).contains(&bench.sent), "{}", bench.sent);
     counts
         .into_iter()
-        .for_each(|add| bench.router.counted(add.name, Outcome::Ok, add.units));
+        .for_each(|add| bench.router.counted(add.counter, Outcome::Ok, add.units));
     bench.settle();
     assert_eq!(bench.sent, 40);
 }
--- a/crates/proxy/src/server_table.rs
+++ b/crates/proxy/src/server_table.rs
@@ -66,8 +66,8 @@
         self.version = Some(version);
         let mut before = std::mem::take(&mut self.servers);
         for server in servers {
-            let warm_at = if server.cold > 0 {
-                now + server.cold
+            let warm_at = if server.warm_up_left > 0 {
+                now + server.warm_up_left
             } else {
                 0
             };
@@ -165,7 +165,9 @@
                 there if there == own => SAME_REGION,
                 _ => ELSEWHERE,
             };
-            let gets = server.up && !known.mistaken && !self.evacuated.contains(&server.zone);
+            let gets = server.accepts_requests
+                && !known.mistaken
+                && !self.evacuated.contains(&server.zone);
             let ready = gets && self.warm_at(known) <= now;
             ServerEntry {
                 server: known.number,
@@ -213,8 +215,8 @@
             addr,
             zone: zone.into(),
             slots: 2,
-            up: true,
-            cold: 0,
+            accepts_requests: true,
+            warm_up_left: 0,
         }
     }
 
@@ -261,7 +263,7 @@
     #[test]
     fn a_cold_server_gets_nothing_until_it_is_warm() {
         let server_table = server_table(vec![Server {
-            cold: 500,
+            warm_up_left: 500,
             ..server("i-a", "a")
         }]);
         assert!(ready(&server_table, NOW + 499, &[]).is_empty());
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -3,15 +3,18 @@
 mod common;
 
 use common::{Bench, ask, item, route};
-use protocol::items::Kind;
-use protocol::messages::Down;
+use protocol::items::ItemKind;
+use protocol::messages::ControlMessage;
 use test_case::test_case;
 
 /// A proxy whose requests on `/k/` need a key: `k1` or `k2`.
 fn keyed() -> Bench {
     let mut bench = Bench::new(&["a"]);
-    let tenant = item(Kind::Tenant, "t", 1, r#"{"apikeys":["k1","k2"]}"#);
-    bench.tell(Down::Items(vec![route("/k/", 1, "idem", ""), tenant]));
+    let tenant = item(ItemKind::Tenant, "t", 1, r#"{"apikeys":["k1","k2"]}"#);
+    bench.tell(ControlMessage::Items(vec![
+        route("/k/", 1, "idem", ""),
+        tenant,
+    ]));
     bench.settle();
     bench
 }
@@ -25,8 +28,8 @@
     let at = bench.served();
     bench.serve(&at);
     assert_eq!(bench.answer(client).status, 200);
-    bench.tell(Down::Items(vec![item(
-        Kind::Tenant,
+    bench.tell(ControlMessage::Items(vec![item(
+        ItemKind::Tenant,
         "t",
         2,
         r#"{"apikeys":["k2"]}"#,
@@ -151,7 +154,12 @@
     ];
     for (status, more, body) in cases {
         let mut bench = Bench::new(&["a"]);
-        bench.tell(Down::Items(vec![item(Kind::Limits, "", 1, limits)]));
+        bench.tell(ControlMessage::Items(vec![item(
+            ItemKind::Limits,
+            "",
+            1,
+            limits,
+        )]));
         bench.settle();
         let client = bench.ask(ask("POST /u/1", "one", &more, &body));
         if status == 200 {
@@ -187,7 +195,12 @@
 fn a_client_idle_for_as_long_as_it_was_told_is_served_on_its_connection() {
     let mut bench = Bench::new(&["a"]);
     let spec = r#"{"hdr_bytes":16384,"body_bytes":1048576,"hdr":"3000ms","idle":"15000ms"}"#;
-    bench.tell(Down::Items(vec![item(Kind::Limits, "", 2, spec)]));
+    bench.tell(ControlMessage::Items(vec![item(
+        ItemKind::Limits,
+        "",
+        2,
+        spec,
+    )]));
     bench.settle();
     let client = bench.client();
     for id in ["one", "two", "three"] {
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Bench, MS, START, ask, good, pattern, route};
-use protocol::messages::Down;
+use protocol::messages::ControlMessage;
 use test_case::test_case;
 
 /// The platform's check, as one that closes its connection and as one that keeps it.
@@ -94,7 +94,7 @@
     let mut bench = Bench::new(&["a"]);
     let mut slow = route("/s/", 1, "idem", r#","public":true"#);
     slow.spec = slow.spec.map(|spec| spec.replace("3s", "30s"));
-    bench.tell(Down::Items(vec![slow]));
+    bench.tell(ControlMessage::Items(vec![slow]));
     let client = bench.ask(ask("GET /s/1", "one", "", "").replace("3000", "30000"));
     bench.served();
     let now = bench.now();
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -11,13 +11,13 @@
 use dataplane::clock::Clock;
 use dataplane::framing::{self, Answer, Request};
 use dataplane::limits::Limits;
+use protocol::connections::IoEvent;
 use protocol::frames;
-use protocol::items::{Item, Kind, Name};
-use protocol::messages::{Down, Up, Who};
+use protocol::items::{Item, ItemKind, ItemName};
+use protocol::log_ring::LogRing;
+use protocol::messages::{AgentMessage, ClusterView, ControlMessage};
 use protocol::platform::Server;
-use protocol::ring::Ring;
 use protocol::settings::Settings;
-use protocol::wires::Happening;
 use proxy::host::Host;
 
 /// Start of the driven clock.
@@ -129,19 +129,19 @@
 pub struct Bench {
     pub host: Host,
     hand: Arc<AtomicI64>,
-    happenings: Vec<Happening>,
+    happenings: Vec<IoEvent>,
     feed: TcpListener,
     agent: Option<End>,
     /// What the proxy told its agent.
-    pub told: Vec<Up>,
+    pub told: Vec<AgentMessage>,
     list: (u64, u64),
     pub stubs: Vec<Stub>,
     pub clients: Vec<End>,
 }
 
-pub fn item(kind: Kind, name: &str, ver: u64, spec: &str) -> Item {
+pub fn item(kind: ItemKind, name: &str, ver: u64, spec: &str) -> Item {
     Item {
-        name: Name {
+        name: ItemName {
             kind,
             name: name.to_string(),
         },
@@ -155,7 +155,7 @@
     let spec = format!(
         r#"{{"host":"h","prefix":"{prefix}","kind":"{kind}","timeout":"3s","target_time":"500ms","svc":"s","tries":3{more}}}"#
     );
-    item(Kind::Route, prefix, ver, &spec)
+    item(ItemKind::Route, prefix, ver, &spec)
 }
 
 /// A request as clients send it.
@@ -224,7 +224,7 @@
         let feed = TcpListener::bind("127.0.0.1:0").unwrap();
         feed.set_nonblocking(true).unwrap();
         let port = feed.local_addr().unwrap().port();
-        let settings = Settings::read(&format!(
+        let settings = Settings::parse(&format!(
             "node: e\nserves: [edge]\nip: 127.0.0.1\nzone: a\nregion: r\nzones: {{a: r, b: r, c: q}}\n\
             bind: {{http: '127.0.0.1:0', readyz: '127.0.0.1:0'}}\nport_range: [{}, {}]\n{more}",
             port - 1,
@@ -234,7 +234,7 @@
         let host = Host::open(
             settings.unwrap(),
             Clock::driven(hand.clone()),
-            Ring::default(),
+            LogRing::default(),
         )
         .unwrap();
         let mut bench = Bench {
@@ -260,16 +260,16 @@
             .iter()
             .map(|(prefix, kind)| route(prefix, 1, kind, public))
             .collect();
-        items.push(item(Kind::Service, "s", 1, r#"{"hcheck":"/healthz"}"#));
-        bench.tell(Down::Who(Who {
+        items.push(item(ItemKind::Service, "s", 1, r#"{"hcheck":"/healthz"}"#));
+        bench.tell(ControlMessage::ClusterView(ClusterView {
             limiters: 1,
-            in_zone: 1,
-            in_touch: true,
-            ..Who::default()
+            limiters_in_zone: 1,
+            has_quorum: true,
+            ..ClusterView::default()
         }));
-        bench.tell(Down::Items(items));
+        bench.tell(ControlMessage::Items(items));
         bench.list();
-        bench.tell(Down::Whole);
+        bench.tell(ControlMessage::Complete);
         bench.settle();
         bench
     }
@@ -282,7 +282,7 @@
         }
         if let Some(agent) = &mut self.agent {
             agent.look();
-            while let Some(message) = frames::take(&mut agent.input).unwrap() {
+            while let Some(message) = frames::decode(&mut agent.input).unwrap() {
                 self.told.push(message);
             }
         }
@@ -336,9 +336,9 @@
         });
     }
 
-    pub fn tell(&mut self, message: Down) {
+    pub fn tell(&mut self, message: ControlMessage) {
         let mut bytes = Vec::new();
-        frames::put(&mut bytes, &message);
+        frames::encode(&mut bytes, &message);
         let agent = self.agent.as_mut().unwrap();
         assert_eq!(agent.write(&bytes), bytes.len());
     }
@@ -347,7 +347,7 @@
     pub fn list(&mut self) {
         self.list.1 += 1;
         let servers = self.stubs.iter().map(|stub| stub.listed.clone()).collect();
-        self.tell(Down::Servers {
+        self.tell(ControlMessage::Servers {
             version: self.list,
             servers,
         });
@@ -484,8 +484,8 @@
             addr,
             zone,
             slots: 4,
-            up: true,
-            cold: 0,
+            accepts_requests: true,
+            warm_up_left: 0,
         };
         Stub {
             listener,
--- a/crates/proxy/tests/edge.rs
+++ b/crates/proxy/tests/edge.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Bench, ask, route};
-use protocol::messages::{Down, Standing, Up};
+use protocol::messages::{AgentMessage, ControlMessage, NodeState};
 
 #[test]
 fn told_to_end_it_finishes_what_it_took_and_then_ends() {
@@ -15,7 +15,10 @@
     let now = bench.now();
     bench.host.leave(now);
     assert_eq!(bench.ready(), 503);
-    assert_eq!(bench.told.last(), Some(&Up::Beat(Standing::Leaving)));
+    assert_eq!(
+        bench.told.last(),
+        Some(&AgentMessage::Heartbeat(NodeState::Draining))
+    );
     // Through the notice it serves who still comes, and for a moment after it on the same connection.
     bench.pass(2_000);
     let late = bench.client();
@@ -51,7 +54,7 @@
 fn an_agent_that_starts_anew_takes_nothing_back() {
     let mut bench = Bench::new(&["a", "a"]);
     bench.list();
-    bench.tell(Down::Items(vec![route(
+    bench.tell(ControlMessage::Items(vec![route(
         "/n/",
         7,
         "idem",
@@ -61,7 +64,11 @@
     let client = bench.ask(ask("GET /i/1", "one", "", ""));
     let at = bench.served();
     bench.agent_there();
-    assert!(bench.told.ends_with(&[Up::Beat(Standing::Ready)]));
+    assert!(
+        bench
+            .told
+            .ends_with(&[AgentMessage::Heartbeat(NodeState::Ready)])
+    );
     bench.serve(&at);
     assert_eq!((bench.answer(client).status, bench.ready()), (200, 200));
     // It links to a replica that is behind: what is older has no effect.
@@ -69,8 +76,8 @@
         spec: None,
         ..route("/n/", 6, "idem", "")
     };
-    bench.tell(Down::Items(vec![dropped]));
-    bench.tell(Down::Servers {
+    bench.tell(ControlMessage::Items(vec![dropped]));
+    bench.tell(ControlMessage::Servers {
         version: (1, 1),
         servers: vec![],
     });
--- a/crates/proxy/tests/model.rs
+++ b/crates/proxy/tests/model.rs
@@ -7,8 +7,8 @@
 
 use common::{At, Bench, End, MS, START, ask, good, item, lines, not_run, route};
 use fastrand::Rng;
-use protocol::items::{Item, Kind};
-use protocol::messages::Down;
+use protocol::items::{Item, ItemKind};
+use protocol::messages::ControlMessage;
 use test_case::test_case;
 
 const SCHEDULES: u64 = 300;
@@ -143,8 +143,8 @@
             .map(|(prefix, kind)| route(prefix, self.version, kind, public))
             .collect();
         let limits = r#"{"hdr_bytes":16384,"body_bytes":4194304,"hdr":"2300ms","idle":"6s"}"#;
-        items.push(item(Kind::Limits, "", self.version, limits));
-        self.bench.tell(Down::Items(items));
+        items.push(item(ItemKind::Limits, "", self.version, limits));
+        self.bench.tell(ControlMessage::Items(items));
     }
 
     /// Clients send more of their long bodies, as far as it is taken.
@@ -392,7 +392,7 @@
     /// Servers leave or stay; some are new lives.
     fn relist(&mut self) {
         for stub in &mut self.bench.stubs {
-            stub.listed.up = self.random.u32(0..5) > 0;
+            stub.listed.accepts_requests = self.random.u32(0..5) > 0;
             if self.random.u32(0..3) == 0 {
                 self.lives += 1;
                 stub.listed.id = format!("i-new-{}", self.lives);
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -218,9 +218,9 @@
                         let key = (now + self.proxies[at].far, self.number());
                         self.proxies[at]
                             .calls
-                            .push((now + COUNT_WAIT, add.name, false));
+                            .push((now + COUNT_WAIT, add.counter, false));
                         if !self.proxies[at].cut {
-                            self.adds.insert(key, (at, add.name, add.units));
+                            self.adds.insert(key, (at, add.counter, add.units));
                         }
                     }
                     other => panic!("{other:?}"),
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{At, Bench, ask, chunks, good, lines, pattern, route};
-use protocol::messages::Down;
+use protocol::messages::ControlMessage;
 use test_case::test_case;
 
 /// Longest answer that is kept whole, and a longer one.
@@ -113,7 +113,7 @@
     let mut bench = Bench::new(&["a"]);
     let mut slow = route("/s/", 1, "idem", r#","public":true"#);
     slow.spec = slow.spec.map(|spec| spec.replace("3s", "9s"));
-    bench.tell(Down::Items(vec![slow]));
+    bench.tell(ControlMessage::Items(vec![slow]));
     let client = bench.ask(ask("GET /s/1", "one", "", "").replace("3000", "9000"));
     let at = bench.served();
     let bytes = whole(false, &pattern(LONG));
--- a/crates/proxy/tests/repeats.rs
+++ b/crates/proxy/tests/repeats.rs
@@ -133,7 +133,7 @@
     bench.serve(&at);
     assert_eq!(bench.answer(client).status, 200);
     // Only the server that refused is left.
-    bench.stubs[at.stub].listed.up = false;
+    bench.stubs[at.stub].listed.accepts_requests = false;
     bench.list();
     bench.pass(1_000);
     let mut met = false;
--- a/crates/proxy/tests/room.rs
+++ b/crates/proxy/tests/room.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Bench, ask, route};
-use protocol::messages::Down;
+use protocol::messages::ControlMessage;
 use test_case::test_case;
 
 /// A proxy with routes of the highest and of the lowest tier.
@@ -18,7 +18,7 @@
         tier("/low/", "idem", 3),
         tier("/up/", "upload", 0),
     ];
-    bench.tell(Down::Items(
+    bench.tell(ControlMessage::Items(
         [routes, vec![tier("/guests/", "upload", 3)]].concat(),
     ));
     bench.settle();
--- a/crates/proxy/tests/servers.rs
+++ b/crates/proxy/tests/servers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Bench, ask, good, item, lines, not_run};
-use protocol::items::Kind;
+use protocol::items::ItemKind;
 use test_case::test_case;
 
 const IDEM: &str = "GET /i/1";
@@ -143,7 +143,7 @@
 #[test]
 fn a_cold_server_gets_nothing_until_it_is_warm() {
     let mut bench = Bench::new(&["a", "a"]);
-    bench.stubs[0].listed.cold = 500 * common::MS;
+    bench.stubs[0].listed.warm_up_left = 500 * common::MS;
     bench.list();
     assert_eq!(bench.spread(20)[0], 0);
     bench.pass(460);
@@ -156,8 +156,8 @@
 fn an_evacuated_zone_gets_nothing_and_one_taken_back_counts_as_cold() {
     let mut bench = Bench::new(&["a", "b"]);
     assert!(bench.spread(40)[1] > 0);
-    bench.tell(protocol::messages::Down::Items(vec![item(
-        Kind::Zone,
+    bench.tell(protocol::messages::ControlMessage::Items(vec![item(
+        ItemKind::Zone,
         "b",
         2,
         "true",
@@ -165,8 +165,8 @@
     bench.settle();
     bench.list();
     assert_eq!(bench.spread(20)[1], 0);
-    bench.tell(protocol::messages::Down::Items(vec![item(
-        Kind::Zone,
+    bench.tell(protocol::messages::ControlMessage::Items(vec![item(
+        ItemKind::Zone,
         "b",
         3,
         "false",
--- a/crates/proxy/tests/upload.rs
+++ b/crates/proxy/tests/upload.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{Bench, End, ask, chunks, good, item, lines, not_run, pattern};
-use protocol::items::Kind;
-use protocol::messages::Down;
+use protocol::items::ItemKind;
+use protocol::messages::ControlMessage;
 use test_case::test_case;
 
 const LONG: usize = 3 << 20;
@@ -148,7 +148,12 @@
 fn what_is_no_body_is_told_and_never_whole_at_a_server(end: &str, status: u16) {
     let mut bench = Bench::new(&["a", "a"]);
     let limits = r#"{"hdr_bytes":16000,"body_bytes":3000000,"hdr":"3s","idle":"15s"}"#;
-    bench.tell(Down::Items(vec![item(Kind::Limits, "", 1, limits)]));
+    bench.tell(ControlMessage::Items(vec![item(
+        ItemKind::Limits,
+        "",
+        1,
+        limits,
+    )]));
     let client = bench.ask(ask(
         "POST /u/1",
         "one",
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -8,8 +8,8 @@
 use control::calls::{Command, Reply};
 use control::core::peer_messages::{Duty, Incarnation, PeerMessage};
 use control::core::{Core, Input, Output, Own, Row};
-use protocol::items::Name;
-use protocol::messages::{Down, Up};
+use protocol::items::ItemName;
+use protocol::messages::{AgentMessage, ControlMessage};
 
 use crate::chance::{Chance, Steady};
 use crate::disk::Disk;
@@ -84,7 +84,7 @@
     peers: Vec<SocketAddr>,
     tick: i64,
     /// What was told on links that no edge of the cluster has.
-    pub told: Vec<(u64, Down)>,
+    pub told: Vec<(u64, ControlMessage)>,
     /// Its lines for the log.
     pub notes: Vec<String>,
     second: (i64, u32),
@@ -104,8 +104,8 @@
     Dial,
     Resend(usize, u64, SocketAddr, Box<PeerMessage>),
     Up(u64),
-    ToReplica(u64, Up),
-    ToEdge(u64, Down),
+    ToReplica(u64, AgentMessage),
+    ToEdge(u64, ControlMessage),
     Lost(u64),
     Gone(u64),
     Edge(usize, u64, Due),
@@ -146,8 +146,8 @@
     /// Terms of each duty, and who held them.
     pub terms: BTreeMap<(Duty, u64), usize>,
     /// One content for one version.
-    pub contents: BTreeMap<(Name, u64), Option<String>>,
-    shown: BTreeMap<(usize, u64, Name), u64>,
+    pub contents: BTreeMap<(ItemName, u64), Option<String>>,
+    shown: BTreeMap<(usize, u64, ItemName), u64>,
     /// Since when more than one polls.
     pollers: Option<i64>,
     /// Rules that were broken.
@@ -165,7 +165,7 @@
     /// What operators have sent...
     pub issued: Issued,
     /// ...of these items.
-    pub names: Vec<Name>,
+    pub names: Vec<ItemName>,
     pub(crate) conn: u64,
     pub(crate) harm: Harm,
     /// Events of this second.
--- a/crates/simulation/src/cluster/leave.rs
+++ b/crates/simulation/src/cluster/leave.rs
@@ -4,7 +4,7 @@
 
 use control::core::Input;
 use control::limits;
-use protocol::items::Name;
+use protocol::items::ItemName;
 
 use super::{Cluster, Event, MS, SECOND};
 use crate::harm::Bug;
@@ -60,7 +60,7 @@
     fn check_handover(&mut self, at: usize, told: i64) {
         self.check_contents();
         let node = &self.nodes[at];
-        let mut held: BTreeMap<Name, u64> = self
+        let mut held: BTreeMap<ItemName, u64> = self
             .chosen(at)
             .into_iter()
             .map(|(name, item)| (name, item.ver))
--- a/crates/simulation/src/cluster/watch.rs
+++ b/crates/simulation/src/cluster/watch.rs
@@ -5,7 +5,7 @@
 use control::core::Core;
 use control::core::peer_messages::Duty;
 use control::limits::GRANT;
-use protocol::items::{Item, Name};
+use protocol::items::{Item, ItemName};
 
 use super::{Cluster, MS};
 
@@ -113,7 +113,7 @@
     }
 
     /// What a machine knows to be chosen.
-    pub fn chosen(&self, at: usize) -> BTreeMap<Name, Item> {
+    pub fn chosen(&self, at: usize) -> BTreeMap<ItemName, Item> {
         let items = self.nodes[at].core.iter().flat_map(Core::chosen);
         items
             .map(|item| (item.name.clone(), item.clone()))
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -5,15 +5,15 @@
 use control::core::peer_messages::{Ballot, Incarnation};
 use control::core::registers::Register;
 use control::core::{Own, Restored, Row};
-use protocol::items::{Item, Name};
+use protocol::items::{Item, ItemName};
 
 /// What is on a disk, and what is on its way.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     /// About the replica itself.
     pub own: Own,
-    registers: BTreeMap<Name, Register>,
-    chosen: BTreeMap<Name, (Ballot, Item)>,
+    registers: BTreeMap<ItemName, Register>,
+    chosen: BTreeMap<ItemName, (Ballot, Item)>,
     /// Writes that are not synced, by their numbers, in order.
     pub waiting: VecDeque<(u64, Vec<Row>)>,
     /// Nothing is synced before then.
@@ -77,7 +77,7 @@
     }
 
     /// The version of an item that is on the disk, as a vote counts it.
-    pub fn version(&self, name: &Name) -> Option<u64> {
+    pub fn version(&self, name: &ItemName) -> Option<u64> {
         self.registers
             .get(name)?
             .accepted
@@ -86,7 +86,7 @@
     }
 
     /// All versions that are on the disk.
-    pub fn versions(&self) -> impl Iterator<Item = (&Name, u64)> {
+    pub fn versions(&self) -> impl Iterator<Item = (&ItemName, u64)> {
         self.registers
             .keys()
             .filter_map(|name| Some((name, self.version(name)?)))
--- a/crates/simulation/src/edges.rs
+++ b/crates/simulation/src/edges.rs
@@ -10,8 +10,8 @@
 use agent::known::Known;
 use agent::links::{HOMEWARD, Links};
 use dataplane::clock::FIRST;
-use protocol::items::{Item, Kind, Name};
-use protocol::messages::{Add, Standing};
+use protocol::items::{Item, ItemKind, ItemName};
+use protocol::messages::{CounterAdd, NodeState};
 use protocol::settings::Bounds;
 use proxy::config_store::ConfigStore;
 use proxy::router::{RequestKey, RequestRouter};
@@ -150,7 +150,7 @@
     batch: u64,
     /// The limiters' clock was asked for last.
     asked_last: i64,
-    standing: Standing,
+    standing: NodeState,
 }
 
 struct Batch {
@@ -166,12 +166,12 @@
     router: RequestRouter,
     keys: SlotMap<RequestKey, usize>,
     told: bool,
-    adds: Vec<Add>,
+    adds: Vec<CounterAdd>,
     batches: VecDeque<Batch>,
     batch: u64,
     wake: i64,
     /// The versions that its behaviour has shown.
-    shown: BTreeMap<Name, u64>,
+    shown: BTreeMap<ItemName, u64>,
     list: u64,
     /// The limiters' clock less the machine's.
     ahead: i64,
@@ -199,16 +199,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct Issued {
     /// By content: the item, its version, whether it is valid.
-    pub contents: BTreeMap<u64, (Name, u64, bool)>,
+    pub contents: BTreeMap<u64, (ItemName, u64, bool)>,
     /// Versions at which an item was dropped.
-    pub dropped: BTreeMap<Name, BTreeSet<u64>>,
+    pub dropped: BTreeMap<ItemName, BTreeSet<u64>>,
 }
 
 impl Edge {
     /// The versions of services and routes that it shows by what it does, 0 where it shows none.
-    pub fn shows(&self, name: &Name) -> Option<u64> {
+    pub fn shows(&self, name: &ItemName) -> Option<u64> {
         let text = match name.kind {
-            Kind::Service => self
+            ItemKind::Service => self
                 .proxy
                 .config_store
                 .service(&name.name)?
@@ -216,7 +216,7 @@
                 .trim_start_matches('/')
                 .parse()
                 .ok()?,
-            Kind::Route => {
+            ItemKind::Route => {
                 let path = format!("/{}/", name.name);
                 self.proxy.config_store.route(HOST, &path)?.timeout.millis() as u64
             }
@@ -303,7 +303,7 @@
             batches: BTreeMap::new(),
             batch: 0,
             asked_last: 0,
-            standing: Standing::Away,
+            standing: NodeState::Unavailable,
         }
     }
 
--- a/crates/simulation/src/edges/agents.rs
+++ b/crates/simulation/src/edges/agents.rs
@@ -5,7 +5,7 @@
 use agent::links::{COUNT_SILENT, HOMEWARD, OUT_OF_TOUCH, SILENT};
 use control::core::Input;
 use control::limits::AGENT_SILENT;
-use protocol::messages::{Down, Edge as Told, Standing, Up};
+use protocol::messages::{AgentMessage, ControlMessage, NodeInfo as Told, NodeState};
 use streamarch::Outcome;
 
 use super::{AGAIN, BEAT, CONNECT, Conn, Due, LOAD, Link};
@@ -84,18 +84,18 @@
         }
         let zone = self.edges[at].zone;
         let edge = Told {
-            node: format!("edge-{at}"),
+            name: format!("edge-{at}"),
             zone: self.zones[zone].clone(),
             region: format!("r{}", zone / 2),
             http: SocketAddr::from(([10, 1, 0, at as u8], 8686)),
         };
         let standing = self.edges[at].agent.standing;
-        self.say(id, Up::Hello(edge));
+        self.say(id, AgentMessage::Hello(edge));
         self.ask_time(at, id);
-        self.say(id, Up::Beat(standing));
+        self.say(id, AgentMessage::Heartbeat(standing));
     }
 
-    pub(super) fn say(&mut self, id: u64, up: Up) {
+    pub(super) fn say(&mut self, id: u64, up: AgentMessage) {
         let Some(conn) = self.conns.get(&id).filter(|conn| conn.up && !conn.dead) else {
             return;
         };
@@ -107,7 +107,7 @@
         self.enter(self.now + way, Event::ToReplica(id, up));
     }
 
-    pub(super) fn at_replica(&mut self, id: u64, up: Up) {
+    pub(super) fn at_replica(&mut self, id: u64, up: AgentMessage) {
         let now = self.now;
         let Some(conn) = self.conns.get_mut(&id).filter(|conn| !conn.dead) else {
             return;
@@ -118,7 +118,9 @@
             return self.lose(id);
         }
         if self.nodes[node].incarnation == incarnation {
-            if matches!(up, Up::Beat(_) | Up::Hello(_)) && self.nodes[node].core.is_some() {
+            if matches!(up, AgentMessage::Heartbeat(_) | AgentMessage::Hello(_))
+                && self.nodes[node].core.is_some()
+            {
                 self.edges[edge].heard = now;
             }
             for _ in 0..self.harmed_up(id, &up) {
@@ -127,7 +129,7 @@
         }
     }
 
-    pub(crate) fn tell(&mut self, id: u64, down: Down) {
+    pub(crate) fn tell(&mut self, id: u64, down: ControlMessage) {
         let Some(conn) = self.conns.get(&id).filter(|conn| !conn.dead) else {
             return;
         };
@@ -234,7 +236,7 @@
         }
     }
 
-    pub(super) fn agent_heard(&mut self, id: u64, message: Down) {
+    pub(super) fn agent_heard(&mut self, id: u64, message: ControlMessage) {
         let (at, now) = (self.conns[&id].edge, self.now);
         // Whatever it is, it is a sign of life.
         if let Some(link) = self.edges[at]
@@ -253,19 +255,19 @@
             self.edges[at].agent.counted = now;
         }
         match message {
-            Down::Totals { batch, totals } => {
+            ControlMessage::Totals { batch, totals } => {
                 if let Some((incarnation, batch)) = self.edges[at].agent.batches.remove(&batch) {
                     self.totals(at, incarnation, batch, Some(&totals));
                 }
             }
-            Down::NotCounted(batch) => {
+            ControlMessage::NotCounted(batch) => {
                 if let Some((incarnation, batch)) = self.edges[at].agent.batches.remove(&batch) {
                     self.totals(at, incarnation, batch, None);
                 }
             }
-            Down::Who(ref who) => {
+            ControlMessage::ClusterView(ref who) => {
                 let agent = &mut self.edges[at].agent;
-                let (in_touch, replicas) = (who.in_touch, who.replicas.clone());
+                let (in_touch, replicas) = (who.has_quorum, who.replicas.clone());
                 if let Some((_, to)) = agent.homeward.filter(|(home, _)| *home == id && in_touch) {
                     agent.homeward = None;
                     let new = Link {
@@ -298,9 +300,9 @@
                 self.pass_on(at, message);
                 self.open_count(at);
             }
-            Down::Items(items) => {
+            ControlMessage::Items(items) => {
                 let news = !items.is_empty();
-                self.pass_on(at, Down::Items(items));
+                self.pass_on(at, ControlMessage::Items(items));
                 if news
                     && self.edges[at]
                         .agent
@@ -320,12 +322,12 @@
         let now = self.steady(at);
         let agent = &mut self.edges[at].agent;
         let time = agent.known.time(now).unwrap_or(0);
-        self.say(id, Up::Clock(time));
+        self.say(id, AgentMessage::Clock(time));
     }
 
-    pub(super) fn pass_on(&mut self, at: usize, message: Down) {
+    pub(super) fn pass_on(&mut self, at: usize, message: ControlMessage) {
         let now = self.steady(at);
-        let all = matches!(message, Down::Items(_)) && self.has(Bug::News);
+        let all = matches!(message, ControlMessage::Items(_)) && self.has(Bug::News);
         let message = if all {
             Some(message)
         } else {
@@ -359,7 +361,7 @@
     }
 
     pub(super) fn open_count(&mut self, at: usize) {
-        let holder = self.edges[at].agent.known.who().and_then(|who| who.holder);
+        let holder = self.edges[at].agent.known.who().and_then(|who| who.counter);
         if self.edges[at].agent.count.map(|(_, to, term)| (to, term)) == holder {
             return;
         }
@@ -414,7 +416,7 @@
                 let astray = link
                     .astray
                     .is_some_and(|since| self.now - since > OUT_OF_TOUCH);
-                self.say(conn, Up::Beat(standing));
+                self.say(conn, AgentMessage::Heartbeat(standing));
                 if silent || astray {
                     self.lost(at, conn);
                 }
@@ -465,15 +467,15 @@
 
     pub(super) fn stands(&mut self, at: usize) {
         let standing = if self.edges[at].ready() {
-            Standing::Ready
+            NodeState::Ready
         } else {
-            Standing::Away
+            NodeState::Unavailable
         };
         let agent = &mut self.edges[at].agent;
         if std::mem::replace(&mut agent.standing, standing) != standing
             && let Some(conn) = agent.link.as_ref().map(|link| link.conn)
         {
-            self.say(conn, Up::Beat(standing));
+            self.say(conn, AgentMessage::Heartbeat(standing));
         }
     }
 }
--- a/crates/simulation/src/edges/proxies.rs
+++ b/crates/simulation/src/edges/proxies.rs
@@ -1,8 +1,8 @@
 //! The proxies of the edges.
 
 use dataplane::engine::Ending;
-use protocol::items::Name;
-use protocol::messages::{Down, Up};
+use protocol::items::ItemName;
+use protocol::messages::{AgentMessage, ControlMessage};
 use proxy::config_store::ConfigStore;
 use proxy::router::{Asked, Step};
 use streamarch::Outcome;
@@ -13,16 +13,16 @@
 use crate::harm::Bug;
 
 impl Cluster {
-    pub(super) fn proxy_heard(&mut self, at: usize, message: Down) {
+    pub(super) fn proxy_heard(&mut self, at: usize, message: ControlMessage) {
         let (now, steady) = (self.local(at), self.steady(at));
         let proxy = &mut self.edges[at].proxy;
         match message {
-            Down::Who(who) => {
+            ControlMessage::ClusterView(who) => {
                 proxy.router.limiters(now, who.limiters);
-                proxy.router.alone(!who.in_touch);
-                proxy.router.count_held(who.holder.map(|(_, term)| term));
+                proxy.router.alone(!who.has_quorum);
+                proxy.router.count_held(who.counter.map(|(_, term)| term));
             }
-            Down::Items(items) => {
+            ControlMessage::Items(items) => {
                 let forgets =
                     self.has(Bug::Forget) && mix(&[self.seed, 8, now as u64]).is_multiple_of(8);
                 let items = if self.has(Bug::News) {
@@ -48,7 +48,7 @@
                 }
                 self.check_edge(at);
             }
-            Down::Servers { version, servers } => {
+            ControlMessage::Servers { version, servers } => {
                 let list = servers
                     .first()
                     .and_then(|server| server.id[1..].split('-').next()?.parse().ok());
@@ -61,13 +61,15 @@
                     self.list(at);
                 }
             }
-            Down::Whole => proxy.told = true,
-            Down::Time(time) => {
+            ControlMessage::Complete => proxy.told = true,
+            ControlMessage::Clock(time) => {
                 proxy.ahead = proxy.ahead.max(time - steady);
                 proxy.router.jumped(time, time - now);
             }
             // The simulation's servers answer at once: nothing is under strain.
-            Down::Totals { .. } | Down::NotCounted(_) | Down::Levels { .. } => {}
+            ControlMessage::Totals { .. }
+            | ControlMessage::NotCounted(_)
+            | ControlMessage::Levels { .. } => {}
         }
         self.stands(at);
     }
@@ -88,7 +90,7 @@
 
     /// What an edge shows never goes back in its incarnation, and is nothing that was refused for its contents.
     pub(super) fn check_edge(&mut self, at: usize) {
-        let names: Vec<Name> = self.names.clone();
+        let names: Vec<ItemName> = self.names.clone();
         for name in names {
             let before = self.edges[at].proxy.shown.get(&name).copied().unwrap_or(0);
             let ver = match self.edges[at].shows(&name) {
@@ -122,7 +124,7 @@
     }
 
     /// The version of an item that an edge shows.
-    pub fn edge_shows(&self, at: usize, name: &Name) -> u64 {
+    pub fn edge_shows(&self, at: usize, name: &ItemName) -> u64 {
         self.edges[at].proxy.shown.get(name).copied().unwrap_or(0)
     }
 
@@ -179,7 +181,7 @@
     }
 
     pub(super) fn tell_count(&mut self, at: usize) {
-        let holder = self.edges[at].agent.known.who().and_then(|who| who.holder);
+        let holder = self.edges[at].agent.known.who().and_then(|who| who.counter);
         self.edges[at]
             .proxy
             .router
@@ -249,7 +251,7 @@
         let adds = std::mem::take(&mut proxy.adds);
         proxy.batch += 1;
         let (number, incarnation) = (proxy.batch, proxy.incarnation);
-        let names = adds.iter().map(|add| add.name).collect();
+        let names = adds.iter().map(|add| add.counter).collect();
         proxy.batches.push_back(Batch {
             number,
             names,
@@ -272,7 +274,7 @@
             agent.batches.pop_first();
         }
         let time = self.local(at);
-        self.say(id, Up::Adds { batch, time, adds });
+        self.say(id, AgentMessage::CounterBatch { batch, time, adds });
     }
 
     pub(super) fn totals(
--- a/crates/simulation/src/harm.rs
+++ b/crates/simulation/src/harm.rs
@@ -8,8 +8,8 @@
     Ballot, Body, Duty, Incarnation, PeerMessage, Replica, Speaker,
 };
 use control::core::transfer::{Piece, Then};
-use protocol::items::{Item, Name};
-use protocol::messages::{Add, Down, Up, Who};
+use protocol::items::{Item, ItemName};
+use protocol::messages::{AgentMessage, ClusterView, ControlMessage, CounterAdd};
 
 use crate::chance::mix;
 use crate::cluster::{Cluster, Event, MS, SECOND};
@@ -144,7 +144,7 @@
     /// What was accepted in spite of a promise: by whom, for whom, under which one, and the proposal it was for.
     forgot: BTreeMap<(usize, usize, Ballot), Ballot>,
     /// Adds that came to a machine, by connection and batch.
-    adds: BTreeMap<(u64, u64), Vec<Add>>,
+    adds: BTreeMap<(u64, u64), Vec<CounterAdd>>,
     /// Writes that are never reported: the machine, its incarnation, their number.
     pub(crate) unreported: BTreeSet<(usize, u64, u64)>,
     /// An answer to a call that waits for another one to be given in its place.
@@ -154,7 +154,7 @@
     /// The last beat that came through, by who sent it and to whom.
     beats: BTreeMap<(usize, usize), PeerMessage>,
     /// What each edge's proxy was told last of each item.
-    items: BTreeMap<(usize, Name), Item>,
+    items: BTreeMap<(usize, ItemName), Item>,
 }
 
 impl Cluster {
@@ -319,14 +319,14 @@
     }
 
     /// What an agent says as it comes to a machine: so many times.
-    pub(crate) fn harmed_up(&mut self, id: u64, up: &Up) -> usize {
+    pub(crate) fn harmed_up(&mut self, id: u64, up: &AgentMessage) -> usize {
         match up {
-            Up::Adds { batch, adds, .. } if self.has(Bug::Totals) => {
+            AgentMessage::CounterBatch { batch, adds, .. } if self.has(Bug::Totals) => {
                 self.harm.adds.insert((id, *batch), adds.clone());
                 1
             }
-            Up::Adds { .. } if self.has(Bug::Twice) => 2,
-            Up::Adds { adds, .. }
+            AgentMessage::CounterBatch { .. } if self.has(Bug::Twice) => 2,
+            AgentMessage::CounterBatch { adds, .. }
                 if self.has(Bug::Returned) && adds.iter().all(|add| add.units < 0.0) =>
             {
                 3
@@ -374,27 +374,36 @@
     }
 
     /// What a machine tells an agent.
-    pub(crate) fn harmed_down(&mut self, id: u64, node: usize, down: Down) -> Down {
+    pub(crate) fn harmed_down(
+        &mut self,
+        id: u64,
+        node: usize,
+        down: ControlMessage,
+    ) -> ControlMessage {
         match down {
-            Down::Totals { batch, totals } if self.has(Bug::Count) => Down::Totals {
-                batch,
-                totals: totals.iter().map(|_| 1.0).collect(),
-            },
-            Down::NotCounted(batch) if self.has(Bug::Totals) => {
+            ControlMessage::Totals { batch, totals } if self.has(Bug::Count) => {
+                ControlMessage::Totals {
+                    batch,
+                    totals: totals.iter().map(|_| 1.0).collect(),
+                }
+            }
+            ControlMessage::NotCounted(batch) if self.has(Bug::Totals) => {
                 let adds = self.harm.adds.remove(&(id, batch)).unwrap_or_default();
                 let counts = &mut self.harm.counts;
-                let one = |add: &Add| {
-                    let total = counts.entry((node, add.name)).or_default();
+                let one = |add: &CounterAdd| {
+                    let total = counts.entry((node, add.counter)).or_default();
                     *total += add.units;
                     *total
                 };
-                Down::Totals {
+                ControlMessage::Totals {
                     batch,
                     totals: adds.iter().map(one).collect(),
                 }
             }
-            Down::Who(who) if self.has(Bug::Only) => Down::Who(Who { limiters: 1, ..who }),
-            Down::Who(who) if self.has(Bug::Totals) => {
+            ControlMessage::ClusterView(who) if self.has(Bug::Only) => {
+                ControlMessage::ClusterView(ClusterView { limiters: 1, ..who })
+            }
+            ControlMessage::ClusterView(who) if self.has(Bug::Totals) => {
                 // It goes on as the holder of the last term that it had.
                 let own = self
                     .terms
@@ -403,13 +412,13 @@
                 match own {
                     Some(((_, term), _)) => {
                         let holder = Some((self.nodes[node].address, *term));
-                        Down::Who(Who {
-                            holder,
-                            in_touch: true,
+                        ControlMessage::ClusterView(ClusterView {
+                            counter: holder,
+                            has_quorum: true,
                             ..who
                         })
                     }
-                    None => Down::Who(who),
+                    None => ControlMessage::ClusterView(who),
                 }
             }
             down => down,
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use control::core::peer_messages::Incarnation;
-use protocol::items::Name;
+use protocol::items::ItemName;
 
 pub use self::asks::{DROPPED_ONCE, REFERRED};
 use crate::cluster::{Cluster, Fault, MS, SECOND};
@@ -117,11 +117,11 @@
     pending: Vec<Pending>,
     history: BTreeMap<String, Vec<Op>>,
     /// Versions that were acknowledged, by item, and when.
-    acked: BTreeMap<Name, Vec<(i64, u64)>>,
+    acked: BTreeMap<ItemName, Vec<(i64, u64)>>,
     /// Newest version that was asked for.
-    asked: BTreeMap<Name, u64>,
+    asked: BTreeMap<ItemName, u64>,
     /// What was acknowledged at each version while no higher one had been asked for.
-    contents: BTreeMap<(Name, u64), u64>,
+    contents: BTreeMap<(ItemName, u64), u64>,
     drained: Vec<(i64, bool, bool)>,
     /// More than half of the replicas that run and reach each other, and since when.
     clique: Option<(BTreeSet<(usize, u64)>, i64)>,
--- a/crates/simulation/src/play/asks.rs
+++ b/crates/simulation/src/play/asks.rs
@@ -1,7 +1,7 @@
 //! What operators ask, as calls.
 
 use control::calls::Command;
-use protocol::items::{Kind, Name};
+use protocol::items::{ItemKind, ItemName};
 use protocol::platform::Server;
 
 use crate::edges::{BASE, HOST, LIMITS, PREFIX};
@@ -13,22 +13,22 @@
 /// See [`REFERRED`].
 pub const DROPPED_ONCE: u64 = 4;
 
-pub(super) fn name(kind: Kind, name: impl ToString) -> Name {
-    Name {
+pub(super) fn name(kind: ItemKind, name: impl ToString) -> ItemName {
+    ItemName {
         kind,
         name: name.to_string(),
     }
 }
 
-pub(super) fn svc(item: u64) -> Name {
-    name(Kind::Service, format!("s{item}"))
+pub(super) fn svc(item: u64) -> ItemName {
+    name(ItemKind::Service, format!("s{item}"))
 }
 
 /// A service and a route to it.
-fn pair(item: u64) -> [Name; 2] {
+fn pair(item: u64) -> [ItemName; 2] {
     [
-        name(Kind::Service, format!("p{item}")),
-        name(Kind::Route, format!("q{item}")),
+        name(ItemKind::Service, format!("p{item}")),
+        name(ItemKind::Route, format!("q{item}")),
     ]
 }
 
@@ -132,12 +132,12 @@
     }
 
     /// The items that it writes: version and content.
-    pub(super) fn writes(self) -> Vec<(Name, u64, u64)> {
+    pub(super) fn writes(self) -> Vec<(ItemName, u64, u64)> {
         match self {
             Ask::Set(item, ver, content) => vec![(svc(item), ver, content)],
             Ask::Drop(item, ver) => vec![(svc(item), ver, DROPPED)],
             Ask::Route(item, ver, content) => {
-                vec![(name(Kind::Route, format!("r{item}")), ver, content)]
+                vec![(name(ItemKind::Route, format!("r{item}")), ver, content)]
             }
             Ask::Two(ver, content, other) => vec![(svc(0), ver, content), (svc(1), ver, other)],
             Ask::Pair(item, ver, content) => {
@@ -153,8 +153,8 @@
 }
 
 /// The items of the schedules.
-pub(super) fn names() -> Vec<Name> {
-    let routes = (0..2).map(|at| name(Kind::Route, format!("r{at}")));
+pub(super) fn names() -> Vec<ItemName> {
+    let routes = (0..2).map(|at| name(ItemKind::Route, format!("r{at}")));
     (0..3)
         .map(svc)
         .chain(routes)
@@ -170,8 +170,8 @@
         addr: std::net::SocketAddr::from(([10, 128, 0, at as u8], 8080)),
         zone: zones[at as usize % zones.len()].clone(),
         slots: 100,
-        up: true,
-        cold: 0,
+        accepts_requests: true,
+        warm_up_left: 0,
     };
     (0..6).map(one).collect()
 }
--- a/crates/simulation/src/play/cut_off.rs
+++ b/crates/simulation/src/play/cut_off.rs
@@ -4,7 +4,7 @@
 
 use control::calls::Reply;
 use control::limits::{LEASE, LEASE_ALONE};
-use protocol::messages::Standing;
+use protocol::messages::NodeState;
 
 use super::asks::svc;
 use super::{DROPPED_ONCE, Pending, Player, REFERRED};
@@ -87,17 +87,17 @@
             for told in core.members(node.clock.at(now) + self.cluster.off(at)) {
                 let edge = told
                     .edge
-                    .node
+                    .name
                     .strip_prefix("edge-")
                     .and_then(|number| number.parse::<usize>().ok());
                 let Some(edge) = edge.and_then(|edge| self.cluster.edges.get(edge)) else {
                     continue;
                 };
-                if told.standing == Standing::Ready && now - edge.heard > NAMED {
+                if told.standing == NodeState::Ready && now - edge.heard > NAMED {
                     let silent = (now - edge.heard) / MS;
                     faults.push(format!(
                         "machine {at} names {}, heard nowhere for {silent} ms",
-                        told.edge.node
+                        told.edge.name
                     ));
                 }
             }
--- a/crates/simulation/src/play/resent.rs
+++ b/crates/simulation/src/play/resent.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use control::calls::Reply;
-use protocol::items::Name;
+use protocol::items::ItemName;
 
 use super::rules::says;
 use super::{Pending, Player};
@@ -21,7 +21,7 @@
     /// Orders that were acknowledged, in order, whether the operator heard of it or not.
     taken: Vec<Ask>,
     /// Versions and contents that were refused.
-    refused: BTreeSet<(Name, u64, u64)>,
+    refused: BTreeSet<(ItemName, u64, u64)>,
 }
 
 impl Player {
@@ -87,7 +87,7 @@
 
     /// Of what was refused nothing is in force.
     pub(super) fn check_refused(&mut self) {
-        let stands = |(name, ver, content): &&(Name, u64, u64)| {
+        let stands = |(name, ver, content): &&(ItemName, u64, u64)| {
             let spec = self.cluster.contents.get(&(name.clone(), *ver));
             spec.is_some_and(|spec| says(spec.as_deref(), *content))
         };
--- a/crates/simulation/src/play/rules.rs
+++ b/crates/simulation/src/play/rules.rs
@@ -5,8 +5,8 @@
 use control::calls::{Command, Reply};
 use control::core::Input;
 use control::core::peer_messages::Duty;
-use protocol::items::Kind;
-use protocol::messages::Standing;
+use protocol::items::ItemKind;
+use protocol::messages::NodeState;
 use serde_json::Value;
 
 use super::asks::{name, servers};
@@ -319,7 +319,7 @@
             let members = core.members(self.cluster.nodes[replica].clock.at(now));
             for (at, edge) in self.cluster.edges.iter().enumerate() {
                 let node = format!("edge-{at}");
-                let told = members.iter().find(|told| told.edge.node == node);
+                let told = members.iter().find(|told| told.edge.name == node);
                 if now - edge.heard > OUT && told.is_some() {
                     faults.push(format!(
                         "{node} is a member at {replica} {} ms after it was heard",
@@ -328,7 +328,7 @@
                 }
                 let calm =
                     now >= (self.edge_since[at] + 4 * SECOND).max(self.ready_since[at] + TOLD);
-                if calm && told.is_none_or(|told| told.standing != Standing::Ready) {
+                if calm && told.is_none_or(|told| told.standing != NodeState::Ready) {
                     faults.push(format!("{node} serves and is no member at {replica}"));
                 }
             }
@@ -412,7 +412,7 @@
         }
         let chosen = self.cluster.chosen(replicas[0]);
         let zone = chosen
-            .get(&name(Kind::Zone, "c"))
+            .get(&name(ItemKind::Zone, "c"))
             .is_some_and(|item| item.spec.as_deref() == Some("true"));
         for at in 0..self.cluster.edges.len() {
             let edge = &self.cluster.edges[at];
@@ -487,7 +487,8 @@
         for (name, acked) in &self.acked {
             let newest = acked.iter().map(|(_, ver)| *ver).max().unwrap_or(0);
             let found = objects.iter().find(|object| {
-                object["type"] == name.kind.word() && object["meta"]["name"] == name.name.as_str()
+                object["type"] == name.kind.wire_name()
+                    && object["meta"]["name"] == name.name.as_str()
             });
             let ver = found.and_then(|object| object["meta"]["ver"].as_u64());
             let dropped = self
--- a/crates/simulation/src/scale/agent.rs
+++ b/crates/simulation/src/scale/agent.rs
@@ -7,13 +7,13 @@
 use agent::links::Links;
 use protocol::digests::Digests;
 use protocol::items::Item;
-use protocol::messages::{Down, Edge, Up};
+use protocol::messages::{AgentMessage, ControlMessage, NodeInfo};
 
 /// What an agent was told, as it travels.
 #[derive(Clone, Debug)]
 pub enum News {
     /// The message itself.
-    Whole(std::rc::Rc<Down>),
+    Whole(std::rc::Rc<ControlMessage>),
     /// So many items, for an agent that counts; the one that is watched is among them at this version.
     Items(usize, Option<u64>),
 }
@@ -21,7 +21,7 @@
 /// An agent.
 pub struct Agent {
     /// As it names itself.
-    pub edge: Edge,
+    pub edge: NodeInfo,
     /// Where to call.
     pub links: Links,
     /// What it knows; none for one that counts.
@@ -48,12 +48,12 @@
 
 impl Agent {
     /// What it says first on a link.
-    pub fn greeting(&self, have: Option<Vec<u64>>) -> Vec<Up> {
-        let have = have.map(Up::Have).into_iter();
+    pub fn greeting(&self, have: Option<Vec<u64>>) -> Vec<AgentMessage> {
+        let have = have.map(AgentMessage::KnownDigests).into_iter();
         let rest = [
-            Up::Hello(self.edge.clone()),
-            Up::Clock(0),
-            Up::Beat(protocol::messages::Standing::Ready),
+            AgentMessage::Hello(self.edge.clone()),
+            AgentMessage::Clock(0),
+            AgentMessage::Heartbeat(protocol::messages::NodeState::Ready),
         ];
         have.chain(rest).collect()
     }
@@ -69,9 +69,9 @@
         }
         let mut digests = base.clone();
         for item in change.iter().filter(|_| self.seen.is_some()) {
-            digests.turn(&item.name, Digests::of(item));
+            digests.toggle(&item.name, Digests::item_digest(item));
         }
-        Some(digests.parts().to_vec())
+        Some(digests.buckets().to_vec())
     }
 
     /// Takes news in; `all` is how many items there are, `watched` the name and version that is waited for.
@@ -80,7 +80,7 @@
         now: i64,
         news: News,
         all: usize,
-        watched: (&protocol::items::Name, u64),
+        watched: (&protocol::items::ItemName, u64),
     ) {
         match news {
             News::Items(count, version) => {
@@ -89,7 +89,7 @@
             }
             News::Whole(down) => {
                 match &*down {
-                    Down::Items(items) => {
+                    ControlMessage::Items(items) => {
                         self.items += items.len();
                         let found = items
                             .iter()
@@ -97,14 +97,14 @@
                             .map(|item| item.ver);
                         self.see(now, found, watched.1);
                     }
-                    Down::Who(who) => {
-                        if who.in_touch {
+                    ControlMessage::ClusterView(who) => {
+                        if who.has_quorum {
                             self.links.told(&who.replicas);
                             self.links.settled();
                         }
-                        self.holder = who.holder.map(|(at, _)| at);
+                        self.holder = who.counter.map(|(at, _)| at);
                     }
-                    Down::Whole => self.whole = true,
+                    ControlMessage::Complete => self.whole = true,
                     _ => {}
                 }
                 if let Some(known) = &mut self.known {
--- a/crates/simulation/src/scale/footprint.rs
+++ b/crates/simulation/src/scale/footprint.rs
@@ -7,7 +7,7 @@
 use agent::known::Known;
 use eyre::{WrapErr, eyre};
 use protocol::items::Item;
-use protocol::messages::Down;
+use protocol::messages::ControlMessage;
 use protocol::platform::Server;
 use proxy::config_store::ConfigStore;
 use proxy::server_table::ServerTable;
@@ -57,7 +57,7 @@
     Ok(pages.parse::<u64>().wrap_err("resident memory")? * PAGE)
 }
 
-fn encoded(message: &Down) -> u64 {
+fn encoded(message: &ControlMessage) -> u64 {
     let size = postcard::serialize_with_flavor(message, postcard::ser_flavors::Size::default());
     size.unwrap_or_default() as u64
 }
@@ -93,8 +93,8 @@
             .into(),
         zone: format!("zone-{:02}", at % 74),
         slots: 6,
-        up: true,
-        cold: 0,
+        accepts_requests: true,
+        warm_up_left: 0,
     };
     (0..count).map(server).collect()
 }
@@ -105,8 +105,8 @@
 /// The process's own memory can't be read.
 pub fn measure(items: usize, count: usize) -> eyre::Result<Vec<Cost>> {
     let all: Vec<Item> = world::items(items);
-    let news = encoded(&Down::Items(all.clone()));
-    let list = Down::Servers {
+    let news = encoded(&ControlMessage::Items(all.clone()));
+    let list = ControlMessage::Servers {
         version: (1, 1),
         servers: servers(count),
     };
@@ -140,7 +140,7 @@
         )?,
         cost("agent: items", items, news, &mut agents, || {
             let mut known = Known::default();
-            known.take(0, Down::Items(all.clone()));
+            known.take(0, ControlMessage::Items(all.clone()));
             known
         })?,
         cost("agent: servers", count, encoded(&list), &mut agents, || {
--- a/crates/simulation/src/scale/world.rs
+++ b/crates/simulation/src/scale/world.rs
@@ -14,8 +14,8 @@
 use control::core::transfer::Bounds;
 use control::core::{Core, Input, Output, Own, Restored, Setup};
 use protocol::digests::Digests;
-use protocol::items::{Item, Kind, Name};
-use protocol::messages::{Down, Edge, Standing, Up};
+use protocol::items::{Item, ItemKind, ItemName};
+use protocol::messages::{AgentMessage, ControlMessage, NodeInfo, NodeState};
 use serde::Serialize;
 
 use super::agent::{Agent, News};
@@ -70,7 +70,7 @@
     Tick(usize, i64),
     Dial,
     Open(usize),
-    Up(usize, u64, Up),
+    Up(usize, u64, AgentMessage),
     Down(usize, u64, News),
     Gone(usize, u64),
     Lost(usize, u64),
@@ -100,7 +100,7 @@
     /// What agents said and heard.
     pub told: Vec<Traffic>,
     /// The item that is watched, and its version.
-    pub watched: (Name, u64),
+    pub watched: (ItemName, u64),
     /// Answers to calls, and when.
     pub answers: BTreeMap<u64, (i64, Reply)>,
     /// How large it is.
@@ -158,25 +158,25 @@
 /// The items of a configuration: one service, half routes, half tenants.
 pub(super) fn items(count: usize) -> Vec<Item> {
     let item = |kind, name: String, spec: String| Item {
-        name: Name { kind, name },
+        name: ItemName { kind, name },
         ver: 1,
         spec: Some(spec),
     };
     let one = |at: usize| match at {
         0 => item(
-            Kind::Service,
+            ItemKind::Service,
             "svc".to_string(),
             r#"{"hcheck":"/h","maxconn":110}"#.to_string(),
         ),
         at if at % 2 == 0 => item(
-            Kind::Tenant,
+            ItemKind::Tenant,
             format!("tenant-{at:06}"),
             format!(
                 r#"{{"apikeys":["key-{at:06}-aaaaaaaaaaaaaaaa"],"prio":1,"per_s":50,"burst":100,"pins":[]}}"#
             ),
         ),
         at => item(
-            Kind::Route,
+            ItemKind::Route,
             format!("route-{at:06}"),
             format!(
                 r#"{{"host":"h{at}.example","prefix":"/p{at}/","kind":"idem","timeout":"3000ms","target_time":"500ms","prio":1,"svc":"svc","tries":3,"public":false,"pins":[]}}"#
@@ -201,8 +201,8 @@
             agents: Vec::new(),
             told: Vec::new(),
             watched: (
-                Name {
-                    kind: Kind::Service,
+                ItemName {
+                    kind: ItemKind::Service,
                     name: "svc".to_string(),
                 },
                 u64::MAX,
@@ -220,7 +220,7 @@
             longest: 0,
         };
         all.iter()
-            .for_each(|item| world.base.turn(&item.name, Digests::of(item)));
+            .for_each(|item| world.base.toggle(&item.name, Digests::item_digest(item)));
         for zone in 0..size.cores {
             world.replica(zone, on_disk(size.cores, all));
         }
@@ -275,8 +275,8 @@
     pub fn agent(&mut self, zone: usize, after: i64) -> usize {
         let at = self.agents.len();
         let region = |zone: usize| format!("r{:02}", zone / 2);
-        let edge = Edge {
-            node: format!("edge-{at:05}"),
+        let edge = NodeInfo {
+            name: format!("edge-{at:05}"),
             zone: self.zones[zone].clone(),
             region: region(zone),
             http: SocketAddr::from(([10, 1 + (at >> 16) as u8, (at >> 8) as u8, at as u8], 8080)),
@@ -380,10 +380,10 @@
         }
     }
 
-    fn tell(&mut self, from: usize, links: Vec<u64>, down: Down) {
+    fn tell(&mut self, from: usize, links: Vec<u64>, down: ControlMessage) {
         let size = bytes(&down) - 1;
         let light = match &down {
-            Down::Items(items) => {
+            ControlMessage::Items(items) => {
                 let found = items
                     .iter()
                     .find(|item| item.name == self.watched.0)
@@ -419,7 +419,7 @@
         self.zones.binary_search(zone).unwrap_or_default()
     }
 
-    fn say(&mut self, agent: usize, (link, replica): (u64, usize), up: Up) {
+    fn say(&mut self, agent: usize, (link, replica): (u64, usize), up: AgentMessage) {
         let size = bytes(&up) - 1;
         let traffic = &mut self.told[agent];
         (traffic.sent, traffic.sent_bytes) = (traffic.sent + 1, traffic.sent_bytes + size as u64);
@@ -484,7 +484,9 @@
             let watched = self.watched.clone();
             let news_came = match &news {
                 News::Items(count, _) => *count > 0,
-                News::Whole(down) => matches!(&**down, Down::Items(items) if !items.is_empty()),
+                News::Whole(down) => {
+                    matches!(&**down, ControlMessage::Items(items) if !items.is_empty())
+                }
             };
             self.agents[agent].hear(
                 self.now,
@@ -512,7 +514,7 @@
             let to = self.agents[agent].holder;
             self.agents[agent].count = to.and_then(|to| self.connect(agent, to));
             if let Some(link) = self.agents[agent].count {
-                self.say(agent, link, Up::Clock(0));
+                self.say(agent, link, AgentMessage::Clock(0));
             }
         }
     }
@@ -520,14 +522,14 @@
     fn beat(&mut self, agent: usize) {
         self.enter(self.now + BEAT, Event::Beat(agent));
         if let Some(link) = self.agents[agent].link {
-            self.say(agent, link, Up::Beat(Standing::Ready));
+            self.say(agent, link, AgentMessage::Heartbeat(NodeState::Ready));
         }
         if self.now - self.agents[agent].asked >= ASK_TIME {
             self.agents[agent].asked = self.now;
             let one = &self.agents[agent];
             let held = one.items;
             for link in [one.count, one.link].into_iter().flatten() {
-                self.say(agent, link, Up::Clock(0));
+                self.say(agent, link, AgentMessage::Clock(0));
             }
             self.hold(agent, held);
         }
@@ -539,7 +541,7 @@
             self.say(
                 agent,
                 link,
-                Up::Holding {
+                AgentMessage::ConfigState {
                     items: items as u32,
                     digest: u64::MAX,
                 },
