--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -6,14 +6,14 @@
 use protocol::items::{Item, ItemName};
 use protocol::messages::{AgentMessage, ClusterView, ControlMessage};
 
-use super::peer_messages::{Duty, Replica};
-use super::transfer::split;
+use super::peer_messages::{ReplicaId, SingletonRole};
+use super::transfer::split_into_chunks;
 use super::{Core, Output};
 use crate::limits;
 
 /// What has changed of who is who.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Change {
+enum ViewChange {
     Nothing,
     /// How many limiters there are, by little.
     Little,
@@ -22,7 +22,7 @@
 
 /// What the agents of a zone were told last.
 #[derive(Clone, Debug)]
-struct Told {
+struct AnnouncedView {
     who: ClusterView,
     /// The table of replicas, then.
     replicas: u64,
@@ -30,7 +30,7 @@
 
 /// What an agent holds, as it said.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Holding {
+pub(super) struct AgentState {
     /// How many items.
     pub items: u32,
     digest: u64,
@@ -38,7 +38,7 @@
     whole: i64,
 }
 
-impl Holding {
+impl AgentState {
     /// How long it has held less than there is, in microseconds; counted from when it last said to hold all.
     pub fn behind(&self, now: i64, digest: u64) -> i64 {
         if self.digest == digest {
@@ -51,7 +51,7 @@
 
 /// An agent that has not been told all yet.
 #[derive(Clone, Debug)]
-struct Owed {
+struct PendingSync {
     /// What it had at the start of its link, by parts.
     have: Vec<u64>,
     /// It was told all up to this name; what changes later is news, and told to it at once.
@@ -64,28 +64,28 @@
 
 /// The links of agents.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Agents {
+pub(super) struct AgentLinks {
     /// The zone of each one that wants news.
     zones: BTreeMap<u64, String>,
     /// What each zone was told last.
-    told: BTreeMap<String, Told>,
+    told: BTreeMap<String, AnnouncedView>,
     /// Links that are for the count alone, and when something came on them.
     counting: BTreeMap<u64, i64>,
     /// What each holds as it said last, and when that was last all there is.
-    holding: BTreeMap<u64, Holding>,
+    holding: BTreeMap<u64, AgentState>,
     /// Those that are told all then: they have just started, and go to the replica of their own zone before that.
     later: BTreeMap<u64, i64>,
     /// What those know already that have not said yet who they are.
     have: BTreeMap<u64, Vec<u64>>,
     /// Those that are told all piece by piece.
-    owing: BTreeMap<u64, Owed>,
+    owing: BTreeMap<u64, PendingSync>,
     /// How many limiters there are is told again then at the earliest...
     counts: i64,
     /// ...and is owed.
     owed: bool,
 }
 
-impl Agents {
+impl AgentLinks {
     fn links(&self) -> Vec<u64> {
         self.zones.keys().copied().collect()
     }
@@ -96,11 +96,11 @@
             self.counting.insert(link, now);
         }
         self.counting
-            .retain(|_, heard| now - *heard <= limits::COUNTING);
+            .retain(|_, heard| now - *heard <= limits::COUNTER_CONTACT_TIMEOUT);
     }
 
     /// What the agent on a link holds, if it has said so.
-    pub(super) fn holding(&self, link: u64) -> Option<Holding> {
+    pub(super) fn holding(&self, link: u64) -> Option<AgentState> {
         self.holding.get(&link).copied()
     }
 
@@ -131,13 +131,15 @@
                     .get(&zone)
                     .cloned()
                     .unwrap_or_else(|| self.who(now, &zone));
-                out.push(Output::Tell(
+                out.push(Output::SendToAgents(
                     to(),
                     ControlMessage::ClusterView(told.who.clone()),
                 ));
                 self.agents.told.insert(zone, told);
                 if !self.agents.have.contains_key(&link) && self.has_home(now, &home) {
-                    self.agents.later.insert(link, now + limits::BEAT);
+                    self.agents
+                        .later
+                        .insert(link, now + limits::HEARTBEAT_INTERVAL);
                 } else {
                     self.tell_all(now, link, out);
                 }
@@ -160,7 +162,7 @@
                 };
                 self.agents.holding.insert(
                     link,
-                    Holding {
+                    AgentState {
                         items,
                         digest,
                         whole,
@@ -170,7 +172,7 @@
                 false
             }
             AgentMessage::Heartbeat(standing) => {
-                let silent = |owed: &Owed| now - owed.moved > limits::PIECE_SILENT;
+                let silent = |owed: &PendingSync| now - owed.moved > limits::CHUNK_ACK_TIMEOUT;
                 if self.agents.owing.get(&link).is_some_and(silent) {
                     self.credit(now, link, out);
                 }
@@ -184,7 +186,7 @@
             AgentMessage::Clock(time) => {
                 self.raise(now, time);
                 self.agents.counts(now, link);
-                out.push(Output::Tell(
+                out.push(Output::SendToAgents(
                     vec![link],
                     ControlMessage::Clock(now + self.ahead),
                 ));
@@ -194,22 +196,22 @@
                 self.raise(now, time);
                 self.agents.counts(now, link);
                 let share = self.reached();
-                let behind = now + self.ahead - time > limits::CLOCKS_APART;
+                let behind = now + self.ahead - time > limits::MAX_CLOCK_DIFFERENCE;
                 if behind {
-                    out.push(Output::Tell(
+                    out.push(Output::SendToAgents(
                         vec![link],
                         ControlMessage::Clock(now + self.ahead),
                     ));
                 }
-                let counts = !behind && !self.count.held(now);
-                let down = match self.holds(now, Duty::Count).filter(|_| counts) {
+                let counts = !behind && !self.count.is_suspended(now);
+                let down = match self.holds(now, SingletonRole::Counter).filter(|_| counts) {
                     Some(term) => ControlMessage::Totals {
                         batch,
                         totals: self.count.add(now, term, share, &adds),
                     },
                     None => ControlMessage::NotCounted(batch),
                 };
-                out.push(Output::Tell(vec![link], down));
+                out.push(Output::SendToAgents(vec![link], down));
                 false
             }
         };
@@ -224,7 +226,7 @@
             .zones
             .iter()
             .position(|other| other == zone)
-            .map(|replica| replica as Replica);
+            .map(|replica| replica as ReplicaId);
         replica.is_some_and(|replica| {
             replica != self.replicas.me().replica && self.replicas.hears(now, replica)
         })
@@ -238,11 +240,11 @@
                 version: self.listed.version(),
                 servers: self.listed.list(now),
             };
-            out.push(Output::Tell(vec![link], list));
+            out.push(Output::SendToAgents(vec![link], list));
         }
         self.agents.owing.insert(
             link,
-            Owed {
+            PendingSync {
                 have,
                 after: None,
                 open: 0,
@@ -266,12 +268,12 @@
         let Some(owed) = self.agents.owing.get_mut(&link) else {
             return;
         };
-        let room = limits::PIECES.saturating_sub(owed.open);
+        let room = limits::MAX_UNACKNOWLEDGED_CHUNKS.saturating_sub(owed.open);
         if room == 0 {
             return;
         }
         let lacking = self.news.lacking(&owed.have, owed.after.as_ref());
-        let (mut pieces, mut more) = split(self.bounds, lacking, |item| item);
+        let (mut pieces, mut more) = split_into_chunks(self.bounds, lacking, |item| item);
         more |= pieces.len() > room;
         pieces.truncate(room);
         for piece in pieces {
@@ -281,12 +283,15 @@
                 .or(owed.after.take());
             (owed.open, owed.moved) = (owed.open + 1, now);
             let items = piece.into_iter().cloned().collect();
-            out.push(Output::Tell(vec![link], ControlMessage::Items(items)));
+            out.push(Output::SendToAgents(
+                vec![link],
+                ControlMessage::Items(items),
+            ));
         }
         if !more {
             self.agents.owing.remove(&link);
             if self.whole && self.replicas.in_touch(now) {
-                out.push(Output::Tell(vec![link], ControlMessage::Complete));
+                out.push(Output::SendToAgents(vec![link], ControlMessage::Complete));
             }
         }
     }
@@ -305,9 +310,9 @@
     pub(super) fn raise(&mut self, now: i64, time: i64) {
         let by = time.saturating_sub(now).saturating_sub(self.ahead);
         self.ahead += by.max(0);
-        if by > limits::CLOCKS_APART {
+        if by > limits::MAX_CLOCK_DIFFERENCE {
             // What was counted has other names from now on.
-            self.count.hold(now, by.min(limits::WINDOW));
+            self.count.suspend(now, by.min(limits::QUOTA_WINDOW));
         }
     }
 
@@ -318,7 +323,7 @@
         if here >= all {
             1.0
         } else {
-            (here as f64 / all as f64).max(limits::LEAST_REACHED)
+            (here as f64 / all as f64).max(limits::MIN_REACHED_SHARE)
         }
     }
 
@@ -338,15 +343,15 @@
 
     /// The holder of the count, as far as known, and its term.
     fn holder(&self, now: i64) -> Option<(SocketAddr, u64)> {
-        let holder = self.duties[Duty::Count as usize].holder(now);
+        let holder = self.duties[SingletonRole::Counter as usize].holder(now);
         let own = self
-            .holds(now, Duty::Count)
+            .holds(now, SingletonRole::Counter)
             .map(|term| (self.replicas.me().replica, term));
         let (replica, term) = own.or(holder.map(|term| (term.by.replica, term.number)))?;
         Some((self.replicas.address(replica)?, term))
     }
 
-    fn who(&self, now: i64, zone: &str) -> Told {
+    fn who(&self, now: i64, zone: &str) -> AnnouncedView {
         let (limiters, in_zone) = self.members.serving(zone);
         let who = ClusterView {
             replicas: self
@@ -359,7 +364,7 @@
             limiters: limiters.max(self.members.lately() as u32),
             limiters_in_zone: in_zone,
         };
-        Told {
+        AnnouncedView {
             who,
             replicas: self.replicas.revision(),
         }
@@ -367,7 +372,7 @@
 
     /// What is news to agents of a zone that were told `before`; it is looked for after most inputs, and costs little
     /// where it is nothing.
-    fn news_since(&self, now: i64, zone: &str, told: &Told) -> Change {
+    fn news_since(&self, now: i64, zone: &str, told: &AnnouncedView) -> ViewChange {
         let before = &told.who;
         let (limiters, in_zone) = self.members.serving(zone);
         let limiters = limiters.max(self.members.lately() as u32);
@@ -376,13 +381,15 @@
             || before.has_quorum != in_touch
             || told.replicas != self.replicas.revision()
         {
-            return Change::Much;
+            return ViewChange::Much;
         }
         // Danger: limiters that each take an even slice must not stay with a count that is too low by much.
         match before.limiters.abs_diff(limiters) {
-            0 if before.limiters_in_zone == in_zone => Change::Nothing,
-            changed if changed * limits::COUNTED > before.limiters => Change::Much,
-            _ => Change::Little,
+            0 if before.limiters_in_zone == in_zone => ViewChange::Nothing,
+            changed if changed * limits::MINOR_LIMITER_CHANGE_DIVISOR > before.limiters => {
+                ViewChange::Much
+            }
+            _ => ViewChange::Little,
         }
     }
 
@@ -401,18 +408,18 @@
         told.retain(|zone, _| zones.contains_key(zone));
         self.agents.owed = false;
         for (zone, links) in zones {
-            let change = told
-                .get(zone)
-                .map_or(Change::Much, |before| self.news_since(now, zone, before));
+            let change = told.get(zone).map_or(ViewChange::Much, |before| {
+                self.news_since(now, zone, before)
+            });
             // Danger: when many limiters start, each would be told of each by all.
-            let later = change == Change::Little && now < self.agents.counts;
+            let later = change == ViewChange::Little && now < self.agents.counts;
             self.agents.owed |= later;
-            if change == Change::Nothing || later {
+            if change == ViewChange::Nothing || later {
                 quiet.extend(links.into_iter().filter(|_| beat));
                 continue;
             }
             let who = self.who(now, zone);
-            out.push(Output::Tell(
+            out.push(Output::SendToAgents(
                 links,
                 ControlMessage::ClusterView(who.who.clone()),
             ));
@@ -420,10 +427,13 @@
             news = true;
         }
         if news {
-            self.agents.counts = now + limits::COUNTS;
+            self.agents.counts = now + limits::LIMITER_COUNT_INTERVAL;
         }
         if !quiet.is_empty() {
-            out.push(Output::Tell(quiet, ControlMessage::Items(Vec::new())));
+            out.push(Output::SendToAgents(
+                quiet,
+                ControlMessage::Items(Vec::new()),
+            ));
         }
         self.agents.told = told;
     }
@@ -432,7 +442,7 @@
     pub(super) fn tell_items(&self, items: Vec<Item>, out: &mut Vec<Output>) {
         let links = self.agents.links();
         if !links.is_empty() {
-            out.push(Output::Tell(links, ControlMessage::Items(items)));
+            out.push(Output::SendToAgents(links, ControlMessage::Items(items)));
         }
     }
 
@@ -443,7 +453,7 @@
             !self.agents.later.contains_key(link) && !self.agents.owing.contains_key(link)
         });
         if !links.is_empty() {
-            out.push(Output::Tell(links, ControlMessage::Complete));
+            out.push(Output::SendToAgents(links, ControlMessage::Complete));
         }
     }
 
@@ -452,7 +462,7 @@
         let links = self.agents.links();
         if !links.is_empty() {
             let (version, servers) = (self.listed.version(), self.listed.list(now));
-            out.push(Output::Tell(
+            out.push(Output::SendToAgents(
                 links,
                 ControlMessage::Servers { version, servers },
             ));
--- a/crates/control/src/core/agreement.rs
+++ b/crates/control/src/core/agreement.rs
@@ -5,15 +5,15 @@
 
 use protocol::items::{self, Item, ItemKind, ItemName, Items};
 
+use super::chosen::{ChosenItems, LearnOutcome};
 use super::handover::Handover;
-use super::news::{Learned, News};
-use super::outbox::After;
-use super::peer_messages::{Ballot, Body, Incarnation, Question, QuestionId, Replica};
-use super::rounds::{Outcome, Round, Step, Want};
-use super::transfer::{Piece, Then, Transfer};
-use super::{Core, Output, Row, duties};
-use crate::calls::{Command, Reply};
+use super::outbox::PendingWrite;
+use super::peer_messages::{Ballot, Incarnation, Payload, ReplicaId, RequestId, TransferRequest};
+use super::proposal::{Action, Intent, Outcome, Proposal};
+use super::transfer::{Chunk, Continuation, TransferProgress};
+use super::{Core, Output, Record, role_lease};
 use crate::limits;
+use crate::operator_api::{Command, Reply};
 
 /// Why no change is taken: operators are to look at this replica's disk.
 const DISK: &str = "the disk of this replica is full or fails: it takes no writes";
@@ -24,13 +24,13 @@
 
 /// A reading of all registers by more than half of the replicas: nothing that was acknowledged can be missing in it.
 #[derive(Clone, Debug)]
-pub(super) struct Reading {
+pub(super) struct QuorumRead {
     call: u64,
     /// A change that made no sense against what is known here, and is checked again against all there is.
     patch: Option<Vec<u8>>,
     /// Those that have told all, and how far the others have come.
-    votes: BTreeMap<Replica, Incarnation>,
-    transfers: BTreeMap<Replica, (Incarnation, Transfer)>,
+    votes: BTreeMap<ReplicaId, Incarnation>,
+    transfers: BTreeMap<ReplicaId, (Incarnation, TransferProgress)>,
     found: BTreeMap<ItemName, (Ballot, Item)>,
     /// What was known here when it began.
     parts: Vec<u64>,
@@ -40,33 +40,33 @@
     pub(super) wake: i64,
 }
 
-impl Reading {
+impl QuorumRead {
     /// What a replica is to be asked for.
-    fn question(&self, replica: Replica) -> Question {
+    fn question(&self, replica: ReplicaId) -> TransferRequest {
         let after = self
             .transfers
             .get(&replica)
             .and_then(|(_, transfer)| transfer.after.clone());
-        Question {
+        TransferRequest {
             parts: self.parts.clone(),
             after,
         }
     }
 
     /// Takes note of a piece of an answer. What an incarnation before has told does not count.
-    fn took(&mut self, by: (Replica, Incarnation), piece: &Piece) -> Option<Then> {
+    fn took(&mut self, by: (ReplicaId, Incarnation), piece: &Chunk) -> Option<Continuation> {
         let (incarnation, transfer) = self
             .transfers
             .entry(by.0)
-            .or_insert((by.1, Transfer::default()));
+            .or_insert((by.1, TransferProgress::default()));
         if *incarnation != by.1 {
-            (*incarnation, *transfer) = (by.1, Transfer::default());
+            (*incarnation, *transfer) = (by.1, TransferProgress::default());
         }
-        transfer.took(piece)
+        transfer.record_chunk(piece)
     }
 
     /// What was found and is not known to be chosen. It may be lost again: nobody must have seen it then.
-    fn open(&self, news: &News) -> Vec<ItemName> {
+    fn open(&self, news: &ChosenItems) -> Vec<ItemName> {
         let items = self.found.values().map(|(_, item)| item);
         let open = items.filter(|item| item.name.kind != ItemKind::Zone && !news.has(item));
         open.map(|item| item.name.clone()).collect()
@@ -84,7 +84,7 @@
         out: &mut Vec<Output>,
     ) {
         // Also of a replica that does nothing else: that is when it is asked.
-        if command == Command::Status {
+        if command == Command::GetStatus {
             return out.push(Output::Answer(call, Reply::Status(self.status(now).json())));
         }
         let no = if !self.replicas.takes_part() {
@@ -93,7 +93,7 @@
             Some("this process is about to end")
         } else if !self.replicas.in_touch(now) {
             Some("more than half of the replicas are out of touch")
-        } else if self.full && command != Command::Get {
+        } else if self.full && command != Command::GetConfiguration {
             Some(DISK)
         } else {
             None
@@ -102,22 +102,22 @@
             return out.push(Output::Answer(call, Reply::Unavailable(no)));
         }
         match command {
-            Command::Status => {}
-            Command::Get => self.read(now, call, None, deadline, out),
-            Command::Drain { zone, .. } if !self.zones.contains(&zone) => {
+            Command::GetStatus => {}
+            Command::GetConfiguration => self.read(now, call, None, deadline, out),
+            Command::SetEvacuation { zone, .. } if !self.zones.contains(&zone) => {
                 out.push(Output::Answer(
                     call,
-                    Reply::Unknown(format!("zone: {zone:?}")),
+                    Reply::NotFound(format!("zone: {zone:?}")),
                 ));
             }
-            Command::Drain { zone, on } => {
+            Command::SetEvacuation { zone, evacuate: on } => {
                 let name = ItemName {
                     kind: ItemKind::Zone,
                     name: zone,
                 };
-                self.round(now, Some(call), Want::Zone(name, on), deadline, out);
+                self.round(now, Some(call), Intent::Zone(name, on), deadline, out);
             }
-            Command::Patch(body) => {
+            Command::ApplyPatch(body) => {
                 // What was only accepted may be lost again, and with it what a change refers to.
                 match items::parse_patch(&body, &self.news) {
                     Ok(items) if self.whole || !items::depends_on_other_items(&items) => {
@@ -141,19 +141,20 @@
         if items.is_empty() {
             return out.push(Output::Answer(call, Reply::Done));
         }
-        self.round(now, Some(call), Want::Items(items), deadline, out);
+        self.round(now, Some(call), Intent::Items(items), deadline, out);
     }
 
     pub(super) fn round(
         &mut self,
         now: i64,
         call: Option<u64>,
-        want: Want,
+        want: Intent,
         deadline: i64,
         out: &mut Vec<Output>,
     ) {
         let number = self.number();
-        self.rounds.insert(number, Round::new(want, now, deadline));
+        self.rounds
+            .insert(number, Proposal::new(want, now, deadline));
         if let Some(call) = call {
             self.calls.insert(number, call);
         }
@@ -169,7 +170,7 @@
                 let number = self.number();
                 self.rounds.insert(
                     number,
-                    Round::new(Want::Finish(names), now, now + limits::REPAIR),
+                    Proposal::new(Intent::Finish(names), now, now + limits::REPAIR_TIMEOUT),
                 );
             }
         }
@@ -206,13 +207,13 @@
                 self.steps(
                     now,
                     number,
-                    vec![Step::Outcome(Outcome::Done), Step::Over],
+                    vec![Action::Outcome(Outcome::Done), Action::Over],
                     out,
                 );
             } else if due && free {
                 self.round += 1;
                 let ballot = Ballot {
-                    round: duties::over(round.seen, self.round),
+                    round: role_lease::over(round.seen, self.round),
                     by: self.replicas.me(),
                 };
                 self.round = ballot.round;
@@ -223,7 +224,7 @@
                 self.steps(now, number, step.into_iter().collect(), out);
             } else if due {
                 if let Some(round) = self.rounds.get_mut(&number) {
-                    round.wake = now + limits::RESEND / 10;
+                    round.wake = now + limits::RESEND_INTERVAL / 10;
                 }
             } else if !round.waits() && round.wake <= now {
                 let steps = self
@@ -267,23 +268,23 @@
         }
     }
 
-    fn steps(&mut self, now: i64, number: u64, steps: Vec<Step>, out: &mut Vec<Output>) {
+    fn steps(&mut self, now: i64, number: u64, steps: Vec<Action>, out: &mut Vec<Output>) {
         for step in steps {
             match step {
-                Step::All(body) => self.all(now, number, body, out),
-                Step::Chosen(ballot, items) => {
-                    self.spread(Body::Chosen(ballot), out);
+                Action::All(body) => self.all(now, number, body, out),
+                Action::Chosen(ballot, items) => {
+                    self.spread(Payload::Chosen(ballot), out);
                     self.learn(
                         now,
                         items.into_iter().map(|item| (ballot, item)).collect(),
                         out,
                     );
                 }
-                Step::Outcome(outcome) => {
+                Action::Outcome(outcome) => {
                     let reply = match outcome {
                         Outcome::Done => Reply::Done,
                         Outcome::Conflict => Reply::Conflict,
-                        Outcome::Partly => Reply::Unavailable(PARTLY),
+                        Outcome::PartiallyApplied => Reply::Unavailable(PARTLY),
                     };
                     if let Some(call) = self.calls.remove(&number) {
                         out.push(Output::Answer(call, reply));
@@ -292,19 +293,19 @@
                         self.read_out(now, reading, out);
                     }
                 }
-                Step::Again(_) => {}
-                Step::Over => self.over(now, number, None, out),
+                Action::Again(_) => {}
+                Action::Over => self.over(now, number, None, out),
             }
         }
     }
 
     /// To all replicas that have not answered, this one included.
-    fn all(&mut self, now: i64, number: u64, body: Body, out: &mut Vec<Output>) {
+    fn all(&mut self, now: i64, number: u64, body: Payload, out: &mut Vec<Output>) {
         let Some(round) = self.rounds.get(&number) else {
             return;
         };
         let me = self.replicas.me().replica;
-        let to = (0..self.replicas.count() as Replica)
+        let to = (0..self.replicas.count() as ReplicaId)
             .filter(|replica| *replica != me && round.missing(*replica));
         let to = to
             .filter_map(|replica| self.replicas.address(replica))
@@ -312,10 +313,12 @@
         let own = round.missing(me);
         self.send(to, body.clone(), out);
         match body {
-            Body::Prepare { ballot, names } if own => {
+            Payload::Prepare { ballot, names } if own => {
                 self.prepare_at(now, None, ballot, &names, out)
             }
-            Body::Accept { ballot, items } if own => self.accept_at(now, None, ballot, &items, out),
+            Payload::Accept { ballot, items } if own => {
+                self.accept_at(now, None, ballot, &items, out)
+            }
             _ => {}
         }
     }
@@ -347,15 +350,18 @@
             Ok(accepted) => {
                 let rows = names
                     .iter()
-                    .map(|name| Row::Register(name.clone(), self.registers.register(name)));
+                    .map(|name| Record::Register(name.clone(), self.registers.register(name)));
                 let rows = rows.collect();
                 self.write(
                     rows,
-                    Some(After::Vote(from, Body::Promise { ballot, accepted })),
+                    Some(PendingWrite::Vote(
+                        from,
+                        Payload::Promise { ballot, accepted },
+                    )),
                     out,
                 );
             }
-            Err(seen) => self.send_to_peer(now, from, Body::Nack { ballot, seen }, out),
+            Err(seen) => self.send_to_peer(now, from, Payload::Nack { ballot, seen }, out),
         }
     }
 
@@ -390,11 +396,15 @@
                 let name = |item: &Item| item.name.clone();
                 let rows = items
                     .iter()
-                    .map(|item| Row::Register(name(item), self.registers.register(&item.name)));
+                    .map(|item| Record::Register(name(item), self.registers.register(&item.name)));
                 let rows = rows.collect();
-                self.write(rows, Some(After::Vote(from, Body::Accepted(ballot))), out);
+                self.write(
+                    rows,
+                    Some(PendingWrite::Vote(from, Payload::Accepted(ballot))),
+                    out,
+                );
             }
-            Err(seen) => self.send_to_peer(now, from, Body::Nack { ballot, seen }, out),
+            Err(seen) => self.send_to_peer(now, from, Payload::Nack { ballot, seen }, out),
         }
     }
 
@@ -416,16 +426,16 @@
         let (mut rows, mut news) = (Vec::new(), Vec::new());
         for (ballot, item) in items {
             match self.news.learn(ballot, &item) {
-                Learned::Nothing => {}
+                LearnOutcome::AlreadyKnown => {}
                 learned => {
                     if self.registers.adopt(ballot, &item) {
-                        rows.push(Row::Register(
+                        rows.push(Record::Register(
                             item.name.clone(),
                             self.registers.register(&item.name),
                         ));
                     }
-                    rows.push(Row::Chosen(ballot, item.clone()));
-                    news.extend((learned == Learned::News).then(|| item.clone()));
+                    rows.push(Record::Chosen(ballot, item.clone()));
+                    news.extend((learned == LearnOutcome::NewVersion).then(|| item.clone()));
                 }
             }
             self.settle(now, &item.name);
@@ -442,12 +452,12 @@
     pub(super) fn vote(
         &mut self,
         now: i64,
-        (from, by): (SocketAddr, (Replica, Incarnation)),
-        body: Body,
+        (from, by): (SocketAddr, (ReplicaId, Incarnation)),
+        body: Payload,
         out: &mut Vec<Output>,
     ) {
         match body {
-            Body::Promise { ballot, accepted } => {
+            Payload::Promise { ballot, accepted } => {
                 let Some(number) = self.number_of(ballot) else {
                     return;
                 };
@@ -457,7 +467,7 @@
                 let steps = round.promised(now, by, accepted, &self.replicas, &self.news);
                 self.steps(now, number, steps, out);
             }
-            Body::Accepted(ballot) => {
+            Payload::Accepted(ballot) => {
                 let Some(number) = self.number_of(ballot) else {
                     return;
                 };
@@ -467,7 +477,7 @@
                 let steps = round.accepted(by, &self.replicas);
                 self.steps(now, number, steps, out);
             }
-            Body::Nack { ballot, seen } => {
+            Payload::Nack { ballot, seen } => {
                 let Some(number) = self.number_of(ballot) else {
                     return;
                 };
@@ -484,8 +494,8 @@
                 let steps = round.refused(now, by.0, seen, pause, &self.replicas);
                 self.steps(now, number, steps, out);
             }
-            Body::Registers { id, piece } => self.answered(now, id, (from, by), piece, out),
-            Body::Vote {
+            Payload::RegisterChunk { id, piece } => self.answered(now, id, (from, by), piece, out),
+            Payload::LeaseVote {
                 duty,
                 term,
                 at,
@@ -520,7 +530,7 @@
             .registers
             .held()
             .map(|(ballot, item)| (item.name.clone(), (*ballot, item.clone())));
-        let reading = Reading {
+        let reading = QuorumRead {
             call,
             patch,
             votes: BTreeMap::from([(me.replica, me.incarnation)]),
@@ -529,10 +539,10 @@
             parts: self.registers.digests().buckets().to_vec(),
             settles: None,
             deadline,
-            wake: now + limits::RESEND,
+            wake: now + limits::RESEND_INTERVAL,
         };
         self.spread(
-            Body::Read {
+            Payload::ReadRequest {
                 id: self.question(id),
                 question: reading.question(me.replica),
             },
@@ -543,8 +553,8 @@
     }
 
     /// The question of a reading.
-    fn question(&self, number: u64) -> QuestionId {
-        QuestionId {
+    fn question(&self, number: u64) -> RequestId {
+        RequestId {
             by: self.replicas.me(),
             number,
         }
@@ -554,21 +564,21 @@
     pub(super) fn asked(
         &self,
         from: SocketAddr,
-        id: QuestionId,
-        question: &Question,
+        id: RequestId,
+        question: &TransferRequest,
         out: &mut Vec<Output>,
     ) {
         for piece in self.registers.answer(self.bounds, question) {
-            self.send(vec![from], Body::Registers { id, piece }, out);
+            self.send(vec![from], Payload::RegisterChunk { id, piece }, out);
         }
     }
 
     fn answered(
         &mut self,
         now: i64,
-        id: QuestionId,
-        (from, by): (SocketAddr, (Replica, Incarnation)),
-        piece: Piece,
+        id: RequestId,
+        (from, by): (SocketAddr, (ReplicaId, Incarnation)),
+        piece: Chunk,
         out: &mut Vec<Output>,
     ) {
         // Danger: a process before this one asked under the same numbers. Its answers tell of what stood then, and "the
@@ -582,7 +592,7 @@
         };
         let then = reading.took(by, &piece);
         if then.is_some() {
-            reading.wake = now + limits::RESEND;
+            reading.wake = now + limits::RESEND_INTERVAL;
         }
         for (ballot, item) in piece.items {
             if reading
@@ -594,15 +604,15 @@
             }
         }
         match then {
-            Some(Then::End) => {
+            Some(Continuation::End) => {
                 reading.votes.insert(by.0, by.1);
                 self.read_whole(now, id, out);
             }
-            Some(Then::Ask) => {
+            Some(Continuation::RequestMore) => {
                 let question = reading.question(by.0);
                 self.send(
                     vec![from],
-                    Body::Read {
+                    Payload::ReadRequest {
                         id: self.question(id),
                         question,
                     },
@@ -627,7 +637,9 @@
         }
         let open = reading.open(&self.news);
         // Who is at work on it normally ends it soon.
-        let settles = *reading.settles.get_or_insert(now + limits::SETTLE);
+        let settles = *reading
+            .settles
+            .get_or_insert(now + limits::READ_REPAIR_DELAY);
         if !open.is_empty() && now < settles {
             reading.wake = settles;
             return;
@@ -642,12 +654,12 @@
         let number = self.number();
         self.finishing.insert(number, reading);
         self.rounds
-            .insert(number, Round::new(Want::Finish(open), now, deadline));
+            .insert(number, Proposal::new(Intent::Finish(open), now, deadline));
         self.rounds_turn(now, out);
     }
 
     /// All that was found is chosen, or lost.
-    fn read_out(&mut self, now: i64, reading: Reading, out: &mut Vec<Output>) {
+    fn read_out(&mut self, now: i64, reading: QuorumRead, out: &mut Vec<Output>) {
         let lost = reading.open(&self.news);
         let found = reading
             .found
@@ -685,18 +697,18 @@
                 self.readings.remove(&id);
                 continue;
             }
-            reading.wake = now + limits::RESEND;
+            reading.wake = now + limits::RESEND_INTERVAL;
             if reading.settles.is_some() {
                 self.read_whole(now, id, out);
                 continue;
             }
-            let missing = (0..self.replicas.count() as Replica)
+            let missing = (0..self.replicas.count() as ReplicaId)
                 .filter(|replica| !reading.votes.contains_key(replica));
             let ask = |replica| Some((self.replicas.address(replica)?, reading.question(replica)));
             for (to, question) in missing.filter_map(ask).collect::<Vec<_>>() {
                 self.send(
                     vec![to],
-                    Body::Read {
+                    Payload::ReadRequest {
                         id: self.question(id),
                         question,
                     },
--- a/crates/control/src/core/sync.rs
+++ b/crates/control/src/core/anti_entropy.rs
@@ -8,14 +8,14 @@
 use protocol::digests;
 use protocol::items::Item;
 
-use super::peer_messages::{Ballot, Body, Replica};
-use super::transfer::{Bounds, Then, followed, split};
+use super::peer_messages::{Ballot, Payload, ReplicaId};
+use super::transfer::{Continuation, TransferLimits, continuations, split_into_chunks};
 use super::{Core, Output};
 use crate::limits;
 
 /// The question about what is chosen that waits for its answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Syncing {
+pub(super) struct DigestExchange {
     /// Its number; none waits at 0.
     id: u64,
     /// So many pieces of the answer have come, each after the one before.
@@ -28,7 +28,7 @@
         let id = self.syncing();
         self.send(
             vec![from],
-            Body::Sync {
+            Payload::DigestRequest {
                 id,
                 parts: self.news.parts().to_vec(),
             },
@@ -42,7 +42,7 @@
     }
 
     fn syncing(&mut self) -> u64 {
-        self.syncing = Syncing {
+        self.syncing = DigestExchange {
             id: self.syncs_from + self.number(),
             pieces: 0,
         };
@@ -58,12 +58,12 @@
         out: &mut Vec<Output>,
     ) {
         let differing: Vec<&(Ballot, Item)> = self.news.differing(known).collect();
-        let little = self.bounds.piece / limits::LITTLE;
-        let bounds = Bounds {
-            piece: little,
-            question: little,
+        let little = self.bounds.chunk_bytes / limits::SMALL_DIFFERENCE_DIVISOR;
+        let bounds = TransferLimits {
+            chunk_bytes: little,
+            response_bytes: little,
         };
-        let (mut pieces, more) = split(bounds, differing.iter(), |(_, item)| item);
+        let (mut pieces, more) = split_into_chunks(bounds, differing.iter(), |(_, item)| item);
         if pieces.len() == 1 && !more {
             let items = pieces
                 .remove(0)
@@ -72,11 +72,11 @@
                 .collect();
             return self.send(
                 vec![from],
-                Body::Learn {
+                Payload::ChosenChunk {
                     id,
                     piece: 0,
                     items,
-                    then: Then::End,
+                    then: Continuation::End,
                 },
                 out,
             );
@@ -86,7 +86,7 @@
             .map(|(ballot, item)| (digests::name_key(&item.name), *ballot));
         self.send(
             vec![from],
-            Body::Entries {
+            Payload::DigestEntries {
                 id,
                 entries: entries.collect(),
             },
@@ -98,7 +98,7 @@
     pub(super) fn entries_told(
         &mut self,
         now: i64,
-        (from, replica): (SocketAddr, Replica),
+        (from, replica): (SocketAddr, ReplicaId),
         id: u64,
         entries: &[(u64, Ballot)],
         out: &mut Vec<Output>,
@@ -117,12 +117,12 @@
         let wanted: Vec<u64> = newer.map(|(key, _)| *key).collect();
         if wanted.is_empty() {
             // It is the other one that is behind.
-            self.syncing = Syncing::default();
+            self.syncing = DigestExchange::default();
             return self.caught_up(now, replica, out);
         }
         self.lags(now);
         let id = self.syncing();
-        self.send(vec![from], Body::Fetch { id, wanted }, out);
+        self.send(vec![from], Payload::FetchRequest { id, wanted }, out);
     }
 
     /// Another replica asks for these.
@@ -138,12 +138,12 @@
             .news
             .all()
             .filter(|(_, item)| wanted.contains(&digests::name_key(&item.name)));
-        let (pieces, more) = split(self.bounds, found.cloned(), |(_, item)| item);
-        let then = followed(pieces.len(), more);
+        let (pieces, more) = split_into_chunks(self.bounds, found.cloned(), |(_, item)| item);
+        let then = continuations(pieces.len(), more);
         for ((items, then), piece) in pieces.into_iter().zip(then).zip(0..) {
             self.send(
                 vec![from],
-                Body::Learn {
+                Payload::ChosenChunk {
                     id,
                     piece,
                     items,
@@ -158,9 +158,9 @@
     pub(super) fn told_chosen(
         &mut self,
         now: i64,
-        (from, replica): (SocketAddr, Replica),
+        (from, replica): (SocketAddr, ReplicaId),
         id: u64,
-        (piece, then): (u32, Then),
+        (piece, then): (u32, Continuation),
         out: &mut Vec<Output>,
     ) {
         if id != self.syncing.id || piece != self.syncing.pieces {
@@ -168,12 +168,12 @@
         }
         self.syncing.pieces += 1;
         match then {
-            Then::End => {
-                self.syncing = Syncing::default();
+            Continuation::End => {
+                self.syncing = DigestExchange::default();
                 self.caught_up(now, replica, out);
             }
-            Then::Follows => self.lags(now),
-            Then::Ask => {
+            Continuation::MoreFollows => self.lags(now),
+            Continuation::RequestMore => {
                 self.lags(now);
                 self.sync(from, out);
             }
--- a/crates/control/src/core/news.rs
+++ b/crates/control/src/core/chosen.rs
@@ -11,7 +11,7 @@
 
 /// The items that are known to be chosen.
 #[derive(Clone, Debug, Default)]
-pub struct News {
+pub struct ChosenItems {
     chosen: BTreeMap<ItemName, (Ballot, Item)>,
     digest: u64,
     /// By parts: of all, and of names and versions alone, as agents have them.
@@ -21,25 +21,25 @@
 
 /// What a chosen item is here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Learned {
+pub enum LearnOutcome {
     /// Known, or older.
-    Nothing,
+    AlreadyKnown,
     /// Known, chosen anew under a higher proposal.
-    Again,
+    NewBallot,
     /// News.
-    News,
+    NewVersion,
 }
 
-impl News {
+impl ChosenItems {
     /// Takes a chosen item in. One version has one content, and a later choice never has a lower version.
-    pub fn learn(&mut self, ballot: Ballot, item: &Item) -> Learned {
+    pub fn learn(&mut self, ballot: Ballot, item: &Item) -> LearnOutcome {
         let learned = match self.chosen.get(&item.name) {
-            Some((_, old)) if old.ver > item.ver => return Learned::Nothing,
+            Some((_, old)) if old.ver > item.ver => return LearnOutcome::AlreadyKnown,
             Some((known, old)) if old.ver == item.ver && *known >= ballot => {
-                return Learned::Nothing;
+                return LearnOutcome::AlreadyKnown;
             }
-            Some((_, old)) if old.ver == item.ver => Learned::Again,
-            _ => Learned::News,
+            Some((_, old)) if old.ver == item.ver => LearnOutcome::NewBallot,
+            _ => LearnOutcome::NewVersion,
         };
         self.turn(ballot, item);
         if let Some((ballot, item)) = self
@@ -114,7 +114,7 @@
     }
 }
 
-impl ItemLookup for News {
+impl ItemLookup for ChosenItems {
     fn find_item(&self, name: &ItemName) -> Option<&Item> {
         self.chosen(name)
     }
--- a/crates/control/src/core/count.rs
+++ b/crates/control/src/core/counter.rs
@@ -8,49 +8,52 @@
 
 /// The numbers.
 #[derive(Clone, Debug, Default)]
-pub struct Count {
+pub struct SharedCounter {
     /// The total, and when it is forgotten.
-    numbers: HashMap<u64, (f64, i64)>,
-    sweep: i64,
+    totals: HashMap<u64, (f64, i64)>,
+    next_sweep: i64,
     /// The term that they are of.
     term: u64,
     /// The last add.
-    last: Option<i64>,
+    last_add_at: Option<i64>,
     /// Nothing is counted before then.
-    held: Option<i64>,
+    suspended_until: Option<i64>,
 }
 
-impl Count {
+impl SharedCounter {
     /// The limiters' clock has gone on by so much at once, and its windows have names under which nothing was counted. Where
     /// something was under the old ones lately, nothing is until as much time has passed: else a tenant had both.
-    pub fn hold(&mut self, now: i64, span: i64) {
-        if self.last.is_some_and(|last| now - last < limits::WINDOW) {
-            self.held = self.held.max(Some(now + span));
+    pub fn suspend(&mut self, now: i64, span: i64) {
+        if self
+            .last_add_at
+            .is_some_and(|last| now - last < limits::QUOTA_WINDOW)
+        {
+            self.suspended_until = self.suspended_until.max(Some(now + span));
         }
     }
 
     /// Nothing is counted now.
-    pub fn held(&self, now: i64) -> bool {
-        self.held.is_some_and(|held| now < held)
+    pub fn is_suspended(&self, now: i64) -> bool {
+        self.suspended_until.is_some_and(|held| now < held)
     }
 
     /// Adds in order; gives each total after its add. Where only a share of the limiters reaches the count, totals are told
     /// as if the others had added like these: they let even slices pass without it.
     pub fn add(&mut self, now: i64, term: u64, share: f64, adds: &[CounterAdd]) -> Vec<f64> {
         if self.term != term {
-            *self = Count {
+            *self = SharedCounter {
                 term,
-                held: self.held,
-                ..Count::default()
+                suspended_until: self.suspended_until,
+                ..SharedCounter::default()
             };
         }
-        self.last = Some(now);
-        if now >= self.sweep {
-            self.sweep = now + limits::SWEEP;
-            self.numbers.retain(|_, (_, until)| *until > now);
+        self.last_add_at = Some(now);
+        if now >= self.next_sweep {
+            self.next_sweep = now + limits::COUNTER_SWEEP_INTERVAL;
+            self.totals.retain(|_, (_, until)| *until > now);
         }
         let one = |add: &CounterAdd| {
-            let number = self.numbers.entry(add.counter).or_insert((0.0, 0));
+            let number = self.totals.entry(add.counter).or_insert((0.0, 0));
             if number.1 <= now {
                 *number = (0.0, now.saturating_add(add.ttl.max(0)));
             }
@@ -74,7 +77,7 @@
 
     #[test]
     fn adds_are_in_order_and_a_new_term_starts_empty() {
-        let mut count = Count::default();
+        let mut count = SharedCounter::default();
         let add = |name, units| CounterAdd {
             counter: name,
             units,
@@ -95,7 +98,7 @@
 
     #[test]
     fn where_half_of_the_limiters_reach_it_the_others_have_their_part() {
-        let mut count = Count::default();
+        let mut count = SharedCounter::default();
         let add = |units| CounterAdd {
             counter: 1,
             units,
@@ -113,15 +116,18 @@
             units: 1.0,
             ttl: 1_000,
         }];
-        let mut count = Count::default();
-        count.hold(10, limits::WINDOW);
-        assert!(!count.held(10), "nothing was counted under the old names");
+        let mut count = SharedCounter::default();
+        count.suspend(10, limits::QUOTA_WINDOW);
+        assert!(
+            !count.is_suspended(10),
+            "nothing was counted under the old names"
+        );
         count.add(10, 1, 1.0, &add);
-        count.hold(20, 3_000_000);
-        assert!(count.held(3_000_019) && !count.held(3_000_020));
-        count.hold(10 + limits::WINDOW, 3_000_000);
+        count.suspend(20, 3_000_000);
+        assert!(count.is_suspended(3_000_019) && !count.is_suspended(3_000_020));
+        count.suspend(10 + limits::QUOTA_WINDOW, 3_000_000);
         assert!(
-            !count.held(10 + limits::WINDOW),
+            !count.is_suspended(10 + limits::QUOTA_WINDOW),
             "what was counted has left the rules' window"
         );
     }
--- a/crates/control/src/core/handover.rs
+++ b/crates/control/src/core/handover.rs
@@ -12,10 +12,10 @@
 
 use protocol::items::{Item, ItemName};
 
-use super::news::News;
-use super::outbox::After;
-use super::peer_messages::{Ballot, Body, Incarnation, Replica};
-use super::transfer::{Bounds, split};
+use super::chosen::ChosenItems;
+use super::outbox::PendingWrite;
+use super::peer_messages::{Ballot, Incarnation, Payload, ReplicaId};
+use super::transfer::{TransferLimits, split_into_chunks};
 use super::{Core, Output};
 use crate::limits;
 
@@ -34,7 +34,7 @@
     }
 
     /// What is on its disk, as it says. Gives the items to send it now.
-    fn holds(&mut self, id: u64, parts: &[u64], news: &News) -> Vec<(Ballot, Item)> {
+    fn holds(&mut self, id: u64, parts: &[u64], news: &ChosenItems) -> Vec<(Ballot, Item)> {
         let lacking: Vec<(Ballot, Item)> = news.differing(parts).cloned().collect();
         let names: BTreeSet<ItemName> = lacking.iter().map(|(_, item)| item.name.clone()).collect();
         let confirmed = self.sent.remove(&id).unwrap_or_default();
@@ -53,7 +53,7 @@
 /// The handover of a replica that is to end.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Handover {
-    receivers: BTreeMap<Replica, Receiver>,
+    receivers: BTreeMap<ReplicaId, Receiver>,
     /// No further proposal is voted on; what counts now is the second asking.
     closed: bool,
     /// The newer incarnation of its own slot was heard by another replica.
@@ -108,7 +108,7 @@
             handover.done = true;
         }
         if !handover.done && now >= handover.wake {
-            handover.wake = now + limits::RESEND;
+            handover.wake = now + limits::RESEND_INTERVAL;
             self.ask_receivers(&mut handover, out);
         }
         self.handover = Some(handover);
@@ -139,7 +139,7 @@
 
     fn ask_receivers(&self, handover: &mut Handover, out: &mut Vec<Output>) {
         let me = self.replicas.me().replica;
-        for replica in (0..self.replicas.count() as Replica).filter(|replica| *replica != me) {
+        for replica in (0..self.replicas.count() as ReplicaId).filter(|replica| *replica != me) {
             let receiver = handover.receivers.entry(replica).or_default();
             let Some(address) = self.replicas.address(replica) else {
                 continue;
@@ -148,7 +148,7 @@
                 receiver.sent.clear();
                 self.send(
                     vec![address],
-                    Body::HandOver {
+                    Payload::HandoverRequest {
                         id: 0,
                         items: Vec::new(),
                     },
@@ -163,7 +163,7 @@
     pub(super) fn take_over(
         &mut self,
         now: i64,
-        (from, replica): (SocketAddr, Replica),
+        (from, replica): (SocketAddr, ReplicaId),
         id: u64,
         items: Vec<(Ballot, Item)>,
         out: &mut Vec<Output>,
@@ -178,19 +178,19 @@
             .replicas
             .hears(now, replica)
             .then(|| self.replicas.newest(replica));
-        let body = Body::Holding {
+        let body = Payload::HandoverAck {
             id,
             parts,
             whole: whole.unwrap_or(Incarnation::NONE),
         };
         // Rows are written in order: once this is there, all before it is.
-        self.write(Vec::new(), Some(After::Vote(Some(from), body)), out);
+        self.write(Vec::new(), Some(PendingWrite::Vote(Some(from), body)), out);
     }
 
     /// Another replica says what it holds on disk.
     pub(super) fn holding(
         &mut self,
-        from: (SocketAddr, Replica),
+        from: (SocketAddr, ReplicaId),
         (id, parts): (u64, &[u64]),
         whole: Incarnation,
         out: &mut Vec<Output>,
@@ -204,18 +204,18 @@
         let receiver = handover.receivers.entry(from.1).or_default();
         let items = receiver.holds(id, parts, &self.news);
         // All of it at once: the leaver has its grace only, and its receivers ask no further question.
-        let bounds = Bounds {
-            question: usize::MAX,
+        let bounds = TransferLimits {
+            response_bytes: usize::MAX,
             ..self.bounds
         };
-        let (pieces, _) = split(bounds, items.into_iter(), |(_, item)| item);
+        let (pieces, _) = split_into_chunks(bounds, items.into_iter(), |(_, item)| item);
         for piece in pieces.into_iter().filter(|piece| !piece.is_empty()) {
             self.number += 1;
             let names = piece.iter().map(|(_, item)| item.name.clone()).collect();
             receiver.sent.insert(self.number, names);
             self.send(
                 vec![from.0],
-                Body::HandOver {
+                Payload::HandoverRequest {
                     id: self.number,
                     items: piece,
                 },
--- a/crates/control/src/core/overload_homes.rs
+++ b/crates/control/src/core/load_aggregation.rs
@@ -8,7 +8,7 @@
 use overload::load::Report;
 use protocol::messages::ControlMessage;
 
-use super::peer_messages::{Body, Replica};
+use super::peer_messages::{Payload, ReplicaId};
 use super::{Core, Output};
 
 /// A region without levels is told that there are none every so many steps.
@@ -16,7 +16,7 @@
 
 /// The judges of this replica.
 #[derive(Clone, Debug, Default)]
-pub(super) struct OverloadHomes {
+pub(super) struct LoadAggregation {
     /// The region of each agent, by its link.
     regions: BTreeMap<u64, String>,
     /// By region and service.
@@ -25,7 +25,7 @@
     steps: u64,
 }
 
-impl OverloadHomes {
+impl LoadAggregation {
     pub(super) fn joined(&mut self, link: u64, region: &str) {
         self.regions.insert(link, region.to_string());
     }
@@ -35,14 +35,14 @@
         self.judges.values_mut().for_each(|judge| judge.left(link));
     }
 
-    fn judge(&mut self, me: Replica, region: &str, svc: &str) -> &mut Judge {
+    fn judge(&mut self, me: ReplicaId, region: &str, svc: &str) -> &mut Judge {
         let key = (region.to_string(), svc.to_string());
         self.judges
             .entry(key)
             .or_insert_with(|| Judge::new(me.into()))
     }
 
-    pub(super) fn told(&mut self, now: i64, me: Replica, link: u64, reports: &[Report]) {
+    pub(super) fn told(&mut self, now: i64, me: ReplicaId, link: u64, reports: &[Report]) {
         let Some(region) = self.regions.get(&link).cloned() else {
             return;
         };
@@ -55,7 +55,7 @@
     pub(super) fn shared(
         &mut self,
         now: i64,
-        (me, by): (Replica, Replica),
+        (me, by): (ReplicaId, ReplicaId),
         region: &str,
         services: Vec<(String, Share)>,
     ) {
@@ -100,7 +100,7 @@
         for (region, links) in regions {
             let levels = self.overload_homes.levels(region);
             if !levels.is_empty() || self.overload_homes.steps.is_multiple_of(QUIET) {
-                tell.push(Output::Tell(
+                tell.push(Output::SendToAgents(
                     links,
                     ControlMessage::Levels { age: 0, levels },
                 ));
@@ -122,7 +122,7 @@
         }
         for (region, services) in regions {
             self.spread(
-                Body::Strain {
+                Payload::LoadReport {
                     region: region.clone(),
                     services,
                 },
--- a/crates/control/src/core/members.rs
+++ b/crates/control/src/core/membership.rs
@@ -6,25 +6,25 @@
 
 use protocol::messages::{NodeInfo, NodeState};
 
-use super::peer_messages::{Moved, Replica, Told};
+use super::peer_messages::{Member, MembershipDelta, ReplicaId};
 use crate::limits;
 
 #[derive(Clone, Debug)]
-struct Lease {
-    told: Told,
+struct MemberLease {
+    told: Member,
     link: u64,
     heard: i64,
 }
 
-impl Lease {
+impl MemberLease {
     fn holds(&self, now: i64) -> bool {
-        now - self.heard <= limits::LEASE
+        now - self.heard <= limits::MEMBER_LEASE_DURATION
     }
 }
 
 #[derive(Clone, Debug, Default)]
-struct Hearsay {
-    list: BTreeMap<String, Told>,
+struct PeerReport {
+    list: BTreeMap<String, Member>,
     digest: u64,
     /// The list came then...
     changed: i64,
@@ -34,46 +34,46 @@
     asked: Option<i64>,
 }
 
-impl Hearsay {
+impl PeerReport {
     fn holds(&self, now: i64, in_touch: bool) -> bool {
         now - self.heard
             <= if in_touch {
-                limits::LEASE
+                limits::MEMBER_LEASE_DURATION
             } else {
-                limits::LEASE_ALONE
+                limits::MEMBER_LEASE_DURATION_WITHOUT_QUORUM
             }
     }
 }
 
 /// The members as one replica sees them.
 #[derive(Clone, Debug, Default)]
-pub struct Members {
-    own: BTreeMap<String, Lease>,
+pub struct Membership {
+    own: BTreeMap<String, MemberLease>,
     /// Who spoke first on each link: an agent may have two for a while.
     links: BTreeMap<u64, NodeInfo>,
-    hearsay: BTreeMap<Replica, Hearsay>,
+    hearsay: BTreeMap<ReplicaId, PeerReport>,
     /// The replicas that tell of each machine: few do, and looking at all for each change would grow with the replicas.
-    tellers: BTreeMap<String, BTreeSet<Replica>>,
+    tellers: BTreeMap<String, BTreeSet<ReplicaId>>,
     digest: u64,
     /// The own list as the others were told it last, and its digest.
-    spread: (BTreeMap<String, Told>, u64),
+    spread: (BTreeMap<String, Member>, u64),
     /// Edges that served, and when that was last so.
     lately: BTreeMap<String, i64>,
     /// Edges that have not said yet that they serve...
     starting: BTreeSet<String>,
     /// ...and those that served and say that they do no more.
     left: BTreeSet<String>,
-    serving: Serving,
+    serving: ServingNodes,
 }
 
 /// The machines that serve, with their zones, and how many in each: kept as it changes, as it is asked often.
 #[derive(Clone, Debug, Default)]
-struct Serving {
+struct ServingNodes {
     nodes: BTreeMap<String, String>,
     zones: BTreeMap<String, u32>,
 }
 
-impl Serving {
+impl ServingNodes {
     /// A machine serves in a zone, or does not serve.
     fn set(&mut self, node: &str, zone: Option<&str>) {
         if self.nodes.get(node).map(String::as_str) == zone {
@@ -92,7 +92,7 @@
     }
 }
 
-fn one(told: &Told) -> u64 {
+fn one(told: &Member) -> u64 {
     let mut hasher = DefaultHasher::new();
     // One always has a form; without, its digest would only be that of another one.
     hasher.write(&postcard::to_allocvec(told).unwrap_or_default());
@@ -100,13 +100,13 @@
 }
 
 /// The digest of a list, whatever its order; of an empty one it is 0.
-fn digest<'a>(list: impl Iterator<Item = &'a Told>) -> u64 {
+fn digest<'a>(list: impl Iterator<Item = &'a Member>) -> u64 {
     list.fold(0, |all, told| all ^ one(told))
 }
 
-impl Members {
+impl Membership {
     /// The edges linked here.
-    pub fn list(&self) -> Vec<Told> {
+    pub fn list(&self) -> Vec<Member> {
         self.own.values().map(|lease| lease.told.clone()).collect()
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Takes a lease in, or out. The digest goes along: it is asked for with every change.
-    fn lease(&mut self, node: &str, lease: Option<Lease>) -> Option<Lease> {
+    fn lease(&mut self, node: &str, lease: Option<MemberLease>) -> Option<MemberLease> {
         let new = lease.as_ref().map_or(0, |lease| one(&lease.told));
         let old = match lease {
             Some(lease) => self.own.insert(node.to_string(), lease),
@@ -132,7 +132,7 @@
     }
 
     /// What the other replicas are to be told, if the own list is another one than they were told last.
-    pub fn news(&mut self) -> Option<Moved> {
+    pub fn news(&mut self) -> Option<MembershipDelta> {
         let (last, before) = &mut self.spread;
         if *before == self.digest {
             return None;
@@ -141,13 +141,13 @@
             .own
             .iter()
             .filter(|(node, lease)| last.get(*node) != Some(&lease.told));
-        let told: Vec<Told> = told.map(|(_, lease)| lease.told.clone()).collect();
+        let told: Vec<Member> = told.map(|(_, lease)| lease.told.clone()).collect();
         let gone: Vec<String> = last
             .keys()
             .filter(|node| !self.own.contains_key(*node))
             .cloned()
             .collect();
-        let moved = Moved {
+        let moved = MembershipDelta {
             before: *before,
             after: self.digest,
             told,
@@ -173,7 +173,7 @@
             .map(|told| told.standing);
         let standing = known.unwrap_or_default();
         self.links.insert(link, edge.clone());
-        let told = Told {
+        let told = Member {
             edge,
             standing,
             linked: true,
@@ -181,7 +181,7 @@
         let node = told.edge.name.clone();
         self.lease(
             &node,
-            Some(Lease {
+            Some(MemberLease {
                 told,
                 link,
                 heard: now,
@@ -197,7 +197,7 @@
             return false;
         };
         // The agent beats on the link that it keeps, whichever spoke last; and where it beats, it is.
-        let same = |lease: &&mut Lease| {
+        let same = |lease: &&mut MemberLease| {
             lease.told.linked && lease.told.standing == standing && lease.told.edge == edge
         };
         if let Some(lease) = self.own.get_mut(&edge.name).filter(same) {
@@ -205,14 +205,14 @@
             return false;
         }
         let node = edge.name.clone();
-        let told = Told {
+        let told = Member {
             edge,
             standing,
             linked: true,
         };
         self.lease(
             &node,
-            Some(Lease {
+            Some(MemberLease {
                 told,
                 link,
                 heard: now,
@@ -253,7 +253,7 @@
         let over = self.own.iter().filter(|(_, lease)| !lease.holds(now));
         let over: Vec<String> = over.map(|(node, _)| node.clone()).collect();
         over.iter().for_each(|node| _ = self.lease(node, None));
-        let mut serving = Serving::default();
+        let mut serving = ServingNodes::default();
         let mut away = BTreeSet::new();
         for told in self.all() {
             let (node, zone) = (&told.edge.name, &told.edge.zone);
@@ -288,21 +288,22 @@
             self.lately.values_mut().for_each(|at| *at = now);
         }
         // Who says that it leaves uses no slice any more.
-        self.lately
-            .retain(|node, at| now - *at <= limits::LATELY && !away.contains(node));
+        self.lately.retain(|node, at| {
+            now - *at <= limits::RECENTLY_SERVING_DURATION && !away.contains(node)
+        });
         self.settle()
     }
 
     /// A replica has told whom it holds. Gives whether the own list is another one.
-    pub fn told(&mut self, now: i64, replica: Replica, list: Vec<Told>) -> bool {
+    pub fn told(&mut self, now: i64, replica: ReplicaId, list: Vec<Member>) -> bool {
         self.moved_there(&list);
         let digest = digest(list.iter());
-        let list: BTreeMap<String, Told> = list
+        let list: BTreeMap<String, Member> = list
             .into_iter()
             .map(|told| (told.edge.name.clone(), told))
             .collect();
         let nodes: Vec<String> = list.keys().cloned().collect();
-        let new = Hearsay {
+        let new = PeerReport {
             list,
             digest,
             changed: now,
@@ -325,7 +326,7 @@
 
     /// A replica has told what has changed of whom it holds. Gives whether the own list is another one; nothing where a
     /// telling before it was missed, and the whole is to be asked for.
-    pub fn moved(&mut self, now: i64, replica: Replica, moved: Moved) -> Option<bool> {
+    pub fn moved(&mut self, now: i64, replica: ReplicaId, moved: MembershipDelta) -> Option<bool> {
         let hearsay = self.hearsay.entry(replica).or_default();
         if hearsay.digest == moved.after {
             hearsay.heard = now;
@@ -367,7 +368,7 @@
     }
 
     /// Who is linked elsewhere by now is not held here.
-    fn moved_there(&mut self, list: &[Told]) {
+    fn moved_there(&mut self, list: &[Member]) {
         for told in list.iter().filter(|told| told.linked) {
             if self
                 .own
@@ -380,7 +381,7 @@
     }
 
     /// A replica's beat has come. Gives whether its list is to be asked for.
-    pub fn confirmed(&mut self, now: i64, replica: Replica, digest: u64) -> bool {
+    pub fn confirmed(&mut self, now: i64, replica: ReplicaId, digest: u64) -> bool {
         let hearsay = self.hearsay.entry(replica).or_default();
         if hearsay.digest == digest {
             hearsay.heard = now;
@@ -390,13 +391,15 @@
     }
 
     /// A replica's list is another one than is known here. Gives whether to ask for it now.
-    fn ask(&mut self, now: i64, replica: Replica) -> bool {
+    fn ask(&mut self, now: i64, replica: ReplicaId) -> bool {
         let hearsay = self.hearsay.entry(replica).or_default();
-        let ask = hearsay.asked.is_none_or(|asked| now - asked >= limits::ASK);
+        let ask = hearsay
+            .asked
+            .is_none_or(|asked| now - asked >= limits::SYNC_REQUEST_INTERVAL);
         if ask {
             hearsay.asked = Some(now);
             // A list of nobody, that waits for the answer.
-            hearsay.heard = hearsay.heard.max(now - limits::LEASE / 2);
+            hearsay.heard = hearsay.heard.max(now - limits::MEMBER_LEASE_DURATION / 2);
         }
         ask
     }
@@ -415,7 +418,7 @@
     }
 
     /// A replica tells of a machine, or no longer.
-    fn tells(&mut self, replica: Replica, node: &str, tells: bool) {
+    fn tells(&mut self, replica: ReplicaId, node: &str, tells: bool) {
         if tells {
             self.tellers
                 .entry(node.to_string())
@@ -439,7 +442,7 @@
     }
 
     /// All that is said of a machine, each with its weight.
-    fn said(&self, node: &str) -> impl Iterator<Item = ((bool, bool, i64), &Told)> {
+    fn said(&self, node: &str) -> impl Iterator<Item = ((bool, bool, i64), &Member)> {
         let own = self
             .own
             .get(node)
@@ -454,19 +457,19 @@
     }
 
     /// A member, as [`Members::all`] has it.
-    fn known(&self, node: &str) -> Option<&Told> {
+    fn known(&self, node: &str) -> Option<&Member> {
         self.said(node)
             .max_by_key(|(weight, _)| *weight)
             .map(|(_, told)| told)
     }
 
     /// All members. An edge linked here goes before hearsay, then who is linked there, then who was told of last.
-    pub fn all(&self) -> Vec<&Told> {
+    pub fn all(&self) -> Vec<&Member> {
         self.placed().into_iter().map(|(_, _, told)| told).collect()
     }
 
     /// The members whose leases hold at this instant. A process that stood still is asked before it has dropped the others.
-    pub fn current(&self, now: i64, in_touch: bool) -> Vec<&Told> {
+    pub fn current(&self, now: i64, in_touch: bool) -> Vec<&Member> {
         let placed = self.placed_where(
             |lease| lease.holds(now),
             |hearsay| hearsay.holds(now, in_touch),
@@ -475,15 +478,15 @@
     }
 
     /// The same as [`Members::all`], with the replica that told of each; without one, it is held here, on this link.
-    pub fn placed(&self) -> Vec<(Option<Replica>, u64, &Told)> {
+    pub fn placed(&self) -> Vec<(Option<ReplicaId>, u64, &Member)> {
         self.placed_where(|_| true, |_| true)
     }
 
     fn placed_where(
         &self,
-        own: impl Fn(&Lease) -> bool,
-        others: impl Fn(&Hearsay) -> bool,
-    ) -> Vec<(Option<Replica>, u64, &Told)> {
+        own: impl Fn(&MemberLease) -> bool,
+        others: impl Fn(&PeerReport) -> bool,
+    ) -> Vec<(Option<ReplicaId>, u64, &Member)> {
         let own = self.own.values().filter(|lease| own(lease));
         let own = own.map(|lease| {
             (
@@ -497,7 +500,7 @@
             hearsay
                 .list
                 .values()
-                .map(move |told: &Told| ((told.linked, false, hearsay.changed), one(told)))
+                .map(move |told: &Member| ((told.linked, false, hearsay.changed), one(told)))
         });
         let mut best = BTreeMap::new();
         for (weight, one) in own.chain(others) {
@@ -529,7 +532,7 @@
     }
 
     /// What another replica holds of this one's list.
-    fn held(other: &Members) -> Vec<(&str, NodeState)> {
+    fn held(other: &Membership) -> Vec<(&str, NodeState)> {
         other
             .all()
             .into_iter()
@@ -539,7 +542,7 @@
 
     #[test]
     fn a_change_is_told_alone_and_who_missed_one_asks_for_the_whole() {
-        let (mut one, mut other) = (Members::default(), Members::default());
+        let (mut one, mut other) = (Membership::default(), Membership::default());
         assert!(one.hello(0, 1, edge("e")) && one.hello(0, 2, edge("f")));
         let first = one.news().unwrap();
         assert_eq!((first.told.len(), one.news()), (2, None));
@@ -560,9 +563,9 @@
             !other.confirmed(5, 7, one.digest()),
             "it was asked for just now"
         );
-        assert!(other.confirmed(limits::ASK + 5, 7, one.digest()));
-        other.told(limits::ASK + 6, 7, one.list());
-        assert!(!other.confirmed(limits::ASK + 7, 7, one.digest()));
+        assert!(other.confirmed(limits::SYNC_REQUEST_INTERVAL + 5, 7, one.digest()));
+        other.told(limits::SYNC_REQUEST_INTERVAL + 6, 7, one.list());
+        assert!(!other.confirmed(limits::SYNC_REQUEST_INTERVAL + 7, 7, one.digest()));
         assert_eq!(
             held(&other),
             [("e", NodeState::Ready), ("f", NodeState::Draining)]
@@ -570,14 +573,18 @@
         assert_eq!(other.serving("a"), (2, 2));
         // One whose lease has run out goes by its name alone.
         assert!(
-            one.beat(limits::LEASE, 1, NodeState::Ready) || one.expire(limits::LEASE + 4, true)
+            one.beat(limits::MEMBER_LEASE_DURATION, 1, NodeState::Ready)
+                || one.expire(limits::MEMBER_LEASE_DURATION + 4, true)
         );
         let last = one.news().unwrap();
         assert_eq!(
             (last.told.len(), last.gone.as_slice()),
             (0, ["f".to_string()].as_slice())
         );
-        assert_eq!(other.moved(limits::LEASE + 5, 7, last), Some(false));
+        assert_eq!(
+            other.moved(limits::MEMBER_LEASE_DURATION + 5, 7, last),
+            Some(false)
+        );
         assert_eq!(
             (held(&other), other.serving("a")),
             (vec![("e", NodeState::Ready)], (1, 1))
@@ -586,35 +593,38 @@
 
     #[test]
     fn an_edge_that_falls_silent_counts_for_a_while_and_one_that_leaves_does_not() {
-        let mut members = Members::default();
+        let mut members = Membership::default();
         for (link, node) in [(1, "a"), (2, "b")] {
             members.hello(0, link, edge(node));
             members.beat(0, link, NodeState::Ready);
         }
         members.expire(0, true);
         members.beat(100, 1, NodeState::Unavailable);
-        members.expire(limits::LEASE + 1, true);
+        members.expire(limits::MEMBER_LEASE_DURATION + 1, true);
         assert_eq!((members.all().len(), members.lately()), (1, 1));
-        members.expire(limits::LATELY + 1, true);
+        members.expire(limits::RECENTLY_SERVING_DURATION + 1, true);
         assert_eq!(members.lately(), 0);
     }
 
     #[test]
     fn leases_end_by_themselves_and_sooner_for_hearsay_in_touch() {
-        let (mut members, mut other) = (Members::default(), Members::default());
+        let (mut members, mut other) = (Membership::default(), Membership::default());
         other.hello(0, 1, edge("b"));
         members.hello(0, 1, edge("a"));
         members.told(0, 7, other.list());
         // Nothing was dropped: the process stood still.
         let named = |now, in_touch| members.current(now, in_touch).len();
         assert_eq!(
-            (named(limits::LEASE, true), named(limits::LEASE + 1, true)),
+            (
+                named(limits::MEMBER_LEASE_DURATION, true),
+                named(limits::MEMBER_LEASE_DURATION + 1, true)
+            ),
             (2, 0)
         );
         assert_eq!(
             (
-                named(limits::LEASE + 1, false),
-                named(limits::LEASE_ALONE + 1, false)
+                named(limits::MEMBER_LEASE_DURATION + 1, false),
+                named(limits::MEMBER_LEASE_DURATION_WITHOUT_QUORUM + 1, false)
             ),
             (1, 0)
         );
@@ -622,32 +632,39 @@
 
     #[test]
     fn a_replica_out_of_touch_counts_on_those_that_it_hears_no_more() {
-        let mut members = Members::default();
+        let mut members = Membership::default();
         members.hello(0, 1, edge("a"));
         members.beat(0, 1, NodeState::Ready);
         members.expire(0, true);
-        let back = 2 * limits::LATELY;
+        let back = 2 * limits::RECENTLY_SERVING_DURATION;
         // The last is as a process finds it that stood still.
-        for alone in [limits::LEASE + 1, limits::LATELY + 1, back] {
+        for alone in [
+            limits::MEMBER_LEASE_DURATION + 1,
+            limits::RECENTLY_SERVING_DURATION + 1,
+            back,
+        ] {
             members.expire(alone, false);
             assert_eq!(members.lately(), 1, "{alone}");
         }
-        members.expire(back + limits::LATELY, true);
+        members.expire(back + limits::RECENTLY_SERVING_DURATION, true);
         assert_eq!(members.lately(), 1);
-        members.expire(back + limits::LATELY + 1, true);
+        members.expire(back + limits::RECENTLY_SERVING_DURATION + 1, true);
         assert_eq!(members.lately(), 0);
     }
 
     #[test]
     fn an_edge_that_falls_silent_before_it_says_that_it_serves_counts_for_a_while() {
-        let mut members = Members::default();
+        let mut members = Membership::default();
         members.hello(0, 1, edge("a"));
         members.beat(0, 1, NodeState::Unavailable);
         members.expire(0, true);
         assert_eq!((members.all().len(), members.lately()), (1, 0));
-        members.expire(limits::LEASE + 1, true);
+        members.expire(limits::MEMBER_LEASE_DURATION + 1, true);
         assert_eq!((members.all().len(), members.lately()), (0, 1));
-        members.expire(limits::LEASE + limits::LATELY + 2, true);
+        members.expire(
+            limits::MEMBER_LEASE_DURATION + limits::RECENTLY_SERVING_DURATION + 2,
+            true,
+        );
         assert_eq!(members.lately(), 0);
     }
 }
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -7,23 +7,23 @@
 
 mod agents;
 mod agreement;
-pub mod count;
-pub mod duties;
+mod anti_entropy;
+pub mod chosen;
+pub mod counter;
 mod handover;
-pub mod members;
-pub mod news;
+mod load_aggregation;
+pub mod membership;
 mod outbox;
-mod overload_homes;
 pub mod peer_messages;
 mod periodic;
+pub mod proposal;
 mod reclaim;
+pub mod recovery;
 pub mod registers;
-pub mod repair;
 pub mod replicas;
-pub mod rounds;
-pub mod servers;
+pub mod role_lease;
+pub mod server_list;
 pub mod status;
-mod sync;
 pub mod transfer;
 
 use std::collections::BTreeMap;
@@ -35,32 +35,32 @@
 use protocol::platform::Server;
 use serde::{Deserialize, Serialize};
 
-use self::agents::Agents;
-use self::agreement::Reading;
-use self::count::Count;
-use self::duties::Ballots;
+use self::agents::AgentLinks;
+use self::agreement::QuorumRead;
+use self::anti_entropy::DigestExchange;
+use self::chosen::ChosenItems;
+use self::counter::SharedCounter;
 use self::handover::Handover;
-use self::members::Members;
-use self::news::News;
-use self::outbox::After;
-use self::overload_homes::OverloadHomes;
+use self::load_aggregation::LoadAggregation;
+use self::membership::Membership;
+use self::outbox::PendingWrite;
 use self::peer_messages::{
-    Ballot, Body, Duty, Incarnation, PeerMessage, Replica, Speaker, Term, Told,
+    Ballot, Incarnation, Member, Payload, PeerMessage, ProcessId, ReplicaId, SingletonRole, Term,
 };
-use self::reclaim::Displaced;
+use self::proposal::Proposal;
+use self::reclaim::Superseded;
+use self::recovery::{PendingProposals, Recovery};
 use self::registers::{Register, Registers};
-use self::repair::{Rebuild, Unfinished};
-use self::replicas::Replicas;
-use self::rounds::Round;
-use self::servers::Listed;
-use self::sync::Syncing;
-use self::transfer::Bounds;
-use crate::calls::{Command, Reply};
+use self::replicas::ReplicaTable;
+use self::role_lease::RoleLease;
+use self::server_list::ServerList;
+use self::transfer::TransferLimits;
 use crate::limits;
+use crate::operator_api::{Command, Reply};
 
 /// What a replica writes down about itself and the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Own {
+pub struct ReplicaMetadata {
     /// Its incarnation; none while it has not rebuilt.
     pub incarnation: Incarnation,
     /// Starts of its process in this incarnation.
@@ -77,9 +77,9 @@
 
 /// What was on disk.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Restored {
+pub struct RecoveredState {
     /// About itself and the others.
-    pub own: Own,
+    pub own: ReplicaMetadata,
     /// Its registers.
     pub registers: Vec<(ItemName, Register)>,
     /// What it knew to be chosen.
@@ -88,7 +88,7 @@
 
 /// What a core is told at its start.
 #[derive(Clone, Debug, Default)]
-pub struct Setup {
+pub struct ReplicaConfig {
     /// The replicas' zones, in order.
     pub zones: Vec<String>,
     /// Its own zone.
@@ -100,9 +100,9 @@
     /// For what is drawn by chance.
     pub seed: u64,
     /// What was on disk.
-    pub restored: Restored,
+    pub restored: RecoveredState,
     /// How much of a state transfer is told at once.
-    pub bounds: Bounds,
+    pub bounds: TransferLimits,
 }
 
 /// What goes in.
@@ -113,30 +113,30 @@
     /// A message of another replica, and the address of its sender.
     PeerMessage(SocketAddr, PeerMessage),
     /// A link with another replica came up.
-    LinkUp(SocketAddr),
+    PeerConnected(SocketAddr),
     /// What was to be written under this number is on disk.
     Written(u64),
     /// A call of the operators, answered by its number, until the deadline.
-    Call(u64, Command, i64),
+    OperatorCall(u64, Command, i64),
     /// A message on an agent's link.
     Agent(u64, AgentMessage),
     /// An agent's link is gone.
-    AgentGone(u64),
+    AgentDisconnected(u64),
     /// The platform's list was read whole.
-    Listed(Vec<Server>),
+    ServerListRead(Vec<Server>),
     /// A duty can't be done here.
-    Unable(Duty),
+    RoleFailed(SingletonRole),
     /// The disk takes nothing more, or takes it again. What was to be written waits until then.
-    Full(bool),
+    DiskFull(bool),
     /// The process is to end.
-    Stop,
+    Shutdown,
 }
 
 /// What is to be written to disk, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Row {
+pub enum Record {
     /// About itself and the others.
-    Own(Own),
+    Metadata(ReplicaMetadata),
     /// A register.
     Register(ItemName, Register),
     /// A chosen item.
@@ -147,24 +147,24 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// A message to other replicas.
-    Send(Vec<SocketAddr>, PeerMessage),
+    SendToReplicas(Vec<SocketAddr>, PeerMessage),
     /// The replicas to keep a link with.
     Peers(Vec<SocketAddr>),
     /// Rows for the disk; [`Input::Written`] with the number once they are there.
-    Write(u64, Vec<Row>),
+    Write(u64, Vec<Record>),
     /// The answer to a call.
     Answer(u64, Reply),
     /// A message to agents, by their links.
-    Tell(Vec<u64>, ControlMessage),
+    SendToAgents(Vec<u64>, ControlMessage),
     /// Something worth a line in the log.
-    Note(String),
+    Log(String),
     /// The same, which operators are told to look for.
-    Notice(String),
+    LogImmediately(String),
 }
 
 /// How much a replica holds for what is under way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sizes {
+pub struct PendingCounts {
     /// Rounds of registers.
     pub rounds: usize,
     /// Calls that rounds are for.
@@ -187,24 +187,24 @@
 pub struct Core {
     zones: Vec<String>,
     run: u32,
-    replicas: Replicas,
+    replicas: ReplicaTable,
     registers: Registers,
-    news: News,
-    unfinished: Unfinished,
-    rebuild: Option<Rebuild>,
-    rounds: BTreeMap<u64, Round>,
+    news: ChosenItems,
+    unfinished: PendingProposals,
+    rebuild: Option<Recovery>,
+    rounds: BTreeMap<u64, Proposal>,
     /// The call that a round is for.
     calls: BTreeMap<u64, u64>,
-    readings: BTreeMap<u64, Reading>,
+    readings: BTreeMap<u64, QuorumRead>,
     /// Readings that wait for a round that finishes what they found.
-    finishing: BTreeMap<u64, Reading>,
-    duties: [Ballots; 2],
-    members: Members,
-    count: Count,
-    listed: Listed,
-    agents: Agents,
-    overload_homes: OverloadHomes,
-    after: BTreeMap<u64, Vec<After>>,
+    finishing: BTreeMap<u64, QuorumRead>,
+    duties: [RoleLease; 2],
+    members: Membership,
+    count: SharedCounter,
+    listed: ServerList,
+    agents: AgentLinks,
+    overload_homes: LoadAggregation,
+    after: BTreeMap<u64, Vec<PendingWrite>>,
     /// Last number given to a write, a round or a question.
     number: u64,
     /// Added to the numbers of questions for what was missed.
@@ -214,7 +214,7 @@
     chance: u64,
     next_beat: i64,
     /// Beats in a row after which a replica knew other items to be chosen.
-    strikes: BTreeMap<Replica, u32>,
+    strikes: BTreeMap<ReplicaId, u32>,
     /// Not to be asked before then: for chosen items, for the list of servers.
     next_sync: i64,
     next_servers: i64,
@@ -222,7 +222,7 @@
     /// Once the process was told to end.
     handover: Option<Handover>,
     /// While it is set aside by a newer incarnation of its slot.
-    displaced: Option<Displaced>,
+    displaced: Option<Superseded>,
     full: bool,
     /// The limiters' clock less this replica's.
     ahead: i64,
@@ -235,21 +235,21 @@
     /// In any case then.
     whole_at: Option<i64>,
     /// The question about what is chosen that waits for its answer.
-    syncing: Syncing,
-    bounds: Bounds,
+    syncing: DigestExchange,
+    bounds: TransferLimits,
 }
 
 impl Core {
     /// A core that starts now.
-    pub fn new(now: i64, setup: Setup) -> Core {
+    pub fn new(now: i64, setup: ReplicaConfig) -> Core {
         let count = setup.zones.len();
         let replica = setup
             .zones
             .iter()
             .position(|zone| *zone == setup.zone)
-            .unwrap_or_default() as Replica;
+            .unwrap_or_default() as ReplicaId;
         let own = setup.restored.own;
-        let me = Speaker {
+        let me = ProcessId {
             replica,
             incarnation: own.incarnation,
             run: own.run,
@@ -257,25 +257,31 @@
         let address = setup
             .address
             .unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)));
-        let mut replicas = Replicas::new(me, count, address, setup.seeds);
+        let mut replicas = ReplicaTable::new(me, count, address, setup.seeds);
         replicas.restore(&own.incarnations, &own.addresses);
         let registers = Registers::restore(own.floor, setup.restored.registers);
-        let mut news = News::default();
+        let mut news = ChosenItems::default();
         for (ballot, item) in &setup.restored.chosen {
             news.learn(*ballot, item);
         }
-        let mut unfinished = Unfinished::default();
+        let mut unfinished = PendingProposals::default();
         for (_, item) in registers.held().filter(|(_, item)| !news.has(item)) {
             unfinished.begun(now, &item.name);
         }
         let term = |at: usize| own.terms.get(at).copied().unwrap_or_default();
-        let terms = |duty: Duty| (term(duty as usize), term(Duty::ALL.len() + duty as usize));
-        let duties = Duty::ALL.map(|duty| Ballots::new(duty, me, count, terms(duty), now));
+        let terms = |duty: SingletonRole| {
+            (
+                term(duty as usize),
+                term(SingletonRole::ALL.len() + duty as usize),
+            )
+        };
+        let duties =
+            SingletonRole::ALL.map(|duty| RoleLease::new(duty, me, count, terms(duty), now));
         Core {
             zones: setup.zones,
             run: own.run,
             round: registers.highest().round,
-            rebuild: (own.incarnation == Incarnation::NONE).then(Rebuild::default),
+            rebuild: (own.incarnation == Incarnation::NONE).then(Recovery::default),
             replicas,
             registers,
             news,
@@ -285,11 +291,11 @@
             readings: BTreeMap::new(),
             finishing: BTreeMap::new(),
             duties,
-            members: Members::default(),
-            count: Count::default(),
-            listed: Listed::default(),
-            agents: Agents::default(),
-            overload_homes: OverloadHomes::default(),
+            members: Membership::default(),
+            count: SharedCounter::default(),
+            listed: ServerList::default(),
+            agents: AgentLinks::default(),
+            overload_homes: LoadAggregation::default(),
             after: BTreeMap::new(),
             number: 0,
             syncs_from: first_sync(own.incarnation, own.run),
@@ -307,7 +313,7 @@
             matched: 0,
             whole: false,
             whole_at: None,
-            syncing: Syncing::default(),
+            syncing: DigestExchange::default(),
             bounds: setup.bounds,
         }
     }
@@ -321,9 +327,9 @@
                 _,
                 AgentMessage::CounterBatch { .. } | AgentMessage::LoadReports(_)
             ) | Input::Written(_)
-                | Input::Listed(_)
+                | Input::ServerListRead(_)
         );
-        if now - self.next_beat >= limits::TOUCH {
+        if now - self.next_beat >= limits::CONTACT_TIMEOUT {
             self.stood_still(now);
         }
         match input {
@@ -331,20 +337,22 @@
             Input::PeerMessage(from, peer_message) => {
                 self.peer_message(now, from, peer_message, out)
             }
-            Input::LinkUp(peer) => {
+            Input::PeerConnected(peer) => {
                 if let Some(rebuild) = &mut self.rebuild {
                     rebuild.linked(now, peer);
                 }
                 self.link_up(peer, out);
             }
             Input::Written(number) => self.written(now, number, out),
-            Input::Call(call, command, deadline) => self.call(now, call, command, deadline, out),
+            Input::OperatorCall(call, command, deadline) => {
+                self.call(now, call, command, deadline, out)
+            }
             Input::Agent(link, up) => self.agent(now, link, up, out),
-            Input::AgentGone(link) => self.agent_gone(now, link, out),
-            Input::Listed(servers) => self.platform_read(now, servers, out),
-            Input::Unable(duty) => self.unable(now, duty, out),
-            Input::Full(full) => self.disk_full(full, out),
-            Input::Stop => self.stop(now, out),
+            Input::AgentDisconnected(link) => self.agent_gone(now, link, out),
+            Input::ServerListRead(servers) => self.platform_read(now, servers, out),
+            Input::RoleFailed(duty) => self.unable(now, duty, out),
+            Input::DiskFull(full) => self.disk_full(full, out),
+            Input::Shutdown => self.stop(now, out),
         }
         self.turn(now, out);
         if !often || self.agents.wake().is_some_and(|wake| wake <= now) {
@@ -374,7 +382,7 @@
             .duties
             .iter()
             .filter(|duty| able || duty.bids())
-            .map(Ballots::wake);
+            .map(RoleLease::wake);
         let all = rounds
             .chain(readings)
             .chain(rebuild)
@@ -392,7 +400,7 @@
     /// What is due.
     fn turn(&mut self, now: i64, out: &mut Vec<Output>) {
         if now >= self.next_beat {
-            self.next_beat = now + limits::BEAT;
+            self.next_beat = now + limits::HEARTBEAT_INTERVAL;
             self.beat(now, out);
         }
         self.rebuild_turn(now, out);
@@ -406,13 +414,13 @@
     }
 
     /// This replica does a duty at this instant, in this term.
-    pub fn holds(&self, now: i64, duty: Duty) -> Option<u64> {
+    pub fn holds(&self, now: i64, duty: SingletonRole) -> Option<u64> {
         let able = self.replicas.takes_part() && !self.stopping;
         self.duties[duty as usize].held(now).filter(|_| able)
     }
 
     /// The edges whose leases hold at this instant, as this replica knows them.
-    pub fn members(&self, now: i64) -> Vec<&Told> {
+    pub fn members(&self, now: i64) -> Vec<&Member> {
         self.members.current(now, self.replicas.in_touch(now))
     }
 
@@ -457,8 +465,8 @@
     }
 
     /// How much it holds.
-    pub fn sizes(&self) -> Sizes {
-        Sizes {
+    pub fn sizes(&self) -> PendingCounts {
+        PendingCounts {
             rounds: self.rounds.len(),
             calls: self.calls.len(),
             readings: self.readings.len() + self.finishing.len(),
@@ -502,31 +510,39 @@
             self.link_up(from, out);
         }
         match peer_message.body {
-            Body::AskMembers => self.send(vec![from], Body::Members(self.members.list()), out),
-            Body::AskServers => self.send_servers(now, from, out),
-            Body::Record {
+            Payload::MemberListRequest => {
+                self.send(vec![from], Payload::MemberList(self.members.list()), out)
+            }
+            Payload::ServerListRequest => self.send_servers(now, from, out),
+            Payload::IncarnationRequest {
                 incarnation,
                 question,
             } => self.record(from, peer_message.by.replica, incarnation, question, out),
-            Body::HandOver { id, items } => self.take_over(now, (from, by.0), id, items, out),
+            Payload::HandoverRequest { id, items } => {
+                self.take_over(now, (from, by.0), id, items, out)
+            }
             // One of an older incarnation learns of the newer one by any message.
-            Body::Beat(_) if !heard.counts && peer_message.by.incarnation != Incarnation::NONE => {
+            Payload::Heartbeat(_)
+                if !heard.counts && peer_message.by.incarnation != Incarnation::NONE =>
+            {
                 self.link_up(from, out)
             }
             _ if !heard.counts => {}
-            Body::Beat(beat) => self.beaten(now, from, by.0, beat, out),
-            Body::Replicas(told) if self.replicas.knows_more(&peer_message.incarnations, &told) => {
+            Payload::Heartbeat(beat) => self.beaten(now, from, by.0, beat, out),
+            Payload::ReplicaAddresses(told)
+                if self.replicas.knows_more(&peer_message.incarnations, &told) =>
+            {
                 self.link_up(from, out)
             }
-            Body::Replicas(_) => {}
-            Body::Members(list) => self.members_told(now, by.0, list, out),
-            Body::Moved(moved) => self.members_moved(now, from, by.0, moved, out),
-            Body::Servers { version, servers } => {
+            Payload::ReplicaAddresses(_) => {}
+            Payload::MemberList(list) => self.members_told(now, by.0, list, out),
+            Payload::MembershipDelta(moved) => self.members_moved(now, from, by.0, moved, out),
+            Payload::ServerList { version, servers } => {
                 if self.listed.told(now, version, servers) {
                     self.tell_servers(now, out);
                 }
             }
-            Body::Recorded {
+            Payload::IncarnationRecorded {
                 incarnation,
                 floor,
                 piece,
@@ -534,18 +550,18 @@
             } => {
                 self.recorded(now, (from, by), incarnation, floor, piece, &terms, out);
             }
-            Body::Holding { id, parts, whole } => {
+            Payload::HandoverAck { id, parts, whole } => {
                 self.slot_heard(now, by.0, whole);
                 self.holding((from, by.0), (id, &parts), whole, out);
             }
-            Body::Strain { region, services } => {
+            Payload::LoadReport { region, services } => {
                 let replicas = (self.replicas.me().replica, by.0);
                 self.overload_homes.shared(now, replicas, &region, services);
             }
             _ if !self.replicas.takes_part() => {}
-            Body::Prepare { ballot, names } => self.prepare(now, from, ballot, &names, out),
-            Body::Accept { ballot, items } => self.accept(now, from, ballot, &items, out),
-            Body::Bid {
+            Payload::Prepare { ballot, names } => self.prepare(now, from, ballot, &names, out),
+            Payload::Accept { ballot, items } => self.accept(now, from, ballot, &items, out),
+            Payload::LeaseRequest {
                 duty,
                 term,
                 at,
@@ -561,16 +577,16 @@
                     out,
                 );
             }
-            Body::Release { duty, term, vain } => {
+            Payload::LeaseRelease { duty, term, vain } => {
                 self.duties[duty as usize].released(now, peer_message.by, term, vain);
             }
-            Body::Read { id, question } => self.asked(from, id, &question, out),
-            Body::Sync { id, parts } => self.sync_asked(from, id, &parts, out),
-            Body::Entries { id, entries } => {
+            Payload::ReadRequest { id, question } => self.asked(from, id, &question, out),
+            Payload::DigestRequest { id, parts } => self.sync_asked(from, id, &parts, out),
+            Payload::DigestEntries { id, entries } => {
                 self.entries_told(now, (from, by.0), id, &entries, out)
             }
-            Body::Fetch { id, wanted } => self.fetch_asked(from, id, &wanted, out),
-            Body::Learn {
+            Payload::FetchRequest { id, wanted } => self.fetch_asked(from, id, &wanted, out),
+            Payload::ChosenChunk {
                 id,
                 piece,
                 items,
@@ -579,7 +595,7 @@
                 self.learn(now, items, out);
                 self.told_chosen(now, (from, by.0), id, (piece, then), out);
             }
-            Body::Chosen(ballot) => {
+            Payload::Chosen(ballot) => {
                 let held = self
                     .registers
                     .held()
--- a/crates/control/src/core/outbox.rs
+++ b/crates/control/src/core/outbox.rs
@@ -2,26 +2,26 @@
 
 use std::net::SocketAddr;
 
-use super::duties::Ballots;
-use super::peer_messages::{Body, Incarnation, PeerMessage, Question, Term};
-use super::{Core, Output, Own, Row};
+use super::peer_messages::{Incarnation, Payload, PeerMessage, Term, TransferRequest};
+use super::role_lease::RoleLease;
+use super::{Core, Output, Record, ReplicaMetadata};
 
 /// What is done once rows are on disk.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum After {
+pub(super) enum PendingWrite {
     /// A vote goes out; without an address it is this replica's own.
-    Vote(Option<SocketAddr>, Body),
+    Vote(Option<SocketAddr>, Payload),
     /// A replica that rebuilds hears that its incarnation is written down here.
-    Recorded(SocketAddr, Incarnation, Question),
+    Recorded(SocketAddr, Incarnation, TransferRequest),
     /// This replica takes part from now on.
-    Begin(Incarnation),
+    BeginIncarnation(Incarnation),
 }
 
 impl Core {
     /// Sends a message.
-    pub(super) fn send(&self, to: Vec<SocketAddr>, body: Body, out: &mut Vec<Output>) {
+    pub(super) fn send(&self, to: Vec<SocketAddr>, body: Payload, out: &mut Vec<Output>) {
         if !to.is_empty() {
-            out.push(Output::Send(
+            out.push(Output::SendToReplicas(
                 to,
                 PeerMessage {
                     by: self.replicas.me(),
@@ -33,12 +33,17 @@
     }
 
     /// Sends a message to all other replicas.
-    pub(super) fn spread(&self, body: Body, out: &mut Vec<Output>) {
+    pub(super) fn spread(&self, body: Payload, out: &mut Vec<Output>) {
         self.send(self.replicas.rest(), body, out);
     }
 
     /// Writes rows, and does something once they are on disk.
-    pub(super) fn write(&mut self, rows: Vec<Row>, after: Option<After>, out: &mut Vec<Output>) {
+    pub(super) fn write(
+        &mut self,
+        rows: Vec<Record>,
+        after: Option<PendingWrite>,
+        out: &mut Vec<Output>,
+    ) {
         let number = self.number();
         if let Some(after) = after {
             self.after.insert(number, vec![after]);
@@ -48,18 +53,18 @@
 
     /// Newest term of each duty that was granted here.
     fn terms(&self) -> impl Iterator<Item = Term> {
-        self.duties.iter().map(Ballots::term)
+        self.duties.iter().map(RoleLease::term)
     }
 
     /// What is written down about this replica and the others.
-    pub(super) fn own(&self) -> Own {
-        Own {
+    pub(super) fn own(&self) -> ReplicaMetadata {
+        ReplicaMetadata {
             incarnation: self.replicas.me().incarnation,
             run: self.run,
             floor: self.registers.floor(),
             terms: self
                 .terms()
-                .chain(self.duties.iter().map(Ballots::kept))
+                .chain(self.duties.iter().map(RoleLease::kept))
                 .collect(),
             incarnations: self.replicas.incarnations(),
             addresses: self.replicas.addresses(),
@@ -71,7 +76,7 @@
         &mut self,
         now: i64,
         to: Option<SocketAddr>,
-        body: Body,
+        body: Payload,
         out: &mut Vec<Output>,
     ) {
         match to {
@@ -96,7 +101,7 @@
             } else {
                 "votes again"
             };
-            out.push(Output::Note(text.to_string()));
+            out.push(Output::Log(text.to_string()));
         }
     }
 
@@ -104,17 +109,17 @@
     pub(super) fn written(&mut self, now: i64, number: u64, out: &mut Vec<Output>) {
         for after in self.after.remove(&number).into_iter().flatten() {
             match after {
-                After::Vote(to, body) if self.replicas.takes_part() => {
+                PendingWrite::Vote(to, body) if self.replicas.takes_part() => {
                     self.send_to_peer(now, to, body, out)
                 }
-                After::Vote(..) => {}
-                After::Recorded(to, incarnation, question) => {
+                PendingWrite::Vote(..) => {}
+                PendingWrite::Recorded(to, incarnation, question) => {
                     let floor = self.registers.highest();
                     for piece in self.registers.answer(self.bounds, &question) {
                         let terms = self.terms().collect();
                         self.send(
                             vec![to],
-                            Body::Recorded {
+                            Payload::IncarnationRecorded {
                                 incarnation,
                                 floor,
                                 piece,
@@ -124,7 +129,7 @@
                         );
                     }
                 }
-                After::Begin(incarnation) => self.begin(now, incarnation, out),
+                PendingWrite::BeginIncarnation(incarnation) => self.begin(now, incarnation, out),
             }
         }
     }
--- a/crates/control/src/core/peer_messages.rs
+++ b/crates/control/src/core/peer_messages.rs
@@ -9,10 +9,10 @@
 use protocol::platform::Server;
 use serde::{Deserialize, Serialize};
 
-use super::transfer::{Piece, Then};
+use super::transfer::{Chunk, Continuation};
 
 /// A replica's number: the place of its zone among all zones, by name.
-pub type Replica = u8;
+pub type ReplicaId = u8;
 
 /// An incarnation of a replica. It goes on while its disk stays; who comes with an empty disk begins a new one. Ordered; the mark,
 /// drawn by chance, tells apart two that begin the same number at once.
@@ -23,23 +23,29 @@
     /// Its number; 0 is none yet.
     pub number: u32,
     /// Drawn by chance.
-    pub mark: u32,
+    pub nonce: u32,
 }
 
 impl Incarnation {
     /// None yet: counts for nothing.
-    pub const NONE: Incarnation = Incarnation { number: 0, mark: 0 };
+    pub const NONE: Incarnation = Incarnation {
+        number: 0,
+        nonce: 0,
+    };
     /// That of every replica at the first start of the whole system.
-    pub const FIRST: Incarnation = Incarnation { number: 1, mark: 0 };
+    pub const FIRST: Incarnation = Incarnation {
+        number: 1,
+        nonce: 0,
+    };
 }
 
 /// Who speaks: a replica, its incarnation, and the run of its process within that.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Speaker {
+pub struct ProcessId {
     /// The replica.
-    pub replica: Replica,
+    pub replica: ReplicaId,
     /// Its incarnation.
     pub incarnation: Incarnation,
     /// Starts of its process in this incarnation.
@@ -54,7 +60,7 @@
     /// Rises with each try.
     pub round: u64,
     /// Whose it is.
-    pub by: Speaker,
+    pub by: ProcessId,
 }
 
 impl fmt::Display for Ballot {
@@ -68,25 +74,25 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct QuestionId {
+pub struct RequestId {
     /// Who asks.
-    pub by: Speaker,
+    pub by: ProcessId,
     /// Which of its questions.
     pub number: u64,
 }
 
 /// A duty that one replica does for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Duty {
+pub enum SingletonRole {
     /// Asks the platform for its list.
-    Poll,
+    PlatformPoller,
     /// Keeps the shared count.
-    Count,
+    Counter,
 }
 
-impl Duty {
+impl SingletonRole {
     /// All of them.
-    pub const ALL: [Duty; 2] = [Duty::Poll, Duty::Count];
+    pub const ALL: [SingletonRole; 2] = [SingletonRole::PlatformPoller, SingletonRole::Counter];
 }
 
 /// A term of a duty, and whose it was.
@@ -95,12 +101,12 @@
     /// Rises with each holder.
     pub number: u64,
     /// The holder.
-    pub by: Speaker,
+    pub by: ProcessId,
 }
 
 /// An edge as the replica knows it that its agent is linked to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Member {
     /// The edge.
     pub edge: NodeInfo,
     /// How it stands.
@@ -111,20 +117,20 @@
 
 /// A change of the edges linked to a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Moved {
+pub struct MembershipDelta {
     /// Digest of those before...
     pub before: u64,
     /// ...and after it.
     pub after: u64,
     /// Those that came, or stand otherwise.
-    pub told: Vec<Told>,
+    pub told: Vec<Member>,
     /// Machines that are there no more.
     pub gone: Vec<String>,
 }
 
 /// The sign of life of a replica, with what tells whether something was missed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The replicas that it hears, a bit each.
     pub hears: u128,
     /// Digest of what it knows to be chosen.
@@ -139,7 +145,7 @@
 
 /// What the asking one of a transfer has, and from where on it wants what differs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Question {
+pub struct TransferRequest {
     /// Digests of what it has, by parts.
     pub parts: Vec<u64>,
     /// It has all up to this name.
@@ -148,11 +154,11 @@
 
 /// What a message says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Body {
+pub enum Payload {
     /// Sign of incarnation.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Where the replicas are; the incarnations stand in the message.
-    Replicas(Vec<Option<SocketAddr>>),
+    ReplicaAddresses(Vec<Option<SocketAddr>>),
     /// Asks for a promise on registers.
     Prepare {
         /// The proposal.
@@ -186,28 +192,28 @@
     /// All that was accepted under this proposal is chosen.
     Chosen(Ballot),
     /// Digests of what the speaker knows to be chosen, by parts; it wants what is in those that differ.
-    Sync {
+    DigestRequest {
         /// Number of the question.
         id: u64,
         /// The digests.
         parts: Vec<u64>,
     },
     /// Answers this where much differs: the name, as a number, and the ballot of each entry of the parts that differ.
-    Entries {
+    DigestEntries {
         /// Number of the question.
         id: u64,
         /// The entries.
         entries: Vec<(u64, Ballot)>,
     },
     /// Asks for some of these, by their names.
-    Fetch {
+    FetchRequest {
         /// Number of the question.
         id: u64,
         /// The names, as numbers.
         wanted: Vec<u64>,
     },
     /// Items that are chosen.
-    Learn {
+    ChosenChunk {
         /// Number of the question.
         id: u64,
         /// Which piece of the answer it is.
@@ -215,44 +221,44 @@
         /// The items.
         items: Vec<(Ballot, Item)>,
         /// What follows.
-        then: Then,
+        then: Continuation,
     },
     /// Asks for all that was accepted.
-    Read {
+    ReadRequest {
         /// The question.
-        id: QuestionId,
+        id: RequestId,
         /// What the asking one has accepted itself.
-        question: Question,
+        question: TransferRequest,
     },
     /// What was accepted, of the parts that differ.
-    Registers {
+    RegisterChunk {
         /// The question.
-        id: QuestionId,
+        id: RequestId,
         /// A piece of it.
-        piece: Piece,
+        piece: Chunk,
     },
     /// A replica that has lost its disk begins this incarnation: to be written down, and answered with all there is.
-    Record {
+    IncarnationRequest {
         /// The incarnation.
         incarnation: Incarnation,
         /// What it has gathered so far.
-        question: Question,
+        question: TransferRequest,
     },
     /// The incarnation is on disk here; this is what was accepted, of the parts that differ.
-    Recorded {
+    IncarnationRecorded {
         /// The incarnation.
         incarnation: Incarnation,
         /// Highest proposal that was promised anything.
         floor: Ballot,
         /// A piece of what was accepted.
-        piece: Piece,
+        piece: Chunk,
         /// Newest term of each duty.
         terms: Vec<Term>,
     },
     /// Asks for a duty, or for more of it.
-    Bid {
+    LeaseRequest {
         /// The duty.
-        duty: Duty,
+        duty: SingletonRole,
         /// The term.
         term: u64,
         /// When it was sent, on the clock of the bidder.
@@ -261,9 +267,9 @@
         holds: bool,
     },
     /// Answer to a bid.
-    Vote {
+    LeaseVote {
         /// The duty.
-        duty: Duty,
+        duty: SingletonRole,
         /// The term, and who bid for it: its clock and its terms may come to the same numbers after a start.
         term: Term,
         /// As in the bid.
@@ -274,31 +280,31 @@
         newest: u64,
     },
     /// The holder, or the bidder, of this term gives it back.
-    Release {
+    LeaseRelease {
         /// The duty.
-        duty: Duty,
+        duty: SingletonRole,
         /// The term.
         term: u64,
         /// It was never won.
         vain: bool,
     },
     /// The edges linked to the speaker.
-    Members(Vec<Told>),
+    MemberList(Vec<Member>),
     /// What has changed of these since the last telling.
-    Moved(Moved),
+    MembershipDelta(MembershipDelta),
     /// Asks for these.
-    AskMembers,
+    MemberListRequest,
     /// The platform's list.
-    Servers {
+    ServerList {
         /// The poller's term and the list's number within it.
         version: (u64, u64),
         /// The list; `cold` counts from now.
         servers: Vec<Server>,
     },
     /// Asks for it.
-    AskServers,
+    ServerListRequest,
     /// What the speaker's limiters saw of the services of a region, and the rate that each is let through at.
-    Strain {
+    LoadReport {
         /// The region.
         region: String,
         /// By service.
@@ -306,14 +312,14 @@
     },
     /// The speaker is to end. These items are chosen and are to be held here; also said by one whose slot has a newer
     /// incarnation.
-    HandOver {
+    HandoverRequest {
         /// Number of the message; 0 only asks what is held.
         id: u64,
         /// The items.
         items: Vec<(Ballot, Item)>,
     },
     /// What was known to be chosen once that message was taken in is on disk here.
-    Holding {
+    HandoverAck {
         /// Number of the message.
         id: u64,
         /// Digests of it, by parts.
@@ -327,12 +333,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerMessage {
     /// Who speaks.
-    pub by: Speaker,
+    pub by: ProcessId,
     /// The newest incarnations that it knows, by replica.
     #[serde(with = "incarnations")]
     pub incarnations: Vec<Incarnation>,
     /// What it says.
-    pub body: Body,
+    pub body: Payload,
 }
 
 /// The incarnations as they travel: their number, and those that are not the first. Most replicas stay in theirs for long, so that
@@ -340,7 +346,7 @@
 mod incarnations {
     use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
 
-    use super::{Incarnation, Replica};
+    use super::{Incarnation, ReplicaId};
 
     pub fn serialize<S: Serializer>(
         incarnations: &[Incarnation],
@@ -350,14 +356,14 @@
             .iter()
             .enumerate()
             .filter(|(_, incarnation)| **incarnation != Incarnation::FIRST);
-        let later: Vec<(Replica, Incarnation)> = later
-            .map(|(at, incarnation)| (at as Replica, *incarnation))
+        let later: Vec<(ReplicaId, Incarnation)> = later
+            .map(|(at, incarnation)| (at as ReplicaId, *incarnation))
             .collect();
-        (incarnations.len() as Replica, later).serialize(to)
+        (incarnations.len() as ReplicaId, later).serialize(to)
     }
 
     pub fn deserialize<'a, D: Deserializer<'a>>(from: D) -> Result<Vec<Incarnation>, D::Error> {
-        let (count, later) = <(Replica, Vec<(Replica, Incarnation)>)>::deserialize(from)?;
+        let (count, later) = <(ReplicaId, Vec<(ReplicaId, Incarnation)>)>::deserialize(from)?;
         let mut incarnations = vec![Incarnation::FIRST; usize::from(count)];
         for (replica, incarnation) in later {
             let place = incarnations
@@ -371,11 +377,11 @@
 
 /// What is put on a link between replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Said {
+pub enum Frame {
     /// Where the one that opened the link can be reached itself; first on a link, both ways.
-    Here(SocketAddr),
+    SenderAddress(SocketAddr),
     /// Nothing but a sign of life of the link.
-    Quiet,
+    KeepAlive,
     /// A message.
     PeerMessage(PeerMessage),
 }
--- a/crates/control/src/core/periodic.rs
+++ b/crates/control/src/core/periodic.rs
@@ -4,15 +4,16 @@
 
 use protocol::platform::Server;
 
-use super::duties::{Ballots, Lost, Verdict};
-use super::outbox::After;
+use super::outbox::PendingWrite;
 use super::peer_messages::{
-    Ballot, Beat, Body, Duty, Incarnation, Moved, Question, Replica, Speaker, Term, Told,
+    Ballot, Heartbeat, Incarnation, Member, MembershipDelta, Payload, ProcessId, ReplicaId,
+    SingletonRole, Term, TransferRequest,
 };
-use super::repair::{Answered, Rebuild};
-use super::servers;
-use super::transfer::Piece;
-use super::{Core, Output, Row};
+use super::recovery::{Recovery, RecoveryStep};
+use super::role_lease::{LeaseRelease, RoleLease, Vote};
+use super::server_list;
+use super::transfer::Chunk;
+use super::{Core, Output, Record};
 use crate::limits;
 
 impl Core {
@@ -25,7 +26,7 @@
         if self.members.expire(now, self.touch) {
             self.spread_members(out);
         }
-        let beat = Beat {
+        let beat = Heartbeat {
             hears: self.replicas.heard(now),
             chosen: self.news.digest(),
             servers: self.listed.version(),
@@ -33,9 +34,9 @@
             time: now + self.ahead,
         };
         if self.replicas.takes_part() {
-            self.spread(Body::Beat(beat), out);
+            self.spread(Payload::Heartbeat(beat), out);
             if self.replicas.unsure() {
-                self.spread(Body::Replicas(self.replicas.addresses()), out);
+                self.spread(Payload::ReplicaAddresses(self.replicas.addresses()), out);
             }
         }
         if self.replicas.majority() == 1 {
@@ -50,18 +51,18 @@
         &mut self,
         now: i64,
         from: SocketAddr,
-        replica: Replica,
-        beat: Beat,
+        replica: ReplicaId,
+        beat: Heartbeat,
         out: &mut Vec<Output>,
     ) {
         self.look_around(now);
         self.raise(now, beat.time);
         if self.members.confirmed(now, replica, beat.members) {
-            self.send(vec![from], Body::AskMembers, out);
+            self.send(vec![from], Payload::MemberListRequest, out);
         }
         if beat.servers > self.listed.version() && now >= self.next_servers {
-            self.next_servers = now + limits::ASK;
-            self.send(vec![from], Body::AskServers, out);
+            self.next_servers = now + limits::SYNC_REQUEST_INTERVAL;
+            self.send(vec![from], Payload::ServerListRequest, out);
         }
         self.matches(now, replica, beat.chosen, out);
         let strikes = self.strikes.entry(replica).or_default();
@@ -72,7 +73,7 @@
         };
         if *strikes >= 2 && now >= self.next_sync && self.replicas.takes_part() {
             *strikes = 0;
-            self.next_sync = now + limits::ASK;
+            self.next_sync = now + limits::SYNC_REQUEST_INTERVAL;
             self.sync(from, out);
         }
     }
@@ -93,7 +94,7 @@
 
     /// After a start, or out of touch, this replica may know less to be chosen than the others. It knows the whole once more than half know
     /// the same; while items change all the time, after it has been in touch for a while.
-    fn matches(&mut self, now: i64, replica: Replica, chosen: u64, out: &mut Vec<Output>) {
+    fn matches(&mut self, now: i64, replica: ReplicaId, chosen: u64, out: &mut Vec<Output>) {
         if self.whole || !self.touch {
             return;
         }
@@ -103,16 +104,16 @@
     }
 
     /// All that a replica knew to be chosen is known here.
-    pub(super) fn caught_up(&mut self, now: i64, replica: Replica, out: &mut Vec<Output>) {
+    pub(super) fn caught_up(&mut self, now: i64, replica: ReplicaId, out: &mut Vec<Output>) {
         self.matched |= 1 << replica;
         self.know(now, out);
     }
 
     /// Chosen items are on their way to this replica: it does not know the whole.
     pub(super) fn lags(&mut self, now: i64) {
-        self.whole_at = Some(now + limits::WHOLE);
+        self.whole_at = Some(now + limits::CATCH_UP_DURATION);
         // One source at a time.
-        self.next_sync = now + limits::ASK;
+        self.next_sync = now + limits::SYNC_REQUEST_INTERVAL;
     }
 
     /// Looks whether this replica knows the whole by now.
@@ -121,7 +122,7 @@
             return;
         }
         let same = self.matched.count_ones() as usize + 1 >= self.replicas.majority();
-        let at = *self.whole_at.get_or_insert(now + limits::WHOLE);
+        let at = *self.whole_at.get_or_insert(now + limits::CATCH_UP_DURATION);
         if (same && self.unfinished.is_empty()) || now >= at {
             self.whole = true;
             self.tell_whole(out);
@@ -133,9 +134,13 @@
         if self.replicas.me().incarnation == Incarnation::NONE {
             return;
         }
-        self.send(vec![peer], Body::Replicas(self.replicas.addresses()), out);
+        self.send(
+            vec![peer],
+            Payload::ReplicaAddresses(self.replicas.addresses()),
+            out,
+        );
         if self.replicas.takes_part() {
-            self.send(vec![peer], Body::Members(self.members.list()), out);
+            self.send(vec![peer], Payload::MemberList(self.members.list()), out);
         }
     }
 
@@ -144,22 +149,22 @@
         out.push(Output::Peers(self.replicas.peers()));
         if self.replicas.abandoned() {
             // It still has its disk, and so takes no more from the others than it lacks.
-            out.push(Output::Note(
+            out.push(Output::Log(
                 "the newer incarnation of this replica was never ended: rebuilding".to_string(),
             ));
             self.replicas.end();
-            self.rebuild = Some(Rebuild::holding(self.registers.held()));
+            self.rebuild = Some(Recovery::holding(self.registers.held()));
             return self.tell_who(now, true, out);
         }
         if self.replicas.aside() {
-            out.push(Output::Notice(
+            out.push(Output::LogImmediately(
                 "this replica has a newer incarnation: stepping aside".to_string(),
             ));
             return self.tell_who(now, true, out);
         }
         if self.replicas.takes_part() {
-            self.write(vec![Row::Own(self.own())], None, out);
-            self.spread(Body::Replicas(self.replicas.addresses()), out);
+            self.write(vec![Record::Metadata(self.own())], None, out);
+            self.spread(Payload::ReplicaAddresses(self.replicas.addresses()), out);
         }
     }
 
@@ -167,9 +172,9 @@
     pub(super) fn record(
         &mut self,
         from: SocketAddr,
-        replica: Replica,
+        replica: ReplicaId,
         incarnation: Incarnation,
-        question: Question,
+        question: TransferRequest,
         out: &mut Vec<Output>,
     ) {
         if !self.replicas.takes_part() || replica == self.replicas.me().replica || self.full {
@@ -181,16 +186,16 @@
             return;
         }
         if self.replicas.learn(replica, incarnation, Some(from)) {
-            out.push(Output::Notice(format!(
+            out.push(Output::LogImmediately(format!(
                 "replica {replica} begins incarnation {} at {from}",
                 incarnation.number
             )));
             out.push(Output::Peers(self.replicas.peers()));
-            self.spread(Body::Replicas(self.replicas.addresses()), out);
+            self.spread(Payload::ReplicaAddresses(self.replicas.addresses()), out);
         }
         self.write(
-            vec![Row::Own(self.own())],
-            Some(After::Recorded(from, incarnation, question)),
+            vec![Record::Metadata(self.own())],
+            Some(PendingWrite::Recorded(from, incarnation, question)),
             out,
         );
     }
@@ -207,12 +212,12 @@
             rebuild.choose(newest, mark);
         }
         if now >= rebuild.wake {
-            rebuild.wake = now + limits::REBUILD;
+            rebuild.wake = now + limits::RECOVERY_REQUEST_INTERVAL;
             let (incarnation, to_ask) = (rebuild.incarnation, rebuild.to_ask(&self.replicas));
             for (to, question) in to_ask {
                 self.send(
                     vec![to],
-                    Body::Record {
+                    Payload::IncarnationRequest {
                         incarnation,
                         question,
                     },
@@ -227,10 +232,10 @@
     pub(super) fn recorded(
         &mut self,
         now: i64,
-        (from, by): (SocketAddr, (Replica, Incarnation)),
+        (from, by): (SocketAddr, (ReplicaId, Incarnation)),
         incarnation: Incarnation,
         floor: Ballot,
-        piece: Piece,
+        piece: Chunk,
         terms: &[Term],
         out: &mut Vec<Output>,
     ) {
@@ -241,18 +246,18 @@
             return;
         }
         match rebuild.answered(now, by, (floor, terms), piece, &self.replicas) {
-            Answered::Nothing => return,
-            Answered::Ask(question) => {
+            RecoveryStep::Nothing => return,
+            RecoveryStep::Ask(question) => {
                 return self.send(
                     vec![from],
-                    Body::Record {
+                    Payload::IncarnationRequest {
                         incarnation,
                         question,
                     },
                     out,
                 );
             }
-            Answered::Enough => {}
+            RecoveryStep::Enough => {}
         }
         rebuild.written = true;
         self.registers.raise(rebuild.floor);
@@ -264,14 +269,14 @@
         }
         self.round = self.round.max(rebuild.floor.round);
         let registers = self.registers.all();
-        let mut rows: Vec<Row> = registers
-            .map(|(name, register)| Row::Register(name.clone(), register.clone()))
+        let mut rows: Vec<Record> = registers
+            .map(|(name, register)| Record::Register(name.clone(), register.clone()))
             .collect();
         let mut own = self.own();
         own.incarnation = incarnation;
         own.incarnations[usize::from(self.replicas.me().replica)] = incarnation;
-        rows.push(Row::Own(own));
-        self.write(rows, Some(After::Begin(incarnation)), out);
+        rows.push(Record::Metadata(own));
+        self.write(rows, Some(PendingWrite::BeginIncarnation(incarnation)), out);
     }
 
     /// All that was rebuilt is on disk.
@@ -288,9 +293,9 @@
         self.replicas.begin(incarnation);
         let count = self.replicas.count();
         let me = self.replicas.me();
-        self.duties = Duty::ALL.map(|duty| {
+        self.duties = SingletonRole::ALL.map(|duty| {
             let term = self.duties[duty as usize].term();
-            Ballots::new(duty, me, count, (term, Term::default()), now)
+            RoleLease::new(duty, me, count, (term, Term::default()), now)
         });
         let names: Vec<_> = self
             .registers
@@ -302,7 +307,7 @@
             // It was told to end while it had nothing to hand over; now it has.
             self.begin_handover(now);
         }
-        out.push(Output::Notice(format!(
+        out.push(Output::LogImmediately(format!(
             "rebuilt: incarnation {}, {} items",
             incarnation.number,
             names.len()
@@ -320,8 +325,8 @@
     pub(super) fn members_told(
         &mut self,
         now: i64,
-        replica: Replica,
-        list: Vec<Told>,
+        replica: ReplicaId,
+        list: Vec<Member>,
         out: &mut Vec<Output>,
     ) {
         if self.members.told(now, replica, list) {
@@ -334,29 +339,29 @@
         &mut self,
         now: i64,
         from: SocketAddr,
-        replica: Replica,
-        moved: Moved,
+        replica: ReplicaId,
+        moved: MembershipDelta,
         out: &mut Vec<Output>,
     ) {
         match self.members.moved(now, replica, moved) {
             Some(true) => self.spread_members(out),
             Some(false) => {}
             // Something before it was missed.
-            None => self.send(vec![from], Body::AskMembers, out),
+            None => self.send(vec![from], Payload::MemberListRequest, out),
         }
     }
 
     /// Tells the other replicas what has changed of whom this one holds.
     pub(super) fn spread_members(&mut self, out: &mut Vec<Output>) {
         if let Some(moved) = self.members.news() {
-            self.spread(Body::Moved(moved), out);
+            self.spread(Payload::MembershipDelta(moved), out);
         }
     }
 
     /// The platform's list goes to a replica.
     pub(super) fn send_servers(&self, now: i64, to: SocketAddr, out: &mut Vec<Output>) {
         if self.listed.known() {
-            let body = Body::Servers {
+            let body = Payload::ServerList {
                 version: self.listed.version(),
                 servers: self.listed.list(now),
             };
@@ -367,14 +372,14 @@
     /// The platform's list was read here.
     pub(super) fn platform_read(&mut self, now: i64, servers: Vec<Server>, out: &mut Vec<Output>) {
         let held = self
-            .holds(now, Duty::Poll)
+            .holds(now, SingletonRole::PlatformPoller)
             .filter(|term| *term >= self.listed.version().0);
         let news = match held {
             Some(term) => self.listed.read(now, term, servers),
-            None => self.asks_first() && self.listed.told(now, servers::FIRST, servers),
+            None => self.asks_first() && self.listed.told(now, server_list::FIRST, servers),
         };
         if news {
-            let body = Body::Servers {
+            let body = Payload::ServerList {
                 version: self.listed.version(),
                 servers: self.listed.list(now),
             };
@@ -386,27 +391,27 @@
     /// This replica is one of the two on which duties land first, has been here before, and knows no list. After all have lost
     /// power proxies can serve nothing until they have one: it is asked for before anybody has the duty.
     fn asks_first(&self) -> bool {
-        let early = self.duties.iter().any(Ballots::ranks_first);
+        let early = self.duties.iter().any(RoleLease::ranks_first);
         let before = self.duties.iter().any(|duty| duty.term().number > 0);
         early && before && !self.listed.known() && self.replicas.takes_part() && !self.stopping
     }
 
     /// This replica asks the platform for its list.
     pub fn polls(&self, now: i64) -> bool {
-        self.holds(now, Duty::Poll).is_some() || self.asks_first()
+        self.holds(now, SingletonRole::PlatformPoller).is_some() || self.asks_first()
     }
 
     /// Bids, renewals, and what is given back.
     pub(super) fn duties_turn(&mut self, now: i64, out: &mut Vec<Output>) {
         let may = self.touch && self.replicas.takes_part() && !self.stopping && !self.full;
-        for duty in Duty::ALL {
+        for duty in SingletonRole::ALL {
             let pause = self.draw(100_000) as i64;
             let (bid, lost) = self.duties[duty as usize].turn(now, may, pause);
             if let Some(lost) = lost {
                 self.give_back(now, duty, lost, out);
             }
             if let Some(bid) = bid.filter(|_| self.replicas.takes_part()) {
-                let body = Body::Bid {
+                let body = Payload::LeaseRequest {
                     duty,
                     term: bid.term,
                     at: bid.at,
@@ -419,9 +424,15 @@
         }
     }
 
-    fn give_back(&mut self, now: i64, duty: Duty, lost: Lost, out: &mut Vec<Output>) {
-        let Lost { term, vain } = lost;
-        self.spread(Body::Release { duty, term, vain }, out);
+    fn give_back(
+        &mut self,
+        now: i64,
+        duty: SingletonRole,
+        lost: LeaseRelease,
+        out: &mut Vec<Output>,
+    ) {
+        let LeaseRelease { term, vain } = lost;
+        self.spread(Payload::LeaseRelease { duty, term, vain }, out);
         let me = self.replicas.me();
         self.duties[duty as usize].released(now, me, term, vain);
     }
@@ -432,8 +443,8 @@
         &mut self,
         now: i64,
         from: Option<SocketAddr>,
-        by: Speaker,
-        duty: Duty,
+        by: ProcessId,
+        duty: SingletonRole,
         term: u64,
         (at, holds): (i64, bool),
         out: &mut Vec<Output>,
@@ -444,7 +455,7 @@
         }
         let verdict = self.duties[duty as usize].vote(now, by, term, holds);
         let granted = verdict.granted;
-        let body = Body::Vote {
+        let body = Payload::LeaseVote {
             duty,
             term: Term { number: term, by },
             at,
@@ -454,8 +465,8 @@
         if verdict.save && !self.full {
             // A term must never be granted twice, not even after all were killed at once.
             self.write(
-                vec![Row::Own(self.own())],
-                Some(After::Vote(from, body)),
+                vec![Record::Metadata(self.own())],
+                Some(PendingWrite::Vote(from, body)),
                 out,
             );
         } else {
@@ -468,8 +479,8 @@
     pub(super) fn voted(
         &mut self,
         now: i64,
-        by: (Replica, Incarnation),
-        duty: Duty,
+        by: (ReplicaId, Incarnation),
+        duty: SingletonRole,
         term: Term,
         at: i64,
         (granted, newest): (bool, u64),
@@ -480,7 +491,7 @@
             return;
         }
         let term = term.number;
-        let verdict = Verdict {
+        let verdict = Vote {
             granted,
             save: false,
             newest,
@@ -488,7 +499,7 @@
         let ballots = &mut self.duties[duty as usize];
         if ballots.voted(by, term, at, verdict, &self.replicas) {
             ballots.announce(now);
-            out.push(Output::Note(format!("won the duty {duty:?}, term {term}")));
+            out.push(Output::Log(format!("won the duty {duty:?}, term {term}")));
         }
     }
 
@@ -496,13 +507,13 @@
     pub(super) fn stop(&mut self, now: i64, out: &mut Vec<Output>) {
         self.stopping = true;
         self.begin_handover(now);
-        Duty::ALL
+        SingletonRole::ALL
             .into_iter()
             .for_each(|duty| self.unable(now, duty, out));
     }
 
     /// A duty goes back: another replica may do better.
-    pub(super) fn unable(&mut self, now: i64, duty: Duty, out: &mut Vec<Output>) {
+    pub(super) fn unable(&mut self, now: i64, duty: SingletonRole, out: &mut Vec<Output>) {
         if let Some(lost) = self.duties[duty as usize].release(now) {
             self.give_back(now, duty, lost, out);
         }
--- a/crates/control/src/core/rounds.rs
+++ b/crates/control/src/core/proposal.rs
@@ -5,14 +5,14 @@
 
 use protocol::items::{Item, ItemName, has_same_content};
 
-use super::news::News;
-use super::peer_messages::{Ballot, Body, Incarnation, Replica};
-use super::replicas::Replicas;
+use super::chosen::ChosenItems;
+use super::peer_messages::{Ballot, Incarnation, Payload, ReplicaId};
+use super::replicas::ReplicaTable;
 use crate::limits;
 
 /// What a round is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum Intent {
     /// These items are to be in force, each by its version.
     Items(Vec<Item>),
     /// A zone is to be evacuated, or not.
@@ -21,25 +21,25 @@
     Finish(Vec<ItemName>),
 }
 
-impl Want {
+impl Intent {
     /// The registers that it is about.
     pub fn names(&self) -> Vec<ItemName> {
         match self {
-            Want::Items(items) => items.iter().map(|item| item.name.clone()).collect(),
-            Want::Zone(name, _) => vec![name.clone()],
-            Want::Finish(names) => names.clone(),
+            Intent::Items(items) => items.iter().map(|item| item.name.clone()).collect(),
+            Intent::Zone(name, _) => vec![name.clone()],
+            Intent::Finish(names) => names.clone(),
         }
     }
 
     fn large(&self) -> bool {
-        let Want::Items(items) = self else {
+        let Intent::Items(items) = self else {
             return false;
         };
         items
             .iter()
             .map(|item| item.spec.as_deref().map_or(0, str::len))
             .sum::<usize>()
-            > limits::LARGE
+            > limits::LARGE_CONTENT_BYTES
     }
 }
 
@@ -51,14 +51,14 @@
     /// Something else stands at this version, and nothing of the call is in force or can come into force.
     Conflict,
     /// Something else stands at the version of one item, and others of the call are in force, or may come into force.
-    Partly,
+    PartiallyApplied,
 }
 
 /// What a round wants done next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// To all replicas, this one included.
-    All(Body),
+    All(Payload),
     /// These items are chosen.
     Chosen(Ballot, Vec<Item>),
     /// The outcome; the round may go on to finish what it found.
@@ -78,12 +78,12 @@
 
 /// A round that is under way.
 #[derive(Clone, Debug)]
-pub struct Round {
-    want: Want,
+pub struct Proposal {
+    want: Intent,
     ballot: Ballot,
     phase: Phase,
-    votes: BTreeMap<Replica, Incarnation>,
-    nacks: BTreeSet<Replica>,
+    votes: BTreeMap<ReplicaId, Incarnation>,
+    nacks: BTreeSet<ReplicaId>,
     tries: u32,
     told: bool,
     /// What is told once what is proposed is chosen.
@@ -98,10 +98,10 @@
     pub seen: Ballot,
 }
 
-impl Round {
+impl Proposal {
     /// A round that has not begun.
-    pub fn new(want: Want, now: i64, deadline: i64) -> Round {
-        Round {
+    pub fn new(want: Intent, now: i64, deadline: i64) -> Proposal {
+        Proposal {
             want,
             ballot: Ballot::default(),
             phase: Phase::Waits,
@@ -139,27 +139,27 @@
 
     fn resend(&self, now: i64) -> i64 {
         now + if self.want.large() {
-            limits::RESEND_LARGE
+            limits::LARGE_RESEND_INTERVAL
         } else {
-            limits::RESEND
+            limits::RESEND_INTERVAL
         }
     }
 
     /// Begins, with a ballot over all that were seen.
-    pub fn begin(&mut self, now: i64, ballot: Ballot) -> Step {
+    pub fn begin(&mut self, now: i64, ballot: Ballot) -> Action {
         self.ballot = ballot;
         self.phase = Phase::Prepares(BTreeMap::new());
         self.tries += 1;
         self.votes.clear();
         self.nacks.clear();
         self.wake = self.resend(now);
-        Step::All(Body::Prepare {
+        Action::All(Payload::Prepare {
             ballot,
             names: self.want.names(),
         })
     }
 
-    fn won(&self, replicas: &Replicas) -> bool {
+    fn won(&self, replicas: &ReplicaTable) -> bool {
         // A vote counts only from the newest incarnation that any voter of the round knows; a message's incarnations are taken in
         // before its vote is, so the table here knows them all.
         self.votes
@@ -173,11 +173,11 @@
     pub fn promised(
         &mut self,
         now: i64,
-        by: (Replica, Incarnation),
+        by: (ReplicaId, Incarnation),
         accepted: Vec<(Ballot, Item)>,
-        replicas: &Replicas,
-        news: &News,
-    ) -> Vec<Step> {
+        replicas: &ReplicaTable,
+        news: &ChosenItems,
+    ) -> Vec<Action> {
         let Phase::Prepares(found) = &mut self.phase else {
             return Vec::new();
         };
@@ -199,17 +199,17 @@
         let (items, outcome) = self.decide(&found, news);
         if items.is_empty() {
             self.told = true;
-            return vec![Step::Outcome(outcome), Step::Over];
+            return vec![Action::Outcome(outcome), Action::Over];
         }
         // Nothing is refused for something that may be lost again: only once that is chosen.
         self.outcome = outcome;
-        if outcome == Outcome::Done && !matches!(self.want, Want::Finish(_)) {
+        if outcome == Outcome::Done && !matches!(self.want, Intent::Finish(_)) {
             self.proposed = Some(items.iter().map(|item| item.ver).max().unwrap_or_default());
         }
         self.votes.clear();
         self.nacks.clear();
         self.wake = self.resend(now);
-        let step = Step::All(Body::Accept {
+        let step = Action::All(Payload::Accept {
             ballot: self.ballot,
             items: items.clone(),
         });
@@ -221,7 +221,7 @@
     fn decide(
         &self,
         found: &BTreeMap<ItemName, (Ballot, Item)>,
-        news: &News,
+        news: &ChosenItems,
     ) -> (Vec<Item>, Outcome) {
         // Danger: promises that were given before another proposal was chosen may hold what has lost against it
         // at the same version.
@@ -242,8 +242,8 @@
                 .collect::<Vec<_>>()
         };
         match &self.want {
-            Want::Finish(_) => (finish(), Outcome::Done),
-            Want::Items(items) => {
+            Intent::Finish(_) => (finish(), Outcome::Done),
+            Intent::Items(items) => {
                 let differs = |item: &Item| {
                     old(&item.name)
                         .is_some_and(|old| old.ver == item.ver && !has_same_content(old, item))
@@ -264,7 +264,7 @@
                 }
                 (proposed, Outcome::Done)
             }
-            Want::Zone(name, on) => {
+            Intent::Zone(name, on) => {
                 let stands = old(name).and_then(|item| item.spec.as_deref()) == Some("true");
                 let overtaken = self
                     .proposed
@@ -286,7 +286,11 @@
     }
 
     /// A replica has accepted.
-    pub fn accepted(&mut self, by: (Replica, Incarnation), replicas: &Replicas) -> Vec<Step> {
+    pub fn accepted(
+        &mut self,
+        by: (ReplicaId, Incarnation),
+        replicas: &ReplicaTable,
+    ) -> Vec<Action> {
         if !matches!(self.phase, Phase::Accepts(_)) {
             return Vec::new();
         }
@@ -297,31 +301,35 @@
         let Phase::Accepts(items) = std::mem::replace(&mut self.phase, Phase::Waits) else {
             return Vec::new();
         };
-        let mut steps = vec![Step::Chosen(self.ballot, items)];
+        let mut steps = vec![Action::Chosen(self.ballot, items)];
         if !self.told {
             self.told = true;
-            steps.push(Step::Outcome(self.outcome));
+            steps.push(Action::Outcome(self.outcome));
         }
-        steps.push(Step::Over);
+        steps.push(Action::Over);
         steps
     }
 
     /// It only finishes what others began.
     pub fn finishes(&self) -> bool {
-        matches!(self.want, Want::Finish(_))
+        matches!(self.want, Intent::Finish(_))
     }
 
     /// How long to wait after a refusal: at the least, and by chance. The more often, the longer; and who only finishes
     /// what was found gives way, as the one that refuses it by a higher proposal finishes it as well.
     pub fn pause(&self) -> (i64, u64) {
         let least = if self.finishes() {
-            limits::YIELD
+            limits::REPAIR_BACKOFF
         } else {
-            limits::PAUSE
+            limits::PROPOSAL_BACKOFF
         };
         (
             least,
-            limits::SPREAD << self.tries.saturating_sub(1).min(limits::SPREADS),
+            limits::BACKOFF_JITTER
+                << self
+                    .tries
+                    .saturating_sub(1)
+                    .min(limits::MAX_BACKOFF_DOUBLINGS),
         )
     }
 
@@ -329,48 +337,48 @@
     pub fn refused(
         &mut self,
         now: i64,
-        replica: Replica,
+        replica: ReplicaId,
         seen: Ballot,
         pause: i64,
-        replicas: &Replicas,
-    ) -> Vec<Step> {
+        replicas: &ReplicaTable,
+    ) -> Vec<Action> {
         self.seen = self.seen.max(seen);
         self.nacks.insert(replica);
         let may =
-            |replica: &Replica| replicas.hears(now, *replica) && !self.nacks.contains(replica);
-        let possible = (0..replicas.count() as Replica).filter(may).count();
+            |replica: &ReplicaId| replicas.hears(now, *replica) && !self.nacks.contains(replica);
+        let possible = (0..replicas.count() as ReplicaId).filter(may).count();
         if self.waits() || possible >= replicas.majority() {
             return Vec::new();
         }
         self.again(now + pause)
     }
 
-    fn again(&mut self, at: i64) -> Vec<Step> {
+    fn again(&mut self, at: i64) -> Vec<Action> {
         self.phase = Phase::Waits;
         self.wake = at;
-        vec![Step::Again(at)]
+        vec![Action::Again(at)]
     }
 
     /// Time has come to look at it: what was not answered is sent again, or it begins anew.
-    pub fn due(&mut self, now: i64) -> Vec<Step> {
+    pub fn due(&mut self, now: i64) -> Vec<Action> {
         self.wake = self.resend(now);
         let body = match &self.phase {
             Phase::Waits => return Vec::new(),
-            _ if !self.nacks.is_empty() => return self.again(now + limits::PAUSE),
-            Phase::Prepares(_) => Body::Prepare {
+            _ if !self.nacks.is_empty() => return self.again(now + limits::PROPOSAL_BACKOFF),
+            Phase::Prepares(_) => Payload::Prepare {
                 ballot: self.ballot,
                 names: self.want.names(),
             },
-            Phase::Accepts(items) => Body::Accept {
+            Phase::Accepts(items) => Payload::Accept {
                 ballot: self.ballot,
                 items: items.clone(),
             },
         };
-        vec![Step::All(body)]
+        vec![Action::All(body)]
     }
 
     /// Who has not answered the last message.
-    pub fn missing(&self, replica: Replica) -> bool {
+    pub fn missing(&self, replica: ReplicaId) -> bool {
         !self.votes.contains_key(&replica)
     }
 }
@@ -397,6 +405,6 @@
             found.values().map(|(_, item)| item.clone()).collect(),
             Outcome::Conflict,
         ),
-        _ => (open, Outcome::Partly),
+        _ => (open, Outcome::PartiallyApplied),
     }
 }
--- a/crates/control/src/core/reclaim.rs
+++ b/crates/control/src/core/reclaim.rs
@@ -7,18 +7,18 @@
 
 use std::collections::BTreeMap;
 
-use super::peer_messages::{Body, Incarnation, Replica};
-use super::repair::Rebuild;
+use super::peer_messages::{Incarnation, Payload, ReplicaId};
+use super::recovery::Recovery;
 use super::{Core, Output};
 use crate::limits;
 
 /// A replica that was set aside.
 #[derive(Clone, Debug)]
-pub(super) struct Displaced {
+pub(super) struct Superseded {
     /// The newer incarnation was last known to be heard then, or this replica was set aside.
     heard: i64,
     /// When each other replica last said that it does not hear the newer one.
-    silent: BTreeMap<Replica, i64>,
+    silent: BTreeMap<ReplicaId, i64>,
     wake: i64,
 }
 
@@ -29,7 +29,7 @@
             self.displaced = None;
             return;
         }
-        let begin = || Displaced {
+        let begin = || Superseded {
             heard: now,
             silent: BTreeMap::new(),
             wake: now,
@@ -38,21 +38,23 @@
         if now < displaced.wake {
             return;
         }
-        displaced.wake = now + limits::BEAT;
-        displaced.silent.retain(|_, at| now - *at <= limits::TOUCH);
-        if now - displaced.heard >= limits::RECLAIM
+        displaced.wake = now + limits::HEARTBEAT_INTERVAL;
+        displaced
+            .silent
+            .retain(|_, at| now - *at <= limits::CONTACT_TIMEOUT);
+        if now - displaced.heard >= limits::RECLAIM_TIMEOUT
             && displaced.silent.len() >= self.replicas.others()
         {
-            out.push(Output::Notice(
+            out.push(Output::LogImmediately(
                 "nobody hears the newer incarnation of this replica: rebuilding".to_string(),
             ));
             self.displaced = None;
             self.replicas.end();
-            self.rebuild = Some(Rebuild::default());
+            self.rebuild = Some(Recovery::default());
             return self.rebuild_turn(now, out);
         }
         self.spread(
-            Body::HandOver {
+            Payload::HandoverRequest {
                 id: 0,
                 items: Vec::new(),
             },
@@ -61,7 +63,7 @@
     }
 
     /// Another replica says which incarnation of this slot it hears.
-    pub(super) fn slot_heard(&mut self, now: i64, replica: Replica, whole: Incarnation) {
+    pub(super) fn slot_heard(&mut self, now: i64, replica: ReplicaId, whole: Incarnation) {
         let own = self.replicas.me().incarnation;
         let Some(displaced) = &mut self.displaced else {
             return;
--- a/crates/control/src/core/repair.rs
+++ b/crates/control/src/core/recovery.rs
@@ -6,19 +6,19 @@
 use protocol::digests::Digests;
 use protocol::items::{Item, ItemName};
 
-use super::peer_messages::{Ballot, Incarnation, Question, Replica, Term};
+use super::peer_messages::{Ballot, Incarnation, ReplicaId, Term, TransferRequest};
 use super::registers::digest;
-use super::replicas::Replicas;
-use super::transfer::{Piece, Then, Transfer};
+use super::replicas::ReplicaTable;
+use super::transfer::{Chunk, Continuation, TransferProgress};
 use crate::limits;
 
 /// What a piece of an answer to a replica that rebuilds has brought about.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answered {
+pub enum RecoveryStep {
     /// Nothing to be done.
     Nothing,
     /// The one that has told it is to be asked for more.
-    Ask(Question),
+    Ask(TransferRequest),
     /// More than half of the others have told all.
     Enough,
 }
@@ -26,11 +26,11 @@
 /// A replica with an empty disk, on its way to a new incarnation. The others write the incarnation down first and answer with what they
 /// hold afterwards: whoever counts a vote of the incarnation before it meets one of them that knows better.
 #[derive(Clone, Debug, Default)]
-pub struct Rebuild {
+pub struct Recovery {
     /// The incarnation that it wants.
     pub incarnation: Incarnation,
     /// How far each has told all, by its incarnation.
-    answers: BTreeMap<Replica, (Incarnation, Transfer)>,
+    answers: BTreeMap<ReplicaId, (Incarnation, TransferProgress)>,
     /// What was accepted, by the highest ballot.
     pub found: BTreeMap<ItemName, (Ballot, Item)>,
     /// Digests of this. Who holds the same of a part does not tell it again.
@@ -48,10 +48,10 @@
     pub written: bool,
 }
 
-impl Rebuild {
+impl Recovery {
     /// One whose disk still holds this: no more is told than differs from it.
-    pub fn holding<'a>(held: impl Iterator<Item = &'a (Ballot, Item)>) -> Rebuild {
-        let mut rebuild = Rebuild::default();
+    pub fn holding<'a>(held: impl Iterator<Item = &'a (Ballot, Item)>) -> Recovery {
+        let mut rebuild = Recovery::default();
         for (ballot, item) in held {
             rebuild.digests.toggle(&item.name, digest(ballot, item));
             rebuild
@@ -64,10 +64,10 @@
     /// Wants an incarnation after the newest that is known.
     pub fn choose(&mut self, newest: Incarnation, mark: u32) {
         if newest >= self.incarnation {
-            *self = Rebuild {
+            *self = Recovery {
                 incarnation: Incarnation {
                     number: newest.max(Incarnation::FIRST).number + 1,
-                    mark,
+                    nonce: mark,
                 },
                 near: self.near,
                 // What was gathered was accepted under its ballots all the same.
@@ -75,7 +75,7 @@
                 digests: std::mem::take(&mut self.digests),
                 floor: self.floor,
                 terms: std::mem::take(&mut self.terms),
-                ..Rebuild::default()
+                ..Recovery::default()
             };
         }
     }
@@ -89,7 +89,7 @@
     }
 
     /// Whom to ask now, and for what: those that have not told all; the near one alone at first.
-    pub fn to_ask(&mut self, replicas: &Replicas) -> Vec<(SocketAddr, Question)> {
+    pub fn to_ask(&mut self, replicas: &ReplicaTable) -> Vec<(SocketAddr, TransferRequest)> {
         let first = self
             .near
             .filter(|_| !std::mem::replace(&mut self.tried, true));
@@ -100,7 +100,7 @@
             .answers
             .iter()
             .filter(|(replica, (incarnation, _))| replicas.counts(**replica, *incarnation));
-        let begun: BTreeMap<SocketAddr, &Transfer> = counted
+        let begun: BTreeMap<SocketAddr, &TransferProgress> = counted
             .filter_map(|(replica, (_, transfer))| Some((replicas.address(*replica)?, transfer)))
             .collect();
         let peers = replicas.peers().into_iter();
@@ -114,18 +114,19 @@
         .collect()
     }
 
-    fn question(&self, after: Option<ItemName>) -> Question {
-        Question {
+    fn question(&self, after: Option<ItemName>) -> TransferRequest {
+        TransferRequest {
             parts: self.digests.buckets().to_vec(),
             after,
         }
     }
 
     /// Most of the others have told all, each in an incarnation that counts.
-    fn enough(&self, replicas: &Replicas) -> bool {
-        let told = |(replica, (incarnation, transfer)): &(&Replica, &(Incarnation, Transfer))| {
-            transfer.done && replicas.counts(**replica, *incarnation)
-        };
+    fn enough(&self, replicas: &ReplicaTable) -> bool {
+        let told = |(replica, (incarnation, transfer)): &(
+            &ReplicaId,
+            &(Incarnation, TransferProgress),
+        )| { transfer.done && replicas.counts(**replica, *incarnation) };
         self.answers.iter().filter(told).count() >= replicas.others()
     }
 
@@ -133,28 +134,32 @@
     pub fn answered(
         &mut self,
         now: i64,
-        by: (Replica, Incarnation),
+        by: (ReplicaId, Incarnation),
         (floor, terms): (Ballot, &[Term]),
-        piece: Piece,
-        replicas: &Replicas,
-    ) -> Answered {
+        piece: Chunk,
+        replicas: &ReplicaTable,
+    ) -> RecoveryStep {
         let (_, transfer) = match self
             .answers
             .entry(by.0)
-            .or_insert((by.1, Transfer::default()))
+            .or_insert((by.1, TransferProgress::default()))
         {
             // What an incarnation before has told counts for nothing: it may have lost what this one was to hear.
             of if of.0 != by.1 => {
-                *of = (by.1, Transfer::default());
+                *of = (by.1, TransferProgress::default());
                 of
             }
             of => of,
         };
-        let then = transfer.took(&piece);
+        let then = transfer.record_chunk(&piece);
         if then.is_some() {
             // The others are asked once the first has told all; who is silent is asked again.
-            let first = then == Some(Then::End) && first_done(&self.answers);
-            self.wake = if first { now } else { now + limits::REBUILD };
+            let first = then == Some(Continuation::End) && first_done(&self.answers);
+            self.wake = if first {
+                now
+            } else {
+                now + limits::RECOVERY_REQUEST_INTERVAL
+            };
         }
         for (ballot, item) in piece.items {
             if self
@@ -180,15 +185,15 @@
             .get(&by.0)
             .and_then(|(_, transfer)| transfer.after.clone());
         match then {
-            Some(Then::Ask) => Answered::Ask(self.question(after)),
-            _ if self.enough(replicas) => Answered::Enough,
-            _ => Answered::Nothing,
+            Some(Continuation::RequestMore) => RecoveryStep::Ask(self.question(after)),
+            _ if self.enough(replicas) => RecoveryStep::Enough,
+            _ => RecoveryStep::Nothing,
         }
     }
 }
 
 /// One has told all, and it is the first.
-fn first_done(answers: &BTreeMap<Replica, (Incarnation, Transfer)>) -> bool {
+fn first_done(answers: &BTreeMap<ReplicaId, (Incarnation, TransferProgress)>) -> bool {
     answers
         .values()
         .filter(|(_, transfer)| transfer.done)
@@ -198,12 +203,12 @@
 
 /// Registers whose values are not known to be chosen, and since when.
 #[derive(Clone, Debug, Default)]
-pub struct Unfinished {
+pub struct PendingProposals {
     since: BTreeMap<ItemName, i64>,
     busy: BTreeSet<ItemName>,
 }
 
-impl Unfinished {
+impl PendingProposals {
     /// Something was accepted that is not known to be chosen.
     pub fn begun(&mut self, now: i64, name: &ItemName) {
         self.since.entry(name.clone()).or_insert(now);
@@ -221,8 +226,8 @@
     }
 
     /// When the next one is due at this replica. The replicas take turns, so that normally one finishes it.
-    pub fn wake(&self, replica: Replica) -> Option<i64> {
-        if self.busy.len() >= limits::FINISHING {
+    pub fn wake(&self, replica: ReplicaId) -> Option<i64> {
+        if self.busy.len() >= limits::MAX_REPAIRS_IN_FLIGHT {
             return None;
         }
         let idle = self
@@ -230,21 +235,21 @@
             .iter()
             .filter(|(name, _)| !self.busy.contains(*name));
         let earliest = idle.map(|(_, since)| *since).min()?;
-        Some(earliest + limits::UNFINISHED + i64::from(replica) * limits::UNFINISHED_STEP)
+        Some(earliest + limits::REPAIR_DELAY + i64::from(replica) * limits::REPAIR_STAGGER)
     }
 
     /// Takes those that are due, once the first is.
-    pub fn take(&mut self, now: i64, replica: Replica) -> Vec<ItemName> {
+    pub fn take(&mut self, now: i64, replica: ReplicaId) -> Vec<ItemName> {
         if self.wake(replica).is_none_or(|wake| wake > now) {
             return Vec::new();
         }
         // Those that came soon after go along.
-        let soon = now - limits::UNFINISHED / 2;
+        let soon = now - limits::REPAIR_DELAY / 2;
         let due = self
             .since
             .iter()
             .filter(|(name, since)| **since <= soon && !self.busy.contains(*name));
-        let room = limits::FINISHING - self.busy.len();
+        let room = limits::MAX_REPAIRS_IN_FLIGHT - self.busy.len();
         let due: Vec<ItemName> = due.take(room).map(|(name, _)| name.clone()).collect();
         self.busy.extend(due.iter().cloned());
         due
--- a/crates/control/src/core/registers.rs
+++ b/crates/control/src/core/registers.rs
@@ -11,8 +11,8 @@
 use protocol::items::{Item, ItemName};
 use serde::{Deserialize, Serialize};
 
-use super::peer_messages::{Ballot, Question};
-use super::transfer::{self, Bounds, Piece};
+use super::peer_messages::{Ballot, TransferRequest};
+use super::transfer::{self, Chunk, TransferLimits};
 
 /// A register of one replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -172,7 +172,7 @@
     }
 
     /// What answers a question of a transfer: what was accepted in the parts that differ, from its name on.
-    pub fn answer(&self, bounds: Bounds, question: &Question) -> Vec<Piece> {
+    pub fn answer(&self, bounds: TransferLimits, question: &TransferRequest) -> Vec<Chunk> {
         let from = question
             .after
             .as_ref()
@@ -186,7 +186,7 @@
         let held = rest.filter_map(|(_, register)| register.accepted.as_ref());
         let differing =
             held.filter(|(_, item)| self.digests.bucket_differs(&question.parts, &item.name));
-        transfer::pieces(bounds, question.after.clone(), differing.cloned())
+        transfer::chunks(bounds, question.after.clone(), differing.cloned())
     }
 }
 
--- a/crates/control/src/core/replicas.rs
+++ b/crates/control/src/core/replicas.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-use super::peer_messages::{Body, Incarnation, PeerMessage, Replica, Speaker};
+use super::peer_messages::{Incarnation, Payload, PeerMessage, ProcessId, ReplicaId};
 use crate::limits;
 
 #[derive(Clone, Debug, Default)]
-struct Place {
+struct ReplicaSlot {
     incarnation: Incarnation,
     address: Option<SocketAddr>,
     /// The address is of this incarnation; else of one before, and whoever knows better is believed.
@@ -19,11 +19,11 @@
 
 /// The table of replicas as one of them sees it.
 #[derive(Clone, Debug)]
-pub struct Replicas {
-    me: Speaker,
+pub struct ReplicaTable {
+    me: ProcessId,
     address: SocketAddr,
     seeds: Vec<SocketAddr>,
-    places: Vec<Place>,
+    places: Vec<ReplicaSlot>,
     aside: bool,
     /// Rises whenever an incarnation or an address has changed.
     revision: u64,
@@ -33,7 +33,7 @@
 
 /// What a message has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct Reception {
     /// It comes from the newest incarnation of its replica.
     pub counts: bool,
     /// An incarnation or an address has changed.
@@ -42,12 +42,17 @@
     pub returned: bool,
 }
 
-impl Replicas {
+impl ReplicaTable {
     /// `count` replicas, of which this is one.
-    pub fn new(me: Speaker, count: usize, address: SocketAddr, seeds: Vec<SocketAddr>) -> Replicas {
-        let mut places = vec![Place::default(); count];
+    pub fn new(
+        me: ProcessId,
+        count: usize,
+        address: SocketAddr,
+        seeds: Vec<SocketAddr>,
+    ) -> ReplicaTable {
+        let mut places = vec![ReplicaSlot::default(); count];
         if let Some(place) = places.get_mut(usize::from(me.replica)) {
-            *place = Place {
+            *place = ReplicaSlot {
                 incarnation: me.incarnation,
                 address: Some(address),
                 sure: true,
@@ -55,7 +60,7 @@
                 hears: true,
             };
         }
-        Replicas {
+        ReplicaTable {
             me,
             address,
             seeds,
@@ -81,7 +86,7 @@
     }
 
     /// This replica, its incarnation and its run.
-    pub fn me(&self) -> Speaker {
+    pub fn me(&self) -> ProcessId {
         self.me
     }
 
@@ -156,7 +161,7 @@
 
     /// Another one lacks an address that is known here.
     pub fn knows_more(&self, incarnations: &[Incarnation], told: &[Option<SocketAddr>]) -> bool {
-        let known = |(at, place): (usize, &Place)| {
+        let known = |(at, place): (usize, &ReplicaSlot)| {
             let lacks = told.get(at).is_some_and(Option::is_none)
                 && incarnations.get(at) == Some(&place.incarnation);
             place.sure && place.incarnation != Incarnation::NONE && lacks
@@ -165,7 +170,7 @@
     }
 
     /// The newest incarnation of a replica.
-    pub fn newest(&self, replica: Replica) -> Incarnation {
+    pub fn newest(&self, replica: ReplicaId) -> Incarnation {
         self.places
             .get(usize::from(replica))
             .map(|place| place.incarnation)
@@ -173,7 +178,7 @@
     }
 
     /// Where a replica is reached.
-    pub fn address(&self, replica: Replica) -> Option<SocketAddr> {
+    pub fn address(&self, replica: ReplicaId) -> Option<SocketAddr> {
         self.places.get(usize::from(replica))?.address
     }
 
@@ -207,13 +212,13 @@
         zones: &'a [String],
     ) -> impl Iterator<Item = (&'a str, SocketAddr)> {
         let at = |(replica, zone): (usize, &'a String)| {
-            Some((zone.as_str(), self.address(replica as Replica)?))
+            Some((zone.as_str(), self.address(replica as ReplicaId)?))
         };
         zones.iter().enumerate().filter_map(at)
     }
 
     /// A vote of this incarnation of a replica counts.
-    pub fn counts(&self, replica: Replica, incarnation: Incarnation) -> bool {
+    pub fn counts(&self, replica: ReplicaId, incarnation: Incarnation) -> bool {
         incarnation != Incarnation::NONE && self.newest(replica) == incarnation
     }
 
@@ -225,7 +230,7 @@
     /// Takes an incarnation in, whoever told of it.
     pub fn learn(
         &mut self,
-        replica: Replica,
+        replica: ReplicaId,
         incarnation: Incarnation,
         address: Option<SocketAddr>,
     ) -> bool {
@@ -236,7 +241,7 @@
 
     fn learned(
         &mut self,
-        replica: Replica,
+        replica: ReplicaId,
         incarnation: Incarnation,
         address: Option<SocketAddr>,
     ) -> bool {
@@ -258,7 +263,7 @@
         }
         if incarnation > place.incarnation {
             let sure = address.is_some();
-            *place = Place {
+            *place = ReplicaSlot {
                 incarnation,
                 address: address.or(place.address),
                 sure,
@@ -276,18 +281,22 @@
     }
 
     /// Takes in who sent a message, and the incarnations that it knows.
-    pub fn hear(&mut self, now: i64, from: SocketAddr, peer_message: &PeerMessage) -> Heard {
+    pub fn hear(&mut self, now: i64, from: SocketAddr, peer_message: &PeerMessage) -> Reception {
         let replica = usize::from(peer_message.by.replica);
         if peer_message.incarnations.len() != self.places.len() || replica >= self.places.len() {
-            return Heard::default();
+            return Reception::default();
         }
         let told: &[Option<SocketAddr>] = match &peer_message.body {
-            Body::Replicas(addresses) => addresses,
+            Payload::ReplicaAddresses(addresses) => addresses,
             _ => &[],
         };
         let mut changed = false;
         for (at, incarnation) in peer_message.incarnations.iter().enumerate() {
-            changed |= self.learn(at as Replica, *incarnation, told.get(at).copied().flatten());
+            changed |= self.learn(
+                at as ReplicaId,
+                *incarnation,
+                told.get(at).copied().flatten(),
+            );
         }
         if peer_message.by.incarnation != Incarnation::NONE {
             changed |= self.learn(
@@ -304,14 +313,16 @@
             // The one that speaks knows best where it is.
             changed |= place.address.replace(from) != Some(from) || !place.sure;
             place.sure = true;
-            returned = place.heard.is_none_or(|heard| now - heard > limits::TOUCH);
+            returned = place
+                .heard
+                .is_none_or(|heard| now - heard > limits::CONTACT_TIMEOUT);
             place.heard = Some(now);
-            if let Body::Beat(beat) = &peer_message.body {
+            if let Payload::Heartbeat(beat) = &peer_message.body {
                 place.hears = beat.hears & (1 << self.me.replica) != 0;
             }
         }
         self.revision += u64::from(changed);
-        Heard {
+        Reception {
             counts,
             changed,
             returned,
@@ -319,24 +330,26 @@
     }
 
     /// A replica was heard of late.
-    pub fn hears(&self, now: i64, replica: Replica) -> bool {
+    pub fn hears(&self, now: i64, replica: ReplicaId) -> bool {
         let heard = self
             .places
             .get(usize::from(replica))
             .and_then(|place| place.heard);
-        replica == self.me.replica || heard.is_some_and(|heard| now - heard <= limits::TOUCH)
+        replica == self.me.replica
+            || heard.is_some_and(|heard| now - heard <= limits::CONTACT_TIMEOUT)
     }
 
     /// The replicas that were heard of late, a bit each.
     pub fn heard(&self, now: i64) -> u128 {
         (0..self.places.len())
-            .filter(|replica| self.hears(now, *replica as Replica))
+            .filter(|replica| self.hears(now, *replica as ReplicaId))
             .fold(0, |bits, replica| bits | 1 << replica)
     }
 
     /// It hears, and is heard by, more than half of all, itself included.
     pub fn in_touch(&self, now: i64) -> bool {
-        let both = |(at, place): &(usize, &Place)| place.hears && self.hears(now, *at as Replica);
+        let both =
+            |(at, place): &(usize, &ReplicaSlot)| place.hears && self.hears(now, *at as ReplicaId);
         self.takes_part() && self.places.iter().enumerate().filter(both).count() >= self.majority()
     }
 }
--- a/crates/control/src/core/duties.rs
+++ b/crates/control/src/core/role_lease.rs
@@ -10,13 +10,13 @@
 
 use std::collections::BTreeMap;
 
-use super::peer_messages::{Ballot, Duty, Incarnation, Replica, Speaker, Term};
-use super::replicas::Replicas;
+use super::peer_messages::{Ballot, Incarnation, ProcessId, ReplicaId, SingletonRole, Term};
+use super::replicas::ReplicaTable;
 use crate::limits;
 
 /// A bid that wants to be sent to all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bid {
+pub struct LeaseRequest {
     /// The term.
     pub term: u64,
     /// When it is sent.
@@ -27,7 +27,7 @@
 
 /// A voter's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct Vote {
     /// The bid is granted.
     pub granted: bool,
     /// The term is new here, or is seen to be held for the first time: it goes to disk before the answer goes out.
@@ -38,7 +38,7 @@
 
 /// A term that is given back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lost {
+pub struct LeaseRelease {
     /// The term.
     pub term: u64,
     /// It was never won.
@@ -46,18 +46,18 @@
 }
 
 #[derive(Clone, Debug)]
-struct Mine {
+struct Candidacy {
     term: u64,
     since: i64,
     /// Acts until then; nothing while it is won by nobody.
     until: i64,
     /// Rounds of votes that are open, by when their bids were sent.
-    rounds: BTreeMap<i64, BTreeMap<Replica, Incarnation>>,
+    rounds: BTreeMap<i64, BTreeMap<ReplicaId, Incarnation>>,
 }
 
 /// One duty, as a replica sees it.
 #[derive(Clone, Debug)]
-pub struct Ballots {
+pub struct RoleLease {
     rank: i64,
     /// Newest term that this replica has granted.
     term: Term,
@@ -71,7 +71,7 @@
     holds: Term,
     /// ...until then.
     granted: i64,
-    mine: Option<Mine>,
+    mine: Option<Candidacy>,
     /// The holder as it says itself, and until when that holds.
     holder: Option<(Term, i64)>,
     /// Newest term that was heard of.
@@ -88,35 +88,38 @@
 }
 
 /// The same process, or one that was started after it had ended.
-fn follows(by: Speaker, before: Speaker) -> bool {
+fn follows(by: ProcessId, before: ProcessId) -> bool {
     (by.replica, by.incarnation) == (before.replica, before.incarnation) && by.run >= before.run
 }
 
-impl Ballots {
+impl RoleLease {
     /// Of a replica that starts now, or takes part from now on. `term`, `kept`: the newest that it has granted, and the newest
     /// that it has seen to be held, as they are on its disk.
     pub fn new(
-        duty: Duty,
-        me: Speaker,
+        duty: SingletonRole,
+        me: ProcessId,
         replicas: usize,
         (term, kept): (Term, Term),
         now: i64,
-    ) -> Ballots {
+    ) -> RoleLease {
         // The two duties begin at opposite replicas, so that they normally land on different ones.
         let first = match duty {
-            Duty::Poll => 0,
-            Duty::Count => replicas / 2,
+            SingletonRole::PlatformPoller => 0,
+            SingletonRole::Counter => replicas / 2,
         };
         let rank = (usize::from(me.replica) + replicas - first) % replicas;
         // Two that poll for a moment harm nobody, as lists are ordered by their terms; two that count would.
         let quiet = now
-            + if duty == Duty::Poll {
-                limits::START
+            + if duty == SingletonRole::PlatformPoller {
+                limits::STARTUP_DELAY
             } else {
-                limits::GRANT
+                limits::GRANT_DURATION
             };
-        let again = duty == Duty::Count && kept.number > 0 && kept == term && follows(me, kept.by);
-        Ballots {
+        let again = duty == SingletonRole::Counter
+            && kept.number > 0
+            && kept == term
+            && follows(me, kept.by);
+        RoleLease {
             rank: rank as i64,
             term,
             vain: false,
@@ -128,7 +131,11 @@
             holder: None,
             newest: term.number,
             free: quiet,
-            next: if again { now + limits::START } else { quiet },
+            next: if again {
+                now + limits::STARTUP_DELAY
+            } else {
+                quiet
+            },
             quiet,
             again,
         }
@@ -158,13 +165,13 @@
     }
 
     /// Votes on a bid.
-    pub fn vote(&mut self, now: i64, by: Speaker, term: u64, holds: bool) -> Verdict {
+    pub fn vote(&mut self, now: i64, by: ProcessId, term: u64, holds: bool) -> Vote {
         let wanted = Term { number: term, by };
         self.newest = self.newest.max(term);
         // What this replica has granted itself does not matter here: it may have bid in vain while it did not hear the holder.
         if holds && self.holder.is_none_or(|(known, _)| known <= wanted) {
-            self.holder = Some((wanted, now + limits::GRANT));
-            self.free = self.free.max(now + limits::GRANT);
+            self.holder = Some((wanted, now + limits::GRANT_DURATION));
+            self.free = self.free.max(now + limits::GRANT_DURATION);
         }
         let other = self.granted > now && !follows(by, self.holds.by);
         let fresh = term > self.term.number;
@@ -180,12 +187,12 @@
         }
         if granted {
             self.holds = wanted;
-            self.granted = now + limits::GRANT;
+            self.granted = now + limits::GRANT_DURATION;
             self.free = self.free.max(self.granted);
         }
         let held = granted && holds && self.kept != wanted;
         self.kept = if held { wanted } else { self.kept };
-        Verdict {
+        Vote {
             granted,
             save: granted && (fresh || held),
             newest: self.newest,
@@ -193,7 +200,7 @@
     }
 
     /// A bidder or holder gives its term back. `vain`: it never won it, and never will.
-    pub fn released(&mut self, now: i64, by: Speaker, term: u64, vain: bool) {
+    pub fn released(&mut self, now: i64, by: ProcessId, term: u64, vain: bool) {
         let wanted = Term { number: term, by };
         if self.holds == wanted {
             self.granted = now;
@@ -230,11 +237,11 @@
     /// A vote has come. Gives whether the duty was won by it.
     pub fn voted(
         &mut self,
-        by: (Replica, Incarnation),
+        by: (ReplicaId, Incarnation),
         term: u64,
         at: i64,
-        verdict: Verdict,
-        replicas: &Replicas,
+        verdict: Vote,
+        replicas: &ReplicaTable,
     ) -> bool {
         self.newest = self.newest.max(verdict.newest);
         let Some(mine) = self
@@ -257,32 +264,41 @@
             return false;
         }
         let won = mine.until == 0;
-        mine.until = mine.until.max(at + limits::GRANT - limits::GRANT_MARGIN);
+        mine.until = mine
+            .until
+            .max(at + limits::GRANT_DURATION - limits::GRANT_SAFETY_MARGIN);
         mine.rounds.retain(|sent, _| *sent > at);
         won
     }
 
     /// What to do now: a bid, a term to be given back, or nothing. `may`: this replica takes part, is in touch and stays.
-    pub fn turn(&mut self, now: i64, may: bool, pause: i64) -> (Option<Bid>, Option<Lost>) {
+    pub fn turn(
+        &mut self,
+        now: i64,
+        may: bool,
+        pause: i64,
+    ) -> (Option<LeaseRequest>, Option<LeaseRelease>) {
         if let Some(mine) = &mut self.mine {
-            let lost = mine.until <= now && (mine.until > 0 || now >= mine.since + limits::BID);
+            let lost = mine.until <= now
+                && (mine.until > 0 || now >= mine.since + limits::LEASE_REQUEST_TIMEOUT);
             if lost {
-                let lost = Lost {
+                let lost = LeaseRelease {
                     term: mine.term,
                     vain: mine.until == 0,
                 };
                 self.mine = None;
-                self.next = now + limits::BID_STEP * (self.rank + 1) + pause;
+                self.next = now + limits::LEASE_REQUEST_STAGGER * (self.rank + 1) + pause;
                 return (None, Some(lost));
             }
             if now < self.next {
                 return (None, None);
             }
-            self.next = now + limits::BEAT;
-            mine.rounds.retain(|sent, _| now - sent < limits::GRANT);
+            self.next = now + limits::HEARTBEAT_INTERVAL;
+            mine.rounds
+                .retain(|sent, _| now - sent < limits::GRANT_DURATION);
             mine.rounds.insert(now, BTreeMap::new());
             return (
-                Some(Bid {
+                Some(LeaseRequest {
                     term: mine.term,
                     at: now,
                     holds: mine.until > now,
@@ -296,15 +312,15 @@
         self.again = false;
         let term = self.newest.max(self.term.number) + 1;
         let rounds = BTreeMap::from([(now, BTreeMap::new())]);
-        self.mine = Some(Mine {
+        self.mine = Some(Candidacy {
             term,
             since: now,
             until: 0,
             rounds,
         });
-        self.next = now + limits::BID;
+        self.next = now + limits::LEASE_REQUEST_TIMEOUT;
         (
-            Some(Bid {
+            Some(LeaseRequest {
                 term,
                 at: now,
                 holds: false,
@@ -319,9 +335,9 @@
     }
 
     /// Gives the duty back.
-    pub fn release(&mut self, now: i64) -> Option<Lost> {
-        self.next = now + limits::UNABLE;
-        self.mine.take().map(|mine| Lost {
+    pub fn release(&mut self, now: i64) -> Option<LeaseRelease> {
+        self.next = now + limits::ROLE_FAILURE_PENALTY;
+        self.mine.take().map(|mine| LeaseRelease {
             term: mine.term,
             vain: mine.until == 0,
         })
@@ -331,12 +347,12 @@
     pub fn wake(&self) -> i64 {
         match &self.mine {
             Some(mine) if mine.until > 0 => self.next.min(mine.until),
-            Some(mine) => self.next.min(mine.since + limits::BID),
+            Some(mine) => self.next.min(mine.since + limits::LEASE_REQUEST_TIMEOUT),
             None if self.again => self.next,
             None => self
                 .next
                 .max(self.quiet)
-                .max(self.free + self.rank * limits::BID_STEP),
+                .max(self.free + self.rank * limits::LEASE_REQUEST_STAGGER),
         }
     }
 }
@@ -351,10 +367,10 @@
     use super::*;
     use test_case::test_case;
 
-    const STEP: i64 = limits::GRANT + 1;
+    const STEP: i64 = limits::GRANT_DURATION + 1;
 
-    fn by(replica: Replica) -> Speaker {
-        Speaker {
+    fn by(replica: ReplicaId) -> ProcessId {
+        ProcessId {
             replica,
             incarnation: Incarnation::FIRST,
             run: 1,
@@ -363,7 +379,7 @@
 
     #[test]
     fn a_term_in_vain_costs_the_holder_no_vote_and_one_that_may_be_won_does() {
-        let voter = || Ballots::new(Duty::Count, by(1), 6, Default::default(), 0);
+        let voter = || RoleLease::new(SingletonRole::Counter, by(1), 6, Default::default(), 0);
         let mut ballots = voter();
         assert!(ballots.vote(STEP, by(0), 4, false).granted);
         // The holder is heard no more; this replica bids, does not win, and hears the holder again.
@@ -404,22 +420,22 @@
     #[test_case(false, 3, 1, 3, false; "a bid that may have been in vain while another one held the duty")]
     fn a_voter_that_started_anew_grants_at_once_to_nobody_but_the_last_holder(
         seen: bool,
-        replica: Replica,
+        replica: ReplicaId,
         incarnation: u32,
         run: u32,
         granted: bool,
     ) {
         let held = Term {
             number: 7,
-            by: Speaker { run: 2, ..by(3) },
+            by: ProcessId { run: 2, ..by(3) },
         };
         let kept = if seen {
             held
         } else {
             Term { number: 6, ..held }
         };
-        let mut voter = Ballots::new(Duty::Count, by(1), 6, (held, kept), 0);
-        let bidder = Speaker {
+        let mut voter = RoleLease::new(SingletonRole::Counter, by(1), 6, (held, kept), 0);
+        let bidder = ProcessId {
             replica,
             incarnation: Incarnation {
                 number: incarnation,
@@ -427,13 +443,21 @@
             },
             run,
         };
-        assert_eq!(voter.vote(limits::START, bidder, 8, false).granted, granted);
         assert_eq!(
-            voter.vote(limits::START + 1, bidder, 8, true).granted,
+            voter.vote(limits::STARTUP_DELAY, bidder, 8, false).granted,
+            granted
+        );
+        assert_eq!(
+            voter
+                .vote(limits::STARTUP_DELAY + 1, bidder, 8, true)
+                .granted,
             granted,
             "and then holds it"
         );
         // The others have their turn as its grant ends, or as those do that it may have forgotten.
-        assert_eq!(voter.vote(limits::GRANT, by(5), 9, false).granted, !granted);
+        assert_eq!(
+            voter.vote(limits::GRANT_DURATION, by(5), 9, false).granted,
+            !granted
+        );
     }
 }
--- a/crates/control/src/core/servers.rs
+++ b/crates/control/src/core/server_list.rs
@@ -10,13 +10,13 @@
 
 /// The newest list that is known.
 #[derive(Clone, Debug, Default)]
-pub struct Listed {
+pub struct ServerList {
     version: (u64, u64),
     /// Servers, and when each is warm.
     servers: Vec<(Server, i64)>,
 }
 
-impl Listed {
+impl ServerList {
     /// Its version; nothing is known at (0, 0).
     pub fn version(&self) -> (u64, u64) {
         self.version
@@ -54,7 +54,7 @@
 
     /// Takes what the poller of a term has read. Gives whether it is news.
     pub fn read(&mut self, now: i64, term: u64, servers: Vec<Server>) -> bool {
-        let servers = Listed::keep(now, servers);
+        let servers = ServerList::keep(now, servers);
         let news = !self.known() || self.differs(now, &servers);
         if news {
             let number = if self.version.0 == term {
@@ -62,7 +62,7 @@
             } else {
                 1
             };
-            *self = Listed {
+            *self = ServerList {
                 version: (term, number),
                 servers,
             };
@@ -74,9 +74,9 @@
     pub fn told(&mut self, now: i64, version: (u64, u64), servers: Vec<Server>) -> bool {
         let newer = version > self.version;
         if newer {
-            *self = Listed {
+            *self = ServerList {
                 version,
-                servers: Listed::keep(now, servers),
+                servers: ServerList::keep(now, servers),
             };
         }
         newer
@@ -122,7 +122,7 @@
     #[test_case(vec![server("i", false, 2_000_000), server("j", true, 0)], true; "one leaves")]
     #[test_case(vec![server("i", true, 2_000_000)], true; "one is gone")]
     fn only_a_change_is_news(next: Vec<Server>, news: bool) {
-        let mut listed = Listed::default();
+        let mut listed = ServerList::default();
         assert!(listed.read(
             0,
             3,
@@ -134,7 +134,7 @@
 
     #[test]
     fn an_older_list_is_not_taken_and_coldness_counts_from_the_telling() {
-        let mut listed = Listed::default();
+        let mut listed = ServerList::default();
         assert!(listed.told(0, (2, 5), vec![server("i", true, 900)]));
         assert!(!listed.told(0, (2, 4), vec![]) && !listed.told(0, (1, 9), vec![]));
         assert_eq!(listed.list(300)[0].warm_up_left, 600);
--- a/crates/control/src/core/status.rs
+++ b/crates/control/src/core/status.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Core;
-use super::peer_messages::{Duty, Replica};
+use super::peer_messages::{ReplicaId, SingletonRole};
 use crate::limits;
 
 /// How one replica sees the system. Spans are in milliseconds.
@@ -37,18 +37,18 @@
     /// The platform's list: the poller's term, and the list's number within it.
     pub servers: (u64, u64),
     /// All replicas.
-    pub replicas: Vec<ReplicaSeen>,
+    pub replicas: Vec<ReplicaStatus>,
     /// The duties.
-    pub duties: Vec<DutySeen>,
+    pub duties: Vec<RoleStatus>,
     /// The limiters that are members.
-    pub limiters: Vec<LimiterSeen>,
+    pub limiters: Vec<LimiterStatus>,
     /// Limiters that are not in the list, as it would be too long.
     pub left_out: usize,
 }
 
 /// A replica, as another one sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReplicaSeen {
+pub struct ReplicaStatus {
     /// Its zone.
     pub zone: String,
     /// Its newest incarnation; 0 is none.
@@ -61,7 +61,7 @@
 
 /// A duty, as a replica sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DutySeen {
+pub struct RoleStatus {
     /// `poll` or `count`.
     pub duty: String,
     /// The zone of who holds it; none while nobody is known to.
@@ -72,7 +72,7 @@
 
 /// A limiter with its agent, as a replica sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimiterSeen {
+pub struct LimiterStatus {
     /// Its machine.
     pub node: String,
     /// Its zone.
@@ -100,26 +100,26 @@
     /// How this replica sees the system.
     pub(super) fn status(&self, now: i64) -> Status {
         let me = self.replicas.me();
-        let zone = |replica: Replica| {
+        let zone = |replica: ReplicaId| {
             self.zones
                 .get(usize::from(replica))
                 .cloned()
                 .unwrap_or_default()
         };
         let (items, digest) = self.news.holding();
-        let replica = |at: usize| ReplicaSeen {
-            zone: zone(at as Replica),
-            incarnation: self.replicas.newest(at as Replica).number,
-            address: self.replicas.address(at as Replica),
-            heard: self.replicas.hears(now, at as Replica),
+        let replica = |at: usize| ReplicaStatus {
+            zone: zone(at as ReplicaId),
+            incarnation: self.replicas.newest(at as ReplicaId).number,
+            address: self.replicas.address(at as ReplicaId),
+            heard: self.replicas.hears(now, at as ReplicaId),
         };
-        let duty = |(duty, word): (Duty, &str)| {
+        let duty = |(duty, word): (SingletonRole, &str)| {
             let own = self.holds(now, duty).map(|term| (me.replica, term));
             let known = self.duties[duty as usize]
                 .holder(now)
                 .map(|term| (term.by.replica, term.number));
             let held = own.or(known);
-            DutySeen {
+            RoleStatus {
                 duty: word.to_string(),
                 holder: held.map(|(replica, _)| zone(replica)),
                 term: held.map_or(0, |(_, term)| term),
@@ -127,9 +127,9 @@
         };
         let members = self.members.placed();
         let limiter =
-            |(replica, link, told): &(Option<Replica>, u64, &super::peer_messages::Told)| {
+            |(replica, link, told): &(Option<ReplicaId>, u64, &super::peer_messages::Member)| {
                 let holding = self.agents.holding(*link).filter(|_| replica.is_none());
-                LimiterSeen {
+                LimiterStatus {
                     node: told.edge.name.clone(),
                     zone: told.edge.zone.clone(),
                     replica: zone(replica.unwrap_or(me.replica)),
@@ -158,11 +158,18 @@
             unfinished: self.unfinished.len(),
             servers: self.listed.version(),
             replicas: (0..self.replicas.count()).map(replica).collect(),
-            duties: [(Duty::Poll, "poll"), (Duty::Count, "count")]
-                .map(duty)
-                .into(),
-            limiters: members.iter().take(limits::LISTED).map(limiter).collect(),
-            left_out: members.len().saturating_sub(limits::LISTED),
+            duties: [
+                (SingletonRole::PlatformPoller, "poll"),
+                (SingletonRole::Counter, "count"),
+            ]
+            .map(duty)
+            .into(),
+            limiters: members
+                .iter()
+                .take(limits::MAX_LISTED_LIMITERS)
+                .map(limiter)
+                .collect(),
+            left_out: members.len().saturating_sub(limits::MAX_LISTED_LIMITERS),
         }
     }
 }
@@ -170,16 +177,20 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::calls::{Command, Reply};
     use crate::core::peer_messages::{Ballot, Incarnation};
-    use crate::core::{Input, Output, Own, Restored, Setup};
+    use crate::core::{Input, Output, RecoveredState, ReplicaConfig, ReplicaMetadata};
+    use crate::operator_api::{Command, Reply};
     use protocol::digests::Digests;
     use protocol::items::{Item, ItemKind, ItemName};
     use protocol::messages::{AgentMessage, NodeInfo};
 
     fn look(core: &mut Core, now: i64) -> Status {
         let mut out = Vec::new();
-        core.take(now, Input::Call(9, Command::Status, now), &mut out);
+        core.take(
+            now,
+            Input::OperatorCall(9, Command::GetStatus, now),
+            &mut out,
+        );
         let answer = out.iter().find_map(|output| match output {
             Output::Answer(9, Reply::Status(body)) => Some(body),
             _ => None,
@@ -198,23 +209,23 @@
             ver: 3,
             spec: Some("{}".to_string()),
         };
-        let own = Own {
+        let own = ReplicaMetadata {
             incarnation: Incarnation::FIRST,
             run: 1,
-            ..Own::default()
+            ..ReplicaMetadata::default()
         };
         let chosen = vec![(Ballot::default(), item.clone())];
         let zones = ["a", "b", "c"].map(String::from).to_vec();
-        let restored = Restored {
+        let restored = RecoveredState {
             own,
             chosen,
-            ..Restored::default()
+            ..RecoveredState::default()
         };
-        let setup = Setup {
+        let setup = ReplicaConfig {
             zones,
             zone: "b".to_string(),
             restored,
-            ..Setup::default()
+            ..ReplicaConfig::default()
         };
         let (mut core, mut out) = (Core::new(0, setup), Vec::new());
         let edge = |node: &str| NodeInfo {
--- a/crates/control/src/core/transfer.rs
+++ b/crates/control/src/core/transfer.rs
@@ -15,62 +15,62 @@
 
 /// What follows a piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Then {
+pub enum Continuation {
     /// Nothing: that was all.
     End,
     /// The next piece, unasked.
-    Follows,
+    MoreFollows,
     /// More, which is to be asked for.
-    Ask,
+    RequestMore,
 }
 
 /// A part of a transfer, in the order of the names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct Chunk {
     /// It begins after this name.
     pub after: Option<ItemName>,
     /// What is told.
     pub items: Vec<(Ballot, Item)>,
     /// What follows.
-    pub then: Then,
+    pub then: Continuation,
 }
 
 /// The bytes that an item takes, about.
-fn bytes(item: &Item) -> usize {
-    item.name.name.len() + item.spec.as_deref().map_or(0, str::len) + limits::ITEM_BYTES
+fn item_bytes(item: &Item) -> usize {
+    item.name.name.len() + item.spec.as_deref().map_or(0, str::len) + limits::ITEM_OVERHEAD_BYTES
 }
 
 /// How much is told at once. A simulation sets less, so that its few items go in many pieces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct TransferLimits {
     /// Bytes of a piece.
-    pub piece: usize,
+    pub chunk_bytes: usize,
     /// Bytes of all pieces that answer one question.
-    pub question: usize,
+    pub response_bytes: usize,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
-            piece: limits::PIECE,
-            question: limits::TRANSFER,
+impl Default for TransferLimits {
+    fn default() -> TransferLimits {
+        TransferLimits {
+            chunk_bytes: limits::CHUNK_BYTES,
+            response_bytes: limits::TRANSFER_RESPONSE_BYTES,
         }
     }
 }
 
 /// Entries into messages within `bounds`; behind them whether some are left. At least one message, be it empty.
-pub fn split<T>(
-    bounds: Bounds,
+pub fn split_into_chunks<T>(
+    bounds: TransferLimits,
     entries: impl Iterator<Item = T>,
     of: impl Fn(&T) -> &Item,
 ) -> (Vec<Vec<T>>, bool) {
     let (mut pieces, mut length, mut all) = (vec![Vec::new()], 0, 0);
     for entry in entries {
-        let size = bytes(of(&entry));
-        if all > 0 && all + size > bounds.question {
+        let size = item_bytes(of(&entry));
+        if all > 0 && all + size > bounds.response_bytes {
             return (pieces, true);
         }
-        if length > 0 && length + size > bounds.piece {
+        if length > 0 && length + size > bounds.chunk_bytes {
             pieces.push(Vec::new());
             length = 0;
         }
@@ -83,33 +83,37 @@
 }
 
 /// What follows each of so many pieces.
-pub fn followed(pieces: usize, more: bool) -> impl Iterator<Item = Then> {
-    let last = if more { Then::Ask } else { Then::End };
+pub fn continuations(pieces: usize, more: bool) -> impl Iterator<Item = Continuation> {
+    let last = if more {
+        Continuation::RequestMore
+    } else {
+        Continuation::End
+    };
     (1..=pieces).map(move |number| {
         if number == pieces {
             last
         } else {
-            Then::Follows
+            Continuation::MoreFollows
         }
     })
 }
 
 /// The pieces that answer one question: `entries` in the order of their names, all of them after `after`.
-pub fn pieces(
-    bounds: Bounds,
+pub fn chunks(
+    bounds: TransferLimits,
     after: Option<ItemName>,
     entries: impl Iterator<Item = (Ballot, Item)>,
-) -> Vec<Piece> {
-    let (split, more) = split(bounds, entries, |(_, item)| item);
+) -> Vec<Chunk> {
+    let (split, more) = split_into_chunks(bounds, entries, |(_, item)| item);
     let (count, mut after) = (split.len(), after);
-    let piece = |(items, then): (Vec<(Ballot, Item)>, Then)| {
+    let piece = |(items, then): (Vec<(Ballot, Item)>, Continuation)| {
         let next = items.last().map(|(_, item)| item.name.clone());
         let begins = if next.is_some() {
             std::mem::replace(&mut after, next)
         } else {
             after.clone()
         };
-        Piece {
+        Chunk {
             after: begins,
             items,
             then,
@@ -117,30 +121,30 @@
     };
     split
         .into_iter()
-        .zip(followed(count, more))
+        .zip(continuations(count, more))
         .map(piece)
         .collect()
 }
 
 /// How far a transfer from one source has come.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Transfer {
+pub struct TransferProgress {
     /// All up to this name has come.
     pub after: Option<ItemName>,
     /// All has.
     pub done: bool,
 }
 
-impl Transfer {
+impl TransferProgress {
     /// Takes note of a piece. Gives what is to be done next, and nothing for a piece that comes again or after a gap.
-    pub fn took(&mut self, piece: &Piece) -> Option<Then> {
+    pub fn record_chunk(&mut self, piece: &Chunk) -> Option<Continuation> {
         if self.done || piece.after != self.after {
             return None;
         }
         if let Some((_, last)) = piece.items.last() {
             self.after = Some(last.name.clone());
         }
-        self.done = piece.then == Then::End;
+        self.done = piece.then == Continuation::End;
         Some(piece.then)
     }
 }
@@ -171,9 +175,9 @@
     /// Asks until the end, with every answer treated by `treat`; gives what came and how many questions it took.
     fn transferred(
         all: &[(Ballot, Item)],
-        treat: impl Fn(usize, Vec<Piece>) -> Vec<Piece>,
+        treat: impl Fn(usize, Vec<Chunk>) -> Vec<Chunk>,
     ) -> (Vec<ItemName>, usize) {
-        let (mut transfer, mut got, mut asked) = (Transfer::default(), Vec::new(), 0);
+        let (mut transfer, mut got, mut asked) = (TransferProgress::default(), Vec::new(), 0);
         while !transfer.done && asked < 100 {
             asked += 1;
             let after = transfer.after.clone();
@@ -182,9 +186,9 @@
                 .filter(|(_, item)| after.as_ref().is_none_or(|after| item.name > *after));
             for piece in treat(
                 asked,
-                pieces(Bounds::default(), after.clone(), rest.cloned()),
+                chunks(TransferLimits::default(), after.clone(), rest.cloned()),
             ) {
-                if transfer.took(&piece).is_some() {
+                if transfer.record_chunk(&piece).is_some() {
                     got.extend(piece.items.into_iter().map(|(_, item)| item.name));
                 }
             }
@@ -196,7 +200,7 @@
     fn pieces_lost_doubled_and_out_of_order_leave_no_gap() {
         let all = entries(900, 20_000);
         let names: Vec<ItemName> = all.iter().map(|(_, item)| item.name.clone()).collect();
-        let largest = |pieces: &[Piece]| {
+        let largest = |pieces: &[Chunk]| {
             pieces
                 .iter()
                 .map(|piece| piece.items.len())
@@ -206,22 +210,22 @@
         };
         let whole = transferred(&all, |_, pieces| {
             assert!(
-                largest(&pieces) <= limits::PIECE
-                    && pieces.len() * limits::PIECE < 2 * limits::TRANSFER
+                largest(&pieces) <= limits::CHUNK_BYTES
+                    && pieces.len() * limits::CHUNK_BYTES < 2 * limits::TRANSFER_RESPONSE_BYTES
             );
             pieces
         });
         assert_eq!(whole, (names.clone(), 5), "18 MB in questions of 4 MiB");
-        let lost = |asked: usize, mut pieces: Vec<Piece>| {
+        let lost = |asked: usize, mut pieces: Vec<Chunk>| {
             if asked.is_multiple_of(2) {
                 pieces.remove(asked % pieces.len());
             }
             pieces
         };
         assert_eq!(transferred(&all, lost).0, names);
-        let doubled = |_, pieces: Vec<Piece>| pieces.iter().chain(&pieces).cloned().collect();
+        let doubled = |_, pieces: Vec<Chunk>| pieces.iter().chain(&pieces).cloned().collect();
         assert_eq!(transferred(&all, doubled), (names.clone(), 5));
-        let turned = |asked: usize, mut pieces: Vec<Piece>| {
+        let turned = |asked: usize, mut pieces: Vec<Chunk>| {
             if asked % 3 == 1 {
                 pieces.reverse();
             }
