--- a/crates/control/src/disk/mod.rs
+++ b/crates/control/src/disk/mod.rs
@@ -5,14 +5,14 @@
 //! its own pages, and each row has a checksum. What fails is put aside ([`Opened::lost`]), and the replica counts as empty.
 //! A file of a newer schema version is refused and not touched. `docs/disk.md` says what each line of the log means.
 
-mod aside;
-mod log;
-mod queue;
-mod rows;
+mod quarantine;
+mod records;
 mod schema;
 #[cfg(test)]
-mod trials;
+mod tests;
 mod verify;
+mod wal;
+mod write_queue;
 
 use std::fs::File;
 use std::io;
@@ -24,12 +24,12 @@
 use rusqlite::{Connection, ErrorCode, OpenFlags, ffi};
 
 use crate::core::peer_messages::Incarnation;
-use crate::core::{Restored, Row};
+use crate::core::{Record, RecoveredState};
 
-pub use self::queue::{Heard, Order, spawn};
-pub use self::rows::{Fault, Harm};
+pub use self::records::{CorruptRecord, Corruption};
 pub use self::schema::NEWEST;
 pub use self::verify::{Report, verify, verify_file};
+pub use self::write_queue::{WriteRequest, WriterEvent, spawn};
 
 /// Its file in the data folder.
 const FILE: &str = "headworks.db";
@@ -46,26 +46,26 @@
 }
 
 /// What a store was opened with.
-pub struct Opened {
+pub struct OpenedStore {
     /// The database.
     pub store: Store,
     /// What it held.
-    pub restored: Restored,
+    pub restored: RecoveredState,
     /// Why what was there was put aside, and where it is, if it was.
     pub lost: Option<String>,
 }
 
 /// How files are reached: as they are, or by way of a test.
 #[derive(Clone, Copy)]
-struct Reach {
+struct FileAccess {
     vfs: Option<&'static str>,
     sync: fn(&Path) -> io::Result<()>,
 }
 
-impl Reach {
-    const PLAIN: Reach = Reach {
+impl FileAccess {
+    const PLAIN: FileAccess = FileAccess {
         vfs: None,
-        sync: aside::sync,
+        sync: quarantine::sync,
     };
 }
 
@@ -75,7 +75,7 @@
     error
         .chain()
         .any(|cause| match cause.downcast_ref::<Error>() {
-            None => cause.is::<Harm>(),
+            None => cause.is::<Corruption>(),
             Some(Error::SqliteFailure(error, _)) => match error.code {
                 ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase | ErrorCode::TypeMismatch => {
                     true
@@ -139,16 +139,16 @@
     if length.is_none_or(|length| length == 0) {
         return match log.is_empty() {
             true => Ok(()),
-            false => Err(Harm::of("the log stands without its file").into()),
+            false => Err(Corruption::of("the log stands without its file").into()),
         };
     }
     let file = File::open(path("")).wrap_err_with(step)?;
     let mut head = [0; 100];
     if file.read_exact_at(&mut head, 0).is_err() {
-        return Err(Harm::of("the file is cut short").into());
+        return Err(Corruption::of("the file is cut short").into());
     }
     if let Some(harm) = head_harm(&head) {
-        return Err(Harm::of(harm).into());
+        return Err(Corruption::of(harm).into());
     }
     let page = page_size(&head);
     let stands = |number: u32, content: &[u8]| {
@@ -156,9 +156,9 @@
         let at = u64::from(number.saturating_sub(1)) * page as u64;
         file.read_exact_at(&mut there, at).is_ok() && there == content
     };
-    let read = log::read(&log, page, stands);
+    let read = wal::read(&log, page, stands);
     // The schema's version is in the first page.
-    let first = read.pages.get(&1).map(|at| log::content(&log, *at, page));
+    let first = read.pages.get(&1).map(|at| wal::content(&log, *at, page));
     let version = first
         .unwrap_or(&head)
         .get(60..64)
@@ -168,7 +168,7 @@
         verify(folder)?;
     }
     match read.harm {
-        Some(harm) => Err(Harm::of(harm).into()),
+        Some(harm) => Err(Corruption::of(harm).into()),
         None => Ok(()),
     }
 }
@@ -187,12 +187,12 @@
 fn check(connection: &Connection) -> eyre::Result<()> {
     match pragma(connection, "PRAGMA quick_check")? {
         whole if whole == "ok" => Ok(()),
-        found => Err(Harm::of(format!("the check says {found:?}")).into()),
+        found => Err(Corruption::of(format!("the check says {found:?}")).into()),
     }
 }
 
 impl Store {
-    fn connect(reach: Reach, folder: &Path) -> eyre::Result<(Store, Restored)> {
+    fn connect(reach: FileAccess, folder: &Path) -> eyre::Result<(Store, RecoveredState)> {
         look(folder)?;
         let (file, flags) = (folder.join(FILE), OpenFlags::default());
         let opened = match reach.vfs {
@@ -218,9 +218,9 @@
         pragma(&connection, "PRAGMA temp_store=MEMORY")?;
         pragma(&connection, "PRAGMA wal_autocheckpoint=0")?;
         schema::migrate(&mut connection, found)?;
-        let (restored, faults) = rows::all(&connection, true)?;
+        let (restored, faults) = records::all(&connection, true)?;
         if !faults.is_empty() {
-            return Err(Harm(faults).into());
+            return Err(Corruption(faults).into());
         }
         connection
             .set_db_config(kept, false)
@@ -241,18 +241,18 @@
     ///
     /// # Errors
     /// The folder can't be used, the disk does not write, or the file is of a newer schema version.
-    pub fn open(folder: &Path, bootstrap: bool) -> eyre::Result<Opened> {
-        Store::open_by(Reach::PLAIN, folder, bootstrap)
+    pub fn open(folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
+        Store::open_by(FileAccess::PLAIN, folder, bootstrap)
     }
 
-    fn open_by(reach: Reach, folder: &Path, bootstrap: bool) -> eyre::Result<Opened> {
+    fn open_by(reach: FileAccess, folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
         let step = || format!("disk: folder {}", folder.display());
         std::fs::create_dir_all(folder).wrap_err_with(step)?;
         let mut lost = None;
         let (mut store, mut restored) = match Store::connect(reach, folder) {
             Ok(found) => found,
             Err(error) if harmed(&error) => {
-                let kept = aside::put(folder, reach.sync)?;
+                let kept = quarantine::put(folder, reach.sync)?;
                 lost = Some(format!("{error:#}; put aside as {}", kept.display()));
                 Store::connect(reach, folder)?
             }
@@ -260,21 +260,21 @@
         };
         if restored.own.incarnation == Incarnation::NONE {
             // What was not written to its end counts for nothing.
-            if restored != Restored::default() {
+            if restored != RecoveredState::default() {
                 store.clear()?;
-                restored = Restored::default();
+                restored = RecoveredState::default();
             }
-            if bootstrap && !aside::any(folder) {
+            if bootstrap && !quarantine::any(folder) {
                 restored.own.incarnation = Incarnation::FIRST;
             }
         }
         if restored.own.incarnation != Incarnation::NONE {
             // A ballot must never come twice: each start has a run of its own, on disk before anything is said.
             restored.own.run += 1;
-            store.commit([&Row::Own(restored.own.clone())])?;
+            store.commit([&Record::Metadata(restored.own.clone())])?;
         }
         (reach.sync)(folder).wrap_err_with(step)?;
-        Ok(Opened {
+        Ok(OpenedStore {
             store,
             restored,
             lost,
@@ -284,7 +284,7 @@
     fn clear(&mut self) -> eyre::Result<()> {
         let step = "disk: clearing";
         let transaction = self.connection.transaction().wrap_err(step)?;
-        for table in rows::TABLES {
+        for table in records::TABLES {
             transaction
                 .execute(&format!("DELETE FROM {table}"), [])
                 .wrap_err(step)?;
@@ -296,10 +296,10 @@
     ///
     /// # Errors
     /// The disk does not write. Nothing of it is there then, or it is there in full.
-    pub fn commit<'a>(&mut self, all: impl IntoIterator<Item = &'a Row>) -> eyre::Result<()> {
+    pub fn commit<'a>(&mut self, all: impl IntoIterator<Item = &'a Record>) -> eyre::Result<()> {
         let transaction = self.connection.transaction().wrap_err("disk: beginning")?;
         for row in all {
-            rows::put(&transaction, row)?;
+            records::put(&transaction, row)?;
         }
         transaction.commit().wrap_err("disk: committing")?;
         if length(&self.log).is_ok_and(|length| length.is_some_and(|length| length >= self.most)) {
--- a/crates/control/src/disk/rows.rs
+++ b/crates/control/src/disk/records.rs
@@ -11,14 +11,14 @@
 
 use crate::core::peer_messages::Ballot;
 use crate::core::registers::Register;
-use crate::core::{Own, Restored, Row};
+use crate::core::{Record, RecoveredState, ReplicaMetadata};
 
 /// The tables of rows.
 pub(super) const TABLES: [&str; 3] = ["own", "registers", "chosen"];
 
 /// What is wrong with one row, or with the file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Fault {
+pub struct CorruptRecord {
     /// The table; empty where it is not one row.
     pub table: String,
     /// The name of the row, as far as it can be read.
@@ -27,7 +27,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for CorruptRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.table.as_str() {
             "" => write!(f, "{}", self.what),
@@ -38,11 +38,11 @@
 
 /// The files hold what was never written, or not all that was.
 #[derive(Clone, Debug)]
-pub struct Harm(pub Vec<Fault>);
+pub struct Corruption(pub Vec<CorruptRecord>);
 
-impl Harm {
-    pub(super) fn of(what: impl Into<String>) -> Harm {
-        Harm(vec![Fault {
+impl Corruption {
+    pub(super) fn of(what: impl Into<String>) -> Corruption {
+        Corruption(vec![CorruptRecord {
             table: String::new(),
             name: String::new(),
             what: what.into(),
@@ -53,9 +53,14 @@
 /// Most faults that one line of the log names.
 const NAMED: usize = 16;
 
-impl fmt::Display for Harm {
+impl fmt::Display for Corruption {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let named: Vec<String> = self.0.iter().take(NAMED).map(Fault::to_string).collect();
+        let named: Vec<String> = self
+            .0
+            .iter()
+            .take(NAMED)
+            .map(CorruptRecord::to_string)
+            .collect();
         write!(f, "{}", named.join("; "))?;
         match self.0.len().saturating_sub(NAMED) {
             0 => Ok(()),
@@ -64,7 +69,7 @@
     }
 }
 
-impl std::error::Error for Harm {}
+impl std::error::Error for Corruption {}
 
 /// The checksum of a row. It is over the table and the name as well: a row in another's place is noticed.
 pub(super) fn sum(table: &str, name: &[u8], value: &[u8]) -> u32 {
@@ -97,11 +102,11 @@
 }
 
 /// Writes a row.
-pub(super) fn put(transaction: &Transaction<'_>, row: &Row) -> eyre::Result<()> {
+pub(super) fn put(transaction: &Transaction<'_>, row: &Record) -> eyre::Result<()> {
     let (table, name, value) = match row {
-        Row::Own(own) => ("own", None, encode(own)?),
-        Row::Register(name, register) => ("registers", Some(encode(name)?), encode(register)?),
-        Row::Chosen(ballot, item) => (
+        Record::Metadata(own) => ("own", None, encode(own)?),
+        Record::Register(name, register) => ("registers", Some(encode(name)?), encode(register)?),
+        Record::Chosen(ballot, item) => (
             "chosen",
             Some(encode(&item.name)?),
             encode(&(ballot, item))?,
@@ -127,7 +132,7 @@
     connection: &Connection,
     table: &str,
     sums: bool,
-    faults: &mut Vec<Fault>,
+    faults: &mut Vec<CorruptRecord>,
     mut one: impl FnMut(&[u8], &[u8]) -> Result<(), String>,
 ) -> eyre::Result<()> {
     let step = || format!("disk: reading {table}");
@@ -160,7 +165,7 @@
         };
         if let Err(what) = checked().and_then(|(name, value)| one(name, value)) {
             let name = named.as_blob().map(shown).unwrap_or_default();
-            faults.push(Fault {
+            faults.push(CorruptRecord {
                 table: table.to_string(),
                 name,
                 what,
@@ -171,11 +176,14 @@
 }
 
 /// All that a database holds, and what is wrong with it.
-pub(super) fn all(connection: &Connection, sums: bool) -> eyre::Result<(Restored, Vec<Fault>)> {
-    let (mut restored, mut faults) = (Restored::default(), Vec::new());
+pub(super) fn all(
+    connection: &Connection,
+    sums: bool,
+) -> eyre::Result<(RecoveredState, Vec<CorruptRecord>)> {
+    let (mut restored, mut faults) = (RecoveredState::default(), Vec::new());
     let other = || "is of another name".to_string();
     each(connection, "own", sums, &mut faults, |_, value| {
-        restored.own = decode::<Own>(value)?;
+        restored.own = decode::<ReplicaMetadata>(value)?;
         Ok(())
     })?;
     each(connection, "registers", sums, &mut faults, |name, value| {
--- a/crates/control/src/disk/schema.rs
+++ b/crates/control/src/disk/schema.rs
@@ -11,7 +11,7 @@
 use eyre::{WrapErr, eyre};
 use rusqlite::{Connection, OptionalExtension, params};
 
-use super::rows::{self, Harm};
+use super::records::{self, Corruption};
 
 /// The newest version, which this program writes.
 pub const NEWEST: u32 = 1;
@@ -32,7 +32,7 @@
 }
 
 fn stated_sum(version: i64) -> u32 {
-    rows::sum("schema", &[], &version.to_le_bytes())
+    records::sum("schema", &[], &version.to_le_bytes())
 }
 
 fn has(connection: &Connection, table: &str) -> eyre::Result<bool> {
@@ -68,7 +68,7 @@
             Some(stated) => format!("the head names schema version {head}, its table {stated}"),
             None => "the schema's version does not match its checksum".to_string(),
         };
-        return Err(Harm::of(what).into());
+        return Err(Corruption::of(what).into());
     }
     match u32::try_from(head) {
         Ok(0) if !has(connection, "own")? => Ok(Found::Empty),
@@ -93,14 +93,14 @@
         transaction.execute_batch(FIRST).wrap_err_with(step)?;
     } else {
         // What does not decode must not get a checksum that says that it is right.
-        let (_, faults) = rows::all(&transaction, false)?;
+        let (_, faults) = records::all(&transaction, false)?;
         if !faults.is_empty() {
-            return Err(Harm(faults).into());
+            return Err(Corruption(faults).into());
         }
-        for table in rows::TABLES {
+        for table in records::TABLES {
             let text = format!("ALTER TABLE {table} ADD COLUMN sum INTEGER NOT NULL DEFAULT 0");
             transaction.execute_batch(&text).wrap_err_with(step)?;
-            rows::sum_up(&transaction, table)?;
+            records::sum_up(&transaction, table)?;
         }
     }
     let version = i64::from(NEWEST);
--- a/crates/control/src/disk/trials/cost.rs
+++ b/crates/control/src/disk/tests/cost.rs
@@ -8,7 +8,7 @@
 use rusqlite::{Connection, OpenFlags};
 
 use super::*;
-use crate::disk::rows::sum;
+use crate::disk::records::sum;
 use crate::disk::{FILE, verify};
 
 const COMMITS: u64 = 400;
@@ -30,12 +30,12 @@
 impl Kept {
     fn new(folder: &Path, way: Way, watched: bool) -> Kept {
         let reach = if watched {
-            Reach {
+            FileAccess {
                 vfs: Some("watched"),
                 sync: folder_synced,
             }
         } else {
-            Reach::PLAIN
+            FileAccess::PLAIN
         };
         let connection = match way {
             Way::Own => {
@@ -72,16 +72,18 @@
         })
     }
 
-    fn commit(&mut self, rows: &[Row]) {
+    fn commit(&mut self, rows: &[Record]) {
         match self {
             Kept::Store(store) => store.commit(rows).unwrap(),
             Kept::Own(folder, file) => {
                 let mut record = Vec::new();
                 for row in rows {
                     let bytes = match row {
-                        Row::Register(name, register) => postcard::to_allocvec(&(name, register)),
-                        Row::Chosen(ballot, item) => postcard::to_allocvec(&(ballot, item)),
-                        Row::Own(own) => postcard::to_allocvec(own),
+                        Record::Register(name, register) => {
+                            postcard::to_allocvec(&(name, register))
+                        }
+                        Record::Chosen(ballot, item) => postcard::to_allocvec(&(ballot, item)),
+                        Record::Metadata(own) => postcard::to_allocvec(own),
                     };
                     let bytes = bytes.unwrap();
                     record.extend((bytes.len() as u32).to_le_bytes());
@@ -121,15 +123,15 @@
     for ver in 0..COMMITS {
         // A change is written by the two votes and by the news of it: three commits of one row.
         let at = format!("s{}", chance.below(ITEMS as usize));
-        let [Row::Register(name, accepted), chosen] = &rows(&at, 5_000 + ver)[..] else {
+        let [Record::Register(name, accepted), chosen] = &rows(&at, 5_000 + ver)[..] else {
             unreachable!()
         };
         let promised = Register {
             promised: accepted.promised,
             accepted: None,
         };
-        kept.commit(&[Row::Register(name.clone(), promised)]);
-        kept.commit(&[Row::Register(name.clone(), accepted.clone())]);
+        kept.commit(&[Record::Register(name.clone(), promised)]);
+        kept.commit(&[Record::Register(name.clone(), accepted.clone())]);
         kept.commit(std::slice::from_ref(chosen));
     }
     let spent = begin.elapsed().as_secs_f64() * 1e3 / COMMITS as f64;
--- a/crates/control/src/disk/trials/cuts.rs
+++ b/crates/control/src/disk/tests/cuts.rs
@@ -5,7 +5,7 @@
 use test_case::test_case;
 
 use super::*;
-use crate::core::Own;
+use crate::core::ReplicaMetadata;
 use crate::core::peer_messages::Incarnation;
 
 /// A write that may be there, missing or torn.
@@ -176,7 +176,7 @@
     seen.len()
 }
 
-fn open_cut(number: usize, image: &Files, bootstrap: bool) -> Opened {
+fn open_cut(number: usize, image: &Files, bootstrap: bool) -> OpenedStore {
     let folder = lay(image);
     let opened =
         open(folder.path(), bootstrap).unwrap_or_else(|error| panic!("step {number}: {error:#}"));
@@ -184,7 +184,7 @@
     opened
 }
 
-fn own(opened: &Opened) -> (Incarnation, u32) {
+fn own(opened: &OpenedStore) -> (Incarnation, u32) {
     (opened.restored.own.incarnation, opened.restored.own.run)
 }
 
@@ -209,7 +209,7 @@
     assert_eq!(runs, BTreeSet::from([(0, 1), (0, 2), (1, 2)]));
 }
 
-fn commits() -> Vec<Vec<Row>> {
+fn commits() -> Vec<Vec<Record>> {
     let all = |first: u64| {
         (first..first + 12)
             .flat_map(move |n| rows(&format!("s{n}"), 100 * first + n))
@@ -290,10 +290,13 @@
 #[test]
 fn a_migration_cut_anywhere_is_not_begun_or_done() {
     let commits = commits();
-    let before = Own {
-        incarnation: Incarnation { number: 4, mark: 9 },
+    let before = ReplicaMetadata {
+        incarnation: Incarnation {
+            number: 4,
+            nonce: 9,
+        },
         run: 6,
-        ..Own::default()
+        ..ReplicaMetadata::default()
     };
     let folder = unversioned(&commits, &before);
     let base = files(folder.path());
--- a/crates/control/src/disk/trials/full.rs
+++ b/crates/control/src/disk/tests/full.rs
@@ -3,14 +3,14 @@
 use test_case::test_case;
 
 use super::*;
-use crate::disk::queue::{Desk, Heard};
+use crate::disk::write_queue::{WriteQueue, WriterEvent};
 
-fn said(heard: Vec<Heard>) -> Vec<String> {
+fn said(heard: Vec<WriterEvent>) -> Vec<String> {
     let said = heard.into_iter().map(|heard| match heard {
-        Heard::Written(number) => number.to_string(),
-        Heard::Refused(why) => format!("refused: {why:#}"),
-        Heard::Taken => "taken".to_string(),
-        Heard::Failed(why) => panic!("{why:#}"),
+        WriterEvent::Written(number) => number.to_string(),
+        WriterEvent::WritesRejected(why) => format!("refused: {why:#}"),
+        WriterEvent::WritesResumed => "taken".to_string(),
+        WriterEvent::Failed(why) => panic!("{why:#}"),
     });
     said.collect()
 }
@@ -29,7 +29,7 @@
         opened.store.commit(&first).unwrap();
         watch(folder.path());
         fail(folder.path(), Some((left, kind)));
-        let mut desk = Desk::new(opened.store);
+        let mut desk = WriteQueue::new(opened.store);
         desk.order((1, rows("s", 2)));
         desk.order((2, rows("u", 1)));
         let heard = said(desk.write());
@@ -71,7 +71,7 @@
     let opened = open(folder.path(), true).unwrap();
     watch(folder.path());
     fail(folder.path(), Some((0, ErrorKind::StorageFull)));
-    let mut desk = Desk::new(opened.store);
+    let mut desk = WriteQueue::new(opened.store);
     for ver in 1..=300 {
         desk.order((ver, rows("s", ver)));
         desk.write();
--- a/crates/control/src/disk/trials/growth.rs
+++ b/crates/control/src/disk/tests/growth.rs
@@ -30,8 +30,8 @@
             promised: ballot,
             accepted: Some((ballot, item.clone())),
         };
-        rows.push(Row::Register(item.name.clone(), register));
-        rows.push(Row::Chosen(ballot, item));
+        rows.push(Record::Register(item.name.clone(), register));
+        rows.push(Record::Chosen(ballot, item));
         if rows.len() >= 2 * TOGETHER || number + 1 == changes {
             store.commit(&rows).unwrap();
             rows.clear();
--- a/crates/control/src/disk/trials/harm.rs
+++ b/crates/control/src/disk/tests/harm.rs
@@ -6,13 +6,13 @@
 use test_case::test_case;
 
 use super::*;
-use crate::core::Restored;
+use crate::core::RecoveredState;
 use crate::core::peer_messages::Incarnation;
 use crate::disk::{FILE, verify, verify_file};
 
 const LOG: &str = "headworks.db-wal";
 
-fn many() -> Vec<Row> {
+fn many() -> Vec<Record> {
     (0..40)
         .flat_map(|n| rows(&format!("s{n}"), 100 + n))
         .collect()
@@ -60,12 +60,12 @@
 fn an_empty_disk_has_no_incarnation_and_half_a_rebuilding_counts_for_nothing() {
     let folder = tempfile::tempdir().unwrap();
     let mut opened = open(folder.path(), false).unwrap();
-    assert_eq!(opened.restored, Restored::default());
+    assert_eq!(opened.restored, RecoveredState::default());
     opened.store.commit(&rows("s", 7)).unwrap();
     drop(opened);
     assert_eq!(
         open(folder.path(), false).unwrap().restored,
-        Restored::default()
+        RecoveredState::default()
     );
 }
 
@@ -124,7 +124,7 @@
         lost.contains(named) && lost.contains("aside-1-headworks.db"),
         "{lost}"
     );
-    assert_eq!(opened.restored, Restored::default());
+    assert_eq!(opened.restored, RecoveredState::default());
     drop(opened.store);
     assert_eq!(files(folder.path())["aside-1-headworks.db"], harmed[FILE]);
     assert!(
@@ -136,7 +136,7 @@
     let opened = open(folder.path(), true).unwrap();
     assert_eq!(
         (opened.lost, opened.restored),
-        (None, Restored::default()),
+        (None, RecoveredState::default()),
         "nor at the next start"
     );
 }
@@ -202,7 +202,7 @@
             .unwrap();
         }
         let opened = open(folder.path(), true).unwrap();
-        assert_eq!(opened.restored, Restored::default(), "{renamed}");
+        assert_eq!(opened.restored, RecoveredState::default(), "{renamed}");
     }
 }
 
@@ -211,7 +211,7 @@
 fn a_file_of_a_newer_version_is_refused_and_left_as_it_is(logged: bool) {
     let folder = closed();
     let connection = plain(folder.path());
-    let sum = crate::disk::rows::sum("schema", &[], &7_i64.to_le_bytes());
+    let sum = crate::disk::records::sum("schema", &[], &7_i64.to_le_bytes());
     let newer = format!(
         "PRAGMA user_version = 7; UPDATE schema SET version = 7, sum = {sum}; DROP TABLE chosen"
     );
@@ -241,7 +241,7 @@
 
 #[test]
 fn an_unversioned_file_with_a_row_that_does_not_decode_gets_no_checksum() {
-    let own = crate::core::Own {
+    let own = crate::core::ReplicaMetadata {
         incarnation: Incarnation::FIRST,
         run: 3,
         ..Default::default()
@@ -306,7 +306,7 @@
         .collect();
     let changed = ["s3", "s97", "s44", "s110", "s17"];
     let changes = changed.iter().zip(2_000..).map(|(at, ver)| rows(at, ver));
-    let commits: Vec<Vec<Row>> = std::iter::once(first).chain(changes).collect();
+    let commits: Vec<Vec<Record>> = std::iter::once(first).chain(changes).collect();
     let mut begins = 0;
     for (number, commit) in commits.iter().enumerate() {
         begins = std::fs::metadata(folder.path().join(LOG)).unwrap().len() as usize;
@@ -335,7 +335,7 @@
     let unseen = (0..32).chain(frames).filter(|at| {
         let mut files = base.clone();
         files.get_mut(LOG).unwrap()[*at] ^= 1;
-        let log = crate::disk::log::read(&files[LOG], 4_096, |_, _| false);
+        let log = crate::disk::wal::read(&files[LOG], 4_096, |_, _| false);
         log.harm.is_none()
     });
     assert_eq!(unseen.collect::<Vec<_>>(), [0; 0]);
@@ -349,7 +349,7 @@
     let mut log = files(folder.path()).remove(LOG).unwrap();
     let mark = log.len() - 3 * (24 + 4_096);
     log[mark..mark + 24].fill(0);
-    let harm = crate::disk::log::read(&log, 4_096, |_, _| false)
+    let harm = crate::disk::wal::read(&log, 4_096, |_, _| false)
         .harm
         .unwrap();
     assert!(harm.contains("more than one commit follows"), "{harm}");
@@ -408,7 +408,7 @@
         let report = verify(folder.path()).unwrap_or_else(|error| panic!("{trial}: {error:#}"));
         let opened = open(folder.path(), true).unwrap_or_else(|error| panic!("{trial}: {error:#}"));
         let found = match &opened.lost {
-            Some(_) if opened.restored == Restored::default() => Seen::PutAside,
+            Some(_) if opened.restored == RecoveredState::default() => Seen::PutAside,
             None if held(&opened) == states[2] => Seen::Nothing,
             None if may && held(&opened) == states[1] => Seen::Before,
             None if may && marked && held(&opened) == states[0] => Seen::Before,
--- a/crates/control/src/disk/trials/mod.rs
+++ b/crates/control/src/disk/tests/mod.rs
@@ -23,8 +23,8 @@
     DatabaseHandle, LockKind, OpenAccess, OpenOptions as Wanted, Vfs, WalDisabled, register,
 };
 
-use super::{Opened, Reach, Store};
-use crate::core::Row;
+use super::{FileAccess, OpenedStore, Store};
+use crate::core::Record;
 use crate::core::peer_messages::Ballot;
 use crate::core::registers::Register;
 
@@ -195,11 +195,11 @@
 }
 
 /// Opens by way of the watched file system. Nothing waits for a real disk.
-fn open(folder: &Path, bootstrap: bool) -> eyre::Result<Opened> {
+fn open(folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
     static ONCE: OnceLock<()> = OnceLock::new();
     ONCE.get_or_init(|| register("watched", Watched, false).unwrap());
     Store::open_by(
-        Reach {
+        FileAccess {
             vfs: Some("watched"),
             sync: folder_synced,
         },
@@ -235,7 +235,7 @@
 }
 
 /// What one change writes at a replica.
-fn rows(at: &str, ver: u64) -> Vec<Row> {
+fn rows(at: &str, ver: u64) -> Vec<Record> {
     let ballot = Ballot {
         round: ver,
         ..Ballot::default()
@@ -245,8 +245,8 @@
         accepted: Some((ballot, item(at, ver))),
     };
     vec![
-        Row::Register(name(at), register),
-        Row::Chosen(ballot, item(at, ver)),
+        Record::Register(name(at), register),
+        Record::Chosen(ballot, item(at, ver)),
     ]
 }
 
@@ -257,20 +257,20 @@
 );
 
 /// What stands after some commits.
-fn after(commits: &[Vec<Row>]) -> Held {
+fn after(commits: &[Vec<Record>]) -> Held {
     let (mut registers, mut chosen) = (BTreeMap::new(), BTreeMap::new());
     for row in commits.iter().flatten().cloned() {
         match row {
-            Row::Own(_) => {}
-            Row::Register(name, register) => _ = registers.insert(name, register),
-            Row::Chosen(ballot, item) => _ = chosen.insert(item.name.clone(), (ballot, item)),
+            Record::Metadata(_) => {}
+            Record::Register(name, register) => _ = registers.insert(name, register),
+            Record::Chosen(ballot, item) => _ = chosen.insert(item.name.clone(), (ballot, item)),
         }
     }
     (registers, chosen)
 }
 
 /// What a store was opened with, in the same form.
-fn held(opened: &Opened) -> Held {
+fn held(opened: &OpenedStore) -> Held {
     let chosen = opened
         .restored
         .chosen
@@ -307,7 +307,7 @@
 }
 
 /// A file of the first builds: no version, no checksums.
-fn unversioned(commits: &[Vec<Row>], own: &crate::core::Own) -> tempfile::TempDir {
+fn unversioned(commits: &[Vec<Record>], own: &crate::core::ReplicaMetadata) -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
     let connection = rusqlite::Connection::open(folder.path().join(super::FILE)).unwrap();
     let tables = "PRAGMA journal_mode=WAL;
--- a/crates/control/src/disk/verify.rs
+++ b/crates/control/src/disk/verify.rs
@@ -8,9 +8,9 @@
 use rusqlite::{Connection, MAIN_DB};
 use serde::Serialize;
 
-use super::rows::{Fault, Harm};
-use super::{FILE, check, harmed, head_harm, log, page_size, rows, schema};
-use crate::core::Restored;
+use super::records::{CorruptRecord, Corruption};
+use super::{FILE, check, harmed, head_harm, page_size, records, schema, wal};
+use crate::core::RecoveredState;
 
 /// What a replica's files hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -30,7 +30,7 @@
     /// Commits that stand in the log.
     pub commits: usize,
     /// What is wrong; a start with these files would put them aside.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<CorruptRecord>,
 }
 
 impl fmt::Display for Report {
@@ -103,9 +103,9 @@
     };
     match read {
         Ok(restored) => sum_up(&restored, &mut found),
-        Err(error) if harmed(&error) => match error.downcast::<Harm>() {
-            Ok(Harm(faults)) => found.faults.extend(faults),
-            Err(error) => found.faults.extend(Harm::of(format!("{error:#}")).0),
+        Err(error) if harmed(&error) => match error.downcast::<Corruption>() {
+            Ok(Corruption(faults)) => found.faults.extend(faults),
+            Err(error) => found.faults.extend(Corruption::of(format!("{error:#}")).0),
         },
         Err(error) => return Err(error),
     }
@@ -113,32 +113,34 @@
 }
 
 /// The file as it reads with its log.
-fn together(mut bytes: Vec<u8>, log: &[u8], found: &mut Report) -> Result<Vec<u8>, Harm> {
+fn together(mut bytes: Vec<u8>, log: &[u8], found: &mut Report) -> Result<Vec<u8>, Corruption> {
     if bytes.is_empty() {
-        return Err(Harm::of("the log stands without its file"));
+        return Err(Corruption::of("the log stands without its file"));
     }
     if let Some(harm) = head_harm(&bytes) {
-        return Err(Harm::of(harm));
+        return Err(Corruption::of(harm));
     }
     let page = page_size(&bytes);
     let place = |number: u32| (number as usize).saturating_sub(1) * page;
-    let read = log::read(log, page, |number, content| {
+    let read = wal::read(log, page, |number, content| {
         bytes
             .get(place(number)..)
             .is_some_and(|there| there.starts_with(content))
     });
     found.commits = read.commits;
-    found
-        .faults
-        .extend(read.harm.into_iter().flat_map(|harm| Harm::of(harm).0));
+    found.faults.extend(
+        read.harm
+            .into_iter()
+            .flat_map(|harm| Corruption::of(harm).0),
+    );
     if let Some(size) = read.size {
         // A page of a size that no log can have filled is harm; it must not take all memory.
         if size as usize > bytes.len() / page + read.pages.len() {
-            return Err(Harm::of("the log names more pages than there are"));
+            return Err(Corruption::of("the log names more pages than there are"));
         }
         bytes.resize(size as usize * page, 0);
         for (number, at) in read.pages.into_iter().filter(|(number, _)| *number <= size) {
-            bytes[place(number)..place(number) + page].copy_from_slice(log::content(log, at, page));
+            bytes[place(number)..place(number) + page].copy_from_slice(wal::content(log, at, page));
         }
     }
     // In memory there is no log; without this SQLite would look for one.
@@ -146,7 +148,7 @@
     Ok(bytes)
 }
 
-fn rows_of(image: &[u8], found: &mut Report) -> eyre::Result<Restored> {
+fn rows_of(image: &[u8], found: &mut Report) -> eyre::Result<RecoveredState> {
     let mut connection = Connection::open_in_memory().wrap_err("disk: opening a copy")?;
     let length = image.len();
     connection
@@ -155,15 +157,15 @@
     let version = schema::found(&connection)?;
     check(&connection)?;
     let schema::Found::Version(version) = version else {
-        return Ok(Restored::default());
+        return Ok(RecoveredState::default());
     };
     found.schema = version;
-    let (restored, faults) = rows::all(&connection, version > 0)?;
+    let (restored, faults) = records::all(&connection, version > 0)?;
     found.faults.extend(faults);
     Ok(restored)
 }
 
-fn sum_up(restored: &Restored, found: &mut Report) {
+fn sum_up(restored: &RecoveredState, found: &mut Report) {
     (found.incarnation, found.run) = (restored.own.incarnation.number, restored.own.run);
     (found.registers, found.chosen) = (restored.registers.len(), restored.chosen.len());
     let accepted = restored
--- a/crates/control/src/disk/queue.rs
+++ b/crates/control/src/disk/write_queue.rs
@@ -10,7 +10,7 @@
 use protocol::items::ItemName;
 
 use super::{Store, harmed};
-use crate::core::Row;
+use crate::core::Record;
 use crate::limits;
 
 /// Most writes that go into one commit.
@@ -19,49 +19,49 @@
 const STACK: usize = 512 * 1024;
 
 /// What is to be written, under a number.
-pub type Order = (u64, Vec<Row>);
+pub type WriteRequest = (u64, Vec<Record>);
 
 /// What the loop hears of the disk.
 #[derive(Debug)]
-pub enum Heard {
+pub enum WriterEvent {
     /// What was ordered under this number is on disk. Numbers come in their order.
     Written(u64),
     /// The disk refuses writes, and why. What was ordered waits.
-    Refused(eyre::Report),
+    WritesRejected(eyre::Report),
     /// It takes writes again.
-    Taken,
+    WritesResumed,
     /// It can't be used any more.
     Failed(eyre::Report),
 }
 
 /// What row it is: a later one of the same takes its place.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Place {
+enum RecordKey {
     Own,
     Register(ItemName),
     Chosen(ItemName),
 }
 
-fn place(row: &Row) -> Place {
+fn place(row: &Record) -> RecordKey {
     match row {
-        Row::Own(_) => Place::Own,
-        Row::Register(name, _) => Place::Register(name.clone()),
-        Row::Chosen(_, item) => Place::Chosen(item.name.clone()),
+        Record::Metadata(_) => RecordKey::Own,
+        Record::Register(name, _) => RecordKey::Register(name.clone()),
+        Record::Chosen(_, item) => RecordKey::Chosen(item.name.clone()),
     }
 }
 
 /// A store and what waits for it.
-pub(super) struct Desk {
+pub(super) struct WriteQueue {
     store: Store,
     numbers: Vec<u64>,
     /// Only the newest of each row: a disk that is full for long must not fill the memory.
-    rows: BTreeMap<Place, Row>,
+    rows: BTreeMap<RecordKey, Record>,
     refused: bool,
 }
 
-impl Desk {
-    pub(super) fn new(store: Store) -> Desk {
-        Desk {
+impl WriteQueue {
+    pub(super) fn new(store: Store) -> WriteQueue {
+        WriteQueue {
             store,
             numbers: Vec::new(),
             rows: BTreeMap::new(),
@@ -69,7 +69,7 @@
         }
     }
 
-    pub(super) fn order(&mut self, (number, rows): Order) {
+    pub(super) fn order(&mut self, (number, rows): WriteRequest) {
         self.numbers.push(number);
         self.rows
             .extend(rows.into_iter().map(|row| (place(&row), row)));
@@ -82,21 +82,21 @@
     }
 
     /// Tries to write all that waits, in one commit.
-    pub(super) fn write(&mut self) -> Vec<Heard> {
+    pub(super) fn write(&mut self) -> Vec<WriterEvent> {
         match self.store.commit(self.rows.values()) {
             Ok(()) => {
                 self.rows.clear();
-                let again = std::mem::take(&mut self.refused).then_some(Heard::Taken);
+                let again = std::mem::take(&mut self.refused).then_some(WriterEvent::WritesResumed);
                 again
                     .into_iter()
-                    .chain(self.numbers.drain(..).map(Heard::Written))
+                    .chain(self.numbers.drain(..).map(WriterEvent::Written))
                     .collect()
             }
-            Err(error) if harmed(&error) => vec![Heard::Failed(error)],
+            Err(error) if harmed(&error) => vec![WriterEvent::Failed(error)],
             Err(_) if self.refused => Vec::new(),
             Err(error) => {
                 self.refused = true;
-                vec![Heard::Refused(error)]
+                vec![WriterEvent::WritesRejected(error)]
             }
         }
     }
@@ -107,23 +107,30 @@
 ///
 /// # Errors
 /// No thread can be started.
-pub fn spawn(store: Store, done: calloop::channel::Sender<Heard>) -> eyre::Result<Sender<Order>> {
+pub fn spawn(
+    store: Store,
+    done: calloop::channel::Sender<WriterEvent>,
+) -> eyre::Result<Sender<WriteRequest>> {
     let (orders, queue) = mpsc::channel();
     let thread = thread::Builder::new()
         .name("disk".to_string())
         .stack_size(STACK);
     thread
-        .spawn(move || serve(Desk::new(store), &queue, &done))
+        .spawn(move || serve(WriteQueue::new(store), &queue, &done))
         .wrap_err("disk: starting its thread")?;
     Ok(orders)
 }
 
-fn serve(mut desk: Desk, queue: &Receiver<Order>, done: &calloop::channel::Sender<Heard>) {
+fn serve(
+    mut desk: WriteQueue,
+    queue: &Receiver<WriteRequest>,
+    done: &calloop::channel::Sender<WriterEvent>,
+) {
     loop {
         let mut most = GROUP;
         if desk.refused {
             // What is ordered meanwhile is taken in, and written with the next try.
-            let next = Instant::now() + Duration::from_micros(limits::DISK_AGAIN as u64);
+            let next = Instant::now() + Duration::from_micros(limits::DISK_RETRY_INTERVAL as u64);
             loop {
                 match queue.recv_timeout(next.saturating_duration_since(Instant::now())) {
                     Ok(order) => desk.order(order),
@@ -141,7 +148,7 @@
             .take(most)
             .for_each(|order| desk.order(order));
         for report in desk.write() {
-            let last = matches!(report, Heard::Failed(_));
+            let last = matches!(report, WriterEvent::Failed(_));
             if done.send(report).is_err() || last {
                 return;
             }
--- a/crates/control/src/host/connections.rs
+++ b/crates/control/src/host/connections.rs
@@ -7,13 +7,13 @@
 use calloop::RegistrationToken;
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::shared::{Incoming, RequestHead};
+use crate::dataplane_types::{Incoming, RequestHead};
 
 /// Whose a connection is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
     /// It came at the port of replicas and agents and has said nothing yet.
-    Fresh,
+    Unidentified,
     /// A link with the replica at this address; none while it has not said where that is.
     Replica { peer: Option<SocketAddr> },
     /// An agent's.
--- a/crates/control/src/host/callers.rs
+++ b/crates/control/src/host/http_calls.rs
@@ -7,11 +7,11 @@
 
 use super::Host;
 use super::connections::Role;
-use super::poller::{Come, Poller};
-use crate::calls::{self, Reply};
+use super::platform_poller::{PlatformPoller, PollResult};
 use crate::core::Input;
-use crate::core::peer_messages::Duty;
-use crate::shared::{ConnectionKey, Malformed, Request, write_answer};
+use crate::core::peer_messages::SingletonRole;
+use crate::dataplane_types::{ConnectionKey, Malformed, Request, write_answer};
+use crate::operator_api::{self, Reply};
 use crate::{limits, lookup};
 
 const JSON: [(&str, &str); 1] = [("Content-Type", "application/json")];
@@ -26,7 +26,11 @@
             return;
         }
         let operator = connection.role == Role::Operator;
-        let most = if operator { limits::CALL_BYTES } else { 1_024 };
+        let most = if operator {
+            limits::MAX_CALL_BYTES
+        } else {
+            1_024
+        };
         if let Err(fault) = connection
             .incoming
             .read(&mut connection.input, most, &self.frames)
@@ -84,16 +88,16 @@
         if self.left(key) {
             return self.close(key);
         }
-        let large = request.body.len() > limits::LARGE;
-        match calls::decode(request) {
+        let large = request.body.len() > limits::LARGE_CONTENT_BYTES;
+        match operator_api::parse_command(request) {
             Ok(command) => {
                 let deadline = self.now()
                     + if large {
-                        limits::CALL_LARGE
+                        limits::LARGE_CALL_TIMEOUT
                     } else {
-                        limits::CALL
+                        limits::CALL_TIMEOUT
                     };
-                self.feed(Input::Call(key.data().as_ffi(), command, deadline));
+                self.feed(Input::OperatorCall(key.data().as_ffi(), command, deadline));
             }
             Err(reply) => {
                 let (status, body) = reply.parts();
@@ -109,8 +113,8 @@
                 let region = lookup::region(&request.target).unwrap_or_default();
                 return self.lookup(key, region);
             }
-            (_, "/api/lookup") => Reply::Method,
-            _ => Reply::Unknown(format!("path: {path}")),
+            (_, "/api/lookup") => Reply::MethodNotAllowed,
+            _ => Reply::NotFound(format!("path: {path}")),
         };
         let (status, body) = refusal.parts();
         self.answer(key, status, &body);
@@ -174,8 +178,8 @@
 
     /// A round came to nothing.
     fn poll_failed(&mut self) {
-        if self.poller.as_mut().is_some_and(Poller::give_up) {
-            self.feed(Input::Unable(Duty::Poll));
+        if self.poller.as_mut().is_some_and(PlatformPoller::give_up) {
+            self.feed(Input::RoleFailed(SingletonRole::PlatformPoller));
         }
     }
 
@@ -197,8 +201,8 @@
                     poller.connection = None;
                     self.close(key);
                 }
-                if let Come::List(servers) = come {
-                    self.feed(Input::Listed(servers));
+                if let PollResult::Complete(servers) = come {
+                    self.feed(Input::ServerListRead(servers));
                 }
             }
             Err(error) => {
@@ -221,7 +225,7 @@
             return;
         };
         poller.connection = None;
-        if poller.waits() && now - since > limits::POLL / 2 {
+        if poller.waits() && now - since > limits::POLL_INTERVAL / 2 {
             poller.at_once(now);
         } else if poller.waits() {
             self.poll_failed();
--- a/crates/control/src/host/mod.rs
+++ b/crates/control/src/host/mod.rs
@@ -1,11 +1,11 @@
 //! The event loop around the core: one thread, one calloop loop. What a dispatch brought is taken in first; then what is
 //! due has its turn; then all that is to be written goes out.
 
-mod callers;
 mod connections;
-mod links;
-mod lookups;
-mod poller;
+mod http_calls;
+mod peer_links;
+mod pending_lookups;
+mod platform_poller;
 mod stall;
 
 use std::collections::BTreeMap;
@@ -27,18 +27,18 @@
 use slotmap::{Key, KeyData};
 
 use self::connections::{Connection, Role};
-use self::lookups::Lookups;
-use self::poller::Poller;
-use self::stall::Stall;
-use crate::core::peer_messages::{PeerMessage, Said};
-use crate::core::transfer::Bounds;
-use crate::core::{Core, Input, Output, Setup};
-use crate::disk::{self, Heard, Order, Store};
+use self::pending_lookups::PendingLookups;
+use self::platform_poller::PlatformPoller;
+use self::stall::StallDetector;
+use crate::core::peer_messages::{Frame, PeerMessage};
+use crate::core::transfer::TransferLimits;
+use crate::core::{Core, Input, Output, ReplicaConfig};
+use crate::dataplane_types::{ConnectionKey, FrameLimits, SlotMap};
+use crate::disk::{self, Store, WriteRequest, WriterEvent};
 use crate::limits;
-use crate::shared::{ConnectionKey, FrameLimits, SlotMap};
 
 /// What the settings must tell this program.
-struct Places {
+struct ListenAddresses {
     core: SocketAddr,
     operators: SocketAddr,
     clients: SocketAddr,
@@ -53,12 +53,12 @@
     places(settings).map(|_| ())
 }
 
-fn places(settings: &Settings) -> eyre::Result<Places> {
+fn places(settings: &Settings) -> eyre::Result<ListenAddresses> {
     let want = |key: &str| eyre!("settings: {key}: missing, and wanted on a machine of the core");
-    if settings.zones.len() > limits::SEATS {
+    if settings.zones.len() > limits::MAX_REPLICAS {
         return Err(eyre!("settings: zones: more than 128 replicas"));
     }
-    Ok(Places {
+    Ok(ListenAddresses {
         core: settings.core_address(settings.ip),
         operators: settings.bind.ctl.ok_or_else(|| want("bind.ctl"))?,
         clients: settings.bind.dir.ok_or_else(|| want("bind.dir"))?,
@@ -75,7 +75,7 @@
     address: SocketAddr,
     ttl: i64,
     frames: FrameLimits,
-    orders: Sender<Order>,
+    orders: Sender<WriteRequest>,
     connections: SlotMap<ConnectionKey, Connection>,
     callers: usize,
     dirty: Vec<ConnectionKey>,
@@ -85,9 +85,9 @@
     /// The link with each peer, and since when one without is missed.
     links: BTreeMap<SocketAddr, ConnectionKey>,
     missed: BTreeMap<SocketAddr, i64>,
-    poller: Option<Poller>,
-    lookups: Lookups,
-    stall: Stall,
+    poller: Option<PlatformPoller>,
+    lookups: PendingLookups,
+    stall: StallDetector,
     next_upkeep: i64,
     /// Told to end then.
     stopped: Option<i64>,
@@ -117,14 +117,14 @@
     let (done, written) = channel::channel();
     let orders = disk::spawn(opened.store, done)?;
     let start = Instant::now();
-    let setup = Setup {
+    let setup = ReplicaConfig {
         zones: settings.zones.keys().cloned().collect(),
         zone: settings.zone.clone(),
         address: Some(places.core),
         seeds: settings.seed_addresses(),
         seed: seed(settings),
         restored: opened.restored,
-        bounds: Bounds::default(),
+        bounds: TransferLimits::default(),
     };
     let core = Core::new(0, setup);
     info!(log, "starts"; "incarnation" => core.incarnation().number, "address" => places.core.to_string());
@@ -135,19 +135,19 @@
         peers: core.peers(),
         core,
         address: places.core,
-        ttl: limits::TTL.min(settings.bounds.ttl_max.0),
+        ttl: limits::LOOKUP_TTL.min(settings.bounds.ttl_max.0),
         frames: FrameLimits::default(),
         orders,
         connections: SlotMap::with_key(),
         callers: 0,
         dirty: Vec::new(),
-        scratch: vec![0; limits::READ],
+        scratch: vec![0; limits::READ_BYTES],
         out: Vec::new(),
         links: BTreeMap::new(),
         missed: BTreeMap::new(),
-        poller: settings.cloud_api.as_ref().map(Poller::new),
-        lookups: Lookups::default(),
-        stall: Stall::default(),
+        poller: settings.cloud_api.as_ref().map(PlatformPoller::new),
+        lookups: PendingLookups::default(),
+        stall: StallDetector::default(),
         next_upkeep: 0,
         stopped: None,
         grace: settings
@@ -169,20 +169,20 @@
         .insert_source(signals, signalled)
         .map_err(|e| e.error)
         .wrap_err("signals")?;
-    let reported = |event: Event<Heard>, _: &mut _, host: &mut Host| match event {
-        Event::Msg(Heard::Written(number)) => {
+    let reported = |event: Event<WriterEvent>, _: &mut _, host: &mut Host| match event {
+        Event::Msg(WriterEvent::Written(number)) => {
             host.look_for_stall();
             host.feed(Input::Written(number));
         }
-        Event::Msg(Heard::Refused(why)) => {
+        Event::Msg(WriterEvent::WritesRejected(why)) => {
             error!(host.log, "the disk refuses writes, and is tried again"; "why" => format!("{why:#}"));
-            host.feed(Input::Full(true));
+            host.feed(Input::DiskFull(true));
         }
-        Event::Msg(Heard::Taken) => {
+        Event::Msg(WriterEvent::WritesResumed) => {
             info!(host.log, #IMMEDIATE, "the disk takes writes again");
-            host.feed(Input::Full(false));
+            host.feed(Input::DiskFull(false));
         }
-        Event::Msg(Heard::Failed(error)) => host.failed = Some(error),
+        Event::Msg(WriterEvent::Failed(error)) => host.failed = Some(error),
         Event::Closed => {}
     };
     handle
@@ -190,7 +190,7 @@
         .map_err(|e| e.error)
         .wrap_err("disk: its reports")?;
     for (address, role) in [
-        (places.core, Role::Fresh),
+        (places.core, Role::Unidentified),
         (places.operators, Role::Operator),
         (places.clients, Role::Client),
     ] {
@@ -232,7 +232,7 @@
 
     fn next(&self) -> i64 {
         let poller = self.poller.as_ref().filter(|_| self.core.polls(self.now()));
-        let poller = poller.map_or(i64::MAX, Poller::wake);
+        let poller = poller.map_or(i64::MAX, PlatformPoller::wake);
         self.core
             .next()
             .min(self.next_upkeep)
@@ -244,7 +244,7 @@
         if self.stopped.is_none() {
             self.stopped = Some(self.now());
             info!(self.log, "told to end");
-            self.feed(Input::Stop);
+            self.feed(Input::Shutdown);
         }
     }
 
@@ -268,7 +268,7 @@
         let owed =
             |connection: &Connection| connection.up && connection.backlog() > 0 || connection.waits;
         let idle = self.core.idle() && !self.connections.values().any(owed);
-        let answered = since >= limits::STOP || (idle && since >= STAY);
+        let answered = since >= limits::SHUTDOWN_CALL_TIMEOUT || (idle && since >= STAY);
         self.failed.is_some() || since >= self.grace || (answered && self.core.handed_over())
     }
 
@@ -290,7 +290,7 @@
         self.look_for_stall();
         loop {
             let stream = match listener.accept() {
-                Ok(_) if role == Role::Fresh && self.stall.lasts() => continue,
+                Ok(_) if role == Role::Unidentified && self.stall.lasts() => continue,
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 // Also where there are no descriptors left: the listener tells of it again.
@@ -298,7 +298,7 @@
             };
             let caller = matches!(role, Role::Operator | Role::Client);
             // Guards the descriptors: those of replicas and agents are kept free.
-            if caller && self.callers >= limits::CALLERS {
+            if caller && self.callers >= limits::MAX_CALLERS {
                 continue;
             }
             let ready = stream
@@ -357,9 +357,9 @@
             self.handle.remove(token);
         }
         match connection.role {
-            Role::Fresh => {}
+            Role::Unidentified => {}
             Role::Replica { peer } => self.link_lost(key, peer),
-            Role::Agent => self.feed(Input::AgentGone(key.data().as_ffi())),
+            Role::Agent => self.feed(Input::AgentDisconnected(key.data().as_ffi())),
             Role::Operator | Role::Client => self.callers -= 1,
             Role::Platform => self.platform_lost(key, connection.since),
         }
@@ -396,14 +396,14 @@
                 return;
             };
             // What follows waits until the request before it is answered.
-            connection.unread = connection.waits && connection.input.len() >= limits::READ;
+            connection.unread = connection.waits && connection.input.len() >= limits::READ_BYTES;
             if connection.unread {
                 return;
             }
             // Danger: a call whose caller is gone may be of long ago, and was sent again to others since. It is looked at only
             // once all that came with it was read, so that an end that came with it is seen first.
             let caller = matches!(connection.role, Role::Operator | Role::Client);
-            let later = caller && connection.input.len() < limits::CALLER_READ;
+            let later = caller && connection.input.len() < limits::CALLER_READ_BYTES;
             match (&*connection.stream).read(&mut self.scratch) {
                 Ok(0) => return self.close(key),
                 Ok(length) => {
@@ -426,7 +426,7 @@
     /// Looks at what has come.
     fn look(&mut self, key: ConnectionKey) {
         match self.connections.get(key).map(|connection| connection.role) {
-            Some(Role::Fresh) => self.who_is_it(key),
+            Some(Role::Unidentified) => self.who_is_it(key),
             Some(Role::Replica { .. }) => self.read_replica(key),
             Some(Role::Agent) => self.read_agent(key),
             Some(Role::Operator | Role::Client) => self.read_call(key),
@@ -442,7 +442,7 @@
             return;
         };
         // Guards the memory against a peer that does not read.
-        if connection.backlog() + bytes.len() > limits::BACKLOG {
+        if connection.backlog() + bytes.len() > limits::MAX_BACKLOG_BYTES {
             return self.close(key);
         }
         connection.output.extend_from_slice(bytes);
@@ -483,7 +483,7 @@
         self.core.take(now, input, &mut out);
         for output in out.drain(..) {
             match output {
-                Output::Send(to, peer_message) => self.send(&to, peer_message),
+                Output::SendToReplicas(to, peer_message) => self.send(&to, peer_message),
                 Output::Peers(peers) => {
                     self.peers = peers;
                     self.next_upkeep = now;
@@ -495,15 +495,15 @@
                     let (status, body) = reply.parts();
                     self.answer(key, status, &body);
                 }
-                Output::Tell(links, down) => {
+                Output::SendToAgents(links, down) => {
                     let mut bytes = Vec::new();
                     frames::encode(&mut bytes, &down);
                     for link in links {
                         self.write(ConnectionKey::from(KeyData::from_ffi(link)), &bytes);
                     }
                 }
-                Output::Note(text) => info!(self.log, "{}", text),
-                Output::Notice(text) => info!(self.log, #IMMEDIATE, "{}", text),
+                Output::Log(text) => info!(self.log, "{}", text),
+                Output::LogImmediately(text) => info!(self.log, #IMMEDIATE, "{}", text),
             }
         }
         self.out = out;
@@ -518,7 +518,7 @@
             return;
         }
         let mut bytes = Vec::new();
-        frames::encode(&mut bytes, &Said::PeerMessage(peer_message));
+        frames::encode(&mut bytes, &Frame::PeerMessage(peer_message));
         for link in links {
             self.write(link, &bytes);
         }
@@ -549,10 +549,12 @@
         let gone = |connection: &Connection| {
             let silent = now - connection.heard;
             match connection.role {
-                _ if !connection.up => now - connection.since >= limits::CONNECT,
-                Role::Replica { .. } => silent >= limits::SILENT,
-                Role::Fresh | Role::Agent => silent >= limits::AGENT_SILENT,
-                Role::Operator | Role::Client => silent >= limits::CALLER && !connection.waits,
+                _ if !connection.up => now - connection.since >= limits::CONNECT_TIMEOUT,
+                Role::Replica { .. } => silent >= limits::PEER_LINK_TIMEOUT,
+                Role::Unidentified | Role::Agent => silent >= limits::AGENT_LINK_TIMEOUT,
+                Role::Operator | Role::Client => {
+                    silent >= limits::CALLER_IDLE_TIMEOUT && !connection.waits
+                }
                 Role::Platform => false,
             }
         };
--- a/crates/control/src/host/links.rs
+++ b/crates/control/src/host/peer_links.rs
@@ -11,9 +11,9 @@
 use super::Host;
 use super::connections::Role;
 use crate::core::Input;
-use crate::core::peer_messages::Said;
+use crate::core::peer_messages::Frame;
+use crate::dataplane_types::ConnectionKey;
 use crate::limits;
-use crate::shared::ConnectionKey;
 
 /// A replica's link begins with these bytes: no message of an agent has such a length.
 const SEAT: [u8; 4] = [255; 4];
@@ -48,7 +48,7 @@
         connection.heard = now;
         if let Role::Replica { peer: Some(peer) } = connection.role {
             let mut bytes = SEAT.to_vec();
-            frames::encode(&mut bytes, &Said::Here(self.address));
+            frames::encode(&mut bytes, &Frame::SenderAddress(self.address));
             self.write(key, &bytes);
             self.linked(key, peer);
         }
@@ -57,7 +57,7 @@
     fn linked(&mut self, key: ConnectionKey, peer: SocketAddr) {
         self.links.insert(peer, key);
         self.missed.remove(&peer);
-        self.feed(Input::LinkUp(peer));
+        self.feed(Input::PeerConnected(peer));
     }
 
     pub(super) fn read_replica(&mut self, key: ConnectionKey) {
@@ -65,7 +65,7 @@
             let Some(connection) = self.connections.get_mut(key) else {
                 return;
             };
-            let said = match frames::decode::<Said>(&mut connection.input) {
+            let said = match frames::decode::<Frame>(&mut connection.input) {
                 Ok(Some(said)) => said,
                 Ok(None) => return,
                 Err(error) => {
@@ -75,21 +75,21 @@
                 }
             };
             match (said, connection.role) {
-                (Said::Quiet, _) => {}
-                (Said::Here(address), Role::Replica { peer: None }) => {
+                (Frame::KeepAlive, _) => {}
+                (Frame::SenderAddress(address), Role::Replica { peer: None }) => {
                     connection.role = Role::Replica {
                         peer: Some(address),
                     };
                     let mut bytes = Vec::new();
-                    frames::encode(&mut bytes, &Said::Here(self.address));
+                    frames::encode(&mut bytes, &Frame::SenderAddress(self.address));
                     self.write(key, &bytes);
                     self.linked(key, address);
                 }
-                (Said::Here(_), _) => {}
-                (Said::PeerMessage(peer_message), Role::Replica { peer: Some(peer) }) => {
+                (Frame::SenderAddress(_), _) => {}
+                (Frame::PeerMessage(peer_message), Role::Replica { peer: Some(peer) }) => {
                     self.feed(Input::PeerMessage(peer, peer_message));
                 }
-                (Said::PeerMessage(_), _) => return self.close(key),
+                (Frame::PeerMessage(_), _) => return self.close(key),
             }
         }
     }
@@ -126,7 +126,7 @@
             None => {
                 self.links.remove(&peer);
                 let now = self.now();
-                self.missed.insert(peer, now + limits::REDIAL);
+                self.missed.insert(peer, now + limits::RECONNECT_DELAY);
             }
         }
     }
@@ -147,12 +147,12 @@
             let used = self.links.get(&peer) == Some(&key);
             if !used && self.address < peer && now - connection.since >= SECOND_LINK {
                 second.push(key);
-            } else if now - connection.said >= limits::BEAT - 100_000 {
+            } else if now - connection.said >= limits::HEARTBEAT_INTERVAL - 100_000 {
                 quiet.push(key);
             }
         }
         let mut bytes = Vec::new();
-        frames::encode(&mut bytes, &Said::Quiet);
+        frames::encode(&mut bytes, &Frame::KeepAlive);
         quiet.into_iter().for_each(|key| self.write(key, &bytes));
         second.into_iter().for_each(|key| self.close(key));
         for peer in self.peers.clone() {
@@ -160,13 +160,13 @@
                 continue;
             }
             let later = if self.address > peer {
-                limits::REDIAL_SECOND
+                limits::RECONNECT_STAGGER
             } else {
                 0
             };
             let since = *self.missed.entry(peer).or_insert(now);
             if now >= since + later {
-                self.missed.insert(peer, now + limits::REDIAL);
+                self.missed.insert(peer, now + limits::RECONNECT_DELAY);
                 self.connect(peer, Role::Replica { peer: Some(peer) });
             }
         }
--- a/crates/control/src/host/lookups.rs
+++ b/crates/control/src/host/pending_lookups.rs
@@ -2,15 +2,15 @@
 //! one can be expected: this replica is in touch, or has just started.
 
 use super::Host;
-use crate::calls::Reply;
-use crate::shared::ConnectionKey;
+use crate::dataplane_types::ConnectionKey;
+use crate::operator_api::Reply;
 use crate::{limits, lookup};
 
 /// Clients that wait for the first edge: the region that each asked for, and until when it waits.
 #[derive(Debug, Default)]
-pub(super) struct Lookups(Vec<(ConnectionKey, String, i64)>);
+pub(super) struct PendingLookups(Vec<(ConnectionKey, String, i64)>);
 
-impl Lookups {
+impl PendingLookups {
     /// The first of them waits until then.
     pub(super) fn wake(&self) -> i64 {
         self.0
@@ -25,9 +25,9 @@
     /// Answers a client, or keeps it waiting for the first edge.
     pub(super) fn lookup(&mut self, key: ConnectionKey, region: String) {
         let now = self.now();
-        let expects = self.core.in_touch(now) || now < limits::LOOKUP_START;
+        let expects = self.core.in_touch(now) || now < limits::STARTUP_LOOKUP_WAIT;
         let until = if expects && self.stopped.is_none() {
-            now + limits::LOOKUP
+            now + limits::LOOKUP_WAIT
         } else {
             now
         };
--- a/crates/control/src/host/poller.rs
+++ b/crates/control/src/host/platform_poller.rs
@@ -6,15 +6,15 @@
 use protocol::platform::{self, Server};
 use protocol::settings::CloudApi;
 
+use crate::dataplane_types::{ConnectionKey, FrameLimits, framed_answer};
 use crate::limits;
-use crate::shared::{ConnectionKey, FrameLimits, framed_answer};
 
 /// After so many rounds in a row that came to nothing, another replica may do better.
 const FAILURES: u32 = 3;
 
 /// A round that is under way.
 #[derive(Debug)]
-struct Round {
+struct PollRound {
     servers: Vec<Server>,
     /// The page that is asked for, or is to be.
     page: Option<String>,
@@ -24,7 +24,7 @@
 
 /// The poller, whether it has the duty or not.
 #[derive(Debug)]
-pub(super) struct Poller {
+pub(super) struct PlatformPoller {
     pub(super) address: SocketAddr,
     /// Between two calls.
     gap: i64,
@@ -32,32 +32,32 @@
     next: i64,
     free: i64,
     pub(super) connection: Option<ConnectionKey>,
-    round: Option<Round>,
+    round: Option<PollRound>,
     failed: u32,
     limits: FrameLimits,
 }
 
 /// What came of an answer.
-pub(super) enum Come {
+pub(super) enum PollResult {
     /// It is not whole yet.
-    Part,
+    Incomplete,
     /// More pages follow.
-    Page,
+    MorePages,
     /// The list.
-    List(Vec<Server>),
+    Complete(Vec<Server>),
 }
 
-impl Poller {
-    pub(super) fn new(settings: &CloudApi) -> Poller {
+impl PlatformPoller {
+    pub(super) fn new(settings: &CloudApi) -> PlatformPoller {
         // Some calls are left for who had the duty before, and for a clock that runs a little off.
         let rate = (settings.per_s * 0.8).max(0.5);
         let limits = FrameLimits {
-            body_bytes: limits::PAGE_BYTES,
+            body_bytes: limits::MAX_PAGE_BYTES,
             ..FrameLimits::default()
         };
         let gap = (1e6 / rate) as i64;
         let (connection, round) = (None, None);
-        Poller {
+        PlatformPoller {
             address: settings.addr,
             gap,
             next: 0,
@@ -73,7 +73,7 @@
     pub(super) fn wake(&self) -> i64 {
         match &self.round {
             None => self.next.max(self.free),
-            Some(Round {
+            Some(PollRound {
                 deadline: Some(deadline),
                 ..
             }) => *deadline,
@@ -84,8 +84,8 @@
     /// The request that is due, if one is.
     pub(super) fn due(&mut self, now: i64) -> Option<String> {
         if self.round.is_none() && now >= self.next {
-            self.next = now + limits::POLL;
-            self.round = Some(Round {
+            self.next = now + limits::POLL_INTERVAL;
+            self.round = Some(PollRound {
                 servers: Vec::new(),
                 page: None,
                 deadline: None,
@@ -96,7 +96,7 @@
             .as_mut()
             .filter(|round| round.deadline.is_none() && now >= self.free)?;
         self.free = now + self.gap;
-        round.deadline = Some(now + limits::PAGE);
+        round.deadline = Some(now + limits::PAGE_TIMEOUT);
         let query = round.page.as_deref().map(|page| {
             let page: String = form_urlencoded::byte_serialize(page.as_bytes()).collect();
             format!("?pagetok={page}")
@@ -150,10 +150,10 @@
     ///
     /// # Errors
     /// It is no page; nothing of the round counts.
-    pub(super) fn read(&mut self, input: &mut Vec<u8>) -> eyre::Result<(Come, bool)> {
+    pub(super) fn read(&mut self, input: &mut Vec<u8>) -> eyre::Result<(PollResult, bool)> {
         let step = || format!("list of servers from {}", self.address);
         let Some((answer, length)) = framed_answer(input, &self.limits).wrap_err_with(step)? else {
-            return Ok((Come::Part, true));
+            return Ok((PollResult::Incomplete, true));
         };
         input.drain(..length);
         // Danger: nothing but its place tells which question an answer is for. What stands behind it is a second answer to
@@ -170,15 +170,15 @@
         match page.next.filter(|next| !next.is_empty()) {
             None => {
                 self.failed = 0;
-                Ok((Come::List(round.servers), kept))
+                Ok((PollResult::Complete(round.servers), kept))
             }
             Some(next) => {
-                self.round = Some(Round {
+                self.round = Some(PollRound {
                     servers: round.servers,
                     page: Some(next),
                     deadline: None,
                 });
-                Ok((Come::Page, kept))
+                Ok((PollResult::MorePages, kept))
             }
         }
     }
@@ -206,11 +206,11 @@
             per_s: 50.0,
             max_lag: Default::default(),
         };
-        let mut poller = Poller::new(&settings);
+        let mut poller = PlatformPoller::new(&settings);
         assert!(poller.due(0).unwrap().starts_with("GET /insts HTTP"));
         assert!(matches!(
             poller.read(&mut page(r#""p/1""#)).unwrap().0,
-            Come::Page
+            PollResult::MorePages
         ));
         assert!(poller.due(1_000).is_none());
         assert!(
@@ -220,7 +220,7 @@
                 .starts_with("GET /insts?pagetok=p%2F1 HTTP")
         );
         match poller.read(&mut page("null")).unwrap().0 {
-            Come::List(servers) => assert_eq!(servers.len(), 2),
+            PollResult::Complete(servers) => assert_eq!(servers.len(), 2),
             _ => panic!("no list"),
         }
         // Over the rate: nothing of the round counts, and the next one comes at its time.
@@ -243,12 +243,12 @@
             max_lag: Default::default(),
         };
         for cut in 0..=page("null").len() {
-            let mut poller = Poller::new(&settings);
+            let mut poller = PlatformPoller::new(&settings);
             assert!(poller.due(0).is_some());
             let mut input = [page(r#""p/1""#), page("null")[..cut].to_vec()].concat();
             let (come, kept) = poller.read(&mut input).unwrap();
             assert!(
-                matches!(come, Come::Page) && kept == (cut == 0),
+                matches!(come, PollResult::MorePages) && kept == (cut == 0),
                 "{cut} bytes behind it"
             );
         }
--- a/crates/control/src/host/stall.rs
+++ b/crates/control/src/host/stall.rs
@@ -7,17 +7,17 @@
 
 use super::Host;
 use super::connections::Role;
+use crate::dataplane_types::ConnectionKey;
 use crate::limits;
-use crate::shared::ConnectionKey;
 
 /// When the loop last turned, and for how many turns what is found may be old.
 #[derive(Debug, Default)]
-pub(super) struct Stall {
+pub(super) struct StallDetector {
     turned: i64,
     turns: u32,
 }
 
-impl Stall {
+impl StallDetector {
     /// The loop has turned.
     pub(super) fn turned(&mut self, now: i64) {
         self.turned = now;
@@ -32,10 +32,10 @@
     /// Gives for how long the process stood still, once.
     fn stood(&mut self, now: i64) -> Option<i64> {
         let stood = now - self.turned;
-        if stood < limits::STOOD {
+        if stood < limits::STALL_THRESHOLD {
             return None;
         }
-        (self.turned, self.turns) = (now, limits::STOOD_TURNS);
+        (self.turned, self.turns) = (now, limits::STALL_ITERATIONS);
         Some(stood)
     }
 }
@@ -51,7 +51,7 @@
             .connections
             .iter()
             .filter(|(_, connection)| match connection.role {
-                Role::Fresh | Role::Replica { .. } | Role::Agent | Role::Platform => true,
+                Role::Unidentified | Role::Replica { .. } | Role::Agent | Role::Platform => true,
                 // These end by themselves, where the caller is gone.
                 Role::Operator | Role::Client => false,
             });
@@ -68,18 +68,18 @@
 
     #[test]
     fn a_loop_that_turns_never_stood_still_and_one_that_did_says_so_once() {
-        let mut stall = Stall::default();
+        let mut stall = StallDetector::default();
         for turn in 1..100 {
             assert_eq!(stall.stood(turn * 200_000), None);
             stall.turned(turn * 200_000);
         }
         assert!(!stall.lasts());
-        let now = 99 * 200_000 + limits::STOOD;
+        let now = 99 * 200_000 + limits::STALL_THRESHOLD;
         assert_eq!(
             (stall.stood(now), stall.stood(now + 1)),
-            (Some(limits::STOOD), None)
+            (Some(limits::STALL_THRESHOLD), None)
         );
-        (0..limits::STOOD_TURNS).for_each(|_| {
+        (0..limits::STALL_ITERATIONS).for_each(|_| {
             assert!(stall.lasts());
             stall.turned(now + 2);
         });
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -5,10 +5,10 @@
 //! out. [`lookup`] answers where clients go, [`calls`] decodes what operators ask, [`disk`] owns the database, and
 //! [`host`] is the event loop around them.
 
-pub mod calls;
 pub mod core;
+mod dataplane_types;
 pub mod disk;
 pub mod host;
 pub mod limits;
 pub mod lookup;
-mod shared;
+pub mod operator_api;
--- a/crates/control/src/lookup.rs
+++ b/crates/control/src/lookup.rs
@@ -6,14 +6,14 @@
 use protocol::messages::NodeState;
 use serde_json::json;
 
-use crate::core::peer_messages::Told;
+use crate::core::peer_messages::Member;
 use crate::limits;
 
 /// Fewer than this in the region asked for, and the others are named too.
 const FEW: usize = 2;
 
 /// The addresses for a client of a region, best first; none where no edge is ready.
-pub fn addresses(members: &[&Told], region: &str) -> Vec<SocketAddr> {
+pub fn addresses(members: &[&Member], region: &str) -> Vec<SocketAddr> {
     let ready = || {
         members
             .iter()
@@ -28,7 +28,7 @@
                 .map(|told| told.edge.http),
         );
     }
-    found.truncate(limits::ADDRESSES);
+    found.truncate(limits::MAX_LOOKUP_ADDRESSES);
     found
 }
 
@@ -57,7 +57,7 @@
 
     /// Edges as text: region, then r(eady), l(eaving) or a(way); the number is its place.
     fn lookup(edges: &str, asked: &str) -> String {
-        let one = |(at, text): (usize, &str)| Told {
+        let one = |(at, text): (usize, &str)| Member {
             edge: NodeInfo {
                 name: format!("edge-{at}"),
                 zone: format!("{}1", &text[..1]),
@@ -71,7 +71,7 @@
             },
             linked: true,
         };
-        let members: Vec<Told> = edges.split(' ').enumerate().map(one).collect();
+        let members: Vec<Member> = edges.split(' ').enumerate().map(one).collect();
         let found = addresses(&members.iter().collect::<Vec<_>>(), asked);
         found
             .iter()
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/operator_api.rs
@@ -2,23 +2,23 @@
 
 use serde_json::json;
 
-use crate::shared::Request;
+use crate::dataplane_types::Request;
 
 /// A call of the operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Changes items: the body, as it came.
-    Patch(Vec<u8>),
+    ApplyPatch(Vec<u8>),
     /// Reads all items.
-    Get,
+    GetConfiguration,
     /// Reads how this replica sees the system.
-    Status,
+    GetStatus,
     /// Begins or ends the evacuation of a zone.
-    Drain {
+    SetEvacuation {
         /// The zone.
         zone: String,
         /// It begins.
-        on: bool,
+        evacuate: bool,
     },
 }
 
@@ -36,11 +36,11 @@
     /// Something else stands at this version or a higher one.
     Conflict,
     /// Nothing of this name.
-    Unknown(String),
+    NotFound(String),
     /// Not here, or not now. It may still come into force.
     Unavailable(&'static str),
     /// This way of asking is not known.
-    Method,
+    MethodNotAllowed,
 }
 
 impl Reply {
@@ -56,9 +56,9 @@
                 409,
                 "ver: another change stands at this version or a higher one",
             ),
-            Reply::Unknown(text) => error(404, &text),
+            Reply::NotFound(text) => error(404, &text),
             Reply::Unavailable(text) => error(503, text),
-            Reply::Method => error(405, "method"),
+            Reply::MethodNotAllowed => error(405, "method"),
         }
     }
 }
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// The reply to what is none.
-pub fn decode(request: Request) -> Result<Command, Reply> {
+pub fn parse_command(request: Request) -> Result<Command, Reply> {
     let path = request.target.split('?').next().unwrap_or_default();
     let mut parts = path.split('/').skip(1);
     let command = match (
@@ -78,30 +78,30 @@
         parts.next(),
     ) {
         (Some("api"), Some("cfg"), Some("patch"), None, None) => {
-            ("POST", Command::Patch(request.body))
+            ("POST", Command::ApplyPatch(request.body))
         }
-        (Some("api"), Some("cfg"), Some("get"), None, None) => ("GET", Command::Get),
-        (Some("api"), Some("status"), None, None, None) => ("GET", Command::Status),
+        (Some("api"), Some("cfg"), Some("get"), None, None) => ("GET", Command::GetConfiguration),
+        (Some("api"), Some("status"), None, None, None) => ("GET", Command::GetStatus),
         (Some("api"), Some("drain"), Some(zone), Some(word @ ("begin" | "finish")), None) => (
             "POST",
-            Command::Drain {
+            Command::SetEvacuation {
                 zone: zone.to_string(),
-                on: word == "begin",
+                evacuate: word == "begin",
             },
         ),
-        _ => return Err(Reply::Unknown(format!("path: {path}"))),
+        _ => return Err(Reply::NotFound(format!("path: {path}"))),
     };
     if request.method == command.0 {
         Ok(command.1)
     } else {
-        Err(Reply::Method)
+        Err(Reply::MethodNotAllowed)
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::shared::{FrameLimits, Incoming, RequestHead};
+    use crate::dataplane_types::{FrameLimits, Incoming, RequestHead};
     use test_case::test_case;
 
     fn read(method: &str, target: &str) -> Result<Command, Reply> {
@@ -112,17 +112,17 @@
             .read(&mut input, 100, &FrameLimits::default())
             .unwrap();
         let (head, _, body) = incoming.into_parts().unwrap();
-        decode(Request::new(head, body))
+        parse_command(Request::new(head, body))
     }
 
-    #[test_case("POST", "/api/cfg/patch", Ok(Command::Patch(b"{}".to_vec())); "a change")]
-    #[test_case("GET", "/api/cfg/get?x=1", Ok(Command::Get); "a reading")]
-    #[test_case("GET", "/api/status", Ok(Command::Status); "a look")]
-    #[test_case("POST", "/api/drain/a/begin", Ok(Command::Drain { zone: "a".into(), on: true }); "an evacuation")]
-    #[test_case("POST", "/api/drain/a/finish", Ok(Command::Drain { zone: "a".into(), on: false }); "its end")]
-    #[test_case("GET", "/api/drain/a/finish", Err(Reply::Method); "another method")]
-    #[test_case("POST", "/api/drain/a/stop", Err(Reply::Unknown("path: /api/drain/a/stop".into())); "another word")]
-    #[test_case("POST", "/api/cfg/patch/x", Err(Reply::Unknown("path: /api/cfg/patch/x".into())); "a longer path")]
+    #[test_case("POST", "/api/cfg/patch", Ok(Command::ApplyPatch(b"{}".to_vec())); "a change")]
+    #[test_case("GET", "/api/cfg/get?x=1", Ok(Command::GetConfiguration); "a reading")]
+    #[test_case("GET", "/api/status", Ok(Command::GetStatus); "a look")]
+    #[test_case("POST", "/api/drain/a/begin", Ok(Command::SetEvacuation { zone: "a".into(), evacuate: true }); "an evacuation")]
+    #[test_case("POST", "/api/drain/a/finish", Ok(Command::SetEvacuation { zone: "a".into(), evacuate: false }); "its end")]
+    #[test_case("GET", "/api/drain/a/finish", Err(Reply::MethodNotAllowed); "another method")]
+    #[test_case("POST", "/api/drain/a/stop", Err(Reply::NotFound("path: /api/drain/a/stop".into())); "another word")]
+    #[test_case("POST", "/api/cfg/patch/x", Err(Reply::NotFound("path: /api/cfg/patch/x".into())); "a longer path")]
     fn a_call_is_a_command_or_a_refusal(method: &str, target: &str, is: Result<Command, Reply>) {
         assert_eq!(read(method, target), is);
     }
--- a/crates/control/tests/answers.rs
+++ b/crates/control/tests/answers.rs
@@ -2,12 +2,12 @@
 
 use std::net::SocketAddr;
 
-use control::calls::Command;
 use control::core::peer_messages::{
-    Beat, Body, Duty, Incarnation, PeerMessage, QuestionId, Speaker, Term,
+    Heartbeat, Incarnation, Payload, PeerMessage, ProcessId, RequestId, SingletonRole, Term,
 };
-use control::core::transfer::{Bounds, Piece, Then};
-use control::core::{Core, Input, Output, Own, Restored, Setup};
+use control::core::transfer::{Chunk, Continuation, TransferLimits};
+use control::core::{Core, Input, Output, RecoveredState, ReplicaConfig, ReplicaMetadata};
+use control::operator_api::Command;
 
 const MS: i64 = 1_000;
 /// What a process shows that counts from its start.
@@ -15,8 +15,8 @@
 /// The run of the process that asks; the one before it has ended.
 const RUN: u32 = 2;
 
-fn speaker(replica: u8, run: u32) -> Speaker {
-    Speaker {
+fn speaker(replica: u8, run: u32) -> ProcessId {
+    ProcessId {
         replica,
         incarnation: Incarnation::FIRST,
         run,
@@ -36,23 +36,23 @@
 
 impl Asker {
     fn new() -> Asker {
-        let own = Own {
+        let own = ReplicaMetadata {
             incarnation: Incarnation::FIRST,
             run: RUN,
             incarnations: vec![Incarnation::FIRST; 3],
             addresses: (0..3).map(|replica| Some(address(replica))).collect(),
-            ..Own::default()
+            ..ReplicaMetadata::default()
         };
-        let setup = Setup {
+        let setup = ReplicaConfig {
             zones: ["a", "b", "c"].map(String::from).to_vec(),
             zone: "a".to_string(),
             address: Some(address(0)),
             seeds: Vec::new(),
             seed: 1,
-            bounds: Bounds::default(),
-            restored: Restored {
+            bounds: TransferLimits::default(),
+            restored: RecoveredState {
                 own,
-                ..Restored::default()
+                ..RecoveredState::default()
             },
         };
         Asker {
@@ -66,7 +66,7 @@
         self.core.take(self.now, input, &mut self.out);
     }
 
-    fn heard(&mut self, replica: u8, body: Body) {
+    fn heard(&mut self, replica: u8, body: Payload) {
         let incarnations = vec![Incarnation::FIRST; 3];
         let message = PeerMessage {
             by: speaker(replica, 1),
@@ -81,17 +81,17 @@
         for replica in [1, 2] {
             self.heard(
                 replica,
-                Body::Beat(Beat {
+                Payload::Heartbeat(Heartbeat {
                     hears: 0b111,
-                    ..Beat::default()
+                    ..Heartbeat::default()
                 }),
             );
         }
     }
 
-    fn sent(&self) -> impl Iterator<Item = &Body> {
+    fn sent(&self) -> impl Iterator<Item = &Payload> {
         self.out.iter().filter_map(|output| match output {
-            Output::Send(_, message) => Some(&message.body),
+            Output::SendToReplicas(_, message) => Some(&message.body),
             _ => None,
         })
     }
@@ -102,8 +102,8 @@
     let mut asker = Asker::new();
     let bid = |asker: &Asker| {
         asker.sent().find_map(|body| match body {
-            Body::Bid {
-                duty: Duty::Poll,
+            Payload::LeaseRequest {
+                duty: SingletonRole::PlatformPoller,
                 term,
                 at,
                 ..
@@ -120,8 +120,8 @@
         })
         .expect("a bid");
     // Its clock counts from its start, and its term was not on disk when the process before it ended.
-    let vote = |run| Body::Vote {
-        duty: Duty::Poll,
+    let vote = |run| Payload::LeaseVote {
+        duty: SingletonRole::PlatformPoller,
         term: Term {
             number,
             by: speaker(0, run),
@@ -132,20 +132,26 @@
     };
     for replica in [1, 2] {
         asker.heard(replica, vote(RUN - 1));
-        assert_eq!(asker.core.holds(asker.now, Duty::Poll), None);
+        assert_eq!(
+            asker.core.holds(asker.now, SingletonRole::PlatformPoller),
+            None
+        );
     }
     for replica in [1, 2] {
         asker.heard(replica, vote(RUN));
     }
-    assert_eq!(asker.core.holds(asker.now, Duty::Poll), Some(number));
+    assert_eq!(
+        asker.core.holds(asker.now, SingletonRole::PlatformPoller),
+        Some(number)
+    );
 }
 
 /// The answer of one that has accepted the same as the asking one.
-fn same() -> Piece {
-    Piece {
+fn same() -> Chunk {
+    Chunk {
         after: None,
         items: Vec::new(),
-        then: Then::End,
+        then: Continuation::End,
     }
 }
 
@@ -154,9 +160,13 @@
     let mut asker = Asker::new();
     asker.now = LATER;
     asker.in_touch();
-    asker.take(Input::Call(7, Command::Get, LATER + 900 * MS));
+    asker.take(Input::OperatorCall(
+        7,
+        Command::GetConfiguration,
+        LATER + 900 * MS,
+    ));
     let asked = asker.sent().find_map(|body| match body {
-        Body::Read { id, .. } => Some(*id),
+        Payload::ReadRequest { id, .. } => Some(*id),
         _ => None,
     });
     let id = asked.expect("a question");
@@ -169,19 +179,19 @@
     };
     // "The same as the asking one": that was another one.
     for replica in [1, 2] {
-        let before = QuestionId {
+        let before = RequestId {
             by: speaker(0, RUN - 1),
             ..id
         };
         asker.heard(
             replica,
-            Body::Registers {
+            Payload::RegisterChunk {
                 id: before,
                 piece: same(),
             },
         );
         assert!(!answered(&asker));
     }
-    asker.heard(2, Body::Registers { id, piece: same() });
+    asker.heard(2, Payload::RegisterChunk { id, piece: same() });
     assert!(answered(&asker), "one of three, and itself");
 }
--- a/crates/control/tests/core.rs
+++ b/crates/control/tests/core.rs
@@ -1,8 +1,10 @@
 //! The control state: timelines of six replicas, one column each, two to a region.
 
-use control::calls::{Command, Reply};
-use control::core::peer_messages::{Ballot, Body, Duty, Incarnation, PeerMessage, Speaker};
-use control::core::{Core, Input, Output, Own, Restored, Setup};
+use control::core::peer_messages::{
+    Ballot, Incarnation, Payload, PeerMessage, ProcessId, SingletonRole,
+};
+use control::core::{Core, Input, Output, RecoveredState, ReplicaConfig, ReplicaMetadata};
+use control::operator_api::{Command, Reply};
 use protocol::items::{ItemKind, ItemName};
 use protocol::messages::{AgentMessage, ControlMessage, CounterAdd, NodeInfo, NodeState};
 use simulation::cluster::{Cluster, MS, SECOND, assert_timeline, service};
@@ -17,7 +19,7 @@
 }
 
 fn read_back(cluster: &mut Cluster, at: usize) -> String {
-    match cluster.ask(at, Command::Get) {
+    match cluster.ask(at, Command::GetConfiguration) {
         Some(Reply::Items(body)) => String::from_utf8(body).unwrap(),
         other => panic!("{other:?}"),
     }
@@ -269,7 +271,7 @@
         Some(Reply::Done)
     ));
     assert!(matches!(
-        cluster.ask(5, Command::Get),
+        cluster.ask(5, Command::GetConfiguration),
         Some(Reply::Unavailable(_))
     ));
     lines.push(cluster.line(&["s"]));
@@ -325,7 +327,7 @@
     cluster.run(2 * SECOND);
     let mut lines = vec![cluster.line(&["s"])];
     assert!(matches!(
-        cluster.ask(5, Command::Get),
+        cluster.ask(5, Command::GetConfiguration),
         Some(Reply::Unavailable(_))
     ));
     cluster.heal();
@@ -357,7 +359,7 @@
         Incarnation::FIRST,
         core.incarnation(),
     ];
-    let by = Speaker {
+    let by = ProcessId {
         replica: 0,
         incarnation: Incarnation::FIRST,
         run: 1,
@@ -366,7 +368,7 @@
         kind: ItemKind::Tenant,
         name: "t".to_string(),
     }];
-    let body = Body::Prepare {
+    let body = Payload::Prepare {
         ballot: Ballot {
             round: 1,
             ..Ballot::default()
@@ -388,10 +390,10 @@
     let refused = |output: &Output| {
         matches!(
             output,
-            Output::Send(
+            Output::SendToReplicas(
                 _,
                 PeerMessage {
-                    body: Body::Nack { .. },
+                    body: Payload::Nack { .. },
                     ..
                 }
             )
@@ -437,29 +439,29 @@
 
 #[test]
 fn the_only_replica_there_is_tells_the_whole() {
-    let own = Own {
+    let own = ReplicaMetadata {
         incarnation: Incarnation::FIRST,
         run: 1,
-        ..Own::default()
+        ..ReplicaMetadata::default()
     };
     let (zones, zone, seeds) = (vec!["a".to_string()], "a".to_string(), Vec::new());
     let (address, restored) = (
         "10.0.0.0:7740".parse().ok(),
-        Restored {
+        RecoveredState {
             own,
-            ..Restored::default()
+            ..RecoveredState::default()
         },
     );
     let mut core = Core::new(
         0,
-        Setup {
+        ReplicaConfig {
             zones,
             zone,
             address,
             seeds,
             seed: 1,
             restored,
-            ..Setup::default()
+            ..ReplicaConfig::default()
         },
     );
     let mut out = Vec::new();
@@ -471,7 +473,7 @@
     (1..10).for_each(|beat| core.take(beat * 500 * MS, Input::Tick, &mut out));
     assert!(
         out.iter()
-            .any(|output| matches!(output, Output::Tell(_, ControlMessage::Complete))),
+            .any(|output| matches!(output, Output::SendToAgents(_, ControlMessage::Complete))),
         "{out:?}"
     );
 }
@@ -483,9 +485,9 @@
     assert_eq!(
         cluster.ask(
             1,
-            Command::Drain {
+            Command::SetEvacuation {
                 zone: "c".into(),
-                on: true
+                evacuate: true
             }
         ),
         Some(Reply::Done)
@@ -507,7 +509,7 @@
         7.0s   oP71 o71  o71  oC71 o71  o71",
     );
     // The terms of the duties go on rising.
-    for duty in Duty::ALL {
+    for duty in SingletonRole::ALL {
         let before = terms
             .keys()
             .filter(|(of, _)| *of == duty)
@@ -522,7 +524,7 @@
 #[test]
 fn the_replica_that_counted_does_so_again_as_soon_as_all_are_back() {
     let mut cluster = started(5);
-    let before = cluster.holders(Duty::Count)[0];
+    let before = cluster.holders(SingletonRole::Counter)[0];
     ALL.iter().for_each(|at| cluster.power(*at));
     let mut lines = vec![cluster.line(&[])];
     cluster.run(500 * MS);
@@ -547,7 +549,7 @@
         6.3s  oP  o   o   oC  o   o
         8.7s  oP  o   o   .   oC  o",
     );
-    let after = cluster.holders(Duty::Count)[0];
+    let after = cluster.holders(SingletonRole::Counter)[0];
     assert!(
         after.0 != before.0 && after.1 > before.1 + 1,
         "{before:?} {after:?}"
@@ -571,8 +573,8 @@
     // Two of six, so that a large core keeps to the platform's rate.
     assert_eq!(ALL.iter().filter(|at| polls(&cluster, **at)).count(), 2);
     cluster.run(500 * MS);
-    assert!(cluster.holders(Duty::Poll).is_empty());
-    cluster.feed(0, Input::Listed(vec![]));
+    assert!(cluster.holders(SingletonRole::PlatformPoller).is_empty());
+    cluster.feed(0, Input::ServerListRead(vec![]));
     cluster.run(100 * MS);
     let told = |cluster: &Cluster| {
         let told = cluster.nodes[2].told.iter().rev();
@@ -591,7 +593,7 @@
     );
     // Any list of a poller goes before it.
     cluster.run(2 * SECOND);
-    let (holder, term) = cluster.holders(Duty::Poll)[0];
+    let (holder, term) = cluster.holders(SingletonRole::PlatformPoller)[0];
     let one = protocol::platform::Server {
         id: "i".into(),
         svc: "s".into(),
@@ -601,7 +603,7 @@
         accepts_requests: true,
         warm_up_left: 0,
     };
-    cluster.feed(holder, Input::Listed(vec![one]));
+    cluster.feed(holder, Input::ServerListRead(vec![one]));
     cluster.run(100 * MS);
     assert_eq!(told(&cluster), Some((term, 1)));
 }
@@ -632,7 +634,7 @@
     let call = |last: &str| {
         let mut all: Vec<String> = (0..349).map(|n| route(n, "s")).collect();
         all.push(route(349, last));
-        Command::Patch(format!(r#"{{"upsert":{{"objs":[{}]}}}}"#, all.join(",")).into_bytes())
+        Command::ApplyPatch(format!(r#"{{"upsert":{{"objs":[{}]}}}}"#, all.join(",")).into_bytes())
     };
     // A replica that has not heard of the service yet asks the others before it refuses.
     let first = cluster.call(0, service("s", 1, 1));
@@ -660,9 +662,9 @@
     let mut drain = |zone: &str, on| {
         cluster.ask(
             2,
-            Command::Drain {
+            Command::SetEvacuation {
                 zone: zone.into(),
-                on,
+                evacuate: on,
             },
         )
     };
@@ -670,7 +672,7 @@
     assert_eq!(drain("c", true), Some(Reply::Done));
     assert_eq!(drain("c", true), Some(Reply::Done));
     assert_eq!(drain("c", false), Some(Reply::Done));
-    assert!(matches!(drain("x", true), Some(Reply::Unknown(_))));
+    assert!(matches!(drain("x", true), Some(Reply::NotFound(_))));
     cluster.run(SECOND);
     let zone = cluster.chosen(5).into_values().next().unwrap();
     assert_eq!((zone.ver, zone.spec.as_deref()), (2, Some("false")));
@@ -682,7 +684,7 @@
 fn a_duty_goes_on_at_another_replica_at_once_after_a_stop_and_soon_after_a_kill() {
     let mut cluster = started(9);
     let mut lines = vec![cluster.line(&[])];
-    cluster.feed(3, Input::Stop);
+    cluster.feed(3, Input::Shutdown);
     lines.push(cluster.line(&[]));
     cluster.run(600 * MS);
     lines.push(cluster.line(&[]));
@@ -732,7 +734,7 @@
     let ready = vec![("e1".to_string(), NodeState::Ready)];
     assert!(ALL.iter().all(|at| members(&cluster, *at) == ready));
     // It moves to another replica, where it leaves; what the first one says of it counts no more.
-    cluster.feed(1, Input::AgentGone(1));
+    cluster.feed(1, Input::AgentDisconnected(1));
     cluster.feed(4, Input::Agent(2, AgentMessage::Hello(edge("e1", "a"))));
     cluster.feed(
         4,
@@ -819,9 +821,9 @@
     let mut cluster = started(11);
     cluster.feed(5, Input::Agent(1, AgentMessage::Hello(edge("e1", "f"))));
     cluster.cut(&[5], &[0, 1, 2, 3, 4]);
-    cluster.feed(0, Input::Listed(vec![]));
+    cluster.feed(0, Input::ServerListRead(vec![]));
     // Who does not hold the duty has nothing to say.
-    cluster.feed(1, Input::Listed(vec![]));
+    cluster.feed(1, Input::ServerListRead(vec![]));
     cluster.run(1_500 * MS);
     let heard = |cluster: &Cluster| {
         let told = cluster.nodes[5].told.iter();
@@ -834,6 +836,6 @@
     assert!(heard(&cluster).is_empty());
     cluster.heal();
     cluster.run(SECOND);
-    let term = cluster.holders(Duty::Poll)[0].1;
+    let term = cluster.holders(SingletonRole::PlatformPoller)[0].1;
     assert_eq!(heard(&cluster), [(term, 1)]);
 }
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -1,8 +1,8 @@
 //! A replica that hears no majority, or has only just heard one again: what it says to whom.
 
-use control::calls::{Command, Reply};
 use control::core::Input;
-use control::core::peer_messages::Duty;
+use control::core::peer_messages::SingletonRole;
+use control::operator_api::{Command, Reply};
 use protocol::messages::{AgentMessage, ControlMessage, CounterAdd, NodeInfo, NodeState};
 use simulation::cluster::{Cluster, MS, SECOND, service};
 use test_case::test_case;
@@ -46,19 +46,19 @@
         r#"{{"host":"h","prefix":"/r/","kind":"idem","timeout":"2000ms","target_time":"500ms","svc":"{svc}","tries":2}}"#
     );
     let object = format!(r#"{{"type":"routes","meta":{{"name":"r","ver":1}},"spec":{spec}}}"#);
-    Command::Patch(format!(r#"{{"upsert":{{"objs":[{object}]}}}}"#).into_bytes())
+    Command::ApplyPatch(format!(r#"{{"upsert":{{"objs":[{object}]}}}}"#).into_bytes())
 }
 
 fn drop_service() -> Command {
-    Command::Patch(br#"{"remove":{"svcs":[{"name":"s","ver":2}]}}"#.to_vec())
+    Command::ApplyPatch(br#"{"remove":{"svcs":[{"name":"s","ver":2}]}}"#.to_vec())
 }
 
 #[test_case(service("s", 2, 2); "a change")]
 #[test_case(service("s", 1, 9); "a change that conflicts with what it knows")]
 #[test_case(route("nowhere"); "a change that refers to what it has not heard of")]
-#[test_case(Command::Patch(b"{".to_vec()); "no change at all")]
-#[test_case(Command::Get; "a reading")]
-#[test_case(Command::Drain { zone: "c".to_string(), on: true }; "an evacuation")]
+#[test_case(Command::ApplyPatch(b"{".to_vec()); "no change at all")]
+#[test_case(Command::GetConfiguration; "a reading")]
+#[test_case(Command::SetEvacuation { zone: "c".to_string(), evacuate: true }; "an evacuation")]
 fn operators_are_sent_elsewhere_and_refused_nothing(command: Command) {
     let mut cluster = started();
     cluster.cut(&[AT], &OTHERS);
@@ -109,7 +109,7 @@
 fn adds_are_counted_by_nobody_once_a_grant_is_over() {
     let mut cluster = Cluster::new(7);
     cluster.run_to(4 * SECOND);
-    let holder = cluster.holders(Duty::Count)[0].0;
+    let holder = cluster.holders(SingletonRole::Counter)[0].0;
     let others: Vec<usize> = (0..6).filter(|at| *at != holder).collect();
     cluster.cut(&[holder], &others);
     cluster.run(1_500 * MS);
--- a/crates/control/tests/cut_off_programs.rs
+++ b/crates/control/tests/cut_off_programs.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use control::limits::STOOD;
+use control::limits::STALL_THRESHOLD;
 use emulator::system::calls::{Connection, Reply, call};
 use emulator::system::machines::{Role, beside, net};
 use emulator::system::operator::Change;
@@ -75,7 +75,7 @@
     whole.machines.stand_still(Role::Control, 2);
     let (stopped, stood) = (
         Instant::now(),
-        Duration::from_micros(STOOD as u64 + 100_000),
+        Duration::from_micros(STALL_THRESHOLD as u64 + 100_000),
     );
     let mut late = Connection::open(whole.machines.ctl(2), soon()).unwrap();
     let order = b"POST /api/drain/z1/begin HTTP/1.1\r\nHost: core\r\nContent-Length: 0\r\n\r\n";
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -8,16 +8,16 @@
 use std::net::SocketAddr;
 
 use common::{encodings, variants};
-use control::calls::Reply;
-use control::core::Own;
+use control::core::ReplicaMetadata;
 use control::core::peer_messages::{
-    Ballot, Beat, Body, Duty, Incarnation, Moved, PeerMessage, Question, QuestionId, Said, Speaker,
-    Term, Told,
+    Ballot, Frame, Heartbeat, Incarnation, Member, MembershipDelta, Payload, PeerMessage,
+    ProcessId, RequestId, SingletonRole, Term, TransferRequest,
 };
 use control::core::registers::Register;
-use control::core::status::{DutySeen, LimiterSeen, ReplicaSeen, Status};
-use control::core::transfer::{Piece, Then};
+use control::core::status::{LimiterStatus, ReplicaStatus, RoleStatus, Status};
+use control::core::transfer::{Chunk, Continuation};
 use control::lookup;
+use control::operator_api::Reply;
 use overload::judge::Share;
 use protocol::items::{Item, ItemKind, ItemName};
 use protocol::messages::{NodeInfo, NodeState};
@@ -42,12 +42,12 @@
     }
 }
 
-fn speaker() -> Speaker {
-    Speaker {
+fn speaker() -> ProcessId {
+    ProcessId {
         replica: 2,
         incarnation: Incarnation {
             number: 3,
-            mark: 0x9e37_79b9,
+            nonce: 0x9e37_79b9,
         },
         run: 4,
     }
@@ -71,28 +71,28 @@
     (ballot(300), item(at, ver))
 }
 
-fn question() -> Question {
-    Question {
+fn question() -> TransferRequest {
+    TransferRequest {
         parts: vec![0, 1, u64::MAX],
         after: Some(name("m")),
     }
 }
 
-fn question_id() -> QuestionId {
-    QuestionId {
+fn question_id() -> RequestId {
+    RequestId {
         by: speaker(),
         number: 77,
     }
 }
 
-fn told(standing: NodeState, linked: bool) -> Told {
+fn told(standing: NodeState, linked: bool) -> Member {
     let edge = NodeInfo {
         name: "edge-1".into(),
         zone: "alajuela".into(),
         region: "meseta".into(),
         http: address(33),
     };
-    Told {
+    Member {
         edge,
         standing,
         linked,
@@ -111,34 +111,34 @@
     }
 }
 
-fn pieces() -> [(&'static str, Piece); 3] {
-    let piece = |after: Option<ItemName>, then| Piece {
+fn pieces() -> [(&'static str, Chunk); 3] {
+    let piece = |after: Option<ItemName>, then| Chunk {
         after,
         items: vec![entry("n", 8)],
         then,
     };
     [
-        ("the last chunk", piece(None, Then::End)),
+        ("the last chunk", piece(None, Continuation::End)),
         (
             "a chunk that another follows",
-            piece(Some(name("m")), Then::Follows),
+            piece(Some(name("m")), Continuation::MoreFollows),
         ),
         (
             "a chunk after which more is to be requested",
-            piece(Some(name("m")), Then::Ask),
+            piece(Some(name("m")), Continuation::RequestMore),
         ),
     ]
 }
 
-fn bodies() -> Vec<(&'static str, Body)> {
-    let beat = Beat {
+fn bodies() -> Vec<(&'static str, Payload)> {
+    let beat = Heartbeat {
         hears: 1 << 127 | 5,
         chosen: 6,
         servers: (7, 8),
         members: 9,
         time: -10,
     };
-    let moved = Moved {
+    let moved = MembershipDelta {
         before: 1,
         after: 2,
         told: vec![
@@ -156,92 +156,95 @@
     };
     let [last, follows, ask] = pieces().map(|(_, piece)| piece);
     vec![
-        ("heartbeat", Body::Beat(beat)),
-        ("replicas", Body::Replicas(vec![Some(address(10)), None])),
+        ("heartbeat", Payload::Heartbeat(beat)),
+        (
+            "replicas",
+            Payload::ReplicaAddresses(vec![Some(address(10)), None]),
+        ),
         (
             "prepare",
-            Body::Prepare {
+            Payload::Prepare {
                 ballot: ballot(5),
                 names: vec![name("a"), name("b")],
             },
         ),
         (
             "promise",
-            Body::Promise {
+            Payload::Promise {
                 ballot: ballot(5),
                 accepted: vec![entry("a", 1)],
             },
         ),
         (
             "accept",
-            Body::Accept {
+            Payload::Accept {
                 ballot: ballot(5),
                 items: vec![item("a", 2)],
             },
         ),
-        ("accepted", Body::Accepted(ballot(5))),
+        ("accepted", Payload::Accepted(ballot(5))),
         (
             "rejected",
-            Body::Nack {
+            Payload::Nack {
                 ballot: ballot(5),
                 seen: ballot(6),
             },
         ),
-        ("chosen", Body::Chosen(ballot(5))),
+        ("chosen", Payload::Chosen(ballot(5))),
         (
             "synchronize",
-            Body::Sync {
+            Payload::DigestRequest {
                 id: 1 << 48 | 9,
                 parts: vec![1, 2],
             },
         ),
         (
             "digest entries",
-            Body::Entries {
+            Payload::DigestEntries {
                 id: 9,
                 entries: vec![(u64::MAX, ballot(5))],
             },
         ),
         (
             "fetch",
-            Body::Fetch {
+            Payload::FetchRequest {
                 id: 9,
                 wanted: vec![1, u64::MAX],
             },
         ),
         (
             "chosen items",
-            Body::Learn {
+            Payload::ChosenChunk {
                 id: 9,
                 piece: 1,
                 items: vec![entry("a", 1)],
-                then: Then::Follows,
+                then: Continuation::MoreFollows,
             },
         ),
         (
             "read",
-            Body::Read {
+            Payload::ReadRequest {
                 id: question_id(),
                 question: question(),
             },
         ),
         (
             "registers",
-            Body::Registers {
+            Payload::RegisterChunk {
                 id: question_id(),
                 piece: follows,
             },
         ),
         (
             "record an incarnation",
-            Body::Record {
+            Payload::IncarnationRequest {
                 incarnation: speaker().incarnation,
                 question: question(),
             },
         ),
         (
             "incarnation recorded",
-            Body::Recorded {
+            Payload::IncarnationRecorded {
                 incarnation: speaker().incarnation,
                 floor: ballot(5),
                 piece: ask,
@@ -250,8 +253,8 @@
         ),
         (
             "lease request",
-            Body::Bid {
-                duty: Duty::Poll,
+            Payload::LeaseRequest {
+                duty: SingletonRole::PlatformPoller,
                 term: 12,
                 at: 13,
                 holds: false,
@@ -259,8 +262,8 @@
         ),
         (
             "lease renewal",
-            Body::Bid {
-                duty: Duty::Count,
+            Payload::LeaseRequest {
+                duty: SingletonRole::Counter,
                 term: 12,
                 at: 13,
                 holds: true,
@@ -268,8 +271,8 @@
         ),
         (
             "lease vote",
-            Body::Vote {
-                duty: Duty::Count,
+            Payload::LeaseVote {
+                duty: SingletonRole::Counter,
                 term: term(),
                 at: 13,
                 granted: true,
@@ -278,43 +281,43 @@
         ),
         (
             "lease release",
-            Body::Release {
-                duty: Duty::Poll,
+            Payload::LeaseRelease {
+                duty: SingletonRole::PlatformPoller,
                 term: 12,
                 vain: true,
             },
         ),
         (
             "members",
-            Body::Members(vec![told(NodeState::Draining, true)]),
+            Payload::MemberList(vec![told(NodeState::Draining, true)]),
         ),
-        ("membership change", Body::Moved(moved)),
-        ("request for members", Body::AskMembers),
+        ("membership change", Payload::MembershipDelta(moved)),
+        ("request for members", Payload::MemberListRequest),
         (
             "servers",
-            Body::Servers {
+            Payload::ServerList {
                 version: (4, 9),
                 servers: vec![server()],
             },
         ),
-        ("request for servers", Body::AskServers),
+        ("request for servers", Payload::ServerListRequest),
         (
             "load",
-            Body::Strain {
+            Payload::LoadReport {
                 region: "meseta".into(),
                 services: vec![("records".into(), share)],
             },
         ),
         (
             "handover",
-            Body::HandOver {
+            Payload::HandoverRequest {
                 id: 3,
                 items: vec![entry("a", 1)],
             },
         ),
         (
             "handover confirmed",
-            Body::Holding {
+            Payload::HandoverAck {
                 id: 3,
                 parts: vec![1, 2],
                 whole: Incarnation::FIRST,
@@ -322,7 +325,7 @@
         ),
         (
             "the last chunk of registers",
-            Body::Registers {
+            Payload::RegisterChunk {
                 id: question_id(),
                 piece: last,
             },
@@ -342,7 +345,10 @@
     );
     insta::assert_snapshot!(
         "roles",
-        variants(&[("platform poller", Duty::Poll), ("counter", Duty::Count)])
+        variants(&[
+            ("platform poller", SingletonRole::PlatformPoller),
+            ("counter", SingletonRole::Counter)
+        ])
     );
 }
 
@@ -352,19 +358,19 @@
     let message = PeerMessage {
         by: speaker(),
         incarnations,
-        body: Body::AskMembers,
+        body: Payload::MemberListRequest,
     };
     let examples = [
-        ("address of the sender", Said::Here(address(10))),
-        ("nothing", Said::Quiet),
-        ("message", Said::PeerMessage(message)),
+        ("address of the sender", Frame::SenderAddress(address(10))),
+        ("nothing", Frame::KeepAlive),
+        ("message", Frame::PeerMessage(message)),
     ];
     insta::assert_snapshot!("frames", variants(&examples));
 }
 
 #[test]
 fn stored_rows_keep_their_bytes() {
-    let own = Own {
+    let own = ReplicaMetadata {
         incarnation: speaker().incarnation,
         run: 4,
         floor: ballot(5),
@@ -376,7 +382,10 @@
         promised: ballot(301),
         accepted: Some(entry("a", 1)),
     };
-    let mut text = encodings(&[("metadata, none", Own::default()), ("metadata", own)]);
+    let mut text = encodings(&[
+        ("metadata, none", ReplicaMetadata::default()),
+        ("metadata", own),
+    ]);
     text += &encodings(&[
         ("register, empty", Register::default()),
         ("register", register),
@@ -394,9 +403,9 @@
         ("status", Reply::Status(b"{}".to_vec())),
         ("invalid", Reply::Invalid("call: key".into())),
         ("conflict", Reply::Conflict),
-        ("unknown", Reply::Unknown("zone: \"x\"".into())),
+        ("unknown", Reply::NotFound("zone: \"x\"".into())),
         ("unavailable", Reply::Unavailable("not now")),
-        ("another method", Reply::Method),
+        ("another method", Reply::MethodNotAllowed),
     ];
     let mut text = String::new();
     for (label, reply) in replies {
@@ -432,18 +441,18 @@
         digest: "0123456789abcdef".into(),
         unfinished: 2,
         servers: (4, 9),
-        replicas: vec![ReplicaSeen {
+        replicas: vec![ReplicaStatus {
             zone: "heredia".into(),
             incarnation: 1,
             address: Some(address(11)),
             heard: true,
         }],
-        duties: vec![DutySeen {
+        duties: vec![RoleStatus {
             duty: "poll".into(),
             holder: Some("heredia".into()),
             term: 12,
         }],
-        limiters: vec![LimiterSeen {
+        limiters: vec![LimiterStatus {
             node: "edge-1".into(),
             zone: "alajuela".into(),
             replica: "heredia".into(),
--- a/crates/control/tests/repeated_orders.rs
+++ b/crates/control/tests/repeated_orders.rs
@@ -1,6 +1,6 @@
 //! Two operators under one number, and orders sent again, at the replicas' cores.
 
-use control::calls::{Command, Reply};
+use control::operator_api::{Command, Reply};
 use simulation::cluster::{Cluster, MS, SECOND, service};
 
 fn started(seed: u64) -> Cluster {
@@ -17,7 +17,7 @@
         )
     };
     let objects: Vec<String> = all.iter().map(object).collect();
-    Command::Patch(format!(r#"{{"upsert":{{"objs":[{}]}}}}"#, objects.join(",")).into_bytes())
+    Command::ApplyPatch(format!(r#"{{"upsert":{{"objs":[{}]}}}}"#, objects.join(",")).into_bytes())
 }
 
 /// The content of a service as all replicas know it.
@@ -101,9 +101,9 @@
         "timeout":"3s","target_time":"1s","svc":"s"}}"#;
     let object = r#"{"type":"svcs","meta":{"name":"s","ver":5},"spec":{"hcheck":"/1"}}"#;
     let call =
-        Command::Patch(format!(r#"{{"upsert":{{"objs":[{object},{route}]}}}}"#).into_bytes());
+        Command::ApplyPatch(format!(r#"{{"upsert":{{"objs":[{object},{route}]}}}}"#).into_bytes());
     let drop = |kind: &str, name: &str, ver: u64| {
-        Command::Patch(
+        Command::ApplyPatch(
             format!(r#"{{"remove":{{"{kind}":[{{"name":"{name}","ver":{ver}}}]}}}}"#).into_bytes(),
         )
     };
@@ -129,9 +129,9 @@
     cluster.run(3 * SECOND);
     everywhere(&mut cluster, &call, "at a newcomer too");
     for on in [true, false, true] {
-        let zone = Command::Drain {
+        let zone = Command::SetEvacuation {
             zone: "c".into(),
-            on,
+            evacuate: on,
         };
         assert_eq!(cluster.ask(1, zone), Some(Reply::Done));
     }
--- a/crates/control/tests/rounds.rs
+++ b/crates/control/tests/rounds.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use control::core::news::News;
-use control::core::peer_messages::{Ballot, Body, Incarnation, Replica, Speaker};
-use control::core::replicas::Replicas;
-use control::core::rounds::{Outcome, Round, Step, Want};
+use control::core::chosen::ChosenItems;
+use control::core::peer_messages::{Ballot, Incarnation, Payload, ProcessId, ReplicaId};
+use control::core::proposal::{Action, Intent, Outcome, Proposal};
+use control::core::replicas::ReplicaTable;
 use protocol::items::{Item, ItemKind, ItemName};
 use test_case::test_case;
 
@@ -20,10 +20,10 @@
     }
 }
 
-fn ballot(round: u64, replica: Replica, run: u32) -> Ballot {
+fn ballot(round: u64, replica: ReplicaId, run: u32) -> Ballot {
     Ballot {
         round,
-        by: Speaker {
+        by: ProcessId {
             replica,
             incarnation: Incarnation::FIRST,
             run,
@@ -31,23 +31,23 @@
     }
 }
 
-fn three() -> Replicas {
-    let me = Speaker {
+fn three() -> ReplicaTable {
+    let me = ProcessId {
         replica: 0,
         incarnation: Incarnation::FIRST,
         run: 1,
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
-    let mut replicas = Replicas::new(me, 3, address, Vec::new());
+    let mut replicas = ReplicaTable::new(me, 3, address, Vec::new());
     replicas.restore(&[Incarnation::FIRST; 3], &[None; 3]);
     replicas
 }
 
 /// A round whose promises are of before another proposal was chosen: one replica still holds what lost
 /// against that.
-fn decided(want: Want, left: Item, chosen: &Item) -> Vec<Step> {
-    let mut news = News::default();
-    let mut round = Round::new(want, 0, 1_000_000);
+fn decided(want: Intent, left: Item, chosen: &Item) -> Vec<Action> {
+    let mut news = ChosenItems::default();
+    let mut round = Proposal::new(want, 0, 1_000_000);
     let own = ballot(1, 0, 1);
     round.begin(0, own);
     let replicas = three();
@@ -73,12 +73,12 @@
 #[test_case("2", "1", "2" => Outcome::Done; "what is left has another content and the wanted one is chosen")]
 fn of_a_version_the_chosen_content_decides(wanted: &str, left: &str, chosen: &str) -> Outcome {
     let steps = decided(
-        Want::Items(vec![service(wanted)]),
+        Intent::Items(vec![service(wanted)]),
         service(left),
         &service(chosen),
     );
     match steps.as_slice() {
-        [Step::Outcome(outcome), Step::Over] => *outcome,
+        [Action::Outcome(outcome), Action::Over] => *outcome,
         other => panic!("{other:?}"),
     }
 }
@@ -87,14 +87,14 @@
 fn a_zone_is_judged_by_what_is_chosen() {
     let zone = |ver, spec: &str| item(ItemKind::Zone, ver, spec);
     let steps = decided(
-        Want::Zone(zone(1, "true").name, true),
+        Intent::Zone(zone(1, "true").name, true),
         zone(1, "true"),
         &zone(2, "false"),
     );
     let proposed = vec![zone(3, "true")];
     assert_eq!(
         steps,
-        vec![Step::All(Body::Accept {
+        vec![Action::All(Payload::Accept {
             ballot: ballot(1, 0, 1),
             items: proposed
         })]
--- a/crates/control/tests/second_loss.rs
+++ b/crates/control/tests/second_loss.rs
@@ -1,7 +1,7 @@
 //! A second loss right after a repair or a replacement: timelines of six replicas, two to a region, and of how many disks
 //! hold what was acknowledged.
 
-use control::calls::{Command, Reply};
+use control::operator_api::{Command, Reply};
 use protocol::items::{ItemKind, ItemName};
 use simulation::cluster::{Cluster, MS, SECOND, service};
 use test_case::test_case;
@@ -193,7 +193,7 @@
         table.0
     );
     assert!(matches!(
-        cluster.ask(5, Command::Get),
+        cluster.ask(5, Command::GetConfiguration),
         Some(Reply::Items(_))
     ));
 }
--- a/crates/control/tests/transfers.rs
+++ b/crates/control/tests/transfers.rs
@@ -1,9 +1,9 @@
 //! State transfers as one replica's core carries them out: to an agent, and by question and answer between replicas.
 
-use control::core::peer_messages::{Ballot, Body, Incarnation, PeerMessage, Speaker};
+use control::core::peer_messages::{Ballot, Incarnation, Payload, PeerMessage, ProcessId};
 use control::core::registers::Register;
-use control::core::transfer::{Bounds, Then};
-use control::core::{Core, Input, Output, Own, Restored, Setup};
+use control::core::transfer::{Continuation, TransferLimits};
+use control::core::{Core, Input, Output, RecoveredState, ReplicaConfig, ReplicaMetadata};
 use protocol::digests;
 use protocol::items::{Item, ItemKind, ItemName};
 use protocol::messages::{AgentMessage, ControlMessage, NodeInfo};
@@ -40,30 +40,30 @@
         )
     };
     let incarnations = vec![Incarnation::FIRST; replicas];
-    let restored = Restored {
-        own: Own {
+    let restored = RecoveredState {
+        own: ReplicaMetadata {
             incarnation: Incarnation::FIRST,
             run: 1,
             incarnations,
-            ..Own::default()
+            ..ReplicaMetadata::default()
         },
         registers: (0..items).map(item).map(register).collect(),
         chosen: (0..items).map(|at| (ballot, item(at))).collect(),
     };
     let zone = zones[0].clone();
-    let bounds = Bounds {
-        piece: 1_060,
-        question: 10_600,
+    let bounds = TransferLimits {
+        chunk_bytes: 1_060,
+        response_bytes: 10_600,
     };
     Core::new(
         0,
-        Setup {
+        ReplicaConfig {
             zones,
             zone,
             seed: 1,
             restored,
             bounds,
-            ..Setup::default()
+            ..ReplicaConfig::default()
         },
     )
 }
@@ -95,11 +95,11 @@
     loop {
         for output in std::mem::take(&mut told) {
             match output {
-                Output::Tell(_, ControlMessage::Items(items)) => {
+                Output::SendToAgents(_, ControlMessage::Items(items)) => {
                     assert!(items.len() <= 10 && !whole, "{}", items.len());
                     (held, open) = (held + items.len(), open + usize::from(!items.is_empty()));
                 }
-                Output::Tell(_, ControlMessage::Complete) => whole = true,
+                Output::SendToAgents(_, ControlMessage::Complete) => whole = true,
                 _ => {}
             }
         }
@@ -118,8 +118,8 @@
     assert_eq!((held, whole), (200, true));
 }
 
-fn from_other(body: Body) -> Input {
-    let by = Speaker {
+fn from_other(body: Payload) -> Input {
+    let by = ProcessId {
         replica: 1,
         incarnation: Incarnation::FIRST,
         run: 1,
@@ -135,9 +135,9 @@
     )
 }
 
-fn bodies(out: Vec<Output>) -> Vec<Body> {
+fn bodies(out: Vec<Output>) -> Vec<Payload> {
     let body = |output| {
-        if let Output::Send(_, message) = output {
+        if let Output::SendToReplicas(_, message) = output {
             Some(message.body)
         } else {
             None
@@ -151,18 +151,20 @@
     let mut core = core(3, 50);
     let beat = |chosen| {
         let hears = 0b11;
-        from_other(Body::Beat(control::core::peer_messages::Beat {
-            hears,
-            chosen,
-            ..Default::default()
-        }))
+        from_other(Payload::Heartbeat(
+            control::core::peer_messages::Heartbeat {
+                hears,
+                chosen,
+                ..Default::default()
+            },
+        ))
     };
     let mut said = Vec::new();
     for at in 0..3 {
         said.extend(bodies(take(&mut core, at * 400 * MS, beat(99))));
     }
     let asked = said.iter().filter_map(|body| {
-        if let Body::Sync { id, .. } = body {
+        if let Payload::DigestRequest { id, .. } = body {
             Some(*id)
         } else {
             None
@@ -178,22 +180,25 @@
         // Two are newer there, one is older.
         let keys = [item(3), item(4), item(5)].map(|item| digests::name_key(&item.name));
         let ballots = [newer, newer, Ballot::default()];
-        from_other(Body::Entries {
+        from_other(Payload::DigestEntries {
             id,
             entries: keys.into_iter().zip(ballots).collect(),
         })
     };
     let first = bodies(take(&mut core, 1_300 * MS, entries(ids[0])));
     let fetch = first.iter().find_map(|body| match body {
-        Body::Fetch { id, wanted } => Some((*id, wanted.len())),
+        Payload::FetchRequest { id, wanted } => Some((*id, wanted.len())),
         _ => None,
     });
     let (id, wanted) = fetch.expect("nothing is fetched");
     assert_eq!(wanted, 2);
     let led = |out: Vec<Output>| {
-        bodies(out)
-            .iter()
-            .any(|body| matches!(body, Body::Sync { .. } | Body::Fetch { .. }))
+        bodies(out).iter().any(|body| {
+            matches!(
+                body,
+                Payload::DigestRequest { .. } | Payload::FetchRequest { .. }
+            )
+        })
     };
     assert!(
         !led(take(&mut core, 1_301 * MS, entries(ids[0]))),
@@ -201,7 +206,7 @@
     );
     let learn = |id, piece, at, then| {
         let items = vec![(newer, Item { ver: 2, ..item(at) })];
-        from_other(Body::Learn {
+        from_other(Payload::ChosenChunk {
             id,
             piece,
             items,
@@ -212,13 +217,17 @@
     assert!(!led(take(
         &mut core,
         1_302 * MS,
-        learn(id, 1, 4, Then::Ask)
+        learn(id, 1, 4, Continuation::RequestMore)
+    )));
+    assert!(led(take(
+        &mut core,
+        1_303 * MS,
+        learn(id, 0, 3, Continuation::RequestMore)
     )));
-    assert!(led(take(&mut core, 1_303 * MS, learn(id, 0, 3, Then::Ask))));
     assert!(!led(take(
         &mut core,
         1_304 * MS,
-        learn(id, 0, 3, Then::Ask)
+        learn(id, 0, 3, Continuation::RequestMore)
     )));
     let ver = |core: &Core, at| {
         core.chosen()
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use control::core::status::{LimiterSeen, Status};
+use control::core::status::{LimiterStatus, Status};
 use eyre::WrapErr;
 use serde::Serialize;
 
@@ -31,7 +31,7 @@
     /// What each told.
     pub told: Vec<Told>,
     /// The limiters: each as its own replica tells of it, where that was asked, else as another one does.
-    pub limiters: Vec<LimiterSeen>,
+    pub limiters: Vec<LimiterStatus>,
     /// What is wrong.
     pub findings: Vec<String>,
 }
@@ -62,18 +62,18 @@
 
 /// Puts side by side what was told.
 pub fn view(told: Vec<Told>) -> View {
-    let mut limiters: BTreeMap<String, LimiterSeen> = BTreeMap::new();
+    let mut limiters: BTreeMap<String, LimiterStatus> = BTreeMap::new();
     for status in told.iter().filter_map(|told| told.status.as_ref()) {
         for limiter in &status.limiters {
             // The replica that it is linked to knows most; without, who knows it to be linked.
-            let rank = |one: &LimiterSeen| (one.items.is_some(), one.linked);
+            let rank = |one: &LimiterStatus| (one.items.is_some(), one.linked);
             let held = limiters.get(&limiter.node);
             if held.is_none_or(|held| rank(held) < rank(limiter)) {
                 limiters.insert(limiter.node.clone(), limiter.clone());
             }
         }
     }
-    let limiters: Vec<LimiterSeen> = limiters.into_values().collect();
+    let limiters: Vec<LimiterStatus> = limiters.into_values().collect();
     let findings = findings(&told, &limiters);
     View {
         told,
@@ -82,7 +82,7 @@
     }
 }
 
-fn findings(told: &[Told], limiters: &[LimiterSeen]) -> Vec<String> {
+fn findings(told: &[Told], limiters: &[LimiterStatus]) -> Vec<String> {
     let mut found = Vec::new();
     for one in told {
         let Some(status) = &one.status else {
@@ -230,16 +230,16 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use control::core::status::{DutySeen, ReplicaSeen};
+    use control::core::status::{ReplicaStatus, RoleStatus};
     use test_case::test_case;
 
     fn replica(zone: &str) -> Status {
-        let replica = |zone: &str| ReplicaSeen {
+        let replica = |zone: &str| ReplicaStatus {
             zone: zone.to_string(),
             heard: true,
-            ..ReplicaSeen::default()
+            ..ReplicaStatus::default()
         };
-        let duty = DutySeen {
+        let duty = RoleStatus {
             duty: "poll".into(),
             holder: Some("a".into()),
             term: 3,
@@ -251,14 +251,14 @@
             digest: "7".into(),
             replicas: ["a", "b"].map(replica).into(),
             duties: vec![duty],
-            limiters: vec![LimiterSeen {
+            limiters: vec![LimiterStatus {
                 node: "e".into(),
                 replica: "a".into(),
                 linked: true,
                 standing: "ready".into(),
                 behind: (zone == "a").then_some(0),
                 items: (zone == "a").then_some(5),
-                ..LimiterSeen::default()
+                ..LimiterStatus::default()
             }],
             ..Status::default()
         }
--- a/crates/ctl/tests/golden.rs
+++ b/crates/ctl/tests/golden.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use control::core::status::{DutySeen, LimiterSeen, ReplicaSeen, Status};
-use control::disk::{Fault, Report};
+use control::core::status::{LimiterStatus, ReplicaStatus, RoleStatus, Status};
+use control::disk::{CorruptRecord, Report};
 use ctl::configuration::Configuration;
 use ctl::diff::diff;
 use ctl::status::{Told, view};
@@ -25,18 +25,18 @@
         items: 350,
         digest: "0123456789abcdef".into(),
         servers: (4, 9),
-        replicas: vec![ReplicaSeen {
+        replicas: vec![ReplicaStatus {
             zone: "heredia".into(),
             incarnation: 1,
             address,
             heard: true,
         }],
-        duties: vec![DutySeen {
+        duties: vec![RoleStatus {
             duty: "count".into(),
             holder: None,
             term: 0,
         }],
-        limiters: vec![LimiterSeen {
+        limiters: vec![LimiterStatus {
             node: "edge-1".into(),
             zone: "alajuela".into(),
             replica: "alajuela".into(),
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_report_on_stored_files_keeps_its_keys() {
-    let fault = Fault {
+    let fault = CorruptRecord {
         table: "chosen".into(),
         name: "svcs/a".into(),
         what: "does not match its checksum".into(),
--- a/crates/ctl/tests/system.rs
+++ b/crates/ctl/tests/system.rs
@@ -50,7 +50,7 @@
 
     // Each limiter is at the replica of its zone, and holds all.
     let settled = |view: &View| {
-        let well = |one: &control::core::status::LimiterSeen| {
+        let well = |one: &control::core::status::LimiterStatus| {
             one.behind == Some(0) && one.replica == one.zone
         };
         view.findings.is_empty() && view.limiters.len() == 3 && view.limiters.iter().all(well)
--- a/crates/model-check/tests/side_by_side/names.rs
+++ b/crates/model-check/tests/side_by_side/names.rs
@@ -25,7 +25,7 @@
             .filter(|((of, known), _)| *of == replica && known.number == real.number);
         let (mut below, mut above) = (0, Incarnation::RANKS);
         for ((_, known), (_, rank)) in same {
-            if known.mark < real.mark {
+            if known.nonce < real.nonce {
                 below = below.max(*rank)
             } else {
                 above = above.min(*rank)
--- a/crates/model-check/tests/side_by_side/world.rs
+++ b/crates/model-check/tests/side_by_side/world.rs
@@ -3,11 +3,11 @@
 
 use std::collections::BTreeMap;
 
-use control::calls::{Command, Reply};
-use control::core::peer_messages::{self as code, Beat, Body, PeerMessage};
+use control::core::peer_messages::{self as code, Heartbeat, Payload, PeerMessage};
 use control::core::registers::Register;
-use control::core::transfer::{Bounds, Then};
-use control::core::{Core, Input, Output, Own, Restored, Row, Setup};
+use control::core::transfer::{Continuation, TransferLimits};
+use control::core::{Core, Input, Output, Record, RecoveredState, ReplicaConfig, ReplicaMetadata};
+use control::operator_api::{Command, Reply};
 use model_check::numbers::{Ballot, Incarnation, Value};
 use model_check::quorums::{Counting, Vote};
 use model_check::state::{Speaker, State, Status, Want};
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Default)]
 struct Disk {
-    own: Own,
+    own: ReplicaMetadata,
     register: Option<Register>,
     chosen: Option<(code::Ballot, Item)>,
 }
@@ -73,13 +73,13 @@
         let mut names = Names::default();
         let mut disks = vec![Disk::default(); machines];
         for (replica, disk) in disks.iter_mut().enumerate().take(replicas) {
-            disk.own = Own {
+            disk.own = ReplicaMetadata {
                 incarnation: code::Incarnation::FIRST,
                 incarnations: vec![code::Incarnation::FIRST; replicas],
                 addresses: (0..replicas)
                     .map(|replica| Some(address(replica)))
                     .collect(),
-                ..Own::default()
+                ..ReplicaMetadata::default()
             };
             names.run(replica, code::Incarnation::FIRST, 1, 0);
         }
@@ -115,7 +115,7 @@
         } else {
             disk.own.run += 1;
         }
-        let setup = Setup {
+        let setup = ReplicaConfig {
             zone: zones[self.state.machines[machine].replica].clone(),
             address: Some(address(machine)),
             seeds: (0..zones.len())
@@ -124,8 +124,8 @@
                 .collect(),
             zones,
             seed: seed << 8 | machine as u64,
-            bounds: Bounds::default(),
-            restored: Restored {
+            bounds: TransferLimits::default(),
+            restored: RecoveredState {
                 own: disk.own.clone(),
                 registers: disk
                     .register
@@ -140,7 +140,7 @@
         self.cores[machine] = Some(Core::new(NOW, setup));
         let given = self.feed(machine, Input::Tick);
         given.find(|sent| match sent.body {
-            Body::Record { incarnation, .. } => Some(incarnation),
+            Payload::IncarnationRequest { incarnation, .. } => Some(incarnation),
             _ => None,
         })
     }
@@ -157,7 +157,7 @@
             core.take(NOW, input, &mut out);
             for output in out {
                 match output {
-                    Output::Send(to, message) => {
+                    Output::SendToReplicas(to, message) => {
                         let mails = to.into_iter().map(machine).map(|to| Mail {
                             from: at,
                             to,
@@ -179,12 +179,12 @@
         given
     }
 
-    fn written(&mut self, at: usize, row: Row) {
+    fn written(&mut self, at: usize, row: Record) {
         let disk = &mut self.disks[at];
         match row {
-            Row::Own(own) => disk.own = own,
-            Row::Register(_, register) => disk.register = Some(register),
-            Row::Chosen(ballot, item) => disk.chosen = Some((ballot, item)),
+            Record::Metadata(own) => disk.own = own,
+            Record::Register(_, register) => disk.register = Some(register),
+            Record::Chosen(ballot, item) => disk.chosen = Some((ballot, item)),
         }
     }
 
@@ -244,10 +244,10 @@
             } else {
                 known.machine()
             };
-            let body = Body::Beat(Beat {
+            let body = Payload::Heartbeat(Heartbeat {
                 hears: u128::MAX,
                 time: NOW,
-                ..Beat::default()
+                ..Heartbeat::default()
             });
             self.told(at, replica, *known, from, body);
         }
@@ -260,9 +260,9 @@
         replica: usize,
         known: Incarnation,
         from: usize,
-        body: Body,
+        body: Payload,
     ) -> Given {
-        let by = code::Speaker {
+        let by = code::ProcessId {
             replica: replica as u8,
             incarnation: self.names.real(replica, known),
             run: 0,
@@ -293,10 +293,10 @@
         self.calls += 1;
         let given = self.feed(
             at,
-            Input::Call(self.calls, Command::Patch(patch(wanted)), DEADLINE),
+            Input::OperatorCall(self.calls, Command::ApplyPatch(patch(wanted)), DEADLINE),
         );
         let begun = given.find(|sent| match &sent.body {
-            Body::Prepare { ballot, .. } => Some(*ballot),
+            Payload::Prepare { ballot, .. } => Some(*ballot),
             _ => None,
         });
         let ballot = begun.unwrap_or_else(|| panic!("no round of {at}: {:?}", given.replies));
@@ -407,11 +407,11 @@
             replica,
             known,
             from,
-            Body::Learn {
+            Payload::ChosenChunk {
                 id: 0,
                 piece: 0,
                 items: vec![(real, item(value))],
-                then: Then::End,
+                then: Continuation::End,
             },
         );
         self.state.learn(at, ballot, value);
@@ -454,25 +454,25 @@
         let mine =
             |ballot| led.as_ref().is_some_and(|round| round.ballot == ballot) && own.takes_part();
         match &mail.message.body {
-            Body::Prepare { ballot, .. } => self.prepare(at, self.names.ballot(*ballot), &given),
-            Body::Accept { ballot, items } => {
+            Payload::Prepare { ballot, .. } => self.prepare(at, self.names.ballot(*ballot), &given),
+            Payload::Accept { ballot, items } => {
                 self.accept(at, self.names.ballot(*ballot), value(&items[0]), &given)
             }
-            Body::Promise { ballot, accepted } if counts && mine(self.names.ballot(*ballot)) => {
+            Payload::Promise { ballot, accepted } if counts && mine(self.names.ballot(*ballot)) => {
                 let vote = vote(Ballot::default(), self.names.accepted(accepted.first()));
                 self.promised(at, vote, &given);
             }
-            Body::Accepted(ballot) if counts && mine(self.names.ballot(*ballot)) => {
+            Payload::Accepted(ballot) if counts && mine(self.names.ballot(*ballot)) => {
                 self.accepted(at, vote(Ballot::default(), None), &given);
             }
-            Body::Record {
+            Payload::IncarnationRequest {
                 incarnation,
                 question,
             } => {
                 let anew = question.parts == Digests::default().buckets();
                 self.record(at, replica, *incarnation, anew, &given);
             }
-            Body::Recorded {
+            Payload::IncarnationRecorded {
                 incarnation,
                 floor,
                 piece,
@@ -484,7 +484,7 @@
                     self.recorded(at, *incarnation, vote(self.names.ballot(*floor), accepted));
                 }
             }
-            Body::Chosen(ballot) if counts => {
+            Payload::Chosen(ballot) if counts => {
                 let ballot = self.names.ballot(*ballot);
                 let held = own.accepted.filter(|(accepted, _)| *accepted == ballot);
                 held.into_iter()
@@ -499,7 +499,9 @@
     fn hear(&mut self, at: usize, message: &PeerMessage, given: &Given) {
         let own = self.state.machines[at].replica;
         let wants = given.find(|sent| match sent.body {
-            Body::Record { incarnation, .. } if !self.names.knows(own, incarnation) => {
+            Payload::IncarnationRequest { incarnation, .. }
+                if !self.names.knows(own, incarnation) =>
+            {
                 Some(incarnation)
             }
             _ => None,
@@ -531,14 +533,14 @@
     fn prepare(&mut self, at: usize, ballot: Ballot, given: &Given) {
         let verdict = self.state.prepare(at, ballot, None);
         let code = given.find(|sent| match &sent.body {
-            Body::Promise { accepted, .. } => {
+            Payload::Promise { accepted, .. } => {
                 assert_eq!(
                     self.names.table(&sent.incarnations),
                     self.state.machines[at].table
                 );
                 Some(Verdict::Promises(self.names.accepted(accepted.first())))
             }
-            Body::Nack { seen, .. } => Some(Verdict::Refuses(self.names.ballot(*seen))),
+            Payload::Nack { seen, .. } => Some(Verdict::Refuses(self.names.ballot(*seen))),
             _ => None,
         });
         assert_eq!(
@@ -556,8 +558,8 @@
     fn accept(&mut self, at: usize, ballot: Ballot, value: Value, given: &Given) {
         let verdict = self.state.accept(at, ballot, value, None);
         let code = given.find(|sent| match &sent.body {
-            Body::Accepted(_) => Some(Verdict::Accepts),
-            Body::Nack { seen, .. } => Some(Verdict::Refuses(self.names.ballot(*seen))),
+            Payload::Accepted(_) => Some(Verdict::Accepts),
+            Payload::Nack { seen, .. } => Some(Verdict::Refuses(self.names.ballot(*seen))),
             _ => None,
         });
         assert_eq!(
@@ -574,7 +576,7 @@
 
     fn promised(&mut self, at: usize, vote: Vote, given: &Given) {
         let asks = given.find(|sent| match &sent.body {
-            Body::Accept { items, .. } => Some(value(&items[0])),
+            Payload::Accept { items, .. } => Some(value(&items[0])),
             _ => None,
         });
         let Some(round) = self.state.machines[at]
@@ -611,7 +613,7 @@
     }
 
     fn accepted(&mut self, at: usize, vote: Vote, given: &Given) {
-        let chosen = given.find(|sent| matches!(sent.body, Body::Chosen(_)).then_some(()));
+        let chosen = given.find(|sent| matches!(sent.body, Payload::Chosen(_)).then_some(()));
         let Some(round) = self.state.machines[at]
             .leads
             .clone()
@@ -677,7 +679,7 @@
             None,
         );
         let code = given.find(|sent| match &sent.body {
-            Body::Recorded { floor, piece, .. } => {
+            Payload::IncarnationRecorded { floor, piece, .. } => {
                 let own = &self.state.machines[at];
                 assert_eq!(self.names.ballot(*floor), own.promised);
                 assert_eq!(self.names.table(&sent.incarnations), own.table);
@@ -726,16 +728,16 @@
 
 /// Refusals are not delivered: the model's proposers begin anew whenever they like. Where the replicas are
 /// is, with the incarnations.
-fn carries(body: &Body) -> bool {
+fn carries(body: &Payload) -> bool {
     matches!(
         body,
-        Body::Prepare { .. }
-            | Body::Promise { .. }
-            | Body::Accept { .. }
-            | Body::Accepted(_)
-            | Body::Chosen(_)
-            | Body::Record { .. }
-            | Body::Recorded { .. }
-            | Body::Replicas(_)
+        Payload::Prepare { .. }
+            | Payload::Promise { .. }
+            | Payload::Accept { .. }
+            | Payload::Accepted(_)
+            | Payload::Chosen(_)
+            | Payload::IncarnationRequest { .. }
+            | Payload::IncarnationRecorded { .. }
+            | Payload::ReplicaAddresses(_)
     )
 }
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use control::calls::{Command, Reply};
-use control::core::peer_messages::{Duty, Incarnation, PeerMessage};
-use control::core::{Core, Input, Output, Own, Row};
+use control::core::peer_messages::{Incarnation, PeerMessage, SingletonRole};
+use control::core::{Core, Input, Output, Record, ReplicaMetadata};
+use control::operator_api::{Command, Reply};
 use protocol::items::ItemName;
 use protocol::messages::{AgentMessage, ControlMessage};
 
@@ -144,7 +144,7 @@
     pub answers: BTreeMap<u64, (i64, Reply)>,
     calls: u64,
     /// Terms of each duty, and who held them.
-    pub terms: BTreeMap<(Duty, u64), usize>,
+    pub terms: BTreeMap<(SingletonRole, u64), usize>,
     /// One content for one version.
     pub contents: BTreeMap<(ItemName, u64), Option<String>>,
     shown: BTreeMap<(usize, u64, ItemName), u64>,
@@ -221,9 +221,9 @@
         };
         for zone in 0..replicas {
             let at = cluster.add(zone);
-            let own = Own {
+            let own = ReplicaMetadata {
                 incarnation: Incarnation::FIRST,
-                ..Own::default()
+                ..ReplicaMetadata::default()
             };
             cluster.nodes[at].disk.own = own;
         }
@@ -253,16 +253,17 @@
         self.calls += 1;
         let call = self.calls;
         if self.nodes[at].core.is_some() {
-            let deadline = self.nodes[at].clock.at(self.now) + self.off(at) + control::limits::CALL;
+            let deadline =
+                self.nodes[at].clock.at(self.now) + self.off(at) + control::limits::CALL_TIMEOUT;
             // Each again and again, as if it were another: what is held for calls grows.
             let times = if self.has(Bug::Calls) { 40 } else { 0 };
             for time in 1..=times {
                 self.feed(
                     at,
-                    Input::Call(call + (time << 40), command.clone(), deadline),
+                    Input::OperatorCall(call + (time << 40), command.clone(), deadline),
                 );
             }
-            self.feed(at, Input::Call(call, command, deadline));
+            self.feed(at, Input::OperatorCall(call, command, deadline));
         }
         call
     }
@@ -322,7 +323,7 @@
         }
         for output in out {
             match output {
-                Output::Send(to, peer_message) => {
+                Output::SendToReplicas(to, peer_message) => {
                     self.sent(at, to.len() as u32);
                     to.iter()
                         .for_each(|to| self.deliver(at, *to, &peer_message));
@@ -334,7 +335,7 @@
                         self.answers.insert(call, (now, reply));
                     }
                 }
-                Output::Tell(links, down) => {
+                Output::SendToAgents(links, down) => {
                     for link in links {
                         if self.conns.contains_key(&link) {
                             self.tell(link, down.clone());
@@ -343,7 +344,7 @@
                         }
                     }
                 }
-                Output::Note(text) | Output::Notice(text) => self.nodes[at].notes.push(text),
+                Output::Log(text) | Output::LogImmediately(text) => self.nodes[at].notes.push(text),
             }
         }
         self.check(at);
@@ -360,11 +361,11 @@
         node.most = node.most.max(node.second.1);
     }
 
-    fn write(&mut self, at: usize, incarnation: u64, number: u64, rows: Vec<Row>) {
+    fn write(&mut self, at: usize, incarnation: u64, number: u64, rows: Vec<Record>) {
         let now = self.now;
         let spent = 500 + self.draw(at, at) % self.sync.max(1);
         let node = &mut self.nodes[at];
-        let votes = rows.iter().all(|row| matches!(row, Row::Register(..)));
+        let votes = rows.iter().all(|row| matches!(row, Record::Register(..)));
         node.disk.waiting.push_back((number, rows));
         let when = (now + spent as i64).max(node.disk.stalled);
         if self.has(Bug::Written) && votes && self.draw(at, at).is_multiple_of(4) {
--- a/crates/simulation/src/cluster/leave.rs
+++ b/crates/simulation/src/cluster/leave.rs
@@ -22,7 +22,7 @@
             return;
         }
         self.nodes[at].stopping = Some(self.now);
-        self.feed(at, Input::Stop);
+        self.feed(at, Input::Shutdown);
         let incarnation = self.nodes[at].incarnation;
         let stay = if self.has(Bug::Leave) { MS } else { STAY };
         self.enter(self.now + stay, Event::End(at, incarnation));
@@ -35,7 +35,7 @@
             return;
         };
         let since = self.now - told;
-        let answered = core.idle() || since >= limits::STOP;
+        let answered = core.idle() || since >= limits::SHUTDOWN_CALL_TIMEOUT;
         let handed = (answered && core.handed_over() && !node.frozen) || self.has(Bug::Leave);
         let grace = if node.frozen {
             GRACE
--- a/crates/simulation/src/cluster/lines.rs
+++ b/crates/simulation/src/cluster/lines.rs
@@ -1,7 +1,7 @@
 //! Timelines as text.
 
-use control::calls::Command;
-use control::core::peer_messages::Duty;
+use control::core::peer_messages::SingletonRole;
+use control::operator_api::Command;
 
 use super::{Cluster, Node};
 
@@ -21,8 +21,8 @@
                 _ => "o",
             }
             .to_string();
-            text.extend(core.holds(now, Duty::Poll).map(|_| 'P'));
-            text.extend(core.holds(now, Duty::Count).map(|_| 'C'));
+            text.extend(core.holds(now, SingletonRole::PlatformPoller).map(|_| 'P'));
+            text.extend(core.holds(now, SingletonRole::Counter).map(|_| 'C'));
             for name in names {
                 let found = core.chosen().find(|item| item.name.name == *name);
                 text.push_str(&found.map_or("_".to_string(), |item| item.ver.to_string()));
@@ -46,7 +46,7 @@
     let text = format!(
         r#"{{"upsert":{{"objs":[{{"type":"svcs","meta":{{"name":"{name}","ver":{ver}}},"spec":{{"hcheck":"/{content}"}}}}]}}}}"#
     );
-    Command::Patch(text.into_bytes())
+    Command::ApplyPatch(text.into_bytes())
 }
 
 /// The whole text of a timeline.
--- a/crates/simulation/src/cluster/links.rs
+++ b/crates/simulation/src/cluster/links.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use control::core::Input;
-use control::core::peer_messages::{Body, PeerMessage};
+use control::core::peer_messages::{Payload, PeerMessage};
 
 use super::{Cluster, Event, MS};
 use crate::chance::mix;
@@ -55,7 +55,9 @@
         };
         if matches!(
             peer_message.body,
-            Body::Learn { .. } | Body::Recorded { .. } | Body::Entries { .. }
+            Payload::ChosenChunk { .. }
+                | Payload::IncarnationRecorded { .. }
+                | Payload::DigestEntries { .. }
         ) {
             let size = postcard::serialize_with_flavor(
                 &peer_message,
@@ -112,7 +114,7 @@
                 self.links.extend([(at, peer), (peer, at)]);
                 for (one, other) in [(at, peer), (peer, at)] {
                     let address = self.nodes[other].address;
-                    self.feed(one, Input::LinkUp(address));
+                    self.feed(one, Input::PeerConnected(address));
                 }
             }
         }
--- a/crates/simulation/src/cluster/machines.rs
+++ b/crates/simulation/src/cluster/machines.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 use control::core::peer_messages::Incarnation;
-use control::core::transfer::Bounds;
-use control::core::{Core, Input, Setup};
-use control::limits::{CALL, SILENT};
+use control::core::transfer::TransferLimits;
+use control::core::{Core, Input, ReplicaConfig};
+use control::limits::{CALL_TIMEOUT, PEER_LINK_TIMEOUT};
 
 use super::{Cluster, Event, MS, Node, SECOND};
 use crate::chance::{Steady, mix};
@@ -14,9 +14,9 @@
 use crate::harm::Bug;
 
 /// So little that the few items of a schedule go in many pieces, and in several questions.
-const BOUNDS: Bounds = Bounds {
-    piece: 300,
-    question: 900,
+const BOUNDS: TransferLimits = TransferLimits {
+    chunk_bytes: 300,
+    response_bytes: 900,
 };
 
 impl Cluster {
@@ -74,7 +74,7 @@
         }
         node.incarnation += 1;
         node.transferred = 0;
-        let setup = Setup {
+        let setup = ReplicaConfig {
             zones: self.zones.clone(),
             zone: self.zones[node.zone].clone(),
             address: Some(node.address),
@@ -88,7 +88,7 @@
         node.core = Some(core);
         (node.frozen, node.slow, node.busy) = (false, 0, 0);
         if node.disk.full {
-            self.feed(at, Input::Full(true));
+            self.feed(at, Input::DiskFull(true));
         }
         self.feed(at, Input::Tick);
     }
@@ -165,20 +165,20 @@
             (self.now, self.nodes[at].stood, self.nodes[at].incarnation);
         for (when, input) in std::mem::take(&mut self.nodes[at].inbox) {
             let kept = match &input {
-                Input::PeerMessage(..) | Input::LinkUp(_) | Input::Agent(..) => {
-                    self.has(Bug::Queued) && when < stood + SILENT
+                Input::PeerMessage(..) | Input::PeerConnected(_) | Input::Agent(..) => {
+                    self.has(Bug::Queued) && when < stood + PEER_LINK_TIMEOUT
                 }
-                Input::Listed(_) => false,
-                Input::Call(..) => now - when < SECOND,
+                Input::ServerListRead(_) => false,
+                Input::OperatorCall(..) => now - when < SECOND,
                 _ => true,
             };
             match input {
                 input if kept => self.nodes[at].inbox.push_back((when, input)),
-                Input::Call(call, command, _) if self.has(Bug::Late) => {
+                Input::OperatorCall(call, command, _) if self.has(Bug::Late) => {
                     // Read as the links are back; the time that it may take counts from then.
                     let read = now + SECOND;
-                    let deadline = self.nodes[at].clock.at(read) + CALL;
-                    let input = Box::new(Input::Call(call, command, deadline));
+                    let deadline = self.nodes[at].clock.at(read) + CALL_TIMEOUT;
+                    let input = Box::new(Input::OperatorCall(call, command, deadline));
                     self.enter(read, Event::Feed(at, incarnation, input));
                 }
                 _ => {}
@@ -215,7 +215,7 @@
         if std::mem::replace(&mut self.nodes[at].disk.full, full) == full {
             return;
         }
-        self.feed(at, Input::Full(full));
+        self.feed(at, Input::DiskFull(full));
         let (incarnation, last) = (
             self.nodes[at].incarnation,
             self.nodes[at]
--- a/crates/simulation/src/cluster/watch.rs
+++ b/crates/simulation/src/cluster/watch.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 
 use control::core::Core;
-use control::core::peer_messages::Duty;
-use control::limits::GRANT;
+use control::core::peer_messages::SingletonRole;
+use control::limits::GRANT_DURATION;
 use protocol::items::{Item, ItemName};
 
 use super::{Cluster, MS};
 
 impl Cluster {
     /// A machine holds a duty at this instant, in this term.
-    pub fn holds(&self, at: usize, duty: Duty) -> Option<u64> {
+    pub fn holds(&self, at: usize, duty: SingletonRole) -> Option<u64> {
         let node = &self.nodes[at];
         node.core
             .as_ref()?
@@ -19,7 +19,7 @@
     }
 
     /// Who holds a duty now.
-    pub fn holders(&self, duty: Duty) -> Vec<(usize, u64)> {
+    pub fn holders(&self, duty: SingletonRole) -> Vec<(usize, u64)> {
         (0..self.nodes.len())
             .filter_map(|at| Some((at, self.holds(at, duty)?)))
             .collect()
@@ -28,17 +28,17 @@
     /// At most one holder of the count at any instant; two that poll for as long as a grant lasts at the most. Never two of
     /// one term, and terms that rise.
     pub(super) fn check(&mut self, at: usize) {
-        let pollers = self.holders(Duty::Poll).len();
+        let pollers = self.holders(SingletonRole::PlatformPoller).len();
         let since = *self.pollers.get_or_insert(self.now);
         if pollers < 2 {
             self.pollers = None;
-        } else if self.now - since > GRANT {
+        } else if self.now - since > GRANT_DURATION {
             self.fault(
                 "duty",
                 format!("{pollers} poll for {} ms", (self.now - since) / MS),
             );
         }
-        for duty in Duty::ALL {
+        for duty in SingletonRole::ALL {
             let Some(term) = self.holds(at, duty) else {
                 continue;
             };
@@ -53,7 +53,7 @@
                 .holders(duty)
                 .into_iter()
                 .find(|(other, _)| *other != at);
-            if let Some((other, _)) = other.filter(|_| duty == Duty::Count) {
+            if let Some((other, _)) = other.filter(|_| duty == SingletonRole::Counter) {
                 self.fault("duty", format!("{duty:?} is held by {at} and {other}"));
             }
             let newest = self
@@ -61,7 +61,7 @@
                 .range((duty, 0)..=(duty, u64::MAX))
                 .next_back()
                 .map(|((_, t), _)| *t);
-            if newest.is_some_and(|newest| newest > term) && duty == Duty::Count {
+            if newest.is_some_and(|newest| newest > term) && duty == SingletonRole::Counter {
                 self.fault("duty", format!("{duty:?}: term {term} after {newest:?}"));
             }
         }
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -4,18 +4,18 @@
 
 use control::core::peer_messages::{Ballot, Incarnation};
 use control::core::registers::Register;
-use control::core::{Own, Restored, Row};
+use control::core::{Record, RecoveredState, ReplicaMetadata};
 use protocol::items::{Item, ItemName};
 
 /// What is on a disk, and what is on its way.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     /// About the replica itself.
-    pub own: Own,
+    pub own: ReplicaMetadata,
     registers: BTreeMap<ItemName, Register>,
     chosen: BTreeMap<ItemName, (Ballot, Item)>,
     /// Writes that are not synced, by their numbers, in order.
-    pub waiting: VecDeque<(u64, Vec<Row>)>,
+    pub waiting: VecDeque<(u64, Vec<Record>)>,
     /// Nothing is synced before then.
     pub stalled: i64,
     /// Nothing more goes on it.
@@ -23,12 +23,12 @@
 }
 
 impl Disk {
-    fn apply(&mut self, rows: Vec<Row>) {
+    fn apply(&mut self, rows: Vec<Record>) {
         for row in rows {
             match row {
-                Row::Own(own) => self.own = own,
-                Row::Register(name, register) => _ = self.registers.insert(name, register),
-                Row::Chosen(ballot, item) => {
+                Record::Metadata(own) => self.own = own,
+                Record::Register(name, register) => _ = self.registers.insert(name, register),
+                Record::Chosen(ballot, item) => {
                     _ = self.chosen.insert(item.name.clone(), (ballot, item))
                 }
             }
@@ -60,16 +60,16 @@
     }
 
     /// What a process finds that starts; half a rebuilding counts for nothing.
-    pub fn restore(&mut self) -> Restored {
+    pub fn restore(&mut self) -> RecoveredState {
         if self.own.incarnation == Incarnation::NONE {
             *self = Disk {
                 full: self.full,
                 ..Disk::default()
             };
-            return Restored::default();
+            return RecoveredState::default();
         }
         self.own.run += 1;
-        Restored {
+        RecoveredState {
             own: self.own.clone(),
             registers: self.registers.clone().into_iter().collect(),
             chosen: self.chosen.values().cloned().collect(),
--- a/crates/simulation/src/edges/agents.rs
+++ b/crates/simulation/src/edges/agents.rs
@@ -4,7 +4,7 @@
 
 use agent::links::{COUNT_SILENT, HOMEWARD, OUT_OF_TOUCH, SILENT};
 use control::core::Input;
-use control::limits::AGENT_SILENT;
+use control::limits::AGENT_LINK_TIMEOUT;
 use protocol::messages::{AgentMessage, ControlMessage, NodeInfo as Told, NodeState};
 use streamarch::Outcome;
 
@@ -168,7 +168,7 @@
             return;
         };
         if self.nodes[conn.node].incarnation == conn.node_incarnation {
-            self.feed(conn.node, Input::AgentGone(id));
+            self.feed(conn.node, Input::AgentDisconnected(id));
         }
     }
 
@@ -177,7 +177,7 @@
         let now = self.now;
         let silent = |conn: &&Conn| {
             let node = &self.nodes[conn.node];
-            conn.up && now - conn.heard >= AGENT_SILENT && !node.frozen && node.core.is_some()
+            conn.up && now - conn.heard >= AGENT_LINK_TIMEOUT && !node.frozen && node.core.is_some()
         };
         let gone: Vec<u64> = self
             .conns
--- a/crates/simulation/src/harm.rs
+++ b/crates/simulation/src/harm.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use control::calls::Reply;
 use control::core::Input;
 use control::core::peer_messages::{
-    Ballot, Body, Duty, Incarnation, PeerMessage, Replica, Speaker,
+    Ballot, Incarnation, Payload, PeerMessage, ProcessId, ReplicaId, SingletonRole,
 };
-use control::core::transfer::{Piece, Then};
+use control::core::transfer::{Chunk, Continuation};
+use control::operator_api::Reply;
 use protocol::items::{Item, ItemName};
 use protocol::messages::{AgentMessage, ClusterView, ControlMessage, CounterAdd};
 
@@ -193,25 +193,25 @@
         };
         match (self.bug, &mut peer_message.body) {
             (Some(Bug::Incarnations), _) => peer_message.incarnations.fill(Incarnation::NONE),
-            (Some(Bug::Accepted), Body::Nack { ballot, .. }) => {
-                peer_message.body = Body::Accepted(*ballot)
+            (Some(Bug::Accepted), Payload::Nack { ballot, .. }) => {
+                peer_message.body = Payload::Accepted(*ballot)
             }
-            (Some(Bug::Asked), Body::Registers { id, .. }) => {
+            (Some(Bug::Asked), Payload::RegisterChunk { id, .. }) => {
                 id.by = self.speaker(to).unwrap_or(id.by)
             }
-            (Some(Bug::Asked), Body::Vote { term, .. }) => {
+            (Some(Bug::Asked), Payload::LeaseVote { term, .. }) => {
                 term.by = self.speaker(to).unwrap_or(term.by)
             }
-            (Some(Bug::Versions), Body::Promise { accepted, .. }) => {
+            (Some(Bug::Versions), Payload::Promise { accepted, .. }) => {
                 accepted
                     .iter_mut()
                     .for_each(|(_, item)| item.ver = item.ver.saturating_sub(1));
             }
-            (Some(Bug::Traces), Body::Promise { accepted, .. })
+            (Some(Bug::Traces), Payload::Promise { accepted, .. })
             | (
                 Some(Bug::Traces),
-                Body::Registers {
-                    piece: Piece {
+                Payload::RegisterChunk {
+                    piece: Chunk {
                         items: accepted, ..
                     },
                     ..
@@ -219,24 +219,32 @@
             ) => {
                 accepted.retain(|(_, item)| item.spec.is_some());
             }
-            (Some(Bug::Halves), Body::Accept { items, .. }) if items.len() > 1 => _ = items.pop(),
-            (Some(Bug::Floor), Body::Recorded { floor, .. }) => *floor = Ballot::default(),
-            (Some(Bug::Hollow), Body::Recorded { piece, .. }) => piece.items.clear(),
-            (Some(Bug::Untold), Body::Learn { items, .. }) => items.clear(),
-            (Some(Bug::Partial), Body::Recorded { piece, .. }) => piece.then = Then::End,
-            (Some(Bug::Undropped), Body::Learn { items, .. }) => {
+            (Some(Bug::Halves), Payload::Accept { items, .. }) if items.len() > 1 => {
+                _ = items.pop()
+            }
+            (Some(Bug::Floor), Payload::IncarnationRecorded { floor, .. }) => {
+                *floor = Ballot::default()
+            }
+            (Some(Bug::Hollow), Payload::IncarnationRecorded { piece, .. }) => piece.items.clear(),
+            (Some(Bug::Untold), Payload::ChosenChunk { items, .. }) => items.clear(),
+            (Some(Bug::Partial), Payload::IncarnationRecorded { piece, .. }) => {
+                piece.then = Continuation::End
+            }
+            (Some(Bug::Undropped), Payload::ChosenChunk { items, .. }) => {
                 items.retain(|(_, item)| item.spec.is_some())
             }
-            (Some(Bug::Undropped), Body::Recorded { piece, .. }) => {
+            (Some(Bug::Undropped), Payload::IncarnationRecorded { piece, .. }) => {
                 piece.items.retain(|(_, item)| item.spec.is_some());
             }
-            (Some(Bug::Arrival), Body::Promise { accepted, .. }) => by_arrival(accepted),
-            (Some(Bug::Arrival), Body::Registers { piece, .. }) => by_arrival(&mut piece.items),
+            (Some(Bug::Arrival), Payload::Promise { accepted, .. }) => by_arrival(accepted),
+            (Some(Bug::Arrival), Payload::RegisterChunk { piece, .. }) => {
+                by_arrival(&mut piece.items)
+            }
             (Some(Bug::Old), body) => {
                 // The old one does not hear of the new one, and its votes count as those of the new one.
                 let votes = matches!(
                     body,
-                    Body::Promise { .. } | Body::Accepted(_) | Body::Vote { .. }
+                    Payload::Promise { .. } | Payload::Accepted(_) | Payload::LeaseVote { .. }
                 );
                 let zone = self.nodes[from].zone;
                 if votes && peer_message.by.incarnation != Incarnation::NONE {
@@ -252,11 +260,11 @@
     }
 
     /// Who the process of a machine is.
-    fn speaker(&self, at: usize) -> Option<Speaker> {
+    fn speaker(&self, at: usize) -> Option<ProcessId> {
         let node = &self.nodes[at];
         let own = &node.disk.own;
-        node.core.as_ref().map(|core| Speaker {
-            replica: node.zone as Replica,
+        node.core.as_ref().map(|core| ProcessId {
+            replica: node.zone as ReplicaId,
             incarnation: core.incarnation(),
             run: own.run,
         })
@@ -282,7 +290,7 @@
         if !self.has(Bug::Echo) && !self.has(Bug::Forged) {
             return;
         }
-        let beat = matches!(peer_message.body, Body::Beat(_));
+        let beat = matches!(peer_message.body, Payload::Heartbeat(_));
         if !self.cuts.contains(&(from, to)) {
             if beat {
                 self.harm.beats.insert((from, to), peer_message.clone());
@@ -293,11 +301,11 @@
             self.slip(from, to, last);
         }
         let body = match &peer_message.body {
-            Body::Prepare { ballot, .. } => Body::Promise {
+            Payload::Prepare { ballot, .. } => Payload::Promise {
                 ballot: *ballot,
                 accepted: Vec::new(),
             },
-            Body::Accept { ballot, .. } => Body::Accepted(*ballot),
+            Payload::Accept { ballot, .. } => Payload::Accepted(*ballot),
             _ => return,
         };
         if let Some(last) = self
@@ -347,23 +355,23 @@
             return Some(peer_message);
         }
         match &mut peer_message.body {
-            Body::Accept { ballot, .. } => {
+            Payload::Accept { ballot, .. } => {
                 self.harm
                     .accepts
                     .insert((from, to, *ballot), peer_message.clone());
             }
-            Body::Nack { ballot, seen } => {
+            Payload::Nack { ballot, seen } => {
                 // What it has promised it forgets, and accepts.
                 if let Some(mut accept) = self.harm.accepts.remove(&(to, from, *ballot)) {
                     self.harm.forgot.insert((from, to, *seen), *ballot);
-                    if let Body::Accept { ballot, .. } = &mut accept.body {
+                    if let Payload::Accept { ballot, .. } = &mut accept.body {
                         *ballot = *seen;
                     }
                     self.enter(self.now + 1, Event::PeerMessage(to, from, Box::new(accept)));
                     return None;
                 }
             }
-            Body::Accepted(ballot) => {
+            Payload::Accepted(ballot) => {
                 if let Some(was) = self.harm.forgot.remove(&(from, to, *ballot)) {
                     *ballot = was;
                 }
@@ -408,7 +416,7 @@
                 let own = self
                     .terms
                     .iter()
-                    .rfind(|((duty, _), at)| *duty == Duty::Count && **at == node);
+                    .rfind(|((duty, _), at)| *duty == SingletonRole::Counter && **at == node);
                 match own {
                     Some(((_, term), _)) => {
                         let holder = Some((self.nodes[node].address, *term));
--- a/crates/simulation/src/play/asks.rs
+++ b/crates/simulation/src/play/asks.rs
@@ -1,6 +1,6 @@
 //! What operators ask, as calls.
 
-use control::calls::Command;
+use control::operator_api::Command;
 use protocol::items::{ItemKind, ItemName};
 use protocol::platform::Server;
 
@@ -50,7 +50,7 @@
 }
 
 pub(super) fn patch(objects: &[String]) -> Command {
-    Command::Patch(format!(r#"{{"upsert":{{"objs":[{}]}}}}"#, objects.join(",")).into_bytes())
+    Command::ApplyPatch(format!(r#"{{"upsert":{{"objs":[{}]}}}}"#, objects.join(",")).into_bytes())
 }
 
 /// The first call: what always stands; of the tenants so many.
@@ -74,7 +74,7 @@
             Ask::Set(item, ver, content) => patch(&[object(item, ver, content)]),
             Ask::Drop(item, ver) => {
                 let text = format!(r#"{{"remove":{{"svcs":[{{"name":"s{item}","ver":{ver}}}]}}}}"#);
-                Command::Patch(text.into_bytes())
+                Command::ApplyPatch(text.into_bytes())
             }
             Ask::Route(item, ver, content) => patch(&[route(
                 &format!("r{item}"),
@@ -107,7 +107,7 @@
                     meta("p"),
                     meta("q")
                 );
-                Command::Patch(text.into_bytes())
+                Command::ApplyPatch(text.into_bytes())
             }
             Ask::Refer(ver, content) => patch(&[route(
                 "refers",
@@ -123,10 +123,10 @@
                 content,
                 &format!("s{DROPPED_ONCE}"),
             )]),
-            Ask::Read => Command::Get,
-            Ask::Drain(on) => Command::Drain {
+            Ask::Read => Command::GetConfiguration,
+            Ask::Drain(on) => Command::SetEvacuation {
                 zone: "c".to_string(),
-                on,
+                evacuate: on,
             },
         }
     }
--- a/crates/simulation/src/play/cut_off.rs
+++ b/crates/simulation/src/play/cut_off.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use control::calls::Reply;
-use control::limits::{LEASE, LEASE_ALONE};
+use control::limits::{MEMBER_LEASE_DURATION, MEMBER_LEASE_DURATION_WITHOUT_QUORUM};
+use control::operator_api::Reply;
 use protocol::messages::NodeState;
 
 use super::asks::svc;
@@ -15,7 +15,7 @@
 const UNDER_WAY: i64 = 400 * MS;
 /// Stated: nobody names an edge that was heard nowhere for this long. Whoever heard it last holds its lease, tells it on to
 /// the last, and one that is cut off then holds that hearsay; the rest is the way, and the beats between.
-pub const NAMED: i64 = LEASE + LEASE_ALONE + SECOND;
+pub const NAMED: i64 = MEMBER_LEASE_DURATION + MEMBER_LEASE_DURATION_WITHOUT_QUORUM + SECOND;
 
 impl Player {
     /// Looks which replicas each machine can exchange messages with. Of machines that were replaced the votes may count until
--- a/crates/simulation/src/play/holder.rs
+++ b/crates/simulation/src/play/holder.rs
@@ -1,6 +1,6 @@
 //! Trouble at the replica that holds the shared count at that instant.
 
-use control::core::peer_messages::Duty;
+use control::core::peer_messages::SingletonRole;
 
 use super::Player;
 use crate::schedule::Holder;
@@ -14,7 +14,12 @@
             self.cluster.freeze(at, false);
             return self.cluster.start(at);
         }
-        let Some((at, _)) = self.cluster.holders(Duty::Count).first().copied() else {
+        let Some((at, _)) = self
+            .cluster
+            .holders(SingletonRole::Counter)
+            .first()
+            .copied()
+        else {
             return;
         };
         self.holder = Some(at);
--- a/crates/simulation/src/play/operators.rs
+++ b/crates/simulation/src/play/operators.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use control::calls::Reply;
+use control::operator_api::Reply;
 use serde_json::Value;
 
 use super::asks::{first, names, svc};
--- a/crates/simulation/src/play/resent.rs
+++ b/crates/simulation/src/play/resent.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use control::calls::Reply;
+use control::operator_api::Reply;
 use protocol::items::ItemName;
 
 use super::rules::says;
--- a/crates/simulation/src/play/rules.rs
+++ b/crates/simulation/src/play/rules.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use control::calls::{Command, Reply};
 use control::core::Input;
-use control::core::peer_messages::Duty;
+use control::core::peer_messages::SingletonRole;
+use control::operator_api::{Command, Reply};
 use protocol::items::ItemKind;
 use protocol::messages::NodeState;
 use serde_json::Value;
@@ -206,14 +206,19 @@
         self.next_poll.resize(self.cluster.nodes.len(), 0);
         for at in self.cluster.live() {
             let frozen = self.cluster.nodes[at].frozen;
-            if self.cluster.holds(at, Duty::Poll).is_some() && !frozen && now >= self.next_poll[at]
+            if self
+                .cluster
+                .holds(at, SingletonRole::PlatformPoller)
+                .is_some()
+                && !frozen
+                && now >= self.next_poll[at]
             {
                 self.next_poll[at] = now + 700 * MS;
                 let list = servers(self.list, &self.cluster.zones);
                 let incarnation = self.cluster.nodes[at].incarnation;
                 self.cluster.enter(
                     now + 30 * MS,
-                    Event::Feed(at, incarnation, Box::new(Input::Listed(list))),
+                    Event::Feed(at, incarnation, Box::new(Input::ServerListRead(list))),
                 );
             }
         }
@@ -284,7 +289,7 @@
     pub(super) fn check_duties(&mut self) {
         let now = self.cluster.now;
         let since = self.clique.as_ref().map(|(_, since)| *since);
-        for duty in Duty::ALL {
+        for duty in SingletonRole::ALL {
             let at = duty as usize;
             if since.is_none() || !self.cluster.holders(duty).is_empty() {
                 self.vacant[at] = now;
@@ -378,7 +383,7 @@
             replicas[replicas.len() - 1],
         ] {
             let from = self.cluster.now;
-            match self.cluster.ask(at, Command::Get) {
+            match self.cluster.ask(at, Command::GetConfiguration) {
                 Some(Reply::Items(body)) => {
                     let to = self.cluster.now;
                     self.was_read(from, to, &body);
@@ -393,7 +398,7 @@
                 "the replicas do not know the same to be chosen".to_string(),
             );
         }
-        for duty in Duty::ALL {
+        for duty in SingletonRole::ALL {
             if self.cluster.holders(duty).len() != 1 {
                 self.fault(
                     "end",
--- a/crates/simulation/src/scale/mod.rs
+++ b/crates/simulation/src/scale/mod.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 use std::time::Instant;
 
-use control::core::Restored;
+use control::core::RecoveredState;
 
 pub use self::agent::{Agent, News};
 pub use self::world::{Size, Traffic, World};
@@ -158,7 +158,7 @@
     let answer = world
         .answers
         .get(&call)
-        .filter(|(_, reply)| *reply == control::calls::Reply::Done);
+        .filter(|(_, reply)| *reply == control::operator_api::Reply::Done);
     report.change = (
         answer.map(|(when, _)| when - at),
         seen.get(world.agents.len() / 2).copied(),
@@ -182,7 +182,7 @@
     }
     world.kill(1);
     let before = traffic(&world).0;
-    let new = world.replica(1, Restored::default());
+    let new = world.replica(1, RecoveredState::default());
     let takes_part = |world: &World| {
         world.replicas[new]
             .core
--- a/crates/simulation/src/scale/transfer.rs
+++ b/crates/simulation/src/scale/transfer.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use control::core::Restored;
+use control::core::RecoveredState;
 use protocol::items::Item;
 
 use super::world::{Size, World, items, on_disk};
@@ -86,7 +86,7 @@
     let at = world.now;
     world.longest = 0;
     let disk = if wiped {
-        Restored::default()
+        RecoveredState::default()
     } else {
         on_disk(cores, &before)
     };
--- a/crates/simulation/src/scale/world.rs
+++ b/crates/simulation/src/scale/world.rs
@@ -8,11 +8,11 @@
 
 use agent::known::Known;
 use agent::links::{HOMEWARD, Links};
-use control::calls::{Command, Reply};
 use control::core::peer_messages::{Ballot, Incarnation, PeerMessage};
 use control::core::registers::Register;
-use control::core::transfer::Bounds;
-use control::core::{Core, Input, Output, Own, Restored, Setup};
+use control::core::transfer::TransferLimits;
+use control::core::{Core, Input, Output, RecoveredState, ReplicaConfig, ReplicaMetadata};
+use control::operator_api::{Command, Reply};
 use protocol::digests::Digests;
 use protocol::items::{Item, ItemKind, ItemName};
 use protocol::messages::{AgentMessage, ControlMessage, NodeInfo, NodeState};
@@ -125,7 +125,7 @@
 }
 
 /// The disk of a replica on which these items are chosen, each under a ballot of its version.
-pub(super) fn on_disk(cores: usize, all: &[Item]) -> Restored {
+pub(super) fn on_disk(cores: usize, all: &[Item]) -> RecoveredState {
     let ballot = |item: &Item| Ballot {
         round: item.ver,
         ..Ballot::default()
@@ -140,12 +140,12 @@
             },
         )
     };
-    Restored {
-        own: Own {
+    RecoveredState {
+        own: ReplicaMetadata {
             incarnation: Incarnation::FIRST,
             run: 1,
             incarnations: vec![Incarnation::FIRST; cores],
-            ..Own::default()
+            ..ReplicaMetadata::default()
         },
         registers: all.iter().map(register).collect(),
         chosen: all
@@ -232,18 +232,18 @@
     }
 
     /// A machine at a replica; gives its number.
-    pub fn replica(&mut self, zone: usize, restored: Restored) -> usize {
+    pub fn replica(&mut self, zone: usize, restored: RecoveredState) -> usize {
         let at = self.replicas.len();
         let address = SocketAddr::from(([10, 0, zone as u8, (at / 200) as u8], 7000 + at as u16));
         let seeds = self.seeds();
-        let setup = Setup {
+        let setup = ReplicaConfig {
             zones: self.zones.clone(),
             zone: self.zones[zone].clone(),
             address: Some(address),
             seeds,
             seed: 77 + at as u64,
             restored,
-            bounds: Bounds::default(),
+            bounds: TransferLimits::default(),
         };
         let offset = 1_000 * SECOND + at as i64 * 7_919;
         let core = Core::new(self.now + offset, setup);
@@ -349,12 +349,12 @@
         }
         for output in out {
             match output {
-                Output::Send(to, peer_message) => self.send(at, to, peer_message),
+                Output::SendToReplicas(to, peer_message) => self.send(at, to, peer_message),
                 Output::Peers(peers) => self.replicas[at].peers = peers,
                 Output::Write(number, _) => self.enter(now + SYNC, Event::Written(at, number)),
                 Output::Answer(call, reply) => _ = self.answers.insert(call, (now, reply)),
-                Output::Tell(links, down) => self.tell(at, links, down),
-                Output::Note(_) | Output::Notice(_) => {}
+                Output::SendToAgents(links, down) => self.tell(at, links, down),
+                Output::Log(_) | Output::LogImmediately(_) => {}
             }
         }
     }
@@ -625,7 +625,7 @@
                 self.linked.insert((peer, at));
                 for (one, other) in [(at, peer), (peer, at)] {
                     let address = self.replicas[other].address;
-                    self.feed(one, Input::LinkUp(address));
+                    self.feed(one, Input::PeerConnected(address));
                 }
             }
         }
@@ -653,7 +653,7 @@
             }
             Event::Up(..) => {}
             Event::Down(agent, link, news) => self.down(agent, link, news),
-            Event::Gone(replica, link) => self.feed(replica, Input::AgentGone(link)),
+            Event::Gone(replica, link) => self.feed(replica, Input::AgentDisconnected(link)),
             Event::Lost(agent, link) => self.lost(agent, link),
             Event::Beat(agent) => self.beat(agent),
             Event::Home(agent) => self.home(agent),
@@ -689,9 +689,9 @@
         self.number += 1;
         let (call, deadline) = (
             self.number,
-            self.now + self.replicas[replica].offset + control::limits::CALL,
+            self.now + self.replicas[replica].offset + control::limits::CALL_TIMEOUT,
         );
-        self.feed(replica, Input::Call(call, command, deadline));
+        self.feed(replica, Input::OperatorCall(call, command, deadline));
         call
     }
 }
--- a/crates/simulation/tests/transfers.rs
+++ b/crates/simulation/tests/transfers.rs
@@ -1,6 +1,6 @@
 //! State transfers: how long and how large they are, and hundreds of changes with replicas that were away.
 
-use control::calls::Reply;
+use control::operator_api::Reply;
 use simulation::cluster::{Cluster, MS, SECOND, service};
 use simulation::draw::{Often, Plan, draw};
 use simulation::play::play;
