--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -16,16 +16,16 @@
 enum ViewChange {
     Nothing,
     /// How many limiters there are, by little.
-    Little,
-    Much,
+    Minor,
+    Major,
 }
 
 /// What the agents of a zone were told last.
 #[derive(Clone, Debug)]
 struct AnnouncedView {
-    who: ClusterView,
+    view: ClusterView,
     /// The table of replicas, then.
-    replicas: u64,
+    table_revision: u64,
 }
 
 /// What an agent holds, as it said.
@@ -35,7 +35,7 @@
     pub items: u32,
     digest: u64,
     /// That was all there is, then.
-    whole: i64,
+    complete_at: i64,
 }
 
 impl AgentState {
@@ -44,7 +44,7 @@
         if self.digest == digest {
             0
         } else {
-            now - self.whole
+            now - self.complete_at
         }
     }
 }
@@ -53,13 +53,13 @@
 #[derive(Clone, Debug)]
 struct PendingSync {
     /// What it had at the start of its link, by parts.
-    have: Vec<u64>,
+    digests: Vec<u64>,
     /// It was told all up to this name; what changes later is news, and told to it at once.
     after: Option<ItemName>,
     /// Pieces that it has not said to hold.
-    open: usize,
+    unacknowledged: usize,
     /// When it last said so, or was told something.
-    moved: i64,
+    progressed_at: i64,
 }
 
 /// The links of agents.
@@ -68,21 +68,21 @@
     /// The zone of each one that wants news.
     zones: BTreeMap<u64, String>,
     /// What each zone was told last.
-    told: BTreeMap<String, AnnouncedView>,
+    announced: BTreeMap<String, AnnouncedView>,
     /// Links that are for the count alone, and when something came on them.
     counting: BTreeMap<u64, i64>,
     /// What each holds as it said last, and when that was last all there is.
-    holding: BTreeMap<u64, AgentState>,
+    states: BTreeMap<u64, AgentState>,
     /// Those that are told all then: they have just started, and go to the replica of their own zone before that.
-    later: BTreeMap<u64, i64>,
+    deferred: BTreeMap<u64, i64>,
     /// What those know already that have not said yet who they are.
-    have: BTreeMap<u64, Vec<u64>>,
+    known_digests: BTreeMap<u64, Vec<u64>>,
     /// Those that are told all piece by piece.
-    owing: BTreeMap<u64, PendingSync>,
+    pending: BTreeMap<u64, PendingSync>,
     /// How many limiters there are is told again then at the earliest...
-    counts: i64,
+    next_count_update: i64,
     /// ...and is owed.
-    owed: bool,
+    count_update_due: bool,
 }
 
 impl AgentLinks {
@@ -91,7 +91,7 @@
     }
 
     /// A link without a zone is one for the count.
-    fn counts(&mut self, now: i64, link: u64) {
+    fn record_counter_link(&mut self, now: i64, link: u64) {
         if !self.zones.contains_key(&link) {
             self.counting.insert(link, now);
         }
@@ -100,114 +100,126 @@
     }
 
     /// What the agent on a link holds, if it has said so.
-    pub(super) fn holding(&self, link: u64) -> Option<AgentState> {
-        self.holding.get(&link).copied()
+    pub(super) fn state(&self, link: u64) -> Option<AgentState> {
+        self.states.get(&link).copied()
     }
 
     /// When something is owed to them.
-    pub(super) fn wake(&self) -> Option<i64> {
-        self.owed
-            .then_some(self.counts)
+    pub(super) fn wake_at(&self) -> Option<i64> {
+        self.count_update_due
+            .then_some(self.next_count_update)
             .into_iter()
-            .chain(self.later.values().copied())
+            .chain(self.deferred.values().copied())
             .min()
     }
 }
 
 impl Core {
     /// A message of an agent.
-    pub(super) fn agent(&mut self, now: i64, link: u64, up: AgentMessage, out: &mut Vec<Output>) {
+    pub(super) fn handle_agent_message(
+        &mut self,
+        now: i64,
+        link: u64,
+        up: AgentMessage,
+        out: &mut Vec<Output>,
+    ) {
         let changed = match up {
             AgentMessage::Hello(edge) => {
                 let (zone, home) = (edge.zone.clone(), edge.zone.clone());
-                self.overload_homes.joined(link, &edge.region);
-                let changed = self.members.hello(now, link, edge);
+                self.load.add_agent(link, &edge.region);
+                let changed = self.membership.handle_hello(now, link, edge);
                 self.agents.zones.insert(link, zone.clone());
                 let to = || vec![link];
                 // All of a zone stand on the same: what is news goes to all of them afterwards.
                 let told = self
                     .agents
-                    .told
+                    .announced
                     .get(&zone)
                     .cloned()
-                    .unwrap_or_else(|| self.who(now, &zone));
+                    .unwrap_or_else(|| self.cluster_view(now, &zone));
                 out.push(Output::SendToAgents(
                     to(),
-                    ControlMessage::ClusterView(told.who.clone()),
+                    ControlMessage::ClusterView(told.view.clone()),
                 ));
-                self.agents.told.insert(zone, told);
-                if !self.agents.have.contains_key(&link) && self.has_home(now, &home) {
+                self.agents.announced.insert(zone, told);
+                if !self.agents.known_digests.contains_key(&link)
+                    && self.has_reachable_home(now, &home)
+                {
                     self.agents
-                        .later
+                        .deferred
                         .insert(link, now + limits::HEARTBEAT_INTERVAL);
                 } else {
-                    self.tell_all(now, link, out);
+                    self.start_sync(now, link, out);
                 }
                 changed
             }
             AgentMessage::KnownDigests(parts) => {
-                self.agents.have.insert(link, parts);
+                self.agents.known_digests.insert(link, parts);
                 false
             }
             AgentMessage::ConfigState { items, digest } => {
                 let before = self
                     .agents
-                    .holding
+                    .states
                     .get(&link)
-                    .map_or(now, |before| before.whole);
-                let whole = if digest == self.news.holding().1 {
+                    .map_or(now, |before| before.complete_at);
+                let whole = if digest == self.chosen.agent_digest().1 {
                     now
                 } else {
                     before
                 };
-                self.agents.holding.insert(
+                self.agents.states.insert(
                     link,
                     AgentState {
                         items,
                         digest,
-                        whole,
+                        complete_at: whole,
                     },
                 );
-                self.credit(now, link, out);
+                self.handle_chunk_ack(now, link, out);
                 false
             }
             AgentMessage::Heartbeat(standing) => {
-                let silent = |owed: &PendingSync| now - owed.moved > limits::CHUNK_ACK_TIMEOUT;
-                if self.agents.owing.get(&link).is_some_and(silent) {
-                    self.credit(now, link, out);
+                let silent =
+                    |owed: &PendingSync| now - owed.progressed_at > limits::CHUNK_ACK_TIMEOUT;
+                if self.agents.pending.get(&link).is_some_and(silent) {
+                    self.handle_chunk_ack(now, link, out);
                 }
-                self.members.beat(now, link, standing)
+                self.membership.handle_heartbeat(now, link, standing)
             }
             AgentMessage::LoadReports(reports) => {
-                let me = self.replicas.me().replica;
-                self.overload_homes.told(now, me, link, &reports);
+                let me = self.replicas.local().replica;
+                self.load.handle_reports(now, me, link, &reports);
                 false
             }
             AgentMessage::Clock(time) => {
-                self.raise(now, time);
-                self.agents.counts(now, link);
+                self.advance_clock(now, time);
+                self.agents.record_counter_link(now, link);
                 out.push(Output::SendToAgents(
                     vec![link],
-                    ControlMessage::Clock(now + self.ahead),
+                    ControlMessage::Clock(now + self.clock_offset),
                 ));
                 false
             }
             AgentMessage::CounterBatch { batch, time, adds } => {
-                self.raise(now, time);
-                self.agents.counts(now, link);
-                let share = self.reached();
-                let behind = now + self.ahead - time > limits::MAX_CLOCK_DIFFERENCE;
+                self.advance_clock(now, time);
+                self.agents.record_counter_link(now, link);
+                let share = self.reached_share();
+                let behind = now + self.clock_offset - time > limits::MAX_CLOCK_DIFFERENCE;
                 if behind {
                     out.push(Output::SendToAgents(
                         vec![link],
-                        ControlMessage::Clock(now + self.ahead),
+                        ControlMessage::Clock(now + self.clock_offset),
                     ));
                 }
-                let counts = !behind && !self.count.is_suspended(now);
-                let down = match self.holds(now, SingletonRole::Counter).filter(|_| counts) {
+                let counts = !behind && !self.counter.is_suspended(now);
+                let down = match self
+                    .acting_term(now, SingletonRole::Counter)
+                    .filter(|_| counts)
+                {
                     Some(term) => ControlMessage::Totals {
                         batch,
-                        totals: self.count.add(now, term, share, &adds),
+                        totals: self.counter.add(now, term, share, &adds),
                     },
                     None => ControlMessage::NotCounted(batch),
                 };
@@ -216,64 +228,66 @@
             }
         };
         if changed {
-            self.spread_members(out);
+            self.broadcast_membership(out);
         }
     }
 
     /// An agent of this zone has a replica of its own, and that is well as far as is known here.
-    fn has_home(&self, now: i64, zone: &str) -> bool {
+    fn has_reachable_home(&self, now: i64, zone: &str) -> bool {
         let replica = self
             .zones
             .iter()
             .position(|other| other == zone)
             .map(|replica| replica as ReplicaId);
         replica.is_some_and(|replica| {
-            replica != self.replicas.me().replica && self.replicas.hears(now, replica)
+            replica != self.replicas.local().replica && self.replicas.is_reachable(now, replica)
         })
     }
 
     /// Tells an agent all that it lacks.
-    fn tell_all(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        let have = self.agents.have.remove(&link).unwrap_or_default();
-        if self.listed.known() {
+    fn start_sync(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
+        let have = self.agents.known_digests.remove(&link).unwrap_or_default();
+        if self.server_list.is_known() {
             let list = ControlMessage::Servers {
-                version: self.listed.version(),
-                servers: self.listed.list(now),
+                version: self.server_list.version(),
+                servers: self.server_list.current(now),
             };
             out.push(Output::SendToAgents(vec![link], list));
         }
-        self.agents.owing.insert(
+        self.agents.pending.insert(
             link,
             PendingSync {
-                have,
+                digests: have,
                 after: None,
-                open: 0,
-                moved: now,
+                unacknowledged: 0,
+                progressed_at: now,
             },
         );
-        self.tell_more(now, link, out);
+        self.send_chunks(now, link, out);
     }
 
     /// An agent has taken a piece in.
-    fn credit(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        if let Some(owed) = self.agents.owing.get_mut(&link) {
-            owed.open = owed.open.saturating_sub(1);
-            owed.moved = now;
-            self.tell_more(now, link, out);
+    fn handle_chunk_ack(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
+        if let Some(owed) = self.agents.pending.get_mut(&link) {
+            owed.unacknowledged = owed.unacknowledged.saturating_sub(1);
+            owed.progressed_at = now;
+            self.send_chunks(now, link, out);
         }
     }
 
     /// Tells an agent the next pieces of what it lacks.
-    fn tell_more(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        let Some(owed) = self.agents.owing.get_mut(&link) else {
+    fn send_chunks(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
+        let Some(owed) = self.agents.pending.get_mut(&link) else {
             return;
         };
-        let room = limits::MAX_UNACKNOWLEDGED_CHUNKS.saturating_sub(owed.open);
+        let room = limits::MAX_UNACKNOWLEDGED_CHUNKS.saturating_sub(owed.unacknowledged);
         if room == 0 {
             return;
         }
-        let lacking = self.news.lacking(&owed.have, owed.after.as_ref());
-        let (mut pieces, mut more) = split_into_chunks(self.bounds, lacking, |item| item);
+        let lacking = self
+            .chosen
+            .items_missing_from(&owed.digests, owed.after.as_ref());
+        let (mut pieces, mut more) = split_into_chunks(self.transfer_limits, lacking, |item| item);
         more |= pieces.len() > room;
         pieces.truncate(room);
         for piece in pieces {
@@ -281,7 +295,7 @@
                 .last()
                 .map(|item| item.name.clone())
                 .or(owed.after.take());
-            (owed.open, owed.moved) = (owed.open + 1, now);
+            (owed.unacknowledged, owed.progressed_at) = (owed.unacknowledged + 1, now);
             let items = piece.into_iter().cloned().collect();
             out.push(Output::SendToAgents(
                 vec![link],
@@ -289,36 +303,36 @@
             ));
         }
         if !more {
-            self.agents.owing.remove(&link);
-            if self.whole && self.replicas.in_touch(now) {
+            self.agents.pending.remove(&link);
+            if self.up_to_date && self.replicas.has_quorum_contact(now) {
                 out.push(Output::SendToAgents(vec![link], ControlMessage::Complete));
             }
         }
     }
 
     /// Agents that were to find their own replica first, and have not left.
-    pub(super) fn agents_turn(&mut self, now: i64, out: &mut Vec<Output>) {
-        let due = self.agents.later.iter().filter(|(_, at)| **at <= now);
+    pub(super) fn drive_deferred_syncs(&mut self, now: i64, out: &mut Vec<Output>) {
+        let due = self.agents.deferred.iter().filter(|(_, at)| **at <= now);
         for link in due.map(|(link, _)| *link).collect::<Vec<_>>() {
-            self.agents.later.remove(&link);
-            self.tell_all(now, link, out);
+            self.agents.deferred.remove(&link);
+            self.start_sync(now, link, out);
         }
     }
 
     /// The limiters' clock: whoever is ahead leads, and the time of day has no part in it. Replicas tell it on from agent to
     /// agent, the holder of the count to all, so that all limiters tell the windows of a tenant apart alike.
-    pub(super) fn raise(&mut self, now: i64, time: i64) {
-        let by = time.saturating_sub(now).saturating_sub(self.ahead);
-        self.ahead += by.max(0);
+    pub(super) fn advance_clock(&mut self, now: i64, time: i64) {
+        let by = time.saturating_sub(now).saturating_sub(self.clock_offset);
+        self.clock_offset += by.max(0);
         if by > limits::MAX_CLOCK_DIFFERENCE {
             // What was counted has other names from now on.
-            self.count.suspend(now, by.min(limits::QUOTA_WINDOW));
+            self.counter.suspend(now, by.min(limits::QUOTA_WINDOW));
         }
     }
 
     /// The share of the limiters that reach this count. The others go by even slices, which must be left for them.
-    fn reached(&self) -> f64 {
-        let all = self.members.lately();
+    fn reached_share(&self) -> f64 {
+        let all = self.membership.recently_serving_count();
         let here = self.agents.counting.len();
         if here >= all {
             1.0
@@ -328,106 +342,114 @@
     }
 
     /// An agent's link is gone.
-    pub(super) fn agent_gone(&mut self, _now: i64, link: u64, out: &mut Vec<Output>) {
+    pub(super) fn handle_agent_disconnected(
+        &mut self,
+        _now: i64,
+        link: u64,
+        out: &mut Vec<Output>,
+    ) {
         self.agents.zones.remove(&link);
         self.agents.counting.remove(&link);
-        self.agents.have.remove(&link);
-        self.agents.owing.remove(&link);
-        self.agents.holding.remove(&link);
-        self.agents.later.remove(&link);
-        self.overload_homes.left(link);
-        if self.members.gone(link) {
-            self.spread_members(out);
+        self.agents.known_digests.remove(&link);
+        self.agents.pending.remove(&link);
+        self.agents.states.remove(&link);
+        self.agents.deferred.remove(&link);
+        self.load.remove_agent(link);
+        if self.membership.handle_disconnect(link) {
+            self.broadcast_membership(out);
         }
     }
 
     /// The holder of the count, as far as known, and its term.
-    fn holder(&self, now: i64) -> Option<(SocketAddr, u64)> {
-        let holder = self.duties[SingletonRole::Counter as usize].holder(now);
+    fn counter_holder(&self, now: i64) -> Option<(SocketAddr, u64)> {
+        let holder = self.role_leases[SingletonRole::Counter as usize].known_holder(now);
         let own = self
-            .holds(now, SingletonRole::Counter)
-            .map(|term| (self.replicas.me().replica, term));
-        let (replica, term) = own.or(holder.map(|term| (term.by.replica, term.number)))?;
+            .acting_term(now, SingletonRole::Counter)
+            .map(|term| (self.replicas.local().replica, term));
+        let (replica, term) = own.or(holder.map(|term| (term.holder.replica, term.number)))?;
         Some((self.replicas.address(replica)?, term))
     }
 
-    fn who(&self, now: i64, zone: &str) -> AnnouncedView {
-        let (limiters, in_zone) = self.members.serving(zone);
+    fn cluster_view(&self, now: i64, zone: &str) -> AnnouncedView {
+        let (limiters, in_zone) = self.membership.serving_counts(zone);
         let who = ClusterView {
             replicas: self
                 .replicas
-                .for_agents(&self.zones)
+                .addresses_by_zone(&self.zones)
                 .map(|(zone, at)| (zone.to_string(), at))
                 .collect(),
-            counter: self.holder(now),
-            has_quorum: self.replicas.in_touch(now) && !self.stopping,
-            limiters: limiters.max(self.members.lately() as u32),
+            counter: self.counter_holder(now),
+            has_quorum: self.replicas.has_quorum_contact(now) && !self.shutting_down,
+            limiters: limiters.max(self.membership.recently_serving_count() as u32),
             limiters_in_zone: in_zone,
         };
         AnnouncedView {
-            who,
-            replicas: self.replicas.revision(),
+            view: who,
+            table_revision: self.replicas.revision(),
         }
     }
 
     /// What is news to agents of a zone that were told `before`; it is looked for after most inputs, and costs little
     /// where it is nothing.
-    fn news_since(&self, now: i64, zone: &str, told: &AnnouncedView) -> ViewChange {
-        let before = &told.who;
-        let (limiters, in_zone) = self.members.serving(zone);
-        let limiters = limiters.max(self.members.lately() as u32);
-        let in_touch = self.replicas.in_touch(now) && !self.stopping;
-        if before.counter != self.holder(now)
+    fn view_change(&self, now: i64, zone: &str, told: &AnnouncedView) -> ViewChange {
+        let before = &told.view;
+        let (limiters, in_zone) = self.membership.serving_counts(zone);
+        let limiters = limiters.max(self.membership.recently_serving_count() as u32);
+        let in_touch = self.replicas.has_quorum_contact(now) && !self.shutting_down;
+        if before.counter != self.counter_holder(now)
             || before.has_quorum != in_touch
-            || told.replicas != self.replicas.revision()
+            || told.table_revision != self.replicas.revision()
         {
-            return ViewChange::Much;
+            return ViewChange::Major;
         }
         // Danger: limiters that each take an even slice must not stay with a count that is too low by much.
         match before.limiters.abs_diff(limiters) {
             0 if before.limiters_in_zone == in_zone => ViewChange::Nothing,
             changed if changed * limits::MINOR_LIMITER_CHANGE_DIVISOR > before.limiters => {
-                ViewChange::Much
+                ViewChange::Major
             }
-            _ => ViewChange::Little,
+            _ => ViewChange::Minor,
         }
     }
 
     /// Tells the agents who is who, where that has changed or as a sign of life.
-    pub(super) fn tell_who(&mut self, now: i64, beat: bool, out: &mut Vec<Output>) {
+    pub(super) fn announce_view(&mut self, now: i64, beat: bool, out: &mut Vec<Output>) {
         if self.agents.zones.is_empty() {
-            self.agents.owed = false;
+            self.agents.count_update_due = false;
             return;
         }
         let mut zones: BTreeMap<&String, Vec<u64>> = BTreeMap::new();
         for (link, zone) in &self.agents.zones {
             zones.entry(zone).or_default().push(*link);
         }
-        let (mut told, mut quiet, mut news) =
-            (std::mem::take(&mut self.agents.told), Vec::new(), false);
+        let (mut told, mut quiet, mut news) = (
+            std::mem::take(&mut self.agents.announced),
+            Vec::new(),
+            false,
+        );
         told.retain(|zone, _| zones.contains_key(zone));
-        self.agents.owed = false;
+        self.agents.count_update_due = false;
         for (zone, links) in zones {
-            let change = told.get(zone).map_or(ViewChange::Much, |before| {
-                self.news_since(now, zone, before)
+            let change = told.get(zone).map_or(ViewChange::Major, |before| {
+                self.view_change(now, zone, before)
             });
             // Danger: when many limiters start, each would be told of each by all.
-            let later = change == ViewChange::Little && now < self.agents.counts;
-            self.agents.owed |= later;
+            let later = change == ViewChange::Minor && now < self.agents.next_count_update;
+            self.agents.count_update_due |= later;
             if change == ViewChange::Nothing || later {
                 quiet.extend(links.into_iter().filter(|_| beat));
                 continue;
             }
-            let who = self.who(now, zone);
+            let who = self.cluster_view(now, zone);
             out.push(Output::SendToAgents(
                 links,
-                ControlMessage::ClusterView(who.who.clone()),
+                ControlMessage::ClusterView(who.view.clone()),
             ));
             told.insert(zone.clone(), who);
             news = true;
         }
         if news {
-            self.agents.counts = now + limits::LIMITER_COUNT_INTERVAL;
+            self.agents.next_count_update = now + limits::LIMITER_COUNT_INTERVAL;
         }
         if !quiet.is_empty() {
             out.push(Output::SendToAgents(
@@ -435,11 +457,11 @@
                 ControlMessage::Items(Vec::new()),
             ));
         }
-        self.agents.told = told;
+        self.agents.announced = told;
     }
 
     /// Tells the agents of items that are chosen.
-    pub(super) fn tell_items(&self, items: Vec<Item>, out: &mut Vec<Output>) {
+    pub(super) fn announce_items(&self, items: Vec<Item>, out: &mut Vec<Output>) {
         let links = self.agents.links();
         if !links.is_empty() {
             out.push(Output::SendToAgents(links, ControlMessage::Items(items)));
@@ -447,10 +469,10 @@
     }
 
     /// Tells the agents that they know all that is in force.
-    pub(super) fn tell_whole(&self, out: &mut Vec<Output>) {
+    pub(super) fn announce_complete(&self, out: &mut Vec<Output>) {
         let mut links = self.agents.links();
         links.retain(|link| {
-            !self.agents.later.contains_key(link) && !self.agents.owing.contains_key(link)
+            !self.agents.deferred.contains_key(link) && !self.agents.pending.contains_key(link)
         });
         if !links.is_empty() {
             out.push(Output::SendToAgents(links, ControlMessage::Complete));
@@ -458,10 +480,10 @@
     }
 
     /// Tells the agents the platform's list.
-    pub(super) fn tell_servers(&self, now: i64, out: &mut Vec<Output>) {
+    pub(super) fn announce_servers(&self, now: i64, out: &mut Vec<Output>) {
         let links = self.agents.links();
         if !links.is_empty() {
-            let (version, servers) = (self.listed.version(), self.listed.list(now));
+            let (version, servers) = (self.server_list.version(), self.server_list.current(now));
             out.push(Output::SendToAgents(
                 links,
                 ControlMessage::Servers { version, servers },
--- a/crates/control/src/core/agreement.rs
+++ b/crates/control/src/core/agreement.rs
@@ -16,10 +16,10 @@
 use crate::operator_api::{Command, Reply};
 
 /// Why no change is taken: operators are to look at this replica's disk.
-const DISK: &str = "the disk of this replica is full or fails: it takes no writes";
+const DISK_REJECTS_WRITES: &str = "the disk of this replica is full or fails: it takes no writes";
 
 /// Why a call is neither taken nor refused that another one has overtaken by half.
-const PARTLY: &str = "ver: another change stands at the version of an item, and other items of this call may be in force: \
+const PARTIALLY_APPLIED: &str = "ver: another change stands at the version of an item, and other items of this call may be in force: \
                       send it with higher versions";
 
 /// A reading of all registers by more than half of the replicas: nothing that was acknowledged can be missing in it.
@@ -33,28 +33,32 @@
     transfers: BTreeMap<ReplicaId, (Incarnation, TransferProgress)>,
     found: BTreeMap<ItemName, (Ballot, Item)>,
     /// What was known here when it began.
-    parts: Vec<u64>,
+    digests: Vec<u64>,
     /// More than half have answered; what is not known to be chosen by then is finished first.
-    settles: Option<i64>,
+    repair_at: Option<i64>,
     pub(super) deadline: i64,
-    pub(super) wake: i64,
+    pub(super) wake_at: i64,
 }
 
 impl QuorumRead {
     /// What a replica is to be asked for.
-    fn question(&self, replica: ReplicaId) -> TransferRequest {
+    fn request(&self, replica: ReplicaId) -> TransferRequest {
         let after = self
             .transfers
             .get(&replica)
             .and_then(|(_, transfer)| transfer.after.clone());
         TransferRequest {
-            parts: self.parts.clone(),
+            digests: self.digests.clone(),
             after,
         }
     }
 
     /// Takes note of a piece of an answer. What an incarnation before has told does not count.
-    fn took(&mut self, by: (ReplicaId, Incarnation), piece: &Chunk) -> Option<Continuation> {
+    fn record_chunk(
+        &mut self,
+        by: (ReplicaId, Incarnation),
+        piece: &Chunk,
+    ) -> Option<Continuation> {
         let (incarnation, transfer) = self
             .transfers
             .entry(by.0)
@@ -66,16 +70,16 @@
     }
 
     /// What was found and is not known to be chosen. It may be lost again: nobody must have seen it then.
-    fn open(&self, news: &ChosenItems) -> Vec<ItemName> {
+    fn unconfirmed(&self, news: &ChosenItems) -> Vec<ItemName> {
         let items = self.found.values().map(|(_, item)| item);
-        let open = items.filter(|item| item.name.kind != ItemKind::Zone && !news.has(item));
+        let open = items.filter(|item| item.name.kind != ItemKind::Zone && !news.includes(item));
         open.map(|item| item.name.clone()).collect()
     }
 }
 
 impl Core {
     /// Begins what operators ask.
-    pub(super) fn call(
+    pub(super) fn handle_call(
         &mut self,
         now: i64,
         call: u64,
@@ -87,14 +91,14 @@
         if command == Command::GetStatus {
             return out.push(Output::Answer(call, Reply::Status(self.status(now).json())));
         }
-        let no = if !self.replicas.takes_part() {
+        let no = if !self.replicas.is_participant() {
             Some("this replica has not rebuilt, or was replaced")
-        } else if self.stopping {
+        } else if self.shutting_down {
             Some("this process is about to end")
-        } else if !self.replicas.in_touch(now) {
+        } else if !self.replicas.has_quorum_contact(now) {
             Some("more than half of the replicas are out of touch")
-        } else if self.full && command != Command::GetConfiguration {
-            Some(DISK)
+        } else if self.disk_full && command != Command::GetConfiguration {
+            Some(DISK_REJECTS_WRITES)
         } else {
             None
         };
@@ -103,7 +107,7 @@
         }
         match command {
             Command::GetStatus => {}
-            Command::GetConfiguration => self.read(now, call, None, deadline, out),
+            Command::GetConfiguration => self.start_read(now, call, None, deadline, out),
             Command::SetEvacuation { zone, .. } if !self.zones.contains(&zone) => {
                 out.push(Output::Answer(
                     call,
@@ -115,22 +119,28 @@
                     kind: ItemKind::Zone,
                     name: zone,
                 };
-                self.round(now, Some(call), Intent::Zone(name, on), deadline, out);
+                self.propose(
+                    now,
+                    Some(call),
+                    Intent::SetEvacuation(name, on),
+                    deadline,
+                    out,
+                );
             }
             Command::ApplyPatch(body) => {
                 // What was only accepted may be lost again, and with it what a change refers to.
-                match items::parse_patch(&body, &self.news) {
-                    Ok(items) if self.whole || !items::depends_on_other_items(&items) => {
-                        self.change(now, call, items, deadline, out);
+                match items::parse_patch(&body, &self.chosen) {
+                    Ok(items) if self.up_to_date || !items::depends_on_other_items(&items) => {
+                        self.propose_items(now, call, items, deadline, out);
                     }
                     // What it refers to may have been acknowledged, or dropped, elsewhere and not be known here yet.
-                    _ => self.read(now, call, Some(body), deadline, out),
+                    _ => self.start_read(now, call, Some(body), deadline, out),
                 }
             }
         }
     }
 
-    fn change(
+    fn propose_items(
         &mut self,
         now: i64,
         call: u64,
@@ -141,10 +151,10 @@
         if items.is_empty() {
             return out.push(Output::Answer(call, Reply::Done));
         }
-        self.round(now, Some(call), Intent::Items(items), deadline, out);
+        self.propose(now, Some(call), Intent::SetItems(items), deadline, out);
     }
 
-    pub(super) fn round(
+    pub(super) fn propose(
         &mut self,
         now: i64,
         call: Option<u64>,
@@ -152,48 +162,48 @@
         deadline: i64,
         out: &mut Vec<Output>,
     ) {
-        let number = self.number();
-        self.rounds
+        let number = self.next_request_id();
+        self.proposals
             .insert(number, Proposal::new(want, now, deadline));
         if let Some(call) = call {
             self.calls.insert(number, call);
         }
-        self.rounds_turn(now, out);
+        self.drive_proposals(now, out);
     }
 
     /// Begins rounds that wait, sends again what was not answered, and ends what took too long.
-    pub(super) fn rounds_turn(&mut self, now: i64, out: &mut Vec<Output>) {
-        let finish = self.finish_wake().is_some_and(|wake| wake <= now);
-        if finish && self.touch && self.replicas.takes_part() && !self.full {
-            let names = self.unfinished.take(now, self.replicas.me().replica);
+    pub(super) fn drive_proposals(&mut self, now: i64, out: &mut Vec<Output>) {
+        let finish = self.repair_wake_at().is_some_and(|wake| wake <= now);
+        if finish && self.has_quorum_contact && self.replicas.is_participant() && !self.disk_full {
+            let names = self.pending.take_due(now, self.replicas.local().replica);
             if !names.is_empty() {
-                let number = self.number();
-                self.rounds.insert(
+                let number = self.next_request_id();
+                self.proposals.insert(
                     number,
-                    Proposal::new(Intent::Finish(names), now, now + limits::REPAIR_TIMEOUT),
+                    Proposal::new(Intent::Repair(names), now, now + limits::REPAIR_TIMEOUT),
                 );
             }
         }
-        if self.rounds.is_empty() {
+        if self.proposals.is_empty() {
             return;
         }
-        let numbers: Vec<u64> = self.rounds.keys().copied().collect();
+        let numbers: Vec<u64> = self.proposals.keys().copied().collect();
         let mut busy: BTreeSet<ItemName> = BTreeSet::new();
         for number in numbers {
-            let Some(round) = self.rounds.get(&number) else {
+            let Some(round) = self.proposals.get(&number) else {
                 continue;
             };
-            if now >= round.deadline || !self.replicas.takes_part() {
+            if now >= round.deadline || !self.replicas.is_participant() {
                 // The others' votes may do without this replica's; where they did not, its disk is what is to be mended.
-                let why = if self.full {
-                    DISK
+                let why = if self.disk_full {
+                    DISK_REJECTS_WRITES
                 } else {
                     "no answer of more than half of the replicas"
                 };
-                self.over(now, number, Some(Reply::Unavailable(why)), out);
+                self.end_proposal(now, number, Some(Reply::Unavailable(why)), out);
                 continue;
             }
-            let names = if self.rounds.len() > 1 {
+            let names = if self.proposals.len() > 1 {
                 round.names()
             } else {
                 Vec::new()
@@ -201,46 +211,46 @@
             // Two rounds of one process for one item would only hinder each other.
             let free = names.iter().all(|name| !busy.contains(name));
             busy.extend(names);
-            let due = round.waits() && round.wake <= now;
-            if due && free && self.finished(number) {
+            let due = round.is_idle() && round.wake_at <= now;
+            if due && free && self.is_repair_superfluous(number) {
                 // Danger: it would only refuse others at work on these registers.
-                self.steps(
+                self.apply_actions(
                     now,
                     number,
-                    vec![Action::Outcome(Outcome::Done), Action::Over],
+                    vec![Action::Report(Outcome::Done), Action::Finished],
                     out,
                 );
             } else if due && free {
-                self.round += 1;
+                self.highest_round += 1;
                 let ballot = Ballot {
-                    round: role_lease::over(round.seen, self.round),
-                    by: self.replicas.me(),
+                    round: role_lease::next_round(round.highest_seen, self.highest_round),
+                    proposer: self.replicas.local(),
                 };
-                self.round = ballot.round;
+                self.highest_round = ballot.round;
                 let step = self
-                    .rounds
+                    .proposals
                     .get_mut(&number)
-                    .map(|round| round.begin(now, ballot));
-                self.steps(now, number, step.into_iter().collect(), out);
+                    .map(|round| round.start(now, ballot));
+                self.apply_actions(now, number, step.into_iter().collect(), out);
             } else if due {
-                if let Some(round) = self.rounds.get_mut(&number) {
-                    round.wake = now + limits::RESEND_INTERVAL / 10;
+                if let Some(round) = self.proposals.get_mut(&number) {
+                    round.wake_at = now + limits::RESEND_INTERVAL / 10;
                 }
-            } else if !round.waits() && round.wake <= now {
+            } else if !round.is_idle() && round.wake_at <= now {
                 let steps = self
-                    .rounds
+                    .proposals
                     .get_mut(&number)
-                    .map(|round| round.due(now))
+                    .map(|round| round.on_timeout(now))
                     .unwrap_or_default();
-                self.steps(now, number, steps, out);
+                self.apply_actions(now, number, steps, out);
             }
         }
     }
 
     /// When what is not known to be chosen is to be finished. While the others tell what is, there is no need.
-    pub(super) fn finish_wake(&self) -> Option<i64> {
-        let wake = self.unfinished.wake(self.replicas.me().replica)?;
-        Some(if self.asks() {
+    pub(super) fn repair_wake_at(&self) -> Option<i64> {
+        let wake = self.pending.wake_at(self.replicas.local().replica)?;
+        Some(if self.is_exchanging() {
             wake.max(self.next_sync)
         } else {
             wake
@@ -248,82 +258,87 @@
     }
 
     /// A round that only finishes what was found, and all of that is known to be chosen by now.
-    fn finished(&self, number: u64) -> bool {
-        let Some(round) = self.rounds.get(&number).filter(|round| round.finishes()) else {
+    fn is_repair_superfluous(&self, number: u64) -> bool {
+        let Some(round) = self
+            .proposals
+            .get(&number)
+            .filter(|round| round.is_repair())
+        else {
             return false;
         };
-        match self.finishing.get(&number) {
-            Some(reading) => reading.open(&self.news).is_empty(),
-            None => !round.names().iter().any(|name| self.unfinished.holds(name)),
+        match self.repairing_reads.get(&number) {
+            Some(reading) => reading.unconfirmed(&self.chosen).is_empty(),
+            None => !round.names().iter().any(|name| self.pending.contains(name)),
         }
     }
 
-    fn over(&mut self, now: i64, number: u64, reply: Option<Reply>, out: &mut Vec<Output>) {
-        let reading = self.finishing.remove(&number).map(|reading| reading.call);
+    fn end_proposal(&mut self, now: i64, number: u64, reply: Option<Reply>, out: &mut Vec<Output>) {
+        let reading = self
+            .repairing_reads
+            .remove(&number)
+            .map(|reading| reading.call);
         if let (Some(call), Some(reply)) = (self.calls.remove(&number).or(reading), reply) {
             out.push(Output::Answer(call, reply));
         }
-        if let Some(round) = self.rounds.remove(&number) {
-            self.unfinished.tried(now, &round.names());
+        if let Some(round) = self.proposals.remove(&number) {
+            self.pending.release(now, &round.names());
         }
     }
 
-    fn steps(&mut self, now: i64, number: u64, steps: Vec<Action>, out: &mut Vec<Output>) {
+    fn apply_actions(&mut self, now: i64, number: u64, steps: Vec<Action>, out: &mut Vec<Output>) {
         for step in steps {
             match step {
-                Action::All(body) => self.all(now, number, body, out),
+                Action::Broadcast(body) => self.broadcast_proposal(now, number, body, out),
                 Action::Chosen(ballot, items) => {
-                    self.spread(Payload::Chosen(ballot), out);
-                    self.learn(
+                    self.broadcast(Payload::Chosen(ballot), out);
+                    self.learn_chosen(
                         now,
                         items.into_iter().map(|item| (ballot, item)).collect(),
                         out,
                     );
                 }
-                Action::Outcome(outcome) => {
+                Action::Report(outcome) => {
                     let reply = match outcome {
                         Outcome::Done => Reply::Done,
                         Outcome::Conflict => Reply::Conflict,
-                        Outcome::PartiallyApplied => Reply::Unavailable(PARTLY),
+                        Outcome::PartiallyApplied => Reply::Unavailable(PARTIALLY_APPLIED),
                     };
                     if let Some(call) = self.calls.remove(&number) {
                         out.push(Output::Answer(call, reply));
                     }
-                    if let Some(reading) = self.finishing.remove(&number) {
+                    if let Some(reading) = self.repairing_reads.remove(&number) {
                         self.read_out(now, reading, out);
                     }
                 }
-                Action::Again(_) => {}
-                Action::Over => self.over(now, number, None, out),
+                Action::Retry(_) => {}
+                Action::Finished => self.end_proposal(now, number, None, out),
             }
         }
     }
 
     /// To all replicas that have not answered, this one included.
-    fn all(&mut self, now: i64, number: u64, body: Payload, out: &mut Vec<Output>) {
-        let Some(round) = self.rounds.get(&number) else {
+    fn broadcast_proposal(&mut self, now: i64, number: u64, body: Payload, out: &mut Vec<Output>) {
+        let Some(round) = self.proposals.get(&number) else {
             return;
         };
-        let me = self.replicas.me().replica;
-        let to = (0..self.replicas.count() as ReplicaId)
-            .filter(|replica| *replica != me && round.missing(*replica));
+        let me = self.replicas.local().replica;
+        let to = (0..self.replicas.len() as ReplicaId)
+            .filter(|replica| *replica != me && round.awaits_vote_of(*replica));
         let to = to
             .filter_map(|replica| self.replicas.address(replica))
             .collect();
-        let own = round.missing(me);
+        let own = round.awaits_vote_of(me);
         self.send(to, body.clone(), out);
         match body {
             Payload::Prepare { ballot, names } if own => {
-                self.prepare_at(now, None, ballot, &names, out)
-            }
-            Payload::Accept { ballot, items } if own => {
-                self.accept_at(now, None, ballot, &items, out)
+                self.prepare(now, None, ballot, &names, out)
             }
+            Payload::Accept { ballot, items } if own => self.accept(now, None, ballot, &items, out),
             _ => {}
         }
     }
 
-    pub(super) fn prepare(
+    pub(super) fn handle_prepare(
         &mut self,
         now: i64,
         from: SocketAddr,
@@ -331,10 +346,10 @@
         names: &[ItemName],
         out: &mut Vec<Output>,
     ) {
-        self.prepare_at(now, Some(from), ballot, names, out);
+        self.prepare(now, Some(from), ballot, names, out);
     }
 
-    fn prepare_at(
+    fn prepare(
         &mut self,
         now: i64,
         from: Option<SocketAddr>,
@@ -342,15 +357,15 @@
         names: &[ItemName],
         out: &mut Vec<Output>,
     ) {
-        self.round = self.round.max(ballot.round);
-        if self.full || (from.is_some() && self.closed()) {
+        self.highest_round = self.highest_round.max(ballot.round);
+        if self.disk_full || (from.is_some() && self.voting_closed()) {
             return;
         }
         match self.registers.prepare(ballot, names) {
             Ok(accepted) => {
                 let rows = names
                     .iter()
-                    .map(|name| Record::Register(name.clone(), self.registers.register(name)));
+                    .map(|name| Record::Register(name.clone(), self.registers.get(name)));
                 let rows = rows.collect();
                 self.write(
                     rows,
@@ -361,11 +376,11 @@
                     out,
                 );
             }
-            Err(seen) => self.send_to_peer(now, from, Payload::Nack { ballot, seen }, out),
+            Err(seen) => self.deliver_vote(now, from, Payload::Nack { ballot, seen }, out),
         }
     }
 
-    pub(super) fn accept(
+    pub(super) fn handle_accept(
         &mut self,
         now: i64,
         from: SocketAddr,
@@ -373,10 +388,10 @@
         items: &[Item],
         out: &mut Vec<Output>,
     ) {
-        self.accept_at(now, Some(from), ballot, items, out);
+        self.accept(now, Some(from), ballot, items, out);
     }
 
-    fn accept_at(
+    fn accept(
         &mut self,
         now: i64,
         from: Option<SocketAddr>,
@@ -384,19 +399,19 @@
         items: &[Item],
         out: &mut Vec<Output>,
     ) {
-        self.round = self.round.max(ballot.round);
-        if self.full || (from.is_some() && self.closed()) {
+        self.highest_round = self.highest_round.max(ballot.round);
+        if self.disk_full || (from.is_some() && self.voting_closed()) {
             return;
         }
         match self.registers.accept(ballot, items) {
             Ok(()) => {
                 for item in items {
-                    self.settle(now, &item.name);
+                    self.track_pending(now, &item.name);
                 }
                 let name = |item: &Item| item.name.clone();
                 let rows = items
                     .iter()
-                    .map(|item| Record::Register(name(item), self.registers.register(&item.name)));
+                    .map(|item| Record::Register(name(item), self.registers.get(&item.name)));
                 let rows = rows.collect();
                 self.write(
                     rows,
@@ -404,52 +419,57 @@
                     out,
                 );
             }
-            Err(seen) => self.send_to_peer(now, from, Payload::Nack { ballot, seen }, out),
+            Err(seen) => self.deliver_vote(now, from, Payload::Nack { ballot, seen }, out),
         }
     }
 
     /// It is about to end, and a majority is there without it: no further proposal of another replica gets its vote.
-    fn closed(&self) -> bool {
-        self.handover.as_ref().is_some_and(Handover::closed)
+    fn voting_closed(&self) -> bool {
+        self.handover.as_ref().is_some_and(Handover::voting_closed)
     }
 
     /// Whether a register is to be finished.
-    pub(super) fn settle(&mut self, now: i64, name: &ItemName) {
+    pub(super) fn track_pending(&mut self, now: i64, name: &ItemName) {
         match self.registers.accepted(name) {
-            Some((_, item)) if !self.news.has(item) => self.unfinished.begun(now, name),
-            _ => self.unfinished.finished(name),
+            Some((_, item)) if !self.chosen.includes(item) => self.pending.insert(now, name),
+            _ => self.pending.remove(name),
         }
     }
 
     /// Items are chosen.
-    pub(super) fn learn(&mut self, now: i64, items: Vec<(Ballot, Item)>, out: &mut Vec<Output>) {
+    pub(super) fn learn_chosen(
+        &mut self,
+        now: i64,
+        items: Vec<(Ballot, Item)>,
+        out: &mut Vec<Output>,
+    ) {
         let (mut rows, mut news) = (Vec::new(), Vec::new());
         for (ballot, item) in items {
-            match self.news.learn(ballot, &item) {
+            match self.chosen.learn(ballot, &item) {
                 LearnOutcome::AlreadyKnown => {}
                 learned => {
                     if self.registers.adopt(ballot, &item) {
                         rows.push(Record::Register(
                             item.name.clone(),
-                            self.registers.register(&item.name),
+                            self.registers.get(&item.name),
                         ));
                     }
                     rows.push(Record::Chosen(ballot, item.clone()));
                     news.extend((learned == LearnOutcome::NewVersion).then(|| item.clone()));
                 }
             }
-            self.settle(now, &item.name);
+            self.track_pending(now, &item.name);
         }
         if !rows.is_empty() {
             self.write(rows, None, out);
         }
         if !news.is_empty() {
-            self.tell_items(news, out);
+            self.announce_items(news, out);
         }
     }
 
     /// A vote on one of this replica's rounds, readings or bids.
-    pub(super) fn vote(
+    pub(super) fn handle_vote(
         &mut self,
         now: i64,
         (from, by): (SocketAddr, (ReplicaId, Incarnation)),
@@ -458,43 +478,45 @@
     ) {
         match body {
             Payload::Promise { ballot, accepted } => {
-                let Some(number) = self.number_of(ballot) else {
+                let Some(number) = self.proposal_with(ballot) else {
                     return;
                 };
-                let Some(round) = self.rounds.get_mut(&number) else {
+                let Some(round) = self.proposals.get_mut(&number) else {
                     return;
                 };
-                let steps = round.promised(now, by, accepted, &self.replicas, &self.news);
-                self.steps(now, number, steps, out);
+                let steps = round.handle_promise(now, by, accepted, &self.replicas, &self.chosen);
+                self.apply_actions(now, number, steps, out);
             }
             Payload::Accepted(ballot) => {
-                let Some(number) = self.number_of(ballot) else {
+                let Some(number) = self.proposal_with(ballot) else {
                     return;
                 };
-                let Some(round) = self.rounds.get_mut(&number) else {
+                let Some(round) = self.proposals.get_mut(&number) else {
                     return;
                 };
-                let steps = round.accepted(by, &self.replicas);
-                self.steps(now, number, steps, out);
+                let steps = round.handle_accepted(by, &self.replicas);
+                self.apply_actions(now, number, steps, out);
             }
             Payload::Nack { ballot, seen } => {
-                let Some(number) = self.number_of(ballot) else {
+                let Some(number) = self.proposal_with(ballot) else {
                     return;
                 };
-                self.round = self.round.max(seen.round);
-                let Some(round) = self.rounds.get(&number) else {
+                self.highest_round = self.highest_round.max(seen.round);
+                let Some(round) = self.proposals.get(&number) else {
                     return;
                 };
                 // Danger: proposers of one register that all begin anew at once refuse each other for seconds.
-                let (least, most) = round.pause();
-                let pause = least + self.draw(most) as i64;
-                let Some(round) = self.rounds.get_mut(&number) else {
+                let (least, most) = round.backoff();
+                let pause = least + self.random_below(most) as i64;
+                let Some(round) = self.proposals.get_mut(&number) else {
                     return;
                 };
-                let steps = round.refused(now, by.0, seen, pause, &self.replicas);
-                self.steps(now, number, steps, out);
+                let steps = round.handle_nack(now, by.0, seen, pause, &self.replicas);
+                self.apply_actions(now, number, steps, out);
+            }
+            Payload::RegisterChunk { id, piece } => {
+                self.handle_register_chunk(now, id, (from, by), piece, out)
             }
-            Payload::RegisterChunk { id, piece } => self.answered(now, id, (from, by), piece, out),
             Payload::LeaseVote {
                 duty,
                 term,
@@ -502,21 +524,21 @@
                 granted,
                 newest,
             } => {
-                self.voted(now, by, duty, term, at, (granted, newest), out);
+                self.handle_lease_vote(now, by, duty, term, at, (granted, newest), out);
             }
             _ => {}
         }
     }
 
-    fn number_of(&self, ballot: Ballot) -> Option<u64> {
-        self.rounds
+    fn proposal_with(&self, ballot: Ballot) -> Option<u64> {
+        self.proposals
             .iter()
             .find(|(_, round)| round.ballot() == ballot)
             .map(|(number, _)| *number)
     }
 
     /// Begins a reading.
-    fn read(
+    fn start_read(
         &mut self,
         now: i64,
         call: u64,
@@ -524,11 +546,11 @@
         deadline: i64,
         out: &mut Vec<Output>,
     ) {
-        let id = self.number();
-        let me = self.replicas.me();
+        let id = self.next_request_id();
+        let me = self.replicas.local();
         let found = self
             .registers
-            .held()
+            .accepted_entries()
             .map(|(ballot, item)| (item.name.clone(), (*ballot, item.clone())));
         let reading = QuorumRead {
             call,
@@ -536,44 +558,47 @@
             votes: BTreeMap::from([(me.replica, me.incarnation)]),
             transfers: BTreeMap::new(),
             found: found.collect(),
-            parts: self.registers.digests().buckets().to_vec(),
-            settles: None,
+            digests: self.registers.digests().buckets().to_vec(),
+            repair_at: None,
             deadline,
-            wake: now + limits::RESEND_INTERVAL,
+            wake_at: now + limits::RESEND_INTERVAL,
         };
-        self.spread(
+        self.broadcast(
             Payload::ReadRequest {
-                id: self.question(id),
-                question: reading.question(me.replica),
+                id: self.request_id(id),
+                question: reading.request(me.replica),
             },
             out,
         );
-        self.readings.insert(id, reading);
+        self.reads.insert(id, reading);
         self.read_whole(now, id, out);
     }
 
     /// The question of a reading.
-    fn question(&self, number: u64) -> RequestId {
+    fn request_id(&self, number: u64) -> RequestId {
         RequestId {
-            by: self.replicas.me(),
+            requester: self.replicas.local(),
             number,
         }
     }
 
     /// Another replica asks for all that was accepted.
-    pub(super) fn asked(
+    pub(super) fn handle_read_request(
         &self,
         from: SocketAddr,
         id: RequestId,
         question: &TransferRequest,
         out: &mut Vec<Output>,
     ) {
-        for piece in self.registers.answer(self.bounds, question) {
+        for piece in self
+            .registers
+            .transfer_chunks(self.transfer_limits, question)
+        {
             self.send(vec![from], Payload::RegisterChunk { id, piece }, out);
         }
     }
 
-    fn answered(
+    fn handle_register_chunk(
         &mut self,
         now: i64,
         id: RequestId,
@@ -583,16 +608,16 @@
     ) {
         // Danger: a process before this one asked under the same numbers. Its answers tell of what stood then, and "the
         // same as the asking one" is not this one.
-        if id != self.question(id.number) {
+        if id != self.request_id(id.number) {
             return;
         }
         let id = id.number;
-        let Some(reading) = self.readings.get_mut(&id) else {
+        let Some(reading) = self.reads.get_mut(&id) else {
             return;
         };
-        let then = reading.took(by, &piece);
+        let then = reading.record_chunk(by, &piece);
         if then.is_some() {
-            reading.wake = now + limits::RESEND_INTERVAL;
+            reading.wake_at = now + limits::RESEND_INTERVAL;
         }
         for (ballot, item) in piece.items {
             if reading
@@ -609,11 +634,11 @@
                 self.read_whole(now, id, out);
             }
             Some(Continuation::RequestMore) => {
-                let question = reading.question(by.0);
+                let question = reading.request(by.0);
                 self.send(
                     vec![from],
                     Payload::ReadRequest {
-                        id: self.question(id),
+                        id: self.request_id(id),
                         question,
                     },
                     out,
@@ -624,50 +649,50 @@
     }
 
     fn read_whole(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
-        let Some(reading) = self.readings.get_mut(&id) else {
+        let Some(reading) = self.reads.get_mut(&id) else {
             return;
         };
         let counted = reading
             .votes
             .iter()
-            .filter(|(replica, incarnation)| self.replicas.counts(**replica, **incarnation))
+            .filter(|(replica, incarnation)| self.replicas.is_current(**replica, **incarnation))
             .count();
-        if counted < self.replicas.majority() {
+        if counted < self.replicas.quorum() {
             return;
         }
-        let open = reading.open(&self.news);
+        let open = reading.unconfirmed(&self.chosen);
         // Who is at work on it normally ends it soon.
         let settles = *reading
-            .settles
+            .repair_at
             .get_or_insert(now + limits::READ_REPAIR_DELAY);
         if !open.is_empty() && now < settles {
-            reading.wake = settles;
+            reading.wake_at = settles;
             return;
         }
-        let Some(reading) = self.readings.remove(&id) else {
+        let Some(reading) = self.reads.remove(&id) else {
             return;
         };
         if open.is_empty() {
             return self.read_out(now, reading, out);
         }
         let deadline = reading.deadline;
-        let number = self.number();
-        self.finishing.insert(number, reading);
-        self.rounds
-            .insert(number, Proposal::new(Intent::Finish(open), now, deadline));
-        self.rounds_turn(now, out);
+        let number = self.next_request_id();
+        self.repairing_reads.insert(number, reading);
+        self.proposals
+            .insert(number, Proposal::new(Intent::Repair(open), now, deadline));
+        self.drive_proposals(now, out);
     }
 
     /// All that was found is chosen, or lost.
     fn read_out(&mut self, now: i64, reading: QuorumRead, out: &mut Vec<Output>) {
-        let lost = reading.open(&self.news);
+        let lost = reading.unconfirmed(&self.chosen);
         let found = reading
             .found
             .values()
             .map(|(_, item)| item)
             .filter(|item| !lost.contains(&item.name));
         // Of one version what is chosen goes first.
-        let found: Items = newest(self.news.all().map(|(_, item)| item).chain(found));
+        let found: Items = newest(self.chosen.entries().map(|(_, item)| item).chain(found));
         let found = found.values();
         let Some(patch) = reading.patch else {
             return out.push(Output::Answer(
@@ -676,7 +701,7 @@
             ));
         };
         match items::parse_patch(&patch, &newest(found)) {
-            Ok(items) => self.change(now, reading.call, items, reading.deadline, out),
+            Ok(items) => self.propose_items(now, reading.call, items, reading.deadline, out),
             Err(error) => out.push(Output::Answer(reading.call, Reply::Invalid(error.0))),
         }
     }
@@ -684,32 +709,32 @@
     /// Asks again those that have not answered, and ends what took too long.
     pub(super) fn readings_turn(&mut self, now: i64, out: &mut Vec<Output>) {
         let due = self
-            .readings
+            .reads
             .iter()
-            .filter(|(_, reading)| now >= reading.wake.min(reading.deadline));
+            .filter(|(_, reading)| now >= reading.wake_at.min(reading.deadline));
         for id in due.map(|(id, _)| *id).collect::<Vec<_>>() {
-            let Some(reading) = self.readings.get_mut(&id) else {
+            let Some(reading) = self.reads.get_mut(&id) else {
                 continue;
             };
             if now >= reading.deadline {
                 let reply = Reply::Unavailable("no answer of more than half of the replicas");
                 out.push(Output::Answer(reading.call, reply));
-                self.readings.remove(&id);
+                self.reads.remove(&id);
                 continue;
             }
-            reading.wake = now + limits::RESEND_INTERVAL;
-            if reading.settles.is_some() {
+            reading.wake_at = now + limits::RESEND_INTERVAL;
+            if reading.repair_at.is_some() {
                 self.read_whole(now, id, out);
                 continue;
             }
-            let missing = (0..self.replicas.count() as ReplicaId)
+            let missing = (0..self.replicas.len() as ReplicaId)
                 .filter(|replica| !reading.votes.contains_key(replica));
-            let ask = |replica| Some((self.replicas.address(replica)?, reading.question(replica)));
+            let ask = |replica| Some((self.replicas.address(replica)?, reading.request(replica)));
             for (to, question) in missing.filter_map(ask).collect::<Vec<_>>() {
                 self.send(
                     vec![to],
                     Payload::ReadRequest {
-                        id: self.question(id),
+                        id: self.request_id(id),
                         question,
                     },
                     out,
--- a/crates/control/src/core/anti_entropy.rs
+++ b/crates/control/src/core/anti_entropy.rs
@@ -19,46 +19,46 @@
     /// Its number; none waits at 0.
     id: u64,
     /// So many pieces of the answer have come, each after the one before.
-    pieces: u32,
+    chunks_received: u32,
 }
 
 impl Core {
     /// Asks a replica for what it knows to be chosen and is not known here.
-    pub(super) fn sync(&mut self, from: SocketAddr, out: &mut Vec<Output>) {
-        let id = self.syncing();
+    pub(super) fn request_digest_exchange(&mut self, from: SocketAddr, out: &mut Vec<Output>) {
+        let id = self.begin_exchange();
         self.send(
             vec![from],
             Payload::DigestRequest {
                 id,
-                parts: self.news.parts().to_vec(),
+                parts: self.chosen.digest_buckets().to_vec(),
             },
             out,
         );
     }
 
     /// A question about what is chosen waits for its answer.
-    pub(super) fn asks(&self) -> bool {
-        self.syncing.id != 0
+    pub(super) fn is_exchanging(&self) -> bool {
+        self.exchange.id != 0
     }
 
-    fn syncing(&mut self) -> u64 {
-        self.syncing = DigestExchange {
-            id: self.syncs_from + self.number(),
-            pieces: 0,
+    fn begin_exchange(&mut self) -> u64 {
+        self.exchange = DigestExchange {
+            id: self.exchange_id_base + self.next_request_id(),
+            chunks_received: 0,
         };
-        self.syncing.id
+        self.exchange.id
     }
 
     /// Another replica wants what differs from what it knows. Little is told at once, of much first the names.
-    pub(super) fn sync_asked(
+    pub(super) fn handle_digest_request(
         &self,
         from: SocketAddr,
         id: u64,
         known: &[u64],
         out: &mut Vec<Output>,
     ) {
-        let differing: Vec<&(Ballot, Item)> = self.news.differing(known).collect();
-        let little = self.bounds.chunk_bytes / limits::SMALL_DIFFERENCE_DIVISOR;
+        let differing: Vec<&(Ballot, Item)> = self.chosen.entries_differing_from(known).collect();
+        let little = self.transfer_limits.chunk_bytes / limits::SMALL_DIFFERENCE_DIVISOR;
         let bounds = TransferLimits {
             chunk_bytes: little,
             response_bytes: little,
@@ -95,7 +95,7 @@
     }
 
     /// What another replica knows of the parts that differ: what is newer than here is asked for.
-    pub(super) fn entries_told(
+    pub(super) fn handle_digest_entries(
         &mut self,
         now: i64,
         (from, replica): (SocketAddr, ReplicaId),
@@ -103,12 +103,12 @@
         entries: &[(u64, Ballot)],
         out: &mut Vec<Output>,
     ) {
-        if id != self.syncing.id {
+        if id != self.exchange.id {
             return;
         }
         let known = self
-            .news
-            .all()
+            .chosen
+            .entries()
             .map(|(ballot, item)| (digests::name_key(&item.name), *ballot));
         let known: BTreeMap<u64, Ballot> = known.collect();
         let newer = entries
@@ -117,16 +117,16 @@
         let wanted: Vec<u64> = newer.map(|(key, _)| *key).collect();
         if wanted.is_empty() {
             // It is the other one that is behind.
-            self.syncing = DigestExchange::default();
-            return self.caught_up(now, replica, out);
+            self.exchange = DigestExchange::default();
+            return self.handle_caught_up(now, replica, out);
         }
-        self.lags(now);
-        let id = self.syncing();
+        self.mark_lagging(now);
+        let id = self.begin_exchange();
         self.send(vec![from], Payload::FetchRequest { id, wanted }, out);
     }
 
     /// Another replica asks for these.
-    pub(super) fn fetch_asked(
+    pub(super) fn handle_fetch_request(
         &self,
         from: SocketAddr,
         id: u64,
@@ -135,10 +135,11 @@
     ) {
         let wanted: BTreeSet<u64> = wanted.iter().copied().collect();
         let found = self
-            .news
-            .all()
+            .chosen
+            .entries()
             .filter(|(_, item)| wanted.contains(&digests::name_key(&item.name)));
-        let (pieces, more) = split_into_chunks(self.bounds, found.cloned(), |(_, item)| item);
+        let (pieces, more) =
+            split_into_chunks(self.transfer_limits, found.cloned(), |(_, item)| item);
         let then = continuations(pieces.len(), more);
         for ((items, then), piece) in pieces.into_iter().zip(then).zip(0..) {
             self.send(
@@ -155,7 +156,7 @@
     }
 
     /// Another replica has told what is chosen; what comes next, and whether all of it was told.
-    pub(super) fn told_chosen(
+    pub(super) fn handle_chosen_chunk(
         &mut self,
         now: i64,
         (from, replica): (SocketAddr, ReplicaId),
@@ -163,19 +164,19 @@
         (piece, then): (u32, Continuation),
         out: &mut Vec<Output>,
     ) {
-        if id != self.syncing.id || piece != self.syncing.pieces {
+        if id != self.exchange.id || piece != self.exchange.chunks_received {
             return;
         }
-        self.syncing.pieces += 1;
+        self.exchange.chunks_received += 1;
         match then {
             Continuation::End => {
-                self.syncing = DigestExchange::default();
-                self.caught_up(now, replica, out);
+                self.exchange = DigestExchange::default();
+                self.handle_caught_up(now, replica, out);
             }
-            Continuation::MoreFollows => self.lags(now),
+            Continuation::MoreFollows => self.mark_lagging(now),
             Continuation::RequestMore => {
-                self.lags(now);
-                self.sync(from, out);
+                self.mark_lagging(now);
+                self.request_digest_exchange(from, out);
             }
         }
     }
--- a/crates/control/src/core/handover.rs
+++ b/crates/control/src/core/handover.rs
@@ -23,24 +23,29 @@
 #[derive(Clone, Debug, Default)]
 struct Receiver {
     /// What it lacked when it first answered and has not confirmed since; none before that.
-    owed: Option<BTreeSet<ItemName>>,
+    missing: Option<BTreeSet<ItemName>>,
     /// Items on their way to it, by the number of the message.
-    sent: BTreeMap<u64, Vec<ItemName>>,
+    in_flight: BTreeMap<u64, Vec<ItemName>>,
 }
 
 impl Receiver {
-    fn whole(&self) -> bool {
-        self.owed.as_ref().is_some_and(BTreeSet::is_empty)
+    fn is_complete(&self) -> bool {
+        self.missing.as_ref().is_some_and(BTreeSet::is_empty)
     }
 
     /// What is on its disk, as it says. Gives the items to send it now.
-    fn holds(&mut self, id: u64, parts: &[u64], news: &ChosenItems) -> Vec<(Ballot, Item)> {
-        let lacking: Vec<(Ballot, Item)> = news.differing(parts).cloned().collect();
+    fn handle_digests(
+        &mut self,
+        id: u64,
+        parts: &[u64],
+        news: &ChosenItems,
+    ) -> Vec<(Ballot, Item)> {
+        let lacking: Vec<(Ballot, Item)> = news.entries_differing_from(parts).cloned().collect();
         let names: BTreeSet<ItemName> = lacking.iter().map(|(_, item)| item.name.clone()).collect();
-        let confirmed = self.sent.remove(&id).unwrap_or_default();
-        let owed = self.owed.get_or_insert_with(|| names.clone());
+        let confirmed = self.in_flight.remove(&id).unwrap_or_default();
+        let owed = self.missing.get_or_insert_with(|| names.clone());
         owed.retain(|name| names.contains(name) && !confirmed.contains(name));
-        if !self.sent.is_empty() {
+        if !self.in_flight.is_empty() {
             return Vec::new();
         }
         lacking
@@ -55,97 +60,99 @@
 pub(super) struct Handover {
     receivers: BTreeMap<ReplicaId, Receiver>,
     /// No further proposal is voted on; what counts now is the second asking.
-    closed: bool,
+    voting_closed: bool,
     /// The newer incarnation of its own slot was heard by another replica.
-    succeeded: bool,
+    successor_seen: bool,
     done: bool,
-    wake: i64,
+    wake_at: i64,
 }
 
 impl Handover {
     /// So many other replicas hold all of it.
-    fn whole(&self) -> usize {
+    fn complete_receivers(&self) -> usize {
         self.receivers
             .values()
-            .filter(|receiver| receiver.whole())
+            .filter(|receiver| receiver.is_complete())
             .count()
     }
 
     /// Nothing new is voted on.
-    pub(super) fn closed(&self) -> bool {
-        self.closed
+    pub(super) fn voting_closed(&self) -> bool {
+        self.voting_closed
     }
 
     /// When it is to be looked at again.
     pub(super) fn wake(&self) -> Option<i64> {
-        (!self.done).then_some(self.wake)
+        (!self.done).then_some(self.wake_at)
     }
 }
 
 impl Core {
     /// What this replica holds stands on a majority of the replicas without it; or it was not told to end.
-    pub fn handed_over(&self) -> bool {
+    pub fn is_handed_over(&self) -> bool {
         self.handover.as_ref().is_none_or(|handover| handover.done)
     }
 
     /// The process was told to end, or became whole after that.
     pub(super) fn begin_handover(&mut self, now: i64) {
         // One that has rebuilt nothing counts for nothing, and holds nothing that others lack.
-        let done = self.replicas.me().incarnation == Incarnation::NONE;
+        let done = self.replicas.local().incarnation == Incarnation::NONE;
         self.handover = Some(Handover {
-            wake: now,
+            wake_at: now,
             done,
             ..Handover::default()
         });
     }
 
     /// Asks those again that have not confirmed all, and looks whether enough have.
-    pub(super) fn handover_turn(&mut self, now: i64, out: &mut Vec<Output>) {
+    pub(super) fn drive_handover(&mut self, now: i64, out: &mut Vec<Output>) {
         let Some(mut handover) = self.handover.take() else {
             return;
         };
-        if !handover.done && self.look_over(&mut handover, out) {
+        if !handover.done && self.check_handover(&mut handover, out) {
             handover.done = true;
         }
-        if !handover.done && now >= handover.wake {
-            handover.wake = now + limits::RESEND_INTERVAL;
-            self.ask_receivers(&mut handover, out);
+        if !handover.done && now >= handover.wake_at {
+            handover.wake_at = now + limits::RESEND_INTERVAL;
+            self.request_digests(&mut handover, out);
         }
         self.handover = Some(handover);
     }
 
     /// Whether all is handed over; the first time that it seems so, votes end and all are asked once more.
-    fn look_over(&self, handover: &mut Handover, out: &mut Vec<Output>) -> bool {
-        let others = self.replicas.count() - 1;
-        let needed = self.replicas.majority().min(others);
-        let aside = self.replicas.aside();
+    fn check_handover(&self, handover: &mut Handover, out: &mut Vec<Output>) -> bool {
+        let others = self.replicas.len() - 1;
+        let needed = self.replicas.quorum().min(others);
+        let aside = self.replicas.is_superseded();
         if aside {
-            return handover.succeeded && handover.whole() + 1 >= needed;
+            return handover.successor_seen && handover.complete_receivers() + 1 >= needed;
         }
         // Danger: what was accepted here and is not known to be chosen may have been acknowledged by another replica.
         // A reading that is under way may become a round.
-        let at_work = !self.idle() || !self.rounds.is_empty();
-        if handover.whole() < needed || !self.unfinished.is_empty() || at_work {
+        let at_work = !self.is_idle() || !self.proposals.is_empty();
+        if handover.complete_receivers() < needed || !self.pending.is_empty() || at_work {
             return false;
         }
-        if handover.closed {
+        if handover.voting_closed {
             return true;
         }
-        handover.closed = true;
+        handover.voting_closed = true;
         handover.receivers.clear();
-        self.ask_receivers(handover, out);
+        self.request_digests(handover, out);
         needed == 0
     }
 
-    fn ask_receivers(&self, handover: &mut Handover, out: &mut Vec<Output>) {
-        let me = self.replicas.me().replica;
-        for replica in (0..self.replicas.count() as ReplicaId).filter(|replica| *replica != me) {
+    fn request_digests(&self, handover: &mut Handover, out: &mut Vec<Output>) {
+        let me = self.replicas.local().replica;
+        for replica in (0..self.replicas.len() as ReplicaId).filter(|replica| *replica != me) {
             let receiver = handover.receivers.entry(replica).or_default();
             let Some(address) = self.replicas.address(replica) else {
                 continue;
             };
-            if !receiver.whole() || (self.replicas.aside() && !handover.succeeded) {
-                receiver.sent.clear();
+            if !receiver.is_complete()
+                || (self.replicas.is_superseded() && !handover.successor_seen)
+            {
+                receiver.in_flight.clear();
                 self.send(
                     vec![address],
                     Payload::HandoverRequest {
@@ -160,7 +167,7 @@
 
     /// Another replica is to end: what it knows to be chosen is confirmed once it is on disk here. An old incarnation
     /// may say so too, as what is chosen stays chosen.
-    pub(super) fn take_over(
+    pub(super) fn handle_handover_request(
         &mut self,
         now: i64,
         (from, replica): (SocketAddr, ReplicaId),
@@ -168,16 +175,16 @@
         items: Vec<(Ballot, Item)>,
         out: &mut Vec<Output>,
     ) {
-        if !self.replicas.takes_part() || self.full {
+        if !self.replicas.is_participant() || self.disk_full {
             return;
         }
-        self.learn(now, items, out);
-        let parts = self.news.parts().to_vec();
+        self.learn_chosen(now, items, out);
+        let parts = self.chosen.digest_buckets().to_vec();
         // Only one that is whole speaks under its incarnation, and only the newest one is heard.
         let whole = self
             .replicas
-            .hears(now, replica)
-            .then(|| self.replicas.newest(replica));
+            .is_reachable(now, replica)
+            .then(|| self.replicas.newest_incarnation(replica));
         let body = Payload::HandoverAck {
             id,
             parts,
@@ -188,35 +195,35 @@
     }
 
     /// Another replica says what it holds on disk.
-    pub(super) fn holding(
+    pub(super) fn handle_handover_ack(
         &mut self,
         from: (SocketAddr, ReplicaId),
         (id, parts): (u64, &[u64]),
         whole: Incarnation,
         out: &mut Vec<Output>,
     ) {
-        let me = self.replicas.me();
+        let me = self.replicas.local();
         // Danger: one that is done stays, as it is what keeps this replica from voting.
         let Some(mut handover) = self.handover.take_if(|handover| !handover.done) else {
             return;
         };
-        handover.succeeded |= whole > me.incarnation;
+        handover.successor_seen |= whole > me.incarnation;
         let receiver = handover.receivers.entry(from.1).or_default();
-        let items = receiver.holds(id, parts, &self.news);
+        let items = receiver.handle_digests(id, parts, &self.chosen);
         // All of it at once: the leaver has its grace only, and its receivers ask no further question.
         let bounds = TransferLimits {
             response_bytes: usize::MAX,
-            ..self.bounds
+            ..self.transfer_limits
         };
         let (pieces, _) = split_into_chunks(bounds, items.into_iter(), |(_, item)| item);
         for piece in pieces.into_iter().filter(|piece| !piece.is_empty()) {
-            self.number += 1;
+            self.last_request_id += 1;
             let names = piece.iter().map(|(_, item)| item.name.clone()).collect();
-            receiver.sent.insert(self.number, names);
+            receiver.in_flight.insert(self.last_request_id, names);
             self.send(
                 vec![from.0],
                 Payload::HandoverRequest {
-                    id: self.number,
+                    id: self.last_request_id,
                     items: piece,
                 },
                 out,
--- a/crates/control/src/core/membership.rs
+++ b/crates/control/src/core/membership.rs
@@ -11,32 +11,32 @@
 
 #[derive(Clone, Debug)]
 struct MemberLease {
-    told: Member,
+    member: Member,
     link: u64,
-    heard: i64,
+    renewed_at: i64,
 }
 
 impl MemberLease {
-    fn holds(&self, now: i64) -> bool {
-        now - self.heard <= limits::MEMBER_LEASE_DURATION
+    fn is_valid(&self, now: i64) -> bool {
+        now - self.renewed_at <= limits::MEMBER_LEASE_DURATION
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct PeerReport {
-    list: BTreeMap<String, Member>,
+    members: BTreeMap<String, Member>,
     digest: u64,
     /// The list came then...
-    changed: i64,
+    changed_at: i64,
     /// ...and was last confirmed then.
-    heard: i64,
+    confirmed_at: i64,
     /// It was asked for then.
-    asked: Option<i64>,
+    requested_at: Option<i64>,
 }
 
 impl PeerReport {
-    fn holds(&self, now: i64, in_touch: bool) -> bool {
-        now - self.heard
+    fn is_valid(&self, now: i64, in_touch: bool) -> bool {
+        now - self.confirmed_at
             <= if in_touch {
                 limits::MEMBER_LEASE_DURATION
             } else {
@@ -48,17 +48,17 @@
 /// The members as one replica sees them.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
-    own: BTreeMap<String, MemberLease>,
+    local: BTreeMap<String, MemberLease>,
     /// Who spoke first on each link: an agent may have two for a while.
     links: BTreeMap<u64, NodeInfo>,
-    hearsay: BTreeMap<ReplicaId, PeerReport>,
+    reports: BTreeMap<ReplicaId, PeerReport>,
     /// The replicas that tell of each machine: few do, and looking at all for each change would grow with the replicas.
-    tellers: BTreeMap<String, BTreeSet<ReplicaId>>,
+    reporters: BTreeMap<String, BTreeSet<ReplicaId>>,
     digest: u64,
     /// The own list as the others were told it last, and its digest.
-    spread: (BTreeMap<String, Member>, u64),
+    announced: (BTreeMap<String, Member>, u64),
     /// Edges that served, and when that was last so.
-    lately: BTreeMap<String, i64>,
+    recently_serving: BTreeMap<String, i64>,
     /// Edges that have not said yet that they serve...
     starting: BTreeSet<String>,
     /// ...and those that served and say that they do no more.
@@ -92,7 +92,7 @@
     }
 }
 
-fn one(told: &Member) -> u64 {
+fn member_digest(told: &Member) -> u64 {
     let mut hasher = DefaultHasher::new();
     // One always has a form; without, its digest would only be that of another one.
     hasher.write(&postcard::to_allocvec(told).unwrap_or_default());
@@ -101,13 +101,16 @@
 
 /// The digest of a list, whatever its order; of an empty one it is 0.
 fn digest<'a>(list: impl Iterator<Item = &'a Member>) -> u64 {
-    list.fold(0, |all, told| all ^ one(told))
+    list.fold(0, |all, told| all ^ member_digest(told))
 }
 
 impl Membership {
     /// The edges linked here.
-    pub fn list(&self) -> Vec<Member> {
-        self.own.values().map(|lease| lease.told.clone()).collect()
+    pub fn local_members(&self) -> Vec<Member> {
+        self.local
+            .values()
+            .map(|lease| lease.member.clone())
+            .collect()
     }
 
     /// Digest of these.
@@ -116,148 +119,150 @@
     }
 
     /// Gives whether the list is another one than the others were told.
-    fn settle(&self) -> bool {
-        self.digest != self.spread.1
+    fn has_unannounced_change(&self) -> bool {
+        self.digest != self.announced.1
     }
 
     /// Takes a lease in, or out. The digest goes along: it is asked for with every change.
-    fn lease(&mut self, node: &str, lease: Option<MemberLease>) -> Option<MemberLease> {
-        let new = lease.as_ref().map_or(0, |lease| one(&lease.told));
+    fn set_lease(&mut self, node: &str, lease: Option<MemberLease>) -> Option<MemberLease> {
+        let new = lease
+            .as_ref()
+            .map_or(0, |lease| member_digest(&lease.member));
         let old = match lease {
-            Some(lease) => self.own.insert(node.to_string(), lease),
-            None => self.own.remove(node),
+            Some(lease) => self.local.insert(node.to_string(), lease),
+            None => self.local.remove(node),
         };
-        self.digest ^= new ^ old.as_ref().map_or(0, |old| one(&old.told));
+        self.digest ^= new ^ old.as_ref().map_or(0, |old| member_digest(&old.member));
         old
     }
 
     /// What the other replicas are to be told, if the own list is another one than they were told last.
-    pub fn news(&mut self) -> Option<MembershipDelta> {
-        let (last, before) = &mut self.spread;
+    pub fn take_delta(&mut self) -> Option<MembershipDelta> {
+        let (last, before) = &mut self.announced;
         if *before == self.digest {
             return None;
         }
         let told = self
-            .own
+            .local
             .iter()
-            .filter(|(node, lease)| last.get(*node) != Some(&lease.told));
-        let told: Vec<Member> = told.map(|(_, lease)| lease.told.clone()).collect();
+            .filter(|(node, lease)| last.get(*node) != Some(&lease.member));
+        let told: Vec<Member> = told.map(|(_, lease)| lease.member.clone()).collect();
         let gone: Vec<String> = last
             .keys()
-            .filter(|node| !self.own.contains_key(*node))
+            .filter(|node| !self.local.contains_key(*node))
             .cloned()
             .collect();
         let moved = MembershipDelta {
-            before: *before,
-            after: self.digest,
-            told,
-            gone,
+            digest_before: *before,
+            digest_after: self.digest,
+            changed: told,
+            removed: gone,
         };
-        moved.gone.iter().for_each(|node| _ = last.remove(node));
+        moved.removed.iter().for_each(|node| _ = last.remove(node));
         last.extend(
             moved
-                .told
+                .changed
                 .iter()
-                .map(|told| (told.edge.name.clone(), told.clone())),
+                .map(|told| (told.node.name.clone(), told.clone())),
         );
         *before = self.digest;
         Some(moved)
     }
 
     /// An agent has said who it is. Gives whether the list is another one.
-    pub fn hello(&mut self, now: i64, link: u64, edge: NodeInfo) -> bool {
+    pub fn handle_hello(&mut self, now: i64, link: u64, edge: NodeInfo) -> bool {
         // An agent that comes from another replica stands as it stood there until it says more.
         let known = self
-            .known(&edge.name)
-            .filter(|told| told.edge == edge)
-            .map(|told| told.standing);
+            .best_report(&edge.name)
+            .filter(|told| told.node == edge)
+            .map(|told| told.state);
         let standing = known.unwrap_or_default();
         self.links.insert(link, edge.clone());
         let told = Member {
-            edge,
-            standing,
-            linked: true,
+            node: edge,
+            state: standing,
+            connected: true,
         };
-        let node = told.edge.name.clone();
-        self.lease(
+        let node = told.node.name.clone();
+        self.set_lease(
             &node,
             Some(MemberLease {
-                told,
+                member: told,
                 link,
-                heard: now,
+                renewed_at: now,
             }),
         );
-        self.look(&node);
-        self.settle()
+        self.update_serving(&node);
+        self.has_unannounced_change()
     }
 
     /// An agent has renewed its lease. Gives whether the list is another one.
-    pub fn beat(&mut self, now: i64, link: u64, standing: NodeState) -> bool {
+    pub fn handle_heartbeat(&mut self, now: i64, link: u64, standing: NodeState) -> bool {
         let Some(edge) = self.links.get(&link).cloned() else {
             return false;
         };
         // The agent beats on the link that it keeps, whichever spoke last; and where it beats, it is.
         let same = |lease: &&mut MemberLease| {
-            lease.told.linked && lease.told.standing == standing && lease.told.edge == edge
+            lease.member.connected && lease.member.state == standing && lease.member.node == edge
         };
-        if let Some(lease) = self.own.get_mut(&edge.name).filter(same) {
-            (lease.link, lease.heard) = (link, now);
+        if let Some(lease) = self.local.get_mut(&edge.name).filter(same) {
+            (lease.link, lease.renewed_at) = (link, now);
             return false;
         }
         let node = edge.name.clone();
         let told = Member {
-            edge,
-            standing,
-            linked: true,
+            node: edge,
+            state: standing,
+            connected: true,
         };
-        self.lease(
+        self.set_lease(
             &node,
             Some(MemberLease {
-                told,
+                member: told,
                 link,
-                heard: now,
+                renewed_at: now,
             }),
         );
-        self.look(&node);
-        self.settle()
+        self.update_serving(&node);
+        self.has_unannounced_change()
     }
 
     /// An agent's link is gone; its lease runs on. Gives whether the list is another one.
-    pub fn gone(&mut self, link: u64) -> bool {
+    pub fn handle_disconnect(&mut self, link: u64) -> bool {
         let edge = self.links.remove(&link);
         let held = edge
-            .and_then(|edge| self.own.get(&edge.name))
+            .and_then(|edge| self.local.get(&edge.name))
             .filter(|lease| lease.link == link);
         let Some(mut lease) = held.cloned() else {
             return false;
         };
-        lease.told.linked = false;
-        let node = lease.told.edge.name.clone();
-        self.lease(&node, Some(lease));
-        self.look(&node);
-        self.settle()
+        lease.member.connected = false;
+        let node = lease.member.node.name.clone();
+        self.set_lease(&node, Some(lease));
+        self.update_serving(&node);
+        self.has_unannounced_change()
     }
 
     /// Drops the leases that have run out. Gives whether the own list is another one.
-    pub fn expire(&mut self, now: i64, in_touch: bool) -> bool {
+    pub fn expire_leases(&mut self, now: i64, in_touch: bool) -> bool {
         let silent = self
-            .hearsay
+            .reports
             .iter()
-            .filter(|(_, hearsay)| !hearsay.holds(now, in_touch));
+            .filter(|(_, hearsay)| !hearsay.is_valid(now, in_touch));
         for replica in silent.map(|(replica, _)| *replica).collect::<Vec<_>>() {
-            let gone = self.hearsay.remove(&replica).unwrap_or_default();
-            gone.list
+            let gone = self.reports.remove(&replica).unwrap_or_default();
+            gone.members
                 .keys()
-                .for_each(|node| self.tells(replica, node, false));
+                .for_each(|node| self.set_reporter(replica, node, false));
         }
-        let over = self.own.iter().filter(|(_, lease)| !lease.holds(now));
+        let over = self.local.iter().filter(|(_, lease)| !lease.is_valid(now));
         let over: Vec<String> = over.map(|(node, _)| node.clone()).collect();
-        over.iter().for_each(|node| _ = self.lease(node, None));
+        over.iter().for_each(|node| _ = self.set_lease(node, None));
         let mut serving = ServingNodes::default();
         let mut away = BTreeSet::new();
-        for told in self.all() {
-            let (node, zone) = (&told.edge.name, &told.edge.zone);
-            match told.standing {
+        for told in self.all_members() {
+            let (node, zone) = (&told.node.name, &told.node.zone);
+            match told.state {
                 NodeState::Unavailable => _ = away.insert(node.clone()),
                 NodeState::Ready | NodeState::Draining => serving.set(node, Some(zone)),
             }
@@ -265,7 +270,7 @@
         self.serving = serving;
         self.left.extend(
             away.iter()
-                .filter(|node| self.lately.contains_key(*node))
+                .filter(|node| self.recently_serving.contains_key(*node))
                 .cloned(),
         );
         self.left.retain(|node| away.contains(node));
@@ -277,140 +282,147 @@
             .filter(|node| !heard(node))
             .cloned()
             .collect();
-        self.lately
+        self.recently_serving
             .extend(silent.into_iter().map(|node| (node, now)));
         self.starting = away.difference(&self.left).cloned().collect();
-        self.lately
+        self.recently_serving
             .extend(self.serving.nodes.keys().map(|node| (node.clone(), now)));
         if !in_touch {
             // Danger: those that are heard no more may serve on beside other replicas. Agents that are told a lower number
             // take larger slices of quotas, and the others go on with theirs.
-            self.lately.values_mut().for_each(|at| *at = now);
+            self.recently_serving.values_mut().for_each(|at| *at = now);
         }
         // Who says that it leaves uses no slice any more.
-        self.lately.retain(|node, at| {
+        self.recently_serving.retain(|node, at| {
             now - *at <= limits::RECENTLY_SERVING_DURATION && !away.contains(node)
         });
-        self.settle()
+        self.has_unannounced_change()
     }
 
     /// A replica has told whom it holds. Gives whether the own list is another one.
-    pub fn told(&mut self, now: i64, replica: ReplicaId, list: Vec<Member>) -> bool {
-        self.moved_there(&list);
+    pub fn handle_member_list(&mut self, now: i64, replica: ReplicaId, list: Vec<Member>) -> bool {
+        self.release_moved(&list);
         let digest = digest(list.iter());
         let list: BTreeMap<String, Member> = list
             .into_iter()
-            .map(|told| (told.edge.name.clone(), told))
+            .map(|told| (told.node.name.clone(), told))
             .collect();
         let nodes: Vec<String> = list.keys().cloned().collect();
         let new = PeerReport {
-            list,
+            members: list,
             digest,
-            changed: now,
-            heard: now,
-            asked: None,
+            changed_at: now,
+            confirmed_at: now,
+            requested_at: None,
         };
-        let old = self.hearsay.insert(replica, new).unwrap_or_default();
-        old.list
+        let old = self.reports.insert(replica, new).unwrap_or_default();
+        old.members
             .keys()
-            .for_each(|node| self.tells(replica, node, false));
+            .for_each(|node| self.set_reporter(replica, node, false));
         nodes
             .iter()
-            .for_each(|node| self.tells(replica, node, true));
+            .for_each(|node| self.set_reporter(replica, node, true));
         nodes
             .iter()
-            .chain(old.list.keys())
-            .for_each(|node| self.look(node));
-        self.settle()
+            .chain(old.members.keys())
+            .for_each(|node| self.update_serving(node));
+        self.has_unannounced_change()
     }
 
     /// A replica has told what has changed of whom it holds. Gives whether the own list is another one; nothing where a
     /// telling before it was missed, and the whole is to be asked for.
-    pub fn moved(&mut self, now: i64, replica: ReplicaId, moved: MembershipDelta) -> Option<bool> {
-        let hearsay = self.hearsay.entry(replica).or_default();
-        if hearsay.digest == moved.after {
-            hearsay.heard = now;
+    pub fn handle_delta(
+        &mut self,
+        now: i64,
+        replica: ReplicaId,
+        moved: MembershipDelta,
+    ) -> Option<bool> {
+        let hearsay = self.reports.entry(replica).or_default();
+        if hearsay.digest == moved.digest_after {
+            hearsay.confirmed_at = now;
             return Some(false);
         }
-        if hearsay.digest != moved.before {
-            return if self.ask(now, replica) {
+        if hearsay.digest != moved.digest_before {
+            return if self.should_request_list(now, replica) {
                 None
             } else {
                 Some(false)
             };
         }
         let gone = moved
-            .gone
+            .removed
             .iter()
-            .filter_map(|node| hearsay.list.remove(node));
-        let digest = gone.fold(hearsay.digest, |digest, told| digest ^ one(&told));
-        hearsay.digest = moved.told.iter().fold(digest, |digest, told| {
-            let old = hearsay.list.insert(told.edge.name.clone(), told.clone());
-            digest ^ one(told) ^ old.as_ref().map_or(0, one)
+            .filter_map(|node| hearsay.members.remove(node));
+        let digest = gone.fold(hearsay.digest, |digest, told| digest ^ member_digest(&told));
+        hearsay.digest = moved.changed.iter().fold(digest, |digest, told| {
+            let old = hearsay.members.insert(told.node.name.clone(), told.clone());
+            digest ^ member_digest(told) ^ old.as_ref().map_or(0, member_digest)
         });
-        (hearsay.changed, hearsay.heard) = (now, now);
+        (hearsay.changed_at, hearsay.confirmed_at) = (now, now);
         moved
-            .gone
+            .removed
             .iter()
-            .for_each(|node| self.tells(replica, node, false));
+            .for_each(|node| self.set_reporter(replica, node, false));
         moved
-            .told
+            .changed
             .iter()
-            .for_each(|told| self.tells(replica, &told.edge.name, true));
-        self.moved_there(&moved.told);
+            .for_each(|told| self.set_reporter(replica, &told.node.name, true));
+        self.release_moved(&moved.changed);
         moved
-            .told
+            .changed
             .iter()
-            .map(|told| &told.edge.name)
-            .chain(&moved.gone)
-            .for_each(|node| self.look(node));
-        Some(self.settle())
+            .map(|told| &told.node.name)
+            .chain(&moved.removed)
+            .for_each(|node| self.update_serving(node));
+        Some(self.has_unannounced_change())
     }
 
     /// Who is linked elsewhere by now is not held here.
-    fn moved_there(&mut self, list: &[Member]) {
-        for told in list.iter().filter(|told| told.linked) {
+    fn release_moved(&mut self, list: &[Member]) {
+        for told in list.iter().filter(|told| told.connected) {
             if self
-                .own
-                .get(&told.edge.name)
-                .is_some_and(|lease| !lease.told.linked)
+                .local
+                .get(&told.node.name)
+                .is_some_and(|lease| !lease.member.connected)
             {
-                self.lease(&told.edge.name, None);
+                self.set_lease(&told.node.name, None);
             }
         }
     }
 
     /// A replica's beat has come. Gives whether its list is to be asked for.
-    pub fn confirmed(&mut self, now: i64, replica: ReplicaId, digest: u64) -> bool {
-        let hearsay = self.hearsay.entry(replica).or_default();
+    pub fn handle_digest(&mut self, now: i64, replica: ReplicaId, digest: u64) -> bool {
+        let hearsay = self.reports.entry(replica).or_default();
         if hearsay.digest == digest {
-            hearsay.heard = now;
+            hearsay.confirmed_at = now;
             return false;
         }
-        self.ask(now, replica)
+        self.should_request_list(now, replica)
     }
 
     /// A replica's list is another one than is known here. Gives whether to ask for it now.
-    fn ask(&mut self, now: i64, replica: ReplicaId) -> bool {
-        let hearsay = self.hearsay.entry(replica).or_default();
+    fn should_request_list(&mut self, now: i64, replica: ReplicaId) -> bool {
+        let hearsay = self.reports.entry(replica).or_default();
         let ask = hearsay
-            .asked
+            .requested_at
             .is_none_or(|asked| now - asked >= limits::SYNC_REQUEST_INTERVAL);
         if ask {
-            hearsay.asked = Some(now);
+            hearsay.requested_at = Some(now);
             // A list of nobody, that waits for the answer.
-            hearsay.heard = hearsay.heard.max(now - limits::MEMBER_LEASE_DURATION / 2);
+            hearsay.confirmed_at = hearsay
+                .confirmed_at
+                .max(now - limits::MEMBER_LEASE_DURATION / 2);
         }
         ask
     }
 
     /// Edges that serve, or did so lately: those that are cut off use their slices of quotas on.
-    pub fn lately(&self) -> usize {
-        self.lately.len()
+    pub fn recently_serving_count(&self) -> usize {
+        self.recently_serving.len()
     }
 
     /// How many serve, in all and in a zone.
-    pub fn serving(&self, zone: &str) -> (u32, u32) {
+    pub fn serving_counts(&self, zone: &str) -> (u32, u32) {
         (
             self.serving.nodes.len() as u32,
             self.serving.zones.get(zone).copied().unwrap_or_default(),
@@ -418,94 +430,97 @@
     }
 
     /// A replica tells of a machine, or no longer.
-    fn tells(&mut self, replica: ReplicaId, node: &str, tells: bool) {
+    fn set_reporter(&mut self, replica: ReplicaId, node: &str, tells: bool) {
         if tells {
-            self.tellers
+            self.reporters
                 .entry(node.to_string())
                 .or_default()
                 .insert(replica);
-        } else if let Some(tellers) = self.tellers.get_mut(node) {
+        } else if let Some(tellers) = self.reporters.get_mut(node) {
             tellers.remove(&replica);
             if tellers.is_empty() {
-                self.tellers.remove(node);
+                self.reporters.remove(node);
             }
         }
     }
 
     /// Something else is said of a machine.
-    fn look(&mut self, node: &str) {
+    fn update_serving(&mut self, node: &str) {
         let told = self
-            .known(node)
-            .filter(|told| told.standing != NodeState::Unavailable);
-        let zone = told.map(|told| told.edge.zone.clone());
+            .best_report(node)
+            .filter(|told| told.state != NodeState::Unavailable);
+        let zone = told.map(|told| told.node.zone.clone());
         self.serving.set(node, zone.as_deref());
     }
 
     /// All that is said of a machine, each with its weight.
-    fn said(&self, node: &str) -> impl Iterator<Item = ((bool, bool, i64), &Member)> {
+    fn reports_of(&self, node: &str) -> impl Iterator<Item = ((bool, bool, i64), &Member)> {
         let own = self
-            .own
+            .local
             .get(node)
-            .map(|lease| ((lease.told.linked, true, 0), &lease.told));
-        let tellers = self.tellers.get(node).into_iter().flatten();
+            .map(|lease| ((lease.member.connected, true, 0), &lease.member));
+        let tellers = self.reporters.get(node).into_iter().flatten();
         let others = tellers.filter_map(|replica| {
-            let hearsay = self.hearsay.get(replica)?;
-            let told = hearsay.list.get(node)?;
-            Some(((told.linked, false, hearsay.changed), told))
+            let hearsay = self.reports.get(replica)?;
+            let told = hearsay.members.get(node)?;
+            Some(((told.connected, false, hearsay.changed_at), told))
         });
         own.into_iter().chain(others)
     }
 
     /// A member, as [`Members::all`] has it.
-    fn known(&self, node: &str) -> Option<&Member> {
-        self.said(node)
+    fn best_report(&self, node: &str) -> Option<&Member> {
+        self.reports_of(node)
             .max_by_key(|(weight, _)| *weight)
             .map(|(_, told)| told)
     }
 
     /// All members. An edge linked here goes before hearsay, then who is linked there, then who was told of last.
-    pub fn all(&self) -> Vec<&Member> {
-        self.placed().into_iter().map(|(_, _, told)| told).collect()
+    pub fn all_members(&self) -> Vec<&Member> {
+        self.members_with_origin()
+            .into_iter()
+            .map(|(_, _, told)| told)
+            .collect()
     }
 
     /// The members whose leases hold at this instant. A process that stood still is asked before it has dropped the others.
-    pub fn current(&self, now: i64, in_touch: bool) -> Vec<&Member> {
-        let placed = self.placed_where(
-            |lease| lease.holds(now),
-            |hearsay| hearsay.holds(now, in_touch),
+    pub fn valid_members(&self, now: i64, in_touch: bool) -> Vec<&Member> {
+        let placed = self.members_with_origin_where(
+            |lease| lease.is_valid(now),
+            |hearsay| hearsay.is_valid(now, in_touch),
         );
         placed.into_iter().map(|(_, _, told)| told).collect()
     }
 
     /// The same as [`Members::all`], with the replica that told of each; without one, it is held here, on this link.
-    pub fn placed(&self) -> Vec<(Option<ReplicaId>, u64, &Member)> {
-        self.placed_where(|_| true, |_| true)
+    pub fn members_with_origin(&self) -> Vec<(Option<ReplicaId>, u64, &Member)> {
+        self.members_with_origin_where(|_| true, |_| true)
     }
 
-    fn placed_where(
+    fn members_with_origin_where(
         &self,
         own: impl Fn(&MemberLease) -> bool,
         others: impl Fn(&PeerReport) -> bool,
     ) -> Vec<(Option<ReplicaId>, u64, &Member)> {
-        let own = self.own.values().filter(|lease| own(lease));
+        let own = self.local.values().filter(|lease| own(lease));
         let own = own.map(|lease| {
             (
-                (lease.told.linked, true, 0),
-                (None, lease.link, &lease.told),
+                (lease.member.connected, true, 0),
+                (None, lease.link, &lease.member),
             )
         });
-        let others = self.hearsay.iter().filter(|(_, hearsay)| others(hearsay));
+        let others = self.reports.iter().filter(|(_, hearsay)| others(hearsay));
         let others = others.flat_map(|(replica, hearsay)| {
             let one = |told| (Some(*replica), 0, told);
             hearsay
-                .list
+                .members
                 .values()
-                .map(move |told: &Member| ((told.linked, false, hearsay.changed), one(told)))
+                .map(move |told: &Member| ((told.connected, false, hearsay.changed_at), one(told)))
         });
         let mut best = BTreeMap::new();
         for (weight, one) in own.chain(others) {
             let entry = best
-                .entry(one.2.edge.name.as_str())
+                .entry(one.2.node.name.as_str())
                 .or_insert((weight, one));
             if entry.0 < weight {
                 *entry = (weight, one);
@@ -534,59 +549,62 @@
     /// What another replica holds of this one's list.
     fn held(other: &Membership) -> Vec<(&str, NodeState)> {
         other
-            .all()
+            .all_members()
             .into_iter()
-            .map(|told| (told.edge.name.as_str(), told.standing))
+            .map(|told| (told.node.name.as_str(), told.state))
             .collect()
     }
 
     #[test]
     fn a_change_is_told_alone_and_who_missed_one_asks_for_the_whole() {
         let (mut one, mut other) = (Membership::default(), Membership::default());
-        assert!(one.hello(0, 1, edge("e")) && one.hello(0, 2, edge("f")));
-        let first = one.news().unwrap();
-        assert_eq!((first.told.len(), one.news()), (2, None));
-        assert_eq!(other.moved(0, 7, first.clone()), Some(false));
-        assert!(one.beat(1, 1, NodeState::Ready) && !one.beat(2, 1, NodeState::Ready));
-        let second = one.news().unwrap();
-        assert_eq!((second.told.len(), second.gone.len()), (1, 0));
-        assert!(one.beat(3, 2, NodeState::Draining));
-        let third = one.news().unwrap();
+        assert!(one.handle_hello(0, 1, edge("e")) && one.handle_hello(0, 2, edge("f")));
+        let first = one.take_delta().unwrap();
+        assert_eq!((first.changed.len(), one.take_delta()), (2, None));
+        assert_eq!(other.handle_delta(0, 7, first.clone()), Some(false));
+        assert!(
+            one.handle_heartbeat(1, 1, NodeState::Ready)
+                && !one.handle_heartbeat(2, 1, NodeState::Ready)
+        );
+        let second = one.take_delta().unwrap();
+        assert_eq!((second.changed.len(), second.removed.len()), (1, 0));
+        assert!(one.handle_heartbeat(3, 2, NodeState::Draining));
+        let third = one.take_delta().unwrap();
         // The third comes before the second, and the first again.
-        assert_eq!(other.moved(3, 7, third), None);
-        assert_eq!(other.moved(4, 7, second), Some(false));
+        assert_eq!(other.handle_delta(3, 7, third), None);
+        assert_eq!(other.handle_delta(4, 7, second), Some(false));
         assert_eq!(
             held(&other),
             [("e", NodeState::Ready), ("f", NodeState::Unavailable)]
         );
         assert!(
-            !other.confirmed(5, 7, one.digest()),
+            !other.handle_digest(5, 7, one.digest()),
             "it was asked for just now"
         );
-        assert!(other.confirmed(limits::SYNC_REQUEST_INTERVAL + 5, 7, one.digest()));
-        other.told(limits::SYNC_REQUEST_INTERVAL + 6, 7, one.list());
-        assert!(!other.confirmed(limits::SYNC_REQUEST_INTERVAL + 7, 7, one.digest()));
+        assert!(other.handle_digest(limits::SYNC_REQUEST_INTERVAL + 5, 7, one.digest()));
+        other.handle_member_list(limits::SYNC_REQUEST_INTERVAL + 6, 7, one.local_members());
+        assert!(!other.handle_digest(limits::SYNC_REQUEST_INTERVAL + 7, 7, one.digest()));
         assert_eq!(
             held(&other),
             [("e", NodeState::Ready), ("f", NodeState::Draining)]
         );
-        assert_eq!(other.serving("a"), (2, 2));
+        assert_eq!(other.serving_counts("a"), (2, 2));
         // One whose lease has run out goes by its name alone.
         assert!(
-            one.beat(limits::MEMBER_LEASE_DURATION, 1, NodeState::Ready)
-                || one.expire(limits::MEMBER_LEASE_DURATION + 4, true)
+            one.handle_heartbeat(limits::MEMBER_LEASE_DURATION, 1, NodeState::Ready)
+                || one.expire_leases(limits::MEMBER_LEASE_DURATION + 4, true)
         );
-        let last = one.news().unwrap();
+        let last = one.take_delta().unwrap();
         assert_eq!(
-            (last.told.len(), last.gone.as_slice()),
+            (last.changed.len(), last.removed.as_slice()),
             (0, ["f".to_string()].as_slice())
         );
         assert_eq!(
-            other.moved(limits::MEMBER_LEASE_DURATION + 5, 7, last),
+            other.handle_delta(limits::MEMBER_LEASE_DURATION + 5, 7, last),
             Some(false)
         );
         assert_eq!(
-            (held(&other), other.serving("a")),
+            (held(&other), other.serving_counts("a")),
             (vec![("e", NodeState::Ready)], (1, 1))
         );
     }
@@ -595,25 +613,31 @@
     fn an_edge_that_falls_silent_counts_for_a_while_and_one_that_leaves_does_not() {
         let mut members = Membership::default();
         for (link, node) in [(1, "a"), (2, "b")] {
-            members.hello(0, link, edge(node));
-            members.beat(0, link, NodeState::Ready);
+            members.handle_hello(0, link, edge(node));
+            members.handle_heartbeat(0, link, NodeState::Ready);
         }
-        members.expire(0, true);
-        members.beat(100, 1, NodeState::Unavailable);
-        members.expire(limits::MEMBER_LEASE_DURATION + 1, true);
-        assert_eq!((members.all().len(), members.lately()), (1, 1));
-        members.expire(limits::RECENTLY_SERVING_DURATION + 1, true);
-        assert_eq!(members.lately(), 0);
+        members.expire_leases(0, true);
+        members.handle_heartbeat(100, 1, NodeState::Unavailable);
+        members.expire_leases(limits::MEMBER_LEASE_DURATION + 1, true);
+        assert_eq!(
+            (
+                members.all_members().len(),
+                members.recently_serving_count()
+            ),
+            (1, 1)
+        );
+        members.expire_leases(limits::RECENTLY_SERVING_DURATION + 1, true);
+        assert_eq!(members.recently_serving_count(), 0);
     }
 
     #[test]
     fn leases_end_by_themselves_and_sooner_for_hearsay_in_touch() {
         let (mut members, mut other) = (Membership::default(), Membership::default());
-        other.hello(0, 1, edge("b"));
-        members.hello(0, 1, edge("a"));
-        members.told(0, 7, other.list());
+        other.handle_hello(0, 1, edge("b"));
+        members.handle_hello(0, 1, edge("a"));
+        members.handle_member_list(0, 7, other.local_members());
         // Nothing was dropped: the process stood still.
-        let named = |now, in_touch| members.current(now, in_touch).len();
+        let named = |now, in_touch| members.valid_members(now, in_touch).len();
         assert_eq!(
             (
                 named(limits::MEMBER_LEASE_DURATION, true),
@@ -633,9 +657,9 @@
     #[test]
     fn a_replica_out_of_touch_counts_on_those_that_it_hears_no_more() {
         let mut members = Membership::default();
-        members.hello(0, 1, edge("a"));
-        members.beat(0, 1, NodeState::Ready);
-        members.expire(0, true);
+        members.handle_hello(0, 1, edge("a"));
+        members.handle_heartbeat(0, 1, NodeState::Ready);
+        members.expire_leases(0, true);
         let back = 2 * limits::RECENTLY_SERVING_DURATION;
         // The last is as a process finds it that stood still.
         for alone in [
@@ -643,28 +667,40 @@
             limits::RECENTLY_SERVING_DURATION + 1,
             back,
         ] {
-            members.expire(alone, false);
-            assert_eq!(members.lately(), 1, "{alone}");
+            members.expire_leases(alone, false);
+            assert_eq!(members.recently_serving_count(), 1, "{alone}");
         }
-        members.expire(back + limits::RECENTLY_SERVING_DURATION, true);
-        assert_eq!(members.lately(), 1);
-        members.expire(back + limits::RECENTLY_SERVING_DURATION + 1, true);
-        assert_eq!(members.lately(), 0);
+        members.expire_leases(back + limits::RECENTLY_SERVING_DURATION, true);
+        assert_eq!(members.recently_serving_count(), 1);
+        members.expire_leases(back + limits::RECENTLY_SERVING_DURATION + 1, true);
+        assert_eq!(members.recently_serving_count(), 0);
     }
 
     #[test]
     fn an_edge_that_falls_silent_before_it_says_that_it_serves_counts_for_a_while() {
         let mut members = Membership::default();
-        members.hello(0, 1, edge("a"));
-        members.beat(0, 1, NodeState::Unavailable);
-        members.expire(0, true);
-        assert_eq!((members.all().len(), members.lately()), (1, 0));
-        members.expire(limits::MEMBER_LEASE_DURATION + 1, true);
-        assert_eq!((members.all().len(), members.lately()), (0, 1));
-        members.expire(
+        members.handle_hello(0, 1, edge("a"));
+        members.handle_heartbeat(0, 1, NodeState::Unavailable);
+        members.expire_leases(0, true);
+        assert_eq!(
+            (
+                members.all_members().len(),
+                members.recently_serving_count()
+            ),
+            (1, 0)
+        );
+        members.expire_leases(limits::MEMBER_LEASE_DURATION + 1, true);
+        assert_eq!(
+            (
+                members.all_members().len(),
+                members.recently_serving_count()
+            ),
+            (0, 1)
+        );
+        members.expire_leases(
             limits::MEMBER_LEASE_DURATION + limits::RECENTLY_SERVING_DURATION + 2,
             true,
         );
-        assert_eq!(members.lately(), 0);
+        assert_eq!(members.recently_serving_count(), 0);
     }
 }
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -102,7 +102,7 @@
     /// What was on disk.
     pub restored: RecoveredState,
     /// How much of a state transfer is told at once.
-    pub bounds: TransferLimits,
+    pub transfer_limits: TransferLimits,
 }
 
 /// What goes in.
@@ -166,20 +166,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PendingCounts {
     /// Rounds of registers.
-    pub rounds: usize,
+    pub proposals: usize,
     /// Calls that rounds are for.
     pub calls: usize,
     /// Readings of all registers.
-    pub readings: usize,
+    pub reads: usize,
     /// Writes that something waits for.
-    pub after: usize,
+    pub writes: usize,
     /// Registers whose values are not known to be chosen.
-    pub unfinished: usize,
+    pub repairs: usize,
 }
 
 /// Questions of a process for what it missed are numbered from here. Danger: one that starts anew would come to the numbers
 /// of the one before, and take a late answer to that one for its own.
-fn first_sync(incarnation: Incarnation, run: u32) -> u64 {
+fn first_exchange_id(incarnation: Incarnation, run: u32) -> u64 {
     u64::from(incarnation.number) << 48 | u64::from(run) << 24
 }
 
@@ -189,54 +189,54 @@
     run: u32,
     replicas: ReplicaTable,
     registers: Registers,
-    news: ChosenItems,
-    unfinished: PendingProposals,
-    rebuild: Option<Recovery>,
-    rounds: BTreeMap<u64, Proposal>,
+    chosen: ChosenItems,
+    pending: PendingProposals,
+    recovery: Option<Recovery>,
+    proposals: BTreeMap<u64, Proposal>,
     /// The call that a round is for.
     calls: BTreeMap<u64, u64>,
-    readings: BTreeMap<u64, QuorumRead>,
+    reads: BTreeMap<u64, QuorumRead>,
     /// Readings that wait for a round that finishes what they found.
-    finishing: BTreeMap<u64, QuorumRead>,
-    duties: [RoleLease; 2],
-    members: Membership,
-    count: SharedCounter,
-    listed: ServerList,
+    repairing_reads: BTreeMap<u64, QuorumRead>,
+    role_leases: [RoleLease; 2],
+    membership: Membership,
+    counter: SharedCounter,
+    server_list: ServerList,
     agents: AgentLinks,
-    overload_homes: LoadAggregation,
-    after: BTreeMap<u64, Vec<PendingWrite>>,
+    load: LoadAggregation,
+    pending_writes: BTreeMap<u64, Vec<PendingWrite>>,
     /// Last number given to a write, a round or a question.
-    number: u64,
+    last_request_id: u64,
     /// Added to the numbers of questions for what was missed.
-    syncs_from: u64,
+    exchange_id_base: u64,
     /// Highest round of ballots seen.
-    round: u64,
-    chance: u64,
-    next_beat: i64,
+    highest_round: u64,
+    random_state: u64,
+    next_heartbeat: i64,
     /// Beats in a row after which a replica knew other items to be chosen.
-    strikes: BTreeMap<ReplicaId, u32>,
+    digest_mismatches: BTreeMap<ReplicaId, u32>,
     /// Not to be asked before then: for chosen items, for the list of servers.
     next_sync: i64,
-    next_servers: i64,
-    stopping: bool,
+    next_server_request: i64,
+    shutting_down: bool,
     /// Once the process was told to end.
     handover: Option<Handover>,
     /// While it is set aside by a newer incarnation of its slot.
-    displaced: Option<Superseded>,
-    full: bool,
+    superseded: Option<Superseded>,
+    disk_full: bool,
     /// The limiters' clock less this replica's.
-    ahead: i64,
-    touch: bool,
+    clock_offset: i64,
+    has_quorum_contact: bool,
     /// Replicas all of whose chosen items were known here at some instant since the start, a bit each; once they are enough,
     /// agents are told the whole.
-    matched: u128,
+    matched_replicas: u128,
     /// It knows all that is chosen, as far as more than half say so; over as soon as it is out of touch.
-    whole: bool,
+    up_to_date: bool,
     /// In any case then.
-    whole_at: Option<i64>,
+    up_to_date_at: Option<i64>,
     /// The question about what is chosen that waits for its answer.
-    syncing: DigestExchange,
-    bounds: TransferLimits,
+    exchange: DigestExchange,
+    transfer_limits: TransferLimits,
 }
 
 impl Core {
@@ -265,8 +265,11 @@
             news.learn(*ballot, item);
         }
         let mut unfinished = PendingProposals::default();
-        for (_, item) in registers.held().filter(|(_, item)| !news.has(item)) {
-            unfinished.begun(now, &item.name);
+        for (_, item) in registers
+            .accepted_entries()
+            .filter(|(_, item)| !news.includes(item))
+        {
+            unfinished.insert(now, &item.name);
         }
         let term = |at: usize| own.terms.get(at).copied().unwrap_or_default();
         let terms = |duty: SingletonRole| {
@@ -280,46 +283,46 @@
         Core {
             zones: setup.zones,
             run: own.run,
-            round: registers.highest().round,
-            rebuild: (own.incarnation == Incarnation::NONE).then(Recovery::default),
+            highest_round: registers.highest_promise().round,
+            recovery: (own.incarnation == Incarnation::NONE).then(Recovery::default),
             replicas,
             registers,
-            news,
-            unfinished,
-            rounds: BTreeMap::new(),
+            chosen: news,
+            pending: unfinished,
+            proposals: BTreeMap::new(),
             calls: BTreeMap::new(),
-            readings: BTreeMap::new(),
-            finishing: BTreeMap::new(),
-            duties,
-            members: Membership::default(),
-            count: SharedCounter::default(),
-            listed: ServerList::default(),
+            reads: BTreeMap::new(),
+            repairing_reads: BTreeMap::new(),
+            role_leases: duties,
+            membership: Membership::default(),
+            counter: SharedCounter::default(),
+            server_list: ServerList::default(),
             agents: AgentLinks::default(),
-            overload_homes: LoadAggregation::default(),
-            after: BTreeMap::new(),
-            number: 0,
-            syncs_from: first_sync(own.incarnation, own.run),
-            chance: setup.seed | 1,
-            next_beat: now,
-            strikes: BTreeMap::new(),
+            load: LoadAggregation::default(),
+            pending_writes: BTreeMap::new(),
+            last_request_id: 0,
+            exchange_id_base: first_exchange_id(own.incarnation, own.run),
+            random_state: setup.seed | 1,
+            next_heartbeat: now,
+            digest_mismatches: BTreeMap::new(),
             next_sync: now,
-            next_servers: now,
-            stopping: false,
+            next_server_request: now,
+            shutting_down: false,
             handover: None,
-            displaced: None,
-            full: false,
-            ahead: FIRST.saturating_sub(now),
-            touch: false,
-            matched: 0,
-            whole: false,
-            whole_at: None,
-            syncing: DigestExchange::default(),
-            bounds: setup.bounds,
+            superseded: None,
+            disk_full: false,
+            clock_offset: FIRST.saturating_sub(now),
+            has_quorum_contact: false,
+            matched_replicas: 0,
+            up_to_date: false,
+            up_to_date_at: None,
+            exchange: DigestExchange::default(),
+            transfer_limits: setup.transfer_limits,
         }
     }
 
     /// Takes one input at a time on a clock that never goes back, in microseconds.
-    pub fn take(&mut self, now: i64, input: Input, out: &mut Vec<Output>) {
+    pub fn step(&mut self, now: i64, input: Input, out: &mut Vec<Output>) {
         // Who is who does not change by these, and they come often.
         let often = matches!(
             input,
@@ -329,104 +332,105 @@
             ) | Input::Written(_)
                 | Input::ServerListRead(_)
         );
-        if now - self.next_beat >= limits::CONTACT_TIMEOUT {
-            self.stood_still(now);
+        if now - self.next_heartbeat >= limits::CONTACT_TIMEOUT {
+            self.handle_stall(now);
         }
         match input {
             Input::Tick => {}
             Input::PeerMessage(from, peer_message) => {
-                self.peer_message(now, from, peer_message, out)
+                self.handle_peer_message(now, from, peer_message, out)
             }
             Input::PeerConnected(peer) => {
-                if let Some(rebuild) = &mut self.rebuild {
-                    rebuild.linked(now, peer);
+                if let Some(rebuild) = &mut self.recovery {
+                    rebuild.handle_peer_connected(now, peer);
                 }
-                self.link_up(peer, out);
+                self.greet_replica(peer, out);
             }
-            Input::Written(number) => self.written(now, number, out),
+            Input::Written(number) => self.handle_written(now, number, out),
             Input::OperatorCall(call, command, deadline) => {
-                self.call(now, call, command, deadline, out)
+                self.handle_call(now, call, command, deadline, out)
             }
-            Input::Agent(link, up) => self.agent(now, link, up, out),
-            Input::AgentDisconnected(link) => self.agent_gone(now, link, out),
-            Input::ServerListRead(servers) => self.platform_read(now, servers, out),
-            Input::RoleFailed(duty) => self.unable(now, duty, out),
-            Input::DiskFull(full) => self.disk_full(full, out),
-            Input::Shutdown => self.stop(now, out),
+            Input::Agent(link, up) => self.handle_agent_message(now, link, up, out),
+            Input::AgentDisconnected(link) => self.handle_agent_disconnected(now, link, out),
+            Input::ServerListRead(servers) => self.handle_server_list_read(now, servers, out),
+            Input::RoleFailed(duty) => self.handle_role_failed(now, duty, out),
+            Input::DiskFull(full) => self.handle_disk_full(full, out),
+            Input::Shutdown => self.handle_shutdown(now, out),
         }
-        self.turn(now, out);
-        if !often || self.agents.wake().is_some_and(|wake| wake <= now) {
-            self.tell_who(now, false, out);
+        self.run_due(now, out);
+        if !often || self.agents.wake_at().is_some_and(|wake| wake <= now) {
+            self.announce_view(now, false, out);
         }
     }
 
     /// When it wants to be called again at the latest.
-    pub fn next(&self) -> i64 {
+    pub fn wake_at(&self) -> i64 {
         let rounds = self
-            .rounds
+            .proposals
             .values()
-            .map(|round| round.wake.min(round.deadline));
+            .map(|round| round.wake_at.min(round.deadline));
         let readings = self
-            .readings
+            .reads
             .values()
-            .map(|reading| reading.wake.min(reading.deadline));
+            .map(|reading| reading.wake_at.min(reading.deadline));
         let rebuild = self
-            .rebuild
+            .recovery
             .iter()
-            .filter(|rebuild| !rebuild.written)
-            .map(|rebuild| rebuild.wake);
-        let able = self.replicas.takes_part() && self.touch && !self.full;
-        let finish = self.finish_wake().filter(|_| able);
-        let able = able && !self.stopping;
+            .filter(|rebuild| !rebuild.persisting)
+            .map(|rebuild| rebuild.wake_at);
+        let able = self.replicas.is_participant() && self.has_quorum_contact && !self.disk_full;
+        let finish = self.repair_wake_at().filter(|_| able);
+        let able = able && !self.shutting_down;
         let duties = self
-            .duties
+            .role_leases
             .iter()
-            .filter(|duty| able || duty.bids())
-            .map(RoleLease::wake);
+            .filter(|duty| able || duty.is_candidate())
+            .map(RoleLease::wake_at);
         let all = rounds
             .chain(readings)
             .chain(rebuild)
             .chain(finish)
             .chain(duties);
-        let all = all
-            .chain(self.agents.wake())
-            .chain(self.overload_homes.next());
+        let all = all.chain(self.agents.wake_at()).chain(self.load.wake_at());
         let all = all
             .chain(self.handover.iter().filter_map(Handover::wake))
-            .chain(self.reclaim_wake());
-        all.fold(self.next_beat, i64::min)
+            .chain(self.reclaim_wake_at());
+        all.fold(self.next_heartbeat, i64::min)
     }
 
     /// What is due.
-    fn turn(&mut self, now: i64, out: &mut Vec<Output>) {
-        if now >= self.next_beat {
-            self.next_beat = now + limits::HEARTBEAT_INTERVAL;
-            self.beat(now, out);
+    fn run_due(&mut self, now: i64, out: &mut Vec<Output>) {
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now + limits::HEARTBEAT_INTERVAL;
+            self.send_heartbeat(now, out);
         }
-        self.rebuild_turn(now, out);
-        self.rounds_turn(now, out);
+        self.drive_recovery(now, out);
+        self.drive_proposals(now, out);
         self.readings_turn(now, out);
-        self.duties_turn(now, out);
-        self.agents_turn(now, out);
-        self.overload_turn(now, out);
-        self.handover_turn(now, out);
-        self.reclaim_turn(now, out);
+        self.drive_role_leases(now, out);
+        self.drive_deferred_syncs(now, out);
+        self.drive_load_aggregation(now, out);
+        self.drive_handover(now, out);
+        self.drive_reclaim(now, out);
     }
 
     /// This replica does a duty at this instant, in this term.
-    pub fn holds(&self, now: i64, duty: SingletonRole) -> Option<u64> {
-        let able = self.replicas.takes_part() && !self.stopping;
-        self.duties[duty as usize].held(now).filter(|_| able)
+    pub fn acting_term(&self, now: i64, duty: SingletonRole) -> Option<u64> {
+        let able = self.replicas.is_participant() && !self.shutting_down;
+        self.role_leases[duty as usize]
+            .acting_term(now)
+            .filter(|_| able)
     }
 
     /// The edges whose leases hold at this instant, as this replica knows them.
     pub fn members(&self, now: i64) -> Vec<&Member> {
-        self.members.current(now, self.replicas.in_touch(now))
+        self.membership
+            .valid_members(now, self.replicas.has_quorum_contact(now))
     }
 
     /// More than half of the replicas are in touch with this one.
-    pub fn in_touch(&self, now: i64) -> bool {
-        self.replicas.in_touch(now)
+    pub fn has_quorum_contact(&self, now: i64) -> bool {
+        self.replicas.has_quorum_contact(now)
     }
 
     /// The replicas to keep a link with at the start.
@@ -435,111 +439,121 @@
     }
 
     /// It votes and answers.
-    pub fn takes_part(&self) -> bool {
-        self.replicas.takes_part()
+    pub fn is_participant(&self) -> bool {
+        self.replicas.is_participant()
     }
 
     /// Its replica has a newer incarnation: it is of no more use.
-    pub fn aside(&self) -> bool {
-        self.replicas.aside()
+    pub fn is_superseded(&self) -> bool {
+        self.replicas.is_superseded()
     }
 
     /// The items that it knows to be chosen.
-    pub fn chosen(&self) -> impl Iterator<Item = &Item> {
-        self.news.all().map(|(_, item)| item)
+    pub fn chosen_items(&self) -> impl Iterator<Item = &Item> {
+        self.chosen.entries().map(|(_, item)| item)
     }
 
     /// Digest of these.
     pub fn chosen_digest(&self) -> u64 {
-        self.news.digest()
+        self.chosen.digest()
     }
 
     /// What it has accepted.
-    pub fn accepted(&self) -> impl Iterator<Item = &Item> {
-        self.registers.held().map(|(_, item)| item)
+    pub fn accepted_items(&self) -> impl Iterator<Item = &Item> {
+        self.registers.accepted_entries().map(|(_, item)| item)
     }
 
     /// The incarnation of its replica.
     pub fn incarnation(&self) -> Incarnation {
-        self.replicas.me().incarnation
+        self.replicas.local().incarnation
     }
 
     /// How much it holds.
-    pub fn sizes(&self) -> PendingCounts {
+    pub fn pending_counts(&self) -> PendingCounts {
         PendingCounts {
-            rounds: self.rounds.len(),
+            proposals: self.proposals.len(),
             calls: self.calls.len(),
-            readings: self.readings.len() + self.finishing.len(),
-            after: self.after.len(),
-            unfinished: self.unfinished.len(),
+            reads: self.reads.len() + self.repairing_reads.len(),
+            writes: self.pending_writes.len(),
+            repairs: self.pending.len(),
         }
     }
 
     /// Nothing is left that was taken.
-    pub fn idle(&self) -> bool {
-        self.calls.is_empty() && self.readings.is_empty() && self.finishing.is_empty()
+    pub fn is_idle(&self) -> bool {
+        self.calls.is_empty() && self.reads.is_empty() && self.repairing_reads.is_empty()
     }
 
     /// A number drawn by chance, below `most`.
-    fn draw(&mut self, most: u64) -> u64 {
-        self.chance ^= self.chance << 13;
-        self.chance ^= self.chance >> 7;
-        self.chance ^= self.chance << 17;
-        self.chance % most.max(1)
+    fn random_below(&mut self, most: u64) -> u64 {
+        self.random_state ^= self.random_state << 13;
+        self.random_state ^= self.random_state >> 7;
+        self.random_state ^= self.random_state << 17;
+        self.random_state % most.max(1)
     }
 
-    fn number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+    fn next_request_id(&mut self) -> u64 {
+        self.last_request_id += 1;
+        self.last_request_id
     }
 
     /// All messages that are not for this replica alone are told apart here.
-    fn peer_message(
+    fn handle_peer_message(
         &mut self,
         now: i64,
         from: SocketAddr,
         peer_message: PeerMessage,
         out: &mut Vec<Output>,
     ) {
-        let heard = self.replicas.hear(now, from, &peer_message);
+        let heard = self.replicas.record_message(now, from, &peer_message);
         if heard.changed {
-            self.replicas_changed(now, out);
+            self.handle_replicas_changed(now, out);
         }
-        let by = (peer_message.by.replica, peer_message.by.incarnation);
+        let by = (peer_message.sender.replica, peer_message.sender.incarnation);
         if heard.returned {
-            self.link_up(from, out);
+            self.greet_replica(from, out);
         }
         match peer_message.body {
-            Payload::MemberListRequest => {
-                self.send(vec![from], Payload::MemberList(self.members.list()), out)
-            }
+            Payload::MemberListRequest => self.send(
+                vec![from],
+                Payload::MemberList(self.membership.local_members()),
+                out,
+            ),
             Payload::ServerListRequest => self.send_servers(now, from, out),
             Payload::IncarnationRequest {
                 incarnation,
                 question,
-            } => self.record(from, peer_message.by.replica, incarnation, question, out),
+            } => self.handle_incarnation_request(
+                from,
+                peer_message.sender.replica,
+                incarnation,
+                question,
+                out,
+            ),
             Payload::HandoverRequest { id, items } => {
-                self.take_over(now, (from, by.0), id, items, out)
+                self.handle_handover_request(now, (from, by.0), id, items, out)
             }
             // One of an older incarnation learns of the newer one by any message.
             Payload::Heartbeat(_)
-                if !heard.counts && peer_message.by.incarnation != Incarnation::NONE =>
+                if !heard.is_current && peer_message.sender.incarnation != Incarnation::NONE =>
             {
-                self.link_up(from, out)
+                self.greet_replica(from, out)
             }
-            _ if !heard.counts => {}
-            Payload::Heartbeat(beat) => self.beaten(now, from, by.0, beat, out),
+            _ if !heard.is_current => {}
+            Payload::Heartbeat(beat) => self.handle_heartbeat(now, from, by.0, beat, out),
             Payload::ReplicaAddresses(told)
                 if self.replicas.knows_more(&peer_message.incarnations, &told) =>
             {
-                self.link_up(from, out)
+                self.greet_replica(from, out)
             }
             Payload::ReplicaAddresses(_) => {}
-            Payload::MemberList(list) => self.members_told(now, by.0, list, out),
-            Payload::MembershipDelta(moved) => self.members_moved(now, from, by.0, moved, out),
+            Payload::MemberList(list) => self.handle_member_list(now, by.0, list, out),
+            Payload::MembershipDelta(moved) => {
+                self.handle_membership_delta(now, from, by.0, moved, out)
+            }
             Payload::ServerList { version, servers } => {
-                if self.listed.told(now, version, servers) {
-                    self.tell_servers(now, out);
+                if self.server_list.update_from_replica(now, version, servers) {
+                    self.announce_servers(now, out);
                 }
             }
             Payload::IncarnationRecorded {
@@ -548,29 +562,40 @@
                 piece,
                 terms,
             } => {
-                self.recorded(now, (from, by), incarnation, floor, piece, &terms, out);
+                self.handle_incarnation_recorded(
+                    now,
+                    (from, by),
+                    incarnation,
+                    floor,
+                    piece,
+                    &terms,
+                    out,
+                );
             }
             Payload::HandoverAck { id, parts, whole } => {
-                self.slot_heard(now, by.0, whole);
-                self.holding((from, by.0), (id, &parts), whole, out);
+                self.handle_slot_report(now, by.0, whole);
+                self.handle_handover_ack((from, by.0), (id, &parts), whole, out);
             }
             Payload::LoadReport { region, services } => {
-                let replicas = (self.replicas.me().replica, by.0);
-                self.overload_homes.shared(now, replicas, &region, services);
+                let replicas = (self.replicas.local().replica, by.0);
+                self.load
+                    .handle_peer_share(now, replicas, &region, services);
             }
-            _ if !self.replicas.takes_part() => {}
-            Payload::Prepare { ballot, names } => self.prepare(now, from, ballot, &names, out),
-            Payload::Accept { ballot, items } => self.accept(now, from, ballot, &items, out),
+            _ if !self.replicas.is_participant() => {}
+            Payload::Prepare { ballot, names } => {
+                self.handle_prepare(now, from, ballot, &names, out)
+            }
+            Payload::Accept { ballot, items } => self.handle_accept(now, from, ballot, &items, out),
             Payload::LeaseRequest {
                 duty,
                 term,
                 at,
                 holds,
             } => {
-                self.bid(
+                self.handle_lease_request(
                     now,
                     Some(from),
-                    peer_message.by,
+                    peer_message.sender,
                     duty,
                     term,
                     (at, holds),
@@ -578,32 +603,43 @@
                 );
             }
             Payload::LeaseRelease { duty, term, vain } => {
-                self.duties[duty as usize].released(now, peer_message.by, term, vain);
+                self.role_leases[duty as usize].handle_release(
+                    now,
+                    peer_message.sender,
+                    term,
+                    vain,
+                );
+            }
+            Payload::ReadRequest { id, question } => {
+                self.handle_read_request(from, id, &question, out)
+            }
+            Payload::DigestRequest { id, parts } => {
+                self.handle_digest_request(from, id, &parts, out)
             }
-            Payload::ReadRequest { id, question } => self.asked(from, id, &question, out),
-            Payload::DigestRequest { id, parts } => self.sync_asked(from, id, &parts, out),
             Payload::DigestEntries { id, entries } => {
-                self.entries_told(now, (from, by.0), id, &entries, out)
+                self.handle_digest_entries(now, (from, by.0), id, &entries, out)
+            }
+            Payload::FetchRequest { id, wanted } => {
+                self.handle_fetch_request(from, id, &wanted, out)
             }
-            Payload::FetchRequest { id, wanted } => self.fetch_asked(from, id, &wanted, out),
             Payload::ChosenChunk {
                 id,
                 piece,
                 items,
                 then,
             } => {
-                self.learn(now, items, out);
-                self.told_chosen(now, (from, by.0), id, (piece, then), out);
+                self.learn_chosen(now, items, out);
+                self.handle_chosen_chunk(now, (from, by.0), id, (piece, then), out);
             }
             Payload::Chosen(ballot) => {
                 let held = self
                     .registers
-                    .held()
+                    .accepted_entries()
                     .filter(|(accepted, _)| *accepted == ballot);
                 let items = held.cloned().collect();
-                self.learn(now, items, out);
+                self.learn_chosen(now, items, out);
             }
-            body => self.vote(now, (from, by), body, out),
+            body => self.handle_vote(now, (from, by), body, out),
         }
     }
 }
--- a/crates/control/src/core/outbox.rs
+++ b/crates/control/src/core/outbox.rs
@@ -24,7 +24,7 @@
             out.push(Output::SendToReplicas(
                 to,
                 PeerMessage {
-                    by: self.replicas.me(),
+                    sender: self.replicas.local(),
                     incarnations: self.replicas.incarnations(),
                     body,
                 },
@@ -33,8 +33,8 @@
     }
 
     /// Sends a message to all other replicas.
-    pub(super) fn spread(&self, body: Payload, out: &mut Vec<Output>) {
-        self.send(self.replicas.rest(), body, out);
+    pub(super) fn broadcast(&self, body: Payload, out: &mut Vec<Output>) {
+        self.send(self.replicas.other_addresses(), body, out);
     }
 
     /// Writes rows, and does something once they are on disk.
@@ -44,27 +44,27 @@
         after: Option<PendingWrite>,
         out: &mut Vec<Output>,
     ) {
-        let number = self.number();
+        let number = self.next_request_id();
         if let Some(after) = after {
-            self.after.insert(number, vec![after]);
+            self.pending_writes.insert(number, vec![after]);
         }
         out.push(Output::Write(number, rows));
     }
 
     /// Newest term of each duty that was granted here.
-    fn terms(&self) -> impl Iterator<Item = Term> {
-        self.duties.iter().map(RoleLease::term)
+    fn granted_terms(&self) -> impl Iterator<Item = Term> {
+        self.role_leases.iter().map(RoleLease::granted_term)
     }
 
     /// What is written down about this replica and the others.
-    pub(super) fn own(&self) -> ReplicaMetadata {
+    pub(super) fn metadata(&self) -> ReplicaMetadata {
         ReplicaMetadata {
-            incarnation: self.replicas.me().incarnation,
+            incarnation: self.replicas.local().incarnation,
             run: self.run,
             floor: self.registers.floor(),
             terms: self
-                .terms()
-                .chain(self.duties.iter().map(RoleLease::kept))
+                .granted_terms()
+                .chain(self.role_leases.iter().map(RoleLease::last_held_term))
                 .collect(),
             incarnations: self.replicas.incarnations(),
             addresses: self.replicas.addresses(),
@@ -72,7 +72,7 @@
     }
 
     /// A vote, or this replica's own one. It counts like any other.
-    pub(super) fn send_to_peer(
+    pub(super) fn deliver_vote(
         &mut self,
         now: i64,
         to: Option<SocketAddr>,
@@ -82,10 +82,10 @@
         match to {
             Some(to) => self.send(vec![to], body, out),
             None => {
-                let me = self.replicas.me();
-                self.vote(
+                let me = self.replicas.local();
+                self.handle_vote(
                     now,
-                    (self.replicas.here(), (me.replica, me.incarnation)),
+                    (self.replicas.local_address(), (me.replica, me.incarnation)),
                     body,
                     out,
                 );
@@ -94,8 +94,8 @@
     }
 
     /// The disk takes nothing more, or takes it again. Until it does, this replica promises, accepts and grants nothing new.
-    pub(super) fn disk_full(&mut self, full: bool, out: &mut Vec<Output>) {
-        if std::mem::replace(&mut self.full, full) != full {
+    pub(super) fn handle_disk_full(&mut self, full: bool, out: &mut Vec<Output>) {
+        if std::mem::replace(&mut self.disk_full, full) != full {
             let text = if full {
                 "votes on nothing new: the disk refuses it"
             } else {
@@ -106,17 +106,20 @@
     }
 
     /// Rows are on disk.
-    pub(super) fn written(&mut self, now: i64, number: u64, out: &mut Vec<Output>) {
-        for after in self.after.remove(&number).into_iter().flatten() {
+    pub(super) fn handle_written(&mut self, now: i64, number: u64, out: &mut Vec<Output>) {
+        for after in self.pending_writes.remove(&number).into_iter().flatten() {
             match after {
-                PendingWrite::Vote(to, body) if self.replicas.takes_part() => {
-                    self.send_to_peer(now, to, body, out)
+                PendingWrite::Vote(to, body) if self.replicas.is_participant() => {
+                    self.deliver_vote(now, to, body, out)
                 }
                 PendingWrite::Vote(..) => {}
                 PendingWrite::Recorded(to, incarnation, question) => {
-                    let floor = self.registers.highest();
-                    for piece in self.registers.answer(self.bounds, &question) {
-                        let terms = self.terms().collect();
+                    let floor = self.registers.highest_promise();
+                    for piece in self
+                        .registers
+                        .transfer_chunks(self.transfer_limits, &question)
+                    {
+                        let terms = self.granted_terms().collect();
                         self.send(
                             vec![to],
                             Payload::IncarnationRecorded {
@@ -129,7 +132,9 @@
                         );
                     }
                 }
-                PendingWrite::BeginIncarnation(incarnation) => self.begin(now, incarnation, out),
+                PendingWrite::BeginIncarnation(incarnation) => {
+                    self.begin_incarnation(now, incarnation, out)
+                }
             }
         }
     }
--- a/crates/control/src/core/peer_messages.rs
+++ b/crates/control/src/core/peer_messages.rs
@@ -60,12 +60,12 @@
     /// Rises with each try.
     pub round: u64,
     /// Whose it is.
-    pub by: ProcessId,
+    pub proposer: ProcessId,
 }
 
 impl fmt::Display for Ballot {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}", self.round, self.by.replica)
+        write!(f, "{}.{}", self.round, self.proposer.replica)
     }
 }
 
@@ -76,7 +76,7 @@
 )]
 pub struct RequestId {
     /// Who asks.
-    pub by: ProcessId,
+    pub requester: ProcessId,
     /// Which of its questions.
     pub number: u64,
 }
@@ -101,53 +101,53 @@
     /// Rises with each holder.
     pub number: u64,
     /// The holder.
-    pub by: ProcessId,
+    pub holder: ProcessId,
 }
 
 /// An edge as the replica knows it that its agent is linked to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The edge.
-    pub edge: NodeInfo,
+    pub node: NodeInfo,
     /// How it stands.
-    pub standing: NodeState,
+    pub state: NodeState,
     /// Its agent is linked now; else its lease only runs out.
-    pub linked: bool,
+    pub connected: bool,
 }
 
 /// A change of the edges linked to a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipDelta {
     /// Digest of those before...
-    pub before: u64,
+    pub digest_before: u64,
     /// ...and after it.
-    pub after: u64,
+    pub digest_after: u64,
     /// Those that came, or stand otherwise.
-    pub told: Vec<Member>,
+    pub changed: Vec<Member>,
     /// Machines that are there no more.
-    pub gone: Vec<String>,
+    pub removed: Vec<String>,
 }
 
 /// The sign of life of a replica, with what tells whether something was missed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The replicas that it hears, a bit each.
-    pub hears: u128,
+    pub reachable: u128,
     /// Digest of what it knows to be chosen.
-    pub chosen: u64,
+    pub chosen_digest: u64,
     /// Version of its list of servers.
-    pub servers: (u64, u64),
+    pub server_list_version: (u64, u64),
     /// Digest of the edges linked to it.
-    pub members: u64,
+    pub membership_digest: u64,
     /// The limiters' clock, as it has it.
-    pub time: i64,
+    pub counter_clock: i64,
 }
 
 /// What the asking one of a transfer has, and from where on it wants what differs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TransferRequest {
     /// Digests of what it has, by parts.
-    pub parts: Vec<u64>,
+    pub digests: Vec<u64>,
     /// It has all up to this name.
     pub after: Option<ItemName>,
 }
@@ -333,7 +333,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerMessage {
     /// Who speaks.
-    pub by: ProcessId,
+    pub sender: ProcessId,
     /// The newest incarnations that it knows, by replica.
     #[serde(with = "incarnations")]
     pub incarnations: Vec<Incarnation>,
--- a/crates/control/src/core/proposal.rs
+++ b/crates/control/src/core/proposal.rs
@@ -14,25 +14,25 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Intent {
     /// These items are to be in force, each by its version.
-    Items(Vec<Item>),
+    SetItems(Vec<Item>),
     /// A zone is to be evacuated, or not.
-    Zone(ItemName, bool),
+    SetEvacuation(ItemName, bool),
     /// What was accepted is to be finished.
-    Finish(Vec<ItemName>),
+    Repair(Vec<ItemName>),
 }
 
 impl Intent {
     /// The registers that it is about.
     pub fn names(&self) -> Vec<ItemName> {
         match self {
-            Intent::Items(items) => items.iter().map(|item| item.name.clone()).collect(),
-            Intent::Zone(name, _) => vec![name.clone()],
-            Intent::Finish(names) => names.clone(),
+            Intent::SetItems(items) => items.iter().map(|item| item.name.clone()).collect(),
+            Intent::SetEvacuation(name, _) => vec![name.clone()],
+            Intent::Repair(names) => names.clone(),
         }
     }
 
-    fn large(&self) -> bool {
-        let Intent::Items(items) = self else {
+    fn is_large(&self) -> bool {
+        let Intent::SetItems(items) = self else {
             return false;
         };
         items
@@ -58,68 +58,68 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// To all replicas, this one included.
-    All(Payload),
+    Broadcast(Payload),
     /// These items are chosen.
     Chosen(Ballot, Vec<Item>),
     /// The outcome; the round may go on to finish what it found.
-    Outcome(Outcome),
+    Report(Outcome),
     /// Begin again with a higher ballot, not before then.
-    Again(i64),
+    Retry(i64),
     /// It is over.
-    Over,
+    Finished,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
-    Waits,
-    Prepares(BTreeMap<ItemName, (Ballot, Item)>),
-    Accepts(Vec<Item>),
+    Idle,
+    Preparing(BTreeMap<ItemName, (Ballot, Item)>),
+    Accepting(Vec<Item>),
 }
 
 /// A round that is under way.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    want: Intent,
+    intent: Intent,
     ballot: Ballot,
     phase: Phase,
     votes: BTreeMap<ReplicaId, Incarnation>,
-    nacks: BTreeSet<ReplicaId>,
-    tries: u32,
-    told: bool,
+    rejections: BTreeSet<ReplicaId>,
+    attempts: u32,
+    reported: bool,
     /// What is told once what is proposed is chosen.
     outcome: Outcome,
     /// Own contents were proposed: they may come into force, whatever is found later. Of a zone, its version.
-    proposed: Option<u64>,
+    proposed_version: Option<u64>,
     /// Given up then.
     pub deadline: i64,
     /// To be looked at again then.
-    pub wake: i64,
+    pub wake_at: i64,
     /// Highest proposal that stood in the way.
-    pub seen: Ballot,
+    pub highest_seen: Ballot,
 }
 
 impl Proposal {
     /// A round that has not begun.
     pub fn new(want: Intent, now: i64, deadline: i64) -> Proposal {
         Proposal {
-            want,
+            intent: want,
             ballot: Ballot::default(),
-            phase: Phase::Waits,
+            phase: Phase::Idle,
             votes: BTreeMap::new(),
-            nacks: BTreeSet::new(),
-            tries: 0,
-            told: false,
+            rejections: BTreeSet::new(),
+            attempts: 0,
+            reported: false,
             outcome: Outcome::Done,
-            proposed: None,
+            proposed_version: None,
             deadline,
-            wake: now,
-            seen: Ballot::default(),
+            wake_at: now,
+            highest_seen: Ballot::default(),
         }
     }
 
     /// The registers that it is about.
     pub fn names(&self) -> Vec<ItemName> {
-        self.want.names()
+        self.intent.names()
     }
 
     /// Its ballot.
@@ -128,17 +128,17 @@
     }
 
     /// It waits to begin, anew or at all.
-    pub fn waits(&self) -> bool {
-        self.phase == Phase::Waits
+    pub fn is_idle(&self) -> bool {
+        self.phase == Phase::Idle
     }
 
     /// Its outcome was told.
-    pub fn told(&self) -> bool {
-        self.told
+    pub fn is_reported(&self) -> bool {
+        self.reported
     }
 
-    fn resend(&self, now: i64) -> i64 {
-        now + if self.want.large() {
+    fn next_resend(&self, now: i64) -> i64 {
+        now + if self.intent.is_large() {
             limits::LARGE_RESEND_INTERVAL
         } else {
             limits::RESEND_INTERVAL
@@ -146,31 +146,31 @@
     }
 
     /// Begins, with a ballot over all that were seen.
-    pub fn begin(&mut self, now: i64, ballot: Ballot) -> Action {
+    pub fn start(&mut self, now: i64, ballot: Ballot) -> Action {
         self.ballot = ballot;
-        self.phase = Phase::Prepares(BTreeMap::new());
-        self.tries += 1;
+        self.phase = Phase::Preparing(BTreeMap::new());
+        self.attempts += 1;
         self.votes.clear();
-        self.nacks.clear();
-        self.wake = self.resend(now);
-        Action::All(Payload::Prepare {
+        self.rejections.clear();
+        self.wake_at = self.next_resend(now);
+        Action::Broadcast(Payload::Prepare {
             ballot,
-            names: self.want.names(),
+            names: self.intent.names(),
         })
     }
 
-    fn won(&self, replicas: &ReplicaTable) -> bool {
+    fn has_quorum(&self, replicas: &ReplicaTable) -> bool {
         // A vote counts only from the newest incarnation that any voter of the round knows; a message's incarnations are taken in
         // before its vote is, so the table here knows them all.
         self.votes
             .iter()
-            .filter(|(replica, incarnation)| replicas.counts(**replica, **incarnation))
+            .filter(|(replica, incarnation)| replicas.is_current(**replica, **incarnation))
             .count()
-            >= replicas.majority()
+            >= replicas.quorum()
     }
 
     /// A promise has come.
-    pub fn promised(
+    pub fn handle_promise(
         &mut self,
         now: i64,
         by: (ReplicaId, Incarnation),
@@ -178,7 +178,7 @@
         replicas: &ReplicaTable,
         news: &ChosenItems,
     ) -> Vec<Action> {
-        let Phase::Prepares(found) = &mut self.phase else {
+        let Phase::Preparing(found) = &mut self.phase else {
             return Vec::new();
         };
         for (ballot, item) in accepted {
@@ -190,35 +190,36 @@
             }
         }
         self.votes.insert(by.0, by.1);
-        if !self.won(replicas) {
+        if !self.has_quorum(replicas) {
             return Vec::new();
         }
-        let Phase::Prepares(found) = std::mem::replace(&mut self.phase, Phase::Waits) else {
+        let Phase::Preparing(found) = std::mem::replace(&mut self.phase, Phase::Idle) else {
             return Vec::new();
         };
-        let (items, outcome) = self.decide(&found, news);
+        let (items, outcome) = self.choose_values(&found, news);
         if items.is_empty() {
-            self.told = true;
-            return vec![Action::Outcome(outcome), Action::Over];
+            self.reported = true;
+            return vec![Action::Report(outcome), Action::Finished];
         }
         // Nothing is refused for something that may be lost again: only once that is chosen.
         self.outcome = outcome;
-        if outcome == Outcome::Done && !matches!(self.want, Intent::Finish(_)) {
-            self.proposed = Some(items.iter().map(|item| item.ver).max().unwrap_or_default());
+        if outcome == Outcome::Done && !matches!(self.intent, Intent::Repair(_)) {
+            self.proposed_version =
+                Some(items.iter().map(|item| item.ver).max().unwrap_or_default());
         }
         self.votes.clear();
-        self.nacks.clear();
-        self.wake = self.resend(now);
-        let step = Action::All(Payload::Accept {
+        self.rejections.clear();
+        self.wake_at = self.next_resend(now);
+        let step = Action::Broadcast(Payload::Accept {
             ballot: self.ballot,
             items: items.clone(),
         });
-        self.phase = Phase::Accepts(items);
+        self.phase = Phase::Accepting(items);
         vec![step]
     }
 
     /// What to propose in place of what was found, and what that means. Nothing is proposed for what is chosen already.
-    fn decide(
+    fn choose_values(
         &self,
         found: &BTreeMap<ItemName, (Ballot, Item)>,
         news: &ChosenItems,
@@ -227,12 +228,12 @@
         // at the same version.
         let old = |name: &ItemName| {
             let found = found.get(name).map(|(_, item)| item);
-            let chosen = news.chosen(name);
+            let chosen = news.get(name);
             chosen
                 .filter(|chosen| found.is_none_or(|found| found.ver <= chosen.ver))
                 .or(found)
         };
-        let open = |item: &&Item| !news.has(item);
+        let open = |item: &&Item| !news.includes(item);
         let finish = || {
             found
                 .values()
@@ -241,15 +242,15 @@
                 .cloned()
                 .collect::<Vec<_>>()
         };
-        match &self.want {
-            Intent::Finish(_) => (finish(), Outcome::Done),
-            Intent::Items(items) => {
+        match &self.intent {
+            Intent::Repair(_) => (finish(), Outcome::Done),
+            Intent::SetItems(items) => {
                 let differs = |item: &Item| {
                     old(&item.name)
                         .is_some_and(|old| old.ver == item.ver && !has_same_content(old, item))
                 };
                 if items.iter().any(differs) {
-                    return conflict(items, found, finish());
+                    return resolve_conflict(items, found, finish());
                 }
                 let mut proposed = Vec::new();
                 for item in items {
@@ -264,10 +265,10 @@
                 }
                 (proposed, Outcome::Done)
             }
-            Intent::Zone(name, on) => {
+            Intent::SetEvacuation(name, on) => {
                 let stands = old(name).and_then(|item| item.spec.as_deref()) == Some("true");
                 let overtaken = self
-                    .proposed
+                    .proposed_version
                     .is_some_and(|own| old(name).is_some_and(|item| item.ver > own));
                 if stands == *on || overtaken {
                     return (finish(), Outcome::Done);
@@ -286,39 +287,39 @@
     }
 
     /// A replica has accepted.
-    pub fn accepted(
+    pub fn handle_accepted(
         &mut self,
         by: (ReplicaId, Incarnation),
         replicas: &ReplicaTable,
     ) -> Vec<Action> {
-        if !matches!(self.phase, Phase::Accepts(_)) {
+        if !matches!(self.phase, Phase::Accepting(_)) {
             return Vec::new();
         }
         self.votes.insert(by.0, by.1);
-        if !self.won(replicas) {
+        if !self.has_quorum(replicas) {
             return Vec::new();
         }
-        let Phase::Accepts(items) = std::mem::replace(&mut self.phase, Phase::Waits) else {
+        let Phase::Accepting(items) = std::mem::replace(&mut self.phase, Phase::Idle) else {
             return Vec::new();
         };
         let mut steps = vec![Action::Chosen(self.ballot, items)];
-        if !self.told {
-            self.told = true;
-            steps.push(Action::Outcome(self.outcome));
+        if !self.reported {
+            self.reported = true;
+            steps.push(Action::Report(self.outcome));
         }
-        steps.push(Action::Over);
+        steps.push(Action::Finished);
         steps
     }
 
     /// It only finishes what others began.
-    pub fn finishes(&self) -> bool {
-        matches!(self.want, Intent::Finish(_))
+    pub fn is_repair(&self) -> bool {
+        matches!(self.intent, Intent::Repair(_))
     }
 
     /// How long to wait after a refusal: at the least, and by chance. The more often, the longer; and who only finishes
     /// what was found gives way, as the one that refuses it by a higher proposal finishes it as well.
-    pub fn pause(&self) -> (i64, u64) {
-        let least = if self.finishes() {
+    pub fn backoff(&self) -> (i64, u64) {
+        let least = if self.is_repair() {
             limits::REPAIR_BACKOFF
         } else {
             limits::PROPOSAL_BACKOFF
@@ -327,14 +328,14 @@
             least,
             limits::BACKOFF_JITTER
                 << self
-                    .tries
+                    .attempts
                     .saturating_sub(1)
                     .min(limits::MAX_BACKOFF_DOUBLINGS),
         )
     }
 
     /// A replica has promised something to a higher proposal. `pause` is how long to wait, if it begins again.
-    pub fn refused(
+    pub fn handle_nack(
         &mut self,
         now: i64,
         replica: ReplicaId,
@@ -342,43 +343,46 @@
         pause: i64,
         replicas: &ReplicaTable,
     ) -> Vec<Action> {
-        self.seen = self.seen.max(seen);
-        self.nacks.insert(replica);
-        let may =
-            |replica: &ReplicaId| replicas.hears(now, *replica) && !self.nacks.contains(replica);
-        let possible = (0..replicas.count() as ReplicaId).filter(may).count();
-        if self.waits() || possible >= replicas.majority() {
+        self.highest_seen = self.highest_seen.max(seen);
+        self.rejections.insert(replica);
+        let may = |replica: &ReplicaId| {
+            replicas.is_reachable(now, *replica) && !self.rejections.contains(replica)
+        };
+        let possible = (0..replicas.len() as ReplicaId).filter(may).count();
+        if self.is_idle() || possible >= replicas.quorum() {
             return Vec::new();
         }
-        self.again(now + pause)
+        self.retry_at(now + pause)
     }
 
-    fn again(&mut self, at: i64) -> Vec<Action> {
-        self.phase = Phase::Waits;
-        self.wake = at;
-        vec![Action::Again(at)]
+    fn retry_at(&mut self, at: i64) -> Vec<Action> {
+        self.phase = Phase::Idle;
+        self.wake_at = at;
+        vec![Action::Retry(at)]
     }
 
     /// Time has come to look at it: what was not answered is sent again, or it begins anew.
-    pub fn due(&mut self, now: i64) -> Vec<Action> {
-        self.wake = self.resend(now);
+    pub fn on_timeout(&mut self, now: i64) -> Vec<Action> {
+        self.wake_at = self.next_resend(now);
         let body = match &self.phase {
-            Phase::Waits => return Vec::new(),
-            _ if !self.nacks.is_empty() => return self.again(now + limits::PROPOSAL_BACKOFF),
-            Phase::Prepares(_) => Payload::Prepare {
+            Phase::Idle => return Vec::new(),
+            _ if !self.rejections.is_empty() => {
+                return self.retry_at(now + limits::PROPOSAL_BACKOFF);
+            }
+            Phase::Preparing(_) => Payload::Prepare {
                 ballot: self.ballot,
-                names: self.want.names(),
+                names: self.intent.names(),
             },
-            Phase::Accepts(items) => Payload::Accept {
+            Phase::Accepting(items) => Payload::Accept {
                 ballot: self.ballot,
                 items: items.clone(),
             },
         };
-        vec![Action::All(body)]
+        vec![Action::Broadcast(body)]
     }
 
     /// Who has not answered the last message.
-    pub fn missing(&self, replica: ReplicaId) -> bool {
+    pub fn awaits_vote_of(&self, replica: ReplicaId) -> bool {
         !self.votes.contains_key(&replica)
     }
 }
@@ -389,7 +393,7 @@
 /// be found there and finished. A refusal must rule that out: what was found is proposed anew, also where it is chosen
 /// already, so that what a former try left counts no more. Where nothing was found there is nothing to put in its place;
 /// what stands as the call has it is in force, and what was overtaken may have been: then the caller gets no clear answer.
-fn conflict(
+fn resolve_conflict(
     items: &[Item],
     found: &BTreeMap<ItemName, (Ballot, Item)>,
     open: Vec<Item>,
--- a/crates/control/src/core/reclaim.rs
+++ b/crates/control/src/core/reclaim.rs
@@ -16,44 +16,44 @@
 #[derive(Clone, Debug)]
 pub(super) struct Superseded {
     /// The newer incarnation was last known to be heard then, or this replica was set aside.
-    heard: i64,
+    last_heard: i64,
     /// When each other replica last said that it does not hear the newer one.
-    silent: BTreeMap<ReplicaId, i64>,
-    wake: i64,
+    not_heard_by: BTreeMap<ReplicaId, i64>,
+    wake_at: i64,
 }
 
 impl Core {
     /// Asks the others about the newer incarnation, and takes the slot back if it is gone.
-    pub(super) fn reclaim_turn(&mut self, now: i64, out: &mut Vec<Output>) {
-        if !self.replicas.aside() || self.stopping {
-            self.displaced = None;
+    pub(super) fn drive_reclaim(&mut self, now: i64, out: &mut Vec<Output>) {
+        if !self.replicas.is_superseded() || self.shutting_down {
+            self.superseded = None;
             return;
         }
         let begin = || Superseded {
-            heard: now,
-            silent: BTreeMap::new(),
-            wake: now,
+            last_heard: now,
+            not_heard_by: BTreeMap::new(),
+            wake_at: now,
         };
-        let displaced = self.displaced.get_or_insert_with(begin);
-        if now < displaced.wake {
+        let displaced = self.superseded.get_or_insert_with(begin);
+        if now < displaced.wake_at {
             return;
         }
-        displaced.wake = now + limits::HEARTBEAT_INTERVAL;
+        displaced.wake_at = now + limits::HEARTBEAT_INTERVAL;
         displaced
-            .silent
+            .not_heard_by
             .retain(|_, at| now - *at <= limits::CONTACT_TIMEOUT);
-        if now - displaced.heard >= limits::RECLAIM_TIMEOUT
-            && displaced.silent.len() >= self.replicas.others()
+        if now - displaced.last_heard >= limits::RECLAIM_TIMEOUT
+            && displaced.not_heard_by.len() >= self.replicas.recovery_quorum()
         {
             out.push(Output::LogImmediately(
                 "nobody hears the newer incarnation of this replica: rebuilding".to_string(),
             ));
-            self.displaced = None;
-            self.replicas.end();
-            self.rebuild = Some(Recovery::default());
-            return self.rebuild_turn(now, out);
+            self.superseded = None;
+            self.replicas.relinquish();
+            self.recovery = Some(Recovery::default());
+            return self.drive_recovery(now, out);
         }
-        self.spread(
+        self.broadcast(
             Payload::HandoverRequest {
                 id: 0,
                 items: Vec::new(),
@@ -63,21 +63,21 @@
     }
 
     /// Another replica says which incarnation of this slot it hears.
-    pub(super) fn slot_heard(&mut self, now: i64, replica: ReplicaId, whole: Incarnation) {
-        let own = self.replicas.me().incarnation;
-        let Some(displaced) = &mut self.displaced else {
+    pub(super) fn handle_slot_report(&mut self, now: i64, replica: ReplicaId, whole: Incarnation) {
+        let own = self.replicas.local().incarnation;
+        let Some(displaced) = &mut self.superseded else {
             return;
         };
         if whole > own {
-            displaced.heard = now;
-            displaced.silent.clear();
+            displaced.last_heard = now;
+            displaced.not_heard_by.clear();
         } else {
-            displaced.silent.insert(replica, now);
+            displaced.not_heard_by.insert(replica, now);
         }
     }
 
     /// When it wants to ask again.
-    pub(super) fn reclaim_wake(&self) -> Option<i64> {
-        self.displaced.as_ref().map(|displaced| displaced.wake)
+    pub(super) fn reclaim_wake_at(&self) -> Option<i64> {
+        self.superseded.as_ref().map(|displaced| displaced.wake_at)
     }
 }
--- a/crates/control/src/core/registers.rs
+++ b/crates/control/src/core/registers.rs
@@ -27,12 +27,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Registers {
     floor: Ballot,
-    all: BTreeMap<ItemName, Register>,
+    registers: BTreeMap<ItemName, Register>,
     digests: Digests,
 }
 
 /// The digest of one entry; a whole digest is all of them, one over the other.
-pub fn digest(ballot: &Ballot, item: &Item) -> u64 {
+pub fn entry_digest(ballot: &Ballot, item: &Item) -> u64 {
     let mut hasher = DefaultHasher::new();
     (ballot, item).hash(&mut hasher);
     hasher.finish()
@@ -45,22 +45,22 @@
             .iter()
             .filter_map(|(_, register)| register.accepted.as_ref());
         let mut digests = Digests::default();
-        held.for_each(|(ballot, item)| digests.toggle(&item.name, digest(ballot, item)));
+        held.for_each(|(ballot, item)| digests.toggle(&item.name, entry_digest(ballot, item)));
         Registers {
             floor,
-            all: registers.into_iter().collect(),
+            registers: registers.into_iter().collect(),
             digests,
         }
     }
 
     fn promised(&self, name: &ItemName) -> Ballot {
-        self.all
+        self.registers
             .get(name)
             .map_or(self.floor, |register| register.promised.max(self.floor))
     }
 
     /// The highest promise on any of these that is over `ballot`.
-    fn over<'a>(
+    fn check_promises<'a>(
         &self,
         ballot: Ballot,
         names: impl Iterator<Item = &'a ItemName>,
@@ -80,9 +80,9 @@
         ballot: Ballot,
         names: &[ItemName],
     ) -> Result<Vec<(Ballot, Item)>, Ballot> {
-        self.over(ballot, names.iter())?;
+        self.check_promises(ballot, names.iter())?;
         for name in names {
-            self.all.entry(name.clone()).or_default().promised = ballot;
+            self.registers.entry(name.clone()).or_default().promised = ballot;
         }
         Ok(names
             .iter()
@@ -95,19 +95,24 @@
     /// # Errors
     /// A higher promise.
     pub fn accept(&mut self, ballot: Ballot, items: &[Item]) -> Result<(), Ballot> {
-        self.over(ballot, items.iter().map(|item| &item.name))?;
+        self.check_promises(ballot, items.iter().map(|item| &item.name))?;
         for item in items {
-            self.all.entry(item.name.clone()).or_default().promised = ballot;
-            self.set(ballot, item.clone());
+            self.registers
+                .entry(item.name.clone())
+                .or_default()
+                .promised = ballot;
+            self.store(ballot, item.clone());
         }
         Ok(())
     }
 
-    fn set(&mut self, ballot: Ballot, item: Item) {
-        self.digests.toggle(&item.name, digest(&ballot, &item));
-        let register = self.all.entry(item.name.clone()).or_default();
+    fn store(&mut self, ballot: Ballot, item: Item) {
+        self.digests
+            .toggle(&item.name, entry_digest(&ballot, &item));
+        let register = self.registers.entry(item.name.clone()).or_default();
         if let Some((ballot, item)) = register.accepted.replace((ballot, item)) {
-            self.digests.toggle(&item.name, digest(&ballot, &item));
+            self.digests
+                .toggle(&item.name, entry_digest(&ballot, &item));
         }
     }
 
@@ -117,9 +122,9 @@
             .accepted(&item.name)
             .is_none_or(|(own, _)| *own < ballot);
         if newer {
-            self.set(ballot, item.clone());
+            self.store(ballot, item.clone());
             // Danger: a late message of a proposal before it would be accepted in its place, and this copy be lost for good.
-            if let Some(register) = self.all.get_mut(&item.name) {
+            if let Some(register) = self.registers.get_mut(&item.name) {
                 register.promised = register.promised.max(ballot);
             }
         }
@@ -127,7 +132,7 @@
     }
 
     /// Raises the floor under all promises.
-    pub fn raise(&mut self, floor: Ballot) {
+    pub fn raise_floor(&mut self, floor: Ballot) {
         self.floor = self.floor.max(floor);
     }
 
@@ -137,8 +142,8 @@
     }
 
     /// The highest promise of all.
-    pub fn highest(&self) -> Ballot {
-        self.all
+    pub fn highest_promise(&self) -> Ballot {
+        self.registers
             .values()
             .map(|register| register.promised)
             .fold(self.floor, Ballot::max)
@@ -146,24 +151,24 @@
 
     /// What a register holds.
     pub fn accepted(&self, name: &ItemName) -> Option<&(Ballot, Item)> {
-        self.all.get(name)?.accepted.as_ref()
+        self.registers.get(name)?.accepted.as_ref()
     }
 
     /// All that was accepted.
-    pub fn held(&self) -> impl Iterator<Item = &(Ballot, Item)> {
-        self.all
+    pub fn accepted_entries(&self) -> impl Iterator<Item = &(Ballot, Item)> {
+        self.registers
             .values()
             .filter_map(|register| register.accepted.as_ref())
     }
 
     /// A register, as it goes to disk.
-    pub fn register(&self, name: &ItemName) -> Register {
-        self.all.get(name).cloned().unwrap_or_default()
+    pub fn get(&self, name: &ItemName) -> Register {
+        self.registers.get(name).cloned().unwrap_or_default()
     }
 
     /// All registers, as they go to disk.
-    pub fn all(&self) -> impl Iterator<Item = (&ItemName, &Register)> {
-        self.all.iter()
+    pub fn iter(&self) -> impl Iterator<Item = (&ItemName, &Register)> {
+        self.registers.iter()
     }
 
     /// Digests of all that was accepted, by parts.
@@ -172,20 +177,24 @@
     }
 
     /// What answers a question of a transfer: what was accepted in the parts that differ, from its name on.
-    pub fn answer(&self, bounds: TransferLimits, question: &TransferRequest) -> Vec<Chunk> {
+    pub fn transfer_chunks(
+        &self,
+        bounds: TransferLimits,
+        question: &TransferRequest,
+    ) -> Vec<Chunk> {
         let from = question
             .after
             .as_ref()
             .map_or(Bound::Unbounded, Bound::Excluded);
         // In calm nothing differs, and no name has to be looked at.
-        let same = question.parts == self.digests.buckets();
+        let same = question.digests == self.digests.buckets();
         let rest = self
-            .all
+            .registers
             .range::<ItemName, _>((from, Bound::Unbounded))
             .filter(|_| !same);
         let held = rest.filter_map(|(_, register)| register.accepted.as_ref());
         let differing =
-            held.filter(|(_, item)| self.digests.bucket_differs(&question.parts, &item.name));
+            held.filter(|(_, item)| self.digests.bucket_differs(&question.digests, &item.name));
         transfer::chunks(bounds, question.after.clone(), differing.cloned())
     }
 }
@@ -222,14 +231,14 @@
             Err(ballot(5))
         );
         assert_eq!(registers.accept(ballot(4), &[item("b", 1)]), Ok(()));
-        registers.raise(ballot(7));
+        registers.raise_floor(ballot(7));
         assert_eq!(registers.prepare(ballot(6), &[name("b")]), Err(ballot(7)));
         assert_eq!(registers.prepare(ballot(6), &[name("c")]), Err(ballot(7)));
         assert_eq!(
             registers.prepare(ballot(8), &[name("b")]),
             Ok(vec![(ballot(4), item("b", 1))])
         );
-        assert_eq!(registers.highest(), ballot(8));
+        assert_eq!(registers.highest_promise(), ballot(8));
         // What was taken over is not replaced by a late message of a proposal before it.
         assert!(registers.adopt(ballot(12), &item("d", 2)));
         assert_eq!(
@@ -245,7 +254,7 @@
             registers.adopt(ballot(8), &item("b", 2)) && !registers.adopt(ballot(7), &item("b", 1))
         );
         let held = registers
-            .all()
+            .iter()
             .map(|(name, register)| (name.clone(), register.clone()))
             .collect();
         assert_eq!(
--- a/crates/control/src/core/role_lease.rs
+++ b/crates/control/src/core/role_lease.rs
@@ -20,9 +20,9 @@
     /// The term.
     pub term: u64,
     /// When it is sent.
-    pub at: i64,
+    pub sent_at: i64,
     /// The bidder holds the duty.
-    pub holds: bool,
+    pub renewal: bool,
 }
 
 /// A voter's answer.
@@ -31,9 +31,9 @@
     /// The bid is granted.
     pub granted: bool,
     /// The term is new here, or is seen to be held for the first time: it goes to disk before the answer goes out.
-    pub save: bool,
+    pub must_persist: bool,
     /// Newest term here.
-    pub newest: u64,
+    pub newest_term: u64,
 }
 
 /// A term that is given back.
@@ -42,17 +42,17 @@
     /// The term.
     pub term: u64,
     /// It was never won.
-    pub vain: bool,
+    pub unused: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Candidacy {
     term: u64,
-    since: i64,
+    requested_at: i64,
     /// Acts until then; nothing while it is won by nobody.
-    until: i64,
+    acts_until: i64,
     /// Rounds of votes that are open, by when their bids were sent.
-    rounds: BTreeMap<i64, BTreeMap<ReplicaId, Incarnation>>,
+    open_votes: BTreeMap<i64, BTreeMap<ReplicaId, Incarnation>>,
 }
 
 /// One duty, as a replica sees it.
@@ -60,35 +60,35 @@
 pub struct RoleLease {
     rank: i64,
     /// Newest term that this replica has granted.
-    term: Term,
+    granted_term: Term,
     /// It was given back by a bidder that had not won it: nobody ever holds it.
-    vain: bool,
+    unused: bool,
     /// The newest one before it that was not in vain.
-    before: Term,
+    previous_term: Term,
     /// The newest term that was seen to be held by its bidder, as it is on disk.
-    kept: Term,
+    last_held_term: Term,
     /// The term that is granted now...
-    holds: Term,
+    current_grant: Term,
     /// ...until then.
-    granted: i64,
-    mine: Option<Candidacy>,
+    grant_expires_at: i64,
+    candidacy: Option<Candidacy>,
     /// The holder as it says itself, and until when that holds.
-    holder: Option<(Term, i64)>,
+    known_holder: Option<(Term, i64)>,
     /// Newest term that was heard of.
-    newest: u64,
+    newest_term: u64,
     /// The duty fell vacant then, as far as known.
-    free: i64,
+    vacant_since: i64,
     /// No bid before then.
-    next: i64,
+    next_request_at: i64,
     /// Nothing is granted before then but to whom it was granted last: what this replica granted before it started may still
     /// hold, where that matters.
-    quiet: i64,
+    silent_until: i64,
     /// This replica held the duty as it ended, and bids for it ahead of all others.
-    again: bool,
+    resumes: bool,
 }
 
 /// The same process, or one that was started after it had ended.
-fn follows(by: ProcessId, before: ProcessId) -> bool {
+fn is_same_or_successor(by: ProcessId, before: ProcessId) -> bool {
     (by.replica, by.incarnation) == (before.replica, before.incarnation) && by.run >= before.run
 }
 
@@ -118,26 +118,26 @@
         let again = duty == SingletonRole::Counter
             && kept.number > 0
             && kept == term
-            && follows(me, kept.by);
+            && is_same_or_successor(me, kept.holder);
         RoleLease {
             rank: rank as i64,
-            term,
-            vain: false,
-            before: Term::default(),
-            kept,
-            holds: term,
-            granted: i64::MIN,
-            mine: None,
-            holder: None,
-            newest: term.number,
-            free: quiet,
-            next: if again {
+            granted_term: term,
+            unused: false,
+            previous_term: Term::default(),
+            last_held_term: kept,
+            current_grant: term,
+            grant_expires_at: i64::MIN,
+            candidacy: None,
+            known_holder: None,
+            newest_term: term.number,
+            vacant_since: quiet,
+            next_request_at: if again {
                 now + limits::STARTUP_DELAY
             } else {
                 quiet
             },
-            quiet,
-            again,
+            silent_until: quiet,
+            resumes: again,
         }
     }
 
@@ -147,95 +147,118 @@
     }
 
     /// Newest term that was granted.
-    pub fn term(&self) -> Term {
-        self.term
+    pub fn granted_term(&self) -> Term {
+        self.granted_term
     }
 
     /// Newest term that was seen to be held.
-    pub fn kept(&self) -> Term {
-        self.kept
+    pub fn last_held_term(&self) -> Term {
+        self.last_held_term
     }
 
     /// Takes in what another replica has granted, in place of what was lost.
     pub fn adopt(&mut self, term: Term) {
-        if term > self.term {
-            (self.term, self.vain) = (term, false);
+        if term > self.granted_term {
+            (self.granted_term, self.unused) = (term, false);
         }
-        self.newest = self.newest.max(self.term.number);
+        self.newest_term = self.newest_term.max(self.granted_term.number);
     }
 
     /// Votes on a bid.
-    pub fn vote(&mut self, now: i64, by: ProcessId, term: u64, holds: bool) -> Vote {
-        let wanted = Term { number: term, by };
-        self.newest = self.newest.max(term);
+    pub fn handle_request(&mut self, now: i64, by: ProcessId, term: u64, holds: bool) -> Vote {
+        let wanted = Term {
+            number: term,
+            holder: by,
+        };
+        self.newest_term = self.newest_term.max(term);
         // What this replica has granted itself does not matter here: it may have bid in vain while it did not hear the holder.
-        if holds && self.holder.is_none_or(|(known, _)| known <= wanted) {
-            self.holder = Some((wanted, now + limits::GRANT_DURATION));
-            self.free = self.free.max(now + limits::GRANT_DURATION);
+        if holds && self.known_holder.is_none_or(|(known, _)| known <= wanted) {
+            self.known_holder = Some((wanted, now + limits::GRANT_DURATION));
+            self.vacant_since = self.vacant_since.max(now + limits::GRANT_DURATION);
         }
-        let other = self.granted > now && !follows(by, self.holds.by);
-        let fresh = term > self.term.number;
+        let other =
+            self.grant_expires_at > now && !is_same_or_successor(by, self.current_grant.holder);
+        let fresh = term > self.granted_term.number;
         // Danger: a replica that hears the holder no more grants itself a newer term in vain. Were the holder's own refused
         // for that afterwards, a few of those would cost it the duty.
-        let known = wanted == if self.vain { self.before } else { self.term };
-        let kept = self.kept.number > 0 && self.kept == self.term && follows(by, self.kept.by);
-        let same = kept || self.granted > now && follows(by, self.holds.by);
-        let granted = (now >= self.quiet || same) && !other && (fresh || known);
+        let known = wanted
+            == if self.unused {
+                self.previous_term
+            } else {
+                self.granted_term
+            };
+        let kept = self.last_held_term.number > 0
+            && self.last_held_term == self.granted_term
+            && is_same_or_successor(by, self.last_held_term.holder);
+        let same = kept
+            || self.grant_expires_at > now && is_same_or_successor(by, self.current_grant.holder);
+        let granted = (now >= self.silent_until || same) && !other && (fresh || known);
         if granted && fresh {
-            self.before = if self.vain { self.before } else { self.term };
-            (self.term, self.vain) = (wanted, false);
+            self.previous_term = if self.unused {
+                self.previous_term
+            } else {
+                self.granted_term
+            };
+            (self.granted_term, self.unused) = (wanted, false);
         }
         if granted {
-            self.holds = wanted;
-            self.granted = now + limits::GRANT_DURATION;
-            self.free = self.free.max(self.granted);
+            self.current_grant = wanted;
+            self.grant_expires_at = now + limits::GRANT_DURATION;
+            self.vacant_since = self.vacant_since.max(self.grant_expires_at);
         }
-        let held = granted && holds && self.kept != wanted;
-        self.kept = if held { wanted } else { self.kept };
+        let held = granted && holds && self.last_held_term != wanted;
+        self.last_held_term = if held { wanted } else { self.last_held_term };
         Vote {
             granted,
-            save: granted && (fresh || held),
-            newest: self.newest,
+            must_persist: granted && (fresh || held),
+            newest_term: self.newest_term,
         }
     }
 
     /// A bidder or holder gives its term back. `vain`: it never won it, and never will.
-    pub fn released(&mut self, now: i64, by: ProcessId, term: u64, vain: bool) {
-        let wanted = Term { number: term, by };
-        if self.holds == wanted {
-            self.granted = now;
+    pub fn handle_release(&mut self, now: i64, by: ProcessId, term: u64, vain: bool) {
+        let wanted = Term {
+            number: term,
+            holder: by,
+        };
+        if self.current_grant == wanted {
+            self.grant_expires_at = now;
         }
-        self.vain |= self.term == wanted && vain;
-        if let Some((_, until)) = self.holder.as_mut().filter(|(held, _)| *held == wanted) {
+        self.unused |= self.granted_term == wanted && vain;
+        if let Some((_, until)) = self
+            .known_holder
+            .as_mut()
+            .filter(|(held, _)| *held == wanted)
+        {
             *until = now;
         }
-        if self.granted <= now && self.holder(now).is_none() {
-            self.free = now;
+        if self.grant_expires_at <= now && self.known_holder(now).is_none() {
+            self.vacant_since = now;
         }
     }
 
     /// This replica acts now, in this term.
-    pub fn held(&self, now: i64) -> Option<u64> {
-        self.mine
+    pub fn acting_term(&self, now: i64) -> Option<u64> {
+        self.candidacy
             .as_ref()
-            .filter(|mine| mine.until > now)
+            .filter(|mine| mine.acts_until > now)
             .map(|mine| mine.term)
     }
 
     /// It holds the duty, or bids for it.
-    pub fn bids(&self) -> bool {
-        self.mine.is_some()
+    pub fn is_candidate(&self) -> bool {
+        self.candidacy.is_some()
     }
 
     /// The holder, as far as known.
-    pub fn holder(&self, now: i64) -> Option<Term> {
-        self.holder
+    pub fn known_holder(&self, now: i64) -> Option<Term> {
+        self.known_holder
             .filter(|(_, until)| *until > now)
             .map(|(term, _)| term)
     }
 
     /// A vote has come. Gives whether the duty was won by it.
-    pub fn voted(
+    pub fn handle_vote(
         &mut self,
         by: (ReplicaId, Incarnation),
         term: u64,
@@ -243,122 +266,126 @@
         verdict: Vote,
         replicas: &ReplicaTable,
     ) -> bool {
-        self.newest = self.newest.max(verdict.newest);
+        self.newest_term = self.newest_term.max(verdict.newest_term);
         let Some(mine) = self
-            .mine
+            .candidacy
             .as_mut()
             .filter(|mine| mine.term == term && verdict.granted)
         else {
             return false;
         };
-        let Some(votes) = mine.rounds.get_mut(&at) else {
+        let Some(votes) = mine.open_votes.get_mut(&at) else {
             return false;
         };
         votes.insert(by.0, by.1);
         if votes
             .iter()
-            .filter(|(replica, incarnation)| replicas.counts(**replica, **incarnation))
+            .filter(|(replica, incarnation)| replicas.is_current(**replica, **incarnation))
             .count()
-            < replicas.majority()
+            < replicas.quorum()
         {
             return false;
         }
-        let won = mine.until == 0;
-        mine.until = mine
-            .until
+        let won = mine.acts_until == 0;
+        mine.acts_until = mine
+            .acts_until
             .max(at + limits::GRANT_DURATION - limits::GRANT_SAFETY_MARGIN);
-        mine.rounds.retain(|sent, _| *sent > at);
+        mine.open_votes.retain(|sent, _| *sent > at);
         won
     }
 
     /// What to do now: a bid, a term to be given back, or nothing. `may`: this replica takes part, is in touch and stays.
-    pub fn turn(
+    pub fn tick(
         &mut self,
         now: i64,
         may: bool,
         pause: i64,
     ) -> (Option<LeaseRequest>, Option<LeaseRelease>) {
-        if let Some(mine) = &mut self.mine {
-            let lost = mine.until <= now
-                && (mine.until > 0 || now >= mine.since + limits::LEASE_REQUEST_TIMEOUT);
+        if let Some(mine) = &mut self.candidacy {
+            let lost = mine.acts_until <= now
+                && (mine.acts_until > 0
+                    || now >= mine.requested_at + limits::LEASE_REQUEST_TIMEOUT);
             if lost {
                 let lost = LeaseRelease {
                     term: mine.term,
-                    vain: mine.until == 0,
+                    unused: mine.acts_until == 0,
                 };
-                self.mine = None;
-                self.next = now + limits::LEASE_REQUEST_STAGGER * (self.rank + 1) + pause;
+                self.candidacy = None;
+                self.next_request_at =
+                    now + limits::LEASE_REQUEST_STAGGER * (self.rank + 1) + pause;
                 return (None, Some(lost));
             }
-            if now < self.next {
+            if now < self.next_request_at {
                 return (None, None);
             }
-            self.next = now + limits::HEARTBEAT_INTERVAL;
-            mine.rounds
+            self.next_request_at = now + limits::HEARTBEAT_INTERVAL;
+            mine.open_votes
                 .retain(|sent, _| now - sent < limits::GRANT_DURATION);
-            mine.rounds.insert(now, BTreeMap::new());
+            mine.open_votes.insert(now, BTreeMap::new());
             return (
                 Some(LeaseRequest {
                     term: mine.term,
-                    at: now,
-                    holds: mine.until > now,
+                    sent_at: now,
+                    renewal: mine.acts_until > now,
                 }),
                 None,
             );
         }
-        if !may || now < self.wake() {
+        if !may || now < self.wake_at() {
             return (None, None);
         }
-        self.again = false;
-        let term = self.newest.max(self.term.number) + 1;
+        self.resumes = false;
+        let term = self.newest_term.max(self.granted_term.number) + 1;
         let rounds = BTreeMap::from([(now, BTreeMap::new())]);
-        self.mine = Some(Candidacy {
+        self.candidacy = Some(Candidacy {
             term,
-            since: now,
-            until: 0,
-            rounds,
+            requested_at: now,
+            acts_until: 0,
+            open_votes: rounds,
         });
-        self.next = now + limits::LEASE_REQUEST_TIMEOUT;
+        self.next_request_at = now + limits::LEASE_REQUEST_TIMEOUT;
         (
             Some(LeaseRequest {
                 term,
-                at: now,
-                holds: false,
+                sent_at: now,
+                renewal: false,
             }),
             None,
         )
     }
 
     /// The bid has just won: all are told at once.
-    pub fn announce(&mut self, now: i64) {
-        self.next = now;
+    pub fn renew_now(&mut self, now: i64) {
+        self.next_request_at = now;
     }
 
     /// Gives the duty back.
-    pub fn release(&mut self, now: i64) -> Option<LeaseRelease> {
-        self.next = now + limits::ROLE_FAILURE_PENALTY;
-        self.mine.take().map(|mine| LeaseRelease {
+    pub fn give_up(&mut self, now: i64) -> Option<LeaseRelease> {
+        self.next_request_at = now + limits::ROLE_FAILURE_PENALTY;
+        self.candidacy.take().map(|mine| LeaseRelease {
             term: mine.term,
-            vain: mine.until == 0,
+            unused: mine.acts_until == 0,
         })
     }
 
     /// To be looked at then.
-    pub fn wake(&self) -> i64 {
-        match &self.mine {
-            Some(mine) if mine.until > 0 => self.next.min(mine.until),
-            Some(mine) => self.next.min(mine.since + limits::LEASE_REQUEST_TIMEOUT),
-            None if self.again => self.next,
+    pub fn wake_at(&self) -> i64 {
+        match &self.candidacy {
+            Some(mine) if mine.acts_until > 0 => self.next_request_at.min(mine.acts_until),
+            Some(mine) => self
+                .next_request_at
+                .min(mine.requested_at + limits::LEASE_REQUEST_TIMEOUT),
+            None if self.resumes => self.next_request_at,
             None => self
-                .next
-                .max(self.quiet)
-                .max(self.free + self.rank * limits::LEASE_REQUEST_STAGGER),
+                .next_request_at
+                .max(self.silent_until)
+                .max(self.vacant_since + self.rank * limits::LEASE_REQUEST_STAGGER),
         }
     }
 }
 
 /// A ballot needs its number to rise over all that were seen.
-pub fn over(seen: Ballot, own: u64) -> u64 {
+pub fn next_round(seen: Ballot, own: u64) -> u64 {
     seen.round.max(own) + 1
 }
 
@@ -381,32 +408,32 @@
     fn a_term_in_vain_costs_the_holder_no_vote_and_one_that_may_be_won_does() {
         let voter = || RoleLease::new(SingletonRole::Counter, by(1), 6, Default::default(), 0);
         let mut ballots = voter();
-        assert!(ballots.vote(STEP, by(0), 4, false).granted);
+        assert!(ballots.handle_request(STEP, by(0), 4, false).granted);
         // The holder is heard no more; this replica bids, does not win, and hears the holder again.
-        assert!(ballots.vote(3 * STEP, by(1), 5, false).granted);
+        assert!(ballots.handle_request(3 * STEP, by(1), 5, false).granted);
         assert!(
-            !ballots.vote(3 * STEP + 1, by(0), 4, true).granted,
+            !ballots.handle_request(3 * STEP + 1, by(0), 4, true).granted,
             "while the bid is open"
         );
-        ballots.released(3 * STEP + 2, by(1), 5, true);
-        assert!(ballots.vote(3 * STEP + 3, by(0), 4, true).granted);
+        ballots.handle_release(3 * STEP + 2, by(1), 5, true);
+        assert!(ballots.handle_request(3 * STEP + 3, by(0), 4, true).granted);
         // The number is used up all the same, and one bid after the other changes nothing.
-        assert!(!ballots.vote(6 * STEP, by(2), 5, false).granted);
-        assert!(ballots.vote(6 * STEP, by(2), 6, false).granted);
-        ballots.released(6 * STEP, by(2), 6, true);
-        assert!(ballots.vote(6 * STEP + 1, by(0), 4, true).granted);
+        assert!(!ballots.handle_request(6 * STEP, by(2), 5, false).granted);
+        assert!(ballots.handle_request(6 * STEP, by(2), 6, false).granted);
+        ballots.handle_release(6 * STEP, by(2), 6, true);
+        assert!(ballots.handle_request(6 * STEP + 1, by(0), 4, true).granted);
 
         // Of a term that is only over, or was given back after it was won, nobody knows that it was in vain.
         for released in [false, true] {
             let mut ballots = voter();
             assert!(
-                ballots.vote(STEP, by(0), 4, false).granted
-                    && ballots.vote(3 * STEP, by(1), 5, false).granted
+                ballots.handle_request(STEP, by(0), 4, false).granted
+                    && ballots.handle_request(3 * STEP, by(1), 5, false).granted
             );
             if released {
-                ballots.released(3 * STEP, by(1), 5, false);
+                ballots.handle_release(3 * STEP, by(1), 5, false);
             }
-            assert!(!ballots.vote(6 * STEP, by(0), 4, true).granted);
+            assert!(!ballots.handle_request(6 * STEP, by(0), 4, true).granted);
         }
     }
 
@@ -427,7 +454,7 @@
     ) {
         let held = Term {
             number: 7,
-            by: ProcessId { run: 2, ..by(3) },
+            holder: ProcessId { run: 2, ..by(3) },
         };
         let kept = if seen {
             held
@@ -444,19 +471,23 @@
             run,
         };
         assert_eq!(
-            voter.vote(limits::STARTUP_DELAY, bidder, 8, false).granted,
+            voter
+                .handle_request(limits::STARTUP_DELAY, bidder, 8, false)
+                .granted,
             granted
         );
         assert_eq!(
             voter
-                .vote(limits::STARTUP_DELAY + 1, bidder, 8, true)
+                .handle_request(limits::STARTUP_DELAY + 1, bidder, 8, true)
                 .granted,
             granted,
             "and then holds it"
         );
         // The others have their turn as its grant ends, or as those do that it may have forgotten.
         assert_eq!(
-            voter.vote(limits::GRANT_DURATION, by(5), 9, false).granted,
+            voter
+                .handle_request(limits::GRANT_DURATION, by(5), 9, false)
+                .granted,
             !granted
         );
     }
