--- a/crates/control/src/core/server_list.rs
+++ b/crates/control/src/core/server_list.rs
@@ -4,9 +4,9 @@
 use protocol::platform::Server;
 
 /// The version of a list that was read by a replica without the duty: any list of a poller goes before it.
-pub const FIRST: (u64, u64) = (0, 1);
+pub const UNLEASED_VERSION: (u64, u64) = (0, 1);
 /// A moment of being warm that moved by more than this is a change, in microseconds.
-const MOVED: i64 = 400_000;
+const MAX_WARM_UP_DRIFT: i64 = 400_000;
 
 /// The newest list that is known.
 #[derive(Clone, Debug, Default)]
@@ -23,11 +23,11 @@
     }
 
     /// It is known.
-    pub fn known(&self) -> bool {
+    pub fn is_known(&self) -> bool {
         self.version != (0, 0)
     }
 
-    fn keep(now: i64, mut servers: Vec<Server>) -> Vec<(Server, i64)> {
+    fn with_deadlines(now: i64, mut servers: Vec<Server>) -> Vec<(Server, i64)> {
         servers.sort_by(|a, b| (&a.svc, &a.id).cmp(&(&b.svc, &b.id)));
         servers
             .into_iter()
@@ -47,15 +47,15 @@
                 || old.slots != new.slots
                 || old.accepts_requests != new.accepts_requests
                 || (was == 0) != (is == 0) && is > 0
-                || (was - is).abs() > MOVED
+                || (was - is).abs() > MAX_WARM_UP_DRIFT
         };
         self.servers.len() != other.len() || self.servers.iter().zip(other).any(one)
     }
 
     /// Takes what the poller of a term has read. Gives whether it is news.
-    pub fn read(&mut self, now: i64, term: u64, servers: Vec<Server>) -> bool {
-        let servers = ServerList::keep(now, servers);
-        let news = !self.known() || self.differs(now, &servers);
+    pub fn update_from_platform(&mut self, now: i64, term: u64, servers: Vec<Server>) -> bool {
+        let servers = ServerList::with_deadlines(now, servers);
+        let news = !self.is_known() || self.differs(now, &servers);
         if news {
             let number = if self.version.0 == term {
                 self.version.1 + 1
@@ -71,19 +71,24 @@
     }
 
     /// Takes what another replica has. Gives whether it is newer.
-    pub fn told(&mut self, now: i64, version: (u64, u64), servers: Vec<Server>) -> bool {
+    pub fn update_from_replica(
+        &mut self,
+        now: i64,
+        version: (u64, u64),
+        servers: Vec<Server>,
+    ) -> bool {
         let newer = version > self.version;
         if newer {
             *self = ServerList {
                 version,
-                servers: ServerList::keep(now, servers),
+                servers: ServerList::with_deadlines(now, servers),
             };
         }
         newer
     }
 
     /// The list, with coldness counted from now.
-    pub fn list(&self, now: i64) -> Vec<Server> {
+    pub fn current(&self, now: i64) -> Vec<Server> {
         let one = |(server, warm): &(Server, i64)| Server {
             warm_up_left: (warm - now).max(0),
             ..server.clone()
@@ -123,21 +128,24 @@
     #[test_case(vec![server("i", true, 2_000_000)], true; "one is gone")]
     fn only_a_change_is_news(next: Vec<Server>, news: bool) {
         let mut listed = ServerList::default();
-        assert!(listed.read(
+        assert!(listed.update_from_platform(
             0,
             3,
             vec![server("i", true, 3_000_000), server("j", true, 0)]
         ));
-        assert_eq!(listed.read(1_000_000, 4, next), news);
+        assert_eq!(listed.update_from_platform(1_000_000, 4, next), news);
         assert_eq!(listed.version(), if news { (4, 1) } else { (3, 1) });
     }
 
     #[test]
     fn an_older_list_is_not_taken_and_coldness_counts_from_the_telling() {
         let mut listed = ServerList::default();
-        assert!(listed.told(0, (2, 5), vec![server("i", true, 900)]));
-        assert!(!listed.told(0, (2, 4), vec![]) && !listed.told(0, (1, 9), vec![]));
-        assert_eq!(listed.list(300)[0].warm_up_left, 600);
-        assert_eq!(listed.list(1_000)[0].warm_up_left, 0);
+        assert!(listed.update_from_replica(0, (2, 5), vec![server("i", true, 900)]));
+        assert!(
+            !listed.update_from_replica(0, (2, 4), vec![])
+                && !listed.update_from_replica(0, (1, 9), vec![])
+        );
+        assert_eq!(listed.current(300)[0].warm_up_left, 600);
+        assert_eq!(listed.current(1_000)[0].warm_up_left, 0);
     }
 }
--- a/crates/control/src/core/status.rs
+++ b/crates/control/src/core/status.rs
@@ -99,25 +99,25 @@
 impl Core {
     /// How this replica sees the system.
     pub(super) fn status(&self, now: i64) -> Status {
-        let me = self.replicas.me();
+        let me = self.replicas.local();
         let zone = |replica: ReplicaId| {
             self.zones
                 .get(usize::from(replica))
                 .cloned()
                 .unwrap_or_default()
         };
-        let (items, digest) = self.news.holding();
+        let (items, digest) = self.chosen.agent_digest();
         let replica = |at: usize| ReplicaStatus {
             zone: zone(at as ReplicaId),
-            incarnation: self.replicas.newest(at as ReplicaId).number,
+            incarnation: self.replicas.newest_incarnation(at as ReplicaId).number,
             address: self.replicas.address(at as ReplicaId),
-            heard: self.replicas.hears(now, at as ReplicaId),
+            heard: self.replicas.is_reachable(now, at as ReplicaId),
         };
         let duty = |(duty, word): (SingletonRole, &str)| {
-            let own = self.holds(now, duty).map(|term| (me.replica, term));
-            let known = self.duties[duty as usize]
-                .holder(now)
-                .map(|term| (term.by.replica, term.number));
+            let own = self.acting_term(now, duty).map(|term| (me.replica, term));
+            let known = self.role_leases[duty as usize]
+                .known_holder(now)
+                .map(|term| (term.holder.replica, term.number));
             let held = own.or(known);
             RoleStatus {
                 duty: word.to_string(),
@@ -125,16 +125,16 @@
                 term: held.map_or(0, |(_, term)| term),
             }
         };
-        let members = self.members.placed();
+        let members = self.membership.members_with_origin();
         let limiter =
             |(replica, link, told): &(Option<ReplicaId>, u64, &super::peer_messages::Member)| {
-                let holding = self.agents.holding(*link).filter(|_| replica.is_none());
+                let holding = self.agents.state(*link).filter(|_| replica.is_none());
                 LimiterStatus {
-                    node: told.edge.name.clone(),
-                    zone: told.edge.zone.clone(),
+                    node: told.node.name.clone(),
+                    zone: told.node.zone.clone(),
                     replica: zone(replica.unwrap_or(me.replica)),
-                    linked: told.linked,
-                    standing: match told.standing {
+                    linked: told.connected,
+                    standing: match told.state {
                         NodeState::Ready => "ready",
                         NodeState::Draining => "leaving",
                         NodeState::Unavailable => "away",
@@ -149,15 +149,15 @@
             program: env!("CARGO_PKG_VERSION").to_string(),
             incarnation: me.incarnation.number,
             run: self.run,
-            takes_part: self.replicas.takes_part(),
-            replaced: self.replicas.aside(),
-            in_touch: self.replicas.in_touch(now),
-            disk_full: self.full,
+            takes_part: self.replicas.is_participant(),
+            replaced: self.replicas.is_superseded(),
+            in_touch: self.replicas.has_quorum_contact(now),
+            disk_full: self.disk_full,
             items,
             digest: format!("{digest:016x}"),
-            unfinished: self.unfinished.len(),
-            servers: self.listed.version(),
-            replicas: (0..self.replicas.count()).map(replica).collect(),
+            unfinished: self.pending.len(),
+            servers: self.server_list.version(),
+            replicas: (0..self.replicas.len()).map(replica).collect(),
             duties: [
                 (SingletonRole::PlatformPoller, "poll"),
                 (SingletonRole::Counter, "count"),
@@ -186,7 +186,7 @@
 
     fn look(core: &mut Core, now: i64) -> Status {
         let mut out = Vec::new();
-        core.take(
+        core.step(
             now,
             Input::OperatorCall(9, Command::GetStatus, now),
             &mut out,
@@ -236,7 +236,7 @@
         };
         let digest = Digests::item_digest(&item);
         let mut take =
-            |core: &mut Core, now, link, up| core.take(now, Input::Agent(link, up), &mut out);
+            |core: &mut Core, now, link, up| core.step(now, Input::Agent(link, up), &mut out);
         for (link, node) in [(1, "lags"), (2, "holds"), (3, "new")] {
             take(&mut core, 0, link, AgentMessage::Hello(edge(node)));
         }
--- a/crates/control/src/core/transfer.rs
+++ b/crates/control/src/core/transfer.rs
@@ -32,7 +32,7 @@
     /// What is told.
     pub items: Vec<(Ballot, Item)>,
     /// What follows.
-    pub then: Continuation,
+    pub continuation: Continuation,
 }
 
 /// The bytes that an item takes, about.
@@ -116,7 +116,7 @@
         Chunk {
             after: begins,
             items,
-            then,
+            continuation: then,
         }
     };
     split
@@ -132,20 +132,20 @@
     /// All up to this name has come.
     pub after: Option<ItemName>,
     /// All has.
-    pub done: bool,
+    pub complete: bool,
 }
 
 impl TransferProgress {
     /// Takes note of a piece. Gives what is to be done next, and nothing for a piece that comes again or after a gap.
     pub fn record_chunk(&mut self, piece: &Chunk) -> Option<Continuation> {
-        if self.done || piece.after != self.after {
+        if self.complete || piece.after != self.after {
             return None;
         }
         if let Some((_, last)) = piece.items.last() {
             self.after = Some(last.name.clone());
         }
-        self.done = piece.then == Continuation::End;
-        Some(piece.then)
+        self.complete = piece.continuation == Continuation::End;
+        Some(piece.continuation)
     }
 }
 
@@ -178,7 +178,7 @@
         treat: impl Fn(usize, Vec<Chunk>) -> Vec<Chunk>,
     ) -> (Vec<ItemName>, usize) {
         let (mut transfer, mut got, mut asked) = (TransferProgress::default(), Vec::new(), 0);
-        while !transfer.done && asked < 100 {
+        while !transfer.complete && asked < 100 {
             asked += 1;
             let after = transfer.after.clone();
             let rest = all
--- a/crates/control/src/disk/mod.rs
+++ b/crates/control/src/disk/mod.rs
@@ -27,22 +27,22 @@
 use crate::core::{Record, RecoveredState};
 
 pub use self::records::{CorruptRecord, Corruption};
-pub use self::schema::NEWEST;
+pub use self::schema::CURRENT_VERSION;
 pub use self::verify::{Report, verify, verify_file};
 pub use self::write_queue::{WriteRequest, WriterEvent, spawn};
 
 /// Its file in the data folder.
-const FILE: &str = "headworks.db";
+const DATABASE_FILE: &str = "headworks.db";
 
 /// The log goes into the file once it has so many bytes.
-const LOG: u64 = 4 * 1024 * 1024;
+const CHECKPOINT_BYTES: u64 = 4 * 1024 * 1024;
 
 /// The database.
 pub struct Store {
     connection: Connection,
     log: PathBuf,
     /// Most bytes of the log.
-    most: u64,
+    checkpoint_bytes: u64,
 }
 
 /// What a store was opened with.
@@ -52,25 +52,25 @@
     /// What it held.
     pub restored: RecoveredState,
     /// Why what was there was put aside, and where it is, if it was.
-    pub lost: Option<String>,
+    pub quarantined: Option<String>,
 }
 
 /// How files are reached: as they are, or by way of a test.
 #[derive(Clone, Copy)]
 struct FileAccess {
     vfs: Option<&'static str>,
-    sync: fn(&Path) -> io::Result<()>,
+    sync_folder: fn(&Path) -> io::Result<()>,
 }
 
 impl FileAccess {
-    const PLAIN: FileAccess = FileAccess {
+    const DIRECT: FileAccess = FileAccess {
         vfs: None,
-        sync: quarantine::sync,
+        sync_folder: quarantine::sync_folder,
     };
 }
 
 /// Whether an error says that the files are harmed, and not that the disk takes or gives nothing now.
-fn harmed(error: &eyre::Report) -> bool {
+fn is_corruption(error: &eyre::Report) -> bool {
     use rusqlite::Error;
     error
         .chain()
@@ -89,7 +89,7 @@
         })
 }
 
-fn length(path: &Path) -> io::Result<Option<u64>> {
+fn file_length(path: &Path) -> io::Result<Option<u64>> {
     match std::fs::metadata(path) {
         Ok(metadata) => Ok(Some(metadata.len())),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
@@ -107,7 +107,7 @@
 }
 
 /// What is wrong with the head of a file.
-fn head_harm(head: &[u8]) -> Option<&'static str> {
+fn header_corruption(head: &[u8]) -> Option<&'static str> {
     if head.len() < 100 {
         return Some("the file is cut short");
     }
@@ -120,17 +120,17 @@
 }
 
 /// What SQLite itself would pass over without a word, and a newer version.
-fn look(folder: &Path) -> eyre::Result<()> {
-    let path = |end: &str| folder.join(format!("{FILE}{end}"));
+fn check_files(folder: &Path) -> eyre::Result<()> {
+    let path = |end: &str| folder.join(format!("{DATABASE_FILE}{end}"));
     let step = || format!("disk: looking at {}", path("").display());
-    if length(&path("-journal"))
+    if file_length(&path("-journal"))
         .wrap_err_with(step)?
         .is_some_and(|length| length > 0)
     {
         // Cut in the first moment of all: SQLite takes it back.
         return Ok(());
     }
-    let length = length(&path("")).wrap_err_with(step)?;
+    let length = file_length(&path("")).wrap_err_with(step)?;
     let log = match std::fs::read(path("-wal")) {
         Ok(log) => log,
         Err(error) if error.kind() == io::ErrorKind::NotFound => Vec::new(),
@@ -147,7 +147,7 @@
     if file.read_exact_at(&mut head, 0).is_err() {
         return Err(Corruption::of("the file is cut short").into());
     }
-    if let Some(harm) = head_harm(&head) {
+    if let Some(harm) = header_corruption(&head) {
         return Err(Corruption::of(harm).into());
     }
     let page = page_size(&head);
@@ -158,16 +158,19 @@
     };
     let read = wal::read(&log, page, stands);
     // The schema's version is in the first page.
-    let first = read.pages.get(&1).map(|at| wal::content(&log, *at, page));
+    let first = read
+        .pages
+        .get(&1)
+        .map(|at| wal::page_content(&log, *at, page));
     let version = first
         .unwrap_or(&head)
         .get(60..64)
         .and_then(|word| word.try_into().ok());
-    if version.is_some_and(|version| u32::from_be_bytes(version) > NEWEST) {
+    if version.is_some_and(|version| u32::from_be_bytes(version) > CURRENT_VERSION) {
         // SQLite would put a log beside the file even where it only reads: looked at in memory, it stays as it is.
         verify(folder)?;
     }
-    match read.harm {
+    match read.corruption {
         Some(harm) => Err(Corruption::of(harm).into()),
         None => Ok(()),
     }
@@ -184,7 +187,7 @@
 }
 
 /// SQLite's own check of a database.
-fn check(connection: &Connection) -> eyre::Result<()> {
+fn quick_check(connection: &Connection) -> eyre::Result<()> {
     match pragma(connection, "PRAGMA quick_check")? {
         whole if whole == "ok" => Ok(()),
         found => Err(Corruption::of(format!("the check says {found:?}")).into()),
@@ -193,8 +196,8 @@
 
 impl Store {
     fn connect(reach: FileAccess, folder: &Path) -> eyre::Result<(Store, RecoveredState)> {
-        look(folder)?;
-        let (file, flags) = (folder.join(FILE), OpenFlags::default());
+        check_files(folder)?;
+        let (file, flags) = (folder.join(DATABASE_FILE), OpenFlags::default());
         let opened = match reach.vfs {
             None => Connection::open_with_flags(file, flags),
             Some(vfs) => Connection::open_with_flags_and_vfs(file, flags, vfs),
@@ -208,8 +211,8 @@
         // Danger: exclusive first. Otherwise the log's index lies in mapped memory that processes share.
         pragma(&connection, "PRAGMA locking_mode=EXCLUSIVE")?;
         pragma(&connection, "PRAGMA synchronous=FULL")?;
-        let found = schema::found(&connection)?;
-        check(&connection)?;
+        let found = schema::stored_schema(&connection)?;
+        quick_check(&connection)?;
         let mode = pragma(&connection, "PRAGMA journal_mode=WAL")?;
         if mode != "wal" {
             return Err(eyre!("disk: the journal is {mode:?}, not wal"));
@@ -218,19 +221,19 @@
         pragma(&connection, "PRAGMA temp_store=MEMORY")?;
         pragma(&connection, "PRAGMA wal_autocheckpoint=0")?;
         schema::migrate(&mut connection, found)?;
-        let (restored, faults) = records::all(&connection, true)?;
+        let (restored, faults) = records::read_all(&connection, true)?;
         if !faults.is_empty() {
             return Err(Corruption(faults).into());
         }
         connection
             .set_db_config(kept, false)
             .wrap_err("disk: opening")?;
-        let log = folder.join(format!("{FILE}-wal"));
+        let log = folder.join(format!("{DATABASE_FILE}-wal"));
         Ok((
             Store {
                 connection,
                 log,
-                most: LOG,
+                checkpoint_bytes: CHECKPOINT_BYTES,
             },
             restored,
         ))
@@ -242,17 +245,17 @@
     /// # Errors
     /// The folder can't be used, the disk does not write, or the file is of a newer schema version.
     pub fn open(folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
-        Store::open_by(FileAccess::PLAIN, folder, bootstrap)
+        Store::open_with(FileAccess::DIRECT, folder, bootstrap)
     }
 
-    fn open_by(reach: FileAccess, folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
+    fn open_with(reach: FileAccess, folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
         let step = || format!("disk: folder {}", folder.display());
         std::fs::create_dir_all(folder).wrap_err_with(step)?;
         let mut lost = None;
         let (mut store, mut restored) = match Store::connect(reach, folder) {
             Ok(found) => found,
-            Err(error) if harmed(&error) => {
-                let kept = quarantine::put(folder, reach.sync)?;
+            Err(error) if is_corruption(&error) => {
+                let kept = quarantine::quarantine(folder, reach.sync_folder)?;
                 lost = Some(format!("{error:#}; put aside as {}", kept.display()));
                 Store::connect(reach, folder)?
             }
@@ -264,7 +267,7 @@
                 store.clear()?;
                 restored = RecoveredState::default();
             }
-            if bootstrap && !quarantine::any(folder) {
+            if bootstrap && !quarantine::has_quarantined(folder) {
                 restored.own.incarnation = Incarnation::FIRST;
             }
         }
@@ -273,11 +276,11 @@
             restored.own.run += 1;
             store.commit([&Record::Metadata(restored.own.clone())])?;
         }
-        (reach.sync)(folder).wrap_err_with(step)?;
+        (reach.sync_folder)(folder).wrap_err_with(step)?;
         Ok(OpenedStore {
             store,
             restored,
-            lost,
+            quarantined: lost,
         })
     }
 
@@ -299,10 +302,12 @@
     pub fn commit<'a>(&mut self, all: impl IntoIterator<Item = &'a Record>) -> eyre::Result<()> {
         let transaction = self.connection.transaction().wrap_err("disk: beginning")?;
         for row in all {
-            records::put(&transaction, row)?;
+            records::write_record(&transaction, row)?;
         }
         transaction.commit().wrap_err("disk: committing")?;
-        if length(&self.log).is_ok_and(|length| length.is_some_and(|length| length >= self.most)) {
+        if file_length(&self.log)
+            .is_ok_and(|length| length.is_some_and(|length| length >= self.checkpoint_bytes))
+        {
             // The commit stands without it: a disk that refuses this is met again at the next one. The log is emptied: what
             // is harmed in one that the file is ahead of would go unseen.
             pragma(&self.connection, "PRAGMA wal_checkpoint(TRUNCATE)").ok();
--- a/crates/control/src/disk/quarantine.rs
+++ b/crates/control/src/disk/quarantine.rs
@@ -6,22 +6,22 @@
 
 use eyre::WrapErr;
 
-use super::FILE;
+use super::DATABASE_FILE;
 
 /// What SQLite keeps beside its file.
-const BESIDE: [&str; 3] = ["-wal", "-shm", "-journal"];
-const ASIDE: &str = "aside-";
+const SIDE_FILE_SUFFIXES: [&str; 3] = ["-wal", "-shm", "-journal"];
+const QUARANTINE_PREFIX: &str = "aside-";
 /// So many are kept; the oldest go first.
-const KEPT: usize = 3;
+const MAX_QUARANTINED: usize = 3;
 
 /// Files that were put aside, by their numbers.
-fn kept(folder: &Path) -> io::Result<Vec<(u32, PathBuf)>> {
+fn quarantined_files(folder: &Path) -> io::Result<Vec<(u32, PathBuf)>> {
     let mut all = Vec::new();
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
         let name = entry.file_name().to_string_lossy().into_owned();
         let number = name
-            .strip_prefix(ASIDE)
+            .strip_prefix(QUARANTINE_PREFIX)
             .and_then(|name| name.split('-').next()?.parse().ok());
         if let Some(number) = number {
             all.push((number, entry.path()));
@@ -32,22 +32,30 @@
 }
 
 /// A file of this folder was put aside before: it is no first start.
-pub(super) fn any(folder: &Path) -> bool {
-    kept(folder).is_ok_and(|kept| !kept.is_empty())
+pub(super) fn has_quarantined(folder: &Path) -> bool {
+    quarantined_files(folder).is_ok_and(|kept| !kept.is_empty())
 }
 
 /// The names of a database go to those of one that is kept. Gives the new name.
 ///
 /// # Errors
 /// The folder does not take it.
-pub(super) fn put(folder: &Path, sync: impl Fn(&Path) -> io::Result<()>) -> eyre::Result<PathBuf> {
-    let step = || format!("disk: putting {} aside", folder.join(FILE).display());
-    let kept = kept(folder).wrap_err_with(step)?;
+pub(super) fn quarantine(
+    folder: &Path,
+    sync: impl Fn(&Path) -> io::Result<()>,
+) -> eyre::Result<PathBuf> {
+    let step = || {
+        format!(
+            "disk: putting {} aside",
+            folder.join(DATABASE_FILE).display()
+        )
+    };
+    let kept = quarantined_files(folder).wrap_err_with(step)?;
     let number = kept.last().map_or(1, |(number, _)| number + 1);
-    let name = |end: &str| folder.join(format!("{ASIDE}{number}-{FILE}{end}"));
+    let name = |end: &str| folder.join(format!("{QUARANTINE_PREFIX}{number}-{DATABASE_FILE}{end}"));
     // Danger: the file first, for good, then its log. A file without its log reads as one that is whole, and is older.
-    for end in std::iter::once("").chain(BESIDE) {
-        match fs::rename(folder.join(format!("{FILE}{end}")), name(end)) {
+    for end in std::iter::once("").chain(SIDE_FILE_SUFFIXES) {
+        match fs::rename(folder.join(format!("{DATABASE_FILE}{end}")), name(end)) {
             Ok(()) => sync(folder).wrap_err_with(step)?,
             Err(error) if error.kind() == io::ErrorKind::NotFound => {}
             Err(error) => return Err(error).wrap_err_with(step),
@@ -55,7 +63,7 @@
     }
     let mut numbers: Vec<u32> = kept.iter().map(|(number, _)| *number).collect();
     numbers.dedup();
-    let old = numbers.len().saturating_sub(KEPT - 1);
+    let old = numbers.len().saturating_sub(MAX_QUARANTINED - 1);
     for (_, path) in kept
         .iter()
         .filter(|(number, _)| numbers[..old].contains(number))
@@ -66,6 +74,6 @@
 }
 
 /// Syncs a folder, so that the names in it last.
-pub(super) fn sync(folder: &Path) -> io::Result<()> {
+pub(super) fn sync_folder(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
 }
--- a/crates/control/src/disk/records.rs
+++ b/crates/control/src/disk/records.rs
@@ -51,18 +51,18 @@
 }
 
 /// Most faults that one line of the log names.
-const NAMED: usize = 16;
+const MAX_NAMED_RECORDS: usize = 16;
 
 impl fmt::Display for Corruption {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let named: Vec<String> = self
             .0
             .iter()
-            .take(NAMED)
+            .take(MAX_NAMED_RECORDS)
             .map(CorruptRecord::to_string)
             .collect();
         write!(f, "{}", named.join("; "))?;
-        match self.0.len().saturating_sub(NAMED) {
+        match self.0.len().saturating_sub(MAX_NAMED_RECORDS) {
             0 => Ok(()),
             more => write!(f, "; and {more} more"),
         }
@@ -72,7 +72,7 @@
 impl std::error::Error for Corruption {}
 
 /// The checksum of a row. It is over the table and the name as well: a row in another's place is noticed.
-pub(super) fn sum(table: &str, name: &[u8], value: &[u8]) -> u32 {
+pub(super) fn checksum(table: &str, name: &[u8], value: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(table.as_bytes());
     hasher.update(&(name.len() as u64).to_le_bytes());
@@ -90,7 +90,7 @@
 }
 
 /// How a name is shown that may be harmed itself.
-fn shown(name: &[u8]) -> String {
+fn display_name(name: &[u8]) -> String {
     match decode::<ItemName>(name) {
         Ok(name) => name.to_string(),
         Err(_) => name
@@ -102,7 +102,7 @@
 }
 
 /// Writes a row.
-pub(super) fn put(transaction: &Transaction<'_>, row: &Record) -> eyre::Result<()> {
+pub(super) fn write_record(transaction: &Transaction<'_>, row: &Record) -> eyre::Result<()> {
     let (table, name, value) = match row {
         Record::Metadata(own) => ("own", None, encode(own)?),
         Record::Register(name, register) => ("registers", Some(encode(name)?), encode(register)?),
@@ -112,7 +112,7 @@
             encode(&(ballot, item))?,
         ),
     };
-    let sum = sum(table, name.as_deref().unwrap_or_default(), &value);
+    let sum = checksum(table, name.as_deref().unwrap_or_default(), &value);
     let step = || format!("disk: writing {table}");
     let text = format!("INSERT OR REPLACE INTO {table} VALUES (?1, ?2, ?3)");
     let mut statement = transaction.prepare_cached(&text).wrap_err_with(step)?;
@@ -123,12 +123,12 @@
     written.map(|_| ()).wrap_err_with(step)
 }
 
-fn bytes(value: ValueRef<'_>) -> Result<&[u8], String> {
+fn blob_bytes(value: ValueRef<'_>) -> Result<&[u8], String> {
     value.as_blob().map_err(|_| "is no bytes".to_string())
 }
 
 /// Hands all rows of a table to `one`, and notes what it finds wrong. `sums`: there are checksums, and they are checked.
-fn each(
+fn for_each_record(
     connection: &Connection,
     table: &str,
     sums: bool,
@@ -155,16 +155,18 @@
             None
         };
         let checked = || {
-            let (name, value) = (bytes(named)?, bytes(value)?);
+            let (name, value) = (blob_bytes(named)?, blob_bytes(value)?);
             match told {
-                Some(told) if told != ValueRef::Integer(i64::from(sum(table, name, value))) => {
+                Some(told)
+                    if told != ValueRef::Integer(i64::from(checksum(table, name, value))) =>
+                {
                     Err("does not match its checksum".to_string())
                 }
                 _ => Ok((name, value)),
             }
         };
         if let Err(what) = checked().and_then(|(name, value)| one(name, value)) {
-            let name = named.as_blob().map(shown).unwrap_or_default();
+            let name = named.as_blob().map(display_name).unwrap_or_default();
             faults.push(CorruptRecord {
                 table: table.to_string(),
                 name,
@@ -176,17 +178,17 @@
 }
 
 /// All that a database holds, and what is wrong with it.
-pub(super) fn all(
+pub(super) fn read_all(
     connection: &Connection,
     sums: bool,
 ) -> eyre::Result<(RecoveredState, Vec<CorruptRecord>)> {
     let (mut restored, mut faults) = (RecoveredState::default(), Vec::new());
     let other = || "is of another name".to_string();
-    each(connection, "own", sums, &mut faults, |_, value| {
+    for_each_record(connection, "own", sums, &mut faults, |_, value| {
         restored.own = decode::<ReplicaMetadata>(value)?;
         Ok(())
     })?;
-    each(connection, "registers", sums, &mut faults, |name, value| {
+    for_each_record(connection, "registers", sums, &mut faults, |name, value| {
         let (name, register) = (decode::<ItemName>(name)?, decode::<Register>(value)?);
         if register
             .accepted
@@ -198,7 +200,7 @@
         restored.registers.push((name, register));
         Ok(())
     })?;
-    each(connection, "chosen", sums, &mut faults, |name, value| {
+    for_each_record(connection, "chosen", sums, &mut faults, |name, value| {
         let (name, (ballot, item)) = (decode::<ItemName>(name)?, decode::<(Ballot, Item)>(value)?);
         if item.name != name {
             return Err(other());
@@ -210,7 +212,7 @@
 }
 
 /// Writes the checksum of each row of a table that has none yet.
-pub(super) fn sum_up(transaction: &Transaction<'_>, table: &str) -> eyre::Result<()> {
+pub(super) fn add_checksums(transaction: &Transaction<'_>, table: &str) -> eyre::Result<()> {
     let step = || format!("disk: summing up {table}");
     let key = if table == "own" { "one" } else { "name" };
     let next = format!(
@@ -236,7 +238,7 @@
             _ => &[],
         };
         update
-            .execute(params![sum(table, bytes, &value), name])
+            .execute(params![checksum(table, bytes, &value), name])
             .wrap_err_with(step)?;
         at = name;
     }
--- a/crates/control/src/disk/schema.rs
+++ b/crates/control/src/disk/schema.rs
@@ -14,28 +14,28 @@
 use super::records::{self, Corruption};
 
 /// The newest version, which this program writes.
-pub const NEWEST: u32 = 1;
+pub const CURRENT_VERSION: u32 = 1;
 
-const FIRST: &str =
+const CREATE_TABLES: &str =
     "CREATE TABLE own (one INTEGER PRIMARY KEY CHECK (one = 1), value BLOB NOT NULL, sum INTEGER NOT NULL);
     CREATE TABLE registers (name BLOB PRIMARY KEY, value BLOB NOT NULL, sum INTEGER NOT NULL) WITHOUT ROWID;
     CREATE TABLE chosen (name BLOB PRIMARY KEY, value BLOB NOT NULL, sum INTEGER NOT NULL) WITHOUT ROWID;";
-const STATED: &str = "CREATE TABLE schema (one INTEGER PRIMARY KEY CHECK (one = 1), version INTEGER NOT NULL, sum INTEGER NOT NULL);";
+const CREATE_SCHEMA_TABLE: &str = "CREATE TABLE schema (one INTEGER PRIMARY KEY CHECK (one = 1), version INTEGER NOT NULL, sum INTEGER NOT NULL);";
 
 /// What a file is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Found {
+pub(super) enum StoredSchema {
     /// There is nothing in it yet.
     Empty,
     /// It is of this version.
     Version(u32),
 }
 
-fn stated_sum(version: i64) -> u32 {
-    records::sum("schema", &[], &version.to_le_bytes())
+fn version_checksum(version: i64) -> u32 {
+    records::checksum("schema", &[], &version.to_le_bytes())
 }
 
-fn has(connection: &Connection, table: &str) -> eyre::Result<bool> {
+fn table_exists(connection: &Connection, table: &str) -> eyre::Result<bool> {
     let text = "SELECT 1 FROM sqlite_schema WHERE type = 'table' AND name = ?1";
     let found = connection.query_row(text, [table], |_| Ok(())).optional();
     found
@@ -47,18 +47,18 @@
 ///
 /// # Errors
 /// It is harmed, or newer than this program knows.
-pub(super) fn found(connection: &Connection) -> eyre::Result<Found> {
+pub(super) fn stored_schema(connection: &Connection) -> eyre::Result<StoredSchema> {
     let step = "disk: reading the schema's version";
     let head = connection
         .query_row("PRAGMA user_version", [], |row| row.get::<_, i64>(0))
         .wrap_err(step)?;
-    let stated = if has(connection, "schema")? {
+    let stated = if table_exists(connection, "schema")? {
         let read = |row: &rusqlite::Row<'_>| Ok((row.get::<_, i64>(0)?, row.get::<_, i64>(1)?));
         let stated = connection
             .query_row("SELECT version, sum FROM schema", [], read)
             .wrap_err(step)?;
         Some(stated)
-            .filter(|(version, sum)| *sum == i64::from(stated_sum(*version)))
+            .filter(|(version, sum)| *sum == i64::from(version_checksum(*version)))
             .map(|(version, _)| version)
     } else {
         Some(0)
@@ -71,10 +71,10 @@
         return Err(Corruption::of(what).into());
     }
     match u32::try_from(head) {
-        Ok(0) if !has(connection, "own")? => Ok(Found::Empty),
-        Ok(version) if version <= NEWEST => Ok(Found::Version(version)),
+        Ok(0) if !table_exists(connection, "own")? => Ok(StoredSchema::Empty),
+        Ok(version) if version <= CURRENT_VERSION => Ok(StoredSchema::Version(version)),
         _ => Err(eyre!(
-            "disk: the file is of schema version {head}, this program knows versions up to {NEWEST}: it is left as it is"
+            "disk: the file is of schema version {head}, this program knows versions up to {CURRENT_VERSION}: it is left as it is"
         )),
     }
 }
@@ -83,31 +83,35 @@
 ///
 /// # Errors
 /// It is harmed, or the disk does not write.
-pub(super) fn migrate(connection: &mut Connection, found: Found) -> eyre::Result<()> {
-    if found == Found::Version(NEWEST) {
+pub(super) fn migrate(connection: &mut Connection, found: StoredSchema) -> eyre::Result<()> {
+    if found == StoredSchema::Version(CURRENT_VERSION) {
         return Ok(());
     }
-    let step = || format!("disk: to schema version {NEWEST}");
+    let step = || format!("disk: to schema version {CURRENT_VERSION}");
     let transaction = connection.transaction().wrap_err_with(step)?;
-    if found == Found::Empty {
-        transaction.execute_batch(FIRST).wrap_err_with(step)?;
+    if found == StoredSchema::Empty {
+        transaction
+            .execute_batch(CREATE_TABLES)
+            .wrap_err_with(step)?;
     } else {
         // What does not decode must not get a checksum that says that it is right.
-        let (_, faults) = records::all(&transaction, false)?;
+        let (_, faults) = records::read_all(&transaction, false)?;
         if !faults.is_empty() {
             return Err(Corruption(faults).into());
         }
         for table in records::TABLES {
             let text = format!("ALTER TABLE {table} ADD COLUMN sum INTEGER NOT NULL DEFAULT 0");
             transaction.execute_batch(&text).wrap_err_with(step)?;
-            records::sum_up(&transaction, table)?;
+            records::add_checksums(&transaction, table)?;
         }
     }
-    let version = i64::from(NEWEST);
-    transaction.execute_batch(STATED).wrap_err_with(step)?;
+    let version = i64::from(CURRENT_VERSION);
+    transaction
+        .execute_batch(CREATE_SCHEMA_TABLE)
+        .wrap_err_with(step)?;
     let text = "INSERT INTO schema VALUES (1, ?1, ?2)";
     transaction
-        .execute(text, params![version, stated_sum(version)])
+        .execute(text, params![version, version_checksum(version)])
         .wrap_err_with(step)?;
     transaction
         .pragma_update(None, "user_version", version)
--- a/crates/control/src/disk/tests/cost.rs
+++ b/crates/control/src/disk/tests/cost.rs
@@ -8,8 +8,8 @@
 use rusqlite::{Connection, OpenFlags};
 
 use super::*;
-use crate::disk::records::sum;
-use crate::disk::{FILE, verify};
+use crate::disk::records::checksum;
+use crate::disk::{DATABASE_FILE, verify};
 
 const COMMITS: u64 = 400;
 const ITEMS: u64 = 1_000;
@@ -32,10 +32,10 @@
         let reach = if watched {
             FileAccess {
                 vfs: Some("watched"),
-                sync: folder_synced,
+                sync_folder: folder_synced,
             }
         } else {
-            FileAccess::PLAIN
+            FileAccess::DIRECT
         };
         let connection = match way {
             Way::Own => {
@@ -46,13 +46,15 @@
                     .unwrap();
                 return Kept::Own(folder.to_path_buf(), file);
             }
-            Way::Log => return Kept::Store(Store::open_by(reach, folder, true).unwrap().store),
+            Way::Log => return Kept::Store(Store::open_with(reach, folder, true).unwrap().store),
             Way::Journal(mode) => {
-                drop(Store::open_by(reach, folder, true).unwrap());
+                drop(Store::open_with(reach, folder, true).unwrap());
                 let flags = OpenFlags::default();
                 let opened = match reach.vfs {
-                    Some(vfs) => Connection::open_with_flags_and_vfs(folder.join(FILE), flags, vfs),
-                    None => Connection::open_with_flags(folder.join(FILE), flags),
+                    Some(vfs) => {
+                        Connection::open_with_flags_and_vfs(folder.join(DATABASE_FILE), flags, vfs)
+                    }
+                    None => Connection::open_with_flags(folder.join(DATABASE_FILE), flags),
                 };
                 let connection = opened.unwrap();
                 for text in [
@@ -68,7 +70,7 @@
         Kept::Store(Store {
             connection,
             log: PathBuf::new(),
-            most: u64::MAX,
+            checkpoint_bytes: u64::MAX,
         })
     }
 
@@ -87,7 +89,7 @@
                     };
                     let bytes = bytes.unwrap();
                     record.extend((bytes.len() as u32).to_le_bytes());
-                    record.extend(sum("log", &[], &bytes).to_le_bytes());
+                    record.extend(checksum("log", &[], &bytes).to_le_bytes());
                     record.extend(bytes);
                 }
                 let at = file.metadata().unwrap().len();
@@ -140,8 +142,11 @@
     } else {
         Vec::new()
     };
-    let (mut syncs, mut bytes, mut known) =
-        (0, 0, BTreeSet::from([FILE, "headworks.db-wal", "own.log"]));
+    let (mut syncs, mut bytes, mut known) = (
+        0,
+        0,
+        BTreeSet::from([DATABASE_FILE, "headworks.db-wal", "own.log"]),
+    );
     for step in &steps {
         match step {
             // A new file's name is synced with it.
@@ -225,7 +230,7 @@
     while let Some(head) = bytes.get(at..at + 8) {
         let length = u32::from_le_bytes(head[..4].try_into().unwrap()) as usize;
         let value = &bytes[at + 8..at + 8 + length];
-        assert_eq!(sum("log", &[], value).to_le_bytes(), head[4..]);
+        assert_eq!(checksum("log", &[], value).to_le_bytes(), head[4..]);
         // Every second record is a chosen item.
         match found % 2 {
             0 => _ = postcard::from_bytes::<(ItemName, Register)>(value).unwrap(),
--- a/crates/control/src/disk/tests/cuts.rs
+++ b/crates/control/src/disk/tests/cuts.rs
@@ -180,7 +180,7 @@
     let folder = lay(image);
     let opened =
         open(folder.path(), bootstrap).unwrap_or_else(|error| panic!("step {number}: {error:#}"));
-    assert_eq!(opened.lost, None, "step {number}");
+    assert_eq!(opened.quarantined, None, "step {number}");
     opened
 }
 
@@ -242,7 +242,7 @@
     let base = files(folder.path());
     watch(folder.path());
     if matches!(beside, Beside::Checkpoint) {
-        opened.store.most = 16 * 1024;
+        opened.store.checkpoint_bytes = 16 * 1024;
     }
     let mut run = opened.restored.own.run;
     for (number, commit) in commits.iter().enumerate().skip(1) {
--- a/crates/control/src/disk/tests/full.rs
+++ b/crates/control/src/disk/tests/full.rs
@@ -30,9 +30,9 @@
         watch(folder.path());
         fail(folder.path(), Some((left, kind)));
         let mut desk = WriteQueue::new(opened.store);
-        desk.order((1, rows("s", 2)));
-        desk.order((2, rows("u", 1)));
-        let heard = said(desk.write());
+        desk.enqueue((1, rows("s", 2)));
+        desk.enqueue((2, rows("u", 1)));
+        let heard = said(desk.commit_pending());
         if heard == ["1", "2"] {
             assert!(left >= 5, "{left}");
             return;
@@ -45,19 +45,20 @@
         let whole = [first.clone(), rows("s", 2), rows("u", 1)];
         let lost = open(lay(&files(folder.path())).path(), false).unwrap();
         assert!(
-            lost.lost.is_none() && [after(&whole[..1]), after(&whole)].contains(&held(&lost)),
+            lost.quarantined.is_none()
+                && [after(&whole[..1]), after(&whole)].contains(&held(&lost)),
             "{left}"
         );
         // Told once; what is ordered meanwhile waits too.
-        desk.order((3, rows("s", 3)));
-        assert_eq!(said(desk.write()), [""; 0]);
+        desk.enqueue((3, rows("s", 3)));
+        assert_eq!(said(desk.commit_pending()), [""; 0]);
         fail(folder.path(), None);
-        assert_eq!(said(desk.write()), ["taken", "1", "2", "3"]);
-        desk.order((4, rows("v", 1)));
-        assert_eq!(said(desk.write()), ["4"]);
+        assert_eq!(said(desk.commit_pending()), ["taken", "1", "2", "3"]);
+        desk.enqueue((4, rows("v", 1)));
+        assert_eq!(said(desk.commit_pending()), ["4"]);
         drop(desk);
         let opened = open(folder.path(), false).unwrap();
-        assert_eq!(opened.lost, None);
+        assert_eq!(opened.quarantined, None);
         assert_eq!(
             held(&opened),
             after(&[whole.concat(), rows("s", 3), rows("v", 1)])
@@ -73,12 +74,12 @@
     fail(folder.path(), Some((0, ErrorKind::StorageFull)));
     let mut desk = WriteQueue::new(opened.store);
     for ver in 1..=300 {
-        desk.order((ver, rows("s", ver)));
-        desk.write();
+        desk.enqueue((ver, rows("s", ver)));
+        desk.commit_pending();
     }
-    assert_eq!(desk.waiting(), 2);
+    assert_eq!(desk.pending_records(), 2);
     fail(folder.path(), None);
-    assert_eq!(desk.write().len(), 301);
+    assert_eq!(desk.commit_pending().len(), 301);
     drop(desk);
     assert_eq!(
         held(&open(folder.path(), false).unwrap()),
@@ -100,5 +101,5 @@
     assert!(format!("{why:#}").contains("disk: "), "{why:#}");
     fail(folder.path(), None);
     let opened = open(folder.path(), false).unwrap();
-    assert!(opened.lost.is_none() && held(&opened) == after(&[rows("s", 1)]));
+    assert!(opened.quarantined.is_none() && held(&opened) == after(&[rows("s", 1)]));
 }
--- a/crates/control/src/disk/tests/growth.rs
+++ b/crates/control/src/disk/tests/growth.rs
@@ -1,7 +1,7 @@
 //! How large the files are after thousands of changes.
 
 use super::*;
-use crate::disk::{FILE, LOG};
+use crate::disk::{CHECKPOINT_BYTES, DATABASE_FILE};
 
 /// Changes of one item that go into a commit together.
 const TOGETHER: usize = 40;
@@ -15,7 +15,7 @@
     let folder = tempfile::tempdir().unwrap();
     let mut store = Store::open(folder.path(), true).unwrap().store;
     let length = |end: &str| {
-        std::fs::metadata(folder.path().join(format!("{FILE}{end}")))
+        std::fs::metadata(folder.path().join(format!("{DATABASE_FILE}{end}")))
             .map_or(0, |metadata| metadata.len())
     };
     let (mut most, mut rows) = ((0, 0), Vec::new());
@@ -46,7 +46,7 @@
     let (few, many) = (most(60, 1_000), most(60, 10_000));
     println!("60 items: {few:?} bytes of file and log after 1000 changes, {many:?} after 10000");
     // A commit may go beyond the length at which the log is emptied.
-    let log = LOG + 256 * 1_024;
+    let log = CHECKPOINT_BYTES + 256 * 1_024;
     assert!(many.0 <= EMPTY + 60 * AN_ITEM && many.1 <= log, "{many:?}");
     assert!(few.0 <= many.0 && few.1 <= log);
 }
--- a/crates/control/src/disk/tests/harm.rs
+++ b/crates/control/src/disk/tests/harm.rs
@@ -8,7 +8,7 @@
 use super::*;
 use crate::core::RecoveredState;
 use crate::core::peer_messages::Incarnation;
-use crate::disk::{FILE, verify, verify_file};
+use crate::disk::{DATABASE_FILE, verify, verify_file};
 
 const LOG: &str = "headworks.db-wal";
 
@@ -30,7 +30,7 @@
 }
 
 fn plain(folder: &Path) -> Connection {
-    Connection::open(folder.join(FILE)).unwrap()
+    Connection::open(folder.join(DATABASE_FILE)).unwrap()
 }
 
 #[test]
@@ -53,7 +53,7 @@
         (Incarnation::FIRST, 2)
     );
     assert_eq!(held(&opened), after(&[rows("s", 8), rows("t", 1)]));
-    assert_eq!(opened.lost, None);
+    assert_eq!(opened.quarantined, None);
 }
 
 #[test]
@@ -71,7 +71,7 @@
 
 /// Does harm to a folder with `many`.
 fn harm(folder: &Path, how: &str) {
-    let path = folder.join(FILE);
+    let path = folder.join(DATABASE_FILE);
     let mut bytes = std::fs::read(&path).unwrap();
     match how {
         "head" => bytes[..100].fill(7),
@@ -119,14 +119,17 @@
 
     // The operators' settings may still say that the system starts for the first time.
     let opened = open(folder.path(), true).unwrap();
-    let lost = opened.lost.unwrap();
+    let lost = opened.quarantined.unwrap();
     assert!(
         lost.contains(named) && lost.contains("aside-1-headworks.db"),
         "{lost}"
     );
     assert_eq!(opened.restored, RecoveredState::default());
     drop(opened.store);
-    assert_eq!(files(folder.path())["aside-1-headworks.db"], harmed[FILE]);
+    assert_eq!(
+        files(folder.path())["aside-1-headworks.db"],
+        harmed[DATABASE_FILE]
+    );
     assert!(
         !verify_file(&folder.path().join("aside-1-headworks.db"))
             .unwrap()
@@ -135,7 +138,7 @@
     );
     let opened = open(folder.path(), true).unwrap();
     assert_eq!(
-        (opened.lost, opened.restored),
+        (opened.quarantined, opened.restored),
         (None, RecoveredState::default()),
         "nor at the next start"
     );
@@ -156,7 +159,7 @@
     let folder = closed();
     for _ in 0..5 {
         harm(folder.path(), "head");
-        assert!(open(folder.path(), false).unwrap().lost.is_some());
+        assert!(open(folder.path(), false).unwrap().quarantined.is_some());
     }
     let files = files(folder.path());
     let kept: Vec<&String> = files
@@ -191,7 +194,7 @@
         if !renamed && syncs == 0 {
             std::fs::rename(
                 folder.path().join("aside-1-headworks.db"),
-                folder.path().join(FILE),
+                folder.path().join(DATABASE_FILE),
             )
             .unwrap();
         } else if !renamed {
@@ -211,7 +214,7 @@
 fn a_file_of_a_newer_version_is_refused_and_left_as_it_is(logged: bool) {
     let folder = closed();
     let connection = plain(folder.path());
-    let sum = crate::disk::records::sum("schema", &[], &7_i64.to_le_bytes());
+    let sum = crate::disk::records::checksum("schema", &[], &7_i64.to_le_bytes());
     let newer = format!(
         "PRAGMA user_version = 7; UPDATE schema SET version = 7, sum = {sum}; DROP TABLE chosen"
     );
@@ -250,7 +253,7 @@
     plain(folder.path())
         .execute_batch("UPDATE registers SET value = x'ff' WHERE name = x'02027334'")
         .unwrap();
-    let lost = open(folder.path(), false).unwrap().lost.unwrap();
+    let lost = open(folder.path(), false).unwrap().quarantined.unwrap();
     assert!(
         lost.contains("registers svcs/s4: does not decode"),
         "{lost}"
@@ -336,7 +339,7 @@
         let mut files = base.clone();
         files.get_mut(LOG).unwrap()[*at] ^= 1;
         let log = crate::disk::wal::read(&files[LOG], 4_096, |_, _| false);
-        log.harm.is_none()
+        log.corruption.is_none()
     });
     assert_eq!(unseen.collect::<Vec<_>>(), [0; 0]);
 }
@@ -350,7 +353,7 @@
     let mark = log.len() - 3 * (24 + 4_096);
     log[mark..mark + 24].fill(0);
     let harm = crate::disk::wal::read(&log, 4_096, |_, _| false)
-        .harm
+        .corruption
         .unwrap();
     assert!(harm.contains("more than one commit follows"), "{harm}");
 }
@@ -358,7 +361,7 @@
 #[test]
 fn what_is_put_aside_is_as_it_was_with_its_log() {
     let (mut base, ..) = half_logged();
-    let file = base.get_mut(FILE).unwrap();
+    let file = base.get_mut(DATABASE_FILE).unwrap();
     // Pages keep copies in their free room: all of them.
     for at in 0..file.len() - 30 {
         file[at + 20] ^= if file[at..].starts_with(b"\"ver\":175") {
@@ -368,14 +371,14 @@
         };
     }
     let folder = lay(&base);
-    let lost = open(folder.path(), false).unwrap().lost.unwrap();
+    let lost = open(folder.path(), false).unwrap().quarantined.unwrap();
     assert!(
         lost.contains("svcs/s75: does not match its checksum"),
         "{lost}"
     );
     let files = files(folder.path());
     assert!(
-        files["aside-1-headworks.db"] == base[FILE]
+        files["aside-1-headworks.db"] == base[DATABASE_FILE]
             && files["aside-1-headworks.db-wal"] == base[LOG]
     );
 }
@@ -388,7 +391,9 @@
     for trial in 0..1_500 {
         let mut files = base.clone();
         let logged = trial % 2 == 0;
-        let bytes = files.get_mut(if logged { LOG } else { FILE }).unwrap();
+        let bytes = files
+            .get_mut(if logged { LOG } else { DATABASE_FILE })
+            .unwrap();
         let at = chance.below(bytes.len());
         let sector = at / 512 * 512;
         // Harm in the last commit looks like a loss of power; so does a sector that is gone with the mark of the one before.
@@ -407,14 +412,14 @@
         let folder = lay(&files);
         let report = verify(folder.path()).unwrap_or_else(|error| panic!("{trial}: {error:#}"));
         let opened = open(folder.path(), true).unwrap_or_else(|error| panic!("{trial}: {error:#}"));
-        let found = match &opened.lost {
+        let found = match &opened.quarantined {
             Some(_) if opened.restored == RecoveredState::default() => Seen::PutAside,
             None if held(&opened) == states[2] => Seen::Nothing,
             None if may && held(&opened) == states[1] => Seen::Before,
             None if may && marked && held(&opened) == states[0] => Seen::Before,
             lost => panic!(
                 "{trial}: {at} of {}: {lost:?}",
-                if logged { LOG } else { FILE }
+                if logged { LOG } else { DATABASE_FILE }
             ),
         };
         assert_eq!(
--- a/crates/control/src/disk/tests/mod.rs
+++ b/crates/control/src/disk/tests/mod.rs
@@ -198,10 +198,10 @@
 fn open(folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
     static ONCE: OnceLock<()> = OnceLock::new();
     ONCE.get_or_init(|| register("watched", Watched, false).unwrap());
-    Store::open_by(
+    Store::open_with(
         FileAccess {
             vfs: Some("watched"),
-            sync: folder_synced,
+            sync_folder: folder_synced,
         },
         folder,
         bootstrap,
@@ -309,7 +309,7 @@
 /// A file of the first builds: no version, no checksums.
 fn unversioned(commits: &[Vec<Record>], own: &crate::core::ReplicaMetadata) -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
-    let connection = rusqlite::Connection::open(folder.path().join(super::FILE)).unwrap();
+    let connection = rusqlite::Connection::open(folder.path().join(super::DATABASE_FILE)).unwrap();
     let tables = "PRAGMA journal_mode=WAL;
         CREATE TABLE own (one INTEGER PRIMARY KEY CHECK (one = 1), value BLOB NOT NULL);
         CREATE TABLE registers (name BLOB PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;
--- a/crates/control/src/disk/verify.rs
+++ b/crates/control/src/disk/verify.rs
@@ -9,7 +9,9 @@
 use serde::Serialize;
 
 use super::records::{CorruptRecord, Corruption};
-use super::{FILE, check, harmed, head_harm, page_size, records, schema, wal};
+use super::{
+    DATABASE_FILE, header_corruption, is_corruption, page_size, quick_check, records, schema, wal,
+};
 use crate::core::RecoveredState;
 
 /// What a replica's files hold.
@@ -64,7 +66,7 @@
 /// # Errors
 /// There are none, they can't be read, or they are of a newer schema version.
 pub fn verify(folder: &Path) -> eyre::Result<Report> {
-    verify_file(&folder.join(FILE))
+    verify_file(&folder.join(DATABASE_FILE))
 }
 
 /// The same of a file by its own name, such as one that was put aside; its log has the same name and `-wal`.
@@ -97,13 +99,13 @@
         commits: 0,
         faults: Vec::new(),
     };
-    let read = match together(bytes, &log, &mut found) {
-        Ok(image) => rows_of(&image, &mut found),
+    let read = match merge_wal(bytes, &log, &mut found) {
+        Ok(image) => read_image(&image, &mut found),
         Err(harm) => Err(harm.into()),
     };
     match read {
-        Ok(restored) => sum_up(&restored, &mut found),
-        Err(error) if harmed(&error) => match error.downcast::<Corruption>() {
+        Ok(restored) => summarize(&restored, &mut found),
+        Err(error) if is_corruption(&error) => match error.downcast::<Corruption>() {
             Ok(Corruption(faults)) => found.faults.extend(faults),
             Err(error) => found.faults.extend(Corruption::of(format!("{error:#}")).0),
         },
@@ -113,11 +115,11 @@
 }
 
 /// The file as it reads with its log.
-fn together(mut bytes: Vec<u8>, log: &[u8], found: &mut Report) -> Result<Vec<u8>, Corruption> {
+fn merge_wal(mut bytes: Vec<u8>, log: &[u8], found: &mut Report) -> Result<Vec<u8>, Corruption> {
     if bytes.is_empty() {
         return Err(Corruption::of("the log stands without its file"));
     }
-    if let Some(harm) = head_harm(&bytes) {
+    if let Some(harm) = header_corruption(&bytes) {
         return Err(Corruption::of(harm));
     }
     let page = page_size(&bytes);
@@ -129,7 +131,7 @@
     });
     found.commits = read.commits;
     found.faults.extend(
-        read.harm
+        read.corruption
             .into_iter()
             .flat_map(|harm| Corruption::of(harm).0),
     );
@@ -140,7 +142,8 @@
         }
         bytes.resize(size as usize * page, 0);
         for (number, at) in read.pages.into_iter().filter(|(number, _)| *number <= size) {
-            bytes[place(number)..place(number) + page].copy_from_slice(wal::content(log, at, page));
+            bytes[place(number)..place(number) + page]
+                .copy_from_slice(wal::page_content(log, at, page));
         }
     }
     // In memory there is no log; without this SQLite would look for one.
@@ -148,24 +151,24 @@
     Ok(bytes)
 }
 
-fn rows_of(image: &[u8], found: &mut Report) -> eyre::Result<RecoveredState> {
+fn read_image(image: &[u8], found: &mut Report) -> eyre::Result<RecoveredState> {
     let mut connection = Connection::open_in_memory().wrap_err("disk: opening a copy")?;
     let length = image.len();
     connection
         .deserialize_read_exact(MAIN_DB, image, length, true)
         .wrap_err("disk: opening a copy")?;
-    let version = schema::found(&connection)?;
-    check(&connection)?;
-    let schema::Found::Version(version) = version else {
+    let version = schema::stored_schema(&connection)?;
+    quick_check(&connection)?;
+    let schema::StoredSchema::Version(version) = version else {
         return Ok(RecoveredState::default());
     };
     found.schema = version;
-    let (restored, faults) = records::all(&connection, version > 0)?;
+    let (restored, faults) = records::read_all(&connection, version > 0)?;
     found.faults.extend(faults);
     Ok(restored)
 }
 
-fn sum_up(restored: &RecoveredState, found: &mut Report) {
+fn summarize(restored: &RecoveredState, found: &mut Report) {
     (found.incarnation, found.run) = (restored.own.incarnation.number, restored.own.run);
     (found.registers, found.chosen) = (restored.registers.len(), restored.chosen.len());
     let accepted = restored
--- a/crates/control/src/disk/wal.rs
+++ b/crates/control/src/disk/wal.rs
@@ -8,28 +8,28 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-const HEAD: usize = 32;
-const FRAME: usize = 24;
+const HEADER_BYTES: usize = 32;
+const FRAME_HEADER_BYTES: usize = 24;
 const MAGIC: u32 = 0x377f_0682;
-const SECTOR: usize = 512;
+const SECTOR_BYTES: usize = 512;
 /// A commit of more frames may have had more pages than the cache holds, and those are written more than once.
-const FEW: usize = 64;
+const MAX_SINGLE_WRITE_FRAMES: usize = 64;
 
 /// What a log holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct Log {
+pub(super) struct WalContents {
     /// Newest content of each page, by where it stands in the log.
     pub pages: BTreeMap<u32, usize>,
     /// Pages of the database after the last commit.
     pub size: Option<u32>,
     /// Commits, and the frames of these.
     pub commits: usize,
-    pub frames: usize,
+    pub committed_frames: usize,
     /// Why it can't be trusted.
-    pub harm: Option<String>,
+    pub corruption: Option<String>,
 }
 
-fn word(bytes: &[u8], at: usize) -> u32 {
+fn read_u32(bytes: &[u8], at: usize) -> u32 {
     bytes
         .get(at..at + 4)
         .and_then(|word| word.try_into().ok())
@@ -37,7 +37,7 @@
 }
 
 /// SQLite's checksum, on top of that of what came before.
-fn sum(bytes: &[u8], big: bool, before: (u32, u32)) -> (u32, u32) {
+fn wal_checksum(bytes: &[u8], big: bool, before: (u32, u32)) -> (u32, u32) {
     let word = |word: &[u8]| {
         let word = word.try_into().unwrap_or_default();
         if big {
@@ -54,29 +54,29 @@
 
 /// A place for a frame, whatever stands there.
 #[derive(Clone, Copy)]
-struct Slot {
+struct FrameSlot {
     at: usize,
     page: u32,
     commit: u32,
     salts: u64,
 }
 
-impl Slot {
+impl FrameSlot {
     /// Page, mark and salts are of one sector, and so of one write.
-    fn whole(&self) -> bool {
-        self.at % SECTOR + 16 <= SECTOR
+    fn is_single_sector(&self) -> bool {
+        self.at % SECTOR_BYTES + 16 <= SECTOR_BYTES
     }
 }
 
-fn slots(log: &[u8], page: usize) -> Vec<Slot> {
-    let slots = log.len().saturating_sub(HEAD) / (FRAME + page);
+fn frame_slots(log: &[u8], page: usize) -> Vec<FrameSlot> {
+    let slots = log.len().saturating_sub(HEADER_BYTES) / (FRAME_HEADER_BYTES + page);
     let slot = |number: usize| {
-        let at = HEAD + number * (FRAME + page);
-        let salts = u64::from(word(log, at + 8)) << 32 | u64::from(word(log, at + 12));
-        Slot {
+        let at = HEADER_BYTES + number * (FRAME_HEADER_BYTES + page);
+        let salts = u64::from(read_u32(log, at + 8)) << 32 | u64::from(read_u32(log, at + 12));
+        FrameSlot {
             at,
-            page: word(log, at),
-            commit: word(log, at + 4),
+            page: read_u32(log, at),
+            commit: read_u32(log, at + 4),
             salts,
         }
     };
@@ -84,25 +84,25 @@
 }
 
 /// The page whose frame stands there.
-pub(super) fn content(log: &[u8], at: usize, page: usize) -> &[u8] {
-    &log[at + FRAME..at + FRAME + page]
+pub(super) fn page_content(log: &[u8], at: usize, page: usize) -> &[u8] {
+    &log[at + FRAME_HEADER_BYTES..at + FRAME_HEADER_BYTES + page]
 }
 
 /// Reads a log. `page`: the size of the database's pages; `stands`: whether a page of the file has this content.
-pub(super) fn read(log: &[u8], page: usize, stands: impl Fn(u32, &[u8]) -> bool) -> Log {
-    let mut read = Log::default();
-    if log.len() < HEAD || page == 0 {
+pub(super) fn read(log: &[u8], page: usize, stands: impl Fn(u32, &[u8]) -> bool) -> WalContents {
+    let mut read = WalContents::default();
+    if log.len() < HEADER_BYTES || page == 0 {
         return read;
     }
-    let slots = slots(log, page);
-    let content = |at: usize| content(log, at, page);
-    let big = word(log, 0) & 1 == 1;
-    let mut sums = sum(&log[..24], big, (0, 0));
-    let whole = word(log, 0) & !1 == MAGIC && sums == (word(log, 24), word(log, 28));
-    if !whole || word(log, 8) as usize != page {
+    let slots = frame_slots(log, page);
+    let content = |at: usize| page_content(log, at, page);
+    let big = read_u32(log, 0) & 1 == 1;
+    let mut sums = wal_checksum(&log[..24], big, (0, 0));
+    let whole = read_u32(log, 0) & !1 == MAGIC && sums == (read_u32(log, 24), read_u32(log, 28));
+    if !whole || read_u32(log, 8) as usize != page {
         // The head is torn where the log begins anew; then all that the log held before is in the file by now.
         let first = slots.first().map(|slot| slot.salts);
-        let run: Vec<Slot> = slots
+        let run: Vec<FrameSlot> = slots
             .iter()
             .copied()
             .take_while(|slot| Some(slot.salts) == first)
@@ -119,19 +119,19 @@
             .iter()
             .any(|(number, at)| !stands(*number, content(*at)));
         if lacks || (ends == 0 && !slots.is_empty()) {
-            read.harm = Some(
+            read.corruption = Some(
                 "the head of the log is harmed, and the file lacks what the log holds".to_string(),
             );
         }
         return read;
     }
-    let salts = u64::from(word(log, 16)) << 32 | u64::from(word(log, 20));
+    let salts = u64::from(read_u32(log, 16)) << 32 | u64::from(read_u32(log, 20));
     let mut open = BTreeMap::new();
     let mut good = 0;
     for slot in &slots {
         let (head, content) = (&log[slot.at..slot.at + 8], content(slot.at));
-        sums = sum(content, big, sum(head, big, sums));
-        let told = (word(log, slot.at + 16), word(log, slot.at + 20));
+        sums = wal_checksum(content, big, wal_checksum(head, big, sums));
+        let told = (read_u32(log, slot.at + 16), read_u32(log, slot.at + 20));
         if slot.salts != salts || told != sums || slot.page == 0 {
             break;
         }
@@ -141,27 +141,31 @@
             read.pages.append(&mut open);
             read.size = Some(slot.commit);
             read.commits += 1;
-            read.frames = good;
+            read.committed_frames = good;
         }
     }
     // One bit or two are no other log's salts: those are drawn by chance.
-    let own = |slot: &&Slot| (slot.salts ^ salts).count_ones() <= 2;
+    let own = |slot: &&FrameSlot| (slot.salts ^ salts).count_ones() <= 2;
     let (mut over, mut known) = (false, BTreeSet::new());
     for slot in slots[good..].iter().filter(own) {
         if over {
-            read.harm = Some(format!(
+            read.corruption = Some(format!(
                 "frame {good} of the log is harmed, and a later commit follows"
             ));
         }
-        over |= slot.commit != 0 && slot.whole();
+        over |= slot.commit != 0 && slot.is_single_sector();
     }
     // The mark of a commit may be harmed itself; but a commit of few pages writes none of them twice.
-    let tail: Vec<&Slot> = slots[read.frames..].iter().filter(own).collect();
+    let tail: Vec<&FrameSlot> = slots[read.committed_frames..].iter().filter(own).collect();
     let twice = tail
         .iter()
-        .any(|slot| slot.whole() && !known.insert(slot.page));
-    if good < slots.len() && tail.len() <= FEW && twice && read.harm.is_none() {
-        read.harm = Some(format!(
+        .any(|slot| slot.is_single_sector() && !known.insert(slot.page));
+    if good < slots.len()
+        && tail.len() <= MAX_SINGLE_WRITE_FRAMES
+        && twice
+        && read.corruption.is_none()
+    {
+        read.corruption = Some(format!(
             "frame {good} of the log is harmed, and more than one commit follows"
         ));
     }
--- a/crates/control/src/disk/write_queue.rs
+++ b/crates/control/src/disk/write_queue.rs
@@ -9,14 +9,14 @@
 use eyre::WrapErr;
 use protocol::items::ItemName;
 
-use super::{Store, harmed};
+use super::{Store, is_corruption};
 use crate::core::Record;
 use crate::limits;
 
 /// Most writes that go into one commit.
-const GROUP: usize = 64;
+const MAX_GROUP_COMMIT: usize = 64;
 /// Stack of the thread, in bytes.
-const STACK: usize = 512 * 1024;
+const STACK_BYTES: usize = 512 * 1024;
 
 /// What is to be written, under a number.
 pub type WriteRequest = (u64, Vec<Record>);
@@ -42,7 +42,7 @@
     Chosen(ItemName),
 }
 
-fn place(row: &Record) -> RecordKey {
+fn record_key(row: &Record) -> RecordKey {
     match row {
         Record::Metadata(_) => RecordKey::Own,
         Record::Register(name, _) => RecordKey::Register(name.clone()),
@@ -53,49 +53,50 @@
 /// A store and what waits for it.
 pub(super) struct WriteQueue {
     store: Store,
-    numbers: Vec<u64>,
+    request_ids: Vec<u64>,
     /// Only the newest of each row: a disk that is full for long must not fill the memory.
-    rows: BTreeMap<RecordKey, Record>,
-    refused: bool,
+    records: BTreeMap<RecordKey, Record>,
+    rejecting: bool,
 }
 
 impl WriteQueue {
     pub(super) fn new(store: Store) -> WriteQueue {
         WriteQueue {
             store,
-            numbers: Vec::new(),
-            rows: BTreeMap::new(),
-            refused: false,
+            request_ids: Vec::new(),
+            records: BTreeMap::new(),
+            rejecting: false,
         }
     }
 
-    pub(super) fn order(&mut self, (number, rows): WriteRequest) {
-        self.numbers.push(number);
-        self.rows
-            .extend(rows.into_iter().map(|row| (place(&row), row)));
+    pub(super) fn enqueue(&mut self, (number, rows): WriteRequest) {
+        self.request_ids.push(number);
+        self.records
+            .extend(rows.into_iter().map(|row| (record_key(&row), row)));
     }
 
     /// Rows that wait.
     #[cfg(test)]
-    pub(super) fn waiting(&self) -> usize {
-        self.rows.len()
+    pub(super) fn pending_records(&self) -> usize {
+        self.records.len()
     }
 
     /// Tries to write all that waits, in one commit.
-    pub(super) fn write(&mut self) -> Vec<WriterEvent> {
-        match self.store.commit(self.rows.values()) {
+    pub(super) fn commit_pending(&mut self) -> Vec<WriterEvent> {
+        match self.store.commit(self.records.values()) {
             Ok(()) => {
-                self.rows.clear();
-                let again = std::mem::take(&mut self.refused).then_some(WriterEvent::WritesResumed);
+                self.records.clear();
+                let again =
+                    std::mem::take(&mut self.rejecting).then_some(WriterEvent::WritesResumed);
                 again
                     .into_iter()
-                    .chain(self.numbers.drain(..).map(WriterEvent::Written))
+                    .chain(self.request_ids.drain(..).map(WriterEvent::Written))
                     .collect()
             }
-            Err(error) if harmed(&error) => vec![WriterEvent::Failed(error)],
-            Err(_) if self.refused => Vec::new(),
+            Err(error) if is_corruption(&error) => vec![WriterEvent::Failed(error)],
+            Err(_) if self.rejecting => Vec::new(),
             Err(error) => {
-                self.refused = true;
+                self.rejecting = true;
                 vec![WriterEvent::WritesRejected(error)]
             }
         }
@@ -114,40 +115,40 @@
     let (orders, queue) = mpsc::channel();
     let thread = thread::Builder::new()
         .name("disk".to_string())
-        .stack_size(STACK);
+        .stack_size(STACK_BYTES);
     thread
-        .spawn(move || serve(WriteQueue::new(store), &queue, &done))
+        .spawn(move || run_writer(WriteQueue::new(store), &queue, &done))
         .wrap_err("disk: starting its thread")?;
     Ok(orders)
 }
 
-fn serve(
+fn run_writer(
     mut desk: WriteQueue,
     queue: &Receiver<WriteRequest>,
     done: &calloop::channel::Sender<WriterEvent>,
 ) {
     loop {
-        let mut most = GROUP;
-        if desk.refused {
+        let mut most = MAX_GROUP_COMMIT;
+        if desk.rejecting {
             // What is ordered meanwhile is taken in, and written with the next try.
             let next = Instant::now() + Duration::from_micros(limits::DISK_RETRY_INTERVAL as u64);
             loop {
                 match queue.recv_timeout(next.saturating_duration_since(Instant::now())) {
-                    Ok(order) => desk.order(order),
+                    Ok(order) => desk.enqueue(order),
                     Err(RecvTimeoutError::Timeout) => break,
                     Err(RecvTimeoutError::Disconnected) => return,
                 }
             }
         } else {
             let Ok(first) = queue.recv() else { return };
-            desk.order(first);
+            desk.enqueue(first);
             most -= 1;
         }
         queue
             .try_iter()
             .take(most)
-            .for_each(|order| desk.order(order));
-        for report in desk.write() {
+            .for_each(|order| desk.enqueue(order));
+        for report in desk.commit_pending() {
             let last = matches!(report, WriterEvent::Failed(_));
             if done.send(report).is_err() || last {
                 return;
--- a/crates/control/src/host/http_calls.rs
+++ b/crates/control/src/host/http_calls.rs
@@ -14,7 +14,7 @@
 use crate::operator_api::{self, Reply};
 use crate::{limits, lookup};
 
-const JSON: [(&str, &str); 1] = [("Content-Type", "application/json")];
+const JSON_HEADERS: [(&str, &str); 1] = [("Content-Type", "application/json")];
 
 impl Host {
     /// Reads calls, one after the other: the next one is looked at once this one is answered.
@@ -22,7 +22,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if connection.waits || connection.closing {
+        if connection.awaiting_reply || connection.closing {
             return;
         }
         let operator = connection.role == Role::Operator;
@@ -35,57 +35,59 @@
             .incoming
             .read(&mut connection.input, most, &self.frames)
         {
-            return self.refuse(key, fault);
+            return self.reject(key, fault);
         }
         if !connection.incoming.whole() {
             let expects = connection.incoming.head().is_some_and(|head| head.expects);
-            if expects && !std::mem::replace(&mut connection.told_to_go_on, true) {
+            if expects && !std::mem::replace(&mut connection.continue_sent, true) {
                 self.write(key, b"HTTP/1.1 100 Continue\r\n\r\n");
             }
             return;
         }
-        connection.told_to_go_on = false;
+        connection.continue_sent = false;
         let Some((head, _, body)) = std::mem::take(&mut connection.incoming).into_parts() else {
             return;
         };
-        connection.last = !head.keep_alive;
-        connection.waits = true;
+        connection.close_after_reply = !head.keep_alive;
+        connection.awaiting_reply = true;
         let request = Request::new(head, body);
         if operator {
-            self.operator(key, request)
+            self.handle_operator_call(key, request)
         } else {
-            self.client(key, &request)
+            self.handle_client_call(key, &request)
         }
     }
 
-    fn refuse(&mut self, key: ConnectionKey, fault: Malformed) {
+    fn reject(&mut self, key: ConnectionKey, fault: Malformed) {
         if let Some(connection) = self.connections.get_mut(key) {
-            connection.last = true;
-            connection.waits = true;
+            connection.close_after_reply = true;
+            connection.awaiting_reply = true;
         }
         let body = format!(r#"{{"error":"{fault}"}}"#);
         self.answer(key, fault.status(), body.as_bytes());
     }
 
     /// A caller's end of the connection is closed by now. What it sent next, if anything, is kept.
-    fn left(&mut self, key: ConnectionKey) -> bool {
+    fn has_disconnected(&mut self, key: ConnectionKey) -> bool {
         let Some(connection) = self.connections.get_mut(key) else {
             return true;
         };
-        match (&*connection.stream).read(&mut self.scratch) {
+        match (&*connection.stream).read(&mut self.read_buffer) {
             Ok(0) => true,
             Ok(length) => {
-                connection.input.extend_from_slice(&self.scratch[..length]);
+                connection
+                    .input
+                    .extend_from_slice(&self.read_buffer[..length]);
                 false
             }
             Err(error) => !matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
         }
     }
 
-    fn operator(&mut self, key: ConnectionKey, request: Request) {
+    fn handle_operator_call(&mut self, key: ConnectionKey, request: Request) {
         // Danger: an evacuation has no version. One that waited while this process stood still, and was sent again
         // elsewhere, must not be begun after the opposite order was acknowledged.
-        if self.left(key) {
+        if self.has_disconnected(key) {
             return self.close(key);
         }
         let large = request.body.len() > limits::LARGE_CONTENT_BYTES;
@@ -97,7 +99,7 @@
                     } else {
                         limits::CALL_TIMEOUT
                     };
-                self.feed(Input::OperatorCall(key.data().as_ffi(), command, deadline));
+                self.step_core(Input::OperatorCall(key.data().as_ffi(), command, deadline));
             }
             Err(reply) => {
                 let (status, body) = reply.parts();
@@ -106,12 +108,12 @@
         }
     }
 
-    fn client(&mut self, key: ConnectionKey, request: &Request) {
+    fn handle_client_call(&mut self, key: ConnectionKey, request: &Request) {
         let path = request.target.split('?').next().unwrap_or_default();
         let refusal = match (request.method.as_str(), path) {
             ("GET", "/api/lookup") => {
-                let region = lookup::region(&request.target).unwrap_or_default();
-                return self.lookup(key, region);
+                let region = lookup::requested_region(&request.target).unwrap_or_default();
+                return self.handle_lookup(key, region);
             }
             (_, "/api/lookup") => Reply::MethodNotAllowed,
             _ => Reply::NotFound(format!("path: {path}")),
@@ -125,15 +127,15 @@
         let Some(connection) = self
             .connections
             .get_mut(key)
-            .filter(|connection| connection.waits)
+            .filter(|connection| connection.awaiting_reply)
         else {
             return;
         };
-        connection.waits = false;
-        connection.closing = connection.last || self.stopped.is_some();
-        let (close, unread) = (connection.closing, connection.unread);
+        connection.awaiting_reply = false;
+        connection.closing = connection.close_after_reply || self.shutdown_started_at.is_some();
+        let (close, unread) = (connection.closing, connection.has_unread);
         let mut bytes = Vec::with_capacity(body.len() + 128);
-        write_answer(&mut bytes, status, &JSON, body, close);
+        write_answer(&mut bytes, status, &JSON_HEADERS, body, close);
         self.write(key, &bytes);
         if !close {
             self.read_call(key);
@@ -144,22 +146,22 @@
     }
 
     /// Asks the platform for its list, while this replica has that duty.
-    pub(super) fn poll(&mut self, now: i64) {
-        let holds = self.core.polls(now);
+    pub(super) fn poll_platform(&mut self, now: i64) {
+        let holds = self.core.polls_platform(now);
         let Some(poller) = &mut self.poller else {
             return;
         };
-        if poller.late(now) {
+        if poller.is_overdue(now) {
             warn!(self.log, "the platform does not answer"; "peer" => poller.address.to_string());
             if let Some(key) = poller.connection.take() {
                 self.close(key);
             }
-            return self.poll_failed();
+            return self.handle_poll_failed();
         }
         if !holds {
-            return poller.rest();
+            return poller.pause();
         }
-        let Some(request) = poller.due(now) else {
+        let Some(request) = poller.next_request(now) else {
             return;
         };
         let (kept, address) = (poller.connection, poller.address);
@@ -172,14 +174,18 @@
         }
         match key {
             Some(key) => self.write(key, request.as_bytes()),
-            None => self.poll_failed(),
+            None => self.handle_poll_failed(),
         }
     }
 
     /// A round came to nothing.
-    fn poll_failed(&mut self) {
-        if self.poller.as_mut().is_some_and(PlatformPoller::give_up) {
-            self.feed(Input::RoleFailed(SingletonRole::PlatformPoller));
+    fn handle_poll_failed(&mut self) {
+        if self
+            .poller
+            .as_mut()
+            .is_some_and(PlatformPoller::abandon_round)
+        {
+            self.step_core(Input::RoleFailed(SingletonRole::PlatformPoller));
         }
     }
 
@@ -191,7 +197,7 @@
             return;
         };
         // What came answers nothing that was asked here. Left where it is, it would answer the next question.
-        if !poller.waits() || poller.connection != Some(key) {
+        if !poller.is_waiting() || poller.connection != Some(key) {
             poller.connection.take_if(|kept| *kept == key);
             return self.close(key);
         }
@@ -202,20 +208,20 @@
                     self.close(key);
                 }
                 if let PollResult::Complete(servers) = come {
-                    self.feed(Input::ServerListRead(servers));
+                    self.step_core(Input::ServerListRead(servers));
                 }
             }
             Err(error) => {
                 warn!(self.log, "{:#}", error);
                 poller.connection = None;
                 self.close(key);
-                self.poll_failed();
+                self.handle_poll_failed();
             }
         }
     }
 
     /// The platform's connection has ended. One that was kept may end at any time: then the round begins anew.
-    pub(super) fn platform_lost(&mut self, key: ConnectionKey, since: i64) {
+    pub(super) fn handle_platform_disconnected(&mut self, key: ConnectionKey, since: i64) {
         let now = self.now();
         let Some(poller) = self
             .poller
@@ -225,10 +231,10 @@
             return;
         };
         poller.connection = None;
-        if poller.waits() && now - since > limits::POLL_INTERVAL / 2 {
-            poller.at_once(now);
-        } else if poller.waits() {
-            self.poll_failed();
+        if poller.is_waiting() && now - since > limits::POLL_INTERVAL / 2 {
+            poller.restart(now);
+        } else if poller.is_waiting() {
+            self.handle_poll_failed();
         }
     }
 }
--- a/crates/control/src/host/mod.rs
+++ b/crates/control/src/host/mod.rs
@@ -50,10 +50,10 @@
 /// # Errors
 /// A key that is missing, by its name.
 pub fn check(settings: &Settings) -> eyre::Result<()> {
-    places(settings).map(|_| ())
+    listen_addresses(settings).map(|_| ())
 }
 
-fn places(settings: &Settings) -> eyre::Result<ListenAddresses> {
+fn listen_addresses(settings: &Settings) -> eyre::Result<ListenAddresses> {
     let want = |key: &str| eyre!("settings: {key}: missing, and wanted on a machine of the core");
     if settings.zones.len() > limits::MAX_REPLICAS {
         return Err(eyre!("settings: zones: more than 128 replicas"));
@@ -75,42 +75,42 @@
     address: SocketAddr,
     ttl: i64,
     frames: FrameLimits,
-    orders: Sender<WriteRequest>,
+    write_requests: Sender<WriteRequest>,
     connections: SlotMap<ConnectionKey, Connection>,
     callers: usize,
-    dirty: Vec<ConnectionKey>,
-    scratch: Vec<u8>,
-    out: Vec<Output>,
+    flush_queue: Vec<ConnectionKey>,
+    read_buffer: Vec<u8>,
+    outputs: Vec<Output>,
     peers: Vec<SocketAddr>,
     /// The link with each peer, and since when one without is missed.
     links: BTreeMap<SocketAddr, ConnectionKey>,
-    missed: BTreeMap<SocketAddr, i64>,
+    reconnect_at: BTreeMap<SocketAddr, i64>,
     poller: Option<PlatformPoller>,
     lookups: PendingLookups,
     stall: StallDetector,
     next_upkeep: i64,
     /// Told to end then.
-    stopped: Option<i64>,
+    shutdown_started_at: Option<i64>,
     /// After that it ends within this, whatever is left.
     grace: i64,
-    failed: Option<eyre::Report>,
+    disk_failure: Option<eyre::Report>,
 }
 
 /// Between two looks at silent links and missed peers.
-const UPKEEP: i64 = 200_000;
+const UPKEEP_INTERVAL: i64 = 200_000;
 /// After SIGTERM the program stays for this at the least, so that all hear of it.
-const STAY: i64 = 300_000;
+const MIN_SHUTDOWN_DURATION: i64 = 300_000;
 
 /// Runs the program until SIGTERM or SIGINT.
 ///
 /// # Errors
 /// An address can't be had, or the disk does not write.
 pub fn serve(settings: &Settings, log: Logger) -> eyre::Result<()> {
-    let places = places(settings)?;
+    let places = listen_addresses(settings)?;
     let signals =
         Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).wrap_err("signals")?;
     let opened = Store::open(&places.folder, settings.bootstrap)?;
-    if let Some(why) = &opened.lost {
+    if let Some(why) = &opened.quarantined {
         error!(log, "the disk can't be trusted and counts as empty"; "why" => why);
     }
     let mut events: EventLoop<'static, Host> = EventLoop::try_new().wrap_err("event loop")?;
@@ -122,9 +122,9 @@
         zone: settings.zone.clone(),
         address: Some(places.core),
         seeds: settings.seed_addresses(),
-        seed: seed(settings),
+        seed: random_seed(settings),
         restored: opened.restored,
-        bounds: TransferLimits::default(),
+        transfer_limits: TransferLimits::default(),
     };
     let core = Core::new(0, setup);
     info!(log, "starts"; "incarnation" => core.incarnation().number, "address" => places.core.to_string());
@@ -137,33 +137,33 @@
         address: places.core,
         ttl: limits::LOOKUP_TTL.min(settings.bounds.ttl_max.0),
         frames: FrameLimits::default(),
-        orders,
+        write_requests: orders,
         connections: SlotMap::with_key(),
         callers: 0,
-        dirty: Vec::new(),
-        scratch: vec![0; limits::READ_BYTES],
-        out: Vec::new(),
+        flush_queue: Vec::new(),
+        read_buffer: vec![0; limits::READ_BYTES],
+        outputs: Vec::new(),
         links: BTreeMap::new(),
-        missed: BTreeMap::new(),
+        reconnect_at: BTreeMap::new(),
         poller: settings.cloud_api.as_ref().map(PlatformPoller::new),
         lookups: PendingLookups::default(),
         stall: StallDetector::default(),
         next_upkeep: 0,
-        stopped: None,
+        shutdown_started_at: None,
         grace: settings
             .bounds
             .grace
             .0
             .saturating_sub(limits::GRACE_MARGIN)
-            .max(STAY),
-        failed: None,
+            .max(MIN_SHUTDOWN_DURATION),
+        disk_failure: None,
     };
     let handle = events.handle();
     let signalled =
         |event: calloop::signals::Event, _: &mut _, host: &mut Host| match event.signal() {
             // The settings are read at the start alone: nothing here changes with them later.
             Signal::SIGHUP => {}
-            _ => host.stop(),
+            _ => host.begin_shutdown(),
         };
     handle
         .insert_source(signals, signalled)
@@ -171,18 +171,18 @@
         .wrap_err("signals")?;
     let reported = |event: Event<WriterEvent>, _: &mut _, host: &mut Host| match event {
         Event::Msg(WriterEvent::Written(number)) => {
-            host.look_for_stall();
-            host.feed(Input::Written(number));
+            host.check_for_stall();
+            host.step_core(Input::Written(number));
         }
         Event::Msg(WriterEvent::WritesRejected(why)) => {
             error!(host.log, "the disk refuses writes, and is tried again"; "why" => format!("{why:#}"));
-            host.feed(Input::DiskFull(true));
+            host.step_core(Input::DiskFull(true));
         }
         Event::Msg(WriterEvent::WritesResumed) => {
             info!(host.log, #IMMEDIATE, "the disk takes writes again");
-            host.feed(Input::DiskFull(false));
+            host.step_core(Input::DiskFull(false));
         }
-        Event::Msg(WriterEvent::Failed(error)) => host.failed = Some(error),
+        Event::Msg(WriterEvent::Failed(error)) => host.disk_failure = Some(error),
         Event::Closed => {}
     };
     handle
@@ -196,27 +196,27 @@
     ] {
         let listener =
             connections::listen(address).wrap_err_with(|| format!("listening at {address}"))?;
-        host.watch(listener, role)
+        host.add_listener(listener, role)
             .wrap_err_with(|| format!("listening at {address}"))?;
     }
-    host.turn();
-    while !host.finished() {
-        let wait = host.next().saturating_sub(host.now()).max(0);
+    host.run_due();
+    while !host.is_finished() {
+        let wait = host.next_wake().saturating_sub(host.now()).max(0);
         let wait = Some(Duration::from_micros(wait as u64));
         events.dispatch(wait, &mut host).wrap_err("event loop")?;
-        host.turn();
+        host.run_due();
     }
-    match host.failed.take() {
+    match host.disk_failure.take() {
         Some(error) => Err(error),
         None => {
-            host.say_goodbye();
+            host.log_handover_result();
             Ok(())
         }
     }
 }
 
 /// For what is drawn by chance: differs from start to start, and from machine to machine.
-fn seed(settings: &Settings) -> u64 {
+fn random_seed(settings: &Settings) -> u64 {
     use std::hash::{BuildHasher, Hasher, RandomState};
     let mut hasher = RandomState::new().build_hasher();
     hasher.write(settings.node.as_bytes());
@@ -230,27 +230,30 @@
         self.start.elapsed().as_micros() as i64
     }
 
-    fn next(&self) -> i64 {
-        let poller = self.poller.as_ref().filter(|_| self.core.polls(self.now()));
-        let poller = poller.map_or(i64::MAX, PlatformPoller::wake);
+    fn next_wake(&self) -> i64 {
+        let poller = self
+            .poller
+            .as_ref()
+            .filter(|_| self.core.polls_platform(self.now()));
+        let poller = poller.map_or(i64::MAX, PlatformPoller::wake_at);
         self.core
-            .next()
+            .wake_at()
             .min(self.next_upkeep)
             .min(poller)
-            .min(self.lookups.wake())
+            .min(self.lookups.wake_at())
     }
 
-    fn stop(&mut self) {
-        if self.stopped.is_none() {
-            self.stopped = Some(self.now());
+    fn begin_shutdown(&mut self) {
+        if self.shutdown_started_at.is_none() {
+            self.shutdown_started_at = Some(self.now());
             info!(self.log, "told to end");
-            self.feed(Input::Shutdown);
+            self.step_core(Input::Shutdown);
         }
     }
 
     /// What operators look for before they take a machine and its disk away.
-    fn say_goodbye(&self) {
-        if self.core.handed_over() {
+    fn log_handover_result(&self) {
+        if self.core.is_handed_over() {
             info!(self.log, #IMMEDIATE, "handed over: a majority holds all without this replica");
         } else {
             warn!(
@@ -260,19 +263,23 @@
         }
     }
 
-    fn finished(&self) -> bool {
-        let Some(stopped) = self.stopped else {
-            return self.failed.is_some();
+    fn is_finished(&self) -> bool {
+        let Some(stopped) = self.shutdown_started_at else {
+            return self.disk_failure.is_some();
         };
         let since = self.now() - stopped;
-        let owed =
-            |connection: &Connection| connection.up && connection.backlog() > 0 || connection.waits;
-        let idle = self.core.idle() && !self.connections.values().any(owed);
-        let answered = since >= limits::SHUTDOWN_CALL_TIMEOUT || (idle && since >= STAY);
-        self.failed.is_some() || since >= self.grace || (answered && self.core.handed_over())
+        let owed = |connection: &Connection| {
+            connection.connected && connection.backlog() > 0 || connection.awaiting_reply
+        };
+        let idle = self.core.is_idle() && !self.connections.values().any(owed);
+        let answered =
+            since >= limits::SHUTDOWN_CALL_TIMEOUT || (idle && since >= MIN_SHUTDOWN_DURATION);
+        self.disk_failure.is_some()
+            || since >= self.grace
+            || (answered && self.core.is_handed_over())
     }
 
-    fn watch(&mut self, listener: TcpListener, role: Role) -> io::Result<()> {
+    fn add_listener(&mut self, listener: TcpListener, role: Role) -> io::Result<()> {
         let source = Generic::new(listener, Interest::READ, Mode::Level);
         let accept = move |_: Readiness,
                            listener: &mut calloop::generic::NoIoDrop<TcpListener>,
@@ -287,10 +294,10 @@
     }
 
     fn accept(&mut self, listener: &TcpListener, role: Role) {
-        self.look_for_stall();
+        self.check_for_stall();
         loop {
             let stream = match listener.accept() {
-                Ok(_) if role == Role::Unidentified && self.stall.lasts() => continue,
+                Ok(_) if role == Role::Unidentified && self.stall.is_suspect() => continue,
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 // Also where there are no descriptors left: the listener tells of it again.
@@ -324,7 +331,7 @@
             .connections
             .insert(Connection::new(stream, role, up, self.now()));
         let ready = move |_: Readiness, _: &mut _, host: &mut Host| {
-            host.ready(key);
+            host.handle_ready(key);
             Ok(PostAction::Continue)
         };
         match self.handle.insert_source(source, ready) {
@@ -358,25 +365,25 @@
         }
         match connection.role {
             Role::Unidentified => {}
-            Role::Replica { peer } => self.link_lost(key, peer),
-            Role::Agent => self.feed(Input::AgentDisconnected(key.data().as_ffi())),
+            Role::Replica { peer } => self.handle_link_lost(key, peer),
+            Role::Agent => self.step_core(Input::AgentDisconnected(key.data().as_ffi())),
             Role::Operator | Role::Client => self.callers -= 1,
-            Role::Platform => self.platform_lost(key, connection.since),
+            Role::Platform => self.handle_platform_disconnected(key, connection.opened_at),
         }
     }
 
-    fn ready(&mut self, key: ConnectionKey) {
-        self.look_for_stall();
+    fn handle_ready(&mut self, key: ConnectionKey) {
+        self.check_for_stall();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if !connection.up {
+        if !connection.connected {
             match connection.stream.take_error() {
-                Ok(None) if connection.stream.peer_addr().is_ok() => connection.up = true,
+                Ok(None) if connection.stream.peer_addr().is_ok() => connection.connected = true,
                 Ok(None) => return,
                 _ => return self.close(key),
             }
-            self.came_up(key);
+            self.handle_connected(key);
         }
         if self
             .connections
@@ -396,25 +403,28 @@
                 return;
             };
             // What follows waits until the request before it is answered.
-            connection.unread = connection.waits && connection.input.len() >= limits::READ_BYTES;
-            if connection.unread {
+            connection.has_unread =
+                connection.awaiting_reply && connection.input.len() >= limits::READ_BYTES;
+            if connection.has_unread {
                 return;
             }
             // Danger: a call whose caller is gone may be of long ago, and was sent again to others since. It is looked at only
             // once all that came with it was read, so that an end that came with it is seen first.
             let caller = matches!(connection.role, Role::Operator | Role::Client);
             let later = caller && connection.input.len() < limits::CALLER_READ_BYTES;
-            match (&*connection.stream).read(&mut self.scratch) {
+            match (&*connection.stream).read(&mut self.read_buffer) {
                 Ok(0) => return self.close(key),
                 Ok(length) => {
-                    connection.heard = now;
-                    connection.input.extend_from_slice(&self.scratch[..length]);
+                    connection.last_received_at = now;
+                    connection
+                        .input
+                        .extend_from_slice(&self.read_buffer[..length]);
                     if !later {
-                        self.look(key);
+                        self.dispatch_input(key);
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock && caller => {
-                    return self.look(key);
+                    return self.dispatch_input(key);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -424,9 +434,9 @@
     }
 
     /// Looks at what has come.
-    fn look(&mut self, key: ConnectionKey) {
+    fn dispatch_input(&mut self, key: ConnectionKey) {
         match self.connections.get(key).map(|connection| connection.role) {
-            Some(Role::Unidentified) => self.who_is_it(key),
+            Some(Role::Unidentified) => self.identify(key),
             Some(Role::Replica { .. }) => self.read_replica(key),
             Some(Role::Agent) => self.read_agent(key),
             Some(Role::Operator | Role::Client) => self.read_call(key),
@@ -446,15 +456,15 @@
             return self.close(key);
         }
         connection.output.extend_from_slice(bytes);
-        connection.said = now;
-        self.dirty.push(key);
+        connection.last_sent_at = now;
+        self.flush_queue.push(key);
     }
 
     fn flush(&mut self, key: ConnectionKey) {
         let Some(connection) = self
             .connections
             .get_mut(key)
-            .filter(|connection| connection.up)
+            .filter(|connection| connection.connected)
         else {
             return;
         };
@@ -477,19 +487,21 @@
     }
 
     /// Hands an input to the core, and carries out what comes of it.
-    fn feed(&mut self, input: Input) {
+    fn step_core(&mut self, input: Input) {
         let now = self.now();
-        let mut out = std::mem::take(&mut self.out);
-        self.core.take(now, input, &mut out);
+        let mut out = std::mem::take(&mut self.outputs);
+        self.core.step(now, input, &mut out);
         for output in out.drain(..) {
             match output {
-                Output::SendToReplicas(to, peer_message) => self.send(&to, peer_message),
+                Output::SendToReplicas(to, peer_message) => {
+                    self.send_to_replicas(&to, peer_message)
+                }
                 Output::Peers(peers) => {
                     self.peers = peers;
                     self.next_upkeep = now;
                 }
                 // A disk thread that has ended has said why, and the program ends with it.
-                Output::Write(number, rows) => _ = self.orders.send((number, rows)),
+                Output::Write(number, rows) => _ = self.write_requests.send((number, rows)),
                 Output::Answer(call, reply) => {
                     let key = ConnectionKey::from(KeyData::from_ffi(call));
                     let (status, body) = reply.parts();
@@ -506,10 +518,10 @@
                 Output::LogImmediately(text) => info!(self.log, #IMMEDIATE, "{}", text),
             }
         }
-        self.out = out;
+        self.outputs = out;
     }
 
-    fn send(&mut self, to: &[SocketAddr], peer_message: PeerMessage) {
+    fn send_to_replicas(&mut self, to: &[SocketAddr], peer_message: PeerMessage) {
         let links: Vec<ConnectionKey> = to
             .iter()
             .filter_map(|peer| self.links.get(peer).copied())
@@ -525,21 +537,21 @@
     }
 
     /// What is due has its turn, then all goes out.
-    fn turn(&mut self) {
+    fn run_due(&mut self) {
         let now = self.now();
-        if now >= self.core.next() {
-            self.feed(Input::Tick);
+        if now >= self.core.wake_at() {
+            self.step_core(Input::Tick);
         }
         if now >= self.next_upkeep {
-            self.next_upkeep = now + UPKEEP;
+            self.next_upkeep = now + UPKEEP_INTERVAL;
             self.upkeep(now);
         }
-        self.poll(now);
+        self.poll_platform(now);
         self.answer_lookups(now);
         // It may have stood still in this very turn.
-        self.look_for_stall();
-        self.stall.turned(self.now());
-        while let Some(key) = self.dirty.pop() {
+        self.check_for_stall();
+        self.stall.record_iteration(self.now());
+        while let Some(key) = self.flush_queue.pop() {
             self.flush(key);
         }
     }
@@ -547,13 +559,13 @@
     /// Looks at silent connections and missed peers.
     fn upkeep(&mut self, now: i64) {
         let gone = |connection: &Connection| {
-            let silent = now - connection.heard;
+            let silent = now - connection.last_received_at;
             match connection.role {
-                _ if !connection.up => now - connection.since >= limits::CONNECT_TIMEOUT,
+                _ if !connection.connected => now - connection.opened_at >= limits::CONNECT_TIMEOUT,
                 Role::Replica { .. } => silent >= limits::PEER_LINK_TIMEOUT,
                 Role::Unidentified | Role::Agent => silent >= limits::AGENT_LINK_TIMEOUT,
                 Role::Operator | Role::Client => {
-                    silent >= limits::CALLER_IDLE_TIMEOUT && !connection.waits
+                    silent >= limits::CALLER_IDLE_TIMEOUT && !connection.awaiting_reply
                 }
                 Role::Platform => false,
             }
@@ -565,6 +577,6 @@
         for key in dead.map(|(key, _)| key).collect::<Vec<_>>() {
             self.close(key);
         }
-        self.keep_links(now);
+        self.maintain_links(now);
     }
 }
--- a/crates/control/src/host/peer_links.rs
+++ b/crates/control/src/host/peer_links.rs
@@ -16,21 +16,21 @@
 use crate::limits;
 
 /// A replica's link begins with these bytes: no message of an agent has such a length.
-const SEAT: [u8; 4] = [255; 4];
+const REPLICA_PREAMBLE: [u8; 4] = [255; 4];
 /// Of two links with one peer, the one that is not used is closed after this.
-const SECOND_LINK: i64 = 3_000_000;
+const DUPLICATE_LINK_TIMEOUT: i64 = 3_000_000;
 
 impl Host {
     /// The first bytes tell a replica from an agent.
-    pub(super) fn who_is_it(&mut self, key: ConnectionKey) {
+    pub(super) fn identify(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         let Some(first) = connection.input.first_chunk::<4>() else {
             return;
         };
-        if *first == SEAT {
-            connection.input.drain(..SEAT.len());
+        if *first == REPLICA_PREAMBLE {
+            connection.input.drain(..REPLICA_PREAMBLE.len());
             connection.role = Role::Replica { peer: None };
             self.read_replica(key);
         } else {
@@ -40,24 +40,24 @@
     }
 
     /// A connection that was opened here is up.
-    pub(super) fn came_up(&mut self, key: ConnectionKey) {
+    pub(super) fn handle_connected(&mut self, key: ConnectionKey) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        connection.heard = now;
+        connection.last_received_at = now;
         if let Role::Replica { peer: Some(peer) } = connection.role {
-            let mut bytes = SEAT.to_vec();
+            let mut bytes = REPLICA_PREAMBLE.to_vec();
             frames::encode(&mut bytes, &Frame::SenderAddress(self.address));
             self.write(key, &bytes);
-            self.linked(key, peer);
+            self.handle_peer_linked(key, peer);
         }
     }
 
-    fn linked(&mut self, key: ConnectionKey, peer: SocketAddr) {
+    fn handle_peer_linked(&mut self, key: ConnectionKey, peer: SocketAddr) {
         self.links.insert(peer, key);
-        self.missed.remove(&peer);
-        self.feed(Input::PeerConnected(peer));
+        self.reconnect_at.remove(&peer);
+        self.step_core(Input::PeerConnected(peer));
     }
 
     pub(super) fn read_replica(&mut self, key: ConnectionKey) {
@@ -83,11 +83,11 @@
                     let mut bytes = Vec::new();
                     frames::encode(&mut bytes, &Frame::SenderAddress(self.address));
                     self.write(key, &bytes);
-                    self.linked(key, address);
+                    self.handle_peer_linked(key, address);
                 }
                 (Frame::SenderAddress(_), _) => {}
                 (Frame::PeerMessage(peer_message), Role::Replica { peer: Some(peer) }) => {
-                    self.feed(Input::PeerMessage(peer, peer_message));
+                    self.step_core(Input::PeerMessage(peer, peer_message));
                 }
                 (Frame::PeerMessage(_), _) => return self.close(key),
             }
@@ -100,7 +100,7 @@
                 return;
             };
             match frames::decode::<AgentMessage>(&mut connection.input) {
-                Ok(Some(up)) => self.feed(Input::Agent(key.data().as_ffi(), up)),
+                Ok(Some(up)) => self.step_core(Input::Agent(key.data().as_ffi(), up)),
                 Ok(None) => return,
                 Err(error) => {
                     warn!(self.log, "reading an agent's link"; "why" => error.to_string(),
@@ -112,13 +112,13 @@
     }
 
     /// A link with a peer has ended; another one with it takes its place, if there is one.
-    pub(super) fn link_lost(&mut self, key: ConnectionKey, peer: Option<SocketAddr>) {
+    pub(super) fn handle_link_lost(&mut self, key: ConnectionKey, peer: Option<SocketAddr>) {
         let Some(peer) = peer.filter(|peer| self.links.get(peer) == Some(&key)) else {
             return;
         };
         debug!(self.log, "a link has ended"; "peer" => peer.to_string());
         let other = self.connections.iter().find(|(_, connection)| {
-            connection.up
+            connection.connected
                 && matches!(connection.role, Role::Replica { peer: Some(other) } if other == peer)
         });
         match other.map(|(key, _)| key) {
@@ -126,28 +126,30 @@
             None => {
                 self.links.remove(&peer);
                 let now = self.now();
-                self.missed.insert(peer, now + limits::RECONNECT_DELAY);
+                self.reconnect_at
+                    .insert(peer, now + limits::RECONNECT_DELAY);
             }
         }
     }
 
     /// Opens links that are missed, and says something on those that are.
-    pub(super) fn keep_links(&mut self, now: i64) {
+    pub(super) fn maintain_links(&mut self, now: i64) {
         let mut opening: Vec<SocketAddr> = Vec::new();
         let (mut quiet, mut second) = (Vec::new(), Vec::new());
         for (key, connection) in &self.connections {
             let Role::Replica { peer: Some(peer) } = connection.role else {
                 continue;
             };
-            if !connection.up {
+            if !connection.connected {
                 opening.push(peer);
                 continue;
             }
             // Both ends would close another one at once: the one with the lower address does.
             let used = self.links.get(&peer) == Some(&key);
-            if !used && self.address < peer && now - connection.since >= SECOND_LINK {
+            if !used && self.address < peer && now - connection.opened_at >= DUPLICATE_LINK_TIMEOUT
+            {
                 second.push(key);
-            } else if now - connection.said >= limits::HEARTBEAT_INTERVAL - 100_000 {
+            } else if now - connection.last_sent_at >= limits::HEARTBEAT_INTERVAL - 100_000 {
                 quiet.push(key);
             }
         }
@@ -164,12 +166,14 @@
             } else {
                 0
             };
-            let since = *self.missed.entry(peer).or_insert(now);
+            let since = *self.reconnect_at.entry(peer).or_insert(now);
             if now >= since + later {
-                self.missed.insert(peer, now + limits::RECONNECT_DELAY);
+                self.reconnect_at
+                    .insert(peer, now + limits::RECONNECT_DELAY);
                 self.connect(peer, Role::Replica { peer: Some(peer) });
             }
         }
-        self.missed.retain(|peer, _| self.peers.contains(peer));
+        self.reconnect_at
+            .retain(|peer, _| self.peers.contains(peer));
     }
 }
--- a/crates/control/src/host/pending_lookups.rs
+++ b/crates/control/src/host/pending_lookups.rs
@@ -12,7 +12,7 @@
 
 impl PendingLookups {
     /// The first of them waits until then.
-    pub(super) fn wake(&self) -> i64 {
+    pub(super) fn wake_at(&self) -> i64 {
         self.0
             .iter()
             .map(|(_, _, until)| *until)
@@ -23,15 +23,15 @@
 
 impl Host {
     /// Answers a client, or keeps it waiting for the first edge.
-    pub(super) fn lookup(&mut self, key: ConnectionKey, region: String) {
+    pub(super) fn handle_lookup(&mut self, key: ConnectionKey, region: String) {
         let now = self.now();
-        let expects = self.core.in_touch(now) || now < limits::STARTUP_LOOKUP_WAIT;
-        let until = if expects && self.stopped.is_none() {
+        let expects = self.core.has_quorum_contact(now) || now < limits::STARTUP_LOOKUP_WAIT;
+        let until = if expects && self.shutdown_started_at.is_none() {
             now + limits::LOOKUP_WAIT
         } else {
             now
         };
-        if !self.answered(now, key, &region, until) {
+        if !self.try_answer(now, key, &region, until) {
             self.lookups.0.push((key, region, until));
         }
     }
@@ -39,18 +39,18 @@
     /// Answers those that wait, once there is something to answer or their time is over.
     pub(super) fn answer_lookups(&mut self, now: i64) {
         let mut waiting = std::mem::take(&mut self.lookups.0);
-        waiting.retain(|(key, region, until)| !self.answered(now, *key, region, *until));
+        waiting.retain(|(key, region, until)| !self.try_answer(now, *key, region, *until));
         self.lookups.0.append(&mut waiting);
     }
 
     /// Gives whether nothing is owed to the client any more.
-    fn answered(&mut self, now: i64, key: ConnectionKey, region: &str, until: i64) -> bool {
+    fn try_answer(&mut self, now: i64, key: ConnectionKey, region: &str, until: i64) -> bool {
         if !self.connections.contains_key(key) {
             return true;
         }
         let addresses = lookup::addresses(&self.core.members(now), region);
         if !addresses.is_empty() {
-            self.answer(key, 200, &lookup::body(&addresses, self.ttl));
+            self.answer(key, 200, &lookup::answer_body(&addresses, self.ttl));
             return true;
         }
         if now < until {
--- a/crates/control/src/host/platform_poller.rs
+++ b/crates/control/src/host/platform_poller.rs
@@ -10,7 +10,7 @@
 use crate::limits;
 
 /// After so many rounds in a row that came to nothing, another replica may do better.
-const FAILURES: u32 = 3;
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 
 /// A round that is under way.
 #[derive(Debug)]
@@ -27,13 +27,13 @@
 pub(super) struct PlatformPoller {
     pub(super) address: SocketAddr,
     /// Between two calls.
-    gap: i64,
+    call_interval: i64,
     /// The next round begins then, and no call is made before `free`.
-    next: i64,
-    free: i64,
+    next_poll: i64,
+    next_call: i64,
     pub(super) connection: Option<ConnectionKey>,
     round: Option<PollRound>,
-    failed: u32,
+    consecutive_failures: u32,
     limits: FrameLimits,
 }
 
@@ -59,32 +59,32 @@
         let (connection, round) = (None, None);
         PlatformPoller {
             address: settings.addr,
-            gap,
-            next: 0,
-            free: 0,
+            call_interval: gap,
+            next_poll: 0,
+            next_call: 0,
             connection,
             round,
-            failed: 0,
+            consecutive_failures: 0,
             limits,
         }
     }
 
     /// To be looked at again then, while this replica has the duty.
-    pub(super) fn wake(&self) -> i64 {
+    pub(super) fn wake_at(&self) -> i64 {
         match &self.round {
-            None => self.next.max(self.free),
+            None => self.next_poll.max(self.next_call),
             Some(PollRound {
                 deadline: Some(deadline),
                 ..
             }) => *deadline,
-            Some(_) => self.free,
+            Some(_) => self.next_call,
         }
     }
 
     /// The request that is due, if one is.
-    pub(super) fn due(&mut self, now: i64) -> Option<String> {
-        if self.round.is_none() && now >= self.next {
-            self.next = now + limits::POLL_INTERVAL;
+    pub(super) fn next_request(&mut self, now: i64) -> Option<String> {
+        if self.round.is_none() && now >= self.next_poll {
+            self.next_poll = now + limits::POLL_INTERVAL;
             self.round = Some(PollRound {
                 servers: Vec::new(),
                 page: None,
@@ -94,8 +94,8 @@
         let round = self
             .round
             .as_mut()
-            .filter(|round| round.deadline.is_none() && now >= self.free)?;
-        self.free = now + self.gap;
+            .filter(|round| round.deadline.is_none() && now >= self.next_call)?;
+        self.next_call = now + self.call_interval;
         round.deadline = Some(now + limits::PAGE_TIMEOUT);
         let query = round.page.as_deref().map(|page| {
             let page: String = form_urlencoded::byte_serialize(page.as_bytes()).collect();
@@ -109,7 +109,7 @@
     }
 
     /// The page that is asked for has not come in time.
-    pub(super) fn late(&self, now: i64) -> bool {
+    pub(super) fn is_overdue(&self, now: i64) -> bool {
         self.round
             .as_ref()
             .and_then(|round| round.deadline)
@@ -117,33 +117,33 @@
     }
 
     /// A call is out.
-    pub(super) fn waits(&self) -> bool {
+    pub(super) fn is_waiting(&self) -> bool {
         self.round
             .as_ref()
             .is_some_and(|round| round.deadline.is_some())
     }
 
     /// Gives the round up; the next one comes at its time. Gives whether too many have failed in a row.
-    pub(super) fn give_up(&mut self) -> bool {
+    pub(super) fn abandon_round(&mut self) -> bool {
         self.round = None;
-        self.failed += 1;
-        if self.failed >= FAILURES {
-            std::mem::take(&mut self.failed) > 0
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES {
+            std::mem::take(&mut self.consecutive_failures) > 0
         } else {
             false
         }
     }
 
     /// This replica has not got the duty: what it has read so far is of no use later.
-    pub(super) fn rest(&mut self) {
+    pub(super) fn pause(&mut self) {
         self.round.take_if(|round| round.deadline.is_none());
-        self.failed = 0;
+        self.consecutive_failures = 0;
     }
 
     /// The connection that was kept had ended: a round is begun anew.
-    pub(super) fn at_once(&mut self, now: i64) {
+    pub(super) fn restart(&mut self, now: i64) {
         self.round = None;
-        self.next = now;
+        self.next_poll = now;
     }
 
     /// Reads what has come. Gives what came of it, and whether the connection may carry the next question.
@@ -169,7 +169,7 @@
         round.servers.extend(page.servers);
         match page.next.filter(|next| !next.is_empty()) {
             None => {
-                self.failed = 0;
+                self.consecutive_failures = 0;
                 Ok((PollResult::Complete(round.servers), kept))
             }
             Some(next) => {
@@ -207,15 +207,20 @@
             max_lag: Default::default(),
         };
         let mut poller = PlatformPoller::new(&settings);
-        assert!(poller.due(0).unwrap().starts_with("GET /insts HTTP"));
+        assert!(
+            poller
+                .next_request(0)
+                .unwrap()
+                .starts_with("GET /insts HTTP")
+        );
         assert!(matches!(
             poller.read(&mut page(r#""p/1""#)).unwrap().0,
             PollResult::MorePages
         ));
-        assert!(poller.due(1_000).is_none());
+        assert!(poller.next_request(1_000).is_none());
         assert!(
             poller
-                .due(poller.wake())
+                .next_request(poller.wake_at())
                 .unwrap()
                 .starts_with("GET /insts?pagetok=p%2F1 HTTP")
         );
@@ -224,15 +229,17 @@
             _ => panic!("no list"),
         }
         // Over the rate: nothing of the round counts, and the next one comes at its time.
-        assert!(poller.due(900_000).is_none());
-        assert!(poller.due(1_000_000).is_some());
+        assert!(poller.next_request(900_000).is_none());
+        assert!(poller.next_request(1_000_000).is_some());
         assert!(
             poller
                 .read(&mut b"HTTP/1.1 429 x\r\nContent-Length: 0\r\n\r\n".to_vec())
                 .is_err()
         );
-        assert!(poller.due(1_900_000).is_none() && poller.due(2_000_000).is_some());
-        assert!(!poller.late(2_999_999) && poller.late(3_000_000));
+        assert!(
+            poller.next_request(1_900_000).is_none() && poller.next_request(2_000_000).is_some()
+        );
+        assert!(!poller.is_overdue(2_999_999) && poller.is_overdue(3_000_000));
     }
 
     #[test]
@@ -244,7 +251,7 @@
         };
         for cut in 0..=page("null").len() {
             let mut poller = PlatformPoller::new(&settings);
-            assert!(poller.due(0).is_some());
+            assert!(poller.next_request(0).is_some());
             let mut input = [page(r#""p/1""#), page("null")[..cut].to_vec()].concat();
             let (come, kept) = poller.read(&mut input).unwrap();
             assert!(
--- a/crates/control/src/host/stall.rs
+++ b/crates/control/src/host/stall.rs
@@ -13,37 +13,37 @@
 /// When the loop last turned, and for how many turns what is found may be old.
 #[derive(Debug, Default)]
 pub(super) struct StallDetector {
-    turned: i64,
-    turns: u32,
+    last_iteration_at: i64,
+    suspect_iterations: u32,
 }
 
 impl StallDetector {
     /// The loop has turned.
-    pub(super) fn turned(&mut self, now: i64) {
-        self.turned = now;
-        self.turns = self.turns.saturating_sub(1);
+    pub(super) fn record_iteration(&mut self, now: i64) {
+        self.last_iteration_at = now;
+        self.suspect_iterations = self.suspect_iterations.saturating_sub(1);
     }
 
     /// What comes in now may have waited since before.
-    pub(super) fn lasts(&self) -> bool {
-        self.turns > 0
+    pub(super) fn is_suspect(&self) -> bool {
+        self.suspect_iterations > 0
     }
 
     /// Gives for how long the process stood still, once.
-    fn stood(&mut self, now: i64) -> Option<i64> {
-        let stood = now - self.turned;
+    fn detect(&mut self, now: i64) -> Option<i64> {
+        let stood = now - self.last_iteration_at;
         if stood < limits::STALL_THRESHOLD {
             return None;
         }
-        (self.turned, self.turns) = (now, limits::STALL_ITERATIONS);
+        (self.last_iteration_at, self.suspect_iterations) = (now, limits::STALL_ITERATIONS);
         Some(stood)
     }
 }
 
 impl Host {
     /// Looks whether the process stood still; if so, all its links are given up.
-    pub(super) fn look_for_stall(&mut self) {
-        let Some(stood) = self.stall.stood(self.now()) else {
+    pub(super) fn check_for_stall(&mut self) {
+        let Some(stood) = self.stall.detect(self.now()) else {
             return;
         };
         info!(self.log, #IMMEDIATE, "stood still: all links are given up"; "ms" => stood / 1_000);
@@ -58,7 +58,7 @@
         for key in old.map(|(key, _)| key).collect::<Vec<ConnectionKey>>() {
             self.close(key);
         }
-        self.feed(crate::core::Input::Tick);
+        self.step_core(crate::core::Input::Tick);
     }
 }
 
@@ -70,19 +70,19 @@
     fn a_loop_that_turns_never_stood_still_and_one_that_did_says_so_once() {
         let mut stall = StallDetector::default();
         for turn in 1..100 {
-            assert_eq!(stall.stood(turn * 200_000), None);
-            stall.turned(turn * 200_000);
+            assert_eq!(stall.detect(turn * 200_000), None);
+            stall.record_iteration(turn * 200_000);
         }
-        assert!(!stall.lasts());
+        assert!(!stall.is_suspect());
         let now = 99 * 200_000 + limits::STALL_THRESHOLD;
         assert_eq!(
-            (stall.stood(now), stall.stood(now + 1)),
+            (stall.detect(now), stall.detect(now + 1)),
             (Some(limits::STALL_THRESHOLD), None)
         );
         (0..limits::STALL_ITERATIONS).for_each(|_| {
-            assert!(stall.lasts());
-            stall.turned(now + 2);
+            assert!(stall.is_suspect());
+            stall.record_iteration(now + 2);
         });
-        assert!(!stall.lasts());
+        assert!(!stall.is_suspect());
     }
 }
--- a/crates/control/src/lookup.rs
+++ b/crates/control/src/lookup.rs
@@ -10,22 +10,18 @@
 use crate::limits;
 
 /// Fewer than this in the region asked for, and the others are named too.
-const FEW: usize = 2;
+const MIN_LOCAL_NODES: usize = 2;
 
 /// The addresses for a client of a region, best first; none where no edge is ready.
 pub fn addresses(members: &[&Member], region: &str) -> Vec<SocketAddr> {
-    let ready = || {
-        members
-            .iter()
-            .filter(|told| told.standing == NodeState::Ready)
-    };
-    let near = ready().filter(|told| told.edge.region == region);
-    let mut found: Vec<SocketAddr> = near.map(|told| told.edge.http).collect();
-    if found.len() < FEW {
+    let ready = || members.iter().filter(|told| told.state == NodeState::Ready);
+    let near = ready().filter(|told| told.node.region == region);
+    let mut found: Vec<SocketAddr> = near.map(|told| told.node.http).collect();
+    if found.len() < MIN_LOCAL_NODES {
         found.extend(
             ready()
-                .filter(|told| told.edge.region != region)
-                .map(|told| told.edge.http),
+                .filter(|told| told.node.region != region)
+                .map(|told| told.node.http),
         );
     }
     found.truncate(limits::MAX_LOOKUP_ADDRESSES);
@@ -33,7 +29,7 @@
 }
 
 /// The region that a query asks for.
-pub fn region(target: &str) -> Option<String> {
+pub fn requested_region(target: &str) -> Option<String> {
     let query = target.split_once('?')?.1;
     let mut pairs = form_urlencoded::parse(query.as_bytes());
     pairs
@@ -42,7 +38,7 @@
 }
 
 /// The body of an answer that holds for `ttl` microseconds.
-pub fn body(addresses: &[SocketAddr], ttl: i64) -> Vec<u8> {
+pub fn answer_body(addresses: &[SocketAddr], ttl: i64) -> Vec<u8> {
     let addresses: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
     json!({"addrs": addresses, "ttl": format!("{}ms", ttl / 1_000)})
         .to_string()
@@ -58,18 +54,18 @@
     /// Edges as text: region, then r(eady), l(eaving) or a(way); the number is its place.
     fn lookup(edges: &str, asked: &str) -> String {
         let one = |(at, text): (usize, &str)| Member {
-            edge: NodeInfo {
+            node: NodeInfo {
                 name: format!("edge-{at}"),
                 zone: format!("{}1", &text[..1]),
                 region: text[..1].to_string(),
                 http: SocketAddr::from(([10, 0, 0, at as u8], 80)),
             },
-            standing: match &text[1..] {
+            state: match &text[1..] {
                 "r" => NodeState::Ready,
                 "l" => NodeState::Draining,
                 _ => NodeState::Unavailable,
             },
-            linked: true,
+            connected: true,
         };
         let members: Vec<Member> = edges.split(' ').enumerate().map(one).collect();
         let found = addresses(&members.iter().collect::<Vec<_>>(), asked);
@@ -93,15 +89,18 @@
     #[test]
     fn a_query_is_read_and_an_answer_written() {
         assert_eq!(
-            region("/api/lookup?name=x.example&region=serra&zone=a").as_deref(),
+            requested_region("/api/lookup?name=x.example&region=serra&zone=a").as_deref(),
             Some("serra")
         );
         assert_eq!(
-            (region("/api/lookup"), region("/api/lookup?name=x")),
+            (
+                requested_region("/api/lookup"),
+                requested_region("/api/lookup?name=x")
+            ),
             (None, None)
         );
-        let text =
-            String::from_utf8(body(&["10.1.0.33:8686".parse().unwrap()], 2_000_000)).unwrap();
+        let text = String::from_utf8(answer_body(&["10.1.0.33:8686".parse().unwrap()], 2_000_000))
+            .unwrap();
         assert_eq!(text, r#"{"addrs":["10.1.0.33:8686"],"ttl":"2000ms"}"#);
     }
 }
--- a/crates/control/tests/answers.rs
+++ b/crates/control/tests/answers.rs
@@ -49,7 +49,7 @@
             address: Some(address(0)),
             seeds: Vec::new(),
             seed: 1,
-            bounds: TransferLimits::default(),
+            transfer_limits: TransferLimits::default(),
             restored: RecoveredState {
                 own,
                 ..RecoveredState::default()
@@ -63,13 +63,13 @@
     }
 
     fn take(&mut self, input: Input) {
-        self.core.take(self.now, input, &mut self.out);
+        self.core.step(self.now, input, &mut self.out);
     }
 
     fn heard(&mut self, replica: u8, body: Payload) {
         let incarnations = vec![Incarnation::FIRST; 3];
         let message = PeerMessage {
-            by: speaker(replica, 1),
+            sender: speaker(replica, 1),
             incarnations,
             body,
         };
@@ -82,7 +82,7 @@
             self.heard(
                 replica,
                 Payload::Heartbeat(Heartbeat {
-                    hears: 0b111,
+                    reachable: 0b111,
                     ..Heartbeat::default()
                 }),
             );
@@ -124,7 +124,7 @@
         duty: SingletonRole::PlatformPoller,
         term: Term {
             number,
-            by: speaker(0, run),
+            holder: speaker(0, run),
         },
         at,
         granted: true,
@@ -133,7 +133,9 @@
     for replica in [1, 2] {
         asker.heard(replica, vote(RUN - 1));
         assert_eq!(
-            asker.core.holds(asker.now, SingletonRole::PlatformPoller),
+            asker
+                .core
+                .acting_term(asker.now, SingletonRole::PlatformPoller),
             None
         );
     }
@@ -141,7 +143,9 @@
         asker.heard(replica, vote(RUN));
     }
     assert_eq!(
-        asker.core.holds(asker.now, SingletonRole::PlatformPoller),
+        asker
+            .core
+            .acting_term(asker.now, SingletonRole::PlatformPoller),
         Some(number)
     );
 }
@@ -151,7 +155,7 @@
     Chunk {
         after: None,
         items: Vec::new(),
-        then: Continuation::End,
+        continuation: Continuation::End,
     }
 }
 
@@ -170,7 +174,7 @@
         _ => None,
     });
     let id = asked.expect("a question");
-    assert_eq!(id.by, speaker(0, RUN));
+    assert_eq!(id.requester, speaker(0, RUN));
     let answered = |asker: &Asker| {
         asker
             .out
@@ -180,7 +184,7 @@
     // "The same as the asking one": that was another one.
     for replica in [1, 2] {
         let before = RequestId {
-            by: speaker(0, RUN - 1),
+            requester: speaker(0, RUN - 1),
             ..id
         };
         asker.heard(
--- a/crates/control/tests/core.rs
+++ b/crates/control/tests/core.rs
@@ -378,11 +378,11 @@
     let mut out = Vec::new();
     // Below the highest promise, on a register of which nobody knows anything any more.
     let peer_message = PeerMessage {
-        by,
+        sender: by,
         incarnations,
         body,
     };
-    core.take(
+    core.step(
         node.clock.at(cluster.now),
         Input::PeerMessage("10.0.0.0:7740".parse().unwrap(), peer_message),
         &mut out,
@@ -465,12 +465,12 @@
         },
     );
     let mut out = Vec::new();
-    core.take(
+    core.step(
         0,
         Input::Agent(1, AgentMessage::Hello(edge("e1", "a"))),
         &mut out,
     );
-    (1..10).for_each(|beat| core.take(beat * 500 * MS, Input::Tick, &mut out));
+    (1..10).for_each(|beat| core.step(beat * 500 * MS, Input::Tick, &mut out));
     assert!(
         out.iter()
             .any(|output| matches!(output, Output::SendToAgents(_, ControlMessage::Complete))),
@@ -565,7 +565,7 @@
         cluster.nodes[at]
             .core
             .as_ref()
-            .is_some_and(|core| core.polls(cluster.now))
+            .is_some_and(|core| core.polls_platform(cluster.now))
     };
     ALL.iter().for_each(|at| cluster.kill(*at));
     ALL.iter().for_each(|at| cluster.start(*at));
@@ -728,7 +728,7 @@
         let now = cluster.nodes[at].clock.at(cluster.now);
         core.members(now)
             .iter()
-            .map(|told| (told.edge.name.clone(), told.standing))
+            .map(|told| (told.node.name.clone(), told.state))
             .collect::<Vec<_>>()
     };
     let ready = vec![("e1".to_string(), NodeState::Ready)];
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -34,7 +34,7 @@
     node.core
         .as_ref()
         .unwrap()
-        .in_touch(node.clock.at(cluster.now))
+        .has_quorum_contact(node.clock.at(cluster.now))
 }
 
 fn told(cluster: &Cluster, wanted: impl Fn(&ControlMessage) -> bool) -> bool {
@@ -201,6 +201,6 @@
         .as_ref()
         .unwrap()
         .members(node.clock.at(cluster.now));
-    let members: Vec<&str> = members.iter().map(|told| told.edge.name.as_str()).collect();
+    let members: Vec<&str> = members.iter().map(|told| told.node.name.as_str()).collect();
     assert_eq!(members, named);
 }
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -56,14 +56,14 @@
 fn ballot(round: u64) -> Ballot {
     Ballot {
         round,
-        by: speaker(),
+        proposer: speaker(),
     }
 }
 
 fn term() -> Term {
     Term {
         number: 12,
-        by: speaker(),
+        holder: speaker(),
     }
 }
 
@@ -73,14 +73,14 @@
 
 fn question() -> TransferRequest {
     TransferRequest {
-        parts: vec![0, 1, u64::MAX],
+        digests: vec![0, 1, u64::MAX],
         after: Some(name("m")),
     }
 }
 
 fn question_id() -> RequestId {
     RequestId {
-        by: speaker(),
+        requester: speaker(),
         number: 77,
     }
 }
@@ -93,9 +93,9 @@
         http: address(33),
     };
     Member {
-        edge,
-        standing,
-        linked,
+        node: edge,
+        state: standing,
+        connected: linked,
     }
 }
 
@@ -115,7 +115,7 @@
     let piece = |after: Option<ItemName>, then| Chunk {
         after,
         items: vec![entry("n", 8)],
-        then,
+        continuation: then,
     };
     [
         ("the last chunk", piece(None, Continuation::End)),
@@ -132,20 +132,20 @@
 
 fn bodies() -> Vec<(&'static str, Payload)> {
     let beat = Heartbeat {
-        hears: 1 << 127 | 5,
-        chosen: 6,
-        servers: (7, 8),
-        members: 9,
-        time: -10,
+        reachable: 1 << 127 | 5,
+        chosen_digest: 6,
+        server_list_version: (7, 8),
+        membership_digest: 9,
+        counter_clock: -10,
     };
     let moved = MembershipDelta {
-        before: 1,
-        after: 2,
-        told: vec![
+        digest_before: 1,
+        digest_after: 2,
+        changed: vec![
             told(NodeState::Ready, true),
             told(NodeState::Unavailable, false),
         ],
-        gone: vec!["edge-9".into()],
+        removed: vec!["edge-9".into()],
     };
     let share = Share {
         offered: vec![(0, 1.5), (63, 2.0)],
@@ -341,7 +341,7 @@
     insta::assert_snapshot!("peer-messages", text);
     insta::assert_snapshot!(
         "continuations",
-        variants(&pieces().map(|(label, piece)| (label, piece.then)))
+        variants(&pieces().map(|(label, piece)| (label, piece.continuation)))
     );
     insta::assert_snapshot!(
         "roles",
@@ -356,7 +356,7 @@
 fn frames_between_replicas_keep_their_bytes() {
     let incarnations = vec![Incarnation::FIRST, Incarnation::NONE, speaker().incarnation];
     let message = PeerMessage {
-        by: speaker(),
+        sender: speaker(),
         incarnations,
         body: Payload::MemberListRequest,
     };
@@ -422,7 +422,7 @@
 
 #[test]
 fn an_answer_to_where_to_go_keeps_its_keys() {
-    let body = lookup::body(&[address(33), address(34)], 2_000_000);
+    let body = lookup::answer_body(&[address(33), address(34)], 2_000_000);
     insta::assert_snapshot!("lookup-answer", String::from_utf8(body).unwrap());
 }
 
--- a/crates/control/tests/rounds.rs
+++ b/crates/control/tests/rounds.rs
@@ -23,7 +23,7 @@
 fn ballot(round: u64, replica: ReplicaId, run: u32) -> Ballot {
     Ballot {
         round,
-        by: ProcessId {
+        proposer: ProcessId {
             replica,
             incarnation: Incarnation::FIRST,
             run,
@@ -49,14 +49,14 @@
     let mut news = ChosenItems::default();
     let mut round = Proposal::new(want, 0, 1_000_000);
     let own = ballot(1, 0, 1);
-    round.begin(0, own);
+    round.start(0, own);
     let replicas = three();
     assert_eq!(
-        round.promised(0, (0, Incarnation::FIRST), vec![], &replicas, &news),
+        round.handle_promise(0, (0, Incarnation::FIRST), vec![], &replicas, &news),
         vec![]
     );
     news.learn(ballot(1, 1, 0), chosen);
-    round.promised(
+    round.handle_promise(
         0,
         (2, Incarnation::FIRST),
         vec![(ballot(1, 0, 0), left)],
@@ -73,12 +73,12 @@
 #[test_case("2", "1", "2" => Outcome::Done; "what is left has another content and the wanted one is chosen")]
 fn of_a_version_the_chosen_content_decides(wanted: &str, left: &str, chosen: &str) -> Outcome {
     let steps = decided(
-        Intent::Items(vec![service(wanted)]),
+        Intent::SetItems(vec![service(wanted)]),
         service(left),
         &service(chosen),
     );
     match steps.as_slice() {
-        [Action::Outcome(outcome), Action::Over] => *outcome,
+        [Action::Report(outcome), Action::Finished] => *outcome,
         other => panic!("{other:?}"),
     }
 }
@@ -87,14 +87,14 @@
 fn a_zone_is_judged_by_what_is_chosen() {
     let zone = |ver, spec: &str| item(ItemKind::Zone, ver, spec);
     let steps = decided(
-        Intent::Zone(zone(1, "true").name, true),
+        Intent::SetEvacuation(zone(1, "true").name, true),
         zone(1, "true"),
         &zone(2, "false"),
     );
     let proposed = vec![zone(3, "true")];
     assert_eq!(
         steps,
-        vec![Action::All(Payload::Accept {
+        vec![Action::Broadcast(Payload::Accept {
             ballot: ballot(1, 0, 1),
             items: proposed
         })]
--- a/crates/control/tests/second_loss.rs
+++ b/crates/control/tests/second_loss.rs
@@ -92,7 +92,7 @@
         cluster.nodes[4]
             .core
             .as_ref()
-            .is_some_and(|core| core.aside())
+            .is_some_and(|core| core.is_superseded())
     );
     cluster.stop(4);
     cluster.run(2 * SECOND);
@@ -104,7 +104,7 @@
             && cluster.nodes[new]
                 .core
                 .as_ref()
-                .is_some_and(|core| core.takes_part())
+                .is_some_and(|core| core.is_participant())
     );
     assert_eq!(copies(&cluster, 7), 6);
 }
@@ -119,7 +119,7 @@
     cluster.cut(&[0, 1], &[2, 3, 5]);
     cluster.start(4);
     cluster.run(20 * MS);
-    assert!(!cluster.nodes[4].core.as_ref().unwrap().takes_part());
+    assert!(!cluster.nodes[4].core.as_ref().unwrap().is_participant());
     cluster.stop(4);
     cluster.run(3 * SECOND);
     assert!(ended(&cluster, 4));
@@ -139,7 +139,8 @@
     let candidates = [cluster.add(2), cluster.add(2)];
     candidates.iter().for_each(|at| cluster.start(*at));
     cluster.run(3 * SECOND);
-    let part = |cluster: &Cluster, at: usize| cluster.nodes[at].core.as_ref().unwrap().takes_part();
+    let part =
+        |cluster: &Cluster, at: usize| cluster.nodes[at].core.as_ref().unwrap().is_participant();
     let won: Vec<usize> = candidates
         .into_iter()
         .filter(|at| part(&cluster, *at))
--- a/crates/control/tests/transfers.rs
+++ b/crates/control/tests/transfers.rs
@@ -62,7 +62,7 @@
             zone,
             seed: 1,
             restored,
-            bounds,
+            transfer_limits: bounds,
             ..ReplicaConfig::default()
         },
     )
@@ -70,7 +70,7 @@
 
 fn take(core: &mut Core, now: i64, input: Input) -> Vec<Output> {
     let mut out = Vec::new();
-    core.take(now, input, &mut out);
+    core.step(now, input, &mut out);
     out
 }
 
@@ -128,7 +128,7 @@
     Input::PeerMessage(
         (OTHER, 7740).into(),
         PeerMessage {
-            by,
+            sender: by,
             incarnations,
             body,
         },
@@ -153,8 +153,8 @@
         let hears = 0b11;
         from_other(Payload::Heartbeat(
             control::core::peer_messages::Heartbeat {
-                hears,
-                chosen,
+                reachable: hears,
+                chosen_digest: chosen,
                 ..Default::default()
             },
         ))
@@ -230,7 +230,7 @@
         learn(id, 0, 3, Continuation::RequestMore)
     )));
     let ver = |core: &Core, at| {
-        core.chosen()
+        core.chosen_items()
             .find(|other| other.name == item(at).name)
             .map(|item| item.ver)
     };
--- a/crates/model-check/tests/side_by_side/names.rs
+++ b/crates/model-check/tests/side_by_side/names.rs
@@ -72,15 +72,15 @@
     }
 
     pub fn ballot(&self, real: code::Ballot) -> Ballot {
-        let replica = usize::from(real.by.replica);
+        let replica = usize::from(real.proposer.replica);
         if real.round == 0 {
             return Ballot::default();
         }
-        let run = self.runs[&(replica, real.by.incarnation, real.by.run)];
+        let run = self.runs[&(replica, real.proposer.incarnation, real.proposer.run)];
         Ballot::new(
             real.round as u8,
             replica,
-            self.incarnation(replica, real.by.incarnation),
+            self.incarnation(replica, real.proposer.incarnation),
             run,
         )
     }
--- a/crates/model-check/tests/side_by_side/world.rs
+++ b/crates/model-check/tests/side_by_side/world.rs
@@ -124,7 +124,7 @@
                 .collect(),
             zones,
             seed: seed << 8 | machine as u64,
-            bounds: TransferLimits::default(),
+            transfer_limits: TransferLimits::default(),
             restored: RecoveredState {
                 own: disk.own.clone(),
                 registers: disk
@@ -154,7 +154,7 @@
             let Some(core) = &mut self.cores[at] else {
                 return given;
             };
-            core.take(NOW, input, &mut out);
+            core.step(NOW, input, &mut out);
             for output in out {
                 match output {
                     Output::SendToReplicas(to, message) => {
@@ -193,7 +193,7 @@
         let (model, disk) = (&self.state.machines[at], &self.disks[at]);
         let Some(core) = &self.cores[at] else { return };
         assert_eq!(
-            core.takes_part(),
+            core.is_participant(),
             model.takes_part(),
             "machine {at} takes part"
         );
@@ -245,8 +245,8 @@
                 known.machine()
             };
             let body = Payload::Heartbeat(Heartbeat {
-                hears: u128::MAX,
-                time: NOW,
+                reachable: u128::MAX,
+                counter_clock: NOW,
                 ..Heartbeat::default()
             });
             self.told(at, replica, *known, from, body);
@@ -273,7 +273,7 @@
             Input::PeerMessage(
                 address(from),
                 PeerMessage {
-                    by,
+                    sender: by,
                     incarnations,
                     body,
                 },
@@ -286,7 +286,7 @@
         self.touch(at);
         let idle = self.cores[at]
             .as_ref()
-            .is_some_and(|core| core.sizes().rounds == 0);
+            .is_some_and(|core| core.pending_counts().proposals == 0);
         if !idle || !self.state.machines[at].takes_part() {
             return;
         }
@@ -438,10 +438,12 @@
         if self.over {
             return;
         }
-        let replica = usize::from(mail.message.by.replica);
+        let replica = usize::from(mail.message.sender.replica);
         let speaker = Speaker {
             machine: mail.from,
-            incarnation: self.names.incarnation(replica, mail.message.by.incarnation),
+            incarnation: self
+                .names
+                .incarnation(replica, mail.message.sender.incarnation),
             table: self.names.table(&mail.message.incarnations),
         };
         let own = &self.state.machines[at];
@@ -469,7 +471,7 @@
                 incarnation,
                 question,
             } => {
-                let anew = question.parts == Digests::default().buckets();
+                let anew = question.digests == Digests::default().buckets();
                 self.record(at, replica, *incarnation, anew, &given);
             }
             Payload::IncarnationRecorded {
@@ -510,10 +512,10 @@
         if self.over {
             return;
         }
-        let replica = usize::from(message.by.replica);
+        let replica = usize::from(message.sender.replica);
         let mut table = self.names.table(&message.incarnations);
         table[replica] =
-            table[replica].max(self.names.incarnation(replica, message.by.incarnation));
+            table[replica].max(self.names.incarnation(replica, message.sender.incarnation));
         let before = self.state.machines[at].status;
         for (replica, incarnation) in table.iter().enumerate().take(self.state.replicas()) {
             self.state
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -306,8 +306,8 @@
             return;
         };
         let mut out = Vec::new();
-        core.take(node.clock.at(now) + off, input, &mut out);
-        let next = node.clock.when(core.next() - off);
+        core.step(node.clock.at(now) + off, input, &mut out);
+        let next = node.clock.when(core.wake_at() - off);
         if next <= now {
             self.fault(
                 "turn",
--- a/crates/simulation/src/cluster/leave.rs
+++ b/crates/simulation/src/cluster/leave.rs
@@ -35,8 +35,8 @@
             return;
         };
         let since = self.now - told;
-        let answered = core.idle() || since >= limits::SHUTDOWN_CALL_TIMEOUT;
-        let handed = (answered && core.handed_over() && !node.frozen) || self.has(Bug::Leave);
+        let answered = core.is_idle() || since >= limits::SHUTDOWN_CALL_TIMEOUT;
+        let handed = (answered && core.is_handed_over() && !node.frozen) || self.has(Bug::Leave);
         let grace = if node.frozen {
             GRACE
         } else {
--- a/crates/simulation/src/cluster/lines.rs
+++ b/crates/simulation/src/cluster/lines.rs
@@ -15,16 +15,19 @@
             };
             let now = node.clock.at(self.now);
             let mut text = match core {
-                core if core.aside() => "x",
-                core if !core.takes_part() => "r",
-                core if !core.in_touch(now) => "-",
+                core if core.is_superseded() => "x",
+                core if !core.is_participant() => "r",
+                core if !core.has_quorum_contact(now) => "-",
                 _ => "o",
             }
             .to_string();
-            text.extend(core.holds(now, SingletonRole::PlatformPoller).map(|_| 'P'));
-            text.extend(core.holds(now, SingletonRole::Counter).map(|_| 'C'));
+            text.extend(
+                core.acting_term(now, SingletonRole::PlatformPoller)
+                    .map(|_| 'P'),
+            );
+            text.extend(core.acting_term(now, SingletonRole::Counter).map(|_| 'C'));
             for name in names {
-                let found = core.chosen().find(|item| item.name.name == *name);
+                let found = core.chosen_items().find(|item| item.name.name == *name);
                 text.push_str(&found.map_or("_".to_string(), |item| item.ver.to_string()));
             }
             text
--- a/crates/simulation/src/cluster/machines.rs
+++ b/crates/simulation/src/cluster/machines.rs
@@ -81,7 +81,7 @@
             seeds,
             seed: mix(&[self.seed, 2, at as u64, node.incarnation]),
             restored: node.disk.restore(),
-            bounds: BOUNDS,
+            transfer_limits: BOUNDS,
         };
         let core = Core::new(node.clock.at(self.now), setup);
         node.peers = core.peers();
--- a/crates/simulation/src/cluster/watch.rs
+++ b/crates/simulation/src/cluster/watch.rs
@@ -15,7 +15,7 @@
         let node = &self.nodes[at];
         node.core
             .as_ref()?
-            .holds(node.clock.at(self.now) + self.off(at), duty)
+            .acting_term(node.clock.at(self.now) + self.off(at), duty)
     }
 
     /// Who holds a duty now.
@@ -71,7 +71,7 @@
     pub fn check_contents(&mut self) {
         let mut faults = Vec::new();
         for (at, node) in self.nodes.iter().enumerate() {
-            for item in node.core.iter().flat_map(Core::chosen) {
+            for item in node.core.iter().flat_map(Core::chosen_items) {
                 let key = (item.name.clone(), item.ver);
                 let first = self
                     .contents
@@ -114,7 +114,7 @@
 
     /// What a machine knows to be chosen.
     pub fn chosen(&self, at: usize) -> BTreeMap<ItemName, Item> {
-        let items = self.nodes[at].core.iter().flat_map(Core::chosen);
+        let items = self.nodes[at].core.iter().flat_map(Core::chosen_items);
         items
             .map(|item| (item.name.clone(), item.clone()))
             .collect()
--- a/crates/simulation/src/harm.rs
+++ b/crates/simulation/src/harm.rs
@@ -197,10 +197,10 @@
                 peer_message.body = Payload::Accepted(*ballot)
             }
             (Some(Bug::Asked), Payload::RegisterChunk { id, .. }) => {
-                id.by = self.speaker(to).unwrap_or(id.by)
+                id.requester = self.speaker(to).unwrap_or(id.requester)
             }
             (Some(Bug::Asked), Payload::LeaseVote { term, .. }) => {
-                term.by = self.speaker(to).unwrap_or(term.by)
+                term.holder = self.speaker(to).unwrap_or(term.holder)
             }
             (Some(Bug::Versions), Payload::Promise { accepted, .. }) => {
                 accepted
@@ -228,7 +228,7 @@
             (Some(Bug::Hollow), Payload::IncarnationRecorded { piece, .. }) => piece.items.clear(),
             (Some(Bug::Untold), Payload::ChosenChunk { items, .. }) => items.clear(),
             (Some(Bug::Partial), Payload::IncarnationRecorded { piece, .. }) => {
-                piece.then = Continuation::End
+                piece.continuation = Continuation::End
             }
             (Some(Bug::Undropped), Payload::ChosenChunk { items, .. }) => {
                 items.retain(|(_, item)| item.spec.is_some())
@@ -247,8 +247,9 @@
                     Payload::Promise { .. } | Payload::Accepted(_) | Payload::LeaseVote { .. }
                 );
                 let zone = self.nodes[from].zone;
-                if votes && peer_message.by.incarnation != Incarnation::NONE {
-                    peer_message.by.incarnation = newest(zone).max(peer_message.by.incarnation);
+                if votes && peer_message.sender.incarnation != Incarnation::NONE {
+                    peer_message.sender.incarnation =
+                        newest(zone).max(peer_message.sender.incarnation);
                 }
                 if !self.holding().contains(&to) {
                     peer_message.incarnations[self.nodes[to].zone] = Incarnation::NONE;
--- a/crates/simulation/src/play/copies.rs
+++ b/crates/simulation/src/play/copies.rs
@@ -16,7 +16,7 @@
             let touch = node
                 .core
                 .as_ref()
-                .is_some_and(|core| core.in_touch(node.clock.at(now)));
+                .is_some_and(|core| core.has_quorum_contact(node.clock.at(now)));
             if !touch || !self.good(*at) || !self.lossless() {
                 self.touch_since[replica] = now;
             }
--- a/crates/simulation/src/play/cut_off.rs
+++ b/crates/simulation/src/play/cut_off.rs
@@ -86,18 +86,18 @@
             };
             for told in core.members(node.clock.at(now) + self.cluster.off(at)) {
                 let edge = told
-                    .edge
+                    .node
                     .name
                     .strip_prefix("edge-")
                     .and_then(|number| number.parse::<usize>().ok());
                 let Some(edge) = edge.and_then(|edge| self.cluster.edges.get(edge)) else {
                     continue;
                 };
-                if told.standing == NodeState::Ready && now - edge.heard > NAMED {
+                if told.state == NodeState::Ready && now - edge.heard > NAMED {
                     let silent = (now - edge.heard) / MS;
                     faults.push(format!(
                         "machine {at} names {}, heard nowhere for {silent} ms",
-                        told.edge.name
+                        told.node.name
                     ));
                 }
             }
--- a/crates/simulation/src/play/rules.rs
+++ b/crates/simulation/src/play/rules.rs
@@ -30,7 +30,7 @@
     /// A machine that runs, takes part, and whose disk does.
     pub(super) fn good(&self, at: usize) -> bool {
         let node = &self.cluster.nodes[at];
-        let takes_part = node.core.as_ref().is_some_and(|core| core.takes_part());
+        let takes_part = node.core.as_ref().is_some_and(|core| core.is_participant());
         takes_part
             && node.stopping.is_none()
             && !node.frozen
@@ -133,8 +133,8 @@
             let Some(core) = &self.cluster.nodes[at].core else {
                 continue;
             };
-            let sizes = core.sizes();
-            let held = sizes.rounds + sizes.readings + sizes.calls + sizes.after;
+            let sizes = core.pending_counts();
+            let held = sizes.proposals + sizes.reads + sizes.calls + sizes.writes;
             self.outcome.held = self.outcome.held.max(held);
             if held > HELD {
                 self.fault("memory", format!("machine {at} holds {sizes:?}"));
@@ -182,7 +182,7 @@
             for item in node
                 .core
                 .iter()
-                .flat_map(|core| core.chosen())
+                .flat_map(|core| core.chosen_items())
                 .filter(|item| item.name.name == "s0")
             {
                 if item
@@ -324,7 +324,7 @@
             let members = core.members(self.cluster.nodes[replica].clock.at(now));
             for (at, edge) in self.cluster.edges.iter().enumerate() {
                 let node = format!("edge-{at}");
-                let told = members.iter().find(|told| told.edge.name == node);
+                let told = members.iter().find(|told| told.node.name == node);
                 if now - edge.heard > OUT && told.is_some() {
                     faults.push(format!(
                         "{node} is a member at {replica} {} ms after it was heard",
@@ -333,7 +333,7 @@
                 }
                 let calm =
                     now >= (self.edge_since[at] + 4 * SECOND).max(self.ready_since[at] + TOLD);
-                if calm && told.is_none_or(|told| told.standing != NodeState::Ready) {
+                if calm && told.is_none_or(|told| told.state != NodeState::Ready) {
                     faults.push(format!("{node} serves and is no member at {replica}"));
                 }
             }
@@ -410,8 +410,8 @@
             let Some(core) = &self.cluster.nodes[*at].core else {
                 continue;
             };
-            let sizes = core.sizes();
-            if sizes.rounds + sizes.calls + sizes.readings + sizes.after + sizes.unfinished > 0 {
+            let sizes = core.pending_counts();
+            if sizes.proposals + sizes.calls + sizes.reads + sizes.writes + sizes.repairs > 0 {
                 self.fault("memory", format!("machine {at} still holds {sizes:?}"));
             }
         }
--- a/crates/simulation/src/play/transfers.rs
+++ b/crates/simulation/src/play/transfers.rs
@@ -41,7 +41,7 @@
             }
             // It may have gathered all in a run before, and been killed while that went to disk.
             let gathered = self.gathering.get(&at).copied().unwrap_or(started);
-            if core.takes_part() && self.begun[replica] != Some(key) {
+            if core.is_participant() && self.begun[replica] != Some(key) {
                 let first = self.begun[replica].is_none();
                 self.begun[replica] = Some(key);
                 if !first {
@@ -102,9 +102,9 @@
                 spec: None,
             };
             let lacks = if held {
-                lacks(core.accepted(), &wanted)
+                lacks(core.accepted_items(), &wanted)
             } else {
-                lacks(core.chosen(), &wanted)
+                lacks(core.chosen_items(), &wanted)
             };
             lacks.then(|| format!("{name} {ver} was acknowledged and is not there"))
         })
--- a/crates/simulation/src/scale/mod.rs
+++ b/crates/simulation/src/scale/mod.rs
@@ -187,7 +187,7 @@
         world.replicas[new]
             .core
             .as_ref()
-            .is_some_and(|core| core.takes_part())
+            .is_some_and(|core| core.is_participant())
     };
     report.replica.0 = world.until(30 * SECOND, takes_part).map(|when| when - at);
     let wanted = size.items.max(1);
@@ -195,7 +195,7 @@
         let chosen = world.replicas[new]
             .core
             .as_ref()
-            .map_or(0, |core| core.chosen().count());
+            .map_or(0, |core| core.chosen_items().count());
         takes_part(world) && chosen >= wanted
     };
     report.replica.1 = world.until(30 * SECOND, knows).map(|when| when - at);
--- a/crates/simulation/src/scale/transfer.rs
+++ b/crates/simulation/src/scale/transfer.rs
@@ -95,7 +95,7 @@
         world.replicas[new]
             .core
             .as_ref()
-            .is_some_and(|core| core.takes_part())
+            .is_some_and(|core| core.is_participant())
     };
     let mut seen = Return {
         takes_part: world.until(WITHIN, takes_part).map(|when| when - at),
--- a/crates/simulation/src/scale/world.rs
+++ b/crates/simulation/src/scale/world.rs
@@ -243,7 +243,7 @@
             seeds,
             seed: 77 + at as u64,
             restored,
-            bounds: TransferLimits::default(),
+            transfer_limits: TransferLimits::default(),
         };
         let offset = 1_000 * SECOND + at as i64 * 7_919;
         let core = Core::new(self.now + offset, setup);
@@ -337,8 +337,8 @@
             return;
         };
         let (mut out, start) = (Vec::new(), Instant::now());
-        core.take(now + replica.offset, input, &mut out);
-        let next = core.next() - replica.offset;
+        core.step(now + replica.offset, input, &mut out);
+        let next = core.wake_at() - replica.offset;
         let spent = start.elapsed();
         replica.spent += spent;
         replica.longest = replica.longest.max(spent);
