--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -8,7 +8,7 @@
 
 use super::peer_messages::{ReplicaId, SingletonRole};
 use super::transfer::split_into_chunks;
-use super::{Core, Output};
+use super::{Output, Replica};
 use crate::limits;
 
 /// What has changed of who is who.
@@ -114,7 +114,7 @@
     }
 }
 
-impl Core {
+impl Replica {
     /// A message of an agent.
     pub(super) fn handle_agent_message(
         &mut self,
@@ -188,7 +188,7 @@
                 self.membership.handle_heartbeat(now, link, standing)
             }
             AgentMessage::LoadReports(reports) => {
-                let me = self.replicas.local().replica;
+                let me = self.table.local().replica;
                 self.load.handle_reports(now, me, link, &reports);
                 false
             }
@@ -240,7 +240,7 @@
             .position(|other| other == zone)
             .map(|replica| replica as ReplicaId);
         replica.is_some_and(|replica| {
-            replica != self.replicas.local().replica && self.replicas.is_reachable(now, replica)
+            replica != self.table.local().replica && self.table.is_reachable(now, replica)
         })
     }
 
@@ -304,7 +304,7 @@
         }
         if !more {
             self.agents.pending.remove(&link);
-            if self.up_to_date && self.replicas.has_quorum_contact(now) {
+            if self.up_to_date && self.table.has_quorum_contact(now) {
                 out.push(Output::SendToAgents(vec![link], ControlMessage::Complete));
             }
         }
@@ -365,27 +365,27 @@
         let holder = self.role_leases[SingletonRole::Counter as usize].known_holder(now);
         let own = self
             .acting_term(now, SingletonRole::Counter)
-            .map(|term| (self.replicas.local().replica, term));
+            .map(|term| (self.table.local().replica, term));
         let (replica, term) = own.or(holder.map(|term| (term.holder.replica, term.number)))?;
-        Some((self.replicas.address(replica)?, term))
+        Some((self.table.address(replica)?, term))
     }
 
     fn cluster_view(&self, now: i64, zone: &str) -> AnnouncedView {
         let (limiters, in_zone) = self.membership.serving_counts(zone);
         let who = ClusterView {
             replicas: self
-                .replicas
+                .table
                 .addresses_by_zone(&self.zones)
                 .map(|(zone, at)| (zone.to_string(), at))
                 .collect(),
             counter: self.counter_holder(now),
-            has_quorum: self.replicas.has_quorum_contact(now) && !self.shutting_down,
+            has_quorum: self.table.has_quorum_contact(now) && !self.shutting_down,
             limiters: limiters.max(self.membership.recently_serving_count() as u32),
             limiters_in_zone: in_zone,
         };
         AnnouncedView {
             view: who,
-            table_revision: self.replicas.revision(),
+            table_revision: self.table.revision(),
         }
     }
 
@@ -395,10 +395,10 @@
         let before = &told.view;
         let (limiters, in_zone) = self.membership.serving_counts(zone);
         let limiters = limiters.max(self.membership.recently_serving_count() as u32);
-        let in_touch = self.replicas.has_quorum_contact(now) && !self.shutting_down;
+        let in_touch = self.table.has_quorum_contact(now) && !self.shutting_down;
         if before.counter != self.counter_holder(now)
             || before.has_quorum != in_touch
-            || told.table_revision != self.replicas.revision()
+            || told.table_revision != self.table.revision()
         {
             return ViewChange::Major;
         }
--- a/crates/control/src/core/agreement.rs
+++ b/crates/control/src/core/agreement.rs
@@ -11,7 +11,7 @@
 use super::peer_messages::{Ballot, Incarnation, Payload, ReplicaId, RequestId, TransferRequest};
 use super::proposal::{Action, Intent, Outcome, Proposal};
 use super::transfer::{Chunk, Continuation, TransferProgress};
-use super::{Core, Output, Record, role_lease};
+use super::{Output, Record, Replica, role_lease};
 use crate::limits;
 use crate::operator_api::{Command, Reply};
 
@@ -77,7 +77,7 @@
     }
 }
 
-impl Core {
+impl Replica {
     /// Begins what operators ask.
     pub(super) fn handle_call(
         &mut self,
@@ -91,11 +91,11 @@
         if command == Command::GetStatus {
             return out.push(Output::Answer(call, Reply::Status(self.status(now).json())));
         }
-        let no = if !self.replicas.is_participant() {
+        let no = if !self.table.is_participant() {
             Some("this replica has not rebuilt, or was replaced")
         } else if self.shutting_down {
             Some("this process is about to end")
-        } else if !self.replicas.has_quorum_contact(now) {
+        } else if !self.table.has_quorum_contact(now) {
             Some("more than half of the replicas are out of touch")
         } else if self.disk_full && command != Command::GetConfiguration {
             Some(DISK_REJECTS_WRITES)
@@ -174,8 +174,8 @@
     /// Begins rounds that wait, sends again what was not answered, and ends what took too long.
     pub(super) fn drive_proposals(&mut self, now: i64, out: &mut Vec<Output>) {
         let finish = self.repair_wake_at().is_some_and(|wake| wake <= now);
-        if finish && self.has_quorum_contact && self.replicas.is_participant() && !self.disk_full {
-            let names = self.pending.take_due(now, self.replicas.local().replica);
+        if finish && self.has_quorum_contact && self.table.is_participant() && !self.disk_full {
+            let names = self.pending.take_due(now, self.table.local().replica);
             if !names.is_empty() {
                 let number = self.next_request_id();
                 self.proposals.insert(
@@ -193,7 +193,7 @@
             let Some(round) = self.proposals.get(&number) else {
                 continue;
             };
-            if now >= round.deadline || !self.replicas.is_participant() {
+            if now >= round.deadline || !self.table.is_participant() {
                 // The others' votes may do without this replica's; where they did not, its disk is what is to be mended.
                 let why = if self.disk_full {
                     DISK_REJECTS_WRITES
@@ -224,7 +224,7 @@
                 self.highest_round += 1;
                 let ballot = Ballot {
                     round: role_lease::next_round(round.highest_seen, self.highest_round),
-                    proposer: self.replicas.local(),
+                    proposer: self.table.local(),
                 };
                 self.highest_round = ballot.round;
                 let step = self
@@ -249,7 +249,7 @@
 
     /// When what is not known to be chosen is to be finished. While the others tell what is, there is no need.
     pub(super) fn repair_wake_at(&self) -> Option<i64> {
-        let wake = self.pending.wake_at(self.replicas.local().replica)?;
+        let wake = self.pending.wake_at(self.table.local().replica)?;
         Some(if self.is_exchanging() {
             wake.max(self.next_sync)
         } else {
@@ -321,11 +321,11 @@
         let Some(round) = self.proposals.get(&number) else {
             return;
         };
-        let me = self.replicas.local().replica;
-        let to = (0..self.replicas.len() as ReplicaId)
+        let me = self.table.local().replica;
+        let to = (0..self.table.len() as ReplicaId)
             .filter(|replica| *replica != me && round.awaits_vote_of(*replica));
         let to = to
-            .filter_map(|replica| self.replicas.address(replica))
+            .filter_map(|replica| self.table.address(replica))
             .collect();
         let own = round.awaits_vote_of(me);
         self.send(to, body.clone(), out);
@@ -484,7 +484,7 @@
                 let Some(round) = self.proposals.get_mut(&number) else {
                     return;
                 };
-                let steps = round.handle_promise(now, by, accepted, &self.replicas, &self.chosen);
+                let steps = round.handle_promise(now, by, accepted, &self.table, &self.chosen);
                 self.apply_actions(now, number, steps, out);
             }
             Payload::Accepted(ballot) => {
@@ -494,7 +494,7 @@
                 let Some(round) = self.proposals.get_mut(&number) else {
                     return;
                 };
-                let steps = round.handle_accepted(by, &self.replicas);
+                let steps = round.handle_accepted(by, &self.table);
                 self.apply_actions(now, number, steps, out);
             }
             Payload::Nack { ballot, seen } => {
@@ -511,18 +511,18 @@
                 let Some(round) = self.proposals.get_mut(&number) else {
                     return;
                 };
-                let steps = round.handle_nack(now, by.0, seen, pause, &self.replicas);
+                let steps = round.handle_nack(now, by.0, seen, pause, &self.table);
                 self.apply_actions(now, number, steps, out);
             }
-            Payload::RegisterChunk { id, piece } => {
+            Payload::RegisterChunk { id, chunk: piece } => {
                 self.handle_register_chunk(now, id, (from, by), piece, out)
             }
             Payload::LeaseVote {
-                duty,
+                role: duty,
                 term,
-                at,
+                sent_at: at,
                 granted,
-                newest,
+                newest_term: newest,
             } => {
                 self.handle_lease_vote(now, by, duty, term, at, (granted, newest), out);
             }
@@ -547,7 +547,7 @@
         out: &mut Vec<Output>,
     ) {
         let id = self.next_request_id();
-        let me = self.replicas.local();
+        let me = self.table.local();
         let found = self
             .registers
             .accepted_entries()
@@ -566,7 +566,7 @@
         self.broadcast(
             Payload::ReadRequest {
                 id: self.request_id(id),
-                question: reading.request(me.replica),
+                request: reading.request(me.replica),
             },
             out,
         );
@@ -577,7 +577,7 @@
     /// The question of a reading.
     fn request_id(&self, number: u64) -> RequestId {
         RequestId {
-            requester: self.replicas.local(),
+            requester: self.table.local(),
             number,
         }
     }
@@ -594,7 +594,7 @@
             .registers
             .transfer_chunks(self.transfer_limits, question)
         {
-            self.send(vec![from], Payload::RegisterChunk { id, piece }, out);
+            self.send(vec![from], Payload::RegisterChunk { id, chunk: piece }, out);
         }
     }
 
@@ -639,7 +639,7 @@
                     vec![from],
                     Payload::ReadRequest {
                         id: self.request_id(id),
-                        question,
+                        request: question,
                     },
                     out,
                 );
@@ -655,9 +655,9 @@
         let counted = reading
             .votes
             .iter()
-            .filter(|(replica, incarnation)| self.replicas.is_current(**replica, **incarnation))
+            .filter(|(replica, incarnation)| self.table.is_current(**replica, **incarnation))
             .count();
-        if counted < self.replicas.quorum() {
+        if counted < self.table.quorum() {
             return;
         }
         let open = reading.unconfirmed(&self.chosen);
@@ -727,15 +727,15 @@
                 self.read_whole(now, id, out);
                 continue;
             }
-            let missing = (0..self.replicas.len() as ReplicaId)
+            let missing = (0..self.table.len() as ReplicaId)
                 .filter(|replica| !reading.votes.contains_key(replica));
-            let ask = |replica| Some((self.replicas.address(replica)?, reading.request(replica)));
+            let ask = |replica| Some((self.table.address(replica)?, reading.request(replica)));
             for (to, question) in missing.filter_map(ask).collect::<Vec<_>>() {
                 self.send(
                     vec![to],
                     Payload::ReadRequest {
                         id: self.request_id(id),
-                        question,
+                        request: question,
                     },
                     out,
                 );
--- a/crates/control/src/core/anti_entropy.rs
+++ b/crates/control/src/core/anti_entropy.rs
@@ -10,7 +10,7 @@
 
 use super::peer_messages::{Ballot, Payload, ReplicaId};
 use super::transfer::{Continuation, TransferLimits, continuations, split_into_chunks};
-use super::{Core, Output};
+use super::{Output, Replica};
 use crate::limits;
 
 /// The question about what is chosen that waits for its answer.
@@ -22,7 +22,7 @@
     chunks_received: u32,
 }
 
-impl Core {
+impl Replica {
     /// Asks a replica for what it knows to be chosen and is not known here.
     pub(super) fn request_digest_exchange(&mut self, from: SocketAddr, out: &mut Vec<Output>) {
         let id = self.begin_exchange();
@@ -30,7 +30,7 @@
             vec![from],
             Payload::DigestRequest {
                 id,
-                parts: self.chosen.digest_buckets().to_vec(),
+                digests: self.chosen.digest_buckets().to_vec(),
             },
             out,
         );
@@ -74,9 +74,9 @@
                 vec![from],
                 Payload::ChosenChunk {
                     id,
-                    piece: 0,
+                    sequence: 0,
                     items,
-                    then: Continuation::End,
+                    continuation: Continuation::End,
                 },
                 out,
             );
@@ -146,9 +146,9 @@
                 vec![from],
                 Payload::ChosenChunk {
                     id,
-                    piece,
+                    sequence: piece,
                     items,
-                    then,
+                    continuation: then,
                 },
                 out,
             );
--- a/crates/control/src/core/handover.rs
+++ b/crates/control/src/core/handover.rs
@@ -16,7 +16,7 @@
 use super::outbox::PendingWrite;
 use super::peer_messages::{Ballot, Incarnation, Payload, ReplicaId};
 use super::transfer::{TransferLimits, split_into_chunks};
-use super::{Core, Output};
+use super::{Output, Replica};
 use crate::limits;
 
 /// How far one other replica is.
@@ -87,7 +87,7 @@
     }
 }
 
-impl Core {
+impl Replica {
     /// What this replica holds stands on a majority of the replicas without it; or it was not told to end.
     pub fn is_handed_over(&self) -> bool {
         self.handover.as_ref().is_none_or(|handover| handover.done)
@@ -96,7 +96,7 @@
     /// The process was told to end, or became whole after that.
     pub(super) fn begin_handover(&mut self, now: i64) {
         // One that has rebuilt nothing counts for nothing, and holds nothing that others lack.
-        let done = self.replicas.local().incarnation == Incarnation::NONE;
+        let done = self.table.local().incarnation == Incarnation::NONE;
         self.handover = Some(Handover {
             wake_at: now,
             done,
@@ -121,9 +121,9 @@
 
     /// Whether all is handed over; the first time that it seems so, votes end and all are asked once more.
     fn check_handover(&self, handover: &mut Handover, out: &mut Vec<Output>) -> bool {
-        let others = self.replicas.len() - 1;
-        let needed = self.replicas.quorum().min(others);
-        let aside = self.replicas.is_superseded();
+        let others = self.table.len() - 1;
+        let needed = self.table.quorum().min(others);
+        let aside = self.table.is_superseded();
         if aside {
             return handover.successor_seen && handover.complete_receivers() + 1 >= needed;
         }
@@ -143,15 +143,13 @@
     }
 
     fn request_digests(&self, handover: &mut Handover, out: &mut Vec<Output>) {
-        let me = self.replicas.local().replica;
-        for replica in (0..self.replicas.len() as ReplicaId).filter(|replica| *replica != me) {
+        let me = self.table.local().replica;
+        for replica in (0..self.table.len() as ReplicaId).filter(|replica| *replica != me) {
             let receiver = handover.receivers.entry(replica).or_default();
-            let Some(address) = self.replicas.address(replica) else {
+            let Some(address) = self.table.address(replica) else {
                 continue;
             };
-            if !receiver.is_complete()
-                || (self.replicas.is_superseded() && !handover.successor_seen)
-            {
+            if !receiver.is_complete() || (self.table.is_superseded() && !handover.successor_seen) {
                 receiver.in_flight.clear();
                 self.send(
                     vec![address],
@@ -175,20 +173,20 @@
         items: Vec<(Ballot, Item)>,
         out: &mut Vec<Output>,
     ) {
-        if !self.replicas.is_participant() || self.disk_full {
+        if !self.table.is_participant() || self.disk_full {
             return;
         }
         self.learn_chosen(now, items, out);
         let parts = self.chosen.digest_buckets().to_vec();
         // Only one that is whole speaks under its incarnation, and only the newest one is heard.
         let whole = self
-            .replicas
+            .table
             .is_reachable(now, replica)
-            .then(|| self.replicas.newest_incarnation(replica));
+            .then(|| self.table.newest_incarnation(replica));
         let body = Payload::HandoverAck {
             id,
-            parts,
-            whole: whole.unwrap_or(Incarnation::NONE),
+            digests: parts,
+            slot_incarnation: whole.unwrap_or(Incarnation::NONE),
         };
         // Rows are written in order: once this is there, all before it is.
         self.write(Vec::new(), Some(PendingWrite::Vote(Some(from), body)), out);
@@ -202,7 +200,7 @@
         whole: Incarnation,
         out: &mut Vec<Output>,
     ) {
-        let me = self.replicas.local();
+        let me = self.table.local();
         // Danger: one that is done stays, as it is what keeps this replica from voting.
         let Some(mut handover) = self.handover.take_if(|handover| !handover.done) else {
             return;
--- a/crates/control/src/core/load_aggregation.rs
+++ b/crates/control/src/core/load_aggregation.rs
@@ -9,7 +9,7 @@
 use protocol::messages::ControlMessage;
 
 use super::peer_messages::{Payload, ReplicaId};
-use super::{Core, Output};
+use super::{Output, Replica};
 
 /// A region without levels is told that there are none every so many steps.
 const EMPTY_LEVELS_INTERVAL: u64 = 2;
@@ -93,7 +93,7 @@
     }
 }
 
-impl Core {
+impl Replica {
     /// The judges look at what they were told, and what they find is told on.
     pub(super) fn drive_load_aggregation(&mut self, now: i64, out: &mut Vec<Output>) {
         if now < self.load.next_step_at {
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -184,10 +184,10 @@
 }
 
 /// The control state of one replica.
-pub struct Core {
+pub struct Replica {
     zones: Vec<String>,
     run: u32,
-    replicas: ReplicaTable,
+    table: ReplicaTable,
     registers: Registers,
     chosen: ChosenItems,
     pending: PendingProposals,
@@ -239,9 +239,9 @@
     transfer_limits: TransferLimits,
 }
 
-impl Core {
+impl Replica {
     /// A core that starts now.
-    pub fn new(now: i64, setup: ReplicaConfig) -> Core {
+    pub fn new(now: i64, setup: ReplicaConfig) -> Replica {
         let count = setup.zones.len();
         let replica = setup
             .zones
@@ -280,12 +280,12 @@
         };
         let duties =
             SingletonRole::ALL.map(|duty| RoleLease::new(duty, me, count, terms(duty), now));
-        Core {
+        Replica {
             zones: setup.zones,
             run: own.run,
             highest_round: registers.highest_promise().round,
             recovery: (own.incarnation == Incarnation::NONE).then(Recovery::default),
-            replicas,
+            table: replicas,
             registers,
             chosen: news,
             pending: unfinished,
@@ -378,7 +378,7 @@
             .iter()
             .filter(|rebuild| !rebuild.persisting)
             .map(|rebuild| rebuild.wake_at);
-        let able = self.replicas.is_participant() && self.has_quorum_contact && !self.disk_full;
+        let able = self.table.is_participant() && self.has_quorum_contact && !self.disk_full;
         let finish = self.repair_wake_at().filter(|_| able);
         let able = able && !self.shutting_down;
         let duties = self
@@ -416,7 +416,7 @@
 
     /// This replica does a duty at this instant, in this term.
     pub fn acting_term(&self, now: i64, duty: SingletonRole) -> Option<u64> {
-        let able = self.replicas.is_participant() && !self.shutting_down;
+        let able = self.table.is_participant() && !self.shutting_down;
         self.role_leases[duty as usize]
             .acting_term(now)
             .filter(|_| able)
@@ -425,27 +425,27 @@
     /// The edges whose leases hold at this instant, as this replica knows them.
     pub fn members(&self, now: i64) -> Vec<&Member> {
         self.membership
-            .valid_members(now, self.replicas.has_quorum_contact(now))
+            .valid_members(now, self.table.has_quorum_contact(now))
     }
 
     /// More than half of the replicas are in touch with this one.
     pub fn has_quorum_contact(&self, now: i64) -> bool {
-        self.replicas.has_quorum_contact(now)
+        self.table.has_quorum_contact(now)
     }
 
     /// The replicas to keep a link with at the start.
     pub fn peers(&self) -> Vec<SocketAddr> {
-        self.replicas.peers()
+        self.table.peers()
     }
 
     /// It votes and answers.
     pub fn is_participant(&self) -> bool {
-        self.replicas.is_participant()
+        self.table.is_participant()
     }
 
     /// Its replica has a newer incarnation: it is of no more use.
     pub fn is_superseded(&self) -> bool {
-        self.replicas.is_superseded()
+        self.table.is_superseded()
     }
 
     /// The items that it knows to be chosen.
@@ -465,7 +465,7 @@
 
     /// The incarnation of its replica.
     pub fn incarnation(&self) -> Incarnation {
-        self.replicas.local().incarnation
+        self.table.local().incarnation
     }
 
     /// How much it holds.
@@ -505,7 +505,7 @@
         peer_message: PeerMessage,
         out: &mut Vec<Output>,
     ) {
-        let heard = self.replicas.record_message(now, from, &peer_message);
+        let heard = self.table.record_message(now, from, &peer_message);
         if heard.changed {
             self.handle_replicas_changed(now, out);
         }
@@ -513,7 +513,7 @@
         if heard.returned {
             self.greet_replica(from, out);
         }
-        match peer_message.body {
+        match peer_message.payload {
             Payload::MemberListRequest => self.send(
                 vec![from],
                 Payload::MemberList(self.membership.local_members()),
@@ -522,7 +522,7 @@
             Payload::ServerListRequest => self.send_servers(now, from, out),
             Payload::IncarnationRequest {
                 incarnation,
-                question,
+                request: question,
             } => self.handle_incarnation_request(
                 from,
                 peer_message.sender.replica,
@@ -542,7 +542,7 @@
             _ if !heard.is_current => {}
             Payload::Heartbeat(beat) => self.handle_heartbeat(now, from, by.0, beat, out),
             Payload::ReplicaAddresses(told)
-                if self.replicas.knows_more(&peer_message.incarnations, &told) =>
+                if self.table.knows_more(&peer_message.incarnations, &told) =>
             {
                 self.greet_replica(from, out)
             }
@@ -559,7 +559,7 @@
             Payload::IncarnationRecorded {
                 incarnation,
                 floor,
-                piece,
+                chunk: piece,
                 terms,
             } => {
                 self.handle_incarnation_recorded(
@@ -572,25 +572,29 @@
                     out,
                 );
             }
-            Payload::HandoverAck { id, parts, whole } => {
+            Payload::HandoverAck {
+                id,
+                digests: parts,
+                slot_incarnation: whole,
+            } => {
                 self.handle_slot_report(now, by.0, whole);
                 self.handle_handover_ack((from, by.0), (id, &parts), whole, out);
             }
             Payload::LoadReport { region, services } => {
-                let replicas = (self.replicas.local().replica, by.0);
+                let replicas = (self.table.local().replica, by.0);
                 self.load
                     .handle_peer_share(now, replicas, &region, services);
             }
-            _ if !self.replicas.is_participant() => {}
+            _ if !self.table.is_participant() => {}
             Payload::Prepare { ballot, names } => {
                 self.handle_prepare(now, from, ballot, &names, out)
             }
             Payload::Accept { ballot, items } => self.handle_accept(now, from, ballot, &items, out),
             Payload::LeaseRequest {
-                duty,
+                role: duty,
                 term,
-                at,
-                holds,
+                sent_at: at,
+                renewal: holds,
             } => {
                 self.handle_lease_request(
                     now,
@@ -602,7 +606,11 @@
                     out,
                 );
             }
-            Payload::LeaseRelease { duty, term, vain } => {
+            Payload::LeaseRelease {
+                role: duty,
+                term,
+                unused: vain,
+            } => {
                 self.role_leases[duty as usize].handle_release(
                     now,
                     peer_message.sender,
@@ -610,10 +618,11 @@
                     vain,
                 );
             }
-            Payload::ReadRequest { id, question } => {
-                self.handle_read_request(from, id, &question, out)
-            }
-            Payload::DigestRequest { id, parts } => {
+            Payload::ReadRequest {
+                id,
+                request: question,
+            } => self.handle_read_request(from, id, &question, out),
+            Payload::DigestRequest { id, digests: parts } => {
                 self.handle_digest_request(from, id, &parts, out)
             }
             Payload::DigestEntries { id, entries } => {
@@ -624,9 +633,9 @@
             }
             Payload::ChosenChunk {
                 id,
-                piece,
+                sequence: piece,
                 items,
-                then,
+                continuation: then,
             } => {
                 self.learn_chosen(now, items, out);
                 self.handle_chosen_chunk(now, (from, by.0), id, (piece, then), out);
--- a/crates/control/src/core/outbox.rs
+++ b/crates/control/src/core/outbox.rs
@@ -4,7 +4,7 @@
 
 use super::peer_messages::{Incarnation, Payload, PeerMessage, Term, TransferRequest};
 use super::role_lease::RoleLease;
-use super::{Core, Output, Record, ReplicaMetadata};
+use super::{Output, Record, Replica, ReplicaMetadata};
 
 /// What is done once rows are on disk.
 #[derive(Clone, Debug, PartialEq)]
@@ -17,16 +17,16 @@
     BeginIncarnation(Incarnation),
 }
 
-impl Core {
+impl Replica {
     /// Sends a message.
     pub(super) fn send(&self, to: Vec<SocketAddr>, body: Payload, out: &mut Vec<Output>) {
         if !to.is_empty() {
             out.push(Output::SendToReplicas(
                 to,
                 PeerMessage {
-                    sender: self.replicas.local(),
-                    incarnations: self.replicas.incarnations(),
-                    body,
+                    sender: self.table.local(),
+                    incarnations: self.table.incarnations(),
+                    payload: body,
                 },
             ));
         }
@@ -34,7 +34,7 @@
 
     /// Sends a message to all other replicas.
     pub(super) fn broadcast(&self, body: Payload, out: &mut Vec<Output>) {
-        self.send(self.replicas.other_addresses(), body, out);
+        self.send(self.table.other_addresses(), body, out);
     }
 
     /// Writes rows, and does something once they are on disk.
@@ -59,15 +59,15 @@
     /// What is written down about this replica and the others.
     pub(super) fn metadata(&self) -> ReplicaMetadata {
         ReplicaMetadata {
-            incarnation: self.replicas.local().incarnation,
+            incarnation: self.table.local().incarnation,
             run: self.run,
             floor: self.registers.floor(),
             terms: self
                 .granted_terms()
                 .chain(self.role_leases.iter().map(RoleLease::last_held_term))
                 .collect(),
-            incarnations: self.replicas.incarnations(),
-            addresses: self.replicas.addresses(),
+            incarnations: self.table.incarnations(),
+            addresses: self.table.addresses(),
         }
     }
 
@@ -82,10 +82,10 @@
         match to {
             Some(to) => self.send(vec![to], body, out),
             None => {
-                let me = self.replicas.local();
+                let me = self.table.local();
                 self.handle_vote(
                     now,
-                    (self.replicas.local_address(), (me.replica, me.incarnation)),
+                    (self.table.local_address(), (me.replica, me.incarnation)),
                     body,
                     out,
                 );
@@ -109,7 +109,7 @@
     pub(super) fn handle_written(&mut self, now: i64, number: u64, out: &mut Vec<Output>) {
         for after in self.pending_writes.remove(&number).into_iter().flatten() {
             match after {
-                PendingWrite::Vote(to, body) if self.replicas.is_participant() => {
+                PendingWrite::Vote(to, body) if self.table.is_participant() => {
                     self.deliver_vote(now, to, body, out)
                 }
                 PendingWrite::Vote(..) => {}
@@ -125,7 +125,7 @@
                             Payload::IncarnationRecorded {
                                 incarnation,
                                 floor,
-                                piece,
+                                chunk: piece,
                                 terms,
                             },
                             out,
--- a/crates/control/src/core/peer_messages.rs
+++ b/crates/control/src/core/peer_messages.rs
@@ -196,7 +196,7 @@
         /// Number of the question.
         id: u64,
         /// The digests.
-        parts: Vec<u64>,
+        digests: Vec<u64>,
     },
     /// Answers this where much differs: the name, as a number, and the ballot of each entry of the parts that differ.
     DigestEntries {
@@ -217,32 +217,32 @@
         /// Number of the question.
         id: u64,
         /// Which piece of the answer it is.
-        piece: u32,
+        sequence: u32,
         /// The items.
         items: Vec<(Ballot, Item)>,
         /// What follows.
-        then: Continuation,
+        continuation: Continuation,
     },
     /// Asks for all that was accepted.
     ReadRequest {
         /// The question.
         id: RequestId,
         /// What the asking one has accepted itself.
-        question: TransferRequest,
+        request: TransferRequest,
     },
     /// What was accepted, of the parts that differ.
     RegisterChunk {
         /// The question.
         id: RequestId,
         /// A piece of it.
-        piece: Chunk,
+        chunk: Chunk,
     },
     /// A replica that has lost its disk begins this incarnation: to be written down, and answered with all there is.
     IncarnationRequest {
         /// The incarnation.
         incarnation: Incarnation,
         /// What it has gathered so far.
-        question: TransferRequest,
+        request: TransferRequest,
     },
     /// The incarnation is on disk here; this is what was accepted, of the parts that differ.
     IncarnationRecorded {
@@ -251,42 +251,42 @@
         /// Highest proposal that was promised anything.
         floor: Ballot,
         /// A piece of what was accepted.
-        piece: Chunk,
+        chunk: Chunk,
         /// Newest term of each duty.
         terms: Vec<Term>,
     },
     /// Asks for a duty, or for more of it.
     LeaseRequest {
         /// The duty.
-        duty: SingletonRole,
+        role: SingletonRole,
         /// The term.
         term: u64,
         /// When it was sent, on the clock of the bidder.
-        at: i64,
+        sent_at: i64,
         /// The bidder holds the duty already.
-        holds: bool,
+        renewal: bool,
     },
     /// Answer to a bid.
     LeaseVote {
         /// The duty.
-        duty: SingletonRole,
+        role: SingletonRole,
         /// The term, and who bid for it: its clock and its terms may come to the same numbers after a start.
         term: Term,
         /// As in the bid.
-        at: i64,
+        sent_at: i64,
         /// It is granted for a time.
         granted: bool,
         /// Newest term that the voter knows.
-        newest: u64,
+        newest_term: u64,
     },
     /// The holder, or the bidder, of this term gives it back.
     LeaseRelease {
         /// The duty.
-        duty: SingletonRole,
+        role: SingletonRole,
         /// The term.
         term: u64,
         /// It was never won.
-        vain: bool,
+        unused: bool,
     },
     /// The edges linked to the speaker.
     MemberList(Vec<Member>),
@@ -323,9 +323,9 @@
         /// Number of the message.
         id: u64,
         /// Digests of it, by parts.
-        parts: Vec<u64>,
+        digests: Vec<u64>,
         /// The incarnation of the asking one's slot that was heard of late; none if none was.
-        whole: Incarnation,
+        slot_incarnation: Incarnation,
     },
 }
 
@@ -338,7 +338,7 @@
     #[serde(with = "incarnations")]
     pub incarnations: Vec<Incarnation>,
     /// What it says.
-    pub body: Payload,
+    pub payload: Payload,
 }
 
 /// The incarnations as they travel: their number, and those that are not the first. Most replicas stay in theirs for long, so that
--- a/crates/control/src/core/periodic.rs
+++ b/crates/control/src/core/periodic.rs
@@ -13,33 +13,33 @@
 use super::role_lease::{LeaseRelease, RoleLease, Vote};
 use super::server_list;
 use super::transfer::Chunk;
-use super::{Core, Output, Record};
+use super::{Output, Record, Replica};
 use crate::limits;
 
-impl Core {
+impl Replica {
     /// The beat, and what is looked at with it.
     pub(super) fn send_heartbeat(&mut self, now: i64, out: &mut Vec<Output>) {
         self.update_quorum_contact(now);
-        if self.replicas.is_superseded() {
+        if self.table.is_superseded() {
             return self.announce_view(now, true, out);
         }
         if self.membership.expire_leases(now, self.has_quorum_contact) {
             self.broadcast_membership(out);
         }
         let beat = Heartbeat {
-            reachable: self.replicas.reachable_replicas(now),
+            reachable: self.table.reachable_replicas(now),
             chosen_digest: self.chosen.digest(),
             server_list_version: self.server_list.version(),
             membership_digest: self.membership.digest(),
             counter_clock: now + self.clock_offset,
         };
-        if self.replicas.is_participant() {
+        if self.table.is_participant() {
             self.broadcast(Payload::Heartbeat(beat), out);
-            if self.replicas.has_unconfirmed_address() {
-                self.broadcast(Payload::ReplicaAddresses(self.replicas.addresses()), out);
+            if self.table.has_unconfirmed_address() {
+                self.broadcast(Payload::ReplicaAddresses(self.table.addresses()), out);
             }
         }
-        if self.replicas.quorum() == 1 {
+        if self.table.quorum() == 1 {
             // The only replica hears no others' beats.
             self.update_up_to_date(now, out);
         }
@@ -75,7 +75,7 @@
         } else {
             *strikes + 1
         };
-        if *strikes >= 2 && now >= self.next_sync && self.replicas.is_participant() {
+        if *strikes >= 2 && now >= self.next_sync && self.table.is_participant() {
             *strikes = 0;
             self.next_sync = now + limits::SYNC_REQUEST_INTERVAL;
             self.request_digest_exchange(from, out);
@@ -84,7 +84,7 @@
 
     /// Looks whether this replica is in touch. While it is not, the others may choose what it does not hear of.
     fn update_quorum_contact(&mut self, now: i64) {
-        self.has_quorum_contact = self.replicas.has_quorum_contact(now);
+        self.has_quorum_contact = self.table.has_quorum_contact(now);
         if !self.has_quorum_contact {
             (self.up_to_date, self.matched_replicas, self.up_to_date_at) = (false, 0, None);
         }
@@ -129,7 +129,7 @@
         if self.up_to_date || !self.has_quorum_contact {
             return;
         }
-        let same = self.matched_replicas.count_ones() as usize + 1 >= self.replicas.quorum();
+        let same = self.matched_replicas.count_ones() as usize + 1 >= self.table.quorum();
         let at = *self
             .up_to_date_at
             .get_or_insert(now + limits::CATCH_UP_DURATION);
@@ -141,15 +141,15 @@
 
     /// What a replica is told that was not heard before.
     pub(super) fn greet_replica(&self, peer: SocketAddr, out: &mut Vec<Output>) {
-        if self.replicas.local().incarnation == Incarnation::NONE {
+        if self.table.local().incarnation == Incarnation::NONE {
             return;
         }
         self.send(
             vec![peer],
-            Payload::ReplicaAddresses(self.replicas.addresses()),
+            Payload::ReplicaAddresses(self.table.addresses()),
             out,
         );
-        if self.replicas.is_participant() {
+        if self.table.is_participant() {
             self.send(
                 vec![peer],
                 Payload::MemberList(self.membership.local_members()),
@@ -160,25 +160,25 @@
 
     /// The table of replicas has changed.
     pub(super) fn handle_replicas_changed(&mut self, now: i64, out: &mut Vec<Output>) {
-        out.push(Output::Peers(self.replicas.peers()));
-        if self.replicas.is_abandoned() {
+        out.push(Output::Peers(self.table.peers()));
+        if self.table.is_abandoned() {
             // It still has its disk, and so takes no more from the others than it lacks.
             out.push(Output::Log(
                 "the newer incarnation of this replica was never ended: rebuilding".to_string(),
             ));
-            self.replicas.relinquish();
+            self.table.relinquish();
             self.recovery = Some(Recovery::from_accepted(self.registers.accepted_entries()));
             return self.announce_view(now, true, out);
         }
-        if self.replicas.is_superseded() {
+        if self.table.is_superseded() {
             out.push(Output::LogImmediately(
                 "this replica has a newer incarnation: stepping aside".to_string(),
             ));
             return self.announce_view(now, true, out);
         }
-        if self.replicas.is_participant() {
+        if self.table.is_participant() {
             self.write(vec![Record::Metadata(self.metadata())], None, out);
-            self.broadcast(Payload::ReplicaAddresses(self.replicas.addresses()), out);
+            self.broadcast(Payload::ReplicaAddresses(self.table.addresses()), out);
         }
     }
 
@@ -191,27 +191,24 @@
         question: TransferRequest,
         out: &mut Vec<Output>,
     ) {
-        if !self.replicas.is_participant()
-            || replica == self.replicas.local().replica
-            || self.disk_full
-        {
+        if !self.table.is_participant() || replica == self.table.local().replica || self.disk_full {
             return;
         }
         // It learns where the others are; and of a newer incarnation, after which it wants one.
         self.greet_replica(from, out);
-        if incarnation < self.replicas.newest_incarnation(replica) {
+        if incarnation < self.table.newest_incarnation(replica) {
             return;
         }
         if self
-            .replicas
+            .table
             .learn_incarnation(replica, incarnation, Some(from))
         {
             out.push(Output::LogImmediately(format!(
                 "replica {replica} begins incarnation {} at {from}",
                 incarnation.number
             )));
-            out.push(Output::Peers(self.replicas.peers()));
-            self.broadcast(Payload::ReplicaAddresses(self.replicas.addresses()), out);
+            out.push(Output::Peers(self.table.peers()));
+            self.broadcast(Payload::ReplicaAddresses(self.table.addresses()), out);
         }
         self.write(
             vec![Record::Metadata(self.metadata())],
@@ -223,8 +220,8 @@
     /// A replica that has rebuilt nothing yet asks on.
     pub(super) fn drive_recovery(&mut self, now: i64, out: &mut Vec<Output>) {
         let mark = self.random_below(1 << 32) as u32;
-        let me = self.replicas.local().replica;
-        let newest = self.replicas.newest_incarnation(me);
+        let me = self.table.local().replica;
+        let newest = self.table.newest_incarnation(me);
         let Some(rebuild) = self.recovery.as_mut().filter(|rebuild| !rebuild.persisting) else {
             return;
         };
@@ -233,14 +230,13 @@
         }
         if now >= rebuild.wake_at {
             rebuild.wake_at = now + limits::RECOVERY_REQUEST_INTERVAL;
-            let (incarnation, to_ask) =
-                (rebuild.incarnation, rebuild.next_requests(&self.replicas));
+            let (incarnation, to_ask) = (rebuild.incarnation, rebuild.next_requests(&self.table));
             for (to, question) in to_ask {
                 self.send(
                     vec![to],
                     Payload::IncarnationRequest {
                         incarnation,
-                        question,
+                        request: question,
                     },
                     out,
                 );
@@ -266,14 +262,14 @@
         if rebuild.incarnation != incarnation {
             return;
         }
-        match rebuild.handle_chunk(now, by, (floor, terms), piece, &self.replicas) {
+        match rebuild.handle_chunk(now, by, (floor, terms), piece, &self.table) {
             RecoveryStep::Wait => return,
             RecoveryStep::Request(question) => {
                 return self.send(
                     vec![from],
                     Payload::IncarnationRequest {
                         incarnation,
-                        question,
+                        request: question,
                     },
                     out,
                 );
@@ -295,7 +291,7 @@
             .collect();
         let mut own = self.metadata();
         own.incarnation = incarnation;
-        own.incarnations[usize::from(self.replicas.local().replica)] = incarnation;
+        own.incarnations[usize::from(self.table.local().replica)] = incarnation;
         rows.push(Record::Metadata(own));
         self.write(rows, Some(PendingWrite::BeginIncarnation(incarnation)), out);
     }
@@ -307,18 +303,18 @@
         incarnation: Incarnation,
         out: &mut Vec<Output>,
     ) {
-        let me = self.replicas.local().replica;
+        let me = self.table.local().replica;
         self.recovery = None;
-        if self.replicas.newest_incarnation(me) > incarnation {
+        if self.table.newest_incarnation(me) > incarnation {
             // Another one has begun a newer incarnation meanwhile: this one is set aside as it begins.
-            let newer = self.replicas.newest_incarnation(me);
-            self.replicas.begin_incarnation(incarnation);
-            self.replicas.learn_incarnation(me, newer, None);
+            let newer = self.table.newest_incarnation(me);
+            self.table.begin_incarnation(incarnation);
+            self.table.learn_incarnation(me, newer, None);
             return self.handle_replicas_changed(now, out);
         }
-        self.replicas.begin_incarnation(incarnation);
-        let count = self.replicas.len();
-        let me = self.replicas.local();
+        self.table.begin_incarnation(incarnation);
+        let count = self.table.len();
+        let me = self.table.local();
         self.role_leases = SingletonRole::ALL.map(|duty| {
             let term = self.role_leases[duty as usize].granted_term();
             RoleLease::new(duty, me, count, (term, Term::default()), now)
@@ -342,7 +338,7 @@
         self.broadcast_membership(out);
         self.next_heartbeat = now;
         // What is chosen comes from any of them.
-        if let Some(first) = self.replicas.other_addresses().first() {
+        if let Some(first) = self.table.other_addresses().first() {
             self.request_digest_exchange(*first, out);
         }
     }
@@ -437,7 +433,7 @@
         early
             && before
             && !self.server_list.is_known()
-            && self.replicas.is_participant()
+            && self.table.is_participant()
             && !self.shutting_down
     }
 
@@ -451,7 +447,7 @@
     /// Bids, renewals, and what is given back.
     pub(super) fn drive_role_leases(&mut self, now: i64, out: &mut Vec<Output>) {
         let may = self.has_quorum_contact
-            && self.replicas.is_participant()
+            && self.table.is_participant()
             && !self.shutting_down
             && !self.disk_full;
         for duty in SingletonRole::ALL {
@@ -460,15 +456,15 @@
             if let Some(lost) = lost {
                 self.release_lease(now, duty, lost, out);
             }
-            if let Some(bid) = bid.filter(|_| self.replicas.is_participant()) {
+            if let Some(bid) = bid.filter(|_| self.table.is_participant()) {
                 let body = Payload::LeaseRequest {
-                    duty,
+                    role: duty,
                     term: bid.term,
-                    at: bid.sent_at,
-                    holds: bid.renewal,
+                    sent_at: bid.sent_at,
+                    renewal: bid.renewal,
                 };
                 self.broadcast(body, out);
-                let me = self.replicas.local();
+                let me = self.table.local();
                 self.handle_lease_request(
                     now,
                     None,
@@ -490,8 +486,15 @@
         out: &mut Vec<Output>,
     ) {
         let LeaseRelease { term, unused: vain } = lost;
-        self.broadcast(Payload::LeaseRelease { duty, term, vain }, out);
-        let me = self.replicas.local();
+        self.broadcast(
+            Payload::LeaseRelease {
+                role: duty,
+                term,
+                unused: vain,
+            },
+            out,
+        );
+        let me = self.table.local();
         self.role_leases[duty as usize].handle_release(now, me, term, vain);
     }
 
@@ -514,14 +517,14 @@
         let verdict = self.role_leases[duty as usize].handle_request(now, by, term, holds);
         let granted = verdict.granted;
         let body = Payload::LeaseVote {
-            duty,
+            role: duty,
             term: Term {
                 number: term,
                 holder: by,
             },
-            at,
+            sent_at: at,
             granted,
-            newest: verdict.newest_term,
+            newest_term: verdict.newest_term,
         };
         if verdict.must_persist && !self.disk_full {
             // A term must never be granted twice, not even after all were killed at once.
@@ -548,7 +551,7 @@
         out: &mut Vec<Output>,
     ) {
         // Danger: it was granted to a process before this one, and counts from that one's bid.
-        if term.holder != self.replicas.local() {
+        if term.holder != self.table.local() {
             return;
         }
         let term = term.number;
@@ -558,7 +561,7 @@
             newest_term: newest,
         };
         let ballots = &mut self.role_leases[duty as usize];
-        if ballots.handle_vote(by, term, at, verdict, &self.replicas) {
+        if ballots.handle_vote(by, term, at, verdict, &self.table) {
             ballots.renew_now(now);
             out.push(Output::Log(format!("won the duty {duty:?}, term {term}")));
         }
--- a/crates/control/src/core/reclaim.rs
+++ b/crates/control/src/core/reclaim.rs
@@ -9,7 +9,7 @@
 
 use super::peer_messages::{Incarnation, Payload, ReplicaId};
 use super::recovery::Recovery;
-use super::{Core, Output};
+use super::{Output, Replica};
 use crate::limits;
 
 /// A replica that was set aside.
@@ -22,10 +22,10 @@
     wake_at: i64,
 }
 
-impl Core {
+impl Replica {
     /// Asks the others about the newer incarnation, and takes the slot back if it is gone.
     pub(super) fn drive_reclaim(&mut self, now: i64, out: &mut Vec<Output>) {
-        if !self.replicas.is_superseded() || self.shutting_down {
+        if !self.table.is_superseded() || self.shutting_down {
             self.superseded = None;
             return;
         }
@@ -43,13 +43,13 @@
             .not_heard_by
             .retain(|_, at| now - *at <= limits::CONTACT_TIMEOUT);
         if now - displaced.last_heard >= limits::RECLAIM_TIMEOUT
-            && displaced.not_heard_by.len() >= self.replicas.recovery_quorum()
+            && displaced.not_heard_by.len() >= self.table.recovery_quorum()
         {
             out.push(Output::LogImmediately(
                 "nobody hears the newer incarnation of this replica: rebuilding".to_string(),
             ));
             self.superseded = None;
-            self.replicas.relinquish();
+            self.table.relinquish();
             self.recovery = Some(Recovery::default());
             return self.drive_recovery(now, out);
         }
@@ -64,7 +64,7 @@
 
     /// Another replica says which incarnation of this slot it hears.
     pub(super) fn handle_slot_report(&mut self, now: i64, replica: ReplicaId, whole: Incarnation) {
-        let own = self.replicas.local().incarnation;
+        let own = self.table.local().incarnation;
         let Some(displaced) = &mut self.superseded else {
             return;
         };
--- a/crates/control/src/core/replicas.rs
+++ b/crates/control/src/core/replicas.rs
@@ -294,7 +294,7 @@
         if peer_message.incarnations.len() != self.slots.len() || replica >= self.slots.len() {
             return Reception::default();
         }
-        let told: &[Option<SocketAddr>] = match &peer_message.body {
+        let told: &[Option<SocketAddr>] = match &peer_message.payload {
             Payload::ReplicaAddresses(addresses) => addresses,
             _ => &[],
         };
@@ -325,7 +325,7 @@
                 .last_heard
                 .is_none_or(|heard| now - heard > limits::CONTACT_TIMEOUT);
             place.last_heard = Some(now);
-            if let Payload::Heartbeat(beat) = &peer_message.body {
+            if let Payload::Heartbeat(beat) = &peer_message.payload {
                 place.hears_us = beat.reachable & (1 << self.local.replica) != 0;
             }
         }
--- a/crates/control/src/core/status.rs
+++ b/crates/control/src/core/status.rs
@@ -5,7 +5,7 @@
 use protocol::messages::NodeState;
 use serde::{Deserialize, Serialize};
 
-use super::Core;
+use super::Replica;
 use super::peer_messages::{ReplicaId, SingletonRole};
 use crate::limits;
 
@@ -96,10 +96,10 @@
     }
 }
 
-impl Core {
+impl Replica {
     /// How this replica sees the system.
     pub(super) fn status(&self, now: i64) -> Status {
-        let me = self.replicas.local();
+        let me = self.table.local();
         let zone = |replica: ReplicaId| {
             self.zones
                 .get(usize::from(replica))
@@ -109,9 +109,9 @@
         let (items, digest) = self.chosen.agent_digest();
         let replica = |at: usize| ReplicaStatus {
             zone: zone(at as ReplicaId),
-            incarnation: self.replicas.newest_incarnation(at as ReplicaId).number,
-            address: self.replicas.address(at as ReplicaId),
-            heard: self.replicas.is_reachable(now, at as ReplicaId),
+            incarnation: self.table.newest_incarnation(at as ReplicaId).number,
+            address: self.table.address(at as ReplicaId),
+            heard: self.table.is_reachable(now, at as ReplicaId),
         };
         let duty = |(duty, word): (SingletonRole, &str)| {
             let own = self.acting_term(now, duty).map(|term| (me.replica, term));
@@ -149,15 +149,15 @@
             program: env!("CARGO_PKG_VERSION").to_string(),
             incarnation: me.incarnation.number,
             run: self.run,
-            takes_part: self.replicas.is_participant(),
-            replaced: self.replicas.is_superseded(),
-            in_touch: self.replicas.has_quorum_contact(now),
+            takes_part: self.table.is_participant(),
+            replaced: self.table.is_superseded(),
+            in_touch: self.table.has_quorum_contact(now),
             disk_full: self.disk_full,
             items,
             digest: format!("{digest:016x}"),
             unfinished: self.pending.len(),
             servers: self.server_list.version(),
-            replicas: (0..self.replicas.len()).map(replica).collect(),
+            replicas: (0..self.table.len()).map(replica).collect(),
             duties: [
                 (SingletonRole::PlatformPoller, "poll"),
                 (SingletonRole::Counter, "count"),
@@ -184,7 +184,7 @@
     use protocol::items::{Item, ItemKind, ItemName};
     use protocol::messages::{AgentMessage, NodeInfo};
 
-    fn look(core: &mut Core, now: i64) -> Status {
+    fn look(core: &mut Replica, now: i64) -> Status {
         let mut out = Vec::new();
         core.step(
             now,
@@ -227,7 +227,7 @@
             restored,
             ..ReplicaConfig::default()
         };
-        let (mut core, mut out) = (Core::new(0, setup), Vec::new());
+        let (mut core, mut out) = (Replica::new(0, setup), Vec::new());
         let edge = |node: &str| NodeInfo {
             name: node.to_string(),
             zone: "b".to_string(),
@@ -236,7 +236,7 @@
         };
         let digest = Digests::item_digest(&item);
         let mut take =
-            |core: &mut Core, now, link, up| core.step(now, Input::Agent(link, up), &mut out);
+            |core: &mut Replica, now, link, up| core.step(now, Input::Agent(link, up), &mut out);
         for (link, node) in [(1, "lags"), (2, "holds"), (3, "new")] {
             take(&mut core, 0, link, AgentMessage::Hello(edge(node)));
         }
--- a/crates/control/src/host/mod.rs
+++ b/crates/control/src/host/mod.rs
@@ -32,7 +32,7 @@
 use self::stall::StallDetector;
 use crate::core::peer_messages::{Frame, PeerMessage};
 use crate::core::transfer::TransferLimits;
-use crate::core::{Core, Input, Output, ReplicaConfig};
+use crate::core::{Input, Output, Replica, ReplicaConfig};
 use crate::dataplane_types::{ConnectionKey, FrameLimits, SlotMap};
 use crate::disk::{self, Store, WriteRequest, WriterEvent};
 use crate::limits;
@@ -71,7 +71,7 @@
     handle: LoopHandle<'static, Host>,
     start: Instant,
     log: Logger,
-    core: Core,
+    core: Replica,
     address: SocketAddr,
     ttl: i64,
     frames: FrameLimits,
@@ -126,7 +126,7 @@
         restored: opened.restored,
         transfer_limits: TransferLimits::default(),
     };
-    let core = Core::new(0, setup);
+    let core = Replica::new(0, setup);
     info!(log, "starts"; "incarnation" => core.incarnation().number, "address" => places.core.to_string());
     let mut host = Host {
         handle: events.handle(),
--- a/crates/control/tests/answers.rs
+++ b/crates/control/tests/answers.rs
@@ -6,7 +6,7 @@
     Heartbeat, Incarnation, Payload, PeerMessage, ProcessId, RequestId, SingletonRole, Term,
 };
 use control::core::transfer::{Chunk, Continuation, TransferLimits};
-use control::core::{Core, Input, Output, RecoveredState, ReplicaConfig, ReplicaMetadata};
+use control::core::{Input, Output, RecoveredState, Replica, ReplicaConfig, ReplicaMetadata};
 use control::operator_api::Command;
 
 const MS: i64 = 1_000;
@@ -29,7 +29,7 @@
 
 /// The first of three replicas, started for the second time, and all that it sent.
 struct Asker {
-    core: Core,
+    core: Replica,
     now: i64,
     out: Vec<Output>,
 }
@@ -56,7 +56,7 @@
             },
         };
         Asker {
-            core: Core::new(0, setup),
+            core: Replica::new(0, setup),
             now: 0,
             out: Vec::new(),
         }
@@ -71,7 +71,7 @@
         let message = PeerMessage {
             sender: speaker(replica, 1),
             incarnations,
-            body,
+            payload: body,
         };
         self.take(Input::PeerMessage(address(replica), message));
     }
@@ -91,7 +91,7 @@
 
     fn sent(&self) -> impl Iterator<Item = &Payload> {
         self.out.iter().filter_map(|output| match output {
-            Output::SendToReplicas(_, message) => Some(&message.body),
+            Output::SendToReplicas(_, message) => Some(&message.payload),
             _ => None,
         })
     }
@@ -103,9 +103,9 @@
     let bid = |asker: &Asker| {
         asker.sent().find_map(|body| match body {
             Payload::LeaseRequest {
-                duty: SingletonRole::PlatformPoller,
+                role: SingletonRole::PlatformPoller,
                 term,
-                at,
+                sent_at: at,
                 ..
             } => Some((*term, *at)),
             _ => None,
@@ -121,14 +121,14 @@
         .expect("a bid");
     // Its clock counts from its start, and its term was not on disk when the process before it ended.
     let vote = |run| Payload::LeaseVote {
-        duty: SingletonRole::PlatformPoller,
+        role: SingletonRole::PlatformPoller,
         term: Term {
             number,
             holder: speaker(0, run),
         },
-        at,
+        sent_at: at,
         granted: true,
-        newest: number,
+        newest_term: number,
     };
     for replica in [1, 2] {
         asker.heard(replica, vote(RUN - 1));
@@ -191,11 +191,11 @@
             replica,
             Payload::RegisterChunk {
                 id: before,
-                piece: same(),
+                chunk: same(),
             },
         );
         assert!(!answered(&asker));
     }
-    asker.heard(2, Payload::RegisterChunk { id, piece: same() });
+    asker.heard(2, Payload::RegisterChunk { id, chunk: same() });
     assert!(answered(&asker), "one of three, and itself");
 }
--- a/crates/control/tests/core.rs
+++ b/crates/control/tests/core.rs
@@ -3,7 +3,7 @@
 use control::core::peer_messages::{
     Ballot, Incarnation, Payload, PeerMessage, ProcessId, SingletonRole,
 };
-use control::core::{Core, Input, Output, RecoveredState, ReplicaConfig, ReplicaMetadata};
+use control::core::{Input, Output, RecoveredState, Replica, ReplicaConfig, ReplicaMetadata};
 use control::operator_api::{Command, Reply};
 use protocol::items::{ItemKind, ItemName};
 use protocol::messages::{AgentMessage, ControlMessage, CounterAdd, NodeInfo, NodeState};
@@ -380,7 +380,7 @@
     let peer_message = PeerMessage {
         sender: by,
         incarnations,
-        body,
+        payload: body,
     };
     core.step(
         node.clock.at(cluster.now),
@@ -393,7 +393,7 @@
             Output::SendToReplicas(
                 _,
                 PeerMessage {
-                    body: Payload::Nack { .. },
+                    payload: Payload::Nack { .. },
                     ..
                 }
             )
@@ -452,7 +452,7 @@
             ..RecoveredState::default()
         },
     );
-    let mut core = Core::new(
+    let mut core = Replica::new(
         0,
         ReplicaConfig {
             zones,
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -195,7 +195,7 @@
             "synchronize",
             Payload::DigestRequest {
                 id: 1 << 48 | 9,
-                parts: vec![1, 2],
+                digests: vec![1, 2],
             },
         ),
         (
@@ -216,30 +216,30 @@
             "chosen items",
             Payload::ChosenChunk {
                 id: 9,
-                piece: 1,
+                sequence: 1,
                 items: vec![entry("a", 1)],
-                then: Continuation::MoreFollows,
+                continuation: Continuation::MoreFollows,
             },
         ),
         (
             "read",
             Payload::ReadRequest {
                 id: question_id(),
-                question: question(),
+                request: question(),
             },
         ),
         (
             "registers",
             Payload::RegisterChunk {
                 id: question_id(),
-                piece: follows,
+                chunk: follows,
             },
         ),
         (
             "record an incarnation",
             Payload::IncarnationRequest {
                 incarnation: speaker().incarnation,
-                question: question(),
+                request: question(),
             },
         ),
         (
@@ -247,44 +247,44 @@
             Payload::IncarnationRecorded {
                 incarnation: speaker().incarnation,
                 floor: ballot(5),
-                piece: ask,
+                chunk: ask,
                 terms: vec![term(), Term::default()],
             },
         ),
         (
             "lease request",
             Payload::LeaseRequest {
-                duty: SingletonRole::PlatformPoller,
+                role: SingletonRole::PlatformPoller,
                 term: 12,
-                at: 13,
-                holds: false,
+                sent_at: 13,
+                renewal: false,
             },
         ),
         (
             "lease renewal",
             Payload::LeaseRequest {
-                duty: SingletonRole::Counter,
+                role: SingletonRole::Counter,
                 term: 12,
-                at: 13,
-                holds: true,
+                sent_at: 13,
+                renewal: true,
             },
         ),
         (
             "lease vote",
             Payload::LeaseVote {
-                duty: SingletonRole::Counter,
+                role: SingletonRole::Counter,
                 term: term(),
-                at: 13,
+                sent_at: 13,
                 granted: true,
-                newest: 14,
+                newest_term: 14,
             },
         ),
         (
             "lease release",
             Payload::LeaseRelease {
-                duty: SingletonRole::PlatformPoller,
+                role: SingletonRole::PlatformPoller,
                 term: 12,
-                vain: true,
+                unused: true,
             },
         ),
         (
@@ -319,15 +319,15 @@
             "handover confirmed",
             Payload::HandoverAck {
                 id: 3,
-                parts: vec![1, 2],
-                whole: Incarnation::FIRST,
+                digests: vec![1, 2],
+                slot_incarnation: Incarnation::FIRST,
             },
         ),
         (
             "the last chunk of registers",
             Payload::RegisterChunk {
                 id: question_id(),
-                piece: last,
+                chunk: last,
             },
         ),
     ]
@@ -358,7 +358,7 @@
     let message = PeerMessage {
         sender: speaker(),
         incarnations,
-        body: Payload::MemberListRequest,
+        payload: Payload::MemberListRequest,
     };
     let examples = [
         ("address of the sender", Frame::SenderAddress(address(10))),
--- a/crates/control/tests/transfers.rs
+++ b/crates/control/tests/transfers.rs
@@ -3,7 +3,7 @@
 use control::core::peer_messages::{Ballot, Incarnation, Payload, PeerMessage, ProcessId};
 use control::core::registers::Register;
 use control::core::transfer::{Continuation, TransferLimits};
-use control::core::{Core, Input, Output, RecoveredState, ReplicaConfig, ReplicaMetadata};
+use control::core::{Input, Output, RecoveredState, Replica, ReplicaConfig, ReplicaMetadata};
 use protocol::digests;
 use protocol::items::{Item, ItemKind, ItemName};
 use protocol::messages::{AgentMessage, ControlMessage, NodeInfo};
@@ -24,7 +24,7 @@
 }
 
 /// A core of so many replicas that holds so many items of 100 bytes or so, and tells ten of them at once.
-fn core(replicas: usize, items: usize) -> Core {
+fn core(replicas: usize, items: usize) -> Replica {
     let zones: Vec<String> = (0..replicas).map(|at| format!("z{at}")).collect();
     let ballot = Ballot {
         round: 1,
@@ -55,7 +55,7 @@
         chunk_bytes: 1_060,
         response_bytes: 10_600,
     };
-    Core::new(
+    Replica::new(
         0,
         ReplicaConfig {
             zones,
@@ -68,7 +68,7 @@
     )
 }
 
-fn take(core: &mut Core, now: i64, input: Input) -> Vec<Output> {
+fn take(core: &mut Replica, now: i64, input: Input) -> Vec<Output> {
     let mut out = Vec::new();
     core.step(now, input, &mut out);
     out
@@ -130,7 +130,7 @@
         PeerMessage {
             sender: by,
             incarnations,
-            body,
+            payload: body,
         },
     )
 }
@@ -138,7 +138,7 @@
 fn bodies(out: Vec<Output>) -> Vec<Payload> {
     let body = |output| {
         if let Output::SendToReplicas(_, message) = output {
-            Some(message.body)
+            Some(message.payload)
         } else {
             None
         }
@@ -208,9 +208,9 @@
         let items = vec![(newer, Item { ver: 2, ..item(at) })];
         from_other(Payload::ChosenChunk {
             id,
-            piece,
+            sequence: piece,
             items,
-            then,
+            continuation: then,
         })
     };
     // A piece after a gap is learned from and leads to nothing; the first one that asks leads on, once.
@@ -229,7 +229,7 @@
         1_304 * MS,
         learn(id, 0, 3, Continuation::RequestMore)
     )));
-    let ver = |core: &Core, at| {
+    let ver = |core: &Replica, at| {
         core.chosen_items()
             .find(|other| other.name == item(at).name)
             .map(|item| item.ver)
--- a/crates/model-check/tests/side_by_side/world.rs
+++ b/crates/model-check/tests/side_by_side/world.rs
@@ -6,7 +6,9 @@
 use control::core::peer_messages::{self as code, Heartbeat, Payload, PeerMessage};
 use control::core::registers::Register;
 use control::core::transfer::{Continuation, TransferLimits};
-use control::core::{Core, Input, Output, Record, RecoveredState, ReplicaConfig, ReplicaMetadata};
+use control::core::{
+    Input, Output, Record, RecoveredState, Replica, ReplicaConfig, ReplicaMetadata,
+};
 use control::operator_api::{Command, Reply};
 use model_check::numbers::{Ballot, Incarnation, Value};
 use model_check::quorums::{Counting, Vote};
@@ -55,7 +57,7 @@
     pub mail: Vec<Mail>,
     /// Verdicts that were compared.
     pub compared: BTreeMap<&'static str, usize>,
-    cores: Vec<Option<Core>>,
+    cores: Vec<Option<Replica>>,
     disks: Vec<Disk>,
     names: Names,
     /// The votes that each machine has heard for what it leads or rebuilds.
@@ -137,9 +139,9 @@
         };
         self.heard[machine].clear();
         self.gathered[machine] = Default::default();
-        self.cores[machine] = Some(Core::new(NOW, setup));
+        self.cores[machine] = Some(Replica::new(NOW, setup));
         let given = self.feed(machine, Input::Tick);
-        given.find(|sent| match sent.body {
+        given.find(|sent| match sent.payload {
             Payload::IncarnationRequest { incarnation, .. } => Some(incarnation),
             _ => None,
         })
@@ -164,7 +166,7 @@
                             message: message.clone(),
                         });
                         self.mail
-                            .extend(mails.filter(|mail| carries(&mail.message.body)));
+                            .extend(mails.filter(|mail| carries(&mail.message.payload)));
                         given.sent.push(message);
                     }
                     Output::Write(number, rows) => {
@@ -275,7 +277,7 @@
                 PeerMessage {
                     sender: by,
                     incarnations,
-                    body,
+                    payload: body,
                 },
             ),
         )
@@ -295,7 +297,7 @@
             at,
             Input::OperatorCall(self.calls, Command::ApplyPatch(patch(wanted)), DEADLINE),
         );
-        let begun = given.find(|sent| match &sent.body {
+        let begun = given.find(|sent| match &sent.payload {
             Payload::Prepare { ballot, .. } => Some(*ballot),
             _ => None,
         });
@@ -409,9 +411,9 @@
             from,
             Payload::ChosenChunk {
                 id: 0,
-                piece: 0,
+                sequence: 0,
                 items: vec![(real, item(value))],
-                then: Continuation::End,
+                continuation: Continuation::End,
             },
         );
         self.state.learn(at, ballot, value);
@@ -455,7 +457,7 @@
         };
         let mine =
             |ballot| led.as_ref().is_some_and(|round| round.ballot == ballot) && own.takes_part();
-        match &mail.message.body {
+        match &mail.message.payload {
             Payload::Prepare { ballot, .. } => self.prepare(at, self.names.ballot(*ballot), &given),
             Payload::Accept { ballot, items } => {
                 self.accept(at, self.names.ballot(*ballot), value(&items[0]), &given)
@@ -469,7 +471,7 @@
             }
             Payload::IncarnationRequest {
                 incarnation,
-                question,
+                request: question,
             } => {
                 let anew = question.digests == Digests::default().buckets();
                 self.record(at, replica, *incarnation, anew, &given);
@@ -477,7 +479,7 @@
             Payload::IncarnationRecorded {
                 incarnation,
                 floor,
-                piece,
+                chunk: piece,
                 ..
             } if counts => {
                 let wanted = Status::Rebuilds(self.names.incarnation(own.replica, *incarnation));
@@ -500,7 +502,7 @@
     /// The incarnations that a message tells.
     fn hear(&mut self, at: usize, message: &PeerMessage, given: &Given) {
         let own = self.state.machines[at].replica;
-        let wants = given.find(|sent| match sent.body {
+        let wants = given.find(|sent| match sent.payload {
             Payload::IncarnationRequest { incarnation, .. }
                 if !self.names.knows(own, incarnation) =>
             {
@@ -534,7 +536,7 @@
 
     fn prepare(&mut self, at: usize, ballot: Ballot, given: &Given) {
         let verdict = self.state.prepare(at, ballot, None);
-        let code = given.find(|sent| match &sent.body {
+        let code = given.find(|sent| match &sent.payload {
             Payload::Promise { accepted, .. } => {
                 assert_eq!(
                     self.names.table(&sent.incarnations),
@@ -559,7 +561,7 @@
 
     fn accept(&mut self, at: usize, ballot: Ballot, value: Value, given: &Given) {
         let verdict = self.state.accept(at, ballot, value, None);
-        let code = given.find(|sent| match &sent.body {
+        let code = given.find(|sent| match &sent.payload {
             Payload::Accepted(_) => Some(Verdict::Accepts),
             Payload::Nack { seen, .. } => Some(Verdict::Refuses(self.names.ballot(*seen))),
             _ => None,
@@ -577,7 +579,7 @@
     }
 
     fn promised(&mut self, at: usize, vote: Vote, given: &Given) {
-        let asks = given.find(|sent| match &sent.body {
+        let asks = given.find(|sent| match &sent.payload {
             Payload::Accept { items, .. } => Some(value(&items[0])),
             _ => None,
         });
@@ -615,7 +617,7 @@
     }
 
     fn accepted(&mut self, at: usize, vote: Vote, given: &Given) {
-        let chosen = given.find(|sent| matches!(sent.body, Payload::Chosen(_)).then_some(()));
+        let chosen = given.find(|sent| matches!(sent.payload, Payload::Chosen(_)).then_some(()));
         let Some(round) = self.state.machines[at]
             .leads
             .clone()
@@ -680,8 +682,12 @@
             self.names.incarnation(replica, incarnation),
             None,
         );
-        let code = given.find(|sent| match &sent.body {
-            Payload::IncarnationRecorded { floor, piece, .. } => {
+        let code = given.find(|sent| match &sent.payload {
+            Payload::IncarnationRecorded {
+                floor,
+                chunk: piece,
+                ..
+            } => {
                 let own = &self.state.machines[at];
                 assert_eq!(self.names.ballot(*floor), own.promised);
                 assert_eq!(self.names.table(&sent.incarnations), own.table);
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use control::core::peer_messages::{Incarnation, PeerMessage, SingletonRole};
-use control::core::{Core, Input, Output, Record, ReplicaMetadata};
+use control::core::{Input, Output, Record, Replica, ReplicaMetadata};
 use control::operator_api::{Command, Reply};
 use protocol::items::ItemName;
 use protocol::messages::{AgentMessage, ControlMessage};
@@ -60,7 +60,7 @@
     /// Where it is reached.
     pub address: SocketAddr,
     /// The process, while it runs.
-    pub core: Option<Core>,
+    pub core: Option<Replica>,
     /// Its disk.
     pub disk: Disk,
     /// Starts of its process.
--- a/crates/simulation/src/cluster/links.rs
+++ b/crates/simulation/src/cluster/links.rs
@@ -54,7 +54,7 @@
             return;
         };
         if matches!(
-            peer_message.body,
+            peer_message.payload,
             Payload::ChosenChunk { .. }
                 | Payload::IncarnationRecorded { .. }
                 | Payload::DigestEntries { .. }
--- a/crates/simulation/src/cluster/machines.rs
+++ b/crates/simulation/src/cluster/machines.rs
@@ -5,7 +5,7 @@
 
 use control::core::peer_messages::Incarnation;
 use control::core::transfer::TransferLimits;
-use control::core::{Core, Input, ReplicaConfig};
+use control::core::{Input, Replica, ReplicaConfig};
 use control::limits::{CALL_TIMEOUT, PEER_LINK_TIMEOUT};
 
 use super::{Cluster, Event, MS, Node, SECOND};
@@ -83,7 +83,7 @@
             restored: node.disk.restore(),
             transfer_limits: BOUNDS,
         };
-        let core = Core::new(node.clock.at(self.now), setup);
+        let core = Replica::new(node.clock.at(self.now), setup);
         node.peers = core.peers();
         node.core = Some(core);
         (node.frozen, node.slow, node.busy) = (false, 0, 0);
--- a/crates/simulation/src/cluster/watch.rs
+++ b/crates/simulation/src/cluster/watch.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use control::core::Core;
+use control::core::Replica;
 use control::core::peer_messages::SingletonRole;
 use control::limits::GRANT_DURATION;
 use protocol::items::{Item, ItemName};
@@ -71,7 +71,7 @@
     pub fn check_contents(&mut self) {
         let mut faults = Vec::new();
         for (at, node) in self.nodes.iter().enumerate() {
-            for item in node.core.iter().flat_map(Core::chosen_items) {
+            for item in node.core.iter().flat_map(Replica::chosen_items) {
                 let key = (item.name.clone(), item.ver);
                 let first = self
                     .contents
@@ -114,7 +114,7 @@
 
     /// What a machine knows to be chosen.
     pub fn chosen(&self, at: usize) -> BTreeMap<ItemName, Item> {
-        let items = self.nodes[at].core.iter().flat_map(Core::chosen_items);
+        let items = self.nodes[at].core.iter().flat_map(Replica::chosen_items);
         items
             .map(|item| (item.name.clone(), item.clone()))
             .collect()
--- a/crates/simulation/src/harm.rs
+++ b/crates/simulation/src/harm.rs
@@ -191,10 +191,10 @@
                 .max()
                 .unwrap_or_default()
         };
-        match (self.bug, &mut peer_message.body) {
+        match (self.bug, &mut peer_message.payload) {
             (Some(Bug::Incarnations), _) => peer_message.incarnations.fill(Incarnation::NONE),
             (Some(Bug::Accepted), Payload::Nack { ballot, .. }) => {
-                peer_message.body = Payload::Accepted(*ballot)
+                peer_message.payload = Payload::Accepted(*ballot)
             }
             (Some(Bug::Asked), Payload::RegisterChunk { id, .. }) => {
                 id.requester = self.speaker(to).unwrap_or(id.requester)
@@ -211,7 +211,7 @@
             | (
                 Some(Bug::Traces),
                 Payload::RegisterChunk {
-                    piece: Chunk {
+                    chunk: Chunk {
                         items: accepted, ..
                     },
                     ..
@@ -225,19 +225,21 @@
             (Some(Bug::Floor), Payload::IncarnationRecorded { floor, .. }) => {
                 *floor = Ballot::default()
             }
-            (Some(Bug::Hollow), Payload::IncarnationRecorded { piece, .. }) => piece.items.clear(),
+            (Some(Bug::Hollow), Payload::IncarnationRecorded { chunk: piece, .. }) => {
+                piece.items.clear()
+            }
             (Some(Bug::Untold), Payload::ChosenChunk { items, .. }) => items.clear(),
-            (Some(Bug::Partial), Payload::IncarnationRecorded { piece, .. }) => {
+            (Some(Bug::Partial), Payload::IncarnationRecorded { chunk: piece, .. }) => {
                 piece.continuation = Continuation::End
             }
             (Some(Bug::Undropped), Payload::ChosenChunk { items, .. }) => {
                 items.retain(|(_, item)| item.spec.is_some())
             }
-            (Some(Bug::Undropped), Payload::IncarnationRecorded { piece, .. }) => {
+            (Some(Bug::Undropped), Payload::IncarnationRecorded { chunk: piece, .. }) => {
                 piece.items.retain(|(_, item)| item.spec.is_some());
             }
             (Some(Bug::Arrival), Payload::Promise { accepted, .. }) => by_arrival(accepted),
-            (Some(Bug::Arrival), Payload::RegisterChunk { piece, .. }) => {
+            (Some(Bug::Arrival), Payload::RegisterChunk { chunk: piece, .. }) => {
                 by_arrival(&mut piece.items)
             }
             (Some(Bug::Old), body) => {
@@ -291,7 +293,7 @@
         if !self.has(Bug::Echo) && !self.has(Bug::Forged) {
             return;
         }
-        let beat = matches!(peer_message.body, Payload::Heartbeat(_));
+        let beat = matches!(peer_message.payload, Payload::Heartbeat(_));
         if !self.cuts.contains(&(from, to)) {
             if beat {
                 self.harm.beats.insert((from, to), peer_message.clone());
@@ -301,7 +303,7 @@
         if let Some(last) = self.harm.beats.get(&(from, to)).cloned().filter(|_| beat) {
             self.slip(from, to, last);
         }
-        let body = match &peer_message.body {
+        let body = match &peer_message.payload {
             Payload::Prepare { ballot, .. } => Payload::Promise {
                 ballot: *ballot,
                 accepted: Vec::new(),
@@ -316,7 +318,14 @@
             .cloned()
             .filter(|_| self.has(Bug::Forged))
         {
-            self.slip(to, from, PeerMessage { body, ..last });
+            self.slip(
+                to,
+                from,
+                PeerMessage {
+                    payload: body,
+                    ..last
+                },
+            );
         }
     }
 
@@ -355,7 +364,7 @@
         if !self.has(Bug::Promise) {
             return Some(peer_message);
         }
-        match &mut peer_message.body {
+        match &mut peer_message.payload {
             Payload::Accept { ballot, .. } => {
                 self.harm
                     .accepts
@@ -365,7 +374,7 @@
                 // What it has promised it forgets, and accepts.
                 if let Some(mut accept) = self.harm.accepts.remove(&(to, from, *ballot)) {
                     self.harm.forgot.insert((from, to, *seen), *ballot);
-                    if let Payload::Accept { ballot, .. } = &mut accept.body {
+                    if let Payload::Accept { ballot, .. } = &mut accept.payload {
                         *ballot = *seen;
                     }
                     self.enter(self.now + 1, Event::PeerMessage(to, from, Box::new(accept)));
--- a/crates/simulation/src/play/transfers.rs
+++ b/crates/simulation/src/play/transfers.rs
@@ -1,7 +1,7 @@
 //! What is checked of state transfers: what a replica begins an incarnation with, and by when and for how many bytes one that
 //! was away knows all that was acknowledged.
 
-use control::core::Core;
+use control::core::Replica;
 use control::core::peer_messages::Incarnation;
 use protocol::items::Item;
 
@@ -89,7 +89,7 @@
     }
 
     /// An item that was acknowledged before an instant and is not there at its version: `held`, of what was accepted.
-    fn missing(&self, core: &Core, before: i64, held: bool) -> Option<String> {
+    fn missing(&self, core: &Replica, before: i64, held: bool) -> Option<String> {
         self.acked.iter().find_map(|(name, acked)| {
             let ver = acked
                 .iter()
--- a/crates/simulation/src/scale/mod.rs
+++ b/crates/simulation/src/scale/mod.rs
@@ -199,8 +199,9 @@
         takes_part(world) && chosen >= wanted
     };
     report.replica.1 = world.until(30 * SECOND, knows).map(|when| when - at);
-    let most =
-        |(old, replica): (&Traffic, &world::Replica)| replica.traffic.sent_bytes - old.sent_bytes;
+    let most = |(old, replica): (&Traffic, &world::SimulatedReplica)| {
+        replica.traffic.sent_bytes - old.sent_bytes
+    };
     let most = before
         .iter()
         .zip(&world.replicas)
--- a/crates/simulation/src/scale/world.rs
+++ b/crates/simulation/src/scale/world.rs
@@ -11,7 +11,7 @@
 use control::core::peer_messages::{Ballot, Incarnation, PeerMessage};
 use control::core::registers::Register;
 use control::core::transfer::TransferLimits;
-use control::core::{Core, Input, Output, RecoveredState, ReplicaConfig, ReplicaMetadata};
+use control::core::{Input, Output, RecoveredState, Replica, ReplicaConfig, ReplicaMetadata};
 use control::operator_api::{Command, Reply};
 use protocol::digests::Digests;
 use protocol::items::{Item, ItemKind, ItemName};
@@ -47,9 +47,9 @@
 }
 
 /// A replica.
-pub struct Replica {
+pub struct SimulatedReplica {
     /// The process, while it runs.
-    pub core: Option<Core>,
+    pub core: Option<Replica>,
     /// What it said and heard.
     pub traffic: Traffic,
     /// Time of this machine's processor that its core took.
@@ -94,7 +94,7 @@
     /// The instant, in microseconds.
     pub now: i64,
     /// The replicas' machines.
-    pub replicas: Vec<Replica>,
+    pub replicas: Vec<SimulatedReplica>,
     /// The agents.
     pub agents: Vec<Agent>,
     /// What agents said and heard.
@@ -246,10 +246,10 @@
             transfer_limits: TransferLimits::default(),
         };
         let offset = 1_000 * SECOND + at as i64 * 7_919;
-        let core = Core::new(self.now + offset, setup);
+        let core = Replica::new(self.now + offset, setup);
         let peers = core.peers();
         self.places.insert(address, at);
-        self.replicas.push(Replica {
+        self.replicas.push(SimulatedReplica {
             core: Some(core),
             traffic: Traffic::default(),
             spent: Duration::ZERO,
