--- /dev/null
+++ b/crates/control/src/core/acceptor.rs
@@ -0,0 +1,120 @@
+//! The acceptor: promises, acceptances, and what this replica learns to be chosen.
+
+use std::net::SocketAddr;
+
+use protocol::items::{Item, ItemName};
+
+use super::chosen::LearnOutcome;
+use super::handover::Handover;
+use super::outbox::PendingWrite;
+use super::peer_messages::{Ballot, Payload};
+use super::{Output, Record, Replica};
+
+impl Replica {
+    /// Phase 1: promises to accept nothing below `ballot` on these registers. `from` is none for this replica's own proposal.
+    pub(super) fn handle_prepare(
+        &mut self,
+        now: i64,
+        from: Option<SocketAddr>,
+        ballot: Ballot,
+        names: &[ItemName],
+        out: &mut Vec<Output>,
+    ) {
+        self.proposals.observe_round(ballot.round);
+        if !self.may_vote(from) {
+            return;
+        }
+        match self.registers.prepare(ballot, names) {
+            Ok(accepted) => {
+                let records = self.register_records(names.iter());
+                let promise = Payload::Promise { ballot, accepted };
+                self.write(records, Some(PendingWrite::Vote(from, promise)), out);
+            }
+            Err(seen) => self.deliver_vote(now, from, Payload::Nack { ballot, seen }, out),
+        }
+    }
+
+    /// Phase 2: accepts the items under `ballot`, all of them or none. `from` is none for this replica's own proposal.
+    pub(super) fn handle_accept(
+        &mut self,
+        now: i64,
+        from: Option<SocketAddr>,
+        ballot: Ballot,
+        items: &[Item],
+        out: &mut Vec<Output>,
+    ) {
+        self.proposals.observe_round(ballot.round);
+        if !self.may_vote(from) {
+            return;
+        }
+        match self.registers.accept(ballot, items) {
+            Ok(()) => {
+                for item in items {
+                    self.track_pending(now, &item.name);
+                }
+                let records = self.register_records(items.iter().map(|item| &item.name));
+                let accepted = Payload::Accepted(ballot);
+                self.write(records, Some(PendingWrite::Vote(from, accepted)), out);
+            }
+            Err(seen) => self.deliver_vote(now, from, Payload::Nack { ballot, seen }, out),
+        }
+    }
+
+    /// Whether this replica votes at all. While it hands over, and a quorum is complete without it, it votes on no further
+    /// proposal of another replica.
+    fn may_vote(&self, from: Option<SocketAddr>) -> bool {
+        let closed = self.handover.as_ref().is_some_and(Handover::voting_closed);
+        !self.disk.is_full && (from.is_none() || !closed)
+    }
+
+    fn register_records<'a>(&self, names: impl Iterator<Item = &'a ItemName>) -> Vec<Record> {
+        let record = |name: &ItemName| Record::Register(name.clone(), self.registers.get(name));
+        names.map(record).collect()
+    }
+
+    /// Another replica says that everything accepted under `ballot` is chosen.
+    pub(super) fn handle_chosen(&mut self, now: i64, ballot: Ballot, out: &mut Vec<Output>) {
+        let entries = self.registers.accepted_entries();
+        let entries = entries.filter(|(accepted, _)| *accepted == ballot);
+        let entries = entries.cloned().collect();
+        self.learn_chosen(now, entries, out);
+    }
+
+    /// Learns chosen items: persists them, and announces new versions to the agents.
+    pub(super) fn learn_chosen(
+        &mut self,
+        now: i64,
+        entries: Vec<(Ballot, Item)>,
+        out: &mut Vec<Output>,
+    ) {
+        let (mut records, mut new_versions) = (Vec::new(), Vec::new());
+        for (ballot, item) in entries {
+            let outcome = self.chosen.learn(ballot, &item);
+            if outcome != LearnOutcome::AlreadyKnown {
+                if self.registers.adopt(ballot, &item) {
+                    let register = self.registers.get(&item.name);
+                    records.push(Record::Register(item.name.clone(), register));
+                }
+                records.push(Record::Chosen(ballot, item.clone()));
+            }
+            if outcome == LearnOutcome::NewVersion {
+                new_versions.push(item.clone());
+            }
+            self.track_pending(now, &item.name);
+        }
+        if !records.is_empty() {
+            self.write(records, None, out);
+        }
+        if !new_versions.is_empty() {
+            self.announce_items(new_versions, out);
+        }
+    }
+
+    /// Notes whether the accepted value of a register is known to be chosen; if it is not, a repair is due later.
+    pub(super) fn track_pending(&mut self, now: i64, name: &ItemName) {
+        match self.registers.accepted(name) {
+            Some((_, item)) if !self.chosen.includes(item) => self.pending.insert(now, name),
+            _ => self.pending.remove(name),
+        }
+    }
+}
--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -1,46 +1,55 @@
-//! The agents linked to this replica: their leases, what they are told, and their adds to the count.
+//! The agents linked to this replica: what each of them is sent, and their additions to the shared counter.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use protocol::items::{Item, ItemName};
-use protocol::messages::{AgentMessage, ClusterView, ControlMessage};
+use protocol::messages::{AgentMessage, ClusterView, ControlMessage, CounterAdd, NodeInfo};
 
 use super::peer_messages::{ReplicaId, SingletonRole};
 use super::transfer::split_into_chunks;
 use super::{Output, Replica};
 use crate::limits;
 
-/// What has changed of who is who.
+/// How much a cluster view differs from the one that was announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ViewChange {
-    Nothing,
-    /// How many limiters there are, by little.
+    None,
+    /// The number of limiters differs by little.
     Minor,
     Major,
 }
 
-/// What the agents of a zone were told last.
+/// Whether agents whose cluster view has not changed are sent a sign of life in its place.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Announcement {
+    /// Only a view that has changed is sent.
+    IfChanged,
+    /// A sign of life is sent where the view has not changed.
+    WithKeepAlive,
+}
+
+/// The cluster view that the agents of a zone were sent last.
 #[derive(Clone, Debug)]
 struct AnnouncedView {
     view: ClusterView,
-    /// The table of replicas, then.
+    /// The revision of the table of replicas that it was made of.
     table_revision: u64,
 }
 
-/// What an agent holds, as it said.
+/// The items that an agent has, as it reported last.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AgentState {
-    /// How many items.
-    pub items: u32,
+    /// How many items, removed ones included.
+    pub(super) items: u32,
     digest: u64,
-    /// That was all there is, then.
+    /// When it last reported the same items as this replica has.
     complete_at: i64,
 }
 
 impl AgentState {
-    /// How long it has held less than there is, in microseconds; counted from when it last said to hold all.
-    pub fn behind(&self, now: i64, digest: u64) -> i64 {
+    /// For how long the agent has had other items than those with this digest, in microseconds at most; 0 if it has the same.
+    pub(super) fn behind(&self, now: i64, digest: u64) -> i64 {
         if self.digest == digest {
             0
         } else {
@@ -49,39 +58,39 @@
     }
 }
 
-/// An agent that has not been told all yet.
+/// The initial transfer of the items to an agent.
 #[derive(Clone, Debug)]
 struct PendingSync {
-    /// What it had at the start of its link, by parts.
+    /// Digests of the items that the agent had when it connected.
     digests: Vec<u64>,
-    /// It was told all up to this name; what changes later is news, and told to it at once.
+    /// Everything up to this name was sent. Items that are chosen later are announced at once.
     after: Option<ItemName>,
-    /// Pieces that it has not said to hold.
+    /// Chunks that the agent has not acknowledged.
     unacknowledged: usize,
-    /// When it last said so, or was told something.
+    /// When a chunk was last sent or acknowledged.
     progressed_at: i64,
 }
 
-/// The links of agents.
+/// The links of agents, by the numbers that the host gives them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AgentLinks {
-    /// The zone of each one that wants news.
+    /// The zone of each agent that is sent the configuration.
     zones: BTreeMap<u64, String>,
-    /// What each zone was told last.
+    /// The view that each zone was sent last.
     announced: BTreeMap<String, AnnouncedView>,
-    /// Links that are for the count alone, and when something came on them.
-    counting: BTreeMap<u64, i64>,
-    /// What each holds as it said last, and when that was last all there is.
+    /// Links for the counter alone, and when each was last used.
+    counter_links: BTreeMap<u64, i64>,
     states: BTreeMap<u64, AgentState>,
-    /// Those that are told all then: they have just started, and go to the replica of their own zone before that.
+    /// Agents that have just started and are sent everything at this time: most of them leave for the replica of their own
+    /// zone before that.
     deferred: BTreeMap<u64, i64>,
-    /// What those know already that have not said yet who they are.
+    /// Digests of the items that an agent has, from before it says which edge it belongs to.
     known_digests: BTreeMap<u64, Vec<u64>>,
-    /// Those that are told all piece by piece.
+    /// Initial transfers in progress.
     pending: BTreeMap<u64, PendingSync>,
-    /// How many limiters there are is told again then at the earliest...
+    /// A changed number of limiters is not announced before this time.
     next_count_update: i64,
-    /// ...and is owed.
+    /// A changed number of limiters has not been announced yet.
     count_update_due: bool,
 }
 
@@ -90,404 +99,408 @@
         self.zones.keys().copied().collect()
     }
 
-    /// A link without a zone is one for the count.
+    /// Takes note of the use of a link for the counter; one of these has no zone.
     fn record_counter_link(&mut self, now: i64, link: u64) {
         if !self.zones.contains_key(&link) {
-            self.counting.insert(link, now);
+            self.counter_links.insert(link, now);
         }
-        self.counting
-            .retain(|_, heard| now - *heard <= limits::COUNTER_CONTACT_TIMEOUT);
+        let timeout = limits::COUNTER_CONTACT_TIMEOUT;
+        self.counter_links
+            .retain(|_, used_at| now - *used_at <= timeout);
     }
 
-    /// What the agent on a link holds, if it has said so.
+    /// The items that the agent on a link has, if it has reported them.
     pub(super) fn state(&self, link: u64) -> Option<AgentState> {
         self.states.get(&link).copied()
     }
 
-    /// When something is owed to them.
+    /// When something is to be sent to any of them.
     pub(super) fn wake_at(&self) -> Option<i64> {
-        self.count_update_due
-            .then_some(self.next_count_update)
-            .into_iter()
-            .chain(self.deferred.values().copied())
-            .min()
+        let count_update = self.count_update_due.then_some(self.next_count_update);
+        let deferred = self.deferred.values().copied().min();
+        count_update.into_iter().chain(deferred).min()
+    }
+
+    fn remove(&mut self, link: u64) {
+        self.zones.remove(&link);
+        self.counter_links.remove(&link);
+        self.known_digests.remove(&link);
+        self.pending.remove(&link);
+        self.states.remove(&link);
+        self.deferred.remove(&link);
     }
 }
 
 impl Replica {
-    /// A message of an agent.
+    /// Handles a message of the agent on a link.
     pub(super) fn handle_agent_message(
         &mut self,
         now: i64,
         link: u64,
-        up: AgentMessage,
+        message: AgentMessage,
         out: &mut Vec<Output>,
     ) {
-        let changed = match up {
-            AgentMessage::Hello(edge) => {
-                let (zone, home) = (edge.zone.clone(), edge.zone.clone());
-                self.load.add_agent(link, &edge.region);
-                let changed = self.membership.handle_hello(now, link, edge);
-                self.agents.zones.insert(link, zone.clone());
-                let to = || vec![link];
-                // All of a zone stand on the same: what is news goes to all of them afterwards.
-                let told = self
-                    .agents
-                    .announced
-                    .get(&zone)
-                    .cloned()
-                    .unwrap_or_else(|| self.cluster_view(now, &zone));
-                out.push(Output::SendToAgents(
-                    to(),
-                    ControlMessage::ClusterView(told.view.clone()),
-                ));
-                self.agents.announced.insert(zone, told);
-                if !self.agents.known_digests.contains_key(&link)
-                    && self.has_reachable_home(now, &home)
-                {
-                    self.agents
-                        .deferred
-                        .insert(link, now + limits::HEARTBEAT_INTERVAL);
-                } else {
-                    self.start_sync(now, link, out);
-                }
-                changed
-            }
-            AgentMessage::KnownDigests(parts) => {
-                self.agents.known_digests.insert(link, parts);
-                false
+        match message {
+            AgentMessage::Hello(node) => self.handle_agent_hello(now, link, node, out),
+            AgentMessage::KnownDigests(digests) => {
+                self.agents.known_digests.insert(link, digests);
             }
             AgentMessage::ConfigState { items, digest } => {
-                let before = self
-                    .agents
-                    .states
-                    .get(&link)
-                    .map_or(now, |before| before.complete_at);
-                let whole = if digest == self.chosen.agent_digest().1 {
-                    now
-                } else {
-                    before
-                };
-                self.agents.states.insert(
-                    link,
-                    AgentState {
-                        items,
-                        digest,
-                        complete_at: whole,
-                    },
-                );
-                self.handle_chunk_ack(now, link, out);
-                false
+                self.handle_config_state(now, link, items, digest, out)
             }
-            AgentMessage::Heartbeat(standing) => {
-                let silent =
-                    |owed: &PendingSync| now - owed.progressed_at > limits::CHUNK_ACK_TIMEOUT;
-                if self.agents.pending.get(&link).is_some_and(silent) {
-                    self.handle_chunk_ack(now, link, out);
+            AgentMessage::Heartbeat(state) => {
+                self.resume_stalled_sync(now, link, out);
+                if self.membership.handle_heartbeat(now, link, state) {
+                    self.broadcast_membership(out);
                 }
-                self.membership.handle_heartbeat(now, link, standing)
             }
             AgentMessage::LoadReports(reports) => {
-                let me = self.table.local().replica;
-                self.load.handle_reports(now, me, link, &reports);
-                false
+                let local = self.table.local().replica;
+                self.load.handle_reports(now, local, link, &reports);
             }
             AgentMessage::Clock(time) => {
                 self.advance_clock(now, time);
                 self.agents.record_counter_link(now, link);
-                out.push(Output::SendToAgents(
-                    vec![link],
-                    ControlMessage::Clock(now + self.clock_offset),
-                ));
-                false
+                self.send_clock(now, link, out);
             }
             AgentMessage::CounterBatch { batch, time, adds } => {
-                self.advance_clock(now, time);
-                self.agents.record_counter_link(now, link);
-                let share = self.reached_share();
-                let behind = now + self.clock_offset - time > limits::MAX_CLOCK_DIFFERENCE;
-                if behind {
-                    out.push(Output::SendToAgents(
-                        vec![link],
-                        ControlMessage::Clock(now + self.clock_offset),
-                    ));
-                }
-                let counts = !behind && !self.counter.is_suspended(now);
-                let down = match self
-                    .acting_term(now, SingletonRole::Counter)
-                    .filter(|_| counts)
-                {
-                    Some(term) => ControlMessage::Totals {
-                        batch,
-                        totals: self.counter.add(now, term, share, &adds),
-                    },
-                    None => ControlMessage::NotCounted(batch),
-                };
-                out.push(Output::SendToAgents(vec![link], down));
-                false
+                self.handle_counter_batch(now, link, batch, time, &adds, out)
             }
-        };
+        }
+    }
+
+    fn handle_agent_hello(&mut self, now: i64, link: u64, node: NodeInfo, out: &mut Vec<Output>) {
+        let zone = node.zone.clone();
+        self.load.add_agent(link, &node.region);
+        let changed = self.membership.handle_hello(now, link, node);
+        self.agents.zones.insert(link, zone.clone());
+        // All agents of a zone have the same view, so that a change can be sent to all of them alike.
+        let announced = self.agents.announced.get(&zone).cloned();
+        let announced = announced.unwrap_or_else(|| self.cluster_view(now, &zone));
+        let view = ControlMessage::ClusterView(announced.view.clone());
+        out.push(Output::SendToAgents(vec![link], view));
+        self.agents.announced.insert(zone.clone(), announced);
+        let is_new = !self.agents.known_digests.contains_key(&link);
+        if is_new && self.has_reachable_home(now, &zone) {
+            let start_at = now + limits::HEARTBEAT_INTERVAL;
+            self.agents.deferred.insert(link, start_at);
+        } else {
+            self.start_sync(now, link, out);
+        }
         if changed {
             self.broadcast_membership(out);
         }
     }
 
-    /// An agent of this zone has a replica of its own, and that is well as far as is known here.
+    fn handle_config_state(
+        &mut self,
+        now: i64,
+        link: u64,
+        items: u32,
+        digest: u64,
+        out: &mut Vec<Output>,
+    ) {
+        let former = self.agents.states.get(&link);
+        let complete_at = if digest == self.chosen.summary().digest {
+            now
+        } else {
+            former.map_or(now, |former| former.complete_at)
+        };
+        let state = AgentState {
+            items,
+            digest,
+            complete_at,
+        };
+        self.agents.states.insert(link, state);
+        self.handle_chunk_ack(now, link, out);
+    }
+
+    fn handle_counter_batch(
+        &mut self,
+        now: i64,
+        link: u64,
+        batch: u64,
+        time: i64,
+        adds: &[CounterAdd],
+        out: &mut Vec<Output>,
+    ) {
+        self.advance_clock(now, time);
+        self.agents.record_counter_link(now, link);
+        let share = self.reached_share();
+        let is_late = now + self.clock_offset - time > limits::MAX_CLOCK_DIFFERENCE;
+        if is_late {
+            self.send_clock(now, link, out);
+        }
+        let counts = !is_late && !self.counter.is_suspended(now);
+        let term = self.acting_term(now, SingletonRole::Counter);
+        let answer = match term.filter(|_| counts) {
+            Some(term) => ControlMessage::Totals {
+                batch,
+                totals: self.counter.add(now, term, share, adds),
+            },
+            None => ControlMessage::NotCounted(batch),
+        };
+        out.push(Output::SendToAgents(vec![link], answer));
+    }
+
+    fn send_clock(&self, now: i64, link: u64, out: &mut Vec<Output>) {
+        let clock = ControlMessage::Clock(now + self.clock_offset);
+        out.push(Output::SendToAgents(vec![link], clock));
+    }
+
+    /// Whether the zone of an agent has a replica of its own, other than this one, that is reachable.
     fn has_reachable_home(&self, now: i64, zone: &str) -> bool {
-        let replica = self
-            .zones
-            .iter()
-            .position(|other| other == zone)
-            .map(|replica| replica as ReplicaId);
-        replica.is_some_and(|replica| {
-            replica != self.table.local().replica && self.table.is_reachable(now, replica)
+        let position = self.zones.iter().position(|other| other == zone);
+        let home = position.map(|position| position as ReplicaId);
+        home.is_some_and(|home| {
+            home != self.table.local().replica && self.table.is_reachable(now, home)
         })
     }
 
-    /// Tells an agent all that it lacks.
+    /// Starts to send an agent everything that it lacks.
     fn start_sync(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        let have = self.agents.known_digests.remove(&link).unwrap_or_default();
+        let digests = self.agents.known_digests.remove(&link);
         if self.server_list.is_known() {
-            let list = ControlMessage::Servers {
-                version: self.server_list.version(),
-                servers: self.server_list.current(now),
-            };
-            out.push(Output::SendToAgents(vec![link], list));
+            out.push(Output::SendToAgents(vec![link], self.servers_message(now)));
         }
-        self.agents.pending.insert(
-            link,
-            PendingSync {
-                digests: have,
-                after: None,
-                unacknowledged: 0,
-                progressed_at: now,
-            },
-        );
+        let sync = PendingSync {
+            digests: digests.unwrap_or_default(),
+            after: None,
+            unacknowledged: 0,
+            progressed_at: now,
+        };
+        self.agents.pending.insert(link, sync);
         self.send_chunks(now, link, out);
     }
 
-    /// An agent has taken a piece in.
+    /// An agent that has acknowledged nothing for [`limits::CHUNK_ACK_TIMEOUT`] is sent the next chunk all the same.
+    fn resume_stalled_sync(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
+        let sync = self.agents.pending.get(&link);
+        if sync.is_some_and(|sync| now - sync.progressed_at > limits::CHUNK_ACK_TIMEOUT) {
+            self.handle_chunk_ack(now, link, out);
+        }
+    }
+
+    /// An agent has taken in a chunk.
     fn handle_chunk_ack(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        if let Some(owed) = self.agents.pending.get_mut(&link) {
-            owed.unacknowledged = owed.unacknowledged.saturating_sub(1);
-            owed.progressed_at = now;
+        if let Some(sync) = self.agents.pending.get_mut(&link) {
+            sync.unacknowledged = sync.unacknowledged.saturating_sub(1);
+            sync.progressed_at = now;
             self.send_chunks(now, link, out);
         }
     }
 
-    /// Tells an agent the next pieces of what it lacks.
+    /// Sends an agent as many chunks as may be in flight to it.
     fn send_chunks(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        let Some(owed) = self.agents.pending.get_mut(&link) else {
+        let Some(sync) = self.agents.pending.get_mut(&link) else {
             return;
         };
-        let room = limits::MAX_UNACKNOWLEDGED_CHUNKS.saturating_sub(owed.unacknowledged);
-        if room == 0 {
+        let free = limits::MAX_UNACKNOWLEDGED_CHUNKS.saturating_sub(sync.unacknowledged);
+        if free == 0 {
             return;
         }
-        let lacking = self
+        let missing = self
             .chosen
-            .items_missing_from(&owed.digests, owed.after.as_ref());
-        let (mut pieces, mut more) = split_into_chunks(self.transfer_limits, lacking, |item| item);
-        more |= pieces.len() > room;
-        pieces.truncate(room);
-        for piece in pieces {
-            owed.after = piece
-                .last()
-                .map(|item| item.name.clone())
-                .or(owed.after.take());
-            (owed.unacknowledged, owed.progressed_at) = (owed.unacknowledged + 1, now);
-            let items = piece.into_iter().cloned().collect();
-            out.push(Output::SendToAgents(
-                vec![link],
-                ControlMessage::Items(items),
-            ));
+            .items_missing_from(&sync.digests, sync.after.as_ref());
+        let split = split_into_chunks(self.transfer_limits, missing, |item| item);
+        let has_more = split.has_more || split.chunks.len() > free;
+        for chunk in split.chunks.into_iter().take(free) {
+            if let Some(last) = chunk.last() {
+                sync.after = Some(last.name.clone());
+            }
+            sync.unacknowledged += 1;
+            sync.progressed_at = now;
+            let items = ControlMessage::Items(chunk.into_iter().cloned().collect());
+            out.push(Output::SendToAgents(vec![link], items));
         }
-        if !more {
+        if !has_more {
             self.agents.pending.remove(&link);
-            if self.up_to_date && self.table.has_quorum_contact(now) {
+            if self.catch_up.is_up_to_date() && self.table.has_quorum_contact(now) {
                 out.push(Output::SendToAgents(vec![link], ControlMessage::Complete));
             }
         }
     }
 
-    /// Agents that were to find their own replica first, and have not left.
+    /// Starts to send everything to the agents that were to find the replica of their own zone first and have not left.
     pub(super) fn drive_deferred_syncs(&mut self, now: i64, out: &mut Vec<Output>) {
-        let due = self.agents.deferred.iter().filter(|(_, at)| **at <= now);
+        let due = self.agents.deferred.iter();
+        let due = due.filter(|(_, start_at)| **start_at <= now);
         for link in due.map(|(link, _)| *link).collect::<Vec<_>>() {
             self.agents.deferred.remove(&link);
             self.start_sync(now, link, out);
         }
     }
 
-    /// The limiters' clock: whoever is ahead leads, and the time of day has no part in it. Replicas tell it on from agent to
-    /// agent, the holder of the count to all, so that all limiters tell the windows of a tenant apart alike.
+    /// Advances the clock by which the limiters name the windows of quotas. Whoever is ahead leads, and the time of day has
+    /// no part in it. The replicas tell it to each other and to their agents, so that all limiters name windows alike.
     pub(super) fn advance_clock(&mut self, now: i64, time: i64) {
-        let by = time.saturating_sub(now).saturating_sub(self.clock_offset);
-        self.clock_offset += by.max(0);
-        if by > limits::MAX_CLOCK_DIFFERENCE {
-            // What was counted has other names from now on.
-            self.counter.suspend(now, by.min(limits::QUOTA_WINDOW));
+        let ahead = time.saturating_sub(now).saturating_sub(self.clock_offset);
+        self.clock_offset += ahead.max(0);
+        if ahead > limits::MAX_CLOCK_DIFFERENCE {
+            // The windows have other names from now on than those that were counted under.
+            self.counter.suspend(now, ahead.min(limits::QUOTA_WINDOW));
         }
     }
 
-    /// The share of the limiters that reach this count. The others go by even slices, which must be left for them.
+    /// The share of the limiters that reach this counter. The others use even slices of the quotas, which must be left for
+    /// them.
     fn reached_share(&self) -> f64 {
-        let all = self.membership.recently_serving_count();
-        let here = self.agents.counting.len();
-        if here >= all {
-            1.0
-        } else {
-            (here as f64 / all as f64).max(limits::MIN_REACHED_SHARE)
+        let limiters = self.membership.recently_serving_count();
+        let reached = self.agents.counter_links.len();
+        if reached >= limiters {
+            return 1.0;
         }
+        let share = reached as f64 / limiters as f64;
+        share.max(limits::MIN_REACHED_SHARE)
     }
 
-    /// An agent's link is gone.
-    pub(super) fn handle_agent_disconnected(
-        &mut self,
-        _now: i64,
-        link: u64,
-        out: &mut Vec<Output>,
-    ) {
-        self.agents.zones.remove(&link);
-        self.agents.counting.remove(&link);
-        self.agents.known_digests.remove(&link);
-        self.agents.pending.remove(&link);
-        self.agents.states.remove(&link);
-        self.agents.deferred.remove(&link);
+    /// An agent's link was closed.
+    pub(super) fn handle_agent_disconnected(&mut self, link: u64, out: &mut Vec<Output>) {
+        self.agents.remove(link);
         self.load.remove_agent(link);
         if self.membership.handle_disconnect(link) {
             self.broadcast_membership(out);
         }
     }
 
-    /// The holder of the count, as far as known, and its term.
+    /// The address and the term of the replica that keeps the counter, as far as known.
     fn counter_holder(&self, now: i64) -> Option<(SocketAddr, u64)> {
-        let holder = self.role_leases[SingletonRole::Counter as usize].known_holder(now);
-        let own = self
-            .acting_term(now, SingletonRole::Counter)
-            .map(|term| (self.table.local().replica, term));
-        let (replica, term) = own.or(holder.map(|term| (term.holder.replica, term.number)))?;
+        let local = self.table.local().replica;
+        let acting = self.acting_term(now, SingletonRole::Counter);
+        let (replica, term) = match acting {
+            Some(term) => (local, term),
+            None => {
+                let known = self.lease(SingletonRole::Counter).known_holder(now)?;
+                (known.holder.replica, known.number)
+            }
+        };
         Some((self.table.address(replica)?, term))
     }
 
     fn cluster_view(&self, now: i64, zone: &str) -> AnnouncedView {
-        let (limiters, in_zone) = self.membership.serving_counts(zone);
-        let who = ClusterView {
-            replicas: self
-                .table
-                .addresses_by_zone(&self.zones)
-                .map(|(zone, at)| (zone.to_string(), at))
-                .collect(),
+        let serving = self.membership.serving_counts(zone);
+        let recently_serving = self.membership.recently_serving_count() as u32;
+        let replicas = self.table.addresses_by_zone(&self.zones);
+        let replicas = replicas.map(|(zone, address)| (zone.to_string(), address));
+        let view = ClusterView {
+            replicas: replicas.collect(),
             counter: self.counter_holder(now),
             has_quorum: self.table.has_quorum_contact(now) && !self.shutting_down,
-            limiters: limiters.max(self.membership.recently_serving_count() as u32),
-            limiters_in_zone: in_zone,
+            limiters: serving.total.max(recently_serving),
+            limiters_in_zone: serving.in_zone,
         };
         AnnouncedView {
-            view: who,
+            view,
             table_revision: self.table.revision(),
         }
     }
 
-    /// What is news to agents of a zone that were told `before`; it is looked for after most inputs, and costs little
-    /// where it is nothing.
-    fn view_change(&self, now: i64, zone: &str, told: &AnnouncedView) -> ViewChange {
-        let before = &told.view;
-        let (limiters, in_zone) = self.membership.serving_counts(zone);
-        let limiters = limiters.max(self.membership.recently_serving_count() as u32);
-        let in_touch = self.table.has_quorum_contact(now) && !self.shutting_down;
-        if before.counter != self.counter_holder(now)
-            || before.has_quorum != in_touch
-            || told.table_revision != self.table.revision()
+    /// How much the view of a zone has changed since it was announced. This is asked after most inputs, and is cheap where
+    /// nothing has.
+    fn view_change(&self, now: i64, zone: &str, announced: &AnnouncedView) -> ViewChange {
+        let former = &announced.view;
+        let has_quorum = self.table.has_quorum_contact(now) && !self.shutting_down;
+        if former.counter != self.counter_holder(now)
+            || former.has_quorum != has_quorum
+            || announced.table_revision != self.table.revision()
         {
             return ViewChange::Major;
         }
-        // Danger: limiters that each take an even slice must not stay with a count that is too low by much.
-        match before.limiters.abs_diff(limiters) {
-            0 if before.limiters_in_zone == in_zone => ViewChange::Nothing,
-            changed if changed * limits::MINOR_LIMITER_CHANGE_DIVISOR > before.limiters => {
-                ViewChange::Major
-            }
-            _ => ViewChange::Minor,
+        let serving = self.membership.serving_counts(zone);
+        let recently_serving = self.membership.recently_serving_count() as u32;
+        let limiters = serving.total.max(recently_serving);
+        let difference = former.limiters.abs_diff(limiters);
+        if difference == 0 && former.limiters_in_zone == serving.in_zone {
+            ViewChange::None
+        } else if difference * limits::MINOR_LIMITER_CHANGE_DIVISOR > former.limiters {
+            // Hazard: limiters that each take an even slice of a quota must not go on with a number that is much too low.
+            ViewChange::Major
+        } else {
+            ViewChange::Minor
         }
     }
 
-    /// Tells the agents who is who, where that has changed or as a sign of life.
-    pub(super) fn announce_view(&mut self, now: i64, beat: bool, out: &mut Vec<Output>) {
+    /// Sends the agents of each zone its cluster view, where that has changed.
+    pub(super) fn announce_view(
+        &mut self,
+        now: i64,
+        announcement: Announcement,
+        out: &mut Vec<Output>,
+    ) {
+        self.agents.count_update_due = false;
         if self.agents.zones.is_empty() {
-            self.agents.count_update_due = false;
             return;
         }
-        let mut zones: BTreeMap<&String, Vec<u64>> = BTreeMap::new();
+        let mut links_by_zone: BTreeMap<&String, Vec<u64>> = BTreeMap::new();
         for (link, zone) in &self.agents.zones {
-            zones.entry(zone).or_default().push(*link);
+            links_by_zone.entry(zone).or_default().push(*link);
         }
-        let (mut told, mut quiet, mut news) = (
-            std::mem::take(&mut self.agents.announced),
-            Vec::new(),
-            false,
-        );
-        told.retain(|zone, _| zones.contains_key(zone));
-        self.agents.count_update_due = false;
-        for (zone, links) in zones {
-            let change = told.get(zone).map_or(ViewChange::Major, |before| {
-                self.view_change(now, zone, before)
-            });
-            // Danger: when many limiters start, each would be told of each by all.
-            let later = change == ViewChange::Minor && now < self.agents.next_count_update;
-            self.agents.count_update_due |= later;
-            if change == ViewChange::Nothing || later {
-                quiet.extend(links.into_iter().filter(|_| beat));
+        let mut announced = std::mem::take(&mut self.agents.announced);
+        announced.retain(|zone, _| links_by_zone.contains_key(zone));
+        let mut unchanged = Vec::new();
+        let mut has_announced = false;
+        for (zone, links) in links_by_zone {
+            let change = match announced.get(zone) {
+                Some(announced) => self.view_change(now, zone, announced),
+                None => ViewChange::Major,
+            };
+            // Hazard: when many limiters start, each of them would otherwise be announced to all others at once.
+            let defer = change == ViewChange::Minor && now < self.agents.next_count_update;
+            self.agents.count_update_due |= defer;
+            if change == ViewChange::None || defer {
+                unchanged.extend(links);
                 continue;
             }
-            let who = self.cluster_view(now, zone);
-            out.push(Output::SendToAgents(
-                links,
-                ControlMessage::ClusterView(who.view.clone()),
-            ));
-            told.insert(zone.clone(), who);
-            news = true;
+            let view = self.cluster_view(now, zone);
+            let message = ControlMessage::ClusterView(view.view.clone());
+            out.push(Output::SendToAgents(links, message));
+            announced.insert(zone.clone(), view);
+            has_announced = true;
         }
-        if news {
+        self.agents.announced = announced;
+        if has_announced {
             self.agents.next_count_update = now + limits::LIMITER_COUNT_INTERVAL;
         }
-        if !quiet.is_empty() {
-            out.push(Output::SendToAgents(
-                quiet,
-                ControlMessage::Items(Vec::new()),
-            ));
+        if announcement == Announcement::WithKeepAlive && !unchanged.is_empty() {
+            let keep_alive = ControlMessage::Items(Vec::new());
+            out.push(Output::SendToAgents(unchanged, keep_alive));
         }
-        self.agents.announced = told;
     }
 
-    /// Tells the agents of items that are chosen.
-    pub(super) fn announce_items(&self, items: Vec<Item>, out: &mut Vec<Output>) {
-        let links = self.agents.links();
+    /// Sends a message to all agents that are sent the configuration.
+    fn send_to_agents(&self, links: Vec<u64>, message: ControlMessage, out: &mut Vec<Output>) {
         if !links.is_empty() {
-            out.push(Output::SendToAgents(links, ControlMessage::Items(items)));
+            out.push(Output::SendToAgents(links, message));
         }
     }
 
-    /// Tells the agents that they know all that is in force.
+    /// Sends the agents items that were chosen.
+    pub(super) fn announce_items(&self, items: Vec<Item>, out: &mut Vec<Output>) {
+        self.send_to_agents(self.agents.links(), ControlMessage::Items(items), out);
+    }
+
+    /// Tells the agents whose initial transfer is complete that they have everything that is in force.
     pub(super) fn announce_complete(&self, out: &mut Vec<Output>) {
         let mut links = self.agents.links();
         links.retain(|link| {
-            !self.agents.deferred.contains_key(link) && !self.agents.pending.contains_key(link)
+            let is_deferred = self.agents.deferred.contains_key(link);
+            !is_deferred && !self.agents.pending.contains_key(link)
         });
-        if !links.is_empty() {
-            out.push(Output::SendToAgents(links, ControlMessage::Complete));
+        self.send_to_agents(links, ControlMessage::Complete, out);
+    }
+
+    fn servers_message(&self, now: i64) -> ControlMessage {
+        ControlMessage::Servers {
+            version: self.server_list.version(),
+            servers: self.server_list.current(now),
         }
     }
 
-    /// Tells the agents the platform's list.
+    /// Sends the agents the platform's list of servers.
     pub(super) fn announce_servers(&self, now: i64, out: &mut Vec<Output>) {
         let links = self.agents.links();
         if !links.is_empty() {
-            let (version, servers) = (self.server_list.version(), self.server_list.current(now));
-            out.push(Output::SendToAgents(
-                links,
-                ControlMessage::Servers { version, servers },
-            ));
+            out.push(Output::SendToAgents(links, self.servers_message(now)));
         }
     }
 }
--- a/crates/control/src/core/anti_entropy.rs
+++ b/crates/control/src/core/anti_entropy.rs
@@ -1,6 +1,8 @@
-//! What a replica missed of what is chosen: two replicas whose digests differ find out what, and only that is told. The one
-//! that tells remembers nothing. The one that is told has one question open, by its number: an answer that comes twice or
-//! late, or follows on one that was lost, is learned from and leads to nothing else.
+//! Anti-entropy between two replicas whose digests of the chosen items differ: they find out which items differ, and only
+//! those are sent.
+//!
+//! The replica that answers keeps no state. The one that asks has at most one exchange open, by its id: an answer that is
+//! a duplicate, late or follows a lost one is still learned from, and leads to nothing else.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,124 +10,114 @@
 use protocol::digests;
 use protocol::items::Item;
 
-use super::peer_messages::{Ballot, Payload, ReplicaId};
+use super::peer_messages::{Ballot, Payload};
+use super::replicas::Sender;
 use super::transfer::{Continuation, TransferLimits, continuations, split_into_chunks};
 use super::{Output, Replica};
 use crate::limits;
 
-/// The question about what is chosen that waits for its answer.
+/// The exchange that waits for its answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct DigestExchange {
-    /// Its number; none waits at 0.
+    /// Its id; 0 while no exchange is open.
     id: u64,
-    /// So many pieces of the answer have come, each after the one before.
+    /// How many chunks of the answer were received, each after the one before it.
     chunks_received: u32,
 }
 
-impl Replica {
-    /// Asks a replica for what it knows to be chosen and is not known here.
-    pub(super) fn request_digest_exchange(&mut self, from: SocketAddr, out: &mut Vec<Output>) {
-        let id = self.begin_exchange();
-        self.send(
-            vec![from],
-            Payload::DigestRequest {
-                id,
-                digests: self.chosen.digest_buckets().to_vec(),
-            },
-            out,
-        );
+impl DigestExchange {
+    pub(super) fn new(id: u64) -> DigestExchange {
+        DigestExchange {
+            id,
+            chunks_received: 0,
+        }
     }
 
-    /// A question about what is chosen waits for its answer.
-    pub(super) fn is_exchanging(&self) -> bool {
-        self.exchange.id != 0
+    /// Whether an answer is awaited.
+    pub(super) fn is_open(&self) -> bool {
+        self.id != 0
+    }
+}
+
+fn key_of(entry: &(Ballot, Item)) -> u64 {
+    digests::name_key(&entry.1.name)
+}
+
+impl Replica {
+    /// Asks a replica for the chosen items that are not known here.
+    pub(super) fn request_digest_exchange(&mut self, to: SocketAddr, out: &mut Vec<Output>) {
+        let id = self.begin_exchange();
+        let digests = self.chosen.digest_buckets().to_vec();
+        self.send(vec![to], Payload::DigestRequest { id, digests }, out);
     }
 
     fn begin_exchange(&mut self) -> u64 {
-        self.exchange = DigestExchange {
-            id: self.exchange_id_base + self.next_request_id(),
-            chunks_received: 0,
-        };
-        self.exchange.id
+        let number = self.next_request_id();
+        self.catch_up.open_exchange(number)
     }
 
-    /// Another replica wants what differs from what it knows. Little is told at once, of much first the names.
+    /// Answers with the items that differ, where they are few, and otherwise with a key and a ballot of each.
     pub(super) fn handle_digest_request(
         &self,
         from: SocketAddr,
         id: u64,
-        known: &[u64],
+        digests: &[u64],
         out: &mut Vec<Output>,
     ) {
-        let differing: Vec<&(Ballot, Item)> = self.chosen.entries_differing_from(known).collect();
-        let little = self.transfer_limits.chunk_bytes / limits::SMALL_DIFFERENCE_DIVISOR;
-        let bounds = TransferLimits {
-            chunk_bytes: little,
-            response_bytes: little,
+        let differing: Vec<&(Ballot, Item)> = self.chosen.entries_differing_from(digests).collect();
+        let few_bytes = self.transfer_limits.chunk_bytes / limits::SMALL_DIFFERENCE_DIVISOR;
+        let few = TransferLimits {
+            chunk_bytes: few_bytes,
+            response_bytes: few_bytes,
         };
-        let (mut pieces, more) = split_into_chunks(bounds, differing.iter(), |(_, item)| item);
-        if pieces.len() == 1 && !more {
-            let items = pieces
-                .remove(0)
-                .into_iter()
-                .map(|entry| (*entry).clone())
-                .collect();
-            return self.send(
-                vec![from],
-                Payload::ChosenChunk {
-                    id,
-                    sequence: 0,
-                    items,
-                    continuation: Continuation::End,
-                },
-                out,
-            );
-        }
-        let entries = differing
-            .iter()
-            .map(|(ballot, item)| (digests::name_key(&item.name), *ballot));
-        self.send(
-            vec![from],
-            Payload::DigestEntries {
+        let split = split_into_chunks(few, differing.iter(), |(_, item)| item);
+        let payload = match split.chunks.as_slice() {
+            [only] if !split.has_more => Payload::ChosenChunk {
                 id,
-                entries: entries.collect(),
+                sequence: 0,
+                items: only.iter().map(|entry| (**entry).clone()).collect(),
+                continuation: Continuation::End,
             },
-            out,
-        );
+            _ => {
+                let entries = differing.iter().map(|entry| (key_of(entry), entry.0));
+                Payload::DigestEntries {
+                    id,
+                    entries: entries.collect(),
+                }
+            }
+        };
+        self.send(vec![from], payload, out);
     }
 
-    /// What another replica knows of the parts that differ: what is newer than here is asked for.
+    /// Requests those of another replica's items that are newer than what is known here.
     pub(super) fn handle_digest_entries(
         &mut self,
         now: i64,
-        (from, replica): (SocketAddr, ReplicaId),
+        sender: Sender,
         id: u64,
         entries: &[(u64, Ballot)],
         out: &mut Vec<Output>,
     ) {
-        if id != self.exchange.id {
+        if id != self.catch_up.exchange.id {
             return;
         }
-        let known = self
-            .chosen
-            .entries()
-            .map(|(ballot, item)| (digests::name_key(&item.name), *ballot));
+        let known = self.chosen.entries().map(|entry| (key_of(entry), entry.0));
         let known: BTreeMap<u64, Ballot> = known.collect();
-        let newer = entries
-            .iter()
-            .filter(|(key, ballot)| known.get(key).is_none_or(|own| own < ballot));
+        let is_newer = |key: &u64, ballot: &Ballot| known.get(key).is_none_or(|own| own < ballot);
+        let newer = entries.iter().filter(|(key, ballot)| is_newer(key, ballot));
         let wanted: Vec<u64> = newer.map(|(key, _)| *key).collect();
         if wanted.is_empty() {
-            // It is the other one that is behind.
-            self.exchange = DigestExchange::default();
-            return self.handle_caught_up(now, replica, out);
+            // It is the other replica that lacks items.
+            self.catch_up.exchange = DigestExchange::default();
+            return self.handle_caught_up(now, sender.replica(), out);
         }
         self.mark_lagging(now);
         let id = self.begin_exchange();
-        self.send(vec![from], Payload::FetchRequest { id, wanted }, out);
+        let payload = Payload::FetchRequest { id, wanted };
+        self.send(vec![sender.address], payload, out);
     }
 
-    /// Another replica asks for these.
+    /// Sends the chosen items with these keys.
     pub(super) fn handle_fetch_request(
         &self,
         from: SocketAddr,
@@ -134,49 +126,46 @@
         out: &mut Vec<Output>,
     ) {
         let wanted: BTreeSet<u64> = wanted.iter().copied().collect();
-        let found = self
-            .chosen
-            .entries()
-            .filter(|(_, item)| wanted.contains(&digests::name_key(&item.name)));
-        let (pieces, more) =
-            split_into_chunks(self.transfer_limits, found.cloned(), |(_, item)| item);
-        let then = continuations(pieces.len(), more);
-        for ((items, then), piece) in pieces.into_iter().zip(then).zip(0..) {
-            self.send(
-                vec![from],
-                Payload::ChosenChunk {
-                    id,
-                    sequence: piece,
-                    items,
-                    continuation: then,
-                },
-                out,
-            );
+        let entries = self.chosen.entries();
+        let entries = entries.filter(|entry| wanted.contains(&key_of(entry)));
+        let split = split_into_chunks(self.transfer_limits, entries.cloned(), |(_, item)| item);
+        let continuations = continuations(split.chunks.len(), split.has_more);
+        let chunks = split.chunks.into_iter().zip(continuations);
+        for ((items, continuation), sequence) in chunks.zip(0..) {
+            let payload = Payload::ChosenChunk {
+                id,
+                sequence,
+                items,
+                continuation,
+            };
+            self.send(vec![from], payload, out);
         }
     }
 
-    /// Another replica has told what is chosen; what comes next, and whether all of it was told.
+    /// A chunk of chosen items was learned: notes how far the exchange has come.
     pub(super) fn handle_chosen_chunk(
         &mut self,
         now: i64,
-        (from, replica): (SocketAddr, ReplicaId),
+        sender: Sender,
         id: u64,
-        (piece, then): (u32, Continuation),
+        sequence: u32,
+        continuation: Continuation,
         out: &mut Vec<Output>,
     ) {
-        if id != self.exchange.id || piece != self.exchange.chunks_received {
+        let exchange = &mut self.catch_up.exchange;
+        if id != exchange.id || sequence != exchange.chunks_received {
             return;
         }
-        self.exchange.chunks_received += 1;
-        match then {
+        exchange.chunks_received += 1;
+        match continuation {
             Continuation::End => {
-                self.exchange = DigestExchange::default();
-                self.handle_caught_up(now, replica, out);
+                *exchange = DigestExchange::default();
+                self.handle_caught_up(now, sender.replica(), out);
             }
             Continuation::MoreFollows => self.mark_lagging(now),
             Continuation::RequestMore => {
                 self.mark_lagging(now);
-                self.request_digest_exchange(from, out);
+                self.request_digest_exchange(sender.address, out);
             }
         }
     }
--- a/crates/control/src/core/chosen.rs
+++ b/crates/control/src/core/chosen.rs
@@ -1,4 +1,4 @@
-//! What is chosen: the items that are in force, and news for the agents.
+//! The items that are known to be chosen, and so are in force.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -9,112 +9,125 @@
 use super::peer_messages::Ballot;
 use super::registers::entry_digest;
 
-/// The items that are known to be chosen.
+/// The items that are known to be chosen, removed ones included.
 #[derive(Clone, Debug, Default)]
 pub struct ChosenItems {
     entries: BTreeMap<ItemName, (Ballot, Item)>,
+    /// The digest of all entries.
     digest: u64,
-    /// By parts: of all, and of names and versions alone, as agents have them.
+    /// Digests of the entries by bucket.
     digests: Digests,
+    /// Digests of names and versions alone by bucket, as agents have them.
     version_digests: Digests,
 }
 
-/// What a chosen item is here.
+/// What learning a chosen item has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LearnOutcome {
-    /// Known, or older.
+    /// Nothing: it was known, or a newer one was.
     AlreadyKnown,
-    /// Known, chosen anew under a higher proposal.
+    /// Its version was known, and was chosen again under a higher ballot.
     NewBallot,
-    /// News.
+    /// Its version was not known.
     NewVersion,
 }
 
+/// A summary of a set of items by which agents and replicas compare what they have.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ItemSummary {
+    /// How many items, removed ones included.
+    pub items: u32,
+    /// The digest of their names and versions.
+    pub digest: u64,
+}
+
 impl ChosenItems {
-    /// Takes a chosen item in. One version has one content, and a later choice never has a lower version.
+    /// Learns that an item is chosen under a ballot. One version has one content, and a later choice never has a lower
+    /// version.
     pub fn learn(&mut self, ballot: Ballot, item: &Item) -> LearnOutcome {
-        let learned = match self.entries.get(&item.name) {
-            Some((_, old)) if old.ver > item.ver => return LearnOutcome::AlreadyKnown,
-            Some((known, old)) if old.ver == item.ver && *known >= ballot => {
-                return LearnOutcome::AlreadyKnown;
+        let outcome = match self.entries.get(&item.name) {
+            Some((_, known)) if known.ver > item.ver => LearnOutcome::AlreadyKnown,
+            Some((known_ballot, known)) if known.ver == item.ver => {
+                if *known_ballot >= ballot {
+                    LearnOutcome::AlreadyKnown
+                } else {
+                    LearnOutcome::NewBallot
+                }
             }
-            Some((_, old)) if old.ver == item.ver => LearnOutcome::NewBallot,
             _ => LearnOutcome::NewVersion,
         };
-        self.toggle_digests(ballot, item);
-        if let Some((ballot, item)) = self
-            .entries
-            .insert(item.name.clone(), (ballot, item.clone()))
-        {
-            self.toggle_digests(ballot, &item);
+        if outcome != LearnOutcome::AlreadyKnown {
+            self.toggle_digests(ballot, item);
+            let entry = (ballot, item.clone());
+            if let Some((ballot, item)) = self.entries.insert(item.name.clone(), entry) {
+                self.toggle_digests(ballot, &item);
+            }
         }
-        learned
+        outcome
     }
 
+    /// Adds an entry to the digests, or removes it from them.
     fn toggle_digests(&mut self, ballot: Ballot, item: &Item) {
         let digest = entry_digest(&ballot, item);
         self.digest ^= digest;
         self.digests.toggle(&item.name, digest);
-        self.version_digests
-            .toggle(&item.name, Digests::item_digest(item));
+        let version_digest = Digests::item_digest(item);
+        self.version_digests.toggle(&item.name, version_digest);
     }
 
-    /// What is chosen of an item, if anything.
+    /// The chosen item of this name.
     pub fn get(&self, name: &ItemName) -> Option<&Item> {
         self.entries.get(name).map(|(_, item)| item)
     }
 
-    /// The version that is chosen, if any.
-    pub fn version(&self, name: &ItemName) -> Option<u64> {
-        self.get(name).map(|item| item.ver)
-    }
-
-    /// This version of an item, or a later one, is chosen.
+    /// Whether this version of an item, or a later one, is known to be chosen.
     pub fn includes(&self, item: &Item) -> bool {
-        self.version(&item.name).is_some_and(|ver| ver >= item.ver)
+        self.get(&item.name)
+            .is_some_and(|known| known.ver >= item.ver)
     }
 
-    /// All that is chosen.
+    /// All entries, in the order of their names.
     pub fn entries(&self) -> impl Iterator<Item = &(Ballot, Item)> {
         self.entries.values()
     }
 
-    /// Digest of all that is chosen.
+    /// The digest of all entries.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Digests of all that is chosen, by parts.
+    /// Digests of the entries, by bucket.
     pub fn digest_buckets(&self) -> &[u64] {
         self.digests.buckets()
     }
 
-    /// How many items there are, dropped ones included, and their digest, as agents hold them.
-    pub fn agent_digest(&self) -> (u32, u64) {
-        (self.entries.len() as u32, self.version_digests.combined())
+    /// The summary that the agents' ones are compared with.
+    pub fn summary(&self) -> ItemSummary {
+        ItemSummary {
+            items: self.entries.len() as u32,
+            digest: self.version_digests.combined(),
+        }
     }
 
-    /// What is chosen of the parts of which another replica knows something else.
+    /// The entries of the buckets whose digests differ from these.
     pub fn entries_differing_from<'a>(
         &'a self,
-        parts: &'a [u64],
+        digests: &'a [u64],
     ) -> impl Iterator<Item = &'a (Ballot, Item)> {
         self.entries()
-            .filter(|(_, item)| self.digests.bucket_differs(parts, &item.name))
+            .filter(|(_, item)| self.digests.bucket_differs(digests, &item.name))
     }
 
-    /// What an agent lacks that has these parts, after a name.
+    /// The items after a name, of the buckets whose digests of names and versions differ from these.
     pub fn items_missing_from<'a>(
         &'a self,
-        have: &'a [u64],
+        digests: &'a [u64],
         after: Option<&ItemName>,
     ) -> impl Iterator<Item = &'a Item> {
-        let rest = self.entries.range::<ItemName, _>((
-            after.map_or(Bound::Unbounded, Bound::Excluded),
-            Bound::Unbounded,
-        ));
+        let from = after.map_or(Bound::Unbounded, Bound::Excluded);
+        let rest = self.entries.range::<ItemName, _>((from, Bound::Unbounded));
         rest.map(|(_, (_, item))| item)
-            .filter(|item| self.version_digests.bucket_differs(have, &item.name))
+            .filter(|item| self.version_digests.bucket_differs(digests, &item.name))
     }
 }
 
--- a/crates/control/src/core/load_aggregation.rs
+++ b/crates/control/src/core/load_aggregation.rs
@@ -1,5 +1,6 @@
-//! How much of the load of services is let through: a replica is home to all services for the limiters linked to it. What
-//! they saw is summed up by region, since a region's limiters share its servers, and shared with the other replicas.
+//! Load shedding, aggregated over limiters: this replica decides for the limiters linked to it how much of the load of each
+//! service is admitted. Their reports are summed up by region, since the limiters of a region share its servers, and shared
+//! with the other replicas.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +10,18 @@
 use protocol::messages::ControlMessage;
 
 use super::peer_messages::{Payload, ReplicaId};
+use super::replicas::Sender;
 use super::{Output, Replica};
 
-/// A region without levels is told that there are none every so many steps.
+/// A region without admission levels is told so every so many steps.
 const EMPTY_LEVELS_INTERVAL: u64 = 2;
 
-/// The judges of this replica.
+/// The admission controllers of this replica.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LoadAggregation {
     /// The region of each agent, by its link.
     regions: BTreeMap<u64, String>,
-    /// By region and service.
+    /// The controllers, by region and service.
     controllers: BTreeMap<(String, String), Judge>,
     next_step_at: i64,
     steps: u64,
@@ -32,22 +34,22 @@
 
     pub(super) fn remove_agent(&mut self, link: u64) {
         self.regions.remove(&link);
-        self.controllers
-            .values_mut()
-            .for_each(|judge| judge.left(link));
+        for controller in self.controllers.values_mut() {
+            controller.left(link);
+        }
     }
 
-    fn controller(&mut self, me: ReplicaId, region: &str, svc: &str) -> &mut Judge {
-        let key = (region.to_string(), svc.to_string());
-        self.controllers
-            .entry(key)
-            .or_insert_with(|| Judge::new(me.into()))
+    fn controller(&mut self, local: ReplicaId, region: &str, service: &str) -> &mut Judge {
+        let key = (region.to_string(), service.to_string());
+        let entry = self.controllers.entry(key);
+        entry.or_insert_with(|| Judge::new(local.into()))
     }
 
+    /// Takes in the reports of the agent on a link.
     pub(super) fn handle_reports(
         &mut self,
         now: i64,
-        me: ReplicaId,
+        local: ReplicaId,
         link: u64,
         reports: &[Report],
     ) {
@@ -55,89 +57,86 @@
             return;
         };
         for report in reports {
-            self.controller(me, &region, &report.svc)
-                .report(now, link, report);
-        }
-    }
-
-    pub(super) fn handle_peer_share(
-        &mut self,
-        now: i64,
-        (me, by): (ReplicaId, ReplicaId),
-        region: &str,
-        services: Vec<(String, Share)>,
-    ) {
-        for (svc, share) in services {
-            self.controller(me, region, &svc)
-                .shared(now, by.into(), share);
+            let controller = self.controller(local, &region, &report.svc);
+            controller.report(now, link, report);
         }
     }
 
-    /// Where nothing is judged the replica's own beat is often enough.
+    /// When the next step is due. Without controllers the replica's own heartbeat is often enough.
     pub(super) fn wake_at(&self) -> Option<i64> {
         (!self.controllers.is_empty()).then_some(self.next_step_at)
     }
 
     fn evaluate(&mut self, now: i64) {
+        for controller in self.controllers.values_mut() {
+            controller.look(now);
+        }
         self.controllers
-            .values_mut()
-            .for_each(|judge| judge.look(now));
-        self.controllers.retain(|_, judge| !judge.idle(now));
+            .retain(|_, controller| !controller.idle(now));
     }
 
     fn levels(&self, region: &str) -> Vec<Level> {
-        let judged = self.controllers.iter().filter(|((at, _), _)| at == region);
-        judged
-            .filter_map(|((_, svc), judge)| judge.level(svc))
-            .collect()
+        let controllers = self.controllers.iter();
+        let of_region = controllers.filter(|((of, _), _)| of == region);
+        let levels = of_region.filter_map(|((_, service), controller)| controller.level(service));
+        levels.collect()
     }
 }
 
 impl Replica {
-    /// The judges look at what they were told, and what they find is told on.
+    /// Another replica has shared what its limiters report about the services of a region.
+    pub(super) fn handle_load_report(
+        &mut self,
+        now: i64,
+        sender: Sender,
+        region: &str,
+        services: Vec<(String, Share)>,
+    ) {
+        let local = self.table.local().replica;
+        for (service, share) in services {
+            let controller = self.load.controller(local, region, &service);
+            controller.shared(now, sender.replica().into(), share);
+        }
+    }
+
+    /// Evaluates the controllers, once a step, and sends the agents their levels.
     pub(super) fn drive_load_aggregation(&mut self, now: i64, out: &mut Vec<Output>) {
         if now < self.load.next_step_at {
             return;
         }
-        (self.load.next_step_at, self.load.steps) = (now + STEP, self.load.steps + 1);
+        self.load.next_step_at = now + STEP;
+        self.load.steps += 1;
         self.load.evaluate(now);
         self.share_load(now, out);
-        let mut regions: BTreeMap<&String, Vec<u64>> = BTreeMap::new();
+        let mut links_by_region: BTreeMap<&String, Vec<u64>> = BTreeMap::new();
         for (link, region) in &self.load.regions {
-            regions.entry(region).or_default().push(*link);
+            links_by_region.entry(region).or_default().push(*link);
         }
-        let mut tell = Vec::new();
-        for (region, links) in regions {
+        let sends_empty = self.load.steps.is_multiple_of(EMPTY_LEVELS_INTERVAL);
+        for (region, links) in links_by_region {
             let levels = self.load.levels(region);
-            if !levels.is_empty() || self.load.steps.is_multiple_of(EMPTY_LEVELS_INTERVAL) {
-                tell.push(Output::SendToAgents(
-                    links,
-                    ControlMessage::Levels { age: 0, levels },
-                ));
+            if sends_empty || !levels.is_empty() {
+                let message = ControlMessage::Levels { age: 0, levels };
+                out.push(Output::SendToAgents(links, message));
             }
         }
-        out.append(&mut tell);
     }
 
-    /// The other replicas hear what was told here of a region's services: its limiters may be linked to any of them.
-    fn share_load(&mut self, now: i64, out: &mut Vec<Output>) {
-        let mut regions: BTreeMap<&String, Vec<(String, Share)>> = BTreeMap::new();
-        for ((region, svc), judge) in &self.load.controllers {
-            if let Some(share) = judge.to_share(now) {
-                regions
-                    .entry(region)
-                    .or_default()
-                    .push((svc.clone(), share));
+    /// Shares what the local limiters report with the other replicas: the limiters of a region may be linked to any of them.
+    fn share_load(&self, now: i64, out: &mut Vec<Output>) {
+        let mut shares_by_region: BTreeMap<&String, Vec<(String, Share)>> = BTreeMap::new();
+        for ((region, service), controller) in &self.load.controllers {
+            if let Some(share) = controller.to_share(now) {
+                let shares = shares_by_region.entry(region).or_default();
+                shares.push((service.clone(), share));
             }
         }
-        for (region, services) in regions {
-            self.broadcast(
-                Payload::LoadReport {
-                    region: region.clone(),
-                    services,
-                },
-                out,
-            );
+        for (region, services) in shares_by_region {
+            let payload = Payload::LoadReport {
+                region: region.clone(),
+                services,
+            };
+            self.broadcast(payload, out);
         }
     }
 }
--- a/crates/control/src/core/membership.rs
+++ b/crates/control/src/core/membership.rs
@@ -1,14 +1,18 @@
-//! The edges: each holds a lease at the replica that its agent is linked to and is a member while it renews it there. Replicas
-//! tell each other whom they hold; who is heard nowhere is out.
+//! Membership of the edges: each holds a lease at the replica that its agent is linked to, and is a member as long as it
+//! renews it there. The replicas report their members to each other; an edge that no replica reports is no member.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hasher};
+use std::net::SocketAddr;
 
 use protocol::messages::{NodeInfo, NodeState};
 
-use super::peer_messages::{Member, MembershipDelta, ReplicaId};
+use super::peer_messages::{Member, MembershipDelta, Payload, ReplicaId};
+use super::replicas::Sender;
+use super::{Output, Replica};
 use crate::limits;
 
+/// The lease of an edge whose agent is, or was last, linked to this replica.
 #[derive(Clone, Debug)]
 struct MemberLease {
     member: Member,
@@ -20,53 +24,135 @@
     fn is_valid(&self, now: i64) -> bool {
         now - self.renewed_at <= limits::MEMBER_LEASE_DURATION
     }
+
+    fn precedence(&self) -> Precedence {
+        Precedence {
+            connected: self.member.connected,
+            local: true,
+            changed_at: 0,
+        }
+    }
 }
 
+/// The members that another replica reports.
 #[derive(Clone, Debug, Default)]
 struct PeerReport {
     members: BTreeMap<String, Member>,
     digest: u64,
-    /// The list came then...
+    /// When the report last changed.
     changed_at: i64,
-    /// ...and was last confirmed then.
+    /// When the other replica last confirmed its digest.
     confirmed_at: i64,
-    /// It was asked for then.
+    /// When the whole list was last requested.
     requested_at: Option<i64>,
 }
 
 impl PeerReport {
-    fn is_valid(&self, now: i64, in_touch: bool) -> bool {
-        now - self.confirmed_at
-            <= if in_touch {
-                limits::MEMBER_LEASE_DURATION
-            } else {
-                limits::MEMBER_LEASE_DURATION_WITHOUT_QUORUM
+    fn is_valid(&self, now: i64, has_quorum_contact: bool) -> bool {
+        let duration = if has_quorum_contact {
+            limits::MEMBER_LEASE_DURATION
+        } else {
+            limits::MEMBER_LEASE_DURATION_WITHOUT_QUORUM
+        };
+        now - self.confirmed_at <= duration
+    }
+
+    fn precedence(&self, member: &Member) -> Precedence {
+        Precedence {
+            connected: member.connected,
+            local: false,
+            changed_at: self.changed_at,
+        }
+    }
+
+    /// Applies a delta that follows on this report.
+    fn apply(&mut self, now: i64, delta: &MembershipDelta) {
+        for name in &delta.removed {
+            if let Some(removed) = self.members.remove(name) {
+                self.digest ^= member_digest(&removed);
             }
+        }
+        for member in &delta.changed {
+            let name = member.node.name.clone();
+            let replaced = self.members.insert(name, member.clone());
+            self.digest ^= member_digest(member) ^ replaced.as_ref().map_or(0, member_digest);
+        }
+        self.changed_at = now;
+        self.confirmed_at = now;
     }
 }
 
-/// The members as one replica sees them.
+/// Which of several reports of one edge is believed: the greatest one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Precedence {
+    /// The edge's agent is linked to the replica that reports it.
+    connected: bool,
+    /// The edge holds its lease at this replica.
+    local: bool,
+    /// When the report changed last.
+    changed_at: i64,
+}
+
+/// A member, and where it holds its lease.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LocatedMember<'a> {
+    /// The replica that reports it; none for this replica itself.
+    pub reporter: Option<ReplicaId>,
+    /// The agent's link, where the lease is held at this replica.
+    pub link: u64,
+    /// The member.
+    pub member: &'a Member,
+}
+
+/// How a delta of another replica's members was applied.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DeltaOutcome {
+    /// It was applied, or known before.
+    Applied,
+    /// It was applied, and the members of this replica have changed by it.
+    LocalMembersChanged,
+    /// A delta before it was missed: the whole list is to be requested.
+    ListNeeded,
+}
+
+/// How many edges serve.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ServingCounts {
+    /// In all zones.
+    pub total: u32,
+    /// In one zone.
+    pub in_zone: u32,
+}
+
+/// The local members as they were last announced to the other replicas.
+#[derive(Clone, Debug, Default)]
+struct Announced {
+    members: BTreeMap<String, Member>,
+    digest: u64,
+}
+
+/// The members as one replica sees them. Edges are named by their machines.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
     local: BTreeMap<String, MemberLease>,
-    /// Who spoke first on each link: an agent may have two for a while.
+    /// The edge behind each agent's link; for a while an agent may have two links.
     links: BTreeMap<u64, NodeInfo>,
     reports: BTreeMap<ReplicaId, PeerReport>,
-    /// The replicas that tell of each machine: few do, and looking at all for each change would grow with the replicas.
+    /// The replicas that report each edge. They are few, and a look at all reports for each change would grow with them.
     reporters: BTreeMap<String, BTreeSet<ReplicaId>>,
+    /// The digest of the local members.
     digest: u64,
-    /// The own list as the others were told it last, and its digest.
-    announced: (BTreeMap<String, Member>, u64),
-    /// Edges that served, and when that was last so.
+    announced: Announced,
+    /// Edges that serve or served recently, and when each was last known to.
     recently_serving: BTreeMap<String, i64>,
-    /// Edges that have not said yet that they serve...
+    /// Edges that have not said yet that they serve.
     starting: BTreeSet<String>,
-    /// ...and those that served and say that they do no more.
+    /// Edges that served and say that they do no longer.
     left: BTreeSet<String>,
     serving: ServingNodes,
 }
 
-/// The machines that serve, with their zones, and how many in each: kept as it changes, as it is asked often.
+/// The edges that serve, with their zones, and how many serve in each zone: kept up to date, as it is asked often.
 #[derive(Clone, Debug, Default)]
 struct ServingNodes {
     nodes: BTreeMap<String, String>,
@@ -74,459 +160,483 @@
 }
 
 impl ServingNodes {
-    /// A machine serves in a zone, or does not serve.
-    fn set(&mut self, node: &str, zone: Option<&str>) {
-        if self.nodes.get(node).map(String::as_str) == zone {
+    /// An edge serves in a zone, or does not serve.
+    fn set(&mut self, name: &str, zone: Option<&str>) {
+        if self.nodes.get(name).map(String::as_str) == zone {
             return;
         }
-        let old = match zone {
+        let former_zone = match zone {
             Some(zone) => {
                 *self.zones.entry(zone.to_string()).or_default() += 1;
-                self.nodes.insert(node.to_string(), zone.to_string())
+                self.nodes.insert(name.to_string(), zone.to_string())
             }
-            None => self.nodes.remove(node),
+            None => self.nodes.remove(name),
         };
-        if let Some(count) = old.and_then(|old| self.zones.get_mut(&old)) {
+        if let Some(count) = former_zone.and_then(|zone| self.zones.get_mut(&zone)) {
             *count -= 1;
         }
     }
 }
 
-fn member_digest(told: &Member) -> u64 {
+fn member_digest(member: &Member) -> u64 {
     let mut hasher = DefaultHasher::new();
-    // One always has a form; without, its digest would only be that of another one.
-    hasher.write(&postcard::to_allocvec(told).unwrap_or_default());
+    // A member can always be encoded; if it could not, its digest would only be that of another one.
+    hasher.write(&postcard::to_allocvec(member).unwrap_or_default());
     hasher.finish()
 }
 
-/// The digest of a list, whatever its order; of an empty one it is 0.
-fn digest<'a>(list: impl Iterator<Item = &'a Member>) -> u64 {
-    list.fold(0, |all, told| all ^ member_digest(told))
+/// The digest of a list, whatever its order; 0 for an empty one.
+fn list_digest<'a>(members: impl Iterator<Item = &'a Member>) -> u64 {
+    members.fold(0, |digest, member| digest ^ member_digest(member))
 }
 
 impl Membership {
-    /// The edges linked here.
+    /// The edges whose leases are held at this replica.
     pub fn local_members(&self) -> Vec<Member> {
-        self.local
-            .values()
-            .map(|lease| lease.member.clone())
-            .collect()
+        let leases = self.local.values();
+        leases.map(|lease| lease.member.clone()).collect()
     }
 
-    /// Digest of these.
+    /// The digest of the local members.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Gives whether the list is another one than the others were told.
+    /// Whether the local members differ from what was announced to the other replicas.
     fn has_unannounced_change(&self) -> bool {
-        self.digest != self.announced.1
+        self.digest != self.announced.digest
     }
 
-    /// Takes a lease in, or out. The digest goes along: it is asked for with every change.
-    fn set_lease(&mut self, node: &str, lease: Option<MemberLease>) -> Option<MemberLease> {
-        let new = lease
-            .as_ref()
-            .map_or(0, |lease| member_digest(&lease.member));
-        let old = match lease {
-            Some(lease) => self.local.insert(node.to_string(), lease),
-            None => self.local.remove(node),
+    /// Adds, replaces or removes a lease, and keeps the digest up to date.
+    fn set_lease(&mut self, name: &str, lease: Option<MemberLease>) {
+        let digest_of = |lease: &MemberLease| member_digest(&lease.member);
+        self.digest ^= lease.as_ref().map_or(0, digest_of);
+        let replaced = match lease {
+            Some(lease) => self.local.insert(name.to_string(), lease),
+            None => self.local.remove(name),
         };
-        self.digest ^= new ^ old.as_ref().map_or(0, |old| member_digest(&old.member));
-        old
+        self.digest ^= replaced.as_ref().map_or(0, digest_of);
     }
 
-    /// What the other replicas are to be told, if the own list is another one than they were told last.
+    /// The changes of the local members since they were last announced, if there are any. They count as announced now.
     pub fn take_delta(&mut self) -> Option<MembershipDelta> {
-        let (last, before) = &mut self.announced;
-        if *before == self.digest {
+        if !self.has_unannounced_change() {
             return None;
         }
-        let told = self
-            .local
-            .iter()
-            .filter(|(node, lease)| last.get(*node) != Some(&lease.member));
-        let told: Vec<Member> = told.map(|(_, lease)| lease.member.clone()).collect();
-        let gone: Vec<String> = last
-            .keys()
-            .filter(|node| !self.local.contains_key(*node))
-            .cloned()
-            .collect();
-        let moved = MembershipDelta {
-            digest_before: *before,
+        let announced = &mut self.announced;
+        let changed = self.local.iter();
+        let changed =
+            changed.filter(|(name, lease)| announced.members.get(*name) != Some(&lease.member));
+        let changed: Vec<Member> = changed.map(|(_, lease)| lease.member.clone()).collect();
+        let removed = announced.members.keys();
+        let removed = removed.filter(|name| !self.local.contains_key(*name));
+        let removed: Vec<String> = removed.cloned().collect();
+        for name in &removed {
+            announced.members.remove(name);
+        }
+        for member in &changed {
+            let name = member.node.name.clone();
+            announced.members.insert(name, member.clone());
+        }
+        Some(MembershipDelta {
+            digest_before: std::mem::replace(&mut announced.digest, self.digest),
             digest_after: self.digest,
-            changed: told,
-            removed: gone,
-        };
-        moved.removed.iter().for_each(|node| _ = last.remove(node));
-        last.extend(
-            moved
-                .changed
-                .iter()
-                .map(|told| (told.node.name.clone(), told.clone())),
-        );
-        *before = self.digest;
-        Some(moved)
-    }
-
-    /// An agent has said who it is. Gives whether the list is another one.
-    pub fn handle_hello(&mut self, now: i64, link: u64, edge: NodeInfo) -> bool {
-        // An agent that comes from another replica stands as it stood there until it says more.
-        let known = self
-            .best_report(&edge.name)
-            .filter(|told| told.node == edge)
-            .map(|told| told.state);
-        let standing = known.unwrap_or_default();
-        self.links.insert(link, edge.clone());
-        let told = Member {
-            node: edge,
-            state: standing,
-            connected: true,
-        };
-        let node = told.node.name.clone();
-        self.set_lease(
-            &node,
-            Some(MemberLease {
-                member: told,
-                link,
-                renewed_at: now,
-            }),
-        );
-        self.update_serving(&node);
-        self.has_unannounced_change()
+            changed,
+            removed,
+        })
+    }
+
+    /// An agent has said which edge it belongs to. Gives whether the local members have an unannounced change.
+    pub fn handle_hello(&mut self, now: i64, link: u64, node: NodeInfo) -> bool {
+        // An edge that comes from another replica keeps the state that it had there until its agent tells another one.
+        let known = self.best_report(&node.name);
+        let known = known.filter(|member| member.node == node);
+        let state = known.map(|member| member.state).unwrap_or_default();
+        self.links.insert(link, node.clone());
+        self.renew(now, link, node, state)
     }
 
-    /// An agent has renewed its lease. Gives whether the list is another one.
-    pub fn handle_heartbeat(&mut self, now: i64, link: u64, standing: NodeState) -> bool {
-        let Some(edge) = self.links.get(&link).cloned() else {
+    /// An agent has renewed its lease. Gives whether the local members have an unannounced change.
+    pub fn handle_heartbeat(&mut self, now: i64, link: u64, state: NodeState) -> bool {
+        let Some(node) = self.links.get(&link).cloned() else {
             return false;
         };
-        // The agent beats on the link that it keeps, whichever spoke last; and where it beats, it is.
-        let same = |lease: &&mut MemberLease| {
-            lease.member.connected && lease.member.state == standing && lease.member.node == edge
-        };
-        if let Some(lease) = self.local.get_mut(&edge.name).filter(same) {
-            (lease.link, lease.renewed_at) = (link, now);
-            return false;
+        // The agent sends heartbeats on the link that it keeps, whichever of them was the first.
+        if let Some(lease) = self.local.get_mut(&node.name) {
+            let member = &lease.member;
+            if member.connected && member.state == state && member.node == node {
+                lease.link = link;
+                lease.renewed_at = now;
+                return false;
+            }
         }
-        let node = edge.name.clone();
-        let told = Member {
-            node: edge,
-            state: standing,
+        self.renew(now, link, node, state)
+    }
+
+    fn renew(&mut self, now: i64, link: u64, node: NodeInfo, state: NodeState) -> bool {
+        let name = node.name.clone();
+        let member = Member {
+            node,
+            state,
             connected: true,
         };
-        self.set_lease(
-            &node,
-            Some(MemberLease {
-                member: told,
-                link,
-                renewed_at: now,
-            }),
-        );
-        self.update_serving(&node);
+        let lease = MemberLease {
+            member,
+            link,
+            renewed_at: now,
+        };
+        self.set_lease(&name, Some(lease));
+        self.update_serving(&name);
         self.has_unannounced_change()
     }
 
-    /// An agent's link is gone; its lease runs on. Gives whether the list is another one.
+    /// An agent's link was closed; its lease goes on until it expires. Gives whether the local members have an unannounced
+    /// change.
     pub fn handle_disconnect(&mut self, link: u64) -> bool {
-        let edge = self.links.remove(&link);
-        let held = edge
-            .and_then(|edge| self.local.get(&edge.name))
-            .filter(|lease| lease.link == link);
-        let Some(mut lease) = held.cloned() else {
+        let node = self.links.remove(&link);
+        let lease = node.and_then(|node| self.local.get(&node.name));
+        let Some(mut lease) = lease.filter(|lease| lease.link == link).cloned() else {
             return false;
         };
         lease.member.connected = false;
-        let node = lease.member.node.name.clone();
-        self.set_lease(&node, Some(lease));
-        self.update_serving(&node);
+        let name = lease.member.node.name.clone();
+        self.set_lease(&name, Some(lease));
+        self.update_serving(&name);
+        self.has_unannounced_change()
+    }
+
+    /// Removes the leases and reports that have expired. Gives whether the local members have an unannounced change.
+    pub fn expire_leases(&mut self, now: i64, has_quorum_contact: bool) -> bool {
+        self.expire_reports(now, has_quorum_contact);
+        let expired = self.local.iter().filter(|(_, lease)| !lease.is_valid(now));
+        let expired: Vec<String> = expired.map(|(name, _)| name.clone()).collect();
+        for name in expired {
+            self.set_lease(&name, None);
+        }
+        let unavailable = self.rebuild_serving();
+        self.update_recently_serving(now, has_quorum_contact, &unavailable);
         self.has_unannounced_change()
     }
 
-    /// Drops the leases that have run out. Gives whether the own list is another one.
-    pub fn expire_leases(&mut self, now: i64, in_touch: bool) -> bool {
-        let silent = self
-            .reports
-            .iter()
-            .filter(|(_, hearsay)| !hearsay.is_valid(now, in_touch));
-        for replica in silent.map(|(replica, _)| *replica).collect::<Vec<_>>() {
-            let gone = self.reports.remove(&replica).unwrap_or_default();
-            gone.members
-                .keys()
-                .for_each(|node| self.set_reporter(replica, node, false));
-        }
-        let over = self.local.iter().filter(|(_, lease)| !lease.is_valid(now));
-        let over: Vec<String> = over.map(|(node, _)| node.clone()).collect();
-        over.iter().for_each(|node| _ = self.set_lease(node, None));
+    fn expire_reports(&mut self, now: i64, has_quorum_contact: bool) {
+        let reports = self.reports.iter();
+        let expired = reports.filter(|(_, report)| !report.is_valid(now, has_quorum_contact));
+        for replica in expired.map(|(replica, _)| *replica).collect::<Vec<_>>() {
+            let report = self.reports.remove(&replica).unwrap_or_default();
+            for name in report.members.keys() {
+                self.remove_reporter(replica, name);
+            }
+        }
+    }
+
+    /// Determines anew which edges serve, and gives those that say that they do not.
+    fn rebuild_serving(&mut self) -> BTreeSet<String> {
         let mut serving = ServingNodes::default();
-        let mut away = BTreeSet::new();
-        for told in self.all_members() {
-            let (node, zone) = (&told.node.name, &told.node.zone);
-            match told.state {
-                NodeState::Unavailable => _ = away.insert(node.clone()),
-                NodeState::Ready | NodeState::Draining => serving.set(node, Some(zone)),
+        let mut unavailable = BTreeSet::new();
+        for member in self.all_members() {
+            let name = &member.node.name;
+            match member.state {
+                NodeState::Unavailable => _ = unavailable.insert(name.clone()),
+                NodeState::Ready | NodeState::Draining => {
+                    serving.set(name, Some(&member.node.zone))
+                }
             }
         }
         self.serving = serving;
-        self.left.extend(
-            away.iter()
-                .filter(|node| self.recently_serving.contains_key(*node))
-                .cloned(),
-        );
-        self.left.retain(|node| away.contains(node));
-        // Danger: one that falls silent before it has said that it serves may serve by then, and use its slices.
-        let heard = |node: &String| away.contains(node) || self.serving.nodes.contains_key(node);
-        let silent: Vec<String> = self
-            .starting
-            .iter()
-            .filter(|node| !heard(node))
-            .cloned()
-            .collect();
-        self.recently_serving
-            .extend(silent.into_iter().map(|node| (node, now)));
-        self.starting = away.difference(&self.left).cloned().collect();
-        self.recently_serving
-            .extend(self.serving.nodes.keys().map(|node| (node.clone(), now)));
-        if !in_touch {
-            // Danger: those that are heard no more may serve on beside other replicas. Agents that are told a lower number
-            // take larger slices of quotas, and the others go on with theirs.
-            self.recently_serving.values_mut().for_each(|at| *at = now);
-        }
-        // Who says that it leaves uses no slice any more.
-        self.recently_serving.retain(|node, at| {
-            now - *at <= limits::RECENTLY_SERVING_DURATION && !away.contains(node)
+        unavailable
+    }
+
+    /// Determines which edges may still use their slices of quotas although they are not heard any more.
+    fn update_recently_serving(
+        &mut self,
+        now: i64,
+        has_quorum_contact: bool,
+        unavailable: &BTreeSet<String>,
+    ) {
+        let recently_serving = &mut self.recently_serving;
+        let newly_left = unavailable.iter();
+        let newly_left = newly_left.filter(|name| recently_serving.contains_key(*name));
+        self.left.extend(newly_left.cloned());
+        self.left.retain(|name| unavailable.contains(name));
+        // Hazard: an edge that falls silent before it has said that it serves may serve by then, and use its slices.
+        for name in &self.starting {
+            if !unavailable.contains(name) && !self.serving.nodes.contains_key(name) {
+                recently_serving.insert(name.clone(), now);
+            }
+        }
+        self.starting = unavailable.difference(&self.left).cloned().collect();
+        for name in self.serving.nodes.keys() {
+            recently_serving.insert(name.clone(), now);
+        }
+        if !has_quorum_contact {
+            // Hazard: edges that are not heard here may go on serving beside other replicas. Agents that are told a lower
+            // number of limiters take larger slices of quotas, while those others go on with theirs.
+            recently_serving.values_mut().for_each(|at| *at = now);
+        }
+        // An edge that says that it has left uses no slice any more.
+        recently_serving.retain(|name, at| {
+            now - *at <= limits::RECENTLY_SERVING_DURATION && !unavailable.contains(name)
         });
-        self.has_unannounced_change()
     }
 
-    /// A replica has told whom it holds. Gives whether the own list is another one.
-    pub fn handle_member_list(&mut self, now: i64, replica: ReplicaId, list: Vec<Member>) -> bool {
-        self.release_moved(&list);
-        let digest = digest(list.iter());
-        let list: BTreeMap<String, Member> = list
-            .into_iter()
-            .map(|told| (told.node.name.clone(), told))
-            .collect();
-        let nodes: Vec<String> = list.keys().cloned().collect();
-        let new = PeerReport {
-            members: list,
+    /// Another replica has sent all its members. Gives whether the local members have an unannounced change.
+    pub fn handle_member_list(
+        &mut self,
+        now: i64,
+        replica: ReplicaId,
+        members: Vec<Member>,
+    ) -> bool {
+        self.release_moved(&members);
+        let digest = list_digest(members.iter());
+        let by_name = members.into_iter();
+        let by_name = by_name.map(|member| (member.node.name.clone(), member));
+        let report = PeerReport {
+            members: by_name.collect(),
             digest,
             changed_at: now,
             confirmed_at: now,
             requested_at: None,
         };
-        let old = self.reports.insert(replica, new).unwrap_or_default();
-        old.members
-            .keys()
-            .for_each(|node| self.set_reporter(replica, node, false));
-        nodes
-            .iter()
-            .for_each(|node| self.set_reporter(replica, node, true));
-        nodes
-            .iter()
-            .chain(old.members.keys())
-            .for_each(|node| self.update_serving(node));
+        let names: Vec<String> = report.members.keys().cloned().collect();
+        let replaced = self.reports.insert(replica, report).unwrap_or_default();
+        for name in replaced.members.keys() {
+            self.remove_reporter(replica, name);
+        }
+        for name in &names {
+            self.add_reporter(replica, name);
+        }
+        for name in names.iter().chain(replaced.members.keys()) {
+            self.update_serving(name);
+        }
         self.has_unannounced_change()
     }
 
-    /// A replica has told what has changed of whom it holds. Gives whether the own list is another one; nothing where a
-    /// telling before it was missed, and the whole is to be asked for.
+    /// Another replica has sent the changes of its members.
     pub fn handle_delta(
         &mut self,
         now: i64,
         replica: ReplicaId,
-        moved: MembershipDelta,
-    ) -> Option<bool> {
-        let hearsay = self.reports.entry(replica).or_default();
-        if hearsay.digest == moved.digest_after {
-            hearsay.confirmed_at = now;
-            return Some(false);
-        }
-        if hearsay.digest != moved.digest_before {
+        delta: MembershipDelta,
+    ) -> DeltaOutcome {
+        let report = self.reports.entry(replica).or_default();
+        if report.digest == delta.digest_after {
+            report.confirmed_at = now;
+            return DeltaOutcome::Applied;
+        }
+        if report.digest != delta.digest_before {
             return if self.should_request_list(now, replica) {
-                None
+                DeltaOutcome::ListNeeded
             } else {
-                Some(false)
+                DeltaOutcome::Applied
             };
         }
-        let gone = moved
-            .removed
-            .iter()
-            .filter_map(|node| hearsay.members.remove(node));
-        let digest = gone.fold(hearsay.digest, |digest, told| digest ^ member_digest(&told));
-        hearsay.digest = moved.changed.iter().fold(digest, |digest, told| {
-            let old = hearsay.members.insert(told.node.name.clone(), told.clone());
-            digest ^ member_digest(told) ^ old.as_ref().map_or(0, member_digest)
-        });
-        (hearsay.changed_at, hearsay.confirmed_at) = (now, now);
-        moved
-            .removed
-            .iter()
-            .for_each(|node| self.set_reporter(replica, node, false));
-        moved
-            .changed
-            .iter()
-            .for_each(|told| self.set_reporter(replica, &told.node.name, true));
-        self.release_moved(&moved.changed);
-        moved
-            .changed
-            .iter()
-            .map(|told| &told.node.name)
-            .chain(&moved.removed)
-            .for_each(|node| self.update_serving(node));
-        Some(self.has_unannounced_change())
-    }
-
-    /// Who is linked elsewhere by now is not held here.
-    fn release_moved(&mut self, list: &[Member]) {
-        for told in list.iter().filter(|told| told.connected) {
-            if self
-                .local
-                .get(&told.node.name)
-                .is_some_and(|lease| !lease.member.connected)
-            {
-                self.set_lease(&told.node.name, None);
+        report.apply(now, &delta);
+        for name in &delta.removed {
+            self.remove_reporter(replica, name);
+        }
+        for member in &delta.changed {
+            self.add_reporter(replica, &member.node.name);
+        }
+        self.release_moved(&delta.changed);
+        let changed = delta.changed.iter().map(|member| &member.node.name);
+        for name in changed.chain(&delta.removed) {
+            self.update_serving(name);
+        }
+        if self.has_unannounced_change() {
+            DeltaOutcome::LocalMembersChanged
+        } else {
+            DeltaOutcome::Applied
+        }
+    }
+
+    /// Releases the leases of edges whose agents were linked here and are linked elsewhere by now.
+    fn release_moved(&mut self, members: &[Member]) {
+        for member in members.iter().filter(|member| member.connected) {
+            let name = &member.node.name;
+            let lease = self.local.get(name);
+            if lease.is_some_and(|lease| !lease.member.connected) {
+                self.set_lease(name, None);
             }
         }
     }
 
-    /// A replica's beat has come. Gives whether its list is to be asked for.
+    /// Another replica has sent the digest of its members. Gives whether its list is to be requested.
     pub fn handle_digest(&mut self, now: i64, replica: ReplicaId, digest: u64) -> bool {
-        let hearsay = self.reports.entry(replica).or_default();
-        if hearsay.digest == digest {
-            hearsay.confirmed_at = now;
+        let report = self.reports.entry(replica).or_default();
+        if report.digest == digest {
+            report.confirmed_at = now;
             return false;
         }
         self.should_request_list(now, replica)
     }
 
-    /// A replica's list is another one than is known here. Gives whether to ask for it now.
+    /// Whether to request the list of a replica that has other members than were reported, now.
     fn should_request_list(&mut self, now: i64, replica: ReplicaId) -> bool {
-        let hearsay = self.reports.entry(replica).or_default();
-        let ask = hearsay
+        let report = self.reports.entry(replica).or_default();
+        let request = report
             .requested_at
-            .is_none_or(|asked| now - asked >= limits::SYNC_REQUEST_INTERVAL);
-        if ask {
-            hearsay.requested_at = Some(now);
-            // A list of nobody, that waits for the answer.
-            hearsay.confirmed_at = hearsay
-                .confirmed_at
-                .max(now - limits::MEMBER_LEASE_DURATION / 2);
+            .is_none_or(|requested_at| now - requested_at >= limits::SYNC_REQUEST_INTERVAL);
+        if request {
+            report.requested_at = Some(now);
+            // The report must not expire while the answer is on its way.
+            let grace = now - limits::MEMBER_LEASE_DURATION / 2;
+            report.confirmed_at = report.confirmed_at.max(grace);
         }
-        ask
+        request
     }
 
-    /// Edges that serve, or did so lately: those that are cut off use their slices of quotas on.
+    /// How many edges serve or served recently: those that are cut off go on using their slices of quotas.
     pub fn recently_serving_count(&self) -> usize {
         self.recently_serving.len()
     }
 
-    /// How many serve, in all and in a zone.
-    pub fn serving_counts(&self, zone: &str) -> (u32, u32) {
-        (
-            self.serving.nodes.len() as u32,
-            self.serving.zones.get(zone).copied().unwrap_or_default(),
-        )
-    }
-
-    /// A replica tells of a machine, or no longer.
-    fn set_reporter(&mut self, replica: ReplicaId, node: &str, tells: bool) {
-        if tells {
-            self.reporters
-                .entry(node.to_string())
-                .or_default()
-                .insert(replica);
-        } else if let Some(tellers) = self.reporters.get_mut(node) {
-            tellers.remove(&replica);
-            if tellers.is_empty() {
-                self.reporters.remove(node);
-            }
+    /// How many edges serve, in all and in a zone.
+    pub fn serving_counts(&self, zone: &str) -> ServingCounts {
+        ServingCounts {
+            total: self.serving.nodes.len() as u32,
+            in_zone: self.serving.zones.get(zone).copied().unwrap_or_default(),
         }
     }
 
-    /// Something else is said of a machine.
-    fn update_serving(&mut self, node: &str) {
-        let told = self
-            .best_report(node)
-            .filter(|told| told.state != NodeState::Unavailable);
-        let zone = told.map(|told| told.node.zone.clone());
-        self.serving.set(node, zone.as_deref());
+    fn add_reporter(&mut self, replica: ReplicaId, name: &str) {
+        let reporters = self.reporters.entry(name.to_string()).or_default();
+        reporters.insert(replica);
     }
 
-    /// All that is said of a machine, each with its weight.
-    fn reports_of(&self, node: &str) -> impl Iterator<Item = ((bool, bool, i64), &Member)> {
-        let own = self
-            .local
-            .get(node)
-            .map(|lease| ((lease.member.connected, true, 0), &lease.member));
-        let tellers = self.reporters.get(node).into_iter().flatten();
-        let others = tellers.filter_map(|replica| {
-            let hearsay = self.reports.get(replica)?;
-            let told = hearsay.members.get(node)?;
-            Some(((told.connected, false, hearsay.changed_at), told))
-        });
-        own.into_iter().chain(others)
+    fn remove_reporter(&mut self, replica: ReplicaId, name: &str) {
+        if let Some(reporters) = self.reporters.get_mut(name) {
+            reporters.remove(&replica);
+            if reporters.is_empty() {
+                self.reporters.remove(name);
+            }
+        }
     }
 
-    /// A member, as [`Members::all`] has it.
-    fn best_report(&self, node: &str) -> Option<&Member> {
-        self.reports_of(node)
-            .max_by_key(|(weight, _)| *weight)
-            .map(|(_, told)| told)
+    /// The reports of an edge have changed: determines anew whether it serves.
+    fn update_serving(&mut self, name: &str) {
+        let member = self.best_report(name);
+        let serving = member.filter(|member| member.state != NodeState::Unavailable);
+        let zone = serving.map(|member| member.node.zone.clone());
+        self.serving.set(name, zone.as_deref());
+    }
+
+    /// The report of an edge that is believed, as [`Membership::all_members`] has it.
+    fn best_report(&self, name: &str) -> Option<&Member> {
+        let local = self.local.get(name);
+        let local = local.map(|lease| (lease.precedence(), &lease.member));
+        let reporters = self.reporters.get(name).into_iter().flatten();
+        let reported = reporters.filter_map(|replica| {
+            let report = self.reports.get(replica)?;
+            let member = report.members.get(name)?;
+            Some((report.precedence(member), member))
+        });
+        let best = local.into_iter().chain(reported);
+        let best = best.max_by_key(|(precedence, _)| *precedence);
+        best.map(|(_, member)| member)
     }
 
-    /// All members. An edge linked here goes before hearsay, then who is linked there, then who was told of last.
+    /// All members, each as the report with the highest precedence has it.
     pub fn all_members(&self) -> Vec<&Member> {
-        self.members_with_origin()
-            .into_iter()
-            .map(|(_, _, told)| told)
-            .collect()
+        let located = self.located_members().into_iter();
+        located.map(|located| located.member).collect()
     }
 
-    /// The members whose leases hold at this instant. A process that stood still is asked before it has dropped the others.
-    pub fn valid_members(&self, now: i64, in_touch: bool) -> Vec<&Member> {
-        let placed = self.members_with_origin_where(
+    /// The members whose leases and reports are valid at this instant, also if a stalled process has not removed the others
+    /// yet.
+    pub fn valid_members(&self, now: i64, has_quorum_contact: bool) -> Vec<&Member> {
+        let located = self.located_members_where(
             |lease| lease.is_valid(now),
-            |hearsay| hearsay.is_valid(now, in_touch),
+            |report| report.is_valid(now, has_quorum_contact),
         );
-        placed.into_iter().map(|(_, _, told)| told).collect()
+        located.into_iter().map(|located| located.member).collect()
     }
 
-    /// The same as [`Members::all`], with the replica that told of each; without one, it is held here, on this link.
-    pub fn members_with_origin(&self) -> Vec<(Option<ReplicaId>, u64, &Member)> {
-        self.members_with_origin_where(|_| true, |_| true)
+    /// All members, each with the place where it holds its lease.
+    pub fn located_members(&self) -> Vec<LocatedMember<'_>> {
+        self.located_members_where(|_| true, |_| true)
     }
 
-    fn members_with_origin_where(
+    fn located_members_where(
         &self,
-        own: impl Fn(&MemberLease) -> bool,
-        others: impl Fn(&PeerReport) -> bool,
-    ) -> Vec<(Option<ReplicaId>, u64, &Member)> {
-        let own = self.local.values().filter(|lease| own(lease));
-        let own = own.map(|lease| {
-            (
-                (lease.member.connected, true, 0),
-                (None, lease.link, &lease.member),
-            )
+        is_valid_lease: impl Fn(&MemberLease) -> bool,
+        is_valid_report: impl Fn(&PeerReport) -> bool,
+    ) -> Vec<LocatedMember<'_>> {
+        let local = self.local.values().filter(|lease| is_valid_lease(lease));
+        let local = local.map(|lease| {
+            let located = LocatedMember {
+                reporter: None,
+                link: lease.link,
+                member: &lease.member,
+            };
+            (lease.precedence(), located)
         });
-        let others = self.reports.iter().filter(|(_, hearsay)| others(hearsay));
-        let others = others.flat_map(|(replica, hearsay)| {
-            let one = |told| (Some(*replica), 0, told);
-            hearsay
-                .members
-                .values()
-                .map(move |told: &Member| ((told.connected, false, hearsay.changed_at), one(told)))
+        let reports = self.reports.iter();
+        let reports = reports.filter(|(_, report)| is_valid_report(report));
+        let reported = reports.flat_map(|(replica, report)| {
+            report.members.values().map(move |member| {
+                let located = LocatedMember {
+                    reporter: Some(*replica),
+                    link: 0,
+                    member,
+                };
+                (report.precedence(member), located)
+            })
         });
         let mut best = BTreeMap::new();
-        for (weight, one) in own.chain(others) {
-            let entry = best
-                .entry(one.2.node.name.as_str())
-                .or_insert((weight, one));
-            if entry.0 < weight {
-                *entry = (weight, one);
+        for (precedence, located) in local.chain(reported) {
+            let name = located.member.node.name.as_str();
+            let entry = best.entry(name).or_insert((precedence, located));
+            if entry.0 < precedence {
+                *entry = (precedence, located);
             }
         }
-        best.into_values().map(|(_, one)| one).collect()
+        best.into_values().map(|(_, located)| located).collect()
+    }
+}
+
+impl Replica {
+    /// Sends all local members to a replica.
+    pub(super) fn send_member_list(&self, to: SocketAddr, out: &mut Vec<Output>) {
+        let members = self.membership.local_members();
+        self.send(vec![to], Payload::MemberList(members), out);
+    }
+
+    /// Another replica has sent all its members.
+    pub(super) fn handle_member_list(
+        &mut self,
+        now: i64,
+        sender: Sender,
+        members: Vec<Member>,
+        out: &mut Vec<Output>,
+    ) {
+        let replica = sender.replica();
+        if self.membership.handle_member_list(now, replica, members) {
+            self.broadcast_membership(out);
+        }
+    }
+
+    /// Another replica has sent the changes of its members.
+    pub(super) fn handle_membership_delta(
+        &mut self,
+        now: i64,
+        sender: Sender,
+        delta: MembershipDelta,
+        out: &mut Vec<Output>,
+    ) {
+        match self.membership.handle_delta(now, sender.replica(), delta) {
+            DeltaOutcome::Applied => {}
+            DeltaOutcome::LocalMembersChanged => self.broadcast_membership(out),
+            DeltaOutcome::ListNeeded => {
+                self.send(vec![sender.address], Payload::MemberListRequest, out)
+            }
+        }
+    }
+
+    /// Sends the changes of the local members to the other replicas, if there are any.
+    pub(super) fn broadcast_membership(&mut self, out: &mut Vec<Output>) {
+        if let Some(delta) = self.membership.take_delta() {
+            self.broadcast(Payload::MembershipDelta(delta), out);
+        }
     }
 }
 
--- a/crates/control/src/core/membership/tests.rs
+++ b/crates/control/src/core/membership/tests.rs
@@ -12,22 +12,25 @@
     }
 }
 
-/// What another replica holds of this one's list.
-fn held(other: &Membership) -> Vec<(&str, NodeState)> {
+/// The members that a replica knows, with their states.
+fn states(other: &Membership) -> Vec<(&str, NodeState)> {
     other
         .all_members()
         .into_iter()
-        .map(|told| (told.node.name.as_str(), told.state))
+        .map(|member| (member.node.name.as_str(), member.state))
         .collect()
 }
 
 #[test]
-fn a_change_is_told_alone_and_who_missed_one_asks_for_the_whole() {
+fn missed_delta_makes_the_receiver_request_the_list() {
     let (mut one, mut other) = (Membership::default(), Membership::default());
     assert!(one.handle_hello(0, 1, edge("e")) && one.handle_hello(0, 2, edge("f")));
     let first = one.take_delta().unwrap();
     assert_eq!((first.changed.len(), one.take_delta()), (2, None));
-    assert_eq!(other.handle_delta(0, 7, first.clone()), Some(false));
+    assert_eq!(
+        other.handle_delta(0, 7, first.clone()),
+        DeltaOutcome::Applied
+    );
     assert!(
         one.handle_heartbeat(1, 1, NodeState::Ready)
             && !one.handle_heartbeat(2, 1, NodeState::Ready)
@@ -36,26 +39,32 @@
     assert_eq!((second.changed.len(), second.removed.len()), (1, 0));
     assert!(one.handle_heartbeat(3, 2, NodeState::Draining));
     let third = one.take_delta().unwrap();
-    // The third comes before the second, and the first again.
-    assert_eq!(other.handle_delta(3, 7, third), None);
-    assert_eq!(other.handle_delta(4, 7, second), Some(false));
+    // The third delta arrives before the second.
+    assert_eq!(other.handle_delta(3, 7, third), DeltaOutcome::ListNeeded);
+    assert_eq!(other.handle_delta(4, 7, second), DeltaOutcome::Applied);
     assert_eq!(
-        held(&other),
+        states(&other),
         [("e", NodeState::Ready), ("f", NodeState::Unavailable)]
     );
     assert!(
         !other.handle_digest(5, 7, one.digest()),
-        "it was asked for just now"
+        "the list was requested just now"
     );
     assert!(other.handle_digest(limits::SYNC_REQUEST_INTERVAL + 5, 7, one.digest()));
     other.handle_member_list(limits::SYNC_REQUEST_INTERVAL + 6, 7, one.local_members());
     assert!(!other.handle_digest(limits::SYNC_REQUEST_INTERVAL + 7, 7, one.digest()));
     assert_eq!(
-        held(&other),
+        states(&other),
         [("e", NodeState::Ready), ("f", NodeState::Draining)]
     );
-    assert_eq!(other.serving_counts("a"), (2, 2));
-    // One whose lease has run out goes by its name alone.
+    assert_eq!(
+        other.serving_counts("a"),
+        ServingCounts {
+            total: 2,
+            in_zone: 2
+        }
+    );
+    // An edge whose lease has expired is removed by its name alone.
     assert!(
         one.handle_heartbeat(limits::MEMBER_LEASE_DURATION, 1, NodeState::Ready)
             || one.expire_leases(limits::MEMBER_LEASE_DURATION + 4, true)
@@ -67,16 +76,22 @@
     );
     assert_eq!(
         other.handle_delta(limits::MEMBER_LEASE_DURATION + 5, 7, last),
-        Some(false)
+        DeltaOutcome::Applied
     );
     assert_eq!(
-        (held(&other), other.serving_counts("a")),
-        (vec![("e", NodeState::Ready)], (1, 1))
+        (states(&other), other.serving_counts("a")),
+        (
+            vec![("e", NodeState::Ready)],
+            ServingCounts {
+                total: 1,
+                in_zone: 1
+            }
+        )
     );
 }
 
 #[test]
-fn an_edge_that_falls_silent_counts_for_a_while_and_one_that_leaves_does_not() {
+fn silent_edge_counts_as_recently_serving_and_one_that_left_does_not() {
     let mut members = Membership::default();
     for (link, node) in [(1, "a"), (2, "b")] {
         members.handle_hello(0, link, edge(node));
@@ -97,12 +112,12 @@
 }
 
 #[test]
-fn leases_end_by_themselves_and_sooner_for_hearsay_in_touch() {
+fn leases_and_reports_expire_without_renewal() {
     let (mut members, mut other) = (Membership::default(), Membership::default());
     other.handle_hello(0, 1, edge("b"));
     members.handle_hello(0, 1, edge("a"));
     members.handle_member_list(0, 7, other.local_members());
-    // Nothing was dropped: the process stood still.
+    // A stalled process has not removed anything yet.
     let named = |now, in_touch| members.valid_members(now, in_touch).len();
     assert_eq!(
         (
@@ -121,13 +136,13 @@
 }
 
 #[test]
-fn a_replica_out_of_touch_counts_on_those_that_it_hears_no_more() {
+fn replica_without_quorum_goes_on_counting_silent_edges() {
     let mut members = Membership::default();
     members.handle_hello(0, 1, edge("a"));
     members.handle_heartbeat(0, 1, NodeState::Ready);
     members.expire_leases(0, true);
     let back = 2 * limits::RECENTLY_SERVING_DURATION;
-    // The last is as a process finds it that stood still.
+    // The last one is what a process finds that had stalled.
     for alone in [
         limits::MEMBER_LEASE_DURATION + 1,
         limits::RECENTLY_SERVING_DURATION + 1,
@@ -143,7 +158,7 @@
 }
 
 #[test]
-fn an_edge_that_falls_silent_before_it_says_that_it_serves_counts_for_a_while() {
+fn edge_silent_before_it_was_ready_counts_as_recently_serving() {
     let mut members = Membership::default();
     members.handle_hello(0, 1, edge("a"));
     members.handle_heartbeat(0, 1, NodeState::Unavailable);
--- a/crates/control/src/core/outbox.rs
+++ b/crates/control/src/core/outbox.rs
@@ -1,141 +1,159 @@
-//! PeerMessages and rows on their way out, and what waits for the disk.
+//! Messages and records on their way out, and what waits for the disk.
 
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+use super::events::Event;
 use super::peer_messages::{Incarnation, Payload, PeerMessage, Term, TransferRequest};
+use super::replicas::Sender;
 use super::role_lease::RoleLease;
 use super::{Output, Record, Replica, ReplicaMetadata};
 
-/// What is done once rows are on disk.
+/// What is done once records are on disk.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum PendingWrite {
-    /// A vote goes out; without an address it is this replica's own.
+    /// Send a vote to the replica at this address; without one it is this replica's own vote.
     Vote(Option<SocketAddr>, Payload),
-    /// A replica that rebuilds hears that its incarnation is written down here.
+    /// Tell a recovering replica that its incarnation is recorded, and send it what it requested.
     Recorded(SocketAddr, Incarnation, TransferRequest),
-    /// This replica takes part from now on.
+    /// Take part in the incarnation that was recovered.
     BeginIncarnation(Incarnation),
 }
 
+/// The disk as the replica knows it.
+#[derive(Clone, Debug, Default)]
+pub(super) struct DiskState {
+    /// The disk rejects writes.
+    pub(super) is_full: bool,
+    /// What waits for a write, by its request id.
+    pending: BTreeMap<u64, PendingWrite>,
+}
+
+impl DiskState {
+    /// How many writes something waits for.
+    pub(super) fn pending_writes(&self) -> usize {
+        self.pending.len()
+    }
+}
+
 impl Replica {
-    /// Sends a message.
-    pub(super) fn send(&self, to: Vec<SocketAddr>, body: Payload, out: &mut Vec<Output>) {
-        if !to.is_empty() {
-            out.push(Output::SendToReplicas(
-                to,
-                PeerMessage {
-                    sender: self.table.local(),
-                    incarnations: self.table.incarnations(),
-                    payload: body,
-                },
-            ));
+    /// Sends a message to the replicas at these addresses.
+    pub(super) fn send(&self, to: Vec<SocketAddr>, payload: Payload, out: &mut Vec<Output>) {
+        if to.is_empty() {
+            return;
         }
+        let message = PeerMessage {
+            sender: self.table.local(),
+            incarnations: self.table.incarnations(),
+            payload,
+        };
+        out.push(Output::SendToReplicas(to, message));
     }
 
     /// Sends a message to all other replicas.
-    pub(super) fn broadcast(&self, body: Payload, out: &mut Vec<Output>) {
-        self.send(self.table.other_addresses(), body, out);
+    pub(super) fn broadcast(&self, payload: Payload, out: &mut Vec<Output>) {
+        self.send(self.table.other_addresses(), payload, out);
     }
 
-    /// Writes rows, and does something once they are on disk.
+    /// Writes records; `then` is carried out once they are on disk.
     pub(super) fn write(
         &mut self,
-        rows: Vec<Record>,
-        after: Option<PendingWrite>,
+        records: Vec<Record>,
+        then: Option<PendingWrite>,
         out: &mut Vec<Output>,
     ) {
-        let number = self.next_request_id();
-        if let Some(after) = after {
-            self.pending_writes.insert(number, vec![after]);
+        let id = self.next_request_id();
+        if let Some(then) = then {
+            self.disk.pending.insert(id, then);
         }
-        out.push(Output::Write(number, rows));
+        out.push(Output::Write(id, records));
     }
 
-    /// Newest term of each duty that was granted here.
+    /// The newest term of each role that this replica has granted.
     fn granted_terms(&self) -> impl Iterator<Item = Term> {
         self.role_leases.iter().map(RoleLease::granted_term)
     }
 
-    /// What is written down about this replica and the others.
+    /// The metadata as it is to be persisted now.
     pub(super) fn metadata(&self) -> ReplicaMetadata {
+        let last_held = self.role_leases.iter().map(RoleLease::last_held_term);
         ReplicaMetadata {
             incarnation: self.table.local().incarnation,
             run: self.run,
             floor: self.registers.floor(),
-            terms: self
-                .granted_terms()
-                .chain(self.role_leases.iter().map(RoleLease::last_held_term))
-                .collect(),
+            terms: self.granted_terms().chain(last_held).collect(),
             incarnations: self.table.incarnations(),
             addresses: self.table.addresses(),
         }
     }
 
-    /// A vote, or this replica's own one. It counts like any other.
+    /// Sends a vote, or counts it if it is this replica's own.
     pub(super) fn deliver_vote(
         &mut self,
         now: i64,
         to: Option<SocketAddr>,
-        body: Payload,
+        vote: Payload,
         out: &mut Vec<Output>,
     ) {
-        match to {
-            Some(to) => self.send(vec![to], body, out),
-            None => {
-                let me = self.table.local();
-                self.handle_vote(
-                    now,
-                    (self.table.local_address(), (me.replica, me.incarnation)),
-                    body,
-                    out,
-                );
-            }
-        }
+        let Some(to) = to else {
+            let sender = Sender {
+                address: self.table.local_address(),
+                process: self.table.local(),
+            };
+            return self.handle_vote(now, sender, vote, out);
+        };
+        self.send(vec![to], vote, out);
     }
 
-    /// The disk takes nothing more, or takes it again. Until it does, this replica promises, accepts and grants nothing new.
+    /// The disk rejects writes, or accepts them again. Until it does, this replica promises, accepts and grants nothing new.
     pub(super) fn handle_disk_full(&mut self, full: bool, out: &mut Vec<Output>) {
-        if std::mem::replace(&mut self.disk_full, full) != full {
-            let text = if full {
-                "votes on nothing new: the disk refuses it"
+        if std::mem::replace(&mut self.disk.is_full, full) != full {
+            let event = if full {
+                Event::VotingSuspended
             } else {
-                "votes again"
+                Event::VotingResumed
             };
-            out.push(Output::Log(text.to_string()));
+            out.push(Output::Log(event));
         }
     }
 
-    /// Rows are on disk.
-    pub(super) fn handle_written(&mut self, now: i64, number: u64, out: &mut Vec<Output>) {
-        for after in self.pending_writes.remove(&number).into_iter().flatten() {
-            match after {
-                PendingWrite::Vote(to, body) if self.table.is_participant() => {
-                    self.deliver_vote(now, to, body, out)
-                }
-                PendingWrite::Vote(..) => {}
-                PendingWrite::Recorded(to, incarnation, question) => {
-                    let floor = self.registers.highest_promise();
-                    for piece in self
-                        .registers
-                        .transfer_chunks(self.transfer_limits, &question)
-                    {
-                        let terms = self.granted_terms().collect();
-                        self.send(
-                            vec![to],
-                            Payload::IncarnationRecorded {
-                                incarnation,
-                                floor,
-                                chunk: piece,
-                                terms,
-                            },
-                            out,
-                        );
-                    }
-                }
-                PendingWrite::BeginIncarnation(incarnation) => {
-                    self.begin_incarnation(now, incarnation, out)
+    /// Records are on disk: carries out what waited for them.
+    pub(super) fn handle_written(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
+        match self.disk.pending.remove(&id) {
+            Some(PendingWrite::Vote(to, vote)) => {
+                if self.table.is_participant() {
+                    self.deliver_vote(now, to, vote, out);
                 }
             }
+            Some(PendingWrite::Recorded(to, incarnation, request)) => {
+                self.send_recorded(to, incarnation, &request, out)
+            }
+            Some(PendingWrite::BeginIncarnation(incarnation)) => {
+                self.begin_incarnation(now, incarnation, out)
+            }
+            None => {}
+        }
+    }
+
+    fn send_recorded(
+        &self,
+        to: SocketAddr,
+        incarnation: Incarnation,
+        request: &TransferRequest,
+        out: &mut Vec<Output>,
+    ) {
+        let floor = self.registers.highest_promise();
+        let chunks = self
+            .registers
+            .transfer_chunks(self.transfer_limits, request);
+        for chunk in chunks {
+            let payload = Payload::IncarnationRecorded {
+                incarnation,
+                floor,
+                chunk,
+                terms: self.granted_terms().collect(),
+            };
+            self.send(vec![to], payload, out);
         }
     }
 }
--- a/crates/control/src/core/peer_messages.rs
+++ b/crates/control/src/core/peer_messages.rs
@@ -1,4 +1,6 @@
-//! What the replicas of the core say to each other, and the numbers by which it is ordered.
+//! The messages that replicas send each other, and the identifiers by which they are ordered.
+//!
+//! Variants and fields are written by their position (`postcard`): their order is part of the wire.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,57 +11,68 @@
 use protocol::platform::Server;
 use serde::{Deserialize, Serialize};
 
+use super::replicas::Voter;
 use super::transfer::{Chunk, Continuation};
 
-/// A replica's number: the place of its zone among all zones, by name.
+/// The number of a replica: the position of its zone among all zones, by name.
 pub type ReplicaId = u8;
 
-/// An incarnation of a replica. It goes on while its disk stays; who comes with an empty disk begins a new one. Ordered; the mark,
-/// drawn by chance, tells apart two that begin the same number at once.
+/// An incarnation of a replica: it lasts as long as the disk, and a process with an empty disk begins a new one.
+/// Incarnations are ordered; the nonce tells two apart that begin with the same number at once.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation {
-    /// Its number; 0 is none yet.
+    /// Its number; 0 for none.
     pub number: u32,
-    /// Drawn by chance.
+    /// A random number.
     pub nonce: u32,
 }
 
 impl Incarnation {
-    /// None yet: counts for nothing.
+    /// No incarnation: the process has not recovered yet, and its votes count for nothing.
     pub const NONE: Incarnation = Incarnation {
         number: 0,
         nonce: 0,
     };
-    /// That of every replica at the first start of the whole system.
+    /// The incarnation of every replica at the first start of the whole system.
     pub const FIRST: Incarnation = Incarnation {
         number: 1,
         nonce: 0,
     };
 }
 
-/// Who speaks: a replica, its incarnation, and the run of its process within that.
+/// A process of a replica: its incarnation, and how often it has started in it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ProcessId {
     /// The replica.
     pub replica: ReplicaId,
-    /// Its incarnation.
+    /// The incarnation.
     pub incarnation: Incarnation,
-    /// Starts of its process in this incarnation.
+    /// The number of the start in this incarnation, from 1.
     pub run: u32,
 }
 
-/// The number of a proposal. No two proposals share one: the run changes with each start of a process.
+impl ProcessId {
+    /// Whose votes this process gives.
+    pub fn voter(&self) -> Voter {
+        Voter {
+            replica: self.replica,
+            incarnation: self.incarnation,
+        }
+    }
+}
+
+/// The ballot of a proposal. No two proposals share one, since the run changes with each start of a process.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// Rises with each try.
+    /// Rises with each attempt.
     pub round: u64,
-    /// Whose it is.
+    /// The proposer.
     pub proposer: ProcessId,
 }
 
@@ -69,33 +82,42 @@
     }
 }
 
-/// The number of a question. A process that starts anew counts from the beginning, so that a number alone would be found
-/// again: an answer that is late counts only for the very process that asked.
+/// The id of a request. A process that restarts counts from the beginning: a late answer counts only for the very process
+/// that has sent the request.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RequestId {
-    /// Who asks.
+    /// The process that has sent the request.
     pub requester: ProcessId,
-    /// Which of its questions.
+    /// The number of the request in that process.
     pub number: u64,
 }
 
-/// A duty that one replica does for all.
+/// A role that only one replica performs, for all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum SingletonRole {
-    /// Asks the platform for its list.
+    /// Reads the platform's list of servers.
     PlatformPoller,
-    /// Keeps the shared count.
+    /// Keeps the shared counter.
     Counter,
 }
 
 impl SingletonRole {
-    /// All of them.
+    /// All roles.
     pub const ALL: [SingletonRole; 2] = [SingletonRole::PlatformPoller, SingletonRole::Counter];
 }
 
-/// A term of a duty, and whose it was.
+impl fmt::Display for SingletonRole {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            SingletonRole::PlatformPoller => "poll",
+            SingletonRole::Counter => "count",
+        })
+    }
+}
+
+/// The term of a lease, and its holder or candidate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Term {
     /// Rises with each holder.
@@ -104,227 +126,226 @@
     pub holder: ProcessId,
 }
 
-/// An edge as the replica knows it that its agent is linked to.
+/// An edge as the replica knows it at which it holds its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The edge.
     pub node: NodeInfo,
-    /// How it stands.
+    /// Whether it serves.
     pub state: NodeState,
-    /// Its agent is linked now; else its lease only runs out.
+    /// Whether its agent is linked to the replica; otherwise its lease is about to expire.
     pub connected: bool,
 }
 
-/// A change of the edges linked to a replica.
+/// A change of the members of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipDelta {
-    /// Digest of those before...
+    /// The digest of the members before the change.
     pub digest_before: u64,
-    /// ...and after it.
+    /// The digest of the members after it.
     pub digest_after: u64,
-    /// Those that came, or stand otherwise.
+    /// Members that were added or changed.
     pub changed: Vec<Member>,
-    /// Machines that are there no more.
+    /// The names of members that were removed.
     pub removed: Vec<String>,
 }
 
-/// The sign of life of a replica, with what tells whether something was missed.
+/// The heartbeat of a replica, with digests by which others notice that they have missed something.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The replicas that it hears, a bit each.
+    /// The replicas that it hears, one bit each.
     pub reachable: u128,
-    /// Digest of what it knows to be chosen.
+    /// The digest of the items that it knows to be chosen.
     pub chosen_digest: u64,
-    /// Version of its list of servers.
+    /// The version of its list of servers.
     pub server_list_version: (u64, u64),
-    /// Digest of the edges linked to it.
+    /// The digest of its members.
     pub membership_digest: u64,
-    /// The limiters' clock, as it has it.
+    /// The clock by which limiters name windows, in microseconds.
     pub counter_clock: i64,
 }
 
-/// What the asking one of a transfer has, and from where on it wants what differs.
+/// What the requester of a transfer has.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TransferRequest {
-    /// Digests of what it has, by parts.
+    /// Digests of what it has, by bucket; only buckets that differ are sent.
     pub digests: Vec<u64>,
-    /// It has all up to this name.
+    /// The name after which to continue.
     pub after: Option<ItemName>,
 }
 
-/// What a message says.
+/// The payload of a peer message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Sign of incarnation.
+    /// A heartbeat.
     Heartbeat(Heartbeat),
-    /// Where the replicas are; the incarnations stand in the message.
+    /// The confirmed address of each replica; their incarnations are in the message.
     ReplicaAddresses(Vec<Option<SocketAddr>>),
-    /// Asks for a promise on registers.
+    /// Phase 1 of a proposal: requests a promise.
     Prepare {
-        /// The proposal.
+        /// The ballot of the proposal.
         ballot: Ballot,
         /// The registers.
         names: Vec<ItemName>,
     },
-    /// Promises, and what was accepted before.
+    /// Promises to accept nothing below the ballot.
     Promise {
-        /// The proposal.
+        /// The ballot of the proposal.
         ballot: Ballot,
-        /// Of these registers, those that hold something.
+        /// The accepted values of the registers that have one.
         accepted: Vec<(Ballot, Item)>,
     },
-    /// Asks to accept.
+    /// Phase 2 of a proposal: requests acceptance.
     Accept {
-        /// The proposal.
+        /// The ballot of the proposal.
         ballot: Ballot,
-        /// One for each register.
+        /// One item for each register.
         items: Vec<Item>,
     },
-    /// Has accepted, on disk.
+    /// Everything of the proposal is accepted, and on disk.
     Accepted(Ballot),
-    /// Does neither: a higher proposal was promised something.
+    /// Rejects a proposal, since something was promised to a higher ballot.
     Nack {
-        /// The proposal.
+        /// The ballot of the proposal.
         ballot: Ballot,
-        /// The higher one.
+        /// The higher ballot.
         seen: Ballot,
     },
-    /// All that was accepted under this proposal is chosen.
+    /// Everything that was accepted under this ballot is chosen.
     Chosen(Ballot),
-    /// Digests of what the speaker knows to be chosen, by parts; it wants what is in those that differ.
+    /// Opens a digest exchange: requests the chosen items of the buckets that differ.
     DigestRequest {
-        /// Number of the question.
+        /// The id of the exchange.
         id: u64,
-        /// The digests.
+        /// Digests of the chosen items that the sender knows, by bucket.
         digests: Vec<u64>,
     },
-    /// Answers this where much differs: the name, as a number, and the ballot of each entry of the parts that differ.
+    /// Answers a digest request where much differs: the key and the ballot of each entry of the buckets that differ.
     DigestEntries {
-        /// Number of the question.
+        /// The id of the exchange.
         id: u64,
         /// The entries.
         entries: Vec<(u64, Ballot)>,
     },
-    /// Asks for some of these, by their names.
+    /// Requests some of these entries.
     FetchRequest {
-        /// Number of the question.
+        /// The id of the exchange.
         id: u64,
-        /// The names, as numbers.
+        /// The keys of the entries.
         wanted: Vec<u64>,
     },
-    /// Items that are chosen.
+    /// Chosen items, in answer to a digest or fetch request.
     ChosenChunk {
-        /// Number of the question.
+        /// The id of the exchange.
         id: u64,
-        /// Which piece of the answer it is.
+        /// The number of the chunk within the answer, from 0.
         sequence: u32,
         /// The items.
         items: Vec<(Ballot, Item)>,
         /// What follows.
         continuation: Continuation,
     },
-    /// Asks for all that was accepted.
+    /// Requests the accepted values of all registers, for a quorum read.
     ReadRequest {
-        /// The question.
+        /// The id of the request.
         id: RequestId,
-        /// What the asking one has accepted itself.
+        /// What the requester has accepted itself.
         request: TransferRequest,
     },
-    /// What was accepted, of the parts that differ.
+    /// Accepted values, in answer to a read request.
     RegisterChunk {
-        /// The question.
+        /// The id of the request.
         id: RequestId,
-        /// A piece of it.
+        /// The values.
         chunk: Chunk,
     },
-    /// A replica that has lost its disk begins this incarnation: to be written down, and answered with all there is.
+    /// The sender recovers under a new incarnation, which is to be persisted and answered with all accepted values.
     IncarnationRequest {
         /// The incarnation.
         incarnation: Incarnation,
-        /// What it has gathered so far.
+        /// What the sender has gathered so far.
         request: TransferRequest,
     },
-    /// The incarnation is on disk here; this is what was accepted, of the parts that differ.
+    /// The incarnation is on disk here; accepted values follow.
     IncarnationRecorded {
         /// The incarnation.
         incarnation: Incarnation,
-        /// Highest proposal that was promised anything.
+        /// The highest promise on any register.
         floor: Ballot,
-        /// A piece of what was accepted.
+        /// Accepted values.
         chunk: Chunk,
-        /// Newest term of each duty.
+        /// The newest term of each role that the sender has granted.
         terms: Vec<Term>,
     },
-    /// Asks for a duty, or for more of it.
+    /// Requests the lease on a role, or its renewal.
     LeaseRequest {
-        /// The duty.
+        /// The role.
         role: SingletonRole,
         /// The term.
         term: u64,
-        /// When it was sent, on the clock of the bidder.
+        /// When it was sent, on the clock of the requester.
         sent_at: i64,
-        /// The bidder holds the duty already.
+        /// The requester holds the lease already.
         renewal: bool,
     },
-    /// Answer to a bid.
+    /// Answers a lease request.
     LeaseVote {
-        /// The duty.
+        /// The role.
         role: SingletonRole,
-        /// The term, and who bid for it: its clock and its terms may come to the same numbers after a start.
+        /// The term and its requester: after a restart the same numbers come again.
         term: Term,
-        /// As in the bid.
+        /// When the request was sent.
         sent_at: i64,
-        /// It is granted for a time.
+        /// Whether the lease is granted.
         granted: bool,
-        /// Newest term that the voter knows.
+        /// The newest term that the voter knows.
         newest_term: u64,
     },
-    /// The holder, or the bidder, of this term gives it back.
+    /// The holder or candidate of a term gives it up.
     LeaseRelease {
-        /// The duty.
+        /// The role.
         role: SingletonRole,
         /// The term.
         term: u64,
-        /// It was never won.
+        /// The term was never won.
         unused: bool,
     },
-    /// The edges linked to the speaker.
+    /// All members of the sender.
     MemberList(Vec<Member>),
-    /// What has changed of these since the last telling.
+    /// The change of the sender's members since it was last announced.
     MembershipDelta(MembershipDelta),
-    /// Asks for these.
+    /// Requests all members of the receiver.
     MemberListRequest,
-    /// The platform's list.
+    /// The platform's list of servers.
     ServerList {
-        /// The poller's term and the list's number within it.
+        /// The term of the poller, and the number of the list within it.
         version: (u64, u64),
-        /// The list; `cold` counts from now.
+        /// The servers; what is left of a warm-up counts from now.
         servers: Vec<Server>,
     },
-    /// Asks for it.
+    /// Requests the list of servers.
     ServerListRequest,
-    /// What the speaker's limiters saw of the services of a region, and the rate that each is let through at.
+    /// What the limiters of the sender report about the services of a region.
     LoadReport {
         /// The region.
         region: String,
-        /// By service.
+        /// The reports, by service.
         services: Vec<(String, Share)>,
     },
-    /// The speaker is to end. These items are chosen and are to be held here; also said by one whose slot has a newer
-    /// incarnation.
+    /// The sender is to end, or is superseded: these chosen items are to be on disk at the receiver.
     HandoverRequest {
-        /// Number of the message; 0 only asks what is held.
+        /// The id of the message; 0 asks only what the receiver has.
         id: u64,
         /// The items.
         items: Vec<(Ballot, Item)>,
     },
-    /// What was known to be chosen once that message was taken in is on disk here.
+    /// Answers a handover request once its items are on disk.
     HandoverAck {
-        /// Number of the message.
+        /// The id of the message.
         id: u64,
-        /// Digests of it, by parts.
+        /// Digests of the chosen items on disk, by bucket.
         digests: Vec<u64>,
-        /// The incarnation of the asking one's slot that was heard of late; none if none was.
+        /// The newest incarnation of the requester's replica that was heard recently; none if none was.
         slot_incarnation: Incarnation,
     },
 }
@@ -332,17 +353,17 @@
 /// A message from a replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerMessage {
-    /// Who speaks.
+    /// The process that sends it.
     pub sender: ProcessId,
-    /// The newest incarnations that it knows, by replica.
+    /// The newest incarnation of each replica that the sender knows.
     #[serde(with = "incarnations")]
     pub incarnations: Vec<Incarnation>,
-    /// What it says.
+    /// The payload.
     pub payload: Payload,
 }
 
-/// The incarnations as they travel: their number, and those that are not the first. Most replicas stay in theirs for long, so that
-/// a message does not grow with the replicas.
+/// The encoding of the incarnations: their number, and those that are not the first one. Most replicas keep the first one
+/// for long, so that messages do not grow with the number of replicas.
 mod incarnations {
     use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
 
@@ -375,12 +396,12 @@
     }
 }
 
-/// What is put on a link between replicas.
+/// A frame on a link between replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Where the one that opened the link can be reached itself; first on a link, both ways.
+    /// The address at which the sender is reached; the first frame in both directions.
     SenderAddress(SocketAddr),
-    /// Nothing but a sign of life of the link.
+    /// A sign of life of the link.
     KeepAlive,
     /// A message.
     PeerMessage(PeerMessage),
--- a/crates/control/src/core/proposal.rs
+++ b/crates/control/src/core/proposal.rs
@@ -1,5 +1,5 @@
-//! A round of registers, as its proposer sees it: promises from more than half of the replicas, a decision on what they
-//! hold, acceptance by more than half. All items of a call travel together.
+//! One proposal, as its proposer sees it: promises from a quorum (phase 1), a choice of values by what was accepted before,
+//! and acceptance by a quorum (phase 2). All items of a call are proposed together, under one ballot.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,22 +7,22 @@
 
 use super::chosen::ChosenItems;
 use super::peer_messages::{Ballot, Incarnation, Payload, ReplicaId};
-use super::replicas::ReplicaTable;
+use super::replicas::{ReplicaTable, Voter};
 use crate::limits;
 
-/// What a round is for.
+/// What a proposal is to achieve.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Intent {
     /// These items are to be in force, each by its version.
     SetItems(Vec<Item>),
-    /// A zone is to be evacuated, or not.
+    /// The zone of this name is to be evacuated, or not.
     SetEvacuation(ItemName, bool),
-    /// What was accepted is to be finished.
+    /// Whatever was accepted on these registers is to be completed.
     Repair(Vec<ItemName>),
 }
 
 impl Intent {
-    /// The registers that it is about.
+    /// The registers that the proposal is for.
     pub fn names(&self) -> Vec<ItemName> {
         match self {
             Intent::SetItems(items) => items.iter().map(|item| item.name.clone()).collect(),
@@ -35,74 +35,101 @@
         let Intent::SetItems(items) = self else {
             return false;
         };
-        items
-            .iter()
-            .map(|item| item.spec.as_deref().map_or(0, str::len))
-            .sum::<usize>()
-            > limits::LARGE_CONTENT_BYTES
+        let contents = items.iter().filter_map(|item| item.spec.as_deref());
+        contents.map(str::len).sum::<usize>() > limits::LARGE_CONTENT_BYTES
     }
 }
 
-/// How a round ends for who wanted it.
+/// How a proposal ends for the call that it is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// All of it is on the disks of more than half.
+    /// Everything is on the disks of a quorum.
     Done,
-    /// Something else stands at this version, and nothing of the call is in force or can come into force.
+    /// Another content was found at the version of an item; nothing of the call is in force or can come into force.
     Conflict,
-    /// Something else stands at the version of one item, and others of the call are in force, or may come into force.
+    /// Another content was found at the version of an item, while other items of the call are in force or may come into
+    /// force.
     PartiallyApplied,
 }
 
-/// What a round wants done next.
+/// What the proposer is to do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// To all replicas, this one included.
+    /// Send the payload to all replicas that have not voted, this one included.
     Broadcast(Payload),
-    /// These items are chosen.
+    /// Learn that these items are chosen, and tell the other replicas.
     Chosen(Ballot, Vec<Item>),
-    /// The outcome; the round may go on to finish what it found.
+    /// Report the outcome. The proposal may go on, to complete what it has found.
     Report(Outcome),
-    /// Begin again with a higher ballot, not before then.
+    /// Start again under a higher ballot, not before this time.
     Retry(i64),
-    /// It is over.
+    /// Remove the proposal.
     Finished,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
+    /// It has not started, or waits to start again.
     Idle,
+    /// Phase 1, with the newest accepted value of each register that the promises have told so far.
     Preparing(BTreeMap<ItemName, (Ballot, Item)>),
+    /// Phase 2, with the proposed values.
     Accepting(Vec<Item>),
 }
 
-/// A round that is under way.
+/// The values to propose, and the outcome that is reported once they are chosen.
+struct Choice {
+    items: Vec<Item>,
+    outcome: Outcome,
+}
+
+impl Choice {
+    fn done(items: Vec<Item>) -> Choice {
+        Choice {
+            items,
+            outcome: Outcome::Done,
+        }
+    }
+}
+
+/// How long a rejected proposal waits: the minimum and a random share of the jitter, in microseconds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Backoff {
+    /// The least time.
+    pub minimum: i64,
+    /// The bound of the random time on top.
+    pub jitter: u64,
+}
+
+/// A proposal in progress.
 #[derive(Clone, Debug)]
 pub struct Proposal {
     intent: Intent,
     ballot: Ballot,
     phase: Phase,
+    /// The replicas that have voted for it in the present phase.
     votes: BTreeMap<ReplicaId, Incarnation>,
+    /// The replicas that have rejected its present ballot.
     rejections: BTreeSet<ReplicaId>,
     attempts: u32,
     reported: bool,
-    /// What is told once what is proposed is chosen.
+    /// What is reported once the proposed values are chosen.
     outcome: Outcome,
-    /// Own contents were proposed: they may come into force, whatever is found later. Of a zone, its version.
+    /// The highest version of values of its own that it has proposed: they may come into force whatever is found later.
     proposed_version: Option<u64>,
-    /// Given up then.
+    /// When it is given up.
     pub deadline: i64,
-    /// To be looked at again then.
+    /// When it is to be looked at again.
     pub wake_at: i64,
-    /// Highest proposal that stood in the way.
+    /// The highest ballot that it was rejected for.
     pub highest_seen: Ballot,
 }
 
 impl Proposal {
-    /// A round that has not begun.
-    pub fn new(want: Intent, now: i64, deadline: i64) -> Proposal {
+    /// A proposal that has not started.
+    pub fn new(intent: Intent, now: i64, deadline: i64) -> Proposal {
         Proposal {
-            intent: want,
+            intent,
             ballot: Ballot::default(),
             phase: Phase::Idle,
             votes: BTreeMap::new(),
@@ -117,244 +144,196 @@
         }
     }
 
-    /// The registers that it is about.
+    /// The registers that it is for.
     pub fn names(&self) -> Vec<ItemName> {
         self.intent.names()
     }
 
-    /// Its ballot.
+    /// Its present ballot.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// It waits to begin, anew or at all.
+    /// Whether it has not started, or waits to start again.
     pub fn is_idle(&self) -> bool {
         self.phase == Phase::Idle
     }
 
-    /// Its outcome was told.
+    /// Whether its outcome was reported.
     pub fn is_reported(&self) -> bool {
         self.reported
     }
 
+    /// Whether it only completes what others began.
+    pub fn is_repair(&self) -> bool {
+        matches!(self.intent, Intent::Repair(_))
+    }
+
+    /// Whether a replica has not voted in the present phase.
+    pub fn awaits_vote_of(&self, replica: ReplicaId) -> bool {
+        !self.votes.contains_key(&replica)
+    }
+
     fn next_resend(&self, now: i64) -> i64 {
-        now + if self.intent.is_large() {
+        let interval = if self.intent.is_large() {
             limits::LARGE_RESEND_INTERVAL
         } else {
             limits::RESEND_INTERVAL
-        }
+        };
+        now + interval
     }
 
-    /// Begins, with a ballot over all that were seen.
+    /// Starts phase 1 under a ballot above all that were seen.
     pub fn start(&mut self, now: i64, ballot: Ballot) -> Action {
         self.ballot = ballot;
-        self.phase = Phase::Preparing(BTreeMap::new());
         self.attempts += 1;
+        self.enter(now, Phase::Preparing(BTreeMap::new()));
+        Action::Broadcast(self.prepare())
+    }
+
+    fn enter(&mut self, now: i64, phase: Phase) {
+        self.phase = phase;
         self.votes.clear();
         self.rejections.clear();
         self.wake_at = self.next_resend(now);
-        Action::Broadcast(Payload::Prepare {
-            ballot,
+    }
+
+    fn prepare(&self) -> Payload {
+        Payload::Prepare {
+            ballot: self.ballot,
             names: self.intent.names(),
-        })
+        }
     }
 
-    fn has_quorum(&self, replicas: &ReplicaTable) -> bool {
-        // A vote counts only from the newest incarnation that any voter of the round knows; a message's incarnations are taken in
-        // before its vote is, so the table here knows them all.
-        self.votes
-            .iter()
-            .filter(|(replica, incarnation)| replicas.is_current(**replica, **incarnation))
-            .count()
-            >= replicas.quorum()
+    fn accept(&self, items: &[Item]) -> Payload {
+        Payload::Accept {
+            ballot: self.ballot,
+            items: items.to_vec(),
+        }
     }
 
-    /// A promise has come.
+    /// A replica has promised, and has told what it had accepted before.
     pub fn handle_promise(
         &mut self,
         now: i64,
-        by: (ReplicaId, Incarnation),
+        voter: Voter,
         accepted: Vec<(Ballot, Item)>,
-        replicas: &ReplicaTable,
-        news: &ChosenItems,
+        table: &ReplicaTable,
+        chosen: &ChosenItems,
     ) -> Vec<Action> {
         let Phase::Preparing(found) = &mut self.phase else {
             return Vec::new();
         };
         for (ballot, item) in accepted {
-            if found
-                .get(&item.name)
-                .is_none_or(|(known, _)| *known < ballot)
-            {
+            let known = found.get(&item.name);
+            if known.is_none_or(|(known, _)| *known < ballot) {
                 found.insert(item.name.clone(), (ballot, item));
             }
         }
-        self.votes.insert(by.0, by.1);
-        if !self.has_quorum(replicas) {
+        self.votes.insert(voter.replica, voter.incarnation);
+        if !table.is_quorum(&self.votes) {
             return Vec::new();
         }
         let Phase::Preparing(found) = std::mem::replace(&mut self.phase, Phase::Idle) else {
             return Vec::new();
         };
-        let (items, outcome) = self.choose_values(&found, news);
+        let Choice { items, outcome } = self.choose_values(&found, chosen);
         if items.is_empty() {
             self.reported = true;
             return vec![Action::Report(outcome), Action::Finished];
         }
-        // Nothing is refused for something that may be lost again: only once that is chosen.
+        // A conflict is reported only once what caused it is chosen: until then it may be lost again.
         self.outcome = outcome;
-        if outcome == Outcome::Done && !matches!(self.intent, Intent::Repair(_)) {
-            self.proposed_version =
-                Some(items.iter().map(|item| item.ver).max().unwrap_or_default());
+        if outcome == Outcome::Done && !self.is_repair() {
+            self.proposed_version = items.iter().map(|item| item.ver).max();
         }
-        self.votes.clear();
-        self.rejections.clear();
-        self.wake_at = self.next_resend(now);
-        let step = Action::Broadcast(Payload::Accept {
-            ballot: self.ballot,
-            items: items.clone(),
-        });
-        self.phase = Phase::Accepting(items);
-        vec![step]
+        let accept = self.accept(&items);
+        self.enter(now, Phase::Accepting(items));
+        vec![Action::Broadcast(accept)]
     }
 
-    /// What to propose in place of what was found, and what that means. Nothing is proposed for what is chosen already.
+    /// Chooses the values to propose by what was found. Nothing is proposed for what is chosen already.
     fn choose_values(
         &self,
         found: &BTreeMap<ItemName, (Ballot, Item)>,
-        news: &ChosenItems,
-    ) -> (Vec<Item>, Outcome) {
-        // Danger: promises that were given before another proposal was chosen may hold what has lost against it
-        // at the same version.
-        let old = |name: &ItemName| {
-            let found = found.get(name).map(|(_, item)| item);
-            let chosen = news.get(name);
-            chosen
-                .filter(|chosen| found.is_none_or(|found| found.ver <= chosen.ver))
-                .or(found)
-        };
-        let open = |item: &&Item| !news.includes(item);
-        let finish = || {
-            found
-                .values()
-                .map(|(_, item)| item)
-                .filter(open)
-                .cloned()
-                .collect::<Vec<_>>()
-        };
+        chosen: &ChosenItems,
+    ) -> Choice {
         match &self.intent {
-            Intent::Repair(_) => (finish(), Outcome::Done),
-            Intent::SetItems(items) => {
-                let differs = |item: &Item| {
-                    old(&item.name)
-                        .is_some_and(|old| old.ver == item.ver && !has_same_content(old, item))
-                };
-                if items.iter().any(differs) {
-                    return resolve_conflict(items, found, finish());
-                }
-                let mut proposed = Vec::new();
-                for item in items {
-                    match old(&item.name) {
-                        // A lower version has no effect, and that is in order: a later change has overtaken it.
-                        // Its own version is there already: the call was sent before.
-                        Some(old) if old.ver >= item.ver => {
-                            proposed.extend(open(&old).then(|| old.clone()))
-                        }
-                        _ => proposed.push(item.clone()),
-                    }
-                }
-                (proposed, Outcome::Done)
-            }
-            Intent::SetEvacuation(name, on) => {
-                let stands = old(name).and_then(|item| item.spec.as_deref()) == Some("true");
-                let overtaken = self
+            Intent::Repair(_) => Choice::done(unconfirmed(found, chosen)),
+            Intent::SetItems(items) => choose_items(items, found, chosen),
+            Intent::SetEvacuation(name, evacuate) => {
+                let current = current(name, found, chosen);
+                let is_set = current.and_then(|item| item.spec.as_deref()) == Some("true");
+                let is_overtaken = self
                     .proposed_version
-                    .is_some_and(|own| old(name).is_some_and(|item| item.ver > own));
-                if stands == *on || overtaken {
-                    return (finish(), Outcome::Done);
+                    .is_some_and(|own| current.is_some_and(|item| item.ver > own));
+                if is_set == *evacuate || is_overtaken {
+                    return Choice::done(unconfirmed(found, chosen));
                 }
-                let ver = old(name).map_or(1, |item| item.ver + 1);
-                (
-                    vec![Item {
-                        name: name.clone(),
-                        ver,
-                        spec: Some(on.to_string()),
-                    }],
-                    Outcome::Done,
-                )
+                Choice::done(vec![Item {
+                    name: name.clone(),
+                    ver: current.map_or(1, |item| item.ver + 1),
+                    spec: Some(evacuate.to_string()),
+                }])
             }
         }
     }
 
     /// A replica has accepted.
-    pub fn handle_accepted(
-        &mut self,
-        by: (ReplicaId, Incarnation),
-        replicas: &ReplicaTable,
-    ) -> Vec<Action> {
+    pub fn handle_accepted(&mut self, voter: Voter, table: &ReplicaTable) -> Vec<Action> {
         if !matches!(self.phase, Phase::Accepting(_)) {
             return Vec::new();
         }
-        self.votes.insert(by.0, by.1);
-        if !self.has_quorum(replicas) {
+        self.votes.insert(voter.replica, voter.incarnation);
+        if !table.is_quorum(&self.votes) {
             return Vec::new();
         }
         let Phase::Accepting(items) = std::mem::replace(&mut self.phase, Phase::Idle) else {
             return Vec::new();
         };
-        let mut steps = vec![Action::Chosen(self.ballot, items)];
+        let mut actions = vec![Action::Chosen(self.ballot, items)];
         if !self.reported {
             self.reported = true;
-            steps.push(Action::Report(self.outcome));
+            actions.push(Action::Report(self.outcome));
         }
-        steps.push(Action::Finished);
-        steps
-    }
-
-    /// It only finishes what others began.
-    pub fn is_repair(&self) -> bool {
-        matches!(self.intent, Intent::Repair(_))
+        actions.push(Action::Finished);
+        actions
     }
 
-    /// How long to wait after a refusal: at the least, and by chance. The more often, the longer; and who only finishes
-    /// what was found gives way, as the one that refuses it by a higher proposal finishes it as well.
-    pub fn backoff(&self) -> (i64, u64) {
-        let least = if self.is_repair() {
-            limits::REPAIR_BACKOFF
-        } else {
-            limits::PROPOSAL_BACKOFF
-        };
-        (
-            least,
-            limits::BACKOFF_JITTER
-                << self
-                    .attempts
-                    .saturating_sub(1)
-                    .min(limits::MAX_BACKOFF_DOUBLINGS),
-        )
+    /// How long to wait after a rejection: the longer the more often. A repair gives way, as the proposal that it was
+    /// rejected for completes the same registers.
+    pub fn backoff(&self) -> Backoff {
+        let doublings = self.attempts.saturating_sub(1);
+        Backoff {
+            minimum: if self.is_repair() {
+                limits::REPAIR_BACKOFF
+            } else {
+                limits::PROPOSAL_BACKOFF
+            },
+            jitter: limits::BACKOFF_JITTER << doublings.min(limits::MAX_BACKOFF_DOUBLINGS),
+        }
     }
 
-    /// A replica has promised something to a higher proposal. `pause` is how long to wait, if it begins again.
+    /// A replica has rejected the ballot, as it has promised something to the higher ballot `seen`. If no quorum is left the
+    /// proposal starts again after `backoff` microseconds.
     pub fn handle_nack(
         &mut self,
         now: i64,
         replica: ReplicaId,
         seen: Ballot,
-        pause: i64,
-        replicas: &ReplicaTable,
+        backoff: i64,
+        table: &ReplicaTable,
     ) -> Vec<Action> {
         self.highest_seen = self.highest_seen.max(seen);
         self.rejections.insert(replica);
-        let may = |replica: &ReplicaId| {
-            replicas.is_reachable(now, *replica) && !self.rejections.contains(replica)
-        };
-        let possible = (0..replicas.replica_count() as ReplicaId)
-            .filter(may)
-            .count();
-        if self.is_idle() || possible >= replicas.quorum() {
+        let replicas = 0..table.replica_count() as ReplicaId;
+        let may_vote = replicas.filter(|replica| {
+            table.is_reachable(now, *replica) && !self.rejections.contains(replica)
+        });
+        if self.is_idle() || may_vote.count() >= table.quorum() {
             return Vec::new();
         }
-        self.retry_at(now + pause)
+        self.retry_at(now + backoff)
     }
 
     fn retry_at(&mut self, at: i64) -> Vec<Action> {
@@ -363,54 +342,102 @@
         vec![Action::Retry(at)]
     }
 
-    /// Time has come to look at it: what was not answered is sent again, or it begins anew.
+    /// Not all replicas have voted in time: resends the last message, or starts again if any has rejected the ballot.
     pub fn on_timeout(&mut self, now: i64) -> Vec<Action> {
         self.wake_at = self.next_resend(now);
-        let body = match &self.phase {
+        let payload = match &self.phase {
             Phase::Idle => return Vec::new(),
             _ if !self.rejections.is_empty() => {
                 return self.retry_at(now + limits::PROPOSAL_BACKOFF);
             }
-            Phase::Preparing(_) => Payload::Prepare {
-                ballot: self.ballot,
-                names: self.intent.names(),
-            },
-            Phase::Accepting(items) => Payload::Accept {
-                ballot: self.ballot,
-                items: items.clone(),
-            },
+            Phase::Preparing(_) => self.prepare(),
+            Phase::Accepting(items) => self.accept(items),
         };
-        vec![Action::Broadcast(body)]
+        vec![Action::Broadcast(payload)]
     }
+}
 
-    /// Who has not answered the last message.
-    pub fn awaits_vote_of(&self, replica: ReplicaId) -> bool {
-        !self.votes.contains_key(&replica)
+/// The current value of a register.
+///
+/// Hazard: promises that were given before another proposal was chosen may tell a value that has lost against that one at
+/// the same version. So of one version the chosen value counts.
+fn current<'a>(
+    name: &ItemName,
+    found: &'a BTreeMap<ItemName, (Ballot, Item)>,
+    chosen: &'a ChosenItems,
+) -> Option<&'a Item> {
+    let found = found.get(name).map(|(_, item)| item);
+    let chosen = chosen.get(name);
+    let is_newest = |chosen: &&Item| found.is_none_or(|found| found.ver <= chosen.ver);
+    chosen.filter(is_newest).or(found)
+}
+
+/// The found values that are not known to be chosen.
+fn unconfirmed(found: &BTreeMap<ItemName, (Ballot, Item)>, chosen: &ChosenItems) -> Vec<Item> {
+    let items = found.values().map(|(_, item)| item);
+    items
+        .filter(|item| !chosen.includes(item))
+        .cloned()
+        .collect()
+}
+
+fn choose_items(
+    items: &[Item],
+    found: &BTreeMap<ItemName, (Ballot, Item)>,
+    chosen: &ChosenItems,
+) -> Choice {
+    let conflicts = |item: &Item| {
+        current(&item.name, found, chosen)
+            .is_some_and(|current| current.ver == item.ver && !has_same_content(current, item))
+    };
+    if items.iter().any(conflicts) {
+        return resolve_conflict(items, found, chosen);
+    }
+    let mut proposed = Vec::new();
+    for item in items {
+        match current(&item.name, found, chosen) {
+            // A lower version has no effect, and that is no error: a later change has overtaken it. The same version is there
+            // already: the call was sent before.
+            Some(current) if current.ver >= item.ver => {
+                if !chosen.includes(current) {
+                    proposed.push(current.clone());
+                }
+            }
+            _ => proposed.push(item.clone()),
+        }
     }
+    Choice::done(proposed)
 }
 
-/// What to propose where something else stands at the version of one of a call's items, and what that means.
+/// Chooses the values where another content was found at the version of one of the items.
 ///
-/// A former try of the same call, here or at another replica, may have reached a few replicas. Its other items could still
-/// be found there and finished. A refusal must rule that out: what was found is proposed anew, also where it is chosen
-/// already, so that what a former try left counts no more. Where nothing was found there is nothing to put in its place;
-/// what stands as the call has it is in force, and what was overtaken may have been: then the caller gets no clear answer.
+/// A former attempt of the same call, here or at another replica, may have reached a few replicas, and its other items might
+/// still be found there and completed. A conflict must rule that out: what was found is proposed again, even where it is
+/// chosen already, so that nothing of the former attempt can be chosen any more. Where nothing was found there is nothing to
+/// put in its place; a value that is as the call has it is in force, and one that was overtaken may have been. Then the
+/// caller gets no definite answer.
 fn resolve_conflict(
     items: &[Item],
     found: &BTreeMap<ItemName, (Ballot, Item)>,
-    open: Vec<Item>,
-) -> (Vec<Item>, Outcome) {
-    let excluded = |item: &Item| {
-        let differs =
-            |old: &Item| old.ver < item.ver || old.ver == item.ver && !has_same_content(old, item);
-        found.get(&item.name).is_some_and(|(_, old)| differs(old))
+    chosen: &ChosenItems,
+) -> Choice {
+    let is_excluded = |item: &Item| {
+        found.get(&item.name).is_some_and(|(_, found)| {
+            found.ver < item.ver || found.ver == item.ver && !has_same_content(found, item)
+        })
     };
     match items {
-        [_] => (open, Outcome::Conflict),
-        _ if items.iter().all(excluded) => (
-            found.values().map(|(_, item)| item.clone()).collect(),
-            Outcome::Conflict,
-        ),
-        _ => (open, Outcome::PartiallyApplied),
+        [_] => Choice {
+            items: unconfirmed(found, chosen),
+            outcome: Outcome::Conflict,
+        },
+        _ if items.iter().all(is_excluded) => Choice {
+            items: found.values().map(|(_, item)| item.clone()).collect(),
+            outcome: Outcome::Conflict,
+        },
+        _ => Choice {
+            items: unconfirmed(found, chosen),
+            outcome: Outcome::PartiallyApplied,
+        },
     }
 }
--- /dev/null
+++ b/crates/control/src/core/proposals.rs
@@ -0,0 +1,388 @@
+//! The proposals of this replica: when each starts, is resent, backs off and ends.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use protocol::items::ItemName;
+
+use super::operator_calls::DISK_REJECTS_WRITES;
+use super::peer_messages::{Ballot, Payload, ReplicaId};
+use super::proposal::{Action, Intent, Outcome, Proposal};
+use super::replicas::Sender;
+use super::role_lease::LeaseVote;
+use super::{Output, Replica};
+use crate::limits;
+use crate::operator_api::Reply;
+
+/// The answer to a call some of whose items may be in force although another change has overtaken one of them.
+const PARTIALLY_APPLIED: &str = "ver: another change stands at the version of an item, and other items of this call may be in force: \
+                      send it with higher versions";
+
+/// The answer to a call whose proposal or read did not reach a quorum in time.
+pub(super) const NO_QUORUM: &str = "no answer of more than half of the replicas";
+
+/// How long a proposal waits whose registers another proposal of this replica is working on.
+const BUSY_RETRY_INTERVAL: i64 = limits::RESEND_INTERVAL / 10;
+
+/// The proposals of one replica, by request id.
+#[derive(Debug)]
+pub(super) struct Proposals {
+    open: BTreeMap<u64, Proposal>,
+    /// The operator's call that a proposal is for.
+    calls: BTreeMap<u64, u64>,
+    /// The highest round of a ballot that was seen anywhere.
+    highest_round: u64,
+}
+
+/// What is to be done with a proposal that was looked at.
+enum Due {
+    Nothing,
+    Expired,
+    /// All that the repair found is chosen by now.
+    Superfluous,
+    Start,
+    WaitForOther,
+    Resend,
+}
+
+impl Proposals {
+    pub(super) fn new(highest_round: u64) -> Proposals {
+        Proposals {
+            open: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            highest_round,
+        }
+    }
+
+    /// How many proposals are in progress.
+    pub(super) fn len(&self) -> usize {
+        self.open.len()
+    }
+
+    /// Whether no proposal is in progress.
+    pub(super) fn is_empty(&self) -> bool {
+        self.open.is_empty()
+    }
+
+    /// How many of them are for an operator's call.
+    pub(super) fn calls(&self) -> usize {
+        self.calls.len()
+    }
+
+    /// When the next one is to be looked at.
+    pub(super) fn wake_at(&self) -> Option<i64> {
+        let wakes = self.open.values();
+        wakes
+            .map(|proposal| proposal.wake_at.min(proposal.deadline))
+            .min()
+    }
+
+    /// Takes note of a round that another proposer has used, so that the next ballot is above it.
+    pub(super) fn observe_round(&mut self, round: u64) {
+        self.highest_round = self.highest_round.max(round);
+    }
+
+    fn with_ballot(&self, ballot: Ballot) -> Option<u64> {
+        let mut open = self.open.iter();
+        open.find(|(_, proposal)| proposal.ballot() == ballot)
+            .map(|(id, _)| *id)
+    }
+}
+
+impl Replica {
+    /// Starts a proposal for an operator's call.
+    pub(super) fn propose(
+        &mut self,
+        now: i64,
+        call: u64,
+        intent: Intent,
+        deadline: i64,
+        out: &mut Vec<Output>,
+    ) {
+        let id = self.next_request_id();
+        let proposal = Proposal::new(intent, now, deadline);
+        self.proposals.open.insert(id, proposal);
+        self.proposals.calls.insert(id, call);
+        self.drive_proposals(now, out);
+    }
+
+    /// Starts a proposal that only completes what was accepted on these registers, and gives its id.
+    pub(super) fn propose_repair(&mut self, now: i64, names: Vec<ItemName>, deadline: i64) -> u64 {
+        let id = self.next_request_id();
+        let proposal = Proposal::new(Intent::Repair(names), now, deadline);
+        self.proposals.open.insert(id, proposal);
+        id
+    }
+
+    /// Starts proposals that wait, resends what was not answered and ends those whose deadline has passed.
+    pub(super) fn drive_proposals(&mut self, now: i64, out: &mut Vec<Output>) {
+        self.start_due_repairs(now);
+        if self.proposals.is_empty() {
+            return;
+        }
+        let ids: Vec<u64> = self.proposals.open.keys().copied().collect();
+        let mut busy: BTreeSet<ItemName> = BTreeSet::new();
+        for id in ids {
+            match self.due(now, id, &mut busy) {
+                Due::Nothing => {}
+                Due::Expired => self.expire_proposal(now, id, out),
+                Due::Superfluous => {
+                    // Hazard: it would only make others fail that work on these registers.
+                    let actions = vec![Action::Report(Outcome::Done), Action::Finished];
+                    self.apply_actions(now, id, actions, out);
+                }
+                Due::Start => self.start_proposal(now, id, out),
+                Due::WaitForOther => {
+                    if let Some(proposal) = self.proposals.open.get_mut(&id) {
+                        proposal.wake_at = now + BUSY_RETRY_INTERVAL;
+                    }
+                }
+                Due::Resend => {
+                    let proposal = self.proposals.open.get_mut(&id);
+                    let actions = proposal.map(|proposal| proposal.on_timeout(now));
+                    self.apply_actions(now, id, actions.unwrap_or_default(), out);
+                }
+            }
+        }
+    }
+
+    /// Proposes again what was accepted long ago and is not known to be chosen.
+    fn start_due_repairs(&mut self, now: i64) {
+        let due = self.repair_wake_at().is_some_and(|wake_at| wake_at <= now);
+        let able = self.has_quorum_contact && self.table.is_participant() && !self.disk.is_full;
+        if !due || !able {
+            return;
+        }
+        let names = self.pending.take_due(now, self.table.local().replica);
+        if !names.is_empty() {
+            self.propose_repair(now, names, now + limits::REPAIR_TIMEOUT);
+        }
+    }
+
+    /// When the next repair is due. While another replica is telling what is chosen there is no need for one.
+    pub(super) fn repair_wake_at(&self) -> Option<i64> {
+        let wake_at = self.pending.wake_at(self.table.local().replica)?;
+        Some(if self.catch_up.is_exchanging() {
+            wake_at.max(self.catch_up.next_request_at())
+        } else {
+            wake_at
+        })
+    }
+
+    /// What is due for a proposal. `busy` holds the registers of those looked at before it: two proposals of one process
+    /// for the same register would only hinder each other.
+    fn due(&self, now: i64, id: u64, busy: &mut BTreeSet<ItemName>) -> Due {
+        let Some(proposal) = self.proposals.open.get(&id) else {
+            return Due::Nothing;
+        };
+        if now >= proposal.deadline || !self.table.is_participant() {
+            return Due::Expired;
+        }
+        let names = if self.proposals.len() > 1 {
+            proposal.names()
+        } else {
+            Vec::new()
+        };
+        let free = names.iter().all(|name| !busy.contains(name));
+        busy.extend(names);
+        match (proposal.wake_at <= now, proposal.is_idle(), free) {
+            (false, ..) => Due::Nothing,
+            (true, false, _) => Due::Resend,
+            (true, true, false) => Due::WaitForOther,
+            (true, true, true) if self.is_superfluous(id) => Due::Superfluous,
+            (true, true, true) => Due::Start,
+        }
+    }
+
+    /// Whether a proposal is a repair, and everything that it is to complete is known to be chosen by now.
+    fn is_superfluous(&self, id: u64) -> bool {
+        let proposal = self.proposals.open.get(&id);
+        let Some(repair) = proposal.filter(|proposal| proposal.is_repair()) else {
+            return false;
+        };
+        match self.reads.awaiting_repair(id) {
+            Some(read) => read.unconfirmed(&self.chosen).is_empty(),
+            None => !repair
+                .names()
+                .iter()
+                .any(|name| self.pending.contains(name)),
+        }
+    }
+
+    fn start_proposal(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
+        let proposer = self.table.local();
+        let Proposals {
+            open,
+            highest_round,
+            ..
+        } = &mut self.proposals;
+        let Some(proposal) = open.get_mut(&id) else {
+            return;
+        };
+        *highest_round = proposal.highest_seen.round.max(*highest_round + 1) + 1;
+        let ballot = Ballot {
+            round: *highest_round,
+            proposer,
+        };
+        let action = proposal.start(now, ballot);
+        self.apply_actions(now, id, vec![action], out);
+    }
+
+    fn expire_proposal(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
+        // The votes of others may do without this replica's; where they did not, it is this disk that needs a look.
+        let reason = if self.disk.is_full {
+            DISK_REJECTS_WRITES
+        } else {
+            NO_QUORUM
+        };
+        self.end_proposal(now, id, Some(Reply::Unavailable(reason)), out);
+    }
+
+    fn end_proposal(&mut self, now: i64, id: u64, reply: Option<Reply>, out: &mut Vec<Output>) {
+        let read = self.reads.take_awaiting_repair(id);
+        let call = self.proposals.calls.remove(&id);
+        if let (Some(call), Some(reply)) = (call.or(read.map(|read| read.call())), reply) {
+            out.push(Output::Answer(call, reply));
+        }
+        if let Some(proposal) = self.proposals.open.remove(&id) {
+            self.pending.release(now, &proposal.names());
+        }
+    }
+
+    fn apply_actions(&mut self, now: i64, id: u64, actions: Vec<Action>, out: &mut Vec<Output>) {
+        for action in actions {
+            match action {
+                Action::Broadcast(payload) => self.broadcast_proposal(now, id, payload, out),
+                Action::Chosen(ballot, items) => {
+                    self.broadcast(Payload::Chosen(ballot), out);
+                    let entries = items.into_iter().map(|item| (ballot, item));
+                    self.learn_chosen(now, entries.collect(), out);
+                }
+                Action::Report(outcome) => self.report_outcome(now, id, outcome, out),
+                Action::Retry(_) => {}
+                Action::Finished => self.end_proposal(now, id, None, out),
+            }
+        }
+    }
+
+    fn report_outcome(&mut self, now: i64, id: u64, outcome: Outcome, out: &mut Vec<Output>) {
+        let reply = match outcome {
+            Outcome::Done => Reply::Done,
+            Outcome::Conflict => Reply::Conflict,
+            Outcome::PartiallyApplied => Reply::Unavailable(PARTIALLY_APPLIED),
+        };
+        if let Some(call) = self.proposals.calls.remove(&id) {
+            out.push(Output::Answer(call, reply));
+        }
+        if let Some(read) = self.reads.take_awaiting_repair(id) {
+            self.complete_read(now, read, out);
+        }
+    }
+
+    /// Sends a message to every replica that has not voted yet, this one included.
+    fn broadcast_proposal(&mut self, now: i64, id: u64, payload: Payload, out: &mut Vec<Output>) {
+        let Some(proposal) = self.proposals.open.get(&id) else {
+            return;
+        };
+        let local = self.table.local().replica;
+        let others = (0..self.table.replica_count() as ReplicaId)
+            .filter(|replica| *replica != local && proposal.awaits_vote_of(*replica));
+        let to = others
+            .filter_map(|replica| self.table.address(replica))
+            .collect();
+        let votes_itself = proposal.awaits_vote_of(local);
+        self.send(to, payload.clone(), out);
+        match payload {
+            Payload::Prepare { ballot, names } if votes_itself => {
+                self.handle_prepare(now, None, ballot, &names, out)
+            }
+            Payload::Accept { ballot, items } if votes_itself => {
+                self.handle_accept(now, None, ballot, &items, out)
+            }
+            _ => {}
+        }
+    }
+
+    /// Handles the answer to a proposal, a quorum read or a lease request of this replica.
+    pub(super) fn handle_vote(
+        &mut self,
+        now: i64,
+        sender: Sender,
+        vote: Payload,
+        out: &mut Vec<Output>,
+    ) {
+        let voter = sender.voter();
+        match vote {
+            Payload::Promise { ballot, accepted } => {
+                let Some(id) = self.proposals.with_ballot(ballot) else {
+                    return;
+                };
+                let Some(proposal) = self.proposals.open.get_mut(&id) else {
+                    return;
+                };
+                let actions =
+                    proposal.handle_promise(now, voter, accepted, &self.table, &self.chosen);
+                self.apply_actions(now, id, actions, out);
+            }
+            Payload::Accepted(ballot) => {
+                let Some(id) = self.proposals.with_ballot(ballot) else {
+                    return;
+                };
+                let Some(proposal) = self.proposals.open.get_mut(&id) else {
+                    return;
+                };
+                let actions = proposal.handle_accepted(voter, &self.table);
+                self.apply_actions(now, id, actions, out);
+            }
+            Payload::Nack { ballot, seen } => {
+                self.handle_nack(now, voter.replica, ballot, seen, out)
+            }
+            Payload::RegisterChunk { id, chunk } => {
+                self.handle_register_chunk(now, sender, id, chunk, out)
+            }
+            Payload::LeaseVote {
+                role,
+                term,
+                sent_at,
+                granted,
+                newest_term,
+            } => {
+                let vote = LeaseVote {
+                    term: term.number,
+                    sent_at,
+                    granted,
+                    newest_term,
+                };
+                // Hazard: a vote for the request of a former process counts from that request's time.
+                if term.holder == self.table.local() {
+                    self.handle_lease_vote(now, voter, role, vote, out);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn handle_nack(
+        &mut self,
+        now: i64,
+        replica: ReplicaId,
+        ballot: Ballot,
+        seen: Ballot,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(id) = self.proposals.with_ballot(ballot) else {
+            return;
+        };
+        self.proposals.observe_round(seen.round);
+        let Some(proposal) = self.proposals.open.get(&id) else {
+            return;
+        };
+        // Hazard: proposers of one register that all start again at once reject each other for seconds.
+        let backoff = proposal.backoff();
+        let backoff = backoff.minimum + self.random_below(backoff.jitter) as i64;
+        let Some(proposal) = self.proposals.open.get_mut(&id) else {
+            return;
+        };
+        let actions = proposal.handle_nack(now, replica, seen, backoff, &self.table);
+        self.apply_actions(now, id, actions, out);
+    }
+}
--- a/crates/control/src/core/reclaim.rs
+++ b/crates/control/src/core/reclaim.rs
@@ -1,83 +1,74 @@
-//! Taking a slot back: a replica that was set aside by a newer incarnation of its slot, which nobody hears any more.
+//! Reclaiming a replica whose newer incarnation is unreachable.
 //!
-//! Two machines may rebuild one slot at the same time, and the one whose incarnation comes later may be gone before the
-//! other one hears of it. Its slot would be held by nobody for good. The one that is left asks the others, and rebuilds
-//! under an incarnation of its own once none of a majority has heard the newer one for [`limits::RECLAIM`]. That is as
-//! safe as the rebuild of an empty disk, as it gathers anew what a majority of the others holds.
+//! Two machines may recover one replica at the same time, and the one whose incarnation is newer may be gone before the
+//! other hears of it. Then nobody would hold the replica for good. The superseded process asks the others, and recovers
+//! under an incarnation of its own once no replica of a quorum has heard the newer one for [`limits::RECLAIM_TIMEOUT`].
+//! That is as safe as the recovery of an empty disk, since it gathers anew what a quorum of the others holds.
 
 use std::collections::BTreeMap;
 
-use super::peer_messages::{Incarnation, Payload, ReplicaId};
+use super::events::Event;
+use super::peer_messages::{Incarnation, ReplicaId};
 use super::recovery::Recovery;
 use super::{Output, Replica};
 use crate::limits;
 
-/// A replica that was set aside.
+/// What a superseded process knows about the newer incarnation of its replica.
 #[derive(Clone, Debug)]
 pub(super) struct Superseded {
-    /// The newer incarnation was last known to be heard then, or this replica was set aside.
+    /// When the newer incarnation was last known to be heard by any replica.
     last_heard: i64,
-    /// When each other replica last said that it does not hear the newer one.
+    /// When each other replica last said that it does not hear the newer incarnation.
     not_heard_by: BTreeMap<ReplicaId, i64>,
-    wake_at: i64,
+    next_request_at: i64,
 }
 
 impl Replica {
-    /// Asks the others about the newer incarnation, and takes the slot back if it is gone.
+    /// Asks the others about the newer incarnation, and begins to recover once it is unreachable.
     pub(super) fn drive_reclaim(&mut self, now: i64, out: &mut Vec<Output>) {
         if !self.table.is_superseded() || self.shutting_down {
             self.superseded = None;
             return;
         }
-        let begin = || Superseded {
+        let superseded = self.superseded.get_or_insert_with(|| Superseded {
             last_heard: now,
             not_heard_by: BTreeMap::new(),
-            wake_at: now,
-        };
-        let displaced = self.superseded.get_or_insert_with(begin);
-        if now < displaced.wake_at {
+            next_request_at: now,
+        });
+        if now < superseded.next_request_at {
             return;
         }
-        displaced.wake_at = now + limits::HEARTBEAT_INTERVAL;
-        displaced
-            .not_heard_by
-            .retain(|_, at| now - *at <= limits::CONTACT_TIMEOUT);
-        if now - displaced.last_heard >= limits::RECLAIM_TIMEOUT
-            && displaced.not_heard_by.len() >= self.table.recovery_quorum()
-        {
-            out.push(Output::LogImmediately(
-                "nobody hears the newer incarnation of this replica: rebuilding".to_string(),
-            ));
+        superseded.next_request_at = now + limits::HEARTBEAT_INTERVAL;
+        let reports = &mut superseded.not_heard_by;
+        reports.retain(|_, at| now - *at <= limits::CONTACT_TIMEOUT);
+        let unreachable = reports.len() >= self.table.recovery_quorum();
+        if unreachable && now - superseded.last_heard >= limits::RECLAIM_TIMEOUT {
+            out.push(Output::Log(Event::IncarnationReclaimed));
             self.superseded = None;
             self.table.relinquish();
             self.recovery = Some(Recovery::default());
             return self.drive_recovery(now, out);
         }
-        self.broadcast(
-            Payload::HandoverRequest {
-                id: 0,
-                items: Vec::new(),
-            },
-            out,
-        );
+        self.broadcast(Replica::handover_query(), out);
     }
 
-    /// Another replica says which incarnation of this slot it hears.
-    pub(super) fn handle_slot_report(&mut self, now: i64, replica: ReplicaId, whole: Incarnation) {
-        let own = self.table.local().incarnation;
-        let Some(displaced) = &mut self.superseded else {
+    /// Another replica reports the newest incarnation of this one that it hears, or none.
+    pub(super) fn handle_slot_report(&mut self, now: i64, from: ReplicaId, heard: Incarnation) {
+        let local = self.table.local().incarnation;
+        let Some(superseded) = &mut self.superseded else {
             return;
         };
-        if whole > own {
-            displaced.last_heard = now;
-            displaced.not_heard_by.clear();
+        if heard > local {
+            superseded.last_heard = now;
+            superseded.not_heard_by.clear();
         } else {
-            displaced.not_heard_by.insert(replica, now);
+            superseded.not_heard_by.insert(from, now);
         }
     }
 
-    /// When it wants to ask again.
+    /// When [`Replica::drive_reclaim`] is due.
     pub(super) fn reclaim_wake_at(&self) -> Option<i64> {
-        self.superseded.as_ref().map(|displaced| displaced.wake_at)
+        let superseded = self.superseded.as_ref();
+        superseded.map(|superseded| superseded.next_request_at)
     }
 }
