--- a/crates/control/src/core/recovery.rs
+++ b/crates/control/src/core/recovery.rs
@@ -1,119 +1,144 @@
-//! Repair: what was lost is rebuilt from those who were told it; what was begun and not finished is finished.
+//! Recovery of a replica whose disk has lost its registers, under a new incarnation.
+//!
+//! The other replicas first persist the new incarnation and then answer with what they have accepted. So whoever counts a
+//! vote of the former incarnation meets, in any quorum, a replica that knows better. The recovering replica takes part
+//! again once more than half of the others have answered completely and everything is on its disk.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use protocol::digests::Digests;
 use protocol::items::{Item, ItemName};
 
-use super::peer_messages::{Ballot, Incarnation, ReplicaId, Term, TransferRequest};
+use super::events::Event;
+use super::outbox::PendingWrite;
+use super::peer_messages::{
+    Ballot, Incarnation, Payload, ReplicaId, SingletonRole, Term, TransferRequest,
+};
 use super::registers::entry_digest;
-use super::replicas::ReplicaTable;
-use super::transfer::{Chunk, Continuation, TransferProgress};
+use super::replicas::{ReplicaTable, Sender, Voter};
+use super::role_lease::{RoleLease, StoredTerms};
+use super::transfer::{Chunk, Continuation, SourceProgress};
+use super::{Output, Record, Replica};
 use crate::limits;
 
-/// What a piece of an answer to a replica that rebuilds has brought about.
+/// What is to be done after a chunk of another replica's registers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecoveryStep {
-    /// Nothing to be done.
+    /// Wait for further chunks.
     Wait,
-    /// The one that has told it is to be asked for more.
+    /// Request more from the sender of the chunk.
     Request(TransferRequest),
-    /// More than half of the others have told all.
+    /// More than half of the other replicas have answered completely.
     Complete,
 }
 
-/// A replica with an empty disk, on its way to a new incarnation. The others write the incarnation down first and answer with what they
-/// hold afterwards: whoever counts a vote of the incarnation before it meets one of them that knows better.
+/// The limits that a recovering replica takes over from another one.
+#[derive(Clone, Copy, Debug)]
+pub struct Promises<'a> {
+    /// The highest ballot that the other replica has promised anything to.
+    pub floor: Ballot,
+    /// The newest term that the other replica has granted for each role.
+    pub terms: &'a [Term],
+}
+
+/// A recovery in progress.
 #[derive(Clone, Debug, Default)]
 pub struct Recovery {
-    /// The incarnation that it wants.
+    /// The incarnation that is to begin.
     pub incarnation: Incarnation,
-    /// How far each has told all, by its incarnation.
-    sources: BTreeMap<ReplicaId, (Incarnation, TransferProgress)>,
-    /// What was accepted, by the highest ballot.
+    sources: BTreeMap<ReplicaId, SourceProgress>,
+    /// The accepted value of each register, by the highest ballot.
     pub found: BTreeMap<ItemName, (Ballot, Item)>,
-    /// Digests of this. Who holds the same of a part does not tell it again.
+    /// Digests of `found`: a source does not send the buckets in which it has the same.
     digests: Digests,
-    /// The first one with a link. It is asked alone at first: then most of the others have nothing to add.
+    /// The first replica with a link. It is asked alone at first, since most of the others will have nothing to add.
     first_source: Option<SocketAddr>,
     first_source_asked: bool,
-    /// Highest promise of all.
+    /// The highest promise of any replica.
     pub floor: Ballot,
-    /// Newest terms of the duties.
+    /// The newest term of each role.
     pub terms: Vec<Term>,
-    /// The others are asked again then.
-    pub wake_at: i64,
-    /// All is there and on its way to disk.
-    pub persisting: bool,
+    next_request_at: i64,
+    /// Everything was received and is being written to disk.
+    persisting: bool,
 }
 
 impl Recovery {
-    /// One whose disk still holds this: no more is told than differs from it.
-    pub fn from_accepted<'a>(held: impl Iterator<Item = &'a (Ballot, Item)>) -> Recovery {
-        let mut rebuild = Recovery::default();
-        for (ballot, item) in held {
-            rebuild
-                .digests
-                .toggle(&item.name, entry_digest(ballot, item));
-            rebuild
-                .found
-                .insert(item.name.clone(), (*ballot, item.clone()));
+    /// A recovery of a replica whose disk still holds these entries: only what differs has to be received.
+    pub fn from_accepted<'a>(entries: impl Iterator<Item = &'a (Ballot, Item)>) -> Recovery {
+        let mut recovery = Recovery::default();
+        for (ballot, item) in entries {
+            recovery.merge(*ballot, item.clone());
+        }
+        recovery
+    }
+
+    /// Keeps the value with the higher ballot.
+    fn merge(&mut self, ballot: Ballot, item: Item) {
+        let known = self.found.get(&item.name);
+        if known.is_some_and(|(known, _)| *known >= ballot) {
+            return;
+        }
+        let digest = entry_digest(&ballot, &item);
+        self.digests.toggle(&item.name, digest);
+        let replaced = self.found.insert(item.name.clone(), (ballot, item));
+        if let Some((ballot, item)) = replaced {
+            let digest = entry_digest(&ballot, &item);
+            self.digests.toggle(&item.name, digest);
         }
-        rebuild
     }
 
-    /// Wants an incarnation after the newest that is known.
-    pub fn choose_incarnation(&mut self, newest: Incarnation, mark: u32) {
+    /// Chooses an incarnation after the newest known one. What was gathered stays valid, as it was accepted under its ballots
+    /// whatever this incarnation is; the sources have to answer again.
+    pub fn choose_incarnation(&mut self, newest: Incarnation, nonce: u32) {
         if newest >= self.incarnation {
-            *self = Recovery {
-                incarnation: Incarnation {
-                    number: newest.max(Incarnation::FIRST).number + 1,
-                    nonce: mark,
-                },
-                first_source: self.first_source,
-                // What was gathered was accepted under its ballots all the same.
-                found: std::mem::take(&mut self.found),
-                digests: std::mem::take(&mut self.digests),
-                floor: self.floor,
-                terms: std::mem::take(&mut self.terms),
-                ..Recovery::default()
-            };
+            let number = newest.max(Incarnation::FIRST).number + 1;
+            self.incarnation = Incarnation { number, nonce };
+            self.sources.clear();
+            self.first_source_asked = false;
+            self.next_request_at = 0;
+            self.persisting = false;
         }
     }
 
-    /// A link is up.
+    /// A link with a replica was established.
     pub fn handle_peer_connected(&mut self, now: i64, peer: SocketAddr) {
         if self.first_source.is_none() {
             self.first_source = Some(peer);
-            self.wake_at = now;
+            self.next_request_at = now;
         }
     }
 
-    /// Whom to ask now, and for what: those that have not told all; the near one alone at first.
-    pub fn next_requests(&mut self, replicas: &ReplicaTable) -> Vec<(SocketAddr, TransferRequest)> {
-        let first = self
-            .first_source
-            .filter(|_| !std::mem::replace(&mut self.first_source_asked, true));
-        if let Some(near) = first.filter(|_| self.sources.is_empty()) {
-            return vec![(near, self.request(None))];
+    /// When requests are sent again; none once everything was received.
+    pub fn wake_at(&self) -> Option<i64> {
+        (!self.persisting).then_some(self.next_request_at)
+    }
+
+    /// The requests to send now: to the first source alone at first, then to every replica that has not answered
+    /// completely.
+    pub fn next_requests(&mut self, table: &ReplicaTable) -> Vec<(SocketAddr, TransferRequest)> {
+        if let Some(first) = self.first_source
+            && !std::mem::replace(&mut self.first_source_asked, true)
+            && self.sources.is_empty()
+        {
+            return vec![(first, self.request(None))];
         }
-        let counted = self
-            .sources
-            .iter()
-            .filter(|(replica, (incarnation, _))| replicas.is_current(**replica, *incarnation));
-        let begun: BTreeMap<SocketAddr, &TransferProgress> = counted
-            .filter_map(|(replica, (_, transfer))| Some((replicas.address(*replica)?, transfer)))
-            .collect();
-        let peers = replicas.peers().into_iter();
-        let open = peers.filter(|peer| begun.get(peer).is_none_or(|transfer| !transfer.complete));
-        open.map(|peer| {
-            (
-                peer,
-                self.request(begun.get(&peer).and_then(|transfer| transfer.after.clone())),
-            )
-        })
-        .collect()
+        let current = self.sources.iter();
+        let current =
+            current.filter(|(replica, source)| table.is_current(**replica, source.incarnation));
+        let by_address = current
+            .filter_map(|(replica, source)| Some((table.address(*replica)?, &source.progress)));
+        let by_address: BTreeMap<SocketAddr, _> = by_address.collect();
+        let mut requests = Vec::new();
+        for peer in table.peers() {
+            let progress = by_address.get(&peer);
+            if !progress.is_some_and(|progress| progress.complete) {
+                let after = progress.and_then(|progress| progress.after.clone());
+                requests.push((peer, self.request(after)));
+            }
+        }
+        requests
     }
 
     fn request(&self, after: Option<ItemName>) -> TransferRequest {
@@ -123,159 +148,236 @@
         }
     }
 
-    /// Most of the others have told all, each in an incarnation that counts.
-    fn has_quorum(&self, replicas: &ReplicaTable) -> bool {
-        let told = |(replica, (incarnation, transfer)): &(
-            &ReplicaId,
-            &(Incarnation, TransferProgress),
-        )| { transfer.complete && replicas.is_current(**replica, *incarnation) };
-        self.sources.iter().filter(told).count() >= replicas.recovery_quorum()
+    /// Whether more than half of the other replicas have answered completely, each in its newest incarnation.
+    fn has_quorum(&self, table: &ReplicaTable) -> bool {
+        let complete = self.sources.iter().filter(|(replica, source)| {
+            source.progress.complete && table.is_current(**replica, source.incarnation)
+        });
+        complete.count() >= table.recovery_quorum()
     }
 
-    /// Takes a piece of an answer in.
+    /// Takes in a chunk of another replica's registers.
     pub fn handle_chunk(
         &mut self,
         now: i64,
-        by: (ReplicaId, Incarnation),
-        (floor, terms): (Ballot, &[Term]),
-        piece: Chunk,
-        replicas: &ReplicaTable,
+        voter: Voter,
+        promises: Promises<'_>,
+        chunk: Chunk,
+        table: &ReplicaTable,
     ) -> RecoveryStep {
-        let (_, transfer) = match self
-            .sources
-            .entry(by.0)
-            .or_insert((by.1, TransferProgress::default()))
-        {
-            // What an incarnation before has told counts for nothing: it may have lost what this one was to hear.
-            of if of.0 != by.1 => {
-                *of = (by.1, TransferProgress::default());
-                of
-            }
-            of => of,
-        };
-        let then = transfer.record_chunk(&piece);
-        if then.is_some() {
-            // The others are asked once the first has told all; who is silent is asked again.
-            let first = then == Some(Continuation::End) && is_first_complete(&self.sources);
-            self.wake_at = if first {
+        let source = self.sources.entry(voter.replica);
+        let source = source.or_insert(SourceProgress::new(voter.incarnation));
+        let continuation = source.record_chunk(voter.incarnation, &chunk);
+        let after = source.progress.after.clone();
+        if let Some(continuation) = continuation {
+            // The others are asked as soon as the first source is complete; whoever is silent is asked again later.
+            let first_complete = continuation == Continuation::End && self.complete_sources() == 1;
+            self.next_request_at = if first_complete {
                 now
             } else {
                 now + limits::RECOVERY_REQUEST_INTERVAL
             };
         }
-        for (ballot, item) in piece.items {
-            if self
-                .found
-                .get(&item.name)
-                .is_none_or(|(known, _)| *known < ballot)
-            {
-                self.digests
-                    .toggle(&item.name, entry_digest(&ballot, &item));
-                if let Some((ballot, item)) = self.found.insert(item.name.clone(), (ballot, item)) {
-                    self.digests
-                        .toggle(&item.name, entry_digest(&ballot, &item));
-                }
-            }
-        }
-        self.floor = self.floor.max(floor);
-        for (at, term) in terms.iter().enumerate() {
-            match self.terms.get_mut(at) {
-                Some(known) => *known = (*known).max(*term),
-                None => self.terms.push(*term),
-            }
+        for (ballot, item) in chunk.items {
+            self.merge(ballot, item);
         }
-        let after = self
-            .sources
-            .get(&by.0)
-            .and_then(|(_, transfer)| transfer.after.clone());
-        match then {
+        self.merge_promises(promises);
+        match continuation {
             Some(Continuation::RequestMore) => RecoveryStep::Request(self.request(after)),
-            _ if self.has_quorum(replicas) => RecoveryStep::Complete,
+            _ if self.has_quorum(table) => RecoveryStep::Complete,
             _ => RecoveryStep::Wait,
         }
     }
-}
 
-/// One has told all, and it is the first.
-fn is_first_complete(answers: &BTreeMap<ReplicaId, (Incarnation, TransferProgress)>) -> bool {
-    answers
-        .values()
-        .filter(|(_, transfer)| transfer.complete)
-        .count()
-        == 1
-}
-
-/// Registers whose values are not known to be chosen, and since when.
-#[derive(Clone, Debug, Default)]
-pub struct PendingProposals {
-    since: BTreeMap<ItemName, i64>,
-    in_flight: BTreeSet<ItemName>,
-}
-
-impl PendingProposals {
-    /// Something was accepted that is not known to be chosen.
-    pub fn insert(&mut self, now: i64, name: &ItemName) {
-        self.since.entry(name.clone()).or_insert(now);
+    fn complete_sources(&self) -> usize {
+        let sources = self.sources.values();
+        sources.filter(|source| source.progress.complete).count()
     }
 
-    /// It is not known to be chosen.
-    pub fn contains(&self, name: &ItemName) -> bool {
-        self.since.contains_key(name)
+    fn merge_promises(&mut self, promises: Promises<'_>) {
+        self.floor = self.floor.max(promises.floor);
+        for (at, term) in promises.terms.iter().enumerate() {
+            match self.terms.get_mut(at) {
+                Some(known) => *known = (*known).max(*term),
+                None => self.terms.push(*term),
+            }
+        }
     }
+}
 
-    /// It is chosen by now.
-    pub fn remove(&mut self, name: &ItemName) {
-        self.since.remove(name);
-        self.in_flight.remove(name);
+impl Replica {
+    /// Whether this replica recovers and waits for answers under this incarnation.
+    pub(super) fn is_recovering_as(&self, incarnation: Incarnation) -> bool {
+        self.recovery
+            .as_ref()
+            .is_some_and(|recovery| !recovery.persisting && recovery.incarnation == incarnation)
     }
 
-    /// When the next one is due at this replica. The replicas take turns, so that normally one finishes it.
-    pub fn wake_at(&self, replica: ReplicaId) -> Option<i64> {
-        if self.in_flight.len() >= limits::MAX_REPAIRS_IN_FLIGHT {
-            return None;
+    /// Sends the requests of a recovery that are due.
+    pub(super) fn drive_recovery(&mut self, now: i64, out: &mut Vec<Output>) {
+        // Drawn at each call, so that the sequence of random numbers does not depend on what follows.
+        let nonce = self.random_below(1 << 32) as u32;
+        let local = self.table.local().replica;
+        let newest = self.table.newest_incarnation(local);
+        let Some(recovery) = self
+            .recovery
+            .as_mut()
+            .filter(|recovery| !recovery.persisting)
+        else {
+            return;
+        };
+        if newest > recovery.incarnation || recovery.incarnation == Incarnation::NONE {
+            recovery.choose_incarnation(newest, nonce);
+        }
+        if now < recovery.next_request_at {
+            return;
+        }
+        recovery.next_request_at = now + limits::RECOVERY_REQUEST_INTERVAL;
+        let incarnation = recovery.incarnation;
+        for (to, request) in recovery.next_requests(&self.table) {
+            let payload = Payload::IncarnationRequest {
+                incarnation,
+                request,
+            };
+            self.send(vec![to], payload, out);
         }
-        let idle = self
-            .since
-            .iter()
-            .filter(|(name, _)| !self.in_flight.contains(*name));
-        let earliest = idle.map(|(_, since)| *since).min()?;
-        Some(earliest + limits::REPAIR_DELAY + i64::from(replica) * limits::REPAIR_STAGGER)
     }
 
-    /// Takes those that are due, once the first is.
-    pub fn take_due(&mut self, now: i64, replica: ReplicaId) -> Vec<ItemName> {
-        if self.wake_at(replica).is_none_or(|wake| wake > now) {
-            return Vec::new();
+    /// Another replica recovers under a new incarnation: persists that before it answers.
+    pub(super) fn handle_incarnation_request(
+        &mut self,
+        sender: Sender,
+        incarnation: Incarnation,
+        request: TransferRequest,
+        out: &mut Vec<Output>,
+    ) {
+        let (peer, replica) = (sender.address, sender.replica());
+        let is_itself = replica == self.table.local().replica;
+        if !self.table.is_participant() || is_itself || self.disk.is_full {
+            return;
+        }
+        // The sender learns where the others are, and about a newer incarnation than the one that it has chosen.
+        self.greet_replica(peer, out);
+        if incarnation < self.table.newest_incarnation(replica) {
+            return;
         }
-        // Those that came soon after go along.
-        let soon = now - limits::REPAIR_DELAY / 2;
-        let due = self
-            .since
-            .iter()
-            .filter(|(name, since)| **since <= soon && !self.in_flight.contains(*name));
-        let room = limits::MAX_REPAIRS_IN_FLIGHT - self.in_flight.len();
-        let due: Vec<ItemName> = due.take(room).map(|(name, _)| name.clone()).collect();
-        self.in_flight.extend(due.iter().cloned());
-        due
+        if self
+            .table
+            .learn_incarnation(replica, incarnation, Some(peer))
+        {
+            let event = Event::IncarnationObserved {
+                replica,
+                incarnation,
+                peer,
+            };
+            out.push(Output::Log(event));
+            out.push(Output::Peers(self.table.peers()));
+            self.broadcast_addresses(out);
+        }
+        let answer = PendingWrite::Recorded(peer, incarnation, request);
+        self.write(vec![Record::Metadata(self.metadata())], Some(answer), out);
     }
 
-    /// A try to finish these is over.
-    pub fn release(&mut self, now: i64, names: &[ItemName]) {
-        for name in names {
-            self.in_flight.remove(name);
-            if let Some(since) = self.since.get_mut(name) {
-                *since = now;
+    /// Takes in a chunk of another replica's registers. Once a quorum is complete everything is written to disk.
+    pub(super) fn handle_incarnation_recorded(
+        &mut self,
+        now: i64,
+        sender: Sender,
+        floor: Ballot,
+        chunk: Chunk,
+        terms: &[Term],
+        out: &mut Vec<Output>,
+    ) {
+        let Some(recovery) = &mut self.recovery else {
+            return;
+        };
+        let promises = Promises { floor, terms };
+        match recovery.handle_chunk(now, sender.voter(), promises, chunk, &self.table) {
+            RecoveryStep::Wait => {}
+            RecoveryStep::Request(request) => {
+                let payload = Payload::IncarnationRequest {
+                    incarnation: recovery.incarnation,
+                    request,
+                };
+                self.send(vec![sender.address], payload, out);
             }
+            RecoveryStep::Complete => self.persist_recovery(out),
         }
     }
 
-    /// How many there are.
-    pub fn len(&self) -> usize {
-        self.since.len()
+    fn persist_recovery(&mut self, out: &mut Vec<Output>) {
+        let Some(recovery) = &mut self.recovery else {
+            return;
+        };
+        recovery.persisting = true;
+        let incarnation = recovery.incarnation;
+        self.registers.raise_floor(recovery.floor);
+        for (ballot, item) in recovery.found.values() {
+            self.registers.adopt(*ballot, item);
+        }
+        for (lease, term) in self.role_leases.iter_mut().zip(&recovery.terms) {
+            lease.adopt(*term);
+        }
+        self.proposals.observe_round(recovery.floor.round);
+        let registers = self.registers.iter();
+        let record = |(name, register): (&ItemName, &_)| {
+            Record::Register(name.clone(), Clone::clone(register))
+        };
+        let mut records: Vec<Record> = registers.map(record).collect();
+        let mut metadata = self.metadata();
+        metadata.incarnation = incarnation;
+        metadata.incarnations[usize::from(self.table.local().replica)] = incarnation;
+        records.push(Record::Metadata(metadata));
+        let begin = PendingWrite::BeginIncarnation(incarnation);
+        self.write(records, Some(begin), out);
     }
 
-    /// There are none.
-    pub fn is_empty(&self) -> bool {
-        self.since.is_empty()
+    /// Everything that was recovered is on disk: this replica takes part from now on.
+    pub(super) fn begin_incarnation(
+        &mut self,
+        now: i64,
+        incarnation: Incarnation,
+        out: &mut Vec<Output>,
+    ) {
+        let replica = self.table.local().replica;
+        self.recovery = None;
+        let newest = self.table.newest_incarnation(replica);
+        self.table.begin_incarnation(incarnation);
+        if newest > incarnation {
+            // Another machine has begun a newer incarnation meanwhile: this one is superseded as it begins.
+            self.table.learn_incarnation(replica, newest, None);
+            return self.handle_replicas_changed(now, out);
+        }
+        self.restart_role_leases(now);
+        let entries = self.registers.accepted_entries();
+        let names: Vec<ItemName> = entries.map(|(_, item)| item.name.clone()).collect();
+        for name in &names {
+            self.track_pending(now, name);
+        }
+        if self.shutting_down {
+            // The process was told to end when it had nothing to hand over; now it has.
+            self.begin_handover(now);
+        }
+        let items = names.len();
+        out.push(Output::Log(Event::RecoveryCompleted { incarnation, items }));
+        self.handle_replicas_changed(now, out);
+        self.broadcast_membership(out);
+        self.next_heartbeat = now;
+        // What is chosen can be learned from any of the others.
+        if let Some(first) = self.table.other_addresses().first() {
+            self.request_digest_exchange(*first, out);
+        }
+    }
+
+    /// In a new incarnation this replica has granted only what it took over from the others.
+    fn restart_role_leases(&mut self, now: i64) {
+        let (local, count) = (self.table.local(), self.table.replica_count());
+        self.role_leases = SingletonRole::ALL.map(|role| {
+            let stored = StoredTerms {
+                granted: self.role_leases[role as usize].granted_term(),
+                last_held: Term::default(),
+            };
+            RoleLease::new(role, local, count, stored, now)
+        });
     }
 }
--- a/crates/control/src/core/registers.rs
+++ b/crates/control/src/core/registers.rs
@@ -1,7 +1,8 @@
-//! The registers, as one replica keeps them: what it has promised and what it has accepted, one register an item's name.
+//! The registers of one replica: what it has promised and what it has accepted, one register for the name of each item.
 //!
-//! Promises are kept by register, so that changes of different items don't hinder each other. What a replica with an empty
-//! disk may have promised in its incarnation before is not known by register: one floor under all stands for it.
+//! Promises are kept per register, so that changes of different items do not hinder each other. What a replica may have
+//! promised in a former incarnation, before its disk was lost, is not known per register: a floor under all promises stands
+//! for it.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -17,9 +18,9 @@
 /// A register of one replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Register {
-    /// Nothing below this is accepted any more.
+    /// No proposal below this ballot is accepted.
     pub promised: Ballot,
-    /// What was accepted last.
+    /// The value that was accepted last, and its ballot.
     pub accepted: Option<(Ballot, Item)>,
 }
 
@@ -31,7 +32,7 @@
     digests: Digests,
 }
 
-/// The digest of one entry; a whole digest is all of them, one over the other.
+/// The digest of an accepted or chosen value; the digest of a set is the exclusive or of those of its entries.
 pub fn entry_digest(ballot: &Ballot, item: &Item) -> u64 {
     let mut hasher = DefaultHasher::new();
     (ballot, item).hash(&mut hasher);
@@ -39,13 +40,14 @@
 }
 
 impl Registers {
-    /// As they were on disk.
+    /// The registers as they were found on disk.
     pub fn restore(floor: Ballot, registers: Vec<(ItemName, Register)>) -> Registers {
-        let held = registers
-            .iter()
-            .filter_map(|(_, register)| register.accepted.as_ref());
         let mut digests = Digests::default();
-        held.for_each(|(ballot, item)| digests.toggle(&item.name, entry_digest(ballot, item)));
+        for (_, register) in &registers {
+            if let Some((ballot, item)) = &register.accepted {
+                digests.toggle(&item.name, entry_digest(ballot, item));
+            }
+        }
         Registers {
             floor,
             registers: registers.into_iter().collect(),
@@ -54,12 +56,11 @@
     }
 
     fn promised(&self, name: &ItemName) -> Ballot {
-        self.registers
-            .get(name)
-            .map_or(self.floor, |register| register.promised.max(self.floor))
+        let register = self.registers.get(name);
+        register.map_or(self.floor, |register| register.promised.max(self.floor))
     }
 
-    /// The highest promise on any of these that is over `ballot`.
+    /// Gives the highest promise on any of these registers as an error, if it is above `ballot`.
     fn check_promises<'a>(
         &self,
         ballot: Ballot,
@@ -71,10 +72,15 @@
         }
     }
 
-    /// Promises; gives what was accepted.
+    fn promise(&mut self, ballot: Ballot, name: &ItemName) {
+        let register = self.registers.entry(name.clone()).or_default();
+        register.promised = ballot;
+    }
+
+    /// Promises to accept nothing below `ballot` on these registers. Gives their accepted values.
     ///
     /// # Errors
-    /// A higher promise.
+    /// The highest promise on any of them, if it is above `ballot`; nothing is promised then.
     pub fn prepare(
         &mut self,
         ballot: Ballot,
@@ -82,53 +88,47 @@
     ) -> Result<Vec<(Ballot, Item)>, Ballot> {
         self.check_promises(ballot, names.iter())?;
         for name in names {
-            self.registers.entry(name.clone()).or_default().promised = ballot;
+            self.promise(ballot, name);
         }
-        Ok(names
-            .iter()
-            .filter_map(|name| self.accepted(name).cloned())
-            .collect())
+        let accepted = names.iter().filter_map(|name| self.accepted(name).cloned());
+        Ok(accepted.collect())
     }
 
-    /// Accepts all of it, or nothing.
+    /// Accepts all of the items under `ballot`, or none.
     ///
     /// # Errors
-    /// A higher promise.
+    /// The highest promise on any of their registers, if it is above `ballot`; nothing is accepted then.
     pub fn accept(&mut self, ballot: Ballot, items: &[Item]) -> Result<(), Ballot> {
         self.check_promises(ballot, items.iter().map(|item| &item.name))?;
         for item in items {
-            self.registers
-                .entry(item.name.clone())
-                .or_default()
-                .promised = ballot;
+            self.promise(ballot, &item.name);
             self.store(ballot, item.clone());
         }
         Ok(())
     }
 
     fn store(&mut self, ballot: Ballot, item: Item) {
-        self.digests
-            .toggle(&item.name, entry_digest(&ballot, &item));
-        let register = self.registers.entry(item.name.clone()).or_default();
+        let name = item.name.clone();
+        self.digests.toggle(&name, entry_digest(&ballot, &item));
+        let register = self.registers.entry(name.clone()).or_default();
         if let Some((ballot, item)) = register.accepted.replace((ballot, item)) {
-            self.digests
-                .toggle(&item.name, entry_digest(&ballot, &item));
+            self.digests.toggle(&name, entry_digest(&ballot, &item));
         }
     }
 
-    /// Takes over what another one has accepted and is chosen, or stands for what was lost here: it can only be newer.
+    /// Takes over a value that is chosen, or that was accepted elsewhere and stands for what was lost here, unless a newer
+    /// one was accepted here. Gives whether it was taken over.
     pub fn adopt(&mut self, ballot: Ballot, item: &Item) -> bool {
-        let newer = self
-            .accepted(&item.name)
-            .is_none_or(|(own, _)| *own < ballot);
-        if newer {
+        let accepted = self.accepted(&item.name);
+        let is_newer = accepted.is_none_or(|(accepted, _)| *accepted < ballot);
+        if is_newer {
             self.store(ballot, item.clone());
-            // Danger: a late message of a proposal before it would be accepted in its place, and this copy be lost for good.
+            // Hazard: a late message of an earlier proposal would be accepted in its place, and this copy be lost for good.
             if let Some(register) = self.registers.get_mut(&item.name) {
                 register.promised = register.promised.max(ballot);
             }
         }
-        newer
+        is_newer
     }
 
     /// Raises the floor under all promises.
@@ -141,61 +141,53 @@
         self.floor
     }
 
-    /// The highest promise of all.
+    /// The highest promise on any register.
     pub fn highest_promise(&self) -> Ballot {
-        self.registers
-            .values()
-            .map(|register| register.promised)
-            .fold(self.floor, Ballot::max)
+        let promises = self.registers.values().map(|register| register.promised);
+        promises.fold(self.floor, Ballot::max)
     }
 
-    /// What a register holds.
+    /// The accepted value of a register, and its ballot.
     pub fn accepted(&self, name: &ItemName) -> Option<&(Ballot, Item)> {
         self.registers.get(name)?.accepted.as_ref()
     }
 
-    /// All that was accepted.
+    /// All accepted values, in the order of their names.
     pub fn accepted_entries(&self) -> impl Iterator<Item = &(Ballot, Item)> {
-        self.registers
-            .values()
-            .filter_map(|register| register.accepted.as_ref())
+        let registers = self.registers.values();
+        registers.filter_map(|register| register.accepted.as_ref())
     }
 
-    /// A register, as it goes to disk.
+    /// A register, as it is persisted.
     pub fn get(&self, name: &ItemName) -> Register {
         self.registers.get(name).cloned().unwrap_or_default()
     }
 
-    /// All registers, as they go to disk.
+    /// All registers, as they are persisted.
     pub fn iter(&self) -> impl Iterator<Item = (&ItemName, &Register)> {
         self.registers.iter()
     }
 
-    /// Digests of all that was accepted, by parts.
+    /// Digests of the accepted values, by bucket.
     pub fn digests(&self) -> &Digests {
         &self.digests
     }
 
-    /// What answers a question of a transfer: what was accepted in the parts that differ, from its name on.
-    pub fn transfer_chunks(
-        &self,
-        bounds: TransferLimits,
-        question: &TransferRequest,
-    ) -> Vec<Chunk> {
-        let from = question
-            .after
-            .as_ref()
-            .map_or(Bound::Unbounded, Bound::Excluded);
-        // In calm nothing differs, and no name has to be looked at.
-        let same = question.digests == self.digests.buckets();
+    /// The chunks that answer a transfer request: the accepted values of the buckets that differ, after the name that it
+    /// continues from.
+    pub fn transfer_chunks(&self, limits: TransferLimits, request: &TransferRequest) -> Vec<Chunk> {
+        let after = request.after.as_ref();
+        let from = after.map_or(Bound::Unbounded, Bound::Excluded);
+        // Normally nothing differs, and no name has to be looked at.
+        let is_same = request.digests == self.digests.buckets();
         let rest = self
             .registers
-            .range::<ItemName, _>((from, Bound::Unbounded))
-            .filter(|_| !same);
-        let held = rest.filter_map(|(_, register)| register.accepted.as_ref());
-        let differing =
-            held.filter(|(_, item)| self.digests.bucket_differs(&question.digests, &item.name));
-        transfer::chunks(bounds, question.after.clone(), differing.cloned())
+            .range::<ItemName, _>((from, Bound::Unbounded));
+        let accepted = rest.filter_map(|(_, register)| register.accepted.as_ref());
+        let differing = accepted.filter(|(_, item)| {
+            !is_same && self.digests.bucket_differs(&request.digests, &item.name)
+        });
+        transfer::chunks(limits, request.after.clone(), differing.cloned())
     }
 }
 
--- a/crates/control/src/core/replicas.rs
+++ b/crates/control/src/core/replicas.rs
@@ -1,22 +1,57 @@
-//! Who holds each replica: its newest incarnation, its address, when it was last heard.
+//! The table of replicas: the newest incarnation of each, its address, and when it was last heard.
 
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use super::peer_messages::{Incarnation, Payload, PeerMessage, ProcessId, ReplicaId};
 use crate::limits;
 
+/// A replica in one incarnation: whose vote it is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Voter {
+    /// The replica.
+    pub replica: ReplicaId,
+    /// Its incarnation.
+    pub incarnation: Incarnation,
+}
+
+/// The process that sent a message, and the address at which it is reached.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Sender {
+    pub(super) address: SocketAddr,
+    pub(super) process: ProcessId,
+}
+
+impl Sender {
+    pub(super) fn replica(&self) -> ReplicaId {
+        self.process.replica
+    }
+
+    pub(super) fn voter(&self) -> Voter {
+        self.process.voter()
+    }
+}
+
+/// What is known about one replica.
 #[derive(Clone, Debug, Default)]
 struct ReplicaSlot {
+    /// The newest known incarnation.
     incarnation: Incarnation,
     address: Option<SocketAddr>,
-    /// The address is of this incarnation; else of one before, and whoever knows better is believed.
+    /// The address is that of the newest incarnation. Otherwise it is of a former one, and any better knowledge is believed.
     address_confirmed: bool,
-    /// When the holder of the newest incarnation was last heard.
+    /// When the newest incarnation was last heard.
     last_heard: Option<i64>,
-    /// It hears this replica, as it last said.
+    /// It hears this replica, as of its last heartbeat.
     hears_us: bool,
 }
 
+impl ReplicaSlot {
+    fn is_held(&self) -> bool {
+        self.incarnation != Incarnation::NONE
+    }
+}
+
 /// The table of replicas as one of them sees it.
 #[derive(Clone, Debug)]
 pub struct ReplicaTable {
@@ -24,341 +59,346 @@
     local_address: SocketAddr,
     seeds: Vec<SocketAddr>,
     slots: Vec<ReplicaSlot>,
+    /// Another process holds a newer incarnation of this replica.
     superseded: bool,
-    /// Rises whenever an incarnation or an address has changed.
-    revision: u64,
-    /// The newer incarnation is one that this machine itself began and never ended: nobody else has it.
+    /// That newer incarnation was begun by this machine itself and never completed: nobody holds it.
     abandoned: bool,
+    /// Rises whenever an incarnation or an address changes.
+    revision: u64,
 }
 
-/// What a message has changed.
+/// What the receipt of a message has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reception {
-    /// It comes from the newest incarnation of its replica.
+    /// The message comes from the newest incarnation of another replica.
     pub is_current: bool,
     /// An incarnation or an address has changed.
     pub changed: bool,
-    /// The replica was out of touch before.
+    /// The sender had not been heard for [`limits::CONTACT_TIMEOUT`].
     pub returned: bool,
 }
 
 impl ReplicaTable {
-    /// `count` replicas, of which this is one.
+    /// A table of `count` replicas, of which `local` is one.
     pub fn new(
-        me: ProcessId,
+        local: ProcessId,
         count: usize,
-        address: SocketAddr,
+        local_address: SocketAddr,
         seeds: Vec<SocketAddr>,
     ) -> ReplicaTable {
-        let mut places = vec![ReplicaSlot::default(); count];
-        if let Some(place) = places.get_mut(usize::from(me.replica)) {
-            *place = ReplicaSlot {
-                incarnation: me.incarnation,
-                address: Some(address),
+        let mut slots = vec![ReplicaSlot::default(); count];
+        if let Some(slot) = slots.get_mut(usize::from(local.replica)) {
+            *slot = ReplicaSlot {
+                incarnation: local.incarnation,
+                address: Some(local_address),
                 address_confirmed: true,
                 last_heard: None,
                 hears_us: true,
             };
         }
         ReplicaTable {
-            local: me,
-            local_address: address,
+            local,
+            local_address,
             seeds,
-            slots: places,
+            slots,
             superseded: false,
-            revision: 0,
             abandoned: false,
+            revision: 0,
         }
     }
 
-    /// Takes in what was on disk about the others.
+    /// Takes over what was on disk about the other replicas.
     pub fn restore(&mut self, incarnations: &[Incarnation], addresses: &[Option<SocketAddr>]) {
-        for (at, place) in self
-            .slots
-            .iter_mut()
-            .enumerate()
-            .filter(|(at, _)| *at != usize::from(self.local.replica))
-        {
-            place.incarnation = incarnations.get(at).copied().unwrap_or_default();
-            place.address = addresses.get(at).copied().flatten();
-            place.address_confirmed = place.address.is_some();
+        let local = usize::from(self.local.replica);
+        let slots = self.slots.iter_mut().enumerate();
+        for (at, slot) in slots.filter(|(at, _)| *at != local) {
+            slot.incarnation = incarnations.get(at).copied().unwrap_or_default();
+            slot.address = addresses.get(at).copied().flatten();
+            slot.address_confirmed = slot.address.is_some();
         }
     }
 
-    /// This replica, its incarnation and its run.
+    /// The process that this table belongs to.
     pub fn local(&self) -> ProcessId {
         self.local
     }
 
-    /// Where this one is reached.
+    /// The address of this process.
     pub fn local_address(&self) -> SocketAddr {
         self.local_address
     }
 
-    /// Number of replicas.
+    /// The number of replicas.
     pub fn replica_count(&self) -> usize {
         self.slots.len()
     }
 
-    /// More than half of the replicas.
+    /// The size of a quorum: more than half of the replicas.
     pub fn quorum(&self) -> usize {
         self.slots.len() / 2 + 1
     }
 
-    /// More than half of the other replicas, which a replica with an empty disk needs.
+    /// The number of replicas that a recovery needs: more than half of the others.
     pub fn recovery_quorum(&self) -> usize {
         let others = self.slots.len() - 1;
         (others / 2 + 1).min(others)
     }
 
-    /// This process votes and answers: it has an incarnation, and none newer of its replica is known.
+    /// Whether these votes are those of a quorum. A vote counts only from the newest known incarnation of its replica; the
+    /// incarnations that a message tells about are learned before its vote is counted.
+    pub fn is_quorum(&self, votes: &BTreeMap<ReplicaId, Incarnation>) -> bool {
+        let counted = votes
+            .iter()
+            .filter(|(replica, incarnation)| self.is_current(**replica, **incarnation));
+        counted.count() >= self.quorum()
+    }
+
+    /// Whether this process votes and answers: it has an incarnation, and no newer one of its replica is known.
     pub fn is_participant(&self) -> bool {
         self.local.incarnation != Incarnation::NONE && !self.superseded
     }
 
-    /// Its replica has a newer incarnation: it is of no more use.
+    /// Whether another process holds a newer incarnation of this replica.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// It is set aside by an incarnation that it began itself before its disk was lost again, and that nobody leads.
+    /// Whether this process is superseded by an incarnation that it began itself before its disk was lost again.
     pub fn is_abandoned(&self) -> bool {
         self.abandoned
     }
 
-    /// Gives its incarnation up, to begin one after the newest that is known.
+    /// Gives up the local incarnation, so that one after the newest known can be begun.
     pub fn relinquish(&mut self) {
         self.local.incarnation = Incarnation::NONE;
-        (self.superseded, self.abandoned) = (false, false);
+        self.superseded = false;
+        self.abandoned = false;
     }
 
-    /// Begins an incarnation.
+    /// Begins an incarnation of the local replica.
     pub fn begin_incarnation(&mut self, incarnation: Incarnation) {
         self.local.incarnation = incarnation;
-        let place = &mut self.slots[usize::from(self.local.replica)];
-        (place.incarnation, place.address_confirmed) = (incarnation, true);
+        let slot = &mut self.slots[usize::from(self.local.replica)];
+        slot.incarnation = incarnation;
+        slot.address_confirmed = true;
     }
 
-    /// The newest incarnations that are known.
+    /// The newest known incarnation of each replica.
     pub fn incarnations(&self) -> Vec<Incarnation> {
-        self.slots.iter().map(|place| place.incarnation).collect()
+        self.slots.iter().map(|slot| slot.incarnation).collect()
     }
 
-    /// Where the replicas are, as far as it is sure.
+    /// The confirmed address of each replica.
     pub fn addresses(&self) -> Vec<Option<SocketAddr>> {
-        self.slots
-            .iter()
-            .map(|place| place.address.filter(|_| place.address_confirmed))
-            .collect()
+        let confirmed = |slot: &ReplicaSlot| slot.address.filter(|_| slot.address_confirmed);
+        self.slots.iter().map(confirmed).collect()
     }
 
-    /// Some replica has an incarnation, and where it is then is not known.
+    /// Whether some replica is held by a process whose address is not known.
     pub fn has_unconfirmed_address(&self) -> bool {
-        self.slots
-            .iter()
-            .any(|place| place.incarnation != Incarnation::NONE && !place.address_confirmed)
+        let mut slots = self.slots.iter();
+        slots.any(|slot| slot.is_held() && !slot.address_confirmed)
     }
 
-    /// Another one lacks an address that is known here.
-    pub fn knows_more(&self, incarnations: &[Incarnation], told: &[Option<SocketAddr>]) -> bool {
-        let known = |(at, place): (usize, &ReplicaSlot)| {
-            let lacks = told.get(at).is_some_and(Option::is_none)
-                && incarnations.get(at) == Some(&place.incarnation);
-            place.address_confirmed && place.incarnation != Incarnation::NONE && lacks
-        };
-        self.slots.iter().enumerate().any(known)
+    /// Whether an address is known here that another replica, which sent these tables, lacks.
+    pub fn knows_more(
+        &self,
+        incarnations: &[Incarnation],
+        addresses: &[Option<SocketAddr>],
+    ) -> bool {
+        let mut slots = self.slots.iter().enumerate();
+        slots.any(|(at, slot)| {
+            let lacks_address = addresses.get(at).is_some_and(Option::is_none);
+            let same_incarnation = incarnations.get(at) == Some(&slot.incarnation);
+            slot.address_confirmed && slot.is_held() && lacks_address && same_incarnation
+        })
     }
 
-    /// The newest incarnation of a replica.
+    /// The newest known incarnation of a replica.
     pub fn newest_incarnation(&self, replica: ReplicaId) -> Incarnation {
-        self.slots
-            .get(usize::from(replica))
-            .map(|place| place.incarnation)
-            .unwrap_or_default()
+        let slot = self.slots.get(usize::from(replica));
+        slot.map(|slot| slot.incarnation).unwrap_or_default()
     }
 
-    /// Where a replica is reached.
+    /// The address of a replica, confirmed or not.
     pub fn address(&self, replica: ReplicaId) -> Option<SocketAddr> {
         self.slots.get(usize::from(replica))?.address
     }
 
-    /// Where the other replicas are reached.
+    /// The addresses of the other replicas.
     pub fn other_addresses(&self) -> Vec<SocketAddr> {
-        let me = usize::from(self.local.replica);
-        let others = self.slots.iter().enumerate().filter(|(at, _)| *at != me);
-        others
-            .filter_map(|(_, place)| place.address)
+        let local = usize::from(self.local.replica);
+        let others = self.slots.iter().enumerate();
+        let others = others.filter(|(at, _)| *at != local);
+        let addresses = others.filter_map(|(_, slot)| slot.address);
+        addresses
             .filter(|address| *address != self.local_address)
             .collect()
     }
 
-    /// Whom to keep a link with: the other replicas, and who may know them.
+    /// The addresses to keep links with: those of the other replicas, and the seeds.
     pub fn peers(&self) -> Vec<SocketAddr> {
+        let seeds = self.seeds.iter().copied();
         let mut peers = self.other_addresses();
-        peers.extend(
-            self.seeds
-                .iter()
-                .copied()
-                .filter(|seed| *seed != self.local_address),
-        );
+        peers.extend(seeds.filter(|seed| *seed != self.local_address));
         peers.sort_unstable();
         peers.dedup();
         peers
     }
 
-    /// Where the replicas are that are known, by their zones, for agents.
+    /// The known address of each replica, with its zone.
     pub fn addresses_by_zone<'a>(
         &self,
         zones: &'a [String],
     ) -> impl Iterator<Item = (&'a str, SocketAddr)> {
-        let at = |(replica, zone): (usize, &'a String)| {
+        let with_address = |(replica, zone): (usize, &'a String)| {
             Some((zone.as_str(), self.address(replica as ReplicaId)?))
         };
-        zones.iter().enumerate().filter_map(at)
+        zones.iter().enumerate().filter_map(with_address)
     }
 
-    /// A vote of this incarnation of a replica counts.
+    /// Whether this is the newest known incarnation of a replica, so that its votes count.
     pub fn is_current(&self, replica: ReplicaId, incarnation: Incarnation) -> bool {
         incarnation != Incarnation::NONE && self.newest_incarnation(replica) == incarnation
     }
 
-    /// Rises whenever an incarnation or an address has changed.
+    /// Rises whenever an incarnation or an address changes.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes an incarnation in, whoever told of it.
+    /// Learns about an incarnation of a replica, and the address of its process if that is known. Gives whether anything
+    /// changed.
     pub fn learn_incarnation(
         &mut self,
         replica: ReplicaId,
         incarnation: Incarnation,
         address: Option<SocketAddr>,
     ) -> bool {
-        let news = self.apply_incarnation(replica, incarnation, address);
-        self.revision += u64::from(news);
-        news
-    }
-
-    fn apply_incarnation(
-        &mut self,
-        replica: ReplicaId,
-        incarnation: Incarnation,
-        address: Option<SocketAddr>,
-    ) -> bool {
-        let own = replica == self.local.replica;
-        let Some(place) = self.slots.get_mut(usize::from(replica)) else {
+        let is_local = replica == self.local.replica;
+        let Some(slot) = self.slots.get_mut(usize::from(replica)) else {
             return false;
         };
-        if own && incarnation >= place.incarnation {
-            let newer = incarnation > place.incarnation;
-            place.incarnation = incarnation;
-            // One that rebuilds has no incarnation yet, and takes a newer one than this.
-            self.superseded |= newer && self.local.incarnation != Incarnation::NONE;
-            // Danger: were its own address told with the newer incarnation, the others would take it for the newer one's.
-            place.address_confirmed &= !self.superseded;
-            // Danger: an incarnation that was recorded by few, and lost with the disk, may come after the one that was begun in
-            // its place. Its replica would be set aside by it, and be held by nobody.
-            let abandoned = self.superseded && address == Some(self.local_address);
-            return (abandoned && !std::mem::replace(&mut self.abandoned, abandoned)) || newer;
-        }
-        if incarnation > place.incarnation {
-            let sure = address.is_some();
-            *place = ReplicaSlot {
+        let changed = if is_local && incarnation >= slot.incarnation {
+            self.learn_local_incarnation(incarnation, address)
+        } else if incarnation > slot.incarnation {
+            *slot = ReplicaSlot {
                 incarnation,
-                address: address.or(place.address),
-                address_confirmed: sure,
+                address: address.or(slot.address),
+                address_confirmed: address.is_some(),
                 last_heard: None,
                 hears_us: false,
             };
-            return true;
-        }
-        // Danger: two replicas that were replaced at once would each keep to where the other one was.
-        let news = !own
-            && incarnation == place.incarnation
-            && !place.address_confirmed
-            && address.is_some();
-        if news {
-            (place.address, place.address_confirmed) = (address, true);
-        }
-        news
+            true
+        } else {
+            // Hazard: of two replicas that were replaced at once, each would keep to the other's former address.
+            let confirms = !is_local
+                && incarnation == slot.incarnation
+                && !slot.address_confirmed
+                && address.is_some();
+            if confirms {
+                slot.address = address;
+                slot.address_confirmed = true;
+            }
+            confirms
+        };
+        self.revision += u64::from(changed);
+        changed
+    }
+
+    /// Learns about an incarnation of the local replica that is as new as the known one, or newer.
+    fn learn_local_incarnation(
+        &mut self,
+        incarnation: Incarnation,
+        address: Option<SocketAddr>,
+    ) -> bool {
+        let slot = &mut self.slots[usize::from(self.local.replica)];
+        let newer = incarnation > slot.incarnation;
+        slot.incarnation = incarnation;
+        // A recovering process has no incarnation yet, and will choose one after this.
+        self.superseded |= newer && self.local.incarnation != Incarnation::NONE;
+        // Hazard: if the local address were sent along with the newer incarnation, the others would take it for that one's.
+        slot.address_confirmed &= !self.superseded;
+        // Hazard: an incarnation that few replicas have recorded, and that was lost with the disk, may turn up after the one
+        // that was begun in its place. It would supersede this process, and nobody would hold the replica.
+        let abandoned = self.superseded && address == Some(self.local_address);
+        let newly_abandoned = abandoned && !self.abandoned;
+        self.abandoned |= abandoned;
+        newly_abandoned || newer
     }
 
-    /// Takes in who sent a message, and the incarnations that it knows.
+    /// Takes note of a message: who sent it from where, and the incarnations that it tells about.
     pub fn record_message(
         &mut self,
         now: i64,
         from: SocketAddr,
-        peer_message: &PeerMessage,
+        message: &PeerMessage,
     ) -> Reception {
-        let replica = usize::from(peer_message.sender.replica);
-        if peer_message.incarnations.len() != self.slots.len() || replica >= self.slots.len() {
+        let process = message.sender;
+        let at = usize::from(process.replica);
+        if message.incarnations.len() != self.slots.len() || at >= self.slots.len() {
             return Reception::default();
         }
-        let told: &[Option<SocketAddr>] = match &peer_message.payload {
-            Payload::ReplicaAddresses(addresses) => addresses,
-            _ => &[],
-        };
-        let mut changed = false;
-        for (at, incarnation) in peer_message.incarnations.iter().enumerate() {
-            changed |= self.learn_incarnation(
-                at as ReplicaId,
-                *incarnation,
-                told.get(at).copied().flatten(),
-            );
-        }
-        if peer_message.sender.incarnation != Incarnation::NONE {
-            changed |= self.learn_incarnation(
-                peer_message.sender.replica,
-                peer_message.sender.incarnation,
-                Some(from),
-            );
+        let mut changed = self.learn_from(message);
+        if process.incarnation != Incarnation::NONE {
+            changed |= self.learn_incarnation(process.replica, process.incarnation, Some(from));
         }
-        let counts = self.is_current(peer_message.sender.replica, peer_message.sender.incarnation)
-            && peer_message.sender.replica != self.local.replica;
-        let place = &mut self.slots[replica];
+        let is_current = self.is_current(process.replica, process.incarnation)
+            && process.replica != self.local.replica;
         let mut returned = false;
-        if counts {
-            // The one that speaks knows best where it is.
-            changed |= place.address.replace(from) != Some(from) || !place.address_confirmed;
-            place.address_confirmed = true;
-            returned = place
-                .last_heard
-                .is_none_or(|heard| now - heard > limits::CONTACT_TIMEOUT);
-            place.last_heard = Some(now);
-            if let Payload::Heartbeat(beat) = &peer_message.payload {
-                place.hears_us = beat.reachable & (1 << self.local.replica) != 0;
+        if is_current {
+            let slot = &mut self.slots[at];
+            // The sender itself knows best where it is.
+            changed |= slot.address.replace(from) != Some(from) || !slot.address_confirmed;
+            slot.address_confirmed = true;
+            let last_heard = slot.last_heard.replace(now);
+            returned = last_heard.is_none_or(|heard| now - heard > limits::CONTACT_TIMEOUT);
+            if let Payload::Heartbeat(heartbeat) = &message.payload {
+                slot.hears_us = heartbeat.reachable & (1 << self.local.replica) != 0;
             }
         }
         self.revision += u64::from(changed);
         Reception {
-            is_current: counts,
+            is_current,
             changed,
             returned,
         }
     }
 
-    /// A replica was heard of late.
+    /// Learns the incarnations that a message tells about, and the addresses if it is about those.
+    fn learn_from(&mut self, message: &PeerMessage) -> bool {
+        let addresses: &[Option<SocketAddr>] = match &message.payload {
+            Payload::ReplicaAddresses(addresses) => addresses,
+            _ => &[],
+        };
+        let mut changed = false;
+        for (at, incarnation) in message.incarnations.iter().enumerate() {
+            let address = addresses.get(at).copied().flatten();
+            changed |= self.learn_incarnation(at as ReplicaId, *incarnation, address);
+        }
+        changed
+    }
+
+    /// Whether a replica was heard within [`limits::CONTACT_TIMEOUT`]; always so of the local one.
     pub fn is_reachable(&self, now: i64, replica: ReplicaId) -> bool {
-        let heard = self
-            .slots
-            .get(usize::from(replica))
-            .and_then(|place| place.last_heard);
+        let slot = self.slots.get(usize::from(replica));
+        let last_heard = slot.and_then(|slot| slot.last_heard);
         replica == self.local.replica
-            || heard.is_some_and(|heard| now - heard <= limits::CONTACT_TIMEOUT)
+            || last_heard.is_some_and(|heard| now - heard <= limits::CONTACT_TIMEOUT)
     }
 
-    /// The replicas that were heard of late, a bit each.
+    /// The replicas that are reachable, one bit each.
     pub fn reachable_replicas(&self, now: i64) -> u128 {
-        (0..self.slots.len())
-            .filter(|replica| self.is_reachable(now, *replica as ReplicaId))
-            .fold(0, |bits, replica| bits | 1 << replica)
+        let replicas = 0..self.slots.len();
+        let reachable = replicas.filter(|at| self.is_reachable(now, *at as ReplicaId));
+        reachable.fold(0, |bits, at| bits | 1 << at)
     }
 
-    /// It hears, and is heard by, more than half of all, itself included.
+    /// Whether this process hears a quorum, itself included, and is heard by each replica of it.
     pub fn has_quorum_contact(&self, now: i64) -> bool {
-        let both = |(at, place): &(usize, &ReplicaSlot)| {
-            place.hears_us && self.is_reachable(now, *at as ReplicaId)
-        };
-        self.is_participant() && self.slots.iter().enumerate().filter(both).count() >= self.quorum()
+        let slots = self.slots.iter().enumerate();
+        let in_contact =
+            slots.filter(|(at, slot)| slot.hears_us && self.is_reachable(now, *at as ReplicaId));
+        self.is_participant() && in_contact.count() >= self.quorum()
     }
 }
--- a/crates/control/src/core/role_lease.rs
+++ b/crates/control/src/core/role_lease.rs
@@ -1,234 +1,311 @@
-//! Duties that one replica does for all: won by a round of ballots each time one falls vacant, and held while more than
-//! half of the replicas go on granting it.
+//! Leases on the roles that only one replica performs for all: won by a vote of a quorum whenever a role is vacant, and
+//! held as long as a quorum goes on granting it.
 //!
-//! A grant lasts a fixed time at the voter, counted from the bid's arrival; the holder counts from when it sent the bid,
-//! and stops earlier. So at any instant at most one holder acts, with no clock compared to another.
+//! A grant lasts for a fixed time at the voter, counted from the arrival of the request. The holder counts from when it
+//! sent the request, and stops earlier. So at most one replica performs a role at any instant, without any comparison of
+//! two clocks.
 //!
-//! A voter that has started anew does not know how long its last grant goes on, but by its disk to whom it can be: to the
-//! newest term's bidder and to nobody else, if that one was seen to hold the duty. The same replica gets it again at once: what
-//! held it before is the same process, or one that has ended.
+//! A voter that has restarted does not know how long its last grant lasts, but its disk tells to whom it can be: to the
+//! holder of the newest term, and to nobody else, if that holder was seen to hold the lease. The same replica gets it
+//! again at once: what held it before is the same process, or one that has ended.
 
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 
-use super::peer_messages::{Ballot, Incarnation, ProcessId, ReplicaId, SingletonRole, Term};
-use super::replicas::ReplicaTable;
+use super::events::Event;
+use super::outbox::PendingWrite;
+use super::peer_messages::{Incarnation, Payload, ProcessId, ReplicaId, SingletonRole, Term};
+use super::replicas::{ReplicaTable, Voter};
+use super::{Output, Record, Replica};
 use crate::limits;
 
-/// A bid that wants to be sent to all.
+/// A request for a lease, to be sent to all replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseRequest {
-    /// The term.
+    /// The term that is requested.
     pub term: u64,
-    /// When it is sent.
+    /// When it is sent, in microseconds on the clock of the requester.
     pub sent_at: i64,
-    /// The bidder holds the duty.
+    /// Whether the requester holds the lease already and asks for more time.
     pub renewal: bool,
 }
 
-/// A voter's answer.
+/// How a voter has decided on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Vote {
-    /// The bid is granted.
+    /// The lease is granted for [`limits::GRANT_DURATION`].
     pub granted: bool,
-    /// The term is new here, or is seen to be held for the first time: it goes to disk before the answer goes out.
+    /// The term is new to the voter, or was seen to be held for the first time: it has to be on disk before the vote is sent.
     pub must_persist: bool,
-    /// Newest term here.
+    /// The newest term that the voter knows.
+    pub newest_term: u64,
+}
+
+/// A vote on a request of this replica.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LeaseVote {
+    /// The term that was requested.
+    pub term: u64,
+    /// When the request was sent.
+    pub sent_at: i64,
+    /// Whether it is granted.
+    pub granted: bool,
+    /// The newest term that the voter knows.
     pub newest_term: u64,
 }
 
-/// A term that is given back.
+/// A term that its holder or candidate gives up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseRelease {
     /// The term.
     pub term: u64,
-    /// It was never won.
+    /// The term was never won, and never will be.
     pub unused: bool,
 }
 
+/// What is to be done about a lease.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LeaseAction {
+    /// Send a request to all replicas.
+    Request(LeaseRequest),
+    /// Tell all replicas that a term is given up.
+    Release(LeaseRelease),
+}
+
+/// What the disk tells about the terms of a role.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct StoredTerms {
+    /// The newest term that this replica has granted.
+    pub granted: Term,
+    /// The newest term that it has seen to be held.
+    pub last_held: Term,
+}
+
+impl StoredTerms {
+    /// The terms of one role, of those of all roles as the metadata has them.
+    pub fn of(terms: &[Term], role: SingletonRole) -> StoredTerms {
+        let term = |at: usize| terms.get(at).copied().unwrap_or_default();
+        StoredTerms {
+            granted: term(role as usize),
+            last_held: term(SingletonRole::ALL.len() + role as usize),
+        }
+    }
+}
+
+/// This replica's own attempt to hold the lease.
 #[derive(Clone, Debug)]
 struct Candidacy {
     term: u64,
     requested_at: i64,
-    /// Acts until then; nothing while it is won by nobody.
+    /// It holds the lease until then; 0 while it was not granted by a quorum.
     acts_until: i64,
-    /// Rounds of votes that are open, by when their bids were sent.
+    /// The votes on each request that is open, by when it was sent.
     open_votes: BTreeMap<i64, BTreeMap<ReplicaId, Incarnation>>,
 }
 
-/// One duty, as a replica sees it.
+impl Candidacy {
+    /// Whether the lease has run out, or was not won in time.
+    fn is_over(&self, now: i64) -> bool {
+        let timed_out = now >= self.requested_at + limits::LEASE_REQUEST_TIMEOUT;
+        self.acts_until <= now && (self.acts_until > 0 || timed_out)
+    }
+
+    fn release(&self) -> LeaseRelease {
+        LeaseRelease {
+            term: self.term,
+            unused: self.acts_until == 0,
+        }
+    }
+}
+
+/// The lease on one role, as a replica sees it: as a voter, and as a candidate or holder.
 #[derive(Clone, Debug)]
 pub struct RoleLease {
+    /// The position of this replica in the order in which the replicas request a vacant lease.
     rank: i64,
-    /// Newest term that this replica has granted.
+    /// The newest term that this replica has granted.
     granted_term: Term,
-    /// It was given back by a bidder that had not won it: nobody ever holds it.
+    /// That term was released by a candidate that had not won it: nobody ever holds it.
     unused: bool,
-    /// The newest one before it that was not in vain.
+    /// The newest term before that one that was not unused.
     previous_term: Term,
-    /// The newest term that was seen to be held by its bidder, as it is on disk.
+    /// The newest term that was seen to be held, as it is on disk.
     last_held_term: Term,
-    /// The term that is granted now...
+    /// The term that is granted until `grant_expires_at`.
     current_grant: Term,
-    /// ...until then.
     grant_expires_at: i64,
     candidacy: Option<Candidacy>,
-    /// The holder as it says itself, and until when that holds.
+    /// The holder as it says itself, and until when that is believed.
     known_holder: Option<(Term, i64)>,
-    /// Newest term that was heard of.
+    /// The newest term that was heard of.
     newest_term: u64,
-    /// The duty fell vacant then, as far as known.
+    /// The role is vacant since then, as far as known.
     vacant_since: i64,
-    /// No bid before then.
+    /// No request is sent before then.
     next_request_at: i64,
-    /// Nothing is granted before then but to whom it was granted last: what this replica granted before it started may still
-    /// hold, where that matters.
+    /// Until then a grant of before the restart may last, and nothing is granted but to whom that can be.
     silent_until: i64,
-    /// This replica held the duty as it ended, and bids for it ahead of all others.
+    /// This replica held the lease when its process ended, and requests it ahead of all others.
     resumes: bool,
 }
 
-/// The same process, or one that was started after it had ended.
-fn is_same_or_successor(by: ProcessId, before: ProcessId) -> bool {
-    (by.replica, by.incarnation) == (before.replica, before.incarnation) && by.run >= before.run
+/// Whether `process` is `holder`, or was started after `holder` had ended.
+fn is_same_or_successor(process: ProcessId, holder: ProcessId) -> bool {
+    process.voter() == holder.voter() && process.run >= holder.run
 }
 
 impl RoleLease {
-    /// Of a replica that starts now, or takes part from now on. `term`, `kept`: the newest that it has granted, and the newest
-    /// that it has seen to be held, as they are on its disk.
+    /// The lease as seen by a replica that starts, or takes part from now on.
     pub fn new(
-        duty: SingletonRole,
-        me: ProcessId,
-        replicas: usize,
-        (term, kept): (Term, Term),
+        role: SingletonRole,
+        local: ProcessId,
+        replica_count: usize,
+        stored: StoredTerms,
         now: i64,
     ) -> RoleLease {
-        // The two duties begin at opposite replicas, so that they normally land on different ones.
-        let first = match duty {
+        // The orders of the two roles begin at opposite replicas, so that normally different ones perform them.
+        let first = match role {
             SingletonRole::PlatformPoller => 0,
-            SingletonRole::Counter => replicas / 2,
+            SingletonRole::Counter => replica_count / 2,
         };
-        let rank = (usize::from(me.replica) + replicas - first) % replicas;
-        // Two that poll for a moment harm nobody, as lists are ordered by their terms; two that count would.
-        let quiet = now
-            + if duty == SingletonRole::PlatformPoller {
-                limits::STARTUP_DELAY
-            } else {
-                limits::GRANT_DURATION
-            };
-        let again = duty == SingletonRole::Counter
-            && kept.number > 0
-            && kept == term
-            && is_same_or_successor(me, kept.holder);
+        let rank = (usize::from(local.replica) + replica_count - first) % replica_count;
+        // Two pollers at once do no harm, as their lists are ordered by term. Two counters would.
+        let silence = match role {
+            SingletonRole::PlatformPoller => limits::STARTUP_DELAY,
+            SingletonRole::Counter => limits::GRANT_DURATION,
+        };
+        let silent_until = now + silence;
+        let StoredTerms { granted, last_held } = stored;
+        let held_it = last_held.number > 0 && last_held == granted;
+        let resumes = role == SingletonRole::Counter
+            && held_it
+            && is_same_or_successor(local, last_held.holder);
         RoleLease {
             rank: rank as i64,
-            granted_term: term,
+            granted_term: granted,
             unused: false,
             previous_term: Term::default(),
-            last_held_term: kept,
-            current_grant: term,
+            last_held_term: last_held,
+            current_grant: granted,
             grant_expires_at: i64::MIN,
             candidacy: None,
             known_holder: None,
-            newest_term: term.number,
-            vacant_since: quiet,
-            next_request_at: if again {
+            newest_term: granted.number,
+            vacant_since: silent_until,
+            next_request_at: if resumes {
                 now + limits::STARTUP_DELAY
             } else {
-                quiet
+                silent_until
             },
-            silent_until: quiet,
-            resumes: again,
+            silent_until,
+            resumes,
         }
     }
 
-    /// This replica bids before all others.
+    /// Whether this replica is the first one to request a vacant lease.
     pub fn ranks_first(&self) -> bool {
         self.rank == 0
     }
 
-    /// Newest term that was granted.
+    /// The newest term that this replica has granted.
     pub fn granted_term(&self) -> Term {
         self.granted_term
     }
 
-    /// Newest term that was seen to be held.
+    /// The newest term that this replica has seen to be held.
     pub fn last_held_term(&self) -> Term {
         self.last_held_term
     }
 
-    /// Takes in what another replica has granted, in place of what was lost.
+    /// Takes over a term that another replica has granted, in place of what was lost with the disk.
     pub fn adopt(&mut self, term: Term) {
         if term > self.granted_term {
-            (self.granted_term, self.unused) = (term, false);
+            self.granted_term = term;
+            self.unused = false;
         }
         self.newest_term = self.newest_term.max(self.granted_term.number);
     }
 
-    /// Votes on a bid.
-    pub fn handle_request(&mut self, now: i64, by: ProcessId, term: u64, holds: bool) -> Vote {
+    /// Votes on a request.
+    pub fn handle_request(&mut self, now: i64, from: ProcessId, request: LeaseRequest) -> Vote {
         let wanted = Term {
-            number: term,
-            holder: by,
+            number: request.term,
+            holder: from,
         };
-        self.newest_term = self.newest_term.max(term);
-        // What this replica has granted itself does not matter here: it may have bid in vain while it did not hear the holder.
-        if holds && self.known_holder.is_none_or(|(known, _)| known <= wanted) {
-            self.known_holder = Some((wanted, now + limits::GRANT_DURATION));
-            self.vacant_since = self.vacant_since.max(now + limits::GRANT_DURATION);
+        self.newest_term = self.newest_term.max(request.term);
+        if request.renewal {
+            self.note_holder(now, wanted);
         }
-        let other =
-            self.grant_expires_at > now && !is_same_or_successor(by, self.current_grant.holder);
-        let fresh = term > self.granted_term.number;
-        // Danger: a replica that hears the holder no more grants itself a newer term in vain. Were the holder's own refused
-        // for that afterwards, a few of those would cost it the duty.
-        let known = wanted
-            == if self.unused {
-                self.previous_term
-            } else {
-                self.granted_term
-            };
-        let kept = self.last_held_term.number > 0
-            && self.last_held_term == self.granted_term
-            && is_same_or_successor(by, self.last_held_term.holder);
-        let same = kept
-            || self.grant_expires_at > now && is_same_or_successor(by, self.current_grant.holder);
-        let granted = (now >= self.silent_until || same) && !other && (fresh || known);
-        if granted && fresh {
-            self.previous_term = if self.unused {
-                self.previous_term
-            } else {
-                self.granted_term
-            };
-            (self.granted_term, self.unused) = (wanted, false);
+        let is_new = request.term > self.granted_term.number;
+        let granted = self.may_grant(now, from) && (is_new || wanted == self.grantable_term());
+        if granted && is_new {
+            self.previous_term = self.grantable_term();
+            self.granted_term = wanted;
+            self.unused = false;
         }
         if granted {
             self.current_grant = wanted;
             self.grant_expires_at = now + limits::GRANT_DURATION;
             self.vacant_since = self.vacant_since.max(self.grant_expires_at);
         }
-        let held = granted && holds && self.last_held_term != wanted;
-        self.last_held_term = if held { wanted } else { self.last_held_term };
+        let newly_held = granted && request.renewal && self.last_held_term != wanted;
+        if newly_held {
+            self.last_held_term = wanted;
+        }
         Vote {
             granted,
-            must_persist: granted && (fresh || held),
+            must_persist: granted && (is_new || newly_held),
             newest_term: self.newest_term,
         }
     }
 
-    /// A bidder or holder gives its term back. `vain`: it never won it, and never will.
-    pub fn handle_release(&mut self, now: i64, by: ProcessId, term: u64, vain: bool) {
-        let wanted = Term {
-            number: term,
-            holder: by,
+    /// Notes who says that it holds the lease. What this replica has granted does not matter here: it may have been a
+    /// candidate in vain while it did not hear the holder.
+    fn note_holder(&mut self, now: i64, term: Term) {
+        if self.known_holder.is_none_or(|(known, _)| known <= term) {
+            let until = now + limits::GRANT_DURATION;
+            self.known_holder = Some((term, until));
+            self.vacant_since = self.vacant_since.max(until);
+        }
+    }
+
+    /// The term that may be granted again.
+    ///
+    /// Hazard: a replica that does not hear the holder any more grants itself a newer term in vain. If the holder's own
+    /// requests were rejected for that afterwards, a few such replicas would cost it the lease.
+    fn grantable_term(&self) -> Term {
+        if self.unused {
+            self.previous_term
+        } else {
+            self.granted_term
+        }
+    }
+
+    /// Whether no other process can hold a grant of this replica.
+    fn may_grant(&self, now: i64, to: ProcessId) -> bool {
+        let has_grant = self.grant_expires_at > now;
+        let to_same = is_same_or_successor(to, self.current_grant.holder);
+        if has_grant && !to_same {
+            return false;
+        }
+        let held_last = self.last_held_term.number > 0
+            && self.last_held_term == self.granted_term
+            && is_same_or_successor(to, self.last_held_term.holder);
+        now >= self.silent_until || held_last || has_grant
+    }
+
+    /// A candidate or holder gives its term up.
+    pub fn handle_release(&mut self, now: i64, from: ProcessId, release: LeaseRelease) {
+        let released = Term {
+            number: release.term,
+            holder: from,
         };
-        if self.current_grant == wanted {
+        if self.current_grant == released {
             self.grant_expires_at = now;
         }
-        self.unused |= self.granted_term == wanted && vain;
-        if let Some((_, until)) = self
-            .known_holder
-            .as_mut()
-            .filter(|(held, _)| *held == wanted)
+        self.unused |= self.granted_term == released && release.unused;
+        if let Some((term, until)) = &mut self.known_holder
+            && *term == released
         {
             *until = now;
         }
@@ -237,156 +314,253 @@
         }
     }
 
-    /// This replica acts now, in this term.
+    /// The term in which this replica holds the lease at this instant.
     pub fn acting_term(&self, now: i64) -> Option<u64> {
-        self.candidacy
-            .as_ref()
-            .filter(|mine| mine.acts_until > now)
-            .map(|mine| mine.term)
+        let candidacy = self.candidacy.as_ref();
+        let acting = candidacy.filter(|candidacy| candidacy.acts_until > now);
+        acting.map(|candidacy| candidacy.term)
     }
 
-    /// It holds the duty, or bids for it.
+    /// Whether this replica holds the lease or has requested it.
     pub fn is_candidate(&self) -> bool {
         self.candidacy.is_some()
     }
 
-    /// The holder, as far as known.
+    /// The term of the holder, as far as known.
     pub fn known_holder(&self, now: i64) -> Option<Term> {
-        self.known_holder
-            .filter(|(_, until)| *until > now)
-            .map(|(term, _)| term)
+        let (term, until) = self.known_holder?;
+        (until > now).then_some(term)
     }
 
-    /// A vote has come. Gives whether the duty was won by it.
-    pub fn handle_vote(
-        &mut self,
-        by: (ReplicaId, Incarnation),
-        term: u64,
-        at: i64,
-        verdict: Vote,
-        replicas: &ReplicaTable,
-    ) -> bool {
-        self.newest_term = self.newest_term.max(verdict.newest_term);
-        let Some(mine) = self
-            .candidacy
-            .as_mut()
-            .filter(|mine| mine.term == term && verdict.granted)
-        else {
+    /// Takes in a vote on a request of this replica. Gives whether the lease was won by it.
+    pub fn handle_vote(&mut self, voter: Voter, vote: LeaseVote, table: &ReplicaTable) -> bool {
+        self.newest_term = self.newest_term.max(vote.newest_term);
+        let candidacy = self.candidacy.as_mut();
+        let candidacy = candidacy.filter(|candidacy| candidacy.term == vote.term && vote.granted);
+        let Some(candidacy) = candidacy else {
             return false;
         };
-        let Some(votes) = mine.open_votes.get_mut(&at) else {
+        let Some(votes) = candidacy.open_votes.get_mut(&vote.sent_at) else {
             return false;
         };
-        votes.insert(by.0, by.1);
-        if votes
-            .iter()
-            .filter(|(replica, incarnation)| replicas.is_current(**replica, **incarnation))
-            .count()
-            < replicas.quorum()
-        {
+        votes.insert(voter.replica, voter.incarnation);
+        if !table.is_quorum(votes) {
             return false;
         }
-        let won = mine.acts_until == 0;
-        mine.acts_until = mine
-            .acts_until
-            .max(at + limits::GRANT_DURATION - limits::GRANT_SAFETY_MARGIN);
-        mine.open_votes.retain(|sent, _| *sent > at);
+        let won = candidacy.acts_until == 0;
+        let acts_until = vote.sent_at + limits::GRANT_DURATION - limits::GRANT_SAFETY_MARGIN;
+        candidacy.acts_until = candidacy.acts_until.max(acts_until);
+        let sent_at = vote.sent_at;
+        candidacy.open_votes.retain(|sent, _| *sent > sent_at);
         won
     }
 
-    /// What to do now: a bid, a term to be given back, or nothing. `may`: this replica takes part, is in touch and stays.
-    pub fn tick(
-        &mut self,
-        now: i64,
-        may: bool,
-        pause: i64,
-    ) -> (Option<LeaseRequest>, Option<LeaseRelease>) {
-        if let Some(mine) = &mut self.candidacy {
-            let lost = mine.acts_until <= now
-                && (mine.acts_until > 0
-                    || now >= mine.requested_at + limits::LEASE_REQUEST_TIMEOUT);
-            if lost {
-                let lost = LeaseRelease {
-                    term: mine.term,
-                    unused: mine.acts_until == 0,
-                };
+    /// What is to be done now, if anything. `may_request`: this replica takes part, is in contact with a quorum and goes on
+    /// running. `jitter` delays the next request after a lease that was lost.
+    pub fn tick(&mut self, now: i64, may_request: bool, jitter: i64) -> Option<LeaseAction> {
+        let wake_at = self.wake_at();
+        match &mut self.candidacy {
+            Some(candidacy) if candidacy.is_over(now) => {
+                let release = candidacy.release();
                 self.candidacy = None;
-                self.next_request_at =
-                    now + limits::LEASE_REQUEST_STAGGER * (self.rank + 1) + pause;
-                return (None, Some(lost));
-            }
-            if now < self.next_request_at {
-                return (None, None);
+                let stagger = limits::LEASE_REQUEST_STAGGER * (self.rank + 1);
+                self.next_request_at = now + stagger + jitter;
+                Some(LeaseAction::Release(release))
             }
-            self.next_request_at = now + limits::HEARTBEAT_INTERVAL;
-            mine.open_votes
-                .retain(|sent, _| now - sent < limits::GRANT_DURATION);
-            mine.open_votes.insert(now, BTreeMap::new());
-            return (
-                Some(LeaseRequest {
-                    term: mine.term,
+            Some(_) if now < self.next_request_at => None,
+            Some(candidacy) => {
+                self.next_request_at = now + limits::HEARTBEAT_INTERVAL;
+                let votes = &mut candidacy.open_votes;
+                votes.retain(|sent, _| now - sent < limits::GRANT_DURATION);
+                votes.insert(now, BTreeMap::new());
+                Some(LeaseAction::Request(LeaseRequest {
+                    term: candidacy.term,
                     sent_at: now,
-                    renewal: mine.acts_until > now,
-                }),
-                None,
-            );
-        }
-        if !may || now < self.wake_at() {
-            return (None, None);
+                    renewal: candidacy.acts_until > now,
+                }))
+            }
+            None if !may_request || now < wake_at => None,
+            None => Some(LeaseAction::Request(self.become_candidate(now))),
         }
+    }
+
+    fn become_candidate(&mut self, now: i64) -> LeaseRequest {
         self.resumes = false;
         let term = self.newest_term.max(self.granted_term.number) + 1;
-        let rounds = BTreeMap::from([(now, BTreeMap::new())]);
         self.candidacy = Some(Candidacy {
             term,
             requested_at: now,
             acts_until: 0,
-            open_votes: rounds,
+            open_votes: BTreeMap::from([(now, BTreeMap::new())]),
         });
         self.next_request_at = now + limits::LEASE_REQUEST_TIMEOUT;
-        (
-            Some(LeaseRequest {
-                term,
-                sent_at: now,
-                renewal: false,
-            }),
-            None,
-        )
+        LeaseRequest {
+            term,
+            sent_at: now,
+            renewal: false,
+        }
     }
 
-    /// The bid has just won: all are told at once.
+    /// The lease was just won: the next request tells all replicas at once that it is held.
     pub fn renew_now(&mut self, now: i64) {
         self.next_request_at = now;
     }
 
-    /// Gives the duty back.
+    /// Gives the lease up, and requests it no more for [`limits::ROLE_FAILURE_PENALTY`].
     pub fn give_up(&mut self, now: i64) -> Option<LeaseRelease> {
         self.next_request_at = now + limits::ROLE_FAILURE_PENALTY;
-        self.candidacy.take().map(|mine| LeaseRelease {
-            term: mine.term,
-            unused: mine.acts_until == 0,
-        })
+        self.candidacy.take().map(|candidacy| candidacy.release())
     }
 
-    /// To be looked at then.
+    /// When [`RoleLease::tick`] is to be called at the latest.
     pub fn wake_at(&self) -> i64 {
         match &self.candidacy {
-            Some(mine) if mine.acts_until > 0 => self.next_request_at.min(mine.acts_until),
-            Some(mine) => self
-                .next_request_at
-                .min(mine.requested_at + limits::LEASE_REQUEST_TIMEOUT),
+            Some(candidacy) if candidacy.acts_until > 0 => {
+                self.next_request_at.min(candidacy.acts_until)
+            }
+            Some(candidacy) => {
+                let timeout = candidacy.requested_at + limits::LEASE_REQUEST_TIMEOUT;
+                self.next_request_at.min(timeout)
+            }
             None if self.resumes => self.next_request_at,
-            None => self
-                .next_request_at
-                .max(self.silent_until)
-                .max(self.vacant_since + self.rank * limits::LEASE_REQUEST_STAGGER),
+            None => {
+                let turn = self.vacant_since + self.rank * limits::LEASE_REQUEST_STAGGER;
+                self.next_request_at.max(self.silent_until).max(turn)
+            }
         }
     }
 }
 
-/// A ballot needs its number to rise over all that were seen.
-pub fn next_round(seen: Ballot, own: u64) -> u64 {
-    seen.round.max(own) + 1
+/// The range of the random delay after a lease that was lost, in microseconds.
+const LEASE_JITTER: u64 = 100_000;
+
+impl Replica {
+    /// Requests, renews and releases leases as they are due.
+    pub(super) fn drive_role_leases(&mut self, now: i64, out: &mut Vec<Output>) {
+        let may_request = self.has_quorum_contact
+            && self.table.is_participant()
+            && !self.shutting_down
+            && !self.disk.is_full;
+        for role in SingletonRole::ALL {
+            let jitter = self.random_below(LEASE_JITTER) as i64;
+            match self.lease_mut(role).tick(now, may_request, jitter) {
+                Some(LeaseAction::Release(release)) => self.release_lease(now, role, release, out),
+                Some(LeaseAction::Request(request)) if self.table.is_participant() => {
+                    self.request_lease(now, role, request, out)
+                }
+                Some(LeaseAction::Request(_)) | None => {}
+            }
+        }
+    }
+
+    fn request_lease(
+        &mut self,
+        now: i64,
+        role: SingletonRole,
+        request: LeaseRequest,
+        out: &mut Vec<Output>,
+    ) {
+        let payload = Payload::LeaseRequest {
+            role,
+            term: request.term,
+            sent_at: request.sent_at,
+            renewal: request.renewal,
+        };
+        self.broadcast(payload, out);
+        self.handle_lease_request(now, None, self.table.local(), role, request, out);
+    }
+
+    fn release_lease(
+        &mut self,
+        now: i64,
+        role: SingletonRole,
+        release: LeaseRelease,
+        out: &mut Vec<Output>,
+    ) {
+        let payload = Payload::LeaseRelease {
+            role,
+            term: release.term,
+            unused: release.unused,
+        };
+        self.broadcast(payload, out);
+        let local = self.table.local();
+        self.lease_mut(role).handle_release(now, local, release);
+    }
+
+    /// Votes on a request for a lease. `from` is none for this replica's own request.
+    pub(super) fn handle_lease_request(
+        &mut self,
+        now: i64,
+        from: Option<SocketAddr>,
+        process: ProcessId,
+        role: SingletonRole,
+        request: LeaseRequest,
+        out: &mut Vec<Output>,
+    ) {
+        // A new term has to be on disk first; one that was granted before goes on without it.
+        let is_new = request.term > self.lease(role).granted_term().number;
+        if self.disk.is_full && is_new {
+            return;
+        }
+        let vote = self.lease_mut(role).handle_request(now, process, request);
+        let term = Term {
+            number: request.term,
+            holder: process,
+        };
+        let payload = Payload::LeaseVote {
+            role,
+            term,
+            sent_at: request.sent_at,
+            granted: vote.granted,
+            newest_term: vote.newest_term,
+        };
+        if vote.must_persist && !self.disk.is_full {
+            // A term must never be granted twice, not even after all replicas were killed at once.
+            let metadata = Record::Metadata(self.metadata());
+            let vote = PendingWrite::Vote(from, payload);
+            self.write(vec![metadata], Some(vote), out);
+        } else {
+            self.deliver_vote(now, from, payload, out);
+        }
+    }
+
+    /// Takes in a vote on a request of this process.
+    pub(super) fn handle_lease_vote(
+        &mut self,
+        now: i64,
+        voter: Voter,
+        role: SingletonRole,
+        vote: LeaseVote,
+        out: &mut Vec<Output>,
+    ) {
+        let lease = &mut self.role_leases[role as usize];
+        if lease.handle_vote(voter, vote, &self.table) {
+            lease.renew_now(now);
+            let term = vote.term;
+            out.push(Output::Log(Event::RoleAcquired { role, term }));
+        }
+    }
+
+    /// This process can't perform a role: its lease is released, as another replica may do better.
+    pub(super) fn handle_role_failed(
+        &mut self,
+        now: i64,
+        role: SingletonRole,
+        out: &mut Vec<Output>,
+    ) {
+        if let Some(release) = self.lease_mut(role).give_up(now) {
+            self.release_lease(now, role, release, out);
+        }
+    }
+
+    /// The process is to end: releases all leases at once, and hands over what it holds.
+    pub(super) fn handle_shutdown(&mut self, now: i64, out: &mut Vec<Output>) {
+        self.shutting_down = true;
+        self.begin_handover(now);
+        for role in SingletonRole::ALL {
+            self.handle_role_failed(now, role, out);
+        }
+    }
 }
 
 #[cfg(test)]
--- a/crates/control/src/core/role_lease/tests.rs
+++ b/crates/control/src/core/role_lease/tests.rs
@@ -11,48 +11,108 @@
     }
 }
 
+fn acquisition(term: u64) -> LeaseRequest {
+    LeaseRequest {
+        term,
+        sent_at: 0,
+        renewal: false,
+    }
+}
+
+fn renewal(term: u64) -> LeaseRequest {
+    LeaseRequest {
+        renewal: true,
+        ..acquisition(term)
+    }
+}
+
 #[test]
-fn a_term_in_vain_costs_the_holder_no_vote_and_one_that_may_be_won_does() {
+fn an_unused_term_costs_the_holder_no_vote() {
     let voter = || RoleLease::new(SingletonRole::Counter, by(1), 6, Default::default(), 0);
-    let mut ballots = voter();
-    assert!(ballots.handle_request(STEP, by(0), 4, false).granted);
-    // The holder is heard no more; this replica bids, does not win, and hears the holder again.
-    assert!(ballots.handle_request(3 * STEP, by(1), 5, false).granted);
+    let mut lease = voter();
+    assert!(lease.handle_request(STEP, by(0), acquisition(4)).granted);
+    // The holder is not heard any more; this replica requests the lease, does not win it, and hears the holder again.
     assert!(
-        !ballots.handle_request(3 * STEP + 1, by(0), 4, true).granted,
-        "while the bid is open"
+        lease
+            .handle_request(3 * STEP, by(1), acquisition(5))
+            .granted
+    );
+    assert!(
+        !lease
+            .handle_request(3 * STEP + 1, by(0), renewal(4))
+            .granted,
+        "while the request is open"
+    );
+    lease.handle_release(
+        3 * STEP + 2,
+        by(1),
+        LeaseRelease {
+            term: 5,
+            unused: true,
+        },
+    );
+    assert!(
+        lease
+            .handle_request(3 * STEP + 3, by(0), renewal(4))
+            .granted
+    );
+    // The number is used up all the same, and further unused terms change nothing.
+    assert!(
+        !lease
+            .handle_request(6 * STEP, by(2), acquisition(5))
+            .granted
+    );
+    assert!(
+        lease
+            .handle_request(6 * STEP, by(2), acquisition(6))
+            .granted
+    );
+    lease.handle_release(
+        6 * STEP,
+        by(2),
+        LeaseRelease {
+            term: 6,
+            unused: true,
+        },
+    );
+    assert!(
+        lease
+            .handle_request(6 * STEP + 1, by(0), renewal(4))
+            .granted
     );
-    ballots.handle_release(3 * STEP + 2, by(1), 5, true);
-    assert!(ballots.handle_request(3 * STEP + 3, by(0), 4, true).granted);
-    // The number is used up all the same, and one bid after the other changes nothing.
-    assert!(!ballots.handle_request(6 * STEP, by(2), 5, false).granted);
-    assert!(ballots.handle_request(6 * STEP, by(2), 6, false).granted);
-    ballots.handle_release(6 * STEP, by(2), 6, true);
-    assert!(ballots.handle_request(6 * STEP + 1, by(0), 4, true).granted);
 
-    // Of a term that is only over, or was given back after it was won, nobody knows that it was in vain.
+    // A term that has only expired, or was released after it was won, is not known to be unused.
     for released in [false, true] {
-        let mut ballots = voter();
+        let mut lease = voter();
         assert!(
-            ballots.handle_request(STEP, by(0), 4, false).granted
-                && ballots.handle_request(3 * STEP, by(1), 5, false).granted
+            lease.handle_request(STEP, by(0), acquisition(4)).granted
+                && lease
+                    .handle_request(3 * STEP, by(1), acquisition(5))
+                    .granted
         );
         if released {
-            ballots.handle_release(3 * STEP, by(1), 5, false);
+            lease.handle_release(
+                3 * STEP,
+                by(1),
+                LeaseRelease {
+                    term: 5,
+                    unused: false,
+                },
+            );
         }
-        assert!(!ballots.handle_request(6 * STEP, by(0), 4, true).granted);
+        assert!(!lease.handle_request(6 * STEP, by(0), renewal(4)).granted);
     }
 }
 
-/// Who asks a voter that has just started, and whether it may grant before its own earlier grants are surely over. `seen`:
-/// the newest term, of replica 3 in its second run, was seen to be held.
+/// Who asks a voter that has just restarted, and whether it may grant before its own earlier grants have surely expired.
+/// `seen`: the newest term, of replica 3 in its second run, was seen to be held.
 #[test_case(true, 3, 1, 2, true; "the same process")]
-#[test_case(true, 3, 1, 3, true; "the same replica, started anew")]
+#[test_case(true, 3, 1, 3, true; "the same replica, restarted")]
 #[test_case(true, 3, 1, 1, false; "a process that has ended")]
 #[test_case(true, 3, 2, 1, false; "another machine in its place")]
 #[test_case(true, 4, 1, 9, false; "another replica")]
-#[test_case(false, 3, 1, 3, false; "a bid that may have been in vain while another one held the duty")]
-fn a_voter_that_started_anew_grants_at_once_to_nobody_but_the_last_holder(
+#[test_case(false, 3, 1, 3, false; "a request that may have been in vain while another held the lease")]
+fn restarted_voter_grants_only_to_the_last_holder(
     seen: bool,
     replica: ReplicaId,
     incarnation: u32,
@@ -68,7 +128,16 @@
     } else {
         Term { number: 6, ..held }
     };
-    let mut voter = RoleLease::new(SingletonRole::Counter, by(1), 6, (held, kept), 0);
+    let mut voter = RoleLease::new(
+        SingletonRole::Counter,
+        by(1),
+        6,
+        StoredTerms {
+            granted: held,
+            last_held: kept,
+        },
+        0,
+    );
     let bidder = ProcessId {
         replica,
         incarnation: Incarnation {
@@ -79,21 +148,21 @@
     };
     assert_eq!(
         voter
-            .handle_request(limits::STARTUP_DELAY, bidder, 8, false)
+            .handle_request(limits::STARTUP_DELAY, bidder, acquisition(8))
             .granted,
         granted
     );
     assert_eq!(
         voter
-            .handle_request(limits::STARTUP_DELAY + 1, bidder, 8, true)
+            .handle_request(limits::STARTUP_DELAY + 1, bidder, renewal(8))
             .granted,
         granted,
         "and then holds it"
     );
-    // The others have their turn as its grant ends, or as those do that it may have forgotten.
+    // The others have their turn once its grant, or a forgotten one, has expired.
     assert_eq!(
         voter
-            .handle_request(limits::GRANT_DURATION, by(5), 9, false)
+            .handle_request(limits::GRANT_DURATION, by(5), acquisition(9))
             .granted,
         !granted
     );
--- a/crates/control/src/core/status.rs
+++ b/crates/control/src/core/status.rs
@@ -1,4 +1,5 @@
-//! How a replica sees the system, for operators: told from what it holds, without asking anybody, and bounded.
+//! How a replica sees the system, for operators: from its own state alone, and bounded in size. The names of the fields are
+//! the keys of the JSON that operators' scripts read.
 
 use std::net::SocketAddr;
 
@@ -6,91 +7,92 @@
 use serde::{Deserialize, Serialize};
 
 use super::Replica;
+use super::membership::LocatedMember;
 use super::peer_messages::{ReplicaId, SingletonRole};
 use crate::limits;
 
-/// How one replica sees the system. Spans are in milliseconds.
+/// How one replica sees the system.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Its zone.
     pub zone: String,
-    /// The program's version.
+    /// The version of the program.
     pub program: String,
-    /// Its incarnation; 0 while it rebuilds.
+    /// The number of its incarnation; 0 while it recovers.
     pub incarnation: u32,
-    /// Starts of its process in this incarnation.
+    /// How often its process has started in this incarnation.
     pub run: u32,
-    /// It votes and answers.
+    /// Whether it votes and answers.
     pub takes_part: bool,
-    /// Its replica has a newer incarnation: another machine stands for it.
+    /// Whether another machine holds a newer incarnation of it.
     pub replaced: bool,
-    /// More than half of the replicas are in touch with it.
+    /// Whether it is in contact with a quorum.
     pub in_touch: bool,
-    /// Its disk takes nothing.
+    /// Whether its disk rejects writes.
     pub disk_full: bool,
-    /// Items that are chosen, dropped ones included.
+    /// The number of items that it knows to be chosen, removed ones included.
     pub items: u32,
-    /// Their digest, by names and versions: the same where the same is known.
+    /// The digest of their names and versions, in hexadecimal: equal where the same items are known.
     pub digest: String,
-    /// Items that were accepted and are not known to be chosen.
+    /// The number of items that were accepted and are not known to be chosen.
     pub unfinished: usize,
-    /// The platform's list: the poller's term, and the list's number within it.
+    /// The version of the platform's list: the term of the poller, and the number of the list within it.
     pub servers: (u64, u64),
     /// All replicas.
     pub replicas: Vec<ReplicaStatus>,
-    /// The duties.
+    /// The roles of which one replica performs each.
     pub duties: Vec<RoleStatus>,
-    /// The limiters that are members.
+    /// The members, at most [`limits::MAX_LISTED_LIMITERS`] of them.
     pub limiters: Vec<LimiterStatus>,
-    /// Limiters that are not in the list, as it would be too long.
+    /// How many members are left out.
     pub left_out: usize,
 }
 
-/// A replica, as another one sees it.
+/// A replica as another one sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
     /// Its zone.
     pub zone: String,
-    /// Its newest incarnation; 0 is none.
+    /// The number of its newest known incarnation; 0 for none.
     pub incarnation: u32,
-    /// Where it is reached, as far as known.
+    /// Its address, as far as known.
     pub address: Option<SocketAddr>,
-    /// It was heard of late; always so of the replica itself.
+    /// Whether it was heard recently; always so of the replica itself.
     pub heard: bool,
 }
 
-/// A duty, as a replica sees it.
+/// A role as a replica sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleStatus {
     /// `poll` or `count`.
     pub duty: String,
-    /// The zone of who holds it; none while nobody is known to.
+    /// The zone of the replica that holds the lease; none while no holder is known.
     pub holder: Option<String>,
-    /// The term; 0 without a holder.
+    /// The term of the lease; 0 without a holder.
     pub term: u64,
 }
 
-/// A limiter with its agent, as a replica sees it.
+/// An edge, whose proxy and agent are one limiter, as a replica sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimiterStatus {
-    /// Its machine.
+    /// The name of its machine.
     pub node: String,
     /// Its zone.
     pub zone: String,
     /// The zone of the replica that its agent is linked to.
     pub replica: String,
-    /// Its agent is linked now; else its lease runs out.
+    /// Whether its agent is linked; otherwise its lease is about to expire.
     pub linked: bool,
     /// `ready`, `leaving` or `away`.
     pub standing: String,
-    /// Items that it holds, if it is linked to the replica that tells and has said so.
+    /// The number of items that it has, if it is linked to the replica that is asked and has reported it.
     pub items: Option<u32>,
-    /// It has held less than this replica for so long at most; 0 if it holds the same.
+    /// For how long it has had other items than this replica, in milliseconds at most; 0 if it has the same.
     pub behind: Option<i64>,
 }
 
 impl Status {
-    /// As it goes to operators.
+    /// The JSON that operators are sent.
     pub fn json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
@@ -99,80 +101,95 @@
 impl Replica {
     /// How this replica sees the system.
     pub(super) fn status(&self, now: i64) -> Status {
-        let me = self.table.local();
-        let zone = |replica: ReplicaId| {
-            self.zones
-                .get(usize::from(replica))
-                .cloned()
-                .unwrap_or_default()
-        };
-        let (items, digest) = self.chosen.agent_digest();
-        let replica = |at: usize| ReplicaStatus {
-            zone: zone(at as ReplicaId),
-            incarnation: self.table.newest_incarnation(at as ReplicaId).number,
-            address: self.table.address(at as ReplicaId),
-            heard: self.table.is_reachable(now, at as ReplicaId),
-        };
-        let duty = |(duty, word): (SingletonRole, &str)| {
-            let own = self.acting_term(now, duty).map(|term| (me.replica, term));
-            let known = self.role_leases[duty as usize]
-                .known_holder(now)
-                .map(|term| (term.holder.replica, term.number));
-            let held = own.or(known);
-            RoleStatus {
-                duty: word.to_string(),
-                holder: held.map(|(replica, _)| zone(replica)),
-                term: held.map_or(0, |(_, term)| term),
-            }
-        };
-        let members = self.membership.members_with_origin();
-        let limiter =
-            |(replica, link, told): &(Option<ReplicaId>, u64, &super::peer_messages::Member)| {
-                let holding = self.agents.state(*link).filter(|_| replica.is_none());
-                LimiterStatus {
-                    node: told.node.name.clone(),
-                    zone: told.node.zone.clone(),
-                    replica: zone(replica.unwrap_or(me.replica)),
-                    linked: told.connected,
-                    standing: match told.state {
-                        NodeState::Ready => "ready",
-                        NodeState::Draining => "leaving",
-                        NodeState::Unavailable => "away",
-                    }
-                    .to_string(),
-                    items: holding.map(|holding| holding.items),
-                    behind: holding.map(|holding| holding.behind(now, digest) / 1_000),
-                }
-            };
+        let local = self.table.local();
+        let summary = self.chosen.summary();
+        let members = self.membership.located_members();
+        let limiters = members.iter().take(limits::MAX_LISTED_LIMITERS);
+        let replicas = 0..self.table.replica_count() as ReplicaId;
         Status {
-            zone: zone(me.replica),
+            zone: self.zone_of(local.replica),
             program: env!("CARGO_PKG_VERSION").to_string(),
-            incarnation: me.incarnation.number,
+            incarnation: local.incarnation.number,
             run: self.run,
             takes_part: self.table.is_participant(),
             replaced: self.table.is_superseded(),
             in_touch: self.table.has_quorum_contact(now),
-            disk_full: self.disk_full,
-            items,
-            digest: format!("{digest:016x}"),
+            disk_full: self.disk.is_full,
+            items: summary.items,
+            digest: format!("{:016x}", summary.digest),
             unfinished: self.pending.len(),
             servers: self.server_list.version(),
-            replicas: (0..self.table.replica_count()).map(replica).collect(),
-            duties: [
-                (SingletonRole::PlatformPoller, "poll"),
-                (SingletonRole::Counter, "count"),
-            ]
-            .map(duty)
-            .into(),
-            limiters: members
-                .iter()
-                .take(limits::MAX_LISTED_LIMITERS)
-                .map(limiter)
+            replicas: replicas.map(|id| self.replica_status(now, id)).collect(),
+            duties: SingletonRole::ALL
+                .map(|role| self.role_status(now, role))
+                .into(),
+            limiters: limiters
+                .map(|located| self.limiter_status(now, located))
                 .collect(),
             left_out: members.len().saturating_sub(limits::MAX_LISTED_LIMITERS),
         }
     }
+
+    fn zone_of(&self, replica: ReplicaId) -> String {
+        let zone = self.zones.get(usize::from(replica));
+        zone.cloned().unwrap_or_default()
+    }
+
+    fn replica_status(&self, now: i64, replica: ReplicaId) -> ReplicaStatus {
+        ReplicaStatus {
+            zone: self.zone_of(replica),
+            incarnation: self.table.newest_incarnation(replica).number,
+            address: self.table.address(replica),
+            heard: self.table.is_reachable(now, replica),
+        }
+    }
+
+    fn role_status(&self, now: i64, role: SingletonRole) -> RoleStatus {
+        let acting = self.acting_term(now, role);
+        let (holder, term) = match acting {
+            Some(term) => (Some(self.table.local().replica), term),
+            None => {
+                let known = self.lease(role).known_holder(now);
+                let holder = known.map(|term| term.holder.replica);
+                (holder, known.map_or(0, |term| term.number))
+            }
+        };
+        RoleStatus {
+            duty: role.to_string(),
+            holder: holder.map(|replica| self.zone_of(replica)),
+            term,
+        }
+    }
+
+    fn limiter_status(&self, now: i64, located: &LocatedMember<'_>) -> LimiterStatus {
+        let LocatedMember {
+            reporter, member, ..
+        } = located;
+        let state = self.agents.state(located.link);
+        let state = state.filter(|_| reporter.is_none());
+        let digest = self.chosen.summary().digest;
+        LimiterStatus {
+            node: member.node.name.clone(),
+            zone: member.node.zone.clone(),
+            replica: self.zone_of(reporter.unwrap_or(self.table.local().replica)),
+            linked: member.connected,
+            standing: standing(member.state).to_string(),
+            items: state.map(|state| state.items),
+            behind: state.map(|state| state.behind(now, digest) / MICROS_PER_MILLI),
+        }
+    }
 }
 
+/// The word for a node's state in [`LimiterStatus::standing`].
+fn standing(state: NodeState) -> &'static str {
+    match state {
+        NodeState::Ready => "ready",
+        NodeState::Draining => "leaving",
+        NodeState::Unavailable => "away",
+    }
+}
+
+const MICROS_PER_MILLI: i64 = 1_000;
+
 #[cfg(test)]
 mod tests;
--- a/crates/control/src/core/transfer.rs
+++ b/crates/control/src/core/transfer.rs
@@ -1,51 +1,50 @@
-//! State transfer in pieces: how the registers of one replica reach another one, whatever happens to the messages and to
-//! either side meanwhile.
+//! State transfer in chunks: how the registers of one replica reach another, whatever is lost, duplicated or reordered.
 //!
-//! Registers are independent of each other, so the cut of a transfer need not be one instant: each register is told as
-//! it stands at the source at some instant after the question was asked. A question names what the asking one has, as
-//! digests by parts, and the name after which to go on; the source keeps nothing between two questions. A piece
-//! that is lost is asked for again, one that comes twice or late moves nothing, and its contents are merged by ballot,
-//! so that they can do no harm.
+//! Registers are independent of each other, so a transfer needs no consistent cut: each register is sent as it is at some
+//! instant after the request. A request names what the requester has, as digests by bucket, and the item name after which
+//! to continue; the source keeps no state between two requests. A lost chunk is requested again, and a duplicate or late
+//! one makes no progress. Its contents are merged by ballot and so do no harm.
 
 use protocol::items::{Item, ItemName};
 use serde::{Deserialize, Serialize};
 
-use super::peer_messages::Ballot;
+use super::peer_messages::{Ballot, Incarnation};
 use crate::limits;
 
-/// What follows a piece.
+/// What follows a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Continuation {
-    /// Nothing: that was all.
+    /// Nothing: this was the last chunk.
     End,
-    /// The next piece, unasked.
+    /// Another chunk, without a further request.
     MoreFollows,
-    /// More, which is to be asked for.
+    /// More chunks, which have to be requested.
     RequestMore,
 }
 
-/// A part of a transfer, in the order of the names.
+/// A chunk of a transfer; items are in the order of their names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// It begins after this name.
+    /// The last name of the chunk before this one; none for the first chunk.
     pub after: Option<ItemName>,
-    /// What is told.
+    /// The accepted items, each with its ballot.
     pub items: Vec<(Ballot, Item)>,
-    /// What follows.
+    /// What follows this chunk.
     pub continuation: Continuation,
 }
 
-/// The bytes that an item takes, about.
+/// The approximate size of an item in a message, in bytes.
 fn item_bytes(item: &Item) -> usize {
-    item.name.name.len() + item.spec.as_deref().map_or(0, str::len) + limits::ITEM_OVERHEAD_BYTES
+    let spec_bytes = item.spec.as_deref().map_or(0, str::len);
+    item.name.name.len() + spec_bytes + limits::ITEM_OVERHEAD_BYTES
 }
 
-/// How much is told at once. A simulation sets less, so that its few items go in many pieces.
+/// Sizes of the messages of a transfer. A simulation sets lower ones, so that its few items need many chunks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransferLimits {
-    /// Bytes of a piece.
+    /// The size of one chunk, in bytes.
     pub chunk_bytes: usize,
-    /// Bytes of all pieces that answer one question.
+    /// The size of all chunks that answer one request, in bytes.
     pub response_bytes: usize,
 }
 
@@ -58,39 +57,56 @@
     }
 }
 
-/// Entries into messages within `bounds`; behind them whether some are left. At least one message, be it empty.
+/// Entries that were split into messages.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Split<T> {
+    /// The entries of each message. There is at least one message, which may be empty.
+    pub chunks: Vec<Vec<T>>,
+    /// Whether entries are left that did not fit into one response.
+    pub has_more: bool,
+}
+
+/// Splits entries into messages within `limits`. An entry that alone exceeds a limit still goes into a message.
 pub fn split_into_chunks<T>(
-    bounds: TransferLimits,
+    limits: TransferLimits,
     entries: impl Iterator<Item = T>,
-    of: impl Fn(&T) -> &Item,
-) -> (Vec<Vec<T>>, bool) {
-    let (mut pieces, mut length, mut all) = (vec![Vec::new()], 0, 0);
+    item_of: impl Fn(&T) -> &Item,
+) -> Split<T> {
+    let mut chunks = vec![Vec::new()];
+    let (mut chunk_bytes, mut response_bytes) = (0, 0);
     for entry in entries {
-        let size = item_bytes(of(&entry));
-        if all > 0 && all + size > bounds.response_bytes {
-            return (pieces, true);
+        let entry_bytes = item_bytes(item_of(&entry));
+        if response_bytes > 0 && response_bytes + entry_bytes > limits.response_bytes {
+            return Split {
+                chunks,
+                has_more: true,
+            };
         }
-        if length > 0 && length + size > bounds.chunk_bytes {
-            pieces.push(Vec::new());
-            length = 0;
+        if chunk_bytes > 0 && chunk_bytes + entry_bytes > limits.chunk_bytes {
+            chunks.push(Vec::new());
+            chunk_bytes = 0;
         }
-        (length, all) = (length + size, all + size);
-        if let Some(piece) = pieces.last_mut() {
-            piece.push(entry);
+        chunk_bytes += entry_bytes;
+        response_bytes += entry_bytes;
+        if let Some(chunk) = chunks.last_mut() {
+            chunk.push(entry);
         }
     }
-    (pieces, false)
+    Split {
+        chunks,
+        has_more: false,
+    }
 }
 
-/// What follows each of so many pieces.
-pub fn continuations(pieces: usize, more: bool) -> impl Iterator<Item = Continuation> {
-    let last = if more {
+/// The continuation of each of `count` chunks of a response.
+pub fn continuations(count: usize, has_more: bool) -> impl Iterator<Item = Continuation> {
+    let last = if has_more {
         Continuation::RequestMore
     } else {
         Continuation::End
     };
-    (1..=pieces).map(move |number| {
-        if number == pieces {
+    (1..=count).map(move |number| {
+        if number == count {
             last
         } else {
             Continuation::MoreFollows
@@ -98,54 +114,79 @@
     })
 }
 
-/// The pieces that answer one question: `entries` in the order of their names, all of them after `after`.
+/// The chunks that answer one request. `entries` are in the order of their names, all of them after `after`.
 pub fn chunks(
-    bounds: TransferLimits,
+    limits: TransferLimits,
     after: Option<ItemName>,
     entries: impl Iterator<Item = (Ballot, Item)>,
 ) -> Vec<Chunk> {
-    let (split, more) = split_into_chunks(bounds, entries, |(_, item)| item);
-    let (count, mut after) = (split.len(), after);
-    let piece = |(items, then): (Vec<(Ballot, Item)>, Continuation)| {
-        let next = items.last().map(|(_, item)| item.name.clone());
-        let begins = if next.is_some() {
-            std::mem::replace(&mut after, next)
-        } else {
-            after.clone()
-        };
-        Chunk {
-            after: begins,
-            items,
-            continuation: then,
+    let split = split_into_chunks(limits, entries, |(_, item)| item);
+    let continuations = continuations(split.chunks.len(), split.has_more);
+    let mut previous = after;
+    let mut chunks = Vec::with_capacity(split.chunks.len());
+    for (items, continuation) in split.chunks.into_iter().zip(continuations) {
+        let after = previous.clone();
+        if let Some((_, last)) = items.last() {
+            previous = Some(last.name.clone());
         }
-    };
-    split
-        .into_iter()
-        .zip(continuations(count, more))
-        .map(piece)
-        .collect()
+        chunks.push(Chunk {
+            after,
+            items,
+            continuation,
+        });
+    }
+    chunks
 }
 
 /// How far a transfer from one source has come.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TransferProgress {
-    /// All up to this name has come.
+    /// Everything up to this name was received.
     pub after: Option<ItemName>,
-    /// All has.
+    /// Everything was received.
     pub complete: bool,
 }
 
 impl TransferProgress {
-    /// Takes note of a piece. Gives what is to be done next, and nothing for a piece that comes again or after a gap.
-    pub fn record_chunk(&mut self, piece: &Chunk) -> Option<Continuation> {
-        if self.complete || piece.after != self.after {
+    /// Takes note of a chunk. Gives what is to be done next, and nothing for a duplicate or a chunk after a gap.
+    pub fn record_chunk(&mut self, chunk: &Chunk) -> Option<Continuation> {
+        if self.complete || chunk.after != self.after {
             return None;
         }
-        if let Some((_, last)) = piece.items.last() {
+        if let Some((_, last)) = chunk.items.last() {
             self.after = Some(last.name.clone());
         }
-        self.complete = piece.continuation == Continuation::End;
-        Some(piece.continuation)
+        self.complete = chunk.continuation == Continuation::End;
+        Some(chunk.continuation)
+    }
+}
+
+/// The transfer from one replica, in one incarnation of it.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub(super) struct SourceProgress {
+    pub(super) incarnation: Incarnation,
+    pub(super) progress: TransferProgress,
+}
+
+impl SourceProgress {
+    pub(super) fn new(incarnation: Incarnation) -> SourceProgress {
+        SourceProgress {
+            incarnation,
+            progress: TransferProgress::default(),
+        }
+    }
+
+    /// As [`TransferProgress::record_chunk`]. What a former incarnation has sent does not count: it may have lost what
+    /// this one was to hear of.
+    pub(super) fn record_chunk(
+        &mut self,
+        incarnation: Incarnation,
+        chunk: &Chunk,
+    ) -> Option<Continuation> {
+        if self.incarnation != incarnation {
+            *self = SourceProgress::new(incarnation);
+        }
+        self.progress.record_chunk(chunk)
     }
 }
 
--- a/crates/control/src/host/connections.rs
+++ b/crates/control/src/host/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: how one is opened, read and written, and what is held for it.
+//! Connections of the event loop: their roles, buffers and sockets.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,20 +9,20 @@
 
 use crate::dataplane_types::{Incoming, RequestHead};
 
-/// Whose a connection is.
+/// Who is at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
-    /// It came at the port of replicas and agents and has said nothing yet.
+    /// A replica or an agent, from which nothing was received yet.
     Unidentified,
-    /// A link with the replica at this address; none while it has not said where that is.
+    /// The replica at this address; none until it has sent its address.
     Replica { peer: Option<SocketAddr> },
-    /// An agent's.
+    /// An agent.
     Agent,
-    /// An operator's.
+    /// An operator, or a server.
     Operator,
-    /// A client's that asks where to go.
+    /// A client that looks up where to go.
     Client,
-    /// The platform's.
+    /// The platform.
     Platform,
 }
 
@@ -32,21 +32,21 @@
     pub(super) role: Role,
     pub(super) connected: bool,
     pub(super) opened_at: i64,
-    /// Something last came, or went out, then.
+    /// When something was last received, and when something was last queued to be sent.
     pub(super) last_received_at: i64,
     pub(super) last_sent_at: i64,
     pub(super) input: Vec<u8>,
     pub(super) output: Vec<u8>,
     pub(super) written: usize,
-    /// Of a caller: the request that is coming in, and whether the one before waits for its answer.
+    /// The request of a caller that is being received, and whether one was received and awaits its reply.
     pub(super) incoming: Incoming<RequestHead>,
     pub(super) awaiting_reply: bool,
     pub(super) continue_sent: bool,
-    /// No other request follows.
+    /// No other request follows on this connection.
     pub(super) close_after_reply: bool,
-    /// Reading has stopped though more may be there.
+    /// Reading has stopped although more may have been received.
     pub(super) has_unread: bool,
-    /// To be closed once all is written.
+    /// The connection is closed once everything is written.
     pub(super) closing: bool,
 }
 
@@ -72,16 +72,21 @@
         }
     }
 
-    /// Bytes that were not written yet.
+    /// The number of bytes that are queued and not written yet.
     pub(super) fn backlog(&self) -> usize {
         self.output.len() - self.written
     }
+
+    /// Whether something is still to be sent on it.
+    pub(super) fn has_pending_output(&self) -> bool {
+        self.connected && self.backlog() > 0 || self.awaiting_reply
+    }
 }
 
-/// Linux's number for a connect that goes on in the background; the standard library has no stable name for it.
+/// The error of a `connect` that continues in the background on Linux; the standard library has no stable name for it.
 const EINPROGRESS: i32 = 115;
 
-/// Opens a connection in the background.
+/// Opens a connection without waiting until it is established.
 pub(super) fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let kind = Type::STREAM.nonblocking().cloexec();
     let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
@@ -94,12 +99,15 @@
     Ok(socket.into())
 }
 
+/// Connections that may wait to be accepted.
+const LISTEN_BACKLOG: i32 = 512;
+
 /// Listens at an address.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let kind = Type::STREAM.nonblocking().cloexec();
     let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(512)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
--- a/crates/control/src/host/mod.rs
+++ b/crates/control/src/host/mod.rs
@@ -1,5 +1,6 @@
-//! The event loop around the core: one thread, one calloop loop. What a dispatch brought is taken in first; then what is
-//! due has its turn; then all that is to be written goes out.
+//! The host of a replica: one thread with one event loop, around the deterministic core.
+//!
+//! Each iteration first takes in what was received, then runs what is due, and then writes everything that is to be sent.
 
 mod connections;
 mod http_calls;
@@ -11,11 +12,12 @@
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener};
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::mpsc::Sender;
 use std::time::{Duration, Instant};
 
-use calloop::channel::{self, Event};
+use calloop::channel::{self, Channel, Event};
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness};
@@ -32,173 +34,105 @@
 use self::stall::StallDetector;
 use crate::core::peer_messages::{Frame, PeerMessage};
 use crate::core::transfer::TransferLimits;
-use crate::core::{Input, Output, Replica, ReplicaConfig};
+use crate::core::{Input, Output, RecoveredState, Replica, ReplicaConfig};
 use crate::dataplane_types::{ConnectionKey, FrameLimits, SlotMap};
 use crate::disk::{self, Store, WriteRequest, WriterEvent};
 use crate::limits;
+use crate::operator_api::Reply;
 
-/// What the settings must tell this program.
-struct ListenAddresses {
+/// The addresses to listen at, and the folder of the database, as the settings name them.
+struct Paths {
     core: SocketAddr,
     operators: SocketAddr,
     clients: SocketAddr,
-    folder: std::path::PathBuf,
+    folder: PathBuf,
 }
 
-/// Checks that the settings tell all that this program needs.
+/// Checks that the settings name everything that this program needs.
 ///
 /// # Errors
 /// A key that is missing, by its name.
 pub fn check(settings: &Settings) -> eyre::Result<()> {
-    listen_addresses(settings).map(|_| ())
+    paths(settings).map(|_| ())
 }
 
-fn listen_addresses(settings: &Settings) -> eyre::Result<ListenAddresses> {
-    let want = |key: &str| eyre!("settings: {key}: missing, and wanted on a machine of the core");
+fn paths(settings: &Settings) -> eyre::Result<Paths> {
+    let missing =
+        |key: &str| eyre!("settings: {key}: missing, and wanted on a machine of the core");
     if settings.zones.len() > limits::MAX_REPLICAS {
         return Err(eyre!("settings: zones: more than 128 replicas"));
     }
-    Ok(ListenAddresses {
+    Ok(Paths {
         core: settings.core_address(settings.ip),
-        operators: settings.bind.ctl.ok_or_else(|| want("bind.ctl"))?,
-        clients: settings.bind.dir.ok_or_else(|| want("bind.dir"))?,
-        folder: settings.datadir.clone().ok_or_else(|| want("datadir"))?,
+        operators: settings.bind.ctl.ok_or_else(|| missing("bind.ctl"))?,
+        clients: settings.bind.dir.ok_or_else(|| missing("bind.dir"))?,
+        folder: settings.datadir.clone().ok_or_else(|| missing("datadir"))?,
     })
 }
 
-/// All that runs on the loop.
+/// The state of the event loop.
 struct Host {
     handle: LoopHandle<'static, Host>,
     start: Instant,
     log: Logger,
     core: Replica,
     address: SocketAddr,
-    ttl: i64,
+    lookup_ttl: i64,
     frames: FrameLimits,
     write_requests: Sender<WriteRequest>,
     connections: SlotMap<ConnectionKey, Connection>,
+    /// How many connections of operators and clients there are.
     callers: usize,
     flush_queue: Vec<ConnectionKey>,
     read_buffer: Vec<u8>,
     outputs: Vec<Output>,
     peers: Vec<SocketAddr>,
-    /// The link with each peer, and since when one without is missed.
+    /// The link in use with each peer.
     links: BTreeMap<SocketAddr, ConnectionKey>,
+    /// When a link with a peer without one is to be opened.
     reconnect_at: BTreeMap<SocketAddr, i64>,
     poller: Option<PlatformPoller>,
     lookups: PendingLookups,
     stall: StallDetector,
     next_upkeep: i64,
-    /// Told to end then.
     shutdown_started_at: Option<i64>,
-    /// After that it ends within this, whatever is left.
+    /// The longest time from then to the end of the process, in microseconds.
     grace: i64,
     disk_failure: Option<eyre::Report>,
 }
 
-/// Between two looks at silent links and missed peers.
+/// The interval at which silent connections and missing links are looked for, in microseconds.
 const UPKEEP_INTERVAL: i64 = 200_000;
-/// After SIGTERM the program stays for this at the least, so that all hear of it.
+/// The least time from SIGTERM to the end of the process, so that all peers hear of it, in microseconds.
 const MIN_SHUTDOWN_DURATION: i64 = 300_000;
+/// What an idle connection keeps of a buffer, in bytes.
+const IDLE_BUFFER_BYTES: usize = 4 * 1024;
 
 /// Runs the program until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// An address can't be had, or the disk does not write.
+/// An address can't be had, or the disk fails.
 pub fn serve(settings: &Settings, log: Logger) -> eyre::Result<()> {
-    let places = listen_addresses(settings)?;
-    let signals =
-        Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).wrap_err("signals")?;
-    let opened = Store::open(&places.folder, settings.bootstrap)?;
-    if let Some(why) = &opened.quarantined {
-        error!(log, "the disk can't be trusted and counts as empty"; "why" => why);
+    let paths = paths(settings)?;
+    // Hazard: the writer's thread inherits the blocked signals only if they are blocked before it is started.
+    let signals = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
+    let signals = Signals::new(&signals).wrap_err("signals")?;
+    let opened = Store::open(&paths.folder, settings.bootstrap)?;
+    if let Some(reason) = &opened.quarantined {
+        error!(log, "disk is corrupt and counts as empty"; "error" => reason);
     }
     let mut events: EventLoop<'static, Host> = EventLoop::try_new().wrap_err("event loop")?;
-    let (done, written) = channel::channel();
-    let orders = disk::spawn(opened.store, done)?;
-    let start = Instant::now();
-    let setup = ReplicaConfig {
-        zones: settings.zones.keys().cloned().collect(),
-        zone: settings.zone.clone(),
-        address: Some(places.core),
-        seeds: settings.seed_addresses(),
-        seed: random_seed(settings),
-        recovered: opened.recovered,
-        transfer_limits: TransferLimits::default(),
-    };
-    let core = Replica::new(0, setup);
-    info!(log, "starts"; "incarnation" => core.incarnation().number, "address" => places.core.to_string());
-    let mut host = Host {
-        handle: events.handle(),
-        start,
-        log,
-        peers: core.peers(),
-        core,
-        address: places.core,
-        ttl: limits::LOOKUP_TTL.min(settings.bounds.ttl_max.0),
-        frames: FrameLimits::default(),
-        write_requests: orders,
-        connections: SlotMap::with_key(),
-        callers: 0,
-        flush_queue: Vec::new(),
-        read_buffer: vec![0; limits::READ_BYTES],
-        outputs: Vec::new(),
-        links: BTreeMap::new(),
-        reconnect_at: BTreeMap::new(),
-        poller: settings.cloud_api.as_ref().map(PlatformPoller::new),
-        lookups: PendingLookups::default(),
-        stall: StallDetector::default(),
-        next_upkeep: 0,
-        shutdown_started_at: None,
-        grace: settings
-            .bounds
-            .grace
-            .0
-            .saturating_sub(limits::GRACE_MARGIN)
-            .max(MIN_SHUTDOWN_DURATION),
-        disk_failure: None,
-    };
-    let handle = events.handle();
-    let signalled =
-        |event: calloop::signals::Event, _: &mut _, host: &mut Host| match event.signal() {
-            // The settings are read at the start alone: nothing here changes with them later.
-            Signal::SIGHUP => {}
-            _ => host.begin_shutdown(),
-        };
-    handle
-        .insert_source(signals, signalled)
-        .map_err(|e| e.error)
-        .wrap_err("signals")?;
-    let reported = |event: Event<WriterEvent>, _: &mut _, host: &mut Host| match event {
-        Event::Msg(WriterEvent::Written(number)) => {
-            host.check_for_stall();
-            host.step_core(Input::Written(number));
-        }
-        Event::Msg(WriterEvent::WritesRejected(why)) => {
-            error!(host.log, "the disk refuses writes, and is tried again"; "why" => format!("{why:#}"));
-            host.step_core(Input::DiskFull(true));
-        }
-        Event::Msg(WriterEvent::WritesResumed) => {
-            info!(host.log, #IMMEDIATE, "the disk takes writes again");
-            host.step_core(Input::DiskFull(false));
-        }
-        Event::Msg(WriterEvent::Failed(error)) => host.disk_failure = Some(error),
-        Event::Closed => {}
-    };
-    handle
-        .insert_source(written, reported)
-        .map_err(|e| e.error)
-        .wrap_err("disk: its reports")?;
-    for (address, role) in [
-        (places.core, Role::Unidentified),
-        (places.operators, Role::Operator),
-        (places.clients, Role::Client),
-    ] {
-        let listener =
-            connections::listen(address).wrap_err_with(|| format!("listening at {address}"))?;
-        host.add_listener(listener, role)
-            .wrap_err_with(|| format!("listening at {address}"))?;
-    }
+    let (done, writer_events) = channel::channel();
+    let write_requests = disk::spawn(opened.store, done)?;
+    let config = replica_config(settings, &paths, opened.recovered);
+    let mut host = Host::new(settings, config, write_requests, events.handle(), log);
+    info!(host.log, "started";
+        "incarnation" => host.core.incarnation().number, "address" => paths.core.to_string());
+    host.add_signals(signals)?;
+    host.add_writer_events(writer_events)?;
+    host.listen(paths.core, Role::Unidentified)?;
+    host.listen(paths.operators, Role::Operator)?;
+    host.listen(paths.clients, Role::Client)?;
     host.run_due();
     while !host.is_finished() {
         let wait = host.next_wake().saturating_sub(host.now()).max(0);
@@ -206,16 +140,26 @@
         events.dispatch(wait, &mut host).wrap_err("event loop")?;
         host.run_due();
     }
-    match host.disk_failure.take() {
-        Some(error) => Err(error),
-        None => {
-            host.log_handover_result();
-            Ok(())
-        }
+    if let Some(error) = host.disk_failure.take() {
+        return Err(error);
     }
+    host.log_handover_result();
+    Ok(())
 }
 
-/// For what is drawn by chance: differs from start to start, and from machine to machine.
+fn replica_config(settings: &Settings, paths: &Paths, recovered: RecoveredState) -> ReplicaConfig {
+    ReplicaConfig {
+        zones: settings.zones.keys().cloned().collect(),
+        zone: settings.zone.clone(),
+        address: Some(paths.core),
+        seeds: settings.seed_addresses(),
+        seed: random_seed(settings),
+        recovered,
+        transfer_limits: TransferLimits::default(),
+    }
+}
+
+/// A seed that differs from start to start and from machine to machine.
 fn random_seed(settings: &Settings) -> u64 {
     use std::hash::{BuildHasher, Hasher, RandomState};
     let mut hasher = RandomState::new().build_hasher();
@@ -225,58 +169,136 @@
 }
 
 impl Host {
-    /// Microseconds since the start; never goes back.
+    fn new(
+        settings: &Settings,
+        config: ReplicaConfig,
+        write_requests: Sender<WriteRequest>,
+        handle: LoopHandle<'static, Host>,
+        log: Logger,
+    ) -> Host {
+        let start = Instant::now();
+        let address = settings.core_address(settings.ip);
+        let core = Replica::new(0, config);
+        let grace = settings.bounds.grace.0;
+        let grace = grace.saturating_sub(limits::GRACE_MARGIN);
+        Host {
+            handle,
+            start,
+            log,
+            peers: core.peers(),
+            core,
+            address,
+            lookup_ttl: limits::LOOKUP_TTL.min(settings.bounds.ttl_max.0),
+            frames: FrameLimits::default(),
+            write_requests,
+            connections: SlotMap::with_key(),
+            callers: 0,
+            flush_queue: Vec::new(),
+            read_buffer: vec![0; limits::READ_BYTES],
+            outputs: Vec::new(),
+            links: BTreeMap::new(),
+            reconnect_at: BTreeMap::new(),
+            poller: settings.cloud_api.as_ref().map(PlatformPoller::new),
+            lookups: PendingLookups::default(),
+            stall: StallDetector::default(),
+            next_upkeep: 0,
+            shutdown_started_at: None,
+            grace: grace.max(MIN_SHUTDOWN_DURATION),
+            disk_failure: None,
+        }
+    }
+
+    fn add_signals(&mut self, signals: Signals) -> eyre::Result<()> {
+        let handle_signal = |event: calloop::signals::Event, _: &mut _, host: &mut Host| {
+            match event.signal() {
+                // The settings are read at the start alone: nothing here depends on a later change of them.
+                Signal::SIGHUP => {}
+                _ => host.begin_shutdown(),
+            }
+        };
+        let inserted = self.handle.insert_source(signals, handle_signal);
+        inserted.map_err(|e| e.error).wrap_err("signals")?;
+        Ok(())
+    }
+
+    fn add_writer_events(&mut self, events: Channel<WriterEvent>) -> eyre::Result<()> {
+        let handle_event = |event: Event<WriterEvent>, _: &mut _, host: &mut Host| {
+            if let Event::Msg(event) = event {
+                host.handle_writer_event(event);
+            }
+        };
+        let inserted = self.handle.insert_source(events, handle_event);
+        inserted.map_err(|e| e.error).wrap_err("disk: its events")?;
+        Ok(())
+    }
+
+    fn handle_writer_event(&mut self, event: WriterEvent) {
+        match event {
+            WriterEvent::Written(id) => {
+                self.check_for_stall();
+                self.step_core(Input::Written(id));
+            }
+            WriterEvent::WritesRejected(error) => {
+                error!(self.log, "disk rejects writes, retrying"; "error" => format!("{error:#}"));
+                self.step_core(Input::DiskFull(true));
+            }
+            WriterEvent::WritesResumed => {
+                info!(self.log, #IMMEDIATE, "disk accepts writes again");
+                self.step_core(Input::DiskFull(false));
+            }
+            WriterEvent::Failed(error) => self.disk_failure = Some(error),
+        }
+    }
+
+    fn listen(&mut self, address: SocketAddr, role: Role) -> eyre::Result<()> {
+        let listener = connections::listen(address);
+        let added = listener.and_then(|listener| self.add_listener(listener, role));
+        added.wrap_err_with(|| format!("listening at {address}"))
+    }
+
+    /// Microseconds since the start; never decreases.
     fn now(&self) -> i64 {
         self.start.elapsed().as_micros() as i64
     }
 
     fn next_wake(&self) -> i64 {
-        let poller = self
-            .poller
-            .as_ref()
-            .filter(|_| self.core.polls_platform(self.now()));
-        let poller = poller.map_or(i64::MAX, PlatformPoller::wake_at);
-        self.core
-            .wake_at()
-            .min(self.next_upkeep)
-            .min(poller)
-            .min(self.lookups.wake_at())
+        let polls = self.core.polls_platform(self.now());
+        let poller = self.poller.as_ref().filter(|_| polls);
+        let poll_at = poller.map_or(i64::MAX, PlatformPoller::wake_at);
+        let wakes = [self.next_upkeep, poll_at, self.lookups.wake_at()];
+        wakes.into_iter().fold(self.core.wake_at(), i64::min)
     }
 
     fn begin_shutdown(&mut self) {
         if self.shutdown_started_at.is_none() {
             self.shutdown_started_at = Some(self.now());
-            info!(self.log, "told to end");
+            info!(self.log, "shutting down");
             self.step_core(Input::Shutdown);
         }
     }
 
-    /// What operators look for before they take a machine and its disk away.
+    /// Logs what operators have to know before they remove a machine and its disk.
     fn log_handover_result(&self) {
         if self.core.is_handed_over() {
-            info!(self.log, #IMMEDIATE, "handed over: a majority holds all without this replica");
+            info!(self.log, #IMMEDIATE, "handover complete");
         } else {
-            warn!(
-                self.log,
-                "ends at the end of its grace, and a majority without it may not hold all"
-            );
+            warn!(self.log, "grace period is over, handover incomplete");
         }
     }
 
     fn is_finished(&self) -> bool {
-        let Some(stopped) = self.shutdown_started_at else {
-            return self.disk_failure.is_some();
-        };
-        let since = self.now() - stopped;
-        let owed = |connection: &Connection| {
-            connection.connected && connection.backlog() > 0 || connection.awaiting_reply
+        if self.disk_failure.is_some() {
+            return true;
+        }
+        let Some(started_at) = self.shutdown_started_at else {
+            return false;
         };
-        let idle = self.core.is_idle() && !self.connections.values().any(owed);
-        let answered =
-            since >= limits::SHUTDOWN_CALL_TIMEOUT || (idle && since >= MIN_SHUTDOWN_DURATION);
-        self.disk_failure.is_some()
-            || since >= self.grace
-            || (answered && self.core.is_handed_over())
+        let elapsed = self.now() - started_at;
+        let mut connections = self.connections.values();
+        let is_idle = self.core.is_idle() && !connections.any(Connection::has_pending_output);
+        let is_answered = elapsed >= limits::SHUTDOWN_CALL_TIMEOUT
+            || (is_idle && elapsed >= MIN_SHUTDOWN_DURATION);
+        elapsed >= self.grace || (is_answered && self.core.is_handed_over())
     }
 
     fn add_listener(&mut self, listener: TcpListener, role: Role) -> io::Result<()> {
@@ -300,11 +322,11 @@
                 Ok(_) if role == Role::Unidentified && self.stall.is_suspect() => continue,
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-                // Also where there are no descriptors left: the listener tells of it again.
+                // Also where no descriptors are left: the listener reports the connection again.
                 Err(_) => return,
             };
             let caller = matches!(role, Role::Operator | Role::Client);
-            // Guards the descriptors: those of replicas and agents are kept free.
+            // Descriptors are kept free for replicas and agents.
             if caller && self.callers >= limits::MAX_CALLERS {
                 continue;
             }
@@ -312,7 +334,7 @@
                 .set_nonblocking(true)
                 .and_then(|()| stream.set_nodelay(true));
             if let Err(error) = ready.and_then(|()| self.register(stream, role, true).map(|_| ())) {
-                warn!(self.log, "a connection can't be taken"; "why" => error.to_string());
+                warn!(self.log, "accepting a connection failed"; "error" => error.to_string());
             } else if caller {
                 self.callers += 1;
             }
@@ -346,16 +368,16 @@
         }
     }
 
-    /// Opens a connection; it must come up by its deadline.
+    /// Opens a connection, which is closed again if it is not established within [`limits::CONNECT_TIMEOUT`].
     fn connect(&mut self, address: SocketAddr, role: Role) -> Option<ConnectionKey> {
         let opened =
             connections::connect(address).and_then(|stream| self.register(stream, role, false));
         opened
-            .inspect_err(|error| debug!(self.log, "connecting"; "peer" => address.to_string(), "why" => error.to_string()))
+            .inspect_err(|error| debug!(self.log, "connecting failed"; "peer" => address.to_string(), "error" => error.to_string()))
             .ok()
     }
 
-    /// Takes a connection out of all tables.
+    /// Closes a connection and removes it from all tables.
     fn close(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.remove(key) else {
             return;
@@ -395,23 +417,23 @@
         self.read(key);
     }
 
-    /// Reads what there is.
+    /// Reads everything that was received on a connection.
     fn read(&mut self, key: ConnectionKey) {
         loop {
             let now = self.now();
             let Some(connection) = self.connections.get_mut(key) else {
                 return;
             };
-            // What follows waits until the request before it is answered.
+            // Further requests of a caller wait until the one before them is answered.
             connection.has_unread =
                 connection.awaiting_reply && connection.input.len() >= limits::READ_BYTES;
             if connection.has_unread {
                 return;
             }
-            // Danger: a call whose caller is gone may be of long ago, and was sent again to others since. It is looked at only
-            // once all that came with it was read, so that an end that came with it is seen first.
+            // Hazard: a call whose caller is gone may be old, and sent again to another replica since. It is handled only once
+            // everything that was received with it is read, so that the end of the connection is seen first.
             let caller = matches!(connection.role, Role::Operator | Role::Client);
-            let later = caller && connection.input.len() < limits::CALLER_READ_BYTES;
+            let defer = caller && connection.input.len() < limits::CALLER_READ_BYTES;
             match (&*connection.stream).read(&mut self.read_buffer) {
                 Ok(0) => return self.close(key),
                 Ok(length) => {
@@ -419,7 +441,7 @@
                     connection
                         .input
                         .extend_from_slice(&self.read_buffer[..length]);
-                    if !later {
+                    if !defer {
                         self.dispatch_input(key);
                     }
                 }
@@ -433,7 +455,7 @@
         }
     }
 
-    /// Looks at what has come.
+    /// Handles what was received, by the role of the connection.
     fn dispatch_input(&mut self, key: ConnectionKey) {
         match self.connections.get(key).map(|connection| connection.role) {
             Some(Role::Unidentified) => self.identify(key),
@@ -445,13 +467,13 @@
         }
     }
 
-    /// Appends bytes to what is to be written.
+    /// Queues bytes to be written at the end of this iteration.
     fn write(&mut self, key: ConnectionKey, bytes: &[u8]) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        // Guards the memory against a peer that does not read.
+        // A peer that does not read must not use up the memory.
         if connection.backlog() + bytes.len() > limits::MAX_BACKLOG_BYTES {
             return self.close(key);
         }
@@ -478,50 +500,55 @@
         }
         connection.output.clear();
         connection.written = 0;
-        // Guards the memory on a long day: one large message must not be paid for as long as the connection lasts.
-        connection.output.shrink_to(4 * 1024);
-        connection.input.shrink_to(4 * 1024);
+        // One large message must not cost memory for as long as the connection lasts.
+        connection.output.shrink_to(IDLE_BUFFER_BYTES);
+        connection.input.shrink_to(IDLE_BUFFER_BYTES);
         if connection.closing {
             self.close(key);
         }
     }
 
-    /// Hands an input to the core, and carries out what comes of it.
+    /// Passes an input to the core, and carries out its outputs.
     fn step_core(&mut self, input: Input) {
         let now = self.now();
         let mut out = std::mem::take(&mut self.outputs);
         self.core.step(now, input, &mut out);
         for output in out.drain(..) {
             match output {
-                Output::SendToReplicas(to, peer_message) => {
-                    self.send_to_replicas(&to, peer_message)
-                }
+                Output::SendToReplicas(to, message) => self.send_to_replicas(&to, message),
                 Output::Peers(peers) => {
                     self.peers = peers;
                     self.next_upkeep = now;
                 }
-                // A disk thread that has ended has said why, and the program ends with it.
+                // The writer's thread has reported why it ended, and the program ends with it.
                 Output::Write(number, rows) => _ = self.write_requests.send((number, rows)),
                 Output::Answer(call, reply) => {
                     let key = ConnectionKey::from(KeyData::from_ffi(call));
-                    let (status, body) = reply.parts();
-                    self.answer(key, status, &body);
+                    self.send_reply(key, reply);
                 }
-                Output::SendToAgents(links, down) => {
+                Output::SendToAgents(links, message) => {
                     let mut bytes = Vec::new();
-                    frames::encode(&mut bytes, &down);
+                    frames::encode(&mut bytes, &message);
                     for link in links {
                         self.write(ConnectionKey::from(KeyData::from_ffi(link)), &bytes);
                     }
                 }
-                Output::Log(text) => info!(self.log, "{}", text),
-                Output::LogImmediately(text) => info!(self.log, #IMMEDIATE, "{}", text),
+                Output::Log(event) if event.is_immediate() => {
+                    info!(self.log, #IMMEDIATE, "{}", event.message(); event)
+                }
+                Output::Log(event) => info!(self.log, "{}", event.message(); event),
             }
         }
         self.outputs = out;
     }
 
-    fn send_to_replicas(&mut self, to: &[SocketAddr], peer_message: PeerMessage) {
+    /// Answers a caller.
+    fn send_reply(&mut self, key: ConnectionKey, reply: Reply) {
+        let (status, body) = reply.parts();
+        self.answer(key, status, &body);
+    }
+
+    fn send_to_replicas(&mut self, to: &[SocketAddr], message: PeerMessage) {
         let links: Vec<ConnectionKey> = to
             .iter()
             .filter_map(|peer| self.links.get(peer).copied())
@@ -530,13 +557,13 @@
             return;
         }
         let mut bytes = Vec::new();
-        frames::encode(&mut bytes, &Frame::PeerMessage(peer_message));
+        frames::encode(&mut bytes, &Frame::PeerMessage(message));
         for link in links {
             self.write(link, &bytes);
         }
     }
 
-    /// What is due has its turn, then all goes out.
+    /// Runs what is due, then writes everything that is queued.
     fn run_due(&mut self) {
         let now = self.now();
         if now >= self.core.wake_at() {
@@ -548,7 +575,7 @@
         }
         self.poll_platform(now);
         self.answer_lookups(now);
-        // It may have stood still in this very turn.
+        // The process may have stalled in this very iteration.
         self.check_for_stall();
         self.stall.record_iteration(self.now());
         while let Some(key) = self.flush_queue.pop() {
@@ -556,9 +583,9 @@
         }
     }
 
-    /// Looks at silent connections and missed peers.
+    /// Closes silent connections, and opens missing links.
     fn upkeep(&mut self, now: i64) {
-        let gone = |connection: &Connection| {
+        let is_dead = |connection: &Connection| {
             let silent = now - connection.last_received_at;
             match connection.role {
                 _ if !connection.connected => now - connection.opened_at >= limits::CONNECT_TIMEOUT,
@@ -573,7 +600,7 @@
         let dead = self
             .connections
             .iter()
-            .filter(|(_, connection)| gone(connection));
+            .filter(|(_, connection)| is_dead(connection));
         for key in dead.map(|(key, _)| key).collect::<Vec<_>>() {
             self.close(key);
         }
--- a/crates/control/src/host/pending_lookups.rs
+++ b/crates/control/src/host/pending_lookups.rs
@@ -1,63 +1,76 @@
-//! Clients that ask where to go. One that asks before any edge is known to be ready waits a little for the first one, where
-//! one can be expected: this replica is in touch, or has just started.
+//! Clients that look up where to go. One that asks before any edge is ready waits a little for the first one, if one can be
+//! expected: this replica is in contact with a quorum, or has just started.
 
 use super::Host;
 use crate::dataplane_types::ConnectionKey;
 use crate::operator_api::Reply;
 use crate::{limits, lookup};
 
-/// Clients that wait for the first edge: the region that each asked for, and until when it waits.
+/// A client that waits for the first ready edge.
+#[derive(Debug)]
+struct PendingLookup {
+    connection: ConnectionKey,
+    /// The region that the client asks for.
+    region: String,
+    deadline: i64,
+}
+
+/// The clients that wait for the first ready edge.
 #[derive(Debug, Default)]
-pub(super) struct PendingLookups(Vec<(ConnectionKey, String, i64)>);
+pub(super) struct PendingLookups(Vec<PendingLookup>);
 
 impl PendingLookups {
-    /// The first of them waits until then.
+    /// The earliest deadline.
     pub(super) fn wake_at(&self) -> i64 {
-        self.0
-            .iter()
-            .map(|(_, _, until)| *until)
-            .min()
-            .unwrap_or(i64::MAX)
+        let deadlines = self.0.iter().map(|lookup| lookup.deadline);
+        deadlines.min().unwrap_or(i64::MAX)
     }
 }
 
 impl Host {
-    /// Answers a client, or keeps it waiting for the first edge.
-    pub(super) fn handle_lookup(&mut self, key: ConnectionKey, region: String) {
+    /// Answers a client, or lets it wait for the first ready edge.
+    pub(super) fn handle_lookup(&mut self, connection: ConnectionKey, region: String) {
         let now = self.now();
-        let expects = self.core.has_quorum_contact(now) || now < limits::STARTUP_LOOKUP_WAIT;
-        let until = if expects && self.shutdown_started_at.is_none() {
+        let may_become_ready =
+            self.core.has_quorum_contact(now) || now < limits::STARTUP_LOOKUP_WAIT;
+        let deadline = if may_become_ready && self.shutdown_started_at.is_none() {
             now + limits::LOOKUP_WAIT
         } else {
             now
         };
-        if !self.try_answer(now, key, &region, until) {
-            self.lookups.0.push((key, region, until));
+        let lookup = PendingLookup {
+            connection,
+            region,
+            deadline,
+        };
+        if !self.try_answer(now, &lookup) {
+            self.lookups.0.push(lookup);
         }
     }
 
-    /// Answers those that wait, once there is something to answer or their time is over.
+    /// Answers the clients that wait, if an edge is ready or their deadline has passed.
     pub(super) fn answer_lookups(&mut self, now: i64) {
         let mut waiting = std::mem::take(&mut self.lookups.0);
-        waiting.retain(|(key, region, until)| !self.try_answer(now, *key, region, *until));
+        waiting.retain(|lookup| !self.try_answer(now, lookup));
         self.lookups.0.append(&mut waiting);
     }
 
-    /// Gives whether nothing is owed to the client any more.
-    fn try_answer(&mut self, now: i64, key: ConnectionKey, region: &str, until: i64) -> bool {
-        if !self.connections.contains_key(key) {
+    /// Answers a client if that is possible now. Gives whether the lookup is over.
+    fn try_answer(&mut self, now: i64, lookup: &PendingLookup) -> bool {
+        if !self.connections.contains_key(lookup.connection) {
             return true;
         }
-        let addresses = lookup::addresses(&self.core.members(now), region);
+        let members = self.core.members(now);
+        let addresses = lookup::addresses(&members, &lookup.region);
         if !addresses.is_empty() {
-            self.answer(key, 200, &lookup::answer_body(&addresses, self.ttl));
+            let body = lookup::answer_body(&addresses, self.lookup_ttl);
+            self.answer(lookup.connection, 200, &body);
             return true;
         }
-        if now < until {
+        if now < lookup.deadline {
             return false;
         }
-        let (status, body) = Reply::Unavailable("no limiter is ready").parts();
-        self.answer(key, status, &body);
+        self.send_reply(lookup.connection, Reply::Unavailable("no limiter is ready"));
         true
     }
 }
--- a/crates/control/src/host/stall.rs
+++ b/crates/control/src/host/stall.rs
@@ -1,16 +1,17 @@
-//! A process that stood still finds its links full of what is long over: beats, leases and votes as they were when it stopped.
-//! Its peers have given these links up since. It gives them up as well, before it reads anything on them, so that no message
-//! is taken for younger than a link may be silent.
+//! Detection of a stalled process. After a stall its links are full of outdated messages: heartbeats, leases and votes as they
+//! were when it stalled, while its peers have closed these links since. It closes them as well before it reads anything, so
+//! that no message is older than a link may be silent.
 
 use protocol::log_ring::IMMEDIATE;
 use slog::info;
 
 use super::Host;
 use super::connections::Role;
+use crate::core::Input;
 use crate::dataplane_types::ConnectionKey;
 use crate::limits;
 
-/// When the loop last turned, and for how many turns what is found may be old.
+/// When the event loop last completed an iteration, and for how many more what it finds may be outdated.
 #[derive(Debug, Default)]
 pub(super) struct StallDetector {
     last_iteration_at: i64,
@@ -18,47 +19,47 @@
 }
 
 impl StallDetector {
-    /// The loop has turned.
+    /// The event loop has completed an iteration.
     pub(super) fn record_iteration(&mut self, now: i64) {
         self.last_iteration_at = now;
         self.suspect_iterations = self.suspect_iterations.saturating_sub(1);
     }
 
-    /// What comes in now may have waited since before.
+    /// Whether what is received now may have waited since before a stall.
     pub(super) fn is_suspect(&self) -> bool {
         self.suspect_iterations > 0
     }
 
-    /// Gives for how long the process stood still, once.
+    /// The duration of a stall that has just ended, reported once.
     fn detect(&mut self, now: i64) -> Option<i64> {
-        let stood = now - self.last_iteration_at;
-        if stood < limits::STALL_THRESHOLD {
+        let stalled_for = now - self.last_iteration_at;
+        if stalled_for < limits::STALL_THRESHOLD {
             return None;
         }
-        (self.last_iteration_at, self.suspect_iterations) = (now, limits::STALL_ITERATIONS);
-        Some(stood)
+        self.last_iteration_at = now;
+        self.suspect_iterations = limits::STALL_ITERATIONS;
+        Some(stalled_for)
     }
 }
 
 impl Host {
-    /// Looks whether the process stood still; if so, all its links are given up.
+    /// Checks whether the process has stalled; if so, closes all links.
     pub(super) fn check_for_stall(&mut self) {
-        let Some(stood) = self.stall.detect(self.now()) else {
+        let Some(stalled_for) = self.stall.detect(self.now()) else {
             return;
         };
-        info!(self.log, #IMMEDIATE, "stood still: all links are given up"; "ms" => stood / 1_000);
-        let old = self
-            .connections
-            .iter()
-            .filter(|(_, connection)| match connection.role {
-                Role::Unidentified | Role::Replica { .. } | Role::Agent | Role::Platform => true,
-                // These end by themselves, where the caller is gone.
-                Role::Operator | Role::Client => false,
-            });
-        for key in old.map(|(key, _)| key).collect::<Vec<ConnectionKey>>() {
+        info!(self.log, #IMMEDIATE, "process stalled, closing all links";
+            "stalled_ms" => stalled_for / 1_000);
+        let links = self.connections.iter();
+        let links = links.filter(|(_, connection)| match connection.role {
+            Role::Unidentified | Role::Replica { .. } | Role::Agent | Role::Platform => true,
+            // Callers that are gone are noticed by the end of their connection.
+            Role::Operator | Role::Client => false,
+        });
+        for key in links.map(|(key, _)| key).collect::<Vec<ConnectionKey>>() {
             self.close(key);
         }
-        self.step_core(crate::core::Input::Tick);
+        self.step_core(Input::Tick);
     }
 }
 
--- a/crates/control/tests/cut_off_programs.rs
+++ b/crates/control/tests/cut_off_programs.rs
@@ -108,7 +108,7 @@
         whole
             .machines
             .log(Role::Control, 2)
-            .contains("stood still: all links are given up")
+            .contains("process stalled, closing all links")
     );
     assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
--- a/crates/control/tests/second_loss_system.rs
+++ b/crates/control/tests/second_loss_system.rs
@@ -66,7 +66,11 @@
         std::fs::remove_dir_all(folder.path().join(format!("disk-{number}"))).unwrap();
         whole.machines.write(Role::Control, number, false).unwrap();
         whole.machines.start(Role::Control, number).unwrap();
-        says(&whole, number, "INFO rebuilt: incarnation 2, ");
+        says(
+            &whole,
+            number,
+            "INFO recovery completed incarnation=2 items=",
+        );
     }
     // None of the disks that took the changes is left.
     assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
@@ -86,26 +90,27 @@
     says(
         &whole,
         0,
-        "INFO this replica has a newer incarnation: stepping aside",
+        "INFO superseded by a newer incarnation of this replica",
     );
     whole.machines.tell_to_end(Role::Control, 0);
     // Without a successor that is whole it is there longer than it takes to answer what is under way.
     let early = Instant::now() + Duration::from_millis(700);
     assert_eq!(whole.machines.ended(Role::Control, 0, early), None);
-    assert!(!whole.machines.log(Role::Control, 3).contains("rebuilt: "));
+    assert!(
+        !whole
+            .machines
+            .log(Role::Control, 3)
+            .contains("recovery completed")
+    );
     whole.machines.start(Role::Control, 1).unwrap();
-    says(&whole, 3, "INFO rebuilt: incarnation 2, ");
+    says(&whole, 3, "INFO recovery completed incarnation=2 items=");
     assert!(
         whole
             .machines
             .ended(Role::Control, 0, soon())
             .is_some_and(|status| status.success())
     );
-    says(
-        &whole,
-        0,
-        "INFO handed over: a majority holds all without this replica",
-    );
+    says(&whole, 0, "INFO handover complete");
     // All that is left is killed at once, with the successor's disk among it.
     std::fs::remove_dir_all(folder.path().join("disk-0")).unwrap();
     [1, 2, 3]
--- a/crates/control/tests/system.rs
+++ b/crates/control/tests/system.rs
@@ -136,8 +136,11 @@
     whole.machines.start(Role::Control, 2).unwrap();
     // By the programs' own lines, as operators are told: none of them has met an error.
     for (replica, line) in [
-        (2, "INFO rebuilt: incarnation 2, "),
-        (0, "INFO replica 2 begins incarnation 2 at "),
+        (2, "INFO recovery completed incarnation=2 items="),
+        (
+            0,
+            "INFO replica begins a new incarnation replica=2 incarnation=2 peer=",
+        ),
     ] {
         let said = || {
             whole
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -85,8 +85,6 @@
     tick: i64,
     /// What was told on links that no edge of the cluster has.
     pub told: Vec<(u64, ControlMessage)>,
-    /// Its lines for the log.
-    pub notes: Vec<String>,
     second: (i64, u32),
     /// Most messages that it sent in one second.
     pub most: u32,
@@ -344,7 +342,7 @@
                         }
                     }
                 }
-                Output::Log(text) | Output::LogImmediately(text) => self.nodes[at].notes.push(text),
+                Output::Log(_) => {}
             }
         }
         self.check(at);
--- a/crates/simulation/src/cluster/machines.rs
+++ b/crates/simulation/src/cluster/machines.rs
@@ -47,7 +47,6 @@
             peers: Vec::new(),
             tick: 0,
             told: Vec::new(),
-            notes: Vec::new(),
             second: (0, 0),
             most: 0,
             transferred: 0,
--- a/crates/simulation/src/scale/world.rs
+++ b/crates/simulation/src/scale/world.rs
@@ -354,7 +354,7 @@
                 Output::Write(number, _) => self.enter(now + SYNC, Event::Written(at, number)),
                 Output::Answer(call, reply) => _ = self.answers.insert(call, (now, reply)),
                 Output::SendToAgents(links, down) => self.tell(at, links, down),
-                Output::Log(_) | Output::LogImmediately(_) => {}
+                Output::Log(_) => {}
             }
         }
     }
