--- a/crates/control/src/core/outbox.rs
+++ b/crates/control/src/core/outbox.rs
@@ -120,10 +120,8 @@
     /// Records are on disk: carries out what waited for them.
     pub(super) fn handle_written(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
         match self.disk.pending.remove(&id) {
-            Some(PendingWrite::Vote(to, vote)) => {
-                if self.table.is_participant() {
-                    self.deliver_vote(now, to, vote, out);
-                }
+            Some(PendingWrite::Vote(to, vote)) if self.table.is_participant() => {
+                self.deliver_vote(now, to, vote, out)
             }
             Some(PendingWrite::Recorded(to, incarnation, request)) => {
                 self.send_recorded(to, incarnation, &request, out)
@@ -131,7 +129,7 @@
             Some(PendingWrite::BeginIncarnation(incarnation)) => {
                 self.begin_incarnation(now, incarnation, out)
             }
-            None => {}
+            Some(PendingWrite::Vote(..)) | None => {}
         }
     }
 
--- a/crates/control/src/disk/mod.rs
+++ b/crates/control/src/disk/mod.rs
@@ -1,9 +1,10 @@
-//! The database: one thread owns it, works through a queue of writes, and tells the loop when they are on disk. What
-//! waits is grouped into one commit, as each costs a sync of the disk.
+//! The database of a replica. One thread owns it, commits the writes that are queued, and reports when they are on disk.
+//! What is queued goes into one commit, as each commit costs a sync of the disk.
 //!
-//! Files are trusted only as far as they can be checked: `log` looks at SQLite's log before SQLite does, SQLite checks
-//! its own pages, and each row has a checksum. What fails is put aside ([`Opened::lost`]), and the replica counts as empty.
-//! A file of a newer schema version is refused and not touched. `docs/disk.md` says what each line of the log means.
+//! Files are trusted only as far as they can be checked: `wal` reads SQLite's write-ahead log before SQLite does, SQLite
+//! checks its own pages, and each record has a checksum. Corrupt files are quarantined ([`OpenedStore::quarantined`]), and the
+//! replica counts as empty. A file of a newer schema version is rejected and left as it is. `docs/disk.md` explains the lines
+//! of the log.
 
 mod quarantine;
 mod records;
@@ -31,31 +32,31 @@
 pub use self::verify::{Report, verify, verify_file};
 pub use self::write_queue::{WriteRequest, WriterEvent, spawn};
 
-/// Its file in the data folder.
+/// The name of the file in the data folder.
 const DATABASE_FILE: &str = "headworks.db";
 
-/// The log goes into the file once it has so many bytes.
+/// The write-ahead log is checkpointed once it has this many bytes.
 const CHECKPOINT_BYTES: u64 = 4 * 1024 * 1024;
 
 /// The database.
 pub struct Store {
     connection: Connection,
     log: PathBuf,
-    /// Most bytes of the log.
+    /// The size of the write-ahead log, in bytes, at which it is checkpointed.
     checkpoint_bytes: u64,
 }
 
-/// What a store was opened with.
+/// A store that was opened, and what it holds.
 pub struct OpenedStore {
     /// The database.
     pub store: Store,
-    /// What it held.
+    /// The state that was found on disk.
     pub recovered: RecoveredState,
-    /// Why what was there was put aside, and where it is, if it was.
+    /// Why the files that were found were quarantined, and where they are now, if they were.
     pub quarantined: Option<String>,
 }
 
-/// How files are reached: as they are, or by way of a test.
+/// How files are accessed: directly, or through the file system of a test.
 #[derive(Clone, Copy)]
 struct FileAccess {
     vfs: Option<&'static str>,
@@ -69,7 +70,7 @@
     };
 }
 
-/// Whether an error says that the files are harmed, and not that the disk takes or gives nothing now.
+/// Whether an error says that the files are corrupt, and not that the disk can't be written or read now.
 fn is_corruption(error: &eyre::Report) -> bool {
     use rusqlite::Error;
     error
@@ -80,7 +81,7 @@
                 ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase | ErrorCode::TypeMismatch => {
                     true
                 }
-                // Not what can't be read at all: it may be read the next time, also at all replicas that share a fault.
+                // Not a failure to read: the next attempt may succeed, also at all replicas that share a fault.
                 _ => error.extended_code == ffi::SQLITE_ERROR,
             },
             Some(Error::SqlInputError { .. } | Error::QueryReturnedNoRows) => true,
@@ -97,7 +98,7 @@
     }
 }
 
-/// The size of the pages, as a file's head says.
+/// The size of the database's pages, as its header says.
 fn page_size(head: &[u8]) -> usize {
     match head.get(16..18) {
         Some([0, 1]) => 65_536,
@@ -106,7 +107,7 @@
     }
 }
 
-/// What is wrong with the head of a file.
+/// What is wrong with the header of a database file.
 fn header_corruption(head: &[u8]) -> Option<&'static str> {
     if head.len() < 100 {
         return Some("the file is cut short");
@@ -114,12 +115,12 @@
     if !head.starts_with(b"SQLite format 3\0") || page_size(head) < 512 {
         return Some("the file is no database");
     }
-    // Of another number there SQLite makes a file that is only read.
+    // With another number there SQLite would open the file read-only.
     let formats = head[18..20].iter().all(|format| (1..=2).contains(format));
     (!formats).then_some("the head of the file names formats that are none")
 }
 
-/// What SQLite itself would pass over without a word, and a newer version.
+/// Checks the files for corruption that SQLite itself would not report, and for a newer schema version.
 fn check_files(folder: &Path) -> eyre::Result<()> {
     let path = |end: &str| folder.join(format!("{DATABASE_FILE}{end}"));
     let step = || format!("disk: looking at {}", path("").display());
@@ -127,7 +128,7 @@
         .wrap_err_with(step)?
         .is_some_and(|length| length > 0)
     {
-        // Cut in the first moment of all: SQLite takes it back.
+        // The first start was cut off: SQLite rolls it back.
         return Ok(());
     }
     let length = file_length(&path("")).wrap_err_with(step)?;
@@ -157,7 +158,7 @@
         file.read_exact_at(&mut there, at).is_ok() && there == content
     };
     let read = wal::read(&log, page, stands);
-    // The schema's version is in the first page.
+    // The schema version is in the first page.
     let first = read
         .pages
         .get(&1)
@@ -167,7 +168,7 @@
         .get(60..64)
         .and_then(|word| word.try_into().ok());
     if version.is_some_and(|version| u32::from_be_bytes(version) > CURRENT_VERSION) {
-        // SQLite would put a log beside the file even where it only reads: looked at in memory, it stays as it is.
+        // SQLite would create a log beside the file even to read it: verified in memory, the file is left as it is.
         verify(folder)?;
     }
     match read.corruption {
@@ -195,20 +196,20 @@
 }
 
 impl Store {
-    fn connect(reach: FileAccess, folder: &Path) -> eyre::Result<(Store, RecoveredState)> {
+    fn connect(access: FileAccess, folder: &Path) -> eyre::Result<(Store, RecoveredState)> {
         check_files(folder)?;
         let (file, flags) = (folder.join(DATABASE_FILE), OpenFlags::default());
-        let opened = match reach.vfs {
+        let opened = match access.vfs {
             None => Connection::open_with_flags(file, flags),
             Some(vfs) => Connection::open_with_flags_and_vfs(file, flags, vfs),
         };
         let mut connection = opened.wrap_err("disk: opening")?;
-        // Danger: what is refused must stay as it is. SQLite would write the log into the file as it closes it.
+        // Hazard: a rejected file must be left as it is, but SQLite would checkpoint the log into it as it closes it.
         let kept = DbConfig::SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE;
         connection
             .set_db_config(kept, true)
             .wrap_err("disk: opening")?;
-        // Danger: exclusive first. Otherwise the log's index lies in mapped memory that processes share.
+        // Hazard: exclusive locking has to be set first. Otherwise the log's index is in memory that is shared between processes.
         pragma(&connection, "PRAGMA locking_mode=EXCLUSIVE")?;
         pragma(&connection, "PRAGMA synchronous=FULL")?;
         let found = schema::stored_schema(&connection)?;
@@ -240,29 +241,29 @@
     }
 
     /// Opens the database of a folder. `bootstrap`: the whole system starts for the first time, so that an empty disk is
-    /// in order. What can't be trusted is put aside and counts as an empty disk, and then never as a first start.
+    /// no loss. Corrupt files are quarantined; the disk then counts as empty, and never as that of a first start.
     ///
     /// # Errors
-    /// The folder can't be used, the disk does not write, or the file is of a newer schema version.
+    /// The folder can't be used, the disk rejects writes, or the file is of a newer schema version.
     pub fn open(folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
         Store::open_with(FileAccess::DIRECT, folder, bootstrap)
     }
 
-    fn open_with(reach: FileAccess, folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
+    fn open_with(access: FileAccess, folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
         let step = || format!("disk: folder {}", folder.display());
         std::fs::create_dir_all(folder).wrap_err_with(step)?;
-        let mut lost = None;
-        let (mut store, mut restored) = match Store::connect(reach, folder) {
+        let mut quarantined = None;
+        let (mut store, mut restored) = match Store::connect(access, folder) {
             Ok(found) => found,
             Err(error) if is_corruption(&error) => {
-                let kept = quarantine::quarantine(folder, reach.sync_folder)?;
-                lost = Some(format!("{error:#}; put aside as {}", kept.display()));
-                Store::connect(reach, folder)?
+                let kept = quarantine::quarantine(folder, access.sync_folder)?;
+                quarantined = Some(format!("{error:#}; put aside as {}", kept.display()));
+                Store::connect(access, folder)?
             }
             Err(error) => return Err(error),
         };
         if restored.metadata.incarnation == Incarnation::NONE {
-            // What was not written to its end counts for nothing.
+            // A recovery that was cut off counts for nothing.
             if restored != RecoveredState::default() {
                 store.clear()?;
                 restored = RecoveredState::default();
@@ -272,15 +273,15 @@
             }
         }
         if restored.metadata.incarnation != Incarnation::NONE {
-            // A ballot must never come twice: each start has a run of its own, on disk before anything is said.
+            // No ballot may be used twice: each start has a run of its own, which is on disk before anything is sent.
             restored.metadata.run += 1;
             store.commit([&Record::Metadata(restored.metadata.clone())])?;
         }
-        (reach.sync_folder)(folder).wrap_err_with(step)?;
+        (access.sync_folder)(folder).wrap_err_with(step)?;
         Ok(OpenedStore {
             store,
             recovered: restored,
-            quarantined: lost,
+            quarantined,
         })
     }
 
@@ -295,21 +296,24 @@
         transaction.commit().wrap_err(step)
     }
 
-    /// Writes rows, in order, in one commit. They are on disk once this returns.
+    /// Writes records, in order, in one commit. They are on disk once this returns.
     ///
     /// # Errors
-    /// The disk does not write. Nothing of it is there then, or it is there in full.
-    pub fn commit<'a>(&mut self, all: impl IntoIterator<Item = &'a Record>) -> eyre::Result<()> {
+    /// The disk rejects the write. Then either none of the records is there, or all of them are.
+    pub fn commit<'a>(
+        &mut self,
+        records: impl IntoIterator<Item = &'a Record>,
+    ) -> eyre::Result<()> {
         let transaction = self.connection.transaction().wrap_err("disk: beginning")?;
-        for row in all {
-            records::write_record(&transaction, row)?;
+        for record in records {
+            records::write_record(&transaction, record)?;
         }
         transaction.commit().wrap_err("disk: committing")?;
         if file_length(&self.log)
             .is_ok_and(|length| length.is_some_and(|length| length >= self.checkpoint_bytes))
         {
-            // The commit stands without it: a disk that refuses this is met again at the next one. The log is emptied: what
-            // is harmed in one that the file is ahead of would go unseen.
+            // The commit stands without a checkpoint: a disk that rejects this will reject the next commit as well. The log is
+            // truncated, as corruption would go unnoticed in a log that the file is ahead of.
             pragma(&self.connection, "PRAGMA wal_checkpoint(TRUNCATE)").ok();
         }
         Ok(())
--- a/crates/control/src/disk/quarantine.rs
+++ b/crates/control/src/disk/quarantine.rs
@@ -1,4 +1,4 @@
-//! Files that can't be trusted are put aside: renamed, and kept for a look.
+//! Quarantine of corrupt files: they are renamed and kept for inspection.
 
 use std::fs::{self, File};
 use std::io;
@@ -8,13 +8,13 @@
 
 use super::DATABASE_FILE;
 
-/// What SQLite keeps beside its file.
+/// The endings of the files that SQLite keeps beside the database.
 const SIDE_FILE_SUFFIXES: [&str; 3] = ["-wal", "-shm", "-journal"];
 const QUARANTINE_PREFIX: &str = "aside-";
-/// So many are kept; the oldest go first.
+/// The greatest number of databases in quarantine; the oldest are removed first.
 const MAX_QUARANTINED: usize = 3;
 
-/// Files that were put aside, by their numbers.
+/// The files in quarantine, by their numbers.
 fn quarantined_files(folder: &Path) -> io::Result<Vec<(u32, PathBuf)>> {
     let mut all = Vec::new();
     for entry in fs::read_dir(folder)? {
@@ -31,15 +31,15 @@
     Ok(all)
 }
 
-/// A file of this folder was put aside before: it is no first start.
+/// Whether a file of this folder was quarantined before, so that this is no first start.
 pub(super) fn has_quarantined(folder: &Path) -> bool {
     quarantined_files(folder).is_ok_and(|kept| !kept.is_empty())
 }
 
-/// The names of a database go to those of one that is kept. Gives the new name.
+/// Renames a database and the files beside it. Gives the new name of the database.
 ///
 /// # Errors
-/// The folder does not take it.
+/// A file can't be renamed, or the folder can't be synced.
 pub(super) fn quarantine(
     folder: &Path,
     sync: impl Fn(&Path) -> io::Result<()>,
@@ -53,7 +53,8 @@
     let kept = quarantined_files(folder).wrap_err_with(step)?;
     let number = kept.last().map_or(1, |(number, _)| number + 1);
     let name = |end: &str| folder.join(format!("{QUARANTINE_PREFIX}{number}-{DATABASE_FILE}{end}"));
-    // Danger: the file first, for good, then its log. A file without its log reads as one that is whole, and is older.
+    // Hazard: the file is renamed first, and that is synced, then its log. A file without its log would be read as an intact
+    // one that is older.
     for end in std::iter::once("").chain(SIDE_FILE_SUFFIXES) {
         match fs::rename(folder.join(format!("{DATABASE_FILE}{end}")), name(end)) {
             Ok(()) => sync(folder).wrap_err_with(step)?,
@@ -73,7 +74,7 @@
     Ok(name(""))
 }
 
-/// Syncs a folder, so that the names in it last.
+/// Syncs a folder, so that the names in it are durable.
 pub(super) fn sync_folder(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
 }
--- a/crates/control/src/disk/records.rs
+++ b/crates/control/src/disk/records.rs
@@ -1,4 +1,4 @@
-//! Rows as bytes: how each is written, summed up, read and checked.
+//! The encoding of records: how each is written, checksummed, read and checked.
 
 use std::fmt;
 
@@ -13,15 +13,15 @@
 use crate::core::registers::Register;
 use crate::core::{Record, RecoveredState, ReplicaMetadata};
 
-/// The tables of rows.
+/// The tables that hold records.
 pub(super) const TABLES: [&str; 3] = ["own", "registers", "chosen"];
 
-/// What is wrong with one row, or with the file.
+/// What is wrong with one record, or with the file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CorruptRecord {
-    /// The table; empty where it is not one row.
+    /// The table; empty if it is not about one record.
     pub table: String,
-    /// The name of the row, as far as it can be read.
+    /// The name of the record, as far as it can be read.
     pub name: String,
     /// What is wrong.
     pub what: String,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The files hold what was never written, or not all that was.
+/// The files hold something that was never written, or not everything that was.
 #[derive(Clone, Debug)]
 pub struct Corruption(pub Vec<CorruptRecord>);
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Most faults that one line of the log names.
+/// The greatest number of corrupt records that one line of the log names.
 const MAX_NAMED_RECORDS: usize = 16;
 
 impl fmt::Display for Corruption {
@@ -71,7 +71,7 @@
 
 impl std::error::Error for Corruption {}
 
-/// The checksum of a row. It is over the table and the name as well: a row in another's place is noticed.
+/// The checksum of a record. It covers the table and the name as well, so that a record in the place of another is noticed.
 pub(super) fn checksum(table: &str, name: &[u8], value: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(table.as_bytes());
@@ -89,7 +89,7 @@
     postcard::from_bytes(bytes).map_err(|error| format!("does not decode: {error}"))
 }
 
-/// How a name is shown that may be harmed itself.
+/// A name, which may be corrupt itself, as it is displayed.
 fn display_name(name: &[u8]) -> String {
     match decode::<ItemName>(name) {
         Ok(name) => name.to_string(),
@@ -101,7 +101,7 @@
     }
 }
 
-/// Writes a row.
+/// Writes a record.
 pub(super) fn write_record(transaction: &Transaction<'_>, row: &Record) -> eyre::Result<()> {
     let (table, name, value) = match row {
         Record::Metadata(own) => ("own", None, encode(own)?),
@@ -127,16 +127,17 @@
     value.as_blob().map_err(|_| "is no bytes".to_string())
 }
 
-/// Hands all rows of a table to `one`, and notes what it finds wrong. `sums`: there are checksums, and they are checked.
+/// Passes the name and value of each record of a table to `read`, and adds what it finds wrong to `faults`. `checksums`: the
+/// records have checksums, and these are checked.
 fn for_each_record(
     connection: &Connection,
     table: &str,
-    sums: bool,
+    checksums: bool,
     faults: &mut Vec<CorruptRecord>,
-    mut one: impl FnMut(&[u8], &[u8]) -> Result<(), String>,
+    mut read: impl FnMut(&[u8], &[u8]) -> Result<(), String>,
 ) -> eyre::Result<()> {
     let step = || format!("disk: reading {table}");
-    let columns = match (table, sums) {
+    let columns = match (table, checksums) {
         ("own", true) => "x'', value, sum",
         ("own", false) => "x'', value",
         (_, true) => "name, value, sum",
@@ -147,16 +148,16 @@
         .wrap_err_with(step)?;
     let mut rows = statement.query([]).wrap_err_with(step)?;
     while let Some(row) = rows.next().wrap_err_with(step)? {
-        let named = row.get_ref(0).wrap_err_with(step)?;
+        let name_value = row.get_ref(0).wrap_err_with(step)?;
         let value = row.get_ref(1).wrap_err_with(step)?;
-        let told = if sums {
+        let stored = if checksums {
             Some(row.get_ref(2).wrap_err_with(step)?)
         } else {
             None
         };
         let checked = || {
-            let (name, value) = (blob_bytes(named)?, blob_bytes(value)?);
-            match told {
+            let (name, value) = (blob_bytes(name_value)?, blob_bytes(value)?);
+            match stored {
                 Some(told)
                     if told != ValueRef::Integer(i64::from(checksum(table, name, value))) =>
                 {
@@ -165,8 +166,8 @@
                 _ => Ok((name, value)),
             }
         };
-        if let Err(what) = checked().and_then(|(name, value)| one(name, value)) {
-            let name = named.as_blob().map(display_name).unwrap_or_default();
+        if let Err(what) = checked().and_then(|(name, value)| read(name, value)) {
+            let name = name_value.as_blob().map(display_name).unwrap_or_default();
             faults.push(CorruptRecord {
                 table: table.to_string(),
                 name,
@@ -177,41 +178,54 @@
     Ok(())
 }
 
-/// All that a database holds, and what is wrong with it.
+/// Everything that a database holds, and what is wrong with it.
 pub(super) fn read_all(
     connection: &Connection,
-    sums: bool,
+    checksums: bool,
 ) -> eyre::Result<(RecoveredState, Vec<CorruptRecord>)> {
     let (mut restored, mut faults) = (RecoveredState::default(), Vec::new());
     let other = || "is of another name".to_string();
-    for_each_record(connection, "own", sums, &mut faults, |_, value| {
+    for_each_record(connection, "own", checksums, &mut faults, |_, value| {
         restored.metadata = decode::<ReplicaMetadata>(value)?;
         Ok(())
     })?;
-    for_each_record(connection, "registers", sums, &mut faults, |name, value| {
-        let (name, register) = (decode::<ItemName>(name)?, decode::<Register>(value)?);
-        if register
-            .accepted
-            .as_ref()
-            .is_some_and(|(_, item)| item.name != name)
-        {
-            return Err(other());
-        }
-        restored.registers.push((name, register));
-        Ok(())
-    })?;
-    for_each_record(connection, "chosen", sums, &mut faults, |name, value| {
-        let (name, (ballot, item)) = (decode::<ItemName>(name)?, decode::<(Ballot, Item)>(value)?);
-        if item.name != name {
-            return Err(other());
-        }
-        restored.chosen.push((ballot, item));
-        Ok(())
-    })?;
+    for_each_record(
+        connection,
+        "registers",
+        checksums,
+        &mut faults,
+        |name, value| {
+            let (name, register) = (decode::<ItemName>(name)?, decode::<Register>(value)?);
+            if register
+                .accepted
+                .as_ref()
+                .is_some_and(|(_, item)| item.name != name)
+            {
+                return Err(other());
+            }
+            restored.registers.push((name, register));
+            Ok(())
+        },
+    )?;
+    for_each_record(
+        connection,
+        "chosen",
+        checksums,
+        &mut faults,
+        |name, value| {
+            let (name, (ballot, item)) =
+                (decode::<ItemName>(name)?, decode::<(Ballot, Item)>(value)?);
+            if item.name != name {
+                return Err(other());
+            }
+            restored.chosen.push((ballot, item));
+            Ok(())
+        },
+    )?;
     Ok((restored, faults))
 }
 
-/// Writes the checksum of each row of a table that has none yet.
+/// Writes the checksum of each record of a table that has none yet.
 pub(super) fn add_checksums(transaction: &Transaction<'_>, table: &str) -> eyre::Result<()> {
     let step = || format!("disk: summing up {table}");
     let key = if table == "own" { "one" } else { "name" };
@@ -223,13 +237,16 @@
     let mut next = transaction.prepare(&next).wrap_err_with(step)?;
     let mut at = rusqlite::types::Value::Null;
     loop {
-        let read = |row: &rusqlite::Row<'_>| {
+        let read_row = |row: &rusqlite::Row<'_>| {
             Ok((
                 row.get::<_, rusqlite::types::Value>(0)?,
                 row.get::<_, Vec<u8>>(1)?,
             ))
         };
-        let found = next.query_row([&at], read).optional().wrap_err_with(step)?;
+        let found = next
+            .query_row([&at], read_row)
+            .optional()
+            .wrap_err_with(step)?;
         let Some((name, value)) = found else {
             return Ok(());
         };
--- a/crates/control/src/disk/schema.rs
+++ b/crates/control/src/disk/schema.rs
@@ -1,19 +1,19 @@
-//! The schema's versions, and how a file of an older one becomes one of the newest.
+//! The versions of the schema, and the migration of a file of an older version to the current one.
 //!
-//! The version stands in `PRAGMA user_version` and again, with a checksum, in the table `schema`; every version to come
-//! keeps that table as it is. So a newer file is told from a harmed one: both must name the same version.
+//! The version is in `PRAGMA user_version` and again, with a checksum, in the table `schema`; every later version has to keep
+//! that table as it is. So a newer file is distinguished from a corrupt one: both places must have the same version.
 //!
-//! | version | what |
+//! | version | content |
 //! | --- | --- |
-//! | 0 | none stated: no tables yet, or those of the first builds, without `schema` and without checksums |
-//! | 1 | the table `schema`; each row of `own`, `registers` and `chosen` with its checksum in `sum` |
+//! | 0 | no version: no tables yet, or those of the first builds, without `schema` and without checksums |
+//! | 1 | the table `schema`; each record of `own`, `registers` and `chosen` has its checksum in `sum` |
 
 use eyre::{WrapErr, eyre};
 use rusqlite::{Connection, OptionalExtension, params};
 
 use super::records::{self, Corruption};
 
-/// The newest version, which this program writes.
+/// The current version, which this program writes.
 pub const CURRENT_VERSION: u32 = 1;
 
 const CREATE_TABLES: &str =
@@ -22,12 +22,12 @@
     CREATE TABLE chosen (name BLOB PRIMARY KEY, value BLOB NOT NULL, sum INTEGER NOT NULL) WITHOUT ROWID;";
 const CREATE_SCHEMA_TABLE: &str = "CREATE TABLE schema (one INTEGER PRIMARY KEY CHECK (one = 1), version INTEGER NOT NULL, sum INTEGER NOT NULL);";
 
-/// What a file is.
+/// The schema of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StoredSchema {
-    /// There is nothing in it yet.
+    /// There are no tables yet.
     Empty,
-    /// It is of this version.
+    /// A version.
     Version(u32),
 }
 
@@ -43,10 +43,10 @@
         .wrap_err("disk: reading the schema")
 }
 
-/// The version of a database.
+/// The schema of a database.
 ///
 /// # Errors
-/// It is harmed, or newer than this program knows.
+/// It is corrupt, or newer than this program knows.
 pub(super) fn stored_schema(connection: &Connection) -> eyre::Result<StoredSchema> {
     let step = "disk: reading the schema's version";
     let head = connection
@@ -79,10 +79,10 @@
     }
 }
 
-/// Makes a file one of the newest version, in one transaction.
+/// Migrates a file to the current version, in one transaction.
 ///
 /// # Errors
-/// It is harmed, or the disk does not write.
+/// It is corrupt, or the disk rejects writes.
 pub(super) fn migrate(connection: &mut Connection, found: StoredSchema) -> eyre::Result<()> {
     if found == StoredSchema::Version(CURRENT_VERSION) {
         return Ok(());
@@ -94,7 +94,7 @@
             .execute_batch(CREATE_TABLES)
             .wrap_err_with(step)?;
     } else {
-        // What does not decode must not get a checksum that says that it is right.
+        // A record that does not decode must not get a checksum that says that it is valid.
         let (_, faults) = records::read_all(&transaction, false)?;
         if !faults.is_empty() {
             return Err(Corruption(faults).into());
--- a/crates/control/src/disk/verify.rs
+++ b/crates/control/src/disk/verify.rs
@@ -1,4 +1,4 @@
-//! A look at a replica's files that changes none of their bytes: file and log are read into memory and put together there.
+//! Verification of a replica's files without changing any of their bytes: file and log are read into memory and merged there.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,24 +14,24 @@
 };
 use crate::core::RecoveredState;
 
-/// What a replica's files hold.
+/// What a replica's files hold. The names of the fields are the keys of the JSON that operators' scripts read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Report {
-    /// Version of the schema; 0 where none is stated.
+    /// The version of the schema; 0 if there is none.
     pub schema: u32,
-    /// Number of the replica's incarnation; 0 while it has not rebuilt.
+    /// The number of the replica's incarnation; 0 if it has not recovered.
     pub incarnation: u32,
-    /// Starts of its process in this incarnation.
+    /// How often its process has started in this incarnation.
     pub run: u32,
-    /// Registers.
+    /// The number of registers.
     pub registers: usize,
-    /// Items known to be chosen.
+    /// The number of items that are known to be chosen.
     pub chosen: usize,
-    /// Highest version by kind, of what is accepted or chosen.
+    /// The highest version of each kind of item, accepted or chosen.
     pub highest: BTreeMap<&'static str, u64>,
-    /// Commits that stand in the log.
+    /// The number of commits in the write-ahead log.
     pub commits: usize,
-    /// What is wrong; a start with these files would put them aside.
+    /// What is wrong; a start with these files would quarantine them.
     pub faults: Vec<CorruptRecord>,
 }
 
@@ -64,12 +64,12 @@
 /// Reads the files of a replica's folder while its program does not run.
 ///
 /// # Errors
-/// There are none, they can't be read, or they are of a newer schema version.
+/// There are no files, they can't be read, or they are of a newer schema version.
 pub fn verify(folder: &Path) -> eyre::Result<Report> {
     verify_file(&folder.join(DATABASE_FILE))
 }
 
-/// The same of a file by its own name, such as one that was put aside; its log has the same name and `-wal`.
+/// Reads a file by its own name, such as one that was quarantined; its log has the same name and `-wal`.
 ///
 /// # Errors
 /// As [`verify`].
@@ -114,7 +114,7 @@
     Ok(found)
 }
 
-/// The file as it reads with its log.
+/// The content of the file with its log applied.
 fn merge_wal(mut bytes: Vec<u8>, log: &[u8], found: &mut Report) -> Result<Vec<u8>, Corruption> {
     if bytes.is_empty() {
         return Err(Corruption::of("the log stands without its file"));
@@ -136,7 +136,7 @@
             .flat_map(|harm| Corruption::of(harm).0),
     );
     if let Some(size) = read.size {
-        // A page of a size that no log can have filled is harm; it must not take all memory.
+        // A size that no log can have filled is corrupt, and must not use up the memory.
         if size as usize > bytes.len() / page + read.pages.len() {
             return Err(Corruption::of("the log names more pages than there are"));
         }
@@ -146,7 +146,7 @@
                 .copy_from_slice(wal::page_content(log, at, page));
         }
     }
-    // In memory there is no log; without this SQLite would look for one.
+    // There is no log in memory; without this SQLite would look for one.
     bytes[18..20].fill(1);
     Ok(bytes)
 }
--- a/crates/control/src/disk/wal.rs
+++ b/crates/control/src/disk/wal.rs
@@ -1,10 +1,11 @@
-//! A look at SQLite's log before SQLite itself reads it. SQLite takes the first frame that does not match its checksum
-//! for the end of the log; what follows is gone without a word. That is right after a loss of power, and wrong where
-//! what was synced is harmed.
+//! A check of SQLite's write-ahead log before SQLite itself reads it. SQLite takes the first frame that does not match its
+//! checksum for the end of the log, and silently drops what follows. That is right after a loss of power, and wrong where
+//! something that was synced is corrupt.
 //!
 //! A commit is synced before the next one begins to be written. So only the last commit can be torn by a loss of power:
-//! where a later one follows the bad frame, what was synced is harmed. Of the last commit itself harm and tear can't be
-//! told apart: then what it wrote is missing, as a whole. So is the one before it, where a sector with its mark is gone.
+//! where a later one follows the bad frame, something that was synced is corrupt. In the last commit itself corruption can't
+//! be distinguished from a torn write: then everything that it wrote is missing. So it is with the commit before it, if the
+//! sector with its commit mark is gone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,20 +13,20 @@
 const FRAME_HEADER_BYTES: usize = 24;
 const MAGIC: u32 = 0x377f_0682;
 const SECTOR_BYTES: usize = 512;
-/// A commit of more frames may have had more pages than the cache holds, and those are written more than once.
+/// A commit of more frames may have changed more pages than the cache holds, and those are written more than once.
 const MAX_SINGLE_WRITE_FRAMES: usize = 64;
 
-/// What a log holds.
+/// What a write-ahead log holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct WalContents {
-    /// Newest content of each page, by where it stands in the log.
+    /// The position of the newest content of each page in the log.
     pub pages: BTreeMap<u32, usize>,
-    /// Pages of the database after the last commit.
+    /// The number of pages of the database after the last commit.
     pub size: Option<u32>,
-    /// Commits, and the frames of these.
+    /// The number of commits, and of their frames.
     pub commits: usize,
     pub committed_frames: usize,
-    /// Why it can't be trusted.
+    /// Why the log can't be trusted.
     pub corruption: Option<String>,
 }
 
@@ -36,7 +37,7 @@
         .map_or(0, u32::from_be_bytes)
 }
 
-/// SQLite's checksum, on top of that of what came before.
+/// SQLite's checksum, continued from that of the bytes before.
 fn wal_checksum(bytes: &[u8], big: bool, before: (u32, u32)) -> (u32, u32) {
     let word = |word: &[u8]| {
         let word = word.try_into().unwrap_or_default();
@@ -52,7 +53,7 @@
     })
 }
 
-/// A place for a frame, whatever stands there.
+/// The place of a frame, whatever its content.
 #[derive(Clone, Copy)]
 struct FrameSlot {
     at: usize,
@@ -62,7 +63,7 @@
 }
 
 impl FrameSlot {
-    /// Page, mark and salts are of one sector, and so of one write.
+    /// Whether page number, commit mark and salts are in one sector, and so were written at once.
     fn is_single_sector(&self) -> bool {
         self.at % SECTOR_BYTES + 16 <= SECTOR_BYTES
     }
@@ -83,12 +84,12 @@
     (0..slots).map(slot).collect()
 }
 
-/// The page whose frame stands there.
+/// The content of the page whose frame is at this position.
 pub(super) fn page_content(log: &[u8], at: usize, page: usize) -> &[u8] {
     &log[at + FRAME_HEADER_BYTES..at + FRAME_HEADER_BYTES + page]
 }
 
-/// Reads a log. `page`: the size of the database's pages; `stands`: whether a page of the file has this content.
+/// Reads a log. `page`: the size of the database's pages in bytes; `stands`: whether a page of the file has this content.
 pub(super) fn read(log: &[u8], page: usize, stands: impl Fn(u32, &[u8]) -> bool) -> WalContents {
     let mut read = WalContents::default();
     if log.len() < HEADER_BYTES || page == 0 {
@@ -100,7 +101,7 @@
     let mut sums = wal_checksum(&log[..24], big, (0, 0));
     let whole = read_u32(log, 0) & !1 == MAGIC && sums == (read_u32(log, 24), read_u32(log, 28));
     if !whole || read_u32(log, 8) as usize != page {
-        // The head is torn where the log begins anew; then all that the log held before is in the file by now.
+        // The header is torn where the log was being restarted; then everything that it held before is in the file by now.
         let first = slots.first().map(|slot| slot.salts);
         let run: Vec<FrameSlot> = slots
             .iter()
@@ -144,7 +145,7 @@
             read.committed_frames = good;
         }
     }
-    // One bit or two are no other log's salts: those are drawn by chance.
+    // Salts that differ in one or two bits are those of this log: other logs have random ones.
     let own = |slot: &&FrameSlot| (slot.salts ^ salts).count_ones() <= 2;
     let (mut over, mut known) = (false, BTreeSet::new());
     for slot in slots[good..].iter().filter(own) {
@@ -155,7 +156,7 @@
         }
         over |= slot.commit != 0 && slot.is_single_sector();
     }
-    // The mark of a commit may be harmed itself; but a commit of few pages writes none of them twice.
+    // The commit mark may be corrupt itself; but a commit of few pages writes none of them twice.
     let tail: Vec<&FrameSlot> = slots[read.committed_frames..].iter().filter(own).collect();
     let twice = tail
         .iter()
--- a/crates/control/src/disk/write_queue.rs
+++ b/crates/control/src/disk/write_queue.rs
@@ -1,5 +1,5 @@
-//! The queue of writes, and the thread that works through it. A disk that refuses a write is tried again with all that
-//! waits: nothing of it is given up, and the loop hears when it begins and when it is over.
+//! The queue of writes, and the thread that commits them. A disk that rejects a write is tried again with everything that is
+//! queued: nothing is given up, and the event loop is told when the disk begins to reject writes and when it accepts them again.
 
 use std::collections::BTreeMap;
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
@@ -13,28 +13,28 @@
 use crate::core::Record;
 use crate::limits;
 
-/// Most writes that go into one commit.
+/// The greatest number of writes that go into one commit.
 const MAX_GROUP_COMMIT: usize = 64;
-/// Stack of the thread, in bytes.
+/// The stack of the thread, in bytes.
 const STACK_BYTES: usize = 512 * 1024;
 
-/// What is to be written, under a number.
+/// The records to be written under a request id.
 pub type WriteRequest = (u64, Vec<Record>);
 
-/// What the loop hears of the disk.
+/// What the thread reports to the event loop.
 #[derive(Debug)]
 pub enum WriterEvent {
-    /// What was ordered under this number is on disk. Numbers come in their order.
+    /// The write with this request id is on disk. Writes are reported in the order in which they were requested.
     Written(u64),
-    /// The disk refuses writes, and why. What was ordered waits.
+    /// The disk rejects writes, for this reason. What was requested is still queued.
     WritesRejected(eyre::Report),
-    /// It takes writes again.
+    /// The disk accepts writes again.
     WritesResumed,
-    /// It can't be used any more.
+    /// The database can't be used any more.
     Failed(eyre::Report),
 }
 
-/// What row it is: a later one of the same takes its place.
+/// The identity of a record: a later one with the same key replaces it.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum RecordKey {
     Own,
@@ -42,19 +42,19 @@
     Chosen(ItemName),
 }
 
-fn record_key(row: &Record) -> RecordKey {
-    match row {
+fn record_key(record: &Record) -> RecordKey {
+    match record {
         Record::Metadata(_) => RecordKey::Own,
         Record::Register(name, _) => RecordKey::Register(name.clone()),
         Record::Chosen(_, item) => RecordKey::Chosen(item.name.clone()),
     }
 }
 
-/// A store and what waits for it.
+/// A store and the writes that are queued for it.
 pub(super) struct WriteQueue {
     store: Store,
     request_ids: Vec<u64>,
-    /// Only the newest of each row: a disk that is full for long must not fill the memory.
+    /// Only the newest record of each key: a disk that is full for long must not fill up the memory.
     records: BTreeMap<RecordKey, Record>,
     rejecting: bool,
 }
@@ -69,19 +69,22 @@
         }
     }
 
-    pub(super) fn enqueue(&mut self, (number, rows): WriteRequest) {
-        self.request_ids.push(number);
-        self.records
-            .extend(rows.into_iter().map(|row| (record_key(&row), row)));
+    pub(super) fn enqueue(&mut self, (id, records): WriteRequest) {
+        self.request_ids.push(id);
+        self.records.extend(
+            records
+                .into_iter()
+                .map(|record| (record_key(&record), record)),
+        );
     }
 
-    /// Rows that wait.
+    /// The number of records that are queued.
     #[cfg(test)]
     pub(super) fn pending_records(&self) -> usize {
         self.records.len()
     }
 
-    /// Tries to write all that waits, in one commit.
+    /// Tries to write everything that is queued in one commit.
     pub(super) fn commit_pending(&mut self) -> Vec<WriterEvent> {
         match self.store.commit(self.records.values()) {
             Ok(()) => {
@@ -103,54 +106,53 @@
     }
 }
 
-/// Starts the thread that owns the store. `done` hears of each number that is on disk, in order, and of a disk that
-/// refuses.
+/// Starts the thread that owns the store. It reports to `events`.
 ///
 /// # Errors
 /// No thread can be started.
 pub fn spawn(
     store: Store,
-    done: calloop::channel::Sender<WriterEvent>,
+    events: calloop::channel::Sender<WriterEvent>,
 ) -> eyre::Result<Sender<WriteRequest>> {
-    let (orders, queue) = mpsc::channel();
+    let (requests, queue) = mpsc::channel();
     let thread = thread::Builder::new()
         .name("disk".to_string())
         .stack_size(STACK_BYTES);
     thread
-        .spawn(move || run_writer(WriteQueue::new(store), &queue, &done))
+        .spawn(move || run_writer(WriteQueue::new(store), &queue, &events))
         .wrap_err("disk: starting its thread")?;
-    Ok(orders)
+    Ok(requests)
 }
 
 fn run_writer(
-    mut desk: WriteQueue,
+    mut writes: WriteQueue,
     queue: &Receiver<WriteRequest>,
-    done: &calloop::channel::Sender<WriterEvent>,
+    events: &calloop::channel::Sender<WriterEvent>,
 ) {
     loop {
-        let mut most = MAX_GROUP_COMMIT;
-        if desk.rejecting {
-            // What is ordered meanwhile is taken in, and written with the next try.
+        let mut room = MAX_GROUP_COMMIT;
+        if writes.rejecting {
+            // What is requested meanwhile is queued, and written with the next attempt.
             let next = Instant::now() + Duration::from_micros(limits::DISK_RETRY_INTERVAL as u64);
             loop {
                 match queue.recv_timeout(next.saturating_duration_since(Instant::now())) {
-                    Ok(order) => desk.enqueue(order),
+                    Ok(request) => writes.enqueue(request),
                     Err(RecvTimeoutError::Timeout) => break,
                     Err(RecvTimeoutError::Disconnected) => return,
                 }
             }
         } else {
             let Ok(first) = queue.recv() else { return };
-            desk.enqueue(first);
-            most -= 1;
+            writes.enqueue(first);
+            room -= 1;
         }
         queue
             .try_iter()
-            .take(most)
-            .for_each(|order| desk.enqueue(order));
-        for report in desk.commit_pending() {
-            let last = matches!(report, WriterEvent::Failed(_));
-            if done.send(report).is_err() || last {
+            .take(room)
+            .for_each(|request| writes.enqueue(request));
+        for event in writes.commit_pending() {
+            let last = matches!(event, WriterEvent::Failed(_));
+            if events.send(event).is_err() || last {
                 return;
             }
         }
--- a/crates/control/src/host/http_calls.rs
+++ b/crates/control/src/host/http_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and clients, and this program's own calls of the platform.
+//! HTTP calls of operators and clients, and this program's own calls of the platform.
 
 use std::io::{ErrorKind, Read};
 
@@ -14,10 +14,13 @@
 use crate::operator_api::{self, Reply};
 use crate::{limits, lookup};
 
+/// The greatest size of the body of a lookup, in bytes.
+const MAX_LOOKUP_BODY_BYTES: u64 = 1_024;
+
 const JSON_HEADERS: [(&str, &str); 1] = [("Content-Type", "application/json")];
 
 impl Host {
-    /// Reads calls, one after the other: the next one is looked at once this one is answered.
+    /// Reads the calls of a connection one after the other: the next one once this one is answered.
     pub(super) fn read_call(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -26,16 +29,17 @@
             return;
         }
         let operator = connection.role == Role::Operator;
-        let most = if operator {
+        let max_body_bytes = if operator {
             limits::MAX_CALL_BYTES
         } else {
-            1_024
+            MAX_LOOKUP_BODY_BYTES
         };
-        if let Err(fault) = connection
-            .incoming
-            .read(&mut connection.input, most, &self.frames)
+        if let Err(malformed) =
+            connection
+                .incoming
+                .read(&mut connection.input, max_body_bytes, &self.frames)
         {
-            return self.reject(key, fault);
+            return self.reject(key, malformed);
         }
         if !connection.incoming.whole() {
             let expects = connection.incoming.head().is_some_and(|head| head.expects);
@@ -58,16 +62,16 @@
         }
     }
 
-    fn reject(&mut self, key: ConnectionKey, fault: Malformed) {
+    fn reject(&mut self, key: ConnectionKey, malformed: Malformed) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.close_after_reply = true;
             connection.awaiting_reply = true;
         }
-        let body = format!(r#"{{"error":"{fault}"}}"#);
-        self.answer(key, fault.status(), body.as_bytes());
+        let body = format!(r#"{{"error":"{malformed}"}}"#);
+        self.answer(key, malformed.status(), body.as_bytes());
     }
 
-    /// A caller's end of the connection is closed by now. What it sent next, if anything, is kept.
+    /// Whether a caller has closed its end of the connection. What it has sent after the call is kept.
     fn has_disconnected(&mut self, key: ConnectionKey) -> bool {
         let Some(connection) = self.connections.get_mut(key) else {
             return true;
@@ -85,8 +89,8 @@
     }
 
     fn handle_operator_call(&mut self, key: ConnectionKey, request: Request) {
-        // Danger: an evacuation has no version. One that waited while this process stood still, and was sent again
-        // elsewhere, must not be begun after the opposite order was acknowledged.
+        // Hazard: an evacuation has no version. One that waited while this process stalled, and was sent again elsewhere,
+        // must not be begun after the opposite call was acknowledged.
         if self.has_disconnected(key) {
             return self.close(key);
         }
@@ -102,8 +106,7 @@
                 self.step_core(Input::OperatorCall(key.data().as_ffi(), command, deadline));
             }
             Err(reply) => {
-                let (status, body) = reply.parts();
-                self.answer(key, status, &body);
+                self.send_reply(key, reply);
             }
         }
     }
@@ -118,11 +121,10 @@
             (_, "/api/lookup") => Reply::MethodNotAllowed,
             _ => Reply::NotFound(format!("path: {path}")),
         };
-        let (status, body) = refusal.parts();
-        self.answer(key, status, &body);
+        self.send_reply(key, refusal);
     }
 
-    /// Answers a caller, and looks at what it asks next.
+    /// Answers a caller, and reads its next call.
     pub(super) fn answer(&mut self, key: ConnectionKey, status: u16, body: &[u8]) {
         let Some(connection) = self
             .connections
@@ -145,14 +147,14 @@
         }
     }
 
-    /// Asks the platform for its list, while this replica has that duty.
+    /// Reads the platform's list, while this replica has that role.
     pub(super) fn poll_platform(&mut self, now: i64) {
         let holds = self.core.polls_platform(now);
         let Some(poller) = &mut self.poller else {
             return;
         };
         if poller.is_overdue(now) {
-            warn!(self.log, "the platform does not answer"; "peer" => poller.address.to_string());
+            warn!(self.log, "platform does not answer"; "peer" => poller.address.to_string());
             if let Some(key) = poller.connection.take() {
                 self.close(key);
             }
@@ -164,8 +166,8 @@
         let Some(request) = poller.next_request(now) else {
             return;
         };
-        let (kept, address) = (poller.connection, poller.address);
-        let key = match kept.filter(|key| self.connections.contains_key(*key)) {
+        let (connection, address) = (poller.connection, poller.address);
+        let key = match connection.filter(|key| self.connections.contains_key(*key)) {
             Some(key) => Some(key),
             None => self.connect(address, Role::Platform),
         };
@@ -178,7 +180,7 @@
         }
     }
 
-    /// A round came to nothing.
+    /// A poll has failed.
     fn handle_poll_failed(&mut self) {
         if self
             .poller
@@ -196,23 +198,23 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        // What came answers nothing that was asked here. Left where it is, it would answer the next question.
+        // What was received answers no request. Left in the buffer it would be taken for the answer to the next one.
         if !poller.is_waiting() || poller.connection != Some(key) {
-            poller.connection.take_if(|kept| *kept == key);
+            poller.connection.take_if(|connection| *connection == key);
             return self.close(key);
         }
         match poller.read(&mut connection.input) {
-            Ok((come, kept)) => {
-                if !kept {
+            Ok((result, keep_open)) => {
+                if !keep_open {
                     poller.connection = None;
                     self.close(key);
                 }
-                if let PollResult::Complete(servers) = come {
+                if let PollResult::Complete(servers) = result {
                     self.step_core(Input::ServerListRead(servers));
                 }
             }
             Err(error) => {
-                warn!(self.log, "{:#}", error);
+                warn!(self.log, "reading the platform's list failed"; "error" => format!("{error:#}"));
                 poller.connection = None;
                 self.close(key);
                 self.handle_poll_failed();
@@ -220,7 +222,7 @@
         }
     }
 
-    /// The platform's connection has ended. One that was kept may end at any time: then the round begins anew.
+    /// The connection to the platform was closed. One that was kept open may be closed at any time: then the poll restarts.
     pub(super) fn handle_platform_disconnected(&mut self, key: ConnectionKey, since: i64) {
         let now = self.now();
         let Some(poller) = self
--- a/crates/control/src/host/peer_links.rs
+++ b/crates/control/src/host/peer_links.rs
@@ -1,5 +1,5 @@
-//! Links with the other replicas and with agents. Between two replicas one link is enough, whoever opened it; each end says
-//! something on it now and then, so that a link that was cut in silence is seen.
+//! Links with the other replicas and with agents. Two replicas need one link, whichever of them opened it. Each end sends a
+//! sign of life now and then, so that a broken link is noticed.
 
 use std::net::SocketAddr;
 
@@ -15,13 +15,15 @@
 use crate::dataplane_types::ConnectionKey;
 use crate::limits;
 
-/// A replica's link begins with these bytes: no message of an agent has such a length.
+/// The first bytes of a link between replicas: no frame of an agent begins with such a length.
 const REPLICA_PREAMBLE: [u8; 4] = [255; 4];
-/// Of two links with one peer, the one that is not used is closed after this.
+/// Of two links with one peer the unused one is closed after this, in microseconds.
 const DUPLICATE_LINK_TIMEOUT: i64 = 3_000_000;
+/// A sign of life is sent on a link on which nothing was sent for this long: a little less than the heartbeat interval.
+const KEEP_ALIVE_INTERVAL: i64 = limits::HEARTBEAT_INTERVAL - 100_000;
 
 impl Host {
-    /// The first bytes tell a replica from an agent.
+    /// Distinguishes a replica from an agent by the first bytes.
     pub(super) fn identify(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -39,7 +41,7 @@
         }
     }
 
-    /// A connection that was opened here is up.
+    /// A connection that was opened here is established.
     pub(super) fn handle_connected(&mut self, key: ConnectionKey) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
@@ -65,16 +67,16 @@
             let Some(connection) = self.connections.get_mut(key) else {
                 return;
             };
-            let said = match frames::decode::<Frame>(&mut connection.input) {
-                Ok(Some(said)) => said,
+            let frame = match frames::decode::<Frame>(&mut connection.input) {
+                Ok(Some(frame)) => frame,
                 Ok(None) => return,
                 Err(error) => {
-                    warn!(self.log, "reading a replica's link"; "why" => error.to_string(),
+                    warn!(self.log, "reading a replica's link failed"; "error" => error.to_string(),
                         "peer" => format!("{:?}", connection.role));
                     return self.close(key);
                 }
             };
-            match (said, connection.role) {
+            match (frame, connection.role) {
                 (Frame::KeepAlive, _) => {}
                 (Frame::SenderAddress(address), Role::Replica { peer: None }) => {
                     connection.role = Role::Replica {
@@ -86,8 +88,8 @@
                     self.handle_peer_linked(key, address);
                 }
                 (Frame::SenderAddress(_), _) => {}
-                (Frame::PeerMessage(peer_message), Role::Replica { peer: Some(peer) }) => {
-                    self.step_core(Input::PeerMessage(peer, peer_message));
+                (Frame::PeerMessage(message), Role::Replica { peer: Some(peer) }) => {
+                    self.step_core(Input::PeerMessage(peer, message));
                 }
                 (Frame::PeerMessage(_), _) => return self.close(key),
             }
@@ -100,10 +102,10 @@
                 return;
             };
             match frames::decode::<AgentMessage>(&mut connection.input) {
-                Ok(Some(up)) => self.step_core(Input::Agent(key.data().as_ffi(), up)),
+                Ok(Some(message)) => self.step_core(Input::Agent(key.data().as_ffi(), message)),
                 Ok(None) => return,
                 Err(error) => {
-                    warn!(self.log, "reading an agent's link"; "why" => error.to_string(),
+                    warn!(self.log, "reading an agent's link failed"; "error" => error.to_string(),
                         "peer" => format!("{:?}", connection.stream.peer_addr().ok()));
                     return self.close(key);
                 }
@@ -111,12 +113,12 @@
         }
     }
 
-    /// A link with a peer has ended; another one with it takes its place, if there is one.
+    /// A link with a peer was closed; another one with it takes its place, if there is one.
     pub(super) fn handle_link_lost(&mut self, key: ConnectionKey, peer: Option<SocketAddr>) {
         let Some(peer) = peer.filter(|peer| self.links.get(peer) == Some(&key)) else {
             return;
         };
-        debug!(self.log, "a link has ended"; "peer" => peer.to_string());
+        debug!(self.log, "link closed"; "peer" => peer.to_string());
         let other = self.connections.iter().find(|(_, connection)| {
             connection.connected
                 && matches!(connection.role, Role::Replica { peer: Some(other) } if other == peer)
@@ -132,10 +134,10 @@
         }
     }
 
-    /// Opens links that are missed, and says something on those that are.
+    /// Opens missing links, sends signs of life, and closes duplicate links.
     pub(super) fn maintain_links(&mut self, now: i64) {
         let mut opening: Vec<SocketAddr> = Vec::new();
-        let (mut quiet, mut second) = (Vec::new(), Vec::new());
+        let (mut silent, mut duplicates) = (Vec::new(), Vec::new());
         for (key, connection) in &self.connections {
             let Role::Replica { peer: Some(peer) } = connection.role else {
                 continue;
@@ -144,19 +146,19 @@
                 opening.push(peer);
                 continue;
             }
-            // Both ends would close another one at once: the one with the lower address does.
+            // If both ends closed one, both links might go: only the replica with the lower address does.
             let used = self.links.get(&peer) == Some(&key);
             if !used && self.address < peer && now - connection.opened_at >= DUPLICATE_LINK_TIMEOUT
             {
-                second.push(key);
-            } else if now - connection.last_sent_at >= limits::HEARTBEAT_INTERVAL - 100_000 {
-                quiet.push(key);
+                duplicates.push(key);
+            } else if now - connection.last_sent_at >= KEEP_ALIVE_INTERVAL {
+                silent.push(key);
             }
         }
         let mut bytes = Vec::new();
         frames::encode(&mut bytes, &Frame::KeepAlive);
-        quiet.into_iter().for_each(|key| self.write(key, &bytes));
-        second.into_iter().for_each(|key| self.close(key));
+        silent.into_iter().for_each(|key| self.write(key, &bytes));
+        duplicates.into_iter().for_each(|key| self.close(key));
         for peer in self.peers.clone() {
             if peer == self.address || self.links.contains_key(&peer) || opening.contains(&peer) {
                 continue;
--- a/crates/control/src/host/platform_poller.rs
+++ b/crates/control/src/host/platform_poller.rs
@@ -1,4 +1,4 @@
-//! Asks the platform for its list, page by page. A list counts only if every page of it was read.
+//! Reads the platform's list of servers page by page. A list counts only if every page of it was read.
 
 use std::net::SocketAddr;
 
@@ -9,26 +9,26 @@
 use crate::dataplane_types::{ConnectionKey, FrameLimits, framed_answer};
 use crate::limits;
 
-/// After so many rounds in a row that came to nothing, another replica may do better.
+/// After this many failed polls in a row another replica may do better.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 
-/// A round that is under way.
+/// A poll in progress.
 #[derive(Debug)]
 struct PollRound {
     servers: Vec<Server>,
-    /// The page that is asked for, or is to be.
+    /// The page that is requested, or is to be; none for the first one.
     page: Option<String>,
-    /// It is asked for, and comes by then.
+    /// The page is requested, and has to be received by this time.
     deadline: Option<i64>,
 }
 
-/// The poller, whether it has the duty or not.
+/// The poller of this process, whether it has the role or not.
 #[derive(Debug)]
 pub(super) struct PlatformPoller {
     pub(super) address: SocketAddr,
-    /// Between two calls.
+    /// The least interval of two requests.
     call_interval: i64,
-    /// The next round begins then, and no call is made before `free`.
+    /// When the next poll begins.
     next_poll: i64,
     next_call: i64,
     pub(super) connection: Option<ConnectionKey>,
@@ -37,19 +37,19 @@
     limits: FrameLimits,
 }
 
-/// What came of an answer.
+/// What an answer has brought.
 pub(super) enum PollResult {
-    /// It is not whole yet.
+    /// The answer is not complete yet.
     Incomplete,
     /// More pages follow.
     MorePages,
-    /// The list.
+    /// The whole list.
     Complete(Vec<Server>),
 }
 
 impl PlatformPoller {
     pub(super) fn new(settings: &CloudApi) -> PlatformPoller {
-        // Some calls are left for who had the duty before, and for a clock that runs a little off.
+        // Some requests are left for the process that had the role before, and for a clock that is a little off.
         let rate = (settings.per_s * 0.8).max(0.5);
         let limits = FrameLimits {
             body_bytes: limits::MAX_PAGE_BYTES,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// To be looked at again then, while this replica has the duty.
+    /// When the poller is to be called again, while this replica has the role.
     pub(super) fn wake_at(&self) -> i64 {
         match &self.round {
             None => self.next_poll.max(self.next_call),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The request that is due, if one is.
+    /// The request that is due now, if one is.
     pub(super) fn next_request(&mut self, now: i64) -> Option<String> {
         if self.round.is_none() && now >= self.next_poll {
             self.next_poll = now + limits::POLL_INTERVAL;
@@ -108,7 +108,7 @@
         ))
     }
 
-    /// The page that is asked for has not come in time.
+    /// Whether the requested page was not received in time.
     pub(super) fn is_overdue(&self, now: i64) -> bool {
         self.round
             .as_ref()
@@ -116,14 +116,14 @@
             .is_some_and(|deadline| now >= deadline)
     }
 
-    /// A call is out.
+    /// Whether a page is requested.
     pub(super) fn is_waiting(&self) -> bool {
         self.round
             .as_ref()
             .is_some_and(|round| round.deadline.is_some())
     }
 
-    /// Gives the round up; the next one comes at its time. Gives whether too many have failed in a row.
+    /// Gives up the poll; the next one begins at its time. Gives whether too many have failed in a row.
     pub(super) fn abandon_round(&mut self) -> bool {
         self.round = None;
         self.consecutive_failures += 1;
@@ -134,33 +134,33 @@
         }
     }
 
-    /// This replica has not got the duty: what it has read so far is of no use later.
+    /// This replica does not have the role: what it has read so far is of no use later.
     pub(super) fn pause(&mut self) {
         self.round.take_if(|round| round.deadline.is_none());
         self.consecutive_failures = 0;
     }
 
-    /// The connection that was kept had ended: a round is begun anew.
+    /// The connection that was kept open had been closed: the poll restarts.
     pub(super) fn restart(&mut self, now: i64) {
         self.round = None;
         self.next_poll = now;
     }
 
-    /// Reads what has come. Gives what came of it, and whether the connection may carry the next question.
+    /// Reads what was received. Gives what it has brought, and whether the connection may carry the next request.
     ///
     /// # Errors
-    /// It is no page; nothing of the round counts.
+    /// What was received is no page; nothing of the poll counts.
     pub(super) fn read(&mut self, input: &mut Vec<u8>) -> eyre::Result<(PollResult, bool)> {
         let step = || format!("list of servers from {}", self.address);
         let Some((answer, length)) = framed_answer(input, &self.limits).wrap_err_with(step)? else {
             return Ok((PollResult::Incomplete, true));
         };
         input.drain(..length);
-        // Danger: nothing but its place tells which question an answer is for. What stands behind it is a second answer to
-        // this one, and would be taken for the next page, or for the next round's list.
-        let kept = answer.keep_alive && input.is_empty();
+        // Hazard: only its position tells which request an answer is for. What follows it is a second answer to the same
+        // request, and would be taken for the next page, or for the next poll's list.
+        let keep_open = answer.keep_alive && input.is_empty();
         let Some(mut round) = self.round.take().filter(|round| round.deadline.is_some()) else {
-            return Err(eyre!("an answer that nobody asked for")).wrap_err_with(step);
+            return Err(eyre!("an answer to no request")).wrap_err_with(step);
         };
         if answer.status != 200 {
             return Err(eyre!("status {}", answer.status)).wrap_err_with(step);
@@ -170,7 +170,7 @@
         match page.next.filter(|next| !next.is_empty()) {
             None => {
                 self.consecutive_failures = 0;
-                Ok((PollResult::Complete(round.servers), kept))
+                Ok((PollResult::Complete(round.servers), keep_open))
             }
             Some(next) => {
                 self.round = Some(PollRound {
@@ -178,7 +178,7 @@
                     page: Some(next),
                     deadline: None,
                 });
-                Ok((PollResult::MorePages, kept))
+                Ok((PollResult::MorePages, keep_open))
             }
         }
     }
--- a/crates/control/src/lookup.rs
+++ b/crates/control/src/lookup.rs
@@ -1,5 +1,5 @@
-//! Where clients go. An edge that is ready in the client's own region is best; those of the others step in where there
-//! are fewer than two. The answer is never empty while any edge is ready.
+//! The directory: which edges a client is sent to. Ready edges of the client's own region come first; those of other regions
+//! follow where there are fewer than two. The answer is never empty while any edge is ready.
 
 use std::net::SocketAddr;
 
@@ -9,26 +9,30 @@
 use crate::core::peer_messages::Member;
 use crate::limits;
 
-/// Fewer than this in the region asked for, and the others are named too.
+/// Edges of other regions are named if fewer than this many are ready in the client's own.
 const MIN_LOCAL_NODES: usize = 2;
 
-/// The addresses for a client of a region, best first; none where no edge is ready.
+/// The addresses for a client of a region, best first; none if no edge is ready.
 pub fn addresses(members: &[&Member], region: &str) -> Vec<SocketAddr> {
-    let ready = || members.iter().filter(|told| told.state == NodeState::Ready);
-    let near = ready().filter(|told| told.node.region == region);
-    let mut found: Vec<SocketAddr> = near.map(|told| told.node.http).collect();
+    let ready = || {
+        members
+            .iter()
+            .filter(|member| member.state == NodeState::Ready)
+    };
+    let near = ready().filter(|member| member.node.region == region);
+    let mut found: Vec<SocketAddr> = near.map(|member| member.node.http).collect();
     if found.len() < MIN_LOCAL_NODES {
         found.extend(
             ready()
-                .filter(|told| told.node.region != region)
-                .map(|told| told.node.http),
+                .filter(|member| member.node.region != region)
+                .map(|member| member.node.http),
         );
     }
     found.truncate(limits::MAX_LOOKUP_ADDRESSES);
     found
 }
 
-/// The region that a query asks for.
+/// The region that the query of a request names.
 pub fn requested_region(target: &str) -> Option<String> {
     let query = target.split_once('?')?.1;
     let mut pairs = form_urlencoded::parse(query.as_bytes());
@@ -37,7 +41,7 @@
         .map(|(_, value)| value.into_owned())
 }
 
-/// The body of an answer that holds for `ttl` microseconds.
+/// The body of the answer, which is valid for `ttl` microseconds.
 pub fn answer_body(addresses: &[SocketAddr], ttl: i64) -> Vec<u8> {
     let addresses: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
     json!({"addrs": addresses, "ttl": format!("{}ms", ttl / 1_000)})
--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -1,15 +1,15 @@
-//! What operators ask: each call is decoded into a command, which the core carries out.
+//! The operators' API: calls are parsed into commands, which the core carries out, and replies are written as JSON.
 
 use serde_json::json;
 
 use crate::dataplane_types::Request;
 
-/// A call of the operators.
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Changes items: the body, as it came.
+    /// Sets and removes items; the body as it was received.
     ApplyPatch(Vec<u8>),
-    /// Reads all items.
+    /// Reads the configuration.
     GetConfiguration,
     /// Reads how this replica sees the system.
     GetStatus,
@@ -17,34 +17,34 @@
     SetEvacuation {
         /// The zone.
         zone: String,
-        /// It begins.
+        /// Whether the evacuation begins or ends.
         evacuate: bool,
     },
 }
 
-/// How a call ends.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// It is done, and on disk at more than half of the replicas.
+    /// The command was carried out, and is on the disks of a quorum.
     Done,
-    /// All items, as they are read back.
+    /// The configuration, as JSON.
     Items(Vec<u8>),
-    /// How this replica sees the system.
+    /// How this replica sees the system, as JSON.
     Status(Vec<u8>),
-    /// It makes no sense; the text names the key.
+    /// The call is invalid; the text names the key.
     Invalid(String),
-    /// Something else stands at this version or a higher one.
+    /// Another content stands at the version of an item.
     Conflict,
-    /// Nothing of this name.
+    /// Nothing of this name exists.
     NotFound(String),
-    /// Not here, or not now. It may still come into force.
+    /// This replica can't carry out the command now; it may still come into force.
     Unavailable(&'static str),
-    /// This way of asking is not known.
+    /// The path is not called with this method.
     MethodNotAllowed,
 }
 
 impl Reply {
-    /// Status and body of the answer.
+    /// The HTTP status and body.
     pub fn parts(self) -> (u16, Vec<u8>) {
         let error =
             |status: u16, text: &str| (status, json!({"error": text}).to_string().into_bytes());
@@ -63,10 +63,10 @@
     }
 }
 
-/// Decodes a call.
+/// Parses a call.
 ///
 /// # Errors
-/// The reply to what is none.
+/// The reply to a call of an unknown path or with another method.
 pub fn parse_command(request: Request) -> Result<Command, Reply> {
     let path = request.target.split('?').next().unwrap_or_default();
     let mut parts = path.split('/').skip(1);
--- a/crates/protocol/src/connections.rs
+++ b/crates/protocol/src/connections.rs
@@ -1,7 +1,8 @@
-//! Connections of a program on one thread: they are waited for together, read as they come and written once a turn.
+//! The connections of a program with one thread: they are polled together, read when something is received, and written once
+//! an iteration.
 //!
-//! The new programs wait with `mio`: a wait is one system call, where the limiter's loop makes five, and an edge has a
-//! fifth of a core for two programs. Who calls here owns what the connections are for, and all deadlines.
+//! Polling is done with `mio`: it takes one system call, where the limiter's event loop makes five, and an edge has a fifth of
+//! a processor for two programs. The caller owns the purpose of each connection, and all deadlines.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -14,26 +15,26 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 slotmap::new_key_type! {
-    /// A connection. The key of one that is gone finds nothing.
+    /// The id of a connection. That of a connection that was closed finds nothing.
     pub struct ConnectionId;
 }
 
-/// What happened.
+/// An event of the sockets or of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IoEvent {
-    /// A connection was taken by the listener of this number.
+    /// A connection was accepted by the listener with this number.
     Accepted(usize, ConnectionId),
-    /// A connection that was opened from here is up.
+    /// A connection that was opened by this process is established.
     Connected(ConnectionId),
-    /// Something came; it stands in the input.
+    /// Something was received, and is in the input buffer.
     Received(ConnectionId),
-    /// All that was to be written is written.
+    /// Everything that was queued is written.
     Flushed(ConnectionId),
-    /// The other side sends no more. The connection is still there.
+    /// The peer has closed its direction. The connection is still open.
     PeerClosed(ConnectionId),
-    /// The connection broke, or never came up. It is still there, of no use.
+    /// The connection has failed, or could not be established. It can't be used, and is to be closed.
     Failed(ConnectionId),
-    /// The process got a signal.
+    /// The process has received a signal.
     Signal(i32),
 }
 
@@ -42,38 +43,38 @@
 pub struct Connection {
     stream: TcpStream,
     connected: bool,
-    /// What came and was not taken yet.
+    /// What was received and not taken yet.
     pub input: Vec<u8>,
-    /// Most bytes that the input may hold; what is beyond waits with the system.
+    /// The greatest number of bytes in the input buffer; more than that waits in the socket.
     pub max_input_bytes: usize,
     output: Vec<u8>,
     written_bytes: usize,
     sent_bytes: u64,
-    /// More may be there than was read.
+    /// More may have been received than was read.
     has_unread: bool,
     flush_pending: bool,
-    /// When something last came, in microseconds.
+    /// When something was last received, in microseconds.
     pub last_received_at: i64,
 }
 
 impl Connection {
-    /// Whether it is up.
+    /// Whether it is established.
     pub fn is_connected(&self) -> bool {
         self.connected
     }
 
-    /// Bytes that are not written yet.
+    /// The number of bytes that are queued and not written yet.
     pub fn backlog(&self) -> usize {
         self.output.len() - self.written_bytes
     }
 
-    /// Bytes that the system has taken since the connection was opened. Where none of a message is among them, nobody can
-    /// have seen anything of it.
+    /// The number of bytes that were written to the socket since the connection was opened. If none of a message is among
+    /// them, the peer can't have seen anything of it.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes
     }
 
-    /// More may be there than was read, for want of room.
+    /// Whether more may have been received than was read, because the input buffer was full.
     pub fn has_unread(&self) -> bool {
         self.has_unread
     }
@@ -89,29 +90,29 @@
     flush_queue: Vec<ConnectionId>,
     scratch: Vec<u8>,
     accepting: bool,
-    /// When the last wait ended, and whether it brought all that was there.
+    /// When the last poll ended, and whether it brought all events.
     last_wake: (i64, bool),
 }
 
 const SIGNAL_TOKEN: Token = Token(1_000);
-/// Most events that one wait brings.
+/// The greatest number of events that one poll brings.
 const MAX_EVENTS: usize = 256;
-/// Bytes asked of a socket at a time.
+/// The number of bytes read from a socket at a time.
 const READ_BYTES: usize = 32 * 1024;
-/// Connections that may wait with the system to be taken.
+/// The number of connections that may wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1_024;
-/// What a buffer may keep once it is empty, in bytes.
+/// The capacity that an empty buffer may keep, in bytes.
 const MAX_IDLE_BUFFER_BYTES: usize = 4 * 1024;
 
-fn token(key: ConnectionId) -> Token {
-    Token(key.data().as_ffi() as usize)
+fn token(id: ConnectionId) -> Token {
+    Token(id.data().as_ffi() as usize)
 }
 
 impl Connections {
-    /// Nothing yet but the signals that are listened to.
+    /// Creates the poll, which also receives these signals.
     ///
     /// # Errors
-    /// The system grants no poll.
+    /// The system can't create it.
     pub fn new(signals: &[i32]) -> io::Result<Connections> {
         let poll = Poll::new()?;
         let mut signals = Signals::new(signals)?;
@@ -130,10 +131,10 @@
         })
     }
 
-    /// Listens; gives the listener's number and its address.
+    /// Listens at an address; gives the number of the listener and its actual address.
     ///
     /// # Errors
-    /// The address is not to be had.
+    /// The address can't be used.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<(usize, SocketAddr)> {
         let kind = Type::STREAM.nonblocking().cloexec();
         let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
@@ -150,7 +151,7 @@
         Ok((number, address))
     }
 
-    /// Takes no more connections on a listener.
+    /// Accepts no more connections on a listener.
     pub fn stop_listening(&mut self, number: usize) {
         self.listeners[number] = None;
     }
@@ -166,7 +167,7 @@
 
     fn register(&mut self, stream: TcpStream, up: bool, now: i64) -> io::Result<ConnectionId> {
         stream.set_nodelay(true)?;
-        let key = self.connections.insert(Connection {
+        let id = self.connections.insert(Connection {
             stream,
             connected: up,
             input: Vec::new(),
@@ -182,192 +183,194 @@
         match self
             .poll
             .registry()
-            .register(&mut self.connections[key].stream, token(key), interest)
+            .register(&mut self.connections[id].stream, token(id), interest)
         {
-            Ok(()) => Ok(key),
+            Ok(()) => Ok(id),
             Err(error) => {
-                self.connections.remove(key);
+                self.connections.remove(id);
                 Err(error)
             }
         }
     }
 
     /// A connection.
-    pub fn get(&self, key: ConnectionId) -> Option<&Connection> {
-        self.connections.get(key)
+    pub fn get(&self, id: ConnectionId) -> Option<&Connection> {
+        self.connections.get(id)
     }
 
-    /// A connection, to take from its input.
-    pub fn get_mut(&mut self, key: ConnectionId) -> Option<&mut Connection> {
-        self.connections.get_mut(key)
+    /// A connection, to take from its input buffer.
+    pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+        self.connections.get_mut(id)
     }
 
-    /// When the last wait ended, before anything was read; and whether it brought all that was there.
+    /// When the last poll ended, before anything was read; and whether it brought all events.
     pub fn last_wake(&self) -> (i64, bool) {
         self.last_wake
     }
 
-    /// How many there are.
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Bytes that all of them hold: what came and was not taken, what is not written, and room kept for more.
+    /// The number of bytes that the buffers of all connections take up.
     pub fn buffered_bytes(&self) -> usize {
         self.connections
             .values()
-            .map(|wire| wire.input.capacity() + wire.output.capacity())
+            .map(|connection| connection.input.capacity() + connection.output.capacity())
             .sum()
     }
 
-    /// There are none.
+    /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// What is to be written on a connection at the end of the turn; none if it is gone.
-    pub fn output(&mut self, key: ConnectionId) -> Option<&mut Vec<u8>> {
-        let wire = self.connections.get_mut(key)?;
-        if !std::mem::replace(&mut wire.flush_pending, true) {
-            self.flush_queue.push(key);
+    /// The buffer of what is to be written on a connection at the end of the iteration; none if it was closed.
+    pub fn output(&mut self, id: ConnectionId) -> Option<&mut Vec<u8>> {
+        let connection = self.connections.get_mut(id)?;
+        if !std::mem::replace(&mut connection.flush_pending, true) {
+            self.flush_queue.push(id);
         }
-        Some(&mut wire.output)
+        Some(&mut connection.output)
     }
 
     /// Closes a connection. What was not written is lost.
-    pub fn close(&mut self, key: ConnectionId) -> Option<Connection> {
-        self.connections.remove(key)
+    pub fn close(&mut self, id: ConnectionId) -> Option<Connection> {
+        self.connections.remove(id)
     }
 
-    /// Tells the other side that nothing more follows; what it still sends is read.
-    pub fn shutdown_write(&mut self, key: ConnectionId) {
-        if let Some(wire) = self.connections.get(key) {
-            // One that broke is seen as such when it is read.
-            let _ = wire.stream.shutdown(Shutdown::Write);
+    /// Closes the sending direction of a connection; what the peer still sends is read.
+    pub fn shutdown_write(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.connections.get(id) {
+            // A connection that has failed is noticed when it is read.
+            let _ = connection.stream.shutdown(Shutdown::Write);
         }
     }
 
-    /// No connection is taken until this is turned on again.
-    pub fn set_accepting(&mut self, accepting: bool, now: i64, happenings: &mut Vec<IoEvent>) {
+    /// Accepts connections, or accepts none until this is called again.
+    pub fn set_accepting(&mut self, accepting: bool, now: i64, events: &mut Vec<IoEvent>) {
         if accepting && !std::mem::replace(&mut self.accepting, accepting) {
-            (0..self.listeners.len()).for_each(|number| self.accept(number, now, happenings));
+            (0..self.listeners.len()).for_each(|number| self.accept(number, now, events));
         }
         self.accepting = accepting;
     }
 
-    /// Reads what had to wait because the input was full.
-    pub fn resume_reading(&mut self, key: ConnectionId, now: i64, happenings: &mut Vec<IoEvent>) {
+    /// Reads what had to wait because the input buffer was full.
+    pub fn resume_reading(&mut self, id: ConnectionId, now: i64, events: &mut Vec<IoEvent>) {
         if self
             .connections
-            .get(key)
-            .is_some_and(|wire| wire.has_unread)
+            .get(id)
+            .is_some_and(|connection| connection.has_unread)
         {
-            self.read(key, true, now, happenings);
+            self.read(id, true, now, events);
         }
     }
 
-    /// Waits until something happens, or `until` at the latest. `clock` is asked again after the wait.
+    /// Waits for events, until `until` at the latest, on the clock that `clock` reads.
     ///
     /// # Errors
-    /// The system's wait failed.
+    /// The poll has failed.
     pub fn wait(
         &mut self,
         until: Option<i64>,
         clock: impl Fn() -> i64,
-        happenings: &mut Vec<IoEvent>,
+        events: &mut Vec<IoEvent>,
     ) -> io::Result<()> {
-        // Up to the next millisecond: one that ends a little early would only wait again.
-        let span = until.map(|at| Duration::from_micros(at.saturating_sub(clock()).max(0) as u64));
-        let mut events = std::mem::replace(&mut self.events, Events::with_capacity(0));
-        let waited = self.poll.poll(&mut events, span);
+        let left = until.map(|until| until.saturating_sub(clock()).max(0) as u64);
+        let mut polled = std::mem::replace(&mut self.events, Events::with_capacity(0));
+        let result = self.poll.poll(&mut polled, left.map(Duration::from_micros));
         let now = clock();
-        self.last_wake = (now, events.iter().count() < MAX_EVENTS);
-        for event in &events {
+        self.last_wake = (now, polled.iter().count() < MAX_EVENTS);
+        for event in &polled {
             match event.token() {
-                SIGNAL_TOKEN => happenings.extend(self.signals.pending().map(IoEvent::Signal)),
-                Token(number) if number < self.listeners.len() => {
-                    self.accept(number, now, happenings)
-                }
+                SIGNAL_TOKEN => events.extend(self.signals.pending().map(IoEvent::Signal)),
+                Token(number) if number < self.listeners.len() => self.accept(number, now, events),
                 Token(number) => {
-                    let key = ConnectionId::from(KeyData::from_ffi(number as u64));
-                    let Some(wire) = self.connections.get_mut(key) else {
-                        continue;
-                    };
-                    if !wire.connected {
-                        if event.is_error() || event.is_write_closed() {
-                            happenings.push(IoEvent::Failed(key));
-                            continue;
-                        }
-                        if !event.is_writable() {
-                            continue;
-                        }
-                        wire.connected = true;
-                        happenings.push(IoEvent::Connected(key));
-                    }
-                    if event.is_writable() && wire.backlog() > 0 {
-                        self.flush(key, happenings);
-                    }
-                    if event.is_readable() || event.is_read_closed() || event.is_error() {
-                        let whole = event.is_read_closed() || event.is_error();
-                        self.read(key, whole, now, happenings);
-                    }
+                    let id = ConnectionId::from(KeyData::from_ffi(number as u64));
+                    self.handle_ready(id, event, now, events);
                 }
             }
         }
-        self.events = events;
-        match waited {
+        self.events = polled;
+        match result {
             Err(error) if error.kind() != io::ErrorKind::Interrupted => Err(error),
             _ => Ok(()),
         }
     }
 
-    fn accept(&mut self, number: usize, now: i64, happenings: &mut Vec<IoEvent>) {
+    /// Connects, writes and reads a connection, as far as the event says that it is ready for that.
+    fn handle_ready(
+        &mut self,
+        id: ConnectionId,
+        event: &mio::event::Event,
+        now: i64,
+        events: &mut Vec<IoEvent>,
+    ) {
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
+        if !connection.connected {
+            if event.is_error() || event.is_write_closed() {
+                events.push(IoEvent::Failed(id));
+                return;
+            }
+            if !event.is_writable() {
+                return;
+            }
+            connection.connected = true;
+            events.push(IoEvent::Connected(id));
+        }
+        if event.is_writable() && connection.backlog() > 0 {
+            self.flush(id, events);
+        }
+        if event.is_readable() || event.is_read_closed() || event.is_error() {
+            let to_the_end = event.is_read_closed() || event.is_error();
+            self.read(id, to_the_end, now, events);
+        }
+    }
+
+    fn accept(&mut self, number: usize, now: i64, events: &mut Vec<IoEvent>) {
         while self.accepting {
             let Some(Some(listener)) = self.listeners.get(number) else {
                 return;
             };
             match listener.accept() {
                 Ok((stream, _)) => {
-                    if let Ok(key) = self.register(stream, true, now) {
-                        happenings.push(IoEvent::Accepted(number, key));
+                    if let Ok(id) = self.register(stream, true, now) {
+                        events.push(IoEvent::Accepted(number, id));
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // None is there, or one broke before it was taken, or there is no room: the next event tries again.
+                // There is none, or one failed before it was accepted, or descriptors are short: the next event tries again.
                 Err(_) => return,
             }
         }
     }
 
-    /// Reads what is there. A read that fills less than was asked for has taken all: an end is told by the event.
-    fn read(
-        &mut self,
-        key: ConnectionId,
-        to_the_end: bool,
-        now: i64,
-        happenings: &mut Vec<IoEvent>,
-    ) {
-        let Some(wire) = self.connections.get_mut(key) else {
+    /// Reads what was received. A read that brings less than was asked for has taken everything: an end is told by the event.
+    fn read(&mut self, id: ConnectionId, to_the_end: bool, now: i64, events: &mut Vec<IoEvent>) {
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        let before = wire.input.len();
+        let before = connection.input.len();
         let mut last = None;
         loop {
-            let room = wire
+            let room = connection
                 .max_input_bytes
-                .saturating_sub(wire.input.len())
+                .saturating_sub(connection.input.len())
                 .min(self.scratch.len());
-            wire.has_unread = room == 0;
+            connection.has_unread = room == 0;
             if room == 0 {
                 break;
             }
-            match wire.stream.read(&mut self.scratch[..room]) {
+            match connection.stream.read(&mut self.scratch[..room]) {
                 Ok(0) => {
-                    last = Some(IoEvent::PeerClosed(key));
+                    last = Some(IoEvent::PeerClosed(id));
                     break;
                 }
                 Ok(length) => {
-                    wire.input.extend_from_slice(&self.scratch[..length]);
+                    connection.input.extend_from_slice(&self.scratch[..length]);
                     if length < room && !to_the_end {
                         break;
                     }
@@ -375,56 +378,59 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
-                    last = Some(IoEvent::Failed(key));
+                    last = Some(IoEvent::Failed(id));
                     break;
                 }
             }
         }
-        if wire.input.len() > before {
-            wire.last_received_at = now;
-            happenings.push(IoEvent::Received(key));
+        if connection.input.len() > before {
+            connection.last_received_at = now;
+            events.push(IoEvent::Received(id));
         }
-        happenings.extend(last);
+        events.extend(last);
     }
 
-    /// Writes all that is to be written. To be called until it tells of nothing more.
-    pub fn flush_all(&mut self, happenings: &mut Vec<IoEvent>) {
+    /// Writes everything that is queued. To be called again until it brings no more events.
+    pub fn flush_all(&mut self, events: &mut Vec<IoEvent>) {
         let mut dirty = std::mem::take(&mut self.flush_queue);
-        for key in dirty.drain(..) {
-            if let Some(wire) = self.connections.get_mut(key) {
-                wire.flush_pending = false;
-                if wire.connected && wire.backlog() > 0 {
-                    self.flush(key, happenings);
+        for id in dirty.drain(..) {
+            if let Some(connection) = self.connections.get_mut(id) {
+                connection.flush_pending = false;
+                if connection.connected && connection.backlog() > 0 {
+                    self.flush(id, events);
                 }
             }
         }
         self.flush_queue = dirty;
     }
 
-    fn flush(&mut self, key: ConnectionId, happenings: &mut Vec<IoEvent>) {
-        let Some(wire) = self.connections.get_mut(key) else {
+    fn flush(&mut self, id: ConnectionId, events: &mut Vec<IoEvent>) {
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        while wire.written_bytes < wire.output.len() {
-            match wire.stream.write(&wire.output[wire.written_bytes..]) {
+        while connection.written_bytes < connection.output.len() {
+            match connection
+                .stream
+                .write(&connection.output[connection.written_bytes..])
+            {
                 Ok(length) => {
-                    wire.written_bytes += length;
-                    wire.sent_bytes += length as u64;
+                    connection.written_bytes += length;
+                    connection.sent_bytes += length as u64;
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // Danger: what came before the connection broke may be an answer, and say that nothing was run. It is told
-                // ahead of the break.
+                // Hazard: what was received before the failure may be an answer, which says that nothing was run. It has to be
+                // reported before the failure.
                 Err(_) => {
-                    self.read(key, true, self.last_wake.0, happenings);
-                    return happenings.push(IoEvent::Failed(key));
+                    self.read(id, true, self.last_wake.0, events);
+                    return events.push(IoEvent::Failed(id));
                 }
             }
         }
-        wire.output.clear();
-        wire.output.shrink_to(MAX_IDLE_BUFFER_BYTES);
-        wire.written_bytes = 0;
-        happenings.push(IoEvent::Flushed(key));
+        connection.output.clear();
+        connection.output.shrink_to(MAX_IDLE_BUFFER_BYTES);
+        connection.written_bytes = 0;
+        events.push(IoEvent::Flushed(id));
     }
 }
 
--- a/crates/protocol/src/digests.rs
+++ b/crates/protocol/src/digests.rs
@@ -1,14 +1,14 @@
-//! Digests of a set of items by parts: two that hold nearly the same find out which few of it they don't, in a message
-//! whose size does not grow with the set.
+//! Digests of a set of items by bucket, for anti-entropy: two processes whose sets are nearly equal find out which few items
+//! differ, in a message whose size does not grow with the set.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use crate::items::{Item, ItemName};
 
-/// Into so many parts.
+/// The number of buckets.
 const BUCKETS: usize = 256;
 
-/// The digests of a set. Each entry is counted in once, and out once it is replaced, in any order.
+/// The digests of a set. Each entry is added once, and removed once it is replaced, in any order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Digests(Vec<u64>);
 
@@ -28,33 +28,33 @@
     hash(name) as usize % BUCKETS
 }
 
-/// A name as a number, where two that hold it tell each other which of many are meant.
+/// The key by which two processes that have the same item name it to each other.
 pub fn name_key(name: &ItemName) -> u64 {
     hash(name)
 }
 
 impl Digests {
-    /// Counts an entry in, or out.
+    /// Adds the digest of an entry, or removes it.
     pub fn toggle(&mut self, name: &ItemName, digest: u64) {
         self.0[bucket(name)] ^= digest;
     }
 
-    /// The digest of an item by its name and version alone.
+    /// The digest of the name and version of an item.
     pub fn item_digest(item: &Item) -> u64 {
         hash(&(&item.name, item.ver))
     }
 
-    /// One digest of all.
+    /// One digest of the whole set.
     pub fn combined(&self) -> u64 {
         self.0.iter().fold(0, |all, part| all ^ part)
     }
 
-    /// As they are sent.
+    /// The digest of each bucket, as they are sent.
     pub fn buckets(&self) -> &[u64] {
         &self.0
     }
 
-    /// Whether what another one holds of this name's part is something else. What is no list of parts differs in all.
+    /// Whether another set has a different digest for the bucket of this name. A list of another length differs everywhere.
     pub fn bucket_differs(&self, other: &[u64], name: &ItemName) -> bool {
         let part = bucket(name);
         other.len() != BUCKETS || other[part] != self.0[part]
--- a/crates/protocol/src/duration.rs
+++ b/crates/protocol/src/duration.rs
@@ -1,14 +1,14 @@
-//! Times as texts: a number followed by its unit, `ms` or `s`.
+//! Durations in settings and items: a number followed by its unit, `ms` or `s`.
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A span of time in microseconds, written as `1500ms` or `2.5s`.
+/// A duration in microseconds, written as `1500ms` or `2.5s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigDuration(pub i64);
 
 impl ConfigDuration {
-    /// Reads a text.
+    /// Parses a text; none if it is no duration.
     pub fn parse(text: &str) -> Option<ConfigDuration> {
         let text = text.trim();
         let (number, unit) = match text.strip_suffix("ms") {
@@ -21,7 +21,7 @@
             .then_some(ConfigDuration(micros as i64))
     }
 
-    /// Whole milliseconds in it.
+    /// The duration in whole milliseconds.
     pub fn millis(self) -> i64 {
         self.0 / 1000
     }
--- a/crates/protocol/src/frames.rs
+++ b/crates/protocol/src/frames.rs
@@ -1,54 +1,57 @@
-//! Messages on a connection: `postcard`, each with its length before it.
+//! The encoding of messages on a connection: the length as four bytes, little-endian, then the message in `postcard`.
 
 use std::fmt;
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Longest message, in bytes.
+/// The greatest size of a message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why bytes are no message.
+/// The size of the length before a message, in bytes.
+const LENGTH_BYTES: usize = 4;
+
+/// Why received bytes are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Longer than any message.
+    /// The length is greater than [`MAX_MESSAGE_BYTES`].
     TooLong,
-    /// Not of the kind that is spoken here.
+    /// The bytes do not decode to a message of the expected type.
     Malformed,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            DecodeError::TooLong => "a message longer than any",
-            DecodeError::Malformed => "a message of another kind",
+            DecodeError::TooLong => "message is too long",
+            DecodeError::Malformed => "message does not decode",
         })
     }
 }
 
 impl std::error::Error for DecodeError {}
 
-/// Appends a message to what is to be written.
+/// Appends the frame of a message to a buffer.
 pub fn encode<T: Serialize>(out: &mut Vec<u8>, message: &T) {
-    let at = out.len();
-    out.extend_from_slice(&[0; 4]);
+    let start = out.len();
+    out.extend_from_slice(&[0; LENGTH_BYTES]);
     match postcard::to_extend(message, std::mem::take(out)) {
         Ok(written) => {
             *out = written;
-            let length = (out.len() - at - 4) as u32;
-            out[at..at + 4].copy_from_slice(&length.to_le_bytes());
+            let length = (out.len() - start - LENGTH_BYTES) as u32;
+            out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
         }
-        // A vector takes all there is, and no message here is of a kind without a form.
+        // A vector has no end, and every message type can be encoded.
         Err(error) => unreachable!("{error}"),
     }
 }
 
-/// Takes the message at the start of `input` from it, once it is whole.
+/// Removes the message at the start of `input`, if it is complete.
 ///
 /// # Errors
-/// What is there is none; the connection is of no more use.
+/// The bytes are no message; the connection can't be used any more.
 pub fn decode<T: DeserializeOwned>(input: &mut Vec<u8>) -> Result<Option<T>, DecodeError> {
-    let Some((length, rest)) = input.split_first_chunk::<4>() else {
+    let Some((length, rest)) = input.split_first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
     let length = u32::from_le_bytes(*length) as usize;
@@ -62,7 +65,7 @@
     if !left.is_empty() {
         return Err(DecodeError::Malformed);
     }
-    input.drain(..4 + length);
+    input.drain(..LENGTH_BYTES + length);
     Ok(Some(message))
 }
 
--- a/crates/protocol/src/items.rs
+++ b/crates/protocol/src/items.rs
@@ -1,5 +1,6 @@
-//! The operators' configuration: named items, each with its own version. Per name the highest version holds, whether
-//! set or dropped; the configuration as a whole has none.
+//! The operators' configuration: named items, each with its own version. Of each name the highest version is in force,
+//! whether it sets or removes the item; the configuration as a whole has no version. The names of the fields of
+//! specifications are keys of the operators' JSON.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,7 +12,7 @@
 
 use crate::duration::ConfigDuration;
 
-/// What an item is.
+/// The kind of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ItemKind {
     /// A route.
@@ -20,14 +21,14 @@
     Tenant,
     /// A service.
     Service,
-    /// What clients may send; there is one.
+    /// The limits for clients, of which there is one item.
     Limits,
-    /// A zone that is evacuated or not: the operators' orders are items as well.
+    /// Whether a zone is evacuated: these calls of the operators are items as well.
     Zone,
 }
 
 impl ItemKind {
-    /// The word for it in calls. Zones have none: they are ordered by calls of their own.
+    /// The name of the kind in the operators' calls. Zones are not named there: evacuations have calls of their own.
     pub fn wire_name(self) -> &'static str {
         match self {
             ItemKind::Route => "routes",
@@ -38,7 +39,7 @@
         }
     }
 
-    fn read(word: &str) -> Option<ItemKind> {
+    fn from_wire_name(word: &str) -> Option<ItemKind> {
         [
             ItemKind::Route,
             ItemKind::Tenant,
@@ -53,9 +54,9 @@
 /// The name of an item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ItemName {
-    /// What it is.
+    /// The kind of the item.
     pub kind: ItemKind,
-    /// Its name among its kind; empty for the limits.
+    /// The name within the kind; empty for the limits.
     pub name: String,
 }
 
@@ -65,31 +66,31 @@
     }
 }
 
-/// An item as it stands.
+/// An item in one version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Item {
     /// Its name.
     pub name: ItemName,
     /// Its version.
     pub ver: u64,
-    /// Everything else, as the text that was sent; none where it was dropped.
+    /// The specification as it was sent, in JSON; none if the item is removed.
     pub spec: Option<String>,
 }
 
-/// What may be repeated.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Idempotency {
-    /// May run more than once.
+    /// It may run more than once.
     #[serde(rename = "idem")]
     Idempotent,
-    /// At most once for each try of a client.
+    /// It may run at most once for each attempt of a client.
     Mutating,
-    /// A large body; as mutating.
+    /// As `Mutating`, with a large body.
     Upload,
 }
 
-/// A service of a split, and its weight.
+/// A service that a route is split to, and its weight.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 pub struct TrafficSplit {
     /// The service.
@@ -103,34 +104,34 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[validate(schema(function = "check_route"))]
 pub struct Route {
-    /// The host that it is of.
+    /// The host.
     pub host: String,
-    /// What its paths begin with.
+    /// The prefix of its paths.
     #[validate(custom(function = "check_prefix"))]
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether a request may be repeated.
     pub kind: Idempotency,
-    /// Longest time that a request is held.
+    /// The longest time that a request may take.
     pub timeout: ConfigDuration,
-    /// An answer within this earns its full worth.
+    /// The latency target: an answer within this has its full value.
     pub target_time: ConfigDuration,
-    /// Its rank; 0 is highest.
+    /// The priority tier; 0 is the highest.
     #[serde(default)]
     pub prio: u32,
-    /// The service...
+    /// The service, if it is only one.
     #[serde(default)]
     pub svc: Option<String>,
-    /// ...or several.
+    /// The services, if there are several.
     #[serde(default)]
     #[validate(nested)]
     pub split: Vec<TrafficSplit>,
-    /// Most servers that one try is sent to.
+    /// The greatest number of servers that one attempt of a client is sent to.
     #[serde(default = "default_tries")]
     pub tries: u32,
-    /// It needs no key.
+    /// Whether it needs no API key.
     #[serde(default)]
     pub public: bool,
-    /// The regions where it may be served; none: everywhere.
+    /// The regions where it may be served; everywhere if there are none.
     #[serde(default)]
     pub pins: Vec<String>,
 }
@@ -153,7 +154,7 @@
     }
 }
 
-/// A target so far over the time-out makes no sense.
+/// A target further above the timeout than this is invalid, in microseconds.
 const MAX_TARGET_OVER_TIMEOUT: i64 = 60_000_000;
 
 fn check_route(route: &Route) -> Result<(), ValidationError> {
@@ -173,7 +174,7 @@
 }
 
 impl Route {
-    /// The services that it goes to, with their weights.
+    /// The services that it is sent to, with their weights.
     pub fn services(&self) -> impl Iterator<Item = (&str, f64)> {
         let one = self.svc.iter().map(|svc| (svc.as_str(), 1.0));
         one.chain(
@@ -187,21 +188,21 @@
 /// A tenant.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 pub struct Tenant {
-    /// Its keys.
+    /// Its API keys.
     #[serde(default)]
     pub apikeys: Vec<String>,
-    /// Its rank, in place of the route's.
+    /// The priority tier of its requests, in place of the route's.
     #[serde(default)]
     pub prio: Option<u32>,
-    /// Requests a second that it may make; 0: no limit...
+    /// The rate limit in requests per second; 0 for none.
     #[serde(default)]
     #[validate(range(min = 0.0))]
     pub per_s: f64,
-    /// ...and how many on top.
+    /// The burst on top of the rate.
     #[serde(default)]
     #[validate(range(min = 0.0))]
     pub burst: f64,
-    /// The regions where it may be served; none: everywhere.
+    /// The regions where it may be served; everywhere if there are none.
     #[serde(default)]
     pub pins: Vec<String>,
 }
@@ -212,13 +213,13 @@
     /// The path of its health check.
     #[serde(default)]
     pub hcheck: String,
-    /// Most connections that one of its servers takes from all callers together.
+    /// The greatest number of connections that one of its servers accepts from all callers together.
     #[serde(default = "default_maxconn")]
     pub maxconn: u32,
-    /// How long a server stays cold.
+    /// How long a server warms up.
     #[serde(default)]
     pub warmup: ConfigDuration,
-    /// Requests a second that a cold server bears.
+    /// The rate that a server can bear while it warms up, in requests per second.
     #[serde(default)]
     #[validate(range(min = 0.0))]
     pub cold_rate_s: f64,
@@ -228,21 +229,21 @@
     100
 }
 
-/// What a client may send, and how long it may take.
+/// The limits for clients.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 pub struct ClientLimits {
-    /// Longest head, in bytes.
+    /// The greatest size of a request head, in bytes.
     #[validate(range(min = 1))]
     pub hdr_bytes: u64,
-    /// Longest body, in bytes.
+    /// The greatest size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Time for a head.
+    /// The longest time for a request head.
     pub hdr: ConfigDuration,
-    /// Time between two requests.
+    /// The longest idle time between two requests.
     pub idle: ConfigDuration,
 }
 
-/// Why a call is not taken. Nothing of it comes into force.
+/// Why a call is rejected: the text names the item and the key. Nothing of the call comes into force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError(pub String);
 
@@ -283,10 +284,10 @@
     ver: u64,
 }
 
-/// Reads what an item says.
+/// Parses the specification of an item.
 ///
 /// # Errors
-/// It is dropped, or is not what its kind wants.
+/// The item is removed, or its specification is not valid for its kind.
 pub fn parse_spec<T: for<'a> Deserialize<'a> + Validate>(item: &Item) -> Result<T, ConfigError> {
     let text = item
         .spec
@@ -321,14 +322,14 @@
     }
 }
 
-/// The items that stand, dropped ones included: they keep their version.
+/// The items in force, removed ones included: they keep their version.
 pub type Items = BTreeMap<ItemName, Item>;
 
-/// Items that stand, wherever they are kept: a call is checked against the few that it has to do with.
+/// A set of items in force, wherever it is kept: a call is checked only against the few that it depends on.
 pub trait ItemLookup {
-    /// One of them.
+    /// The item of this name.
     fn find_item(&self, name: &ItemName) -> Option<&Item>;
-    /// All of them.
+    /// All items.
     fn all_items(&self) -> impl Iterator<Item = &Item>;
 }
 
@@ -342,16 +343,16 @@
     }
 }
 
-/// Reads a call of the operators and checks it whole, by itself and against what stands.
+/// Parses a call of the operators, and checks all of it, by itself and against the items in force.
 ///
 /// # Errors
-/// The first fault, by the item and the key.
-pub fn parse_patch(bytes: &[u8], standing: &impl ItemLookup) -> Result<Vec<Item>, ConfigError> {
+/// The first error, by the item and the key.
+pub fn parse_patch(bytes: &[u8], in_force: &impl ItemLookup) -> Result<Vec<Item>, ConfigError> {
     let patch: Patch<'_> =
         serde_json::from_slice(bytes).map_err(|e| ConfigError(format!("call: {e}")))?;
     let mut items = Vec::new();
     for object in patch.upsert.objs {
-        let kind = ItemKind::read(&object.r#type)
+        let kind = ItemKind::from_wire_name(&object.r#type)
             .ok_or_else(|| ConfigError(format!("type: {:?}", object.r#type)))?;
         let name = ItemName {
             kind,
@@ -364,8 +365,9 @@
         });
     }
     for (word, metas) in patch.remove {
-        let kind = ItemKind::read(&word).ok_or_else(|| ConfigError(format!("remove: {word:?}")))?;
-        let dropped = |meta: Meta| Item {
+        let kind = ItemKind::from_wire_name(&word)
+            .ok_or_else(|| ConfigError(format!("remove: {word:?}")))?;
+        let removed = |meta: Meta| Item {
             name: ItemName {
                 kind,
                 name: meta.name,
@@ -373,15 +375,15 @@
             ver: meta.ver,
             spec: None,
         };
-        items.extend(metas.into_iter().map(dropped));
+        items.extend(metas.into_iter().map(removed));
     }
     items.iter().try_for_each(check_item)?;
     let items = keep_newest_versions(items)?;
-    check_references(&items, standing)?;
+    check_references(&items, in_force)?;
     Ok(items)
 }
 
-/// Of items that a call names twice the one with the higher version, as if they had come one after the other.
+/// Of an item that a call names twice, keeps the higher version, as if they had been sent one after the other.
 fn keep_newest_versions(items: Vec<Item>) -> Result<Vec<Item>, ConfigError> {
     let mut newest: Vec<Item> = Vec::with_capacity(items.len());
     let mut places: BTreeMap<ItemName, usize> = BTreeMap::new();
@@ -401,8 +403,8 @@
     Ok(newest)
 }
 
-/// Whether what these say can be in order or not by what else stands: routes name services, and a service that is dropped
-/// may be named.
+/// Whether the validity of these items depends on other ones: routes name services, and a service that is removed may be
+/// named.
 pub fn depends_on_other_items(items: &[Item]) -> bool {
     items.iter().any(|item| match item.name.kind {
         ItemKind::Route => item.spec.is_some(),
@@ -411,13 +413,14 @@
     })
 }
 
-/// Every route that comes into force names services that stand afterwards, and no service goes that a standing route names.
+/// Checks that every route that comes into force names services that exist afterwards, and that no service is removed that a
+/// route in force names.
 ///
-/// An item whose version stands already, or was overtaken, has no effect: a call that was taken may be sent again after its
-/// services were dropped. Dropped items keep their version, so that what such a route names must be known at least.
-fn check_references(items: &[Item], standing: &impl ItemLookup) -> Result<(), ConfigError> {
+/// An item whose version is in force already, or was overtaken, has no effect: a call that was accepted may be sent again
+/// after its services were removed. Removed items keep their version, so the services of such a route must at least be known.
+fn check_references(items: &[Item], in_force: &impl ItemLookup) -> Result<(), ConfigError> {
     let newer = |item: &&Item| {
-        standing
+        in_force
             .find_item(&item.name)
             .is_none_or(|old| old.ver < item.ver)
     };
@@ -433,9 +436,9 @@
         };
         new.get(&name)
             .copied()
-            .or_else(|| standing.find_item(&name))
+            .or_else(|| in_force.find_item(&name))
     };
-    let stands = |svc: &str| after(svc).is_some_and(|item| item.spec.is_some());
+    let is_set = |svc: &str| after(svc).is_some_and(|item| item.spec.is_some());
     for item in items
         .iter()
         .filter(|item| item.name.kind == ItemKind::Route && item.spec.is_some())
@@ -443,31 +446,31 @@
         let effective = new.contains_key(&item.name);
         let known = |svc: &str| {
             if effective {
-                stands(svc)
+                is_set(svc)
             } else {
                 after(svc).is_some()
             }
         };
         check_services_known(item, known)?;
     }
-    let dropped = |item: &&&Item| item.name.kind == ItemKind::Service && item.spec.is_none();
-    let goes: Vec<&str> = new
+    let removed = |item: &&&Item| item.name.kind == ItemKind::Service && item.spec.is_none();
+    let removed_services: Vec<&str> = new
         .values()
-        .filter(dropped)
+        .filter(removed)
         .map(|item| item.name.name.as_str())
         .collect();
-    let others = (!goes.is_empty())
-        .then(|| standing.all_items())
+    let others = (!removed_services.is_empty())
+        .then(|| in_force.all_items())
         .into_iter()
         .flatten();
     let others = others.filter(|item| item.name.kind == ItemKind::Route && item.spec.is_some());
     for item in others.filter(|item| !new.contains_key(&item.name)) {
-        check_services_known(item, |svc| !goes.contains(&svc))?;
+        check_services_known(item, |svc| !removed_services.contains(&svc))?;
     }
     Ok(())
 }
 
-/// A fault for the first service that a route names and that is not known.
+/// Checks that every service that a route names is known.
 fn check_services_known(item: &Item, known: impl Fn(&str) -> bool) -> Result<(), ConfigError> {
     let route: Route = parse_spec(item)?;
     match route.services().find(|(svc, _)| !known(svc)) {
@@ -479,10 +482,10 @@
     }
 }
 
-/// The answer to a reading: every item that stands, as it was sent.
+/// The configuration as operators read it back: every item that is set, as it was sent.
 pub fn configuration_json<'a>(items: impl Iterator<Item = &'a Item>) -> Vec<u8> {
-    let standing = items.filter(|item| item.name.kind != ItemKind::Zone);
-    let objects: Vec<Value> = standing
+    let in_force = items.filter(|item| item.name.kind != ItemKind::Zone);
+    let objects: Vec<Value> = in_force
         .filter_map(|item| {
             let spec: Value = serde_json::from_str(item.spec.as_deref()?).ok()?;
             let meta = match item.name.kind {
@@ -495,7 +498,7 @@
     json!({ "objs": objects }).to_string().into_bytes()
 }
 
-/// Whether two items say the same: the same spec, however it was laid out.
+/// Whether two items have the same name, version and specification, however the JSON is laid out.
 pub fn has_same_content(a: &Item, b: &Item) -> bool {
     let value = |item: &Item| {
         item.spec
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! The protocol crate: what the programs of the whole system share.
+//! What the programs of the system share: settings, configuration items, the platform's list, messages and connections.
 //!
-//! [`settings`] reads what a process is told at its start, [`items`] the operators' configuration, [`platform`] the
-//! platform's list of servers. [`messages`] are what the programs say to each other and [`frames`] how that is put on a
-//! connection. [`ring`] keeps the log until something goes wrong.
+//! [`settings`] reads the settings file of a process, [`items`] the operators' configuration and [`platform`] the platform's
+//! list of servers. [`messages`] are the messages between the programs, [`frames`] their encoding, and [`connections`] the
+//! sockets that carry them. [`digests`] compare sets of items. [`log_ring`] buffers the log until something goes wrong.
 
 pub mod connections;
 pub mod digests;
--- a/crates/protocol/src/log_ring.rs
+++ b/crates/protocol/src/log_ring.rs
@@ -1,4 +1,4 @@
-//! The log: a ring in memory that is written out when something goes wrong, and little else.
+//! The log: a ring buffer in memory that is written to standard error when something goes wrong.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -6,10 +6,10 @@
 
 use slog::{Drain, KV, Level, Logger, OwnedKVList, Record, Serializer, o};
 
-/// Most lines that the ring holds.
+/// The greatest number of lines in the buffer.
 const MAX_LINES: usize = 256;
 
-/// The tag of a line that operators are told to look for: it comes out at once, alone, and is not kept.
+/// The tag of a line that operators wait for: it is written out at once, alone, and not buffered.
 pub const IMMEDIATE: &str = "at once";
 
 #[derive(Default)]
@@ -18,7 +18,7 @@
     dropped: u64,
 }
 
-/// Lines kept until something goes wrong.
+/// Lines that are buffered until something goes wrong.
 #[derive(Clone, Default)]
 pub struct LogRing(Arc<Mutex<RingState>>);
 
@@ -32,8 +32,8 @@
 }
 
 impl LogRing {
-    /// A logger for a program on a machine. What is `error` or worse writes out the ring at once; `warn` is kept like
-    /// the rest.
+    /// A logger for a program on a machine. A line of level `error` or above writes out the buffer at once; `warn` is
+    /// buffered like the rest.
     pub fn logger(&self, program: &'static str, node: &str) -> Logger {
         Logger::root(
             self.clone().fuse(),
@@ -41,18 +41,18 @@
         )
     }
 
-    /// Takes out what is held, oldest first.
+    /// Removes the buffered lines, oldest first.
     pub fn take_lines(&self) -> Vec<String> {
-        let mut held = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let dropped = std::mem::take(&mut held.dropped);
+        let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let dropped = std::mem::take(&mut state.dropped);
         let lost = (dropped > 0).then(|| format!("({dropped} older lines are gone)"));
-        lost.into_iter().chain(held.lines.drain(..)).collect()
+        lost.into_iter().chain(state.lines.drain(..)).collect()
     }
 
-    /// Writes out what is held to standard error.
+    /// Writes the buffered lines to standard error.
     pub fn write_out(&self) {
         let text = self.take_lines().join("\n");
-        // A log that can't be written harms nothing.
+        // The program goes on if the log can't be written.
         let _ = writeln!(std::io::stderr(), "{text}");
     }
 }
@@ -63,7 +63,7 @@
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), slog::Never> {
         let mut pairs = KeyValueWriter(String::new());
-        // Pairs that can't be written are left out; the line stands all the same.
+        // Key-values that can't be written are left out of the line.
         let _ = record.kv().serialize(record, &mut pairs);
         let _ = values.serialize(record, &mut pairs);
         let line = format!(
@@ -73,17 +73,17 @@
             pairs.0
         );
         if record.tag() == IMMEDIATE {
-            // A log that can't be written harms nothing.
+            // The program goes on if the log can't be written.
             let _ = writeln!(std::io::stderr(), "{line}");
             return Ok(());
         }
-        let mut held = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if held.lines.len() >= MAX_LINES {
-            held.lines.pop_front();
-            held.dropped += 1;
+        let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if state.lines.len() >= MAX_LINES {
+            state.lines.pop_front();
+            state.dropped += 1;
         }
-        held.lines.push_back(line);
-        drop(held);
+        state.lines.push_back(line);
+        drop(state);
         if record.level().is_at_least(Level::Error) {
             self.write_out();
         }
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -1,7 +1,8 @@
-//! What the programs say to each other, beside what the replicas of the core say among themselves.
+//! The messages between agents and control programs, and between proxies and their agents.
 //!
-//! An agent keeps a link to one control program and, where it is another one, to the one that holds the count. It
-//! passes on to the proxy of its machine what the proxy needs, as the same messages.
+//! An agent keeps a link to one control program and, where that is another one, to the one that keeps the shared counter. It
+//! forwards to the proxy of its machine what the proxy needs, in the same messages. Variants and fields are written by their
+//! position (`postcard`): their order is part of the wire.
 
 use std::net::SocketAddr;
 
@@ -12,123 +13,123 @@
 use crate::items::Item;
 use crate::platform::Server;
 
-/// How an edge stands.
+/// Whether an edge serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeState {
-    /// Its proxy is not there, or can't serve yet.
+    /// Its proxy does not run, or can't serve yet.
     #[default]
     Unavailable,
-    /// It serves.
+    /// It serves requests.
     Ready,
-    /// It finishes what it has taken.
+    /// It shuts down gracefully: it completes the requests that it has accepted.
     Draining,
 }
 
-/// An edge, as its agent names it.
+/// An edge: a machine with a proxy and its agent, which together are one limiter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
-    /// The machine.
+    /// The name of the machine.
     pub name: String,
-    /// Its zone...
+    /// Its zone.
     pub zone: String,
-    /// ...and region.
+    /// Its region.
     pub region: String,
-    /// Where its proxy takes clients' requests.
+    /// The address at which its proxy accepts clients' requests.
     pub http: SocketAddr,
 }
 
-/// What one add to the shared count is.
+/// One addition to the shared counter.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CounterAdd {
-    /// The number's name: of a tenant and a window.
+    /// The counter that is added to: a hash of a tenant and a window.
     pub counter: u64,
-    /// Units, below nothing where they are given back.
+    /// The units; negative where they are given back.
     pub units: f64,
-    /// A new name is forgotten after this, in microseconds.
+    /// A new counter expires after this, in microseconds.
     pub ttl: i64,
 }
 
-/// From an agent to a control program, and from a proxy to its agent.
+/// A message from an agent to a control program, or from a proxy to its agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AgentMessage {
-    /// Who speaks; the first message of an agent. Its lease begins, and it wants the news.
+    /// The first message of an agent: its lease begins, and it subscribes to the configuration.
     Hello(NodeInfo),
-    /// Digests of the items that an agent knows already, by parts (see [`crate::digests`]): before its `Hello`, where
-    /// it knows any. It is told only what differs.
+    /// Digests of the items that an agent has already, by bucket (see [`crate::digests`]), sent before its `Hello` if it
+    /// has any. It is sent only what differs.
     KnownDigests(Vec<u64>),
-    /// What an agent holds: told after each news, and now and then. So its replica knows whether it lags.
+    /// The items that an agent has, sent after each change and now and then, so that its replica knows whether it lags.
     ConfigState {
-        /// How many items, dropped ones included.
+        /// How many items, removed ones included.
         items: u32,
-        /// Their digest, by names and versions.
+        /// The digest of their names and versions.
         digest: u64,
     },
-    /// Renews the lease; the proxy's only message about itself.
+    /// Renews the lease; a proxy's only message about itself.
     Heartbeat(NodeState),
-    /// The limiters' clock as the agent has it, 0 if it has not heard it: the first message on a link to the holder of
-    /// the count, the second on one to another replica, and sent now and then. Answered by [`Down::Time`].
+    /// The limiters' clock as the agent has it, 0 if it has not received it: the first message on a link to the counter, the
+    /// second on a link to another replica, and sent now and then. Answered by [`Down::Time`].
     Clock(i64),
-    /// Adds to the count, in order; answered by [`Down::Totals`] or [`Down::NotCounted`] of the same batch.
+    /// Additions to the shared counter, in order; answered by [`Down::Totals`] or [`Down::NotCounted`] of the same batch.
     CounterBatch {
-        /// Number of the batch on this link.
+        /// The number of the batch on this link.
         batch: u64,
-        /// The limiters' clock as the proxy has it: windows are told apart by it.
+        /// The limiters' clock as the proxy has it, by which windows are named.
         time: i64,
-        /// The adds.
+        /// The additions.
         adds: Vec<CounterAdd>,
     },
-    /// What a proxy saw of the services that are under strain.
+    /// What a proxy reports about services under load.
     LoadReports(Vec<Report>),
 }
 
-/// Who is who, as a control program sees it.
+/// The replicas and limiters as a control program sees them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterView {
-    /// Where the replicas of the core are reached by replicas and agents, by zone.
+    /// The zone and the address of each known replica.
     pub replicas: Vec<(String, SocketAddr)>,
-    /// Where the holder of the count is reached, and its term; none while there is none.
+    /// The address of the replica that keeps the shared counter, and its term; none while there is none.
     pub counter: Option<(SocketAddr, u64)>,
-    /// More than half of the replicas are in touch with the one that speaks.
+    /// Whether the sender is in contact with a quorum of the replicas.
     pub has_quorum: bool,
-    /// Limiters with a lease, those that had one lately included.
+    /// The number of limiters with a lease, those that had one recently included.
     pub limiters: u32,
-    /// Of them, those in the zone of the agent spoken to.
+    /// The number of those in the zone of the agent.
     pub limiters_in_zone: u32,
 }
 
-/// From a control program to an agent, and from an agent to its proxy.
+/// A message from a control program to an agent, or from an agent to its proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlMessage {
-    /// Who is who. Comes at once and at each change.
+    /// The replicas and limiters: the first message, and sent at each change.
     ClusterView(ClusterView),
-    /// Items that were chosen; each holds by its own version. The first ones on a link carry all that the agent has not
-    /// said to have. With nothing in it, it is a sign of life.
+    /// Chosen items, each in force by its own version. The first ones on a link are those that the agent has not said to
+    /// have. Without any items it is a sign of life.
     Items(Vec<Item>),
-    /// The platform's list, whole, by the poller of this term. `cold` counts from now.
+    /// The whole list of servers. What is left of a warm-up counts from now.
     Servers {
-        /// The poller's term, and the list's number within it.
+        /// The term of the poller, and the number of the list within it.
         version: (u64, u64),
         /// The servers.
         servers: Vec<Server>,
     },
-    /// All that is known has been told; what follows is news.
+    /// Everything that is in force has been sent; what follows are changes.
     Complete,
-    /// The totals after a batch of adds, in order.
+    /// The totals after a batch of additions, in order.
     Totals {
-        /// The batch.
+        /// The number of the batch.
         batch: u64,
-        /// One for each add.
+        /// The total after each addition.
         totals: Vec<f64>,
     },
-    /// The limiters' clock, in microseconds, as it is where it is told.
+    /// The limiters' clock when this was sent, in microseconds.
     Clock(i64),
-    /// A batch that reached no count: nothing was added.
+    /// The batch of this number reached no counter: nothing was added.
     NotCounted(u64),
-    /// How much of the load of services is let through; of all others, all.
+    /// How much of the load of each service is admitted; of services without a level everything is.
     Levels {
-        /// How long ago that was judged, in microseconds.
+        /// How long ago the levels were determined, in microseconds.
         age: i64,
-        /// The levels that hold.
+        /// The levels.
         levels: Vec<Level>,
     },
 }
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers: a page of it, read from columns and rows.
+//! The platform's list of servers, of which a page is read from columns and rows.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,28 +12,28 @@
 /// A server as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its incarnation's id.
+    /// The id of its incarnation.
     pub id: String,
     /// The service that it belongs to.
     pub svc: String,
-    /// Where it is reached.
+    /// Its address.
     pub addr: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Requests that it works on at a time.
+    /// The number of requests that it works on at a time.
     pub slots: u32,
-    /// It takes new requests.
+    /// Whether it accepts new requests.
     pub accepts_requests: bool,
-    /// How much longer it stays cold, in microseconds from when this was said.
+    /// How much longer it warms up, in microseconds from when this was sent.
     pub warm_up_left: i64,
 }
 
 /// A page of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// Its servers.
+    /// The servers of the page.
     pub servers: Vec<Server>,
-    /// The page that follows.
+    /// The token of the next page; none on the last one.
     pub next: Option<String>,
 }
 
@@ -50,10 +50,10 @@
     rows: Vec<Vec<Value>>,
 }
 
-/// Reads a page.
+/// Parses a page.
 ///
 /// # Errors
-/// It is not laid out as the platform's pages say, or a server in it lacks what is needed. Nothing of it counts then.
+/// The page does not have the platform's layout, or a server lacks a column that is needed. Nothing of the page counts then.
 pub fn parse_page(bytes: &[u8]) -> eyre::Result<Page> {
     let raw: RawPage = serde_json::from_slice(bytes).wrap_err("list of servers")?;
     let servers = raw
--- a/crates/protocol/src/program.rs
+++ b/crates/protocol/src/program.rs
@@ -1,4 +1,4 @@
-//! How a program of the system starts: its arguments, its settings, its log, and its end.
+//! The start of a program of the system: its arguments, its settings, its log and its exit code.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -20,18 +20,18 @@
     check: bool,
 }
 
-/// What a program starts with.
+/// What a program is started with.
 pub struct ProgramContext {
-    /// Its settings...
+    /// Its settings.
     pub settings: Settings,
-    /// ...and the file that they were read from.
+    /// The file that the settings were read from.
     pub file: PathBuf,
     /// Its log.
     pub ring: LogRing,
 }
 
-/// Reads arguments and settings, checks them, by the program's own wants as well, and runs the program. What went
-/// wrong is written out behind the log, also where the program panics.
+/// Reads arguments and settings, checks them, also with the program's own `check`, and runs the program. An error is written
+/// to standard error after the buffered log, which is written out when the program panics as well.
 pub fn run(
     name: &'static str,
     check: impl FnOnce(&Settings) -> eyre::Result<()>,
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,5 +1,5 @@
-//! What a process is told at its start: the settings file, read in one place. Fields that are not known are ignored,
-//! as the platform may add some; those that are must make sense, and a fault names its key.
+//! The settings file of a process. Unknown fields are ignored, as the platform may add some; known ones must be valid, and an
+//! error names its key. The names of the fields are the keys of the file.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,48 +11,48 @@
 
 use crate::duration::ConfigDuration;
 
-/// The variable that holds the path of the settings file.
+/// The environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "STREAMARCH_SETTINGS";
 
 /// The settings of one process.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[validate(schema(function = "check_consistency"))]
 pub struct Settings {
-    /// Name of the machine.
+    /// The name of the machine.
     #[validate(length(min = 1))]
     pub node: String,
-    /// Who may call from outside: `edge`, `ctl`, `dir`.
+    /// What the process serves to callers from outside: `edge`, `ctl`, `dir`.
     #[serde(default)]
     pub serves: Vec<String>,
-    /// The machine's address.
+    /// The address of the machine.
     pub ip: Ipv4Addr,
-    /// Its zone...
+    /// Its zone.
     #[validate(length(min = 1))]
     pub zone: String,
-    /// ...and region.
+    /// Its region.
     pub region: String,
-    /// All zones and their regions. One replica of the core stands in each.
+    /// All zones and their regions. There is one replica of the core in each zone.
     #[validate(length(min = 1))]
     pub zones: BTreeMap<String, String>,
-    /// Addresses for what is served.
+    /// The addresses to listen at.
     #[serde(default)]
     pub bind: Bind,
-    /// First and last port free for what the programs say to each other.
+    /// The first and the last of the ports for messages between the programs.
     pub port_range: (u16, u16),
-    /// Where some control programs were reachable when the file was written.
+    /// Addresses of some control programs, as of when the file was written.
     #[serde(default)]
     pub seed_peers: Vec<SocketAddr>,
-    /// The whole system starts for the first time, with empty disks.
+    /// Whether the whole system starts for the first time, with empty disks.
     #[serde(default)]
     pub bootstrap: bool,
-    /// What the machine has.
+    /// The resources of the machine.
     #[serde(default)]
     #[validate(nested)]
     pub limits: MachineLimits,
-    /// Where the disk is, if there is one.
+    /// The folder for stored data, on machines with a disk.
     #[serde(default)]
     pub datadir: Option<PathBuf>,
-    /// Figures of the rules.
+    /// The bounds that the programs keep.
     #[serde(default)]
     pub bounds: Bounds,
     /// The platform's own interface.
@@ -61,33 +61,33 @@
     pub cloud_api: Option<CloudApi>,
 }
 
-/// Addresses for what is served.
+/// The addresses to listen at.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Bind {
-    /// Clients' requests.
+    /// For clients' requests.
     pub http: Option<SocketAddr>,
-    /// The platform's checks.
+    /// For the platform's readiness checks.
     pub readyz: Option<SocketAddr>,
-    /// Servers and operators.
+    /// For servers and operators.
     pub ctl: Option<SocketAddr>,
-    /// Clients that ask where to go.
+    /// For clients that look up where to go.
     pub dir: Option<SocketAddr>,
 }
 
-/// What the machine has.
+/// The resources of the machine.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(default)]
 pub struct MachineLimits {
-    /// Share of a core.
+    /// The share of a processor.
     #[validate(range(min = 0.0))]
     pub cpu_quota: f64,
-    /// Memory in MB.
+    /// The memory in MB.
     #[validate(range(min = 1))]
     pub mem_mb: u64,
-    /// Descriptors.
+    /// The number of file descriptors.
     #[validate(range(min = 1))]
     pub nofile: u64,
-    /// Disk in MB.
+    /// The disk space in MB.
     pub disk_mb: u64,
 }
 
@@ -104,22 +104,22 @@
 
 macro_rules! bounds {
     ($($(#[$doc:meta])* $name:ident: $default:expr,)*) => {
-        /// Figures of the rules that the programs go by.
+        /// The bounds that the programs keep.
         #[derive(Clone, Debug, Deserialize)]
         #[serde(default)]
         pub struct Bounds {
             $($(#[$doc])* pub $name: ConfigDuration,)*
-            /// Most of what a service gets beyond first tries, as a share...
+            /// The retries to a service in a window, as a share of the first attempts.
             pub retry_ratio: f64,
-            /// ...and in all on top, within the window.
+            /// The retries to a service in a window on top of that share.
             pub retry_slack: f64,
-            /// By how much a tenant's use may lie above its quota, as a share...
+            /// By how much a tenant's use may exceed its quota in a window, as a share.
             pub quota_over: f64,
-            /// ...and in requests on top, within the window.
+            /// The requests on top of that share.
             pub quota_slack: f64,
-            /// Factor on a cold server's rate...
+            /// The factor on the rate of a server that warms up.
             pub warm_over: f64,
-            /// ...and requests on top.
+            /// The requests on top of that rate.
             pub warm_slack: f64,
         }
 
@@ -140,29 +140,29 @@
 }
 
 bounds! {
-    /// So far the operators' list of control programs lags.
+    /// How much the operators' list of control programs may lag.
     seed_lag: 3_000,
-    /// An address is not handed to another service before.
+    /// An address is not given to another service earlier than this.
     reuse: 2_000,
-    /// In touch is who was reachable for so long.
+    /// A machine is in touch if it was reachable for this long.
     contact: 5_000,
-    /// An order is acknowledged within this.
+    /// An operator's call is acknowledged within this.
     ack: 8_000,
-    /// A returning machine counts as lost for so long.
+    /// A machine that returns counts as lost for this long.
     sync_time: 4_000,
-    /// A server that leaves gets nothing after this.
+    /// A server that drains is sent nothing after this.
     drain: 4_000,
-    /// From SIGTERM to SIGKILL.
+    /// The time from SIGTERM to SIGKILL.
     grace: 6_000,
     /// A change is in force everywhere within this.
     apply: 4_000,
-    /// Retries are counted over this.
+    /// The window over which retries are counted.
     retry_window: 10_000,
-    /// Quotas are counted over this.
+    /// The window over which quotas are counted.
     quota_window: 5_000,
-    /// An evacuated zone gets nothing after this.
+    /// An evacuated zone is sent nothing after this.
     evac: 5_000,
-    /// Longest time that an answer to where-to-go holds.
+    /// The longest time for which an answer to a lookup is valid.
     ttl_max: 5_000,
 }
 
@@ -171,10 +171,10 @@
 pub struct CloudApi {
     /// Its address.
     pub addr: SocketAddr,
-    /// Calls a second that it takes from all together.
+    /// The rate of calls that it accepts from all callers together, per second.
     #[validate(range(min = 0.0))]
     pub per_s: f64,
-    /// So far its list lags.
+    /// How much its list may lag.
     #[serde(default)]
     pub max_lag: ConfigDuration,
 }
@@ -199,33 +199,33 @@
 }
 
 impl Settings {
-    /// Reads a settings text.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
-    /// It is no YAML, a key is missing or of the wrong kind, or its value makes no sense.
+    /// The text is no YAML, a key is missing or of the wrong type, or a value is invalid.
     pub fn parse(text: &str) -> eyre::Result<Settings> {
         let settings: Settings = serde_yaml_ng::from_str(text).wrap_err("settings")?;
         settings.validate().wrap_err("settings")?;
         Ok(settings)
     }
 
-    /// Reads the file.
+    /// Reads a settings file.
     ///
     /// # Errors
-    /// It can't be read, or [`Settings::read`] finds a fault.
+    /// The file can't be read, or [`Settings::read`] finds an error.
     pub fn load(path: &Path) -> eyre::Result<Settings> {
         let text = std::fs::read_to_string(path)
             .wrap_err_with(|| format!("reading {}", path.display()))?;
         Settings::parse(&text).wrap_err_with(|| format!("in {}", path.display()))
     }
 
-    /// Where the control program of a machine with this address listens for replicas and agents.
+    /// The address at which the control program of a machine listens for replicas and agents.
     pub fn core_address(&self, ip: Ipv4Addr) -> SocketAddr {
         SocketAddr::new(ip.into(), self.port_range.0)
     }
 
-    /// Where an agent waits for the proxy of its machine: nowhere but on loopback. A machine whose own address is one of
-    /// loopback has its feed there, so that several can stand on one host.
+    /// The address at which an agent listens for the proxy of its machine, always on loopback. If the machine's own address is
+    /// on loopback it is used, so that several machines can be on one host.
     pub fn agent_address(&self) -> SocketAddr {
         let ip = if self.ip.is_loopback() {
             self.ip
@@ -235,7 +235,7 @@
         SocketAddr::new(ip.into(), self.port_range.0 + 1)
     }
 
-    /// Core addresses to begin with: those of the machines that the file names.
+    /// The core addresses of the seed peers.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         let ports = |peer: &SocketAddr| SocketAddr::new(peer.ip(), self.port_range.0);
         self.seed_peers.iter().map(ports).collect()
