--- /dev/null
+++ b/crates/agent/src/config_cache.rs
@@ -0,0 +1,199 @@
+//! The configuration that an agent was sent, kept for its proxy, also for one that starts later. Without I/O.
+
+use overload::judge::Level;
+use protocol::digests::Digests;
+use protocol::items::{Item, Items};
+use protocol::messages::{AgentMessage, ClusterView, ControlMessage};
+use protocol::platform::Server;
+
+/// A list of servers, and when it was received, in microseconds.
+#[derive(Clone, Debug)]
+struct CachedServerList {
+    version: (u64, u64),
+    servers: Vec<Server>,
+    received_at: i64,
+}
+
+/// A limiter that has heard no replica for this long is isolated, in microseconds: its lease has expired, and the others leave
+/// no share of the quotas for it any more, at the latest once replicas have started that never knew it.
+pub const ISOLATION_TIMEOUT: i64 = 3_000_000;
+/// A limiter that has heard no replica in contact with a quorum for this long is isolated too, in microseconds: such replicas
+/// leave a share for it that long.
+pub const QUORUM_LOSS_TIMEOUT: i64 = 8_000_000;
+
+/// The configuration that was received.
+#[derive(Debug, Default)]
+pub struct ConfigCache {
+    items: Items,
+    /// Digests of the items, by bucket.
+    digests: Digests,
+    server_list: Option<CachedServerList>,
+    view: Option<ClusterView>,
+    /// When a replica was last heard, and when one in contact with a quorum was.
+    last_heard: i64,
+    quorum_seen_at: i64,
+    /// The replica that was heard last is in contact with a quorum.
+    has_quorum: bool,
+    /// The others do not count on this limiter any more, and its proxy was told so.
+    isolated: bool,
+    complete: bool,
+    /// The limiters' clock, and when it was received.
+    time: Option<(i64, i64)>,
+    /// The admission levels of services, and when they were determined.
+    levels: Option<(Vec<Level>, i64)>,
+}
+
+impl ConfigCache {
+    /// Takes in a message; gives what of it is new to the proxy.
+    pub fn apply(&mut self, now: i64, message: ControlMessage) -> Option<ControlMessage> {
+        // The cluster view is sent only when it changes; every other message is a sign of life as well.
+        self.last_heard = now;
+        self.quorum_seen_at = if self.has_quorum {
+            now
+        } else {
+            self.quorum_seen_at
+        };
+        match message {
+            ControlMessage::ClusterView(view) => {
+                self.has_quorum = view.has_quorum;
+                if view.has_quorum {
+                    (self.quorum_seen_at, self.isolated) = (now, false);
+                }
+                // For the proxy this says whether this limiter is isolated.
+                let view = ClusterView {
+                    has_quorum: !self.isolated,
+                    ..view
+                };
+                let content = |view: &ClusterView| (view.limiters, view.counter, view.has_quorum);
+                let same = self
+                    .view
+                    .as_ref()
+                    .is_some_and(|known| content(known) == content(&view));
+                self.view = Some(view.clone());
+                (!same).then_some(ControlMessage::ClusterView(view))
+            }
+            ControlMessage::Items(items) => {
+                let newer = |item: &Item| {
+                    self.items
+                        .get(&item.name)
+                        .is_none_or(|known| known.ver < item.ver)
+                };
+                let new: Vec<Item> = items.into_iter().filter(newer).collect();
+                for item in &new {
+                    self.digests.toggle(&item.name, Digests::item_digest(item));
+                    if let Some(old) = self.items.insert(item.name.clone(), item.clone()) {
+                        self.digests.toggle(&old.name, Digests::item_digest(&old));
+                    }
+                }
+                (!new.is_empty()).then_some(ControlMessage::Items(new))
+            }
+            ControlMessage::Servers { version, servers } => {
+                if self
+                    .server_list
+                    .as_ref()
+                    .is_some_and(|known| known.version >= version)
+                {
+                    return None;
+                }
+                self.server_list = Some(CachedServerList {
+                    version,
+                    servers: servers.clone(),
+                    received_at: now,
+                });
+                Some(ControlMessage::Servers { version, servers })
+            }
+            ControlMessage::Complete => {
+                let first = !std::mem::replace(&mut self.complete, true);
+                first.then_some(ControlMessage::Complete)
+            }
+            ControlMessage::Clock(time) => {
+                // The clock that is ahead leads.
+                let newer = self.time(now).is_none_or(|known| known < time);
+                self.time = if newer { Some((time, now)) } else { self.time };
+                newer.then_some(ControlMessage::Clock(time))
+            }
+            ControlMessage::Levels { age, levels } => {
+                self.levels = Some((levels.clone(), now - age));
+                Some(ControlMessage::Levels { age, levels })
+            }
+            ControlMessage::Totals { .. } | ControlMessage::NotCounted(_) => None,
+        }
+    }
+
+    /// The items, each in the newest version that was received.
+    pub fn items(&self) -> impl Iterator<Item = &Item> {
+        self.items.values()
+    }
+
+    /// Checks whether this limiter is isolated by now; if so, gives the message for its proxy, once.
+    pub fn check_isolation(&mut self, now: i64) -> Option<ControlMessage> {
+        let view = self.view.as_mut()?;
+        if self.isolated
+            || (now - self.last_heard < ISOLATION_TIMEOUT
+                && now - self.quorum_seen_at < QUORUM_LOSS_TIMEOUT)
+        {
+            return None;
+        }
+        self.isolated = true;
+        (view.has_quorum, view.counter) = (false, None);
+        Some(ControlMessage::ClusterView(view.clone()))
+    }
+
+    /// Digests of the items, by which a control program sends only what is missing; none without any items.
+    pub fn known_digests(&self) -> Option<Vec<u64>> {
+        (!self.items.is_empty()).then(|| self.digests.buckets().to_vec())
+    }
+
+    /// The summary of the items that the control program is sent.
+    pub fn config_state(&self) -> AgentMessage {
+        AgentMessage::ConfigState {
+            items: self.items.len() as u32,
+            digest: self.digests.combined(),
+        }
+    }
+
+    /// The cluster view that was received last.
+    pub fn cluster_view(&self) -> Option<&ClusterView> {
+        self.view.as_ref()
+    }
+
+    /// The limiters' clock.
+    pub fn time(&self, now: i64) -> Option<i64> {
+        self.time.map(|(time, at)| time + (now - at))
+    }
+
+    /// Everything that was received, for a proxy that has just connected.
+    pub fn snapshot(&self, now: i64) -> Vec<ControlMessage> {
+        let view = self.view.clone().map(ControlMessage::ClusterView);
+        let items = ControlMessage::Items(self.items.values().cloned().collect());
+        let list = self.server_list.as_ref().map(|list| {
+            // What was left of the warm-ups when the list was received, less the time since.
+            let current = |server: &Server| Server {
+                warm_up_left: (server.warm_up_left - (now - list.received_at)).max(0),
+                ..server.clone()
+            };
+            ControlMessage::Servers {
+                version: list.version,
+                servers: list.servers.iter().map(current).collect(),
+            }
+        });
+        let complete = self.complete.then_some(ControlMessage::Complete);
+        let levels = self
+            .levels
+            .iter()
+            .map(|(levels, at)| ControlMessage::Levels {
+                age: now - at,
+                levels: levels.clone(),
+            });
+        view.into_iter()
+            .chain(self.time(now).map(ControlMessage::Clock))
+            .chain([items])
+            .chain(list)
+            .chain(levels)
+            .chain(complete)
+            .collect()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/agent/src/known/tests.rs
+++ b/crates/agent/src/config_cache/tests.rs
@@ -31,34 +31,34 @@
 
 #[test]
 fn only_what_is_newer_goes_on() {
-    let mut known = Known::default();
+    let mut known = ConfigCache::default();
     assert!(
         known
-            .take(0, ControlMessage::Items(vec![item(3)]))
+            .apply(0, ControlMessage::Items(vec![item(3)]))
             .is_some()
     );
     assert_eq!(
-        known.take(0, ControlMessage::Items(vec![item(2), item(3)])),
+        known.apply(0, ControlMessage::Items(vec![item(2), item(3)])),
         None
     );
     assert_eq!(
-        known.take(0, ControlMessage::Items(vec![item(2), item(5)])),
+        known.apply(0, ControlMessage::Items(vec![item(2), item(5)])),
         Some(ControlMessage::Items(vec![item(5)]))
     );
-    assert!(known.take(0, list((2, 1), 0)).is_some() && known.take(0, list((1, 9), 0)).is_none());
+    assert!(known.apply(0, list((2, 1), 0)).is_some() && known.apply(0, list((1, 9), 0)).is_none());
 }
 
 #[test]
 fn a_proxy_that_starts_later_is_told_all_with_what_is_left_of_cold_times() {
-    let mut known = Known::default();
+    let mut known = ConfigCache::default();
     for message in [
         ControlMessage::Items(vec![item(3)]),
         list((1, 1), 500),
         ControlMessage::Complete,
     ] {
-        known.take(1_000, message);
+        known.apply(1_000, message);
     }
-    let told = known.all(1_200);
+    let told = known.snapshot(1_200);
     assert_eq!(
         told,
         vec![
@@ -68,13 +68,17 @@
         ]
     );
     // Nothing is whole before it was said to be.
-    assert!(!Known::default().all(0).contains(&ControlMessage::Complete));
+    assert!(
+        !ConfigCache::default()
+            .snapshot(0)
+            .contains(&ControlMessage::Complete)
+    );
 }
 
 #[test]
 fn a_limiter_that_hears_signs_of_life_is_not_alone() {
-    let mut known = Known::default();
-    known.take(
+    let mut known = ConfigCache::default();
+    known.apply(
         0,
         ControlMessage::ClusterView(ClusterView {
             has_quorum: true,
@@ -82,20 +86,20 @@
             ..ClusterView::default()
         }),
     );
-    for at in (0..2 * ASTRAY).step_by(400_000) {
-        assert_eq!(known.take(at, ControlMessage::Items(Vec::new())), None);
-        assert_eq!(known.look(at + 1), None, "at {at}");
+    for at in (0..2 * QUORUM_LOSS_TIMEOUT).step_by(400_000) {
+        assert_eq!(known.apply(at, ControlMessage::Items(Vec::new())), None);
+        assert_eq!(known.check_isolation(at + 1), None, "at {at}");
     }
     // Signs of life of a replica that said that it is out of touch are none of the core.
-    known.take(
-        2 * ASTRAY,
+    known.apply(
+        2 * QUORUM_LOSS_TIMEOUT,
         ControlMessage::ClusterView(ClusterView {
             limiters: 3,
             ..ClusterView::default()
         }),
     );
-    known.take(3 * ASTRAY, ControlMessage::Items(Vec::new()));
-    assert!(known.look(3 * ASTRAY + 1).is_some());
+    known.apply(3 * QUORUM_LOSS_TIMEOUT, ControlMessage::Items(Vec::new()));
+    assert!(known.check_isolation(3 * QUORUM_LOSS_TIMEOUT + 1).is_some());
 }
 
 #[test]
@@ -107,30 +111,40 @@
             ..ClusterView::default()
         })
     };
-    let mut known = Known::default();
-    assert_eq!(known.take(0, who(true)), Some(who(true)));
-    assert_eq!(known.look(ALONE - 1), None);
-    assert_eq!(known.look(ALONE), Some(who(false)));
-    assert_eq!(known.look(ALONE + 1), None);
+    let mut known = ConfigCache::default();
+    assert_eq!(known.apply(0, who(true)), Some(who(true)));
+    assert_eq!(known.check_isolation(ISOLATION_TIMEOUT - 1), None);
+    assert_eq!(known.check_isolation(ISOLATION_TIMEOUT), Some(who(false)));
+    assert_eq!(known.check_isolation(ISOLATION_TIMEOUT + 1), None);
     // A replica that is out of touch changes nothing; one in touch does.
-    assert_eq!(known.take(ALONE + 2, who(false)), None);
-    assert_eq!(known.take(ALONE + 3, who(true)), Some(who(true)));
+    assert_eq!(known.apply(ISOLATION_TIMEOUT + 2, who(false)), None);
+    assert_eq!(
+        known.apply(ISOLATION_TIMEOUT + 3, who(true)),
+        Some(who(true))
+    );
     // While it hears replicas that are out of touch it is counted on for longer.
-    for at in (ALONE + 3..ALONE + ASTRAY).step_by(400_000) {
-        known.take(at, who(false));
-        assert_eq!(known.look(at), None);
+    for at in (ISOLATION_TIMEOUT + 3..ISOLATION_TIMEOUT + QUORUM_LOSS_TIMEOUT).step_by(400_000) {
+        known.apply(at, who(false));
+        assert_eq!(known.check_isolation(at), None);
     }
-    assert_eq!(known.look(ALONE + 3 + ASTRAY), Some(who(false)));
+    assert_eq!(
+        known.check_isolation(ISOLATION_TIMEOUT + 3 + QUORUM_LOSS_TIMEOUT),
+        Some(who(false))
+    );
 }
 
 #[test]
 fn the_clock_goes_on_between_two_tellings_and_never_back() {
-    let mut known = Known::default();
+    let mut known = ConfigCache::default();
     assert_eq!(
-        known.take(1_000, ControlMessage::Clock(70_000)),
+        known.apply(1_000, ControlMessage::Clock(70_000)),
         Some(ControlMessage::Clock(70_000))
     );
-    assert_eq!(known.take(2_000, ControlMessage::Clock(70_900)), None);
+    assert_eq!(known.apply(2_000, ControlMessage::Clock(70_900)), None);
     assert_eq!(known.time(3_000), Some(72_000));
-    assert!(known.all(3_000).contains(&ControlMessage::Clock(72_000)));
+    assert!(
+        known
+            .snapshot(3_000)
+            .contains(&ControlMessage::Clock(72_000))
+    );
 }
--- a/crates/agent/src/host.rs
+++ b/crates/agent/src/host.rs
@@ -1,4 +1,4 @@
-//! The host of an agent: the link to a control program, the one to the holder of the count, and the proxy's.
+//! The host of an agent: the link to a control program, the link to the shared counter, and the connection of the proxy.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,80 +10,106 @@
 use protocol::connections::{ConnectionId, Connections, IoEvent};
 use protocol::frames;
 use protocol::log_ring::{IMMEDIATE, LogRing};
-use protocol::messages::{AgentMessage, ControlMessage, NodeInfo, NodeState};
+use protocol::messages::{
+    AgentMessage, ClusterView, ControlMessage, CounterAdd, NodeInfo, NodeState,
+};
 use protocol::settings::Settings;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use slog::{Logger, error, info, warn};
 
-use crate::known::Known;
-use crate::links::{COUNT_SILENT, HOMEWARD, Links, OUT_OF_TOUCH, SILENT};
+use crate::config_cache::ConfigCache;
+use crate::replica_selection::{
+    COUNTER_LINK_TIMEOUT, HOME_RETRY_INTERVAL, LINK_TIMEOUT, QUORUM_LOSS_PATIENCE, ReplicaSelection,
+};
 
 const MS: i64 = 1_000;
-/// Between two signs of life to the control program.
-const BEAT: i64 = 400 * MS;
-/// Between two askings for the limiters' clock: steady clocks go apart a little.
-const ASK_TIME: i64 = 800 * MS;
-/// After a link that failed the next one is tried so much later.
-const AGAIN: i64 = 30 * MS;
-/// A connection must come up within this.
-const CONNECT: i64 = 250 * MS;
-/// What is left of the grace period at the end.
-const GRACE_LEFT: i64 = 200 * MS;
-
-/// A link to a control program.
-struct Link {
-    key: ConnectionId,
-    to: SocketAddr,
-    /// Its news begins.
-    told: bool,
-    /// Since when the one at its other end is out of touch with the core.
-    astray: Option<i64>,
+/// The interval of the heartbeats to the control program, in microseconds, as all durations here.
+const HEARTBEAT_INTERVAL: i64 = 400 * MS;
+/// The interval at which the limiters' clock is requested, as clocks drift.
+const CLOCK_REQUEST_INTERVAL: i64 = 800 * MS;
+/// The delay before the next attempt after a link has failed.
+const RETRY_DELAY: i64 = 30 * MS;
+/// A connection has to be established within this.
+const CONNECT_TIMEOUT: i64 = 250 * MS;
+/// How long before the end of its grace period the agent ends.
+const GRACE_MARGIN: i64 = 200 * MS;
+/// The greatest number of batches that wait for the counter: of more than these the proxy has given up the oldest.
+const MAX_PENDING_BATCHES: usize = 2_000;
+
+/// The link to a control program.
+struct ControlLink {
+    connection: ConnectionId,
+    address: SocketAddr,
+    /// The control program has begun to send the configuration.
+    subscribed: bool,
+    /// Since when the control program says that it is not in contact with a quorum.
+    without_quorum_since: Option<i64>,
+}
+
+/// A link to the replica of the own zone that is tried while the agent is linked to another one.
+#[derive(Clone, Copy)]
+struct HomeCandidate {
+    connection: ConnectionId,
+    address: SocketAddr,
+}
+
+/// The link to the replica that keeps the shared counter.
+#[derive(Clone, Copy)]
+struct CounterLink {
+    connection: ConnectionId,
+    address: SocketAddr,
+    term: u64,
+}
+
+/// A batch of the proxy that was forwarded to the counter.
+struct PendingBatch {
+    proxy: ConnectionId,
+    /// Its number on the proxy's connection.
+    number: u64,
 }
 
 #[derive(Debug)]
-enum Due {
+enum Timer {
     Connect(ConnectionId),
-    Look,
-    Again,
-    CountAgain,
-    Home,
-    End,
+    Upkeep,
+    Reconnect,
+    ReconnectCounter,
+    TryHome,
+    Stop,
 }
 
-/// All that runs on the loop.
+/// The state of the event loop.
 pub struct Host {
     clock: Clock,
     settings: Settings,
-    file: Option<PathBuf>,
-    /// What was last wrong with it.
-    fault: String,
+    settings_file: Option<PathBuf>,
+    /// The error of the last time that the settings were read; it is logged once.
+    last_settings_error: String,
     log: Logger,
-    wires: Connections,
-    deadlines: Deadlines<Due>,
-    links: Links,
-    known: Known,
-    link: Option<Link>,
-    /// A link to the own zone's replica that is being tried beside the one elsewhere.
-    homeward: Option<(ConnectionId, SocketAddr)>,
-    count: Option<(ConnectionId, SocketAddr, u64)>,
-    /// Batches that are out, by their number on the count's link: the proxy's connection, and its number there.
-    batches: BTreeMap<u64, (ConnectionId, u64)>,
-    batch: u64,
-    /// The limiters' clock was asked for last.
-    asked_last: i64,
+    connections: Connections,
+    deadlines: Deadlines<Timer>,
+    selection: ReplicaSelection,
+    cache: ConfigCache,
+    link: Option<ControlLink>,
+    home_candidate: Option<HomeCandidate>,
+    counter_link: Option<CounterLink>,
+    /// Batches that wait for the counter, by their numbers on its link.
+    pending_batches: BTreeMap<u64, PendingBatch>,
+    last_batch: u64,
+    clock_requested_at: i64,
     proxy: Option<ConnectionId>,
-    edge: Option<NodeInfo>,
-    standing: NodeState,
-    /// The own zone's replica was looked for since the start.
-    homed: bool,
-    ending: bool,
+    node: Option<NodeInfo>,
+    state: NodeState,
+    /// The replica of the own zone was tried since the start.
+    home_tried: bool,
+    shutting_down: bool,
     finished: bool,
 }
 
-/// What an agent wants of its settings.
+/// Checks that the settings name everything that an agent needs.
 ///
 /// # Errors
-/// A key holds nothing of use.
+/// The key that is missing or empty.
 pub fn check(settings: &Settings) -> eyre::Result<()> {
     eyre::ensure!(
         !settings.seed_peers.is_empty(),
@@ -93,518 +119,551 @@
 }
 
 impl Host {
-    /// Opens the address where the proxy calls. `file`: the settings, to be read again when nobody is found.
+    /// Listens for the proxy. `settings_file` is read again whenever no control program can be reached.
     ///
     /// # Errors
-    /// The address is not to be had.
+    /// The address can't be used.
     pub fn open(
         settings: Settings,
-        file: Option<PathBuf>,
+        settings_file: Option<PathBuf>,
         clock: Clock,
-        ring: &LogRing,
+        log_ring: &LogRing,
     ) -> eyre::Result<Host> {
-        let mut wires = Connections::new(&[SIGTERM, SIGHUP]).wrap_err("opening the loop")?;
-        let feed = settings.agent_address();
-        wires
-            .listen(feed)
-            .wrap_err_with(|| format!("listening for the proxy on {feed}"))?;
-        let shift = settings
-            .ip
-            .octets()
-            .iter()
-            .map(|part| usize::from(*part))
-            .sum();
-        let mut links = Links::new(
-            &settings.zone,
-            &settings.region,
-            settings.zones.clone(),
-            shift,
-        );
-        links.seeds(settings.seed_addresses());
+        let signals = [SIGTERM, SIGHUP];
+        let mut connections = Connections::new(&signals).wrap_err("opening the event loop")?;
+        let address = settings.agent_address();
+        let listening = connections.listen(address);
+        listening.wrap_err_with(|| format!("listening for the proxy on {address}"))?;
+        // Agents with different addresses try the replicas in different orders.
+        let shift = settings.ip.octets().map(usize::from).iter().sum();
+        let (zone, region) = (&settings.zone, &settings.region);
+        let zones = settings.zones.clone();
+        let mut selection = ReplicaSelection::new(zone, region, zones, shift);
+        selection.set_seeds(settings.seed_addresses());
         let mut deadlines = Deadlines::default();
         let now = clock.now();
-        deadlines.enter(now, Due::Again);
-        deadlines.enter(now + BEAT, Due::Look);
-        deadlines.enter(now + HOMEWARD, Due::Home);
+        deadlines.enter(now, Timer::Reconnect);
+        deadlines.enter(now + HEARTBEAT_INTERVAL, Timer::Upkeep);
+        deadlines.enter(now + HOME_RETRY_INTERVAL, Timer::TryHome);
         Ok(Host {
-            log: ring.logger("agent", &settings.node),
+            log: log_ring.logger("agent", &settings.node),
             clock,
             settings,
-            file,
-            fault: String::new(),
-            wires,
+            settings_file,
+            last_settings_error: String::new(),
+            connections,
             deadlines,
-            links,
-            known: Known::default(),
+            selection,
+            cache: ConfigCache::default(),
             link: None,
-            homeward: None,
-            count: None,
-            batches: BTreeMap::new(),
-            batch: 0,
-            asked_last: 0,
+            home_candidate: None,
+            counter_link: None,
+            pending_batches: BTreeMap::new(),
+            last_batch: 0,
+            clock_requested_at: 0,
             proxy: None,
-            edge: None,
-            standing: NodeState::Unavailable,
-            homed: false,
-            ending: false,
+            node: None,
+            state: NodeState::Unavailable,
+            home_tried: false,
+            shutting_down: false,
             finished: false,
         })
     }
 
-    /// Runs until told to end.
+    /// Runs until SIGTERM.
     ///
     /// # Errors
-    /// The system's wait failed.
+    /// Polling the connections has failed.
     pub fn run(mut self) -> eyre::Result<()> {
-        let mut happenings = Vec::new();
+        let mut events = Vec::new();
         while !self.finished {
-            self.step(BEAT, &mut happenings)?;
+            self.run_once(HEARTBEAT_INTERVAL, &mut events)?;
         }
         Ok(())
     }
 
-    /// One round of the loop: waits for what happens or is due, at most so long, and takes it in. What writing brought
-    /// stands in `happenings` afterwards, for the next round.
+    /// One iteration of the event loop: waits for events or timers for at most `longest` microseconds, and handles them. The
+    /// events of writing are in `events` afterwards, for the next iteration.
     ///
     /// # Errors
-    /// The system's wait failed.
-    pub fn step(&mut self, longest: i64, happenings: &mut Vec<IoEvent>) -> eyre::Result<()> {
+    /// Polling the connections has failed.
+    pub fn run_once(&mut self, longest: i64, events: &mut Vec<IoEvent>) -> eyre::Result<()> {
         let now = self.clock.now();
-        let due = self
-            .deadlines
-            .earliest()
-            .unwrap_or(i64::MAX)
-            .min(now + longest);
-        let until = if happenings.is_empty() { due } else { now };
+        let next_timer = self.deadlines.earliest().unwrap_or(i64::MAX);
+        let until = if events.is_empty() {
+            next_timer.min(now + longest)
+        } else {
+            now
+        };
         let clock = self.clock.clone();
-        self.wires
-            .wait(Some(until), || clock.now(), happenings)
-            .wrap_err("waiting")?;
+        let waited = self.connections.wait(Some(until), || clock.now(), events);
+        waited.wrap_err("waiting")?;
         let now = self.clock.now();
-        for happening in happenings.drain(..) {
-            self.happened(now, happening);
+        for event in events.drain(..) {
+            self.handle_event(now, event);
         }
-        while let Some(due) = self.deadlines.take_due(now) {
-            self.due(now, due);
+        while let Some(timer) = self.deadlines.take_due(now) {
+            self.handle_timer(now, timer);
         }
-        self.wires.flush_all(happenings);
+        self.connections.flush_all(events);
         Ok(())
     }
 
-    fn is_link(&self, key: ConnectionId) -> bool {
-        self.link.as_ref().is_some_and(|link| link.key == key)
+    fn is_link(&self, id: ConnectionId) -> bool {
+        self.link.as_ref().is_some_and(|link| link.connection == id)
     }
 
-    fn is_count(&self, key: ConnectionId) -> bool {
-        self.count.is_some_and(|(count, ..)| count == key)
+    fn is_counter_link(&self, id: ConnectionId) -> bool {
+        self.counter_link.is_some_and(|link| link.connection == id)
     }
 
-    fn is_homeward(&self, key: ConnectionId) -> bool {
-        self.homeward.is_some_and(|(home, _)| home == key)
+    fn is_home_candidate(&self, id: ConnectionId) -> bool {
+        self.home_candidate
+            .is_some_and(|candidate| candidate.connection == id)
     }
 
-    fn happened(&mut self, now: i64, happening: IoEvent) {
-        match happening {
-            IoEvent::Accepted(_, key) => self.proxy_came(now, key),
-            IoEvent::Signal(SIGTERM) => self.end(now),
-            IoEvent::Signal(_) => self.reread(),
-            IoEvent::Connected(key) if self.is_count(key) => self.ask_time(now, key),
-            IoEvent::Connected(key) => self.greet(now, key),
-            IoEvent::Received(key) => self.came(now, key),
+    fn is_connected(&self, id: ConnectionId) -> bool {
+        let connection = self.connections.get(id);
+        connection.is_some_and(|connection| connection.is_connected())
+    }
+
+    fn handle_event(&mut self, now: i64, event: IoEvent) {
+        match event {
+            IoEvent::Accepted(_, id) => self.handle_proxy_connected(now, id),
+            IoEvent::Signal(SIGTERM) => self.begin_shutdown(now),
+            IoEvent::Signal(_) => self.reload_settings(),
+            IoEvent::Connected(id) if self.is_counter_link(id) => self.request_clock(now, id),
+            IoEvent::Connected(id) => self.register(now, id),
+            IoEvent::Received(id) if self.proxy == Some(id) => self.read_proxy(now, id),
+            IoEvent::Received(id) => self.read_control(now, id),
             IoEvent::Flushed(_) => {}
-            IoEvent::PeerClosed(key) | IoEvent::Failed(key) => self.lost(now, key),
+            IoEvent::PeerClosed(id) | IoEvent::Failed(id) => self.handle_connection_lost(now, id),
         }
     }
 
-    fn put<T: serde::Serialize>(&mut self, key: ConnectionId, message: &T) {
-        if let Some(out) = self.wires.output(key) {
-            frames::encode(out, message);
+    fn handle_timer(&mut self, now: i64, timer: Timer) {
+        match timer {
+            Timer::Connect(id) => {
+                let is_open = self.connections.get(id).is_some();
+                if is_open && !self.is_connected(id) {
+                    self.handle_connection_lost(now, id);
+                }
+            }
+            Timer::Upkeep => self.upkeep(now),
+            Timer::Reconnect => self.open_link(now),
+            Timer::ReconnectCounter => self.update_counter_link(now),
+            Timer::TryHome => {
+                let next = now + HOME_RETRY_INTERVAL;
+                self.deadlines.enter(next, Timer::TryHome);
+                self.try_home(now);
+            }
+            Timer::Stop => self.finished = true,
+        }
+    }
+
+    fn send<T: serde::Serialize>(&mut self, to: ConnectionId, message: &T) {
+        if let Some(output) = self.connections.output(to) {
+            frames::encode(output, message);
         }
     }
 
-    fn greet(&mut self, now: i64, key: ConnectionId) {
-        if let Some(edge) = self.edge.clone() {
-            if let Some(have) = self.known.have() {
-                self.put(key, &AgentMessage::KnownDigests(have));
+    /// Opens a connection, which is given up unless it is established in time.
+    fn connect(&mut self, address: SocketAddr, now: i64) -> Option<ConnectionId> {
+        let id = self.connections.connect(address, now).ok()?;
+        let deadline = now + CONNECT_TIMEOUT;
+        self.deadlines.enter(deadline, Timer::Connect(id));
+        Some(id)
+    }
+
+    /// Subscribes to the configuration on a link, once the proxy has said which edge it belongs to.
+    fn register(&mut self, now: i64, id: ConnectionId) {
+        if let Some(node) = self.node.clone() {
+            if let Some(digests) = self.cache.known_digests() {
+                self.send(id, &AgentMessage::KnownDigests(digests));
             }
-            self.put(key, &AgentMessage::Hello(edge));
-            self.ask_time(now, key);
-            self.put(key, &AgentMessage::Heartbeat(self.standing));
+            self.send(id, &AgentMessage::Hello(node));
+            self.request_clock(now, id);
+            self.send(id, &AgentMessage::Heartbeat(self.state));
         }
     }
 
-    fn proxy_came(&mut self, now: i64, key: ConnectionId) {
-        if let Some(old) = self.proxy.replace(key) {
-            self.wires.close(old);
+    fn handle_proxy_connected(&mut self, now: i64, id: ConnectionId) {
+        if let Some(former) = self.proxy.replace(id) {
+            self.connections.close(former);
         }
-        self.batches.clear();
-        for message in self.known.all(now) {
-            self.put(key, &message);
+        self.pending_batches.clear();
+        for message in self.cache.snapshot(now) {
+            self.send(id, &message);
         }
     }
 
-    /// The settings may name other seeds by now.
-    fn reread(&mut self) {
-        let Some(file) = &self.file else { return };
+    /// Reads the settings again: they may name other seeds by now.
+    fn reload_settings(&mut self) {
+        let Some(file) = &self.settings_file else {
+            return;
+        };
         match Settings::load(file) {
-            Ok(settings) => self.links.seeds(settings.seed_addresses()),
-            Err(fault) => {
-                let fault = format!("{fault:#}");
-                // It is read over and over: what stays wrong is said once.
-                if fault != self.fault {
-                    warn!(self.log, #IMMEDIATE, "settings not taken: {fault}"; "step" => "reading settings anew");
+            Ok(settings) => self.selection.set_seeds(settings.seed_addresses()),
+            Err(error) => {
+                let error = format!("{error:#}");
+                // They are read again and again: an error that stays is logged once.
+                if error != self.last_settings_error {
+                    warn!(self.log, #IMMEDIATE, "settings rejected"; "error" => &error);
                 }
-                self.fault = fault;
+                self.last_settings_error = error;
             }
         }
     }
 
+    /// Opens the link to the next control program in the order of the selection.
     fn open_link(&mut self, now: i64) {
         if self.link.is_some() {
             return;
         }
-        let Some((to, round)) = self.links.advance() else {
-            return self.deadlines.enter(now + AGAIN, Due::Again);
+        let retry_at = now + RETRY_DELAY;
+        let Some(attempt) = self.selection.next_attempt() else {
+            return self.deadlines.enter(retry_at, Timer::Reconnect);
         };
-        if round {
-            self.reread();
-        }
-        match self.wires.connect(to, now) {
-            Ok(key) => {
-                self.deadlines.enter(now + CONNECT, Due::Connect(key));
-                self.link = Some(Link {
-                    key,
-                    to,
-                    told: false,
-                    astray: None,
-                });
-            }
-            Err(_) => self.deadlines.enter(now + AGAIN, Due::Again),
+        if attempt.is_last_of_round {
+            self.reload_settings();
         }
+        let Some(connection) = self.connect(attempt.address, now) else {
+            return self.deadlines.enter(retry_at, Timer::Reconnect);
+        };
+        self.link = Some(ControlLink {
+            connection,
+            address: attempt.address,
+            subscribed: false,
+            without_quorum_since: None,
+        });
     }
 
-    /// The link to the holder of the count follows who is who.
-    fn open_count(&mut self, now: i64) {
-        let holder = self.known.who().and_then(|who| who.counter);
-        if self.count.map(|(_, to, term)| (to, term)) == holder {
+    /// Opens the link to the replica that keeps the counter, if that is another one than before.
+    fn update_counter_link(&mut self, now: i64) {
+        let view = self.cache.cluster_view();
+        let holder = view.and_then(|view| view.counter);
+        let linked = self.counter_link.map(|link| (link.address, link.term));
+        if linked == holder {
             return;
         }
-        if let Some((old, ..)) = self.count.take() {
-            self.wires.close(old);
+        if let Some(former) = self.counter_link.take() {
+            self.connections.close(former.connection);
+        }
+        let Some((address, term)) = holder else {
+            return;
+        };
+        match self.connect(address, now) {
+            Some(connection) => {
+                self.counter_link = Some(CounterLink {
+                    connection,
+                    address,
+                    term,
+                });
+            }
+            None => {
+                let retry_at = now + RETRY_DELAY;
+                self.deadlines.enter(retry_at, Timer::ReconnectCounter);
+            }
         }
-        let Some((to, term)) = holder else { return };
-        match self.wires.connect(to, now) {
-            Ok(key) => {
-                self.deadlines.enter(now + CONNECT, Due::Connect(key));
-                self.count = Some((key, to, term));
+    }
+
+    fn handle_connection_lost(&mut self, now: i64, id: ConnectionId) {
+        self.connections.close(id);
+        let retry_at = now + RETRY_DELAY;
+        if self.is_link(id) {
+            if let Some(link) = self.link.take() {
+                self.selection.skip_past(link.address);
+                info!(self.log, "link lost"; "peer" => link.address.to_string());
             }
-            Err(_) => self.deadlines.enter(now + AGAIN, Due::CountAgain),
-        }
-    }
-
-    fn lost(&mut self, now: i64, key: ConnectionId) {
-        self.wires.close(key);
-        if self.is_link(key) {
-            let to = self.link.take().map(|link| link.to);
-            to.into_iter().for_each(|to| self.links.left(to));
-            info!(self.log, "link lost"; "step" => "keeping the link", "peer" => to.map(|to| to.to_string()));
-            self.deadlines.enter(now + AGAIN, Due::Again);
-        } else if self.is_count(key) {
-            self.count = None;
-            self.deadlines.enter(now + AGAIN, Due::CountAgain);
-        } else if self.is_homeward(key) {
-            self.homeward = None;
-        } else if self.proxy == Some(key) {
+            self.deadlines.enter(retry_at, Timer::Reconnect);
+        } else if self.is_counter_link(id) {
+            self.counter_link = None;
+            self.deadlines.enter(retry_at, Timer::ReconnectCounter);
+        } else if self.is_home_candidate(id) {
+            self.home_candidate = None;
+        } else if self.proxy == Some(id) {
             self.proxy = None;
-            self.stands(NodeState::Unavailable);
-            self.finished |= self.ending;
+            self.set_state(NodeState::Unavailable);
+            self.finished |= self.shutting_down;
         }
     }
 
-    fn stands(&mut self, standing: NodeState) {
-        let standing = if self.ending && standing == NodeState::Ready {
+    /// Takes over the state of the proxy. While the agent shuts down the edge drains.
+    fn set_state(&mut self, state: NodeState) {
+        let state = if self.shutting_down && state == NodeState::Ready {
             NodeState::Draining
         } else {
-            standing
+            state
         };
-        if std::mem::replace(&mut self.standing, standing) != standing {
-            self.beat();
+        if std::mem::replace(&mut self.state, state) != state {
+            self.send_heartbeat();
         }
     }
 
-    fn beat(&mut self) {
+    fn send_heartbeat(&mut self) {
         if let Some(link) = &self.link
-            && self.edge.is_some()
+            && self.node.is_some()
         {
-            let key = link.key;
-            self.put(key, &AgentMessage::Heartbeat(self.standing));
+            let id = link.connection;
+            self.send(id, &AgentMessage::Heartbeat(self.state));
         }
     }
 
-    fn came(&mut self, now: i64, key: ConnectionId) {
-        if self.proxy == Some(key) {
-            return self.proxy_said(now, key);
-        }
-        loop {
-            let Some(wire) = self.wires.get_mut(key) else {
-                return;
-            };
-            match frames::decode::<ControlMessage>(&mut wire.input) {
-                Ok(Some(message)) => self.heard(now, key, message),
+    /// Handles the messages that were received from a control program.
+    fn read_control(&mut self, now: i64, id: ConnectionId) {
+        while let Some(connection) = self.connections.get_mut(id) {
+            match frames::decode::<ControlMessage>(&mut connection.input) {
+                Ok(Some(message)) => self.handle_control_message(now, id, message),
                 Ok(None) => return,
-                Err(fault) => {
-                    error!(self.log, "{fault}"; "step" => "reading news", "peer" => "control program");
-                    return self.lost(now, key);
+                Err(error) => {
+                    error!(self.log, "reading from a control program failed";
+                        "error" => error.to_string());
+                    return self.handle_connection_lost(now, id);
                 }
             }
         }
     }
 
-    fn heard(&mut self, now: i64, key: ConnectionId, message: ControlMessage) {
+    fn handle_control_message(&mut self, now: i64, from: ConnectionId, message: ControlMessage) {
         match message {
             ControlMessage::Totals { batch, totals } => {
-                if let Some((proxy, batch)) = self.batches.remove(&batch) {
-                    self.put(proxy, &ControlMessage::Totals { batch, totals });
+                if let Some(PendingBatch { proxy, number }) = self.pending_batches.remove(&batch) {
+                    let batch = number;
+                    self.send(proxy, &ControlMessage::Totals { batch, totals });
                 }
             }
             ControlMessage::NotCounted(batch) => {
-                if let Some((proxy, batch)) = self.batches.remove(&batch) {
-                    self.put(proxy, &ControlMessage::NotCounted(batch));
-                }
-            }
-            ControlMessage::ClusterView(ref who) => {
-                let (in_touch, replicas) = (who.has_quorum, who.replicas.clone());
-                if let Some((_, to)) = self.homeward.filter(|(home, _)| *home == key && in_touch) {
-                    self.homeward = None;
-                    if let Some(old) = self.link.replace(Link {
-                        key,
-                        to,
-                        told: true,
-                        astray: None,
-                    }) {
-                        self.wires.close(old.key);
-                    }
-                }
-                let Some(link) = self.link.as_mut().filter(|link| link.key == key) else {
-                    return;
-                };
-                link.told = true;
-                link.astray = if in_touch {
-                    None
-                } else {
-                    link.astray.or(Some(now))
-                };
-                if in_touch {
-                    self.links.told(&replicas);
-                    self.links.settled();
-                } else {
-                    self.links.heard_of(&replicas);
-                }
-                self.pass_on(now, message);
-                self.open_count(now);
-                // The settings name a few replicas: not all agents that start are to stay with these.
-                if in_touch && !std::mem::replace(&mut self.homed, true) {
-                    self.try_home(now);
+                if let Some(PendingBatch { proxy, number }) = self.pending_batches.remove(&batch) {
+                    self.send(proxy, &ControlMessage::NotCounted(number));
                 }
             }
-            // Nothing is added for the way: guesses of it would drive the clock on, as whoever is ahead leads.
+            ControlMessage::ClusterView(view) => self.handle_cluster_view(now, from, view),
+            // Nothing is added to the clock for the time on the way: as whoever is ahead leads, such guesses would drive it on.
             ControlMessage::Clock(_)
             | ControlMessage::Servers { .. }
-            | ControlMessage::Complete => self.pass_on(now, message),
+            | ControlMessage::Complete => self.forward(now, message),
             ControlMessage::Items(ref items) => {
-                let news = !items.is_empty();
-                self.pass_on(now, message);
-                if news && self.is_link(key) {
-                    self.put(key, &self.known.holding());
+                let has_items = !items.is_empty();
+                self.forward(now, message);
+                if has_items && self.is_link(from) {
+                    self.send(from, &self.cache.config_state());
                 }
             }
-            // Two links are open for a moment; only the one that is kept tells who is let through.
-            ControlMessage::Levels { .. } if !self.is_link(key) => {}
-            ControlMessage::Levels { .. } => self.pass_on(now, message),
+            // While two links are open only the one that is kept tells the admission levels.
+            ControlMessage::Levels { .. } if !self.is_link(from) => {}
+            ControlMessage::Levels { .. } => self.forward(now, message),
         }
     }
 
-    fn pass_on(&mut self, now: i64, message: ControlMessage) {
-        if let Some(message) = self.known.take(now, message)
+    fn handle_cluster_view(&mut self, now: i64, from: ConnectionId, view: ClusterView) {
+        let has_quorum = view.has_quorum;
+        let candidate = self.home_candidate;
+        if let Some(home) = candidate.filter(|home| home.connection == from && has_quorum) {
+            self.move_home(home);
+        }
+        let link = self.link.as_mut();
+        let Some(link) = link.filter(|link| link.connection == from) else {
+            return;
+        };
+        link.subscribed = true;
+        if has_quorum {
+            link.without_quorum_since = None;
+            self.selection.set_replicas(&view.replicas);
+            self.selection.reset();
+        } else {
+            link.without_quorum_since.get_or_insert(now);
+            self.selection.add_reported(&view.replicas);
+        }
+        self.forward(now, ControlMessage::ClusterView(view));
+        self.update_counter_link(now);
+        // The settings name only a few replicas, and not all agents that start may stay with these.
+        if has_quorum && !std::mem::replace(&mut self.home_tried, true) {
+            self.try_home(now);
+        }
+    }
+
+    /// Makes the link to the replica of the own zone the one that is kept.
+    fn move_home(&mut self, home: HomeCandidate) {
+        self.home_candidate = None;
+        let former = self.link.replace(ControlLink {
+            connection: home.connection,
+            address: home.address,
+            subscribed: true,
+            without_quorum_since: None,
+        });
+        if let Some(former) = former {
+            self.connections.close(former.connection);
+        }
+    }
+
+    /// Forwards what is new in a message to the proxy.
+    fn forward(&mut self, now: i64, message: ControlMessage) {
+        if let Some(message) = self.cache.apply(now, message)
             && let Some(proxy) = self.proxy
         {
-            self.put(proxy, &message);
-        }
-    }
-
-    fn proxy_said(&mut self, now: i64, key: ConnectionId) {
-        loop {
-            let Some(wire) = self.wires.get_mut(key) else {
-                return;
-            };
-            match frames::decode::<AgentMessage>(&mut wire.input) {
-                Ok(Some(AgentMessage::Hello(edge))) => {
-                    let new = self.edge.replace(edge.clone()) != Some(edge);
-                    if let Some(link) = self.link.as_ref().filter(|_| new) {
-                        let link = link.key;
-                        self.greet(now, link);
-                    }
-                }
-                Ok(Some(AgentMessage::Heartbeat(standing))) => self.stands(standing),
-                Ok(Some(AgentMessage::CounterBatch { batch, time, adds })) => {
-                    self.adds(now, key, batch, time, adds)
-                }
-                Ok(Some(AgentMessage::LoadReports(reports))) => {
-                    if let Some(link) = self
-                        .link
-                        .as_ref()
-                        .filter(|link| link.told)
-                        .map(|link| link.key)
-                    {
-                        self.put(link, &AgentMessage::LoadReports(reports));
-                    }
-                }
-                Ok(Some(
-                    AgentMessage::Clock(_)
-                    | AgentMessage::KnownDigests(_)
-                    | AgentMessage::ConfigState { .. },
-                )) => {}
+            self.send(proxy, &message);
+        }
+    }
+
+    /// Handles the messages that were received from the proxy.
+    fn read_proxy(&mut self, now: i64, id: ConnectionId) {
+        while let Some(connection) = self.connections.get_mut(id) {
+            match frames::decode::<AgentMessage>(&mut connection.input) {
+                Ok(Some(message)) => self.handle_proxy_message(now, id, message),
                 Ok(None) => return,
-                Err(fault) => {
-                    error!(self.log, "{fault}"; "step" => "reading", "peer" => "proxy");
-                    return self.lost(now, key);
+                Err(error) => {
+                    error!(self.log, "reading from the proxy failed"; "error" => error.to_string());
+                    return self.handle_connection_lost(now, id);
                 }
             }
         }
     }
 
-    fn adds(
-        &mut self,
-        now: i64,
-        proxy: ConnectionId,
-        batch: u64,
-        time: i64,
-        adds: Vec<protocol::messages::CounterAdd>,
-    ) {
-        let up = self
-            .count
-            .filter(|(key, ..)| self.wires.get(*key).is_some_and(|wire| wire.is_connected()));
-        // Without the clock of the others its windows are not theirs.
-        let up = up.filter(|_| self.known.time(now).is_some());
-        let Some((key, ..)) = up else {
-            return self.put(proxy, &ControlMessage::NotCounted(batch));
-        };
-        self.batch += 1;
-        self.batches.insert(self.batch, (proxy, batch));
-        // Guards the memory against a holder that answers nothing: the proxy has given the oldest up.
-        if self.batches.len() > 2_000 {
-            self.batches.pop_first();
-        }
-        self.put(
-            key,
-            &AgentMessage::CounterBatch {
-                batch: self.batch,
-                time,
-                adds,
-            },
-        );
-    }
-
-    fn due(&mut self, now: i64, due: Due) {
-        match due {
-            Due::Connect(key) if self.wires.get(key).is_some_and(|wire| !wire.is_connected()) => {
-                self.lost(now, key)
+    fn handle_proxy_message(&mut self, now: i64, from: ConnectionId, message: AgentMessage) {
+        match message {
+            AgentMessage::Hello(node) => {
+                let is_new = self.node.replace(node.clone()) != Some(node);
+                if let Some(link) = self.link.as_ref().filter(|_| is_new) {
+                    let id = link.connection;
+                    self.register(now, id);
+                }
             }
-            Due::Connect(_) => {}
-            Due::Look => self.look(now),
-            Due::Again => self.open_link(now),
-            Due::CountAgain => self.open_count(now),
-            Due::Home => self.go_home(now),
-            Due::End => self.finished = true,
-        }
-    }
-
-    /// Asks for the limiters' clock, and tells it.
-    fn ask_time(&mut self, now: i64, key: ConnectionId) {
-        self.put(key, &AgentMessage::Clock(self.known.time(now).unwrap_or(0)));
-    }
-
-    /// A sign of life, and a look at how the link does.
-    fn look(&mut self, now: i64) {
-        self.deadlines.enter(now + BEAT, Due::Look);
-        if let Some((message, proxy)) = self.known.look(now).zip(self.proxy) {
-            self.put(proxy, &message);
-        }
-        self.beat();
-        if now - self.asked_last >= ASK_TIME {
-            self.asked_last = now;
-            let keys = self
-                .count
-                .map(|(key, ..)| key)
-                .into_iter()
-                .chain(self.link.as_ref().map(|link| link.key));
-            for key in keys
-                .filter(|key| self.wires.get(*key).is_some_and(|wire| wire.is_connected()))
-                .collect::<Vec<_>>()
-            {
-                self.ask_time(now, key);
+            AgentMessage::Heartbeat(state) => self.set_state(state),
+            AgentMessage::CounterBatch { batch, time, adds } => {
+                let pending = PendingBatch {
+                    proxy: from,
+                    number: batch,
+                };
+                self.forward_batch(now, pending, time, adds);
             }
-            if let Some(link) = &self.link {
-                let key = link.key;
-                self.put(key, &self.known.holding());
+            AgentMessage::LoadReports(reports) => {
+                let link = self.link.as_ref().filter(|link| link.subscribed);
+                if let Some(id) = link.map(|link| link.connection) {
+                    self.send(id, &AgentMessage::LoadReports(reports));
+                }
             }
+            AgentMessage::Clock(_)
+            | AgentMessage::KnownDigests(_)
+            | AgentMessage::ConfigState { .. } => {}
         }
-        let count = self
-            .count
-            .and_then(|(key, ..)| Some((key, self.wires.get(key)?)));
-        if let Some((key, _)) = count
-            .filter(|(_, wire)| wire.is_connected() && now - wire.last_received_at > COUNT_SILENT)
-        {
-            self.lost(now, key);
+    }
+
+    /// Forwards a batch of the proxy to the counter, or says at once that it is not counted.
+    fn forward_batch(&mut self, now: i64, pending: PendingBatch, time: i64, adds: Vec<CounterAdd>) {
+        let link = self.counter_link;
+        let link = link.filter(|link| self.is_connected(link.connection));
+        // Without the others' clock this limiter's windows are not theirs.
+        let link = link.filter(|_| self.cache.time(now).is_some());
+        let Some(link) = link else {
+            let not_counted = ControlMessage::NotCounted(pending.number);
+            return self.send(pending.proxy, &not_counted);
+        };
+        self.last_batch += 1;
+        let batch = self.last_batch;
+        self.pending_batches.insert(batch, pending);
+        // A counter that answers nothing must not use up the memory.
+        if self.pending_batches.len() > MAX_PENDING_BATCHES {
+            self.pending_batches.pop_first();
+        }
+        let message = AgentMessage::CounterBatch { batch, time, adds };
+        self.send(link.connection, &message);
+    }
+
+    /// Requests the limiters' clock, and tells what it is here.
+    fn request_clock(&mut self, now: i64, to: ConnectionId) {
+        let time = self.cache.time(now).unwrap_or(0);
+        self.send(to, &AgentMessage::Clock(time));
+    }
+
+    /// Sends a heartbeat, and gives up links that are silent or of no use.
+    fn upkeep(&mut self, now: i64) {
+        let next = now + HEARTBEAT_INTERVAL;
+        self.deadlines.enter(next, Timer::Upkeep);
+        if let Some((message, proxy)) = self.cache.check_isolation(now).zip(self.proxy) {
+            self.send(proxy, &message);
+        }
+        self.send_heartbeat();
+        if now - self.clock_requested_at >= CLOCK_REQUEST_INTERVAL {
+            self.clock_requested_at = now;
+            self.report_state(now);
+        }
+        self.close_silent_counter_link(now);
+        self.close_useless_link(now);
+    }
+
+    /// Requests the clock on both links, and tells the control program which items the agent has.
+    fn report_state(&mut self, now: i64) {
+        let counter_link = self.counter_link.map(|link| link.connection);
+        let link = self.link.as_ref().map(|link| link.connection);
+        for id in counter_link.into_iter().chain(link) {
+            if self.is_connected(id) {
+                self.request_clock(now, id);
+            }
+        }
+        if let Some(id) = link {
+            self.send(id, &self.cache.config_state());
         }
-        let Some(link) = &self.link else { return };
-        let heard = self
-            .wires
-            .get(link.key)
-            .map_or(i64::MIN, |wire| wire.last_received_at);
-        let silent = now - heard > SILENT && self.edge.is_some();
-        if silent || link.astray.is_some_and(|since| now - since > OUT_OF_TOUCH) {
-            let key = link.key;
-            self.lost(now, key);
+    }
+
+    fn close_silent_counter_link(&mut self, now: i64) {
+        let Some(link) = self.counter_link else {
+            return;
+        };
+        let connection = self.connections.get(link.connection);
+        let is_silent = connection.is_some_and(|connection| {
+            connection.is_connected() && now - connection.last_received_at > COUNTER_LINK_TIMEOUT
+        });
+        if is_silent {
+            self.handle_connection_lost(now, link.connection);
         }
     }
 
-    /// An agent that is linked elsewhere looks whether the replica of its zone is back.
-    fn go_home(&mut self, now: i64) {
-        self.deadlines.enter(now + HOMEWARD, Due::Home);
-        self.try_home(now);
+    /// Closes the link to a control program that is silent, or has been without a quorum for long.
+    fn close_useless_link(&mut self, now: i64) {
+        let Some(link) = &self.link else {
+            return;
+        };
+        let connection = self.connections.get(link.connection);
+        let last_received_at =
+            connection.map_or(i64::MIN, |connection| connection.last_received_at);
+        let is_silent = now - last_received_at > LINK_TIMEOUT && self.node.is_some();
+        let is_without_quorum = link
+            .without_quorum_since
+            .is_some_and(|since| now - since > QUORUM_LOSS_PATIENCE);
+        if is_silent || is_without_quorum {
+            let id = link.connection;
+            self.handle_connection_lost(now, id);
+        }
     }
 
+    /// Tries whether the replica of the own zone can be reached, if the agent is linked to another one.
     fn try_home(&mut self, now: i64) {
-        if let Some((old, _)) = self.homeward.take() {
-            self.wires.close(old);
-        }
-        let linked = self
-            .link
-            .as_ref()
-            .filter(|link| link.told)
-            .map(|link| link.to);
-        let Some(home) = self
-            .links
-            .home()
-            .filter(|home| linked.is_some_and(|to| to != *home))
-        else {
+        if let Some(former) = self.home_candidate.take() {
+            self.connections.close(former.connection);
+        }
+        let link = self.link.as_ref().filter(|link| link.subscribed);
+        let linked = link.map(|link| link.address);
+        let home = self.selection.home();
+        let home = home.filter(|home| linked.is_some_and(|linked| linked != *home));
+        let Some(address) = home else {
             return;
         };
-        if let Ok(key) = self.wires.connect(home, now) {
-            self.deadlines.enter(now + CONNECT, Due::Connect(key));
-            self.homeward = Some((key, home));
+        if let Some(connection) = self.connect(address, now) {
+            self.home_candidate = Some(HomeCandidate {
+                connection,
+                address,
+            });
         }
     }
 
-    fn end(&mut self, now: i64) {
-        if std::mem::replace(&mut self.ending, true) {
+    /// The process is to end: the edge drains until the proxy has ended, or the grace period is over.
+    fn begin_shutdown(&mut self, now: i64) {
+        if std::mem::replace(&mut self.shutting_down, true) {
             return;
         }
-        let standing = self.standing;
-        self.stands(standing);
+        self.set_state(self.state);
         self.finished |= self.proxy.is_none();
-        self.deadlines
-            .enter(now + self.settings.bounds.grace.0 - GRACE_LEFT, Due::End);
+        let end = now + self.settings.bounds.grace.0 - GRACE_MARGIN;
+        self.deadlines.enter(end, Timer::Stop);
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,9 @@
-//! The agent: the agent beside a proxy. It keeps a link to a control program, holds what was told on it, and feeds
-//! the proxy of its machine over loopback. The proxy's adds to the shared count go to the program that holds it.
+//! The agent beside a proxy. It keeps a link to a control program, caches the configuration that it is sent, and forwards it to
+//! the proxy of its machine over loopback. The proxy's additions to the shared counter go to the replica that keeps it.
 //!
-//! [`known`] holds the news and [`links`] says whom to call, without any input or output; [`host`] has the connections.
+//! [`config_cache`] holds the configuration and [`replica_selection`] decides which control program to call, both without I/O;
+//! [`host`] has the connections.
 
+pub mod config_cache;
 pub mod host;
-pub mod known;
-pub mod links;
+pub mod replica_selection;
--- a/crates/agent/src/links/tests.rs
+++ b/crates/agent/src/replica_selection/tests.rs
@@ -4,20 +4,27 @@
     SocketAddr::from(([10, 0, 0, n], 7740))
 }
 
-fn links(shift: usize) -> Links {
+fn attempt(address: SocketAddr, is_last_of_round: bool) -> Attempt {
+    Attempt {
+        address,
+        is_last_of_round,
+    }
+}
+
+fn links(shift: usize) -> ReplicaSelection {
     let zones = [("a", "r"), ("b", "r"), ("c", "q"), ("d", "q")];
     let zones = zones
         .map(|(zone, region)| (zone.to_string(), region.to_string()))
         .into();
-    let mut links = Links::new("b", "r", zones, shift);
-    links.seeds(vec![at(9)]);
+    let mut links = ReplicaSelection::new("b", "r", zones, shift);
+    links.set_seeds(vec![at(9)]);
     links
 }
 
-fn tried(links: &mut Links, n: usize) -> Vec<SocketAddr> {
+fn tried(links: &mut ReplicaSelection, n: usize) -> Vec<SocketAddr> {
     (0..n)
-        .filter_map(|_| links.advance())
-        .map(|(at, _)| at)
+        .filter_map(|_| links.next_attempt())
+        .map(|attempt| attempt.address)
         .collect()
 }
 
@@ -29,24 +36,25 @@
         [at(9), at(9)],
         "the seeds are all there is"
     );
-    links.told(&["d", "a", "c", "b"].map(|zone| (zone.to_string(), at(zone.as_bytes()[0]))));
-    links.settled();
+    links
+        .set_replicas(&["d", "a", "c", "b"].map(|zone| (zone.to_string(), at(zone.as_bytes()[0]))));
+    links.reset();
     assert_eq!(
         tried(&mut links, 6),
         [at(b'b'), at(b'a'), at(b'c'), at(b'd'), at(9), at(b'b')]
     );
-    links.settled();
-    assert_eq!(links.advance(), Some((at(b'b'), false)));
+    links.reset();
+    assert_eq!(links.next_attempt(), Some(attempt(at(b'b'), false)));
 }
 
 #[test]
 fn who_leaves_a_replica_tries_the_next_and_not_the_same_again() {
     let mut links = links(0);
-    links.told(&["a", "b", "c"].map(|zone| (zone.to_string(), at(zone.as_bytes()[0]))));
-    links.settled();
-    links.left(at(b'b'));
+    links.set_replicas(&["a", "b", "c"].map(|zone| (zone.to_string(), at(zone.as_bytes()[0]))));
+    links.reset();
+    links.skip_past(at(b'b'));
     assert_eq!(tried(&mut links, 3), [at(b'a'), at(b'c'), at(9)]);
-    links.left(at(77));
+    links.skip_past(at(77));
     assert_eq!(
         tried(&mut links, 1),
         [at(b'b')],
@@ -58,17 +66,17 @@
 fn replicas_named_by_one_out_of_touch_come_after_those_that_are_known_until_one_in_touch_names_all()
 {
     let mut links = links(0);
-    links.told(&["a", "b"].map(|zone| (zone.to_string(), at(zone.as_bytes()[0]))));
-    links.settled();
+    links.set_replicas(&["a", "b"].map(|zone| (zone.to_string(), at(zone.as_bytes()[0]))));
+    links.reset();
     // `a` was replaced, and knows by now that `b` was, too.
-    links.left(at(b'b'));
+    links.skip_past(at(b'b'));
     assert_eq!(tried(&mut links, 1), [at(b'a')]);
-    links.heard_of(&[("a".to_string(), at(b'a')), ("b".to_string(), at(5))]);
-    links.heard_of(&[("b".to_string(), at(5))]);
-    links.left(at(b'a'));
+    links.add_reported(&[("a".to_string(), at(b'a')), ("b".to_string(), at(5))]);
+    links.add_reported(&[("b".to_string(), at(5))]);
+    links.skip_past(at(b'a'));
     assert_eq!(tried(&mut links, 3), [at(5), at(9), at(b'b')]);
-    links.told(&[("b".to_string(), at(5))]);
-    links.settled();
+    links.set_replicas(&[("b".to_string(), at(5))]);
+    links.reset();
     assert_eq!(tried(&mut links, 2), [at(5), at(9)]);
 }
 
@@ -77,7 +85,7 @@
     let replicas = ["a", "c", "d"].map(|zone| (zone.to_string(), at(zone.as_bytes()[0])));
     let third = |shift| {
         let mut links = links(shift);
-        links.told(&replicas);
+        links.set_replicas(&replicas);
         tried(&mut links, 2)[1]
     };
     assert_ne!(third(0), third(1));
@@ -86,7 +94,7 @@
 #[test]
 fn a_round_that_found_nobody_is_told() {
     let mut links = links(0);
-    links.told(&[("a".to_string(), at(1))]);
-    assert_eq!(links.advance(), Some((at(1), false)));
-    assert_eq!(links.advance(), Some((at(9), true)));
+    links.set_replicas(&[("a".to_string(), at(1))]);
+    assert_eq!(links.next_attempt(), Some(attempt(at(1), false)));
+    assert_eq!(links.next_attempt(), Some(attempt(at(9), true)));
 }
--- a/crates/agent/tests/beside.rs
+++ b/crates/agent/tests/beside.rs
@@ -66,7 +66,7 @@
         whole
             .machines
             .log(Role::Agent, 0)
-            .contains("WARN settings not taken: ")
+            .contains("WARN settings rejected error=")
             .then_some(())
     };
     assert!(
--- a/crates/agent/tests/restarts.rs
+++ b/crates/agent/tests/restarts.rs
@@ -126,7 +126,7 @@
     }
 
     fn turn(&mut self) {
-        self.host.step(0, &mut self.happenings).unwrap();
+        self.host.run_once(0, &mut self.happenings).unwrap();
         if let Ok((stream, _)) = self.replica.accept() {
             self.link = Some(End::new(stream));
         }
--- a/crates/control/tests/system.rs
+++ b/crates/control/tests/system.rs
@@ -223,7 +223,7 @@
         refused.contains("the disk of this replica is full or fails"),
         "{refused}"
     );
-    says(&whole, "ERRO the disk refuses writes, and is tried again");
+    says(&whole, "ERRO disk rejects writes, retrying");
     // The others are enough, and what they decide holds here too.
     let change = Change::default().set("routes", "full", 3, route("/full/", SERVICES[1]));
     whole.operator.change(&change, soon()).unwrap();
@@ -236,7 +236,7 @@
     };
     assert!(wait_for(soon(), shows).is_some());
     whole.machines.most_bytes(Role::Control, 0, None).unwrap();
-    says(&whole, "INFO the disk takes writes again");
+    says(&whole, "INFO disk accepts writes again");
     assert_eq!(patch(4, SERVICES[0]).status, 200);
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
 }
--- a/crates/simulation/src/edges.rs
+++ b/crates/simulation/src/edges.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use agent::known::Known;
-use agent::links::{HOMEWARD, Links};
+use agent::config_cache::ConfigCache;
+use agent::replica_selection::{HOME_RETRY_INTERVAL, ReplicaSelection};
 use dataplane::clock::FIRST;
 use protocol::items::{Item, ItemKind, ItemName};
 use protocol::messages::{CounterAdd, NodeState};
@@ -139,8 +139,8 @@
 }
 
 struct Agent {
-    links: Links,
-    known: Known,
+    links: ReplicaSelection,
+    known: ConfigCache,
     link: Option<Link>,
     homeward: Option<(u64, SocketAddr)>,
     count: Option<(u64, SocketAddr, u64)>,
@@ -286,16 +286,16 @@
     }
 
     fn agent(&self, at: usize, zone: usize) -> Agent {
-        let mut links = Links::new(
+        let mut links = ReplicaSelection::new(
             &self.zones[zone],
             &format!("r{}", zone / 2),
             self.regions(),
             at + 1,
         );
-        links.seeds(self.seeds());
+        links.set_seeds(self.seeds());
         Agent {
             links,
-            known: Known::default(),
+            known: ConfigCache::default(),
             link: None,
             homeward: None,
             count: None,
@@ -343,7 +343,7 @@
         for (after, due) in [
             (0, Due::Again),
             (BEAT, Due::Look),
-            (HOMEWARD, Due::Home),
+            (HOME_RETRY_INTERVAL, Due::Home),
             (LOAD, Due::Load),
         ] {
             self.later(at, after, due);
@@ -377,7 +377,7 @@
         self.edges[at].agent.batches.clear();
         self.stands(at);
         let now = self.steady(at);
-        for message in self.edges[at].agent.known.all(now) {
+        for message in self.edges[at].agent.known.snapshot(now) {
             self.proxy_heard(at, message);
         }
     }
--- a/crates/simulation/src/edges/agents.rs
+++ b/crates/simulation/src/edges/agents.rs
@@ -2,7 +2,9 @@
 
 use std::net::SocketAddr;
 
-use agent::links::{COUNT_SILENT, HOMEWARD, OUT_OF_TOUCH, SILENT};
+use agent::replica_selection::{
+    COUNTER_LINK_TIMEOUT, HOME_RETRY_INTERVAL, LINK_TIMEOUT, QUORUM_LOSS_PATIENCE,
+};
 use control::core::Input;
 use control::limits::AGENT_LINK_TIMEOUT;
 use protocol::messages::{AgentMessage, ControlMessage, NodeInfo as Told, NodeState};
@@ -226,7 +228,7 @@
         let agent = &mut self.edges[at].agent;
         if agent.link.as_ref().is_some_and(|link| link.conn == id) {
             let to = agent.link.take().map(|link| link.to);
-            to.into_iter().for_each(|to| agent.links.left(to));
+            to.into_iter().for_each(|to| agent.links.skip_past(to));
             self.later(at, AGAIN, Due::Again);
         } else if agent.count.is_some_and(|(count, ..)| count == id) {
             agent.count = None;
@@ -292,10 +294,10 @@
                     link.astray.or(Some(now))
                 };
                 if in_touch {
-                    agent.links.told(&replicas);
-                    agent.links.settled();
+                    agent.links.set_replicas(&replicas);
+                    agent.links.reset();
                 } else {
-                    agent.links.heard_of(&replicas);
+                    agent.links.add_reported(&replicas);
                 }
                 self.pass_on(at, message);
                 self.open_count(at);
@@ -310,7 +312,7 @@
                         .as_ref()
                         .is_some_and(|link| link.conn == id)
                 {
-                    let holding = self.edges[at].agent.known.holding();
+                    let holding = self.edges[at].agent.known.config_state();
                     self.say(id, holding);
                 }
             }
@@ -331,7 +333,7 @@
         let message = if all {
             Some(message)
         } else {
-            self.edges[at].agent.known.take(now, message)
+            self.edges[at].agent.known.apply(now, message)
         };
         if let Some(message) = message {
             self.proxy_heard(at, message);
@@ -342,13 +344,14 @@
         if self.edges[at].agent.link.is_some() {
             return;
         }
-        let Some((to, round)) = self.edges[at].agent.links.advance() else {
+        let Some(attempt) = self.edges[at].agent.links.next_attempt() else {
             return;
         };
-        if round {
+        let to = attempt.address;
+        if attempt.is_last_of_round {
             // The settings are read anew.
             let seeds = self.seeds();
-            self.edges[at].agent.links.seeds(seeds);
+            self.edges[at].agent.links.set_seeds(seeds);
         }
         let conn = self.connect(at, to);
         self.edges[at].agent.link = Some(Link {
@@ -361,7 +364,11 @@
     }
 
     pub(super) fn open_count(&mut self, at: usize) {
-        let holder = self.edges[at].agent.known.who().and_then(|who| who.counter);
+        let holder = self.edges[at]
+            .agent
+            .known
+            .cluster_view()
+            .and_then(|who| who.counter);
         if self.edges[at].agent.count.map(|(_, to, term)| (to, term)) == holder {
             return;
         }
@@ -391,7 +398,7 @@
                 self.later(at, BEAT, Due::Look);
                 self.stands(at);
                 let now = self.steady(at);
-                if let Some(message) = self.edges[at].agent.known.look(now) {
+                if let Some(message) = self.edges[at].agent.known.check_isolation(now) {
                     self.proxy_heard(at, message);
                 }
                 let (now, agent) = (self.steady(at), &mut self.edges[at].agent);
@@ -406,23 +413,24 @@
                 let agent = &self.edges[at].agent;
                 let up = |id: &u64| self.conns.get(id).is_none_or(|conn| conn.up);
                 let count = agent.count.map(|(id, ..)| id).filter(up);
-                if let Some(id) = count.filter(|_| self.now - agent.counted > COUNT_SILENT) {
+                if let Some(id) = count.filter(|_| self.now - agent.counted > COUNTER_LINK_TIMEOUT)
+                {
                     self.lost(at, id);
                 }
                 let agent = &self.edges[at].agent;
                 let standing = agent.standing;
                 let Some(link) = &agent.link else { return };
-                let (conn, silent) = (link.conn, self.now - link.heard > SILENT);
+                let (conn, silent) = (link.conn, self.now - link.heard > LINK_TIMEOUT);
                 let astray = link
                     .astray
-                    .is_some_and(|since| self.now - since > OUT_OF_TOUCH);
+                    .is_some_and(|since| self.now - since > QUORUM_LOSS_PATIENCE);
                 self.say(conn, AgentMessage::Heartbeat(standing));
                 if silent || astray {
                     self.lost(at, conn);
                 }
             }
             Due::Home => {
-                self.later(at, HOMEWARD, Due::Home);
+                self.later(at, HOME_RETRY_INTERVAL, Due::Home);
                 if let Some((old, _)) = self.edges[at].agent.homeward.take() {
                     self.reset(old, true);
                 }
--- a/crates/simulation/src/edges/proxies.rs
+++ b/crates/simulation/src/edges/proxies.rs
@@ -181,7 +181,11 @@
     }
 
     pub(super) fn tell_count(&mut self, at: usize) {
-        let holder = self.edges[at].agent.known.who().and_then(|who| who.counter);
+        let holder = self.edges[at]
+            .agent
+            .known
+            .cluster_view()
+            .and_then(|who| who.counter);
         self.edges[at]
             .proxy
             .router
--- a/crates/simulation/src/scale/agent.rs
+++ b/crates/simulation/src/scale/agent.rs
@@ -3,8 +3,8 @@
 
 use std::net::SocketAddr;
 
-use agent::known::Known;
-use agent::links::Links;
+use agent::config_cache::ConfigCache;
+use agent::replica_selection::ReplicaSelection;
 use protocol::digests::Digests;
 use protocol::items::Item;
 use protocol::messages::{AgentMessage, ControlMessage, NodeInfo};
@@ -23,9 +23,9 @@
     /// As it names itself.
     pub edge: NodeInfo,
     /// Where to call.
-    pub links: Links,
+    pub links: ReplicaSelection,
     /// What it knows; none for one that counts.
-    pub known: Option<Known>,
+    pub known: Option<ConfigCache>,
     /// Number and peer of its link, while it has one or opens it.
     pub link: Option<(u64, usize)>,
     /// The same of that to the holder of the count.
@@ -65,7 +65,7 @@
             return None;
         }
         if let Some(known) = &self.known {
-            return known.have();
+            return known.known_digests();
         }
         let mut digests = base.clone();
         for item in change.iter().filter(|_| self.seen.is_some()) {
@@ -99,8 +99,8 @@
                     }
                     ControlMessage::ClusterView(who) => {
                         if who.has_quorum {
-                            self.links.told(&who.replicas);
-                            self.links.settled();
+                            self.links.set_replicas(&who.replicas);
+                            self.links.reset();
                         }
                         self.holder = who.counter.map(|(at, _)| at);
                     }
@@ -108,7 +108,7 @@
                     _ => {}
                 }
                 if let Some(known) = &mut self.known {
-                    known.take(now, (*down).clone());
+                    known.apply(now, (*down).clone());
                 }
             }
         }
--- a/crates/simulation/src/scale/footprint.rs
+++ b/crates/simulation/src/scale/footprint.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use agent::known::Known;
+use agent::config_cache::ConfigCache;
 use eyre::{WrapErr, eyre};
 use protocol::items::Item;
 use protocol::messages::ControlMessage;
@@ -139,13 +139,13 @@
             },
         )?,
         cost("agent: items", items, news, &mut agents, || {
-            let mut known = Known::default();
-            known.take(0, ControlMessage::Items(all.clone()));
+            let mut known = ConfigCache::default();
+            known.apply(0, ControlMessage::Items(all.clone()));
             known
         })?,
         cost("agent: servers", count, encoded(&list), &mut agents, || {
-            let mut known = Known::default();
-            known.take(0, list.clone());
+            let mut known = ConfigCache::default();
+            known.apply(0, list.clone());
             known
         })?,
     ];
--- a/crates/simulation/src/scale/world.rs
+++ b/crates/simulation/src/scale/world.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use agent::known::Known;
-use agent::links::{HOMEWARD, Links};
+use agent::config_cache::ConfigCache;
+use agent::replica_selection::{HOME_RETRY_INTERVAL, ReplicaSelection};
 use control::core::peer_messages::{Ballot, Incarnation, PeerMessage};
 use control::core::registers::Register;
 use control::core::transfer::TransferLimits;
@@ -286,13 +286,13 @@
             .iter()
             .enumerate()
             .map(|(at, zone)| (zone.clone(), region(at)));
-        let mut links = Links::new(&edge.zone, &edge.region, regions.collect(), at);
-        links.seeds(self.seeds());
+        let mut links = ReplicaSelection::new(&edge.zone, &edge.region, regions.collect(), at);
+        links.set_seeds(self.seeds());
         let counts = self.size.items * self.size.limiters > COPIES;
         self.agents.push(Agent {
             edge,
             links,
-            known: (!counts || at.is_multiple_of(50)).then(Known::default),
+            known: (!counts || at.is_multiple_of(50)).then(ConfigCache::default),
             link: None,
             count: None,
             items: 0,
@@ -306,7 +306,7 @@
         self.told.push(Traffic::default());
         self.enter(self.now + after, Event::Open(at));
         self.enter(self.now + after + BEAT, Event::Beat(at));
-        self.enter(self.now + after + HOMEWARD, Event::Home(at));
+        self.enter(self.now + after + HOME_RETRY_INTERVAL, Event::Home(at));
         at
     }
 
@@ -442,11 +442,12 @@
         if self.agents[agent].link.is_some() {
             return;
         }
-        let Some((to, _)) = self.agents[agent].links.advance() else {
+        let Some(attempt) = self.agents[agent].links.next_attempt() else {
             return self.enter(self.now + AGAIN, Event::Open(agent));
         };
+        let to = attempt.address;
         let Some(link) = self.connect(agent, to) else {
-            self.agents[agent].links.left(to);
+            self.agents[agent].links.skip_past(to);
             return self.enter(self.now + AGAIN, Event::Open(agent));
         };
         self.agents[agent].link = Some(link);
@@ -550,7 +551,7 @@
     }
 
     fn home(&mut self, agent: usize) {
-        self.enter(self.now + HOMEWARD, Event::Home(agent));
+        self.enter(self.now + HOME_RETRY_INTERVAL, Event::Home(agent));
         self.try_home(agent);
     }
 
@@ -597,7 +598,7 @@
         if let Some((_, replica)) = one.link.filter(|(own, _)| *own == link) {
             one.link = None;
             let address = self.replicas[replica].address;
-            one.links.left(address);
+            one.links.skip_past(address);
             self.enter(self.now + AGAIN, Event::Open(agent));
         }
     }
