--- a/crates/agent/src/config_cache.rs
+++ b/crates/agent/src/config_cache.rs
@@ -1,6 +1,6 @@
 //! The configuration that an agent was sent, kept for its proxy, also for one that starts later. Without I/O.
 
-use overload::judge::Level;
+use overload::admission_controller::AdmissionLevel;
 use protocol::digests::Digests;
 use protocol::items::{Item, Items};
 use protocol::messages::{AgentMessage, ClusterView, ControlMessage};
@@ -40,7 +40,7 @@
     /// The limiters' clock, and when it was received.
     time: Option<(i64, i64)>,
     /// The admission levels of services, and when they were determined.
-    levels: Option<(Vec<Level>, i64)>,
+    levels: Option<(Vec<AdmissionLevel>, i64)>,
 }
 
 impl ConfigCache {
--- a/crates/control/src/core/load_aggregation.rs
+++ b/crates/control/src/core/load_aggregation.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use overload::STEP;
-use overload::judge::{Judge, Level, Share};
-use overload::load::Report;
+use overload::admission_controller::{AdmissionController, AdmissionLevel, LoadShare};
+use overload::load::LoadReport;
 use protocol::messages::ControlMessage;
 
 use super::peer_messages::{Payload, ReplicaId};
@@ -22,7 +22,7 @@
     /// The region of each agent, by its link.
     regions: BTreeMap<u64, String>,
     /// The controllers, by region and service.
-    controllers: BTreeMap<(String, String), Judge>,
+    controllers: BTreeMap<(String, String), AdmissionController>,
     next_step_at: i64,
     steps: u64,
 }
@@ -35,14 +35,19 @@
     pub(super) fn remove_agent(&mut self, link: u64) {
         self.regions.remove(&link);
         for controller in self.controllers.values_mut() {
-            controller.left(link);
+            controller.remove_limiter(link);
         }
     }
 
-    fn controller(&mut self, local: ReplicaId, region: &str, service: &str) -> &mut Judge {
+    fn controller(
+        &mut self,
+        local: ReplicaId,
+        region: &str,
+        service: &str,
+    ) -> &mut AdmissionController {
         let key = (region.to_string(), service.to_string());
         let entry = self.controllers.entry(key);
-        entry.or_insert_with(|| Judge::new(local.into()))
+        entry.or_insert_with(|| AdmissionController::new(local.into()))
     }
 
     /// Takes in the reports of the agent on a link.
@@ -51,14 +56,14 @@
         now: i64,
         local: ReplicaId,
         link: u64,
-        reports: &[Report],
+        reports: &[LoadReport],
     ) {
         let Some(region) = self.regions.get(&link).cloned() else {
             return;
         };
         for report in reports {
             let controller = self.controller(local, &region, &report.svc);
-            controller.report(now, link, report);
+            controller.handle_report(now, link, report);
         }
     }
 
@@ -69,13 +74,13 @@
 
     fn evaluate(&mut self, now: i64) {
         for controller in self.controllers.values_mut() {
-            controller.look(now);
+            controller.evaluate(now);
         }
         self.controllers
-            .retain(|_, controller| !controller.idle(now));
+            .retain(|_, controller| !controller.is_idle(now));
     }
 
-    fn levels(&self, region: &str) -> Vec<Level> {
+    fn levels(&self, region: &str) -> Vec<AdmissionLevel> {
         let controllers = self.controllers.iter();
         let of_region = controllers.filter(|((of, _), _)| of == region);
         let levels = of_region.filter_map(|((_, service), controller)| controller.level(service));
@@ -90,12 +95,12 @@
         now: i64,
         sender: Sender,
         region: &str,
-        services: Vec<(String, Share)>,
+        services: Vec<(String, LoadShare)>,
     ) {
         let local = self.table.local().replica;
         for (service, share) in services {
             let controller = self.load.controller(local, region, &service);
-            controller.shared(now, sender.replica().into(), share);
+            controller.handle_peer_share(now, sender.replica().into(), share);
         }
     }
 
@@ -124,7 +129,7 @@
 
     /// Shares what the local limiters report with the other replicas: the limiters of a region may be linked to any of them.
     fn share_load(&self, now: i64, out: &mut Vec<Output>) {
-        let mut shares_by_region: BTreeMap<&String, Vec<(String, Share)>> = BTreeMap::new();
+        let mut shares_by_region: BTreeMap<&String, Vec<(String, LoadShare)>> = BTreeMap::new();
         for ((region, service), controller) in &self.load.controllers {
             if let Some(share) = controller.to_share(now) {
                 let shares = shares_by_region.entry(region).or_default();
--- a/crates/control/src/core/peer_messages.rs
+++ b/crates/control/src/core/peer_messages.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use overload::judge::Share;
+use overload::admission_controller::LoadShare;
 use protocol::items::{Item, ItemName};
 use protocol::messages::{NodeInfo, NodeState};
 use protocol::platform::Server;
@@ -330,7 +330,7 @@
         /// The region.
         region: String,
         /// The reports, by service.
-        services: Vec<(String, Share)>,
+        services: Vec<(String, LoadShare)>,
     },
     /// The sender is to end, or is superseded: these chosen items are to be on disk at the receiver.
     HandoverRequest {
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -6,10 +6,10 @@
 //! sheds for its own load by that order as well ([`shedder`]). Times are whole microseconds of a clock that never goes back.
 
 pub mod admission;
-pub mod judge;
+pub mod admission_controller;
 pub mod load;
-pub mod order;
-pub mod shedder;
+pub mod overload_detector;
+pub mod priority;
 
 /// Microseconds on the host's clock, or a span of them.
 pub type Micros = i64;
@@ -19,6 +19,6 @@
 /// Between two reports of a limiter, and between two looks of a home.
 pub const STEP: Micros = 200 * MS;
 /// A report counts for this long; a limiter that sends none is gone.
-pub const FRESH: Micros = 700 * MS;
+pub const REPORT_LIFETIME: Micros = 700 * MS;
 /// A limiter that was told nothing for this long goes by its own share.
-pub const DEAF: Micros = 1_500 * MS;
+pub const LEVELS_LIFETIME: Micros = 1_500 * MS;
--- a/crates/overload/src/load/tests.rs
+++ b/crates/overload/src/load/tests.rs
@@ -2,25 +2,26 @@
 
 #[test]
 fn a_calm_service_is_not_told_of_and_a_strained_one_is_for_a_while() {
-    let mut load = Load::default();
+    let mut load = LoadCounts::default();
     load.came(3, true);
-    load.ended(0, Sign::Answered(100, 500));
+    load.ended(0, RequestOutcome::Answered(100, 500));
     assert_eq!(load.report(STEP, "s", false), None);
     load.came(3, true);
     load.came(7, false);
-    load.ended(STEP, Sign::Answered(400, 500));
+    load.ended(STEP, RequestOutcome::Answered(400, 500));
     let told = load.report(2 * STEP, "s", false).unwrap();
     assert_eq!(
-        (told.offered, told.sent, told.good, told.slow),
+        (told.offered, told.sent, told.in_time, told.slow),
         (vec![(3, 1), (7, 1)], 1, 0, 1)
     );
     assert_eq!(
         load.report(3 * STEP, "s", false).map(|told| told.offered),
         Some(Vec::new())
     );
-    assert_eq!(load.report(STEP + KEPT, "s", false), None);
+    assert_eq!(load.report(STEP + REPORTING_DURATION, "s", false), None);
     assert!(
-        load.report(2 * STEP + KEPT, "s", true).is_some(),
+        load.report(2 * STEP + REPORTING_DURATION, "s", true)
+            .is_some(),
         "asked for"
     );
 }
--- a/crates/overload/src/order.rs
+++ b/crates/overload/src/priority.rs
@@ -13,7 +13,7 @@
 
 /// The place in the order, from 0 for what waits last to below 1: by band, then by the request's id. The same request
 /// has the same place everywhere, and a new try a new one.
-pub fn place(band: usize, id: &str) -> f64 {
+pub fn position(band: usize, id: &str) -> f64 {
     // FNV-1a, then stirred: ids that differ in their last letter lie far apart.
     let mut hash = id.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
@@ -24,7 +24,7 @@
 }
 
 /// The border that lets through `kept` a second of what is offered in each band.
-pub fn border(offered: &[f64; BANDS], kept: f64) -> f64 {
+pub fn threshold(offered: &[f64; BANDS], kept: f64) -> f64 {
     let mut left = kept;
     for (band, offered) in offered
         .iter()
--- a/crates/overload/src/order/tests.rs
+++ b/crates/overload/src/priority/tests.rs
@@ -3,11 +3,11 @@
 
 #[test]
 fn a_tier_goes_before_all_that_a_route_says_and_ids_spread_evenly() {
-    assert!(place(band(0, 3), "x") < place(band(1, 0), "y"));
-    assert!(place(band(2, 1), "x") < place(band(2, 2), "x"));
-    assert!(place(band(9, 9), "x") < 1.0);
+    assert!(position(band(0, 3), "x") < position(band(1, 0), "y"));
+    assert!(position(band(2, 1), "x") < position(band(2, 2), "x"));
+    assert!(position(band(9, 9), "x") < 1.0);
     let low = (0..1_000)
-        .filter(|n| place(0, &format!("id-{n}")) * (BANDS as f64) < 0.3)
+        .filter(|n| position(0, &format!("id-{n}")) * (BANDS as f64) < 0.3)
         .count();
     assert!((260..340).contains(&low), "{low}");
 }
@@ -19,5 +19,5 @@
 fn the_border_keeps_what_is_asked(kept: f64, at: f64) {
     let mut offered = [0.0; BANDS];
     (offered[0], offered[8]) = (100.0, 200.0);
-    assert!((border(&offered, kept) - at).abs() < 1e-9);
+    assert!((threshold(&offered, kept) - at).abs() < 1e-9);
 }
--- a/crates/overload/tests/node.rs
+++ b/crates/overload/tests/node.rs
@@ -5,8 +5,8 @@
 
 use std::fmt::Write;
 
-use overload::order::{self, BANDS};
-use overload::shedder::Shedder;
+use overload::overload_detector::OverloadDetector;
+use overload::priority::{self, BANDS};
 use overload::{Micros, STEP};
 
 const MS: Micros = 1_000;
@@ -25,7 +25,7 @@
 }
 
 struct Node {
-    shedder: Shedder,
+    shedder: OverloadDetector,
     sheds: bool,
     now: Micros,
     /// Until when what came is taken into account.
@@ -40,7 +40,7 @@
 
 impl Node {
     fn new(sheds: bool) -> Node {
-        let shedder = Shedder::default();
+        let shedder = OverloadDetector::default();
         let (owed, windows) = ([0.0; 2], Vec::new());
         Node {
             shedder,
@@ -67,7 +67,7 @@
             let came = |owed: f64, load: f64| owed + load * waited as f64 / SECOND as f64;
             self.owed = [0, 1].map(|kind| came(self.owed[kind], loads[kind]));
             let count = self.owed[0] as usize + self.owed[1] as usize;
-            self.shedder.takes(count, waited);
+            self.shedder.record_intake(count, waited);
             for kind in 0..2 {
                 while self.owed[kind] >= 1.0 {
                     self.owed[kind] -= 1.0;
@@ -77,8 +77,8 @@
             self.windows[at].longest = self.windows[at].longest.max(waited);
             if self.now >= self.due {
                 self.due = self.now + STEP;
-                self.shedder.step(self.now);
-                let border = self.shedder.border() * BANDS as f64;
+                self.shedder.evaluate(self.now);
+                let border = self.shedder.threshold() * BANDS as f64;
                 let _ = writeln!(
                     self.lines,
                     "{:>6} ms | {border:>5.1} | waited {waited} us",
@@ -91,9 +91,10 @@
 
     fn ask(&mut self, at: usize, kind: usize) {
         self.ids += 1;
-        let band = order::band(kind as u32 * 2, 1);
-        let sent = !self.sheds || order::place(band, &self.ids.to_string()) < self.shedder.border();
-        self.shedder.came(band, sent);
+        let band = priority::band(kind as u32 * 2, 1);
+        let sent = !self.sheds
+            || priority::position(band, &self.ids.to_string()) < self.shedder.threshold();
+        self.shedder.record_request(band, sent);
         self.windows[at].asked[kind] += 1.0;
         self.windows[at].sent[kind] += f64::from(u8::from(sent));
         self.now += if sent { COST } else { REFUSED };
@@ -169,10 +170,10 @@
 fn once_the_load_is_gone_all_are_let_through_again() {
     let mut node = Node::new(true);
     node.run(6 * SECOND, [200.0, 1_300.0]);
-    assert!(node.shedder.since().is_some(), "{}", node.lines);
+    assert!(node.shedder.shedding_since().is_some(), "{}", node.lines);
     node.run(4 * SECOND, [60.0, 140.0]);
     assert!(
-        node.shedder.border() >= 1.0 && node.shedder.since().is_none(),
+        node.shedder.threshold() >= 1.0 && node.shedder.shedding_since().is_none(),
         "{}",
         node.lines
     );
@@ -180,14 +181,14 @@
 
 #[test]
 fn a_node_that_fills_up_keeps_its_room_for_the_first() {
-    let mut shedder = Shedder::default();
-    let bands = [order::band(0, 0), order::band(2, 2)];
+    let mut shedder = OverloadDetector::default();
+    let bands = [priority::band(0, 0), priority::band(2, 2)];
     for step in 1..=10 {
-        (0..20).for_each(|n| shedder.came(bands[usize::from(n >= 5)], true));
-        shedder.step(step * STEP);
+        (0..20).for_each(|n| shedder.record_request(bands[usize::from(n >= 5)], true));
+        shedder.evaluate(step * STEP);
     }
-    let kept = |shedder: &Shedder, band: usize| {
-        (shedder.border() * BANDS as f64 - band as f64).clamp(0.0, 1.0)
+    let kept = |shedder: &OverloadDetector, band: usize| {
+        (shedder.threshold() * BANDS as f64 - band as f64).clamp(0.0, 1.0)
     };
     for (full, first, last) in [
         (0.5, 1.0, 1.0),
@@ -196,12 +197,12 @@
         (0.96, 0.8, 0.0),
         (1.5, 0.2, 0.0),
     ] {
-        shedder.filled(full);
+        shedder.set_fill(full);
         let both = bands.map(|band| kept(&shedder, band));
         assert!(
             (both[0] - first).abs() < 0.02 && (both[1] - last).abs() < 0.02,
             "{full}: {both:?}"
         );
-        assert_eq!(shedder.crowded(), full > 0.8);
+        assert_eq!(shedder.is_crowded(), full > 0.8);
     }
 }
--- a/crates/overload/tests/overload.rs
+++ b/crates/overload/tests/overload.rs
@@ -7,9 +7,9 @@
 use std::fmt::Write;
 
 use overload::admission::Admission;
-use overload::judge::Judge;
-use overload::load::Sign;
-use overload::order::{self, BANDS};
+use overload::admission_controller::AdmissionController;
+use overload::load::RequestOutcome;
+use overload::priority::{self, BANDS};
 use overload::{Micros, STEP};
 use test_case::test_case;
 
@@ -60,7 +60,7 @@
     now: Micros,
     without: Without,
     limiters: Vec<(Admission, usize, f64)>,
-    homes: Vec<(Judge, bool)>,
+    homes: Vec<(AdmissionController, bool)>,
     /// What servers bear a second, and how much slower they are than that now.
     bears: f64,
     slowed: f64,
@@ -84,7 +84,7 @@
             without,
             limiters: (0..limiters).map(limiter).collect(),
             homes: (0..HOMES)
-                .map(|home| (Judge::new(home as u64), true))
+                .map(|home| (AdmissionController::new(home as u64), true))
                 .collect(),
             bears,
             slowed: 1.0,
@@ -146,17 +146,17 @@
         } else {
             asked.tier
         };
-        let band = order::band(tier, tier);
+        let band = priority::band(tier, tier);
         let (now, without) = (self.now, self.without);
         let admission = &mut self.limiters[at].0;
-        let silent = without == Without::OwnShare && admission.deaf(now);
+        let silent = without == Without::OwnShare && admission.has_stale_levels(now);
         let border = if without == Without::Levels || silent {
             1.0
         } else {
-            admission.border(now, "s")
+            admission.threshold(now, "s")
         };
-        let sent = order::place(band, &self.ids.to_string()) < border;
-        admission.came("s", band, sent);
+        let sent = priority::position(band, &self.ids.to_string()) < border;
+        admission.record_request("s", band, sent);
         if !sent {
             return self.refused(asked);
         }
@@ -174,8 +174,9 @@
     /// Sends a request to one of two servers; whether it took it.
     fn offer(&mut self, asked: Asked, at: usize, round: u64) -> bool {
         let now = self.now;
-        let draw =
-            |salt: u64| order::place(0, &format!("{} {round} {salt}", self.ids)) * BANDS as f64;
+        let draw = |salt: u64| {
+            priority::position(0, &format!("{} {round} {salt}", self.ids)) * BANDS as f64
+        };
         let (one, other) = (self.server(draw(1)), self.server(draw(2)));
         let work = WORK as f64 * self.slowed * (0.4 + 1.2 * draw(3));
         let to = if self.servers[one].len() <= self.servers[other].len() {
@@ -186,7 +187,9 @@
         let server = &mut self.servers[to];
         server.retain(|done| *done > now);
         if server.len() >= SLOTS + QUEUE {
-            self.limiters[at].0.ended(now, "s", Sign::Away);
+            self.limiters[at]
+                .0
+                .record_outcome(now, "s", RequestOutcome::Rejected);
             return false;
         }
         // A slot comes free when all but one of those before it are done.
@@ -234,7 +237,7 @@
             let (now, took) = (self.now, self.now - since);
             self.limiters[at]
                 .0
-                .ended(now, "s", Sign::Answered(took, AIM));
+                .record_outcome(now, "s", RequestOutcome::Answered(took, AIM));
             if took > PATIENCE {
                 self.refused(asked);
                 continue;
@@ -258,7 +261,7 @@
             }
             for report in admission.step(now) {
                 if self.homes[*home].1 {
-                    self.homes[*home].0.report(now, at as u64, &report);
+                    self.homes[*home].0.handle_report(now, at as u64, &report);
                 }
             }
         }
@@ -275,15 +278,15 @@
             others.for_each(|(other, share)| {
                 share
                     .iter()
-                    .for_each(|share| home.shared(now, other as u64, share.clone()));
+                    .for_each(|share| home.handle_peer_share(now, other as u64, share.clone()));
             });
-            home.look(now);
+            home.evaluate(now);
             debug_assert!(*up);
         }
         for (admission, home, heard) in &mut self.limiters {
             let (judge, up) = &self.homes[*home];
             if *up && *heard > 0.0 {
-                admission.told(now, judge.level("s").into_iter().collect(), 0);
+                admission.set_levels(now, judge.level("s").into_iter().collect(), 0);
             }
         }
         let rate = self
@@ -296,7 +299,7 @@
             .limiters
             .iter()
             .take(10)
-            .map(|l| l.0.border(now, "s"))
+            .map(|l| l.0.threshold(now, "s"))
             .collect();
         let queue = self.answers.len();
         let line = borders.iter().fold(String::new(), |mut line, border| {
@@ -369,13 +372,13 @@
         world
             .limiters
             .iter()
-            .all(|l| l.0.border(world.now, "s") == 1.0)
+            .all(|l| l.0.threshold(world.now, "s") == 1.0)
     );
     world.run(1_400 * MS, loads(300.0));
     let open = world
         .limiters
         .iter()
-        .filter(|l| l.0.border(world.now, "s") == 1.0)
+        .filter(|l| l.0.threshold(world.now, "s") == 1.0)
         .count();
     // The queue fills in the first 0.4 s: before that nothing is to be seen.
     assert_eq!(open, 0, "{}", world.drawn());
@@ -384,7 +387,7 @@
     let open = world
         .limiters
         .iter()
-        .filter(|l| l.0.border(world.now, "s") == 1.0)
+        .filter(|l| l.0.threshold(world.now, "s") == 1.0)
         .count();
     assert_eq!(open, 30, "{}", world.drawn());
     assert!(world.homes.iter().all(|(home, _)| home.rate().is_none()));
@@ -437,7 +440,7 @@
         .for_each(|l| l.1 = 1);
     world.run(5 * SECOND, loads(300.0));
     // It comes back empty, and goes by what the others hold.
-    world.homes[0] = (Judge::new(0), true);
+    world.homes[0] = (AdmissionController::new(0), true);
     world.limiters.iter_mut().step_by(3).for_each(|l| l.1 = 0);
     world.run(6 * SECOND, loads(300.0));
     let (protected, good) = world.figures(5, 11);
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -6,8 +6,8 @@
 
 use std::net::SocketAddr;
 
-use overload::judge::Level;
-use overload::load::Report;
+use overload::admission_controller::AdmissionLevel;
+use overload::load::LoadReport;
 use serde::{Deserialize, Serialize};
 
 use crate::items::Item;
@@ -79,7 +79,7 @@
         adds: Vec<CounterAdd>,
     },
     /// What a proxy reports about services under load.
-    LoadReports(Vec<Report>),
+    LoadReports(Vec<LoadReport>),
 }
 
 /// The replicas and limiters as a control program sees them.
@@ -130,6 +130,6 @@
         /// How long ago the levels were determined, in microseconds.
         age: i64,
         /// The levels.
-        levels: Vec<Level>,
+        levels: Vec<AdmissionLevel>,
     },
 }
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 
 use common::{encodings, variants};
-use overload::judge::Level;
-use overload::load::Report;
+use overload::admission_controller::AdmissionLevel;
+use overload::load::LoadReport;
 use protocol::digests::{self, Digests};
 use protocol::duration::ConfigDuration;
 use protocol::frames;
@@ -55,26 +55,26 @@
     }
 }
 
-fn level() -> Level {
-    Level {
+fn level() -> AdmissionLevel {
+    AdmissionLevel {
         svc: "records".into(),
-        border: 2.75,
+        threshold: 2.75,
         rate: Some(120.5),
         limiters: 18,
     }
 }
 
-fn report() -> Report {
-    Report {
+fn report() -> LoadReport {
+    LoadReport {
         svc: "records".into(),
         span: 500_000,
         offered: vec![(0, 40), (63, 2)],
         sent: 39,
-        good: 30,
+        in_time: 30,
         waited: 5,
         slow: 4,
-        away: 3,
-        no_room: 1,
+        rejected: 3,
+        no_server: 1,
     }
 }
 
@@ -128,7 +128,7 @@
         ),
         (
             "load",
-            AgentMessage::LoadReports(vec![report(), Report::default()]),
+            AgentMessage::LoadReports(vec![report(), LoadReport::default()]),
         ),
     ];
     insta::assert_snapshot!("to-control", variants(&examples));
@@ -181,7 +181,7 @@
             "levels",
             ControlMessage::Levels {
                 age: 40,
-                levels: vec![level(), Level::default()],
+                levels: vec![level(), AdmissionLevel::default()],
             },
         ),
     ];
--- a/crates/proxy/src/answers/tests.rs
+++ b/crates/proxy/src/answers/tests.rs
@@ -3,19 +3,19 @@
 use dataplane::limits::Limits;
 use test_case::test_case;
 
-#[test_case("200 OK", "X-Request-Id: i|X-Server-Seal: s|Content-Length: 0", Verdict::Final; "a success")]
-#[test_case("200 OK", "X-Request-Id: i|X-Server-Seal: s|Transfer-Encoding: chunked", Verdict::Final; "a success in chunks")]
-#[test_case("200 OK", "X-Request-Id: i|Content-Length: 0", Verdict::Garbled; "no stamp")]
-#[test_case("200 OK", "X-Request-Id: i|X-Server-Seal: s|Content-Encoding: gzip|Content-Length: 0", Verdict::Garbled; "a coding that nobody asked for")]
-#[test_case("200 OK", "X-Server-Seal: s|Content-Length: 0", Verdict::Garbled; "a success of nobody")]
-#[test_case("200 OK", "X-Request-Id: i|X-Server-Seal: s|Connection: close", Verdict::Garbled; "no length")]
-#[test_case("200 OK", "X-Request-Id: j|X-Server-Seal: s|Content-Length: 0", Verdict::Foreign; "of another request")]
-#[test_case("500 No", "X-Request-Id: i|Content-Length: 0", Verdict::Failure; "a failure")]
-#[test_case("404 No", "X-Request-Id: i|Content-Length: 0", Verdict::Final; "a refusal of the server's own")]
-#[test_case("503 No", "X-Not-Run: 1|Content-Length: 0", Verdict::NotRun; "full")]
-#[test_case("503 No", "X-Request-Id: i|Content-Length: 0", Verdict::Failure; "a 503 that does not say so")]
-#[test_case("421 No", "X-Instance-Id: z|Content-Length: 0", Verdict::Mistaken; "another server")]
-fn an_answer_is_judged_by_its_head(status: &str, lines: &str, verdict: Verdict) {
+#[test_case("200 OK", "X-Request-Id: i|X-Server-Seal: s|Content-Length: 0", ResponseClass::Final; "a success")]
+#[test_case("200 OK", "X-Request-Id: i|X-Server-Seal: s|Transfer-Encoding: chunked", ResponseClass::Final; "a success in chunks")]
+#[test_case("200 OK", "X-Request-Id: i|Content-Length: 0", ResponseClass::Malformed; "no stamp")]
+#[test_case("200 OK", "X-Request-Id: i|X-Server-Seal: s|Content-Encoding: gzip|Content-Length: 0", ResponseClass::Malformed; "a coding that nobody asked for")]
+#[test_case("200 OK", "X-Server-Seal: s|Content-Length: 0", ResponseClass::Malformed; "a success of nobody")]
+#[test_case("200 OK", "X-Request-Id: i|X-Server-Seal: s|Connection: close", ResponseClass::Malformed; "no length")]
+#[test_case("200 OK", "X-Request-Id: j|X-Server-Seal: s|Content-Length: 0", ResponseClass::OtherRequest; "of another request")]
+#[test_case("500 No", "X-Request-Id: i|Content-Length: 0", ResponseClass::Failure; "a failure")]
+#[test_case("404 No", "X-Request-Id: i|Content-Length: 0", ResponseClass::Final; "a refusal of the server's own")]
+#[test_case("503 No", "X-Not-Run: 1|Content-Length: 0", ResponseClass::NotRun; "full")]
+#[test_case("503 No", "X-Request-Id: i|Content-Length: 0", ResponseClass::Failure; "a 503 that does not say so")]
+#[test_case("421 No", "X-Instance-Id: z|Content-Length: 0", ResponseClass::WrongServer; "another server")]
+fn an_answer_is_judged_by_its_head(status: &str, lines: &str, verdict: ResponseClass) {
     let text = format!(
         "HTTP/1.1 {status}\r\n{}\r\n\r\n",
         lines.replace('|', "\r\n")
@@ -23,7 +23,7 @@
     let (head, extent, _) = AnswerHead::parse(text.as_bytes(), &Limits::default())
         .unwrap()
         .unwrap();
-    assert_eq!(judge(&head, extent, "i"), verdict);
+    assert_eq!(classify(&head, extent, "i"), verdict);
 }
 
 fn coming(text: &str, come: usize, limits: &Limits) -> Incoming<AnswerHead> {
@@ -37,18 +37,18 @@
     incoming
 }
 
-#[test_case(Verdict::Final, "Content-Length: 11", 0, Course::Relayed; "long by its head")]
-#[test_case(Verdict::Final, "Content-Length: 10", 9, Course::Kept; "short")]
-#[test_case(Verdict::Final, "Transfer-Encoding: chunked", 11, Course::Relayed; "long by what has come")]
-#[test_case(Verdict::Final, "Transfer-Encoding: chunked", 10, Course::Kept; "perhaps short")]
-#[test_case(Verdict::Failure, "Content-Length: 20", 11, Course::Kept; "a failure that may not be the last word")]
-#[test_case(Verdict::Failure, "Content-Length: 21", 0, Course::Refused; "a long one")]
-#[test_case(Verdict::Foreign, "Transfer-Encoding: chunked", 21, Course::Refused; "a long one of another request")]
+#[test_case(ResponseClass::Final, "Content-Length: 11", 0, ResponseHandling::Streamed; "long by its head")]
+#[test_case(ResponseClass::Final, "Content-Length: 10", 9, ResponseHandling::Buffered; "short")]
+#[test_case(ResponseClass::Final, "Transfer-Encoding: chunked", 11, ResponseHandling::Streamed; "long by what has come")]
+#[test_case(ResponseClass::Final, "Transfer-Encoding: chunked", 10, ResponseHandling::Buffered; "perhaps short")]
+#[test_case(ResponseClass::Failure, "Content-Length: 20", 11, ResponseHandling::Buffered; "a failure that may not be the last word")]
+#[test_case(ResponseClass::Failure, "Content-Length: 21", 0, ResponseHandling::Rejected; "a long one")]
+#[test_case(ResponseClass::OtherRequest, "Transfer-Encoding: chunked", 21, ResponseHandling::Rejected; "a long one of another request")]
 fn what_is_final_and_long_goes_on_as_it_comes(
-    verdict: Verdict,
+    verdict: ResponseClass,
     text: &str,
     come: usize,
-    expected: Course,
+    expected: ResponseHandling,
 ) {
     let limits = Limits {
         body_bytes: 10,
@@ -56,7 +56,7 @@
         ..Limits::default()
     };
     assert_eq!(
-        course(verdict, &coming(text, come, &limits), &limits),
+        handling(verdict, &coming(text, come, &limits), &limits),
         expected
     );
 }
@@ -68,14 +68,18 @@
         upload_longest: 20_000,
         ..Limits::default()
     };
-    assert_eq!(ends(5_000, 0, &limits), 5_000, "however long it was silent");
-    assert_eq!(ends(5_000, 4_900, &limits), 5_200);
-    assert_eq!(ends(5_000, 24_900, &limits), 25_000);
+    assert_eq!(
+        stream_deadline(5_000, 0, &limits),
+        5_000,
+        "however long it was silent"
+    );
+    assert_eq!(stream_deadline(5_000, 4_900, &limits), 5_200);
+    assert_eq!(stream_deadline(5_000, 24_900, &limits), 25_000);
 }
 
 #[test_case("timeout=5, max=100", Some(5); "with more")]
 #[test_case("max=3", None; "without")]
 #[test_case("timeout=x", None; "no number")]
 fn a_servers_patience_is_read(value: &str, seconds: Option<u32>) {
-    assert_eq!(kept(value), seconds);
+    assert_eq!(keep_alive_seconds(value), seconds);
 }
--- a/crates/proxy/src/config_store.rs
+++ b/crates/proxy/src/config_store.rs
@@ -10,7 +10,7 @@
 
 /// A tenant with its name.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Named {
+pub struct NamedTenant {
     /// Its name.
     pub name: String,
     /// What the configuration says of it.
@@ -24,8 +24,8 @@
     routes: BTreeMap<String, Rc<Route>>,
     /// By host, the longest prefix first.
     hosts: BTreeMap<String, Vec<Rc<Route>>>,
-    tenants: BTreeMap<String, Rc<Named>>,
-    keys: BTreeMap<String, Rc<Named>>,
+    tenants: BTreeMap<String, Rc<NamedTenant>>,
+    keys: BTreeMap<String, Rc<NamedTenant>>,
     services: BTreeMap<String, Service>,
     limits: Option<ClientLimits>,
     evacuated: BTreeSet<String>,
@@ -33,20 +33,20 @@
 
 /// What a change touched.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Touched {
+pub struct ConfigChange {
     /// Some item is new.
-    pub any: bool,
+    pub has_new_items: bool,
     /// Zones were emptied or taken back.
     pub zones: bool,
     /// Zones that are said to be taken back, also where it was not heard before that they had been emptied.
-    pub back: Vec<String>,
+    pub returned_zones: Vec<String>,
 }
 
 impl ConfigStore {
     /// Takes items; one whose version is not higher than the one held has no effect. Items that can't be read are left
     /// out, and told.
-    pub fn apply(&mut self, items: Vec<Item>) -> (Touched, Vec<ConfigError>) {
-        let (mut touched, mut faults) = (Touched::default(), Vec::new());
+    pub fn apply(&mut self, items: Vec<Item>) -> (ConfigChange, Vec<ConfigError>) {
+        let (mut touched, mut faults) = (ConfigChange::default(), Vec::new());
         for item in items {
             // Guards against going back: news may come late, twice, and from two sources.
             if self
@@ -58,17 +58,19 @@
             }
             match self.set(&item) {
                 Ok(()) => {
-                    touched.any = true;
+                    touched.has_new_items = true;
                     let zone = item.name.kind == ItemKind::Zone;
                     touched.zones |= zone;
                     let back = zone && !self.evacuated.contains(&item.name.name);
-                    touched.back.extend(back.then(|| item.name.name.clone()));
+                    touched
+                        .returned_zones
+                        .extend(back.then(|| item.name.name.clone()));
                     self.items.insert(item.name.clone(), item);
                 }
                 Err(fault) => faults.push(fault),
             }
         }
-        if touched.any {
+        if touched.has_new_items {
             self.index();
         }
         (touched, faults)
@@ -84,7 +86,7 @@
             ItemKind::Tenant => {
                 let tenant = parse_spec(item)?;
                 self.tenants
-                    .insert(name.clone(), Rc::new(Named { name, tenant }));
+                    .insert(name.clone(), Rc::new(NamedTenant { name, tenant }));
             }
             ItemKind::Service if dropped => _ = self.services.remove(&name),
             ItemKind::Service => _ = self.services.insert(name, parse_spec(item)?),
@@ -109,7 +111,7 @@
         self.hosts
             .values_mut()
             .for_each(|routes| routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len())));
-        let keys = |named: &Rc<Named>| {
+        let keys = |named: &Rc<NamedTenant>| {
             let named = named.clone();
             named
                 .tenant
@@ -136,12 +138,12 @@
     }
 
     /// Whose a key is.
-    pub fn tenant(&self, key: &str) -> Option<&Rc<Named>> {
+    pub fn tenant(&self, key: &str) -> Option<&Rc<NamedTenant>> {
         self.keys.get(key)
     }
 
     /// Requests carry keys.
-    pub fn keyed(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.tenants.is_empty()
     }
 
@@ -156,12 +158,12 @@
     }
 
     /// Zones whose servers get nothing.
-    pub fn evacuated(&self) -> &BTreeSet<String> {
+    pub fn evacuated_zones(&self) -> &BTreeSet<String> {
         &self.evacuated
     }
 
     /// There is something to serve.
-    pub fn serves(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         !self.routes.is_empty()
     }
 }
--- a/crates/proxy/src/config_store/tests.rs
+++ b/crates/proxy/src/config_store/tests.rs
@@ -50,7 +50,7 @@
         !config_store
             .apply(vec![change(7, "seven"), change(9, "other")])
             .0
-            .any
+            .has_new_items
     );
     assert_eq!(
         config_store.route("h", "/a/").unwrap().svc.as_deref(),
@@ -68,16 +68,16 @@
 fn a_zone_that_was_taken_back_is_told_also_to_who_did_not_know_it_was_emptied() {
     let mut config_store = ConfigStore::default();
     let zone = |ver, spec| vec![item(ItemKind::Zone, "z", ver, Some(spec))];
-    assert_eq!(config_store.apply(zone(4, "false")).0.back, ["z"]);
+    assert_eq!(config_store.apply(zone(4, "false")).0.returned_zones, ["z"]);
     assert_eq!(
-        config_store.apply(zone(5, "true")).0.back,
+        config_store.apply(zone(5, "true")).0.returned_zones,
         Vec::<String>::new()
     );
-    assert!(config_store.evacuated().contains("z"));
-    assert_eq!(config_store.apply(zone(6, "false")).0.back, ["z"]);
+    assert!(config_store.evacuated_zones().contains("z"));
+    assert_eq!(config_store.apply(zone(6, "false")).0.returned_zones, ["z"]);
     assert!(
-        config_store.apply(zone(6, "false")).0 == Touched::default()
-            && config_store.evacuated().is_empty()
+        config_store.apply(zone(6, "false")).0 == ConfigChange::default()
+            && config_store.evacuated_zones().is_empty()
     );
 }
 
@@ -92,14 +92,14 @@
             Some(&format!(r#"{{"apikeys":[{keys}],"per_s":5,"burst":5}}"#)),
         )
     };
-    assert!(!config_store.keyed());
+    assert!(!config_store.requires_keys());
     config_store.apply(vec![tenant(1, r#""k1","k2""#)]);
     assert_eq!(config_store.tenant("k1").unwrap().name, "t");
     config_store.apply(vec![tenant(3, r#""k2""#)]);
     assert!(
         config_store.tenant("k1").is_none()
             && config_store.tenant("k2").is_some()
-            && config_store.keyed()
+            && config_store.requires_keys()
     );
 }
 
@@ -108,7 +108,7 @@
     let mut config_store = ConfigStore::default();
     config_store.apply(vec![route("x", 1, "h", "/a/", "one")]);
     let (touched, faults) = config_store.apply(vec![route("x", 2, "h", "bare", "two")]);
-    assert!(!touched.any && faults.len() == 1 && faults[0].0.contains("prefix"));
+    assert!(!touched.has_new_items && faults.len() == 1 && faults[0].0.contains("prefix"));
     assert_eq!(
         config_store.route("h", "/a/").unwrap().svc.as_deref(),
         Some("one")
--- a/crates/proxy/src/host/feeding.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -7,7 +7,7 @@
 use streamarch::{Outcome, ServerId};
 
 use super::*;
-use crate::config_store::Touched;
+use crate::config_store::ConfigChange;
 
 /// So much longer than their service's warm-up servers may be cold in a zone that is taken back: the order takes its
 /// time from the operators to here, and the servers may turn cold until it does.
@@ -17,23 +17,24 @@
 
 impl Host {
     pub(super) fn open_feed(&mut self, now: Micros) {
-        if self.feed.is_some() {
+        if self.agent.is_some() {
             return;
         }
-        match self.wires.connect(self.settings.agent_address(), now) {
+        match self.connections.connect(self.settings.agent_address(), now) {
             Ok(key) => {
-                self.roles.insert(key, Role::Feed);
-                self.feed = Some(key);
-                self.deadlines.enter(now + CONNECT, Due::Connect(key));
+                self.roles.insert(key, Role::Agent);
+                self.agent = Some(key);
+                self.deadlines
+                    .enter(now + CONNECT_TIMEOUT, Timer::Connect(key));
             }
-            Err(_) => self.deadlines.enter(now + FEED_AGAIN, Due::Feed),
+            Err(_) => self.deadlines.enter(now + AGENT_RETRY_DELAY, Timer::Feed),
         }
     }
 
     pub(super) fn feed_up(&mut self, now: Micros, key: ConnectionId) {
         info!(self.log, "agent is there");
         let hello = AgentMessage::Hello(self.edge());
-        if let Some(out) = self.wires.output(key) {
+        if let Some(out) = self.connections.output(key) {
             frames::encode(out, &hello);
         }
         self.standing = self.stands();
@@ -43,24 +44,24 @@
     }
 
     pub(super) fn feed_lost(&mut self, now: Micros, key: ConnectionId) {
-        self.drop_wire(key);
-        self.feed = None;
+        self.remove_connection(key);
+        self.agent = None;
         for batch in std::mem::take(&mut self.batches) {
             self.not_counted(&batch, Outcome::Reset);
         }
-        self.deadlines.enter(now + FEED_AGAIN, Due::Feed);
+        self.deadlines.enter(now + AGENT_RETRY_DELAY, Timer::Feed);
     }
 
     fn tell(&mut self, message: &AgentMessage) {
-        if let Some(out) = self.feed.and_then(|key| self.wires.output(key)) {
+        if let Some(out) = self.agent.and_then(|key| self.connections.output(key)) {
             frames::encode(out, message);
         }
     }
 
     /// What was seen of services under strain.
     pub(super) fn tell_load(&mut self, now: Micros) {
-        self.deadlines.enter(now + overload::STEP, Due::Load);
-        let load = self.router.shedding().load(now);
+        self.deadlines.enter(now + overload::STEP, Timer::Load);
+        let load = self.router.shedding().take_reports(now);
         if !load.is_empty() {
             self.tell(&AgentMessage::LoadReports(load));
         }
@@ -68,7 +69,7 @@
 
     pub(super) fn beat(&mut self, now: Micros) {
         self.beat_now();
-        self.deadlines.enter(now + BEAT, Due::Beat);
+        self.deadlines.enter(now + HEARTBEAT_INTERVAL, Timer::Beat);
     }
 
     pub(super) fn beat_now(&mut self) {
@@ -78,7 +79,7 @@
 
     pub(super) fn feed_came(&mut self, now: Micros, key: ConnectionId) {
         loop {
-            let Some(wire) = self.wires.get_mut(key) else {
+            let Some(wire) = self.connections.get_mut(key) else {
                 return;
             };
             match frames::decode::<ControlMessage>(&mut wire.input) {
@@ -105,7 +106,7 @@
             }) => {
                 self.router.limiters(now, limiters);
                 self.router.alone(!in_touch);
-                self.router.count_held(holder.map(|(_, term)| term));
+                self.router.set_counter_term(holder.map(|(_, term)| term));
             }
             ControlMessage::Items(items) => {
                 let (touched, faults) = self.config_store.apply(items);
@@ -115,18 +116,18 @@
                 self.touched(now, touched);
             }
             ControlMessage::Servers { version, servers } => {
-                if self.server_table.take(now, version, servers) {
+                if self.server_table.update(now, version, servers) {
                     self.list(now);
                 }
             }
-            ControlMessage::Complete => self.told = true,
+            ControlMessage::Complete => self.agent_complete = true,
             ControlMessage::Clock(time) => {
                 self.clock.raise(time);
-                self.looked = self.clock.now();
+                self.caught_up_at = self.clock.now();
                 self.router.jumped(time, time - now);
             }
             ControlMessage::Levels { age, levels } => {
-                self.router.shedding().levels(now, age, levels)
+                self.router.shedding().set_levels(now, age, levels)
             }
             ControlMessage::Totals { batch, totals } => self.totals(batch, &totals),
             ControlMessage::NotCounted(batch) => {
@@ -137,19 +138,19 @@
         }
     }
 
-    fn touched(&mut self, now: Micros, touched: Touched) {
-        if let Some(limits) = self.config_store.limits().filter(|_| touched.any) {
+    fn touched(&mut self, now: Micros, touched: ConfigChange) {
+        if let Some(limits) = self.config_store.limits().filter(|_| touched.has_new_items) {
             self.limits.head_bytes = limits.hdr_bytes as usize;
             self.limits.request_bytes = limits.body_bytes;
             self.limits.acquirer_first = limits.hdr.0;
             self.limits.acquirer_idle = limits.idle.0;
-            self.stay = clients::stay(limits.idle.0);
+            self.client_keep_alive = clients::stay(limits.idle.0);
         }
         if touched.zones {
-            self.server_table.evacuate(
+            self.server_table.set_evacuated(
                 now,
-                self.config_store.evacuated(),
-                touched.back,
+                self.config_store.evacuated_zones(),
+                touched.returned_zones,
                 WARMUP + COLD_LAG,
             );
             self.list(now);
@@ -170,13 +171,13 @@
         }
         self.pool_unlisted();
         if let Some(at) = self.server_table.next_warm(now) {
-            self.deadlines.enter(at, Due::Warm);
+            self.deadlines.enter(at, Timer::Warm);
         }
     }
 
     pub(super) fn pool_listed(&mut self, servers: Vec<ServerId>) {
         for server in servers {
-            if let Some((address, _)) = self.server_table.reach(server) {
+            if let Some((address, _)) = self.server_table.address_of(server) {
                 let moved = self.pool.listed(server, address);
                 self.close_idle(moved);
             }
@@ -191,15 +192,15 @@
         let adds = std::mem::take(&mut self.adds);
         self.batch += 1;
         let names = adds.iter().map(|add| add.counter).collect();
-        let batch = Batch {
+        let batch = CounterBatch {
             number: self.batch,
             names,
             sent: now,
             expired: false,
         };
         let up = self
-            .feed
-            .and_then(|key| self.wires.get(key))
+            .agent
+            .and_then(|key| self.connections.get(key))
             .is_some_and(|wire| wire.is_connected());
         if !up {
             return self.not_counted(&batch, Outcome::ConnectFailed);
@@ -211,11 +212,11 @@
         });
         self.batches.push_back(batch);
         if self.batches.len() == 1 {
-            self.deadlines.enter(now + COUNT_WAIT, Due::Batch);
+            self.deadlines.enter(now + COUNTER_TIMEOUT, Timer::Batch);
         }
     }
 
-    fn take_batch(&mut self, number: u64) -> Option<Batch> {
+    fn take_batch(&mut self, number: u64) -> Option<CounterBatch> {
         let at = self
             .batches
             .iter()
@@ -223,9 +224,9 @@
         self.batches.remove(at)
     }
 
-    fn not_counted(&mut self, batch: &Batch, outcome: Outcome) {
+    fn not_counted(&mut self, batch: &CounterBatch, outcome: Outcome) {
         for name in batch.names.iter().filter(|_| !batch.expired) {
-            self.router.counted(*name, outcome, 0.0);
+            self.router.handle_count(*name, outcome, 0.0);
         }
     }
 
@@ -234,12 +235,12 @@
             return;
         };
         if batch.expired {
-            return self.router.count_late();
+            return self.router.handle_late_count();
         }
         for (at, name) in batch.names.iter().enumerate() {
             match totals.get(at) {
-                Some(total) => self.router.counted(*name, Outcome::Ok, *total),
-                None => self.router.counted(*name, Outcome::ConnectFailed, 0.0),
+                Some(total) => self.router.handle_count(*name, Outcome::Ok, *total),
+                None => self.router.handle_count(*name, Outcome::ConnectFailed, 0.0),
             }
         }
     }
@@ -249,22 +250,23 @@
         for batch in self
             .batches
             .iter_mut()
-            .filter(|b| !b.expired && b.sent + COUNT_WAIT <= now)
+            .filter(|b| !b.expired && b.sent + COUNTER_TIMEOUT <= now)
         {
             batch.expired = true;
             late.append(&mut batch.names.clone());
         }
         for name in late {
-            self.router.counted(name, Outcome::TimedOut, 0.0);
+            self.router.handle_count(name, Outcome::TimedOut, 0.0);
         }
         // Guards the memory against a count that never answers.
         while self.batches.len() > 1_000 {
             self.batches.pop_front();
         }
         if let Some(next) = self.batches.iter().find(|batch| !batch.expired) {
-            self.deadlines.enter(next.sent + COUNT_WAIT, Due::Batch);
+            self.deadlines
+                .enter(next.sent + COUNTER_TIMEOUT, Timer::Batch);
         } else if !self.batches.is_empty() {
-            self.deadlines.enter(now + COUNT_WAIT, Due::Batch);
+            self.deadlines.enter(now + COUNTER_TIMEOUT, Timer::Batch);
         }
     }
 }
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -5,9 +5,9 @@
 use dataplane::visits::Stage;
 
 use super::*;
-use crate::answers::{concerns_connection, passes};
-use crate::router::Asked;
-use crate::shedding::Asker;
+use crate::answers::{is_forwarded, is_hop_by_hop};
+use crate::router::RoutingRequest;
+use crate::shedding::SheddingRequest;
 
 /// Taken in from a client while its request is out.
 pub(super) const AHEAD: usize = 4 * 1024;
@@ -61,17 +61,17 @@
             visit: Visit::new(now),
             incoming: Incoming::default(),
             request: None,
-            armed: Micros::MAX,
+            timer_at: Micros::MAX,
             last: false,
-            looked_at: false,
-            told_to_go_on: false,
-            held: 0,
+            checked_by_head: false,
+            continue_sent: false,
+            buffered_bytes: 0,
             band: 0,
             source: None,
             upload: None,
         };
         self.roles.insert(key, Role::Client(Box::new(client)));
-        if let Some(wire) = self.wires.get_mut(key) {
+        if let Some(wire) = self.connections.get_mut(key) {
             wire.max_input_bytes = WINDOW;
         }
         self.arm(now, key);
@@ -94,10 +94,10 @@
         if let Some(at) = client
             .visit
             .deadline(closing, &self.limits)
-            .filter(|at| *at < client.armed)
+            .filter(|at| *at < client.timer_at)
         {
-            client.armed = at;
-            self.deadlines.enter(at, Due::Visit(key));
+            client.timer_at = at;
+            self.deadlines.enter(at, Timer::Visit(key));
         }
     }
 
@@ -106,9 +106,14 @@
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
-        client.armed = Micros::MAX;
+        client.timer_at = Micros::MAX;
         // A client that waits for more of its answer has not gone away.
-        if client.source.is_some() && self.wires.get(key).is_some_and(|wire| wire.backlog() == 0) {
+        if client.source.is_some()
+            && self
+                .connections
+                .get(key)
+                .is_some_and(|wire| wire.backlog() == 0)
+        {
             client.visit.progress(now);
         }
         // Nor one whose body is not asked for, where the server is slow.
@@ -118,7 +123,10 @@
             .is_some_and(|at| at <= now);
         if over
             && client.upload.is_some()
-            && self.wires.get(key).is_some_and(|wire| wire.has_unread())
+            && self
+                .connections
+                .get(key)
+                .is_some_and(|wire| wire.has_unread())
         {
             client.visit.held_up(now);
         }
@@ -129,9 +137,9 @@
                     now,
                     key,
                     if unread {
-                        Closing::Unread
+                        CloseReason::SlowReader
                     } else {
-                        Closing::Silent
+                        CloseReason::IdleTimeout
                     },
                 );
             }
@@ -143,11 +151,11 @@
         }
     }
 
-    pub(super) fn client_gone(&mut self, now: Micros, key: ConnectionId, closing: Closing) {
-        self.note_closing(now, key, closing);
+    pub(super) fn client_gone(&mut self, now: Micros, key: ConnectionId, closing: CloseReason) {
+        self.log_close(now, key, closing);
         if let Some(Role::Client(client)) = self.roles.remove(key) {
             self.clients -= 1;
-            self.held -= client.held;
+            self.buffered_bytes -= client.buffered_bytes;
             client
                 .source
                 .into_iter()
@@ -157,21 +165,22 @@
                 .into_iter()
                 .for_each(|request| self.leave_off(now, request));
         }
-        self.wires.close(key);
-        self.may_finish();
+        self.connections.close(key);
+        self.is_drained();
     }
 
     /// Nothing is owed for a request any more.
     pub(super) fn leave_off(&mut self, now: Micros, request: RequestKey) {
         if let Some(request) = self.requests.remove(request) {
-            self.router.left(now, request.ticket, &mut self.steps);
+            self.router
+                .handle_client_left(now, request.ticket, &mut self.steps);
         }
     }
 
     pub(super) fn client_came(&mut self, now: Micros, key: ConnectionId) {
         let most = self.limits.request_bytes;
         let (Some(Role::Client(client)), Some(wire)) =
-            (self.roles.get_mut(key), self.wires.get_mut(key))
+            (self.roles.get_mut(key), self.connections.get_mut(key))
         else {
             return;
         };
@@ -180,7 +189,7 @@
             Stage::Lingering => {
                 wire.input.clear();
                 // Guards the answer: a close with input unread would reset the connection.
-                return self.again.extend(wire.has_unread().then_some(key));
+                return self.ready_again.extend(wire.has_unread().then_some(key));
             }
             Stage::Open if client.upload.is_some() => return self.upload_came(now, key),
             // The rest waits until the request before it is answered.
@@ -192,14 +201,14 @@
         client.visit.partial(now);
         let read = client.incoming.read(&mut wire.input, most, &self.limits);
         let held = wire.input.len() + client.incoming.body.len();
-        self.held = self.held + held - client.held;
-        client.held = held;
+        self.buffered_bytes = self.buffered_bytes + held - client.buffered_bytes;
+        client.buffered_bytes = held;
         if let Err(fault) = read {
             return self.refuse(now, key, fault);
         }
         if client.incoming.whole() {
             let incoming = std::mem::take(&mut client.incoming);
-            (client.told_to_go_on, client.looked_at) = (false, false);
+            (client.continue_sent, client.checked_by_head) = (false, false);
             client.visit.taken(now);
             wire.max_input_bytes = AHEAD.max(wire.input.len());
             if let Some((head, _, body)) = incoming.into_parts() {
@@ -221,14 +230,14 @@
             if client.incoming.longer(self.limits.kept_bytes) {
                 return self.begin_upload(now, key);
             }
-            let tell = head.expects && !std::mem::replace(&mut client.told_to_go_on, true);
+            let tell = head.expects && !std::mem::replace(&mut client.continue_sent, true);
             let length = client.incoming.length;
             client.visit.uploading(now, length);
             if tell {
                 self.go_on(key);
             }
         }
-        if let Some(spared) = self.no_room() {
+        if let Some(spared) = self.evict_buffered() {
             self.client(spared)
                 .into_iter()
                 .for_each(|client| client.last = true);
@@ -239,13 +248,13 @@
         }
         self.arm(now, key);
         if self
-            .wires
+            .connections
             .get(key)
             .is_some_and(|wire| wire.input.len() < wire.max_input_bytes)
         {
             let mut more = Vec::new();
-            self.wires.resume_reading(key, now, &mut more);
-            self.again.extend(
+            self.connections.resume_reading(key, now, &mut more);
+            self.ready_again.extend(
                 more.iter()
                     .any(|h| matches!(h, IoEvent::Received(_)))
                     .then_some(key),
@@ -254,7 +263,7 @@
                 .into_iter()
                 .find(|h| matches!(h, IoEvent::PeerClosed(_) | IoEvent::Failed(_)))
             {
-                self.happened(now, end);
+                self.handle_event(now, end);
             }
         }
     }
@@ -274,7 +283,7 @@
 
     /// The client may send its body.
     pub(super) fn go_on(&mut self, key: ConnectionId) {
-        let out = self.wires.output(key);
+        let out = self.connections.output(key);
         out.into_iter()
             .for_each(|out| out.extend(b"HTTP/1.1 100 Continue\r\n\r\n"));
     }
@@ -288,7 +297,7 @@
         let Some(head) = client.incoming.head() else {
             return false;
         };
-        if std::mem::replace(&mut client.looked_at, true) {
+        if std::mem::replace(&mut client.checked_by_head, true) {
             return false;
         }
         let asked = head
@@ -307,18 +316,18 @@
             .get("Authorization")
             .and_then(|value| value.strip_prefix("Bearer "));
         let tenant = shown.and_then(|key| self.config_store.tenant(key.trim()));
-        if tenant.is_none() && !route.public && self.config_store.keyed() {
+        if tenant.is_none() && !route.public && self.config_store.requires_keys() {
             return false;
         }
         let tenant = tenant.map(|known| (known.name.as_str(), &known.tenant));
-        let asker = Asker {
+        let asker = SheddingRequest {
             id,
             route,
             svc,
             tenant,
         };
         client.band = asker.band();
-        self.router.waits(now, &asker)
+        self.router.would_be_shed(now, &asker)
     }
 
     /// A whole request was read.
@@ -339,7 +348,7 @@
         body: Vec<u8>,
         coming: Option<Coming>,
     ) -> Result<(), Own> {
-        if !self.config_store.serves() {
+        if !self.config_store.is_ready() {
             return Err(away(503, start_away(), "no configuration yet"));
         }
         if !self.server_table.any() {
@@ -363,7 +372,7 @@
         let tenant = key_shown
             .and_then(|key| self.config_store.tenant(key.trim()))
             .cloned();
-        if tenant.is_none() && !route.public && self.config_store.keyed() {
+        if tenant.is_none() && !route.public && self.config_store.requires_keys() {
             return Err(own(401, "no such key"));
         }
         let left = head
@@ -388,7 +397,7 @@
             self.router.open(&svc, &pins, route.target_time.0, entries);
         }
         let lines = lines(&head.headers, tenant.as_ref().map(|t| t.name.as_str()));
-        let ticket = Ticket {
+        let ticket = RequestHandle {
             engine: 0,
             key: AuthorisationKey::default(),
         };
@@ -410,7 +419,7 @@
         });
         let tenant = tenant.as_ref().map(|t| (t.name.as_str(), &t.tenant));
         let id = self.requests[request].id.clone();
-        let asked = Asked {
+        let asked = RoutingRequest {
             request,
             id: &id,
             route: &route,
@@ -463,7 +472,7 @@
         let mut lines = vec![("Content-Type", "text/plain")];
         lines.extend((own.stay_away > 0).then_some(("Retry-After", seconds.as_str())));
         // Where room is short, who is refused takes none up: a new try takes a new connection all the same.
-        let crowded = self.router.shedding().node().crowded();
+        let crowded = self.router.shedding().node().is_crowded();
         self.client(key)
             .into_iter()
             .for_each(|client| client.last |= crowded);
@@ -471,8 +480,8 @@
         let Some(close) = self.answering(now, key) else {
             return;
         };
-        lines.extend(may_stay(&self.stay, close));
-        if let Some(out) = self.wires.output(key) {
+        lines.extend(may_stay(&self.client_keep_alive, close));
+        if let Some(out) = self.connections.output(key) {
             framing::write_answer(out, own.status, &lines, body.as_bytes(), close);
         }
     }
@@ -488,17 +497,17 @@
         let Some(close) = self.answering(now, key) else {
             return;
         };
-        let Some(out) = self.wires.output(key) else {
+        let Some(out) = self.connections.output(key) else {
             return;
         };
         let length = body.len().to_string();
         let bodiless = matches!(head.status, 204 | 304);
         let length = (!bodiless).then_some(("Content-Length", length.as_str()));
-        let lines = head.headers.iter().filter(|(name, _)| passes(name));
+        let lines = head.headers.iter().filter(|(name, _)| is_forwarded(name));
         let lines = length
             .into_iter()
             .chain(lines)
-            .chain(may_stay(&self.stay, close));
+            .chain(may_stay(&self.client_keep_alive, close));
         framing::write_head(out, head.status, lines, close);
         out.extend_from_slice(body);
     }
@@ -512,7 +521,7 @@
         client.request = None;
         // What was here of the request is of no more use.
         client.incoming = Incoming::default();
-        self.held -= std::mem::take(&mut client.held);
+        self.buffered_bytes -= std::mem::take(&mut client.buffered_bytes);
         // What is left of a body is read and thrown away behind the last answer.
         let rest = client.upload.take().is_some_and(|upload| !upload.whole());
         client.last |= last || rest;
@@ -535,16 +544,16 @@
         }
         let last = client.last;
         client.visit.written(now, last);
-        if let Some(wire) = self.wires.get_mut(key) {
+        if let Some(wire) = self.connections.get_mut(key) {
             wire.max_input_bytes = WINDOW;
-            self.held = self.held + wire.input.len() - client.held;
-            client.held = wire.input.len();
+            self.buffered_bytes = self.buffered_bytes + wire.input.len() - client.buffered_bytes;
+            client.buffered_bytes = wire.input.len();
         }
         if last {
-            self.wires.shutdown_write(key);
+            self.connections.shutdown_write(key);
         }
         // What came behind the request, or waits with the system.
-        self.again.push(key);
+        self.ready_again.push(key);
         self.arm(now, key);
     }
 
@@ -552,13 +561,13 @@
     /// written would go out with it, and nobody would hear that it had.
     pub(super) fn check_came(&mut self, key: ConnectionId) {
         let ready = self.stands() == NodeState::Ready;
-        let Some(wire) = self.wires.get_mut(key) else {
+        let Some(wire) = self.connections.get_mut(key) else {
             return;
         };
         let (request, length) = match framing::request(&wire.input, &self.limits) {
             Ok(None) => return,
             Ok(Some(asked)) => asked,
-            Err(_) => return self.drop_wire(key),
+            Err(_) => return self.remove_connection(key),
         };
         wire.input.drain(..length);
         let status = match request.target.split('?').next() {
@@ -568,7 +577,7 @@
         };
         let last = !request.keep_alive;
         self.roles.insert(key, Role::Check { last });
-        if let Some(out) = self.wires.output(key) {
+        if let Some(out) = self.connections.output(key) {
             framing::write_answer(out, status, &[], b"", last);
         }
     }
@@ -648,7 +657,7 @@
         .collect();
     let passes = |name: &str| {
         let listed = |list: &[&str]| list.iter().any(|other| name.eq_ignore_ascii_case(other));
-        !concerns_connection(name) && !listed(&OWN) && !listed(&named)
+        !is_hop_by_hop(name) && !listed(&OWN) && !listed(&named)
     };
     for (name, value) in headers.iter().filter(|(name, _)| passes(name)) {
         line(name, value);
--- a/crates/proxy/src/host/closing.rs
+++ b/crates/proxy/src/host/close_reasons.rs
@@ -9,52 +9,52 @@
 use super::*;
 
 /// Between two of these lines that come out at once; those between are kept in the ring.
-const SAID: Micros = SECOND;
+const CLOSE_LOG_INTERVAL: Micros = SECOND;
 
 /// What ends a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Closing {
+pub(super) enum CloseReason {
     /// The client closed it, or it broke.
-    Left,
+    ClientClosed,
     /// It was idle, or its request did not come whole, for too long.
-    Silent,
+    IdleTimeout,
     /// The client did not take its answer in.
-    Unread,
+    SlowReader,
     /// It made room for others.
-    Room,
+    Evicted,
     /// The server of the answer that was being relayed broke off.
-    BrokenOff,
+    ServerBroke,
     /// That server was silent until the answer was due.
-    Overdue,
+    ResponseTimeout,
     /// That server went on with what is no body.
-    Garbled,
+    MalformedBody,
 }
 
-impl fmt::Display for Closing {
+impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Closing::Left => "the client left",
-            Closing::Silent => "idle or incomplete for too long",
-            Closing::Unread => "the client did not read its answer",
-            Closing::Room => "room for other connections",
-            Closing::BrokenOff => "the server broke off",
-            Closing::Overdue => "the server was silent until the deadline",
-            Closing::Garbled => "the server sent what is no answer",
+            CloseReason::ClientClosed => "the client left",
+            CloseReason::IdleTimeout => "idle or incomplete for too long",
+            CloseReason::SlowReader => "the client did not read its answer",
+            CloseReason::Evicted => "room for other connections",
+            CloseReason::ServerBroke => "the server broke off",
+            CloseReason::ResponseTimeout => "the server was silent until the deadline",
+            CloseReason::MalformedBody => "the server sent what is no answer",
         })
     }
 }
 
 impl Host {
     /// Keeps a line where the proxy closes a connection on which it owes an answer, or holds bytes of a request.
-    pub(super) fn note_closing(&mut self, now: Micros, key: ConnectionId, closing: Closing) {
+    pub(super) fn log_close(&mut self, now: Micros, key: ConnectionId, closing: CloseReason) {
         let Some(Role::Client(client)) = self.roles.get(key) else {
             return;
         };
-        let wire = self.wires.get(key);
+        let wire = self.connections.get(key);
         let (unread, unwritten) = wire.map_or((0, 0), |wire| (wire.input.len(), wire.backlog()));
         let owed = matches!(client.visit.stage, Stage::Open | Stage::Answering)
             || (client.visit.stage == Stage::Idle && unread > 0);
-        if closing == Closing::Left || !owed {
+        if closing == CloseReason::ClientClosed || !owed {
             return;
         }
         let request = client
@@ -64,8 +64,8 @@
         let (stage, ms) = (client.visit.stage, (now - client.visit.since) / MS);
         let text =
             format_args!("client's connection closed with an answer owed: {closing}").to_string();
-        if now >= self.said + SAID {
-            self.said = now;
+        if now >= self.close_logged_at + CLOSE_LOG_INTERVAL {
+            self.close_logged_at = now;
             warn!(self.log, #IMMEDIATE, "{text}"; "request" => id, "stage" => ?stage, "ms" => ms, "unread" => unread, "unwritten" => unwritten);
         } else {
             warn!(self.log, "{text}"; "request" => id, "stage" => ?stage, "ms" => ms, "unread" => unread, "unwritten" => unwritten);
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -1,13 +1,13 @@
 //! The host of a proxy: one thread, one wait for all connections. What a wait brought is taken in first; then what is
 //! due and the engines have their turn; then all that is to be written goes out.
 
+mod agent_link;
+mod capacity;
 mod clients;
-mod closing;
-mod feeding;
-mod legs;
-mod relaying;
-mod room;
-mod uploading;
+mod close_reasons;
+mod response_streams;
+mod uploads;
+mod upstreams;
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -34,39 +34,39 @@
 use slotmap::{SecondaryMap, SlotMap};
 use streamarch::{Micros, Outcome, ServerId};
 
-use self::closing::Closing;
-use self::relaying::Passage;
-use crate::answers::Verdict;
+use self::close_reasons::CloseReason;
+use self::response_streams::ResponseStream;
+use crate::answers::ResponseClass;
 use crate::config_store::ConfigStore;
-use crate::router::{RequestKey, RequestRouter, Step, Ticket};
+use crate::router::{RequestHandle, RequestKey, RequestRouter, RouterAction};
 use crate::server_table::ServerTable;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 /// Between two signs of life to the agent.
-const BEAT: Micros = 400 * MS;
+const HEARTBEAT_INTERVAL: Micros = 400 * MS;
 /// The agent's link is tried again after this.
-const FEED_AGAIN: Micros = 100 * MS;
+const AGENT_RETRY_DELAY: Micros = 100 * MS;
 /// A connection to a server must come up within this; the farthest need more than a tenth of a second.
-const CONNECT: Micros = 350 * MS;
+const CONNECT_TIMEOUT: Micros = 350 * MS;
 /// A batch of adds without totals by then has timed out.
-const COUNT_WAIT: Micros = 300 * MS;
+const COUNTER_TIMEOUT: Micros = 300 * MS;
 /// Longest answer that is taken in whole before it goes on, in bytes: what one that is relayed may hold as well, its
 /// window on either side. Danger: longer ones that break off can't be tried at another server, shorter ones can.
-const SHORT: usize = 128 * 1024;
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 128 * 1024;
 /// Longest answer that is relayed, in bytes: none of it is held, but there is an end to what is believed.
-const ANSWER: u64 = 1024 * 1024 * 1024;
+const MAX_STREAMED_RESPONSE_BYTES: u64 = 1024 * 1024 * 1024;
 /// From SIGTERM on, clients that ask where to go are sent elsewhere; who comes all the same is served so long.
-const NOTICE: Micros = 2_200 * MS;
+const SHUTDOWN_NOTICE: Micros = 2_200 * MS;
 /// What is left of the grace period at the end.
-const GRACE_LEFT: Micros = 400 * MS;
+const GRACE_MARGIN: Micros = 400 * MS;
 /// Longest wait without a deadline.
-const IDLE_WAIT: Micros = SECOND;
+const MAX_IDLE_WAIT: Micros = SECOND;
 
 /// What a connection to a server is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Errand {
-    Leg(RequestKey, Ticket, u32),
+enum UpstreamPurpose {
+    Leg(RequestKey, RequestHandle, u32),
     /// For the engine of this position.
     Probe(usize),
 }
@@ -74,13 +74,13 @@
 /// Whose a connection is.
 enum Role {
     Client(Box<Client>),
-    Leg(Box<Leg>),
+    Leg(Box<UpstreamConnection>),
     /// The platform asks whether the proxy is ready. `last`: the answer that is being written is the last.
     Check {
         last: bool,
     },
     /// The agent.
-    Feed,
+    Agent,
 }
 
 /// A client's connection.
@@ -89,14 +89,14 @@
     incoming: Incoming<RequestHead>,
     request: Option<RequestKey>,
     /// The earliest deadline entered for it.
-    armed: Micros,
+    timer_at: Micros,
     /// The answer that is being written is the last.
     last: bool,
-    told_to_go_on: bool,
+    continue_sent: bool,
     /// Whether it is refused by its head was looked at.
-    looked_at: bool,
+    checked_by_head: bool,
     /// Its bytes among those held for all.
-    held: usize,
+    buffered_bytes: usize,
     /// The band of its last request.
     band: usize,
     /// The server's connection from which its answer is being relayed.
@@ -106,23 +106,23 @@
 }
 
 /// A connection to a server.
-struct Leg {
+struct UpstreamConnection {
     server: ServerId,
-    state: LegState<Errand>,
+    state: LegState<UpstreamPurpose>,
     incoming: Incoming<AnswerHead>,
-    verdict: Option<Verdict>,
+    verdict: Option<ResponseClass>,
     /// The answer has no body, whatever its head says.
     bodiless: bool,
     /// Idle, it may be used until then.
     until: Micros,
     /// The answer that is being relayed from it.
-    relay: Option<Passage>,
+    relay: Option<ResponseStream>,
     /// Of the body that goes on to it the end has not come.
-    feeding: bool,
+    is_uploading: bool,
     /// Bytes that went out on the connection before its errand.
-    sent_before: u64,
+    bytes_sent_before: u64,
     /// An answer without an id came on it before.
-    nameless: bool,
+    had_response_without_id: bool,
 }
 
 /// A request whose final answer is owed.
@@ -140,7 +140,7 @@
     wait: Micros,
     /// How its body ends, where that goes on while it comes.
     coming: Option<Extent>,
-    ticket: Ticket,
+    ticket: RequestHandle,
     /// Connections to servers that it was sent on.
     sent_on: Vec<ConnectionId>,
     /// It may have run.
@@ -151,7 +151,7 @@
 
 /// What falls due.
 #[derive(Debug)]
-enum Due {
+enum Timer {
     Connect(ConnectionId),
     Visit(ConnectionId),
     Probe(ConnectionId),
@@ -170,7 +170,7 @@
 }
 
 /// A batch of adds that is out.
-struct Batch {
+struct CounterBatch {
     number: u64,
     names: Vec<u64>,
     sent: Micros,
@@ -184,39 +184,39 @@
     settings: Settings,
     limits: Limits,
     /// What clients are told of how long they may stay idle.
-    stay: String,
+    client_keep_alive: String,
     log: Logger,
     ring: LogRing,
-    wires: Connections,
+    connections: Connections,
     roles: SecondaryMap<ConnectionId, Role>,
     clients: usize,
     /// Bytes of requests that are held for all clients.
-    held: usize,
-    doors: (usize, usize),
+    buffered_bytes: usize,
+    listeners: (usize, usize),
     /// Where clients and checks are taken.
     pub addresses: (SocketAddr, SocketAddr),
-    deadlines: Deadlines<Due>,
+    deadlines: Deadlines<Timer>,
     lifecycle: Lifecycle,
     config_store: ConfigStore,
     server_table: ServerTable,
     router: RequestRouter,
     requests: SlotMap<RequestKey, Request>,
     pool: Pool<ConnectionId>,
-    legs: HashMap<(usize, AuthorisationKey), ConnectionId>,
-    steps: Vec<Step>,
-    feed: Option<ConnectionId>,
+    upstreams: HashMap<(usize, AuthorisationKey), ConnectionId>,
+    steps: Vec<RouterAction>,
+    agent: Option<ConnectionId>,
     /// The agent has told all it knows, once.
-    told: bool,
+    agent_complete: bool,
     adds: Vec<CounterAdd>,
-    batches: VecDeque<Batch>,
+    batches: VecDeque<CounterBatch>,
     batch: u64,
     /// Connections whose input is to be looked at again.
-    again: Vec<ConnectionId>,
+    ready_again: Vec<ConnectionId>,
     standing: NodeState,
     /// Nothing that came before this is waiting to be taken.
-    looked: Micros,
+    caught_up_at: Micros,
     /// When a line on a connection that was closed with an answer owed last came out.
-    said: Micros,
+    close_logged_at: Micros,
 }
 
 /// What a proxy wants of its settings.
@@ -258,32 +258,32 @@
             .wrap_err_with(|| format!("listening on bind.readyz {readyz}"))?;
         let log = ring.logger("proxy", &settings.node);
         let limits = Limits {
-            notice: NOTICE,
-            drain: settings.bounds.grace.0 - GRACE_LEFT,
-            connect: CONNECT,
-            body_bytes: SHORT,
-            answer_bytes: ANSWER,
+            notice: SHUTDOWN_NOTICE,
+            drain: settings.bounds.grace.0 - GRACE_MARGIN,
+            connect: CONNECT_TIMEOUT,
+            body_bytes: MAX_BUFFERED_RESPONSE_BYTES,
+            answer_bytes: MAX_STREAMED_RESPONSE_BYTES,
             ..Limits::default()
         };
         let now = clock.now();
         let mut deadlines = Deadlines::default();
-        deadlines.enter(now, Due::Feed);
-        deadlines.enter(now + BEAT, Due::Beat);
-        deadlines.enter(now + overload::STEP, Due::Load);
-        deadlines.enter(now + limits.leg_idle / 4, Due::Retire);
+        deadlines.enter(now, Timer::Feed);
+        deadlines.enter(now + HEARTBEAT_INTERVAL, Timer::Beat);
+        deadlines.enter(now + overload::STEP, Timer::Load);
+        deadlines.enter(now + limits.leg_idle / 4, Timer::Retire);
         let server_table = ServerTable::new(&settings.zone, settings.zones.clone());
         info!(log, "serving on {http}");
         Ok(Host {
             clock,
-            stay: clients::stay(limits.acquirer_idle),
+            client_keep_alive: clients::stay(limits.acquirer_idle),
             limits,
             log,
             ring,
-            wires,
+            connections: wires,
             roles: SecondaryMap::new(),
             clients: 0,
-            held: 0,
-            doors: (door, check),
+            buffered_bytes: 0,
+            listeners: (door, check),
             addresses: (http, readyz),
             deadlines,
             lifecycle: Lifecycle::new(false),
@@ -292,35 +292,35 @@
             router: RequestRouter::new(fastrand::u64(..), settings.bounds.clone()),
             requests: SlotMap::with_key(),
             pool: Pool::default(),
-            legs: HashMap::new(),
+            upstreams: HashMap::new(),
             steps: Vec::new(),
-            feed: None,
-            told: false,
+            agent: None,
+            agent_complete: false,
             adds: Vec::new(),
             batches: VecDeque::new(),
             batch: 0,
-            again: Vec::new(),
+            ready_again: Vec::new(),
             standing: NodeState::Unavailable,
-            looked: now,
-            said: 0,
+            caught_up_at: now,
+            close_logged_at: 0,
             settings,
         })
     }
 
     /// Bytes of messages that are held, the room kept for them included.
-    pub fn holds(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         let of = |role: &Role| match role {
             Role::Client(client) => {
                 client.incoming.body.capacity() + client.upload.as_ref().map_or(0, Upload::held)
             }
             Role::Leg(leg) => leg.incoming.body.capacity(),
-            Role::Check { .. } | Role::Feed => 0,
+            Role::Check { .. } | Role::Agent => 0,
         };
         let bodies = self
             .requests
             .values()
             .map(|request| request.body.capacity());
-        self.wires.buffered_bytes()
+        self.connections.buffered_bytes()
             + self.roles.values().map(of).sum::<usize>()
             + bodies.sum::<usize>()
     }
@@ -332,7 +332,7 @@
     pub fn run(mut self) -> eyre::Result<()> {
         let mut happenings = Vec::new();
         while !self.finished() {
-            self.step(IDLE_WAIT, &mut happenings)?;
+            self.step(MAX_IDLE_WAIT, &mut happenings)?;
         }
         Ok(())
     }
@@ -348,7 +348,7 @@
     /// # Errors
     /// The system's wait failed.
     pub fn step(&mut self, longest: Micros, happenings: &mut Vec<IoEvent>) -> eyre::Result<()> {
-        let busy = !happenings.is_empty() || !self.again.is_empty();
+        let busy = !happenings.is_empty() || !self.ready_again.is_empty();
         let due = [self.deadlines.earliest(), self.router.next()]
             .into_iter()
             .flatten()
@@ -360,41 +360,41 @@
             due.unwrap_or(Micros::MAX).min(now + longest)
         };
         let clock = self.clock.clone();
-        self.wires
+        self.connections
             .wait(Some(until), || clock.now(), happenings)
             .wrap_err("waiting")?;
         let came = happenings
             .iter()
             .filter(|h| matches!(h, IoEvent::Received(_) | IoEvent::Accepted(..)));
-        self.feel(now, until, came.count());
-        self.turn(happenings);
+        self.measure_load(now, until, came.count());
+        self.run_due(happenings);
         Ok(())
     }
 
-    fn turn(&mut self, happenings: &mut Vec<IoEvent>) {
+    fn run_due(&mut self, happenings: &mut Vec<IoEvent>) {
         let now = self.clock.now();
-        for key in std::mem::take(&mut self.again) {
-            self.wires.resume_reading(key, now, happenings);
+        for key in std::mem::take(&mut self.ready_again) {
+            self.connections.resume_reading(key, now, happenings);
             happenings.push(IoEvent::Received(key));
         }
         for happening in happenings.drain(..) {
-            self.happened(now, happening);
+            self.handle_event(now, happening);
         }
         while let Some(due) = self.deadlines.take_due(now) {
-            self.due(now, due);
+            self.handle_timer(now, due);
         }
-        self.decide(now);
+        self.run_router(now);
         self.send_adds(now);
-        self.wires.flush_all(happenings);
+        self.connections.flush_all(happenings);
     }
 
     /// Lets the module decide, and carries out what follows.
-    fn decide(&mut self, now: Micros) {
+    fn run_router(&mut self, now: Micros) {
         // One request lets the module answer at most a few times in a row; a bound guards against more.
         for _ in 0..16 {
             let mut steps = std::mem::take(&mut self.steps);
             let requests = &mut self.requests;
-            self.router.turn(now, &mut steps, |request, ticket| {
+            self.router.run(now, &mut steps, |request, ticket| {
                 requests
                     .get_mut(request)
                     .into_iter()
@@ -413,114 +413,123 @@
         }
     }
 
-    fn carry_out(&mut self, now: Micros, step: Step) {
+    fn carry_out(&mut self, now: Micros, step: RouterAction) {
         match step {
-            Step::Send {
+            RouterAction::Send {
                 request,
                 ticket,
                 leg,
                 server,
             } => self.send(now, request, ticket, leg, server),
-            Step::Stop(ticket, leg) => self.stop(now, ticket, leg),
-            Step::Answer(request, ending) => self.end(now, request, ending),
-            Step::Count(add) => self.adds.push(add),
-            Step::Probe(engine, server) => self.probe(now, engine, server),
+            RouterAction::Stop(ticket, leg) => self.stop(now, ticket, leg),
+            RouterAction::Answer(request, ending) => self.end(now, request, ending),
+            RouterAction::Count(add) => self.adds.push(add),
+            RouterAction::Probe(engine, server) => self.probe(now, engine, server),
         }
     }
 
-    fn happened(&mut self, now: Micros, happening: IoEvent) {
+    fn handle_event(&mut self, now: Micros, happening: IoEvent) {
         match happening {
-            IoEvent::Accepted(door, key) if door == self.doors.0 => self.took(now, key),
+            IoEvent::Accepted(door, key) if door == self.listeners.0 => self.took(now, key),
             IoEvent::Accepted(_, key) => _ = self.roles.insert(key, Role::Check { last: false }),
-            IoEvent::Signal(SIGTERM) => self.leave(now),
+            IoEvent::Signal(SIGTERM) => self.begin_shutdown(now),
             // The settings file holds nothing that a proxy takes over while it runs.
             IoEvent::Signal(_) => {}
-            IoEvent::Connected(key) => self.came_up(now, key),
-            IoEvent::Received(key) => self.came(now, key),
-            IoEvent::Flushed(key) => self.written(now, key),
-            IoEvent::PeerClosed(key) | IoEvent::Failed(key) => self.broken(now, key),
+            IoEvent::Connected(key) => self.handle_connected(now, key),
+            IoEvent::Received(key) => self.handle_received(now, key),
+            IoEvent::Flushed(key) => self.handle_flushed(now, key),
+            IoEvent::PeerClosed(key) | IoEvent::Failed(key) => self.handle_failed(now, key),
         }
     }
 
-    fn came_up(&mut self, now: Micros, key: ConnectionId) {
+    fn handle_connected(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get_mut(key) {
             Some(Role::Leg(leg)) => {
                 leg.state = leg.state.connected();
-                if let Some(Errand::Leg(request, ..)) = leg.state.errand() {
+                if let Some(UpstreamPurpose::Leg(request, ..)) = leg.state.errand() {
                     self.start_upload(request, key);
                 }
             }
-            Some(Role::Feed) => self.feed_up(now, key),
+            Some(Role::Agent) => self.feed_up(now, key),
             Some(Role::Client(_) | Role::Check { .. }) | None => {}
         }
     }
 
-    fn came(&mut self, now: Micros, key: ConnectionId) {
+    fn handle_received(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get(key) {
             Some(Role::Client(_)) => self.client_came(now, key),
             Some(Role::Leg(_)) => self.answer_came(now, key),
             Some(Role::Check { last: false }) => self.check_came(key),
-            Some(Role::Feed) => self.feed_came(now, key),
+            Some(Role::Agent) => self.feed_came(now, key),
             Some(Role::Check { last: true }) | None => {}
         }
     }
 
-    fn written(&mut self, now: Micros, key: ConnectionId) {
+    fn handle_flushed(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get_mut(key) {
             Some(Role::Client(_)) => self.answer_written(now, key),
             // What was written may have been an earlier part of it.
-            Some(Role::Leg(_)) if self.wires.get(key).is_some_and(|wire| wire.backlog() > 0) => {}
-            Some(Role::Leg(leg)) if leg.feeding => {
-                if let Some(Errand::Leg(request, ..)) = leg.state.errand() {
+            Some(Role::Leg(_))
+                if self
+                    .connections
+                    .get(key)
+                    .is_some_and(|wire| wire.backlog() > 0) => {}
+            Some(Role::Leg(leg)) if leg.is_uploading => {
+                if let Some(UpstreamPurpose::Leg(request, ..)) = leg.state.errand() {
                     self.feed_on(request);
                 }
             }
             Some(Role::Leg(leg)) => {
                 let before = leg.state;
                 leg.state = before.written();
-                if let (true, Some(Errand::Leg(_, ticket, _))) =
+                if let (true, Some(UpstreamPurpose::Leg(_, ticket, _))) =
                     (before != leg.state, leg.state.errand())
                 {
-                    self.router.leg_written(now, ticket);
+                    self.router.handle_attempt_written(now, ticket);
                 }
             }
-            Some(Role::Check { last: true }) => self.drop_wire(key),
-            Some(Role::Check { .. } | Role::Feed) | None => {}
+            Some(Role::Check { last: true }) => self.remove_connection(key),
+            Some(Role::Check { .. } | Role::Agent) | None => {}
         }
     }
 
-    fn broken(&mut self, now: Micros, key: ConnectionId) {
+    fn handle_failed(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get(key) {
-            Some(Role::Client(_)) => self.client_gone(now, key, Closing::Left),
+            Some(Role::Client(_)) => self.client_gone(now, key, CloseReason::ClientClosed),
             Some(Role::Leg(_)) => self.leg_broken(now, key),
-            Some(Role::Feed) => self.feed_lost(now, key),
-            Some(Role::Check { .. }) | None => self.drop_wire(key),
+            Some(Role::Agent) => self.feed_lost(now, key),
+            Some(Role::Check { .. }) | None => self.remove_connection(key),
         }
     }
 
-    fn drop_wire(&mut self, key: ConnectionId) {
+    fn remove_connection(&mut self, key: ConnectionId) {
         self.roles.remove(key);
-        self.wires.close(key);
+        self.connections.close(key);
     }
 
-    fn due(&mut self, now: Micros, due: Due) {
+    fn handle_timer(&mut self, now: Micros, due: Timer) {
         match due {
-            Due::Connect(key) if self.wires.get(key).is_some_and(|wire| !wire.is_connected()) => {
-                self.broken(now, key)
+            Timer::Connect(key)
+                if self
+                    .connections
+                    .get(key)
+                    .is_some_and(|wire| !wire.is_connected()) =>
+            {
+                self.handle_failed(now, key)
             }
-            Due::Connect(_) => {}
-            Due::Visit(key) => self.visit_due(now, key),
-            Due::Probe(key) => self.probe_due(now, key),
-            Due::Relay(key) => self.relay_due(now, key),
-            Due::Late(key) => self.late(now, key),
-            Due::Batch => self.batch_due(now),
-            Due::Retire => self.retire(now),
-            Due::Warm => self.list(now),
-            Due::Beat => self.beat(now),
-            Due::Load => self.tell_load(now),
-            Due::Feed => self.open_feed(now),
-            Due::NoticeOver => self.notice_over(now),
-            Due::DrainOver => self.drain_over(now),
+            Timer::Connect(_) => {}
+            Timer::Visit(key) => self.visit_due(now, key),
+            Timer::Probe(key) => self.probe_due(now, key),
+            Timer::Relay(key) => self.relay_due(now, key),
+            Timer::Late(key) => self.late(now, key),
+            Timer::Batch => self.batch_due(now),
+            Timer::Retire => self.retire(now),
+            Timer::Warm => self.list(now),
+            Timer::Beat => self.beat(now),
+            Timer::Load => self.tell_load(now),
+            Timer::Feed => self.open_feed(now),
+            Timer::NoticeOver => self.notice_over(now),
+            Timer::DrainOver => self.drain_over(now),
         }
     }
 
@@ -528,7 +537,7 @@
     fn stands(&self) -> NodeState {
         match (
             self.lifecycle.ending(),
-            self.told && self.config_store.serves() && self.server_table.any(),
+            self.agent_complete && self.config_store.is_ready() && self.server_table.any(),
         ) {
             (true, _) => NodeState::Draining,
             (false, true) => NodeState::Ready,
@@ -537,19 +546,19 @@
     }
 
     /// The process was told to end: what was taken is finished first.
-    pub fn leave(&mut self, now: Micros) {
+    pub fn begin_shutdown(&mut self, now: Micros) {
         if self.lifecycle.end(now) {
             info!(self.log, "told to end");
             self.deadlines
-                .enter(now + self.limits.notice, Due::NoticeOver);
+                .enter(now + self.limits.notice, Timer::NoticeOver);
             self.deadlines
-                .enter(now + self.limits.drain, Due::DrainOver);
+                .enter(now + self.limits.drain, Timer::DrainOver);
             self.beat_now();
         }
     }
 
     fn notice_over(&mut self, now: Micros) {
-        self.wires.stop_listening(self.doors.0);
+        self.connections.stop_listening(self.listeners.0);
         let clients: Vec<ConnectionId> = self
             .roles
             .iter()
@@ -557,7 +566,7 @@
             .map(|(k, _)| k)
             .collect();
         clients.into_iter().for_each(|key| self.visit_due(now, key));
-        self.may_finish();
+        self.is_drained();
     }
 
     /// The time to finish what was taken is over: who waits still is told so. Where a server has the request, the answer
@@ -570,7 +579,7 @@
     }
 
     /// At the end: nothing is owed any more, and no client is there.
-    fn may_finish(&mut self) {
+    fn is_drained(&mut self) {
         if self.lifecycle.ending() && self.requests.is_empty() && self.clients == 0 {
             self.lifecycle.finish();
         }
--- a/crates/proxy/src/host/relaying.rs
+++ b/crates/proxy/src/host/response_streams.rs
@@ -4,12 +4,12 @@
 use dataplane::relay::Relay;
 
 use super::clients::{MARGIN, may_stay};
-use super::legs::ANSWER_ROOM;
+use super::upstreams::ANSWER_ROOM;
 use super::*;
-use crate::answers::{ends, passes};
+use crate::answers::{is_forwarded, stream_deadline};
 
 /// An answer on its way.
-pub(super) struct Passage {
+pub(super) struct ResponseStream {
     relay: Relay,
     to: ConnectionId,
     /// When the answer is due.
@@ -20,7 +20,7 @@
 
 impl Host {
     /// A long answer is the final one: it begins. From here on there is no other try, and no other answer.
-    pub(super) fn begin_relay(&mut self, now: Micros, key: ConnectionId, errand: Errand) {
+    pub(super) fn begin_relay(&mut self, now: Micros, key: ConnectionId, errand: UpstreamPurpose) {
         let Some(Role::Leg(leg)) = self.roles.get_mut(key) else {
             return;
         };
@@ -28,12 +28,15 @@
         let sent = leg.state.broken() == Outcome::Reset;
         (leg.verdict, leg.state) = (None, LegState::Relaying);
         let (extent, parts) = (incoming.extent, incoming.into_parts());
-        let (Some((head, reader, come)), Errand::Leg(request, ticket, number)) = (parts, errand)
+        let (Some((head, reader, come)), UpstreamPurpose::Leg(request, ticket, number)) =
+            (parts, errand)
         else {
             return self.close_leg(key);
         };
-        self.legs.remove(&(ticket.engine, ticket.key));
-        let answers = self.router.leg_ended(now, ticket, number, Outcome::Ok);
+        self.upstreams.remove(&(ticket.engine, ticket.key));
+        let answers = self
+            .router
+            .handle_attempt_ended(now, ticket, number, Outcome::Ok);
         let request = answers.then(|| self.requests.remove(request)).flatten();
         let to = request
             .as_ref()
@@ -44,18 +47,18 @@
         };
         // An answer that has begun has all of the client's time: to end it sooner would gain nothing.
         let deadline = deadline + MARGIN;
-        let Some(out) = self.wires.output(to) else {
+        let Some(out) = self.connections.output(to) else {
             return self.close_leg(key);
         };
         let lines = head
             .headers
             .iter()
-            .filter(|(name, _)| passes(name))
-            .chain(may_stay(&self.stay, close));
+            .filter(|(name, _)| is_forwarded(name))
+            .chain(may_stay(&self.client_keep_alive, close));
         let relay = Relay::begin((&head, extent), reader, &come, lines, close, out);
         let patience = (relay.reusable() && sent).then(|| self.patience(&head));
         if let Some(Role::Leg(leg)) = self.roles.get_mut(key) {
-            leg.relay = Some(Passage {
+            leg.relay = Some(ResponseStream {
                 relay,
                 to,
                 deadline,
@@ -65,13 +68,14 @@
         if let Some(Role::Client(client)) = self.roles.get_mut(to) {
             client.source = Some(key);
         }
-        self.deadlines.enter(deadline.max(now), Due::Relay(key));
+        self.deadlines.enter(deadline.max(now), Timer::Relay(key));
         self.relay_came(now, key);
     }
 
     /// More has come of an answer that is being relayed.
     pub(super) fn relay_came(&mut self, now: Micros, key: ConnectionId) {
-        let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get_mut(key), self.wires.get_mut(key))
+        let (Some(Role::Leg(leg)), Some(wire)) =
+            (self.roles.get_mut(key), self.connections.get_mut(key))
         else {
             return;
         };
@@ -79,17 +83,17 @@
             return;
         };
         let (to, mut input) = (passage.to, std::mem::take(&mut wire.input));
-        let Some(out) = self.wires.output(to) else {
+        let Some(out) = self.connections.output(to) else {
             return;
         };
         let passed = passage.relay.pass(&mut input, out);
         let (held_up, clean) = (!out.is_empty(), input.is_empty());
-        if let Some(wire) = self.wires.get_mut(key) {
+        if let Some(wire) = self.connections.get_mut(key) {
             wire.input = input;
             wire.max_input_bytes = if held_up { 0 } else { self.limits.relay_window };
         }
         match passed {
-            Err(_) => self.cut(now, key, Closing::Garbled),
+            Err(_) => self.cut(now, key, CloseReason::MalformedBody),
             Ok(()) if passage.relay.whole() => self.relay_whole(now, key, clean),
             Ok(()) => {}
         }
@@ -111,23 +115,23 @@
         }
         if !(patience.is_some() && self.pool.rest(server, key, now)) {
             self.close_leg(key);
-        } else if let Some(wire) = self.wires.get_mut(key) {
+        } else if let Some(wire) = self.connections.get_mut(key) {
             wire.input = Vec::new();
             wire.max_input_bytes = ANSWER_ROOM;
-            self.again.push(key);
+            self.ready_again.push(key);
         }
     }
 
     /// The client has taken in what came so far: more may come.
     pub(super) fn relay_on(&mut self, source: ConnectionId) {
-        if let Some(wire) = self.wires.get_mut(source) {
+        if let Some(wire) = self.connections.get_mut(source) {
             wire.max_input_bytes = self.limits.relay_window;
-            self.again.push(source);
+            self.ready_again.push(source);
         }
     }
 
     /// An answer that was begun breaks off. Its end was never written, and never is: its client's connection goes.
-    pub(super) fn cut(&mut self, now: Micros, key: ConnectionId, closing: Closing) {
+    pub(super) fn cut(&mut self, now: Micros, key: ConnectionId, closing: CloseReason) {
         let Some(Role::Leg(leg)) = self.roles.get_mut(key) else {
             return;
         };
@@ -140,23 +144,24 @@
 
     /// An answer may have been on its way for too long.
     pub(super) fn relay_due(&mut self, now: Micros, key: ConnectionId) {
-        let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get(key), self.wires.get(key)) else {
+        let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get(key), self.connections.get(key))
+        else {
             return;
         };
         let Some(passage) = &leg.relay else { return };
         // Where the client is slow the server is not asked for more; how slow that may be is the client's own limit.
         let held_up = self
-            .wires
+            .connections
             .get(passage.to)
             .is_some_and(|client| client.backlog() > 0);
-        let until = ends(
+        let until = stream_deadline(
             passage.deadline,
             if held_up { now } else { wire.last_received_at },
             &self.limits,
         );
         match until > now {
-            true => self.deadlines.enter(until, Due::Relay(key)),
-            false => self.cut(now, key, Closing::Overdue),
+            true => self.deadlines.enter(until, Timer::Relay(key)),
+            false => self.cut(now, key, CloseReason::ResponseTimeout),
         }
     }
 }
--- a/crates/proxy/src/host/uploading.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -20,8 +20,8 @@
         };
         client.upload = Some(Upload::new(extent, reader, body, 0));
         client.last = !head.keep_alive;
-        client.looked_at = false;
-        let told = std::mem::take(&mut client.told_to_go_on);
+        client.checked_by_head = false;
+        let told = std::mem::take(&mut client.continue_sent);
         client.visit.taken(now);
         client.visit.uploading(now, come);
         // The client's time counts from its last byte.
@@ -48,7 +48,7 @@
     /// More has come of a body that goes on while it comes.
     pub(super) fn upload_came(&mut self, now: Micros, key: ConnectionId) {
         let (Some(Role::Client(client)), Some(wire)) =
-            (self.roles.get_mut(key), self.wires.get_mut(key))
+            (self.roles.get_mut(key), self.connections.get_mut(key))
         else {
             return;
         };
@@ -57,7 +57,7 @@
         };
         let mut input = std::mem::take(&mut wire.input);
         let leg = upload.leg();
-        let mut out = leg.and_then(|leg| self.wires.output(leg));
+        let mut out = leg.and_then(|leg| self.connections.output(leg));
         let taken = upload.take(&mut input, out.as_deref_mut());
         let (whole, window) = (upload.whole(), self.limits.relay_window);
         // No more than a window is on its way, or waits for a server.
@@ -67,19 +67,19 @@
             None => window.saturating_sub(upload.held()),
         };
         let held = input.len() + upload.held();
-        self.held = self.held + held - client.held;
-        client.held = held;
+        self.buffered_bytes = self.buffered_bytes + held - client.buffered_bytes;
+        client.buffered_bytes = held;
         if whole {
             client.visit.taken(now);
         } else {
             client.visit.uploading(now, upload.come());
         }
-        if let Some(wire) = self.wires.get_mut(key) {
+        if let Some(wire) = self.connections.get_mut(key) {
             wire.max_input_bytes = if whole { AHEAD.max(input.len()) } else { room };
             wire.input = input;
         }
         if let Some(Role::Leg(leg)) = leg.and_then(|leg| self.roles.get_mut(leg)) {
-            leg.feeding = !whole;
+            leg.is_uploading = !whole;
         }
         match taken {
             Err(fault) => self.end_upload(now, key, fault),
@@ -95,7 +95,7 @@
         };
         if let Some(known) = self.requests.get_mut(request) {
             known.deadline = known.deadline.min(now + known.wait);
-            self.deadlines.enter(known.deadline, Due::Late(request));
+            self.deadlines.enter(known.deadline, Timer::Late(request));
         }
     }
 
@@ -108,14 +108,14 @@
         let Some(Role::Client(client)) = self.roles.get_mut(from) else {
             return;
         };
-        let (Some(upload), Some(out)) = (&mut client.upload, self.wires.output(wire)) else {
+        let (Some(upload), Some(out)) = (&mut client.upload, self.connections.output(wire)) else {
             return;
         };
         upload.start(wire, out);
         let whole = upload.whole();
-        self.router.body_gone(ticket);
+        self.router.handle_body_sent(ticket);
         if let Some(Role::Leg(leg)) = self.roles.get_mut(wire) {
-            leg.feeding = !whole;
+            leg.is_uploading = !whole;
         }
     }
 
@@ -124,9 +124,9 @@
         let Some(from) = self.requests.get(key).map(|request| request.client) else {
             return;
         };
-        if let Some(wire) = self.wires.get_mut(from) {
+        if let Some(wire) = self.connections.get_mut(from) {
             wire.max_input_bytes = self.limits.relay_window;
-            self.again.push(from);
+            self.ready_again.push(from);
         }
     }
 
@@ -149,6 +149,6 @@
         };
         let ticket = request.ticket;
         self.end(now, key, Ending::Failed);
-        self.router.left(now, ticket, &mut self.steps);
+        self.router.handle_client_left(now, ticket, &mut self.steps);
     }
 }
--- a/crates/proxy/src/host/legs.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -9,10 +9,10 @@
 
 use super::clients::has_body;
 use super::*;
-use crate::answers::{Course, course, judge, kept};
+use crate::answers::{ResponseHandling, classify, handling, keep_alive_seconds};
 
 /// Taken in at a time of an answer: a short one with its head.
-pub(super) const ANSWER_ROOM: usize = SHORT + 16 * 1024;
+pub(super) const ANSWER_ROOM: usize = MAX_BUFFERED_RESPONSE_BYTES + 16 * 1024;
 /// Most connections to servers, idle ones included.
 const LEGS: usize = 1_000;
 /// There and back twice to a server of another region: a connection, and what is asked on it.
@@ -26,7 +26,7 @@
         &mut self,
         now: Micros,
         key: RequestKey,
-        ticket: Ticket,
+        ticket: RequestHandle,
         leg: u32,
         server: ServerId,
     ) {
@@ -40,19 +40,20 @@
         };
         let wire = match outcome {
             Some(outcome) => Err(outcome),
-            None => self.connection(now, server, Errand::Leg(key, ticket, leg)),
+            None => self.connection(now, server, UpstreamPurpose::Leg(key, ticket, leg)),
         };
         let wire = match wire {
             Ok(wire) => wire,
             Err(outcome) => {
-                self.router.leg_ended(now, ticket, leg, outcome);
+                self.router.handle_attempt_ended(now, ticket, leg, outcome);
                 return;
             }
         };
-        self.legs.insert((ticket.engine, ticket.key), wire);
-        let (Some(request), Some((_, id))) =
-            (self.requests.get_mut(key), self.server_table.reach(server))
-        else {
+        self.upstreams.insert((ticket.engine, ticket.key), wire);
+        let (Some(request), Some((_, id))) = (
+            self.requests.get_mut(key),
+            self.server_table.address_of(server),
+        ) else {
             return;
         };
         request.sent_on.push(wire);
@@ -63,7 +64,7 @@
         if let Some(Role::Leg(leg)) = self.roles.get_mut(wire) {
             leg.bodiless = request.method == "HEAD";
         }
-        let Some(out) = self.wires.output(wire) else {
+        let Some(out) = self.connections.output(wire) else {
             return;
         };
         // Writing to a vector cannot fail.
@@ -88,11 +89,11 @@
         &mut self,
         now: Micros,
         server: ServerId,
-        errand: Errand,
+        errand: UpstreamPurpose,
     ) -> Result<ConnectionId, Outcome> {
         let request = match errand {
-            Errand::Leg(request, ..) => self.requests.get(request),
-            Errand::Probe(_) => None,
+            UpstreamPurpose::Leg(request, ..) => self.requests.get(request),
+            UpstreamPurpose::Probe(_) => None,
         };
         // Guards a long body, which is sent once: an idle connection may be closed by its server at any moment.
         let anew = request.is_some_and(|request| request.coming.is_some());
@@ -107,10 +108,13 @@
             .and_then(|s| self.pool.reuse(s))
         {
             match self.roles.get_mut(key) {
-                Some(Role::Leg(leg)) if leg.until > now && once && leg.nameless => spared.push(key),
+                Some(Role::Leg(leg)) if leg.until > now && once && leg.had_response_without_id => {
+                    spared.push(key)
+                }
                 Some(Role::Leg(leg)) if leg.until > now && !sent_on.contains(&key) => {
                     leg.state = LegState::Sending(errand);
-                    leg.sent_before = self.wires.get(key).map_or(0, Connection::sent_bytes);
+                    leg.bytes_sent_before =
+                        self.connections.get(key).map_or(0, Connection::sent_bytes);
                     found = Some(key);
                 }
                 _ => self.close_leg(key),
@@ -132,13 +136,13 @@
         }
         let (address, _) = self
             .server_table
-            .reach(server)
+            .address_of(server)
             .ok_or(Outcome::ConnectFailed)?;
         let key = self
-            .wires
+            .connections
             .connect(address, now)
             .map_err(|_| Outcome::ConnectFailed)?;
-        let leg = Leg {
+        let leg = UpstreamConnection {
             server,
             state: LegState::Connecting(errand),
             incoming: Incoming::default(),
@@ -146,17 +150,18 @@
             bodiless: false,
             until: 0,
             relay: None,
-            feeding: false,
-            sent_before: 0,
-            nameless: false,
+            is_uploading: false,
+            bytes_sent_before: 0,
+            had_response_without_id: false,
         };
         self.roles.insert(key, Role::Leg(Box::new(leg)));
-        self.wires
+        self.connections
             .get_mut(key)
             .into_iter()
             .for_each(|wire| wire.max_input_bytes = ANSWER_ROOM);
         self.pool.opened(server);
-        self.deadlines.enter(now + CONNECT, Due::Connect(key));
+        self.deadlines
+            .enter(now + CONNECT_TIMEOUT, Timer::Connect(key));
         Ok(key)
     }
 
@@ -164,7 +169,7 @@
         if let Some(Role::Leg(leg)) = self.roles.remove(key) {
             self.pool.closed(leg.server, key);
         }
-        self.wires.close(key);
+        self.connections.close(key);
     }
 
     pub(super) fn close_idle(&mut self, keys: Vec<ConnectionId>) {
@@ -191,18 +196,21 @@
         let old = self.pool.retire(now - self.limits.leg_idle);
         self.close_idle(old);
         self.deadlines
-            .enter(now + self.limits.leg_idle / 4, Due::Retire);
+            .enter(now + self.limits.leg_idle / 4, Timer::Retire);
     }
 
     /// What the end of a leg's connection means now. Of a request that can't be repeated it is enough that a byte of it
     /// was written: a server may begin at the head.
     fn ends_as(&self, key: ConnectionId) -> Option<Outcome> {
-        let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get(key), self.wires.get(key)) else {
+        let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get(key), self.connections.get(key))
+        else {
             return None;
         };
-        let begun = wire.sent_bytes() > leg.sent_before;
+        let begun = wire.sent_bytes() > leg.bytes_sent_before;
         Some(match leg.state {
-            LegState::Sending(Errand::Leg(request, ..)) if begun && !self.repeatable(request) => {
+            LegState::Sending(UpstreamPurpose::Leg(request, ..))
+                if begun && !self.repeatable(request) =>
+            {
                 Outcome::Reset
             }
             state => state.broken(),
@@ -216,27 +224,27 @@
     }
 
     /// A leg is out whose server may run its request.
-    pub(super) fn may_be_at_work(&self, ticket: Ticket) -> bool {
-        let key = self.legs.get(&(ticket.engine, ticket.key));
+    pub(super) fn may_be_at_work(&self, ticket: RequestHandle) -> bool {
+        let key = self.upstreams.get(&(ticket.engine, ticket.key));
         key.and_then(|key| self.ends_as(*key)) == Some(Outcome::Reset)
     }
 
     /// The module stops a leg: its end is known.
-    pub(super) fn stop(&mut self, _now: Micros, ticket: Ticket, number: u32) {
-        let Some(key) = self.legs.get(&(ticket.engine, ticket.key)).copied() else {
+    pub(super) fn stop(&mut self, _now: Micros, ticket: RequestHandle, number: u32) {
+        let Some(key) = self.upstreams.get(&(ticket.engine, ticket.key)).copied() else {
             return;
         };
         let Some(Role::Leg(leg)) = self.roles.get(key) else {
             return;
         };
-        let Some(Errand::Leg(request, own, out)) = leg.state.errand() else {
+        let Some(UpstreamPurpose::Leg(request, own, out)) = leg.state.errand() else {
             return;
         };
         if own != ticket || out != number {
             return;
         }
         let may_have_run = self.ends_as(key) == Some(Outcome::Reset);
-        self.legs.remove(&(ticket.engine, ticket.key));
+        self.upstreams.remove(&(ticket.engine, ticket.key));
         if let Some(request) = self.requests.get_mut(request) {
             request.ran |= may_have_run;
         }
@@ -246,7 +254,7 @@
     pub(super) fn answer_came(&mut self, now: Micros, key: ConnectionId) {
         loop {
             let (Some(Role::Leg(leg)), Some(wire)) =
-                (self.roles.get_mut(key), self.wires.get_mut(key))
+                (self.roles.get_mut(key), self.connections.get_mut(key))
             else {
                 return;
             };
@@ -268,7 +276,7 @@
                 .read(&mut wire.input, self.limits.answer_bytes, &self.limits)
                 .is_err()
             {
-                return self.leg_done(now, key, errand, Verdict::Garbled);
+                return self.leg_done(now, key, errand, ResponseClass::Malformed);
             }
             let Some(head) = leg.incoming.head() else {
                 return;
@@ -276,31 +284,37 @@
             let verdict = match (leg.verdict, errand) {
                 (Some(verdict), _) => verdict,
                 // A probe shows no id: an answer with one is the second to a request before it.
-                (None, Errand::Probe(_)) if head.headers.has("X-Request-Id") => Verdict::Foreign,
-                (None, Errand::Probe(_)) => Verdict::Final,
-                (None, Errand::Leg(request, ..)) => match self.requests.get(request) {
-                    Some(request) => judge(head, leg.incoming.extent, &request.id),
+                (None, UpstreamPurpose::Probe(_)) if head.headers.has("X-Request-Id") => {
+                    ResponseClass::OtherRequest
+                }
+                (None, UpstreamPurpose::Probe(_)) => ResponseClass::Final,
+                (None, UpstreamPurpose::Leg(request, ..)) => match self.requests.get(request) {
+                    Some(request) => classify(head, leg.incoming.extent, &request.id),
                     None => return self.close_leg(key),
                 },
             };
-            leg.nameless |= !head.headers.has("X-Request-Id");
+            leg.had_response_without_id |= !head.headers.has("X-Request-Id");
             leg.verdict = Some(verdict);
-            if verdict == Verdict::Garbled {
+            if verdict == ResponseClass::Malformed {
                 return self.leg_done(now, key, errand, verdict);
             }
             if !leg.incoming.whole() && !leg.bodiless {
-                let own = if matches!(errand, Errand::Leg(..)) {
+                let own = if matches!(errand, UpstreamPurpose::Leg(..)) {
                     verdict
                 } else {
-                    Verdict::Failure
+                    ResponseClass::Failure
                 };
-                return match course(own, &leg.incoming, &self.limits) {
-                    Course::Relayed => self.begin_relay(now, key, errand),
-                    Course::Refused => self.leg_done(now, key, errand, Verdict::Garbled),
-                    Course::Kept => self.again.extend(wire.has_unread().then_some(key)),
+                return match handling(own, &leg.incoming, &self.limits) {
+                    ResponseHandling::Streamed => self.begin_relay(now, key, errand),
+                    ResponseHandling::Rejected => {
+                        self.leg_done(now, key, errand, ResponseClass::Malformed)
+                    }
+                    ResponseHandling::Buffered => {
+                        self.ready_again.extend(wire.has_unread().then_some(key))
+                    }
                 };
             }
-            if verdict != Verdict::Foreign {
+            if verdict != ResponseClass::OtherRequest {
                 return self.leg_done(now, key, errand, verdict);
             }
             // The one that is due may stand behind it.
@@ -310,7 +324,7 @@
 
     /// How long an idle connection may be used behind this answer.
     pub(super) fn patience(&self, head: &AnswerHead) -> Micros {
-        let told = head.headers.get("Keep-Alive").and_then(kept);
+        let told = head.headers.get("Keep-Alive").and_then(keep_alive_seconds);
         let told = told.map_or(Micros::MAX, |seconds| {
             Micros::from(seconds) * SECOND - EARLY
         });
@@ -318,8 +332,15 @@
     }
 
     /// The answer on a connection is whole, or will never be good.
-    fn leg_done(&mut self, now: Micros, key: ConnectionId, errand: Errand, verdict: Verdict) {
-        let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get_mut(key), self.wires.get_mut(key))
+    fn leg_done(
+        &mut self,
+        now: Micros,
+        key: ConnectionId,
+        errand: UpstreamPurpose,
+        verdict: ResponseClass,
+    ) {
+        let (Some(Role::Leg(leg)), Some(wire)) =
+            (self.roles.get_mut(key), self.connections.get_mut(key))
         else {
             return;
         };
@@ -329,25 +350,25 @@
         leg.verdict = None;
         let parts = incoming.into_parts();
         let reusable = parts.as_ref().is_some_and(|(head, ..)| head.reusable()) && !bodiless;
-        let keep = reusable && sent && wire.input.is_empty() && verdict != Verdict::Garbled;
+        let keep = reusable && sent && wire.input.is_empty() && verdict != ResponseClass::Malformed;
         leg.state = LegState::Idle;
         let patience = parts.as_ref().map_or(0, |(head, ..)| self.patience(head));
         if let Some(Role::Leg(leg)) = self.roles.get_mut(key) {
             leg.until = now + patience;
         }
-        if let Errand::Leg(_, ticket, _) = errand {
-            self.legs.remove(&(ticket.engine, ticket.key));
+        if let UpstreamPurpose::Leg(_, ticket, _) = errand {
+            self.upstreams.remove(&(ticket.engine, ticket.key));
         }
         if !(keep && self.pool.rest(server, key, now)) {
             self.close_leg(key);
         }
         match errand {
-            Errand::Leg(request, ticket, number) => {
+            UpstreamPurpose::Leg(request, ticket, number) => {
                 let answer = parts.map(|(head, _, body)| (head, body));
                 self.leg_answered(now, (request, ticket, number), server, verdict, answer);
             }
-            Errand::Probe(engine) => {
-                let own = self.server_table.reach(server).map(|(_, id)| id);
+            UpstreamPurpose::Probe(engine) => {
+                let own = self.server_table.address_of(server).map(|(_, id)| id);
                 let head = parts.as_ref().map(|(head, ..)| head);
                 let same = head.is_some_and(|head| head.headers.get("X-Instance-Id") == own);
                 let outcome = match head.map(|head| head.status) {
@@ -355,7 +376,7 @@
                     Some(503) => Outcome::Full,
                     _ => Outcome::Error,
                 };
-                self.router.probed(engine, server, outcome);
+                self.router.handle_probe_result(engine, server, outcome);
             }
         }
     }
@@ -363,13 +384,13 @@
     fn leg_answered(
         &mut self,
         now: Micros,
-        (key, ticket, leg): (RequestKey, Ticket, u32),
+        (key, ticket, leg): (RequestKey, RequestHandle, u32),
         server: ServerId,
-        verdict: Verdict,
+        verdict: ResponseClass,
         answer: Option<(AnswerHead, Vec<u8>)>,
     ) {
-        if verdict == Verdict::Mistaken {
-            self.server_table.mistaken(server);
+        if verdict == ResponseClass::WrongServer {
+            self.server_table.mark_wrong_server(server);
             self.list(now);
         }
         let Some(outcome) = verdict.outcome() else {
@@ -377,11 +398,11 @@
         };
         if let Some(request) = self.requests.get_mut(key) {
             request.ran |= !matches!(outcome, Outcome::Full);
-            if verdict == Verdict::Failure {
+            if verdict == ResponseClass::Failure {
                 request.failure = answer.clone();
             }
         }
-        if !self.router.leg_ended(now, ticket, leg, outcome) {
+        if !self.router.handle_attempt_ended(now, ticket, leg, outcome) {
             return;
         }
         match (self.requests.remove(key), answer) {
@@ -402,20 +423,23 @@
             return;
         };
         if leg.relay.is_some() {
-            return self.cut(now, key, Closing::BrokenOff);
+            return self.cut(now, key, CloseReason::ServerBroke);
         }
         let (errand, server) = (leg.state.errand(), leg.server);
         let outcome = self.ends_as(key).unwrap_or(Outcome::Reset);
         self.close_leg(key);
         match errand {
-            Some(Errand::Leg(request, ticket, number)) => {
-                self.legs.remove(&(ticket.engine, ticket.key));
+            Some(UpstreamPurpose::Leg(request, ticket, number)) => {
+                self.upstreams.remove(&(ticket.engine, ticket.key));
                 if let Some(request) = self.requests.get_mut(request) {
                     request.ran |= outcome == Outcome::Reset;
                 }
-                self.router.leg_ended(now, ticket, number, outcome);
+                self.router
+                    .handle_attempt_ended(now, ticket, number, outcome);
+            }
+            Some(UpstreamPurpose::Probe(engine)) => {
+                self.router.handle_probe_result(engine, server, outcome)
             }
-            Some(Errand::Probe(engine)) => self.router.probed(engine, server, outcome),
             None => {}
         }
     }
@@ -426,37 +450,42 @@
             .get(server)
             .and_then(|known| self.config_store.service(&known.server.svc));
         let path = path.map_or("/healthz".to_string(), |service| service.hcheck.clone());
-        let key = match self.connection(now, server, Errand::Probe(engine)) {
+        let key = match self.connection(now, server, UpstreamPurpose::Probe(engine)) {
             Ok(key) => key,
-            Err(outcome) => return self.router.probed(engine, server, outcome),
+            Err(outcome) => return self.router.handle_probe_result(engine, server, outcome),
         };
-        let Some((address, id)) = self.server_table.reach(server) else {
+        let Some((address, id)) = self.server_table.address_of(server) else {
             return;
         };
-        if let Some(out) = self.wires.output(key) {
+        if let Some(out) = self.connections.output(key) {
             // Writing to a vector cannot fail.
             let _ = write!(
                 out,
                 "GET {path} HTTP/1.1\r\nHost: {address}\r\nX-Want-Instance: {id}\r\n\r\n"
             );
         }
-        let way = if self.server_table.far(server) {
+        let way = if self.server_table.is_remote(server) {
             FARTHEST
         } else {
             0
         };
-        let wait = self.limits.probe_wait.max(self.router.probe_wait(engine)) + way;
-        self.deadlines.enter(now + wait, Due::Probe(key));
+        let wait = self
+            .limits
+            .probe_wait
+            .max(self.router.probe_timeout(engine))
+            + way;
+        self.deadlines.enter(now + wait, Timer::Probe(key));
     }
 
     pub(super) fn probe_due(&mut self, now: Micros, key: ConnectionId) {
         let Some(Role::Leg(leg)) = self.roles.get(key) else {
             return;
         };
-        if let Some(Errand::Probe(engine)) = leg.state.errand() {
+        if let Some(UpstreamPurpose::Probe(engine)) = leg.state.errand() {
             let server = leg.server;
             self.close_leg(key);
-            self.router.probed(engine, server, Outcome::TimedOut);
+            self.router
+                .handle_probe_result(engine, server, Outcome::TimedOut);
         }
         let _ = now;
     }
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -4,9 +4,9 @@
 //! A tenant's quota holds over all services together, so that one engine asks for it: a request that it lets through
 //! is handed on to the engine of its service at once. Requests of tenants without a limit go there straight.
 
-mod fallback;
-mod judging;
-mod placing;
+mod placement_engine;
+mod quota_engine;
+mod quota_shares;
 
 use std::collections::BTreeMap;
 
@@ -18,10 +18,10 @@
 use slotmap::SecondaryMap;
 use streamarch::{CounterName, Micros, Outcome, ServerId, Settings};
 
-use self::fallback::{Fallback, Share};
-use self::judging::{ALONE, ASKERS, COUNT_WAIT, customer, judging};
-use self::placing::{AIMS, class_of};
-use crate::shedding::{Asker, Shedding, Turn, tier};
+use self::placement_engine::{AIMS, class_of};
+use self::quota_engine::{ALONE, ASKERS, COUNT_WAIT, customer, judging};
+use self::quota_shares::{QuotaShare, QuotaShares};
+use crate::shedding::{LoadShedding, SheddingPriority, SheddingRequest, tier};
 
 slotmap::new_key_type! {
     /// A request whose final answer is owed.
@@ -37,7 +37,7 @@
 
 /// An authorisation, and the engine that holds it: 0 judges tenants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ticket {
+pub struct RequestHandle {
     /// Position of the engine.
     pub engine: usize,
     /// Its authorisation.
@@ -46,20 +46,20 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum RouterAction {
     /// Send the request to a server.
     Send {
         /// The request.
         request: RequestKey,
         /// By which its end is told.
-        ticket: Ticket,
+        ticket: RequestHandle,
         /// Number of the leg.
         leg: u32,
         /// Where to.
         server: ServerId,
     },
     /// Close the connection of a leg; its end is known.
-    Stop(Ticket, u32),
+    Stop(RequestHandle, u32),
     /// Give the final answer.
     Answer(RequestKey, Ending),
     /// Add to the shared count; [`RequestRouter::counted`] follows.
@@ -70,7 +70,7 @@
 
 /// What a request asks for.
 #[derive(Clone, Debug)]
-pub struct Asked<'a> {
+pub struct RoutingRequest<'a> {
     /// The request.
     pub request: RequestKey,
     /// Its id, as the client sent it.
@@ -87,17 +87,17 @@
     pub deadline: Micros,
 }
 
-impl<'a> Asked<'a> {
+impl<'a> RoutingRequest<'a> {
     /// What its turn goes by.
-    pub fn asker(&self) -> Asker<'a> {
-        let Asked {
+    pub fn asker(&self) -> SheddingRequest<'a> {
+        let RoutingRequest {
             id,
             route,
             svc,
             tenant,
             ..
         } = *self;
-        Asker {
+        SheddingRequest {
             id,
             route,
             svc,
@@ -106,7 +106,7 @@
     }
 }
 
-struct Basin {
+struct ServiceEngine {
     /// Its service; none where tenants are judged.
     svc: String,
     /// Within which its answers are of use.
@@ -117,10 +117,10 @@
     waiting: SecondaryMap<AuthorisationKey, ()>,
 }
 
-impl Basin {
-    fn new(svc: &str, engine: Engine) -> Basin {
+impl ServiceEngine {
+    fn new(svc: &str, engine: Engine) -> ServiceEngine {
         let (requests, waiting) = (SecondaryMap::new(), SecondaryMap::new());
-        Basin {
+        ServiceEngine {
             svc: svc.to_string(),
             aim: 0,
             engine,
@@ -131,10 +131,10 @@
 }
 
 /// Where a request goes once its tenant was judged.
-struct Onward {
+struct PendingPlacement {
     basin: usize,
     class: usize,
-    turn: Turn,
+    turn: SheddingPriority,
     /// It had its turn before its tenant was judged.
     first: bool,
     tenant: String,
@@ -156,26 +156,26 @@
     /// The core counts on this limiter no more.
     alone: bool,
     /// The same until then, after the clock has gone on at once.
-    careful: Micros,
+    careful_until: Micros,
     /// Until when it has just started.
-    young: Option<Micros>,
+    starting_until: Option<Micros>,
     /// When a lower number of limiters was first told, and the highest that was told since.
-    fewer: Option<(Micros, u32)>,
+    pending_decrease: Option<(Micros, u32)>,
     /// The term of the one that holds the shared count.
     holder: Option<u64>,
     /// The newest term that was heard of.
     newest_term: u64,
-    basins: Vec<Basin>,
-    shedding: Shedding,
+    engines: Vec<ServiceEngine>,
+    shedding: LoadShedding,
     /// Positions by service and regions.
-    places: BTreeMap<(String, Vec<String>), usize>,
-    onward: SecondaryMap<AuthorisationKey, Onward>,
+    positions_by_service: BTreeMap<(String, Vec<String>), usize>,
+    pending_placements: SecondaryMap<AuthorisationKey, PendingPlacement>,
     /// Tenants' shares while the count is in doubt.
-    fallback: Fallback,
+    quota_shares: QuotaShares,
     /// Tenants' plans in the judging engine, usual and lean: figures and position.
     plans: [Plans; 2],
     positions: usize,
-    orders: Vec<Order>,
+    engine_actions: Vec<Order>,
 }
 
 /// What both kinds of engines are told.
@@ -197,43 +197,43 @@
 impl RequestRouter {
     /// No service is known yet.
     pub fn new(seed: u64, bounds: Bounds) -> RequestRouter {
-        let judge = Basin::new("", judging(seed, MOST));
+        let judge = ServiceEngine::new("", judging(seed, MOST));
         RequestRouter {
             seed,
             bounds,
             limiters: 1,
             spread: ASKERS,
             alone: false,
-            careful: 0,
-            young: None,
-            fewer: None,
+            careful_until: 0,
+            starting_until: None,
+            pending_decrease: None,
             holder: None,
             newest_term: 0,
-            basins: vec![judge],
-            shedding: Shedding::default(),
-            places: BTreeMap::new(),
-            onward: SecondaryMap::new(),
-            fallback: Fallback::default(),
+            engines: vec![judge],
+            shedding: LoadShedding::default(),
+            positions_by_service: BTreeMap::new(),
+            pending_placements: SecondaryMap::new(),
+            quota_shares: QuotaShares::default(),
             plans: Default::default(),
             positions: 0,
-            orders: Vec::new(),
+            engine_actions: Vec::new(),
         }
     }
 
     /// Takes a request; [`RequestRouter::turn`] says what follows. None if too many are held.
-    pub fn take(&mut self, now: Micros, asked: &Asked<'_>) -> Option<Ticket> {
+    pub fn take(&mut self, now: Micros, asked: &RoutingRequest<'_>) -> Option<RequestHandle> {
         let basin = self.has(asked.svc, asked.pins)?;
         let asker = asked.asker();
-        let turn = self.shedding.turn(now, &asker);
+        let turn = self.shedding.priority(now, &asker);
         let limited = asked.tenant.filter(|(_, tenant)| tenant.per_s > 0.0);
-        let first = limited.is_none() || self.shedding.before_quota(now, &asker);
+        let first = limited.is_none() || self.shedding.is_shed_before_quota(now, &asker);
         if first {
-            self.shedding.came(asked.svc, &turn);
+            self.shedding.record_admitted(asked.svc, &turn);
         }
         let class = class_of(asked.route, tier(asked.route, asked.tenant));
         let name = limited.map_or(String::new(), |(name, _)| name.to_string());
         let deadline = asked.deadline;
-        let mut onward = Onward {
+        let mut onward = PendingPlacement {
             basin,
             class,
             turn,
@@ -246,21 +246,25 @@
             return self.place(now, asked.request, &onward, turn);
         };
         let plan = self.plan(now, name, tenant);
-        let spread = if self.alone || now < self.careful {
+        let spread = if self.alone || now < self.careful_until {
             (ALONE * self.spread).min(ASKERS)
         } else {
             self.spread
         };
-        let share = Share::of(tenant.per_s, tenant.burst, self.bounds.quota_slack, spread);
-        onward.beyond = self.fallback.take(now, name, share).err();
-        let refused = Turn {
-            waits: 1.0,
-            ..Turn::default()
+        let share = QuotaShare::of(tenant.per_s, tenant.burst, self.bounds.quota_slack, spread);
+        onward.beyond = self.quota_shares.try_charge(now, name, share).err();
+        let refused = SheddingPriority {
+            shed_share: 1.0,
+            ..SheddingPriority::default()
         };
-        let Turn { place, waits, .. } = match onward.beyond {
+        let SheddingPriority {
+            position: place,
+            shed_share: waits,
+            ..
+        } = match onward.beyond {
             Some(_) => refused,
             None if first => turn,
-            None => Turn::default(),
+            None => SheddingPriority::default(),
         };
         let authorisation = Authorisation {
             class: 0,
@@ -273,50 +277,50 @@
             waits,
             ..Authorisation::default()
         };
-        let judge = &mut self.basins[0];
+        let judge = &mut self.engines[0];
         let key = judge.engine.take(now, authorisation).ok()?;
         judge.requests.insert(key, asked.request);
-        self.onward.insert(key, onward);
-        Some(Ticket { engine: 0, key })
+        self.pending_placements.insert(key, onward);
+        Some(RequestHandle { engine: 0, key })
     }
 
     /// Whether a request waits by what its head says: its body need not come then.
-    pub fn waits(&mut self, now: Micros, asker: &Asker<'_>) -> bool {
-        let turn = self.shedding.turn(now, asker);
-        let waits = turn.waiting() && self.shedding.before_quota(now, asker);
+    pub fn would_be_shed(&mut self, now: Micros, asker: &SheddingRequest<'_>) -> bool {
+        let turn = self.shedding.priority(now, asker);
+        let waits = turn.is_shed() && self.shedding.is_shed_before_quota(now, asker);
         if waits {
-            self.shedding.came(asker.svc, &turn);
+            self.shedding.record_admitted(asker.svc, &turn);
         }
         waits
     }
 
     /// What this proxy knows of overload.
-    pub fn shedding(&mut self) -> &mut Shedding {
+    pub fn shedding(&mut self) -> &mut LoadShedding {
         &mut self.shedding
     }
 
     /// When there is something to decide next.
     pub fn next(&self) -> Option<Micros> {
-        self.basins
+        self.engines
             .iter()
             .filter_map(|basin| basin.engine.next())
             .min()
     }
 
     /// Lets the module decide on what has come in. `moved` hears of requests that were let through to a service.
-    pub fn turn(
+    pub fn run(
         &mut self,
         now: Micros,
-        steps: &mut Vec<Step>,
-        mut moved: impl FnMut(RequestKey, Ticket),
+        steps: &mut Vec<RouterAction>,
+        mut moved: impl FnMut(RequestKey, RequestHandle),
     ) {
-        for at in 0..self.basins.len() {
-            let mut orders = std::mem::take(&mut self.orders);
-            self.basins[at].engine.handle(now, &mut orders);
+        for at in 0..self.engines.len() {
+            let mut orders = std::mem::take(&mut self.engine_actions);
+            self.engines[at].engine.handle(now, &mut orders);
             for order in orders.drain(..) {
                 self.carry_out(now, at, order, steps, &mut moved);
             }
-            self.orders = orders;
+            self.engine_actions = orders;
         }
     }
 
@@ -325,24 +329,28 @@
         now: Micros,
         at: usize,
         order: Order,
-        steps: &mut Vec<Step>,
-        moved: &mut impl FnMut(RequestKey, Ticket),
+        steps: &mut Vec<RouterAction>,
+        moved: &mut impl FnMut(RequestKey, RequestHandle),
     ) {
-        let basin = &mut self.basins[at];
+        let basin = &mut self.engines[at];
         match order {
             Order::StartLeg { key, leg, .. } if at == 0 => {
                 basin.engine.leg_ended(now, key, leg, Outcome::Ok, None);
-                let (request, onward) = (basin.requests.remove(key), self.onward.remove(key));
+                let (request, onward) = (
+                    basin.requests.remove(key),
+                    self.pending_placements.remove(key),
+                );
                 let Some((request, onward)) = request.zip(onward) else {
                     return;
                 };
                 let turn = if onward.first {
-                    Turn::default()
+                    SheddingPriority::default()
                 } else {
                     onward.turn
                 };
                 if !onward.first {
-                    self.shedding.came(&self.basins[onward.basin].svc, &turn);
+                    self.shedding
+                        .record_admitted(&self.engines[onward.basin].svc, &turn);
                 }
                 match self.place(now, request, &onward, turn) {
                     Some(ticket) => moved(request, ticket),
@@ -351,7 +359,7 @@
                             stay_away: STAY_AWAY / 4,
                             over_quota: false,
                         };
-                        steps.push(Step::Answer(request, ending));
+                        steps.push(RouterAction::Answer(request, ending));
                     }
                 }
             }
@@ -359,8 +367,8 @@
                 key, leg, server, ..
             } => match basin.requests.get(key) {
                 Some(request) => {
-                    let ticket = Ticket { engine: at, key };
-                    steps.push(Step::Send {
+                    let ticket = RequestHandle { engine: at, key };
+                    steps.push(RouterAction::Send {
                         request: *request,
                         ticket,
                         leg,
@@ -369,16 +377,18 @@
                 }
                 None => _ = basin.engine.leg_ended(now, key, leg, Outcome::Moot, None),
             },
-            Order::StopLeg { key, leg } => steps.push(Step::Stop(Ticket { engine: at, key }, leg)),
+            Order::StopLeg { key, leg } => {
+                steps.push(RouterAction::Stop(RequestHandle { engine: at, key }, leg))
+            }
             Order::Answer { key, ending } => {
                 let onward = if at == 0 {
-                    self.onward.remove(key)
+                    self.pending_placements.remove(key)
                 } else {
                     None
                 };
                 let beyond = onward.as_ref().and_then(|onward| onward.beyond);
                 if let Some(onward) = onward.as_ref().filter(|onward| onward.beyond.is_none()) {
-                    self.fallback.give_back(&onward.tenant);
+                    self.quota_shares.refund(&onward.tenant);
                 }
                 let ending = beyond.map_or(ending, |wait| Ending::Declined {
                     stay_away: wait.clamp(SHARE_AWAY, STAY_AWAY),
@@ -391,46 +401,53 @@
                         },
                         Some(onward),
                     ) => {
-                        let counted = (self.basins[onward.basin].svc.as_str(), onward.turn.band);
-                        self.shedding.over_quota(
+                        let counted = (self.engines[onward.basin].svc.as_str(), onward.turn.band);
+                        self.shedding.record_over_quota(
                             now,
                             &onward.tenant,
                             onward.first.then_some(counted),
                         );
                     }
                     (Ending::Declined { .. }, _)
-                        if at > 0 && self.basins[at].waiting.remove(key).is_none() =>
+                        if at > 0 && self.engines[at].waiting.remove(key).is_none() =>
                     {
-                        self.shedding.no_room(now, &self.basins[at].svc);
+                        self.shedding.record_no_server(now, &self.engines[at].svc);
                     }
                     _ => {}
                 }
-                let basin = &mut self.basins[at];
+                let basin = &mut self.engines[at];
                 steps.extend(
                     basin
                         .requests
                         .remove(key)
-                        .map(|request| Step::Answer(request, ending)),
+                        .map(|request| RouterAction::Answer(request, ending)),
                 );
             }
             Order::Count { name, add, life } => {
-                steps.push(Step::Count(CounterAdd {
+                steps.push(RouterAction::Count(CounterAdd {
                     counter: name.0,
                     units: add,
                     ttl: life,
                 }));
             }
-            Order::Probe(server) => steps.push(Step::Probe(at, server)),
+            Order::Probe(server) => steps.push(RouterAction::Probe(at, server)),
             Order::Tell(..) | Order::Log(_) => {}
         }
     }
 
     /// A leg ended. True if its answer is the final answer.
-    pub fn leg_ended(&mut self, now: Micros, ticket: Ticket, leg: u32, outcome: Outcome) -> bool {
-        let basin = &mut self.basins[ticket.engine];
+    pub fn handle_attempt_ended(
+        &mut self,
+        now: Micros,
+        ticket: RequestHandle,
+        leg: u32,
+        outcome: Outcome,
+    ) -> bool {
+        let basin = &mut self.engines[ticket.engine];
         if let Some((class, sent)) = basin.engine.out_since(ticket.key) {
             let times = (now - sent, AIMS[class % AIMS.len()]);
-            self.shedding.ended(now, &basin.svc, outcome, times);
+            self.shedding
+                .record_outcome(now, &basin.svc, outcome, times);
         }
         let last = basin.engine.leg_ended(now, ticket.key, leg, outcome, None);
         if last {
@@ -440,80 +457,85 @@
     }
 
     /// A body has gone on to a server and is no longer here: no other one can have it.
-    pub fn body_gone(&mut self, ticket: Ticket) {
-        self.basins[ticket.engine].engine.body_gone(ticket.key);
+    pub fn handle_body_sent(&mut self, ticket: RequestHandle) {
+        self.engines[ticket.engine].engine.body_gone(ticket.key);
     }
 
     /// The last byte of a leg is written.
-    pub fn leg_written(&mut self, now: Micros, ticket: Ticket) {
-        self.basins[ticket.engine]
+    pub fn handle_attempt_written(&mut self, now: Micros, ticket: RequestHandle) {
+        self.engines[ticket.engine]
             .engine
             .leg_written(now, ticket.key);
     }
 
     /// The client left.
-    pub fn left(&mut self, now: Micros, ticket: Ticket, steps: &mut Vec<Step>) {
-        let basin = &mut self.basins[ticket.engine];
+    pub fn handle_client_left(
+        &mut self,
+        now: Micros,
+        ticket: RequestHandle,
+        steps: &mut Vec<RouterAction>,
+    ) {
+        let basin = &mut self.engines[ticket.engine];
         basin.requests.remove(ticket.key);
         if ticket.engine == 0
             && let Some(onward) = self
-                .onward
+                .pending_placements
                 .remove(ticket.key)
                 .filter(|onward| onward.beyond.is_none())
         {
-            self.fallback.give_back(&onward.tenant);
+            self.quota_shares.refund(&onward.tenant);
         }
-        let mut orders = std::mem::take(&mut self.orders);
+        let mut orders = std::mem::take(&mut self.engine_actions);
         basin.engine.client_left(now, ticket.key, &mut orders);
         for order in orders.drain(..) {
             self.carry_out(now, ticket.engine, order, steps, &mut |_, _| {});
         }
-        self.orders = orders;
+        self.engine_actions = orders;
     }
 
     /// The shared count answered, or failed to.
-    pub fn counted(&mut self, name: u64, outcome: Outcome, total: f64) {
-        self.fallback.counted(outcome == Outcome::Ok);
-        self.basins[0]
+    pub fn handle_count(&mut self, name: u64, outcome: Outcome, total: f64) {
+        self.quota_shares.handle_call_result(outcome == Outcome::Ok);
+        self.engines[0]
             .engine
             .counted(CounterName(name), outcome, total);
     }
 
     /// It answered a call whose outcome had been told before.
-    pub fn count_late(&mut self) {
-        self.basins[0].engine.counter_late();
+    pub fn handle_late_count(&mut self) {
+        self.engines[0].engine.counter_late();
     }
 
     /// The shared count is held by another one, by its term; none while there is none.
-    pub fn count_held(&mut self, term: Option<u64>) {
+    pub fn set_counter_term(&mut self, term: Option<u64>) {
         let Some(term) = term else { return };
         let before = self.holder.replace(term);
         if before.is_some_and(|held| held != term) {
-            self.basins[0].engine.counter_new();
+            self.engines[0].engine.counter_new();
         }
         // One that starts does not know either for how long this holder has counted. Danger: a replica that heard nothing for
         // long names the holder of a former term; that one counts nothing any more, and the count has not moved.
         if term > self.newest_term {
             self.newest_term = term;
-            self.fallback.moved();
+            self.quota_shares.handle_holder_changed();
         }
     }
 
     /// A probe waits for a slot as requests do: an answer that takes no longer than this is none of a silent server.
-    pub fn probe_wait(&self, engine: usize) -> Micros {
-        self.basins[engine].aim / 2
+    pub fn probe_timeout(&self, engine: usize) -> Micros {
+        self.engines[engine].aim / 2
     }
 
     /// A probe ended.
-    pub fn probed(&mut self, engine: usize, server: ServerId, outcome: Outcome) {
-        self.basins[engine]
+    pub fn handle_probe_result(&mut self, engine: usize, server: ServerId, outcome: Outcome) {
+        self.engines[engine]
             .engine
             .probe_ended(server, outcome, None);
     }
 
     /// Requests whose final answer is owed.
     pub fn open_requests(&self) -> usize {
-        self.basins.iter().map(|basin| basin.engine.open()).sum()
+        self.engines.iter().map(|basin| basin.engine.open()).sum()
     }
 }
 
--- a/crates/proxy/src/router/placing.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -5,8 +5,10 @@
 use protocol::settings::Bounds;
 use streamarch::{Class, ListKind, Micros, Plan, Repeat, RetryBudget, ServerEntry, Settings};
 
-use super::{Basin, MOST, MS, Onward, RequestKey, RequestRouter, Ticket, settings};
-use crate::shedding::Turn;
+use super::{
+    MOST, MS, PendingPlacement, RequestHandle, RequestKey, RequestRouter, ServiceEngine, settings,
+};
+use crate::shedding::SheddingPriority;
 
 /// Aims that classes are told apart by; a route's aim counts as the nearest.
 pub(super) const AIMS: [Micros; 8] = [
@@ -86,20 +88,20 @@
 impl RequestRouter {
     /// Services and regions that have an engine, by its position.
     pub fn places(&self) -> impl Iterator<Item = (&str, &[String], usize)> {
-        self.places
+        self.positions_by_service
             .iter()
             .map(|((svc, pins), at)| (svc.as_str(), pins.as_slice(), *at))
     }
 
     /// The servers of an engine, whole.
     pub fn listed(&mut self, engine: usize, entries: Vec<ServerEntry>) {
-        self.basins[engine].engine.listed(ListKind::Full, entries);
+        self.engines[engine].engine.listed(ListKind::Full, entries);
     }
 
     /// Whether there is an engine for a service in these regions; without one, [`RequestRouter::open`] is due.
     pub fn has(&self, svc: &str, pins: &[String]) -> Option<usize> {
         // Looked up for each request: the key is built only where there are regions.
-        self.places
+        self.positions_by_service
             .iter()
             .find(|((s, p), _)| s == svc && p == pins)
             .map(|(_, at)| *at)
@@ -113,7 +115,7 @@
         aim: Micros,
         entries: Vec<ServerEntry>,
     ) -> usize {
-        let at = self.basins.len();
+        let at = self.engines.len();
         let engine = placing(
             self.limiters,
             self.seed.wrapping_add(at as u64),
@@ -121,11 +123,12 @@
             &self.bounds,
             aim,
         );
-        self.basins.push(Basin {
+        self.engines.push(ServiceEngine {
             aim,
-            ..Basin::new(svc, engine)
+            ..ServiceEngine::new(svc, engine)
         });
-        self.places.insert((svc.to_string(), pins.to_vec()), at);
+        self.positions_by_service
+            .insert((svc.to_string(), pins.to_vec()), at);
         self.listed(at, entries);
         at
     }
@@ -135,16 +138,20 @@
         &mut self,
         now: Micros,
         request: RequestKey,
-        onward: &Onward,
-        turn: Turn,
-    ) -> Option<Ticket> {
-        let &Onward {
+        onward: &PendingPlacement,
+        turn: SheddingPriority,
+    ) -> Option<RequestHandle> {
+        let &PendingPlacement {
             basin,
             class,
             deadline,
             ..
         } = onward;
-        let Turn { place, waits, .. } = turn;
+        let SheddingPriority {
+            position: place,
+            shed_share: waits,
+            ..
+        } = turn;
         let authorisation = Authorisation {
             class,
             deadline,
@@ -153,11 +160,11 @@
             waits,
             ..Authorisation::default()
         };
-        let key = self.basins[basin].engine.take(now, authorisation).ok()?;
-        self.basins[basin].requests.insert(key, request);
-        if turn.waiting() {
-            self.basins[basin].waiting.insert(key, ());
+        let key = self.engines[basin].engine.take(now, authorisation).ok()?;
+        self.engines[basin].requests.insert(key, request);
+        if turn.is_shed() {
+            self.engines[basin].waiting.insert(key, ());
         }
-        Some(Ticket { engine: basin, key })
+        Some(RequestHandle { engine: basin, key })
     }
 }
--- a/crates/proxy/src/router/judging.rs
+++ b/crates/proxy/src/router/quota_engine.rs
@@ -101,17 +101,18 @@
     /// proxy that has just started takes them for twice as many: a core in trouble may not have heard of all yet.
     pub fn limiters(&mut self, now: Micros, limiters: u32) {
         self.limiters = limiters.clamp(1, ASKERS);
-        let young = now < *self.young.get_or_insert(now + FIRST);
-        let (since, most) = self.fewer.unwrap_or((now, 1));
+        let young = now < *self.starting_until.get_or_insert(now + FIRST);
+        let (since, most) = self.pending_decrease.unwrap_or((now, 1));
         let most = most.max(self.limiters);
         if young {
-            (self.spread, self.fewer) = ((2 * most).clamp(MANY, ASKERS), Some((now - FEWER, most)));
+            (self.spread, self.pending_decrease) =
+                ((2 * most).clamp(MANY, ASKERS), Some((now - FEWER, most)));
         } else if self.limiters >= self.spread {
-            (self.spread, self.fewer) = (self.limiters, None);
+            (self.spread, self.pending_decrease) = (self.limiters, None);
         } else if now - since >= FEWER {
-            (self.spread, self.fewer) = (most, None);
+            (self.spread, self.pending_decrease) = (most, None);
         } else {
-            self.fewer = Some((since, most));
+            self.pending_decrease = Some((since, most));
         }
     }
 
@@ -126,17 +127,19 @@
     pub fn jumped(&mut self, now: Micros, by: Micros) {
         // Danger: no time has passed. A proxy that has just started would take its first hearsay for all there is.
         let by = by.max(0);
-        self.fallback.jumped(now, by);
-        self.young = self.young.map(|until| until + by);
-        self.fewer = self.fewer.map(|(since, most)| (since + by, most));
+        self.quota_shares.handle_clock_jump(now, by);
+        self.starting_until = self.starting_until.map(|until| until + by);
+        self.pending_decrease = self
+            .pending_decrease
+            .map(|(since, most)| (since + by, most));
         if by > JUMP && self.positions > 0 {
-            self.careful = now + by.min(WINDOW);
+            self.careful_until = now + by.min(WINDOW);
         }
     }
 
     /// The position of a tenant's figures in the judging engine.
     pub(super) fn plan(&mut self, now: Micros, name: &str, tenant: &Tenant) -> usize {
-        let lean = self.fallback.lean(now);
+        let lean = self.quota_shares.has_small_burst(now);
         let figures = (tenant.per_s.to_bits(), tenant.burst.to_bits());
         if let Some((_, position)) = self.plans[usize::from(lean)]
             .get(name)
@@ -164,7 +167,7 @@
             window: COUNTED,
             ..Plan::default()
         };
-        self.basins[0].engine.plan_added(plan);
+        self.engines[0].engine.plan_added(plan);
         position
     }
 }
--- a/crates/proxy/src/router/fallback.rs
+++ b/crates/proxy/src/router/quota_shares.rs
@@ -12,10 +12,10 @@
 
 /// After the first total of another holder shares bind for so long: its totals of the open window and of the one before
 /// are whole then, as every proxy adds to it from its own first total on.
-const SETTLE: Micros = 2 * SECOND;
+const SETTLING_DURATION: Micros = 2 * SECOND;
 /// From its first total on a tenant's burst is small for as long as the rules count: what it had under the last holder may
 /// have been a whole one.
-const LEAN: Micros = 5 * SECOND;
+const SMALL_BURST_DURATION: Micros = 5 * SECOND;
 /// The proxies' buckets hold this part of a tenant's burst in all...
 const BURST_SHARE: f64 = 0.2;
 /// ...or this part of what the rules allow on top, if that is more.
@@ -23,19 +23,19 @@
 
 /// A tenant's figures at one proxy.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Share {
+pub(super) struct QuotaShare {
     /// Requests a second.
     rate: f64,
     /// Requests at one instant.
     burst: f64,
 }
 
-impl Share {
+impl QuotaShare {
     /// The part of one of so many proxies.
-    pub(super) fn of(per_s: f64, burst: f64, slack: f64, spread: u32) -> Share {
+    pub(super) fn of(per_s: f64, burst: f64, slack: f64, spread: u32) -> QuotaShare {
         let spread = f64::from(spread.max(1));
         let held = (BURST_SHARE * burst).max((SLACK_SHARE * slack).min(burst));
-        Share {
+        QuotaShare {
             rate: per_s / spread,
             burst: held / spread,
         }
@@ -51,7 +51,7 @@
 }
 
 impl Bucket {
-    fn fill(&mut self, now: Micros, share: Share) {
+    fn fill(&mut self, now: Micros, share: QuotaShare) {
         let flowed = share.rate * (now - self.at).max(0) as f64 / SECOND as f64;
         // A share below one request still lets one through once it has come together.
         let most = share.burst.max(1.0);
@@ -61,54 +61,54 @@
 
 /// The buckets of one proxy.
 #[derive(Clone, Debug)]
-pub(super) struct Fallback {
+pub(super) struct QuotaShares {
     buckets: BTreeMap<String, Bucket>,
     /// The last call was not answered by a total.
-    failing: bool,
+    calls_failing: bool,
     /// Since another holder was heard of, a total has come in.
-    answered: bool,
+    has_total: bool,
     /// Shares bind until then; without it, until a total has come in.
-    settled: Option<Micros>,
+    settled_at: Option<Micros>,
     /// The burst is small until then.
-    lean: Option<Micros>,
+    small_burst_until: Option<Micros>,
     /// Numbers the spells of doubt.
-    doubt: u64,
+    doubt_number: u64,
     /// The count was held by another one before, as far as this proxy knows.
-    known: bool,
+    had_holder: bool,
 }
 
-impl Default for Fallback {
+impl Default for QuotaShares {
     /// Nobody is known to hold the count; the first one to be heard of is another one.
-    fn default() -> Fallback {
+    fn default() -> QuotaShares {
         let (settled, lean) = (Some(Micros::MIN), Some(Micros::MIN));
-        Fallback {
+        QuotaShares {
             buckets: BTreeMap::new(),
-            failing: false,
-            answered: false,
-            settled,
-            lean,
-            doubt: 0,
-            known: false,
+            calls_failing: false,
+            has_total: false,
+            settled_at: settled,
+            small_burst_until: lean,
+            doubt_number: 0,
+            had_holder: false,
         }
     }
 }
 
-impl Fallback {
+impl QuotaShares {
     /// Another replica holds the count, or the same one without its numbers.
-    pub(super) fn moved(&mut self) {
-        (self.answered, self.settled, self.lean) = (false, None, None);
-        self.doubt += 1;
+    pub(super) fn handle_holder_changed(&mut self) {
+        (self.has_total, self.settled_at, self.small_burst_until) = (false, None, None);
+        self.doubt_number += 1;
     }
 
     /// A call of the count was answered by a total, or not.
-    pub(super) fn counted(&mut self, total: bool) {
-        self.doubt += u64::from(!total && !self.failing);
-        self.failing = !total;
-        self.answered |= total;
+    pub(super) fn handle_call_result(&mut self, total: bool) {
+        self.doubt_number += u64::from(!total && !self.calls_failing);
+        self.calls_failing = !total;
+        self.has_total |= total;
     }
 
     /// The limiters' clock goes on to `now` by so much at once: no time has passed.
-    pub(super) fn jumped(&mut self, now: Micros, by: Micros) {
+    pub(super) fn handle_clock_jump(&mut self, now: Micros, by: Micros) {
         // Danger: what was over before must not begin again.
         let ahead = |at: Micros| {
             if at > now.saturating_sub(by) {
@@ -118,31 +118,41 @@
             }
         };
         let later = |at: Option<Micros>| at.map(ahead);
-        (self.settled, self.lean) = (later(self.settled), later(self.lean));
+        (self.settled_at, self.small_burst_until) =
+            (later(self.settled_at), later(self.small_burst_until));
         self.buckets
             .values_mut()
             .for_each(|bucket| bucket.at = (bucket.at + by).min(now));
     }
 
     /// Shares bind now.
-    pub(super) fn binds(&mut self, now: Micros) -> bool {
-        if self.settled.is_none() && self.answered {
+    pub(super) fn is_binding(&mut self, now: Micros) -> bool {
+        if self.settled_at.is_none() && self.has_total {
             // The first holder that a proxy hears of has not moved: nothing was let through by totals of another one here.
-            let spans = if self.known { (SETTLE, LEAN) } else { (0, 0) };
-            (self.settled, self.lean, self.known) =
+            let spans = if self.had_holder {
+                (SETTLING_DURATION, SMALL_BURST_DURATION)
+            } else {
+                (0, 0)
+            };
+            (self.settled_at, self.small_burst_until, self.had_holder) =
                 (Some(now + spans.0), Some(now + spans.1), true);
         }
-        self.failing || self.settled.is_none_or(|until| now < until)
+        self.calls_failing || self.settled_at.is_none_or(|until| now < until)
     }
 
     /// The burst is small now.
-    pub(super) fn lean(&self, now: Micros) -> bool {
-        self.lean.is_none_or(|until| now < until)
+    pub(super) fn has_small_burst(&self, now: Micros) -> bool {
+        self.small_burst_until.is_none_or(|until| now < until)
     }
 
     /// A request of a tenant: charges it, unless the share binds and is used up; then, how long until it is not.
-    pub(super) fn take(&mut self, now: Micros, tenant: &str, share: Share) -> Result<(), Micros> {
-        let (binds, doubt) = (self.binds(now), self.doubt);
+    pub(super) fn try_charge(
+        &mut self,
+        now: Micros,
+        tenant: &str,
+        share: QuotaShare,
+    ) -> Result<(), Micros> {
+        let (binds, doubt) = (self.is_binding(now), self.doubt_number);
         if !self.buckets.contains_key(tenant) {
             let bucket = Bucket {
                 level: share.burst,
@@ -167,7 +177,7 @@
     }
 
     /// A request that was charged was not let through.
-    pub(super) fn give_back(&mut self, tenant: &str) {
+    pub(super) fn refund(&mut self, tenant: &str) {
         self.buckets
             .entry(tenant.to_string())
             .and_modify(|bucket| bucket.level += 1.0);
--- a/crates/proxy/src/router/tests.rs
+++ b/crates/proxy/src/router/tests.rs
@@ -4,7 +4,7 @@
 use slotmap::SlotMap;
 use streamarch::{ServerEntry, ServerState};
 
-use super::judging::FIRST;
+use super::quota_engine::FIRST;
 use super::*;
 
 const START: Micros = 10 * SECOND;
@@ -65,7 +65,7 @@
         let request = self.keys.insert(());
         let (route, deadline) = (route("idem"), self.now + 3 * SECOND);
         let tenant = tenant.map(|tenant| ("t", tenant));
-        let asked = Asked {
+        let asked = RoutingRequest {
             request,
             id: "i",
             route: &route,
@@ -82,27 +82,32 @@
     fn settle(&mut self) {
         for _ in 0..8 {
             let mut steps = Vec::new();
-            self.router.turn(self.now, &mut steps, |_, _| {});
+            self.router.run(self.now, &mut steps, |_, _| {});
             for step in steps {
                 match step {
-                    Step::Send { ticket, leg, .. } => {
+                    RouterAction::Send { ticket, leg, .. } => {
                         self.sent += 1;
-                        assert!(self.router.leg_ended(self.now, ticket, leg, Outcome::Ok));
+                        assert!(self.router.handle_attempt_ended(
+                            self.now,
+                            ticket,
+                            leg,
+                            Outcome::Ok
+                        ));
                     }
-                    Step::Answer(
+                    RouterAction::Answer(
                         _,
                         Ending::Declined {
                             over_quota: true, ..
                         },
                     ) => self.refused += 1,
-                    Step::Count(add) if self.count_answers => {
+                    RouterAction::Count(add) if self.count_answers => {
                         let total = self.counts.entry(add.counter).or_default();
                         *total += add.units;
-                        self.router.counted(add.counter, Outcome::Ok, *total);
+                        self.router.handle_count(add.counter, Outcome::Ok, *total);
                     }
-                    Step::Count(add) => {
+                    RouterAction::Count(add) => {
                         self.router
-                            .counted(add.counter, Outcome::ConnectFailed, 0.0)
+                            .handle_count(add.counter, Outcome::ConnectFailed, 0.0)
                     }
                     other => panic!("{other:?}"),
                 }
@@ -210,7 +215,7 @@
             counts.clear();
             limiters
                 .iter_mut()
-                .for_each(|limiter| limiter.router.count_held(Some(round)));
+                .for_each(|limiter| limiter.router.set_counter_term(Some(round)));
         }
         for limiter in &mut limiters {
             std::mem::swap(&mut counts, &mut limiter.counts);
@@ -266,8 +271,8 @@
 #[test]
 fn a_former_term_is_no_move_of_the_count() {
     let mut bench = Bench::new(4);
-    bench.router.count_held(Some(6));
-    assert!(bench.router.fallback.binds(bench.now));
+    bench.router.set_counter_term(Some(6));
+    assert!(bench.router.quota_shares.is_binding(bench.now));
     // The second one comes after the first total.
     for _ in 0..2 {
         bench.ask(Some(&tenant(100.0)));
@@ -275,8 +280,12 @@
     }
     bench.now += 10 * SECOND;
     for (term, moves) in [(6, false), (5, false), (6, false), (7, true)] {
-        bench.router.count_held(Some(term));
-        assert_eq!(bench.router.fallback.binds(bench.now), moves, "term {term}");
+        bench.router.set_counter_term(Some(term));
+        assert_eq!(
+            bench.router.quota_shares.is_binding(bench.now),
+            moves,
+            "term {term}"
+        );
     }
 }
 
@@ -299,7 +308,7 @@
     let (limited, route, deadline) = (tenant(100.0), route("idem"), START + 3 * SECOND);
     let mut take = |svc, tenant| {
         let request = bench.keys.insert(());
-        let asked = Asked {
+        let asked = RoutingRequest {
             request,
             id: "i",
             route: &route,
@@ -310,8 +319,8 @@
         };
         bench.router.take(START, &asked).unwrap()
     };
-    let judged: Vec<Ticket> = (0..40).map(|_| take("s", Some(("t", &limited)))).collect();
-    let others: Vec<Ticket> = (0..40).map(|_| take("empty", None)).collect();
+    let judged: Vec<RequestHandle> = (0..40).map(|_| take("s", Some(("t", &limited)))).collect();
+    let others: Vec<RequestHandle> = (0..40).map(|_| take("empty", None)).collect();
     assert!(
         judged
             .iter()
@@ -322,17 +331,21 @@
     if leave {
         others
             .into_iter()
-            .for_each(|other| bench.router.left(START, other, &mut steps));
+            .for_each(|other| bench.router.handle_client_left(START, other, &mut steps));
     }
-    bench.router.turn(START, &mut steps, |_, _| {});
+    bench.router.run(START, &mut steps, |_, _| {});
     for step in steps {
         match step {
-            Step::Send { ticket, leg, .. } => {
+            RouterAction::Send { ticket, leg, .. } => {
                 bench.sent += 1;
-                assert!(bench.router.leg_ended(START, ticket, leg, Outcome::Ok));
+                assert!(
+                    bench
+                        .router
+                        .handle_attempt_ended(START, ticket, leg, Outcome::Ok)
+                );
             }
-            Step::Count(add) => counts.push(add),
-            Step::Answer(
+            RouterAction::Count(add) => counts.push(add),
+            RouterAction::Answer(
                 _,
                 Ending::Declined {
                     over_quota: false, ..
@@ -343,9 +356,11 @@
     }
     // Some were let through by the slice; the others wait for the count.
     assert!((1..40).contains(&bench.sent), "{}", bench.sent);
-    counts
-        .into_iter()
-        .for_each(|add| bench.router.counted(add.counter, Outcome::Ok, add.units));
+    counts.into_iter().for_each(|add| {
+        bench
+            .router
+            .handle_count(add.counter, Outcome::Ok, add.units)
+    });
     bench.settle();
     assert_eq!(bench.sent, 40);
 }
--- a/crates/proxy/src/server_table.rs
+++ b/crates/proxy/src/server_table.rs
@@ -18,7 +18,7 @@
 
 /// A server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Known {
+pub struct KnownServer {
     /// Its number in the module, never given to another life.
     pub number: ServerId,
     /// As the platform lists it.
@@ -26,7 +26,7 @@
     /// Cold until then.
     pub warm_at: Micros,
     /// Another server answered at its address.
-    pub mistaken: bool,
+    pub wrong_server: bool,
 }
 
 /// The servers, by their lives' ids.
@@ -34,7 +34,7 @@
 pub struct ServerTable {
     zone: String,
     zones: BTreeMap<String, String>,
-    servers: BTreeMap<String, Known>,
+    servers: BTreeMap<String, KnownServer>,
     numbers: BTreeMap<ServerId, String>,
     next: u32,
     version: Option<(u64, u64)>,
@@ -59,7 +59,7 @@
     }
 
     /// Takes a list, unless it is older than the one held.
-    pub fn take(&mut self, now: Micros, version: (u64, u64), servers: Vec<Server>) -> bool {
+    pub fn update(&mut self, now: Micros, version: (u64, u64), servers: Vec<Server>) -> bool {
         if self.version.is_some_and(|held| held > version) {
             return false;
         }
@@ -72,18 +72,18 @@
                 0
             };
             let known = match before.remove(&server.id) {
-                Some(held) if held.server.addr == server.addr => Known {
+                Some(held) if held.server.addr == server.addr => KnownServer {
                     warm_at,
                     server,
                     ..held
                 },
                 other => {
                     let number = other.map_or_else(|| self.number(&server.id), |held| held.number);
-                    Known {
+                    KnownServer {
                         number,
                         warm_at,
                         server,
-                        mistaken: false,
+                        wrong_server: false,
                     }
                 }
             };
@@ -101,7 +101,7 @@
     }
 
     /// The zones that get nothing now, and those just said to be taken back, whose servers may be cold for `warmup`.
-    pub fn evacuate(
+    pub fn set_evacuated(
         &mut self,
         now: Micros,
         zones: &BTreeSet<String>,
@@ -114,18 +114,18 @@
     }
 
     /// Another server answered where this one was thought to be.
-    pub fn mistaken(&mut self, number: ServerId) {
+    pub fn mark_wrong_server(&mut self, number: ServerId) {
         if let Some(known) = self
             .numbers
             .get(&number)
             .and_then(|id| self.servers.get_mut(id))
         {
-            known.mistaken = true;
+            known.wrong_server = true;
         }
     }
 
     /// A server by its number.
-    pub fn get(&self, number: ServerId) -> Option<&Known> {
+    pub fn get(&self, number: ServerId) -> Option<&KnownServer> {
         self.servers.get(self.numbers.get(&number)?)
     }
 
@@ -134,7 +134,7 @@
         !self.servers.is_empty()
     }
 
-    fn warm_at(&self, known: &Known) -> Micros {
+    fn warm_at(&self, known: &KnownServer) -> Micros {
         known
             .warm_at
             .max(self.returned.get(&known.server.zone).copied().unwrap_or(0))
@@ -153,12 +153,12 @@
     pub fn entries(&self, now: Micros, svc: &str, pins: &[String]) -> Vec<ServerEntry> {
         let region = |zone: &str| self.zones.get(zone);
         let own = region(&self.zone);
-        let allowed = |known: &&Known| {
+        let allowed = |known: &&KnownServer| {
             let region = region(&known.server.zone);
             known.server.svc == svc
                 && (pins.is_empty() || region.is_some_and(|region| pins.contains(region)))
         };
-        let entry = |known: &Known| {
+        let entry = |known: &KnownServer| {
             let server = &known.server;
             let near = match region(&server.zone) {
                 _ if server.zone == self.zone => SAME_ZONE,
@@ -166,7 +166,7 @@
                 _ => ELSEWHERE,
             };
             let gets = server.accepts_requests
-                && !known.mistaken
+                && !known.wrong_server
                 && !self.evacuated.contains(&server.zone);
             let ready = gets && self.warm_at(known) <= now;
             ServerEntry {
@@ -187,7 +187,7 @@
     }
 
     /// A server is in another region.
-    pub fn far(&self, number: ServerId) -> bool {
+    pub fn is_remote(&self, number: ServerId) -> bool {
         let there = self
             .get(number)
             .and_then(|known| self.zones.get(&known.server.zone));
@@ -195,7 +195,7 @@
     }
 
     /// Where a server is reached, and its id.
-    pub fn reach(&self, number: ServerId) -> Option<(SocketAddr, &str)> {
+    pub fn address_of(&self, number: ServerId) -> Option<(SocketAddr, &str)> {
         self.get(number)
             .map(|known| (known.server.addr, known.server.id.as_str()))
     }
--- a/crates/proxy/src/server_table/tests.rs
+++ b/crates/proxy/src/server_table/tests.rs
@@ -18,7 +18,7 @@
 fn server_table(servers: Vec<Server>) -> ServerTable {
     let zones = [("a", "r"), ("b", "r"), ("c", "q")].map(|(z, r)| (z.to_string(), r.to_string()));
     let mut server_table = ServerTable::new("a", zones.into());
-    server_table.take(NOW, (1, 1), servers);
+    server_table.update(NOW, (1, 1), servers);
     server_table
 }
 
@@ -68,10 +68,10 @@
 #[test]
 fn a_zone_taken_back_is_taken_for_cold_whatever_the_list_says() {
     let mut server_table = server_table(vec![server("i-a", "a"), server("i-b", "b")]);
-    server_table.evacuate(NOW, &["b".to_string()].into(), Vec::new(), 3_000);
+    server_table.set_evacuated(NOW, &["b".to_string()].into(), Vec::new(), 3_000);
     assert_eq!(ready(&server_table, NOW, &[]).len(), 1);
-    server_table.evacuate(NOW, &BTreeSet::new(), vec!["b".to_string()], 3_000);
-    server_table.take(NOW, (1, 2), vec![server("i-a", "a"), server("i-b", "b")]);
+    server_table.set_evacuated(NOW, &BTreeSet::new(), vec!["b".to_string()], 3_000);
+    server_table.update(NOW, (1, 2), vec![server("i-a", "a"), server("i-b", "b")]);
     assert_eq!(ready(&server_table, NOW + 2_999, &[]).len(), 1);
     assert_eq!(ready(&server_table, NOW + 3_000, &[]).len(), 2);
 }
@@ -80,8 +80,8 @@
 fn an_older_list_changes_nothing_and_a_new_incarnation_has_a_new_number() {
     let mut server_table = server_table(vec![server("i-a", "a")]);
     let old = server_table.entries(NOW, "s", &[])[0].server;
-    assert!(server_table.take(NOW, (2, 1), vec![server("i-z", "a")]));
-    assert!(!server_table.take(NOW, (1, 9), vec![server("i-a", "a")]));
+    assert!(server_table.update(NOW, (2, 1), vec![server("i-z", "a")]));
+    assert!(!server_table.update(NOW, (1, 9), vec![server("i-a", "a")]));
     let new = server_table.entries(NOW, "s", &[])[0].server;
     assert!(new != old && server_table.get(old).is_none());
 }
@@ -89,13 +89,13 @@
 #[test]
 fn a_server_that_was_another_one_gets_nothing_until_its_address_is_told_anew() {
     let mut server_table = server_table(vec![server("i-a", "a")]);
-    server_table.mistaken(server_table.entries(NOW, "s", &[])[0].server);
-    server_table.take(NOW, (1, 2), vec![server("i-a", "a")]);
+    server_table.mark_wrong_server(server_table.entries(NOW, "s", &[])[0].server);
+    server_table.update(NOW, (1, 2), vec![server("i-a", "a")]);
     assert!(ready(&server_table, NOW, &[]).is_empty());
     let moved = Server {
         addr: "10.128.0.10:8080".parse().unwrap(),
         ..server("i-a", "a")
     };
-    server_table.take(NOW, (1, 3), vec![moved]);
+    server_table.update(NOW, (1, 3), vec![moved]);
     assert_eq!(ready(&server_table, NOW, &[]).len(), 1);
 }
--- a/crates/proxy/src/shedding.rs
+++ b/crates/proxy/src/shedding.rs
@@ -4,19 +4,19 @@
 use std::collections::BTreeMap;
 
 use overload::admission::Admission;
-use overload::judge::Level;
-use overload::load::{Report, Sign};
-use overload::order;
-use overload::shedder::Shedder;
+use overload::admission_controller::AdmissionLevel;
+use overload::load::{LoadReport, RequestOutcome};
+use overload::overload_detector::OverloadDetector;
+use overload::priority;
 use protocol::items::{Route, Tenant};
 use streamarch::{Micros, Outcome, Request};
 
 /// A tenant that was over its quota within this is asked for its quota first.
-const OVER: Micros = 2_000_000;
+const OVER_QUOTA_DURATION: Micros = 2_000_000;
 
 /// What a request asks for, as far as its turn goes by it.
 #[derive(Clone, Copy, Debug)]
-pub struct Asker<'a> {
+pub struct SheddingRequest<'a> {
     /// Its id, as the client sent it.
     pub id: &'a str,
     /// Its route.
@@ -27,30 +27,30 @@
     pub tenant: Option<(&'a str, &'a Tenant)>,
 }
 
-impl Asker<'_> {
+impl SheddingRequest<'_> {
     /// Its band of the order.
     pub fn band(&self) -> usize {
-        order::band(tier(self.route, self.tenant), self.route.prio)
+        priority::band(tier(self.route, self.tenant), self.route.prio)
     }
 }
 
 /// Where a request stands under overload.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Turn {
+pub struct SheddingPriority {
     /// Its band of the order.
     pub band: usize,
     /// Its place in the order.
-    pub place: f64,
+    pub position: f64,
     /// The share of the order, from its end, that waits now.
-    pub waits: f64,
+    pub shed_share: f64,
 }
 
-impl Turn {
+impl SheddingPriority {
     /// The module's word on it.
-    pub fn waiting(&self) -> bool {
+    pub fn is_shed(&self) -> bool {
         streamarch::waits(&Request {
-            place: self.place,
-            waits: self.waits,
+            place: self.position,
+            waits: self.shed_share,
             ..Request::default()
         })
     }
@@ -65,54 +65,60 @@
 
 /// What this proxy knows of overload.
 #[derive(Debug, Default)]
-pub struct Shedding {
+pub struct LoadShedding {
     gate: Admission,
-    node: Shedder,
+    node: OverloadDetector,
     /// Tenants that were over their quota, and when that was last so.
-    over: BTreeMap<String, Micros>,
+    over_quota_tenants: BTreeMap<String, Micros>,
 }
 
-impl Shedding {
+impl LoadShedding {
     /// Where a request stands now: by its service's load, and by this node's own.
-    pub fn turn(&self, now: Micros, asker: &Asker<'_>) -> Turn {
+    pub fn priority(&self, now: Micros, asker: &SheddingRequest<'_>) -> SheddingPriority {
         let band = asker.band();
-        let waits = 1.0 - self.gate.border(now, asker.svc).min(self.node.border());
-        Turn {
+        let waits = 1.0
+            - self
+                .gate
+                .threshold(now, asker.svc)
+                .min(self.node.threshold());
+        SheddingPriority {
             band,
-            place: order::place(band, asker.id),
-            waits,
+            position: priority::position(band, asker.id),
+            shed_share: waits,
         }
     }
 
     /// Whether its turn comes before its quota is asked: what waits uses up no quota then. Of a tenant over its quota
     /// that is refused first which is beyond it: else others would wait for it.
-    pub fn before_quota(&self, now: Micros, asker: &Asker<'_>) -> bool {
-        let over = asker.tenant.and_then(|(name, _)| self.over.get(name));
-        over.is_none_or(|at| now - at > OVER)
+    pub fn is_shed_before_quota(&self, now: Micros, asker: &SheddingRequest<'_>) -> bool {
+        let over = asker
+            .tenant
+            .and_then(|(name, _)| self.over_quota_tenants.get(name));
+        over.is_none_or(|at| now - at > OVER_QUOTA_DURATION)
     }
 
     /// A request has its turn.
-    pub fn came(&mut self, svc: &str, turn: &Turn) {
-        let sent = !turn.waiting();
-        self.gate.came(svc, turn.band, sent);
-        self.node.came(turn.band, sent);
+    pub fn record_admitted(&mut self, svc: &str, turn: &SheddingPriority) {
+        let sent = !turn.is_shed();
+        self.gate.record_request(svc, turn.band, sent);
+        self.node.record_request(turn.band, sent);
     }
 
     /// What this node knows of its own load.
-    pub fn node(&mut self) -> &mut Shedder {
+    pub fn node(&mut self) -> &mut OverloadDetector {
         &mut self.node
     }
 
     /// A request was refused for its tenant's quota; `counted`: it had its turn before.
-    pub fn over_quota(&mut self, now: Micros, tenant: &str, counted: Option<(&str, usize)>) {
+    pub fn record_over_quota(&mut self, now: Micros, tenant: &str, counted: Option<(&str, usize)>) {
         if let Some((svc, band)) = counted {
-            self.gate.over_quota(svc, band);
+            self.gate.record_over_quota(svc, band);
         }
-        self.over.insert(tenant.to_string(), now);
+        self.over_quota_tenants.insert(tenant.to_string(), now);
     }
 
     /// An attempt ended, after so long; what was aimed at.
-    pub fn ended(
+    pub fn record_outcome(
         &mut self,
         now: Micros,
         svc: &str,
@@ -120,30 +126,31 @@
         (took, aim): (Micros, Micros),
     ) {
         let sign = match outcome {
-            Outcome::Ok | Outcome::Error => Sign::Answered(took, aim),
-            Outcome::Full | Outcome::Reset => Sign::Away,
+            Outcome::Ok | Outcome::Error => RequestOutcome::Answered(took, aim),
+            Outcome::Full | Outcome::Reset => RequestOutcome::Rejected,
             // A server that is not there says nothing of the load of those that are.
             Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Cancelled | Outcome::Moot => {
                 return;
             }
         };
-        self.gate.ended(now, svc, sign);
+        self.gate.record_outcome(now, svc, sign);
     }
 
     /// No server was free for a request.
-    pub fn no_room(&mut self, now: Micros, svc: &str) {
-        self.gate.ended(now, svc, Sign::NoRoom);
+    pub fn record_no_server(&mut self, now: Micros, svc: &str) {
+        self.gate.record_outcome(now, svc, RequestOutcome::NoServer);
     }
 
     /// Home told how much of the load of services is let through.
-    pub fn levels(&mut self, now: Micros, age: Micros, levels: Vec<Level>) {
-        self.gate.told(now, levels, age);
+    pub fn set_levels(&mut self, now: Micros, age: Micros, levels: Vec<AdmissionLevel>) {
+        self.gate.set_levels(now, levels, age);
     }
 
     /// What home is to be told; due once a [`overload::STEP`].
-    pub fn load(&mut self, now: Micros) -> Vec<Report> {
-        self.over.retain(|_, at| now - *at <= OVER);
-        self.node.step(now);
+    pub fn take_reports(&mut self, now: Micros) -> Vec<LoadReport> {
+        self.over_quota_tenants
+            .retain(|_, at| now - *at <= OVER_QUOTA_DURATION);
+        self.node.evaluate(now);
         self.gate.step(now)
     }
 }
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -98,7 +98,7 @@
     let client = bench.ask(ask("GET /s/1", "one", "", "").replace("3000", "30000"));
     bench.served();
     let now = bench.now();
-    bench.host.leave(now);
+    bench.host.begin_shutdown(now);
     bench.pass(5_500);
     assert!(!bench.host.finished() && bench.clients[client].answer().is_none());
     bench.until("end of the program", |bench| {
--- a/crates/proxy/tests/edge.rs
+++ b/crates/proxy/tests/edge.rs
@@ -13,7 +13,7 @@
     let first = bench.served();
     assert_eq!(bench.ready(), 200);
     let now = bench.now();
-    bench.host.leave(now);
+    bench.host.begin_shutdown(now);
     assert_eq!(bench.ready(), 503);
     assert_eq!(
         bench.told.last(),
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -4,7 +4,7 @@
 
 use protocol::items::{Route, Tenant};
 use protocol::settings::Bounds;
-use proxy::router::{Asked, RequestKey, RequestRouter, Step};
+use proxy::router::{RequestKey, RequestRouter, RouterAction, RoutingRequest};
 use slotmap::SlotMap;
 use streamarch::{Micros, Outcome, ServerEntry, ServerId, ServerState};
 use test_case::test_case;
@@ -74,7 +74,7 @@
             for early in [3 * SECOND, 0] {
                 router.limiters(START - early, proxies as u32);
             }
-            router.count_held(Some(1));
+            router.set_counter_term(Some(1));
             router.open("s", &[], 500 * MS, servers());
             let far = if at.is_multiple_of(3) { MS } else { 55 * MS };
             Proxy {
@@ -149,7 +149,7 @@
                 continue;
             }
             match news {
-                News::Moved(term) => proxy.router.count_held(Some(term)),
+                News::Moved(term) => proxy.router.set_counter_term(Some(term)),
                 News::Total(name, _) | News::Lost(name) => {
                     let Some(call) = proxy
                         .calls
@@ -160,9 +160,11 @@
                     };
                     let (_, _, expired) = proxy.calls.remove(call);
                     match news {
-                        _ if expired => proxy.router.count_late(),
-                        News::Total(_, total) => proxy.router.counted(name, Outcome::Ok, total),
-                        _ => proxy.router.counted(name, Outcome::ConnectFailed, 0.0),
+                        _ if expired => proxy.router.handle_late_count(),
+                        News::Total(_, total) => {
+                            proxy.router.handle_count(name, Outcome::Ok, total)
+                        }
+                        _ => proxy.router.handle_count(name, Outcome::ConnectFailed, 0.0),
                     }
                 }
             }
@@ -173,7 +175,7 @@
                 let request = proxy.keys.insert(());
                 let (route, deadline) = (route(), self.now + 3 * SECOND);
                 let tenant = Some(("t", tenant));
-                let asked = Asked {
+                let asked = RoutingRequest {
                     request,
                     id: "i",
                     route: &route,
@@ -197,24 +199,27 @@
             .filter(|(due, _, expired)| !*expired && *due <= now)
         {
             *expired = true;
-            proxy.router.counted(*name, Outcome::TimedOut, 0.0);
+            proxy.router.handle_count(*name, Outcome::TimedOut, 0.0);
         }
         // An engine decides once a microsecond.
         for round in 0..4 {
             let mut steps = Vec::new();
             self.proxies[at]
                 .router
-                .turn(now + round, &mut steps, |_, _| {});
+                .run(now + round, &mut steps, |_, _| {});
             for step in steps {
                 match step {
-                    Step::Send { ticket, leg, .. } => {
+                    RouterAction::Send { ticket, leg, .. } => {
                         self.sent.push(now);
-                        self.proxies[at]
-                            .router
-                            .leg_ended(now + round, ticket, leg, Outcome::Ok);
+                        self.proxies[at].router.handle_attempt_ended(
+                            now + round,
+                            ticket,
+                            leg,
+                            Outcome::Ok,
+                        );
                     }
-                    Step::Answer(..) => self.refused += 1,
-                    Step::Count(add) => {
+                    RouterAction::Answer(..) => self.refused += 1,
+                    RouterAction::Count(add) => {
                         let key = (now + self.proxies[at].far, self.number());
                         self.proxies[at]
                             .calls
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -151,9 +151,9 @@
             bench.turn();
         }
         assert!(
-            sent < bytes.len() && bench.host.holds() < 512 * 1024,
+            sent < bytes.len() && bench.host.buffered_bytes() < 512 * 1024,
             "{}",
-            bench.host.holds()
+            bench.host.buffered_bytes()
         );
         bench.pass(900);
         bench.clients[client].deaf = !slow;
@@ -196,7 +196,7 @@
     let bytes = whole(true, &pattern(LONG));
     let (mut bench, client, at) = begun(&bytes[..200_000]);
     let now = bench.now();
-    bench.host.leave(now);
+    bench.host.begin_shutdown(now);
     bench.pass(2_500);
     assert!(!bench.clients[client].ended && !bench.host.finished());
     if !leaves {
@@ -240,7 +240,7 @@
             end.input.clear();
             end.deaf = *client % 2 == 0 && round % 3 > 0;
         }
-        most = most.max(bench.host.holds());
+        most = most.max(bench.host.buffered_bytes());
         if all.iter().all(|(.., taken)| *taken == BYTES) {
             break;
         }
--- a/crates/proxy/tests/upload.rs
+++ b/crates/proxy/tests/upload.rs
@@ -128,9 +128,9 @@
         bench.turn();
     }
     assert!(
-        sent < body.len() && bench.host.holds() < 256 * 1024,
+        sent < body.len() && bench.host.buffered_bytes() < 256 * 1024,
         "{}",
-        bench.host.holds()
+        bench.host.buffered_bytes()
     );
     bench.pass(5_000);
     assert!(!bench.clients[client].ended, "it was not asked for more");
@@ -183,7 +183,7 @@
         (part(bench) > 0).then_some(())
     });
     let now = bench.now();
-    bench.host.leave(now);
+    bench.host.begin_shutdown(now);
     bench.pass(400);
     bench.send(client, &body[LONG / 2..]);
     let at = bench.served();
--- a/crates/simulation/src/edges.rs
+++ b/crates/simulation/src/edges.rs
@@ -232,12 +232,12 @@
 
     /// It evacuates this zone.
     pub fn evacuates(&self, zone: &str) -> bool {
-        self.proxy.config_store.evacuated().contains(zone)
+        self.proxy.config_store.evacuated_zones().contains(zone)
     }
 
     /// Its proxy was told all, and serves.
     pub fn ready(&self) -> bool {
-        self.up && self.proxy.told && self.proxy.config_store.serves()
+        self.up && self.proxy.told && self.proxy.config_store.is_ready()
     }
 
     /// Requests that are held, batches that are out, at the proxy and at the agent.
--- a/crates/simulation/src/edges/proxies.rs
+++ b/crates/simulation/src/edges/proxies.rs
@@ -4,7 +4,7 @@
 use protocol::items::ItemName;
 use protocol::messages::{AgentMessage, ControlMessage};
 use proxy::config_store::ConfigStore;
-use proxy::router::{Asked, Step};
+use proxy::router::{RouterAction, RoutingRequest};
 use streamarch::Outcome;
 
 use super::{BASE, Batch, COUNT_WAIT, Due, HOST, LIMITS, LOAD, PREFIX, SURGING};
@@ -20,7 +20,9 @@
             ControlMessage::ClusterView(who) => {
                 proxy.router.limiters(now, who.limiters);
                 proxy.router.alone(!who.has_quorum);
-                proxy.router.count_held(who.counter.map(|(_, term)| term));
+                proxy
+                    .router
+                    .set_counter_term(who.counter.map(|(_, term)| term));
             }
             ControlMessage::Items(items) => {
                 let forgets =
@@ -37,10 +39,13 @@
                 }
                 let (touched, faults) = proxy.config_store.apply(items);
                 if touched.zones {
-                    let evacuated = proxy.config_store.evacuated().clone();
-                    proxy
-                        .server_table
-                        .evacuate(now, &evacuated, touched.back, 4 * SECOND);
+                    let evacuated = proxy.config_store.evacuated_zones().clone();
+                    proxy.server_table.set_evacuated(
+                        now,
+                        &evacuated,
+                        touched.returned_zones,
+                        4 * SECOND,
+                    );
                     self.list(at);
                 }
                 for fault in faults {
@@ -52,7 +57,7 @@
                 let list = servers
                     .first()
                     .and_then(|server| server.id[1..].split('-').next()?.parse().ok());
-                if proxy.server_table.take(now, version, servers) {
+                if proxy.server_table.update(now, version, servers) {
                     let list: u64 = list.unwrap_or(0);
                     let before = std::mem::replace(&mut proxy.list, list);
                     if before > list {
@@ -162,7 +167,7 @@
                 }
                 let request = proxy.keys.insert(tenant);
                 let tenant = Some((named.name.as_str(), &named.tenant));
-                let asked = Asked {
+                let asked = RoutingRequest {
                     request,
                     id: "i",
                     route: &route,
@@ -189,7 +194,7 @@
         self.edges[at]
             .proxy
             .router
-            .count_held(holder.map(|(_, term)| term));
+            .set_counter_term(holder.map(|(_, term)| term));
     }
 
     /// The module decides; servers answer at once.
@@ -198,21 +203,23 @@
         let mut steps = Vec::new();
         for _ in 0..8 {
             let proxy = &mut self.edges[at].proxy;
-            proxy.router.turn(now, &mut steps, |_, _| {});
+            proxy.router.run(now, &mut steps, |_, _| {});
             if steps.is_empty() {
                 break;
             }
             for step in std::mem::take(&mut steps) {
                 let proxy = &mut self.edges[at].proxy;
                 match step {
-                    Step::Send {
+                    RouterAction::Send {
                         request,
                         ticket,
                         leg,
                         ..
                     } => {
-                        proxy.router.leg_written(now, ticket);
-                        proxy.router.leg_ended(now, ticket, leg, Outcome::Ok);
+                        proxy.router.handle_attempt_written(now, ticket);
+                        proxy
+                            .router
+                            .handle_attempt_ended(now, ticket, leg, Outcome::Ok);
                         let Some(tenant) = proxy.keys.remove(request) else {
                             continue;
                         };
@@ -223,14 +230,14 @@
                             );
                         }
                     }
-                    Step::Answer(
+                    RouterAction::Answer(
                         request,
                         Ending::Declined { .. } | Ending::Failed | Ending::Expired { .. },
                     ) => {
                         proxy.keys.remove(request);
                     }
-                    Step::Count(add) => proxy.adds.push(add),
-                    Step::Stop(..) | Step::Probe(..) => {}
+                    RouterAction::Count(add) => proxy.adds.push(add),
+                    RouterAction::Stop(..) | RouterAction::Probe(..) => {}
                 }
             }
             self.send_adds(at);
@@ -303,13 +310,15 @@
             return;
         };
         match totals {
-            Some(_) if batch.expired => proxy.router.count_late(),
+            Some(_) if batch.expired => proxy.router.handle_late_count(),
             None if batch.expired => {}
             totals => {
                 for (place, name) in batch.names.iter().enumerate() {
                     match totals.and_then(|totals| totals.get(place)) {
-                        Some(total) => proxy.router.counted(*name, Outcome::Ok, *total),
-                        None => proxy.router.counted(*name, Outcome::ConnectFailed, 0.0),
+                        Some(total) => proxy.router.handle_count(*name, Outcome::Ok, *total),
+                        None => proxy
+                            .router
+                            .handle_count(*name, Outcome::ConnectFailed, 0.0),
                     }
                 }
             }
--- a/crates/simulation/src/scale/footprint.rs
+++ b/crates/simulation/src/scale/footprint.rs
@@ -134,7 +134,7 @@
             &mut tables,
             || {
                 let mut table = ServerTable::new(ZONE, zones);
-                table.take(0, (1, 1), servers(count));
+                table.update(0, (1, 1), servers(count));
                 table
             },
         )?,
