--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -548,7 +548,7 @@
     /// The process was told to end: what was taken is finished first.
     pub fn begin_shutdown(&mut self, now: Micros) {
         if self.lifecycle.end(now) {
-            info!(self.log, "told to end");
+            info!(self.log, "shutting down");
             self.deadlines
                 .enter(now + self.limits.notice, Timer::NoticeOver);
             self.deadlines
