--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -220,6 +220,9 @@
     }
 
     /// Takes an authorisation; from now on one final answer is owed. Its plan is the one that holds now, and stays.
+    ///
+    /// # Errors
+    /// The request is rejected; the error says why.
     pub fn take(
         &mut self,
         now: Micros,
--- a/crates/dataplane/src/framing.rs
+++ b/crates/dataplane/src/framing.rs
@@ -591,6 +591,9 @@
 }
 
 /// The request at the start of `bytes` and its length, once it is whole.
+///
+/// # Errors
+/// The bytes are no request, or exceed the limits.
 pub fn request(bytes: &[u8], limits: &Limits) -> Result<Option<(Request, usize)>, Malformed> {
     let Some((head, extent, from)) = RequestHead::parse(bytes, limits)? else {
         return Ok(None);
@@ -613,6 +616,9 @@
 }
 
 /// The head of an answer that streams in chunks: its status, and where the chunks begin.
+///
+/// # Errors
+/// The bytes are no head of an answer, or exceed the limits.
 pub fn stream_head(bytes: &[u8], limits: &Limits) -> Result<Option<(u16, usize)>, Malformed> {
     let Some((head, from)) = answer_head(bytes, limits)? else {
         return Ok(None);
@@ -624,6 +630,9 @@
 }
 
 /// The answer at the start of `bytes` and its length, once it is whole. `ended`: the peer sends no more.
+///
+/// # Errors
+/// The bytes are no answer, or exceed the limits.
 pub fn answer(
     bytes: &[u8],
     ended: bool,
@@ -643,6 +652,9 @@
 }
 
 /// The same of a peer that says how long its answers are, or that they end with the connection.
+///
+/// # Errors
+/// The bytes are no answer with a length, or exceed the limits.
 pub fn framed_answer(bytes: &[u8], limits: &Limits) -> Result<Option<(Answer, usize)>, Malformed> {
     let Some((head, extent, from)) = AnswerHead::parse(bytes, limits)? else {
         return Ok(None);
--- a/crates/limiter/src/front/introspection.rs
+++ b/crates/limiter/src/front/introspection.rs
@@ -92,6 +92,9 @@
 impl std::error::Error for Lie {}
 
 /// Reads the body of an introspection answer.
+///
+/// # Errors
+/// The body can't be believed; the error says why.
 pub fn read_finding(body: &[u8], plans: &[String], now: Micros) -> Result<Finding, Lie> {
     let value: Value = serde_json::from_slice(body).map_err(|_| Lie("not JSON"))?;
     let members = value.as_object().ok_or(Lie("not an object"))?;
@@ -222,6 +225,9 @@
 }
 
 /// Reads the bearer token of a request. RFC 6750: no credentials, no error code; malformed, `invalid_request`.
+///
+/// # Errors
+/// There is no token, or more than one, or it is malformed.
 pub fn bearer(headers: &Headers) -> Result<Token, Challenge> {
     if !headers.has("Authorization") {
         return Err(Challenge::Missing);
@@ -285,6 +291,9 @@
 }
 
 /// The token that a caller asks about.
+///
+/// # Errors
+/// The request is no question about a token.
 pub fn asked(request: &Request) -> Result<Token, Rejection> {
     let kind = request.headers.get("Content-Type").unwrap_or_default();
     let kind = kind.split(';').next().unwrap_or_default().trim();
@@ -347,6 +356,9 @@
 }
 
 /// What an introspection server's whole answer comes to.
+///
+/// # Errors
+/// The answer can't be believed; the error says why.
 pub fn judge(answer: &Answer, plans: &[String], now: Micros) -> Result<Finding, Lie> {
     match answer.status {
         200 => read_finding(&answer.body, plans, now),
--- a/crates/limiter/src/front/platform.rs
+++ b/crates/limiter/src/front/platform.rs
@@ -44,6 +44,9 @@
 
 impl Platform {
     /// Reads class, method, key, id and time. `now`: when the last byte came.
+    ///
+    /// # Errors
+    /// A header is missing or malformed.
     pub fn basics(
         &self,
         request: &Request,
@@ -114,6 +117,9 @@
     }
 
     /// Reads a whole request.
+    ///
+    /// # Errors
+    /// A header is missing or malformed.
     pub fn read(
         &self,
         request: &Request,
@@ -146,6 +152,9 @@
     }
 
     /// Reads `units=2,spread=3,first=1`; each once, others ignored. The set may be left out where it is known.
+    ///
+    /// # Errors
+    /// A header is missing or malformed.
     pub fn terms(
         &self,
         text: &str,
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -347,6 +347,9 @@
 
 impl Host {
     /// Opens the sockets and starts from the list as last held.
+    ///
+    /// # Errors
+    /// An address can't be used, or a file can't be read or written.
     pub fn open(
         config: Config,
         handle: LoopHandle<'static, Host>,
@@ -481,6 +484,9 @@
     }
 
     /// Where the fronts listen: the platform's, and introspection's if it is on.
+    ///
+    /// # Errors
+    /// The system does not tell an address.
     pub fn addresses(&self) -> io::Result<(SocketAddr, Option<SocketAddr>)> {
         let of = |door| {
             self.listeners
--- a/crates/limiter/src/net/mod.rs
+++ b/crates/limiter/src/net/mod.rs
@@ -54,6 +54,9 @@
 
 impl Daemon {
     /// Opens the sockets.
+    ///
+    /// # Errors
+    /// An address can't be used, or a file can't be read or written.
     pub fn open(config: Config, clock: Clock) -> io::Result<Daemon> {
         let events: EventLoop<'static, Host> = EventLoop::try_new()?;
         let handle = events.handle();
@@ -81,6 +84,9 @@
     }
 
     /// Where the fronts listen: the platform's, and introspection's if it is on.
+    ///
+    /// # Errors
+    /// The system does not tell an address.
     pub fn addresses(&self) -> io::Result<(SocketAddr, Option<SocketAddr>)> {
         self.host.addresses()
     }
@@ -96,6 +102,9 @@
     }
 
     /// Runs until told to end.
+    ///
+    /// # Errors
+    /// The event loop fails.
     pub fn run(mut self) -> io::Result<()> {
         while !self.host.finished() {
             let now = self.host.now();
@@ -112,6 +121,9 @@
 
 /// Runs the limiter until SIGTERM or SIGINT. At SIGHUP the configuration is loaded anew; one that is faulty is
 /// logged and changes nothing.
+///
+/// # Errors
+/// The daemon can't be opened, or its event loop fails.
 pub fn serve(
     config: Config,
     load: impl Fn() -> Result<Config, ConfigError> + 'static,
--- a/crates/limiter/src/operators.rs
+++ b/crates/limiter/src/operators.rs
@@ -71,6 +71,9 @@
 
 impl Call {
     /// The call in what has come on a connection, once its line is whole. What follows the line is passed over.
+    ///
+    /// # Errors
+    /// The bytes are no call of an operator.
     pub fn read(bytes: &[u8], limits: &Limits) -> Result<Option<Call>, Fault> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         if end.unwrap_or(bytes.len()) > limits.operator_line {
--- a/crates/limiter/src/raft/journal.rs
+++ b/crates/limiter/src/raft/journal.rs
@@ -48,6 +48,9 @@
 impl Journal {
     /// Opens the journal in `folder` and reads it into `store`. A torn record at the end was promised to nobody
     /// and is cut off.
+    ///
+    /// # Errors
+    /// The journal can't be read, or a record in it is invalid.
     pub fn open(folder: &Path, store: &MemStorage) -> io::Result<Journal> {
         fs::create_dir_all(folder)?;
         let path = folder.join("raft.journal");
@@ -95,6 +98,9 @@
     }
 
     /// Appends entries and state, and waits until they are on disk.
+    ///
+    /// # Errors
+    /// The journal can't be written.
     pub fn keep(&mut self, entries: &[Entry], state: Option<&HardState>) -> io::Result<()> {
         let mut out = Vec::new();
         let bad = |_| broken("cannot be written");
--- a/crates/limiter/src/raft/mod.rs
+++ b/crates/limiter/src/raft/mod.rs
@@ -100,6 +100,9 @@
 
 impl Member {
     /// A member with its log and vote in `folder`; `members` are all of them, itself included.
+    ///
+    /// # Errors
+    /// The journal can't be opened, or the protocol rejects its content.
     pub fn open(id: u64, members: &[u64], folder: &Path) -> Result<Member, RaftError> {
         let store = MemStorage::new_with_conf_state((members.to_vec(), vec![]));
         let journal = Journal::open(folder, &store)?;
@@ -134,12 +137,18 @@
     }
 
     /// Time goes on.
+    ///
+    /// # Errors
+    /// The journal can't be written, or the protocol fails.
     pub fn tick(&mut self) -> Result<News, RaftError> {
         self.node.tick();
         self.news()
     }
 
     /// A message came.
+    ///
+    /// # Errors
+    /// The message is not valid for this member, the journal can't be written, or the protocol fails.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<News, RaftError> {
         let message = Message::parse_from_bytes(bytes).map_err(|_| RaftError::BadMessage)?;
         let known = self.node.raft.prs().get(message.from).is_some();
@@ -156,6 +165,9 @@
     }
 
     /// Proposes a document; it holds once it is committed.
+    ///
+    /// # Errors
+    /// This member does not lead, the document is invalid, or the journal is full or can't be written.
     pub fn propose(&mut self, document: &[u8]) -> Result<News, RaftError> {
         if self.node.raft.state != StateRole::Leader {
             return Err(RaftError::NotLeader(
--- a/crates/limiter/src/routing_table.rs
+++ b/crates/limiter/src/routing_table.rs
@@ -116,6 +116,9 @@
     }
 
     /// Reads the list as last held.
+    ///
+    /// # Errors
+    /// The list is malformed.
     pub fn known(&mut self, list: &Value) -> Result<News, BadLine> {
         let mut news = self.read(list)?;
         news.kind = ListKind::Cached;
@@ -123,6 +126,9 @@
     }
 
     /// Reads one line of a watch; an empty one brings nothing.
+    ///
+    /// # Errors
+    /// The line is malformed.
     pub fn line(&mut self, line: &[u8]) -> Result<Option<News>, BadLine> {
         if line.iter().all(u8::is_ascii_whitespace) {
             return Ok(None);
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -135,6 +135,9 @@
 }
 
 /// Free ports for datagrams, taken all at once so that they differ.
+///
+/// # Errors
+/// The system has no free port.
 pub fn datagram_addresses(count: usize) -> io::Result<Vec<SocketAddr>> {
     let sockets = (0..count)
         .map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)))
--- a/crates/model-check/src/numbers.rs
+++ b/crates/model-check/src/numbers.rs
@@ -13,6 +13,9 @@
     pub const RANKS: u8 = 16;
 
     /// The incarnation of this number that a machine begins; of those of one number the higher rank is newer.
+    ///
+    /// # Panics
+    /// A number exceeds the bits that it is packed into.
     pub fn new(number: u16, rank: u8, machine: usize) -> Incarnation {
         assert!(
             number < 16 && rank < Self::RANKS && machine < 16,
@@ -53,6 +56,9 @@
 
 impl Ballot {
     /// The proposal of this number.
+    ///
+    /// # Panics
+    /// A number exceeds the bits that it is packed into.
     pub fn new(round: u8, replica: usize, incarnation: Incarnation, run: u8) -> Ballot {
         assert!(replica < 16, "beyond the bits of a ballot");
         let replica = (replica as u32) << 20;
@@ -99,6 +105,9 @@
 
 impl Value {
     /// This content at this version.
+    ///
+    /// # Panics
+    /// A number exceeds the bits that it is packed into.
     pub fn new(version: u8, content: u8) -> Value {
         assert!(version < 16 && content < 16, "beyond the bits of a value");
         Value(version << 4 | content)
--- a/crates/model-check/src/state.rs
+++ b/crates/model-check/src/state.rs
@@ -210,6 +210,9 @@
 
 impl State {
     /// All replicas at their first start, and a machine that is not there yet.
+    ///
+    /// # Panics
+    /// There are more replicas than the state has room for.
     pub fn first(replicas: usize) -> State {
         assert!((1..=REPLICAS).contains(&replicas), "one to five replicas");
         let mut machines: Vec<Machine> = (0..replicas).map(Machine::first).collect();
--- a/crates/protocol/src/program.rs
+++ b/crates/protocol/src/program.rs
@@ -12,7 +12,7 @@
 /// A program of the whole system; docs/system.md says what each does.
 #[derive(FromArgs)]
 struct Arguments {
-    /// the settings file, in place of the one that STREAMARCH_SETTINGS names
+    /// the settings file, in place of the one that `STREAMARCH_SETTINGS` names
     #[argh(option)]
     settings: Option<PathBuf>,
     /// read and check the settings, say what is wrong with them, and end
