--- a/crates/agent/src/config_cache/tests.rs
+++ b/crates/agent/src/config_cache/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn only_what_is_newer_goes_on() {
+fn only_newer_messages_are_forwarded() {
     let mut known = ConfigCache::default();
     assert!(
         known
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_proxy_that_starts_later_is_told_all_with_what_is_left_of_cold_times() {
+fn late_proxy_is_sent_a_snapshot_with_remaining_warm_ups() {
     let mut known = ConfigCache::default();
     for message in [
         ControlMessage::Items(vec![item(3)]),
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_limiter_that_hears_signs_of_life_is_not_alone() {
+fn limiter_with_signs_of_life_is_not_isolated() {
     let mut known = ConfigCache::default();
     known.apply(
         0,
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_limiter_that_hears_nothing_is_alone_and_its_proxy_is_told_once() {
+fn isolation_is_reported_to_the_proxy_once() {
     let who = |in_touch| {
         ControlMessage::ClusterView(ClusterView {
             limiters: 3,
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn the_clock_goes_on_between_two_tellings_and_never_back() {
+fn clock_advances_between_messages_and_never_back() {
     let mut known = ConfigCache::default();
     assert_eq!(
         known.apply(1_000, ControlMessage::Clock(70_000)),
--- a/crates/agent/src/replica_selection/tests.rs
+++ b/crates/agent/src/replica_selection/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn near_replicas_come_first_and_seeds_last() {
+fn near_replicas_are_tried_first_and_seeds_last() {
     let mut links = links(0);
     assert_eq!(
         tried(&mut links, 2),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn who_leaves_a_replica_tries_the_next_and_not_the_same_again() {
+fn lost_replica_is_skipped_in_the_next_attempt() {
     let mut links = links(0);
     links.set_replicas(&["a", "b", "c"].map(|zone| (zone.to_string(), at(zone.as_bytes()[0]))));
     links.reset();
@@ -63,8 +63,7 @@
 }
 
 #[test]
-fn replicas_named_by_one_out_of_touch_come_after_those_that_are_known_until_one_in_touch_names_all()
-{
+fn replicas_reported_without_quorum_are_tried_after_known_ones() {
     let mut links = links(0);
     links.set_replicas(&["a", "b"].map(|zone| (zone.to_string(), at(zone.as_bytes()[0]))));
     links.reset();
@@ -81,7 +80,7 @@
 }
 
 #[test]
-fn agents_of_a_zone_spread_over_the_others() {
+fn agents_of_a_zone_spread_over_other_replicas() {
     let replicas = ["a", "c", "d"].map(|zone| (zone.to_string(), at(zone.as_bytes()[0])));
     let third = |shift| {
         let mut links = links(shift);
@@ -92,7 +91,7 @@
 }
 
 #[test]
-fn a_round_that_found_nobody_is_told() {
+fn last_attempt_of_a_round_is_marked() {
     let mut links = links(0);
     links.set_replicas(&[("a".to_string(), at(1))]);
     assert_eq!(links.next_attempt(), Some(attempt(at(1), false)));
--- a/crates/agent/tests/beside.rs
+++ b/crates/agent/tests/beside.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_edge_serves_by_the_newest_whichever_of_its_programs_was_killed() {
+fn edge_serves_newest_items_after_either_program_is_killed() {
     let folder = TempDir::new().unwrap();
     let mut whole = one_edge(&folder);
     assert!(served_by(&whole, SERVICES[0]));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn at_sighup_a_faulty_file_is_named_at_once_and_all_serve_on() {
+fn invalid_settings_at_sighup_are_logged_and_ignored() {
     let folder = TempDir::new().unwrap();
     let mut whole = one_edge(&folder);
     std::fs::write(whole.machines.file(Role::Agent, 0, "yaml"), "node: [").unwrap();
--- a/crates/agent/tests/restarts.rs
+++ b/crates/agent/tests/restarts.rs
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn a_proxy_that_starts_anew_is_told_all_also_while_the_core_is_gone() {
+fn restarted_proxy_is_sent_everything_without_a_core() {
     let mut bench = Bench::new();
     bench.proxy();
     let told = [
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn an_agent_that_starts_beside_a_proxy_feeds_it_what_the_core_says_and_leases_it() {
+fn agent_feeds_its_proxy_and_renews_its_lease() {
     let mut bench = Bench::new();
     // The replica hears of no edge before there is a proxy.
     bench.until("link", |bench| bench.link.is_some());
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn adds_go_to_the_holder_of_the_count_and_what_has_none_is_said_not_to_be_counted() {
+fn batches_go_to_the_counter_or_are_reported_as_not_counted() {
     let mut bench = Bench::new();
     bench.proxy();
     bench.proxy_hears(&[items(&[])]);
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn an_agent_that_finds_nobody_reads_its_settings_anew_without_a_signal() {
+fn agent_without_replicas_reloads_its_settings() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("local.yaml");
     // Nobody listens there: the replica that the file named at the start is gone.
--- a/crates/control/src/core/counter/tests.rs
+++ b/crates/control/src/core/counter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn adds_are_in_order_and_a_new_term_starts_empty() {
+fn additions_are_ordered_and_a_new_term_starts_empty() {
     let mut count = SharedCounter::default();
     let add = |name, units| CounterAdd {
         counter: name,
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn where_half_of_the_limiters_reach_it_the_others_have_their_part() {
+fn totals_leave_room_for_limiters_out_of_reach() {
     let mut count = SharedCounter::default();
     let add = |units| CounterAdd {
         counter: 1,
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_clock_that_goes_on_at_once_gives_no_window_twice() {
+fn clock_jump_grants_no_window_twice() {
     let add = [CounterAdd {
         counter: 1,
         units: 1.0,
--- a/crates/control/src/core/registers/tests.rs
+++ b/crates/control/src/core/registers/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_promise_binds_its_register_and_the_floor_all() {
+fn promise_binds_its_register_and_the_floor_binds_all() {
     let name = |name: &str| ItemName {
         kind: ItemKind::Service,
         name: name.to_string(),
--- a/crates/control/src/core/server_list/tests.rs
+++ b/crates/control/src/core/server_list/tests.rs
@@ -25,7 +25,7 @@
 #[test_case(vec![server("i", true, 2_000_000), server("j", true, 90_000)], true; "turned cold")]
 #[test_case(vec![server("i", false, 2_000_000), server("j", true, 0)], true; "one leaves")]
 #[test_case(vec![server("i", true, 2_000_000)], true; "one is gone")]
-fn only_a_change_is_news(next: Vec<Server>, news: bool) {
+fn unchanged_list_gets_no_new_version(next: Vec<Server>, news: bool) {
     let mut listed = ServerList::default();
     assert!(listed.update_from_platform(
         0,
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_older_list_is_not_taken_and_coldness_counts_from_the_telling() {
+fn older_list_is_rejected_and_warm_up_counts_from_receipt() {
     let mut listed = ServerList::default();
     assert!(listed.update_from_replica(0, (2, 5), vec![server("i", true, 900)]));
     assert!(
--- a/crates/control/src/core/status/tests.rs
+++ b/crates/control/src/core/status/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_replica_out_of_touch_tells_who_lags_and_since_when_at_most() {
+fn isolated_replica_reports_lagging_agents() {
     let name = ItemName {
         kind: ItemKind::Service,
         name: "s".to_string(),
--- a/crates/control/src/core/transfer/tests.rs
+++ b/crates/control/src/core/transfer/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn pieces_lost_doubled_and_out_of_order_leave_no_gap() {
+fn lost_duplicate_and_reordered_chunks_leave_no_gap() {
     let all = entries(900, 20_000);
     let names: Vec<ItemName> = all.iter().map(|(_, item)| item.name.clone()).collect();
     let largest = |pieces: &[Chunk]| {
--- a/crates/control/src/disk/tests/cuts.rs
+++ b/crates/control/src/disk/tests/cuts.rs
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_first_start_cut_anywhere_is_begun_again_or_done() {
+fn first_start_survives_a_power_loss_at_any_step() {
     let folder = tempfile::tempdir().unwrap();
     watch(folder.path());
     let opened = open(folder.path(), true).unwrap();
@@ -237,7 +237,7 @@
 #[test_case(Beside::Nothing; "commits alone")]
 #[test_case(Beside::Checkpoint; "with a checkpoint and the log begun anew")]
 #[test_case(Beside::Close; "with an end and a start")]
-fn what_was_told_is_there_after_a_cut_anywhere(beside: Beside) {
+fn reported_writes_survive_a_power_loss_at_any_step(beside: Beside) {
     let folder = tempfile::tempdir().unwrap();
     let mut opened = open(folder.path(), true).unwrap();
     let commits = commits();
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_migration_cut_anywhere_is_not_begun_or_done() {
+fn migration_survives_a_power_loss_at_any_step() {
     let commits = commits();
     let before = ReplicaMetadata {
         incarnation: Incarnation {
--- a/crates/control/src/disk/tests/full.rs
+++ b/crates/control/src/disk/tests/full.rs
@@ -21,7 +21,7 @@
 
 #[test_case(ErrorKind::StorageFull; "no room")]
 #[test_case(ErrorKind::Other; "a fault")]
-fn what_is_refused_at_any_write_waits_and_is_whole_later(kind: ErrorKind) {
+fn rejected_writes_are_queued_and_complete_later(kind: ErrorKind) {
     for left in 0.. {
         let folder = tempfile::tempdir().unwrap();
         let mut opened = open(folder.path(), true).unwrap();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_waits_for_room_does_not_grow_with_time() {
+fn queue_of_rejected_writes_is_bounded() {
     let folder = tempfile::tempdir().unwrap();
     let opened = open(folder.path(), true).unwrap();
     watch(folder.path());
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_start_on_a_full_disk_ends_and_harms_nothing() {
+fn start_on_a_full_disk_fails_without_damage() {
     let folder = tempfile::tempdir().unwrap();
     open(folder.path(), true)
         .unwrap()
--- a/crates/control/src/disk/tests/growth.rs
+++ b/crates/control/src/disk/tests/growth.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_files_do_not_grow_with_the_changes() {
+fn files_do_not_grow_with_changes() {
     let (few, many) = (most(60, 1_000), most(60, 10_000));
     println!("60 items: {few:?} bytes of file and log after 1000 changes, {many:?} after 10000");
     // A commit may go beyond the length at which the log is emptied.
--- a/crates/control/src/disk/tests/harm.rs
+++ b/crates/control/src/disk/tests/harm.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_is_committed_is_there_after_a_restart_under_a_new_run() {
+fn committed_records_survive_a_restart() {
     let folder = tempfile::tempdir().unwrap();
     // On the machine's own files.
     let mut opened = Store::open(folder.path(), true).unwrap();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_empty_disk_has_no_incarnation_and_half_a_rebuilding_counts_for_nothing() {
+fn empty_disk_has_no_incarnation_and_partial_recovery_is_discarded() {
     let folder = tempfile::tempdir().unwrap();
     let mut opened = open(folder.path(), false).unwrap();
     assert_eq!(opened.recovered, RecoveredState::default());
@@ -115,7 +115,7 @@
 #[test_case("UPDATE own SET value = x'00'", "own : does not match its checksum"; "the replica's own row")]
 #[test_case("UPDATE schema SET sum = 1", "version does not match its checksum"; "the stated version")]
 #[test_case("DROP TABLE chosen", "no such table: chosen"; "a table gone")]
-fn what_cant_be_trusted_is_named_put_aside_and_no_first_start(how: &str, named: &str) {
+fn corrupt_files_are_named_and_quarantined(how: &str, named: &str) {
     let folder = closed();
     harm(folder.path(), how);
     let harmed = files(folder.path());
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_bit_of_a_row_is_not_seen_by_the_databases_own_check() {
+fn sqlite_check_misses_a_flipped_bit_of_a_record() {
     let folder = closed();
     harm(folder.path(), "bit");
     assert_eq!(
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn so_many_files_are_kept_and_the_oldest_go() {
+fn oldest_quarantined_files_are_removed() {
     let folder = closed();
     for _ in 0..5 {
         harm(folder.path(), "head");
@@ -185,7 +185,7 @@
 /// After so many syncs of the folder the power is lost; renames after the last one may have got there or not.
 #[test_case(0)]
 #[test_case(1)]
-fn putting_aside_cut_anywhere_never_leaves_a_file_without_its_log(syncs: usize) {
+fn quarantine_cut_anywhere_never_separates_file_and_wal(syncs: usize) {
     let folder = tempfile::tempdir().unwrap();
     let mut opened = open(folder.path(), true).unwrap();
     opened.store.commit(&many()).unwrap();
@@ -217,7 +217,7 @@
 
 #[test_case(false; "closed")]
 #[test_case(true; "with its log")]
-fn a_file_of_a_newer_version_is_refused_and_left_as_it_is(logged: bool) {
+fn newer_schema_is_rejected_and_left_as_it_is(logged: bool) {
     let folder = closed();
     let connection = plain(folder.path());
     let sum = crate::disk::records::checksum("schema", &[], &7_i64.to_le_bytes());
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn an_unversioned_file_with_a_row_that_does_not_decode_gets_no_checksum() {
+fn undecodable_record_gets_no_checksum_in_migration() {
     let own = crate::core::ReplicaMetadata {
         incarnation: Incarnation::FIRST,
         run: 3,
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn a_report_tells_what_there_is_in_file_and_log_and_changes_nothing() {
+fn report_covers_file_and_wal_and_changes_nothing() {
     let folder = tempfile::tempdir().unwrap();
     assert!(verify(folder.path()).is_err());
     let mut opened = open(folder.path(), true).unwrap();
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn a_bit_of_any_head_of_the_log_before_the_last_commit_is_seen() {
+fn flipped_bit_in_a_wal_header_is_detected() {
     let (base, last, _) = half_logged();
     let frame = 24 + 4_096;
     let frames =
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn a_commit_whose_mark_is_gone_is_missed_where_the_next_one_wrote_the_same_page() {
+fn lost_commit_mark_is_detected_by_a_rewritten_page() {
     let folder = tempfile::tempdir().unwrap();
     let mut opened = open(folder.path(), true).unwrap();
     (1..4).for_each(|ver| opened.store.commit(&rows("s", ver)).unwrap());
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn what_is_put_aside_is_as_it_was_with_its_log() {
+fn quarantined_files_are_unchanged() {
     let (mut base, ..) = half_logged();
     let file = base.get_mut(DATABASE_FILE).unwrap();
     // Pages keep copies in their free room: all of them.
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn flipped_bits_and_torn_sectors_are_never_shown_as_true() {
+fn corruption_is_never_read_as_valid() {
     let (base, last, states) = half_logged();
     let mut chance = Chance(29);
     let mut seen = BTreeMap::new();
--- a/crates/control/src/host/platform_poller/tests.rs
+++ b/crates/control/src/host/platform_poller/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_list_is_whole_with_its_last_page_and_calls_keep_their_distance() {
+fn list_is_complete_with_its_last_page_and_calls_are_paced() {
     let settings = CloudApi {
         addr: "10.2.0.1:80".parse().unwrap(),
         per_s: 50.0,
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn behind_a_second_answer_no_other_question_goes_on_the_same_connection() {
+fn surplus_answer_closes_the_platform_connection() {
     let settings = CloudApi {
         addr: "10.2.0.1:80".parse().unwrap(),
         per_s: 50.0,
--- a/crates/control/src/host/stall/tests.rs
+++ b/crates/control/src/host/stall/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_loop_that_turns_never_stood_still_and_one_that_did_says_so_once() {
+fn stall_is_detected_once() {
     let mut stall = StallDetector::default();
     for turn in 1..100 {
         assert_eq!(stall.detect(turn * 200_000), None);
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,9 +1,9 @@
-//! The control: the control program of the system. One runs on each machine of the core, and each zone has one: a
-//! replica. Together they hold the configuration, know the servers and the limiters, and keep the shared count.
+//! The control program. One runs in each zone, and is a replica of the control state: together the replicas hold the
+//! configuration, know the servers and the edges, and keep the shared counter.
 //!
-//! [`core`] is the deterministic part without I/O: messages, times and disk results in; messages, times and disk writes
-//! out. [`lookup`] answers where clients go, [`calls`] decodes what operators ask, [`disk`] owns the database, and
-//! [`host`] is the event loop around them.
+//! [`core`] is the deterministic part without I/O: messages, times and completed writes in; messages, records to write and
+//! answers out. [`operator_api`] parses operators' calls, [`lookup`] decides where clients are sent, [`disk`] owns the
+//! database, and [`host`] is the event loop around them.
 
 pub mod core;
 mod dataplane_types;
--- a/crates/control/src/lookup/tests.rs
+++ b/crates/control/src/lookup/tests.rs
@@ -33,12 +33,12 @@
 #[test_case("ar br cl", "x", "0 1"; "an unknown region: all")]
 #[test_case("ar ar br", "", "0 1 2"; "no region: all")]
 #[test_case("al aa bl", "a", ""; "none is ready")]
-fn near_edges_come_first_and_some_always(edges: &str, asked: &str, is: &str) {
+fn local_edges_come_first_and_others_fill_up(edges: &str, asked: &str, is: &str) {
     assert_eq!(lookup(edges, asked), is);
 }
 
 #[test]
-fn a_query_is_read_and_an_answer_written() {
+fn query_is_parsed_and_answer_encoded() {
     assert_eq!(
         requested_region("/api/lookup?name=x.example&region=serra&zone=a").as_deref(),
         Some("serra")
--- a/crates/control/src/operator_api/tests.rs
+++ b/crates/control/src/operator_api/tests.rs
@@ -21,6 +21,6 @@
 #[test_case("GET", "/api/drain/a/finish", Err(Reply::MethodNotAllowed); "another method")]
 #[test_case("POST", "/api/drain/a/stop", Err(Reply::NotFound("path: /api/drain/a/stop".into())); "another word")]
 #[test_case("POST", "/api/cfg/patch/x", Err(Reply::NotFound("path: /api/cfg/patch/x".into())); "a longer path")]
-fn a_call_is_a_command_or_a_refusal(method: &str, target: &str, is: Result<Command, Reply>) {
+fn call_is_parsed_or_rejected(method: &str, target: &str, is: Result<Command, Reply>) {
     assert_eq!(read(method, target), is);
 }
--- a/crates/control/tests/answers.rs
+++ b/crates/control/tests/answers.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_vote_for_the_bid_of_a_process_that_has_ended_is_none() {
+fn vote_for_a_former_process_is_ignored() {
     let mut asker = Asker::new();
     let bid = |asker: &Asker| {
         asker.sent().find_map(|body| match body {
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn an_answer_to_the_question_of_a_process_that_has_ended_is_none() {
+fn answer_to_a_former_process_is_ignored() {
     let mut asker = Asker::new();
     asker.now = LATER;
     asker.in_touch();
--- a/crates/control/tests/core.rs
+++ b/crates/control/tests/core.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_change_at_any_replica_is_in_force_at_all() {
+fn change_at_any_replica_reaches_all() {
     let mut cluster = Cluster::new(1);
     let mut lines = Vec::new();
     cluster.run_to(SECOND);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn of_two_contents_for_one_version_one_stands_and_one_is_acknowledged() {
+fn one_of_two_contents_of_a_version_is_acknowledged() {
     for seed in 0..40 {
         let mut cluster = started(seed);
         let calls = [
@@ -81,7 +81,7 @@
 
 #[test_case(false; "it loses power")]
 #[test_case(true; "it loses its disk")]
-fn what_was_acknowledged_outlasts_who_acknowledged_it(wipe: bool) {
+fn acknowledged_item_survives_loss_of_its_replica(wipe: bool) {
     let mut cluster = started(2);
     assert_eq!(cluster.ask(4, service("s", 7, 1)), Some(Reply::Done));
     // Before anybody else hears that it is chosen: what it said of that is lost on the way.
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn of_a_core_cut_in_two_only_the_larger_part_acknowledges() {
+fn only_the_majority_partition_acknowledges() {
     let mut cluster = started(3);
     cluster.cut(&[0, 1], &[2, 3, 4, 5]);
     let early = cluster.call(0, service("s", 1, 1));
@@ -141,7 +141,7 @@
 
 #[test_case(true; "the smaller part hears and is not heard")]
 #[test_case(false; "the smaller part is heard and does not hear")]
-fn of_a_core_cut_one_way_only_the_larger_part_acknowledges(hears: bool) {
+fn only_the_majority_side_of_a_one_way_partition_acknowledges(hears: bool) {
     let mut cluster = started(16);
     let pairs = [0, 1]
         .into_iter()
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_zone_that_is_lost_and_back_in_a_moment_leaves_one_holder_and_all_that_was_acknowledged() {
+fn brief_zone_loss_keeps_one_lease_holder_and_acknowledged_items() {
     let mut cluster = started(17);
     assert_eq!(cluster.ask(3, service("s", 7, 1)), Some(Reply::Done));
     // The one that keeps the count loses power, and is back before its grants are over by the others' clocks.
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_replica_with_a_full_disk_keeps_its_duty_and_what_is_in_force_and_takes_changes_later() {
+fn replica_with_a_full_disk_keeps_its_role_and_resumes_later() {
     let mut cluster = started(5);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     // The one that polls, while a change of its operator is under way.
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_replaced_replica_counts_anew_and_its_former_holder_for_nothing() {
+fn replaced_replica_votes_and_its_former_holder_does_not() {
     let mut cluster = started(4);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     // The new machine is there while the old one still runs, cut off from all but two.
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn a_machine_that_died_is_replaced_at_another_address_and_its_vote_counts() {
+fn replacement_at_another_address_votes() {
     let mut cluster = started(15);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     cluster.wipe(5);
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn a_replica_without_its_disk_waits_for_more_than_half_of_the_others() {
+fn recovery_waits_for_a_quorum_of_the_others() {
     let mut cluster = started(12);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     cluster.wipe(5);
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn a_replica_without_its_disk_keeps_to_what_it_may_have_promised() {
+fn recovered_replica_keeps_former_promises() {
     let mut cluster = started(14);
     // A promise that only the replica's incarnation before and some others have given.
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn an_agent_hears_the_whole_from_a_replica_that_knows_it() {
+fn agent_is_told_complete_by_an_up_to_date_replica() {
     let mut cluster = started(13);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     cluster.run(SECOND);
@@ -438,7 +438,7 @@
 }
 
 #[test]
-fn the_only_replica_there_is_tells_the_whole() {
+fn only_replica_reports_complete() {
     let own = ReplicaMetadata {
         incarnation: Incarnation::FIRST,
         run: 1,
@@ -479,7 +479,7 @@
 }
 
 #[test]
-fn all_killed_at_once_come_back_with_what_was_acknowledged() {
+fn full_restart_keeps_acknowledged_items() {
     let mut cluster = started(5);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     assert_eq!(
@@ -522,7 +522,7 @@
 /// Until somebody counts, proxies keep tenants to their slices: after all were killed the replica that counted does so again at
 /// once, as nobody else can hold a grant of those that voted for it. One that comes later finds the duty taken.
 #[test]
-fn the_replica_that_counted_does_so_again_as_soon_as_all_are_back() {
+fn former_counter_resumes_after_a_full_restart() {
     let mut cluster = started(5);
     let before = cluster.holders(SingletonRole::Counter)[0];
     ALL.iter().for_each(|at| cluster.power(*at));
@@ -559,7 +559,7 @@
 
 /// Proxies that have lost power serve nothing until they know servers: a replica asks for the list as it starts.
 #[test]
-fn after_all_were_killed_the_list_is_there_before_anybody_has_the_duty() {
+fn server_list_is_read_before_any_lease_after_a_full_restart() {
     let mut cluster = started(5);
     let polls = |cluster: &Cluster, at: usize| {
         cluster.nodes[at]
@@ -609,7 +609,7 @@
 }
 
 #[test]
-fn a_late_older_change_and_a_repeated_one_have_no_effect() {
+fn older_and_repeated_changes_have_no_effect() {
     let mut cluster = started(6);
     let mut ask = |at: usize, ver: u64, content: u64| cluster.ask(at, service("s", ver, content));
     assert_eq!(ask(0, 7, 1), Some(Reply::Done));
@@ -623,7 +623,7 @@
 }
 
 #[test]
-fn a_call_of_350_items_takes_effect_whole_or_not_at_all() {
+fn call_of_350_items_is_atomic() {
     let mut cluster = started(7);
     let route = |n: usize, svc: &str| {
         format!(
@@ -657,7 +657,7 @@
 }
 
 #[test]
-fn an_evacuation_is_begun_and_ended_once() {
+fn evacuation_begins_and_ends_once() {
     let mut cluster = started(8);
     let mut drain = |zone: &str, on| {
         cluster.ask(
@@ -681,7 +681,7 @@
 }
 
 #[test]
-fn a_duty_goes_on_at_another_replica_at_once_after_a_stop_and_soon_after_a_kill() {
+fn role_moves_at_once_after_shutdown_and_soon_after_a_kill() {
     let mut cluster = started(9);
     let mut lines = vec![cluster.line(&[])];
     cluster.feed(3, Input::Shutdown);
@@ -715,7 +715,7 @@
 }
 
 #[test]
-fn members_are_who_renews_a_lease_anywhere_and_the_count_is_kept_by_one() {
+fn members_renew_anywhere_and_one_replica_counts() {
     let mut cluster = started(10);
     cluster.feed(1, Input::Agent(1, AgentMessage::Hello(edge("e1", "a"))));
     cluster.feed(
@@ -776,7 +776,7 @@
 const TIME: i64 = 2 * dataplane::clock::FIRST;
 
 #[test]
-fn limiters_whose_clocks_are_apart_do_not_count_side_by_side() {
+fn limiters_with_different_clocks_do_not_count_together() {
     let mut cluster = started(10);
     let add = |time| AgentMessage::CounterBatch {
         batch: 5,
@@ -817,7 +817,7 @@
 }
 
 #[test]
-fn the_platforms_list_reaches_all_replicas_and_who_missed_it_asks() {
+fn server_list_reaches_all_replicas() {
     let mut cluster = started(11);
     cluster.feed(5, Input::Agent(1, AgentMessage::Hello(edge("e1", "f"))));
     cluster.cut(&[5], &[0, 1, 2, 3, 4]);
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -59,7 +59,7 @@
 #[test_case(Command::ApplyPatch(b"{".to_vec()); "no change at all")]
 #[test_case(Command::GetConfiguration; "a reading")]
 #[test_case(Command::SetEvacuation { zone: "c".to_string(), evacuate: true }; "an evacuation")]
-fn operators_are_sent_elsewhere_and_refused_nothing(command: Command) {
+fn isolated_replica_answers_unavailable_not_rejected(command: Command) {
     let mut cluster = started();
     cluster.cut(&[AT], &OTHERS);
     // Before it notices, and long after.
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn it_tells_agents_what_it_knows_and_not_that_this_is_all() {
+fn lagging_replica_does_not_report_complete() {
     let mut cluster = started();
     cluster.cut(&[AT], &OTHERS);
     cluster.run(2 * SECOND);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn adds_are_counted_by_nobody_once_a_grant_is_over() {
+fn expired_grant_counts_nothing() {
     let mut cluster = Cluster::new(7);
     cluster.run_to(4 * SECOND);
     let holder = cluster.holders(SingletonRole::Counter)[0].0;
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn just_back_in_touch_it_checks_a_change_against_what_more_than_half_hold() {
+fn reconnected_replica_checks_changes_by_a_quorum_read() {
     let mut cluster = started();
     cluster.cut(&[AT], &OTHERS);
     cluster.run(2 * SECOND);
@@ -167,7 +167,7 @@
 #[test_case(false, 12 * SECOND, &["near"]; "cut off for long: its own")]
 #[test_case(true, 5 * SECOND, &["far"]; "frozen for a while: its own have gone elsewhere")]
 #[test_case(true, 20 * SECOND, &[]; "frozen for long: nobody")]
-fn look_ups_name_nobody_after_a_lease(frozen: bool, span: i64, named: &[&str]) {
+fn lookups_exclude_expired_members(frozen: bool, span: i64, named: &[&str]) {
     let mut cluster = started();
     let beat = |cluster: &mut Cluster, at: usize, link: u64, node: &str| {
         cluster.feed(at, Input::Agent(link, AgentMessage::Hello(edge(node))));
--- a/crates/control/tests/cut_off_programs.rs
+++ b/crates/control/tests/cut_off_programs.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_order_that_waited_at_a_replica_that_stood_still_is_not_carried_out_after_later_ones() {
+fn stalled_call_is_not_applied_after_later_ones() {
     let folder = TempDir::new().unwrap();
     let mut whole = whole(&folder);
     until(|| status(&whole, 2)["in_touch"] == true, "it is in touch");
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_replica_that_hears_no_others_refuses_nothing_and_confirms_nothing() {
+fn isolated_replica_neither_rejects_nor_acknowledges() {
     let folder = TempDir::new().unwrap();
     let mut whole = whole(&folder);
     (0..2).for_each(|replica| whole.machines.kill(Role::Control, replica));
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -396,7 +396,7 @@
 }
 
 #[test]
-fn answers_to_operators_keep_their_status_and_body() {
+fn operator_replies_keep_status_and_body() {
     let replies = [
         ("done", Reply::Done),
         ("items", Reply::Items(b"{\"objs\":[]}".to_vec())),
@@ -421,13 +421,13 @@
 }
 
 #[test]
-fn an_answer_to_where_to_go_keeps_its_keys() {
+fn json_of_a_lookup_keeps_its_keys() {
     let body = lookup::answer_body(&[address(33), address(34)], 2_000_000);
     insta::assert_snapshot!("lookup-answer", String::from_utf8(body).unwrap());
 }
 
 #[test]
-fn a_status_keeps_its_keys() {
+fn json_of_a_status_keeps_its_keys() {
     let status = Status {
         zone: "alajuela".into(),
         program: "0.1.0".into(),
--- a/crates/control/tests/many_changes.rs
+++ b/crates/control/tests/many_changes.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_replica_stopped_for_hundreds_of_changes_is_whole_soon_after_its_start() {
+fn replica_catches_up_after_hundreds_of_missed_changes() {
     let folder = TempDir::new().unwrap();
     let size = Size {
         zones: 3,
--- a/crates/control/tests/repeated_orders.rs
+++ b/crates/control/tests/repeated_orders.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_call_that_was_refused_is_in_force_in_no_part() {
+fn rejected_call_has_no_effect() {
     let mut refused = 0;
     for seed in 0..60 {
         let mut cluster = started(seed);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn what_a_refused_call_left_at_a_replica_is_not_finished_later() {
+fn leftovers_of_a_rejected_call_are_not_completed() {
     let mut found = 0;
     for seed in 0..40 {
         let mut cluster = started(seed);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn an_order_that_was_taken_is_acknowledged_at_all_replicas_after_all_that_may_come_between() {
+fn accepted_call_is_acknowledged_again_at_every_replica() {
     let mut cluster = started(9);
     let route = r#"{"type":"routes","meta":{"name":"r","ver":5},"spec":{"host":"h","prefix":"/r/","kind":"idem",
         "timeout":"3s","target_time":"1s","svc":"s"}}"#;
--- a/crates/control/tests/resent.rs
+++ b/crates/control/tests/resent.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn of_two_operators_under_one_number_one_is_taken_and_stays_taken_however_often_it_is_sent_again() {
+fn one_of_two_contents_stays_acknowledged_on_repeats() {
     let folder = TempDir::new().unwrap();
     let size = Size {
         zones: 3,
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn an_evacuation_whose_sender_left_while_the_replica_stood_still_is_not_begun() {
+fn evacuation_of_a_disconnected_sender_is_dropped_after_a_stall() {
     let folder = TempDir::new().unwrap();
     let size = Size {
         zones: 3,
--- a/crates/control/tests/second_loss.rs
+++ b/crates/control/tests/second_loss.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn who_is_told_to_end_stays_while_a_majority_without_it_lacks_what_it_holds() {
+fn shutdown_waits_until_a_quorum_has_everything() {
     let mut cluster = started(11, 6);
     bare_majority(&mut cluster);
     cluster.stop(4);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn who_cannot_hand_over_ends_within_its_grace_all_the_same() {
+fn shutdown_without_handover_ends_within_the_grace_period() {
     let mut cluster = started(12, 6);
     bare_majority(&mut cluster);
     cluster.stop(4);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn who_is_told_to_end_in_calm_ends_at_once_and_is_voted_around() {
+fn calm_shutdown_ends_at_once() {
     let mut cluster = started(13, 6);
     assert_eq!(cluster.ask(4, service("s", 7, 1)), Some(Reply::Done));
     cluster.stop(4);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn who_was_replaced_stays_until_its_successor_is_whole() {
+fn superseded_replica_stays_until_its_successor_takes_part() {
     let mut cluster = started(14, 6);
     assert_eq!(cluster.ask(4, service("s", 7, 1)), Some(Reply::Done));
     let new = cluster.add(4);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn who_becomes_whole_after_it_was_told_to_end_hands_over() {
+fn replica_that_recovers_during_shutdown_hands_over() {
     let mut cluster = started(15, 6);
     bare_majority(&mut cluster);
     // The new disk gathers the change from its holders, and is the only one that reaches the other two replicas.
@@ -132,7 +132,7 @@
 #[test_case(2)]
 #[test_case(3)]
 #[test_case(4)]
-fn of_two_candidates_for_one_slot_the_one_that_is_left_holds_it(seed: u64) {
+fn surviving_one_of_two_candidates_holds_the_replica(seed: u64) {
     let mut cluster = started(seed, 6);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     cluster.power(2);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn copies_at_each_moment_of_a_disk_lost_and_then_the_next() {
+fn copies_during_successive_disk_losses() {
     let mut cluster = started(16, 6);
     bare_majority(&mut cluster);
     let mut table = Table(Vec::new());
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn copies_at_each_moment_of_a_planned_replacement_and_a_loss_of_power_of_all() {
+fn copies_during_replacement_and_power_loss() {
     let mut cluster = started(17, 6);
     bare_majority(&mut cluster);
     let mut table = Table(Vec::new());
--- a/crates/control/tests/second_loss_system.rs
+++ b/crates/control/tests/second_loss_system.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn each_disk_is_lost_as_soon_as_the_one_before_is_whole_again() {
+fn successive_disk_losses_keep_acknowledged_items() {
     let folder = TempDir::new().unwrap();
     let mut whole = whole(&folder);
     for number in 0..3 {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn who_is_told_to_end_while_its_successor_rebuilds_stays_until_that_one_is_whole() {
+fn shutdown_waits_for_a_recovering_successor() {
     let folder = TempDir::new().unwrap();
     let mut whole = whole(&folder);
     change(&mut whole, 2);
--- a/crates/control/tests/stored.rs
+++ b/crates/control/tests/stored.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_stored_database_is_reported_as_it_was_written() {
+fn stored_database_is_reported_as_it_was_written() {
     let folder = TempDir::new().unwrap();
     copy_to(folder.path());
     let report = serde_json::to_string_pretty(&disk::verify(folder.path()).unwrap()).unwrap();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_program_starts_on_a_stored_database_and_reads_back_what_was_acknowledged() {
+fn program_reads_a_stored_database() {
     let folder = TempDir::new().unwrap();
     let plan = Plan {
         folder: folder.path().to_path_buf(),
--- a/crates/control/tests/system.rs
+++ b/crates/control/tests/system.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_is_acknowledged_is_served_through_the_proxies_and_read_back() {
+fn acknowledged_change_is_served_and_read_back() {
     let folder = TempDir::new().unwrap();
     let mut whole = whole(&folder);
     assert_eq!(whole.served_by(0, "/read/1").as_deref(), Some(SERVICES[0]));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn of_a_call_that_is_cut_short_nothing_is_in_force() {
+fn truncated_call_has_no_effect() {
     let folder = TempDir::new().unwrap();
     let mut whole = whole(&folder);
     let route = route("/cut/", SERVICES[1]);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlives_the_end_of_all_control_programs() {
+fn acknowledged_items_survive_a_kill_of_all_programs() {
     let folder = TempDir::new().unwrap();
     let mut whole = whole(&folder);
     let change = Change::default().set("routes", "reads", 2, route(READS, SERVICES[1]));
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_replica_that_lost_its_disk_says_at_once_that_it_is_back_and_the_others_say_so_too() {
+fn recovery_from_a_lost_disk_is_logged_at_once_by_all() {
     let folder = TempDir::new().unwrap();
     let mut whole = whole(&folder);
     whole.machines.kill(Role::Control, 2);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_replica_whose_disk_refuses_says_so_and_takes_writes_again_by_itself() {
+fn replica_reports_a_full_disk_and_resumes_by_itself() {
     let folder = TempDir::new().unwrap();
     let mut whole = whole_of(&folder, &programs_that_may_be_limited(&folder));
     let at = whole.machines.ctl(0);
--- a/crates/control/tests/transfers.rs
+++ b/crates/control/tests/transfers.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_agent_is_told_all_in_pieces_of_which_a_few_are_under_way_and_then_that_it_was_all() {
+fn agent_sync_is_chunked_with_a_window() {
     let mut core = core(1, 200);
     take(&mut core, 0, Input::Tick);
     take(&mut core, 400 * MS, Input::Tick);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn what_was_missed_is_fetched_once_whatever_comes_twice_and_a_gap_leads_to_nothing() {
+fn missed_items_are_fetched_once_despite_duplicates_and_gaps() {
     let mut core = core(3, 50);
     let beat = |chosen| {
         let hears = 0b11;
--- a/crates/ctl/src/configuration/tests.rs
+++ b/crates/ctl/src/configuration/tests.rs
@@ -6,7 +6,7 @@
         {"type":"limits","meta":{"ver":2},"spec":{"hdr_bytes":1,"body_bytes":1,"hdr":"1s","idle":"1s"}}]}"#;
 
 #[test]
-fn what_is_written_out_is_read_back_and_shows_no_secret() {
+fn exported_configuration_is_read_back_without_secrets() {
     let plain = Configuration::read(TEXT.as_bytes()).unwrap();
     assert_eq!(
         Configuration::read(plain.write().as_bytes()).unwrap(),
@@ -27,7 +27,7 @@
 #[test_case(r#""objs""#, r#""objects""#, "objs"; "no items")]
 #[test_case(r#""type":"svcs""#, r#""type":"rules""#, "type"; "an unknown kind")]
 #[test_case(r#""ver":1}"#, r#""ver":1"#, "JSON"; "cut short")]
-fn a_fault_names_its_key(from: &str, to: &str, key: &str) {
+fn error_names_its_key(from: &str, to: &str, key: &str) {
     assert!(TEXT.contains(from));
     let error = Configuration::read(TEXT.replacen(from, to, 1).as_bytes()).unwrap_err();
     assert!(format!("{error:#}").contains(key), "{error:#}");
--- a/crates/ctl/src/diff/tests.rs
+++ b/crates/ctl/src/diff/tests.rs
@@ -18,7 +18,7 @@
 #[test_case(r#""ver":1},"spec":{"maxconn":9,"#, r#""ver":2},"spec":{"#, "~ svcs/s version 1 to 2\n    maxconn: 9 -> nothing\n0 added, 0 dropped, 1 changed, 1 the same\n"; "a key that went")]
 #[test_case(r#""per_s":5"#, r#""per_s":6"#, "~ tenants/t version 3 in both, with two contents\n    per_s: 5 -> 6\n0 added, 0 dropped, 1 changed, 1 the same\n"; "two contents of one version")]
 #[test_case(r#""name":"s""#, r#""name":"r""#, "+ svcs/r at version 1\n- svcs/s at version 1\n1 added, 1 dropped, 0 changed, 1 the same\n"; "another name")]
-fn what_differs_is_named_by_item_and_key(from: &str, to: &str, is: &str) {
+fn differences_are_named_by_item_and_key(from: &str, to: &str, is: &str) {
     let new = if from.is_empty() {
         TURNED.to_string()
     } else {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn secrets_are_compared_and_never_shown() {
+fn secrets_are_compared_and_never_printed() {
     let changed = read(&OLD.replacen("\"b\"", "\"other-secret\"", 1));
     for found in [
         diff(read(OLD), changed.clone()),
--- a/crates/ctl/src/http/tests.rs
+++ b/crates/ctl/src/http/tests.rs
@@ -5,7 +5,7 @@
 #[test_case("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", Some((503, "")); "without a body")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}", None; "a body on its way")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-", None; "a head on its way")]
-fn an_answer_is_read_once_it_is_whole(text: &str, is: Option<(u16, &str)>) {
+fn complete_answer_is_read(text: &str, is: Option<(u16, &str)>) {
     let read = read(text.as_bytes()).unwrap();
     assert_eq!(
         read,
@@ -16,7 +16,7 @@
 #[test_case("HTTP/1.1 200 OK\r\n\r\n{}", "length"; "no length")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 999999999999\r\n\r\n", "bytes"; "too long")]
 #[test_case("what\r\n\r\n", "status"; "something else")]
-fn what_is_no_answer_is_told(text: &str, word: &str) {
+fn invalid_answer_is_reported(text: &str, word: &str) {
     let error = read(text.as_bytes()).unwrap_err().to_string();
     assert!(error.contains(word), "{error}");
 }
--- a/crates/ctl/src/status/tests.rs
+++ b/crates/ctl/src/status/tests.rs
@@ -42,7 +42,7 @@
 #[test_case(|s| s[1].digest = "8".into(), &["replicas a and b know other items (0 and 0)"]; "apart")]
 #[test_case(|s| s[0].limiters[0].behind = Some(9_000), &["limiter e has lagged for up to 9000 ms"]; "lagging")]
 #[test_case(|s| s[0].limiters[0].standing = "away".into(), &["limiter e is away"]; "away")]
-fn what_is_wrong_is_found(change: impl Fn(&mut Vec<Status>), is: &[&str]) {
+fn findings_name_what_is_wrong(change: impl Fn(&mut Vec<Status>), is: &[&str]) {
     let mut replicas = vec![replica("a"), replica("b")];
     change(&mut replicas);
     // In whatever order they were asked.
--- a/crates/ctl/tests/golden.rs
+++ b/crates/ctl/tests/golden.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_status_of_several_replicas_keeps_its_keys() {
+fn json_of_a_view_keeps_its_keys() {
     let at = |last: u8| std::net::SocketAddr::from(([10, 1, 0, last], 8688));
     let told = vec![
         Told {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_difference_of_configurations_keeps_its_keys() {
+fn json_of_a_difference_keeps_its_keys() {
     let read = |text: &str| Configuration::read(text.as_bytes()).unwrap();
     let old = read(
         r#"{"objs":[{"type":"svcs","meta":{"name":"a","ver":1},"spec":{"maxconn":1}},
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_report_on_stored_files_keeps_its_keys() {
+fn json_of_a_report_keeps_its_keys() {
     let fault = CorruptRecord {
         table: "chosen".into(),
         name: "svcs/a".into(),
--- a/crates/ctl/tests/system.rs
+++ b/crates/ctl/tests/system.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_system_is_shown_written_out_and_compared() {
+fn status_export_and_diff_of_a_running_system() {
     let folder = TempDir::new().unwrap();
     let programs = beside(Path::new(PROGRAM), env!("CARGO"));
     let size = Size {
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -1,9 +1,10 @@
-//! Overload: what of a service's load is let through, by one order at every limiter. Without any input or output.
+//! Load shedding: how much of the load of each service is admitted, by one order of priorities at every limiter. Without I/O.
 //!
-//! Each limiter counts what it saw of a service ([`load`]) and tells its home. The home sums up, judges by what servers
-//! did how much a second they bear, and tells a level ([`judge`]). Every limiter turns away what lies beyond it ([`admission`])
-//! by the same order ([`order`]): the lowest tiers first, and by a steady number within the tier on the border. A node
-//! sheds for its own load by that order as well ([`shedder`]). Times are whole microseconds of a clock that never goes back.
+//! Each limiter counts what becomes of the requests to a service ([`load`]) and reports it to its replica. The replica sums
+//! the reports up, determines from the servers' outcomes which rate they can sustain, and sends an admission level
+//! ([`admission_controller`]). Every limiter rejects what lies beyond it ([`admission`]) by the same order ([`priority`]): the
+//! lowest tiers first, and a steady share within the tier at the threshold. A node sheds load of its own by that order as well
+//! ([`overload_detector`]). Times are in microseconds on a monotonic clock.
 
 pub mod admission;
 pub mod admission_controller;
--- a/crates/protocol/src/connections.rs
+++ b/crates/protocol/src/connections.rs
@@ -156,7 +156,7 @@
         self.listeners[number] = None;
     }
 
-    /// Opens a connection; [`Happening::Up`] or [`Happening::Broken`] follows.
+    /// Opens a connection; [`IoEvent::Connected`] or [`IoEvent::Failed`] follows.
     ///
     /// # Errors
     /// The system refuses at once.
--- a/crates/protocol/src/connections/tests.rs
+++ b/crates/protocol/src/connections/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn what_is_beyond_the_inputs_room_waits_and_an_end_is_told_after_what_came() {
+fn input_beyond_the_limit_waits_and_the_end_comes_last() {
     let mut wires = Connections::new(&[]).unwrap();
     let (_, address) = wires.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let near = wires.connect(address, 0).unwrap();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_came_ahead_of_a_reset_is_told_ahead_of_it_also_where_a_write_meets_it_first() {
+fn received_bytes_are_reported_before_a_reset() {
     let mut wires = Connections::new(&[]).unwrap();
     let (_, address) = wires.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let near = wires.connect(address, 0).unwrap();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_was_due_at_any_time_before_is_not_waited_for() {
+fn wait_until_a_past_time_returns_at_once() {
     let mut wires = Connections::new(&[]).unwrap();
     wires
         .wait(Some(i64::MIN), || 1_000_000, &mut Vec::new())
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_key_of_a_connection_that_is_gone_finds_nothing() {
+fn id_of_a_closed_connection_finds_nothing() {
     let mut wires = Connections::new(&[]).unwrap();
     let (_, address) = wires.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let old = wires.connect(address, 0).unwrap();
--- a/crates/protocol/src/digests/tests.rs
+++ b/crates/protocol/src/digests/tests.rs
@@ -2,7 +2,7 @@
 use crate::items::ItemKind;
 
 #[test]
-fn only_the_parts_that_differ_are_told() {
+fn only_differing_buckets_are_found() {
     let item = |at: usize, ver| {
         let name = ItemName {
             kind: ItemKind::Route,
--- a/crates/protocol/src/frames/tests.rs
+++ b/crates/protocol/src/frames/tests.rs
@@ -2,7 +2,7 @@
 use crate::messages::{AgentMessage, CounterAdd};
 
 #[test]
-fn messages_cut_at_every_byte_come_out_whole_and_in_order() {
+fn messages_split_at_every_byte_are_decoded_in_order() {
     let sent = [
         AgentMessage::Clock(5),
         AgentMessage::CounterBatch {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_is_no_message_is_told_apart_from_what_is_not_whole() {
+fn invalid_message_is_distinguished_from_an_incomplete_one() {
     assert_eq!(
         decode::<AgentMessage>(&mut vec![255, 255, 255, 255]),
         Err(DecodeError::TooLong)
--- a/crates/protocol/src/items/tests.rs
+++ b/crates/protocol/src/items/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_call_is_read_whole_and_read_back_as_it_was_sent() {
+fn configuration_is_read_back_as_it_was_sent() {
     let items = parse_patch(CALL.as_bytes(), &Items::new()).unwrap();
     assert_eq!(items.len(), 5);
     assert_eq!(
@@ -36,14 +36,14 @@
 #[test_case(r#""ver":9}]}}"#, r#""ver":9}"#, "call"; "a call that is cut short")]
 #[test_case(r#""meta":{"name":"b","ver":7}"#, r#""meta":{"name":"a","ver":7}"#, "twice"; "one name twice at one version")]
 #[test_case(r#""type":"limits""#, r#""type":"rules""#, "type"; "an unknown kind")]
-fn a_call_with_a_fault_is_refused_by_its_key(from: &str, to: &str, key: &str) {
+fn invalid_call_is_rejected_by_its_key(from: &str, to: &str, key: &str) {
     assert!(CALL.contains(from));
     let error = parse_patch(CALL.replacen(from, to, 1).as_bytes(), &Items::new()).unwrap_err();
     assert!(error.0.contains(key), "{error}");
 }
 
 #[test]
-fn of_one_name_twice_the_higher_version_counts() {
+fn higher_version_of_a_duplicate_item_counts() {
     let call = r#"{"upsert":{"objs":[{"type":"svcs","meta":{"name":"a","ver":7},"spec":{}},
             {"type":"svcs","meta":{"name":"b","ver":5},"spec":{}},{"type":"svcs","meta":{"name":"a","ver":6},"spec":{}}]},
             "remove":{"svcs":[{"name":"b","ver":9}]}}"#;
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_change_is_checked_against_the_few_items_that_it_names() {
+fn change_is_checked_only_against_items_it_names() {
     struct Few(Items);
     impl ItemLookup for Few {
         fn find_item(&self, name: &ItemName) -> Option<&Item> {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_service_that_a_standing_route_names_is_not_dropped() {
+fn service_named_by_a_route_is_not_removed() {
     let standing = stand(parse_patch(CALL.as_bytes(), &Items::new()).unwrap());
     let drop = |ver: u64| format!(r#"{{"remove":{{"svcs":[{{"name":"b","ver":{ver}}}]}}}}"#);
     assert!(parse_patch(drop(8).as_bytes(), &standing).is_err());
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn no_drop_is_refused_for_a_route_that_names_another_service_that_is_gone() {
+fn removal_is_valid_beside_a_route_with_another_missing_service() {
     let mut standing = stand(parse_patch(CALL.as_bytes(), &Items::new()).unwrap());
     // The route and this drop were taken at two replicas at once.
     let name = ItemName {
--- a/crates/protocol/src/log_ring/tests.rs
+++ b/crates/protocol/src/log_ring/tests.rs
@@ -2,7 +2,7 @@
 use slog::info;
 
 #[test]
-fn the_ring_holds_the_newest_lines_and_says_what_is_gone() {
+fn log_ring_keeps_the_newest_lines() {
     let ring = LogRing::default();
     let log = ring.logger("proxy", "edge-1");
     (0..MAX_LINES + 3).for_each(|n| info!(log, "line {}", n; "peer" => "10.0.0.1"));
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -67,9 +67,10 @@
     /// Renews the lease; a proxy's only message about itself.
     Heartbeat(NodeState),
     /// The limiters' clock as the agent has it, 0 if it has not received it: the first message on a link to the counter, the
-    /// second on a link to another replica, and sent now and then. Answered by [`Down::Time`].
+    /// second on a link to another replica, and sent now and then. Answered by [`ControlMessage::Clock`].
     Clock(i64),
-    /// Additions to the shared counter, in order; answered by [`Down::Totals`] or [`Down::NotCounted`] of the same batch.
+    /// Additions to the shared counter, in order; answered by [`ControlMessage::Totals`] or
+    /// [`ControlMessage::NotCounted`] of the same batch.
     CounterBatch {
         /// The number of the batch on this link.
         batch: u64,
--- a/crates/protocol/src/platform/tests.rs
+++ b/crates/protocol/src/platform/tests.rs
@@ -6,7 +6,7 @@
         "next_cursor":"p-50"}"#;
 
 #[test]
-fn columns_give_the_order_and_null_is_left_out() {
+fn page_is_read_by_its_column_names() {
     let read = parse_page(PAGE.as_bytes()).unwrap();
     assert_eq!(read.next.as_deref(), Some("p-50"));
     assert_eq!(
@@ -30,7 +30,7 @@
 #[test_case(r#""i-8""#, "null", "id"; "a server without an id")]
 #[test_case("10.128.0.8:8080", "nowhere", "addr"; "an address that is none")]
 #[test_case("next_cursor\":\"p-50\"}", "", "list"; "a page that is cut off")]
-fn a_page_that_is_not_whole_counts_for_nothing(from: &str, to: &str, key: &str) {
+fn invalid_page_is_rejected(from: &str, to: &str, key: &str) {
     let error = format!(
         "{:#}",
         parse_page(PAGE.replacen(from, to, 1).as_bytes()).unwrap_err()
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -212,7 +212,7 @@
     /// Reads a settings file.
     ///
     /// # Errors
-    /// The file can't be read, or [`Settings::read`] finds an error.
+    /// The file can't be read, or [`Settings::parse`] finds an error.
     pub fn load(path: &Path) -> eyre::Result<Settings> {
         let text = std::fs::read_to_string(path)
             .wrap_err_with(|| format!("reading {}", path.display()))?;
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_frame_is_the_length_and_then_the_message() {
+fn frame_is_a_length_and_a_message() {
     let mut bytes = Vec::new();
     frames::encode(&mut bytes, &AgentMessage::Clock(5));
     frames::encode(&mut bytes, &ControlMessage::Complete);
@@ -263,7 +263,7 @@
     "remove":{"routes":[{"name":"old","ver":9}]}}"#;
 
 #[test]
-fn an_operators_call_is_read_by_the_names_of_the_pages_and_read_back() {
+fn operators_call_keeps_the_names_of_the_pages() {
     let items = parse_patch(CALL.as_bytes(), &Items::new()).unwrap();
     insta::assert_snapshot!(
         "configuration",
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn the_platforms_list_is_read_by_the_names_of_the_pages() {
+fn platforms_list_keeps_the_names_of_the_pages() {
     let page = r#"{"insts":{"cols":["svc","addr","zone","ver","slots","state","warm_left","id"],
         "rows":[["records","10.128.0.9:8080","alajuela","v1",300,"up","1.5s","i-7"],
                 ["records","10.128.0.8:8080","alajuela",null,null,"draining",null,"i-8"]]},"next_cursor":"p-50"}"#;
--- a/crates/protocol/tests/repeated_calls.rs
+++ b/crates/protocol/tests/repeated_calls.rs
@@ -39,7 +39,7 @@
 
 #[test_case(&[route("r", 2, "b")]; "the route goes to another service")]
 #[test_case(&[]; "the route was dropped")]
-fn a_call_is_in_order_again_after_its_service_was_dropped(moved: &[String]) {
+fn repeated_call_is_valid_after_its_service_was_removed(moved: &[String]) {
     let call = set(&[SERVICE, &route("r", 1, "a")]);
     let other = r#"{"type":"svcs","meta":{"name":"b","ver":1},"spec":{}}"#;
     let moved: Vec<&str> = moved.iter().map(String::as_str).collect();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_drop_is_in_order_again_and_beside_a_route_that_it_has_nothing_to_do_with() {
+fn repeated_removal_is_valid_beside_unrelated_routes() {
     let calls = [set(&[SERVICE]), drop("svcs", "a", 2)];
     let mut standing = after(&calls);
     // Taken elsewhere at the same time as the drop: a route that names what is gone.
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -62,7 +62,7 @@
     Stop(RequestHandle, u32),
     /// Give the final answer.
     Answer(RequestKey, Ending),
-    /// Add to the shared count; [`RequestRouter::counted`] follows.
+    /// Add to the shared count; [`RequestRouter::handle_count`] follows.
     Count(CounterAdd),
     /// Look whether a server is well, for the engine of this position.
     Probe(usize, ServerId),
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Takes a request; [`RequestRouter::turn`] says what follows. None if too many are held.
+    /// Takes a request; [`RequestRouter::run`] says what follows. None if too many are held.
     pub fn take(&mut self, now: Micros, asked: &RoutingRequest<'_>) -> Option<RequestHandle> {
         let basin = self.has(asked.svc, asked.pins)?;
         let asker = asked.asker();
