--- a/crates/control/src/core/acceptor.rs
+++ b/crates/control/src/core/acceptor.rs
@@ -6,8 +6,9 @@
 
 use super::chosen::LearnOutcome;
 use super::handover::Handover;
+use super::ids::Ballot;
 use super::outbox::PendingWrite;
-use super::peer_messages::{Ballot, Payload};
+use super::peer_messages::Payload;
 use super::{Output, Record, Replica};
 
 impl Replica {
--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -6,7 +6,7 @@
 use protocol::items::{Item, ItemName};
 use protocol::messages::{AgentMessage, ClusterView, ControlMessage, CounterAdd, NodeInfo};
 
-use super::peer_messages::{ReplicaId, SingletonRole};
+use super::ids::{ReplicaId, SingletonRole};
 use super::transfer::split_into_chunks;
 use super::{Output, Replica};
 use crate::limits;
--- a/crates/control/src/core/anti_entropy.rs
+++ b/crates/control/src/core/anti_entropy.rs
@@ -10,7 +10,8 @@
 use protocol::digests;
 use protocol::items::Item;
 
-use super::peer_messages::{Ballot, Payload};
+use super::ids::Ballot;
+use super::peer_messages::Payload;
 use super::replicas::Sender;
 use super::transfer::{Continuation, TransferLimits, continuations, split_into_chunks};
 use super::{Output, Replica};
--- a/crates/control/src/core/catch_up.rs
+++ b/crates/control/src/core/catch_up.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use super::anti_entropy::DigestExchange;
-use super::peer_messages::{Incarnation, ReplicaId};
+use super::ids::{Incarnation, ReplicaId};
 use super::replicas::Sender;
 use super::{Output, Replica};
 use crate::limits;
--- a/crates/control/src/core/chosen.rs
+++ b/crates/control/src/core/chosen.rs
@@ -6,7 +6,7 @@
 use protocol::digests::Digests;
 use protocol::items::{Item, ItemLookup, ItemName};
 
-use super::peer_messages::Ballot;
+use super::ids::Ballot;
 use super::registers::entry_digest;
 
 /// The items that are known to be chosen, removed ones included.
--- a/crates/control/src/core/dispatch.rs
+++ b/crates/control/src/core/dispatch.rs
@@ -2,7 +2,8 @@
 
 use std::net::SocketAddr;
 
-use super::peer_messages::{Incarnation, Payload, PeerMessage};
+use super::ids::Incarnation;
+use super::peer_messages::{Payload, PeerMessage};
 use super::replicas::Sender;
 use super::role_lease::{LeaseRelease, LeaseRequest};
 use super::{Input, Output, Replica};
--- a/crates/control/src/core/events.rs
+++ b/crates/control/src/core/events.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use super::peer_messages::{Incarnation, ReplicaId, SingletonRole};
+use super::ids::{Incarnation, ReplicaId, SingletonRole};
 
 /// An event of a replica. Its [`message`](Event::message) is fixed; the rest is logged as key-values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/control/src/core/handover.rs
+++ b/crates/control/src/core/handover.rs
@@ -10,8 +10,9 @@
 use protocol::items::{Item, ItemName};
 
 use super::chosen::ChosenItems;
+use super::ids::{Ballot, Incarnation, ReplicaId};
 use super::outbox::PendingWrite;
-use super::peer_messages::{Ballot, Incarnation, Payload, ReplicaId};
+use super::peer_messages::Payload;
 use super::replicas::Sender;
 use super::transfer::{TransferLimits, split_into_chunks};
 use super::{Output, Replica};
--- a/crates/control/src/core/heartbeat.rs
+++ b/crates/control/src/core/heartbeat.rs
@@ -4,7 +4,8 @@
 
 use super::agents::Announcement;
 use super::events::Event;
-use super::peer_messages::{Heartbeat, Incarnation, Payload};
+use super::ids::Incarnation;
+use super::peer_messages::{Heartbeat, Payload};
 use super::recovery::Recovery;
 use super::replicas::Sender;
 use super::{Output, Record, Replica};
--- a/crates/control/src/core/interface.rs
+++ b/crates/control/src/core/interface.rs
@@ -9,7 +9,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::events::Event;
-use super::peer_messages::{Ballot, Incarnation, PeerMessage, SingletonRole, Term};
+use super::ids::{Ballot, Incarnation, SingletonRole, Term};
+use super::peer_messages::PeerMessage;
 use super::registers::Register;
 use super::transfer::TransferLimits;
 use crate::operator_api::{Command, Reply};
@@ -25,9 +26,9 @@
     pub floor: Ballot,
     /// The newest term granted for each role, followed by the newest term of each role that was seen to be held.
     pub terms: Vec<Term>,
-    /// The newest known incarnation of each replica, by [`ReplicaId`](super::peer_messages::ReplicaId).
+    /// The newest known incarnation of each replica, by [`ReplicaId`](super::ids::ReplicaId).
     pub incarnations: Vec<Incarnation>,
-    /// The confirmed address of each replica, by [`ReplicaId`](super::peer_messages::ReplicaId).
+    /// The confirmed address of each replica, by [`ReplicaId`](super::ids::ReplicaId).
     pub addresses: Vec<Option<SocketAddr>>,
 }
 
--- a/crates/control/src/core/load_aggregation.rs
+++ b/crates/control/src/core/load_aggregation.rs
@@ -9,7 +9,8 @@
 use overload::load::LoadReport;
 use protocol::messages::ControlMessage;
 
-use super::peer_messages::{Payload, ReplicaId};
+use super::ids::ReplicaId;
+use super::peer_messages::Payload;
 use super::replicas::Sender;
 use super::{Output, Replica};
 
--- a/crates/control/src/core/membership.rs
+++ b/crates/control/src/core/membership.rs
@@ -7,7 +7,8 @@
 
 use protocol::messages::{NodeInfo, NodeState};
 
-use super::peer_messages::{Member, MembershipDelta, Payload, ReplicaId};
+use super::ids::ReplicaId;
+use super::peer_messages::{Member, MembershipDelta, Payload};
 use super::replicas::Sender;
 use super::{Output, Replica};
 use crate::limits;
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -8,7 +8,7 @@
 //! | concern | modules |
 //! | --- | --- |
 //! | inputs, outputs, log events | [`interface`], [`events`], [`peer_messages`], `dispatch`, `outbox` |
-//! | which machine holds each replica | [`replicas`], [`recovery`], `reclaim`, `handover` |
+//! | which machine holds each replica | [`ids`], [`replicas`], [`recovery`], `reclaim`, `handover` |
 //! | agreement on items | [`registers`], `acceptor`, [`proposal`], `proposals`, [`pending_proposals`], [`chosen`] |
 //! | operators' calls | `operator_calls`, `quorum_read`, [`status`] |
 //! | catching up after losses | `heartbeat`, `catch_up`, `anti_entropy`, [`transfer`] |
@@ -25,6 +25,7 @@
 pub mod events;
 mod handover;
 mod heartbeat;
+pub mod ids;
 pub mod interface;
 mod load_aggregation;
 pub mod membership;
@@ -55,10 +56,11 @@
 use self::chosen::ChosenItems;
 use self::counter::SharedCounter;
 use self::handover::Handover;
+use self::ids::{Incarnation, ProcessId, ReplicaId, SingletonRole};
 use self::load_aggregation::LoadAggregation;
 use self::membership::Membership;
 use self::outbox::DiskState;
-use self::peer_messages::{Incarnation, Member, ProcessId, ReplicaId, SingletonRole};
+use self::peer_messages::Member;
 use self::pending_proposals::PendingProposals;
 use self::proposals::Proposals;
 use self::quorum_read::QuorumReads;
--- a/crates/control/src/core/outbox.rs
+++ b/crates/control/src/core/outbox.rs
@@ -4,7 +4,8 @@
 use std::net::SocketAddr;
 
 use super::events::Event;
-use super::peer_messages::{Incarnation, Payload, PeerMessage, Term, TransferRequest};
+use super::ids::{Incarnation, Term};
+use super::peer_messages::{Payload, PeerMessage, TransferRequest};
 use super::replicas::Sender;
 use super::role_lease::RoleLease;
 use super::{Output, Record, Replica, ReplicaMetadata};
--- a/crates/control/src/core/pending_proposals.rs
+++ b/crates/control/src/core/pending_proposals.rs
@@ -5,7 +5,7 @@
 
 use protocol::items::ItemName;
 
-use super::peer_messages::ReplicaId;
+use super::ids::ReplicaId;
 use crate::limits;
 
 /// The registers of one replica that may need a repair.
--- a/crates/control/src/core/proposal.rs
+++ b/crates/control/src/core/proposal.rs
@@ -6,8 +6,10 @@
 use protocol::items::{Item, ItemName, has_same_content};
 
 use super::chosen::ChosenItems;
-use super::peer_messages::{Ballot, Incarnation, Payload, ReplicaId};
-use super::replicas::{ReplicaTable, Voter};
+use super::ids::Voter;
+use super::ids::{Ballot, Incarnation, ReplicaId};
+use super::peer_messages::Payload;
+use super::replicas::ReplicaTable;
 use crate::limits;
 
 /// What a proposal is to achieve.
--- a/crates/control/src/core/proposals.rs
+++ b/crates/control/src/core/proposals.rs
@@ -4,8 +4,9 @@
 
 use protocol::items::ItemName;
 
+use super::ids::{Ballot, ReplicaId};
 use super::operator_calls::DISK_REJECTS_WRITES;
-use super::peer_messages::{Ballot, Payload, ReplicaId};
+use super::peer_messages::Payload;
 use super::proposal::{Action, Intent, Outcome, Proposal};
 use super::replicas::Sender;
 use super::role_lease::LeaseVote;
--- a/crates/control/src/core/quorum_read.rs
+++ b/crates/control/src/core/quorum_read.rs
@@ -6,9 +6,11 @@
 use protocol::items::{self, Item, ItemKind, ItemName, Items};
 
 use super::chosen::ChosenItems;
-use super::peer_messages::{Ballot, Incarnation, Payload, ReplicaId, RequestId, TransferRequest};
+use super::ids::Voter;
+use super::ids::{Ballot, Incarnation, ReplicaId, RequestId};
+use super::peer_messages::{Payload, TransferRequest};
 use super::proposals::NO_QUORUM;
-use super::replicas::{Sender, Voter};
+use super::replicas::Sender;
 use super::transfer::{Chunk, Continuation, SourceProgress};
 use super::{Output, Replica};
 use crate::limits;
--- a/crates/control/src/core/reclaim.rs
+++ b/crates/control/src/core/reclaim.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use super::events::Event;
-use super::peer_messages::{Incarnation, ReplicaId};
+use super::ids::{Incarnation, ReplicaId};
 use super::recovery::Recovery;
 use super::{Output, Replica};
 use crate::limits;
--- a/crates/control/src/core/recovery.rs
+++ b/crates/control/src/core/recovery.rs
@@ -11,12 +11,12 @@
 use protocol::items::{Item, ItemName};
 
 use super::events::Event;
+use super::ids::Voter;
+use super::ids::{Ballot, Incarnation, ReplicaId, SingletonRole, Term};
 use super::outbox::PendingWrite;
-use super::peer_messages::{
-    Ballot, Incarnation, Payload, ReplicaId, SingletonRole, Term, TransferRequest,
-};
+use super::peer_messages::{Payload, TransferRequest};
 use super::registers::entry_digest;
-use super::replicas::{ReplicaTable, Sender, Voter};
+use super::replicas::{ReplicaTable, Sender};
 use super::role_lease::{RoleLease, StoredTerms};
 use super::transfer::{Chunk, Continuation, SourceProgress};
 use super::{Output, Record, Replica};
--- a/crates/control/src/core/registers.rs
+++ b/crates/control/src/core/registers.rs
@@ -12,7 +12,8 @@
 use protocol::items::{Item, ItemName};
 use serde::{Deserialize, Serialize};
 
-use super::peer_messages::{Ballot, TransferRequest};
+use super::ids::Ballot;
+use super::peer_messages::TransferRequest;
 use super::transfer::{self, Chunk, TransferLimits};
 
 /// A register of one replica.
--- a/crates/control/src/core/replicas.rs
+++ b/crates/control/src/core/replicas.rs
@@ -3,18 +3,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::peer_messages::{Incarnation, Payload, PeerMessage, ProcessId, ReplicaId};
+use super::ids::{Incarnation, ProcessId, ReplicaId, Voter};
+use super::peer_messages::{Payload, PeerMessage};
 use crate::limits;
 
-/// A replica in one incarnation: whose vote it is.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Voter {
-    /// The replica.
-    pub replica: ReplicaId,
-    /// Its incarnation.
-    pub incarnation: Incarnation,
-}
-
 /// The process that sent a message, and the address at which it is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Sender {
--- a/crates/control/src/core/role_lease.rs
+++ b/crates/control/src/core/role_lease.rs
@@ -13,9 +13,11 @@
 use std::net::SocketAddr;
 
 use super::events::Event;
+use super::ids::Voter;
+use super::ids::{Incarnation, ProcessId, ReplicaId, SingletonRole, Term};
 use super::outbox::PendingWrite;
-use super::peer_messages::{Incarnation, Payload, ProcessId, ReplicaId, SingletonRole, Term};
-use super::replicas::{ReplicaTable, Voter};
+use super::peer_messages::Payload;
+use super::replicas::ReplicaTable;
 use super::{Output, Record, Replica};
 use crate::limits;
 
--- a/crates/control/src/core/server_list.rs
+++ b/crates/control/src/core/server_list.rs
@@ -4,7 +4,8 @@
 
 use protocol::platform::Server;
 
-use super::peer_messages::{Payload, SingletonRole};
+use super::ids::SingletonRole;
+use super::peer_messages::Payload;
 use super::role_lease::RoleLease;
 use super::{Output, Replica};
 
--- a/crates/control/src/core/status.rs
+++ b/crates/control/src/core/status.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::Replica;
+use super::ids::{ReplicaId, SingletonRole};
 use super::membership::LocatedMember;
-use super::peer_messages::{ReplicaId, SingletonRole};
 use crate::limits;
 
 /// How one replica sees the system.
--- a/crates/control/src/core/status/tests.rs
+++ b/crates/control/src/core/status/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::peer_messages::{Ballot, Incarnation};
+use crate::core::ids::{Ballot, Incarnation};
 use crate::core::{Input, Output, RecoveredState, ReplicaConfig, ReplicaMetadata};
 use crate::operator_api::{Command, Reply};
 use protocol::digests::Digests;
--- a/crates/control/src/core/transfer.rs
+++ b/crates/control/src/core/transfer.rs
@@ -8,7 +8,7 @@
 use protocol::items::{Item, ItemName};
 use serde::{Deserialize, Serialize};
 
-use super::peer_messages::{Ballot, Incarnation};
+use super::ids::{Ballot, Incarnation};
 use crate::limits;
 
 /// What follows a chunk.
--- a/crates/control/src/disk/mod.rs
+++ b/crates/control/src/disk/mod.rs
@@ -24,7 +24,7 @@
 use rusqlite::config::DbConfig;
 use rusqlite::{Connection, ErrorCode, OpenFlags, ffi};
 
-use crate::core::peer_messages::Incarnation;
+use crate::core::ids::Incarnation;
 use crate::core::{Record, RecoveredState};
 
 pub use self::records::{CorruptRecord, Corruption};
--- a/crates/control/src/disk/records.rs
+++ b/crates/control/src/disk/records.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::core::peer_messages::Ballot;
+use crate::core::ids::Ballot;
 use crate::core::registers::Register;
 use crate::core::{Record, RecoveredState, ReplicaMetadata};
 
--- a/crates/control/src/disk/tests/cuts.rs
+++ b/crates/control/src/disk/tests/cuts.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 use crate::core::ReplicaMetadata;
-use crate::core::peer_messages::Incarnation;
+use crate::core::ids::Incarnation;
 
 /// A write that may be there, missing or torn.
 #[derive(Clone)]
--- a/crates/control/src/disk/tests/harm.rs
+++ b/crates/control/src/disk/tests/harm.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 use crate::core::RecoveredState;
-use crate::core::peer_messages::Incarnation;
+use crate::core::ids::Incarnation;
 use crate::disk::{DATABASE_FILE, verify, verify_file};
 
 const LOG: &str = "headworks.db-wal";
--- a/crates/control/src/disk/tests/mod.rs
+++ b/crates/control/src/disk/tests/mod.rs
@@ -25,7 +25,7 @@
 
 use super::{FileAccess, OpenedStore, Store};
 use crate::core::Record;
-use crate::core::peer_messages::Ballot;
+use crate::core::ids::Ballot;
 use crate::core::registers::Register;
 
 /// What was done to the files of a folder.
--- a/crates/control/src/host/http_calls.rs
+++ b/crates/control/src/host/http_calls.rs
@@ -9,7 +9,7 @@
 use super::connections::Role;
 use super::platform_poller::{PlatformPoller, PollResult};
 use crate::core::Input;
-use crate::core::peer_messages::SingletonRole;
+use crate::core::ids::SingletonRole;
 use crate::dataplane_types::{ConnectionKey, Malformed, Request, write_answer};
 use crate::operator_api::{self, Reply};
 use crate::{limits, lookup};
--- a/crates/control/tests/answers.rs
+++ b/crates/control/tests/answers.rs
@@ -2,9 +2,8 @@
 
 use std::net::SocketAddr;
 
-use control::core::peer_messages::{
-    Heartbeat, Incarnation, Payload, PeerMessage, ProcessId, RequestId, SingletonRole, Term,
-};
+use control::core::ids::{Incarnation, ProcessId, RequestId, SingletonRole, Term};
+use control::core::peer_messages::{Heartbeat, Payload, PeerMessage};
 use control::core::transfer::{Chunk, Continuation, TransferLimits};
 use control::core::{Input, Output, RecoveredState, Replica, ReplicaConfig, ReplicaMetadata};
 use control::operator_api::Command;
--- a/crates/control/tests/core.rs
+++ b/crates/control/tests/core.rs
@@ -1,8 +1,7 @@
 //! The control state: timelines of six replicas, one column each, two to a region.
 
-use control::core::peer_messages::{
-    Ballot, Incarnation, Payload, PeerMessage, ProcessId, SingletonRole,
-};
+use control::core::ids::{Ballot, Incarnation, ProcessId, SingletonRole};
+use control::core::peer_messages::{Payload, PeerMessage};
 use control::core::{Input, Output, RecoveredState, Replica, ReplicaConfig, ReplicaMetadata};
 use control::operator_api::{Command, Reply};
 use protocol::items::{ItemKind, ItemName};
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -1,7 +1,7 @@
 //! A replica that hears no majority, or has only just heard one again: what it says to whom.
 
 use control::core::Input;
-use control::core::peer_messages::SingletonRole;
+use control::core::ids::SingletonRole;
 use control::operator_api::{Command, Reply};
 use protocol::messages::{AgentMessage, ControlMessage, CounterAdd, NodeInfo, NodeState};
 use simulation::cluster::{Cluster, MS, SECOND, service};
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -9,9 +9,9 @@
 
 use common::{encodings, variants};
 use control::core::ReplicaMetadata;
+use control::core::ids::{Ballot, Incarnation, ProcessId, RequestId, SingletonRole, Term};
 use control::core::peer_messages::{
-    Ballot, Frame, Heartbeat, Incarnation, Member, MembershipDelta, Payload, PeerMessage,
-    ProcessId, RequestId, SingletonRole, Term, TransferRequest,
+    Frame, Heartbeat, Member, MembershipDelta, Payload, PeerMessage, TransferRequest,
 };
 use control::core::registers::Register;
 use control::core::status::{LimiterStatus, ReplicaStatus, RoleStatus, Status};
--- a/crates/control/tests/proposals.rs
+++ b/crates/control/tests/proposals.rs
@@ -3,9 +3,11 @@
 use std::net::SocketAddr;
 
 use control::core::chosen::ChosenItems;
-use control::core::peer_messages::{Ballot, Incarnation, Payload, ProcessId, ReplicaId};
+use control::core::ids::Voter;
+use control::core::ids::{Ballot, Incarnation, ProcessId, ReplicaId};
+use control::core::peer_messages::Payload;
 use control::core::proposal::{Action, Intent, Outcome, Proposal};
-use control::core::replicas::{ReplicaTable, Voter};
+use control::core::replicas::ReplicaTable;
 use protocol::items::{Item, ItemKind, ItemName};
 use test_case::test_case;
 
--- a/crates/control/tests/transfers.rs
+++ b/crates/control/tests/transfers.rs
@@ -1,6 +1,7 @@
 //! State transfers as one replica's core carries them out: to an agent, and by question and answer between replicas.
 
-use control::core::peer_messages::{Ballot, Incarnation, Payload, PeerMessage, ProcessId};
+use control::core::ids::{Ballot, Incarnation, ProcessId};
+use control::core::peer_messages::{Payload, PeerMessage};
 use control::core::registers::Register;
 use control::core::transfer::{Continuation, TransferLimits};
 use control::core::{Input, Output, RecoveredState, Replica, ReplicaConfig, ReplicaMetadata};
--- a/crates/model-check/tests/side_by_side/names.rs
+++ b/crates/model-check/tests/side_by_side/names.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use control::core::peer_messages as code;
+use control::core::ids as code;
 use model_check::numbers::{Ballot, Incarnation, Value};
 use model_check::state::{REPLICAS, Table};
 use protocol::items::{Item, ItemKind, ItemName};
--- a/crates/model-check/tests/side_by_side/world.rs
+++ b/crates/model-check/tests/side_by_side/world.rs
@@ -3,7 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use control::core::peer_messages::{self as code, Heartbeat, Payload, PeerMessage};
+use control::core::ids;
+use control::core::peer_messages::{Heartbeat, Payload, PeerMessage};
 use control::core::registers::Register;
 use control::core::transfer::{Continuation, TransferLimits};
 use control::core::{
@@ -28,7 +29,7 @@
 struct Disk {
     own: ReplicaMetadata,
     register: Option<Register>,
-    chosen: Option<(code::Ballot, Item)>,
+    chosen: Option<(ids::Ballot, Item)>,
 }
 
 /// A message on its way.
@@ -76,14 +77,14 @@
         let mut disks = vec![Disk::default(); machines];
         for (replica, disk) in disks.iter_mut().enumerate().take(replicas) {
             disk.own = ReplicaMetadata {
-                incarnation: code::Incarnation::FIRST,
-                incarnations: vec![code::Incarnation::FIRST; replicas],
+                incarnation: ids::Incarnation::FIRST,
+                incarnations: vec![ids::Incarnation::FIRST; replicas],
                 addresses: (0..replicas)
                     .map(|replica| Some(address(replica)))
                     .collect(),
                 ..ReplicaMetadata::default()
             };
-            names.run(replica, code::Incarnation::FIRST, 1, 0);
+            names.run(replica, ids::Incarnation::FIRST, 1, 0);
         }
         let mut world = World {
             state: State::first(replicas),
@@ -106,12 +107,12 @@
     }
 
     /// Starts a core with what is on its disk. Gives the incarnation that it asks the others to record.
-    fn start(&mut self, machine: usize, seed: u64) -> Option<code::Incarnation> {
+    fn start(&mut self, machine: usize, seed: u64) -> Option<ids::Incarnation> {
         let zones: Vec<String> = (0..self.state.replicas())
             .map(|zone| format!("z{zone}"))
             .collect();
         let disk = &mut self.disks[machine];
-        let empty = disk.own.incarnation == code::Incarnation::NONE;
+        let empty = disk.own.incarnation == ids::Incarnation::NONE;
         if empty {
             *disk = Disk::default();
         } else {
@@ -264,12 +265,12 @@
         from: usize,
         body: Payload,
     ) -> Given {
-        let by = code::ProcessId {
+        let by = ids::ProcessId {
             replica: replica as u8,
             incarnation: self.names.real(replica, known),
             run: 0,
         };
-        let incarnations = vec![code::Incarnation::NONE; self.state.replicas()];
+        let incarnations = vec![ids::Incarnation::NONE; self.state.replicas()];
         self.feed(
             at,
             Input::PeerMessage(
@@ -385,7 +386,7 @@
         }
     }
 
-    fn begin(&mut self, replica: usize, at: usize, real: code::Incarnation) -> Option<u8> {
+    fn begin(&mut self, replica: usize, at: usize, real: ids::Incarnation) -> Option<u8> {
         let rank = self.names.begin(replica, at, real);
         self.over |= rank.is_none();
         rank
@@ -421,7 +422,7 @@
         self.compare(at);
     }
 
-    fn real_chosen(&self, ballot: Ballot) -> Option<(code::Ballot, Item)> {
+    fn real_chosen(&self, ballot: Ballot) -> Option<(ids::Ballot, Item)> {
         let mut chosen = self.disks.iter().filter_map(|disk| disk.chosen.as_ref());
         chosen
             .find(|(real, _)| self.names.ballot(*real) == ballot)
@@ -672,7 +673,7 @@
         &mut self,
         at: usize,
         replica: usize,
-        incarnation: code::Incarnation,
+        incarnation: ids::Incarnation,
         anew: bool,
         given: &Given,
     ) {
@@ -705,7 +706,7 @@
         self.count("records");
     }
 
-    fn recorded(&mut self, at: usize, incarnation: code::Incarnation, vote: Vote) {
+    fn recorded(&mut self, at: usize, incarnation: ids::Incarnation, vote: Vote) {
         // One that begins anew keeps what it has gathered, and is told no more of it.
         let (floor, accepted) = self.gathered[at];
         let (floor, accepted) = (floor.max(vote.floor), accepted.max(vote.accepted));
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -5,7 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use control::core::peer_messages::{Incarnation, PeerMessage, SingletonRole};
+use control::core::ids::{Incarnation, SingletonRole};
+use control::core::peer_messages::PeerMessage;
 use control::core::{Input, Output, Record, Replica, ReplicaMetadata};
 use control::operator_api::{Command, Reply};
 use protocol::items::ItemName;
--- a/crates/simulation/src/cluster/lines.rs
+++ b/crates/simulation/src/cluster/lines.rs
@@ -1,6 +1,6 @@
 //! Timelines as text.
 
-use control::core::peer_messages::SingletonRole;
+use control::core::ids::SingletonRole;
 use control::operator_api::Command;
 
 use super::{Cluster, Node};
--- a/crates/simulation/src/cluster/machines.rs
+++ b/crates/simulation/src/cluster/machines.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use control::core::peer_messages::Incarnation;
+use control::core::ids::Incarnation;
 use control::core::transfer::TransferLimits;
 use control::core::{Input, Replica, ReplicaConfig};
 use control::limits::{CALL_TIMEOUT, PEER_LINK_TIMEOUT};
--- a/crates/simulation/src/cluster/watch.rs
+++ b/crates/simulation/src/cluster/watch.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use control::core::Replica;
-use control::core::peer_messages::SingletonRole;
+use control::core::ids::SingletonRole;
 use control::limits::GRANT_DURATION;
 use protocol::items::{Item, ItemName};
 
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use control::core::peer_messages::{Ballot, Incarnation};
+use control::core::ids::{Ballot, Incarnation};
 use control::core::registers::Register;
 use control::core::{Record, RecoveredState, ReplicaMetadata};
 use protocol::items::{Item, ItemName};
--- a/crates/simulation/src/harm.rs
+++ b/crates/simulation/src/harm.rs
@@ -3,9 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use control::core::Input;
-use control::core::peer_messages::{
-    Ballot, Incarnation, Payload, PeerMessage, ProcessId, ReplicaId, SingletonRole,
-};
+use control::core::ids::{Ballot, Incarnation, ProcessId, ReplicaId, SingletonRole};
+use control::core::peer_messages::{Payload, PeerMessage};
 use control::core::transfer::{Chunk, Continuation};
 use control::operator_api::Reply;
 use protocol::items::{Item, ItemName};
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -11,7 +11,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use control::core::peer_messages::Incarnation;
+use control::core::ids::Incarnation;
 use protocol::items::ItemName;
 
 pub use self::asks::{DROPPED_ONCE, REFERRED};
--- a/crates/simulation/src/play/copies.rs
+++ b/crates/simulation/src/play/copies.rs
@@ -1,6 +1,6 @@
 //! Copies: on how many disks an acknowledged change stands, at every moment of a schedule.
 
-use control::core::peer_messages::Incarnation;
+use control::core::ids::Incarnation;
 
 use super::{Player, SYNC};
 use crate::cluster::MS;
--- a/crates/simulation/src/play/holder.rs
+++ b/crates/simulation/src/play/holder.rs
@@ -1,6 +1,6 @@
 //! Trouble at the replica that holds the shared count at that instant.
 
-use control::core::peer_messages::SingletonRole;
+use control::core::ids::SingletonRole;
 
 use super::Player;
 use crate::schedule::Holder;
--- a/crates/simulation/src/play/rules.rs
+++ b/crates/simulation/src/play/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use control::core::Input;
-use control::core::peer_messages::SingletonRole;
+use control::core::ids::SingletonRole;
 use control::operator_api::{Command, Reply};
 use protocol::items::ItemKind;
 use protocol::messages::NodeState;
--- a/crates/simulation/src/play/transfers.rs
+++ b/crates/simulation/src/play/transfers.rs
@@ -2,7 +2,7 @@
 //! was away knows all that was acknowledged.
 
 use control::core::Replica;
-use control::core::peer_messages::Incarnation;
+use control::core::ids::Incarnation;
 use protocol::items::Item;
 
 use super::Player;
--- a/crates/simulation/src/scale/world.rs
+++ b/crates/simulation/src/scale/world.rs
@@ -8,7 +8,8 @@
 
 use agent::config_cache::ConfigCache;
 use agent::replica_selection::{HOME_RETRY_INTERVAL, ReplicaSelection};
-use control::core::peer_messages::{Ballot, Incarnation, PeerMessage};
+use control::core::ids::{Ballot, Incarnation};
+use control::core::peer_messages::PeerMessage;
 use control::core::registers::Register;
 use control::core::transfer::TransferLimits;
 use control::core::{Input, Output, RecoveredState, Replica, ReplicaConfig, ReplicaMetadata};
