--- a/crates/overload/src/admission.rs
+++ b/crates/overload/src/admission.rs
@@ -1,4 +1,5 @@
-//! One limiter's side: what it counts, what it was told, and what it goes by when it hears nothing.
+//! Admission control at one limiter: the load it reports, the levels it received, and its own
+//! decision while it receives none.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +10,9 @@
 #[derive(Clone, Debug)]
 struct Service {
     load: LoadCounts,
-    /// What was told, and when it was judged.
+    /// The latest level, and when the replica computed it.
     levels: Option<(AdmissionLevel, Micros)>,
-    /// Judges from own figures alone while nothing is told.
+    /// Evaluates this limiter's own reports while no levels arrive.
     local: AdmissionController,
 }
 
@@ -29,12 +30,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
     services: BTreeMap<String, Service>,
-    /// When home was last heard.
+    /// When the latest levels were computed.
     levels_received_at: Option<Micros>,
 }
 
 impl Admission {
-    /// The border for a service: requests beyond it are turned away.
+    /// The admission threshold of a service: requests beyond this position are rejected.
     pub fn threshold(&self, now: Micros, svc: &str) -> f64 {
         let Some(service) = self.services.get(svc) else {
             return 1.0;
@@ -49,31 +50,31 @@
         }
     }
 
-    /// A request came for a service; `sent`: it was let through.
+    /// Counts a request for a service; `sent`: it was admitted.
     pub fn record_request(&mut self, svc: &str, band: usize, sent: bool) {
         if !self.services.contains_key(svc) {
             self.services.insert(svc.to_string(), Service::default());
         }
         if let Some(service) = self.services.get_mut(svc) {
-            service.load.came(band, sent);
+            service.load.record_request(band, sent);
         }
     }
 
-    /// A request that was let through was refused for its tenant's quota.
+    /// Removes an admitted request from the counts: its tenant was over its quota.
     pub fn record_over_quota(&mut self, svc: &str, band: usize) {
         if let Some(service) = self.services.get_mut(svc) {
-            service.load.over_quota(band);
+            service.load.record_over_quota(band);
         }
     }
 
-    /// Something became of a request.
-    pub fn record_outcome(&mut self, now: Micros, svc: &str, sign: RequestOutcome) {
+    /// Records the outcome of a request.
+    pub fn record_outcome(&mut self, now: Micros, svc: &str, outcome: RequestOutcome) {
         if let Some(service) = self.services.get_mut(svc) {
-            service.load.ended(now, sign);
+            service.load.record_outcome(now, outcome);
         }
     }
 
-    /// Home told these levels, and no others hold; they were judged so long ago.
+    /// Replaces all levels with those from the replica, which computed them `age` ago.
     pub fn set_levels(&mut self, now: Micros, levels: Vec<AdmissionLevel>, age: Micros) {
         self.levels_received_at = Some(now - age);
         self.services
@@ -85,25 +86,27 @@
         }
     }
 
-    /// Nothing was told for so long that it holds no more.
+    /// Whether no levels arrived within [`LEVELS_LIFETIME`].
     pub fn has_stale_levels(&self, now: Micros) -> bool {
         self.levels_received_at
             .is_none_or(|at| now - at > LEVELS_LIFETIME)
     }
 
-    /// What home is to be told; due once a [`crate::STEP`]. While home is silent the limiter goes by its own share: the
-    /// even part of what all were last told, less where its own answers say so, and never more.
+    /// Returns the reports for the replica; due once a [`crate::STEP`]. While no levels arrive the
+    /// limiter decides on its own: it admits its even share of the last rate for all limiters, or
+    /// less if its own outcomes show overload.
     pub fn step(&mut self, now: Micros) -> Vec<LoadReport> {
-        let deaf = self.has_stale_levels(now);
+        let stale = self.has_stale_levels(now);
         let mut reports = Vec::new();
         for (svc, service) in &mut self.services {
-            let told = service.levels.as_ref().map(|(level, _)| level);
-            let share = told.and_then(|level| Some(level.rate? / f64::from(level.limiters.max(1))));
-            let asked = service.levels.is_some() || deaf;
-            let Some(report) = service.load.report(now, svc, asked) else {
+            let level = service.levels.as_ref().map(|(level, _)| level);
+            let share =
+                level.and_then(|level| Some(level.rate? / f64::from(level.limiters.max(1))));
+            let requested = service.levels.is_some() || stale;
+            let Some(report) = service.load.report(now, svc, requested) else {
                 continue;
             };
-            if deaf {
+            if stale {
                 service.local.limit_rate(share);
                 service.local.handle_report(now, 0, &report);
                 service.local.evaluate(now);
--- a/crates/overload/src/admission_controller.rs
+++ b/crates/overload/src/admission_controller.rs
@@ -1,88 +1,98 @@
-//! How much of a service's load is let through: judged from the sum of what its limiters saw.
+//! Determines how much of a service's load is admitted, from the summed reports of its limiters.
 //!
-//! The rate that is let through falls with the share of tries that waited or were turned away, by no more than servers
-//! do in good time, and rises in small steps while nothing waits. The border in the order of requests is drawn anew at
-//! each look by what is offered, so that a surge is met at once and not by the next fall.
+//! The admitted rate decreases with the share of attempts that waited or were rejected, but not
+//! below what the servers answer in time, and increases in small steps while nothing waits. The
+//! threshold in the priority order is computed anew at each evaluation from the offered load, so
+//! that a surge is met at once and not only by the next decrease.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
 use crate::load::LoadReport;
-use crate::priority::{BANDS, threshold};
+use crate::priority::{self, BANDS};
 use crate::{Micros, REPORT_LIFETIME, STEP};
 
 const SECOND: f64 = 1e6;
-/// Share of tries that waited or were turned away: above the first there is too much, below the second there is room.
-const OVERLOAD_SHARES: f64 = 0.22;
-const ROOM: f64 = 0.15;
-/// Chance alone makes a share of few tries large: so many times its spread it must lie above.
+/// Share of attempts that waited or were rejected: above the first the service is overloaded, below
+/// the second it has spare capacity.
+const OVERLOAD_SHARE: f64 = 0.22;
+const SPARE_SHARE: f64 = 0.15;
+/// With few attempts a large share can be chance: it must exceed this many standard deviations.
 const SIGNIFICANCE: f64 = 3.5;
-/// A fall is by as much as the share lies above, within these; and no sooner after another than servers show it.
+/// Bounds of one decrease, which grows with the excess of the share; and the least time between
+/// two, within which servers show the effect of the first.
 const DECREASE_FACTORS: (f64, f64) = (0.04, 0.25);
 const DECREASE_INTERVAL: Micros = 1_400_000;
-/// A rise in one step, while nearly all that may is let through: the first where the share is at the edge of what means
-/// room, so much more where it is nothing, and in full so long after a fall: near what servers bore then it is slow. A
-/// quick one while next to nothing waits at all, or below this share of what they bore lately, which is forgotten with
-/// this time constant.
+/// Bounds of one increase per step, while nearly all of the admitted rate is used: the first at the
+/// edge of [`SPARE_SHARE`], the second more where nothing waits, and in full only this long after a
+/// decrease, since the capacity seen then is near. The quick increase applies while next to nothing
+/// waits at all, or below this share of the sustained rate, which is forgotten with this time
+/// constant.
 const INCREASE_FACTORS: (f64, f64) = (0.005, 0.06);
-const INCREASE_FULL_SHARE: f64 = 8e6;
+const INCREASE_FULL_AFTER: f64 = 8e6;
 const IDLE_SHARE: f64 = 0.03;
 const QUICK_INCREASE_FACTOR: f64 = 0.15;
 const SUSTAINED_SHARE: f64 = 0.9;
 const SUSTAINED_TIME_CONSTANT: f64 = 20e6;
-const USED: f64 = 0.85;
-/// What servers answer in good time is let through at the least, but for this.
-const PROVEN: f64 = 0.9;
-/// Where limiters find no free server, so much of what is answered is let through: they learn only by pressing on.
-const PRESSED: f64 = 1.15;
-/// It comes down to that by so much in one step: after a start they learn fast.
-const EASED: f64 = 0.95;
-/// So much of what is offered is let through at the least.
+const USED_SHARE: f64 = 0.85;
+/// At least this share of what servers answer in time is admitted.
+const MIN_IN_TIME_SHARE: f64 = 0.9;
+/// Where limiters find no free server, this multiple of the answered rate is admitted: limiters
+/// discover capacity only by sending.
+const PROBING_FACTOR: f64 = 1.15;
+/// The rate approaches that multiple by this factor per step: after a start limiters learn fast.
+const PROBING_DECAY: f64 = 0.95;
+/// At least this share of the offered load is admitted.
 const MIN_ADMITTED_SHARE: f64 = 0.1;
-/// Time constant of what is taken from reports.
+/// Time constant of the averages over reports, in microseconds.
 const REPORT_TIME_CONSTANT: f64 = 0.35e6;
-/// The first report makes all tell; a home judges when it has watched for this long.
+/// The first report makes all limiters report; the controller decides after observing for this
+/// long.
 const OBSERVATION_DURATION: Micros = 3 * STEP;
-/// So long it has heard of some limiters and not yet of others.
+/// During this time after the start some limiters may not have reported yet.
 const STARTUP_DURATION: Micros = 4_000_000;
-/// Without strain for this long, and more let through than is offered, there is no level any more.
+/// Without overload for this long, and with more admitted than offered, there is no level any more.
 const CALM_DURATION: Micros = 5_000_000;
 
-/// What is told to limiters.
+/// The level that a replica sends to its limiters.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionLevel {
     /// The service.
     pub svc: String,
-    /// Requests beyond this place in the order are turned away.
+    /// Requests beyond this position in the priority order are rejected.
     pub threshold: f64,
-    /// Requests a second that all limiters together let through; none: all, and limiters are only to tell.
+    /// Requests a second that all limiters together admit; `None` admits all, and limiters only
+    /// report.
     pub rate: Option<f64>,
-    /// How many limiters there are.
+    /// Number of limiters that reported.
     pub limiters: u32,
 }
 
-/// What one home tells the others of the same servers.
+/// The summed load at one replica, for the other replicas that share the servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadShare {
-    /// Offered a second, by band; only bands where something was.
+    /// Offered requests a second, by band; only bands with any.
     pub offered: Vec<(u8, f32)>,
-    /// Let through, a second.
+    /// Admitted requests a second.
     pub sent: f32,
-    /// Answered in good time, after a long wait, turned away, without a free server, and of the first after some wait, a second.
+    /// Outcomes a second: answered in time, answered slowly, rejected, without a free server, and
+    /// of those answered in time the ones that waited.
     pub outcomes: [f32; 5],
-    /// Limiters that this is of.
+    /// Number of limiters in these sums.
     pub limiters: u32,
-    /// How it judges; none: it has not watched for long enough.
+    /// The admitted rate as this replica decides it (`Some(None)`: all); `None` while it has not
+    /// observed long enough.
     pub decision: Option<Option<f32>>,
 }
 
-/// Sums over limiters, a second.
+/// Sums over limiters, in requests a second.
 #[derive(Clone, Debug)]
 struct LoadSum {
     offered: [f64; BANDS],
     sent: f64,
-    /// Answered in good time, after a long wait, turned away, without a free server, and of the first after some wait.
+    /// Answered in time, answered slowly, rejected, without a free server, and of those answered in
+    /// time the ones that waited.
     outcomes: [f64; 5],
     limiters: u32,
 }
@@ -106,23 +116,23 @@
     }
 
     fn of(report: &LoadReport) -> LoadSum {
-        let a_second = |count: u32| f64::from(count) * SECOND / report.span.max(1) as f64;
+        let per_second = |count: u32| f64::from(count) * SECOND / report.span.max(1) as f64;
         let mut offered = [0.0; BANDS];
         for (band, count) in &report.offered {
-            offered[usize::from(*band).min(BANDS - 1)] += a_second(*count);
+            offered[usize::from(*band).min(BANDS - 1)] += per_second(*count);
         }
-        let ends = [
+        let outcomes = [
             report.in_time,
             report.slow,
             report.rejected,
             report.no_server,
             report.waited,
         ]
-        .map(a_second);
+        .map(per_second);
         LoadSum {
             offered,
-            sent: a_second(report.sent),
-            outcomes: ends,
+            sent: per_second(report.sent),
+            outcomes,
             limiters: 1,
         }
     }
@@ -140,7 +150,7 @@
         }
     }
 
-    /// Goes over to another by a share.
+    /// Moves the averages towards `other` by `gain`.
     fn approach(&mut self, other: &LoadSum, gain: f64) {
         let pairs = self
             .offered
@@ -153,67 +163,72 @@
     }
 }
 
-/// The judge of one service at one home.
+/// Whether a share of this many outcomes shows overload and can't be chance.
+fn exceeds_chance(share: f64, outcomes: f64) -> bool {
+    share > OVERLOAD_SHARE + SIGNIFICANCE * (OVERLOAD_SHARE / outcomes).sqrt()
+}
+
+/// Controls the admission of one service at one replica.
 ///
-/// Homes that share servers tell each other what they summed up. All draw the border by the same sums, and by the rate of
-/// the first of them, by number, that has watched for long enough.
+/// Replicas that share servers exchange their sums. All compute the threshold from the same sums,
+/// and from the rate of the replica with the lowest number that has observed long enough.
 #[derive(Clone, Debug)]
 pub struct AdmissionController {
     replica: u64,
-    /// What was last told, by limiter, and when.
+    /// The latest report of each limiter, and when it arrived.
     reports: BTreeMap<u64, (LoadSum, Micros)>,
-    /// What other homes of the same servers told, and when.
+    /// The latest sums of other replicas that share the servers, and when they arrived.
     peer_shares: BTreeMap<u64, (LoadShare, Micros)>,
-    seen: LoadSum,
-    since: Option<Micros>,
+    averages: LoadSum,
+    observed_since: Option<Micros>,
     last_evaluated_at: Micros,
-    /// Requests a second that are let through; none: all.
+    /// Requests a second that are admitted; `None` admits all.
     rate: Option<f64>,
-    /// What servers answered in good time, lately at most.
+    /// The highest recent rate that servers answered in time.
     sustained_rate: f64,
     last_decrease_at: Option<Micros>,
-    /// When it last stood at what servers bear.
+    /// Since when the rate has been at the servers' capacity.
     at_capacity_since: Option<Micros>,
-    /// The share of tries that waited or were turned away, as last looked at under strain.
-    share: f64,
+    /// The share of attempts that waited or were rejected, as of the last overload.
+    wait_share: f64,
     last_overloaded_at: Option<Micros>,
-    /// No more than this, whatever servers do.
+    /// Upper bound of the rate, independent of the servers.
     max_rate: Option<f64>,
 }
 
 impl AdmissionController {
-    /// A judge that was told nothing yet, at the home of this number.
-    pub fn new(home: u64) -> AdmissionController {
+    /// A controller without any reports, at the replica of this number.
+    pub fn new(replica: u64) -> AdmissionController {
         AdmissionController {
-            replica: home,
+            replica,
             reports: BTreeMap::new(),
             peer_shares: BTreeMap::new(),
-            seen: LoadSum::NOTHING,
-            since: None,
+            averages: LoadSum::NOTHING,
+            observed_since: None,
             last_evaluated_at: 0,
             rate: None,
             sustained_rate: 0.0,
             last_decrease_at: None,
             at_capacity_since: None,
-            share: 0.0,
+            wait_share: 0.0,
             last_overloaded_at: None,
             max_rate: None,
         }
     }
 
-    /// A limiter's report.
+    /// Handles a limiter's report.
     pub fn handle_report(&mut self, now: Micros, limiter: u64, report: &LoadReport) {
         self.reports.insert(limiter, (LoadSum::of(report), now));
     }
 
-    /// A limiter tells another home from now on, or is gone.
+    /// A limiter reports to another replica from now on, or is gone.
     pub fn remove_limiter(&mut self, limiter: u64) {
         self.reports.remove(&limiter);
     }
 
-    /// What another home of the same servers told.
-    pub fn handle_peer_share(&mut self, now: Micros, home: u64, share: LoadShare) {
-        self.peer_shares.insert(home, (share, now));
+    /// Handles the sums of another replica that shares the servers.
+    pub fn handle_peer_share(&mut self, now: Micros, replica: u64, share: LoadShare) {
+        self.peer_shares.insert(replica, (share, now));
     }
 
     fn local_sum(&self, now: Micros) -> LoadSum {
@@ -222,11 +237,12 @@
             .reports
             .values()
             .filter(|(_, at)| now - at < REPORT_LIFETIME);
-        fresh.for_each(|(told, _)| sum.add(told));
+        fresh.for_each(|(report, _)| sum.add(report));
         sum
     }
 
-    /// What this home's own limiters told lately, and how it judges, for the other homes; none without limiters.
+    /// The sums of this replica's own limiters and its decision, for the other replicas; `None`
+    /// without limiters.
     pub fn to_share(&self, now: Micros) -> Option<LoadShare> {
         let sum = self.local_sum(now);
         let offered = sum
@@ -248,114 +264,134 @@
     }
 
     fn has_observed_enough(&self, now: Micros) -> bool {
-        self.since
+        self.observed_since
             .is_some_and(|since| now - since >= OBSERVATION_DURATION)
     }
 
-    /// No more than so much a second is let through from now on.
+    /// Sets an upper bound of the rate, in requests a second.
     pub fn limit_rate(&mut self, most: Option<f64>) {
         self.max_rate = most;
     }
 
-    /// The rate that holds, if one does.
+    /// The admitted rate, if it is limited.
     pub fn rate(&self) -> Option<f64> {
         self.rate
     }
 
-    /// Nobody tells of the service.
+    /// Whether nothing has been reported for the service lately.
     pub fn is_idle(&self, now: Micros) -> bool {
-        let told = self
+        let has_reports = self
             .reports
             .values()
             .any(|(_, at)| now - at < REPORT_LIFETIME);
-        !told
+        !has_reports
             && self
                 .peer_shares
                 .values()
                 .all(|(_, at)| now - at >= REPORT_LIFETIME)
     }
 
-    /// Looks at what was told; due once a [`STEP`].
+    /// Evaluates the reports; due once a [`STEP`].
     pub fn evaluate(&mut self, now: Micros) {
-        let span = (now - std::mem::replace(&mut self.last_evaluated_at, now)) as f64;
-        self.since.get_or_insert(now);
+        let elapsed = (now - std::mem::replace(&mut self.last_evaluated_at, now)) as f64;
+        self.observed_since.get_or_insert(now);
+        self.drop_expired(now);
+        self.update_averages(now, elapsed);
+        self.decide(now, elapsed);
+        if let Some(most) = self.max_rate {
+            self.rate = Some(self.rate.unwrap_or(most).min(most));
+        }
+    }
+
+    fn drop_expired(&mut self, now: Micros) {
         self.reports
             .retain(|_, (_, at)| now - *at < REPORT_LIFETIME);
         self.peer_shares
             .retain(|_, (_, at)| now - *at < REPORT_LIFETIME);
+    }
+
+    fn update_averages(&mut self, now: Micros, elapsed: f64) {
         let mut sum = self.local_sum(now);
         self.peer_shares
             .values()
             .for_each(|(share, _)| sum.add(&LoadSum::shared(share)));
-        // While some have only begun to tell, the past says nothing of all.
+        // While some limiters have only begun to report, the averages do not cover all of them.
         let gain = if self.has_observed_enough(now) {
-            1.0 - (-span / REPORT_TIME_CONSTANT).exp()
+            1.0 - (-elapsed / REPORT_TIME_CONSTANT).exp()
         } else {
             1.0
         };
-        let before = f64::from(self.seen.limiters.max(1));
-        self.seen.approach(&sum, gain);
-        // After all have started at once they come one after the other, and what was judged of the first is not for all.
-        let more = f64::from(self.seen.limiters) / before;
-        if more > 1.0
-            && self
-                .since
-                .is_some_and(|since| now - since < STARTUP_DURATION)
-        {
-            self.rate = self.rate.map(|rate| rate * more);
+        let limiters_before = f64::from(self.averages.limiters.max(1));
+        self.averages.approach(&sum, gain);
+        // After a joint start limiters report one after the other: a decision from the first
+        // reports does not hold for all of them.
+        let growth = f64::from(self.averages.limiters) / limiters_before;
+        if growth > 1.0 && self.is_starting(now) {
+            self.rate = self.rate.map(|rate| rate * growth);
             (self.last_decrease_at, self.at_capacity_since) = (None, None);
         }
-        let [good, slow, away, no_room, waited] = self.seen.outcomes;
+    }
+
+    fn is_starting(&self, now: Micros) -> bool {
+        self.observed_since
+            .is_some_and(|since| now - since < STARTUP_DURATION)
+    }
+
+    fn decide(&mut self, now: Micros, elapsed: f64) {
+        let [in_time, slow, rejected, no_server, waited] = self.averages.outcomes;
         self.sustained_rate =
-            (self.sustained_rate * (-span / SUSTAINED_TIME_CONSTANT).exp()).max(good);
-        let ends = (good + slow + away).max(1e-9);
-        let too_much =
-            |share: f64| share > OVERLOAD_SHARES + SIGNIFICANCE * (OVERLOAD_SHARES / ends).sqrt();
-        let share = (slow + away) / ends;
-        let (strain, cramped) = (too_much(share), too_much(no_room / ends));
-        self.last_overloaded_at = if strain || cramped {
-            Some(now)
-        } else {
-            self.last_overloaded_at
-        };
-        let first = self
-            .peer_shares
-            .iter()
-            .find_map(|(home, (told, _))| Some((*home, told.decision?)));
-        match first {
-            Some((home, verdict)) if home < self.replica || !self.has_observed_enough(now) => {
-                self.rate = verdict.map(f64::from);
-            }
-            _ if !self.has_observed_enough(now) => {}
-            _ if strain => self.decrease(now, share, good, good + slow),
-            // Limiters find no free server before any is full: they are to let through what they can place.
-            // After a start they all have little room, and learn fast.
-            _ if cramped
-                && self
-                    .since
-                    .is_some_and(|since| now - since < STARTUP_DURATION) => {}
-            _ if cramped => {
-                let held = self
-                    .rate
-                    .unwrap_or(self.seen.sent)
-                    .min(self.seen.sent.max(self.sustained_rate));
-                self.rate = Some(
-                    ((good + slow) * PRESSED)
-                        .max(held * EASED)
-                        .max(self.min_rate()),
-                );
-            }
-            _ if share < ROOM => self.increase(now, share, share + waited / ends),
-            _ => {}
+            (self.sustained_rate * (-elapsed / SUSTAINED_TIME_CONSTANT).exp()).max(in_time);
+        let outcomes = (in_time + slow + rejected).max(1e-9);
+        let share = (slow + rejected) / outcomes;
+        let overloaded = exceeds_chance(share, outcomes);
+        let out_of_servers = exceeds_chance(no_server / outcomes, outcomes);
+        if overloaded || out_of_servers {
+            self.last_overloaded_at = Some(now);
         }
-        if let Some(most) = self.max_rate {
-            self.rate = Some(self.rate.unwrap_or(most).min(most));
+        if let Some(rate) = self.rate_of_peer(now) {
+            self.rate = rate;
+            return;
+        }
+        if !self.has_observed_enough(now) {
+            return;
+        }
+        if overloaded {
+            self.decrease(now, share, in_time, in_time + slow);
+        } else if out_of_servers {
+            // Limiters run out of free servers before any server is full: they have to admit what
+            // they can place. After a start they all assume little capacity and learn fast.
+            if !self.is_starting(now) {
+                self.approach_probing_rate(in_time + slow);
+            }
+        } else if share < SPARE_SHARE {
+            self.increase(now, share, share + waited / outcomes);
         }
     }
 
-    fn decrease(&mut self, now: Micros, share: f64, good: f64, answered: f64) {
-        let before = std::mem::replace(&mut self.share, share);
-        // What waits at servers is worked off first: until then they look as they did.
+    /// The decision of the first peer that has one, where that peer's counts and not this replica's.
+    fn rate_of_peer(&self, now: Micros) -> Option<Option<f64>> {
+        let (peer, decision) = self
+            .peer_shares
+            .iter()
+            .find_map(|(peer, (share, _))| Some((*peer, share.decision?)))?;
+        (peer < self.replica || !self.has_observed_enough(now)).then_some(decision.map(f64::from))
+    }
+
+    fn approach_probing_rate(&mut self, answered: f64) {
+        let current = self
+            .rate
+            .unwrap_or(self.averages.sent)
+            .min(self.averages.sent.max(self.sustained_rate));
+        self.rate = Some(
+            (answered * PROBING_FACTOR)
+                .max(current * PROBING_DECAY)
+                .max(self.min_rate()),
+        );
+    }
+
+    fn decrease(&mut self, now: Micros, share: f64, in_time: f64, answered: f64) {
+        let before = std::mem::replace(&mut self.wait_share, share);
+        // Servers work off their queues first: until then their outcomes show the old rate.
         if self
             .last_decrease_at
             .is_some_and(|at| now - at < DECREASE_INTERVAL || share < before)
@@ -363,36 +399,40 @@
             return;
         }
         (self.last_decrease_at, self.at_capacity_since) = (Some(now), Some(now));
-        // Under strain servers are at work all the time: what they answer is what they bear.
-        let (sent, bears) = (self.seen.sent, answered.max(good * PROVEN));
+        // Under overload servers are busy all the time: the rate that they answer is their
+        // capacity.
+        let (sent, capacity) = (
+            self.averages.sent,
+            answered.max(in_time * MIN_IN_TIME_SHARE),
+        );
         let held = self
             .rate
             .unwrap_or(sent)
-            .min(bears.max(self.sustained_rate * SUSTAINED_SHARE * PROVEN));
+            .min(capacity.max(self.sustained_rate * SUSTAINED_SHARE * MIN_IN_TIME_SHARE));
         let (least, most) = DECREASE_FACTORS;
-        let cut = held * (1.0 - (share - OVERLOAD_SHARES).clamp(least, most));
-        self.rate = Some(cut.max(good * PROVEN).max(self.min_rate()));
+        let cut = held * (1.0 - (share - OVERLOAD_SHARE).clamp(least, most));
+        self.rate = Some(cut.max(in_time * MIN_IN_TIME_SHARE).max(self.min_rate()));
     }
 
-    /// Some are always let through: by what becomes of them it is known when servers are back.
+    /// Some requests are always admitted: their outcomes show when the servers have recovered.
     fn min_rate(&self) -> f64 {
-        self.seen.offered.iter().sum::<f64>() * MIN_ADMITTED_SHARE
+        self.averages.offered.iter().sum::<f64>() * MIN_ADMITTED_SHARE
     }
 
     fn increase(&mut self, now: Micros, share: f64, waiting: f64) {
         let Some(rate) = self.rate else { return };
-        let offered: f64 = self.seen.offered.iter().sum();
-        if self.seen.sent >= rate * USED {
+        let offered: f64 = self.averages.offered.iter().sum();
+        if self.averages.sent >= rate * USED_SHARE {
             let (least, more) = INCREASE_FACTORS;
             let since = self
                 .at_capacity_since
-                .map_or(1.0, |at| ((now - at) as f64 / INCREASE_FULL_SHARE).min(1.0));
-            let slow = (least + more * since.powi(2)) * (1.0 - share / ROOM);
+                .map_or(1.0, |at| ((now - at) as f64 / INCREASE_FULL_AFTER).min(1.0));
+            let slow = (least + more * since.powi(2)) * (1.0 - share / SPARE_SHARE);
             let idle = rate < self.sustained_rate * SUSTAINED_SHARE || waiting < IDLE_SHARE;
             let by = if idle { QUICK_INCREASE_FACTOR } else { slow };
             self.rate = Some((rate * (1.0 + by)).max(self.min_rate()));
         }
-        if self.is_calm(now) && offered < rate * USED {
+        if self.is_calm(now) && offered < rate * USED_SHARE {
             self.rate = None;
         }
     }
@@ -402,25 +442,25 @@
             .is_none_or(|at| now - at > CALM_DURATION)
     }
 
-    /// What is told to limiters; none where all is let through and nobody need tell.
+    /// The level for the limiters; `None` where all is admitted and no reports are needed.
     pub fn level(&self, svc: &str) -> Option<AdmissionLevel> {
-        let told = self.rate.is_some()
+        let is_needed = self.rate.is_some()
             || !self.is_calm(self.last_evaluated_at)
-            || self.seen.limiters > 0 && !self.is_settled();
-        let border = self
-            .rate
-            .map_or(1.0, |rate| threshold(&self.seen.offered, rate));
-        told.then(|| AdmissionLevel {
+            || self.averages.limiters > 0 && !self.is_settled();
+        let threshold = self.rate.map_or(1.0, |rate| {
+            priority::threshold(&self.averages.offered, rate)
+        });
+        is_needed.then(|| AdmissionLevel {
             svc: svc.to_string(),
-            threshold: border,
+            threshold,
             rate: self.rate,
-            limiters: self.seen.limiters,
+            limiters: self.averages.limiters,
         })
     }
 
-    /// All were heard, and nothing has come of it.
+    /// Whether all limiters were heard and no overload followed.
     fn is_settled(&self) -> bool {
-        self.since
+        self.observed_since
             .is_some_and(|since| self.last_evaluated_at - since > CALM_DURATION)
     }
 }
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -17,9 +17,9 @@
 
 const MS: Micros = 1_000;
 
-/// Between two reports of a limiter, and between two looks of a home.
+/// Interval between two reports of a limiter, and between two evaluations.
 pub const STEP: Micros = 200 * MS;
-/// A report counts for this long; a limiter that sends none is gone.
+/// A report is valid for this long; a limiter that sends none is gone.
 pub const REPORT_LIFETIME: Micros = 700 * MS;
-/// A limiter that was told nothing for this long goes by its own share.
+/// Levels are valid for this long; afterwards a limiter decides on its own.
 pub const LEVELS_LIFETIME: Micros = 1_500 * MS;
--- a/crates/overload/src/load.rs
+++ b/crates/overload/src/load.rs
@@ -1,44 +1,45 @@
-//! What one limiter saw of one service since its last report.
+//! Counts the load of one service at one limiter since its last report.
 
 use serde::{Deserialize, Serialize};
 
 use crate::priority::BANDS;
 use crate::{Micros, STEP};
 
-/// An answer that took more than the first share of its aim has waited, beyond the second for long.
+/// An answer that took more than the first share of its latency target has waited; beyond the
+/// second it is slow.
 const WAIT_SHARES: (f64, f64) = (0.5, 0.7);
-/// A service is reported for this long after something waited or was turned away there.
+/// A service is reported for this long after a request waited or was rejected.
 const REPORTING_DURATION: Micros = 4_000_000;
 
-/// What became of a request at the service, as far as it tells of the servers' load.
+/// The outcome of a request, as far as it shows the load of the servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Answered; how long that took, and what was aimed at.
+    /// Answered: the time it took, and the latency target.
     Answered(Micros, Micros),
-    /// Turned away by a server, or its connection reset: some do so when full.
+    /// Rejected by a server, or its connection was reset, as some servers do when they are full.
     Rejected,
-    /// No server was free to take it.
+    /// No server was free.
     NoServer,
 }
 
-/// Counts of one span, as they are told.
+/// The counts of one reporting interval.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The service.
     pub svc: String,
-    /// How long was counted.
+    /// Length of the interval.
     pub span: Micros,
-    /// Requests that came, by band; only bands where some did.
+    /// Offered requests, by band; only bands with any.
     pub offered: Vec<(u8, u32)>,
-    /// Those let through.
+    /// Admitted requests.
     pub sent: u32,
-    /// Answers in good time.
+    /// Answers in time.
     pub in_time: u32,
-    /// Those of them that had waited all the same.
+    /// Answers in time that had waited nevertheless.
     pub waited: u32,
-    /// Answers that had waited for long.
+    /// Slow answers.
     pub slow: u32,
-    /// Tries turned away by servers.
+    /// Attempts rejected by servers.
     pub rejected: u32,
     /// Requests for which no server was free.
     pub no_server: u32,
@@ -50,69 +51,70 @@
     since: Micros,
     offered: [u32; BANDS],
     sent: u32,
-    good: u32,
+    in_time: u32,
     waited: u32,
     slow: u32,
-    away: u32,
-    no_room: u32,
-    strained: Option<Micros>,
+    rejected: u32,
+    no_server: u32,
+    last_overloaded_at: Option<Micros>,
 }
 
 impl LoadCounts {
-    /// A request came; `sent`: it was let through.
-    pub fn came(&mut self, band: usize, sent: bool) {
+    /// Counts a request; `sent`: it was admitted.
+    pub fn record_request(&mut self, band: usize, sent: bool) {
         self.offered[band] += 1;
         self.sent += u32::from(sent);
     }
 
-    /// One that was let through was over its quota: the servers have nothing to do with it.
-    pub fn over_quota(&mut self, band: usize) {
+    /// Removes an admitted request that was over its quota: it says nothing about the servers.
+    pub fn record_over_quota(&mut self, band: usize) {
         self.offered[band] = self.offered[band].saturating_sub(1);
         self.sent = self.sent.saturating_sub(1);
     }
 
-    /// Something became of one.
-    pub fn ended(&mut self, now: Micros, sign: RequestOutcome) {
-        match sign {
+    /// Counts an outcome.
+    pub fn record_outcome(&mut self, now: Micros, outcome: RequestOutcome) {
+        match outcome {
             RequestOutcome::Answered(took, aim) if took as f64 <= aim as f64 * WAIT_SHARES.1 => {
                 self.waited += u32::from(took as f64 > aim as f64 * WAIT_SHARES.0);
-                return self.good += 1;
+                return self.in_time += 1;
             }
             RequestOutcome::Answered(..) => self.slow += 1,
-            RequestOutcome::Rejected => self.away += 1,
-            RequestOutcome::NoServer => self.no_room += 1,
+            RequestOutcome::Rejected => self.rejected += 1,
+            RequestOutcome::NoServer => self.no_server += 1,
         }
-        self.strained = Some(now);
+        self.last_overloaded_at = Some(now);
     }
 
-    /// The counts so far, which begin anew; none where nothing has waited lately and nobody asks.
-    pub fn report(&mut self, now: Micros, svc: &str, asked: bool) -> Option<LoadReport> {
+    /// Returns the counts and resets them; `None` where nothing waited lately and no report was
+    /// requested for.
+    pub fn report(&mut self, now: Micros, svc: &str, requested: bool) -> Option<LoadReport> {
         let known = std::mem::replace(
             self,
             LoadCounts {
                 since: now,
-                strained: self.strained,
+                last_overloaded_at: self.last_overloaded_at,
                 ..LoadCounts::default()
             },
         );
         let lately = known
-            .strained
+            .last_overloaded_at
             .is_some_and(|at| now - at < REPORTING_DURATION);
         let offered = known
             .offered
             .iter()
             .enumerate()
             .filter(|(_, count)| **count > 0);
-        (asked || lately).then(|| LoadReport {
+        (requested || lately).then(|| LoadReport {
             svc: svc.to_string(),
             span: (now - known.since).clamp(1, 2 * STEP),
             offered: offered.map(|(band, count)| (band as u8, *count)).collect(),
             sent: known.sent,
-            in_time: known.good,
+            in_time: known.in_time,
             waited: known.waited,
             slow: known.slow,
-            rejected: known.away,
-            no_server: known.no_room,
+            rejected: known.rejected,
+            no_server: known.no_server,
         })
     }
 }
--- a/crates/overload/src/load/tests.rs
+++ b/crates/overload/src/load/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 #[test]
-fn a_calm_service_is_not_told_of_and_a_strained_one_is_for_a_while() {
+fn a_calm_service_is_not_reported_and_an_overloaded_one_is_for_a_while() {
     let mut load = LoadCounts::default();
-    load.came(3, true);
-    load.ended(0, RequestOutcome::Answered(100, 500));
+    load.record_request(3, true);
+    load.record_outcome(0, RequestOutcome::Answered(100, 500));
     assert_eq!(load.report(STEP, "s", false), None);
-    load.came(3, true);
-    load.came(7, false);
-    load.ended(STEP, RequestOutcome::Answered(400, 500));
+    load.record_request(3, true);
+    load.record_request(7, false);
+    load.record_outcome(STEP, RequestOutcome::Answered(400, 500));
     let told = load.report(2 * STEP, "s", false).unwrap();
     assert_eq!(
         (told.offered, told.sent, told.in_time, told.slow),
--- a/crates/overload/src/overload_detector.rs
+++ b/crates/overload/src/overload_detector.rs
@@ -1,175 +1,185 @@
-//! A node's own load: how late it is with what came to it, and how full it is of what it holds.
+//! Detects the overload of a node itself: how long its input waits, and how full its tables are.
 //!
-//! A host tells after each of its turns how long what it took had waited for it, and how full it is. A mean that stays
-//! too long lets a rate fall that is let through, and it rises again while the node keeps up. What is refused is drawn by
-//! the order of all requests, as it is for services, so that a node in trouble turns away the lowest tiers first, and
-//! does so before it is late with what it has taken.
+//! After each turn of its loop the host records how long the input had waited, and how full it is.
+//! A high mean wait decreases the admitted rate, which increases again while the node keeps up.
+//! Rejections follow the priority order as they do for services, so that an overloaded node rejects
+//! the lowest tiers first, and before the work it has accepted is late.
 
 use crate::priority::{BANDS, threshold};
 use crate::{Micros, STEP};
 
 const MS: Micros = 1_000;
 const SECOND: f64 = 1e6;
-/// What came waited so long for the node, on the mean of a step: above the first it is late, below the second it keeps up.
-const LATE_WAITS: Micros = 20 * MS;
+/// Mean wait of the input in one step: above the first the node is late, below the second it keeps
+/// up.
+const LATE_WAIT: Micros = 20 * MS;
 const EASY_WAIT: Micros = 8 * MS;
-/// One step alone may be a table that came or a processor that was elsewhere.
-const STEPS: u32 = 2;
-/// A fall is seen after so long; while it gets better there is no other.
-const FALL_EVERY: Micros = 2 * STEP;
-/// Turns that each work off what came in the one before grow sooner than a mean shows it. One that follows a late one and
-/// would take longer than this, as they grow, lets so much less through at once.
-const AT_ONCE: f64 = 100e3;
-const GROWTH: f64 = 4.0;
-/// A fall is by this for each time that the mean lies above, within these.
-const DECREASE_BY: f64 = 0.08;
+/// A single late step may be one large update, or a processor that was elsewhere.
+const LATE_STEPS: u32 = 2;
+/// The effect of a decrease shows after this time; while the wait shrinks there is no other
+/// decrease.
+const DECREASE_INTERVAL: Micros = 2 * STEP;
+/// Turns that each work off the input of the turn before grow faster than a mean can show. A turn
+/// that follows a late one and that, at the present growth, would exceed this time in microseconds
+/// admits proportionally less at once.
+const MAX_TURN_MICROS: f64 = 100e3;
+const MAX_GROWTH: f64 = 4.0;
+/// A decrease is this much for each multiple of the limit by which the mean wait exceeds it, within
+/// these bounds.
+const DECREASE_PER_MULTIPLE: f64 = 0.08;
 const DECREASE_FACTORS: (f64, f64) = (0.04, 0.35);
-/// A rise in one step, while most of what may is let through: near what it bears, and while next to nothing waits.
+/// Increase per step while most of the admitted rate is used: near capacity, and while next to
+/// nothing waits.
 const INCREASE_FACTORS: (f64, f64) = (0.02, 0.06);
-const USED: f64 = 0.8;
-/// So much of what is offered is let through at the least.
+const USED_SHARE: f64 = 0.8;
+/// At least this share of the offered load is admitted.
 const MIN_ADMITTED_SHARE: f64 = 0.05;
-/// Keeping up for so long, and more let through than is offered, it is over.
+/// After keeping up for this long, and with more admitted than offered, there is no limit any more.
 const CALM_DURATION: Micros = 2_000 * MS;
-/// Time constant of what is offered.
-const TAU: f64 = 0.4e6;
-/// From here on to being full, ever less is let through.
+/// Time constant of the averages, in microseconds.
+const TIME_CONSTANT: f64 = 0.4e6;
+/// From this fill level on, less and less is admitted.
 const FULL_FROM: f64 = 0.8;
 
-/// What one node knows of its own load.
+/// The load of one node.
 #[derive(Clone, Debug, Default)]
 pub struct OverloadDetector {
-    looked: Option<Micros>,
-    came: [u32; BANDS],
+    last_evaluated_at: Option<Micros>,
+    received: [u32; BANDS],
     sent: u32,
-    /// Things taken in this step, and how long they had waited, summed up.
+    /// Items taken in during this step, and the sum of their waits.
     taken: u64,
     waited: Micros,
-    /// Offered a second, by band, and let through.
+    /// Offered requests a second by band, and admitted ones.
     offered: [f64; BANDS],
-    passed: f64,
-    late: u32,
-    /// When it was last late.
-    strained: Option<Micros>,
-    /// Requests a second that are let through; none: all.
+    admitted: f64,
+    late_steps: u32,
+    /// When the node was last late.
+    last_late_at: Option<Micros>,
+    /// Requests a second that are admitted; `None` admits all.
     rate: Option<f64>,
-    full: f64,
-    /// How long what was last taken had waited.
-    waited_before: Micros,
-    /// The share of this turn that is let through, if that is less than all.
-    kept: Option<f64>,
-    /// The last fall, and the mean wait that it was for.
-    fell: Option<(Micros, Micros)>,
-    /// Since when some are refused.
-    since: Option<Micros>,
+    fill: f64,
+    /// How long the last input had waited.
+    last_wait: Micros,
+    /// The share admitted in this turn, if less than all.
+    turn_share: Option<f64>,
+    /// Time of the last decrease, and the mean wait that caused it.
+    last_decrease: Option<(Micros, Micros)>,
+    /// Since when requests have been rejected.
+    shedding_since: Option<Micros>,
 }
 
 impl OverloadDetector {
-    /// So many things are taken in this turn, which have waited for the node so long.
+    /// Records that this turn takes in `count` items that have waited for `waited`.
     pub fn record_intake(&mut self, count: usize, waited: Micros) {
-        // A turn that let less through was shorter for it.
-        let kept = self.kept.unwrap_or(1.0);
-        let growth = (waited as f64 / self.waited_before.max(1) as f64 / kept).clamp(1.0, GROWTH);
-        let takes = if self.waited_before > LATE_WAITS {
+        // A turn that admitted less was shorter because of it.
+        let kept = self.turn_share.unwrap_or(1.0);
+        let growth = (waited as f64 / self.last_wait.max(1) as f64 / kept).clamp(1.0, MAX_GROWTH);
+        let expected = if self.last_wait > LATE_WAIT {
             waited as f64 * growth
         } else {
             0.0
         };
-        self.kept = (takes > AT_ONCE).then(|| (AT_ONCE / takes).max(MIN_ADMITTED_SHARE));
-        self.waited_before = waited;
+        self.turn_share = (expected > MAX_TURN_MICROS)
+            .then(|| (MAX_TURN_MICROS / expected).max(MIN_ADMITTED_SHARE));
+        self.last_wait = waited;
         self.taken += count as u64;
         self.waited += waited.max(0) * count as Micros;
     }
 
-    /// How full the node is of what it can hold least of: connections, bytes, descriptors; 1 is full.
+    /// Sets the fill level of the scarcest resource (connections, bytes, descriptors); 1 is full.
     pub fn set_fill(&mut self, share: f64) {
-        self.full = share;
+        self.fill = share;
     }
 
-    /// A request came; `sent`: it was let through.
+    /// Counts a request; `sent`: it was admitted.
     pub fn record_request(&mut self, band: usize, sent: bool) {
-        self.came[band] += 1;
+        self.received[band] += 1;
         self.sent += u32::from(sent);
     }
 
-    /// Requests beyond this place in the order are turned away.
+    /// The threshold: requests beyond this position in the priority order are rejected.
     pub fn threshold(&self) -> f64 {
         let all: f64 = self.offered.iter().sum();
-        let short =
-            ((self.full - FULL_FROM) / (1.0 - FULL_FROM)).clamp(0.0, 1.0 - MIN_ADMITTED_SHARE);
-        let room = if short > 0.0 {
-            all * (1.0 - short)
+        let shortage =
+            ((self.fill - FULL_FROM) / (1.0 - FULL_FROM)).clamp(0.0, 1.0 - MIN_ADMITTED_SHARE);
+        let room = if shortage > 0.0 {
+            all * (1.0 - shortage)
         } else {
             f64::MAX
         };
-        let now = self.kept.map_or(f64::MAX, |kept| all * kept);
+        let now = self.turn_share.map_or(f64::MAX, |kept| all * kept);
         threshold(
             &self.offered,
             room.min(now).min(self.rate.unwrap_or(f64::MAX)),
         )
     }
 
-    /// Whether what the node holds is so much that who is refused had better go.
+    /// Whether the node is so full that rejected clients should be disconnected.
     pub fn is_crowded(&self) -> bool {
-        self.full > FULL_FROM
+        self.fill > FULL_FROM
     }
 
-    /// Since when some have been refused; none: nobody is.
+    /// Since when requests have been rejected; `None` if none are.
     pub fn shedding_since(&self) -> Option<Micros> {
-        self.since
+        self.shedding_since
     }
 
-    /// Looks at what was told; due once a [`STEP`].
+    /// Evaluates the records; due once a [`STEP`].
     pub fn evaluate(&mut self, now: Micros) {
-        let span = (now - self.looked.replace(now).unwrap_or(now - STEP)).max(1) as f64;
-        let gain = 1.0 - (-span / TAU).exp();
-        for (offered, came) in self.offered.iter_mut().zip(std::mem::take(&mut self.came)) {
+        let span = (now - self.last_evaluated_at.replace(now).unwrap_or(now - STEP)).max(1) as f64;
+        let gain = 1.0 - (-span / TIME_CONSTANT).exp();
+        for (offered, came) in self
+            .offered
+            .iter_mut()
+            .zip(std::mem::take(&mut self.received))
+        {
             *offered += (f64::from(came) * SECOND / span - *offered) * gain;
         }
-        let passed = f64::from(std::mem::take(&mut self.sent)) * SECOND / span;
-        self.passed += (passed - self.passed) * gain;
+        let admitted = f64::from(std::mem::take(&mut self.sent)) * SECOND / span;
+        self.admitted += (admitted - self.admitted) * gain;
         let taken = std::mem::take(&mut self.taken).max(1);
-        let late = std::mem::take(&mut self.waited) / taken as Micros;
-        self.late = if late > LATE_WAITS && self.waited_before > EASY_WAIT {
-            self.late + 1
+        let mean_wait = std::mem::take(&mut self.waited) / taken as Micros;
+        self.late_steps = if mean_wait > LATE_WAIT && self.last_wait > EASY_WAIT {
+            self.late_steps + 1
         } else {
             0
         };
-        if late > LATE_WAITS {
-            self.strained = Some(now);
+        if mean_wait > LATE_WAIT {
+            self.last_late_at = Some(now);
         }
         let offered: f64 = self.offered.iter().sum();
-        if self.late >= STEPS {
-            if self
-                .fell
-                .is_some_and(|(at, waited)| now - at < FALL_EVERY || late < waited * 3 / 4)
-            {
-                self.fell = self.fell.map(|(at, _)| (at, late));
+        if self.late_steps >= LATE_STEPS {
+            if self.last_decrease.is_some_and(|(at, waited)| {
+                now - at < DECREASE_INTERVAL || mean_wait < waited * 3 / 4
+            }) {
+                self.last_decrease = self.last_decrease.map(|(at, _)| (at, mean_wait));
                 return;
             }
-            self.fell = Some((now, late));
+            self.last_decrease = Some((now, mean_wait));
             let (least, most) = DECREASE_FACTORS;
-            let cut = ((late as f64 / LATE_WAITS as f64 - 1.0) * DECREASE_BY).clamp(least, most);
-            let held = self.rate.unwrap_or(f64::MAX).min(self.passed);
+            let cut = ((mean_wait as f64 / LATE_WAIT as f64 - 1.0) * DECREASE_PER_MULTIPLE)
+                .clamp(least, most);
+            let held = self.rate.unwrap_or(f64::MAX).min(self.admitted);
             self.rate = Some((held * (1.0 - cut)).max(offered * MIN_ADMITTED_SHARE));
-        } else if let Some(rate) = self.rate.filter(|_| late < EASY_WAIT) {
-            let calm = self.strained.is_none_or(|at| now - at > CALM_DURATION);
-            let by = if late < EASY_WAIT / 4 {
+        } else if let Some(rate) = self.rate.filter(|_| mean_wait < EASY_WAIT) {
+            let calm = self.last_late_at.is_none_or(|at| now - at > CALM_DURATION);
+            let by = if mean_wait < EASY_WAIT / 4 {
                 INCREASE_FACTORS.1
             } else {
                 INCREASE_FACTORS.0
             };
-            let grown = if self.passed >= rate * USED {
+            let grown = if self.admitted >= rate * USED_SHARE {
                 rate * (1.0 + by)
             } else {
                 rate
             };
             self.rate = Some(grown.max(offered * MIN_ADMITTED_SHARE))
-                .filter(|_| !calm || offered >= rate * USED);
+                .filter(|_| !calm || offered >= rate * USED_SHARE);
         }
-        let refuses = self.threshold() < 1.0;
-        self.since = if refuses {
-            self.since.or(Some(now))
+        let rejects = self.threshold() < 1.0;
+        self.shedding_since = if rejects {
+            self.shedding_since.or(Some(now))
         } else {
             None
         };
--- a/crates/overload/src/priority.rs
+++ b/crates/overload/src/priority.rs
@@ -1,20 +1,21 @@
-//! The order in which requests wait, the same at every limiter.
+//! The priority order of requests, the same at every limiter.
 
-/// Tiers that are told apart; what lies behind counts as the last.
+/// Number of tiers; lower ones count as the last.
 pub const TIERS: u32 = 4;
-/// Bands of the order: a tier, and within it the route's own rank.
+/// Number of bands: a tier, and within it the route's own rank.
 pub const BANDS: usize = (TIERS * TIERS) as usize;
 
-/// The band of a request: by its tier, and among those of one tier by its route's own rank, where the tier is not the
-/// route's.
+/// The band of a request: its tier, and within the tier its route's own rank, which differs where a
+/// tenant's tier replaces the route's.
 pub fn band(tier: u32, rank: u32) -> usize {
     (tier.min(TIERS - 1) * TIERS + rank.min(TIERS - 1)) as usize
 }
 
-/// The place in the order, from 0 for what waits last to below 1: by band, then by the request's id. The same request
-/// has the same place everywhere, and a new try a new one.
+/// The position in the order, from 0 (rejected last) to below 1: by band, then by a hash of the
+/// request's id. The same request has the same position at every limiter, and a retry under a new
+/// id has a new one.
 pub fn position(band: usize, id: &str) -> f64 {
-    // FNV-1a, then stirred: ids that differ in their last letter lie far apart.
+    // FNV-1a with a finalizer: ids that differ in their last character only lie far apart.
     let mut hash = id.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     });
@@ -23,7 +24,7 @@
     (band as f64 + within) / BANDS as f64
 }
 
-/// The border that lets through `kept` a second of what is offered in each band.
+/// The threshold that admits `kept` requests a second of the load offered in each band.
 pub fn threshold(offered: &[f64; BANDS], kept: f64) -> f64 {
     let mut left = kept;
     for (band, offered) in offered
--- a/crates/overload/src/priority/tests.rs
+++ b/crates/overload/src/priority/tests.rs
@@ -2,7 +2,7 @@
 use test_case::test_case;
 
 #[test]
-fn a_tier_goes_before_all_that_a_route_says_and_ids_spread_evenly() {
+fn a_tier_precedes_the_routes_rank_and_ids_spread_evenly() {
     assert!(position(band(0, 3), "x") < position(band(1, 0), "y"));
     assert!(position(band(2, 1), "x") < position(band(2, 2), "x"));
     assert!(position(band(9, 9), "x") < 1.0);
@@ -16,7 +16,7 @@
 #[test_case(150.0, (8.0 + 0.25) / 16.0; "the border lies within a band")]
 #[test_case(100.0, 8.0 / 16.0; "on an edge")]
 #[test_case(-1.0, 0.0; "nothing")]
-fn the_border_keeps_what_is_asked(kept: f64, at: f64) {
+fn the_threshold_admits_the_requested_rate(kept: f64, at: f64) {
     let mut offered = [0.0; BANDS];
     (offered[0], offered[8]) = (100.0, 200.0);
     assert!((threshold(&offered, kept) - at).abs() < 1e-9);
--- a/crates/overload/tests/node.rs
+++ b/crates/overload/tests/node.rs
@@ -1,7 +1,8 @@
-//! One node with a processor that bears less than comes, on a driven clock.
+//! A single node whose processor can't keep up with the offered load, on a driven clock.
 //!
-//! The node works as its host does: a turn takes all that came during the turn before, and works it off in their order. A
-//! request that is let through costs so much, one that is refused a tenth of it. What came waits until its turn begins.
+//! The node works as its host does: a turn takes in what arrived during the turn before and works
+//! it off in order. An admitted request has a fixed cost, a rejected one a tenth of it. Input waits
+//! until its turn begins.
 
 use std::fmt::Write;
 
@@ -11,10 +12,10 @@
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// What a request costs, let through and refused: the node bears 500 a second, or 5,000 refusals.
+/// Cost of a request, admitted and rejected: the node can serve 500 a second, or reject 5,000.
 const COST: Micros = 2_000;
 const REFUSED: Micros = COST / 10;
-/// A node takes what comes all the time, and turns once in this at the most often.
+/// A node takes in input continuously, and turns at most once in this interval.
 const TURN: Micros = 500;
 
 #[derive(Default)]
@@ -28,12 +29,12 @@
     shedder: OverloadDetector,
     sheds: bool,
     now: Micros,
-    /// Until when what came is taken into account.
+    /// Until when arrivals are accounted for.
     seen: Micros,
     due: Micros,
     owed: [f64; 2],
     ids: u64,
-    /// Of a second each.
+    /// One entry a second.
     windows: Vec<Window>,
     lines: String,
 }
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Runs on, at so many requests of tiers 0 and 2 a second.
+    /// Runs on with these requests a second of tiers 0 and 2.
     fn run(&mut self, span: Micros, loads: [f64; 2]) {
         let until = self.now + span;
         while self.now < until {
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn at_three_times_what_it_bears_a_node_refuses_the_lower_tier_before_it_is_late() {
+fn at_three_times_its_capacity_a_node_rejects_the_lower_tier_before_it_is_late() {
     let run = |sheds| {
         let mut node = Node::new(sheds);
         node.run(2 * SECOND, [60.0, 140.0]);
@@ -120,14 +121,14 @@
     let node = run(true);
     for (at, window) in node.windows.iter().enumerate().take(12) {
         let share = window.sent[0] / window.asked[0].max(1.0);
-        // The second in which the load comes is its to learn.
+        // The node may learn during the second in which the load rises.
         assert!(
             share >= if at == 2 { 0.9 } else { 0.99 },
             "{at} s: {share:.3}\n{}",
             node.lines
         );
     }
-    // A quarter of the shortest aim is 100 ms.
+    // A quarter of the shortest latency target is 100 ms.
     assert!(
         node.longest(4) <= 100 * MS,
         "{}\n{}",
@@ -135,7 +136,7 @@
         node.lines
     );
     let late = &node.windows[4..12];
-    // Refusals take a part: x let through and 1,500 - x refused fill a second.
+    // Rejections cost too: x admitted and 1,500 - x rejected requests fill a second.
     let bears = (SECOND as f64 - 1_500.0 * REFUSED as f64) / (COST - REFUSED) as f64;
     let sent = late.iter().map(|w| w.sent[0] + w.sent[1]).sum::<f64>() / late.len() as f64;
     assert!(
@@ -152,10 +153,10 @@
 }
 
 #[test]
-fn a_node_that_keeps_up_or_is_late_but_once_refuses_nobody() {
+fn a_node_that_keeps_up_or_is_late_only_once_rejects_nothing() {
     let mut node = Node::new(true);
     node.run(3 * SECOND, [100.0, 250.0]);
-    // A table comes, and one turn takes long.
+    // A large update arrives, and one turn takes long.
     node.now += 120 * MS;
     node.run(3 * SECOND, [100.0, 250.0]);
     let refused = node
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn once_the_load_is_gone_all_are_let_through_again() {
+fn after_the_load_is_gone_everything_is_admitted_again() {
     let mut node = Node::new(true);
     node.run(6 * SECOND, [200.0, 1_300.0]);
     assert!(node.shedder.shedding_since().is_some(), "{}", node.lines);
@@ -180,7 +181,7 @@
 }
 
 #[test]
-fn a_node_that_fills_up_keeps_its_room_for_the_first() {
+fn a_node_that_fills_up_keeps_its_capacity_for_the_first_tier() {
     let mut shedder = OverloadDetector::default();
     let bands = [priority::band(0, 0), priority::band(2, 2)];
     for step in 1..=10 {
--- a/crates/overload/tests/overload.rs
+++ b/crates/overload/tests/overload.rs
@@ -1,7 +1,8 @@
-//! A fleet of limiters before servers that bear less than is asked of them, on a driven clock.
+//! A fleet of limiters in front of servers that can't serve the offered load, on a driven clock.
 //!
-//! Servers have two slots and a short queue each, and turn away what finds it full; of two drawn by chance a request goes
-//! to the one with less to do. Clients that are refused or get no answer in time ask again, twice. Each test also runs without the part that it is about, and must fail then.
+//! Each server has two slots and a short queue, and rejects requests when the queue is full. A
+//! request goes to the less loaded of two servers drawn at random. Clients that are rejected or
+//! time out retry twice. Each test also runs without the part that it covers, and has to fail then.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
@@ -17,27 +18,27 @@
 const SECOND: Micros = 1_000_000;
 const TICK: Micros = 10 * MS;
 const AIM: Micros = 500 * MS;
-/// A request's mean work; how long a client waits for an answer; when the refused come back.
+/// Mean work of a request; a client's time-out; the wait before a rejected client retries.
 const WORK: Micros = 90 * MS;
 const PATIENCE: Micros = 1_500 * MS;
 const BACK: Micros = 300 * MS;
 const HOMES: usize = 3;
-/// What a server has in hand and queues at most.
+/// Slots of a server, and the bound of its queue.
 const SLOTS: usize = 2;
 const QUEUE: usize = 8;
-/// Further tries earned by each request.
+/// Retries earned by each request.
 const EARNED: f64 = 0.12;
 const WINDOW: usize = (2 * SECOND / TICK) as usize;
 
-/// What a world does without.
+/// The part that a simulated fleet runs without.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Without {
     Nothing,
-    /// Nobody is turned away by a level.
+    /// No request is rejected because of a level.
     Levels,
-    /// All wait alike, whatever their tier.
+    /// All requests have the same priority, whatever their tier.
     Tiers,
-    /// Who hears nothing lets all through.
+    /// A limiter without levels admits everything.
     OwnShare,
 }
 
@@ -61,13 +62,13 @@
     without: Without,
     limiters: Vec<(Admission, usize, f64)>,
     homes: Vec<(AdmissionController, bool)>,
-    /// What servers bear a second, and how much slower they are than that now.
+    /// The servers' capacity a second, and by how much they are slowed down now.
     bears: f64,
     slowed: f64,
     further: f64,
-    /// When what a server has taken will be done, in order.
+    /// When each accepted request of a server is done, in order.
     servers: Vec<VecDeque<Micros>>,
-    /// By when they come: who asked, by which limiter, since when.
+    /// Arrivals by time: the client, its limiter, and since when it waits.
     answers: BTreeMap<(Micros, u64), (Asked, usize, Micros)>,
     back: VecDeque<(Micros, Asked)>,
     ids: u64,
@@ -108,7 +109,7 @@
             .expect("there is one from the start")
     }
 
-    /// Runs on, at so many requests of tiers 0 and 2 a second.
+    /// Runs on with these requests a second of tiers 0 and 2.
     fn run(&mut self, span: Micros, loads: [f64; 2]) {
         for _ in 0..span / TICK {
             self.now += TICK;
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Sends a request to one of two servers; whether it took it.
+    /// Sends a request to one of two servers; returns whether that accepted it.
     fn offer(&mut self, asked: Asked, at: usize, round: u64) -> bool {
         let now = self.now;
         let draw = |salt: u64| {
@@ -192,7 +193,7 @@
                 .record_outcome(now, "s", RequestOutcome::Rejected);
             return false;
         }
-        // A slot comes free when all but one of those before it are done.
+        // A slot becomes free when all but one of those before it are done.
         let free = server
             .len()
             .checked_sub(SLOTS)
@@ -210,7 +211,7 @@
 
     fn refused(&mut self, asked: Asked) {
         if asked.tries < 2 {
-            // Told times that spread.
+            // Clients are told waits that are spread.
             let spread = (self.ids % 7) as Micros * 40 * MS;
             let at = self.now + BACK + spread;
             let place = self.back.partition_point(|(due, _)| *due <= at);
@@ -245,13 +246,14 @@
             let window = self.window();
             window.in_aim += f64::from(u8::from(took <= AIM));
             let kind = (asked.tier / 2) as usize;
-            // It counts in the window in which it was first asked for.
+            // It counts in the window of its first attempt.
             let first = (asked.first / TICK) as usize / WINDOW;
             self.windows[first].answered[kind] += 1.0;
         }
     }
 
-    /// Limiters tell, homes look and share, and tell. A limiter whose home is gone is linked to the next.
+    /// Limiters report, replicas evaluate, exchange their sums and send levels. A limiter whose
+    /// replica is gone connects to the next.
     fn control(&mut self) {
         let steps = STEP / TICK;
         let (now, tick) = (self.now, self.now / TICK);
@@ -310,7 +312,8 @@
         let _ = writeln!(lines, "{:>5.1} s |{line} | {queue} out", now as f64 / 1e6);
     }
 
-    /// The shares of the protected that were served in their windows, and of what servers bear that was of use.
+    /// The share of protected requests served, by window, and the useful share of the servers'
+    /// capacity.
     fn figures(&self, from: usize, to: usize) -> (f64, f64) {
         let windows = &self.windows[from..to];
         let share = |w: &Count| w.answered[0] / w.asked[0].max(1.0);
@@ -324,7 +327,7 @@
     }
 }
 
-/// Three times what servers bear, a fifth of it protected.
+/// Three times the capacity, a fifth of it protected.
 const LOADS: [f64; 2] = [0.6, 2.4];
 
 fn loads(bears: f64) -> [f64; 2] {
@@ -334,7 +337,7 @@
 #[test_case(10, 300.0; "ten")]
 #[test_case(100, 600.0; "a hundred")]
 #[test_case(1_000, 2_000.0; "a thousand")]
-fn at_three_times_the_load_the_protected_are_served_and_servers_stay_of_use(
+fn at_three_times_capacity_protected_requests_are_served_and_servers_stay_useful(
     limiters: usize,
     bears: f64,
 ) {
@@ -348,7 +351,7 @@
     let (protected, good) = world.figures(4, 13);
     assert!(protected >= 0.97, "{protected:.3}\n{}", world.drawn());
     assert!(good >= 0.90, "{good:.3}\n{}", world.drawn());
-    // The rate settles: no swinging.
+    // The rate settles without oscillating.
     let late = &world.rates[world.rates.len() - 50..];
     let (least, most) = late
         .iter()
@@ -365,7 +368,7 @@
 }
 
 #[test]
-fn a_level_comes_within_a_second_and_goes_when_the_load_does() {
+fn a_level_is_set_within_a_second_and_removed_after_the_load() {
     let mut world = World::new(30, 300.0, Without::Nothing);
     world.run(4 * SECOND, loads(75.0));
     assert!(
@@ -380,7 +383,7 @@
         .iter()
         .filter(|l| l.0.threshold(world.now, "s") == 1.0)
         .count();
-    // The queue fills in the first 0.4 s: before that nothing is to be seen.
+    // The queues fill in the first 0.4 s: before that there is nothing to detect.
     assert_eq!(open, 0, "{}", world.drawn());
     world.run(10 * SECOND, loads(300.0));
     world.run(9 * SECOND, loads(75.0));
@@ -394,11 +397,12 @@
 }
 
 #[test]
-fn limiters_that_hear_nothing_keep_to_their_share() {
+fn limiters_without_levels_keep_to_their_share() {
     let run = |without| {
         let mut world = World::new(30, 300.0, without);
         world.run(8 * SECOND, loads(300.0));
-        // Two thirds of them are told nothing any more, and their homes hear nothing of them.
+        // Two thirds of the limiters receive nothing any more, and their replicas receive nothing
+        // from them.
         world
             .limiters
             .iter_mut()
@@ -427,11 +431,11 @@
 }
 
 #[test]
-fn a_lost_home_is_replaced_and_the_protected_hardly_feel_it() {
+fn a_lost_replica_is_replaced_with_little_effect_on_protected_requests() {
     let mut world = World::new(30, 300.0, Without::Nothing);
     world.run(12 * SECOND, loads(300.0));
     world.homes[0].1 = false;
-    // Its limiters find the next one after a second.
+    // Its limiters connect to the next replica after a second.
     world.run(SECOND, loads(300.0));
     world
         .limiters
@@ -439,7 +443,7 @@
         .filter(|l| l.1 == 0)
         .for_each(|l| l.1 = 1);
     world.run(5 * SECOND, loads(300.0));
-    // It comes back empty, and goes by what the others hold.
+    // It returns without state, and follows the other replicas' decision.
     world.homes[0] = (AdmissionController::new(0), true);
     world.limiters.iter_mut().step_by(3).for_each(|l| l.1 = 0);
     world.run(6 * SECOND, loads(300.0));
@@ -452,12 +456,12 @@
 }
 
 #[test]
-fn once_the_trigger_is_gone_all_is_served_again() {
+fn after_the_trigger_is_gone_everything_is_served_again() {
     let run = |without| {
         let mut world = World::new(30, 300.0, without);
         let calm = [60.0, 180.0];
         world.run(4 * SECOND, calm);
-        // For four seconds servers are four times slower.
+        // For four seconds the servers are four times slower.
         world.slowed = 4.0;
         world.run(4 * SECOND, calm);
         world.slowed = 1.0;
@@ -469,7 +473,7 @@
         let share = |w: &Count| (w.answered[0] + w.answered[1]) / (w.asked[0] + w.asked[1]);
         windows.iter().map(share).fold(f64::MAX, f64::min)
     };
-    // Stated: eight seconds.
+    // Stated bound: eight seconds.
     let world = run(Without::Nothing);
     assert!(
         served(&world, 8) >= 0.95,
