--- a/crates/proxy/src/answers.rs
+++ b/crates/proxy/src/answers.rs
@@ -1,28 +1,28 @@
-//! What a server's answer stands for. Without any input or output.
+//! Classifies the answers of servers. Without I/O.
 
 use dataplane::framing::{AnswerHead, Extent, Incoming};
 use dataplane::limits::Limits;
 use streamarch::{Micros, Outcome};
 
-/// What a whole answer stands for.
+/// What a complete answer means for its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseClass {
-    /// It goes on to the client as it is.
+    /// It is forwarded to the client unchanged.
     Final,
-    /// The server failed and may have run the request: it goes on to the client if nothing better comes.
+    /// The server failed and may have run the request: it is forwarded if no better answer arrives.
     Failure,
     /// The request has not run there.
     NotRun,
-    /// Nor this; another server is at the address.
+    /// The request has not run, and another server has taken over the address.
     WrongServer,
-    /// It belongs to another request; the one that is due may follow.
+    /// It belongs to another request; the awaited answer may follow.
     OtherRequest,
-    /// It is no answer that can be passed on, and the connection is of no more use.
+    /// It can't be forwarded, and the connection can't be used any more.
     Malformed,
 }
 
 impl ResponseClass {
-    /// How the leg ended, where it has.
+    /// The outcome of the attempt; `None` where it is still open.
     pub fn outcome(self) -> Option<Outcome> {
         match self {
             ResponseClass::Final => Some(Outcome::Ok),
@@ -34,7 +34,7 @@
     }
 }
 
-/// Judges an answer by its head. `id`: of the request that waits.
+/// Classifies an answer by its head. `id`: of the request that waits for it.
 pub fn classify(head: &AnswerHead, extent: Extent, id: &str) -> ResponseClass {
     let told = head.headers.get("X-Request-Id");
     if told.is_some_and(|told| told != id) {
@@ -46,8 +46,9 @@
     if head.headers.has("X-Not-Run") {
         return ResponseClass::NotRun;
     }
-    // Guards against what a server in trouble sends: without the id it may be anybody's, without a length its end
-    // can't be told from its connection's, and a success must have the stamp and be the server's own bytes.
+    // A failing server may send anything: without the id the answer may be anybody's, without a
+    // length its end can't be told from that of the connection, and a success must have the
+    // server's stamp and length.
     let framed = extent != Extent::UntilClose && told.is_some();
     let stamped = head.headers.has("X-Server-Seal") && !head.headers.has("Content-Encoding");
     match head.status {
@@ -58,19 +59,19 @@
     }
 }
 
-/// What is done with an answer that is not whole yet.
+/// How an incomplete answer is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseHandling {
-    /// It is waited for, and goes on whole.
+    /// Buffered, and forwarded when it is complete.
     Buffered,
-    /// It goes on as it comes. That is the end of its request: what breaks off now can't be tried again, so that short
-    /// answers, which are most, are kept.
+    /// Streamed. It becomes the final answer: if it breaks off, the request can't be retried any
+    /// more. That is why short answers, which are most, are buffered.
     Streamed,
-    /// It is too long for what is never passed on before it is whole.
+    /// Too long for an answer that is never forwarded before it is complete.
     Rejected,
 }
 
-/// Says it by the answer's head, and by how much has come.
+/// Decides by the answer's head and by how much of it has arrived.
 pub fn handling(
     verdict: ResponseClass,
     incoming: &Incoming<AnswerHead>,
@@ -86,20 +87,20 @@
     }
 }
 
-/// When an answer that is being relayed is given up: not before its request's deadline, however silent its server is;
-/// and behind it as long as it still moves, for a while.
+/// When a streamed answer is given up: not before its request's deadline, however silent its server
+/// is; and after that for as long as it makes progress, up to a bound.
 pub fn stream_deadline(deadline: Micros, heard: Micros, limits: &Limits) -> Micros {
     deadline
         .max(heard + limits.answer_rest)
         .min(deadline + limits.upload_longest)
 }
 
-/// Whether a header line of an answer goes on.
+/// Whether a header field of an answer is forwarded.
 pub fn is_forwarded(name: &str) -> bool {
     !is_hop_by_hop(name)
 }
 
-/// Whether a header line concerns one connection only, or is the proxy's own to write.
+/// Whether a header field is hop-by-hop, or written by the proxy itself.
 pub fn is_hop_by_hop(name: &str) -> bool {
     const LINES: [&str; 9] = [
         "connection",
@@ -115,7 +116,7 @@
     LINES.iter().any(|line| name.eq_ignore_ascii_case(line))
 }
 
-/// How long a server keeps an idle connection, in seconds, by its `Keep-Alive` line.
+/// The idle time-out of a server's connection in seconds, from its `Keep-Alive` field.
 pub fn keep_alive_seconds(value: &str) -> Option<u32> {
     value
         .split(',')
--- a/crates/proxy/src/config_store.rs
+++ b/crates/proxy/src/config_store.rs
@@ -1,5 +1,5 @@
-//! The operators' configuration as a proxy goes by it: which route a request takes, whose a key is, which zones get
-//! nothing. Without any input or output.
+//! The operators' configuration as the proxy applies it: routes, services, tenants and keys,
+//! evacuated zones. Without I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -11,18 +11,18 @@
 /// A tenant with its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedTenant {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// What the configuration says of it.
+    /// The configured limits and rules.
     pub tenant: Tenant,
 }
 
-/// What stands, by the highest version of each item that was heard of in this life.
+/// The configuration: the highest version of each item received since the start of the process.
 #[derive(Debug, Default)]
 pub struct ConfigStore {
     items: Items,
     routes: BTreeMap<String, Rc<Route>>,
-    /// By host, the longest prefix first.
+    /// Routes by host, longest prefix first.
     hosts: BTreeMap<String, Vec<Rc<Route>>>,
     tenants: BTreeMap<String, Rc<NamedTenant>>,
     keys: BTreeMap<String, Rc<NamedTenant>>,
@@ -31,24 +31,25 @@
     evacuated: BTreeSet<String>,
 }
 
-/// What a change touched.
+/// What an update changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigChange {
-    /// Some item is new.
+    /// At least one item is new.
     pub has_new_items: bool,
-    /// Zones were emptied or taken back.
+    /// Zones were evacuated, or their evacuation ended.
     pub zones: bool,
-    /// Zones that are said to be taken back, also where it was not heard before that they had been emptied.
+    /// Zones whose evacuation ended, also where this proxy had not received that it had begun.
     pub returned_zones: Vec<String>,
 }
 
 impl ConfigStore {
-    /// Takes items; one whose version is not higher than the one held has no effect. Items that can't be read are left
-    /// out, and told.
+    /// Applies items; one whose version is not higher than the stored one has no effect. Items that
+    /// can't be decoded are left out and returned in the update.
     pub fn apply(&mut self, items: Vec<Item>) -> (ConfigChange, Vec<ConfigError>) {
         let (mut touched, mut faults) = (ConfigChange::default(), Vec::new());
         for item in items {
-            // Guards against going back: news may come late, twice, and from two sources.
+            // Updates can arrive late, twice, and from two replicas: never go back to an older
+            // version.
             if self
                 .items
                 .get(&item.name)
@@ -123,7 +124,7 @@
         self.keys = self.tenants.values().flat_map(keys).collect();
     }
 
-    /// The route of a request: of its host, the longest prefix that begins its path.
+    /// The route of a request: the longest matching path prefix of its host.
     pub fn route(&self, host: &str, target: &str) -> Option<&Rc<Route>> {
         let host = host
             .rsplit_once(':')
@@ -137,32 +138,32 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Whose a key is.
+    /// The tenant of an API key.
     pub fn tenant(&self, key: &str) -> Option<&Rc<NamedTenant>> {
         self.keys.get(key)
     }
 
-    /// Requests carry keys.
+    /// Whether requests must carry a key.
     pub fn requires_keys(&self) -> bool {
         !self.tenants.is_empty()
     }
 
-    /// A service.
+    /// A service's configuration.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// What clients may send.
+    /// The limits on what clients may send.
     pub fn limits(&self) -> Option<&ClientLimits> {
         self.limits.as_ref()
     }
 
-    /// Zones whose servers get nothing.
+    /// Zones whose servers receive no new requests.
     pub fn evacuated_zones(&self) -> &BTreeSet<String> {
         &self.evacuated
     }
 
-    /// There is something to serve.
+    /// Whether there is anything to serve.
     pub fn is_ready(&self) -> bool {
         !self.routes.is_empty()
     }
--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -1,4 +1,5 @@
-//! The agent's link: what the proxy goes by comes in on it, and the adds to the shared count go out.
+//! The link to the agent: configuration, servers and counter totals arrive on it, and counter adds
+//! go out.
 
 use protocol::frames;
 use protocol::log_ring::IMMEDIATE;
@@ -9,8 +10,8 @@
 use super::*;
 use crate::config_store::ConfigChange;
 
-/// So much longer than their service's warm-up servers may be cold in a zone that is taken back: the order takes its
-/// time from the operators to here, and the servers may turn cold until it does.
+/// After the end of a zone's evacuation its servers may be cold for this much longer than their
+/// warm-up: the operator's call needs time to get here, and the servers may go cold until it does.
 const COLD_LAG: Micros = SECOND;
 /// Warm-up where the configuration names none.
 const WARMUP: Micros = 3 * SECOND;
@@ -39,7 +40,7 @@
         }
         self.standing = self.stands();
         self.tell(&AgentMessage::Heartbeat(self.standing));
-        // What came up while there was none has no total.
+        // Counter calls in flight on the old link get no totals.
         self.send_adds(now);
     }
 
@@ -58,7 +59,7 @@
         }
     }
 
-    /// What was seen of services under strain.
+    /// Sends the load reports.
     pub(super) fn tell_load(&mut self, now: Micros) {
         self.deadlines.enter(now + overload::STEP, Timer::Load);
         let load = self.router.shedding().take_reports(now);
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Tells every engine its servers, and the pool where they are.
+    /// Passes the servers to every engine, and their addresses to the pool.
     pub(super) fn list(&mut self, now: Micros) {
         let places: Vec<_> = self
             .router
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Adds go out once a turn.
+    /// Adds are sent once a turn.
     pub(super) fn send_adds(&mut self, now: Micros) {
         if self.adds.is_empty() {
             return;
@@ -258,7 +259,7 @@
         for name in late {
             self.router.handle_count(name, Outcome::TimedOut, 0.0);
         }
-        // Guards the memory against a count that never answers.
+        // Bounds the memory used for calls to a counter that never answers.
         while self.batches.len() > 1_000 {
             self.batches.pop_front();
         }
--- a/crates/proxy/src/host/capacity.rs
+++ b/crates/proxy/src/host/capacity.rs
@@ -1,4 +1,4 @@
-//! How late and how full this node is, and who goes first where it has no more room.
+//! How late and how full this node is, and which connection is evicted when it is full.
 
 use std::cmp::Reverse;
 
@@ -6,13 +6,13 @@
 
 use super::*;
 
-/// Most connections of clients at a time; what is beyond makes room.
+/// Most clients' connections at a time; beyond that one is evicted.
 const MAX_CLIENTS: usize = 2_600;
-/// Most bytes of requests that are held for all clients together.
+/// Most bytes of buffered requests, over all clients.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024 * 1024;
-/// Descriptors that are no connections, and those that are kept for files.
+/// Descriptors used for other than connections, and those reserved for files.
 const RESERVED_DESCRIPTORS: usize = 240;
-/// A wait that was over so soon brought what was there before it began.
+/// A wait that ended this soon returned events from before it began.
 const AT_ONCE: Micros = 300;
 
 impl Host {
@@ -23,8 +23,9 @@
             .max(1)
     }
 
-    /// How late the loop is with what it takes now, and how full it is. What a wait brought at once may have come during
-    /// the whole turn before it; where a wait did not bring all, since earlier still. One that ends late kept what was due.
+    /// Records how late the loop is with its present input, and how full the node is. The events of
+    /// a wait may have occurred during the whole turn before it; where a wait did not return all,
+    /// even earlier. A wait that ends late delayed the work that was due.
     pub(super) fn measure_load(&mut self, began: Micros, until: Micros, count: usize) {
         let (woken, all) = self.connections.last_wake();
         let at_once = woken - began <= AT_ONCE;
@@ -51,14 +52,15 @@
         node.set_fill(shares.into_iter().fold(0.0, f64::max));
     }
 
-    /// A connection was taken: if there are too many, the one that can best be spared goes. Among those alike it is one
-    /// whose last request was of the lowest tier.
+    /// A connection was accepted: if there are too many, the least valuable is evicted. Among
+    /// equals it is one whose last request had the lowest tier.
     pub(super) fn make_room(&mut self, now: Micros) {
         if self.clients <= MAX_CLIENTS && self.connections.len() < self.descriptors() {
             return;
         }
         let spared = |key: ConnectionId, client: &Client| {
-            // Danger: of what this wait brought, this connection's next request may stand behind the new connection.
+            // Of the events of this wait, this connection's next request may come after the new
+            // connection.
             let read = self
                 .connections
                 .get(key)
@@ -78,8 +80,8 @@
         }
     }
 
-    /// If more is held than there is room for: the request that goes for it, of those whose body is still coming. It is of
-    /// the lowest tier, and among those alike the largest.
+    /// If more is buffered than allowed: the request to evict, of those whose body is still
+    /// arriving. It is of the lowest tier, and the largest among equals.
     pub(super) fn evict_buffered(&self) -> Option<ConnectionId> {
         let coming = self.roles.iter().filter_map(|(key, role)| match role {
             Role::Client(client) if client.visit.stage == Stage::Partial => {
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -9,29 +9,29 @@
 use crate::router::RoutingRequest;
 use crate::shedding::SheddingRequest;
 
-/// Taken in from a client while its request is out.
+/// Bytes read ahead from a client while its request is in flight.
 pub(super) const AHEAD: usize = 4 * 1024;
-/// Taken in at a time while a request is coming in.
+/// Bytes read at a time while a request is arriving.
 const WINDOW: usize = 128 * 1024;
-/// Where the module gives no advice, and for requests that came before the configuration did.
+/// The wait told where the module gives none.
 const STAY_AWAY: Micros = 200 * MS;
-/// The same, on the average, from a proxy that was told nothing yet: after all have lost power the list of servers is
-/// back within a second.
+/// The mean wait told by a proxy that has no configuration or servers yet: after a loss of power
+/// everywhere the server list is back within a second.
 const START_AWAY: Micros = 700 * MS;
-/// A request ends so long before its client gives up: the way back takes time.
+/// A request ends this long before its client gives up: the answer needs time on its way.
 pub(super) const MARGIN: Micros = 12 * MS;
 
-/// An idle connection is kept for so much longer than its client is told.
+/// An idle connection is kept this much longer than its client is told.
 const STAY_LESS: Micros = SECOND;
 
-/// A body that goes on while it comes.
+/// A body that is forwarded while it arrives.
 pub(super) struct Coming {
     pub(super) extent: Extent,
-    /// The time that it is given to come.
+    /// The additional time that it is given to arrive.
     pub(super) more: Micros,
 }
 
-/// An answer of the proxy's own.
+/// An answer that the proxy itself generates.
 pub(super) struct Own {
     status: u16,
     stay_away: Micros,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Enters the deadline of a visit, if it is earlier than the one entered.
+    /// Schedules the connection's deadline if it is earlier than the scheduled one.
     pub(super) fn arm(&mut self, now: Micros, key: ConnectionId) {
         let closing = self.lifecycle.closing_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
@@ -107,7 +107,7 @@
             return;
         };
         client.timer_at = Micros::MAX;
-        // A client that waits for more of its answer has not gone away.
+        // A client that waits for the rest of its answer is not idle.
         if client.source.is_some()
             && self
                 .connections
@@ -116,7 +116,7 @@
         {
             client.visit.progress(now);
         }
-        // Nor one whose body is not asked for, where the server is slow.
+        // Nor is one whose body is not being read because the server is slow.
         let over = client
             .visit
             .deadline(closing, &self.limits)
@@ -144,7 +144,7 @@
                 );
             }
             Some(_) if closing && client.visit.stage == Stage::Idle => {
-                // Its next request may be under way: one that was read is answered.
+                // Its next request may be on its way: one that was read is answered.
                 self.arm(now, key);
             }
             _ => self.arm(now, key),
@@ -169,7 +169,7 @@
         self.is_drained();
     }
 
-    /// Nothing is owed for a request any more.
+    /// Drops a request for which no answer is owed any more.
     pub(super) fn leave_off(&mut self, now: Micros, request: RequestKey) {
         if let Some(request) = self.requests.remove(request) {
             self.router
@@ -188,11 +188,12 @@
             Stage::Idle | Stage::Partial => {}
             Stage::Lingering => {
                 wire.input.clear();
-                // Guards the answer: a close with input unread would reset the connection.
+                // Closing with unread input would reset the connection and could destroy the
+                // answer.
                 return self.ready_again.extend(wire.has_unread().then_some(key));
             }
             Stage::Open if client.upload.is_some() => return self.upload_came(now, key),
-            // The rest waits until the request before it is answered.
+            // Pipelined input waits until the request before it is answered.
             Stage::Open | Stage::Answering => return,
         }
         if wire.input.is_empty() && client.incoming.head().is_none() {
@@ -268,7 +269,7 @@
         }
     }
 
-    /// What came is no request, or too long a one.
+    /// The input is not a valid request, or too long.
     pub(super) fn refuse(&mut self, now: Micros, key: ConnectionId, fault: Malformed) {
         let text = match fault {
             Malformed::Syntax => "no request",
@@ -281,15 +282,16 @@
         self.answer_own(now, key, &own(fault.status(), text));
     }
 
-    /// The client may send its body.
+    /// Tells the client to send its body.
     pub(super) fn go_on(&mut self, key: ConnectionId) {
         let out = self.connections.output(key);
         out.into_iter()
             .for_each(|out| out.extend(b"HTTP/1.1 100 Continue\r\n\r\n"));
     }
 
-    /// Whether a request's turn has not come: it is refused then before its body is taken, and the connection closed
-    /// behind the answer. Looked at once, when its head is there, where the route has one service: else it is not known.
+    /// Whether a request is shed by its head alone: it is rejected before its body is read, and the
+    /// connection closed after the answer. Checked once, when the head is complete and the route
+    /// has one service; with several it is not known yet which one will be chosen.
     fn waits_by_head(&mut self, now: Micros, key: ConnectionId) -> bool {
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return false;
@@ -330,7 +332,7 @@
         self.router.would_be_shed(now, &asker)
     }
 
-    /// A whole request was read.
+    /// Handles a complete request.
     fn take(&mut self, now: Micros, key: ConnectionId, head: RequestHead, body: Vec<u8>) {
         if let Some(client) = self.client(key) {
             client.last = !head.keep_alive;
@@ -442,12 +444,12 @@
         Ok(())
     }
 
-    /// The module ends a request.
+    /// Ends a request as the module decided.
     pub(super) fn end(&mut self, now: Micros, key: RequestKey, ending: Ending) {
         let Some(mut request) = self.requests.remove(key) else {
             return;
         };
-        // A leg that is out may be at work: it is stopped only after this.
+        // An attempt in flight may be running: it is stopped only after this.
         request.ran |= self.may_be_at_work(request.ticket);
         if let Some((head, body)) = request.failure.filter(|_| request.ran) {
             return self.answer_servers(now, request.client, &head, &body);
@@ -471,7 +473,8 @@
         let seconds = format!("{:.3}", own.stay_away as f64 / 1e6);
         let mut lines = vec![("Content-Type", "text/plain")];
         lines.extend((own.stay_away > 0).then_some(("Retry-After", seconds.as_str())));
-        // Where room is short, who is refused takes none up: a new try takes a new connection all the same.
+        // While the node is crowded, rejected clients are disconnected: a retry uses a new
+        // connection anyway.
         let crowded = self.router.shedding().node().is_crowded();
         self.client(key)
             .into_iter()
@@ -486,7 +489,7 @@
         }
     }
 
-    /// A server's answer goes on as it is.
+    /// Forwards a server's answer unchanged.
     pub(super) fn answer_servers(
         &mut self,
         now: Micros,
@@ -512,17 +515,18 @@
         out.extend_from_slice(body);
     }
 
-    /// An answer is to be written now; tells whether it is the last.
+    /// Prepares the connection for its answer; returns whether the connection is closed after it,
+    /// `None` if it is gone.
     pub(super) fn answering(&mut self, now: Micros, key: ConnectionId) -> Option<bool> {
         let last = self.lifecycle.last_answers(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return None;
         };
         client.request = None;
-        // What was here of the request is of no more use.
+        // The buffered request is not needed any more.
         client.incoming = Incoming::default();
         self.buffered_bytes -= std::mem::take(&mut client.buffered_bytes);
-        // What is left of a body is read and thrown away behind the last answer.
+        // The rest of a body is read and discarded after the last answer.
         let rest = client.upload.take().is_some_and(|upload| !upload.whole());
         client.last |= last || rest;
         client.visit.answering(now);
@@ -552,13 +556,13 @@
         if last {
             self.connections.shutdown_write(key);
         }
-        // What came behind the request, or waits with the system.
+        // Pipelined input may be buffered here or in the kernel.
         self.ready_again.push(key);
         self.arm(now, key);
     }
 
-    /// Danger: the answer goes out with all others at the end of the turn. Were it written here, what else was due to be
-    /// written would go out with it, and nobody would hear that it had.
+    /// The answer is written with all others at the end of the turn. If it were flushed here, other
+    /// pending output would be flushed with it without the host learning of it.
     pub(super) fn check_came(&mut self, key: ConnectionId) {
         let ready = self.stands() == NodeState::Ready;
         let Some(wire) = self.connections.get_mut(key) else {
@@ -583,18 +587,19 @@
     }
 }
 
-/// What clients are told of how long they may stay idle. Guards the request that crosses the close of its connection: one
-/// that cannot be repeated fails by that, and its client can't tell whether it was read.
+/// The `Keep-Alive` value for clients. It is shorter than the real time-out so that no request
+/// crosses the close of its connection: one that is not idempotent would fail, and its client could
+/// not tell whether it was read.
 pub(super) fn stay(idle: Micros) -> String {
     format!("timeout={}", (idle - STAY_LESS).max(0) / SECOND)
 }
 
-/// The line that says so, unless the answer is the last of its connection.
+/// The `Keep-Alive` field, unless the connection is closed after the answer.
 pub(super) fn may_stay(stay: &str, close: bool) -> Option<(&'static str, &str)> {
     (!close).then_some(("Keep-Alive", stay))
 }
 
-/// The service that a request goes to, by chance where the route has several.
+/// Chooses the service of a request, at random by weight where the route has several.
 fn choose(route: &Route) -> Option<String> {
     let all: f64 = route.services().map(|(_, weight)| weight).sum();
     let mut point = fastrand::f64() * all;
@@ -606,14 +611,15 @@
     chosen.or_else(positive).map(|(svc, _)| svc.to_string())
 }
 
-/// Danger: told the same time, all that came to a proxy that has just started would come back together; and told a
-/// short one, they would use up their tries before it knows more.
+/// A wait with jitter. With the same wait for all, the clients of a proxy that has just started
+/// would return at once; with a short one they would spend their retries before it is ready.
 fn start_away() -> Micros {
     let spread = 0.5 + fastrand::f64();
     (START_AWAY as f64 * spread) as Micros
 }
 
-/// The regions that both allow; none named: everywhere. None at all: nowhere.
+/// The regions that both lists allow, where an empty list allows all; `None` if they have none in
+/// common.
 fn pins(route: &[String], tenant: &[String]) -> Option<Vec<String>> {
     match (route.is_empty(), tenant.is_empty()) {
         (true, _) => Some(tenant.to_vec()),
@@ -629,7 +635,7 @@
     }
 }
 
-/// The header lines as servers get them, less those that are written for each leg.
+/// The header fields as servers receive them, without those written for each attempt.
 fn lines(headers: &Headers, tenant: Option<&str>) -> Vec<u8> {
     const OWN: [&str; 4] = [
         "authorization",
@@ -644,12 +650,12 @@
         out.extend_from_slice(value.as_bytes());
         out.extend_from_slice(b"\r\n");
     };
-    // What `Connection` names concerns that connection as well.
+    // Fields named by `Connection` are hop-by-hop as well,
     let named = headers
         .iter()
         .filter(|(name, _)| name.eq_ignore_ascii_case("connection"));
     let named = named.flat_map(|(_, value)| value.split(',').map(str::trim));
-    // But never what a server must have.
+    // except those that a server needs.
     let named: Vec<&str> = named
         .filter(|name| {
             !name.eq_ignore_ascii_case("host") && !name.eq_ignore_ascii_case("x-request-id")
@@ -668,7 +674,7 @@
     out
 }
 
-/// A body goes on with its length, as it is there whole.
+/// Whether a body is forwarded, with its length.
 pub(super) fn has_body(method: &str, extent: Extent) -> bool {
     !matches!((method, extent), ("GET" | "HEAD", Extent::Length(0)))
 }
--- a/crates/proxy/src/host/close_reasons.rs
+++ b/crates/proxy/src/host/close_reasons.rs
@@ -1,4 +1,5 @@
-//! Why a client's connection is closed from here, and the line for operators where an answer is owed on it.
+//! Why the proxy closes a client's connection, and the log line where an answer is still owed on
+//! it.
 
 use std::fmt;
 
@@ -8,25 +9,26 @@
 
 use super::*;
 
-/// Between two of these lines that come out at once; those between are kept in the ring.
+/// Shortest interval between two lines that are printed at once; those in between are kept in the
+/// ring.
 const CLOSE_LOG_INTERVAL: Micros = SECOND;
 
-/// What ends a client's connection.
+/// The reason for closing a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
     /// The client closed it, or it broke.
     ClientClosed,
-    /// It was idle, or its request did not come whole, for too long.
+    /// It was idle, or its request incomplete, for too long.
     IdleTimeout,
-    /// The client did not take its answer in.
+    /// The client did not read its answer.
     SlowReader,
-    /// It made room for others.
+    /// It was evicted in favour of others.
     Evicted,
-    /// The server of the answer that was being relayed broke off.
+    /// The server of the streamed answer closed its connection.
     ServerBroke,
-    /// That server was silent until the answer was due.
+    /// The server of the streamed answer was silent until the deadline.
     ResponseTimeout,
-    /// That server went on with what is no body.
+    /// The server of the streamed answer sent a malformed body.
     MalformedBody,
 }
 
@@ -45,7 +47,8 @@
 }
 
 impl Host {
-    /// Keeps a line where the proxy closes a connection on which it owes an answer, or holds bytes of a request.
+    /// Logs that the proxy closes a connection on which an answer is owed or a partial request is
+    /// buffered.
     pub(super) fn log_close(&mut self, now: Micros, key: ConnectionId, closing: CloseReason) {
         let Some(Role::Client(client)) = self.roles.get(key) else {
             return;
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -1,5 +1,5 @@
-//! The host of a proxy: one thread, one wait for all connections. What a wait brought is taken in first; then what is
-//! due and the engines have their turn; then all that is to be written goes out.
+//! The host of a proxy: one thread, one wait for all connections. Each turn reads all input, then
+//! handles what is due and lets the engines decide, then writes all output.
 
 mod agent_link;
 mod capacity;
@@ -43,22 +43,25 @@
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Between two signs of life to the agent.
+/// Interval between two heartbeats to the agent.
 const HEARTBEAT_INTERVAL: Micros = 400 * MS;
-/// The agent's link is tried again after this.
+/// Delay before the agent's link is retried.
 const AGENT_RETRY_DELAY: Micros = 100 * MS;
-/// A connection to a server must come up within this; the farthest need more than a tenth of a second.
+/// Time-out of a connection attempt to a server; the farthest need more than a tenth of a second.
 const CONNECT_TIMEOUT: Micros = 350 * MS;
 /// A batch of adds without totals by then has timed out.
 const COUNTER_TIMEOUT: Micros = 300 * MS;
-/// Longest answer that is taken in whole before it goes on, in bytes: what one that is relayed may hold as well, its
-/// window on either side. Danger: longer ones that break off can't be tried at another server, shorter ones can.
+/// Longest answer that is buffered before it is forwarded, in bytes; also the bound of what a
+/// streamed one may hold. A longer one that breaks off can't be retried at another server, a
+/// shorter one can.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 128 * 1024;
-/// Longest answer that is relayed, in bytes: none of it is held, but there is an end to what is believed.
+/// Longest answer that is streamed, in bytes. It is never held; the bound protects against endless
+/// answers.
 const MAX_STREAMED_RESPONSE_BYTES: u64 = 1024 * 1024 * 1024;
-/// From SIGTERM on, clients that ask where to go are sent elsewhere; who comes all the same is served so long.
+/// From SIGTERM on, clients that look up an edge are sent elsewhere; those that connect all the
+/// same are served for this long.
 const SHUTDOWN_NOTICE: Micros = 2_200 * MS;
-/// What is left of the grace period at the end.
+/// Reserve at the end of the grace period.
 const GRACE_MARGIN: Micros = 400 * MS;
 /// Longest wait without a deadline.
 const MAX_IDLE_WAIT: Micros = SECOND;
@@ -67,19 +70,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UpstreamPurpose {
     Leg(RequestKey, RequestHandle, u32),
-    /// For the engine of this position.
+    /// A health check for the engine at this position.
     Probe(usize),
 }
 
-/// Whose a connection is.
+/// The role of a connection.
 enum Role {
     Client(Box<Client>),
     Leg(Box<UpstreamConnection>),
-    /// The platform asks whether the proxy is ready. `last`: the answer that is being written is the last.
+    /// The platform's readiness check. `last`: the connection is closed after the answer being
+    /// written.
     Check {
         last: bool,
     },
-    /// The agent.
+    /// The link to the agent.
     Agent,
 }
 
@@ -88,20 +92,20 @@
     visit: Visit,
     incoming: Incoming<RequestHead>,
     request: Option<RequestKey>,
-    /// The earliest deadline entered for it.
+    /// The earliest deadline scheduled for it.
     timer_at: Micros,
-    /// The answer that is being written is the last.
+    /// The connection is closed after this answer.
     last: bool,
     continue_sent: bool,
-    /// Whether it is refused by its head was looked at.
+    /// Whether shedding by the request's head was checked.
     checked_by_head: bool,
-    /// Its bytes among those held for all.
+    /// Its part of the bytes buffered for all clients.
     buffered_bytes: usize,
-    /// The band of its last request.
+    /// The priority band of its last request.
     band: usize,
-    /// The server's connection from which its answer is being relayed.
+    /// The server's connection from which its answer is streamed.
     source: Option<ConnectionId>,
-    /// The body of its request that goes on while it comes.
+    /// The request body that is being streamed.
     upload: Option<Upload<ConnectionId>>,
 }
 
@@ -113,15 +117,15 @@
     verdict: Option<ResponseClass>,
     /// The answer has no body, whatever its head says.
     bodiless: bool,
-    /// Idle, it may be used until then.
+    /// An idle connection may be used until then.
     until: Micros,
-    /// The answer that is being relayed from it.
+    /// The answer that is streamed from it.
     relay: Option<ResponseStream>,
-    /// Of the body that goes on to it the end has not come.
+    /// The body streamed to it is not complete.
     is_uploading: bool,
-    /// Bytes that went out on the connection before its errand.
+    /// Bytes written on the connection before the present use.
     bytes_sent_before: u64,
-    /// An answer without an id came on it before.
+    /// An answer without an id arrived on it before.
     had_response_without_id: bool,
 }
 
@@ -130,34 +134,34 @@
     client: ConnectionId,
     method: String,
     target: String,
-    /// Header lines as they go on to servers.
+    /// Header fields as servers receive them.
     lines: Vec<u8>,
     body: Vec<u8>,
     id: String,
     route: Rc<Route>,
     deadline: Micros,
-    /// The time that its client gave it.
+    /// The time that its client allowed.
     wait: Micros,
-    /// How its body ends, where that goes on while it comes.
+    /// How the body ends, where it is streamed.
     coming: Option<Extent>,
     ticket: RequestHandle,
-    /// Connections to servers that it was sent on.
+    /// Connections on which it was sent to servers.
     sent_on: Vec<ConnectionId>,
     /// It may have run.
     ran: bool,
-    /// A server's failure, which is the answer if nothing better comes.
+    /// A server's failure, which is forwarded if no better answer arrives.
     failure: Option<(AnswerHead, Vec<u8>)>,
 }
 
-/// What falls due.
+/// Scheduled work.
 #[derive(Debug)]
 enum Timer {
     Connect(ConnectionId),
     Visit(ConnectionId),
     Probe(ConnectionId),
-    /// An answer that is being relayed from this connection.
+    /// The answer streamed from this connection.
     Relay(ConnectionId),
-    /// A request whose long body came.
+    /// The deadline of a request whose long body has arrived.
     Late(RequestKey),
     Batch,
     Retire,
@@ -169,31 +173,31 @@
     DrainOver,
 }
 
-/// A batch of adds that is out.
+/// A batch of counter adds in flight.
 struct CounterBatch {
     number: u64,
     names: Vec<u64>,
     sent: Micros,
-    /// Its outcome was told.
+    /// Its time-out was reported.
     expired: bool,
 }
 
-/// All that runs on the loop.
+/// The state of the proxy's event loop.
 pub struct Host {
     clock: Clock,
     settings: Settings,
     limits: Limits,
-    /// What clients are told of how long they may stay idle.
+    /// The `Keep-Alive` value for clients.
     client_keep_alive: String,
     log: Logger,
     ring: LogRing,
     connections: Connections,
     roles: SecondaryMap<ConnectionId, Role>,
     clients: usize,
-    /// Bytes of requests that are held for all clients.
+    /// Bytes buffered for all clients' requests.
     buffered_bytes: usize,
     listeners: (usize, usize),
-    /// Where clients and checks are taken.
+    /// The addresses on which clients and readiness checks are accepted.
     pub addresses: (SocketAddr, SocketAddr),
     deadlines: Deadlines<Timer>,
     lifecycle: Lifecycle,
@@ -205,21 +209,21 @@
     upstreams: HashMap<(usize, AuthorisationKey), ConnectionId>,
     steps: Vec<RouterAction>,
     agent: Option<ConnectionId>,
-    /// The agent has told all it knows, once.
+    /// The agent has sent its complete state at least once.
     agent_complete: bool,
     adds: Vec<CounterAdd>,
     batches: VecDeque<CounterBatch>,
     batch: u64,
-    /// Connections whose input is to be looked at again.
+    /// Connections whose input is to be handled again.
     ready_again: Vec<ConnectionId>,
     standing: NodeState,
-    /// Nothing that came before this is waiting to be taken.
+    /// All input that arrived before this time has been taken in.
     caught_up_at: Micros,
-    /// When a line on a connection that was closed with an answer owed last came out.
+    /// When the last line about a connection closed with an answer owed was printed.
     close_logged_at: Micros,
 }
 
-/// What a proxy wants of its settings.
+/// Checks that the settings have what a proxy needs.
 ///
 /// # Errors
 /// A key is missing.
@@ -236,10 +240,10 @@
 }
 
 impl Host {
-    /// Opens the sockets.
+    /// Opens the listening sockets.
     ///
     /// # Errors
-    /// An address is missing in the settings, or not to be had.
+    /// An address is missing in the settings, or can't be bound.
     pub fn open(settings: Settings, clock: Clock, ring: LogRing) -> eyre::Result<Host> {
         let mut wires = Connections::new(&[SIGTERM, SIGHUP]).wrap_err("opening the loop")?;
         let http = settings
@@ -307,7 +311,7 @@
         })
     }
 
-    /// Bytes of messages that are held, the room kept for them included.
+    /// Bytes of buffered messages, including allocated capacity.
     pub fn buffered_bytes(&self) -> usize {
         let of = |role: &Role| match role {
             Role::Client(client) => {
@@ -325,7 +329,7 @@
             + bodies.sum::<usize>()
     }
 
-    /// Runs until told to end.
+    /// Runs until the program is told to shut down.
     ///
     /// # Errors
     /// The system's wait failed.
@@ -342,8 +346,8 @@
         self.lifecycle.finished()
     }
 
-    /// One round of the loop: waits for what happens or is due, at most so long, and has its turn. What writing
-    /// brought stands in `happenings` afterwards, for the next round.
+    /// One turn of the event loop: waits for events or deadlines, at most for the given time, and
+    /// handles them. Events caused by writing are left in `happenings` for the next turn.
     ///
     /// # Errors
     /// The system's wait failed.
@@ -388,9 +392,10 @@
         self.connections.flush_all(happenings);
     }
 
-    /// Lets the module decide, and carries out what follows.
+    /// Lets the module decide, and carries out its actions.
     fn run_router(&mut self, now: Micros) {
-        // One request lets the module answer at most a few times in a row; a bound guards against more.
+        // One request makes the module answer a few times in a row at most; the bound protects
+        // against an endless loop.
         for _ in 0..16 {
             let mut steps = std::mem::take(&mut self.steps);
             let requests = &mut self.requests;
@@ -433,7 +438,7 @@
             IoEvent::Accepted(door, key) if door == self.listeners.0 => self.took(now, key),
             IoEvent::Accepted(_, key) => _ = self.roles.insert(key, Role::Check { last: false }),
             IoEvent::Signal(SIGTERM) => self.begin_shutdown(now),
-            // The settings file holds nothing that a proxy takes over while it runs.
+            // The settings file holds nothing that a proxy reloads while it runs.
             IoEvent::Signal(_) => {}
             IoEvent::Connected(key) => self.handle_connected(now, key),
             IoEvent::Received(key) => self.handle_received(now, key),
@@ -468,7 +473,7 @@
     fn handle_flushed(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get_mut(key) {
             Some(Role::Client(_)) => self.answer_written(now, key),
-            // What was written may have been an earlier part of it.
+            // The written bytes may have been an earlier part of it.
             Some(Role::Leg(_))
                 if self
                     .connections
@@ -533,7 +538,8 @@
         }
     }
 
-    /// How the proxy stands: it serves once the agent has told it all, and there is something to serve.
+    /// The state of this node: it is ready once the agent has sent its complete state and there is
+    /// something to serve.
     fn stands(&self) -> NodeState {
         match (
             self.lifecycle.ending(),
@@ -545,7 +551,7 @@
         }
     }
 
-    /// The process was told to end: what was taken is finished first.
+    /// Begins the graceful shutdown: accepted requests are finished first.
     pub fn begin_shutdown(&mut self, now: Micros) {
         if self.lifecycle.end(now) {
             info!(self.log, "shutting down");
@@ -569,8 +575,8 @@
         self.is_drained();
     }
 
-    /// The time to finish what was taken is over: who waits still is told so. Where a server has the request, the answer
-    /// says that it may have run.
+    /// The time to finish accepted requests is over: waiting clients are told so. Where a server
+    /// has the request, the answer says that it may have run.
     fn drain_over(&mut self, now: Micros) {
         let owed: Vec<RequestKey> = self.requests.keys().collect();
         owed.into_iter()
@@ -578,7 +584,7 @@
         self.lifecycle.finish();
     }
 
-    /// At the end: nothing is owed any more, and no client is there.
+    /// At the end: no answer is owed any more, and no client is connected.
     fn is_drained(&mut self) {
         if self.lifecycle.ending() && self.requests.is_empty() && self.clients == 0 {
             self.lifecycle.finish();
@@ -597,7 +603,7 @@
         }
     }
 
-    /// Writes out the log; what went wrong stands in it.
+    /// Flushes the log; errors are part of it.
     pub fn write_out(&self) {
         self.ring.write_out();
     }
--- a/crates/proxy/src/host/response_streams.rs
+++ b/crates/proxy/src/host/response_streams.rs
@@ -1,5 +1,5 @@
-//! Long answers on their way from a server's connection to a client's. What comes of one goes on when the client has
-//! taken in what came before, so that no more than a window of it is held.
+//! Streams long answers from a server's connection to a client's. More is read when the client has
+//! taken what was forwarded, so that at most one window is buffered.
 
 use dataplane::relay::Relay;
 
@@ -8,18 +8,19 @@
 use super::*;
 use crate::answers::{is_forwarded, stream_deadline};
 
-/// An answer on its way.
+/// An answer that is being streamed.
 pub(super) struct ResponseStream {
     relay: Relay,
     to: ConnectionId,
-    /// When the answer is due.
+    /// Deadline of the answer.
     deadline: Micros,
-    /// Whether the server's connection may be used again, and until when after.
+    /// Whether the server's connection may be reused afterwards, and until when.
     patience: Option<Micros>,
 }
 
 impl Host {
-    /// A long answer is the final one: it begins. From here on there is no other try, and no other answer.
+    /// A long answer becomes the final one and begins to be streamed. From here on there is no
+    /// retry and no other answer.
     pub(super) fn begin_relay(&mut self, now: Micros, key: ConnectionId, errand: UpstreamPurpose) {
         let Some(Role::Leg(leg)) = self.roles.get_mut(key) else {
             return;
@@ -45,7 +46,8 @@
         let Some((to, deadline, close)) = begins else {
             return self.close_leg(key);
         };
-        // An answer that has begun has all of the client's time: to end it sooner would gain nothing.
+        // An answer that has begun has all of the client's time: to end it sooner would gain
+        // nothing.
         let deadline = deadline + MARGIN;
         let Some(out) = self.connections.output(to) else {
             return self.close_leg(key);
@@ -72,7 +74,7 @@
         self.relay_came(now, key);
     }
 
-    /// More has come of an answer that is being relayed.
+    /// Handles more bytes of a streamed answer.
     pub(super) fn relay_came(&mut self, now: Micros, key: ConnectionId) {
         let (Some(Role::Leg(leg)), Some(wire)) =
             (self.roles.get_mut(key), self.connections.get_mut(key))
@@ -99,7 +101,7 @@
         }
     }
 
-    /// All of it has come: the server's connection is free of the client's.
+    /// The answer is complete: the server's connection is released.
     fn relay_whole(&mut self, now: Micros, key: ConnectionId, clean: bool) {
         let Some(Role::Leg(leg)) = self.roles.get_mut(key) else {
             return;
@@ -122,7 +124,7 @@
         }
     }
 
-    /// The client has taken in what came so far: more may come.
+    /// The client has taken what was forwarded: more may be read.
     pub(super) fn relay_on(&mut self, source: ConnectionId) {
         if let Some(wire) = self.connections.get_mut(source) {
             wire.max_input_bytes = self.limits.relay_window;
@@ -130,7 +132,8 @@
         }
     }
 
-    /// An answer that was begun breaks off. Its end was never written, and never is: its client's connection goes.
+    /// A streamed answer breaks off. Its end is never written, and the client's connection is
+    /// closed.
     pub(super) fn cut(&mut self, now: Micros, key: ConnectionId, closing: CloseReason) {
         let Some(Role::Leg(leg)) = self.roles.get_mut(key) else {
             return;
@@ -142,14 +145,15 @@
         self.client_gone(now, passage.to, closing);
     }
 
-    /// An answer may have been on its way for too long.
+    /// A streamed answer may have exceeded its time.
     pub(super) fn relay_due(&mut self, now: Micros, key: ConnectionId) {
         let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get(key), self.connections.get(key))
         else {
             return;
         };
         let Some(passage) = &leg.relay else { return };
-        // Where the client is slow the server is not asked for more; how slow that may be is the client's own limit.
+        // While the client is slow, nothing is read from the server; the client's own limit bounds
+        // how slow it may be.
         let held_up = self
             .connections
             .get(passage.to)
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -1,5 +1,5 @@
-//! Long bodies of requests on their way from a client's connection to a server's. One is sent to one server only; until
-//! its last byte is written there, the request has not run.
+//! Streams long request bodies from the client's connection to the server's. Such a body is sent to
+//! one server only; the request has not run until the last byte is written there.
 
 use dataplane::framing::{Extent, Malformed};
 use dataplane::upload::Upload;
@@ -8,7 +8,7 @@
 use super::*;
 
 impl Host {
-    /// A body that is not kept whole: the request is taken by its head.
+    /// Begins to stream a body: the request is admitted by its head.
     pub(super) fn begin_upload(&mut self, now: Micros, key: ConnectionId) {
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
@@ -24,7 +24,7 @@
         let told = std::mem::take(&mut client.continue_sent);
         client.visit.taken(now);
         client.visit.uploading(now, come);
-        // The client's time counts from its last byte.
+        // The client's time-out counts from its last byte.
         let left = match extent {
             Extent::Length(length) => length.saturating_sub(come),
             Extent::Chunked | Extent::UntilClose => self.limits.request_bytes.saturating_sub(come),
@@ -45,7 +45,7 @@
         self.upload_came(now, key);
     }
 
-    /// More has come of a body that goes on while it comes.
+    /// Handles more bytes of a streamed body.
     pub(super) fn upload_came(&mut self, now: Micros, key: ConnectionId) {
         let (Some(Role::Client(client)), Some(wire)) =
             (self.roles.get_mut(key), self.connections.get_mut(key))
@@ -60,7 +60,7 @@
         let mut out = leg.and_then(|leg| self.connections.output(leg));
         let taken = upload.take(&mut input, out.as_deref_mut());
         let (whole, window) = (upload.whole(), self.limits.relay_window);
-        // No more than a window is on its way, or waits for a server.
+        // No more than one window is buffered on either side.
         let room = match out {
             Some(out) if out.is_empty() => window,
             Some(_) => 0,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Its last byte has come: from here on the request has the time that its client gives it.
+    /// The last byte has arrived: from here on the request has the time that its client gives it.
     fn upload_whole(&mut self, now: Micros, key: ConnectionId) {
         let Some(request) = self.client(key).and_then(|client| client.request) else {
             return;
@@ -99,7 +99,8 @@
         }
     }
 
-    /// The connection of the leg is up, and its head on its way: what is here goes on. There is no other leg after it.
+    /// The attempt's connection is established and the head written: the buffered bytes follow.
+    /// There is no other attempt after it.
     pub(super) fn start_upload(&mut self, key: RequestKey, wire: ConnectionId) {
         let Some(request) = self.requests.get(key) else {
             return;
@@ -119,7 +120,7 @@
         }
     }
 
-    /// What was passed on so far is written: the client may send more.
+    /// The forwarded bytes are written: the client may send more.
     pub(super) fn feed_on(&mut self, key: RequestKey) {
         let Some(from) = self.requests.get(key).map(|request| request.client) else {
             return;
@@ -130,7 +131,8 @@
         }
     }
 
-    /// A body that is none, or too long. Its end was never written, so that its server never runs it.
+    /// The body is malformed or too long. Its end was never written, so that the server never runs
+    /// the request.
     fn end_upload(&mut self, now: Micros, key: ConnectionId, fault: Malformed) {
         if let Some(request) = self.client(key).and_then(|client| client.request.take()) {
             self.leave_off(now, request);
@@ -138,7 +140,7 @@
         self.refuse(now, key, fault);
     }
 
-    /// The time of a request whose long body has come is up.
+    /// The time of a request whose long body has arrived is over.
     pub(super) fn late(&mut self, now: Micros, key: RequestKey) {
         let Some(request) = self
             .requests
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -1,4 +1,4 @@
-//! Servers: legs of requests, probes, and what becomes of their connections.
+//! Connections to servers: attempts of requests, health checks, and the outcomes of both.
 
 use std::io::Write;
 
@@ -11,13 +11,13 @@
 use super::*;
 use crate::answers::{ResponseHandling, classify, handling, keep_alive_seconds};
 
-/// Taken in at a time of an answer: a short one with its head.
+/// Bytes read of an answer at a time: a short one together with its head.
 pub(super) const ANSWER_ROOM: usize = MAX_BUFFERED_RESPONSE_BYTES + 16 * 1024;
-/// Most connections to servers, idle ones included.
+/// Most connections to servers, including idle ones.
 const LEGS: usize = 1_000;
-/// There and back twice to a server of another region: a connection, and what is asked on it.
+/// Two round trips to a server of another region: connecting, and one exchange.
 const FARTHEST: Micros = 250 * MS;
-/// An idle connection is given up so long before its server would close it.
+/// An idle connection is closed this long before its server would do so.
 const EARLY: Micros = 1_500 * MS;
 
 impl Host {
@@ -32,7 +32,7 @@
     ) {
         let outcome = match self.requests.get(key) {
             None => Some(Outcome::Moot),
-            // A route's own bound on servers for one try.
+            // A route can limit the time of one attempt.
             Some(request) if request.sent_on.len() >= request.route.tries.max(1) as usize => {
                 Some(Outcome::Moot)
             }
@@ -67,7 +67,7 @@
         let Some(out) = self.connections.output(wire) else {
             return;
         };
-        // Writing to a vector cannot fail.
+        // Writing to a vector can't fail.
         let _ = write!(out, "{} {} HTTP/1.1\r\n", request.method, request.target);
         out.extend_from_slice(&request.lines);
         let _ = write!(out, "X-Time-Left: {left}\r\nX-Want-Instance: {id}\r\n");
@@ -84,7 +84,7 @@
         out.extend_from_slice(&request.body);
     }
 
-    /// A connection to a server, for this errand: an idle one, or a new one.
+    /// A connection to a server for this purpose: an idle one from the pool, or a new one.
     fn connection(
         &mut self,
         now: Micros,
@@ -95,11 +95,11 @@
             UpstreamPurpose::Leg(request, ..) => self.requests.get(request),
             UpstreamPurpose::Probe(_) => None,
         };
-        // Guards a long body, which is sent once: an idle connection may be closed by its server at any moment.
+        // A long body is sent once only, and its server may close an idle connection at any moment.
         let anew = request.is_some_and(|request| request.coming.is_some());
-        // Guards against a second answer that comes late: the id would not tell it from the one to the next try.
+        // A second, late answer could not be told from that of a retry by its id.
         let sent_on = request.map_or(Vec::new(), |request| request.sent_on.clone());
-        // Guards against a second refusal without an id that comes late: it would say of this request that it has not run.
+        // A second, late rejection without an id would claim that this request has not run.
         let once = request.is_some_and(|request| request.route.kind != Idempotency::Idempotent);
         let mut spared = Vec::new();
         let mut found = None;
@@ -120,7 +120,7 @@
                 _ => self.close_leg(key),
             }
         }
-        // For requests that may be repeated.
+        // For requests that may be retried.
         for key in spared.into_iter().rev() {
             if !self.pool.rest(server, key, now) {
                 self.close_leg(key);
@@ -176,7 +176,7 @@
         keys.into_iter().for_each(|key| self.close_leg(key));
     }
 
-    /// Servers that are listed no more need no idle connections.
+    /// Closes idle connections to servers that are no longer listed.
     pub(super) fn pool_unlisted(&mut self) {
         let gone: Vec<ServerId> = self
             .roles
@@ -199,8 +199,8 @@
             .enter(now + self.limits.leg_idle / 4, Timer::Retire);
     }
 
-    /// What the end of a leg's connection means now. Of a request that can't be repeated it is enough that a byte of it
-    /// was written: a server may begin at the head.
+    /// The outcome of an attempt whose connection ends now. For a request that is not idempotent
+    /// one written byte is enough to count as possibly run: a server may begin at the head.
     fn ends_as(&self, key: ConnectionId) -> Option<Outcome> {
         let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get(key), self.connections.get(key))
         else {
@@ -223,13 +223,13 @@
             .is_some_and(|request| request.route.kind == Idempotency::Idempotent)
     }
 
-    /// A leg is out whose server may run its request.
+    /// Whether a server that may run this request holds an attempt of it.
     pub(super) fn may_be_at_work(&self, ticket: RequestHandle) -> bool {
         let key = self.upstreams.get(&(ticket.engine, ticket.key));
         key.and_then(|key| self.ends_as(*key)) == Some(Outcome::Reset)
     }
 
-    /// The module stops a leg: its end is known.
+    /// The module stops an attempt: its outcome is known.
     pub(super) fn stop(&mut self, _now: Micros, ticket: RequestHandle, number: u32) {
         let Some(key) = self.upstreams.get(&(ticket.engine, ticket.key)).copied() else {
             return;
@@ -262,7 +262,7 @@
                 return self.relay_came(now, key);
             }
             let Some(errand) = leg.state.errand() else {
-                // Nothing is out on it: what came belongs to no request.
+                // Nothing is in flight on it: the bytes belong to no request.
                 if !wire.input.is_empty() {
                     self.close_leg(key);
                 }
@@ -283,7 +283,8 @@
             };
             let verdict = match (leg.verdict, errand) {
                 (Some(verdict), _) => verdict,
-                // A probe shows no id: an answer with one is the second to a request before it.
+                // A health check has no id: an answer with one is the second answer to an earlier
+                // request.
                 (None, UpstreamPurpose::Probe(_)) if head.headers.has("X-Request-Id") => {
                     ResponseClass::OtherRequest
                 }
@@ -317,12 +318,12 @@
             if verdict != ResponseClass::OtherRequest {
                 return self.leg_done(now, key, errand, verdict);
             }
-            // The one that is due may stand behind it.
+            // The awaited answer may follow it.
             (leg.incoming, leg.verdict) = (Incoming::default(), None);
         }
     }
 
-    /// How long an idle connection may be used behind this answer.
+    /// How long an idle connection may be used after this answer.
     pub(super) fn patience(&self, head: &AnswerHead) -> Micros {
         let told = head.headers.get("Keep-Alive").and_then(keep_alive_seconds);
         let told = told.map_or(Micros::MAX, |seconds| {
@@ -331,7 +332,7 @@
         told.min(self.limits.leg_idle)
     }
 
-    /// The answer on a connection is whole, or will never be good.
+    /// The answer on a connection is complete, or can't become valid any more.
     fn leg_done(
         &mut self,
         now: Micros,
@@ -417,7 +418,7 @@
         }
     }
 
-    /// A connection to a server broke, never came up, or the server closed it.
+    /// A connection to a server broke, was never established, or was closed by the server.
     pub(super) fn leg_broken(&mut self, now: Micros, key: ConnectionId) {
         let Some(Role::Leg(leg)) = self.roles.get(key) else {
             return;
@@ -458,7 +459,7 @@
             return;
         };
         if let Some(out) = self.connections.output(key) {
-            // Writing to a vector cannot fail.
+            // Writing to a vector can't fail.
             let _ = write!(
                 out,
                 "GET {path} HTTP/1.1\r\nHost: {address}\r\nX-Want-Instance: {id}\r\n\r\n"
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,9 @@
-//! The proxy: the proxy of an edge. It takes clients' requests, has the decision module judge and place them, and
-//! passes on the servers' answers. What it goes by comes from the agent of its machine.
+//! The proxy of an edge: it accepts clients' requests, lets the decision module admit and place
+//! them, and forwards the servers' answers. Its configuration arrives from the agent of its
+//! machine.
 //!
-//! [`config_store`], [`server_table`], [`answers`], [`shedding`] and [`router`] hold what it knows and say what follows, without any input or
-//! output; [`host`] has the connections.
+//! [`config_store`], [`server_table`], [`answers`], [`shedding`] and [`router`] hold the state and
+//! decide, without I/O; [`host`] owns the connections.
 
 pub mod answers;
 pub mod config_store;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The proxy of an edge.
+//! The proxy program.
 
 use std::process::ExitCode;
 
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -1,8 +1,8 @@
-//! Where the decision module sits: one engine judges tenants by the shared count, and one for each service and set of
-//! regions places what was let in. Without any input or output.
+//! Routes requests through the decision module: one engine enforces quotas with the shared counter,
+//! and one for each service and set of regions selects servers. Without I/O.
 //!
-//! A tenant's quota holds over all services together, so that one engine asks for it: a request that it lets through
-//! is handed on to the engine of its service at once. Requests of tenants without a limit go there straight.
+//! A tenant's quota covers all services, so that one engine checks it and then hands admitted
+//! requests to the engine of their service. Requests of tenants without a quota go there directly.
 
 mod placement_engine;
 mod quota_engine;
@@ -24,18 +24,18 @@
 use crate::shedding::{LoadShedding, SheddingPriority, SheddingRequest, tier};
 
 slotmap::new_key_type! {
-    /// A request whose final answer is owed.
+    /// A request whose final answer is still owed.
     pub struct RequestKey;
 }
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Longest time that clients are told to stay away.
+/// Longest wait that clients are told.
 const STAY_AWAY: Micros = SECOND;
-/// Shortest time for which they are where a share is used up: the count may be back by then.
+/// Shortest wait told where a local share is used up: the counter may be back by then.
 const SHARE_AWAY: Micros = 100 * MS;
 
-/// An authorisation, and the engine that holds it: 0 judges tenants.
+/// An authorisation, and the engine that holds it: engine 0 enforces quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestHandle {
     /// Position of the engine.
@@ -44,31 +44,31 @@
     pub key: AuthorisationKey,
 }
 
-/// What is to be done.
+/// An action for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouterAction {
     /// Send the request to a server.
     Send {
         /// The request.
         request: RequestKey,
-        /// By which its end is told.
+        /// The handle by which the host reports the outcome.
         ticket: RequestHandle,
-        /// Number of the leg.
+        /// Number of the attempt.
         leg: u32,
-        /// Where to.
+        /// The server.
         server: ServerId,
     },
-    /// Close the connection of a leg; its end is known.
+    /// Close the connection of an attempt; its outcome is known.
     Stop(RequestHandle, u32),
-    /// Give the final answer.
+    /// Send the final answer.
     Answer(RequestKey, Ending),
-    /// Add to the shared count; [`RequestRouter::handle_count`] follows.
+    /// Add to the shared counter; report with [`RequestRouter::handle_count`].
     Count(CounterAdd),
-    /// Look whether a server is well, for the engine of this position.
+    /// Check a server's health, for the engine at this position.
     Probe(usize, ServerId),
 }
 
-/// What a request asks for.
+/// A request to be routed.
 #[derive(Clone, Debug)]
 pub struct RoutingRequest<'a> {
     /// The request.
@@ -81,14 +81,14 @@
     pub svc: &'a str,
     /// Its tenant, by name.
     pub tenant: Option<(&'a str, &'a Tenant)>,
-    /// The regions where it may be served; none: everywhere.
+    /// The regions that may serve it; empty: all.
     pub pins: &'a [String],
-    /// When the final answer is due.
+    /// Deadline of the final answer.
     pub deadline: Micros,
 }
 
 impl<'a> RoutingRequest<'a> {
-    /// What its turn goes by.
+    /// What its priority under overload depends on.
     pub fn asker(&self) -> SheddingRequest<'a> {
         let RoutingRequest {
             id,
@@ -107,13 +107,13 @@
 }
 
 struct ServiceEngine {
-    /// Its service; none where tenants are judged.
+    /// The service; empty for the quota engine.
     svc: String,
-    /// Within which its answers are of use.
+    /// The latency target.
     aim: Micros,
     engine: Engine,
     requests: SecondaryMap<AuthorisationKey, RequestKey>,
-    /// Those whose turn has not come: the module refuses them.
+    /// Requests that are to be rejected because of overload; the module rejects them.
     waiting: SecondaryMap<AuthorisationKey, ()>,
 }
 
@@ -130,55 +130,56 @@
     }
 }
 
-/// Where a request goes once its tenant was judged.
+/// Where a request goes once its quota was checked.
 struct PendingPlacement {
     basin: usize,
     class: usize,
     turn: SheddingPriority,
-    /// It had its turn before its tenant was judged.
+    /// Its admission was decided before its quota was checked.
     first: bool,
     tenant: String,
     deadline: Micros,
-    /// Its tenant's share of this proxy is used up; it may come again then.
+    /// Its tenant's local share is used up; it may come again after this time.
     beyond: Option<Micros>,
 }
 
-/// Figures and position by tenant.
+/// Limits and position of each tenant's plan.
 type Plans = BTreeMap<String, ((u64, u64), usize)>;
 
-/// The engines.
+/// Routes the requests of one proxy.
 pub struct RequestRouter {
     seed: u64,
     bounds: Bounds,
     limiters: u32,
-    /// Even slices of quotas are for so many.
+    /// Number of limiters that quotas are divided by.
     spread: u32,
-    /// The core counts on this limiter no more.
+    /// The control plane does not count on this limiter any more.
     alone: bool,
-    /// The same until then, after the clock has gone on at once.
+    /// Reduces the local shares until then, after a jump of the clock.
     careful_until: Micros,
-    /// Until when it has just started.
+    /// End of the start-up phase.
     starting_until: Option<Micros>,
-    /// When a lower number of limiters was first told, and the highest that was told since.
+    /// When a lower number of limiters was first announced, and the highest number announced since.
     pending_decrease: Option<(Micros, u32)>,
-    /// The term of the one that holds the shared count.
+    /// The term of the counter's owner.
     holder: Option<u64>,
-    /// The newest term that was heard of.
+    /// The newest term announced.
     newest_term: u64,
     engines: Vec<ServiceEngine>,
     shedding: LoadShedding,
-    /// Positions by service and regions.
+    /// Position of each engine by service and regions.
     positions_by_service: BTreeMap<(String, Vec<String>), usize>,
     pending_placements: SecondaryMap<AuthorisationKey, PendingPlacement>,
-    /// Tenants' shares while the count is in doubt.
+    /// The tenants' local shares while the counter is in doubt.
     quota_shares: QuotaShares,
-    /// Tenants' plans in the judging engine, usual and lean: figures and position.
+    /// The tenants' plans in the quota engine, with the usual and the reduced burst: limits and
+    /// position.
     plans: [Plans; 2],
     positions: usize,
     engine_actions: Vec<Order>,
 }
 
-/// What both kinds of engines are told.
+/// The settings of both kinds of engines.
 fn settings(limiters: u32) -> Settings {
     Settings {
         gateways: limiters.max(1),
@@ -195,7 +196,7 @@
 const MOST: usize = 4_000;
 
 impl RequestRouter {
-    /// No service is known yet.
+    /// A router without services.
     pub fn new(seed: u64, bounds: Bounds) -> RequestRouter {
         let judge = ServiceEngine::new("", judging(seed, MOST));
         RequestRouter {
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Takes a request; [`RequestRouter::run`] says what follows. None if too many are held.
+    /// Takes a request; [`RequestRouter::run`] returns what follows. `None` if too many are held.
     pub fn take(&mut self, now: Micros, asked: &RoutingRequest<'_>) -> Option<RequestHandle> {
         let basin = self.has(asked.svc, asked.pins)?;
         let asker = asked.asker();
@@ -284,7 +285,7 @@
         Some(RequestHandle { engine: 0, key })
     }
 
-    /// Whether a request waits by what its head says: its body need not come then.
+    /// Whether a request is shed by its head alone, so that its body need not be read.
     pub fn would_be_shed(&mut self, now: Micros, asker: &SheddingRequest<'_>) -> bool {
         let turn = self.shedding.priority(now, asker);
         let waits = turn.is_shed() && self.shedding.is_shed_before_quota(now, asker);
@@ -294,12 +295,12 @@
         waits
     }
 
-    /// What this proxy knows of overload.
+    /// The load shedding state.
     pub fn shedding(&mut self) -> &mut LoadShedding {
         &mut self.shedding
     }
 
-    /// When there is something to decide next.
+    /// When [`RequestRouter::run`] has something to do next.
     pub fn next(&self) -> Option<Micros> {
         self.engines
             .iter()
@@ -307,7 +308,8 @@
             .min()
     }
 
-    /// Lets the module decide on what has come in. `moved` hears of requests that were let through to a service.
+    /// Lets the module decide. `moved` is called for requests that were admitted and handed to a
+    /// service's engine.
     pub fn run(
         &mut self,
         now: Micros,
@@ -435,7 +437,7 @@
         }
     }
 
-    /// A leg ended. True if its answer is the final answer.
+    /// An attempt ended. Returns whether its answer is the final answer.
     pub fn handle_attempt_ended(
         &mut self,
         now: Micros,
@@ -456,19 +458,19 @@
         last
     }
 
-    /// A body has gone on to a server and is no longer here: no other one can have it.
+    /// A streamed body was sent to a server and is no longer here: there can be no other attempt.
     pub fn handle_body_sent(&mut self, ticket: RequestHandle) {
         self.engines[ticket.engine].engine.body_gone(ticket.key);
     }
 
-    /// The last byte of a leg is written.
+    /// The last byte of an attempt is written.
     pub fn handle_attempt_written(&mut self, now: Micros, ticket: RequestHandle) {
         self.engines[ticket.engine]
             .engine
             .leg_written(now, ticket.key);
     }
 
-    /// The client left.
+    /// The client disconnected.
     pub fn handle_client_left(
         &mut self,
         now: Micros,
@@ -493,7 +495,7 @@
         self.engine_actions = orders;
     }
 
-    /// The shared count answered, or failed to.
+    /// The shared counter answered, or the call failed.
     pub fn handle_count(&mut self, name: u64, outcome: Outcome, total: f64) {
         self.quota_shares.handle_call_result(outcome == Outcome::Ok);
         self.engines[0]
@@ -501,32 +503,34 @@
             .counted(CounterName(name), outcome, total);
     }
 
-    /// It answered a call whose outcome had been told before.
+    /// The counter answered a call that had timed out.
     pub fn handle_late_count(&mut self) {
         self.engines[0].engine.counter_late();
     }
 
-    /// The shared count is held by another one, by its term; none while there is none.
+    /// Sets the term of the counter's owner; `None` while there is none.
     pub fn set_counter_term(&mut self, term: Option<u64>) {
         let Some(term) = term else { return };
         let before = self.holder.replace(term);
         if before.is_some_and(|held| held != term) {
             self.engines[0].engine.counter_new();
         }
-        // One that starts does not know either for how long this holder has counted. Danger: a replica that heard nothing for
-        // long names the holder of a former term; that one counts nothing any more, and the count has not moved.
+        // A proxy that starts does not know for how long this owner has been counting. A replica
+        // that was isolated names the owner of a former term; that one counts nothing any more, so
+        // that the counter has not moved.
         if term > self.newest_term {
             self.newest_term = term;
             self.quota_shares.handle_holder_changed();
         }
     }
 
-    /// A probe waits for a slot as requests do: an answer that takes no longer than this is none of a silent server.
+    /// Time-out of a health check: it waits for a slot as requests do, and an answer within this
+    /// time is not a silent server's.
     pub fn probe_timeout(&self, engine: usize) -> Micros {
         self.engines[engine].aim / 2
     }
 
-    /// A probe ended.
+    /// A health check ended.
     pub fn handle_probe_result(&mut self, engine: usize, server: ServerId, outcome: Outcome) {
         self.engines[engine]
             .engine
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -1,4 +1,4 @@
-//! The engines that place what was let in, one for each service and set of regions.
+//! The engines that select servers, one for each service and set of regions.
 
 use dataplane::engine::{Authorisation, Engine};
 use protocol::items::{Idempotency as Kind, Route};
@@ -10,7 +10,7 @@
 };
 use crate::shedding::SheddingPriority;
 
-/// Aims that classes are told apart by; a route's aim counts as the nearest.
+/// Latency targets that classes distinguish; a route's target is rounded to the nearest.
 pub(super) const AIMS: [Micros; 8] = [
     100 * MS,
     200 * MS,
@@ -21,9 +21,10 @@
     4_000 * MS,
     10_000 * MS,
 ];
-/// Worths by rank, the highest first; what comes behind counts as the last.
+/// Priority weight by rank, highest first; lower ranks count as the last.
 const WORTHS: [f64; 4] = [4.0, 2.0, 1.0, 0.5];
-/// Share of the rules' bounds on further tries that is used: the rest is for windows that slide and clocks that differ.
+/// The part of the rules' bound on retries that is used: the rest covers sliding windows and
+/// differing clocks.
 const RETRY_SHARE: f64 = 0.6;
 
 fn nearest(aim: Micros) -> usize {
@@ -55,8 +56,9 @@
         .collect()
 }
 
-/// The rules' bound on further tries holds over all limiters: of the share each one spends less on its own first tries,
-/// of what is allowed on top it has its even part, halved between the engines that one service may have.
+/// The rules' bound on retries holds over all limiters: each one's own share is reduced by its own
+/// first attempts, and the allowance is divided evenly, and halved between the two engines that one
+/// service may have.
 fn retries(limiters: u32, bounds: &Bounds) -> RetryBudget {
     let most = bounds.retry_slack * RETRY_SHARE / 2.0 / f64::from(limiters.max(1));
     RetryBudget {
@@ -78,7 +80,7 @@
         may_probe: true,
         max_attempts: 8,
         retries,
-        // What takes no longer than is of use to its client is no silence.
+        // An answer that is still of use to its client does not count as a silent server.
         silent_least: aim,
         ..settings(limiters)
     };
@@ -86,28 +88,30 @@
 }
 
 impl RequestRouter {
-    /// Services and regions that have an engine, by its position.
+    /// The services and regions that have an engine, with its position.
     pub fn places(&self) -> impl Iterator<Item = (&str, &[String], usize)> {
         self.positions_by_service
             .iter()
             .map(|((svc, pins), at)| (svc.as_str(), pins.as_slice(), *at))
     }
 
-    /// The servers of an engine, whole.
+    /// Replaces the servers of an engine.
     pub fn listed(&mut self, engine: usize, entries: Vec<ServerEntry>) {
         self.engines[engine].engine.listed(ListKind::Full, entries);
     }
 
-    /// Whether there is an engine for a service in these regions; without one, [`RequestRouter::open`] is due.
+    /// The engine of a service in these regions; where there is none, [`RequestRouter::open`] is
+    /// due.
     pub fn has(&self, svc: &str, pins: &[String]) -> Option<usize> {
-        // Looked up for each request: the key is built only where there are regions.
+        // Looked up for each request: the key is built only where regions are named.
         self.positions_by_service
             .iter()
             .find(|((s, p), _)| s == svc && p == pins)
             .map(|(_, at)| *at)
     }
 
-    /// An engine for a service in these regions, which knows these servers. `aim`: of the route that it is opened for.
+    /// Opens an engine for a service in these regions with these servers. `aim`: the latency target
+    /// of the route that it is opened for.
     pub fn open(
         &mut self,
         svc: &str,
@@ -133,7 +137,8 @@
         at
     }
 
-    /// Goes on to its service. What had its turn before does not wait a second time.
+    /// Hands a request to its service's engine. One that was admitted before is not subjected to
+    /// shedding again.
     pub(super) fn place(
         &mut self,
         now: Micros,
--- a/crates/proxy/src/router/quota_engine.rs
+++ b/crates/proxy/src/router/quota_engine.rs
@@ -1,4 +1,5 @@
-//! The engine that judges tenants by the shared count: their figures, and by how many limiters their slices are shared.
+//! The engine that enforces quotas with the shared counter: the tenants' limits, and the number of
+//! limiters that share them.
 
 use std::hash::Hasher;
 
@@ -12,54 +13,59 @@
 
 use super::{MS, RequestRouter, SECOND, settings};
 
-/// Limiters up to which the module asks the count for every request.
+/// Up to this many limiters the engine asks the counter for every request.
 pub(super) const ASKERS: u32 = 64;
-/// A total is waited for so long: there and back over the farthest link, and the rounds of the programs between. The
-/// host tells the module when that is over.
+/// Time-out of a counter call: the round trip over the longest link, and the turns of the programs
+/// on the way. The host reports the time-out to the engine.
 pub(super) const COUNT_WAIT: Micros = 300 * MS;
-/// The module itself gives up a wait after a share of the aim; of this one it is longer than the host's.
+/// The engine's own time-out, a share of its latency target, is longer than the host's so that the
+/// host's applies.
 const JUDGING_AIM: Micros = 10 * SECOND;
-/// While there is no count, who is over its quota is told to stay away for about this at the least: after all have lost power
-/// clients would use up their tries on slices of the quota before the count is back.
+/// While there is no counter, clients over their quota are told to stay away for about this long at
+/// least: after a loss of power everywhere they would otherwise spend their retries on local shares
+/// before the counter is back.
 const LEAST_AWAY: Micros = 300 * MS;
-/// A tenant may have its burst on top in each span in which quotas are counted. Of it this part comes back evenly over the
-/// span, beside its rate...
+/// A tenant may use its burst in each window in which quotas are counted. This part of it is
+/// refilled evenly over the window, in addition to the rate...
 const BURST_FLOW: f64 = 0.1;
-/// ...and this part may be had at one instant. What is left is for a count that was lost with its holder and starts full.
+/// ...and this part may be used at one instant. The rest is reserved for a counter that was lost
+/// with its owner and restarts full.
 const BURST_SHARE: f64 = 0.45;
-/// After another replica has taken the count this part of the burst in place of that.
+/// After the counter has moved to another replica, this part of the burst replaces it.
 const LEAN_SHARE: f64 = 0.1;
-/// ...and this part of the slack for a small tenant.
+/// ...and this part of the slack, for a small tenant.
 const LEAN_SLACK: f64 = 0.2;
-/// A small tenant has up to this part of the rules' slack at one instant.
+/// A small tenant may use up to this part of the rules' slack at one instant.
 const SLACK_SHARE: f64 = 0.6;
-/// Windows of the count.
+/// The counter's windows.
 const COUNTED: Micros = SECOND;
-/// A lower number of limiters counts after this; and so long a proxy goes by more than it is told, at its start.
+/// A lower number of limiters takes effect after this time; a proxy assumes more than it is told
+/// for as long after its start.
 const FEWER: Micros = 10 * SECOND;
 pub(super) const FIRST: Micros = 1_500 * MS;
-/// For so many at the least, since all may be starting.
+/// At least this many limiters are assumed, since all may be starting.
 const MANY: u32 = 16;
-/// Clocks go on at once by less than this where windows slide a little only.
+/// Clock jumps below this only shift the windows a little, and are ignored.
 const JUMP: Micros = 250 * MS;
-/// The rules' window of quotas.
+/// The window in which the rules count quotas.
 const WINDOW: Micros = 5 * SECOND;
-/// Slices of a limiter that is alone are for so many times as many.
+/// A limiter that is isolated divides its local share by this factor.
 pub(super) const ALONE: u32 = 3;
-/// What a call adds that is not likely to let its request through: dozens are out at once, as the count is far.
+/// The chance below which a call is not worth its request: dozens are in flight at once, as the
+/// counter is far away.
 const ADD_LEAST: f64 = 0.25;
-/// Stands for all servers where a tenant is only judged, and takes as many as come at once.
+/// Stands for all servers where a tenant is only checked; it accepts everything at once.
 const THROUGH: ServerId = ServerId(0);
 const ALL: FirstBound = FirstBound(1e9);
 
 pub(super) fn customer(tenant: &str) -> CustomerId {
     let mut hasher = FnvHasher::default();
     hasher.write(tenant.as_bytes());
-    // All limiters come to the same number: it names the shared counts.
+    // All limiters derive the same number from the name: it identifies the shared counter.
     CustomerId(hasher.finish() >> 2)
 }
 
-/// The engine that judges tenants. It knows one server, which takes all that is let through.
+/// The engine that enforces quotas. It knows one server, which accepts everything that is admitted.
 pub(super) fn judging(seed: u64, most: usize) -> Engine {
     let aim = JUDGING_AIM;
     let worth = Class {
@@ -96,9 +102,10 @@
 }
 
 impl RequestRouter {
-    /// So many limiters there are. For slices more count at once, and fewer only after a while: leases that run out
-    /// while the core is in trouble would make every slice larger, and those that are cut off go on using theirs. A
-    /// proxy that has just started takes them for twice as many: a core in trouble may not have heard of all yet.
+    /// Sets the number of limiters. A higher number takes effect at once, a lower one after a
+    /// delay: leases that expire while the control plane is in trouble would enlarge every local
+    /// share, and limiters that are cut off go on using theirs. A proxy that has just started
+    /// assumes twice as many: a control plane in trouble may not have heard of all of them.
     pub fn limiters(&mut self, now: Micros, limiters: u32) {
         self.limiters = limiters.clamp(1, ASKERS);
         let young = now < *self.starting_until.get_or_insert(now + FIRST);
@@ -116,16 +123,18 @@
         }
     }
 
-    /// This limiter has heard nothing of the core for long. The others leave nothing for it any more, so that it takes its
-    /// slices for a part of what they were.
+    /// This limiter has not heard from the control plane for long. The others leave nothing for it
+    /// any more, so that it uses only a part of its local share.
     pub fn alone(&mut self, alone: bool) {
         self.alone = alone;
     }
 
-    /// The limiters' clock goes on to `now` by so much at once: what was let through lately counts in windows that are over,
-    /// and the slices of new ones come on top. They are taken for a part until as much time has passed.
+    /// The limiters' clock jumps ahead to `now`: what was admitted lately counts in windows that
+    /// are over, and the shares of the new windows would be added to it. Shares are reduced until
+    /// the same time has passed.
     pub fn jumped(&mut self, now: Micros, by: Micros) {
-        // Danger: no time has passed. A proxy that has just started would take its first hearsay for all there is.
+        // No time has passed: a proxy that has just started must not take the first number it hears
+        // as complete.
         let by = by.max(0);
         self.quota_shares.handle_clock_jump(now, by);
         self.starting_until = self.starting_until.map(|until| until + by);
@@ -137,7 +146,7 @@
         }
     }
 
-    /// The position of a tenant's figures in the judging engine.
+    /// The position of a tenant's plan in the quota engine.
     pub(super) fn plan(&mut self, now: Micros, name: &str, tenant: &Tenant) -> usize {
         let lean = self.quota_shares.has_small_burst(now);
         let figures = (tenant.per_s.to_bits(), tenant.burst.to_bits());
@@ -163,7 +172,7 @@
             price: 1.0,
             over_cost: 1.0,
             repaid: tenant.per_s,
-            // With a length that is named, what a tenant has left stays when its figures change.
+            // With an explicit window a tenant keeps its remaining tokens when its limits change.
             window: COUNTED,
             ..Plan::default()
         };
--- a/crates/proxy/src/router/quota_shares.rs
+++ b/crates/proxy/src/router/quota_shares.rs
@@ -1,8 +1,10 @@
-//! Each proxy's own bound on a tenant while the shared count is in doubt: a token bucket of its even share.
+//! Local quota shares: while the shared counter is in doubt, each proxy bounds a tenant by a token
+//! bucket of its even share.
 //!
-//! The bucket runs all the time and is charged with all that is let through; it binds only while the count does not
-//! answer, and for a while after another replica holds it. So what the proxies let through in that time is bounded by the
-//! sum of their buckets, however often the count is lost, empty, or moved: `docs/control-hardening.md`.
+//! The buckets run all the time and are charged for every admitted request; they bind only while
+//! the counter does not answer, and for a while after another replica took it over. What all
+//! proxies admit in that time is bounded by the sum of their buckets, however often the counter is
+//! lost, emptied or moved: see `docs/control-hardening.md`.
 
 use std::collections::BTreeMap;
 
@@ -10,28 +12,29 @@
 
 use super::SECOND;
 
-/// After the first total of another holder shares bind for so long: its totals of the open window and of the one before
-/// are whole then, as every proxy adds to it from its own first total on.
+/// Shares bind for this long after the first total from a new owner: by then its totals of the open
+/// window and of the one before are complete, as every proxy adds to them from its own first total
+/// on.
 const SETTLING_DURATION: Micros = 2 * SECOND;
-/// From its first total on a tenant's burst is small for as long as the rules count: what it had under the last holder may
-/// have been a whole one.
+/// From that first total on the burst is reduced for as long as the rules count: the tenant may
+/// have used a whole burst under the previous owner.
 const SMALL_BURST_DURATION: Micros = 5 * SECOND;
-/// The proxies' buckets hold this part of a tenant's burst in all...
+/// All proxies' buckets together hold this part of a tenant's burst...
 const BURST_SHARE: f64 = 0.2;
-/// ...or this part of what the rules allow on top, if that is more.
+/// ...or this part of the rules' slack, if that is more.
 const SLACK_SHARE: f64 = 0.3;
 
-/// A tenant's figures at one proxy.
+/// A tenant's token bucket at one proxy.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QuotaShare {
-    /// Requests a second.
+    /// Refill rate in requests a second.
     rate: f64,
-    /// Requests at one instant.
+    /// Capacity in requests.
     burst: f64,
 }
 
 impl QuotaShare {
-    /// The part of one of so many proxies.
+    /// The share of one of `proxies`.
     pub(super) fn of(per_s: f64, burst: f64, slack: f64, spread: u32) -> QuotaShare {
         let spread = f64::from(spread.max(1));
         let held = (BURST_SHARE * burst).max((SLACK_SHARE * slack).min(burst));
@@ -46,14 +49,14 @@
 struct Bucket {
     level: f64,
     at: Micros,
-    /// The doubt that it was last clipped for.
+    /// The doubt period for which the bucket was last clipped.
     doubt: u64,
 }
 
 impl Bucket {
     fn fill(&mut self, now: Micros, share: QuotaShare) {
         let flowed = share.rate * (now - self.at).max(0) as f64 / SECOND as f64;
-        // A share below one request still lets one through once it has come together.
+        // A share below one request still admits one once it has been refilled.
         let most = share.burst.max(1.0);
         (self.level, self.at) = ((self.level + flowed).min(most), self.at.max(now));
     }
@@ -65,20 +68,20 @@
     buckets: BTreeMap<String, Bucket>,
     /// The last call was not answered by a total.
     calls_failing: bool,
-    /// Since another holder was heard of, a total has come in.
+    /// A total has arrived since another owner was announced.
     has_total: bool,
-    /// Shares bind until then; without it, until a total has come in.
+    /// Shares bind until then; `None`: until a total arrives.
     settled_at: Option<Micros>,
-    /// The burst is small until then.
+    /// The burst is reduced until then.
     small_burst_until: Option<Micros>,
-    /// Numbers the spells of doubt.
+    /// Number of doubt periods so far.
     doubt_number: u64,
-    /// The count was held by another one before, as far as this proxy knows.
+    /// This proxy has known another owner before.
     had_holder: bool,
 }
 
 impl Default for QuotaShares {
-    /// Nobody is known to hold the count; the first one to be heard of is another one.
+    /// No owner is known; the first one that is announced counts as a new one.
     fn default() -> QuotaShares {
         let (settled, lean) = (Some(Micros::MIN), Some(Micros::MIN));
         QuotaShares {
@@ -94,22 +97,22 @@
 }
 
 impl QuotaShares {
-    /// Another replica holds the count, or the same one without its numbers.
+    /// Another replica owns the counter, or the same one after losing its numbers.
     pub(super) fn handle_holder_changed(&mut self) {
         (self.has_total, self.settled_at, self.small_burst_until) = (false, None, None);
         self.doubt_number += 1;
     }
 
-    /// A call of the count was answered by a total, or not.
+    /// A counter call was answered by a total, or failed.
     pub(super) fn handle_call_result(&mut self, total: bool) {
         self.doubt_number += u64::from(!total && !self.calls_failing);
         self.calls_failing = !total;
         self.has_total |= total;
     }
 
-    /// The limiters' clock goes on to `now` by so much at once: no time has passed.
+    /// The limiters' clock jumps ahead to `now` by this much: no time has passed.
     pub(super) fn handle_clock_jump(&mut self, now: Micros, by: Micros) {
-        // Danger: what was over before must not begin again.
+        // A reduction that is over must not begin again because of the jump.
         let ahead = |at: Micros| {
             if at > now.saturating_sub(by) {
                 at.saturating_add(by)
@@ -125,10 +128,11 @@
             .for_each(|bucket| bucket.at = (bucket.at + by).min(now));
     }
 
-    /// Shares bind now.
+    /// Whether shares bind now.
     pub(super) fn is_binding(&mut self, now: Micros) -> bool {
         if self.settled_at.is_none() && self.has_total {
-            // The first holder that a proxy hears of has not moved: nothing was let through by totals of another one here.
+            // The first owner that a proxy hears of is not a change: nothing was admitted here by
+            // another one's totals.
             let spans = if self.had_holder {
                 (SETTLING_DURATION, SMALL_BURST_DURATION)
             } else {
@@ -140,12 +144,13 @@
         self.calls_failing || self.settled_at.is_none_or(|until| now < until)
     }
 
-    /// The burst is small now.
+    /// Whether the burst is reduced now.
     pub(super) fn has_small_burst(&self, now: Micros) -> bool {
         self.small_burst_until.is_none_or(|until| now < until)
     }
 
-    /// A request of a tenant: charges it, unless the share binds and is used up; then, how long until it is not.
+    /// Charges a request to its tenant's bucket unless the share binds and is used up; returns then
+    /// how long to wait.
     pub(super) fn try_charge(
         &mut self,
         now: Micros,
@@ -176,7 +181,7 @@
         Ok(())
     }
 
-    /// A request that was charged was not let through.
+    /// Refunds a request that was charged and not admitted.
     pub(super) fn refund(&mut self, tenant: &str) {
         self.buckets
             .entry(tenant.to_string())
--- a/crates/proxy/src/server_table.rs
+++ b/crates/proxy/src/server_table.rs
@@ -1,8 +1,8 @@
-//! Which servers there are, and which of them may take requests now. Without any input or output.
+//! The servers, and which of them may receive requests now. Without I/O.
 //!
-//! A server that is listed as leaving, stands in an evacuated zone, is cold, or turned out to be another one gets
-//! nothing new. Cold are those whose list says so, and those of a zone that was just taken back: they may have turned
-//! cold while nobody listened, and the list is older than that.
+//! A server that is draining, stands in an evacuated zone, is warming up or was replaced receives
+//! no new requests. Warming up are those listed so, and those of a zone whose evacuation just
+//! ended: their caches may have gone cold meanwhile, and the list is older than that.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 use protocol::platform::Server;
 use streamarch::{Micros, ServerEntry, ServerId, ServerState};
 
-/// Sizes of servers beside their slots, by how far they are: a server in another region costs its clients a tenth of a
-/// second and is there for when near ones are full.
+/// Capacity weight by distance, in addition to the slots: a server in another region costs its
+/// clients a tenth of a second and is there for when the near ones are full.
 const SAME_ZONE: f64 = 1.0;
 const SAME_REGION: f64 = 0.5;
 const ELSEWHERE: f64 = 0.0001;
@@ -19,17 +19,17 @@
 /// A server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownServer {
-    /// Its number in the module, never given to another life.
+    /// Its number in the module, never reused for another incarnation.
     pub number: ServerId,
-    /// As the platform lists it.
+    /// Its entry in the platform's list.
     pub server: Server,
-    /// Cold until then.
+    /// Warming up until then.
     pub warm_at: Micros,
     /// Another server answered at its address.
     pub wrong_server: bool,
 }
 
-/// The servers, by their lives' ids.
+/// The servers, by the ids of their incarnations.
 #[derive(Debug)]
 pub struct ServerTable {
     zone: String,
@@ -39,12 +39,12 @@
     next: u32,
     version: Option<(u64, u64)>,
     evacuated: BTreeSet<String>,
-    /// Zones taken back, and until when their servers may be cold.
+    /// Zones whose evacuation ended, and until when their servers may be cold.
     returned: BTreeMap<String, Micros>,
 }
 
 impl ServerTable {
-    /// No server is known. `zones`: all zones and their regions.
+    /// An empty table. `zones`: all zones with their regions.
     pub fn new(zone: &str, zones: BTreeMap<String, String>) -> ServerTable {
         ServerTable {
             zone: zone.to_string(),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes a list, unless it is older than the one held.
+    /// Applies a server list unless it is older than the present one.
     pub fn update(&mut self, now: Micros, version: (u64, u64), servers: Vec<Server>) -> bool {
         if self.version.is_some_and(|held| held > version) {
             return false;
@@ -100,7 +100,8 @@
         number
     }
 
-    /// The zones that get nothing now, and those just said to be taken back, whose servers may be cold for `warmup`.
+    /// Sets the evacuated zones, and those whose evacuation just ended: their servers may be cold
+    /// for `warmup`.
     pub fn set_evacuated(
         &mut self,
         now: Micros,
@@ -113,7 +114,7 @@
         self.evacuated = zones.clone();
     }
 
-    /// Another server answered where this one was thought to be.
+    /// Another server answered at the address of this one.
     pub fn mark_wrong_server(&mut self, number: ServerId) {
         if let Some(known) = self
             .numbers
@@ -124,12 +125,12 @@
         }
     }
 
-    /// A server by its number.
+    /// The server with this number.
     pub fn get(&self, number: ServerId) -> Option<&KnownServer> {
         self.servers.get(self.numbers.get(&number)?)
     }
 
-    /// Some server is known.
+    /// Whether any server is known.
     pub fn any(&self) -> bool {
         !self.servers.is_empty()
     }
@@ -140,7 +141,7 @@
             .max(self.returned.get(&known.server.zone).copied().unwrap_or(0))
     }
 
-    /// When the next server turns warm, after `now`.
+    /// When the next server finishes warming up, after `now`.
     pub fn next_warm(&self, now: Micros) -> Option<Micros> {
         self.servers
             .values()
@@ -149,7 +150,7 @@
             .min()
     }
 
-    /// The servers of a service in the regions named (none: everywhere), as the module is told of them.
+    /// The servers of a service in the named regions (none: all), as entries for the module.
     pub fn entries(&self, now: Micros, svc: &str, pins: &[String]) -> Vec<ServerEntry> {
         let region = |zone: &str| self.zones.get(zone);
         let own = region(&self.zone);
@@ -186,7 +187,7 @@
         self.servers.values().filter(allowed).map(entry).collect()
     }
 
-    /// A server is in another region.
+    /// Whether a server is in another region.
     pub fn is_remote(&self, number: ServerId) -> bool {
         let there = self
             .get(number)
@@ -194,7 +195,7 @@
         there != self.zones.get(&self.zone)
     }
 
-    /// Where a server is reached, and its id.
+    /// The address of a server, and its id.
     pub fn address_of(&self, number: ServerId) -> Option<(SocketAddr, &str)> {
         self.get(number)
             .map(|known| (known.server.addr, known.server.id.as_str()))
--- a/crates/proxy/src/shedding.rs
+++ b/crates/proxy/src/shedding.rs
@@ -1,5 +1,5 @@
-//! Overload at this proxy: in which order its requests wait, and what it tells home of what became of them. Without any
-//! input or output; the module refuses.
+//! Load shedding at this proxy: the priority of its requests, and the load reports for the control
+//! program. Without I/O; the decision module rejects the requests.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 use protocol::items::{Route, Tenant};
 use streamarch::{Micros, Outcome, Request};
 
-/// A tenant that was over its quota within this is asked for its quota first.
+/// A tenant that was over its quota within this time has its quota checked first.
 const OVER_QUOTA_DURATION: Micros = 2_000_000;
 
-/// What a request asks for, as far as its turn goes by it.
+/// What the priority of a request depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct SheddingRequest<'a> {
     /// Its id, as the client sent it.
@@ -28,25 +28,25 @@
 }
 
 impl SheddingRequest<'_> {
-    /// Its band of the order.
+    /// Its priority band.
     pub fn band(&self) -> usize {
         priority::band(tier(self.route, self.tenant), self.route.prio)
     }
 }
 
-/// Where a request stands under overload.
+/// The priority of a request under the present load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SheddingPriority {
-    /// Its band of the order.
+    /// Its priority band.
     pub band: usize,
-    /// Its place in the order.
+    /// Its position in the priority order.
     pub position: f64,
-    /// The share of the order, from its end, that waits now.
+    /// The share of the order, from its end, that is rejected now.
     pub shed_share: f64,
 }
 
 impl SheddingPriority {
-    /// The module's word on it.
+    /// Whether the module rejects it.
     pub fn is_shed(&self) -> bool {
         streamarch::waits(&Request {
             place: self.position,
@@ -56,24 +56,24 @@
     }
 }
 
-/// Its tenant's rank, else the route's.
+/// The tenant's tier if it has one, else the route's.
 pub fn tier(route: &Route, tenant: Option<(&str, &Tenant)>) -> u32 {
     tenant
         .and_then(|(_, tenant)| tenant.prio)
         .unwrap_or(route.prio)
 }
 
-/// What this proxy knows of overload.
+/// The load shedding state of this proxy.
 #[derive(Debug, Default)]
 pub struct LoadShedding {
     gate: Admission,
     node: OverloadDetector,
-    /// Tenants that were over their quota, and when that was last so.
+    /// When each tenant was last over its quota.
     over_quota_tenants: BTreeMap<String, Micros>,
 }
 
 impl LoadShedding {
-    /// Where a request stands now: by its service's load, and by this node's own.
+    /// The priority of a request now, by the load of its service and of this node.
     pub fn priority(&self, now: Micros, asker: &SheddingRequest<'_>) -> SheddingPriority {
         let band = asker.band();
         let waits = 1.0
@@ -88,8 +88,9 @@
         }
     }
 
-    /// Whether its turn comes before its quota is asked: what waits uses up no quota then. Of a tenant over its quota
-    /// that is refused first which is beyond it: else others would wait for it.
+    /// Whether shedding is decided before the quota is checked, so that a rejected request uses up
+    /// no quota. For a tenant that was lately over its quota the quota is checked first: otherwise
+    /// requests beyond it would displace those of others.
     pub fn is_shed_before_quota(&self, now: Micros, asker: &SheddingRequest<'_>) -> bool {
         let over = asker
             .tenant
@@ -97,19 +98,20 @@
         over.is_none_or(|at| now - at > OVER_QUOTA_DURATION)
     }
 
-    /// A request has its turn.
+    /// Counts a request whose shedding was decided.
     pub fn record_admitted(&mut self, svc: &str, turn: &SheddingPriority) {
         let sent = !turn.is_shed();
         self.gate.record_request(svc, turn.band, sent);
         self.node.record_request(turn.band, sent);
     }
 
-    /// What this node knows of its own load.
+    /// The load of this node.
     pub fn node(&mut self) -> &mut OverloadDetector {
         &mut self.node
     }
 
-    /// A request was refused for its tenant's quota; `counted`: it had its turn before.
+    /// Counts a request that was rejected because of its tenant's quota; `counted`: the service and
+    /// band under which it was counted before.
     pub fn record_over_quota(&mut self, now: Micros, tenant: &str, counted: Option<(&str, usize)>) {
         if let Some((svc, band)) = counted {
             self.gate.record_over_quota(svc, band);
@@ -117,7 +119,7 @@
         self.over_quota_tenants.insert(tenant.to_string(), now);
     }
 
-    /// An attempt ended, after so long; what was aimed at.
+    /// Counts the outcome of an attempt, with the time it took and the latency target.
     pub fn record_outcome(
         &mut self,
         now: Micros,
@@ -128,7 +130,7 @@
         let sign = match outcome {
             Outcome::Ok | Outcome::Error => RequestOutcome::Answered(took, aim),
             Outcome::Full | Outcome::Reset => RequestOutcome::Rejected,
-            // A server that is not there says nothing of the load of those that are.
+            // An unreachable server says nothing about the load of the others.
             Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Cancelled | Outcome::Moot => {
                 return;
             }
@@ -136,17 +138,17 @@
         self.gate.record_outcome(now, svc, sign);
     }
 
-    /// No server was free for a request.
+    /// Counts a request for which no server was free.
     pub fn record_no_server(&mut self, now: Micros, svc: &str) {
         self.gate.record_outcome(now, svc, RequestOutcome::NoServer);
     }
 
-    /// Home told how much of the load of services is let through.
+    /// Applies the levels from the control program.
     pub fn set_levels(&mut self, now: Micros, age: Micros, levels: Vec<AdmissionLevel>) {
         self.gate.set_levels(now, levels, age);
     }
 
-    /// What home is to be told; due once a [`overload::STEP`].
+    /// The reports for the control program; due once a [`overload::STEP`].
     pub fn take_reports(&mut self, now: Micros) -> Vec<LoadReport> {
         self.over_quota_tenants
             .retain(|_, at| now - *at <= OVER_QUOTA_DURATION);
