--- a/crates/agent/src/host.rs
+++ b/crates/agent/src/host.rs
@@ -142,9 +142,9 @@
         selection.set_seeds(settings.seed_addresses());
         let mut deadlines = Deadlines::default();
         let now = clock.now();
-        deadlines.enter(now, Timer::Reconnect);
-        deadlines.enter(now + HEARTBEAT_INTERVAL, Timer::Upkeep);
-        deadlines.enter(now + HOME_RETRY_INTERVAL, Timer::TryHome);
+        deadlines.schedule(now, Timer::Reconnect);
+        deadlines.schedule(now + HEARTBEAT_INTERVAL, Timer::Upkeep);
+        deadlines.schedule(now + HOME_RETRY_INTERVAL, Timer::TryHome);
         Ok(Host {
             log: log_ring.logger("agent", &settings.node),
             clock,
@@ -202,7 +202,7 @@
         for event in events.drain(..) {
             self.handle_event(now, event);
         }
-        while let Some(timer) = self.deadlines.take_due(now) {
+        while let Some(timer) = self.deadlines.pop_due(now) {
             self.handle_timer(now, timer);
         }
         self.connections.flush_all(events);
@@ -254,7 +254,7 @@
             Timer::ReconnectCounter => self.update_counter_link(now),
             Timer::TryHome => {
                 let next = now + HOME_RETRY_INTERVAL;
-                self.deadlines.enter(next, Timer::TryHome);
+                self.deadlines.schedule(next, Timer::TryHome);
                 self.try_home(now);
             }
             Timer::Stop => self.finished = true,
@@ -271,7 +271,7 @@
     fn connect(&mut self, address: SocketAddr, now: i64) -> Option<ConnectionId> {
         let id = self.connections.connect(address, now).ok()?;
         let deadline = now + CONNECT_TIMEOUT;
-        self.deadlines.enter(deadline, Timer::Connect(id));
+        self.deadlines.schedule(deadline, Timer::Connect(id));
         Some(id)
     }
 
@@ -322,13 +322,13 @@
         }
         let retry_at = now + RETRY_DELAY;
         let Some(attempt) = self.selection.next_attempt() else {
-            return self.deadlines.enter(retry_at, Timer::Reconnect);
+            return self.deadlines.schedule(retry_at, Timer::Reconnect);
         };
         if attempt.is_last_of_round {
             self.reload_settings();
         }
         let Some(connection) = self.connect(attempt.address, now) else {
-            return self.deadlines.enter(retry_at, Timer::Reconnect);
+            return self.deadlines.schedule(retry_at, Timer::Reconnect);
         };
         self.link = Some(ControlLink {
             connection,
@@ -362,7 +362,7 @@
             }
             None => {
                 let retry_at = now + RETRY_DELAY;
-                self.deadlines.enter(retry_at, Timer::ReconnectCounter);
+                self.deadlines.schedule(retry_at, Timer::ReconnectCounter);
             }
         }
     }
@@ -375,10 +375,10 @@
                 self.selection.skip_past(link.address);
                 info!(self.log, "link lost"; "peer" => link.address.to_string());
             }
-            self.deadlines.enter(retry_at, Timer::Reconnect);
+            self.deadlines.schedule(retry_at, Timer::Reconnect);
         } else if self.is_counter_link(id) {
             self.counter_link = None;
-            self.deadlines.enter(retry_at, Timer::ReconnectCounter);
+            self.deadlines.schedule(retry_at, Timer::ReconnectCounter);
         } else if self.is_home_candidate(id) {
             self.home_candidate = None;
         } else if self.proxy == Some(id) {
@@ -578,7 +578,7 @@
     /// Sends a heartbeat, and gives up links that are silent or of no use.
     fn upkeep(&mut self, now: i64) {
         let next = now + HEARTBEAT_INTERVAL;
-        self.deadlines.enter(next, Timer::Upkeep);
+        self.deadlines.schedule(next, Timer::Upkeep);
         if let Some((message, proxy)) = self.cache.check_isolation(now).zip(self.proxy) {
             self.send(proxy, &message);
         }
@@ -664,6 +664,6 @@
         self.set_state(self.state);
         self.finished |= self.proxy.is_none();
         let end = now + self.settings.bounds.grace.0 - GRACE_MARGIN;
-        self.deadlines.enter(end, Timer::Stop);
+        self.deadlines.schedule(end, Timer::Stop);
     }
 }
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -47,7 +47,7 @@
 
 use std::net::SocketAddr;
 
-use dataplane::clock::FIRST;
+use dataplane::clock::STEADY_CLOCK_START;
 use protocol::items::Item;
 use protocol::messages::AgentMessage;
 
@@ -165,7 +165,7 @@
             disk: DiskState::default(),
             role_leases,
             counter: SharedCounter::default(),
-            clock_offset: FIRST.saturating_sub(now),
+            clock_offset: STEADY_CLOCK_START.saturating_sub(now),
             server_list: ServerList::default(),
             next_server_request: now,
             membership: Membership::default(),
--- a/crates/control/src/host/http_calls.rs
+++ b/crates/control/src/host/http_calls.rs
@@ -10,7 +10,7 @@
 use super::platform_poller::{PlatformPoller, PollResult};
 use crate::core::Input;
 use crate::core::ids::SingletonRole;
-use crate::dataplane_types::{ConnectionKey, Malformed, Request, write_answer};
+use crate::dataplane_types::{ConnectionKey, ParseError, Request, write_response};
 use crate::operator_api::{self, Reply};
 use crate::{limits, lookup};
 
@@ -41,8 +41,11 @@
         {
             return self.reject(key, malformed);
         }
-        if !connection.incoming.whole() {
-            let expects = connection.incoming.head().is_some_and(|head| head.expects);
+        if !connection.incoming.is_complete() {
+            let expects = connection
+                .incoming
+                .head()
+                .is_some_and(|head| head.expects_continue);
             if expects && !std::mem::replace(&mut connection.continue_sent, true) {
                 self.write(key, b"HTTP/1.1 100 Continue\r\n\r\n");
             }
@@ -62,7 +65,7 @@
         }
     }
 
-    fn reject(&mut self, key: ConnectionKey, malformed: Malformed) {
+    fn reject(&mut self, key: ConnectionKey, malformed: ParseError) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.close_after_reply = true;
             connection.awaiting_reply = true;
@@ -137,7 +140,7 @@
         connection.closing = connection.close_after_reply || self.shutdown_started_at.is_some();
         let (close, unread) = (connection.closing, connection.has_unread);
         let mut bytes = Vec::with_capacity(body.len() + 128);
-        write_answer(&mut bytes, status, &JSON_HEADERS, body, close);
+        write_response(&mut bytes, status, &JSON_HEADERS, body, close);
         self.write(key, &bytes);
         if !close {
             self.read_call(key);
--- a/crates/control/src/host/platform_poller.rs
+++ b/crates/control/src/host/platform_poller.rs
@@ -6,7 +6,7 @@
 use protocol::platform::{self, Server};
 use protocol::settings::CloudApi;
 
-use crate::dataplane_types::{ConnectionKey, FrameLimits, framed_answer};
+use crate::dataplane_types::{ConnectionKey, FrameLimits, framed_response};
 use crate::limits;
 
 /// After this many failed polls in a row another replica may do better.
@@ -52,7 +52,7 @@
         // Some requests are left for the process that had the role before, and for a clock that is a little off.
         let rate = (settings.per_s * 0.8).max(0.5);
         let limits = FrameLimits {
-            body_bytes: limits::MAX_PAGE_BYTES,
+            max_buffered_body_bytes: limits::MAX_PAGE_BYTES,
             ..FrameLimits::default()
         };
         let gap = (1e6 / rate) as i64;
@@ -152,7 +152,8 @@
     /// What was received is no page; nothing of the poll counts.
     pub(super) fn read(&mut self, input: &mut Vec<u8>) -> eyre::Result<(PollResult, bool)> {
         let step = || format!("list of servers from {}", self.address);
-        let Some((answer, length)) = framed_answer(input, &self.limits).wrap_err_with(step)? else {
+        let Some((answer, length)) = framed_response(input, &self.limits).wrap_err_with(step)?
+        else {
             return Ok((PollResult::Incomplete, true));
         };
         input.drain(..length);
--- a/crates/control/tests/core.rs
+++ b/crates/control/tests/core.rs
@@ -772,7 +772,7 @@
 }
 
 /// The limiters' clock, ahead of all that the replicas have of it.
-const TIME: i64 = 2 * dataplane::clock::FIRST;
+const TIME: i64 = 2 * dataplane::clock::STEADY_CLOCK_START;
 
 #[test]
 fn limiters_with_different_clocks_do_not_count_together() {
--- a/crates/dataplane/src/visits.rs
+++ b/crates/dataplane/src/client_connection.rs
@@ -11,45 +11,45 @@
     /// No request is there: nothing of one has come.
     Idle,
     /// A part of a request has come.
-    Partial,
+    Receiving,
     /// A whole request was taken, and its answer is owed.
-    Open,
+    Processing,
     /// An answer is being written.
-    Answering,
+    Responding,
     /// The last answer is written, and the client is left the time to read it.
     Lingering,
 }
 
 /// A connection of the acquirer side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Visit {
+pub struct ClientConnection {
     /// Where it stands.
     pub stage: Stage,
     /// Since when.
     pub since: Micros,
     /// An answer has been written on it before.
-    pub answered: bool,
+    pub has_responded: bool,
     /// Of a request whose head is whole and whose body is coming: how that goes.
-    body: Option<Upload>,
+    body: Option<BodyProgress>,
 }
 
 /// A body on its way in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Upload {
+struct BodyProgress {
     /// Since when its head has been whole.
     since: Micros,
     /// When something last came, and how much has.
-    heard: Micros,
+    last_received_at: Micros,
     bytes: u64,
 }
 
-impl Visit {
+impl ClientConnection {
     /// A connection that was taken now.
-    pub fn new(now: Micros) -> Visit {
-        Visit {
+    pub fn new(now: Micros) -> ClientConnection {
+        ClientConnection {
             stage: Stage::Idle,
             since: now,
-            answered: false,
+            has_responded: false,
             body: None,
         }
     }
@@ -60,55 +60,55 @@
 
     /// A part of a request is there. The first one of a connection has its time from the connection's start, so
     /// that silence before it gains none.
-    pub fn partial(&mut self, now: Micros) {
+    pub fn begin_request(&mut self, now: Micros) {
         if self.stage == Stage::Idle {
-            let since = if self.answered { now } else { self.since };
-            self.enter(since, Stage::Partial);
+            let since = if self.has_responded { now } else { self.since };
+            self.enter(since, Stage::Receiving);
         }
     }
 
     /// The head is whole, and so much of the body has come.
-    pub fn uploading(&mut self, now: Micros, bytes: u64) {
-        let upload = self.body.get_or_insert(Upload {
+    pub fn record_body_progress(&mut self, now: Micros, bytes: u64) {
+        let upload = self.body.get_or_insert(BodyProgress {
             since: now,
-            heard: now,
+            last_received_at: now,
             bytes,
         });
         if upload.bytes != bytes {
-            (upload.heard, upload.bytes) = (now, bytes);
+            (upload.last_received_at, upload.bytes) = (now, bytes);
         }
     }
 
     /// More was not asked for, so that none came.
-    pub fn held_up(&mut self, now: Micros) {
-        self.body = self.body.map(|upload| Upload {
+    pub fn restart_body_timer(&mut self, now: Micros) {
+        self.body = self.body.map(|upload| BodyProgress {
             since: now,
-            heard: now,
+            last_received_at: now,
             bytes: upload.bytes,
         });
     }
 
     /// The client has taken in a part of its answer.
-    pub fn progress(&mut self, now: Micros) {
-        if self.stage == Stage::Answering {
+    pub fn record_write_progress(&mut self, now: Micros) {
+        if self.stage == Stage::Responding {
             self.since = now;
         }
     }
 
     /// A whole request was taken.
-    pub fn taken(&mut self, now: Micros) {
-        self.enter(now, Stage::Open);
+    pub fn request_complete(&mut self, now: Micros) {
+        self.enter(now, Stage::Processing);
     }
 
     /// An answer is to be written.
-    pub fn answering(&mut self, now: Micros) {
-        self.enter(now, Stage::Answering);
+    pub fn begin_response(&mut self, now: Micros) {
+        self.enter(now, Stage::Responding);
     }
 
     /// The answer is written. `last`: no other will be.
-    pub fn written(&mut self, now: Micros, last: bool) {
-        if self.stage == Stage::Answering {
-            self.answered = true;
+    pub fn response_written(&mut self, now: Micros, last: bool) {
+        if self.stage == Stage::Responding {
+            self.has_responded = true;
             self.enter(now, if last { Stage::Lingering } else { Stage::Idle });
         }
     }
@@ -116,25 +116,26 @@
     /// Until when it may stay as it is. An open request has its own deadline, but its body may still be coming. `closing`: idle ones are being closed.
     pub fn deadline(&self, closing: bool, limits: &Limits) -> Option<Micros> {
         let span = match self.stage {
-            Stage::Idle if closing => limits.late_first,
-            Stage::Idle if self.answered => limits.acquirer_idle,
-            Stage::Partial if self.body.is_some() => {
-                return self.body.map(|upload| self.upload(upload, limits));
+            Stage::Idle if closing => limits.draining_request_timeout,
+            Stage::Idle if self.has_responded => limits.client_idle_timeout,
+            Stage::Receiving if self.body.is_some() => {
+                return self.body.map(|upload| self.body_deadline(upload, limits));
             }
-            Stage::Idle | Stage::Partial => limits.acquirer_first,
-            Stage::Open => return self.body.map(|upload| self.upload(upload, limits)),
-            Stage::Answering => limits.acquirer_write,
-            Stage::Lingering => limits.acquirer_linger,
+            Stage::Idle | Stage::Receiving => limits.request_timeout,
+            Stage::Processing => return self.body.map(|upload| self.body_deadline(upload, limits)),
+            Stage::Responding => limits.client_write_timeout,
+            Stage::Lingering => limits.linger_timeout,
         };
         Some(self.since + span)
     }
 
     /// Until when a body may be without its end. A slow one is waited for as long as it keeps a least pace; one that
     /// falls silent has no more time than a request that never came.
-    fn upload(&self, upload: Upload, limits: &Limits) -> Micros {
-        let paced = (upload.bytes * 1_000_000 / limits.body_pace.max(1)) as Micros;
+    fn body_deadline(&self, upload: BodyProgress, limits: &Limits) -> Micros {
+        let paced = (upload.bytes * 1_000_000 / limits.min_body_bytes_per_s.max(1)) as Micros;
         let slowest = upload.since + limits.body_grace + paced;
-        (self.since + limits.acquirer_first).max(slowest.min(upload.heard + limits.body_silent))
+        (self.since + limits.request_timeout)
+            .max(slowest.min(upload.last_received_at + limits.body_idle_timeout))
     }
 
     /// How well this connection can be spared where room is wanted: the lowest first. None: not at all.
@@ -142,14 +143,14 @@
     /// Guards the first request of a connection just taken, which may be on its way: a client whose request
     /// crosses the close of a connection that has never answered does not send it again. One that says nothing
     /// goes as soon as that is unlikely, and those that have been answered go by how long they have been idle.
-    pub fn spared(&self, now: Micros, limits: &Limits) -> Option<(u8, Micros)> {
-        let fresh = now - self.since < limits.acquirer_fresh;
+    pub fn eviction_rank(&self, now: Micros, limits: &Limits) -> Option<(u8, Micros)> {
+        let fresh = now - self.since < limits.first_request_grace;
         match self.stage {
             Stage::Lingering => Some((0, self.since)),
-            Stage::Idle if !self.answered && !fresh => Some((1, self.since)),
-            Stage::Partial if !fresh => Some((2, self.since)),
-            Stage::Idle if self.answered => Some((3, self.since)),
-            Stage::Idle | Stage::Partial | Stage::Open | Stage::Answering => None,
+            Stage::Idle if !self.has_responded && !fresh => Some((1, self.since)),
+            Stage::Receiving if !fresh => Some((2, self.since)),
+            Stage::Idle if self.has_responded => Some((3, self.since)),
+            Stage::Idle | Stage::Receiving | Stage::Processing | Stage::Responding => None,
         }
     }
 }
--- a/crates/dataplane/src/clock.rs
+++ b/crates/dataplane/src/clock.rs
@@ -7,7 +7,7 @@
 use streamarch::Micros;
 
 /// What a steady clock shows at its start: far from zero, which stands for never here and there.
-pub const FIRST: Micros = 1_000_000_000_000;
+pub const STEADY_CLOCK_START: Micros = 1_000_000_000_000;
 
 /// The host's clock, in microseconds: since the epoch, or since whatever others count from.
 #[derive(Clone, Debug)]
@@ -36,12 +36,12 @@
     pub fn steady() -> Clock {
         Clock(Source::Steady(
             Instant::now(),
-            Arc::new(AtomicI64::new(FIRST)),
+            Arc::new(AtomicI64::new(STEADY_CLOCK_START)),
         ))
     }
 
     /// Others are at this time. A steady clock that is behind goes there; none goes back.
-    pub fn raise(&self, to: Micros) {
+    pub fn advance_to(&self, to: Micros) {
         if let Source::Steady(start, ahead) = &self.0 {
             ahead.fetch_max(
                 to.saturating_sub(start.elapsed().as_micros() as Micros),
--- a/crates/dataplane/src/deadlines.rs
+++ b/crates/dataplane/src/deadlines.rs
@@ -8,23 +8,23 @@
 #[derive(Debug)]
 pub struct Deadlines<T> {
     entries: BTreeMap<(Micros, u64), T>,
-    next: u64,
+    sequence: u64,
 }
 
 impl<T> Default for Deadlines<T> {
     fn default() -> Deadlines<T> {
         Deadlines {
             entries: BTreeMap::new(),
-            next: 0,
+            sequence: 0,
         }
     }
 }
 
 impl<T> Deadlines<T> {
     /// Enters something due at `at`. An entry that has lost its sense is ignored by who takes it.
-    pub fn enter(&mut self, at: Micros, what: T) {
-        self.entries.insert((at, self.next), what);
-        self.next += 1;
+    pub fn schedule(&mut self, at: Micros, what: T) {
+        self.entries.insert((at, self.sequence), what);
+        self.sequence += 1;
     }
 
     /// The earliest deadline.
@@ -33,7 +33,7 @@
     }
 
     /// Takes the earliest entry that is due at `now`.
-    pub fn take_due(&mut self, now: Micros) -> Option<T> {
+    pub fn pop_due(&mut self, now: Micros) -> Option<T> {
         let entry = self.entries.first_entry().filter(|e| e.key().0 <= now)?;
         Some(entry.remove())
     }
--- a/crates/dataplane/src/deadlines/tests.rs
+++ b/crates/dataplane/src/deadlines/tests.rs
@@ -4,11 +4,11 @@
 fn entries_come_out_in_order_of_time_and_never_early() {
     let mut deadlines = Deadlines::default();
     for (at, what) in [(30, 'c'), (10, 'a'), (30, 'd'), (20, 'b')] {
-        deadlines.enter(at, what);
+        deadlines.schedule(at, what);
     }
     assert_eq!(deadlines.earliest(), Some(10));
-    assert_eq!(deadlines.take_due(9), None);
-    let due: Vec<char> = std::iter::from_fn(|| deadlines.take_due(30)).collect();
+    assert_eq!(deadlines.pop_due(9), None);
+    let due: Vec<char> = std::iter::from_fn(|| deadlines.pop_due(30)).collect();
     assert_eq!(due, ['a', 'b', 'c', 'd']);
     assert_eq!(deadlines.earliest(), None);
 }
--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -11,7 +11,7 @@
     Outcome, OverNotice, Plan, Request, RequestId, ServerEntry, ServerId, Settings,
 };
 
-use crate::judging::{Judged, Judging};
+use crate::plan_resolver::{PlanResolver, ResolvedPlan};
 use crate::slots::{AuthorisationKey, Key, SlotMap};
 
 /// What a front asks for on behalf of a client.
@@ -43,7 +43,7 @@
 
 /// The final answer, where no server's answer is it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum EngineRejection {
     /// Declined: trying again is harmless.
     Declined {
         /// How long the client had better stay away; 0 for no advice.
@@ -62,9 +62,9 @@
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum EngineAction {
     /// Send a leg to a server; report its end with [`Engine::leg_ended`].
-    StartLeg {
+    StartAttempt {
         /// The authorisation.
         key: AuthorisationKey,
         /// Number of the leg, from 0.
@@ -75,21 +75,21 @@
         deadline: Micros,
     },
     /// Close the connection of a leg; its end is already known here.
-    StopLeg {
+    StopAttempt {
         /// The authorisation.
         key: AuthorisationKey,
         /// Number of the leg.
         leg: u32,
     },
     /// Give the final answer.
-    Answer {
+    Reject {
         /// The authorisation.
         key: AuthorisationKey,
         /// How it ends.
-        ending: Ending,
+        ending: EngineRejection,
     },
     /// Add to a number of the counter; report with [`Engine::counted`].
-    Count {
+    AddToCounter {
         /// The number.
         name: CounterName,
         /// What to add.
@@ -100,64 +100,64 @@
     /// Probe a server; report with [`Engine::probe_ended`].
     Probe(ServerId),
     /// Tell the limiter of this number.
-    Tell(u32, OverNotice),
+    Notify(u32, OverNotice),
     /// A line for the log.
     Log(String),
 }
 
 /// What a host did that it must not do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Misuse {
+pub enum EngineError {
     /// More authorisations than may be held.
     Full,
 }
 
-impl fmt::Display for Misuse {
+impl fmt::Display for EngineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Misuse::Full => f.write_str("too many authorisations held"),
+            EngineError::Full => f.write_str("too many authorisations held"),
         }
     }
 }
 
-impl std::error::Error for Misuse {}
+impl std::error::Error for EngineError {}
 
 /// A leg that is out.
 #[derive(Clone, Copy, Debug)]
-struct Out {
-    leg: u32,
+struct InFlightAttempt {
+    number: u32,
     server: ServerId,
     sent: Micros,
 }
 
 #[derive(Debug)]
-struct Held {
+struct RequestState {
     authorisation: Authorisation,
     /// By the plan book, where there is one.
-    judged: Option<Judged>,
-    legs: u32,
-    out: Option<Out>,
+    plan: Option<ResolvedPlan>,
+    attempts: u32,
+    in_flight: Option<InFlightAttempt>,
     may_have_run: bool,
     /// What a leg would carry is no longer here.
-    body_gone: bool,
+    is_body_sent: bool,
     done: bool,
 }
 
 /// The engine: the module, its requests and what holds whatever it decides.
 pub struct Engine {
     balancer: Balancer,
-    held: SlotMap<AuthorisationKey, Held>,
-    most_held: usize,
-    max_legs: u32,
+    requests: SlotMap<AuthorisationKey, RequestState>,
+    max_requests: usize,
+    max_attempts: u32,
     period: Micros,
-    handled: Option<Micros>,
-    wake: Option<Micros>,
+    last_run_at: Option<Micros>,
+    wake_at: Option<Micros>,
     events: Vec<Event>,
     actions: Vec<Action>,
     /// Left by their clients since the module last decided: it may yet send for them.
-    left: Vec<AuthorisationKey>,
-    open: usize,
-    judging: Option<Judging>,
+    abandoned: Vec<AuthorisationKey>,
+    open_count: usize,
+    plan_resolver: Option<PlanResolver>,
 }
 
 fn id(key: AuthorisationKey) -> RequestId {
@@ -174,83 +174,86 @@
         let (period, max_legs) = (settings.period.max(1), settings.max_attempts.max(1));
         Engine {
             balancer: Balancer::new(settings, seed),
-            held: SlotMap::with_key(),
-            most_held,
-            max_legs,
+            requests: SlotMap::with_key(),
+            max_requests: most_held,
+            max_attempts: max_legs,
             period,
-            handled: None,
-            wake: None,
+            last_run_at: None,
+            wake_at: None,
             events: Vec::new(),
             actions: Vec::new(),
-            left: Vec::new(),
-            open: 0,
-            judging: None,
+            abandoned: Vec::new(),
+            open_count: 0,
+            plan_resolver: None,
         }
     }
 
     /// Authorisations whose final answer is owed.
-    pub fn open(&self) -> usize {
-        self.open
+    pub fn open_requests(&self) -> usize {
+        self.open_count
     }
 
     /// When the final answer of an authorisation is due, while it is held.
     pub fn deadline(&self, key: AuthorisationKey) -> Option<Micros> {
-        self.held.get(key).map(|held| held.authorisation.deadline)
+        self.requests
+            .get(key)
+            .map(|held| held.authorisation.deadline)
     }
 
     /// The class of an authorisation, and since when its leg is out, if one is.
-    pub fn out_since(&self, key: AuthorisationKey) -> Option<(usize, Micros)> {
-        let held = self.held.get(key)?;
-        held.out.map(|out| (held.authorisation.class, out.sent))
+    pub fn in_flight_since(&self, key: AuthorisationKey) -> Option<(usize, Micros)> {
+        let held = self.requests.get(key)?;
+        held.in_flight
+            .map(|out| (held.authorisation.class, out.sent))
     }
 
     /// From now on requests are judged by a plan book, which starts from the plans that the engine was given.
-    pub fn judge_by(&mut self, judging: Judging) {
-        self.judging = Some(judging);
+    pub fn set_plan_resolver(&mut self, judging: PlanResolver) {
+        self.plan_resolver = Some(judging);
     }
 
     /// The plan book, where there is one.
-    pub fn judging(&mut self) -> Option<&mut Judging> {
-        self.judging.as_mut()
+    pub fn plan_resolver(&mut self) -> Option<&mut PlanResolver> {
+        self.plan_resolver.as_mut()
     }
 
     /// What an authorisation is judged by, while it is held, where there is a plan book.
-    pub fn judged(&self, key: AuthorisationKey) -> Option<&Judged> {
-        self.held.get(key)?.judged.as_ref()
+    pub fn resolved_plan(&self, key: AuthorisationKey) -> Option<&ResolvedPlan> {
+        self.requests.get(key)?.plan.as_ref()
     }
 
     /// Takes an authorisation; from now on one final answer is owed. Its plan is the one that holds now, and stays.
     ///
     /// # Errors
     /// The request is rejected; the error says why.
-    pub fn take(
+    pub fn submit(
         &mut self,
         now: Micros,
         mut authorisation: Authorisation,
-    ) -> Result<AuthorisationKey, Misuse> {
-        if self.held.len() >= self.most_held {
-            return Err(Misuse::Full);
+    ) -> Result<AuthorisationKey, EngineError> {
+        if self.requests.len() >= self.max_requests {
+            return Err(EngineError::Full);
         }
         let mut new = Vec::new();
-        let judge = |judging: &mut Judging| {
-            judging.judge(now, authorisation.customer, authorisation.plan, &mut new)
+        let judge = |judging: &mut PlanResolver| {
+            judging.resolve(now, authorisation.customer, authorisation.plan, &mut new)
         };
-        let judged = self.judging.as_mut().map(judge);
+        let judged = self.plan_resolver.as_mut().map(judge);
         self.events.extend(new.into_iter().map(Event::Plan));
         authorisation.plan = judged
             .as_ref()
             .map_or(authorisation.plan, |judged| judged.position);
-        let held = Held {
+        let held = RequestState {
             authorisation: authorisation.clone(),
-            judged,
-            legs: 0,
-            out: None,
+            plan: judged,
+            attempts: 0,
+            in_flight: None,
             may_have_run: false,
-            body_gone: false,
+            is_body_sent: false,
             done: false,
         };
-        let key = self.held.insert(held);
-        self.open += 1;
+        let key = self.requests.insert(held);
+        self.open_count += 1;
         self.events.push(Event::Request(Request {
             id: id(key),
             class: authorisation.class,
@@ -268,7 +271,7 @@
     }
 
     /// A leg ended. True if its answer is the final answer, to be passed on now.
-    pub fn leg_ended(
+    pub fn handle_attempt_ended(
         &mut self,
         now: Micros,
         key: AuthorisationKey,
@@ -276,10 +279,10 @@
         outcome: Outcome,
         report: Option<LoadReport>,
     ) -> bool {
-        let Some(held) = self.held.get_mut(key) else {
+        let Some(held) = self.requests.get_mut(key) else {
             return false;
         };
-        let Some(out) = held.out.take_if(|out| out.leg == leg) else {
+        let Some(out) = held.in_flight.take_if(|out| out.number == leg) else {
             return false;
         };
         let answers = outcome == Outcome::Ok && !held.done;
@@ -290,9 +293,9 @@
         );
         let finished = held.done;
         if finished {
-            self.held.remove(key);
+            self.requests.remove(key);
         }
-        self.open -= usize::from(answers);
+        self.open_count -= usize::from(answers);
         self.events.push(Event::AttemptEnd(AttemptEnd {
             request: id(key),
             attempt: leg,
@@ -308,29 +311,38 @@
 
     /// The last byte of a leg is written: what it takes counts from now. Guards the figures of servers against clients
     /// whose bodies come slowly.
-    pub fn leg_written(&mut self, now: Micros, key: AuthorisationKey) {
-        if let Some(out) = self.held.get_mut(key).and_then(|held| held.out.as_mut()) {
+    pub fn handle_attempt_written(&mut self, now: Micros, key: AuthorisationKey) {
+        if let Some(out) = self
+            .requests
+            .get_mut(key)
+            .and_then(|held| held.in_flight.as_mut())
+        {
             out.sent = now;
         }
     }
 
     /// What a leg would carry is no longer here: none starts for it any more, and the one that is out is not moved.
-    pub fn body_gone(&mut self, key: AuthorisationKey) {
-        if let Some(held) = self.held.get_mut(key) {
-            held.body_gone = true;
+    pub fn handle_body_sent(&mut self, key: AuthorisationKey) {
+        if let Some(held) = self.requests.get_mut(key) {
+            held.is_body_sent = true;
         }
     }
 
     /// The client left: nothing is owed any more, and a leg that is out is stopped.
-    pub fn client_left(&mut self, now: Micros, key: AuthorisationKey, orders: &mut Vec<Order>) {
-        if self.end(key, true) {
+    pub fn handle_client_left(
+        &mut self,
+        now: Micros,
+        key: AuthorisationKey,
+        orders: &mut Vec<EngineAction>,
+    ) {
+        if self.finish_request(key, true) {
             self.events.push(Event::ClientLeft(id(key)));
-            self.stop_leg(now, key, orders);
+            self.stop_attempt(now, key, orders);
         }
     }
 
     /// The counter answered, or failed to.
-    pub fn counted(&mut self, name: CounterName, outcome: Outcome, total: f64) {
+    pub fn handle_counter_result(&mut self, name: CounterName, outcome: Outcome, total: f64) {
         self.events.push(Event::Counted {
             name,
             outcome,
@@ -339,17 +351,22 @@
     }
 
     /// The counter answered a call whose outcome had been given before.
-    pub fn counter_late(&mut self) {
+    pub fn handle_late_counter_result(&mut self) {
         self.events.push(Event::CounterLate);
     }
 
     /// Another counter has taken over, and starts empty.
-    pub fn counter_new(&mut self) {
+    pub fn handle_counter_replaced(&mut self) {
         self.events.push(Event::CounterNew);
     }
 
     /// A probe ended.
-    pub fn probe_ended(&mut self, server: ServerId, outcome: Outcome, report: Option<LoadReport>) {
+    pub fn handle_probe_result(
+        &mut self,
+        server: ServerId,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
         self.events.push(Event::ProbeEnd {
             server,
             outcome,
@@ -358,25 +375,25 @@
     }
 
     /// News of the routing table.
-    pub fn listed(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
+    pub fn update_servers(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         self.events.push(Event::ServerList { kind, entries });
     }
 
     /// Another limiter told this.
-    pub fn told(&mut self, notice: OverNotice) {
+    pub fn handle_notice(&mut self, notice: OverNotice) {
         self.events.push(Event::Told(notice));
     }
 
     /// A plan came up; it takes the next position in the module.
-    pub fn plan_added(&mut self, plan: Plan) {
+    pub fn add_plan(&mut self, plan: Plan) {
         self.events.push(Event::Plan(plan));
     }
 
     /// When [`Engine::handle`] has something to do next; the module is not called more often than its period.
-    pub fn next(&self) -> Option<Micros> {
-        let earliest = self.handled.map_or(Micros::MIN, |at| at + self.period);
+    pub fn next_wakeup(&self) -> Option<Micros> {
+        let earliest = self.last_run_at.map_or(Micros::MIN, |at| at + self.period);
         let wanted = if self.events.is_empty() {
-            self.wake
+            self.wake_at
         } else {
             Some(Micros::MIN)
         };
@@ -384,15 +401,15 @@
     }
 
     /// Lets the module decide on what has come in, if its period is over.
-    pub fn handle(&mut self, now: Micros, orders: &mut Vec<Order>) {
-        if self.next().is_none_or(|at| at > now) {
+    pub fn run(&mut self, now: Micros, orders: &mut Vec<EngineAction>) {
+        if self.next_wakeup().is_none_or(|at| at > now) {
             return;
         }
-        if self.wake.is_some_and(|at| at <= now) {
-            self.wake = None;
+        if self.wake_at.is_some_and(|at| at <= now) {
+            self.wake_at = None;
             self.events.push(Event::Timer);
         }
-        self.handled = Some(now);
+        self.last_run_at = Some(now);
         let mut actions = std::mem::take(&mut self.actions);
         let mut events = std::mem::take(&mut self.events);
         self.balancer.handle(now, &events, &mut actions);
@@ -402,12 +419,12 @@
             self.carry_out(now, action, orders);
         }
         self.actions = actions;
-        for key in std::mem::take(&mut self.left) {
-            self.held.remove(key);
+        for key in std::mem::take(&mut self.abandoned) {
+            self.requests.remove(key);
         }
     }
 
-    fn carry_out(&mut self, now: Micros, action: Action, orders: &mut Vec<Order>) {
+    fn carry_out(&mut self, now: Micros, action: Action, orders: &mut Vec<EngineAction>) {
         match action {
             Action::Send {
                 request,
@@ -418,40 +435,42 @@
                 request,
                 stay_away,
                 over_quota,
-            } => self.answer(
+            } => self.reject(
                 now,
                 key(request),
-                Ending::Declined {
+                EngineRejection::Declined {
                     stay_away,
                     over_quota,
                 },
                 orders,
             ),
-            Action::Fail(request) => self.answer(now, key(request), Ending::Failed, orders),
+            Action::Fail(request) => {
+                self.reject(now, key(request), EngineRejection::Failed, orders)
+            }
             Action::Cancel { request, attempt } => {
                 let key = key(request);
                 // Guards a request that could only fail by it: its body has gone on to that server and is no longer
                 // here. One that takes a long body in owes no answer yet, and so is easily taken for silent.
-                let moves = self.held.get(key).filter(|held| !held.body_gone);
+                let moves = self.requests.get(key).filter(|held| !held.is_body_sent);
                 if moves
-                    .and_then(|held| held.out)
-                    .is_some_and(|out| out.leg == attempt)
+                    .and_then(|held| held.in_flight)
+                    .is_some_and(|out| out.number == attempt)
                 {
-                    orders.push(Order::StopLeg { key, leg: attempt });
-                    self.leg_ended(now, key, attempt, Outcome::Cancelled, None);
+                    orders.push(EngineAction::StopAttempt { key, leg: attempt });
+                    self.handle_attempt_ended(now, key, attempt, Outcome::Cancelled, None);
                 }
             }
-            Action::Count { name, add, expires } => orders.push(Order::Count {
+            Action::Count { name, add, expires } => orders.push(EngineAction::AddToCounter {
                 name,
                 add,
                 life: expires,
             }),
-            Action::Tell(limiter, notice) => orders.push(Order::Tell(limiter, notice)),
-            Action::Probe(server) => orders.push(Order::Probe(server)),
+            Action::Tell(limiter, notice) => orders.push(EngineAction::Notify(limiter, notice)),
+            Action::Probe(server) => orders.push(EngineAction::Probe(server)),
             // The host watches the list from its start, whether the module asks for it or not.
             Action::WatchList => {}
-            Action::WakeAt(at) => self.wake = Some(self.wake.map_or(at, |w| w.min(at))),
-            Action::Log(text) => orders.push(Order::Log(text)),
+            Action::WakeAt(at) => self.wake_at = Some(self.wake_at.map_or(at, |w| w.min(at))),
+            Action::Log(text) => orders.push(EngineAction::Log(text)),
         }
     }
 
@@ -461,16 +480,16 @@
         key: AuthorisationKey,
         server: ServerId,
         timeout: Micros,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<EngineAction>,
     ) {
-        let Some(held) = self.held.get_mut(key) else {
+        let Some(held) = self.requests.get_mut(key) else {
             return;
         };
-        let leg = held.legs;
-        held.legs += 1;
+        let leg = held.attempts;
+        held.attempts += 1;
         // Guards rule 2: never two legs out, none after the end, whatever asks for them. The module is told that the
         // leg it asked for is over: else it would count it as out at its server for ever.
-        if held.out.is_some() || held.done {
+        if held.in_flight.is_some() || held.done {
             let end = AttemptEnd {
                 request: id(key),
                 attempt: leg,
@@ -488,19 +507,19 @@
             .authorisation
             .valid_until
             .is_some_and(|until| until <= now);
-        held.out = Some(Out {
-            leg,
+        held.in_flight = Some(InFlightAttempt {
+            number: leg,
             server,
             sent: now,
         });
         // Guards the sign-off whose token runs out between try and retry: it is not sent again.
         if expired {
             let may_have_run = held.may_have_run;
-            self.leg_ended(now, key, leg, Outcome::Moot, None);
-            return self.answer(now, key, Ending::Expired { may_have_run }, orders);
+            self.handle_attempt_ended(now, key, leg, Outcome::Moot, None);
+            return self.reject(now, key, EngineRejection::Expired { may_have_run }, orders);
         }
-        if leg >= self.max_legs || held.body_gone || held.authorisation.deadline <= now {
-            self.leg_ended(now, key, leg, Outcome::Moot, None);
+        if leg >= self.max_attempts || held.is_body_sent || held.authorisation.deadline <= now {
+            self.handle_attempt_ended(now, key, leg, Outcome::Moot, None);
             return;
         }
         let given = if timeout == 0 {
@@ -509,7 +528,7 @@
             now.saturating_add(timeout.max(0))
         };
         let deadline = held.authorisation.deadline.min(given);
-        orders.push(Order::StartLeg {
+        orders.push(EngineAction::StartAttempt {
             key,
             leg,
             server,
@@ -519,39 +538,44 @@
 
     /// Marks the end; true if it had not ended before. Where the module does not know of it yet, the slot is kept
     /// until it has decided again: what it decides on an earlier event may still be to send.
-    fn end(&mut self, key: AuthorisationKey, unknown: bool) -> bool {
-        let Some(held) = self.held.get_mut(key).filter(|h| !h.done) else {
+    fn finish_request(&mut self, key: AuthorisationKey, unknown: bool) -> bool {
+        let Some(held) = self.requests.get_mut(key).filter(|h| !h.done) else {
             return false;
         };
         held.done = true;
-        self.open -= 1;
-        match (held.out.is_none(), unknown) {
-            (true, true) => self.left.push(key),
-            (true, false) => _ = self.held.remove(key),
+        self.open_count -= 1;
+        match (held.in_flight.is_none(), unknown) {
+            (true, true) => self.abandoned.push(key),
+            (true, false) => _ = self.requests.remove(key),
             (false, _) => {}
         }
         true
     }
 
-    fn answer(
+    fn reject(
         &mut self,
         now: Micros,
         key: AuthorisationKey,
-        ending: Ending,
-        orders: &mut Vec<Order>,
+        ending: EngineRejection,
+        orders: &mut Vec<EngineAction>,
     ) {
         // Guards rule 1: the second of two final answers goes nowhere.
-        if self.end(key, false) {
-            orders.push(Order::Answer { key, ending });
-            self.stop_leg(now, key, orders);
+        if self.finish_request(key, false) {
+            orders.push(EngineAction::Reject { key, ending });
+            self.stop_attempt(now, key, orders);
         }
     }
 
     /// A leg of what is over is work for nobody.
-    fn stop_leg(&mut self, now: Micros, key: AuthorisationKey, orders: &mut Vec<Order>) {
-        if let Some(leg) = self.held.get(key).and_then(|h| h.out).map(|out| out.leg) {
-            orders.push(Order::StopLeg { key, leg });
-            self.leg_ended(now, key, leg, Outcome::Cancelled, None);
+    fn stop_attempt(&mut self, now: Micros, key: AuthorisationKey, orders: &mut Vec<EngineAction>) {
+        if let Some(leg) = self
+            .requests
+            .get(key)
+            .and_then(|h| h.in_flight)
+            .map(|out| out.number)
+        {
+            orders.push(EngineAction::StopAttempt { key, leg });
+            self.handle_attempt_ended(now, key, leg, Outcome::Cancelled, None);
         }
     }
 }
--- a/crates/dataplane/src/framing.rs
+++ b/crates/dataplane/src/framing.rs
@@ -5,11 +5,11 @@
 use crate::limits::Limits;
 
 /// Most header lines of a message.
-const HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// Why bytes are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Malformed {
+pub enum ParseError {
     /// Not HTTP/1.1, or a length that makes no sense.
     Syntax,
     /// The head is too long, or has too many lines.
@@ -18,28 +18,28 @@
     BodyTooLarge,
 }
 
-impl Malformed {
+impl ParseError {
     /// The status that tells a client so.
     pub fn status(self) -> u16 {
         match self {
-            Malformed::Syntax => 400,
-            Malformed::HeadTooLarge => 431,
-            Malformed::BodyTooLarge => 413,
+            ParseError::Syntax => 400,
+            ParseError::HeadTooLarge => 431,
+            ParseError::BodyTooLarge => 413,
         }
     }
 }
 
-impl fmt::Display for Malformed {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Malformed::Syntax => "malformed message",
-            Malformed::HeadTooLarge => "head too large",
-            Malformed::BodyTooLarge => "body too large",
+            ParseError::Syntax => "malformed message",
+            ParseError::HeadTooLarge => "head too large",
+            ParseError::BodyTooLarge => "body too large",
         })
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for ParseError {}
 
 /// Header lines of a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -67,7 +67,7 @@
             .map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
-    fn lists(&self, name: &str, word: &str) -> bool {
+    fn contains_token(&self, name: &str, word: &str) -> bool {
         let lines = self.0.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
         lines
             .flat_map(|(_, v)| v.split(','))
@@ -92,7 +92,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: u16,
     /// Its header lines.
@@ -105,7 +105,7 @@
 
 /// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Extent {
+pub enum BodyFraming {
     /// It has this many bytes.
     Length(u64),
     /// It comes in chunks; the last is empty.
@@ -115,31 +115,31 @@
 }
 
 /// Longest line that gives a chunk's size, extensions included, in bytes.
-const SIZE_LINE: usize = 256;
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
 /// Most bytes of trailer lines.
-const TRAILERS: usize = 8 * 1024;
+const MAX_TRAILER_BYTES: usize = 8 * 1024;
 
 /// Where a body stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum BodyState {
     /// Plain bytes, so many of them.
     Plain(u64),
     UntilClose,
     /// At the size of a chunk, in its data, or at the line's end behind it.
-    Size,
-    Data(u64),
-    DataEnd,
+    ChunkSize,
+    ChunkData(u64),
+    ChunkEnd,
     /// At a trailer line, or the empty line that ends the body; so many bytes of trailers have come.
     Trailer(usize),
-    Whole,
+    Complete,
 }
 
 /// Reads a body as it comes, in whatever pieces, without holding it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BodyReader {
-    place: Place,
+    state: BodyState,
     /// Bytes that it may still have.
-    left: u64,
+    remaining: u64,
 }
 
 impl BodyReader {
@@ -147,32 +147,35 @@
     ///
     /// # Errors
     /// It is said to be longer.
-    pub fn new(extent: Extent, most: u64) -> Result<BodyReader, Malformed> {
+    pub fn new(extent: BodyFraming, most: u64) -> Result<BodyReader, ParseError> {
         let place = match extent {
-            Extent::Length(length) if length > most => return Err(Malformed::BodyTooLarge),
-            Extent::Length(0) => Place::Whole,
-            Extent::Length(length) => Place::Plain(length),
-            Extent::Chunked => Place::Size,
-            Extent::UntilClose => Place::UntilClose,
+            BodyFraming::Length(length) if length > most => return Err(ParseError::BodyTooLarge),
+            BodyFraming::Length(0) => BodyState::Complete,
+            BodyFraming::Length(length) => BodyState::Plain(length),
+            BodyFraming::Chunked => BodyState::ChunkSize,
+            BodyFraming::UntilClose => BodyState::UntilClose,
         };
-        Ok(BodyReader { place, left: most })
+        Ok(BodyReader {
+            state: place,
+            remaining: most,
+        })
     }
 
     /// Nothing more belongs to it.
-    pub fn whole(&self) -> bool {
-        self.place == Place::Whole
+    pub fn is_complete(&self) -> bool {
+        self.state == BodyState::Complete
     }
 
     /// The connection's end is its end.
-    pub fn until_close(&self) -> bool {
-        self.place == Place::UntilClose
+    pub fn ends_with_connection(&self) -> bool {
+        self.state == BodyState::UntilClose
     }
 
-    fn spend(&mut self, bytes: u64) -> Result<(), Malformed> {
-        self.left = self
-            .left
+    fn consume(&mut self, bytes: u64) -> Result<(), ParseError> {
+        self.remaining = self
+            .remaining
             .checked_sub(bytes)
-            .ok_or(Malformed::BodyTooLarge)?;
+            .ok_or(ParseError::BodyTooLarge)?;
         Ok(())
     }
 
@@ -181,67 +184,71 @@
     ///
     /// # Errors
     /// What is no chunk; a body that is too long. Always the same ones, however the bytes are split.
-    pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Malformed> {
+    pub fn read(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, ParseError> {
         let mut at = 0;
         loop {
             let rest = &bytes[at..];
             if rest.is_empty() {
                 return Ok(at);
             }
-            match self.place {
-                Place::Whole => return Ok(at),
-                Place::Plain(left) | Place::Data(left) => {
+            match self.state {
+                BodyState::Complete => return Ok(at),
+                BodyState::Plain(left) | BodyState::ChunkData(left) => {
                     let part = rest.len().min(usize::try_from(left).unwrap_or(usize::MAX));
                     out.extend_from_slice(&rest[..part]);
                     at += part;
                     let left = left - part as u64;
-                    self.place = match self.place {
-                        Place::Plain(_) if left == 0 => Place::Whole,
-                        Place::Plain(_) => Place::Plain(left),
-                        _ if left == 0 => Place::DataEnd,
-                        _ => Place::Data(left),
+                    self.state = match self.state {
+                        BodyState::Plain(_) if left == 0 => BodyState::Complete,
+                        BodyState::Plain(_) => BodyState::Plain(left),
+                        _ if left == 0 => BodyState::ChunkEnd,
+                        _ => BodyState::ChunkData(left),
                     };
                 }
-                Place::UntilClose => {
-                    self.spend(rest.len() as u64)?;
+                BodyState::UntilClose => {
+                    self.consume(rest.len() as u64)?;
                     out.extend_from_slice(rest);
                     return Ok(bytes.len());
                 }
-                Place::Size => match httparse::parse_chunk_size(rest) {
-                    Ok(httparse::Status::Complete((line, size))) if line <= SIZE_LINE => {
-                        self.spend(size)?;
+                BodyState::ChunkSize => match httparse::parse_chunk_size(rest) {
+                    Ok(httparse::Status::Complete((line, size)))
+                        if line <= MAX_CHUNK_SIZE_LINE_BYTES =>
+                    {
+                        self.consume(size)?;
                         at += line;
-                        self.place = if size == 0 {
-                            Place::Trailer(0)
+                        self.state = if size == 0 {
+                            BodyState::Trailer(0)
                         } else {
-                            Place::Data(size)
+                            BodyState::ChunkData(size)
                         };
                     }
-                    Ok(httparse::Status::Partial) if rest.len() <= SIZE_LINE => return Ok(at),
-                    _ => return Err(Malformed::Syntax),
+                    Ok(httparse::Status::Partial) if rest.len() <= MAX_CHUNK_SIZE_LINE_BYTES => {
+                        return Ok(at);
+                    }
+                    _ => return Err(ParseError::Syntax),
                 },
-                Place::DataEnd => match rest {
-                    [b'\r', b'\n', ..] => (self.place, at) = (Place::Size, at + 2),
+                BodyState::ChunkEnd => match rest {
+                    [b'\r', b'\n', ..] => (self.state, at) = (BodyState::ChunkSize, at + 2),
                     [b'\r'] => return Ok(at),
-                    _ => return Err(Malformed::Syntax),
+                    _ => return Err(ParseError::Syntax),
                 },
                 // Trailer lines are of no use to anybody here.
-                Place::Trailer(before) => {
+                BodyState::Trailer(before) => {
                     let end = rest.iter().position(|byte| *byte == b'\n');
                     let length = before + end.unwrap_or(rest.len());
                     match end {
-                        _ if length > TRAILERS => return Err(Malformed::HeadTooLarge),
+                        _ if length > MAX_TRAILER_BYTES => return Err(ParseError::HeadTooLarge),
                         None => return Ok(at),
                         // Guards against smuggling: what others take for no line's end must not be one here.
                         Some(end) if end == 0 || rest[end - 1] != b'\r' => {
-                            return Err(Malformed::Syntax);
+                            return Err(ParseError::Syntax);
                         }
                         Some(end) => {
                             at += end + 1;
-                            self.place = if end == 1 {
-                                Place::Whole
+                            self.state = if end == 1 {
+                                BodyState::Complete
                             } else {
-                                Place::Trailer(length)
+                                BodyState::Trailer(length)
                             };
                         }
                     }
@@ -253,7 +260,7 @@
 
 /// Header lines of an answer. A line of which nothing depends must not cost a good answer: what is no UTF-8 is
 /// marked as such in its value, and a length or coding with such a mark is none.
-fn collect_lossy(lines: &[httparse::Header<'_>]) -> Headers {
+fn collect_headers_lossy(lines: &[httparse::Header<'_>]) -> Headers {
     let one = |line: &httparse::Header<'_>| {
         (
             line.name.to_string(),
@@ -263,54 +270,54 @@
     Headers(lines.iter().map(one).collect())
 }
 
-fn collect(lines: &[httparse::Header<'_>]) -> Result<Headers, Malformed> {
+fn collect_headers(lines: &[httparse::Header<'_>]) -> Result<Headers, ParseError> {
     let one = |line: &httparse::Header<'_>| {
-        let value = std::str::from_utf8(line.value).map_err(|_| Malformed::Syntax)?;
+        let value = std::str::from_utf8(line.value).map_err(|_| ParseError::Syntax)?;
         Ok((line.name.to_string(), value.trim().to_string()))
     };
     lines.iter().map(one).collect::<Result<_, _>>().map(Headers)
 }
 
-fn extent(headers: &Headers, otherwise: Extent) -> Result<Extent, Malformed> {
+fn body_framing(headers: &Headers, otherwise: BodyFraming) -> Result<BodyFraming, ParseError> {
     let coded = headers.has("Transfer-Encoding");
     if headers.has("Content-Length") {
         // Guards against smuggling: two lengths, or a length beside a coding, are read differently by others.
         let text = headers
             .get("Content-Length")
             .filter(|_| !coded)
-            .ok_or(Malformed::Syntax)?;
+            .ok_or(ParseError::Syntax)?;
         if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(Malformed::Syntax);
+            return Err(ParseError::Syntax);
         }
         return text
             .parse()
-            .map(Extent::Length)
-            .map_err(|_| Malformed::BodyTooLarge);
+            .map(BodyFraming::Length)
+            .map_err(|_| ParseError::BodyTooLarge);
     }
     match (coded, headers.get("Transfer-Encoding")) {
         (false, _) => Ok(otherwise),
-        (true, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(Extent::Chunked),
-        (true, _) => Err(Malformed::Syntax),
+        (true, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(BodyFraming::Chunked),
+        (true, _) => Err(ParseError::Syntax),
     }
 }
 
-fn head_partial(bytes: &[u8], limits: &Limits) -> Result<(), Malformed> {
-    if bytes.len() > limits.head_bytes {
-        Err(Malformed::HeadTooLarge)
+fn check_head_length(bytes: &[u8], limits: &Limits) -> Result<(), ParseError> {
+    if bytes.len() > limits.max_head_bytes {
+        Err(ParseError::HeadTooLarge)
     } else {
         Ok(())
     }
 }
 
-fn head_error(error: httparse::Error) -> Malformed {
+fn head_error(error: httparse::Error) -> ParseError {
     match error {
-        httparse::Error::TooManyHeaders => Malformed::HeadTooLarge,
-        _ => Malformed::Syntax,
+        httparse::Error::TooManyHeaders => ParseError::HeadTooLarge,
+        _ => ParseError::Syntax,
     }
 }
 
 fn keep_alive(version: Option<u8>, headers: &Headers) -> bool {
-    version == Some(1) && !headers.lists("Connection", "close")
+    version == Some(1) && !headers.contains_token("Connection", "close")
 }
 
 /// The head of a message, and how its body ends.
@@ -319,7 +326,10 @@
     ///
     /// # Errors
     /// What is no head.
-    fn parse(bytes: &[u8], limits: &Limits) -> Result<Option<(Self, Extent, usize)>, Malformed>;
+    fn parse(
+        bytes: &[u8],
+        limits: &Limits,
+    ) -> Result<Option<(Self, BodyFraming, usize)>, ParseError>;
 }
 
 /// The head of a request.
@@ -334,12 +344,12 @@
     /// The connection may carry another.
     pub keep_alive: bool,
     /// Its client waits to be told that the body is wanted.
-    pub expects: bool,
+    pub expects_continue: bool,
 }
 
 /// The head of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Its status.
     pub status: u16,
     /// Its header lines.
@@ -349,30 +359,33 @@
 }
 
 impl Head for RequestHead {
-    fn parse(bytes: &[u8], limits: &Limits) -> Result<Option<(Self, Extent, usize)>, Malformed> {
-        let mut lines = [httparse::EMPTY_HEADER; HEADERS];
+    fn parse(
+        bytes: &[u8],
+        limits: &Limits,
+    ) -> Result<Option<(Self, BodyFraming, usize)>, ParseError> {
+        let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut lines);
         let from = match parsed.parse(bytes).map_err(head_error)? {
-            httparse::Status::Partial => return head_partial(bytes, limits).map(|()| None),
+            httparse::Status::Partial => return check_head_length(bytes, limits).map(|()| None),
             httparse::Status::Complete(from) => from,
         };
-        head_partial(&bytes[..from], limits)?;
+        check_head_length(&bytes[..from], limits)?;
         // Guards against smuggling: what others take for no line's end must not be one here.
         if bytes[..from]
             .split_inclusive(|byte| *byte == b'\n')
             .any(|line| !line.ends_with(b"\r\n"))
         {
-            return Err(Malformed::Syntax);
+            return Err(ParseError::Syntax);
         }
-        let headers = collect(parsed.headers)?;
-        let extent = extent(&headers, Extent::Length(0))?;
+        let headers = collect_headers(parsed.headers)?;
+        let extent = body_framing(&headers, BodyFraming::Length(0))?;
         let keep_alive = keep_alive(parsed.version, &headers);
         let expects = parsed.version == Some(1)
             && headers
                 .get("Expect")
                 .is_some_and(|value| value.eq_ignore_ascii_case("100-continue"));
         let (Some(method), Some(target)) = (parsed.method, parsed.path) else {
-            return Err(Malformed::Syntax);
+            return Err(ParseError::Syntax);
         };
         let (method, target) = (method.to_string(), target.to_string());
         Ok(Some((
@@ -381,7 +394,7 @@
                 target,
                 headers,
                 keep_alive,
-                expects,
+                expects_continue: expects,
             },
             extent,
             from,
@@ -389,49 +402,55 @@
     }
 }
 
-impl Head for AnswerHead {
+impl Head for ResponseHead {
     /// Of a peer that always says how long its answers are: one that says
     /// nothing is taken to end with its connection only where it also says that this is its last. Guards against an
     /// answer that broke off: without a length a part of it looks whole, and where the connection stays open its end
     /// would be waited for in vain.
-    fn parse(bytes: &[u8], limits: &Limits) -> Result<Option<(Self, Extent, usize)>, Malformed> {
+    fn parse(
+        bytes: &[u8],
+        limits: &Limits,
+    ) -> Result<Option<(Self, BodyFraming, usize)>, ParseError> {
         let Some((head, from)) = final_head(bytes, limits)? else {
             return Ok(None);
         };
         let extent = match head.status {
-            204 | 304 => Extent::Length(0),
-            _ if head.framed() => extent(&head.headers, Extent::UntilClose)?,
-            200 if head.keep_alive => return Err(Malformed::Syntax),
-            200 => Extent::UntilClose,
-            _ => Extent::Length(0),
+            204 | 304 => BodyFraming::Length(0),
+            _ if head.has_length() => body_framing(&head.headers, BodyFraming::UntilClose)?,
+            200 if head.keep_alive => return Err(ParseError::Syntax),
+            200 => BodyFraming::UntilClose,
+            _ => BodyFraming::Length(0),
         };
         Ok(Some((head, extent, from)))
     }
 }
 
-impl AnswerHead {
-    fn framed(&self) -> bool {
+impl ResponseHead {
+    fn has_length(&self) -> bool {
         self.headers.has("Content-Length") || self.headers.has("Transfer-Encoding")
     }
 
     /// The connection may carry another: it stays, and where this one ends is known to both sides.
-    pub fn reusable(&self) -> bool {
-        self.keep_alive && (self.framed() || matches!(self.status, 204 | 304))
+    pub fn is_reusable(&self) -> bool {
+        self.keep_alive && (self.has_length() || matches!(self.status, 204 | 304))
     }
 }
 
-fn answer_head(bytes: &[u8], limits: &Limits) -> Result<Option<(AnswerHead, usize)>, Malformed> {
-    let mut lines = [httparse::EMPTY_HEADER; HEADERS];
+fn response_head(
+    bytes: &[u8],
+    limits: &Limits,
+) -> Result<Option<(ResponseHead, usize)>, ParseError> {
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut lines);
     let from = match parsed.parse(bytes).map_err(head_error)? {
-        httparse::Status::Partial => return head_partial(bytes, limits).map(|()| None),
+        httparse::Status::Partial => return check_head_length(bytes, limits).map(|()| None),
         httparse::Status::Complete(from) => from,
     };
-    let headers = collect_lossy(parsed.headers);
+    let headers = collect_headers_lossy(parsed.headers);
     let keep_alive = keep_alive(parsed.version, &headers);
-    let status = parsed.code.ok_or(Malformed::Syntax)?;
+    let status = parsed.code.ok_or(ParseError::Syntax)?;
     Ok(Some((
-        AnswerHead {
+        ResponseHead {
             status,
             headers,
             keep_alive,
@@ -441,10 +460,10 @@
 }
 
 /// The head of the answer that counts, behind interim ones that announce it, and where its body begins.
-fn final_head(bytes: &[u8], limits: &Limits) -> Result<Option<(AnswerHead, usize)>, Malformed> {
+fn final_head(bytes: &[u8], limits: &Limits) -> Result<Option<(ResponseHead, usize)>, ParseError> {
     let mut at = 0;
-    for _ in 0..=limits.interim_answers {
-        let Some((head, length)) = answer_head(&bytes[at..], limits)? else {
+    for _ in 0..=limits.max_interim_responses {
+        let Some((head, length)) = response_head(&bytes[at..], limits)? else {
             return Ok(None);
         };
         at += length;
@@ -452,18 +471,18 @@
             return Ok(Some((head, at)));
         }
     }
-    Err(Malformed::HeadTooLarge)
+    Err(ParseError::HeadTooLarge)
 }
 
 /// A message that is coming in: its head once that is whole, and of its body what has come and was not taken out.
 #[derive(Clone, Debug)]
 pub struct Incoming<H> {
     /// Bytes that were no whole head when last looked at.
-    looked_at: usize,
+    parsed_bytes: usize,
     /// The head, and where the body stands.
     message: Option<(H, BodyReader)>,
     /// How the body ends.
-    pub extent: Extent,
+    pub framing: BodyFraming,
     /// What has come of the body.
     pub body: Vec<u8>,
     /// Bytes of the body in all, those taken out of `body` included.
@@ -473,9 +492,9 @@
 impl<H> Default for Incoming<H> {
     fn default() -> Incoming<H> {
         Incoming {
-            looked_at: 0,
+            parsed_bytes: 0,
             message: None,
-            extent: Extent::Length(0),
+            framing: BodyFraming::Length(0),
             body: Vec::new(),
             length: 0,
         }
@@ -492,24 +511,24 @@
         input: &mut Vec<u8>,
         most: u64,
         limits: &Limits,
-    ) -> Result<(), Malformed> {
+    ) -> Result<(), ParseError> {
         let mut at = 0;
         if self.message.is_none() {
-            if !self.worth_a_look(input) {
+            if !self.should_parse(input) {
                 return Ok(());
             }
-            self.looked_at = input.len();
+            self.parsed_bytes = input.len();
             let Some((head, extent, from)) = H::parse(input, limits)? else {
                 return Ok(());
             };
             self.message = Some((head, BodyReader::new(extent, most)?));
-            (self.extent, at) = (extent, from);
+            (self.framing, at) = (extent, from);
         }
         let Some((_, reader)) = &mut self.message else {
             return Ok(());
         };
         let before = self.body.len();
-        let taken = reader.take(&input[at..], &mut self.body);
+        let taken = reader.read(&input[at..], &mut self.body);
         self.length += (self.body.len() - before) as u64;
         input.drain(..at + taken?);
         Ok(())
@@ -517,13 +536,13 @@
 
     /// Guards the processor against a head that comes byte by byte: it is parsed while it is short, where it has twice
     /// as many bytes as before, and where it may be whole.
-    fn worth_a_look(&self, input: &[u8]) -> bool {
-        let news = &input[self.looked_at.saturating_sub(3).min(input.len())..];
+    fn should_parse(&self, input: &[u8]) -> bool {
+        let news = &input[self.parsed_bytes.saturating_sub(3).min(input.len())..];
         let ends = || {
             news.windows(2).any(|two| two == b"\n\n")
                 || news.windows(3).any(|three| three == b"\n\r\n")
         };
-        input.len() < 256 || input.len() >= 2 * self.looked_at || ends()
+        input.len() < 256 || input.len() >= 2 * self.parsed_bytes || ends()
     }
 
     /// Its head, once that is whole.
@@ -532,22 +551,22 @@
     }
 
     /// Nothing more belongs to it.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.message
             .as_ref()
-            .is_some_and(|(_, reader)| reader.whole())
+            .is_some_and(|(_, reader)| reader.is_complete())
     }
 
     /// Whether its body is known to be longer than this: it says so, or so much has come.
-    pub fn longer(&self, than: u64) -> bool {
-        matches!(self.extent, Extent::Length(length) if length > than) || self.length > than
+    pub fn is_longer_than(&self, than: u64) -> bool {
+        matches!(self.framing, BodyFraming::Length(length) if length > than) || self.length > than
     }
 
     /// Whether the connection's end makes it whole.
     pub fn ends_with_connection(&self) -> bool {
         self.message
             .as_ref()
-            .is_some_and(|(_, reader)| reader.until_close())
+            .is_some_and(|(_, reader)| reader.ends_with_connection())
     }
 
     /// Its parts, once the head is whole: the head, the reader of what is still to come, and what has come.
@@ -577,11 +596,11 @@
     }
 }
 
-impl Answer {
+impl Response {
     /// An answer whose body is whole, or not wanted.
-    pub fn new(head: AnswerHead, body: Vec<u8>) -> Answer {
-        let keep_alive = head.reusable();
-        Answer {
+    pub fn new(head: ResponseHead, body: Vec<u8>) -> Response {
+        let keep_alive = head.is_reusable();
+        Response {
             status: head.status,
             headers: head.headers,
             body,
@@ -594,7 +613,7 @@
 ///
 /// # Errors
 /// The bytes are no request, or exceed the limits.
-pub fn request(bytes: &[u8], limits: &Limits) -> Result<Option<(Request, usize)>, Malformed> {
+pub fn request(bytes: &[u8], limits: &Limits) -> Result<Option<(Request, usize)>, ParseError> {
     let Some((head, extent, from)) = RequestHead::parse(bytes, limits)? else {
         return Ok(None);
     };
@@ -605,27 +624,30 @@
 /// The body at the start of `bytes` and its length, once it is whole.
 fn body(
     bytes: &[u8],
-    extent: Extent,
+    extent: BodyFraming,
     ended: bool,
     limits: &Limits,
-) -> Result<Option<(Vec<u8>, usize)>, Malformed> {
-    let mut reader = BodyReader::new(extent, limits.body_bytes as u64)?;
+) -> Result<Option<(Vec<u8>, usize)>, ParseError> {
+    let mut reader = BodyReader::new(extent, limits.max_buffered_body_bytes as u64)?;
     let mut body = Vec::new();
-    let length = reader.take(bytes, &mut body)?;
-    Ok((reader.whole() || (ended && reader.until_close())).then_some((body, length)))
+    let length = reader.read(bytes, &mut body)?;
+    Ok(
+        (reader.is_complete() || (ended && reader.ends_with_connection()))
+            .then_some((body, length)),
+    )
 }
 
 /// The head of an answer that streams in chunks: its status, and where the chunks begin.
 ///
 /// # Errors
 /// The bytes are no head of an answer, or exceed the limits.
-pub fn stream_head(bytes: &[u8], limits: &Limits) -> Result<Option<(u16, usize)>, Malformed> {
-    let Some((head, from)) = answer_head(bytes, limits)? else {
+pub fn stream_head(bytes: &[u8], limits: &Limits) -> Result<Option<(u16, usize)>, ParseError> {
+    let Some((head, from)) = response_head(bytes, limits)? else {
         return Ok(None);
     };
-    match extent(&head.headers, Extent::UntilClose) {
-        Ok(Extent::Chunked) => Ok(Some((head.status, from))),
-        _ => Err(Malformed::Syntax),
+    match body_framing(&head.headers, BodyFraming::UntilClose) {
+        Ok(BodyFraming::Chunked) => Ok(Some((head.status, from))),
+        _ => Err(ParseError::Syntax),
     }
 }
 
@@ -633,38 +655,41 @@
 ///
 /// # Errors
 /// The bytes are no answer, or exceed the limits.
-pub fn answer(
+pub fn response(
     bytes: &[u8],
     ended: bool,
     limits: &Limits,
-) -> Result<Option<(Answer, usize)>, Malformed> {
+) -> Result<Option<(Response, usize)>, ParseError> {
     let Some((head, from)) = final_head(bytes, limits)? else {
         return Ok(None);
     };
     let none = matches!(head.status, 204 | 304);
     let extent = if none {
-        Extent::Length(0)
+        BodyFraming::Length(0)
     } else {
-        extent(&head.headers, Extent::UntilClose)?
+        body_framing(&head.headers, BodyFraming::UntilClose)?
     };
     let whole = body(&bytes[from..], extent, ended, limits)?;
-    Ok(whole.map(|(body, length)| (Answer::new(head, body), from + length)))
+    Ok(whole.map(|(body, length)| (Response::new(head, body), from + length)))
 }
 
 /// The same of a peer that says how long its answers are, or that they end with the connection.
 ///
 /// # Errors
 /// The bytes are no answer with a length, or exceed the limits.
-pub fn framed_answer(bytes: &[u8], limits: &Limits) -> Result<Option<(Answer, usize)>, Malformed> {
-    let Some((head, extent, from)) = AnswerHead::parse(bytes, limits)? else {
+pub fn framed_response(
+    bytes: &[u8],
+    limits: &Limits,
+) -> Result<Option<(Response, usize)>, ParseError> {
+    let Some((head, extent, from)) = ResponseHead::parse(bytes, limits)? else {
         return Ok(None);
     };
     let whole = body(&bytes[from..], extent, false, limits)?;
-    Ok(whole.map(|(body, length)| (Answer::new(head, body), from + length)))
+    Ok(whole.map(|(body, length)| (Response::new(head, body), from + length)))
 }
 
 /// Writes an answer with a body.
-pub fn write_answer(
+pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
     headers: &[(&str, &str)],
--- a/crates/dataplane/src/framing/tests.rs
+++ b/crates/dataplane/src/framing/tests.rs
@@ -27,12 +27,12 @@
     let limits = Limits::default();
     for cut in 0..CHUNKED.len() {
         assert_eq!(
-            answer(&CHUNKED[..cut], true, &limits),
+            response(&CHUNKED[..cut], true, &limits),
             Ok(None),
             "cut at {cut}"
         );
     }
-    let (read, length) = answer(CHUNKED, false, &limits).unwrap().unwrap();
+    let (read, length) = response(CHUNKED, false, &limits).unwrap().unwrap();
     assert_eq!(
         (read.body.as_slice(), length),
         (b"abcde".as_slice(), CHUNKED.len())
@@ -42,8 +42,8 @@
 #[test]
 fn an_answer_without_a_length_ends_with_its_connection() {
     let bytes = b"HTTP/1.1 200 OK\r\n\r\nabc";
-    assert_eq!(answer(bytes, false, &Limits::default()), Ok(None));
-    let (read, _) = answer(bytes, true, &Limits::default()).unwrap().unwrap();
+    assert_eq!(response(bytes, false, &Limits::default()), Ok(None));
+    let (read, _) = response(bytes, true, &Limits::default()).unwrap().unwrap();
     assert!(read.body == b"abc" && !read.keep_alive);
 }
 
@@ -51,14 +51,14 @@
 fn an_answer_of_a_peer_that_frames_is_whole_only_with_a_length() {
     let limits = Limits::default();
     assert_eq!(
-        framed_answer(b"HTTP/1.1 200 OK\r\n\r\nabc", &limits),
-        Err(Malformed::Syntax)
+        framed_response(b"HTTP/1.1 200 OK\r\n\r\nabc", &limits),
+        Err(ParseError::Syntax)
     );
     assert_eq!(
-        framed_answer(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc", &limits),
+        framed_response(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc", &limits),
         Ok(None)
     );
-    let (read, _) = framed_answer(CHUNKED, &limits).unwrap().unwrap();
+    let (read, _) = framed_response(CHUNKED, &limits).unwrap().unwrap();
     assert_eq!(read.body, b"abcde");
 }
 
@@ -67,14 +67,14 @@
     let limits = Limits::default();
     let interim = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
     let few = [interim.repeat(3).as_slice(), CHUNKED].concat();
-    let (read, length) = framed_answer(&few, &limits).unwrap().unwrap();
+    let (read, length) = framed_response(&few, &limits).unwrap().unwrap();
     assert_eq!(
         (read.status, read.body.as_slice(), length),
         (200, b"abcde".as_slice(), few.len())
     );
     assert_eq!(
-        framed_answer(&interim.repeat(100_000), &limits),
-        Err(Malformed::HeadTooLarge)
+        framed_response(&interim.repeat(100_000), &limits),
+        Err(ParseError::HeadTooLarge)
     );
 }
 
@@ -84,59 +84,59 @@
     let with = |line: &[u8]| [b"HTTP/1.1 200 OK\r\n", line, b"\r\n\r\nabc"].concat();
     let report = with(b"Endpoint-Load-Metrics: TEXT util=\xff\r\nContent-Length: 3");
     assert_eq!(
-        framed_answer(&report, &limits).unwrap().unwrap().0.body,
+        framed_response(&report, &limits).unwrap().unwrap().0.body,
         b"abc"
     );
     assert_eq!(
-        framed_answer(&with(b"Content-Length: 3\xff"), &limits),
-        Err(Malformed::Syntax)
+        framed_response(&with(b"Content-Length: 3\xff"), &limits),
+        Err(ParseError::Syntax)
     );
     assert_eq!(
-        framed_answer(&with(b"Transfer-Encoding: \xff"), &limits),
-        Err(Malformed::Syntax)
+        framed_response(&with(b"Transfer-Encoding: \xff"), &limits),
+        Err(ParseError::Syntax)
     );
 }
 
 #[test]
 fn bad_input_is_told_apart() {
     let limits = Limits {
-        body_bytes: 8,
-        head_bytes: 200,
+        max_buffered_body_bytes: 8,
+        max_head_bytes: 200,
         ..Limits::default()
     };
     let bad = |text: &str| request(text.as_bytes(), &limits).unwrap_err();
-    assert_eq!(bad("nonsense\r\n\r\n"), Malformed::Syntax);
+    assert_eq!(bad("nonsense\r\n\r\n"), ParseError::Syntax);
     assert_eq!(
         bad("GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n"),
-        Malformed::Syntax
+        ParseError::Syntax
     );
     assert_eq!(
         bad("GET / HTTP/1.1\r\nContent-Length: +1\r\n\r\n"),
-        Malformed::Syntax
+        ParseError::Syntax
     );
     let two = "GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n";
-    assert_eq!(bad(two), Malformed::Syntax);
+    assert_eq!(bad(two), ParseError::Syntax);
     assert_eq!(
         bad("GET / HTTP/1.1\r\nX-A: b\nContent-Length: 1\r\n\r\n"),
-        Malformed::Syntax
+        ParseError::Syntax
     );
     let both = "GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n";
-    assert_eq!(bad(both), Malformed::Syntax);
+    assert_eq!(bad(both), ParseError::Syntax);
     assert_eq!(
         bad("GET / HTTP/1.1\r\nContent-Length: 9\r\n\r\n"),
-        Malformed::BodyTooLarge
+        ParseError::BodyTooLarge
     );
     let chunks = "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\naaaaa\r\n5\r\n";
-    assert_eq!(bad(chunks), Malformed::BodyTooLarge);
+    assert_eq!(bad(chunks), ParseError::BodyTooLarge);
     assert_eq!(
         bad(&format!("GET /{} HTTP/1.1\r\n", "a".repeat(300))),
-        Malformed::HeadTooLarge
+        ParseError::HeadTooLarge
     );
     let many = (0..70).map(|n| format!("h{n}: 1\r\n")).collect::<String>();
     let limits = Limits::default();
     let text = format!("GET / HTTP/1.1\r\n{many}\r\n");
     assert_eq!(
         request(text.as_bytes(), &limits),
-        Err(Malformed::HeadTooLarge)
+        Err(ParseError::HeadTooLarge)
     );
 }
--- a/crates/dataplane/src/lifecycle.rs
+++ b/crates/dataplane/src/lifecycle.rs
@@ -8,7 +8,7 @@
 
 /// How the process ends once it was told to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Ending {
+struct Shutdown {
     since: Micros,
     /// All that was taken is finished, or the time for it is over.
     finished: bool,
@@ -26,40 +26,40 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lifecycle {
     /// The listening socket is shared: what waits there is another process's as well.
-    shared: bool,
+    has_shared_socket: bool,
     drain: Drain,
-    ending: Option<Ending>,
+    shutdown: Option<Shutdown>,
 }
 
 impl Lifecycle {
     /// A process that has just started. `shared`: it inherited its listening socket.
     pub fn new(shared: bool) -> Lifecycle {
         Lifecycle {
-            shared,
+            has_shared_socket: shared,
             ..Lifecycle::default()
         }
     }
 
     /// Operators have clients sent away. False if that is so already; the first call's time goes on to count.
-    pub fn drain(&mut self, now: Micros) -> bool {
+    pub fn begin_drain(&mut self, now: Micros) -> bool {
         let first = self.drain.since.is_none();
         if first {
-            self.change(Some(now), now);
+            self.set_drain(Some(now), now);
         }
         first
     }
 
     /// The drain is over. False if there was none.
-    pub fn resume(&mut self, now: Micros) -> bool {
+    pub fn end_drain(&mut self, now: Micros) -> bool {
         let ended = self.drain.since.is_some();
         if ended {
-            self.change(None, now);
+            self.set_drain(None, now);
         }
         ended
     }
 
     /// Guards against a clock that is behind another process's: the later call holds.
-    fn change(&mut self, since: Option<Micros>, now: Micros) {
+    fn set_drain(&mut self, since: Option<Micros>, now: Micros) {
         self.drain = Drain {
             since,
             changed: now.max(self.drain.changed + 1),
@@ -67,7 +67,7 @@
     }
 
     /// The drain as another process of this limiter is to know it.
-    pub fn drain_mark(&self) -> Drain {
+    pub fn drain_state(&self) -> Drain {
         self.drain
     }
 
@@ -82,9 +82,9 @@
     }
 
     /// Told to end. False if that was so already: the first call's time goes on to count.
-    pub fn end(&mut self, now: Micros) -> bool {
-        let first = self.ending.is_none();
-        self.ending.get_or_insert(Ending {
+    pub fn begin_shutdown(&mut self, now: Micros) -> bool {
+        let first = self.shutdown.is_none();
+        self.shutdown.get_or_insert(Shutdown {
             since: now,
             finished: false,
         });
@@ -93,52 +93,55 @@
 
     /// Nothing is owed any more, or the time for it is over.
     pub fn finish(&mut self) {
-        self.ending
+        self.shutdown
             .iter_mut()
             .for_each(|ending| ending.finished = true);
     }
 
     /// Clients are wanted: neither a drain nor the end is on.
-    pub fn serving(&self) -> bool {
-        self.drain.since.is_none() && self.ending.is_none()
+    pub fn is_serving(&self) -> bool {
+        self.drain.since.is_none() && self.shutdown.is_none()
     }
 
     /// Told to end.
-    pub fn ending(&self) -> bool {
-        self.ending.is_some()
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown.is_some()
     }
 
     /// The process may exit.
-    pub fn finished(&self) -> bool {
-        self.ending.is_some_and(|ending| ending.finished)
+    pub fn is_finished(&self) -> bool {
+        self.shutdown.is_some_and(|ending| ending.finished)
     }
 
     /// New connections are taken. At the end through the notice, but none from a shared socket: another process takes
     /// those, and what is taken here would have to be ended soon after. In a drain they are taken: the process runs on,
     /// and who comes is served once.
-    pub fn accepting(&self, now: Micros, limits: &Limits) -> bool {
-        self.ending
-            .is_none_or(|ending| !self.shared && now < ending.since + limits.notice)
+    pub fn is_accepting(&self, now: Micros, limits: &Limits) -> bool {
+        self.shutdown.is_none_or(|ending| {
+            !self.has_shared_socket && now < ending.since + limits.shutdown_notice
+        })
     }
 
     /// Each answer is the last of its connection. Where the socket is our own, a client told so during the notice of
     /// the end would only come back with a new connection.
-    pub fn last_answers(&self, now: Micros, limits: &Limits) -> bool {
-        let ending = |ending: Ending| self.shared || now >= ending.since + limits.notice;
-        self.drain.since.is_some() || self.ending.is_some_and(ending)
+    pub fn closes_after_response(&self, now: Micros, limits: &Limits) -> bool {
+        let ending = |ending: Shutdown| {
+            self.has_shared_socket || now >= ending.since + limits.shutdown_notice
+        };
+        self.drain.since.is_some() || self.shutdown.is_some_and(ending)
     }
 
     /// Idle connections are closed, and who connects now has only a short time to say something: the front has heard
     /// by now, and what is idle would be used by nobody but a client whose request crosses the close.
-    pub fn closing_idle(&self, now: Micros, limits: &Limits) -> bool {
+    pub fn closes_idle(&self, now: Micros, limits: &Limits) -> bool {
         let starts = self
             .drain
             .since
             .into_iter()
-            .chain(self.ending.map(|ending| ending.since));
+            .chain(self.shutdown.map(|ending| ending.since));
         starts
             .min()
-            .is_some_and(|since| now >= since + limits.notice)
+            .is_some_and(|since| now >= since + limits.shutdown_notice)
     }
 }
 
--- a/crates/dataplane/src/lifecycle/tests.rs
+++ b/crates/dataplane/src/lifecycle/tests.rs
@@ -4,7 +4,7 @@
 
 fn limits() -> Limits {
     Limits {
-        notice: 500,
+        shutdown_notice: 500,
         ..Limits::default()
     }
 }
@@ -13,24 +13,24 @@
 fn shown(life: &Lifecycle, now: Micros) -> (bool, bool, bool) {
     let limits = limits();
     (
-        life.accepting(now, &limits),
-        life.last_answers(now, &limits),
-        life.closing_idle(now, &limits),
+        life.is_accepting(now, &limits),
+        life.closes_after_response(now, &limits),
+        life.closes_idle(now, &limits),
     )
 }
 
 #[test]
 fn a_drain_sends_away_but_takes_who_still_comes_and_is_over_at_once() {
     let mut life = Lifecycle::new(true);
-    assert!(life.serving() && !life.resume(START));
+    assert!(life.is_serving() && !life.end_drain(START));
     assert!(
-        life.drain(START) && !life.drain(START + 400),
+        life.begin_drain(START) && !life.begin_drain(START + 400),
         "the second call moves nothing"
     );
-    assert!(!life.serving() && !life.ending());
+    assert!(!life.is_serving() && !life.is_shutting_down());
     assert_eq!(shown(&life, START + 499), (true, true, false));
     assert_eq!(shown(&life, START + 500), (true, true, true));
-    assert!(life.resume(START + 501) && life.serving());
+    assert!(life.end_drain(START + 501) && life.is_serving());
     assert_eq!(shown(&life, START + 501), (true, false, false));
 }
 
@@ -38,39 +38,42 @@
 fn the_end_takes_connections_through_the_notice_but_none_from_a_shared_socket() {
     for shared in [false, true] {
         let mut life = Lifecycle::new(shared);
-        assert!(life.end(START) && !life.end(START + 400));
+        assert!(life.begin_shutdown(START) && !life.begin_shutdown(START + 400));
         assert_eq!(shown(&life, START + 1), (!shared, shared, false));
         assert_eq!(shown(&life, START + 500), (false, true, true));
-        assert!(!life.serving() && !life.finished());
+        assert!(!life.is_serving() && !life.is_finished());
         life.finish();
-        assert!(life.finished());
+        assert!(life.is_finished());
     }
 }
 
 #[test]
 fn of_two_processes_the_later_call_holds_in_both_whatever_their_clocks() {
     let (mut old, mut new) = (Lifecycle::new(true), Lifecycle::new(true));
-    old.drain(START);
-    assert!(new.merge(old.drain_mark()) && !new.serving());
-    assert!(!new.merge(old.drain_mark()), "nothing new");
+    old.begin_drain(START);
+    assert!(new.merge(old.drain_state()) && !new.is_serving());
+    assert!(!new.merge(old.drain_state()), "nothing new");
     // A clock that is behind does not make the later call lose.
-    assert!(new.resume(START - 500));
-    assert!(!new.merge(old.drain_mark()) && new.serving());
-    assert!(old.merge(new.drain_mark()) && old.serving());
+    assert!(new.end_drain(START - 500));
+    assert!(!new.merge(old.drain_state()) && new.is_serving());
+    assert!(old.merge(new.drain_state()) && old.is_serving());
 }
 
 #[test]
 fn the_end_during_a_drain_goes_on_and_a_resume_does_not_stop_it() {
     let mut life = Lifecycle::new(false);
     life.finish();
-    assert!(!life.finished(), "only what was told to end can have ended");
-    life.drain(START);
-    life.end(START + 1_000);
+    assert!(
+        !life.is_finished(),
+        "only what was told to end can have ended"
+    );
+    life.begin_drain(START);
+    life.begin_shutdown(START + 1_000);
     assert_eq!(
         shown(&life, START + 1_001),
         (true, true, true),
         "idle ones were being closed before"
     );
-    assert!(life.resume(START + 1_002) && !life.serving());
+    assert!(life.end_drain(START + 1_002) && !life.is_serving());
     assert_eq!(shown(&life, START + 1_500), (false, true, true));
 }
--- a/crates/dataplane/src/limits.rs
+++ b/crates/dataplane/src/limits.rs
@@ -9,32 +9,32 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Longest head of a message, in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Longest body of a message that is taken in whole before it goes on, in bytes. Of the longer ones a request's is
     /// kept whole up to the next figure, and an answer's is relayed.
-    pub body_bytes: usize,
+    pub max_buffered_body_bytes: usize,
     /// Longest body of a request that is kept whole before it goes on, in bytes.
-    pub kept_bytes: u64,
+    pub max_buffered_request_bytes: u64,
     /// Longest body of a request, in bytes.
-    pub request_bytes: u64,
+    pub max_request_bytes: u64,
     /// Longest answer that is relayed, in bytes.
-    pub answer_bytes: u64,
+    pub max_response_bytes: u64,
     /// Held of a relayed answer that its client has not taken in, and of a body that its server has not, in bytes.
-    pub relay_window: usize,
+    pub relay_window_bytes: usize,
     /// Times that what has come on one connection is read before others have their turn.
-    pub read_rounds: usize,
+    pub max_reads_per_turn: usize,
     /// Longest line of discovery, in bytes.
-    pub line_bytes: usize,
+    pub max_watch_line_bytes: usize,
     /// Most interim answers ahead of an answer.
-    pub interim_answers: usize,
+    pub max_interim_responses: usize,
     /// Bytes asked of a socket at a time.
     pub read_bytes: usize,
     /// Longest datagram between limiters, in bytes.
-    pub datagram_bytes: usize,
+    pub max_datagram_bytes: usize,
     /// Most connections of the acquirer side.
-    pub acquirer_connections: usize,
+    pub max_client_connections: usize,
     /// Beyond so many of them each answer is the last of its connection.
-    pub acquirer_kept: usize,
+    pub max_persistent_clients: usize,
     /// Taken in from a client while its request is out or its answer is not written, in bytes.
     pub pipelined_bytes: usize,
     /// Taken in from a client after its last answer, and thrown away, in bytes.
@@ -42,143 +42,143 @@
     /// Held of all clients' requests that are coming in or not answered yet, in bytes.
     pub partial_bytes: usize,
     /// A connection of the acquirer side brings its first request whole within this, and each later one.
-    pub acquirer_first: Micros,
+    pub request_timeout: Micros,
     /// A body may go on for this long, and as long as its bytes take at the least pace, so many of them a second.
     pub body_grace: Micros,
     /// See there.
-    pub body_pace: u64,
+    pub min_body_bytes_per_s: u64,
     /// A body that has come in part brings more within this.
-    pub body_silent: Micros,
+    pub body_idle_timeout: Micros,
     /// Most time that is added to a request's for a body which goes on while it comes.
-    pub upload_longest: Micros,
+    pub max_upload_extension: Micros,
     /// One that has been answered may be idle for this long.
-    pub acquirer_idle: Micros,
+    pub client_idle_timeout: Micros,
     /// One that was taken so lately that its first request may be on its way is not closed to make room.
-    pub acquirer_fresh: Micros,
+    pub first_request_grace: Micros,
     /// A client takes in an answer within this.
-    pub acquirer_write: Micros,
+    pub client_write_timeout: Micros,
     /// After the last answer a client has this long to read it before the connection is closed for good.
-    pub acquirer_linger: Micros,
+    pub linger_timeout: Micros,
     /// Connections that may wait with the system to be taken.
-    pub backlog: i32,
+    pub listen_backlog: i32,
     /// That accepting is paused is logged no more often than this.
-    pub full_log: Micros,
+    pub accept_pause_log_interval: Micros,
     /// Most connections to servers, idle ones included.
-    pub leg_connections: usize,
+    pub max_upstream_connections: usize,
     /// Connections to the counter.
     pub counter_connections: usize,
     /// Longest answer of the counter, in bytes: a number.
-    pub total_bytes: usize,
+    pub max_total_bytes: usize,
     /// Most authorisations held at once.
-    pub held: usize,
+    pub max_authorisations: usize,
     /// Most units that one authorisation may take, in thousandths.
-    pub most_units: u64,
+    pub max_units_thousandths: u64,
     /// An authorisation ends so long before its client gives up: the way back takes time.
-    pub answer_margin: Micros,
+    pub response_margin: Micros,
     /// A connection to a server must come up within this.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// An answer that has begun and is not whole brings more within this.
-    pub answer_rest: Micros,
+    pub response_idle_timeout: Micros,
     /// One that is being relayed brings more within this.
-    pub relay_rest: Micros,
+    pub relay_idle_timeout: Micros,
     /// An idle connection to a server is closed after this, well before the server would.
-    pub leg_idle: Micros,
+    pub upstream_idle_timeout: Micros,
     /// An idle connection to the counter is not used again after this.
-    pub counter_idle: Micros,
+    pub counter_idle_timeout: Micros,
     /// A counter call without an answer by then has timed out.
-    pub counter_wait: Micros,
+    pub counter_timeout: Micros,
     /// A counter connection that has answered nothing for this long is given up.
-    pub counter_stale: Micros,
+    pub counter_stale_timeout: Micros,
     /// A probe without an answer by then has timed out.
-    pub probe_wait: Micros,
+    pub probe_timeout: Micros,
     /// A watch that is silent for this long is opened anew.
-    pub watch_silent: Micros,
+    pub watch_idle_timeout: Micros,
     /// First wait before a lost watch is opened anew; doubled up to the longest.
-    pub watch_retry: Micros,
+    pub watch_retry_delay: Micros,
     /// Longest such wait.
-    pub watch_retry_longest: Micros,
+    pub max_watch_retry_delay: Micros,
     /// A call of our introspection server that names no time is answered within this.
-    pub introspection_wait: Micros,
+    pub introspection_timeout: Micros,
     /// Advice to come back where the module gives none.
-    pub stay_away: Micros,
+    pub default_retry_after: Micros,
     /// Accepting that the system refused is tried again after this.
-    pub accept_retry: Micros,
+    pub accept_retry_delay: Micros,
     /// Between two ticks of the protocol by which instances agree.
-    pub raft_tick: Micros,
+    pub raft_tick_interval: Micros,
     /// After SIGTERM new connections are taken for this long; after it, or this long into a drain, idle ones go.
-    pub notice: Micros,
+    pub shutdown_notice: Micros,
     /// A connection that comes while idle ones are being closed brings its request whole within this.
-    pub late_first: Micros,
+    pub draining_request_timeout: Micros,
     /// Between two looks at what another process of this limiter was asked by operators.
-    pub handover_look: Micros,
+    pub handover_poll_interval: Micros,
     /// Longest call of operators, in bytes.
-    pub operator_line: usize,
+    pub max_operator_line_bytes: usize,
     /// Most connections at the operators' address.
-    pub operator_connections: usize,
+    pub max_operator_connections: usize,
     /// One that has finished no call is closed after this.
-    pub operator_wait: Micros,
+    pub operator_idle_timeout: Micros,
     /// After SIGTERM the program ends at the latest after this.
-    pub drain: Micros,
+    pub shutdown_timeout: Micros,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            head_bytes: 16 * 1024,
-            body_bytes: 64 * 1024,
-            kept_bytes: 2 * 1024 * 1024,
-            request_bytes: 34 * 1024 * 1024,
-            answer_bytes: 34 * 1024 * 1024,
-            relay_window: 64 * 1024,
-            read_rounds: 8,
-            line_bytes: 1024 * 1024,
-            interim_answers: 8,
+            max_head_bytes: 16 * 1024,
+            max_buffered_body_bytes: 64 * 1024,
+            max_buffered_request_bytes: 2 * 1024 * 1024,
+            max_request_bytes: 34 * 1024 * 1024,
+            max_response_bytes: 34 * 1024 * 1024,
+            relay_window_bytes: 64 * 1024,
+            max_reads_per_turn: 8,
+            max_watch_line_bytes: 1024 * 1024,
+            max_interim_responses: 8,
             read_bytes: 32 * 1024,
-            datagram_bytes: 256,
-            acquirer_connections: 560,
-            acquirer_kept: 420,
+            max_datagram_bytes: 256,
+            max_client_connections: 560,
+            max_persistent_clients: 420,
             pipelined_bytes: 4 * 1024,
             linger_bytes: 256 * 1024,
             partial_bytes: 8 * 1024 * 1024,
-            acquirer_first: 2_300 * MS,
+            request_timeout: 2_300 * MS,
             body_grace: SECOND,
-            body_pace: 32 * 1024,
-            body_silent: 700 * MS,
-            upload_longest: 20 * SECOND,
-            acquirer_idle: 6 * SECOND,
-            acquirer_fresh: 60 * MS,
-            acquirer_write: 4 * SECOND,
-            acquirer_linger: 500 * MS,
-            backlog: 1_024,
-            full_log: 10 * SECOND,
-            leg_connections: 400,
+            min_body_bytes_per_s: 32 * 1024,
+            body_idle_timeout: 700 * MS,
+            max_upload_extension: 20 * SECOND,
+            client_idle_timeout: 6 * SECOND,
+            first_request_grace: 60 * MS,
+            client_write_timeout: 4 * SECOND,
+            linger_timeout: 500 * MS,
+            listen_backlog: 1_024,
+            accept_pause_log_interval: 10 * SECOND,
+            max_upstream_connections: 400,
             counter_connections: 4,
-            total_bytes: 64,
-            held: 20_000,
-            most_units: 1_000_000,
-            answer_margin: 12 * MS,
-            connect: 250 * MS,
-            answer_rest: 300 * MS,
-            relay_rest: 4 * SECOND,
-            leg_idle: 9 * SECOND,
-            counter_idle: 3 * SECOND,
-            counter_wait: 120 * MS,
-            counter_stale: 160 * MS,
-            probe_wait: 250 * MS,
-            watch_silent: 7 * SECOND,
-            watch_retry: 100 * MS,
-            watch_retry_longest: 2 * SECOND,
-            introspection_wait: 2 * SECOND,
-            stay_away: 200 * MS,
-            accept_retry: 30 * MS,
-            raft_tick: 50 * MS,
-            notice: 550 * MS,
-            late_first: 500 * MS,
-            handover_look: 100 * MS,
-            operator_line: 512,
-            operator_connections: 8,
-            operator_wait: 10 * SECOND,
-            drain: 4_600 * MS,
+            max_total_bytes: 64,
+            max_authorisations: 20_000,
+            max_units_thousandths: 1_000_000,
+            response_margin: 12 * MS,
+            connect_timeout: 250 * MS,
+            response_idle_timeout: 300 * MS,
+            relay_idle_timeout: 4 * SECOND,
+            upstream_idle_timeout: 9 * SECOND,
+            counter_idle_timeout: 3 * SECOND,
+            counter_timeout: 120 * MS,
+            counter_stale_timeout: 160 * MS,
+            probe_timeout: 250 * MS,
+            watch_idle_timeout: 7 * SECOND,
+            watch_retry_delay: 100 * MS,
+            max_watch_retry_delay: 2 * SECOND,
+            introspection_timeout: 2 * SECOND,
+            default_retry_after: 200 * MS,
+            accept_retry_delay: 30 * MS,
+            raft_tick_interval: 50 * MS,
+            shutdown_notice: 550 * MS,
+            draining_request_timeout: 500 * MS,
+            handover_poll_interval: 100 * MS,
+            max_operator_line_bytes: 512,
+            max_operator_connections: 8,
+            operator_idle_timeout: 10 * SECOND,
+            shutdown_timeout: 4_600 * MS,
         }
     }
 }
--- a/crates/dataplane/src/judging.rs
+++ b/crates/dataplane/src/plan_resolver.rs
@@ -11,28 +11,28 @@
 use streamarch::{CustomerId, Micros, Plan};
 
 /// Longest chain of changes looked at within one window.
-const CHAIN: usize = 8;
+const MAX_CHANGE_CHAIN: usize = 8;
 
 /// Figures as a key: equal to the bit, or other ones.
-type Exact = (u64, u64);
+type PlanBits = (u64, u64);
 
 /// A plan that came up: its platform position, its figures, the position that requests name, and what it took over from
 /// within the present window.
-type Came = (usize, Exact, usize, Option<(Micros, usize)>);
+type AddedPlan = (usize, PlanBits, usize, Option<(Micros, usize)>);
 
 /// The book, and where its plans stand in the module.
 #[derive(Debug)]
-pub struct Judging {
+pub struct PlanResolver {
     book: Book,
     names: Vec<String>,
     /// The module's plans: the platform's first, then those that came up.
-    known: Vec<Plan>,
-    positions: BTreeMap<Came, usize>,
+    plans: Vec<Plan>,
+    positions: BTreeMap<AddedPlan, usize>,
 }
 
 /// What a request is judged by, fixed when it is taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Judged {
+pub struct ResolvedPlan {
     /// Position in the module.
     pub position: usize,
     /// The plan's name.
@@ -41,13 +41,13 @@
     pub version: u64,
 }
 
-fn exact(figures: Figures) -> Exact {
+fn plan_bits(figures: Figures) -> PlanBits {
     (figures.rate.to_bits(), figures.burst.to_bits())
 }
 
-impl Judging {
+impl PlanResolver {
     /// The platform's plans, by name and position. `slack`: how far in the past a change may take effect.
-    pub fn new(names: &[String], platform: &[Plan], slack: Micros) -> Judging {
+    pub fn new(names: &[String], platform: &[Plan], slack: Micros) -> PlanResolver {
         let figures = |plan: &Plan| Figures {
             rate: plan.rate,
             burst: plan.burst,
@@ -58,10 +58,10 @@
             .zip(platform.iter().map(figures))
             .collect();
         let (names, known) = (names.to_vec(), platform.to_vec());
-        Judging {
+        PlanResolver {
             book: Book::new(base, slack),
             names,
-            known,
+            plans: known,
             positions: BTreeMap::new(),
         }
     }
@@ -81,16 +81,16 @@
 
     /// What a request is judged by that names a plan by its platform position. Plans that come up with it are put into
     /// `new`, in the order in which the module is to be told.
-    pub fn judge(
+    pub fn resolve(
         &mut self,
         now: Micros,
         customer: CustomerId,
         named: usize,
         new: &mut Vec<Plan>,
-    ) -> Judged {
-        let (position, plan) = self.at(now, now, customer, named, CHAIN, new);
+    ) -> ResolvedPlan {
+        let (position, plan) = self.at(now, now, customer, named, MAX_CHANGE_CHAIN, new);
         let name = self.names.get(plan).cloned().unwrap_or_default();
-        Judged {
+        ResolvedPlan {
             position,
             plan: name,
             version: self.book.version(),
@@ -121,7 +121,7 @@
             .iter()
             .position(|n| *n == terms.plan)
             .unwrap_or(named);
-        let window = self.known[named].window_length();
+        let window = self.plans[named].window_length();
         // What was before matters in the window of the change alone: there use under it may not be known here.
         let fresh = chain > 0 && now - since < window;
         let changed = fresh.then(|| {
@@ -130,7 +130,7 @@
                 self.at(since - 1, now, customer, named, chain - 1, new).0,
             )
         });
-        let came = (plan, exact(terms.figures), named, changed);
+        let came = (plan, plan_bits(terms.figures), named, changed);
         if let Some(position) = self.positions.get(&came) {
             return (*position, plan);
         }
@@ -140,10 +140,10 @@
             burst,
             window,
             changed,
-            ..self.known[plan].clone()
+            ..self.plans[plan].clone()
         };
-        let position = self.known.len();
-        self.known.push(figures.clone());
+        let position = self.plans.len();
+        self.plans.push(figures.clone());
         self.positions.insert(came, position);
         new.push(figures);
         (position, plan)
--- a/crates/dataplane/src/probes.rs
+++ b/crates/dataplane/src/probes.rs
@@ -2,7 +2,7 @@
 
 use streamarch::{LoadReport, Outcome};
 
-use crate::framing::Answer;
+use crate::framing::Response;
 
 /// The request of a probe, without an id: servers count it as none of a client's.
 pub fn request(host: &str, reports: bool) -> Vec<u8> {
@@ -11,7 +11,7 @@
 }
 
 /// The outcome of a probe that was answered.
-pub fn outcome(answer: &Answer) -> Outcome {
+pub fn outcome(answer: &Response) -> Outcome {
     match answer.status {
         200 => Outcome::Ok,
         503 => Outcome::Full,
--- a/crates/dataplane/src/relay/tests.rs
+++ b/crates/dataplane/src/relay/tests.rs
@@ -6,16 +6,16 @@
 fn relayed(bytes: &[u8], cut: usize, ends: bool) -> Option<(Vec<u8>, bool)> {
     let limits = Limits::default();
     let (mut out, mut input) = (Vec::new(), Vec::new());
-    let (mut incoming, mut relay) = (Incoming::<AnswerHead>::default(), None::<Relay>);
+    let (mut incoming, mut relay) = (Incoming::<ResponseHead>::default(), None::<Relay>);
     for piece in [&bytes[..cut], &bytes[cut..]] {
         input.extend_from_slice(piece);
         if let Some(relay) = &mut relay {
-            relay.pass(&mut input, &mut out).ok()?;
+            relay.forward(&mut input, &mut out).ok()?;
             continue;
         }
         incoming.read(&mut input, 1_000, &limits).ok()?;
         if incoming.head().is_some() {
-            let extent = incoming.extent;
+            let extent = incoming.framing;
             let (head, reader, come) = std::mem::take(&mut incoming).into_parts()?;
             let lines = head
                 .headers
@@ -32,7 +32,7 @@
         }
     }
     let mut relay = relay?;
-    let whole = relay.whole() || (ends && relay.ended(&mut out));
+    let whole = relay.is_complete() || (ends && relay.connection_closed(&mut out));
     Some((out, whole))
 }
 
@@ -53,12 +53,12 @@
             true,
         ),
     ] {
-        let (head, _, from) = AnswerHead::parse(answer.as_bytes(), &limits)
+        let (head, _, from) = ResponseHead::parse(answer.as_bytes(), &limits)
             .unwrap()
             .unwrap();
         for cut in 0..=answer.len() {
             let (out, whole) = relayed(answer.as_bytes(), cut, ends).unwrap();
-            let (read, length) = framing::answer(&out, false, &limits)
+            let (read, length) = framing::response(&out, false, &limits)
                 .unwrap()
                 .expect("whole");
             assert!(whole && length == out.len(), "cut at {cut} of {answer:?}");
@@ -75,7 +75,7 @@
         for end in from..answer.len() {
             let (out, whole) = relayed(&answer.as_bytes()[..end], from, false).unwrap();
             assert!(
-                !whole && framing::answer(&out, false, &limits) == Ok(None),
+                !whole && framing::response(&out, false, &limits) == Ok(None),
                 "ends at {end} of {answer:?}"
             );
         }
--- a/crates/dataplane/src/upload/tests.rs
+++ b/crates/dataplane/src/upload/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn upload(extent: Extent) -> Upload {
+fn upload(extent: BodyFraming) -> Upload {
     Upload::new(extent, BodyReader::new(extent, 100).unwrap(), Vec::new(), 4)
 }
 
@@ -10,47 +10,54 @@
 fn a_body_goes_on_to_one_leg_after_another_while_all_of_it_is_here() {
     let mut keys = SlotMap::<ConnectionKey, ()>::with_key();
     let (first, second) = (keys.insert(()), keys.insert(()));
-    let mut upload = upload(Extent::Length(8));
+    let mut upload = upload(BodyFraming::Length(8));
     let (mut out, mut again) = (Vec::new(), Vec::new());
-    upload.take(&mut b"ab".to_vec(), None).unwrap();
-    upload.start(first, &mut out);
-    upload.take(&mut b"cd".to_vec(), Some(&mut out)).unwrap();
+    upload.read(&mut b"ab".to_vec(), None).unwrap();
+    upload.start_attempt(first, &mut out);
+    upload.read(&mut b"cd".to_vec(), Some(&mut out)).unwrap();
     assert_eq!(
-        (out.as_slice(), upload.gone(), upload.leg()),
+        (out.as_slice(), upload.is_discarded(), upload.attempt()),
         (b"abcd".as_slice(), false, Some(first))
     );
-    upload.leg_ended();
-    upload.start(second, &mut again);
+    upload.attempt_ended();
+    upload.start_attempt(second, &mut again);
     upload
-        .take(&mut b"efghIJ".to_vec(), Some(&mut again))
+        .read(&mut b"efghIJ".to_vec(), Some(&mut again))
         .unwrap();
     assert_eq!(
-        (again.as_slice(), upload.whole()),
+        (again.as_slice(), upload.is_complete()),
         (b"abcdefgh".as_slice(), true)
     );
-    assert!(upload.gone() && upload.held() == 0, "no third one");
+    assert!(
+        upload.is_discarded() && upload.buffered_bytes() == 0,
+        "no third one"
+    );
 }
 
 #[test]
 fn chunks_are_ended_once_for_each_leg_and_what_is_behind_them_stays() {
     let mut keys = SlotMap::<ConnectionKey, ()>::with_key();
-    let mut upload = upload(Extent::Chunked);
+    let mut upload = upload(BodyFraming::Chunked);
     let (mut input, mut out, mut again) = (
         b"1\r\na\r\n2\r\nbc\r\n0\r\n\r\nGET".to_vec(),
         Vec::new(),
         Vec::new(),
     );
-    upload.start(keys.insert(()), &mut out);
-    upload.take(&mut input, Some(&mut out)).unwrap();
-    upload.take(&mut input, Some(&mut out)).unwrap();
+    upload.start_attempt(keys.insert(()), &mut out);
+    upload.read(&mut input, Some(&mut out)).unwrap();
+    upload.read(&mut input, Some(&mut out)).unwrap();
     assert_eq!(
         (out.as_slice(), input.as_slice()),
         (b"3\r\nabc\r\n0\r\n\r\n".as_slice(), b"GET".as_slice())
     );
-    upload.start(keys.insert(()), &mut again);
+    upload.start_attempt(keys.insert(()), &mut again);
     assert_eq!(again, out);
     assert_eq!(
-        super::Upload::take(&mut self::upload(Extent::Chunked), &mut b"x".to_vec(), None),
-        Err(Malformed::Syntax)
+        super::Upload::read(
+            &mut self::upload(BodyFraming::Chunked),
+            &mut b"x".to_vec(),
+            None
+        ),
+        Err(ParseError::Syntax)
     );
 }
--- a/crates/dataplane/src/legs.rs
+++ b/crates/dataplane/src/upstreams.rs
@@ -7,12 +7,12 @@
 
 use streamarch::{Micros, Outcome, ServerId};
 
-use crate::framing::Answer;
+use crate::framing::Response;
 use crate::slots::{AuthorisationKey, ConnectionKey};
 
 /// What a connection to a server is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Errand {
+pub enum UpstreamPurpose {
     /// A leg of an authorisation.
     Leg(AuthorisationKey, u32),
     /// A probe.
@@ -21,7 +21,7 @@
 
 /// Where a connection to a server stands. `E`: what its holder uses connections for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LegState<E = Errand> {
+pub enum UpstreamState<E = UpstreamPurpose> {
     /// Not up yet; nothing has been written.
     Connecting(E),
     /// Up, the request not written whole yet.
@@ -34,52 +34,56 @@
     Idle,
 }
 
-impl<E: Copy> LegState<E> {
+impl<E: Copy> UpstreamState<E> {
     /// What it is used for.
-    pub fn errand(self) -> Option<E> {
+    pub fn purpose(self) -> Option<E> {
         match self {
-            LegState::Connecting(errand)
-            | LegState::Sending(errand)
-            | LegState::Awaiting(errand) => Some(errand),
-            LegState::Relaying | LegState::Idle => None,
+            UpstreamState::Connecting(errand)
+            | UpstreamState::Sending(errand)
+            | UpstreamState::Awaiting(errand) => Some(errand),
+            UpstreamState::Relaying | UpstreamState::Idle => None,
         }
     }
 
     /// The connection is up.
-    pub fn connected(self) -> LegState<E> {
+    pub fn connected(self) -> UpstreamState<E> {
         match self {
-            LegState::Connecting(errand) => LegState::Sending(errand),
+            UpstreamState::Connecting(errand) => UpstreamState::Sending(errand),
             other => other,
         }
     }
 
     /// All that was to be written is written.
-    pub fn written(self) -> LegState<E> {
+    pub fn written(self) -> UpstreamState<E> {
         match self {
-            LegState::Sending(errand) => LegState::Awaiting(errand),
+            UpstreamState::Sending(errand) => UpstreamState::Awaiting(errand),
             other => other,
         }
     }
 
     /// The outcome if the connection breaks now. Only what had its last byte written may have run.
-    pub fn broken(self) -> Outcome {
+    pub fn outcome_if_broken(self) -> Outcome {
         match self {
-            LegState::Connecting(_) | LegState::Sending(_) => Outcome::ConnectFailed,
-            LegState::Awaiting(_) | LegState::Relaying | LegState::Idle => Outcome::Reset,
+            UpstreamState::Connecting(_) | UpstreamState::Sending(_) => Outcome::ConnectFailed,
+            UpstreamState::Awaiting(_) | UpstreamState::Relaying | UpstreamState::Idle => {
+                Outcome::Reset
+            }
         }
     }
 
     /// The outcome if its time is up now. A connection that never came up has carried nothing.
-    pub fn overdue(self) -> Outcome {
+    pub fn outcome_if_timed_out(self) -> Outcome {
         match self {
-            LegState::Connecting(_) | LegState::Sending(_) => Outcome::ConnectFailed,
-            LegState::Awaiting(_) | LegState::Relaying | LegState::Idle => Outcome::TimedOut,
+            UpstreamState::Connecting(_) | UpstreamState::Sending(_) => Outcome::ConnectFailed,
+            UpstreamState::Awaiting(_) | UpstreamState::Relaying | UpstreamState::Idle => {
+                Outcome::TimedOut
+            }
         }
     }
 }
 
 /// The outcome that a whole answer stands for.
-pub fn outcome(answer: &Answer) -> Outcome {
+pub fn response_outcome(answer: &Response) -> Outcome {
     match answer.status {
         200 => Outcome::Ok,
         503 | 504 if answer.headers.get("X-Never-Ran") == Some("1") => Outcome::Full,
@@ -89,7 +93,7 @@
 
 /// A server as the pool knows it.
 #[derive(Debug)]
-struct Place<K> {
+struct PooledServer<K> {
     address: SocketAddr,
     listed: bool,
     /// Operators have taken it out: no connection to it rests.
@@ -102,14 +106,14 @@
 /// Servers and the connections that are open to them, by their keys.
 #[derive(Debug)]
 pub struct Pool<K = ConnectionKey> {
-    places: BTreeMap<ServerId, Place<K>>,
+    servers: BTreeMap<ServerId, PooledServer<K>>,
     connections: usize,
 }
 
 impl<K> Default for Pool<K> {
     fn default() -> Pool<K> {
         Pool {
-            places: BTreeMap::new(),
+            servers: BTreeMap::new(),
             connections: 0,
         }
     }
@@ -118,15 +122,15 @@
 impl<K: Copy + PartialEq> Pool<K> {
     /// The routing table names this server, at this address. Gives the idle connections to another one: who answers
     /// there now is not this server.
-    pub fn listed(&mut self, server: ServerId, address: SocketAddr) -> Vec<K> {
-        let new = || Place {
+    pub fn add_server(&mut self, server: ServerId, address: SocketAddr) -> Vec<K> {
+        let new = || PooledServer {
             address,
             listed: true,
             taken_out: false,
             connections: 0,
             idle: Vec::new(),
         };
-        let place = self.places.entry(server).or_insert_with(new);
+        let place = self.servers.entry(server).or_insert_with(new);
         let moved = std::mem::replace(&mut place.address, address) != address;
         (place.listed, place.taken_out) = (true, false);
         if moved {
@@ -137,8 +141,8 @@
     }
 
     /// Operators have taken a server out: gives its idle connections, and keeps none until it is listed anew.
-    pub fn taken_out(&mut self, server: ServerId) -> Vec<K> {
-        let Some(place) = self.places.get_mut(&server) else {
+    pub fn take_out_of_service(&mut self, server: ServerId) -> Vec<K> {
+        let Some(place) = self.servers.get_mut(&server) else {
             return Vec::new();
         };
         place.taken_out = true;
@@ -146,21 +150,21 @@
     }
 
     /// The server is gone from the routing table; gives its idle connections, which are of no more use.
-    pub fn unlisted(&mut self, server: ServerId) -> Vec<K> {
-        let Some(place) = self.places.get_mut(&server) else {
+    pub fn remove_server(&mut self, server: ServerId) -> Vec<K> {
+        let Some(place) = self.servers.get_mut(&server) else {
             return Vec::new();
         };
         place.listed = false;
         let idle = place.idle.iter().map(|(key, _)| *key).collect();
         if place.connections == 0 {
-            self.places.remove(&server);
+            self.servers.remove(&server);
         }
         idle
     }
 
     /// Where to reach a server.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.places.get(&server).map(|place| place.address)
+        self.servers.get(&server).map(|place| place.address)
     }
 
     /// Connections in all.
@@ -169,30 +173,30 @@
     }
 
     /// A connection was opened.
-    pub fn opened(&mut self, server: ServerId) {
-        if let Some(place) = self.places.get_mut(&server) {
+    pub fn connection_opened(&mut self, server: ServerId) {
+        if let Some(place) = self.servers.get_mut(&server) {
             place.connections += 1;
             self.connections += 1;
         }
     }
 
     /// A connection was closed, whatever it did.
-    pub fn closed(&mut self, server: ServerId, key: K) {
-        let Some(place) = self.places.get_mut(&server) else {
+    pub fn connection_closed(&mut self, server: ServerId, key: K) {
+        let Some(place) = self.servers.get_mut(&server) else {
             return;
         };
         place.idle.retain(|(idle, _)| *idle != key);
         place.connections = place.connections.saturating_sub(1);
         self.connections = self.connections.saturating_sub(1);
         if place.connections == 0 && !place.listed {
-            self.places.remove(&server);
+            self.servers.remove(&server);
         }
     }
 
     /// A connection has nothing to do. False if the server is gone or taken out: then it is to be closed.
-    pub fn rest(&mut self, server: ServerId, key: K, now: Micros) -> bool {
-        let used = |place: &&mut Place<K>| place.listed && !place.taken_out;
-        let Some(place) = self.places.get_mut(&server).filter(used) else {
+    pub fn release(&mut self, server: ServerId, key: K, now: Micros) -> bool {
+        let used = |place: &&mut PooledServer<K>| place.listed && !place.taken_out;
+        let Some(place) = self.servers.get_mut(&server).filter(used) else {
             return false;
         };
         place.idle.push((key, now));
@@ -200,20 +204,24 @@
     }
 
     /// An idle connection to a server, the one used last.
-    pub fn reuse(&mut self, server: ServerId) -> Option<K> {
-        self.places.get_mut(&server)?.idle.pop().map(|(key, _)| key)
+    pub fn acquire(&mut self, server: ServerId) -> Option<K> {
+        self.servers
+            .get_mut(&server)?
+            .idle
+            .pop()
+            .map(|(key, _)| key)
     }
 
     /// The connection that has been idle longest anywhere.
-    pub fn idlest(&self) -> Option<K> {
-        let firsts = self.places.values().filter_map(|place| place.idle.first());
+    pub fn longest_idle(&self) -> Option<K> {
+        let firsts = self.servers.values().filter_map(|place| place.idle.first());
         firsts.min_by_key(|(_, since)| *since).map(|(key, _)| *key)
     }
 
     /// Takes out the connections idle since `before` or longer.
-    pub fn retire(&mut self, before: Micros) -> Vec<K> {
+    pub fn take_expired(&mut self, before: Micros) -> Vec<K> {
         let mut old = Vec::new();
-        for place in self.places.values_mut() {
+        for place in self.servers.values_mut() {
             old.extend(
                 place
                     .idle
--- a/crates/limiter/src/config/file.rs
+++ b/crates/limiter/src/config/file.rs
@@ -365,7 +365,7 @@
         // third of all descriptors may be held for requests at once, and silent connections come on top.
         let spare = 40
             + if operators {
-                defaults.operator_connections + 4
+                defaults.max_operator_connections + 4
             } else {
                 0
             };
@@ -377,32 +377,35 @@
         let eighth = if memory == 0 { usize::MAX } else { memory / 8 };
         let waits = self.lanes().iter().map(|lane| lane.give_up_us.micros());
         let most_units = facts.most_units.0;
-        let acquirer_connections = defaults.acquirer_connections.min(share(6));
+        let acquirer_connections = defaults.max_client_connections.min(share(6));
         Limits {
-            acquirer_connections,
-            acquirer_kept: acquirer_connections * 3 / 4,
-            leg_connections: defaults.leg_connections.min(share(4)),
+            max_client_connections: acquirer_connections,
+            max_persistent_clients: acquirer_connections * 3 / 4,
+            max_upstream_connections: defaults.max_upstream_connections.min(share(4)),
             partial_bytes: defaults.partial_bytes.min(eighth),
             // One budget over all connections, a quarter of the memory: all of them may have a transfer at once.
-            relay_window: (eighth / acquirer_connections.max(1))
+            relay_window_bytes: (eighth / acquirer_connections.max(1))
                 .saturating_mul(2)
-                .clamp(8 * 1024, defaults.relay_window),
-            held: or(Micros::from(allow.most_held.0), defaults.held as Micros) as usize,
-            most_units: if most_units > 0.0 {
+                .clamp(8 * 1024, defaults.relay_window_bytes),
+            max_authorisations: or(
+                Micros::from(allow.most_held.0),
+                defaults.max_authorisations as Micros,
+            ) as usize,
+            max_units_thousandths: if most_units > 0.0 {
                 (most_units * 1_000.0) as u64
             } else {
-                defaults.most_units
+                defaults.max_units_thousandths
             },
-            connect: or(allow.connect_timeout_us.micros(), defaults.connect),
-            leg_idle: defaults
-                .leg_idle
+            connect_timeout: or(allow.connect_timeout_us.micros(), defaults.connect_timeout),
+            upstream_idle_timeout: defaults
+                .upstream_idle_timeout
                 .min(or(allow.conn_idle_us.micros(), 15_000_000) * 6 / 10),
-            counter_wait: or(
+            counter_timeout: or(
                 facts.counter_timeout_us.micros() * COUNTER_PATIENCE,
-                defaults.counter_wait,
+                defaults.counter_timeout,
             ),
             // The end by force comes no sooner than the longest deadline, 3 s at least, and 0.7 s more.
-            drain: waits.fold(3_000_000, Micros::max) + 600_000,
+            shutdown_timeout: waits.fold(3_000_000, Micros::max) + 600_000,
             ..defaults
         }
     }
--- a/crates/limiter/src/config/fronts.rs
+++ b/crates/limiter/src/config/fronts.rs
@@ -121,7 +121,7 @@
         }
         config_check::within("cache_s", file.cache_s, 0.0, CACHE_S)?;
         let mut settings = self.settings.clone();
-        let wait = self.limits.introspection_wait;
+        let wait = self.limits.introspection_timeout;
         settings.classes = vec![Class {
             aim: wait / 4,
             deadline: wait,
--- a/crates/limiter/src/counter.rs
+++ b/crates/limiter/src/counter.rs
@@ -6,7 +6,7 @@
 
 use streamarch::{CounterName, Micros, Outcome};
 
-use crate::net::framing::Answer;
+use crate::net::framing::Response;
 use crate::slots::ConnectionKey;
 
 /// A call that is not matched off yet.
@@ -63,7 +63,7 @@
 }
 
 /// The total in an answer, where it can be read.
-fn total(answer: &Answer) -> Option<f64> {
+fn total(answer: &Response) -> Option<f64> {
     let text = std::str::from_utf8(&answer.body).ok()?;
     text.trim()
         .parse::<f64>()
@@ -73,7 +73,7 @@
 
 /// Whether an answer came whole from the counter. Behind one that is spoilt nothing more is to be expected on its
 /// connection: calls that went on there would only run out of time, and the counter pass for lost.
-pub fn sound(answer: &Answer) -> bool {
+pub fn sound(answer: &Response) -> bool {
     match answer.status {
         200 => answer.keep_alive && total(answer).is_some(),
         status => answer.keep_alive && matches!(status, 400 | 404 | 503),
@@ -177,7 +177,7 @@
     }
 
     /// An answer came: it belongs to the earliest call written.
-    pub fn answered(&mut self, now: Micros, answer: &Answer) -> Heard {
+    pub fn answered(&mut self, now: Micros, answer: &Response) -> Heard {
         (self.used, self.heard) = (now, now);
         let Some(call) = self.waiting.pop_front() else {
             return Heard::Unasked;
--- a/crates/limiter/src/front/introspection.rs
+++ b/crates/limiter/src/front/introspection.rs
@@ -9,10 +9,10 @@
 use serde_json::{Value, json};
 use streamarch::{CustomerId, Micros};
 
-use crate::engine::Ending;
+use crate::engine::EngineRejection;
 use crate::front::platform::{CUSTOMERS, customer};
 use crate::front::{Forward, Rejection, reject};
-use crate::net::framing::{Answer, Headers, Request};
+use crate::net::framing::{Headers, Request, Response};
 
 /// Longest token that is taken, in bytes.
 const TOKEN_BYTES: usize = 4_096;
@@ -359,7 +359,7 @@
 ///
 /// # Errors
 /// The answer can't be believed; the error says why.
-pub fn judge(answer: &Answer, plans: &[String], now: Micros) -> Result<Finding, Lie> {
+pub fn judge(answer: &Response, plans: &[String], now: Micros) -> Result<Finding, Lie> {
     match answer.status {
         200 => read_finding(&answer.body, plans, now),
         _ => Err(Lie("status")),
@@ -367,16 +367,16 @@
 }
 
 /// Status and `WWW-Authenticate` of an ending, for a client that showed a token.
-pub fn status(ending: Ending) -> (u16, Option<&'static str>) {
+pub fn status(ending: EngineRejection) -> (u16, Option<&'static str>) {
     match ending {
-        Ending::Declined {
+        EngineRejection::Declined {
             over_quota: true, ..
         } => (429, None),
-        Ending::Declined {
+        EngineRejection::Declined {
             over_quota: false, ..
         } => (503, None),
-        Ending::Failed | Ending::Expired { may_have_run: true } => (504, None),
-        Ending::Expired {
+        EngineRejection::Failed | EngineRejection::Expired { may_have_run: true } => (504, None),
+        EngineRejection::Expired {
             may_have_run: false,
         } => {
             let (status, challenge) = Challenge::Invalid.answer();
--- a/crates/limiter/src/front/mod.rs
+++ b/crates/limiter/src/front/mod.rs
@@ -3,7 +3,7 @@
 pub mod introspection;
 pub mod platform;
 
-use crate::net::framing::{Extent, Request};
+use crate::net::framing::{BodyFraming, Request};
 
 /// What a leg of an authorisation carries to a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -25,12 +25,12 @@
     }
 
     /// The same of a request whose body goes on while it comes.
-    pub fn streamed(request: &Request, extent: Extent) -> Forward {
+    pub fn streamed(request: &Request, extent: BodyFraming) -> Forward {
         match extent {
-            Extent::Length(length) => {
+            BodyFraming::Length(length) => {
                 Forward::with(request, &format!("Content-Length: {length}\r\n"))
             }
-            Extent::Chunked | Extent::UntilClose => {
+            BodyFraming::Chunked | BodyFraming::UntilClose => {
                 Forward::with(request, "Transfer-Encoding: chunked\r\n")
             }
         }
--- a/crates/limiter/src/front/platform.rs
+++ b/crates/limiter/src/front/platform.rs
@@ -3,7 +3,7 @@
 use streamarch::{Class, CustomerId, Micros, Repeat};
 
 use crate::config::Names;
-use crate::engine::{Authorisation, Ending};
+use crate::engine::{Authorisation, EngineRejection};
 use crate::front::{Rejection, reject};
 use crate::limits::Limits;
 use crate::net::framing::{Headers, Request};
@@ -113,7 +113,7 @@
             .filter(|s| *s > 0.0 && *s <= LONGEST_WAIT)?;
         let wait = (wait * 1e6) as Micros;
         // Guards rule 1: the client's time began at its send, and the final answer needs time on its way back.
-        Some(now + wait - limits.answer_margin.min(wait / 2))
+        Some(now + wait - limits.response_margin.min(wait / 2))
     }
 
     /// Reads a whole request.
@@ -176,8 +176,8 @@
                 return Err(bad);
             }
         }
-        let units =
-            units.filter(|units| *units > 0.0 && units * 1_000.0 <= limits.most_units as f64);
+        let units = units
+            .filter(|units| *units > 0.0 && units * 1_000.0 <= limits.max_units_thousandths as f64);
         let most = f64::from(self.limiters.max(1));
         let told = spread.zip(first).and_then(|(spread, first)| {
             let whole = spread.fract() == 0.0 && first.fract() == 0.0;
@@ -211,20 +211,20 @@
 }
 
 /// The status of an ending, and how long the client had better stay away.
-pub fn status(ending: Ending) -> (u16, Micros) {
+pub fn status(ending: EngineRejection) -> (u16, Micros) {
     match ending {
-        Ending::Declined {
+        EngineRejection::Declined {
             stay_away,
             over_quota: true,
         } => (429, stay_away),
-        Ending::Declined {
+        EngineRejection::Declined {
             stay_away,
             over_quota: false,
         } => (503, stay_away),
-        Ending::Failed => (504, 0),
-        Ending::Expired {
+        EngineRejection::Failed => (504, 0),
+        EngineRejection::Expired {
             may_have_run: false,
         } => (401, 0),
-        Ending::Expired { may_have_run: true } => (504, 0),
+        EngineRejection::Expired { may_have_run: true } => (504, 0),
     }
 }
--- a/crates/limiter/src/lib.rs
+++ b/crates/limiter/src/lib.rs
@@ -18,5 +18,6 @@
 pub mod use_cli;
 
 pub use dataplane::{
-    deadlines, engine, judging, legs, lifecycle, limits, probes, relay, slots, upload, visits,
+    client_connection, deadlines, engine, lifecycle, limits, plan_resolver, probes, relay, slots,
+    upload, upstreams,
 };
--- a/crates/limiter/src/net/host/acquirers.rs
+++ b/crates/limiter/src/net/host/acquirers.rs
@@ -3,7 +3,7 @@
 use std::net::Shutdown;
 
 use super::*;
-use crate::engine::{Authorisation, Ending};
+use crate::engine::{Authorisation, EngineRejection};
 use crate::net::framing::Request;
 
 impl Host {
@@ -16,7 +16,7 @@
     /// Takes one connection; false if there is none to take.
     fn accept_one(&mut self, at: usize) -> bool {
         // One more than the most is taken, so that none has to go before another is there.
-        let full = |host: &Host| host.acquirers > host.limits.acquirer_connections;
+        let full = |host: &Host| host.acquirers > host.limits.max_client_connections;
         if full(self) && !self.make_room() {
             return false;
         }
@@ -45,7 +45,7 @@
                     self.warn(&format!("cannot accept: {error}"));
                     self.pause_accepting();
                     self.deadlines
-                        .enter(self.now() + self.limits.accept_retry, Due::Accept);
+                        .schedule(self.now() + self.limits.accept_retry_delay, Due::Accept);
                 }
                 false
             }
@@ -61,26 +61,26 @@
                 .connections
                 .iter()
                 .filter(|(_, c)| matches!(c.role, Role::Acquirer { .. }));
-            let spared =
-                acquirers.filter_map(|(key, c)| Some((c.visit.spared(now, &self.limits)?, key)));
+            let spared = acquirers
+                .filter_map(|(key, c)| Some((c.visit.eviction_rank(now, &self.limits)?, key)));
             let Some((rank, key)) = spared.min() else {
                 break;
             };
             // Guards a request that is there already, but not read.
             self.read(key);
-            let still = |c: &Connection| c.visit.spared(now, &self.limits) == Some(rank);
+            let still = |c: &Connection| c.visit.eviction_rank(now, &self.limits) == Some(rank);
             if self.connections.get(key).is_none_or(still) {
                 self.close(key);
                 return true;
             }
         }
-        if now - self.told_full >= self.limits.full_log {
+        if now - self.told_full >= self.limits.accept_pause_log_interval {
             self.told_full = now;
             self.warn("at the most connections: accepting paused");
         }
         self.pause_accepting();
         self.deadlines
-            .enter(now + self.limits.accept_retry, Due::Accept);
+            .schedule(now + self.limits.accept_retry_delay, Due::Accept);
         false
     }
 
@@ -106,11 +106,11 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let closing = self.lifecycle.closing_idle(self.clock.now(), &self.limits);
+        let closing = self.lifecycle.closes_idle(self.clock.now(), &self.limits);
         let at = connection.visit.deadline(closing, &self.limits);
         if let Some(at) = at.filter(|at| *at < connection.armed) {
             connection.armed = at;
-            self.deadlines.enter(at, Due::Visit(key));
+            self.deadlines.schedule(at, Due::Visit(key));
         }
     }
 
@@ -120,7 +120,7 @@
             return;
         };
         connection.armed = Micros::MAX;
-        let closing = self.lifecycle.closing_idle(now, &self.limits);
+        let closing = self.lifecycle.closes_idle(now, &self.limits);
         let over = |c: &Connection, limits: &Limits| {
             c.visit
                 .deadline(closing, limits)
@@ -141,16 +141,16 @@
             text: "the request did not come whole in time",
         };
         match connection.visit.stage {
-            Stage::Partial => self.reject(key, &late, true),
+            Stage::Receiving => self.reject(key, &late, true),
             // Where the server is slow the client is not asked for more.
-            Stage::Open if connection.uploading().is_some() && connection.unread => {
-                connection.visit.held_up(now);
+            Stage::Processing if connection.uploading().is_some() && connection.unread => {
+                connection.visit.restart_body_timer(now);
                 self.arm(key);
             }
-            Stage::Open if connection.uploading().is_some() => self.end_upload(key, &late),
+            Stage::Processing if connection.uploading().is_some() => self.end_upload(key, &late),
             Stage::Idle | Stage::Lingering => _ = self.close(key),
             // A client that takes nothing in has gone away.
-            Stage::Open | Stage::Answering => self.broken(key),
+            Stage::Processing | Stage::Responding => self.broken(key),
         }
     }
 
@@ -162,7 +162,7 @@
         };
         let closing = connection.closing;
         let more = connection.unread || !connection.input.is_empty();
-        connection.visit.written(now, closing);
+        connection.visit.response_written(now, closing);
         if closing && !more {
             self.close(key);
             return;
@@ -205,7 +205,7 @@
         if connection.uploading().is_some() {
             return self.read_upload(key);
         }
-        if connection.closing || !matches!(connection.visit.stage, Stage::Idle | Stage::Partial) {
+        if connection.closing || !matches!(connection.visit.stage, Stage::Idle | Stage::Receiving) {
             return;
         }
         let before = connection.held();
@@ -215,7 +215,7 @@
         };
         let read = incoming.read(
             &mut connection.input,
-            self.limits.request_bytes,
+            self.limits.max_request_bytes,
             &self.limits,
         );
         if let Err(malformed) = read {
@@ -226,16 +226,19 @@
             };
             return self.reject(key, &rejection, true);
         }
-        if !incoming.whole() {
-            let (waits, length) = (incoming.head().map(|head| head.expects), incoming.length);
-            connection.visit.partial(now);
+        if !incoming.is_complete() {
+            let (waits, length) = (
+                incoming.head().map(|head| head.expects_continue),
+                incoming.length,
+            );
+            connection.visit.begin_request(now);
             if waits.is_some() {
-                connection.visit.uploading(now, length);
+                connection.visit.record_body_progress(now, length);
             }
-            let long = incoming.longer(self.limits.kept_bytes);
+            let long = incoming.is_longer_than(self.limits.max_buffered_request_bytes);
             // Or all that clients have under way is more than may be held.
-            let crowded =
-                length > self.limits.body_bytes as u64 && self.partial > self.limits.partial_bytes;
+            let crowded = length > self.limits.max_buffered_body_bytes as u64
+                && self.partial > self.limits.partial_bytes;
             if waits == Some(true)
                 && length == 0
                 && !std::mem::replace(&mut connection.told_to_go_on, true)
@@ -261,7 +264,7 @@
         let request = Request::new(head, body);
         connection.last = !request.keep_alive;
         if request.method == "GET" && request.target == "/up" {
-            let serving = self.lifecycle.serving() && self.table.serving();
+            let serving = self.lifecycle.is_serving() && self.table.serving();
             let (status, text): (u16, &[u8]) = if serving {
                 (200, b"up\n")
             } else {
@@ -311,7 +314,7 @@
         }
         let now = self.now();
         let known = &mut self.services[service];
-        match known.engine.take(now, authorisation) {
+        match known.engine.submit(now, authorisation) {
             Ok(authorisation) => {
                 if !forward.id.is_empty() {
                     self.open_ids.insert(forward.id.clone());
@@ -329,10 +332,10 @@
                     && let Role::Acquirer { waits, .. } = &mut connection.role
                 {
                     *waits = Some((service, authorisation));
-                    connection.visit.taken(now);
+                    connection.visit.request_complete(now);
                 }
             }
-            Err(_) => self.decline(key, 503, self.limits.stay_away, &[], b""),
+            Err(_) => self.decline(key, 503, self.limits.default_retry_after, &[], b""),
         }
     }
 
@@ -357,10 +360,14 @@
     pub(super) fn last_answer(&self, key: ConnectionKey) -> bool {
         // Guards requests of clients whose idle connections would be closed for room: where it is scarce they are told
         // that this answer is the last, and write no other into a connection that is being closed.
-        let scarce = self.acquirers > self.limits.acquirer_kept;
+        let scarce = self.acquirers > self.limits.max_persistent_clients;
         let last = |connection: &Connection| connection.last || connection.uploading().is_some();
         let asked = self.connections.get(key).is_some_and(last);
-        asked || scarce || self.lifecycle.last_answers(self.now(), &self.limits)
+        asked
+            || scarce
+            || self
+                .lifecycle
+                .closes_after_response(self.now(), &self.limits)
     }
 
     /// Writes an answer to a client; the connection is then free for the next request.
@@ -384,9 +391,9 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        framing::write_answer(&mut connection.output, status, headers, body, close);
+        framing::write_response(&mut connection.output, status, headers, body, close);
         connection.closing = close;
-        connection.visit.answering(now);
+        connection.visit.begin_response(now);
         self.dirty.push(key);
         self.arm(key);
     }
@@ -417,7 +424,7 @@
     }
 
     /// The final answer of an authorisation that no server's answer ends.
-    pub(super) fn ended(&mut self, ticket: Ticket, ending: Ending) {
+    pub(super) fn ended(&mut self, ticket: Ticket, ending: EngineRejection) {
         let Some(pending) = self.settle(ticket) else {
             return;
         };
@@ -431,7 +438,7 @@
     }
 
     /// The final answer of an authorisation that a server gave.
-    pub(super) fn served(&mut self, ticket: Ticket, answer: Answer) {
+    pub(super) fn served(&mut self, ticket: Ticket, answer: Response) {
         let Some(pending) = self.settle(ticket) else {
             return;
         };
--- a/crates/limiter/src/net/host/agreement.rs
+++ b/crates/limiter/src/net/host/agreement.rs
@@ -40,7 +40,7 @@
 impl Host {
     pub(super) fn raft_tick(&mut self, now: Micros) {
         self.deadlines
-            .enter(now + self.limits.raft_tick, Due::RaftTick);
+            .schedule(now + self.limits.raft_tick_interval, Due::RaftTick);
         if let Some(agreement) = &mut self.agreement {
             let stepped = agreement.member.tick();
             _ = self.stepped(stepped);
@@ -104,7 +104,7 @@
         if self
             .connections
             .get(key)
-            .is_some_and(|c| c.output.len() < 4 * self.limits.body_bytes)
+            .is_some_and(|c| c.output.len() < 4 * self.limits.max_buffered_body_bytes)
         {
             self.write(key, head.as_bytes());
             self.write(key, &letter.bytes);
@@ -117,7 +117,7 @@
             return;
         };
         loop {
-            match framing::answer(&connection.input, false, &self.limits) {
+            match framing::response(&connection.input, false, &self.limits) {
                 Ok(Some((_, length))) => _ = connection.input.drain(..length),
                 Ok(None) => return,
                 Err(_) => return self.broken(key),
@@ -177,7 +177,7 @@
                     Err(error) => self.decline(
                         key,
                         503,
-                        self.limits.stay_away,
+                        self.limits.default_retry_after,
                         &[],
                         error.to_string().as_bytes(),
                     ),
@@ -195,7 +195,7 @@
         let place = others.iter().find(|other| other.id == leader);
         match place.map(|other| format!("http://{}/configuration", other.address)) {
             Some(place) => self.answer(key, 307, &[("Location", &place)], b""),
-            None => self.decline(key, 503, self.limits.stay_away, &[], b""),
+            None => self.decline(key, 503, self.limits.default_retry_after, &[], b""),
         }
     }
 
--- a/crates/limiter/src/net/host/counting.rs
+++ b/crates/limiter/src/net/host/counting.rs
@@ -36,19 +36,21 @@
         let (mut at, mut bad) = (0, false);
         // Guards against an answer that claims to be longer than any number: it would swallow those behind it.
         let limits = Limits {
-            body_bytes: self.limits.total_bytes,
+            max_buffered_body_bytes: self.limits.max_total_bytes,
             ..self.limits.clone()
         };
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         while at < connection.input.len() {
-            match framing::framed_answer(&connection.input[at..], &limits) {
+            match framing::framed_response(&connection.input[at..], &limits) {
                 Ok(Some((answer, length))) => {
                     at += length;
                     match self.lines[line].answered(now, &answer) {
                         Heard::Counted(one) => counted.push(one),
-                        Heard::Late { asker } => self.services[asker].engine.counter_late(),
+                        Heard::Late { asker } => {
+                            self.services[asker].engine.handle_late_counter_result()
+                        }
                         Heard::Unasked => {}
                     }
                     bad = !counter::sound(&answer);
@@ -105,7 +107,7 @@
         for one in counted {
             self.services[one.asker]
                 .engine
-                .counted(one.name, one.outcome, one.total);
+                .handle_counter_result(one.name, one.outcome, one.total);
         }
     }
 }
--- a/crates/limiter/src/net/host/ending.rs
+++ b/crates/limiter/src/net/host/ending.rs
@@ -7,19 +7,19 @@
     /// takes them.
     pub fn drain(&mut self) {
         let now = self.now();
-        if !self.lifecycle.end(now) {
+        if !self.lifecycle.begin_shutdown(now) {
             return;
         }
-        if self.lifecycle.accepting(now, &self.limits) {
+        if self.lifecycle.is_accepting(now, &self.limits) {
             self.log("told to end: taking connections through the notice, then finishing");
         } else {
             self.log("told to end: new connections are left to others, finishing");
             self.leave_listeners();
         }
         self.deadlines
-            .enter(now + self.limits.notice, Due::NoticeOver);
+            .schedule(now + self.limits.shutdown_notice, Due::NoticeOver);
         self.deadlines
-            .enter(now + self.limits.drain, Due::DrainOver);
+            .schedule(now + self.limits.shutdown_timeout, Due::DrainOver);
     }
 
     /// Listening sockets are only closed: one that is shared goes on to listen for the others.
@@ -32,10 +32,10 @@
     /// The notice of a drain or of the end is over: idle connections go.
     pub(super) fn notice_over(&mut self) {
         let now = self.now();
-        if !self.lifecycle.closing_idle(now, &self.limits) {
+        if !self.lifecycle.closes_idle(now, &self.limits) {
             return;
         }
-        if !self.lifecycle.accepting(now, &self.limits) {
+        if !self.lifecycle.is_accepting(now, &self.limits) {
             // What has come until now is taken.
             self.accept();
             self.leave_listeners();
@@ -51,7 +51,7 @@
                 continue;
             };
             match connection.visit.stage {
-                Stage::Idle if connection.visit.answered => _ = self.close(key),
+                Stage::Idle if connection.visit.has_responded => _ = self.close(key),
                 _ => self.arm(key),
             }
         }
--- a/crates/limiter/src/net/host/errands.rs
+++ b/crates/limiter/src/net/host/errands.rs
@@ -14,7 +14,13 @@
         if self.answered_from_cache(now, ticket, leg) {
             return;
         }
-        self.start_errand(now, ticket.0, server, Errand::Leg(ticket.1, leg), deadline);
+        self.start_errand(
+            now,
+            ticket.0,
+            server,
+            UpstreamPurpose::Leg(ticket.1, leg),
+            deadline,
+        );
     }
 
     /// Sends a leg or a probe on an idle connection, or on a new one.
@@ -23,10 +29,10 @@
         now: Micros,
         service: usize,
         server: ServerId,
-        errand: Errand,
+        errand: UpstreamPurpose,
         deadline: Micros,
     ) {
-        while let Some(key) = self.services[service].pool.reuse(server) {
+        while let Some(key) = self.services[service].pool.acquire(server) {
             let Some(connection) = self.connections.get_mut(key) else {
                 continue;
             };
@@ -38,14 +44,14 @@
             connection.role = Role::Server {
                 service,
                 server,
-                state: LegState::Sending(errand),
+                state: UpstreamState::Sending(errand),
             };
             self.out_on(key, service, errand, deadline);
             return self.send_errand(now, key);
         }
         let open: usize = self.services.iter().map(|s| s.pool.connections()).sum();
-        if open >= self.limits.leg_connections {
-            match self.services.iter().find_map(|s| s.pool.idlest()) {
+        if open >= self.limits.max_upstream_connections {
+            match self.services.iter().find_map(|s| s.pool.longest_idle()) {
                 Some(key) => _ = self.close(key),
                 None => {
                     return self.end_errand(service, server, errand, Outcome::ConnectFailed, None);
@@ -55,12 +61,12 @@
         let role = Role::Server {
             service,
             server,
-            state: LegState::Connecting(errand),
+            state: UpstreamState::Connecting(errand),
         };
         let address = self.services[service].pool.address(server);
         match address.map(|address| self.connect(address, role)) {
             Some(Ok(key)) => {
-                self.services[service].pool.opened(server);
+                self.services[service].pool.connection_opened(server);
                 self.out_on(key, service, errand, deadline);
             }
             Some(Err(_)) | None => {
@@ -69,11 +75,17 @@
         }
     }
 
-    fn out_on(&mut self, key: ConnectionKey, service: usize, errand: Errand, deadline: Micros) {
-        if let Errand::Leg(authorisation, _) = errand {
+    fn out_on(
+        &mut self,
+        key: ConnectionKey,
+        service: usize,
+        errand: UpstreamPurpose,
+        deadline: Micros,
+    ) {
+        if let UpstreamPurpose::Leg(authorisation, _) = errand {
             self.services[service].legs.insert(authorisation, key);
         }
-        self.deadlines.enter(deadline, Due::Errand(key, errand));
+        self.deadlines.schedule(deadline, Due::Errand(key, errand));
     }
 
     /// The connection is up: writes what the errand carries.
@@ -91,8 +103,8 @@
         };
         let known = &self.services[*service];
         *state = state.connected();
-        match state.errand() {
-            Some(Errand::Probe) => {
+        match state.purpose() {
+            Some(UpstreamPurpose::Probe) => {
                 let host = known
                     .pool
                     .address(*server)
@@ -102,7 +114,7 @@
                     .output
                     .extend(probes::request(&host, self.reports));
             }
-            Some(Errand::Leg(authorisation, _)) => {
+            Some(UpstreamPurpose::Leg(authorisation, _)) => {
                 let Some(pending) = known.pending.get(authorisation) else {
                     return;
                 };
@@ -141,7 +153,7 @@
         if let Reading::Relay(_, to) = connection.reading {
             return self.read_relayed(key, to);
         }
-        let Some(errand) = state.errand() else {
+        let Some(errand) = state.purpose() else {
             // Nothing was asked: whatever this is, the connection is of no more use.
             _ = self.close(key);
             return;
@@ -149,14 +161,14 @@
         if service == RECORDS {
             return self.read_records(key, errand);
         }
-        match framing::answer(&connection.input, false, &self.limits) {
+        match framing::response(&connection.input, false, &self.limits) {
             Ok(None) => {
                 if !matches!(
                     std::mem::replace(&mut connection.reading, Reading::Begun),
                     Reading::Begun
                 ) {
-                    self.deadlines.enter(
-                        self.clock.now() + self.limits.answer_rest,
+                    self.deadlines.schedule(
+                        self.clock.now() + self.limits.response_idle_timeout,
                         Due::Rest(key, errand),
                     );
                 }
@@ -170,11 +182,11 @@
                 connection.role = Role::Server {
                     service,
                     server,
-                    state: LegState::Idle,
+                    state: UpstreamState::Idle,
                 };
                 self.end_errand(service, server, errand, Outcome::Reset, Some(answer));
                 let now = self.now();
-                if !(clean && self.services[service].pool.rest(server, key, now)) {
+                if !(clean && self.services[service].pool.release(server, key, now)) {
                     self.close(key);
                 }
             }
@@ -190,9 +202,9 @@
         &mut self,
         service: usize,
         server: ServerId,
-        errand: Errand,
+        errand: UpstreamPurpose,
         otherwise: Outcome,
-        answer: Option<Answer>,
+        answer: Option<Response>,
     ) {
         let now = self.now();
         let header = answer
@@ -200,23 +212,24 @@
             .and_then(|a| a.headers.get("Endpoint-Load-Metrics"));
         let report: Option<LoadReport> = header.and_then(probes::report);
         match errand {
-            Errand::Leg(authorisation, leg) => {
+            UpstreamPurpose::Leg(authorisation, leg) => {
                 let outcome = match &answer {
                     None => otherwise,
                     Some(answer) if service == TOKENS => self.judged(now, answer),
-                    Some(answer) => legs::outcome(answer),
+                    Some(answer) => upstreams::response_outcome(answer),
                 };
                 self.leg_left_upload(service, authorisation);
                 let known = &mut self.services[service];
                 known.legs.remove(authorisation);
-                let answers = known
-                    .engine
-                    .leg_ended(now, authorisation, leg, outcome, report);
+                let answers =
+                    known
+                        .engine
+                        .handle_attempt_ended(now, authorisation, leg, outcome, report);
                 if let (true, Some(answer)) = (answers, answer) {
                     self.served((service, authorisation), answer);
                 }
             }
-            Errand::Probe => {
+            UpstreamPurpose::Probe => {
                 let body = answer
                     .as_ref()
                     .and_then(|a| std::str::from_utf8(&a.body).ok());
@@ -224,7 +237,7 @@
                 let outcome = answer.as_ref().map_or(otherwise, probes::outcome);
                 self.services[service]
                     .engine
-                    .probe_ended(server, outcome, report);
+                    .handle_probe_result(server, outcome, report);
             }
         }
     }
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -29,16 +29,16 @@
 use self::operators::Operators;
 use self::tokens::Tokens;
 use super::Clock;
-use super::framing::{self, Answer, AnswerHead, Incoming, RequestHead};
+use super::framing::{self, Incoming, RequestHead, Response, ResponseHead};
 use super::handover::Handover;
 use super::inherited;
+use crate::client_connection::{ClientConnection, Stage};
 use crate::config::{Config, Introspection};
 use crate::counter::{self, Counted, Line};
 use crate::deadlines::Deadlines;
-use crate::engine::{Engine, Order};
+use crate::engine::{Engine, EngineAction};
 use crate::front::platform::{self, Platform};
 use crate::front::{Forward, Rejection};
-use crate::legs::{self, Errand, LegState, Pool};
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
 use crate::peers::{self, Peers};
@@ -47,7 +47,7 @@
 use crate::routing_table::{NeverListed, News, RoutingTable};
 use crate::slots::{AuthorisationKey, ConnectionKey, SlotMap};
 use crate::upload::Upload;
-use crate::visits::{Stage, Visit};
+use crate::upstreams::{self, Pool, UpstreamPurpose, UpstreamState};
 
 /// Positions of the services: the records servers, and the introspection servers that we ask.
 const RECORDS: usize = 0;
@@ -92,7 +92,7 @@
     Server {
         service: usize,
         server: ServerId,
-        state: LegState,
+        state: UpstreamState,
     },
     /// The counter's, by its line.
     Counter(usize),
@@ -113,7 +113,7 @@
     output: Vec<u8>,
     written: usize,
     /// Of the acquirer side: where it stands, and the earliest deadline entered for it.
-    visit: Visit,
+    visit: ClientConnection,
     armed: Micros,
     /// Reading has stopped though more may be there: no event will tell of it again.
     unread: bool,
@@ -143,7 +143,7 @@
     Request(Incoming<RequestHead>),
     /// A part of an answer is there, which is looked at anew each time.
     Begun,
-    Answer(Incoming<AnswerHead>),
+    Answer(Incoming<ResponseHead>),
     /// A body that goes on to a server as it comes, and how many bytes of it have.
     Upload(Upload),
     /// An answer that goes on to this client as it comes.
@@ -155,7 +155,7 @@
     fn held(&self) -> usize {
         let body = match &self.reading {
             Reading::Request(incoming) => incoming.body.len(),
-            Reading::Upload(upload) => upload.held(),
+            Reading::Upload(upload) => upload.buffered_bytes(),
             Reading::Nothing | Reading::Begun | Reading::Answer(_) | Reading::Relay(..) => 0,
         };
         self.input.len() + body
@@ -164,7 +164,7 @@
     /// The body that still comes of a request which was taken.
     fn uploading(&self) -> Option<&Upload> {
         match &self.reading {
-            Reading::Upload(upload) if !upload.whole() => Some(upload),
+            Reading::Upload(upload) if !upload.is_complete() => Some(upload),
             _ => None,
         }
     }
@@ -196,9 +196,9 @@
 #[derive(Debug)]
 enum Due {
     Connect(ConnectionKey),
-    Errand(ConnectionKey, Errand),
+    Errand(ConnectionKey, UpstreamPurpose),
     /// An answer to the errand has begun, and more of it is to have come by now.
-    Rest(ConnectionKey, Errand),
+    Rest(ConnectionKey, UpstreamPurpose),
     /// More of an answer that is being relayed is to have come by now.
     Relay(ConnectionKey),
     Visit(ConnectionKey),
@@ -265,7 +265,7 @@
     /// When it was last logged that there is no room.
     told_full: Micros,
     scratch: Vec<u8>,
-    orders: Vec<Order>,
+    orders: Vec<EngineAction>,
     listeners: Vec<(Door, Rc<TcpListener>, RegistrationToken)>,
     accepting: bool,
     platform: Platform,
@@ -316,7 +316,7 @@
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     // Guards against connections that come by hundreds: one too many for the queue tries again a second later.
-    socket.listen(limits.backlog)?;
+    socket.listen(limits.listen_backlog)?;
     Ok(socket.into())
 }
 
@@ -385,7 +385,7 @@
         let mut services = vec![Service::new(Engine::new(
             settings,
             config.seed,
-            limits.held,
+            limits.max_authorisations,
         ))];
         let mut tokens = None;
         if let Some(front) = config.introspection {
@@ -393,7 +393,7 @@
             services.push(Service::new(Engine::new(
                 front.settings.clone(),
                 !config.seed,
-                limits.held,
+                limits.max_authorisations,
             )));
             tokens = Some(Tokens::new(front, plans));
         }
@@ -442,7 +442,7 @@
             discovery: config.discovery,
             discovery_in_file: config.discovery_in_file,
             watch: Watch {
-                wait: limits.watch_retry,
+                wait: limits.watch_retry_delay,
                 ..Watch::default()
             },
             counter,
@@ -466,14 +466,16 @@
         }
         host.list_upstreams();
         if host.agreement.is_some() {
-            host.deadlines.enter(host.now(), Due::RaftTick);
+            host.deadlines.schedule(host.now(), Due::RaftTick);
         }
         host.open_watch();
         for line in 0..host.lines.len() {
             host.open_line(line);
         }
-        host.deadlines
-            .enter(host.now() + host.limits.leg_idle / 4, Due::Retire);
+        host.deadlines.schedule(
+            host.now() + host.limits.upstream_idle_timeout / 4,
+            Due::Retire,
+        );
         host.log(&format!("serving on {}", host.addresses()?.0));
         Ok(host)
     }
@@ -507,13 +509,13 @@
         let engines = self
             .services
             .iter()
-            .filter_map(|service| service.engine.next());
+            .filter_map(|service| service.engine.next_wakeup());
         self.deadlines.earliest().into_iter().chain(engines).min()
     }
 
     /// All is done that was to be done.
     pub fn finished(&self) -> bool {
-        self.lifecycle.finished()
+        self.lifecycle.is_finished()
     }
 
     fn log(&self, text: &str) {
@@ -528,12 +530,12 @@
     /// What is due, what the module decides, what is to be written.
     pub fn turn(&mut self) {
         let now = self.now();
-        while let Some(due) = self.deadlines.take_due(now) {
+        while let Some(due) = self.deadlines.pop_due(now) {
             self.due(now, due);
         }
         for service in 0..self.services.len() {
             let mut orders = std::mem::take(&mut self.orders);
-            self.services[service].engine.handle(now, &mut orders);
+            self.services[service].engine.run(now, &mut orders);
             for order in orders.drain(..) {
                 self.carry_out(now, service, order);
             }
@@ -549,8 +551,9 @@
         for key in std::mem::take(&mut self.dirty) {
             self.flush(key);
         }
-        let left = self.lifecycle.ending() && !self.lifecycle.accepting(now, &self.limits);
-        if left && self.acquirers == 0 && !self.lifecycle.finished() {
+        let left =
+            self.lifecycle.is_shutting_down() && !self.lifecycle.is_accepting(now, &self.limits);
+        if left && self.acquirers == 0 && !self.lifecycle.is_finished() {
             self.log("all answered, ending");
             self.lifecycle.finish();
         }
@@ -573,8 +576,8 @@
                 else {
                     return;
                 };
-                if state.errand() == Some(errand) {
-                    self.end_errand(service, server, errand, state.overdue(), None);
+                if state.purpose() == Some(errand) {
+                    self.end_errand(service, server, errand, state.outcome_if_timed_out(), None);
                     self.close(key);
                 }
             }
@@ -590,10 +593,10 @@
                 else {
                     return;
                 };
-                let until = connection.heard + self.limits.answer_rest;
-                if state.errand() == Some(errand) && until > now {
-                    self.deadlines.enter(until, Due::Rest(key, errand));
-                } else if state.errand() == Some(errand) {
+                let until = connection.heard + self.limits.response_idle_timeout;
+                if state.purpose() == Some(errand) && until > now {
+                    self.deadlines.schedule(until, Due::Rest(key, errand));
+                } else if state.purpose() == Some(errand) {
                     // Guards against an answer that is spoilt where its connection stays open: the request has run,
                     // and what is missing of it will not come.
                     self.end_errand(service, server, errand, Outcome::Error, None);
@@ -604,16 +607,16 @@
             Due::Visit(key) => self.visit_due(now, key),
             Due::Counter(line) => self.expire_line(now, line),
             Due::Retire => {
-                let before = now - self.limits.leg_idle;
+                let before = now - self.limits.upstream_idle_timeout;
                 let old = self
                     .services
                     .iter_mut()
-                    .flat_map(|service| service.pool.retire(before));
+                    .flat_map(|service| service.pool.take_expired(before));
                 for key in old.collect::<Vec<_>>() {
                     self.close(key);
                 }
                 self.deadlines
-                    .enter(now + self.limits.leg_idle / 4, Due::Retire);
+                    .schedule(now + self.limits.upstream_idle_timeout / 4, Due::Retire);
             }
             Due::RaftTick => self.raft_tick(now),
             Due::Accept => self.resume_accepting(),
@@ -627,8 +630,8 @@
                     self.broken(key);
                 } else {
                     let heard = self.watch.heard;
-                    self.deadlines.enter(
-                        heard + self.limits.watch_silent,
+                    self.deadlines.schedule(
+                        heard + self.limits.watch_idle_timeout,
                         Due::WatchSilent(key, heard),
                     );
                 }
@@ -640,46 +643,46 @@
         }
     }
 
-    fn carry_out(&mut self, now: Micros, service: usize, order: Order) {
+    fn carry_out(&mut self, now: Micros, service: usize, order: EngineAction) {
         match order {
-            Order::StartLeg {
+            EngineAction::StartAttempt {
                 key,
                 leg,
                 server,
                 deadline,
             } => self.start_leg(now, (service, key), leg, server, deadline),
-            Order::StopLeg { key, .. } => {
+            EngineAction::StopAttempt { key, .. } => {
                 self.leg_left_upload(service, key);
                 if let Some(connection) = self.services[service].legs.remove(key) {
                     self.close(connection);
                 }
             }
-            Order::Answer { key, ending } => self.ended((service, key), ending),
-            Order::Count { name, add, life } => {
+            EngineAction::Reject { key, ending } => self.ended((service, key), ending),
+            EngineAction::AddToCounter { name, add, life } => {
                 let line = (name.0 % self.lines.len().max(1) as u64) as usize;
-                let deadline = now + self.limits.counter_wait;
+                let deadline = now + self.limits.counter_timeout;
                 let (known, limits) = (&self.lines[line], &self.limits);
-                let of_no_use = known.rested(now - limits.counter_idle)
-                    || known.stale(now - limits.counter_stale);
+                let of_no_use = known.rested(now - limits.counter_idle_timeout)
+                    || known.stale(now - limits.counter_stale_timeout);
                 if let Some(old) = known.connection.filter(|_| of_no_use) {
                     // Guards against a call that crosses the counter's close of an idle connection, or that waits
                     // behind calls which a counter that died will never answer.
                     self.broken(old);
                 }
                 self.lines[line].call(service, name, add, life, deadline);
-                self.deadlines.enter(deadline, Due::Counter(line));
+                self.deadlines.schedule(deadline, Due::Counter(line));
                 if self.lines[line].connection.is_none() {
                     self.open_line(line);
                 }
             }
-            Order::Probe(server) => self.start_errand(
+            EngineAction::Probe(server) => self.start_errand(
                 now,
                 service,
                 server,
-                Errand::Probe,
-                now + self.limits.probe_wait,
+                UpstreamPurpose::Probe,
+                now + self.limits.probe_timeout,
             ),
-            Order::Tell(number, notice) => {
+            EngineAction::Notify(number, notice) => {
                 let to = self.peers.address(number);
                 if let (Some(to), Some(socket), Some(bytes)) =
                     (to, &self.datagrams, peers::encode(&notice))
@@ -688,7 +691,7 @@
                     let _ = socket.send_to(&bytes, to);
                 }
             }
-            Order::Log(text) => self.log(&text),
+            EngineAction::Log(text) => self.log(&text),
         }
     }
 
@@ -704,7 +707,7 @@
             input: Vec::new(),
             output: Vec::new(),
             written: 0,
-            visit: Visit::new(now),
+            visit: ClientConnection::new(now),
             armed: Micros::MAX,
             unread: false,
             reading: Reading::Nothing,
@@ -736,7 +739,7 @@
     fn connect(&mut self, address: SocketAddr, role: Role) -> io::Result<ConnectionKey> {
         let key = self.register(nonblocking_connect(address)?, role, false)?;
         self.deadlines
-            .enter(self.now() + self.limits.connect, Due::Connect(key));
+            .schedule(self.now() + self.limits.connect_timeout, Due::Connect(key));
         Ok(key)
     }
 
@@ -759,7 +762,7 @@
             }
             Role::Server {
                 service, server, ..
-            } => self.services[service].pool.closed(server, key),
+            } => self.services[service].pool.connection_closed(server, key),
             Role::Operator => self.operator_left(key),
             Role::Counter(_) | Role::Watch | Role::Member(_) => {}
         }
@@ -787,15 +790,15 @@
                     // Cut off here too, so that the client can tell.
                     self.close(to);
                 }
-                if let Some(errand) = state.errand() {
+                if let Some(errand) = state.purpose() {
                     // Only an introspection server's answer may end with its connection: it is judged by its text.
                     let ended = (service == TOKENS)
-                        .then(|| framing::answer(&connection.input, true, &self.limits));
+                        .then(|| framing::response(&connection.input, true, &self.limits));
                     let answer = ended
                         .and_then(Result::ok)
                         .flatten()
                         .map(|(answer, _)| answer);
-                    self.end_errand(service, server, errand, state.broken(), answer);
+                    self.end_errand(service, server, errand, state.outcome_if_broken(), answer);
                 }
             }
             Role::Counter(line) => {
@@ -815,7 +818,7 @@
         let mut orders = std::mem::take(&mut self.orders);
         self.services[ticket.0]
             .engine
-            .client_left(now, ticket.1, &mut orders);
+            .handle_client_left(now, ticket.1, &mut orders);
         for order in orders.drain(..) {
             self.carry_out(now, ticket.0, order);
         }
@@ -870,8 +873,10 @@
                 );
                 self.write(key, request.as_bytes());
                 self.watch.heard = now;
-                self.deadlines
-                    .enter(now + self.limits.watch_silent, Due::WatchSilent(key, now));
+                self.deadlines.schedule(
+                    now + self.limits.watch_idle_timeout,
+                    Due::WatchSilent(key, now),
+                );
             }
             Some(Role::Acquirer { .. } | Role::Member(_) | Role::Operator) | None => {}
         }
@@ -881,23 +886,25 @@
     fn room(&self, connection: &Connection) -> usize {
         let limits = &self.limits;
         let most = match (connection.role, connection.visit.stage) {
-            (Role::Acquirer { .. }, Stage::Idle | Stage::Partial) => {
-                limits.head_bytes + 2 * limits.body_bytes
+            (Role::Acquirer { .. }, Stage::Idle | Stage::Receiving) => {
+                limits.max_head_bytes + 2 * limits.max_buffered_body_bytes
             }
             // Guards the memory against a client that sends on and on while its request is out. A little is read,
             // so that its leaving is seen.
-            (Role::Acquirer { .. }, Stage::Open) if connection.uploading().is_some() => {
+            (Role::Acquirer { .. }, Stage::Processing) if connection.uploading().is_some() => {
                 // Guards it against a client that is faster than the server which gets its body.
                 let leg = connection
                     .uploading()
-                    .and_then(Upload::leg)
+                    .and_then(Upload::attempt)
                     .and_then(|leg| self.connections.get(leg));
                 let held = leg.map_or(connection.held(), |leg| {
                     leg.backlog() + connection.input.len()
                 });
-                return limits.relay_window.saturating_sub(held);
+                return limits.relay_window_bytes.saturating_sub(held);
+            }
+            (Role::Acquirer { .. }, Stage::Processing | Stage::Responding) => {
+                limits.pipelined_bytes
             }
-            (Role::Acquirer { .. }, Stage::Open | Stage::Answering) => limits.pipelined_bytes,
             (Role::Acquirer { .. }, Stage::Lingering) => {
                 return limits.linger_bytes.saturating_sub(connection.discarded);
             }
@@ -906,18 +913,20 @@
                 let most = match &connection.reading {
                     Reading::Relay(_, to) => {
                         let held = self.connections.get(*to).map_or(0, Connection::backlog);
-                        limits.relay_window.saturating_sub(held)
+                        limits.relay_window_bytes.saturating_sub(held)
                     }
-                    _ => limits.head_bytes + 2 * limits.body_bytes,
+                    _ => limits.max_head_bytes + 2 * limits.max_buffered_body_bytes,
                 };
                 return most.saturating_sub(connection.input.len());
             }
             (Role::Operator, _) => {
-                return (limits.operator_line + 2).saturating_sub(connection.input.len());
+                return (limits.max_operator_line_bytes + 2).saturating_sub(connection.input.len());
             }
             // Guards the memory against a peer that only ever sends.
             _ => {
-                let most = limits.head_bytes + limits.body_bytes + limits.line_bytes;
+                let most = limits.max_head_bytes
+                    + limits.max_buffered_body_bytes
+                    + limits.max_watch_line_bytes;
                 return most.saturating_sub(connection.input.len());
             }
         };
@@ -961,7 +970,7 @@
 
     /// Reads what there is, and looks at it; only then at an end.
     fn read(&mut self, key: ConnectionKey) {
-        for _ in 0..self.limits.read_rounds.max(1) {
+        for _ in 0..self.limits.max_reads_per_turn.max(1) {
             let Some(come) = self.fill(key) else { return };
             match self
                 .connections
@@ -999,7 +1008,7 @@
                 // The rest waits until the request before it is answered.
                 Role::Acquirer { .. } if !room => return,
                 Role::Acquirer { .. }
-                    if connection.visit.stage != Stage::Partial
+                    if connection.visit.stage != Stage::Receiving
                         && connection.uploading().is_none() =>
                 {
                     return;
@@ -1030,7 +1039,7 @@
             match (&*connection.stream).write(&connection.output[connection.written..]) {
                 Ok(length) => {
                     connection.written += length;
-                    connection.visit.progress(now);
+                    connection.visit.record_write_progress(now);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     return self.held_up(key);
@@ -1051,11 +1060,12 @@
         connection.output.shrink_to(4 * 1024);
         if let Role::Server { service, state, .. } = &mut connection.role {
             let before = std::mem::replace(state, state.written());
-            if let (true, Some(Errand::Leg(authorisation, _))) = (before != *state, state.errand())
+            if let (true, Some(UpstreamPurpose::Leg(authorisation, _))) =
+                (before != *state, state.purpose())
             {
                 self.services[*service]
                     .engine
-                    .leg_written(now, authorisation);
+                    .handle_attempt_written(now, authorisation);
             }
         }
         match connection.role {
--- a/crates/limiter/src/net/host/operators.rs
+++ b/crates/limiter/src/net/host/operators.rs
@@ -52,7 +52,7 @@
                 .and_then(|o| o.callers.came(key, now, &self.limits));
             spared.into_iter().for_each(|oldest| _ = self.close(oldest));
             self.deadlines
-                .enter(now + self.limits.operator_wait, Due::Callers);
+                .schedule(now + self.limits.operator_idle_timeout, Due::Callers);
             // The line is there already, most often.
             self.read(key);
         }
@@ -129,21 +129,21 @@
     fn carry_out_call(&mut self, call: &Call) -> Result<(), String> {
         let now = self.now();
         match call {
-            Call::Ready if self.lifecycle.ending() => Err("ending".to_string()),
+            Call::Ready if self.lifecycle.is_shutting_down() => Err("ending".to_string()),
             Call::Ready if !self.table.listing() => Err("no server is known yet".to_string()),
             Call::Ready => Ok(()),
             Call::DisableServer(id) => self.ban(|table| table.disable(id, now)),
             Call::EnableServer(id) => self.ban(|table| table.enable(id, now)),
             Call::Drain => {
-                if self.lifecycle.drain(now) {
+                if self.lifecycle.begin_drain(now) {
                     self.drain_changed(now);
                     self.write_handover();
                 }
                 Ok(())
             }
-            Call::Resume if self.lifecycle.ending() => Err("ending".to_string()),
+            Call::Resume if self.lifecycle.is_shutting_down() => Err("ending".to_string()),
             Call::Resume => {
-                if self.lifecycle.resume(now) {
+                if self.lifecycle.end_drain(now) {
                     self.write_handover();
                 }
                 Ok(())
@@ -154,7 +154,7 @@
     /// Clients are sent away, or no longer.
     pub(super) fn drain_changed(&mut self, now: Micros) {
         self.deadlines
-            .enter(now + self.limits.notice, Due::NoticeOver);
+            .schedule(now + self.limits.shutdown_notice, Due::NoticeOver);
     }
 
     fn ban(
--- a/crates/limiter/src/net/host/overlap.rs
+++ b/crates/limiter/src/net/host/overlap.rs
@@ -12,7 +12,7 @@
     }
 
     fn record(&self) -> Record {
-        let (bans, drain) = (self.table.bans().clone(), self.lifecycle.drain_mark());
+        let (bans, drain) = (self.table.bans().clone(), self.lifecycle.drain_state());
         Record {
             limiter: self.name.clone(),
             bans,
@@ -24,7 +24,7 @@
     pub(super) fn look_at_handover(&mut self) {
         let now = self.now();
         self.deadlines
-            .enter(now + self.limits.handover_look, Due::Handover);
+            .schedule(now + self.limits.handover_poll_interval, Due::Handover);
         let Some(handover) = &mut self.handover else {
             return;
         };
--- a/crates/limiter/src/net/host/relaying.rs
+++ b/crates/limiter/src/net/host/relaying.rs
@@ -4,7 +4,7 @@
 
 impl Host {
     /// A long answer is the final one: it begins, and goes on as it comes.
-    pub(super) fn begin_relay(&mut self, key: ConnectionKey, incoming: Incoming<AnswerHead>) {
+    pub(super) fn begin_relay(&mut self, key: ConnectionKey, incoming: Incoming<ResponseHead>) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -17,9 +17,9 @@
         else {
             return;
         };
-        let (extent, parts) = (incoming.extent, incoming.into_parts());
-        let (Some((head, reader, come)), Some(Errand::Leg(authorisation, leg))) =
-            (parts, state.errand())
+        let (extent, parts) = (incoming.framing, incoming.into_parts());
+        let (Some((head, reader, come)), Some(UpstreamPurpose::Leg(authorisation, leg))) =
+            (parts, state.purpose())
         else {
             _ = self.close(key);
             return;
@@ -27,7 +27,7 @@
         connection.role = Role::Server {
             service,
             server,
-            state: LegState::Relaying,
+            state: UpstreamState::Relaying,
         };
         let report = head
             .headers
@@ -35,9 +35,10 @@
             .and_then(probes::report);
         let known = &mut self.services[service];
         known.legs.remove(authorisation);
-        let answers = known
-            .engine
-            .leg_ended(now, authorisation, leg, Outcome::Ok, report);
+        let answers =
+            known
+                .engine
+                .handle_attempt_ended(now, authorisation, leg, Outcome::Ok, report);
         let pending = answers
             .then(|| self.settle((service, authorisation)))
             .flatten();
@@ -56,7 +57,7 @@
         *waits = None;
         client.closing = close;
         client.source = Some(key);
-        client.visit.answering(now);
+        client.visit.begin_response(now);
         let kind = head
             .headers
             .get("Content-Type")
@@ -74,7 +75,7 @@
             connection.reading = Reading::Relay(relay, to);
         }
         self.deadlines
-            .enter(now + self.limits.relay_rest, Due::Relay(key));
+            .schedule(now + self.limits.relay_idle_timeout, Due::Relay(key));
         self.read_relayed(key, to);
     }
 
@@ -86,7 +87,7 @@
         let Reading::Relay(relay, _) = &mut server.reading else {
             return;
         };
-        match relay.pass(&mut server.input, &mut client.output) {
+        match relay.forward(&mut server.input, &mut client.output) {
             Ok(()) => self.relayed(key, to),
             Err(_) => self.broken(key),
         }
@@ -106,17 +107,17 @@
                 ..
             },
         ) = (&server.reading, server.role)
-            && relay.whole()
+            && relay.is_complete()
         {
-            let clean = relay.reusable() && server.input.is_empty() && server.all_sent();
+            let clean = relay.is_reusable() && server.input.is_empty() && server.all_sent();
             server.reading = Reading::Nothing;
             server.role = Role::Server {
                 service,
                 server: id,
-                state: LegState::Idle,
+                state: UpstreamState::Idle,
             };
             client.source = None;
-            if !(clean && self.services[service].pool.rest(id, key, now)) {
+            if !(clean && self.services[service].pool.release(id, key, now)) {
                 self.close(key);
             }
         }
@@ -124,7 +125,7 @@
     }
 
     /// More has come of an answer, and what that makes of it.
-    pub(super) fn read_records(&mut self, key: ConnectionKey, errand: Errand) {
+    pub(super) fn read_records(&mut self, key: ConnectionKey, errand: UpstreamPurpose) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -142,7 +143,7 @@
         if incoming
             .read(
                 &mut connection.input,
-                self.limits.answer_bytes,
+                self.limits.max_response_bytes,
                 &self.limits,
             )
             .is_err()
@@ -151,9 +152,12 @@
             _ = self.close(key);
             return;
         }
-        let long = incoming.longer(self.limits.body_bytes as u64);
-        match (incoming.whole(), incoming.head().map(|head| head.status)) {
-            (_, Some(200)) if long && matches!(errand, Errand::Leg(..)) => {
+        let long = incoming.is_longer_than(self.limits.max_buffered_body_bytes as u64);
+        match (
+            incoming.is_complete(),
+            incoming.head().map(|head| head.status),
+        ) {
+            (_, Some(200)) if long && matches!(errand, UpstreamPurpose::Leg(..)) => {
                 self.begin_relay(key, incoming)
             }
             (true, _) => self.answer_came(key, errand, incoming),
@@ -166,20 +170,27 @@
                 connection.reading = Reading::Answer(incoming);
                 // Most answers are there at once: the rest is waited for only where some of it is missing.
                 if first {
-                    self.deadlines
-                        .enter(now + self.limits.answer_rest, Due::Rest(key, errand));
+                    self.deadlines.schedule(
+                        now + self.limits.response_idle_timeout,
+                        Due::Rest(key, errand),
+                    );
                 }
             }
         }
     }
 
     /// An answer is there, as far as it is wanted.
-    fn answer_came(&mut self, key: ConnectionKey, errand: Errand, incoming: Incoming<AnswerHead>) {
-        let whole = incoming.whole();
+    fn answer_came(
+        &mut self,
+        key: ConnectionKey,
+        errand: UpstreamPurpose,
+        incoming: Incoming<ResponseHead>,
+    ) {
+        let whole = incoming.is_complete();
         let Some((head, _, body)) = incoming.into_parts() else {
             return;
         };
-        let answer = Answer::new(head, body);
+        let answer = Response::new(head, body);
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -196,11 +207,11 @@
         connection.role = Role::Server {
             service,
             server,
-            state: LegState::Idle,
+            state: UpstreamState::Idle,
         };
         self.end_errand(service, server, errand, Outcome::Reset, Some(answer));
         let now = self.now();
-        if !(clean && self.services[service].pool.rest(server, key, now)) {
+        if !(clean && self.services[service].pool.release(server, key, now)) {
             self.close(key);
         }
     }
@@ -213,12 +224,12 @@
         let Role::Server { state, .. } = connection.role else {
             return;
         };
-        match (std::mem::take(&mut connection.reading), state.errand()) {
+        match (std::mem::take(&mut connection.reading), state.purpose()) {
             (Reading::Relay(mut relay, to), _) => {
                 let Some(client) = self.connections.get_mut(to) else {
                     return;
                 };
-                let whole = relay.ended(&mut client.output);
+                let whole = relay.connection_closed(&mut client.output);
                 if whole {
                     client.source = None;
                     self.close(key);
@@ -248,9 +259,9 @@
             now
         } else {
             connection.heard
-        } + self.limits.relay_rest;
+        } + self.limits.relay_idle_timeout;
         if until > now {
-            self.deadlines.enter(until, Due::Relay(key));
+            self.deadlines.schedule(until, Due::Relay(key));
         } else {
             self.broken(key);
         }
@@ -261,7 +272,7 @@
         let Some(connection) = self.connections.get(to) else {
             return;
         };
-        let room = connection.backlog() < self.limits.relay_window;
+        let room = connection.backlog() < self.limits.relay_window_bytes;
         let waits = |key: &ConnectionKey| {
             self.connections
                 .get(*key)
--- a/crates/limiter/src/net/host/reloading.rs
+++ b/crates/limiter/src/net/host/reloading.rs
@@ -15,7 +15,7 @@
         self.discovery_in_file = config.discovery_in_file;
         if let Some(discovery) = changed.filter(|address| *address != self.discovery) {
             self.discovery = discovery;
-            self.watch.wait = self.limits.watch_retry;
+            self.watch.wait = self.limits.watch_retry_delay;
             // The watch goes on from the version of the list held here, so that no change is missed.
             self.open_watch();
         }
--- a/crates/limiter/src/net/host/tokens.rs
+++ b/crates/limiter/src/net/host/tokens.rs
@@ -1,7 +1,7 @@
 //! The introspection front on its connections: bearer requests, callers' questions, and what was found.
 
 use super::*;
-use crate::engine::{Authorisation, Ending};
+use crate::engine::{Authorisation, EngineRejection};
 use crate::front::introspection::{
     self, Asking, Cache, Caller, Challenge, Finding, Identity, Token,
 };
@@ -57,7 +57,7 @@
         let mut entries = Vec::new();
         for (n, address) in tokens.upstreams.iter().enumerate() {
             let server = ServerId(n as u32);
-            service.pool.listed(server, *address);
+            service.pool.add_server(server, *address);
             let state = streamarch::ServerState::Ready;
             entries.push(ServerEntry {
                 server,
@@ -69,7 +69,7 @@
                 started: 0,
             });
         }
-        service.engine.listed(ListKind::Full, entries);
+        service.engine.update_servers(ListKind::Full, entries);
     }
 
     /// A request at the introspection front.
@@ -197,7 +197,7 @@
         let question = Authorisation {
             plan: caller.plan,
             customer: caller.customer,
-            deadline: wait.unwrap_or(now + self.limits.introspection_wait),
+            deadline: wait.unwrap_or(now + self.limits.introspection_timeout),
             units: 1.0,
             spread: self.platform.limiters.max(1),
             ..Authorisation::default()
@@ -227,7 +227,9 @@
             None => return false,
         };
         // Guards the budget: what a question holds is given back by the one way in which an answer stops being owed.
-        if known.engine.leg_ended(now, key, leg, Outcome::Ok, None)
+        if known
+            .engine
+            .handle_attempt_ended(now, key, leg, Outcome::Ok, None)
             && let Some(pending) = self.settle(ticket)
         {
             self.tell(now, pending.origin, finding);
@@ -241,7 +243,7 @@
     }
 
     /// The outcome of a leg to an introspection server. One that lies has failed, whatever its status.
-    pub(super) fn judged(&self, now: Micros, answer: &Answer) -> Outcome {
+    pub(super) fn judged(&self, now: Micros, answer: &Response) -> Outcome {
         match introspection::judge(answer, &self.platform.names.plans, now) {
             Ok(_) => Outcome::Ok,
             Err(_) if matches!(answer.status, 429 | 503) => Outcome::Full,
@@ -253,7 +255,7 @@
     }
 
     /// An introspection server's answer, judged before.
-    pub(super) fn found(&mut self, key: ConnectionKey, purpose: Purpose, answer: &Answer) {
+    pub(super) fn found(&mut self, key: ConnectionKey, purpose: Purpose, answer: &Response) {
         let now = self.now();
         // Guards the instant between the two looks at the clock: fails closed.
         let finding = introspection::judge(answer, &self.platform.names.plans, now)
@@ -278,11 +280,16 @@
     }
 
     /// An ending that no server gave, at this front.
-    pub(super) fn ended_tokens(&mut self, key: ConnectionKey, purpose: Purpose, ending: Ending) {
+    pub(super) fn ended_tokens(
+        &mut self,
+        key: ConnectionKey,
+        purpose: Purpose,
+        ending: EngineRejection,
+    ) {
         let ending = match purpose {
             // Whose it is could not be learned: nothing has run, and a retry is harmless.
-            Purpose::Identify(_) if !matches!(ending, Ending::Declined { .. }) => {
-                Ending::Declined {
+            Purpose::Identify(_) if !matches!(ending, EngineRejection::Declined { .. }) => {
+                EngineRejection::Declined {
                     stay_away: 0,
                     over_quota: false,
                 }
@@ -291,8 +298,8 @@
         };
         let (status, challenge) = introspection::status(ending);
         let stay_away = match ending {
-            Ending::Declined { stay_away: 0, .. } => self.limits.stay_away,
-            Ending::Declined { stay_away, .. } => stay_away,
+            EngineRejection::Declined { stay_away: 0, .. } => self.limits.default_retry_after,
+            EngineRejection::Declined { stay_away, .. } => stay_away,
             _ => 0,
         };
         let mut headers = vec![NO_STORE];
--- a/crates/limiter/src/net/host/uploading.rs
+++ b/crates/limiter/src/net/host/uploading.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::front::reject;
-use crate::net::framing::{Extent, Request};
+use crate::net::framing::{BodyFraming, Request};
 use crate::upload::Upload;
 
 impl Host {
@@ -15,14 +15,14 @@
         let Role::Acquirer { door, .. } = connection.role else {
             return;
         };
-        let (extent, come) = (incoming.extent, incoming.length);
+        let (extent, come) = (incoming.framing, incoming.length);
         let Some((head, reader, body)) = incoming.into_parts() else {
             return;
         };
         self.partial += body.len();
         connection.last = !head.keep_alive;
         connection.told_to_go_on = false;
-        let upload = Upload::new(extent, reader, body, self.limits.relay_window);
+        let upload = Upload::new(extent, reader, body, self.limits.relay_window_bytes);
         connection.reading = Reading::Upload(upload);
         let request = Request::new(head, Vec::new());
         let read = match door {
@@ -35,17 +35,17 @@
             Ok(mut authorisation) => {
                 // The client's time counts from its last byte.
                 let left = match extent {
-                    Extent::Length(length) => length.saturating_sub(come),
-                    Extent::Chunked | Extent::UntilClose => {
-                        self.limits.request_bytes.saturating_sub(come)
+                    BodyFraming::Length(length) => length.saturating_sub(come),
+                    BodyFraming::Chunked | BodyFraming::UntilClose => {
+                        self.limits.max_request_bytes.saturating_sub(come)
                     }
                 };
-                let rest = (left / self.limits.body_pace.max(1)) as Micros * 1_000_000;
-                authorisation.deadline += rest.min(self.limits.upload_longest);
+                let rest = (left / self.limits.min_body_bytes_per_s.max(1)) as Micros * 1_000_000;
+                authorisation.deadline += rest.min(self.limits.max_upload_extension);
                 let forward = Forward::streamed(&request, extent);
                 self.take(key, RECORDS, authorisation, forward, Purpose::Platform);
                 if let Some(connection) = self.connections.get_mut(key) {
-                    connection.visit.uploading(now, come);
+                    connection.visit.record_body_progress(now, come);
                 }
                 self.arm(key);
                 self.read_upload(key);
@@ -63,7 +63,7 @@
         let Reading::Upload(upload) = &connection.reading else {
             return;
         };
-        let (before, leg) = (connection.held(), upload.leg());
+        let (before, leg) = (connection.held(), upload.attempt());
         let taken = match leg {
             None => Host::upload_on(connection, None),
             Some(leg) => match self.connections.get_disjoint_mut([key, leg]) {
@@ -78,14 +78,14 @@
         let Reading::Upload(upload) = &connection.reading else {
             return;
         };
-        let (whole, bytes) = (upload.whole(), upload.come());
-        connection.visit.uploading(now, bytes);
+        let (whole, bytes) = (upload.is_complete(), upload.received_bytes());
+        connection.visit.record_body_progress(now, bytes);
         if taken.is_err() {
             // What is spoilt here cannot be told on: the leg ends, and the client hears what is wrong.
             return self.end_upload(key, &reject(400, "malformed"));
         }
         if whole {
-            connection.visit.taken(now);
+            connection.visit.request_complete(now);
         }
         if let Some(leg) = leg {
             self.feed(leg, whole);
@@ -103,20 +103,22 @@
             waits: Some((service, authorisation)),
             ..
         } = connection.role
-            && connection.uploading().is_some_and(Upload::gone)
+            && connection.uploading().is_some_and(Upload::is_discarded)
         {
-            self.services[service].engine.body_gone(authorisation);
+            self.services[service]
+                .engine
+                .handle_body_sent(authorisation);
         }
     }
 
     fn upload_on(
         connection: &mut Connection,
         out: Option<&mut Vec<u8>>,
-    ) -> Result<(), framing::Malformed> {
+    ) -> Result<(), framing::ParseError> {
         let Reading::Upload(upload) = &mut connection.reading else {
             return Ok(());
         };
-        upload.take(&mut connection.input, out)
+        upload.read(&mut connection.input, out)
     }
 
     /// A leg of such a request is up, and its head written: what is here goes on.
@@ -128,8 +130,8 @@
         let Reading::Upload(upload) = &mut client.reading else {
             return;
         };
-        upload.start(leg, &mut server.output);
-        let whole = upload.whole();
+        upload.start_attempt(leg, &mut server.output);
+        let whole = upload.is_complete();
         self.partial = (self.partial + client.held()).saturating_sub(before);
         self.feed(leg, whole);
         self.body_gone(origin);
@@ -152,7 +154,7 @@
             return;
         };
         if let Reading::Upload(upload) = &mut client.reading {
-            upload.leg_ended();
+            upload.attempt_ended();
         }
     }
 
@@ -162,7 +164,7 @@
         else {
             return;
         };
-        let Some(Errand::Leg(authorisation, _)) = state.errand() else {
+        let Some(UpstreamPurpose::Leg(authorisation, _)) = state.purpose() else {
             return;
         };
         let origin = self.services[service]
