--- a/crates/limiter/src/net/host/watching.rs
+++ b/crates/limiter/src/net/host/watching.rs
@@ -1,6 +1,6 @@
 //! Discovery's watch, and what it brings.
 
-use super::framing::{BodyReader, Extent};
+use super::framing::{BodyFraming, BodyReader};
 use super::*;
 
 impl Host {
@@ -19,8 +19,8 @@
     pub(super) fn watch_lost(&mut self) {
         self.watch.connection = None;
         let at = self.now() + self.watch.wait;
-        self.watch.wait = (self.watch.wait * 2).min(self.limits.watch_retry_longest);
-        self.deadlines.enter(at, Due::WatchRetry);
+        self.watch.wait = (self.watch.wait * 2).min(self.limits.max_watch_retry_delay);
+        self.deadlines.schedule(at, Due::WatchRetry);
     }
 
     pub(super) fn read_watch(&mut self, key: ConnectionKey) {
@@ -35,27 +35,27 @@
                 Ok(None) => return,
                 Ok(Some((200, from))) => {
                     // However long it lasts: what is bounded is each line.
-                    self.watch.stream = BodyReader::new(Extent::Chunked, u64::MAX).ok();
+                    self.watch.stream = BodyReader::new(BodyFraming::Chunked, u64::MAX).ok();
                     at = from;
                 }
                 Ok(Some(_)) | Err(_) => bad = true,
             }
         }
         if let Some(stream) = &mut self.watch.stream {
-            match stream.take(&connection.input[at..], &mut self.watch.line) {
+            match stream.read(&connection.input[at..], &mut self.watch.line) {
                 Ok(taken) => at += taken,
                 Err(_) => bad = true,
             }
-            bad |= stream.whole();
+            bad |= stream.is_complete();
         }
         connection.input.drain(..at);
         let mut ended = false;
         while let Some(end) = self.watch.line.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = self.watch.line.drain(..=end).collect();
             match self.table.line(&line) {
-                Ok(None) => self.watch.wait = self.limits.watch_retry,
+                Ok(None) => self.watch.wait = self.limits.watch_retry_delay,
                 Ok(Some(news)) => {
-                    self.watch.wait = self.limits.watch_retry;
+                    self.watch.wait = self.limits.watch_retry_delay;
                     self.take_news(news);
                 }
                 Err(error) => {
@@ -65,7 +65,7 @@
                 }
             }
         }
-        bad |= ended || self.watch.line.len() > self.limits.line_bytes;
+        bad |= ended || self.watch.line.len() > self.limits.max_watch_line_bytes;
         if bad {
             self.broken(key);
         }
@@ -76,19 +76,19 @@
         let listed = news
             .addresses
             .into_iter()
-            .map(|(server, address)| records.pool.listed(server, address));
+            .map(|(server, address)| records.pool.add_server(server, address));
         let mut idle: Vec<_> = listed.flatten().collect();
         idle.extend(
             news.taken_out
                 .into_iter()
-                .flat_map(|server| records.pool.taken_out(server)),
+                .flat_map(|server| records.pool.take_out_of_service(server)),
         );
         idle.extend(
             news.gone
                 .into_iter()
-                .flat_map(|server| records.pool.unlisted(server)),
+                .flat_map(|server| records.pool.remove_server(server)),
         );
-        records.engine.listed(news.kind, news.entries);
+        records.engine.update_servers(news.kind, news.entries);
         for key in idle {
             self.close(key);
         }
--- a/crates/limiter/src/operators.rs
+++ b/crates/limiter/src/operators.rs
@@ -76,7 +76,7 @@
     /// The bytes are no call of an operator.
     pub fn read(bytes: &[u8], limits: &Limits) -> Result<Option<Call>, Fault> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
-        if end.unwrap_or(bytes.len()) > limits.operator_line {
+        if end.unwrap_or(bytes.len()) > limits.max_operator_line_bytes {
             return Err(Fault::TooLong);
         }
         let Some(end) = end else { return Ok(None) };
@@ -123,7 +123,7 @@
         limits: &Limits,
     ) -> Option<ConnectionKey> {
         self.known.push_back((key, now));
-        let full = self.known.len() > limits.operator_connections;
+        let full = self.known.len() > limits.max_operator_connections;
         full.then(|| self.known.pop_front())
             .flatten()
             .map(|(oldest, _)| oldest)
@@ -138,7 +138,7 @@
     pub fn overdue(&self, now: Micros, limits: &Limits) -> Option<ConnectionKey> {
         self.known
             .front()
-            .filter(|(_, since)| *since + limits.operator_wait <= now)
+            .filter(|(_, since)| *since + limits.operator_idle_timeout <= now)
             .map(|(key, _)| *key)
     }
 }
--- a/crates/limiter/src/operators/tests.rs
+++ b/crates/limiter/src/operators/tests.rs
@@ -82,8 +82,8 @@
 #[test]
 fn the_oldest_caller_goes_for_a_new_one_and_none_stays_for_ever() {
     let limits = Limits {
-        operator_connections: 2,
-        operator_wait: 100,
+        max_operator_connections: 2,
+        operator_idle_timeout: 100,
         ..Limits::default()
     };
     let mut keys = SlotMap::<ConnectionKey, ()>::with_key();
--- a/crates/limiter/tests/common/mod.rs
+++ b/crates/limiter/tests/common/mod.rs
@@ -11,7 +11,7 @@
 
 use limiter::config::Environment;
 use limiter::limits::Limits;
-use limiter::net::framing::{self, Answer, Request};
+use limiter::net::framing::{self, Request, Response};
 use limiter::net::{Clock, Daemon, Remote};
 
 /// Start of the driven clock: 100 ms before a full second.
@@ -78,7 +78,7 @@
                         }
                         let mut out = Vec::new();
                         match reply {
-                            Reply::Answer(status, headers, body) => framing::write_answer(
+                            Reply::Answer(status, headers, body) => framing::write_response(
                                 &mut out,
                                 status,
                                 &headers,
@@ -86,7 +86,7 @@
                                 false,
                             ),
                             Reply::Twice(body) => (0..2).for_each(|_| {
-                                framing::write_answer(&mut out, 200, &[], body.as_bytes(), false)
+                                framing::write_response(&mut out, 200, &[], body.as_bytes(), false)
                             }),
                             Reply::Raw(bytes) => out.extend_from_slice(bytes),
                             Reply::Drop | Reply::Held(..) => break,
@@ -290,11 +290,11 @@
     }
 
     /// The next answer; `None` when the connection ends first.
-    pub fn answer(&mut self) -> Option<Answer> {
+    pub fn answer(&mut self) -> Option<Response> {
         let mut part = [0; 4096];
         loop {
             if let Some((answer, length)) =
-                framing::answer(&self.bytes, false, &Limits::default()).unwrap()
+                framing::response(&self.bytes, false, &Limits::default()).unwrap()
             {
                 self.bytes.drain(..length);
                 return Some(answer);
@@ -319,7 +319,7 @@
     }
 
     /// Asks and takes the answer.
-    pub fn ask(&mut self, text: &str) -> Answer {
+    pub fn ask(&mut self, text: &str) -> Response {
         self.send(text);
         self.answer().expect("an answer")
     }
@@ -376,6 +376,6 @@
 }
 
 /// Asks on a connection of its own.
-pub fn ask(address: SocketAddr, text: &str) -> Answer {
+pub fn ask(address: SocketAddr, text: &str) -> Response {
     Client::connect(address).ask(text)
 }
--- a/crates/limiter/tests/config.rs
+++ b/crates/limiter/tests/config.rs
@@ -92,19 +92,22 @@
         config(&[], nobody()).replacen('{', "{\"limits\":{\"sockets\":300,\"memory_mb\":192},", 1);
     let limits = Environment::default().parse(&text).unwrap().limits;
     assert_eq!(
-        (limits.acquirer_connections, limits.leg_connections),
+        (
+            limits.max_client_connections,
+            limits.max_upstream_connections
+        ),
         (156, 104)
     );
     assert!(
-        limits.acquirer_connections > 300 / 3,
+        limits.max_client_connections > 300 / 3,
         "silent connections come on top of the busy ones"
     );
     assert!(limits.partial_bytes < 32 << 20);
     assert!(
-        limits.leg_idle < 10_000_000,
+        limits.upstream_idle_timeout < 10_000_000,
         "well before the server's 15 s"
     );
-    assert_eq!(limits.drain, 4_600_000);
+    assert_eq!(limits.shutdown_timeout, 4_600_000);
     let of = |sockets: u32, memory: u32| {
         let machine = format!("{{\"limits\":{{\"sockets\":{sockets},\"memory_mb\":{memory}}},");
         Environment::default()
@@ -114,12 +117,12 @@
     };
     for (sockets, memory) in [(256, 32), (384, 48), (1_024, 32), (1_024, 192)] {
         let limits = of(sockets, memory);
-        let all = limits.relay_window * limits.acquirer_connections;
+        let all = limits.relay_window_bytes * limits.max_client_connections;
         assert!(
             all <= (memory as usize) << 18,
             "transfers on all connections have a quarter of the memory at the most"
         );
-        assert!((8 << 10..=64 << 10).contains(&limits.relay_window));
+        assert!((8 << 10..=64 << 10).contains(&limits.relay_window_bytes));
     }
 }
 
--- a/crates/limiter/tests/introspection.rs
+++ b/crates/limiter/tests/introspection.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc;
 
 use common::*;
-use limiter::net::framing::Answer;
+use limiter::net::framing::Response;
 
 const ACTIVE: &str = r#"{"active":true,"sub":"0000000000000005","plan":"empresa","exp":2000}"#;
 /// Active until 100 ms after the start of the clock.
@@ -64,7 +64,7 @@
     }
 }
 
-fn assert_declined(answer: &Answer) {
+fn assert_declined(answer: &Response) {
     assert_eq!(answer.status, 503);
     let wait: f64 = answer
         .headers
--- a/crates/limiter/tests/judging.rs
+++ b/crates/limiter/tests/judging.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use limiter::engine::{Authorisation, Ending, Engine, Order};
-use limiter::judging::Judging;
+use limiter::engine::{Authorisation, Engine, EngineAction, EngineRejection};
+use limiter::plan_resolver::PlanResolver;
 use limiter::slots::AuthorisationKey;
 use plans::change::Change;
 use streamarch::{
@@ -70,10 +70,10 @@
                 own_number: number,
                 ..settings()
             };
-            let judging = Judging::new(&names, &settings.plans, 2 * SECOND);
+            let judging = PlanResolver::new(&names, &settings.plans, 2 * SECOND);
             let mut engine = Engine::new(settings, u64::from(number) + 7, 1_000);
-            engine.judge_by(judging);
-            engine.listed(ListKind::Full, (0..4).map(server).collect());
+            engine.set_plan_resolver(judging);
+            engine.update_servers(ListKind::Full, (0..4).map(server).collect());
             engine
         };
         let engines = (0..2).map(one).collect();
@@ -95,7 +95,7 @@
         let change = Change::read(&text).unwrap();
         for engine in &mut self.engines {
             engine
-                .judging()
+                .plan_resolver()
                 .unwrap()
                 .apply(self.now, change.clone())
                 .unwrap();
@@ -111,7 +111,7 @@
             spread: 2,
             ..Authorisation::default()
         };
-        self.engines[limiter].take(self.now, asking).unwrap()
+        self.engines[limiter].submit(self.now, asking).unwrap()
     }
 
     /// Lets a limiter decide; how many legs went out, each of them served, and what was declined.
@@ -120,22 +120,28 @@
         for _ in 0..8 {
             self.now += 2;
             let mut orders = Vec::new();
-            self.engines[limiter].handle(self.now, &mut orders);
+            self.engines[limiter].run(self.now, &mut orders);
             if orders.is_empty() {
                 break;
             }
             for order in orders {
                 match order {
-                    Order::StartLeg { key, leg, .. } => {
+                    EngineAction::StartAttempt { key, leg, .. } => {
                         sent += 1;
-                        self.engines[limiter].leg_ended(self.now, key, leg, Outcome::Ok, None);
+                        self.engines[limiter].handle_attempt_ended(
+                            self.now,
+                            key,
+                            leg,
+                            Outcome::Ok,
+                            None,
+                        );
                     }
-                    Order::Count { name, add, .. } => {
+                    EngineAction::AddToCounter { name, add, .. } => {
                         *self.totals.entry(name).or_default() += add;
                         self.owed.push((limiter, name));
                     }
-                    Order::Answer {
-                        ending: Ending::Declined { .. },
+                    EngineAction::Reject {
+                        ending: EngineRejection::Declined { .. },
                         ..
                     } => declined += 1,
                     _ => {}
@@ -150,7 +156,7 @@
 
     fn count(&mut self) {
         for (limiter, name) in std::mem::take(&mut self.owed) {
-            self.engines[limiter].counted(name, Outcome::Ok, self.totals[&name]);
+            self.engines[limiter].handle_counter_result(name, Outcome::Ok, self.totals[&name]);
         }
     }
 
@@ -163,7 +169,7 @@
     }
 
     fn judged(&self, limiter: usize, key: AuthorisationKey) -> (String, u64) {
-        let judged = self.engines[limiter].judged(key).unwrap();
+        let judged = self.engines[limiter].resolved_plan(key).unwrap();
         (judged.plan.clone(), judged.version)
     }
 }
@@ -258,8 +264,8 @@
     let mut tier = Tier::new();
     let key = tier.ask(0);
     assert_eq!(tier.judged(0, key), ("taller".into(), 0));
-    assert_eq!(tier.engines[0].judged(key).unwrap().position, 0);
+    assert_eq!(tier.engines[0].resolved_plan(key).unwrap().position, 0);
     tier.change("other", 0, &MOVE.replace("0009", "0008"));
     let key = tier.ask(0);
-    assert_eq!(tier.engines[0].judged(key).unwrap().position, 0);
+    assert_eq!(tier.engines[0].resolved_plan(key).unwrap().position, 0);
 }
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -3,13 +3,13 @@
 
 use std::collections::VecDeque;
 
+use limiter::client_connection::{ClientConnection, Stage};
 use limiter::counter::{Heard, Line};
-use limiter::engine::{Authorisation, Engine, Order};
-use limiter::legs::{Errand, LegState, Pool};
+use limiter::engine::{Authorisation, Engine, EngineAction};
 use limiter::limits::Limits;
 use limiter::net::framing;
 use limiter::slots::{AuthorisationKey, ConnectionKey, SlotMap};
-use limiter::visits::{Stage, Visit};
+use limiter::upstreams::{Pool, UpstreamPurpose, UpstreamState};
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 use streamarch::{
     Class, CounterName, CustomerId, Group, ListKind, Outcome, Plan, Repeat, ServerEntry, ServerId,
@@ -37,8 +37,8 @@
 #[test]
 fn a_leg_can_have_run_only_once_its_last_byte_was_written() {
     fn property(steps: Vec<Step>) -> bool {
-        let errand = Errand::Probe;
-        let mut state = LegState::Connecting(errand);
+        let errand = UpstreamPurpose::Probe;
+        let mut state = UpstreamState::Connecting(errand);
         let (mut up, mut whole) = (false, false);
         for Step(kind, _) in steps {
             state = match kind % 3 {
@@ -52,7 +52,7 @@
                 }
                 _ => {
                     (up, whole) = (true, false);
-                    LegState::Sending(errand)
+                    UpstreamState::Sending(errand)
                 }
             };
             let never = (Outcome::ConnectFailed, Outcome::ConnectFailed);
@@ -61,7 +61,9 @@
             } else {
                 never
             };
-            if (state.broken(), state.overdue()) != expected || state.errand() != Some(errand) {
+            if (state.outcome_if_broken(), state.outcome_if_timed_out()) != expected
+                || state.purpose() != Some(errand)
+            {
                 return false;
             }
         }
@@ -116,8 +118,8 @@
                 3 => {
                     let status = [200, 503, 404][usize::from(by) % 3];
                     let mut bytes = Vec::new();
-                    framing::write_answer(&mut bytes, status, &[], b"7.5", false);
-                    let (answer, _) = framing::answer(&bytes, false, &limits).unwrap().unwrap();
+                    framing::write_response(&mut bytes, status, &[], b"7.5", false);
+                    let (answer, _) = framing::response(&bytes, false, &limits).unwrap().unwrap();
                     let outcome = [Outcome::Ok, Outcome::Full, Outcome::Error][usize::from(by) % 3];
                     match (line.answered(now, &answer), sent.pop_front()) {
                         (Heard::Counted(one), Some((name, _, false))) => {
@@ -192,8 +194,8 @@
         line.expire(now, &mut counted);
         if now == 50 {
             let mut bytes = Vec::new();
-            framing::write_answer(&mut bytes, 200, &[], b"1", false);
-            let (answer, _) = framing::answer(&bytes, false, &Limits::default())
+            framing::write_response(&mut bytes, 200, &[], b"1", false);
+            let (answer, _) = framing::response(&bytes, false, &Limits::default())
                 .unwrap()
                 .unwrap();
             assert_eq!(line.answered(now, &answer), Heard::Late { asker: 0 });
@@ -212,7 +214,7 @@
         let address = "127.0.0.1:9".parse().unwrap();
         let mut keys: SlotMap<ConnectionKey, ()> = SlotMap::with_key();
         let mut pool = Pool::default();
-        (0..3).for_each(|n| drop(pool.listed(ServerId(n), address)));
+        (0..3).for_each(|n| drop(pool.add_server(ServerId(n), address)));
         let mut listed = [true; 3];
         let mut open: Vec<(u32, ConnectionKey, Option<i64>)> = Vec::new();
         for (now, Step(kind, by)) in (0_i64..).zip(steps) {
@@ -220,15 +222,15 @@
             let at = usize::from(by) % open.len().max(1);
             match kind % 6 {
                 0 if listed[server as usize] => {
-                    pool.opened(ServerId(server));
+                    pool.connection_opened(ServerId(server));
                     open.push((server, keys.insert(()), None));
                 }
                 1 if at < open.len() => {
                     let (server, key, _) = open.remove(at);
-                    pool.closed(ServerId(server), key);
+                    pool.connection_closed(ServerId(server), key);
                 }
                 2 if at < open.len() && open[at].2.is_none() => {
-                    let rests = pool.rest(ServerId(open[at].0), open[at].1, now);
+                    let rests = pool.release(ServerId(open[at].0), open[at].1, now);
                     if rests != listed[open[at].0 as usize] {
                         return false;
                     }
@@ -237,13 +239,13 @@
                 3 => {
                     let idle = open.iter_mut().filter(|c| c.0 == server && c.2.is_some());
                     let last = idle.max_by_key(|c| c.2);
-                    if pool.reuse(ServerId(server)) != last.as_ref().map(|c| c.1) {
+                    if pool.acquire(ServerId(server)) != last.as_ref().map(|c| c.1) {
                         return false;
                     }
                     last.into_iter().for_each(|c| c.2 = None);
                 }
                 4 => {
-                    for key in pool.retire(now - 5) {
+                    for key in pool.take_expired(now - 5) {
                         let Some(place) = open.iter().position(|c| c.1 == key) else {
                             return false;
                         };
@@ -251,13 +253,13 @@
                             return false;
                         }
                         let (server, key, _) = open.remove(place);
-                        pool.closed(ServerId(server), key);
+                        pool.connection_closed(ServerId(server), key);
                     }
                 }
                 5 => {
-                    for key in pool.unlisted(ServerId(server)) {
+                    for key in pool.remove_server(ServerId(server)) {
                         open.retain(|c| c.1 != key);
-                        pool.closed(ServerId(server), key);
+                        pool.connection_closed(ServerId(server), key);
                     }
                     listed[server as usize] = false;
                 }
@@ -277,7 +279,7 @@
     fn property(steps: Vec<Step>) -> bool {
         let limits = Limits::default();
         let mut now = 1_000_000;
-        let mut visit = Visit::new(now);
+        let mut visit = ClientConnection::new(now);
         // The model: since when nothing whole has come, whether an answer was ever written, what is going on.
         let (mut waiting_since, mut answered, mut owed, mut writing, mut last) =
             (now, false, false, false, false);
@@ -291,41 +293,41 @@
                         waiting_since = now;
                     }
                     part = true;
-                    visit.partial(now);
+                    visit.begin_request(now);
                 }
                 1 if between => {
                     (owed, part) = (true, false);
-                    visit.taken(now);
+                    visit.request_complete(now);
                 }
                 2 if !last => {
                     (owed, writing, part) = (false, true, false);
-                    visit.answering(now);
+                    visit.begin_response(now);
                 }
                 3 => {
                     if writing {
                         (writing, answered, waiting_since, last) = (false, true, now, by > 250);
                     }
-                    visit.written(now, by > 250);
+                    visit.response_written(now, by > 250);
                 }
                 _ => {}
             }
             let span = match (last, answered, part) {
-                (true, _, _) => limits.acquirer_linger,
-                (false, true, false) => limits.acquirer_idle,
-                (false, _, _) => limits.acquirer_first,
+                (true, _, _) => limits.linger_timeout,
+                (false, true, false) => limits.client_idle_timeout,
+                (false, _, _) => limits.request_timeout,
             };
             let good = match visit.stage {
-                Stage::Open => owed && visit.deadline(false, &limits).is_none(),
-                Stage::Answering => writing && visit.deadline(false, &limits).is_some(),
+                Stage::Processing => owed && visit.deadline(false, &limits).is_none(),
+                Stage::Responding => writing && visit.deadline(false, &limits).is_some(),
                 _ => {
                     !owed
                         && !writing
                         && visit.deadline(false, &limits) == Some(waiting_since + span)
                 }
             };
-            let fresh = now - waiting_since < limits.acquirer_fresh;
+            let fresh = now - waiting_since < limits.first_request_grace;
             let kept = owed || writing || (!last && fresh && (part || !answered));
-            if !good || visit.spared(now, &limits).is_none() != kept {
+            if !good || visit.eviction_rank(now, &limits).is_none() != kept {
                 return false;
             }
         }
@@ -399,7 +401,7 @@
             weight: 1.0,
             started: 0,
         };
-        engine.listed(ListKind::Full, (0..4).map(entry).collect());
+        engine.update_servers(ListKind::Full, (0..4).map(entry).collect());
         let mut now = 1_000_000;
         let mut known: Vec<(AuthorisationKey, Seen)> = Vec::new();
         let mut asked = VecDeque::new();
@@ -421,7 +423,7 @@
                         valid_until: (by > 200).then_some(now + 100_000),
                         ..Authorisation::default()
                     };
-                    let key = engine.take(now, authorisation).unwrap();
+                    let key = engine.submit(now, authorisation).unwrap();
                     known.push((
                         key,
                         Seen {
@@ -443,7 +445,7 @@
                     ][usize::from(by / 40) % 6];
                     // A leg that was never started, or has ended, is nobody's.
                     let leg = seen.out.unwrap_or(seen.legs + 1);
-                    let answers = engine.leg_ended(now, *key, leg, outcome, None);
+                    let answers = engine.handle_attempt_ended(now, *key, leg, outcome, None);
                     if answers != (seen.out.is_some() && outcome == Outcome::Ok && !seen.ended) {
                         return false;
                     }
@@ -455,12 +457,12 @@
                 }
                 6 if !known.is_empty() => {
                     let at = usize::from(by) % known.len();
-                    engine.client_left(now, known[at].0, &mut orders);
+                    engine.handle_client_left(now, known[at].0, &mut orders);
                     known[at].1.ended = true;
                 }
                 _ => {
                     if let Some(name) = asked.pop_front() {
-                        engine.counted(
+                        engine.handle_counter_result(
                             name,
                             if by > 200 {
                                 Outcome::TimedOut
@@ -472,10 +474,10 @@
                     }
                 }
             }
-            engine.handle(now, &mut orders);
+            engine.run(now, &mut orders);
             for order in orders {
                 let good = match order {
-                    Order::StartLeg {
+                    EngineAction::StartAttempt {
                         key, leg, deadline, ..
                     } => find(&mut known, key).is_some_and(|seen| {
                         let fresh =
@@ -484,26 +486,28 @@
                         (seen.out, seen.legs) = (Some(leg), leg + 1);
                         fresh && harmless && deadline > now
                     }),
-                    Order::StopLeg { key, leg } => {
+                    EngineAction::StopAttempt { key, leg } => {
                         find(&mut known, key).is_some_and(|seen| seen.out.take() == Some(leg))
                     }
-                    Order::Answer { key, .. } => find(&mut known, key)
+                    EngineAction::Reject { key, .. } => find(&mut known, key)
                         .is_some_and(|seen| !std::mem::replace(&mut seen.ended, true)),
-                    Order::Count { name, .. } => {
+                    EngineAction::AddToCounter { name, .. } => {
                         asked.push_back(name);
                         true
                     }
-                    Order::Probe(_) | Order::Tell(..) | Order::Log(_) => true,
+                    EngineAction::Probe(_) | EngineAction::Notify(..) | EngineAction::Log(_) => {
+                        true
+                    }
                 };
                 if !good {
                     return false;
                 }
             }
-            if engine.open() != known.iter().filter(|(_, seen)| !seen.ended).count() {
+            if engine.open_requests() != known.iter().filter(|(_, seen)| !seen.ended).count() {
                 return false;
             }
         }
-        engine.open() == 0
+        engine.open_requests() == 0
     }
     check(4, property as fn(Vec<Step>) -> bool);
 }
@@ -520,7 +524,7 @@
         weight: 1.0,
         started: 0,
     };
-    engine.listed(ListKind::Full, (0..4).map(entry).collect());
+    engine.update_servers(ListKind::Full, (0..4).map(entry).collect());
     let mut now = 1_000_000;
     let mut ask = |engine: &mut Engine, customer, leaves: bool| {
         let authorisation = Authorisation {
@@ -530,24 +534,24 @@
             spread: 1,
             ..Authorisation::default()
         };
-        let key = engine.take(now, authorisation).unwrap();
+        let key = engine.submit(now, authorisation).unwrap();
         let mut orders = Vec::new();
         now += 10_000;
-        engine.handle(now, &mut orders);
+        engine.run(now, &mut orders);
         for order in std::mem::take(&mut orders) {
-            if let Order::Count { name, .. } = order {
-                engine.counted(name, Outcome::Ok, 1.0);
+            if let EngineAction::AddToCounter { name, .. } = order {
+                engine.handle_counter_result(name, Outcome::Ok, 1.0);
             }
         }
         // The counter's answer and the client's leaving come to the module together.
         if leaves {
-            engine.client_left(now, key, &mut orders);
+            engine.handle_client_left(now, key, &mut orders);
         }
         now += 10_000;
-        engine.handle(now, &mut orders);
+        engine.run(now, &mut orders);
         orders
             .iter()
-            .any(|order| matches!(order, Order::StartLeg { .. }))
+            .any(|order| matches!(order, EngineAction::StartAttempt { .. }))
     };
     for customer in 0..500 {
         assert!(!ask(&mut engine, customer, true));
--- a/crates/limiter/tests/relay.rs
+++ b/crates/limiter/tests/relay.rs
@@ -52,13 +52,13 @@
 /// Limits for the ends of a transfer, which hold messages whole.
 fn large() -> limiter::limits::Limits {
     limiter::limits::Limits {
-        body_bytes: 64 << 20,
+        max_buffered_body_bytes: 64 << 20,
         ..Default::default()
     }
 }
 
 /// Reads a whole answer of any length: what the limits of the others are for does not hold here.
-fn long_answer(stream: &mut TcpStream) -> Option<limiter::net::framing::Answer> {
+fn long_answer(stream: &mut TcpStream) -> Option<limiter::net::framing::Response> {
     let limits = large();
     let mut bytes = Vec::new();
     let mut part = vec![0; 1 << 20];
@@ -68,7 +68,8 @@
             Ok(length) => bytes.extend_from_slice(&part[..length]),
         }
         // Parsed where it may be whole only: the tail tells, for a length as for chunks.
-        if let Some((answer, _)) = limiter::net::framing::answer(&bytes, false, &limits).unwrap() {
+        if let Some((answer, _)) = limiter::net::framing::response(&bytes, false, &limits).unwrap()
+        {
             return Some(answer);
         }
     }
--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use http::{HeaderValue, Request, Response, StatusCode, header};
-use limiter::engine::{Authorisation, Ending, Engine, Order};
+use limiter::engine::{Authorisation, Engine, EngineAction, EngineRejection};
 use limiter::slots::AuthorisationKey;
 use streamarch::{
     CounterName, ListKind, Micros, Outcome, ServerEntry, ServerId, ServerState, Settings,
@@ -58,7 +58,7 @@
     /// It may run, as this leg.
     Go(u32),
     /// It may not.
-    End(Ending),
+    End(EngineRejection),
 }
 
 struct Inner {
@@ -111,7 +111,7 @@
             weight: 1.0,
             started: 0,
         };
-        engine.listed(ListKind::Full, vec![entry]);
+        engine.update_servers(ListKind::Full, vec![entry]);
         let shared = Arc::new(Shared {
             inner: Mutex::new(Inner {
                 engine,
@@ -119,7 +119,7 @@
             }),
             changed: Notify::new(),
             start: Instant::now(),
-            stay_away: limiter::limits::Limits::default().stay_away,
+            stay_away: limiter::limits::Limits::default().default_retry_after,
         });
         let weak = Arc::downgrade(&shared);
         let counter = Arc::new(counter);
@@ -149,7 +149,7 @@
 
     /// Requests whose final answer is owed.
     pub fn open(&self) -> usize {
-        self.0.lock().engine.open()
+        self.0.lock().engine.open_requests()
     }
 }
 
@@ -157,23 +157,23 @@
 fn turn<C: Counter>(shared: &Arc<Shared>, counter: &Arc<C>, wait: Duration) -> Micros {
     let mut inner = shared.lock();
     let mut orders = Vec::new();
-    inner.engine.handle(shared.now(), &mut orders);
+    inner.engine.run(shared.now(), &mut orders);
     for order in orders {
         match order {
-            Order::StartLeg { key, leg, .. } => {
+            EngineAction::StartAttempt { key, leg, .. } => {
                 // A receiver that is gone has told the engine so, or is about to.
                 _ = inner
                     .waiting
                     .remove(&key)
                     .map(|sender| sender.send(Verdict::Go(leg)));
             }
-            Order::Answer { key, ending } => {
+            EngineAction::Reject { key, ending } => {
                 _ = inner
                     .waiting
                     .remove(&key)
                     .map(|sender| sender.send(Verdict::End(ending)));
             }
-            Order::Count { name, add, life } => {
+            EngineAction::AddToCounter { name, add, life } => {
                 let (shared, counter) = (shared.clone(), counter.clone());
                 tokio::spawn(async move {
                     let life = Duration::from_micros(life.max(0) as u64);
@@ -189,15 +189,18 @@
                     shared
                         .lock()
                         .engine
-                        .counted(name, outcome, total.unwrap_or(0.0));
+                        .handle_counter_result(name, outcome, total.unwrap_or(0.0));
                     shared.changed.notify_one();
                 });
             }
             // The service that runs cannot be called back, and there are no probes and no other limiters here.
-            Order::StopLeg { .. } | Order::Probe(_) | Order::Tell(..) | Order::Log(_) => {}
+            EngineAction::StopAttempt { .. }
+            | EngineAction::Probe(_)
+            | EngineAction::Notify(..)
+            | EngineAction::Log(_) => {}
         }
     }
-    inner.engine.next().unwrap_or(Micros::MAX / 2)
+    inner.engine.next_wakeup().unwrap_or(Micros::MAX / 2)
 }
 
 /// Wraps services so that their requests pass the gate.
@@ -256,7 +259,7 @@
         self.shared
             .lock()
             .engine
-            .leg_ended(now, self.key, leg, outcome, None);
+            .handle_attempt_ended(now, self.key, leg, outcome, None);
         self.shared.changed.notify_one();
     }
 }
@@ -267,18 +270,20 @@
         let mut inner = self.shared.lock();
         inner.waiting.remove(&self.key);
         // What has ended is not in the table any more, and this does nothing.
-        inner.engine.client_left(now, self.key, &mut Vec::new());
+        inner
+            .engine
+            .handle_client_left(now, self.key, &mut Vec::new());
         drop(inner);
         self.shared.changed.notify_one();
     }
 }
 
-fn ending<B: Default>(ending: Ending, least: Micros) -> Response<B> {
+fn ending<B: Default>(ending: EngineRejection, least: Micros) -> Response<B> {
     let (status, stay_away) = limiter::front::platform::status(ending);
     let mut response = Response::new(B::default());
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-    if matches!(ending, Ending::Declined { .. }) {
+    if matches!(ending, EngineRejection::Declined { .. }) {
         // Whole seconds: what HTTP's own `Retry-After` knows.
         let seconds = (stay_away.max(least) + 999_999) / 1_000_000;
         response
@@ -319,10 +324,10 @@
             let now = shared.now();
             let taken = {
                 let mut inner = shared.lock();
-                let taken = inner.engine.take(now, authorisation);
+                let taken = inner.engine.submit(now, authorisation);
                 taken.inspect(|key| _ = inner.waiting.insert(*key, sender))
             };
-            let full = Ending::Declined {
+            let full = EngineRejection::Declined {
                 stay_away: 0,
                 over_quota: false,
             };
--- a/crates/proxy/src/answers.rs
+++ b/crates/proxy/src/answers.rs
@@ -1,6 +1,6 @@
 //! Classifies the answers of servers. Without I/O.
 
-use dataplane::framing::{AnswerHead, Extent, Incoming};
+use dataplane::framing::{BodyFraming, Incoming, ResponseHead};
 use dataplane::limits::Limits;
 use streamarch::{Micros, Outcome};
 
@@ -35,7 +35,7 @@
 }
 
 /// Classifies an answer by its head. `id`: of the request that waits for it.
-pub fn classify(head: &AnswerHead, extent: Extent, id: &str) -> ResponseClass {
+pub fn classify(head: &ResponseHead, extent: BodyFraming, id: &str) -> ResponseClass {
     let told = head.headers.get("X-Request-Id");
     if told.is_some_and(|told| told != id) {
         return ResponseClass::OtherRequest;
@@ -49,7 +49,7 @@
     // A failing server may send anything: without the id the answer may be anybody's, without a
     // length its end can't be told from that of the connection, and a success must have the
     // server's stamp and length.
-    let framed = extent != Extent::UntilClose && told.is_some();
+    let framed = extent != BodyFraming::UntilClose && told.is_some();
     let stamped = head.headers.has("X-Server-Seal") && !head.headers.has("Content-Encoding");
     match head.status {
         200..=299 if framed && stamped => ResponseClass::Final,
@@ -74,15 +74,17 @@
 /// Decides by the answer's head and by how much of it has arrived.
 pub fn handling(
     verdict: ResponseClass,
-    incoming: &Incoming<AnswerHead>,
+    incoming: &Incoming<ResponseHead>,
     limits: &Limits,
 ) -> ResponseHandling {
     match verdict {
-        ResponseClass::Final if incoming.longer(limits.body_bytes as u64) => {
+        ResponseClass::Final if incoming.is_longer_than(limits.max_buffered_body_bytes as u64) => {
             ResponseHandling::Streamed
         }
         ResponseClass::Final => ResponseHandling::Buffered,
-        _ if incoming.longer(limits.kept_bytes) => ResponseHandling::Rejected,
+        _ if incoming.is_longer_than(limits.max_buffered_request_bytes) => {
+            ResponseHandling::Rejected
+        }
         _ => ResponseHandling::Buffered,
     }
 }
@@ -91,8 +93,8 @@
 /// is; and after that for as long as it makes progress, up to a bound.
 pub fn stream_deadline(deadline: Micros, heard: Micros, limits: &Limits) -> Micros {
     deadline
-        .max(heard + limits.answer_rest)
-        .min(deadline + limits.upload_longest)
+        .max(heard + limits.response_idle_timeout)
+        .min(deadline + limits.max_upload_extension)
 }
 
 /// Whether a header field of an answer is forwarded.
--- a/crates/proxy/src/answers/tests.rs
+++ b/crates/proxy/src/answers/tests.rs
@@ -20,13 +20,13 @@
         "HTTP/1.1 {status}\r\n{}\r\n\r\n",
         lines.replace('|', "\r\n")
     );
-    let (head, extent, _) = AnswerHead::parse(text.as_bytes(), &Limits::default())
+    let (head, extent, _) = ResponseHead::parse(text.as_bytes(), &Limits::default())
         .unwrap()
         .unwrap();
     assert_eq!(classify(&head, extent, "i"), verdict);
 }
 
-fn coming(text: &str, come: usize, limits: &Limits) -> Incoming<AnswerHead> {
+fn coming(text: &str, come: usize, limits: &Limits) -> Incoming<ResponseHead> {
     let mut incoming = Incoming::default();
     let mut input = format!("HTTP/1.1 200 OK\r\n{text}\r\n\r\n").into_bytes();
     match text.starts_with("Content") {
@@ -51,8 +51,8 @@
     expected: ResponseHandling,
 ) {
     let limits = Limits {
-        body_bytes: 10,
-        kept_bytes: 20,
+        max_buffered_body_bytes: 10,
+        max_buffered_request_bytes: 20,
         ..Limits::default()
     };
     assert_eq!(
@@ -64,8 +64,8 @@
 #[test]
 fn silence_ends_an_answer_at_its_deadline_and_what_moves_has_some_more_time() {
     let limits = Limits {
-        answer_rest: 300,
-        upload_longest: 20_000,
+        response_idle_timeout: 300,
+        max_upload_extension: 20_000,
         ..Limits::default()
     };
     assert_eq!(
--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -26,9 +26,11 @@
                 self.roles.insert(key, Role::Agent);
                 self.agent = Some(key);
                 self.deadlines
-                    .enter(now + CONNECT_TIMEOUT, Timer::Connect(key));
+                    .schedule(now + CONNECT_TIMEOUT, Timer::Connect(key));
             }
-            Err(_) => self.deadlines.enter(now + AGENT_RETRY_DELAY, Timer::Feed),
+            Err(_) => self
+                .deadlines
+                .schedule(now + AGENT_RETRY_DELAY, Timer::Feed),
         }
     }
 
@@ -50,7 +52,8 @@
         for batch in std::mem::take(&mut self.batches) {
             self.not_counted(&batch, Outcome::Reset);
         }
-        self.deadlines.enter(now + AGENT_RETRY_DELAY, Timer::Feed);
+        self.deadlines
+            .schedule(now + AGENT_RETRY_DELAY, Timer::Feed);
     }
 
     fn tell(&mut self, message: &AgentMessage) {
@@ -61,7 +64,7 @@
 
     /// Sends the load reports.
     pub(super) fn tell_load(&mut self, now: Micros) {
-        self.deadlines.enter(now + overload::STEP, Timer::Load);
+        self.deadlines.schedule(now + overload::STEP, Timer::Load);
         let load = self.router.shedding().take_reports(now);
         if !load.is_empty() {
             self.tell(&AgentMessage::LoadReports(load));
@@ -70,7 +73,8 @@
 
     pub(super) fn beat(&mut self, now: Micros) {
         self.beat_now();
-        self.deadlines.enter(now + HEARTBEAT_INTERVAL, Timer::Beat);
+        self.deadlines
+            .schedule(now + HEARTBEAT_INTERVAL, Timer::Beat);
     }
 
     pub(super) fn beat_now(&mut self) {
@@ -123,7 +127,7 @@
             }
             ControlMessage::Complete => self.agent_complete = true,
             ControlMessage::Clock(time) => {
-                self.clock.raise(time);
+                self.clock.advance_to(time);
                 self.caught_up_at = self.clock.now();
                 self.router.jumped(time, time - now);
             }
@@ -141,10 +145,10 @@
 
     fn touched(&mut self, now: Micros, touched: ConfigChange) {
         if let Some(limits) = self.config_store.limits().filter(|_| touched.has_new_items) {
-            self.limits.head_bytes = limits.hdr_bytes as usize;
-            self.limits.request_bytes = limits.body_bytes;
-            self.limits.acquirer_first = limits.hdr.0;
-            self.limits.acquirer_idle = limits.idle.0;
+            self.limits.max_head_bytes = limits.hdr_bytes as usize;
+            self.limits.max_request_bytes = limits.body_bytes;
+            self.limits.request_timeout = limits.hdr.0;
+            self.limits.client_idle_timeout = limits.idle.0;
             self.client_keep_alive = clients::stay(limits.idle.0);
         }
         if touched.zones {
@@ -172,14 +176,14 @@
         }
         self.pool_unlisted();
         if let Some(at) = self.server_table.next_warm(now) {
-            self.deadlines.enter(at, Timer::Warm);
+            self.deadlines.schedule(at, Timer::Warm);
         }
     }
 
     pub(super) fn pool_listed(&mut self, servers: Vec<ServerId>) {
         for server in servers {
             if let Some((address, _)) = self.server_table.address_of(server) {
-                let moved = self.pool.listed(server, address);
+                let moved = self.pool.add_server(server, address);
                 self.close_idle(moved);
             }
         }
@@ -213,7 +217,7 @@
         });
         self.batches.push_back(batch);
         if self.batches.len() == 1 {
-            self.deadlines.enter(now + COUNTER_TIMEOUT, Timer::Batch);
+            self.deadlines.schedule(now + COUNTER_TIMEOUT, Timer::Batch);
         }
     }
 
@@ -265,9 +269,9 @@
         }
         if let Some(next) = self.batches.iter().find(|batch| !batch.expired) {
             self.deadlines
-                .enter(next.sent + COUNTER_TIMEOUT, Timer::Batch);
+                .schedule(next.sent + COUNTER_TIMEOUT, Timer::Batch);
         } else if !self.batches.is_empty() {
-            self.deadlines.enter(now + COUNTER_TIMEOUT, Timer::Batch);
+            self.deadlines.schedule(now + COUNTER_TIMEOUT, Timer::Batch);
         }
     }
 }
--- a/crates/proxy/src/host/capacity.rs
+++ b/crates/proxy/src/host/capacity.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use dataplane::visits::Stage;
+use dataplane::client_connection::Stage;
 
 use super::*;
 
@@ -68,7 +68,7 @@
             if read && client.visit.stage != Stage::Lingering {
                 return None;
             }
-            let (rank, since) = client.visit.spared(now, &self.limits)?;
+            let (rank, since) = client.visit.eviction_rank(now, &self.limits)?;
             Some((rank, Reverse(client.band), since))
         };
         let clients = self.roles.iter().filter_map(|(key, role)| match role {
@@ -84,7 +84,7 @@
     /// arriving. It is of the lowest tier, and the largest among equals.
     pub(super) fn evict_buffered(&self) -> Option<ConnectionId> {
         let coming = self.roles.iter().filter_map(|(key, role)| match role {
-            Role::Client(client) if client.visit.stage == Stage::Partial => {
+            Role::Client(client) if client.visit.stage == Stage::Receiving => {
                 Some(((client.band, client.buffered_bytes), key))
             }
             _ => None,
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -1,8 +1,8 @@
 //! Clients: their connections, their requests and the final answers.
 
-use dataplane::engine::Ending;
-use dataplane::framing::{self, Extent, Headers, Malformed};
-use dataplane::visits::Stage;
+use dataplane::client_connection::Stage;
+use dataplane::engine::EngineRejection;
+use dataplane::framing::{self, BodyFraming, Headers, ParseError};
 
 use super::*;
 use crate::answers::{is_forwarded, is_hop_by_hop};
@@ -26,7 +26,7 @@
 
 /// A body that is forwarded while it arrives.
 pub(super) struct Coming {
-    pub(super) extent: Extent,
+    pub(super) extent: BodyFraming,
     /// The additional time that it is given to arrive.
     pub(super) more: Micros,
 }
@@ -58,7 +58,7 @@
     pub(super) fn took(&mut self, now: Micros, key: ConnectionId) {
         self.clients += 1;
         let client = Client {
-            visit: Visit::new(now),
+            visit: ClientConnection::new(now),
             incoming: Incoming::default(),
             request: None,
             timer_at: Micros::MAX,
@@ -87,7 +87,7 @@
 
     /// Schedules the connection's deadline if it is earlier than the scheduled one.
     pub(super) fn arm(&mut self, now: Micros, key: ConnectionId) {
-        let closing = self.lifecycle.closing_idle(now, &self.limits);
+        let closing = self.lifecycle.closes_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
@@ -97,12 +97,12 @@
             .filter(|at| *at < client.timer_at)
         {
             client.timer_at = at;
-            self.deadlines.enter(at, Timer::Visit(key));
+            self.deadlines.schedule(at, Timer::Visit(key));
         }
     }
 
     pub(super) fn visit_due(&mut self, now: Micros, key: ConnectionId) {
-        let closing = self.lifecycle.closing_idle(now, &self.limits);
+        let closing = self.lifecycle.closes_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
@@ -114,7 +114,7 @@
                 .get(key)
                 .is_some_and(|wire| wire.backlog() == 0)
         {
-            client.visit.progress(now);
+            client.visit.record_write_progress(now);
         }
         // Nor is one whose body is not being read because the server is slow.
         let over = client
@@ -128,11 +128,11 @@
                 .get(key)
                 .is_some_and(|wire| wire.has_unread())
         {
-            client.visit.held_up(now);
+            client.visit.restart_body_timer(now);
         }
         match client.visit.deadline(closing, &self.limits) {
             Some(at) if at <= now => {
-                let unread = client.visit.stage == Stage::Answering;
+                let unread = client.visit.stage == Stage::Responding;
                 self.client_gone(
                     now,
                     key,
@@ -178,28 +178,28 @@
     }
 
     pub(super) fn client_came(&mut self, now: Micros, key: ConnectionId) {
-        let most = self.limits.request_bytes;
+        let most = self.limits.max_request_bytes;
         let (Some(Role::Client(client)), Some(wire)) =
             (self.roles.get_mut(key), self.connections.get_mut(key))
         else {
             return;
         };
         match client.visit.stage {
-            Stage::Idle | Stage::Partial => {}
+            Stage::Idle | Stage::Receiving => {}
             Stage::Lingering => {
                 wire.input.clear();
                 // Closing with unread input would reset the connection and could destroy the
                 // answer.
                 return self.ready_again.extend(wire.has_unread().then_some(key));
             }
-            Stage::Open if client.upload.is_some() => return self.upload_came(now, key),
+            Stage::Processing if client.upload.is_some() => return self.upload_came(now, key),
             // Pipelined input waits until the request before it is answered.
-            Stage::Open | Stage::Answering => return,
+            Stage::Processing | Stage::Responding => return,
         }
         if wire.input.is_empty() && client.incoming.head().is_none() {
             return;
         }
-        client.visit.partial(now);
+        client.visit.begin_request(now);
         let read = client.incoming.read(&mut wire.input, most, &self.limits);
         let held = wire.input.len() + client.incoming.body.len();
         self.buffered_bytes = self.buffered_bytes + held - client.buffered_bytes;
@@ -207,10 +207,10 @@
         if let Err(fault) = read {
             return self.refuse(now, key, fault);
         }
-        if client.incoming.whole() {
+        if client.incoming.is_complete() {
             let incoming = std::mem::take(&mut client.incoming);
             (client.continue_sent, client.checked_by_head) = (false, false);
-            client.visit.taken(now);
+            client.visit.request_complete(now);
             wire.max_input_bytes = AHEAD.max(wire.input.len());
             if let Some((head, _, body)) = incoming.into_parts() {
                 self.take(now, key, head, body);
@@ -228,12 +228,15 @@
             return;
         };
         if let Some(head) = client.incoming.head() {
-            if client.incoming.longer(self.limits.kept_bytes) {
+            if client
+                .incoming
+                .is_longer_than(self.limits.max_buffered_request_bytes)
+            {
                 return self.begin_upload(now, key);
             }
-            let tell = head.expects && !std::mem::replace(&mut client.continue_sent, true);
+            let tell = head.expects_continue && !std::mem::replace(&mut client.continue_sent, true);
             let length = client.incoming.length;
-            client.visit.uploading(now, length);
+            client.visit.record_body_progress(now, length);
             if tell {
                 self.go_on(key);
             }
@@ -270,11 +273,11 @@
     }
 
     /// The input is not a valid request, or too long.
-    pub(super) fn refuse(&mut self, now: Micros, key: ConnectionId, fault: Malformed) {
+    pub(super) fn refuse(&mut self, now: Micros, key: ConnectionId, fault: ParseError) {
         let text = match fault {
-            Malformed::Syntax => "no request",
-            Malformed::HeadTooLarge => "head too large",
-            Malformed::BodyTooLarge => "body too large",
+            ParseError::Syntax => "no request",
+            ParseError::HeadTooLarge => "head too large",
+            ParseError::BodyTooLarge => "body too large",
         };
         self.client(key)
             .into_iter()
@@ -445,7 +448,7 @@
     }
 
     /// Ends a request as the module decided.
-    pub(super) fn end(&mut self, now: Micros, key: RequestKey, ending: Ending) {
+    pub(super) fn end(&mut self, now: Micros, key: RequestKey, ending: EngineRejection) {
         let Some(mut request) = self.requests.remove(key) else {
             return;
         };
@@ -455,16 +458,18 @@
             return self.answer_servers(now, request.client, &head, &body);
         }
         let answer = match ending {
-            Ending::Declined {
+            EngineRejection::Declined {
                 stay_away,
                 over_quota: true,
             } => away(429, stay_away, "over its quota"),
             _ if request.ran && now + MARGIN >= request.deadline => own(504, "no answer in time"),
             _ if request.ran => own(502, "no good answer"),
-            Ending::Declined { stay_away, .. } => {
+            EngineRejection::Declined { stay_away, .. } => {
                 away(503, stay_away.max(MS), "no server takes it")
             }
-            Ending::Failed | Ending::Expired { .. } => away(503, STAY_AWAY, "no server took it"),
+            EngineRejection::Failed | EngineRejection::Expired { .. } => {
+                away(503, STAY_AWAY, "no server took it")
+            }
         };
         self.answer_own(now, request.client, &answer);
     }
@@ -485,7 +490,7 @@
         };
         lines.extend(may_stay(&self.client_keep_alive, close));
         if let Some(out) = self.connections.output(key) {
-            framing::write_answer(out, own.status, &lines, body.as_bytes(), close);
+            framing::write_response(out, own.status, &lines, body.as_bytes(), close);
         }
     }
 
@@ -494,7 +499,7 @@
         &mut self,
         now: Micros,
         key: ConnectionId,
-        head: &AnswerHead,
+        head: &ResponseHead,
         body: &[u8],
     ) {
         let Some(close) = self.answering(now, key) else {
@@ -518,7 +523,7 @@
     /// Prepares the connection for its answer; returns whether the connection is closed after it,
     /// `None` if it is gone.
     pub(super) fn answering(&mut self, now: Micros, key: ConnectionId) -> Option<bool> {
-        let last = self.lifecycle.last_answers(now, &self.limits);
+        let last = self.lifecycle.closes_after_response(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return None;
         };
@@ -527,9 +532,12 @@
         client.incoming = Incoming::default();
         self.buffered_bytes -= std::mem::take(&mut client.buffered_bytes);
         // The rest of a body is read and discarded after the last answer.
-        let rest = client.upload.take().is_some_and(|upload| !upload.whole());
+        let rest = client
+            .upload
+            .take()
+            .is_some_and(|upload| !upload.is_complete());
         client.last |= last || rest;
-        client.visit.answering(now);
+        client.visit.begin_response(now);
         let close = client.last;
         self.arm(now, key);
         Some(close)
@@ -539,15 +547,15 @@
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
-        if client.visit.stage != Stage::Answering {
+        if client.visit.stage != Stage::Responding {
             return;
         }
         if let Some(source) = client.source {
-            client.visit.progress(now);
+            client.visit.record_write_progress(now);
             return self.relay_on(source);
         }
         let last = client.last;
-        client.visit.written(now, last);
+        client.visit.response_written(now, last);
         if let Some(wire) = self.connections.get_mut(key) {
             wire.max_input_bytes = WINDOW;
             self.buffered_bytes = self.buffered_bytes + wire.input.len() - client.buffered_bytes;
@@ -582,7 +590,7 @@
         let last = !request.keep_alive;
         self.roles.insert(key, Role::Check { last });
         if let Some(out) = self.connections.output(key) {
-            framing::write_answer(out, status, &[], b"", last);
+            framing::write_response(out, status, &[], b"", last);
         }
     }
 }
@@ -675,8 +683,8 @@
 }
 
 /// Whether a body is forwarded, with its length.
-pub(super) fn has_body(method: &str, extent: Extent) -> bool {
-    !matches!((method, extent), ("GET" | "HEAD", Extent::Length(0)))
+pub(super) fn has_body(method: &str, extent: BodyFraming) -> bool {
+    !matches!((method, extent), ("GET" | "HEAD", BodyFraming::Length(0)))
 }
 
 #[cfg(test)]
--- a/crates/proxy/src/host/close_reasons.rs
+++ b/crates/proxy/src/host/close_reasons.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use dataplane::visits::Stage;
+use dataplane::client_connection::Stage;
 use protocol::log_ring::IMMEDIATE;
 use slog::warn;
 
@@ -55,7 +55,7 @@
         };
         let wire = self.connections.get(key);
         let (unread, unwritten) = wire.map_or((0, 0), |wire| (wire.input.len(), wire.backlog()));
-        let owed = matches!(client.visit.stage, Stage::Open | Stage::Answering)
+        let owed = matches!(client.visit.stage, Stage::Processing | Stage::Responding)
             || (client.visit.stage == Stage::Idle && unread > 0);
         if closing == CloseReason::ClientClosed || !owed {
             return;
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -13,16 +13,16 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+use dataplane::client_connection::ClientConnection;
 use dataplane::clock::Clock;
 use dataplane::deadlines::Deadlines;
-use dataplane::engine::Ending;
-use dataplane::framing::{AnswerHead, Extent, Incoming, RequestHead};
-use dataplane::legs::{LegState, Pool};
+use dataplane::engine::EngineRejection;
+use dataplane::framing::{BodyFraming, Incoming, RequestHead, ResponseHead};
 use dataplane::lifecycle::Lifecycle;
 use dataplane::limits::Limits;
 use dataplane::slots::AuthorisationKey;
 use dataplane::upload::Upload;
-use dataplane::visits::Visit;
+use dataplane::upstreams::{Pool, UpstreamState};
 use eyre::{WrapErr, eyre};
 use protocol::connections::{ConnectionId, Connections, IoEvent};
 use protocol::items::Route;
@@ -89,7 +89,7 @@
 
 /// A client's connection.
 struct Client {
-    visit: Visit,
+    visit: ClientConnection,
     incoming: Incoming<RequestHead>,
     request: Option<RequestKey>,
     /// The earliest deadline scheduled for it.
@@ -112,8 +112,8 @@
 /// A connection to a server.
 struct UpstreamConnection {
     server: ServerId,
-    state: LegState<UpstreamPurpose>,
-    incoming: Incoming<AnswerHead>,
+    state: UpstreamState<UpstreamPurpose>,
+    incoming: Incoming<ResponseHead>,
     verdict: Option<ResponseClass>,
     /// The answer has no body, whatever its head says.
     bodiless: bool,
@@ -143,14 +143,14 @@
     /// The time that its client allowed.
     wait: Micros,
     /// How the body ends, where it is streamed.
-    coming: Option<Extent>,
+    coming: Option<BodyFraming>,
     ticket: RequestHandle,
     /// Connections on which it was sent to servers.
     sent_on: Vec<ConnectionId>,
     /// It may have run.
     ran: bool,
     /// A server's failure, which is forwarded if no better answer arrives.
-    failure: Option<(AnswerHead, Vec<u8>)>,
+    failure: Option<(ResponseHead, Vec<u8>)>,
 }
 
 /// Scheduled work.
@@ -262,24 +262,24 @@
             .wrap_err_with(|| format!("listening on bind.readyz {readyz}"))?;
         let log = ring.logger("proxy", &settings.node);
         let limits = Limits {
-            notice: SHUTDOWN_NOTICE,
-            drain: settings.bounds.grace.0 - GRACE_MARGIN,
-            connect: CONNECT_TIMEOUT,
-            body_bytes: MAX_BUFFERED_RESPONSE_BYTES,
-            answer_bytes: MAX_STREAMED_RESPONSE_BYTES,
+            shutdown_notice: SHUTDOWN_NOTICE,
+            shutdown_timeout: settings.bounds.grace.0 - GRACE_MARGIN,
+            connect_timeout: CONNECT_TIMEOUT,
+            max_buffered_body_bytes: MAX_BUFFERED_RESPONSE_BYTES,
+            max_response_bytes: MAX_STREAMED_RESPONSE_BYTES,
             ..Limits::default()
         };
         let now = clock.now();
         let mut deadlines = Deadlines::default();
-        deadlines.enter(now, Timer::Feed);
-        deadlines.enter(now + HEARTBEAT_INTERVAL, Timer::Beat);
-        deadlines.enter(now + overload::STEP, Timer::Load);
-        deadlines.enter(now + limits.leg_idle / 4, Timer::Retire);
+        deadlines.schedule(now, Timer::Feed);
+        deadlines.schedule(now + HEARTBEAT_INTERVAL, Timer::Beat);
+        deadlines.schedule(now + overload::STEP, Timer::Load);
+        deadlines.schedule(now + limits.upstream_idle_timeout / 4, Timer::Retire);
         let server_table = ServerTable::new(&settings.zone, settings.zones.clone());
         info!(log, "serving on {http}");
         Ok(Host {
             clock,
-            client_keep_alive: clients::stay(limits.acquirer_idle),
+            client_keep_alive: clients::stay(limits.client_idle_timeout),
             limits,
             log,
             ring,
@@ -315,7 +315,8 @@
     pub fn buffered_bytes(&self) -> usize {
         let of = |role: &Role| match role {
             Role::Client(client) => {
-                client.incoming.body.capacity() + client.upload.as_ref().map_or(0, Upload::held)
+                client.incoming.body.capacity()
+                    + client.upload.as_ref().map_or(0, Upload::buffered_bytes)
             }
             Role::Leg(leg) => leg.incoming.body.capacity(),
             Role::Check { .. } | Role::Agent => 0,
@@ -343,7 +344,7 @@
 
     /// The program may end.
     pub fn finished(&self) -> bool {
-        self.lifecycle.finished()
+        self.lifecycle.is_finished()
     }
 
     /// One turn of the event loop: waits for events or deadlines, at most for the given time, and
@@ -384,7 +385,7 @@
         for happening in happenings.drain(..) {
             self.handle_event(now, happening);
         }
-        while let Some(due) = self.deadlines.take_due(now) {
+        while let Some(due) = self.deadlines.pop_due(now) {
             self.handle_timer(now, due);
         }
         self.run_router(now);
@@ -451,7 +452,7 @@
         match self.roles.get_mut(key) {
             Some(Role::Leg(leg)) => {
                 leg.state = leg.state.connected();
-                if let Some(UpstreamPurpose::Leg(request, ..)) = leg.state.errand() {
+                if let Some(UpstreamPurpose::Leg(request, ..)) = leg.state.purpose() {
                     self.start_upload(request, key);
                 }
             }
@@ -480,7 +481,7 @@
                     .get(key)
                     .is_some_and(|wire| wire.backlog() > 0) => {}
             Some(Role::Leg(leg)) if leg.is_uploading => {
-                if let Some(UpstreamPurpose::Leg(request, ..)) = leg.state.errand() {
+                if let Some(UpstreamPurpose::Leg(request, ..)) = leg.state.purpose() {
                     self.feed_on(request);
                 }
             }
@@ -488,7 +489,7 @@
                 let before = leg.state;
                 leg.state = before.written();
                 if let (true, Some(UpstreamPurpose::Leg(_, ticket, _))) =
-                    (before != leg.state, leg.state.errand())
+                    (before != leg.state, leg.state.purpose())
                 {
                     self.router.handle_attempt_written(now, ticket);
                 }
@@ -542,7 +543,7 @@
     /// something to serve.
     fn stands(&self) -> NodeState {
         match (
-            self.lifecycle.ending(),
+            self.lifecycle.is_shutting_down(),
             self.agent_complete && self.config_store.is_ready() && self.server_table.any(),
         ) {
             (true, _) => NodeState::Draining,
@@ -553,12 +554,12 @@
 
     /// Begins the graceful shutdown: accepted requests are finished first.
     pub fn begin_shutdown(&mut self, now: Micros) {
-        if self.lifecycle.end(now) {
+        if self.lifecycle.begin_shutdown(now) {
             info!(self.log, "shutting down");
             self.deadlines
-                .enter(now + self.limits.notice, Timer::NoticeOver);
+                .schedule(now + self.limits.shutdown_notice, Timer::NoticeOver);
             self.deadlines
-                .enter(now + self.limits.drain, Timer::DrainOver);
+                .schedule(now + self.limits.shutdown_timeout, Timer::DrainOver);
             self.beat_now();
         }
     }
@@ -580,13 +581,13 @@
     fn drain_over(&mut self, now: Micros) {
         let owed: Vec<RequestKey> = self.requests.keys().collect();
         owed.into_iter()
-            .for_each(|request| self.end(now, request, Ending::Failed));
+            .for_each(|request| self.end(now, request, EngineRejection::Failed));
         self.lifecycle.finish();
     }
 
     /// At the end: no answer is owed any more, and no client is connected.
     fn is_drained(&mut self) {
-        if self.lifecycle.ending() && self.requests.is_empty() && self.clients == 0 {
+        if self.lifecycle.is_shutting_down() && self.requests.is_empty() && self.clients == 0 {
             self.lifecycle.finish();
         }
     }
--- a/crates/proxy/src/host/response_streams.rs
+++ b/crates/proxy/src/host/response_streams.rs
@@ -26,9 +26,9 @@
             return;
         };
         let incoming = std::mem::take(&mut leg.incoming);
-        let sent = leg.state.broken() == Outcome::Reset;
-        (leg.verdict, leg.state) = (None, LegState::Relaying);
-        let (extent, parts) = (incoming.extent, incoming.into_parts());
+        let sent = leg.state.outcome_if_broken() == Outcome::Reset;
+        (leg.verdict, leg.state) = (None, UpstreamState::Relaying);
+        let (extent, parts) = (incoming.framing, incoming.into_parts());
         let (Some((head, reader, come)), UpstreamPurpose::Leg(request, ticket, number)) =
             (parts, errand)
         else {
@@ -58,7 +58,7 @@
             .filter(|(name, _)| is_forwarded(name))
             .chain(may_stay(&self.client_keep_alive, close));
         let relay = Relay::begin((&head, extent), reader, &come, lines, close, out);
-        let patience = (relay.reusable() && sent).then(|| self.patience(&head));
+        let patience = (relay.is_reusable() && sent).then(|| self.patience(&head));
         if let Some(Role::Leg(leg)) = self.roles.get_mut(key) {
             leg.relay = Some(ResponseStream {
                 relay,
@@ -70,7 +70,8 @@
         if let Some(Role::Client(client)) = self.roles.get_mut(to) {
             client.source = Some(key);
         }
-        self.deadlines.enter(deadline.max(now), Timer::Relay(key));
+        self.deadlines
+            .schedule(deadline.max(now), Timer::Relay(key));
         self.relay_came(now, key);
     }
 
@@ -88,15 +89,19 @@
         let Some(out) = self.connections.output(to) else {
             return;
         };
-        let passed = passage.relay.pass(&mut input, out);
+        let passed = passage.relay.forward(&mut input, out);
         let (held_up, clean) = (!out.is_empty(), input.is_empty());
         if let Some(wire) = self.connections.get_mut(key) {
             wire.input = input;
-            wire.max_input_bytes = if held_up { 0 } else { self.limits.relay_window };
+            wire.max_input_bytes = if held_up {
+                0
+            } else {
+                self.limits.relay_window_bytes
+            };
         }
         match passed {
             Err(_) => self.cut(now, key, CloseReason::MalformedBody),
-            Ok(()) if passage.relay.whole() => self.relay_whole(now, key, clean),
+            Ok(()) if passage.relay.is_complete() => self.relay_whole(now, key, clean),
             Ok(()) => {}
         }
     }
@@ -109,13 +114,13 @@
         let Some(passage) = leg.relay.take() else {
             return;
         };
-        leg.state = LegState::Idle;
+        leg.state = UpstreamState::Idle;
         let (server, patience) = (leg.server, passage.patience.filter(|_| clean));
         leg.until = now + patience.unwrap_or(0);
         if let Some(Role::Client(client)) = self.roles.get_mut(passage.to) {
             client.source = None;
         }
-        if !(patience.is_some() && self.pool.rest(server, key, now)) {
+        if !(patience.is_some() && self.pool.release(server, key, now)) {
             self.close_leg(key);
         } else if let Some(wire) = self.connections.get_mut(key) {
             wire.input = Vec::new();
@@ -127,7 +132,7 @@
     /// The client has taken what was forwarded: more may be read.
     pub(super) fn relay_on(&mut self, source: ConnectionId) {
         if let Some(wire) = self.connections.get_mut(source) {
-            wire.max_input_bytes = self.limits.relay_window;
+            wire.max_input_bytes = self.limits.relay_window_bytes;
             self.ready_again.push(source);
         }
     }
@@ -164,7 +169,7 @@
             &self.limits,
         );
         match until > now {
-            true => self.deadlines.enter(until, Timer::Relay(key)),
+            true => self.deadlines.schedule(until, Timer::Relay(key)),
             false => self.cut(now, key, CloseReason::ResponseTimeout),
         }
     }
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -1,7 +1,7 @@
 //! Streams long request bodies from the client's connection to the server's. Such a body is sent to
 //! one server only; the request has not run until the last byte is written there.
 
-use dataplane::framing::{Extent, Malformed};
+use dataplane::framing::{BodyFraming, ParseError};
 use dataplane::upload::Upload;
 
 use super::clients::{AHEAD, Coming};
@@ -14,7 +14,7 @@
             return;
         };
         let incoming = std::mem::take(&mut client.incoming);
-        let (extent, come) = (incoming.extent, incoming.length);
+        let (extent, come) = (incoming.framing, incoming.length);
         let Some((head, reader, body)) = incoming.into_parts() else {
             return;
         };
@@ -22,19 +22,21 @@
         client.last = !head.keep_alive;
         client.checked_by_head = false;
         let told = std::mem::take(&mut client.continue_sent);
-        client.visit.taken(now);
-        client.visit.uploading(now, come);
+        client.visit.request_complete(now);
+        client.visit.record_body_progress(now, come);
         // The client's time-out counts from its last byte.
         let left = match extent {
-            Extent::Length(length) => length.saturating_sub(come),
-            Extent::Chunked | Extent::UntilClose => self.limits.request_bytes.saturating_sub(come),
+            BodyFraming::Length(length) => length.saturating_sub(come),
+            BodyFraming::Chunked | BodyFraming::UntilClose => {
+                self.limits.max_request_bytes.saturating_sub(come)
+            }
         };
-        let more = (left / self.limits.body_pace.max(1)) as Micros * SECOND;
+        let more = (left / self.limits.min_body_bytes_per_s.max(1)) as Micros * SECOND;
         let coming = Coming {
             extent,
-            more: more.min(self.limits.upload_longest),
+            more: more.min(self.limits.max_upload_extension),
         };
-        let expects = head.expects && !told;
+        let expects = head.expects_continue && !told;
         if let Err(own) = self.admit(now, key, head, Vec::new(), Some(coming)) {
             return self.answer_own(now, key, &own);
         }
@@ -52,27 +54,33 @@
         else {
             return;
         };
-        let Some(upload) = client.upload.as_mut().filter(|upload| !upload.whole()) else {
+        let Some(upload) = client
+            .upload
+            .as_mut()
+            .filter(|upload| !upload.is_complete())
+        else {
             return;
         };
         let mut input = std::mem::take(&mut wire.input);
-        let leg = upload.leg();
+        let leg = upload.attempt();
         let mut out = leg.and_then(|leg| self.connections.output(leg));
-        let taken = upload.take(&mut input, out.as_deref_mut());
-        let (whole, window) = (upload.whole(), self.limits.relay_window);
+        let taken = upload.read(&mut input, out.as_deref_mut());
+        let (whole, window) = (upload.is_complete(), self.limits.relay_window_bytes);
         // No more than one window is buffered on either side.
         let room = match out {
             Some(out) if out.is_empty() => window,
             Some(_) => 0,
-            None => window.saturating_sub(upload.held()),
+            None => window.saturating_sub(upload.buffered_bytes()),
         };
-        let held = input.len() + upload.held();
+        let held = input.len() + upload.buffered_bytes();
         self.buffered_bytes = self.buffered_bytes + held - client.buffered_bytes;
         client.buffered_bytes = held;
         if whole {
-            client.visit.taken(now);
+            client.visit.request_complete(now);
         } else {
-            client.visit.uploading(now, upload.come());
+            client
+                .visit
+                .record_body_progress(now, upload.received_bytes());
         }
         if let Some(wire) = self.connections.get_mut(key) {
             wire.max_input_bytes = if whole { AHEAD.max(input.len()) } else { room };
@@ -95,7 +103,8 @@
         };
         if let Some(known) = self.requests.get_mut(request) {
             known.deadline = known.deadline.min(now + known.wait);
-            self.deadlines.enter(known.deadline, Timer::Late(request));
+            self.deadlines
+                .schedule(known.deadline, Timer::Late(request));
         }
     }
 
@@ -112,8 +121,8 @@
         let (Some(upload), Some(out)) = (&mut client.upload, self.connections.output(wire)) else {
             return;
         };
-        upload.start(wire, out);
-        let whole = upload.whole();
+        upload.start_attempt(wire, out);
+        let whole = upload.is_complete();
         self.router.handle_body_sent(ticket);
         if let Some(Role::Leg(leg)) = self.roles.get_mut(wire) {
             leg.is_uploading = !whole;
@@ -126,14 +135,14 @@
             return;
         };
         if let Some(wire) = self.connections.get_mut(from) {
-            wire.max_input_bytes = self.limits.relay_window;
+            wire.max_input_bytes = self.limits.relay_window_bytes;
             self.ready_again.push(from);
         }
     }
 
     /// The body is malformed or too long. Its end was never written, so that the server never runs
     /// the request.
-    fn end_upload(&mut self, now: Micros, key: ConnectionId, fault: Malformed) {
+    fn end_upload(&mut self, now: Micros, key: ConnectionId, fault: ParseError) {
         if let Some(request) = self.client(key).and_then(|client| client.request.take()) {
             self.leave_off(now, request);
         }
@@ -150,7 +159,7 @@
             return;
         };
         let ticket = request.ticket;
-        self.end(now, key, Ending::Failed);
+        self.end(now, key, EngineRejection::Failed);
         self.router.handle_client_left(now, ticket, &mut self.steps);
     }
 }
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -2,8 +2,8 @@
 
 use std::io::Write;
 
-use dataplane::engine::Ending;
-use dataplane::framing::Extent;
+use dataplane::engine::EngineRejection;
+use dataplane::framing::BodyFraming;
 use protocol::connections::Connection;
 use protocol::items::Idempotency;
 
@@ -60,7 +60,7 @@
         let left = (request.deadline - now).min(request.wait).max(0) / MS;
         let extent = request
             .coming
-            .unwrap_or(Extent::Length(request.body.len() as u64));
+            .unwrap_or(BodyFraming::Length(request.body.len() as u64));
         if let Some(Role::Leg(leg)) = self.roles.get_mut(wire) {
             leg.bodiless = request.method == "HEAD";
         }
@@ -72,11 +72,11 @@
         out.extend_from_slice(&request.lines);
         let _ = write!(out, "X-Time-Left: {left}\r\nX-Want-Instance: {id}\r\n");
         match extent {
-            Extent::Length(length) if has_body(&request.method, extent) => {
+            BodyFraming::Length(length) if has_body(&request.method, extent) => {
                 let _ = write!(out, "Content-Length: {length}\r\n");
             }
-            Extent::Length(_) => {}
-            Extent::Chunked | Extent::UntilClose => {
+            BodyFraming::Length(_) => {}
+            BodyFraming::Chunked | BodyFraming::UntilClose => {
                 out.extend_from_slice(b"Transfer-Encoding: chunked\r\n")
             }
         }
@@ -105,14 +105,14 @@
         let mut found = None;
         while let Some(key) = Some(server)
             .filter(|_| !anew && found.is_none())
-            .and_then(|s| self.pool.reuse(s))
+            .and_then(|s| self.pool.acquire(s))
         {
             match self.roles.get_mut(key) {
                 Some(Role::Leg(leg)) if leg.until > now && once && leg.had_response_without_id => {
                     spared.push(key)
                 }
                 Some(Role::Leg(leg)) if leg.until > now && !sent_on.contains(&key) => {
-                    leg.state = LegState::Sending(errand);
+                    leg.state = UpstreamState::Sending(errand);
                     leg.bytes_sent_before =
                         self.connections.get(key).map_or(0, Connection::sent_bytes);
                     found = Some(key);
@@ -122,7 +122,7 @@
         }
         // For requests that may be retried.
         for key in spared.into_iter().rev() {
-            if !self.pool.rest(server, key, now) {
+            if !self.pool.release(server, key, now) {
                 self.close_leg(key);
             }
         }
@@ -130,7 +130,7 @@
             return Ok(key);
         }
         if self.pool.connections() >= LEGS
-            && let Some(idle) = self.pool.idlest()
+            && let Some(idle) = self.pool.longest_idle()
         {
             self.close_leg(idle);
         }
@@ -144,7 +144,7 @@
             .map_err(|_| Outcome::ConnectFailed)?;
         let leg = UpstreamConnection {
             server,
-            state: LegState::Connecting(errand),
+            state: UpstreamState::Connecting(errand),
             incoming: Incoming::default(),
             verdict: None,
             bodiless: false,
@@ -159,15 +159,15 @@
             .get_mut(key)
             .into_iter()
             .for_each(|wire| wire.max_input_bytes = ANSWER_ROOM);
-        self.pool.opened(server);
+        self.pool.connection_opened(server);
         self.deadlines
-            .enter(now + CONNECT_TIMEOUT, Timer::Connect(key));
+            .schedule(now + CONNECT_TIMEOUT, Timer::Connect(key));
         Ok(key)
     }
 
     pub(super) fn close_leg(&mut self, key: ConnectionId) {
         if let Some(Role::Leg(leg)) = self.roles.remove(key) {
-            self.pool.closed(leg.server, key);
+            self.pool.connection_closed(leg.server, key);
         }
         self.connections.close(key);
     }
@@ -187,16 +187,18 @@
             })
             .collect();
         for server in gone {
-            let idle = self.pool.unlisted(server);
+            let idle = self.pool.remove_server(server);
             self.close_idle(idle);
         }
     }
 
     pub(super) fn retire(&mut self, now: Micros) {
-        let old = self.pool.retire(now - self.limits.leg_idle);
+        let old = self
+            .pool
+            .take_expired(now - self.limits.upstream_idle_timeout);
         self.close_idle(old);
         self.deadlines
-            .enter(now + self.limits.leg_idle / 4, Timer::Retire);
+            .schedule(now + self.limits.upstream_idle_timeout / 4, Timer::Retire);
     }
 
     /// The outcome of an attempt whose connection ends now. For a request that is not idempotent
@@ -208,12 +210,12 @@
         };
         let begun = wire.sent_bytes() > leg.bytes_sent_before;
         Some(match leg.state {
-            LegState::Sending(UpstreamPurpose::Leg(request, ..))
+            UpstreamState::Sending(UpstreamPurpose::Leg(request, ..))
                 if begun && !self.repeatable(request) =>
             {
                 Outcome::Reset
             }
-            state => state.broken(),
+            state => state.outcome_if_broken(),
         })
     }
 
@@ -237,7 +239,7 @@
         let Some(Role::Leg(leg)) = self.roles.get(key) else {
             return;
         };
-        let Some(UpstreamPurpose::Leg(request, own, out)) = leg.state.errand() else {
+        let Some(UpstreamPurpose::Leg(request, own, out)) = leg.state.purpose() else {
             return;
         };
         if own != ticket || out != number {
@@ -261,7 +263,7 @@
             if leg.relay.is_some() {
                 return self.relay_came(now, key);
             }
-            let Some(errand) = leg.state.errand() else {
+            let Some(errand) = leg.state.purpose() else {
                 // Nothing is in flight on it: the bytes belong to no request.
                 if !wire.input.is_empty() {
                     self.close_leg(key);
@@ -273,7 +275,11 @@
             }
             if leg
                 .incoming
-                .read(&mut wire.input, self.limits.answer_bytes, &self.limits)
+                .read(
+                    &mut wire.input,
+                    self.limits.max_response_bytes,
+                    &self.limits,
+                )
                 .is_err()
             {
                 return self.leg_done(now, key, errand, ResponseClass::Malformed);
@@ -290,7 +296,7 @@
                 }
                 (None, UpstreamPurpose::Probe(_)) => ResponseClass::Final,
                 (None, UpstreamPurpose::Leg(request, ..)) => match self.requests.get(request) {
-                    Some(request) => classify(head, leg.incoming.extent, &request.id),
+                    Some(request) => classify(head, leg.incoming.framing, &request.id),
                     None => return self.close_leg(key),
                 },
             };
@@ -299,7 +305,7 @@
             if verdict == ResponseClass::Malformed {
                 return self.leg_done(now, key, errand, verdict);
             }
-            if !leg.incoming.whole() && !leg.bodiless {
+            if !leg.incoming.is_complete() && !leg.bodiless {
                 let own = if matches!(errand, UpstreamPurpose::Leg(..)) {
                     verdict
                 } else {
@@ -324,12 +330,12 @@
     }
 
     /// How long an idle connection may be used after this answer.
-    pub(super) fn patience(&self, head: &AnswerHead) -> Micros {
+    pub(super) fn patience(&self, head: &ResponseHead) -> Micros {
         let told = head.headers.get("Keep-Alive").and_then(keep_alive_seconds);
         let told = told.map_or(Micros::MAX, |seconds| {
             Micros::from(seconds) * SECOND - EARLY
         });
-        told.min(self.limits.leg_idle)
+        told.min(self.limits.upstream_idle_timeout)
     }
 
     /// The answer on a connection is complete, or can't become valid any more.
@@ -347,12 +353,12 @@
         };
         let incoming = std::mem::take(&mut leg.incoming);
         let (server, bodiless) = (leg.server, leg.bodiless);
-        let sent = leg.state.broken() == Outcome::Reset;
+        let sent = leg.state.outcome_if_broken() == Outcome::Reset;
         leg.verdict = None;
         let parts = incoming.into_parts();
-        let reusable = parts.as_ref().is_some_and(|(head, ..)| head.reusable()) && !bodiless;
+        let reusable = parts.as_ref().is_some_and(|(head, ..)| head.is_reusable()) && !bodiless;
         let keep = reusable && sent && wire.input.is_empty() && verdict != ResponseClass::Malformed;
-        leg.state = LegState::Idle;
+        leg.state = UpstreamState::Idle;
         let patience = parts.as_ref().map_or(0, |(head, ..)| self.patience(head));
         if let Some(Role::Leg(leg)) = self.roles.get_mut(key) {
             leg.until = now + patience;
@@ -360,7 +366,7 @@
         if let UpstreamPurpose::Leg(_, ticket, _) = errand {
             self.upstreams.remove(&(ticket.engine, ticket.key));
         }
-        if !(keep && self.pool.rest(server, key, now)) {
+        if !(keep && self.pool.release(server, key, now)) {
             self.close_leg(key);
         }
         match errand {
@@ -388,7 +394,7 @@
         (key, ticket, leg): (RequestKey, RequestHandle, u32),
         server: ServerId,
         verdict: ResponseClass,
-        answer: Option<(AnswerHead, Vec<u8>)>,
+        answer: Option<(ResponseHead, Vec<u8>)>,
     ) {
         if verdict == ResponseClass::WrongServer {
             self.server_table.mark_wrong_server(server);
@@ -412,7 +418,7 @@
             }
             (Some(request), None) => {
                 let request = self.requests.insert(request);
-                self.end(now, request, Ending::Failed);
+                self.end(now, request, EngineRejection::Failed);
             }
             (None, _) => {}
         }
@@ -426,7 +432,7 @@
         if leg.relay.is_some() {
             return self.cut(now, key, CloseReason::ServerBroke);
         }
-        let (errand, server) = (leg.state.errand(), leg.server);
+        let (errand, server) = (leg.state.purpose(), leg.server);
         let outcome = self.ends_as(key).unwrap_or(Outcome::Reset);
         self.close_leg(key);
         match errand {
@@ -472,17 +478,17 @@
         };
         let wait = self
             .limits
-            .probe_wait
+            .probe_timeout
             .max(self.router.probe_timeout(engine))
             + way;
-        self.deadlines.enter(now + wait, Timer::Probe(key));
+        self.deadlines.schedule(now + wait, Timer::Probe(key));
     }
 
     pub(super) fn probe_due(&mut self, now: Micros, key: ConnectionId) {
         let Some(Role::Leg(leg)) = self.roles.get(key) else {
             return;
         };
-        if let Some(UpstreamPurpose::Probe(engine)) = leg.state.errand() {
+        if let Some(UpstreamPurpose::Probe(engine)) = leg.state.purpose() {
             let server = leg.server;
             self.close_leg(key);
             self.router
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use dataplane::engine::{Authorisation, Ending, Engine, Order};
+use dataplane::engine::{Authorisation, Engine, EngineAction, EngineRejection};
 use dataplane::slots::AuthorisationKey;
 use protocol::items::{Route, Tenant};
 use protocol::messages::CounterAdd;
@@ -61,7 +61,7 @@
     /// Close the connection of an attempt; its outcome is known.
     Stop(RequestHandle, u32),
     /// Send the final answer.
-    Answer(RequestKey, Ending),
+    Answer(RequestKey, EngineRejection),
     /// Add to the shared counter; report with [`RequestRouter::handle_count`].
     Count(CounterAdd),
     /// Check a server's health, for the engine at this position.
@@ -176,7 +176,7 @@
     /// position.
     plans: [Plans; 2],
     positions: usize,
-    engine_actions: Vec<Order>,
+    engine_actions: Vec<EngineAction>,
 }
 
 /// The settings of both kinds of engines.
@@ -279,7 +279,7 @@
             ..Authorisation::default()
         };
         let judge = &mut self.engines[0];
-        let key = judge.engine.take(now, authorisation).ok()?;
+        let key = judge.engine.submit(now, authorisation).ok()?;
         judge.requests.insert(key, asked.request);
         self.pending_placements.insert(key, onward);
         Some(RequestHandle { engine: 0, key })
@@ -304,7 +304,7 @@
     pub fn next(&self) -> Option<Micros> {
         self.engines
             .iter()
-            .filter_map(|basin| basin.engine.next())
+            .filter_map(|basin| basin.engine.next_wakeup())
             .min()
     }
 
@@ -318,7 +318,7 @@
     ) {
         for at in 0..self.engines.len() {
             let mut orders = std::mem::take(&mut self.engine_actions);
-            self.engines[at].engine.handle(now, &mut orders);
+            self.engines[at].engine.run(now, &mut orders);
             for order in orders.drain(..) {
                 self.carry_out(now, at, order, steps, &mut moved);
             }
@@ -330,14 +330,16 @@
         &mut self,
         now: Micros,
         at: usize,
-        order: Order,
+        order: EngineAction,
         steps: &mut Vec<RouterAction>,
         moved: &mut impl FnMut(RequestKey, RequestHandle),
     ) {
         let basin = &mut self.engines[at];
         match order {
-            Order::StartLeg { key, leg, .. } if at == 0 => {
-                basin.engine.leg_ended(now, key, leg, Outcome::Ok, None);
+            EngineAction::StartAttempt { key, leg, .. } if at == 0 => {
+                basin
+                    .engine
+                    .handle_attempt_ended(now, key, leg, Outcome::Ok, None);
                 let (request, onward) = (
                     basin.requests.remove(key),
                     self.pending_placements.remove(key),
@@ -357,7 +359,7 @@
                 match self.place(now, request, &onward, turn) {
                     Some(ticket) => moved(request, ticket),
                     None => {
-                        let ending = Ending::Declined {
+                        let ending = EngineRejection::Declined {
                             stay_away: STAY_AWAY / 4,
                             over_quota: false,
                         };
@@ -365,7 +367,7 @@
                     }
                 }
             }
-            Order::StartLeg {
+            EngineAction::StartAttempt {
                 key, leg, server, ..
             } => match basin.requests.get(key) {
                 Some(request) => {
@@ -377,12 +379,16 @@
                         server,
                     });
                 }
-                None => _ = basin.engine.leg_ended(now, key, leg, Outcome::Moot, None),
+                None => {
+                    _ = basin
+                        .engine
+                        .handle_attempt_ended(now, key, leg, Outcome::Moot, None)
+                }
             },
-            Order::StopLeg { key, leg } => {
+            EngineAction::StopAttempt { key, leg } => {
                 steps.push(RouterAction::Stop(RequestHandle { engine: at, key }, leg))
             }
-            Order::Answer { key, ending } => {
+            EngineAction::Reject { key, ending } => {
                 let onward = if at == 0 {
                     self.pending_placements.remove(key)
                 } else {
@@ -392,13 +398,13 @@
                 if let Some(onward) = onward.as_ref().filter(|onward| onward.beyond.is_none()) {
                     self.quota_shares.refund(&onward.tenant);
                 }
-                let ending = beyond.map_or(ending, |wait| Ending::Declined {
+                let ending = beyond.map_or(ending, |wait| EngineRejection::Declined {
                     stay_away: wait.clamp(SHARE_AWAY, STAY_AWAY),
                     over_quota: true,
                 });
                 match (ending, onward) {
                     (
-                        Ending::Declined {
+                        EngineRejection::Declined {
                             over_quota: true, ..
                         },
                         Some(onward),
@@ -410,7 +416,7 @@
                             onward.first.then_some(counted),
                         );
                     }
-                    (Ending::Declined { .. }, _)
+                    (EngineRejection::Declined { .. }, _)
                         if at > 0 && self.engines[at].waiting.remove(key).is_none() =>
                     {
                         self.shedding.record_no_server(now, &self.engines[at].svc);
@@ -425,15 +431,15 @@
                         .map(|request| RouterAction::Answer(request, ending)),
                 );
             }
-            Order::Count { name, add, life } => {
+            EngineAction::AddToCounter { name, add, life } => {
                 steps.push(RouterAction::Count(CounterAdd {
                     counter: name.0,
                     units: add,
                     ttl: life,
                 }));
             }
-            Order::Probe(server) => steps.push(RouterAction::Probe(at, server)),
-            Order::Tell(..) | Order::Log(_) => {}
+            EngineAction::Probe(server) => steps.push(RouterAction::Probe(at, server)),
+            EngineAction::Notify(..) | EngineAction::Log(_) => {}
         }
     }
 
@@ -446,12 +452,14 @@
         outcome: Outcome,
     ) -> bool {
         let basin = &mut self.engines[ticket.engine];
-        if let Some((class, sent)) = basin.engine.out_since(ticket.key) {
+        if let Some((class, sent)) = basin.engine.in_flight_since(ticket.key) {
             let times = (now - sent, AIMS[class % AIMS.len()]);
             self.shedding
                 .record_outcome(now, &basin.svc, outcome, times);
         }
-        let last = basin.engine.leg_ended(now, ticket.key, leg, outcome, None);
+        let last = basin
+            .engine
+            .handle_attempt_ended(now, ticket.key, leg, outcome, None);
         if last {
             basin.requests.remove(ticket.key);
         }
@@ -460,14 +468,16 @@
 
     /// A streamed body was sent to a server and is no longer here: there can be no other attempt.
     pub fn handle_body_sent(&mut self, ticket: RequestHandle) {
-        self.engines[ticket.engine].engine.body_gone(ticket.key);
+        self.engines[ticket.engine]
+            .engine
+            .handle_body_sent(ticket.key);
     }
 
     /// The last byte of an attempt is written.
     pub fn handle_attempt_written(&mut self, now: Micros, ticket: RequestHandle) {
         self.engines[ticket.engine]
             .engine
-            .leg_written(now, ticket.key);
+            .handle_attempt_written(now, ticket.key);
     }
 
     /// The client disconnected.
@@ -488,7 +498,9 @@
             self.quota_shares.refund(&onward.tenant);
         }
         let mut orders = std::mem::take(&mut self.engine_actions);
-        basin.engine.client_left(now, ticket.key, &mut orders);
+        basin
+            .engine
+            .handle_client_left(now, ticket.key, &mut orders);
         for order in orders.drain(..) {
             self.carry_out(now, ticket.engine, order, steps, &mut |_, _| {});
         }
@@ -500,12 +512,12 @@
         self.quota_shares.handle_call_result(outcome == Outcome::Ok);
         self.engines[0]
             .engine
-            .counted(CounterName(name), outcome, total);
+            .handle_counter_result(CounterName(name), outcome, total);
     }
 
     /// The counter answered a call that had timed out.
     pub fn handle_late_count(&mut self) {
-        self.engines[0].engine.counter_late();
+        self.engines[0].engine.handle_late_counter_result();
     }
 
     /// Sets the term of the counter's owner; `None` while there is none.
@@ -513,7 +525,7 @@
         let Some(term) = term else { return };
         let before = self.holder.replace(term);
         if before.is_some_and(|held| held != term) {
-            self.engines[0].engine.counter_new();
+            self.engines[0].engine.handle_counter_replaced();
         }
         // A proxy that starts does not know for how long this owner has been counting. A replica
         // that was isolated names the owner of a former term; that one counts nothing any more, so
@@ -534,12 +546,15 @@
     pub fn handle_probe_result(&mut self, engine: usize, server: ServerId, outcome: Outcome) {
         self.engines[engine]
             .engine
-            .probe_ended(server, outcome, None);
+            .handle_probe_result(server, outcome, None);
     }
 
     /// Requests whose final answer is owed.
     pub fn open_requests(&self) -> usize {
-        self.engines.iter().map(|basin| basin.engine.open()).sum()
+        self.engines
+            .iter()
+            .map(|basin| basin.engine.open_requests())
+            .sum()
     }
 }
 
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -97,7 +97,9 @@
 
     /// Replaces the servers of an engine.
     pub fn listed(&mut self, engine: usize, entries: Vec<ServerEntry>) {
-        self.engines[engine].engine.listed(ListKind::Full, entries);
+        self.engines[engine]
+            .engine
+            .update_servers(ListKind::Full, entries);
     }
 
     /// The engine of a service in these regions; where there is none, [`RequestRouter::open`] is
@@ -165,7 +167,7 @@
             waits,
             ..Authorisation::default()
         };
-        let key = self.engines[basin].engine.take(now, authorisation).ok()?;
+        let key = self.engines[basin].engine.submit(now, authorisation).ok()?;
         self.engines[basin].requests.insert(key, request);
         if turn.is_shed() {
             self.engines[basin].waiting.insert(key, ());
--- a/crates/proxy/src/router/quota_engine.rs
+++ b/crates/proxy/src/router/quota_engine.rs
@@ -97,7 +97,7 @@
         weight: 1.0,
         started: 0,
     };
-    engine.listed(ListKind::Full, vec![through]);
+    engine.update_servers(ListKind::Full, vec![through]);
     engine
 }
 
@@ -176,7 +176,7 @@
             window: COUNTED,
             ..Plan::default()
         };
-        self.engines[0].engine.plan_added(plan);
+        self.engines[0].engine.add_plan(plan);
         position
     }
 }
--- a/crates/proxy/src/router/tests.rs
+++ b/crates/proxy/src/router/tests.rs
@@ -96,7 +96,7 @@
                     }
                     RouterAction::Answer(
                         _,
-                        Ending::Declined {
+                        EngineRejection::Declined {
                             over_quota: true, ..
                         },
                     ) => self.refused += 1,
@@ -347,7 +347,7 @@
             RouterAction::Count(add) => counts.push(add),
             RouterAction::Answer(
                 _,
-                Ending::Declined {
+                EngineRejection::Declined {
                     over_quota: false, ..
                 },
             ) => assert!(!leave),
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 
 use dataplane::clock::Clock;
-use dataplane::framing::{self, Answer, Request};
+use dataplane::framing::{self, Request, Response};
 use dataplane::limits::Limits;
 use protocol::connections::IoEvent;
 use protocol::frames;
@@ -72,8 +72,8 @@
     }
 
     /// A whole answer, once there is one.
-    pub fn answer(&mut self) -> Option<Answer> {
-        let (answer, length) = framing::answer(&self.input, false, &limits()).unwrap()?;
+    pub fn answer(&mut self) -> Option<Response> {
+        let (answer, length) = framing::response(&self.input, false, &limits()).unwrap()?;
         self.input.drain(..length);
         Some(answer)
     }
@@ -202,7 +202,7 @@
 
 fn limits() -> Limits {
     Limits {
-        body_bytes: 64 << 20,
+        max_buffered_body_bytes: 64 << 20,
         ..Limits::default()
     }
 }
@@ -378,7 +378,7 @@
     }
 
     /// The next answer on a client's connection.
-    pub fn answer(&mut self, client: usize) -> Answer {
+    pub fn answer(&mut self, client: usize) -> Response {
         self.until("answer", |bench| bench.clients[client].answer())
     }
 
--- a/crates/simulation/src/edges.rs
+++ b/crates/simulation/src/edges.rs
@@ -9,7 +9,7 @@
 
 use agent::config_cache::ConfigCache;
 use agent::replica_selection::{HOME_RETRY_INTERVAL, ReplicaSelection};
-use dataplane::clock::FIRST;
+use dataplane::clock::STEADY_CLOCK_START;
 use protocol::items::{Item, ItemKind, ItemName};
 use protocol::messages::{CounterAdd, NodeState};
 use protocol::settings::Bounds;
@@ -272,7 +272,7 @@
     fn edge_clock(&self, at: usize, incarnation: u64) -> Steady {
         let drawn = mix(&[self.seed, 4, at as u64, incarnation]);
         Steady {
-            offset: FIRST - self.now + (drawn % 1_000) as i64,
+            offset: STEADY_CLOCK_START - self.now + (drawn % 1_000) as i64,
             ppm: (drawn >> 40) as i64 % 201 - 100,
         }
     }
--- a/crates/simulation/src/edges/proxies.rs
+++ b/crates/simulation/src/edges/proxies.rs
@@ -1,6 +1,6 @@
 //! The proxies of the edges.
 
-use dataplane::engine::Ending;
+use dataplane::engine::EngineRejection;
 use protocol::items::ItemName;
 use protocol::messages::{AgentMessage, ControlMessage};
 use proxy::config_store::ConfigStore;
@@ -232,7 +232,9 @@
                     }
                     RouterAction::Answer(
                         request,
-                        Ending::Declined { .. } | Ending::Failed | Ending::Expired { .. },
+                        EngineRejection::Declined { .. }
+                        | EngineRejection::Failed
+                        | EngineRejection::Expired { .. },
                     ) => {
                         proxy.keys.remove(request);
                     }
