--- a/crates/dataplane/src/client_connection.rs
+++ b/crates/dataplane/src/client_connection.rs
@@ -1,50 +1,50 @@
-//! What becomes of one connection of the acquirer side, without any input or output: what is owed on it, and until
-//! when it may stay as it is.
+//! The state machine of a client's connection: which answer is owed on it, and until when it may
+//! stay in its state. Without I/O.
 
 use streamarch::Micros;
 
 use crate::limits::Limits;
 
-/// Where a connection of the acquirer side stands.
+/// The stage of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// No request is there: nothing of one has come.
+    /// No part of a request has arrived.
     Idle,
-    /// A part of a request has come.
+    /// Part of a request has arrived.
     Receiving,
-    /// A whole request was taken, and its answer is owed.
+    /// A complete request was accepted, and its answer is owed.
     Processing,
-    /// An answer is being written.
+    /// The answer is being written.
     Responding,
-    /// The last answer is written, and the client is left the time to read it.
+    /// The last answer is written, and the client has time to read it.
     Lingering,
 }
 
-/// A connection of the acquirer side.
+/// A client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientConnection {
-    /// Where it stands.
+    /// Its stage.
     pub stage: Stage,
-    /// Since when.
+    /// Since when it has been in this stage.
     pub since: Micros,
-    /// An answer has been written on it before.
+    /// Whether an answer was written on it before.
     pub has_responded: bool,
-    /// Of a request whose head is whole and whose body is coming: how that goes.
+    /// Progress of a request body whose head is complete.
     body: Option<BodyProgress>,
 }
 
-/// A body on its way in.
+/// Progress of a body that is being received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct BodyProgress {
-    /// Since when its head has been whole.
+    /// When its head was complete.
     since: Micros,
-    /// When something last came, and how much has.
+    /// When bytes last arrived, and how many there are.
     last_received_at: Micros,
     bytes: u64,
 }
 
 impl ClientConnection {
-    /// A connection that was taken now.
+    /// A connection that was just accepted.
     pub fn new(now: Micros) -> ClientConnection {
         ClientConnection {
             stage: Stage::Idle,
@@ -58,8 +58,8 @@
         (self.stage, self.since, self.body) = (stage, now, None);
     }
 
-    /// A part of a request is there. The first one of a connection has its time from the connection's start, so
-    /// that silence before it gains none.
+    /// Part of a request has arrived. The first request's time counts from the start of the
+    /// connection, so that silence before it gains nothing.
     pub fn begin_request(&mut self, now: Micros) {
         if self.stage == Stage::Idle {
             let since = if self.has_responded { now } else { self.since };
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The head is whole, and so much of the body has come.
+    /// The head is complete, and this much of the body has arrived.
     pub fn record_body_progress(&mut self, now: Micros, bytes: u64) {
         let upload = self.body.get_or_insert(BodyProgress {
             since: now,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// More was not asked for, so that none came.
+    /// Restarts the body's time: nothing arrived because nothing was read.
     pub fn restart_body_timer(&mut self, now: Micros) {
         self.body = self.body.map(|upload| BodyProgress {
             since: now,
@@ -88,24 +88,24 @@
         });
     }
 
-    /// The client has taken in a part of its answer.
+    /// The client has read part of its answer.
     pub fn record_write_progress(&mut self, now: Micros) {
         if self.stage == Stage::Responding {
             self.since = now;
         }
     }
 
-    /// A whole request was taken.
+    /// A complete request was accepted.
     pub fn request_complete(&mut self, now: Micros) {
         self.enter(now, Stage::Processing);
     }
 
-    /// An answer is to be written.
+    /// An answer is about to be written.
     pub fn begin_response(&mut self, now: Micros) {
         self.enter(now, Stage::Responding);
     }
 
-    /// The answer is written. `last`: no other will be.
+    /// The answer is written. `last`: the connection is closed after it.
     pub fn response_written(&mut self, now: Micros, last: bool) {
         if self.stage == Stage::Responding {
             self.has_responded = true;
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Until when it may stay as it is. An open request has its own deadline, but its body may still be coming. `closing`: idle ones are being closed.
+    /// Until when the connection may stay in this stage. A request in progress has its own
+    /// deadline, but its body may still be arriving. `closing`: idle connections are being closed.
     pub fn deadline(&self, closing: bool, limits: &Limits) -> Option<Micros> {
         let span = match self.stage {
             Stage::Idle if closing => limits.draining_request_timeout,
@@ -129,8 +130,8 @@
         Some(self.since + span)
     }
 
-    /// Until when a body may be without its end. A slow one is waited for as long as it keeps a least pace; one that
-    /// falls silent has no more time than a request that never came.
+    /// Deadline of a body. A slow one is accepted at a minimum rate; a silent one has no more time
+    /// than a request that never arrives.
     fn body_deadline(&self, upload: BodyProgress, limits: &Limits) -> Micros {
         let paced = (upload.bytes * 1_000_000 / limits.min_body_bytes_per_s.max(1)) as Micros;
         let slowest = upload.since + limits.body_grace + paced;
@@ -138,11 +139,12 @@
             .max(slowest.min(upload.last_received_at + limits.body_idle_timeout))
     }
 
-    /// How well this connection can be spared where room is wanted: the lowest first. None: not at all.
+    /// How readily this connection is evicted, lowest first; `None`: not at all.
     ///
-    /// Guards the first request of a connection just taken, which may be on its way: a client whose request
-    /// crosses the close of a connection that has never answered does not send it again. One that says nothing
-    /// goes as soon as that is unlikely, and those that have been answered go by how long they have been idle.
+    /// The first request of a new connection may be on its way, and a client whose request crosses
+    /// the close of a connection that never answered does not retry it. A silent connection is
+    /// evicted as soon as that is unlikely; those that were answered are evicted by their idle
+    /// time.
     pub fn eviction_rank(&self, now: Micros, limits: &Limits) -> Option<(u8, Micros)> {
         let fresh = now - self.since < limits.first_request_grace;
         match self.stage {
--- a/crates/dataplane/src/clock.rs
+++ b/crates/dataplane/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a host: the system's, or one that tests drive.
+//! The clock of a host: the system's, a steady one, or one driven by tests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -6,20 +6,20 @@
 
 use streamarch::Micros;
 
-/// What a steady clock shows at its start: far from zero, which stands for never here and there.
+/// Initial value of a steady clock: far from zero, which stands for "never" in some places.
 pub const STEADY_CLOCK_START: Micros = 1_000_000_000_000;
 
-/// The host's clock, in microseconds: since the epoch, or since whatever others count from.
+/// The host's clock, in microseconds since the epoch, or since an origin agreed with others.
 #[derive(Clone, Debug)]
 pub struct Clock(Source);
 
 #[derive(Clone, Debug)]
 enum Source {
-    /// The system's clock at the start, and steady from then on.
+    /// The system's time at the start, and steady from then on.
     System(Instant, Micros),
-    /// Since the start, and what others were ahead when they were heard; the time of day has no part in it.
+    /// Time since the start plus the lead of others; independent of the time of day.
     Steady(Instant, Arc<AtomicI64>),
-    /// Driven from outside; each look moves it by the least there is, so that periods pass.
+    /// Driven from outside; each reading advances it by one microsecond, so that periods pass.
     Driven(Arc<AtomicI64>),
 }
 
@@ -32,7 +32,7 @@
         Clock(Source::System(Instant::now(), since.as_micros() as Micros))
     }
 
-    /// A clock that starts anywhere and follows others, see [`Clock::raise`].
+    /// A steady clock with an arbitrary origin that follows others, see [`Clock::advance_to`].
     pub fn steady() -> Clock {
         Clock(Source::Steady(
             Instant::now(),
@@ -40,7 +40,7 @@
         ))
     }
 
-    /// Others are at this time. A steady clock that is behind goes there; none goes back.
+    /// Advances a steady clock that is behind to this time; no clock ever goes back.
     pub fn advance_to(&self, to: Micros) {
         if let Source::Steady(start, ahead) = &self.0 {
             ahead.fetch_max(
@@ -50,12 +50,12 @@
         }
     }
 
-    /// A clock that goes as its hand is moved, for tests.
+    /// A clock that tests drive.
     pub fn driven(hand: Arc<AtomicI64>) -> Clock {
         Clock(Source::Driven(hand))
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Micros {
         match &self.0 {
             Source::System(start, epoch) => epoch + start.elapsed().as_micros() as Micros,
--- a/crates/dataplane/src/deadlines.rs
+++ b/crates/dataplane/src/deadlines.rs
@@ -1,10 +1,10 @@
-//! One ordered structure for all deadlines. Deadlines are absolute times on the host's clock.
+//! A single ordered queue of all deadlines, which are absolute times on the host's clock.
 
 use std::collections::BTreeMap;
 
 use streamarch::Micros;
 
-/// What falls due when, in order of time and then of entry.
+/// Scheduled entries, ordered by time and then by insertion.
 #[derive(Debug)]
 pub struct Deadlines<T> {
     entries: BTreeMap<(Micros, u64), T>,
@@ -21,7 +21,7 @@
 }
 
 impl<T> Deadlines<T> {
-    /// Enters something due at `at`. An entry that has lost its sense is ignored by who takes it.
+    /// Schedules an entry for `at`. Entries can't be cancelled: the receiver ignores obsolete ones.
     pub fn schedule(&mut self, at: Micros, what: T) {
         self.entries.insert((at, self.sequence), what);
         self.sequence += 1;
@@ -32,7 +32,7 @@
         self.entries.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes the earliest entry that is due at `now`.
+    /// Removes the earliest entry that is due at `now`.
     pub fn pop_due(&mut self, now: Micros) -> Option<T> {
         let entry = self.entries.first_entry().filter(|e| e.key().0 <= now)?;
         Some(entry.remove())
--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -1,8 +1,10 @@
-//! Hosts the decision module. It knows authorisations, legs and outcomes, and no wire.
+//! Hosts the decision module in terms of authorisations, attempts and outcomes, independent of any
+//! wire protocol.
 //!
-//! A front hands in an [`Authorisation`]; the host carries out the [`Order`]s and reports what came of them. The
-//! engine holds the invariants whatever the module or the host does: one final answer for each authorisation,
-//! never two legs of one out, no leg after the end.
+//! A front submits an [`Authorisation`]; the host carries out the [`EngineAction`]s and reports
+//! their results. The engine maintains these invariants whatever the module or the host does: one
+//! final answer for each authorisation, never two attempts of one in flight, no attempt after the
+//! end.
 
 use std::fmt;
 
@@ -14,101 +16,101 @@
 use crate::plan_resolver::{PlanResolver, ResolvedPlan};
 use crate::slots::{AuthorisationKey, Key, SlotMap};
 
-/// What a front asks for on behalf of a client.
+/// A request that a front submits for a client.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Authorisation {
     /// Position of its class in the settings.
     pub class: usize,
     /// Position of its plan in the settings.
     pub plan: usize,
-    /// Whose it is.
+    /// The customer whose quota it uses.
     pub customer: CustomerId,
-    /// The final answer is due by then.
+    /// Deadline of the final answer.
     pub deadline: Micros,
     /// Units it takes from the quota.
     pub units: f64,
-    /// Number of limiters in the customer's set...
+    /// Number of limiters that the customer is spread over...
     pub spread: u32,
     /// ...and the first of them.
     pub first: u32,
-    /// A client's repeat, where clients say so.
+    /// Whether it is a client's retry, where clients say so.
     pub again: bool,
-    /// What the client showed is good until then; no leg starts later.
+    /// The client's token is valid until then; no attempt starts later.
     pub valid_until: Option<Micros>,
-    /// Its place in the order in which requests wait under overload...
+    /// Its position in the priority order under overload...
     pub place: f64,
-    /// ...and the share of that order that waits now.
+    /// ...and the share of that order that is rejected now.
     pub waits: f64,
 }
 
-/// The final answer, where no server's answer is it.
+/// The final answer where no server's answer is it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineRejection {
-    /// Declined: trying again is harmless.
+    /// Declined: a retry is harmless.
     Declined {
-        /// How long the client had better stay away; 0 for no advice.
+        /// How long the client should wait before a retry, in microseconds; 0 gives no advice.
         stay_away: Micros,
-        /// For its quota, not for want of a server.
+        /// Whether its quota was the reason, and not a lack of servers.
         over_quota: bool,
     },
-    /// Failed; promises nothing.
+    /// Failed: it may have run.
     Failed,
-    /// What the client showed ran out before a leg could start.
+    /// The client's token expired before an attempt could start.
     Expired {
-        /// An earlier leg may have run.
+        /// Whether an earlier attempt may have run.
         may_have_run: bool,
     },
 }
 
-/// What the host is to do.
+/// An action for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineAction {
-    /// Send a leg to a server; report its end with [`Engine::leg_ended`].
+    /// Send an attempt to a server; report its end with [`Engine::handle_attempt_ended`].
     StartAttempt {
         /// The authorisation.
         key: AuthorisationKey,
-        /// Number of the leg, from 0.
+        /// Number of the attempt, from 0.
         leg: u32,
-        /// Where to.
+        /// The server.
         server: ServerId,
-        /// Its outcome is due by then.
+        /// Deadline of its outcome.
         deadline: Micros,
     },
-    /// Close the connection of a leg; its end is already known here.
+    /// Close the connection of an attempt, which the engine counts as ended.
     StopAttempt {
         /// The authorisation.
         key: AuthorisationKey,
-        /// Number of the leg.
+        /// Number of the attempt.
         leg: u32,
     },
-    /// Give the final answer.
+    /// Send the final answer.
     Reject {
         /// The authorisation.
         key: AuthorisationKey,
-        /// How it ends.
+        /// The answer.
         ending: EngineRejection,
     },
-    /// Add to a number of the counter; report with [`Engine::counted`].
+    /// Add to a counter; report with [`Engine::handle_counter_result`].
     AddToCounter {
-        /// The number.
+        /// The counter.
         name: CounterName,
-        /// What to add.
+        /// The amount.
         add: f64,
-        /// Life of a new name.
+        /// Lifetime of the counter if the call creates it.
         life: Micros,
     },
-    /// Probe a server; report with [`Engine::probe_ended`].
+    /// Check a server's health; report with [`Engine::handle_probe_result`].
     Probe(ServerId),
-    /// Tell the limiter of this number.
+    /// Send a notice to the limiter of this number.
     Notify(u32, OverNotice),
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// What a host did that it must not do.
+/// A call that the engine rejects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineError {
-    /// More authorisations than may be held.
+    /// The table of authorisations is full.
     Full,
 }
 
@@ -122,7 +124,7 @@
 
 impl std::error::Error for EngineError {}
 
-/// A leg that is out.
+/// The attempt that is in flight.
 #[derive(Clone, Copy, Debug)]
 struct InFlightAttempt {
     number: u32,
@@ -133,17 +135,17 @@
 #[derive(Debug)]
 struct RequestState {
     authorisation: Authorisation,
-    /// By the plan book, where there is one.
+    /// The plan resolved by the plan book, where there is one.
     plan: Option<ResolvedPlan>,
     attempts: u32,
     in_flight: Option<InFlightAttempt>,
     may_have_run: bool,
-    /// What a leg would carry is no longer here.
+    /// The body was streamed and discarded: there can be no other attempt.
     is_body_sent: bool,
     done: bool,
 }
 
-/// The engine: the module, its requests and what holds whatever it decides.
+/// Hosts the decision module and the authorisations in progress.
 pub struct Engine {
     balancer: Balancer,
     requests: SlotMap<AuthorisationKey, RequestState>,
@@ -154,7 +156,7 @@
     wake_at: Option<Micros>,
     events: Vec<Event>,
     actions: Vec<Action>,
-    /// Left by their clients since the module last decided: it may yet send for them.
+    /// Abandoned by their clients since the module last ran: it may still decide to send them.
     abandoned: Vec<AuthorisationKey>,
     open_count: usize,
     plan_resolver: Option<PlanResolver>,
@@ -169,7 +171,7 @@
 }
 
 impl Engine {
-    /// An engine that knows nothing but its settings; `most_held` bounds its table.
+    /// An engine with these settings and no state; `max_requests` bounds its table.
     pub fn new(settings: Settings, seed: u64, most_held: usize) -> Engine {
         let (period, max_legs) = (settings.period.max(1), settings.max_attempts.max(1));
         Engine {
@@ -188,44 +190,45 @@
         }
     }
 
-    /// Authorisations whose final answer is owed.
+    /// Number of authorisations whose final answer is owed.
     pub fn open_requests(&self) -> usize {
         self.open_count
     }
 
-    /// When the final answer of an authorisation is due, while it is held.
+    /// Deadline of an authorisation's final answer, while it is in the table.
     pub fn deadline(&self, key: AuthorisationKey) -> Option<Micros> {
         self.requests
             .get(key)
             .map(|held| held.authorisation.deadline)
     }
 
-    /// The class of an authorisation, and since when its leg is out, if one is.
+    /// The class of an authorisation, and since when its attempt has been in flight, if one is.
     pub fn in_flight_since(&self, key: AuthorisationKey) -> Option<(usize, Micros)> {
         let held = self.requests.get(key)?;
         held.in_flight
             .map(|out| (held.authorisation.class, out.sent))
     }
 
-    /// From now on requests are judged by a plan book, which starts from the plans that the engine was given.
+    /// From now on plans are resolved by a plan book, which starts from the plans in the settings.
     pub fn set_plan_resolver(&mut self, judging: PlanResolver) {
         self.plan_resolver = Some(judging);
     }
 
-    /// The plan book, where there is one.
+    /// The plan resolver, where there is one.
     pub fn plan_resolver(&mut self) -> Option<&mut PlanResolver> {
         self.plan_resolver.as_mut()
     }
 
-    /// What an authorisation is judged by, while it is held, where there is a plan book.
+    /// The plan of an authorisation, while it is in the table and where there is a plan book.
     pub fn resolved_plan(&self, key: AuthorisationKey) -> Option<&ResolvedPlan> {
         self.requests.get(key)?.plan.as_ref()
     }
 
-    /// Takes an authorisation; from now on one final answer is owed. Its plan is the one that holds now, and stays.
+    /// Submits an authorisation; from now on one final answer is owed. Its plan is the one in force
+    /// now, and does not change.
     ///
     /// # Errors
-    /// The request is rejected; the error says why.
+    /// [`EngineError::Full`] if the table is full.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -270,7 +273,8 @@
         Ok(key)
     }
 
-    /// A leg ended. True if its answer is the final answer, to be passed on now.
+    /// Handles the end of an attempt. Returns whether its answer is the final answer, to be
+    /// forwarded now.
     pub fn handle_attempt_ended(
         &mut self,
         now: Micros,
@@ -309,8 +313,8 @@
         answers
     }
 
-    /// The last byte of a leg is written: what it takes counts from now. Guards the figures of servers against clients
-    /// whose bodies come slowly.
+    /// The last byte of an attempt is written: its duration counts from now, so that a slow upload
+    /// does not count against the server.
     pub fn handle_attempt_written(&mut self, now: Micros, key: AuthorisationKey) {
         if let Some(out) = self
             .requests
@@ -321,14 +325,14 @@
         }
     }
 
-    /// What a leg would carry is no longer here: none starts for it any more, and the one that is out is not moved.
+    /// The body was discarded: there is no other attempt, and the one in flight is not cancelled.
     pub fn handle_body_sent(&mut self, key: AuthorisationKey) {
         if let Some(held) = self.requests.get_mut(key) {
             held.is_body_sent = true;
         }
     }
 
-    /// The client left: nothing is owed any more, and a leg that is out is stopped.
+    /// The client disconnected: no answer is owed, and an attempt in flight is stopped.
     pub fn handle_client_left(
         &mut self,
         now: Micros,
@@ -341,7 +345,7 @@
         }
     }
 
-    /// The counter answered, or failed to.
+    /// Handles the result of a counter call.
     pub fn handle_counter_result(&mut self, name: CounterName, outcome: Outcome, total: f64) {
         self.events.push(Event::Counted {
             name,
@@ -350,7 +354,7 @@
         });
     }
 
-    /// The counter answered a call whose outcome had been given before.
+    /// Handles the result of a counter call that had timed out.
     pub fn handle_late_counter_result(&mut self) {
         self.events.push(Event::CounterLate);
     }
@@ -360,7 +364,7 @@
         self.events.push(Event::CounterNew);
     }
 
-    /// A probe ended.
+    /// Handles the result of a health check.
     pub fn handle_probe_result(
         &mut self,
         server: ServerId,
@@ -374,22 +378,22 @@
         });
     }
 
-    /// News of the routing table.
+    /// Handles an update of the server list.
     pub fn update_servers(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         self.events.push(Event::ServerList { kind, entries });
     }
 
-    /// Another limiter told this.
+    /// Handles a notice from another limiter.
     pub fn handle_notice(&mut self, notice: OverNotice) {
         self.events.push(Event::Told(notice));
     }
 
-    /// A plan came up; it takes the next position in the module.
+    /// Adds a plan, at the next position in the module.
     pub fn add_plan(&mut self, plan: Plan) {
         self.events.push(Event::Plan(plan));
     }
 
-    /// When [`Engine::handle`] has something to do next; the module is not called more often than its period.
+    /// When [`Engine::run`] has something to do next; the module runs at most once in its period.
     pub fn next_wakeup(&self) -> Option<Micros> {
         let earliest = self.last_run_at.map_or(Micros::MIN, |at| at + self.period);
         let wanted = if self.events.is_empty() {
@@ -400,7 +404,7 @@
         wanted.map(|at| at.max(earliest))
     }
 
-    /// Lets the module decide on what has come in, if its period is over.
+    /// Lets the module decide on the events so far, if its period is over.
     pub fn run(&mut self, now: Micros, orders: &mut Vec<EngineAction>) {
         if self.next_wakeup().is_none_or(|at| at > now) {
             return;
@@ -449,8 +453,9 @@
             }
             Action::Cancel { request, attempt } => {
                 let key = key(request);
-                // Guards a request that could only fail by it: its body has gone on to that server and is no longer
-                // here. One that takes a long body in owes no answer yet, and so is easily taken for silent.
+                // With its body streamed and discarded, cancelling could only fail the request. A
+                // server that receives a long body owes no answer yet and is easily mistaken for a
+                // silent one.
                 let moves = self.requests.get(key).filter(|held| !held.is_body_sent);
                 if moves
                     .and_then(|held| held.in_flight)
@@ -467,7 +472,8 @@
             }),
             Action::Tell(limiter, notice) => orders.push(EngineAction::Notify(limiter, notice)),
             Action::Probe(server) => orders.push(EngineAction::Probe(server)),
-            // The host watches the list from its start, whether the module asks for it or not.
+            // The host watches the server list from its start, whether the module asks for it or
+            // not.
             Action::WatchList => {}
             Action::WakeAt(at) => self.wake_at = Some(self.wake_at.map_or(at, |w| w.min(at))),
             Action::Log(text) => orders.push(EngineAction::Log(text)),
@@ -487,8 +493,8 @@
         };
         let leg = held.attempts;
         held.attempts += 1;
-        // Guards rule 2: never two legs out, none after the end, whatever asks for them. The module is told that the
-        // leg it asked for is over: else it would count it as out at its server for ever.
+        // Rule 2: never two attempts in flight, and none after the end. The module is told that its
+        // attempt is over; otherwise it would count it as in flight at that server for ever.
         if held.in_flight.is_some() || held.done {
             let end = AttemptEnd {
                 request: id(key),
@@ -512,7 +518,7 @@
             server,
             sent: now,
         });
-        // Guards the sign-off whose token runs out between try and retry: it is not sent again.
+        // A token that expires between attempt and retry: the request is not sent again.
         if expired {
             let may_have_run = held.may_have_run;
             self.handle_attempt_ended(now, key, leg, Outcome::Moot, None);
@@ -536,8 +542,9 @@
         });
     }
 
-    /// Marks the end; true if it had not ended before. Where the module does not know of it yet, the slot is kept
-    /// until it has decided again: what it decides on an earlier event may still be to send.
+    /// Marks an authorisation as finished; returns whether it was not. If the module does not know
+    /// yet, its slot is kept until the module has run: its decisions on earlier events may still
+    /// refer to it.
     fn finish_request(&mut self, key: AuthorisationKey, unknown: bool) -> bool {
         let Some(held) = self.requests.get_mut(key).filter(|h| !h.done) else {
             return false;
@@ -559,14 +566,14 @@
         ending: EngineRejection,
         orders: &mut Vec<EngineAction>,
     ) {
-        // Guards rule 1: the second of two final answers goes nowhere.
+        // Rule 1: a second final answer is dropped.
         if self.finish_request(key, false) {
             orders.push(EngineAction::Reject { key, ending });
             self.stop_attempt(now, key, orders);
         }
     }
 
-    /// A leg of what is over is work for nobody.
+    /// Stops the attempt of a finished authorisation.
     fn stop_attempt(&mut self, now: Micros, key: AuthorisationKey, orders: &mut Vec<EngineAction>) {
         if let Some(leg) = self
             .requests
--- a/crates/dataplane/src/framing.rs
+++ b/crates/dataplane/src/framing.rs
@@ -1,25 +1,26 @@
-//! HTTP/1.1 framing on httparse, shared by all who speak it here: whole messages out of a growing buffer.
+//! HTTP/1.1 framing, based on httparse: complete messages and streamed bodies out of a growing
+//! buffer.
 
 use std::fmt;
 
 use crate::limits::Limits;
 
-/// Most header lines of a message.
+/// Most header fields of a message.
 const MAX_HEADERS: usize = 64;
 
-/// Why bytes are no message.
+/// Why input is not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ParseError {
-    /// Not HTTP/1.1, or a length that makes no sense.
+    /// Not HTTP/1.1, or a contradictory length.
     Syntax,
-    /// The head is too long, or has too many lines.
+    /// The head is too long, or has too many fields.
     HeadTooLarge,
     /// The body is too long.
     BodyTooLarge,
 }
 
 impl ParseError {
-    /// The status that tells a client so.
+    /// The status that answers such a request.
     pub fn status(self) -> u16 {
         match self {
             ParseError::Syntax => 400,
@@ -41,12 +42,13 @@
 
 impl std::error::Error for ParseError {}
 
-/// Header lines of a message.
+/// Header fields of a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    /// The value of the only line of this name. Two lines of one name that we go by are as bad as a wrong one.
+    /// The value of the only field of this name; `None` if there are several, which is as bad as a
+    /// wrong value.
     pub fn get(&self, name: &str) -> Option<&str> {
         let mut found = self.0.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
         match (found.next(), found.next()) {
@@ -55,12 +57,12 @@
         }
     }
 
-    /// Whether any line has this name.
+    /// Whether any field has this name.
     pub fn has(&self, name: &str) -> bool {
         self.0.iter().any(|(n, _)| n.eq_ignore_ascii_case(name))
     }
 
-    /// All lines in their order, name and value.
+    /// All fields in order, name and value.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0
             .iter()
@@ -75,78 +77,78 @@
     }
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its method.
+    /// The method.
     pub method: String,
-    /// Path and query as they stood in the line.
+    /// Path and query, as received.
     pub target: String,
-    /// Its header lines.
+    /// The header fields.
     pub headers: Headers,
-    /// Its body, without framing.
+    /// The body, without transfer coding.
     pub body: Vec<u8>,
-    /// The connection may carry another.
+    /// Whether the connection can carry another request.
     pub keep_alive: bool,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// The status.
     pub status: u16,
-    /// Its header lines.
+    /// The header fields.
     pub headers: Headers,
-    /// Its body, without framing.
+    /// The body, without transfer coding.
     pub body: Vec<u8>,
-    /// The connection may carry another.
+    /// Whether the connection can carry another request.
     pub keep_alive: bool,
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined (RFC 9112, section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// It has this many bytes.
+    /// By its length in bytes.
     Length(u64),
-    /// It comes in chunks; the last is empty.
+    /// By the empty last chunk.
     Chunked,
-    /// It ends with its connection.
+    /// By the close of the connection.
     UntilClose,
 }
 
-/// Longest line that gives a chunk's size, extensions included, in bytes.
+/// Longest chunk-size line, extensions included, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
-/// Most bytes of trailer lines.
+/// Most bytes of trailer fields.
 const MAX_TRAILER_BYTES: usize = 8 * 1024;
 
-/// Where a body stands.
+/// The state of a body being read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyState {
-    /// Plain bytes, so many of them.
+    /// Within a body of known length, with this many bytes left.
     Plain(u64),
     UntilClose,
-    /// At the size of a chunk, in its data, or at the line's end behind it.
+    /// At a chunk-size line, within a chunk's data, or at the line end after it.
     ChunkSize,
     ChunkData(u64),
     ChunkEnd,
-    /// At a trailer line, or the empty line that ends the body; so many bytes of trailers have come.
+    /// Within the trailer section, with this many of its bytes read.
     Trailer(usize),
     Complete,
 }
 
-/// Reads a body as it comes, in whatever pieces, without holding it.
+/// Reads a body incrementally, without buffering it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BodyReader {
     state: BodyState,
-    /// Bytes that it may still have.
+    /// Bytes that the body may still have.
     remaining: u64,
 }
 
 impl BodyReader {
-    /// A body that ends like this and has `most` bytes at the most.
+    /// A reader of a body of at most `most` bytes.
     ///
     /// # Errors
-    /// It is said to be longer.
+    /// The body is announced to be longer.
     pub fn new(extent: BodyFraming, most: u64) -> Result<BodyReader, ParseError> {
         let place = match extent {
             BodyFraming::Length(length) if length > most => return Err(ParseError::BodyTooLarge),
@@ -161,12 +163,12 @@
         })
     }
 
-    /// Nothing more belongs to it.
+    /// Whether the body is complete.
     pub fn is_complete(&self) -> bool {
         self.state == BodyState::Complete
     }
 
-    /// The connection's end is its end.
+    /// Whether the close of the connection completes the body.
     pub fn ends_with_connection(&self) -> bool {
         self.state == BodyState::UntilClose
     }
@@ -179,11 +181,11 @@
         Ok(())
     }
 
-    /// Takes what belongs to it off the start of `bytes`: what is data goes to `out`. Gives how many bytes it took;
-    /// where it takes none of those left, it waits for more to come behind them, or is whole.
+    /// Reads from the start of `bytes` and appends body data to `out`. Returns how many bytes were
+    /// consumed; bytes left over wait for more input, or follow the complete body.
     ///
     /// # Errors
-    /// What is no chunk; a body that is too long. Always the same ones, however the bytes are split.
+    /// The chunk is malformed, or the body too long; independent of how the input is split.
     pub fn read(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, ParseError> {
         let mut at = 0;
         loop {
@@ -232,14 +234,15 @@
                     [b'\r'] => return Ok(at),
                     _ => return Err(ParseError::Syntax),
                 },
-                // Trailer lines are of no use to anybody here.
+                // Trailer fields are discarded.
                 BodyState::Trailer(before) => {
                     let end = rest.iter().position(|byte| *byte == b'\n');
                     let length = before + end.unwrap_or(rest.len());
                     match end {
                         _ if length > MAX_TRAILER_BYTES => return Err(ParseError::HeadTooLarge),
                         None => return Ok(at),
-                        // Guards against smuggling: what others take for no line's end must not be one here.
+                        // Request smuggling: a bare line feed, which others may not take for a line
+                        // end.
                         Some(end) if end == 0 || rest[end - 1] != b'\r' => {
                             return Err(ParseError::Syntax);
                         }
@@ -258,8 +261,8 @@
     }
 }
 
-/// Header lines of an answer. A line of which nothing depends must not cost a good answer: what is no UTF-8 is
-/// marked as such in its value, and a length or coding with such a mark is none.
+/// Header fields of a response. An irrelevant field must not invalidate a good response: what is
+/// not UTF-8 is replaced, and a length or coding with a replacement character is invalid.
 fn collect_headers_lossy(lines: &[httparse::Header<'_>]) -> Headers {
     let one = |line: &httparse::Header<'_>| {
         (
@@ -281,7 +284,8 @@
 fn body_framing(headers: &Headers, otherwise: BodyFraming) -> Result<BodyFraming, ParseError> {
     let coded = headers.has("Transfer-Encoding");
     if headers.has("Content-Length") {
-        // Guards against smuggling: two lengths, or a length beside a coding, are read differently by others.
+        // Request smuggling: two lengths, or a length beside a transfer coding, are read
+        // differently by others.
         let text = headers
             .get("Content-Length")
             .filter(|_| !coded)
@@ -320,12 +324,13 @@
     version == Some(1) && !headers.contains_token("Connection", "close")
 }
 
-/// The head of a message, and how its body ends.
+/// The head of a message, and its body's framing.
 pub trait Head: Sized {
-    /// The head at the start of `bytes`, how its body ends, and where that begins; none while it is not whole.
+    /// Parses the head at the start of `bytes`: the head, the framing of the body, and where that
+    /// begins; `None` while incomplete.
     ///
     /// # Errors
-    /// What is no head.
+    /// The head is malformed.
     fn parse(
         bytes: &[u8],
         limits: &Limits,
@@ -335,26 +340,26 @@
 /// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Its method.
+    /// The method.
     pub method: String,
-    /// Path and query as they stood in the line.
+    /// Path and query, as received.
     pub target: String,
-    /// Its header lines.
+    /// The header fields.
     pub headers: Headers,
-    /// The connection may carry another.
+    /// Whether the connection can carry another request.
     pub keep_alive: bool,
-    /// Its client waits to be told that the body is wanted.
+    /// The client expects `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Its status.
+    /// The status.
     pub status: u16,
-    /// Its header lines.
+    /// The header fields.
     pub headers: Headers,
-    /// The connection may carry another.
+    /// Whether the connection can carry another request.
     pub keep_alive: bool,
 }
 
@@ -370,7 +375,7 @@
             httparse::Status::Complete(from) => from,
         };
         check_head_length(&bytes[..from], limits)?;
-        // Guards against smuggling: what others take for no line's end must not be one here.
+        // Request smuggling: a bare line feed, which others may not take for a line end.
         if bytes[..from]
             .split_inclusive(|byte| *byte == b'\n')
             .any(|line| !line.ends_with(b"\r\n"))
@@ -403,10 +408,9 @@
 }
 
 impl Head for ResponseHead {
-    /// Of a peer that always says how long its answers are: one that says
-    /// nothing is taken to end with its connection only where it also says that this is its last. Guards against an
-    /// answer that broke off: without a length a part of it looks whole, and where the connection stays open its end
-    /// would be waited for in vain.
+    /// Without a length, a response extends to the close of the connection only if it also says
+    /// that the connection closes. Otherwise a truncated response would look complete, or its end
+    /// would be awaited in vain on an open connection.
     fn parse(
         bytes: &[u8],
         limits: &Limits,
@@ -430,7 +434,8 @@
         self.headers.has("Content-Length") || self.headers.has("Transfer-Encoding")
     }
 
-    /// The connection may carry another: it stays, and where this one ends is known to both sides.
+    /// Whether the connection can carry another request: it stays open, and both sides know where
+    /// this response ends.
     pub fn is_reusable(&self) -> bool {
         self.keep_alive && (self.has_length() || matches!(self.status, 204 | 304))
     }
@@ -459,7 +464,7 @@
     )))
 }
 
-/// The head of the answer that counts, behind interim ones that announce it, and where its body begins.
+/// The head of the final response after any interim ones, and where its body begins.
 fn final_head(bytes: &[u8], limits: &Limits) -> Result<Option<(ResponseHead, usize)>, ParseError> {
     let mut at = 0;
     for _ in 0..=limits.max_interim_responses {
@@ -474,18 +479,19 @@
     Err(ParseError::HeadTooLarge)
 }
 
-/// A message that is coming in: its head once that is whole, and of its body what has come and was not taken out.
+/// A message that is being received: its head once complete, and the part of the body not yet taken
+/// out.
 #[derive(Clone, Debug)]
 pub struct Incoming<H> {
-    /// Bytes that were no whole head when last looked at.
+    /// Bytes present at the last attempt to parse the head.
     parsed_bytes: usize,
-    /// The head, and where the body stands.
+    /// The head, and the reader of the body.
     message: Option<(H, BodyReader)>,
-    /// How the body ends.
+    /// The framing of the body.
     pub framing: BodyFraming,
-    /// What has come of the body.
+    /// Body bytes received and not taken out.
     pub body: Vec<u8>,
-    /// Bytes of the body in all, those taken out of `body` included.
+    /// Body bytes received in total.
     pub length: u64,
 }
 
@@ -502,10 +508,11 @@
 }
 
 impl<H: Head> Incoming<H> {
-    /// Reads on in `input`, and takes off it what belongs to the message. `most`: bytes that its body may have.
+    /// Reads from `input` and removes what belongs to the message. `most`: bound of the body in
+    /// bytes.
     ///
     /// # Errors
-    /// What is no message; always the same, however the bytes are split.
+    /// The message is malformed; independent of how the input is split.
     pub fn read(
         &mut self,
         input: &mut Vec<u8>,
@@ -534,8 +541,8 @@
         Ok(())
     }
 
-    /// Guards the processor against a head that comes byte by byte: it is parsed while it is short, where it has twice
-    /// as many bytes as before, and where it may be whole.
+    /// Bounds the cost of a head that arrives byte by byte: it is parsed while it is short, when it
+    /// has doubled, and when it may be complete.
     fn should_parse(&self, input: &[u8]) -> bool {
         let news = &input[self.parsed_bytes.saturating_sub(3).min(input.len())..];
         let ends = || {
@@ -545,31 +552,33 @@
         input.len() < 256 || input.len() >= 2 * self.parsed_bytes || ends()
     }
 
-    /// Its head, once that is whole.
+    /// The head, once complete.
     pub fn head(&self) -> Option<&H> {
         self.message.as_ref().map(|(head, _)| head)
     }
 
-    /// Nothing more belongs to it.
+    /// Whether the message is complete.
     pub fn is_complete(&self) -> bool {
         self.message
             .as_ref()
             .is_some_and(|(_, reader)| reader.is_complete())
     }
 
-    /// Whether its body is known to be longer than this: it says so, or so much has come.
+    /// Whether the body is known to be longer than this, by its announced length or what was
+    /// received.
     pub fn is_longer_than(&self, than: u64) -> bool {
         matches!(self.framing, BodyFraming::Length(length) if length > than) || self.length > than
     }
 
-    /// Whether the connection's end makes it whole.
+    /// Whether the close of the connection completes the message.
     pub fn ends_with_connection(&self) -> bool {
         self.message
             .as_ref()
             .is_some_and(|(_, reader)| reader.ends_with_connection())
     }
 
-    /// Its parts, once the head is whole: the head, the reader of what is still to come, and what has come.
+    /// The head, the reader of the rest of the body, and the received part; `None` while the head
+    /// is incomplete.
     pub fn into_parts(self) -> Option<(H, BodyReader, Vec<u8>)> {
         let body = self.body;
         self.message.map(|(head, reader)| (head, reader, body))
@@ -577,7 +586,7 @@
 }
 
 impl Request {
-    /// A request whose body is whole.
+    /// A request with a complete body.
     pub fn new(head: RequestHead, body: Vec<u8>) -> Request {
         let RequestHead {
             method,
@@ -597,7 +606,7 @@
 }
 
 impl Response {
-    /// An answer whose body is whole, or not wanted.
+    /// A response with a complete body, or without one.
     pub fn new(head: ResponseHead, body: Vec<u8>) -> Response {
         let keep_alive = head.is_reusable();
         Response {
@@ -609,10 +618,11 @@
     }
 }
 
-/// The request at the start of `bytes` and its length, once it is whole.
+/// Parses a complete request at the start of `bytes`; returns it with its length, or `None` while
+/// incomplete.
 ///
 /// # Errors
-/// The bytes are no request, or exceed the limits.
+/// The input is not a valid request, or exceeds the limits.
 pub fn request(bytes: &[u8], limits: &Limits) -> Result<Option<(Request, usize)>, ParseError> {
     let Some((head, extent, from)) = RequestHead::parse(bytes, limits)? else {
         return Ok(None);
@@ -621,7 +631,7 @@
     Ok(whole.map(|(body, length)| (Request::new(head, body), from + length)))
 }
 
-/// The body at the start of `bytes` and its length, once it is whole.
+/// The complete body at the start of `bytes` with its length, or `None` while incomplete.
 fn body(
     bytes: &[u8],
     extent: BodyFraming,
@@ -637,10 +647,10 @@
     )
 }
 
-/// The head of an answer that streams in chunks: its status, and where the chunks begin.
+/// Parses the head of a chunked response: its status, and where the chunks begin.
 ///
 /// # Errors
-/// The bytes are no head of an answer, or exceed the limits.
+/// The input is not such a head, or exceeds the limits.
 pub fn stream_head(bytes: &[u8], limits: &Limits) -> Result<Option<(u16, usize)>, ParseError> {
     let Some((head, from)) = response_head(bytes, limits)? else {
         return Ok(None);
@@ -651,10 +661,11 @@
     }
 }
 
-/// The answer at the start of `bytes` and its length, once it is whole. `ended`: the peer sends no more.
+/// Parses a complete response at the start of `bytes`; returns it with its length, or `None` while
+/// incomplete. `ended`: the peer has closed its side.
 ///
 /// # Errors
-/// The bytes are no answer, or exceed the limits.
+/// The input is not a valid response, or exceeds the limits.
 pub fn response(
     bytes: &[u8],
     ended: bool,
@@ -673,10 +684,10 @@
     Ok(whole.map(|(body, length)| (Response::new(head, body), from + length)))
 }
 
-/// The same of a peer that says how long its answers are, or that they end with the connection.
+/// Like [`response`], for peers that announce a length or close the connection.
 ///
 /// # Errors
-/// The bytes are no answer with a length, or exceed the limits.
+/// The input is not such a response, or exceeds the limits.
 pub fn framed_response(
     bytes: &[u8],
     limits: &Limits,
@@ -688,7 +699,7 @@
     Ok(whole.map(|(body, length)| (Response::new(head, body), from + length)))
 }
 
-/// Writes an answer with a body.
+/// Writes a response with a body.
 pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
@@ -704,19 +715,19 @@
     out.extend_from_slice(body);
 }
 
-/// Writes a chunk, if there is anything in it: an empty one would be the last.
+/// Writes a chunk. Writes nothing for empty data: an empty chunk would end the body.
 pub fn write_chunk(out: &mut Vec<u8>, data: &[u8]) {
     use std::io::Write;
     if data.is_empty() {
         return;
     }
-    // Writing to a vector cannot fail.
+    // Writing to a vector can't fail.
     let _ = write!(out, "{:x}\r\n", data.len());
     out.extend_from_slice(data);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes the head of an answer. `close`: the connection carries no other.
+/// Writes the head of a response. `close`: the connection is closed after it.
 pub fn write_head<'a>(
     out: &mut Vec<u8>,
     status: u16,
@@ -742,7 +753,7 @@
         504 => "Gateway Timeout",
         _ => "Other",
     };
-    // Writing to a vector cannot fail.
+    // Writing to a vector can't fail.
     let _ = write!(out, "HTTP/1.1 {status} {reason}\r\n");
     for (name, value) in lines {
         let _ = write!(out, "{name}: {value}\r\n");
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -1,8 +1,9 @@
-//! What any data plane around the decision module needs, and no socket: the engine that hosts the module, framing,
-//! clock, deadlines, limits, and what becomes of one connection or one body.
+//! The parts of a data plane around the decision module, without sockets: the engine that hosts the
+//! module, HTTP framing, the pool of upstream connections, the state machines of connections and
+//! bodies, clock, deadlines and limits.
 //!
-//! [`engine`] deals in authorisations, legs and outcomes. The event loops and the wires are in the crates that use
-//! this one.
+//! [`engine`] works with authorisations, attempts and outcomes. The event loops and sockets are in
+//! the crates that use this one.
 
 pub mod client_connection;
 pub mod clock;
--- a/crates/dataplane/src/lifecycle.rs
+++ b/crates/dataplane/src/lifecycle.rs
@@ -1,20 +1,20 @@
-//! Where the process stands between its start and its end, without any input or output. `/up`, the operators' `ready`,
-//! `Connection: close`, accepting and the closing of idle connections follow from here and from nowhere else.
+//! The life cycle of the process: serving, draining, shutting down. Without I/O. Readiness,
+//! `Connection: close`, accepting and the closing of idle connections all follow from this state.
 
 use serde::{Deserialize, Serialize};
 use streamarch::Micros;
 
 use crate::limits::Limits;
 
-/// How the process ends once it was told to.
+/// The state of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Shutdown {
     since: Micros,
-    /// All that was taken is finished, or the time for it is over.
+    /// All accepted requests are finished, or the time for it is over.
     finished: bool,
 }
 
-/// Whether operators have clients sent away, as it passes between the processes of a limiter.
+/// Whether operators drain the limiter, as its processes exchange it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
@@ -22,10 +22,11 @@
     changed: Micros,
 }
 
-/// Serving, sending clients away, ending. A drain and the end go by the same rules, and may come together.
+/// The life cycle state. Draining and shutting down follow the same rules and may overlap.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lifecycle {
-    /// The listening socket is shared: what waits there is another process's as well.
+    /// The listening socket is shared: connections that wait on it may be accepted by another
+    /// process.
     has_shared_socket: bool,
     drain: Drain,
     shutdown: Option<Shutdown>,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Operators have clients sent away. False if that is so already; the first call's time goes on to count.
+    /// Begins to drain. False if that was so already: the time of the first call stays.
     pub fn begin_drain(&mut self, now: Micros) -> bool {
         let first = self.drain.since.is_none();
         if first {
@@ -49,7 +50,7 @@
         first
     }
 
-    /// The drain is over. False if there was none.
+    /// Ends the drain. False if there was none.
     pub fn end_drain(&mut self, now: Micros) -> bool {
         let ended = self.drain.since.is_some();
         if ended {
@@ -58,7 +59,7 @@
         ended
     }
 
-    /// Guards against a clock that is behind another process's: the later call holds.
+    /// With a clock behind another process's, the later call must still win.
     fn set_drain(&mut self, since: Option<Micros>, now: Micros) {
         self.drain = Drain {
             since,
@@ -66,12 +67,12 @@
         };
     }
 
-    /// The drain as another process of this limiter is to know it.
+    /// The drain state for another process of this limiter.
     pub fn drain_state(&self) -> Drain {
         self.drain
     }
 
-    /// Takes over what another process knows later; true if that changes anything.
+    /// Merges another process's drain state; true if that changes anything.
     pub fn merge(&mut self, told: Drain) -> bool {
         let later = told.changed > self.drain.changed;
         let differs = told.since != self.drain.since;
@@ -81,7 +82,7 @@
         later && differs
     }
 
-    /// Told to end. False if that was so already: the first call's time goes on to count.
+    /// Begins the shutdown. False if that was so already: the time of the first call stays.
     pub fn begin_shutdown(&mut self, now: Micros) -> bool {
         let first = self.shutdown.is_none();
         self.shutdown.get_or_insert(Shutdown {
@@ -91,39 +92,39 @@
         first
     }
 
-    /// Nothing is owed any more, or the time for it is over.
+    /// No answer is owed any more, or the time for it is over.
     pub fn finish(&mut self) {
         self.shutdown
             .iter_mut()
             .for_each(|ending| ending.finished = true);
     }
 
-    /// Clients are wanted: neither a drain nor the end is on.
+    /// Whether clients are wanted: neither draining nor shutting down.
     pub fn is_serving(&self) -> bool {
         self.drain.since.is_none() && self.shutdown.is_none()
     }
 
-    /// Told to end.
+    /// Whether the process is shutting down.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown.is_some()
     }
 
-    /// The process may exit.
+    /// Whether the process may exit.
     pub fn is_finished(&self) -> bool {
         self.shutdown.is_some_and(|ending| ending.finished)
     }
 
-    /// New connections are taken. At the end through the notice, but none from a shared socket: another process takes
-    /// those, and what is taken here would have to be ended soon after. In a drain they are taken: the process runs on,
-    /// and who comes is served once.
+    /// Whether new connections are accepted. While shutting down only during the notice period, and
+    /// not from a shared socket: another process accepts those, and here they would soon be closed.
+    /// While draining they are accepted: the process goes on, and each is served once.
     pub fn is_accepting(&self, now: Micros, limits: &Limits) -> bool {
         self.shutdown.is_none_or(|ending| {
             !self.has_shared_socket && now < ending.since + limits.shutdown_notice
         })
     }
 
-    /// Each answer is the last of its connection. Where the socket is our own, a client told so during the notice of
-    /// the end would only come back with a new connection.
+    /// Whether connections are closed after each answer. With an own socket, a client told so
+    /// during the notice period of the shutdown would only return on a new connection.
     pub fn closes_after_response(&self, now: Micros, limits: &Limits) -> bool {
         let ending = |ending: Shutdown| {
             self.has_shared_socket || now >= ending.since + limits.shutdown_notice
@@ -131,8 +132,9 @@
         self.drain.since.is_some() || self.shutdown.is_some_and(ending)
     }
 
-    /// Idle connections are closed, and who connects now has only a short time to say something: the front has heard
-    /// by now, and what is idle would be used by nobody but a client whose request crosses the close.
+    /// Whether idle connections are closed, and new ones have little time to send a request: the
+    /// load balancer knows by now, and an idle connection could only be used by a request that
+    /// crosses its close.
     pub fn closes_idle(&self, now: Micros, limits: &Limits) -> bool {
         let starts = self
             .drain
--- a/crates/dataplane/src/limits.rs
+++ b/crates/dataplane/src/limits.rs
@@ -1,123 +1,127 @@
-//! All sizes, counts and times of the limiter in one type: filled at start, handed down.
+//! All sizes, counts and durations of a data plane in one type, set at the start.
 
 use streamarch::Micros;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// Sizes, counts and spans. The spans turn an instant into an absolute deadline where something begins.
+/// Sizes, counts and durations (in microseconds). A duration becomes an absolute deadline when
+/// something begins.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Longest head of a message, in bytes.
     pub max_head_bytes: usize,
-    /// Longest body of a message that is taken in whole before it goes on, in bytes. Of the longer ones a request's is
-    /// kept whole up to the next figure, and an answer's is relayed.
+    /// Longest body that is buffered completely before it is forwarded, in bytes. Longer request
+    /// bodies are buffered up to the next limit, longer answers are streamed.
     pub max_buffered_body_bytes: usize,
-    /// Longest body of a request that is kept whole before it goes on, in bytes.
+    /// Longest request body that is buffered completely, in bytes; longer ones are streamed.
     pub max_buffered_request_bytes: u64,
-    /// Longest body of a request, in bytes.
+    /// Longest request body, in bytes.
     pub max_request_bytes: u64,
-    /// Longest answer that is relayed, in bytes.
+    /// Longest streamed answer, in bytes.
     pub max_response_bytes: u64,
-    /// Held of a relayed answer that its client has not taken in, and of a body that its server has not, in bytes.
+    /// Bytes buffered of a streamed answer or body that its receiver has not taken.
     pub relay_window_bytes: usize,
-    /// Times that what has come on one connection is read before others have their turn.
+    /// Reads of one connection before others have their turn.
     pub max_reads_per_turn: usize,
-    /// Longest line of discovery, in bytes.
+    /// Longest line of the discovery watch, in bytes.
     pub max_watch_line_bytes: usize,
-    /// Most interim answers ahead of an answer.
+    /// Most interim responses before the final one.
     pub max_interim_responses: usize,
-    /// Bytes asked of a socket at a time.
+    /// Bytes per read of a socket.
     pub read_bytes: usize,
     /// Longest datagram between limiters, in bytes.
     pub max_datagram_bytes: usize,
-    /// Most connections of the acquirer side.
+    /// Most client connections.
     pub max_client_connections: usize,
-    /// Beyond so many of them each answer is the last of its connection.
+    /// Beyond this many client connections each one is closed after its answer.
     pub max_persistent_clients: usize,
-    /// Taken in from a client while its request is out or its answer is not written, in bytes.
+    /// Bytes read ahead from a client while its request is in progress or its answer not written.
     pub pipelined_bytes: usize,
-    /// Taken in from a client after its last answer, and thrown away, in bytes.
+    /// Bytes read from a client after its last answer, and discarded.
     pub linger_bytes: usize,
-    /// Held of all clients' requests that are coming in or not answered yet, in bytes.
+    /// Bytes buffered of all clients' requests that are arriving or not answered yet.
     pub partial_bytes: usize,
-    /// A connection of the acquirer side brings its first request whole within this, and each later one.
+    /// A client sends each request completely within this time.
     pub request_timeout: Micros,
-    /// A body may go on for this long, and as long as its bytes take at the least pace, so many of them a second.
+    /// A body may take this long, plus the time for its bytes at the minimum rate.
     pub body_grace: Micros,
-    /// See there.
+    /// The minimum rate of a body in bytes a second.
     pub min_body_bytes_per_s: u64,
-    /// A body that has come in part brings more within this.
+    /// A body sends more within this time.
     pub body_idle_timeout: Micros,
-    /// Most time that is added to a request's for a body which goes on while it comes.
+    /// Most time that is added to a request's deadline for a streamed body.
     pub max_upload_extension: Micros,
-    /// One that has been answered may be idle for this long.
+    /// Idle time-out of a client's connection that was answered before.
     pub client_idle_timeout: Micros,
-    /// One that was taken so lately that its first request may be on its way is not closed to make room.
+    /// A connection accepted this recently is not evicted, as its first request may be on its way.
     pub first_request_grace: Micros,
-    /// A client takes in an answer within this.
+    /// A client reads its answer within this time.
     pub client_write_timeout: Micros,
-    /// After the last answer a client has this long to read it before the connection is closed for good.
+    /// Time for a client to read the last answer before the connection is closed.
     pub linger_timeout: Micros,
-    /// Connections that may wait with the system to be taken.
+    /// Length of the listening socket's queue.
     pub listen_backlog: i32,
-    /// That accepting is paused is logged no more often than this.
+    /// Shortest interval between log lines about paused accepting.
     pub accept_pause_log_interval: Micros,
-    /// Most connections to servers, idle ones included.
+    /// Most connections to servers, including idle ones.
     pub max_upstream_connections: usize,
     /// Connections to the counter.
     pub counter_connections: usize,
     /// Longest answer of the counter, in bytes: a number.
     pub max_total_bytes: usize,
-    /// Most authorisations held at once.
+    /// Most authorisations in progress.
     pub max_authorisations: usize,
-    /// Most units that one authorisation may take, in thousandths.
+    /// Most units of one authorisation, in thousandths.
     pub max_units_thousandths: u64,
-    /// An authorisation ends so long before its client gives up: the way back takes time.
+    /// An authorisation ends this long before its client gives up: the answer needs time on its
+    /// way.
     pub response_margin: Micros,
-    /// A connection to a server must come up within this.
+    /// Time-out of establishing a connection to a server.
     pub connect_timeout: Micros,
-    /// An answer that has begun and is not whole brings more within this.
+    /// An answer that has begun and is not complete sends more within this time.
     pub response_idle_timeout: Micros,
-    /// One that is being relayed brings more within this.
+    /// A streamed answer sends more within this time.
     pub relay_idle_timeout: Micros,
-    /// An idle connection to a server is closed after this, well before the server would.
+    /// Idle time-out of a connection to a server, well below the server's own.
     pub upstream_idle_timeout: Micros,
-    /// An idle connection to the counter is not used again after this.
+    /// An idle connection to the counter is not reused after this time.
     pub counter_idle_timeout: Micros,
-    /// A counter call without an answer by then has timed out.
+    /// Time-out of a counter call.
     pub counter_timeout: Micros,
-    /// A counter connection that has answered nothing for this long is given up.
+    /// A counter connection without any answer for this long is closed.
     pub counter_stale_timeout: Micros,
-    /// A probe without an answer by then has timed out.
+    /// Time-out of a health check.
     pub probe_timeout: Micros,
-    /// A watch that is silent for this long is opened anew.
+    /// A watch without input for this long is reconnected.
     pub watch_idle_timeout: Micros,
-    /// First wait before a lost watch is opened anew; doubled up to the longest.
+    /// First delay before a lost watch is reconnected; doubled up to the longest.
     pub watch_retry_delay: Micros,
-    /// Longest such wait.
+    /// Longest such delay.
     pub max_watch_retry_delay: Micros,
-    /// A call of our introspection server that names no time is answered within this.
+    /// Time-out of an introspection call that names none.
     pub introspection_timeout: Micros,
-    /// Advice to come back where the module gives none.
+    /// The wait told to clients where the module gives none.
     pub default_retry_after: Micros,
-    /// Accepting that the system refused is tried again after this.
+    /// Delay before accepting is retried after the system refused it.
     pub accept_retry_delay: Micros,
-    /// Between two ticks of the protocol by which instances agree.
+    /// Interval between two ticks of the Raft protocol.
     pub raft_tick_interval: Micros,
-    /// After SIGTERM new connections are taken for this long; after it, or this long into a drain, idle ones go.
+    /// After SIGTERM new connections are accepted for this long; after it, or this long into a
+    /// drain, idle ones are closed.
     pub shutdown_notice: Micros,
-    /// A connection that comes while idle ones are being closed brings its request whole within this.
+    /// Time for the first request of a connection that is accepted while idle ones are being
+    /// closed.
     pub draining_request_timeout: Micros,
-    /// Between two looks at what another process of this limiter was asked by operators.
+    /// Interval between two checks for operator calls handled by another process of this limiter.
     pub handover_poll_interval: Micros,
-    /// Longest call of operators, in bytes.
+    /// Longest operator call, in bytes.
     pub max_operator_line_bytes: usize,
     /// Most connections at the operators' address.
     pub max_operator_connections: usize,
-    /// One that has finished no call is closed after this.
+    /// Time-out of an operator connection without a complete call.
     pub operator_idle_timeout: Micros,
-    /// After SIGTERM the program ends at the latest after this.
+    /// After SIGTERM the program ends within this time.
     pub shutdown_timeout: Micros,
 }
 
--- a/crates/dataplane/src/plan_resolver.rs
+++ b/crates/dataplane/src/plan_resolver.rs
@@ -1,8 +1,9 @@
-//! By which plan a request is judged, where plans change in service: the plan book's word, as positions in the module.
+//! Resolves the plan of a request where plans change in service: the plan book's decisions, as
+//! positions in the module.
 //!
-//! The module knows plans by position. Each set of figures that the book brings up takes the next position, once, and is
-//! told to the module ahead of the first request that is judged by it. Without a change everything is as the request
-//! names it.
+//! The module knows plans by position. Each set of limits that the book brings into force takes the
+//! next position once, and is announced to the module ahead of the first request that uses it.
+//! Without changes, requests keep the position that they name.
 
 use std::collections::BTreeMap;
 
@@ -10,34 +11,34 @@
 use plans::change::{Base, Change, Figures};
 use streamarch::{CustomerId, Micros, Plan};
 
-/// Longest chain of changes looked at within one window.
+/// Longest chain of changes followed within one window.
 const MAX_CHANGE_CHAIN: usize = 8;
 
-/// Figures as a key: equal to the bit, or other ones.
+/// Limits as a key, compared bit by bit.
 type PlanBits = (u64, u64);
 
-/// A plan that came up: its platform position, its figures, the position that requests name, and what it took over from
-/// within the present window.
+/// A plan that was added: its platform position, its limits, the position that requests name, and
+/// the plan it replaced within the present window.
 type AddedPlan = (usize, PlanBits, usize, Option<(Micros, usize)>);
 
-/// The book, and where its plans stand in the module.
+/// The plan book, and the positions of its plans in the module.
 #[derive(Debug)]
 pub struct PlanResolver {
     book: Book,
     names: Vec<String>,
-    /// The module's plans: the platform's first, then those that came up.
+    /// The module's plans: those of the platform, then the added ones.
     plans: Vec<Plan>,
     positions: BTreeMap<AddedPlan, usize>,
 }
 
-/// What a request is judged by, fixed when it is taken.
+/// The plan of a request, fixed when it is submitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResolvedPlan {
     /// Position in the module.
     pub position: usize,
     /// The plan's name.
     pub plan: String,
-    /// The book's version.
+    /// Version of the book.
     pub version: u64,
 }
 
@@ -46,7 +47,8 @@
 }
 
 impl PlanResolver {
-    /// The platform's plans, by name and position. `slack`: how far in the past a change may take effect.
+    /// The platform's plans, by name and position. `slack`: how far in the past a change may take
+    /// effect, in microseconds.
     pub fn new(names: &[String], platform: &[Plan], slack: Micros) -> PlanResolver {
         let figures = |plan: &Plan| Figures {
             rate: plan.rate,
@@ -66,21 +68,21 @@
         }
     }
 
-    /// The book.
+    /// The plan book.
     pub fn book(&self) -> &Book {
         &self.book
     }
 
-    /// Takes a change into the book.
+    /// Applies a change to the book.
     ///
     /// # Errors
-    /// Why it was refused; the book is as it was.
+    /// Why the change was rejected; the book is unchanged.
     pub fn apply(&mut self, now: Micros, change: Change) -> Result<Taken, Refusal> {
         self.book.apply(now, change)
     }
 
-    /// What a request is judged by that names a plan by its platform position. Plans that come up with it are put into
-    /// `new`, in the order in which the module is to be told.
+    /// Resolves the plan that a request names by platform position. Plans added by it are appended
+    /// to `new`, in the order in which they are to be announced to the module.
     pub fn resolve(
         &mut self,
         now: Micros,
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Position in the module and platform position of what holds at an instant, as it is to be judged now.
+    /// The position in the module, and the platform position, of the plan in force at an instant.
     fn at(
         &mut self,
         at: Micros,
@@ -122,7 +124,8 @@
             .position(|n| *n == terms.plan)
             .unwrap_or(named);
         let window = self.plans[named].window_length();
-        // What was before matters in the window of the change alone: there use under it may not be known here.
+        // The previous plan matters only in the window of the change: there the use under it may
+        // not be known here.
         let fresh = chain > 0 && now - since < window;
         let changed = fresh.then(|| {
             (
--- a/crates/dataplane/src/probes.rs
+++ b/crates/dataplane/src/probes.rs
@@ -1,16 +1,16 @@
-//! Probes: what is asked of a server beside its work, and how its answer is read.
+//! Health checks: the request to a server, and how its answer is interpreted.
 
 use streamarch::{LoadReport, Outcome};
 
 use crate::framing::Response;
 
-/// The request of a probe, without an id: servers count it as none of a client's.
+/// The request of a health check. It has no id, so that servers do not count it as a client's.
 pub fn request(host: &str, reports: bool) -> Vec<u8> {
     let path = if reports { "/metrics/load" } else { "/alive" };
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
-/// The outcome of a probe that was answered.
+/// The outcome of an answered health check.
 pub fn outcome(answer: &Response) -> Outcome {
     match answer.status {
         200 => Outcome::Ok,
@@ -19,7 +19,8 @@
     }
 }
 
-/// Reads a load report: `TEXT inflight=7, queue=2, util=0.61`. What cannot be read is left out.
+/// Parses a load report: `TEXT inflight=7, queue=2, util=0.61`. Entries that can't be parsed are
+/// left out.
 pub fn report(text: &str) -> Option<LoadReport> {
     let text = text.trim();
     let text = text.strip_prefix("TEXT").unwrap_or(text);
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -1,22 +1,22 @@
-//! A long answer on its way to its client, without any input or output: what comes of its body goes on at once, in a
-//! framing by which the client can tell a whole answer from one that was cut off.
+//! Streams a long answer to its client, in a framing by which the client can tell a complete answer
+//! from a truncated one. Without I/O.
 
 use crate::framing::{BodyFraming, BodyReader, ParseError, ResponseHead, write_chunk, write_head};
 
-/// What is still to come of an answer, and how it goes on.
+/// An answer that is being streamed.
 #[derive(Clone, Debug)]
 pub struct Relay {
     reader: BodyReader,
-    /// Its length was not known when it began.
+    /// Its length was not announced.
     chunked: bool,
-    /// The server's connection may be used again behind it.
+    /// The server's connection can be reused afterwards.
     reusable: bool,
     data: Vec<u8>,
 }
 
 impl Relay {
-    /// Writes the head of an answer for the client, with these of its lines, and what has come of the body. `close`: it
-    /// is the last of the client's connection.
+    /// Writes the head of the answer with these fields, and the part of the body already received.
+    /// `close`: the client's connection is closed after it.
     pub fn begin<'a>(
         (head, extent): (&ResponseHead, BodyFraming),
         reader: BodyReader,
@@ -52,12 +52,12 @@
         relay
     }
 
-    /// Passes on what has come. Bytes behind the answer's end stay in `input`.
+    /// Forwards what was received. Bytes after the end of the answer stay in `input`.
     ///
     /// # Errors
-    /// What is no body: nothing more of it goes on, and its end is never written.
+    /// The body is malformed: nothing more is forwarded, and its end is never written.
     pub fn forward(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<(), ParseError> {
-        // Its end is written once.
+        // The end is written once.
         if self.reader.is_complete() {
             return Ok(());
         }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The server's connection ended in order. True if that makes the answer whole.
+    /// The server closed its connection. Returns whether that completes the answer.
     pub fn connection_closed(&mut self, out: &mut Vec<u8>) -> bool {
         let whole = self.reader.ends_with_connection();
         if whole {
@@ -87,12 +87,12 @@
         whole
     }
 
-    /// All has come.
+    /// Whether the answer is complete.
     pub fn is_complete(&self) -> bool {
         self.reader.is_complete()
     }
 
-    /// The server's connection may be used again once all has come.
+    /// Whether the server's connection can be reused once the answer is complete.
     pub fn is_reusable(&self) -> bool {
         self.reusable
     }
--- a/crates/dataplane/src/slots.rs
+++ b/crates/dataplane/src/slots.rs
@@ -1,5 +1,5 @@
-//! Numbered tables: the key of a slot carries its generation, so a late event for what stood in it before finds
-//! nothing instead of a stranger.
+//! Keys of slot tables. A key carries its slot's generation, so that a late event for an earlier
+//! occupant finds nothing.
 
 pub use slotmap::{Key, SlotMap};
 
--- a/crates/dataplane/src/upload.rs
+++ b/crates/dataplane/src/upload.rs
@@ -1,25 +1,26 @@
-//! The body of a request that goes on to a server while it still comes, without any input or output.
+//! A request body that is streamed to a server while it arrives. Without I/O.
 
 use crate::framing::{BodyFraming, BodyReader, ParseError, write_chunk};
 use crate::slots::ConnectionKey;
 
-/// What has come of a body, and where it goes.
+/// A streamed body, and its destination.
 #[derive(Clone, Debug)]
 pub struct Upload<K = ConnectionKey> {
     reader: BodyReader,
-    /// Its length was not known when it began.
+    /// Its length was not announced.
     chunked: bool,
-    /// All that has come, until more of it has gone on than is kept.
+    /// The received bytes, until more than `max_buffered` of them have been forwarded.
     buffer: Vec<u8>,
     max_buffered: usize,
-    /// Some of it is no longer here: no other leg can carry it.
+    /// Some of it was discarded: no other attempt can carry it.
     is_discarded: bool,
     attempt: Option<K>,
     received_bytes: u64,
 }
 
 impl<K: Copy> Upload<K> {
-    /// A body of which `come` is there. Of what has gone on to a server `most_kept` bytes stay here.
+    /// A body of which `come` bytes are present. Up to `max_buffered` forwarded bytes stay buffered
+    /// for a retry.
     pub fn new(
         extent: BodyFraming,
         reader: BodyReader,
@@ -39,47 +40,47 @@
         }
     }
 
-    /// The connection of the leg that carries it.
+    /// The connection of the attempt that carries it.
     pub fn attempt(&self) -> Option<K> {
         self.attempt
     }
 
-    /// Bytes of it that have come, framing included but for those it began with.
+    /// Bytes received so far, transfer coding included except for those present at the start.
     pub fn received_bytes(&self) -> u64 {
         self.received_bytes
     }
 
-    /// Bytes held.
+    /// Bytes buffered.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// All has come.
+    /// Whether all of it has been received.
     pub fn is_complete(&self) -> bool {
         self.reader.is_complete()
     }
 
-    /// No other leg can carry it.
+    /// Whether no other attempt can carry it.
     pub fn is_discarded(&self) -> bool {
         self.is_discarded
     }
 
-    /// A leg starts: what is here goes on.
+    /// An attempt starts: the buffered bytes are forwarded.
     pub fn start_attempt(&mut self, leg: K, out: &mut Vec<u8>) {
         self.attempt = Some(leg);
         self.write(0, out);
         self.discard_sent();
     }
 
-    /// The leg is over.
+    /// The attempt ended.
     pub fn attempt_ended(&mut self) {
         self.attempt = None;
     }
 
-    /// Takes what has come; it goes on to the leg, where there is one.
+    /// Reads from `input` and forwards to the attempt, where there is one.
     ///
     /// # Errors
-    /// What is no body.
+    /// The body is malformed or too long.
     pub fn read(
         &mut self,
         input: &mut Vec<u8>,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// What has gone on is held no longer than it is worth.
+    /// Discards forwarded bytes beyond the bound of the buffer.
     fn discard_sent(&mut self) {
         self.is_discarded |= self.buffer.len() > self.max_buffered;
         if self.is_discarded {
--- a/crates/dataplane/src/upstreams.rs
+++ b/crates/dataplane/src/upstreams.rs
@@ -1,6 +1,7 @@
-//! The pool of connections to servers: one authorisation or probe at a time on each, idle ones kept for a while.
+//! The pool of connections to servers: one attempt or health check at a time on each, and idle ones
+//! kept for reuse.
 //!
-//! [`LegState`] is what becomes of one connection, without any input or output.
+//! [`UpstreamState`] is the state machine of one connection. Without I/O.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,29 +14,30 @@
 /// What a connection to a server is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamPurpose {
-    /// A leg of an authorisation.
+    /// An attempt of an authorisation, with its number.
     Leg(AuthorisationKey, u32),
-    /// A probe.
+    /// A health check.
     Probe,
 }
 
-/// Where a connection to a server stands. `E`: what its holder uses connections for.
+/// The state of a connection to a server. `E`: the host's type for its purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamState<E = UpstreamPurpose> {
-    /// Not up yet; nothing has been written.
+    /// Not established; nothing has been written.
     Connecting(E),
-    /// Up, the request not written whole yet.
+    /// Established, and the request not completely written.
     Sending(E),
     /// The request's last byte is written.
     Awaiting(E),
-    /// Its answer is final and goes on to the client as it comes: the errand is over, the connection is not free.
+    /// The final answer is being streamed to the client: the purpose is fulfilled, but the
+    /// connection is not free.
     Relaying,
-    /// Nothing is out on it.
+    /// Nothing is in flight on it.
     Idle,
 }
 
 impl<E: Copy> UpstreamState<E> {
-    /// What it is used for.
+    /// The purpose, while there is one.
     pub fn purpose(self) -> Option<E> {
         match self {
             UpstreamState::Connecting(errand)
@@ -45,7 +47,7 @@
         }
     }
 
-    /// The connection is up.
+    /// The state after the connection was established.
     pub fn connected(self) -> UpstreamState<E> {
         match self {
             UpstreamState::Connecting(errand) => UpstreamState::Sending(errand),
@@ -53,7 +55,7 @@
         }
     }
 
-    /// All that was to be written is written.
+    /// The state after all output was written.
     pub fn written(self) -> UpstreamState<E> {
         match self {
             UpstreamState::Sending(errand) => UpstreamState::Awaiting(errand),
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The outcome if the connection breaks now. Only what had its last byte written may have run.
+    /// The outcome if the connection breaks now. Only a completely written request may have run.
     pub fn outcome_if_broken(self) -> Outcome {
         match self {
             UpstreamState::Connecting(_) | UpstreamState::Sending(_) => Outcome::ConnectFailed,
@@ -71,7 +73,8 @@
         }
     }
 
-    /// The outcome if its time is up now. A connection that never came up has carried nothing.
+    /// The outcome if the time is up now. A connection that was never established has carried
+    /// nothing.
     pub fn outcome_if_timed_out(self) -> Outcome {
         match self {
             UpstreamState::Connecting(_) | UpstreamState::Sending(_) => Outcome::ConnectFailed,
@@ -82,7 +85,7 @@
     }
 }
 
-/// The outcome that a whole answer stands for.
+/// The outcome that a complete response stands for.
 pub fn response_outcome(answer: &Response) -> Outcome {
     match answer.status {
         200 => Outcome::Ok,
@@ -91,19 +94,20 @@
     }
 }
 
-/// A server as the pool knows it.
+/// A server in the pool.
 #[derive(Debug)]
 struct PooledServer<K> {
     address: SocketAddr,
     listed: bool,
-    /// Operators have taken it out: no connection to it rests.
+    /// Operators have taken it out of service: its connections are not kept.
     taken_out: bool,
     connections: usize,
-    /// Idle connections and since when; the last one used is used first, so that the others can go.
+    /// Idle connections and since when. The last one used is reused first, so that the others
+    /// expire.
     idle: Vec<(K, Micros)>,
 }
 
-/// Servers and the connections that are open to them, by their keys.
+/// The servers, and the connections to them by key.
 #[derive(Debug)]
 pub struct Pool<K = ConnectionKey> {
     servers: BTreeMap<ServerId, PooledServer<K>>,
@@ -120,8 +124,8 @@
 }
 
 impl<K: Copy + PartialEq> Pool<K> {
-    /// The routing table names this server, at this address. Gives the idle connections to another one: who answers
-    /// there now is not this server.
+    /// Adds a server, or updates its address; returns its idle connections to an earlier address,
+    /// where another server may answer now.
     pub fn add_server(&mut self, server: ServerId, address: SocketAddr) -> Vec<K> {
         let new = || PooledServer {
             address,
@@ -140,7 +144,8 @@
         }
     }
 
-    /// Operators have taken a server out: gives its idle connections, and keeps none until it is listed anew.
+    /// Takes a server out of service until it is added again; returns its idle connections, to be
+    /// closed.
     pub fn take_out_of_service(&mut self, server: ServerId) -> Vec<K> {
         let Some(place) = self.servers.get_mut(&server) else {
             return Vec::new();
@@ -149,7 +154,7 @@
         place.idle.iter().map(|(key, _)| *key).collect()
     }
 
-    /// The server is gone from the routing table; gives its idle connections, which are of no more use.
+    /// Removes a server that is no longer listed; returns its idle connections, to be closed.
     pub fn remove_server(&mut self, server: ServerId) -> Vec<K> {
         let Some(place) = self.servers.get_mut(&server) else {
             return Vec::new();
@@ -162,12 +167,12 @@
         idle
     }
 
-    /// Where to reach a server.
+    /// The address of a server.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.servers.get(&server).map(|place| place.address)
     }
 
-    /// Connections in all.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.connections
     }
@@ -180,7 +185,7 @@
         }
     }
 
-    /// A connection was closed, whatever it did.
+    /// A connection was closed, in whatever state.
     pub fn connection_closed(&mut self, server: ServerId, key: K) {
         let Some(place) = self.servers.get_mut(&server) else {
             return;
@@ -193,7 +198,8 @@
         }
     }
 
-    /// A connection has nothing to do. False if the server is gone or taken out: then it is to be closed.
+    /// Returns a connection to the pool. False if the server is gone or out of service: the
+    /// connection is to be closed.
     pub fn release(&mut self, server: ServerId, key: K, now: Micros) -> bool {
         let used = |place: &&mut PooledServer<K>| place.listed && !place.taken_out;
         let Some(place) = self.servers.get_mut(&server).filter(used) else {
@@ -203,7 +209,7 @@
         true
     }
 
-    /// An idle connection to a server, the one used last.
+    /// Takes an idle connection to a server out of the pool: the one used last.
     pub fn acquire(&mut self, server: ServerId) -> Option<K> {
         self.servers
             .get_mut(&server)?
@@ -212,13 +218,13 @@
             .map(|(key, _)| key)
     }
 
-    /// The connection that has been idle longest anywhere.
+    /// The connection that has been idle longest, of all servers.
     pub fn longest_idle(&self) -> Option<K> {
         let firsts = self.servers.values().filter_map(|place| place.idle.first());
         firsts.min_by_key(|(_, since)| *since).map(|(key, _)| *key)
     }
 
-    /// Takes out the connections idle since `before` or longer.
+    /// Takes the connections idle since `before` or longer out of the pool.
     pub fn take_expired(&mut self, before: Micros) -> Vec<K> {
         let mut old = Vec::new();
         for place in self.servers.values_mut() {
