--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -17,7 +17,7 @@
 const WARMUP: Micros = 3 * SECOND;
 
 impl Host {
-    pub(super) fn open_feed(&mut self, now: Micros) {
+    pub(super) fn connect_to_agent(&mut self, now: Micros) {
         if self.agent.is_some() {
             return;
         }
@@ -30,78 +30,79 @@
             }
             Err(_) => self
                 .deadlines
-                .schedule(now + AGENT_RETRY_DELAY, Timer::Feed),
+                .schedule(now + AGENT_RETRY_DELAY, Timer::ConnectAgent),
         }
     }
 
-    pub(super) fn feed_up(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_agent_connected(&mut self, now: Micros, key: ConnectionId) {
         info!(self.log, "agent is there");
-        let hello = AgentMessage::Hello(self.edge());
+        let hello = AgentMessage::Hello(self.node_info());
         if let Some(out) = self.connections.output(key) {
             frames::encode(out, &hello);
         }
-        self.standing = self.stands();
-        self.tell(&AgentMessage::Heartbeat(self.standing));
+        self.announced_state = self.state();
+        self.send_to_agent(&AgentMessage::Heartbeat(self.announced_state));
         // Counter calls in flight on the old link get no totals.
         self.send_adds(now);
     }
 
-    pub(super) fn feed_lost(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_agent_lost(&mut self, now: Micros, key: ConnectionId) {
         self.remove_connection(key);
         self.agent = None;
         for batch in std::mem::take(&mut self.batches) {
-            self.not_counted(&batch, Outcome::Reset);
+            self.fail_batch(&batch, Outcome::Reset);
         }
         self.deadlines
-            .schedule(now + AGENT_RETRY_DELAY, Timer::Feed);
+            .schedule(now + AGENT_RETRY_DELAY, Timer::ConnectAgent);
     }
 
-    fn tell(&mut self, message: &AgentMessage) {
+    fn send_to_agent(&mut self, message: &AgentMessage) {
         if let Some(out) = self.agent.and_then(|key| self.connections.output(key)) {
             frames::encode(out, message);
         }
     }
 
     /// Sends the load reports.
-    pub(super) fn tell_load(&mut self, now: Micros) {
-        self.deadlines.schedule(now + overload::STEP, Timer::Load);
+    pub(super) fn send_load_reports(&mut self, now: Micros) {
+        self.deadlines
+            .schedule(now + overload::STEP, Timer::LoadReport);
         let load = self.router.shedding().take_reports(now);
         if !load.is_empty() {
-            self.tell(&AgentMessage::LoadReports(load));
+            self.send_to_agent(&AgentMessage::LoadReports(load));
         }
     }
 
-    pub(super) fn beat(&mut self, now: Micros) {
-        self.beat_now();
+    pub(super) fn heartbeat(&mut self, now: Micros) {
+        self.send_heartbeat();
         self.deadlines
-            .schedule(now + HEARTBEAT_INTERVAL, Timer::Beat);
+            .schedule(now + HEARTBEAT_INTERVAL, Timer::Heartbeat);
     }
 
-    pub(super) fn beat_now(&mut self) {
-        self.standing = self.stands();
-        self.tell(&AgentMessage::Heartbeat(self.standing));
+    pub(super) fn send_heartbeat(&mut self) {
+        self.announced_state = self.state();
+        self.send_to_agent(&AgentMessage::Heartbeat(self.announced_state));
     }
 
-    pub(super) fn feed_came(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_agent_input(&mut self, now: Micros, key: ConnectionId) {
         loop {
             let Some(wire) = self.connections.get_mut(key) else {
                 return;
             };
             match frames::decode::<ControlMessage>(&mut wire.input) {
-                Ok(Some(message)) => self.heard(now, message),
+                Ok(Some(message)) => self.handle_control_message(now, message),
                 Ok(None) => break,
                 Err(fault) => {
                     error!(self.log, "agent: {fault}"; "step" => "reading news", "peer" => "agent");
-                    return self.feed_lost(now, key);
+                    return self.handle_agent_lost(now, key);
                 }
             }
         }
-        if self.standing != self.stands() {
-            self.beat_now();
+        if self.announced_state != self.state() {
+            self.send_heartbeat();
         }
     }
 
-    fn heard(&mut self, now: Micros, message: ControlMessage) {
+    fn handle_control_message(&mut self, now: Micros, message: ControlMessage) {
         match message {
             ControlMessage::ClusterView(ClusterView {
                 limiters,
@@ -109,8 +110,8 @@
                 has_quorum: in_touch,
                 ..
             }) => {
-                self.router.limiters(now, limiters);
-                self.router.alone(!in_touch);
+                self.router.set_limiters(now, limiters);
+                self.router.set_isolated(!in_touch);
                 self.router.set_counter_term(holder.map(|(_, term)| term));
             }
             ControlMessage::Items(items) => {
@@ -118,38 +119,38 @@
                 for fault in faults {
                     warn!(self.log, #IMMEDIATE, "item left out: {fault}"; "step" => "reading items", "peer" => "agent");
                 }
-                self.touched(now, touched);
+                self.handle_config_change(now, touched);
             }
             ControlMessage::Servers { version, servers } => {
                 if self.server_table.update(now, version, servers) {
-                    self.list(now);
+                    self.update_servers(now);
                 }
             }
             ControlMessage::Complete => self.agent_complete = true,
             ControlMessage::Clock(time) => {
                 self.clock.advance_to(time);
                 self.caught_up_at = self.clock.now();
-                self.router.jumped(time, time - now);
+                self.router.handle_clock_jump(time, time - now);
             }
             ControlMessage::Levels { age, levels } => {
                 self.router.shedding().set_levels(now, age, levels)
             }
-            ControlMessage::Totals { batch, totals } => self.totals(batch, &totals),
+            ControlMessage::Totals { batch, totals } => self.handle_totals(batch, &totals),
             ControlMessage::NotCounted(batch) => {
                 if let Some(batch) = self.take_batch(batch) {
-                    self.not_counted(&batch, Outcome::ConnectFailed);
+                    self.fail_batch(&batch, Outcome::ConnectFailed);
                 }
             }
         }
     }
 
-    fn touched(&mut self, now: Micros, touched: ConfigChange) {
+    fn handle_config_change(&mut self, now: Micros, touched: ConfigChange) {
         if let Some(limits) = self.config_store.limits().filter(|_| touched.has_new_items) {
             self.limits.max_head_bytes = limits.hdr_bytes as usize;
             self.limits.max_request_bytes = limits.body_bytes;
             self.limits.request_timeout = limits.hdr.0;
             self.limits.client_idle_timeout = limits.idle.0;
-            self.client_keep_alive = clients::stay(limits.idle.0);
+            self.client_keep_alive = clients::keep_alive_value(limits.idle.0);
         }
         if touched.zones {
             self.server_table.set_evacuated(
@@ -158,29 +159,29 @@
                 touched.returned_zones,
                 WARMUP + COLD_LAG,
             );
-            self.list(now);
+            self.update_servers(now);
         }
     }
 
     /// Passes the servers to every engine, and their addresses to the pool.
-    pub(super) fn list(&mut self, now: Micros) {
-        let places: Vec<_> = self
+    pub(super) fn update_servers(&mut self, now: Micros) {
+        let engines: Vec<_> = self
             .router
-            .places()
-            .map(|(s, p, at)| (s.to_string(), p.to_vec(), at))
+            .service_engines()
+            .map(|(svc, regions, engine)| (svc.to_string(), regions.to_vec(), engine))
             .collect();
-        for (svc, pins, at) in places {
-            let entries = self.server_table.entries(now, &svc, &pins);
-            self.pool_listed(entries.iter().map(|entry| entry.server).collect());
-            self.router.listed(at, entries);
+        for (svc, regions, engine) in engines {
+            let entries = self.server_table.entries(now, &svc, &regions);
+            self.add_to_pool(entries.iter().map(|entry| entry.server).collect());
+            self.router.update_servers(engine, entries);
         }
-        self.pool_unlisted();
+        self.close_unlisted();
         if let Some(at) = self.server_table.next_warm(now) {
-            self.deadlines.schedule(at, Timer::Warm);
+            self.deadlines.schedule(at, Timer::WarmupOver);
         }
     }
 
-    pub(super) fn pool_listed(&mut self, servers: Vec<ServerId>) {
+    pub(super) fn add_to_pool(&mut self, servers: Vec<ServerId>) {
         for server in servers {
             if let Some((address, _)) = self.server_table.address_of(server) {
                 let moved = self.pool.add_server(server, address);
@@ -191,14 +192,14 @@
 
     /// Adds are sent once a turn.
     pub(super) fn send_adds(&mut self, now: Micros) {
-        if self.adds.is_empty() {
+        if self.pending_adds.is_empty() {
             return;
         }
-        let adds = std::mem::take(&mut self.adds);
-        self.batch += 1;
+        let adds = std::mem::take(&mut self.pending_adds);
+        self.last_batch += 1;
         let names = adds.iter().map(|add| add.counter).collect();
         let batch = CounterBatch {
-            number: self.batch,
+            number: self.last_batch,
             names,
             sent: now,
             expired: false,
@@ -208,16 +209,17 @@
             .and_then(|key| self.connections.get(key))
             .is_some_and(|wire| wire.is_connected());
         if !up {
-            return self.not_counted(&batch, Outcome::ConnectFailed);
+            return self.fail_batch(&batch, Outcome::ConnectFailed);
         }
-        self.tell(&AgentMessage::CounterBatch {
-            batch: self.batch,
+        self.send_to_agent(&AgentMessage::CounterBatch {
+            batch: self.last_batch,
             time: now,
             adds,
         });
         self.batches.push_back(batch);
         if self.batches.len() == 1 {
-            self.deadlines.schedule(now + COUNTER_TIMEOUT, Timer::Batch);
+            self.deadlines
+                .schedule(now + COUNTER_TIMEOUT, Timer::CounterBatch);
         }
     }
 
@@ -229,13 +231,13 @@
         self.batches.remove(at)
     }
 
-    fn not_counted(&mut self, batch: &CounterBatch, outcome: Outcome) {
+    fn fail_batch(&mut self, batch: &CounterBatch, outcome: Outcome) {
         for name in batch.names.iter().filter(|_| !batch.expired) {
             self.router.handle_count(*name, outcome, 0.0);
         }
     }
 
-    fn totals(&mut self, number: u64, totals: &[f64]) {
+    fn handle_totals(&mut self, number: u64, totals: &[f64]) {
         let Some(batch) = self.take_batch(number) else {
             return;
         };
@@ -250,7 +252,7 @@
         }
     }
 
-    pub(super) fn batch_due(&mut self, now: Micros) {
+    pub(super) fn handle_batch_timeout(&mut self, now: Micros) {
         let mut late = Vec::new();
         for batch in self
             .batches
@@ -269,9 +271,10 @@
         }
         if let Some(next) = self.batches.iter().find(|batch| !batch.expired) {
             self.deadlines
-                .schedule(next.sent + COUNTER_TIMEOUT, Timer::Batch);
+                .schedule(next.sent + COUNTER_TIMEOUT, Timer::CounterBatch);
         } else if !self.batches.is_empty() {
-            self.deadlines.schedule(now + COUNTER_TIMEOUT, Timer::Batch);
+            self.deadlines
+                .schedule(now + COUNTER_TIMEOUT, Timer::CounterBatch);
         }
     }
 }
--- a/crates/proxy/src/host/capacity.rs
+++ b/crates/proxy/src/host/capacity.rs
@@ -13,7 +13,7 @@
 /// Descriptors used for other than connections, and those reserved for files.
 const RESERVED_DESCRIPTORS: usize = 240;
 /// A wait that ended this soon returned events from before it began.
-const AT_ONCE: Micros = 300;
+const IMMEDIATE_WAKE: Micros = 300;
 
 impl Host {
     /// Most connections of all kinds.
@@ -28,7 +28,7 @@
     /// even earlier. A wait that ends late delayed the work that was due.
     pub(super) fn measure_load(&mut self, began: Micros, until: Micros, count: usize) {
         let (woken, all) = self.connections.last_wake();
-        let at_once = woken - began <= AT_ONCE;
+        let at_once = woken - began <= IMMEDIATE_WAKE;
         let behind = if at_once {
             began - self.caught_up_at
         } else {
@@ -43,7 +43,7 @@
             self.caught_up_at = woken;
         }
         let shares = [
-            self.clients as f64 / MAX_CLIENTS as f64,
+            self.client_count as f64 / MAX_CLIENTS as f64,
             self.buffered_bytes as f64 / MAX_BUFFERED_BYTES as f64,
             self.connections.len() as f64 / self.descriptors() as f64,
         ];
@@ -54,8 +54,8 @@
 
     /// A connection was accepted: if there are too many, the least valuable is evicted. Among
     /// equals it is one whose last request had the lowest tier.
-    pub(super) fn make_room(&mut self, now: Micros) {
-        if self.clients <= MAX_CLIENTS && self.connections.len() < self.descriptors() {
+    pub(super) fn evict_excess(&mut self, now: Micros) {
+        if self.client_count <= MAX_CLIENTS && self.connections.len() < self.descriptors() {
             return;
         }
         let spared = |key: ConnectionId, client: &Client| {
@@ -65,10 +65,10 @@
                 .connections
                 .get(key)
                 .is_some_and(|wire| !wire.input.is_empty());
-            if read && client.visit.stage != Stage::Lingering {
+            if read && client.connection.stage != Stage::Lingering {
                 return None;
             }
-            let (rank, since) = client.visit.eviction_rank(now, &self.limits)?;
+            let (rank, since) = client.connection.eviction_rank(now, &self.limits)?;
             Some((rank, Reverse(client.band), since))
         };
         let clients = self.roles.iter().filter_map(|(key, role)| match role {
@@ -76,7 +76,7 @@
             _ => None,
         });
         if let Some((_, key)) = clients.min() {
-            self.client_gone(now, key, CloseReason::Evicted);
+            self.remove_client(now, key, CloseReason::Evicted);
         }
     }
 
@@ -84,7 +84,7 @@
     /// arriving. It is of the lowest tier, and the largest among equals.
     pub(super) fn evict_buffered(&self) -> Option<ConnectionId> {
         let coming = self.roles.iter().filter_map(|(key, role)| match role {
-            Role::Client(client) if client.visit.stage == Stage::Receiving => {
+            Role::Client(client) if client.connection.stage == Stage::Receiving => {
                 Some(((client.band, client.buffered_bytes), key))
             }
             _ => None,
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -10,44 +10,44 @@
 use crate::shedding::SheddingRequest;
 
 /// Bytes read ahead from a client while its request is in flight.
-pub(super) const AHEAD: usize = 4 * 1024;
+pub(super) const MAX_READ_AHEAD_BYTES: usize = 4 * 1024;
 /// Bytes read at a time while a request is arriving.
-const WINDOW: usize = 128 * 1024;
+const READ_WINDOW_BYTES: usize = 128 * 1024;
 /// The wait told where the module gives none.
-const STAY_AWAY: Micros = 200 * MS;
+const DEFAULT_RETRY_AFTER: Micros = 200 * MS;
 /// The mean wait told by a proxy that has no configuration or servers yet: after a loss of power
 /// everywhere the server list is back within a second.
-const START_AWAY: Micros = 700 * MS;
+const STARTUP_RETRY_AFTER: Micros = 700 * MS;
 /// A request ends this long before its client gives up: the answer needs time on its way.
-pub(super) const MARGIN: Micros = 12 * MS;
+pub(super) const RESPONSE_MARGIN: Micros = 12 * MS;
 
 /// An idle connection is kept this much longer than its client is told.
-const STAY_LESS: Micros = SECOND;
+const KEEP_ALIVE_MARGIN: Micros = SECOND;
 
 /// A body that is forwarded while it arrives.
-pub(super) struct Coming {
+pub(super) struct StreamedBody {
     pub(super) extent: BodyFraming,
     /// The additional time that it is given to arrive.
-    pub(super) more: Micros,
+    pub(super) extra_time: Micros,
 }
 
 /// An answer that the proxy itself generates.
-pub(super) struct Own {
+pub(super) struct LocalResponse {
     status: u16,
     stay_away: Micros,
     text: &'static str,
 }
 
-fn own(status: u16, text: &'static str) -> Own {
-    Own {
+fn local_response(status: u16, text: &'static str) -> LocalResponse {
+    LocalResponse {
         status,
         stay_away: 0,
         text,
     }
 }
 
-fn away(status: u16, stay_away: Micros, text: &'static str) -> Own {
-    Own {
+fn retry_later(status: u16, stay_away: Micros, text: &'static str) -> LocalResponse {
+    LocalResponse {
         status,
         stay_away,
         text,
@@ -55,27 +55,27 @@
 }
 
 impl Host {
-    pub(super) fn took(&mut self, now: Micros, key: ConnectionId) {
-        self.clients += 1;
+    pub(super) fn accept_client(&mut self, now: Micros, key: ConnectionId) {
+        self.client_count += 1;
         let client = Client {
-            visit: ClientConnection::new(now),
+            connection: ClientConnection::new(now),
             incoming: Incoming::default(),
             request: None,
             timer_at: Micros::MAX,
-            last: false,
+            close_after_response: false,
             checked_by_head: false,
             continue_sent: false,
             buffered_bytes: 0,
             band: 0,
-            source: None,
+            streaming_from: None,
             upload: None,
         };
         self.roles.insert(key, Role::Client(Box::new(client)));
         if let Some(wire) = self.connections.get_mut(key) {
-            wire.max_input_bytes = WINDOW;
+            wire.max_input_bytes = READ_WINDOW_BYTES;
         }
-        self.arm(now, key);
-        self.make_room(now);
+        self.schedule_client_deadline(now, key);
+        self.evict_excess(now);
     }
 
     pub(super) fn client(&mut self, key: ConnectionId) -> Option<&mut Client> {
@@ -86,39 +86,39 @@
     }
 
     /// Schedules the connection's deadline if it is earlier than the scheduled one.
-    pub(super) fn arm(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn schedule_client_deadline(&mut self, now: Micros, key: ConnectionId) {
         let closing = self.lifecycle.closes_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
         if let Some(at) = client
-            .visit
+            .connection
             .deadline(closing, &self.limits)
             .filter(|at| *at < client.timer_at)
         {
             client.timer_at = at;
-            self.deadlines.schedule(at, Timer::Visit(key));
+            self.deadlines.schedule(at, Timer::Client(key));
         }
     }
 
-    pub(super) fn visit_due(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_client_deadline(&mut self, now: Micros, key: ConnectionId) {
         let closing = self.lifecycle.closes_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
         client.timer_at = Micros::MAX;
         // A client that waits for the rest of its answer is not idle.
-        if client.source.is_some()
+        if client.streaming_from.is_some()
             && self
                 .connections
                 .get(key)
                 .is_some_and(|wire| wire.backlog() == 0)
         {
-            client.visit.record_write_progress(now);
+            client.connection.record_write_progress(now);
         }
         // Nor is one whose body is not being read because the server is slow.
         let over = client
-            .visit
+            .connection
             .deadline(closing, &self.limits)
             .is_some_and(|at| at <= now);
         if over
@@ -128,12 +128,12 @@
                 .get(key)
                 .is_some_and(|wire| wire.has_unread())
         {
-            client.visit.restart_body_timer(now);
+            client.connection.restart_body_timer(now);
         }
-        match client.visit.deadline(closing, &self.limits) {
+        match client.connection.deadline(closing, &self.limits) {
             Some(at) if at <= now => {
-                let unread = client.visit.stage == Stage::Responding;
-                self.client_gone(
+                let unread = client.connection.stage == Stage::Responding;
+                self.remove_client(
                     now,
                     key,
                     if unread {
@@ -143,86 +143,92 @@
                     },
                 );
             }
-            Some(_) if closing && client.visit.stage == Stage::Idle => {
+            Some(_) if closing && client.connection.stage == Stage::Idle => {
                 // Its next request may be on its way: one that was read is answered.
-                self.arm(now, key);
+                self.schedule_client_deadline(now, key);
             }
-            _ => self.arm(now, key),
+            _ => self.schedule_client_deadline(now, key),
         }
     }
 
-    pub(super) fn client_gone(&mut self, now: Micros, key: ConnectionId, closing: CloseReason) {
+    pub(super) fn remove_client(&mut self, now: Micros, key: ConnectionId, closing: CloseReason) {
         self.log_close(now, key, closing);
         if let Some(Role::Client(client)) = self.roles.remove(key) {
-            self.clients -= 1;
+            self.client_count -= 1;
             self.buffered_bytes -= client.buffered_bytes;
             client
-                .source
+                .streaming_from
                 .into_iter()
-                .for_each(|source| self.close_leg(source));
+                .for_each(|source| self.close_upstream(source));
             client
                 .request
                 .into_iter()
-                .for_each(|request| self.leave_off(now, request));
+                .for_each(|request| self.abandon_request(now, request));
         }
         self.connections.close(key);
-        self.is_drained();
+        self.finish_if_drained();
     }
 
     /// Drops a request for which no answer is owed any more.
-    pub(super) fn leave_off(&mut self, now: Micros, request: RequestKey) {
+    pub(super) fn abandon_request(&mut self, now: Micros, request: RequestKey) {
         if let Some(request) = self.requests.remove(request) {
             self.router
-                .handle_client_left(now, request.ticket, &mut self.steps);
+                .handle_client_left(now, request.handle, &mut self.actions);
         }
     }
 
-    pub(super) fn client_came(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_client_input(&mut self, now: Micros, key: ConnectionId) {
         let most = self.limits.max_request_bytes;
         let (Some(Role::Client(client)), Some(wire)) =
             (self.roles.get_mut(key), self.connections.get_mut(key))
         else {
             return;
         };
-        match client.visit.stage {
+        match client.connection.stage {
             Stage::Idle | Stage::Receiving => {}
             Stage::Lingering => {
                 wire.input.clear();
                 // Closing with unread input would reset the connection and could destroy the
                 // answer.
-                return self.ready_again.extend(wire.has_unread().then_some(key));
+                return self.reread.extend(wire.has_unread().then_some(key));
+            }
+            Stage::Processing if client.upload.is_some() => {
+                return self.handle_upload_input(now, key);
             }
-            Stage::Processing if client.upload.is_some() => return self.upload_came(now, key),
             // Pipelined input waits until the request before it is answered.
             Stage::Processing | Stage::Responding => return,
         }
         if wire.input.is_empty() && client.incoming.head().is_none() {
             return;
         }
-        client.visit.begin_request(now);
+        client.connection.begin_request(now);
         let read = client.incoming.read(&mut wire.input, most, &self.limits);
         let held = wire.input.len() + client.incoming.body.len();
         self.buffered_bytes = self.buffered_bytes + held - client.buffered_bytes;
         client.buffered_bytes = held;
         if let Err(fault) = read {
-            return self.refuse(now, key, fault);
+            return self.reject_input(now, key, fault);
         }
         if client.incoming.is_complete() {
             let incoming = std::mem::take(&mut client.incoming);
             (client.continue_sent, client.checked_by_head) = (false, false);
-            client.visit.request_complete(now);
-            wire.max_input_bytes = AHEAD.max(wire.input.len());
+            client.connection.request_complete(now);
+            wire.max_input_bytes = MAX_READ_AHEAD_BYTES.max(wire.input.len());
             if let Some((head, _, body)) = incoming.into_parts() {
-                self.take(now, key, head, body);
+                self.handle_request(now, key, head, body);
             }
             return;
         }
-        if self.waits_by_head(now, key) {
+        if self.is_shed_by_head(now, key) {
             self.client(key)
                 .into_iter()
-                .for_each(|client| client.last = true);
-            let stay_away = (STAY_AWAY as f64 * (0.5 + fastrand::f64())) as Micros;
-            return self.answer_own(now, key, &away(503, stay_away, "others go first"));
+                .for_each(|client| client.close_after_response = true);
+            let stay_away = (DEFAULT_RETRY_AFTER as f64 * (0.5 + fastrand::f64())) as Micros;
+            return self.write_local_response(
+                now,
+                key,
+                &retry_later(503, stay_away, "others go first"),
+            );
         }
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
@@ -236,21 +242,25 @@
             }
             let tell = head.expects_continue && !std::mem::replace(&mut client.continue_sent, true);
             let length = client.incoming.length;
-            client.visit.record_body_progress(now, length);
+            client.connection.record_body_progress(now, length);
             if tell {
-                self.go_on(key);
+                self.write_continue(key);
             }
         }
         if let Some(spared) = self.evict_buffered() {
             self.client(spared)
                 .into_iter()
-                .for_each(|client| client.last = true);
-            self.answer_own(now, spared, &away(503, STAY_AWAY, "no room"));
+                .for_each(|client| client.close_after_response = true);
+            self.write_local_response(
+                now,
+                spared,
+                &retry_later(503, DEFAULT_RETRY_AFTER, "no room"),
+            );
             if spared == key {
                 return;
             }
         }
-        self.arm(now, key);
+        self.schedule_client_deadline(now, key);
         if self
             .connections
             .get(key)
@@ -258,7 +268,7 @@
         {
             let mut more = Vec::new();
             self.connections.resume_reading(key, now, &mut more);
-            self.ready_again.extend(
+            self.reread.extend(
                 more.iter()
                     .any(|h| matches!(h, IoEvent::Received(_)))
                     .then_some(key),
@@ -273,7 +283,7 @@
     }
 
     /// The input is not a valid request, or too long.
-    pub(super) fn refuse(&mut self, now: Micros, key: ConnectionId, fault: ParseError) {
+    pub(super) fn reject_input(&mut self, now: Micros, key: ConnectionId, fault: ParseError) {
         let text = match fault {
             ParseError::Syntax => "no request",
             ParseError::HeadTooLarge => "head too large",
@@ -281,12 +291,12 @@
         };
         self.client(key)
             .into_iter()
-            .for_each(|client| client.last = true);
-        self.answer_own(now, key, &own(fault.status(), text));
+            .for_each(|client| client.close_after_response = true);
+        self.write_local_response(now, key, &local_response(fault.status(), text));
     }
 
     /// Tells the client to send its body.
-    pub(super) fn go_on(&mut self, key: ConnectionId) {
+    pub(super) fn write_continue(&mut self, key: ConnectionId) {
         let out = self.connections.output(key);
         out.into_iter()
             .for_each(|out| out.extend(b"HTTP/1.1 100 Continue\r\n\r\n"));
@@ -295,7 +305,7 @@
     /// Whether a request is shed by its head alone: it is rejected before its body is read, and the
     /// connection closed after the answer. Checked once, when the head is complete and the route
     /// has one service; with several it is not known yet which one will be chosen.
-    fn waits_by_head(&mut self, now: Micros, key: ConnectionId) -> bool {
+    fn is_shed_by_head(&mut self, now: Micros, key: ConnectionId) -> bool {
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return false;
         };
@@ -336,12 +346,12 @@
     }
 
     /// Handles a complete request.
-    fn take(&mut self, now: Micros, key: ConnectionId, head: RequestHead, body: Vec<u8>) {
+    fn handle_request(&mut self, now: Micros, key: ConnectionId, head: RequestHead, body: Vec<u8>) {
         if let Some(client) = self.client(key) {
-            client.last = !head.keep_alive;
+            client.close_after_response = !head.keep_alive;
         }
         if let Err(own) = self.admit(now, key, head, body, None) {
-            self.answer_own(now, key, &own);
+            self.write_local_response(now, key, &own);
         }
     }
 
@@ -351,25 +361,36 @@
         key: ConnectionId,
         head: RequestHead,
         body: Vec<u8>,
-        coming: Option<Coming>,
-    ) -> Result<(), Own> {
+        coming: Option<StreamedBody>,
+    ) -> Result<(), LocalResponse> {
         if !self.config_store.is_ready() {
-            return Err(away(503, start_away(), "no configuration yet"));
-        }
-        if !self.server_table.any() {
-            return Err(away(503, start_away(), "no server is known yet"));
-        }
-        let host = head.headers.get("Host").ok_or(own(400, "Host"))?;
+            return Err(retry_later(
+                503,
+                startup_retry_after(),
+                "no configuration yet",
+            ));
+        }
+        if !self.server_table.has_servers() {
+            return Err(retry_later(
+                503,
+                startup_retry_after(),
+                "no server is known yet",
+            ));
+        }
+        let host = head
+            .headers
+            .get("Host")
+            .ok_or(local_response(400, "Host"))?;
         let route = self
             .config_store
             .route(host, &head.target)
-            .ok_or(own(404, "no route"))?
+            .ok_or(local_response(404, "no route"))?
             .clone();
         let id = head
             .headers
             .get("X-Request-Id")
             .filter(|id| !id.is_empty() && id.len() <= 256);
-        let id = id.ok_or(own(400, "X-Request-Id"))?.to_string();
+        let id = id.ok_or(local_response(400, "X-Request-Id"))?.to_string();
         let key_shown = head
             .headers
             .get("Authorization")
@@ -378,7 +399,7 @@
             .and_then(|key| self.config_store.tenant(key.trim()))
             .cloned();
         if tenant.is_none() && !route.public && self.config_store.requires_keys() {
-            return Err(own(401, "no such key"));
+            return Err(local_response(401, "no such key"));
         }
         let left = head
             .headers
@@ -388,20 +409,29 @@
             .filter(|ms| ms.is_finite() && *ms >= 0.0)
             .map_or(route.timeout.0, |ms| (ms * 1e3) as Micros);
         let wait = left.min(route.timeout.0);
-        let wait = wait - MARGIN.min(wait / 4);
-        let deadline = now + wait + coming.as_ref().map_or(0, |coming| coming.more);
-        let svc = choose(&route).ok_or(away(503, STAY_AWAY, "no service takes it"))?;
-        let pins = pins(
+        let wait = wait - RESPONSE_MARGIN.min(wait / 4);
+        let deadline = now + wait + coming.as_ref().map_or(0, |coming| coming.extra_time);
+        let svc = choose_service(&route).ok_or(retry_later(
+            503,
+            DEFAULT_RETRY_AFTER,
+            "no service takes it",
+        ))?;
+        let pins = common_regions(
             &route.pins,
             tenant.as_ref().map_or(&[][..], |t| &t.tenant.pins),
         );
-        let pins = pins.ok_or(away(503, STAY_AWAY, "no region may serve it"))?;
-        if self.router.has(&svc, &pins).is_none() {
+        let pins = pins.ok_or(retry_later(
+            503,
+            DEFAULT_RETRY_AFTER,
+            "no region may serve it",
+        ))?;
+        if self.router.engine_of(&svc, &pins).is_none() {
             let entries = self.server_table.entries(now, &svc, &pins);
-            self.pool_listed(entries.iter().map(|entry| entry.server).collect());
-            self.router.open(&svc, &pins, route.target_time.0, entries);
+            self.add_to_pool(entries.iter().map(|entry| entry.server).collect());
+            self.router
+                .open_engine(&svc, &pins, route.target_time.0, entries);
         }
-        let lines = lines(&head.headers, tenant.as_ref().map(|t| t.name.as_str()));
+        let lines = forwarded_fields(&head.headers, tenant.as_ref().map(|t| t.name.as_str()));
         let ticket = RequestHandle {
             engine: 0,
             key: AuthorisationKey::default(),
@@ -410,16 +440,16 @@
             client: key,
             method: head.method,
             target: head.target,
-            lines,
+            header_lines: lines,
             body,
             id,
             route: route.clone(),
             deadline,
-            wait,
-            coming: coming.map(|coming| coming.extent),
-            ticket,
-            sent_on: Vec::new(),
-            ran: false,
+            allowed_time: wait,
+            body_framing: coming.map(|coming| coming.extent),
+            handle: ticket,
+            used_connections: Vec::new(),
+            may_have_run: false,
             failure: None,
         });
         let tenant = tenant.as_ref().map(|t| (t.name.as_str(), &t.tenant));
@@ -433,12 +463,12 @@
             pins: &pins,
             deadline,
         };
-        let band = asked.asker().band();
-        match self.router.take(now, &asked) {
-            Some(ticket) => self.requests[request].ticket = ticket,
+        let band = asked.shedding_request().band();
+        match self.router.submit(now, &asked) {
+            Some(ticket) => self.requests[request].handle = ticket,
             None => {
                 self.requests.remove(request);
-                return Err(away(503, STAY_AWAY, "no room"));
+                return Err(retry_later(503, DEFAULT_RETRY_AFTER, "no room"));
             }
         }
         self.client(key)
@@ -448,33 +478,40 @@
     }
 
     /// Ends a request as the module decided.
-    pub(super) fn end(&mut self, now: Micros, key: RequestKey, ending: EngineRejection) {
+    pub(super) fn finish_request(&mut self, now: Micros, key: RequestKey, ending: EngineRejection) {
         let Some(mut request) = self.requests.remove(key) else {
             return;
         };
         // An attempt in flight may be running: it is stopped only after this.
-        request.ran |= self.may_be_at_work(request.ticket);
-        if let Some((head, body)) = request.failure.filter(|_| request.ran) {
-            return self.answer_servers(now, request.client, &head, &body);
+        request.may_have_run |= self.may_be_running(request.handle);
+        if let Some((head, body)) = request.failure.filter(|_| request.may_have_run) {
+            return self.write_server_response(now, request.client, &head, &body);
         }
         let answer = match ending {
             EngineRejection::Declined {
                 stay_away,
                 over_quota: true,
-            } => away(429, stay_away, "over its quota"),
-            _ if request.ran && now + MARGIN >= request.deadline => own(504, "no answer in time"),
-            _ if request.ran => own(502, "no good answer"),
+            } => retry_later(429, stay_away, "over its quota"),
+            _ if request.may_have_run && now + RESPONSE_MARGIN >= request.deadline => {
+                local_response(504, "no answer in time")
+            }
+            _ if request.may_have_run => local_response(502, "no good answer"),
             EngineRejection::Declined { stay_away, .. } => {
-                away(503, stay_away.max(MS), "no server takes it")
+                retry_later(503, stay_away.max(MS), "no server takes it")
             }
             EngineRejection::Failed | EngineRejection::Expired { .. } => {
-                away(503, STAY_AWAY, "no server took it")
+                retry_later(503, DEFAULT_RETRY_AFTER, "no server took it")
             }
         };
-        self.answer_own(now, request.client, &answer);
+        self.write_local_response(now, request.client, &answer);
     }
 
-    pub(super) fn answer_own(&mut self, now: Micros, key: ConnectionId, own: &Own) {
+    pub(super) fn write_local_response(
+        &mut self,
+        now: Micros,
+        key: ConnectionId,
+        own: &LocalResponse,
+    ) {
         let seconds = format!("{:.3}", own.stay_away as f64 / 1e6);
         let mut lines = vec![("Content-Type", "text/plain")];
         lines.extend((own.stay_away > 0).then_some(("Retry-After", seconds.as_str())));
@@ -483,26 +520,26 @@
         let crowded = self.router.shedding().node().is_crowded();
         self.client(key)
             .into_iter()
-            .for_each(|client| client.last |= crowded);
+            .for_each(|client| client.close_after_response |= crowded);
         let body = format!("{}\n", own.text);
-        let Some(close) = self.answering(now, key) else {
+        let Some(close) = self.begin_response(now, key) else {
             return;
         };
-        lines.extend(may_stay(&self.client_keep_alive, close));
+        lines.extend(keep_alive_field(&self.client_keep_alive, close));
         if let Some(out) = self.connections.output(key) {
             framing::write_response(out, own.status, &lines, body.as_bytes(), close);
         }
     }
 
     /// Forwards a server's answer unchanged.
-    pub(super) fn answer_servers(
+    pub(super) fn write_server_response(
         &mut self,
         now: Micros,
         key: ConnectionId,
         head: &ResponseHead,
         body: &[u8],
     ) {
-        let Some(close) = self.answering(now, key) else {
+        let Some(close) = self.begin_response(now, key) else {
             return;
         };
         let Some(out) = self.connections.output(key) else {
@@ -515,14 +552,14 @@
         let lines = length
             .into_iter()
             .chain(lines)
-            .chain(may_stay(&self.client_keep_alive, close));
+            .chain(keep_alive_field(&self.client_keep_alive, close));
         framing::write_head(out, head.status, lines, close);
         out.extend_from_slice(body);
     }
 
     /// Prepares the connection for its answer; returns whether the connection is closed after it,
     /// `None` if it is gone.
-    pub(super) fn answering(&mut self, now: Micros, key: ConnectionId) -> Option<bool> {
+    pub(super) fn begin_response(&mut self, now: Micros, key: ConnectionId) -> Option<bool> {
         let last = self.lifecycle.closes_after_response(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return None;
@@ -536,28 +573,28 @@
             .upload
             .take()
             .is_some_and(|upload| !upload.is_complete());
-        client.last |= last || rest;
-        client.visit.begin_response(now);
-        let close = client.last;
-        self.arm(now, key);
+        client.close_after_response |= last || rest;
+        client.connection.begin_response(now);
+        let close = client.close_after_response;
+        self.schedule_client_deadline(now, key);
         Some(close)
     }
 
-    pub(super) fn answer_written(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_response_written(&mut self, now: Micros, key: ConnectionId) {
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
-        if client.visit.stage != Stage::Responding {
+        if client.connection.stage != Stage::Responding {
             return;
         }
-        if let Some(source) = client.source {
-            client.visit.record_write_progress(now);
-            return self.relay_on(source);
+        if let Some(source) = client.streaming_from {
+            client.connection.record_write_progress(now);
+            return self.resume_stream(source);
         }
-        let last = client.last;
-        client.visit.response_written(now, last);
+        let last = client.close_after_response;
+        client.connection.response_written(now, last);
         if let Some(wire) = self.connections.get_mut(key) {
-            wire.max_input_bytes = WINDOW;
+            wire.max_input_bytes = READ_WINDOW_BYTES;
             self.buffered_bytes = self.buffered_bytes + wire.input.len() - client.buffered_bytes;
             client.buffered_bytes = wire.input.len();
         }
@@ -565,14 +602,14 @@
             self.connections.shutdown_write(key);
         }
         // Pipelined input may be buffered here or in the kernel.
-        self.ready_again.push(key);
-        self.arm(now, key);
+        self.reread.push(key);
+        self.schedule_client_deadline(now, key);
     }
 
     /// The answer is written with all others at the end of the turn. If it were flushed here, other
     /// pending output would be flushed with it without the host learning of it.
-    pub(super) fn check_came(&mut self, key: ConnectionId) {
-        let ready = self.stands() == NodeState::Ready;
+    pub(super) fn handle_readiness_check(&mut self, key: ConnectionId) {
+        let ready = self.state() == NodeState::Ready;
         let Some(wire) = self.connections.get_mut(key) else {
             return;
         };
@@ -598,17 +635,17 @@
 /// The `Keep-Alive` value for clients. It is shorter than the real time-out so that no request
 /// crosses the close of its connection: one that is not idempotent would fail, and its client could
 /// not tell whether it was read.
-pub(super) fn stay(idle: Micros) -> String {
-    format!("timeout={}", (idle - STAY_LESS).max(0) / SECOND)
+pub(super) fn keep_alive_value(idle: Micros) -> String {
+    format!("timeout={}", (idle - KEEP_ALIVE_MARGIN).max(0) / SECOND)
 }
 
 /// The `Keep-Alive` field, unless the connection is closed after the answer.
-pub(super) fn may_stay(stay: &str, close: bool) -> Option<(&'static str, &str)> {
+pub(super) fn keep_alive_field(stay: &str, close: bool) -> Option<(&'static str, &str)> {
     (!close).then_some(("Keep-Alive", stay))
 }
 
 /// Chooses the service of a request, at random by weight where the route has several.
-fn choose(route: &Route) -> Option<String> {
+fn choose_service(route: &Route) -> Option<String> {
     let all: f64 = route.services().map(|(_, weight)| weight).sum();
     let mut point = fastrand::f64() * all;
     let chosen = route.services().find(|(_, weight)| {
@@ -621,14 +658,14 @@
 
 /// A wait with jitter. With the same wait for all, the clients of a proxy that has just started
 /// would return at once; with a short one they would spend their retries before it is ready.
-fn start_away() -> Micros {
+fn startup_retry_after() -> Micros {
     let spread = 0.5 + fastrand::f64();
-    (START_AWAY as f64 * spread) as Micros
+    (STARTUP_RETRY_AFTER as f64 * spread) as Micros
 }
 
 /// The regions that both lists allow, where an empty list allows all; `None` if they have none in
 /// common.
-fn pins(route: &[String], tenant: &[String]) -> Option<Vec<String>> {
+fn common_regions(route: &[String], tenant: &[String]) -> Option<Vec<String>> {
     match (route.is_empty(), tenant.is_empty()) {
         (true, _) => Some(tenant.to_vec()),
         (false, true) => Some(route.to_vec()),
@@ -644,7 +681,7 @@
 }
 
 /// The header fields as servers receive them, without those written for each attempt.
-fn lines(headers: &Headers, tenant: Option<&str>) -> Vec<u8> {
+fn forwarded_fields(headers: &Headers, tenant: Option<&str>) -> Vec<u8> {
     const OWN: [&str; 4] = [
         "authorization",
         "x-tenant",
--- a/crates/proxy/src/host/clients/tests.rs
+++ b/crates/proxy/src/host/clients/tests.rs
@@ -13,7 +13,10 @@
             .map(|region| region.to_string())
             .collect::<Vec<_>>()
     };
-    assert_eq!(pins(&owned(route), &owned(tenant)), both.map(owned));
+    assert_eq!(
+        common_regions(&owned(route), &owned(tenant)),
+        both.map(owned)
+    );
 }
 
 #[test]
@@ -23,7 +26,7 @@
     let (head, _, _) = RequestHead::parse(text.as_bytes(), &Limits::default())
         .unwrap()
         .unwrap();
-    let sent = String::from_utf8(lines(&head.headers, Some("t"))).unwrap();
+    let sent = String::from_utf8(forwarded_fields(&head.headers, Some("t"))).unwrap();
     assert_eq!(
         sent,
         "Host: h\r\nX-Note: 1\r\nX-Request-Id: i\r\nX-Tenant: t\r\n"
@@ -36,7 +39,7 @@
             "split":[{"svc":"a","wt":90},{"svc":"b","wt":0},{"svc":"c","wt":10}]}"#;
     let route: Route = serde_json::from_str(text).unwrap();
     fastrand::seed(1);
-    let drawn: Vec<String> = (0..1_000).filter_map(|_| choose(&route)).collect();
+    let drawn: Vec<String> = (0..1_000).filter_map(|_| choose_service(&route)).collect();
     let count = |svc: &str| drawn.iter().filter(|drawn| *drawn == svc).count();
     assert!(count("b") == 0 && (50..=150).contains(&count("c")) && drawn.len() == 1_000);
 }
--- a/crates/proxy/src/host/close_reasons.rs
+++ b/crates/proxy/src/host/close_reasons.rs
@@ -55,8 +55,10 @@
         };
         let wire = self.connections.get(key);
         let (unread, unwritten) = wire.map_or((0, 0), |wire| (wire.input.len(), wire.backlog()));
-        let owed = matches!(client.visit.stage, Stage::Processing | Stage::Responding)
-            || (client.visit.stage == Stage::Idle && unread > 0);
+        let owed = matches!(
+            client.connection.stage,
+            Stage::Processing | Stage::Responding
+        ) || (client.connection.stage == Stage::Idle && unread > 0);
         if closing == CloseReason::ClientClosed || !owed {
             return;
         }
@@ -64,7 +66,10 @@
             .request
             .and_then(|request| self.requests.get(request));
         let id = request.map_or("none", |request| request.id.as_str());
-        let (stage, ms) = (client.visit.stage, (now - client.visit.since) / MS);
+        let (stage, ms) = (
+            client.connection.stage,
+            (now - client.connection.since) / MS,
+        );
         let text =
             format_args!("client's connection closed with an answer owed: {closing}").to_string();
         if now >= self.close_logged_at + CLOSE_LOG_INTERVAL {
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -69,7 +69,7 @@
 /// What a connection to a server is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UpstreamPurpose {
-    Leg(RequestKey, RequestHandle, u32),
+    Attempt(RequestKey, RequestHandle, u32),
     /// A health check for the engine at this position.
     Probe(usize),
 }
@@ -89,13 +89,13 @@
 
 /// A client's connection.
 struct Client {
-    visit: ClientConnection,
+    connection: ClientConnection,
     incoming: Incoming<RequestHead>,
     request: Option<RequestKey>,
     /// The earliest deadline scheduled for it.
     timer_at: Micros,
     /// The connection is closed after this answer.
-    last: bool,
+    close_after_response: bool,
     continue_sent: bool,
     /// Whether shedding by the request's head was checked.
     checked_by_head: bool,
@@ -104,7 +104,7 @@
     /// The priority band of its last request.
     band: usize,
     /// The server's connection from which its answer is streamed.
-    source: Option<ConnectionId>,
+    streaming_from: Option<ConnectionId>,
     /// The request body that is being streamed.
     upload: Option<Upload<ConnectionId>>,
 }
@@ -114,13 +114,13 @@
     server: ServerId,
     state: UpstreamState<UpstreamPurpose>,
     incoming: Incoming<ResponseHead>,
-    verdict: Option<ResponseClass>,
+    class: Option<ResponseClass>,
     /// The answer has no body, whatever its head says.
     bodiless: bool,
     /// An idle connection may be used until then.
-    until: Micros,
+    reusable_until: Micros,
     /// The answer that is streamed from it.
-    relay: Option<ResponseStream>,
+    stream: Option<ResponseStream>,
     /// The body streamed to it is not complete.
     is_uploading: bool,
     /// Bytes written on the connection before the present use.
@@ -135,20 +135,20 @@
     method: String,
     target: String,
     /// Header fields as servers receive them.
-    lines: Vec<u8>,
+    header_lines: Vec<u8>,
     body: Vec<u8>,
     id: String,
     route: Rc<Route>,
     deadline: Micros,
     /// The time that its client allowed.
-    wait: Micros,
+    allowed_time: Micros,
     /// How the body ends, where it is streamed.
-    coming: Option<BodyFraming>,
-    ticket: RequestHandle,
+    body_framing: Option<BodyFraming>,
+    handle: RequestHandle,
     /// Connections on which it was sent to servers.
-    sent_on: Vec<ConnectionId>,
+    used_connections: Vec<ConnectionId>,
     /// It may have run.
-    ran: bool,
+    may_have_run: bool,
     /// A server's failure, which is forwarded if no better answer arrives.
     failure: Option<(ResponseHead, Vec<u8>)>,
 }
@@ -157,20 +157,20 @@
 #[derive(Debug)]
 enum Timer {
     Connect(ConnectionId),
-    Visit(ConnectionId),
+    Client(ConnectionId),
     Probe(ConnectionId),
     /// The answer streamed from this connection.
-    Relay(ConnectionId),
+    ResponseStream(ConnectionId),
     /// The deadline of a request whose long body has arrived.
-    Late(RequestKey),
-    Batch,
-    Retire,
-    Warm,
-    Beat,
-    Load,
-    Feed,
-    NoticeOver,
-    DrainOver,
+    RequestDeadline(RequestKey),
+    CounterBatch,
+    ExpireIdle,
+    WarmupOver,
+    Heartbeat,
+    LoadReport,
+    ConnectAgent,
+    ShutdownNotice,
+    ShutdownTimeout,
 }
 
 /// A batch of counter adds in flight.
@@ -190,10 +190,10 @@
     /// The `Keep-Alive` value for clients.
     client_keep_alive: String,
     log: Logger,
-    ring: LogRing,
+    log_ring: LogRing,
     connections: Connections,
     roles: SecondaryMap<ConnectionId, Role>,
-    clients: usize,
+    client_count: usize,
     /// Bytes buffered for all clients' requests.
     buffered_bytes: usize,
     listeners: (usize, usize),
@@ -207,16 +207,16 @@
     requests: SlotMap<RequestKey, Request>,
     pool: Pool<ConnectionId>,
     upstreams: HashMap<(usize, AuthorisationKey), ConnectionId>,
-    steps: Vec<RouterAction>,
+    actions: Vec<RouterAction>,
     agent: Option<ConnectionId>,
     /// The agent has sent its complete state at least once.
     agent_complete: bool,
-    adds: Vec<CounterAdd>,
+    pending_adds: Vec<CounterAdd>,
     batches: VecDeque<CounterBatch>,
-    batch: u64,
+    last_batch: u64,
     /// Connections whose input is to be handled again.
-    ready_again: Vec<ConnectionId>,
-    standing: NodeState,
+    reread: Vec<ConnectionId>,
+    announced_state: NodeState,
     /// All input that arrived before this time has been taken in.
     caught_up_at: Micros,
     /// When the last line about a connection closed with an answer owed was printed.
@@ -271,21 +271,21 @@
         };
         let now = clock.now();
         let mut deadlines = Deadlines::default();
-        deadlines.schedule(now, Timer::Feed);
-        deadlines.schedule(now + HEARTBEAT_INTERVAL, Timer::Beat);
-        deadlines.schedule(now + overload::STEP, Timer::Load);
-        deadlines.schedule(now + limits.upstream_idle_timeout / 4, Timer::Retire);
+        deadlines.schedule(now, Timer::ConnectAgent);
+        deadlines.schedule(now + HEARTBEAT_INTERVAL, Timer::Heartbeat);
+        deadlines.schedule(now + overload::STEP, Timer::LoadReport);
+        deadlines.schedule(now + limits.upstream_idle_timeout / 4, Timer::ExpireIdle);
         let server_table = ServerTable::new(&settings.zone, settings.zones.clone());
         info!(log, "serving on {http}");
         Ok(Host {
             clock,
-            client_keep_alive: clients::stay(limits.client_idle_timeout),
+            client_keep_alive: clients::keep_alive_value(limits.client_idle_timeout),
             limits,
             log,
-            ring,
+            log_ring: ring,
             connections: wires,
             roles: SecondaryMap::new(),
-            clients: 0,
+            client_count: 0,
             buffered_bytes: 0,
             listeners: (door, check),
             addresses: (http, readyz),
@@ -297,14 +297,14 @@
             requests: SlotMap::with_key(),
             pool: Pool::default(),
             upstreams: HashMap::new(),
-            steps: Vec::new(),
+            actions: Vec::new(),
             agent: None,
             agent_complete: false,
-            adds: Vec::new(),
+            pending_adds: Vec::new(),
             batches: VecDeque::new(),
-            batch: 0,
-            ready_again: Vec::new(),
-            standing: NodeState::Unavailable,
+            last_batch: 0,
+            reread: Vec::new(),
+            announced_state: NodeState::Unavailable,
             caught_up_at: now,
             close_logged_at: 0,
             settings,
@@ -336,14 +336,14 @@
     /// The system's wait failed.
     pub fn run(mut self) -> eyre::Result<()> {
         let mut happenings = Vec::new();
-        while !self.finished() {
+        while !self.is_finished() {
             self.step(MAX_IDLE_WAIT, &mut happenings)?;
         }
         Ok(())
     }
 
     /// The program may end.
-    pub fn finished(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.lifecycle.is_finished()
     }
 
@@ -353,8 +353,8 @@
     /// # Errors
     /// The system's wait failed.
     pub fn step(&mut self, longest: Micros, happenings: &mut Vec<IoEvent>) -> eyre::Result<()> {
-        let busy = !happenings.is_empty() || !self.ready_again.is_empty();
-        let due = [self.deadlines.earliest(), self.router.next()]
+        let busy = !happenings.is_empty() || !self.reread.is_empty();
+        let due = [self.deadlines.earliest(), self.router.next_wakeup()]
             .into_iter()
             .flatten()
             .min();
@@ -378,7 +378,7 @@
 
     fn run_due(&mut self, happenings: &mut Vec<IoEvent>) {
         let now = self.clock.now();
-        for key in std::mem::take(&mut self.ready_again) {
+        for key in std::mem::take(&mut self.reread) {
             self.connections.resume_reading(key, now, happenings);
             happenings.push(IoEvent::Received(key));
         }
@@ -398,22 +398,22 @@
         // One request makes the module answer a few times in a row at most; the bound protects
         // against an endless loop.
         for _ in 0..16 {
-            let mut steps = std::mem::take(&mut self.steps);
+            let mut steps = std::mem::take(&mut self.actions);
             let requests = &mut self.requests;
             self.router.run(now, &mut steps, |request, ticket| {
                 requests
                     .get_mut(request)
                     .into_iter()
-                    .for_each(|request| request.ticket = ticket);
+                    .for_each(|request| request.handle = ticket);
             });
             let none = steps.is_empty();
             for step in steps.drain(..) {
                 self.carry_out(now, step);
             }
-            if self.steps.is_empty() {
-                self.steps = steps;
+            if self.actions.is_empty() {
+                self.actions = steps;
             }
-            if none && self.steps.is_empty() {
+            if none && self.actions.is_empty() {
                 return;
             }
         }
@@ -426,17 +426,19 @@
                 ticket,
                 leg,
                 server,
-            } => self.send(now, request, ticket, leg, server),
-            RouterAction::Stop(ticket, leg) => self.stop(now, ticket, leg),
-            RouterAction::Answer(request, ending) => self.end(now, request, ending),
-            RouterAction::Count(add) => self.adds.push(add),
-            RouterAction::Probe(engine, server) => self.probe(now, engine, server),
+            } => self.send_attempt(now, request, ticket, leg, server),
+            RouterAction::Stop(ticket, leg) => self.stop_attempt(now, ticket, leg),
+            RouterAction::Answer(request, ending) => self.finish_request(now, request, ending),
+            RouterAction::Count(add) => self.pending_adds.push(add),
+            RouterAction::Probe(engine, server) => self.start_probe(now, engine, server),
         }
     }
 
     fn handle_event(&mut self, now: Micros, happening: IoEvent) {
         match happening {
-            IoEvent::Accepted(door, key) if door == self.listeners.0 => self.took(now, key),
+            IoEvent::Accepted(door, key) if door == self.listeners.0 => {
+                self.accept_client(now, key)
+            }
             IoEvent::Accepted(_, key) => _ = self.roles.insert(key, Role::Check { last: false }),
             IoEvent::Signal(SIGTERM) => self.begin_shutdown(now),
             // The settings file holds nothing that a proxy reloads while it runs.
@@ -452,28 +454,28 @@
         match self.roles.get_mut(key) {
             Some(Role::Leg(leg)) => {
                 leg.state = leg.state.connected();
-                if let Some(UpstreamPurpose::Leg(request, ..)) = leg.state.purpose() {
+                if let Some(UpstreamPurpose::Attempt(request, ..)) = leg.state.purpose() {
                     self.start_upload(request, key);
                 }
             }
-            Some(Role::Agent) => self.feed_up(now, key),
+            Some(Role::Agent) => self.handle_agent_connected(now, key),
             Some(Role::Client(_) | Role::Check { .. }) | None => {}
         }
     }
 
     fn handle_received(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get(key) {
-            Some(Role::Client(_)) => self.client_came(now, key),
-            Some(Role::Leg(_)) => self.answer_came(now, key),
-            Some(Role::Check { last: false }) => self.check_came(key),
-            Some(Role::Agent) => self.feed_came(now, key),
+            Some(Role::Client(_)) => self.handle_client_input(now, key),
+            Some(Role::Leg(_)) => self.handle_upstream_input(now, key),
+            Some(Role::Check { last: false }) => self.handle_readiness_check(key),
+            Some(Role::Agent) => self.handle_agent_input(now, key),
             Some(Role::Check { last: true }) | None => {}
         }
     }
 
     fn handle_flushed(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get_mut(key) {
-            Some(Role::Client(_)) => self.answer_written(now, key),
+            Some(Role::Client(_)) => self.handle_response_written(now, key),
             // The written bytes may have been an earlier part of it.
             Some(Role::Leg(_))
                 if self
@@ -481,14 +483,14 @@
                     .get(key)
                     .is_some_and(|wire| wire.backlog() > 0) => {}
             Some(Role::Leg(leg)) if leg.is_uploading => {
-                if let Some(UpstreamPurpose::Leg(request, ..)) = leg.state.purpose() {
-                    self.feed_on(request);
+                if let Some(UpstreamPurpose::Attempt(request, ..)) = leg.state.purpose() {
+                    self.resume_upload(request);
                 }
             }
             Some(Role::Leg(leg)) => {
                 let before = leg.state;
                 leg.state = before.written();
-                if let (true, Some(UpstreamPurpose::Leg(_, ticket, _))) =
+                if let (true, Some(UpstreamPurpose::Attempt(_, ticket, _))) =
                     (before != leg.state, leg.state.purpose())
                 {
                     self.router.handle_attempt_written(now, ticket);
@@ -501,9 +503,9 @@
 
     fn handle_failed(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get(key) {
-            Some(Role::Client(_)) => self.client_gone(now, key, CloseReason::ClientClosed),
-            Some(Role::Leg(_)) => self.leg_broken(now, key),
-            Some(Role::Agent) => self.feed_lost(now, key),
+            Some(Role::Client(_)) => self.remove_client(now, key, CloseReason::ClientClosed),
+            Some(Role::Leg(_)) => self.handle_upstream_closed(now, key),
+            Some(Role::Agent) => self.handle_agent_lost(now, key),
             Some(Role::Check { .. }) | None => self.remove_connection(key),
         }
     }
@@ -524,27 +526,27 @@
                 self.handle_failed(now, key)
             }
             Timer::Connect(_) => {}
-            Timer::Visit(key) => self.visit_due(now, key),
-            Timer::Probe(key) => self.probe_due(now, key),
-            Timer::Relay(key) => self.relay_due(now, key),
-            Timer::Late(key) => self.late(now, key),
-            Timer::Batch => self.batch_due(now),
-            Timer::Retire => self.retire(now),
-            Timer::Warm => self.list(now),
-            Timer::Beat => self.beat(now),
-            Timer::Load => self.tell_load(now),
-            Timer::Feed => self.open_feed(now),
-            Timer::NoticeOver => self.notice_over(now),
-            Timer::DrainOver => self.drain_over(now),
+            Timer::Client(key) => self.handle_client_deadline(now, key),
+            Timer::Probe(key) => self.handle_probe_timeout(now, key),
+            Timer::ResponseStream(key) => self.handle_stream_deadline(now, key),
+            Timer::RequestDeadline(key) => self.handle_request_deadline(now, key),
+            Timer::CounterBatch => self.handle_batch_timeout(now),
+            Timer::ExpireIdle => self.expire_idle(now),
+            Timer::WarmupOver => self.update_servers(now),
+            Timer::Heartbeat => self.heartbeat(now),
+            Timer::LoadReport => self.send_load_reports(now),
+            Timer::ConnectAgent => self.connect_to_agent(now),
+            Timer::ShutdownNotice => self.handle_notice_over(now),
+            Timer::ShutdownTimeout => self.handle_shutdown_timeout(now),
         }
     }
 
     /// The state of this node: it is ready once the agent has sent its complete state and there is
     /// something to serve.
-    fn stands(&self) -> NodeState {
+    fn state(&self) -> NodeState {
         match (
             self.lifecycle.is_shutting_down(),
-            self.agent_complete && self.config_store.is_ready() && self.server_table.any(),
+            self.agent_complete && self.config_store.is_ready() && self.server_table.has_servers(),
         ) {
             (true, _) => NodeState::Draining,
             (false, true) => NodeState::Ready,
@@ -557,14 +559,14 @@
         if self.lifecycle.begin_shutdown(now) {
             info!(self.log, "shutting down");
             self.deadlines
-                .schedule(now + self.limits.shutdown_notice, Timer::NoticeOver);
+                .schedule(now + self.limits.shutdown_notice, Timer::ShutdownNotice);
             self.deadlines
-                .schedule(now + self.limits.shutdown_timeout, Timer::DrainOver);
-            self.beat_now();
+                .schedule(now + self.limits.shutdown_timeout, Timer::ShutdownTimeout);
+            self.send_heartbeat();
         }
     }
 
-    fn notice_over(&mut self, now: Micros) {
+    fn handle_notice_over(&mut self, now: Micros) {
         self.connections.stop_listening(self.listeners.0);
         let clients: Vec<ConnectionId> = self
             .roles
@@ -572,27 +574,29 @@
             .filter(|(_, r)| matches!(r, Role::Client(_)))
             .map(|(k, _)| k)
             .collect();
-        clients.into_iter().for_each(|key| self.visit_due(now, key));
-        self.is_drained();
+        clients
+            .into_iter()
+            .for_each(|key| self.handle_client_deadline(now, key));
+        self.finish_if_drained();
     }
 
     /// The time to finish accepted requests is over: waiting clients are told so. Where a server
     /// has the request, the answer says that it may have run.
-    fn drain_over(&mut self, now: Micros) {
+    fn handle_shutdown_timeout(&mut self, now: Micros) {
         let owed: Vec<RequestKey> = self.requests.keys().collect();
         owed.into_iter()
-            .for_each(|request| self.end(now, request, EngineRejection::Failed));
+            .for_each(|request| self.finish_request(now, request, EngineRejection::Failed));
         self.lifecycle.finish();
     }
 
     /// At the end: no answer is owed any more, and no client is connected.
-    fn is_drained(&mut self) {
-        if self.lifecycle.is_shutting_down() && self.requests.is_empty() && self.clients == 0 {
+    fn finish_if_drained(&mut self) {
+        if self.lifecycle.is_shutting_down() && self.requests.is_empty() && self.client_count == 0 {
             self.lifecycle.finish();
         }
     }
 
-    fn edge(&self) -> NodeInfo {
+    fn node_info(&self) -> NodeInfo {
         let Settings {
             node, zone, region, ..
         } = &self.settings;
@@ -605,7 +609,7 @@
     }
 
     /// Flushes the log; errors are part of it.
-    pub fn write_out(&self) {
-        self.ring.write_out();
+    pub fn flush_log(&self) {
+        self.log_ring.write_out();
     }
 }
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -4,7 +4,7 @@
 use dataplane::framing::{BodyFraming, ParseError};
 use dataplane::upload::Upload;
 
-use super::clients::{AHEAD, Coming};
+use super::clients::{MAX_READ_AHEAD_BYTES, StreamedBody};
 use super::*;
 
 impl Host {
@@ -19,11 +19,11 @@
             return;
         };
         client.upload = Some(Upload::new(extent, reader, body, 0));
-        client.last = !head.keep_alive;
+        client.close_after_response = !head.keep_alive;
         client.checked_by_head = false;
         let told = std::mem::take(&mut client.continue_sent);
-        client.visit.request_complete(now);
-        client.visit.record_body_progress(now, come);
+        client.connection.request_complete(now);
+        client.connection.record_body_progress(now, come);
         // The client's time-out counts from its last byte.
         let left = match extent {
             BodyFraming::Length(length) => length.saturating_sub(come),
@@ -32,23 +32,23 @@
             }
         };
         let more = (left / self.limits.min_body_bytes_per_s.max(1)) as Micros * SECOND;
-        let coming = Coming {
+        let coming = StreamedBody {
             extent,
-            more: more.min(self.limits.max_upload_extension),
+            extra_time: more.min(self.limits.max_upload_extension),
         };
         let expects = head.expects_continue && !told;
         if let Err(own) = self.admit(now, key, head, Vec::new(), Some(coming)) {
-            return self.answer_own(now, key, &own);
+            return self.write_local_response(now, key, &own);
         }
         if expects {
-            self.go_on(key);
+            self.write_continue(key);
         }
-        self.arm(now, key);
-        self.upload_came(now, key);
+        self.schedule_client_deadline(now, key);
+        self.handle_upload_input(now, key);
     }
 
     /// Handles more bytes of a streamed body.
-    pub(super) fn upload_came(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_upload_input(&mut self, now: Micros, key: ConnectionId) {
         let (Some(Role::Client(client)), Some(wire)) =
             (self.roles.get_mut(key), self.connections.get_mut(key))
         else {
@@ -76,35 +76,39 @@
         self.buffered_bytes = self.buffered_bytes + held - client.buffered_bytes;
         client.buffered_bytes = held;
         if whole {
-            client.visit.request_complete(now);
+            client.connection.request_complete(now);
         } else {
             client
-                .visit
+                .connection
                 .record_body_progress(now, upload.received_bytes());
         }
         if let Some(wire) = self.connections.get_mut(key) {
-            wire.max_input_bytes = if whole { AHEAD.max(input.len()) } else { room };
+            wire.max_input_bytes = if whole {
+                MAX_READ_AHEAD_BYTES.max(input.len())
+            } else {
+                room
+            };
             wire.input = input;
         }
         if let Some(Role::Leg(leg)) = leg.and_then(|leg| self.roles.get_mut(leg)) {
             leg.is_uploading = !whole;
         }
         match taken {
-            Err(fault) => self.end_upload(now, key, fault),
-            Ok(()) if whole => self.upload_whole(now, key),
-            Ok(()) => self.arm(now, key),
+            Err(fault) => self.fail_upload(now, key, fault),
+            Ok(()) if whole => self.handle_upload_complete(now, key),
+            Ok(()) => self.schedule_client_deadline(now, key),
         }
     }
 
     /// The last byte has arrived: from here on the request has the time that its client gives it.
-    fn upload_whole(&mut self, now: Micros, key: ConnectionId) {
+    fn handle_upload_complete(&mut self, now: Micros, key: ConnectionId) {
         let Some(request) = self.client(key).and_then(|client| client.request) else {
             return;
         };
         if let Some(known) = self.requests.get_mut(request) {
-            known.deadline = known.deadline.min(now + known.wait);
+            known.deadline = known.deadline.min(now + known.allowed_time);
             self.deadlines
-                .schedule(known.deadline, Timer::Late(request));
+                .schedule(known.deadline, Timer::RequestDeadline(request));
         }
     }
 
@@ -114,7 +118,7 @@
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let (ticket, from) = (request.ticket, request.client);
+        let (ticket, from) = (request.handle, request.client);
         let Some(Role::Client(client)) = self.roles.get_mut(from) else {
             return;
         };
@@ -130,27 +134,27 @@
     }
 
     /// The forwarded bytes are written: the client may send more.
-    pub(super) fn feed_on(&mut self, key: RequestKey) {
+    pub(super) fn resume_upload(&mut self, key: RequestKey) {
         let Some(from) = self.requests.get(key).map(|request| request.client) else {
             return;
         };
         if let Some(wire) = self.connections.get_mut(from) {
             wire.max_input_bytes = self.limits.relay_window_bytes;
-            self.ready_again.push(from);
+            self.reread.push(from);
         }
     }
 
     /// The body is malformed or too long. Its end was never written, so that the server never runs
     /// the request.
-    fn end_upload(&mut self, now: Micros, key: ConnectionId, fault: ParseError) {
+    fn fail_upload(&mut self, now: Micros, key: ConnectionId, fault: ParseError) {
         if let Some(request) = self.client(key).and_then(|client| client.request.take()) {
-            self.leave_off(now, request);
+            self.abandon_request(now, request);
         }
-        self.refuse(now, key, fault);
+        self.reject_input(now, key, fault);
     }
 
     /// The time of a request whose long body has arrived is over.
-    pub(super) fn late(&mut self, now: Micros, key: RequestKey) {
+    pub(super) fn handle_request_deadline(&mut self, now: Micros, key: RequestKey) {
         let Some(request) = self
             .requests
             .get(key)
@@ -158,8 +162,9 @@
         else {
             return;
         };
-        let ticket = request.ticket;
-        self.end(now, key, EngineRejection::Failed);
-        self.router.handle_client_left(now, ticket, &mut self.steps);
+        let ticket = request.handle;
+        self.finish_request(now, key, EngineRejection::Failed);
+        self.router
+            .handle_client_left(now, ticket, &mut self.actions);
     }
 }
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -12,17 +12,17 @@
 use crate::answers::{ResponseHandling, classify, handling, keep_alive_seconds};
 
 /// Bytes read of an answer at a time: a short one together with its head.
-pub(super) const ANSWER_ROOM: usize = MAX_BUFFERED_RESPONSE_BYTES + 16 * 1024;
+pub(super) const READ_WINDOW_BYTES: usize = MAX_BUFFERED_RESPONSE_BYTES + 16 * 1024;
 /// Most connections to servers, including idle ones.
-const LEGS: usize = 1_000;
+const MAX_UPSTREAMS: usize = 1_000;
 /// Two round trips to a server of another region: connecting, and one exchange.
-const FARTHEST: Micros = 250 * MS;
+const TWO_ROUND_TRIPS: Micros = 250 * MS;
 /// An idle connection is closed this long before its server would do so.
-const EARLY: Micros = 1_500 * MS;
+const IDLE_MARGIN: Micros = 1_500 * MS;
 
 impl Host {
     /// Sends a request to a server.
-    pub(super) fn send(
+    pub(super) fn send_attempt(
         &mut self,
         now: Micros,
         key: RequestKey,
@@ -33,14 +33,18 @@
         let outcome = match self.requests.get(key) {
             None => Some(Outcome::Moot),
             // A route can limit the time of one attempt.
-            Some(request) if request.sent_on.len() >= request.route.tries.max(1) as usize => {
+            Some(request)
+                if request.used_connections.len() >= request.route.tries.max(1) as usize =>
+            {
                 Some(Outcome::Moot)
             }
             Some(_) => None,
         };
         let wire = match outcome {
             Some(outcome) => Err(outcome),
-            None => self.connection(now, server, UpstreamPurpose::Leg(key, ticket, leg)),
+            None => {
+                self.acquire_connection(now, server, UpstreamPurpose::Attempt(key, ticket, leg))
+            }
         };
         let wire = match wire {
             Ok(wire) => wire,
@@ -56,10 +60,10 @@
         ) else {
             return;
         };
-        request.sent_on.push(wire);
-        let left = (request.deadline - now).min(request.wait).max(0) / MS;
+        request.used_connections.push(wire);
+        let left = (request.deadline - now).min(request.allowed_time).max(0) / MS;
         let extent = request
-            .coming
+            .body_framing
             .unwrap_or(BodyFraming::Length(request.body.len() as u64));
         if let Some(Role::Leg(leg)) = self.roles.get_mut(wire) {
             leg.bodiless = request.method == "HEAD";
@@ -69,7 +73,7 @@
         };
         // Writing to a vector can't fail.
         let _ = write!(out, "{} {} HTTP/1.1\r\n", request.method, request.target);
-        out.extend_from_slice(&request.lines);
+        out.extend_from_slice(&request.header_lines);
         let _ = write!(out, "X-Time-Left: {left}\r\nX-Want-Instance: {id}\r\n");
         match extent {
             BodyFraming::Length(length) if has_body(&request.method, extent) => {
@@ -85,20 +89,20 @@
     }
 
     /// A connection to a server for this purpose: an idle one from the pool, or a new one.
-    fn connection(
+    fn acquire_connection(
         &mut self,
         now: Micros,
         server: ServerId,
         errand: UpstreamPurpose,
     ) -> Result<ConnectionId, Outcome> {
         let request = match errand {
-            UpstreamPurpose::Leg(request, ..) => self.requests.get(request),
+            UpstreamPurpose::Attempt(request, ..) => self.requests.get(request),
             UpstreamPurpose::Probe(_) => None,
         };
         // A long body is sent once only, and its server may close an idle connection at any moment.
-        let anew = request.is_some_and(|request| request.coming.is_some());
+        let anew = request.is_some_and(|request| request.body_framing.is_some());
         // A second, late answer could not be told from that of a retry by its id.
-        let sent_on = request.map_or(Vec::new(), |request| request.sent_on.clone());
+        let sent_on = request.map_or(Vec::new(), |request| request.used_connections.clone());
         // A second, late rejection without an id would claim that this request has not run.
         let once = request.is_some_and(|request| request.route.kind != Idempotency::Idempotent);
         let mut spared = Vec::new();
@@ -108,31 +112,33 @@
             .and_then(|s| self.pool.acquire(s))
         {
             match self.roles.get_mut(key) {
-                Some(Role::Leg(leg)) if leg.until > now && once && leg.had_response_without_id => {
+                Some(Role::Leg(leg))
+                    if leg.reusable_until > now && once && leg.had_response_without_id =>
+                {
                     spared.push(key)
                 }
-                Some(Role::Leg(leg)) if leg.until > now && !sent_on.contains(&key) => {
+                Some(Role::Leg(leg)) if leg.reusable_until > now && !sent_on.contains(&key) => {
                     leg.state = UpstreamState::Sending(errand);
                     leg.bytes_sent_before =
                         self.connections.get(key).map_or(0, Connection::sent_bytes);
                     found = Some(key);
                 }
-                _ => self.close_leg(key),
+                _ => self.close_upstream(key),
             }
         }
         // For requests that may be retried.
         for key in spared.into_iter().rev() {
             if !self.pool.release(server, key, now) {
-                self.close_leg(key);
+                self.close_upstream(key);
             }
         }
         if let Some(key) = found {
             return Ok(key);
         }
-        if self.pool.connections() >= LEGS
+        if self.pool.connections() >= MAX_UPSTREAMS
             && let Some(idle) = self.pool.longest_idle()
         {
-            self.close_leg(idle);
+            self.close_upstream(idle);
         }
         let (address, _) = self
             .server_table
@@ -146,10 +152,10 @@
             server,
             state: UpstreamState::Connecting(errand),
             incoming: Incoming::default(),
-            verdict: None,
+            class: None,
             bodiless: false,
-            until: 0,
-            relay: None,
+            reusable_until: 0,
+            stream: None,
             is_uploading: false,
             bytes_sent_before: 0,
             had_response_without_id: false,
@@ -158,14 +164,14 @@
         self.connections
             .get_mut(key)
             .into_iter()
-            .for_each(|wire| wire.max_input_bytes = ANSWER_ROOM);
+            .for_each(|wire| wire.max_input_bytes = READ_WINDOW_BYTES);
         self.pool.connection_opened(server);
         self.deadlines
             .schedule(now + CONNECT_TIMEOUT, Timer::Connect(key));
         Ok(key)
     }
 
-    pub(super) fn close_leg(&mut self, key: ConnectionId) {
+    pub(super) fn close_upstream(&mut self, key: ConnectionId) {
         if let Some(Role::Leg(leg)) = self.roles.remove(key) {
             self.pool.connection_closed(leg.server, key);
         }
@@ -173,11 +179,11 @@
     }
 
     pub(super) fn close_idle(&mut self, keys: Vec<ConnectionId>) {
-        keys.into_iter().for_each(|key| self.close_leg(key));
+        keys.into_iter().for_each(|key| self.close_upstream(key));
     }
 
     /// Closes idle connections to servers that are no longer listed.
-    pub(super) fn pool_unlisted(&mut self) {
+    pub(super) fn close_unlisted(&mut self) {
         let gone: Vec<ServerId> = self
             .roles
             .values()
@@ -192,26 +198,28 @@
         }
     }
 
-    pub(super) fn retire(&mut self, now: Micros) {
+    pub(super) fn expire_idle(&mut self, now: Micros) {
         let old = self
             .pool
             .take_expired(now - self.limits.upstream_idle_timeout);
         self.close_idle(old);
-        self.deadlines
-            .schedule(now + self.limits.upstream_idle_timeout / 4, Timer::Retire);
+        self.deadlines.schedule(
+            now + self.limits.upstream_idle_timeout / 4,
+            Timer::ExpireIdle,
+        );
     }
 
     /// The outcome of an attempt whose connection ends now. For a request that is not idempotent
     /// one written byte is enough to count as possibly run: a server may begin at the head.
-    fn ends_as(&self, key: ConnectionId) -> Option<Outcome> {
+    fn outcome_if_ended(&self, key: ConnectionId) -> Option<Outcome> {
         let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get(key), self.connections.get(key))
         else {
             return None;
         };
         let begun = wire.sent_bytes() > leg.bytes_sent_before;
         Some(match leg.state {
-            UpstreamState::Sending(UpstreamPurpose::Leg(request, ..))
-                if begun && !self.repeatable(request) =>
+            UpstreamState::Sending(UpstreamPurpose::Attempt(request, ..))
+                if begun && !self.is_idempotent(request) =>
             {
                 Outcome::Reset
             }
@@ -219,58 +227,58 @@
         })
     }
 
-    fn repeatable(&self, request: RequestKey) -> bool {
+    fn is_idempotent(&self, request: RequestKey) -> bool {
         self.requests
             .get(request)
             .is_some_and(|request| request.route.kind == Idempotency::Idempotent)
     }
 
     /// Whether a server that may run this request holds an attempt of it.
-    pub(super) fn may_be_at_work(&self, ticket: RequestHandle) -> bool {
+    pub(super) fn may_be_running(&self, ticket: RequestHandle) -> bool {
         let key = self.upstreams.get(&(ticket.engine, ticket.key));
-        key.and_then(|key| self.ends_as(*key)) == Some(Outcome::Reset)
+        key.and_then(|key| self.outcome_if_ended(*key)) == Some(Outcome::Reset)
     }
 
     /// The module stops an attempt: its outcome is known.
-    pub(super) fn stop(&mut self, _now: Micros, ticket: RequestHandle, number: u32) {
+    pub(super) fn stop_attempt(&mut self, _now: Micros, ticket: RequestHandle, number: u32) {
         let Some(key) = self.upstreams.get(&(ticket.engine, ticket.key)).copied() else {
             return;
         };
         let Some(Role::Leg(leg)) = self.roles.get(key) else {
             return;
         };
-        let Some(UpstreamPurpose::Leg(request, own, out)) = leg.state.purpose() else {
+        let Some(UpstreamPurpose::Attempt(request, own, out)) = leg.state.purpose() else {
             return;
         };
         if own != ticket || out != number {
             return;
         }
-        let may_have_run = self.ends_as(key) == Some(Outcome::Reset);
+        let may_have_run = self.outcome_if_ended(key) == Some(Outcome::Reset);
         self.upstreams.remove(&(ticket.engine, ticket.key));
         if let Some(request) = self.requests.get_mut(request) {
-            request.ran |= may_have_run;
+            request.may_have_run |= may_have_run;
         }
-        self.close_leg(key);
+        self.close_upstream(key);
     }
 
-    pub(super) fn answer_came(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_upstream_input(&mut self, now: Micros, key: ConnectionId) {
         loop {
             let (Some(Role::Leg(leg)), Some(wire)) =
                 (self.roles.get_mut(key), self.connections.get_mut(key))
             else {
                 return;
             };
-            if leg.relay.is_some() {
-                return self.relay_came(now, key);
+            if leg.stream.is_some() {
+                return self.handle_stream_input(now, key);
             }
             let Some(errand) = leg.state.purpose() else {
                 // Nothing is in flight on it: the bytes belong to no request.
                 if !wire.input.is_empty() {
-                    self.close_leg(key);
+                    self.close_upstream(key);
                 }
                 return;
             };
-            if wire.input.is_empty() && leg.verdict.is_none() {
+            if wire.input.is_empty() && leg.class.is_none() {
                 return;
             }
             if leg
@@ -282,12 +290,12 @@
                 )
                 .is_err()
             {
-                return self.leg_done(now, key, errand, ResponseClass::Malformed);
+                return self.finish_exchange(now, key, errand, ResponseClass::Malformed);
             }
             let Some(head) = leg.incoming.head() else {
                 return;
             };
-            let verdict = match (leg.verdict, errand) {
+            let verdict = match (leg.class, errand) {
                 (Some(verdict), _) => verdict,
                 // A health check has no id: an answer with one is the second answer to an earlier
                 // request.
@@ -295,51 +303,51 @@
                     ResponseClass::OtherRequest
                 }
                 (None, UpstreamPurpose::Probe(_)) => ResponseClass::Final,
-                (None, UpstreamPurpose::Leg(request, ..)) => match self.requests.get(request) {
+                (None, UpstreamPurpose::Attempt(request, ..)) => match self.requests.get(request) {
                     Some(request) => classify(head, leg.incoming.framing, &request.id),
-                    None => return self.close_leg(key),
+                    None => return self.close_upstream(key),
                 },
             };
             leg.had_response_without_id |= !head.headers.has("X-Request-Id");
-            leg.verdict = Some(verdict);
+            leg.class = Some(verdict);
             if verdict == ResponseClass::Malformed {
-                return self.leg_done(now, key, errand, verdict);
+                return self.finish_exchange(now, key, errand, verdict);
             }
             if !leg.incoming.is_complete() && !leg.bodiless {
-                let own = if matches!(errand, UpstreamPurpose::Leg(..)) {
+                let own = if matches!(errand, UpstreamPurpose::Attempt(..)) {
                     verdict
                 } else {
                     ResponseClass::Failure
                 };
                 return match handling(own, &leg.incoming, &self.limits) {
-                    ResponseHandling::Streamed => self.begin_relay(now, key, errand),
+                    ResponseHandling::Streamed => self.begin_stream(now, key, errand),
                     ResponseHandling::Rejected => {
-                        self.leg_done(now, key, errand, ResponseClass::Malformed)
+                        self.finish_exchange(now, key, errand, ResponseClass::Malformed)
                     }
                     ResponseHandling::Buffered => {
-                        self.ready_again.extend(wire.has_unread().then_some(key))
+                        self.reread.extend(wire.has_unread().then_some(key))
                     }
                 };
             }
             if verdict != ResponseClass::OtherRequest {
-                return self.leg_done(now, key, errand, verdict);
+                return self.finish_exchange(now, key, errand, verdict);
             }
             // The awaited answer may follow it.
-            (leg.incoming, leg.verdict) = (Incoming::default(), None);
+            (leg.incoming, leg.class) = (Incoming::default(), None);
         }
     }
 
     /// How long an idle connection may be used after this answer.
-    pub(super) fn patience(&self, head: &ResponseHead) -> Micros {
+    pub(super) fn idle_timeout(&self, head: &ResponseHead) -> Micros {
         let told = head.headers.get("Keep-Alive").and_then(keep_alive_seconds);
         let told = told.map_or(Micros::MAX, |seconds| {
-            Micros::from(seconds) * SECOND - EARLY
+            Micros::from(seconds) * SECOND - IDLE_MARGIN
         });
         told.min(self.limits.upstream_idle_timeout)
     }
 
     /// The answer on a connection is complete, or can't become valid any more.
-    fn leg_done(
+    fn finish_exchange(
         &mut self,
         now: Micros,
         key: ConnectionId,
@@ -354,25 +362,33 @@
         let incoming = std::mem::take(&mut leg.incoming);
         let (server, bodiless) = (leg.server, leg.bodiless);
         let sent = leg.state.outcome_if_broken() == Outcome::Reset;
-        leg.verdict = None;
+        leg.class = None;
         let parts = incoming.into_parts();
         let reusable = parts.as_ref().is_some_and(|(head, ..)| head.is_reusable()) && !bodiless;
         let keep = reusable && sent && wire.input.is_empty() && verdict != ResponseClass::Malformed;
         leg.state = UpstreamState::Idle;
-        let patience = parts.as_ref().map_or(0, |(head, ..)| self.patience(head));
+        let patience = parts
+            .as_ref()
+            .map_or(0, |(head, ..)| self.idle_timeout(head));
         if let Some(Role::Leg(leg)) = self.roles.get_mut(key) {
-            leg.until = now + patience;
+            leg.reusable_until = now + patience;
         }
-        if let UpstreamPurpose::Leg(_, ticket, _) = errand {
+        if let UpstreamPurpose::Attempt(_, ticket, _) = errand {
             self.upstreams.remove(&(ticket.engine, ticket.key));
         }
         if !(keep && self.pool.release(server, key, now)) {
-            self.close_leg(key);
+            self.close_upstream(key);
         }
         match errand {
-            UpstreamPurpose::Leg(request, ticket, number) => {
+            UpstreamPurpose::Attempt(request, ticket, number) => {
                 let answer = parts.map(|(head, _, body)| (head, body));
-                self.leg_answered(now, (request, ticket, number), server, verdict, answer);
+                self.handle_attempt_response(
+                    now,
+                    (request, ticket, number),
+                    server,
+                    verdict,
+                    answer,
+                );
             }
             UpstreamPurpose::Probe(engine) => {
                 let own = self.server_table.address_of(server).map(|(_, id)| id);
@@ -388,7 +404,7 @@
         }
     }
 
-    fn leg_answered(
+    fn handle_attempt_response(
         &mut self,
         now: Micros,
         (key, ticket, leg): (RequestKey, RequestHandle, u32),
@@ -398,13 +414,13 @@
     ) {
         if verdict == ResponseClass::WrongServer {
             self.server_table.mark_wrong_server(server);
-            self.list(now);
+            self.update_servers(now);
         }
         let Some(outcome) = verdict.outcome() else {
             return;
         };
         if let Some(request) = self.requests.get_mut(key) {
-            request.ran |= !matches!(outcome, Outcome::Full);
+            request.may_have_run |= !matches!(outcome, Outcome::Full);
             if verdict == ResponseClass::Failure {
                 request.failure = answer.clone();
             }
@@ -414,32 +430,32 @@
         }
         match (self.requests.remove(key), answer) {
             (Some(request), Some((head, body))) => {
-                self.answer_servers(now, request.client, &head, &body)
+                self.write_server_response(now, request.client, &head, &body)
             }
             (Some(request), None) => {
                 let request = self.requests.insert(request);
-                self.end(now, request, EngineRejection::Failed);
+                self.finish_request(now, request, EngineRejection::Failed);
             }
             (None, _) => {}
         }
     }
 
     /// A connection to a server broke, was never established, or was closed by the server.
-    pub(super) fn leg_broken(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_upstream_closed(&mut self, now: Micros, key: ConnectionId) {
         let Some(Role::Leg(leg)) = self.roles.get(key) else {
             return;
         };
-        if leg.relay.is_some() {
-            return self.cut(now, key, CloseReason::ServerBroke);
+        if leg.stream.is_some() {
+            return self.abort_stream(now, key, CloseReason::ServerBroke);
         }
         let (errand, server) = (leg.state.purpose(), leg.server);
-        let outcome = self.ends_as(key).unwrap_or(Outcome::Reset);
-        self.close_leg(key);
+        let outcome = self.outcome_if_ended(key).unwrap_or(Outcome::Reset);
+        self.close_upstream(key);
         match errand {
-            Some(UpstreamPurpose::Leg(request, ticket, number)) => {
+            Some(UpstreamPurpose::Attempt(request, ticket, number)) => {
                 self.upstreams.remove(&(ticket.engine, ticket.key));
                 if let Some(request) = self.requests.get_mut(request) {
-                    request.ran |= outcome == Outcome::Reset;
+                    request.may_have_run |= outcome == Outcome::Reset;
                 }
                 self.router
                     .handle_attempt_ended(now, ticket, number, outcome);
@@ -451,13 +467,13 @@
         }
     }
 
-    pub(super) fn probe(&mut self, now: Micros, engine: usize, server: ServerId) {
+    pub(super) fn start_probe(&mut self, now: Micros, engine: usize, server: ServerId) {
         let path = self
             .server_table
             .get(server)
             .and_then(|known| self.config_store.service(&known.server.svc));
         let path = path.map_or("/healthz".to_string(), |service| service.hcheck.clone());
-        let key = match self.connection(now, server, UpstreamPurpose::Probe(engine)) {
+        let key = match self.acquire_connection(now, server, UpstreamPurpose::Probe(engine)) {
             Ok(key) => key,
             Err(outcome) => return self.router.handle_probe_result(engine, server, outcome),
         };
@@ -472,7 +488,7 @@
             );
         }
         let way = if self.server_table.is_remote(server) {
-            FARTHEST
+            TWO_ROUND_TRIPS
         } else {
             0
         };
@@ -484,13 +500,13 @@
         self.deadlines.schedule(now + wait, Timer::Probe(key));
     }
 
-    pub(super) fn probe_due(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_probe_timeout(&mut self, now: Micros, key: ConnectionId) {
         let Some(Role::Leg(leg)) = self.roles.get(key) else {
             return;
         };
         if let Some(UpstreamPurpose::Probe(engine)) = leg.state.purpose() {
             let server = leg.server;
-            self.close_leg(key);
+            self.close_upstream(key);
             self.router
                 .handle_probe_result(engine, server, Outcome::TimedOut);
         }
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -18,8 +18,10 @@
 use slotmap::SecondaryMap;
 use streamarch::{CounterName, Micros, Outcome, ServerId, Settings};
 
-use self::placement_engine::{AIMS, class_of};
-use self::quota_engine::{ALONE, ASKERS, COUNT_WAIT, customer, judging};
+use self::placement_engine::{LATENCY_TARGETS, class_of};
+use self::quota_engine::{
+    COUNTER_TIMEOUT, ISOLATION_FACTOR, MAX_COUNTING_LIMITERS, customer_id, quota_engine,
+};
 use self::quota_shares::{QuotaShare, QuotaShares};
 use crate::shedding::{LoadShedding, SheddingPriority, SheddingRequest, tier};
 
@@ -31,9 +33,9 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 /// Longest wait that clients are told.
-const STAY_AWAY: Micros = SECOND;
+const MAX_RETRY_AFTER: Micros = SECOND;
 /// Shortest wait told where a local share is used up: the counter may be back by then.
-const SHARE_AWAY: Micros = 100 * MS;
+const MIN_SHARE_RETRY_AFTER: Micros = 100 * MS;
 
 /// An authorisation, and the engine that holds it: engine 0 enforces quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,7 +91,7 @@
 
 impl<'a> RoutingRequest<'a> {
     /// What its priority under overload depends on.
-    pub fn asker(&self) -> SheddingRequest<'a> {
+    pub fn shedding_request(&self) -> SheddingRequest<'a> {
         let RoutingRequest {
             id,
             route,
@@ -110,11 +112,11 @@
     /// The service; empty for the quota engine.
     svc: String,
     /// The latency target.
-    aim: Micros,
+    latency_target: Micros,
     engine: Engine,
     requests: SecondaryMap<AuthorisationKey, RequestKey>,
     /// Requests that are to be rejected because of overload; the module rejects them.
-    waiting: SecondaryMap<AuthorisationKey, ()>,
+    shed_requests: SecondaryMap<AuthorisationKey, ()>,
 }
 
 impl ServiceEngine {
@@ -122,25 +124,25 @@
         let (requests, waiting) = (SecondaryMap::new(), SecondaryMap::new());
         ServiceEngine {
             svc: svc.to_string(),
-            aim: 0,
+            latency_target: 0,
             engine,
             requests,
-            waiting,
+            shed_requests: waiting,
         }
     }
 }
 
 /// Where a request goes once its quota was checked.
 struct PendingPlacement {
-    basin: usize,
+    engine: usize,
     class: usize,
-    turn: SheddingPriority,
+    priority: SheddingPriority,
     /// Its admission was decided before its quota was checked.
-    first: bool,
+    is_counted: bool,
     tenant: String,
     deadline: Micros,
     /// Its tenant's local share is used up; it may come again after this time.
-    beyond: Option<Micros>,
+    share_retry_after: Option<Micros>,
 }
 
 /// Limits and position of each tenant's plan.
@@ -152,17 +154,17 @@
     bounds: Bounds,
     limiters: u32,
     /// Number of limiters that quotas are divided by.
-    spread: u32,
+    quota_divisor: u32,
     /// The control plane does not count on this limiter any more.
-    alone: bool,
+    is_isolated: bool,
     /// Reduces the local shares until then, after a jump of the clock.
-    careful_until: Micros,
+    reduced_until: Micros,
     /// End of the start-up phase.
     starting_until: Option<Micros>,
     /// When a lower number of limiters was first announced, and the highest number announced since.
     pending_decrease: Option<(Micros, u32)>,
     /// The term of the counter's owner.
-    holder: Option<u64>,
+    counter_term: Option<u64>,
     /// The newest term announced.
     newest_term: u64,
     engines: Vec<ServiceEngine>,
@@ -175,7 +177,7 @@
     /// The tenants' plans in the quota engine, with the usual and the reduced burst: limits and
     /// position.
     plans: [Plans; 2],
-    positions: usize,
+    plan_count: usize,
     engine_actions: Vec<EngineAction>,
 }
 
@@ -186,29 +188,29 @@
         period: 1,
         may_cancel: true,
         retry_after: true,
-        max_retry_after: STAY_AWAY,
-        counter_timeout: COUNT_WAIT,
+        max_retry_after: MAX_RETRY_AFTER,
+        counter_timeout: COUNTER_TIMEOUT,
         ..Settings::default()
     }
 }
 
 /// Most requests that one engine holds.
-const MOST: usize = 4_000;
+const MAX_REQUESTS_PER_ENGINE: usize = 4_000;
 
 impl RequestRouter {
     /// A router without services.
     pub fn new(seed: u64, bounds: Bounds) -> RequestRouter {
-        let judge = ServiceEngine::new("", judging(seed, MOST));
+        let judge = ServiceEngine::new("", quota_engine(seed, MAX_REQUESTS_PER_ENGINE));
         RequestRouter {
             seed,
             bounds,
             limiters: 1,
-            spread: ASKERS,
-            alone: false,
-            careful_until: 0,
+            quota_divisor: MAX_COUNTING_LIMITERS,
+            is_isolated: false,
+            reduced_until: 0,
             starting_until: None,
             pending_decrease: None,
-            holder: None,
+            counter_term: None,
             newest_term: 0,
             engines: vec![judge],
             shedding: LoadShedding::default(),
@@ -216,15 +218,15 @@
             pending_placements: SecondaryMap::new(),
             quota_shares: QuotaShares::default(),
             plans: Default::default(),
-            positions: 0,
+            plan_count: 0,
             engine_actions: Vec::new(),
         }
     }
 
     /// Takes a request; [`RequestRouter::run`] returns what follows. `None` if too many are held.
-    pub fn take(&mut self, now: Micros, asked: &RoutingRequest<'_>) -> Option<RequestHandle> {
-        let basin = self.has(asked.svc, asked.pins)?;
-        let asker = asked.asker();
+    pub fn submit(&mut self, now: Micros, asked: &RoutingRequest<'_>) -> Option<RequestHandle> {
+        let basin = self.engine_of(asked.svc, asked.pins)?;
+        let asker = asked.shedding_request();
         let turn = self.shedding.priority(now, &asker);
         let limited = asked.tenant.filter(|(_, tenant)| tenant.per_s > 0.0);
         let first = limited.is_none() || self.shedding.is_shed_before_quota(now, &asker);
@@ -235,25 +237,25 @@
         let name = limited.map_or(String::new(), |(name, _)| name.to_string());
         let deadline = asked.deadline;
         let mut onward = PendingPlacement {
-            basin,
+            engine: basin,
             class,
-            turn,
-            first,
+            priority: turn,
+            is_counted: first,
             tenant: name,
             deadline,
-            beyond: None,
+            share_retry_after: None,
         };
         let Some((name, tenant)) = limited else {
-            return self.place(now, asked.request, &onward, turn);
+            return self.submit_to_service(now, asked.request, &onward, turn);
         };
-        let plan = self.plan(now, name, tenant);
-        let spread = if self.alone || now < self.careful_until {
-            (ALONE * self.spread).min(ASKERS)
+        let plan = self.plan_position(now, name, tenant);
+        let spread = if self.is_isolated || now < self.reduced_until {
+            (ISOLATION_FACTOR * self.quota_divisor).min(MAX_COUNTING_LIMITERS)
         } else {
-            self.spread
+            self.quota_divisor
         };
         let share = QuotaShare::of(tenant.per_s, tenant.burst, self.bounds.quota_slack, spread);
-        onward.beyond = self.quota_shares.try_charge(now, name, share).err();
+        onward.share_retry_after = self.quota_shares.try_charge(now, name, share).err();
         let refused = SheddingPriority {
             shed_share: 1.0,
             ..SheddingPriority::default()
@@ -262,7 +264,7 @@
             position: place,
             shed_share: waits,
             ..
-        } = match onward.beyond {
+        } = match onward.share_retry_after {
             Some(_) => refused,
             None if first => turn,
             None => SheddingPriority::default(),
@@ -270,7 +272,7 @@
         let authorisation = Authorisation {
             class: 0,
             plan,
-            customer: customer(name),
+            customer: customer_id(name),
             deadline: asked.deadline,
             units: 1.0,
             spread,
@@ -301,7 +303,7 @@
     }
 
     /// When [`RequestRouter::run`] has something to do next.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Micros> {
         self.engines
             .iter()
             .filter_map(|basin| basin.engine.next_wakeup())
@@ -347,20 +349,20 @@
                 let Some((request, onward)) = request.zip(onward) else {
                     return;
                 };
-                let turn = if onward.first {
+                let turn = if onward.is_counted {
                     SheddingPriority::default()
                 } else {
-                    onward.turn
+                    onward.priority
                 };
-                if !onward.first {
+                if !onward.is_counted {
                     self.shedding
-                        .record_admitted(&self.engines[onward.basin].svc, &turn);
+                        .record_admitted(&self.engines[onward.engine].svc, &turn);
                 }
-                match self.place(now, request, &onward, turn) {
+                match self.submit_to_service(now, request, &onward, turn) {
                     Some(ticket) => moved(request, ticket),
                     None => {
                         let ending = EngineRejection::Declined {
-                            stay_away: STAY_AWAY / 4,
+                            stay_away: MAX_RETRY_AFTER / 4,
                             over_quota: false,
                         };
                         steps.push(RouterAction::Answer(request, ending));
@@ -394,12 +396,15 @@
                 } else {
                     None
                 };
-                let beyond = onward.as_ref().and_then(|onward| onward.beyond);
-                if let Some(onward) = onward.as_ref().filter(|onward| onward.beyond.is_none()) {
+                let beyond = onward.as_ref().and_then(|onward| onward.share_retry_after);
+                if let Some(onward) = onward
+                    .as_ref()
+                    .filter(|onward| onward.share_retry_after.is_none())
+                {
                     self.quota_shares.refund(&onward.tenant);
                 }
                 let ending = beyond.map_or(ending, |wait| EngineRejection::Declined {
-                    stay_away: wait.clamp(SHARE_AWAY, STAY_AWAY),
+                    stay_away: wait.clamp(MIN_SHARE_RETRY_AFTER, MAX_RETRY_AFTER),
                     over_quota: true,
                 });
                 match (ending, onward) {
@@ -409,15 +414,18 @@
                         },
                         Some(onward),
                     ) => {
-                        let counted = (self.engines[onward.basin].svc.as_str(), onward.turn.band);
+                        let counted = (
+                            self.engines[onward.engine].svc.as_str(),
+                            onward.priority.band,
+                        );
                         self.shedding.record_over_quota(
                             now,
                             &onward.tenant,
-                            onward.first.then_some(counted),
+                            onward.is_counted.then_some(counted),
                         );
                     }
                     (EngineRejection::Declined { .. }, _)
-                        if at > 0 && self.engines[at].waiting.remove(key).is_none() =>
+                        if at > 0 && self.engines[at].shed_requests.remove(key).is_none() =>
                     {
                         self.shedding.record_no_server(now, &self.engines[at].svc);
                     }
@@ -453,7 +461,7 @@
     ) -> bool {
         let basin = &mut self.engines[ticket.engine];
         if let Some((class, sent)) = basin.engine.in_flight_since(ticket.key) {
-            let times = (now - sent, AIMS[class % AIMS.len()]);
+            let times = (now - sent, LATENCY_TARGETS[class % LATENCY_TARGETS.len()]);
             self.shedding
                 .record_outcome(now, &basin.svc, outcome, times);
         }
@@ -493,7 +501,7 @@
             && let Some(onward) = self
                 .pending_placements
                 .remove(ticket.key)
-                .filter(|onward| onward.beyond.is_none())
+                .filter(|onward| onward.share_retry_after.is_none())
         {
             self.quota_shares.refund(&onward.tenant);
         }
@@ -523,7 +531,7 @@
     /// Sets the term of the counter's owner; `None` while there is none.
     pub fn set_counter_term(&mut self, term: Option<u64>) {
         let Some(term) = term else { return };
-        let before = self.holder.replace(term);
+        let before = self.counter_term.replace(term);
         if before.is_some_and(|held| held != term) {
             self.engines[0].engine.handle_counter_replaced();
         }
@@ -539,7 +547,7 @@
     /// Time-out of a health check: it waits for a slot as requests do, and an answer within this
     /// time is not a silent server's.
     pub fn probe_timeout(&self, engine: usize) -> Micros {
-        self.engines[engine].aim / 2
+        self.engines[engine].latency_target / 2
     }
 
     /// A health check ended.
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -6,12 +6,13 @@
 use streamarch::{Class, ListKind, Micros, Plan, Repeat, RetryBudget, ServerEntry, Settings};
 
 use super::{
-    MOST, MS, PendingPlacement, RequestHandle, RequestKey, RequestRouter, ServiceEngine, settings,
+    MAX_REQUESTS_PER_ENGINE, MS, PendingPlacement, RequestHandle, RequestKey, RequestRouter,
+    ServiceEngine, settings,
 };
 use crate::shedding::SheddingPriority;
 
 /// Latency targets that classes distinguish; a route's target is rounded to the nearest.
-pub(super) const AIMS: [Micros; 8] = [
+pub(super) const LATENCY_TARGETS: [Micros; 8] = [
     100 * MS,
     200 * MS,
     400 * MS,
@@ -22,20 +23,21 @@
     10_000 * MS,
 ];
 /// Priority weight by rank, highest first; lower ranks count as the last.
-const WORTHS: [f64; 4] = [4.0, 2.0, 1.0, 0.5];
+const PRIORITY_WEIGHTS: [f64; 4] = [4.0, 2.0, 1.0, 0.5];
 /// The part of the rules' bound on retries that is used: the rest covers sliding windows and
 /// differing clocks.
 const RETRY_SHARE: f64 = 0.6;
 
-fn nearest(aim: Micros) -> usize {
-    let off = |at: &usize| (AIMS[*at] - aim).abs();
-    (0..AIMS.len()).min_by_key(off).unwrap_or(0)
+fn nearest_target(aim: Micros) -> usize {
+    let off = |at: &usize| (LATENCY_TARGETS[*at] - aim).abs();
+    (0..LATENCY_TARGETS.len()).min_by_key(off).unwrap_or(0)
 }
 
 pub(super) fn class_of(route: &Route, prio: u32) -> usize {
-    let rank = (prio as usize).min(WORTHS.len() - 1);
+    let rank = (prio as usize).min(PRIORITY_WEIGHTS.len() - 1);
     let repeat = usize::from(route.kind != Kind::Idempotent);
-    (repeat * WORTHS.len() + rank) * AIMS.len() + nearest(route.target_time.0)
+    (repeat * PRIORITY_WEIGHTS.len() + rank) * LATENCY_TARGETS.len()
+        + nearest_target(route.target_time.0)
 }
 
 fn classes() -> Vec<Class> {
@@ -50,16 +52,16 @@
     let repeats = [Repeat::Safe, Repeat::Unsafe];
     let ranks = repeats
         .iter()
-        .flat_map(|repeat| WORTHS.map(|worth| (*repeat, worth)));
+        .flat_map(|repeat| PRIORITY_WEIGHTS.map(|worth| (*repeat, worth)));
     ranks
-        .flat_map(|(repeat, worth)| AIMS.map(|aim| class(repeat, worth, aim)))
+        .flat_map(|(repeat, worth)| LATENCY_TARGETS.map(|aim| class(repeat, worth, aim)))
         .collect()
 }
 
 /// The rules' bound on retries holds over all limiters: each one's own share is reduced by its own
 /// first attempts, and the allowance is divided evenly, and halved between the two engines that one
 /// service may have.
-fn retries(limiters: u32, bounds: &Bounds) -> RetryBudget {
+fn retry_budget(limiters: u32, bounds: &Bounds) -> RetryBudget {
     let most = bounds.retry_slack * RETRY_SHARE / 2.0 / f64::from(limiters.max(1));
     RetryBudget {
         earn: bounds.retry_ratio * RETRY_SHARE,
@@ -68,12 +70,12 @@
     }
 }
 
-fn placing(limiters: u32, seed: u64, most: usize, bounds: &Bounds, aim: Micros) -> Engine {
+fn placement_engine(limiters: u32, seed: u64, most: usize, bounds: &Bounds, aim: Micros) -> Engine {
     let plans = vec![Plan {
         price: 1.0,
         ..Plan::default()
     }];
-    let retries = retries(limiters, bounds);
+    let retries = retry_budget(limiters, bounds);
     let settings = Settings {
         classes: classes(),
         plans,
@@ -89,14 +91,14 @@
 
 impl RequestRouter {
     /// The services and regions that have an engine, with its position.
-    pub fn places(&self) -> impl Iterator<Item = (&str, &[String], usize)> {
+    pub fn service_engines(&self) -> impl Iterator<Item = (&str, &[String], usize)> {
         self.positions_by_service
             .iter()
             .map(|((svc, pins), at)| (svc.as_str(), pins.as_slice(), *at))
     }
 
     /// Replaces the servers of an engine.
-    pub fn listed(&mut self, engine: usize, entries: Vec<ServerEntry>) {
+    pub fn update_servers(&mut self, engine: usize, entries: Vec<ServerEntry>) {
         self.engines[engine]
             .engine
             .update_servers(ListKind::Full, entries);
@@ -104,7 +106,7 @@
 
     /// The engine of a service in these regions; where there is none, [`RequestRouter::open`] is
     /// due.
-    pub fn has(&self, svc: &str, pins: &[String]) -> Option<usize> {
+    pub fn engine_of(&self, svc: &str, pins: &[String]) -> Option<usize> {
         // Looked up for each request: the key is built only where regions are named.
         self.positions_by_service
             .iter()
@@ -114,7 +116,7 @@
 
     /// Opens an engine for a service in these regions with these servers. `aim`: the latency target
     /// of the route that it is opened for.
-    pub fn open(
+    pub fn open_engine(
         &mut self,
         svc: &str,
         pins: &[String],
@@ -122,26 +124,26 @@
         entries: Vec<ServerEntry>,
     ) -> usize {
         let at = self.engines.len();
-        let engine = placing(
+        let engine = placement_engine(
             self.limiters,
             self.seed.wrapping_add(at as u64),
-            MOST,
+            MAX_REQUESTS_PER_ENGINE,
             &self.bounds,
             aim,
         );
         self.engines.push(ServiceEngine {
-            aim,
+            latency_target: aim,
             ..ServiceEngine::new(svc, engine)
         });
         self.positions_by_service
             .insert((svc.to_string(), pins.to_vec()), at);
-        self.listed(at, entries);
+        self.update_servers(at, entries);
         at
     }
 
     /// Hands a request to its service's engine. One that was admitted before is not subjected to
     /// shedding again.
-    pub(super) fn place(
+    pub(super) fn submit_to_service(
         &mut self,
         now: Micros,
         request: RequestKey,
@@ -149,7 +151,7 @@
         turn: SheddingPriority,
     ) -> Option<RequestHandle> {
         let &PendingPlacement {
-            basin,
+            engine: basin,
             class,
             deadline,
             ..
@@ -170,7 +172,7 @@
         let key = self.engines[basin].engine.submit(now, authorisation).ok()?;
         self.engines[basin].requests.insert(key, request);
         if turn.is_shed() {
-            self.engines[basin].waiting.insert(key, ());
+            self.engines[basin].shed_requests.insert(key, ());
         }
         Some(RequestHandle { engine: basin, key })
     }
--- a/crates/proxy/src/router/quota_engine.rs
+++ b/crates/proxy/src/router/quota_engine.rs
@@ -14,17 +14,17 @@
 use super::{MS, RequestRouter, SECOND, settings};
 
 /// Up to this many limiters the engine asks the counter for every request.
-pub(super) const ASKERS: u32 = 64;
+pub(super) const MAX_COUNTING_LIMITERS: u32 = 64;
 /// Time-out of a counter call: the round trip over the longest link, and the turns of the programs
 /// on the way. The host reports the time-out to the engine.
-pub(super) const COUNT_WAIT: Micros = 300 * MS;
+pub(super) const COUNTER_TIMEOUT: Micros = 300 * MS;
 /// The engine's own time-out, a share of its latency target, is longer than the host's so that the
 /// host's applies.
-const JUDGING_AIM: Micros = 10 * SECOND;
+const ENGINE_LATENCY_TARGET: Micros = 10 * SECOND;
 /// While there is no counter, clients over their quota are told to stay away for about this long at
 /// least: after a loss of power everywhere they would otherwise spend their retries on local shares
 /// before the counter is back.
-const LEAST_AWAY: Micros = 300 * MS;
+const MIN_RETRY_AFTER: Micros = 300 * MS;
 /// A tenant may use its burst in each window in which quotas are counted. This part of it is
 /// refilled evenly over the window, in addition to the rate...
 const BURST_FLOW: f64 = 0.1;
@@ -32,33 +32,33 @@
 /// with its owner and restarts full.
 const BURST_SHARE: f64 = 0.45;
 /// After the counter has moved to another replica, this part of the burst replaces it.
-const LEAN_SHARE: f64 = 0.1;
+const REDUCED_BURST_SHARE: f64 = 0.1;
 /// ...and this part of the slack, for a small tenant.
-const LEAN_SLACK: f64 = 0.2;
+const REDUCED_SLACK_SHARE: f64 = 0.2;
 /// A small tenant may use up to this part of the rules' slack at one instant.
 const SLACK_SHARE: f64 = 0.6;
 /// The counter's windows.
-const COUNTED: Micros = SECOND;
+const COUNTER_WINDOW: Micros = SECOND;
 /// A lower number of limiters takes effect after this time; a proxy assumes more than it is told
 /// for as long after its start.
-const FEWER: Micros = 10 * SECOND;
-pub(super) const FIRST: Micros = 1_500 * MS;
+const DECREASE_DELAY: Micros = 10 * SECOND;
+pub(super) const START_DURATION: Micros = 1_500 * MS;
 /// At least this many limiters are assumed, since all may be starting.
-const MANY: u32 = 16;
+const MIN_LIMITERS_AT_START: u32 = 16;
 /// Clock jumps below this only shift the windows a little, and are ignored.
-const JUMP: Micros = 250 * MS;
+const MIN_CLOCK_JUMP: Micros = 250 * MS;
 /// The window in which the rules count quotas.
-const WINDOW: Micros = 5 * SECOND;
+const QUOTA_WINDOW: Micros = 5 * SECOND;
 /// A limiter that is isolated divides its local share by this factor.
-pub(super) const ALONE: u32 = 3;
+pub(super) const ISOLATION_FACTOR: u32 = 3;
 /// The chance below which a call is not worth its request: dozens are in flight at once, as the
 /// counter is far away.
-const ADD_LEAST: f64 = 0.25;
+const MIN_CALL_CHANCE: f64 = 0.25;
 /// Stands for all servers where a tenant is only checked; it accepts everything at once.
-const THROUGH: ServerId = ServerId(0);
-const ALL: FirstBound = FirstBound(1e9);
+const ADMITTED: ServerId = ServerId(0);
+const UNLIMITED: FirstBound = FirstBound(1e9);
 
-pub(super) fn customer(tenant: &str) -> CustomerId {
+pub(super) fn customer_id(tenant: &str) -> CustomerId {
     let mut hasher = FnvHasher::default();
     hasher.write(tenant.as_bytes());
     // All limiters derive the same number from the name: it identifies the shared counter.
@@ -66,8 +66,8 @@
 }
 
 /// The engine that enforces quotas. It knows one server, which accepts everything that is admitted.
-pub(super) fn judging(seed: u64, most: usize) -> Engine {
-    let aim = JUDGING_AIM;
+pub(super) fn quota_engine(seed: u64, most: usize) -> Engine {
+    let aim = ENGINE_LATENCY_TARGET;
     let worth = Class {
         aim,
         deadline: 10 * aim,
@@ -81,15 +81,15 @@
         counter: true,
         lost_slices: true,
         slice_first: true,
-        add_least: ADD_LEAST,
-        first_bound: ALL,
-        least_away: LEAST_AWAY,
+        add_least: MIN_CALL_CHANCE,
+        first_bound: UNLIMITED,
+        least_away: MIN_RETRY_AFTER,
         max_attempts: 1,
-        ..settings(ASKERS)
+        ..settings(MAX_COUNTING_LIMITERS)
     };
     let mut engine = Engine::new(settings, seed, most);
     let through = ServerEntry {
-        server: THROUGH,
+        server: ADMITTED,
         zone: 0,
         kind: 0,
         cell: 0,
@@ -106,18 +106,20 @@
     /// delay: leases that expire while the control plane is in trouble would enlarge every local
     /// share, and limiters that are cut off go on using theirs. A proxy that has just started
     /// assumes twice as many: a control plane in trouble may not have heard of all of them.
-    pub fn limiters(&mut self, now: Micros, limiters: u32) {
-        self.limiters = limiters.clamp(1, ASKERS);
-        let young = now < *self.starting_until.get_or_insert(now + FIRST);
+    pub fn set_limiters(&mut self, now: Micros, limiters: u32) {
+        self.limiters = limiters.clamp(1, MAX_COUNTING_LIMITERS);
+        let young = now < *self.starting_until.get_or_insert(now + START_DURATION);
         let (since, most) = self.pending_decrease.unwrap_or((now, 1));
         let most = most.max(self.limiters);
         if young {
-            (self.spread, self.pending_decrease) =
-                ((2 * most).clamp(MANY, ASKERS), Some((now - FEWER, most)));
-        } else if self.limiters >= self.spread {
-            (self.spread, self.pending_decrease) = (self.limiters, None);
-        } else if now - since >= FEWER {
-            (self.spread, self.pending_decrease) = (most, None);
+            (self.quota_divisor, self.pending_decrease) = (
+                (2 * most).clamp(MIN_LIMITERS_AT_START, MAX_COUNTING_LIMITERS),
+                Some((now - DECREASE_DELAY, most)),
+            );
+        } else if self.limiters >= self.quota_divisor {
+            (self.quota_divisor, self.pending_decrease) = (self.limiters, None);
+        } else if now - since >= DECREASE_DELAY {
+            (self.quota_divisor, self.pending_decrease) = (most, None);
         } else {
             self.pending_decrease = Some((since, most));
         }
@@ -125,14 +127,14 @@
 
     /// This limiter has not heard from the control plane for long. The others leave nothing for it
     /// any more, so that it uses only a part of its local share.
-    pub fn alone(&mut self, alone: bool) {
-        self.alone = alone;
+    pub fn set_isolated(&mut self, alone: bool) {
+        self.is_isolated = alone;
     }
 
     /// The limiters' clock jumps ahead to `now`: what was admitted lately counts in windows that
     /// are over, and the shares of the new windows would be added to it. Shares are reduced until
     /// the same time has passed.
-    pub fn jumped(&mut self, now: Micros, by: Micros) {
+    pub fn handle_clock_jump(&mut self, now: Micros, by: Micros) {
         // No time has passed: a proxy that has just started must not take the first number it hears
         // as complete.
         let by = by.max(0);
@@ -141,13 +143,13 @@
         self.pending_decrease = self
             .pending_decrease
             .map(|(since, most)| (since + by, most));
-        if by > JUMP && self.positions > 0 {
-            self.careful_until = now + by.min(WINDOW);
+        if by > MIN_CLOCK_JUMP && self.plan_count > 0 {
+            self.reduced_until = now + by.min(QUOTA_WINDOW);
         }
     }
 
     /// The position of a tenant's plan in the quota engine.
-    pub(super) fn plan(&mut self, now: Micros, name: &str, tenant: &Tenant) -> usize {
+    pub(super) fn plan_position(&mut self, now: Micros, name: &str, tenant: &Tenant) -> usize {
         let lean = self.quota_shares.has_small_burst(now);
         let figures = (tenant.per_s.to_bits(), tenant.burst.to_bits());
         if let Some((_, position)) = self.plans[usize::from(lean)]
@@ -156,12 +158,12 @@
         {
             return *position;
         }
-        let position = self.positions;
-        self.positions += 1;
+        let position = self.plan_count;
+        self.plan_count += 1;
         self.plans[usize::from(lean)].insert(name.to_string(), (figures, position));
         let span = (self.bounds.quota_window.0 as f64 / SECOND as f64).max(1.0);
         let (part, slack) = if lean {
-            (LEAN_SHARE, LEAN_SLACK)
+            (REDUCED_BURST_SHARE, REDUCED_SLACK_SHARE)
         } else {
             (BURST_SHARE, SLACK_SHARE)
         };
@@ -173,7 +175,7 @@
             over_cost: 1.0,
             repaid: tenant.per_s,
             // With an explicit window a tenant keeps its remaining tokens when its limits change.
-            window: COUNTED,
+            window: COUNTER_WINDOW,
             ..Plan::default()
         };
         self.engines[0].engine.add_plan(plan);
--- a/crates/proxy/src/router/tests.rs
+++ b/crates/proxy/src/router/tests.rs
@@ -4,7 +4,7 @@
 use slotmap::SlotMap;
 use streamarch::{ServerEntry, ServerState};
 
-use super::quota_engine::FIRST;
+use super::quota_engine::START_DURATION;
 use super::*;
 
 const START: Micros = 10 * SECOND;
@@ -46,9 +46,9 @@
     fn new(limiters: u32) -> Bench {
         assert!(Items::new().is_empty());
         let mut router = RequestRouter::new(7, Bounds::default());
-        router.limiters(START - FIRST, limiters);
-        router.limiters(START, limiters);
-        router.open("s", &[], 500 * MS, (1..=20).map(server).collect());
+        router.set_limiters(START - START_DURATION, limiters);
+        router.set_limiters(START, limiters);
+        router.open_engine("s", &[], 500 * MS, (1..=20).map(server).collect());
         let (keys, counts) = (SlotMap::with_key(), BTreeMap::new());
         Bench {
             router,
@@ -74,7 +74,7 @@
             pins: &[],
             deadline,
         };
-        self.router.take(self.now, &asked).unwrap();
+        self.router.submit(self.now, &asked).unwrap();
         request
     }
 
@@ -177,8 +177,8 @@
     assert!((40..=66).contains(&bench.sent), "{}", bench.sent);
 }
 
-#[test_case::test_case(|m: &mut RequestRouter| m.alone(true); "alone")]
-#[test_case::test_case(|m: &mut RequestRouter| m.jumped(START, SECOND); "the clock went on at once")]
+#[test_case::test_case(|m: &mut RequestRouter| m.set_isolated(true); "alone")]
+#[test_case::test_case(|m: &mut RequestRouter| m.handle_clock_jump(START, SECOND); "the clock went on at once")]
 fn others_leave_nothing_and_a_slice_is_a_third_of_what_it_was(trouble: fn(&mut RequestRouter)) {
     let mut bench = Bench::new(10);
     let limited = tenant(100.0);
@@ -195,7 +195,7 @@
     // Of 155 in the first second a thirtieth, where it was a tenth.
     assert!((2..=8).contains(&bench.sent), "{}", bench.sent);
     trouble(&mut bench.router);
-    bench.router.alone(false);
+    bench.router.set_isolated(false);
     bench.now += SECOND;
     for _ in 0..200 {
         bench.ask(Some(&limited));
@@ -244,8 +244,8 @@
         (17, 4, 12),
     ];
     for (second, limiters, spread) in told {
-        router.limiters(second * SECOND, limiters);
-        assert_eq!(router.spread, spread, "at {second}");
+        router.set_limiters(second * SECOND, limiters);
+        assert_eq!(router.quota_divisor, spread, "at {second}");
     }
 }
 
@@ -258,14 +258,14 @@
     {
         let now = second * SECOND;
         if told < second {
-            router.jumped(now, (second - told) * SECOND);
+            router.handle_clock_jump(now, (second - told) * SECOND);
         }
-        router.limiters(now, limiters);
-        assert_eq!(router.spread, spread, "at {second}");
+        router.set_limiters(now, limiters);
+        assert_eq!(router.quota_divisor, spread, "at {second}");
     }
-    router.jumped(30 * SECOND, 18 * SECOND);
-    router.limiters(30 * SECOND, 1);
-    assert_eq!(router.spread, 4);
+    router.handle_clock_jump(30 * SECOND, 18 * SECOND);
+    router.set_limiters(30 * SECOND, 1);
+    assert_eq!(router.quota_divisor, 4);
 }
 
 #[test]
@@ -296,7 +296,7 @@
         bench.ask(Some(&tenant(per_s)));
         bench.settle();
     }
-    assert_eq!((bench.router.positions, bench.sent), (3, 4));
+    assert_eq!((bench.router.plan_count, bench.sent), (3, 4));
 }
 
 /// Engines number what they hold each for itself.
@@ -304,7 +304,7 @@
 #[test_case::test_case(false; "they are refused")]
 fn the_end_of_one_request_takes_no_other_along_that_is_being_judged(leave: bool) {
     let mut bench = Bench::new(4);
-    bench.router.open("empty", &[], 500 * MS, Vec::new());
+    bench.router.open_engine("empty", &[], 500 * MS, Vec::new());
     let (limited, route, deadline) = (tenant(100.0), route("idem"), START + 3 * SECOND);
     let mut take = |svc, tenant| {
         let request = bench.keys.insert(());
@@ -317,7 +317,7 @@
             pins: &[],
             deadline,
         };
-        bench.router.take(START, &asked).unwrap()
+        bench.router.submit(START, &asked).unwrap()
     };
     let judged: Vec<RequestHandle> = (0..40).map(|_| take("s", Some(("t", &limited)))).collect();
     let others: Vec<RequestHandle> = (0..40).map(|_| take("empty", None)).collect();
--- a/crates/proxy/src/server_table.rs
+++ b/crates/proxy/src/server_table.rs
@@ -131,7 +131,7 @@
     }
 
     /// Whether any server is known.
-    pub fn any(&self) -> bool {
+    pub fn has_servers(&self) -> bool {
         !self.servers.is_empty()
     }
 
--- a/crates/proxy/src/shedding.rs
+++ b/crates/proxy/src/shedding.rs
@@ -66,7 +66,7 @@
 /// The load shedding state of this proxy.
 #[derive(Debug, Default)]
 pub struct LoadShedding {
-    gate: Admission,
+    admission: Admission,
     node: OverloadDetector,
     /// When each tenant was last over its quota.
     over_quota_tenants: BTreeMap<String, Micros>,
@@ -78,7 +78,7 @@
         let band = asker.band();
         let waits = 1.0
             - self
-                .gate
+                .admission
                 .threshold(now, asker.svc)
                 .min(self.node.threshold());
         SheddingPriority {
@@ -101,7 +101,7 @@
     /// Counts a request whose shedding was decided.
     pub fn record_admitted(&mut self, svc: &str, turn: &SheddingPriority) {
         let sent = !turn.is_shed();
-        self.gate.record_request(svc, turn.band, sent);
+        self.admission.record_request(svc, turn.band, sent);
         self.node.record_request(turn.band, sent);
     }
 
@@ -114,7 +114,7 @@
     /// band under which it was counted before.
     pub fn record_over_quota(&mut self, now: Micros, tenant: &str, counted: Option<(&str, usize)>) {
         if let Some((svc, band)) = counted {
-            self.gate.record_over_quota(svc, band);
+            self.admission.record_over_quota(svc, band);
         }
         self.over_quota_tenants.insert(tenant.to_string(), now);
     }
@@ -135,17 +135,18 @@
                 return;
             }
         };
-        self.gate.record_outcome(now, svc, sign);
+        self.admission.record_outcome(now, svc, sign);
     }
 
     /// Counts a request for which no server was free.
     pub fn record_no_server(&mut self, now: Micros, svc: &str) {
-        self.gate.record_outcome(now, svc, RequestOutcome::NoServer);
+        self.admission
+            .record_outcome(now, svc, RequestOutcome::NoServer);
     }
 
     /// Applies the levels from the control program.
     pub fn set_levels(&mut self, now: Micros, age: Micros, levels: Vec<AdmissionLevel>) {
-        self.gate.set_levels(now, levels, age);
+        self.admission.set_levels(now, levels, age);
     }
 
     /// The reports for the control program; due once a [`overload::STEP`].
@@ -153,6 +154,6 @@
         self.over_quota_tenants
             .retain(|_, at| now - *at <= OVER_QUOTA_DURATION);
         self.node.evaluate(now);
-        self.gate.step(now)
+        self.admission.step(now)
     }
 }
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -100,10 +100,10 @@
     let now = bench.now();
     bench.host.begin_shutdown(now);
     bench.pass(5_500);
-    assert!(!bench.host.finished() && bench.clients[client].answer().is_none());
+    assert!(!bench.host.is_finished() && bench.clients[client].answer().is_none());
     bench.until("end of the program", |bench| {
         bench.late(20);
-        bench.host.finished().then_some(())
+        bench.host.is_finished().then_some(())
     });
     assert_eq!(bench.answer(client).status, 502);
 }
--- a/crates/proxy/tests/edge.rs
+++ b/crates/proxy/tests/edge.rs
@@ -33,7 +33,9 @@
     bench.until("end", |bench| bench.clients[late].ended.then_some(()));
     bench.clients[late].close();
     bench.settle();
-    assert!(bench.clients[idle].ended && !bench.clients[under_way].ended && !bench.host.finished());
+    assert!(
+        bench.clients[idle].ended && !bench.clients[under_way].ended && !bench.host.is_finished()
+    );
     assert!(
         std::net::TcpStream::connect(bench.host.addresses.0).is_err(),
         "nobody else is taken"
@@ -46,7 +48,7 @@
     );
     bench.clients[under_way].close();
     bench.until("end of the program", |bench| {
-        bench.host.finished().then_some(())
+        bench.host.is_finished().then_some(())
     });
 }
 
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -72,10 +72,10 @@
         let proxy = |at: usize| {
             let mut router = RequestRouter::new(at as u64, Bounds::default());
             for early in [3 * SECOND, 0] {
-                router.limiters(START - early, proxies as u32);
+                router.set_limiters(START - early, proxies as u32);
             }
             router.set_counter_term(Some(1));
-            router.open("s", &[], 500 * MS, servers());
+            router.open_engine("s", &[], 500 * MS, servers());
             let far = if at.is_multiple_of(3) { MS } else { 55 * MS };
             Proxy {
                 router,
@@ -184,7 +184,7 @@
                     pins: &[],
                     deadline,
                 };
-                proxy.router.take(self.now, &asked).unwrap();
+                proxy.router.submit(self.now, &asked).unwrap();
             }
             self.decide(at);
         }
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -198,7 +198,7 @@
     let now = bench.now();
     bench.host.begin_shutdown(now);
     bench.pass(2_500);
-    assert!(!bench.clients[client].ended && !bench.host.finished());
+    assert!(!bench.clients[client].ended && !bench.host.is_finished());
     if !leaves {
         bench.reply(&at, &bytes[200_000..]);
         assert!(bench.answer(client).body == pattern(LONG));
@@ -206,7 +206,7 @@
     }
     bench.clients[client].close();
     bench.until("end of the program", |bench| {
-        bench.host.finished().then_some(())
+        bench.host.is_finished().then_some(())
     });
     bench.stubs[0].lines[at.line].end.look();
     assert!(!leaves || bench.line(&at).end.ended);
--- a/crates/simulation/src/edges/proxies.rs
+++ b/crates/simulation/src/edges/proxies.rs
@@ -18,8 +18,8 @@
         let proxy = &mut self.edges[at].proxy;
         match message {
             ControlMessage::ClusterView(who) => {
-                proxy.router.limiters(now, who.limiters);
-                proxy.router.alone(!who.has_quorum);
+                proxy.router.set_limiters(now, who.limiters);
+                proxy.router.set_isolated(!who.has_quorum);
                 proxy
                     .router
                     .set_counter_term(who.counter.map(|(_, term)| term));
@@ -69,7 +69,7 @@
             ControlMessage::Complete => proxy.told = true,
             ControlMessage::Clock(time) => {
                 proxy.ahead = proxy.ahead.max(time - steady);
-                proxy.router.jumped(time, time - now);
+                proxy.router.handle_clock_jump(time, time - now);
             }
             // The simulation's servers answer at once: nothing is under strain.
             ControlMessage::Totals { .. }
@@ -84,12 +84,12 @@
         let proxy = &mut self.edges[at].proxy;
         let places: Vec<_> = proxy
             .router
-            .places()
+            .service_engines()
             .map(|(s, p, n)| (s.to_string(), p.to_vec(), n))
             .collect();
         for (svc, pins, place) in places {
             let entries = proxy.server_table.entries(now, &svc, &pins);
-            proxy.router.listed(place, entries);
+            proxy.router.update_servers(place, entries);
         }
     }
 
@@ -138,7 +138,7 @@
         let now = self.local(at);
         if self.load + self.surge == 0
             || !self.edges[at].ready()
-            || !self.edges[at].proxy.server_table.any()
+            || !self.edges[at].proxy.server_table.has_servers()
         {
             return;
         }
@@ -161,9 +161,11 @@
                 };
                 let named = proxy.config_store.tenant(&format!("key{tenant}")).cloned();
                 let Some(named) = named else { return };
-                if proxy.router.has(BASE, &[]).is_none() {
+                if proxy.router.engine_of(BASE, &[]).is_none() {
                     let entries = proxy.server_table.entries(now, BASE, &[]);
-                    proxy.router.open(BASE, &[], route.target_time.0, entries);
+                    proxy
+                        .router
+                        .open_engine(BASE, &[], route.target_time.0, entries);
                 }
                 let request = proxy.keys.insert(tenant);
                 let tenant = Some((named.name.as_str(), &named.tenant));
@@ -177,7 +179,7 @@
                     deadline: now + 3 * SECOND,
                 };
                 self.grants.asked += 1;
-                if proxy.router.take(now, &asked).is_none() {
+                if proxy.router.submit(now, &asked).is_none() {
                     proxy.keys.remove(request);
                 }
             }
@@ -245,7 +247,7 @@
             self.send_adds(at);
         }
         let proxy = &mut self.edges[at].proxy;
-        if let Some(next) = proxy.router.next() {
+        if let Some(next) = proxy.router.next_wakeup() {
             let ahead = proxy.ahead;
             let when = self.edges[at].clock.when(next - ahead).max(self.now + 1);
             let proxy = &mut self.edges[at].proxy;
