--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -21,12 +21,14 @@
 /// A request ends this long before its client gives up: the answer needs time on its way.
 pub(super) const RESPONSE_MARGIN: Micros = 12 * MS;
 
+/// Longest id of a request, in bytes.
+const MAX_REQUEST_ID_BYTES: usize = 256;
 /// An idle connection is kept this much longer than its client is told.
 const KEEP_ALIVE_MARGIN: Micros = SECOND;
 
 /// A body that is forwarded while it arrives.
 pub(super) struct StreamedBody {
-    pub(super) extent: BodyFraming,
+    pub(super) framing: BodyFraming,
     /// The additional time that it is given to arrive.
     pub(super) extra_time: Micros,
 }
@@ -219,15 +221,17 @@
             }
             return;
         }
+        self.handle_partial_request(now, key);
+    }
+
+    fn handle_partial_request(&mut self, now: Micros, key: ConnectionId) {
         if self.is_shed_by_head(now, key) {
-            self.client(key)
-                .into_iter()
-                .for_each(|client| client.close_after_response = true);
-            let stay_away = (DEFAULT_RETRY_AFTER as f64 * (0.5 + fastrand::f64())) as Micros;
-            return self.write_local_response(
+            let jitter = 0.5 + fastrand::f64();
+            let retry_after = (DEFAULT_RETRY_AFTER as f64 * jitter) as Micros;
+            return self.write_last_response(
                 now,
                 key,
-                &retry_later(503, stay_away, "others go first"),
+                &retry_later(503, retry_after, "others go first"),
             );
         }
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
@@ -240,48 +244,59 @@
             {
                 return self.begin_upload(now, key);
             }
-            let tell = head.expects_continue && !std::mem::replace(&mut client.continue_sent, true);
+            let send_continue =
+                head.expects_continue && !std::mem::replace(&mut client.continue_sent, true);
             let length = client.incoming.length;
             client.connection.record_body_progress(now, length);
-            if tell {
+            if send_continue {
                 self.write_continue(key);
             }
         }
-        if let Some(spared) = self.evict_buffered() {
-            self.client(spared)
-                .into_iter()
-                .for_each(|client| client.close_after_response = true);
-            self.write_local_response(
+        if let Some(evicted) = self.evict_buffered() {
+            self.write_last_response(
                 now,
-                spared,
+                evicted,
                 &retry_later(503, DEFAULT_RETRY_AFTER, "no room"),
             );
-            if spared == key {
+            if evicted == key {
                 return;
             }
         }
         self.schedule_client_deadline(now, key);
-        if self
+        self.continue_reading(now, key);
+    }
+
+    /// Reads what the kernel still holds of a request, unless the buffer is full.
+    fn continue_reading(&mut self, now: Micros, key: ConnectionId) {
+        let has_capacity = self
             .connections
             .get(key)
-            .is_some_and(|wire| wire.input.len() < wire.max_input_bytes)
-        {
-            let mut more = Vec::new();
-            self.connections.resume_reading(key, now, &mut more);
-            self.reread.extend(
-                more.iter()
-                    .any(|h| matches!(h, IoEvent::Received(_)))
-                    .then_some(key),
-            );
-            if let Some(end) = more
-                .into_iter()
-                .find(|h| matches!(h, IoEvent::PeerClosed(_) | IoEvent::Failed(_)))
-            {
-                self.handle_event(now, end);
-            }
+            .is_some_and(|wire| wire.input.len() < wire.max_input_bytes);
+        if !has_capacity {
+            return;
+        }
+        let mut events = Vec::new();
+        self.connections.resume_reading(key, now, &mut events);
+        let received = events
+            .iter()
+            .any(|event| matches!(event, IoEvent::Received(_)));
+        self.reread.extend(received.then_some(key));
+        let closed = events
+            .into_iter()
+            .find(|event| matches!(event, IoEvent::PeerClosed(_) | IoEvent::Failed(_)));
+        if let Some(event) = closed {
+            self.handle_event(now, event);
         }
     }
 
+    /// Writes an answer after which the connection is closed.
+    fn write_last_response(&mut self, now: Micros, key: ConnectionId, response: &LocalResponse) {
+        self.client(key)
+            .into_iter()
+            .for_each(|client| client.close_after_response = true);
+        self.write_local_response(now, key, response);
+    }
+
     /// The input is not a valid request, or too long.
     pub(super) fn reject_input(&mut self, now: Micros, key: ConnectionId, fault: ParseError) {
         let text = match fault {
@@ -289,10 +304,7 @@
             ParseError::HeadTooLarge => "head too large",
             ParseError::BodyTooLarge => "body too large",
         };
-        self.client(key)
-            .into_iter()
-            .for_each(|client| client.close_after_response = true);
-        self.write_local_response(now, key, &local_response(fault.status(), text));
+        self.write_last_response(now, key, &local_response(fault.status(), text));
     }
 
     /// Tells the client to send its body.
@@ -326,11 +338,7 @@
         let (Some((svc, _)), None) = (services.next(), services.next()) else {
             return false;
         };
-        let shown = head
-            .headers
-            .get("Authorization")
-            .and_then(|value| value.strip_prefix("Bearer "));
-        let tenant = shown.and_then(|key| self.config_store.tenant(key.trim()));
+        let tenant = api_key(&head.headers).and_then(|key| self.config_store.tenant(key));
         if tenant.is_none() && !route.public && self.config_store.requires_keys() {
             return false;
         }
@@ -355,28 +363,19 @@
         }
     }
 
+    /// Admits a request by its head; `streamed`: its body is forwarded while it arrives.
+    ///
+    /// # Errors
+    /// The answer to a request that can't be routed.
     pub(super) fn admit(
         &mut self,
         now: Micros,
         key: ConnectionId,
         head: RequestHead,
         body: Vec<u8>,
-        coming: Option<StreamedBody>,
+        streamed: Option<StreamedBody>,
     ) -> Result<(), LocalResponse> {
-        if !self.config_store.is_ready() {
-            return Err(retry_later(
-                503,
-                startup_retry_after(),
-                "no configuration yet",
-            ));
-        }
-        if !self.server_table.has_servers() {
-            return Err(retry_later(
-                503,
-                startup_retry_after(),
-                "no server is known yet",
-            ));
-        }
+        self.check_configured()?;
         let host = head
             .headers
             .get("Host")
@@ -389,91 +388,101 @@
         let id = head
             .headers
             .get("X-Request-Id")
-            .filter(|id| !id.is_empty() && id.len() <= 256);
-        let id = id.ok_or(local_response(400, "X-Request-Id"))?.to_string();
-        let key_shown = head
-            .headers
-            .get("Authorization")
-            .and_then(|value| value.strip_prefix("Bearer "));
-        let tenant = key_shown
-            .and_then(|key| self.config_store.tenant(key.trim()))
+            .filter(|id| !id.is_empty() && id.len() <= MAX_REQUEST_ID_BYTES)
+            .ok_or(local_response(400, "X-Request-Id"))?
+            .to_string();
+        let tenant = api_key(&head.headers)
+            .and_then(|key| self.config_store.tenant(key))
             .cloned();
         if tenant.is_none() && !route.public && self.config_store.requires_keys() {
             return Err(local_response(401, "no such key"));
         }
-        let left = head
-            .headers
-            .get("X-Time-Left")
-            .and_then(|text| text.parse::<f64>().ok());
-        let left = left
-            .filter(|ms| ms.is_finite() && *ms >= 0.0)
-            .map_or(route.timeout.0, |ms| (ms * 1e3) as Micros);
-        let wait = left.min(route.timeout.0);
-        let wait = wait - RESPONSE_MARGIN.min(wait / 4);
-        let deadline = now + wait + coming.as_ref().map_or(0, |coming| coming.extra_time);
+        let allowed_time = allowed_time(&head.headers, &route);
+        let extra_time = streamed.as_ref().map_or(0, |body| body.extra_time);
         let svc = choose_service(&route).ok_or(retry_later(
             503,
             DEFAULT_RETRY_AFTER,
             "no service takes it",
         ))?;
-        let pins = common_regions(
-            &route.pins,
-            tenant.as_ref().map_or(&[][..], |t| &t.tenant.pins),
-        );
-        let pins = pins.ok_or(retry_later(
+        let tenant_pins = tenant.as_ref().map_or(&[][..], |known| &known.tenant.pins);
+        let pins = common_regions(&route.pins, tenant_pins).ok_or(retry_later(
             503,
             DEFAULT_RETRY_AFTER,
             "no region may serve it",
         ))?;
-        if self.router.engine_of(&svc, &pins).is_none() {
-            let entries = self.server_table.entries(now, &svc, &pins);
-            self.add_to_pool(entries.iter().map(|entry| entry.server).collect());
-            self.router
-                .open_engine(&svc, &pins, route.target_time.0, entries);
-        }
-        let lines = forwarded_fields(&head.headers, tenant.as_ref().map(|t| t.name.as_str()));
-        let ticket = RequestHandle {
-            engine: 0,
-            key: AuthorisationKey::default(),
-        };
+        self.ensure_engine(now, &svc, &pins, &route);
+        let tenant_name = tenant.as_ref().map(|known| known.name.as_str());
+        let header_lines = forwarded_fields(&head.headers, tenant_name);
         let request = self.requests.insert(Request {
             client: key,
             method: head.method,
             target: head.target,
-            header_lines: lines,
+            header_lines,
             body,
-            id,
+            id: id.clone(),
             route: route.clone(),
-            deadline,
-            allowed_time: wait,
-            body_framing: coming.map(|coming| coming.extent),
-            handle: ticket,
+            deadline: now + allowed_time + extra_time,
+            allowed_time,
+            body_framing: streamed.map(|body| body.framing),
+            handle: RequestHandle {
+                engine: 0,
+                key: AuthorisationKey::default(),
+            },
             used_connections: Vec::new(),
             may_have_run: false,
             failure: None,
         });
-        let tenant = tenant.as_ref().map(|t| (t.name.as_str(), &t.tenant));
-        let id = self.requests[request].id.clone();
-        let asked = RoutingRequest {
+        let routing = RoutingRequest {
             request,
             id: &id,
             route: &route,
             svc: &svc,
-            tenant,
+            tenant: tenant.as_ref().map(|t| (t.name.as_str(), &t.tenant)),
             pins: &pins,
-            deadline,
+            deadline: now + allowed_time + extra_time,
         };
-        let band = asked.shedding_request().band();
-        match self.router.submit(now, &asked) {
-            Some(ticket) => self.requests[request].handle = ticket,
-            None => {
-                self.requests.remove(request);
-                return Err(retry_later(503, DEFAULT_RETRY_AFTER, "no room"));
-            }
+        self.submit(now, key, &routing)
+    }
+
+    /// A proxy without configuration or servers sends clients away for a moment.
+    fn check_configured(&self) -> Result<(), LocalResponse> {
+        let reason = if !self.config_store.is_ready() {
+            "no configuration yet"
+        } else if !self.server_table.has_servers() {
+            "no server is known yet"
+        } else {
+            return Ok(());
+        };
+        Err(retry_later(503, startup_retry_after(), reason))
+    }
+
+    /// Opens the engine of a service in these regions if there is none.
+    fn ensure_engine(&mut self, now: Micros, svc: &str, pins: &[String], route: &Route) {
+        if self.router.engine_of(svc, pins).is_some() {
+            return;
+        }
+        let entries = self.server_table.entries(now, svc, pins);
+        self.add_to_pool(entries.iter().map(|entry| entry.server).collect());
+        self.router
+            .open_engine(svc, pins, route.target_time.0, entries);
+    }
+
+    fn submit(
+        &mut self,
+        now: Micros,
+        key: ConnectionId,
+        routing: &RoutingRequest<'_>,
+    ) -> Result<(), LocalResponse> {
+        let request = routing.request;
+        let Some(handle) = self.router.submit(now, routing) else {
+            self.requests.remove(request);
+            return Err(retry_later(503, DEFAULT_RETRY_AFTER, "no room"));
+        };
+        self.requests[request].handle = handle;
+        if let Some(client) = self.client(key) {
+            client.request = Some(request);
+            client.band = routing.shedding_request().band();
         }
-        self.client(key)
-            .into_iter()
-            .for_each(|client| (client.request, client.band) = (Some(request), band));
         Ok(())
     }
 
@@ -644,6 +653,26 @@
     (!close).then_some(("Keep-Alive", stay))
 }
 
+/// The API key that a client shows.
+fn api_key(headers: &Headers) -> Option<&str> {
+    headers
+        .get("Authorization")
+        .and_then(|value| value.strip_prefix("Bearer "))
+        .map(str::trim)
+}
+
+/// The time for a request: the client's or its route's, whichever is less, without the margin for
+/// the answer's way back.
+fn allowed_time(headers: &Headers, route: &Route) -> Micros {
+    let asked = headers
+        .get("X-Time-Left")
+        .and_then(|text| text.parse::<f64>().ok())
+        .filter(|ms| ms.is_finite() && *ms >= 0.0)
+        .map_or(route.timeout.0, |ms| (ms * 1e3) as Micros);
+    let allowed = asked.min(route.timeout.0);
+    allowed - RESPONSE_MARGIN.min(allowed / 4)
+}
+
 /// Chooses the service of a request, at random by weight where the route has several.
 fn choose_service(route: &Route) -> Option<String> {
     let all: f64 = route.services().map(|(_, weight)| weight).sum();
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -32,12 +32,12 @@
             }
         };
         let more = (left / self.limits.min_body_bytes_per_s.max(1)) as Micros * SECOND;
-        let coming = StreamedBody {
-            extent,
+        let streamed = StreamedBody {
+            framing: extent,
             extra_time: more.min(self.limits.max_upload_extension),
         };
         let expects = head.expects_continue && !told;
-        if let Err(own) = self.admit(now, key, head, Vec::new(), Some(coming)) {
+        if let Err(own) = self.admit(now, key, head, Vec::new(), Some(streamed)) {
             return self.write_local_response(now, key, &own);
         }
         if expects {
