--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -49,7 +49,7 @@
     /// Declined: a retry is harmless.
     Declined {
         /// How long the client should wait before a retry, in microseconds; 0 gives no advice.
-        stay_away: Micros,
+        retry_after: Micros,
         /// Whether its quota was the reason, and not a lack of servers.
         over_quota: bool,
     },
@@ -70,7 +70,7 @@
         /// The authorisation.
         key: AuthorisationKey,
         /// Number of the attempt, from 0.
-        leg: u32,
+        attempt: u32,
         /// The server.
         server: ServerId,
         /// Deadline of its outcome.
@@ -81,14 +81,14 @@
         /// The authorisation.
         key: AuthorisationKey,
         /// Number of the attempt.
-        leg: u32,
+        attempt: u32,
     },
     /// Send the final answer.
     Reject {
         /// The authorisation.
         key: AuthorisationKey,
         /// The answer.
-        ending: EngineRejection,
+        rejection: EngineRejection,
     },
     /// Add to a counter; report with [`Engine::handle_counter_result`].
     AddToCounter {
@@ -279,14 +279,14 @@
         &mut self,
         now: Micros,
         key: AuthorisationKey,
-        leg: u32,
+        attempt: u32,
         outcome: Outcome,
         report: Option<LoadReport>,
     ) -> bool {
         let Some(held) = self.requests.get_mut(key) else {
             return false;
         };
-        let Some(out) = held.in_flight.take_if(|out| out.number == leg) else {
+        let Some(out) = held.in_flight.take_if(|out| out.number == attempt) else {
             return false;
         };
         let answers = outcome == Outcome::Ok && !held.done;
@@ -302,7 +302,7 @@
         self.open_count -= usize::from(answers);
         self.events.push(Event::AttemptEnd(AttemptEnd {
             request: id(key),
-            attempt: leg,
+            attempt,
             server: out.server,
             outcome,
             took: now - out.sent,
@@ -337,11 +337,11 @@
         &mut self,
         now: Micros,
         key: AuthorisationKey,
-        orders: &mut Vec<EngineAction>,
+        engine_actions: &mut Vec<EngineAction>,
     ) {
         if self.finish_request(key, true) {
             self.events.push(Event::ClientLeft(id(key)));
-            self.stop_attempt(now, key, orders);
+            self.stop_attempt(now, key, engine_actions);
         }
     }
 
@@ -405,7 +405,7 @@
     }
 
     /// Lets the module decide on the events so far, if its period is over.
-    pub fn run(&mut self, now: Micros, orders: &mut Vec<EngineAction>) {
+    pub fn run(&mut self, now: Micros, engine_actions: &mut Vec<EngineAction>) {
         if self.next_wakeup().is_none_or(|at| at > now) {
             return;
         }
@@ -420,7 +420,7 @@
         events.clear();
         self.events = events;
         for action in actions.drain(..) {
-            self.carry_out(now, action, orders);
+            self.carry_out(now, action, engine_actions);
         }
         self.actions = actions;
         for key in std::mem::take(&mut self.abandoned) {
@@ -428,13 +428,13 @@
         }
     }
 
-    fn carry_out(&mut self, now: Micros, action: Action, orders: &mut Vec<EngineAction>) {
+    fn carry_out(&mut self, now: Micros, action: Action, engine_actions: &mut Vec<EngineAction>) {
         match action {
             Action::Send {
                 request,
                 server,
                 timeout,
-            } => self.send(now, key(request), server, timeout, orders),
+            } => self.send(now, key(request), server, timeout, engine_actions),
             Action::Shed {
                 request,
                 stay_away,
@@ -443,13 +443,13 @@
                 now,
                 key(request),
                 EngineRejection::Declined {
-                    stay_away,
+                    retry_after: stay_away,
                     over_quota,
                 },
-                orders,
+                engine_actions,
             ),
             Action::Fail(request) => {
-                self.reject(now, key(request), EngineRejection::Failed, orders)
+                self.reject(now, key(request), EngineRejection::Failed, engine_actions)
             }
             Action::Cancel { request, attempt } => {
                 let key = key(request);
@@ -461,22 +461,26 @@
                     .and_then(|held| held.in_flight)
                     .is_some_and(|out| out.number == attempt)
                 {
-                    orders.push(EngineAction::StopAttempt { key, leg: attempt });
+                    engine_actions.push(EngineAction::StopAttempt { key, attempt });
                     self.handle_attempt_ended(now, key, attempt, Outcome::Cancelled, None);
                 }
             }
-            Action::Count { name, add, expires } => orders.push(EngineAction::AddToCounter {
-                name,
-                add,
-                life: expires,
-            }),
-            Action::Tell(limiter, notice) => orders.push(EngineAction::Notify(limiter, notice)),
-            Action::Probe(server) => orders.push(EngineAction::Probe(server)),
+            Action::Count { name, add, expires } => {
+                engine_actions.push(EngineAction::AddToCounter {
+                    name,
+                    add,
+                    life: expires,
+                })
+            }
+            Action::Tell(limiter, notice) => {
+                engine_actions.push(EngineAction::Notify(limiter, notice))
+            }
+            Action::Probe(server) => engine_actions.push(EngineAction::Probe(server)),
             // The host watches the server list from its start, whether the module asks for it or
             // not.
             Action::WatchList => {}
             Action::WakeAt(at) => self.wake_at = Some(self.wake_at.map_or(at, |w| w.min(at))),
-            Action::Log(text) => orders.push(EngineAction::Log(text)),
+            Action::Log(text) => engine_actions.push(EngineAction::Log(text)),
         }
     }
 
@@ -486,19 +490,19 @@
         key: AuthorisationKey,
         server: ServerId,
         timeout: Micros,
-        orders: &mut Vec<EngineAction>,
+        engine_actions: &mut Vec<EngineAction>,
     ) {
         let Some(held) = self.requests.get_mut(key) else {
             return;
         };
-        let leg = held.attempts;
+        let attempt = held.attempts;
         held.attempts += 1;
         // Rule 2: never two attempts in flight, and none after the end. The module is told that its
         // attempt is over; otherwise it would count it as in flight at that server for ever.
         if held.in_flight.is_some() || held.done {
             let end = AttemptEnd {
                 request: id(key),
-                attempt: leg,
+                attempt,
                 server,
                 outcome: Outcome::Moot,
                 took: 0,
@@ -514,18 +518,23 @@
             .valid_until
             .is_some_and(|until| until <= now);
         held.in_flight = Some(InFlightAttempt {
-            number: leg,
+            number: attempt,
             server,
             sent: now,
         });
         // A token that expires between attempt and retry: the request is not sent again.
         if expired {
             let may_have_run = held.may_have_run;
-            self.handle_attempt_ended(now, key, leg, Outcome::Moot, None);
-            return self.reject(now, key, EngineRejection::Expired { may_have_run }, orders);
+            self.handle_attempt_ended(now, key, attempt, Outcome::Moot, None);
+            return self.reject(
+                now,
+                key,
+                EngineRejection::Expired { may_have_run },
+                engine_actions,
+            );
         }
-        if leg >= self.max_attempts || held.is_body_sent || held.authorisation.deadline <= now {
-            self.handle_attempt_ended(now, key, leg, Outcome::Moot, None);
+        if attempt >= self.max_attempts || held.is_body_sent || held.authorisation.deadline <= now {
+            self.handle_attempt_ended(now, key, attempt, Outcome::Moot, None);
             return;
         }
         let given = if timeout == 0 {
@@ -534,9 +543,9 @@
             now.saturating_add(timeout.max(0))
         };
         let deadline = held.authorisation.deadline.min(given);
-        orders.push(EngineAction::StartAttempt {
+        engine_actions.push(EngineAction::StartAttempt {
             key,
-            leg,
+            attempt,
             server,
             deadline,
         });
@@ -563,26 +572,31 @@
         &mut self,
         now: Micros,
         key: AuthorisationKey,
-        ending: EngineRejection,
-        orders: &mut Vec<EngineAction>,
+        rejection: EngineRejection,
+        engine_actions: &mut Vec<EngineAction>,
     ) {
         // Rule 1: a second final answer is dropped.
         if self.finish_request(key, false) {
-            orders.push(EngineAction::Reject { key, ending });
-            self.stop_attempt(now, key, orders);
+            engine_actions.push(EngineAction::Reject { key, rejection });
+            self.stop_attempt(now, key, engine_actions);
         }
     }
 
     /// Stops the attempt of a finished authorisation.
-    fn stop_attempt(&mut self, now: Micros, key: AuthorisationKey, orders: &mut Vec<EngineAction>) {
-        if let Some(leg) = self
+    fn stop_attempt(
+        &mut self,
+        now: Micros,
+        key: AuthorisationKey,
+        engine_actions: &mut Vec<EngineAction>,
+    ) {
+        if let Some(attempt) = self
             .requests
             .get(key)
             .and_then(|h| h.in_flight)
             .map(|out| out.number)
         {
-            orders.push(EngineAction::StopAttempt { key, leg });
-            self.handle_attempt_ended(now, key, leg, Outcome::Cancelled, None);
+            engine_actions.push(EngineAction::StopAttempt { key, attempt });
+            self.handle_attempt_ended(now, key, attempt, Outcome::Cancelled, None);
         }
     }
 }
--- a/crates/limiter/src/front/platform.rs
+++ b/crates/limiter/src/front/platform.rs
@@ -214,11 +214,11 @@
 pub fn status(ending: EngineRejection) -> (u16, Micros) {
     match ending {
         EngineRejection::Declined {
-            stay_away,
+            retry_after: stay_away,
             over_quota: true,
         } => (429, stay_away),
         EngineRejection::Declined {
-            stay_away,
+            retry_after: stay_away,
             over_quota: false,
         } => (503, stay_away),
         EngineRejection::Failed => (504, 0),
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -647,7 +647,7 @@
         match order {
             EngineAction::StartAttempt {
                 key,
-                leg,
+                attempt: leg,
                 server,
                 deadline,
             } => self.start_leg(now, (service, key), leg, server, deadline),
@@ -657,7 +657,10 @@
                     self.close(connection);
                 }
             }
-            EngineAction::Reject { key, ending } => self.ended((service, key), ending),
+            EngineAction::Reject {
+                key,
+                rejection: ending,
+            } => self.ended((service, key), ending),
             EngineAction::AddToCounter { name, add, life } => {
                 let line = (name.0 % self.lines.len().max(1) as u64) as usize;
                 let deadline = now + self.limits.counter_timeout;
--- a/crates/limiter/src/net/host/tokens.rs
+++ b/crates/limiter/src/net/host/tokens.rs
@@ -290,7 +290,7 @@
             // Whose it is could not be learned: nothing has run, and a retry is harmless.
             Purpose::Identify(_) if !matches!(ending, EngineRejection::Declined { .. }) => {
                 EngineRejection::Declined {
-                    stay_away: 0,
+                    retry_after: 0,
                     over_quota: false,
                 }
             }
@@ -298,8 +298,11 @@
         };
         let (status, challenge) = introspection::status(ending);
         let stay_away = match ending {
-            EngineRejection::Declined { stay_away: 0, .. } => self.limits.default_retry_after,
-            EngineRejection::Declined { stay_away, .. } => stay_away,
+            EngineRejection::Declined { retry_after: 0, .. } => self.limits.default_retry_after,
+            EngineRejection::Declined {
+                retry_after: stay_away,
+                ..
+            } => stay_away,
             _ => 0,
         };
         let mut headers = vec![NO_STORE];
--- a/crates/limiter/tests/judging.rs
+++ b/crates/limiter/tests/judging.rs
@@ -126,7 +126,9 @@
             }
             for order in orders {
                 match order {
-                    EngineAction::StartAttempt { key, leg, .. } => {
+                    EngineAction::StartAttempt {
+                        key, attempt: leg, ..
+                    } => {
                         sent += 1;
                         self.engines[limiter].handle_attempt_ended(
                             self.now,
@@ -141,7 +143,7 @@
                         self.owed.push((limiter, name));
                     }
                     EngineAction::Reject {
-                        ending: EngineRejection::Declined { .. },
+                        rejection: EngineRejection::Declined { .. },
                         ..
                     } => declined += 1,
                     _ => {}
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -478,7 +478,10 @@
             for order in orders {
                 let good = match order {
                     EngineAction::StartAttempt {
-                        key, leg, deadline, ..
+                        key,
+                        attempt: leg,
+                        deadline,
+                        ..
                     } => find(&mut known, key).is_some_and(|seen| {
                         let fresh =
                             !seen.ended && seen.out.is_none() && leg >= seen.legs && leg < 3;
@@ -486,7 +489,7 @@
                         (seen.out, seen.legs) = (Some(leg), leg + 1);
                         fresh && harmless && deadline > now
                     }),
-                    EngineAction::StopAttempt { key, leg } => {
+                    EngineAction::StopAttempt { key, attempt: leg } => {
                         find(&mut known, key).is_some_and(|seen| seen.out.take() == Some(leg))
                     }
                     EngineAction::Reject { key, .. } => find(&mut known, key)
--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -160,14 +160,19 @@
     inner.engine.run(shared.now(), &mut orders);
     for order in orders {
         match order {
-            EngineAction::StartAttempt { key, leg, .. } => {
+            EngineAction::StartAttempt {
+                key, attempt: leg, ..
+            } => {
                 // A receiver that is gone has told the engine so, or is about to.
                 _ = inner
                     .waiting
                     .remove(&key)
                     .map(|sender| sender.send(Verdict::Go(leg)));
             }
-            EngineAction::Reject { key, ending } => {
+            EngineAction::Reject {
+                key,
+                rejection: ending,
+            } => {
                 _ = inner
                     .waiting
                     .remove(&key)
@@ -328,7 +333,7 @@
                 taken.inspect(|key| _ = inner.waiting.insert(*key, sender))
             };
             let full = EngineRejection::Declined {
-                stay_away: 0,
+                retry_after: 0,
                 over_quota: false,
             };
             let Ok(key) = taken else {
--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -85,10 +85,10 @@
 
     pub(super) fn handle_agent_input(&mut self, now: Micros, key: ConnectionId) {
         loop {
-            let Some(wire) = self.connections.get_mut(key) else {
+            let Some(connection) = self.connections.get_mut(key) else {
                 return;
             };
-            match frames::decode::<ControlMessage>(&mut wire.input) {
+            match frames::decode::<ControlMessage>(&mut connection.input) {
                 Ok(Some(message)) => self.handle_control_message(now, message),
                 Ok(None) => break,
                 Err(fault) => {
@@ -207,7 +207,7 @@
         let up = self
             .agent
             .and_then(|key| self.connections.get(key))
-            .is_some_and(|wire| wire.is_connected());
+            .is_some_and(|connection| connection.is_connected());
         if !up {
             return self.fail_batch(&batch, Outcome::ConnectFailed);
         }
--- a/crates/proxy/src/host/capacity.rs
+++ b/crates/proxy/src/host/capacity.rs
@@ -64,7 +64,7 @@
             let read = self
                 .connections
                 .get(key)
-                .is_some_and(|wire| !wire.input.is_empty());
+                .is_some_and(|connection| !connection.input.is_empty());
             if read && client.connection.stage != Stage::Lingering {
                 return None;
             }
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -36,22 +36,22 @@
 /// An answer that the proxy itself generates.
 pub(super) struct LocalResponse {
     status: u16,
-    stay_away: Micros,
+    retry_after: Micros,
     text: &'static str,
 }
 
 fn local_response(status: u16, text: &'static str) -> LocalResponse {
     LocalResponse {
         status,
-        stay_away: 0,
+        retry_after: 0,
         text,
     }
 }
 
-fn retry_later(status: u16, stay_away: Micros, text: &'static str) -> LocalResponse {
+fn retry_later(status: u16, retry_after: Micros, text: &'static str) -> LocalResponse {
     LocalResponse {
         status,
-        stay_away,
+        retry_after,
         text,
     }
 }
@@ -73,8 +73,8 @@
             upload: None,
         };
         self.roles.insert(key, Role::Client(Box::new(client)));
-        if let Some(wire) = self.connections.get_mut(key) {
-            wire.max_input_bytes = READ_WINDOW_BYTES;
+        if let Some(connection) = self.connections.get_mut(key) {
+            connection.max_input_bytes = READ_WINDOW_BYTES;
         }
         self.schedule_client_deadline(now, key);
         self.evict_excess(now);
@@ -114,7 +114,7 @@
             && self
                 .connections
                 .get(key)
-                .is_some_and(|wire| wire.backlog() == 0)
+                .is_some_and(|connection| connection.backlog() == 0)
         {
             client.connection.record_write_progress(now);
         }
@@ -128,7 +128,7 @@
             && self
                 .connections
                 .get(key)
-                .is_some_and(|wire| wire.has_unread())
+                .is_some_and(|connection| connection.has_unread())
         {
             client.connection.restart_body_timer(now);
         }
@@ -181,7 +181,7 @@
 
     pub(super) fn handle_client_input(&mut self, now: Micros, key: ConnectionId) {
         let most = self.limits.max_request_bytes;
-        let (Some(Role::Client(client)), Some(wire)) =
+        let (Some(Role::Client(client)), Some(connection)) =
             (self.roles.get_mut(key), self.connections.get_mut(key))
         else {
             return;
@@ -189,10 +189,10 @@
         match client.connection.stage {
             Stage::Idle | Stage::Receiving => {}
             Stage::Lingering => {
-                wire.input.clear();
+                connection.input.clear();
                 // Closing with unread input would reset the connection and could destroy the
                 // answer.
-                return self.reread.extend(wire.has_unread().then_some(key));
+                return self.reread.extend(connection.has_unread().then_some(key));
             }
             Stage::Processing if client.upload.is_some() => {
                 return self.handle_upload_input(now, key);
@@ -200,12 +200,14 @@
             // Pipelined input waits until the request before it is answered.
             Stage::Processing | Stage::Responding => return,
         }
-        if wire.input.is_empty() && client.incoming.head().is_none() {
+        if connection.input.is_empty() && client.incoming.head().is_none() {
             return;
         }
         client.connection.begin_request(now);
-        let read = client.incoming.read(&mut wire.input, most, &self.limits);
-        let held = wire.input.len() + client.incoming.body.len();
+        let read = client
+            .incoming
+            .read(&mut connection.input, most, &self.limits);
+        let held = connection.input.len() + client.incoming.body.len();
         self.buffered_bytes = self.buffered_bytes + held - client.buffered_bytes;
         client.buffered_bytes = held;
         if let Err(fault) = read {
@@ -215,7 +217,7 @@
             let incoming = std::mem::take(&mut client.incoming);
             (client.continue_sent, client.checked_by_head) = (false, false);
             client.connection.request_complete(now);
-            wire.max_input_bytes = MAX_READ_AHEAD_BYTES.max(wire.input.len());
+            connection.max_input_bytes = MAX_READ_AHEAD_BYTES.max(connection.input.len());
             if let Some((head, _, body)) = incoming.into_parts() {
                 self.handle_request(now, key, head, body);
             }
@@ -271,7 +273,7 @@
         let has_capacity = self
             .connections
             .get(key)
-            .is_some_and(|wire| wire.input.len() < wire.max_input_bytes);
+            .is_some_and(|connection| connection.input.len() < connection.max_input_bytes);
         if !has_capacity {
             return;
         }
@@ -498,15 +500,15 @@
         }
         let answer = match ending {
             EngineRejection::Declined {
-                stay_away,
+                retry_after,
                 over_quota: true,
-            } => retry_later(429, stay_away, "over its quota"),
+            } => retry_later(429, retry_after, "over its quota"),
             _ if request.may_have_run && now + RESPONSE_MARGIN >= request.deadline => {
                 local_response(504, "no answer in time")
             }
             _ if request.may_have_run => local_response(502, "no good answer"),
-            EngineRejection::Declined { stay_away, .. } => {
-                retry_later(503, stay_away.max(MS), "no server takes it")
+            EngineRejection::Declined { retry_after, .. } => {
+                retry_later(503, retry_after.max(MS), "no server takes it")
             }
             EngineRejection::Failed | EngineRejection::Expired { .. } => {
                 retry_later(503, DEFAULT_RETRY_AFTER, "no server took it")
@@ -521,9 +523,9 @@
         key: ConnectionId,
         own: &LocalResponse,
     ) {
-        let seconds = format!("{:.3}", own.stay_away as f64 / 1e6);
+        let seconds = format!("{:.3}", own.retry_after as f64 / 1e6);
         let mut lines = vec![("Content-Type", "text/plain")];
-        lines.extend((own.stay_away > 0).then_some(("Retry-After", seconds.as_str())));
+        lines.extend((own.retry_after > 0).then_some(("Retry-After", seconds.as_str())));
         // While the node is crowded, rejected clients are disconnected: a retry uses a new
         // connection anyway.
         let crowded = self.router.shedding().node().is_crowded();
@@ -602,10 +604,11 @@
         }
         let last = client.close_after_response;
         client.connection.response_written(now, last);
-        if let Some(wire) = self.connections.get_mut(key) {
-            wire.max_input_bytes = READ_WINDOW_BYTES;
-            self.buffered_bytes = self.buffered_bytes + wire.input.len() - client.buffered_bytes;
-            client.buffered_bytes = wire.input.len();
+        if let Some(connection) = self.connections.get_mut(key) {
+            connection.max_input_bytes = READ_WINDOW_BYTES;
+            self.buffered_bytes =
+                self.buffered_bytes + connection.input.len() - client.buffered_bytes;
+            client.buffered_bytes = connection.input.len();
         }
         if last {
             self.connections.shutdown_write(key);
@@ -619,15 +622,15 @@
     /// pending output would be flushed with it without the host learning of it.
     pub(super) fn handle_readiness_check(&mut self, key: ConnectionId) {
         let ready = self.state() == NodeState::Ready;
-        let Some(wire) = self.connections.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let (request, length) = match framing::request(&wire.input, &self.limits) {
+        let (request, length) = match framing::request(&connection.input, &self.limits) {
             Ok(None) => return,
             Ok(Some(asked)) => asked,
             Err(_) => return self.remove_connection(key),
         };
-        wire.input.drain(..length);
+        connection.input.drain(..length);
         let status = match request.target.split('?').next() {
             Some("/api/readyz") if ready => 200,
             Some("/api/readyz") => 503,
--- a/crates/proxy/src/host/close_reasons.rs
+++ b/crates/proxy/src/host/close_reasons.rs
@@ -53,8 +53,10 @@
         let Some(Role::Client(client)) = self.roles.get(key) else {
             return;
         };
-        let wire = self.connections.get(key);
-        let (unread, unwritten) = wire.map_or((0, 0), |wire| (wire.input.len(), wire.backlog()));
+        let connection = self.connections.get(key);
+        let (unread, unwritten) = connection.map_or((0, 0), |connection| {
+            (connection.input.len(), connection.backlog())
+        });
         let owed = matches!(
             client.connection.stage,
             Stage::Processing | Stage::Responding
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -77,7 +77,7 @@
 /// The role of a connection.
 enum Role {
     Client(Box<Client>),
-    Leg(Box<UpstreamConnection>),
+    Upstream(Box<UpstreamConnection>),
     /// The platform's readiness check. `last`: the connection is closed after the answer being
     /// written.
     Check {
@@ -245,7 +245,7 @@
     /// # Errors
     /// An address is missing in the settings, or can't be bound.
     pub fn open(settings: Settings, clock: Clock, ring: LogRing) -> eyre::Result<Host> {
-        let mut wires = Connections::new(&[SIGTERM, SIGHUP]).wrap_err("opening the loop")?;
+        let mut connections = Connections::new(&[SIGTERM, SIGHUP]).wrap_err("opening the loop")?;
         let http = settings
             .bind
             .http
@@ -254,10 +254,10 @@
             .bind
             .readyz
             .ok_or_else(|| eyre!("bind.readyz is missing"))?;
-        let (door, http) = wires
+        let (door, http) = connections
             .listen(http)
             .wrap_err_with(|| format!("listening on bind.http {http}"))?;
-        let (check, readyz) = wires
+        let (check, readyz) = connections
             .listen(readyz)
             .wrap_err_with(|| format!("listening on bind.readyz {readyz}"))?;
         let log = ring.logger("proxy", &settings.node);
@@ -283,7 +283,7 @@
             limits,
             log,
             log_ring: ring,
-            connections: wires,
+            connections,
             roles: SecondaryMap::new(),
             client_count: 0,
             buffered_bytes: 0,
@@ -318,7 +318,7 @@
                 client.incoming.body.capacity()
                     + client.upload.as_ref().map_or(0, Upload::buffered_bytes)
             }
-            Role::Leg(leg) => leg.incoming.body.capacity(),
+            Role::Upstream(upstream) => upstream.incoming.body.capacity(),
             Role::Check { .. } | Role::Agent => 0,
         };
         let bodies = self
@@ -335,9 +335,9 @@
     /// # Errors
     /// The system's wait failed.
     pub fn run(mut self) -> eyre::Result<()> {
-        let mut happenings = Vec::new();
+        let mut events = Vec::new();
         while !self.is_finished() {
-            self.step(MAX_IDLE_WAIT, &mut happenings)?;
+            self.step(MAX_IDLE_WAIT, &mut events)?;
         }
         Ok(())
     }
@@ -348,12 +348,12 @@
     }
 
     /// One turn of the event loop: waits for events or deadlines, at most for the given time, and
-    /// handles them. Events caused by writing are left in `happenings` for the next turn.
+    /// handles them. Events caused by writing are left in `events` for the next turn.
     ///
     /// # Errors
     /// The system's wait failed.
-    pub fn step(&mut self, longest: Micros, happenings: &mut Vec<IoEvent>) -> eyre::Result<()> {
-        let busy = !happenings.is_empty() || !self.reread.is_empty();
+    pub fn step(&mut self, longest: Micros, events: &mut Vec<IoEvent>) -> eyre::Result<()> {
+        let busy = !events.is_empty() || !self.reread.is_empty();
         let due = [self.deadlines.earliest(), self.router.next_wakeup()]
             .into_iter()
             .flatten()
@@ -366,31 +366,31 @@
         };
         let clock = self.clock.clone();
         self.connections
-            .wait(Some(until), || clock.now(), happenings)
+            .wait(Some(until), || clock.now(), events)
             .wrap_err("waiting")?;
-        let came = happenings
+        let came = events
             .iter()
             .filter(|h| matches!(h, IoEvent::Received(_) | IoEvent::Accepted(..)));
         self.measure_load(now, until, came.count());
-        self.run_due(happenings);
+        self.run_due(events);
         Ok(())
     }
 
-    fn run_due(&mut self, happenings: &mut Vec<IoEvent>) {
+    fn run_due(&mut self, events: &mut Vec<IoEvent>) {
         let now = self.clock.now();
         for key in std::mem::take(&mut self.reread) {
-            self.connections.resume_reading(key, now, happenings);
-            happenings.push(IoEvent::Received(key));
+            self.connections.resume_reading(key, now, events);
+            events.push(IoEvent::Received(key));
         }
-        for happening in happenings.drain(..) {
-            self.handle_event(now, happening);
+        for event in events.drain(..) {
+            self.handle_event(now, event);
         }
         while let Some(due) = self.deadlines.pop_due(now) {
             self.handle_timer(now, due);
         }
         self.run_router(now);
         self.send_adds(now);
-        self.connections.flush_all(happenings);
+        self.connections.flush_all(events);
     }
 
     /// Lets the module decide, and carries out its actions.
@@ -400,11 +400,11 @@
         for _ in 0..16 {
             let mut steps = std::mem::take(&mut self.actions);
             let requests = &mut self.requests;
-            self.router.run(now, &mut steps, |request, ticket| {
+            self.router.run(now, &mut steps, |request, handle| {
                 requests
                     .get_mut(request)
                     .into_iter()
-                    .for_each(|request| request.handle = ticket);
+                    .for_each(|request| request.handle = handle);
             });
             let none = steps.is_empty();
             for step in steps.drain(..) {
@@ -423,19 +423,19 @@
         match step {
             RouterAction::Send {
                 request,
-                ticket,
-                leg,
+                handle,
+                attempt,
                 server,
-            } => self.send_attempt(now, request, ticket, leg, server),
-            RouterAction::Stop(ticket, leg) => self.stop_attempt(now, ticket, leg),
+            } => self.send_attempt(now, request, handle, attempt, server),
+            RouterAction::Stop(handle, attempt) => self.stop_attempt(now, handle, attempt),
             RouterAction::Answer(request, ending) => self.finish_request(now, request, ending),
             RouterAction::Count(add) => self.pending_adds.push(add),
             RouterAction::Probe(engine, server) => self.start_probe(now, engine, server),
         }
     }
 
-    fn handle_event(&mut self, now: Micros, happening: IoEvent) {
-        match happening {
+    fn handle_event(&mut self, now: Micros, event: IoEvent) {
+        match event {
             IoEvent::Accepted(door, key) if door == self.listeners.0 => {
                 self.accept_client(now, key)
             }
@@ -452,9 +452,9 @@
 
     fn handle_connected(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get_mut(key) {
-            Some(Role::Leg(leg)) => {
-                leg.state = leg.state.connected();
-                if let Some(UpstreamPurpose::Attempt(request, ..)) = leg.state.purpose() {
+            Some(Role::Upstream(upstream)) => {
+                upstream.state = upstream.state.connected();
+                if let Some(UpstreamPurpose::Attempt(request, ..)) = upstream.state.purpose() {
                     self.start_upload(request, key);
                 }
             }
@@ -466,7 +466,7 @@
     fn handle_received(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get(key) {
             Some(Role::Client(_)) => self.handle_client_input(now, key),
-            Some(Role::Leg(_)) => self.handle_upstream_input(now, key),
+            Some(Role::Upstream(_)) => self.handle_upstream_input(now, key),
             Some(Role::Check { last: false }) => self.handle_readiness_check(key),
             Some(Role::Agent) => self.handle_agent_input(now, key),
             Some(Role::Check { last: true }) | None => {}
@@ -477,23 +477,23 @@
         match self.roles.get_mut(key) {
             Some(Role::Client(_)) => self.handle_response_written(now, key),
             // The written bytes may have been an earlier part of it.
-            Some(Role::Leg(_))
+            Some(Role::Upstream(_))
                 if self
                     .connections
                     .get(key)
-                    .is_some_and(|wire| wire.backlog() > 0) => {}
-            Some(Role::Leg(leg)) if leg.is_uploading => {
-                if let Some(UpstreamPurpose::Attempt(request, ..)) = leg.state.purpose() {
+                    .is_some_and(|connection| connection.backlog() > 0) => {}
+            Some(Role::Upstream(upstream)) if upstream.is_uploading => {
+                if let Some(UpstreamPurpose::Attempt(request, ..)) = upstream.state.purpose() {
                     self.resume_upload(request);
                 }
             }
-            Some(Role::Leg(leg)) => {
-                let before = leg.state;
-                leg.state = before.written();
-                if let (true, Some(UpstreamPurpose::Attempt(_, ticket, _))) =
-                    (before != leg.state, leg.state.purpose())
+            Some(Role::Upstream(upstream)) => {
+                let before = upstream.state;
+                upstream.state = before.written();
+                if let (true, Some(UpstreamPurpose::Attempt(_, handle, _))) =
+                    (before != upstream.state, upstream.state.purpose())
                 {
-                    self.router.handle_attempt_written(now, ticket);
+                    self.router.handle_attempt_written(now, handle);
                 }
             }
             Some(Role::Check { last: true }) => self.remove_connection(key),
@@ -504,7 +504,7 @@
     fn handle_failed(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get(key) {
             Some(Role::Client(_)) => self.remove_client(now, key, CloseReason::ClientClosed),
-            Some(Role::Leg(_)) => self.handle_upstream_closed(now, key),
+            Some(Role::Upstream(_)) => self.handle_upstream_closed(now, key),
             Some(Role::Agent) => self.handle_agent_lost(now, key),
             Some(Role::Check { .. }) | None => self.remove_connection(key),
         }
@@ -521,7 +521,7 @@
                 if self
                     .connections
                     .get(key)
-                    .is_some_and(|wire| !wire.is_connected()) =>
+                    .is_some_and(|connection| !connection.is_connected()) =>
             {
                 self.handle_failed(now, key)
             }
--- a/crates/proxy/src/host/response_streams.rs
+++ b/crates/proxy/src/host/response_streams.rs
@@ -21,23 +21,28 @@
 impl Host {
     /// A long answer becomes the final one and begins to be streamed. From here on there is no
     /// retry and no other answer.
-    pub(super) fn begin_stream(&mut self, now: Micros, key: ConnectionId, errand: UpstreamPurpose) {
-        let Some(Role::Leg(leg)) = self.roles.get_mut(key) else {
+    pub(super) fn begin_stream(
+        &mut self,
+        now: Micros,
+        key: ConnectionId,
+        purpose: UpstreamPurpose,
+    ) {
+        let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) else {
             return;
         };
-        let incoming = std::mem::take(&mut leg.incoming);
-        let sent = leg.state.outcome_if_broken() == Outcome::Reset;
-        (leg.class, leg.state) = (None, UpstreamState::Relaying);
+        let incoming = std::mem::take(&mut upstream.incoming);
+        let sent = upstream.state.outcome_if_broken() == Outcome::Reset;
+        (upstream.class, upstream.state) = (None, UpstreamState::Relaying);
         let (extent, parts) = (incoming.framing, incoming.into_parts());
-        let (Some((head, reader, come)), UpstreamPurpose::Attempt(request, ticket, number)) =
-            (parts, errand)
+        let (Some((head, reader, come)), UpstreamPurpose::Attempt(request, handle, number)) =
+            (parts, purpose)
         else {
             return self.close_upstream(key);
         };
-        self.upstreams.remove(&(ticket.engine, ticket.key));
+        self.upstreams.remove(&(handle.engine, handle.key));
         let answers = self
             .router
-            .handle_attempt_ended(now, ticket, number, Outcome::Ok);
+            .handle_attempt_ended(now, handle, number, Outcome::Ok);
         let request = answers.then(|| self.requests.remove(request)).flatten();
         let to = request
             .as_ref()
@@ -60,8 +65,8 @@
             .chain(keep_alive_field(&self.client_keep_alive, close));
         let relay = Relay::begin((&head, extent), reader, &come, lines, close, out);
         let patience = (relay.is_reusable() && sent).then(|| self.idle_timeout(&head));
-        if let Some(Role::Leg(leg)) = self.roles.get_mut(key) {
-            leg.stream = Some(ResponseStream {
+        if let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) {
+            upstream.stream = Some(ResponseStream {
                 relay,
                 client: to,
                 deadline,
@@ -78,23 +83,23 @@
 
     /// Handles more bytes of a streamed answer.
     pub(super) fn handle_stream_input(&mut self, now: Micros, key: ConnectionId) {
-        let (Some(Role::Leg(leg)), Some(wire)) =
+        let (Some(Role::Upstream(upstream)), Some(connection)) =
             (self.roles.get_mut(key), self.connections.get_mut(key))
         else {
             return;
         };
-        let Some(passage) = &mut leg.stream else {
+        let Some(stream) = &mut upstream.stream else {
             return;
         };
-        let (to, mut input) = (passage.client, std::mem::take(&mut wire.input));
+        let (to, mut input) = (stream.client, std::mem::take(&mut connection.input));
         let Some(out) = self.connections.output(to) else {
             return;
         };
-        let passed = passage.relay.forward(&mut input, out);
+        let passed = stream.relay.forward(&mut input, out);
         let (held_up, clean) = (!out.is_empty(), input.is_empty());
-        if let Some(wire) = self.connections.get_mut(key) {
-            wire.input = input;
-            wire.max_input_bytes = if held_up {
+        if let Some(connection) = self.connections.get_mut(key) {
+            connection.input = input;
+            connection.max_input_bytes = if held_up {
                 0
             } else {
                 self.limits.relay_window_bytes
@@ -102,38 +107,38 @@
         }
         match passed {
             Err(_) => self.abort_stream(now, key, CloseReason::MalformedBody),
-            Ok(()) if passage.relay.is_complete() => self.finish_stream(now, key, clean),
+            Ok(()) if stream.relay.is_complete() => self.finish_stream(now, key, clean),
             Ok(()) => {}
         }
     }
 
     /// The answer is complete: the server's connection is released.
     fn finish_stream(&mut self, now: Micros, key: ConnectionId, clean: bool) {
-        let Some(Role::Leg(leg)) = self.roles.get_mut(key) else {
+        let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) else {
             return;
         };
-        let Some(passage) = leg.stream.take() else {
+        let Some(stream) = upstream.stream.take() else {
             return;
         };
-        leg.state = UpstreamState::Idle;
-        let (server, patience) = (leg.server, passage.idle_timeout.filter(|_| clean));
-        leg.reusable_until = now + patience.unwrap_or(0);
-        if let Some(Role::Client(client)) = self.roles.get_mut(passage.client) {
+        upstream.state = UpstreamState::Idle;
+        let (server, patience) = (upstream.server, stream.idle_timeout.filter(|_| clean));
+        upstream.reusable_until = now + patience.unwrap_or(0);
+        if let Some(Role::Client(client)) = self.roles.get_mut(stream.client) {
             client.streaming_from = None;
         }
         if !(patience.is_some() && self.pool.release(server, key, now)) {
             self.close_upstream(key);
-        } else if let Some(wire) = self.connections.get_mut(key) {
-            wire.input = Vec::new();
-            wire.max_input_bytes = READ_WINDOW_BYTES;
+        } else if let Some(connection) = self.connections.get_mut(key) {
+            connection.input = Vec::new();
+            connection.max_input_bytes = READ_WINDOW_BYTES;
             self.reread.push(key);
         }
     }
 
     /// The client has taken what was forwarded: more may be read.
     pub(super) fn resume_stream(&mut self, source: ConnectionId) {
-        if let Some(wire) = self.connections.get_mut(source) {
-            wire.max_input_bytes = self.limits.relay_window_bytes;
+        if let Some(connection) = self.connections.get_mut(source) {
+            connection.max_input_bytes = self.limits.relay_window_bytes;
             self.reread.push(source);
         }
     }
@@ -141,32 +146,39 @@
     /// A streamed answer breaks off. Its end is never written, and the client's connection is
     /// closed.
     pub(super) fn abort_stream(&mut self, now: Micros, key: ConnectionId, closing: CloseReason) {
-        let Some(Role::Leg(leg)) = self.roles.get_mut(key) else {
+        let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) else {
             return;
         };
-        let Some(passage) = leg.stream.take() else {
+        let Some(stream) = upstream.stream.take() else {
             return;
         };
         self.close_upstream(key);
-        self.remove_client(now, passage.client, closing);
+        self.remove_client(now, stream.client, closing);
     }
 
     /// A streamed answer may have exceeded its time.
     pub(super) fn handle_stream_deadline(&mut self, now: Micros, key: ConnectionId) {
-        let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get(key), self.connections.get(key))
+        let (Some(Role::Upstream(upstream)), Some(connection)) =
+            (self.roles.get(key), self.connections.get(key))
         else {
             return;
         };
-        let Some(passage) = &leg.stream else { return };
+        let Some(stream) = &upstream.stream else {
+            return;
+        };
         // While the client is slow, nothing is read from the server; the client's own limit bounds
         // how slow it may be.
         let held_up = self
             .connections
-            .get(passage.client)
+            .get(stream.client)
             .is_some_and(|client| client.backlog() > 0);
         let until = stream_deadline(
-            passage.deadline,
-            if held_up { now } else { wire.last_received_at },
+            stream.deadline,
+            if held_up {
+                now
+            } else {
+                connection.last_received_at
+            },
             &self.limits,
         );
         match until > now {
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -49,7 +49,7 @@
 
     /// Handles more bytes of a streamed body.
     pub(super) fn handle_upload_input(&mut self, now: Micros, key: ConnectionId) {
-        let (Some(Role::Client(client)), Some(wire)) =
+        let (Some(Role::Client(client)), Some(connection)) =
             (self.roles.get_mut(key), self.connections.get_mut(key))
         else {
             return;
@@ -61,9 +61,9 @@
         else {
             return;
         };
-        let mut input = std::mem::take(&mut wire.input);
-        let leg = upload.attempt();
-        let mut out = leg.and_then(|leg| self.connections.output(leg));
+        let mut input = std::mem::take(&mut connection.input);
+        let attempt = upload.attempt();
+        let mut out = attempt.and_then(|attempt| self.connections.output(attempt));
         let taken = upload.read(&mut input, out.as_deref_mut());
         let (whole, window) = (upload.is_complete(), self.limits.relay_window_bytes);
         // No more than one window is buffered on either side.
@@ -82,16 +82,18 @@
                 .connection
                 .record_body_progress(now, upload.received_bytes());
         }
-        if let Some(wire) = self.connections.get_mut(key) {
-            wire.max_input_bytes = if whole {
+        if let Some(connection) = self.connections.get_mut(key) {
+            connection.max_input_bytes = if whole {
                 MAX_READ_AHEAD_BYTES.max(input.len())
             } else {
                 room
             };
-            wire.input = input;
+            connection.input = input;
         }
-        if let Some(Role::Leg(leg)) = leg.and_then(|leg| self.roles.get_mut(leg)) {
-            leg.is_uploading = !whole;
+        if let Some(Role::Upstream(upstream)) =
+            attempt.and_then(|attempt| self.roles.get_mut(attempt))
+        {
+            upstream.is_uploading = !whole;
         }
         match taken {
             Err(fault) => self.fail_upload(now, key, fault),
@@ -114,22 +116,23 @@
 
     /// The attempt's connection is established and the head written: the buffered bytes follow.
     /// There is no other attempt after it.
-    pub(super) fn start_upload(&mut self, key: RequestKey, wire: ConnectionId) {
+    pub(super) fn start_upload(&mut self, key: RequestKey, connection: ConnectionId) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let (ticket, from) = (request.handle, request.client);
+        let (handle, from) = (request.handle, request.client);
         let Some(Role::Client(client)) = self.roles.get_mut(from) else {
             return;
         };
-        let (Some(upload), Some(out)) = (&mut client.upload, self.connections.output(wire)) else {
+        let (Some(upload), Some(out)) = (&mut client.upload, self.connections.output(connection))
+        else {
             return;
         };
-        upload.start_attempt(wire, out);
+        upload.start_attempt(connection, out);
         let whole = upload.is_complete();
-        self.router.handle_body_sent(ticket);
-        if let Some(Role::Leg(leg)) = self.roles.get_mut(wire) {
-            leg.is_uploading = !whole;
+        self.router.handle_body_sent(handle);
+        if let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection) {
+            upstream.is_uploading = !whole;
         }
     }
 
@@ -138,8 +141,8 @@
         let Some(from) = self.requests.get(key).map(|request| request.client) else {
             return;
         };
-        if let Some(wire) = self.connections.get_mut(from) {
-            wire.max_input_bytes = self.limits.relay_window_bytes;
+        if let Some(connection) = self.connections.get_mut(from) {
+            connection.max_input_bytes = self.limits.relay_window_bytes;
             self.reread.push(from);
         }
     }
@@ -162,9 +165,9 @@
         else {
             return;
         };
-        let ticket = request.handle;
+        let handle = request.handle;
         self.finish_request(now, key, EngineRejection::Failed);
         self.router
-            .handle_client_left(now, ticket, &mut self.actions);
+            .handle_client_left(now, handle, &mut self.actions);
     }
 }
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -26,8 +26,8 @@
         &mut self,
         now: Micros,
         key: RequestKey,
-        ticket: RequestHandle,
-        leg: u32,
+        handle: RequestHandle,
+        attempt: u32,
         server: ServerId,
     ) {
         let outcome = match self.requests.get(key) {
@@ -40,35 +40,37 @@
             }
             Some(_) => None,
         };
-        let wire = match outcome {
+        let connection = match outcome {
             Some(outcome) => Err(outcome),
             None => {
-                self.acquire_connection(now, server, UpstreamPurpose::Attempt(key, ticket, leg))
+                self.acquire_connection(now, server, UpstreamPurpose::Attempt(key, handle, attempt))
             }
         };
-        let wire = match wire {
-            Ok(wire) => wire,
+        let connection = match connection {
+            Ok(connection) => connection,
             Err(outcome) => {
-                self.router.handle_attempt_ended(now, ticket, leg, outcome);
+                self.router
+                    .handle_attempt_ended(now, handle, attempt, outcome);
                 return;
             }
         };
-        self.upstreams.insert((ticket.engine, ticket.key), wire);
+        self.upstreams
+            .insert((handle.engine, handle.key), connection);
         let (Some(request), Some((_, id))) = (
             self.requests.get_mut(key),
             self.server_table.address_of(server),
         ) else {
             return;
         };
-        request.used_connections.push(wire);
+        request.used_connections.push(connection);
         let left = (request.deadline - now).min(request.allowed_time).max(0) / MS;
         let extent = request
             .body_framing
             .unwrap_or(BodyFraming::Length(request.body.len() as u64));
-        if let Some(Role::Leg(leg)) = self.roles.get_mut(wire) {
-            leg.bodiless = request.method == "HEAD";
+        if let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection) {
+            upstream.bodiless = request.method == "HEAD";
         }
-        let Some(out) = self.connections.output(wire) else {
+        let Some(out) = self.connections.output(connection) else {
             return;
         };
         // Writing to a vector can't fail.
@@ -93,9 +95,9 @@
         &mut self,
         now: Micros,
         server: ServerId,
-        errand: UpstreamPurpose,
+        purpose: UpstreamPurpose,
     ) -> Result<ConnectionId, Outcome> {
-        let request = match errand {
+        let request = match purpose {
             UpstreamPurpose::Attempt(request, ..) => self.requests.get(request),
             UpstreamPurpose::Probe(_) => None,
         };
@@ -112,14 +114,18 @@
             .and_then(|s| self.pool.acquire(s))
         {
             match self.roles.get_mut(key) {
-                Some(Role::Leg(leg))
-                    if leg.reusable_until > now && once && leg.had_response_without_id =>
+                Some(Role::Upstream(upstream))
+                    if upstream.reusable_until > now
+                        && once
+                        && upstream.had_response_without_id =>
                 {
                     spared.push(key)
                 }
-                Some(Role::Leg(leg)) if leg.reusable_until > now && !sent_on.contains(&key) => {
-                    leg.state = UpstreamState::Sending(errand);
-                    leg.bytes_sent_before =
+                Some(Role::Upstream(upstream))
+                    if upstream.reusable_until > now && !sent_on.contains(&key) =>
+                {
+                    upstream.state = UpstreamState::Sending(purpose);
+                    upstream.bytes_sent_before =
                         self.connections.get(key).map_or(0, Connection::sent_bytes);
                     found = Some(key);
                 }
@@ -148,9 +154,9 @@
             .connections
             .connect(address, now)
             .map_err(|_| Outcome::ConnectFailed)?;
-        let leg = UpstreamConnection {
+        let upstream = UpstreamConnection {
             server,
-            state: UpstreamState::Connecting(errand),
+            state: UpstreamState::Connecting(purpose),
             incoming: Incoming::default(),
             class: None,
             bodiless: false,
@@ -160,11 +166,11 @@
             bytes_sent_before: 0,
             had_response_without_id: false,
         };
-        self.roles.insert(key, Role::Leg(Box::new(leg)));
+        self.roles.insert(key, Role::Upstream(Box::new(upstream)));
         self.connections
             .get_mut(key)
             .into_iter()
-            .for_each(|wire| wire.max_input_bytes = READ_WINDOW_BYTES);
+            .for_each(|connection| connection.max_input_bytes = READ_WINDOW_BYTES);
         self.pool.connection_opened(server);
         self.deadlines
             .schedule(now + CONNECT_TIMEOUT, Timer::Connect(key));
@@ -172,8 +178,8 @@
     }
 
     pub(super) fn close_upstream(&mut self, key: ConnectionId) {
-        if let Some(Role::Leg(leg)) = self.roles.remove(key) {
-            self.pool.connection_closed(leg.server, key);
+        if let Some(Role::Upstream(upstream)) = self.roles.remove(key) {
+            self.pool.connection_closed(upstream.server, key);
         }
         self.connections.close(key);
     }
@@ -188,7 +194,9 @@
             .roles
             .values()
             .filter_map(|role| match role {
-                Role::Leg(leg) if self.server_table.get(leg.server).is_none() => Some(leg.server),
+                Role::Upstream(upstream) if self.server_table.get(upstream.server).is_none() => {
+                    Some(upstream.server)
+                }
                 _ => None,
             })
             .collect();
@@ -212,12 +220,13 @@
     /// The outcome of an attempt whose connection ends now. For a request that is not idempotent
     /// one written byte is enough to count as possibly run: a server may begin at the head.
     fn outcome_if_ended(&self, key: ConnectionId) -> Option<Outcome> {
-        let (Some(Role::Leg(leg)), Some(wire)) = (self.roles.get(key), self.connections.get(key))
+        let (Some(Role::Upstream(upstream)), Some(connection)) =
+            (self.roles.get(key), self.connections.get(key))
         else {
             return None;
         };
-        let begun = wire.sent_bytes() > leg.bytes_sent_before;
-        Some(match leg.state {
+        let begun = connection.sent_bytes() > upstream.bytes_sent_before;
+        Some(match upstream.state {
             UpstreamState::Sending(UpstreamPurpose::Attempt(request, ..))
                 if begun && !self.is_idempotent(request) =>
             {
@@ -234,27 +243,27 @@
     }
 
     /// Whether a server that may run this request holds an attempt of it.
-    pub(super) fn may_be_running(&self, ticket: RequestHandle) -> bool {
-        let key = self.upstreams.get(&(ticket.engine, ticket.key));
+    pub(super) fn may_be_running(&self, handle: RequestHandle) -> bool {
+        let key = self.upstreams.get(&(handle.engine, handle.key));
         key.and_then(|key| self.outcome_if_ended(*key)) == Some(Outcome::Reset)
     }
 
     /// The module stops an attempt: its outcome is known.
-    pub(super) fn stop_attempt(&mut self, _now: Micros, ticket: RequestHandle, number: u32) {
-        let Some(key) = self.upstreams.get(&(ticket.engine, ticket.key)).copied() else {
+    pub(super) fn stop_attempt(&mut self, _now: Micros, handle: RequestHandle, number: u32) {
+        let Some(key) = self.upstreams.get(&(handle.engine, handle.key)).copied() else {
             return;
         };
-        let Some(Role::Leg(leg)) = self.roles.get(key) else {
+        let Some(Role::Upstream(upstream)) = self.roles.get(key) else {
             return;
         };
-        let Some(UpstreamPurpose::Attempt(request, own, out)) = leg.state.purpose() else {
+        let Some(UpstreamPurpose::Attempt(request, own, out)) = upstream.state.purpose() else {
             return;
         };
-        if own != ticket || out != number {
+        if own != handle || out != number {
             return;
         }
         let may_have_run = self.outcome_if_ended(key) == Some(Outcome::Reset);
-        self.upstreams.remove(&(ticket.engine, ticket.key));
+        self.upstreams.remove(&(handle.engine, handle.key));
         if let Some(request) = self.requests.get_mut(request) {
             request.may_have_run |= may_have_run;
         }
@@ -263,40 +272,40 @@
 
     pub(super) fn handle_upstream_input(&mut self, now: Micros, key: ConnectionId) {
         loop {
-            let (Some(Role::Leg(leg)), Some(wire)) =
+            let (Some(Role::Upstream(upstream)), Some(connection)) =
                 (self.roles.get_mut(key), self.connections.get_mut(key))
             else {
                 return;
             };
-            if leg.stream.is_some() {
+            if upstream.stream.is_some() {
                 return self.handle_stream_input(now, key);
             }
-            let Some(errand) = leg.state.purpose() else {
+            let Some(purpose) = upstream.state.purpose() else {
                 // Nothing is in flight on it: the bytes belong to no request.
-                if !wire.input.is_empty() {
+                if !connection.input.is_empty() {
                     self.close_upstream(key);
                 }
                 return;
             };
-            if wire.input.is_empty() && leg.class.is_none() {
+            if connection.input.is_empty() && upstream.class.is_none() {
                 return;
             }
-            if leg
+            if upstream
                 .incoming
                 .read(
-                    &mut wire.input,
+                    &mut connection.input,
                     self.limits.max_response_bytes,
                     &self.limits,
                 )
                 .is_err()
             {
-                return self.finish_exchange(now, key, errand, ResponseClass::Malformed);
+                return self.finish_exchange(now, key, purpose, ResponseClass::Malformed);
             }
-            let Some(head) = leg.incoming.head() else {
+            let Some(head) = upstream.incoming.head() else {
                 return;
             };
-            let verdict = match (leg.class, errand) {
-                (Some(verdict), _) => verdict,
+            let class = match (upstream.class, purpose) {
+                (Some(class), _) => class,
                 // A health check has no id: an answer with one is the second answer to an earlier
                 // request.
                 (None, UpstreamPurpose::Probe(_)) if head.headers.has("X-Request-Id") => {
@@ -304,36 +313,36 @@
                 }
                 (None, UpstreamPurpose::Probe(_)) => ResponseClass::Final,
                 (None, UpstreamPurpose::Attempt(request, ..)) => match self.requests.get(request) {
-                    Some(request) => classify(head, leg.incoming.framing, &request.id),
+                    Some(request) => classify(head, upstream.incoming.framing, &request.id),
                     None => return self.close_upstream(key),
                 },
             };
-            leg.had_response_without_id |= !head.headers.has("X-Request-Id");
-            leg.class = Some(verdict);
-            if verdict == ResponseClass::Malformed {
-                return self.finish_exchange(now, key, errand, verdict);
+            upstream.had_response_without_id |= !head.headers.has("X-Request-Id");
+            upstream.class = Some(class);
+            if class == ResponseClass::Malformed {
+                return self.finish_exchange(now, key, purpose, class);
             }
-            if !leg.incoming.is_complete() && !leg.bodiless {
-                let own = if matches!(errand, UpstreamPurpose::Attempt(..)) {
-                    verdict
+            if !upstream.incoming.is_complete() && !upstream.bodiless {
+                let own = if matches!(purpose, UpstreamPurpose::Attempt(..)) {
+                    class
                 } else {
                     ResponseClass::Failure
                 };
-                return match handling(own, &leg.incoming, &self.limits) {
-                    ResponseHandling::Streamed => self.begin_stream(now, key, errand),
+                return match handling(own, &upstream.incoming, &self.limits) {
+                    ResponseHandling::Streamed => self.begin_stream(now, key, purpose),
                     ResponseHandling::Rejected => {
-                        self.finish_exchange(now, key, errand, ResponseClass::Malformed)
+                        self.finish_exchange(now, key, purpose, ResponseClass::Malformed)
                     }
                     ResponseHandling::Buffered => {
-                        self.reread.extend(wire.has_unread().then_some(key))
+                        self.reread.extend(connection.has_unread().then_some(key))
                     }
                 };
             }
-            if verdict != ResponseClass::OtherRequest {
-                return self.finish_exchange(now, key, errand, verdict);
+            if class != ResponseClass::OtherRequest {
+                return self.finish_exchange(now, key, purpose, class);
             }
             // The awaited answer may follow it.
-            (leg.incoming, leg.class) = (Incoming::default(), None);
+            (upstream.incoming, upstream.class) = (Incoming::default(), None);
         }
     }
 
@@ -351,44 +360,39 @@
         &mut self,
         now: Micros,
         key: ConnectionId,
-        errand: UpstreamPurpose,
-        verdict: ResponseClass,
+        purpose: UpstreamPurpose,
+        class: ResponseClass,
     ) {
-        let (Some(Role::Leg(leg)), Some(wire)) =
+        let (Some(Role::Upstream(upstream)), Some(connection)) =
             (self.roles.get_mut(key), self.connections.get_mut(key))
         else {
             return;
         };
-        let incoming = std::mem::take(&mut leg.incoming);
-        let (server, bodiless) = (leg.server, leg.bodiless);
-        let sent = leg.state.outcome_if_broken() == Outcome::Reset;
-        leg.class = None;
+        let incoming = std::mem::take(&mut upstream.incoming);
+        let (server, bodiless) = (upstream.server, upstream.bodiless);
+        let sent = upstream.state.outcome_if_broken() == Outcome::Reset;
+        upstream.class = None;
         let parts = incoming.into_parts();
         let reusable = parts.as_ref().is_some_and(|(head, ..)| head.is_reusable()) && !bodiless;
-        let keep = reusable && sent && wire.input.is_empty() && verdict != ResponseClass::Malformed;
-        leg.state = UpstreamState::Idle;
+        let keep =
+            reusable && sent && connection.input.is_empty() && class != ResponseClass::Malformed;
+        upstream.state = UpstreamState::Idle;
         let patience = parts
             .as_ref()
             .map_or(0, |(head, ..)| self.idle_timeout(head));
-        if let Some(Role::Leg(leg)) = self.roles.get_mut(key) {
-            leg.reusable_until = now + patience;
+        if let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) {
+            upstream.reusable_until = now + patience;
         }
-        if let UpstreamPurpose::Attempt(_, ticket, _) = errand {
-            self.upstreams.remove(&(ticket.engine, ticket.key));
+        if let UpstreamPurpose::Attempt(_, handle, _) = purpose {
+            self.upstreams.remove(&(handle.engine, handle.key));
         }
         if !(keep && self.pool.release(server, key, now)) {
             self.close_upstream(key);
         }
-        match errand {
-            UpstreamPurpose::Attempt(request, ticket, number) => {
+        match purpose {
+            UpstreamPurpose::Attempt(request, handle, number) => {
                 let answer = parts.map(|(head, _, body)| (head, body));
-                self.handle_attempt_response(
-                    now,
-                    (request, ticket, number),
-                    server,
-                    verdict,
-                    answer,
-                );
+                self.handle_attempt_response(now, (request, handle, number), server, class, answer);
             }
             UpstreamPurpose::Probe(engine) => {
                 let own = self.server_table.address_of(server).map(|(_, id)| id);
@@ -407,25 +411,28 @@
     fn handle_attempt_response(
         &mut self,
         now: Micros,
-        (key, ticket, leg): (RequestKey, RequestHandle, u32),
+        (key, handle, attempt): (RequestKey, RequestHandle, u32),
         server: ServerId,
-        verdict: ResponseClass,
+        class: ResponseClass,
         answer: Option<(ResponseHead, Vec<u8>)>,
     ) {
-        if verdict == ResponseClass::WrongServer {
+        if class == ResponseClass::WrongServer {
             self.server_table.mark_wrong_server(server);
             self.update_servers(now);
         }
-        let Some(outcome) = verdict.outcome() else {
+        let Some(outcome) = class.outcome() else {
             return;
         };
         if let Some(request) = self.requests.get_mut(key) {
             request.may_have_run |= !matches!(outcome, Outcome::Full);
-            if verdict == ResponseClass::Failure {
+            if class == ResponseClass::Failure {
                 request.failure = answer.clone();
             }
         }
-        if !self.router.handle_attempt_ended(now, ticket, leg, outcome) {
+        if !self
+            .router
+            .handle_attempt_ended(now, handle, attempt, outcome)
+        {
             return;
         }
         match (self.requests.remove(key), answer) {
@@ -442,23 +449,23 @@
 
     /// A connection to a server broke, was never established, or was closed by the server.
     pub(super) fn handle_upstream_closed(&mut self, now: Micros, key: ConnectionId) {
-        let Some(Role::Leg(leg)) = self.roles.get(key) else {
+        let Some(Role::Upstream(upstream)) = self.roles.get(key) else {
             return;
         };
-        if leg.stream.is_some() {
+        if upstream.stream.is_some() {
             return self.abort_stream(now, key, CloseReason::ServerBroke);
         }
-        let (errand, server) = (leg.state.purpose(), leg.server);
+        let (purpose, server) = (upstream.state.purpose(), upstream.server);
         let outcome = self.outcome_if_ended(key).unwrap_or(Outcome::Reset);
         self.close_upstream(key);
-        match errand {
-            Some(UpstreamPurpose::Attempt(request, ticket, number)) => {
-                self.upstreams.remove(&(ticket.engine, ticket.key));
+        match purpose {
+            Some(UpstreamPurpose::Attempt(request, handle, number)) => {
+                self.upstreams.remove(&(handle.engine, handle.key));
                 if let Some(request) = self.requests.get_mut(request) {
                     request.may_have_run |= outcome == Outcome::Reset;
                 }
                 self.router
-                    .handle_attempt_ended(now, ticket, number, outcome);
+                    .handle_attempt_ended(now, handle, number, outcome);
             }
             Some(UpstreamPurpose::Probe(engine)) => {
                 self.router.handle_probe_result(engine, server, outcome)
@@ -501,11 +508,11 @@
     }
 
     pub(super) fn handle_probe_timeout(&mut self, now: Micros, key: ConnectionId) {
-        let Some(Role::Leg(leg)) = self.roles.get(key) else {
+        let Some(Role::Upstream(upstream)) = self.roles.get(key) else {
             return;
         };
-        if let Some(UpstreamPurpose::Probe(engine)) = leg.state.purpose() {
-            let server = leg.server;
+        if let Some(UpstreamPurpose::Probe(engine)) = upstream.state.purpose() {
+            let server = upstream.server;
             self.close_upstream(key);
             self.router
                 .handle_probe_result(engine, server, Outcome::TimedOut);
--- a/crates/proxy/src/router/fallback_tests.rs
+++ b/crates/proxy/src/router/fallback_tests.rs
@@ -122,7 +122,7 @@
 #[test]
 fn shares_below_one_request_come_together_and_are_no_more_in_all() {
     let small = QuotaShare::of(5.0, 5.0, 20.0, 20);
-    let asked = |proxy: i64| {
+    let request_info = |proxy: i64| {
         let mut fallback = settled();
         fallback.handle_holder_changed();
         let times = (0..4 * SECOND)
@@ -132,7 +132,7 @@
             .filter(|now| fallback.try_charge(*now, "t", small).is_ok())
             .count()
     };
-    let sum: usize = (0..20).map(asked).sum();
+    let sum: usize = (0..20).map(request_info).sum();
     // Five on top at the most, and five a second.
     assert!((1..=25).contains(&sum), "{sum}");
 }
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -37,7 +37,10 @@
 /// Shortest wait told where a local share is used up: the counter may be back by then.
 const MIN_SHARE_RETRY_AFTER: Micros = 100 * MS;
 
-/// An authorisation, and the engine that holds it: engine 0 enforces quotas.
+/// Position of the engine that enforces quotas; the engines of services follow.
+const QUOTA_ENGINE: usize = 0;
+
+/// An authorisation, and the engine that holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestHandle {
     /// Position of the engine.
@@ -54,9 +57,9 @@
         /// The request.
         request: RequestKey,
         /// The handle by which the host reports the outcome.
-        ticket: RequestHandle,
+        handle: RequestHandle,
         /// Number of the attempt.
-        leg: u32,
+        attempt: u32,
         /// The server.
         server: ServerId,
     },
@@ -200,7 +203,7 @@
 impl RequestRouter {
     /// A router without services.
     pub fn new(seed: u64, bounds: Bounds) -> RequestRouter {
-        let judge = ServiceEngine::new("", quota_engine(seed, MAX_REQUESTS_PER_ENGINE));
+        let quota_engine = ServiceEngine::new("", quota_engine(seed, MAX_REQUESTS_PER_ENGINE));
         RequestRouter {
             seed,
             bounds,
@@ -212,7 +215,7 @@
             pending_decrease: None,
             counter_term: None,
             newest_term: 0,
-            engines: vec![judge],
+            engines: vec![quota_engine],
             shedding: LoadShedding::default(),
             positions_by_service: BTreeMap::new(),
             pending_placements: SecondaryMap::new(),
@@ -224,29 +227,29 @@
     }
 
     /// Takes a request; [`RequestRouter::run`] returns what follows. `None` if too many are held.
-    pub fn submit(&mut self, now: Micros, asked: &RoutingRequest<'_>) -> Option<RequestHandle> {
-        let basin = self.engine_of(asked.svc, asked.pins)?;
-        let asker = asked.shedding_request();
-        let turn = self.shedding.priority(now, &asker);
-        let limited = asked.tenant.filter(|(_, tenant)| tenant.per_s > 0.0);
-        let first = limited.is_none() || self.shedding.is_shed_before_quota(now, &asker);
+    pub fn submit(&mut self, now: Micros, request: &RoutingRequest<'_>) -> Option<RequestHandle> {
+        let service_engine = self.engine_of(request.svc, request.pins)?;
+        let shedding_request = request.shedding_request();
+        let priority = self.shedding.priority(now, &shedding_request);
+        let limited = request.tenant.filter(|(_, tenant)| tenant.per_s > 0.0);
+        let first = limited.is_none() || self.shedding.is_shed_before_quota(now, &shedding_request);
         if first {
-            self.shedding.record_admitted(asked.svc, &turn);
+            self.shedding.record_admitted(request.svc, &priority);
         }
-        let class = class_of(asked.route, tier(asked.route, asked.tenant));
+        let class = class_of(request.route, tier(request.route, request.tenant));
         let name = limited.map_or(String::new(), |(name, _)| name.to_string());
-        let deadline = asked.deadline;
-        let mut onward = PendingPlacement {
-            engine: basin,
+        let deadline = request.deadline;
+        let mut pending = PendingPlacement {
+            engine: service_engine,
             class,
-            priority: turn,
+            priority,
             is_counted: first,
             tenant: name,
             deadline,
             share_retry_after: None,
         };
         let Some((name, tenant)) = limited else {
-            return self.submit_to_service(now, asked.request, &onward, turn);
+            return self.submit_to_service(now, request.request, &pending, priority);
         };
         let plan = self.plan_position(now, name, tenant);
         let spread = if self.is_isolated || now < self.reduced_until {
@@ -255,7 +258,7 @@
             self.quota_divisor
         };
         let share = QuotaShare::of(tenant.per_s, tenant.burst, self.bounds.quota_slack, spread);
-        onward.share_retry_after = self.quota_shares.try_charge(now, name, share).err();
+        pending.share_retry_after = self.quota_shares.try_charge(now, name, share).err();
         let refused = SheddingPriority {
             shed_share: 1.0,
             ..SheddingPriority::default()
@@ -264,35 +267,39 @@
             position: place,
             shed_share: waits,
             ..
-        } = match onward.share_retry_after {
+        } = match pending.share_retry_after {
             Some(_) => refused,
-            None if first => turn,
+            None if first => priority,
             None => SheddingPriority::default(),
         };
         let authorisation = Authorisation {
             class: 0,
             plan,
             customer: customer_id(name),
-            deadline: asked.deadline,
+            deadline: request.deadline,
             units: 1.0,
             spread,
             place,
             waits,
             ..Authorisation::default()
         };
-        let judge = &mut self.engines[0];
-        let key = judge.engine.submit(now, authorisation).ok()?;
-        judge.requests.insert(key, asked.request);
-        self.pending_placements.insert(key, onward);
-        Some(RequestHandle { engine: 0, key })
+        let quota_engine = &mut self.engines[QUOTA_ENGINE];
+        let key = quota_engine.engine.submit(now, authorisation).ok()?;
+        quota_engine.requests.insert(key, request.request);
+        self.pending_placements.insert(key, pending);
+        Some(RequestHandle {
+            engine: QUOTA_ENGINE,
+            key,
+        })
     }
 
     /// Whether a request is shed by its head alone, so that its body need not be read.
-    pub fn would_be_shed(&mut self, now: Micros, asker: &SheddingRequest<'_>) -> bool {
-        let turn = self.shedding.priority(now, asker);
-        let waits = turn.is_shed() && self.shedding.is_shed_before_quota(now, asker);
+    pub fn would_be_shed(&mut self, now: Micros, shedding_request: &SheddingRequest<'_>) -> bool {
+        let priority = self.shedding.priority(now, shedding_request);
+        let waits = priority.is_shed() && self.shedding.is_shed_before_quota(now, shedding_request);
         if waits {
-            self.shedding.record_admitted(asker.svc, &turn);
+            self.shedding
+                .record_admitted(shedding_request.svc, &priority);
         }
         waits
     }
@@ -306,7 +313,7 @@
     pub fn next_wakeup(&self) -> Option<Micros> {
         self.engines
             .iter()
-            .filter_map(|basin| basin.engine.next_wakeup())
+            .filter_map(|service_engine| service_engine.engine.next_wakeup())
             .min()
     }
 
@@ -315,14 +322,14 @@
     pub fn run(
         &mut self,
         now: Micros,
-        steps: &mut Vec<RouterAction>,
+        actions: &mut Vec<RouterAction>,
         mut moved: impl FnMut(RequestKey, RequestHandle),
     ) {
         for at in 0..self.engines.len() {
             let mut orders = std::mem::take(&mut self.engine_actions);
             self.engines[at].engine.run(now, &mut orders);
             for order in orders.drain(..) {
-                self.carry_out(now, at, order, steps, &mut moved);
+                self.carry_out(now, at, order, actions, &mut moved);
             }
             self.engine_actions = orders;
         }
@@ -331,186 +338,222 @@
     fn carry_out(
         &mut self,
         now: Micros,
-        at: usize,
-        order: EngineAction,
-        steps: &mut Vec<RouterAction>,
+        engine: usize,
+        action: EngineAction,
+        actions: &mut Vec<RouterAction>,
         moved: &mut impl FnMut(RequestKey, RequestHandle),
     ) {
-        let basin = &mut self.engines[at];
-        match order {
-            EngineAction::StartAttempt { key, leg, .. } if at == 0 => {
-                basin
-                    .engine
-                    .handle_attempt_ended(now, key, leg, Outcome::Ok, None);
-                let (request, onward) = (
-                    basin.requests.remove(key),
-                    self.pending_placements.remove(key),
-                );
-                let Some((request, onward)) = request.zip(onward) else {
-                    return;
-                };
-                let turn = if onward.is_counted {
-                    SheddingPriority::default()
-                } else {
-                    onward.priority
-                };
-                if !onward.is_counted {
-                    self.shedding
-                        .record_admitted(&self.engines[onward.engine].svc, &turn);
-                }
-                match self.submit_to_service(now, request, &onward, turn) {
-                    Some(ticket) => moved(request, ticket),
-                    None => {
-                        let ending = EngineRejection::Declined {
-                            stay_away: MAX_RETRY_AFTER / 4,
+        match action {
+            EngineAction::StartAttempt { key, attempt, .. } if engine == QUOTA_ENGINE => {
+                match self.hand_to_service(now, key, attempt) {
+                    Some((request, Some(handle))) => moved(request, handle),
+                    Some((request, None)) => {
+                        let rejection = EngineRejection::Declined {
+                            retry_after: MAX_RETRY_AFTER / 4,
                             over_quota: false,
                         };
-                        steps.push(RouterAction::Answer(request, ending));
+                        actions.push(RouterAction::Answer(request, rejection));
                     }
+                    None => {}
                 }
             }
             EngineAction::StartAttempt {
-                key, leg, server, ..
-            } => match basin.requests.get(key) {
-                Some(request) => {
-                    let ticket = RequestHandle { engine: at, key };
-                    steps.push(RouterAction::Send {
-                        request: *request,
-                        ticket,
-                        leg,
-                        server,
-                    });
-                }
-                None => {
-                    _ = basin
-                        .engine
-                        .handle_attempt_ended(now, key, leg, Outcome::Moot, None)
-                }
-            },
-            EngineAction::StopAttempt { key, leg } => {
-                steps.push(RouterAction::Stop(RequestHandle { engine: at, key }, leg))
+                key,
+                attempt,
+                server,
+                ..
+            } => actions.extend(self.start_attempt(
+                now,
+                RequestHandle { engine, key },
+                attempt,
+                server,
+            )),
+            EngineAction::StopAttempt { key, attempt } => {
+                actions.push(RouterAction::Stop(RequestHandle { engine, key }, attempt))
             }
-            EngineAction::Reject { key, ending } => {
-                let onward = if at == 0 {
-                    self.pending_placements.remove(key)
-                } else {
-                    None
-                };
-                let beyond = onward.as_ref().and_then(|onward| onward.share_retry_after);
-                if let Some(onward) = onward
-                    .as_ref()
-                    .filter(|onward| onward.share_retry_after.is_none())
-                {
-                    self.quota_shares.refund(&onward.tenant);
-                }
-                let ending = beyond.map_or(ending, |wait| EngineRejection::Declined {
-                    stay_away: wait.clamp(MIN_SHARE_RETRY_AFTER, MAX_RETRY_AFTER),
-                    over_quota: true,
-                });
-                match (ending, onward) {
-                    (
-                        EngineRejection::Declined {
-                            over_quota: true, ..
-                        },
-                        Some(onward),
-                    ) => {
-                        let counted = (
-                            self.engines[onward.engine].svc.as_str(),
-                            onward.priority.band,
-                        );
-                        self.shedding.record_over_quota(
-                            now,
-                            &onward.tenant,
-                            onward.is_counted.then_some(counted),
-                        );
-                    }
-                    (EngineRejection::Declined { .. }, _)
-                        if at > 0 && self.engines[at].shed_requests.remove(key).is_none() =>
-                    {
-                        self.shedding.record_no_server(now, &self.engines[at].svc);
-                    }
-                    _ => {}
-                }
-                let basin = &mut self.engines[at];
-                steps.extend(
-                    basin
-                        .requests
-                        .remove(key)
-                        .map(|request| RouterAction::Answer(request, ending)),
-                );
+            EngineAction::Reject { key, rejection } => {
+                actions.extend(self.reject(now, RequestHandle { engine, key }, rejection))
             }
             EngineAction::AddToCounter { name, add, life } => {
-                steps.push(RouterAction::Count(CounterAdd {
+                actions.push(RouterAction::Count(CounterAdd {
                     counter: name.0,
                     units: add,
                     ttl: life,
                 }));
             }
-            EngineAction::Probe(server) => steps.push(RouterAction::Probe(at, server)),
+            EngineAction::Probe(server) => actions.push(RouterAction::Probe(engine, server)),
             EngineAction::Notify(..) | EngineAction::Log(_) => {}
         }
     }
 
+    /// The quota engine admitted a request: hands it to the engine of its service. Returns the
+    /// request with its new handle, which is `None` if that engine holds too many.
+    fn hand_to_service(
+        &mut self,
+        now: Micros,
+        key: AuthorisationKey,
+        attempt: u32,
+    ) -> Option<(RequestKey, Option<RequestHandle>)> {
+        let quota_engine = &mut self.engines[QUOTA_ENGINE];
+        quota_engine
+            .engine
+            .handle_attempt_ended(now, key, attempt, Outcome::Ok, None);
+        let request = quota_engine.requests.remove(key);
+        let pending = self.pending_placements.remove(key);
+        let (request, pending) = request.zip(pending)?;
+        let priority = if pending.is_counted {
+            SheddingPriority::default()
+        } else {
+            self.shedding
+                .record_admitted(&self.engines[pending.engine].svc, &pending.priority);
+            pending.priority
+        };
+        let handle = self.submit_to_service(now, request, &pending, priority);
+        Some((request, handle))
+    }
+
+    fn start_attempt(
+        &mut self,
+        now: Micros,
+        handle: RequestHandle,
+        attempt: u32,
+        server: ServerId,
+    ) -> Option<RouterAction> {
+        let service = &mut self.engines[handle.engine];
+        let Some(request) = service.requests.get(handle.key).copied() else {
+            service
+                .engine
+                .handle_attempt_ended(now, handle.key, attempt, Outcome::Moot, None);
+            return None;
+        };
+        Some(RouterAction::Send {
+            request,
+            handle,
+            attempt,
+            server,
+        })
+    }
+
+    fn reject(
+        &mut self,
+        now: Micros,
+        handle: RequestHandle,
+        rejection: EngineRejection,
+    ) -> Option<RouterAction> {
+        let rejection = if handle.engine == QUOTA_ENGINE {
+            self.reject_for_quota(now, handle.key, rejection)
+        } else {
+            self.record_rejection(now, handle, rejection);
+            rejection
+        };
+        let request = self.engines[handle.engine].requests.remove(handle.key)?;
+        Some(RouterAction::Answer(request, rejection))
+    }
+
+    /// The quota engine rejects a request: returns the rejection, which names the local share if
+    /// that is used up.
+    fn reject_for_quota(
+        &mut self,
+        now: Micros,
+        key: AuthorisationKey,
+        rejection: EngineRejection,
+    ) -> EngineRejection {
+        let Some(pending) = self.pending_placements.remove(key) else {
+            return rejection;
+        };
+        let rejection = match pending.share_retry_after {
+            Some(wait) => EngineRejection::Declined {
+                retry_after: wait.clamp(MIN_SHARE_RETRY_AFTER, MAX_RETRY_AFTER),
+                over_quota: true,
+            },
+            None => {
+                self.quota_shares.refund(&pending.tenant);
+                rejection
+            }
+        };
+        if let EngineRejection::Declined {
+            over_quota: true, ..
+        } = rejection
+        {
+            let svc = self.engines[pending.engine].svc.as_str();
+            let counted = pending.is_counted.then_some((svc, pending.priority.band));
+            self.shedding
+                .record_over_quota(now, &pending.tenant, counted);
+        }
+        rejection
+    }
+
+    /// A service's engine rejects a request: unless it was shed, no server was free.
+    fn record_rejection(&mut self, now: Micros, handle: RequestHandle, rejection: EngineRejection) {
+        if !matches!(rejection, EngineRejection::Declined { .. }) {
+            return;
+        }
+        let service = &mut self.engines[handle.engine];
+        if service.shed_requests.remove(handle.key).is_none() {
+            self.shedding.record_no_server(now, &service.svc);
+        }
+    }
+
     /// An attempt ended. Returns whether its answer is the final answer.
     pub fn handle_attempt_ended(
         &mut self,
         now: Micros,
-        ticket: RequestHandle,
-        leg: u32,
+        handle: RequestHandle,
+        attempt: u32,
         outcome: Outcome,
     ) -> bool {
-        let basin = &mut self.engines[ticket.engine];
-        if let Some((class, sent)) = basin.engine.in_flight_since(ticket.key) {
+        let service_engine = &mut self.engines[handle.engine];
+        if let Some((class, sent)) = service_engine.engine.in_flight_since(handle.key) {
             let times = (now - sent, LATENCY_TARGETS[class % LATENCY_TARGETS.len()]);
             self.shedding
-                .record_outcome(now, &basin.svc, outcome, times);
+                .record_outcome(now, &service_engine.svc, outcome, times);
         }
-        let last = basin
+        let last = service_engine
             .engine
-            .handle_attempt_ended(now, ticket.key, leg, outcome, None);
+            .handle_attempt_ended(now, handle.key, attempt, outcome, None);
         if last {
-            basin.requests.remove(ticket.key);
+            service_engine.requests.remove(handle.key);
         }
         last
     }
 
     /// A streamed body was sent to a server and is no longer here: there can be no other attempt.
-    pub fn handle_body_sent(&mut self, ticket: RequestHandle) {
-        self.engines[ticket.engine]
+    pub fn handle_body_sent(&mut self, handle: RequestHandle) {
+        self.engines[handle.engine]
             .engine
-            .handle_body_sent(ticket.key);
+            .handle_body_sent(handle.key);
     }
 
     /// The last byte of an attempt is written.
-    pub fn handle_attempt_written(&mut self, now: Micros, ticket: RequestHandle) {
-        self.engines[ticket.engine]
+    pub fn handle_attempt_written(&mut self, now: Micros, handle: RequestHandle) {
+        self.engines[handle.engine]
             .engine
-            .handle_attempt_written(now, ticket.key);
+            .handle_attempt_written(now, handle.key);
     }
 
     /// The client disconnected.
     pub fn handle_client_left(
         &mut self,
         now: Micros,
-        ticket: RequestHandle,
-        steps: &mut Vec<RouterAction>,
+        handle: RequestHandle,
+        actions: &mut Vec<RouterAction>,
     ) {
-        let basin = &mut self.engines[ticket.engine];
-        basin.requests.remove(ticket.key);
-        if ticket.engine == 0
-            && let Some(onward) = self
+        let service_engine = &mut self.engines[handle.engine];
+        service_engine.requests.remove(handle.key);
+        if handle.engine == QUOTA_ENGINE
+            && let Some(pending) = self
                 .pending_placements
-                .remove(ticket.key)
-                .filter(|onward| onward.share_retry_after.is_none())
+                .remove(handle.key)
+                .filter(|pending| pending.share_retry_after.is_none())
         {
-            self.quota_shares.refund(&onward.tenant);
+            self.quota_shares.refund(&pending.tenant);
         }
         let mut orders = std::mem::take(&mut self.engine_actions);
-        basin
+        service_engine
             .engine
-            .handle_client_left(now, ticket.key, &mut orders);
+            .handle_client_left(now, handle.key, &mut orders);
         for order in orders.drain(..) {
-            self.carry_out(now, ticket.engine, order, steps, &mut |_, _| {});
+            self.carry_out(now, handle.engine, order, actions, &mut |_, _| {});
         }
         self.engine_actions = orders;
     }
@@ -518,14 +561,16 @@
     /// The shared counter answered, or the call failed.
     pub fn handle_count(&mut self, name: u64, outcome: Outcome, total: f64) {
         self.quota_shares.handle_call_result(outcome == Outcome::Ok);
-        self.engines[0]
+        self.engines[QUOTA_ENGINE]
             .engine
             .handle_counter_result(CounterName(name), outcome, total);
     }
 
     /// The counter answered a call that had timed out.
     pub fn handle_late_count(&mut self) {
-        self.engines[0].engine.handle_late_counter_result();
+        self.engines[QUOTA_ENGINE]
+            .engine
+            .handle_late_counter_result();
     }
 
     /// Sets the term of the counter's owner; `None` while there is none.
@@ -533,7 +578,7 @@
         let Some(term) = term else { return };
         let before = self.counter_term.replace(term);
         if before.is_some_and(|held| held != term) {
-            self.engines[0].engine.handle_counter_replaced();
+            self.engines[QUOTA_ENGINE].engine.handle_counter_replaced();
         }
         // A proxy that starts does not know for how long this owner has been counting. A replica
         // that was isolated names the owner of a former term; that one counts nothing any more, so
@@ -561,7 +606,7 @@
     pub fn open_requests(&self) -> usize {
         self.engines
             .iter()
-            .map(|basin| basin.engine.open_requests())
+            .map(|service_engine| service_engine.engine.open_requests())
             .sum()
     }
 }
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -147,20 +147,20 @@
         &mut self,
         now: Micros,
         request: RequestKey,
-        onward: &PendingPlacement,
-        turn: SheddingPriority,
+        pending: &PendingPlacement,
+        priority: SheddingPriority,
     ) -> Option<RequestHandle> {
         let &PendingPlacement {
-            engine: basin,
+            engine: service_engine,
             class,
             deadline,
             ..
-        } = onward;
+        } = pending;
         let SheddingPriority {
             position: place,
             shed_share: waits,
             ..
-        } = turn;
+        } = priority;
         let authorisation = Authorisation {
             class,
             deadline,
@@ -169,11 +169,17 @@
             waits,
             ..Authorisation::default()
         };
-        let key = self.engines[basin].engine.submit(now, authorisation).ok()?;
-        self.engines[basin].requests.insert(key, request);
-        if turn.is_shed() {
-            self.engines[basin].shed_requests.insert(key, ());
+        let key = self.engines[service_engine]
+            .engine
+            .submit(now, authorisation)
+            .ok()?;
+        self.engines[service_engine].requests.insert(key, request);
+        if priority.is_shed() {
+            self.engines[service_engine].shed_requests.insert(key, ());
         }
-        Some(RequestHandle { engine: basin, key })
+        Some(RequestHandle {
+            engine: service_engine,
+            key,
+        })
     }
 }
--- a/crates/proxy/src/router/tests.rs
+++ b/crates/proxy/src/router/tests.rs
@@ -65,7 +65,7 @@
         let request = self.keys.insert(());
         let (route, deadline) = (route("idem"), self.now + 3 * SECOND);
         let tenant = tenant.map(|tenant| ("t", tenant));
-        let asked = RoutingRequest {
+        let request_info = RoutingRequest {
             request,
             id: "i",
             route: &route,
@@ -74,23 +74,25 @@
             pins: &[],
             deadline,
         };
-        self.router.submit(self.now, &asked).unwrap();
+        self.router.submit(self.now, &request_info).unwrap();
         request
     }
 
     /// Turns until nothing follows; servers answer at once, the count if it is there.
     fn settle(&mut self) {
         for _ in 0..8 {
-            let mut steps = Vec::new();
-            self.router.run(self.now, &mut steps, |_, _| {});
-            for step in steps {
+            let mut actions = Vec::new();
+            self.router.run(self.now, &mut actions, |_, _| {});
+            for step in actions {
                 match step {
-                    RouterAction::Send { ticket, leg, .. } => {
+                    RouterAction::Send {
+                        handle, attempt, ..
+                    } => {
                         self.sent += 1;
                         assert!(self.router.handle_attempt_ended(
                             self.now,
-                            ticket,
-                            leg,
+                            handle,
+                            attempt,
                             Outcome::Ok
                         ));
                     }
@@ -308,7 +310,7 @@
     let (limited, route, deadline) = (tenant(100.0), route("idem"), START + 3 * SECOND);
     let mut take = |svc, tenant| {
         let request = bench.keys.insert(());
-        let asked = RoutingRequest {
+        let request_info = RoutingRequest {
             request,
             id: "i",
             route: &route,
@@ -317,7 +319,7 @@
             pins: &[],
             deadline,
         };
-        bench.router.submit(START, &asked).unwrap()
+        bench.router.submit(START, &request_info).unwrap()
     };
     let judged: Vec<RequestHandle> = (0..40).map(|_| take("s", Some(("t", &limited)))).collect();
     let others: Vec<RequestHandle> = (0..40).map(|_| take("empty", None)).collect();
@@ -327,21 +329,23 @@
             .zip(&others)
             .all(|(one, other)| one.key == other.key && one.engine == 0)
     );
-    let (mut steps, mut counts) = (Vec::new(), Vec::new());
+    let (mut actions, mut counts) = (Vec::new(), Vec::new());
     if leave {
         others
             .into_iter()
-            .for_each(|other| bench.router.handle_client_left(START, other, &mut steps));
+            .for_each(|other| bench.router.handle_client_left(START, other, &mut actions));
     }
-    bench.router.run(START, &mut steps, |_, _| {});
-    for step in steps {
+    bench.router.run(START, &mut actions, |_, _| {});
+    for step in actions {
         match step {
-            RouterAction::Send { ticket, leg, .. } => {
+            RouterAction::Send {
+                handle, attempt, ..
+            } => {
                 bench.sent += 1;
                 assert!(
                     bench
                         .router
-                        .handle_attempt_ended(START, ticket, leg, Outcome::Ok)
+                        .handle_attempt_ended(START, handle, attempt, Outcome::Ok)
                 );
             }
             RouterAction::Count(add) => counts.push(add),
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -209,7 +209,11 @@
                 .run(now + round, &mut steps, |_, _| {});
             for step in steps {
                 match step {
-                    RouterAction::Send { ticket, leg, .. } => {
+                    RouterAction::Send {
+                        handle: ticket,
+                        attempt: leg,
+                        ..
+                    } => {
                         self.sent.push(now);
                         self.proxies[at].router.handle_attempt_ended(
                             now + round,
--- a/crates/simulation/src/edges/proxies.rs
+++ b/crates/simulation/src/edges/proxies.rs
@@ -214,8 +214,8 @@
                 match step {
                     RouterAction::Send {
                         request,
-                        ticket,
-                        leg,
+                        handle: ticket,
+                        attempt: leg,
                         ..
                     } => {
                         proxy.router.handle_attempt_written(now, ticket);
