--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -104,7 +104,7 @@
             .update_servers(ListKind::Full, entries);
     }
 
-    /// The engine of a service in these regions; where there is none, [`RequestRouter::open`] is
+    /// The engine of a service in these regions; where there is none, [`RequestRouter::open_engine`] is
     /// due.
     pub fn engine_of(&self, svc: &str, pins: &[String]) -> Option<usize> {
         // Looked up for each request: the key is built only where regions are named.
