--- a/crates/control/src/core/registers/tests.rs
+++ b/crates/control/src/core/registers/tests.rs
@@ -36,7 +36,7 @@
         Ok(vec![(ballot(4), item("b", 1))])
     );
     assert_eq!(registers.highest_promise(), ballot(8));
-    // What was taken over is not replaced by a late message of a proposal before it.
+    // An adopted value is not replaced by a late message of an earlier proposal.
     assert!(registers.adopt(ballot(12), &item("d", 2)));
     assert_eq!(
         registers.accept(ballot(11), &[item("d", 1)]),
@@ -46,7 +46,7 @@
         registers.accepted(&name("d")),
         Some(&(ballot(12), item("d", 2)))
     );
-    // The digest is of what is held, whatever way it came.
+    // The digest covers the contents, however they arrived.
     assert!(
         registers.adopt(ballot(8), &item("b", 2)) && !registers.adopt(ballot(7), &item("b", 1))
     );
--- a/crates/control/src/core/transfer/tests.rs
+++ b/crates/control/src/core/transfer/tests.rs
@@ -19,7 +19,8 @@
     (0..count).map(one).collect()
 }
 
-/// Asks until the end, with every answer treated by `treat`; gives what came and how many questions it took.
+/// Requests until the end, with every answer passed through `treat`; returns what arrived and the
+/// number of requests.
 fn transferred(
     all: &[(Ballot, Item)],
     treat: impl Fn(usize, Vec<Chunk>) -> Vec<Chunk>,
--- a/crates/control/src/disk/tests/cost.rs
+++ b/crates/control/src/disk/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What a commit and a start cost, by way of keeping rows. Prints tables; run by hand:
+//! Cost of a commit and of a start, by storage layout. Prints tables; run by hand:
 //! `cargo test --release -p streamarch-control --lib disk::trials::cost -- --ignored --nocapture --test-threads=1`
 
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 const COMMITS: u64 = 400;
 const ITEMS: u64 = 1_000;
 
-/// A way of keeping rows.
+/// A storage layout for rows.
 #[derive(Clone, Copy, PartialEq)]
 enum Way {
     Log,
@@ -108,7 +108,8 @@
     }
 }
 
-/// Fills a folder, then makes single changes; gives syncs and bytes a change, and milliseconds a change.
+/// Fills a folder, then makes single changes; returns syncs and bytes per change, and milliseconds
+/// per change.
 fn changes(way: Way, watched: bool) -> (f64, f64, f64) {
     let folder = tempfile::tempdir().unwrap();
     drop(open(tempfile::tempdir().unwrap().path(), false));
@@ -123,7 +124,7 @@
     }
     let (mut chance, begin) = (Chance(3), Instant::now());
     for ver in 0..COMMITS {
-        // A change is written by the two votes and by the news of it: three commits of one row.
+        // A change is written by two votes and by its announcement: three commits of one row.
         let at = format!("s{}", chance.below(ITEMS as usize));
         let [Record::Register(name, accepted), chosen] = &rows(&at, 5_000 + ver)[..] else {
             unreachable!()
@@ -216,10 +217,10 @@
             sizes.join(", ")
         );
     }
-    // The same contents in an own log: read, checked and decoded.
+    // The same contents in a log of our own: read, checked and decoded.
     let folder = tempfile::tempdir().unwrap();
     let mut kept = Kept::new(folder.path(), Way::Own, false);
-    // Not to wait for the disk.
+    // Does not wait for the disk.
     watch(folder.path());
     for n in 0..10_000 {
         kept.commit(&rows(&format!("s{n}"), n + 1));
--- a/crates/control/src/disk/tests/cuts.rs
+++ b/crates/control/src/disk/tests/cuts.rs
@@ -1,4 +1,5 @@
-//! A loss of power at every write and sync: what was synced is there; of each later write all, nothing or a part.
+//! Loss of power at every write and sync: synced data is there; of each later write all, nothing or
+//! a part.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +9,7 @@
 use crate::core::ReplicaMetadata;
 use crate::core::ids::Incarnation;
 
-/// A write that may be there, missing or torn.
+/// A write that may be present, missing or torn.
 #[derive(Clone)]
 struct Loose {
     file: String,
@@ -21,19 +22,19 @@
     Length(u64),
 }
 
-/// A disk at an instant.
+/// The state of a disk at an instant.
 #[derive(Clone, Default)]
 struct Disk {
     synced: Files,
     loose: Vec<Loose>,
-    /// Names that were removed, and may be there again.
+    /// Names that were removed, and may reappear.
     removed: Files,
     /// Files that are new, and may be missing.
     fresh: BTreeSet<String>,
 }
 
 impl Loose {
-    /// Puts the bytes from `from` to `to` of it on the file.
+    /// Applies the bytes from `from` to `to` of this write to the file.
     fn apply(&self, files: &mut Files, from: usize, to: usize) {
         let file = files.entry(self.file.clone()).or_default();
         match &self.change {
@@ -96,10 +97,10 @@
         });
     }
 
-    /// What may be found after a loss of power now.
+    /// The states that may be found after a loss of power now.
     fn images(&self, chance: &mut Chance) -> BTreeSet<Files> {
         let count = self.loose.len();
-        // For each loose write, what part of it is there.
+        // For each unsynced write, the part of it that is present.
         let mut ways = vec![vec![(0, ALL); count], vec![(0, 0); count]];
         for at in 0..count {
             let length = self.loose[at].length();
@@ -113,7 +114,7 @@
                 (8, ALL),
             ];
             for part in parts {
-                // Those before are there and those after not; or all others are.
+                // The earlier ones are present and the later ones not; or all others are.
                 let before = |other: usize| if other < at { (0, ALL) } else { (0, 0) };
                 ways.push(
                     (0..count)
@@ -157,7 +158,8 @@
     }
 }
 
-/// Hands all that may be found after each step to `check`, with how many commits were told by then. Gives how many.
+/// Passes every state that may be found after each step to `check`, with the number of commits
+/// reported by then. Returns how many states there were.
 fn cut(base: Files, steps: &[Step], mut check: impl FnMut(usize, usize, &Files)) -> usize {
     let mut disk = Disk {
         synced: base,
@@ -227,7 +229,7 @@
     ]
 }
 
-/// What is done to a store beside commits.
+/// Operations on a store other than commits.
 enum Beside {
     Nothing,
     Checkpoint,
--- a/crates/control/src/disk/tests/full.rs
+++ b/crates/control/src/disk/tests/full.rs
@@ -1,4 +1,5 @@
-//! A disk that is full, or that fails for a while: refused, kept, written once it is taken again.
+//! A disk that is full, or that fails for a while: writes are rejected, kept, and done once they
+//! are accepted again.
 
 use test_case::test_case;
 
@@ -41,7 +42,7 @@
             heard.len() == 1 && heard[0].contains("refused: disk: "),
             "{heard:?}"
         );
-        // Power is lost now: all of it is there, or nothing.
+        // Power is lost now: either all of it is there, or nothing.
         let whole = [first.clone(), rows("s", 2), rows("u", 1)];
         let lost = open(lay(&files(folder.path())).path(), false).unwrap();
         assert!(
@@ -49,7 +50,7 @@
                 && [after(&whole[..1]), after(&whole)].contains(&held(&lost)),
             "{left}"
         );
-        // Told once; what is ordered meanwhile waits too.
+        // Reported once; later writes wait too.
         desk.enqueue((3, rows("s", 3)));
         assert_eq!(said(desk.commit_pending()), [""; 0]);
         fail(folder.path(), None);
--- a/crates/control/src/disk/tests/growth.rs
+++ b/crates/control/src/disk/tests/growth.rs
@@ -1,16 +1,18 @@
-//! How large the files are after thousands of changes.
+//! Size of the files after thousands of changes.
 
 use super::*;
 use crate::disk::{CHECKPOINT_BYTES, DATABASE_FILE};
 
-/// Changes of one item that go into a commit together.
+/// Changes of one item that are committed together.
 const TOGETHER: usize = 40;
-/// The file takes this many bytes for an item of these trials at the most: two rows, in pages that are part empty.
+/// Bound of the file's bytes for one item of these trials: two rows, in pages that are partly
+/// empty.
 const AN_ITEM: u64 = 1_024;
 /// The pages of a file without items.
 const EMPTY: u64 = 64 * 1_024;
 
-/// Most bytes of the file and of its log during so many changes of so many items, a fifth of them drops.
+/// Most bytes of the file and of its log during this many changes of this many items, a fifth of
+/// them removals.
 fn most(items: u64, changes: u64) -> (u64, u64) {
     let folder = tempfile::tempdir().unwrap();
     let mut store = Store::open(folder.path(), true).unwrap().store;
@@ -45,7 +47,7 @@
 fn files_do_not_grow_with_changes() {
     let (few, many) = (most(60, 1_000), most(60, 10_000));
     println!("60 items: {few:?} bytes of file and log after 1000 changes, {many:?} after 10000");
-    // A commit may go beyond the length at which the log is emptied.
+    // A commit may exceed the length at which the log is truncated.
     let log = CHECKPOINT_BYTES + 256 * 1_024;
     assert!(many.0 <= EMPTY + 60 * AN_ITEM && many.1 <= log, "{many:?}");
     assert!(few.0 <= many.0 && few.1 <= log);
--- a/crates/control/src/disk/tests/harm.rs
+++ b/crates/control/src/disk/tests/harm.rs
@@ -1,4 +1,4 @@
-//! Harm to what was synced: seen, named, put aside; never shown as true.
+//! Corruption of synced data: detected, named, quarantined; never presented as valid.
 
 use std::collections::BTreeMap;
 
@@ -75,7 +75,7 @@
     );
 }
 
-/// Does harm to a folder with `many`.
+/// Corrupts a folder with `many`.
 fn harm(folder: &Path, how: &str) {
     let path = folder.join(DATABASE_FILE);
     let mut bytes = std::fs::read(&path).unwrap();
@@ -182,7 +182,8 @@
     );
 }
 
-/// After so many syncs of the folder the power is lost; renames after the last one may have got there or not.
+/// After this many syncs of the folder power is lost; renames after the last one may have been
+/// stored or not.
 #[test_case(0)]
 #[test_case(1)]
 fn quarantine_cut_anywhere_never_separates_file_and_wal(syncs: usize) {
@@ -296,7 +297,7 @@
     );
 }
 
-/// What one harm did to a start.
+/// What one corruption did to a start.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Seen {
     Nothing,
@@ -305,11 +306,12 @@
     Before,
 }
 
-/// Files with some of what they hold in the file, and some in the log: and where the last commit begins in that.
+/// Files with some content in the database and some in the log, and where the last commit begins in
+/// that.
 fn half_logged() -> (Files, usize, Vec<Held>) {
     let folder = tempfile::tempdir().unwrap();
     let mut opened = open(folder.path(), true).unwrap();
-    // Many enough for several pages: not every commit writes the same ones.
+    // Enough for several pages: not every commit writes the same ones.
     let first = (0..120)
         .flat_map(|n| rows(&format!("s{n}"), 100 + n))
         .collect();
@@ -368,7 +370,7 @@
 fn quarantined_files_are_unchanged() {
     let (mut base, ..) = half_logged();
     let file = base.get_mut(DATABASE_FILE).unwrap();
-    // Pages keep copies in their free room: all of them.
+    // Pages keep copies in their free space: all of them.
     for at in 0..file.len() - 30 {
         file[at + 20] ^= if file[at..].starts_with(b"\"ver\":175") {
             4
@@ -402,7 +404,8 @@
             .unwrap();
         let at = chance.below(bytes.len());
         let sector = at / 512 * 512;
-        // Harm in the last commit looks like a loss of power; so does a sector that is gone with the mark of the one before.
+        // Corruption in the last commit looks like a loss of power; so does a sector lost together
+        // with the marker of the one before.
         let mark = last.saturating_sub(4_120);
         let marked = trial % 3 == 0 && sector < mark + 24 && mark < sector + 512;
         let may = logged && (sector + 512 > last || marked);
--- a/crates/control/src/disk/tests/mod.rs
+++ b/crates/control/src/disk/tests/mod.rs
@@ -1,8 +1,8 @@
-//! The database under harm: cut at every write and sync, torn, flipped, full.
+//! The database under faults: cut off at every write and sync, torn, corrupted, full.
 //!
-//! SQLite's writes are seen through a file system of the tests that SQLite calls (`sqlite-vfs`, a crate whose trait is
-//! safe). What was weighed: taking the sequence of writes from snapshots of the files says nothing of syncs, and nothing
-//! of the first start, where a rollback journal is at work.
+//! SQLite's writes are observed through a file system of the tests that SQLite calls (`sqlite-vfs`,
+//! a crate with a safe trait). Deriving the sequence of writes from snapshots of the files was
+//! rejected: it shows no syncs, and nothing of the first start, where a rollback journal is used.
 
 mod cost;
 mod cuts;
@@ -28,24 +28,24 @@
 use crate::core::ids::Ballot;
 use crate::core::registers::Register;
 
-/// What was done to the files of a folder.
+/// An operation on the files of a folder.
 #[derive(Clone, Debug)]
 enum Step {
     Write(String, u64, Vec<u8>),
     Length(String, u64),
     Sync(String),
     Delete(String),
-    /// The names of the folder are synced.
+    /// The folder's names are synced.
     Folder,
     /// A commit was reported as on disk.
     Told,
 }
 
-/// A folder that is watched.
+/// A folder under observation.
 #[derive(Default)]
 struct Tape {
     steps: Vec<Step>,
-    /// So many writes and syncs go well; those after fail in this way.
+    /// This many writes and syncs succeed; later ones fail in this way.
     fails: Option<(usize, ErrorKind)>,
 }
 
@@ -59,7 +59,7 @@
         .unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Notes a step in a folder that is watched, or fails.
+/// Records a step in an observed folder, or fails.
 fn step(folder: &Path, step: Step) -> Result<(), Error> {
     let mut tapes = tapes();
     let Some(tape) = tapes.get_mut(folder) else {
@@ -194,7 +194,7 @@
     step(folder, Step::Folder)
 }
 
-/// Opens by way of the watched file system. Nothing waits for a real disk.
+/// Opens through the observing file system. Nothing waits for a real disk.
 fn open(folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
     static ONCE: OnceLock<()> = OnceLock::new();
     ONCE.get_or_init(|| register("watched", Watched, false).unwrap());
@@ -208,7 +208,7 @@
     )
 }
 
-/// Chance with a seed.
+/// A random generator with a seed.
 struct Chance(u64);
 
 impl Chance {
@@ -234,7 +234,7 @@
     }
 }
 
-/// What one change writes at a replica.
+/// The writes of one change at a replica.
 fn rows(at: &str, ver: u64) -> Vec<Record> {
     let ballot = Ballot {
         round: ver,
@@ -256,7 +256,7 @@
     BTreeMap<ItemName, (Ballot, Item)>,
 );
 
-/// What stands after some commits.
+/// The contents after some commits.
 fn after(commits: &[Vec<Record>]) -> Held {
     let (mut registers, mut chosen) = (BTreeMap::new(), BTreeMap::new());
     for row in commits.iter().flatten().cloned() {
@@ -269,7 +269,7 @@
     (registers, chosen)
 }
 
-/// What a store was opened with, in the same form.
+/// The contents that a store was opened with, in the same form.
 fn held(opened: &OpenedStore) -> Held {
     let chosen = opened
         .recovered
--- a/crates/control/src/host/platform_poller/tests.rs
+++ b/crates/control/src/host/platform_poller/tests.rs
@@ -40,7 +40,7 @@
         PollResult::Complete(servers) => assert_eq!(servers.len(), 2),
         _ => panic!("no list"),
     }
-    // Over the rate: nothing of the round counts, and the next one comes at its time.
+    // Over the rate limit: the whole round is discarded, and the next one comes at its time.
     assert!(poller.next_request(900_000).is_none());
     assert!(poller.next_request(1_000_000).is_some());
     assert!(
--- a/crates/control/src/lookup/tests.rs
+++ b/crates/control/src/lookup/tests.rs
@@ -2,7 +2,8 @@
 use protocol::messages::NodeInfo;
 use test_case::test_case;
 
-/// Edges as text: region, then r(eady), l(eaving) or a(way); the number is its place.
+/// Edges as text: region, then `r` (ready), `l` (draining) or `a` (unavailable); the number is its
+/// position.
 fn lookup(edges: &str, asked: &str) -> String {
     let one = |(at, text): (usize, &str)| Member {
         node: NodeInfo {
--- a/crates/control/tests/answers.rs
+++ b/crates/control/tests/answers.rs
@@ -1,4 +1,5 @@
-//! Answers that are late: they count for the process that asked, and for no other one that comes to the same numbers.
+//! Late answers: they count only for the process that asked, and for no other one that reaches the
+//! same numbers.
 
 use std::net::SocketAddr;
 
@@ -9,9 +10,9 @@
 use control::operator_api::Command;
 
 const MS: i64 = 1_000;
-/// What a process shows that counts from its start.
+/// The clock of a process, which counts from its start.
 const LATER: i64 = 3_000 * MS;
-/// The run of the process that asks; the one before it has ended.
+/// The run number of the asking process; the one before it has ended.
 const RUN: u32 = 2;
 
 fn speaker(replica: u8, run: u32) -> ProcessId {
@@ -26,7 +27,7 @@
     SocketAddr::from(([10, 0, replica, 1], 7740))
 }
 
-/// The first of three replicas, started for the second time, and all that it sent.
+/// The first of three replicas, started for the second time, with everything it has sent.
 struct Asker {
     core: Replica,
     now: i64,
@@ -75,7 +76,7 @@
         self.take(Input::PeerMessage(address(replica), message));
     }
 
-    /// It hears both of the others, and both hear it.
+    /// It hears both other replicas, and both hear it.
     fn in_touch(&mut self) {
         for replica in [1, 2] {
             self.heard(
@@ -118,7 +119,8 @@
             bid(&asker)
         })
         .expect("a bid");
-    // Its clock counts from its start, and its term was not on disk when the process before it ended.
+    // Its clock counts from its start, and its term was not on disk when the previous process
+    // ended.
     let vote = |run| Payload::LeaseVote {
         role: SingletonRole::PlatformPoller,
         term: Term {
@@ -149,7 +151,7 @@
     );
 }
 
-/// The answer of one that has accepted the same as the asking one.
+/// The answer of a replica that has accepted the same value as the asking one.
 fn same() -> Chunk {
     Chunk {
         after: None,
@@ -180,7 +182,7 @@
             .iter()
             .any(|output| matches!(output, Output::Answer(7, _)))
     };
-    // "The same as the asking one": that was another one.
+    // "The same as the asking one" referred to another replica.
     for replica in [1, 2] {
         let before = RequestId {
             requester: speaker(0, RUN - 1),
--- a/crates/control/tests/core.rs
+++ b/crates/control/tests/core.rs
@@ -1,4 +1,4 @@
-//! The control state: timelines of six replicas, one column each, two to a region.
+//! The replicated state: timelines of six replicas, one column each, two to a region.
 
 use control::core::ids::{Ballot, Incarnation, ProcessId, SingletonRole};
 use control::core::peer_messages::{Payload, PeerMessage};
@@ -83,7 +83,7 @@
 fn acknowledged_item_survives_loss_of_its_replica(wipe: bool) {
     let mut cluster = started(2);
     assert_eq!(cluster.ask(4, service("s", 7, 1)), Some(Reply::Done));
-    // Before anybody else hears that it is chosen: what it said of that is lost on the way.
+    // Before any other replica learns that it is chosen: the announcement is lost.
     cluster.cut(&[4], &[0, 1, 2, 3, 5]);
     if wipe {
         cluster.wipe(4)
@@ -186,7 +186,8 @@
 fn brief_zone_loss_keeps_one_lease_holder_and_acknowledged_items() {
     let mut cluster = started(17);
     assert_eq!(cluster.ask(3, service("s", 7, 1)), Some(Reply::Done));
-    // The one that keeps the count loses power, and is back before its grants are over by the others' clocks.
+    // The owner of the counter loses power, and is back before its grants have expired by the
+    // others' clocks.
     cluster.power(3);
     let mut lines = vec![cluster.line(&["s"])];
     assert_eq!(cluster.ask(0, service("s", 8, 2)), Some(Reply::Done));
@@ -209,7 +210,7 @@
 fn replica_with_a_full_disk_keeps_its_role_and_resumes_later() {
     let mut cluster = started(5);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
-    // The one that polls, while a change of its operator is under way.
+    // The replica that polls, while a call of its operator is in progress.
     cluster.fill(0, true);
     let mut lines = vec![cluster.line(&["s"])];
     let refused = cluster.ask(0, service("s", 8, 1));
@@ -222,7 +223,8 @@
     assert_eq!(cluster.ask(4, service("s", 9, 1)), Some(Reply::Done));
     cluster.run(4 * SECOND);
     lines.push(cluster.line(&["s"]));
-    // With two more gone it is wanted again. A change that was under way when the disk filled up says so as well.
+    // With two more gone it is needed again. A change that was in progress when the disk became
+    // full says so as well.
     cluster.fill(0, false);
     (1..3).for_each(|replica| cluster.kill(replica));
     let open = cluster.call(0, service("s", 10, 1));
@@ -249,7 +251,7 @@
 fn replaced_replica_votes_and_its_former_holder_does_not() {
     let mut cluster = started(4);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
-    // The new machine is there while the old one still runs, cut off from all but two.
+    // The new machine starts while the old one still runs, cut off from all but two.
     cluster.cut(&[5], &[0, 1, 2, 3]);
     let new = cluster.add(5);
     cluster.cut(&[5], &[new]);
@@ -300,7 +302,7 @@
     cluster.start(new);
     cluster.run(2 * SECOND);
     let mut lines = vec![cluster.line(&["s"])];
-    // With two more gone it is one of the four that are wanted, and operators may call it.
+    // With two more gone it is one of the four that are needed, and operators may call it.
     cluster.kill(0);
     cluster.kill(1);
     cluster.run(2 * SECOND);
@@ -343,7 +345,7 @@
 #[test]
 fn recovered_replica_keeps_former_promises() {
     let mut cluster = started(14);
-    // A promise that only the replica's incarnation before and some others have given.
+    // A promise given only by the replica's previous incarnation and some others.
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     cluster.wipe(5);
     cluster.start(5);
@@ -375,7 +377,7 @@
         names,
     };
     let mut out = Vec::new();
-    // Below the highest promise, on a register of which nobody knows anything any more.
+    // Below the highest promise, on a register of which nothing is known any more.
     let peer_message = PeerMessage {
         sender: by,
         incarnations,
@@ -410,7 +412,7 @@
     cluster.start(5);
     cluster.feed(5, Input::Agent(1, AgentMessage::Hello(edge("e1", "f"))));
     let heard = |cluster: &Cluster| {
-        // Nothing in it, and not the first: a sign of life.
+        // Empty, and not the first message: a heartbeat.
         let sign = |(at, down): &(usize, &ControlMessage)| {
             *at > 1 && *down == &ControlMessage::Items(Vec::new())
         };
@@ -507,7 +509,7 @@
         5.0s   o71  o71  o71  oC71 o71  o71
         7.0s   oP71 o71  o71  oC71 o71  o71",
     );
-    // The terms of the duties go on rising.
+    // The terms of the roles keep increasing.
     for duty in SingletonRole::ALL {
         let before = terms
             .keys()
@@ -518,8 +520,9 @@
     }
 }
 
-/// Until somebody counts, proxies keep tenants to their slices: after all were killed the replica that counted does so again at
-/// once, as nobody else can hold a grant of those that voted for it. One that comes later finds the duty taken.
+/// Until there is a counter, proxies keep tenants to their local shares. After all were killed, the
+/// replica that owned the counter takes it over again at once, as nobody else can hold a grant of
+/// those that voted for it. A later one finds the role taken.
 #[test]
 fn former_counter_resumes_after_a_full_restart() {
     let mut cluster = started(5);
@@ -530,7 +533,7 @@
     ALL.iter().for_each(|at| cluster.start(*at));
     cluster.run(700 * MS);
     lines.push(cluster.line(&[]));
-    // It ends once more, alone, and is back while the others' grants to it go on.
+    // It ends once more, alone, and is back while the others' grants to it are valid.
     cluster.run(SECOND);
     cluster.kill(before.0);
     cluster.run(300 * MS);
@@ -556,7 +559,8 @@
     assert!(cluster.faults.is_empty(), "{:?}", cluster.faults);
 }
 
-/// Proxies that have lost power serve nothing until they know servers: a replica asks for the list as it starts.
+/// Proxies that have lost power serve nothing until they know servers: a replica reads the list as
+/// it starts.
 #[test]
 fn server_list_is_read_before_any_lease_after_a_full_restart() {
     let mut cluster = started(5);
@@ -569,7 +573,7 @@
     ALL.iter().for_each(|at| cluster.kill(*at));
     ALL.iter().for_each(|at| cluster.start(*at));
     cluster.feed(2, Input::Agent(1, AgentMessage::Hello(edge("e1", "c"))));
-    // Two of six, so that a large core keeps to the platform's rate.
+    // Two of six, so that many replicas keep to the platform's rate limit.
     assert_eq!(ALL.iter().filter(|at| polls(&cluster, **at)).count(), 2);
     cluster.run(500 * MS);
     assert!(cluster.holders(SingletonRole::PlatformPoller).is_empty());
@@ -590,7 +594,7 @@
         ALL.iter().all(|at| !polls(&cluster, *at)),
         "a list is known"
     );
-    // Any list of a poller goes before it.
+    // Any list of a poller supersedes it.
     cluster.run(2 * SECOND);
     let (holder, term) = cluster.holders(SingletonRole::PlatformPoller)[0];
     let one = protocol::platform::Server {
@@ -612,7 +616,7 @@
     let mut cluster = started(6);
     let mut ask = |at: usize, ver: u64, content: u64| cluster.ask(at, service("s", ver, content));
     assert_eq!(ask(0, 7, 1), Some(Reply::Done));
-    // A later change has overtaken it: it is in order, and without effect.
+    // A later change has overtaken it: it succeeds without an effect.
     assert_eq!(ask(3, 5, 2), Some(Reply::Done));
     assert_eq!(ask(3, 7, 2), Some(Reply::Conflict));
     assert_eq!(ask(3, 7, 1), Some(Reply::Done));
@@ -635,7 +639,7 @@
         all.push(route(349, last));
         Command::ApplyPatch(format!(r#"{{"upsert":{{"objs":[{}]}}}}"#, all.join(",")).into_bytes())
     };
-    // A replica that has not heard of the service yet asks the others before it refuses.
+    // A replica that has not heard of the service yet asks the others before it rejects the call.
     let first = cluster.call(0, service("s", 1, 1));
     cluster.run(230 * MS);
     assert_eq!(cluster.reply(first), Some(Reply::Done));
@@ -675,7 +679,7 @@
     cluster.run(SECOND);
     let zone = cluster.chosen(5).into_values().next().unwrap();
     assert_eq!((zone.ver, zone.spec.as_deref()), (2, Some("false")));
-    // No item of the operators' configuration.
+    // Not an item of the operators' configuration.
     assert_eq!(read_back(&mut cluster, 0), r#"{"objs":[]}"#);
 }
 
@@ -732,7 +736,8 @@
     };
     let ready = vec![("e1".to_string(), NodeState::Ready)];
     assert!(ALL.iter().all(|at| members(&cluster, *at) == ready));
-    // It moves to another replica, where it leaves; what the first one says of it counts no more.
+    // It moves to another replica, where it drains; what the first one reports of it does not count
+    // any more.
     cluster.feed(1, Input::AgentDisconnected(1));
     cluster.feed(4, Input::Agent(2, AgentMessage::Hello(edge("e1", "a"))));
     cluster.feed(
@@ -771,7 +776,7 @@
     );
 }
 
-/// The limiters' clock, ahead of all that the replicas have of it.
+/// The limiters' clock, ahead of the replicas' knowledge of it.
 const TIME: i64 = 2 * dataplane::clock::STEADY_CLOCK_START;
 
 #[test]
@@ -794,18 +799,19 @@
         )
     };
     assert!(counted(&mut cluster, 1, TIME) && counted(&mut cluster, 2, TIME - 400 * MS));
-    // Who is behind is told so, and counted once it follows.
+    // A limiter that is behind is told so, and counted once it follows.
     assert!(!counted(&mut cluster, 2, TIME - SECOND));
     let told = &cluster.nodes[3].told;
     assert!(matches!(told[told.len() - 2], (2, ControlMessage::Clock(time)) if time == TIME));
     assert!(counted(&mut cluster, 2, TIME));
-    // One that is ahead: under its names nothing was counted, so that nobody counts for as long as it is ahead.
+    // One that is ahead: nothing was counted under its names, so that nothing is counted for as
+    // long as it is ahead.
     assert!(!counted(&mut cluster, 3, TIME + 2 * SECOND));
     cluster.run(1_900 * MS);
     assert!(!counted(&mut cluster, 1, TIME + 3_900 * MS));
     cluster.run(110 * MS);
     assert!(counted(&mut cluster, 1, TIME + 4_010 * MS));
-    // The other replicas have it by their beats, and a count that moves goes on with it.
+    // The other replicas know it by heartbeats, and a counter that moves continues with it.
     cluster.run(SECOND);
     cluster.feed(5, Input::Agent(9, AgentMessage::Clock(0)));
     let told = cluster.nodes[5].told.last().unwrap();
@@ -821,7 +827,7 @@
     cluster.feed(5, Input::Agent(1, AgentMessage::Hello(edge("e1", "f"))));
     cluster.cut(&[5], &[0, 1, 2, 3, 4]);
     cluster.feed(0, Input::ServerListRead(vec![]));
-    // Who does not hold the duty has nothing to say.
+    // A replica without the role has no say.
     cluster.feed(1, Input::ServerListRead(vec![]));
     cluster.run(1_500 * MS);
     let heard = |cluster: &Cluster| {
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -1,4 +1,4 @@
-//! A replica that hears no majority, or has only just heard one again: what it says to whom.
+//! A replica without quorum contact, or with contact only just restored: what it sends to whom.
 
 use control::core::Input;
 use control::core::ids::SingletonRole;
@@ -8,7 +8,7 @@
 use test_case::test_case;
 
 const OTHERS: [usize; 5] = [0, 1, 2, 3, 5];
-/// The one that is cut off.
+/// The replica that is cut off.
 const AT: usize = 4;
 
 fn started() -> Cluster {
@@ -94,7 +94,7 @@
     while !in_touch(&cluster) {
         cluster.run(10 * MS);
     }
-    // In touch again, and yet it does not know what was chosen meanwhile.
+    // Contact is restored, but it does not know what was chosen meanwhile.
     cluster.feed(AT, Input::Agent(2, AgentMessage::Hello(edge("e2"))));
     let knows = |cluster: &Cluster| cluster.chosen(AT).values().any(|item| item.ver == 2);
     assert!(!knows(&cluster) && !told(&cluster, |down| *down == ControlMessage::Complete));
@@ -162,7 +162,8 @@
     );
 }
 
-/// How long it is out of touch, and how: edges that others hold, and the one that it holds itself.
+/// How long it is cut off, and with which edges: those linked to others, and the one linked to
+/// itself.
 #[test_case(false, 5 * SECOND, &["far", "near"]; "cut off for a while: all, as it may hear of them no more")]
 #[test_case(false, 12 * SECOND, &["near"]; "cut off for long: its own")]
 #[test_case(true, 5 * SECOND, &["far"]; "frozen for a while: its own have gone elsewhere")]
@@ -194,7 +195,7 @@
             );
         }
     }
-    // As it is asked first, before anything else comes to it.
+    // It is asked first, before any other input.
     let node = &cluster.nodes[AT];
     let members = node
         .core
--- a/crates/control/tests/cut_off_programs.rs
+++ b/crates/control/tests/cut_off_programs.rs
@@ -1,4 +1,4 @@
-//! The built programs, one control program out of touch: it stands still for a while, or hears no others.
+//! The built programs with one control program cut off: it stalls for a while, or hears no others.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -43,7 +43,7 @@
     .unwrap()
 }
 
-/// How a replica sees the system; none while it does not answer.
+/// How a replica sees the system; `None` while it does not answer.
 fn status(whole: &Whole, replica: usize) -> Value {
     let until = Instant::now() + Duration::from_millis(500);
     let reply = call(
@@ -80,7 +80,8 @@
     let mut late = Connection::open(whole.machines.ctl(2), soon()).unwrap();
     let order = b"POST /api/drain/z1/begin HTTP/1.1\r\nHost: core\r\nContent-Length: 0\r\n\r\n";
     late.send(order, soon()).unwrap();
-    // Without an answer the operator gives it up, and has the same done by others; then the zone is taken back.
+    // Without an answer the operator gives up and has the call made elsewhere; then the evacuation
+    // is ended.
     drop(late);
     for begin in [true, false] {
         whole.operator.evacuate("z1", begin, soon()).unwrap();
@@ -97,7 +98,7 @@
         || !misses(&whole) && status(&whole, 2)["in_touch"] == true,
         "it is back",
     );
-    // What it took from before would be chosen within a second, the time that a call may take.
+    // What it accepted before would be chosen within a second, the time allowed for a call.
     let end = Instant::now() + Duration::from_millis(1_200);
     let chosen = || status(&whole, 0)["digest"].clone();
     assert_eq!(
--- a/crates/control/tests/many_changes.rs
+++ b/crates/control/tests/many_changes.rs
@@ -13,7 +13,8 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_control");
 const CHANGES: u64 = 300;
 const ITEMS: u64 = 40;
-/// Stated: most bytes of a replica's files, at so few items: its log is emptied at 4 MiB.
+/// Stated bound: most bytes of a replica's files with this few items; the write-ahead log is
+/// truncated at 4 MiB.
 const FILES: u64 = 5 * 1024 * 1024;
 
 fn soon() -> Instant {
@@ -27,7 +28,7 @@
         .filter(|_| reply.status == 200)
 }
 
-/// A change of one service, or its drop, by the number of the change.
+/// A change of one service, or its removal, by the number of the change.
 fn change(whole: &Whole, number: u64) {
     let (name, ver) = (format!("many-{:02}", number % ITEMS), 1 + number / ITEMS);
     let body = match number % 5 {
--- a/crates/control/tests/proposals.rs
+++ b/crates/control/tests/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals and what their proposer knows to be chosen.
+//! Proposals, and what their proposer knows to be chosen.
 
 use std::net::SocketAddr;
 
@@ -52,8 +52,8 @@
     table
 }
 
-/// The actions of a proposal whose promises were given before another proposal was chosen: one replica still has the value
-/// that lost against that one.
+/// The actions of a proposal whose promises were given before another proposal was chosen: one
+/// replica still has the value that lost against it.
 fn decided(intent: Intent, left: Item, chosen: &Item) -> Vec<Action> {
     let mut chosen_items = ChosenItems::default();
     let mut proposal = Proposal::new(intent, 0, 1_000_000);
--- a/crates/control/tests/repeated_orders.rs
+++ b/crates/control/tests/repeated_orders.rs
@@ -1,4 +1,4 @@
-//! Two operators under one number, and orders sent again, at the replicas' cores.
+//! Two operators under one number, and calls sent again, at the replicas' cores.
 
 use control::operator_api::{Command, Reply};
 use simulation::cluster::{Cluster, MS, SECOND, service};
@@ -38,7 +38,8 @@
             cluster.ask(1, services(&[("a", 4, 1), ("b", 4, 1)])),
             Some(Reply::Done)
         );
-        // The second takes one of the first one's items, before, while or after that has reached a few replicas.
+        // The second call takes one of the first one's items before, while or after that has
+        // reached a few replicas.
         let both = cluster.call(0, services(&[("a", 5, 2), ("b", 5, 2)]));
         cluster.run((seed as i64 % 12) * 12 * MS);
         let one = cluster.call(5, service("b", 5, 3));
@@ -73,7 +74,7 @@
             cluster.ask(1, services(&[("a", 4, 1), ("b", 4, 1)])),
             Some(Reply::Done)
         );
-        // It reaches a few replicas at most, which are then not heard.
+        // The proposal reaches a few replicas at most, which are then cut off.
         cluster.call(0, services(&[("a", 5, 2), ("b", 5, 2)]));
         cluster.run((60 + seed as i64 % 10 * 14) * MS);
         cluster.cut(&[0, 1], &[2, 3, 4, 5]);
@@ -145,7 +146,8 @@
         );
     }
     everywhere(&mut cluster, &call, "after 200 changes of others");
-    // What it names goes; then the repeat has no effect, and neither have the repeats of the drops.
+    // The items that it names are removed; then neither the repeat nor the repeats of the removals
+    // have an effect.
     let gone = [drop("routes", "r", 6), drop("svcs", "s", 6)];
     for order in &gone {
         assert_eq!(cluster.ask(0, order.clone()), Some(Reply::Done));
--- a/crates/control/tests/resent.rs
+++ b/crates/control/tests/resent.rs
@@ -1,5 +1,5 @@
-//! The built control programs: two operators under one number at two replicas at once, and the order that was taken sent
-//! again at every replica, whatever came between.
+//! The built control programs: two operators under one number at two replicas at once, and an
+//! accepted call sent again at every replica, whatever happened in between.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -19,7 +19,7 @@
     Instant::now() + Duration::from_secs(12)
 }
 
-/// Sends an order until it has a clear answer, always to the same replica.
+/// Sends a call until it has a definite answer, always to the same replica.
 fn clear(at: SocketAddr, path: &str, body: &str) -> u16 {
     let once = || {
         let reply = call(at, "POST", path, "", body.as_bytes(), soon()).ok()?;
@@ -32,7 +32,7 @@
     clear(at, "/api/cfg/patch", &body.to_string())
 }
 
-/// A service and a route to it, by their version and what tells one operator from the other.
+/// A service and a route to it, by version and by the operator who set them.
 fn order(ver: u64, operator: u32) -> Value {
     let prefix = format!("/ours-{operator}/");
     json!({"upsert": {"objs": [
@@ -50,7 +50,7 @@
             .collect()
     }
 
-    /// What every replica answers.
+    /// The answers of all replicas.
     #[track_caller]
     fn everywhere(&self, body: &Value, status: u16, when: &str) {
         for (number, at) in self.ctl().into_iter().enumerate() {
@@ -123,7 +123,7 @@
     assert_eq!(replicas.0.machines.stop(), Vec::<String>::new());
 }
 
-/// How many items a replica knows to be chosen, evacuations among them.
+/// How many items a replica knows to be chosen, evacuations included.
 fn items(at: SocketAddr) -> u64 {
     let reply = call(at, "GET", "/api/status", "", b"", soon()).unwrap();
     serde_json::from_slice::<Value>(reply.body()).unwrap()["items"]
@@ -142,7 +142,7 @@
     let programs = beside(Path::new(PROGRAM), env!("CARGO"));
     let mut whole = Whole::start(folder.path(), &programs, size, soon()).unwrap();
     let at = whole.machines.ctl(0);
-    // The first sender is gone when the replica goes on, the second one still waits for its answer.
+    // The first sender is gone when the replica resumes, the second one still waits for its answer.
     for (gone, zone) in [(true, 1), (false, 2)] {
         let before = items(at);
         whole.machines.stand_still(Role::Control, 0);
@@ -152,12 +152,12 @@
         sender.send(order.as_bytes(), soon()).unwrap();
         let sender = (!gone).then_some(sender);
         whole.machines.go_on(Role::Control, 0);
-        // More orders follow, so that what was begun is over.
+        // More calls follow, so that everything begun is finished.
         for ver in 1..=5 {
             assert_eq!(patch(at, &order_of_limits(ver + zone as u64 * 10)), 200);
         }
         if let Some(mut sender) = sender {
-            // While it hears nobody yet it answers 503, and the order is sent again.
+            // While it hears nobody yet it answers 503, and the call is sent again.
             let status = sender.answer(soon()).unwrap().status;
             assert!(status == 200 || clear(at, &path, "") == 200, "{status}");
         }
@@ -170,7 +170,7 @@
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
 }
 
-/// A change of an item that stands from the start.
+/// A change of an item that exists from the start.
 fn order_of_limits(ver: u64) -> Value {
     let spec =
         json!({"hdr_bytes": 16384, "body_bytes": 1_048_576, "hdr": "3000ms", "idle": "15000ms"});
--- a/crates/control/tests/second_loss.rs
+++ b/crates/control/tests/second_loss.rs
@@ -1,14 +1,14 @@
-//! A second loss right after a repair or a replacement: timelines of six replicas, two to a region, and of how many disks
-//! hold what was acknowledged.
+//! A second loss right after a repair or a replacement: timelines of six replicas, two to a region,
+//! and the number of disks that hold acknowledged changes.
 
 use control::operator_api::{Command, Reply};
 use protocol::items::{ItemKind, ItemName};
 use simulation::cluster::{Cluster, MS, SECOND, service};
 use test_case::test_case;
 
-/// From the signal to the end that the process chooses at the latest.
+/// Longest time from the signal to the end, which the process chooses.
 const GRACE: i64 = 5 * SECOND;
-/// After a return, or a start with an empty disk, all is there by then.
+/// After a return, or a start with an empty disk, everything is there by then.
 const SYNC: i64 = 4 * SECOND;
 
 fn started(seed: u64, replicas: usize) -> Cluster {
@@ -17,7 +17,7 @@
     cluster
 }
 
-/// How many of the machines that have the replicas hold this version of the service `s` on their disks.
+/// How many of the replicas' disks hold this version of the service `s`.
 fn copies(cluster: &Cluster, ver: u64) -> usize {
     let name = ItemName {
         kind: ItemKind::Service,
@@ -32,7 +32,7 @@
     cluster.nodes[at].core.is_none()
 }
 
-/// A change that stands on the bare majority `c` to `f`, acknowledged by `e`.
+/// A change on the bare majority `c` to `f`, acknowledged by `e`.
 fn bare_majority(cluster: &mut Cluster) {
     cluster.cut(&[0, 1], &[2, 3, 4, 5]);
     cluster.run(1_500 * MS);
@@ -84,7 +84,8 @@
     let mut cluster = started(14, 6);
     assert_eq!(cluster.ask(4, service("s", 7, 1)), Some(Reply::Done));
     let new = cluster.add(4);
-    // It reaches two of the other five: its incarnation sets the old one aside, and it can't be whole.
+    // It reaches two of the other five: its incarnation supersedes the old one, and it can't become
+    // up to date.
     cluster.cut(&[new], &[2, 3, 5]);
     cluster.start(new);
     cluster.run(SECOND);
@@ -113,7 +114,8 @@
 fn replica_that_recovers_during_shutdown_hands_over() {
     let mut cluster = started(15, 6);
     bare_majority(&mut cluster);
-    // The new disk gathers the change from its holders, and is the only one that reaches the other two replicas.
+    // The new disk receives the change from its holders, and is the only one that reaches the other
+    // two replicas.
     cluster.wipe(4);
     cluster.heal();
     cluster.cut(&[0, 1], &[2, 3, 5]);
--- a/crates/control/tests/second_loss_system.rs
+++ b/crates/control/tests/second_loss_system.rs
@@ -1,4 +1,5 @@
-//! The built programs under a second loss right after a repair or a replacement: what was acknowledged is read back.
+//! The built programs under a second loss right after a repair or a replacement: acknowledged
+//! changes are read back.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -72,7 +73,7 @@
             "INFO recovery completed incarnation=2 items=",
         );
     }
-    // None of the disks that took the changes is left.
+    // None of the disks that received the changes is left.
     assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
 }
@@ -82,8 +83,8 @@
     let folder = TempDir::new().unwrap();
     let mut whole = whole(&folder);
     change(&mut whole, 2);
-    // The successor of the first machine stands in its zone at another address; a rebuild of three needs both others, of
-    // which one does not run yet.
+    // The successor of the first machine stands in its zone at another address; the recovery of
+    // three replicas needs both others, of which one does not run yet.
     whole.machines.kill(Role::Control, 1);
     whole.machines.write(Role::Control, 3, false).unwrap();
     whole.machines.start(Role::Control, 3).unwrap();
@@ -93,7 +94,8 @@
         "INFO superseded by a newer incarnation of this replica",
     );
     whole.machines.tell_to_end(Role::Control, 0);
-    // Without a successor that is whole it is there longer than it takes to answer what is under way.
+    // Without a successor that is up to date it stays longer than it takes to answer calls in
+    // progress.
     let early = Instant::now() + Duration::from_millis(700);
     assert_eq!(whole.machines.ended(Role::Control, 0, early), None);
     assert!(
@@ -111,7 +113,7 @@
             .is_some_and(|status| status.success())
     );
     says(&whole, 0, "INFO handover complete");
-    // All that is left is killed at once, with the successor's disk among it.
+    // All remaining processes are killed at once, the successor's with its disk among them.
     std::fs::remove_dir_all(folder.path().join("disk-0")).unwrap();
     [1, 2, 3]
         .into_iter()
--- a/crates/control/tests/stored.rs
+++ b/crates/control/tests/stored.rs
@@ -1,7 +1,8 @@
-//! A database that an earlier program wrote, killed with its log beside it, is read by the program as it is now.
+//! A database written by an earlier program, killed with its write-ahead log beside it, is read by
+//! the present program.
 //!
-//! `stored/` was written by version 0.1.0 of the only replica of zone `z1`: three items set, one of them removed, and an
-//! evacuation of the zone begun.
+//! `stored/` was written by version 0.1.0 of the only replica of zone `z1`: three items set, one of
+//! them removed, and an evacuation of the zone begun.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -23,7 +24,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored")
 }
 
-/// Copies the stored database, so that nothing writes to it.
+/// Copies the stored database, so that it is never written to.
 fn copy_to(folder: &Path) {
     std::fs::create_dir_all(folder).unwrap();
     for name in ["headworks.db", "headworks.db-wal"] {
@@ -72,7 +73,8 @@
         machines.log(Role::Control, 0)
     );
     let status = get("/api/status").unwrap();
-    // The removed item and the zone's evacuation are items as well; each start of the process has a number of its own.
+    // The removed item and the zone's evacuation are items as well; each start of the process has
+    // its own number.
     assert_eq!(
         (&status["items"], &status["incarnation"], &status["run"]),
         (&json!(4), &json!(1), &json!(2))
--- a/crates/control/tests/system.rs
+++ b/crates/control/tests/system.rs
@@ -1,4 +1,5 @@
-//! The built programs as a system on loopback: what operators are told holds in the proxies, and outlives all kills.
+//! The built programs as a system on loopback: what operators are told holds in the proxies, and
+//! survives all kills.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -54,7 +55,7 @@
         );
         assert_eq!(whole.ask(edge, "/write/1").unwrap().status, 404);
     }
-    // Without effect: a lower version, which is in order, and one call in which something is wrong.
+    // Without effect: a lower version, which is valid, and a call that is invalid in one part.
     let older = Change::default().set("routes", "reads", 4, route(READS, SERVICES[0]));
     whole.operator.change(&older, soon()).unwrap();
     let wrong = Change::default()
@@ -85,7 +86,8 @@
         json!({"upsert": {"objs": [{"type": "routes", "meta": {"name": "cut", "ver": 9}, "spec": route}]}})
             .to_string();
     let (part, length) = (&text[..text.len() - 20], text.len());
-    // Its length says that more should come, and the operator is gone; then one that is whole by its length alone.
+    // Its length announces more, and the operator is gone; then one that is complete by its length
+    // alone.
     for (length, status) in [(length, None), (part.len(), Some(400))] {
         let mut connection = Connection::open(whole.machines.ctl(0), soon()).unwrap();
         let head = format!(
@@ -134,7 +136,7 @@
     std::fs::remove_dir_all(folder.path().join("disk-2")).unwrap();
     whole.machines.write(Role::Control, 2, false).unwrap();
     whole.machines.start(Role::Control, 2).unwrap();
-    // By the programs' own lines, as operators are told: none of them has met an error.
+    // By the programs' own log lines, as the runbook says: none of them has met an error.
     for (replica, line) in [
         (2, "INFO recovery completed incarnation=2 items="),
         (
@@ -159,7 +161,8 @@
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
 }
 
-/// The built programs, each started with SIGXFSZ ignored, as a write beyond a limit is an error only then.
+/// The built programs, each started with SIGXFSZ ignored: only then is a write beyond a limit an
+/// error.
 fn programs_that_may_be_limited(folder: &TempDir) -> std::path::PathBuf {
     let (programs, built) = (
         folder.path().join("programs"),
--- a/crates/control/tests/transfers.rs
+++ b/crates/control/tests/transfers.rs
@@ -1,4 +1,5 @@
-//! State transfers as one replica's core carries them out: to an agent, and by question and answer between replicas.
+//! State transfers as one replica's core carries them out: to an agent, and in requests and chunks
+//! between replicas.
 
 use control::core::ids::{Ballot, Incarnation, ProcessId};
 use control::core::peer_messages::{Payload, PeerMessage};
@@ -24,7 +25,7 @@
     }
 }
 
-/// A core of so many replicas that holds so many items of 100 bytes or so, and tells ten of them at once.
+/// A core with this many replicas and items of about 100 bytes, which sends ten of them at a time.
 fn core(replicas: usize, items: usize) -> Replica {
     let zones: Vec<String> = (0..replicas).map(|at| format!("z{at}")).collect();
     let ballot = Ballot {
@@ -178,7 +179,7 @@
         ..Ballot::default()
     };
     let entries = |id| {
-        // Two are newer there, one is older.
+        // Two items are newer there, one is older.
         let keys = [item(3), item(4), item(5)].map(|item| digests::name_key(&item.name));
         let ballots = [newer, newer, Ballot::default()];
         from_other(Payload::DigestEntries {
@@ -214,7 +215,7 @@
             continuation: then,
         })
     };
-    // A piece after a gap is learned from and leads to nothing; the first one that asks leads on, once.
+    // A chunk after a gap is learned from, but not continued; the next expected one is, once.
     assert!(!led(take(
         &mut core,
         1_302 * MS,
