--- /dev/null
+++ b/crates/dataplane/src/framing/incoming.rs
@@ -0,0 +1,112 @@
+//! A message that is being received.
+
+use super::ParseError;
+use super::body::{BodyFraming, BodyReader};
+use super::head::Head;
+use crate::limits::Limits;
+
+/// A message that is being received: its head once complete, and the part of the body not yet taken
+/// out.
+#[derive(Clone, Debug)]
+pub struct Incoming<H> {
+    /// Bytes present at the last attempt to parse the head.
+    parsed_bytes: usize,
+    /// The head, and the reader of the body.
+    message: Option<(H, BodyReader)>,
+    /// The framing of the body.
+    pub framing: BodyFraming,
+    /// Body bytes received and not taken out.
+    pub body: Vec<u8>,
+    /// Body bytes received in total.
+    pub length: u64,
+}
+
+impl<H> Default for Incoming<H> {
+    fn default() -> Incoming<H> {
+        Incoming {
+            parsed_bytes: 0,
+            message: None,
+            framing: BodyFraming::Length(0),
+            body: Vec::new(),
+            length: 0,
+        }
+    }
+}
+
+impl<H: Head> Incoming<H> {
+    /// Reads from `input` and removes what belongs to the message. `most`: bound of the body in
+    /// bytes.
+    ///
+    /// # Errors
+    /// The message is malformed; independent of how the input is split.
+    pub fn read(
+        &mut self,
+        input: &mut Vec<u8>,
+        most: u64,
+        limits: &Limits,
+    ) -> Result<(), ParseError> {
+        let mut at = 0;
+        if self.message.is_none() {
+            if !self.should_parse(input) {
+                return Ok(());
+            }
+            self.parsed_bytes = input.len();
+            let Some((head, extent, from)) = H::parse(input, limits)? else {
+                return Ok(());
+            };
+            self.message = Some((head, BodyReader::new(extent, most)?));
+            (self.framing, at) = (extent, from);
+        }
+        let Some((_, reader)) = &mut self.message else {
+            return Ok(());
+        };
+        let before = self.body.len();
+        let taken = reader.read(&input[at..], &mut self.body);
+        self.length += (self.body.len() - before) as u64;
+        input.drain(..at + taken?);
+        Ok(())
+    }
+
+    /// Bounds the cost of a head that arrives byte by byte: it is parsed while it is short, when it
+    /// has doubled, and when it may be complete.
+    fn should_parse(&self, input: &[u8]) -> bool {
+        let news = &input[self.parsed_bytes.saturating_sub(3).min(input.len())..];
+        let ends = || {
+            news.windows(2).any(|two| two == b"\n\n")
+                || news.windows(3).any(|three| three == b"\n\r\n")
+        };
+        input.len() < 256 || input.len() >= 2 * self.parsed_bytes || ends()
+    }
+
+    /// The head, once complete.
+    pub fn head(&self) -> Option<&H> {
+        self.message.as_ref().map(|(head, _)| head)
+    }
+
+    /// Whether the message is complete.
+    pub fn is_complete(&self) -> bool {
+        self.message
+            .as_ref()
+            .is_some_and(|(_, reader)| reader.is_complete())
+    }
+
+    /// Whether the body is known to be longer than this, by its announced length or what was
+    /// received.
+    pub fn is_longer_than(&self, than: u64) -> bool {
+        matches!(self.framing, BodyFraming::Length(length) if length > than) || self.length > than
+    }
+
+    /// Whether the close of the connection completes the message.
+    pub fn ends_with_connection(&self) -> bool {
+        self.message
+            .as_ref()
+            .is_some_and(|(_, reader)| reader.ends_with_connection())
+    }
+
+    /// The head, the reader of the rest of the body, and the received part; `None` while the head
+    /// is incomplete.
+    pub fn into_parts(self) -> Option<(H, BodyReader, Vec<u8>)> {
+        let body = self.body;
+        self.message.map(|(head, reader)| (head, reader, body))
+    }
+}
--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -150,7 +150,7 @@
             self.limits.max_request_bytes = limits.body_bytes;
             self.limits.request_timeout = limits.hdr.0;
             self.limits.client_idle_timeout = limits.idle.0;
-            self.client_keep_alive = clients::keep_alive_value(limits.idle.0);
+            self.client_keep_alive = responses::keep_alive_value(limits.idle.0);
         }
         if touched.zones {
             self.server_table.set_evacuated(
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -1,11 +1,13 @@
 //! The host of a proxy: one thread, one wait for all connections. Each turn reads all input, then
 //! handles what is due and lets the engines decide, then writes all output.
 
+mod admission;
 mod agent_link;
 mod capacity;
 mod clients;
 mod close_reasons;
 mod response_streams;
+mod responses;
 mod uploads;
 mod upstreams;
 
@@ -279,7 +281,7 @@
         info!(log, "serving on {http}");
         Ok(Host {
             clock,
-            client_keep_alive: clients::keep_alive_value(limits.client_idle_timeout),
+            client_keep_alive: responses::keep_alive_value(limits.client_idle_timeout),
             limits,
             log,
             log_ring: ring,
--- a/crates/proxy/src/host/response_streams.rs
+++ b/crates/proxy/src/host/response_streams.rs
@@ -3,7 +3,8 @@
 
 use dataplane::relay::Relay;
 
-use super::clients::{RESPONSE_MARGIN, keep_alive_field};
+use super::clients::RESPONSE_MARGIN;
+use super::responses::keep_alive_field;
 use super::upstreams::READ_WINDOW_BYTES;
 use super::*;
 use crate::answers::{is_forwarded, stream_deadline};
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -4,7 +4,8 @@
 use dataplane::framing::{BodyFraming, ParseError};
 use dataplane::upload::Upload;
 
-use super::clients::{MAX_READ_AHEAD_BYTES, StreamedBody};
+use super::admission::StreamedBody;
+use super::clients::MAX_READ_AHEAD_BYTES;
 use super::*;
 
 impl Host {
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -7,7 +7,7 @@
 use protocol::connections::Connection;
 use protocol::items::Idempotency;
 
-use super::clients::has_body;
+use super::admission::has_body;
 use super::*;
 use crate::answers::{ResponseHandling, classify, handling, keep_alive_seconds};
 
