--- a/crates/simulation/src/draw.rs
+++ b/crates/simulation/src/draw.rs
@@ -1,5 +1,6 @@
 //! Schedules by chance. Each kind of trouble begins and ends; a few go on at a time.
 
+mod crossed;
 mod cut_off;
 mod many_changes;
 mod resent;
@@ -7,7 +8,6 @@
 
 use crate::chance::Chance;
 use crate::cluster::{Bug, MS, SECOND};
-use crate::crossed;
 use crate::schedule::{Ask, Schedule, Step, What};
 
 /// Trouble begins after this: the first start is over, and the first call taken.
@@ -107,6 +107,23 @@
     }
 }
 
+impl Plan {
+    /// A schedule of these steps, in order of time. A call in the calm is awaited; faults that began
+    /// before end with it.
+    fn schedule(self, seed: u64, calm: i64, mut steps: Vec<Step>) -> Schedule {
+        steps.sort_by_key(|step| step.at);
+        Schedule {
+            seed,
+            cores: self.cores,
+            edges: self.edges,
+            load: self.load,
+            calm,
+            bug: self.bug,
+            steps,
+        }
+    }
+}
+
 struct Draft {
     chance: Chance,
     steps: Vec<Step>,
@@ -123,25 +140,9 @@
         });
     }
 
-    /// All that was added, in order. Of a call in the calm the answer is awaited; trouble that began before ends with it.
-    fn schedule(mut self, seed: u64, calm: i64) -> Schedule {
-        self.steps.sort_by_key(|step| step.at);
-        let Plan {
-            cores,
-            edges,
-            load,
-            bug,
-            ..
-        } = self.plan;
-        Schedule {
-            seed,
-            cores,
-            edges,
-            load,
-            calm,
-            bug,
-            steps: self.steps,
-        }
+    /// The schedule of everything that was added.
+    fn schedule(self, seed: u64, calm: i64) -> Schedule {
+        self.plan.schedule(seed, calm, self.steps)
     }
 
     fn replica(&mut self) -> usize {
@@ -395,24 +396,8 @@
 /// A schedule in which the count is lost while a tenant surges, and nothing else happens.
 fn surging(seed: u64, plan: Plan) -> Schedule {
     let mut chance = Chance::new(seed.wrapping_mul(7).wrapping_add(3));
-    let Plan {
-        cores,
-        edges,
-        load,
-        bug,
-        ..
-    } = plan;
-    let (mut steps, calm) = crate::count_lost::draw(&mut chance, BEGIN, edges);
-    steps.sort_by_key(|step| step.at);
-    Schedule {
-        seed,
-        cores,
-        edges,
-        load,
-        calm: calm / MS * MS,
-        bug,
-        steps,
-    }
+    let (steps, calm) = crate::count_lost::draw(&mut chance, BEGIN, plan.edges);
+    plan.schedule(seed, calm / MS * MS, steps)
 }
 
 /// The schedule of a seed.
--- a/crates/simulation/src/crossed.rs
+++ b/crates/simulation/src/draw/crossed.rs
@@ -5,9 +5,9 @@
 //! after its second start has the numbers that it had after its first one. Between the crossings operators ask, messages
 //! come late and twice, and processes of the core and of edges are killed and start.
 
+use super::Plan;
 use crate::chance::Chance;
 use crate::cluster::{MS, SECOND};
-use crate::draw::Plan;
 use crate::schedule::{Ask, Schedule, Step, What};
 
 /// The first start is over, and the first call taken.
@@ -116,7 +116,7 @@
 }
 
 /// The schedule of a seed.
-pub fn draw(seed: u64, plan: Plan) -> Schedule {
+pub(super) fn draw(seed: u64, plan: Plan) -> Schedule {
     let chance = Chance::new(seed.wrapping_mul(11).wrapping_add(5));
     let mut draft = Draft {
         chance,
@@ -134,21 +134,5 @@
         draft.between(at, end);
         at = end + SECOND;
     }
-    draft.steps.sort_by_key(|step| step.at);
-    let Plan {
-        cores,
-        edges,
-        load,
-        bug,
-        ..
-    } = plan;
-    Schedule {
-        seed,
-        cores,
-        edges,
-        load,
-        calm: at / MS * MS,
-        bug,
-        steps: draft.steps,
-    }
+    draft.plan.schedule(seed, at / MS * MS, draft.steps)
 }
--- a/crates/simulation/src/draw/many_changes.rs
+++ b/crates/simulation/src/draw/many_changes.rs
@@ -114,21 +114,5 @@
     if draft.plan.edges > 0 {
         draft.edge(BEGIN + SECOND);
     }
-    draft.steps.sort_by_key(|step| step.at);
-    let super::Plan {
-        cores,
-        edges,
-        load,
-        bug,
-        ..
-    } = draft.plan;
-    Schedule {
-        seed,
-        cores,
-        edges,
-        load,
-        calm,
-        bug,
-        steps: draft.steps,
-    }
+    draft.plan.schedule(seed, calm, draft.steps)
 }
--- a/crates/simulation/src/draw/resent.rs
+++ b/crates/simulation/src/draw/resent.rs
@@ -2,7 +2,7 @@
 //! contents under one version, answers lost at 0.7, changes of other items all the time, and after each kind of trouble
 //! repeats of what was taken at every replica.
 
-use super::{BEGIN, Draft, Plan};
+use super::{BEGIN, Draft};
 use crate::cluster::{MS, SECOND};
 use crate::schedule::{Ask, Schedule, What};
 
@@ -37,23 +37,7 @@
     for seconds in [2, 4] {
         draft.repeats(calm + seconds * SECOND);
     }
-    draft.steps.sort_by_key(|step| step.at);
-    let Plan {
-        cores,
-        edges,
-        load,
-        bug,
-        ..
-    } = draft.plan;
-    Schedule {
-        seed,
-        cores,
-        edges,
-        load,
-        calm,
-        bug,
-        steps: draft.steps,
-    }
+    draft.plan.schedule(seed, calm, draft.steps)
 }
 
 impl Draft {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -6,7 +6,6 @@
 pub mod chance;
 pub mod cluster;
 mod count_lost;
-pub mod crossed;
 pub mod disk;
 pub mod draw;
 pub mod edges;
