--- /dev/null
+++ b/crates/control/tests/roles.rs
@@ -0,0 +1,215 @@
+//! Singleton roles and restarts of all replicas: timelines of six replicas, one column each, two to a region.
+
+mod common;
+
+use control::core::Input;
+use control::core::ids::SingletonRole;
+use control::operator_api::{Command, Reply};
+use protocol::messages::{AgentMessage, ControlMessage};
+use simulation::cluster::{Cluster, MS, SECOND, assert_timeline, service};
+
+use common::{ALL, edge, started};
+
+#[test]
+fn brief_zone_loss_keeps_one_lease_holder_and_acknowledged_items() {
+    let mut cluster = started(17);
+    assert_eq!(cluster.ask(3, service("s", 7, 1)), Some(Reply::Done));
+    // The owner of the counter loses power, and is back before its grants have expired by the
+    // others' clocks.
+    cluster.power(3);
+    let mut lines = vec![cluster.line(&["s"])];
+    assert_eq!(cluster.ask(0, service("s", 8, 2)), Some(Reply::Done));
+    cluster.run_to(4_700 * MS);
+    cluster.start(3);
+    lines.push(cluster.line(&["s"]));
+    cluster.run(900 * MS);
+    lines.push(cluster.line(&["s"]));
+    assert_timeline(
+        &lines,
+        "       a   b   c   d   e   f
+        3.2s  oP_ o_  o_  .   o_  o_
+        4.7s  oP8 o8  o8  -_  o8  o8
+        5.6s  oP8 o8  o8  o8  oC8 o8",
+    );
+    assert!(cluster.faults.is_empty(), "{:?}", cluster.faults);
+}
+
+#[test]
+fn full_restart_keeps_acknowledged_items() {
+    let mut cluster = started(5);
+    assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
+    assert_eq!(
+        cluster.ask(
+            1,
+            Command::SetEvacuation {
+                zone: "c".into(),
+                evacuate: true
+            }
+        ),
+        Some(Reply::Done)
+    );
+    let terms = cluster.terms.clone();
+    ALL.iter().for_each(|at| cluster.kill(*at));
+    let mut lines = vec![cluster.line(&["s", "c"])];
+    cluster.run(500 * MS);
+    ALL.iter().for_each(|at| cluster.start(*at));
+    cluster.run(SECOND);
+    lines.push(cluster.line(&["s", "c"]));
+    cluster.run(2 * SECOND);
+    lines.push(cluster.line(&["s", "c"]));
+    assert_timeline(
+        &lines,
+        "       a    b    c    d    e    f
+        3.5s   .    .    .    .    .    .
+        5.0s   o71  o71  o71  oC71 o71  o71
+        7.0s   oP71 o71  o71  oC71 o71  o71",
+    );
+    // The terms of the roles keep increasing.
+    for duty in SingletonRole::ALL {
+        let before = terms
+            .keys()
+            .filter(|(of, _)| *of == duty)
+            .map(|(_, term)| *term)
+            .max();
+        assert!(Some(cluster.holders(duty)[0].1) > before, "{duty:?}");
+    }
+}
+
+/// Until there is a counter, proxies keep tenants to their local shares. After all were killed, the
+/// replica that owned the counter takes it over again at once, as nobody else can hold a grant of
+/// those that voted for it. A later one finds the role taken.
+#[test]
+fn former_counter_resumes_after_a_full_restart() {
+    let mut cluster = started(5);
+    let before = cluster.holders(SingletonRole::Counter)[0];
+    ALL.iter().for_each(|at| cluster.power(*at));
+    let mut lines = vec![cluster.line(&[])];
+    cluster.run(500 * MS);
+    ALL.iter().for_each(|at| cluster.start(*at));
+    cluster.run(700 * MS);
+    lines.push(cluster.line(&[]));
+    // It ends once more, alone, and is back while the others' grants to it are valid.
+    cluster.run(SECOND);
+    cluster.kill(before.0);
+    cluster.run(300 * MS);
+    cluster.start(before.0);
+    cluster.run(800 * MS);
+    lines.push(cluster.line(&[]));
+    cluster.power(before.0);
+    cluster.run(2_400 * MS);
+    lines.push(cluster.line(&[]));
+    assert_timeline(
+        &lines,
+        "     a   b   c   d   e   f
+        3.0s  .   .   .   .   .   .
+        4.2s  o   o   o   oC  o   o
+        6.3s  oP  o   o   oC  o   o
+        8.7s  oP  o   o   .   oC  o",
+    );
+    let after = cluster.holders(SingletonRole::Counter)[0];
+    assert!(
+        after.0 != before.0 && after.1 > before.1 + 1,
+        "{before:?} {after:?}"
+    );
+    assert!(cluster.faults.is_empty(), "{:?}", cluster.faults);
+}
+
+/// Proxies that have lost power serve nothing until they know servers: a replica reads the list as
+/// it starts.
+#[test]
+fn server_list_is_read_before_any_lease_after_a_full_restart() {
+    let mut cluster = started(5);
+    let polls = |cluster: &Cluster, at: usize| {
+        cluster.nodes[at]
+            .core
+            .as_ref()
+            .is_some_and(|core| core.polls_platform(cluster.now))
+    };
+    ALL.iter().for_each(|at| cluster.kill(*at));
+    ALL.iter().for_each(|at| cluster.start(*at));
+    cluster.feed(2, Input::Agent(1, AgentMessage::Hello(edge("e1", "c"))));
+    // Two of six, so that many replicas keep to the platform's rate limit.
+    assert_eq!(ALL.iter().filter(|at| polls(&cluster, **at)).count(), 2);
+    cluster.run(500 * MS);
+    assert!(cluster.holders(SingletonRole::PlatformPoller).is_empty());
+    cluster.feed(0, Input::ServerListRead(vec![]));
+    cluster.run(100 * MS);
+    let told = |cluster: &Cluster| {
+        let told = cluster.nodes[2].told.iter().rev();
+        told.into_iter().find_map(|(_, down)| {
+            if let ControlMessage::Servers { version, .. } = down {
+                Some(*version)
+            } else {
+                None
+            }
+        })
+    };
+    assert_eq!(told(&cluster), Some((0, 1)));
+    assert!(
+        ALL.iter().all(|at| !polls(&cluster, *at)),
+        "a list is known"
+    );
+    // Any list of a poller supersedes it.
+    cluster.run(2 * SECOND);
+    let (holder, term) = cluster.holders(SingletonRole::PlatformPoller)[0];
+    let one = protocol::platform::Server {
+        id: "i".into(),
+        svc: "s".into(),
+        addr: "10.9.0.1:80".parse().unwrap(),
+        zone: "a".into(),
+        slots: 2,
+        accepts_requests: true,
+        warm_up_left: 0,
+    };
+    cluster.feed(holder, Input::ServerListRead(vec![one]));
+    cluster.run(100 * MS);
+    assert_eq!(told(&cluster), Some((term, 1)));
+}
+
+#[test]
+fn role_moves_at_once_after_shutdown_and_soon_after_a_kill() {
+    let mut cluster = started(9);
+    let mut lines = vec![cluster.line(&[])];
+    cluster.feed(3, Input::Shutdown);
+    lines.push(cluster.line(&[]));
+    cluster.run(600 * MS);
+    lines.push(cluster.line(&[]));
+    cluster.kill(0);
+    cluster.run(1_200 * MS);
+    lines.push(cluster.line(&[]));
+    cluster.run(1_200 * MS);
+    lines.push(cluster.line(&[]));
+    assert_timeline(
+        &lines,
+        "      a   b   c   d   e   f
+        3.0s  oP  o   o   oC  o   o
+        3.0s  oP  o   o   o   o   o
+        3.6s  oP  o   o   o   oC  o
+        4.8s  .   o   o   o   oC  o
+        6.0s  .   oP  o   o   oC  o",
+    );
+}
+
+#[test]
+fn server_list_reaches_all_replicas() {
+    let mut cluster = started(11);
+    cluster.feed(5, Input::Agent(1, AgentMessage::Hello(edge("e1", "f"))));
+    cluster.cut(&[5], &[0, 1, 2, 3, 4]);
+    cluster.feed(0, Input::ServerListRead(vec![]));
+    // A replica without the role has no say.
+    cluster.feed(1, Input::ServerListRead(vec![]));
+    cluster.run(1_500 * MS);
+    let heard = |cluster: &Cluster| {
+        let told = cluster.nodes[5].told.iter();
+        told.filter_map(|(_, down)| match down {
+            ControlMessage::Servers { version, .. } => Some(*version),
+            _ => None,
+        })
+        .collect::<Vec<_>>()
+    };
+    assert!(heard(&cluster).is_empty());
+    cluster.heal();
+    cluster.run(SECOND);
+    let term = cluster.holders(SingletonRole::PlatformPoller)[0].1;
+    assert_eq!(heard(&cluster), [(term, 1)]);
+}
