--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -9,8 +9,8 @@
 use std::fmt;
 
 use streamarch::{
-    Action, AttemptEnd, Balancer, CounterName, CustomerId, Event, ListKind, LoadReport, Micros,
-    Outcome, OverNotice, Plan, Request, RequestId, ServerEntry, ServerId, Settings,
+    Action, AttemptEnd, Balancer, CounterKey, CustomerId, Event, ListKind, LoadReport, Micros,
+    Outcome, OverQuotaNotice, Plan, Request, RequestId, ServerEntry, ServerId, Settings,
 };
 
 use crate::plan_resolver::{PlanResolver, ResolvedPlan};
@@ -93,7 +93,7 @@
     /// Add to a counter; report with [`Engine::handle_counter_result`].
     AddToCounter {
         /// The counter.
-        name: CounterName,
+        name: CounterKey,
         /// The amount.
         add: f64,
         /// Lifetime of the counter if the call creates it.
@@ -102,7 +102,7 @@
     /// Check a server's health; report with [`Engine::handle_probe_result`].
     Probe(ServerId),
     /// Send a notice to the limiter of this number.
-    Notify(u32, OverNotice),
+    Notify(u32, OverQuotaNotice),
     /// Write a line to the log.
     Log(String),
 }
@@ -242,7 +242,7 @@
             judging.resolve(now, authorisation.customer, authorisation.plan, &mut new)
         };
         let judged = self.plan_resolver.as_mut().map(judge);
-        self.events.extend(new.into_iter().map(Event::Plan));
+        self.events.extend(new.into_iter().map(Event::PlanAdded));
         authorisation.plan = judged
             .as_ref()
             .map_or(authorisation.plan, |judged| judged.position);
@@ -293,7 +293,7 @@
         held.done |= answers;
         held.may_have_run |= !matches!(
             outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
         let finished = held.done;
         if finished {
@@ -340,14 +340,14 @@
         engine_actions: &mut Vec<EngineAction>,
     ) {
         if self.finish_request(key, true) {
-            self.events.push(Event::ClientLeft(id(key)));
+            self.events.push(Event::ClientDisconnected(id(key)));
             self.stop_attempt(now, key, engine_actions);
         }
     }
 
     /// Handles the result of a counter call.
-    pub fn handle_counter_result(&mut self, name: CounterName, outcome: Outcome, total: f64) {
-        self.events.push(Event::Counted {
+    pub fn handle_counter_result(&mut self, name: CounterKey, outcome: Outcome, total: f64) {
+        self.events.push(Event::CounterAnswered {
             name,
             outcome,
             total,
@@ -356,12 +356,12 @@
 
     /// Handles the result of a counter call that had timed out.
     pub fn handle_late_counter_result(&mut self) {
-        self.events.push(Event::CounterLate);
+        self.events.push(Event::LateCounterAnswer);
     }
 
     /// Another counter has taken over, and starts empty.
     pub fn handle_counter_replaced(&mut self) {
-        self.events.push(Event::CounterNew);
+        self.events.push(Event::CounterReplaced);
     }
 
     /// Handles the result of a health check.
@@ -384,13 +384,13 @@
     }
 
     /// Handles a notice from another limiter.
-    pub fn handle_notice(&mut self, notice: OverNotice) {
-        self.events.push(Event::Told(notice));
+    pub fn handle_notice(&mut self, notice: OverQuotaNotice) {
+        self.events.push(Event::NoticeReceived(notice));
     }
 
     /// Adds a plan, at the next position in the module.
     pub fn add_plan(&mut self, plan: Plan) {
-        self.events.push(Event::Plan(plan));
+        self.events.push(Event::PlanAdded(plan));
     }
 
     /// When [`Engine::run`] has something to do next; the module runs at most once in its period.
@@ -465,20 +465,20 @@
                     self.handle_attempt_ended(now, key, attempt, Outcome::Cancelled, None);
                 }
             }
-            Action::Count { name, add, expires } => {
+            Action::AddToCounter { name, add, expires } => {
                 engine_actions.push(EngineAction::AddToCounter {
                     name,
                     add,
                     life: expires,
                 })
             }
-            Action::Tell(limiter, notice) => {
+            Action::NotifyGateway(limiter, notice) => {
                 engine_actions.push(EngineAction::Notify(limiter, notice))
             }
             Action::Probe(server) => engine_actions.push(EngineAction::Probe(server)),
             // The host watches the server list from its start, whether the module asks for it or
             // not.
-            Action::WatchList => {}
+            Action::WatchServerList => {}
             Action::WakeAt(at) => self.wake_at = Some(self.wake_at.map_or(at, |w| w.min(at))),
             Action::Log(text) => engine_actions.push(EngineAction::Log(text)),
         }
@@ -504,7 +504,7 @@
                 request: id(key),
                 attempt,
                 server,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 took: 0,
                 finished: held.done,
                 actual_units: None,
@@ -525,7 +525,7 @@
         // A token that expires between attempt and retry: the request is not sent again.
         if expired {
             let may_have_run = held.may_have_run;
-            self.handle_attempt_ended(now, key, attempt, Outcome::Moot, None);
+            self.handle_attempt_ended(now, key, attempt, Outcome::NotSent, None);
             return self.reject(
                 now,
                 key,
@@ -534,7 +534,7 @@
             );
         }
         if attempt >= self.max_attempts || held.is_body_sent || held.authorisation.deadline <= now {
-            self.handle_attempt_ended(now, key, attempt, Outcome::Moot, None);
+            self.handle_attempt_ended(now, key, attempt, Outcome::NotSent, None);
             return;
         }
         let given = if timeout == 0 {
--- a/crates/dataplane/src/probes.rs
+++ b/crates/dataplane/src/probes.rs
@@ -14,7 +14,7 @@
 pub fn outcome(answer: &Response) -> Outcome {
     match answer.status {
         200 => Outcome::Ok,
-        503 => Outcome::Full,
+        503 => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
--- a/crates/dataplane/src/upstreams.rs
+++ b/crates/dataplane/src/upstreams.rs
@@ -89,7 +89,7 @@
 pub fn response_outcome(answer: &Response) -> Outcome {
     match answer.status {
         200 => Outcome::Ok,
-        503 | 504 if answer.headers.get("X-Never-Ran") == Some("1") => Outcome::Full,
+        503 | 504 if answer.headers.get("X-Never-Ran") == Some("1") => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
--- a/crates/limiter/src/config/file.rs
+++ b/crates/limiter/src/config/file.rs
@@ -5,7 +5,9 @@
 use config_check::Fault;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
-use streamarch::{Class, FirstBound, Group, Micros, Plan, Repeat, RetryBudget, Settings};
+use streamarch::{
+    Class, DedupScope, Idempotency, InitialConcurrency, Micros, Plan, RetryBudget, Settings,
+};
 
 use crate::config::ConfigError;
 use crate::limits::Limits;
@@ -206,20 +208,20 @@
 }
 
 impl Lane {
-    fn repeat(&self) -> Result<Repeat, Fault> {
+    fn repeat(&self) -> Result<Idempotency, Fault> {
         let group = match self.group.as_deref() {
-            Some("zone") => Group::Zone,
-            Some("cell") => Group::Cell,
-            Some("all") | None => Group::All,
+            Some("zone") => DedupScope::Zone,
+            Some("cell") => DedupScope::Cell,
+            Some("all") | None => DedupScope::All,
             Some(other) => return Err(Fault::at("Group", format!("unknown group '{other}'"))),
         };
         match self.semantics.as_deref() {
-            Some("retryable") => Ok(Repeat::Safe),
-            Some("dedup") => Ok(Repeat::Keyed {
-                group,
+            Some("retryable") => Ok(Idempotency::Idempotent),
+            Some("dedup") => Ok(Idempotency::Keyed {
+                scope: group,
                 window: self.repeat_window_us.micros(),
             }),
-            Some("fragile") => Ok(Repeat::Unsafe),
+            Some("fragile") => Ok(Idempotency::NotIdempotent),
             Some(other) => Err(Fault::at(
                 "Semantics",
                 format!("unknown semantics '{other}'"),
@@ -235,7 +237,7 @@
             late_worth: self.late_value.0,
             worth: self.value.0,
             // Checked before; what could not be read is never repeated.
-            repeat: self.repeat().unwrap_or(Repeat::Unsafe),
+            repeat: self.repeat().unwrap_or(Idempotency::NotIdempotent),
             stream: self.stream.0,
         }
     }
@@ -335,7 +337,7 @@
             second_copies: allow.second_copies.0,
             max_attempts: allow.max_attempts.0,
             retries: RetryBudget::default(),
-            first_bound: FirstBound::default(),
+            first_bound: InitialConcurrency::default(),
             retry_after: allow.retry_after.0,
             may_tell: allow.peer_messages.0,
             max_retry_after: allow.max_retry_after_us.micros(),
--- a/crates/limiter/src/config/fronts.rs
+++ b/crates/limiter/src/config/fronts.rs
@@ -4,7 +4,7 @@
 
 use config_check::Fault;
 use serde::Deserialize;
-use streamarch::{Class, Micros, Plan, Repeat, Settings};
+use streamarch::{Class, Idempotency, Micros, Plan, Settings};
 
 use crate::config::{Config, ConfigError, Names, need, own};
 use crate::front::introspection::{Asking, Caller};
@@ -127,7 +127,7 @@
             deadline: wait,
             late_worth: 0.0,
             worth: 1.0,
-            repeat: Repeat::Safe,
+            repeat: Idempotency::Idempotent,
             stream: false,
         }];
         settings.plans.push(Plan {
--- a/crates/limiter/src/counter.rs
+++ b/crates/limiter/src/counter.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::io::Write;
 
-use streamarch::{CounterName, Micros, Outcome};
+use streamarch::{CounterKey, Micros, Outcome};
 
 use crate::net::framing::Response;
 use crate::slots::ConnectionKey;
@@ -14,7 +14,7 @@
 struct Call {
     /// Which of the host's engines asked.
     asker: usize,
-    name: CounterName,
+    name: CounterKey,
     add: f64,
     life: Micros,
     deadline: Micros,
@@ -30,7 +30,7 @@
     /// Which of the host's engines asked.
     pub asker: usize,
     /// The number.
-    pub name: CounterName,
+    pub name: CounterKey,
     /// How the call ended.
     pub outcome: Outcome,
     /// The total, where it succeeded.
@@ -101,7 +101,7 @@
     pub fn call(
         &mut self,
         asker: usize,
-        name: CounterName,
+        name: CounterKey,
         add: f64,
         life: Micros,
         deadline: Micros,
@@ -190,7 +190,7 @@
             (200, Some(total)) => (Outcome::Ok, total),
             // It was added, but what the total is remains unknown.
             (200, None) => (Outcome::TimedOut, 0.0),
-            (503, _) => (Outcome::Full, 0.0),
+            (503, _) => (Outcome::Rejected, 0.0),
             _ => (Outcome::Error, 0.0),
         };
         Heard::Counted(Counted {
--- a/crates/limiter/src/front/platform.rs
+++ b/crates/limiter/src/front/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's protocol: thin. A request's headers become an authorisation, an ending becomes a status.
 
-use streamarch::{Class, CustomerId, Micros, Repeat};
+use streamarch::{Class, CustomerId, Idempotency, Micros};
 
 use crate::config::Names;
 use crate::engine::{Authorisation, EngineRejection};
@@ -77,11 +77,11 @@
         let safe = self
             .classes
             .get(class)
-            .is_some_and(|c| c.repeat == Repeat::Safe);
+            .is_some_and(|c| c.repeat == Idempotency::Idempotent);
         let keyed = self
             .classes
             .get(class)
-            .is_some_and(|c| matches!(c.repeat, Repeat::Keyed { .. }));
+            .is_some_and(|c| matches!(c.repeat, Idempotency::Keyed { .. }));
         if request.method != if safe { "GET" } else { "POST" } {
             return Err(reject(400, "the class has another method"));
         }
--- a/crates/limiter/src/net/host/tokens.rs
+++ b/crates/limiter/src/net/host/tokens.rs
@@ -246,7 +246,7 @@
     pub(super) fn judged(&self, now: Micros, answer: &Response) -> Outcome {
         match introspection::judge(answer, &self.platform.names.plans, now) {
             Ok(_) => Outcome::Ok,
-            Err(_) if matches!(answer.status, 429 | 503) => Outcome::Full,
+            Err(_) if matches!(answer.status, 429 | 503) => Outcome::Rejected,
             Err(lie) => {
                 self.warn(&format!("{lie} (status {})", answer.status));
                 Outcome::Error
--- a/crates/limiter/src/peers.rs
+++ b/crates/limiter/src/peers.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use streamarch::{CustomerId, Micros, OverNotice};
+use streamarch::{CustomerId, Micros, OverQuotaNotice};
 
 /// The limiters of the tier by their numbers, and how much has come that none of them can have meant.
 #[derive(Debug)]
@@ -34,7 +34,12 @@
 
     /// Reads a datagram. Guards the verdicts against whoever else can reach the port: a notice keeps a customer out at
     /// this limiter for seconds. What is refused is counted.
-    pub fn read(&mut self, from: SocketAddr, bytes: &[u8], plans: usize) -> Option<OverNotice> {
+    pub fn read(
+        &mut self,
+        from: SocketAddr,
+        bytes: &[u8],
+        plans: usize,
+    ) -> Option<OverQuotaNotice> {
         let notice = decode(bytes, plans).filter(|_| self.addresses.contains(&from));
         self.refused += u64::from(notice.is_none());
         notice
@@ -51,7 +56,7 @@
 }
 
 /// A notice as bytes: two of plan, eight of customer.
-pub fn encode(notice: &OverNotice) -> Option<[u8; 10]> {
+pub fn encode(notice: &OverQuotaNotice) -> Option<[u8; 10]> {
     let plan = u16::try_from(notice.plan).ok()?;
     let mut bytes = [0; 10];
     bytes[..2].copy_from_slice(&plan.to_be_bytes());
@@ -60,11 +65,11 @@
 }
 
 /// Reads a notice; a datagram of another form, or that names a plan there is not, is none.
-pub fn decode(bytes: &[u8], plans: usize) -> Option<OverNotice> {
+pub fn decode(bytes: &[u8], plans: usize) -> Option<OverQuotaNotice> {
     let (plan, customer) = bytes.split_first_chunk::<2>()?;
     let customer = u64::from_be_bytes(customer.try_into().ok()?);
     let plan = usize::from(u16::from_be_bytes(*plan));
-    (plan < plans).then_some(OverNotice {
+    (plan < plans).then_some(OverQuotaNotice {
         plan,
         customer: CustomerId(customer),
     })
--- a/crates/limiter/src/peers/tests.rs
+++ b/crates/limiter/src/peers/tests.rs
@@ -4,7 +4,7 @@
 fn only_limiters_of_the_tier_are_believed_and_the_rest_is_told_now_and_then() {
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     let mut peers = Peers::new(vec![at(1), at(2)]);
-    let bytes = encode(&OverNotice {
+    let bytes = encode(&OverQuotaNotice {
         customer: CustomerId(7),
         plan: 0,
     })
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_notice_survives_the_wire_and_odd_datagrams_are_none() {
-    let notice = OverNotice {
+    let notice = OverQuotaNotice {
         customer: CustomerId(0x1_2345_6789),
         plan: 2,
     };
--- a/crates/limiter/src/routing_table.rs
+++ b/crates/limiter/src/routing_table.rs
@@ -160,7 +160,7 @@
         }
         for (name, address, mut entry) in read {
             let known = self.listed.get(&name).map(|known| known.entry.server);
-            if entry.state == ServerState::Gone {
+            if entry.state == ServerState::Removed {
                 // An end that nobody knew the start of says nothing.
                 if let Some(server) = known {
                     entry.server = server;
@@ -257,11 +257,11 @@
         let state = match line["status"].as_str() {
             Some("Ready") => ServerState::Ready,
             Some("Terminating") => ServerState::Draining,
-            Some("Gone") => ServerState::Gone,
+            Some("Gone") => ServerState::Removed,
             _ => return Err(BadLine("status")),
         };
         let address = line["address"].as_str().and_then(|a| a.parse().ok());
-        if address.is_none() && state != ServerState::Gone {
+        if address.is_none() && state != ServerState::Removed {
             return Err(BadLine("address"));
         }
         let entry = ServerEntry {
--- a/crates/limiter/tests/judging.rs
+++ b/crates/limiter/tests/judging.rs
@@ -7,8 +7,8 @@
 use limiter::slots::AuthorisationKey;
 use plans::change::Change;
 use streamarch::{
-    Class, CounterName, CustomerId, ListKind, Micros, Outcome, Plan, Repeat, ServerEntry, ServerId,
-    ServerState, Settings,
+    Class, CounterKey, CustomerId, Idempotency, ListKind, Micros, Outcome, Plan, ServerEntry,
+    ServerId, ServerState, Settings,
 };
 
 const SECOND: Micros = 1_000_000;
@@ -20,7 +20,7 @@
         deadline: 4 * SECOND,
         late_worth: 0.0,
         worth: 1.0,
-        repeat: Repeat::Safe,
+        repeat: Idempotency::Idempotent,
         stream: false,
     };
     let plan = |rate, burst| Plan {
@@ -47,10 +47,10 @@
 /// Limiters with a book each, and one counter that answers at once, or when it is told to.
 struct Tier {
     engines: Vec<Engine>,
-    totals: BTreeMap<CounterName, f64>,
+    totals: BTreeMap<CounterKey, f64>,
     now: Micros,
     silent: bool,
-    owed: Vec<(usize, CounterName)>,
+    owed: Vec<(usize, CounterKey)>,
 }
 
 impl Tier {
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -12,8 +12,8 @@
 use limiter::upstreams::{Pool, UpstreamPurpose, UpstreamState};
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 use streamarch::{
-    Class, CounterName, CustomerId, Group, ListKind, Outcome, Plan, Repeat, ServerEntry, ServerId,
-    ServerState, Settings,
+    Class, CounterKey, CustomerId, DedupScope, Idempotency, ListKind, Outcome, Plan, ServerEntry,
+    ServerId, ServerState, Settings,
 };
 
 /// Runs a property on the same random steps each time.
@@ -86,7 +86,7 @@
             let mut expected = Vec::new();
             match kind % 7 {
                 0 => {
-                    line.call(0, CounterName(next), 1.0, 1_000, now + 30);
+                    line.call(0, CounterKey(next), 1.0, 1_000, now + 30);
                     unsent.push_back((next, now + 30));
                     next += 1;
                 }
@@ -120,7 +120,8 @@
                     let mut bytes = Vec::new();
                     framing::write_response(&mut bytes, status, &[], b"7.5", false);
                     let (answer, _) = framing::response(&bytes, false, &limits).unwrap().unwrap();
-                    let outcome = [Outcome::Ok, Outcome::Full, Outcome::Error][usize::from(by) % 3];
+                    let outcome =
+                        [Outcome::Ok, Outcome::Rejected, Outcome::Error][usize::from(by) % 3];
                     match (line.answered(now, &answer), sent.pop_front()) {
                         (Heard::Counted(one), Some((name, _, false))) => {
                             got.push(one);
@@ -189,7 +190,7 @@
     let (mut line, mut out, mut counted) = (Line::default(), Vec::new(), Vec::new());
     line.connected(0);
     for now in (0..=200).step_by(10) {
-        line.call(0, CounterName(1), 1.0, 1_000, now + 30);
+        line.call(0, CounterKey(1), 1.0, 1_000, now + 30);
         line.write(now, "counter", &mut out);
         line.expire(now, &mut counted);
         if now == 50 {
@@ -345,13 +346,17 @@
         repeat,
         stream: false,
     };
-    let keyed = Repeat::Keyed {
-        group: Group::Cell,
+    let keyed = Idempotency::Keyed {
+        scope: DedupScope::Cell,
         window: 800_000,
     };
     Settings {
         gateways: 1,
-        classes: vec![class(Repeat::Safe), class(keyed), class(Repeat::Unsafe)],
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(keyed),
+            class(Idempotency::NotIdempotent),
+        ],
         plans: vec![Plan {
             rate: 20.0,
             burst: 20.0,
@@ -438,7 +443,7 @@
                     let outcome = [
                         Outcome::Ok,
                         Outcome::Error,
-                        Outcome::Full,
+                        Outcome::Rejected,
                         Outcome::TimedOut,
                         Outcome::Reset,
                         Outcome::ConnectFailed,
@@ -451,7 +456,7 @@
                     }
                     if seen.out.take().is_some() {
                         seen.may_have_run |=
-                            !matches!(outcome, Outcome::Full | Outcome::ConnectFailed);
+                            !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
                     }
                     seen.ended |= answers;
                 }
--- a/crates/load/src/fleet/mod.rs
+++ b/crates/load/src/fleet/mod.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 use streamarch::{
-    Action, AttemptEnd, Balancer, Class, CustomerId, Event, ListKind, Outcome, Plan, Repeat,
+    Action, AttemptEnd, Balancer, Class, CustomerId, Event, Idempotency, ListKind, Outcome, Plan,
     Request, RequestId, ServerEntry, ServerId, ServerState, Settings,
 };
 
@@ -304,7 +304,7 @@
     };
     Settings {
         gateways: gateways as u32,
-        classes: vec![class(1.0, 1_500 * MS, Repeat::Safe)],
+        classes: vec![class(1.0, 1_500 * MS, Idempotency::Idempotent)],
         plans: vec![
             plan(1.2, 8.0, 0.8, 0.0),
             plan(2.9, 16.0, 1.3, 0.6),
@@ -556,7 +556,7 @@
         }
         self.totals.unrun += u64::from(matches!(
             end.outcome,
-            Outcome::Full | Outcome::ConnectFailed
+            Outcome::Rejected | Outcome::ConnectFailed
         ));
         if end.outcome == Outcome::Ok {
             self.idle
@@ -604,23 +604,23 @@
                 self.stop(gateway, request, true);
             }
             Action::Cancel { request, .. } => self.stop(gateway, request, false),
-            Action::Count { name, add, .. } => {
+            Action::AddToCounter { name, add, .. } => {
                 self.totals.calls += 1;
                 let (wait, outcome, total) = self.counter.add(self.now, name, add);
                 self.later(
                     wait,
                     gateway,
-                    Event::Counted {
+                    Event::CounterAnswered {
                         name,
                         outcome,
                         total,
                     },
                 );
             }
-            Action::Tell(to, notice) => {
+            Action::NotifyGateway(to, notice) => {
                 self.totals.messages += 1;
                 self.taken_in[to as usize] += 1;
-                self.later(MESSAGE, to as usize, Event::Told(notice));
+                self.later(MESSAGE, to as usize, Event::NoticeReceived(notice));
             }
             Action::Probe(server) => {
                 self.totals.probes += 1;
@@ -642,7 +642,7 @@
                 );
             }
             Action::WakeAt(at) => self.later((at - self.now).max(0), gateway, Event::Timer),
-            Action::WatchList | Action::Log(_) => {}
+            Action::WatchServerList | Action::Log(_) => {}
         }
     }
 
@@ -719,7 +719,7 @@
         } else {
             match node.take(now, &self.settings) {
                 Some(ready) => (ready - now, Outcome::Ok, true),
-                None => (MS, Outcome::Full, false),
+                None => (MS, Outcome::Rejected, false),
             }
         };
         self.end(gateway, request, leg, how);
--- a/crates/load/src/fleet/world.rs
+++ b/crates/load/src/fleet/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use streamarch::{CounterName, Outcome, Plan, Settings};
+use streamarch::{CounterKey, Outcome, Plan, Settings};
 
 use crate::Micros;
 
@@ -86,7 +86,7 @@
     call: Micros,
     line: Micros,
     free: Micros,
-    totals: BTreeMap<CounterName, f64>,
+    totals: BTreeMap<CounterKey, f64>,
 }
 
 impl Counter {
@@ -101,10 +101,10 @@
     }
 
     /// A call: how long its answer takes, and what it says.
-    pub fn add(&mut self, now: Micros, name: CounterName, add: f64) -> (Micros, Outcome, f64) {
+    pub fn add(&mut self, now: Micros, name: CounterKey, add: f64) -> (Micros, Outcome, f64) {
         let waits = (self.free - now).max(0);
         if waits > self.line {
-            return (self.call, Outcome::Full, 0.0);
+            return (self.call, Outcome::Rejected, 0.0);
         }
         self.free = now + waits + self.call;
         let total = self.totals.entry(name).or_default();
--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -16,7 +16,7 @@
 use limiter::engine::{Authorisation, Engine, EngineAction, EngineRejection};
 use limiter::slots::AuthorisationKey;
 use streamarch::{
-    CounterName, ListKind, Micros, Outcome, ServerEntry, ServerId, ServerState, Settings,
+    CounterKey, ListKind, Micros, Outcome, ServerEntry, ServerId, ServerState, Settings,
 };
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
@@ -31,7 +31,7 @@
     /// Adds to a number and gives the total; a new name lives for `life`. `None`: no answer, perhaps added.
     fn add(
         &self,
-        name: CounterName,
+        name: CounterKey,
         add: f64,
         life: Duration,
     ) -> impl Future<Output = Option<f64>> + Send;
@@ -42,7 +42,7 @@
 pub struct LocalCounter(Mutex<BTreeMap<u64, (f64, Instant)>>);
 
 impl Counter for LocalCounter {
-    async fn add(&self, name: CounterName, add: f64, life: Duration) -> Option<f64> {
+    async fn add(&self, name: CounterKey, add: f64, life: Duration) -> Option<f64> {
         let now = Instant::now();
         let mut totals = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         // Bounds the memory: what has ended its life goes.
--- a/crates/middleware/tests/axum.rs
+++ b/crates/middleware/tests/axum.rs
@@ -9,7 +9,7 @@
 use axum::http::{Request, StatusCode};
 use axum::routing::get;
 use limiter::engine::Authorisation;
-use streamarch::{Class, CounterName, CustomerId, Plan, Repeat, Settings};
+use streamarch::{Class, CounterKey, CustomerId, Idempotency, Plan, Settings};
 use streamarch_middleware::{Counter, Gate, LocalCounter};
 use tower::ServiceExt;
 
@@ -19,7 +19,7 @@
         deadline: 1_000_000,
         late_worth: 0.0,
         worth: 1.0,
-        repeat: Repeat::Safe,
+        repeat: Idempotency::Idempotent,
         stream: false,
     };
     Settings {
@@ -170,7 +170,7 @@
 struct Silent;
 
 impl Counter for Silent {
-    async fn add(&self, _: CounterName, _: f64, _: Duration) -> Option<f64> {
+    async fn add(&self, _: CounterKey, _: f64, _: Duration) -> Option<f64> {
         std::future::pending().await
     }
 }
--- a/crates/proxy/src/answers.rs
+++ b/crates/proxy/src/answers.rs
@@ -27,7 +27,7 @@
         match self {
             ResponseClass::Final => Some(Outcome::Ok),
             ResponseClass::Failure => Some(Outcome::Error),
-            ResponseClass::NotRun | ResponseClass::WrongServer => Some(Outcome::Full),
+            ResponseClass::NotRun | ResponseClass::WrongServer => Some(Outcome::Rejected),
             ResponseClass::Malformed => Some(Outcome::Reset),
             ResponseClass::OtherRequest => None,
         }
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -72,7 +72,7 @@
         let acquired = if self.may_attempt(key) {
             self.acquire_connection(now, server, purpose)
         } else {
-            Err(Outcome::Moot)
+            Err(Outcome::NotSent)
         };
         match acquired {
             Ok(connection) => {
@@ -473,7 +473,7 @@
                 let same = head.is_some_and(|head| head.headers.get("X-Instance-Id") == own);
                 let outcome = match head.map(|head| head.status) {
                     Some(200) if same => Outcome::Ok,
-                    Some(503) => Outcome::Full,
+                    Some(503) => Outcome::Rejected,
                     _ => Outcome::Error,
                 };
                 self.router.handle_probe_result(engine, server, outcome);
@@ -497,7 +497,7 @@
             return;
         };
         if let Some(request) = self.requests.get_mut(key) {
-            request.may_have_run |= !matches!(outcome, Outcome::Full);
+            request.may_have_run |= !matches!(outcome, Outcome::Rejected);
             if class == ResponseClass::Failure {
                 request.failure = answer.clone();
             }
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -16,7 +16,7 @@
 use protocol::messages::CounterAdd;
 use protocol::settings::Bounds;
 use slotmap::SecondaryMap;
-use streamarch::{CounterName, Micros, Outcome, ServerId, Settings};
+use streamarch::{CounterKey, Micros, Outcome, ServerId, Settings};
 
 use self::placement_engine::{LATENCY_TARGETS, class_of};
 use self::quota_engine::{ISOLATION_FACTOR, MAX_COUNTING_LIMITERS, customer_id, quota_engine};
@@ -431,7 +431,7 @@
         let Some(request) = service.requests.get(handle.key).copied() else {
             service
                 .engine
-                .handle_attempt_ended(now, handle.key, attempt, Outcome::Moot, None);
+                .handle_attempt_ended(now, handle.key, attempt, Outcome::NotSent, None);
             return None;
         };
         Some(RouterAction::Send {
@@ -571,7 +571,7 @@
         self.quota_shares.handle_call_result(outcome == Outcome::Ok);
         self.engines[QUOTA_ENGINE]
             .engine
-            .handle_counter_result(CounterName(name), outcome, total);
+            .handle_counter_result(CounterKey(name), outcome, total);
     }
 
     /// The counter answered a call that had timed out: it has counted what it was told, and is not
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -3,7 +3,7 @@
 use dataplane::engine::{Authorisation, Engine};
 use protocol::items::{Idempotency as Kind, Route};
 use protocol::settings::Bounds;
-use streamarch::{Class, ListKind, Micros, Plan, Repeat, RetryBudget, ServerEntry, Settings};
+use streamarch::{Class, Idempotency, ListKind, Micros, Plan, RetryBudget, ServerEntry, Settings};
 
 use super::{
     MAX_REQUESTS_PER_ENGINE, MS, PendingPlacement, RequestHandle, RequestKey, RequestRouter,
@@ -41,7 +41,7 @@
 }
 
 fn classes() -> Vec<Class> {
-    let class = |repeat: Repeat, worth: f64, aim: Micros| Class {
+    let class = |repeat: Idempotency, worth: f64, aim: Micros| Class {
         aim,
         deadline: 10 * aim,
         late_worth: 0.1,
@@ -49,7 +49,7 @@
         repeat,
         stream: false,
     };
-    let repeats = [Repeat::Safe, Repeat::Unsafe];
+    let repeats = [Idempotency::Idempotent, Idempotency::NotIdempotent];
     let ranks = repeats
         .iter()
         .flat_map(|repeat| PRIORITY_WEIGHTS.map(|worth| (*repeat, worth)));
--- a/crates/proxy/src/router/quota_engine.rs
+++ b/crates/proxy/src/router/quota_engine.rs
@@ -7,8 +7,8 @@
 use fnv::FnvHasher;
 use protocol::items::Tenant;
 use streamarch::{
-    Class, CustomerId, FirstBound, ListKind, Micros, Plan, Repeat, ServerEntry, ServerId,
-    ServerState, Settings,
+    Class, CustomerId, Idempotency, InitialConcurrency, ListKind, Micros, Plan, ServerEntry,
+    ServerId, ServerState, Settings,
 };
 
 use super::{MS, RequestRouter, SECOND, settings};
@@ -57,7 +57,7 @@
 const MIN_CALL_CHANCE: f64 = 0.25;
 /// Stands for all servers where a tenant is only checked; it accepts everything at once.
 const ADMITTED: ServerId = ServerId(0);
-const UNLIMITED: FirstBound = FirstBound(1e9);
+const UNLIMITED: InitialConcurrency = InitialConcurrency(1e9);
 
 pub(super) fn customer_id(tenant: &str) -> CustomerId {
     let mut hasher = FnvHasher::default();
@@ -74,7 +74,7 @@
         deadline: 10 * aim,
         late_worth: 0.0,
         worth: 1.0,
-        repeat: Repeat::Safe,
+        repeat: Idempotency::Idempotent,
         stream: false,
     };
     let settings = Settings {
--- a/crates/proxy/src/shedding.rs
+++ b/crates/proxy/src/shedding.rs
@@ -55,7 +55,7 @@
 
     /// Whether the module rejects it.
     pub fn is_shed(&self) -> bool {
-        streamarch::waits(&Request {
+        streamarch::should_shed(&Request {
             place: self.position,
             waits: self.shed_share,
             ..Request::default()
@@ -136,9 +136,9 @@
     ) {
         let sign = match outcome {
             Outcome::Ok | Outcome::Error => RequestOutcome::Answered(took, aim),
-            Outcome::Full | Outcome::Reset => RequestOutcome::Rejected,
+            Outcome::Rejected | Outcome::Reset => RequestOutcome::Rejected,
             // An unreachable server says nothing about the load of the others.
-            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Cancelled | Outcome::Moot => {
+            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Cancelled | Outcome::NotSent => {
                 return;
             }
         };
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -124,18 +124,18 @@
             Action::Cancel { request, attempt } => {
                 writeln!(out, "call_off\tReq={}\tN={attempt}", self.word(*request))
             }
-            Action::Count { name, add, expires } => {
+            Action::AddToCounter { name, add, expires } => {
                 writeln!(
                     out,
                     "tally\tAdd={add}\tSlotName={}\tExpireInUs={expires}",
                     name.0
                 )
             }
-            Action::Tell(peer, notice) => {
+            Action::NotifyGateway(peer, notice) => {
                 writeln!(out, "publish\tPeer={peer}\tMsg={}", wire::notice(notice))
             }
             Action::Probe(server) => writeln!(out, "touch\tServer={}", server.0),
-            Action::WatchList => writeln!(out, "observe\tEnable=1"),
+            Action::WatchServerList => writeln!(out, "observe\tEnable=1"),
             Action::WakeAt(at) => writeln!(out, "after\tToken=0\tFireAtUs={at}"),
             Action::Log(text) => writeln!(out, "write_log\tText={text}"),
         };
@@ -249,12 +249,12 @@
                 .copied()
                 .map(|number| {
                     instance.close(RequestId(number));
-                    Event::ClientLeft(RequestId(number))
+                    Event::ClientDisconnected(RequestId(number))
                 }),
             "first_byte" => match instance.numbers.get(fields.text("Req")?).copied() {
                 Some(number) => {
                     let attempt = fields.need("N")? as u32;
-                    Some(Event::StreamBegan {
+                    Some(Event::StreamStarted {
                         request: RequestId(number),
                         attempt,
                     })
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 
 use streamarch::{
-    AttemptEnd, CounterName, CustomerId, Event, ListKind, LoadReport, Micros, Outcome, OverNotice,
-    Request, RequestId, ServerEntry, ServerId, ServerState,
+    AttemptEnd, CounterKey, CustomerId, Event, ListKind, LoadReport, Micros, Outcome,
+    OverQuotaNotice, Request, RequestId, ServerEntry, ServerId, ServerState,
 };
 
 /// What is wrong with the input, in plain words.
@@ -103,7 +103,7 @@
 /// An entry of a server list.
 pub fn entry(fields: &Fields) -> Result<ServerEntry, Fault> {
     let state = match fields.need("Readiness")? {
-        0 => ServerState::Gone,
+        0 => ServerState::Removed,
         1 => ServerState::Ready,
         2 => ServerState::Draining,
         other => return Err(fields.bad("Readiness", &other.to_string())),
@@ -157,11 +157,11 @@
     match fields.need("Result")? {
         0 => Ok(Outcome::Ok),
         5 => Ok(Outcome::Error),
-        11 => Ok(Outcome::Full),
+        11 => Ok(Outcome::Rejected),
         104 => Ok(Outcome::Reset),
         110 => Ok(Outcome::TimedOut),
         111 => Ok(Outcome::ConnectFailed),
-        114 => Ok(Outcome::Moot),
+        114 => Ok(Outcome::NotSent),
         125 => Ok(Outcome::Cancelled),
         other => Err(fields.bad("Result", &other.to_string())),
     }
@@ -209,15 +209,15 @@
 
 /// The counter's answer.
 pub fn counted(fields: &Fields) -> Result<Event, Fault> {
-    Ok(Event::Counted {
-        name: CounterName(fields.need("SlotName")?),
+    Ok(Event::CounterAnswered {
+        name: CounterKey(fields.need("SlotName")?),
         outcome: outcome(fields)?,
         total: fields.number("Total")?.unwrap_or(0.0),
     })
 }
 
 /// A notice as message bytes in hex: two bytes of plan, then the customer.
-pub fn notice(notice: &OverNotice) -> String {
+pub fn notice(notice: &OverQuotaNotice) -> String {
     let digits = format!("{:x}", notice.customer.0);
     format!(
         "{:04x}{}{digits}",
@@ -238,12 +238,12 @@
             u16::from_str_radix(plan, 16),
             u64::from_str_radix(customer, 16),
         );
-        Some(OverNotice {
+        Some(OverQuotaNotice {
             plan: usize::from(plan.ok()?),
             customer: CustomerId(customer.ok()?),
         })
     };
-    Ok(parts.and_then(read).map(Event::Told))
+    Ok(parts.and_then(read).map(Event::NoticeReceived))
 }
 
 /// The end of a probe.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -19,27 +19,27 @@
 
 /// A number kept by the counter service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CounterName(pub u64);
+pub struct CounterKey(pub u64);
 
 /// What may be done with a request that may already have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Safe to repeat anywhere at any time.
-    Safe,
+    Idempotent,
     /// Carries a key: only servers of the group drop a repeat, and only within the window.
     Keyed {
         /// The servers that share what they know of keys.
-        group: Group,
+        scope: DedupScope,
         /// How long they remember, from the first sending that may have run.
         window: Micros,
     },
     /// Must never run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The servers that drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every server.
     All,
     /// Servers of one zone.
@@ -60,7 +60,7 @@
     /// Worth of one request.
     pub worth: f64,
     /// What repeats are harmless.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// The answer arrives as a stream.
     pub stream: bool,
 }
@@ -131,11 +131,11 @@
 
 /// Attempts that all gateways together may have out at a server at first, before its answers have taught the bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FirstBound(pub f64);
+pub struct InitialConcurrency(pub f64);
 
-impl Default for FirstBound {
-    fn default() -> FirstBound {
-        FirstBound(12.0)
+impl Default for InitialConcurrency {
+    fn default() -> InitialConcurrency {
+        InitialConcurrency(12.0)
     }
 }
 
@@ -173,7 +173,7 @@
     /// Further attempts in all.
     pub retries: RetryBudget,
     /// Attempts out at a server, at first.
-    pub first_bound: FirstBound,
+    pub first_bound: InitialConcurrency,
     /// Clients are told how long to stay away.
     pub retry_after: bool,
     /// Gateways may send each other short messages.
@@ -212,7 +212,7 @@
     /// Finishes its work; nothing new.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One entry of the server list.
@@ -272,7 +272,7 @@
     /// The server answered with an error; may have run.
     Error,
     /// Turned away unseen; never ran.
-    Full,
+    Rejected,
     /// No answer in time; may have run, may still be running.
     TimedOut,
     /// No connection; never ran.
@@ -282,7 +282,7 @@
     /// Cancelled; may have run.
     Cancelled,
     /// Not transmitted at all; never ran.
-    Moot,
+    NotSent,
 }
 
 /// A request as taken by this gateway.
@@ -335,7 +335,7 @@
 
 /// What gateways tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OverNotice {
+pub struct OverQuotaNotice {
     /// The customer that a shared count has shown over its quota...
     pub customer: CustomerId,
     /// ...and the position of its plan in the settings.
@@ -357,27 +357,27 @@
     /// An attempt ended.
     AttemptEnd(AttemptEnd),
     /// A streamed answer has begun; its time-out and the deadline no longer run.
-    StreamBegan {
+    StreamStarted {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
     /// The client left; nothing is owed any more.
-    ClientLeft(RequestId),
+    ClientDisconnected(RequestId),
     /// The counter answered, or failed to.
-    Counted {
+    CounterAnswered {
         /// The number that was named.
-        name: CounterName,
+        name: CounterKey,
         /// How the call ended.
         outcome: Outcome,
         /// The number after the call, where it succeeded.
         total: f64,
     },
     /// An answer of the counter came whose call had run out of time before: it is alive, only late.
-    CounterLate,
+    LateCounterAnswer,
     /// Another counter has taken over. It starts empty.
-    CounterNew,
+    CounterReplaced,
     /// A probe ended.
     ProbeEnd {
         /// The server.
@@ -388,9 +388,9 @@
         report: Option<LoadReport>,
     },
     /// Another gateway tells that a customer is over its quota.
-    Told(OverNotice),
+    NoticeReceived(OverQuotaNotice),
     /// A plan came up in service; it takes the next position.
-    Plan(Plan),
+    PlanAdded(Plan),
     /// A timer that the module asked for has run out.
     Timer,
 }
@@ -426,20 +426,20 @@
         attempt: u32,
     },
     /// Add to a number of the counter service and learn the total.
-    Count {
+    AddToCounter {
         /// The number.
-        name: CounterName,
+        name: CounterKey,
         /// What to add.
         add: f64,
         /// If the name is new, it is forgotten after this time.
         expires: Micros,
     },
     /// Send another gateway, by its number, a notice.
-    Tell(u32, OverNotice),
+    NotifyGateway(u32, OverQuotaNotice),
     /// Check a server.
     Probe(ServerId),
     /// Subscribe to changes of the server list.
-    WatchList,
+    WatchServerList,
     /// Deliver [`Event::Timer`] at this time.
     WakeAt(Micros),
     /// A line for the operators' log.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,7 +9,7 @@
 mod state;
 
 pub use interface::*;
-pub use policy::waits;
+pub use policy::should_shed;
 pub use state::Balancer;
 
 /// Compiles the example of the README.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -29,7 +29,7 @@
 const USED_LEAST: f64 = 8.0;
 
 /// Danger: gateways that refuse each for itself refuse any. By the shared level the last in the order wait.
-pub fn waits(request: &Request) -> bool {
+pub fn should_shed(request: &Request) -> bool {
     request.place >= 1.0 - request.waits
 }
 
@@ -70,8 +70,11 @@
         if self.booted.is_none() {
             self.booted = Some(self.now);
             self.due(self.now + TICK, Due::Tick);
-            self.actions
-                .extend(self.settings.ask_for_list.then_some(Action::WatchList));
+            self.actions.extend(
+                self.settings
+                    .ask_for_list
+                    .then_some(Action::WatchServerList),
+            );
         }
         events.iter().for_each(|event| self.event(event));
         while let Some(entry) = self.dues.first_entry().filter(|e| e.key().0 <= self.now) {
@@ -98,25 +101,25 @@
             Event::ServerList { kind, entries } => self.on_list(*kind, entries),
             Event::Request(request) => self.on_request(request),
             Event::AttemptEnd(end) => self.on_attempt_end(end),
-            Event::StreamBegan { request, .. } => {
+            Event::StreamStarted { request, .. } => {
                 _ = self.held.get_mut(request).map(|h| h.streaming = true)
             }
-            Event::ClientLeft(id) => self.on_left(*id),
-            Event::Counted {
+            Event::ClientDisconnected(id) => self.on_left(*id),
+            Event::CounterAnswered {
                 name,
                 outcome,
                 total,
             } => self.on_counted(*name, *outcome, *total),
             // Danger: a slow or crowded counter taken for lost. It is asked less until it answers in time.
-            Event::CounterLate => self.counter.failures *= u32::from(self.counter_lost()),
-            Event::CounterNew => (self.counter.since, self.counter.failures) = (self.now, 0),
+            Event::LateCounterAnswer => self.counter.failures *= u32::from(self.counter_lost()),
+            Event::CounterReplaced => (self.counter.since, self.counter.failures) = (self.now, 0),
             Event::ProbeEnd {
                 server,
                 outcome,
                 report,
             } => self.on_probe(*server, *outcome, *report),
-            Event::Told(notice) => self.on_told(*notice),
-            Event::Plan(plan) => self.settings.plans.push(plan.clone()),
+            Event::NoticeReceived(notice) => self.on_told(*notice),
+            Event::PlanAdded(plan) => self.settings.plans.push(plan.clone()),
             Event::Timer => self.armed = None,
         }
     }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -104,18 +104,28 @@
             .map(|c| c.repeat);
         match (repeat, held.ran) {
             (
-                Some(Repeat::Keyed {
-                    group: Group::Zone, ..
+                Some(Idempotency::Keyed {
+                    scope: DedupScope::Zone,
+                    ..
                 }),
                 Some(ran),
             ) => server.zone == ran.zone,
             (
-                Some(Repeat::Keyed {
-                    group: Group::Cell, ..
+                Some(Idempotency::Keyed {
+                    scope: DedupScope::Cell,
+                    ..
                 }),
                 Some(ran),
             ) => server.cell == ran.cell,
-            (Some(Repeat::Keyed { .. } | Repeat::Safe | Repeat::Unsafe) | None, _) => server.used,
+            (
+                Some(
+                    Idempotency::Keyed { .. }
+                    | Idempotency::Idempotent
+                    | Idempotency::NotIdempotent,
+                )
+                | None,
+                _,
+            ) => server.used,
         }
     }
 
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -290,7 +290,7 @@
     fn call(&mut self, call: Call, length: Micros) {
         // All gateways compute the same name.
         let count = mix(call.customer.0.wrapping_mul(2) + u64::from(call.open));
-        let name = CounterName(mix(count ^ call.window as u64) >> 1);
+        let name = CounterKey(mix(count ^ call.window as u64) >> 1);
         let call = Call {
             made: self.now,
             ..call
@@ -299,14 +299,14 @@
         call.id
             .into_iter()
             .for_each(|id| _ = self.held.get_mut(&id).map(|h| h.calls += 1));
-        self.actions.push(Action::Count {
+        self.actions.push(Action::AddToCounter {
             name,
             add: call.add,
             expires: 2 * length + SECOND,
         });
     }
 
-    pub(super) fn on_counted(&mut self, name: CounterName, outcome: Outcome, total: f64) {
+    pub(super) fn on_counted(&mut self, name: CounterKey, outcome: Outcome, total: f64) {
         let Some(queue) = self.calls.get_mut(&name) else {
             return;
         };
@@ -355,17 +355,19 @@
             return;
         }
         known.told_over(now);
-        let notice = OverNotice {
+        let notice = OverQuotaNotice {
             customer: request.customer,
             plan: request.plan,
         };
         let set = (0..request.spread.min(many)).map(|n| (request.first % many + n) % many);
-        self.actions
-            .extend(set.filter(|n| *n != own).map(|n| Action::Tell(n, notice)));
+        self.actions.extend(
+            set.filter(|n| *n != own)
+                .map(|n| Action::NotifyGateway(n, notice)),
+        );
     }
 
     /// Another gateway's verdict counts as one's own; it fades, so that the customer is tried again.
-    pub(super) fn on_told(&mut self, notice: OverNotice) {
+    pub(super) fn on_told(&mut self, notice: OverQuotaNotice) {
         let (now, booted) = (self.now, self.booted.unwrap_or(self.now));
         let unknown = || Customer::unknown(notice.plan, booted, 1.0);
         self.customers
@@ -470,7 +472,7 @@
     fn counter_heard(&mut self, outcome: Outcome, slow: bool) {
         let lost = self.counter_lost();
         // Danger: one connection that breaks fails all calls on it at once, and the counter passes for lost.
-        let unheard = !matches!(outcome, Outcome::Ok | Outcome::Full);
+        let unheard = !matches!(outcome, Outcome::Ok | Outcome::Rejected);
         let another = unheard && self.now - self.counter.failed >= FAILURES_APART;
         self.counter.failed = if another {
             self.now
@@ -480,7 +482,7 @@
         let (factor, silent) = match outcome {
             Outcome::Ok if self.counter.climbs && !slow => (PACE_CLIMB, 0),
             Outcome::Ok if !slow => (PACE_RISE, 0),
-            Outcome::Ok | Outcome::Full => (PACE_CUT, 0),
+            Outcome::Ok | Outcome::Rejected => (PACE_CUT, 0),
             _ => (
                 PACE_CUT,
                 self.counter.failures.saturating_add(u32::from(another)),
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -18,7 +18,7 @@
         );
         if self.settings.classes.get(request.class).is_none()
             || deadline <= self.now
-            || waits(request)
+            || should_shed(request)
         {
             return self.refuse(id);
         }
@@ -44,7 +44,7 @@
             | Outcome::TimedOut
             | Outcome::Reset
             | Outcome::Cancelled => true,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot => false,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => false,
         };
         if may_have_run && held.ran.is_none() {
             let (zone, cell) = self
@@ -65,7 +65,7 @@
         if end.finished || end.outcome == Outcome::Ok || held.done {
             self.close(id);
         } else if none_out
-            && end.outcome != Outcome::Moot
+            && end.outcome != Outcome::NotSent
             && self.may_repeat(id)
             && self.retries >= 1.0
         {
@@ -89,11 +89,11 @@
             return false;
         };
         let harmless = match (class.repeat, held.ran) {
-            (Repeat::Safe, _) | (_, None) => true,
-            (Repeat::Keyed { window, .. }, Some(ran)) => {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::Keyed { window, .. }, Some(ran)) => {
                 self.now - ran.sent + self.settings.period < window
             }
-            (Repeat::Unsafe, Some(_)) => false,
+            (Idempotency::NotIdempotent, Some(_)) => false,
         };
         harmless
             && held.attempts < self.settings.max_attempts.max(1)
@@ -133,9 +133,9 @@
         let safe = matches!(
             repeat,
             None | Some(
-                Repeat::Safe
-                    | Repeat::Keyed {
-                        group: Group::All,
+                Idempotency::Idempotent
+                    | Idempotency::Keyed {
+                        scope: DedupScope::All,
                         ..
                     }
             )
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -76,7 +76,7 @@
         self.bound = match outcome {
             Outcome::Ok if late => self.bound * LATE_CUT,
             Outcome::Ok if used => self.bound + rise / self.bound,
-            Outcome::Full | Outcome::TimedOut => self.bound * FULL_CUT,
+            Outcome::Rejected | Outcome::TimedOut => self.bound * FULL_CUT,
             _ => self.bound,
         };
         self.bound = self.bound.max(least);
@@ -88,7 +88,7 @@
             self.rests.remove(&plan);
         } else if matches!(
             outcome,
-            Outcome::Full | Outcome::TimedOut | Outcome::ConnectFailed
+            Outcome::Rejected | Outcome::TimedOut | Outcome::ConnectFailed
         ) {
             let rest = self.rests.entry(plan).or_default();
             if now >= rest.until {
@@ -115,7 +115,7 @@
 impl Balancer {
     pub(super) fn on_list(&mut self, kind: ListKind, entries: &[ServerEntry]) {
         match kind {
-            ListKind::Failed => return self.actions.push(Action::WatchList),
+            ListKind::Failed => return self.actions.push(Action::WatchServerList),
             ListKind::Changes => {}
             ListKind::Full | ListKind::Cached => {
                 let listed = |id: &ServerId| entries.iter().any(|e| e.server == *id);
@@ -144,7 +144,7 @@
             }
             (server.zone, server.cell, server.kind) = (entry.zone, entry.cell, entry.kind);
             (server.started, server.ready) = (entry.started, entry.state == ServerState::Ready);
-            server.gone = entry.state == ServerState::Gone;
+            server.gone = entry.state == ServerState::Removed;
             server.weight = if entry.weight > 0.0 {
                 entry.weight
             } else {
@@ -216,7 +216,7 @@
         );
         server.learn_rest(now, plan.unwrap_or(usize::MAX), end.outcome);
         if let Some(plan) =
-            plan.filter(|p| *p < self.settings.plans.len() && end.outcome != Outcome::Moot)
+            plan.filter(|p| *p < self.settings.plans.len() && end.outcome != Outcome::NotSent)
         {
             // Danger: a server that fails at once has little out, looks idle and draws ever more work.
             let good = end.outcome == Outcome::Ok;
@@ -231,7 +231,7 @@
         server.learn_report(now, end.report);
         let heard = matches!(
             end.outcome,
-            Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Reset
+            Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::Reset
         );
         server.unheard = if heard { Some(now) } else { server.unheard }.filter(|_| server.out > 0);
         let known = class.and_then(|c| self.means.get_mut(c).zip(self.works.get_mut(c)));
@@ -320,7 +320,8 @@
                 .classes
                 .get(held.request.class)
                 .map(|c| c.repeat);
-            let moves = self.settings.may_cancel && repeat.is_some_and(|r| r != Repeat::Unsafe);
+            let moves =
+                self.settings.may_cancel && repeat.is_some_and(|r| r != Idempotency::NotIdempotent);
             let there = held.out.iter().filter(|(_, at, _)| moves && *at == id);
             self.actions.extend(there.map(|(n, _, _)| Action::Cancel {
                 request: *request,
--- a/src/state.rs
+++ b/src/state.rs
@@ -193,7 +193,7 @@
     pub(crate) customers: BTreeMap<CustomerId, Customer>,
     /// When customers were last looked through for those to forget.
     pub(crate) swept: Micros,
-    pub(crate) calls: BTreeMap<CounterName, VecDeque<Call>>,
+    pub(crate) calls: BTreeMap<CounterKey, VecDeque<Call>>,
     pub(crate) counter: CounterHealth,
     pub(crate) servers: BTreeMap<ServerId, Server>,
     /// How attempts ended at each kind of machine, for each plan and (the last number) for all.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,7 +6,7 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(repeat: Repeat, worth: f64) -> Class {
+pub fn class(repeat: Idempotency, worth: f64) -> Class {
     Class {
         aim: 500 * MS,
         deadline: SECOND,
@@ -32,15 +32,15 @@
     Settings {
         gateways: 2,
         classes: vec![
-            class(Repeat::Safe, 1.0),
+            class(Idempotency::Idempotent, 1.0),
             class(
-                Repeat::Keyed {
-                    group: Group::Zone,
+                Idempotency::Keyed {
+                    scope: DedupScope::Zone,
                     window: 2 * SECOND,
                 },
                 1.0,
             ),
-            class(Repeat::Unsafe, 1.0),
+            class(Idempotency::NotIdempotent, 1.0),
         ],
         plans: vec![
             Plan {
@@ -181,9 +181,9 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn counts(actions: &[Action]) -> Vec<(CounterName, f64)> {
+pub fn counts(actions: &[Action]) -> Vec<(CounterKey, f64)> {
     let count = |a: &Action| match a {
-        Action::Count { name, add, .. } => Some((*name, *add)),
+        Action::AddToCounter { name, add, .. } => Some((*name, *add)),
         _ => None,
     };
     actions.iter().filter_map(count).collect()
@@ -207,7 +207,7 @@
 
 /// The counter service, answering at once.
 #[derive(Default)]
-pub struct Counter(pub std::collections::BTreeMap<CounterName, f64>);
+pub struct Counter(pub std::collections::BTreeMap<CounterKey, f64>);
 
 impl Counter {
     /// Answers all calls among the actions, and those that the answers lead to; gives all that was done.
@@ -219,7 +219,7 @@
             for (name, add) in open {
                 let total = self.0.entry(name).or_default();
                 *total += add;
-                more.extend(gateway.feed(Event::Counted {
+                more.extend(gateway.feed(Event::CounterAnswered {
                     name,
                     outcome: Outcome::Ok,
                     total: *total,
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -97,7 +97,7 @@
         gateway.now += 10 * MS;
         let (id, mut actions) = gateway.ask(0, 1, customer);
         for (name, _) in counts(&actions) {
-            actions.extend(gateway.feed(Event::Counted {
+            actions.extend(gateway.feed(Event::CounterAnswered {
                 name,
                 outcome: Outcome::TimedOut,
                 total: 0.0,
@@ -124,7 +124,7 @@
         out.extend(counts(&gateway.ask(0, 1, customer).1));
     }
     assert!(out.len() >= 8);
-    let failed = |(name, _)| Event::Counted {
+    let failed = |(name, _)| Event::CounterAnswered {
         name,
         outcome: Outcome::TimedOut,
         total: 0.0,
@@ -154,12 +154,12 @@
             } else {
                 Outcome::Ok
             };
-            actions.extend(gateway.feed(Event::Counted {
+            actions.extend(gateway.feed(Event::CounterAnswered {
                 name,
                 outcome,
                 total: 0.0,
             }));
-            gateway.feed(Event::CounterLate);
+            gateway.feed(Event::LateCounterAnswer);
         }
         for (_, server) in sends(&actions) {
             sent += 1;
@@ -178,12 +178,12 @@
         let (id, mut actions) = gateway.ask(0, 1, customer);
         for (name, _) in counts(&actions) {
             calls[usize::from(customer >= 200)] += 1;
-            actions.extend(gateway.feed(Event::Counted {
+            actions.extend(gateway.feed(Event::CounterAnswered {
                 name,
                 outcome: Outcome::TimedOut,
                 total: 0.0,
             }));
-            gateway.feed(Event::CounterLate);
+            gateway.feed(Event::LateCounterAnswer);
         }
         for (_, server) in sends(&actions) {
             gateway.end(id, 0, server, Outcome::Ok);
@@ -295,9 +295,9 @@
         let (id, actions) = gateway.ask(0, 1, 1_000 + n);
         let mut sent = sends(&actions);
         for (name, _) in counts(&actions) {
-            sent.extend(sends(&gateway.feed(Event::Counted {
+            sent.extend(sends(&gateway.feed(Event::CounterAnswered {
                 name,
-                outcome: Outcome::Full,
+                outcome: Outcome::Rejected,
                 total: 0.0,
             })));
         }
@@ -350,10 +350,10 @@
         // Others are answered in time: the counter is not crowded.
         (0..3).for_each(|n| _ = passed(&mut gateway, &mut counter, 1, 100 + n));
         let (id, mut actions) = gateway.ask(0, 1, 9);
-        let new = |(name, _): &(CounterName, f64)| !counter.0.contains_key(name);
+        let new = |(name, _): &(CounterKey, f64)| !counter.0.contains_key(name);
         if let Some((name, add)) = counts(&actions).into_iter().find(new) {
             *counter.0.entry(name).or_default() += add;
-            actions.extend(gateway.feed(Event::Counted {
+            actions.extend(gateway.feed(Event::CounterAnswered {
                 name,
                 outcome: Outcome::TimedOut,
                 total: 0.0,
@@ -388,9 +388,9 @@
             let outcome = if n % 16 < 6 {
                 Outcome::Ok
             } else {
-                Outcome::Full
+                Outcome::Rejected
             };
-            sent.extend(sends(&gateway.feed(Event::Counted {
+            sent.extend(sends(&gateway.feed(Event::CounterAnswered {
                 name,
                 outcome,
                 total: 1.0,
@@ -409,7 +409,7 @@
 /// Plan 1 has 10 units at 5 a second, windows of 2 s. It changes to `to` now, at position 3.
 fn change(gateway: &mut Gateway, to: (f64, f64)) {
     let changed = Some((gateway.now, 1));
-    gateway.feed(Event::Plan(Plan {
+    gateway.feed(Event::PlanAdded(Plan {
         window: 2 * SECOND,
         changed,
         ..plan(to.0, to.1)
@@ -464,7 +464,7 @@
     let mut counter = Counter::default();
     assert_eq!(burst(&mut gateways, &mut counter, 1, 6), 6);
     change(&mut gateways[0], (20.0, 40.0));
-    gateways[0].feed(Event::Plan(Plan {
+    gateways[0].feed(Event::PlanAdded(Plan {
         window: 2 * SECOND,
         changed: Some((gateways[0].now, 3)),
         ..plan(5.0, 10.0)
@@ -508,7 +508,7 @@
             actions = counter.answer(&mut gateway, actions);
         } else {
             for (name, _) in counts(&actions) {
-                actions.extend(gateway.feed(Event::Counted {
+                actions.extend(gateway.feed(Event::CounterAnswered {
                     name,
                     outcome: Outcome::TimedOut,
                     total: 0.0,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -52,7 +52,7 @@
 fn rule_2_an_unsafe_request_that_never_ran_is_sent_again() {
     let mut gateway = Gateway::with_servers(settings(), 4);
     let (id, actions) = gateway.ask(2, 0, 1);
-    let actions = gateway.end(id, 0, sends(&actions)[0].1, Outcome::Full);
+    let actions = gateway.end(id, 0, sends(&actions)[0].1, Outcome::Rejected);
     assert_eq!(sends(&actions).len(), 1);
 }
 
@@ -70,8 +70,8 @@
         );
     }
     let mut short = settings();
-    short.classes[1].repeat = Repeat::Keyed {
-        group: Group::Zone,
+    short.classes[1].repeat = Idempotency::Keyed {
+        scope: DedupScope::Zone,
         window: 100 * MS,
     };
     let mut gateway = Gateway::with_servers(short, 8);
@@ -97,7 +97,7 @@
     let mut gateway = Gateway::with_servers(settings(), 3);
     let entries = vec![
         entry(0, ServerState::Draining, 0),
-        entry(1, ServerState::Gone, 0),
+        entry(1, ServerState::Removed, 0),
     ];
     gateway.feed(Event::ServerList {
         kind: ListKind::Changes,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -10,7 +10,7 @@
     let names = counts(actions).into_iter().map(|(name, _)| name);
     names
         .flat_map(|name| {
-            gateway.feed(Event::Counted {
+            gateway.feed(Event::CounterAnswered {
                 name,
                 outcome,
                 total: 1.0,
@@ -27,7 +27,7 @@
         let outcome = if n % 3 == 2 {
             Outcome::Ok
         } else {
-            Outcome::Full
+            Outcome::Rejected
         };
         let mut all = answer_all(&mut gateway, &actions, outcome);
         all.extend(actions);
@@ -117,7 +117,7 @@
     for n in 0..5 {
         let (id, actions) = gateway.ask(2, 1, n);
         for (_, server) in sends(&actions) {
-            gateway.end(id, 0, server, Outcome::Full);
+            gateway.end(id, 0, server, Outcome::Rejected);
         }
     }
     assert!(
@@ -189,7 +189,7 @@
     let mut gateway = Gateway::new(settings());
     let (_, first) = gateway.ask(0, 1, 9);
     let name = counts(&first)[0].0;
-    let counted = |total| Event::Counted {
+    let counted = |total| Event::CounterAnswered {
         name,
         outcome: Outcome::Ok,
         total,
@@ -257,7 +257,7 @@
     let mut gateway = Gateway::with_servers(settings(), 40);
     for n in 0..60 {
         let (id, mut actions) = gateway.ask(0, 1, n);
-        actions.extend(answer_all(&mut gateway, &actions, Outcome::Full));
+        actions.extend(answer_all(&mut gateway, &actions, Outcome::Rejected));
         assert!(
             !actions.iter().any(|a| matches!(a, Action::Log(_))),
             "{actions:?}"
@@ -287,7 +287,7 @@
         let (id, actions) = gateway.ask(0, 1, 9);
         let names = counts(&actions).into_iter().map(|(name, _)| name);
         let told = |name| {
-            gateway.feed(Event::Counted {
+            gateway.feed(Event::CounterAnswered {
                 name,
                 outcome,
                 total: 9.5,
@@ -301,17 +301,19 @@
         calls
     };
     (0..5).for_each(|_| _ = near(&mut gateway, Outcome::Ok));
-    (0..300).for_each(|_| _ = near(&mut gateway, Outcome::Full));
-    let calls: usize = (0..100).map(|_| near(&mut gateway, Outcome::Full)).sum();
+    (0..300).for_each(|_| _ = near(&mut gateway, Outcome::Rejected));
+    let calls: usize = (0..100)
+        .map(|_| near(&mut gateway, Outcome::Rejected))
+        .sum();
     assert!(
         calls <= 5,
         "{calls} calls for 100 requests after every call has failed for long"
     );
 }
 
-fn notices(actions: &[Action]) -> Vec<(u32, OverNotice)> {
+fn notices(actions: &[Action]) -> Vec<(u32, OverQuotaNotice)> {
     let notice = |a: &Action| match a {
-        Action::Tell(gateway, notice) => Some((*gateway, *notice)),
+        Action::NotifyGateway(gateway, notice) => Some((*gateway, *notice)),
         _ => None,
     };
     actions.iter().filter_map(notice).collect()
@@ -322,7 +324,7 @@
     for _ in 0..400 {
         let (_, actions) = gateway.ask(0, 1, customer);
         if let Some((name, _)) = counts(&actions).first().copied() {
-            return gateway.feed(Event::Counted {
+            return gateway.feed(Event::CounterAnswered {
                 name,
                 outcome: Outcome::Ok,
                 total: 900.0,
@@ -337,7 +339,7 @@
     let mut gateway = Gateway::with_servers(one_of_many(), 40);
     let told = notices(&found_over(&mut gateway, 9));
     // The customer's two gateways are 0 and 1, and this is 1.
-    let notice = OverNotice {
+    let notice = OverQuotaNotice {
         customer: CustomerId(9),
         plan: 1,
     };
@@ -360,7 +362,7 @@
 fn a_told_verdict_holds_a_customer_never_seen_and_fades() {
     let passed = |wait| {
         let mut gateway = Gateway::with_servers(one_of_many(), 40);
-        gateway.feed(Event::Told(OverNotice {
+        gateway.feed(Event::NoticeReceived(OverQuotaNotice {
             customer: CustomerId(9),
             plan: 1,
         }));
@@ -375,7 +377,7 @@
         "held for good by a verdict of 20 s ago"
     );
     let mut gateway = Gateway::with_servers(one_of_many(), 40);
-    gateway.feed(Event::Told(OverNotice {
+    gateway.feed(Event::NoticeReceived(OverQuotaNotice {
         customer: CustomerId(3),
         plan: 77,
     }));
@@ -410,7 +412,7 @@
         while let Some((_, server)) = sends(&actions).first().copied() {
             let full = server.0 % 2 == 1;
             refused[usize::from(n >= 100)] += u32::from(full);
-            let outcome = if full { Outcome::Full } else { Outcome::Ok };
+            let outcome = if full { Outcome::Rejected } else { Outcome::Ok };
             actions = gateway.end(id, attempt, server, outcome);
             attempt += 1;
         }
@@ -450,10 +452,10 @@
             u64::from(n.is_multiple_of(5))
         } {
             let (_, actions) = gateway.ask(0, 1, 100 + 2 * n + other);
-            answer_all(gateway, &actions, Outcome::Full);
+            answer_all(gateway, &actions, Outcome::Rejected);
         }
         let (_, actions) = gateway.ask(0, 2, 9);
-        let told = |name| Event::Counted {
+        let told = |name| Event::CounterAnswered {
             name,
             outcome: Outcome::Ok,
             total: 4.0,
@@ -478,7 +480,7 @@
 fn what_passes_by_a_verdict_that_was_unlikely_is_counted() {
     let mut gateway = Gateway::with_servers(one_of_many(), 40);
     // Told by another gateway: its own verdict lets it through all the same.
-    gateway.feed(Event::Told(OverNotice {
+    gateway.feed(Event::NoticeReceived(OverQuotaNotice {
         customer: CustomerId(9),
         plan: 1,
     }));
@@ -486,7 +488,7 @@
     let passed = (0..400).find(|_| {
         let (_, actions) = gateway.ask(0, 1, 9);
         counts(&actions).first().is_some_and(|(name, add)| {
-            let then = gateway.feed(Event::Counted {
+            let then = gateway.feed(Event::CounterAnswered {
                 name: *name,
                 outcome: Outcome::Ok,
                 total: *add,
@@ -564,7 +566,7 @@
             });
             for _ in 0..notices {
                 gateway.pass(2 * SECOND);
-                gateway.feed(Event::Told(OverNotice {
+                gateway.feed(Event::NoticeReceived(OverQuotaNotice {
                     customer: CustomerId(9),
                     plan: 1,
                 }));
@@ -631,7 +633,7 @@
     let mut gateway = Gateway::with_servers(one_of_many(), 40);
     for customer in 0..400 {
         // Told over some time ago: denied by chance where there is no verdict.
-        gateway.feed(Event::Told(OverNotice {
+        gateway.feed(Event::NoticeReceived(OverQuotaNotice {
             customer: CustomerId(customer),
             plan: 1,
         }));
@@ -639,7 +641,7 @@
     gateway.pass(2 * SECOND);
     for customer in 0..400 {
         let (_, actions) = gateway.ask(0, 1, customer);
-        let then = answer_all(&mut gateway, &actions, Outcome::Full);
+        let then = answer_all(&mut gateway, &actions, Outcome::Rejected);
         let told: f64 = counts(&then).iter().map(|(_, add)| add).sum();
         assert!(told >= 0.0, "given back though never added: {then:?}");
     }
@@ -652,8 +654,8 @@
         counter: false,
         ..settings()
     };
-    keyed.classes[1].repeat = Repeat::Keyed {
-        group: Group::Cell,
+    keyed.classes[1].repeat = Idempotency::Keyed {
+        scope: DedupScope::Cell,
         window: 2 * SECOND,
     };
     let mut gateway = Gateway::with_servers(keyed, 60);
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -113,7 +113,7 @@
         let mut attempt = 0;
         while let Some((_, server)) = sends(&actions).first().copied() {
             sent += 1;
-            actions = gateway.end(id, attempt, server, Outcome::Full);
+            actions = gateway.end(id, attempt, server, Outcome::Rejected);
             attempt += 1;
         }
         gateway.now += 10 * MS;
@@ -191,15 +191,15 @@
         let answered = sends(&actions).len() + sheds(&actions).len() + fails(&actions).len();
         assert_eq!(answered, 1);
         gateway.end(id, 7, ServerId(55), Outcome::Ok);
-        gateway.feed(Event::ClientLeft(id));
-        gateway.feed(Event::ClientLeft(id));
+        gateway.feed(Event::ClientDisconnected(id));
+        gateway.feed(Event::ClientDisconnected(id));
     }
     gateway.feed(Event::ServerList {
         kind: ListKind::Failed,
         entries: vec![],
     });
-    gateway.feed(Event::Counted {
-        name: CounterName(5),
+    gateway.feed(Event::CounterAnswered {
+        name: CounterKey(5),
         outcome: Outcome::Ok,
         total: f64::MAX,
     });
