--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -267,11 +267,11 @@
             customer: authorisation.customer,
             deadline: authorisation.deadline,
             units: authorisation.units,
-            spread: authorisation.spread,
-            first: authorisation.first,
-            again: authorisation.again,
-            place: authorisation.place,
-            waits: authorisation.waits,
+            customer_gateways: authorisation.spread,
+            first_gateway: authorisation.first,
+            is_client_retry: authorisation.again,
+            shed_rank: authorisation.place,
+            shed_share: authorisation.waits,
         }));
         Ok(key)
     }
@@ -308,10 +308,10 @@
             attempt,
             server: out.server,
             outcome,
-            took: now - out.sent,
-            finished,
+            elapsed: now - out.sent,
+            request_finished: finished,
             actual_units: None,
-            report,
+            load_report: report,
         }));
         answers
     }
@@ -351,7 +351,7 @@
     /// Handles the result of a counter call.
     pub fn handle_counter_result(&mut self, name: CounterKey, outcome: Outcome, total: f64) {
         self.events.push(Event::CounterAnswered {
-            name,
+            key: name,
             outcome,
             total,
         });
@@ -377,7 +377,7 @@
         self.events.push(Event::ProbeEnd {
             server,
             outcome,
-            report,
+            load_report: report,
         });
     }
 
@@ -440,7 +440,7 @@
             } => self.send(now, key(request), server, timeout, engine_actions),
             Action::Shed {
                 request,
-                stay_away,
+                retry_after: stay_away,
                 over_quota,
             } => self.reject(
                 now,
@@ -468,13 +468,15 @@
                     self.handle_attempt_ended(now, key, attempt, Outcome::Cancelled, None);
                 }
             }
-            Action::AddToCounter { name, add, expires } => {
-                engine_actions.push(EngineAction::AddToCounter {
-                    name,
-                    add,
-                    life: expires,
-                })
-            }
+            Action::AddToCounter {
+                key: name,
+                amount: add,
+                expires_in: expires,
+            } => engine_actions.push(EngineAction::AddToCounter {
+                name,
+                add,
+                life: expires,
+            }),
             Action::NotifyGateway(limiter, notice) => {
                 engine_actions.push(EngineAction::Notify(limiter, notice))
             }
@@ -508,10 +510,10 @@
                 attempt,
                 server,
                 outcome: Outcome::NotSent,
-                took: 0,
-                finished: held.done,
+                elapsed: 0,
+                request_finished: held.done,
                 actual_units: None,
-                report: None,
+                load_report: None,
             };
             self.events.push(Event::AttemptEnd(end));
             return;
--- a/crates/dataplane/src/plan_resolver.rs
+++ b/crates/dataplane/src/plan_resolver.rs
@@ -141,7 +141,7 @@
         let figures = Plan {
             rate_per_s: rate,
             burst,
-            window,
+            inherited_window: window,
             predecessor: changed,
             ..self.plans[plan].clone()
         };
--- a/crates/dataplane/src/probes.rs
+++ b/crates/dataplane/src/probes.rs
@@ -31,9 +31,9 @@
             continue;
         };
         let field = match name.trim() {
-            "inflight" => &mut report.active,
-            "queue" => &mut report.waiting,
-            "util" => &mut report.cpu,
+            "inflight" => &mut report.active_requests,
+            "queue" => &mut report.queued_requests,
+            "util" => &mut report.cpu_utilization,
             "latency_ms" => &mut report.latency_ms,
             "qps" => &mut report.served_per_s,
             "eps" => &mut report.errors_per_s,
--- a/crates/dataplane/src/probes/tests.rs
+++ b/crates/dataplane/src/probes/tests.rs
@@ -4,7 +4,11 @@
 fn load_report_is_parsed_and_nonsense_is_not() {
     let read = report("TEXT inflight=7, queue=2, util=0.61, new=1").unwrap();
     assert_eq!(
-        (read.active, read.waiting, read.cpu),
+        (
+            read.active_requests,
+            read.queued_requests,
+            read.cpu_utilization
+        ),
         (Some(7.0), Some(2.0), Some(0.61))
     );
     assert_eq!(report("TEXT util=NaN"), None);
--- a/crates/limiter/src/bans.rs
+++ b/crates/limiter/src/bans.rs
@@ -95,7 +95,7 @@
             Some(Mark {
                 out,
                 back: Some(back),
-            }) if entry.started < *out => entry.started = *back,
+            }) if entry.started_at < *out => entry.started_at = *back,
             _ => {}
         }
         entry
--- a/crates/limiter/src/config/shared.rs
+++ b/crates/limiter/src/config/shared.rs
@@ -29,7 +29,7 @@
     /// A key that is unknown or a value that is none of those named, under `shared`.
     pub fn share(&mut self, text: &str) -> Result<(), ConfigError> {
         let file: File = own("shared", text)?;
-        self.settings.lost_slices = file.counter_lost == CounterLost::Slices;
+        self.settings.even_shares_counter_lost = file.counter_lost == CounterLost::Slices;
         Ok(())
     }
 }
--- a/crates/limiter/src/net/host/tokens.rs
+++ b/crates/limiter/src/net/host/tokens.rs
@@ -62,11 +62,11 @@
             entries.push(ServerEntry {
                 server,
                 zone: 0,
-                kind: 0,
+                machine_type: 0,
                 cell: 0,
                 state,
                 weight: 1.0,
-                started: 0,
+                started_at: 0,
             });
         }
         service.engine.update_servers(ListKind::Full, entries);
--- a/crates/limiter/src/routing_table.rs
+++ b/crates/limiter/src/routing_table.rs
@@ -267,14 +267,14 @@
         let entry = ServerEntry {
             server: ServerId(0),
             zone: position(&self.zones, &line["zone"]),
-            kind: position(&self.kinds, &line["type"]),
+            machine_type: position(&self.kinds, &line["type"]),
             cell: line["group"]
                 .as_u64()
                 .and_then(|g| u32::try_from(g).ok())
                 .unwrap_or(0),
             state,
             weight: line["weight"].as_f64().unwrap_or(1.0),
-            started: line["since_ms"].as_i64().unwrap_or(0).saturating_mul(1_000),
+            started_at: line["since_ms"].as_i64().unwrap_or(0).saturating_mul(1_000),
         };
         Ok((name.to_string(), address, entry))
     }
--- a/crates/limiter/src/routing_table/tests.rs
+++ b/crates/limiter/src/routing_table/tests.rs
@@ -30,10 +30,10 @@
     assert_eq!(
         (
             first.zone,
-            first.kind,
+            first.machine_type,
             first.cell,
             first.weight,
-            first.started
+            first.started_at
         ),
         (1, 1, 3, 1.5, 7_000)
     );
@@ -233,12 +233,15 @@
     table.line(&line(1, true, &[("s-1", "Ready")])).unwrap();
     table.disable("s-1", 5_000).unwrap();
     let (_, news) = table.enable("s-1", 9_000).unwrap();
-    assert_eq!(news.entries[0].started, 7_000, "restarted while it was out");
+    assert_eq!(
+        news.entries[0].started_at, 7_000,
+        "restarted while it was out"
+    );
     table.disable("s-1", 20_000).unwrap();
     table.disable("s-1", 25_000).unwrap();
     let (_, news) = table.enable("s-1", 30_000).unwrap();
     assert_eq!(
-        (news.entries[0].started, news.entries[0].state),
+        (news.entries[0].started_at, news.entries[0].state),
         (30_000, ServerState::Ready)
     );
     let again = table
@@ -246,7 +249,7 @@
         .unwrap()
         .unwrap();
     assert_eq!(
-        again.entries[0].started, 30_000,
+        again.entries[0].started_at, 30_000,
         "the list says the same as before"
     );
 }
--- a/crates/limiter/tests/config.rs
+++ b/crates/limiter/tests/config.rs
@@ -190,9 +190,9 @@
         .unwrap();
     read.share(include_str!("../../../deploy/shared.json"))
         .unwrap();
-    assert!(!read.settings.lost_slices, "as it is shipped");
+    assert!(!read.settings.even_shares_counter_lost, "as it is shipped");
     read.share(r#"{"counter_lost": "slices"}"#).unwrap();
-    assert!(read.settings.lost_slices);
+    assert!(read.settings.even_shares_counter_lost);
     let error = read
         .share(r#"{"counter_lost": "shares"}"#)
         .unwrap_err()
--- a/crates/limiter/tests/judging.rs
+++ b/crates/limiter/tests/judging.rs
@@ -59,11 +59,11 @@
         let server = |n| ServerEntry {
             server: ServerId(n),
             zone: 0,
-            kind: 0,
+            machine_type: 0,
             cell: 0,
             state: ServerState::Ready,
             weight: 1.0,
-            started: 0,
+            started_at: 0,
         };
         let one = |number: u32| {
             let settings = Settings {
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -400,11 +400,11 @@
         let entry = |n| ServerEntry {
             server: ServerId(n),
             zone: 0,
-            kind: 0,
+            machine_type: 0,
             cell: n / 2,
             state,
             weight: 1.0,
-            started: 0,
+            started_at: 0,
         };
         engine.update_servers(ListKind::Full, (0..4).map(entry).collect());
         let mut now = 1_000_000;
@@ -526,11 +526,11 @@
     let entry = |n| ServerEntry {
         server: ServerId(n),
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         cell: 0,
         state: ServerState::Ready,
         weight: 1.0,
-        started: 0,
+        started_at: 0,
     };
     engine.update_servers(ListKind::Full, (0..4).map(entry).collect());
     let mut now = 1_000_000;
--- a/crates/load/src/fleet/mod.rs
+++ b/crates/load/src/fleet/mod.rs
@@ -319,11 +319,11 @@
         sends_retry_after: true,
         can_notify_gateways: true,
         max_retry_after: SECOND,
-        cold_from: 0.15,
-        cold_for: 15 * SECOND,
-        fall_multiple: 3.0,
-        fall_window: 3 * SECOND,
-        lost_slices: false,
+        cold_capacity_share: 0.15,
+        warm_up_duration: 15 * SECOND,
+        overload_multiple: 3.0,
+        overload_window: 3 * SECOND,
+        even_shares_counter_lost: false,
         ..Settings::default()
     }
 }
@@ -333,11 +333,11 @@
     ServerEntry {
         server: ServerId(number),
         zone: number % 3,
-        kind: number % 2,
+        machine_type: number % 2,
         cell: number / 4,
         state,
         weight: 1.0,
-        started,
+        started_at: started,
     }
 }
 
@@ -426,7 +426,7 @@
         self.run(3 * SECOND);
         for n in zone {
             self.nodes[n].restart(self.now);
-            self.listed[n].started = self.now;
+            self.listed[n].started_at = self.now;
         }
         self.tell_all(SECOND);
     }
@@ -535,9 +535,9 @@
             customer,
             deadline,
             units,
-            spread,
-            first,
-            again,
+            customer_gateways: spread,
+            first_gateway: first,
+            is_client_retry: again,
             ..Request::default()
         };
         self.hand(gateway, Event::Request(request));
@@ -564,9 +564,9 @@
                 .entry((gateway, end.server))
                 .or_default()
                 .push(self.now);
-            self.totals.served += u64::from(end.took <= self.settings.classes[0].latency_target);
+            self.totals.served += u64::from(end.elapsed <= self.settings.classes[0].latency_target);
         }
-        if end.finished {
+        if end.request_finished {
             self.open.remove(&end.request);
         }
         true
@@ -605,14 +605,18 @@
                 self.stop(gateway, request, true);
             }
             Action::Cancel { request, .. } => self.stop(gateway, request, false),
-            Action::AddToCounter { name, add, .. } => {
+            Action::AddToCounter {
+                key: name,
+                amount: add,
+                ..
+            } => {
                 self.totals.calls += 1;
                 let (wait, outcome, total) = self.counter.add(self.now, name, add);
                 self.later(
                     wait,
                     gateway,
                     Event::CounterAnswered {
-                        name,
+                        key: name,
                         outcome,
                         total,
                     },
@@ -638,7 +642,7 @@
                     Event::ProbeEnd {
                         server,
                         outcome,
-                        report: None,
+                        load_report: None,
                     },
                 );
             }
@@ -684,10 +688,10 @@
             attempt,
             server,
             outcome,
-            took,
-            finished,
+            elapsed: took,
+            request_finished: finished,
             actual_units,
-            report,
+            load_report: report,
         };
         self.later(wait, gateway, Event::AttemptEnd(end));
     }
--- a/crates/load/src/fleet/world.rs
+++ b/crates/load/src/fleet/world.rs
@@ -53,21 +53,21 @@
         if self.started == 0 {
             return 1.0;
         }
-        let age = (now - self.started) as f64 / settings.cold_for as f64;
-        (settings.cold_from + (1.0 - settings.cold_from) * age).min(1.0)
+        let age = (now - self.started) as f64 / settings.warm_up_duration as f64;
+        (settings.cold_capacity_share + (1.0 - settings.cold_capacity_share) * age).min(1.0)
     }
 
     /// Takes a request; gives the time at which it is answered, or none if it is turned away.
     pub fn take(&mut self, now: Micros, settings: &Settings) -> Option<Micros> {
         let warmth = self.warmth(now, settings);
         if warmth < 1.0 {
-            let window = settings.fall_window;
+            let window = settings.overload_window;
             self.cold.push_back(now);
             while self.cold.front().is_some_and(|at| now - at >= window) {
                 self.cold.pop_front();
             }
             let sent = (self.cold.len() as i64 * WORK) as f64;
-            let falls = settings.fall_multiple * CORES as f64 * warmth * window as f64;
+            let falls = settings.overload_multiple * CORES as f64 * warmth * window as f64;
             self.pushed = self.pushed.max(sent / falls);
         }
         let core = self.free.iter_mut().min()?;
--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -105,11 +105,11 @@
         let entry = ServerEntry {
             server: INNER,
             zone: 0,
-            kind: 0,
+            machine_type: 0,
             cell: 0,
             state,
             weight: 1.0,
-            started: 0,
+            started_at: 0,
         };
         engine.update_servers(ListKind::Full, vec![entry]);
         let shared = Arc::new(Shared {
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -83,7 +83,7 @@
         max_attempts: 8,
         retry_budget: retries,
         // An answer that is still of use to its client does not count as a silent server.
-        silent_least: aim,
+        min_silence_timeout: aim,
         ..settings(limiters)
     };
     Engine::new(settings, seed, most)
--- a/crates/proxy/src/router/quota_engine.rs
+++ b/crates/proxy/src/router/quota_engine.rs
@@ -80,11 +80,11 @@
     let settings = Settings {
         classes: vec![worth],
         counter_available: true,
-        lost_slices: true,
-        slice_first: true,
-        add_least: MIN_CALL_CHANCE,
+        even_shares_counter_lost: true,
+        even_share_first: true,
+        min_counted_share: MIN_CALL_CHANCE,
         initial_concurrency: UNLIMITED,
-        least_away: MIN_RETRY_AFTER,
+        min_retry_after_counter_lost: MIN_RETRY_AFTER,
         max_attempts: 1,
         ..settings(MAX_COUNTING_LIMITERS)
     };
@@ -92,11 +92,11 @@
     let through = ServerEntry {
         server: ADMITTED,
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         cell: 0,
         state: ServerState::Ready,
         weight: 1.0,
-        started: 0,
+        started_at: 0,
     };
     engine.update_servers(ListKind::Full, vec![through]);
     engine
@@ -176,7 +176,7 @@
             over_quota_cost_share: 1.0,
             max_carryover: tenant.per_s,
             // With an explicit window a tenant keeps its remaining tokens when its limits change.
-            window: COUNTER_WINDOW,
+            inherited_window: COUNTER_WINDOW,
             ..Plan::default()
         };
         self.engines[0].engine.add_plan(plan);
--- a/crates/proxy/src/router/tests.rs
+++ b/crates/proxy/src/router/tests.rs
@@ -25,11 +25,11 @@
     ServerEntry {
         server: ServerId(number),
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         cell: 0,
         state: ServerState::Ready,
         weight: 2.0,
-        started: 0,
+        started_at: 0,
     }
 }
 
--- a/crates/proxy/src/server_table.rs
+++ b/crates/proxy/src/server_table.rs
@@ -173,7 +173,7 @@
             ServerEntry {
                 server: known.number,
                 zone: 0,
-                kind: 0,
+                machine_type: 0,
                 cell: 0,
                 state: if ready {
                     ServerState::Ready
@@ -181,7 +181,7 @@
                     ServerState::Draining
                 },
                 weight: f64::from(server.slots) * near,
-                started: 0,
+                started_at: 0,
             }
         };
         self.servers.values().filter(allowed).map(entry).collect()
--- a/crates/proxy/src/shedding.rs
+++ b/crates/proxy/src/shedding.rs
@@ -56,8 +56,8 @@
     /// Whether the module rejects it.
     pub fn is_shed(&self) -> bool {
         streamarch::should_shed(&Request {
-            place: self.position,
-            waits: self.shed_share,
+            shed_rank: self.position,
+            shed_share: self.shed_share,
             ..Request::default()
         })
     }
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -58,11 +58,11 @@
     let one = |number| ServerEntry {
         server: ServerId(number),
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         cell: 0,
         state: ServerState::Ready,
         weight: 1.0,
-        started: 0,
+        started_at: 0,
     };
     (1..=20).map(one).collect()
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -106,7 +106,9 @@
                 )
             }
             Action::Shed {
-                request, stay_away, ..
+                request,
+                retry_after: stay_away,
+                ..
             } => {
                 let done = writeln!(
                     out,
@@ -124,7 +126,11 @@
             Action::Cancel { request, attempt } => {
                 writeln!(out, "call_off\tReq={}\tN={attempt}", self.word(*request))
             }
-            Action::AddToCounter { name, add, expires } => {
+            Action::AddToCounter {
+                key: name,
+                amount: add,
+                expires_in: expires,
+            } => {
                 writeln!(
                     out,
                     "tally\tAdd={add}\tSlotName={}\tExpireInUs={expires}",
@@ -238,7 +244,7 @@
             "closed_attempt" => match instance.numbers.get(fields.text("Req")?).copied() {
                 Some(number) => {
                     let end = wire::attempt_end(fields, RequestId(number))?;
-                    instance.attempt_ended(end.request, end.finished);
+                    instance.attempt_ended(end.request, end.request_finished);
                     Some(Event::AttemptEnd(end))
                 }
                 None => None,
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -111,11 +111,11 @@
     Ok(ServerEntry {
         server: server(fields)?,
         zone: fields.whole("RegionPart")?.unwrap_or(0) as u32,
-        kind: fields.whole("Hw")?.unwrap_or(0) as u32,
+        machine_type: fields.whole("Hw")?.unwrap_or(0) as u32,
         cell: fields.whole("Block")?.unwrap_or(0) as u32,
         state,
         weight: fields.number("Heft")?.unwrap_or(1.0),
-        started: fields.whole("SinceUs")?.unwrap_or(0) as Micros,
+        started_at: fields.whole("SinceUs")?.unwrap_or(0) as Micros,
     })
 }
 
@@ -146,9 +146,9 @@
         customer: CustomerId(fields.need("Account")?),
         deadline: fields.signed("NotAfterUs")?,
         units: fields.number("Weight")?.unwrap_or(1.0),
-        spread: fields.whole("Doors")?.unwrap_or(0) as u32,
-        first: fields.whole("FirstDoor")?.unwrap_or(0) as u32,
-        again: fields.whole("AgainByClient")?.unwrap_or(0) == 1,
+        customer_gateways: fields.whole("Doors")?.unwrap_or(0) as u32,
+        first_gateway: fields.whole("FirstDoor")?.unwrap_or(0) as u32,
+        is_client_retry: fields.whole("AgainByClient")?.unwrap_or(0) == 1,
         ..Request::default()
     })
 }
@@ -181,9 +181,9 @@
             .ok_or_else(|| fields.bad("Pressure", text))?;
         let value: f64 = value.parse().map_err(|_| fields.bad("Pressure", text))?;
         match name {
-            "active" => report.active = Some(value),
-            "waiting" => report.waiting = Some(value),
-            "cpu" => report.cpu = Some(value),
+            "active" => report.active_requests = Some(value),
+            "waiting" => report.queued_requests = Some(value),
+            "cpu" => report.cpu_utilization = Some(value),
             "avg_ms" => report.latency_ms = Some(value),
             "rps" => report.served_per_s = Some(value),
             "err_rps" => report.errors_per_s = Some(value),
@@ -200,17 +200,17 @@
         attempt: fields.need("N")? as u32,
         server: server(fields)?,
         outcome: outcome(fields)?,
-        took: fields.whole("RttUs")?.unwrap_or(0) as Micros,
-        finished: fields.whole("Closed")?.unwrap_or(0) == 1,
+        elapsed: fields.whole("RttUs")?.unwrap_or(0) as Micros,
+        request_finished: fields.whole("Closed")?.unwrap_or(0) == 1,
         actual_units: fields.number("Actual")?.filter(|units| *units > 0.0),
-        report: report(fields)?,
+        load_report: report(fields)?,
     })
 }
 
 /// The counter's answer.
 pub fn counted(fields: &Fields) -> Result<Event, Fault> {
     Ok(Event::CounterAnswered {
-        name: CounterKey(fields.need("SlotName")?),
+        key: CounterKey(fields.need("SlotName")?),
         outcome: outcome(fields)?,
         total: fields.number("Total")?.unwrap_or(0.0),
     })
@@ -251,6 +251,6 @@
     Ok(Event::ProbeEnd {
         server: server(fields)?,
         outcome: outcome(fields)?,
-        report: report(fields)?,
+        load_report: report(fields)?,
     })
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -89,7 +89,7 @@
     /// Units beyond the burst of which over-use is paid back in later windows; what is beyond that is forgiven.
     pub max_carryover: f64,
     /// A plan that changed in service keeps the length of the windows that its customers had; 0: by burst and rate.
-    pub window: Micros,
+    pub inherited_window: Micros,
     /// Since when it holds, and the position of the plan that held before, where it changed in service.
     pub predecessor: Option<(Micros, usize)>,
 }
@@ -101,7 +101,7 @@
     /// Length of the windows in which its customers' use is counted: about burst over rate, so that what the store
     /// holds is refilled in one; or the length that was kept when the plan changed in service.
     pub fn window_length(&self) -> Micros {
-        match self.window {
+        match self.inherited_window {
             0 => ((self.burst / self.rate_per_s * 1e6) as Micros).clamp(WINDOWS.0, WINDOWS.1),
             kept => kept,
         }
@@ -181,27 +181,27 @@
     /// Longest time to stay away that a client honours.
     pub max_retry_after: Micros,
     /// While the counter is lost, clients refused for their quota are told to stay away for about this at the least.
-    pub least_away: Micros,
+    pub min_retry_after_counter_lost: Micros,
     /// A server that owes answers is suspected of silence no sooner than after this, whatever is usual: before any answer
     /// nothing is.
-    pub silent_least: Micros,
+    pub min_silence_timeout: Micros,
     /// A cold server starts with this share of its capacity or more...
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// ...and is warm no later than this.
-    pub cold_for: Micros,
+    pub warm_up_duration: Micros,
     /// Sent more than this multiple of its present capacity...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...for this long, a cold server falls over.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
     /// While the counter is lost, a gateway lets each customer use no more than its even slice of the window;
     /// else DESIGN's open without a counter, by what is known here.
-    pub lost_slices: bool,
+    pub even_shares_counter_lost: bool,
     /// Within its even slice of a window a gateway lets requests pass at once, their calls made and not waited for;
     /// beyond it none passes without a total, whatever becomes of the counter.
-    pub slice_first: bool,
+    pub even_share_first: bool,
     /// A call whose request is not likely to pass adds at least this part of its units: of those that are out at once each may find
     /// room that is there for one, and each that adds more keeps others out until it is given back.
-    pub add_least: f64,
+    pub min_counted_share: f64,
 }
 
 /// State of a server in the list.
@@ -223,7 +223,7 @@
     /// Its zone.
     pub zone: u32,
     /// Its kind of machine.
-    pub kind: u32,
+    pub machine_type: u32,
     /// Its cell.
     pub cell: u32,
     /// Its state.
@@ -231,7 +231,7 @@
     /// Its size beside other servers.
     pub weight: f64,
     /// When it last started; 0 for long ago.
-    pub started: Micros,
+    pub started_at: Micros,
 }
 
 /// How the entries of a list event are to be read.
@@ -251,11 +251,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests in hand.
-    pub active: Option<f64>,
+    pub active_requests: Option<f64>,
     /// Requests waiting.
-    pub waiting: Option<f64>,
+    pub queued_requests: Option<f64>,
     /// Share of its processors in use.
-    pub cpu: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// Recent time to serve, in milliseconds.
     pub latency_ms: Option<f64>,
     /// Requests served a second.
@@ -301,15 +301,15 @@
     /// Units it takes from the quota.
     pub units: f64,
     /// Number of gateways that this customer's requests come through...
-    pub spread: u32,
+    pub customer_gateways: u32,
     /// ...and the number of the first; the others follow, counted round.
-    pub first: u32,
+    pub first_gateway: u32,
     /// A client's repeat, where clients say so.
-    pub again: bool,
+    pub is_client_retry: bool,
     /// Its place in the order in which requests wait under overload, from 0 to below 1, the same at all gateways...
-    pub place: f64,
+    pub shed_rank: f64,
     /// ...and the share of that order, from its end, that waits now, as all gateways were told.
-    pub waits: f64,
+    pub shed_share: f64,
 }
 
 /// The end of an attempt.
@@ -324,13 +324,13 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent.
-    pub took: Micros,
+    pub elapsed: Micros,
     /// The request has finished, by this or earlier.
-    pub finished: bool,
+    pub request_finished: bool,
     /// True units, if they came with this answer.
     pub actual_units: Option<f64>,
     /// Load report of the server, if one came along.
-    pub report: Option<LoadReport>,
+    pub load_report: Option<LoadReport>,
 }
 
 /// What gateways tell each other.
@@ -368,7 +368,7 @@
     /// The counter answered, or failed to.
     CounterAnswered {
         /// The number that was named.
-        name: CounterKey,
+        key: CounterKey,
         /// How the call ended.
         outcome: Outcome,
         /// The number after the call, where it succeeded.
@@ -385,7 +385,7 @@
         /// How it ended.
         outcome: Outcome,
         /// The load report that came along.
-        report: Option<LoadReport>,
+        load_report: Option<LoadReport>,
     },
     /// Another gateway tells that a customer is over its quota.
     NoticeReceived(OverQuotaNotice),
@@ -412,7 +412,7 @@
         /// The request.
         request: RequestId,
         /// How long the client had better stay away; 0 for no advice.
-        stay_away: Micros,
+        retry_after: Micros,
         /// For its quota; else for want of a server or of time.
         over_quota: bool,
     },
@@ -428,11 +428,11 @@
     /// Add to a number of the counter service and learn the total.
     AddToCounter {
         /// The number.
-        name: CounterKey,
+        key: CounterKey,
         /// What to add.
-        add: f64,
+        amount: f64,
         /// If the name is new, it is forgotten after this time.
-        expires: Micros,
+        expires_in: Micros,
     },
     /// Send another gateway, by its number, a notice.
     NotifyGateway(u32, OverQuotaNotice),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -30,7 +30,7 @@
 
 /// Danger: gateways that refuse each for itself refuse any. By the shared level the last in the order wait.
 pub fn should_shed(request: &Request) -> bool {
-    request.place >= 1.0 - request.waits
+    request.shed_rank >= 1.0 - request.shed_share
 }
 
 impl Balancer {
@@ -106,7 +106,7 @@
             }
             Event::ClientDisconnected(id) => self.on_left(*id),
             Event::CounterAnswered {
-                name,
+                key: name,
                 outcome,
                 total,
             } => self.on_counted(*name, *outcome, *total),
@@ -116,7 +116,7 @@
             Event::ProbeEnd {
                 server,
                 outcome,
-                report,
+                load_report: report,
             } => self.on_probe(*server, *outcome, *report),
             Event::NoticeReceived(notice) => self.on_told(*notice),
             Event::PlanAdded(plan) => self.settings.plans.push(plan.clone()),
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -60,18 +60,21 @@
             return self.place(id);
         };
         // Danger: who is unknown here may have used up much of the window under the plan before.
-        let same =
-            |since| window_at(since, plan.window, who).0 == window_at(now, plan.window, who).0;
+        let same = |since| {
+            window_at(since, plan.inherited_window, who).0
+                == window_at(now, plan.inherited_window, who).0
+        };
         let changed = plan
             .predecessor
-            .filter(|(since, _)| plan.window > 0 && same(*since));
+            .filter(|(since, _)| plan.inherited_window > 0 && same(*since));
         let before = changed.map_or(request.plan, |c| c.1);
         let unknown = || Customer::unknown(before, booted, USE_GUESS);
         let customer = self.customers.entry(who).or_insert_with(unknown);
         customer.seen = now;
         let last = std::mem::replace(&mut customer.plan, request.plan);
         let kept = |old: &&Plan| {
-            old.window.max(plan.window) > 0 && old.rate_per_s.min(plan.rate_per_s) > 0.0
+            old.inherited_window.max(plan.inherited_window) > 0
+                && old.rate_per_s.min(plan.rate_per_s) > 0.0
         };
         if let Some(old) = self
             .settings
@@ -85,16 +88,20 @@
                 .replan(Store::of_rate(old), Store::of_rate(&plan), who, now);
         }
         let granted = customer.granted(now).max(ASK_LEAST);
-        let spread = f64::from(request.spread.clamp(1, self.settings.gateway_count.max(1)));
+        let spread = f64::from(
+            request
+                .customer_gateways
+                .clamp(1, self.settings.gateway_count.max(1)),
+        );
         let lost = self.counter_lost();
         // Danger: cut off, or with a counter that knows nothing of the open window, all gateways grant all.
-        let sliced =
-            self.settings.lost_slices && (lost || now - self.counter.since < plan.window_length());
+        let sliced = self.settings.even_shares_counter_lost
+            && (lost || now - self.counter.since < plan.window_length());
         // Danger: at a crowded counter denied tries hold places of the cap while they wait and deny others.
         let asks = plan.max_concurrent == 0 || self.counter.pace >= 1.0 || self.random() < granted;
         let usable =
             asks && self.settings.counter_available && (!lost || now >= self.counter.next_probe);
-        let first = self.settings.slice_first;
+        let first = self.settings.even_share_first;
         let share = if lost || first {
             1.0
         } else {
@@ -198,7 +205,7 @@
                     meter.estimate() + meter.carry
                 };
             fits &= known <= room || !(lost || (meter.over && (past_slice || told_lately)));
-            let fleet = if self.settings.slice_first {
+            let fleet = if self.settings.even_share_first {
                 meter.fleet
             } else {
                 meter.unheard
@@ -235,7 +242,7 @@
                 * if open || likely {
                     1.0
                 } else {
-                    ADD_LEAST.max(self.settings.add_least)
+                    ADD_LEAST.max(self.settings.min_counted_share)
                 };
             let others = units * (weight - 1.0) * grant;
             let (stands_for, add) = (
@@ -302,9 +309,9 @@
             .into_iter()
             .for_each(|id| _ = self.held.get_mut(&id).map(|h| h.calls += 1));
         self.actions.push(Action::AddToCounter {
-            name,
-            add: call.add,
-            expires: 2 * length + SECOND,
+            key: name,
+            amount: call.add,
+            expires_in: 2 * length + SECOND,
         });
     }
 
@@ -361,7 +368,8 @@
             customer: request.customer,
             plan: request.plan,
         };
-        let set = (0..request.spread.min(many)).map(|n| (request.first % many + n) % many);
+        let set = (0..request.customer_gateways.min(many))
+            .map(|n| (request.first_gateway % many + n) % many);
         self.actions.extend(
             set.filter(|n| *n != own)
                 .map(|n| Action::NotifyGateway(n, notice)),
@@ -392,7 +400,7 @@
         let meter = known.meter(call.open);
         let room = meter.turn(store, call.customer, now);
         let present = call.window == meter.window;
-        let strict = self.settings.slice_first;
+        let strict = self.settings.even_share_first;
         let blind = strict || (!meter.read && chance >= grant);
         meter.flying = (meter.flying - if present { call.add.max(0.0) } else { 0.0 }).max(0.0);
         match outcome {
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -63,7 +63,7 @@
             known.units.carry += actual - held.request.units;
         }
         let none_out = held.out.is_empty();
-        if end.finished || end.outcome == Outcome::Ok || held.done {
+        if end.request_finished || end.outcome == Outcome::Ok || held.done {
             self.close(id);
         } else if none_out
             && end.outcome != Outcome::NotSent
@@ -156,7 +156,7 @@
             .get(held.request.plan)
             .filter(|p| held.denied && p.rate_per_s > 0.0);
         let least = if self.counter_lost() {
-            self.settings.least_away as f64
+            self.settings.min_retry_after_counter_lost as f64
         } else {
             0.0
         };
@@ -167,7 +167,7 @@
         let stay_away = (time as Micros).min(most);
         let shed = Action::Shed {
             request: id,
-            stay_away,
+            retry_after: stay_away,
             over_quota: held.denied,
         };
         self.close(id);
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -104,9 +104,11 @@
     }
 
     fn learn_report(&mut self, now: Micros, report: Option<LoadReport>) {
-        if let Some(told) =
-            report.and_then(|r| r.active.map(|a| a - f64::from(self.out)).or(r.waiting))
-        {
+        if let Some(told) = report.and_then(|r| {
+            r.active_requests
+                .map(|a| a - f64::from(self.out))
+                .or(r.queued_requests)
+        }) {
             (self.others, self.others_at) = (told.max(0.0), now);
         }
     }
@@ -132,7 +134,7 @@
                 .servers
                 .entry(entry.server)
                 .or_insert_with(|| Server::unknown(first, rank));
-            if entry.started > server.started {
+            if entry.started_at > server.started {
                 let (out, bound, sent_work, sent_at) = (server.out, server.bound, stagger, now);
                 *server = Server {
                     out,
@@ -142,8 +144,8 @@
                     ..Server::unknown(first, server.rank)
                 };
             }
-            (server.zone, server.cell, server.kind) = (entry.zone, entry.cell, entry.kind);
-            (server.started, server.ready) = (entry.started, entry.state == ServerState::Ready);
+            (server.zone, server.cell, server.kind) = (entry.zone, entry.cell, entry.machine_type);
+            (server.started, server.ready) = (entry.started_at, entry.state == ServerState::Ready);
             server.gone = entry.state == ServerState::Removed;
             server.weight = if entry.weight > 0.0 {
                 entry.weight
@@ -172,22 +174,22 @@
 
     pub(super) fn warmth(&self, server: &Server) -> f64 {
         let age = (self.now - server.started).max(0);
-        if server.started <= 0 || age >= self.settings.cold_for {
+        if server.started <= 0 || age >= self.settings.warm_up_duration {
             return 1.0;
         }
-        let from = self.settings.cold_from.clamp(0.01, 1.0);
-        from + (1.0 - from) * (age as f64 / self.settings.cold_for as f64)
+        let from = self.settings.cold_capacity_share.clamp(0.01, 1.0);
+        from + (1.0 - from) * (age as f64 / self.settings.warm_up_duration as f64)
     }
 
     /// Work sent to a cold server not yet covered by its budget, and whether more fits: half a window's.
     /// Danger: overfed by all gateways together it falls over. Each has its share of a core at least.
     pub(super) fn cold_debt(&self, server: &Server, work: f64) -> (f64, bool) {
-        let share = self.settings.fall_multiple * COLD_MARGIN / self.sharers;
+        let share = self.settings.overload_multiple * COLD_MARGIN / self.sharers;
         let rate = self.warmth(server) * share * server.weight.max(1.0);
         let debt = (server.sent_work - (self.now - server.sent_at) as f64 * rate).max(0.0);
         (
             debt,
-            debt <= 0.0 || debt + work <= rate * self.settings.fall_window as f64 / 2.0,
+            debt <= 0.0 || debt + work <= rate * self.settings.overload_window as f64 / 2.0,
         )
     }
 
@@ -211,7 +213,7 @@
         server.out = server.out.saturating_sub(1);
         server.learn_bound(
             end.outcome,
-            end.took as f64 > aim as f64 * LATE_SHARE,
+            end.elapsed as f64 > aim as f64 * LATE_SHARE,
             least,
         );
         server.learn_rest(now, plan.unwrap_or(usize::MAX), end.outcome);
@@ -228,7 +230,7 @@
                     .learn(now, good);
             }
         }
-        server.learn_report(now, end.report);
+        server.learn_report(now, end.load_report);
         let heard = matches!(
             end.outcome,
             Outcome::Ok | Outcome::Error | Outcome::Rejected | Outcome::Reset
@@ -236,7 +238,7 @@
         server.unheard = if heard { Some(now) } else { server.unheard }.filter(|_| server.out > 0);
         let known = class.and_then(|c| self.means.get_mut(c).zip(self.works.get_mut(c)));
         if let (Outcome::Ok, Some((mean, work))) = (end.outcome, known) {
-            let took = end.took.max(1) as f64;
+            let took = end.elapsed.max(1) as f64;
             *work += (took - *work) * if took < *work { WORK_DOWN } else { WORK_UP };
             *mean = if *mean > 0.0 {
                 *mean + (took - *mean) * MEAN_GAIN
@@ -252,7 +254,7 @@
         let now = self.now;
         self.due(now + TICK, Due::Tick);
         let usual = self.means.iter().copied().fold(0.0, f64::max);
-        let least = self.settings.silent_least.max(SILENT_MIN);
+        let least = self.settings.min_silence_timeout.max(SILENT_MIN);
         let patience = ((usual * SILENT_MULTIPLE) as Micros).max(least);
         let ready = self.servers.values().filter(|s| s.ready).count();
         let mut suspects = self
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -62,11 +62,11 @@
         max_attempts: 5,
         sends_retry_after: true,
         max_retry_after: SECOND,
-        cold_from: 0.2,
-        cold_for: 10 * SECOND,
-        fall_multiple: 2.0,
-        fall_window: SECOND,
-        lost_slices: false,
+        cold_capacity_share: 0.2,
+        warm_up_duration: 10 * SECOND,
+        overload_multiple: 2.0,
+        overload_window: SECOND,
+        even_shares_counter_lost: false,
         ..Settings::default()
     }
 }
@@ -131,9 +131,9 @@
             customer: CustomerId(customer),
             deadline: self.now + SECOND,
             units: 1.0,
-            spread: 2,
-            first: 0,
-            again: false,
+            customer_gateways: 2,
+            first_gateway: 0,
+            is_client_retry: false,
             ..Request::default()
         };
         (id, self.feed(Event::Request(request)))
@@ -151,10 +151,10 @@
             attempt,
             server,
             outcome,
-            took: 50 * MS,
-            finished: outcome == Outcome::Ok,
+            elapsed: 50 * MS,
+            request_finished: outcome == Outcome::Ok,
             actual_units: None,
-            report: None,
+            load_report: None,
         }))
     }
 }
@@ -163,11 +163,11 @@
     ServerEntry {
         server: ServerId(n),
         zone: n % 2,
-        kind: 0,
+        machine_type: 0,
         cell: n / 2,
         state,
         weight: 1.0,
-        started,
+        started_at: started,
     }
 }
 
@@ -183,7 +183,11 @@
 
 pub fn counts(actions: &[Action]) -> Vec<(CounterKey, f64)> {
     let count = |a: &Action| match a {
-        Action::AddToCounter { name, add, .. } => Some((*name, *add)),
+        Action::AddToCounter {
+            key: name,
+            amount: add,
+            ..
+        } => Some((*name, *add)),
         _ => None,
     };
     actions.iter().filter_map(count).collect()
@@ -220,7 +224,7 @@
                 let total = self.0.entry(name).or_default();
                 *total += add;
                 more.extend(gateway.feed(Event::CounterAnswered {
-                    name,
+                    key: name,
                     outcome: Outcome::Ok,
                     total: *total,
                 }));
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -98,7 +98,7 @@
         let (id, mut actions) = gateway.ask(0, 1, customer);
         for (name, _) in counts(&actions) {
             actions.extend(gateway.feed(Event::CounterAnswered {
-                name,
+                key: name,
                 outcome: Outcome::TimedOut,
                 total: 0.0,
             }));
@@ -125,7 +125,7 @@
     }
     assert!(out.len() >= 8);
     let failed = |(name, _)| Event::CounterAnswered {
-        name,
+        key: name,
         outcome: Outcome::TimedOut,
         total: 0.0,
     };
@@ -155,7 +155,7 @@
                 Outcome::Ok
             };
             actions.extend(gateway.feed(Event::CounterAnswered {
-                name,
+                key: name,
                 outcome,
                 total: 0.0,
             }));
@@ -179,7 +179,7 @@
         for (name, _) in counts(&actions) {
             calls[usize::from(customer >= 200)] += 1;
             actions.extend(gateway.feed(Event::CounterAnswered {
-                name,
+                key: name,
                 outcome: Outcome::TimedOut,
                 total: 0.0,
             }));
@@ -217,10 +217,10 @@
         attempt: 0,
         server,
         outcome: Outcome::Ok,
-        took: 50 * MS,
-        finished: true,
+        elapsed: 50 * MS,
+        request_finished: true,
         actual_units: Some(4.0),
-        report: None,
+        load_report: None,
     }));
     let added: f64 = counts(&gateway.ask(0, 1, 9).1)
         .iter()
@@ -296,7 +296,7 @@
         let mut sent = sends(&actions);
         for (name, _) in counts(&actions) {
             sent.extend(sends(&gateway.feed(Event::CounterAnswered {
-                name,
+                key: name,
                 outcome: Outcome::Rejected,
                 total: 0.0,
             })));
@@ -354,7 +354,7 @@
         if let Some((name, add)) = counts(&actions).into_iter().find(new) {
             *counter.0.entry(name).or_default() += add;
             actions.extend(gateway.feed(Event::CounterAnswered {
-                name,
+                key: name,
                 outcome: Outcome::TimedOut,
                 total: 0.0,
             }));
@@ -391,7 +391,7 @@
                 Outcome::Rejected
             };
             sent.extend(sends(&gateway.feed(Event::CounterAnswered {
-                name,
+                key: name,
                 outcome,
                 total: 1.0,
             })));
@@ -410,7 +410,7 @@
 fn change(gateway: &mut Gateway, to: (f64, f64)) {
     let changed = Some((gateway.now, 1));
     gateway.feed(Event::PlanAdded(Plan {
-        window: 2 * SECOND,
+        inherited_window: 2 * SECOND,
         predecessor: changed,
         ..plan(to.0, to.1)
     }));
@@ -465,7 +465,7 @@
     assert_eq!(burst(&mut gateways, &mut counter, 1, 6), 6);
     change(&mut gateways[0], (20.0, 40.0));
     gateways[0].feed(Event::PlanAdded(Plan {
-        window: 2 * SECOND,
+        inherited_window: 2 * SECOND,
         predecessor: Some((gateways[0].now, 3)),
         ..plan(5.0, 10.0)
     }));
@@ -494,7 +494,7 @@
 fn passed_without_the_counter(slices: bool, heard_before: bool) -> usize {
     let mut gateway = Gateway::with_servers(
         Settings {
-            lost_slices: slices,
+            even_shares_counter_lost: slices,
             ..settings()
         },
         8,
@@ -509,7 +509,7 @@
         } else {
             for (name, _) in counts(&actions) {
                 actions.extend(gateway.feed(Event::CounterAnswered {
-                    name,
+                    key: name,
                     outcome: Outcome::TimedOut,
                     total: 0.0,
                 }));
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -11,7 +11,7 @@
     names
         .flat_map(|name| {
             gateway.feed(Event::CounterAnswered {
-                name,
+                key: name,
                 outcome,
                 total: 1.0,
             })
@@ -168,10 +168,10 @@
                 attempt: 0,
                 server,
                 outcome: Outcome::Ok,
-                took: if n % 4 == 0 { 50 * MS } else { 450 * MS },
-                finished: true,
+                elapsed: if n % 4 == 0 { 50 * MS } else { 450 * MS },
+                request_finished: true,
                 actual_units: None,
-                report: None,
+                load_report: None,
             }));
         }
     }
@@ -190,7 +190,7 @@
     let (_, first) = gateway.ask(0, 1, 9);
     let name = counts(&first)[0].0;
     let counted = |total| Event::CounterAnswered {
-        name,
+        key: name,
         outcome: Outcome::Ok,
         total,
     };
@@ -226,10 +226,10 @@
             attempt: 0,
             server,
             outcome: Outcome::Ok,
-            took: 50 * MS,
-            finished: true,
+            elapsed: 50 * MS,
+            request_finished: true,
             actual_units: None,
-            report: None,
+            load_report: None,
         }),
         Event::Timer,
     ];
@@ -288,7 +288,7 @@
         let names = counts(&actions).into_iter().map(|(name, _)| name);
         let told = |name| {
             gateway.feed(Event::CounterAnswered {
-                name,
+                key: name,
                 outcome,
                 total: 9.5,
             })
@@ -325,7 +325,7 @@
         let (_, actions) = gateway.ask(0, 1, customer);
         if let Some((name, _)) = counts(&actions).first().copied() {
             return gateway.feed(Event::CounterAnswered {
-                name,
+                key: name,
                 outcome: Outcome::Ok,
                 total: 900.0,
             });
@@ -397,7 +397,7 @@
     };
     let mut gateway = Gateway::new(many);
     let kind = |n| ServerEntry {
-        kind: n % 2,
+        machine_type: n % 2,
         ..entry(n, ServerState::Ready, 0)
     };
     let entries = (0..200).map(kind).collect();
@@ -430,7 +430,10 @@
     let times: std::collections::BTreeSet<Micros> = (0..20)
         .flat_map(|n| gateway.ask(0, 0, n).1)
         .filter_map(|a| match a {
-            Action::Shed { stay_away, .. } => Some(stay_away),
+            Action::Shed {
+                retry_after: stay_away,
+                ..
+            } => Some(stay_away),
             _ => None,
         })
         .collect();
@@ -456,7 +459,7 @@
         }
         let (_, actions) = gateway.ask(0, 2, 9);
         let told = |name| Event::CounterAnswered {
-            name,
+            key: name,
             outcome: Outcome::Ok,
             total: 4.0,
         };
@@ -489,7 +492,7 @@
         let (_, actions) = gateway.ask(0, 1, 9);
         counts(&actions).first().is_some_and(|(name, add)| {
             let then = gateway.feed(Event::CounterAnswered {
-                name: *name,
+                key: *name,
                 outcome: Outcome::Ok,
                 total: *add,
             });
@@ -611,10 +614,10 @@
                 attempt,
                 server,
                 outcome,
-                took,
-                finished,
+                elapsed: took,
+                request_finished: finished,
                 actual_units,
-                report,
+                load_report: report,
             };
             gateway.feed(Event::AttemptEnd(end));
         }
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -23,7 +23,7 @@
     let event = Event::ProbeEnd {
         server,
         outcome: Outcome::TimedOut,
-        report: None,
+        load_report: None,
     };
     assert!(gateway.feed(event).contains(&cancel));
     let moved = sends(&gateway.end(id, 0, server, Outcome::Cancelled));
@@ -31,7 +31,7 @@
     let event = Event::ProbeEnd {
         server,
         outcome: Outcome::Ok,
-        report: None,
+        load_report: None,
     };
     assert!(
         gateway
@@ -95,10 +95,10 @@
             attempt: 0,
             server,
             outcome: Outcome::Ok,
-            took,
-            finished: true,
+            elapsed: took,
+            request_finished: true,
             actual_units: None,
-            report: None,
+            load_report: None,
         }));
     }
     assert!(to_slow < 10, "{to_slow} of 100, an even share is 25");
@@ -199,7 +199,7 @@
         entries: vec![],
     });
     gateway.feed(Event::CounterAnswered {
-        name: CounterKey(5),
+        key: CounterKey(5),
         outcome: Outcome::Ok,
         total: f64::MAX,
     });
