--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -106,7 +106,7 @@
                 .for_each(|file| std::fs::write(file, &text).unwrap());
             let path = file.map(Path::to_path_buf);
             let feed = settings.agent_address();
-            let clock = Clock::driven(hand.clone());
+            let clock = Clock::manual(hand.clone());
             let Ok(host) = Host::open(settings, path, clock, &LogRing::default()) else {
                 continue;
             };
--- a/crates/control/src/core/load_aggregation.rs
+++ b/crates/control/src/core/load_aggregation.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
-use overload::STEP;
-use overload::admission_controller::{AdmissionController, AdmissionLevel, LoadShare};
+use overload::EVALUATION_INTERVAL;
+use overload::admission_controller::{AdmissionController, AdmissionLevel, ReplicaLoad};
 use overload::load::LoadReport;
 use protocol::messages::ControlMessage;
 
@@ -63,7 +63,7 @@
             return;
         };
         for report in reports {
-            let controller = self.controller(local, &region, &report.svc);
+            let controller = self.controller(local, &region, &report.service);
             controller.handle_report(now, link, report);
         }
     }
@@ -96,12 +96,12 @@
         now: i64,
         sender: Sender,
         region: &str,
-        services: Vec<(String, LoadShare)>,
+        services: Vec<(String, ReplicaLoad)>,
     ) {
         let local = self.table.local().replica;
         for (service, share) in services {
             let controller = self.load.controller(local, region, &service);
-            controller.handle_peer_share(now, sender.replica().into(), share);
+            controller.handle_peer_load(now, sender.replica().into(), share);
         }
     }
 
@@ -110,7 +110,7 @@
         if now < self.load.next_step_at {
             return;
         }
-        self.load.next_step_at = now + STEP;
+        self.load.next_step_at = now + EVALUATION_INTERVAL;
         self.load.steps += 1;
         self.load.evaluate(now);
         self.share_load(now, out);
@@ -130,9 +130,9 @@
 
     /// Shares what the local limiters report with the other replicas: the limiters of a region may be linked to any of them.
     fn share_load(&self, now: i64, out: &mut Vec<Output>) {
-        let mut shares_by_region: BTreeMap<&String, Vec<(String, LoadShare)>> = BTreeMap::new();
+        let mut shares_by_region: BTreeMap<&String, Vec<(String, ReplicaLoad)>> = BTreeMap::new();
         for ((region, service), controller) in &self.load.controllers {
-            if let Some(share) = controller.to_share(now) {
+            if let Some(share) = controller.replica_load(now) {
                 let shares = shares_by_region.entry(region).or_default();
                 shares.push((service.clone(), share));
             }
--- a/crates/control/src/core/peer_messages.rs
+++ b/crates/control/src/core/peer_messages.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use overload::admission_controller::LoadShare;
+use overload::admission_controller::ReplicaLoad;
 use protocol::items::{Item, ItemName};
 use protocol::messages::{NodeInfo, NodeState};
 use protocol::platform::Server;
@@ -217,7 +217,7 @@
         /// The region.
         region: String,
         /// The reports, by service.
-        services: Vec<(String, LoadShare)>,
+        services: Vec<(String, ReplicaLoad)>,
     },
     /// The sender is to end, or is superseded: these chosen items are to be on disk at the receiver.
     HandoverRequest {
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -18,7 +18,7 @@
 use control::core::transfer::{Chunk, Continuation};
 use control::lookup;
 use control::operator_api::Reply;
-use overload::admission_controller::LoadShare;
+use overload::admission_controller::ReplicaLoad;
 use protocol::items::{Item, ItemKind, ItemName};
 use protocol::messages::{NodeInfo, NodeState};
 use protocol::platform::Server;
@@ -147,12 +147,12 @@
         ],
         removed: vec!["edge-9".into()],
     };
-    let share = LoadShare {
+    let share = ReplicaLoad {
         offered: vec![(0, 1.5), (63, 2.0)],
-        sent: 3.0,
+        admitted: 3.0,
         outcomes: [1.0, 2.0, 3.0, 4.0, 5.0],
-        limiters: 6,
-        decision: Some(Some(0.5)),
+        limiter_count: 6,
+        decided_rate: Some(Some(0.5)),
     };
     let [last, follows, ask] = pieces().map(|(_, piece)| piece);
     vec![
--- a/crates/dataplane/src/client_connection.rs
+++ b/crates/dataplane/src/client_connection.rs
@@ -26,7 +26,7 @@
     /// Its stage.
     pub stage: Stage,
     /// Since when it has been in this stage.
-    pub since: Micros,
+    pub stage_entered_at: Micros,
     /// Whether an answer was written on it before.
     pub has_responded: bool,
     /// Progress of a request body whose head is complete.
@@ -48,21 +48,25 @@
     pub fn new(now: Micros) -> ClientConnection {
         ClientConnection {
             stage: Stage::Idle,
-            since: now,
+            stage_entered_at: now,
             has_responded: false,
             body: None,
         }
     }
 
     fn enter(&mut self, now: Micros, stage: Stage) {
-        (self.stage, self.since, self.body) = (stage, now, None);
+        (self.stage, self.stage_entered_at, self.body) = (stage, now, None);
     }
 
     /// Part of a request has arrived. The first request's time counts from the start of the
     /// connection, so that silence before it gains nothing.
     pub fn begin_request(&mut self, now: Micros) {
         if self.stage == Stage::Idle {
-            let since = if self.has_responded { now } else { self.since };
+            let since = if self.has_responded {
+                now
+            } else {
+                self.stage_entered_at
+            };
             self.enter(since, Stage::Receiving);
         }
     }
@@ -91,12 +95,12 @@
     /// The client has read part of its answer.
     pub fn record_write_progress(&mut self, now: Micros) {
         if self.stage == Stage::Responding {
-            self.since = now;
+            self.stage_entered_at = now;
         }
     }
 
     /// A complete request was accepted.
-    pub fn request_complete(&mut self, now: Micros) {
+    pub fn begin_processing(&mut self, now: Micros) {
         self.enter(now, Stage::Processing);
     }
 
@@ -106,7 +110,7 @@
     }
 
     /// The answer is written. `last`: the connection is closed after it.
-    pub fn response_written(&mut self, now: Micros, last: bool) {
+    pub fn finish_response(&mut self, now: Micros, last: bool) {
         if self.stage == Stage::Responding {
             self.has_responded = true;
             self.enter(now, if last { Stage::Lingering } else { Stage::Idle });
@@ -127,15 +131,15 @@
             Stage::Responding => limits.client_write_timeout,
             Stage::Lingering => limits.linger_timeout,
         };
-        Some(self.since + span)
+        Some(self.stage_entered_at + span)
     }
 
     /// Deadline of a body. A slow one is accepted at a minimum rate; a silent one has no more time
     /// than a request that never arrives.
     fn body_deadline(&self, upload: BodyProgress, limits: &Limits) -> Micros {
         let paced = (upload.bytes * 1_000_000 / limits.min_body_bytes_per_s.max(1)) as Micros;
-        let slowest = upload.since + limits.body_grace + paced;
-        (self.since + limits.request_timeout)
+        let slowest = upload.since + limits.body_grace_period + paced;
+        (self.stage_entered_at + limits.request_timeout)
             .max(slowest.min(upload.last_received_at + limits.body_idle_timeout))
     }
 
@@ -146,12 +150,12 @@
     /// evicted as soon as that is unlikely; those that were answered are evicted by their idle
     /// time.
     pub fn eviction_rank(&self, now: Micros, limits: &Limits) -> Option<(u8, Micros)> {
-        let fresh = now - self.since < limits.first_request_grace;
+        let fresh = now - self.stage_entered_at < limits.first_request_grace_period;
         match self.stage {
-            Stage::Lingering => Some((0, self.since)),
-            Stage::Idle if !self.has_responded && !fresh => Some((1, self.since)),
-            Stage::Receiving if !fresh => Some((2, self.since)),
-            Stage::Idle if self.has_responded => Some((3, self.since)),
+            Stage::Lingering => Some((0, self.stage_entered_at)),
+            Stage::Idle if !self.has_responded && !fresh => Some((1, self.stage_entered_at)),
+            Stage::Receiving if !fresh => Some((2, self.stage_entered_at)),
+            Stage::Idle if self.has_responded => Some((3, self.stage_entered_at)),
             Stage::Idle | Stage::Receiving | Stage::Processing | Stage::Responding => None,
         }
     }
--- a/crates/dataplane/src/clock.rs
+++ b/crates/dataplane/src/clock.rs
@@ -51,7 +51,7 @@
     }
 
     /// A clock that tests drive.
-    pub fn driven(hand: Arc<AtomicI64>) -> Clock {
+    pub fn manual(hand: Arc<AtomicI64>) -> Clock {
         Clock(Source::Driven(hand))
     }
 
--- a/crates/dataplane/src/lifecycle.rs
+++ b/crates/dataplane/src/lifecycle.rs
@@ -17,7 +17,7 @@
 /// Whether operators drain the limiter, as its processes exchange it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Drain {
+pub struct DrainState {
     since: Option<Micros>,
     changed: Micros,
 }
@@ -28,7 +28,7 @@
     /// The listening socket is shared: connections that wait on it may be accepted by another
     /// process.
     has_shared_socket: bool,
-    drain: Drain,
+    drain: DrainState,
     shutdown: Option<Shutdown>,
 }
 
@@ -61,19 +61,19 @@
 
     /// With a clock behind another process's, the later call must still win.
     fn set_drain(&mut self, since: Option<Micros>, now: Micros) {
-        self.drain = Drain {
+        self.drain = DrainState {
             since,
             changed: now.max(self.drain.changed + 1),
         };
     }
 
     /// The drain state for another process of this limiter.
-    pub fn drain_state(&self) -> Drain {
+    pub fn drain_state(&self) -> DrainState {
         self.drain
     }
 
     /// Merges another process's drain state; true if that changes anything.
-    pub fn merge(&mut self, told: Drain) -> bool {
+    pub fn merge_drain_state(&mut self, told: DrainState) -> bool {
         let later = told.changed > self.drain.changed;
         let differs = told.since != self.drain.since;
         if later {
@@ -93,7 +93,7 @@
     }
 
     /// No answer is owed any more, or the time for it is over.
-    pub fn finish(&mut self) {
+    pub fn finish_shutdown(&mut self) {
         self.shutdown
             .iter_mut()
             .for_each(|ending| ending.finished = true);
@@ -119,15 +119,15 @@
     /// While draining they are accepted: the process goes on, and each is served once.
     pub fn is_accepting(&self, now: Micros, limits: &Limits) -> bool {
         self.shutdown.is_none_or(|ending| {
-            !self.has_shared_socket && now < ending.since + limits.shutdown_notice
+            !self.has_shared_socket && now < ending.since + limits.shutdown_notice_period
         })
     }
 
     /// Whether connections are closed after each answer. With an own socket, a client told so
     /// during the notice period of the shutdown would only return on a new connection.
-    pub fn closes_after_response(&self, now: Micros, limits: &Limits) -> bool {
+    pub fn should_close_after_response(&self, now: Micros, limits: &Limits) -> bool {
         let ending = |ending: Shutdown| {
-            self.has_shared_socket || now >= ending.since + limits.shutdown_notice
+            self.has_shared_socket || now >= ending.since + limits.shutdown_notice_period
         };
         self.drain.since.is_some() || self.shutdown.is_some_and(ending)
     }
@@ -135,7 +135,7 @@
     /// Whether idle connections are closed, and new ones have little time to send a request: the
     /// load balancer knows by now, and an idle connection could only be used by a request that
     /// crosses its close.
-    pub fn closes_idle(&self, now: Micros, limits: &Limits) -> bool {
+    pub fn should_close_idle(&self, now: Micros, limits: &Limits) -> bool {
         let starts = self
             .drain
             .since
@@ -143,7 +143,7 @@
             .chain(self.shutdown.map(|ending| ending.since));
         starts
             .min()
-            .is_some_and(|since| now >= since + limits.shutdown_notice)
+            .is_some_and(|since| now >= since + limits.shutdown_notice_period)
     }
 }
 
--- a/crates/dataplane/src/lifecycle/tests.rs
+++ b/crates/dataplane/src/lifecycle/tests.rs
@@ -4,7 +4,7 @@
 
 fn limits() -> Limits {
     Limits {
-        shutdown_notice: 500,
+        shutdown_notice_period: 500,
         ..Limits::default()
     }
 }
@@ -14,8 +14,8 @@
     let limits = limits();
     (
         life.is_accepting(now, &limits),
-        life.closes_after_response(now, &limits),
-        life.closes_idle(now, &limits),
+        life.should_close_after_response(now, &limits),
+        life.should_close_idle(now, &limits),
     )
 }
 
@@ -42,7 +42,7 @@
         assert_eq!(shown(&life, START + 1), (!shared, shared, false));
         assert_eq!(shown(&life, START + 500), (false, true, true));
         assert!(!life.is_serving() && !life.is_finished());
-        life.finish();
+        life.finish_shutdown();
         assert!(life.is_finished());
     }
 }
@@ -51,18 +51,18 @@
 fn later_drain_call_wins_in_both_processes_whatever_their_clocks() {
     let (mut old, mut new) = (Lifecycle::new(true), Lifecycle::new(true));
     old.begin_drain(START);
-    assert!(new.merge(old.drain_state()) && !new.is_serving());
-    assert!(!new.merge(old.drain_state()), "nothing new");
+    assert!(new.merge_drain_state(old.drain_state()) && !new.is_serving());
+    assert!(!new.merge_drain_state(old.drain_state()), "nothing new");
     // A clock that is behind does not make the later call lose.
     assert!(new.end_drain(START - 500));
-    assert!(!new.merge(old.drain_state()) && new.is_serving());
-    assert!(old.merge(new.drain_state()) && old.is_serving());
+    assert!(!new.merge_drain_state(old.drain_state()) && new.is_serving());
+    assert!(old.merge_drain_state(new.drain_state()) && old.is_serving());
 }
 
 #[test]
 fn shutdown_during_a_drain_is_not_ended_by_ending_the_drain() {
     let mut life = Lifecycle::new(false);
-    life.finish();
+    life.finish_shutdown();
     assert!(
         !life.is_finished(),
         "only what was told to end can have ended"
--- a/crates/dataplane/src/limits.rs
+++ b/crates/dataplane/src/limits.rs
@@ -29,23 +29,23 @@
     /// Most interim responses before the final one.
     pub max_interim_responses: usize,
     /// Bytes per read of a socket.
-    pub read_bytes: usize,
+    pub read_buffer_bytes: usize,
     /// Longest datagram between limiters, in bytes.
     pub max_datagram_bytes: usize,
     /// Most client connections.
     pub max_client_connections: usize,
     /// Beyond this many client connections each one is closed after its answer.
-    pub max_persistent_clients: usize,
+    pub max_persistent_connections: usize,
     /// Bytes read ahead from a client while its request is in progress or its answer not written.
-    pub pipelined_bytes: usize,
+    pub max_pipelined_bytes: usize,
     /// Bytes read from a client after its last answer, and discarded.
-    pub linger_bytes: usize,
+    pub max_linger_bytes: usize,
     /// Bytes buffered of all clients' requests that are arriving or not answered yet.
-    pub partial_bytes: usize,
+    pub max_pending_request_bytes: usize,
     /// A client sends each request completely within this time.
     pub request_timeout: Micros,
     /// A body may take this long, plus the time for its bytes at the minimum rate.
-    pub body_grace: Micros,
+    pub body_grace_period: Micros,
     /// The minimum rate of a body in bytes a second.
     pub min_body_bytes_per_s: u64,
     /// A body sends more within this time.
@@ -55,7 +55,7 @@
     /// Idle time-out of a client's connection that was answered before.
     pub client_idle_timeout: Micros,
     /// A connection accepted this recently is not evicted, as its first request may be on its way.
-    pub first_request_grace: Micros,
+    pub first_request_grace_period: Micros,
     /// A client reads its answer within this time.
     pub client_write_timeout: Micros,
     /// Time for a client to read the last answer before the connection is closed.
@@ -69,7 +69,7 @@
     /// Connections to the counter.
     pub counter_connections: usize,
     /// Longest answer of the counter, in bytes: a number.
-    pub max_total_bytes: usize,
+    pub max_counter_response_bytes: usize,
     /// Most authorisations in progress.
     pub max_authorisations: usize,
     /// Most units of one authorisation, in thousandths.
@@ -109,7 +109,7 @@
     pub raft_tick_interval: Micros,
     /// After SIGTERM new connections are accepted for this long; after it, or this long into a
     /// drain, idle ones are closed.
-    pub shutdown_notice: Micros,
+    pub shutdown_notice_period: Micros,
     /// Time for the first request of a connection that is accepted while idle ones are being
     /// closed.
     pub draining_request_timeout: Micros,
@@ -137,27 +137,27 @@
             max_reads_per_turn: 8,
             max_watch_line_bytes: 1024 * 1024,
             max_interim_responses: 8,
-            read_bytes: 32 * 1024,
+            read_buffer_bytes: 32 * 1024,
             max_datagram_bytes: 256,
             max_client_connections: 560,
-            max_persistent_clients: 420,
-            pipelined_bytes: 4 * 1024,
-            linger_bytes: 256 * 1024,
-            partial_bytes: 8 * 1024 * 1024,
+            max_persistent_connections: 420,
+            max_pipelined_bytes: 4 * 1024,
+            max_linger_bytes: 256 * 1024,
+            max_pending_request_bytes: 8 * 1024 * 1024,
             request_timeout: 2_300 * MS,
-            body_grace: SECOND,
+            body_grace_period: SECOND,
             min_body_bytes_per_s: 32 * 1024,
             body_idle_timeout: 700 * MS,
             max_upload_extension: 20 * SECOND,
             client_idle_timeout: 6 * SECOND,
-            first_request_grace: 60 * MS,
+            first_request_grace_period: 60 * MS,
             client_write_timeout: 4 * SECOND,
             linger_timeout: 500 * MS,
             listen_backlog: 1_024,
             accept_pause_log_interval: 10 * SECOND,
             max_upstream_connections: 400,
             counter_connections: 4,
-            max_total_bytes: 64,
+            max_counter_response_bytes: 64,
             max_authorisations: 20_000,
             max_units_thousandths: 1_000_000,
             response_margin: 12 * MS,
@@ -176,7 +176,7 @@
             default_retry_after: 200 * MS,
             accept_retry_delay: 30 * MS,
             raft_tick_interval: 50 * MS,
-            shutdown_notice: 550 * MS,
+            shutdown_notice_period: 550 * MS,
             draining_request_timeout: 500 * MS,
             handover_poll_interval: 100 * MS,
             max_operator_line_bytes: 512,
--- a/crates/dataplane/src/plan_resolver.rs
+++ b/crates/dataplane/src/plan_resolver.rs
@@ -37,9 +37,9 @@
     /// Position in the module.
     pub position: usize,
     /// The plan's name.
-    pub plan: String,
+    pub name: String,
     /// Version of the book.
-    pub version: u64,
+    pub book_version: u64,
 }
 
 fn plan_bits(figures: Figures) -> PlanBits {
@@ -94,8 +94,8 @@
         let name = self.names.get(plan).cloned().unwrap_or_default();
         ResolvedPlan {
             position,
-            plan: name,
-            version: self.book.version(),
+            name,
+            book_version: self.book.version(),
         }
     }
 
--- a/crates/dataplane/src/upload.rs
+++ b/crates/dataplane/src/upload.rs
@@ -73,7 +73,7 @@
     }
 
     /// The attempt ended.
-    pub fn attempt_ended(&mut self) {
+    pub fn end_attempt(&mut self) {
         self.attempt = None;
     }
 
--- a/crates/dataplane/src/upload/tests.rs
+++ b/crates/dataplane/src/upload/tests.rs
@@ -19,7 +19,7 @@
         (out.as_slice(), upload.is_discarded(), upload.attempt()),
         (b"abcd".as_slice(), false, Some(first))
     );
-    upload.attempt_ended();
+    upload.end_attempt();
     upload.start_attempt(second, &mut again);
     upload
         .read(&mut b"efghIJ".to_vec(), Some(&mut again))
--- a/crates/dataplane/src/upstreams.rs
+++ b/crates/dataplane/src/upstreams.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamPurpose {
     /// An attempt of an authorisation, with its number.
-    Leg(AuthorisationKey, u32),
+    Attempt(AuthorisationKey, u32),
     /// A health check.
     Probe,
 }
@@ -28,7 +28,7 @@
     /// Established, and the request not completely written.
     Sending(E),
     /// The request's last byte is written.
-    Awaiting(E),
+    AwaitingResponse(E),
     /// The final answer is being streamed to the client: the purpose is fulfilled, but the
     /// connection is not free.
     Relaying,
@@ -42,13 +42,13 @@
         match self {
             UpstreamState::Connecting(errand)
             | UpstreamState::Sending(errand)
-            | UpstreamState::Awaiting(errand) => Some(errand),
+            | UpstreamState::AwaitingResponse(errand) => Some(errand),
             UpstreamState::Relaying | UpstreamState::Idle => None,
         }
     }
 
     /// The state after the connection was established.
-    pub fn connected(self) -> UpstreamState<E> {
+    pub fn on_connected(self) -> UpstreamState<E> {
         match self {
             UpstreamState::Connecting(errand) => UpstreamState::Sending(errand),
             other => other,
@@ -56,9 +56,9 @@
     }
 
     /// The state after all output was written.
-    pub fn written(self) -> UpstreamState<E> {
+    pub fn on_request_written(self) -> UpstreamState<E> {
         match self {
-            UpstreamState::Sending(errand) => UpstreamState::Awaiting(errand),
+            UpstreamState::Sending(errand) => UpstreamState::AwaitingResponse(errand),
             other => other,
         }
     }
@@ -67,7 +67,7 @@
     pub fn outcome_if_broken(self) -> Outcome {
         match self {
             UpstreamState::Connecting(_) | UpstreamState::Sending(_) => Outcome::ConnectFailed,
-            UpstreamState::Awaiting(_) | UpstreamState::Relaying | UpstreamState::Idle => {
+            UpstreamState::AwaitingResponse(_) | UpstreamState::Relaying | UpstreamState::Idle => {
                 Outcome::Reset
             }
         }
@@ -78,7 +78,7 @@
     pub fn outcome_if_timed_out(self) -> Outcome {
         match self {
             UpstreamState::Connecting(_) | UpstreamState::Sending(_) => Outcome::ConnectFailed,
-            UpstreamState::Awaiting(_) | UpstreamState::Relaying | UpstreamState::Idle => {
+            UpstreamState::AwaitingResponse(_) | UpstreamState::Relaying | UpstreamState::Idle => {
                 Outcome::TimedOut
             }
         }
@@ -101,7 +101,7 @@
     listed: bool,
     /// Operators have taken it out of service: its connections are not kept.
     taken_out: bool,
-    connections: usize,
+    connection_count: usize,
     /// Idle connections and since when. The last one used is reused first, so that the others
     /// expire.
     idle: Vec<(K, Micros)>,
@@ -109,21 +109,21 @@
 
 /// The servers, and the connections to them by key.
 #[derive(Debug)]
-pub struct Pool<K = ConnectionKey> {
+pub struct ConnectionPool<K = ConnectionKey> {
     servers: BTreeMap<ServerId, PooledServer<K>>,
-    connections: usize,
+    connection_count: usize,
 }
 
-impl<K> Default for Pool<K> {
-    fn default() -> Pool<K> {
-        Pool {
+impl<K> Default for ConnectionPool<K> {
+    fn default() -> ConnectionPool<K> {
+        ConnectionPool {
             servers: BTreeMap::new(),
-            connections: 0,
+            connection_count: 0,
         }
     }
 }
 
-impl<K: Copy + PartialEq> Pool<K> {
+impl<K: Copy + PartialEq> ConnectionPool<K> {
     /// Adds a server, or updates its address; returns its idle connections to an earlier address,
     /// where another server may answer now.
     pub fn add_server(&mut self, server: ServerId, address: SocketAddr) -> Vec<K> {
@@ -131,7 +131,7 @@
             address,
             listed: true,
             taken_out: false,
-            connections: 0,
+            connection_count: 0,
             idle: Vec::new(),
         };
         let place = self.servers.entry(server).or_insert_with(new);
@@ -161,7 +161,7 @@
         };
         place.listed = false;
         let idle = place.idle.iter().map(|(key, _)| *key).collect();
-        if place.connections == 0 {
+        if place.connection_count == 0 {
             self.servers.remove(&server);
         }
         idle
@@ -173,27 +173,27 @@
     }
 
     /// Number of open connections.
-    pub fn connections(&self) -> usize {
-        self.connections
+    pub fn connection_count(&self) -> usize {
+        self.connection_count
     }
 
     /// A connection was opened.
-    pub fn connection_opened(&mut self, server: ServerId) {
+    pub fn record_opened(&mut self, server: ServerId) {
         if let Some(place) = self.servers.get_mut(&server) {
-            place.connections += 1;
-            self.connections += 1;
+            place.connection_count += 1;
+            self.connection_count += 1;
         }
     }
 
     /// A connection was closed, in whatever state.
-    pub fn connection_closed(&mut self, server: ServerId, key: K) {
+    pub fn record_closed(&mut self, server: ServerId, key: K) {
         let Some(place) = self.servers.get_mut(&server) else {
             return;
         };
         place.idle.retain(|(idle, _)| *idle != key);
-        place.connections = place.connections.saturating_sub(1);
-        self.connections = self.connections.saturating_sub(1);
-        if place.connections == 0 && !place.listed {
+        place.connection_count = place.connection_count.saturating_sub(1);
+        self.connection_count = self.connection_count.saturating_sub(1);
+        if place.connection_count == 0 && !place.listed {
             self.servers.remove(&server);
         }
     }
@@ -219,7 +219,7 @@
     }
 
     /// The connection that has been idle longest, of all servers.
-    pub fn longest_idle(&self) -> Option<K> {
+    pub fn longest_idle_connection(&self) -> Option<K> {
         let firsts = self.servers.values().filter_map(|place| place.idle.first());
         firsts.min_by_key(|(_, since)| *since).map(|(key, _)| *key)
     }
--- a/crates/limiter/src/config/file.rs
+++ b/crates/limiter/src/config/file.rs
@@ -380,9 +380,9 @@
         let acquirer_connections = defaults.max_client_connections.min(share(6));
         Limits {
             max_client_connections: acquirer_connections,
-            max_persistent_clients: acquirer_connections * 3 / 4,
+            max_persistent_connections: acquirer_connections * 3 / 4,
             max_upstream_connections: defaults.max_upstream_connections.min(share(4)),
-            partial_bytes: defaults.partial_bytes.min(eighth),
+            max_pending_request_bytes: defaults.max_pending_request_bytes.min(eighth),
             // One budget over all connections, a quarter of the memory: all of them may have a transfer at once.
             relay_window_bytes: (eighth / acquirer_connections.max(1))
                 .saturating_mul(2)
--- a/crates/limiter/src/handover.rs
+++ b/crates/limiter/src/handover.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::bans::Bans;
-use crate::lifecycle::Drain;
+use crate::lifecycle::DrainState;
 
 /// First word of a record, with the number of its form.
 const FORM: &str = "streamarch-operations-1";
@@ -22,7 +22,7 @@
     /// Servers taken out.
     pub bans: Bans,
     /// Whether clients are sent away.
-    pub drain: Drain,
+    pub drain: DrainState,
 }
 
 /// Why bytes are no record that may be taken over.
--- a/crates/limiter/src/net/host/acquirers.rs
+++ b/crates/limiter/src/net/host/acquirers.rs
@@ -106,7 +106,9 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let closing = self.lifecycle.closes_idle(self.clock.now(), &self.limits);
+        let closing = self
+            .lifecycle
+            .should_close_idle(self.clock.now(), &self.limits);
         let at = connection.visit.deadline(closing, &self.limits);
         if let Some(at) = at.filter(|at| *at < connection.armed) {
             connection.armed = at;
@@ -120,7 +122,7 @@
             return;
         };
         connection.armed = Micros::MAX;
-        let closing = self.lifecycle.closes_idle(now, &self.limits);
+        let closing = self.lifecycle.should_close_idle(now, &self.limits);
         let over = |c: &Connection, limits: &Limits| {
             c.visit
                 .deadline(closing, limits)
@@ -162,7 +164,7 @@
         };
         let closing = connection.closing;
         let more = connection.unread || !connection.input.is_empty();
-        connection.visit.response_written(now, closing);
+        connection.visit.finish_response(now, closing);
         if closing && !more {
             self.close(key);
             return;
@@ -238,7 +240,7 @@
             let long = incoming.is_longer_than(self.limits.max_buffered_request_bytes);
             // Or all that clients have under way is more than may be held.
             let crowded = length > self.limits.max_buffered_body_bytes as u64
-                && self.partial > self.limits.partial_bytes;
+                && self.partial > self.limits.max_pending_request_bytes;
             if waits == Some(true)
                 && length == 0
                 && !std::mem::replace(&mut connection.told_to_go_on, true)
@@ -332,7 +334,7 @@
                     && let Role::Acquirer { waits, .. } = &mut connection.role
                 {
                     *waits = Some((service, authorisation));
-                    connection.visit.request_complete(now);
+                    connection.visit.begin_processing(now);
                 }
             }
             Err(_) => self.decline(key, 503, self.limits.default_retry_after, &[], b""),
@@ -360,14 +362,14 @@
     pub(super) fn last_answer(&self, key: ConnectionKey) -> bool {
         // Guards requests of clients whose idle connections would be closed for room: where it is scarce they are told
         // that this answer is the last, and write no other into a connection that is being closed.
-        let scarce = self.acquirers > self.limits.max_persistent_clients;
+        let scarce = self.acquirers > self.limits.max_persistent_connections;
         let last = |connection: &Connection| connection.last || connection.uploading().is_some();
         let asked = self.connections.get(key).is_some_and(last);
         asked
             || scarce
             || self
                 .lifecycle
-                .closes_after_response(self.now(), &self.limits)
+                .should_close_after_response(self.now(), &self.limits)
     }
 
     /// Writes an answer to a client; the connection is then free for the next request.
--- a/crates/limiter/src/net/host/counting.rs
+++ b/crates/limiter/src/net/host/counting.rs
@@ -36,7 +36,7 @@
         let (mut at, mut bad) = (0, false);
         // Guards against an answer that claims to be longer than any number: it would swallow those behind it.
         let limits = Limits {
-            max_buffered_body_bytes: self.limits.max_total_bytes,
+            max_buffered_body_bytes: self.limits.max_counter_response_bytes,
             ..self.limits.clone()
         };
         let Some(connection) = self.connections.get_mut(key) else {
--- a/crates/limiter/src/net/host/ending.rs
+++ b/crates/limiter/src/net/host/ending.rs
@@ -17,7 +17,7 @@
             self.leave_listeners();
         }
         self.deadlines
-            .schedule(now + self.limits.shutdown_notice, Due::NoticeOver);
+            .schedule(now + self.limits.shutdown_notice_period, Due::NoticeOver);
         self.deadlines
             .schedule(now + self.limits.shutdown_timeout, Due::DrainOver);
     }
@@ -32,7 +32,7 @@
     /// The notice of a drain or of the end is over: idle connections go.
     pub(super) fn notice_over(&mut self) {
         let now = self.now();
-        if !self.lifecycle.closes_idle(now, &self.limits) {
+        if !self.lifecycle.should_close_idle(now, &self.limits) {
             return;
         }
         if !self.lifecycle.is_accepting(now, &self.limits) {
--- a/crates/limiter/src/net/host/errands.rs
+++ b/crates/limiter/src/net/host/errands.rs
@@ -18,7 +18,7 @@
             now,
             ticket.0,
             server,
-            UpstreamPurpose::Leg(ticket.1, leg),
+            UpstreamPurpose::Attempt(ticket.1, leg),
             deadline,
         );
     }
@@ -49,9 +49,17 @@
             self.out_on(key, service, errand, deadline);
             return self.send_errand(now, key);
         }
-        let open: usize = self.services.iter().map(|s| s.pool.connections()).sum();
+        let open: usize = self
+            .services
+            .iter()
+            .map(|s| s.pool.connection_count())
+            .sum();
         if open >= self.limits.max_upstream_connections {
-            match self.services.iter().find_map(|s| s.pool.longest_idle()) {
+            match self
+                .services
+                .iter()
+                .find_map(|s| s.pool.longest_idle_connection())
+            {
                 Some(key) => _ = self.close(key),
                 None => {
                     return self.end_errand(service, server, errand, Outcome::ConnectFailed, None);
@@ -66,7 +74,7 @@
         let address = self.services[service].pool.address(server);
         match address.map(|address| self.connect(address, role)) {
             Some(Ok(key)) => {
-                self.services[service].pool.connection_opened(server);
+                self.services[service].pool.record_opened(server);
                 self.out_on(key, service, errand, deadline);
             }
             Some(Err(_)) | None => {
@@ -82,7 +90,7 @@
         errand: UpstreamPurpose,
         deadline: Micros,
     ) {
-        if let UpstreamPurpose::Leg(authorisation, _) = errand {
+        if let UpstreamPurpose::Attempt(authorisation, _) = errand {
             self.services[service].legs.insert(authorisation, key);
         }
         self.deadlines.schedule(deadline, Due::Errand(key, errand));
@@ -102,7 +110,7 @@
             return;
         };
         let known = &self.services[*service];
-        *state = state.connected();
+        *state = state.on_connected();
         match state.purpose() {
             Some(UpstreamPurpose::Probe) => {
                 let host = known
@@ -114,7 +122,7 @@
                     .output
                     .extend(probes::request(&host, self.reports));
             }
-            Some(UpstreamPurpose::Leg(authorisation, _)) => {
+            Some(UpstreamPurpose::Attempt(authorisation, _)) => {
                 let Some(pending) = known.pending.get(authorisation) else {
                     return;
                 };
@@ -212,7 +220,7 @@
             .and_then(|a| a.headers.get("Endpoint-Load-Metrics"));
         let report: Option<LoadReport> = header.and_then(probes::report);
         match errand {
-            UpstreamPurpose::Leg(authorisation, leg) => {
+            UpstreamPurpose::Attempt(authorisation, leg) => {
                 let outcome = match &answer {
                     None => otherwise,
                     Some(answer) if service == TOKENS => self.judged(now, answer),
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -47,7 +47,7 @@
 use crate::routing_table::{NeverListed, News, RoutingTable};
 use crate::slots::{AuthorisationKey, ConnectionKey, SlotMap};
 use crate::upload::Upload;
-use crate::upstreams::{self, Pool, UpstreamPurpose, UpstreamState};
+use crate::upstreams::{self, ConnectionPool, UpstreamPurpose, UpstreamState};
 
 /// Positions of the services: the records servers, and the introspection servers that we ask.
 const RECORDS: usize = 0;
@@ -67,7 +67,7 @@
 /// An engine with its servers and what is out.
 struct Service {
     engine: Engine,
-    pool: Pool,
+    pool: ConnectionPool,
     pending: SecondaryMap<AuthorisationKey, Pending>,
     legs: SecondaryMap<AuthorisationKey, ConnectionKey>,
 }
@@ -76,7 +76,7 @@
     fn new(engine: Engine) -> Service {
         Service {
             engine,
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             pending: SecondaryMap::new(),
             legs: SecondaryMap::new(),
         }
@@ -430,7 +430,7 @@
             partial: 0,
             open_ids: BTreeSet::new(),
             told_full: Micros::MIN / 2,
-            scratch: vec![0; limits.read_bytes],
+            scratch: vec![0; limits.read_buffer_bytes],
             orders: Vec::new(),
             listeners,
             accepting: true,
@@ -555,7 +555,7 @@
             self.lifecycle.is_shutting_down() && !self.lifecycle.is_accepting(now, &self.limits);
         if left && self.acquirers == 0 && !self.lifecycle.is_finished() {
             self.log("all answered, ending");
-            self.lifecycle.finish();
+            self.lifecycle.finish_shutdown();
         }
     }
 
@@ -637,7 +637,7 @@
                 }
             }
             Due::NoticeOver => self.notice_over(),
-            Due::DrainOver => self.lifecycle.finish(),
+            Due::DrainOver => self.lifecycle.finish_shutdown(),
             Due::Callers => self.callers_due(now),
             Due::Handover => self.look_at_handover(),
         }
@@ -765,7 +765,7 @@
             }
             Role::Server {
                 service, server, ..
-            } => self.services[service].pool.connection_closed(server, key),
+            } => self.services[service].pool.record_closed(server, key),
             Role::Operator => self.operator_left(key),
             Role::Counter(_) | Role::Watch | Role::Member(_) => {}
         }
@@ -906,10 +906,10 @@
                 return limits.relay_window_bytes.saturating_sub(held);
             }
             (Role::Acquirer { .. }, Stage::Processing | Stage::Responding) => {
-                limits.pipelined_bytes
+                limits.max_pipelined_bytes
             }
             (Role::Acquirer { .. }, Stage::Lingering) => {
-                return limits.linger_bytes.saturating_sub(connection.discarded);
+                return limits.max_linger_bytes.saturating_sub(connection.discarded);
             }
             (Role::Server { .. }, _) => {
                 // Guards the memory against a client that is slower than the server whose answer it gets.
@@ -934,9 +934,11 @@
             }
         };
         // A usual request has room also where large ones have taken all that may be held.
-        let shared = limits.partial_bytes.saturating_sub(self.partial);
+        let shared = limits
+            .max_pending_request_bytes
+            .saturating_sub(self.partial);
         let own = limits
-            .pipelined_bytes
+            .max_pipelined_bytes
             .saturating_sub(connection.input.len());
         most.saturating_sub(connection.input.len())
             .min(shared.max(own))
@@ -1062,8 +1064,8 @@
         // Guards the memory on a long day: one large message must not be paid for as long as the connection lasts.
         connection.output.shrink_to(4 * 1024);
         if let Role::Server { service, state, .. } = &mut connection.role {
-            let before = std::mem::replace(state, state.written());
-            if let (true, Some(UpstreamPurpose::Leg(authorisation, _))) =
+            let before = std::mem::replace(state, state.on_request_written());
+            if let (true, Some(UpstreamPurpose::Attempt(authorisation, _))) =
                 (before != *state, state.purpose())
             {
                 self.services[*service]
--- a/crates/limiter/src/net/host/operators.rs
+++ b/crates/limiter/src/net/host/operators.rs
@@ -154,7 +154,7 @@
     /// Clients are sent away, or no longer.
     pub(super) fn drain_changed(&mut self, now: Micros) {
         self.deadlines
-            .schedule(now + self.limits.shutdown_notice, Due::NoticeOver);
+            .schedule(now + self.limits.shutdown_notice_period, Due::NoticeOver);
     }
 
     fn ban(
--- a/crates/limiter/src/net/host/overlap.rs
+++ b/crates/limiter/src/net/host/overlap.rs
@@ -33,7 +33,7 @@
             Found::Unusable(why) => self.warn(&format!("operations record not taken over: {why}")),
             Found::Record(told) => {
                 let news = self.table.merge(&told.bans);
-                let drain = self.lifecycle.merge(told.drain);
+                let drain = self.lifecycle.merge_drain_state(told.drain);
                 if drain {
                     self.drain_changed(now);
                 }
--- a/crates/limiter/src/net/host/relaying.rs
+++ b/crates/limiter/src/net/host/relaying.rs
@@ -18,7 +18,7 @@
             return;
         };
         let (extent, parts) = (incoming.framing, incoming.into_parts());
-        let (Some((head, reader, come)), Some(UpstreamPurpose::Leg(authorisation, leg))) =
+        let (Some((head, reader, come)), Some(UpstreamPurpose::Attempt(authorisation, leg))) =
             (parts, state.purpose())
         else {
             _ = self.close(key);
@@ -157,7 +157,7 @@
             incoming.is_complete(),
             incoming.head().map(|head| head.status),
         ) {
-            (_, Some(200)) if long && matches!(errand, UpstreamPurpose::Leg(..)) => {
+            (_, Some(200)) if long && matches!(errand, UpstreamPurpose::Attempt(..)) => {
                 self.begin_relay(key, incoming)
             }
             (true, _) => self.answer_came(key, errand, incoming),
--- a/crates/limiter/src/net/host/uploading.rs
+++ b/crates/limiter/src/net/host/uploading.rs
@@ -85,7 +85,7 @@
             return self.end_upload(key, &reject(400, "malformed"));
         }
         if whole {
-            connection.visit.request_complete(now);
+            connection.visit.begin_processing(now);
         }
         if let Some(leg) = leg {
             self.feed(leg, whole);
@@ -154,7 +154,7 @@
             return;
         };
         if let Reading::Upload(upload) = &mut client.reading {
-            upload.attempt_ended();
+            upload.end_attempt();
         }
     }
 
@@ -164,7 +164,7 @@
         else {
             return;
         };
-        let Some(UpstreamPurpose::Leg(authorisation, _)) = state.purpose() else {
+        let Some(UpstreamPurpose::Attempt(authorisation, _)) = state.purpose() else {
             return;
         };
         let origin = self.services[service]
--- a/crates/limiter/tests/common/mod.rs
+++ b/crates/limiter/tests/common/mod.rs
@@ -205,7 +205,7 @@
             .into_iter()
             .for_each(|text| config.introspect(text).expect("a good second front"));
         let hand = Arc::new(AtomicI64::new(START));
-        let clock = Clock::driven(hand.clone());
+        let clock = Clock::manual(hand.clone());
         let (tell, told) = mpsc::channel();
         let thread = thread::spawn(move || {
             let daemon = Daemon::open(config, clock).expect("sockets open");
--- a/crates/limiter/tests/config.rs
+++ b/crates/limiter/tests/config.rs
@@ -102,7 +102,7 @@
         limits.max_client_connections > 300 / 3,
         "silent connections come on top of the busy ones"
     );
-    assert!(limits.partial_bytes < 32 << 20);
+    assert!(limits.max_pending_request_bytes < 32 << 20);
     assert!(
         limits.upstream_idle_timeout < 10_000_000,
         "well before the server's 15 s"
--- a/crates/limiter/tests/judging.rs
+++ b/crates/limiter/tests/judging.rs
@@ -172,7 +172,7 @@
 
     fn judged(&self, limiter: usize, key: AuthorisationKey) -> (String, u64) {
         let judged = self.engines[limiter].resolved_plan(key).unwrap();
-        (judged.plan.clone(), judged.version)
+        (judged.name.clone(), judged.book_version)
     }
 }
 
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -9,7 +9,7 @@
 use limiter::limits::Limits;
 use limiter::net::framing;
 use limiter::slots::{AuthorisationKey, ConnectionKey, SlotMap};
-use limiter::upstreams::{Pool, UpstreamPurpose, UpstreamState};
+use limiter::upstreams::{ConnectionPool, UpstreamPurpose, UpstreamState};
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 use streamarch::{
     Class, CounterName, CustomerId, Group, ListKind, Outcome, Plan, Repeat, ServerEntry, ServerId,
@@ -44,11 +44,11 @@
             state = match kind % 3 {
                 0 => {
                     up = true;
-                    state.connected()
+                    state.on_connected()
                 }
                 1 => {
                     whole |= up;
-                    state.written()
+                    state.on_request_written()
                 }
                 _ => {
                     (up, whole) = (true, false);
@@ -213,7 +213,7 @@
     fn property(steps: Vec<Step>) -> bool {
         let address = "127.0.0.1:9".parse().unwrap();
         let mut keys: SlotMap<ConnectionKey, ()> = SlotMap::with_key();
-        let mut pool = Pool::default();
+        let mut pool = ConnectionPool::default();
         (0..3).for_each(|n| drop(pool.add_server(ServerId(n), address)));
         let mut listed = [true; 3];
         let mut open: Vec<(u32, ConnectionKey, Option<i64>)> = Vec::new();
@@ -222,12 +222,12 @@
             let at = usize::from(by) % open.len().max(1);
             match kind % 6 {
                 0 if listed[server as usize] => {
-                    pool.connection_opened(ServerId(server));
+                    pool.record_opened(ServerId(server));
                     open.push((server, keys.insert(()), None));
                 }
                 1 if at < open.len() => {
                     let (server, key, _) = open.remove(at);
-                    pool.connection_closed(ServerId(server), key);
+                    pool.record_closed(ServerId(server), key);
                 }
                 2 if at < open.len() && open[at].2.is_none() => {
                     let rests = pool.release(ServerId(open[at].0), open[at].1, now);
@@ -253,19 +253,19 @@
                             return false;
                         }
                         let (server, key, _) = open.remove(place);
-                        pool.connection_closed(ServerId(server), key);
+                        pool.record_closed(ServerId(server), key);
                     }
                 }
                 5 => {
                     for key in pool.remove_server(ServerId(server)) {
                         open.retain(|c| c.1 != key);
-                        pool.connection_closed(ServerId(server), key);
+                        pool.record_closed(ServerId(server), key);
                     }
                     listed[server as usize] = false;
                 }
                 _ => {}
             }
-            if pool.connections() != open.len() {
+            if pool.connection_count() != open.len() {
                 return false;
             }
         }
@@ -297,7 +297,7 @@
                 }
                 1 if between => {
                     (owed, part) = (true, false);
-                    visit.request_complete(now);
+                    visit.begin_processing(now);
                 }
                 2 if !last => {
                     (owed, writing, part) = (false, true, false);
@@ -307,7 +307,7 @@
                     if writing {
                         (writing, answered, waiting_since, last) = (false, true, now, by > 250);
                     }
-                    visit.response_written(now, by > 250);
+                    visit.finish_response(now, by > 250);
                 }
                 _ => {}
             }
@@ -325,7 +325,7 @@
                         && visit.deadline(false, &limits) == Some(waiting_since + span)
                 }
             };
-            let fresh = now - waiting_since < limits.first_request_grace;
+            let fresh = now - waiting_since < limits.first_request_grace_period;
             let kept = owed || writing || (!last && fresh && (part || !answered));
             if !good || visit.eviction_rank(now, &limits).is_none() != kept {
                 return false;
--- a/crates/overload/src/admission.rs
+++ b/crates/overload/src/admission.rs
@@ -81,7 +81,7 @@
             .values_mut()
             .for_each(|service| service.levels = None);
         for level in levels {
-            let service = self.services.entry(level.svc.clone()).or_default();
+            let service = self.services.entry(level.service.clone()).or_default();
             service.levels = Some((level, now - age));
         }
     }
@@ -92,25 +92,26 @@
             .is_none_or(|at| now - at > LEVELS_LIFETIME)
     }
 
-    /// Returns the reports for the replica; due once a [`crate::STEP`]. While no levels arrive the
+    /// Returns the reports for the replica; due once a [`crate::EVALUATION_INTERVAL`]. While no levels arrive the
     /// limiter decides on its own: it admits its even share of the last rate for all limiters, or
     /// less if its own outcomes show overload.
-    pub fn step(&mut self, now: Micros) -> Vec<LoadReport> {
+    pub fn take_reports(&mut self, now: Micros) -> Vec<LoadReport> {
         let stale = self.has_stale_levels(now);
         let mut reports = Vec::new();
         for (svc, service) in &mut self.services {
             let level = service.levels.as_ref().map(|(level, _)| level);
-            let share =
-                level.and_then(|level| Some(level.rate? / f64::from(level.limiters.max(1))));
+            let share = level.and_then(|level| {
+                Some(level.admitted_rate? / f64::from(level.limiter_count.max(1)))
+            });
             let requested = service.levels.is_some() || stale;
-            let Some(report) = service.load.report(now, svc, requested) else {
+            let Some(report) = service.load.take_report(now, svc, requested) else {
                 continue;
             };
             if stale {
-                service.local.limit_rate(share);
+                service.local.set_max_rate(share);
                 service.local.handle_report(now, 0, &report);
                 service.local.evaluate(now);
-            } else if service.local.rate().is_some() {
+            } else if service.local.admitted_rate().is_some() {
                 service.local = AdmissionController::new(0);
             }
             reports.push(report);
--- a/crates/overload/src/admission_controller.rs
+++ b/crates/overload/src/admission_controller.rs
@@ -11,7 +11,7 @@
 
 use crate::load::LoadReport;
 use crate::priority::{self, BANDS};
-use crate::{Micros, REPORT_LIFETIME, STEP};
+use crate::{EVALUATION_INTERVAL, Micros, REPORT_LIFETIME};
 
 const SECOND: f64 = 1e6;
 /// Share of attempts that waited or were rejected: above the first the service is overloaded, below
@@ -49,7 +49,7 @@
 const REPORT_TIME_CONSTANT: f64 = 0.35e6;
 /// The first report makes all limiters report; the controller decides after observing for this
 /// long.
-const OBSERVATION_DURATION: Micros = 3 * STEP;
+const OBSERVATION_DURATION: Micros = 3 * EVALUATION_INTERVAL;
 /// During this time after the start some limiters may not have reported yet.
 const STARTUP_DURATION: Micros = 4_000_000;
 /// Without overload for this long, and with more admitted than offered, there is no level any more.
@@ -59,50 +59,50 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionLevel {
     /// The service.
-    pub svc: String,
+    pub service: String,
     /// Requests beyond this position in the priority order are rejected.
     pub threshold: f64,
     /// Requests a second that all limiters together admit; `None` admits all, and limiters only
     /// report.
-    pub rate: Option<f64>,
+    pub admitted_rate: Option<f64>,
     /// Number of limiters that reported.
-    pub limiters: u32,
+    pub limiter_count: u32,
 }
 
 /// The summed load at one replica, for the other replicas that share the servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LoadShare {
+pub struct ReplicaLoad {
     /// Offered requests a second, by band; only bands with any.
     pub offered: Vec<(u8, f32)>,
     /// Admitted requests a second.
-    pub sent: f32,
+    pub admitted: f32,
     /// Outcomes a second: answered in time, answered slowly, rejected, without a free server, and
     /// of those answered in time the ones that waited.
     pub outcomes: [f32; 5],
     /// Number of limiters in these sums.
-    pub limiters: u32,
+    pub limiter_count: u32,
     /// The admitted rate as this replica decides it (`Some(None)`: all); `None` while it has not
     /// observed long enough.
-    pub decision: Option<Option<f32>>,
+    pub decided_rate: Option<Option<f32>>,
 }
 
 /// Sums over limiters, in requests a second.
 #[derive(Clone, Debug)]
 struct LoadSum {
     offered: [f64; BANDS],
-    sent: f64,
+    admitted: f64,
     /// Answered in time, answered slowly, rejected, without a free server, and of those answered in
     /// time the ones that waited.
     outcomes: [f64; 5],
-    limiters: u32,
+    limiter_count: u32,
 }
 
 impl LoadSum {
     const NOTHING: LoadSum = LoadSum {
         offered: [0.0; BANDS],
-        sent: 0.0,
+        admitted: 0.0,
         outcomes: [0.0; 5],
-        limiters: 0,
+        limiter_count: 0,
     };
 
     fn add(&mut self, other: &LoadSum) {
@@ -112,11 +112,14 @@
             .zip(&other.offered)
             .chain(self.outcomes.iter_mut().zip(&other.outcomes));
         pairs.for_each(|(own, other)| *own += other);
-        (self.sent, self.limiters) = (self.sent + other.sent, self.limiters + other.limiters);
+        (self.admitted, self.limiter_count) = (
+            self.admitted + other.admitted,
+            self.limiter_count + other.limiter_count,
+        );
     }
 
     fn of(report: &LoadReport) -> LoadSum {
-        let per_second = |count: u32| f64::from(count) * SECOND / report.span.max(1) as f64;
+        let per_second = |count: u32| f64::from(count) * SECOND / report.interval.max(1) as f64;
         let mut offered = [0.0; BANDS];
         for (band, count) in &report.offered {
             offered[usize::from(*band).min(BANDS - 1)] += per_second(*count);
@@ -126,27 +129,27 @@
             report.slow,
             report.rejected,
             report.no_server,
-            report.waited,
+            report.delayed,
         ]
         .map(per_second);
         LoadSum {
             offered,
-            sent: per_second(report.sent),
+            admitted: per_second(report.admitted),
             outcomes,
-            limiters: 1,
+            limiter_count: 1,
         }
     }
 
-    fn shared(share: &LoadShare) -> LoadSum {
+    fn shared(share: &ReplicaLoad) -> LoadSum {
         let mut offered = [0.0; BANDS];
         for (band, rate) in &share.offered {
             offered[usize::from(*band).min(BANDS - 1)] += f64::from(*rate);
         }
         LoadSum {
             offered,
-            sent: share.sent.into(),
+            admitted: share.admitted.into(),
             outcomes: share.outcomes.map(f64::from),
-            limiters: share.limiters,
+            limiter_count: share.limiter_count,
         }
     }
 
@@ -158,8 +161,8 @@
             .zip(&other.offered)
             .chain(self.outcomes.iter_mut().zip(&other.outcomes));
         pairs.for_each(|(own, other)| *own += (other - *own) * gain);
-        self.sent += (other.sent - self.sent) * gain;
-        self.limiters = other.limiters;
+        self.admitted += (other.admitted - self.admitted) * gain;
+        self.limiter_count = other.limiter_count;
     }
 }
 
@@ -178,12 +181,12 @@
     /// The latest report of each limiter, and when it arrived.
     reports: BTreeMap<u64, (LoadSum, Micros)>,
     /// The latest sums of other replicas that share the servers, and when they arrived.
-    peer_shares: BTreeMap<u64, (LoadShare, Micros)>,
+    peer_shares: BTreeMap<u64, (ReplicaLoad, Micros)>,
     averages: LoadSum,
     observed_since: Option<Micros>,
     last_evaluated_at: Micros,
     /// Requests a second that are admitted; `None` admits all.
-    rate: Option<f64>,
+    admitted_rate: Option<f64>,
     /// The highest recent rate that servers answered in time.
     sustained_rate: f64,
     last_decrease_at: Option<Micros>,
@@ -206,7 +209,7 @@
             averages: LoadSum::NOTHING,
             observed_since: None,
             last_evaluated_at: 0,
-            rate: None,
+            admitted_rate: None,
             sustained_rate: 0.0,
             last_decrease_at: None,
             at_capacity_since: None,
@@ -227,7 +230,7 @@
     }
 
     /// Handles the sums of another replica that shares the servers.
-    pub fn handle_peer_share(&mut self, now: Micros, replica: u64, share: LoadShare) {
+    pub fn handle_peer_load(&mut self, now: Micros, replica: u64, share: ReplicaLoad) {
         self.peer_shares.insert(replica, (share, now));
     }
 
@@ -243,23 +246,23 @@
 
     /// The sums of this replica's own limiters and its decision, for the other replicas; `None`
     /// without limiters.
-    pub fn to_share(&self, now: Micros) -> Option<LoadShare> {
+    pub fn replica_load(&self, now: Micros) -> Option<ReplicaLoad> {
         let sum = self.local_sum(now);
         let offered = sum
             .offered
             .iter()
             .enumerate()
             .filter(|(_, rate)| **rate > 0.0);
-        (sum.limiters > 0).then(|| LoadShare {
+        (sum.limiter_count > 0).then(|| ReplicaLoad {
             offered: offered
                 .map(|(band, rate)| (band as u8, *rate as f32))
                 .collect(),
-            sent: sum.sent as f32,
+            admitted: sum.admitted as f32,
             outcomes: sum.outcomes.map(|rate| rate as f32),
-            limiters: sum.limiters,
-            decision: self
+            limiter_count: sum.limiter_count,
+            decided_rate: self
                 .has_observed_enough(now)
-                .then_some(self.rate.map(|rate| rate as f32)),
+                .then_some(self.admitted_rate.map(|rate| rate as f32)),
         })
     }
 
@@ -269,13 +272,13 @@
     }
 
     /// Sets an upper bound of the rate, in requests a second.
-    pub fn limit_rate(&mut self, most: Option<f64>) {
+    pub fn set_max_rate(&mut self, most: Option<f64>) {
         self.max_rate = most;
     }
 
     /// The admitted rate, if it is limited.
-    pub fn rate(&self) -> Option<f64> {
-        self.rate
+    pub fn admitted_rate(&self) -> Option<f64> {
+        self.admitted_rate
     }
 
     /// Whether nothing has been reported for the service lately.
@@ -291,7 +294,7 @@
                 .all(|(_, at)| now - at >= REPORT_LIFETIME)
     }
 
-    /// Evaluates the reports; due once a [`STEP`].
+    /// Evaluates the reports; due once a [`EVALUATION_INTERVAL`].
     pub fn evaluate(&mut self, now: Micros) {
         let elapsed = (now - std::mem::replace(&mut self.last_evaluated_at, now)) as f64;
         self.observed_since.get_or_insert(now);
@@ -299,7 +302,7 @@
         self.update_averages(now, elapsed);
         self.decide(now, elapsed);
         if let Some(most) = self.max_rate {
-            self.rate = Some(self.rate.unwrap_or(most).min(most));
+            self.admitted_rate = Some(self.admitted_rate.unwrap_or(most).min(most));
         }
     }
 
@@ -321,13 +324,13 @@
         } else {
             1.0
         };
-        let limiters_before = f64::from(self.averages.limiters.max(1));
+        let limiters_before = f64::from(self.averages.limiter_count.max(1));
         self.averages.approach(&sum, gain);
         // After a joint start limiters report one after the other: a decision from the first
         // reports does not hold for all of them.
-        let growth = f64::from(self.averages.limiters) / limiters_before;
+        let growth = f64::from(self.averages.limiter_count) / limiters_before;
         if growth > 1.0 && self.is_starting(now) {
-            self.rate = self.rate.map(|rate| rate * growth);
+            self.admitted_rate = self.admitted_rate.map(|rate| rate * growth);
             (self.last_decrease_at, self.at_capacity_since) = (None, None);
         }
     }
@@ -349,7 +352,7 @@
             self.last_overloaded_at = Some(now);
         }
         if let Some(rate) = self.rate_of_peer(now) {
-            self.rate = rate;
+            self.admitted_rate = rate;
             return;
         }
         if !self.has_observed_enough(now) {
@@ -373,16 +376,16 @@
         let (peer, decision) = self
             .peer_shares
             .iter()
-            .find_map(|(peer, (share, _))| Some((*peer, share.decision?)))?;
+            .find_map(|(peer, (share, _))| Some((*peer, share.decided_rate?)))?;
         (peer < self.replica || !self.has_observed_enough(now)).then_some(decision.map(f64::from))
     }
 
     fn approach_probing_rate(&mut self, answered: f64) {
         let current = self
-            .rate
-            .unwrap_or(self.averages.sent)
-            .min(self.averages.sent.max(self.sustained_rate));
-        self.rate = Some(
+            .admitted_rate
+            .unwrap_or(self.averages.admitted)
+            .min(self.averages.admitted.max(self.sustained_rate));
+        self.admitted_rate = Some(
             (answered * PROBING_FACTOR)
                 .max(current * PROBING_DECAY)
                 .max(self.min_rate()),
@@ -402,16 +405,16 @@
         // Under overload servers are busy all the time: the rate that they answer is their
         // capacity.
         let (sent, capacity) = (
-            self.averages.sent,
+            self.averages.admitted,
             answered.max(in_time * MIN_IN_TIME_SHARE),
         );
         let held = self
-            .rate
+            .admitted_rate
             .unwrap_or(sent)
             .min(capacity.max(self.sustained_rate * SUSTAINED_SHARE * MIN_IN_TIME_SHARE));
         let (least, most) = DECREASE_FACTORS;
         let cut = held * (1.0 - (share - OVERLOAD_SHARE).clamp(least, most));
-        self.rate = Some(cut.max(in_time * MIN_IN_TIME_SHARE).max(self.min_rate()));
+        self.admitted_rate = Some(cut.max(in_time * MIN_IN_TIME_SHARE).max(self.min_rate()));
     }
 
     /// Some requests are always admitted: their outcomes show when the servers have recovered.
@@ -420,9 +423,11 @@
     }
 
     fn increase(&mut self, now: Micros, share: f64, waiting: f64) {
-        let Some(rate) = self.rate else { return };
+        let Some(rate) = self.admitted_rate else {
+            return;
+        };
         let offered: f64 = self.averages.offered.iter().sum();
-        if self.averages.sent >= rate * USED_SHARE {
+        if self.averages.admitted >= rate * USED_SHARE {
             let (least, more) = INCREASE_FACTORS;
             let since = self
                 .at_capacity_since
@@ -430,10 +435,10 @@
             let slow = (least + more * since.powi(2)) * (1.0 - share / SPARE_SHARE);
             let idle = rate < self.sustained_rate * SUSTAINED_SHARE || waiting < IDLE_SHARE;
             let by = if idle { QUICK_INCREASE_FACTOR } else { slow };
-            self.rate = Some((rate * (1.0 + by)).max(self.min_rate()));
+            self.admitted_rate = Some((rate * (1.0 + by)).max(self.min_rate()));
         }
         if self.is_calm(now) && offered < rate * USED_SHARE {
-            self.rate = None;
+            self.admitted_rate = None;
         }
     }
 
@@ -444,17 +449,17 @@
 
     /// The level for the limiters; `None` where all is admitted and no reports are needed.
     pub fn level(&self, svc: &str) -> Option<AdmissionLevel> {
-        let is_needed = self.rate.is_some()
+        let is_needed = self.admitted_rate.is_some()
             || !self.is_calm(self.last_evaluated_at)
-            || self.averages.limiters > 0 && !self.is_settled();
-        let threshold = self.rate.map_or(1.0, |rate| {
+            || self.averages.limiter_count > 0 && !self.is_settled();
+        let threshold = self.admitted_rate.map_or(1.0, |rate| {
             priority::threshold(&self.averages.offered, rate)
         });
         is_needed.then(|| AdmissionLevel {
-            svc: svc.to_string(),
+            service: svc.to_string(),
             threshold,
-            rate: self.rate,
-            limiters: self.averages.limiters,
+            admitted_rate: self.admitted_rate,
+            limiter_count: self.averages.limiter_count,
         })
     }
 
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -18,7 +18,7 @@
 const MS: Micros = 1_000;
 
 /// Interval between two reports of a limiter, and between two evaluations.
-pub const STEP: Micros = 200 * MS;
+pub const EVALUATION_INTERVAL: Micros = 200 * MS;
 /// A report is valid for this long; a limiter that sends none is gone.
 pub const REPORT_LIFETIME: Micros = 700 * MS;
 /// Levels are valid for this long; afterwards a limiter decides on its own.
--- a/crates/overload/src/load.rs
+++ b/crates/overload/src/load.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::priority::BANDS;
-use crate::{Micros, STEP};
+use crate::{EVALUATION_INTERVAL, Micros};
 
 /// An answer that took more than the first share of its latency target has waited; beyond the
 /// second it is slow.
@@ -26,17 +26,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The service.
-    pub svc: String,
+    pub service: String,
     /// Length of the interval.
-    pub span: Micros,
+    pub interval: Micros,
     /// Offered requests, by band; only bands with any.
     pub offered: Vec<(u8, u32)>,
     /// Admitted requests.
-    pub sent: u32,
+    pub admitted: u32,
     /// Answers in time.
     pub in_time: u32,
     /// Answers in time that had waited nevertheless.
-    pub waited: u32,
+    pub delayed: u32,
     /// Slow answers.
     pub slow: u32,
     /// Attempts rejected by servers.
@@ -50,9 +50,9 @@
 pub struct LoadCounts {
     since: Micros,
     offered: [u32; BANDS],
-    sent: u32,
+    admitted: u32,
     in_time: u32,
-    waited: u32,
+    delayed: u32,
     slow: u32,
     rejected: u32,
     no_server: u32,
@@ -63,20 +63,20 @@
     /// Counts a request; `sent`: it was admitted.
     pub fn record_request(&mut self, band: usize, sent: bool) {
         self.offered[band] += 1;
-        self.sent += u32::from(sent);
+        self.admitted += u32::from(sent);
     }
 
     /// Removes an admitted request that was over its quota: it says nothing about the servers.
     pub fn record_over_quota(&mut self, band: usize) {
         self.offered[band] = self.offered[band].saturating_sub(1);
-        self.sent = self.sent.saturating_sub(1);
+        self.admitted = self.admitted.saturating_sub(1);
     }
 
     /// Counts an outcome.
     pub fn record_outcome(&mut self, now: Micros, outcome: RequestOutcome) {
         match outcome {
             RequestOutcome::Answered(took, aim) if took as f64 <= aim as f64 * WAIT_SHARES.1 => {
-                self.waited += u32::from(took as f64 > aim as f64 * WAIT_SHARES.0);
+                self.delayed += u32::from(took as f64 > aim as f64 * WAIT_SHARES.0);
                 return self.in_time += 1;
             }
             RequestOutcome::Answered(..) => self.slow += 1,
@@ -88,7 +88,7 @@
 
     /// Returns the counts and resets them; `None` where nothing waited lately and no report was
     /// requested for.
-    pub fn report(&mut self, now: Micros, svc: &str, requested: bool) -> Option<LoadReport> {
+    pub fn take_report(&mut self, now: Micros, svc: &str, requested: bool) -> Option<LoadReport> {
         let known = std::mem::replace(
             self,
             LoadCounts {
@@ -106,12 +106,12 @@
             .enumerate()
             .filter(|(_, count)| **count > 0);
         (requested || lately).then(|| LoadReport {
-            svc: svc.to_string(),
-            span: (now - known.since).clamp(1, 2 * STEP),
+            service: svc.to_string(),
+            interval: (now - known.since).clamp(1, 2 * EVALUATION_INTERVAL),
             offered: offered.map(|(band, count)| (band as u8, *count)).collect(),
-            sent: known.sent,
+            admitted: known.admitted,
             in_time: known.in_time,
-            waited: known.waited,
+            delayed: known.delayed,
             slow: known.slow,
             rejected: known.rejected,
             no_server: known.no_server,
--- a/crates/overload/src/load/tests.rs
+++ b/crates/overload/src/load/tests.rs
@@ -5,22 +5,28 @@
     let mut load = LoadCounts::default();
     load.record_request(3, true);
     load.record_outcome(0, RequestOutcome::Answered(100, 500));
-    assert_eq!(load.report(STEP, "s", false), None);
+    assert_eq!(load.take_report(EVALUATION_INTERVAL, "s", false), None);
     load.record_request(3, true);
     load.record_request(7, false);
-    load.record_outcome(STEP, RequestOutcome::Answered(400, 500));
-    let told = load.report(2 * STEP, "s", false).unwrap();
+    load.record_outcome(EVALUATION_INTERVAL, RequestOutcome::Answered(400, 500));
+    let told = load
+        .take_report(2 * EVALUATION_INTERVAL, "s", false)
+        .unwrap();
     assert_eq!(
-        (told.offered, told.sent, told.in_time, told.slow),
+        (told.offered, told.admitted, told.in_time, told.slow),
         (vec![(3, 1), (7, 1)], 1, 0, 1)
     );
     assert_eq!(
-        load.report(3 * STEP, "s", false).map(|told| told.offered),
+        load.take_report(3 * EVALUATION_INTERVAL, "s", false)
+            .map(|told| told.offered),
         Some(Vec::new())
     );
-    assert_eq!(load.report(STEP + REPORTING_DURATION, "s", false), None);
+    assert_eq!(
+        load.take_report(EVALUATION_INTERVAL + REPORTING_DURATION, "s", false),
+        None
+    );
     assert!(
-        load.report(2 * STEP + REPORTING_DURATION, "s", true)
+        load.take_report(2 * EVALUATION_INTERVAL + REPORTING_DURATION, "s", true)
             .is_some(),
         "asked for"
     );
--- a/crates/overload/src/overload_detector.rs
+++ b/crates/overload/src/overload_detector.rs
@@ -6,7 +6,7 @@
 //! the lowest tiers first, and before the work it has accepted is late.
 
 use crate::priority::{BANDS, threshold};
-use crate::{Micros, STEP};
+use crate::{EVALUATION_INTERVAL, Micros};
 
 const MS: Micros = 1_000;
 const SECOND: f64 = 1e6;
@@ -18,7 +18,7 @@
 const LATE_STEPS: u32 = 2;
 /// The effect of a decrease shows after this time; while the wait shrinks there is no other
 /// decrease.
-const DECREASE_INTERVAL: Micros = 2 * STEP;
+const DECREASE_INTERVAL: Micros = 2 * EVALUATION_INTERVAL;
 /// Turns that each work off the input of the turn before grow faster than a mean can show. A turn
 /// that follows a late one and that, at the present growth, would exceed this time in microseconds
 /// admits proportionally less at once.
@@ -66,7 +66,7 @@
     /// Time of the last decrease, and the mean wait that caused it.
     last_decrease: Option<(Micros, Micros)>,
     /// Since when requests have been rejected.
-    shedding_since: Option<Micros>,
+    shedding_started_at: Option<Micros>,
 }
 
 impl OverloadDetector {
@@ -88,7 +88,7 @@
     }
 
     /// Sets the fill level of the scarcest resource (connections, bytes, descriptors); 1 is full.
-    pub fn set_fill(&mut self, share: f64) {
+    pub fn set_fill_level(&mut self, share: f64) {
         self.fill = share;
     }
 
@@ -116,18 +116,23 @@
     }
 
     /// Whether the node is so full that rejected clients should be disconnected.
-    pub fn is_crowded(&self) -> bool {
+    pub fn is_nearly_full(&self) -> bool {
         self.fill > FULL_FROM
     }
 
     /// Since when requests have been rejected; `None` if none are.
-    pub fn shedding_since(&self) -> Option<Micros> {
-        self.shedding_since
+    pub fn shedding_started_at(&self) -> Option<Micros> {
+        self.shedding_started_at
     }
 
-    /// Evaluates the records; due once a [`STEP`].
+    /// Evaluates the records; due once a [`EVALUATION_INTERVAL`].
     pub fn evaluate(&mut self, now: Micros) {
-        let span = (now - self.last_evaluated_at.replace(now).unwrap_or(now - STEP)).max(1) as f64;
+        let span = (now
+            - self
+                .last_evaluated_at
+                .replace(now)
+                .unwrap_or(now - EVALUATION_INTERVAL))
+        .max(1) as f64;
         let gain = 1.0 - (-span / TIME_CONSTANT).exp();
         for (offered, came) in self
             .offered
@@ -178,8 +183,8 @@
                 .filter(|_| !calm || offered >= rate * USED_SHARE);
         }
         let rejects = self.threshold() < 1.0;
-        self.shedding_since = if rejects {
-            self.shedding_since.or(Some(now))
+        self.shedding_started_at = if rejects {
+            self.shedding_started_at.or(Some(now))
         } else {
             None
         };
--- a/crates/overload/tests/node.rs
+++ b/crates/overload/tests/node.rs
@@ -8,7 +8,7 @@
 
 use overload::overload_detector::OverloadDetector;
 use overload::priority::{self, BANDS};
-use overload::{Micros, STEP};
+use overload::{EVALUATION_INTERVAL, Micros};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
@@ -48,7 +48,7 @@
             sheds,
             now: 0,
             seen: 0,
-            due: STEP,
+            due: EVALUATION_INTERVAL,
             owed,
             ids: 0,
             windows,
@@ -77,7 +77,7 @@
             }
             self.windows[at].longest = self.windows[at].longest.max(waited);
             if self.now >= self.due {
-                self.due = self.now + STEP;
+                self.due = self.now + EVALUATION_INTERVAL;
                 self.shedder.evaluate(self.now);
                 let border = self.shedder.threshold() * BANDS as f64;
                 let _ = writeln!(
@@ -171,10 +171,14 @@
 fn after_the_load_is_gone_everything_is_admitted_again() {
     let mut node = Node::new(true);
     node.run(6 * SECOND, [200.0, 1_300.0]);
-    assert!(node.shedder.shedding_since().is_some(), "{}", node.lines);
+    assert!(
+        node.shedder.shedding_started_at().is_some(),
+        "{}",
+        node.lines
+    );
     node.run(4 * SECOND, [60.0, 140.0]);
     assert!(
-        node.shedder.threshold() >= 1.0 && node.shedder.shedding_since().is_none(),
+        node.shedder.threshold() >= 1.0 && node.shedder.shedding_started_at().is_none(),
         "{}",
         node.lines
     );
@@ -186,7 +190,7 @@
     let bands = [priority::band(0, 0), priority::band(2, 2)];
     for step in 1..=10 {
         (0..20).for_each(|n| shedder.record_request(bands[usize::from(n >= 5)], true));
-        shedder.evaluate(step * STEP);
+        shedder.evaluate(step * EVALUATION_INTERVAL);
     }
     let kept = |shedder: &OverloadDetector, band: usize| {
         (shedder.threshold() * BANDS as f64 - band as f64).clamp(0.0, 1.0)
@@ -198,12 +202,12 @@
         (0.96, 0.8, 0.0),
         (1.5, 0.2, 0.0),
     ] {
-        shedder.set_fill(full);
+        shedder.set_fill_level(full);
         let both = bands.map(|band| kept(&shedder, band));
         assert!(
             (both[0] - first).abs() < 0.02 && (both[1] - last).abs() < 0.02,
             "{full}: {both:?}"
         );
-        assert_eq!(shedder.is_crowded(), full > 0.8);
+        assert_eq!(shedder.is_nearly_full(), full > 0.8);
     }
 }
--- a/crates/overload/tests/overload.rs
+++ b/crates/overload/tests/overload.rs
@@ -11,7 +11,7 @@
 use overload::admission_controller::AdmissionController;
 use overload::load::RequestOutcome;
 use overload::priority::{self, BANDS};
-use overload::{Micros, STEP};
+use overload::{EVALUATION_INTERVAL, Micros};
 use test_case::test_case;
 
 const MS: Micros = 1_000;
@@ -255,13 +255,13 @@
     /// Limiters report, replicas evaluate, exchange their sums and send levels. A limiter whose
     /// replica is gone connects to the next.
     fn control(&mut self) {
-        let steps = STEP / TICK;
+        let steps = EVALUATION_INTERVAL / TICK;
         let (now, tick) = (self.now, self.now / TICK);
         for (at, (admission, home, _)) in self.limiters.iter_mut().enumerate() {
             if (tick + at as Micros) % steps != 0 {
                 continue;
             }
-            for report in admission.step(now) {
+            for report in admission.take_reports(now) {
                 if self.homes[*home].1 {
                     self.homes[*home].0.handle_report(now, at as u64, &report);
                 }
@@ -273,14 +273,14 @@
         let shares: Vec<_> = self
             .homes
             .iter()
-            .map(|(home, up)| home.to_share(now).filter(|_| *up))
+            .map(|(home, up)| home.replica_load(now).filter(|_| *up))
             .collect();
         for (at, (home, up)) in self.homes.iter_mut().enumerate().filter(|(_, (_, up))| *up) {
             let others = shares.iter().enumerate().filter(|(other, _)| *other != at);
             others.for_each(|(other, share)| {
                 share
                     .iter()
-                    .for_each(|share| home.handle_peer_share(now, other as u64, share.clone()));
+                    .for_each(|share| home.handle_peer_load(now, other as u64, share.clone()));
             });
             home.evaluate(now);
             debug_assert!(*up);
@@ -295,7 +295,7 @@
             .homes
             .iter()
             .find(|(_, up)| *up)
-            .and_then(|(home, _)| home.rate());
+            .and_then(|(home, _)| home.admitted_rate());
         self.rates.extend(rate);
         let borders: Vec<f64> = self
             .limiters
@@ -393,7 +393,12 @@
         .filter(|l| l.0.threshold(world.now, "s") == 1.0)
         .count();
     assert_eq!(open, 30, "{}", world.drawn());
-    assert!(world.homes.iter().all(|(home, _)| home.rate().is_none()));
+    assert!(
+        world
+            .homes
+            .iter()
+            .all(|(home, _)| home.admitted_rate().is_none())
+    );
 }
 
 #[test]
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -57,21 +57,21 @@
 
 fn level() -> AdmissionLevel {
     AdmissionLevel {
-        svc: "records".into(),
+        service: "records".into(),
         threshold: 2.75,
-        rate: Some(120.5),
-        limiters: 18,
+        admitted_rate: Some(120.5),
+        limiter_count: 18,
     }
 }
 
 fn report() -> LoadReport {
     LoadReport {
-        svc: "records".into(),
-        span: 500_000,
+        service: "records".into(),
+        interval: 500_000,
         offered: vec![(0, 40), (63, 2)],
-        sent: 39,
+        admitted: 39,
         in_time: 30,
-        waited: 5,
+        delayed: 5,
         slow: 4,
         rejected: 3,
         no_server: 1,
--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -65,7 +65,7 @@
     /// Sends the load reports.
     pub(super) fn send_load_reports(&mut self, now: Micros) {
         self.deadlines
-            .schedule(now + overload::STEP, Timer::LoadReport);
+            .schedule(now + overload::EVALUATION_INTERVAL, Timer::LoadReport);
         let load = self.router.shedding().take_reports(now);
         if !load.is_empty() {
             self.send_to_agent(&AgentMessage::LoadReports(load));
--- a/crates/proxy/src/host/capacity.rs
+++ b/crates/proxy/src/host/capacity.rs
@@ -49,7 +49,7 @@
         ];
         let node = self.router.shedding().node();
         node.record_intake(count, behind.max(late));
-        node.set_fill(shares.into_iter().fold(0.0, f64::max));
+        node.set_fill_level(shares.into_iter().fold(0.0, f64::max));
     }
 
     /// A connection was accepted: if there are too many, the least valuable is evicted. Among
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -46,7 +46,7 @@
 
     /// Schedules the connection's deadline if it is earlier than the scheduled one.
     pub(super) fn schedule_client_deadline(&mut self, now: Micros, key: ConnectionId) {
-        let closing = self.lifecycle.closes_idle(now, &self.limits);
+        let closing = self.lifecycle.should_close_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
@@ -61,7 +61,7 @@
     }
 
     pub(super) fn handle_client_deadline(&mut self, now: Micros, key: ConnectionId) {
-        let closing = self.lifecycle.closes_idle(now, &self.limits);
+        let closing = self.lifecycle.should_close_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
@@ -173,7 +173,7 @@
         if client.incoming.is_complete() {
             let incoming = std::mem::take(&mut client.incoming);
             (client.continue_sent, client.checked_by_head) = (false, false);
-            client.connection.request_complete(now);
+            client.connection.begin_processing(now);
             connection.max_input_bytes = MAX_READ_AHEAD_BYTES.max(connection.input.len());
             if let Some((head, _, body)) = incoming.into_parts() {
                 self.handle_request(now, key, head, body);
--- a/crates/proxy/src/host/close_reasons.rs
+++ b/crates/proxy/src/host/close_reasons.rs
@@ -70,7 +70,7 @@
         let id = request.map_or("none", |request| request.id.as_str());
         let (stage, ms) = (
             client.connection.stage,
-            (now - client.connection.since) / MS,
+            (now - client.connection.stage_entered_at) / MS,
         );
         let text =
             format_args!("client's connection closed with an answer owed: {closing}").to_string();
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -25,7 +25,7 @@
 use dataplane::limits::Limits;
 use dataplane::slots::AuthorisationKey;
 use dataplane::upload::Upload;
-use dataplane::upstreams::{Pool, UpstreamState};
+use dataplane::upstreams::{ConnectionPool, UpstreamState};
 use eyre::{WrapErr, eyre};
 use protocol::connections::{ConnectionId, Connections, IoEvent};
 use protocol::items::Route;
@@ -218,7 +218,7 @@
     server_table: ServerTable,
     router: RequestRouter,
     requests: SlotMap<RequestKey, Request>,
-    pool: Pool<ConnectionId>,
+    pool: ConnectionPool<ConnectionId>,
     upstreams: HashMap<(usize, AuthorisationKey), ConnectionId>,
     actions: Vec<RouterAction>,
     agent: Option<ConnectionId>,
@@ -282,7 +282,7 @@
         let (check, readyz) = listen(&mut connections, "bind.readyz", settings.bind.readyz)?;
         let log = ring.logger("proxy", &settings.node);
         let limits = Limits {
-            shutdown_notice: SHUTDOWN_NOTICE,
+            shutdown_notice_period: SHUTDOWN_NOTICE,
             shutdown_timeout: settings.bounds.grace.0 - GRACE_MARGIN,
             connect_timeout: CONNECT_TIMEOUT,
             max_buffered_body_bytes: MAX_BUFFERED_RESPONSE_BYTES,
@@ -293,7 +293,7 @@
         let mut deadlines = Deadlines::default();
         deadlines.schedule(now, Timer::ConnectAgent);
         deadlines.schedule(now + HEARTBEAT_INTERVAL, Timer::Heartbeat);
-        deadlines.schedule(now + overload::STEP, Timer::LoadReport);
+        deadlines.schedule(now + overload::EVALUATION_INTERVAL, Timer::LoadReport);
         deadlines.schedule(now + limits.upstream_idle_timeout / 4, Timer::ExpireIdle);
         let server_table = ServerTable::new(&settings.zone, settings.zones.clone());
         info!(log, "serving on {http}");
@@ -315,7 +315,7 @@
             server_table,
             router: RequestRouter::new(fastrand::u64(..), settings.bounds.clone()),
             requests: SlotMap::with_key(),
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             upstreams: HashMap::new(),
             actions: Vec::new(),
             agent: None,
@@ -481,7 +481,7 @@
         match self.roles.get_mut(key) {
             Some(Role::Upstream(upstream)) => {
                 self.connect_timeout.record(now - upstream.opened_at);
-                upstream.state = upstream.state.connected();
+                upstream.state = upstream.state.on_connected();
                 if let Some(UpstreamPurpose::Attempt(request, ..)) = upstream.state.purpose() {
                     self.start_upload(request, key);
                 }
@@ -517,7 +517,7 @@
             }
             Some(Role::Upstream(upstream)) => {
                 let before = upstream.state;
-                upstream.state = before.written();
+                upstream.state = before.on_request_written();
                 if let (true, Some(UpstreamPurpose::Attempt(_, handle, _))) =
                     (before != upstream.state, upstream.state.purpose())
                 {
@@ -589,8 +589,10 @@
     pub fn begin_shutdown(&mut self, now: Micros) {
         if self.lifecycle.begin_shutdown(now) {
             info!(self.log, "shutting down");
-            self.deadlines
-                .schedule(now + self.limits.shutdown_notice, Timer::ShutdownNotice);
+            self.deadlines.schedule(
+                now + self.limits.shutdown_notice_period,
+                Timer::ShutdownNotice,
+            );
             self.deadlines
                 .schedule(now + self.limits.shutdown_timeout, Timer::ShutdownTimeout);
             self.send_heartbeat();
@@ -617,13 +619,13 @@
         let owed: Vec<RequestKey> = self.requests.keys().collect();
         owed.into_iter()
             .for_each(|request| self.finish_request(now, request, EngineRejection::Failed));
-        self.lifecycle.finish();
+        self.lifecycle.finish_shutdown();
     }
 
     /// At the end: no answer is owed any more, and no client is connected.
     fn finish_if_drained(&mut self) {
         if self.lifecycle.is_shutting_down() && self.requests.is_empty() && self.client_count == 0 {
-            self.lifecycle.finish();
+            self.lifecycle.finish_shutdown();
         }
     }
 
--- a/crates/proxy/src/host/responses.rs
+++ b/crates/proxy/src/host/responses.rs
@@ -90,7 +90,7 @@
         lines.extend((own.retry_after > 0).then_some(("Retry-After", seconds.as_str())));
         // While the node is crowded, rejected clients are disconnected: a retry uses a new
         // connection anyway.
-        let crowded = self.router.shedding().node().is_crowded();
+        let crowded = self.router.shedding().node().is_nearly_full();
         self.client(key)
             .into_iter()
             .for_each(|client| client.close_after_response |= crowded);
@@ -135,7 +135,9 @@
     /// Prepares the connection for its answer; returns whether the connection is closed after it,
     /// `None` if it is gone.
     pub(super) fn begin_response(&mut self, now: Micros, key: ConnectionId) -> Option<bool> {
-        let last = self.lifecycle.closes_after_response(now, &self.limits);
+        let last = self
+            .lifecycle
+            .should_close_after_response(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return None;
         };
@@ -167,7 +169,7 @@
             return self.resume_stream(source);
         }
         let last = client.close_after_response;
-        client.connection.response_written(now, last);
+        client.connection.finish_response(now, last);
         if let Some(connection) = self.connections.get_mut(key) {
             connection.max_input_bytes = READ_WINDOW_BYTES;
             self.buffered_bytes =
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -23,7 +23,7 @@
         client.close_after_response = !head.keep_alive;
         client.checked_by_head = false;
         let told = std::mem::take(&mut client.continue_sent);
-        client.connection.request_complete(now);
+        client.connection.begin_processing(now);
         client.connection.record_body_progress(now, come);
         // The client's time-out counts from its last byte.
         let left = match extent {
@@ -77,7 +77,7 @@
         self.buffered_bytes = self.buffered_bytes + held - client.buffered_bytes;
         client.buffered_bytes = held;
         if whole {
-            client.connection.request_complete(now);
+            client.connection.begin_processing(now);
         } else {
             client
                 .connection
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -148,8 +148,8 @@
         if let Some(key) = self.reuse_connection(now, server, purpose) {
             return Ok(key);
         }
-        if self.pool.connections() >= MAX_UPSTREAMS
-            && let Some(idle) = self.pool.longest_idle()
+        if self.pool.connection_count() >= MAX_UPSTREAMS
+            && let Some(idle) = self.pool.longest_idle_connection()
         {
             self.close_upstream(idle);
         }
@@ -227,7 +227,7 @@
         if let Some(connection) = self.connections.get_mut(key) {
             connection.max_input_bytes = READ_WINDOW_BYTES;
         }
-        self.pool.connection_opened(server);
+        self.pool.record_opened(server);
         self.deadlines
             .schedule(now + self.connect_timeout.timeout(), Timer::Connect(key));
         Ok(key)
@@ -235,7 +235,7 @@
 
     pub(super) fn close_upstream(&mut self, key: ConnectionId) {
         if let Some(Role::Upstream(upstream)) = self.roles.remove(key) {
-            self.pool.connection_closed(upstream.server, key);
+            self.pool.record_closed(upstream.server, key);
         }
         self.connections.close(key);
     }
--- a/crates/proxy/src/shedding.rs
+++ b/crates/proxy/src/shedding.rs
@@ -156,11 +156,11 @@
         self.admission.set_levels(now, levels, age);
     }
 
-    /// The reports for the control program; due once a [`overload::STEP`].
+    /// The reports for the control program; due once a [`overload::EVALUATION_INTERVAL`].
     pub fn take_reports(&mut self, now: Micros) -> Vec<LoadReport> {
         self.over_quota_tenants
             .retain(|_, at| now - *at <= OVER_QUOTA_DURATION);
         self.node.evaluate(now);
-        self.admission.step(now)
+        self.admission.take_reports(now)
     }
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -249,7 +249,7 @@
         let hand = Arc::new(AtomicI64::new(start));
         let host = Host::open(
             settings.unwrap(),
-            Clock::driven(hand.clone()),
+            Clock::manual(hand.clone()),
             LogRing::default(),
         )
         .unwrap();
