--- a/crates/control/src/host/connections.rs
+++ b/crates/control/src/host/connections.rs
@@ -7,7 +7,7 @@
 use calloop::RegistrationToken;
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::dataplane_types::{Incoming, RequestHead};
+use crate::dataplane_types::{IncomingMessage, RequestHead};
 
 /// Who is at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     pub(super) output: Vec<u8>,
     pub(super) written: usize,
     /// The request of a caller that is being received, and whether one was received and awaits its reply.
-    pub(super) incoming: Incoming<RequestHead>,
+    pub(super) incoming: IncomingMessage<RequestHead>,
     pub(super) awaiting_reply: bool,
     pub(super) continue_sent: bool,
     /// No other request follows on this connection.
@@ -63,7 +63,7 @@
             input: Vec::new(),
             output: Vec::new(),
             written: 0,
-            incoming: Incoming::default(),
+            incoming: IncomingMessage::default(),
             awaiting_reply: false,
             continue_sent: false,
             close_after_reply: false,
--- a/crates/control/src/host/platform_poller.rs
+++ b/crates/control/src/host/platform_poller.rs
@@ -6,7 +6,7 @@
 use protocol::platform::{self, Server};
 use protocol::settings::CloudApi;
 
-use crate::dataplane_types::{ConnectionKey, FrameLimits, framed_response};
+use crate::dataplane_types::{ConnectionKey, FrameLimits, parse_framed_response};
 use crate::limits;
 
 /// After this many failed polls in a row another replica may do better.
@@ -152,7 +152,8 @@
     /// What was received is no page; nothing of the poll counts.
     pub(super) fn read(&mut self, input: &mut Vec<u8>) -> eyre::Result<(PollResult, bool)> {
         let step = || format!("list of servers from {}", self.address);
-        let Some((answer, length)) = framed_response(input, &self.limits).wrap_err_with(step)?
+        let Some((answer, length)) =
+            parse_framed_response(input, &self.limits).wrap_err_with(step)?
         else {
             return Ok((PollResult::Incomplete, true));
         };
--- a/crates/control/src/operator_api/tests.rs
+++ b/crates/control/src/operator_api/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::dataplane_types::{FrameLimits, Incoming, RequestHead};
+use crate::dataplane_types::{FrameLimits, IncomingMessage, RequestHead};
 use test_case::test_case;
 
 fn read(method: &str, target: &str) -> Result<Command, Reply> {
     let mut input =
         format!("{method} {target} HTTP/1.1\r\nContent-Length: 2\r\n\r\n{{}}").into_bytes();
-    let mut incoming: Incoming<RequestHead> = Incoming::default();
+    let mut incoming: IncomingMessage<RequestHead> = IncomingMessage::default();
     incoming
         .read(&mut input, 100, &FrameLimits::default())
         .unwrap();
--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -30,17 +30,17 @@
     /// Units it takes from the quota.
     pub units: f64,
     /// Number of limiters that the customer is spread over...
-    pub spread: u32,
+    pub limiter_count: u32,
     /// ...and the first of them.
-    pub first: u32,
+    pub first_limiter: u32,
     /// Whether it is a client's retry, where clients say so.
-    pub again: bool,
+    pub is_retry: bool,
     /// The client's token is valid until then; no attempt starts later.
-    pub valid_until: Option<Micros>,
+    pub token_expires_at: Option<Micros>,
     /// Its position in the priority order under overload...
-    pub place: f64,
+    pub priority_position: f64,
     /// ...and the share of that order that is rejected now.
-    pub waits: f64,
+    pub shed_share: f64,
 }
 
 /// The final answer where no server's answer is it.
@@ -77,7 +77,7 @@
         deadline: Micros,
     },
     /// Close the connection of an attempt, which the engine counts as ended.
-    StopAttempt {
+    CancelAttempt {
         /// The authorisation.
         key: AuthorisationKey,
         /// Number of the attempt.
@@ -95,9 +95,9 @@
         /// The counter.
         name: CounterName,
         /// The amount.
-        add: f64,
+        amount: f64,
         /// Lifetime of the counter if the call creates it.
-        life: Micros,
+        ttl: Micros,
     },
     /// Check a server's health; report with [`Engine::handle_probe_result`].
     Probe(ServerId),
@@ -111,13 +111,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineError {
     /// The table of authorisations is full.
-    Full,
+    TableFull,
 }
 
 impl fmt::Display for EngineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            EngineError::Full => f.write_str("too many authorisations held"),
+            EngineError::TableFull => f.write_str("too many authorisations held"),
         }
     }
 }
@@ -191,7 +191,7 @@
     }
 
     /// Number of authorisations whose final answer is owed.
-    pub fn open_requests(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.open_count
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// The class of an authorisation, and since when its attempt has been in flight, if one is.
-    pub fn in_flight_since(&self, key: AuthorisationKey) -> Option<(usize, Micros)> {
+    pub fn in_flight_attempt(&self, key: AuthorisationKey) -> Option<(usize, Micros)> {
         let held = self.requests.get(key)?;
         held.in_flight
             .map(|out| (held.authorisation.class, out.sent))
@@ -215,7 +215,7 @@
     }
 
     /// The plan resolver, where there is one.
-    pub fn plan_resolver(&mut self) -> Option<&mut PlanResolver> {
+    pub fn plan_resolver_mut(&mut self) -> Option<&mut PlanResolver> {
         self.plan_resolver.as_mut()
     }
 
@@ -235,7 +235,7 @@
         mut authorisation: Authorisation,
     ) -> Result<AuthorisationKey, EngineError> {
         if self.requests.len() >= self.max_requests {
-            return Err(EngineError::Full);
+            return Err(EngineError::TableFull);
         }
         let mut new = Vec::new();
         let judge = |judging: &mut PlanResolver| {
@@ -264,11 +264,11 @@
             customer: authorisation.customer,
             deadline: authorisation.deadline,
             units: authorisation.units,
-            spread: authorisation.spread,
-            first: authorisation.first,
-            again: authorisation.again,
-            place: authorisation.place,
-            waits: authorisation.waits,
+            spread: authorisation.limiter_count,
+            first: authorisation.first_limiter,
+            again: authorisation.is_retry,
+            place: authorisation.priority_position,
+            waits: authorisation.shed_share,
         }));
         Ok(key)
     }
@@ -315,7 +315,7 @@
 
     /// The last byte of an attempt is written: its duration counts from now, so that a slow upload
     /// does not count against the server.
-    pub fn handle_attempt_written(&mut self, now: Micros, key: AuthorisationKey) {
+    pub fn handle_request_written(&mut self, now: Micros, key: AuthorisationKey) {
         if let Some(out) = self
             .requests
             .get_mut(key)
@@ -326,14 +326,14 @@
     }
 
     /// The body was discarded: there is no other attempt, and the one in flight is not cancelled.
-    pub fn handle_body_sent(&mut self, key: AuthorisationKey) {
+    pub fn handle_body_discarded(&mut self, key: AuthorisationKey) {
         if let Some(held) = self.requests.get_mut(key) {
             held.is_body_sent = true;
         }
     }
 
     /// The client disconnected: no answer is owed, and an attempt in flight is stopped.
-    pub fn handle_client_left(
+    pub fn handle_client_disconnected(
         &mut self,
         now: Micros,
         key: AuthorisationKey,
@@ -461,15 +461,15 @@
                     .and_then(|held| held.in_flight)
                     .is_some_and(|out| out.number == attempt)
                 {
-                    engine_actions.push(EngineAction::StopAttempt { key, attempt });
+                    engine_actions.push(EngineAction::CancelAttempt { key, attempt });
                     self.handle_attempt_ended(now, key, attempt, Outcome::Cancelled, None);
                 }
             }
             Action::Count { name, add, expires } => {
                 engine_actions.push(EngineAction::AddToCounter {
                     name,
-                    add,
-                    life: expires,
+                    amount: add,
+                    ttl: expires,
                 })
             }
             Action::Tell(limiter, notice) => {
@@ -515,7 +515,7 @@
         }
         let expired = held
             .authorisation
-            .valid_until
+            .token_expires_at
             .is_some_and(|until| until <= now);
         held.in_flight = Some(InFlightAttempt {
             number: attempt,
@@ -595,7 +595,7 @@
             .and_then(|h| h.in_flight)
             .map(|out| out.number)
         {
-            engine_actions.push(EngineAction::StopAttempt { key, attempt });
+            engine_actions.push(EngineAction::CancelAttempt { key, attempt });
             self.handle_attempt_ended(now, key, attempt, Outcome::Cancelled, None);
         }
     }
--- a/crates/dataplane/src/framing.rs
+++ b/crates/dataplane/src/framing.rs
@@ -11,7 +11,7 @@
 pub use self::body::{BodyFraming, BodyReader};
 pub use self::head::{Head, Headers, RequestHead, ResponseHead};
 use self::head::{body_framing, final_head, response_head};
-pub use self::incoming::Incoming;
+pub use self::incoming::IncomingMessage;
 pub use self::write::{write_chunk, write_head, write_response};
 use crate::limits::Limits;
 
@@ -115,7 +115,10 @@
 ///
 /// # Errors
 /// The input is not a valid request, or exceeds the limits.
-pub fn request(bytes: &[u8], limits: &Limits) -> Result<Option<(Request, usize)>, ParseError> {
+pub fn parse_request(
+    bytes: &[u8],
+    limits: &Limits,
+) -> Result<Option<(Request, usize)>, ParseError> {
     let Some((head, extent, from)) = RequestHead::parse(bytes, limits)? else {
         return Ok(None);
     };
@@ -133,17 +136,17 @@
     let mut reader = BodyReader::new(extent, limits.max_buffered_body_bytes as u64)?;
     let mut body = Vec::new();
     let length = reader.read(bytes, &mut body)?;
-    Ok(
-        (reader.is_complete() || (ended && reader.ends_with_connection()))
-            .then_some((body, length)),
-    )
+    Ok((reader.is_complete() || (ended && reader.ends_at_close())).then_some((body, length)))
 }
 
 /// Parses the head of a chunked response: its status, and where the chunks begin.
 ///
 /// # Errors
 /// The input is not such a head, or exceeds the limits.
-pub fn stream_head(bytes: &[u8], limits: &Limits) -> Result<Option<(u16, usize)>, ParseError> {
+pub fn parse_chunked_head(
+    bytes: &[u8],
+    limits: &Limits,
+) -> Result<Option<(u16, usize)>, ParseError> {
     let Some((head, from)) = response_head(bytes, limits)? else {
         return Ok(None);
     };
@@ -158,7 +161,7 @@
 ///
 /// # Errors
 /// The input is not a valid response, or exceeds the limits.
-pub fn response(
+pub fn parse_response(
     bytes: &[u8],
     ended: bool,
     limits: &Limits,
@@ -176,11 +179,11 @@
     Ok(whole.map(|(body, length)| (Response::new(head, body), from + length)))
 }
 
-/// Like [`response`], for peers that announce a length or close the connection.
+/// Like [`parse_response`], for peers that announce a length or close the connection.
 ///
 /// # Errors
 /// The input is not such a response, or exceeds the limits.
-pub fn framed_response(
+pub fn parse_framed_response(
     bytes: &[u8],
     limits: &Limits,
 ) -> Result<Option<(Response, usize)>, ParseError> {
--- a/crates/dataplane/src/framing/body.rs
+++ b/crates/dataplane/src/framing/body.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether the close of the connection completes the body.
-    pub fn ends_with_connection(&self) -> bool {
+    pub fn ends_at_close(&self) -> bool {
         self.state == BodyState::UntilClose
     }
 
--- a/crates/dataplane/src/framing/head.rs
+++ b/crates/dataplane/src/framing/head.rs
@@ -23,7 +23,7 @@
     }
 
     /// Whether any field has this name.
-    pub fn has(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.0.iter().any(|(n, _)| n.eq_ignore_ascii_case(name))
     }
 
@@ -66,8 +66,8 @@
     headers: &Headers,
     otherwise: BodyFraming,
 ) -> Result<BodyFraming, ParseError> {
-    let coded = headers.has("Transfer-Encoding");
-    if headers.has("Content-Length") {
+    let coded = headers.contains("Transfer-Encoding");
+    if headers.contains("Content-Length") {
         // Request smuggling: two lengths, or a length beside a transfer coding, are read
         // differently by others.
         let text = headers
@@ -215,7 +215,7 @@
 
 impl ResponseHead {
     fn has_length(&self) -> bool {
-        self.headers.has("Content-Length") || self.headers.has("Transfer-Encoding")
+        self.headers.contains("Content-Length") || self.headers.contains("Transfer-Encoding")
     }
 
     /// Whether the connection can carry another request: it stays open, and both sides know where
--- a/crates/dataplane/src/framing/incoming.rs
+++ b/crates/dataplane/src/framing/incoming.rs
@@ -8,7 +8,7 @@
 /// A message that is being received: its head once complete, and the part of the body not yet taken
 /// out.
 #[derive(Clone, Debug)]
-pub struct Incoming<H> {
+pub struct IncomingMessage<H> {
     /// Bytes present at the last attempt to parse the head.
     parsed_bytes: usize,
     /// The head, and the reader of the body.
@@ -18,22 +18,22 @@
     /// Body bytes received and not taken out.
     pub body: Vec<u8>,
     /// Body bytes received in total.
-    pub length: u64,
+    pub received_body_bytes: u64,
 }
 
-impl<H> Default for Incoming<H> {
-    fn default() -> Incoming<H> {
-        Incoming {
+impl<H> Default for IncomingMessage<H> {
+    fn default() -> IncomingMessage<H> {
+        IncomingMessage {
             parsed_bytes: 0,
             message: None,
             framing: BodyFraming::Length(0),
             body: Vec::new(),
-            length: 0,
+            received_body_bytes: 0,
         }
     }
 }
 
-impl<H: Head> Incoming<H> {
+impl<H: Head> IncomingMessage<H> {
     /// Reads from `input` and removes what belongs to the message. `most`: bound of the body in
     /// bytes.
     ///
@@ -62,7 +62,7 @@
         };
         let before = self.body.len();
         let taken = reader.read(&input[at..], &mut self.body);
-        self.length += (self.body.len() - before) as u64;
+        self.received_body_bytes += (self.body.len() - before) as u64;
         input.drain(..at + taken?);
         Ok(())
     }
@@ -92,15 +92,16 @@
 
     /// Whether the body is known to be longer than this, by its announced length or what was
     /// received.
-    pub fn is_longer_than(&self, than: u64) -> bool {
-        matches!(self.framing, BodyFraming::Length(length) if length > than) || self.length > than
+    pub fn is_body_longer_than(&self, than: u64) -> bool {
+        matches!(self.framing, BodyFraming::Length(length) if length > than)
+            || self.received_body_bytes > than
     }
 
     /// Whether the close of the connection completes the message.
-    pub fn ends_with_connection(&self) -> bool {
+    pub fn ends_at_close(&self) -> bool {
         self.message
             .as_ref()
-            .is_some_and(|(_, reader)| reader.ends_with_connection())
+            .is_some_and(|(_, reader)| reader.ends_at_close())
     }
 
     /// The head, the reader of the rest of the body, and the received part; `None` while the head
--- a/crates/dataplane/src/framing/tests.rs
+++ b/crates/dataplane/src/framing/tests.rs
@@ -8,10 +8,14 @@
 fn request_is_complete_only_at_its_last_byte() {
     let limits = Limits::default();
     for cut in 0..POST.len() {
-        assert_eq!(request(&POST[..cut], &limits), Ok(None), "cut at {cut}");
+        assert_eq!(
+            parse_request(&POST[..cut], &limits),
+            Ok(None),
+            "cut at {cut}"
+        );
     }
     let twice = [POST, POST].concat();
-    let (read, length) = request(&twice, &limits).unwrap().unwrap();
+    let (read, length) = parse_request(&twice, &limits).unwrap().unwrap();
     assert_eq!(
         (read.body.as_slice(), length),
         (b"hello".as_slice(), POST.len())
@@ -27,12 +31,12 @@
     let limits = Limits::default();
     for cut in 0..CHUNKED.len() {
         assert_eq!(
-            response(&CHUNKED[..cut], true, &limits),
+            parse_response(&CHUNKED[..cut], true, &limits),
             Ok(None),
             "cut at {cut}"
         );
     }
-    let (read, length) = response(CHUNKED, false, &limits).unwrap().unwrap();
+    let (read, length) = parse_response(CHUNKED, false, &limits).unwrap().unwrap();
     assert_eq!(
         (read.body.as_slice(), length),
         (b"abcde".as_slice(), CHUNKED.len())
@@ -42,8 +46,10 @@
 #[test]
 fn response_without_a_length_ends_with_its_connection() {
     let bytes = b"HTTP/1.1 200 OK\r\n\r\nabc";
-    assert_eq!(response(bytes, false, &Limits::default()), Ok(None));
-    let (read, _) = response(bytes, true, &Limits::default()).unwrap().unwrap();
+    assert_eq!(parse_response(bytes, false, &Limits::default()), Ok(None));
+    let (read, _) = parse_response(bytes, true, &Limits::default())
+        .unwrap()
+        .unwrap();
     assert!(read.body == b"abc" && !read.keep_alive);
 }
 
@@ -51,14 +57,14 @@
 fn framed_response_is_complete_only_with_a_length() {
     let limits = Limits::default();
     assert_eq!(
-        framed_response(b"HTTP/1.1 200 OK\r\n\r\nabc", &limits),
+        parse_framed_response(b"HTTP/1.1 200 OK\r\n\r\nabc", &limits),
         Err(ParseError::Syntax)
     );
     assert_eq!(
-        framed_response(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc", &limits),
+        parse_framed_response(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc", &limits),
         Ok(None)
     );
-    let (read, _) = framed_response(CHUNKED, &limits).unwrap().unwrap();
+    let (read, _) = parse_framed_response(CHUNKED, &limits).unwrap().unwrap();
     assert_eq!(read.body, b"abcde");
 }
 
@@ -67,13 +73,13 @@
     let limits = Limits::default();
     let interim = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
     let few = [interim.repeat(3).as_slice(), CHUNKED].concat();
-    let (read, length) = framed_response(&few, &limits).unwrap().unwrap();
+    let (read, length) = parse_framed_response(&few, &limits).unwrap().unwrap();
     assert_eq!(
         (read.status, read.body.as_slice(), length),
         (200, b"abcde".as_slice(), few.len())
     );
     assert_eq!(
-        framed_response(&interim.repeat(100_000), &limits),
+        parse_framed_response(&interim.repeat(100_000), &limits),
         Err(ParseError::HeadTooLarge)
     );
 }
@@ -84,15 +90,19 @@
     let with = |line: &[u8]| [b"HTTP/1.1 200 OK\r\n", line, b"\r\n\r\nabc"].concat();
     let report = with(b"Endpoint-Load-Metrics: TEXT util=\xff\r\nContent-Length: 3");
     assert_eq!(
-        framed_response(&report, &limits).unwrap().unwrap().0.body,
+        parse_framed_response(&report, &limits)
+            .unwrap()
+            .unwrap()
+            .0
+            .body,
         b"abc"
     );
     assert_eq!(
-        framed_response(&with(b"Content-Length: 3\xff"), &limits),
+        parse_framed_response(&with(b"Content-Length: 3\xff"), &limits),
         Err(ParseError::Syntax)
     );
     assert_eq!(
-        framed_response(&with(b"Transfer-Encoding: \xff"), &limits),
+        parse_framed_response(&with(b"Transfer-Encoding: \xff"), &limits),
         Err(ParseError::Syntax)
     );
 }
@@ -104,7 +114,7 @@
         max_head_bytes: 200,
         ..Limits::default()
     };
-    let bad = |text: &str| request(text.as_bytes(), &limits).unwrap_err();
+    let bad = |text: &str| parse_request(text.as_bytes(), &limits).unwrap_err();
     assert_eq!(bad("nonsense\r\n\r\n"), ParseError::Syntax);
     assert_eq!(
         bad("GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n"),
@@ -136,7 +146,7 @@
     let limits = Limits::default();
     let text = format!("GET / HTTP/1.1\r\n{many}\r\n");
     assert_eq!(
-        request(text.as_bytes(), &limits),
+        parse_request(text.as_bytes(), &limits),
         Err(ParseError::HeadTooLarge)
     );
 }
--- a/crates/dataplane/src/probes.rs
+++ b/crates/dataplane/src/probes.rs
@@ -11,7 +11,7 @@
 }
 
 /// The outcome of an answered health check.
-pub fn outcome(answer: &Response) -> Outcome {
+pub fn probe_outcome(answer: &Response) -> Outcome {
     match answer.status {
         200 => Outcome::Ok,
         503 => Outcome::Full,
@@ -21,7 +21,7 @@
 
 /// Parses a load report: `TEXT inflight=7, queue=2, util=0.61`. Entries that can't be parsed are
 /// left out.
-pub fn report(text: &str) -> Option<LoadReport> {
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let text = text.trim();
     let text = text.strip_prefix("TEXT").unwrap_or(text);
     let mut report = LoadReport::default();
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -79,8 +79,8 @@
     }
 
     /// The server closed its connection. Returns whether that completes the answer.
-    pub fn connection_closed(&mut self, out: &mut Vec<u8>) -> bool {
-        let whole = self.reader.ends_with_connection();
+    pub fn handle_close(&mut self, out: &mut Vec<u8>) -> bool {
+        let whole = self.reader.ends_at_close();
         if whole {
             out.extend_from_slice(b"0\r\n\r\n");
         }
--- a/crates/dataplane/src/relay/tests.rs
+++ b/crates/dataplane/src/relay/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::framing::{self, Head, Incoming};
+use crate::framing::{self, Head, IncomingMessage};
 use crate::limits::Limits;
 
 /// Streams an answer that arrives in two pieces; returns what the client has received, and whether
@@ -7,7 +7,7 @@
 fn relayed(bytes: &[u8], cut: usize, ends: bool) -> Option<(Vec<u8>, bool)> {
     let limits = Limits::default();
     let (mut out, mut input) = (Vec::new(), Vec::new());
-    let (mut incoming, mut relay) = (Incoming::<ResponseHead>::default(), None::<Relay>);
+    let (mut incoming, mut relay) = (IncomingMessage::<ResponseHead>::default(), None::<Relay>);
     for piece in [&bytes[..cut], &bytes[cut..]] {
         input.extend_from_slice(piece);
         if let Some(relay) = &mut relay {
@@ -33,7 +33,7 @@
         }
     }
     let mut relay = relay?;
-    let whole = relay.is_complete() || (ends && relay.connection_closed(&mut out));
+    let whole = relay.is_complete() || (ends && relay.handle_close(&mut out));
     Some((out, whole))
 }
 
@@ -59,7 +59,7 @@
             .unwrap();
         for cut in 0..=answer.len() {
             let (out, whole) = relayed(answer.as_bytes(), cut, ends).unwrap();
-            let (read, length) = framing::response(&out, false, &limits)
+            let (read, length) = framing::parse_response(&out, false, &limits)
                 .unwrap()
                 .expect("whole");
             assert!(whole && length == out.len(), "cut at {cut} of {answer:?}");
@@ -76,7 +76,7 @@
         for end in from..answer.len() {
             let (out, whole) = relayed(&answer.as_bytes()[..end], from, false).unwrap();
             assert!(
-                !whole && framing::response(&out, false, &limits) == Ok(None),
+                !whole && framing::parse_response(&out, false, &limits) == Ok(None),
                 "ends at {end} of {answer:?}"
             );
         }
--- a/crates/limiter/src/front/introspection.rs
+++ b/crates/limiter/src/front/introspection.rs
@@ -229,7 +229,7 @@
 /// # Errors
 /// There is no token, or more than one, or it is malformed.
 pub fn bearer(headers: &Headers) -> Result<Token, Challenge> {
-    if !headers.has("Authorization") {
+    if !headers.contains("Authorization") {
         return Err(Challenge::Missing);
     }
     let value = headers.get("Authorization").ok_or(Challenge::Malformed)?;
--- a/crates/limiter/src/front/platform.rs
+++ b/crates/limiter/src/front/platform.rs
@@ -67,7 +67,7 @@
             .iter()
             .position(|c| c == name)
             .ok_or(reject(404, "no such class"))?;
-        if headers.has("X-Qos") && headers.get("X-Qos") != Some(name) {
+        if headers.contains("X-Qos") && headers.get("X-Qos") != Some(name) {
             return Err(reject(400, "X-Qos is not the path's class"));
         }
         let trace = headers
@@ -143,10 +143,10 @@
             customer: account(&request.target).ok_or(reject(400, "account"))?,
             deadline: basics.deadline,
             units,
-            spread,
-            first,
-            again: basics.again,
-            valid_until: None,
+            limiter_count: spread,
+            first_limiter: first,
+            is_retry: basics.again,
+            token_expires_at: None,
             ..Authorisation::default()
         })
     }
--- a/crates/limiter/src/net/host/acquirers.rs
+++ b/crates/limiter/src/net/host/acquirers.rs
@@ -213,7 +213,7 @@
         let before = connection.held();
         let mut incoming = match std::mem::take(&mut connection.reading) {
             Reading::Request(incoming) => incoming,
-            _ => Incoming::default(),
+            _ => IncomingMessage::default(),
         };
         let read = incoming.read(
             &mut connection.input,
@@ -231,13 +231,13 @@
         if !incoming.is_complete() {
             let (waits, length) = (
                 incoming.head().map(|head| head.expects_continue),
-                incoming.length,
+                incoming.received_body_bytes,
             );
             connection.visit.begin_request(now);
             if waits.is_some() {
                 connection.visit.record_body_progress(now, length);
             }
-            let long = incoming.is_longer_than(self.limits.max_buffered_request_bytes);
+            let long = incoming.is_body_longer_than(self.limits.max_buffered_request_bytes);
             // Or all that clients have under way is more than may be held.
             let crowded = length > self.limits.max_buffered_body_bytes as u64
                 && self.partial > self.limits.max_pending_request_bytes;
--- a/crates/limiter/src/net/host/agreement.rs
+++ b/crates/limiter/src/net/host/agreement.rs
@@ -117,7 +117,7 @@
             return;
         };
         loop {
-            match framing::response(&connection.input, false, &self.limits) {
+            match framing::parse_response(&connection.input, false, &self.limits) {
                 Ok(Some((_, length))) => _ = connection.input.drain(..length),
                 Ok(None) => return,
                 Err(_) => return self.broken(key),
--- a/crates/limiter/src/net/host/counting.rs
+++ b/crates/limiter/src/net/host/counting.rs
@@ -43,7 +43,7 @@
             return;
         };
         while at < connection.input.len() {
-            match framing::framed_response(&connection.input[at..], &limits) {
+            match framing::parse_framed_response(&connection.input[at..], &limits) {
                 Ok(Some((answer, length))) => {
                     at += length;
                     match self.lines[line].answered(now, &answer) {
--- a/crates/limiter/src/net/host/errands.rs
+++ b/crates/limiter/src/net/host/errands.rs
@@ -169,7 +169,7 @@
         if service == RECORDS {
             return self.read_records(key, errand);
         }
-        match framing::response(&connection.input, false, &self.limits) {
+        match framing::parse_response(&connection.input, false, &self.limits) {
             Ok(None) => {
                 if !matches!(
                     std::mem::replace(&mut connection.reading, Reading::Begun),
@@ -218,7 +218,7 @@
         let header = answer
             .as_ref()
             .and_then(|a| a.headers.get("Endpoint-Load-Metrics"));
-        let report: Option<LoadReport> = header.and_then(probes::report);
+        let report: Option<LoadReport> = header.and_then(probes::parse_load_report);
         match errand {
             UpstreamPurpose::Attempt(authorisation, leg) => {
                 let outcome = match &answer {
@@ -241,8 +241,8 @@
                 let body = answer
                     .as_ref()
                     .and_then(|a| std::str::from_utf8(&a.body).ok());
-                let report = report.or(body.and_then(probes::report));
-                let outcome = answer.as_ref().map_or(otherwise, probes::outcome);
+                let report = report.or(body.and_then(probes::parse_load_report));
+                let outcome = answer.as_ref().map_or(otherwise, probes::probe_outcome);
                 self.services[service]
                     .engine
                     .handle_probe_result(server, outcome, report);
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -29,7 +29,7 @@
 use self::operators::Operators;
 use self::tokens::Tokens;
 use super::Clock;
-use super::framing::{self, Incoming, RequestHead, Response, ResponseHead};
+use super::framing::{self, IncomingMessage, RequestHead, Response, ResponseHead};
 use super::handover::Handover;
 use super::inherited;
 use crate::client_connection::{ClientConnection, Stage};
@@ -140,10 +140,10 @@
 enum Reading {
     #[default]
     Nothing,
-    Request(Incoming<RequestHead>),
+    Request(IncomingMessage<RequestHead>),
     /// A part of an answer is there, which is looked at anew each time.
     Begun,
-    Answer(Incoming<ResponseHead>),
+    Answer(IncomingMessage<ResponseHead>),
     /// A body that goes on to a server as it comes, and how many bytes of it have.
     Upload(Upload),
     /// An answer that goes on to this client as it comes.
@@ -651,7 +651,7 @@
                 server,
                 deadline,
             } => self.start_leg(now, (service, key), leg, server, deadline),
-            EngineAction::StopAttempt { key, .. } => {
+            EngineAction::CancelAttempt { key, .. } => {
                 self.leg_left_upload(service, key);
                 if let Some(connection) = self.services[service].legs.remove(key) {
                     self.close(connection);
@@ -661,7 +661,11 @@
                 key,
                 rejection: ending,
             } => self.ended((service, key), ending),
-            EngineAction::AddToCounter { name, add, life } => {
+            EngineAction::AddToCounter {
+                name,
+                amount: add,
+                ttl: life,
+            } => {
                 let line = (name.0 % self.lines.len().max(1) as u64) as usize;
                 let deadline = now + self.limits.counter_timeout;
                 let (known, limits) = (&self.lines[line], &self.limits);
@@ -796,7 +800,7 @@
                 if let Some(errand) = state.purpose() {
                     // Only an introspection server's answer may end with its connection: it is judged by its text.
                     let ended = (service == TOKENS)
-                        .then(|| framing::response(&connection.input, true, &self.limits));
+                        .then(|| framing::parse_response(&connection.input, true, &self.limits));
                     let answer = ended
                         .and_then(Result::ok)
                         .flatten()
@@ -821,7 +825,7 @@
         let mut orders = std::mem::take(&mut self.orders);
         self.services[ticket.0]
             .engine
-            .handle_client_left(now, ticket.1, &mut orders);
+            .handle_client_disconnected(now, ticket.1, &mut orders);
         for order in orders.drain(..) {
             self.carry_out(now, ticket.0, order);
         }
@@ -1070,7 +1074,7 @@
             {
                 self.services[*service]
                     .engine
-                    .handle_attempt_written(now, authorisation);
+                    .handle_request_written(now, authorisation);
             }
         }
         match connection.role {
--- a/crates/limiter/src/net/host/relaying.rs
+++ b/crates/limiter/src/net/host/relaying.rs
@@ -4,7 +4,11 @@
 
 impl Host {
     /// A long answer is the final one: it begins, and goes on as it comes.
-    pub(super) fn begin_relay(&mut self, key: ConnectionKey, incoming: Incoming<ResponseHead>) {
+    pub(super) fn begin_relay(
+        &mut self,
+        key: ConnectionKey,
+        incoming: IncomingMessage<ResponseHead>,
+    ) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -32,7 +36,7 @@
         let report = head
             .headers
             .get("Endpoint-Load-Metrics")
-            .and_then(probes::report);
+            .and_then(probes::parse_load_report);
         let known = &mut self.services[service];
         known.legs.remove(authorisation);
         let answers =
@@ -138,7 +142,7 @@
         };
         let (mut incoming, first) = match std::mem::take(&mut connection.reading) {
             Reading::Answer(incoming) => (incoming, false),
-            _ => (Incoming::default(), true),
+            _ => (IncomingMessage::default(), true),
         };
         if incoming
             .read(
@@ -152,7 +156,7 @@
             _ = self.close(key);
             return;
         }
-        let long = incoming.is_longer_than(self.limits.max_buffered_body_bytes as u64);
+        let long = incoming.is_body_longer_than(self.limits.max_buffered_body_bytes as u64);
         match (
             incoming.is_complete(),
             incoming.head().map(|head| head.status),
@@ -184,7 +188,7 @@
         &mut self,
         key: ConnectionKey,
         errand: UpstreamPurpose,
-        incoming: Incoming<ResponseHead>,
+        incoming: IncomingMessage<ResponseHead>,
     ) {
         let whole = incoming.is_complete();
         let Some((head, _, body)) = incoming.into_parts() else {
@@ -229,7 +233,7 @@
                 let Some(client) = self.connections.get_mut(to) else {
                     return;
                 };
-                let whole = relay.connection_closed(&mut client.output);
+                let whole = relay.handle_close(&mut client.output);
                 if whole {
                     client.source = None;
                     self.close(key);
@@ -239,7 +243,7 @@
                     connection.reading = Reading::Relay(relay, to);
                 }
             }
-            (Reading::Answer(incoming), Some(errand)) if incoming.ends_with_connection() => {
+            (Reading::Answer(incoming), Some(errand)) if incoming.ends_at_close() => {
                 self.answer_came(key, errand, incoming);
             }
             _ => {}
--- a/crates/limiter/src/net/host/tokens.rs
+++ b/crates/limiter/src/net/host/tokens.rs
@@ -120,7 +120,7 @@
                     customer: introspection::house(),
                     deadline: bearing.basics.deadline,
                     units: 1.0,
-                    spread: 1,
+                    limiter_count: 1,
                     ..Authorisation::default()
                 };
                 let forward = tokens.asking.forward(&bearing.token);
@@ -157,10 +157,10 @@
             customer: identity.customer,
             deadline: basics.deadline,
             units,
-            spread: self.platform.limiters.max(1),
-            first: 0,
-            again: basics.again,
-            valid_until: identity.expires,
+            limiter_count: self.platform.limiters.max(1),
+            first_limiter: 0,
+            is_retry: basics.again,
+            token_expires_at: identity.expires,
             ..Authorisation::default()
         };
         self.take(
@@ -199,7 +199,7 @@
             customer: caller.customer,
             deadline: wait.unwrap_or(now + self.limits.introspection_timeout),
             units: 1.0,
-            spread: self.platform.limiters.max(1),
+            limiter_count: self.platform.limiters.max(1),
             ..Authorisation::default()
         };
         let forward = tokens.asking.forward(&token);
--- a/crates/limiter/src/net/host/uploading.rs
+++ b/crates/limiter/src/net/host/uploading.rs
@@ -7,7 +7,11 @@
 
 impl Host {
     /// A body that is not kept whole: the request is taken by its head.
-    pub(super) fn begin_upload(&mut self, key: ConnectionKey, incoming: Incoming<RequestHead>) {
+    pub(super) fn begin_upload(
+        &mut self,
+        key: ConnectionKey,
+        incoming: IncomingMessage<RequestHead>,
+    ) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -15,7 +19,7 @@
         let Role::Acquirer { door, .. } = connection.role else {
             return;
         };
-        let (extent, come) = (incoming.framing, incoming.length);
+        let (extent, come) = (incoming.framing, incoming.received_body_bytes);
         let Some((head, reader, body)) = incoming.into_parts() else {
             return;
         };
@@ -107,7 +111,7 @@
         {
             self.services[service]
                 .engine
-                .handle_body_sent(authorisation);
+                .handle_body_discarded(authorisation);
         }
     }
 
--- a/crates/limiter/src/net/host/watching.rs
+++ b/crates/limiter/src/net/host/watching.rs
@@ -31,7 +31,7 @@
         let mut at = 0;
         let mut bad = false;
         if self.watch.stream.is_none() {
-            match framing::stream_head(&connection.input, &self.limits) {
+            match framing::parse_chunked_head(&connection.input, &self.limits) {
                 Ok(None) => return,
                 Ok(Some((200, from))) => {
                     // However long it lasts: what is bounded is each line.
--- a/crates/limiter/tests/common/mod.rs
+++ b/crates/limiter/tests/common/mod.rs
@@ -116,7 +116,7 @@
 fn next_request(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<Request> {
     let mut part = [0; 4096];
     loop {
-        if let Some((request, length)) = framing::request(bytes, &Limits::default()).ok()? {
+        if let Some((request, length)) = framing::parse_request(bytes, &Limits::default()).ok()? {
             bytes.drain(..length);
             return Some(request);
         }
@@ -294,7 +294,7 @@
         let mut part = [0; 4096];
         loop {
             if let Some((answer, length)) =
-                framing::response(&self.bytes, false, &Limits::default()).unwrap()
+                framing::parse_response(&self.bytes, false, &Limits::default()).unwrap()
             {
                 self.bytes.drain(..length);
                 return Some(answer);
--- a/crates/limiter/tests/introspection.rs
+++ b/crates/limiter/tests/introspection.rs
@@ -90,12 +90,12 @@
     assert_eq!(seen[0].target, "/sign-off?term=2&account=0000000000000005");
     assert_eq!(seen[0].body, b"hours");
     assert!(
-        !seen[0].headers.has("Authorization"),
+        !seen[0].headers.contains("Authorization"),
         "the token goes no further"
     );
     let asked = scene.upstream.seen.lock().unwrap();
     assert!(asked[0].body.starts_with(b"token=good"));
-    assert!(asked[0].headers.has("Authorization"));
+    assert!(asked[0].headers.contains("Authorization"));
 }
 
 #[test]
@@ -202,7 +202,7 @@
         release.send(()).unwrap();
         let answer = client.answer().expect("one final answer");
         assert_eq!(answer.status, status);
-        assert_eq!(answer.headers.has("WWW-Authenticate"), status == 401);
+        assert_eq!(answer.headers.contains("WWW-Authenticate"), status == 401);
         assert_eq!(scene.records.count(), 1, "sent once");
     }
 }
@@ -278,7 +278,7 @@
     for _ in 0..20 {
         let answer = ask(scene.at, &question("good"));
         *statuses.entry(answer.status).or_insert(0) += 1;
-        assert!(answer.status == 200 || answer.headers.has("Retry-After"));
+        assert!(answer.status == 200 || answer.headers.contains("Retry-After"));
     }
     assert_eq!(scene.upstream.count(), 1, "the rest came from the cache");
     // The plan holds four units, and the clock stands still.
--- a/crates/limiter/tests/judging.rs
+++ b/crates/limiter/tests/judging.rs
@@ -95,7 +95,7 @@
         let change = Change::read(&text).unwrap();
         for engine in &mut self.engines {
             engine
-                .plan_resolver()
+                .plan_resolver_mut()
                 .unwrap()
                 .apply(self.now, change.clone())
                 .unwrap();
@@ -108,7 +108,7 @@
             customer: CustomerId(9),
             deadline: self.now + 4 * SECOND,
             units: 1.0,
-            spread: 2,
+            limiter_count: 2,
             ..Authorisation::default()
         };
         self.engines[limiter].submit(self.now, asking).unwrap()
@@ -138,7 +138,9 @@
                             None,
                         );
                     }
-                    EngineAction::AddToCounter { name, add, .. } => {
+                    EngineAction::AddToCounter {
+                        name, amount: add, ..
+                    } => {
                         *self.totals.entry(name).or_default() += add;
                         self.owed.push((limiter, name));
                     }
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -98,7 +98,9 @@
                     let mut out = Vec::new();
                     line.write(now, "counter", &mut out);
                     let mut written = 0;
-                    while let Some((request, length)) = framing::request(&out, &limits).unwrap() {
+                    while let Some((request, length)) =
+                        framing::parse_request(&out, &limits).unwrap()
+                    {
                         let (name, deadline) = unsent.pop_front().unwrap();
                         if !request
                             .target
@@ -119,7 +121,9 @@
                     let status = [200, 503, 404][usize::from(by) % 3];
                     let mut bytes = Vec::new();
                     framing::write_response(&mut bytes, status, &[], b"7.5", false);
-                    let (answer, _) = framing::response(&bytes, false, &limits).unwrap().unwrap();
+                    let (answer, _) = framing::parse_response(&bytes, false, &limits)
+                        .unwrap()
+                        .unwrap();
                     let outcome = [Outcome::Ok, Outcome::Full, Outcome::Error][usize::from(by) % 3];
                     match (line.answered(now, &answer), sent.pop_front()) {
                         (Heard::Counted(one), Some((name, _, false))) => {
@@ -195,7 +199,7 @@
         if now == 50 {
             let mut bytes = Vec::new();
             framing::write_response(&mut bytes, 200, &[], b"1", false);
-            let (answer, _) = framing::response(&bytes, false, &Limits::default())
+            let (answer, _) = framing::parse_response(&bytes, false, &Limits::default())
                 .unwrap()
                 .unwrap();
             assert_eq!(line.answered(now, &answer), Heard::Late { asker: 0 });
@@ -419,8 +423,8 @@
                         customer: CustomerId(u64::from(by % 4)),
                         deadline: now + 1_000_000,
                         units: 1.0,
-                        spread: 1,
-                        valid_until: (by > 200).then_some(now + 100_000),
+                        limiter_count: 1,
+                        token_expires_at: (by > 200).then_some(now + 100_000),
                         ..Authorisation::default()
                     };
                     let key = engine.submit(now, authorisation).unwrap();
@@ -457,7 +461,7 @@
                 }
                 6 if !known.is_empty() => {
                     let at = usize::from(by) % known.len();
-                    engine.handle_client_left(now, known[at].0, &mut orders);
+                    engine.handle_client_disconnected(now, known[at].0, &mut orders);
                     known[at].1.ended = true;
                 }
                 _ => {
@@ -489,7 +493,7 @@
                         (seen.out, seen.legs) = (Some(leg), leg + 1);
                         fresh && harmless && deadline > now
                     }),
-                    EngineAction::StopAttempt { key, attempt: leg } => {
+                    EngineAction::CancelAttempt { key, attempt: leg } => {
                         find(&mut known, key).is_some_and(|seen| seen.out.take() == Some(leg))
                     }
                     EngineAction::Reject { key, .. } => find(&mut known, key)
@@ -506,11 +510,11 @@
                     return false;
                 }
             }
-            if engine.open_requests() != known.iter().filter(|(_, seen)| !seen.ended).count() {
+            if engine.open_request_count() != known.iter().filter(|(_, seen)| !seen.ended).count() {
                 return false;
             }
         }
-        engine.open_requests() == 0
+        engine.open_request_count() == 0
     }
     check(4, property as fn(Vec<Step>) -> bool);
 }
@@ -534,7 +538,7 @@
             customer: CustomerId(customer),
             deadline: now + 1_000_000,
             units: 1.0,
-            spread: 1,
+            limiter_count: 1,
             ..Authorisation::default()
         };
         let key = engine.submit(now, authorisation).unwrap();
@@ -548,7 +552,7 @@
         }
         // The counter's answer and the client's leaving come to the module together.
         if leaves {
-            engine.handle_client_left(now, key, &mut orders);
+            engine.handle_client_disconnected(now, key, &mut orders);
         }
         now += 10_000;
         engine.run(now, &mut orders);
--- a/crates/limiter/tests/operations.rs
+++ b/crates/limiter/tests/operations.rs
@@ -113,7 +113,7 @@
     let limiter = start(&[server.address]);
     assert_eq!(limiter.call("disable-server s-0\n"), "done");
     let answer = ask(limiter.platform, &lookup("t"));
-    assert!(answer.status == 503 && answer.headers.has("Retry-After"));
+    assert!(answer.status == 503 && answer.headers.contains("Retry-After"));
     assert_eq!(ask(limiter.platform, UP).status, 503);
     assert_eq!(
         limiter.call("ready\n"),
--- a/crates/limiter/tests/platform.rs
+++ b/crates/limiter/tests/platform.rs
@@ -99,7 +99,7 @@
     // Nobody listens: nothing ran, so even a sign-off is declined.
     let limiter = Limiter::start(&config(&[nobody()], counter().address), None);
     let answer = ask(limiter.platform, &sign_off("k"));
-    assert!(answer.status == 503 && answer.headers.has("Retry-After"));
+    assert!(answer.status == 503 && answer.headers.contains("Retry-After"));
 }
 
 #[test]
--- a/crates/limiter/tests/relay.rs
+++ b/crates/limiter/tests/relay.rs
@@ -68,7 +68,8 @@
             Ok(length) => bytes.extend_from_slice(&part[..length]),
         }
         // Parsed where it may be whole only: the tail tells, for a length as for chunks.
-        if let Some((answer, _)) = limiter::net::framing::response(&bytes, false, &limits).unwrap()
+        if let Some((answer, _)) =
+            limiter::net::framing::parse_response(&bytes, false, &limits).unwrap()
         {
             return Some(answer);
         }
@@ -269,7 +270,9 @@
     let server = raw_server(move |stream, mut bytes| {
         let mut part = vec![0; 1 << 16];
         loop {
-            if let Some((request, _)) = limiter::net::framing::request(&bytes, &large()).unwrap() {
+            if let Some((request, _)) =
+                limiter::net::framing::parse_request(&bytes, &large()).unwrap()
+            {
                 let same = request.body == expected;
                 return stream.write_all(if same { SAME } else { OTHER }).unwrap();
             }
@@ -323,13 +326,13 @@
         while bytes.len() < 5_000_000 {
             more(stream, &mut part, &mut bytes);
         }
-        while limiter::net::framing::request(&bytes, &large())
+        while limiter::net::framing::parse_request(&bytes, &large())
             .unwrap()
             .is_none()
         {
             more(stream, &mut part, &mut bytes);
         }
-        let (request, _) = limiter::net::framing::request(&bytes, &large())
+        let (request, _) = limiter::net::framing::parse_request(&bytes, &large())
             .unwrap()
             .unwrap();
         stream
@@ -420,7 +423,7 @@
         let answer = long_answer(&mut client).expect("an answer, whatever of the body has come");
         assert_eq!(answer.status, status, "after {taken} bytes");
         assert_eq!(answer.keep_alive, taken == 0);
-        assert_eq!(answer.headers.has("Retry-After"), taken > 0);
+        assert_eq!(answer.headers.contains("Retry-After"), taken > 0);
     }
 }
 
--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -149,7 +149,7 @@
 
     /// Requests whose final answer is owed.
     pub fn open(&self) -> usize {
-        self.0.lock().engine.open_requests()
+        self.0.lock().engine.open_request_count()
     }
 }
 
@@ -178,7 +178,11 @@
                     .remove(&key)
                     .map(|sender| sender.send(Verdict::End(ending)));
             }
-            EngineAction::AddToCounter { name, add, life } => {
+            EngineAction::AddToCounter {
+                name,
+                amount: add,
+                ttl: life,
+            } => {
                 let (shared, counter) = (shared.clone(), counter.clone());
                 tokio::spawn(async move {
                     let life = Duration::from_micros(life.max(0) as u64);
@@ -199,7 +203,7 @@
                 });
             }
             // The service that runs cannot be called back, and there are no probes and no other limiters here.
-            EngineAction::StopAttempt { .. }
+            EngineAction::CancelAttempt { .. }
             | EngineAction::Probe(_)
             | EngineAction::Notify(..)
             | EngineAction::Log(_) => {}
@@ -277,7 +281,7 @@
         // What has ended is not in the table any more, and this does nothing.
         inner
             .engine
-            .handle_client_left(now, self.key, &mut Vec::new());
+            .handle_client_disconnected(now, self.key, &mut Vec::new());
         drop(inner);
         self.shared.changed.notify_one();
     }
--- a/crates/middleware/tests/axum.rs
+++ b/crates/middleware/tests/axum.rs
@@ -59,7 +59,7 @@
             customer,
             deadline,
             units: 1.0,
-            spread: 1,
+            limiter_count: 1,
             ..Authorisation::default()
         })
     });
--- a/crates/proxy/src/answers.rs
+++ b/crates/proxy/src/answers.rs
@@ -1,6 +1,6 @@
 //! Classifies the answers of servers. Without I/O.
 
-use dataplane::framing::{BodyFraming, Incoming, ResponseHead};
+use dataplane::framing::{BodyFraming, IncomingMessage, ResponseHead};
 use dataplane::limits::Limits;
 use streamarch::{Micros, Outcome};
 
@@ -43,14 +43,15 @@
     if head.status == 421 {
         return ResponseClass::WrongServer;
     }
-    if head.headers.has("X-Not-Run") {
+    if head.headers.contains("X-Not-Run") {
         return ResponseClass::NotRun;
     }
     // A failing server may send anything: without the id the answer may be anybody's, without a
     // length its end can't be told from that of the connection, and a success must have the
     // server's stamp and length.
     let framed = extent != BodyFraming::UntilClose && told.is_some();
-    let stamped = head.headers.has("X-Server-Seal") && !head.headers.has("Content-Encoding");
+    let stamped =
+        head.headers.contains("X-Server-Seal") && !head.headers.contains("Content-Encoding");
     match head.status {
         200..=299 if framed && stamped => ResponseClass::Final,
         300..=499 if framed => ResponseClass::Final,
@@ -74,15 +75,17 @@
 /// Decides by the answer's head and by how much of it has arrived.
 pub fn handling(
     verdict: ResponseClass,
-    incoming: &Incoming<ResponseHead>,
+    incoming: &IncomingMessage<ResponseHead>,
     limits: &Limits,
 ) -> ResponseHandling {
     match verdict {
-        ResponseClass::Final if incoming.is_longer_than(limits.max_buffered_body_bytes as u64) => {
+        ResponseClass::Final
+            if incoming.is_body_longer_than(limits.max_buffered_body_bytes as u64) =>
+        {
             ResponseHandling::Streamed
         }
         ResponseClass::Final => ResponseHandling::Buffered,
-        _ if incoming.is_longer_than(limits.max_buffered_request_bytes) => {
+        _ if incoming.is_body_longer_than(limits.max_buffered_request_bytes) => {
             ResponseHandling::Rejected
         }
         _ => ResponseHandling::Buffered,
--- a/crates/proxy/src/answers/tests.rs
+++ b/crates/proxy/src/answers/tests.rs
@@ -26,8 +26,8 @@
     assert_eq!(classify(&head, extent, "i"), verdict);
 }
 
-fn coming(text: &str, come: usize, limits: &Limits) -> Incoming<ResponseHead> {
-    let mut incoming = Incoming::default();
+fn coming(text: &str, come: usize, limits: &Limits) -> IncomingMessage<ResponseHead> {
+    let mut incoming = IncomingMessage::default();
     let mut input = format!("HTTP/1.1 200 OK\r\n{text}\r\n\r\n").into_bytes();
     match text.starts_with("Content") {
         true => input.extend(vec![b'x'; come]),
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -18,7 +18,7 @@
         self.client_count += 1;
         let client = Client {
             connection: ClientConnection::new(now),
-            incoming: Incoming::default(),
+            incoming: IncomingMessage::default(),
             request: None,
             timer_at: Micros::MAX,
             close_after_response: false,
@@ -199,13 +199,13 @@
         if let Some(head) = client.incoming.head() {
             if client
                 .incoming
-                .is_longer_than(self.limits.max_buffered_request_bytes)
+                .is_body_longer_than(self.limits.max_buffered_request_bytes)
             {
                 return self.begin_upload(now, key);
             }
             let send_continue =
                 head.expects_continue && !std::mem::replace(&mut client.continue_sent, true);
-            let length = client.incoming.length;
+            let length = client.incoming.received_body_bytes;
             client.connection.record_body_progress(now, length);
             if send_continue {
                 self.write_continue(key);
@@ -282,7 +282,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let (request, length) = match framing::request(&connection.input, &self.limits) {
+        let (request, length) = match framing::parse_request(&connection.input, &self.limits) {
             Ok(None) => return,
             Ok(Some(asked)) => asked,
             Err(_) => return self.remove_connection(key),
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -20,7 +20,7 @@
 use dataplane::clock::Clock;
 use dataplane::deadlines::Deadlines;
 use dataplane::engine::EngineRejection;
-use dataplane::framing::{BodyFraming, Incoming, RequestHead, ResponseHead};
+use dataplane::framing::{BodyFraming, IncomingMessage, RequestHead, ResponseHead};
 use dataplane::lifecycle::Lifecycle;
 use dataplane::limits::Limits;
 use dataplane::slots::AuthorisationKey;
@@ -100,7 +100,7 @@
 /// A client's connection.
 struct Client {
     connection: ClientConnection,
-    incoming: Incoming<RequestHead>,
+    incoming: IncomingMessage<RequestHead>,
     request: Option<RequestKey>,
     /// The earliest deadline scheduled for it.
     timer_at: Micros,
@@ -124,7 +124,7 @@
     server: ServerId,
     opened_at: Micros,
     state: UpstreamState<UpstreamPurpose>,
-    incoming: Incoming<ResponseHead>,
+    incoming: IncomingMessage<ResponseHead>,
     class: Option<ResponseClass>,
     /// The answer has no body, whatever its head says.
     bodiless: bool,
--- a/crates/proxy/src/host/responses.rs
+++ b/crates/proxy/src/host/responses.rs
@@ -143,7 +143,7 @@
         };
         client.request = None;
         // The buffered request is not needed any more.
-        client.incoming = Incoming::default();
+        client.incoming = IncomingMessage::default();
         self.buffered_bytes -= std::mem::take(&mut client.buffered_bytes);
         // The rest of a body is read and discarded after the last answer.
         let rest = client
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -15,7 +15,7 @@
             return;
         };
         let incoming = std::mem::take(&mut client.incoming);
-        let (extent, come) = (incoming.framing, incoming.length);
+        let (extent, come) = (incoming.framing, incoming.received_body_bytes);
         let Some((head, reader, body)) = incoming.into_parts() else {
             return;
         };
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -26,7 +26,7 @@
             server,
             opened_at,
             state: UpstreamState::Connecting(purpose),
-            incoming: Incoming::default(),
+            incoming: IncomingMessage::default(),
             class: None,
             bodiless: false,
             reusable_until: 0,
@@ -47,7 +47,7 @@
 ) -> Option<ResponseClass> {
     match purpose {
         // A health check has no id: a response with one is the second one to an earlier request.
-        UpstreamPurpose::Probe(_) if head.headers.has("X-Request-Id") => {
+        UpstreamPurpose::Probe(_) if head.headers.contains("X-Request-Id") => {
             Some(ResponseClass::OtherRequest)
         }
         UpstreamPurpose::Probe(_) => Some(ResponseClass::Final),
@@ -371,7 +371,7 @@
             self.close_upstream(key);
             return false;
         };
-        upstream.had_response_without_id |= !head.headers.has("X-Request-Id");
+        upstream.had_response_without_id |= !head.headers.contains("X-Request-Id");
         upstream.class = Some(class);
         if class == ResponseClass::Malformed {
             self.finish_exchange(now, key, purpose, class);
@@ -385,7 +385,7 @@
             self.finish_exchange(now, key, purpose, class);
             return false;
         }
-        (upstream.incoming, upstream.class) = (Incoming::default(), None);
+        (upstream.incoming, upstream.class) = (IncomingMessage::default(), None);
         true
     }
 
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -281,9 +281,9 @@
             customer: customer_id(name),
             deadline: request.deadline,
             units: 1.0,
-            spread,
-            place: priority.position,
-            waits: priority.shed_share,
+            limiter_count: spread,
+            priority_position: priority.position,
+            shed_share: priority.shed_share,
             ..Authorisation::default()
         };
         let quota_engine = &mut self.engines[QUOTA_ENGINE];
@@ -371,13 +371,17 @@
                 attempt,
                 server,
             )),
-            EngineAction::StopAttempt { key, attempt } => {
+            EngineAction::CancelAttempt { key, attempt } => {
                 actions.push(RouterAction::Stop(RequestHandle { engine, key }, attempt))
             }
             EngineAction::Reject { key, rejection } => {
                 actions.extend(self.reject(now, RequestHandle { engine, key }, rejection))
             }
-            EngineAction::AddToCounter { name, add, life } => {
+            EngineAction::AddToCounter {
+                name,
+                amount: add,
+                ttl: life,
+            } => {
                 actions.push(RouterAction::Count(CounterAdd {
                     counter: name.0,
                     units: add,
@@ -511,7 +515,7 @@
         outcome: Outcome,
     ) -> bool {
         let service_engine = &mut self.engines[handle.engine];
-        if let Some((class, sent)) = service_engine.engine.in_flight_since(handle.key) {
+        if let Some((class, sent)) = service_engine.engine.in_flight_attempt(handle.key) {
             let times = (now - sent, LATENCY_TARGETS[class % LATENCY_TARGETS.len()]);
             self.shedding
                 .record_outcome(now, &service_engine.svc, outcome, times);
@@ -529,14 +533,14 @@
     pub fn handle_body_sent(&mut self, handle: RequestHandle) {
         self.engines[handle.engine]
             .engine
-            .handle_body_sent(handle.key);
+            .handle_body_discarded(handle.key);
     }
 
     /// The last byte of an attempt is written.
     pub fn handle_attempt_written(&mut self, now: Micros, handle: RequestHandle) {
         self.engines[handle.engine]
             .engine
-            .handle_attempt_written(now, handle.key);
+            .handle_request_written(now, handle.key);
     }
 
     /// The client disconnected.
@@ -559,7 +563,7 @@
         let mut orders = std::mem::take(&mut self.engine_actions);
         service_engine
             .engine
-            .handle_client_left(now, handle.key, &mut orders);
+            .handle_client_disconnected(now, handle.key, &mut orders);
         for order in orders.drain(..) {
             self.carry_out(now, handle.engine, order, actions, &mut |_, _| {});
         }
@@ -616,7 +620,7 @@
     pub fn open_requests(&self) -> usize {
         self.engines
             .iter()
-            .map(|service_engine| service_engine.engine.open_requests())
+            .map(|service_engine| service_engine.engine.open_request_count())
             .sum()
     }
 }
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -164,9 +164,9 @@
         let authorisation = Authorisation {
             class,
             deadline,
-            spread: 1,
-            place,
-            waits,
+            limiter_count: 1,
+            priority_position: place,
+            shed_share: waits,
             ..Authorisation::default()
         };
         let key = self.engines[service_engine]
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -68,7 +68,7 @@
     assert_eq!(bench.answer(client).status, 200);
     // Without a key there is no tenant, whatever the client claims.
     bench.send(client, ask("GET /i/1", "two", "X-Tenant: t\r\n", ""));
-    assert!(!bench.served().request.headers.has("X-Tenant"));
+    assert!(!bench.served().request.headers.contains("X-Tenant"));
 }
 
 #[test]
@@ -101,7 +101,11 @@
     assert!(at.request.body == body);
     let headers = &at.request.headers;
     assert_eq!(headers.get("Content-Length"), Some("600000"));
-    assert!(!headers.has("Transfer-Encoding") && !headers.has("Expect") && !headers.has("Trailer"));
+    assert!(
+        !headers.contains("Transfer-Encoding")
+            && !headers.contains("Expect")
+            && !headers.contains("Trailer")
+    );
     bench.serve(&at);
     assert_eq!(bench.answer(client).status, 200);
 }
@@ -219,10 +223,10 @@
     }
     // The proxy's own answer carries it as well; the last answer of a connection does not.
     bench.send(client, ask("GET /none/", "four", "", ""));
-    assert!(bench.answer(client).headers.has("Keep-Alive"));
+    assert!(bench.answer(client).headers.contains("Keep-Alive"));
     bench.send(
         client,
         ask("GET /none/", "five", "Connection: close\r\n", ""),
     );
-    assert!(!bench.answer(client).headers.has("Keep-Alive"));
+    assert!(!bench.answer(client).headers.contains("Keep-Alive"));
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -74,7 +74,7 @@
 
     /// A complete answer, once there is one.
     pub fn answer(&mut self) -> Option<Response> {
-        let (answer, length) = framing::response(&self.input, false, &limits()).unwrap()?;
+        let (answer, length) = framing::parse_response(&self.input, false, &limits()).unwrap()?;
         self.input.drain(..length);
         Some(answer)
     }
@@ -532,7 +532,7 @@
         for line in self.lines.iter_mut().filter(|_| !self.deaf) {
             line.end.look();
             while let Some((request, length)) =
-                framing::request(&line.end.input, &limits()).unwrap()
+                framing::parse_request(&line.end.input, &limits()).unwrap()
             {
                 line.end.input.drain(..length);
                 self.checks += usize::from(request.target == "/healthz");
--- a/crates/proxy/tests/edge.rs
+++ b/crates/proxy/tests/edge.rs
@@ -104,7 +104,7 @@
     let client = bench.ask(ask("GET /i/1", "one", "", ""));
     let answer = bench.answer(client);
     assert_eq!(
-        (answer.status, answer.headers.has("Retry-After")),
+        (answer.status, answer.headers.contains("Retry-After")),
         (503, true)
     );
 }
--- a/crates/proxy/tests/model.rs
+++ b/crates/proxy/tests/model.rs
@@ -457,7 +457,7 @@
                             course.bodies.contains(&answer.body),
                             "{id}: no whole body of its own"
                         );
-                        assert!(answer.headers.has("X-Server-Seal"));
+                        assert!(answer.headers.contains("X-Server-Seal"));
                         self.long[0] += u32::from(answer.body.len() > 128 * 1024);
                         assert_eq!(answer.headers.get("X-Request-Id"), Some(id.as_str()));
                     }
--- a/crates/proxy/tests/repeats.rs
+++ b/crates/proxy/tests/repeats.rs
@@ -85,7 +85,7 @@
         .for_each(|line| line.end.close());
     let answer = bench.answer(client);
     assert_eq!(
-        (answer.status, answer.headers.has("Retry-After")),
+        (answer.status, answer.headers.contains("Retry-After")),
         (status, status == 503)
     );
     bench.settle();
--- a/crates/proxy/tests/servers.rs
+++ b/crates/proxy/tests/servers.rs
@@ -217,7 +217,7 @@
         let client = bench.ask(ask(line, "last", "", ""));
         let answer = bench.answer(client);
         assert_eq!(
-            (answer.status, answer.headers.has("Retry-After")),
+            (answer.status, answer.headers.contains("Retry-After")),
             (503, true)
         );
     }
@@ -260,7 +260,7 @@
         (answer.status, answer.body.as_slice()),
         (500, &b"broken"[..])
     );
-    assert!(answer.headers.has("X-Own"));
+    assert!(answer.headers.contains("X-Own"));
 }
 
 #[test]
--- a/crates/proxy/tests/upload.rs
+++ b/crates/proxy/tests/upload.rs
@@ -48,7 +48,7 @@
     let at = bench.served();
     assert!(at.request.body == body && at.request.target == "/u/1");
     let headers = &at.request.headers;
-    assert!(headers.has("Content-Length") != chunked && headers.has("X-Want-Instance"));
+    assert!(headers.contains("Content-Length") != chunked && headers.contains("X-Want-Instance"));
     assert_eq!(
         headers.get("X-Time-Left"),
         Some("2988"),
@@ -80,7 +80,7 @@
         lines.for_each(|line| leaves(&mut line.end));
         let answer = bench.answer(client);
         assert_eq!(
-            (answer.status, answer.headers.has("Retry-After")),
+            (answer.status, answer.headers.contains("Retry-After")),
             (status, status == 503),
             "{line}"
         );
