--- a/crates/dataplane/src/probes.rs
+++ b/crates/dataplane/src/probes.rs
@@ -5,7 +5,7 @@
 use crate::framing::Response;
 
 /// The request of a health check. It has no id, so that servers do not count it as a client's.
-pub fn request(host: &str, reports: bool) -> Vec<u8> {
+pub fn build_request(host: &str, reports: bool) -> Vec<u8> {
     let path = if reports { "/metrics/load" } else { "/alive" };
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
--- a/crates/limiter/src/net/host/errands.rs
+++ b/crates/limiter/src/net/host/errands.rs
@@ -120,7 +120,7 @@
                     .unwrap_or_default();
                 connection
                     .output
-                    .extend(probes::request(&host, self.reports));
+                    .extend(probes::build_request(&host, self.reports));
             }
             Some(UpstreamPurpose::Attempt(authorisation, _)) => {
                 let Some(pending) = known.pending.get(authorisation) else {
