--- a/crates/limiter/src/net/host/counting.rs
+++ b/crates/limiter/src/net/host/counting.rs
@@ -36,14 +36,14 @@
         let (mut at, mut bad) = (0, false);
         // Guards against an answer that claims to be longer than any number: it would swallow those behind it.
         let limits = Limits {
-            max_buffered_body_bytes: self.limits.max_total_bytes,
+            max_buffered_body_bytes: self.limits.max_counter_response_bytes,
             ..self.limits.clone()
         };
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         while at < connection.input.len() {
-            match framing::framed_response(&connection.input[at..], &limits) {
+            match framing::parse_framed_response(&connection.input[at..], &limits) {
                 Ok(Some((answer, length))) => {
                     at += length;
                     match self.lines[line].answered(now, &answer) {
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -29,7 +29,7 @@
 use self::operators::Operators;
 use self::tokens::Tokens;
 use super::Clock;
-use super::framing::{self, Incoming, RequestHead, Response, ResponseHead};
+use super::framing::{self, IncomingMessage, RequestHead, Response, ResponseHead};
 use super::handover::Handover;
 use super::inherited;
 use crate::client_connection::{ClientConnection, Stage};
@@ -47,7 +47,7 @@
 use crate::routing_table::{NeverListed, News, RoutingTable};
 use crate::slots::{AuthorisationKey, ConnectionKey, SlotMap};
 use crate::upload::Upload;
-use crate::upstreams::{self, Pool, UpstreamPurpose, UpstreamState};
+use crate::upstreams::{self, ConnectionPool, UpstreamPurpose, UpstreamState};
 
 /// Positions of the services: the records servers, and the introspection servers that we ask.
 const RECORDS: usize = 0;
@@ -67,7 +67,7 @@
 /// An engine with its servers and what is out.
 struct Service {
     engine: Engine,
-    pool: Pool,
+    pool: ConnectionPool,
     pending: SecondaryMap<AuthorisationKey, Pending>,
     legs: SecondaryMap<AuthorisationKey, ConnectionKey>,
 }
@@ -76,7 +76,7 @@
     fn new(engine: Engine) -> Service {
         Service {
             engine,
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             pending: SecondaryMap::new(),
             legs: SecondaryMap::new(),
         }
@@ -140,10 +140,10 @@
 enum Reading {
     #[default]
     Nothing,
-    Request(Incoming<RequestHead>),
+    Request(IncomingMessage<RequestHead>),
     /// A part of an answer is there, which is looked at anew each time.
     Begun,
-    Answer(Incoming<ResponseHead>),
+    Answer(IncomingMessage<ResponseHead>),
     /// A body that goes on to a server as it comes, and how many bytes of it have.
     Upload(Upload),
     /// An answer that goes on to this client as it comes.
@@ -430,7 +430,7 @@
             partial: 0,
             open_ids: BTreeSet::new(),
             told_full: Micros::MIN / 2,
-            scratch: vec![0; limits.read_bytes],
+            scratch: vec![0; limits.read_buffer_bytes],
             orders: Vec::new(),
             listeners,
             accepting: true,
@@ -555,7 +555,7 @@
             self.lifecycle.is_shutting_down() && !self.lifecycle.is_accepting(now, &self.limits);
         if left && self.acquirers == 0 && !self.lifecycle.is_finished() {
             self.log("all answered, ending");
-            self.lifecycle.finish();
+            self.lifecycle.finish_shutdown();
         }
     }
 
@@ -637,7 +637,7 @@
                 }
             }
             Due::NoticeOver => self.notice_over(),
-            Due::DrainOver => self.lifecycle.finish(),
+            Due::DrainOver => self.lifecycle.finish_shutdown(),
             Due::Callers => self.callers_due(now),
             Due::Handover => self.look_at_handover(),
         }
@@ -651,7 +651,7 @@
                 server,
                 deadline,
             } => self.start_leg(now, (service, key), leg, server, deadline),
-            EngineAction::StopAttempt { key, .. } => {
+            EngineAction::CancelAttempt { key, .. } => {
                 self.leg_left_upload(service, key);
                 if let Some(connection) = self.services[service].legs.remove(key) {
                     self.close(connection);
@@ -661,7 +661,11 @@
                 key,
                 rejection: ending,
             } => self.ended((service, key), ending),
-            EngineAction::AddToCounter { name, add, life } => {
+            EngineAction::AddToCounter {
+                name,
+                amount: add,
+                ttl: life,
+            } => {
                 let line = (name.0 % self.lines.len().max(1) as u64) as usize;
                 let deadline = now + self.limits.counter_timeout;
                 let (known, limits) = (&self.lines[line], &self.limits);
@@ -765,7 +769,7 @@
             }
             Role::Server {
                 service, server, ..
-            } => self.services[service].pool.connection_closed(server, key),
+            } => self.services[service].pool.record_closed(server, key),
             Role::Operator => self.operator_left(key),
             Role::Counter(_) | Role::Watch | Role::Member(_) => {}
         }
@@ -796,7 +800,7 @@
                 if let Some(errand) = state.purpose() {
                     // Only an introspection server's answer may end with its connection: it is judged by its text.
                     let ended = (service == TOKENS)
-                        .then(|| framing::response(&connection.input, true, &self.limits));
+                        .then(|| framing::parse_response(&connection.input, true, &self.limits));
                     let answer = ended
                         .and_then(Result::ok)
                         .flatten()
@@ -821,7 +825,7 @@
         let mut orders = std::mem::take(&mut self.orders);
         self.services[ticket.0]
             .engine
-            .handle_client_left(now, ticket.1, &mut orders);
+            .handle_client_disconnected(now, ticket.1, &mut orders);
         for order in orders.drain(..) {
             self.carry_out(now, ticket.0, order);
         }
@@ -906,10 +910,10 @@
                 return limits.relay_window_bytes.saturating_sub(held);
             }
             (Role::Acquirer { .. }, Stage::Processing | Stage::Responding) => {
-                limits.pipelined_bytes
+                limits.max_pipelined_bytes
             }
             (Role::Acquirer { .. }, Stage::Lingering) => {
-                return limits.linger_bytes.saturating_sub(connection.discarded);
+                return limits.max_linger_bytes.saturating_sub(connection.discarded);
             }
             (Role::Server { .. }, _) => {
                 // Guards the memory against a client that is slower than the server whose answer it gets.
@@ -934,9 +938,11 @@
             }
         };
         // A usual request has room also where large ones have taken all that may be held.
-        let shared = limits.partial_bytes.saturating_sub(self.partial);
+        let shared = limits
+            .max_pending_request_bytes
+            .saturating_sub(self.partial);
         let own = limits
-            .pipelined_bytes
+            .max_pipelined_bytes
             .saturating_sub(connection.input.len());
         most.saturating_sub(connection.input.len())
             .min(shared.max(own))
@@ -1062,13 +1068,13 @@
         // Guards the memory on a long day: one large message must not be paid for as long as the connection lasts.
         connection.output.shrink_to(4 * 1024);
         if let Role::Server { service, state, .. } = &mut connection.role {
-            let before = std::mem::replace(state, state.written());
-            if let (true, Some(UpstreamPurpose::Leg(authorisation, _))) =
+            let before = std::mem::replace(state, state.on_request_written());
+            if let (true, Some(UpstreamPurpose::Attempt(authorisation, _))) =
                 (before != *state, state.purpose())
             {
                 self.services[*service]
                     .engine
-                    .handle_attempt_written(now, authorisation);
+                    .handle_request_written(now, authorisation);
             }
         }
         match connection.role {
--- a/crates/limiter/tests/common/mod.rs
+++ b/crates/limiter/tests/common/mod.rs
@@ -116,7 +116,7 @@
 fn next_request(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<Request> {
     let mut part = [0; 4096];
     loop {
-        if let Some((request, length)) = framing::request(bytes, &Limits::default()).ok()? {
+        if let Some((request, length)) = framing::parse_request(bytes, &Limits::default()).ok()? {
             bytes.drain(..length);
             return Some(request);
         }
@@ -205,7 +205,7 @@
             .into_iter()
             .for_each(|text| config.introspect(text).expect("a good second front"));
         let hand = Arc::new(AtomicI64::new(START));
-        let clock = Clock::driven(hand.clone());
+        let clock = Clock::manual(hand.clone());
         let (tell, told) = mpsc::channel();
         let thread = thread::spawn(move || {
             let daemon = Daemon::open(config, clock).expect("sockets open");
@@ -294,7 +294,7 @@
         let mut part = [0; 4096];
         loop {
             if let Some((answer, length)) =
-                framing::response(&self.bytes, false, &Limits::default()).unwrap()
+                framing::parse_response(&self.bytes, false, &Limits::default()).unwrap()
             {
                 self.bytes.drain(..length);
                 return Some(answer);
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -9,7 +9,7 @@
 use limiter::limits::Limits;
 use limiter::net::framing;
 use limiter::slots::{AuthorisationKey, ConnectionKey, SlotMap};
-use limiter::upstreams::{Pool, UpstreamPurpose, UpstreamState};
+use limiter::upstreams::{ConnectionPool, UpstreamPurpose, UpstreamState};
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 use streamarch::{
     Class, CounterKey, CustomerId, DedupScope, Idempotency, ListKind, Outcome, Plan, ServerEntry,
@@ -44,11 +44,11 @@
             state = match kind % 3 {
                 0 => {
                     up = true;
-                    state.connected()
+                    state.on_connected()
                 }
                 1 => {
                     whole |= up;
-                    state.written()
+                    state.on_request_written()
                 }
                 _ => {
                     (up, whole) = (true, false);
@@ -98,7 +98,9 @@
                     let mut out = Vec::new();
                     line.write(now, "counter", &mut out);
                     let mut written = 0;
-                    while let Some((request, length)) = framing::request(&out, &limits).unwrap() {
+                    while let Some((request, length)) =
+                        framing::parse_request(&out, &limits).unwrap()
+                    {
                         let (name, deadline) = unsent.pop_front().unwrap();
                         if !request
                             .target
@@ -119,7 +121,9 @@
                     let status = [200, 503, 404][usize::from(by) % 3];
                     let mut bytes = Vec::new();
                     framing::write_response(&mut bytes, status, &[], b"7.5", false);
-                    let (answer, _) = framing::response(&bytes, false, &limits).unwrap().unwrap();
+                    let (answer, _) = framing::parse_response(&bytes, false, &limits)
+                        .unwrap()
+                        .unwrap();
                     let outcome =
                         [Outcome::Ok, Outcome::Rejected, Outcome::Error][usize::from(by) % 3];
                     match (line.answered(now, &answer), sent.pop_front()) {
@@ -196,7 +200,7 @@
         if now == 50 {
             let mut bytes = Vec::new();
             framing::write_response(&mut bytes, 200, &[], b"1", false);
-            let (answer, _) = framing::response(&bytes, false, &Limits::default())
+            let (answer, _) = framing::parse_response(&bytes, false, &Limits::default())
                 .unwrap()
                 .unwrap();
             assert_eq!(line.answered(now, &answer), Heard::Late { asker: 0 });
@@ -214,7 +218,7 @@
     fn property(steps: Vec<Step>) -> bool {
         let address = "127.0.0.1:9".parse().unwrap();
         let mut keys: SlotMap<ConnectionKey, ()> = SlotMap::with_key();
-        let mut pool = Pool::default();
+        let mut pool = ConnectionPool::default();
         (0..3).for_each(|n| drop(pool.add_server(ServerId(n), address)));
         let mut listed = [true; 3];
         let mut open: Vec<(u32, ConnectionKey, Option<i64>)> = Vec::new();
@@ -223,12 +227,12 @@
             let at = usize::from(by) % open.len().max(1);
             match kind % 6 {
                 0 if listed[server as usize] => {
-                    pool.connection_opened(ServerId(server));
+                    pool.record_opened(ServerId(server));
                     open.push((server, keys.insert(()), None));
                 }
                 1 if at < open.len() => {
                     let (server, key, _) = open.remove(at);
-                    pool.connection_closed(ServerId(server), key);
+                    pool.record_closed(ServerId(server), key);
                 }
                 2 if at < open.len() && open[at].2.is_none() => {
                     let rests = pool.release(ServerId(open[at].0), open[at].1, now);
@@ -254,19 +258,19 @@
                             return false;
                         }
                         let (server, key, _) = open.remove(place);
-                        pool.connection_closed(ServerId(server), key);
+                        pool.record_closed(ServerId(server), key);
                     }
                 }
                 5 => {
                     for key in pool.remove_server(ServerId(server)) {
                         open.retain(|c| c.1 != key);
-                        pool.connection_closed(ServerId(server), key);
+                        pool.record_closed(ServerId(server), key);
                     }
                     listed[server as usize] = false;
                 }
                 _ => {}
             }
-            if pool.connections() != open.len() {
+            if pool.connection_count() != open.len() {
                 return false;
             }
         }
@@ -298,7 +302,7 @@
                 }
                 1 if between => {
                     (owed, part) = (true, false);
-                    visit.request_complete(now);
+                    visit.begin_processing(now);
                 }
                 2 if !last => {
                     (owed, writing, part) = (false, true, false);
@@ -308,7 +312,7 @@
                     if writing {
                         (writing, answered, waiting_since, last) = (false, true, now, by > 250);
                     }
-                    visit.response_written(now, by > 250);
+                    visit.finish_response(now, by > 250);
                 }
                 _ => {}
             }
@@ -326,7 +330,7 @@
                         && visit.deadline(false, &limits) == Some(waiting_since + span)
                 }
             };
-            let fresh = now - waiting_since < limits.first_request_grace;
+            let fresh = now - waiting_since < limits.first_request_grace_period;
             let kept = owed || writing || (!last && fresh && (part || !answered));
             if !good || visit.eviction_rank(now, &limits).is_none() != kept {
                 return false;
@@ -424,8 +428,8 @@
                         customer: CustomerId(u64::from(by % 4)),
                         deadline: now + 1_000_000,
                         units: 1.0,
-                        spread: 1,
-                        valid_until: (by > 200).then_some(now + 100_000),
+                        limiter_count: 1,
+                        token_expires_at: (by > 200).then_some(now + 100_000),
                         ..Authorisation::default()
                     };
                     let key = engine.submit(now, authorisation).unwrap();
@@ -462,7 +466,7 @@
                 }
                 6 if !known.is_empty() => {
                     let at = usize::from(by) % known.len();
-                    engine.handle_client_left(now, known[at].0, &mut orders);
+                    engine.handle_client_disconnected(now, known[at].0, &mut orders);
                     known[at].1.ended = true;
                 }
                 _ => {
@@ -494,7 +498,7 @@
                         (seen.out, seen.legs) = (Some(leg), leg + 1);
                         fresh && harmless && deadline > now
                     }),
-                    EngineAction::StopAttempt { key, attempt: leg } => {
+                    EngineAction::CancelAttempt { key, attempt: leg } => {
                         find(&mut known, key).is_some_and(|seen| seen.out.take() == Some(leg))
                     }
                     EngineAction::Reject { key, .. } => find(&mut known, key)
@@ -511,11 +515,11 @@
                     return false;
                 }
             }
-            if engine.open_requests() != known.iter().filter(|(_, seen)| !seen.ended).count() {
+            if engine.open_request_count() != known.iter().filter(|(_, seen)| !seen.ended).count() {
                 return false;
             }
         }
-        engine.open_requests() == 0
+        engine.open_request_count() == 0
     }
     check(4, property as fn(Vec<Step>) -> bool);
 }
@@ -539,7 +543,7 @@
             customer: CustomerId(customer),
             deadline: now + 1_000_000,
             units: 1.0,
-            spread: 1,
+            limiter_count: 1,
             ..Authorisation::default()
         };
         let key = engine.submit(now, authorisation).unwrap();
@@ -553,7 +557,7 @@
         }
         // The counter's answer and the client's leaving come to the module together.
         if leaves {
-            engine.handle_client_left(now, key, &mut orders);
+            engine.handle_client_disconnected(now, key, &mut orders);
         }
         now += 10_000;
         engine.run(now, &mut orders);
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -18,7 +18,7 @@
         self.client_count += 1;
         let client = Client {
             connection: ClientConnection::new(now),
-            incoming: Incoming::default(),
+            incoming: IncomingMessage::default(),
             request: None,
             timer_at: Micros::MAX,
             close_after_response: false,
@@ -46,7 +46,7 @@
 
     /// Schedules the connection's deadline if it is earlier than the scheduled one.
     pub(super) fn schedule_client_deadline(&mut self, now: Micros, key: ConnectionId) {
-        let closing = self.lifecycle.closes_idle(now, &self.limits);
+        let closing = self.lifecycle.should_close_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
@@ -61,7 +61,7 @@
     }
 
     pub(super) fn handle_client_deadline(&mut self, now: Micros, key: ConnectionId) {
-        let closing = self.lifecycle.closes_idle(now, &self.limits);
+        let closing = self.lifecycle.should_close_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
@@ -173,7 +173,7 @@
         if client.incoming.is_complete() {
             let incoming = std::mem::take(&mut client.incoming);
             (client.continue_sent, client.checked_by_head) = (false, false);
-            client.connection.request_complete(now);
+            client.connection.begin_processing(now);
             connection.max_input_bytes = MAX_READ_AHEAD_BYTES.max(connection.input.len());
             if let Some((head, _, body)) = incoming.into_parts() {
                 self.handle_request(now, key, head, body);
@@ -199,13 +199,13 @@
         if let Some(head) = client.incoming.head() {
             if client
                 .incoming
-                .is_longer_than(self.limits.max_buffered_request_bytes)
+                .is_body_longer_than(self.limits.max_buffered_request_bytes)
             {
                 return self.begin_upload(now, key);
             }
             let send_continue =
                 head.expects_continue && !std::mem::replace(&mut client.continue_sent, true);
-            let length = client.incoming.length;
+            let length = client.incoming.received_body_bytes;
             client.connection.record_body_progress(now, length);
             if send_continue {
                 self.write_continue(key);
@@ -282,7 +282,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let (request, length) = match framing::request(&connection.input, &self.limits) {
+        let (request, length) = match framing::parse_request(&connection.input, &self.limits) {
             Ok(None) => return,
             Ok(Some(asked)) => asked,
             Err(_) => return self.remove_connection(key),
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -26,7 +26,7 @@
             server,
             opened_at,
             state: UpstreamState::Connecting(purpose),
-            incoming: Incoming::default(),
+            incoming: IncomingMessage::default(),
             class: None,
             bodiless: false,
             reusable_until: 0,
@@ -47,7 +47,7 @@
 ) -> Option<ResponseClass> {
     match purpose {
         // A health check has no id: a response with one is the second one to an earlier request.
-        UpstreamPurpose::Probe(_) if head.headers.has("X-Request-Id") => {
+        UpstreamPurpose::Probe(_) if head.headers.contains("X-Request-Id") => {
             Some(ResponseClass::OtherRequest)
         }
         UpstreamPurpose::Probe(_) => Some(ResponseClass::Final),
@@ -148,8 +148,8 @@
         if let Some(key) = self.reuse_connection(now, server, purpose) {
             return Ok(key);
         }
-        if self.pool.connections() >= MAX_UPSTREAMS
-            && let Some(idle) = self.pool.longest_idle()
+        if self.pool.connection_count() >= MAX_UPSTREAMS
+            && let Some(idle) = self.pool.longest_idle_connection()
         {
             self.close_upstream(idle);
         }
@@ -227,7 +227,7 @@
         if let Some(connection) = self.connections.get_mut(key) {
             connection.max_input_bytes = READ_WINDOW_BYTES;
         }
-        self.pool.connection_opened(server);
+        self.pool.record_opened(server);
         self.deadlines
             .schedule(now + self.connect_timeout.timeout(), Timer::Connect(key));
         Ok(key)
@@ -235,7 +235,7 @@
 
     pub(super) fn close_upstream(&mut self, key: ConnectionId) {
         if let Some(Role::Upstream(upstream)) = self.roles.remove(key) {
-            self.pool.connection_closed(upstream.server, key);
+            self.pool.record_closed(upstream.server, key);
         }
         self.connections.close(key);
     }
@@ -371,7 +371,7 @@
             self.close_upstream(key);
             return false;
         };
-        upstream.had_response_without_id |= !head.headers.has("X-Request-Id");
+        upstream.had_response_without_id |= !head.headers.contains("X-Request-Id");
         upstream.class = Some(class);
         if class == ResponseClass::Malformed {
             self.finish_exchange(now, key, purpose, class);
@@ -385,7 +385,7 @@
             self.finish_exchange(now, key, purpose, class);
             return false;
         }
-        (upstream.incoming, upstream.class) = (Incoming::default(), None);
+        (upstream.incoming, upstream.class) = (IncomingMessage::default(), None);
         true
     }
 
