--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,121 +1,123 @@
-//! The interface of the decision module: settings, events and actions as plain data.
+//! The interface of the decision module: settings, events and actions as plain data types without logic.
 //!
-//! Time is in whole microseconds of the host's clock, which only moves forward. Nothing here decides.
+//! Times are whole microseconds on the host's monotonic clock.
 
-/// Microseconds on the host's clock, or a span of them.
+/// An instant on the host's clock, or a duration, in microseconds.
 pub type Micros = i64;
 
-/// A request, named by the host; never used twice.
+/// Identifies a request. The host assigns it and never reuses it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// A server behind the gateways.
+/// Identifies a server behind the gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerId(pub u32);
 
-/// A customer whose use is metered.
+/// Identifies a customer whose use is metered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CustomerId(pub u64);
 
-/// A number kept by the counter service.
+/// Key of a counter in the counter service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CounterKey(pub u64);
 
-/// What may be done with a request that may already have run.
+/// Whether a request that may already have been executed can be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Safe to repeat anywhere at any time.
+    /// Can be sent again to any server at any time.
     Idempotent,
-    /// Carries a key: only servers of the group drop a repeat, and only within the window.
+    /// Carries an idempotency key: a duplicate is dropped only by servers in `scope`, and only within the window.
     Keyed {
-        /// The servers that share what they know of keys.
+        /// The servers that share their record of keys.
         scope: DedupScope,
-        /// How long they remember, from the first sending that may have run.
+        /// How long a key is remembered, from the start of the first attempt that may have been executed.
         dedup_window: Micros,
     },
-    /// Must never run twice.
+    /// Must never be executed twice.
     NotIdempotent,
 }
 
-/// The servers that drop each other's repeats.
+/// The servers among which a duplicate of a keyed request is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every server.
     All,
-    /// Servers of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Servers of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// A class of requests.
+/// A class of requests with common objectives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// A response within this time earns the full value.
     pub latency_target: Micros,
-    /// How long a client waits in all.
+    /// How long a client waits for the response in total, over all attempts.
     pub client_timeout: Micros,
-    /// Share of the worth that a later answer earns.
+    /// Share of the value that a response after the latency target earns.
     pub late_value_share: f64,
-    /// Worth of one request.
+    /// Value of one request.
     pub value: f64,
-    /// What repeats are harmless.
+    /// Whether requests of this class can be sent again.
     pub idempotency: Idempotency,
-    /// The answer arrives as a stream.
+    /// The response is streamed.
     pub streaming: bool,
 }
 
-/// A plan: quotas that hold for each of its customers over all gateways together. 0 means no such quota.
+/// A plan: the quotas of each of its customers, over all gateways together. 0 stands for no such quota.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Units per second at which the store fills.
+    /// Refill rate of the token bucket, in units per second.
     pub rate_per_s: f64,
-    /// Most units the store holds; it starts full.
+    /// Capacity of the token bucket, in units; it starts full.
     pub burst: f64,
-    /// Most attempts out at once.
+    /// Maximum number of attempts in flight at once.
     pub max_concurrent: u32,
-    /// Factor on the worth of a request.
+    /// Factor on the value of a request.
     pub value_factor: f64,
-    /// Share of its worth that a try sent on beyond the quota costs.
+    /// Share of a request's value that it costs to admit it beyond the quota.
     pub over_quota_cost_share: f64,
-    /// Share of its worth that a request sent on beyond the quota earns.
+    /// Share of a request's value that it earns when it is admitted beyond the quota.
     pub over_quota_value_share: f64,
-    /// Units per second at which the hard ceiling's store fills.
+    /// Refill rate of the hard limit's token bucket, in units per second.
     pub hard_limit_rate_per_s: f64,
-    /// Most units the ceiling's store holds; it starts full.
+    /// Capacity of the hard limit's token bucket, in units; it starts full.
     pub hard_limit_burst: f64,
-    /// Units by which that store may fall below nothing.
+    /// Units by which the hard limit's token bucket may go below zero.
     pub hard_limit_slack: f64,
-    /// Units beyond the burst of which over-use is paid back in later windows; what is beyond that is forgiven.
+    /// Overuse carries over into later windows up to the burst plus this many units; the rest is forgiven.
     pub max_carryover: f64,
-    /// A plan that changed in service keeps the length of the windows that its customers had; 0: by burst and rate.
+    /// Length of the counting windows that a plan replaced at run time keeps for its customers; 0 derives the length
+    /// from burst and rate.
     pub inherited_window: Micros,
-    /// Since when it holds, and the position of the plan that held before, where it changed in service.
+    /// Where the plan replaced another at run time: since when it applies, and the index of the plan before it.
     pub predecessor: Option<(Micros, usize)>,
 }
 
-/// Shortest and longest window; names are kept a minute at most, two windows must fit in.
-const WINDOWS: (Micros, Micros) = (1_000_000, 20_000_000);
+/// Shortest and longest counting window. The counter service keeps a key for a minute at most, and two windows must fit.
+const WINDOW_BOUNDS: (Micros, Micros) = (1_000_000, 20_000_000);
 
 impl Plan {
-    /// Length of the windows in which its customers' use is counted: about burst over rate, so that what the store
-    /// holds is refilled in one; or the length that was kept when the plan changed in service.
+    /// Length of the windows in which the use of the plan's customers is counted: about burst over rate, so that one
+    /// window refills the token bucket; or the length inherited from the plan that this one replaced.
     pub fn window_length(&self) -> Micros {
         match self.inherited_window {
-            0 => ((self.burst / self.rate_per_s * 1e6) as Micros).clamp(WINDOWS.0, WINDOWS.1),
-            kept => kept,
+            0 => ((self.burst / self.rate_per_s * 1e6) as Micros)
+                .clamp(WINDOW_BOUNDS.0, WINDOW_BOUNDS.1),
+            inherited => inherited,
         }
     }
 }
 
-/// What further attempts may be made: bounds a retry storm.
+/// Token bucket for retries, which bounds a retry storm.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Further attempts earned by each new request...
+    /// Retries added to the balance by each new request.
     pub earned_per_request: f64,
-    /// ...and the most that can be saved up; half of it is there at the start.
+    /// Maximum balance; a gateway starts with half of it.
     pub max_balance: f64,
-    /// What a further attempt takes of it if none before has run; one that may have run takes 1.
+    /// Cost of a retry after an attempt that was not executed; after one that may have been, a retry costs 1.
     pub unexecuted_cost: f64,
 }
 
@@ -129,7 +131,7 @@
     }
 }
 
-/// Attempts that all gateways together may have out at a server at first, before its answers have taught the bound.
+/// Initial concurrency limit of a server, over all gateways together; its responses adjust the limit from there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InitialConcurrency(pub f64);
 
@@ -139,77 +141,78 @@
     }
 }
 
-/// What a gateway is told at its start.
+/// The settings that a gateway starts with.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Number of gateways.
     pub gateway_count: u32,
-    /// Number of this gateway, from 0.
+    /// Index of this gateway, from 0.
     pub gateway_index: u32,
     /// Zone of this gateway.
     pub zone: u32,
-    /// Classes, by position.
+    /// Request classes; [`Request::class`] is an index into them.
     pub classes: Vec<Class>,
-    /// Plans, by position.
+    /// Plans; [`Request::plan`] is an index into them.
     pub plans: Vec<Plan>,
-    /// Shortest time between two calls of `handle`.
+    /// Shortest interval between two calls of [`Balancer::handle`](crate::Balancer::handle).
     pub min_handle_interval: Micros,
-    /// The server list must be asked for (else changes are pushed).
+    /// The gateway must subscribe to the server list; otherwise changes are pushed to it.
     pub watch_server_list: bool,
-    /// A counter service may be called.
+    /// A counter service can be called.
     pub counter_available: bool,
-    /// A call without an answer by then has timed out.
+    /// Timeout of a call to the counter service.
     pub counter_timeout: Micros,
-    /// Units are a guess, the true ones come with the answer.
+    /// A request's units are an estimate; the response carries the actual units.
     pub units_are_estimates: bool,
-    /// An attempt may be cancelled.
+    /// Attempts can be cancelled.
     pub can_cancel: bool,
-    /// Servers may be probed.
+    /// Servers can be probed.
     pub can_probe: bool,
-    /// A request may have two attempts out at once.
+    /// A request may have two attempts in flight at once.
     pub can_hedge: bool,
-    /// Most attempts for one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Further attempts in all.
+    /// Bounds the retries of all requests together.
     pub retry_budget: RetryBudget,
-    /// Attempts out at a server, at first.
+    /// Concurrency limit of a server that has just become known.
     pub initial_concurrency: InitialConcurrency,
-    /// Clients are told how long to stay away.
+    /// Shed clients are told when to retry.
     pub sends_retry_after: bool,
-    /// Gateways may send each other short messages.
+    /// Gateways can send each other short messages.
     pub can_notify_gateways: bool,
-    /// Longest time to stay away that a client honours.
+    /// Longest retry delay that a client honours.
     pub max_retry_after: Micros,
-    /// While the counter is lost, clients refused for their quota are told to stay away for about this at the least.
+    /// Approximate minimum retry delay of requests rejected over quota while the counter is lost.
     pub min_retry_after_counter_lost: Micros,
-    /// A server that owes answers is suspected of silence no sooner than after this, whatever is usual: before any answer
-    /// nothing is.
+    /// Minimum time without a response after which a server with attempts in flight is suspected. It also holds before
+    /// the first response, when no usual response time is known.
     pub min_silence_timeout: Micros,
-    /// A cold server starts with this share of its capacity or more...
+    /// A cold server starts with at least this share of its capacity.
     pub cold_capacity_share: f64,
-    /// ...and is warm no later than this.
+    /// A server is warm at the latest this long after its start.
     pub warm_up_duration: Micros,
-    /// Sent more than this multiple of its present capacity...
+    /// A cold server that is sent more than this multiple of its current capacity throughout `overload_window` fails.
     pub overload_multiple: f64,
-    /// ...for this long, a cold server falls over.
+    /// How long the excess must last for a cold server to fail.
     pub overload_window: Micros,
-    /// While the counter is lost, a gateway lets each customer use no more than its even slice of the window;
-    /// else DESIGN's open without a counter, by what is known here.
+    /// While the counter is lost, a gateway admits of each customer no more than its even share of the window;
+    /// otherwise it fails open, limited only by its local count.
     pub even_shares_counter_lost: bool,
-    /// Within its even slice of a window a gateway lets requests pass at once, their calls made and not waited for;
-    /// beyond it none passes without a total, whatever becomes of the counter.
+    /// Within its even share of a window a gateway admits requests without waiting for the counter calls it makes;
+    /// beyond it a request is admitted only on a total, even while the counter is lost.
     pub even_share_first: bool,
-    /// A call whose request is not likely to pass adds at least this part of its units: of those that are out at once each may find
-    /// room that is there for one, and each that adds more keeps others out until it is given back.
+    /// Minimum share of its units that a call adds for a request that is unlikely to be admitted. Too little, and several
+    /// calls in flight at once each find the room that is there for one; too much, and each keeps others out until its
+    /// units are given back.
     pub min_counted_share: f64,
 }
 
-/// State of a server in the list.
+/// State of a server in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes its work; nothing new.
+    /// Finishes its requests in flight and gets no new ones.
     Draining,
     /// Removed.
     Removed,
@@ -220,95 +223,95 @@
 pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u32,
-    /// Its kind of machine.
+    /// Machine type of the server.
     pub machine_type: u32,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: u32,
-    /// Its state.
+    /// State of the server.
     pub state: ServerState,
-    /// Its size beside other servers.
+    /// Capacity relative to other servers.
     pub weight: f64,
-    /// When it last started; 0 for long ago.
+    /// When the server last started; 0 for long ago.
     pub started_at: Micros,
 }
 
-/// How the entries of a list event are to be read.
+/// How the entries of a server list event are to be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only what changed.
+    /// Only the entries that changed.
     Changes,
-    /// The complete list; what is absent is gone.
+    /// The complete list; a server that is absent has been removed.
     Full,
-    /// The complete list as last held, perhaps stale.
+    /// The complete list from a cache, possibly stale.
     Cached,
-    /// A request for the list failed; no entries.
+    /// A request for the list failed; there are no entries.
     Failed,
 }
 
-/// A load report; what a server does not tell is `None`.
+/// A load report; a value that the server does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in hand.
+    /// Requests in progress.
     pub active_requests: Option<f64>,
-    /// Requests waiting.
+    /// Requests in the queue.
     pub queued_requests: Option<f64>,
-    /// Share of its processors in use.
+    /// Share of the server's processors in use.
     pub cpu_utilization: Option<f64>,
-    /// Recent time to serve, in milliseconds.
+    /// Recent service time, in milliseconds.
     pub latency_ms: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub served_per_s: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors_per_s: Option<f64>,
 }
 
 /// How an attempt, a probe or a counter call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Success.
     Ok,
-    /// The server answered with an error; may have run.
+    /// The server responded with an error; the request may have been executed.
     Error,
-    /// Turned away unseen; never ran.
+    /// Rejected before it was looked at; it was not executed.
     Rejected,
-    /// No answer in time; may have run, may still be running.
+    /// No response within the timeout; it may have been executed or still be executing.
     TimedOut,
-    /// No connection; never ran.
+    /// No connection; it was not executed.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; it may have been executed.
     Reset,
-    /// Cancelled; may have run.
+    /// Cancelled; it may have been executed.
     Cancelled,
-    /// Not transmitted at all; never ran.
+    /// Never transmitted; it was not executed.
     NotSent,
 }
 
-/// A request as taken by this gateway.
+/// A request as accepted by this gateway.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Its name.
+    /// Identifies the request.
     pub id: RequestId,
-    /// Position of its class in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Position of its plan in the settings.
+    /// Index of its plan in the settings.
     pub plan: usize,
-    /// Whose it is.
+    /// The customer that the request counts for.
     pub customer: CustomerId,
-    /// The client gives up this try then.
+    /// When the client gives up.
     pub deadline: Micros,
-    /// Units it takes from the quota.
+    /// Units that the request takes from the quota.
     pub units: f64,
-    /// Number of gateways that this customer's requests come through...
+    /// Number of gateways that this customer's requests arrive at.
     pub customer_gateways: u32,
-    /// ...and the number of the first; the others follow, counted round.
+    /// Index of the first of those gateways; the others follow, wrapping around.
     pub first_gateway: u32,
-    /// A client's repeat, where clients say so.
+    /// The client marked the request as a retry of its own.
     pub is_client_retry: bool,
-    /// Its place in the order in which requests wait under overload, from 0 to below 1, the same at all gateways...
+    /// Rank in the shedding order, from 0 to below 1, the same at all gateways; the highest ranks are shed first.
     pub shed_rank: f64,
-    /// ...and the share of that order, from its end, that waits now, as all gateways were told.
+    /// Share of the shedding order that is currently shed, as distributed to all gateways.
     pub shed_share: f64,
 }
 
@@ -317,85 +320,85 @@
 pub struct AttemptEnd {
     /// The request.
     pub request: RequestId,
-    /// Number of the attempt, from 0, in order of sending.
+    /// Number of the attempt, from 0, in the order in which they were sent.
     pub attempt: u32,
-    /// Where it was sent.
+    /// The server that it was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time from its sending to its end.
     pub elapsed: Micros,
-    /// The request has finished, by this or earlier.
+    /// The request has finished, with this attempt or earlier.
     pub request_finished: bool,
-    /// True units, if they came with this answer.
+    /// Actual units, if the response carried them.
     pub actual_units: Option<f64>,
-    /// Load report of the server, if one came along.
+    /// Load report of the server, if the response carried one.
     pub load_report: Option<LoadReport>,
 }
 
-/// What gateways tell each other.
+/// A notice between gateways: a customer is over its quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OverQuotaNotice {
-    /// The customer that a shared count has shown over its quota...
+    /// The customer that a shared counter has shown to be over its quota.
     pub customer: CustomerId,
-    /// ...and the position of its plan in the settings.
+    /// Index of the customer's plan in the settings.
     pub plan: usize,
 }
 
-/// What happens to a gateway.
+/// An input to the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the servers.
+    /// The server list, or a change of it.
     ServerList {
-        /// How to read the entries.
+        /// How to apply the entries.
         kind: ListKind,
         /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// A request was taken; one final answer is owed.
+    /// A request was accepted; it gets exactly one final response.
     Request(Request),
     /// An attempt ended.
     AttemptEnd(AttemptEnd),
-    /// A streamed answer has begun; its time-out and the deadline no longer run.
+    /// A streamed response has started; the attempt's timeout and the request's deadline no longer apply.
     StreamStarted {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// The client left; nothing is owed any more.
+    /// The client disconnected; it gets no response.
     ClientDisconnected(RequestId),
-    /// The counter answered, or failed to.
+    /// A call to the counter service ended.
     CounterAnswered {
-        /// The number that was named.
+        /// Key of the counter.
         key: CounterKey,
-        /// How the call ended.
+        /// Outcome of the call.
         outcome: Outcome,
-        /// The number after the call, where it succeeded.
+        /// Value of the counter after the call, where the call succeeded.
         total: f64,
     },
-    /// An answer of the counter came whose call had run out of time before: it is alive, only late.
+    /// The counter service answered a call after its timeout: it is alive but slow.
     LateCounterAnswer,
-    /// Another counter has taken over. It starts empty.
+    /// Another counter service has taken over; it starts empty.
     CounterReplaced,
     /// A probe ended.
     ProbeEnd {
         /// The server.
         server: ServerId,
-        /// How it ended.
+        /// Outcome of the probe.
         outcome: Outcome,
-        /// The load report that came along.
+        /// Load report of the server, if the response carried one.
         load_report: Option<LoadReport>,
     },
-    /// Another gateway tells that a customer is over its quota.
+    /// Another gateway reports that a customer is over its quota.
     NoticeReceived(OverQuotaNotice),
-    /// A plan came up in service; it takes the next position.
+    /// A plan was added at run time; it gets the next index.
     PlanAdded(Plan),
-    /// A timer that the module asked for has run out.
+    /// The time of an [`Action::WakeAt`] has come.
     Timer,
 }
 
-/// What the module asks the host to do.
+/// An instruction to the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to a server.
@@ -404,19 +407,19 @@
         request: RequestId,
         /// The server.
         server: ServerId,
-        /// Time-out; 0 for until the client gives up.
+        /// Timeout of the attempt; 0 for until the client gives up.
         timeout: Micros,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final response: rejected, and safe for the client to retry.
     Shed {
         /// The request.
         request: RequestId,
-        /// How long the client had better stay away; 0 for no advice.
+        /// How long the client is to wait before it retries; 0 for no such hint.
         retry_after: Micros,
-        /// For its quota; else for want of a server or of time.
+        /// Rejected because the customer is over its quota, and not for want of a server or of time.
         over_quota: bool,
     },
-    /// Final answer: failed; promises nothing.
+    /// Final response: failed; the request may have been executed.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel {
@@ -425,18 +428,18 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Add to a number of the counter service and learn the total.
+    /// Add to a counter of the counter service; the answer is the new total.
     AddToCounter {
-        /// The number.
+        /// Key of the counter.
         key: CounterKey,
-        /// What to add.
+        /// The amount to add; negative to give units back, 0 to read the total.
         amount: f64,
-        /// If the name is new, it is forgotten after this time.
+        /// Lifetime of the counter, if this call creates it.
         expires_in: Micros,
     },
-    /// Send another gateway, by its number, a notice.
+    /// Send a notice to the gateway with this index.
     NotifyGateway(u32, OverQuotaNotice),
-    /// Check a server.
+    /// Probe a server.
     Probe(ServerId),
     /// Subscribe to changes of the server list.
     WatchServerList,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! streamarch: the decisions of a gateway that meters many customers' use of one shared service.
+//! The decisions of a gateway that meters and limits many customers' use of one shared service.
 //!
-//! A host feeds [`Event`]s to a [`Balancer`] and carries out the [`Action`]s it gets back. The library opens
-//! no sockets, reads no clock and starts no threads. The decisions are in `policy/`, by concern; the types are in
-//! `interface.rs`, what a gateway remembers in `state.rs`.
+//! A host passes [`Event`]s to a [`Balancer`] and carries out the [`Action`]s that it returns. The library opens
+//! no sockets, reads no clock and starts no threads. `interface.rs` has the public types, `state.rs` the state of a
+//! gateway, and `policy/` the decisions, one file for each concern.
 
 mod interface;
 mod policy;
@@ -12,7 +12,7 @@
 pub use policy::should_shed;
 pub use state::Balancer;
 
-/// Compiles the example of the README.
+/// Compiles the examples in the README as doc tests.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
