--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,63 +1,67 @@
 //! Quota: local count, calls to the counter and their verdicts, what is given back.
 
-use super::meters::{Counted, Store, window_at};
+use super::meters::{Charge, TokenBucket, window_at};
 use super::*;
 
 /// Window of the count of attempts out: what a dead gateway left in it is forgotten at the turn.
-const OPEN_WINDOW: Micros = 4 * SECOND;
+const CONCURRENCY_WINDOW: Micros = 4 * SECOND;
 /// Within its slice a gateway asks anew for a customer found over quota, but not more often than this.
-const VERDICT_FRESH: Micros = 100_000;
+const MIN_RECHECK_INTERVAL: Micros = 100_000;
 /// The wait for the counter is at most this share of the aim.
-const WAIT_SHARE: f64 = 0.15;
+const COUNTER_WAIT_SHARE: f64 = 0.15;
 /// So many calls in a row without any sign of life, and the counter counts as lost.
-const LOST_AFTER: u32 = 4;
+const LOST_AFTER_FAILURES: u32 = 4;
 /// Calls that fail within this of one another are one sign: they were on one connection that broke.
-const FAILURES_APART: Micros = 3_000;
+const FAILURE_MERGE_INTERVAL: Micros = 3_000;
 /// Pace, the share of requests that make a call: at first that of so many gateways in all, times the
 /// climb while no call has failed yet; then cut and raised by calls, down to the least. Low: as if lost.
-const PACE_FIRST: f64 = 64.0;
-const PACE_CLIMB: f64 = 1.5;
-const PACE_CUT: f64 = 0.75;
-const PACE_RISE: f64 = 1.15;
-const PACE_LOW: f64 = 0.5;
-const PACE_LEAST: f64 = 1.0 / 65536.0;
+const INITIAL_CALLING_GATEWAYS: f64 = 64.0;
+const SLOW_START_FACTOR: f64 = 1.5;
+const CALL_SHARE_DECREASE: f64 = 0.75;
+const CALL_SHARE_INCREASE: f64 = 1.15;
+const LOW_CALL_SHARE: f64 = 0.5;
+const MIN_CALL_SHARE: f64 = 1.0 / 65536.0;
 /// Odds of a call, times this at the allowance and for the plan where use beyond the quota costs most.
-const PACE_FAVOUR: f64 = 6.0;
+const CALL_ODDS_FACTOR: f64 = 6.0;
 /// A total within this share of one's own add is that add alone. Of units given back this share stays: else
 /// the next gateway, too, would find itself alone and carry over what the window before left once more.
-const SAME: f64 = 1e-5;
-const TRACE: f64 = 1e-3;
+const SAME_TOTAL_TOLERANCE: f64 = 1e-5;
+const RETAINED_SHARE: f64 = 1e-3;
 /// What is missing at the counter is told so many seconds after the turn, with this chance for each total.
-const MISSING_AFTER: f64 = 0.2;
-const MISSING_TOLD: f64 = 0.3;
+const RESTORE_DELAY_S: f64 = 0.2;
+const RESTORE_PROBABILITY: f64 = 0.3;
 /// Share of its allowance that an unknown customer is taken to use.
-const USE_GUESS: f64 = 0.5;
+const INITIAL_USED_SHARE: f64 = 0.5;
 /// Least share of the tries of a customer at its cap that still asks a crowded counter.
-const ASK_LEAST: f64 = 0.1;
+const MIN_CHECK_PROBABILITY: f64 = 0.1;
 /// A call adds its units from this chance on that they pass; else a little, to know itself as the first.
-const LIKELY: f64 = 0.5;
-const ADD_LEAST: f64 = 0.02;
+const LIKELY_ADMITTED: f64 = 0.5;
+const MIN_COUNTED_SHARE: f64 = 0.02;
 /// While the counter is lost, one call in this time looks whether it is back.
-const LOST_PROBE: Micros = SECOND;
+const LOST_PROBE_INTERVAL: Micros = SECOND;
 
 impl Balancer {
     /// Danger: gateways that start together would crowd the counter before any of them has heard of it.
-    pub(super) fn first_pace(&self) -> f64 {
-        (PACE_FIRST / self.gateways()).min(1.0)
+    pub(super) fn initial_call_share(&self) -> f64 {
+        (INITIAL_CALLING_GATEWAYS / self.gateways()).min(1.0)
     }
 
-    pub(super) fn counter_lost(&self) -> bool {
-        self.counter.failures >= LOST_AFTER
+    pub(super) fn is_counter_lost(&self) -> bool {
+        self.counter_health.consecutive_failures >= LOST_AFTER_FAILURES
     }
 
     /// The ordinary path: local count, then the calls; the verdict falls when they are answered.
-    pub(super) fn ask(&mut self, id: RequestId) {
-        let Some(request) = self.held.get(&id).map(|h| h.request.clone()) else {
+    pub(super) fn check_quota(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id).map(|h| h.request.clone()) else {
             return;
         };
-        let (now, booted, who) = (self.now, self.booted.unwrap_or(self.now), request.customer);
+        let (now, booted, who) = (
+            self.now,
+            self.started_at.unwrap_or(self.now),
+            request.customer,
+        );
         let Some(plan) = self.settings.plans.get(request.plan).cloned() else {
-            return self.place(id);
+            return self.send_attempt(id);
         };
         // Danger: who is unknown here may have used up much of the window under the plan before.
         let same = |since| {
@@ -68,9 +72,9 @@
             .predecessor
             .filter(|(since, _)| plan.inherited_window > 0 && same(*since));
         let before = changed.map_or(request.plan, |c| c.1);
-        let unknown = || Customer::unknown(before, booted, USE_GUESS);
+        let unknown = || Customer::unknown(before, booted, INITIAL_USED_SHARE);
         let customer = self.customers.entry(who).or_insert_with(unknown);
-        customer.seen = now;
+        customer.last_seen_at = now;
         let last = std::mem::replace(&mut customer.plan, request.plan);
         let kept = |old: &&Plan| {
             old.inherited_window.max(plan.inherited_window) > 0
@@ -83,24 +87,32 @@
             .filter(|_| last != request.plan)
             .filter(kept)
         {
-            customer
-                .units
-                .replan(Store::of_rate(old), Store::of_rate(&plan), who, now);
+            customer.units.change_plan(
+                TokenBucket::of_plan(old),
+                TokenBucket::of_plan(&plan),
+                who,
+                now,
+            );
         }
-        let granted = customer.granted(now).max(ASK_LEAST);
+        let granted = customer
+            .effective_admit_share(now)
+            .max(MIN_CHECK_PROBABILITY);
         let spread = f64::from(
             request
                 .customer_gateways
                 .clamp(1, self.settings.gateway_count.max(1)),
         );
-        let lost = self.counter_lost();
+        let lost = self.is_counter_lost();
         // Danger: cut off, or with a counter that knows nothing of the open window, all gateways grant all.
         let sliced = self.settings.even_shares_counter_lost
-            && (lost || now - self.counter.since < plan.window_length());
+            && (lost || now - self.counter_health.replaced_at < plan.window_length());
         // Danger: at a crowded counter denied tries hold places of the cap while they wait and deny others.
-        let asks = plan.max_concurrent == 0 || self.counter.pace >= 1.0 || self.random() < granted;
-        let usable =
-            asks && self.settings.counter_available && (!lost || now >= self.counter.next_probe);
+        let asks = plan.max_concurrent == 0
+            || self.counter_health.base_call_share >= 1.0
+            || self.random() < granted;
+        let usable = asks
+            && self.settings.counter_available
+            && (!lost || now >= self.counter_health.next_probe_at);
         let first = self.settings.even_share_first;
         let share = if lost || first {
             1.0
@@ -115,57 +127,67 @@
         };
         let units = |open| if open { 1.0 } else { request.units };
         let counted = |open| {
-            self.store_of(request.plan, open)
+            self.bucket_of(request.plan, open)
                 .map(|store| (open, store, units(open)))
         };
-        let meters: Vec<Counted> = [false, true].into_iter().filter_map(counted).collect();
+        let meters: Vec<Charge> = [false, true].into_iter().filter_map(counted).collect();
         let how = (plan.max_concurrent, spread, sliced, weight == 0.0);
-        let (mut fits, within) = self.fits_here(who, how, &meters);
+        let (mut fits, within) = self.check_locally(who, how, &meters);
         // Danger: a share of the tries that pass unasked grows with them, and the refused come back at once.
-        let informed =
-            plan.max_concurrent == 0 && self.customers.get(&who).is_some_and(|c| c.units.read);
-        fits = fits && (weight > 0.0 || informed || sliced || self.random() < self.alone(who));
-        let ceiling = |c: &mut Customer| c.take_ceiling(&plan, spread, request.units, now);
+        let informed = plan.max_concurrent == 0
+            && self
+                .customers
+                .get(&who)
+                .is_some_and(|c| c.units.total_received);
+        fits = fits
+            && (weight > 0.0
+                || informed
+                || sliced
+                || self.random() < self.unchecked_admit_probability(who));
+        let ceiling = |c: &mut Customer| c.take_hard_limit(&plan, spread, request.units, now);
         fits = fits
             && (plan.hard_limit_rate_per_s <= 0.0
                 || self.customers.get_mut(&who).is_some_and(ceiling));
         if fits {
-            self.count(&request, &meters, weight, spread);
+            self.count_request(&request, &meters, weight, spread);
         }
-        let Some(held) = self.held.get_mut(&id) else {
+        let Some(held) = self.requests.get_mut(&id) else {
             return;
         };
-        held.denied = !fits;
-        if !fits || held.calls == 0 || lost || (first && within) {
-            return self.verdict(id);
+        held.is_denied = !fits;
+        if !fits || held.pending_calls == 0 || lost || (first && within) {
+            return self.decide(id);
         }
         let aim = self
             .settings
             .classes
             .get(request.class)
             .map_or(SECOND, |c| c.latency_target);
-        self.due(now + (aim as f64 * WAIT_SHARE) as Micros, Due::Wait(id));
+        self.schedule(
+            now + (aim as f64 * COUNTER_WAIT_SHARE) as Micros,
+            Timer::CounterWait(id),
+        );
     }
 
     /// The store of a plan. Danger: attempts out of a dead gateway must not fill the cap for good: windows.
-    fn store_of(&self, plan: usize, open: bool) -> Option<Store> {
+    fn bucket_of(&self, plan: usize, open: bool) -> Option<TokenBucket> {
         let plan = self.settings.plans.get(plan)?;
-        let places = Store {
-            rate: 0.0,
+        let places = TokenBucket {
+            rate_per_s: 0.0,
             burst: plan.max_concurrent.into(),
-            window: OPEN_WINDOW,
-            most: 0.0,
+            window: CONCURRENCY_WINDOW,
+            max_carryover: 0.0,
         };
         let (store, kept) = if open {
             (places, places.burst)
         } else {
-            (Store::of_rate(plan), plan.rate_per_s)
+            (TokenBucket::of_plan(plan), plan.rate_per_s)
         };
         (kept > 0.0).then_some(store)
     }
 
     /// The chance to pass without a verdict: as verdicts went; none where passing beyond would cost more.
-    fn alone(&self, customer: CustomerId) -> f64 {
+    fn unchecked_admit_probability(&self, customer: CustomerId) -> f64 {
         let Some(known) = self.customers.get(&customer) else {
             return 1.0;
         };
@@ -173,113 +195,123 @@
             (p.over_quota_cost_share - p.over_quota_value_share).max(0.0)
         });
         let even = loss / (1.0 + loss);
-        ((known.granted(self.now) - even) / (1.0 - even)).clamp(0.0, 1.0)
+        ((known.effective_admit_share(self.now) - even) / (1.0 - even)).clamp(0.0, 1.0)
     }
 
     /// The local count: who is over past its slice makes no call; and whether all fit that do as this one.
-    fn fits_here(
+    fn check_locally(
         &mut self,
         who: CustomerId,
         how: (u32, f64, bool, bool),
-        all: &[Counted],
+        all: &[Charge],
     ) -> (bool, bool) {
         let (most, spread, sliced, alone) = how;
         let (now, lost) = (
             self.now,
-            alone || self.counter_lost() || self.counter.pace < PACE_LOW,
+            alone || self.is_counter_lost() || self.counter_health.base_call_share < LOW_CALL_SHARE,
         );
         let Some(customer) = self.customers.get_mut(&who) else {
             return (true, false);
         };
-        let (mut fits, mut within) = (most == 0 || customer.out < i64::from(most), true);
+        let (mut fits, mut within) = (most == 0 || customer.in_flight < i64::from(most), true);
         for (open, store, units) in all {
             let meter = customer.meter(*open);
-            let room = meter.turn(*store, who, now);
-            meter.asked += units;
-            let past_slice = store.rate > 0.0 && meter.asked > (room / spread).max(*units);
-            let told_lately = now - meter.called < VERDICT_FRESH;
+            let room = meter.advance(*store, who, now);
+            meter.requested += units;
+            let past_slice =
+                store.rate_per_s > 0.0 && meter.requested > (room / spread).max(*units);
+            let told_lately = now - meter.last_call_at < MIN_RECHECK_INTERVAL;
             let known = units
                 + if alone {
                     meter.expected(now)
                 } else {
-                    meter.estimate() + meter.carry
+                    meter.estimate() + meter.uncounted
                 };
-            fits &= known <= room || !(lost || (meter.over && (past_slice || told_lately)));
+            fits &= known <= room || !(lost || (meter.over_quota && (past_slice || told_lately)));
             let fleet = if self.settings.even_share_first {
-                meter.fleet
+                meter.extrapolated_in_window
             } else {
-                meter.unheard
+                meter.extrapolated_since_total
             };
             let slice = fleet + (units * spread).min(room) <= room;
-            fits &= !sliced || store.rate <= 0.0 || slice;
+            fits &= !sliced || store.rate_per_s <= 0.0 || slice;
             within &= known <= room && slice;
         }
         (fits, within)
     }
 
-    fn count(&mut self, request: &Request, meters: &[Counted], weight: f64, spread: f64) {
+    fn count_request(&mut self, request: &Request, meters: &[Charge], weight: f64, spread: f64) {
         let now = self.now;
-        let (grant, mut counted) = (self.alone(request.customer), Vec::new());
+        let (grant, mut counted) = (
+            self.unchecked_admit_probability(request.customer),
+            Vec::new(),
+        );
         let likely = self
             .customers
             .get(&request.customer)
-            .is_none_or(|c| c.granted(now) >= LIKELY);
+            .is_none_or(|c| c.effective_admit_share(now) >= LIKELY_ADMITTED);
         for &(open, store, units) in meters {
             let Some(customer) = self.customers.get_mut(&request.customer) else {
                 return;
             };
             let meter = customer.meter(open);
-            meter.unheard += if open { 0.0 } else { units * spread };
-            meter.fleet += units * spread;
+            meter.extrapolated_since_total += if open { 0.0 } else { units * spread };
+            meter.extrapolated_in_window += units * spread;
             if weight == 0.0 {
                 // What the counter was not told goes along with the next call.
-                meter.carry += if open { 0.0 } else { units };
+                meter.uncounted += if open { 0.0 } else { units };
                 continue;
             }
-            (meter.called, self.counter.next_probe) = (now, now + LOST_PROBE);
+            (meter.last_call_at, self.counter_health.next_probe_at) =
+                (now, now + LOST_PROBE_INTERVAL);
             // It adds its own if that is likely let through, and what is likely let through of others.
             let own = units
                 * if open || likely {
                     1.0
                 } else {
-                    ADD_LEAST.max(self.settings.min_counted_share)
+                    MIN_COUNTED_SHARE.max(self.settings.min_counted_share)
                 };
             let others = units * (weight - 1.0) * grant;
             let (stands_for, add) = (
                 own + others - units,
-                own + others + std::mem::take(&mut meter.carry),
+                own + others + std::mem::take(&mut meter.uncounted),
             );
             // Danger: the chance of few calls adds up over a window. Where those that one stood for do not
             // come, or are more, the next puts it right.
-            meter.carry = if open { 0.0 } else { -others };
-            meter.flying += add;
-            meter.current += add;
-            let (id, window) = (Some(request.id), meter.window);
+            meter.uncounted = if open { 0.0 } else { -others };
+            meter.pending += add;
+            meter.known_total += add;
+            let (id, window) = (Some(request.id), meter.window_index);
             counted.push((open, window, if open { own + others } else { own }));
             let customer = request.customer;
-            let call = Call {
-                id,
+            let call = CounterCall {
+                request: id,
                 customer,
-                window,
-                add,
-                stands_for,
-                open,
-                ..Call::default()
+                window_index: window,
+                amount: add,
+                extrapolated: stands_for,
+                concurrency: open,
+                ..CounterCall::default()
             };
-            self.call(call, store.window);
+            self.call_counter(call, store.window);
         }
         self.customers
             .entry(request.customer)
-            .and_modify(|c| c.out += 1);
-        self.held
+            .and_modify(|c| c.in_flight += 1);
+        self.requests
             .entry(request.id)
-            .and_modify(|h| (h.opened, h.counted) = (true, counted));
+            .and_modify(|h| (h.holds_slot, h.counted) = (true, counted));
     }
 
     /// The share of requests that make a call: more of those that may find the customer over at a cost.
     fn call_share(&self, request: &Request) -> f64 {
         let known = self.customers.get(&request.customer);
-        let used = known.map_or(USE_GUESS, |c| c.units.used.max(c.open.used).clamp(0.0, 1.0));
+        let used = known.map_or(INITIAL_USED_SHARE, |c| {
+            c.units
+                .used_share
+                .max(c.concurrency.used_share)
+                .clamp(0.0, 1.0)
+        });
         let cost = |p: &Plan| p.value_factor * p.over_quota_cost_share;
         let most = self
             .settings
@@ -292,62 +324,64 @@
             .plans
             .get(request.plan)
             .map_or(0.0, |p| cost(p) / most);
-        let favoured = self.counter.pace * PACE_FAVOUR.powf(used + stake - 1.0);
-        favoured / (favoured + (1.0 - self.counter.pace))
+        let favoured =
+            self.counter_health.base_call_share * CALL_ODDS_FACTOR.powf(used + stake - 1.0);
+        favoured / (favoured + (1.0 - self.counter_health.base_call_share))
     }
 
-    fn call(&mut self, call: Call, length: Micros) {
+    fn call_counter(&mut self, call: CounterCall, length: Micros) {
         // All gateways compute the same name.
-        let count = mix(call.customer.0.wrapping_mul(2) + u64::from(call.open));
-        let name = CounterKey(mix(count ^ call.window as u64) >> 1);
-        let call = Call {
-            made: self.now,
+        let count = splitmix64(call.customer.0.wrapping_mul(2) + u64::from(call.concurrency));
+        let name = CounterKey(splitmix64(count ^ call.window_index as u64) >> 1);
+        let call = CounterCall {
+            made_at: self.now,
             ..call
         };
-        self.calls.entry(name).or_default().push_back(call);
-        call.id
+        self.counter_calls.entry(name).or_default().push_back(call);
+        call.request
             .into_iter()
-            .for_each(|id| _ = self.held.get_mut(&id).map(|h| h.calls += 1));
+            .for_each(|id| _ = self.requests.get_mut(&id).map(|h| h.pending_calls += 1));
         self.actions.push(Action::AddToCounter {
             key: name,
-            amount: call.add,
+            amount: call.amount,
             expires_in: 2 * length + SECOND,
         });
     }
 
-    pub(super) fn on_counted(&mut self, name: CounterKey, outcome: Outcome, total: f64) {
-        let Some(queue) = self.calls.get_mut(&name) else {
+    pub(super) fn on_counter_answer(&mut self, name: CounterKey, outcome: Outcome, total: f64) {
+        let Some(queue) = self.counter_calls.get_mut(&name) else {
             return;
         };
         let Some(call) = queue.pop_front() else {
             return;
         };
         if queue.is_empty() {
-            self.calls.remove(&name);
+            self.counter_calls.remove(&name);
         }
-        self.counter_heard(
+        self.update_counter_health(
             outcome,
-            self.now - call.made > self.settings.counter_timeout,
+            self.now - call.made_at > self.settings.counter_timeout,
         );
-        let denied = self.answer(call, outcome, total);
-        let Some(id) = call.id else { return };
-        let Some(held) = self.held.get_mut(&id).filter(|h| h.calls > 0) else {
+        let denied = self.apply_answer(call, outcome, total);
+        let Some(id) = call.request else { return };
+        let Some(held) = self.requests.get_mut(&id).filter(|h| h.pending_calls > 0) else {
             return;
         };
-        held.denied |= denied;
-        held.calls -= 1;
-        if held.calls == 0 {
+        held.is_denied |= denied;
+        held.pending_calls -= 1;
+        if held.pending_calls == 0 {
             if outcome == Outcome::Ok {
-                self.learn_grant(id);
+                self.update_admit_share(id);
             }
-            self.verdict(id);
+            self.decide(id);
         }
     }
 
     /// Danger: each of hundreds of gateways lets a customer's first requests pass before it has a verdict of
     /// its own. While the counter is crowded a verdict against a customer is told to all its gateways.
-    fn learn_grant(&mut self, id: RequestId) {
-        let Some((request, denied)) = self.held.get(&id).map(|h| (&h.request, h.denied)) else {
+    fn update_admit_share(&mut self, id: RequestId) {
+        let Some((request, denied)) = self.requests.get(&id).map(|h| (&h.request, h.is_denied))
+        else {
             return;
         };
         let (now, many, own) = (
@@ -358,12 +392,13 @@
         let Some(known) = self.customers.get_mut(&request.customer) else {
             return;
         };
-        known.grant += (f64::from(u8::from(!denied)) - known.grant) * GRANT_GAIN;
-        let crowded = self.settings.can_notify_gateways && self.counter.pace < 1.0;
-        if !denied || !crowded || now - known.told < TELL_EVERY {
+        known.admit_share += (f64::from(u8::from(!denied)) - known.admit_share) * ADMIT_SHARE_GAIN;
+        let crowded =
+            self.settings.can_notify_gateways && self.counter_health.base_call_share < 1.0;
+        if !denied || !crowded || now - known.last_notice_at < MIN_NOTICE_INTERVAL {
             return;
         }
-        known.told_over(now);
+        known.record_notice(now);
         let notice = OverQuotaNotice {
             customer: request.customer,
             plan: request.plan,
@@ -377,74 +412,89 @@
     }
 
     /// Another gateway's verdict counts as one's own; it fades, so that the customer is tried again.
-    pub(super) fn on_told(&mut self, notice: OverQuotaNotice) {
-        let (now, booted) = (self.now, self.booted.unwrap_or(self.now));
+    pub(super) fn on_notice(&mut self, notice: OverQuotaNotice) {
+        let (now, booted) = (self.now, self.started_at.unwrap_or(self.now));
         let unknown = || Customer::unknown(notice.plan, booted, 1.0);
         self.customers
             .entry(notice.customer)
             .or_insert_with(unknown)
-            .told_over(now);
+            .record_notice(now);
     }
 
-    fn answer(&mut self, call: Call, outcome: Outcome, total: f64) -> bool {
-        let (now, chance, grant) = (self.now, self.random(), self.alone(call.customer));
+    fn apply_answer(&mut self, call: CounterCall, outcome: Outcome, total: f64) -> bool {
+        let (now, chance, grant) = (
+            self.now,
+            self.random(),
+            self.unchecked_admit_probability(call.customer),
+        );
         let Some(plan) = self.customers.get(&call.customer).map(|c| c.plan) else {
             return false;
         };
-        let Some(store) = self.store_of(plan, call.open) else {
+        let Some(store) = self.bucket_of(plan, call.concurrency) else {
             return false;
         };
         let Some(known) = self.customers.get_mut(&call.customer) else {
             return false;
         };
-        let meter = known.meter(call.open);
-        let room = meter.turn(store, call.customer, now);
-        let present = call.window == meter.window;
+        let meter = known.meter(call.concurrency);
+        let room = meter.advance(store, call.customer, now);
+        let present = call.window_index == meter.window_index;
         let strict = self.settings.even_share_first;
-        let blind = strict || (!meter.read && chance >= grant);
-        meter.flying = (meter.flying - if present { call.add.max(0.0) } else { 0.0 }).max(0.0);
+        let blind = strict || (!meter.total_received && chance >= grant);
+        meter.pending = (meter.pending - if present { call.amount.max(0.0) } else { 0.0 }).max(0.0);
         match outcome {
             Outcome::Ok if present => {
                 // Danger: a give-back makes a count look fresh again; what still counts is added once.
-                let first =
-                    call.id.is_some() && (total - call.add).abs() < SAME * call.add && !meter.read;
-                meter.read |= call.id.is_some();
-                meter.debt = if call.carries { 0.0 } else { meter.debt };
+                let first = call.request.is_some()
+                    && (total - call.amount).abs() < SAME_TOTAL_TOLERANCE * call.amount
+                    && !meter.total_received;
+                meter.total_received |= call.request.is_some();
+                meter.carryover = if call.is_carryover {
+                    0.0
+                } else {
+                    meter.carryover
+                };
                 let (told, flowed) = (total, room - store.burst);
-                let total = meter.learn(call.add, told, flowed, (store.rate, now));
-                let total = total + meter.spill - call.stands_for;
+                let total = meter.record_total(call.amount, told, flowed, (store.rate_per_s, now));
+                let total = total + meter.overflow - call.extrapolated;
                 // Not all at once, and not while the first of the window may still be reading the one before.
-                if !strict && flowed > store.rate * MISSING_AFTER && chance < MISSING_TOLD {
-                    meter.tell_missing(told);
+                if !strict
+                    && flowed > store.rate_per_s * RESTORE_DELAY_S
+                    && chance < RESTORE_PROBABILITY
+                {
+                    meter.restore_missing(told);
                 }
                 let over = total > room;
-                meter.used = total / room.max(1e-9);
+                meter.used_share = total / room.max(1e-9);
                 // What is given back or read says nothing of who asks next.
-                let asks = call.add > 0.0 || (call.id.is_some() && !call.open);
-                meter.over = if asks { over } else { meter.over };
-                if first && store.rate > 0.0 {
+                let asks = call.amount > 0.0 || (call.request.is_some() && !call.concurrency);
+                meter.over_quota = if asks { over } else { meter.over_quota };
+                if first && store.rate_per_s > 0.0 {
                     // The first to count in a window reads the total of the one before, for all.
-                    let read = Call {
-                        id: None,
-                        window: call.window - 1,
-                        add: 0.0,
-                        stands_for: 0.0,
+                    let read = CounterCall {
+                        request: None,
+                        window_index: call.window_index - 1,
+                        amount: 0.0,
+                        extrapolated: 0.0,
                         ..call
                     };
-                    self.call(read, store.window);
+                    self.call_counter(read, store.window);
                 }
                 over
             }
-            Outcome::Ok if call.window + 1 == meter.window && call.add == 0.0 => {
-                let (window, own) = (meter.window, if strict { 0.0 } else { meter.debt });
-                let add = store.overhang(total).max(own);
-                (meter.current, meter.flying) = (meter.current + add, meter.flying + add);
+            Outcome::Ok if call.window_index + 1 == meter.window_index && call.amount == 0.0 => {
+                let (window, own) = (
+                    meter.window_index,
+                    if strict { 0.0 } else { meter.carryover },
+                );
+                let add = store.carryover(total).max(own);
+                (meter.known_total, meter.pending) = (meter.known_total + add, meter.pending + add);
                 if add > 0.0 {
-                    self.call(
-                        Call {
-                            window,
-                            add,
-                            carries: true,
+                    self.call_counter(
+                        CounterCall {
+                            window_index: window,
+                            amount: add,
+                            is_carryover: true,
                             ..call
                         },
                         store.window,
@@ -452,56 +502,62 @@
                 }
                 false
             }
-            Outcome::Ok => total - call.stands_for > room,
+            Outcome::Ok => total - call.extrapolated > room,
             // No verdict: the request passes, unless what is known shows the customer over.
             Outcome::TimedOut => blind || meter.expected(now) > room,
             // Nothing was added: what passes goes along with the next call. Danger: what was never added and
             // is given back leaves a counter that turns calls away below nothing.
             _ => {
-                let held = call.id.and_then(|id| self.held.get_mut(&id));
+                let held = call.request.and_then(|id| self.requests.get_mut(&id));
                 let units = held
                     .as_ref()
-                    .filter(|_| !call.open)
+                    .filter(|_| !call.concurrency)
                     .map_or(0.0, |h| h.request.units);
                 let counted = held.map(|h| &mut h.counted);
                 let own = counted.map_or(0.0, |c| {
-                    c.extract_if(.., |c| c.0 == call.open).map(|c| c.2).sum()
+                    c.extract_if(.., |c| c.0 == call.concurrency)
+                        .map(|c| c.2)
+                        .sum()
                 });
                 if present {
-                    meter.current -= call.add;
-                    meter.carry += call.add - own;
+                    meter.known_total -= call.amount;
+                    meter.uncounted += call.amount - own;
                 }
                 let denied = blind || meter.expected(now) + units > room;
-                meter.carry += if denied || !present { 0.0 } else { units };
+                meter.uncounted += if denied || !present { 0.0 } else { units };
                 denied
             }
         }
     }
 
     /// Danger: a crowded counter taken for lost. One that turns calls away is alive and only asked less.
-    fn counter_heard(&mut self, outcome: Outcome, slow: bool) {
-        let lost = self.counter_lost();
+    fn update_counter_health(&mut self, outcome: Outcome, slow: bool) {
+        let lost = self.is_counter_lost();
         // Danger: one connection that breaks fails all calls on it at once, and the counter passes for lost.
         let unheard = !matches!(outcome, Outcome::Ok | Outcome::Rejected);
-        let another = unheard && self.now - self.counter.failed >= FAILURES_APART;
-        self.counter.failed = if another {
+        let another =
+            unheard && self.now - self.counter_health.last_failure_at >= FAILURE_MERGE_INTERVAL;
+        self.counter_health.last_failure_at = if another {
             self.now
         } else {
-            self.counter.failed
+            self.counter_health.last_failure_at
         };
         let (factor, silent) = match outcome {
-            Outcome::Ok if self.counter.climbs && !slow => (PACE_CLIMB, 0),
-            Outcome::Ok if !slow => (PACE_RISE, 0),
-            Outcome::Ok | Outcome::Rejected => (PACE_CUT, 0),
+            Outcome::Ok if self.counter_health.in_slow_start && !slow => (SLOW_START_FACTOR, 0),
+            Outcome::Ok if !slow => (CALL_SHARE_INCREASE, 0),
+            Outcome::Ok | Outcome::Rejected => (CALL_SHARE_DECREASE, 0),
             _ => (
-                PACE_CUT,
-                self.counter.failures.saturating_add(u32::from(another)),
+                CALL_SHARE_DECREASE,
+                self.counter_health
+                    .consecutive_failures
+                    .saturating_add(u32::from(another)),
             ),
         };
-        self.counter.failures = silent;
-        self.counter.climbs &= outcome == Outcome::Ok && !slow;
-        self.counter.pace = (self.counter.pace * factor).clamp(PACE_LEAST, 1.0);
-        if lost != self.counter_lost() {
+        self.counter_health.consecutive_failures = silent;
+        self.counter_health.in_slow_start &= outcome == Outcome::Ok && !slow;
+        self.counter_health.base_call_share =
+            (self.counter_health.base_call_share * factor).clamp(MIN_CALL_SHARE, 1.0);
+        if lost != self.is_counter_lost() {
             self.log(
                 if lost {
                     "counter is back"
@@ -510,32 +566,35 @@
                 }
                 .to_string(),
             );
-            (self.counter.pace, self.counter.climbs) = (self.first_pace(), true);
+            (
+                self.counter_health.base_call_share,
+                self.counter_health.in_slow_start,
+            ) = (self.initial_call_share(), true);
         }
     }
 
     /// All calls are answered, or the wait for them is over: then the request passes.
-    pub(super) fn verdict(&mut self, id: RequestId) {
-        let Some(held) = self.held.get_mut(&id).filter(|h| !h.done) else {
+    pub(super) fn decide(&mut self, id: RequestId) {
+        let Some(held) = self.requests.get_mut(&id).filter(|h| !h.is_finished) else {
             return;
         };
-        held.calls = 0;
-        if held.denied {
-            self.give_back(id);
-            self.refuse(id);
+        held.pending_calls = 0;
+        if held.is_denied {
+            self.return_units(id);
+            self.reject(id);
         } else {
-            self.settle(id, true);
-            self.place(id);
+            self.settle_units(id, true);
+            self.send_attempt(id);
         }
     }
 
     /// What of its units was not added, or not used, is told at once. Danger: of many gateways each makes its
     /// next call for the customer windows later, and what passes on such verdicts is never counted.
-    fn settle(&mut self, id: RequestId, used: bool) {
-        let Some(held) = self.held.get_mut(&id) else {
+    fn settle_units(&mut self, id: RequestId, used: bool) {
+        let Some(held) = self.requests.get_mut(&id) else {
             return;
         };
-        let units = held.request.units * if used { 1.0 } else { TRACE };
+        let units = held.request.units * if used { 1.0 } else { RETAINED_SHARE };
         let added = held.counted.iter_mut().filter(|(open, ..)| !open);
         let spare: Vec<_> = added
             .map(|(_, at, own)| (*at, std::mem::replace(own, units) - units))
@@ -546,19 +605,19 @@
     }
 
     /// Refused units are added back negatively, and a place among the attempts out is given up.
-    pub(super) fn give_back(&mut self, id: RequestId) {
-        self.close_open(id);
-        self.settle(id, false);
+    pub(super) fn return_units(&mut self, id: RequestId) {
+        self.release_slot(id);
+        self.settle_units(id, false);
     }
 
     fn add_back(&mut self, id: RequestId, open: bool, window: i64, units: f64) {
-        let Some(request) = self.held.get(&id).map(|h| h.request.clone()) else {
+        let Some(request) = self.requests.get(&id).map(|h| h.request.clone()) else {
             return;
         };
-        let Some(store) = self.store_of(request.plan, open) else {
+        let Some(store) = self.bucket_of(request.plan, open) else {
             return;
         };
-        let (customer, lost) = (request.customer, self.counter_lost());
+        let (customer, lost) = (request.customer, self.is_counter_lost());
         let Some(meter) = self
             .customers
             .get_mut(&customer)
@@ -566,40 +625,40 @@
         else {
             return;
         };
-        meter.turn(store, customer, self.now);
-        let present = window == meter.window;
+        meter.advance(store, customer, self.now);
+        let present = window == meter.window_index;
         // A place is given up at once where they are scarce or no call follows soon, else with the next.
-        let scarce = meter.current * 2.0 >= store.burst || meter.asked < store.burst;
+        let scarce = meter.known_total * 2.0 >= store.burst || meter.requested < store.burst;
         let waits = lost
             || if open {
                 !scarce && units <= 1.0
             } else {
-                units.abs() < LIKELY * request.units
+                units.abs() < LIKELY_ADMITTED * request.units
             };
         // Danger: given back to a later window than it was counted in, the new one would grant it again.
         if present && (open || !waits) {
-            meter.flying += (-units).max(0.0);
-            meter.current = (meter.current - units).max(0.0);
+            meter.pending += (-units).max(0.0);
+            meter.known_total = (meter.known_total - units).max(0.0);
         }
-        let back = Call {
+        let back = CounterCall {
             customer,
-            window,
-            add: -units,
-            open,
-            ..Call::default()
+            window_index: window,
+            amount: -units,
+            concurrency: open,
+            ..CounterCall::default()
         };
         match (present, waits) {
-            (true, true) => meter.carry -= units,
+            (true, true) => meter.uncounted -= units,
             (false, _) if open => {}
-            _ => self.call(back, store.window),
+            _ => self.call_counter(back, store.window),
         }
     }
 
-    pub(super) fn close_open(&mut self, id: RequestId) {
-        let Some(held) = self.held.get_mut(&id).filter(|h| h.opened) else {
+    pub(super) fn release_slot(&mut self, id: RequestId) {
+        let Some(held) = self.requests.get_mut(&id).filter(|h| h.holds_slot) else {
             return;
         };
-        held.opened = false;
+        held.holds_slot = false;
         let place = held
             .counted
             .iter()
@@ -607,7 +666,7 @@
             .map(|n| held.counted.remove(n));
         self.customers
             .entry(held.request.customer)
-            .and_modify(|c| c.out -= 1);
+            .and_modify(|c| c.in_flight -= 1);
         if let Some((open, window, units)) = place {
             self.add_back(id, open, window, units);
         }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -5,40 +5,45 @@
 impl Balancer {
     pub(super) fn on_request(&mut self, request: &Request) {
         let (id, deadline) = (request.id, request.deadline);
-        if self.held.contains_key(&id) {
+        if self.requests.contains_key(&id) {
             return;
         }
-        self.retries = (self.retries + self.settings.retry_budget.earned_per_request)
+        self.retry_balance = (self.retry_balance + self.settings.retry_budget.earned_per_request)
             .min(self.settings.retry_budget.max_balance);
-        self.held.insert(
+        self.requests.insert(
             id,
-            Held {
+            RequestState {
                 request: request.clone(),
-                ..Held::default()
+                ..RequestState::default()
             },
         );
         if self.settings.classes.get(request.class).is_none()
             || deadline <= self.now
             || should_shed(request)
         {
-            return self.refuse(id);
+            return self.reject(id);
         }
-        self.usual_worth += (self.worth_for_work(request) - self.usual_worth) * WORTH_GAIN;
-        self.due(deadline, Due::Deadline(id));
-        self.ask(id);
+        self.usual_value_rate +=
+            (self.value_per_work(request) - self.usual_value_rate) * VALUE_RATE_GAIN;
+        self.schedule(deadline, Timer::RequestDeadline(id));
+        self.check_quota(id);
     }
 
     pub(super) fn on_attempt_end(&mut self, end: &AttemptEnd) {
-        self.server_outcome(end);
+        self.record_outcome(end);
         let id = end.request;
-        let Some(held) = self.held.get_mut(&id) else {
+        let Some(held) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(index) = held.out.iter().position(|(n, _, _)| *n == end.attempt) else {
+        let Some(index) = held
+            .in_flight
+            .iter()
+            .position(|(n, _, _)| *n == end.attempt)
+        else {
             return;
         };
-        let (_, server, sent) = held.out.remove(index);
-        held.last = Some(server);
+        let (_, server, sent) = held.in_flight.remove(index);
+        held.last_server = Some(server);
         let may_have_run = match end.outcome {
             Outcome::Ok
             | Outcome::Error
@@ -47,12 +52,16 @@
             | Outcome::Cancelled => true,
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => false,
         };
-        if may_have_run && held.ran.is_none() {
+        if may_have_run && held.first_execution.is_none() {
             let (zone, cell) = self
                 .servers
                 .get(&server)
                 .map_or((u32::MAX, u32::MAX), |s| (s.zone, s.cell));
-            held.ran = Some(Ran { zone, cell, sent });
+            held.first_execution = Some(FirstExecution {
+                zone,
+                cell,
+                sent_at: sent,
+            });
         }
         // The difference between guessed and true units goes along with the customer's next call.
         if let Some(actual) = end
@@ -60,36 +69,36 @@
             .filter(|_| self.settings.units_are_estimates && !held.counted.is_empty())
             && let Some(known) = self.customers.get_mut(&held.request.customer)
         {
-            known.units.carry += actual - held.request.units;
+            known.units.uncounted += actual - held.request.units;
         }
-        let none_out = held.out.is_empty();
-        if end.request_finished || end.outcome == Outcome::Ok || held.done {
-            self.close(id);
+        let none_out = held.in_flight.is_empty();
+        if end.request_finished || end.outcome == Outcome::Ok || held.is_finished {
+            self.close_request(id);
         } else if none_out
             && end.outcome != Outcome::NotSent
-            && self.may_repeat(id)
-            && self.retries >= 1.0
+            && self.can_retry(id)
+            && self.retry_balance >= 1.0
         {
-            self.retries -= if may_have_run {
+            self.retry_balance -= if may_have_run {
                 1.0
             } else {
                 self.settings.retry_budget.unexecuted_cost
             };
-            self.place(id);
+            self.send_attempt(id);
         } else if none_out {
             self.give_up(id);
         }
     }
 
     /// Rule 2: a further attempt only where it cannot have its effect twice.
-    fn may_repeat(&self, id: RequestId) -> bool {
-        let Some(held) = self.held.get(&id) else {
+    fn can_retry(&self, id: RequestId) -> bool {
+        let Some(held) = self.requests.get(&id) else {
             return false;
         };
         let Some(class) = self.settings.classes.get(held.request.class) else {
             return false;
         };
-        let harmless = match (class.idempotency, held.ran) {
+        let harmless = match (class.idempotency, held.first_execution) {
             (Idempotency::Idempotent, _) | (_, None) => true,
             (
                 Idempotency::Keyed {
@@ -97,39 +106,43 @@
                     ..
                 },
                 Some(ran),
-            ) => self.now - ran.sent + self.settings.min_handle_interval < window,
+            ) => self.now - ran.sent_at + self.settings.min_handle_interval < window,
             (Idempotency::NotIdempotent, Some(_)) => false,
         };
         harmless
-            && held.attempts < self.settings.max_attempts.max(1)
+            && held.attempts_sent < self.settings.max_attempts.max(1)
             && self.now < held.request.deadline
     }
 
     /// The client left: nothing is owed, but what the request took and never used is given back.
-    pub(super) fn on_left(&mut self, id: RequestId) {
-        if self.held.get(&id).is_some_and(|h| h.attempts == 0) {
-            self.give_back(id);
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|h| h.attempts_sent == 0) {
+            self.return_units(id);
         }
-        self.close(id);
+        self.close_request(id);
     }
 
     /// Rule 1: no server, no further attempt or no time left; refused where that is true, else failed.
     pub(super) fn give_up(&mut self, id: RequestId) {
-        let Some(held) = self.held.get(&id).filter(|h| !h.done && !h.streaming) else {
+        let Some(held) = self
+            .requests
+            .get(&id)
+            .filter(|h| !h.is_finished && !h.is_streaming)
+        else {
             return;
         };
-        if held.attempts == 0 {
-            self.give_back(id);
+        if held.attempts_sent == 0 {
+            self.return_units(id);
         }
-        self.refuse(id);
+        self.reject(id);
     }
 
-    pub(super) fn refuse(&mut self, id: RequestId) {
+    pub(super) fn reject(&mut self, id: RequestId) {
         let chance = self.random();
-        let Some(held) = self.held.get(&id) else {
+        let Some(held) = self.requests.get(&id) else {
             return;
         };
-        let may_run = held.ran.is_some() || !held.out.is_empty();
+        let may_run = held.first_execution.is_some() || !held.in_flight.is_empty();
         let repeat = self
             .settings
             .classes
@@ -154,8 +167,8 @@
             .settings
             .plans
             .get(held.request.plan)
-            .filter(|p| held.denied && p.rate_per_s > 0.0);
-        let least = if self.counter_lost() {
+            .filter(|p| held.is_denied && p.rate_per_s > 0.0);
+        let least = if self.is_counter_lost() {
             self.settings.min_retry_after_counter_lost as f64
         } else {
             0.0
@@ -163,14 +176,14 @@
         let refill = |p: &Plan| (held.request.units / p.rate_per_s * SECOND as f64).max(least);
         // Danger: told the same time, all that were refused come back together. A place comes free in about
         // the time of an answer; later than the aim allows, a return is of no use.
-        let time = plan.map_or(self.work_of(held.request.class), refill) * (0.5 + chance);
+        let time = plan.map_or(self.class_work(held.request.class), refill) * (0.5 + chance);
         let stay_away = (time as Micros).min(most);
         let shed = Action::Shed {
             request: id,
             retry_after: stay_away,
-            over_quota: held.denied,
+            over_quota: held.is_denied,
         };
-        self.close(id);
+        self.close_request(id);
         self.actions.push(if safe || !may_run {
             shed
         } else {
@@ -179,14 +192,14 @@
     }
 
     /// The request is over; it is remembered, and holds its place, only while attempts are out.
-    fn close(&mut self, id: RequestId) {
-        let Some(held) = self.held.get_mut(&id) else {
+    fn close_request(&mut self, id: RequestId) {
+        let Some(held) = self.requests.get_mut(&id) else {
             return;
         };
-        held.done = true;
-        if held.out.is_empty() {
-            self.close_open(id);
-            self.held.remove(&id);
+        held.is_finished = true;
+        if held.in_flight.is_empty() {
+            self.release_slot(id);
+            self.requests.remove(&id);
         }
     }
 }
