--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -9,21 +9,21 @@
 
 /// What is wrong with the input, in plain words.
 #[derive(Debug)]
-pub struct Fault(String);
+pub struct InputError(String);
 
-impl Fault {
+impl InputError {
     /// A fault with this text.
-    pub fn new(text: &str) -> Fault {
-        Fault(text.to_string())
+    pub fn new(text: &str) -> InputError {
+        InputError(text.to_string())
     }
 
     /// The same fault with the number of its line.
-    pub fn at(self, line: usize) -> Fault {
-        Fault(format!("line {line}: {}", self.0))
+    pub fn at_line(self, line: usize) -> InputError {
+        InputError(format!("line {line}: {}", self.0))
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for InputError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -61,100 +61,100 @@
     }
 
     /// A text that must be there.
-    pub fn text(&self, name: &str) -> Result<&'a str, Fault> {
+    pub fn required_text(&self, name: &str) -> Result<&'a str, InputError> {
         self.get(name)
-            .ok_or_else(|| Fault(format!("'{}' lacks '{name}'", self.kind)))
+            .ok_or_else(|| InputError(format!("'{}' lacks '{name}'", self.kind)))
     }
 
-    fn bad(&self, name: &str, value: &str) -> Fault {
-        Fault(format!("'{}' has a bad '{name}': '{value}'", self.kind))
+    fn invalid(&self, name: &str, value: &str) -> InputError {
+        InputError(format!("'{}' has a bad '{name}': '{value}'", self.kind))
     }
 
     /// A whole number that may be absent.
-    pub fn whole(&self, name: &str) -> Result<Option<u64>, Fault> {
+    pub fn optional_integer(&self, name: &str) -> Result<Option<u64>, InputError> {
         self.get(name)
-            .map(|v| v.parse().map_err(|_| self.bad(name, v)))
+            .map(|v| v.parse().map_err(|_| self.invalid(name, v)))
             .transpose()
     }
 
     /// A whole number that must be there.
-    pub fn need(&self, name: &str) -> Result<u64, Fault> {
-        let value = self.text(name)?;
-        value.parse().map_err(|_| self.bad(name, value))
+    pub fn required_integer(&self, name: &str) -> Result<u64, InputError> {
+        let value = self.required_text(name)?;
+        value.parse().map_err(|_| self.invalid(name, value))
     }
 
     /// A time that must be there.
-    pub fn signed(&self, name: &str) -> Result<Micros, Fault> {
-        let value = self.text(name)?;
-        value.parse().map_err(|_| self.bad(name, value))
+    pub fn required_time(&self, name: &str) -> Result<Micros, InputError> {
+        let value = self.required_text(name)?;
+        value.parse().map_err(|_| self.invalid(name, value))
     }
 
-    fn number(&self, name: &str) -> Result<Option<f64>, Fault> {
+    fn optional_float(&self, name: &str) -> Result<Option<f64>, InputError> {
         match self.get(name) {
             None => Ok(None),
             Some(v) => match v.parse::<f64>() {
                 Ok(number) if number.is_finite() => Ok(Some(number)),
-                _ => Err(self.bad(name, v)),
+                _ => Err(self.invalid(name, v)),
             },
         }
     }
 }
 
 /// An entry of a server list.
-pub fn entry(fields: &Fields) -> Result<ServerEntry, Fault> {
-    let state = match fields.need("Readiness")? {
+pub fn server_entry(fields: &Fields) -> Result<ServerEntry, InputError> {
+    let state = match fields.required_integer("Readiness")? {
         0 => ServerState::Removed,
         1 => ServerState::Ready,
         2 => ServerState::Draining,
-        other => return Err(fields.bad("Readiness", &other.to_string())),
+        other => return Err(fields.invalid("Readiness", &other.to_string())),
     };
     Ok(ServerEntry {
-        server: server(fields)?,
-        zone: fields.whole("RegionPart")?.unwrap_or(0) as u32,
-        machine_type: fields.whole("Hw")?.unwrap_or(0) as u32,
-        cell: fields.whole("Block")?.unwrap_or(0) as u32,
+        server: server_id(fields)?,
+        zone: fields.optional_integer("RegionPart")?.unwrap_or(0) as u32,
+        machine_type: fields.optional_integer("Hw")?.unwrap_or(0) as u32,
+        cell: fields.optional_integer("Block")?.unwrap_or(0) as u32,
         state,
-        weight: fields.number("Heft")?.unwrap_or(1.0),
-        started_at: fields.whole("SinceUs")?.unwrap_or(0) as Micros,
+        weight: fields.optional_float("Heft")?.unwrap_or(1.0),
+        started_at: fields.optional_integer("SinceUs")?.unwrap_or(0) as Micros,
     })
 }
 
-fn server(fields: &Fields) -> Result<ServerId, Fault> {
-    let number = fields.need("Server")?;
+fn server_id(fields: &Fields) -> Result<ServerId, InputError> {
+    let number = fields.required_integer("Server")?;
     u32::try_from(number)
         .map(ServerId)
-        .map_err(|_| fields.bad("Server", &number.to_string()))
+        .map_err(|_| fields.invalid("Server", &number.to_string()))
 }
 
 /// How a list is to be read.
-pub fn list_kind(code: u64) -> Result<ListKind, Fault> {
+pub fn list_kind(code: u64) -> Result<ListKind, InputError> {
     match code {
         0 => Ok(ListKind::Failed),
         1 => Ok(ListKind::Changes),
         2 => Ok(ListKind::Cached),
         3 => Ok(ListKind::Full),
-        other => Err(Fault(format!("unknown kind of list '{other}'"))),
+        other => Err(InputError(format!("unknown kind of list '{other}'"))),
     }
 }
 
 /// A request.
-pub fn request(fields: &Fields, id: RequestId) -> Result<Request, Fault> {
+pub fn request(fields: &Fields, id: RequestId) -> Result<Request, InputError> {
     Ok(Request {
         id,
-        class: fields.need("Category")? as usize,
-        plan: fields.need("Tariff")? as usize,
-        customer: CustomerId(fields.need("Account")?),
-        deadline: fields.signed("NotAfterUs")?,
-        units: fields.number("Weight")?.unwrap_or(1.0),
-        customer_gateways: fields.whole("Doors")?.unwrap_or(0) as u32,
-        first_gateway: fields.whole("FirstDoor")?.unwrap_or(0) as u32,
-        is_client_retry: fields.whole("AgainByClient")?.unwrap_or(0) == 1,
+        class: fields.required_integer("Category")? as usize,
+        plan: fields.required_integer("Tariff")? as usize,
+        customer: CustomerId(fields.required_integer("Account")?),
+        deadline: fields.required_time("NotAfterUs")?,
+        units: fields.optional_float("Weight")?.unwrap_or(1.0),
+        customer_gateways: fields.optional_integer("Doors")?.unwrap_or(0) as u32,
+        first_gateway: fields.optional_integer("FirstDoor")?.unwrap_or(0) as u32,
+        is_client_retry: fields.optional_integer("AgainByClient")?.unwrap_or(0) == 1,
         ..Request::default()
     })
 }
 
-fn outcome(fields: &Fields) -> Result<Outcome, Fault> {
-    match fields.need("Result")? {
+fn outcome(fields: &Fields) -> Result<Outcome, InputError> {
+    match fields.required_integer("Result")? {
         0 => Ok(Outcome::Ok),
         5 => Ok(Outcome::Error),
         11 => Ok(Outcome::Rejected),
@@ -163,11 +163,11 @@
         111 => Ok(Outcome::ConnectFailed),
         114 => Ok(Outcome::NotSent),
         125 => Ok(Outcome::Cancelled),
-        other => Err(fields.bad("Result", &other.to_string())),
+        other => Err(fields.invalid("Result", &other.to_string())),
     }
 }
 
-fn report(fields: &Fields) -> Result<Option<LoadReport>, Fault> {
+fn load_report(fields: &Fields) -> Result<Option<LoadReport>, InputError> {
     let Some(text) = fields
         .get("Pressure")
         .filter(|t| !t.is_empty() && *t != "-")
@@ -178,8 +178,10 @@
     for pair in text.split(',') {
         let (name, value) = pair
             .split_once(':')
-            .ok_or_else(|| fields.bad("Pressure", text))?;
-        let value: f64 = value.parse().map_err(|_| fields.bad("Pressure", text))?;
+            .ok_or_else(|| fields.invalid("Pressure", text))?;
+        let value: f64 = value
+            .parse()
+            .map_err(|_| fields.invalid("Pressure", text))?;
         match name {
             "active" => report.active_requests = Some(value),
             "waiting" => report.queued_requests = Some(value),
@@ -194,30 +196,32 @@
 }
 
 /// The end of an attempt.
-pub fn attempt_end(fields: &Fields, request: RequestId) -> Result<AttemptEnd, Fault> {
+pub fn attempt_end(fields: &Fields, request: RequestId) -> Result<AttemptEnd, InputError> {
     Ok(AttemptEnd {
         request,
-        attempt: fields.need("N")? as u32,
-        server: server(fields)?,
+        attempt: fields.required_integer("N")? as u32,
+        server: server_id(fields)?,
         outcome: outcome(fields)?,
-        elapsed: fields.whole("RttUs")?.unwrap_or(0) as Micros,
-        request_finished: fields.whole("Closed")?.unwrap_or(0) == 1,
-        actual_units: fields.number("Actual")?.filter(|units| *units > 0.0),
-        load_report: report(fields)?,
+        elapsed: fields.optional_integer("RttUs")?.unwrap_or(0) as Micros,
+        request_finished: fields.optional_integer("Closed")?.unwrap_or(0) == 1,
+        actual_units: fields
+            .optional_float("Actual")?
+            .filter(|units| *units > 0.0),
+        load_report: load_report(fields)?,
     })
 }
 
 /// The counter's answer.
-pub fn counted(fields: &Fields) -> Result<Event, Fault> {
+pub fn counter_answer(fields: &Fields) -> Result<Event, InputError> {
     Ok(Event::CounterAnswered {
-        key: CounterKey(fields.need("SlotName")?),
+        key: CounterKey(fields.required_integer("SlotName")?),
         outcome: outcome(fields)?,
-        total: fields.number("Total")?.unwrap_or(0.0),
+        total: fields.optional_float("Total")?.unwrap_or(0.0),
     })
 }
 
 /// A notice as message bytes in hex: two bytes of plan, then the customer.
-pub fn notice(notice: &OverQuotaNotice) -> String {
+pub fn encode_notice(notice: &OverQuotaNotice) -> String {
     let digits = format!("{:x}", notice.customer.0);
     format!(
         "{:04x}{}{digits}",
@@ -227,8 +231,8 @@
 }
 
 /// A message from another gateway; `None` if it is no notice of this form.
-pub fn told(fields: &Fields) -> Result<Option<Event>, Fault> {
-    let message = fields.text("Msg")?;
+pub fn parse_notice(fields: &Fields) -> Result<Option<Event>, InputError> {
+    let message = fields.required_text("Msg")?;
     let parts = message
         .is_ascii()
         .then(|| message.split_at_checked(4))
@@ -247,10 +251,10 @@
 }
 
 /// The end of a probe.
-pub fn probe_end(fields: &Fields) -> Result<Event, Fault> {
+pub fn probe_end(fields: &Fields) -> Result<Event, InputError> {
     Ok(Event::ProbeEnd {
-        server: server(fields)?,
+        server: server_id(fields)?,
         outcome: outcome(fields)?,
-        load_report: report(fields)?,
+        load_report: load_report(fields)?,
     })
 }
