--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,4 +1,4 @@
-//! Reading the parts of a line.
+//! Parsing of the wire format's lines: a type and tab-separated `Name=value` fields.
 
 use std::fmt;
 
@@ -7,17 +7,17 @@
     OverQuotaNotice, Request, RequestId, ServerEntry, ServerId, ServerState,
 };
 
-/// What is wrong with the input, in plain words.
+/// An error in the input, with a message for the user.
 #[derive(Debug)]
 pub struct InputError(String);
 
 impl InputError {
-    /// A fault with this text.
+    /// An error with this message.
     pub fn new(text: &str) -> InputError {
         InputError(text.to_string())
     }
 
-    /// The same fault with the number of its line.
+    /// Adds the number of the line.
     pub fn at_line(self, line: usize) -> InputError {
         InputError(format!("line {line}: {}", self.0))
     }
@@ -29,15 +29,16 @@
     }
 }
 
-/// A line: what it is and its named parts.
+/// A line: its type and its fields.
 pub struct Fields<'a> {
-    /// The first part.
+    /// The type of the line.
     pub kind: &'a str,
     parts: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Fields<'a> {
-    /// Splits a line at its tabs; parts without '=' are ignored. `Params` and `Text` run to the end of the line.
+    /// Splits a line at its tabs. Parts without `=` are ignored; `Params` and `Text` extend to the end of the
+    /// line.
     pub fn parse(line: &'a str) -> Fields<'a> {
         let (kind, mut rest) = line.split_once('\t').unwrap_or((line, ""));
         let mut parts = Vec::new();
@@ -60,30 +61,33 @@
             .map(|(_, value)| *value)
     }
 
-    /// A text that must be there.
+    /// The text of a required field.
     pub fn required_text(&self, name: &str) -> Result<&'a str, InputError> {
         self.get(name)
-            .ok_or_else(|| InputError(format!("'{}' lacks '{name}'", self.kind)))
+            .ok_or_else(|| InputError(format!("'{}' line has no '{name}' field", self.kind)))
     }
 
     fn invalid(&self, name: &str, value: &str) -> InputError {
-        InputError(format!("'{}' has a bad '{name}': '{value}'", self.kind))
+        InputError(format!(
+            "'{}' line has an invalid '{name}': '{value}'",
+            self.kind
+        ))
     }
 
-    /// A whole number that may be absent.
+    /// The integer of an optional field.
     pub fn optional_integer(&self, name: &str) -> Result<Option<u64>, InputError> {
         self.get(name)
             .map(|v| v.parse().map_err(|_| self.invalid(name, v)))
             .transpose()
     }
 
-    /// A whole number that must be there.
+    /// The integer of a required field.
     pub fn required_integer(&self, name: &str) -> Result<u64, InputError> {
         let value = self.required_text(name)?;
         value.parse().map_err(|_| self.invalid(name, value))
     }
 
-    /// A time that must be there.
+    /// The time of a required field, in microseconds.
     pub fn required_time(&self, name: &str) -> Result<Micros, InputError> {
         let value = self.required_text(name)?;
         value.parse().map_err(|_| self.invalid(name, value))
@@ -100,7 +104,7 @@
     }
 }
 
-/// An entry of a server list.
+/// Parses an entry of a server list.
 pub fn server_entry(fields: &Fields) -> Result<ServerEntry, InputError> {
     let state = match fields.required_integer("Readiness")? {
         0 => ServerState::Removed,
@@ -126,18 +130,18 @@
         .map_err(|_| fields.invalid("Server", &number.to_string()))
 }
 
-/// How a list is to be read.
+/// The kind of a server list by its code on the wire.
 pub fn list_kind(code: u64) -> Result<ListKind, InputError> {
     match code {
         0 => Ok(ListKind::Failed),
         1 => Ok(ListKind::Changes),
         2 => Ok(ListKind::Cached),
         3 => Ok(ListKind::Full),
-        other => Err(InputError(format!("unknown kind of list '{other}'"))),
+        other => Err(InputError(format!("unknown kind of server list '{other}'"))),
     }
 }
 
-/// A request.
+/// Parses a request.
 pub fn request(fields: &Fields, id: RequestId) -> Result<Request, InputError> {
     Ok(Request {
         id,
@@ -195,7 +199,7 @@
     Ok(Some(report))
 }
 
-/// The end of an attempt.
+/// Parses the end of an attempt.
 pub fn attempt_end(fields: &Fields, request: RequestId) -> Result<AttemptEnd, InputError> {
     Ok(AttemptEnd {
         request,
@@ -211,7 +215,7 @@
     })
 }
 
-/// The counter's answer.
+/// Parses the answer to a call to the counter service.
 pub fn counter_answer(fields: &Fields) -> Result<Event, InputError> {
     Ok(Event::CounterAnswered {
         key: CounterKey(fields.required_integer("SlotName")?),
@@ -220,7 +224,7 @@
     })
 }
 
-/// A notice as message bytes in hex: two bytes of plan, then the customer.
+/// Encodes a notice as a message in hexadecimal: two bytes of plan, then the customer.
 pub fn encode_notice(notice: &OverQuotaNotice) -> String {
     let digits = format!("{:x}", notice.customer.0);
     format!(
@@ -230,7 +234,7 @@
     )
 }
 
-/// A message from another gateway; `None` if it is no notice of this form.
+/// Parses a message from another gateway; `None` if it is not an encoded notice.
 pub fn parse_notice(fields: &Fields) -> Result<Option<Event>, InputError> {
     let message = fields.required_text("Msg")?;
     let parts = message
@@ -250,7 +254,7 @@
     Ok(parts.and_then(read).map(Event::NoticeReceived))
 }
 
-/// The end of a probe.
+/// Parses the end of a probe.
 pub fn probe_end(fields: &Fields) -> Result<Event, InputError> {
     Ok(Event::ProbeEnd {
         server: server_id(fields)?,
