--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,7 +6,7 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(repeat: Idempotency, worth: f64) -> Class {
+pub fn request_class(repeat: Idempotency, worth: f64) -> Class {
     Class {
         latency_target: 500 * MS,
         client_timeout: SECOND,
@@ -32,15 +32,15 @@
     Settings {
         gateway_count: 2,
         classes: vec![
-            class(Idempotency::Idempotent, 1.0),
-            class(
+            request_class(Idempotency::Idempotent, 1.0),
+            request_class(
                 Idempotency::Keyed {
                     scope: DedupScope::Zone,
                     dedup_window: 2 * SECOND,
                 },
                 1.0,
             ),
-            class(Idempotency::NotIdempotent, 1.0),
+            request_class(Idempotency::NotIdempotent, 1.0),
         ],
         plans: vec![
             Plan {
@@ -74,7 +74,7 @@
 pub struct Gateway {
     pub balancer: Balancer,
     pub now: Micros,
-    pub next: u64,
+    pub next_id: u64,
 }
 
 impl Gateway {
@@ -82,7 +82,7 @@
         Gateway {
             balancer: Balancer::new(settings, 7),
             now: 100 * SECOND,
-            next: 0,
+            next_id: 0,
         }
     }
 
@@ -90,27 +90,27 @@
     pub fn with_servers(settings: Settings, count: u32) -> Gateway {
         let mut gateway = Gateway::new(settings);
         let entries = (0..count)
-            .map(|n| entry(n, ServerState::Ready, 0))
+            .map(|n| server_entry(n, ServerState::Ready, 0))
             .collect();
-        gateway.feed(Event::ServerList {
+        gateway.handle_event(Event::ServerList {
             kind: ListKind::Cached,
             entries,
         });
         gateway
     }
 
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
-        self.feed_all(&[event])
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
+        self.handle_events(&[event])
     }
 
-    pub fn feed_all(&mut self, events: &[Event]) -> Vec<Action> {
+    pub fn handle_events(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, events, &mut actions);
         actions
     }
 
     /// Lets time pass, with a timer event every 4 ms as a host would.
-    pub fn pass(&mut self, time: Micros) -> Vec<Action> {
+    pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let until = self.now + time;
         let mut actions = Vec::new();
         while self.now < until {
@@ -121,9 +121,14 @@
         actions
     }
 
-    pub fn ask(&mut self, class: usize, plan: usize, customer: u64) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
+    pub fn send_request(
+        &mut self,
+        class: usize,
+        plan: usize,
+        customer: u64,
+    ) -> (RequestId, Vec<Action>) {
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
         let request = Request {
             id,
             class,
@@ -136,17 +141,17 @@
             is_client_retry: false,
             ..Request::default()
         };
-        (id, self.feed(Event::Request(request)))
+        (id, self.handle_event(Event::Request(request)))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: u32,
         server: ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.feed(Event::AttemptEnd(AttemptEnd {
+        self.handle_event(Event::AttemptEnd(AttemptEnd {
             request: id,
             attempt,
             server,
@@ -159,7 +164,7 @@
     }
 }
 
-pub fn entry(n: u32, state: ServerState, started: Micros) -> ServerEntry {
+pub fn server_entry(n: u32, state: ServerState, started: Micros) -> ServerEntry {
     ServerEntry {
         server: ServerId(n),
         zone: n % 2,
@@ -171,7 +176,7 @@
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<(RequestId, ServerId)> {
+pub fn sent_attempts(actions: &[Action]) -> Vec<(RequestId, ServerId)> {
     let send = |a: &Action| match a {
         Action::Send {
             request, server, ..
@@ -181,7 +186,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn counts(actions: &[Action]) -> Vec<(CounterKey, f64)> {
+pub fn counter_calls(actions: &[Action]) -> Vec<(CounterKey, f64)> {
     let count = |a: &Action| match a {
         Action::AddToCounter {
             key: name,
@@ -193,7 +198,7 @@
     actions.iter().filter_map(count).collect()
 }
 
-pub fn sheds(actions: &[Action]) -> Vec<RequestId> {
+pub fn shed_requests(actions: &[Action]) -> Vec<RequestId> {
     let shed = |a: &Action| match a {
         Action::Shed { request, .. } => Some(*request),
         _ => None,
@@ -201,7 +206,7 @@
     actions.iter().filter_map(shed).collect()
 }
 
-pub fn fails(actions: &[Action]) -> Vec<RequestId> {
+pub fn failed_requests(actions: &[Action]) -> Vec<RequestId> {
     let fail = |a: &Action| match a {
         Action::Fail(request) => Some(*request),
         _ => None,
@@ -211,25 +216,25 @@
 
 /// The counter service, answering at once.
 #[derive(Default)]
-pub struct Counter(pub std::collections::BTreeMap<CounterKey, f64>);
+pub struct FakeCounter(pub std::collections::BTreeMap<CounterKey, f64>);
 
-impl Counter {
+impl FakeCounter {
     /// Answers all calls among the actions, and those that the answers lead to; gives all that was done.
     pub fn answer(&mut self, gateway: &mut Gateway, actions: Vec<Action>) -> Vec<Action> {
         let mut all = actions.clone();
-        let mut open = counts(&actions);
+        let mut open = counter_calls(&actions);
         while !open.is_empty() {
             let mut more = Vec::new();
             for (name, add) in open {
                 let total = self.0.entry(name).or_default();
                 *total += add;
-                more.extend(gateway.feed(Event::CounterAnswered {
+                more.extend(gateway.handle_event(Event::CounterAnswered {
                     key: name,
                     outcome: Outcome::Ok,
                     total: *total,
                 }));
             }
-            open = counts(&more);
+            open = counter_calls(&more);
             all.extend(more);
         }
         all
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -7,10 +7,10 @@
 
 /// Answers every call among the actions with this outcome.
 fn answer_all(gateway: &mut Gateway, actions: &[Action], outcome: Outcome) -> Vec<Action> {
-    let names = counts(actions).into_iter().map(|(name, _)| name);
+    let names = counter_calls(actions).into_iter().map(|(name, _)| name);
     names
         .flat_map(|name| {
-            gateway.feed(Event::CounterAnswered {
+            gateway.handle_event(Event::CounterAnswered {
                 key: name,
                 outcome,
                 total: 1.0,
@@ -23,7 +23,7 @@
 fn crowded() -> Gateway {
     let mut gateway = Gateway::with_servers(settings(), 40);
     for n in 0..60 {
-        let (id, actions) = gateway.ask(0, 1, 1000 + n);
+        let (id, actions) = gateway.send_request(0, 1, 1000 + n);
         let outcome = if n % 3 == 2 {
             Outcome::Ok
         } else {
@@ -31,8 +31,8 @@
         };
         let mut all = answer_all(&mut gateway, &actions, outcome);
         all.extend(actions);
-        for (_, server) in sends(&all) {
-            gateway.end(id, 0, server, Outcome::Ok);
+        for (_, server) in sent_attempts(&all) {
+            gateway.end_attempt(id, 0, server, Outcome::Ok);
         }
     }
     gateway
@@ -42,7 +42,7 @@
 fn a_crowded_counter_gets_fewer_calls_and_each_stands_for_more() {
     let mut gateway = crowded();
     let asked: Vec<_> = (0..200)
-        .map(|n| counts(&gateway.ask(0, 1, 5000 + n).1))
+        .map(|n| counter_calls(&gateway.send_request(0, 1, 5000 + n).1))
         .collect();
     let adds: Vec<f64> = asked.iter().flatten().map(|(_, add)| *add).collect();
     assert!(adds.len() < 60, "{} calls for 200 requests", adds.len());
@@ -56,15 +56,15 @@
 fn calls_come_back_with_good_answers() {
     let mut gateway = crowded();
     for n in 0..3000 {
-        let (id, actions) = gateway.ask(0, 1, 9000 + n);
+        let (id, actions) = gateway.send_request(0, 1, 9000 + n);
         let mut all = answer_all(&mut gateway, &actions, Outcome::Ok);
         all.extend(actions);
-        for (_, server) in sends(&all) {
-            gateway.end(id, 0, server, Outcome::Ok);
+        for (_, server) in sent_attempts(&all) {
+            gateway.end_attempt(id, 0, server, Outcome::Ok);
         }
     }
     let calls = (0..50)
-        .filter(|n| !counts(&gateway.ask(0, 1, 20_000 + n).1).is_empty())
+        .filter(|n| !counter_calls(&gateway.send_request(0, 1, 20_000 + n).1).is_empty())
         .count();
     assert_eq!(calls, 50, "the ordinary path is a call for each request");
 }
@@ -75,27 +75,30 @@
         Gateway::with_servers(settings(), 4),
         Gateway::with_servers(settings(), 4),
     ];
-    let mut counter = Counter::default();
+    let mut counter = FakeCounter::default();
     let mut reads = [0, 0];
     for (n, gateway) in pair.iter_mut().enumerate() {
-        let (_, actions) = gateway.ask(0, 1, 9);
+        let (_, actions) = gateway.send_request(0, 1, 9);
         let all = counter.answer(gateway, actions);
-        reads[n] = counts(&all).iter().filter(|(_, add)| *add == 0.0).count();
+        reads[n] = counter_calls(&all)
+            .iter()
+            .filter(|(_, add)| *add == 0.0)
+            .count();
     }
     assert_eq!(reads, [1, 0]);
 }
 
 #[test]
 fn what_a_window_leaves_over_counts_in_the_next_once() {
-    let (mut gateway, mut counter) = (Gateway::with_servers(settings(), 4), Counter::default());
+    let (mut gateway, mut counter) = (Gateway::with_servers(settings(), 4), FakeCounter::default());
     for _ in 0..300 {
-        let (id, actions) = gateway.ask(0, 1, 9);
+        let (id, actions) = gateway.send_request(0, 1, 9);
         let all = counter.answer(&mut gateway, actions);
-        for (_, server) in sends(&all) {
-            let ended = gateway.end(id, 0, server, Outcome::Ok);
+        for (_, server) in sent_attempts(&all) {
+            let ended = gateway.end_attempt(id, 0, server, Outcome::Ok);
             counter.answer(&mut gateway, ended);
         }
-        gateway.pass(20 * MS);
+        gateway.advance(20 * MS);
         let least = counter.0.values().copied().fold(0.0, f64::min);
         assert!(
             least >= 0.0,
@@ -115,16 +118,16 @@
     plans.counter_available = false;
     let mut gateway = Gateway::with_servers(plans, 1);
     for n in 0..5 {
-        let (id, actions) = gateway.ask(2, 1, n);
-        for (_, server) in sends(&actions) {
-            gateway.end(id, 0, server, Outcome::Rejected);
+        let (id, actions) = gateway.send_request(2, 1, n);
+        for (_, server) in sent_attempts(&actions) {
+            gateway.end_attempt(id, 0, server, Outcome::Rejected);
         }
     }
     assert!(
-        sends(&gateway.ask(2, 1, 50).1).is_empty(),
+        sent_attempts(&gateway.send_request(2, 1, 50).1).is_empty(),
         "it rests for the plan it refused"
     );
-    assert_eq!(sends(&gateway.ask(2, 0, 51).1).len(), 1);
+    assert_eq!(sent_attempts(&gateway.send_request(2, 0, 51).1).len(), 1);
 }
 
 #[test]
@@ -134,19 +137,19 @@
     let mut gateway = Gateway::new(many);
     let started = gateway.now - 8 * SECOND;
     let entries = (0..4)
-        .map(|n| entry(n, ServerState::Ready, if n == 0 { started } else { 0 }))
+        .map(|n| server_entry(n, ServerState::Ready, if n == 0 { started } else { 0 }))
         .collect();
-    gateway.feed(Event::ServerList {
+    gateway.handle_event(Event::ServerList {
         kind: ListKind::Cached,
         entries,
     });
     let mut cold = 0;
     for n in 0..60 {
-        let (id, actions) = gateway.ask(0, 0, n);
-        let server = sends(&actions)[0].1;
+        let (id, actions) = gateway.send_request(0, 0, n);
+        let server = sent_attempts(&actions)[0].1;
         cold += u32::from(server == ServerId(0));
         gateway.now += 25 * MS;
-        gateway.end(id, 0, server, Outcome::Ok);
+        gateway.end_attempt(id, 0, server, Outcome::Ok);
     }
     assert!(
         cold >= 3,
@@ -160,10 +163,10 @@
     many.gateway_count = 300;
     let mut gateway = Gateway::with_servers(many, 100);
     for n in 0..200 {
-        let (id, actions) = gateway.ask(0, 0, n);
+        let (id, actions) = gateway.send_request(0, 0, n);
         gateway.now += 50 * MS;
-        for (_, server) in sends(&actions) {
-            gateway.feed(Event::AttemptEnd(AttemptEnd {
+        for (_, server) in sent_attempts(&actions) {
+            gateway.handle_event(Event::AttemptEnd(AttemptEnd {
                 request: id,
                 attempt: 0,
                 server,
@@ -176,7 +179,7 @@
         }
     }
     let sent: usize = (1000..1100)
-        .map(|n| sends(&gateway.ask(0, 0, n).1).len())
+        .map(|n| sent_attempts(&gateway.send_request(0, 0, n).1).len())
         .sum();
     assert!(
         sent <= 4,
@@ -187,29 +190,35 @@
 #[test]
 fn a_count_that_looks_fresh_after_a_give_back_is_not_carried_over_again() {
     let mut gateway = Gateway::new(settings());
-    let (_, first) = gateway.ask(0, 1, 9);
-    let name = counts(&first)[0].0;
+    let (_, first) = gateway.send_request(0, 1, 9);
+    let name = counter_calls(&first)[0].0;
     let counted = |total| Event::CounterAnswered {
         key: name,
         outcome: Outcome::Ok,
         total,
     };
     // No server takes it: its unit is given back while the window before is still being read.
-    let then = gateway.feed(counted(1.0));
-    let back = counts(&then).iter().map(|(_, add)| *add).sum::<f64>();
+    let then = gateway.handle_event(counted(1.0));
+    let back = counter_calls(&then)
+        .iter()
+        .map(|(_, add)| *add)
+        .sum::<f64>();
     assert!(
         (-1.0..-0.99).contains(&back) && back != -1.0,
         "{back}: a trace stays"
     );
     assert_eq!(
-        counts(&then).iter().filter(|(_, add)| *add == 0.0).count(),
+        counter_calls(&then)
+            .iter()
+            .filter(|(_, add)| *add == 0.0)
+            .count(),
         1
     );
-    gateway.ask(0, 1, 9);
-    gateway.feed(counted(0.0));
-    let again = gateway.feed(counted(1.0));
+    gateway.send_request(0, 1, 9);
+    gateway.handle_event(counted(0.0));
+    let again = gateway.handle_event(counted(1.0));
     assert!(
-        counts(&again).iter().all(|(_, add)| *add != 0.0),
+        counter_calls(&again).iter().all(|(_, add)| *add != 0.0),
         "read again: {again:?}"
     );
 }
@@ -217,8 +226,8 @@
 #[test]
 fn a_gateway_that_slept_judges_nobody_by_it() {
     let mut gateway = Gateway::with_servers(settings(), 4);
-    let (id, actions) = gateway.ask(2, 0, 1);
-    let server = sends(&actions)[0].1;
+    let (id, actions) = gateway.send_request(2, 0, 1);
+    let server = sent_attempts(&actions)[0].1;
     gateway.now += SECOND - MS;
     let events = [
         Event::AttemptEnd(AttemptEnd {
@@ -233,7 +242,7 @@
         }),
         Event::Timer,
     ];
-    let actions = gateway.feed_all(&events);
+    let actions = gateway.handle_events(&events);
     assert!(
         !actions
             .iter()
@@ -256,14 +265,14 @@
 fn a_counter_that_turns_calls_away_is_not_taken_for_lost() {
     let mut gateway = Gateway::with_servers(settings(), 40);
     for n in 0..60 {
-        let (id, mut actions) = gateway.ask(0, 1, n);
+        let (id, mut actions) = gateway.send_request(0, 1, n);
         actions.extend(answer_all(&mut gateway, &actions, Outcome::Rejected));
         assert!(
             !actions.iter().any(|a| matches!(a, Action::Log(_))),
             "{actions:?}"
         );
-        for (_, server) in sends(&actions) {
-            gateway.end(id, 0, server, Outcome::Ok);
+        for (_, server) in sent_attempts(&actions) {
+            gateway.end_attempt(id, 0, server, Outcome::Ok);
         }
     }
 }
@@ -272,7 +281,7 @@
 fn gateways_that_start_together_do_not_all_call_at_once() {
     let mut gateway = Gateway::with_servers(one_of_many(), 40);
     let calls: usize = (0..100)
-        .map(|n| counts(&gateway.ask(0, 1, n).1).len())
+        .map(|n| counter_calls(&gateway.send_request(0, 1, n).1).len())
         .sum();
     assert!(
         calls < 40,
@@ -284,19 +293,19 @@
 fn failed_calls_bring_down_those_for_customers_near_their_quota_too() {
     let mut gateway = Gateway::with_servers(settings(), 40);
     let near = |gateway: &mut Gateway, outcome: Outcome| {
-        let (id, actions) = gateway.ask(0, 1, 9);
-        let names = counts(&actions).into_iter().map(|(name, _)| name);
+        let (id, actions) = gateway.send_request(0, 1, 9);
+        let names = counter_calls(&actions).into_iter().map(|(name, _)| name);
         let told = |name| {
-            gateway.feed(Event::CounterAnswered {
+            gateway.handle_event(Event::CounterAnswered {
                 key: name,
                 outcome,
                 total: 9.5,
             })
         };
         let more: Vec<Action> = names.flat_map(told).collect();
-        let calls = counts(&actions).len();
-        for (_, server) in sends(&[actions, more].concat()) {
-            gateway.end(id, 0, server, Outcome::Ok);
+        let calls = counter_calls(&actions).len();
+        for (_, server) in sent_attempts(&[actions, more].concat()) {
+            gateway.end_attempt(id, 0, server, Outcome::Ok);
         }
         calls
     };
@@ -322,9 +331,9 @@
 /// Asks for this customer until a call is made and answered with a total far beyond its quota.
 fn found_over(gateway: &mut Gateway, customer: u64) -> Vec<Action> {
     for _ in 0..400 {
-        let (_, actions) = gateway.ask(0, 1, customer);
-        if let Some((name, _)) = counts(&actions).first().copied() {
-            return gateway.feed(Event::CounterAnswered {
+        let (_, actions) = gateway.send_request(0, 1, customer);
+        if let Some((name, _)) = counter_calls(&actions).first().copied() {
+            return gateway.handle_event(Event::CounterAnswered {
                 key: name,
                 outcome: Outcome::Ok,
                 total: 900.0,
@@ -362,13 +371,13 @@
 fn a_told_verdict_holds_a_customer_never_seen_and_fades() {
     let passed = |wait| {
         let mut gateway = Gateway::with_servers(one_of_many(), 40);
-        gateway.feed(Event::NoticeReceived(OverQuotaNotice {
+        gateway.handle_event(Event::NoticeReceived(OverQuotaNotice {
             customer: CustomerId(9),
             plan: 1,
         }));
-        gateway.pass(wait);
+        gateway.advance(wait);
         (0..20)
-            .map(|_| sends(&gateway.ask(0, 1, 9).1).len())
+            .map(|_| sent_attempts(&gateway.send_request(0, 1, 9).1).len())
             .sum::<usize>()
     };
     assert_eq!(passed(0), 0);
@@ -377,12 +386,12 @@
         "held for good by a verdict of 20 s ago"
     );
     let mut gateway = Gateway::with_servers(one_of_many(), 40);
-    gateway.feed(Event::NoticeReceived(OverQuotaNotice {
+    gateway.handle_event(Event::NoticeReceived(OverQuotaNotice {
         customer: CustomerId(3),
         plan: 77,
     }));
     assert_eq!(
-        gateway.ask(0, 77, 3).1.len(),
+        gateway.send_request(0, 77, 3).1.len(),
         1,
         "an odd notice and an odd plan"
     );
@@ -398,22 +407,22 @@
     let mut gateway = Gateway::new(many);
     let kind = |n| ServerEntry {
         machine_type: n % 2,
-        ..entry(n, ServerState::Ready, 0)
+        ..server_entry(n, ServerState::Ready, 0)
     };
     let entries = (0..200).map(kind).collect();
-    gateway.feed(Event::ServerList {
+    gateway.handle_event(Event::ServerList {
         kind: ListKind::Cached,
         entries,
     });
     let mut refused = [0, 0];
     for n in 0..200 {
-        let (id, mut actions) = gateway.ask(0, 0, n);
+        let (id, mut actions) = gateway.send_request(0, 0, n);
         let mut attempt = 0;
-        while let Some((_, server)) = sends(&actions).first().copied() {
+        while let Some((_, server)) = sent_attempts(&actions).first().copied() {
             let full = server.0 % 2 == 1;
             refused[usize::from(n >= 100)] += u32::from(full);
             let outcome = if full { Outcome::Rejected } else { Outcome::Ok };
-            actions = gateway.end(id, attempt, server, outcome);
+            actions = gateway.end_attempt(id, attempt, server, outcome);
             attempt += 1;
         }
         gateway.now += 200 * MS;
@@ -428,7 +437,7 @@
 fn refused_clients_are_told_different_times_to_come_back() {
     let mut gateway = Gateway::new(settings());
     let times: std::collections::BTreeSet<Micros> = (0..20)
-        .flat_map(|n| gateway.ask(0, 0, n).1)
+        .flat_map(|n| gateway.send_request(0, 0, n).1)
         .filter_map(|a| match a {
             Action::Shed {
                 retry_after: stay_away,
@@ -454,18 +463,18 @@
         } else {
             u64::from(n.is_multiple_of(5))
         } {
-            let (_, actions) = gateway.ask(0, 1, 100 + 2 * n + other);
+            let (_, actions) = gateway.send_request(0, 1, 100 + 2 * n + other);
             answer_all(gateway, &actions, Outcome::Rejected);
         }
-        let (_, actions) = gateway.ask(0, 2, 9);
+        let (_, actions) = gateway.send_request(0, 2, 9);
         let told = |name| Event::CounterAnswered {
             key: name,
             outcome: Outcome::Ok,
             total: 4.0,
         };
-        let (mut all, mut open) = (counts(&actions), counts(&actions));
+        let (mut all, mut open) = (counter_calls(&actions), counter_calls(&actions));
         while let Some((name, _)) = open.pop() {
-            let more = counts(&gateway.feed(told(name)));
+            let more = counter_calls(&gateway.handle_event(told(name)));
             open.extend(&more);
             all.extend(&more);
         }
@@ -483,21 +492,21 @@
 fn what_passes_by_a_verdict_that_was_unlikely_is_counted() {
     let mut gateway = Gateway::with_servers(one_of_many(), 40);
     // Told by another gateway: its own verdict lets it through all the same.
-    gateway.feed(Event::NoticeReceived(OverQuotaNotice {
+    gateway.handle_event(Event::NoticeReceived(OverQuotaNotice {
         customer: CustomerId(9),
         plan: 1,
     }));
     let mut counted = 0.0;
     let passed = (0..400).find(|_| {
-        let (_, actions) = gateway.ask(0, 1, 9);
-        counts(&actions).first().is_some_and(|(name, add)| {
-            let then = gateway.feed(Event::CounterAnswered {
+        let (_, actions) = gateway.send_request(0, 1, 9);
+        counter_calls(&actions).first().is_some_and(|(name, add)| {
+            let then = gateway.handle_event(Event::CounterAnswered {
                 key: *name,
                 outcome: Outcome::Ok,
                 total: *add,
             });
-            counted = add + counts(&then).iter().map(|(_, add)| add).sum::<f64>();
-            !sends(&then).is_empty()
+            counted = add + counter_calls(&then).iter().map(|(_, add)| add).sum::<f64>();
+            !sent_attempts(&then).is_empty()
         })
     });
     assert!(
@@ -520,20 +529,22 @@
         let mut gateway = Gateway {
             balancer,
             now: 100 * SECOND,
-            next: 0,
+            next_id: 0,
         };
-        let entries = (0..60).map(|n| entry(n, ServerState::Ready, 0)).collect();
-        gateway.feed(Event::ServerList {
+        let entries = (0..60)
+            .map(|n| server_entry(n, ServerState::Ready, 0))
+            .collect();
+        gateway.handle_event(Event::ServerList {
             kind: ListKind::Cached,
             entries,
         });
         let mut used = std::collections::BTreeSet::new();
         for n in 0..300 {
-            let (id, actions) = gateway.ask(0, 0, n);
-            for (_, server) in sends(&actions) {
+            let (id, actions) = gateway.send_request(0, 0, n);
+            for (_, server) in sent_attempts(&actions) {
                 used.insert(server.0);
                 gateway.now += 50 * MS;
-                gateway.end(id, 0, server, Outcome::Ok);
+                gateway.end_attempt(id, 0, server, Outcome::Ok);
             }
         }
         used.into_iter()
@@ -560,26 +571,28 @@
             let mut gateway = Gateway {
                 balancer,
                 now: 100 * SECOND,
-                next: 0,
+                next_id: 0,
             };
-            let entries = (0..40).map(|n| entry(n, ServerState::Ready, 0)).collect();
-            gateway.feed(Event::ServerList {
+            let entries = (0..40)
+                .map(|n| server_entry(n, ServerState::Ready, 0))
+                .collect();
+            gateway.handle_event(Event::ServerList {
                 kind: ListKind::Cached,
                 entries,
             });
             for _ in 0..notices {
-                gateway.pass(2 * SECOND);
-                gateway.feed(Event::NoticeReceived(OverQuotaNotice {
+                gateway.advance(2 * SECOND);
+                gateway.handle_event(Event::NoticeReceived(OverQuotaNotice {
                     customer: CustomerId(9),
                     plan: 1,
                 }));
             }
-            gateway.pass(500 * MS);
+            gateway.advance(500 * MS);
             for _ in 0..8 {
-                let (id, actions) = gateway.ask(0, 1, 9);
-                for (_, server) in sends(&actions) {
+                let (id, actions) = gateway.send_request(0, 1, 9);
+                for (_, server) in sent_attempts(&actions) {
                     passed += 1;
-                    gateway.end(id, 0, server, Outcome::Ok);
+                    gateway.end_attempt(id, 0, server, Outcome::Ok);
                 }
             }
         }
@@ -603,9 +616,9 @@
         60,
     );
     for n in 0..1_500 {
-        let (request, actions) = gateway.ask(0, 0, n);
+        let (request, actions) = gateway.send_request(0, 0, n);
         gateway.now += 50 * MS;
-        for (_, server) in sends(&actions) {
+        for (_, server) in sent_attempts(&actions) {
             let (outcome, finished) = (Outcome::Ok, true);
             let took = if n % 3 == 0 { 300 * MS } else { 50 * MS };
             let (attempt, actual_units, report) = (0, None, None);
@@ -619,11 +632,11 @@
                 actual_units,
                 load_report: report,
             };
-            gateway.feed(Event::AttemptEnd(end));
+            gateway.handle_event(Event::AttemptEnd(end));
         }
     }
     let sent: usize = (2_000..2_100)
-        .map(|n| sends(&gateway.ask(0, 0, n).1).len())
+        .map(|n| sent_attempts(&gateway.send_request(0, 0, n).1).len())
         .sum();
     assert!(
         (1..=10).contains(&sent),
@@ -636,16 +649,16 @@
     let mut gateway = Gateway::with_servers(one_of_many(), 40);
     for customer in 0..400 {
         // Told over some time ago: denied by chance where there is no verdict.
-        gateway.feed(Event::NoticeReceived(OverQuotaNotice {
+        gateway.handle_event(Event::NoticeReceived(OverQuotaNotice {
             customer: CustomerId(customer),
             plan: 1,
         }));
     }
-    gateway.pass(2 * SECOND);
+    gateway.advance(2 * SECOND);
     for customer in 0..400 {
-        let (_, actions) = gateway.ask(0, 1, customer);
+        let (_, actions) = gateway.send_request(0, 1, customer);
         let then = answer_all(&mut gateway, &actions, Outcome::Rejected);
-        let told: f64 = counts(&then).iter().map(|(_, add)| add).sum();
+        let told: f64 = counter_calls(&then).iter().map(|(_, add)| add).sum();
         assert!(told >= 0.0, "given back though never added: {then:?}");
     }
 }
@@ -663,11 +676,11 @@
     };
     let mut gateway = Gateway::with_servers(keyed, 60);
     let moved = (0..8).filter(|n| {
-        let (id, actions) = gateway.ask(1, 0, *n);
-        let first = sends(&actions)[0].1;
-        let again = sends(&gateway.end(id, 0, first, Outcome::Error))[0].1;
-        gateway.end(id, 1, again, Outcome::Ok);
-        gateway.pass(SECOND);
+        let (id, actions) = gateway.send_request(1, 0, *n);
+        let first = sent_attempts(&actions)[0].1;
+        let again = sent_attempts(&gateway.end_attempt(id, 0, first, Outcome::Error))[0].1;
+        gateway.end_attempt(id, 1, again, Outcome::Ok);
+        gateway.advance(SECOND);
         // Cells are pairs: one other server would drop the repeat.
         assert_eq!(again.0 / 2, first.0 / 2);
         again != first
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -8,9 +8,9 @@
 #[test]
 fn a_silent_server_is_suspected_and_its_safe_work_moved() {
     let mut gateway = Gateway::with_servers(settings(), 4);
-    let (id, actions) = gateway.ask(0, 0, 1);
-    let server = sends(&actions)[0].1;
-    let actions = gateway.pass(500 * MS);
+    let (id, actions) = gateway.send_request(0, 0, 1);
+    let server = sent_attempts(&actions)[0].1;
+    let actions = gateway.advance(500 * MS);
     assert!(actions.contains(&Action::Probe(server)));
     let cancel = Action::Cancel {
         request: id,
@@ -25,8 +25,8 @@
         outcome: Outcome::TimedOut,
         load_report: None,
     };
-    assert!(gateway.feed(event).contains(&cancel));
-    let moved = sends(&gateway.end(id, 0, server, Outcome::Cancelled));
+    assert!(gateway.handle_event(event).contains(&cancel));
+    let moved = sent_attempts(&gateway.end_attempt(id, 0, server, Outcome::Cancelled));
     assert!(moved.len() == 1 && moved[0].1 != server);
     let event = Event::ProbeEnd {
         server,
@@ -35,7 +35,7 @@
     };
     assert!(
         gateway
-            .feed(event)
+            .handle_event(event)
             .iter()
             .any(|a| matches!(a, Action::Log(_))),
         "it is readmitted by its answer"
@@ -45,10 +45,10 @@
 #[test]
 fn suspicion_never_empties_the_fleet() {
     let mut gateway = Gateway::with_servers(settings(), 4);
-    (0..8).for_each(|n| drop(gateway.ask(2, 0, n)));
-    gateway.pass(900 * MS);
-    let (_, actions) = gateway.ask(0, 0, 99);
-    assert_eq!(sends(&actions).len(), 1);
+    (0..8).for_each(|n| drop(gateway.send_request(2, 0, n)));
+    gateway.advance(900 * MS);
+    let (_, actions) = gateway.send_request(0, 0, 99);
+    assert_eq!(sent_attempts(&actions).len(), 1);
 }
 
 #[test]
@@ -56,10 +56,10 @@
     let mut gateway = Gateway::with_servers(settings(), 4);
     let (mut to_bad, mut again) = (0, 0);
     for n in 0..400 {
-        let (id, mut actions) = gateway.ask(0, 0, n);
+        let (id, mut actions) = gateway.send_request(0, 0, n);
         gateway.now += 5 * MS;
         for attempt in 0..4 {
-            let [(_, server)] = sends(&actions)[..] else {
+            let [(_, server)] = sent_attempts(&actions)[..] else {
                 break;
             };
             let outcome = if server == ServerId(0) {
@@ -69,7 +69,7 @@
             };
             to_bad += u32::from(server == ServerId(0) && n >= 100);
             again += u32::from(server == ServerId(0) && attempt > 0);
-            actions = gateway.end(id, attempt, server, outcome);
+            actions = gateway.end_attempt(id, attempt, server, outcome);
         }
     }
     assert!(to_bad < 30, "{to_bad} of 300, an even share is 75");
@@ -81,8 +81,8 @@
     let mut gateway = Gateway::with_servers(settings(), 4);
     let mut to_slow = 0;
     for n in 0..200 {
-        let (id, actions) = gateway.ask(0, 0, n);
-        let server = sends(&actions)[0].1;
+        let (id, actions) = gateway.send_request(0, 0, n);
+        let server = sent_attempts(&actions)[0].1;
         gateway.now += 5 * MS;
         let took = if server == ServerId(0) {
             200 * MS
@@ -90,7 +90,7 @@
             40 * MS
         };
         to_slow += u32::from(server == ServerId(0) && n >= 100);
-        gateway.feed(Event::AttemptEnd(AttemptEnd {
+        gateway.handle_event(Event::AttemptEnd(AttemptEnd {
             request: id,
             attempt: 0,
             server,
@@ -109,11 +109,11 @@
     let mut gateway = Gateway::with_servers(settings(), 4);
     let mut sent = 0;
     for n in 0..500 {
-        let (id, mut actions) = gateway.ask(2, 0, n);
+        let (id, mut actions) = gateway.send_request(2, 0, n);
         let mut attempt = 0;
-        while let Some((_, server)) = sends(&actions).first().copied() {
+        while let Some((_, server)) = sent_attempts(&actions).first().copied() {
             sent += 1;
-            actions = gateway.end(id, attempt, server, Outcome::Rejected);
+            actions = gateway.end_attempt(id, attempt, server, Outcome::Rejected);
             attempt += 1;
         }
         gateway.now += 10 * MS;
@@ -127,9 +127,9 @@
 #[test]
 fn work_out_is_bounded_and_the_rest_refused_at_once() {
     let mut gateway = Gateway::with_servers(settings(), 4);
-    let answers: Vec<_> = (0..200).map(|n| gateway.ask(0, 0, n).1).collect();
-    let sent: usize = answers.iter().map(|a| sends(a).len()).sum();
-    let shed: usize = answers.iter().map(|a| sheds(a).len()).sum();
+    let answers: Vec<_> = (0..200).map(|n| gateway.send_request(0, 0, n).1).collect();
+    let sent: usize = answers.iter().map(|a| sent_attempts(a).len()).sum();
+    let shed: usize = answers.iter().map(|a| shed_requests(a).len()).sum();
     assert!(
         sent <= 24 && sent + shed == 200,
         "{sent} sent, {shed} refused"
@@ -141,7 +141,9 @@
     let mut many = settings();
     many.gateway_count = 12;
     let mut gateway = Gateway::with_servers(many, 4);
-    let sent: usize = (0..200).map(|n| sends(&gateway.ask(0, 0, n).1).len()).sum();
+    let sent: usize = (0..200)
+        .map(|n| sent_attempts(&gateway.send_request(0, 0, n).1).len())
+        .sum();
     assert!(sent <= 4, "{sent} out at 4 servers from one of 12 gateways");
 }
 
@@ -152,14 +154,14 @@
     worths.classes[2].value = 5.0;
     let mut gateway = Gateway::with_servers(worths, 4);
     for n in 0..2000 {
-        let (id, actions) = gateway.ask((n % 2) as usize * 2, 0, n);
+        let (id, actions) = gateway.send_request((n % 2) as usize * 2, 0, n);
         gateway.now += 10 * MS;
-        gateway.end(id, 0, sends(&actions)[0].1, Outcome::Ok);
+        gateway.end_attempt(id, 0, sent_attempts(&actions)[0].1, Outcome::Ok);
     }
     let mut sent = [0, 0];
     for n in 0..200 {
         let class = (n % 2) as usize;
-        sent[class] += sends(&gateway.ask(class * 2, 0, n).1).len();
+        sent[class] += sent_attempts(&gateway.send_request(class * 2, 0, n).1).len();
     }
     assert!(sent[1] > sent[0], "cheap and dear: {sent:?}");
 }
@@ -169,11 +171,11 @@
     let mut gateway = Gateway::with_servers(settings(), 8);
     let mut again = 0;
     for n in 0..200 {
-        let (id, mut actions) = gateway.ask(0, 0, n);
+        let (id, mut actions) = gateway.send_request(0, 0, n);
         let mut attempt = 0;
-        while let Some((_, server)) = sends(&actions).first().copied() {
-            actions = gateway.end(id, attempt, server, Outcome::Error);
-            again += u32::from(!sends(&actions).is_empty());
+        while let Some((_, server)) = sent_attempts(&actions).first().copied() {
+            actions = gateway.end_attempt(id, attempt, server, Outcome::Error);
+            again += u32::from(!sent_attempts(&actions).is_empty());
             attempt += 1;
         }
     }
@@ -187,37 +189,39 @@
 fn odd_input_gets_one_answer_and_no_panic() {
     let mut gateway = Gateway::with_servers(settings(), 2);
     for (class, plan) in [(9, 0), (0, 9), (9, 9)] {
-        let (id, actions) = gateway.ask(class, plan, 1);
-        let answered = sends(&actions).len() + sheds(&actions).len() + fails(&actions).len();
+        let (id, actions) = gateway.send_request(class, plan, 1);
+        let answered = sent_attempts(&actions).len()
+            + shed_requests(&actions).len()
+            + failed_requests(&actions).len();
         assert_eq!(answered, 1);
-        gateway.end(id, 7, ServerId(55), Outcome::Ok);
-        gateway.feed(Event::ClientDisconnected(id));
-        gateway.feed(Event::ClientDisconnected(id));
+        gateway.end_attempt(id, 7, ServerId(55), Outcome::Ok);
+        gateway.handle_event(Event::ClientDisconnected(id));
+        gateway.handle_event(Event::ClientDisconnected(id));
     }
-    gateway.feed(Event::ServerList {
+    gateway.handle_event(Event::ServerList {
         kind: ListKind::Failed,
         entries: vec![],
     });
-    gateway.feed(Event::CounterAnswered {
+    gateway.handle_event(Event::CounterAnswered {
         key: CounterKey(5),
         outcome: Outcome::Ok,
         total: f64::MAX,
     });
     gateway.now -= 5 * SECOND;
-    let (id, actions) = gateway.ask(0, 0, 1);
+    let (id, actions) = gateway.send_request(0, 0, 1);
     assert_eq!(
-        sheds(&actions),
+        shed_requests(&actions),
         [id],
         "a clock that steps back: this deadline has passed"
     );
     let mut empty = Gateway::new(Settings::default());
-    let (id, actions) = empty.ask(0, 0, 1);
-    assert_eq!(sheds(&actions), [id]);
+    let (id, actions) = empty.send_request(0, 0, 1);
+    assert_eq!(shed_requests(&actions), [id]);
     let mut zero = settings();
     zero.plans[1] = plan(0.001, 0.0);
     let mut gateway = Gateway::with_servers(zero, 2);
-    gateway.ask(0, 1, 1);
-    gateway.pass(SECOND);
+    gateway.send_request(0, 1, 1);
+    gateway.advance(SECOND);
 }
 
 #[test]
@@ -226,8 +230,12 @@
         let mut gateway = Gateway::with_servers(settings(), 6);
         let mut all = Vec::new();
         for n in 0..200 {
-            all.extend(gateway.ask((n % 3) as usize, (n % 3) as usize, n % 7).1);
-            all.extend(gateway.pass(4 * MS));
+            all.extend(
+                gateway
+                    .send_request((n % 3) as usize, (n % 3) as usize, n % 7)
+                    .1,
+            );
+            all.extend(gateway.advance(4 * MS));
         }
         all
     };
