--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and a small host for the tests: it keeps time by hand and collects actions.
+//! Settings, a gateway with a manual clock, and a counter service for the tests.
 #![allow(dead_code)]
 
 use streamarch::*;
@@ -6,13 +6,13 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn request_class(repeat: Idempotency, worth: f64) -> Class {
+pub fn request_class(idempotency: Idempotency, value: f64) -> Class {
     Class {
         latency_target: 500 * MS,
         client_timeout: SECOND,
         late_value_share: 0.0,
-        value: worth,
-        idempotency: repeat,
+        value,
+        idempotency,
         streaming: false,
     }
 }
@@ -27,7 +27,8 @@
     }
 }
 
-/// Class 0 safe, 1 keyed by zone, 2 unsafe; plan 0 without quota, 1 with 10 units at 5 a second, 2 with 2 open.
+/// Classes: 0 idempotent, 1 keyed by zone, 2 not idempotent. Plans: 0 without quota, 1 with a burst of 10 units
+/// and 5 per second, 2 with two attempts in flight.
 pub fn settings() -> Settings {
     Settings {
         gateway_count: 2,
@@ -86,11 +87,11 @@
         }
     }
 
-    /// A gateway that knows `count` warm servers, evenly in zones 0 and 1.
+    /// A gateway that knows `count` warm servers, evenly spread over zones 0 and 1.
     pub fn with_servers(settings: Settings, count: u32) -> Gateway {
         let mut gateway = Gateway::new(settings);
         let entries = (0..count)
-            .map(|n| server_entry(n, ServerState::Ready, 0))
+            .map(|number| server_entry(number, ServerState::Ready, 0))
             .collect();
         gateway.handle_event(Event::ServerList {
             kind: ListKind::Cached,
@@ -109,12 +110,12 @@
         actions
     }
 
-    /// Lets time pass, with a timer event every 4 ms as a host would.
-    pub fn advance(&mut self, time: Micros) -> Vec<Action> {
-        let until = self.now + time;
+    /// Advances the clock, with a timer event every 4 ms as from a host.
+    pub fn advance(&mut self, duration: Micros) -> Vec<Action> {
+        let end = self.now + duration;
         let mut actions = Vec::new();
-        while self.now < until {
-            self.now = (self.now + 4 * MS).min(until);
+        while self.now < end {
+            self.now = (self.now + 4 * MS).min(end);
             self.balancer
                 .handle(self.now, &[Event::Timer], &mut actions);
         }
@@ -164,78 +165,74 @@
     }
 }
 
-pub fn server_entry(n: u32, state: ServerState, started: Micros) -> ServerEntry {
+pub fn server_entry(number: u32, state: ServerState, started_at: Micros) -> ServerEntry {
     ServerEntry {
-        server: ServerId(n),
-        zone: n % 2,
+        server: ServerId(number),
+        zone: number % 2,
         machine_type: 0,
-        cell: n / 2,
+        cell: number / 2,
         state,
         weight: 1.0,
-        started_at: started,
+        started_at,
     }
 }
 
 pub fn sent_attempts(actions: &[Action]) -> Vec<(RequestId, ServerId)> {
-    let send = |a: &Action| match a {
+    let attempt = |action: &Action| match action {
         Action::Send {
             request, server, ..
         } => Some((*request, *server)),
         _ => None,
     };
-    actions.iter().filter_map(send).collect()
+    actions.iter().filter_map(attempt).collect()
 }
 
 pub fn counter_calls(actions: &[Action]) -> Vec<(CounterKey, f64)> {
-    let count = |a: &Action| match a {
-        Action::AddToCounter {
-            key: name,
-            amount: add,
-            ..
-        } => Some((*name, *add)),
+    let call = |action: &Action| match action {
+        Action::AddToCounter { key, amount, .. } => Some((*key, *amount)),
         _ => None,
     };
-    actions.iter().filter_map(count).collect()
+    actions.iter().filter_map(call).collect()
 }
 
 pub fn shed_requests(actions: &[Action]) -> Vec<RequestId> {
-    let shed = |a: &Action| match a {
+    let shed_request = |action: &Action| match action {
         Action::Shed { request, .. } => Some(*request),
         _ => None,
     };
-    actions.iter().filter_map(shed).collect()
+    actions.iter().filter_map(shed_request).collect()
 }
 
 pub fn failed_requests(actions: &[Action]) -> Vec<RequestId> {
-    let fail = |a: &Action| match a {
+    let failed_request = |action: &Action| match action {
         Action::Fail(request) => Some(*request),
         _ => None,
     };
-    actions.iter().filter_map(fail).collect()
+    actions.iter().filter_map(failed_request).collect()
 }
 
-/// The counter service, answering at once.
+/// A counter service that answers at once.
 #[derive(Default)]
 pub struct FakeCounter(pub std::collections::BTreeMap<CounterKey, f64>);
 
 impl FakeCounter {
-    /// Answers all calls among the actions, and those that the answers lead to; gives all that was done.
+    /// Answers all calls among the actions, and the calls that follow from the answers. Returns all actions.
     pub fn answer(&mut self, gateway: &mut Gateway, actions: Vec<Action>) -> Vec<Action> {
         let mut all = actions.clone();
-        let mut open = counter_calls(&actions);
-        while !open.is_empty() {
-            let mut more = Vec::new();
-            for (name, add) in open {
-                let total = self.0.entry(name).or_default();
-                *total += add;
-                more.extend(gateway.handle_event(Event::CounterAnswered {
-                    key: name,
+        let mut pending = counter_calls(&actions);
+        while !pending.is_empty() {
+            let mut follow_ups = Vec::new();
+            for (key, amount) in pending {
+                let total = self.0.entry(key).or_default();
+                *total += amount;
+                follow_ups.extend(gateway.handle_event(Event::CounterAnswered {
+                    key,
                     outcome: Outcome::Ok,
                     total: *total,
                 }));
             }
-            open = counter_calls(&more);
-            all.extend(more);
+            pending = counter_calls(&follow_ups);
+            all.extend(follow_ups);
         }
         all
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,6 @@
-//! The five rules, each by its symptom.
+//! The five rules that a gateway must always keep: one final response for each request, no double
+//! execution, nothing new to draining or removed servers, no overload of cold servers, and hard
+//! limits.
 
 mod common;
 
@@ -6,42 +8,43 @@
 use streamarch::*;
 
 #[test]
-fn rule_1_every_request_gets_one_final_answer_in_time() {
+fn every_request_gets_one_final_response_in_time() {
     let mut gateway = Gateway::with_servers(settings(), 4);
-    let (safe, mut actions) = gateway.send_request(0, 0, 1);
-    let (risky, more) = gateway.send_request(2, 0, 1);
-    actions.extend(more);
+    let (idempotent, mut actions) = gateway.send_request(0, 0, 1);
+    let (not_idempotent, more_actions) = gateway.send_request(2, 0, 1);
+    actions.extend(more_actions);
     actions.extend(gateway.advance(SECOND + 8 * MS));
-    let finals = |id| {
+    let final_responses = |id| {
         shed_requests(&actions)
             .iter()
             .chain(&failed_requests(&actions))
-            .filter(|i| **i == id)
+            .filter(|other| **other == id)
             .count()
     };
-    assert_eq!((finals(safe), finals(risky)), (1, 1));
     assert_eq!(
-        failed_requests(&actions),
-        [risky],
-        "an unsafe request that may have run must not be refused"
+        (final_responses(idempotent), final_responses(not_idempotent)),
+        (1, 1)
     );
-    assert!(
-        gateway
-            .advance(2 * SECOND)
-            .iter()
-            .all(|a| matches!(a, Action::WakeAt(_) | Action::Log(_) | Action::Probe(_)))
+    assert_eq!(
+        failed_requests(&actions),
+        [not_idempotent],
+        "a non-idempotent request that may have been executed must not be shed"
     );
+    assert!(gateway.advance(2 * SECOND).iter().all(|action| matches!(
+        action,
+        Action::WakeAt(_) | Action::Log(_) | Action::Probe(_)
+    )));
 }
 
 #[test]
-fn rule_1_holds_without_any_server() {
+fn a_request_gets_a_final_response_without_any_server() {
     let mut gateway = Gateway::new(settings());
     let (id, actions) = gateway.send_request(0, 0, 1);
     assert_eq!(shed_requests(&actions), [id]);
 }
 
 #[test]
-fn rule_2_an_unsafe_request_that_may_have_run_is_not_sent_again() {
+fn a_non_idempotent_request_that_may_have_executed_is_not_retried() {
     let mut gateway = Gateway::with_servers(settings(), 4);
     let (id, actions) = gateway.send_request(2, 0, 1);
     let actions = gateway.end_attempt(id, 0, sent_attempts(&actions)[0].1, Outcome::Reset);
@@ -52,7 +55,7 @@
 }
 
 #[test]
-fn rule_2_an_unsafe_request_that_never_ran_is_sent_again() {
+fn a_non_idempotent_request_that_was_not_executed_is_retried() {
     let mut gateway = Gateway::with_servers(settings(), 4);
     let (id, actions) = gateway.send_request(2, 0, 1);
     let actions = gateway.end_attempt(id, 0, sent_attempts(&actions)[0].1, Outcome::Rejected);
@@ -60,24 +63,24 @@
 }
 
 #[test]
-fn rule_2_a_keyed_request_stays_inside_its_group_and_window() {
+fn a_keyed_request_is_retried_only_within_its_scope_and_window() {
     for _ in 0..20 {
         let mut gateway = Gateway::with_servers(settings(), 8);
         let (id, actions) = gateway.send_request(1, 0, 1);
-        let first = sent_attempts(&actions)[0].1;
-        let again = sent_attempts(&gateway.end_attempt(id, 0, first, Outcome::Reset));
+        let first_server = sent_attempts(&actions)[0].1;
+        let retries = sent_attempts(&gateway.end_attempt(id, 0, first_server, Outcome::Reset));
         assert_eq!(
-            again[0].1.0 % 2,
-            first.0 % 2,
-            "the repeat must stay in the zone"
+            retries[0].1.0 % 2,
+            first_server.0 % 2,
+            "the retry must stay in the zone"
         );
     }
-    let mut short = settings();
-    short.classes[1].idempotency = Idempotency::Keyed {
+    let mut short_window = settings();
+    short_window.classes[1].idempotency = Idempotency::Keyed {
         scope: DedupScope::Zone,
         dedup_window: 100 * MS,
     };
-    let mut gateway = Gateway::with_servers(short, 8);
+    let mut gateway = Gateway::with_servers(short_window, 8);
     let (id, actions) = gateway.send_request(1, 0, 1);
     gateway.now += 120 * MS;
     let actions = gateway.end_attempt(id, 0, sent_attempts(&actions)[0].1, Outcome::Reset);
@@ -88,18 +91,18 @@
 }
 
 #[test]
-fn rule_2_no_two_attempts_are_out_at_once() {
+fn a_request_has_at_most_one_attempt_in_flight() {
     let mut gateway = Gateway::with_servers(settings(), 4);
     let (_, actions) = gateway.send_request(0, 0, 1);
     assert_eq!(sent_attempts(&actions).len(), 1);
     assert!(
         sent_attempts(&gateway.advance(900 * MS)).is_empty(),
-        "sent again while the first was out"
+        "sent again while the first attempt was in flight"
     );
 }
 
 #[test]
-fn rule_3_nothing_new_goes_to_a_draining_or_gone_server() {
+fn no_new_request_goes_to_a_draining_or_removed_server() {
     let mut gateway = Gateway::with_servers(settings(), 3);
     let entries = vec![
         server_entry(0, ServerState::Draining, 0),
@@ -122,12 +125,12 @@
     assert_eq!(
         sent_attempts(&actions)[0].1,
         ServerId(0),
-        "a server absent from a full list is gone"
+        "a server absent from a full list is removed"
     );
 }
 
 #[test]
-fn rule_4_a_cold_server_gets_no_more_than_its_share() {
+fn a_cold_server_gets_no_more_than_its_share() {
     let mut gateway = Gateway::new(settings());
     let now = gateway.now;
     let entries = (0..4)
@@ -137,32 +140,33 @@
         kind: ListKind::Cached,
         entries,
     });
-    let mut cold = 0;
+    let mut sent_to_cold = 0;
     for n in 0..100 {
         let (id, actions) = gateway.send_request(0, 0, n);
         let server = sent_attempts(&actions)[0].1;
-        cold += u32::from(server == ServerId(0));
+        sent_to_cold += u32::from(server == ServerId(0));
         gateway.now += 10 * MS;
         gateway.end_attempt(id, 0, server, Outcome::Ok);
     }
-    // One second: 2 x 0.2 to 0.28 of a core's second for both gateways, at 50 ms of work each.
+    // Over one second, twice 0.2 to 0.28 core seconds for both gateways together, at 50 ms of work
+    // per request.
     assert!(
-        cold <= 5,
-        "{cold} requests went to the cold server in a second"
+        sent_to_cold <= 5,
+        "{sent_to_cold} requests went to the cold server in a second"
     );
 }
 
 #[test]
-fn rule_5_a_ceiling_is_kept_by_a_gateway_alone() {
-    let mut hard = settings();
-    hard.counter_available = false;
-    hard.plans[0] = Plan {
+fn a_gateway_keeps_its_share_of_a_hard_limit_without_the_counter() {
+    let mut with_hard_limit = settings();
+    with_hard_limit.counter_available = false;
+    with_hard_limit.plans[0] = Plan {
         hard_limit_rate_per_s: 10.0,
         hard_limit_burst: 20.0,
         hard_limit_slack: 1.0,
         ..Plan::default()
     };
-    let mut gateway = Gateway::with_servers(hard, 4);
+    let mut gateway = Gateway::with_servers(with_hard_limit, 4);
     let mut sent = 0;
     for _ in 0..400 {
         let (id, actions) = gateway.send_request(0, 0, 1);
@@ -174,6 +178,6 @@
     }
     assert!(
         (10..=20).contains(&sent),
-        "{sent} sent in 4 s, an even share of the filling is 20"
+        "{sent} sent in 4 s, an even share of the refill is 20"
     );
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,5 @@
-//! Hundreds of gateways: a counter smaller than the traffic, servers of which each gateway sees little.
+//! Fleets of hundreds of gateways: a counter service that cannot take a call for each request, and
+//! gateways that send little to each server.
 
 mod common;
 
@@ -7,20 +8,19 @@
 
 /// Answers every call among the actions with this outcome.
 fn answer_all(gateway: &mut Gateway, actions: &[Action], outcome: Outcome) -> Vec<Action> {
-    let names = counter_calls(actions).into_iter().map(|(name, _)| name);
-    names
-        .flat_map(|name| {
-            gateway.handle_event(Event::CounterAnswered {
-                key: name,
-                outcome,
-                total: 1.0,
-            })
+    let keys = counter_calls(actions).into_iter().map(|(key, _)| key);
+    keys.flat_map(|key| {
+        gateway.handle_event(Event::CounterAnswered {
+            key,
+            outcome,
+            total: 1.0,
         })
-        .collect()
+    })
+    .collect()
 }
 
-/// A gateway whose calls have been turned away now and then, never often enough in a row to call it lost.
-fn crowded() -> Gateway {
+/// A gateway two thirds of whose calls have been rejected, which does not make the counter lost.
+fn gateway_at_overloaded_counter() -> Gateway {
     let mut gateway = Gateway::with_servers(settings(), 40);
     for n in 0..60 {
         let (id, actions) = gateway.send_request(0, 1, 1000 + n);
@@ -39,22 +39,30 @@
 }
 
 #[test]
-fn a_crowded_counter_gets_fewer_calls_and_each_stands_for_more() {
-    let mut gateway = crowded();
-    let asked: Vec<_> = (0..200)
+fn an_overloaded_counter_gets_fewer_calls_and_each_adds_more() {
+    let mut gateway = gateway_at_overloaded_counter();
+    let calls_per_request: Vec<_> = (0..200)
         .map(|n| counter_calls(&gateway.send_request(0, 1, 5000 + n).1))
         .collect();
-    let adds: Vec<f64> = asked.iter().flatten().map(|(_, add)| *add).collect();
-    assert!(adds.len() < 60, "{} calls for 200 requests", adds.len());
+    let amounts: Vec<f64> = calls_per_request
+        .iter()
+        .flatten()
+        .map(|(_, amount)| *amount)
+        .collect();
+    assert!(
+        amounts.len() < 60,
+        "{} calls for 200 requests",
+        amounts.len()
+    );
     assert!(
-        !adds.is_empty() && adds.iter().all(|add| *add > 2.0),
-        "added {adds:?}"
+        !amounts.is_empty() && amounts.iter().all(|amount| *amount > 2.0),
+        "added {amounts:?}"
     );
 }
 
 #[test]
-fn calls_come_back_with_good_answers() {
-    let mut gateway = crowded();
+fn the_call_share_recovers_with_timely_answers() {
+    let mut gateway = gateway_at_overloaded_counter();
     for n in 0..3000 {
         let (id, actions) = gateway.send_request(0, 1, 9000 + n);
         let mut all = answer_all(&mut gateway, &actions, Outcome::Ok);
@@ -66,30 +74,30 @@
     let calls = (0..50)
         .filter(|n| !counter_calls(&gateway.send_request(0, 1, 20_000 + n).1).is_empty())
         .count();
-    assert_eq!(calls, 50, "the ordinary path is a call for each request");
+    assert_eq!(calls, 50, "each request makes a call again");
 }
 
 #[test]
-fn only_the_first_of_a_window_reads_the_one_before() {
-    let mut pair = [
+fn only_the_first_gateway_in_a_window_reads_the_previous_one() {
+    let mut gateways = [
         Gateway::with_servers(settings(), 4),
         Gateway::with_servers(settings(), 4),
     ];
     let mut counter = FakeCounter::default();
     let mut reads = [0, 0];
-    for (n, gateway) in pair.iter_mut().enumerate() {
+    for (n, gateway) in gateways.iter_mut().enumerate() {
         let (_, actions) = gateway.send_request(0, 1, 9);
         let all = counter.answer(gateway, actions);
         reads[n] = counter_calls(&all)
             .iter()
-            .filter(|(_, add)| *add == 0.0)
+            .filter(|(_, amount)| *amount == 0.0)
             .count();
     }
     assert_eq!(reads, [1, 0]);
 }
 
 #[test]
-fn what_a_window_leaves_over_counts_in_the_next_once() {
+fn the_carryover_of_a_window_counts_once_in_the_next() {
     let (mut gateway, mut counter) = (Gateway::with_servers(settings(), 4), FakeCounter::default());
     for _ in 0..300 {
         let (id, actions) = gateway.send_request(0, 1, 9);
@@ -99,24 +107,24 @@
             counter.answer(&mut gateway, ended);
         }
         gateway.advance(20 * MS);
-        let least = counter.0.values().copied().fold(0.0, f64::min);
+        let min_total = counter.0.values().copied().fold(0.0, f64::min);
         assert!(
-            least >= 0.0,
-            "a count below nothing grants what it should not: {least}"
+            min_total >= 0.0,
+            "a counter below zero grants too much: {min_total}"
         );
-        let most = counter.0.values().copied().fold(0.0, f64::max);
+        let max_total = counter.0.values().copied().fold(0.0, f64::max);
         assert!(
-            most <= 22.0,
-            "a store of 10 and its filling hold 20, the count shows {most}"
+            max_total <= 22.0,
+            "a bucket of 10 and its refill are 20, the counter shows {max_total}"
         );
     }
 }
 
 #[test]
-fn a_server_that_refuses_one_plan_serves_the_others() {
-    let mut plans = settings();
-    plans.counter_available = false;
-    let mut gateway = Gateway::with_servers(plans, 1);
+fn a_server_that_rejects_one_plan_serves_the_others() {
+    let mut without_counter = settings();
+    without_counter.counter_available = false;
+    let mut gateway = Gateway::with_servers(without_counter, 1);
     for n in 0..5 {
         let (id, actions) = gateway.send_request(2, 1, n);
         for (_, server) in sent_attempts(&actions) {
@@ -125,43 +133,43 @@
     }
     assert!(
         sent_attempts(&gateway.send_request(2, 1, 50).1).is_empty(),
-        "it rests for the plan it refused"
+        "the gateway must back off for the plan that the server rejected"
     );
     assert_eq!(sent_attempts(&gateway.send_request(2, 0, 51).1).len(), 1);
 }
 
 #[test]
-fn a_half_warm_server_gets_its_share_at_a_gateway_that_sees_little() {
-    let mut many = settings();
-    many.gateway_count = 2;
-    let mut gateway = Gateway::new(many);
-    let started = gateway.now - 8 * SECOND;
+fn a_warming_server_gets_its_share_at_a_gateway_with_little_traffic() {
+    let mut two_gateways = settings();
+    two_gateways.gateway_count = 2;
+    let mut gateway = Gateway::new(two_gateways);
+    let started_at = gateway.now - 8 * SECOND;
     let entries = (0..4)
-        .map(|n| server_entry(n, ServerState::Ready, if n == 0 { started } else { 0 }))
+        .map(|n| server_entry(n, ServerState::Ready, if n == 0 { started_at } else { 0 }))
         .collect();
     gateway.handle_event(Event::ServerList {
         kind: ListKind::Cached,
         entries,
     });
-    let mut cold = 0;
+    let mut sent_to_warming = 0;
     for n in 0..60 {
         let (id, actions) = gateway.send_request(0, 0, n);
         let server = sent_attempts(&actions)[0].1;
-        cold += u32::from(server == ServerId(0));
+        sent_to_warming += u32::from(server == ServerId(0));
         gateway.now += 25 * MS;
         gateway.end_attempt(id, 0, server, Outcome::Ok);
     }
     assert!(
-        cold >= 3,
-        "{cold} of 60 requests, one after the other, went to the server that is nearly warm"
+        sent_to_warming >= 3,
+        "{sent_to_warming} of 60 requests in sequence went to the server that is nearly warm"
     );
 }
 
 #[test]
-fn one_gateway_of_many_brings_down_its_attempts_when_most_answers_are_late() {
-    let mut many = settings();
-    many.gateway_count = 300;
-    let mut gateway = Gateway::with_servers(many, 100);
+fn one_gateway_of_many_lowers_its_limits_when_most_responses_are_late() {
+    let mut many_gateways = settings();
+    many_gateways.gateway_count = 300;
+    let mut gateway = Gateway::with_servers(many_gateways, 100);
     for n in 0..200 {
         let (id, actions) = gateway.send_request(0, 0, n);
         gateway.now += 50 * MS;
@@ -183,48 +191,50 @@
         .sum();
     assert!(
         sent <= 4,
-        "{sent} out from one of 300 gateways while three answers of four are late"
+        "{sent} attempts in flight from one of 300 gateways while three responses of four are late"
     );
 }
 
 #[test]
-fn a_count_that_looks_fresh_after_a_give_back_is_not_carried_over_again() {
+fn a_counter_that_looks_new_after_units_were_given_back_gets_no_second_carryover() {
     let mut gateway = Gateway::new(settings());
     let (_, first) = gateway.send_request(0, 1, 9);
-    let name = counter_calls(&first)[0].0;
-    let counted = |total| Event::CounterAnswered {
-        key: name,
+    let key = counter_calls(&first)[0].0;
+    let answer = |total| Event::CounterAnswered {
+        key,
         outcome: Outcome::Ok,
         total,
     };
-    // No server takes it: its unit is given back while the window before is still being read.
-    let then = gateway.handle_event(counted(1.0));
-    let back = counter_calls(&then)
+    // There is no server: the unit is given back while the previous window is still being read.
+    let follow_ups = gateway.handle_event(answer(1.0));
+    let given_back = counter_calls(&follow_ups)
         .iter()
-        .map(|(_, add)| *add)
+        .map(|(_, amount)| *amount)
         .sum::<f64>();
     assert!(
-        (-1.0..-0.99).contains(&back) && back != -1.0,
-        "{back}: a trace stays"
+        (-1.0..-0.99).contains(&given_back) && given_back != -1.0,
+        "{given_back}: a small remainder must stay at the counter"
     );
     assert_eq!(
-        counter_calls(&then)
+        counter_calls(&follow_ups)
             .iter()
-            .filter(|(_, add)| *add == 0.0)
+            .filter(|(_, amount)| *amount == 0.0)
             .count(),
         1
     );
     gateway.send_request(0, 1, 9);
-    gateway.handle_event(counted(0.0));
-    let again = gateway.handle_event(counted(1.0));
+    gateway.handle_event(answer(0.0));
+    let later_follow_ups = gateway.handle_event(answer(1.0));
     assert!(
-        counter_calls(&again).iter().all(|(_, add)| *add != 0.0),
-        "read again: {again:?}"
+        counter_calls(&later_follow_ups)
+            .iter()
+            .all(|(_, amount)| *amount != 0.0),
+        "the previous window is read again: {later_follow_ups:?}"
     );
 }
 
 #[test]
-fn a_gateway_that_slept_judges_nobody_by_it() {
+fn a_gateway_that_was_suspended_suspects_no_server() {
     let mut gateway = Gateway::with_servers(settings(), 4);
     let (id, actions) = gateway.send_request(2, 0, 1);
     let server = sent_attempts(&actions)[0].1;
@@ -246,12 +256,12 @@
     assert!(
         !actions
             .iter()
-            .any(|a| matches!(a, Action::Probe(_) | Action::Log(_))),
+            .any(|action| matches!(action, Action::Probe(_) | Action::Log(_))),
         "{actions:?}"
     );
 }
 
-/// Settings of one of 400 gateways, whose customers' requests come in through three.
+/// Settings of one of 1000 gateways; the requests of a customer arrive at two of them.
 fn one_of_many() -> Settings {
     Settings {
         gateway_count: 1000,
@@ -262,13 +272,15 @@
 }
 
 #[test]
-fn a_counter_that_turns_calls_away_is_not_taken_for_lost() {
+fn a_counter_that_rejects_calls_is_not_lost() {
     let mut gateway = Gateway::with_servers(settings(), 40);
     for n in 0..60 {
         let (id, mut actions) = gateway.send_request(0, 1, n);
         actions.extend(answer_all(&mut gateway, &actions, Outcome::Rejected));
         assert!(
-            !actions.iter().any(|a| matches!(a, Action::Log(_))),
+            !actions
+                .iter()
+                .any(|action| matches!(action, Action::Log(_))),
             "{actions:?}"
         );
         for (_, server) in sent_attempts(&actions) {
@@ -285,56 +297,56 @@
         .sum();
     assert!(
         calls < 40,
-        "{calls} calls for the first 100 requests of one of 400 gateways"
+        "{calls} calls for the first 100 requests of one of 1000 gateways"
     );
 }
 
 #[test]
-fn failed_calls_bring_down_those_for_customers_near_their_quota_too() {
+fn rejected_calls_also_reduce_calls_for_customers_near_their_quota() {
     let mut gateway = Gateway::with_servers(settings(), 40);
-    let near = |gateway: &mut Gateway, outcome: Outcome| {
+    let request_near_quota = |gateway: &mut Gateway, outcome: Outcome| {
         let (id, actions) = gateway.send_request(0, 1, 9);
-        let names = counter_calls(&actions).into_iter().map(|(name, _)| name);
-        let told = |name| {
+        let keys = counter_calls(&actions).into_iter().map(|(key, _)| key);
+        let answer = |key| {
             gateway.handle_event(Event::CounterAnswered {
-                key: name,
+                key,
                 outcome,
                 total: 9.5,
             })
         };
-        let more: Vec<Action> = names.flat_map(told).collect();
+        let follow_ups: Vec<Action> = keys.flat_map(answer).collect();
         let calls = counter_calls(&actions).len();
-        for (_, server) in sent_attempts(&[actions, more].concat()) {
+        for (_, server) in sent_attempts(&[actions, follow_ups].concat()) {
             gateway.end_attempt(id, 0, server, Outcome::Ok);
         }
         calls
     };
-    (0..5).for_each(|_| _ = near(&mut gateway, Outcome::Ok));
-    (0..300).for_each(|_| _ = near(&mut gateway, Outcome::Rejected));
+    (0..5).for_each(|_| _ = request_near_quota(&mut gateway, Outcome::Ok));
+    (0..300).for_each(|_| _ = request_near_quota(&mut gateway, Outcome::Rejected));
     let calls: usize = (0..100)
-        .map(|_| near(&mut gateway, Outcome::Rejected))
+        .map(|_| request_near_quota(&mut gateway, Outcome::Rejected))
         .sum();
     assert!(
         calls <= 5,
-        "{calls} calls for 100 requests after every call has failed for long"
+        "{calls} calls for 100 requests after every call has been rejected for a long time"
     );
 }
 
 fn notices(actions: &[Action]) -> Vec<(u32, OverQuotaNotice)> {
-    let notice = |a: &Action| match a {
+    let sent_notice = |action: &Action| match action {
         Action::NotifyGateway(gateway, notice) => Some((*gateway, *notice)),
         _ => None,
     };
-    actions.iter().filter_map(notice).collect()
+    actions.iter().filter_map(sent_notice).collect()
 }
 
-/// Asks for this customer until a call is made and answered with a total far beyond its quota.
-fn found_over(gateway: &mut Gateway, customer: u64) -> Vec<Action> {
+/// Sends requests of the customer until one makes a call, and answers it with a total far over quota.
+fn find_over_quota(gateway: &mut Gateway, customer: u64) -> Vec<Action> {
     for _ in 0..400 {
         let (_, actions) = gateway.send_request(0, 1, customer);
-        if let Some((name, _)) = counter_calls(&actions).first().copied() {
+        if let Some((key, _)) = counter_calls(&actions).first().copied() {
             return gateway.handle_event(Event::CounterAnswered {
-                key: name,
+                key,
                 outcome: Outcome::Ok,
                 total: 900.0,
             });
@@ -344,19 +356,19 @@
 }
 
 #[test]
-fn a_verdict_is_told_to_the_customers_gateways_while_the_counter_is_crowded() {
+fn the_customers_gateways_are_notified_while_the_counter_is_overloaded() {
     let mut gateway = Gateway::with_servers(one_of_many(), 40);
-    let told = notices(&found_over(&mut gateway, 9));
-    // The customer's two gateways are 0 and 1, and this is 1.
+    let sent = notices(&find_over_quota(&mut gateway, 9));
+    // The customer's gateways are 0 and 1; this one is 1.
     let notice = OverQuotaNotice {
         customer: CustomerId(9),
         plan: 1,
     };
-    assert_eq!(told, [(0, notice)]);
+    assert_eq!(sent, [(0, notice)]);
 }
 
 #[test]
-fn on_the_ordinary_path_nothing_is_told() {
+fn no_notice_is_sent_while_the_counter_is_not_overloaded() {
     let mut gateway = Gateway::with_servers(
         Settings {
             can_notify_gateways: true,
@@ -364,12 +376,12 @@
         },
         40,
     );
-    assert!(notices(&found_over(&mut gateway, 9)).is_empty());
+    assert!(notices(&find_over_quota(&mut gateway, 9)).is_empty());
 }
 
 #[test]
-fn a_told_verdict_holds_a_customer_never_seen_and_fades() {
-    let passed = |wait| {
+fn a_notice_rejects_an_unknown_customer_and_decays() {
+    let admitted_after = |wait| {
         let mut gateway = Gateway::with_servers(one_of_many(), 40);
         gateway.handle_event(Event::NoticeReceived(OverQuotaNotice {
             customer: CustomerId(9),
@@ -380,10 +392,10 @@
             .map(|_| sent_attempts(&gateway.send_request(0, 1, 9).1).len())
             .sum::<usize>()
     };
-    assert_eq!(passed(0), 0);
+    assert_eq!(admitted_after(0), 0);
     assert!(
-        passed(20 * SECOND) > 0,
-        "held for good by a verdict of 20 s ago"
+        admitted_after(20 * SECOND) > 0,
+        "still rejected by a notice of 20 s ago"
     );
     let mut gateway = Gateway::with_servers(one_of_many(), 40);
     gateway.handle_event(Event::NoticeReceived(OverQuotaNotice {
@@ -393,71 +405,73 @@
     assert_eq!(
         gateway.send_request(0, 77, 3).1.len(),
         1,
-        "an odd notice and an odd plan"
+        "a notice and a request with an unknown plan"
     );
 }
 
 #[test]
-fn a_kind_of_machine_that_turns_all_away_is_left_out_though_each_is_met_once() {
-    let many = Settings {
+fn a_machine_type_that_rejects_everything_is_avoided_though_each_server_is_tried_once() {
+    let fleet_settings = Settings {
         gateway_count: 400,
         counter_available: false,
         ..settings()
     };
-    let mut gateway = Gateway::new(many);
-    let kind = |n| ServerEntry {
+    let mut gateway = Gateway::new(fleet_settings);
+    let entry_of_type = |n| ServerEntry {
         machine_type: n % 2,
         ..server_entry(n, ServerState::Ready, 0)
     };
-    let entries = (0..200).map(kind).collect();
+    let entries = (0..200).map(entry_of_type).collect();
     gateway.handle_event(Event::ServerList {
         kind: ListKind::Cached,
         entries,
     });
-    let mut refused = [0, 0];
+    let mut rejected = [0, 0];
     for n in 0..200 {
         let (id, mut actions) = gateway.send_request(0, 0, n);
         let mut attempt = 0;
         while let Some((_, server)) = sent_attempts(&actions).first().copied() {
-            let full = server.0 % 2 == 1;
-            refused[usize::from(n >= 100)] += u32::from(full);
-            let outcome = if full { Outcome::Rejected } else { Outcome::Ok };
+            let is_full = server.0 % 2 == 1;
+            rejected[usize::from(n >= 100)] += u32::from(is_full);
+            let outcome = if is_full {
+                Outcome::Rejected
+            } else {
+                Outcome::Ok
+            };
             actions = gateway.end_attempt(id, attempt, server, outcome);
             attempt += 1;
         }
         gateway.now += 200 * MS;
     }
     assert!(
-        refused[1] <= 15,
-        "{refused:?} turned away in the first and second 100 requests"
+        rejected[1] <= 15,
+        "{rejected:?} rejected in the first and second 100 requests"
     );
 }
 
 #[test]
-fn refused_clients_are_told_different_times_to_come_back() {
+fn shed_clients_get_different_retry_delays() {
     let mut gateway = Gateway::new(settings());
-    let times: std::collections::BTreeSet<Micros> = (0..20)
+    let delays: std::collections::BTreeSet<Micros> = (0..20)
         .flat_map(|n| gateway.send_request(0, 0, n).1)
-        .filter_map(|a| match a {
-            Action::Shed {
-                retry_after: stay_away,
-                ..
-            } => Some(stay_away),
+        .filter_map(|action| match action {
+            Action::Shed { retry_after, .. } => Some(retry_after),
             _ => None,
         })
         .collect();
     assert!(
-        times.len() > 10 && times.iter().all(|t| *t > 0 && *t <= SECOND),
-        "{times:?}"
+        delays.len() > 10 && delays.iter().all(|delay| *delay > 0 && *delay <= SECOND),
+        "{delays:?}"
     );
 }
 
 #[test]
-fn denied_tries_do_not_fill_the_cap_of_their_customer_at_a_crowded_counter() {
+fn denied_requests_do_not_fill_the_concurrency_limit_at_an_overloaded_counter() {
     let mut gateway = Gateway::with_servers(settings(), 40);
-    // Whatever is asked for this customer is denied: four places out of two are taken.
-    let asks = |gateway: &mut Gateway, n: u64| {
-        // It stays crowded: calls for others are turned away, at first two, then one now and then.
+    // Each request of this customer is denied: the counter shows four slots of two in use.
+    let added_by_request = |gateway: &mut Gateway, n: u64| {
+        // The counter stays overloaded: calls for other customers are rejected, two at first, then one
+        // for every fifth request.
         for other in 0..if n == 0 {
             2
         } else {
@@ -467,65 +481,71 @@
             answer_all(gateway, &actions, Outcome::Rejected);
         }
         let (_, actions) = gateway.send_request(0, 2, 9);
-        let told = |name| Event::CounterAnswered {
-            key: name,
+        let answer = |key| Event::CounterAnswered {
+            key,
             outcome: Outcome::Ok,
             total: 4.0,
         };
-        let (mut all, mut open) = (counter_calls(&actions), counter_calls(&actions));
-        while let Some((name, _)) = open.pop() {
-            let more = counter_calls(&gateway.handle_event(told(name)));
-            open.extend(&more);
-            all.extend(&more);
+        let (mut calls, mut pending) = (counter_calls(&actions), counter_calls(&actions));
+        while let Some((key, _)) = pending.pop() {
+            let follow_ups = counter_calls(&gateway.handle_event(answer(key)));
+            pending.extend(&follow_ups);
+            calls.extend(&follow_ups);
         }
         gateway.now += 150 * MS;
-        all.iter().filter(|(_, add)| *add > 0.0).count()
+        calls.iter().filter(|(_, amount)| *amount > 0.0).count()
     };
-    let adds: usize = (0..60).map(|n| asks(&mut gateway, n)).sum();
+    let added: usize = (0..60).map(|n| added_by_request(&mut gateway, n)).sum();
     assert!(
-        (1..=12).contains(&adds),
-        "{adds} adds for 60 tries, all denied"
+        (1..=12).contains(&added),
+        "{added} calls added units for 60 requests, all denied"
     );
 }
 
 #[test]
-fn what_passes_by_a_verdict_that_was_unlikely_is_counted() {
+fn units_admitted_against_the_odds_are_counted() {
     let mut gateway = Gateway::with_servers(one_of_many(), 40);
-    // Told by another gateway: its own verdict lets it through all the same.
+    // Another gateway sent a notice; this one's own total admits the request nevertheless.
     gateway.handle_event(Event::NoticeReceived(OverQuotaNotice {
         customer: CustomerId(9),
         plan: 1,
     }));
     let mut counted = 0.0;
-    let passed = (0..400).find(|_| {
+    let admitted = (0..400).find(|_| {
         let (_, actions) = gateway.send_request(0, 1, 9);
-        counter_calls(&actions).first().is_some_and(|(name, add)| {
-            let then = gateway.handle_event(Event::CounterAnswered {
-                key: *name,
-                outcome: Outcome::Ok,
-                total: *add,
-            });
-            counted = add + counter_calls(&then).iter().map(|(_, add)| add).sum::<f64>();
-            !sent_attempts(&then).is_empty()
-        })
+        counter_calls(&actions)
+            .first()
+            .is_some_and(|(key, amount)| {
+                let follow_ups = gateway.handle_event(Event::CounterAnswered {
+                    key: *key,
+                    outcome: Outcome::Ok,
+                    total: *amount,
+                });
+                counted = amount
+                    + counter_calls(&follow_ups)
+                        .iter()
+                        .map(|(_, amount)| amount)
+                        .sum::<f64>();
+                !sent_attempts(&follow_ups).is_empty()
+            })
     });
     assert!(
-        passed.is_some() && counted >= 1.0,
-        "{counted} of one unit is told while it matters"
+        admitted.is_some() && counted >= 1.0,
+        "{counted} of one unit counted in time"
     );
 }
 
 #[test]
 fn a_hundred_gateways_open_few_connections_and_reach_every_server() {
-    let mut users = [0; 60];
+    let mut gateways_per_server = [0; 60];
     for number in 0..100 {
-        let many = Settings {
+        let hundred_gateways = Settings {
             gateway_count: 100,
             gateway_index: number,
             counter_available: false,
             ..settings()
         };
-        let balancer = Balancer::new(many, u64::from(number));
+        let balancer = Balancer::new(hundred_gateways, u64::from(number));
         let mut gateway = Gateway {
             balancer,
             now: 100 * SECOND,
@@ -538,36 +558,37 @@
             kind: ListKind::Cached,
             entries,
         });
-        let mut used = std::collections::BTreeSet::new();
+        let mut used_servers = std::collections::BTreeSet::new();
         for n in 0..300 {
             let (id, actions) = gateway.send_request(0, 0, n);
             for (_, server) in sent_attempts(&actions) {
-                used.insert(server.0);
+                used_servers.insert(server.0);
                 gateway.now += 50 * MS;
                 gateway.end_attempt(id, 0, server, Outcome::Ok);
             }
         }
-        used.into_iter()
-            .for_each(|server| users[server as usize] += 1);
+        used_servers
+            .into_iter()
+            .for_each(|server| gateways_per_server[server as usize] += 1);
     }
     assert!(
-        users.iter().sum::<i32>() <= 1_300,
-        "a server and a gateway meet in {users:?} pairs"
+        gateways_per_server.iter().sum::<i32>() <= 1_300,
+        "too many pairs of a gateway and a server: {gateways_per_server:?}"
     );
     assert!(
-        users.iter().all(|n| (5..=40).contains(n)),
-        "gateways at each server: {users:?}"
+        gateways_per_server.iter().all(|n| (5..=40).contains(n)),
+        "gateways that use each server: {gateways_per_server:?}"
     );
 }
 
 #[test]
-fn notices_of_a_customer_that_stays_over_add_up() {
-    let mut many = one_of_many();
-    many.plans[1].over_quota_cost_share = 0.2;
-    let passed = |notices: i64| {
-        let mut passed = 0;
+fn notices_for_a_customer_that_stays_over_quota_accumulate() {
+    let mut fleet_settings = one_of_many();
+    fleet_settings.plans[1].over_quota_cost_share = 0.2;
+    let admitted_after = |notice_count: i64| {
+        let mut admitted = 0;
         for seed in 0..40 {
-            let balancer = Balancer::new(many.clone(), seed);
+            let balancer = Balancer::new(fleet_settings.clone(), seed);
             let mut gateway = Gateway {
                 balancer,
                 now: 100 * SECOND,
@@ -580,7 +601,7 @@
                 kind: ListKind::Cached,
                 entries,
             });
-            for _ in 0..notices {
+            for _ in 0..notice_count {
                 gateway.advance(2 * SECOND);
                 gateway.handle_event(Event::NoticeReceived(OverQuotaNotice {
                     customer: CustomerId(9),
@@ -591,22 +612,22 @@
             for _ in 0..8 {
                 let (id, actions) = gateway.send_request(0, 1, 9);
                 for (_, server) in sent_attempts(&actions) {
-                    passed += 1;
+                    admitted += 1;
                     gateway.end_attempt(id, 0, server, Outcome::Ok);
                 }
             }
         }
-        passed
+        admitted
     };
-    let (six, one) = (passed(6), passed(1));
+    let (after_six, after_one) = (admitted_after(6), admitted_after(1));
     assert!(
-        six * 3 < one * 2,
-        "{six} pass after six notices, {one} after one"
+        after_six * 3 < after_one * 2,
+        "{after_six} admitted after six notices, {after_one} after one"
     );
 }
 
 #[test]
-fn a_hundred_gateways_bring_down_their_bounds_when_a_third_of_the_answers_is_late() {
+fn one_of_a_hundred_gateways_lowers_its_limits_when_a_third_of_the_responses_is_late() {
     let mut gateway = Gateway::with_servers(
         Settings {
             gateway_count: 100,
@@ -619,18 +640,18 @@
         let (request, actions) = gateway.send_request(0, 0, n);
         gateway.now += 50 * MS;
         for (_, server) in sent_attempts(&actions) {
-            let (outcome, finished) = (Outcome::Ok, true);
-            let took = if n % 3 == 0 { 300 * MS } else { 50 * MS };
-            let (attempt, actual_units, report) = (0, None, None);
+            let (outcome, request_finished) = (Outcome::Ok, true);
+            let elapsed = if n % 3 == 0 { 300 * MS } else { 50 * MS };
+            let (attempt, actual_units, load_report) = (0, None, None);
             let end = AttemptEnd {
                 request,
                 attempt,
                 server,
                 outcome,
-                elapsed: took,
-                request_finished: finished,
+                elapsed,
+                request_finished,
                 actual_units,
-                load_report: report,
+                load_report,
             };
             gateway.handle_event(Event::AttemptEnd(end));
         }
@@ -640,15 +661,15 @@
         .sum();
     assert!(
         (1..=10).contains(&sent),
-        "{sent} out from one gateway of a hundred"
+        "{sent} attempts in flight from one gateway of a hundred"
     );
 }
 
 #[test]
-fn what_a_counter_turned_away_is_not_given_back() {
+fn units_of_rejected_calls_are_not_given_back() {
     let mut gateway = Gateway::with_servers(one_of_many(), 40);
     for customer in 0..400 {
-        // Told over some time ago: denied by chance where there is no verdict.
+        // A notice some time ago: without a total, requests are denied with some probability.
         gateway.handle_event(Event::NoticeReceived(OverQuotaNotice {
             customer: CustomerId(customer),
             plan: 1,
@@ -657,14 +678,20 @@
     gateway.advance(2 * SECOND);
     for customer in 0..400 {
         let (_, actions) = gateway.send_request(0, 1, customer);
-        let then = answer_all(&mut gateway, &actions, Outcome::Rejected);
-        let told: f64 = counter_calls(&then).iter().map(|(_, add)| add).sum();
-        assert!(told >= 0.0, "given back though never added: {then:?}");
+        let follow_ups = answer_all(&mut gateway, &actions, Outcome::Rejected);
+        let added: f64 = counter_calls(&follow_ups)
+            .iter()
+            .map(|(_, amount)| amount)
+            .sum();
+        assert!(
+            added >= 0.0,
+            "units given back that were never added: {follow_ups:?}"
+        );
     }
 }
 
 #[test]
-fn a_keyed_repeat_finds_its_group_among_servers_that_are_not_used() {
+fn a_keyed_retry_finds_its_scope_among_servers_outside_the_subset() {
     let mut keyed = Settings {
         gateway_count: 100,
         counter_available: false,
@@ -677,17 +704,18 @@
     let mut gateway = Gateway::with_servers(keyed, 60);
     let moved = (0..8).filter(|n| {
         let (id, actions) = gateway.send_request(1, 0, *n);
-        let first = sent_attempts(&actions)[0].1;
-        let again = sent_attempts(&gateway.end_attempt(id, 0, first, Outcome::Error))[0].1;
-        gateway.end_attempt(id, 1, again, Outcome::Ok);
+        let first_server = sent_attempts(&actions)[0].1;
+        let retry_server =
+            sent_attempts(&gateway.end_attempt(id, 0, first_server, Outcome::Error))[0].1;
+        gateway.end_attempt(id, 1, retry_server, Outcome::Ok);
         gateway.advance(SECOND);
-        // Cells are pairs: one other server would drop the repeat.
-        assert_eq!(again.0 / 2, first.0 / 2);
-        again != first
+        // Cells are pairs: only the other server of the cell would drop the duplicate.
+        assert_eq!(retry_server.0 / 2, first_server.0 / 2);
+        retry_server != first_server
     });
     let moved = moved.count();
     assert!(
         moved >= 6,
-        "{moved} of 8 repeats left the server that had failed"
+        "{moved} of 8 retries went to another server than the one that failed"
     );
 }
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Servers that are silent, slow, full or jammed; overload; odd input.
+//! Servers that are silent, slow, failing or full; overload; invalid input.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use streamarch::*;
 
 #[test]
-fn a_silent_server_is_suspected_and_its_safe_work_moved() {
+fn a_silent_server_is_suspected_and_its_idempotent_requests_are_moved() {
     let mut gateway = Gateway::with_servers(settings(), 4);
     let (id, actions) = gateway.send_request(0, 0, 1);
     let server = sent_attempts(&actions)[0].1;
@@ -18,7 +18,7 @@
     };
     assert!(
         !actions.contains(&cancel),
-        "one long request must not move a server's work"
+        "one long request must not move a server's requests"
     );
     let event = Event::ProbeEnd {
         server,
@@ -37,13 +37,13 @@
         gateway
             .handle_event(event)
             .iter()
-            .any(|a| matches!(a, Action::Log(_))),
-        "it is readmitted by its answer"
+            .any(|action| matches!(action, Action::Log(_))),
+        "the end of the suspicion must be logged"
     );
 }
 
 #[test]
-fn suspicion_never_empties_the_fleet() {
+fn suspicion_never_covers_the_whole_fleet() {
     let mut gateway = Gateway::with_servers(settings(), 4);
     (0..8).for_each(|n| drop(gateway.send_request(2, 0, n)));
     gateway.advance(900 * MS);
@@ -52,9 +52,9 @@
 }
 
 #[test]
-fn a_server_that_fails_at_once_gets_less_and_not_the_next_attempt() {
+fn a_fast_failing_server_gets_fewer_requests_and_not_the_next_attempt() {
     let mut gateway = Gateway::with_servers(settings(), 4);
-    let (mut to_bad, mut again) = (0, 0);
+    let (mut sent_to_failing, mut retried_there) = (0, 0);
     for n in 0..400 {
         let (id, mut actions) = gateway.send_request(0, 0, n);
         gateway.now += 5 * MS;
@@ -67,45 +67,54 @@
             } else {
                 Outcome::Ok
             };
-            to_bad += u32::from(server == ServerId(0) && n >= 100);
-            again += u32::from(server == ServerId(0) && attempt > 0);
+            sent_to_failing += u32::from(server == ServerId(0) && n >= 100);
+            retried_there += u32::from(server == ServerId(0) && attempt > 0);
             actions = gateway.end_attempt(id, attempt, server, outcome);
         }
     }
-    assert!(to_bad < 30, "{to_bad} of 300, an even share is 75");
-    assert!(again <= 1, "{again} further attempts went there");
+    assert!(
+        sent_to_failing < 30,
+        "{sent_to_failing} of 300 requests, an even share is 75"
+    );
+    assert!(
+        retried_there <= 1,
+        "{retried_there} retries went to the failing server"
+    );
 }
 
 #[test]
-fn a_slow_server_gets_less() {
+fn a_slow_server_gets_fewer_requests() {
     let mut gateway = Gateway::with_servers(settings(), 4);
-    let mut to_slow = 0;
+    let mut sent_to_slow = 0;
     for n in 0..200 {
         let (id, actions) = gateway.send_request(0, 0, n);
         let server = sent_attempts(&actions)[0].1;
         gateway.now += 5 * MS;
-        let took = if server == ServerId(0) {
+        let elapsed = if server == ServerId(0) {
             200 * MS
         } else {
             40 * MS
         };
-        to_slow += u32::from(server == ServerId(0) && n >= 100);
+        sent_to_slow += u32::from(server == ServerId(0) && n >= 100);
         gateway.handle_event(Event::AttemptEnd(AttemptEnd {
             request: id,
             attempt: 0,
             server,
             outcome: Outcome::Ok,
-            elapsed: took,
+            elapsed,
             request_finished: true,
             actual_units: None,
             load_report: None,
         }));
     }
-    assert!(to_slow < 10, "{to_slow} of 100, an even share is 25");
+    assert!(
+        sent_to_slow < 10,
+        "{sent_to_slow} of 100 requests, an even share is 25"
+    );
 }
 
 #[test]
-fn a_jam_is_not_fed() {
+fn servers_that_reject_everything_get_few_attempts() {
     let mut gateway = Gateway::with_servers(settings(), 4);
     let mut sent = 0;
     for n in 0..500 {
@@ -120,39 +129,45 @@
     }
     assert!(
         sent < 60,
-        "{sent} attempts in 5 s at four servers that turn everything away"
+        "{sent} attempts in 5 s at four servers that reject everything"
     );
 }
 
 #[test]
-fn work_out_is_bounded_and_the_rest_refused_at_once() {
+fn attempts_in_flight_are_limited_and_other_requests_shed_at_once() {
     let mut gateway = Gateway::with_servers(settings(), 4);
-    let answers: Vec<_> = (0..200).map(|n| gateway.send_request(0, 0, n).1).collect();
-    let sent: usize = answers.iter().map(|a| sent_attempts(a).len()).sum();
-    let shed: usize = answers.iter().map(|a| shed_requests(a).len()).sum();
-    assert!(
-        sent <= 24 && sent + shed == 200,
-        "{sent} sent, {shed} refused"
-    );
+    let responses: Vec<_> = (0..200).map(|n| gateway.send_request(0, 0, n).1).collect();
+    let sent: usize = responses
+        .iter()
+        .map(|actions| sent_attempts(actions).len())
+        .sum();
+    let shed: usize = responses
+        .iter()
+        .map(|actions| shed_requests(actions).len())
+        .sum();
+    assert!(sent <= 24 && sent + shed == 200, "{sent} sent, {shed} shed");
 }
 
 #[test]
-fn many_gateways_share_the_bound() {
-    let mut many = settings();
-    many.gateway_count = 12;
-    let mut gateway = Gateway::with_servers(many, 4);
+fn many_gateways_share_the_concurrency_limit() {
+    let mut twelve_gateways = settings();
+    twelve_gateways.gateway_count = 12;
+    let mut gateway = Gateway::with_servers(twelve_gateways, 4);
     let sent: usize = (0..200)
         .map(|n| sent_attempts(&gateway.send_request(0, 0, n).1).len())
         .sum();
-    assert!(sent <= 4, "{sent} out at 4 servers from one of 12 gateways");
+    assert!(
+        sent <= 4,
+        "{sent} attempts in flight at 4 servers from one of 12 gateways"
+    );
 }
 
 #[test]
-fn at_the_bound_the_dearer_class_goes_first() {
-    let mut worths = settings();
-    worths.classes[0].value = 0.2;
-    worths.classes[2].value = 5.0;
-    let mut gateway = Gateway::with_servers(worths, 4);
+fn at_the_limit_the_more_valuable_class_goes_first() {
+    let mut with_values = settings();
+    with_values.classes[0].value = 0.2;
+    with_values.classes[2].value = 5.0;
+    let mut gateway = Gateway::with_servers(with_values, 4);
     for n in 0..2000 {
         let (id, actions) = gateway.send_request((n % 2) as usize * 2, 0, n);
         gateway.now += 10 * MS;
@@ -163,37 +178,37 @@
         let class = (n % 2) as usize;
         sent[class] += sent_attempts(&gateway.send_request(class * 2, 0, n).1).len();
     }
-    assert!(sent[1] > sent[0], "cheap and dear: {sent:?}");
+    assert!(
+        sent[1] > sent[0],
+        "sent of the less and the more valuable class: {sent:?}"
+    );
 }
 
 #[test]
-fn further_attempts_are_bounded_by_the_budget() {
+fn retries_are_limited_by_the_budget() {
     let mut gateway = Gateway::with_servers(settings(), 8);
-    let mut again = 0;
+    let mut retries = 0;
     for n in 0..200 {
         let (id, mut actions) = gateway.send_request(0, 0, n);
         let mut attempt = 0;
         while let Some((_, server)) = sent_attempts(&actions).first().copied() {
             actions = gateway.end_attempt(id, attempt, server, Outcome::Error);
-            again += u32::from(!sent_attempts(&actions).is_empty());
+            retries += u32::from(!sent_attempts(&actions).is_empty());
             attempt += 1;
         }
     }
-    assert!(
-        again <= 10 + 20,
-        "{again} further attempts for 200 requests"
-    );
+    assert!(retries <= 10 + 20, "{retries} retries for 200 requests");
 }
 
 #[test]
-fn odd_input_gets_one_answer_and_no_panic() {
+fn invalid_input_gets_one_response_and_no_panic() {
     let mut gateway = Gateway::with_servers(settings(), 2);
     for (class, plan) in [(9, 0), (0, 9), (9, 9)] {
         let (id, actions) = gateway.send_request(class, plan, 1);
-        let answered = sent_attempts(&actions).len()
+        let responses = sent_attempts(&actions).len()
             + shed_requests(&actions).len()
             + failed_requests(&actions).len();
-        assert_eq!(answered, 1);
+        assert_eq!(responses, 1);
         gateway.end_attempt(id, 7, ServerId(55), Outcome::Ok);
         gateway.handle_event(Event::ClientDisconnected(id));
         gateway.handle_event(Event::ClientDisconnected(id));
@@ -212,14 +227,14 @@
     assert_eq!(
         shed_requests(&actions),
         [id],
-        "a clock that steps back: this deadline has passed"
+        "with a clock that steps back, the deadline has passed"
     );
-    let mut empty = Gateway::new(Settings::default());
-    let (id, actions) = empty.send_request(0, 0, 1);
+    let mut without_settings = Gateway::new(Settings::default());
+    let (id, actions) = without_settings.send_request(0, 0, 1);
     assert_eq!(shed_requests(&actions), [id]);
-    let mut zero = settings();
-    zero.plans[1] = plan(0.001, 0.0);
-    let mut gateway = Gateway::with_servers(zero, 2);
+    let mut zero_burst = settings();
+    zero_burst.plans[1] = plan(0.001, 0.0);
+    let mut gateway = Gateway::with_servers(zero_burst, 2);
     gateway.send_request(0, 1, 1);
     gateway.advance(SECOND);
 }
