--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -156,7 +156,7 @@
             }
             Action::Probe(server) => writeln!(out, "touch\tServer={}", server.0),
             Action::WatchServerList => writeln!(out, "observe\tEnable=1"),
-            Action::WakeAt(at) => writeln!(out, "after\tToken=0\tFireAtUs={at}"),
+            Action::WakeAt(wake_at) => writeln!(out, "after\tToken=0\tFireAtUs={wake_at}"),
             Action::Log(text) => writeln!(out, "write_log\tText={text}"),
         };
         written.expect("writing to a string");
--- a/src/policy/meters.rs
+++ b/src/policy/meters.rs
@@ -71,12 +71,12 @@
             let is_next = window == self.window_index + 1 && bucket.rate_per_s > 0.0;
             // Units not yet added after an outage count through the carryover only; they must not fill the
             // new window.
-            let known = (
+            let previous = (
                 self.estimate() + self.uncounted,
                 self.extrapolated_in_window,
                 self.extrapolated_since_total,
             );
-            let (total, in_window, since_total) = if is_next { known } else { (0.0, 0.0, 0.0) };
+            let (total, in_window, since_total) = if is_next { previous } else { (0.0, 0.0, 0.0) };
             (self.carryover, self.extrapolated_in_window) = (
                 bucket.carryover(total),
                 bucket.carryover(total.max(in_window)),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -97,11 +97,13 @@
                 Timer::Housekeeping => self.run_housekeeping(),
             }
         }
-        if let Some((&(at, _), _)) = self.timers.first_key_value()
-            && self.armed_wake_at.is_none_or(|armed_at| at < armed_at)
+        if let Some((&(due_at, _), _)) = self.timers.first_key_value()
+            && self
+                .armed_wake_at
+                .is_none_or(|armed_wake_at| due_at < armed_wake_at)
         {
-            self.armed_wake_at = Some(at);
-            self.actions.push(Action::WakeAt(at));
+            self.armed_wake_at = Some(due_at);
+            self.actions.push(Action::WakeAt(due_at));
         }
         actions.append(&mut self.actions);
     }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -38,9 +38,9 @@
         let state = self.requests.get(&id)?;
         let work = self.class_work(state.request.class);
         // Without the random draw all gateways would choose the same servers and leave out cold ones.
-        let ready = self.servers.values().filter(|s| s.is_ready).count();
+        let ready_servers = self.servers.values().filter(|s| s.is_ready).count();
         let candidate_count =
-            MIN_CANDIDATES.max((ready as f64 / self.gateway_count()).ceil() as usize);
+            MIN_CANDIDATES.max((ready_servers as f64 / self.gateway_count()).ceil() as usize);
         let mut candidates: Vec<Candidate> = Vec::with_capacity(candidate_count + 1);
         for ((server_id, server), draw) in self.servers.iter().zip(draws) {
             let is_allowed =
@@ -130,15 +130,15 @@
                     scope: DedupScope::Zone,
                     ..
                 }),
-                Some(first),
-            ) => server.zone == first.zone,
+                Some(first_execution),
+            ) => server.zone == first_execution.zone,
             (
                 Some(Idempotency::Keyed {
                     scope: DedupScope::Cell,
                     ..
                 }),
-                Some(first),
-            ) => server.cell == first.cell,
+                Some(first_execution),
+            ) => server.cell == first_execution.cell,
             (
                 Some(
                     Idempotency::Keyed { .. }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -76,8 +76,8 @@
             return self.send_attempt(id);
         };
         // A customer unknown here may have used up much of the window under the previous plan.
-        let in_same_window = |since| {
-            window_at(since, plan.inherited_window, customer_id).0
+        let in_same_window = |instant| {
+            window_at(instant, plan.inherited_window, customer_id).0
                 == window_at(now, plan.inherited_window, customer_id).0
         };
         let predecessor = plan
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -101,8 +101,9 @@
         };
         let is_safe = match (class.idempotency, state.first_execution) {
             (Idempotency::Idempotent, _) | (_, None) => true,
-            (Idempotency::Keyed { dedup_window, .. }, Some(first)) => {
-                self.now - first.sent_at + self.settings.min_handle_interval < dedup_window
+            (Idempotency::Keyed { dedup_window, .. }, Some(first_execution)) => {
+                self.now - first_execution.sent_at + self.settings.min_handle_interval
+                    < dedup_window
             }
             (Idempotency::NotIdempotent, Some(_)) => false,
         };
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -323,7 +323,7 @@
         let usual_latency = self.class_mean_latency.iter().copied().fold(0.0, f64::max);
         let min_timeout = self.settings.min_silence_timeout.max(MIN_SILENCE);
         let silence_timeout = ((usual_latency * SILENCE_MULTIPLE) as Micros).max(min_timeout);
-        let ready = self.servers.values().filter(|s| s.is_ready).count();
+        let ready_servers = self.servers.values().filter(|s| s.is_ready).count();
         let mut suspects = self
             .servers
             .values()
@@ -333,10 +333,10 @@
         for (id, server) in self.servers.iter_mut().filter(|(_, s)| s.is_ready) {
             let is_silent = server
                 .silent_since
-                .is_some_and(|t| now - t > silence_timeout);
+                .is_some_and(|silent_since| now - silent_since > silence_timeout);
             let (interval, next_interval) = match server.suspicion {
                 // Never more than half of the fleet: if all servers are silent, the fault lies elsewhere.
-                None if is_silent && (suspects + 1) * 2 <= ready => {
+                None if is_silent && (suspects + 1) * 2 <= ready_servers => {
                     (FIRST_TRIAL_INTERVAL, FIRST_TRIAL_INTERVAL)
                 }
                 Some((trial_at, next_interval)) if trial_at <= now => {
--- a/src/state.rs
+++ b/src/state.rs
@@ -234,9 +234,9 @@
         (splitmix64(self.random_state) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub(crate) fn schedule(&mut self, at: Micros, timer: Timer) {
+    pub(crate) fn schedule(&mut self, due_at: Micros, timer: Timer) {
         self.timer_sequence += 1;
-        self.timers.insert((at, self.timer_sequence), timer);
+        self.timers.insert((due_at, self.timer_sequence), timer);
     }
 
     pub(crate) fn log(&mut self, text: String) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -218,7 +218,7 @@
 impl FakeCounter {
     /// Answers all calls among the actions, and the calls that follow from the answers. Returns all actions.
     pub fn answer(&mut self, gateway: &mut Gateway, actions: Vec<Action>) -> Vec<Action> {
-        let mut all = actions.clone();
+        let mut all_actions = actions.clone();
         let mut pending = counter_calls(&actions);
         while !pending.is_empty() {
             let mut follow_ups = Vec::new();
@@ -232,8 +232,8 @@
                 }));
             }
             pending = counter_calls(&follow_ups);
-            all.extend(follow_ups);
+            all_actions.extend(follow_ups);
         }
-        all
+        all_actions
     }
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -293,17 +293,20 @@
 #[test]
 fn slots_of_a_dead_gateway_are_released() {
     let mut counter = FakeCounter::default();
-    let mut dead = Gateway::with_servers(settings(), 4);
+    let mut dead_gateway = Gateway::with_servers(settings(), 4);
     for _ in 0..2 {
-        let (_, actions) = dead.send_request(0, 2, 9);
-        counter.answer(&mut dead, actions);
+        let (_, actions) = dead_gateway.send_request(0, 2, 9);
+        counter.answer(&mut dead_gateway, actions);
     }
-    let mut alive = Gateway::with_servers(settings(), 4);
-    let (_, actions) = alive.send_request(0, 2, 9);
-    assert!(sent_attempts(&counter.answer(&mut alive, actions)).is_empty());
-    alive.advance(5 * SECOND);
-    let (_, actions) = alive.send_request(0, 2, 9);
-    assert_eq!(sent_attempts(&counter.answer(&mut alive, actions)).len(), 1);
+    let mut live_gateway = Gateway::with_servers(settings(), 4);
+    let (_, actions) = live_gateway.send_request(0, 2, 9);
+    assert!(sent_attempts(&counter.answer(&mut live_gateway, actions)).is_empty());
+    live_gateway.advance(5 * SECOND);
+    let (_, actions) = live_gateway.send_request(0, 2, 9);
+    assert_eq!(
+        sent_attempts(&counter.answer(&mut live_gateway, actions)).len(),
+        1
+    );
 }
 
 /// Units counted at the counter, units admitted, and calls for one customer, at a counter that rejects the calls for
@@ -501,15 +504,15 @@
 
 #[test]
 fn a_lower_plan_keeps_the_tokens_left_up_to_its_capacity() {
-    for (used, left) in [(0, 6), (8, 2)] {
+    for (used, tokens_left) in [(0, 6), (8, 2)] {
         let mut gateways = [Gateway::with_servers(settings(), 4)];
         let mut counter = FakeCounter::default();
         assert_eq!(count_admitted(&mut gateways, &mut counter, 1, used), used);
         change_plan(&mut gateways[0], (1.0, 6.0));
         let admitted = count_admitted(&mut gateways, &mut counter, 3, 20);
         assert!(
-            (left - 1..=left + 1).contains(&admitted),
-            "{admitted} admitted after {used}, {left} were left"
+            (tokens_left - 1..=tokens_left + 1).contains(&admitted),
+            "{admitted} admitted after {used}, {tokens_left} were left"
         );
     }
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -29,9 +29,9 @@
         } else {
             Outcome::Rejected
         };
-        let mut all = answer_all(&mut gateway, &actions, outcome);
-        all.extend(actions);
-        for (_, server) in sent_attempts(&all) {
+        let mut all_actions = answer_all(&mut gateway, &actions, outcome);
+        all_actions.extend(actions);
+        for (_, server) in sent_attempts(&all_actions) {
             gateway.end_attempt(id, 0, server, Outcome::Ok);
         }
     }
@@ -65,9 +65,9 @@
     let mut gateway = gateway_at_overloaded_counter();
     for n in 0..3000 {
         let (id, actions) = gateway.send_request(0, 1, 9000 + n);
-        let mut all = answer_all(&mut gateway, &actions, Outcome::Ok);
-        all.extend(actions);
-        for (_, server) in sent_attempts(&all) {
+        let mut all_actions = answer_all(&mut gateway, &actions, Outcome::Ok);
+        all_actions.extend(actions);
+        for (_, server) in sent_attempts(&all_actions) {
             gateway.end_attempt(id, 0, server, Outcome::Ok);
         }
     }
@@ -87,8 +87,8 @@
     let mut reads = [0, 0];
     for (n, gateway) in gateways.iter_mut().enumerate() {
         let (_, actions) = gateway.send_request(0, 1, 9);
-        let all = counter.answer(gateway, actions);
-        reads[n] = counter_calls(&all)
+        let all_actions = counter.answer(gateway, actions);
+        reads[n] = counter_calls(&all_actions)
             .iter()
             .filter(|(_, amount)| *amount == 0.0)
             .count();
@@ -101,8 +101,8 @@
     let (mut gateway, mut counter) = (Gateway::with_servers(settings(), 4), FakeCounter::default());
     for _ in 0..300 {
         let (id, actions) = gateway.send_request(0, 1, 9);
-        let all = counter.answer(&mut gateway, actions);
-        for (_, server) in sent_attempts(&all) {
+        let all_actions = counter.answer(&mut gateway, actions);
+        for (_, server) in sent_attempts(&all_actions) {
             let ended = gateway.end_attempt(id, 0, server, Outcome::Ok);
             counter.answer(&mut gateway, ended);
         }
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -243,16 +243,16 @@
 fn the_same_events_give_the_same_actions() {
     let run = || {
         let mut gateway = Gateway::with_servers(settings(), 6);
-        let mut all = Vec::new();
+        let mut all_actions = Vec::new();
         for n in 0..200 {
-            all.extend(
+            all_actions.extend(
                 gateway
                     .send_request((n % 3) as usize, (n % 3) as usize, n % 7)
                     .1,
             );
-            all.extend(gateway.advance(4 * MS));
+            all_actions.extend(gateway.advance(4 * MS));
         }
-        all
+        all_actions
     };
     assert_eq!(run(), run());
 }
