--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,45 +1,50 @@
-//! The life of a request: taken, tried, tried further, refused or over.
+//! The life cycle of a request: accepted, attempted, retried, rejected or ended.
 
 use super::*;
 
 impl Balancer {
     pub(super) fn on_request(&mut self, request: &Request) {
         let (id, deadline) = (request.id, request.deadline);
-        if self.held.contains_key(&id) {
+        if self.requests.contains_key(&id) {
             return;
         }
-        self.retries = (self.retries + self.settings.retry_budget.earned_per_request)
+        self.retry_balance = (self.retry_balance + self.settings.retry_budget.earned_per_request)
             .min(self.settings.retry_budget.max_balance);
-        self.held.insert(
+        self.requests.insert(
             id,
-            Held {
+            RequestState {
                 request: request.clone(),
-                ..Held::default()
+                ..RequestState::default()
             },
         );
         if self.settings.classes.get(request.class).is_none()
             || deadline <= self.now
             || should_shed(request)
         {
-            return self.refuse(id);
+            return self.reject(id);
         }
-        self.usual_worth += (self.worth_for_work(request) - self.usual_worth) * WORTH_GAIN;
-        self.due(deadline, Due::Deadline(id));
-        self.ask(id);
+        self.usual_value_rate +=
+            (self.value_per_work(request) - self.usual_value_rate) * VALUE_RATE_GAIN;
+        self.schedule(deadline, Timer::RequestDeadline(id));
+        self.check_quota(id);
     }
 
     pub(super) fn on_attempt_end(&mut self, end: &AttemptEnd) {
-        self.server_outcome(end);
+        self.record_outcome(end);
         let id = end.request;
-        let Some(held) = self.held.get_mut(&id) else {
+        let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(index) = held.out.iter().position(|(n, _, _)| *n == end.attempt) else {
+        let Some(index) = state
+            .in_flight
+            .iter()
+            .position(|(n, _, _)| *n == end.attempt)
+        else {
             return;
         };
-        let (_, server, sent) = held.out.remove(index);
-        held.last = Some(server);
-        let may_have_run = match end.outcome {
+        let (_, server, sent_at) = state.in_flight.remove(index);
+        state.last_server = Some(server);
+        let may_have_executed = match end.outcome {
             Outcome::Ok
             | Outcome::Error
             | Outcome::TimedOut
@@ -47,96 +52,109 @@
             | Outcome::Cancelled => true,
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => false,
         };
-        if may_have_run && held.ran.is_none() {
+        if may_have_executed && state.first_execution.is_none() {
             let (zone, cell) = self
                 .servers
                 .get(&server)
                 .map_or((u32::MAX, u32::MAX), |s| (s.zone, s.cell));
-            held.ran = Some(Ran { zone, cell, sent });
+            state.first_execution = Some(FirstExecution {
+                zone,
+                cell,
+                sent_at,
+            });
         }
-        // The difference between guessed and true units goes along with the customer's next call.
-        if let Some(actual) = end
+        // The customer's next call adds the difference between estimated and actual units.
+        if let Some(actual_units) = end
             .actual_units
-            .filter(|_| self.settings.units_are_estimates && !held.counted.is_empty())
-            && let Some(known) = self.customers.get_mut(&held.request.customer)
+            .filter(|_| self.settings.units_are_estimates && !state.counted.is_empty())
+            && let Some(customer) = self.customers.get_mut(&state.request.customer)
         {
-            known.units.carry += actual - held.request.units;
+            customer.units.uncounted += actual_units - state.request.units;
         }
-        let none_out = held.out.is_empty();
-        if end.request_finished || end.outcome == Outcome::Ok || held.done {
-            self.close(id);
-        } else if none_out
+        let none_in_flight = state.in_flight.is_empty();
+        if end.request_finished || end.outcome == Outcome::Ok || state.is_finished {
+            self.close_request(id);
+        } else if none_in_flight
             && end.outcome != Outcome::NotSent
-            && self.may_repeat(id)
-            && self.retries >= 1.0
+            && self.can_retry(id)
+            && self.retry_balance >= 1.0
         {
-            self.retries -= if may_have_run {
+            self.retry_balance -= if may_have_executed {
                 1.0
             } else {
                 self.settings.retry_budget.unexecuted_cost
             };
-            self.place(id);
-        } else if none_out {
+            self.send_attempt(id);
+        } else if none_in_flight {
             self.give_up(id);
         }
     }
 
-    /// Rule 2: a further attempt only where it cannot have its effect twice.
-    fn may_repeat(&self, id: RequestId) -> bool {
-        let Some(held) = self.held.get(&id) else {
+    /// Whether the request may be sent again: only where it cannot take effect twice, within its attempts
+    /// and its deadline.
+    fn can_retry(&self, id: RequestId) -> bool {
+        let Some(state) = self.requests.get(&id) else {
             return false;
         };
-        let Some(class) = self.settings.classes.get(held.request.class) else {
+        let Some(class) = self.settings.classes.get(state.request.class) else {
             return false;
         };
-        let harmless = match (class.idempotency, held.ran) {
+        let is_safe = match (class.idempotency, state.first_execution) {
             (Idempotency::Idempotent, _) | (_, None) => true,
-            (
-                Idempotency::Keyed {
-                    dedup_window: window,
-                    ..
-                },
-                Some(ran),
-            ) => self.now - ran.sent + self.settings.min_handle_interval < window,
+            (Idempotency::Keyed { dedup_window, .. }, Some(first_execution)) => {
+                self.now - first_execution.sent_at + self.settings.min_handle_interval
+                    < dedup_window
+            }
             (Idempotency::NotIdempotent, Some(_)) => false,
         };
-        harmless
-            && held.attempts < self.settings.max_attempts.max(1)
-            && self.now < held.request.deadline
+        is_safe
+            && state.attempts_sent < self.settings.max_attempts.max(1)
+            && self.now < state.request.deadline
     }
 
-    /// The client left: nothing is owed, but what the request took and never used is given back.
-    pub(super) fn on_left(&mut self, id: RequestId) {
-        if self.held.get(&id).is_some_and(|h| h.attempts == 0) {
-            self.give_back(id);
+    /// The client disconnected: there is no response, but units that the request took and did not use are
+    /// given back.
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|state| state.attempts_sent == 0)
+        {
+            self.return_units(id);
         }
-        self.close(id);
+        self.close_request(id);
     }
 
-    /// Rule 1: no server, no further attempt or no time left; refused where that is true, else failed.
+    /// Ends a request that has no server, no further attempt or no time left, unless its response is
+    /// streaming.
     pub(super) fn give_up(&mut self, id: RequestId) {
-        let Some(held) = self.held.get(&id).filter(|h| !h.done && !h.streaming) else {
+        let Some(state) = self
+            .requests
+            .get(&id)
+            .filter(|state| !state.is_finished && !state.is_streaming)
+        else {
             return;
         };
-        if held.attempts == 0 {
-            self.give_back(id);
+        if state.attempts_sent == 0 {
+            self.return_units(id);
         }
-        self.refuse(id);
+        self.reject(id);
     }
 
-    pub(super) fn refuse(&mut self, id: RequestId) {
-        let chance = self.random();
-        let Some(held) = self.held.get(&id) else {
+    /// Sends the final response: shed where the client may safely retry, otherwise failed.
+    pub(super) fn reject(&mut self, id: RequestId) {
+        let jitter = self.random();
+        let Some(state) = self.requests.get(&id) else {
             return;
         };
-        let may_run = held.ran.is_some() || !held.out.is_empty();
-        let repeat = self
+        let may_have_executed = state.first_execution.is_some() || !state.in_flight.is_empty();
+        let idempotency = self
             .settings
             .classes
-            .get(held.request.class)
+            .get(state.request.class)
             .map(|c| c.idempotency);
-        let safe = matches!(
-            repeat,
+        let is_idempotent = matches!(
+            idempotency,
             None | Some(
                 Idempotency::Idempotent
                     | Idempotency::Keyed {
@@ -145,48 +163,50 @@
                     }
             )
         );
-        let most = if self.settings.sends_retry_after {
+        let max_delay = if self.settings.sends_retry_after {
             self.settings.max_retry_after
         } else {
             0
         };
-        let plan = self
+        let limiting_plan = self
             .settings
             .plans
-            .get(held.request.plan)
-            .filter(|p| held.denied && p.rate_per_s > 0.0);
-        let least = if self.counter_lost() {
+            .get(state.request.plan)
+            .filter(|p| state.is_denied && p.rate_per_s > 0.0);
+        let min_delay = if self.is_counter_lost() {
             self.settings.min_retry_after_counter_lost as f64
         } else {
             0.0
         };
-        let refill = |p: &Plan| (held.request.units / p.rate_per_s * SECOND as f64).max(least);
-        // Danger: told the same time, all that were refused come back together. A place comes free in about
-        // the time of an answer; later than the aim allows, a return is of no use.
-        let time = plan.map_or(self.work_of(held.request.class), refill) * (0.5 + chance);
-        let stay_away = (time as Micros).min(most);
+        let refill_delay =
+            |p: &Plan| (state.request.units / p.rate_per_s * SECOND as f64).max(min_delay);
+        // With the same delay, all rejected clients would retry at once. A slot becomes free after about
+        // one response time; a retry that comes later than the latency target allows is of no use.
+        let delay = limiting_plan.map_or(self.class_work(state.request.class), refill_delay)
+            * (0.5 + jitter);
+        let retry_after = (delay as Micros).min(max_delay);
         let shed = Action::Shed {
             request: id,
-            retry_after: stay_away,
-            over_quota: held.denied,
+            retry_after,
+            over_quota: state.is_denied,
         };
-        self.close(id);
-        self.actions.push(if safe || !may_run {
+        self.close_request(id);
+        self.actions.push(if is_idempotent || !may_have_executed {
             shed
         } else {
             Action::Fail(id)
         });
     }
 
-    /// The request is over; it is remembered, and holds its place, only while attempts are out.
-    fn close(&mut self, id: RequestId) {
-        let Some(held) = self.held.get_mut(&id) else {
+    /// Ends the request; it is kept, and holds its concurrency slot, only while attempts are in flight.
+    fn close_request(&mut self, id: RequestId) {
+        let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
-        held.done = true;
-        if held.out.is_empty() {
-            self.close_open(id);
-            self.held.remove(&id);
+        state.is_finished = true;
+        if state.in_flight.is_empty() {
+            self.release_slot(id);
+            self.requests.remove(&id);
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and a small host for the tests: it keeps time by hand and collects actions.
+//! Settings, a gateway with a manual clock, and a counter service for the tests.
 #![allow(dead_code)]
 
 use streamarch::*;
@@ -6,13 +6,13 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(repeat: Idempotency, worth: f64) -> Class {
+pub fn request_class(idempotency: Idempotency, value: f64) -> Class {
     Class {
         latency_target: 500 * MS,
         client_timeout: SECOND,
         late_value_share: 0.0,
-        value: worth,
-        idempotency: repeat,
+        value,
+        idempotency,
         streaming: false,
     }
 }
@@ -27,20 +27,21 @@
     }
 }
 
-/// Class 0 safe, 1 keyed by zone, 2 unsafe; plan 0 without quota, 1 with 10 units at 5 a second, 2 with 2 open.
+/// Classes: 0 idempotent, 1 keyed by zone, 2 not idempotent. Plans: 0 without quota, 1 with a burst of 10 units
+/// and 5 per second, 2 with two attempts in flight.
 pub fn settings() -> Settings {
     Settings {
         gateway_count: 2,
         classes: vec![
-            class(Idempotency::Idempotent, 1.0),
-            class(
+            request_class(Idempotency::Idempotent, 1.0),
+            request_class(
                 Idempotency::Keyed {
                     scope: DedupScope::Zone,
                     dedup_window: 2 * SECOND,
                 },
                 1.0,
             ),
-            class(Idempotency::NotIdempotent, 1.0),
+            request_class(Idempotency::NotIdempotent, 1.0),
         ],
         plans: vec![
             Plan {
@@ -74,7 +75,7 @@
 pub struct Gateway {
     pub balancer: Balancer,
     pub now: Micros,
-    pub next: u64,
+    pub next_id: u64,
 }
 
 impl Gateway {
@@ -82,48 +83,53 @@
         Gateway {
             balancer: Balancer::new(settings, 7),
             now: 100 * SECOND,
-            next: 0,
+            next_id: 0,
         }
     }
 
-    /// A gateway that knows `count` warm servers, evenly in zones 0 and 1.
+    /// A gateway that knows `count` warm servers, evenly spread over zones 0 and 1.
     pub fn with_servers(settings: Settings, count: u32) -> Gateway {
         let mut gateway = Gateway::new(settings);
         let entries = (0..count)
-            .map(|n| entry(n, ServerState::Ready, 0))
+            .map(|number| server_entry(number, ServerState::Ready, 0))
             .collect();
-        gateway.feed(Event::ServerList {
+        gateway.handle_event(Event::ServerList {
             kind: ListKind::Cached,
             entries,
         });
         gateway
     }
 
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
-        self.feed_all(&[event])
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
+        self.handle_events(&[event])
     }
 
-    pub fn feed_all(&mut self, events: &[Event]) -> Vec<Action> {
+    pub fn handle_events(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, events, &mut actions);
         actions
     }
 
-    /// Lets time pass, with a timer event every 4 ms as a host would.
-    pub fn pass(&mut self, time: Micros) -> Vec<Action> {
-        let until = self.now + time;
+    /// Advances the clock, with a timer event every 4 ms as from a host.
+    pub fn advance(&mut self, duration: Micros) -> Vec<Action> {
+        let end = self.now + duration;
         let mut actions = Vec::new();
-        while self.now < until {
-            self.now = (self.now + 4 * MS).min(until);
+        while self.now < end {
+            self.now = (self.now + 4 * MS).min(end);
             self.balancer
                 .handle(self.now, &[Event::Timer], &mut actions);
         }
         actions
     }
 
-    pub fn ask(&mut self, class: usize, plan: usize, customer: u64) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
+    pub fn send_request(
+        &mut self,
+        class: usize,
+        plan: usize,
+        customer: u64,
+    ) -> (RequestId, Vec<Action>) {
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
         let request = Request {
             id,
             class,
@@ -136,17 +142,17 @@
             is_client_retry: false,
             ..Request::default()
         };
-        (id, self.feed(Event::Request(request)))
+        (id, self.handle_event(Event::Request(request)))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: u32,
         server: ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.feed(Event::AttemptEnd(AttemptEnd {
+        self.handle_event(Event::AttemptEnd(AttemptEnd {
             request: id,
             attempt,
             server,
@@ -159,79 +165,75 @@
     }
 }
 
-pub fn entry(n: u32, state: ServerState, started: Micros) -> ServerEntry {
+pub fn server_entry(number: u32, state: ServerState, started_at: Micros) -> ServerEntry {
     ServerEntry {
-        server: ServerId(n),
-        zone: n % 2,
+        server: ServerId(number),
+        zone: number % 2,
         machine_type: 0,
-        cell: n / 2,
+        cell: number / 2,
         state,
         weight: 1.0,
-        started_at: started,
+        started_at,
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<(RequestId, ServerId)> {
-    let send = |a: &Action| match a {
+pub fn sent_attempts(actions: &[Action]) -> Vec<(RequestId, ServerId)> {
+    let attempt = |action: &Action| match action {
         Action::Send {
             request, server, ..
         } => Some((*request, *server)),
         _ => None,
     };
-    actions.iter().filter_map(send).collect()
+    actions.iter().filter_map(attempt).collect()
 }
 
-pub fn counts(actions: &[Action]) -> Vec<(CounterKey, f64)> {
-    let count = |a: &Action| match a {
-        Action::AddToCounter {
-            key: name,
-            amount: add,
-            ..
-        } => Some((*name, *add)),
+pub fn counter_calls(actions: &[Action]) -> Vec<(CounterKey, f64)> {
+    let call = |action: &Action| match action {
+        Action::AddToCounter { key, amount, .. } => Some((*key, *amount)),
         _ => None,
     };
-    actions.iter().filter_map(count).collect()
+    actions.iter().filter_map(call).collect()
 }
 
-pub fn sheds(actions: &[Action]) -> Vec<RequestId> {
-    let shed = |a: &Action| match a {
+pub fn shed_requests(actions: &[Action]) -> Vec<RequestId> {
+    let shed_request = |action: &Action| match action {
         Action::Shed { request, .. } => Some(*request),
         _ => None,
     };
-    actions.iter().filter_map(shed).collect()
+    actions.iter().filter_map(shed_request).collect()
 }
 
-pub fn fails(actions: &[Action]) -> Vec<RequestId> {
-    let fail = |a: &Action| match a {
+pub fn failed_requests(actions: &[Action]) -> Vec<RequestId> {
+    let failed_request = |action: &Action| match action {
         Action::Fail(request) => Some(*request),
         _ => None,
     };
-    actions.iter().filter_map(fail).collect()
+    actions.iter().filter_map(failed_request).collect()
 }
 
-/// The counter service, answering at once.
+/// A counter service that answers at once.
 #[derive(Default)]
-pub struct Counter(pub std::collections::BTreeMap<CounterKey, f64>);
+pub struct FakeCounter(pub std::collections::BTreeMap<CounterKey, f64>);
 
-impl Counter {
-    /// Answers all calls among the actions, and those that the answers lead to; gives all that was done.
+impl FakeCounter {
+    /// Answers all calls among the actions, and the calls that follow from the answers. Returns all actions.
     pub fn answer(&mut self, gateway: &mut Gateway, actions: Vec<Action>) -> Vec<Action> {
-        let mut all = actions.clone();
-        let mut open = counts(&actions);
-        while !open.is_empty() {
-            let mut more = Vec::new();
-            for (name, add) in open {
-                let total = self.0.entry(name).or_default();
-                *total += add;
-                more.extend(gateway.feed(Event::CounterAnswered {
-                    key: name,
+        let mut all_actions = actions.clone();
+        let mut pending = counter_calls(&actions);
+        while !pending.is_empty() {
+            let mut follow_ups = Vec::new();
+            for (key, amount) in pending {
+                let total = self.0.entry(key).or_default();
+                *total += amount;
+                follow_ups.extend(gateway.handle_event(Event::CounterAnswered {
+                    key,
                     outcome: Outcome::Ok,
                     total: *total,
                 }));
             }
-            open = counts(&more);
-            all.extend(more);
+            pending = counter_calls(&follow_ups);
+            all_actions.extend(follow_ups);
         }
-        all
+        all_actions
     }
 }
