--- a/crates/dataplane/src/client_connection.rs
+++ b/crates/dataplane/src/client_connection.rs
@@ -1,5 +1,5 @@
-//! The state machine of a client's connection: which answer is owed on it, and until when it may
-//! stay in its state. Without I/O.
+//! The state machine of a client's connection: the response that is owed on it, and the deadline of
+//! its stage. Without I/O.
 
 use streamarch::Micros;
 
@@ -12,11 +12,11 @@
     Idle,
     /// Part of a request has arrived.
     Receiving,
-    /// A complete request was accepted, and its answer is owed.
+    /// A complete request was accepted, and its response is owed.
     Processing,
-    /// The answer is being written.
+    /// The response is being written.
     Responding,
-    /// The last answer is written, and the client has time to read it.
+    /// The last response is written, and the client has time to read it.
     Lingering,
 }
 
@@ -25,9 +25,9 @@
 pub struct ClientConnection {
     /// Its stage.
     pub stage: Stage,
-    /// Since when it has been in this stage.
+    /// When it entered this stage.
     pub stage_entered_at: Micros,
-    /// Whether an answer was written on it before.
+    /// Whether a response has been written on it.
     pub has_responded: bool,
     /// Progress of a request body whose head is complete.
     body: Option<BodyProgress>,
@@ -36,11 +36,11 @@
 /// Progress of a body that is being received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct BodyProgress {
-    /// When its head was complete.
-    since: Micros,
-    /// When bytes last arrived, and how many there are.
+    /// When its head was complete, or its timer was restarted.
+    started_at: Micros,
+    /// When bytes last arrived.
     last_received_at: Micros,
-    bytes: u64,
+    received_bytes: u64,
 }
 
 impl ClientConnection {
@@ -54,45 +54,45 @@
         }
     }
 
-    fn enter(&mut self, now: Micros, stage: Stage) {
+    fn enter_stage(&mut self, now: Micros, stage: Stage) {
         (self.stage, self.stage_entered_at, self.body) = (stage, now, None);
     }
 
-    /// Part of a request has arrived. The first request's time counts from the start of the
-    /// connection, so that silence before it gains nothing.
+    /// Part of a request has arrived. The time-out of the first request runs from the start of the
+    /// connection, so that silence before it does not extend it.
     pub fn begin_request(&mut self, now: Micros) {
         if self.stage == Stage::Idle {
-            let since = if self.has_responded {
+            let started_at = if self.has_responded {
                 now
             } else {
                 self.stage_entered_at
             };
-            self.enter(since, Stage::Receiving);
+            self.enter_stage(started_at, Stage::Receiving);
         }
     }
 
-    /// The head is complete, and this much of the body has arrived.
-    pub fn record_body_progress(&mut self, now: Micros, bytes: u64) {
-        let upload = self.body.get_or_insert(BodyProgress {
-            since: now,
+    /// The head is complete, and this many bytes of the body have arrived.
+    pub fn record_body_progress(&mut self, now: Micros, received_bytes: u64) {
+        let body = self.body.get_or_insert(BodyProgress {
+            started_at: now,
             last_received_at: now,
-            bytes,
+            received_bytes,
         });
-        if upload.bytes != bytes {
-            (upload.last_received_at, upload.bytes) = (now, bytes);
+        if body.received_bytes != received_bytes {
+            (body.last_received_at, body.received_bytes) = (now, received_bytes);
         }
     }
 
-    /// Restarts the body's time: nothing arrived because nothing was read.
+    /// Restarts the timer of the body: nothing arrived because nothing was read.
     pub fn restart_body_timer(&mut self, now: Micros) {
-        self.body = self.body.map(|upload| BodyProgress {
-            since: now,
+        self.body = self.body.map(|body| BodyProgress {
+            started_at: now,
             last_received_at: now,
-            bytes: upload.bytes,
+            received_bytes: body.received_bytes,
         });
     }
 
-    /// The client has read part of its answer.
+    /// The client has read part of its response.
     pub fn record_write_progress(&mut self, now: Micros) {
         if self.stage == Stage::Responding {
             self.stage_entered_at = now;
@@ -101,60 +101,68 @@
 
     /// A complete request was accepted.
     pub fn begin_processing(&mut self, now: Micros) {
-        self.enter(now, Stage::Processing);
+        self.enter_stage(now, Stage::Processing);
     }
 
-    /// An answer is about to be written.
+    /// A response is about to be written.
     pub fn begin_response(&mut self, now: Micros) {
-        self.enter(now, Stage::Responding);
+        self.enter_stage(now, Stage::Responding);
     }
 
-    /// The answer is written. `last`: the connection is closed after it.
-    pub fn finish_response(&mut self, now: Micros, last: bool) {
+    /// The response is written. `is_last`: the connection is closed after it.
+    pub fn finish_response(&mut self, now: Micros, is_last: bool) {
         if self.stage == Stage::Responding {
             self.has_responded = true;
-            self.enter(now, if last { Stage::Lingering } else { Stage::Idle });
+            self.enter_stage(
+                now,
+                if is_last {
+                    Stage::Lingering
+                } else {
+                    Stage::Idle
+                },
+            );
         }
     }
 
-    /// Until when the connection may stay in this stage. A request in progress has its own
-    /// deadline, but its body may still be arriving. `closing`: idle connections are being closed.
-    pub fn deadline(&self, closing: bool, limits: &Limits) -> Option<Micros> {
-        let span = match self.stage {
-            Stage::Idle if closing => limits.draining_request_timeout,
+    /// Deadline of this stage. A request in progress has a deadline of its own, but its body may
+    /// still be arriving. `closes_idle`: idle connections are being closed.
+    pub fn deadline(&self, closes_idle: bool, limits: &Limits) -> Option<Micros> {
+        let timeout = match self.stage {
+            Stage::Idle if closes_idle => limits.draining_request_timeout,
             Stage::Idle if self.has_responded => limits.client_idle_timeout,
             Stage::Receiving if self.body.is_some() => {
-                return self.body.map(|upload| self.body_deadline(upload, limits));
+                return self.body.map(|body| self.body_deadline(body, limits));
             }
             Stage::Idle | Stage::Receiving => limits.request_timeout,
-            Stage::Processing => return self.body.map(|upload| self.body_deadline(upload, limits)),
+            Stage::Processing => return self.body.map(|body| self.body_deadline(body, limits)),
             Stage::Responding => limits.client_write_timeout,
             Stage::Lingering => limits.linger_timeout,
         };
-        Some(self.stage_entered_at + span)
+        Some(self.stage_entered_at + timeout)
     }
 
-    /// Deadline of a body. A slow one is accepted at a minimum rate; a silent one has no more time
-    /// than a request that never arrives.
-    fn body_deadline(&self, upload: BodyProgress, limits: &Limits) -> Micros {
-        let paced = (upload.bytes * 1_000_000 / limits.min_body_bytes_per_s.max(1)) as Micros;
-        let slowest = upload.since + limits.body_grace_period + paced;
+    /// Deadline of a body. A slow body is accepted at a minimum rate. One that stops arriving gets
+    /// no more time than a request that never arrives.
+    fn body_deadline(&self, body: BodyProgress, limits: &Limits) -> Micros {
+        let time_at_min_rate =
+            (body.received_bytes * 1_000_000 / limits.min_body_bytes_per_s.max(1)) as Micros;
+        let rate_deadline = body.started_at + limits.body_grace_period + time_at_min_rate;
         (self.stage_entered_at + limits.request_timeout)
-            .max(slowest.min(upload.last_received_at + limits.body_idle_timeout))
+            .max(rate_deadline.min(body.last_received_at + limits.body_idle_timeout))
     }
 
-    /// How readily this connection is evicted, lowest first; `None`: not at all.
+    /// The order in which connections are evicted, lowest first; `None`: not evicted at all.
     ///
     /// The first request of a new connection may be on its way, and a client whose request crosses
-    /// the close of a connection that never answered does not retry it. A silent connection is
-    /// evicted as soon as that is unlikely; those that were answered are evicted by their idle
-    /// time.
+    /// the close of a connection that never carried a response does not retry it. A connection
+    /// without a request is evicted as soon as that is unlikely. Connections that carried a
+    /// response are evicted last, the longest idle first.
     pub fn eviction_rank(&self, now: Micros, limits: &Limits) -> Option<(u8, Micros)> {
-        let fresh = now - self.stage_entered_at < limits.first_request_grace_period;
+        let is_recent = now - self.stage_entered_at < limits.first_request_grace_period;
         match self.stage {
             Stage::Lingering => Some((0, self.stage_entered_at)),
-            Stage::Idle if !self.has_responded && !fresh => Some((1, self.stage_entered_at)),
-            Stage::Receiving if !fresh => Some((2, self.stage_entered_at)),
+            Stage::Idle if !self.has_responded && !is_recent => Some((1, self.stage_entered_at)),
+            Stage::Receiving if !is_recent => Some((2, self.stage_entered_at)),
             Stage::Idle if self.has_responded => Some((3, self.stage_entered_at)),
             Stage::Idle | Stage::Receiving | Stage::Processing | Stage::Responding => None,
         }
--- a/crates/dataplane/src/clock.rs
+++ b/crates/dataplane/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a host: the system's, a steady one, or one driven by tests.
+//! The clock of a host: the system's, a steady one, or one that tests advance.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -15,21 +15,25 @@
 
 #[derive(Clone, Debug)]
 enum Source {
-    /// The system's time at the start, and steady from then on.
+    /// The system's time at the start, and monotonic from then on.
     System(Instant, Micros),
-    /// Time since the start plus the lead of others; independent of the time of day.
+    /// Time since the start, plus an offset that follows the clocks of others; independent of the
+    /// time of day.
     Steady(Instant, Arc<AtomicI64>),
-    /// Driven from outside; each reading advances it by one microsecond, so that periods pass.
-    Driven(Arc<AtomicI64>),
+    /// Advanced from outside, and by one microsecond with each reading, so that intervals pass.
+    Manual(Arc<AtomicI64>),
 }
 
 impl Clock {
     /// The system's clock.
     pub fn system() -> Clock {
-        let since = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        Clock(Source::System(Instant::now(), since.as_micros() as Micros))
+        Clock(Source::System(
+            Instant::now(),
+            since_epoch.as_micros() as Micros,
+        ))
     }
 
     /// A steady clock with an arbitrary origin that follows others, see [`Clock::advance_to`].
@@ -40,29 +44,31 @@
         ))
     }
 
-    /// Advances a steady clock that is behind to this time; no clock ever goes back.
-    pub fn advance_to(&self, to: Micros) {
-        if let Source::Steady(start, ahead) = &self.0 {
-            ahead.fetch_max(
-                to.saturating_sub(start.elapsed().as_micros() as Micros),
+    /// Advances a steady clock to this time if it is behind. No clock ever goes back.
+    pub fn advance_to(&self, time: Micros) {
+        if let Source::Steady(started_at, offset) = &self.0 {
+            offset.fetch_max(
+                time.saturating_sub(started_at.elapsed().as_micros() as Micros),
                 Ordering::SeqCst,
             );
         }
     }
 
-    /// A clock that tests drive.
-    pub fn manual(hand: Arc<AtomicI64>) -> Clock {
-        Clock(Source::Driven(hand))
+    /// A clock that shows the value of `time`, for tests.
+    pub fn manual(time: Arc<AtomicI64>) -> Clock {
+        Clock(Source::Manual(time))
     }
 
     /// The current time.
     pub fn now(&self) -> Micros {
         match &self.0 {
-            Source::System(start, epoch) => epoch + start.elapsed().as_micros() as Micros,
-            Source::Steady(start, ahead) => {
-                ahead.load(Ordering::SeqCst) + start.elapsed().as_micros() as Micros
+            Source::System(started_at, start_time) => {
+                start_time + started_at.elapsed().as_micros() as Micros
+            }
+            Source::Steady(started_at, offset) => {
+                offset.load(Ordering::SeqCst) + started_at.elapsed().as_micros() as Micros
             }
-            Source::Driven(hand) => hand.fetch_add(1, Ordering::SeqCst),
+            Source::Manual(time) => time.fetch_add(1, Ordering::SeqCst),
         }
     }
 }
--- a/crates/dataplane/src/deadlines/tests.rs
+++ b/crates/dataplane/src/deadlines/tests.rs
@@ -3,8 +3,8 @@
 #[test]
 fn entries_are_due_in_order_of_time_and_never_early() {
     let mut deadlines = Deadlines::default();
-    for (at, what) in [(30, 'c'), (10, 'a'), (30, 'd'), (20, 'b')] {
-        deadlines.schedule(at, what);
+    for (deadline, entry) in [(30, 'c'), (10, 'a'), (30, 'd'), (20, 'b')] {
+        deadlines.schedule(deadline, entry);
     }
     assert_eq!(deadlines.earliest(), Some(10));
     assert_eq!(deadlines.pop_due(9), None);
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -1,9 +1,9 @@
-//! The parts of a data plane around the decision module, without sockets: the engine that hosts the
-//! module, HTTP framing, the pool of upstream connections, the state machines of connections and
+//! The parts of a data plane around the decision module that need no sockets: the engine that hosts
+//! the module, HTTP framing, the pool of upstream connections, the state machines of connections and
 //! bodies, clock, deadlines and limits.
 //!
-//! [`engine`] works with authorisations, attempts and outcomes. The event loops and sockets are in
-//! the crates that use this one.
+//! [`engine`] works in terms of authorisations, attempts and outcomes. Event loops and sockets are
+//! in the crates that use this one.
 
 pub mod client_connection;
 pub mod clock;
--- a/crates/dataplane/src/plan_resolver.rs
+++ b/crates/dataplane/src/plan_resolver.rs
@@ -1,9 +1,9 @@
-//! Resolves the plan of a request where plans change in service: the plan book's decisions, as
-//! positions in the module.
+//! Resolves the plan of a request while plans change in service: translates the decisions of the
+//! plan book into positions in the decision module.
 //!
-//! The module knows plans by position. Each set of limits that the book brings into force takes the
-//! next position once, and is announced to the module ahead of the first request that uses it.
-//! Without changes, requests keep the position that they name.
+//! The module refers to plans by position. Each set of figures (rate and burst) that the book brings
+//! into force gets the next position once, and is announced to the module before the first request
+//! that uses it. Without changes, requests keep the position that they name.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +11,25 @@
 use plans::change::{Base, Change, Figures};
 use streamarch::{CustomerId, Micros, Plan};
 
-/// Longest chain of changes followed within one window.
+/// Most changes within one window that are followed back.
 const MAX_CHANGE_CHAIN: usize = 8;
 
-/// Limits as a key, compared bit by bit.
-type PlanBits = (u64, u64);
+/// Rate and burst as a key, compared bit by bit.
+type FigureBits = (u64, u64);
 
-/// A plan that was added: its platform position, its limits, the position that requests name, and
-/// the plan it replaced within the present window.
-type AddedPlan = (usize, PlanBits, usize, Option<(Micros, usize)>);
+/// Key of a plan that was added: the platform position of the plan in force, its figures, the
+/// position that the request names, and when it replaced which position within the present window.
+type AddedPlanKey = (usize, FigureBits, usize, Option<(Micros, usize)>);
 
 /// The plan book, and the positions of its plans in the module.
 #[derive(Debug)]
 pub struct PlanResolver {
     book: Book,
+    /// Names of the platform's plans, by position.
     names: Vec<String>,
     /// The module's plans: those of the platform, then the added ones.
     plans: Vec<Plan>,
-    positions: BTreeMap<AddedPlan, usize>,
+    added_positions: BTreeMap<AddedPlanKey, usize>,
 }
 
 /// The plan of a request, fixed when it is submitted.
@@ -42,14 +43,14 @@
     pub book_version: u64,
 }
 
-fn plan_bits(figures: Figures) -> PlanBits {
+fn figure_bits(figures: Figures) -> FigureBits {
     (figures.rate.to_bits(), figures.burst.to_bits())
 }
 
 impl PlanResolver {
-    /// The platform's plans, by name and position. `slack`: how far in the past a change may take
-    /// effect, in microseconds.
-    pub fn new(names: &[String], platform: &[Plan], slack: Micros) -> PlanResolver {
+    /// Creates a resolver for the platform's plans, given by name and position. `slack`: how far in
+    /// the past a change may take effect, in microseconds.
+    pub fn new(names: &[String], platform_plans: &[Plan], slack: Micros) -> PlanResolver {
         let figures = |plan: &Plan| Figures {
             rate: plan.rate,
             burst: plan.burst,
@@ -57,14 +58,14 @@
         let base: Base = names
             .iter()
             .cloned()
-            .zip(platform.iter().map(figures))
+            .zip(platform_plans.iter().map(figures))
             .collect();
-        let (names, known) = (names.to_vec(), platform.to_vec());
+        let (names, plans) = (names.to_vec(), platform_plans.to_vec());
         PlanResolver {
             book: Book::new(base, slack),
             names,
-            plans: known,
-            positions: BTreeMap::new(),
+            plans,
+            added_positions: BTreeMap::new(),
         }
     }
 
@@ -81,16 +82,17 @@
         self.book.apply(now, change)
     }
 
-    /// Resolves the plan that a request names by platform position. Plans added by it are appended
-    /// to `new`, in the order in which they are to be announced to the module.
+    /// Resolves the plan that a request names by its platform position. Plans that this adds are
+    /// appended to `new_plans`, in the order in which they are to be announced to the module.
     pub fn resolve(
         &mut self,
         now: Micros,
         customer: CustomerId,
         named: usize,
-        new: &mut Vec<Plan>,
+        new_plans: &mut Vec<Plan>,
     ) -> ResolvedPlan {
-        let (position, plan) = self.at(now, now, customer, named, MAX_CHANGE_CHAIN, new);
+        let (position, plan) =
+            self.resolve_at(now, now, customer, named, MAX_CHANGE_CHAIN, new_plans);
         let name = self.names.get(plan).cloned().unwrap_or_default();
         ResolvedPlan {
             position,
@@ -99,15 +101,15 @@
         }
     }
 
-    /// The position in the module, and the platform position, of the plan in force at an instant.
-    fn at(
+    /// The position in the module, and the platform position, of the plan in force at `at`.
+    fn resolve_at(
         &mut self,
         at: Micros,
         now: Micros,
         customer: CustomerId,
         named: usize,
-        chain: usize,
-        new: &mut Vec<Plan>,
+        remaining_changes: usize,
+        new_plans: &mut Vec<Plan>,
     ) -> (usize, usize) {
         let Some(name) = self.names.get(named) else {
             return (named, named);
@@ -115,7 +117,7 @@
         let Some(terms) = self.book.terms(customer.0, name, at) else {
             return (named, named);
         };
-        let Some(since) = terms.since else {
+        let Some(changed_at) = terms.since else {
             return (named, named);
         };
         let plan = self
@@ -124,31 +126,39 @@
             .position(|n| *n == terms.plan)
             .unwrap_or(named);
         let window = self.plans[named].window_length();
-        // The previous plan matters only in the window of the change: there the use under it may
-        // not be known here.
-        let fresh = chain > 0 && now - since < window;
-        let changed = fresh.then(|| {
+        // The previous plan matters only in the window of the change: the usage that was counted
+        // under it may not be known here.
+        let is_recent = remaining_changes > 0 && now - changed_at < window;
+        let previous = is_recent.then(|| {
             (
-                since,
-                self.at(since - 1, now, customer, named, chain - 1, new).0,
+                changed_at,
+                self.resolve_at(
+                    changed_at - 1,
+                    now,
+                    customer,
+                    named,
+                    remaining_changes - 1,
+                    new_plans,
+                )
+                .0,
             )
         });
-        let came = (plan, plan_bits(terms.figures), named, changed);
-        if let Some(position) = self.positions.get(&came) {
+        let key = (plan, figure_bits(terms.figures), named, previous);
+        if let Some(position) = self.added_positions.get(&key) {
             return (*position, plan);
         }
         let Figures { rate, burst } = terms.figures;
-        let figures = Plan {
+        let added = Plan {
             rate,
             burst,
             window,
-            changed,
+            changed: previous,
             ..self.plans[plan].clone()
         };
         let position = self.plans.len();
-        self.plans.push(figures.clone());
-        self.positions.insert(came, position);
-        new.push(figures);
+        self.plans.push(added.clone());
+        self.added_positions.insert(key, position);
+        new_plans.push(added);
         (position, plan)
     }
 }
--- a/crates/dataplane/src/probes/tests.rs
+++ b/crates/dataplane/src/probes/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn load_report_is_parsed_and_nonsense_is_not() {
-    let read = parse_load_report("TEXT inflight=7, queue=2, util=0.61, new=1").unwrap();
+fn load_report_is_parsed_and_invalid_input_is_not() {
+    let report = parse_load_report("TEXT inflight=7, queue=2, util=0.61, new=1").unwrap();
     assert_eq!(
-        (read.active, read.waiting, read.cpu),
+        (report.active, report.waiting, report.cpu),
         (Some(7.0), Some(2.0), Some(0.61))
     );
     assert_eq!(parse_load_report("TEXT util=NaN"), None);
--- a/crates/dataplane/src/relay.rs
+++ b/crates/dataplane/src/relay.rs
@@ -1,32 +1,33 @@
-//! Streams a long answer to its client, in a framing by which the client can tell a complete answer
-//! from a truncated one. Without I/O.
+//! Streams a long response to its client, in a framing by which the client can tell a complete
+//! response from a truncated one. Without I/O.
 
 use crate::framing::{BodyFraming, BodyReader, ParseError, ResponseHead, write_chunk, write_head};
 
-/// An answer that is being streamed.
+/// A response that is being streamed.
 #[derive(Clone, Debug)]
 pub struct Relay {
     reader: BodyReader,
-    /// Its length was not announced.
-    chunked: bool,
+    /// Its length was not announced: it is sent in chunks.
+    is_chunked: bool,
     /// The server's connection can be reused afterwards.
-    reusable: bool,
+    is_reusable: bool,
+    /// Body data that was received and not forwarded yet.
     data: Vec<u8>,
 }
 
 impl Relay {
-    /// Writes the head of the answer with these fields, and the part of the body already received.
-    /// `close`: the client's connection is closed after it.
+    /// Writes the head of the response with these header fields, and the part of the body that was
+    /// already received. `close`: the client's connection is closed after the response.
     pub fn begin<'a>(
-        (head, extent): (&ResponseHead, BodyFraming),
+        (head, framing): (&ResponseHead, BodyFraming),
         reader: BodyReader,
-        come: &[u8],
-        lines: impl Iterator<Item = (&'a str, &'a str)>,
+        received_body: &[u8],
+        headers: impl Iterator<Item = (&'a str, &'a str)>,
         close: bool,
         out: &mut Vec<u8>,
     ) -> Relay {
         let (length, coding);
-        let framing = match extent {
+        let framing_header = match framing {
             BodyFraming::Length(bytes) => {
                 length = bytes.to_string();
                 ("Content-Length", length.as_str())
@@ -36,65 +37,65 @@
                 ("Transfer-Encoding", coding)
             }
         };
-        let mut all = vec![framing];
-        for line in lines {
-            all.push(line);
+        let mut all_headers = vec![framing_header];
+        for header in headers {
+            all_headers.push(header);
         }
-        write_head(out, head.status, all.into_iter(), close);
-        let chunked = !matches!(extent, BodyFraming::Length(_));
+        write_head(out, head.status, all_headers.into_iter(), close);
+        let is_chunked = !matches!(framing, BodyFraming::Length(_));
         let mut relay = Relay {
             reader,
-            chunked,
-            reusable: head.is_reusable(),
-            data: come.to_vec(),
+            is_chunked,
+            is_reusable: head.is_reusable(),
+            data: received_body.to_vec(),
         };
         relay.write(out);
         relay
     }
 
-    /// Forwards what was received. Bytes after the end of the answer stay in `input`.
+    /// Forwards what was received. Bytes after the end of the response stay in `input`.
     ///
     /// # Errors
     /// The body is malformed: nothing more is forwarded, and its end is never written.
     pub fn forward(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<(), ParseError> {
-        // The end is written once.
+        // The end of the body must not be written twice.
         if self.reader.is_complete() {
             return Ok(());
         }
-        let taken = self.reader.read(input, &mut self.data)?;
-        input.drain(..taken);
+        let consumed = self.reader.read(input, &mut self.data)?;
+        input.drain(..consumed);
         self.write(out);
         Ok(())
     }
 
     fn write(&mut self, out: &mut Vec<u8>) {
-        match self.chunked {
+        match self.is_chunked {
             true => write_chunk(out, &self.data),
             false => out.extend_from_slice(&self.data),
         }
         self.data.clear();
-        if self.chunked && self.reader.is_complete() {
+        if self.is_chunked && self.reader.is_complete() {
             out.extend_from_slice(b"0\r\n\r\n");
         }
     }
 
-    /// The server closed its connection. Returns whether that completes the answer.
+    /// The server closed its connection. Returns whether that completes the response.
     pub fn handle_close(&mut self, out: &mut Vec<u8>) -> bool {
-        let whole = self.reader.ends_at_close();
-        if whole {
+        let is_complete = self.reader.ends_at_close();
+        if is_complete {
             out.extend_from_slice(b"0\r\n\r\n");
         }
-        whole
+        is_complete
     }
 
-    /// Whether the answer is complete.
+    /// Whether the response is complete.
     pub fn is_complete(&self) -> bool {
         self.reader.is_complete()
     }
 
-    /// Whether the server's connection can be reused once the answer is complete.
+    /// Whether the server's connection can be reused once the response is complete.
     pub fn is_reusable(&self) -> bool {
-        self.reusable
+        self.is_reusable
     }
 }
 
--- a/crates/dataplane/src/relay/tests.rs
+++ b/crates/dataplane/src/relay/tests.rs
@@ -2,9 +2,9 @@
 use crate::framing::{self, Head, IncomingMessage};
 use crate::limits::Limits;
 
-/// Streams an answer that arrives in two pieces; returns what the client has received, and whether
-/// it is complete.
-fn relayed(bytes: &[u8], cut: usize, ends: bool) -> Option<(Vec<u8>, bool)> {
+/// Streams a response that arrives in two pieces. Returns what the client has received, and whether
+/// the response is complete. `closes`: the server closes the connection after it.
+fn relay_in_two_pieces(bytes: &[u8], cut: usize, closes: bool) -> Option<(Vec<u8>, bool)> {
     let limits = Limits::default();
     let (mut out, mut input) = (Vec::new(), Vec::new());
     let (mut incoming, mut relay) = (IncomingMessage::<ResponseHead>::default(), None::<Relay>);
@@ -16,31 +16,31 @@
         }
         incoming.read(&mut input, 1_000, &limits).ok()?;
         if incoming.head().is_some() {
-            let extent = incoming.framing;
-            let (head, reader, come) = std::mem::take(&mut incoming).into_parts()?;
-            let lines = head
+            let framing = incoming.framing;
+            let (head, reader, received_body) = std::mem::take(&mut incoming).into_parts()?;
+            let headers = head
                 .headers
                 .iter()
                 .filter(|(name, _)| *name == "Content-Type");
             relay = Some(Relay::begin(
-                (&head, extent),
+                (&head, framing),
                 reader,
-                &come,
-                lines,
+                &received_body,
+                headers,
                 false,
                 &mut out,
             ));
         }
     }
     let mut relay = relay?;
-    let whole = relay.is_complete() || (ends && relay.handle_close(&mut out));
-    Some((out, whole))
+    let is_complete = relay.is_complete() || (closes && relay.handle_close(&mut out));
+    Some((out, is_complete))
 }
 
 #[test]
-fn every_framing_and_split_yields_the_same_body_or_a_detectable_truncation() {
+fn response_is_relayed_or_its_truncation_is_detectable_for_every_framing_and_split() {
     let limits = Limits::default();
-    for (answer, ends) in [
+    for (response, closes) in [
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 8\r\nContent-Type: a/b\r\n\r\nabcdefgh",
             false,
@@ -54,30 +54,34 @@
             true,
         ),
     ] {
-        let (head, _, from) = ResponseHead::parse(answer.as_bytes(), &limits)
+        let (head, _, from) = ResponseHead::parse(response.as_bytes(), &limits)
             .unwrap()
             .unwrap();
-        for cut in 0..=answer.len() {
-            let (out, whole) = relayed(answer.as_bytes(), cut, ends).unwrap();
-            let (read, length) = framing::parse_response(&out, false, &limits)
+        for cut in 0..=response.len() {
+            let (out, is_complete) = relay_in_two_pieces(response.as_bytes(), cut, closes).unwrap();
+            let (received, length) = framing::parse_response(&out, false, &limits)
                 .unwrap()
-                .expect("whole");
-            assert!(whole && length == out.len(), "cut at {cut} of {answer:?}");
+                .expect("the client received a complete response");
+            assert!(
+                is_complete && length == out.len(),
+                "cut at {cut} of {response:?}"
+            );
             assert_eq!(
-                (read.body.as_slice(), read.status),
+                (received.body.as_slice(), received.status),
                 (b"abcdefgh".as_slice(), 200)
             );
             assert_eq!(
-                read.headers.get("Content-Type"),
+                received.headers.get("Content-Type"),
                 head.headers.get("Content-Type")
             );
         }
         // The client can detect a truncation at any byte.
-        for end in from..answer.len() {
-            let (out, whole) = relayed(&answer.as_bytes()[..end], from, false).unwrap();
+        for end in from..response.len() {
+            let (out, is_complete) =
+                relay_in_two_pieces(&response.as_bytes()[..end], from, false).unwrap();
             assert!(
-                !whole && framing::parse_response(&out, false, &limits) == Ok(None),
-                "ends at {end} of {answer:?}"
+                !is_complete && framing::parse_response(&out, false, &limits) == Ok(None),
+                "ends at {end} of {response:?}"
             );
         }
     }
--- a/crates/dataplane/src/upload.rs
+++ b/crates/dataplane/src/upload.rs
@@ -3,73 +3,75 @@
 use crate::framing::{BodyFraming, BodyReader, ParseError, write_chunk};
 use crate::slots::ConnectionKey;
 
-/// A streamed body, and its destination.
+/// A streamed body, and the attempt that carries it.
 #[derive(Clone, Debug)]
 pub struct Upload<K = ConnectionKey> {
     reader: BodyReader,
-    /// Its length was not announced.
-    chunked: bool,
-    /// The received bytes, until more than `max_buffered` of them have been forwarded.
+    /// Its length was not announced: it is sent in chunks.
+    is_chunked: bool,
+    /// The received bytes, until more than `max_buffered_bytes` of them have been forwarded.
     buffer: Vec<u8>,
-    max_buffered: usize,
-    /// Some of it was discarded: no other attempt can carry it.
+    max_buffered_bytes: usize,
+    /// Part of the body was discarded: no other attempt can carry it.
     is_discarded: bool,
+    /// The connection of the attempt that carries it.
     attempt: Option<K>,
     received_bytes: u64,
 }
 
 impl<K: Copy> Upload<K> {
-    /// A body of which `come` bytes are present. Up to `max_buffered` forwarded bytes stay buffered
-    /// for a retry.
+    /// A body of which `received` is present. Up to `max_buffered_bytes` forwarded bytes stay
+    /// buffered for a retry.
     pub fn new(
-        extent: BodyFraming,
+        framing: BodyFraming,
         reader: BodyReader,
-        come: Vec<u8>,
-        most_kept: usize,
+        received: Vec<u8>,
+        max_buffered_bytes: usize,
     ) -> Upload<K> {
-        let chunked = !matches!(extent, BodyFraming::Length(_));
-        let bytes = come.len() as u64;
+        let is_chunked = !matches!(framing, BodyFraming::Length(_));
+        let received_bytes = received.len() as u64;
         Upload {
             reader,
-            chunked,
-            buffer: come,
-            max_buffered: most_kept,
+            is_chunked,
+            buffer: received,
+            max_buffered_bytes,
             is_discarded: false,
             attempt: None,
-            received_bytes: bytes,
+            received_bytes,
         }
     }
 
-    /// The connection of the attempt that carries it.
+    /// The connection of the attempt that carries the body.
     pub fn attempt(&self) -> Option<K> {
         self.attempt
     }
 
-    /// Bytes received so far, transfer coding included except for those present at the start.
+    /// Number of bytes received so far, including the transfer coding except for those present at
+    /// the start.
     pub fn received_bytes(&self) -> u64 {
         self.received_bytes
     }
 
-    /// Bytes buffered.
+    /// Number of bytes buffered.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether all of it has been received.
+    /// Whether the body has been received completely.
     pub fn is_complete(&self) -> bool {
         self.reader.is_complete()
     }
 
-    /// Whether no other attempt can carry it.
+    /// Whether part of the body was discarded, so that no other attempt can carry it.
     pub fn is_discarded(&self) -> bool {
         self.is_discarded
     }
 
     /// An attempt starts: the buffered bytes are forwarded.
-    pub fn start_attempt(&mut self, leg: K, out: &mut Vec<u8>) {
-        self.attempt = Some(leg);
+    pub fn start_attempt(&mut self, attempt: K, out: &mut Vec<u8>) {
+        self.attempt = Some(attempt);
         self.write(0, out);
-        self.discard_sent();
+        self.discard_forwarded();
     }
 
     /// The attempt ended.
@@ -77,7 +79,7 @@
         self.attempt = None;
     }
 
-    /// Reads from `input` and forwards to the attempt, where there is one.
+    /// Reads from `input` and forwards to the output of the attempt, if there is one.
     ///
     /// # Errors
     /// The body is malformed or too long.
@@ -89,32 +91,32 @@
         if self.is_complete() {
             return Ok(());
         }
-        let before = self.buffer.len();
-        let taken = self.reader.read(input, &mut self.buffer);
-        let taken = taken?;
-        input.drain(..taken);
-        self.received_bytes += taken as u64;
+        let buffered_before = self.buffer.len();
+        let consumed = self.reader.read(input, &mut self.buffer);
+        let consumed = consumed?;
+        input.drain(..consumed);
+        self.received_bytes += consumed as u64;
         if let Some(out) = out {
-            self.write(before, out);
-            self.discard_sent();
+            self.write(buffered_before, out);
+            self.discard_forwarded();
         }
         Ok(())
     }
 
     fn write(&self, from: usize, out: &mut Vec<u8>) {
         let data = &self.buffer[from..];
-        match self.chunked {
+        match self.is_chunked {
             true => write_chunk(out, data),
             false => out.extend_from_slice(data),
         }
-        if self.chunked && self.is_complete() {
+        if self.is_chunked && self.is_complete() {
             out.extend_from_slice(b"0\r\n\r\n");
         }
     }
 
-    /// Discards forwarded bytes beyond the bound of the buffer.
-    fn discard_sent(&mut self) {
-        self.is_discarded |= self.buffer.len() > self.max_buffered;
+    /// Discards the forwarded bytes once they exceed the bound of the buffer.
+    fn discard_forwarded(&mut self) {
+        self.is_discarded |= self.buffer.len() > self.max_buffered_bytes;
         if self.is_discarded {
             self.buffer.clear();
         }
--- a/crates/dataplane/src/upload/tests.rs
+++ b/crates/dataplane/src/upload/tests.rs
@@ -2,8 +2,14 @@
 
 use super::*;
 
-fn upload(extent: BodyFraming) -> Upload {
-    Upload::new(extent, BodyReader::new(extent, 100).unwrap(), Vec::new(), 4)
+/// An upload of at most 100 bytes, of which 4 forwarded ones stay buffered.
+fn upload(framing: BodyFraming) -> Upload {
+    Upload::new(
+        framing,
+        BodyReader::new(framing, 100).unwrap(),
+        Vec::new(),
+        4,
+    )
 }
 
 #[test]
@@ -11,7 +17,7 @@
     let mut keys = SlotMap::<ConnectionKey, ()>::with_key();
     let (first, second) = (keys.insert(()), keys.insert(()));
     let mut upload = upload(BodyFraming::Length(8));
-    let (mut out, mut again) = (Vec::new(), Vec::new());
+    let (mut out, mut second_out) = (Vec::new(), Vec::new());
     upload.read(&mut b"ab".to_vec(), None).unwrap();
     upload.start_attempt(first, &mut out);
     upload.read(&mut b"cd".to_vec(), Some(&mut out)).unwrap();
@@ -20,17 +26,17 @@
         (b"abcd".as_slice(), false, Some(first))
     );
     upload.end_attempt();
-    upload.start_attempt(second, &mut again);
+    upload.start_attempt(second, &mut second_out);
     upload
-        .read(&mut b"efghIJ".to_vec(), Some(&mut again))
+        .read(&mut b"efghIJ".to_vec(), Some(&mut second_out))
         .unwrap();
     assert_eq!(
-        (again.as_slice(), upload.is_complete()),
+        (second_out.as_slice(), upload.is_complete()),
         (b"abcdefgh".as_slice(), true)
     );
     assert!(
         upload.is_discarded() && upload.buffered_bytes() == 0,
-        "no third one"
+        "the body can be sent by no third attempt"
     );
 }
 
@@ -38,7 +44,7 @@
 fn chunked_body_ends_once_per_attempt_and_following_bytes_stay() {
     let mut keys = SlotMap::<ConnectionKey, ()>::with_key();
     let mut upload = upload(BodyFraming::Chunked);
-    let (mut input, mut out, mut again) = (
+    let (mut input, mut out, mut second_out) = (
         b"1\r\na\r\n2\r\nbc\r\n0\r\n\r\nGET".to_vec(),
         Vec::new(),
         Vec::new(),
@@ -50,8 +56,8 @@
         (out.as_slice(), input.as_slice()),
         (b"3\r\nabc\r\n0\r\n\r\n".as_slice(), b"GET".as_slice())
     );
-    upload.start_attempt(keys.insert(()), &mut again);
-    assert_eq!(again, out);
+    upload.start_attempt(keys.insert(()), &mut second_out);
+    assert_eq!(second_out, out);
     assert_eq!(
         super::Upload::read(
             &mut self::upload(BodyFraming::Chunked),
--- a/crates/dataplane/src/upstreams.rs
+++ b/crates/dataplane/src/upstreams.rs
@@ -1,5 +1,5 @@
-//! The pool of connections to servers: one attempt or health check at a time on each, and idle ones
-//! kept for reuse.
+//! The pool of connections to servers. Each connection carries one attempt or health check at a
+//! time; idle connections are kept for reuse.
 //!
 //! [`UpstreamState`] is the state machine of one connection. Without I/O.
 
@@ -20,45 +20,45 @@
     Probe,
 }
 
-/// The state of a connection to a server. `E`: the host's type for its purpose.
+/// The state of a connection to a server. `P` is the host's type for its purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UpstreamState<E = UpstreamPurpose> {
-    /// Not established; nothing has been written.
-    Connecting(E),
-    /// Established, and the request not completely written.
-    Sending(E),
+pub enum UpstreamState<P = UpstreamPurpose> {
+    /// The connection is not established; nothing has been written.
+    Connecting(P),
+    /// The connection is established, and the request not completely written.
+    Sending(P),
     /// The request's last byte is written.
-    AwaitingResponse(E),
-    /// The final answer is being streamed to the client: the purpose is fulfilled, but the
+    AwaitingResponse(P),
+    /// The final response is being streamed to the client: the purpose is fulfilled, but the
     /// connection is not free.
     Relaying,
-    /// Nothing is in flight on it.
+    /// No request is in flight.
     Idle,
 }
 
-impl<E: Copy> UpstreamState<E> {
+impl<P: Copy> UpstreamState<P> {
     /// The purpose, while there is one.
-    pub fn purpose(self) -> Option<E> {
+    pub fn purpose(self) -> Option<P> {
         match self {
-            UpstreamState::Connecting(errand)
-            | UpstreamState::Sending(errand)
-            | UpstreamState::AwaitingResponse(errand) => Some(errand),
+            UpstreamState::Connecting(purpose)
+            | UpstreamState::Sending(purpose)
+            | UpstreamState::AwaitingResponse(purpose) => Some(purpose),
             UpstreamState::Relaying | UpstreamState::Idle => None,
         }
     }
 
     /// The state after the connection was established.
-    pub fn on_connected(self) -> UpstreamState<E> {
+    pub fn on_connected(self) -> UpstreamState<P> {
         match self {
-            UpstreamState::Connecting(errand) => UpstreamState::Sending(errand),
+            UpstreamState::Connecting(purpose) => UpstreamState::Sending(purpose),
             other => other,
         }
     }
 
     /// The state after all output was written.
-    pub fn on_request_written(self) -> UpstreamState<E> {
+    pub fn on_request_written(self) -> UpstreamState<P> {
         match self {
-            UpstreamState::Sending(errand) => UpstreamState::AwaitingResponse(errand),
+            UpstreamState::Sending(purpose) => UpstreamState::AwaitingResponse(purpose),
             other => other,
         }
     }
@@ -73,8 +73,8 @@
         }
     }
 
-    /// The outcome if the time is up now. A connection that was never established has carried
-    /// nothing.
+    /// The outcome if the attempt times out now. A request that is not completely written cannot
+    /// have run.
     pub fn outcome_if_timed_out(self) -> Outcome {
         match self {
             UpstreamState::Connecting(_) | UpstreamState::Sending(_) => Outcome::ConnectFailed,
@@ -85,11 +85,11 @@
     }
 }
 
-/// The outcome that a complete response stands for.
-pub fn response_outcome(answer: &Response) -> Outcome {
-    match answer.status {
+/// The outcome of an attempt that was answered with this response.
+pub fn response_outcome(response: &Response) -> Outcome {
+    match response.status {
         200 => Outcome::Ok,
-        503 | 504 if answer.headers.get("X-Never-Ran") == Some("1") => Outcome::Full,
+        503 | 504 if response.headers.get("X-Never-Ran") == Some("1") => Outcome::Full,
         _ => Outcome::Error,
     }
 }
@@ -98,11 +98,11 @@
 #[derive(Debug)]
 struct PooledServer<K> {
     address: SocketAddr,
-    listed: bool,
+    is_listed: bool,
     /// Operators have taken it out of service: its connections are not kept.
-    taken_out: bool,
+    is_out_of_service: bool,
     connection_count: usize,
-    /// Idle connections and since when. The last one used is reused first, so that the others
+    /// Idle connections, and since when. The one used last is reused first, so that the others
     /// expire.
     idle: Vec<(K, Micros)>,
 }
@@ -124,44 +124,44 @@
 }
 
 impl<K: Copy + PartialEq> ConnectionPool<K> {
-    /// Adds a server, or updates its address; returns its idle connections to an earlier address,
-    /// where another server may answer now.
+    /// Adds a server, or updates its address. Returns the idle connections to its earlier address,
+    /// where another server may answer now; they are to be closed.
     pub fn add_server(&mut self, server: ServerId, address: SocketAddr) -> Vec<K> {
         let new = || PooledServer {
             address,
-            listed: true,
-            taken_out: false,
+            is_listed: true,
+            is_out_of_service: false,
             connection_count: 0,
             idle: Vec::new(),
         };
-        let place = self.servers.entry(server).or_insert_with(new);
-        let moved = std::mem::replace(&mut place.address, address) != address;
-        (place.listed, place.taken_out) = (true, false);
-        if moved {
-            place.idle.iter().map(|(key, _)| *key).collect()
+        let pooled = self.servers.entry(server).or_insert_with(new);
+        let address_changed = std::mem::replace(&mut pooled.address, address) != address;
+        (pooled.is_listed, pooled.is_out_of_service) = (true, false);
+        if address_changed {
+            pooled.idle.iter().map(|(key, _)| *key).collect()
         } else {
             Vec::new()
         }
     }
 
-    /// Takes a server out of service until it is added again; returns its idle connections, to be
+    /// Takes a server out of service until it is added again. Returns its idle connections, to be
     /// closed.
     pub fn take_out_of_service(&mut self, server: ServerId) -> Vec<K> {
-        let Some(place) = self.servers.get_mut(&server) else {
+        let Some(pooled) = self.servers.get_mut(&server) else {
             return Vec::new();
         };
-        place.taken_out = true;
-        place.idle.iter().map(|(key, _)| *key).collect()
+        pooled.is_out_of_service = true;
+        pooled.idle.iter().map(|(key, _)| *key).collect()
     }
 
-    /// Removes a server that is no longer listed; returns its idle connections, to be closed.
+    /// Removes a server that is no longer listed. Returns its idle connections, to be closed.
     pub fn remove_server(&mut self, server: ServerId) -> Vec<K> {
-        let Some(place) = self.servers.get_mut(&server) else {
+        let Some(pooled) = self.servers.get_mut(&server) else {
             return Vec::new();
         };
-        place.listed = false;
-        let idle = place.idle.iter().map(|(key, _)| *key).collect();
-        if place.connection_count == 0 {
+        pooled.is_listed = false;
+        let idle = pooled.idle.iter().map(|(key, _)| *key).collect();
+        if pooled.connection_count == 0 {
             self.servers.remove(&server);
         }
         idle
@@ -169,7 +169,7 @@
 
     /// The address of a server.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.servers.get(&server).map(|place| place.address)
+        self.servers.get(&server).map(|pooled| pooled.address)
     }
 
     /// Number of open connections.
@@ -177,23 +177,23 @@
         self.connection_count
     }
 
-    /// A connection was opened.
+    /// Counts a connection that was opened.
     pub fn record_opened(&mut self, server: ServerId) {
-        if let Some(place) = self.servers.get_mut(&server) {
-            place.connection_count += 1;
+        if let Some(pooled) = self.servers.get_mut(&server) {
+            pooled.connection_count += 1;
             self.connection_count += 1;
         }
     }
 
-    /// A connection was closed, in whatever state.
+    /// Removes a connection that was closed, in whatever state it was.
     pub fn record_closed(&mut self, server: ServerId, key: K) {
-        let Some(place) = self.servers.get_mut(&server) else {
+        let Some(pooled) = self.servers.get_mut(&server) else {
             return;
         };
-        place.idle.retain(|(idle, _)| *idle != key);
-        place.connection_count = place.connection_count.saturating_sub(1);
+        pooled.idle.retain(|(idle, _)| *idle != key);
+        pooled.connection_count = pooled.connection_count.saturating_sub(1);
         self.connection_count = self.connection_count.saturating_sub(1);
-        if place.connection_count == 0 && !place.listed {
+        if pooled.connection_count == 0 && !pooled.is_listed {
             self.servers.remove(&server);
         }
     }
@@ -201,11 +201,12 @@
     /// Returns a connection to the pool. False if the server is gone or out of service: the
     /// connection is to be closed.
     pub fn release(&mut self, server: ServerId, key: K, now: Micros) -> bool {
-        let used = |place: &&mut PooledServer<K>| place.listed && !place.taken_out;
-        let Some(place) = self.servers.get_mut(&server).filter(used) else {
+        let is_in_service =
+            |pooled: &&mut PooledServer<K>| pooled.is_listed && !pooled.is_out_of_service;
+        let Some(pooled) = self.servers.get_mut(&server).filter(is_in_service) else {
             return false;
         };
-        place.idle.push((key, now));
+        pooled.idle.push((key, now));
         true
     }
 
@@ -220,21 +221,26 @@
 
     /// The connection that has been idle longest, of all servers.
     pub fn longest_idle_connection(&self) -> Option<K> {
-        let firsts = self.servers.values().filter_map(|place| place.idle.first());
-        firsts.min_by_key(|(_, since)| *since).map(|(key, _)| *key)
-    }
-
-    /// Takes the connections idle since `before` or longer out of the pool.
-    pub fn take_expired(&mut self, before: Micros) -> Vec<K> {
-        let mut old = Vec::new();
-        for place in self.servers.values_mut() {
-            old.extend(
-                place
+        let longest_by_server = self
+            .servers
+            .values()
+            .filter_map(|pooled| pooled.idle.first());
+        longest_by_server
+            .min_by_key(|(_, since)| *since)
+            .map(|(key, _)| *key)
+    }
+
+    /// Takes the connections that have been idle since `idle_since` or longer out of the pool.
+    pub fn take_expired(&mut self, idle_since: Micros) -> Vec<K> {
+        let mut expired = Vec::new();
+        for pooled in self.servers.values_mut() {
+            expired.extend(
+                pooled
                     .idle
-                    .extract_if(.., |(_, since)| *since <= before)
+                    .extract_if(.., |(_, since)| *since <= idle_since)
                     .map(|(key, _)| key),
             );
         }
-        old
+        expired
     }
 }
