--- a/crates/dataplane/src/framing.rs
+++ b/crates/dataplane/src/framing.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 framing, based on httparse: complete messages and streamed bodies out of a growing
+//! HTTP/1.1 framing, based on httparse: parses complete messages and streamed bodies from a growing
 //! buffer.
 
 mod body;
@@ -10,7 +10,7 @@
 
 pub use self::body::{BodyFraming, BodyReader};
 pub use self::head::{Head, Headers, RequestHead, ResponseHead};
-use self::head::{body_framing, final_head, response_head};
+use self::head::{body_framing, parse_final_head, parse_response_head};
 pub use self::incoming::IncomingMessage;
 pub use self::write::{write_chunk, write_head, write_response};
 use crate::limits::Limits;
@@ -27,7 +27,7 @@
 }
 
 impl ParseError {
-    /// The status that answers such a request.
+    /// The status of the response to such a request.
     pub fn status(self) -> u16 {
         match self {
             ParseError::Syntax => 400,
@@ -110,8 +110,8 @@
     }
 }
 
-/// Parses a complete request at the start of `bytes`; returns it with its length, or `None` while
-/// incomplete.
+/// Parses a complete request at the start of `bytes`. Returns it with its length in bytes, or
+/// `None` while it is incomplete.
 ///
 /// # Errors
 /// The input is not a valid request, or exceeds the limits.
@@ -119,27 +119,28 @@
     bytes: &[u8],
     limits: &Limits,
 ) -> Result<Option<(Request, usize)>, ParseError> {
-    let Some((head, extent, from)) = RequestHead::parse(bytes, limits)? else {
+    let Some((head, framing, head_length)) = RequestHead::parse(bytes, limits)? else {
         return Ok(None);
     };
-    let whole = body(&bytes[from..], extent, false, limits)?;
-    Ok(whole.map(|(body, length)| (Request::new(head, body), from + length)))
+    let complete_body = parse_body(&bytes[head_length..], framing, false, limits)?;
+    Ok(complete_body.map(|(body, length)| (Request::new(head, body), head_length + length)))
 }
 
-/// The complete body at the start of `bytes` with its length, or `None` while incomplete.
-fn body(
+/// Parses the complete body at the start of `bytes`. Returns it with its length in bytes including
+/// the transfer coding, or `None` while it is incomplete.
+fn parse_body(
     bytes: &[u8],
-    extent: BodyFraming,
-    ended: bool,
+    framing: BodyFraming,
+    is_closed: bool,
     limits: &Limits,
 ) -> Result<Option<(Vec<u8>, usize)>, ParseError> {
-    let mut reader = BodyReader::new(extent, limits.max_buffered_body_bytes as u64)?;
+    let mut reader = BodyReader::new(framing, limits.max_buffered_body_bytes as u64)?;
     let mut body = Vec::new();
     let length = reader.read(bytes, &mut body)?;
-    Ok((reader.is_complete() || (ended && reader.ends_at_close())).then_some((body, length)))
+    Ok((reader.is_complete() || (is_closed && reader.ends_at_close())).then_some((body, length)))
 }
 
-/// Parses the head of a chunked response: its status, and where the chunks begin.
+/// Parses the head of a chunked response: its status, and the index at which the chunks begin.
 ///
 /// # Errors
 /// The input is not such a head, or exceeds the limits.
@@ -147,39 +148,40 @@
     bytes: &[u8],
     limits: &Limits,
 ) -> Result<Option<(u16, usize)>, ParseError> {
-    let Some((head, from)) = response_head(bytes, limits)? else {
+    let Some((head, head_length)) = parse_response_head(bytes, limits)? else {
         return Ok(None);
     };
     match body_framing(&head.headers, BodyFraming::UntilClose) {
-        Ok(BodyFraming::Chunked) => Ok(Some((head.status, from))),
+        Ok(BodyFraming::Chunked) => Ok(Some((head.status, head_length))),
         _ => Err(ParseError::Syntax),
     }
 }
 
-/// Parses a complete response at the start of `bytes`; returns it with its length, or `None` while
-/// incomplete. `ended`: the peer has closed its side.
+/// Parses a complete response at the start of `bytes`. Returns it with its length in bytes, or
+/// `None` while it is incomplete. `is_closed`: the peer has closed its side of the connection.
 ///
 /// # Errors
 /// The input is not a valid response, or exceeds the limits.
 pub fn parse_response(
     bytes: &[u8],
-    ended: bool,
+    is_closed: bool,
     limits: &Limits,
 ) -> Result<Option<(Response, usize)>, ParseError> {
-    let Some((head, from)) = final_head(bytes, limits)? else {
+    let Some((head, head_length)) = parse_final_head(bytes, limits)? else {
         return Ok(None);
     };
-    let none = matches!(head.status, 204 | 304);
-    let extent = if none {
+    let has_no_body = matches!(head.status, 204 | 304);
+    let framing = if has_no_body {
         BodyFraming::Length(0)
     } else {
         body_framing(&head.headers, BodyFraming::UntilClose)?
     };
-    let whole = body(&bytes[from..], extent, ended, limits)?;
-    Ok(whole.map(|(body, length)| (Response::new(head, body), from + length)))
+    let complete_body = parse_body(&bytes[head_length..], framing, is_closed, limits)?;
+    Ok(complete_body.map(|(body, length)| (Response::new(head, body), head_length + length)))
 }
 
-/// Like [`parse_response`], for peers that announce a length or close the connection.
+/// Like [`parse_response`], but rejects a response whose end is neither given by a length nor by an
+/// announced close of the connection.
 ///
 /// # Errors
 /// The input is not such a response, or exceeds the limits.
@@ -187,11 +189,11 @@
     bytes: &[u8],
     limits: &Limits,
 ) -> Result<Option<(Response, usize)>, ParseError> {
-    let Some((head, extent, from)) = ResponseHead::parse(bytes, limits)? else {
+    let Some((head, framing, head_length)) = ResponseHead::parse(bytes, limits)? else {
         return Ok(None);
     };
-    let whole = body(&bytes[from..], extent, false, limits)?;
-    Ok(whole.map(|(body, length)| (Response::new(head, body), from + length)))
+    let complete_body = parse_body(&bytes[head_length..], framing, false, limits)?;
+    Ok(complete_body.map(|(body, length)| (Response::new(head, body), head_length + length)))
 }
 
 #[cfg(test)]
--- a/crates/dataplane/src/framing/body.rs
+++ b/crates/dataplane/src/framing/body.rs
@@ -13,10 +13,10 @@
     UntilClose,
 }
 
-/// Longest chunk-size line, extensions included, in bytes.
+/// Longest chunk-size line, including extensions, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
 
-/// Most bytes of trailer fields.
+/// Most bytes of all trailer fields.
 const MAX_TRAILER_BYTES: usize = 8 * 1024;
 
 /// The state of a body being read.
@@ -24,13 +24,17 @@
 enum BodyState {
     /// Within a body of known length, with this many bytes left.
     Plain(u64),
+    /// Within a body that ends with its connection.
     UntilClose,
-    /// At a chunk-size line, within a chunk's data, or at the line end after it.
+    /// At a chunk-size line.
     ChunkSize,
+    /// Within a chunk's data, with this many bytes left.
     ChunkData(u64),
+    /// At the line end after a chunk's data.
     ChunkEnd,
     /// Within the trailer section, with this many of its bytes read.
     Trailer(usize),
+    /// After the end of the body.
     Complete,
 }
 
@@ -38,26 +42,28 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BodyReader {
     state: BodyState,
-    /// Bytes that the body may still have.
-    remaining: u64,
+    /// Bytes by which the body may still grow, if its length was not announced.
+    remaining_bytes: u64,
 }
 
 impl BodyReader {
-    /// A reader of a body of at most `most` bytes.
+    /// A reader of a body of at most `max_bytes` bytes.
     ///
     /// # Errors
-    /// The body is announced to be longer.
-    pub fn new(extent: BodyFraming, most: u64) -> Result<BodyReader, ParseError> {
-        let place = match extent {
-            BodyFraming::Length(length) if length > most => return Err(ParseError::BodyTooLarge),
+    /// The announced length is greater.
+    pub fn new(framing: BodyFraming, max_bytes: u64) -> Result<BodyReader, ParseError> {
+        let state = match framing {
+            BodyFraming::Length(length) if length > max_bytes => {
+                return Err(ParseError::BodyTooLarge);
+            }
             BodyFraming::Length(0) => BodyState::Complete,
             BodyFraming::Length(length) => BodyState::Plain(length),
             BodyFraming::Chunked => BodyState::ChunkSize,
             BodyFraming::UntilClose => BodyState::UntilClose,
         };
         Ok(BodyReader {
-            state: place,
-            remaining: most,
+            state,
+            remaining_bytes: max_bytes,
         })
     }
 
@@ -72,37 +78,39 @@
     }
 
     fn consume(&mut self, bytes: u64) -> Result<(), ParseError> {
-        self.remaining = self
-            .remaining
+        self.remaining_bytes = self
+            .remaining_bytes
             .checked_sub(bytes)
             .ok_or(ParseError::BodyTooLarge)?;
         Ok(())
     }
 
     /// Reads from the start of `bytes` and appends body data to `out`. Returns how many bytes were
-    /// consumed; bytes left over wait for more input, or follow the complete body.
+    /// consumed; the others need more input, or follow the complete body.
     ///
     /// # Errors
-    /// The chunk is malformed, or the body too long; independent of how the input is split.
+    /// A chunk is malformed, or the body is too long; independent of how the input is split.
     pub fn read(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, ParseError> {
-        let mut at = 0;
+        let mut consumed = 0;
         loop {
-            let rest = &bytes[at..];
+            let rest = &bytes[consumed..];
             if rest.is_empty() {
-                return Ok(at);
+                return Ok(consumed);
             }
             match self.state {
-                BodyState::Complete => return Ok(at),
-                BodyState::Plain(left) | BodyState::ChunkData(left) => {
-                    let part = rest.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-                    out.extend_from_slice(&rest[..part]);
-                    at += part;
-                    let left = left - part as u64;
+                BodyState::Complete => return Ok(consumed),
+                BodyState::Plain(remaining) | BodyState::ChunkData(remaining) => {
+                    let length = rest
+                        .len()
+                        .min(usize::try_from(remaining).unwrap_or(usize::MAX));
+                    out.extend_from_slice(&rest[..length]);
+                    consumed += length;
+                    let remaining = remaining - length as u64;
                     self.state = match self.state {
-                        BodyState::Plain(_) if left == 0 => BodyState::Complete,
-                        BodyState::Plain(_) => BodyState::Plain(left),
-                        _ if left == 0 => BodyState::ChunkEnd,
-                        _ => BodyState::ChunkData(left),
+                        BodyState::Plain(_) if remaining == 0 => BodyState::Complete,
+                        BodyState::Plain(_) => BodyState::Plain(remaining),
+                        _ if remaining == 0 => BodyState::ChunkEnd,
+                        _ => BodyState::ChunkData(remaining),
                     };
                 }
                 BodyState::UntilClose => {
@@ -111,11 +119,11 @@
                     return Ok(bytes.len());
                 }
                 BodyState::ChunkSize => match httparse::parse_chunk_size(rest) {
-                    Ok(httparse::Status::Complete((line, size)))
-                        if line <= MAX_CHUNK_SIZE_LINE_BYTES =>
+                    Ok(httparse::Status::Complete((line_length, size)))
+                        if line_length <= MAX_CHUNK_SIZE_LINE_BYTES =>
                     {
                         self.consume(size)?;
-                        at += line;
+                        consumed += line_length;
                         self.state = if size == 0 {
                             BodyState::Trailer(0)
                         } else {
@@ -123,30 +131,32 @@
                         };
                     }
                     Ok(httparse::Status::Partial) if rest.len() <= MAX_CHUNK_SIZE_LINE_BYTES => {
-                        return Ok(at);
+                        return Ok(consumed);
                     }
                     _ => return Err(ParseError::Syntax),
                 },
                 BodyState::ChunkEnd => match rest {
-                    [b'\r', b'\n', ..] => (self.state, at) = (BodyState::ChunkSize, at + 2),
-                    [b'\r'] => return Ok(at),
+                    [b'\r', b'\n', ..] => {
+                        (self.state, consumed) = (BodyState::ChunkSize, consumed + 2)
+                    }
+                    [b'\r'] => return Ok(consumed),
                     _ => return Err(ParseError::Syntax),
                 },
                 // Trailer fields are discarded.
-                BodyState::Trailer(before) => {
-                    let end = rest.iter().position(|byte| *byte == b'\n');
-                    let length = before + end.unwrap_or(rest.len());
-                    match end {
+                BodyState::Trailer(read_bytes) => {
+                    let line_feed = rest.iter().position(|byte| *byte == b'\n');
+                    let length = read_bytes + line_feed.unwrap_or(rest.len());
+                    match line_feed {
                         _ if length > MAX_TRAILER_BYTES => return Err(ParseError::HeadTooLarge),
-                        None => return Ok(at),
-                        // Request smuggling: a bare line feed, which others may not take for a line
-                        // end.
-                        Some(end) if end == 0 || rest[end - 1] != b'\r' => {
+                        None => return Ok(consumed),
+                        // Request smuggling: other parsers may not accept a bare line feed as a
+                        // line end.
+                        Some(line_feed) if line_feed == 0 || rest[line_feed - 1] != b'\r' => {
                             return Err(ParseError::Syntax);
                         }
-                        Some(end) => {
-                            at += end + 1;
-                            self.state = if end == 1 {
+                        Some(line_feed) => {
+                            consumed += line_feed + 1;
+                            self.state = if line_feed == 1 {
                                 BodyState::Complete
                             } else {
                                 BodyState::Trailer(length)
--- a/crates/dataplane/src/framing/head.rs
+++ b/crates/dataplane/src/framing/head.rs
@@ -12,11 +12,11 @@
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    /// The value of the only field of this name; `None` if there are several, which is as bad as a
-    /// wrong value.
+    /// The value of the only field of this name; `None` if there is none, or several, which is as
+    /// invalid as a wrong value.
     pub fn get(&self, name: &str) -> Option<&str> {
-        let mut found = self.0.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
-        match (found.next(), found.next()) {
+        let mut fields = self.0.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
+        match (fields.next(), fields.next()) {
             (Some((_, value)), None) => Some(value),
             _ => None,
         }
@@ -34,45 +34,52 @@
             .map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
-    fn contains_token(&self, name: &str, word: &str) -> bool {
-        let lines = self.0.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
-        lines
-            .flat_map(|(_, v)| v.split(','))
-            .any(|part| part.trim().eq_ignore_ascii_case(word))
+    fn contains_token(&self, name: &str, token: &str) -> bool {
+        let fields = self.0.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
+        fields
+            .flat_map(|(_, value)| value.split(','))
+            .any(|part| part.trim().eq_ignore_ascii_case(token))
     }
 }
 
-/// Header fields of a response. An irrelevant field must not invalidate a good response: what is
-/// not UTF-8 is replaced, and a length or coding with a replacement character is invalid.
-fn collect_headers_lossy(lines: &[httparse::Header<'_>]) -> Headers {
-    let one = |line: &httparse::Header<'_>| {
+/// Header fields of a response. An irrelevant field must not invalidate a valid response: what is
+/// not UTF-8 is replaced. A length or coding with a replacement character is still invalid.
+fn collect_headers_lossy(fields: &[httparse::Header<'_>]) -> Headers {
+    let convert = |field: &httparse::Header<'_>| {
         (
-            line.name.to_string(),
-            String::from_utf8_lossy(line.value).trim().to_string(),
+            field.name.to_string(),
+            String::from_utf8_lossy(field.value).trim().to_string(),
         )
     };
-    Headers(lines.iter().map(one).collect())
+    Headers(fields.iter().map(convert).collect())
 }
 
-fn collect_headers(lines: &[httparse::Header<'_>]) -> Result<Headers, ParseError> {
-    let one = |line: &httparse::Header<'_>| {
-        let value = std::str::from_utf8(line.value).map_err(|_| ParseError::Syntax)?;
-        Ok((line.name.to_string(), value.trim().to_string()))
+/// Header fields of a request. Values that are not UTF-8 are rejected.
+fn collect_headers(fields: &[httparse::Header<'_>]) -> Result<Headers, ParseError> {
+    let convert = |field: &httparse::Header<'_>| {
+        let value = std::str::from_utf8(field.value).map_err(|_| ParseError::Syntax)?;
+        Ok((field.name.to_string(), value.trim().to_string()))
     };
-    lines.iter().map(one).collect::<Result<_, _>>().map(Headers)
+    fields
+        .iter()
+        .map(convert)
+        .collect::<Result<_, _>>()
+        .map(Headers)
 }
 
+/// The framing of the body that follows these header fields; `default` without a length or coding.
+
 pub(super) fn body_framing(
     headers: &Headers,
-    otherwise: BodyFraming,
+    default: BodyFraming,
 ) -> Result<BodyFraming, ParseError> {
-    let coded = headers.contains("Transfer-Encoding");
+    let has_coding = headers.contains("Transfer-Encoding");
     if headers.contains("Content-Length") {
-        // Request smuggling: two lengths, or a length beside a transfer coding, are read
-        // differently by others.
+        // Request smuggling: other parsers interpret two lengths, or a length beside a transfer
+        // coding, differently.
         let text = headers
             .get("Content-Length")
-            .filter(|_| !coded)
+            .filter(|_| !has_coding)
             .ok_or(ParseError::Syntax)?;
         if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
             return Err(ParseError::Syntax);
@@ -82,8 +89,8 @@
             .map(BodyFraming::Length)
             .map_err(|_| ParseError::BodyTooLarge);
     }
-    match (coded, headers.get("Transfer-Encoding")) {
-        (false, _) => Ok(otherwise),
+    match (has_coding, headers.get("Transfer-Encoding")) {
+        (false, _) => Ok(default),
         (true, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(BodyFraming::Chunked),
         (true, _) => Err(ParseError::Syntax),
     }
@@ -110,11 +117,11 @@
 
 /// The head of a message, and its body's framing.
 pub trait Head: Sized {
-    /// Parses the head at the start of `bytes`: the head, the framing of the body, and where that
-    /// begins; `None` while incomplete.
+    /// Parses the head at the start of `bytes`. Returns the head, the framing of the body, and the
+    /// index at which the body begins, or `None` while the head is incomplete.
     ///
     /// # Errors
-    /// The head is malformed.
+    /// The head is malformed or too long.
     fn parse(
         bytes: &[u8],
         limits: &Limits,
@@ -152,24 +159,24 @@
         bytes: &[u8],
         limits: &Limits,
     ) -> Result<Option<(Self, BodyFraming, usize)>, ParseError> {
-        let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
-        let mut parsed = httparse::Request::new(&mut lines);
-        let from = match parsed.parse(bytes).map_err(head_error)? {
+        let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut parsed = httparse::Request::new(&mut fields);
+        let head_length = match parsed.parse(bytes).map_err(head_error)? {
             httparse::Status::Partial => return check_head_length(bytes, limits).map(|()| None),
-            httparse::Status::Complete(from) => from,
+            httparse::Status::Complete(length) => length,
         };
-        check_head_length(&bytes[..from], limits)?;
-        // Request smuggling: a bare line feed, which others may not take for a line end.
-        if bytes[..from]
+        check_head_length(&bytes[..head_length], limits)?;
+        // Request smuggling: other parsers may not accept a bare line feed as a line end.
+        if bytes[..head_length]
             .split_inclusive(|byte| *byte == b'\n')
             .any(|line| !line.ends_with(b"\r\n"))
         {
             return Err(ParseError::Syntax);
         }
         let headers = collect_headers(parsed.headers)?;
-        let extent = body_framing(&headers, BodyFraming::Length(0))?;
+        let framing = body_framing(&headers, BodyFraming::Length(0))?;
         let keep_alive = keep_alive(parsed.version, &headers);
-        let expects = parsed.version == Some(1)
+        let expects_continue = parsed.version == Some(1)
             && headers
                 .get("Expect")
                 .is_some_and(|value| value.eq_ignore_ascii_case("100-continue"));
@@ -183,33 +190,33 @@
                 target,
                 headers,
                 keep_alive,
-                expects_continue: expects,
+                expects_continue,
             },
-            extent,
-            from,
+            framing,
+            head_length,
         )))
     }
 }
 
 impl Head for ResponseHead {
-    /// Without a length, a response extends to the close of the connection only if it also says
-    /// that the connection closes. Otherwise a truncated response would look complete, or its end
-    /// would be awaited in vain on an open connection.
+    /// A response without a length ends with its connection only if it also announces that the
+    /// connection is closed. Otherwise a truncated response would look complete, or its end would
+    /// be awaited in vain on a connection that stays open.
     fn parse(
         bytes: &[u8],
         limits: &Limits,
     ) -> Result<Option<(Self, BodyFraming, usize)>, ParseError> {
-        let Some((head, from)) = final_head(bytes, limits)? else {
+        let Some((head, head_length)) = parse_final_head(bytes, limits)? else {
             return Ok(None);
         };
-        let extent = match head.status {
+        let framing = match head.status {
             204 | 304 => BodyFraming::Length(0),
             _ if head.has_length() => body_framing(&head.headers, BodyFraming::UntilClose)?,
             200 if head.keep_alive => return Err(ParseError::Syntax),
             200 => BodyFraming::UntilClose,
             _ => BodyFraming::Length(0),
         };
-        Ok(Some((head, extent, from)))
+        Ok(Some((head, framing, head_length)))
     }
 }
 
@@ -225,15 +232,15 @@
     }
 }
 
-pub(super) fn response_head(
+pub(super) fn parse_response_head(
     bytes: &[u8],
     limits: &Limits,
 ) -> Result<Option<(ResponseHead, usize)>, ParseError> {
-    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut parsed = httparse::Response::new(&mut lines);
-    let from = match parsed.parse(bytes).map_err(head_error)? {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Response::new(&mut fields);
+    let head_length = match parsed.parse(bytes).map_err(head_error)? {
         httparse::Status::Partial => return check_head_length(bytes, limits).map(|()| None),
-        httparse::Status::Complete(from) => from,
+        httparse::Status::Complete(length) => length,
     };
     let headers = collect_headers_lossy(parsed.headers);
     let keep_alive = keep_alive(parsed.version, &headers);
@@ -244,23 +251,24 @@
             headers,
             keep_alive,
         },
-        from,
+        head_length,
     )))
 }
 
-/// The head of the final response after any interim ones, and where its body begins.
-pub(super) fn final_head(
+/// Parses the head of the final response after any interim ones. Returns it with the index at which
+/// its body begins.
+pub(super) fn parse_final_head(
     bytes: &[u8],
     limits: &Limits,
 ) -> Result<Option<(ResponseHead, usize)>, ParseError> {
-    let mut at = 0;
+    let mut consumed = 0;
     for _ in 0..=limits.max_interim_responses {
-        let Some((head, length)) = response_head(&bytes[at..], limits)? else {
+        let Some((head, length)) = parse_response_head(&bytes[consumed..], limits)? else {
             return Ok(None);
         };
-        at += length;
+        consumed += length;
         if !(100..200).contains(&head.status) {
-            return Ok(Some((head, at)));
+            return Ok(Some((head, consumed)));
         }
     }
     Err(ParseError::HeadTooLarge)
--- a/crates/dataplane/src/framing/write.rs
+++ b/crates/dataplane/src/framing/write.rs
@@ -1,6 +1,6 @@
 //! Writing responses.
 
-/// Writes a response with a body.
+/// Writes a response with a body. `close`: the connection is closed after it.
 pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
@@ -9,20 +9,20 @@
     close: bool,
 ) {
     let length = body.len().to_string();
-    let lines = [("Content-Length", length.as_str())]
+    let all_headers = [("Content-Length", length.as_str())]
         .into_iter()
         .chain(headers.iter().copied());
-    write_head(out, status, lines, close);
+    write_head(out, status, all_headers, close);
     out.extend_from_slice(body);
 }
 
-/// Writes a chunk. Writes nothing for empty data: an empty chunk would end the body.
+/// Writes a chunk, or nothing if `data` is empty: an empty chunk would end the body.
 pub fn write_chunk(out: &mut Vec<u8>, data: &[u8]) {
     use std::io::Write;
     if data.is_empty() {
         return;
     }
-    // Writing to a vector can't fail.
+    // Writing to a vector cannot fail.
     let _ = write!(out, "{:x}\r\n", data.len());
     out.extend_from_slice(data);
     out.extend_from_slice(b"\r\n");
@@ -32,7 +32,7 @@
 pub fn write_head<'a>(
     out: &mut Vec<u8>,
     status: u16,
-    lines: impl Iterator<Item = (&'a str, &'a str)>,
+    headers: impl Iterator<Item = (&'a str, &'a str)>,
     close: bool,
 ) {
     use std::io::Write;
@@ -54,9 +54,9 @@
         504 => "Gateway Timeout",
         _ => "Other",
     };
-    // Writing to a vector can't fail.
+    // Writing to a vector cannot fail.
     let _ = write!(out, "HTTP/1.1 {status} {reason}\r\n");
-    for (name, value) in lines {
+    for (name, value) in headers {
         let _ = write!(out, "{name}: {value}\r\n");
     }
     out.extend_from_slice(if close {
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -1,6 +1,6 @@
 //! The parts of a data plane around the decision module that need no sockets: the engine that hosts
-//! the module, HTTP framing, the pool of upstream connections, the state machines of connections and
-//! bodies, clock, deadlines and limits.
+//! the module, HTTP framing, the pool of upstream connections, the state machines of connections
+//! and bodies, clock, deadlines and limits.
 //!
 //! [`engine`] works in terms of authorisations, attempts and outcomes. Event loops and sockets are
 //! in the crates that use this one.
--- a/crates/dataplane/src/limits.rs
+++ b/crates/dataplane/src/limits.rs
@@ -5,60 +5,64 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// Sizes, counts and durations (in microseconds). A duration becomes an absolute deadline when
-/// something begins.
+/// Sizes, counts and durations (in microseconds). A duration becomes an absolute deadline when the
+/// operation that it limits begins.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Longest head of a message, in bytes.
     pub max_head_bytes: usize,
     /// Longest body that is buffered completely before it is forwarded, in bytes. Longer request
-    /// bodies are buffered up to the next limit, longer answers are streamed.
+    /// bodies are buffered up to [`Limits::max_buffered_request_bytes`], longer responses are
+    /// streamed.
     pub max_buffered_body_bytes: usize,
     /// Longest request body that is buffered completely, in bytes; longer ones are streamed.
     pub max_buffered_request_bytes: u64,
     /// Longest request body, in bytes.
     pub max_request_bytes: u64,
-    /// Longest streamed answer, in bytes.
+    /// Longest streamed response, in bytes.
     pub max_response_bytes: u64,
-    /// Bytes buffered of a streamed answer or body that its receiver has not taken.
+    /// Most bytes buffered of a streamed response or body that its receiver has not read.
     pub relay_window_bytes: usize,
-    /// Reads of one connection before others have their turn.
+    /// Most reads of one connection before others have their turn.
     pub max_reads_per_turn: usize,
     /// Longest line of the discovery watch, in bytes.
     pub max_watch_line_bytes: usize,
-    /// Most interim responses before the final one.
+    /// Most interim responses (1xx) before the final one.
     pub max_interim_responses: usize,
-    /// Bytes per read of a socket.
+    /// Most bytes per read of a socket.
     pub read_buffer_bytes: usize,
     /// Longest datagram between limiters, in bytes.
     pub max_datagram_bytes: usize,
     /// Most client connections.
     pub max_client_connections: usize,
-    /// Beyond this many client connections each one is closed after its answer.
+    /// Beyond this many client connections each one is closed after its response.
     pub max_persistent_connections: usize,
-    /// Bytes read ahead from a client while its request is in progress or its answer not written.
+    /// Most bytes read ahead from a client while its request is in progress or its response is not
+    /// written.
     pub max_pipelined_bytes: usize,
-    /// Bytes read from a client after its last answer, and discarded.
+    /// Most bytes read from a client after its last response, and discarded.
     pub max_linger_bytes: usize,
-    /// Bytes buffered of all clients' requests that are arriving or not answered yet.
+    /// Most bytes buffered of all clients' requests that are arriving or not answered yet.
     pub max_pending_request_bytes: usize,
-    /// A client sends each request completely within this time.
+    /// Time-out for a client to send a request completely.
     pub request_timeout: Micros,
-    /// A body may take this long, plus the time for its bytes at the minimum rate.
+    /// Time for a body to arrive, in addition to the time for its bytes at
+    /// [`Limits::min_body_bytes_per_s`].
     pub body_grace_period: Micros,
-    /// The minimum rate of a body in bytes a second.
+    /// Minimum rate of a body, in bytes per second.
     pub min_body_bytes_per_s: u64,
-    /// A body sends more within this time.
+    /// Time-out for more bytes of a body to arrive.
     pub body_idle_timeout: Micros,
     /// Most time that is added to a request's deadline for a streamed body.
     pub max_upload_extension: Micros,
-    /// Idle time-out of a client's connection that was answered before.
+    /// Idle time-out of a client's connection that has carried a response.
     pub client_idle_timeout: Micros,
-    /// A connection accepted this recently is not evicted, as its first request may be on its way.
+    /// A connection accepted more recently than this is not evicted, as its first request may be
+    /// on its way.
     pub first_request_grace_period: Micros,
-    /// A client reads its answer within this time.
+    /// Time-out for a client to read more of its response.
     pub client_write_timeout: Micros,
-    /// Time for a client to read the last answer before the connection is closed.
+    /// Time for a client to read the last response before the connection is closed.
     pub linger_timeout: Micros,
     /// Length of the listening socket's queue.
     pub listen_backlog: i32,
@@ -66,22 +70,22 @@
     pub accept_pause_log_interval: Micros,
     /// Most connections to servers, including idle ones.
     pub max_upstream_connections: usize,
-    /// Connections to the counter.
+    /// Number of connections to the counter.
     pub counter_connections: usize,
-    /// Longest answer of the counter, in bytes: a number.
+    /// Longest response of the counter, a number, in bytes.
     pub max_counter_response_bytes: usize,
     /// Most authorisations in progress.
     pub max_authorisations: usize,
     /// Most units of one authorisation, in thousandths.
     pub max_units_thousandths: u64,
-    /// An authorisation ends this long before its client gives up: the answer needs time on its
-    /// way.
+    /// An authorisation ends this long before its client gives up, so that the response can still
+    /// reach it.
     pub response_margin: Micros,
     /// Time-out of establishing a connection to a server.
     pub connect_timeout: Micros,
-    /// An answer that has begun and is not complete sends more within this time.
+    /// Time-out for more bytes of a response that has begun and is not complete.
     pub response_idle_timeout: Micros,
-    /// A streamed answer sends more within this time.
+    /// Time-out for more bytes of a streamed response.
     pub relay_idle_timeout: Micros,
     /// Idle time-out of a connection to a server, well below the server's own.
     pub upstream_idle_timeout: Micros,
@@ -89,26 +93,27 @@
     pub counter_idle_timeout: Micros,
     /// Time-out of a counter call.
     pub counter_timeout: Micros,
-    /// A counter connection without any answer for this long is closed.
+    /// A counter connection without any response for this long is closed.
     pub counter_stale_timeout: Micros,
     /// Time-out of a health check.
     pub probe_timeout: Micros,
     /// A watch without input for this long is reconnected.
     pub watch_idle_timeout: Micros,
-    /// First delay before a lost watch is reconnected; doubled up to the longest.
+    /// First delay before a lost watch is reconnected; it doubles up to
+    /// [`Limits::max_watch_retry_delay`].
     pub watch_retry_delay: Micros,
-    /// Longest such delay.
+    /// Longest delay before a lost watch is reconnected.
     pub max_watch_retry_delay: Micros,
-    /// Time-out of an introspection call that names none.
+    /// Time-out of an introspection call, unless the call names one.
     pub introspection_timeout: Micros,
-    /// The wait told to clients where the module gives none.
+    /// Delay that clients are told to wait before a retry, unless the module gives one.
     pub default_retry_after: Micros,
     /// Delay before accepting is retried after the system refused it.
     pub accept_retry_delay: Micros,
     /// Interval between two ticks of the Raft protocol.
     pub raft_tick_interval: Micros,
-    /// After SIGTERM new connections are accepted for this long; after it, or this long into a
-    /// drain, idle ones are closed.
+    /// New connections are accepted for this long after SIGTERM. Idle connections are closed from
+    /// then on, or this long after a drain began.
     pub shutdown_notice_period: Micros,
     /// Time for the first request of a connection that is accepted while idle ones are being
     /// closed.
--- a/crates/dataplane/src/plan_resolver.rs
+++ b/crates/dataplane/src/plan_resolver.rs
@@ -1,9 +1,9 @@
 //! Resolves the plan of a request while plans change in service: translates the decisions of the
 //! plan book into positions in the decision module.
 //!
-//! The module refers to plans by position. Each set of figures (rate and burst) that the book brings
-//! into force gets the next position once, and is announced to the module before the first request
-//! that uses it. Without changes, requests keep the position that they name.
+//! The module refers to plans by position. Each set of figures (rate and burst) that the book
+//! brings into force gets the next position once, and is announced to the module before the first
+//! request that uses it. Without changes, requests keep the position that they name.
 
 use std::collections::BTreeMap;
 
--- a/crates/dataplane/src/slots.rs
+++ b/crates/dataplane/src/slots.rs
@@ -1,5 +1,5 @@
-//! Keys of slot maps. A key contains the generation of its slot, so that a late event for an earlier
-//! occupant of the slot finds nothing.
+//! Keys of slot maps. A key contains the generation of its slot, so that a late event for an
+//! earlier occupant of the slot finds nothing.
 
 pub use slotmap::{Key, SlotMap};
 
