--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -1,10 +1,11 @@
 //! Hosts the decision module in terms of authorisations, attempts and outcomes, independent of any
 //! wire protocol.
 //!
-//! A front submits an [`Authorisation`]; the host carries out the [`EngineAction`]s and reports
-//! their results. The engine maintains these invariants whatever the module or the host does: one
-//! final answer for each authorisation, never two attempts of one in flight, no attempt after the
-//! end.
+//! A front end submits an [`Authorisation`]; the host carries out the [`EngineAction`]s and reports
+//! their results. The engine maintains these invariants whatever the module or the host does:
+//!
+//! 1. Each authorisation gets one final answer.
+//! 2. An authorisation never has two attempts in flight, and none after its final answer.
 
 use std::fmt;
 
@@ -16,7 +17,7 @@
 use crate::plan_resolver::{PlanResolver, ResolvedPlan};
 use crate::slots::{AuthorisationKey, Key, SlotMap};
 
-/// A request that a front submits for a client.
+/// A request that a front end submits for a client.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Authorisation {
     /// Position of its class in the settings.
@@ -27,30 +28,30 @@
     pub customer: CustomerId,
     /// Deadline of the final answer.
     pub deadline: Micros,
-    /// Units it takes from the quota.
+    /// Units that it takes from the quota.
     pub units: f64,
-    /// Number of limiters that the customer is spread over...
+    /// Number of limiters that the customer's requests are spread over.
     pub limiter_count: u32,
-    /// ...and the first of them.
+    /// Number of the first of these limiters.
     pub first_limiter: u32,
-    /// Whether it is a client's retry, where clients say so.
+    /// Whether it is a client's retry; known only where clients say so.
     pub is_retry: bool,
-    /// The client's token is valid until then; no attempt starts later.
+    /// When the client's token expires; no attempt starts then or later.
     pub token_expires_at: Option<Micros>,
-    /// Its position in the priority order under overload...
+    /// Its position in the priority order under overload, from 0 (shed last) to below 1.
     pub priority_position: f64,
-    /// ...and the share of that order that is rejected now.
+    /// The share of the priority order, from its end, that is shed now.
     pub shed_share: f64,
 }
 
-/// The final answer where no server's answer is it.
+/// A final answer that is not a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineRejection {
-    /// Declined: a retry is harmless.
+    /// Declined: a retry is safe.
     Declined {
-        /// How long the client should wait before a retry, in microseconds; 0 gives no advice.
+        /// Delay before the client should retry, in microseconds; 0 if the module gives none.
         retry_after: Micros,
-        /// Whether its quota was the reason, and not a lack of servers.
+        /// Whether the reason was its quota rather than a lack of servers.
         over_quota: bool,
     },
     /// Failed: it may have run.
@@ -65,7 +66,7 @@
 /// An action for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineAction {
-    /// Send an attempt to a server; report its end with [`Engine::handle_attempt_ended`].
+    /// Send an attempt to a server. Report its end with [`Engine::handle_attempt_ended`].
     StartAttempt {
         /// The authorisation.
         key: AuthorisationKey,
@@ -76,7 +77,7 @@
         /// Deadline of its outcome.
         deadline: Micros,
     },
-    /// Close the connection of an attempt, which the engine counts as ended.
+    /// Close the connection of an attempt, which has ended for the engine.
     CancelAttempt {
         /// The authorisation.
         key: AuthorisationKey,
@@ -90,16 +91,16 @@
         /// The answer.
         rejection: EngineRejection,
     },
-    /// Add to a counter; report with [`Engine::handle_counter_result`].
+    /// Add to a counter. Report the result with [`Engine::handle_counter_result`].
     AddToCounter {
         /// The counter.
         name: CounterName,
         /// The amount.
         amount: f64,
-        /// Lifetime of the counter if the call creates it.
+        /// Lifetime of the counter, in microseconds, if the call creates it.
         ttl: Micros,
     },
-    /// Check a server's health; report with [`Engine::handle_probe_result`].
+    /// Check a server's health. Report the result with [`Engine::handle_probe_result`].
     Probe(ServerId),
     /// Send a notice to the limiter of this number.
     Notify(u32, OverNotice),
@@ -107,7 +108,7 @@
     Log(String),
 }
 
-/// A call that the engine rejects.
+/// Why the engine rejects a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineError {
     /// The table of authorisations is full.
@@ -117,32 +118,36 @@
 impl fmt::Display for EngineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            EngineError::TableFull => f.write_str("too many authorisations held"),
+            EngineError::TableFull => f.write_str("authorisation table is full"),
         }
     }
 }
 
 impl std::error::Error for EngineError {}
 
-/// The attempt that is in flight.
+/// An attempt that is in flight.
 #[derive(Clone, Copy, Debug)]
 struct InFlightAttempt {
     number: u32,
     server: ServerId,
-    sent: Micros,
+    /// When it was started, or its last byte was written.
+    sent_at: Micros,
 }
 
+/// An authorisation in progress.
 #[derive(Debug)]
 struct RequestState {
     authorisation: Authorisation,
-    /// The plan resolved by the plan book, where there is one.
+    /// The plan that the plan book resolved, where there is a book.
     plan: Option<ResolvedPlan>,
-    attempts: u32,
+    /// Number of attempts that the module has ordered.
+    attempt_count: u32,
     in_flight: Option<InFlightAttempt>,
     may_have_run: bool,
-    /// The body was streamed and discarded: there can be no other attempt.
-    is_body_sent: bool,
-    done: bool,
+    /// Part of the body was streamed and discarded: there can be no other attempt.
+    is_body_discarded: bool,
+    /// The final answer was given, or is not owed any more.
+    is_finished: bool,
 }
 
 /// Hosts the decision module and the authorisations in progress.
@@ -151,67 +156,73 @@
     requests: SlotMap<AuthorisationKey, RequestState>,
     max_requests: usize,
     max_attempts: u32,
-    period: Micros,
+    /// The module runs at most once in this interval.
+    run_interval: Micros,
     last_run_at: Option<Micros>,
+    /// When the module has asked to run next.
     wake_at: Option<Micros>,
+    /// Events for the next run of the module.
     events: Vec<Event>,
+    /// Buffer for the actions of a run.
     actions: Vec<Action>,
     /// Abandoned by their clients since the module last ran: it may still decide to send them.
     abandoned: Vec<AuthorisationKey>,
-    open_count: usize,
+    /// Number of authorisations whose final answer is owed.
+    open_request_count: usize,
     plan_resolver: Option<PlanResolver>,
 }
 
-fn id(key: AuthorisationKey) -> RequestId {
+fn request_id(key: AuthorisationKey) -> RequestId {
     RequestId(key.data().as_ffi())
 }
 
-fn key(id: RequestId) -> AuthorisationKey {
+fn authorisation_key(id: RequestId) -> AuthorisationKey {
     AuthorisationKey::from(slotmap::KeyData::from_ffi(id.0))
 }
 
 impl Engine {
-    /// An engine with these settings and no state; `max_requests` bounds its table.
-    pub fn new(settings: Settings, seed: u64, most_held: usize) -> Engine {
-        let (period, max_legs) = (settings.period.max(1), settings.max_attempts.max(1));
+    /// An engine with these settings and no authorisations; `max_requests` bounds its table.
+    pub fn new(settings: Settings, seed: u64, max_requests: usize) -> Engine {
+        let (run_interval, max_attempts) = (settings.period.max(1), settings.max_attempts.max(1));
         Engine {
             balancer: Balancer::new(settings, seed),
             requests: SlotMap::with_key(),
-            max_requests: most_held,
-            max_attempts: max_legs,
-            period,
+            max_requests,
+            max_attempts,
+            run_interval,
             last_run_at: None,
             wake_at: None,
             events: Vec::new(),
             actions: Vec::new(),
             abandoned: Vec::new(),
-            open_count: 0,
+            open_request_count: 0,
             plan_resolver: None,
         }
     }
 
     /// Number of authorisations whose final answer is owed.
     pub fn open_request_count(&self) -> usize {
-        self.open_count
+        self.open_request_count
     }
 
     /// Deadline of an authorisation's final answer, while it is in the table.
     pub fn deadline(&self, key: AuthorisationKey) -> Option<Micros> {
         self.requests
             .get(key)
-            .map(|held| held.authorisation.deadline)
+            .map(|state| state.authorisation.deadline)
     }
 
-    /// The class of an authorisation, and since when its attempt has been in flight, if one is.
+    /// The class of an authorisation whose attempt is in flight, and since when it has been.
     pub fn in_flight_attempt(&self, key: AuthorisationKey) -> Option<(usize, Micros)> {
-        let held = self.requests.get(key)?;
-        held.in_flight
-            .map(|out| (held.authorisation.class, out.sent))
+        let state = self.requests.get(key)?;
+        state
+            .in_flight
+            .map(|attempt| (state.authorisation.class, attempt.sent_at))
     }
 
     /// From now on plans are resolved by a plan book, which starts from the plans in the settings.
-    pub fn set_plan_resolver(&mut self, judging: PlanResolver) {
-        self.plan_resolver = Some(judging);
+    pub fn set_plan_resolver(&mut self, plan_resolver: PlanResolver) {
+        self.plan_resolver = Some(plan_resolver);
     }
 
     /// The plan resolver, where there is one.
@@ -237,28 +248,33 @@
         if self.requests.len() >= self.max_requests {
             return Err(EngineError::TableFull);
         }
-        let mut new = Vec::new();
-        let judge = |judging: &mut PlanResolver| {
-            judging.resolve(now, authorisation.customer, authorisation.plan, &mut new)
+        let mut new_plans = Vec::new();
+        let resolve = |resolver: &mut PlanResolver| {
+            resolver.resolve(
+                now,
+                authorisation.customer,
+                authorisation.plan,
+                &mut new_plans,
+            )
         };
-        let judged = self.plan_resolver.as_mut().map(judge);
-        self.events.extend(new.into_iter().map(Event::Plan));
-        authorisation.plan = judged
+        let resolved_plan = self.plan_resolver.as_mut().map(resolve);
+        self.events.extend(new_plans.into_iter().map(Event::Plan));
+        authorisation.plan = resolved_plan
             .as_ref()
-            .map_or(authorisation.plan, |judged| judged.position);
-        let held = RequestState {
+            .map_or(authorisation.plan, |resolved| resolved.position);
+        let state = RequestState {
             authorisation: authorisation.clone(),
-            plan: judged,
-            attempts: 0,
+            plan: resolved_plan,
+            attempt_count: 0,
             in_flight: None,
             may_have_run: false,
-            is_body_sent: false,
-            done: false,
+            is_body_discarded: false,
+            is_finished: false,
         };
-        let key = self.requests.insert(held);
-        self.open_count += 1;
+        let key = self.requests.insert(state);
+        self.open_request_count += 1;
         self.events.push(Event::Request(Request {
-            id: id(key),
+            id: request_id(key),
             class: authorisation.class,
             plan: authorisation.plan,
             customer: authorisation.customer,
@@ -283,56 +299,57 @@
         outcome: Outcome,
         report: Option<LoadReport>,
     ) -> bool {
-        let Some(held) = self.requests.get_mut(key) else {
+        let Some(state) = self.requests.get_mut(key) else {
             return false;
         };
-        let Some(out) = held.in_flight.take_if(|out| out.number == attempt) else {
+        let Some(ended) = state.in_flight.take_if(|current| current.number == attempt) else {
             return false;
         };
-        let answers = outcome == Outcome::Ok && !held.done;
-        held.done |= answers;
-        held.may_have_run |= !matches!(
+        let is_final_answer = outcome == Outcome::Ok && !state.is_finished;
+        state.is_finished |= is_final_answer;
+        state.may_have_run |= !matches!(
             outcome,
             Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
         );
-        let finished = held.done;
+        let finished = state.is_finished;
         if finished {
             self.requests.remove(key);
         }
-        self.open_count -= usize::from(answers);
+        self.open_request_count -= usize::from(is_final_answer);
         self.events.push(Event::AttemptEnd(AttemptEnd {
-            request: id(key),
+            request: request_id(key),
             attempt,
-            server: out.server,
+            server: ended.server,
             outcome,
-            took: now - out.sent,
+            took: now - ended.sent_at,
             finished,
             actual_units: None,
             report,
         }));
-        answers
+        is_final_answer
     }
 
-    /// The last byte of an attempt is written: its duration counts from now, so that a slow upload
-    /// does not count against the server.
+    /// The last byte of an attempt is written. Its duration is measured from now on, so that a slow
+    /// upload does not count against the server.
     pub fn handle_request_written(&mut self, now: Micros, key: AuthorisationKey) {
-        if let Some(out) = self
+        if let Some(attempt) = self
             .requests
             .get_mut(key)
-            .and_then(|held| held.in_flight.as_mut())
+            .and_then(|state| state.in_flight.as_mut())
         {
-            out.sent = now;
+            attempt.sent_at = now;
         }
     }
 
-    /// The body was discarded: there is no other attempt, and the one in flight is not cancelled.
+    /// Part of the body was discarded: there is no other attempt, and the module cannot cancel the
+    /// one in flight.
     pub fn handle_body_discarded(&mut self, key: AuthorisationKey) {
-        if let Some(held) = self.requests.get_mut(key) {
-            held.is_body_sent = true;
+        if let Some(state) = self.requests.get_mut(key) {
+            state.is_body_discarded = true;
         }
     }
 
-    /// The client disconnected: no answer is owed, and an attempt in flight is stopped.
+    /// The client disconnected: no answer is owed, and an attempt in flight is cancelled.
     pub fn handle_client_disconnected(
         &mut self,
         now: Micros,
@@ -340,8 +357,8 @@
         engine_actions: &mut Vec<EngineAction>,
     ) {
         if self.finish_request(key, true) {
-            self.events.push(Event::ClientLeft(id(key)));
-            self.stop_attempt(now, key, engine_actions);
+            self.events.push(Event::ClientLeft(request_id(key)));
+            self.cancel_attempt(now, key, engine_actions);
         }
     }
 
@@ -359,7 +376,7 @@
         self.events.push(Event::CounterLate);
     }
 
-    /// Another counter has taken over, and starts empty.
+    /// Another counter has taken over, and starts without counts.
     pub fn handle_counter_replaced(&mut self) {
         self.events.push(Event::CounterNew);
     }
@@ -393,15 +410,17 @@
         self.events.push(Event::Plan(plan));
     }
 
-    /// When [`Engine::run`] has something to do next; the module runs at most once in its period.
+    /// When [`Engine::run`] has something to do next. The module runs at most once in its period.
     pub fn next_wakeup(&self) -> Option<Micros> {
-        let earliest = self.last_run_at.map_or(Micros::MIN, |at| at + self.period);
-        let wanted = if self.events.is_empty() {
+        let earliest_run = self
+            .last_run_at
+            .map_or(Micros::MIN, |at| at + self.run_interval);
+        let wakeup = if self.events.is_empty() {
             self.wake_at
         } else {
             Some(Micros::MIN)
         };
-        wanted.map(|at| at.max(earliest))
+        wakeup.map(|at| at.max(earliest_run))
     }
 
     /// Lets the module decide on the events so far, if its period is over.
@@ -434,32 +453,44 @@
                 request,
                 server,
                 timeout,
-            } => self.send(now, key(request), server, timeout, engine_actions),
+            } => self.start_attempt(
+                now,
+                authorisation_key(request),
+                server,
+                timeout,
+                engine_actions,
+            ),
             Action::Shed {
                 request,
                 stay_away,
                 over_quota,
             } => self.reject(
                 now,
-                key(request),
+                authorisation_key(request),
                 EngineRejection::Declined {
                     retry_after: stay_away,
                     over_quota,
                 },
                 engine_actions,
             ),
-            Action::Fail(request) => {
-                self.reject(now, key(request), EngineRejection::Failed, engine_actions)
-            }
+            Action::Fail(request) => self.reject(
+                now,
+                authorisation_key(request),
+                EngineRejection::Failed,
+                engine_actions,
+            ),
             Action::Cancel { request, attempt } => {
-                let key = key(request);
-                // With its body streamed and discarded, cancelling could only fail the request. A
-                // server that receives a long body owes no answer yet and is easily mistaken for a
-                // silent one.
-                let moves = self.requests.get(key).filter(|held| !held.is_body_sent);
-                if moves
-                    .and_then(|held| held.in_flight)
-                    .is_some_and(|out| out.number == attempt)
+                let key = authorisation_key(request);
+                // If its body was streamed and discarded, cancelling the attempt could only fail
+                // the request. A server that is receiving a long body owes no response yet and is
+                // easily mistaken for one that does not respond.
+                let cancellable = self
+                    .requests
+                    .get(key)
+                    .filter(|state| !state.is_body_discarded);
+                if cancellable
+                    .and_then(|state| state.in_flight)
+                    .is_some_and(|current| current.number == attempt)
                 {
                     engine_actions.push(EngineAction::CancelAttempt { key, attempt });
                     self.handle_attempt_ended(now, key, attempt, Outcome::Cancelled, None);
@@ -476,15 +507,17 @@
                 engine_actions.push(EngineAction::Notify(limiter, notice))
             }
             Action::Probe(server) => engine_actions.push(EngineAction::Probe(server)),
-            // The host watches the server list from its start, whether the module asks for it or
-            // not.
+            // The host watches the server list from its start, whether or not the module asks for
+            // it.
             Action::WatchList => {}
-            Action::WakeAt(at) => self.wake_at = Some(self.wake_at.map_or(at, |w| w.min(at))),
+            Action::WakeAt(at) => {
+                self.wake_at = Some(self.wake_at.map_or(at, |current| current.min(at)))
+            }
             Action::Log(text) => engine_actions.push(EngineAction::Log(text)),
         }
     }
 
-    fn send(
+    fn start_attempt(
         &mut self,
         now: Micros,
         key: AuthorisationKey,
@@ -492,39 +525,40 @@
         timeout: Micros,
         engine_actions: &mut Vec<EngineAction>,
     ) {
-        let Some(held) = self.requests.get_mut(key) else {
+        let Some(state) = self.requests.get_mut(key) else {
             return;
         };
-        let attempt = held.attempts;
-        held.attempts += 1;
-        // Rule 2: never two attempts in flight, and none after the end. The module is told that its
-        // attempt is over; otherwise it would count it as in flight at that server for ever.
-        if held.in_flight.is_some() || held.done {
+        let attempt = state.attempt_count;
+        state.attempt_count += 1;
+        // Invariant 2: never two attempts in flight, and none after the final answer. The module
+        // must be told that this attempt has ended: otherwise it would count it as in flight at
+        // that server for ever.
+        if state.in_flight.is_some() || state.is_finished {
             let end = AttemptEnd {
-                request: id(key),
+                request: request_id(key),
                 attempt,
                 server,
                 outcome: Outcome::Moot,
                 took: 0,
-                finished: held.done,
+                finished: state.is_finished,
                 actual_units: None,
                 report: None,
             };
             self.events.push(Event::AttemptEnd(end));
             return;
         }
-        let expired = held
+        let is_expired = state
             .authorisation
             .token_expires_at
-            .is_some_and(|until| until <= now);
-        held.in_flight = Some(InFlightAttempt {
+            .is_some_and(|at| at <= now);
+        state.in_flight = Some(InFlightAttempt {
             number: attempt,
             server,
-            sent: now,
+            sent_at: now,
         });
-        // A token that expires between attempt and retry: the request is not sent again.
-        if expired {
-            let may_have_run = held.may_have_run;
+        // A request whose token expired, perhaps since an earlier attempt, is not sent.
+        if is_expired {
+            let may_have_run = state.may_have_run;
             self.handle_attempt_ended(now, key, attempt, Outcome::Moot, None);
             return self.reject(
                 now,
@@ -533,16 +567,19 @@
                 engine_actions,
             );
         }
-        if attempt >= self.max_attempts || held.is_body_sent || held.authorisation.deadline <= now {
+        if attempt >= self.max_attempts
+            || state.is_body_discarded
+            || state.authorisation.deadline <= now
+        {
             self.handle_attempt_ended(now, key, attempt, Outcome::Moot, None);
             return;
         }
-        let given = if timeout == 0 {
+        let attempt_deadline = if timeout == 0 {
             Micros::MAX
         } else {
             now.saturating_add(timeout.max(0))
         };
-        let deadline = held.authorisation.deadline.min(given);
+        let deadline = state.authorisation.deadline.min(attempt_deadline);
         engine_actions.push(EngineAction::StartAttempt {
             key,
             attempt,
@@ -551,16 +588,20 @@
         });
     }
 
-    /// Marks an authorisation as finished; returns whether it was not. If the module does not know
-    /// yet, its slot is kept until the module has run: its decisions on earlier events may still
-    /// refer to it.
-    fn finish_request(&mut self, key: AuthorisationKey, unknown: bool) -> bool {
-        let Some(held) = self.requests.get_mut(key).filter(|h| !h.done) else {
+    /// Marks an authorisation as finished; returns whether it was unfinished. If the module does
+    /// not know that yet (`is_unknown`), its slot is kept until the module has run: the module's
+    /// decisions on earlier events may still refer to it.
+    fn finish_request(&mut self, key: AuthorisationKey, is_unknown: bool) -> bool {
+        let Some(state) = self
+            .requests
+            .get_mut(key)
+            .filter(|state| !state.is_finished)
+        else {
             return false;
         };
-        held.done = true;
-        self.open_count -= 1;
-        match (held.in_flight.is_none(), unknown) {
+        state.is_finished = true;
+        self.open_request_count -= 1;
+        match (state.in_flight.is_none(), is_unknown) {
             (true, true) => self.abandoned.push(key),
             (true, false) => _ = self.requests.remove(key),
             (false, _) => {}
@@ -575,15 +616,15 @@
         rejection: EngineRejection,
         engine_actions: &mut Vec<EngineAction>,
     ) {
-        // Rule 1: a second final answer is dropped.
+        // Invariant 1: a second final answer is dropped.
         if self.finish_request(key, false) {
             engine_actions.push(EngineAction::Reject { key, rejection });
-            self.stop_attempt(now, key, engine_actions);
+            self.cancel_attempt(now, key, engine_actions);
         }
     }
 
-    /// Stops the attempt of a finished authorisation.
-    fn stop_attempt(
+    /// Cancels the attempt of a finished authorisation.
+    fn cancel_attempt(
         &mut self,
         now: Micros,
         key: AuthorisationKey,
@@ -592,8 +633,8 @@
         if let Some(attempt) = self
             .requests
             .get(key)
-            .and_then(|h| h.in_flight)
-            .map(|out| out.number)
+            .and_then(|state| state.in_flight)
+            .map(|current| current.number)
         {
             engine_actions.push(EngineAction::CancelAttempt { key, attempt });
             self.handle_attempt_ended(now, key, attempt, Outcome::Cancelled, None);
--- a/crates/dataplane/src/framing/body.rs
+++ b/crates/dataplane/src/framing/body.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyState {
     /// Within a body of known length, with this many bytes left.
-    Plain(u64),
+    KnownLength(u64),
     /// Within a body that ends with its connection.
     UntilClose,
     /// At a chunk-size line.
@@ -57,7 +57,7 @@
                 return Err(ParseError::BodyTooLarge);
             }
             BodyFraming::Length(0) => BodyState::Complete,
-            BodyFraming::Length(length) => BodyState::Plain(length),
+            BodyFraming::Length(length) => BodyState::KnownLength(length),
             BodyFraming::Chunked => BodyState::ChunkSize,
             BodyFraming::UntilClose => BodyState::UntilClose,
         };
@@ -99,7 +99,7 @@
             }
             match self.state {
                 BodyState::Complete => return Ok(consumed),
-                BodyState::Plain(remaining) | BodyState::ChunkData(remaining) => {
+                BodyState::KnownLength(remaining) | BodyState::ChunkData(remaining) => {
                     let length = rest
                         .len()
                         .min(usize::try_from(remaining).unwrap_or(usize::MAX));
@@ -107,8 +107,8 @@
                     consumed += length;
                     let remaining = remaining - length as u64;
                     self.state = match self.state {
-                        BodyState::Plain(_) if remaining == 0 => BodyState::Complete,
-                        BodyState::Plain(_) => BodyState::Plain(remaining),
+                        BodyState::KnownLength(_) if remaining == 0 => BodyState::Complete,
+                        BodyState::KnownLength(_) => BodyState::KnownLength(remaining),
                         _ if remaining == 0 => BodyState::ChunkEnd,
                         _ => BodyState::ChunkData(remaining),
                     };
--- a/crates/overload/src/admission_controller.rs
+++ b/crates/overload/src/admission_controller.rs
@@ -87,8 +87,8 @@
     pub offered: Vec<(u8, f32)>,
     /// Admitted requests per second.
     pub admitted: f32,
-    /// Outcomes per second: in time, slow, rejected, no free server, and delayed, which is a part of
-    /// those in time.
+    /// Outcomes per second: in time, slow, rejected, no free server, and delayed, which is a part
+    /// of those in time.
     pub outcomes: [f32; 5],
     /// Number of limiters in these sums.
     pub limiter_count: u32,
--- a/crates/overload/tests/overload.rs
+++ b/crates/overload/tests/overload.rs
@@ -1,4 +1,5 @@
-//! A fleet of limiters in front of servers that cannot serve the offered load, on a simulated clock.
+//! A fleet of limiters in front of servers that cannot serve the offered load, on a simulated
+//! clock.
 //!
 //! Each server has two slots and a short queue, and rejects requests when the queue is full. A
 //! request goes to the less loaded of two servers drawn at random. Clients that are rejected or
@@ -76,7 +77,7 @@
     retry_budget: f64,
     /// For each server, when each of its accepted requests is done, in order.
     servers: Vec<VecDeque<Micros>>,
-    /// Responses by their time and request id: the request, its limiter, and when the attempt began.
+    /// Responses by time and request id: the request, its limiter, and when the attempt began.
     responses: BTreeMap<(Micros, u64), (ClientRequest, usize, Micros)>,
     /// Requests that clients retry, by time.
     client_retries: VecDeque<(Micros, ClientRequest)>,
