--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -239,7 +239,7 @@
     /// now, and does not change.
     ///
     /// # Errors
-    /// [`EngineError::Full`] if the table is full.
+    /// [`EngineError::TableFull`] if the table is full.
     pub fn submit(
         &mut self,
         now: Micros,
--- a/crates/dataplane/src/framing/head.rs
+++ b/crates/dataplane/src/framing/head.rs
@@ -68,7 +68,6 @@
 }
 
 /// The framing of the body that follows these header fields; `default` without a length or coding.
-
 pub(super) fn body_framing(
     headers: &Headers,
     default: BodyFraming,
