--- a/crates/dataplane/src/probes/tests.rs
+++ b/crates/dataplane/src/probes/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn load_report_is_parsed_and_nonsense_is_not() {
-    let read = parse_load_report("TEXT inflight=7, queue=2, util=0.61, new=1").unwrap();
+fn load_report_is_parsed_and_invalid_input_is_not() {
+    let report = parse_load_report("TEXT inflight=7, queue=2, util=0.61, new=1").unwrap();
     assert_eq!(
         (
-            read.active_requests,
-            read.queued_requests,
-            read.cpu_utilization
+            report.active_requests,
+            report.queued_requests,
+            report.cpu_utilization
         ),
         (Some(7.0), Some(2.0), Some(0.61))
     );
