--- a/crates/limiter/src/cli.rs
+++ b/crates/limiter/src/cli.rs
@@ -113,7 +113,7 @@
             .load()
             .map(|_| println!("configuration in order"))
             .map_err(|e| e.to_string()),
-        Command::Usage(words) => crate::use_cli::run(&words),
+        Command::Usage(words) => crate::usage_cli::run(&words),
         Command::Serve => {
             logging.start();
             let loaded = environment.load();
--- a/crates/limiter/src/config/fronts.rs
+++ b/crates/limiter/src/config/introspection.rs
@@ -7,8 +7,8 @@
 use streamarch::{Class, Idempotency, Micros, Plan, Settings};
 
 use crate::config::{Config, ConfigError, Names, need, own};
-use crate::front::introspection::{Asking, Caller};
-use crate::front::platform;
+use crate::frontend::introspection::{Asking, Caller};
+use crate::frontend::platform;
 
 /// The second front.
 #[derive(Debug)]
--- a/crates/limiter/src/config/mod.rs
+++ b/crates/limiter/src/config/mod.rs
@@ -3,10 +3,10 @@
 //! `file` is the platform's file, which may hold keys that we don't know. `fronts`, `members` and `shared` are operators'
 //! files of our own: there a key that is unknown is a fault, and the one that was meant is named.
 
-mod file;
-mod fronts;
-mod members;
-mod shared;
+mod introspection;
+mod platform;
+mod raft;
+mod shared_state;
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -19,9 +19,9 @@
 
 use crate::limits::Limits;
 use crate::net::inherited;
-pub use file::{Names, settings_text};
-pub use fronts::{Introspection, callers_text};
-pub use members::Cluster;
+pub use introspection::{Introspection, callers_text};
+pub use platform::{Names, settings_text};
+pub use raft::Cluster;
 
 /// What is wrong with the configuration, and where.
 #[derive(Debug)]
@@ -194,7 +194,7 @@
     /// # Errors
     /// Text that is not JSON; the first key that is missing or cannot be used.
     pub fn parse(&self, text: &str) -> Result<Config, ConfigError> {
-        let file: file::File = config_check::read(text)?;
+        let file: platform::File = config_check::read(text)?;
         let settings = need("settings", file.settings)?;
         settings.check().map_err(|fault| fault.under("settings"))?;
         let ops = address(&self.ops, "ROUTER_OPS", file.ops)?;
--- a/crates/limiter/src/front/introspection.rs
+++ b/crates/limiter/src/frontend/introspection.rs
@@ -10,8 +10,8 @@
 use streamarch::{CustomerId, Micros};
 
 use crate::engine::EngineRejection;
-use crate::front::platform::{CUSTOMERS, customer};
-use crate::front::{Forward, Rejection, reject};
+use crate::frontend::platform::{CUSTOMERS, customer};
+use crate::frontend::{Forward, Rejection, reject};
 use crate::net::framing::{Headers, Request, Response};
 
 /// Longest token that is taken, in bytes.
--- a/crates/limiter/src/front/platform.rs
+++ b/crates/limiter/src/frontend/platform.rs
@@ -4,7 +4,7 @@
 
 use crate::config::Names;
 use crate::engine::{Authorisation, EngineRejection};
-use crate::front::{Rejection, reject};
+use crate::frontend::{Rejection, reject};
 use crate::limits::Limits;
 use crate::net::framing::{Headers, Request};
 
--- a/crates/limiter/src/handover.rs
+++ b/crates/limiter/src/handover.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::bans::Bans;
+use crate::disabled_servers::Bans;
 use crate::lifecycle::DrainState;
 
 /// First word of a record, with the number of its form.
--- a/crates/limiter/src/net/host/agreement.rs
+++ b/crates/limiter/src/net/host/agreement.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::config::{self, Cluster};
-use crate::front::introspection::same;
+use crate::frontend::introspection::same;
 use crate::net::framing::Request;
 use crate::raft::{self, Member, RaftError};
 
--- a/crates/limiter/src/net/host/counting.rs
+++ b/crates/limiter/src/net/host/counting.rs
@@ -1,7 +1,7 @@
 //! Calls to the counter, and their answers.
 
 use super::*;
-use crate::counter::Heard;
+use crate::counter_client::Heard;
 
 impl Host {
     pub(super) fn open_line(&mut self, line: usize) {
@@ -53,7 +53,7 @@
                         }
                         Heard::Unasked => {}
                     }
-                    bad = !counter::sound(&answer);
+                    bad = !counter_client::sound(&answer);
                 }
                 Ok(None) => break,
                 Err(_) => bad = true,
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -34,11 +34,11 @@
 use super::inherited;
 use crate::client_connection::{ClientConnection, Stage};
 use crate::config::{Config, Introspection};
-use crate::counter::{self, Counted, Line};
+use crate::counter_client::{self, Counted, Line};
 use crate::deadlines::Deadlines;
 use crate::engine::{Engine, EngineAction};
-use crate::front::platform::{self, Platform};
-use crate::front::{Forward, Rejection};
+use crate::frontend::platform::{self, Platform};
+use crate::frontend::{Forward, Rejection};
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
 use crate::peers::{self, Peers};
@@ -230,7 +230,7 @@
     /// Finding out whose a bearer token is; then the request goes on.
     Identify(Box<tokens::Bearing>),
     /// A caller's question about a token.
-    Introspect(crate::front::introspection::Token),
+    Introspect(crate::frontend::introspection::Token),
 }
 
 #[derive(Default)]
--- a/crates/limiter/src/net/host/tokens.rs
+++ b/crates/limiter/src/net/host/tokens.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 use crate::engine::{Authorisation, EngineRejection};
-use crate::front::introspection::{
+use crate::frontend::introspection::{
     self, Asking, Cache, Caller, Challenge, Finding, Identity, Token,
 };
-use crate::front::platform::Basics;
+use crate::frontend::platform::Basics;
 use crate::net::framing::Request;
 
 /// A bearer request whose token is being asked about.
@@ -87,7 +87,7 @@
                     .split_once('?')
                     .map_or("", |(_, query)| query);
                 if query.split('&').any(|part| part.starts_with("account=")) {
-                    return Err(crate::front::reject(400, "a token names the account"));
+                    return Err(crate::frontend::reject(400, "a token names the account"));
                 }
                 let terms = request.headers.get("X-Call-Terms").unwrap_or("units=1");
                 let everywhere = Some((self.platform.limiters.max(1), 0));
--- a/crates/limiter/src/net/host/uploading.rs
+++ b/crates/limiter/src/net/host/uploading.rs
@@ -1,7 +1,7 @@
 //! Bodies on their way from a client's connection to a server's while they still come.
 
 use super::*;
-use crate::front::reject;
+use crate::frontend::reject;
 use crate::net::framing::{BodyFraming, Request};
 use crate::upload::Upload;
 
--- a/crates/limiter/src/routing_table.rs
+++ b/crates/limiter/src/routing_table.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use streamarch::{ListKind, Micros, ServerEntry, ServerId, ServerState};
 
-use crate::bans::Bans;
+use crate::disabled_servers::Bans;
 
 /// What a line of discovery changes.
 #[derive(Debug, PartialEq)]
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use limiter::client_connection::{ClientConnection, Stage};
-use limiter::counter::{Heard, Line};
+use limiter::counter_client::{Heard, Line};
 use limiter::engine::{Authorisation, Engine, EngineAction};
 use limiter::limits::Limits;
 use limiter::net::framing;
