--- a/crates/limiter/src/cli.rs
+++ b/crates/limiter/src/cli.rs
@@ -6,7 +6,7 @@
 use lexopt::prelude::*;
 
 use crate::config::Environment;
-use crate::logging::{Format, Logging};
+use crate::logging::{LogConfig, LogFormat};
 use crate::net;
 
 const HELP: &str = "\
@@ -40,10 +40,10 @@
 
 fn parse(
     args: impl IntoIterator<Item = OsString>,
-) -> Result<(Command, Environment, Logging), lexopt::Error> {
+) -> Result<(Command, Environment, LogConfig), lexopt::Error> {
     let mut parser = lexopt::Parser::from_iter(args);
     let (mut command, mut environment, mut logging) =
-        (None, Environment::read(), Logging::default());
+        (None, Environment::read(), LogConfig::default());
     while let Some(arg) = parser.next()? {
         match arg {
             Long("config") => environment.config = Some(parser.value()?.string()?),
@@ -52,8 +52,8 @@
             Long("shared") => environment.shared = Some(parser.value()?.string()?),
             Long("log-format") => {
                 logging.format = match parser.value()?.string()?.as_str() {
-                    "text" => Format::Text,
-                    "json" => Format::Json,
+                    "text" => LogFormat::Text,
+                    "json" => LogFormat::Json,
                     other => {
                         return Err(format!(
                             "--log-format: '{other}' is neither 'text' nor 'json'"
--- a/crates/limiter/src/config/introspection.rs
+++ b/crates/limiter/src/config/introspection.rs
@@ -6,13 +6,13 @@
 use serde::Deserialize;
 use streamarch::{Class, Idempotency, Micros, Plan, Settings};
 
-use crate::config::{Config, ConfigError, Names, need, own};
-use crate::frontend::introspection::{Asking, Caller};
+use crate::config::{Config, ConfigError, NameTables, need, own};
+use crate::frontend::introspection::{Caller, IntrospectionEndpoint};
 use crate::frontend::platform;
 
 /// The second front.
 #[derive(Debug)]
-pub struct Introspection {
+pub struct IntrospectionConfig {
     /// Where it listens.
     pub listen: SocketAddr,
     /// Who may ask us.
@@ -20,7 +20,7 @@
     /// The introspection servers that we ask.
     pub upstreams: Vec<SocketAddr>,
     /// How we ask them.
-    pub asking: Asking,
+    pub asking: IntrospectionEndpoint,
     /// Most tokens that are remembered.
     pub cache_entries: usize,
     /// How long one is remembered at the most.
@@ -70,7 +70,7 @@
 /// Longest time that a token is remembered.
 const CACHE_S: f64 = 86_400.0;
 
-fn callers(files: Vec<CallerFile>, names: &Names) -> Result<Vec<Caller>, Fault> {
+fn callers(files: Vec<CallerFile>, names: &NameTables) -> Result<Vec<Caller>, Fault> {
     let one = |(k, file): (usize, CallerFile)| {
         file.caller(names)
             .map_err(|e| e.under(&format!("callers[{k}]")))
@@ -79,7 +79,7 @@
 }
 
 impl CallerFile {
-    fn caller(self, names: &Names) -> Result<Caller, Fault> {
+    fn caller(self, names: &NameTables) -> Result<Caller, Fault> {
         let account = need("account", self.account)?;
         let customer =
             platform::customer(&account).ok_or(Fault::at("account", "is not 16 hex digits"))?;
@@ -112,7 +112,7 @@
         Ok(())
     }
 
-    fn second_front(&self, listen: SocketAddr, file: File) -> Result<Introspection, Fault> {
+    fn second_front(&self, listen: SocketAddr, file: File) -> Result<IntrospectionConfig, Fault> {
         if file.upstreams.is_empty() {
             return Err(Fault::at("upstreams", "is missing or empty"));
         }
@@ -135,10 +135,10 @@
             ..Plan::default()
         });
         (settings.can_probe, settings.can_notify_gateways) = (false, false);
-        Ok(Introspection {
+        Ok(IntrospectionConfig {
             listen,
             upstreams: file.upstreams,
-            asking: Asking {
+            asking: IntrospectionEndpoint {
                 path: file.path,
                 id: need("id", file.id)?,
                 secret: need("secret", file.secret)?,
@@ -161,7 +161,7 @@
 ///
 /// # Errors
 /// Text that is not JSON; the first key of a caller that cannot be used.
-pub fn callers_text(text: &[u8], names: &Names) -> Result<Option<Vec<Caller>>, ConfigError> {
+pub fn callers_text(text: &[u8], names: &NameTables) -> Result<Option<Vec<Caller>>, ConfigError> {
     let text = std::str::from_utf8(text).map_err(|_| Fault::at("", "not JSON: not UTF-8"))?;
     let document: Document = config_check::read(text)?;
     Ok(document
--- a/crates/limiter/src/config/mod.rs
+++ b/crates/limiter/src/config/mod.rs
@@ -19,9 +19,9 @@
 
 use crate::limits::Limits;
 use crate::net::inherited;
-pub use introspection::{Introspection, callers_text};
-pub use platform::{Names, settings_text};
-pub use raft::Cluster;
+pub use introspection::{IntrospectionConfig, callers_text};
+pub use platform::{NameTables, settings_text};
+pub use raft::RaftConfig;
 
 /// What is wrong with the configuration, and where.
 #[derive(Debug)]
@@ -29,14 +29,14 @@
     /// A file cannot be read.
     Unreadable(String, std::io::Error),
     /// Text is not JSON, or a key of it is unknown, missing, or cannot be used.
-    Faulty(Fault),
+    Invalid(Fault),
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ConfigError::Unreadable(path, error) => write!(f, "cannot read '{path}': {error}"),
-            ConfigError::Faulty(fault) => write!(f, "{fault}"),
+            ConfigError::Invalid(fault) => write!(f, "{fault}"),
         }
     }
 }
@@ -45,7 +45,7 @@
 
 impl From<Fault> for ConfigError {
     fn from(fault: Fault) -> ConfigError {
-        ConfigError::Faulty(fault)
+        ConfigError::Invalid(fault)
     }
 }
 
@@ -94,15 +94,15 @@
     /// The module's settings.
     pub settings: Settings,
     /// Names of classes, plans, zones and kinds of machine, by position.
-    pub names: Names,
+    pub names: NameTables,
     /// Probes bring load reports.
     pub reports: bool,
     /// Sizes, counts and times.
     pub limits: Limits,
     /// The second front, where it is on.
-    pub introspection: Option<Introspection>,
+    pub introspection: Option<IntrospectionConfig>,
     /// The instances that agree on a configuration, where they do.
-    pub cluster: Option<Cluster>,
+    pub cluster: Option<RaftConfig>,
 }
 
 /// Variables of the environment that stand above the file's keys.
--- a/crates/limiter/src/config/platform.rs
+++ b/crates/limiter/src/config/platform.rs
@@ -186,7 +186,7 @@
 
 /// The names that stand for positions in the settings.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameTables {
     /// Classes.
     pub classes: Vec<String>,
     /// Plans.
@@ -294,8 +294,8 @@
         Ok(())
     }
 
-    pub(super) fn names(&self) -> Names {
-        Names {
+    pub(super) fn names(&self) -> NameTables {
+        NameTables {
             classes: self.lanes().iter().filter_map(|l| l.name.clone()).collect(),
             plans: self
                 .tariffs()
--- a/crates/limiter/src/config/raft.rs
+++ b/crates/limiter/src/config/raft.rs
@@ -11,7 +11,7 @@
 
 /// The instances that agree on a configuration by Raft.
 #[derive(Debug)]
-pub struct Cluster {
+pub struct RaftConfig {
     /// Where this one listens for the others.
     pub listen: SocketAddr,
     /// Its number.
@@ -69,7 +69,7 @@
 }
 
 impl File {
-    fn cluster(self, listen: SocketAddr) -> Result<Cluster, Fault> {
+    fn cluster(self, listen: SocketAddr) -> Result<RaftConfig, Fault> {
         let one = |(k, m): (usize, &MemberFile)| {
             m.member().map_err(|e| e.under(&format!("members[{k}]")))
         };
@@ -92,7 +92,7 @@
             return Err(Fault::at("secret", "is not 16 or more visible characters"));
         }
         let folder = need("folder", self.folder)?;
-        Ok(Cluster {
+        Ok(RaftConfig {
             listen,
             id,
             members,
--- a/crates/limiter/src/counter_client.rs
+++ b/crates/limiter/src/counter_client.rs
@@ -26,7 +26,7 @@
 
 /// What came of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Counted {
+pub struct CounterResult {
     /// Which of the host's engines asked.
     pub asker: usize,
     /// The number.
@@ -39,21 +39,21 @@
 
 /// What an answer of the counter is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Heard {
+pub enum CounterResponse {
     /// The outcome of a call.
-    Counted(Counted),
+    Counted(CounterResult),
     /// It belongs to a call whose outcome was given before.
     Late {
         /// Which of the host's engines asked.
         asker: usize,
     },
     /// Nothing was asked.
-    Unasked,
+    Unsolicited,
 }
 
 impl Call {
-    fn ended(&self, outcome: Outcome) -> Counted {
-        Counted {
+    fn ended(&self, outcome: Outcome) -> CounterResult {
+        CounterResult {
             asker: self.asker,
             name: self.name,
             outcome,
@@ -82,7 +82,7 @@
 
 /// One connection's calls.
 #[derive(Debug, Default)]
-pub struct Line {
+pub struct CounterConnection {
     /// The connection, if there is one.
     pub connection: Option<ConnectionKey>,
     up: bool,
@@ -96,7 +96,7 @@
     leaving: bool,
 }
 
-impl Line {
+impl CounterConnection {
     /// Enters a call.
     pub fn call(
         &mut self,
@@ -177,14 +177,14 @@
     }
 
     /// An answer came: it belongs to the earliest call written.
-    pub fn answered(&mut self, now: Micros, answer: &Response) -> Heard {
+    pub fn answered(&mut self, now: Micros, answer: &Response) -> CounterResponse {
         (self.used, self.heard) = (now, now);
         let Some(call) = self.waiting.pop_front() else {
-            return Heard::Unasked;
+            return CounterResponse::Unsolicited;
         };
         // Guards the order: a late answer is matched off to its own call, and its total told to nobody.
         if call.given {
-            return Heard::Late { asker: call.asker };
+            return CounterResponse::Late { asker: call.asker };
         }
         let (outcome, total) = match (answer.status, total(answer)) {
             (200, Some(total)) => (Outcome::Ok, total),
@@ -193,14 +193,14 @@
             (503, _) => (Outcome::Rejected, 0.0),
             _ => (Outcome::Error, 0.0),
         };
-        Heard::Counted(Counted {
+        CounterResponse::Counted(CounterResult {
             total,
             ..call.ended(outcome)
         })
     }
 
     /// Gives the outcomes of calls whose time is up. One that was never written is withdrawn: nothing is added.
-    pub fn expire(&mut self, now: Micros, counted: &mut Vec<Counted>) {
+    pub fn expire(&mut self, now: Micros, counted: &mut Vec<CounterResult>) {
         for call in self
             .waiting
             .iter_mut()
@@ -219,7 +219,7 @@
     }
 
     /// The connection is gone. What was written may have been added; what was not never will be.
-    pub fn broken(&mut self, counted: &mut Vec<Counted>) {
+    pub fn broken(&mut self, counted: &mut Vec<CounterResult>) {
         (self.connection, self.up, self.leaving) = (None, false, false);
         let written = self.waiting.drain(..).filter(|call| !call.given);
         counted.extend(written.map(|call| call.ended(Outcome::TimedOut)));
--- a/crates/limiter/src/disabled_servers.rs
+++ b/crates/limiter/src/disabled_servers.rs
@@ -25,9 +25,9 @@
 /// Who was taken out when, and who was called back.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Bans(BTreeMap<String, Mark>);
+pub struct DisabledServers(BTreeMap<String, Mark>);
 
-impl Bans {
+impl DisabledServers {
     /// Whether a server is taken out.
     pub fn out(&self, name: &str) -> bool {
         self.0.get(name).is_some_and(|mark| mark.back.is_none())
@@ -66,7 +66,7 @@
     }
 
     /// Takes over what another process of this limiter knows later. Gives the names of which something has changed.
-    pub fn merge(&mut self, other: &Bans) -> Vec<String> {
+    pub fn merge(&mut self, other: &DisabledServers) -> Vec<String> {
         let later = |(name, mark): &(&String, &Mark)| {
             self.0
                 .get(*name)
--- a/crates/limiter/src/frontend/introspection.rs
+++ b/crates/limiter/src/frontend/introspection.rs
@@ -11,7 +11,7 @@
 
 use crate::engine::EngineRejection;
 use crate::frontend::platform::{CUSTOMERS, customer};
-use crate::frontend::{Forward, Rejection, reject};
+use crate::frontend::{Rejection, UpstreamRequest, reject};
 use crate::net::framing::{Headers, Request, Response};
 
 /// Longest token that is taken, in bytes.
@@ -72,7 +72,7 @@
 
 /// What an introspection server found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum IntrospectionResult {
     /// A good token.
     Active(Identity),
     /// Unknown, expired, revoked: which of these nobody is told.
@@ -81,58 +81,65 @@
 
 /// An answer that cannot be true. Identity fails closed: it is as good as none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lie(pub &'static str);
+pub struct InvalidIntrospectionResponse(pub &'static str);
 
-impl fmt::Display for Lie {
+impl fmt::Display for InvalidIntrospectionResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "introspection answer not believed: {}", self.0)
     }
 }
 
-impl std::error::Error for Lie {}
+impl std::error::Error for InvalidIntrospectionResponse {}
 
 /// Reads the body of an introspection answer.
 ///
 /// # Errors
 /// The body can't be believed; the error says why.
-pub fn read_finding(body: &[u8], plans: &[String], now: Micros) -> Result<Finding, Lie> {
-    let value: Value = serde_json::from_slice(body).map_err(|_| Lie("not JSON"))?;
-    let members = value.as_object().ok_or(Lie("not an object"))?;
+pub fn read_finding(
+    body: &[u8],
+    plans: &[String],
+    now: Micros,
+) -> Result<IntrospectionResult, InvalidIntrospectionResponse> {
+    let value: Value =
+        serde_json::from_slice(body).map_err(|_| InvalidIntrospectionResponse("not JSON"))?;
+    let members = value
+        .as_object()
+        .ok_or(InvalidIntrospectionResponse("not an object"))?;
     match members
         .get("active")
         .and_then(Value::as_bool)
-        .ok_or(Lie("active"))?
+        .ok_or(InvalidIntrospectionResponse("active"))?
     {
-        false => Ok(Finding::Inactive),
+        false => Ok(IntrospectionResult::Inactive),
         true => {
             let subject = members
                 .get("sub")
                 .and_then(Value::as_str)
                 .and_then(customer)
-                .ok_or(Lie("sub"))?;
+                .ok_or(InvalidIntrospectionResponse("sub"))?;
             let plan = members
                 .get("plan")
                 .and_then(Value::as_str)
-                .ok_or(Lie("plan"))?;
+                .ok_or(InvalidIntrospectionResponse("plan"))?;
             let plan = plans
                 .iter()
                 .position(|name| name == plan)
-                .ok_or(Lie("plan unknown"))?;
+                .ok_or(InvalidIntrospectionResponse("plan unknown"))?;
             let expires = match members.get("exp") {
                 None => None,
                 Some(exp) => {
                     let seconds = exp
                         .as_i64()
                         .filter(|s| (0..LATEST).contains(s))
-                        .ok_or(Lie("exp"))?;
+                        .ok_or(InvalidIntrospectionResponse("exp"))?;
                     Some(seconds * 1_000_000)
                 }
             };
             // Guards against a server that calls a token active past its own expiry.
             if expires.is_some_and(|at| at <= now) {
-                return Err(Lie("active past exp"));
+                return Err(InvalidIntrospectionResponse("active past exp"));
             }
-            Ok(Finding::Active(Identity {
+            Ok(IntrospectionResult::Active(Identity {
                 customer: subject,
                 plan,
                 expires,
@@ -142,9 +149,9 @@
 }
 
 /// Words a finding for a caller of ours. Of a token that is not active nothing more is told.
-pub fn write_finding(finding: Finding, plans: &[String], now: Micros) -> Vec<u8> {
+pub fn write_finding(finding: IntrospectionResult, plans: &[String], now: Micros) -> Vec<u8> {
     let value = match finding {
-        Finding::Active(identity) if identity.expires.is_none_or(|at| at > now) => {
+        IntrospectionResult::Active(identity) if identity.expires.is_none_or(|at| at > now) => {
             let mut value = json!({
                 "active": true,
                 "token_type": "Bearer",
@@ -156,24 +163,26 @@
             }
             value
         }
-        Finding::Active(_) | Finding::Inactive => json!({ "active": false }),
+        IntrospectionResult::Active(_) | IntrospectionResult::Inactive => {
+            json!({ "active": false })
+        }
     };
     value.to_string().into_bytes()
 }
 
 /// What is believed of tokens for a while: bounded in number, and no longer than a token is good.
 #[derive(Debug)]
-pub struct Cache {
+pub struct TokenCache {
     most: usize,
     longest: Micros,
     known: BTreeMap<Token, (Micros, Identity)>,
     ends: BTreeSet<(Micros, Token)>,
 }
 
-impl Cache {
+impl TokenCache {
     /// An empty cache of at most `most` tokens, each for `longest` at the most.
-    pub fn new(most: usize, longest: Micros) -> Cache {
-        Cache {
+    pub fn new(most: usize, longest: Micros) -> TokenCache {
+        TokenCache {
             most,
             longest,
             known: BTreeMap::new(),
@@ -193,11 +202,11 @@
     }
 
     /// Keeps what was found of a token. A token that is not active, or without an expiry, is asked for each time.
-    pub fn keep(&mut self, token: &Token, finding: Finding, now: Micros) {
+    pub fn keep(&mut self, token: &Token, finding: IntrospectionResult, now: Micros) {
         if let Some((end, _)) = self.known.remove(token) {
             self.ends.remove(&(end, token.clone()));
         }
-        let Finding::Active(identity) = finding else {
+        let IntrospectionResult::Active(identity) = finding else {
             return;
         };
         let Some(expires) = identity.expires.filter(|at| *at > now && self.most > 0) else {
@@ -317,7 +326,7 @@
 
 /// How we ask an introspection server: where, and as whom.
 #[derive(Clone, Default, PartialEq, Eq)]
-pub struct Asking {
+pub struct IntrospectionEndpoint {
     /// Path of its endpoint.
     pub path: String,
     /// Our `client_id` there.
@@ -326,16 +335,16 @@
     pub secret: String,
 }
 
-impl fmt::Debug for Asking {
+impl fmt::Debug for IntrospectionEndpoint {
     /// Without the secret.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Asking({} as {})", self.path, self.id)
     }
 }
 
-impl Asking {
+impl IntrospectionEndpoint {
     /// The request that asks about a token.
-    pub fn forward(&self, token: &Token) -> Forward {
+    pub fn forward(&self, token: &Token) -> UpstreamRequest {
         let word =
             |text: &str| form_urlencoded::byte_serialize(text.as_bytes()).collect::<String>();
         let body = format!("token={}&token_type_hint=access_token", word(&token.0)).into_bytes();
@@ -347,7 +356,7 @@
             self.path,
             body.len()
         );
-        Forward {
+        UpstreamRequest {
             head: head.into_bytes(),
             body,
             id: String::new(),
@@ -359,10 +368,14 @@
 ///
 /// # Errors
 /// The answer can't be believed; the error says why.
-pub fn judge(answer: &Response, plans: &[String], now: Micros) -> Result<Finding, Lie> {
+pub fn judge(
+    answer: &Response,
+    plans: &[String],
+    now: Micros,
+) -> Result<IntrospectionResult, InvalidIntrospectionResponse> {
     match answer.status {
         200 => read_finding(&answer.body, plans, now),
-        _ => Err(Lie("status")),
+        _ => Err(InvalidIntrospectionResponse("status")),
     }
 }
 
--- a/crates/limiter/src/frontend/introspection/tests.rs
+++ b/crates/limiter/src/frontend/introspection/tests.rs
@@ -6,8 +6,8 @@
     vec!["taller".into(), "empresa".into()]
 }
 
-fn active(expires: Micros) -> Finding {
-    Finding::Active(Identity {
+fn active(expires: Micros) -> IntrospectionResult {
+    IntrospectionResult::Active(Identity {
         customer: CustomerId(5),
         plan: 1,
         expires: Some(expires),
@@ -52,7 +52,7 @@
 
 #[test]
 fn the_cache_is_bounded_in_size_and_by_expiry() {
-    let mut cache = Cache::new(2, 30 * SECOND);
+    let mut cache = TokenCache::new(2, 30 * SECOND);
     let token = |n: u32| Token::new(&format!("t{n}")).unwrap();
     for (n, end) in [(1, 100), (2, 20), (3, 200)] {
         cache.keep(&token(n), active(end * SECOND), 10 * SECOND);
@@ -74,7 +74,7 @@
         "not kept past its expiry"
     );
     cache.keep(&token(5), active(99 * SECOND), 50 * SECOND);
-    cache.keep(&token(5), Finding::Inactive, 51 * SECOND);
+    cache.keep(&token(5), IntrospectionResult::Inactive, 51 * SECOND);
     assert!(
         cache.get(&token(5), 51 * SECOND).is_none(),
         "a later finding stands"
@@ -89,7 +89,7 @@
         customer: CustomerId(1),
         plan: 0,
     };
-    let asking = Asking {
+    let asking = IntrospectionEndpoint {
         path: "/introspect".into(),
         id: "us".into(),
         secret: "hush".into(),
--- a/crates/limiter/src/frontend/mod.rs
+++ b/crates/limiter/src/frontend/mod.rs
@@ -7,7 +7,7 @@
 
 /// What a leg of an authorisation carries to a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Forward {
+pub struct UpstreamRequest {
     /// Request line and header lines, without the line of the remaining time and the closing empty line.
     pub head: Vec<u8>,
     /// The body, unchanged.
@@ -16,27 +16,27 @@
     pub id: String,
 }
 
-impl Forward {
+impl UpstreamRequest {
     /// What goes on of a request: line, the lines that servers need, body.
-    pub fn of(request: &Request) -> Forward {
+    pub fn of(request: &Request) -> UpstreamRequest {
         let framed = request.method != "GET" || !request.body.is_empty();
         let framing = framed.then(|| format!("Content-Length: {}\r\n", request.body.len()));
-        Forward::with(request, &framing.unwrap_or_default())
+        UpstreamRequest::with(request, &framing.unwrap_or_default())
     }
 
     /// The same of a request whose body goes on while it comes.
-    pub fn streamed(request: &Request, extent: BodyFraming) -> Forward {
+    pub fn streamed(request: &Request, extent: BodyFraming) -> UpstreamRequest {
         match extent {
             BodyFraming::Length(length) => {
-                Forward::with(request, &format!("Content-Length: {length}\r\n"))
+                UpstreamRequest::with(request, &format!("Content-Length: {length}\r\n"))
             }
             BodyFraming::Chunked | BodyFraming::UntilClose => {
-                Forward::with(request, "Transfer-Encoding: chunked\r\n")
+                UpstreamRequest::with(request, "Transfer-Encoding: chunked\r\n")
             }
         }
     }
 
-    fn with(request: &Request, framing: &str) -> Forward {
+    fn with(request: &Request, framing: &str) -> UpstreamRequest {
         let mut head = format!(
             "{} {} HTTP/1.1\r\nHost: backend.local\r\n",
             request.method, request.target
@@ -52,7 +52,7 @@
             .get("X-Trace-Id")
             .unwrap_or_default()
             .to_string();
-        Forward {
+        UpstreamRequest {
             head: head.into_bytes(),
             body: request.body.clone(),
             id,
--- a/crates/limiter/src/frontend/platform.rs
+++ b/crates/limiter/src/frontend/platform.rs
@@ -2,7 +2,7 @@
 
 use streamarch::{Class, CustomerId, Idempotency, Micros};
 
-use crate::config::Names;
+use crate::config::NameTables;
 use crate::engine::{Authorisation, EngineRejection};
 use crate::frontend::{Rejection, reject};
 use crate::limits::Limits;
@@ -15,9 +15,9 @@
 
 /// What the front knows of the deployment.
 #[derive(Clone, Debug)]
-pub struct Platform {
+pub struct PlatformFrontend {
     /// Names of classes and plans.
-    pub names: Names,
+    pub names: NameTables,
     /// The classes.
     pub classes: Vec<Class>,
     /// Number of limiters.
@@ -33,7 +33,7 @@
 }
 
 /// A request's parts that both fronts read alike: class and time.
-pub struct Basics {
+pub struct CommonFields {
     /// Position of the class.
     pub class: usize,
     /// When the final answer is due.
@@ -42,7 +42,7 @@
     pub again: bool,
 }
 
-impl Platform {
+impl PlatformFrontend {
     /// Reads class, method, key, id and time. `now`: when the last byte came.
     ///
     /// # Errors
@@ -52,7 +52,7 @@
         request: &Request,
         limits: &Limits,
         now: Micros,
-    ) -> Result<Basics, Rejection> {
+    ) -> Result<CommonFields, Rejection> {
         let headers = &request.headers;
         let path = request.target.split('?').next().unwrap_or_default();
         let name = path
@@ -98,7 +98,7 @@
         let deadline = self
             .wait(headers, limits, now)
             .ok_or(reject(400, "X-Expires-In"))?;
-        Ok(Basics {
+        Ok(CommonFields {
             class,
             deadline,
             again: headers.get("X-Second-Try") == Some("1"),
@@ -159,8 +159,8 @@
         &self,
         text: &str,
         limits: &Limits,
-        set: Option<Set>,
-    ) -> Result<(f64, Set), Rejection> {
+        set: Option<LimiterSet>,
+    ) -> Result<(f64, LimiterSet), Rejection> {
         let bad = reject(400, "X-Call-Terms");
         let (mut units, mut spread, mut first) = (None, None, None);
         for part in text.split(',') {
@@ -189,7 +189,7 @@
 }
 
 /// A customer's limiters: how many, and the number of the first.
-pub type Set = (u32, u32);
+pub type LimiterSet = (u32, u32);
 
 /// The customer in the query: `account`, once, 16 hex digits.
 fn account(target: &str) -> Option<CustomerId> {
--- a/crates/limiter/src/handover.rs
+++ b/crates/limiter/src/handover.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::disabled_servers::Bans;
+use crate::disabled_servers::DisabledServers;
 use crate::lifecycle::DrainState;
 
 /// First word of a record, with the number of its form.
@@ -16,36 +16,36 @@
 /// What operators have asked of a limiter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Record {
+pub struct OperationsRecord {
     /// The limiter's name.
     pub limiter: String,
     /// Servers taken out.
-    pub bans: Bans,
+    pub bans: DisabledServers,
     /// Whether clients are sent away.
     pub drain: DrainState,
 }
 
 /// Why bytes are no record that may be taken over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unusable {
+pub enum RecordError {
     /// Not of this form, torn, or damaged.
-    Damaged,
+    Corrupt,
     /// Another limiter's.
-    Foreign,
+    OtherLimiter,
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Unusable::Damaged => "it is torn, damaged or of another form",
-            Unusable::Foreign => "it is another limiter's",
+            RecordError::Corrupt => "it is torn, damaged or of another form",
+            RecordError::OtherLimiter => "it is another limiter's",
         })
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for RecordError {}
 
-impl Record {
+impl OperationsRecord {
     /// A line with form and checksum, then the record.
     pub fn encode(&self) -> Vec<u8> {
         // Names and numbers can always be written.
@@ -59,21 +59,22 @@
     ///
     /// # Errors
     /// What is no whole record, or another limiter's.
-    pub fn decode(bytes: &[u8], limiter: &str) -> Result<Record, Unusable> {
+    pub fn decode(bytes: &[u8], limiter: &str) -> Result<OperationsRecord, RecordError> {
         let end = bytes
             .iter()
             .position(|byte| *byte == b'\n')
             .filter(|_| bytes.len() <= LONGEST);
-        let (head, body) = bytes.split_at(end.ok_or(Unusable::Damaged)?);
+        let (head, body) = bytes.split_at(end.ok_or(RecordError::Corrupt)?);
         let body = &body[1..];
         if head != format!("{FORM} {:08x}", crc32fast::hash(body)).as_bytes() {
-            return Err(Unusable::Damaged);
+            return Err(RecordError::Corrupt);
         }
-        let record: Record = serde_json::from_slice(body).map_err(|_| Unusable::Damaged)?;
+        let record: OperationsRecord =
+            serde_json::from_slice(body).map_err(|_| RecordError::Corrupt)?;
         if record.limiter == limiter {
             Ok(record)
         } else {
-            Err(Unusable::Foreign)
+            Err(RecordError::OtherLimiter)
         }
     }
 }
--- a/crates/limiter/src/handover/tests.rs
+++ b/crates/limiter/src/handover/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-fn record() -> Record {
-    let mut record = Record {
+fn record() -> OperationsRecord {
+    let mut record = OperationsRecord {
         limiter: "n3".to_string(),
-        ..Record::default()
+        ..OperationsRecord::default()
     };
     record.bans.disable("s-1", 7);
     record.bans.disable("s-2", 8);
@@ -14,24 +14,27 @@
 #[test]
 fn a_record_is_read_as_written_and_cut_or_changed_anywhere_not_at_all() {
     let bytes = record().encode();
-    assert_eq!(Record::decode(&bytes, "n3"), Ok(record()));
-    assert_eq!(Record::decode(&bytes, "n4"), Err(Unusable::Foreign));
+    assert_eq!(OperationsRecord::decode(&bytes, "n3"), Ok(record()));
+    assert_eq!(
+        OperationsRecord::decode(&bytes, "n4"),
+        Err(RecordError::OtherLimiter)
+    );
     for at in 0..bytes.len() {
         assert_eq!(
-            Record::decode(&bytes[..at], "n3"),
-            Err(Unusable::Damaged),
+            OperationsRecord::decode(&bytes[..at], "n3"),
+            Err(RecordError::Corrupt),
             "cut at {at}"
         );
         let mut changed = bytes.clone();
         changed[at] ^= 1;
         assert_eq!(
-            Record::decode(&changed, "n3"),
-            Err(Unusable::Damaged),
+            OperationsRecord::decode(&changed, "n3"),
+            Err(RecordError::Corrupt),
             "changed at {at}"
         );
     }
     assert_eq!(
-        Record::decode(&[bytes.as_slice(), b" "].concat(), "n3"),
-        Err(Unusable::Damaged)
+        OperationsRecord::decode(&[bytes.as_slice(), b" "].concat(), "n3"),
+        Err(RecordError::Corrupt)
     );
 }
--- a/crates/limiter/src/logging.rs
+++ b/crates/limiter/src/logging.rs
@@ -12,7 +12,7 @@
 
 /// The form of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Format {
+pub enum LogFormat {
     /// The limiter's name and the text.
     #[default]
     Text,
@@ -22,23 +22,23 @@
 
 /// How it logs.
 #[derive(Clone, Copy, Debug)]
-pub struct Logging {
+pub struct LogConfig {
     /// The form of a line.
-    pub format: Format,
+    pub format: LogFormat,
     /// The least that is logged.
     pub level: Level,
 }
 
-impl Default for Logging {
-    fn default() -> Logging {
-        Logging {
-            format: Format::Text,
+impl Default for LogConfig {
+    fn default() -> LogConfig {
+        LogConfig {
+            format: LogFormat::Text,
             level: Level::INFO,
         }
     }
 }
 
-impl Logging {
+impl LogConfig {
     /// Logs from now on, in the whole process. The first call of a process holds.
     pub fn start(self) {
         let log = tracing_subscriber::fmt()
@@ -46,8 +46,8 @@
             .with_max_level(self.level);
         // An embedder that has a log of its own keeps it.
         let _ = match self.format {
-            Format::Text => log.event_format(Lines).try_init(),
-            Format::Json => log.json().with_target(false).try_init(),
+            LogFormat::Text => log.event_format(Lines).try_init(),
+            LogFormat::Json => log.json().with_target(false).try_init(),
         };
     }
 }
--- a/crates/limiter/src/net/handover.rs
+++ b/crates/limiter/src/net/handover.rs
@@ -5,7 +5,7 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-use crate::handover::{Record, Unusable};
+use crate::handover::{OperationsRecord, RecordError};
 
 /// The file, and what of it is known here.
 #[derive(Debug)]
@@ -21,9 +21,9 @@
     /// Nothing that was not known.
     Same,
     /// A record that another process wrote.
-    Record(Record),
+    Record(OperationsRecord),
     /// Something that is passed over.
-    Unusable(Unusable),
+    Unusable(RecordError),
 }
 
 impl Handover {
@@ -47,7 +47,7 @@
             return Found::Same;
         }
         self.seen = mark;
-        match fs::read(&self.path).map(|bytes| Record::decode(&bytes, limiter)) {
+        match fs::read(&self.path).map(|bytes| OperationsRecord::decode(&bytes, limiter)) {
             Ok(Ok(record)) => Found::Record(record),
             Ok(Err(unusable)) => Found::Unusable(unusable),
             // Gone, or going: there is nothing to take over.
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// The system's: the file is as it was.
-    pub fn write(&mut self, record: &Record) -> io::Result<()> {
+    pub fn write(&mut self, record: &OperationsRecord) -> io::Result<()> {
         let new = self.path.with_extension(std::process::id().to_string());
         let written = fs::write(&new, record.encode()).and_then(|()| fs::rename(&new, &self.path));
         if written.is_err() {
--- a/crates/limiter/src/net/host/acquirers.rs
+++ b/crates/limiter/src/net/host/acquirers.rs
@@ -285,7 +285,7 @@
                     key,
                     RECORDS,
                     authorisation,
-                    Forward::of(&request),
+                    UpstreamRequest::of(&request),
                     Purpose::Platform,
                 );
             }
@@ -299,7 +299,7 @@
         key: ConnectionKey,
         service: usize,
         authorisation: Authorisation,
-        forward: Forward,
+        forward: UpstreamRequest,
         purpose: Purpose,
     ) {
         // Guards the rule on duplicates: servers would run a second request under an id that is out as a copy of
--- a/crates/limiter/src/net/host/agreement.rs
+++ b/crates/limiter/src/net/host/agreement.rs
@@ -1,7 +1,7 @@
 //! The configuration that a few instances agree on: its messages, its ticks, and what is done with a document.
 
 use super::*;
-use crate::config::{self, Cluster};
+use crate::config::{self, RaftConfig};
 use crate::frontend::introspection::same;
 use crate::net::framing::Request;
 use crate::raft::{self, Member, RaftError};
@@ -20,7 +20,7 @@
 }
 
 impl Agreement {
-    pub(super) fn open(cluster: &Cluster) -> io::Result<Agreement> {
+    pub(super) fn open(cluster: &RaftConfig) -> io::Result<Agreement> {
         let ids: Vec<u64> = cluster.members.iter().map(|(id, _)| *id).collect();
         let member = Member::open(cluster.id, &ids, &cluster.folder).map_err(io::Error::other)?;
         let others = cluster.members.iter().filter(|(id, _)| *id != cluster.id);
@@ -49,7 +49,7 @@
 
     /// Sends what is to be sent and takes a new document. A member whose journal fails takes no further part: it
     /// could promise what it would forget.
-    fn stepped(&mut self, stepped: Result<raft::News, RaftError>) -> Result<(), RaftError> {
+    fn stepped(&mut self, stepped: Result<raft::StepOutput, RaftError>) -> Result<(), RaftError> {
         match stepped {
             Ok(news) => {
                 news.letters
@@ -70,7 +70,7 @@
         }
     }
 
-    fn post(&mut self, letter: raft::Letter) {
+    fn post(&mut self, letter: raft::OutgoingMessage) {
         let Some(agreement) = &self.agreement else {
             return;
         };
--- a/crates/limiter/src/net/host/counting.rs
+++ b/crates/limiter/src/net/host/counting.rs
@@ -1,7 +1,7 @@
 //! Calls to the counter, and their answers.
 
 use super::*;
-use crate::counter_client::Heard;
+use crate::counter_client::CounterResponse;
 
 impl Host {
     pub(super) fn open_line(&mut self, line: usize) {
@@ -47,11 +47,11 @@
                 Ok(Some((answer, length))) => {
                     at += length;
                     match self.lines[line].answered(now, &answer) {
-                        Heard::Counted(one) => counted.push(one),
-                        Heard::Late { asker } => {
+                        CounterResponse::Counted(one) => counted.push(one),
+                        CounterResponse::Late { asker } => {
                             self.services[asker].engine.handle_late_counter_result()
                         }
-                        Heard::Unasked => {}
+                        CounterResponse::Unsolicited => {}
                     }
                     bad = !counter_client::sound(&answer);
                 }
@@ -103,7 +103,7 @@
         }
     }
 
-    pub(super) fn take_counted(&mut self, counted: Vec<Counted>) {
+    pub(super) fn take_counted(&mut self, counted: Vec<CounterResult>) {
         for one in counted {
             self.services[one.asker]
                 .engine
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -33,18 +33,18 @@
 use super::handover::Handover;
 use super::inherited;
 use crate::client_connection::{ClientConnection, Stage};
-use crate::config::{Config, Introspection};
-use crate::counter_client::{self, Counted, Line};
+use crate::config::{Config, IntrospectionConfig};
+use crate::counter_client::{self, CounterConnection, CounterResult};
 use crate::deadlines::Deadlines;
 use crate::engine::{Engine, EngineAction};
-use crate::frontend::platform::{self, Platform};
-use crate::frontend::{Forward, Rejection};
+use crate::frontend::platform::{self, PlatformFrontend};
+use crate::frontend::{Rejection, UpstreamRequest};
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
 use crate::peers::{self, Peers};
 use crate::probes;
 use crate::relay::Relay;
-use crate::routing_table::{NeverListed, News, RoutingTable};
+use crate::routing_table::{News, RoutingTable, UnknownServer};
 use crate::slots::{AuthorisationKey, ConnectionKey, SlotMap};
 use crate::upload::Upload;
 use crate::upstreams::{self, ConnectionPool, UpstreamPurpose, UpstreamState};
@@ -217,7 +217,7 @@
 /// An authorisation whose final answer is owed.
 struct Pending {
     origin: ConnectionKey,
-    forward: Forward,
+    forward: UpstreamRequest,
     purpose: Purpose,
 }
 
@@ -268,7 +268,7 @@
     orders: Vec<EngineAction>,
     listeners: Vec<(Door, Rc<TcpListener>, RegistrationToken)>,
     accepting: bool,
-    platform: Platform,
+    platform: PlatformFrontend,
     services: Vec<Service>,
     tokens: Option<Tokens>,
     agreement: Option<Agreement>,
@@ -277,7 +277,7 @@
     discovery_in_file: Option<SocketAddr>,
     watch: Watch,
     counter: Option<SocketAddr>,
-    lines: Vec<Line>,
+    lines: Vec<CounterConnection>,
     datagrams: Option<UdpSocket>,
     peers: Peers,
     plans: usize,
@@ -359,7 +359,7 @@
         let mut table = RoutingTable::new(config.names.zones.clone(), config.names.kinds.clone());
         let settings = config.settings;
         let module = settings.clone();
-        let platform = Platform {
+        let platform = PlatformFrontend {
             names: config.names,
             classes: settings.classes.clone(),
             limiters: settings.gateway_count,
@@ -447,7 +447,7 @@
             },
             counter,
             lines: (0..limits.counter_connections)
-                .map(|_| Line::default())
+                .map(|_| CounterConnection::default())
                 .collect(),
             datagrams,
             peers: Peers::new(config.peers),
--- a/crates/limiter/src/net/host/operators.rs
+++ b/crates/limiter/src/net/host/operators.rs
@@ -3,12 +3,12 @@
 use std::net::Shutdown;
 
 use super::*;
-use crate::operators::{Call, Callers};
+use crate::operators::{OperatorCommand, OperatorConnections};
 
 /// The operators' address, where there is one, and who is connected to it.
 pub(super) struct Operators {
     listener: Rc<TcpListener>,
-    callers: Callers,
+    callers: OperatorConnections,
 }
 
 impl Host {
@@ -17,7 +17,7 @@
         let (listener, _) = watch_listener(&self.handle, bind(address, &self.limits)?, accept)?;
         self.operators = Some(Operators {
             listener,
-            callers: Callers::default(),
+            callers: OperatorConnections::default(),
         });
         Ok(())
     }
@@ -83,7 +83,7 @@
             // What comes behind the call is thrown away, so that the close does not reset the answer.
             return connection.input.clear();
         }
-        let call = match Call::read(&connection.input, &self.limits) {
+        let call = match OperatorCommand::read(&connection.input, &self.limits) {
             Ok(None) => return,
             Ok(Some(call)) => Ok(call),
             Err(fault) => Err(fault),
@@ -98,7 +98,7 @@
             Err(reason) => format!("error {reason}"),
         };
         // Asked for several times a second while a start is waited for: no line each.
-        match asked == Call::Ready.to_string() {
+        match asked == OperatorCommand::Ready.to_string() {
             true => tracing::debug!(limiter = %self.name, "operators: {asked}: {answer}"),
             false => self.log(&format!("operators: {asked}: {answer}")),
         }
@@ -126,23 +126,29 @@
         }
     }
 
-    fn carry_out_call(&mut self, call: &Call) -> Result<(), String> {
+    fn carry_out_call(&mut self, call: &OperatorCommand) -> Result<(), String> {
         let now = self.now();
         match call {
-            Call::Ready if self.lifecycle.is_shutting_down() => Err("ending".to_string()),
-            Call::Ready if !self.table.listing() => Err("no server is known yet".to_string()),
-            Call::Ready => Ok(()),
-            Call::DisableServer(id) => self.ban(|table| table.disable(id, now)),
-            Call::EnableServer(id) => self.ban(|table| table.enable(id, now)),
-            Call::Drain => {
+            OperatorCommand::Ready if self.lifecycle.is_shutting_down() => {
+                Err("ending".to_string())
+            }
+            OperatorCommand::Ready if !self.table.listing() => {
+                Err("no server is known yet".to_string())
+            }
+            OperatorCommand::Ready => Ok(()),
+            OperatorCommand::DisableServer(id) => self.ban(|table| table.disable(id, now)),
+            OperatorCommand::EnableServer(id) => self.ban(|table| table.enable(id, now)),
+            OperatorCommand::Drain => {
                 if self.lifecycle.begin_drain(now) {
                     self.drain_changed(now);
                     self.write_handover();
                 }
                 Ok(())
             }
-            Call::Resume if self.lifecycle.is_shutting_down() => Err("ending".to_string()),
-            Call::Resume => {
+            OperatorCommand::Resume if self.lifecycle.is_shutting_down() => {
+                Err("ending".to_string())
+            }
+            OperatorCommand::Resume => {
                 if self.lifecycle.end_drain(now) {
                     self.write_handover();
                 }
@@ -159,7 +165,7 @@
 
     fn ban(
         &mut self,
-        change: impl FnOnce(&mut RoutingTable) -> Result<(bool, News), NeverListed>,
+        change: impl FnOnce(&mut RoutingTable) -> Result<(bool, News), UnknownServer>,
     ) -> Result<(), String> {
         let (changed, news) = change(&mut self.table).map_err(|error| error.to_string())?;
         self.take_news(news);
--- a/crates/limiter/src/net/host/overlap.rs
+++ b/crates/limiter/src/net/host/overlap.rs
@@ -1,7 +1,7 @@
 //! While a new process of this limiter and the one before overlap, both go by what operators asked of either.
 
 use super::*;
-use crate::handover::Record;
+use crate::handover::OperationsRecord;
 use crate::net::handover::{Found, Handover};
 
 impl Host {
@@ -11,9 +11,9 @@
         self.look_at_handover();
     }
 
-    fn record(&self) -> Record {
+    fn record(&self) -> OperationsRecord {
         let (bans, drain) = (self.table.bans().clone(), self.lifecycle.drain_state());
-        Record {
+        OperationsRecord {
             limiter: self.name.clone(),
             bans,
             drain,
--- a/crates/limiter/src/net/host/tokens.rs
+++ b/crates/limiter/src/net/host/tokens.rs
@@ -3,15 +3,16 @@
 use super::*;
 use crate::engine::{Authorisation, EngineRejection};
 use crate::frontend::introspection::{
-    self, Asking, Cache, Caller, Challenge, Finding, Identity, Token,
+    self, Caller, Challenge, Identity, IntrospectionEndpoint, IntrospectionResult, Token,
+    TokenCache,
 };
-use crate::frontend::platform::Basics;
+use crate::frontend::platform::CommonFields;
 use crate::net::framing::Request;
 
 /// A bearer request whose token is being asked about.
 pub(super) struct Bearing {
     request: Request,
-    basics: Basics,
+    basics: CommonFields,
     units: f64,
     token: Token,
 }
@@ -19,8 +20,8 @@
 /// What the front holds.
 pub(super) struct Tokens {
     callers: Vec<Caller>,
-    asking: Asking,
-    cache: Cache,
+    asking: IntrospectionEndpoint,
+    cache: TokenCache,
     upstreams: Vec<SocketAddr>,
     /// Position of the plan without quota, for what we ask on our own account.
     house: usize,
@@ -30,9 +31,9 @@
 const JSON: (&str, &str) = ("Content-Type", "application/json");
 
 impl Tokens {
-    pub(super) fn new(front: Introspection, house: usize) -> Tokens {
+    pub(super) fn new(front: IntrospectionConfig, house: usize) -> Tokens {
         Tokens {
-            cache: Cache::new(front.cache_entries, front.cache_for),
+            cache: TokenCache::new(front.cache_entries, front.cache_for),
             callers: front.callers,
             asking: front.asking,
             upstreams: front.upstreams,
@@ -167,7 +168,7 @@
             key,
             RECORDS,
             authorisation,
-            Forward::of(&request),
+            UpstreamRequest::of(&request),
             Purpose::Record,
         );
     }
@@ -222,8 +223,8 @@
             return false;
         };
         let finding = match tokens.cache.get(token, now) {
-            Some(identity) => Finding::Active(identity),
-            None if token.is_void() => Finding::Inactive,
+            Some(identity) => IntrospectionResult::Active(identity),
+            None if token.is_void() => IntrospectionResult::Inactive,
             None => return false,
         };
         // Guards the budget: what a question holds is given back by the one way in which an answer stops being owed.
@@ -237,7 +238,7 @@
         true
     }
 
-    fn tell(&mut self, now: Micros, key: ConnectionKey, finding: Finding) {
+    fn tell(&mut self, now: Micros, key: ConnectionKey, finding: IntrospectionResult) {
         let body = introspection::write_finding(finding, &self.platform.names.plans, now);
         self.answer(key, 200, &[JSON, NO_STORE], &body);
     }
@@ -259,7 +260,7 @@
         let now = self.now();
         // Guards the instant between the two looks at the clock: fails closed.
         let finding = introspection::judge(answer, &self.platform.names.plans, now)
-            .unwrap_or(Finding::Inactive);
+            .unwrap_or(IntrospectionResult::Inactive);
         let Some(tokens) = &mut self.tokens else {
             return;
         };
@@ -267,8 +268,8 @@
             (Purpose::Identify(bearing), finding) => {
                 tokens.cache.keep(&bearing.token, finding, now);
                 match finding {
-                    Finding::Active(identity) => self.go_on(key, *bearing, identity),
-                    Finding::Inactive => self.challenge(key, Challenge::Invalid),
+                    IntrospectionResult::Active(identity) => self.go_on(key, *bearing, identity),
+                    IntrospectionResult::Inactive => self.challenge(key, Challenge::Invalid),
                 }
             }
             (Purpose::Introspect(token), finding) => {
--- a/crates/limiter/src/operators.rs
+++ b/crates/limiter/src/operators.rs
@@ -10,7 +10,7 @@
 
 /// What operators ask for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum OperatorCommand {
     /// Whether this process takes clients.
     Ready,
     /// Take a server out.
@@ -25,7 +25,7 @@
 
 /// Why a line is no call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum CommandError {
     /// Longer than any call.
     TooLong,
     /// Not printable ASCII.
@@ -35,49 +35,49 @@
     /// No such call.
     Unknown,
     /// An argument is missing.
-    Missing,
+    MissingArgument,
     /// More arguments than the call has.
-    Superfluous,
+    TooManyArguments,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Fault::TooLong => "the line is too long",
-            Fault::NotText => "the line is no text",
-            Fault::Empty => "the line is empty",
-            Fault::Unknown => {
+            CommandError::TooLong => "the line is too long",
+            CommandError::NotText => "the line is no text",
+            CommandError::Empty => "the line is empty",
+            CommandError::Unknown => {
                 "no such call: ready, disable-server ID, enable-server ID, drain, resume"
             }
-            Fault::Missing => "the server's id is missing",
-            Fault::Superfluous => "too many words",
+            CommandError::MissingArgument => "the server's id is missing",
+            CommandError::TooManyArguments => "too many words",
         })
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for CommandError {}
 
-impl fmt::Display for Call {
+impl fmt::Display for OperatorCommand {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Call::Ready => f.write_str("ready"),
-            Call::DisableServer(id) => write!(f, "disable-server {id}"),
-            Call::EnableServer(id) => write!(f, "enable-server {id}"),
-            Call::Drain => f.write_str("drain"),
-            Call::Resume => f.write_str("resume"),
+            OperatorCommand::Ready => f.write_str("ready"),
+            OperatorCommand::DisableServer(id) => write!(f, "disable-server {id}"),
+            OperatorCommand::EnableServer(id) => write!(f, "enable-server {id}"),
+            OperatorCommand::Drain => f.write_str("drain"),
+            OperatorCommand::Resume => f.write_str("resume"),
         }
     }
 }
 
-impl Call {
+impl OperatorCommand {
     /// The call in what has come on a connection, once its line is whole. What follows the line is passed over.
     ///
     /// # Errors
     /// The bytes are no call of an operator.
-    pub fn read(bytes: &[u8], limits: &Limits) -> Result<Option<Call>, Fault> {
+    pub fn read(bytes: &[u8], limits: &Limits) -> Result<Option<OperatorCommand>, CommandError> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         if end.unwrap_or(bytes.len()) > limits.max_operator_line_bytes {
-            return Err(Fault::TooLong);
+            return Err(CommandError::TooLong);
         }
         let Some(end) = end else { return Ok(None) };
         let line = bytes[..end].strip_suffix(b"\r").unwrap_or(&bytes[..end]);
@@ -86,19 +86,24 @@
         let line = std::str::from_utf8(line)
             .ok()
             .filter(|line| line.bytes().all(|byte| text(&byte)));
-        let mut words = line.ok_or(Fault::NotText)?.split_ascii_whitespace();
-        let name = words.next().ok_or(Fault::Empty)?;
-        let mut id = || words.next().map(str::to_string).ok_or(Fault::Missing);
+        let mut words = line.ok_or(CommandError::NotText)?.split_ascii_whitespace();
+        let name = words.next().ok_or(CommandError::Empty)?;
+        let mut id = || {
+            words
+                .next()
+                .map(str::to_string)
+                .ok_or(CommandError::MissingArgument)
+        };
         let call = match name {
-            "ready" => Call::Ready,
-            "drain" => Call::Drain,
-            "resume" => Call::Resume,
-            "disable-server" => Call::DisableServer(id()?),
-            "enable-server" => Call::EnableServer(id()?),
-            _ => return Err(Fault::Unknown),
+            "ready" => OperatorCommand::Ready,
+            "drain" => OperatorCommand::Drain,
+            "resume" => OperatorCommand::Resume,
+            "disable-server" => OperatorCommand::DisableServer(id()?),
+            "enable-server" => OperatorCommand::EnableServer(id()?),
+            _ => return Err(CommandError::Unknown),
         };
         if words.next().is_some() {
-            Err(Fault::Superfluous)
+            Err(CommandError::TooManyArguments)
         } else {
             Ok(Some(call))
         }
@@ -110,11 +115,11 @@
 /// Guards against callers that finish no call: they have a bounded time and a bounded number of descriptors, and a
 /// caller that comes when all are taken has the oldest one's. Clients' connections are never touched for it.
 #[derive(Debug, Default)]
-pub struct Callers {
+pub struct OperatorConnections {
     known: VecDeque<(ConnectionKey, Micros)>,
 }
 
-impl Callers {
+impl OperatorConnections {
     /// One came. Gives who is to go for it.
     pub fn came(
         &mut self,
--- a/crates/limiter/src/operators/tests.rs
+++ b/crates/limiter/src/operators/tests.rs
@@ -3,22 +3,25 @@
 
 use super::*;
 
-fn read(line: &[u8]) -> Result<Option<Call>, Fault> {
-    Call::read(line, &Limits::default())
+fn read(line: &[u8]) -> Result<Option<OperatorCommand>, CommandError> {
+    OperatorCommand::read(line, &Limits::default())
 }
 
 #[test]
 fn calls_are_read_with_either_end_of_line_and_any_blanks() {
     for (line, call) in [
-        ("ready\n", Call::Ready),
-        ("ready\r\n", Call::Ready),
-        (" drain \n", Call::Drain),
-        ("resume\nready\n", Call::Resume),
+        ("ready\n", OperatorCommand::Ready),
+        ("ready\r\n", OperatorCommand::Ready),
+        (" drain \n", OperatorCommand::Drain),
+        ("resume\nready\n", OperatorCommand::Resume),
         (
             "disable-server s-5be2a07c\r\n",
-            Call::DisableServer("s-5be2a07c".into()),
+            OperatorCommand::DisableServer("s-5be2a07c".into()),
+        ),
+        (
+            "enable-server\t s-1\n",
+            OperatorCommand::EnableServer("s-1".into()),
         ),
-        ("enable-server\t s-1\n", Call::EnableServer("s-1".into())),
     ] {
         assert_eq!(read(line.as_bytes()), Ok(Some(call)), "{line:?}");
     }
@@ -28,17 +31,17 @@
 fn what_is_no_call_is_named() {
     let long = [b"disable-server ".as_slice(), &[b'x'; 2_000]].concat();
     for (line, fault) in [
-        (b"\n".as_slice(), Fault::Empty),
-        (b" \r\n", Fault::Empty),
-        (b"Ready\n", Fault::Unknown),
-        (b"show\n", Fault::Unknown),
-        (b"disable-server\n", Fault::Missing),
-        (b"disable-server a b\n", Fault::Superfluous),
-        (b"drain now\n", Fault::Superfluous),
-        (b"ready\0\n", Fault::NotText),
-        (b"disable-server \xff\n", Fault::NotText),
-        (b"disable-server \x1b[2J\n", Fault::NotText),
-        (&long, Fault::TooLong),
+        (b"\n".as_slice(), CommandError::Empty),
+        (b" \r\n", CommandError::Empty),
+        (b"Ready\n", CommandError::Unknown),
+        (b"show\n", CommandError::Unknown),
+        (b"disable-server\n", CommandError::MissingArgument),
+        (b"disable-server a b\n", CommandError::TooManyArguments),
+        (b"drain now\n", CommandError::TooManyArguments),
+        (b"ready\0\n", CommandError::NotText),
+        (b"disable-server \xff\n", CommandError::NotText),
+        (b"disable-server \x1b[2J\n", CommandError::NotText),
+        (&long, CommandError::TooLong),
     ] {
         assert_eq!(read(line), Err(fault), "{line:?}");
     }
@@ -88,7 +91,7 @@
     };
     let mut keys = SlotMap::<ConnectionKey, ()>::with_key();
     let [a, b, c] = [(); 3].map(|()| keys.insert(()));
-    let mut callers = Callers::default();
+    let mut callers = OperatorConnections::default();
     assert_eq!(
         (callers.came(a, 0, &limits), callers.came(b, 50, &limits)),
         (None, None)
--- a/crates/limiter/src/raft/mod.rs
+++ b/crates/limiter/src/raft/mod.rs
@@ -73,7 +73,7 @@
 
 /// A message to another member.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Letter {
+pub struct OutgoingMessage {
     /// Which member.
     pub to: u64,
     /// The message as bytes.
@@ -82,9 +82,9 @@
 
 /// What has come of the last steps.
 #[derive(Debug, Default)]
-pub struct News {
+pub struct StepOutput {
     /// To be sent; all that they promise is on disk.
-    pub letters: Vec<Letter>,
+    pub letters: Vec<OutgoingMessage>,
     /// The document, if it has changed.
     pub document: Option<Vec<u8>>,
 }
@@ -140,7 +140,7 @@
     ///
     /// # Errors
     /// The journal can't be written, or the protocol fails.
-    pub fn tick(&mut self) -> Result<News, RaftError> {
+    pub fn tick(&mut self) -> Result<StepOutput, RaftError> {
         self.node.tick();
         self.news()
     }
@@ -149,7 +149,7 @@
     ///
     /// # Errors
     /// The message is not valid for this member, the journal can't be written, or the protocol fails.
-    pub fn receive(&mut self, bytes: &[u8]) -> Result<News, RaftError> {
+    pub fn receive(&mut self, bytes: &[u8]) -> Result<StepOutput, RaftError> {
         let message = Message::parse_from_bytes(bytes).map_err(|_| RaftError::BadMessage)?;
         let known = self.node.raft.prs().get(message.from).is_some();
         if message.to != self.id || message.from == self.id || !known {
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     /// This member does not lead, the document is invalid, or the journal is full or can't be written.
-    pub fn propose(&mut self, document: &[u8]) -> Result<News, RaftError> {
+    pub fn propose(&mut self, document: &[u8]) -> Result<StepOutput, RaftError> {
         if self.node.raft.state != StateRole::Leader {
             return Err(RaftError::NotLeader(
                 Some(self.node.raft.leader_id).filter(|id| *id != 0),
@@ -195,7 +195,7 @@
         self.node.raft.state == StateRole::Leader
     }
 
-    fn apply(&mut self, entries: Vec<Entry>, news: &mut News) {
+    fn apply(&mut self, entries: Vec<Entry>, news: &mut StepOutput) {
         for entry in entries {
             // The first entry of a leader's term is empty.
             if entry.get_entry_type() == EntryType::EntryNormal && !entry.data.is_empty() {
@@ -207,8 +207,8 @@
     }
 
     /// Takes what the protocol has ready: on disk first, then to the others.
-    fn news(&mut self) -> Result<News, RaftError> {
-        let mut news = News::default();
+    fn news(&mut self) -> Result<StepOutput, RaftError> {
+        let mut news = StepOutput::default();
         let mut messages = Vec::new();
         while self.node.has_ready() {
             let mut ready = self.node.ready();
@@ -237,7 +237,7 @@
             let bytes = message
                 .write_to_bytes()
                 .map_err(|_| RaftError::BadMessage)?;
-            news.letters.push(Letter {
+            news.letters.push(OutgoingMessage {
                 to: message.to,
                 bytes,
             });
--- a/crates/limiter/src/raft/tests.rs
+++ b/crates/limiter/src/raft/tests.rs
@@ -21,7 +21,7 @@
         self.members[id as usize - 1] = Some(Member::open(id, &[1, 2, 3], &folder).unwrap());
     }
 
-    fn deliver(&mut self, news: News) {
+    fn deliver(&mut self, news: StepOutput) {
         let mut letters = news.letters;
         while let Some(letter) = letters.pop() {
             if let Some(member) = &mut self.members[letter.to as usize - 1] {
--- a/crates/limiter/src/routing_table.rs
+++ b/crates/limiter/src/routing_table.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use streamarch::{ListKind, Micros, ServerEntry, ServerId, ServerState};
 
-use crate::disabled_servers::Bans;
+use crate::disabled_servers::DisabledServers;
 
 /// What a line of discovery changes.
 #[derive(Debug, PartialEq)]
@@ -41,7 +41,7 @@
 
 /// A server as discovery has it.
 #[derive(Debug)]
-struct Listed {
+struct ListedServer {
     entry: ServerEntry,
     address: Option<SocketAddr>,
 }
@@ -53,35 +53,35 @@
     kinds: Vec<String>,
     /// Version of the list as held.
     pub index: u64,
-    listed: BTreeMap<String, Listed>,
+    listed: BTreeMap<String, ListedServer>,
     past: VecDeque<String>,
-    bans: Bans,
+    bans: DisabledServers,
     next: u32,
 }
 
 /// A call that names a server which no list has ever named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NeverListed;
+pub struct UnknownServer;
 
-impl std::fmt::Display for NeverListed {
+impl std::fmt::Display for UnknownServer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("no server of this id was ever listed")
     }
 }
 
-impl std::error::Error for NeverListed {}
+impl std::error::Error for UnknownServer {}
 
 /// Why a line of discovery is not taken.
 #[derive(Debug, PartialEq, Eq)]
-pub struct BadLine(pub &'static str);
+pub struct MalformedList(pub &'static str);
 
-impl std::fmt::Display for BadLine {
+impl std::fmt::Display for MalformedList {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "bad list: {}", self.0)
     }
 }
 
-impl std::error::Error for BadLine {}
+impl std::error::Error for MalformedList {}
 
 fn position(names: &[String], name: &Value) -> u32 {
     let found = name
@@ -102,7 +102,7 @@
 
     /// Some server may be used.
     pub fn serving(&self) -> bool {
-        let ready = |(name, known): (&String, &Listed)| {
+        let ready = |(name, known): (&String, &ListedServer)| {
             known.entry.state == ServerState::Ready && !self.bans.out(name)
         };
         self.listed.iter().any(ready)
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     /// The list is malformed.
-    pub fn known(&mut self, list: &Value) -> Result<News, BadLine> {
+    pub fn known(&mut self, list: &Value) -> Result<News, MalformedList> {
         let mut news = self.read(list)?;
         news.kind = ListKind::Cached;
         Ok(news)
@@ -129,18 +129,22 @@
     ///
     /// # Errors
     /// The line is malformed.
-    pub fn line(&mut self, line: &[u8]) -> Result<Option<News>, BadLine> {
+    pub fn line(&mut self, line: &[u8]) -> Result<Option<News>, MalformedList> {
         if line.iter().all(u8::is_ascii_whitespace) {
             return Ok(None);
         }
-        let value: Value = serde_json::from_slice(line).map_err(|_| BadLine("not JSON"))?;
+        let value: Value = serde_json::from_slice(line).map_err(|_| MalformedList("not JSON"))?;
         self.read(&value).map(Some)
     }
 
-    fn read(&mut self, list: &Value) -> Result<News, BadLine> {
-        let index = list["index"].as_u64().ok_or(BadLine("index"))?;
-        let full = list["snapshot"].as_bool().ok_or(BadLine("snapshot"))?;
-        let lines = list["endpoints"].as_array().ok_or(BadLine("endpoints"))?;
+    fn read(&mut self, list: &Value) -> Result<News, MalformedList> {
+        let index = list["index"].as_u64().ok_or(MalformedList("index"))?;
+        let full = list["snapshot"]
+            .as_bool()
+            .ok_or(MalformedList("snapshot"))?;
+        let lines = list["endpoints"]
+            .as_array()
+            .ok_or(MalformedList("endpoints"))?;
         let kind = if full {
             ListKind::Full
         } else {
@@ -173,7 +177,8 @@
                 self.next += 1;
                 ServerId(self.next)
             });
-            self.listed.insert(name.clone(), Listed { entry, address });
+            self.listed
+                .insert(name.clone(), ListedServer { entry, address });
             self.tell(&name, &mut news);
         }
         self.index = index;
@@ -207,7 +212,7 @@
     ///
     /// # Errors
     /// No list has ever named it.
-    pub fn disable(&mut self, name: &str, now: Micros) -> Result<(bool, News), NeverListed> {
+    pub fn disable(&mut self, name: &str, now: Micros) -> Result<(bool, News), UnknownServer> {
         self.ban(name, |bans| bans.disable(name, now))
     }
 
@@ -215,17 +220,17 @@
     ///
     /// # Errors
     /// No list has ever named it.
-    pub fn enable(&mut self, name: &str, now: Micros) -> Result<(bool, News), NeverListed> {
+    pub fn enable(&mut self, name: &str, now: Micros) -> Result<(bool, News), UnknownServer> {
         self.ban(name, |bans| bans.enable(name, now))
     }
 
     /// The servers that are taken out.
-    pub fn bans(&self) -> &Bans {
+    pub fn bans(&self) -> &DisabledServers {
         &self.bans
     }
 
     /// Takes over the bans that another process of this limiter knows later.
-    pub fn merge(&mut self, bans: &Bans) -> News {
+    pub fn merge(&mut self, bans: &DisabledServers) -> News {
         let mut news = News::new(ListKind::Changes);
         self.bans
             .merge(bans)
@@ -237,14 +242,14 @@
     fn ban(
         &mut self,
         name: &str,
-        change: impl FnOnce(&mut Bans) -> bool,
-    ) -> Result<(bool, News), NeverListed> {
+        change: impl FnOnce(&mut DisabledServers) -> bool,
+    ) -> Result<(bool, News), UnknownServer> {
         // A ban of the process before holds here, also where its server has not been listed since.
         if !self.listed.contains_key(name)
             && !self.past.iter().any(|past| past == name)
             && !self.bans.out(name)
         {
-            return Err(NeverListed);
+            return Err(UnknownServer);
         }
         let changed = change(&mut self.bans);
         let mut news = News::new(ListKind::Changes);
@@ -252,17 +257,20 @@
         Ok((changed, news))
     }
 
-    fn entry(&self, line: &Value) -> Result<(String, Option<SocketAddr>, ServerEntry), BadLine> {
-        let name = line["name"].as_str().ok_or(BadLine("name"))?;
+    fn entry(
+        &self,
+        line: &Value,
+    ) -> Result<(String, Option<SocketAddr>, ServerEntry), MalformedList> {
+        let name = line["name"].as_str().ok_or(MalformedList("name"))?;
         let state = match line["status"].as_str() {
             Some("Ready") => ServerState::Ready,
             Some("Terminating") => ServerState::Draining,
             Some("Gone") => ServerState::Removed,
-            _ => return Err(BadLine("status")),
+            _ => return Err(MalformedList("status")),
         };
         let address = line["address"].as_str().and_then(|a| a.parse().ok());
         if address.is_none() && state != ServerState::Removed {
-            return Err(BadLine("address"));
+            return Err(MalformedList("address"));
         }
         let entry = ServerEntry {
             server: ServerId(0),
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use limiter::client_connection::{ClientConnection, Stage};
-use limiter::counter_client::{Heard, Line};
+use limiter::counter_client::{CounterConnection, CounterResponse};
 use limiter::engine::{Authorisation, Engine, EngineAction};
 use limiter::limits::Limits;
 use limiter::net::framing;
@@ -76,7 +76,7 @@
 fn every_counter_call_has_one_outcome_and_answers_are_matched_in_order() {
     fn property(steps: Vec<Step>) -> bool {
         let limits = Limits::default();
-        let mut line = Line::default();
+        let mut line = CounterConnection::default();
         // The model: calls not written, and written ones with whether their outcome was given.
         let mut unsent: VecDeque<(u64, i64)> = VecDeque::new();
         let mut sent: VecDeque<(u64, i64, bool)> = VecDeque::new();
@@ -127,13 +127,13 @@
                     let outcome =
                         [Outcome::Ok, Outcome::Rejected, Outcome::Error][usize::from(by) % 3];
                     match (line.answered(now, &answer), sent.pop_front()) {
-                        (Heard::Counted(one), Some((name, _, false))) => {
+                        (CounterResponse::Counted(one), Some((name, _, false))) => {
                             got.push(one);
                             expected.push((name, outcome));
                         }
                         // Late: matched off to its own call, and told to nobody.
-                        (Heard::Late { asker: 0 }, Some((_, _, true))) | (Heard::Unasked, None) => {
-                        }
+                        (CounterResponse::Late { asker: 0 }, Some((_, _, true)))
+                        | (CounterResponse::Unsolicited, None) => {}
                         _ => return false,
                     }
                 }
@@ -191,7 +191,7 @@
 
 #[test]
 fn a_line_that_went_silent_is_of_no_use_however_much_is_written_to_it() {
-    let (mut line, mut out, mut counted) = (Line::default(), Vec::new(), Vec::new());
+    let (mut line, mut out, mut counted) = (CounterConnection::default(), Vec::new(), Vec::new());
     line.connected(0);
     for now in (0..=200).step_by(10) {
         line.call(0, CounterKey(1), 1.0, 1_000, now + 30);
@@ -203,12 +203,15 @@
             let (answer, _) = framing::parse_response(&bytes, false, &Limits::default())
                 .unwrap()
                 .unwrap();
-            assert_eq!(line.answered(now, &answer), Heard::Late { asker: 0 });
+            assert_eq!(
+                line.answered(now, &answer),
+                CounterResponse::Late { asker: 0 }
+            );
         }
         assert_eq!(line.stale(now - 100), now >= 150, "at {now}");
     }
     // Nothing is owed to one on which everything was answered.
-    let mut rested = Line::default();
+    let mut rested = CounterConnection::default();
     rested.connected(0);
     assert!(!rested.stale(1_000));
 }
