--- a/crates/limiter/src/counter_client.rs
+++ b/crates/limiter/src/counter_client.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 struct Call {
     /// Which of the host's engines asked.
-    asker: usize,
+    engine_index: usize,
     name: CounterKey,
     add: f64,
     life: Micros,
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterResult {
     /// Which of the host's engines asked.
-    pub asker: usize,
+    pub engine_index: usize,
     /// The number.
     pub name: CounterKey,
     /// How the call ended.
@@ -41,11 +41,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterResponse {
     /// The outcome of a call.
-    Counted(CounterResult),
+    Completed(CounterResult),
     /// It belongs to a call whose outcome was given before.
     Late {
         /// Which of the host's engines asked.
-        asker: usize,
+        engine_index: usize,
     },
     /// Nothing was asked.
     Unsolicited,
@@ -54,7 +54,7 @@
 impl Call {
     fn ended(&self, outcome: Outcome) -> CounterResult {
         CounterResult {
-            asker: self.asker,
+            engine_index: self.engine_index,
             name: self.name,
             outcome,
             total: 0.0,
@@ -73,7 +73,7 @@
 
 /// Whether an answer came whole from the counter. Behind one that is spoilt nothing more is to be expected on its
 /// connection: calls that went on there would only run out of time, and the counter pass for lost.
-pub fn sound(answer: &Response) -> bool {
+pub fn is_connection_reusable(answer: &Response) -> bool {
     match answer.status {
         200 => answer.keep_alive && total(answer).is_some(),
         status => answer.keep_alive && matches!(status, 400 | 404 | 503),
@@ -98,7 +98,7 @@
 
 impl CounterConnection {
     /// Enters a call.
-    pub fn call(
+    pub fn enqueue(
         &mut self,
         asker: usize,
         name: CounterKey,
@@ -107,7 +107,7 @@
         deadline: Micros,
     ) {
         self.unsent.push_back(Call {
-            asker,
+            engine_index: asker,
             name,
             add,
             life,
@@ -118,12 +118,12 @@
     }
 
     /// The connection is up.
-    pub fn connected(&mut self, now: Micros) {
+    pub fn handle_connected(&mut self, now: Micros) {
         (self.up, self.used, self.heard) = (true, now, now);
     }
 
     /// Writes what may be written.
-    pub fn write(&mut self, now: Micros, host: &str, out: &mut Vec<u8>) {
+    pub fn write_requests(&mut self, now: Micros, host: &str, out: &mut Vec<u8>) {
         if !self.up || self.leaving {
             return;
         }
@@ -142,13 +142,13 @@
 
     /// The counter is to be found elsewhere. What is written is waited for here: its answers must come before
     /// those to later calls of the same name.
-    pub fn leave(&mut self) {
+    pub fn begin_move(&mut self) {
         self.leaving = true;
     }
 
     /// If this line is leaving and owes no outcome for what it wrote: forgets its connection, which is given, and
     /// keeps the calls not written for the next one.
-    pub fn left(&mut self) -> Option<Option<ConnectionKey>> {
+    pub fn finish_move(&mut self) -> Option<Option<ConnectionKey>> {
         if !self.leaving || self.waiting.iter().any(|call| !call.given) {
             return None;
         }
@@ -158,13 +158,13 @@
     }
 
     /// Nothing is out and nothing was for so long that the counter may be closing the connection just now.
-    pub fn rested(&self, before: Micros) -> bool {
+    pub fn is_idle_since(&self, before: Micros) -> bool {
         self.up && self.waiting.is_empty() && self.used <= before
     }
 
     /// A call has been out since `before`, and nothing at all has come since then. What was written meanwhile does not
     /// matter: a line that went silent under load would be written to, and fail its calls, for as long as they come.
-    pub fn stale(&self, before: Micros) -> bool {
+    pub fn is_silent_since(&self, before: Micros) -> bool {
         let earliest = self.waiting.front();
         self.up
             && self.heard <= before
@@ -172,19 +172,21 @@
     }
 
     /// The answer to the earliest call written did not come in time.
-    pub fn overdue(&self) -> bool {
+    pub fn has_timed_out_call(&self) -> bool {
         self.waiting.front().is_some_and(|call| call.given)
     }
 
     /// An answer came: it belongs to the earliest call written.
-    pub fn answered(&mut self, now: Micros, answer: &Response) -> CounterResponse {
+    pub fn handle_response(&mut self, now: Micros, answer: &Response) -> CounterResponse {
         (self.used, self.heard) = (now, now);
         let Some(call) = self.waiting.pop_front() else {
             return CounterResponse::Unsolicited;
         };
         // Guards the order: a late answer is matched off to its own call, and its total told to nobody.
         if call.given {
-            return CounterResponse::Late { asker: call.asker };
+            return CounterResponse::Late {
+                engine_index: call.engine_index,
+            };
         }
         let (outcome, total) = match (answer.status, total(answer)) {
             (200, Some(total)) => (Outcome::Ok, total),
@@ -193,14 +195,14 @@
             (503, _) => (Outcome::Rejected, 0.0),
             _ => (Outcome::Error, 0.0),
         };
-        CounterResponse::Counted(CounterResult {
+        CounterResponse::Completed(CounterResult {
             total,
             ..call.ended(outcome)
         })
     }
 
     /// Gives the outcomes of calls whose time is up. One that was never written is withdrawn: nothing is added.
-    pub fn expire(&mut self, now: Micros, counted: &mut Vec<CounterResult>) {
+    pub fn expire_calls(&mut self, now: Micros, counted: &mut Vec<CounterResult>) {
         for call in self
             .waiting
             .iter_mut()
@@ -219,7 +221,7 @@
     }
 
     /// The connection is gone. What was written may have been added; what was not never will be.
-    pub fn broken(&mut self, counted: &mut Vec<CounterResult>) {
+    pub fn handle_disconnect(&mut self, counted: &mut Vec<CounterResult>) {
         (self.connection, self.up, self.leaving) = (None, false, false);
         let written = self.waiting.drain(..).filter(|call| !call.given);
         counted.extend(written.map(|call| call.ended(Outcome::TimedOut)));
--- a/crates/limiter/src/disabled_servers.rs
+++ b/crates/limiter/src/disabled_servers.rs
@@ -29,7 +29,7 @@
 
 impl DisabledServers {
     /// Whether a server is taken out.
-    pub fn out(&self, name: &str) -> bool {
+    pub fn is_disabled(&self, name: &str) -> bool {
         self.0.get(name).is_some_and(|mark| mark.back.is_none())
     }
 
@@ -42,7 +42,7 @@
 
     /// Takes a server out; false if it was out. The first call's time goes on to count.
     pub fn disable(&mut self, name: &str, now: Micros) -> bool {
-        let first = !self.out(name);
+        let first = !self.is_disabled(name);
         if first {
             self.0.insert(
                 name.to_string(),
@@ -86,7 +86,7 @@
     ///
     /// Danger: a server is restarted while it is out, and comes back cold, whether or not the list tells of that start.
     /// Where it tells of none since the ban, the call back counts as the start.
-    pub fn over(&self, name: &str, listed: &ServerEntry) -> ServerEntry {
+    pub fn apply_to(&self, name: &str, listed: &ServerEntry) -> ServerEntry {
         let mut entry = listed.clone();
         match self.0.get(name) {
             Some(Mark { back: None, .. }) if entry.state == ServerState::Ready => {
--- a/crates/limiter/src/net/host/acquirers.rs
+++ b/crates/limiter/src/net/host/acquirers.rs
@@ -266,7 +266,7 @@
         let request = Request::new(head, body);
         connection.last = !request.keep_alive;
         if request.method == "GET" && request.target == "/up" {
-            let serving = self.lifecycle.is_serving() && self.table.serving();
+            let serving = self.lifecycle.is_serving() && self.table.has_usable_server();
             let (status, text): (u16, &[u8]) = if serving {
                 (200, b"up\n")
             } else {
--- a/crates/limiter/src/net/host/agreement.rs
+++ b/crates/limiter/src/net/host/agreement.rs
@@ -52,7 +52,7 @@
     fn stepped(&mut self, stepped: Result<raft::StepOutput, RaftError>) -> Result<(), RaftError> {
         match stepped {
             Ok(news) => {
-                news.letters
+                news.messages
                     .into_iter()
                     .for_each(|letter| self.post(letter));
                 if let Some(document) = news.document {
--- a/crates/limiter/src/net/host/counting.rs
+++ b/crates/limiter/src/net/host/counting.rs
@@ -10,7 +10,7 @@
             Ok(key) => self.lines[line].connection = Some(key),
             Err(_) => {
                 let mut counted = Vec::new();
-                self.lines[line].broken(&mut counted);
+                self.lines[line].handle_disconnect(&mut counted);
                 self.take_counted(counted);
             }
         }
@@ -24,7 +24,7 @@
             return;
         };
         let before = connection.output.len();
-        self.lines[line].write(now, "counter", &mut connection.output);
+        self.lines[line].write_requests(now, "counter", &mut connection.output);
         if connection.output.len() > before {
             self.dirty.push(key);
         }
@@ -46,14 +46,14 @@
             match framing::parse_framed_response(&connection.input[at..], &limits) {
                 Ok(Some((answer, length))) => {
                     at += length;
-                    match self.lines[line].answered(now, &answer) {
-                        CounterResponse::Counted(one) => counted.push(one),
-                        CounterResponse::Late { asker } => {
-                            self.services[asker].engine.handle_late_counter_result()
-                        }
+                    match self.lines[line].handle_response(now, &answer) {
+                        CounterResponse::Completed(one) => counted.push(one),
+                        CounterResponse::Late {
+                            engine_index: asker,
+                        } => self.services[asker].engine.handle_late_counter_result(),
                         CounterResponse::Unsolicited => {}
                     }
-                    bad = !counter_client::sound(&answer);
+                    bad = !counter_client::is_connection_reusable(&answer);
                 }
                 Ok(None) => break,
                 Err(_) => bad = true,
@@ -80,7 +80,7 @@
         };
         if let Some(key) = self.lines[line]
             .connection
-            .filter(|key| self.lines[line].overdue() && begun(*key))
+            .filter(|key| self.lines[line].has_timed_out_call() && begun(*key))
         {
             self.broken(key);
         }
@@ -89,7 +89,7 @@
     /// Gives the outcomes of a line's calls whose time is up.
     pub(super) fn expire_line(&mut self, now: Micros, line: usize) {
         let mut counted = Vec::new();
-        self.lines[line].expire(now, &mut counted);
+        self.lines[line].expire_calls(now, &mut counted);
         self.take_counted(counted);
         self.drop_stuck(line);
         self.move_line(line);
@@ -97,7 +97,7 @@
 
     /// A line whose counter has moved goes on at the new address as soon as its written calls have their outcomes.
     pub(super) fn move_line(&mut self, line: usize) {
-        if let Some(former) = self.lines[line].left() {
+        if let Some(former) = self.lines[line].finish_move() {
             former.into_iter().for_each(|key| _ = self.close(key));
             self.open_line(line);
         }
@@ -105,7 +105,7 @@
 
     pub(super) fn take_counted(&mut self, counted: Vec<CounterResult>) {
         for one in counted {
-            self.services[one.asker]
+            self.services[one.engine_index]
                 .engine
                 .handle_counter_result(one.name, one.outcome, one.total);
         }
--- a/crates/limiter/src/net/host/datagrams.rs
+++ b/crates/limiter/src/net/host/datagrams.rs
@@ -9,13 +9,13 @@
         };
         let mut bytes = [0; 512];
         while let Ok((length, from)) = socket.recv_from(&mut bytes) {
-            if let Some(notice) = self.peers.read(from, &bytes[..length], self.plans) {
+            if let Some(notice) = self.peers.receive(from, &bytes[..length], self.plans) {
                 self.services[RECORDS].engine.handle_notice(notice);
             }
         }
         if let Some(refused) = self
             .peers
-            .to_tell(self.now(), self.limits.accept_pause_log_interval)
+            .take_rejected_count(self.now(), self.limits.accept_pause_log_interval)
         {
             self.warn(&format!(
                 "{refused} datagrams not taken: not a notice, or from no limiter of the tier"
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -44,7 +44,7 @@
 use crate::peers::{self, Peers};
 use crate::probes;
 use crate::relay::Relay;
-use crate::routing_table::{News, RoutingTable, UnknownServer};
+use crate::routing_table::{RoutingTable, TableUpdate, UnknownServer};
 use crate::slots::{AuthorisationKey, ConnectionKey, SlotMap};
 use crate::upload::Upload;
 use crate::upstreams::{self, ConnectionPool, UpstreamPurpose, UpstreamState};
@@ -365,9 +365,9 @@
             limiters: settings.gateway_count,
         };
         let tell = settings.can_notify_gateways;
-        let known = table.known(&config.known).unwrap_or_else(|error| {
+        let known = table.load_cached(&config.known).unwrap_or_else(|error| {
             tracing::warn!(limiter = %config.name, "known list not taken: {error}");
-            News::new(ListKind::Cached)
+            TableUpdate::new(ListKind::Cached)
         });
         let plans = settings.plans.len();
         let counter = config.counter.filter(|_| settings.counter_available);
@@ -669,14 +669,14 @@
                 let line = (name.0 % self.lines.len().max(1) as u64) as usize;
                 let deadline = now + self.limits.counter_timeout;
                 let (known, limits) = (&self.lines[line], &self.limits);
-                let of_no_use = known.rested(now - limits.counter_idle_timeout)
-                    || known.stale(now - limits.counter_stale_timeout);
+                let of_no_use = known.is_idle_since(now - limits.counter_idle_timeout)
+                    || known.is_silent_since(now - limits.counter_stale_timeout);
                 if let Some(old) = known.connection.filter(|_| of_no_use) {
                     // Guards against a call that crosses the counter's close of an idle connection, or that waits
                     // behind calls which a counter that died will never answer.
                     self.broken(old);
                 }
-                self.lines[line].call(service, name, add, life, deadline);
+                self.lines[line].enqueue(service, name, add, life, deadline);
                 self.deadlines.schedule(deadline, Due::Counter(line));
                 if self.lines[line].connection.is_none() {
                     self.open_line(line);
@@ -692,7 +692,7 @@
             EngineAction::Notify(number, notice) => {
                 let to = self.peers.address(number);
                 if let (Some(to), Some(socket), Some(bytes)) =
-                    (to, &self.datagrams, peers::encode(&notice))
+                    (to, &self.datagrams, peers::encode_notice(&notice))
                 {
                     // A datagram that cannot be sent is lost, as any may be.
                     let _ = socket.send_to(&bytes, to);
@@ -810,7 +810,7 @@
             }
             Role::Counter(line) => {
                 let mut counted = Vec::new();
-                self.lines[line].broken(&mut counted);
+                self.lines[line].handle_disconnect(&mut counted);
                 self.take_counted(counted);
             }
             Role::Watch => self.watch_lost(),
@@ -870,13 +870,13 @@
         match self.connections.get(key).map(|c| c.role) {
             Some(Role::Server { .. }) => self.send_errand(now, key),
             Some(Role::Counter(line)) => {
-                self.lines[line].connected(now);
+                self.lines[line].handle_connected(now);
                 self.write_line(now, line);
             }
             Some(Role::Watch) => {
                 let request = format!(
                     "GET /discovery/hosts?watch=1&from={} HTTP/1.1\r\nHost: {}\r\n\r\n",
-                    self.table.index, self.discovery
+                    self.table.list_version, self.discovery
                 );
                 self.write(key, request.as_bytes());
                 self.watch.heard = now;
--- a/crates/limiter/src/net/host/operators.rs
+++ b/crates/limiter/src/net/host/operators.rs
@@ -132,7 +132,7 @@
             OperatorCommand::Ready if self.lifecycle.is_shutting_down() => {
                 Err("ending".to_string())
             }
-            OperatorCommand::Ready if !self.table.listing() => {
+            OperatorCommand::Ready if !self.table.has_ready_server() => {
                 Err("no server is known yet".to_string())
             }
             OperatorCommand::Ready => Ok(()),
@@ -165,7 +165,7 @@
 
     fn ban(
         &mut self,
-        change: impl FnOnce(&mut RoutingTable) -> Result<(bool, News), UnknownServer>,
+        change: impl FnOnce(&mut RoutingTable) -> Result<(bool, TableUpdate), UnknownServer>,
     ) -> Result<(), String> {
         let (changed, news) = change(&mut self.table).map_err(|error| error.to_string())?;
         self.take_news(news);
--- a/crates/limiter/src/net/host/overlap.rs
+++ b/crates/limiter/src/net/host/overlap.rs
@@ -12,7 +12,10 @@
     }
 
     fn record(&self) -> OperationsRecord {
-        let (bans, drain) = (self.table.bans().clone(), self.lifecycle.drain_state());
+        let (bans, drain) = (
+            self.table.disabled_servers().clone(),
+            self.lifecycle.drain_state(),
+        );
         OperationsRecord {
             limiter: self.name.clone(),
             bans,
--- a/crates/limiter/src/net/host/reloading.rs
+++ b/crates/limiter/src/net/host/reloading.rs
@@ -23,11 +23,11 @@
         if counter != self.counter {
             self.counter = counter;
             for line in 0..self.lines.len() {
-                self.lines[line].leave();
+                self.lines[line].begin_move();
                 self.move_line(line);
             }
         }
-        self.peers.moved(config.peers);
+        self.peers.set_addresses(config.peers);
         if let (Some(tokens), Some(front), None) =
             (&mut self.tokens, config.introspection, &self.agreement)
         {
--- a/crates/limiter/src/net/host/watching.rs
+++ b/crates/limiter/src/net/host/watching.rs
@@ -52,7 +52,7 @@
         let mut ended = false;
         while let Some(end) = self.watch.line.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = self.watch.line.drain(..=end).collect();
-            match self.table.line(&line) {
+            match self.table.apply_line(&line) {
                 Ok(None) => self.watch.wait = self.limits.watch_retry_delay,
                 Ok(Some(news)) => {
                     self.watch.wait = self.limits.watch_retry_delay;
@@ -71,7 +71,7 @@
         }
     }
 
-    pub(super) fn take_news(&mut self, news: News) {
+    pub(super) fn take_news(&mut self, news: TableUpdate) {
         let records = &mut self.services[RECORDS];
         let listed = news
             .addresses
@@ -79,12 +79,12 @@
             .map(|(server, address)| records.pool.add_server(server, address));
         let mut idle: Vec<_> = listed.flatten().collect();
         idle.extend(
-            news.taken_out
+            news.disabled
                 .into_iter()
                 .flat_map(|server| records.pool.take_out_of_service(server)),
         );
         idle.extend(
-            news.gone
+            news.removed
                 .into_iter()
                 .flat_map(|server| records.pool.remove_server(server)),
         );
--- a/crates/limiter/src/peers.rs
+++ b/crates/limiter/src/peers.rs
@@ -23,7 +23,7 @@
     }
 
     /// They are at these addresses from now on.
-    pub fn moved(&mut self, addresses: Vec<SocketAddr>) {
+    pub fn set_addresses(&mut self, addresses: Vec<SocketAddr>) {
         self.addresses = addresses;
     }
 
@@ -34,19 +34,14 @@
 
     /// Reads a datagram. Guards the verdicts against whoever else can reach the port: a notice keeps a customer out at
     /// this limiter for seconds. What is refused is counted.
-    pub fn read(
-        &mut self,
-        from: SocketAddr,
-        bytes: &[u8],
-        plans: usize,
-    ) -> Option<OverQuotaNotice> {
-        let notice = decode(bytes, plans).filter(|_| self.addresses.contains(&from));
+    pub fn receive(&mut self, from: SocketAddr, bytes: &[u8], plans: usize) -> Option<OverQuotaNotice> {
+        let notice = decode_notice(bytes, plans).filter(|_| self.addresses.contains(&from));
         self.refused += u64::from(notice.is_none());
         notice
     }
 
     /// How many datagrams were refused since this was last told, if some were and it is time to tell.
-    pub fn to_tell(&mut self, now: Micros, every: Micros) -> Option<u64> {
+    pub fn take_rejected_count(&mut self, now: Micros, every: Micros) -> Option<u64> {
         if self.refused == 0 || now - self.told < every {
             return None;
         }
@@ -56,7 +51,7 @@
 }
 
 /// A notice as bytes: two of plan, eight of customer.
-pub fn encode(notice: &OverQuotaNotice) -> Option<[u8; 10]> {
+pub fn encode_notice(notice: &OverQuotaNotice) -> Option<[u8; 10]> {
     let plan = u16::try_from(notice.plan).ok()?;
     let mut bytes = [0; 10];
     bytes[..2].copy_from_slice(&plan.to_be_bytes());
@@ -65,7 +60,7 @@
 }
 
 /// Reads a notice; a datagram of another form, or that names a plan there is not, is none.
-pub fn decode(bytes: &[u8], plans: usize) -> Option<OverQuotaNotice> {
+pub fn decode_notice(bytes: &[u8], plans: usize) -> Option<OverQuotaNotice> {
     let (plan, customer) = bytes.split_first_chunk::<2>()?;
     let customer = u64::from_be_bytes(customer.try_into().ok()?);
     let plan = usize::from(u16::from_be_bytes(*plan));
--- a/crates/limiter/src/raft/journal.rs
+++ b/crates/limiter/src/raft/journal.rs
@@ -93,7 +93,7 @@
     }
 
     /// Its length in bytes.
-    pub fn length(&self) -> u64 {
+    pub fn length_bytes(&self) -> u64 {
         self.length
     }
 
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     /// The journal can't be written.
-    pub fn keep(&mut self, entries: &[Entry], state: Option<&HardState>) -> io::Result<()> {
+    pub fn append(&mut self, entries: &[Entry], state: Option<&HardState>) -> io::Result<()> {
         let mut out = Vec::new();
         let bad = |_| broken("cannot be written");
         for entry in entries {
--- a/crates/limiter/src/raft/journal/tests.rs
+++ b/crates/limiter/src/raft/journal/tests.rs
@@ -22,8 +22,8 @@
             vote: 2,
             ..HardState::default()
         };
-        journal.keep(&[entry(index, 1)], Some(&state)).unwrap();
-        ends.push(journal.length());
+        journal.append(&[entry(index, 1)], Some(&state)).unwrap();
+        ends.push(journal.length_bytes());
     }
     let whole = fs::read(&path).unwrap();
     for cut in 0..=whole.len() {
@@ -45,9 +45,9 @@
     let folder = tempfile::tempdir().unwrap();
     let mut journal = Journal::open(folder.path(), &MemStorage::new()).unwrap();
     journal
-        .keep(&[entry(1, 1), entry(2, 1), entry(3, 1)], None)
+        .append(&[entry(1, 1), entry(2, 1), entry(3, 1)], None)
         .unwrap();
-    journal.keep(&[entry(2, 2)], None).unwrap();
+    journal.append(&[entry(2, 2)], None).unwrap();
     let store = MemStorage::new();
     Journal::open(folder.path(), &store).unwrap();
     assert_eq!(
--- a/crates/limiter/src/raft/mod.rs
+++ b/crates/limiter/src/raft/mod.rs
@@ -22,7 +22,7 @@
 /// Bytes of entries in one message: with its frame it must fit a body.
 const MESSAGE_BYTES: u64 = 24 * 1024;
 /// Longest document.
-pub const DOCUMENT_BYTES: usize = 16 * 1024;
+pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024;
 /// The journal is not compacted; a proposal that would let it grow beyond this is turned down.
 const JOURNAL_BYTES: u64 = 16 * 1024 * 1024;
 
@@ -84,7 +84,7 @@
 #[derive(Debug, Default)]
 pub struct StepOutput {
     /// To be sent; all that they promise is on disk.
-    pub letters: Vec<OutgoingMessage>,
+    pub messages: Vec<OutgoingMessage>,
     /// The document, if it has changed.
     pub document: Option<Vec<u8>>,
 }
@@ -175,10 +175,10 @@
             ));
         }
         let object = serde_json::from_slice::<serde_json::Map<String, serde_json::Value>>(document);
-        if document.len() > DOCUMENT_BYTES || object.is_err() {
+        if document.len() > MAX_DOCUMENT_BYTES || object.is_err() {
             return Err(RaftError::BadDocument);
         }
-        if self.journal.length() + document.len() as u64 > JOURNAL_BYTES {
+        if self.journal.length_bytes() + document.len() as u64 > JOURNAL_BYTES {
             return Err(RaftError::Full);
         }
         self.node.propose(vec![], document.to_vec())?;
@@ -191,7 +191,7 @@
     }
 
     /// This member leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
@@ -219,7 +219,7 @@
                 self.node.mut_store().wl().set_hardstate(state.clone());
             }
             // Guards against a second vote, or a forgotten entry, after a restart.
-            self.journal.keep(ready.entries(), ready.hs())?;
+            self.journal.append(ready.entries(), ready.hs())?;
             messages.extend(ready.take_persisted_messages());
             let mut light = self.node.advance(ready);
             if let Some(commit) = light.commit_index() {
@@ -237,7 +237,7 @@
             let bytes = message
                 .write_to_bytes()
                 .map_err(|_| RaftError::BadMessage)?;
-            news.letters.push(OutgoingMessage {
+            news.messages.push(OutgoingMessage {
                 to: message.to,
                 bytes,
             });
--- a/crates/limiter/src/raft/tests.rs
+++ b/crates/limiter/src/raft/tests.rs
@@ -22,10 +22,10 @@
     }
 
     fn deliver(&mut self, news: StepOutput) {
-        let mut letters = news.letters;
+        let mut letters = news.messages;
         while let Some(letter) = letters.pop() {
             if let Some(member) = &mut self.members[letter.to as usize - 1] {
-                letters.extend(member.receive(&letter.bytes).unwrap().letters);
+                letters.extend(member.receive(&letter.bytes).unwrap().messages);
             }
         }
     }
@@ -42,7 +42,7 @@
     }
 
     fn leader(&self) -> u64 {
-        let leads = |m: &&Member| m.leads();
+        let leads = |m: &&Member| m.is_leader();
         let leaders: Vec<u64> = self
             .members
             .iter()
@@ -129,7 +129,7 @@
         "",
         "[]",
         "{",
-        &format!("{{\"a\":\"{}\"}}", "x".repeat(DOCUMENT_BYTES)),
+        &format!("{{\"a\":\"{}\"}}", "x".repeat(MAX_DOCUMENT_BYTES)),
     ] {
         assert!(matches!(
             member.propose(bad.as_bytes()),
--- a/crates/limiter/src/routing_table.rs
+++ b/crates/limiter/src/routing_table.rs
@@ -10,7 +10,7 @@
 
 /// What a line of discovery changes.
 #[derive(Debug, PartialEq)]
-pub struct News {
+pub struct TableUpdate {
     /// How the entries are to be read.
     pub kind: ListKind,
     /// The entries for the module.
@@ -18,20 +18,20 @@
     /// Where the servers are that may be used.
     pub addresses: Vec<(ServerId, SocketAddr)>,
     /// Of those, the ones that operators have taken out: no connection to them is kept for later.
-    pub taken_out: Vec<ServerId>,
+    pub disabled: Vec<ServerId>,
     /// Servers that are gone.
-    pub gone: Vec<ServerId>,
+    pub removed: Vec<ServerId>,
 }
 
-impl News {
+impl TableUpdate {
     /// Nothing yet, to be read like this.
-    pub fn new(kind: ListKind) -> News {
-        News {
+    pub fn new(kind: ListKind) -> TableUpdate {
+        TableUpdate {
             kind,
             entries: Vec::new(),
             addresses: Vec::new(),
-            taken_out: Vec::new(),
-            gone: Vec::new(),
+            disabled: Vec::new(),
+            removed: Vec::new(),
         }
     }
 }
@@ -52,7 +52,7 @@
     zones: Vec<String>,
     kinds: Vec<String>,
     /// Version of the list as held.
-    pub index: u64,
+    pub list_version: u64,
     listed: BTreeMap<String, ListedServer>,
     past: VecDeque<String>,
     bans: DisabledServers,
@@ -101,15 +101,15 @@
     }
 
     /// Some server may be used.
-    pub fn serving(&self) -> bool {
+    pub fn has_usable_server(&self) -> bool {
         let ready = |(name, known): (&String, &ListedServer)| {
-            known.entry.state == ServerState::Ready && !self.bans.out(name)
+            known.entry.state == ServerState::Ready && !self.bans.is_disabled(name)
         };
         self.listed.iter().any(ready)
     }
 
     /// Some server is listed as ready, taken out or not.
-    pub fn listing(&self) -> bool {
+    pub fn has_ready_server(&self) -> bool {
         self.listed
             .values()
             .any(|known| known.entry.state == ServerState::Ready)
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     /// The list is malformed.
-    pub fn known(&mut self, list: &Value) -> Result<News, MalformedList> {
+    pub fn load_cached(&mut self, list: &Value) -> Result<TableUpdate, MalformedList> {
         let mut news = self.read(list)?;
         news.kind = ListKind::Cached;
         Ok(news)
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     /// The line is malformed.
-    pub fn line(&mut self, line: &[u8]) -> Result<Option<News>, MalformedList> {
+    pub fn apply_line(&mut self, line: &[u8]) -> Result<Option<TableUpdate>, MalformedList> {
         if line.iter().all(u8::is_ascii_whitespace) {
             return Ok(None);
         }
@@ -137,7 +137,7 @@
         self.read(&value).map(Some)
     }
 
-    fn read(&mut self, list: &Value) -> Result<News, MalformedList> {
+    fn read(&mut self, list: &Value) -> Result<TableUpdate, MalformedList> {
         let index = list["index"].as_u64().ok_or(MalformedList("index"))?;
         let full = list["snapshot"]
             .as_bool()
@@ -150,7 +150,7 @@
         } else {
             ListKind::Changes
         };
-        let mut news = News::new(kind);
+        let mut news = TableUpdate::new(kind);
         // All is read before any of it is taken: half a list must not replace a whole one.
         let read = lines
             .iter()
@@ -181,15 +181,15 @@
                 .insert(name.clone(), ListedServer { entry, address });
             self.tell(&name, &mut news);
         }
-        self.index = index;
+        self.list_version = index;
         Ok(news)
     }
 
-    fn drop_listed(&mut self, name: &str, news: &mut News) {
+    fn drop_listed(&mut self, name: &str, news: &mut TableUpdate) {
         let Some(known) = self.listed.remove(name) else {
             return;
         };
-        news.gone.push(known.entry.server);
+        news.removed.push(known.entry.server);
         self.past.push_back(name.to_string());
         if self.past.len() > PAST {
             self.past.pop_front();
@@ -197,22 +197,27 @@
     }
 
     /// What holds of a listed server now, with the bans over the list.
-    fn tell(&self, name: &str, news: &mut News) {
+    fn tell(&self, name: &str, news: &mut TableUpdate) {
         let Some(known) = self.listed.get(name) else {
             return;
         };
         let server = known.entry.server;
-        news.entries.push(self.bans.over(name, &known.entry));
+        news.entries.push(self.bans.apply_to(name, &known.entry));
         news.addresses
             .extend(known.address.map(|address| (server, address)));
-        news.taken_out.extend(self.bans.out(name).then_some(server));
+        news.disabled
+            .extend(self.bans.is_disabled(name).then_some(server));
     }
 
     /// Takes a server out. Whether that changes anything, and what there is to tell.
     ///
     /// # Errors
     /// No list has ever named it.
-    pub fn disable(&mut self, name: &str, now: Micros) -> Result<(bool, News), UnknownServer> {
+    pub fn disable(
+        &mut self,
+        name: &str,
+        now: Micros,
+    ) -> Result<(bool, TableUpdate), UnknownServer> {
         self.ban(name, |bans| bans.disable(name, now))
     }
 
@@ -220,18 +225,22 @@
     ///
     /// # Errors
     /// No list has ever named it.
-    pub fn enable(&mut self, name: &str, now: Micros) -> Result<(bool, News), UnknownServer> {
+    pub fn enable(
+        &mut self,
+        name: &str,
+        now: Micros,
+    ) -> Result<(bool, TableUpdate), UnknownServer> {
         self.ban(name, |bans| bans.enable(name, now))
     }
 
     /// The servers that are taken out.
-    pub fn bans(&self) -> &DisabledServers {
+    pub fn disabled_servers(&self) -> &DisabledServers {
         &self.bans
     }
 
     /// Takes over the bans that another process of this limiter knows later.
-    pub fn merge(&mut self, bans: &DisabledServers) -> News {
-        let mut news = News::new(ListKind::Changes);
+    pub fn merge(&mut self, bans: &DisabledServers) -> TableUpdate {
+        let mut news = TableUpdate::new(ListKind::Changes);
         self.bans
             .merge(bans)
             .iter()
@@ -243,16 +252,16 @@
         &mut self,
         name: &str,
         change: impl FnOnce(&mut DisabledServers) -> bool,
-    ) -> Result<(bool, News), UnknownServer> {
+    ) -> Result<(bool, TableUpdate), UnknownServer> {
         // A ban of the process before holds here, also where its server has not been listed since.
         if !self.listed.contains_key(name)
             && !self.past.iter().any(|past| past == name)
-            && !self.bans.out(name)
+            && !self.bans.is_disabled(name)
         {
             return Err(UnknownServer);
         }
         let changed = change(&mut self.bans);
-        let mut news = News::new(ListKind::Changes);
+        let mut news = TableUpdate::new(ListKind::Changes);
         self.tell(name, &mut news);
         Ok((changed, news))
     }
--- a/crates/limiter/src/routing_table/tests.rs
+++ b/crates/limiter/src/routing_table/tests.rs
@@ -23,7 +23,7 @@
 fn entries_are_read_and_a_name_keeps_its_number() {
     let mut table = table();
     let news = table
-        .line(&line(4, true, &[("s-1", "Ready"), ("s-2", "Ready")]))
+        .apply_line(&line(4, true, &[("s-1", "Ready"), ("s-2", "Ready")]))
         .unwrap()
         .unwrap();
     let first = &news.entries[0];
@@ -38,7 +38,7 @@
         (1, 1, 3, 1.5, 7_000)
     );
     let again = table
-        .line(&line(5, false, &[("s-1", "Terminating")]))
+        .apply_line(&line(5, false, &[("s-1", "Terminating")]))
         .unwrap()
         .unwrap();
     assert_eq!(
@@ -46,38 +46,38 @@
         (ListKind::Changes, first.server)
     );
     assert_eq!(
-        (again.entries[0].state, table.index),
+        (again.entries[0].state, table.list_version),
         (ServerState::Draining, 5)
     );
-    assert!(table.serving(), "the other is ready");
+    assert!(table.has_usable_server(), "the other is ready");
 }
 
 #[test]
 fn what_is_gone_or_missing_from_a_whole_list_is_told_as_gone_once() {
     let mut table = table();
     table
-        .line(&line(
+        .apply_line(&line(
             1,
             true,
             &[("s-1", "Ready"), ("s-2", "Ready"), ("s-3", "Ready")],
         ))
         .unwrap();
     let news = table
-        .line(&line(2, false, &[("s-1", "Gone"), ("s-9", "Gone")]))
+        .apply_line(&line(2, false, &[("s-1", "Gone"), ("s-9", "Gone")]))
         .unwrap()
         .unwrap();
     assert_eq!(
-        (news.entries.len(), news.gone.len()),
+        (news.entries.len(), news.removed.len()),
         (1, 1),
         "of s-9 nobody had heard"
     );
     let news = table
-        .line(&line(3, true, &[("s-3", "Ready")]))
+        .apply_line(&line(3, true, &[("s-3", "Ready")]))
         .unwrap()
         .unwrap();
-    assert_eq!((news.entries.len(), news.gone.len()), (1, 1));
+    assert_eq!((news.entries.len(), news.removed.len()), (1, 1));
     let back = table
-        .line(&line(4, false, &[("s-1", "Ready")]))
+        .apply_line(&line(4, false, &[("s-1", "Ready")]))
         .unwrap()
         .unwrap();
     assert!(back.entries[0].server.0 > 3, "a number is not used twice");
@@ -86,7 +86,9 @@
 #[test]
 fn a_bad_line_changes_nothing_and_an_empty_one_says_nothing() {
     let mut table = table();
-    table.line(&line(1, true, &[("s-1", "Ready")])).unwrap();
+    table
+        .apply_line(&line(1, true, &[("s-1", "Ready")]))
+        .unwrap();
     let good = String::from_utf8(line(2, true, &[("s-2", "Ready"), ("s-3", "Ready")])).unwrap();
     for (from, to) in [
         ("\"index\":2", "\"index\":\"2\""),
@@ -98,12 +100,14 @@
         ("{", ""),
     ] {
         assert!(
-            table.line(good.replacen(from, to, 1).as_bytes()).is_err(),
+            table
+                .apply_line(good.replacen(from, to, 1).as_bytes())
+                .is_err(),
             "{from}"
         );
     }
-    assert_eq!((table.index, table.listed.len()), (1, 1));
-    assert_eq!(table.line(b"\r\n"), Ok(None));
+    assert_eq!((table.list_version, table.listed.len()), (1, 1));
+    assert_eq!(table.apply_line(b"\r\n"), Ok(None));
 }
 
 #[test]
@@ -116,11 +120,14 @@
             .map(|n| (n.as_str(), status))
             .collect::<Vec<_>>()
     };
-    let first = table.line(&line(1, true, &all("Ready"))).unwrap().unwrap();
-    assert_eq!((first.entries.len(), first.gone.len()), (60, 0));
+    let first = table
+        .apply_line(&line(1, true, &all("Ready")))
+        .unwrap()
+        .unwrap();
+    assert_eq!((first.entries.len(), first.removed.len()), (60, 0));
     // Sixty changes in one line, each of a server known before.
     let drained = table
-        .line(&line(2, false, &all("Terminating")))
+        .apply_line(&line(2, false, &all("Terminating")))
         .unwrap()
         .unwrap();
     assert!(
@@ -130,16 +137,22 @@
             .zip(&first.entries)
             .all(|(a, b)| a.server == b.server)
     );
-    assert!(!table.serving());
-    let gone = table.line(&line(3, false, &all("Gone"))).unwrap().unwrap();
-    assert_eq!((gone.entries.len(), gone.gone.len()), (60, 60));
+    assert!(!table.has_usable_server());
+    let gone = table
+        .apply_line(&line(3, false, &all("Gone")))
+        .unwrap()
+        .unwrap();
+    assert_eq!((gone.entries.len(), gone.removed.len()), (60, 60));
     // The same once more, and a whole list that is empty, say nothing new.
     for again in [line(3, false, &all("Gone")), line(4, true, &[])] {
-        let news = table.line(&again).unwrap().unwrap();
-        assert_eq!((news.entries.len(), news.gone.len()), (0, 0));
+        let news = table.apply_line(&again).unwrap().unwrap();
+        assert_eq!((news.entries.len(), news.removed.len()), (0, 0));
     }
-    let back = table.line(&line(5, true, &all("Ready"))).unwrap().unwrap();
-    assert!(back.entries.iter().all(|e| e.server.0 > 60) && table.serving());
+    let back = table
+        .apply_line(&line(5, true, &all("Ready")))
+        .unwrap()
+        .unwrap();
+    assert!(back.entries.iter().all(|e| e.server.0 > 60) && table.has_usable_server());
 }
 
 /// Random lists, calls out and back, and records of another process, against a model that knows each server's state
@@ -161,7 +174,7 @@
                     listed[at] = Some(state).filter(|s| *s != "Gone");
                     ever[at] |= state != "Gone";
                     table
-                        .line(&line(now as u64, false, &[(names[at], state)]))
+                        .apply_line(&line(now as u64, false, &[(names[at], state)]))
                         .unwrap()
                         .unwrap()
                 }
@@ -170,7 +183,7 @@
                     listed[at] = Some("Ready");
                     ever[at] = true;
                     table
-                        .line(&line(now as u64, true, &[(names[at], "Ready")]))
+                        .apply_line(&line(now as u64, true, &[(names[at], "Ready")]))
                         .unwrap()
                         .unwrap()
                 }
@@ -192,10 +205,14 @@
                 }
             };
             told.extend(news.entries.iter().map(|entry| (entry.server, entry.state)));
-            news.gone.iter().for_each(|server| _ = told.remove(server));
+            news.removed
+                .iter()
+                .for_each(|server| _ = told.remove(server));
             // The other process hears of it, and has nothing to add.
-            other.merge(table.bans());
-            if other.bans() != table.bans() || !table.merge(other.bans()).entries.is_empty() {
+            other.merge(table.disabled_servers());
+            if other.disabled_servers() != table.disabled_servers()
+                || !table.merge(other.disabled_servers()).entries.is_empty()
+            {
                 return false;
             }
             let known = |at: usize| {
@@ -215,7 +232,7 @@
                 }
             }
             let ready = (0..3).any(|at| listed[at] == Some("Ready") && !out[at]);
-            if table.serving() != ready {
+            if table.has_usable_server() != ready {
                 return false;
             }
         }
@@ -230,7 +247,9 @@
 fn one_called_back_has_just_started_unless_the_list_tells_of_a_later_start() {
     let mut table = table();
     // The list has it started at 7 ms.
-    table.line(&line(1, true, &[("s-1", "Ready")])).unwrap();
+    table
+        .apply_line(&line(1, true, &[("s-1", "Ready")]))
+        .unwrap();
     table.disable("s-1", 5_000).unwrap();
     let (_, news) = table.enable("s-1", 9_000).unwrap();
     assert_eq!(
@@ -245,7 +264,7 @@
         (30_000, ServerState::Ready)
     );
     let again = table
-        .line(&line(2, false, &[("s-1", "Ready")]))
+        .apply_line(&line(2, false, &[("s-1", "Ready")]))
         .unwrap()
         .unwrap();
     assert_eq!(
--- a/crates/limiter/tests/golden.rs
+++ b/crates/limiter/tests/golden.rs
@@ -16,7 +16,7 @@
     let folder = tempfile::tempdir().unwrap();
     let mut member = Member::open(1, &[1], folder.path()).unwrap();
     for _ in 0..100 {
-        if member.leads() {
+        if member.is_leader() {
             break;
         }
         member.tick().unwrap();
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -86,17 +86,17 @@
             let mut expected = Vec::new();
             match kind % 7 {
                 0 => {
-                    line.call(0, CounterKey(next), 1.0, 1_000, now + 30);
+                    line.enqueue(0, CounterKey(next), 1.0, 1_000, now + 30);
                     unsent.push_back((next, now + 30));
                     next += 1;
                 }
                 1 => {
-                    line.connected(now);
+                    line.handle_connected(now);
                     up = true;
                 }
                 2 => {
                     let mut out = Vec::new();
-                    line.write(now, "counter", &mut out);
+                    line.write_requests(now, "counter", &mut out);
                     let mut written = 0;
                     while let Some((request, length)) =
                         framing::parse_request(&out, &limits).unwrap()
@@ -121,25 +121,22 @@
                     let status = [200, 503, 404][usize::from(by) % 3];
                     let mut bytes = Vec::new();
                     framing::write_response(&mut bytes, status, &[], b"7.5", false);
-                    let (answer, _) = framing::parse_response(&bytes, false, &limits)
-                        .unwrap()
-                        .unwrap();
-                    let outcome =
-                        [Outcome::Ok, Outcome::Rejected, Outcome::Error][usize::from(by) % 3];
-                    match (line.answered(now, &answer), sent.pop_front()) {
-                        (CounterResponse::Counted(one), Some((name, _, false))) => {
+                    let (answer, _) = framing::parse_response(&bytes, false, &limits).unwrap().unwrap();
+                    let outcome = [Outcome::Ok, Outcome::Rejected, Outcome::Error][usize::from(by) % 3];
+                    match (line.handle_response(now, &answer), sent.pop_front()) {
+                        (CounterResponse::Completed(one), Some((name, _, false))) => {
                             got.push(one);
                             expected.push((name, outcome));
                         }
                         // Late: matched off to its own call, and told to nobody.
-                        (CounterResponse::Late { asker: 0 }, Some((_, _, true)))
+                        (CounterResponse::Late { engine_index: 0 }, Some((_, _, true)))
                         | (CounterResponse::Unsolicited, None) => {}
                         _ => return false,
                     }
                 }
                 4 => {
                     now += i64::from(by);
-                    line.expire(now, &mut got);
+                    line.expire_calls(now, &mut got);
                     for call in sent.iter_mut().filter(|c| !c.2 && c.1 <= now) {
                         call.2 = true;
                         expected.push((call.0, Outcome::TimedOut));
@@ -153,11 +150,11 @@
                     unsent.retain(|c| c.1 > now);
                 }
                 5 => {
-                    line.leave();
+                    line.begin_move();
                     leaving = true;
                 }
                 _ => {
-                    line.broken(&mut got);
+                    line.handle_disconnect(&mut got);
                     (up, leaving) = (false, false);
                     expected.extend(
                         sent.drain(..)
@@ -176,7 +173,7 @@
             }
             // It leaves once all that it wrote has its outcome, and takes along what it did not write.
             let leaves = leaving && sent.iter().all(|c| c.2);
-            if line.left().is_some() != leaves {
+            if line.finish_move().is_some() != leaves {
                 return false;
             }
             if leaves {
@@ -192,11 +189,11 @@
 #[test]
 fn a_line_that_went_silent_is_of_no_use_however_much_is_written_to_it() {
     let (mut line, mut out, mut counted) = (CounterConnection::default(), Vec::new(), Vec::new());
-    line.connected(0);
+    line.handle_connected(0);
     for now in (0..=200).step_by(10) {
-        line.call(0, CounterKey(1), 1.0, 1_000, now + 30);
-        line.write(now, "counter", &mut out);
-        line.expire(now, &mut counted);
+        line.enqueue(0, CounterKey(1), 1.0, 1_000, now + 30);
+        line.write_requests(now, "counter", &mut out);
+        line.expire_calls(now, &mut counted);
         if now == 50 {
             let mut bytes = Vec::new();
             framing::write_response(&mut bytes, 200, &[], b"1", false);
@@ -204,16 +201,16 @@
                 .unwrap()
                 .unwrap();
             assert_eq!(
-                line.answered(now, &answer),
-                CounterResponse::Late { asker: 0 }
+                line.handle_response(now, &answer),
+                CounterResponse::Late { engine_index: 0 }
             );
         }
-        assert_eq!(line.stale(now - 100), now >= 150, "at {now}");
+        assert_eq!(line.is_silent_since(now - 100), now >= 150, "at {now}");
     }
     // Nothing is owed to one on which everything was answered.
     let mut rested = CounterConnection::default();
-    rested.connected(0);
-    assert!(!rested.stale(1_000));
+    rested.handle_connected(0);
+    assert!(!rested.is_silent_since(1_000));
 }
 
 #[test]
