--- a/crates/limiter/src/config/introspection.rs
+++ b/crates/limiter/src/config/introspection.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use streamarch::{Class, Idempotency, Micros, Plan, Settings};
 
-use crate::config::{Config, ConfigError, NameTables, need, own};
+use crate::config::{Config, ConfigError, NameTables, parse_section, require};
 use crate::frontend::introspection::{Caller, IntrospectionEndpoint};
 use crate::frontend::platform;
 
@@ -20,11 +20,11 @@
     /// The introspection servers that we ask.
     pub upstreams: Vec<SocketAddr>,
     /// How we ask them.
-    pub asking: IntrospectionEndpoint,
+    pub endpoint: IntrospectionEndpoint,
     /// Most tokens that are remembered.
     pub cache_entries: usize,
     /// How long one is remembered at the most.
-    pub cache_for: Micros,
+    pub cache_ttl: Micros,
     /// Settings of the module where it decides on asking: a class safe to repeat, the callers' plans, and last a
     /// plan without quota for what we ask on our own account.
     pub settings: Settings,
@@ -80,15 +80,15 @@
 
 impl CallerFile {
     fn caller(self, names: &NameTables) -> Result<Caller, Fault> {
-        let account = need("account", self.account)?;
-        let customer =
-            platform::customer(&account).ok_or(Fault::at("account", "is not 16 hex digits"))?;
+        let account = require("account", self.account)?;
+        let customer = platform::parse_customer_id(&account)
+            .ok_or(Fault::at("account", "is not 16 hex digits"))?;
         let plan = self
             .plan
             .and_then(|plan| names.plans.iter().position(|name| *name == plan));
         Ok(Caller {
-            id: need("id", self.id)?,
-            secret: need("secret", self.secret)?,
+            client_id: require("id", self.id)?,
+            client_secret: require("secret", self.secret)?,
             customer,
             plan: plan.ok_or_else(|| Fault::at("plan", "is not the name of a plan"))?,
         })
@@ -100,8 +100,8 @@
     ///
     /// # Errors
     /// The first key that is unknown, missing or cannot be used, under `introspection`.
-    pub fn introspect(&mut self, text: &str) -> Result<(), ConfigError> {
-        let file: File = own("introspection", text)?;
+    pub fn apply_introspection(&mut self, text: &str) -> Result<(), ConfigError> {
+        let file: File = parse_section("introspection", text)?;
         let Some(listen) = file.listen else {
             return Ok(());
         };
@@ -138,14 +138,14 @@
         Ok(IntrospectionConfig {
             listen,
             upstreams: file.upstreams,
-            asking: IntrospectionEndpoint {
+            endpoint: IntrospectionEndpoint {
                 path: file.path,
-                id: need("id", file.id)?,
-                secret: need("secret", file.secret)?,
+                client_id: require("id", file.id)?,
+                client_secret: require("secret", file.secret)?,
             },
             callers: callers(file.callers, &self.names)?,
             cache_entries: file.cache_entries as usize,
-            cache_for: (file.cache_s * 1e6) as Micros,
+            cache_ttl: (file.cache_s * 1e6) as Micros,
             settings,
         })
     }
@@ -161,7 +161,7 @@
 ///
 /// # Errors
 /// Text that is not JSON; the first key of a caller that cannot be used.
-pub fn callers_text(text: &[u8], names: &NameTables) -> Result<Option<Vec<Caller>>, ConfigError> {
+pub fn parse_callers(text: &[u8], names: &NameTables) -> Result<Option<Vec<Caller>>, ConfigError> {
     let text = std::str::from_utf8(text).map_err(|_| Fault::at("", "not JSON: not UTF-8"))?;
     let document: Document = config_check::read(text)?;
     Ok(document
--- a/crates/limiter/src/config/mod.rs
+++ b/crates/limiter/src/config/mod.rs
@@ -19,8 +19,8 @@
 
 use crate::limits::Limits;
 use crate::net::inherited;
-pub use introspection::{IntrospectionConfig, callers_text};
-pub use platform::{NameTables, settings_text};
+pub use introspection::{IntrospectionConfig, parse_callers};
+pub use platform::{NameTables, parse_settings};
 pub use raft::RaftConfig;
 
 /// What is wrong with the configuration, and where.
@@ -50,7 +50,7 @@
 }
 
 /// Reads a file of our own; its faults are named under what it is.
-fn own<T: DeserializeOwned>(what: &str, text: &str) -> Result<T, Fault> {
+fn parse_section<T: DeserializeOwned>(what: &str, text: &str) -> Result<T, Fault> {
     config_check::read(text).map_err(|fault| {
         if fault.key.is_empty() {
             fault
@@ -60,7 +60,7 @@
     })
 }
 
-fn need<T>(key: &str, value: Option<T>) -> Result<T, Fault> {
+fn require<T>(key: &str, value: Option<T>) -> Result<T, Fault> {
     value.ok_or_else(|| Fault::at(key, "is missing"))
 }
 
@@ -74,7 +74,7 @@
     /// Discovery.
     pub discovery: SocketAddr,
     /// Discovery as the file names it, whatever the environment says.
-    pub discovery_in_file: Option<SocketAddr>,
+    pub file_discovery: Option<SocketAddr>,
     /// The counter, if there is one.
     pub counter: Option<SocketAddr>,
     /// Where datagrams of other limiters arrive.
@@ -82,13 +82,13 @@
     /// The limiters of the tier by number.
     pub peers: Vec<SocketAddr>,
     /// The list of servers as last held.
-    pub known: Value,
+    pub cached_servers: Value,
     /// Where operators call, if they do.
-    pub ops: Option<SocketAddr>,
+    pub ops_listen: Option<SocketAddr>,
     /// Number of the descriptor under which the clients' listening socket was inherited, where it was.
-    pub passed: Option<u32>,
+    pub inherited_listener: Option<u32>,
     /// Where processes of this limiter that overlap tell each other what operators asked for.
-    pub shared_folder: Option<PathBuf>,
+    pub handover_folder: Option<PathBuf>,
     /// For random numbers.
     pub seed: u64,
     /// The module's settings.
@@ -96,13 +96,13 @@
     /// Names of classes, plans, zones and kinds of machine, by position.
     pub names: NameTables,
     /// Probes bring load reports.
-    pub reports: bool,
+    pub probes_report_load: bool,
     /// Sizes, counts and times.
     pub limits: Limits,
     /// The second front, where it is on.
     pub introspection: Option<IntrospectionConfig>,
     /// The instances that agree on a configuration, where they do.
-    pub cluster: Option<RaftConfig>,
+    pub raft: Option<RaftConfig>,
 }
 
 /// Variables of the environment that stand above the file's keys.
@@ -178,13 +178,13 @@
             .ok_or_else(|| Fault::at("ROUTER_CONFIG", "is not set"))?;
         let mut config = self.parse(&read(path)?)?;
         if let Some(path) = self.introspection.clone() {
-            config.introspect(&read(path)?)?;
+            config.apply_introspection(&read(path)?)?;
         }
         if let Some(path) = self.raft.clone() {
-            config.agree(&read(path)?)?;
+            config.apply_raft(&read(path)?)?;
         }
         if let Some(path) = self.shared.clone() {
-            config.share(&read(path)?)?;
+            config.apply_shared_state(&read(path)?)?;
         }
         Ok(config)
     }
@@ -195,42 +195,42 @@
     /// Text that is not JSON; the first key that is missing or cannot be used.
     pub fn parse(&self, text: &str) -> Result<Config, ConfigError> {
         let file: platform::File = config_check::read(text)?;
-        let settings = need("settings", file.settings)?;
+        let settings = require("settings", file.settings)?;
         settings.check().map_err(|fault| fault.under("settings"))?;
         let ops = address(&self.ops, "ROUTER_OPS", file.ops)?;
         let passed = self.passed.as_deref().map(str::parse::<u32>).transpose();
         let seed = u64::from_str_radix(file.seed.as_deref().unwrap_or("1"), 16);
         Ok(Config {
             name: self.name.clone().or(file.name).unwrap_or_default(),
-            listen: need(
+            listen: require(
                 "listen",
                 address(&self.listen, "ROUTER_LISTEN", file.listen)?,
             )?,
-            discovery: need(
+            discovery: require(
                 "discovery",
                 address(&self.discovery, "ROUTER_DISCOVERY", file.discovery)?,
             )?,
-            discovery_in_file: file.discovery,
+            file_discovery: file.discovery,
             counter: file.counter,
             peer_listen: file.peer_listen,
             peers: file.peers.unwrap_or_default(),
-            known: file.known,
-            ops,
+            cached_servers: file.known,
+            ops_listen: ops,
             // Without an inherited socket no two processes of a limiter overlap.
-            shared_folder: self
+            handover_folder: self
                 .passed
                 .as_ref()
                 .and(self.folder.as_ref())
                 .map(PathBuf::from),
-            passed: passed
+            inherited_listener: passed
                 .map_err(|_| Fault::at(inherited::VARIABLE, "is no descriptor's number"))?,
             seed: seed.map_err(|_| Fault::at("seed", "is not a number in hex"))?,
             names: settings.names(),
-            reports: settings.reports(),
+            probes_report_load: settings.reports(),
             limits: settings.limits(&file.limits.unwrap_or_default(), ops.is_some()),
             settings: settings.module(),
             introspection: None,
-            cluster: None,
+            raft: None,
         })
     }
 }
--- a/crates/limiter/src/config/platform.rs
+++ b/crates/limiter/src/config/platform.rs
@@ -201,7 +201,7 @@
 ///
 /// # Errors
 /// Text that is not JSON; the first key that cannot be used.
-pub fn settings_text(text: &str) -> Result<Settings, ConfigError> {
+pub fn parse_settings(text: &str) -> Result<Settings, ConfigError> {
     let file: SettingsFile = config_check::read(text)?;
     file.check_lanes()?;
     Ok(file.module())
--- a/crates/limiter/src/config/raft.rs
+++ b/crates/limiter/src/config/raft.rs
@@ -7,7 +7,7 @@
 use config_check::Fault;
 use serde::Deserialize;
 
-use crate::config::{Config, ConfigError, need, own};
+use crate::config::{Config, ConfigError, parse_section, require};
 
 /// The instances that agree on a configuration by Raft.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     fn member(&self) -> Result<(u64, SocketAddr), Fault> {
         match self.id {
             0 => Err(Fault::at("id", "is not above 0")),
-            id => Ok((u64::from(id), need("address", self.address)?)),
+            id => Ok((u64::from(id), require("address", self.address)?)),
         }
     }
 }
@@ -58,12 +58,12 @@
     ///
     /// # Errors
     /// The first key that is unknown, missing or cannot be used, under `raft`.
-    pub fn agree(&mut self, text: &str) -> Result<(), ConfigError> {
-        let file: File = own("raft", text)?;
+    pub fn apply_raft(&mut self, text: &str) -> Result<(), ConfigError> {
+        let file: File = parse_section("raft", text)?;
         let Some(listen) = file.listen else {
             return Ok(());
         };
-        self.cluster = Some(file.cluster(listen).map_err(|e| e.under("raft"))?);
+        self.raft = Some(file.cluster(listen).map_err(|e| e.under("raft"))?);
         Ok(())
     }
 }
@@ -87,11 +87,11 @@
         if distinct.len() != members.len() {
             return Err(Fault::at("members", "has an id twice"));
         }
-        let secret = need("secret", self.secret)?;
+        let secret = require("secret", self.secret)?;
         if secret.len() < SECRET || !secret.bytes().all(|b| b.is_ascii_graphic()) {
             return Err(Fault::at("secret", "is not 16 or more visible characters"));
         }
-        let folder = need("folder", self.folder)?;
+        let folder = require("folder", self.folder)?;
         Ok(RaftConfig {
             listen,
             id,
--- a/crates/limiter/src/config/shared_state.rs
+++ b/crates/limiter/src/config/shared_state.rs
@@ -3,7 +3,7 @@
 
 use serde::Deserialize;
 
-use crate::config::{Config, ConfigError, own};
+use crate::config::{Config, ConfigError, parse_section};
 
 /// What a limiter grants while the counter is lost.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
@@ -27,8 +27,8 @@
     ///
     /// # Errors
     /// A key that is unknown or a value that is none of those named, under `shared`.
-    pub fn share(&mut self, text: &str) -> Result<(), ConfigError> {
-        let file: File = own("shared", text)?;
+    pub fn apply_shared_state(&mut self, text: &str) -> Result<(), ConfigError> {
+        let file: File = parse_section("shared", text)?;
         self.settings.even_shares_counter_lost = file.counter_lost == CounterLost::Slices;
         Ok(())
     }
--- a/crates/limiter/src/frontend/introspection.rs
+++ b/crates/limiter/src/frontend/introspection.rs
@@ -10,7 +10,7 @@
 use streamarch::{CustomerId, Micros};
 
 use crate::engine::EngineRejection;
-use crate::frontend::platform::{CUSTOMERS, customer};
+use crate::frontend::platform::{CUSTOMERS, parse_customer_id};
 use crate::frontend::{Rejection, UpstreamRequest, reject};
 use crate::net::framing::{Headers, Request, Response};
 
@@ -23,9 +23,9 @@
 #[derive(Clone, PartialEq, Eq)]
 pub struct Caller {
     /// Its `client_id`.
-    pub id: String,
+    pub client_id: String,
     /// Its `client_secret`.
-    pub secret: String,
+    pub client_secret: String,
     /// Whose quota its calls take from...
     pub customer: CustomerId,
     /// ...and that customer's plan, by position.
@@ -35,7 +35,7 @@
 impl fmt::Debug for Caller {
     /// Without the secret: what can be printed ends up in a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Caller({})", self.id)
+        write!(f, "Caller({})", self.client_id)
     }
 }
 
@@ -51,7 +51,7 @@
 
 impl Token {
     /// A token of the characters that RFC 6750 allows (`b64token`).
-    pub fn new(text: &str) -> Option<Token> {
+    pub fn parse(text: &str) -> Option<Token> {
         let body = text.trim_end_matches('=');
         let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~+/".contains(&b);
         (!body.is_empty() && text.len() <= TOKEN_BYTES && body.bytes().all(plain))
@@ -67,7 +67,7 @@
     /// The position of its plan.
     pub plan: usize,
     /// The token is good until then; `None`: its server does not say.
-    pub expires: Option<Micros>,
+    pub expires_at: Option<Micros>,
 }
 
 /// What an introspection server found.
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 /// The body can't be believed; the error says why.
-pub fn read_finding(
+pub fn parse_result(
     body: &[u8],
     plans: &[String],
     now: Micros,
@@ -115,7 +115,7 @@
             let subject = members
                 .get("sub")
                 .and_then(Value::as_str)
-                .and_then(customer)
+                .and_then(parse_customer_id)
                 .ok_or(InvalidIntrospectionResponse("sub"))?;
             let plan = members
                 .get("plan")
@@ -142,23 +142,23 @@
             Ok(IntrospectionResult::Active(Identity {
                 customer: subject,
                 plan,
-                expires,
+                expires_at: expires,
             }))
         }
     }
 }
 
 /// Words a finding for a caller of ours. Of a token that is not active nothing more is told.
-pub fn write_finding(finding: IntrospectionResult, plans: &[String], now: Micros) -> Vec<u8> {
+pub fn encode_result(finding: IntrospectionResult, plans: &[String], now: Micros) -> Vec<u8> {
     let value = match finding {
-        IntrospectionResult::Active(identity) if identity.expires.is_none_or(|at| at > now) => {
+        IntrospectionResult::Active(identity) if identity.expires_at.is_none_or(|at| at > now) => {
             let mut value = json!({
                 "active": true,
                 "token_type": "Bearer",
                 "sub": format!("{:016x}", identity.customer.0),
                 "plan": plans.get(identity.plan),
             });
-            if let Some(at) = identity.expires {
+            if let Some(at) = identity.expires_at {
                 value["exp"] = json!(at / 1_000_000);
             }
             value
@@ -202,14 +202,14 @@
     }
 
     /// Keeps what was found of a token. A token that is not active, or without an expiry, is asked for each time.
-    pub fn keep(&mut self, token: &Token, finding: IntrospectionResult, now: Micros) {
+    pub fn insert(&mut self, token: &Token, finding: IntrospectionResult, now: Micros) {
         if let Some((end, _)) = self.known.remove(token) {
             self.ends.remove(&(end, token.clone()));
         }
         let IntrospectionResult::Active(identity) = finding else {
             return;
         };
-        let Some(expires) = identity.expires.filter(|at| *at > now && self.most > 0) else {
+        let Some(expires) = identity.expires_at.filter(|at| *at > now && self.most > 0) else {
             return;
         };
         if self.known.len() >= self.most
@@ -237,7 +237,7 @@
 ///
 /// # Errors
 /// There is no token, or more than one, or it is malformed.
-pub fn bearer(headers: &Headers) -> Result<Token, Challenge> {
+pub fn bearer_token(headers: &Headers) -> Result<Token, Challenge> {
     if !headers.contains("Authorization") {
         return Err(Challenge::Missing);
     }
@@ -246,7 +246,7 @@
     if !scheme.eq_ignore_ascii_case("Bearer") {
         return Err(Challenge::Missing);
     }
-    Token::new(text.trim()).ok_or(Challenge::Malformed)
+    Token::parse(text.trim()).ok_or(Challenge::Malformed)
 }
 
 /// Why a bearer token does not do.
@@ -262,7 +262,7 @@
 
 impl Challenge {
     /// Status and `WWW-Authenticate`.
-    pub fn answer(self) -> (u16, &'static str) {
+    pub fn response(self) -> (u16, &'static str) {
         match self {
             Challenge::Missing => (401, "Bearer"),
             Challenge::Malformed => (400, "Bearer error=\"invalid_request\""),
@@ -272,7 +272,7 @@
 }
 
 /// Compares without telling by its time how much was right.
-pub fn same(a: &str, b: &str) -> bool {
+pub fn constant_time_eq(a: &str, b: &str) -> bool {
     let differ = a
         .bytes()
         .zip(b.bytes())
@@ -281,14 +281,14 @@
 }
 
 /// The caller of `/introspect`, by HTTP Basic as RFC 6749 words it (both parts form-encoded).
-pub fn caller<'a>(headers: &Headers, callers: &'a [Caller]) -> Option<&'a Caller> {
+pub fn authenticate_caller<'a>(headers: &Headers, callers: &'a [Caller]) -> Option<&'a Caller> {
     let (scheme, text) = headers.get("Authorization")?.split_once(' ')?;
     let text = String::from_utf8(STANDARD.decode(text.trim()).ok()?).ok()?;
     let (id, secret) = text.split_once(':')?;
     let (id, secret) = (form_word(id), form_word(secret));
-    let known = callers
-        .iter()
-        .find(|caller| same(&caller.id, &id) && same(&caller.secret, &secret));
+    let known = callers.iter().find(|caller| {
+        constant_time_eq(&caller.client_id, &id) && constant_time_eq(&caller.client_secret, &secret)
+    });
     known.filter(|_| scheme.eq_ignore_ascii_case("Basic"))
 }
 
@@ -303,7 +303,7 @@
 ///
 /// # Errors
 /// The request is no question about a token.
-pub fn asked(request: &Request) -> Result<Token, Rejection> {
+pub fn parse_token_request(request: &Request) -> Result<Token, Rejection> {
     let kind = request.headers.get("Content-Type").unwrap_or_default();
     let kind = kind.split(';').next().unwrap_or_default().trim();
     if !kind.eq_ignore_ascii_case("application/x-www-form-urlencoded") {
@@ -314,12 +314,12 @@
         return Err(reject(400, "{\"error\":\"invalid_request\"}"));
     };
     // A word that can be no token is not an error of the caller: it is a token that nobody knows.
-    Ok(Token::new(&text).unwrap_or(Token(String::new())))
+    Ok(Token::parse(&text).unwrap_or(Token(String::new())))
 }
 
 impl Token {
     /// No token can be this.
-    pub fn is_void(&self) -> bool {
+    pub fn is_invalid(&self) -> bool {
         self.0.is_empty()
     }
 }
@@ -330,25 +330,29 @@
     /// Path of its endpoint.
     pub path: String,
     /// Our `client_id` there.
-    pub id: String,
+    pub client_id: String,
     /// Our `client_secret` there.
-    pub secret: String,
+    pub client_secret: String,
 }
 
 impl fmt::Debug for IntrospectionEndpoint {
     /// Without the secret.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Asking({} as {})", self.path, self.id)
+        write!(f, "Asking({} as {})", self.path, self.client_id)
     }
 }
 
 impl IntrospectionEndpoint {
     /// The request that asks about a token.
-    pub fn forward(&self, token: &Token) -> UpstreamRequest {
+    pub fn build_request(&self, token: &Token) -> UpstreamRequest {
         let word =
             |text: &str| form_urlencoded::byte_serialize(text.as_bytes()).collect::<String>();
         let body = format!("token={}&token_type_hint=access_token", word(&token.0)).into_bytes();
-        let basic = STANDARD.encode(format!("{}:{}", word(&self.id), word(&self.secret)));
+        let basic = STANDARD.encode(format!(
+            "{}:{}",
+            word(&self.client_id),
+            word(&self.client_secret)
+        ));
         let head = format!(
             "POST {} HTTP/1.1\r\nHost: introspection.local\r\nAuthorization: Basic {basic}\r\n\
              Content-Type: application/x-www-form-urlencoded\r\nAccept: application/json\r\n\
@@ -368,19 +372,19 @@
 ///
 /// # Errors
 /// The answer can't be believed; the error says why.
-pub fn judge(
+pub fn parse_response(
     answer: &Response,
     plans: &[String],
     now: Micros,
 ) -> Result<IntrospectionResult, InvalidIntrospectionResponse> {
     match answer.status {
-        200 => read_finding(&answer.body, plans, now),
+        200 => parse_result(&answer.body, plans, now),
         _ => Err(InvalidIntrospectionResponse("status")),
     }
 }
 
 /// Status and `WWW-Authenticate` of an ending, for a client that showed a token.
-pub fn status(ending: EngineRejection) -> (u16, Option<&'static str>) {
+pub fn rejection_status(ending: EngineRejection) -> (u16, Option<&'static str>) {
     match ending {
         EngineRejection::Declined {
             over_quota: true, ..
@@ -392,14 +396,14 @@
         EngineRejection::Expired {
             may_have_run: false,
         } => {
-            let (status, challenge) = Challenge::Invalid.answer();
+            let (status, challenge) = Challenge::Invalid.response();
             (status, Some(challenge))
         }
     }
 }
 
 /// Customers beyond those of the platform are nobody's.
-pub fn house() -> CustomerId {
+pub fn internal_customer() -> CustomerId {
     CustomerId(CUSTOMERS)
 }
 
--- a/crates/limiter/src/frontend/introspection/tests.rs
+++ b/crates/limiter/src/frontend/introspection/tests.rs
@@ -10,20 +10,20 @@
     IntrospectionResult::Active(Identity {
         customer: CustomerId(5),
         plan: 1,
-        expires: Some(expires),
+        expires_at: Some(expires),
     })
 }
 
 #[test]
 fn a_finding_survives_its_wording() {
     let found = active(90 * SECOND);
-    let body = write_finding(found, &plans(), 10 * SECOND);
-    assert_eq!(read_finding(&body, &plans(), 10 * SECOND), Ok(found));
+    let body = encode_result(found, &plans(), 10 * SECOND);
+    assert_eq!(parse_result(&body, &plans(), 10 * SECOND), Ok(found));
 }
 
 #[test]
 fn of_a_token_that_ran_out_only_that_is_told() {
-    let body = write_finding(active(9 * SECOND), &plans(), 10 * SECOND);
+    let body = encode_result(active(9 * SECOND), &plans(), 10 * SECOND);
     assert_eq!(body, b"{\"active\":false}");
 }
 
@@ -44,7 +44,7 @@
         "{\"active\":true,\"sub\":\"ffffffffffffffff\",\"plan\":\"empresa\",\"exp\":90}",
     ] {
         assert!(
-            read_finding(lie.as_bytes(), &plans(), 10 * SECOND).is_err(),
+            parse_result(lie.as_bytes(), &plans(), 10 * SECOND).is_err(),
             "{lie}"
         );
     }
@@ -53,9 +53,9 @@
 #[test]
 fn the_cache_is_bounded_in_size_and_by_expiry() {
     let mut cache = TokenCache::new(2, 30 * SECOND);
-    let token = |n: u32| Token::new(&format!("t{n}")).unwrap();
+    let token = |n: u32| Token::parse(&format!("t{n}")).unwrap();
     for (n, end) in [(1, 100), (2, 20), (3, 200)] {
-        cache.keep(&token(n), active(end * SECOND), 10 * SECOND);
+        cache.insert(&token(n), active(end * SECOND), 10 * SECOND);
     }
     assert_eq!(cache.len(), 2);
     assert!(
@@ -68,13 +68,13 @@
         "kept no longer than the longest"
     );
     assert!(cache.is_empty());
-    cache.keep(&token(4), active(50 * SECOND), 45 * SECOND);
+    cache.insert(&token(4), active(50 * SECOND), 45 * SECOND);
     assert!(
         cache.get(&token(4), 50 * SECOND).is_none(),
         "not kept past its expiry"
     );
-    cache.keep(&token(5), active(99 * SECOND), 50 * SECOND);
-    cache.keep(&token(5), IntrospectionResult::Inactive, 51 * SECOND);
+    cache.insert(&token(5), active(99 * SECOND), 50 * SECOND);
+    cache.insert(&token(5), IntrospectionResult::Inactive, 51 * SECOND);
     assert!(
         cache.get(&token(5), 51 * SECOND).is_none(),
         "a later finding stands"
@@ -84,24 +84,24 @@
 #[test]
 fn tokens_and_secrets_do_not_show_when_printed() {
     let caller = Caller {
-        id: "office".into(),
-        secret: "hush".into(),
+        client_id: "office".into(),
+        client_secret: "hush".into(),
         customer: CustomerId(1),
         plan: 0,
     };
     let asking = IntrospectionEndpoint {
         path: "/introspect".into(),
-        id: "us".into(),
-        secret: "hush".into(),
+        client_id: "us".into(),
+        client_secret: "hush".into(),
     };
-    let shown = format!("{:?} {caller:?} {asking:?}", Token::new("hush").unwrap());
+    let shown = format!("{:?} {caller:?} {asking:?}", Token::parse("hush").unwrap());
     assert!(!shown.contains("hush"), "{shown}");
 }
 
 #[test]
 fn what_is_no_token_is_none() {
     for bad in ["", "=", "a b", "a\"", "é", &"a".repeat(TOKEN_BYTES + 1)] {
-        assert!(Token::new(bad).is_none(), "{bad}");
+        assert!(Token::parse(bad).is_none(), "{bad}");
     }
-    assert!(Token::new("aZ09-._~+/==").is_some());
+    assert!(Token::parse("aZ09-._~+/==").is_some());
 }
--- a/crates/limiter/src/frontend/mod.rs
+++ b/crates/limiter/src/frontend/mod.rs
@@ -18,14 +18,14 @@
 
 impl UpstreamRequest {
     /// What goes on of a request: line, the lines that servers need, body.
-    pub fn of(request: &Request) -> UpstreamRequest {
+    pub fn from_request(request: &Request) -> UpstreamRequest {
         let framed = request.method != "GET" || !request.body.is_empty();
         let framing = framed.then(|| format!("Content-Length: {}\r\n", request.body.len()));
         UpstreamRequest::with(request, &framing.unwrap_or_default())
     }
 
     /// The same of a request whose body goes on while it comes.
-    pub fn streamed(request: &Request, extent: BodyFraming) -> UpstreamRequest {
+    pub fn from_streaming_request(request: &Request, extent: BodyFraming) -> UpstreamRequest {
         match extent {
             BodyFraming::Length(length) => {
                 UpstreamRequest::with(request, &format!("Content-Length: {length}\r\n"))
--- a/crates/limiter/src/frontend/platform.rs
+++ b/crates/limiter/src/frontend/platform.rs
@@ -21,7 +21,7 @@
     /// The classes.
     pub classes: Vec<Class>,
     /// Number of limiters.
-    pub limiters: u32,
+    pub limiter_count: u32,
 }
 
 fn number(text: &str) -> Option<f64> {
@@ -39,7 +39,7 @@
     /// When the final answer is due.
     pub deadline: Micros,
     /// A client's repeat.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 impl PlatformFrontend {
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// A header is missing or malformed.
-    pub fn basics(
+    pub fn parse_common_fields(
         &self,
         request: &Request,
         limits: &Limits,
@@ -96,17 +96,22 @@
             return Err(reject(400, "Idempotency-Key"));
         }
         let deadline = self
-            .wait(headers, limits, now)
+            .parse_deadline(headers, limits, now)
             .ok_or(reject(400, "X-Expires-In"))?;
         Ok(CommonFields {
             class,
             deadline,
-            again: headers.get("X-Second-Try") == Some("1"),
+            is_retry: headers.get("X-Second-Try") == Some("1"),
         })
     }
 
     /// When the final answer is due, by `X-Expires-In`.
-    pub fn wait(&self, headers: &Headers, limits: &Limits, now: Micros) -> Option<Micros> {
+    pub fn parse_deadline(
+        &self,
+        headers: &Headers,
+        limits: &Limits,
+        now: Micros,
+    ) -> Option<Micros> {
         let wait = headers
             .get("X-Expires-In")
             .and_then(number)
@@ -126,7 +131,7 @@
         limits: &Limits,
         now: Micros,
     ) -> Result<Authorisation, Rejection> {
-        let basics = self.basics(request, limits, now)?;
+        let basics = self.parse_common_fields(request, limits, now)?;
         let headers = &request.headers;
         headers.get("X-Qos").ok_or(reject(400, "X-Qos"))?;
         let plan = headers
@@ -136,7 +141,7 @@
         let terms = headers
             .get("X-Call-Terms")
             .ok_or(reject(400, "X-Call-Terms"))?;
-        let (units, (spread, first)) = self.terms(terms, limits, None)?;
+        let (units, (spread, first)) = self.parse_call_terms(terms, limits, None)?;
         Ok(Authorisation {
             class: basics.class,
             plan,
@@ -145,7 +150,7 @@
             units,
             limiter_count: spread,
             first_limiter: first,
-            is_retry: basics.again,
+            is_retry: basics.is_retry,
             token_expires_at: None,
             ..Authorisation::default()
         })
@@ -155,7 +160,7 @@
     ///
     /// # Errors
     /// A header is missing or malformed.
-    pub fn terms(
+    pub fn parse_call_terms(
         &self,
         text: &str,
         limits: &Limits,
@@ -178,7 +183,7 @@
         }
         let units = units
             .filter(|units| *units > 0.0 && units * 1_000.0 <= limits.max_units_thousandths as f64);
-        let most = f64::from(self.limiters.max(1));
+        let most = f64::from(self.limiter_count.max(1));
         let told = spread.zip(first).and_then(|(spread, first)| {
             let whole = spread.fract() == 0.0 && first.fract() == 0.0;
             let fits = whole && (1.0..=most).contains(&spread) && (0.0..most).contains(&first);
@@ -200,18 +205,18 @@
     let (text, None) = (named.next()?, named.next()) else {
         return None;
     };
-    customer(text)
+    parse_customer_id(text)
 }
 
 /// A customer as 16 hex digits.
-pub fn customer(text: &str) -> Option<CustomerId> {
+pub fn parse_customer_id(text: &str) -> Option<CustomerId> {
     let plain = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     let number = u64::from_str_radix(text, 16).ok()?;
     (plain && number < CUSTOMERS).then_some(CustomerId(number))
 }
 
 /// The status of an ending, and how long the client had better stay away.
-pub fn status(ending: EngineRejection) -> (u16, Micros) {
+pub fn rejection_status(ending: EngineRejection) -> (u16, Micros) {
     match ending {
         EngineRejection::Declined {
             retry_after: stay_away,
--- a/crates/limiter/src/net/host/acquirers.rs
+++ b/crates/limiter/src/net/host/acquirers.rs
@@ -285,7 +285,7 @@
                     key,
                     RECORDS,
                     authorisation,
-                    UpstreamRequest::of(&request),
+                    UpstreamRequest::from_request(&request),
                     Purpose::Platform,
                 );
             }
@@ -432,7 +432,7 @@
         };
         match pending.purpose {
             Purpose::Platform => {
-                let (status, stay_away) = platform::status(ending);
+                let (status, stay_away) = platform::rejection_status(ending);
                 self.decline(pending.origin, status, stay_away, &[], b"");
             }
             purpose => self.ended_tokens(pending.origin, purpose, ending),
--- a/crates/limiter/src/net/host/agreement.rs
+++ b/crates/limiter/src/net/host/agreement.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::config::{self, RaftConfig};
-use crate::frontend::introspection::same;
+use crate::frontend::introspection::constant_time_eq;
 use crate::net::framing::Request;
 use crate::raft::{self, Member, RaftError};
 
@@ -140,7 +140,7 @@
             .headers
             .get("Authorization")
             .and_then(|value| value.strip_prefix("Bearer "));
-        if !shown.is_some_and(|shown| same(shown, &agreement.secret)) {
+        if !shown.is_some_and(|shown| constant_time_eq(shown, &agreement.secret)) {
             return self.answer(key, 401, &[("WWW-Authenticate", "Bearer")], b"");
         }
         match (request.method.as_str(), request.target.as_str()) {
@@ -164,7 +164,7 @@
                 );
             }
             ("PUT", "/configuration") => {
-                if let Err(error) = config::callers_text(&request.body, &self.platform.names) {
+                if let Err(error) = config::parse_callers(&request.body, &self.platform.names) {
                     return self.answer(key, 400, &[], error.to_string().as_bytes());
                 }
                 let stepped = agreement.member.propose(&request.body);
@@ -201,7 +201,7 @@
 
     /// The members agree on this: from now on it holds here too.
     fn take_document(&mut self, document: &[u8]) {
-        match config::callers_text(document, &self.platform.names) {
+        match config::parse_callers(document, &self.platform.names) {
             Ok(Some(callers)) => {
                 self.log(&format!(
                     "configuration agreed on: {} callers",
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -362,13 +362,15 @@
         let platform = PlatformFrontend {
             names: config.names,
             classes: settings.classes.clone(),
-            limiters: settings.gateway_count,
+            limiter_count: settings.gateway_count,
         };
         let tell = settings.can_notify_gateways;
-        let known = table.load_cached(&config.known).unwrap_or_else(|error| {
-            tracing::warn!(limiter = %config.name, "known list not taken: {error}");
-            TableUpdate::new(ListKind::Cached)
-        });
+        let known = table
+            .load_cached(&config.cached_servers)
+            .unwrap_or_else(|error| {
+                tracing::warn!(limiter = %config.name, "known list not taken: {error}");
+                TableUpdate::new(ListKind::Cached)
+            });
         let plans = settings.plans.len();
         let counter = config.counter.filter(|_| settings.counter_available);
         let mut listeners = Vec::new();
@@ -377,7 +379,7 @@
             listeners.push((door, listener, token));
             io::Result::Ok(())
         };
-        let platform_listener = match config.passed {
+        let platform_listener = match config.inherited_listener {
             Some(number) => inherited::listener(number, config.listen).map_err(io::Error::other)?,
             None => bind(config.listen, &limits)?,
         };
@@ -398,13 +400,13 @@
             tokens = Some(Tokens::new(front, plans));
         }
         let mut agreement = None;
-        if let Some(cluster) = &config.cluster {
+        if let Some(cluster) = &config.raft {
             open_door(Door::Agreement, bind(cluster.listen, &limits)?)?;
             agreement = Some(Agreement::open(cluster)?);
         }
         let datagrams = match config.peer_listen.filter(|_| tell) {
             Some(address) => {
-                let socket = bind_datagrams(address, config.passed.is_some())?;
+                let socket = bind_datagrams(address, config.inherited_listener.is_some())?;
                 let source = Generic::new(socket.try_clone()?, Interest::READ, Mode::Level);
                 let read = |_: Readiness, _: &mut _, host: &mut Host| {
                     host.read_datagrams();
@@ -419,7 +421,7 @@
             handle,
             clock,
             name: config.name,
-            lifecycle: Lifecycle::new(config.passed.is_some()),
+            lifecycle: Lifecycle::new(config.inherited_listener.is_some()),
             operators: None,
             handover: None,
             connections: SlotMap::with_key(),
@@ -440,7 +442,7 @@
             agreement,
             table,
             discovery: config.discovery,
-            discovery_in_file: config.discovery_in_file,
+            discovery_in_file: config.file_discovery,
             watch: Watch {
                 wait: limits.watch_retry_delay,
                 ..Watch::default()
@@ -452,16 +454,16 @@
             datagrams,
             peers: Peers::new(config.peers),
             plans,
-            reports: config.reports,
+            reports: config.probes_report_load,
             listen: config.listen,
             settings: module,
             limits,
         };
         host.take_news(known);
-        if let Some(folder) = &config.shared_folder {
+        if let Some(folder) = &config.handover_folder {
             host.share(folder);
         }
-        if let Some(address) = config.ops {
+        if let Some(address) = config.ops_listen {
             host.listen_to_operators(address)?;
         }
         host.list_upstreams();
--- a/crates/limiter/src/net/host/operators.rs
+++ b/crates/limiter/src/net/host/operators.rs
@@ -49,7 +49,7 @@
             let spared = self
                 .operators
                 .as_mut()
-                .and_then(|o| o.callers.came(key, now, &self.limits));
+                .and_then(|o| o.callers.insert(key, now, &self.limits));
             spared.into_iter().for_each(|oldest| _ = self.close(oldest));
             self.deadlines
                 .schedule(now + self.limits.operator_idle_timeout, Due::Callers);
@@ -63,7 +63,7 @@
         while let Some(key) = self
             .operators
             .as_ref()
-            .and_then(|o| o.callers.overdue(now, &self.limits))
+            .and_then(|o| o.callers.first_timed_out(now, &self.limits))
         {
             self.close(key);
         }
@@ -72,7 +72,7 @@
     pub(super) fn operator_left(&mut self, key: ConnectionKey) {
         self.operators
             .iter_mut()
-            .for_each(|operators| operators.callers.left(key));
+            .for_each(|operators| operators.callers.remove(key));
     }
 
     pub(super) fn read_call(&mut self, key: ConnectionKey) {
@@ -83,7 +83,7 @@
             // What comes behind the call is thrown away, so that the close does not reset the answer.
             return connection.input.clear();
         }
-        let call = match OperatorCommand::read(&connection.input, &self.limits) {
+        let call = match OperatorCommand::parse(&connection.input, &self.limits) {
             Ok(None) => return,
             Ok(Some(call)) => Ok(call),
             Err(fault) => Err(fault),
--- a/crates/limiter/src/net/host/reloading.rs
+++ b/crates/limiter/src/net/host/reloading.rs
@@ -10,9 +10,9 @@
         // Guards the override: the environment names the address of the start, and stands above the file until the
         // file itself changes.
         let changed = config
-            .discovery_in_file
-            .filter(|_| config.discovery_in_file != self.discovery_in_file);
-        self.discovery_in_file = config.discovery_in_file;
+            .file_discovery
+            .filter(|_| config.file_discovery != self.discovery_in_file);
+        self.discovery_in_file = config.file_discovery;
         if let Some(discovery) = changed.filter(|address| *address != self.discovery) {
             self.discovery = discovery;
             self.watch.wait = self.limits.watch_retry_delay;
--- a/crates/limiter/src/net/host/tokens.rs
+++ b/crates/limiter/src/net/host/tokens.rs
@@ -33,9 +33,9 @@
 impl Tokens {
     pub(super) fn new(front: IntrospectionConfig, house: usize) -> Tokens {
         Tokens {
-            cache: TokenCache::new(front.cache_entries, front.cache_for),
+            cache: TokenCache::new(front.cache_entries, front.cache_ttl),
             callers: front.callers,
-            asking: front.asking,
+            asking: front.endpoint,
             upstreams: front.upstreams,
             house,
         }
@@ -81,7 +81,7 @@
         }
         let read = self
             .platform
-            .basics(&request, &self.limits, now)
+            .parse_common_fields(&request, &self.limits, now)
             .and_then(|basics| {
                 let query = request
                     .target
@@ -91,15 +91,17 @@
                     return Err(crate::frontend::reject(400, "a token names the account"));
                 }
                 let terms = request.headers.get("X-Call-Terms").unwrap_or("units=1");
-                let everywhere = Some((self.platform.limiters.max(1), 0));
-                let (units, _) = self.platform.terms(terms, &self.limits, everywhere)?;
+                let everywhere = Some((self.platform.limiter_count.max(1), 0));
+                let (units, _) = self
+                    .platform
+                    .parse_call_terms(terms, &self.limits, everywhere)?;
                 Ok((basics, units))
             });
         let (basics, units) = match read {
             Ok(read) => read,
             Err(rejection) => return self.reject(key, &rejection, !request.keep_alive),
         };
-        let token = match introspection::bearer(&request.headers) {
+        let token = match introspection::bearer_token(&request.headers) {
             Ok(token) => token,
             Err(challenge) => return self.challenge(key, challenge),
         };
@@ -118,13 +120,13 @@
             None => {
                 let asking = Authorisation {
                     plan: tokens.house,
-                    customer: introspection::house(),
+                    customer: introspection::internal_customer(),
                     deadline: bearing.basics.deadline,
                     units: 1.0,
                     limiter_count: 1,
                     ..Authorisation::default()
                 };
-                let forward = tokens.asking.forward(&bearing.token);
+                let forward = tokens.asking.build_request(&bearing.token);
                 self.take(
                     key,
                     TOKENS,
@@ -158,17 +160,17 @@
             customer: identity.customer,
             deadline: basics.deadline,
             units,
-            limiter_count: self.platform.limiters.max(1),
+            limiter_count: self.platform.limiter_count.max(1),
             first_limiter: 0,
-            is_retry: basics.again,
-            token_expires_at: identity.expires,
+            is_retry: basics.is_retry,
+            token_expires_at: identity.expires_at,
             ..Authorisation::default()
         };
         self.take(
             key,
             RECORDS,
             authorisation,
-            UpstreamRequest::of(&request),
+            UpstreamRequest::from_request(&request),
             Purpose::Record,
         );
     }
@@ -179,7 +181,8 @@
         if request.method != "POST" {
             return self.answer(key, 405, &[("Allow", "POST"), NO_STORE], b"");
         }
-        let Some(caller) = introspection::caller(&request.headers, &tokens.callers) else {
+        let Some(caller) = introspection::authenticate_caller(&request.headers, &tokens.callers)
+        else {
             let headers = [
                 ("WWW-Authenticate", "Basic realm=\"introspection\""),
                 NO_STORE,
@@ -187,28 +190,30 @@
             ];
             return self.answer(key, 401, &headers, b"{\"error\":\"invalid_client\"}");
         };
-        let token = match introspection::asked(request) {
+        let token = match introspection::parse_token_request(request) {
             Ok(token) => token,
             Err(rejection) => {
                 let body = rejection.text.as_bytes();
                 return self.answer(key, rejection.status, &[NO_STORE, JSON], body);
             }
         };
-        let wait = self.platform.wait(&request.headers, &self.limits, now);
+        let wait = self
+            .platform
+            .parse_deadline(&request.headers, &self.limits, now);
         let question = Authorisation {
             plan: caller.plan,
             customer: caller.customer,
             deadline: wait.unwrap_or(now + self.limits.introspection_timeout),
             units: 1.0,
-            limiter_count: self.platform.limiters.max(1),
+            limiter_count: self.platform.limiter_count.max(1),
             ..Authorisation::default()
         };
-        let forward = tokens.asking.forward(&token);
+        let forward = tokens.asking.build_request(&token);
         self.take(key, TOKENS, question, forward, Purpose::Introspect(token));
     }
 
     fn challenge(&mut self, key: ConnectionKey, challenge: Challenge) {
-        let (status, text) = challenge.answer();
+        let (status, text) = challenge.response();
         self.answer(key, status, &[("WWW-Authenticate", text), NO_STORE], b"");
     }
 
@@ -224,7 +229,7 @@
         };
         let finding = match tokens.cache.get(token, now) {
             Some(identity) => IntrospectionResult::Active(identity),
-            None if token.is_void() => IntrospectionResult::Inactive,
+            None if token.is_invalid() => IntrospectionResult::Inactive,
             None => return false,
         };
         // Guards the budget: what a question holds is given back by the one way in which an answer stops being owed.
@@ -239,13 +244,13 @@
     }
 
     fn tell(&mut self, now: Micros, key: ConnectionKey, finding: IntrospectionResult) {
-        let body = introspection::write_finding(finding, &self.platform.names.plans, now);
+        let body = introspection::encode_result(finding, &self.platform.names.plans, now);
         self.answer(key, 200, &[JSON, NO_STORE], &body);
     }
 
     /// The outcome of a leg to an introspection server. One that lies has failed, whatever its status.
     pub(super) fn judged(&self, now: Micros, answer: &Response) -> Outcome {
-        match introspection::judge(answer, &self.platform.names.plans, now) {
+        match introspection::parse_response(answer, &self.platform.names.plans, now) {
             Ok(_) => Outcome::Ok,
             Err(_) if matches!(answer.status, 429 | 503) => Outcome::Rejected,
             Err(lie) => {
@@ -259,21 +264,21 @@
     pub(super) fn found(&mut self, key: ConnectionKey, purpose: Purpose, answer: &Response) {
         let now = self.now();
         // Guards the instant between the two looks at the clock: fails closed.
-        let finding = introspection::judge(answer, &self.platform.names.plans, now)
+        let finding = introspection::parse_response(answer, &self.platform.names.plans, now)
             .unwrap_or(IntrospectionResult::Inactive);
         let Some(tokens) = &mut self.tokens else {
             return;
         };
         match (purpose, finding) {
             (Purpose::Identify(bearing), finding) => {
-                tokens.cache.keep(&bearing.token, finding, now);
+                tokens.cache.insert(&bearing.token, finding, now);
                 match finding {
                     IntrospectionResult::Active(identity) => self.go_on(key, *bearing, identity),
                     IntrospectionResult::Inactive => self.challenge(key, Challenge::Invalid),
                 }
             }
             (Purpose::Introspect(token), finding) => {
-                tokens.cache.keep(&token, finding, now);
+                tokens.cache.insert(&token, finding, now);
                 self.tell(now, key, finding);
             }
             (Purpose::Platform | Purpose::Record, _) => {}
@@ -297,7 +302,7 @@
             }
             _ => ending,
         };
-        let (status, challenge) = introspection::status(ending);
+        let (status, challenge) = introspection::rejection_status(ending);
         let stay_away = match ending {
             EngineRejection::Declined { retry_after: 0, .. } => self.limits.default_retry_after,
             EngineRejection::Declined {
--- a/crates/limiter/src/net/host/uploading.rs
+++ b/crates/limiter/src/net/host/uploading.rs
@@ -46,7 +46,7 @@
                 };
                 let rest = (left / self.limits.min_body_bytes_per_s.max(1)) as Micros * 1_000_000;
                 authorisation.deadline += rest.min(self.limits.max_upload_extension);
-                let forward = UpstreamRequest::streamed(&request, extent);
+                let forward = UpstreamRequest::from_streaming_request(&request, extent);
                 self.take(key, RECORDS, authorisation, forward, Purpose::Platform);
                 if let Some(connection) = self.connections.get_mut(key) {
                     connection.visit.record_body_progress(now, come);
--- a/crates/limiter/src/operators.rs
+++ b/crates/limiter/src/operators.rs
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// The bytes are no call of an operator.
-    pub fn read(bytes: &[u8], limits: &Limits) -> Result<Option<OperatorCommand>, CommandError> {
+    pub fn parse(bytes: &[u8], limits: &Limits) -> Result<Option<OperatorCommand>, CommandError> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         if end.unwrap_or(bytes.len()) > limits.max_operator_line_bytes {
             return Err(CommandError::TooLong);
@@ -121,7 +121,7 @@
 
 impl OperatorConnections {
     /// One came. Gives who is to go for it.
-    pub fn came(
+    pub fn insert(
         &mut self,
         key: ConnectionKey,
         now: Micros,
@@ -135,12 +135,12 @@
     }
 
     /// One is gone.
-    pub fn left(&mut self, key: ConnectionKey) {
+    pub fn remove(&mut self, key: ConnectionKey) {
         self.known.retain(|(known, _)| *known != key);
     }
 
     /// The earliest one whose time is up.
-    pub fn overdue(&self, now: Micros, limits: &Limits) -> Option<ConnectionKey> {
+    pub fn first_timed_out(&self, now: Micros, limits: &Limits) -> Option<ConnectionKey> {
         self.known
             .front()
             .filter(|(_, since)| *since + limits.operator_idle_timeout <= now)
--- a/crates/limiter/src/operators/tests.rs
+++ b/crates/limiter/src/operators/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 fn read(line: &[u8]) -> Result<Option<OperatorCommand>, CommandError> {
-    OperatorCommand::read(line, &Limits::default())
+    OperatorCommand::parse(line, &Limits::default())
 }
 
 #[test]
@@ -93,17 +93,23 @@
     let [a, b, c] = [(); 3].map(|()| keys.insert(()));
     let mut callers = OperatorConnections::default();
     assert_eq!(
-        (callers.came(a, 0, &limits), callers.came(b, 50, &limits)),
+        (
+            callers.insert(a, 0, &limits),
+            callers.insert(b, 50, &limits)
+        ),
         (None, None)
     );
-    assert_eq!(callers.overdue(99, &limits), None);
-    assert_eq!(callers.overdue(100, &limits), Some(a));
-    assert_eq!(callers.came(c, 60, &limits), Some(a));
-    callers.left(b);
+    assert_eq!(callers.first_timed_out(99, &limits), None);
+    assert_eq!(callers.first_timed_out(100, &limits), Some(a));
+    assert_eq!(callers.insert(c, 60, &limits), Some(a));
+    callers.remove(b);
     assert_eq!(
-        (callers.overdue(159, &limits), callers.overdue(160, &limits)),
+        (
+            callers.first_timed_out(159, &limits),
+            callers.first_timed_out(160, &limits)
+        ),
         (None, Some(c))
     );
-    callers.left(c);
-    assert_eq!(callers.overdue(160, &limits), None);
+    callers.remove(c);
+    assert_eq!(callers.first_timed_out(160, &limits), None);
 }
--- a/crates/limiter/tests/common/mod.rs
+++ b/crates/limiter/tests/common/mod.rs
@@ -200,10 +200,12 @@
             .parse(config)
             .expect("a good configuration");
         raft.into_iter()
-            .for_each(|text| config.agree(text).expect("good members"));
-        introspection
-            .into_iter()
-            .for_each(|text| config.introspect(text).expect("a good second front"));
+            .for_each(|text| config.apply_raft(text).expect("good members"));
+        introspection.into_iter().for_each(|text| {
+            config
+                .apply_introspection(text)
+                .expect("a good second front")
+        });
         let hand = Arc::new(AtomicI64::new(START));
         let clock = Clock::manual(hand.clone());
         let (tell, told) = mpsc::channel();
--- a/crates/limiter/tests/config.rs
+++ b/crates/limiter/tests/config.rs
@@ -131,12 +131,12 @@
     let mut read = Environment::default()
         .parse(&config(&[], nobody()))
         .unwrap();
-    read.introspect(include_str!("../../../deploy/introspection.json"))
+    read.apply_introspection(include_str!("../../../deploy/introspection.json"))
         .unwrap();
-    read.agree(include_str!("../../../deploy/raft.json"))
+    read.apply_raft(include_str!("../../../deploy/raft.json"))
         .unwrap();
     assert!(
-        read.introspection.is_none() && read.cluster.is_none(),
+        read.introspection.is_none() && read.raft.is_none(),
         "as they are shipped"
     );
     let front = |rest: &str| format!("{{\"listen\":\"127.0.0.1:0\",{rest}}}");
@@ -162,7 +162,7 @@
             "key 'introspection.callers[0].plan'",
         ),
     ] {
-        let error = read.introspect(&text).unwrap_err().to_string();
+        let error = read.apply_introspection(&text).unwrap_err().to_string();
         assert!(error.starts_with(key), "{error}");
     }
     let members = "\"members\":[{\"id\":1,\"address\":\"127.0.0.1:1\"}],\"folder\":\"f\"";
@@ -178,7 +178,7 @@
             "key 'raft.secret'",
         ),
     ] {
-        let error = read.agree(&text).unwrap_err().to_string();
+        let error = read.apply_raft(&text).unwrap_err().to_string();
         assert!(error.starts_with(key), "{error}");
     }
 }
@@ -188,18 +188,19 @@
     let mut read = Environment::default()
         .parse(&config(&[], nobody()))
         .unwrap();
-    read.share(include_str!("../../../deploy/shared.json"))
+    read.apply_shared_state(include_str!("../../../deploy/shared.json"))
         .unwrap();
     assert!(!read.settings.even_shares_counter_lost, "as it is shipped");
-    read.share(r#"{"counter_lost": "slices"}"#).unwrap();
+    read.apply_shared_state(r#"{"counter_lost": "slices"}"#)
+        .unwrap();
     assert!(read.settings.even_shares_counter_lost);
     let error = read
-        .share(r#"{"counter_lost": "shares"}"#)
+        .apply_shared_state(r#"{"counter_lost": "shares"}"#)
         .unwrap_err()
         .to_string();
     assert!(error.starts_with("key 'shared.counter_lost'"), "{error}");
     assert!(
-        read.share(r#"{"counter_los": "open"}"#)
+        read.apply_shared_state(r#"{"counter_los": "open"}"#)
             .unwrap_err()
             .to_string()
             .contains("shared")
@@ -213,16 +214,16 @@
     let mut read = Environment::default().parse(&platform).unwrap();
     let error = |r: Result<(), limiter::config::ConfigError>| r.unwrap_err().to_string();
     assert_eq!(
-        error(read.introspect("{\"listen\":null,\"up_streams\":[]}")),
+        error(read.apply_introspection("{\"listen\":null,\"up_streams\":[]}")),
         "key 'introspection.up_streams': unknown key; did you mean 'upstreams'?"
     );
     assert_eq!(
-        error(read.agree("{\"members\":[{\"id\":1,\"adress\":\"127.0.0.1:1\"}]}")),
+        error(read.apply_raft("{\"members\":[{\"id\":1,\"adress\":\"127.0.0.1:1\"}]}")),
         "key 'raft.members[0].adress': unknown key; did you mean 'address'?"
     );
-    assert!(error(read.agree("{\"listen\"")).starts_with("not JSON"));
+    assert!(error(read.apply_raft("{\"listen\"")).starts_with("not JSON"));
     assert!(
-        read.introspection.is_none() && read.cluster.is_none(),
+        read.introspection.is_none() && read.raft.is_none(),
         "a faulty file changes nothing"
     );
 }
--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -288,7 +288,7 @@
 }
 
 fn ending<B: Default>(ending: EngineRejection, least: Micros) -> Response<B> {
-    let (status, stay_away) = limiter::frontend::platform::status(ending);
+    let (status, stay_away) = limiter::frontend::platform::rejection_status(ending);
     let mut response = Response::new(B::default());
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -29,7 +29,7 @@
 
 impl Instance {
     fn boot(fields: &Fields) -> Result<Instance, Fault> {
-        let settings = limiter::config::settings_text(fields.text("Params")?)
+        let settings = limiter::config::parse_settings(fields.text("Params")?)
             .map_err(|error| Fault::new(&error.to_string()))?;
         let balancer = Balancer::new(settings, fields.whole("RngSeed")?.unwrap_or(0));
         Ok(Instance {
