--- a/crates/limiter/src/cli.rs
+++ b/crates/limiter/src/cli.rs
@@ -43,13 +43,15 @@
 ) -> Result<(Command, Environment, LogConfig), lexopt::Error> {
     let mut parser = lexopt::Parser::from_iter(args);
     let (mut command, mut environment, mut logging) =
-        (None, Environment::read(), LogConfig::default());
+        (None, Environment::from_process(), LogConfig::default());
     while let Some(arg) = parser.next()? {
         match arg {
-            Long("config") => environment.config = Some(parser.value()?.string()?),
-            Long("introspection") => environment.introspection = Some(parser.value()?.string()?),
-            Long("raft") => environment.raft = Some(parser.value()?.string()?),
-            Long("shared") => environment.shared = Some(parser.value()?.string()?),
+            Long("config") => environment.config_path = Some(parser.value()?.string()?),
+            Long("introspection") => {
+                environment.introspection_path = Some(parser.value()?.string()?)
+            }
+            Long("raft") => environment.raft_path = Some(parser.value()?.string()?),
+            Long("shared") => environment.shared_state_path = Some(parser.value()?.string()?),
             Long("log-format") => {
                 logging.format = match parser.value()?.string()?.as_str() {
                     "text" => LogFormat::Text,
@@ -115,7 +117,7 @@
             .map_err(|e| e.to_string()),
         Command::Usage(words) => crate::usage_cli::run(&words),
         Command::Serve => {
-            logging.start();
+            logging.install();
             let loaded = environment.load();
             let serve =
                 |config| net::serve(config, move || environment.load()).map_err(|e| e.to_string());
--- a/crates/limiter/src/config/mod.rs
+++ b/crates/limiter/src/config/mod.rs
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
     /// Path of the configuration.
-    pub config: Option<String>,
+    pub config_path: Option<String>,
     /// The limiter's name.
     pub name: Option<String>,
     /// Where clients connect.
@@ -117,20 +117,20 @@
     /// Discovery.
     pub discovery: Option<String>,
     /// Where operators call.
-    pub ops: Option<String>,
+    pub ops_listen: Option<String>,
     /// Number of the descriptor of an inherited listening socket.
-    pub passed: Option<String>,
+    pub inherited_listener: Option<String>,
     /// Folder for what passes over an upgrade.
-    pub folder: Option<String>,
+    pub handover_folder: Option<String>,
     /// Path of the second front's file; no variable names it, so that it is never on by accident.
-    pub introspection: Option<String>,
+    pub introspection_path: Option<String>,
     /// Path of the file of the instances that agree on a configuration; likewise.
-    pub raft: Option<String>,
+    pub raft_path: Option<String>,
     /// Path of the file of what limiters do with shared state when part of the fleet hears nothing; likewise.
-    pub shared: Option<String>,
+    pub shared_state_path: Option<String>,
 }
 
-fn read(path: String) -> Result<String, ConfigError> {
+fn read_file(path: String) -> Result<String, ConfigError> {
     std::fs::read_to_string(&path).map_err(|e| ConfigError::Unreadable(path, e))
 }
 
@@ -151,19 +151,19 @@
 
 impl Environment {
     /// The variables as they are set.
-    pub fn read() -> Environment {
+    pub fn from_process() -> Environment {
         let get = |name: &str| std::env::var(name).ok();
         Environment {
-            config: get("ROUTER_CONFIG"),
+            config_path: get("ROUTER_CONFIG"),
             name: get("ROUTER_NAME"),
             listen: get("ROUTER_LISTEN"),
             discovery: get("ROUTER_DISCOVERY"),
-            ops: get("ROUTER_OPS"),
-            passed: get(inherited::VARIABLE),
-            folder: get("TMPDIR"),
-            introspection: None,
-            raft: None,
-            shared: None,
+            ops_listen: get("ROUTER_OPS"),
+            inherited_listener: get(inherited::VARIABLE),
+            handover_folder: get("TMPDIR"),
+            introspection_path: None,
+            raft_path: None,
+            shared_state_path: None,
         }
     }
 
@@ -173,18 +173,18 @@
     /// A file that cannot be read or is faulty, by its key.
     pub fn load(&self) -> Result<Config, ConfigError> {
         let path = self
-            .config
+            .config_path
             .clone()
             .ok_or_else(|| Fault::at("ROUTER_CONFIG", "is not set"))?;
-        let mut config = self.parse(&read(path)?)?;
-        if let Some(path) = self.introspection.clone() {
-            config.apply_introspection(&read(path)?)?;
+        let mut config = self.parse(&read_file(path)?)?;
+        if let Some(path) = self.introspection_path.clone() {
+            config.apply_introspection(&read_file(path)?)?;
         }
-        if let Some(path) = self.raft.clone() {
-            config.apply_raft(&read(path)?)?;
+        if let Some(path) = self.raft_path.clone() {
+            config.apply_raft(&read_file(path)?)?;
         }
-        if let Some(path) = self.shared.clone() {
-            config.apply_shared_state(&read(path)?)?;
+        if let Some(path) = self.shared_state_path.clone() {
+            config.apply_shared_state(&read_file(path)?)?;
         }
         Ok(config)
     }
@@ -197,8 +197,12 @@
         let file: platform::File = config_check::read(text)?;
         let settings = require("settings", file.settings)?;
         settings.check().map_err(|fault| fault.under("settings"))?;
-        let ops = address(&self.ops, "ROUTER_OPS", file.ops)?;
-        let passed = self.passed.as_deref().map(str::parse::<u32>).transpose();
+        let ops = address(&self.ops_listen, "ROUTER_OPS", file.ops)?;
+        let passed = self
+            .inherited_listener
+            .as_deref()
+            .map(str::parse::<u32>)
+            .transpose();
         let seed = u64::from_str_radix(file.seed.as_deref().unwrap_or("1"), 16);
         Ok(Config {
             name: self.name.clone().or(file.name).unwrap_or_default(),
@@ -218,9 +222,9 @@
             ops_listen: ops,
             // Without an inherited socket no two processes of a limiter overlap.
             handover_folder: self
-                .passed
+                .inherited_listener
                 .as_ref()
-                .and(self.folder.as_ref())
+                .and(self.handover_folder.as_ref())
                 .map(PathBuf::from),
             inherited_listener: passed
                 .map_err(|_| Fault::at(inherited::VARIABLE, "is no descriptor's number"))?,
--- a/crates/limiter/src/config/platform.rs
+++ b/crates/limiter/src/config/platform.rs
@@ -194,7 +194,7 @@
     /// Zones.
     pub zones: Vec<String>,
     /// Kinds of machine.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
 }
 
 /// Reads the module's settings from text; keys that are not known are ignored.
@@ -303,7 +303,7 @@
                 .filter_map(|t| t.name.clone())
                 .collect(),
             zones: self.failure_domains.clone().unwrap_or_default(),
-            kinds: self.skus.clone().unwrap_or_default(),
+            machine_types: self.skus.clone().unwrap_or_default(),
         }
     }
 
--- a/crates/limiter/src/frontend/introspection.rs
+++ b/crates/limiter/src/frontend/introspection.rs
@@ -363,7 +363,7 @@
         UpstreamRequest {
             head: head.into_bytes(),
             body,
-            id: String::new(),
+            request_id: String::new(),
         }
     }
 }
--- a/crates/limiter/src/frontend/mod.rs
+++ b/crates/limiter/src/frontend/mod.rs
@@ -13,7 +13,7 @@
     /// The body, unchanged.
     pub body: Vec<u8>,
     /// The id that servers know the request by; empty where they know none.
-    pub id: String,
+    pub request_id: String,
 }
 
 impl UpstreamRequest {
@@ -55,7 +55,7 @@
         UpstreamRequest {
             head: head.into_bytes(),
             body: request.body.clone(),
-            id,
+            request_id: id,
         }
     }
 }
--- a/crates/limiter/src/frontend/platform.rs
+++ b/crates/limiter/src/frontend/platform.rs
@@ -125,7 +125,7 @@
     ///
     /// # Errors
     /// A header is missing or malformed.
-    pub fn read(
+    pub fn parse_request(
         &self,
         request: &Request,
         limits: &Limits,
--- a/crates/limiter/src/handover.rs
+++ b/crates/limiter/src/handover.rs
@@ -20,7 +20,8 @@
     /// The limiter's name.
     pub limiter: String,
     /// Servers taken out.
-    pub bans: DisabledServers,
+    #[serde(rename = "bans")]
+    pub disabled_servers: DisabledServers,
     /// Whether clients are sent away.
     pub drain: DrainState,
 }
--- a/crates/limiter/src/handover/tests.rs
+++ b/crates/limiter/src/handover/tests.rs
@@ -5,9 +5,9 @@
         limiter: "n3".to_string(),
         ..OperationsRecord::default()
     };
-    record.bans.disable("s-1", 7);
-    record.bans.disable("s-2", 8);
-    record.bans.enable("s-2", 9);
+    record.disabled_servers.disable("s-1", 7);
+    record.disabled_servers.disable("s-2", 8);
+    record.disabled_servers.enable("s-2", 9);
     record
 }
 
--- a/crates/limiter/src/logging.rs
+++ b/crates/limiter/src/logging.rs
@@ -40,7 +40,7 @@
 
 impl LogConfig {
     /// Logs from now on, in the whole process. The first call of a process holds.
-    pub fn start(self) {
+    pub fn install(self) {
         let log = tracing_subscriber::fmt()
             .with_writer(std::io::stderr)
             .with_max_level(self.level);
--- a/crates/limiter/src/net/host/acquirers.rs
+++ b/crates/limiter/src/net/host/acquirers.rs
@@ -279,7 +279,7 @@
             Door::Introspection => return self.read_bearing(now, key, request),
             Door::Agreement => return self.read_agreement(key, &request),
         }
-        match self.platform.read(&request, &self.limits, now) {
+        match self.platform.parse_request(&request, &self.limits, now) {
             Ok(authorisation) => {
                 self.take(
                     key,
@@ -304,7 +304,7 @@
     ) {
         // Guards the rule on duplicates: servers would run a second request under an id that is out as a copy of
         // the first, and drop or answer one for the other.
-        if self.open_ids.contains(&forward.id) {
+        if self.open_ids.contains(&forward.request_id) {
             return self.reject(
                 key,
                 &Rejection {
@@ -318,8 +318,8 @@
         let known = &mut self.services[service];
         match known.engine.submit(now, authorisation) {
             Ok(authorisation) => {
-                if !forward.id.is_empty() {
-                    self.open_ids.insert(forward.id.clone());
+                if !forward.request_id.is_empty() {
+                    self.open_ids.insert(forward.request_id.clone());
                 }
                 self.partial += forward.body.len();
                 known.pending.insert(
@@ -420,7 +420,7 @@
     /// The final answer of an authorisation is no longer owed.
     pub(super) fn settle(&mut self, ticket: Ticket) -> Option<Pending> {
         let pending = self.services[ticket.0].pending.remove(ticket.1)?;
-        self.open_ids.remove(&pending.forward.id);
+        self.open_ids.remove(&pending.forward.request_id);
         self.partial -= pending.forward.body.len();
         Some(pending)
     }
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -356,7 +356,10 @@
         clock: Clock,
     ) -> io::Result<Host> {
         let limits = config.limits;
-        let mut table = RoutingTable::new(config.names.zones.clone(), config.names.kinds.clone());
+        let mut table = RoutingTable::new(
+            config.names.zones.clone(),
+            config.names.machine_types.clone(),
+        );
         let settings = config.settings;
         let module = settings.clone();
         let platform = PlatformFrontend {
--- a/crates/limiter/src/net/host/overlap.rs
+++ b/crates/limiter/src/net/host/overlap.rs
@@ -18,7 +18,7 @@
         );
         OperationsRecord {
             limiter: self.name.clone(),
-            bans,
+            disabled_servers: bans,
             drain,
         }
     }
@@ -35,7 +35,7 @@
             Found::Same => {}
             Found::Unusable(why) => self.warn(&format!("operations record not taken over: {why}")),
             Found::Record(told) => {
-                let news = self.table.merge(&told.bans);
+                let news = self.table.merge(&told.disabled_servers);
                 let drain = self.lifecycle.merge_drain_state(told.drain);
                 if drain {
                     self.drain_changed(now);
--- a/crates/limiter/src/net/host/uploading.rs
+++ b/crates/limiter/src/net/host/uploading.rs
@@ -32,7 +32,7 @@
         let read = match door {
             // What is safe to repeat has no body.
             Door::Platform if request.method == "GET" => Err(reject(400, "the class has no body")),
-            Door::Platform => self.platform.read(&request, &self.limits, now),
+            Door::Platform => self.platform.parse_request(&request, &self.limits, now),
             Door::Introspection | Door::Agreement => Err(reject(413, "the body is too long")),
         };
         match read {
