--- a/crates/limiter/src/cli.rs
+++ b/crates/limiter/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `streamarch`.
 
 use std::ffi::OsString;
 use std::process::ExitCode;
@@ -12,20 +12,20 @@
 const HELP: &str = "\
 usage: streamarch [COMMAND]
 
-  serve          run the limiter (the default); it is told what it needs by ROUTER_CONFIG, ROUTER_NAME,
-                 ROUTER_LISTEN and ROUTER_DISCOVERY
-  check-config   read and check the configuration, and say what is wrong with it
-  usage verify FOLDER            read a ledger whole and say what it holds, or where it is damaged
-  usage show FOLDER              its tries, a line each
-  usage export FOLDER OUT        write the batch under way, or the next one, to OUT
-  usage acknowledge FOLDER N     batch N has been taken over: the next one may come
+  serve          run the limiter (the default); reads ROUTER_CONFIG, ROUTER_NAME, ROUTER_LISTEN and
+                 ROUTER_DISCOVERY from the environment
+  check-config   read and check the configuration, and report the first fault
+  usage verify FOLDER            check a usage ledger and summarise it, or report where it is damaged
+  usage show FOLDER              print its tries, one per line
+  usage export FOLDER OUT        write the pending batch, or else the next one, to OUT
+  usage acknowledge FOLDER N     confirm that batch N has been imported, so that the next one can be written
   version        print the version
   help           print this
 
-  --config FILE         the configuration, in place of ROUTER_CONFIG
-  --introspection FILE  the second front's file; it is on if the file names a listen address
-  --raft FILE           the instances that agree on a configuration; likewise
-  --shared FILE         what is done with shared state when part of the fleet hears nothing (deploy/shared.json)
+  --config FILE         the configuration; overrides ROUTER_CONFIG
+  --introspection FILE  settings of the token introspection front end; enabled if the file has a listen address
+  --raft FILE           members of the Raft cluster that replicates the configuration; enabled likewise
+  --shared FILE         handling of shared state while part of the fleet is unreachable (deploy/shared.json)
   --log-format FORMAT   text (the default) or json
   --log-level LEVEL     error, warn, info (the default) or debug
 ";
@@ -42,7 +42,7 @@
     args: impl IntoIterator<Item = OsString>,
 ) -> Result<(Command, Environment, LogConfig), lexopt::Error> {
     let mut parser = lexopt::Parser::from_iter(args);
-    let (mut command, mut environment, mut logging) =
+    let (mut command, mut environment, mut log_config) =
         (None, Environment::from_process(), LogConfig::default());
     while let Some(arg) = parser.next()? {
         match arg {
@@ -53,12 +53,12 @@
             Long("raft") => environment.raft_path = Some(parser.value()?.string()?),
             Long("shared") => environment.shared_state_path = Some(parser.value()?.string()?),
             Long("log-format") => {
-                logging.format = match parser.value()?.string()?.as_str() {
+                log_config.format = match parser.value()?.string()?.as_str() {
                     "text" => LogFormat::Text,
                     "json" => LogFormat::Json,
                     other => {
                         return Err(format!(
-                            "--log-format: '{other}' is neither 'text' nor 'json'"
+                            "--log-format: invalid format '{other}': expected 'text' or 'json'"
                         )
                         .into());
                     }
@@ -66,15 +66,18 @@
             }
             Long("log-level") => {
                 let level = parser.value()?.string()?;
-                let unknown =
-                    |_| format!("--log-level: '{level}' is none of error, warn, info and debug");
-                logging.level = level.parse().map_err(unknown)?;
+                let invalid_level = |_| {
+                    format!(
+                        "--log-level: invalid level '{level}': expected error, warn, info or debug"
+                    )
+                };
+                log_config.level = level.parse().map_err(invalid_level)?;
             }
             Short('h') | Long("help") => command = Some(Command::Help),
             Short('V') | Long("version") => command = Some(Command::Version),
-            Value(word) if matches!(command, Some(Command::Usage(_))) => {
-                if let Some(Command::Usage(words)) = &mut command {
-                    words.push(word.string()?);
+            Value(arg) if matches!(command, Some(Command::Usage(_))) => {
+                if let Some(Command::Usage(usage_args)) = &mut command {
+                    usage_args.push(arg.string()?);
                 }
             }
             Value(name) if command.is_none() => {
@@ -90,19 +93,19 @@
             other => return Err(other.unexpected()),
         }
     }
-    Ok((command.unwrap_or(Command::Serve), environment, logging))
+    Ok((command.unwrap_or(Command::Serve), environment, log_config))
 }
 
-/// Runs the program with these arguments, the first of which is its name.
+/// Runs the program. The first argument is the program's name.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let (command, environment, logging) = match parse(args) {
+    let (command, environment, log_config) = match parse(args) {
         Ok(parsed) => parsed,
         Err(error) => {
             eprintln!("streamarch: {error}\n\n{HELP}");
             return ExitCode::from(2);
         }
     };
-    let done = match command {
+    let result = match command {
         Command::Help => {
             print!("{HELP}");
             Ok(())
@@ -113,21 +116,21 @@
         }
         Command::CheckConfig => environment
             .load()
-            .map(|_| println!("configuration in order"))
+            .map(|_| println!("configuration is valid"))
             .map_err(|e| e.to_string()),
-        Command::Usage(words) => crate::usage_cli::run(&words),
+        Command::Usage(usage_args) => crate::usage_cli::run(&usage_args),
         Command::Serve => {
-            logging.install();
+            log_config.install();
             let loaded = environment.load();
             let serve =
                 |config| net::serve(config, move || environment.load()).map_err(|e| e.to_string());
             loaded.map_err(|e| e.to_string()).and_then(serve)
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("streamarch: {text}");
+        Err(message) => {
+            eprintln!("streamarch: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/limiter/src/lib.rs
+++ b/crates/limiter/src/lib.rs
@@ -1,7 +1,7 @@
-//! The limiter around the decision module: an embeddable engine that knows no wire, and a daemon on real sockets.
+//! The limiter daemon around the decision module, on real sockets.
 //!
-//! [`engine`] hosts the module and deals in authorisations, legs and outcomes. [`net`] is the event loop on which
-//! the fronts of [`frontend`] and the pieces that speak to servers, counter, discovery and peers run.
+//! [`engine`] hosts the decision module without any I/O; it deals in authorisations, attempts and outcomes. [`net`] is
+//! the event loop. It runs the front ends of [`frontend`] and the clients of servers, counter, discovery and peers.
 
 pub mod cli;
 pub mod config;
--- a/crates/limiter/src/main.rs
+++ b/crates/limiter/src/main.rs
@@ -1,4 +1,4 @@
-//! The `streamarch` program; all it does is in the library.
+//! The `streamarch` program. Everything but this entry point is in the library.
 
 use std::process::ExitCode;
 
--- a/crates/limiter/src/usage_cli.rs
+++ b/crates/limiter/src/usage_cli.rs
@@ -1,4 +1,4 @@
-//! `streamarch usage`: a ledger for people, and its export.
+//! `streamarch usage`: inspection and export of a usage ledger.
 
 use std::io::Write;
 use std::path::Path;
@@ -7,23 +7,23 @@
 use usage::ledger::{file_name, lives};
 use usage::reading::{self, Booked};
 
-/// Most tries of a batch.
-const BATCH: usize = 1_000_000;
+/// Maximum number of tries in an exported batch.
+const MAX_BATCH_TRIES: usize = 1_000_000;
 
-/// Runs a sub-command; its words behind `usage`.
+/// Runs a sub-command, given the arguments that follow `usage`.
 ///
 /// # Errors
-/// What went wrong, in words.
-pub fn run(words: &[String]) -> Result<(), String> {
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    match words.as_slice() {
+/// A message for the user.
+pub fn run(args: &[String]) -> Result<(), String> {
+    let args: Vec<&str> = args.iter().map(String::as_str).collect();
+    match args.as_slice() {
         ["verify", folder] => verify(Path::new(folder)),
         ["show", folder] => show(Path::new(folder)),
         ["export", folder, out] => export(Path::new(folder), Path::new(out)),
         ["acknowledge", folder, number] => {
             let number = number
                 .parse()
-                .map_err(|_| format!("'{number}' is no batch's number"))?;
+                .map_err(|_| format!("'{number}' is not a batch number"))?;
             let mut export = Export::open(Path::new(folder)).map_err(|e| e.to_string())?;
             export.acknowledge(number).map_err(|e| e.to_string())
         }
@@ -33,10 +33,11 @@
     }
 }
 
-/// Says of every life what it holds; one that can't be read does not hide the others.
+/// Prints a summary of each life (the ledger file of one run of a limiter). A life that cannot be read is reported and
+/// the remaining ones are still checked.
 fn verify(folder: &Path) -> Result<(), String> {
     let numbers = lives(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let mut faults = 0;
+    let mut failed_lives = 0;
     for number in &numbers {
         match reading::life(folder, *number) {
             Ok(life) => {
@@ -47,50 +48,52 @@
                 );
             }
             Err(error) => {
-                faults += 1;
+                failed_lives += 1;
                 println!("{error}");
             }
         }
     }
-    match faults {
+    match failed_lives {
         0 => Ok(()),
         _ => Err(format!(
-            "{faults} of {} lives can't be read whole",
+            "{failed_lives} of {} lives cannot be read completely",
             numbers.len()
         )),
     }
 }
 
-fn line(t: &Booked) -> String {
-    let b = &t.booking;
+fn format_try(booked: &Booked) -> String {
+    let booking = &booked.booking;
     format!(
         "{} {}.{} at {} account {:016x} {} {} v{} units {}{}{}{}{}",
-        t.limiter,
-        t.life,
-        t.number,
-        b.at,
-        b.customer,
-        b.class,
-        b.plan,
-        b.version,
-        b.milli_units as f64 / 1e3,
-        b.reservation
+        booked.limiter,
+        booked.life,
+        booked.number,
+        booking.at,
+        booking.customer,
+        booking.class,
+        booking.plan,
+        booking.version,
+        booking.milli_units as f64 / 1e3,
+        booking
+            .reservation
             .as_deref()
             .map_or(String::new(), |r| format!(" reservation {r}")),
-        b.key
+        booking
+            .key
             .as_deref()
             .map_or(String::new(), |k| format!(" key {k}")),
-        if b.again { " again" } else { "" },
-        if t.unsure { " unsure" } else { "" }
+        if booking.again { " again" } else { "" },
+        if booked.unsure { " unsure" } else { "" }
     )
 }
 
 fn show(folder: &Path) -> Result<(), String> {
     let mut out = std::io::stdout().lock();
     for life in reading::all(folder).map_err(|e| e.to_string())? {
-        for t in &life.tries {
-            // Whoever reads may have seen enough.
-            if writeln!(out, "{}", line(t)).is_err() {
+        for booked in &life.tries {
+            // The reader may have closed the pipe.
+            if writeln!(out, "{}", format_try(booked)).is_err() {
                 return Ok(());
             }
         }
@@ -101,7 +104,7 @@
 fn export(folder: &Path, out: &Path) -> Result<(), String> {
     let mut export = Export::open(folder).map_err(|e| e.to_string())?;
     match export
-        .write(out, BATCH, &mut |_| true)
+        .write(out, MAX_BATCH_TRIES, &mut |_| true)
         .map_err(|e| e.to_string())?
     {
         Some(batch) => println!(
