--- a/crates/limiter/src/disabled_servers.rs
+++ b/crates/limiter/src/disabled_servers.rs
@@ -1,101 +1,111 @@
-//! Servers that operators have taken out. The set lies over discovery's list: whatever that says of such a server, here
-//! it drains until the call back. No input or output, and nothing of the list itself.
+//! The servers that operators have disabled. The set overrides discovery's list: a disabled server counts as draining
+//! until it is enabled again, whatever the list says. No I/O, and no copy of the list.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use streamarch::{Micros, ServerEntry, ServerState};
 
-/// What operators last asked for of a server.
+/// The last change that operators made to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Mark {
-    /// When it was taken out.
-    out: Micros,
-    /// When it was called back, if it was.
-    back: Option<Micros>,
+struct Change {
+    /// When the server was disabled.
+    #[serde(rename = "out")]
+    disabled_at: Micros,
+    /// When it was enabled again; `None` while it is disabled.
+    #[serde(rename = "back")]
+    enabled_at: Option<Micros>,
 }
 
-impl Mark {
-    fn changed(&self) -> Micros {
-        self.back.unwrap_or(self.out)
+impl Change {
+    fn last_changed_at(&self) -> Micros {
+        self.enabled_at.unwrap_or(self.disabled_at)
     }
 }
 
-/// Who was taken out when, and who was called back.
+/// The servers that operators have disabled at some time, by name, with the times of the last change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct DisabledServers(BTreeMap<String, Mark>);
+pub struct DisabledServers(BTreeMap<String, Change>);
 
 impl DisabledServers {
-    /// Whether a server is taken out.
+    /// Whether the server is disabled now.
     pub fn is_disabled(&self, name: &str) -> bool {
-        self.0.get(name).is_some_and(|mark| mark.back.is_none())
+        self.0
+            .get(name)
+            .is_some_and(|change| change.enabled_at.is_none())
     }
 
-    /// Guards against a clock that is behind the one by which another process marked the server: the later call holds.
-    fn next(&self, name: &str, now: Micros) -> Micros {
+    /// The time to record for a change at `now`: later than the last change, because another process may have recorded
+    /// that one by a clock that is ahead, and the later change must win.
+    fn next_change_at(&self, name: &str, now: Micros) -> Micros {
         self.0
             .get(name)
-            .map_or(now, |mark| now.max(mark.changed() + 1))
+            .map_or(now, |change| now.max(change.last_changed_at() + 1))
     }
 
-    /// Takes a server out; false if it was out. The first call's time goes on to count.
+    /// Disables a server. Returns false if it was disabled already; then the time of the first call is kept.
     pub fn disable(&mut self, name: &str, now: Micros) -> bool {
-        let first = !self.is_disabled(name);
-        if first {
+        let newly_disabled = !self.is_disabled(name);
+        if newly_disabled {
             self.0.insert(
                 name.to_string(),
-                Mark {
-                    out: self.next(name, now),
-                    back: None,
+                Change {
+                    disabled_at: self.next_change_at(name, now),
+                    enabled_at: None,
                 },
             );
         }
-        first
+        newly_disabled
     }
 
-    /// Calls a server back, however often it was taken out; false if it was not.
+    /// Enables a server again, however often it was disabled. Returns false if it was not disabled.
     pub fn enable(&mut self, name: &str, now: Micros) -> bool {
-        let called = self.next(name, now);
-        let Some(mark) = self.0.get_mut(name).filter(|mark| mark.back.is_none()) else {
+        let enabled_at = self.next_change_at(name, now);
+        let Some(change) = self
+            .0
+            .get_mut(name)
+            .filter(|change| change.enabled_at.is_none())
+        else {
             return false;
         };
-        mark.back = Some(called);
+        change.enabled_at = Some(enabled_at);
         true
     }
 
-    /// Takes over what another process of this limiter knows later. Gives the names of which something has changed.
+    /// Takes over the changes of another process of this limiter that are later than those known here. Returns the names of
+    /// the servers that they concern.
     pub fn merge(&mut self, other: &DisabledServers) -> Vec<String> {
-        let later = |(name, mark): &(&String, &Mark)| {
+        let is_later = |(name, change): &(&String, &Change)| {
             self.0
                 .get(*name)
-                .is_none_or(|known| known.changed() < mark.changed())
+                .is_none_or(|known| known.last_changed_at() < change.last_changed_at())
         };
-        let news: Vec<(String, Mark)> = other
+        let changes: Vec<(String, Change)> = other
             .0
             .iter()
-            .filter(later)
-            .map(|(name, mark)| (name.clone(), *mark))
+            .filter(is_later)
+            .map(|(name, change)| (name.clone(), *change))
             .collect();
-        self.0.extend(news.iter().cloned());
-        news.into_iter().map(|(name, _)| name).collect()
+        self.0.extend(changes.iter().cloned());
+        changes.into_iter().map(|(name, _)| name).collect()
     }
 
-    /// An entry of the list as it holds with the bans over it.
+    /// The list's entry for a server with the operators' changes applied.
     ///
-    /// Danger: a server is restarted while it is out, and comes back cold, whether or not the list tells of that start.
-    /// Where it tells of none since the ban, the call back counts as the start.
+    /// A server is usually restarted while it is disabled and comes back cold, but the list may not show that start. If
+    /// the list shows no start since the server was disabled, the time at which it was enabled counts as its start.
     pub fn apply_to(&self, name: &str, listed: &ServerEntry) -> ServerEntry {
         let mut entry = listed.clone();
         match self.0.get(name) {
-            Some(Mark { back: None, .. }) if entry.state == ServerState::Ready => {
-                entry.state = ServerState::Draining
-            }
-            Some(Mark {
-                out,
-                back: Some(back),
-            }) if entry.started_at < *out => entry.started_at = *back,
+            Some(Change {
+                enabled_at: None, ..
+            }) if entry.state == ServerState::Ready => entry.state = ServerState::Draining,
+            Some(Change {
+                disabled_at,
+                enabled_at: Some(enabled_at),
+            }) if entry.started_at < *disabled_at => entry.started_at = *enabled_at,
             _ => {}
         }
         entry
--- a/crates/limiter/src/handover.rs
+++ b/crates/limiter/src/handover.rs
@@ -1,5 +1,5 @@
-//! What passes from one process of a limiter to the next, and between the two while they overlap: as bytes, with checks.
-//! No input or output.
+//! The record of operators' commands that the processes of a limiter exchange while an old and a new one overlap in an
+//! upgrade: its encoding and validation. No I/O.
 
 use std::fmt;
 
@@ -8,38 +8,38 @@
 use crate::disabled_servers::DisabledServers;
 use crate::lifecycle::DrainState;
 
-/// First word of a record, with the number of its form.
-const FORM: &str = "streamarch-operations-1";
-/// Longest record.
-const LONGEST: usize = 1024 * 1024;
+/// First word of a record: its format and the format's version.
+const FORMAT: &str = "streamarch-operations-1";
+/// Maximum length of a record.
+const MAX_RECORD_BYTES: usize = 1024 * 1024;
 
-/// What operators have asked of a limiter.
+/// The state that operators' commands have set at a limiter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperationsRecord {
     /// The limiter's name.
     pub limiter: String,
-    /// Servers taken out.
+    /// Servers that are or were disabled.
     #[serde(rename = "bans")]
     pub disabled_servers: DisabledServers,
-    /// Whether clients are sent away.
+    /// Whether the limiter drains.
     pub drain: DrainState,
 }
 
-/// Why bytes are no record that may be taken over.
+/// Why a record cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordError {
-    /// Not of this form, torn, or damaged.
+    /// Truncated, damaged, or of another format.
     Corrupt,
-    /// Another limiter's.
+    /// Written by another limiter.
     OtherLimiter,
 }
 
 impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RecordError::Corrupt => "it is torn, damaged or of another form",
-            RecordError::OtherLimiter => "it is another limiter's",
+            RecordError::Corrupt => "truncated, corrupt or of another format",
+            RecordError::OtherLimiter => "written by another limiter",
         })
     }
 }
@@ -47,27 +47,27 @@
 impl std::error::Error for RecordError {}
 
 impl OperationsRecord {
-    /// A line with form and checksum, then the record.
+    /// Encodes the record: a line with format and checksum, then the record as JSON.
     pub fn encode(&self) -> Vec<u8> {
-        // Names and numbers can always be written.
+        // Serialising names and numbers to JSON cannot fail.
         let body = serde_json::to_vec(self).unwrap_or_default();
-        let mut bytes = format!("{FORM} {:08x}\n", crc32fast::hash(&body)).into_bytes();
+        let mut bytes = format!("{FORMAT} {:08x}\n", crc32fast::hash(&body)).into_bytes();
         bytes.extend(body);
         bytes
     }
 
-    /// Reads a record of this limiter, whole or not at all.
+    /// Decodes a record of the named limiter.
     ///
     /// # Errors
-    /// What is no whole record, or another limiter's.
+    /// The bytes are not a complete record, or it is that of another limiter.
     pub fn decode(bytes: &[u8], limiter: &str) -> Result<OperationsRecord, RecordError> {
-        let end = bytes
+        let head_end = bytes
             .iter()
             .position(|byte| *byte == b'\n')
-            .filter(|_| bytes.len() <= LONGEST);
-        let (head, body) = bytes.split_at(end.ok_or(RecordError::Corrupt)?);
+            .filter(|_| bytes.len() <= MAX_RECORD_BYTES);
+        let (head, body) = bytes.split_at(head_end.ok_or(RecordError::Corrupt)?);
         let body = &body[1..];
-        if head != format!("{FORM} {:08x}", crc32fast::hash(body)).as_bytes() {
+        if head != format!("{FORMAT} {:08x}", crc32fast::hash(body)).as_bytes() {
             return Err(RecordError::Corrupt);
         }
         let record: OperationsRecord =
--- a/crates/limiter/src/handover/tests.rs
+++ b/crates/limiter/src/handover/tests.rs
@@ -12,25 +12,25 @@
 }
 
 #[test]
-fn a_record_is_read_as_written_and_cut_or_changed_anywhere_not_at_all() {
+fn a_record_round_trips_and_is_rejected_if_truncated_or_changed_at_any_byte() {
     let bytes = record().encode();
     assert_eq!(OperationsRecord::decode(&bytes, "n3"), Ok(record()));
     assert_eq!(
         OperationsRecord::decode(&bytes, "n4"),
         Err(RecordError::OtherLimiter)
     );
-    for at in 0..bytes.len() {
+    for index in 0..bytes.len() {
         assert_eq!(
-            OperationsRecord::decode(&bytes[..at], "n3"),
+            OperationsRecord::decode(&bytes[..index], "n3"),
             Err(RecordError::Corrupt),
-            "cut at {at}"
+            "cut at {index}"
         );
         let mut changed = bytes.clone();
-        changed[at] ^= 1;
+        changed[index] ^= 1;
         assert_eq!(
             OperationsRecord::decode(&changed, "n3"),
             Err(RecordError::Corrupt),
-            "changed at {at}"
+            "changed at {index}"
         );
     }
     assert_eq!(
--- a/crates/limiter/src/logging.rs
+++ b/crates/limiter/src/logging.rs
@@ -1,6 +1,7 @@
-//! The log on standard error: a line an event, as `docs/on-call.md` lists them, or the same as JSON.
+//! The log on standard error, one line per event, as plain text or JSON. `docs/on-call.md` lists the events.
 //!
-//! Only what happens to the limiter is logged, never a request, so that the default level costs a request nothing.
+//! Only events of the limiter itself are logged, never single requests, so that the default level adds no cost to a
+//! request.
 
 use std::fmt::{self, Write};
 
@@ -10,22 +11,22 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The form of a line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// The limiter's name and the text.
+    /// The limiter's name, a space and the message.
     #[default]
     Text,
     /// An object with `timestamp`, `level`, and in `fields` the `limiter` and the `message`.
     Json,
 }
 
-/// How it logs.
+/// Format and level of the log.
 #[derive(Clone, Copy, Debug)]
 pub struct LogConfig {
-    /// The form of a line.
+    /// The format of a line.
     pub format: LogFormat,
-    /// The least that is logged.
+    /// The least severe level that is logged.
     pub level: Level,
 }
 
@@ -39,41 +40,41 @@
 }
 
 impl LogConfig {
-    /// Logs from now on, in the whole process. The first call of a process holds.
+    /// Installs the logger for the whole process. Only the first call in a process has an effect.
     pub fn install(self) {
-        let log = tracing_subscriber::fmt()
+        let subscriber = tracing_subscriber::fmt()
             .with_writer(std::io::stderr)
             .with_max_level(self.level);
-        // An embedder that has a log of its own keeps it.
+        // Fails if the embedding program has already installed a logger, which is then kept.
         let _ = match self.format {
-            LogFormat::Text => log.event_format(Lines).try_init(),
-            LogFormat::Json => log.json().with_target(false).try_init(),
+            LogFormat::Text => subscriber.event_format(TextFormat).try_init(),
+            LogFormat::Json => subscriber.json().with_target(false).try_init(),
         };
     }
 }
 
-/// `NAME TEXT`, the lines that those on call know.
-struct Lines;
+/// Formats an event as `LIMITER MESSAGE`, or as the message alone where the event has no `limiter` field.
+struct TextFormat;
 
 #[derive(Default)]
-struct Line {
+struct EventFields {
     limiter: String,
     message: String,
 }
 
-impl Visit for Line {
+impl Visit for EventFields {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        let into = match field.name() {
+        let target = match field.name() {
             "limiter" => &mut self.limiter,
             "message" => &mut self.message,
             _ => return,
         };
-        // Writing to memory does not fail.
-        let _ = write!(into, "{value:?}");
+        // Writing to a string cannot fail.
+        let _ = write!(target, "{value:?}");
     }
 }
 
-impl<S, N> FormatEvent<S, N> for Lines
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -84,11 +85,11 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let mut line = Line::default();
-        event.record(&mut line);
-        match line.limiter.as_str() {
-            "" => writeln!(writer, "{}", line.message),
-            limiter => writeln!(writer, "{limiter} {}", line.message),
+        let mut fields = EventFields::default();
+        event.record(&mut fields);
+        match fields.limiter.as_str() {
+            "" => writeln!(writer, "{}", fields.message),
+            limiter => writeln!(writer, "{limiter} {}", fields.message),
         }
     }
 }
--- a/crates/limiter/src/operators.rs
+++ b/crates/limiter/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' address, without any input or output: a line is read as a call, and who may be calling is bounded.
+//! The operators' socket, without any I/O: parsing of command lines, and the limits on operators' connections.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -8,35 +8,35 @@
 use crate::limits::Limits;
 use crate::slots::ConnectionKey;
 
-/// What operators ask for.
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Whether this process takes clients.
+    /// Reports whether this process accepts clients.
     Ready,
-    /// Take a server out.
+    /// Disables a server, named by its id.
     DisableServer(String),
-    /// Use it again.
+    /// Enables a server again, named by its id.
     EnableServer(String),
-    /// Send clients away.
+    /// Starts to drain: clients are sent away.
     Drain,
-    /// End of the drain.
+    /// Ends the drain.
     Resume,
 }
 
-/// Why a line is no call.
+/// Why a line is not a valid command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// Longer than any call.
+    /// Longer than `max_operator_line_bytes`.
     TooLong,
     /// Not printable ASCII.
     NotText,
-    /// Nothing in it.
+    /// Blank.
     Empty,
-    /// No such call.
+    /// An unknown command.
     Unknown,
-    /// An argument is missing.
+    /// The server's id is missing.
     MissingArgument,
-    /// More arguments than the call has.
+    /// More arguments than the command takes.
     TooManyArguments,
 }
 
@@ -70,22 +70,22 @@
 }
 
 impl OperatorCommand {
-    /// The call in what has come on a connection, once its line is whole. What follows the line is passed over.
+    /// Parses the first line of a connection's input; `None` while the line is incomplete. Anything after it is ignored.
     ///
     /// # Errors
-    /// The bytes are no call of an operator.
+    /// The line is not a valid command.
     pub fn parse(bytes: &[u8], limits: &Limits) -> Result<Option<OperatorCommand>, CommandError> {
-        let end = bytes.iter().position(|byte| *byte == b'\n');
-        if end.unwrap_or(bytes.len()) > limits.max_operator_line_bytes {
+        let line_end = bytes.iter().position(|byte| *byte == b'\n');
+        if line_end.unwrap_or(bytes.len()) > limits.max_operator_line_bytes {
             return Err(CommandError::TooLong);
         }
-        let Some(end) = end else { return Ok(None) };
+        let Some(end) = line_end else { return Ok(None) };
         let line = bytes[..end].strip_suffix(b"\r").unwrap_or(&bytes[..end]);
-        // Guards the log as well: a name is shown there as it was given.
-        let text = |byte: &u8| byte.is_ascii_graphic() || matches!(byte, b' ' | b'\t');
+        // Also protects the log, where a server's id is written as it was given.
+        let is_text = |byte: &u8| byte.is_ascii_graphic() || matches!(byte, b' ' | b'\t');
         let line = std::str::from_utf8(line)
             .ok()
-            .filter(|line| line.bytes().all(|byte| text(&byte)));
+            .filter(|line| line.bytes().all(|byte| is_text(&byte)));
         let mut words = line.ok_or(CommandError::NotText)?.split_ascii_whitespace();
         let name = words.next().ok_or(CommandError::Empty)?;
         let mut id = || {
@@ -94,7 +94,7 @@
                 .map(str::to_string)
                 .ok_or(CommandError::MissingArgument)
         };
-        let call = match name {
+        let command = match name {
             "ready" => OperatorCommand::Ready,
             "drain" => OperatorCommand::Drain,
             "resume" => OperatorCommand::Resume,
@@ -105,45 +105,46 @@
         if words.next().is_some() {
             Err(CommandError::TooManyArguments)
         } else {
-            Ok(Some(call))
+            Ok(Some(command))
         }
     }
 }
 
-/// Who is connected at the operators' address, in the order in which they came.
+/// The open connections of operators, oldest first.
 ///
-/// Guards against callers that finish no call: they have a bounded time and a bounded number of descriptors, and a
-/// caller that comes when all are taken has the oldest one's. Clients' connections are never touched for it.
+/// Their duration and number are bounded, because an operator's client may never finish its command. When the bound is
+/// reached, a new connection replaces the oldest one; clients' connections are never closed for it.
 #[derive(Debug, Default)]
 pub struct OperatorConnections {
-    known: VecDeque<(ConnectionKey, Micros)>,
+    opened: VecDeque<(ConnectionKey, Micros)>,
 }
 
 impl OperatorConnections {
-    /// One came. Gives who is to go for it.
+    /// Adds a connection. Returns the connection to close if the bound is exceeded.
     pub fn insert(
         &mut self,
         key: ConnectionKey,
         now: Micros,
         limits: &Limits,
     ) -> Option<ConnectionKey> {
-        self.known.push_back((key, now));
-        let full = self.known.len() > limits.max_operator_connections;
-        full.then(|| self.known.pop_front())
+        self.opened.push_back((key, now));
+        let over_limit = self.opened.len() > limits.max_operator_connections;
+        over_limit
+            .then(|| self.opened.pop_front())
             .flatten()
             .map(|(oldest, _)| oldest)
     }
 
-    /// One is gone.
+    /// Removes a closed connection.
     pub fn remove(&mut self, key: ConnectionKey) {
-        self.known.retain(|(known, _)| *known != key);
+        self.opened.retain(|(open, _)| *open != key);
     }
 
-    /// The earliest one whose time is up.
+    /// The oldest connection, if it has been open for `operator_idle_timeout` or longer.
     pub fn first_timed_out(&self, now: Micros, limits: &Limits) -> Option<ConnectionKey> {
-        self.known
+        self.opened
             .front()
-            .filter(|(_, since)| *since + limits.operator_idle_timeout <= now)
+            .filter(|(_, opened_at)| *opened_at + limits.operator_idle_timeout <= now)
             .map(|(key, _)| *key)
     }
 }
--- a/crates/limiter/src/operators/tests.rs
+++ b/crates/limiter/src/operators/tests.rs
@@ -3,13 +3,13 @@
 
 use super::*;
 
-fn read(line: &[u8]) -> Result<Option<OperatorCommand>, CommandError> {
+fn parse(line: &[u8]) -> Result<Option<OperatorCommand>, CommandError> {
     OperatorCommand::parse(line, &Limits::default())
 }
 
 #[test]
-fn calls_are_read_with_either_end_of_line_and_any_blanks() {
-    for (line, call) in [
+fn commands_are_parsed_with_either_line_ending_and_any_blanks() {
+    for (line, command) in [
         ("ready\n", OperatorCommand::Ready),
         ("ready\r\n", OperatorCommand::Ready),
         (" drain \n", OperatorCommand::Drain),
@@ -23,14 +23,14 @@
             OperatorCommand::EnableServer("s-1".into()),
         ),
     ] {
-        assert_eq!(read(line.as_bytes()), Ok(Some(call)), "{line:?}");
+        assert_eq!(parse(line.as_bytes()), Ok(Some(command)), "{line:?}");
     }
 }
 
 #[test]
-fn what_is_no_call_is_named() {
+fn invalid_commands_are_rejected_with_their_error() {
     let long = [b"disable-server ".as_slice(), &[b'x'; 2_000]].concat();
-    for (line, fault) in [
+    for (line, error) in [
         (b"\n".as_slice(), CommandError::Empty),
         (b" \r\n", CommandError::Empty),
         (b"Ready\n", CommandError::Unknown),
@@ -43,14 +43,14 @@
         (b"disable-server \x1b[2J\n", CommandError::NotText),
         (&long, CommandError::TooLong),
     ] {
-        assert_eq!(read(line), Err(fault), "{line:?}");
+        assert_eq!(parse(line), Err(error), "{line:?}");
     }
 }
 
-/// Whatever comes, in whatever pieces: a call is read exactly where its whole line is there, and the same one.
+/// For any bytes: a prefix parses either as incomplete or to the same result as the whole input.
 #[test]
-fn random_bytes_and_splits_are_read_alike() {
-    let check = |bytes: Vec<u8>, plain: bool, cut: usize| {
+fn a_prefix_is_incomplete_or_parses_like_the_whole_input() {
+    let check = |bytes: Vec<u8>, use_words: bool, cut: usize| {
         let words = [
             "ready",
             "drain",
@@ -67,13 +67,13 @@
             .iter()
             .flat_map(|b| words[usize::from(*b) % words.len()].bytes())
             .collect();
-        let line = if plain { text } else { bytes };
-        let whole = read(&line);
-        let part = read(&line[..cut % (line.len() + 1)]);
-        match (&whole, &part) {
+        let line = if use_words { text } else { bytes };
+        let whole = parse(&line);
+        let prefix = parse(&line[..cut % (line.len() + 1)]);
+        match (&whole, &prefix) {
             (_, Ok(None)) => TestResult::passed(),
-            // Only a line that was whole is read, and what came behind it changes nothing.
-            _ => TestResult::from_bool(whole == part),
+            // The prefix holds a complete line, and what follows that line must not matter.
+            _ => TestResult::from_bool(whole == prefix),
         }
     };
     QuickCheck::new()
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn the_oldest_caller_goes_for_a_new_one_and_none_stays_for_ever() {
+fn the_oldest_connection_is_replaced_at_the_limit_and_idle_ones_time_out() {
     let limits = Limits {
         max_operator_connections: 2,
         operator_idle_timeout: 100,
@@ -91,25 +91,25 @@
     };
     let mut keys = SlotMap::<ConnectionKey, ()>::with_key();
     let [a, b, c] = [(); 3].map(|()| keys.insert(()));
-    let mut callers = OperatorConnections::default();
+    let mut connections = OperatorConnections::default();
     assert_eq!(
         (
-            callers.insert(a, 0, &limits),
-            callers.insert(b, 50, &limits)
+            connections.insert(a, 0, &limits),
+            connections.insert(b, 50, &limits)
         ),
         (None, None)
     );
-    assert_eq!(callers.first_timed_out(99, &limits), None);
-    assert_eq!(callers.first_timed_out(100, &limits), Some(a));
-    assert_eq!(callers.insert(c, 60, &limits), Some(a));
-    callers.remove(b);
+    assert_eq!(connections.first_timed_out(99, &limits), None);
+    assert_eq!(connections.first_timed_out(100, &limits), Some(a));
+    assert_eq!(connections.insert(c, 60, &limits), Some(a));
+    connections.remove(b);
     assert_eq!(
         (
-            callers.first_timed_out(159, &limits),
-            callers.first_timed_out(160, &limits)
+            connections.first_timed_out(159, &limits),
+            connections.first_timed_out(160, &limits)
         ),
         (None, Some(c))
     );
-    callers.remove(c);
-    assert_eq!(callers.first_timed_out(160, &limits), None);
+    connections.remove(c);
+    assert_eq!(connections.first_timed_out(160, &limits), None);
 }
--- a/crates/limiter/src/peers/tests.rs
+++ b/crates/limiter/src/peers/tests.rs
@@ -1,27 +1,30 @@
 use super::*;
 
 #[test]
-fn only_limiters_of_the_tier_are_believed_and_the_rest_is_told_now_and_then() {
-    let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-    let mut peers = Peers::new(vec![at(1), at(2)]);
+fn notices_are_accepted_only_from_peers_and_rejections_are_reported_at_intervals() {
+    let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
+    let mut peers = Peers::new(vec![address(1), address(2)]);
     let bytes = encode_notice(&OverQuotaNotice {
         customer: CustomerId(7),
         plan: 0,
     })
     .unwrap();
-    assert!(peers.receive(at(2), &bytes, 1).is_some());
+    assert!(peers.receive(address(2), &bytes, 1).is_some());
     assert_eq!(
         peers.take_rejected_count(0, 10),
         None,
-        "nothing was refused"
+        "nothing was rejected"
     );
     assert!(
-        peers.receive(at(3), &bytes, 1).is_none(),
-        "no limiter is there"
+        peers.receive(address(3), &bytes, 1).is_none(),
+        "the sender is not a peer"
+    );
+    assert!(
+        peers.receive(address(1), &[0; 256], 0).is_none(),
+        "malformed notice"
     );
-    assert!(peers.receive(at(1), &[0; 256], 0).is_none(), "not a notice");
     assert_eq!(peers.take_rejected_count(0, 10), Some(2));
-    assert!(peers.receive(at(3), &bytes, 1).is_none());
+    assert!(peers.receive(address(3), &bytes, 1).is_none());
     assert_eq!(
         (
             peers.take_rejected_count(9, 10),
@@ -29,13 +32,19 @@
         ),
         (None, Some(1))
     );
-    peers.set_addresses(vec![at(3)]);
-    assert!(peers.receive(at(3), &bytes, 1).is_some() && peers.receive(at(2), &bytes, 1).is_none());
-    assert_eq!((peers.address(0), peers.address(1)), (Some(at(3)), None));
+    peers.set_addresses(vec![address(3)]);
+    assert!(
+        peers.receive(address(3), &bytes, 1).is_some()
+            && peers.receive(address(2), &bytes, 1).is_none()
+    );
+    assert_eq!(
+        (peers.address(0), peers.address(1)),
+        (Some(address(3)), None)
+    );
 }
 
 #[test]
-fn a_notice_survives_the_wire_and_odd_datagrams_are_none() {
+fn a_notice_round_trips_and_malformed_datagrams_are_rejected() {
     let notice = OverQuotaNotice {
         customer: CustomerId(0x1_2345_6789),
         plan: 2,
