--- a/crates/limiter/src/raft/journal/tests.rs
+++ b/crates/limiter/src/raft/journal/tests.rs
@@ -11,11 +11,11 @@
 }
 
 #[test]
-fn a_journal_cut_at_any_byte_opens_with_the_whole_records_before() {
+fn a_journal_truncated_at_any_byte_opens_with_the_complete_records_before() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("raft.journal");
     let mut journal = Journal::open(folder.path(), &MemStorage::new()).unwrap();
-    let mut ends = vec![0];
+    let mut record_ends = vec![0];
     for index in 1..=3 {
         let state = HardState {
             term: index,
@@ -23,14 +23,14 @@
             ..HardState::default()
         };
         journal.append(&[entry(index, 1)], Some(&state)).unwrap();
-        ends.push(journal.length_bytes());
+        record_ends.push(journal.length_bytes());
     }
-    let whole = fs::read(&path).unwrap();
-    for cut in 0..=whole.len() {
-        fs::write(&path, &whole[..cut]).unwrap();
+    let complete = fs::read(&path).unwrap();
+    for cut in 0..=complete.len() {
+        fs::write(&path, &complete[..cut]).unwrap();
         let store = MemStorage::new();
         Journal::open(folder.path(), &store).unwrap();
-        let records = ends.iter().filter(|end| **end <= cut as u64).count() as u64 - 1;
+        let records = record_ends.iter().filter(|end| **end <= cut as u64).count() as u64 - 1;
         let last = store.last_index().unwrap();
         assert!(
             last == records || last == records + 1,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_later_leaders_entry_takes_the_place_of_one_that_was_never_committed() {
+fn an_entry_of_a_later_term_replaces_an_uncommitted_one() {
     let folder = tempfile::tempdir().unwrap();
     let mut journal = Journal::open(folder.path(), &MemStorage::new()).unwrap();
     journal
