--- a/crates/limiter/src/counter_client.rs
+++ b/crates/limiter/src/counter_client.rs
@@ -1,5 +1,5 @@
-//! Calls to the counter, pipelined on a few connections. Answers come in the order of the calls of a connection;
-//! the calls of one name always go on the same one.
+//! The client of the counter service: calls are pipelined over a few connections. On each connection responses arrive in
+//! the order of the calls, and all calls for one counter name use the same connection. No I/O.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -9,50 +9,52 @@
 use crate::net::framing::Response;
 use crate::slots::ConnectionKey;
 
-/// A call that is not matched off yet.
+/// A call whose response has not been received yet.
 #[derive(Debug)]
-struct Call {
-    /// Which of the host's engines asked.
+struct PendingCall {
+    /// Index of the engine of the host that made the call.
     engine_index: usize,
     name: CounterKey,
-    add: f64,
-    life: Micros,
+    /// Amount to add to the counter.
+    delta: f64,
+    /// Lifetime of the counter, if the call creates it.
+    ttl: Micros,
     deadline: Micros,
-    /// When it was written.
-    written: Micros,
-    /// Its outcome has been given; what still comes for it is only matched off.
-    given: bool,
+    /// When the request was written to the connection.
+    written_at: Micros,
+    /// The outcome has been reported; a response that still arrives only takes the call off the queue.
+    is_reported: bool,
 }
 
-/// What came of a call.
+/// The result of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterResult {
-    /// Which of the host's engines asked.
+    /// Index of the engine of the host that made the call.
     pub engine_index: usize,
-    /// The number.
+    /// The counter.
     pub name: CounterKey,
     /// How the call ended.
     pub outcome: Outcome,
-    /// The total, where it succeeded.
+    /// The counter's total after the call if it succeeded, else 0.
     pub total: f64,
 }
 
-/// What an answer of the counter is.
+/// What a response of the counter belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterResponse {
-    /// The outcome of a call.
+    /// A call that was waiting for it; its result.
     Completed(CounterResult),
-    /// It belongs to a call whose outcome was given before.
+    /// A call that has timed out, and whose outcome has been reported.
     Late {
-        /// Which of the host's engines asked.
+        /// Index of the engine of the host that made the call.
         engine_index: usize,
     },
-    /// Nothing was asked.
+    /// No call: the response was not asked for.
     Unsolicited,
 }
 
-impl Call {
-    fn ended(&self, outcome: Outcome) -> CounterResult {
+impl PendingCall {
+    fn result(&self, outcome: Outcome) -> CounterResult {
         CounterResult {
             engine_index: self.engine_index,
             name: self.name,
@@ -62,170 +64,179 @@
     }
 }
 
-/// The total in an answer, where it can be read.
-fn total(answer: &Response) -> Option<f64> {
-    let text = std::str::from_utf8(&answer.body).ok()?;
+/// The total in a response's body; `None` if it is not a finite number.
+fn parse_total(response: &Response) -> Option<f64> {
+    let text = std::str::from_utf8(&response.body).ok()?;
     text.trim()
         .parse::<f64>()
         .ok()
         .filter(|total| total.is_finite())
 }
 
-/// Whether an answer came whole from the counter. Behind one that is spoilt nothing more is to be expected on its
-/// connection: calls that went on there would only run out of time, and the counter pass for lost.
-pub fn is_connection_reusable(answer: &Response) -> bool {
-    match answer.status {
-        200 => answer.keep_alive && total(answer).is_some(),
-        status => answer.keep_alive && matches!(status, 400 | 404 | 503),
+/// Whether the connection can be used further after this response. After a malformed response no valid one can be expected
+/// on it: further calls would only time out, and the counter would be taken for lost.
+pub fn is_connection_reusable(response: &Response) -> bool {
+    match response.status {
+        200 => response.keep_alive && parse_total(response).is_some(),
+        status => response.keep_alive && matches!(status, 400 | 404 | 503),
     }
 }
 
-/// One connection's calls.
+/// The calls on one connection to the counter, and its state.
 #[derive(Debug, Default)]
 pub struct CounterConnection {
-    /// The connection, if there is one.
+    /// The connection, if one is open or being opened.
     pub connection: Option<ConnectionKey>,
-    up: bool,
-    /// Calls not written, and written ones whose answers are to come.
-    unsent: VecDeque<Call>,
-    waiting: VecDeque<Call>,
-    /// When something last went out or came in, and when something last came in.
-    used: Micros,
-    heard: Micros,
-    /// The counter has moved: nothing more is written on this connection.
-    leaving: bool,
+    is_connected: bool,
+    /// Calls that have not been written.
+    unsent: VecDeque<PendingCall>,
+    /// Calls that have been written, whose responses are outstanding.
+    in_flight: VecDeque<PendingCall>,
+    /// When a request was last written or a response last received, or the connection was established.
+    last_used_at: Micros,
+    /// When a response was last received, or the connection was established.
+    last_received_at: Micros,
+    /// The counter's address has changed: nothing more is written on this connection.
+    is_moving: bool,
 }
 
 impl CounterConnection {
-    /// Enters a call.
+    /// Queues a call that adds `delta` to the counter `name`; a counter that it creates lives for `ttl`. The call fails if
+    /// it has no response by `deadline`.
     pub fn enqueue(
         &mut self,
-        asker: usize,
+        engine_index: usize,
         name: CounterKey,
-        add: f64,
-        life: Micros,
+        delta: f64,
+        ttl: Micros,
         deadline: Micros,
     ) {
-        self.unsent.push_back(Call {
-            engine_index: asker,
+        self.unsent.push_back(PendingCall {
+            engine_index,
             name,
-            add,
-            life,
+            delta,
+            ttl,
             deadline,
-            written: 0,
-            given: false,
+            written_at: 0,
+            is_reported: false,
         });
     }
 
-    /// The connection is up.
+    /// The connection has been established.
     pub fn handle_connected(&mut self, now: Micros) {
-        (self.up, self.used, self.heard) = (true, now, now);
+        (self.is_connected, self.last_used_at, self.last_received_at) = (true, now, now);
     }
 
-    /// Writes what may be written.
+    /// Writes the requests of all queued calls to `out`, if the connection is up and not moving.
     pub fn write_requests(&mut self, now: Micros, host: &str, out: &mut Vec<u8>) {
-        if !self.up || self.leaving {
+        if !self.is_connected || self.is_moving {
             return;
         }
         while let Some(mut call) = self.unsent.pop_front() {
-            (self.used, call.written) = (now, now);
-            let life = (call.life / 1_000).max(1);
+            (self.last_used_at, call.written_at) = (now, now);
+            let ttl_ms = (call.ttl / 1_000).max(1);
             // Writing to a vector cannot fail.
             let _ = write!(
                 out,
-                "POST /v2/numbers/{}?delta={}&life_ms={life} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n",
-                call.name.0, call.add
+                "POST /v2/numbers/{}?delta={}&life_ms={ttl_ms} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n",
+                call.name.0, call.delta
             );
-            self.waiting.push_back(call);
+            self.in_flight.push_back(call);
         }
     }
 
-    /// The counter is to be found elsewhere. What is written is waited for here: its answers must come before
-    /// those to later calls of the same name.
+    /// Begins to move to a new address of the counter. Calls in flight are completed on the old connection first, because
+    /// their responses must come before those to later calls for the same counter.
     pub fn begin_move(&mut self) {
-        self.leaving = true;
+        self.is_moving = true;
     }
 
-    /// If this line is leaving and owes no outcome for what it wrote: forgets its connection, which is given, and
-    /// keeps the calls not written for the next one.
+    /// Completes the move once the outcome of each call in flight has been reported: detaches the old connection and
+    /// returns it, if there is one, for closing. Unsent calls are kept for the new connection. `None` if no move is in
+    /// progress or calls are outstanding.
     pub fn finish_move(&mut self) -> Option<Option<ConnectionKey>> {
-        if !self.leaving || self.waiting.iter().any(|call| !call.given) {
+        if !self.is_moving || self.in_flight.iter().any(|call| !call.is_reported) {
             return None;
         }
-        (self.up, self.leaving) = (false, false);
-        self.waiting.clear();
+        (self.is_connected, self.is_moving) = (false, false);
+        self.in_flight.clear();
         Some(self.connection.take())
     }
 
-    /// Nothing is out and nothing was for so long that the counter may be closing the connection just now.
+    /// Whether no call is in flight and the connection has not been used since `before`: the counter may be about to close
+    /// it.
     pub fn is_idle_since(&self, before: Micros) -> bool {
-        self.up && self.waiting.is_empty() && self.used <= before
+        self.is_connected && self.in_flight.is_empty() && self.last_used_at <= before
     }
 
-    /// A call has been out since `before`, and nothing at all has come since then. What was written meanwhile does not
-    /// matter: a line that went silent under load would be written to, and fail its calls, for as long as they come.
+    /// Whether a timed-out call has been in flight since `before` and nothing has been received since then. Requests written
+    /// in the meantime do not count as activity: under load a dead connection would otherwise be kept, and its calls fail,
+    /// for as long as calls are made.
     pub fn is_silent_since(&self, before: Micros) -> bool {
-        let earliest = self.waiting.front();
-        self.up
-            && self.heard <= before
-            && earliest.is_some_and(|call| call.given && call.written <= before)
+        let earliest = self.in_flight.front();
+        self.is_connected
+            && self.last_received_at <= before
+            && earliest.is_some_and(|call| call.is_reported && call.written_at <= before)
     }
 
-    /// The answer to the earliest call written did not come in time.
+    /// Whether the earliest call in flight has timed out.
     pub fn has_timed_out_call(&self) -> bool {
-        self.waiting.front().is_some_and(|call| call.given)
+        self.in_flight.front().is_some_and(|call| call.is_reported)
     }
 
-    /// An answer came: it belongs to the earliest call written.
-    pub fn handle_response(&mut self, now: Micros, answer: &Response) -> CounterResponse {
-        (self.used, self.heard) = (now, now);
-        let Some(call) = self.waiting.pop_front() else {
+    /// Matches a response to the earliest call in flight.
+    pub fn handle_response(&mut self, now: Micros, response: &Response) -> CounterResponse {
+        (self.last_used_at, self.last_received_at) = (now, now);
+        let Some(call) = self.in_flight.pop_front() else {
             return CounterResponse::Unsolicited;
         };
-        // Guards the order: a late answer is matched off to its own call, and its total told to nobody.
-        if call.given {
+        // A late response must consume its own call, or all later responses would be matched to the wrong calls. Its total
+        // is dropped, because the call's outcome has been reported.
+        if call.is_reported {
             return CounterResponse::Late {
                 engine_index: call.engine_index,
             };
         }
-        let (outcome, total) = match (answer.status, total(answer)) {
+        let (outcome, total) = match (response.status, parse_total(response)) {
             (200, Some(total)) => (Outcome::Ok, total),
-            // It was added, but what the total is remains unknown.
+            // The amount was added, but the total is unknown.
             (200, None) => (Outcome::TimedOut, 0.0),
             (503, _) => (Outcome::Rejected, 0.0),
             _ => (Outcome::Error, 0.0),
         };
         CounterResponse::Completed(CounterResult {
             total,
-            ..call.ended(outcome)
+            ..call.result(outcome)
         })
     }
 
-    /// Gives the outcomes of calls whose time is up. One that was never written is withdrawn: nothing is added.
-    pub fn expire_calls(&mut self, now: Micros, counted: &mut Vec<CounterResult>) {
+    /// Reports the outcomes of calls past their deadline to `results`. A call that was never written is withdrawn, so nothing
+    /// is added for it.
+    pub fn expire_calls(&mut self, now: Micros, results: &mut Vec<CounterResult>) {
         for call in self
-            .waiting
+            .in_flight
             .iter_mut()
-            .filter(|call| !call.given && call.deadline <= now)
+            .filter(|call| !call.is_reported && call.deadline <= now)
         {
-            call.given = true;
-            counted.push(call.ended(Outcome::TimedOut));
+            call.is_reported = true;
+            results.push(call.result(Outcome::TimedOut));
         }
         self.unsent.retain(|call| {
-            let due = call.deadline <= now;
-            if due {
-                counted.push(call.ended(Outcome::ConnectFailed));
+            let is_expired = call.deadline <= now;
+            if is_expired {
+                results.push(call.result(Outcome::ConnectFailed));
             }
-            !due
+            !is_expired
         });
     }
 
-    /// The connection is gone. What was written may have been added; what was not never will be.
-    pub fn handle_disconnect(&mut self, counted: &mut Vec<CounterResult>) {
-        (self.connection, self.up, self.leaving) = (None, false, false);
-        let written = self.waiting.drain(..).filter(|call| !call.given);
-        counted.extend(written.map(|call| call.ended(Outcome::TimedOut)));
+    /// Reports the outcomes of all calls to `results` after the connection was lost: those in flight have timed out, since
+    /// their amounts may have been added, and unsent ones could not connect.
+    pub fn handle_disconnect(&mut self, results: &mut Vec<CounterResult>) {
+        (self.connection, self.is_connected, self.is_moving) = (None, false, false);
+        let in_flight = self.in_flight.drain(..).filter(|call| !call.is_reported);
+        results.extend(in_flight.map(|call| call.result(Outcome::TimedOut)));
         let unsent = self.unsent.drain(..);
-        counted.extend(unsent.map(|call| call.ended(Outcome::ConnectFailed)));
+        results.extend(unsent.map(|call| call.result(Outcome::ConnectFailed)));
     }
 }
--- a/crates/limiter/src/routing_table.rs
+++ b/crates/limiter/src/routing_table.rs
@@ -1,4 +1,5 @@
-//! The routing table: discovery's list as it stands here, what its lines say, and the operators' bans over it.
+//! The routing table: discovery's server list as known here, with the servers that operators have disabled. Parses the
+//! lines of discovery's watch; no I/O.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -8,23 +9,23 @@
 
 use crate::disabled_servers::DisabledServers;
 
-/// What a line of discovery changes.
+/// The changes that a line of discovery or a command of an operator makes to the table.
 #[derive(Debug, PartialEq)]
 pub struct TableUpdate {
-    /// How the entries are to be read.
+    /// How to interpret the entries.
     pub kind: ListKind,
-    /// The entries for the module.
+    /// The entries for the decision module.
     pub entries: Vec<ServerEntry>,
-    /// Where the servers are that may be used.
+    /// The addresses of the listed servers among the entries.
     pub addresses: Vec<(ServerId, SocketAddr)>,
-    /// Of those, the ones that operators have taken out: no connection to them is kept for later.
+    /// Those of these servers that operators have disabled: no idle connections to them are kept.
     pub disabled: Vec<ServerId>,
-    /// Servers that are gone.
+    /// Servers that were removed from the list.
     pub removed: Vec<ServerId>,
 }
 
 impl TableUpdate {
-    /// Nothing yet, to be read like this.
+    /// An empty update whose entries are to be interpreted as `kind`.
     pub fn new(kind: ListKind) -> TableUpdate {
         TableUpdate {
             kind,
@@ -36,30 +37,30 @@
     }
 }
 
-/// Names of servers that are gone and still known to have been listed.
-const PAST: usize = 4_096;
+/// Maximum number of removed servers whose names are remembered, so that operators can still name them.
+const MAX_REMOVED_NAMES: usize = 4_096;
 
-/// A server as discovery has it.
+/// A server as listed by discovery.
 #[derive(Debug)]
 struct ListedServer {
     entry: ServerEntry,
     address: Option<SocketAddr>,
 }
 
-/// Names and numbers of servers, and the version of the list.
+/// The listed servers by name, the numbers given to them, and the version of the list.
 #[derive(Debug, Default)]
 pub struct RoutingTable {
     zones: Vec<String>,
-    kinds: Vec<String>,
-    /// Version of the list as held.
+    machine_types: Vec<String>,
+    /// Version of the list that was last applied.
     pub list_version: u64,
     listed: BTreeMap<String, ListedServer>,
-    past: VecDeque<String>,
-    bans: DisabledServers,
-    next: u32,
+    removed_names: VecDeque<String>,
+    disabled: DisabledServers,
+    last_server_number: u32,
 }
 
-/// A call that names a server which no list has ever named.
+/// A command names a server that no list has contained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownServer;
 
@@ -71,61 +72,62 @@
 
 impl std::error::Error for UnknownServer {}
 
-/// Why a line of discovery is not taken.
+/// A server list is malformed; names the offending key or says what is wrong.
 #[derive(Debug, PartialEq, Eq)]
 pub struct MalformedList(pub &'static str);
 
 impl std::fmt::Display for MalformedList {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "bad list: {}", self.0)
+        write!(f, "malformed server list: {}", self.0)
     }
 }
 
 impl std::error::Error for MalformedList {}
 
-fn position(names: &[String], name: &Value) -> u32 {
-    let found = name
+/// The position of `name` in `names`; 0 if it is absent or not a string.
+fn position_of(names: &[String], name: &Value) -> u32 {
+    let position = name
         .as_str()
         .and_then(|name| names.iter().position(|n| n == name));
-    found.map_or(0, |n| n as u32)
+    position.map_or(0, |n| n as u32)
 }
 
 impl RoutingTable {
-    /// An empty table; `zones` and `kinds` give the names their numbers.
-    pub fn new(zones: Vec<String>, kinds: Vec<String>) -> RoutingTable {
+    /// Creates an empty table. Zones and machine types are numbered by their positions in `zones` and `machine_types`.
+    pub fn new(zones: Vec<String>, machine_types: Vec<String>) -> RoutingTable {
         RoutingTable {
             zones,
-            kinds,
+            machine_types,
             ..RoutingTable::default()
         }
     }
 
-    /// Some server may be used.
+    /// Whether some server is listed as ready and not disabled.
     pub fn has_usable_server(&self) -> bool {
-        let ready = |(name, known): (&String, &ListedServer)| {
-            known.entry.state == ServerState::Ready && !self.bans.is_disabled(name)
+        let is_usable = |(name, server): (&String, &ListedServer)| {
+            server.entry.state == ServerState::Ready && !self.disabled.is_disabled(name)
         };
-        self.listed.iter().any(ready)
+        self.listed.iter().any(is_usable)
     }
 
-    /// Some server is listed as ready, taken out or not.
+    /// Whether some server is listed as ready, disabled or not.
     pub fn has_ready_server(&self) -> bool {
         self.listed
             .values()
-            .any(|known| known.entry.state == ServerState::Ready)
+            .any(|server| server.entry.state == ServerState::Ready)
     }
 
-    /// Reads the list as last held.
+    /// Applies a complete list that was saved earlier and may be stale.
     ///
     /// # Errors
     /// The list is malformed.
     pub fn load_cached(&mut self, list: &Value) -> Result<TableUpdate, MalformedList> {
-        let mut news = self.read(list)?;
-        news.kind = ListKind::Cached;
-        Ok(news)
+        let mut update = self.apply_list(list)?;
+        update.kind = ListKind::Cached;
+        Ok(update)
     }
 
-    /// Reads one line of a watch; an empty one brings nothing.
+    /// Applies one line of a watch. `None` for a blank line, which changes nothing.
     ///
     /// # Errors
     /// The line is malformed.
@@ -134,164 +136,177 @@
             return Ok(None);
         }
         let value: Value = serde_json::from_slice(line).map_err(|_| MalformedList("not JSON"))?;
-        self.read(&value).map(Some)
+        self.apply_list(&value).map(Some)
     }
 
-    fn read(&mut self, list: &Value) -> Result<TableUpdate, MalformedList> {
+    fn apply_list(&mut self, list: &Value) -> Result<TableUpdate, MalformedList> {
         let index = list["index"].as_u64().ok_or(MalformedList("index"))?;
-        let full = list["snapshot"]
+        let is_full = list["snapshot"]
             .as_bool()
             .ok_or(MalformedList("snapshot"))?;
-        let lines = list["endpoints"]
+        let endpoints = list["endpoints"]
             .as_array()
             .ok_or(MalformedList("endpoints"))?;
-        let kind = if full {
+        let kind = if is_full {
             ListKind::Full
         } else {
             ListKind::Changes
         };
-        let mut news = TableUpdate::new(kind);
-        // All is read before any of it is taken: half a list must not replace a whole one.
-        let read = lines
+        let mut update = TableUpdate::new(kind);
+        // All entries are parsed before the table changes: a malformed list must not be applied in part.
+        let entries = endpoints
             .iter()
-            .map(|line| self.entry(line))
+            .map(|endpoint| self.parse_entry(endpoint))
             .collect::<Result<Vec<_>, _>>()?;
-        if full {
-            let named = |name: &str| read.iter().any(|(n, _, _)| n == name);
-            let lost: Vec<String> = self.listed.keys().filter(|n| !named(n)).cloned().collect();
-            lost.iter()
-                .for_each(|name| self.drop_listed(name, &mut news));
+        if is_full {
+            let is_listed = |name: &str| entries.iter().any(|(n, _, _)| n == name);
+            let missing: Vec<String> = self
+                .listed
+                .keys()
+                .filter(|n| !is_listed(n))
+                .cloned()
+                .collect();
+            missing
+                .iter()
+                .for_each(|name| self.remove_listed(name, &mut update));
         }
-        for (name, address, mut entry) in read {
-            let known = self.listed.get(&name).map(|known| known.entry.server);
+        for (name, address, mut entry) in entries {
+            let known_server = self.listed.get(&name).map(|known| known.entry.server);
             if entry.state == ServerState::Removed {
-                // An end that nobody knew the start of says nothing.
-                if let Some(server) = known {
+                // The removal of a server that is not listed changes nothing.
+                if let Some(server) = known_server {
                     entry.server = server;
-                    self.drop_listed(&name, &mut news);
-                    news.entries.push(entry);
+                    self.remove_listed(&name, &mut update);
+                    update.entries.push(entry);
                 }
                 continue;
             }
-            entry.server = known.unwrap_or_else(|| {
-                self.next += 1;
-                ServerId(self.next)
+            entry.server = known_server.unwrap_or_else(|| {
+                self.last_server_number += 1;
+                ServerId(self.last_server_number)
             });
             self.listed
                 .insert(name.clone(), ListedServer { entry, address });
-            self.tell(&name, &mut news);
+            self.append_entry(&name, &mut update);
         }
         self.list_version = index;
-        Ok(news)
+        Ok(update)
     }
 
-    fn drop_listed(&mut self, name: &str, news: &mut TableUpdate) {
-        let Some(known) = self.listed.remove(name) else {
+    fn remove_listed(&mut self, name: &str, update: &mut TableUpdate) {
+        let Some(removed) = self.listed.remove(name) else {
             return;
         };
-        news.removed.push(known.entry.server);
-        self.past.push_back(name.to_string());
-        if self.past.len() > PAST {
-            self.past.pop_front();
+        update.removed.push(removed.entry.server);
+        self.removed_names.push_back(name.to_string());
+        if self.removed_names.len() > MAX_REMOVED_NAMES {
+            self.removed_names.pop_front();
         }
     }
 
-    /// What holds of a listed server now, with the bans over the list.
-    fn tell(&self, name: &str, news: &mut TableUpdate) {
-        let Some(known) = self.listed.get(name) else {
+    /// Appends a listed server to the update, with its entry as overridden by the operators.
+    fn append_entry(&self, name: &str, update: &mut TableUpdate) {
+        let Some(listed) = self.listed.get(name) else {
             return;
         };
-        let server = known.entry.server;
-        news.entries.push(self.bans.apply_to(name, &known.entry));
-        news.addresses
-            .extend(known.address.map(|address| (server, address)));
-        news.disabled
-            .extend(self.bans.is_disabled(name).then_some(server));
+        let server = listed.entry.server;
+        update
+            .entries
+            .push(self.disabled.apply_to(name, &listed.entry));
+        update
+            .addresses
+            .extend(listed.address.map(|address| (server, address)));
+        update
+            .disabled
+            .extend(self.disabled.is_disabled(name).then_some(server));
     }
 
-    /// Takes a server out. Whether that changes anything, and what there is to tell.
+    /// Disables a server. Returns whether that changed anything, and the update.
     ///
     /// # Errors
-    /// No list has ever named it.
+    /// No list has contained the server.
     pub fn disable(
         &mut self,
         name: &str,
         now: Micros,
     ) -> Result<(bool, TableUpdate), UnknownServer> {
-        self.ban(name, |bans| bans.disable(name, now))
+        self.change_disabled(name, |disabled| disabled.disable(name, now))
     }
 
-    /// Uses a server again, however often it was taken out; likewise.
+    /// Enables a server again, however often it was disabled. Returns whether that changed anything, and the update.
     ///
     /// # Errors
-    /// No list has ever named it.
+    /// No list has contained the server.
     pub fn enable(
         &mut self,
         name: &str,
         now: Micros,
     ) -> Result<(bool, TableUpdate), UnknownServer> {
-        self.ban(name, |bans| bans.enable(name, now))
+        self.change_disabled(name, |disabled| disabled.enable(name, now))
     }
 
-    /// The servers that are taken out.
+    /// The servers that operators have disabled.
     pub fn disabled_servers(&self) -> &DisabledServers {
-        &self.bans
+        &self.disabled
     }
 
-    /// Takes over the bans that another process of this limiter knows later.
-    pub fn merge(&mut self, bans: &DisabledServers) -> TableUpdate {
-        let mut news = TableUpdate::new(ListKind::Changes);
-        self.bans
-            .merge(bans)
+    /// Takes over later changes of disabled servers from another process of this limiter.
+    pub fn merge(&mut self, other: &DisabledServers) -> TableUpdate {
+        let mut update = TableUpdate::new(ListKind::Changes);
+        self.disabled
+            .merge(other)
             .iter()
-            .for_each(|name| self.tell(name, &mut news));
-        news
+            .for_each(|name| self.append_entry(name, &mut update));
+        update
     }
 
-    fn ban(
+    fn change_disabled(
         &mut self,
         name: &str,
         change: impl FnOnce(&mut DisabledServers) -> bool,
     ) -> Result<(bool, TableUpdate), UnknownServer> {
-        // A ban of the process before holds here, also where its server has not been listed since.
+        // A server that the previous process has disabled is accepted even if it has not been listed since.
         if !self.listed.contains_key(name)
-            && !self.past.iter().any(|past| past == name)
-            && !self.bans.is_disabled(name)
+            && !self.removed_names.iter().any(|removed| removed == name)
+            && !self.disabled.is_disabled(name)
         {
             return Err(UnknownServer);
         }
-        let changed = change(&mut self.bans);
-        let mut news = TableUpdate::new(ListKind::Changes);
-        self.tell(name, &mut news);
-        Ok((changed, news))
+        let changed = change(&mut self.disabled);
+        let mut update = TableUpdate::new(ListKind::Changes);
+        self.append_entry(name, &mut update);
+        Ok((changed, update))
     }
 
-    fn entry(
+    fn parse_entry(
         &self,
-        line: &Value,
+        endpoint: &Value,
     ) -> Result<(String, Option<SocketAddr>, ServerEntry), MalformedList> {
-        let name = line["name"].as_str().ok_or(MalformedList("name"))?;
-        let state = match line["status"].as_str() {
+        let name = endpoint["name"].as_str().ok_or(MalformedList("name"))?;
+        let state = match endpoint["status"].as_str() {
             Some("Ready") => ServerState::Ready,
             Some("Terminating") => ServerState::Draining,
             Some("Gone") => ServerState::Removed,
             _ => return Err(MalformedList("status")),
         };
-        let address = line["address"].as_str().and_then(|a| a.parse().ok());
+        let address = endpoint["address"].as_str().and_then(|a| a.parse().ok());
         if address.is_none() && state != ServerState::Removed {
             return Err(MalformedList("address"));
         }
         let entry = ServerEntry {
             server: ServerId(0),
-            zone: position(&self.zones, &line["zone"]),
-            machine_type: position(&self.kinds, &line["type"]),
-            cell: line["group"]
+            zone: position_of(&self.zones, &endpoint["zone"]),
+            machine_type: position_of(&self.machine_types, &endpoint["type"]),
+            cell: endpoint["group"]
                 .as_u64()
                 .and_then(|g| u32::try_from(g).ok())
                 .unwrap_or(0),
             state,
-            weight: line["weight"].as_f64().unwrap_or(1.0),
-            started_at: line["since_ms"].as_i64().unwrap_or(0).saturating_mul(1_000),
+            weight: endpoint["weight"].as_f64().unwrap_or(1.0),
+            started_at: endpoint["since_ms"]
+                .as_i64()
+                .unwrap_or(0)
+                .saturating_mul(1_000),
         };
         Ok((name.to_string(), address, entry))
     }
--- a/crates/limiter/src/routing_table/tests.rs
+++ b/crates/limiter/src/routing_table/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn line(index: u64, full: bool, entries: &[(&str, &str)]) -> Vec<u8> {
+fn list_line(index: u64, is_full: bool, entries: &[(&str, &str)]) -> Vec<u8> {
     let entry = |(name, status): &(&str, &str)| {
         format!(
             "{{\"name\":\"{name}\",\"address\":\"127.0.0.1:80\",\"zone\":\"b\",\"type\":\"m2\",\"group\":3,\
@@ -9,7 +9,7 @@
     };
     let entries: Vec<String> = entries.iter().map(entry).collect();
     format!(
-        "{{\"index\":{index},\"snapshot\":{full},\"endpoints\":[{}]}}\n",
+        "{{\"index\":{index},\"snapshot\":{is_full},\"endpoints\":[{}]}}\n",
         entries.join(",")
     )
     .into_bytes()
@@ -20,13 +20,13 @@
 }
 
 #[test]
-fn entries_are_read_and_a_name_keeps_its_number() {
+fn entries_are_parsed_and_a_server_keeps_its_number() {
     let mut table = table();
-    let news = table
-        .apply_line(&line(4, true, &[("s-1", "Ready"), ("s-2", "Ready")]))
+    let update = table
+        .apply_line(&list_line(4, true, &[("s-1", "Ready"), ("s-2", "Ready")]))
         .unwrap()
         .unwrap();
-    let first = &news.entries[0];
+    let first = &update.entries[0];
     assert_eq!(
         (
             first.zone,
@@ -38,7 +38,7 @@
         (1, 1, 3, 1.5, 7_000)
     );
     let again = table
-        .apply_line(&line(5, false, &[("s-1", "Terminating")]))
+        .apply_line(&list_line(5, false, &[("s-1", "Terminating")]))
         .unwrap()
         .unwrap();
     assert_eq!(
@@ -53,43 +53,44 @@
 }
 
 #[test]
-fn what_is_gone_or_missing_from_a_whole_list_is_told_as_gone_once() {
+fn a_server_gone_or_absent_from_a_full_list_is_reported_removed_once() {
     let mut table = table();
     table
-        .apply_line(&line(
+        .apply_line(&list_line(
             1,
             true,
             &[("s-1", "Ready"), ("s-2", "Ready"), ("s-3", "Ready")],
         ))
         .unwrap();
-    let news = table
-        .apply_line(&line(2, false, &[("s-1", "Gone"), ("s-9", "Gone")]))
+    let update = table
+        .apply_line(&list_line(2, false, &[("s-1", "Gone"), ("s-9", "Gone")]))
         .unwrap()
         .unwrap();
     assert_eq!(
-        (news.entries.len(), news.removed.len()),
+        (update.entries.len(), update.removed.len()),
         (1, 1),
-        "of s-9 nobody had heard"
+        "s-9 was never listed"
     );
-    let news = table
-        .apply_line(&line(3, true, &[("s-3", "Ready")]))
+    let update = table
+        .apply_line(&list_line(3, true, &[("s-3", "Ready")]))
         .unwrap()
         .unwrap();
-    assert_eq!((news.entries.len(), news.removed.len()), (1, 1));
+    assert_eq!((update.entries.len(), update.removed.len()), (1, 1));
     let back = table
-        .apply_line(&line(4, false, &[("s-1", "Ready")]))
+        .apply_line(&list_line(4, false, &[("s-1", "Ready")]))
         .unwrap()
         .unwrap();
-    assert!(back.entries[0].server.0 > 3, "a number is not used twice");
+    assert!(back.entries[0].server.0 > 3, "numbers are not reused");
 }
 
 #[test]
-fn a_bad_line_changes_nothing_and_an_empty_one_says_nothing() {
+fn malformed_and_blank_lines_change_nothing() {
     let mut table = table();
     table
-        .apply_line(&line(1, true, &[("s-1", "Ready")]))
+        .apply_line(&list_line(1, true, &[("s-1", "Ready")]))
         .unwrap();
-    let good = String::from_utf8(line(2, true, &[("s-2", "Ready"), ("s-3", "Ready")])).unwrap();
+    let valid =
+        String::from_utf8(list_line(2, true, &[("s-2", "Ready"), ("s-3", "Ready")])).unwrap();
     for (from, to) in [
         ("\"index\":2", "\"index\":\"2\""),
         ("true", "1"),
@@ -101,7 +102,7 @@
     ] {
         assert!(
             table
-                .apply_line(good.replacen(from, to, 1).as_bytes())
+                .apply_line(valid.replacen(from, to, 1).as_bytes())
                 .is_err(),
             "{from}"
         );
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn lists_of_a_large_fleet_change_all_at_once_to_none_and_back() {
+fn a_large_fleet_drains_disappears_and_returns_in_single_lines() {
     let mut table = table();
     let names: Vec<String> = (0..60).map(|n| format!("s-{n}")).collect();
     let all = |status: &'static str| {
@@ -121,13 +122,13 @@
             .collect::<Vec<_>>()
     };
     let first = table
-        .apply_line(&line(1, true, &all("Ready")))
+        .apply_line(&list_line(1, true, &all("Ready")))
         .unwrap()
         .unwrap();
     assert_eq!((first.entries.len(), first.removed.len()), (60, 0));
-    // Sixty changes in one line, each of a server known before.
+    // Sixty changes in one line, each of a known server.
     let drained = table
-        .apply_line(&line(2, false, &all("Terminating")))
+        .apply_line(&list_line(2, false, &all("Terminating")))
         .unwrap()
         .unwrap();
     assert!(
@@ -139,136 +140,148 @@
     );
     assert!(!table.has_usable_server());
     let gone = table
-        .apply_line(&line(3, false, &all("Gone")))
+        .apply_line(&list_line(3, false, &all("Gone")))
         .unwrap()
         .unwrap();
     assert_eq!((gone.entries.len(), gone.removed.len()), (60, 60));
-    // The same once more, and a whole list that is empty, say nothing new.
-    for again in [line(3, false, &all("Gone")), line(4, true, &[])] {
-        let news = table.apply_line(&again).unwrap().unwrap();
-        assert_eq!((news.entries.len(), news.removed.len()), (0, 0));
+    // Repeating the removals, or sending an empty full list, changes nothing.
+    for again in [list_line(3, false, &all("Gone")), list_line(4, true, &[])] {
+        let update = table.apply_line(&again).unwrap().unwrap();
+        assert_eq!((update.entries.len(), update.removed.len()), (0, 0));
     }
     let back = table
-        .apply_line(&line(5, true, &all("Ready")))
+        .apply_line(&list_line(5, true, &all("Ready")))
         .unwrap()
         .unwrap();
     assert!(back.entries.iter().all(|e| e.server.0 > 60) && table.has_usable_server());
 }
 
-/// Random lists, calls out and back, and records of another process, against a model that knows each server's state
-/// by the list and whether it is out: what was told of it last is that of the model.
+/// Applies random lists, commands and merges with another process, and compares the last reported state of each server
+/// with a model that holds its listed state and whether it is disabled.
 #[test]
-fn bans_hold_over_any_list_and_end_with_one_call_back() {
+fn disabled_servers_override_any_list_until_enabled_once() {
     fn property(steps: Vec<(u8, u8)>) -> bool {
         let names = ["s-0", "s-1", "s-2"];
         let states = ["Ready", "Terminating", "Gone"];
-        let (mut table, mut other) = (table(), table());
-        let mut told = std::collections::BTreeMap::<ServerId, ServerState>::new();
+        let (mut table, mut other_process) = (table(), table());
+        let mut reported = std::collections::BTreeMap::<ServerId, ServerState>::new();
         let mut listed = [None::<&str>; 3];
-        let (mut ever, mut out) = ([false; 3], [false; 3]);
-        for (now, (step, which)) in steps.into_iter().enumerate() {
-            let (now, at) = (now as Micros + 1, usize::from(which % 3));
-            let state = states[usize::from(which / 3 % 3)];
-            let news = match step % 6 {
+        let (mut was_listed, mut disabled) = ([false; 3], [false; 3]);
+        for (now, (step, selector)) in steps.into_iter().enumerate() {
+            let (now, index) = (now as Micros + 1, usize::from(selector % 3));
+            let state = states[usize::from(selector / 3 % 3)];
+            let update = match step % 6 {
                 0 | 1 => {
-                    listed[at] = Some(state).filter(|s| *s != "Gone");
-                    ever[at] |= state != "Gone";
+                    listed[index] = Some(state).filter(|s| *s != "Gone");
+                    was_listed[index] |= state != "Gone";
                     table
-                        .apply_line(&line(now as u64, false, &[(names[at], state)]))
+                        .apply_line(&list_line(now as u64, false, &[(names[index], state)]))
                         .unwrap()
                         .unwrap()
                 }
                 2 => {
                     listed = [None; 3];
-                    listed[at] = Some("Ready");
-                    ever[at] = true;
+                    listed[index] = Some("Ready");
+                    was_listed[index] = true;
                     table
-                        .apply_line(&line(now as u64, true, &[(names[at], "Ready")]))
+                        .apply_line(&list_line(now as u64, true, &[(names[index], "Ready")]))
                         .unwrap()
                         .unwrap()
                 }
-                call => {
-                    let disables = call < 5;
-                    let done = match call {
-                        3 | 4 => table.disable(names[at], now),
-                        _ => table.enable(names[at], now),
+                command => {
+                    let disables = command < 5;
+                    let result = match command {
+                        3 | 4 => table.disable(names[index], now),
+                        _ => table.enable(names[index], now),
                     };
-                    if done.is_ok() != ever[at] {
+                    if result.is_ok() != was_listed[index] {
                         return false;
                     }
-                    let Ok((changed, news)) = done else { continue };
-                    if changed != (out[at] != disables) {
+                    let Ok((changed, update)) = result else {
+                        continue;
+                    };
+                    if changed != (disabled[index] != disables) {
                         return false;
                     }
-                    out[at] = disables;
-                    news
+                    disabled[index] = disables;
+                    update
                 }
             };
-            told.extend(news.entries.iter().map(|entry| (entry.server, entry.state)));
-            news.removed
+            reported.extend(
+                update
+                    .entries
+                    .iter()
+                    .map(|entry| (entry.server, entry.state)),
+            );
+            update
+                .removed
                 .iter()
-                .for_each(|server| _ = told.remove(server));
-            // The other process hears of it, and has nothing to add.
-            other.merge(table.disabled_servers());
-            if other.disabled_servers() != table.disabled_servers()
-                || !table.merge(other.disabled_servers()).entries.is_empty()
+                .for_each(|server| _ = reported.remove(server));
+            // The other process merges the changes and has none of its own to return.
+            other_process.merge(table.disabled_servers());
+            if other_process.disabled_servers() != table.disabled_servers()
+                || !table
+                    .merge(other_process.disabled_servers())
+                    .entries
+                    .is_empty()
             {
                 return false;
             }
-            let known = |at: usize| {
+            let reported_state = |index: usize| {
                 table
                     .listed
-                    .get(names[at])
-                    .map(|known| told.get(&known.entry.server))
+                    .get(names[index])
+                    .map(|server| reported.get(&server.entry.server))
             };
-            for at in 0..3 {
-                let state = match (listed[at], out[at]) {
+            for index in 0..3 {
+                let state = match (listed[index], disabled[index]) {
                     (None, _) => None,
                     (Some("Ready"), false) => Some(Some(&ServerState::Ready)),
                     _ => Some(Some(&ServerState::Draining)),
                 };
-                if known(at) != state {
+                if reported_state(index) != state {
                     return false;
                 }
             }
-            let ready = (0..3).any(|at| listed[at] == Some("Ready") && !out[at]);
-            if table.has_usable_server() != ready {
+            let has_usable_server =
+                (0..3).any(|index| listed[index] == Some("Ready") && !disabled[index]);
+            if table.has_usable_server() != has_usable_server {
                 return false;
             }
         }
         true
     }
-    let seeded = quickcheck::Gen::from_size_and_seed(60, 5);
-    let mut check = quickcheck::QuickCheck::new().rng(seeded).tests(2_000);
+    let generator = quickcheck::Gen::from_size_and_seed(60, 5);
+    let mut check = quickcheck::QuickCheck::new().rng(generator).tests(2_000);
     check.quickcheck(property as fn(Vec<(u8, u8)>) -> bool);
 }
 
 #[test]
-fn one_called_back_has_just_started_unless_the_list_tells_of_a_later_start() {
+fn an_enabled_server_counts_as_just_started_unless_the_list_shows_a_later_start() {
     let mut table = table();
-    // The list has it started at 7 ms.
+    // The list gives a start at 7 ms, which is after the server is disabled.
     table
-        .apply_line(&line(1, true, &[("s-1", "Ready")]))
+        .apply_line(&list_line(1, true, &[("s-1", "Ready")]))
         .unwrap();
     table.disable("s-1", 5_000).unwrap();
-    let (_, news) = table.enable("s-1", 9_000).unwrap();
+    let (_, update) = table.enable("s-1", 9_000).unwrap();
     assert_eq!(
-        news.entries[0].started_at, 7_000,
-        "restarted while it was out"
+        update.entries[0].started_at, 7_000,
+        "restarted while it was disabled"
     );
     table.disable("s-1", 20_000).unwrap();
     table.disable("s-1", 25_000).unwrap();
-    let (_, news) = table.enable("s-1", 30_000).unwrap();
+    let (_, update) = table.enable("s-1", 30_000).unwrap();
     assert_eq!(
-        (news.entries[0].started_at, news.entries[0].state),
+        (update.entries[0].started_at, update.entries[0].state),
         (30_000, ServerState::Ready)
     );
     let again = table
-        .apply_line(&line(2, false, &[("s-1", "Ready")]))
+        .apply_line(&list_line(2, false, &[("s-1", "Ready")]))
         .unwrap()
         .unwrap();
     assert_eq!(
         again.entries[0].started_at, 30_000,
-        "the list says the same as before"
+        "the listed start is unchanged"
     );
 }
