--- a/crates/limiter/src/frontend/introspection.rs
+++ b/crates/limiter/src/frontend/introspection.rs
@@ -1,5 +1,5 @@
-//! OAuth 2 token introspection (RFC 7662, with RFC 6750 for bearer tokens and RFC 6749 for callers): reads what
-//! clients, callers and introspection servers send, and words the answers. It opens nothing and decides nothing.
+//! The front end of OAuth 2 token introspection (RFC 7662, with RFC 6750 for bearer tokens and RFC 6749 for callers). Parses
+//! what clients, callers and introspection servers send, and encodes the responses. It does no I/O and decides nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,36 +10,36 @@
 use streamarch::{CustomerId, Micros};
 
 use crate::engine::EngineRejection;
-use crate::frontend::platform::{CUSTOMERS, parse_customer_id};
+use crate::frontend::platform::{CUSTOMER_ID_LIMIT, parse_customer_id};
 use crate::frontend::{Rejection, UpstreamRequest, reject};
 use crate::net::framing::{Headers, Request, Response};
 
-/// Longest token that is taken, in bytes.
-const TOKEN_BYTES: usize = 4_096;
-/// Latest expiry that is believed, in seconds of the epoch: beyond it the sum in microseconds would overflow.
-const LATEST: i64 = 1 << 40;
+/// Maximum length of a token.
+const MAX_TOKEN_BYTES: usize = 4_096;
+/// Expiries must be before this, in seconds of the epoch: far later ones would overflow in microseconds.
+const EXPIRY_LIMIT_S: i64 = 1 << 40;
 
-/// A caller of our own introspection server.
+/// A client of the limiter's own introspection endpoint.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Caller {
     /// Its `client_id`.
     pub client_id: String,
     /// Its `client_secret`.
     pub client_secret: String,
-    /// Whose quota its calls take from...
+    /// The customer whose quota its calls use...
     pub customer: CustomerId,
     /// ...and that customer's plan, by position.
     pub plan: usize,
 }
 
 impl fmt::Debug for Caller {
-    /// Without the secret: what can be printed ends up in a log.
+    /// Omits the secret, which must not end up in a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Caller({})", self.client_id)
     }
 }
 
-/// A bearer token. It has no `Display` and hides in `Debug`: tokens are never logged.
+/// A bearer token. It has no `Display`, and `Debug` omits its text: tokens must never be logged.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Token(String);
 
@@ -50,51 +50,52 @@
 }
 
 impl Token {
-    /// A token of the characters that RFC 6750 allows (`b64token`).
+    /// Parses a token of the characters that RFC 6750 allows (`b64token`).
     pub fn parse(text: &str) -> Option<Token> {
         let body = text.trim_end_matches('=');
-        let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~+/".contains(&b);
-        (!body.is_empty() && text.len() <= TOKEN_BYTES && body.bytes().all(plain))
+        let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-._~+/".contains(&b);
+        (!body.is_empty() && text.len() <= MAX_TOKEN_BYTES && body.bytes().all(is_allowed))
             .then(|| Token(text.into()))
     }
 }
 
-/// Whose a token is, and until when it is good.
+/// The customer that a token belongs to, and its expiry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
     /// The customer.
     pub customer: CustomerId,
-    /// The position of its plan.
+    /// Position of its plan.
     pub plan: usize,
-    /// The token is good until then; `None`: its server does not say.
+    /// When the token expires; `None` if the introspection server does not say.
     pub expires_at: Option<Micros>,
 }
 
-/// What an introspection server found.
+/// The result of the introspection of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IntrospectionResult {
-    /// A good token.
+    /// The token is valid.
     Active(Identity),
-    /// Unknown, expired, revoked: which of these nobody is told.
+    /// The token is unknown, expired or revoked; the protocol does not tell which.
     Inactive,
 }
 
-/// An answer that cannot be true. Identity fails closed: it is as good as none.
+/// An introspection response that is malformed or contradicts itself, with the reason. It counts as no response, so that
+/// the request fails closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidIntrospectionResponse(pub &'static str);
 
 impl fmt::Display for InvalidIntrospectionResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "introspection answer not believed: {}", self.0)
+        write!(f, "invalid introspection response: {}", self.0)
     }
 }
 
 impl std::error::Error for InvalidIntrospectionResponse {}
 
-/// Reads the body of an introspection answer.
+/// Parses the body of an introspection response.
 ///
 /// # Errors
-/// The body can't be believed; the error says why.
+/// The body is invalid.
 pub fn parse_result(
     body: &[u8],
     plans: &[String],
@@ -108,7 +109,7 @@
     match members
         .get("active")
         .and_then(Value::as_bool)
-        .ok_or(InvalidIntrospectionResponse("active"))?
+        .ok_or(InvalidIntrospectionResponse("missing or invalid 'active'"))?
     {
         false => Ok(IntrospectionResult::Inactive),
         true => {
@@ -116,28 +117,28 @@
                 .get("sub")
                 .and_then(Value::as_str)
                 .and_then(parse_customer_id)
-                .ok_or(InvalidIntrospectionResponse("sub"))?;
+                .ok_or(InvalidIntrospectionResponse("missing or invalid 'sub'"))?;
             let plan = members
                 .get("plan")
                 .and_then(Value::as_str)
-                .ok_or(InvalidIntrospectionResponse("plan"))?;
+                .ok_or(InvalidIntrospectionResponse("missing or invalid 'plan'"))?;
             let plan = plans
                 .iter()
                 .position(|name| name == plan)
-                .ok_or(InvalidIntrospectionResponse("plan unknown"))?;
+                .ok_or(InvalidIntrospectionResponse("unknown plan"))?;
             let expires = match members.get("exp") {
                 None => None,
                 Some(exp) => {
                     let seconds = exp
                         .as_i64()
-                        .filter(|s| (0..LATEST).contains(s))
-                        .ok_or(InvalidIntrospectionResponse("exp"))?;
+                        .filter(|s| (0..EXPIRY_LIMIT_S).contains(s))
+                        .ok_or(InvalidIntrospectionResponse("invalid 'exp'"))?;
                     Some(seconds * 1_000_000)
                 }
             };
-            // Guards against a server that calls a token active past its own expiry.
+            // A server may call a token active although it has expired.
             if expires.is_some_and(|at| at <= now) {
-                return Err(InvalidIntrospectionResponse("active past exp"));
+                return Err(InvalidIntrospectionResponse("token active but expired"));
             }
             Ok(IntrospectionResult::Active(Identity {
                 customer: subject,
@@ -148,9 +149,9 @@
     }
 }
 
-/// Words a finding for a caller of ours. Of a token that is not active nothing more is told.
-pub fn encode_result(finding: IntrospectionResult, plans: &[String], now: Micros) -> Vec<u8> {
-    let value = match finding {
+/// Encodes a result as the body of the response to a caller. For a token that is not active, the body says only that.
+pub fn encode_result(result: IntrospectionResult, plans: &[String], now: Micros) -> Vec<u8> {
+    let value = match result {
         IntrospectionResult::Active(identity) if identity.expires_at.is_none_or(|at| at > now) => {
             let mut value = json!({
                 "active": true,
@@ -170,70 +171,81 @@
     value.to_string().into_bytes()
 }
 
-/// What is believed of tokens for a while: bounded in number, and no longer than a token is good.
+/// A cache of token identities, bounded in number. No entry outlives its token.
 #[derive(Debug)]
 pub struct TokenCache {
-    most: usize,
-    longest: Micros,
-    known: BTreeMap<Token, (Micros, Identity)>,
-    ends: BTreeSet<(Micros, Token)>,
+    max_entries: usize,
+    max_ttl: Micros,
+    /// Expiry of the entry and identity, by token.
+    entries: BTreeMap<Token, (Micros, Identity)>,
+    /// The same entries in the order of their expiry.
+    expiries: BTreeSet<(Micros, Token)>,
 }
 
 impl TokenCache {
-    /// An empty cache of at most `most` tokens, each for `longest` at the most.
-    pub fn new(most: usize, longest: Micros) -> TokenCache {
+    /// Creates an empty cache for at most `max_entries` tokens, each kept for at most `max_ttl`.
+    pub fn new(max_entries: usize, max_ttl: Micros) -> TokenCache {
         TokenCache {
-            most,
-            longest,
-            known: BTreeMap::new(),
-            ends: BTreeSet::new(),
+            max_entries,
+            max_ttl,
+            entries: BTreeMap::new(),
+            expiries: BTreeSet::new(),
         }
     }
 
-    /// What is known of a token now.
+    /// The cached identity of a token. Removes expired entries.
     pub fn get(&mut self, token: &Token, now: Micros) -> Option<Identity> {
-        while let Some((end, _)) = self.ends.first().filter(|(end, _)| *end <= now) {
-            let end = *end;
-            if let Some((_, token)) = self.ends.pop_first().filter(|(at, _)| *at == end) {
-                self.known.remove(&token);
+        while let Some((expiry, _)) = self.expiries.first().filter(|(expiry, _)| *expiry <= now) {
+            let expiry = *expiry;
+            if let Some((_, token)) = self
+                .expiries
+                .pop_first()
+                .filter(|(first, _)| *first == expiry)
+            {
+                self.entries.remove(&token);
             }
         }
-        self.known.get(token).map(|(_, identity)| *identity)
+        self.entries.get(token).map(|(_, identity)| *identity)
     }
 
-    /// Keeps what was found of a token. A token that is not active, or without an expiry, is asked for each time.
-    pub fn insert(&mut self, token: &Token, finding: IntrospectionResult, now: Micros) {
-        if let Some((end, _)) = self.known.remove(token) {
-            self.ends.remove(&(end, token.clone()));
+    /// Caches the result for a token, in place of an earlier one. A token that is not active or has no expiry is not cached,
+    /// so it is introspected each time.
+    pub fn insert(&mut self, token: &Token, result: IntrospectionResult, now: Micros) {
+        if let Some((expiry, _)) = self.entries.remove(token) {
+            self.expiries.remove(&(expiry, token.clone()));
         }
-        let IntrospectionResult::Active(identity) = finding else {
+        let IntrospectionResult::Active(identity) = result else {
             return;
         };
-        let Some(expires) = identity.expires_at.filter(|at| *at > now && self.most > 0) else {
+        let Some(expires_at) = identity
+            .expires_at
+            .filter(|at| *at > now && self.max_entries > 0)
+        else {
             return;
         };
-        if self.known.len() >= self.most
-            && let Some((_, soonest)) = self.ends.pop_first()
+        if self.entries.len() >= self.max_entries
+            && let Some((_, soonest)) = self.expiries.pop_first()
         {
-            self.known.remove(&soonest);
+            self.entries.remove(&soonest);
         }
-        let end = expires.min(now + self.longest);
-        self.known.insert(token.clone(), (end, identity));
-        self.ends.insert((end, token.clone()));
+        let expiry = expires_at.min(now + self.max_ttl);
+        self.entries.insert(token.clone(), (expiry, identity));
+        self.expiries.insert((expiry, token.clone()));
     }
 
-    /// Tokens in it.
+    /// Number of tokens in the cache.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.entries.len()
     }
 
-    /// Nothing is in it.
+    /// Whether the cache is empty.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.entries.is_empty()
     }
 }
 
-/// Reads the bearer token of a request. RFC 6750: no credentials, no error code; malformed, `invalid_request`.
+/// The bearer token of a request. By RFC 6750, a request without credentials is answered without an error code, and one
+/// with a malformed token by `invalid_request`.
 ///
 /// # Errors
 /// There is no token, or more than one, or it is malformed.
@@ -249,19 +261,19 @@
     Token::parse(text.trim()).ok_or(Challenge::Malformed)
 }
 
-/// Why a bearer token does not do.
+/// Why a request is not authorised by a bearer token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Challenge {
-    /// There is none.
+    /// The request has no bearer token.
     Missing,
-    /// It cannot be one.
+    /// The token or its header is malformed.
     Malformed,
-    /// It is not active, or ran out.
+    /// The token is not active, or has expired.
     Invalid,
 }
 
 impl Challenge {
-    /// Status and `WWW-Authenticate`.
+    /// The status and the value of `WWW-Authenticate`.
     pub fn response(self) -> (u16, &'static str) {
         match self {
             Challenge::Missing => (401, "Bearer"),
@@ -271,90 +283,95 @@
     }
 }
 
-/// Compares without telling by its time how much was right.
+/// Compares two secrets in a time that does not depend on how many bytes match.
 pub fn constant_time_eq(a: &str, b: &str) -> bool {
-    let differ = a
+    let difference = a
         .bytes()
         .zip(b.bytes())
-        .fold(0, |differ, (a, b)| differ | (a ^ b));
-    a.len() == b.len() && differ == 0
+        .fold(0, |difference, (a, b)| difference | (a ^ b));
+    a.len() == b.len() && difference == 0
 }
 
-/// The caller of `/introspect`, by HTTP Basic as RFC 6749 words it (both parts form-encoded).
+/// The caller that a request to `/introspect` authenticates as by HTTP Basic, with id and secret form-encoded as RFC 6749
+/// requires.
 pub fn authenticate_caller<'a>(headers: &Headers, callers: &'a [Caller]) -> Option<&'a Caller> {
     let (scheme, text) = headers.get("Authorization")?.split_once(' ')?;
     let text = String::from_utf8(STANDARD.decode(text.trim()).ok()?).ok()?;
     let (id, secret) = text.split_once(':')?;
-    let (id, secret) = (form_word(id), form_word(secret));
-    let known = callers.iter().find(|caller| {
+    let (id, secret) = (decode_form_value(id), decode_form_value(secret));
+    let authenticated = callers.iter().find(|caller| {
         constant_time_eq(&caller.client_id, &id) && constant_time_eq(&caller.client_secret, &secret)
     });
-    known.filter(|_| scheme.eq_ignore_ascii_case("Basic"))
+    authenticated.filter(|_| scheme.eq_ignore_ascii_case("Basic"))
 }
 
-fn form_word(text: &str) -> String {
+fn decode_form_value(text: &str) -> String {
     form_urlencoded::parse(text.as_bytes())
-        .map(|(word, _)| word.into_owned())
+        .map(|(value, _)| value.into_owned())
         .next()
         .unwrap_or_default()
 }
 
-/// The token that a caller asks about.
+/// The token in a caller's introspection request.
 ///
 /// # Errors
-/// The request is no question about a token.
+/// The request is not a valid introspection request.
 pub fn parse_token_request(request: &Request) -> Result<Token, Rejection> {
-    let kind = request.headers.get("Content-Type").unwrap_or_default();
-    let kind = kind.split(';').next().unwrap_or_default().trim();
-    if !kind.eq_ignore_ascii_case("application/x-www-form-urlencoded") {
+    let content_type = request.headers.get("Content-Type").unwrap_or_default();
+    let content_type = content_type.split(';').next().unwrap_or_default().trim();
+    if !content_type.eq_ignore_ascii_case("application/x-www-form-urlencoded") {
         return Err(reject(400, "{\"error\":\"invalid_request\"}"));
     }
     let mut tokens = form_urlencoded::parse(&request.body).filter(|(name, _)| name == "token");
     let (Some((_, text)), None) = (tokens.next(), tokens.next()) else {
         return Err(reject(400, "{\"error\":\"invalid_request\"}"));
     };
-    // A word that can be no token is not an error of the caller: it is a token that nobody knows.
+    // Text that cannot be a token is not an error of the caller: it is answered as an inactive token.
     Ok(Token::parse(&text).unwrap_or(Token(String::new())))
 }
 
 impl Token {
-    /// No token can be this.
+    /// Whether the text could not be a token, so that it is inactive without asking.
     pub fn is_invalid(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// How we ask an introspection server: where, and as whom.
+/// The endpoint of the introspection servers, and the limiter's credentials there.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct IntrospectionEndpoint {
-    /// Path of its endpoint.
+    /// Path of the endpoint.
     pub path: String,
-    /// Our `client_id` there.
+    /// The limiter's `client_id`.
     pub client_id: String,
-    /// Our `client_secret` there.
+    /// The limiter's `client_secret`.
     pub client_secret: String,
 }
 
 impl fmt::Debug for IntrospectionEndpoint {
-    /// Without the secret.
+    /// Omits the secret.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Asking({} as {})", self.path, self.client_id)
+        write!(
+            f,
+            "IntrospectionEndpoint({} as {})",
+            self.path, self.client_id
+        )
     }
 }
 
 impl IntrospectionEndpoint {
-    /// The request that asks about a token.
+    /// The request that introspects a token.
     pub fn build_request(&self, token: &Token) -> UpstreamRequest {
-        let word =
+        let encode =
             |text: &str| form_urlencoded::byte_serialize(text.as_bytes()).collect::<String>();
-        let body = format!("token={}&token_type_hint=access_token", word(&token.0)).into_bytes();
-        let basic = STANDARD.encode(format!(
+        let body = format!("token={}&token_type_hint=access_token", encode(&token.0)).into_bytes();
+        let credentials = STANDARD.encode(format!(
             "{}:{}",
-            word(&self.client_id),
-            word(&self.client_secret)
+            encode(&self.client_id),
+            encode(&self.client_secret)
         ));
         let head = format!(
-            "POST {} HTTP/1.1\r\nHost: introspection.local\r\nAuthorization: Basic {basic}\r\n\
+            "POST {} HTTP/1.1\r\nHost: introspection.local\r\nAuthorization: Basic {credentials}\r\n\
              Content-Type: application/x-www-form-urlencoded\r\nAccept: application/json\r\n\
              Content-Length: {}\r\n",
             self.path,
@@ -368,24 +385,24 @@
     }
 }
 
-/// What an introspection server's whole answer comes to.
+/// Parses the complete response of an introspection server.
 ///
 /// # Errors
-/// The answer can't be believed; the error says why.
+/// The response is invalid.
 pub fn parse_response(
-    answer: &Response,
+    response: &Response,
     plans: &[String],
     now: Micros,
 ) -> Result<IntrospectionResult, InvalidIntrospectionResponse> {
-    match answer.status {
-        200 => parse_result(&answer.body, plans, now),
-        _ => Err(InvalidIntrospectionResponse("status")),
+    match response.status {
+        200 => parse_result(&response.body, plans, now),
+        _ => Err(InvalidIntrospectionResponse("unexpected status")),
     }
 }
 
-/// Status and `WWW-Authenticate` of an ending, for a client that showed a token.
-pub fn rejection_status(ending: EngineRejection) -> (u16, Option<&'static str>) {
-    match ending {
+/// The status and `WWW-Authenticate` value of a rejection, for a client that sent a token.
+pub fn rejection_status(rejection: EngineRejection) -> (u16, Option<&'static str>) {
+    match rejection {
         EngineRejection::Declined {
             over_quota: true, ..
         } => (429, None),
@@ -402,9 +419,10 @@
     }
 }
 
-/// Customers beyond those of the platform are nobody's.
+/// The customer that the limiter's own introspection requests are made for. Its id is outside the range of the platform's
+/// customers.
 pub fn internal_customer() -> CustomerId {
-    CustomerId(CUSTOMERS)
+    CustomerId(CUSTOMER_ID_LIMIT)
 }
 
 #[cfg(test)]
--- a/crates/limiter/src/frontend/introspection/tests.rs
+++ b/crates/limiter/src/frontend/introspection/tests.rs
@@ -6,30 +6,30 @@
     vec!["taller".into(), "empresa".into()]
 }
 
-fn active(expires: Micros) -> IntrospectionResult {
+fn active(expires_at: Micros) -> IntrospectionResult {
     IntrospectionResult::Active(Identity {
         customer: CustomerId(5),
         plan: 1,
-        expires_at: Some(expires),
+        expires_at: Some(expires_at),
     })
 }
 
 #[test]
-fn a_finding_survives_its_wording() {
-    let found = active(90 * SECOND);
-    let body = encode_result(found, &plans(), 10 * SECOND);
-    assert_eq!(parse_result(&body, &plans(), 10 * SECOND), Ok(found));
+fn a_result_round_trips() {
+    let result = active(90 * SECOND);
+    let body = encode_result(result, &plans(), 10 * SECOND);
+    assert_eq!(parse_result(&body, &plans(), 10 * SECOND), Ok(result));
 }
 
 #[test]
-fn of_a_token_that_ran_out_only_that_is_told() {
+fn an_expired_token_is_encoded_as_inactive_without_details() {
     let body = encode_result(active(9 * SECOND), &plans(), 10 * SECOND);
     assert_eq!(body, b"{\"active\":false}");
 }
 
 #[test]
-fn lies_are_not_believed() {
-    for lie in [
+fn invalid_responses_are_rejected() {
+    for body in [
         "",
         "[]",
         "{}",
@@ -44,8 +44,8 @@
         "{\"active\":true,\"sub\":\"ffffffffffffffff\",\"plan\":\"empresa\",\"exp\":90}",
     ] {
         assert!(
-            parse_result(lie.as_bytes(), &plans(), 10 * SECOND).is_err(),
-            "{lie}"
+            parse_result(body.as_bytes(), &plans(), 10 * SECOND).is_err(),
+            "{body}"
         );
     }
 }
@@ -54,18 +54,18 @@
 fn the_cache_is_bounded_in_size_and_by_expiry() {
     let mut cache = TokenCache::new(2, 30 * SECOND);
     let token = |n: u32| Token::parse(&format!("t{n}")).unwrap();
-    for (n, end) in [(1, 100), (2, 20), (3, 200)] {
-        cache.insert(&token(n), active(end * SECOND), 10 * SECOND);
+    for (n, expires_at_s) in [(1, 100), (2, 20), (3, 200)] {
+        cache.insert(&token(n), active(expires_at_s * SECOND), 10 * SECOND);
     }
     assert_eq!(cache.len(), 2);
     assert!(
         cache.get(&token(2), 10 * SECOND).is_none(),
-        "the one that ends first made room"
+        "the entry that expires first was evicted"
     );
     assert!(cache.get(&token(1), 39 * SECOND).is_some());
     assert!(
         cache.get(&token(1), 40 * SECOND).is_none(),
-        "kept no longer than the longest"
+        "kept no longer than the maximum TTL"
     );
     assert!(cache.is_empty());
     cache.insert(&token(4), active(50 * SECOND), 45 * SECOND);
@@ -77,31 +77,34 @@
     cache.insert(&token(5), IntrospectionResult::Inactive, 51 * SECOND);
     assert!(
         cache.get(&token(5), 51 * SECOND).is_none(),
-        "a later finding stands"
+        "a later result replaces the entry"
     );
 }
 
 #[test]
-fn tokens_and_secrets_do_not_show_when_printed() {
+fn debug_output_contains_no_token_or_secret() {
     let caller = Caller {
         client_id: "office".into(),
         client_secret: "hush".into(),
         customer: CustomerId(1),
         plan: 0,
     };
-    let asking = IntrospectionEndpoint {
+    let endpoint = IntrospectionEndpoint {
         path: "/introspect".into(),
         client_id: "us".into(),
         client_secret: "hush".into(),
     };
-    let shown = format!("{:?} {caller:?} {asking:?}", Token::parse("hush").unwrap());
-    assert!(!shown.contains("hush"), "{shown}");
+    let output = format!(
+        "{:?} {caller:?} {endpoint:?}",
+        Token::parse("hush").unwrap()
+    );
+    assert!(!output.contains("hush"), "{output}");
 }
 
 #[test]
-fn what_is_no_token_is_none() {
-    for bad in ["", "=", "a b", "a\"", "é", &"a".repeat(TOKEN_BYTES + 1)] {
-        assert!(Token::parse(bad).is_none(), "{bad}");
+fn invalid_tokens_are_rejected() {
+    for text in ["", "=", "a b", "a\"", "é", &"a".repeat(MAX_TOKEN_BYTES + 1)] {
+        assert!(Token::parse(text).is_none(), "{text}");
     }
     assert!(Token::parse("aZ09-._~+/==").is_some());
 }
--- a/crates/limiter/src/frontend/mod.rs
+++ b/crates/limiter/src/frontend/mod.rs
@@ -1,42 +1,43 @@
-//! Fronts: they parse, map and answer, and decide nothing.
+//! The front ends: they parse requests into authorisations and map results to HTTP responses. They decide nothing and do
+//! no I/O.
 
 pub mod introspection;
 pub mod platform;
 
 use crate::net::framing::{BodyFraming, Request};
 
-/// What a leg of an authorisation carries to a server.
+/// The HTTP request that an attempt sends to a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamRequest {
-    /// Request line and header lines, without the line of the remaining time and the closing empty line.
+    /// Request line and header lines, without the header of the remaining time and the final empty line.
     pub head: Vec<u8>,
-    /// The body, unchanged.
+    /// The client's body, unchanged.
     pub body: Vec<u8>,
-    /// The id that servers know the request by; empty where they know none.
+    /// The request's id as sent to the servers; empty if the request has none.
     pub request_id: String,
 }
 
 impl UpstreamRequest {
-    /// What goes on of a request: line, the lines that servers need, body.
+    /// The request to forward: request line, the headers that servers need, and the body.
     pub fn from_request(request: &Request) -> UpstreamRequest {
-        let framed = request.method != "GET" || !request.body.is_empty();
-        let framing = framed.then(|| format!("Content-Length: {}\r\n", request.body.len()));
-        UpstreamRequest::with(request, &framing.unwrap_or_default())
+        let has_body = request.method != "GET" || !request.body.is_empty();
+        let framing = has_body.then(|| format!("Content-Length: {}\r\n", request.body.len()));
+        UpstreamRequest::with_framing(request, &framing.unwrap_or_default())
     }
 
-    /// The same of a request whose body goes on while it comes.
+    /// The request to forward if its body is relayed while it arrives; `extent` is how the client delimits the body.
     pub fn from_streaming_request(request: &Request, extent: BodyFraming) -> UpstreamRequest {
         match extent {
             BodyFraming::Length(length) => {
-                UpstreamRequest::with(request, &format!("Content-Length: {length}\r\n"))
+                UpstreamRequest::with_framing(request, &format!("Content-Length: {length}\r\n"))
             }
             BodyFraming::Chunked | BodyFraming::UntilClose => {
-                UpstreamRequest::with(request, "Transfer-Encoding: chunked\r\n")
+                UpstreamRequest::with_framing(request, "Transfer-Encoding: chunked\r\n")
             }
         }
     }
 
-    fn with(request: &Request, framing: &str) -> UpstreamRequest {
+    fn with_framing(request: &Request, framing: &str) -> UpstreamRequest {
         let mut head = format!(
             "{} {} HTTP/1.1\r\nHost: backend.local\r\n",
             request.method, request.target
@@ -60,16 +61,16 @@
     }
 }
 
-/// An answer that a front gives on its own, without the engine.
+/// A response that a front end gives itself, without asking the engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// What is wrong, in a few words.
+    /// The body: what is wrong with the request.
     pub text: &'static str,
 }
 
-/// A rejection with this status.
+/// Creates a rejection.
 pub fn reject(status: u16, text: &'static str) -> Rejection {
     Rejection { status, text }
 }
--- a/crates/limiter/src/frontend/platform.rs
+++ b/crates/limiter/src/frontend/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol: thin. A request's headers become an authorisation, an ending becomes a status.
+//! The front end of the platform's protocol: maps a request's headers to an authorisation, and a rejection to a status.
 
 use streamarch::{Class, CustomerId, Idempotency, Micros};
 
@@ -8,45 +8,47 @@
 use crate::limits::Limits;
 use crate::net::framing::{Headers, Request};
 
-/// Customers are numbers below this.
-pub(crate) const CUSTOMERS: u64 = 1 << 33;
-/// Longest time that a client may say it waits, in seconds.
-const LONGEST_WAIT: f64 = 3_600.0;
+/// Ids of customers are below this.
+pub(crate) const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
+/// Maximum time that a client may wait for its answer, in seconds.
+const MAX_WAIT_S: f64 = 3_600.0;
 
-/// What the front knows of the deployment.
+/// The settings of the deployment that requests are checked against.
 #[derive(Clone, Debug)]
 pub struct PlatformFrontend {
-    /// Names of classes and plans.
+    /// Names of classes and plans, by position.
     pub names: NameTables,
-    /// The classes.
+    /// The classes, by position.
     pub classes: Vec<Class>,
-    /// Number of limiters.
+    /// Number of limiters in the tier.
     pub limiter_count: u32,
 }
 
-fn number(text: &str) -> Option<f64> {
-    // Guards against what Rust's parser takes beside plain decimals: signs, exponents, "inf" and "nan".
-    let plain = !text.is_empty()
+/// Parses a plain decimal number. Signs, exponents, "inf" and "nan", which Rust's own parser accepts, are rejected.
+fn parse_decimal(text: &str) -> Option<f64> {
+    let is_plain = !text.is_empty()
         && text.len() <= 20
         && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    text.parse::<f64>().ok().filter(|n| plain && n.is_finite())
+    text.parse::<f64>()
+        .ok()
+        .filter(|n| is_plain && n.is_finite())
 }
 
-/// A request's parts that both fronts read alike: class and time.
+/// The fields of a request that both front ends parse alike.
 pub struct CommonFields {
     /// Position of the class.
     pub class: usize,
-    /// When the final answer is due.
+    /// Deadline of the final answer.
     pub deadline: Micros,
-    /// A client's repeat.
+    /// Whether it is a client's retry.
     pub is_retry: bool,
 }
 
 impl PlatformFrontend {
-    /// Reads class, method, key, id and time. `now`: when the last byte came.
+    /// Checks class, method, key and id, and parses the deadline. `now` is when the last byte arrived.
     ///
     /// # Errors
-    /// A header is missing or malformed.
+    /// The class is unknown, the method or body does not suit it, or a header is missing or malformed.
     pub fn parse_common_fields(
         &self,
         request: &Request,
@@ -70,25 +72,25 @@
         if headers.contains("X-Qos") && headers.get("X-Qos") != Some(name) {
             return Err(reject(400, "X-Qos is not the path's class"));
         }
-        let trace = headers
+        let trace_id = headers
             .get("X-Trace-Id")
             .filter(|t| !t.is_empty() && t.len() <= 128);
-        trace.ok_or(reject(400, "X-Trace-Id"))?;
-        let safe = self
+        trace_id.ok_or(reject(400, "X-Trace-Id"))?;
+        let is_safe = self
             .classes
             .get(class)
             .is_some_and(|c| c.idempotency == Idempotency::Idempotent);
-        let keyed = self
+        let is_keyed = self
             .classes
             .get(class)
             .is_some_and(|c| matches!(c.idempotency, Idempotency::Keyed { .. }));
-        if request.method != if safe { "GET" } else { "POST" } {
+        if request.method != if is_safe { "GET" } else { "POST" } {
             return Err(reject(400, "the class has another method"));
         }
-        if safe && !request.body.is_empty() {
+        if is_safe && !request.body.is_empty() {
             return Err(reject(400, "a request that is safe to repeat has no body"));
         }
-        if keyed
+        if is_keyed
             && headers
                 .get("Idempotency-Key")
                 .is_none_or(|k| k.is_empty() || k.len() > 256)
@@ -105,33 +107,35 @@
         })
     }
 
-    /// When the final answer is due, by `X-Expires-In`.
+    /// The deadline of the final answer by `X-Expires-In`, which gives the client's time-out in seconds; `None` if it is
+    /// missing or invalid.
     pub fn parse_deadline(
         &self,
         headers: &Headers,
         limits: &Limits,
         now: Micros,
     ) -> Option<Micros> {
-        let wait = headers
+        let wait_s = headers
             .get("X-Expires-In")
-            .and_then(number)
-            .filter(|s| *s > 0.0 && *s <= LONGEST_WAIT)?;
-        let wait = (wait * 1e6) as Micros;
-        // Guards rule 1: the client's time began at its send, and the final answer needs time on its way back.
+            .and_then(parse_decimal)
+            .filter(|s| *s > 0.0 && *s <= MAX_WAIT_S)?;
+        let wait = (wait_s * 1e6) as Micros;
+        // The client's time-out runs from when it sent the request, and the answer takes time to travel back: without this
+        // margin the final answer could arrive after the client has given up.
         Some(now + wait - limits.response_margin.min(wait / 2))
     }
 
-    /// Reads a whole request.
+    /// Parses a complete request into an authorisation.
     ///
     /// # Errors
-    /// A header is missing or malformed.
+    /// The class is unknown, the method or body does not suit it, or a header is missing or malformed.
     pub fn parse_request(
         &self,
         request: &Request,
         limits: &Limits,
         now: Micros,
     ) -> Result<Authorisation, Rejection> {
-        let basics = self.parse_common_fields(request, limits, now)?;
+        let fields = self.parse_common_fields(request, limits, now)?;
         let headers = &request.headers;
         headers.get("X-Qos").ok_or(reject(400, "X-Qos"))?;
         let plan = headers
@@ -143,89 +147,92 @@
             .ok_or(reject(400, "X-Call-Terms"))?;
         let (units, (spread, first)) = self.parse_call_terms(terms, limits, None)?;
         Ok(Authorisation {
-            class: basics.class,
+            class: fields.class,
             plan,
-            customer: account(&request.target).ok_or(reject(400, "account"))?,
-            deadline: basics.deadline,
+            customer: customer_in_query(&request.target).ok_or(reject(400, "account"))?,
+            deadline: fields.deadline,
             units,
             limiter_count: spread,
             first_limiter: first,
-            is_retry: basics.is_retry,
+            is_retry: fields.is_retry,
             token_expires_at: None,
             ..Authorisation::default()
         })
     }
 
-    /// Reads `units=2,spread=3,first=1`; each once, others ignored. The set may be left out where it is known.
+    /// Parses `X-Call-Terms`, such as `units=2,spread=3,first=1`: each key at most once, unknown keys ignored. If
+    /// `limiter_set` is given, it takes the place of `spread` and `first`, which may then be missing.
     ///
     /// # Errors
-    /// A header is missing or malformed.
+    /// The value is malformed or out of range.
     pub fn parse_call_terms(
         &self,
         text: &str,
         limits: &Limits,
-        set: Option<LimiterSet>,
+        limiter_set: Option<LimiterSet>,
     ) -> Result<(f64, LimiterSet), Rejection> {
-        let bad = reject(400, "X-Call-Terms");
+        let rejection = reject(400, "X-Call-Terms");
         let (mut units, mut spread, mut first) = (None, None, None);
         for part in text.split(',') {
-            let (name, value) = part.trim().split_once('=').ok_or(bad.clone())?;
+            let (name, value) = part.trim().split_once('=').ok_or(rejection.clone())?;
             let field = match name {
                 "units" => &mut units,
                 "spread" => &mut spread,
                 "first" => &mut first,
                 _ => continue,
             };
-            let number = number(value).ok_or(bad.clone())?;
+            let number = parse_decimal(value).ok_or(rejection.clone())?;
             if field.replace(number).is_some() {
-                return Err(bad);
+                return Err(rejection);
             }
         }
         let units = units
             .filter(|units| *units > 0.0 && units * 1_000.0 <= limits.max_units_thousandths as f64);
-        let most = f64::from(self.limiter_count.max(1));
-        let told = spread.zip(first).and_then(|(spread, first)| {
-            let whole = spread.fract() == 0.0 && first.fract() == 0.0;
-            let fits = whole && (1.0..=most).contains(&spread) && (0.0..most).contains(&first);
-            fits.then_some((spread as u32, first as u32))
+        let limiter_count = f64::from(self.limiter_count.max(1));
+        let parsed_set = spread.zip(first).and_then(|(spread, first)| {
+            let is_whole = spread.fract() == 0.0 && first.fract() == 0.0;
+            let is_valid = is_whole
+                && (1.0..=limiter_count).contains(&spread)
+                && (0.0..limiter_count).contains(&first);
+            is_valid.then_some((spread as u32, first as u32))
         });
-        units.zip(set.or(told)).ok_or(bad)
+        units.zip(limiter_set.or(parsed_set)).ok_or(rejection)
     }
 }
 
-/// A customer's limiters: how many, and the number of the first.
+/// The limiters that a customer is spread over: how many, and the number of the first.
 pub type LimiterSet = (u32, u32);
 
-/// The customer in the query: `account`, once, 16 hex digits.
-fn account(target: &str) -> Option<CustomerId> {
+/// The customer named by the query parameter `account`, which must occur exactly once.
+fn customer_in_query(target: &str) -> Option<CustomerId> {
     let (_, query) = target.split_once('?')?;
-    let mut named = query
+    let mut accounts = query
         .split('&')
         .filter_map(|part| part.strip_prefix("account="));
-    let (text, None) = (named.next()?, named.next()) else {
+    let (text, None) = (accounts.next()?, accounts.next()) else {
         return None;
     };
     parse_customer_id(text)
 }
 
-/// A customer as 16 hex digits.
+/// Parses a customer's id: 16 hex digits, below `CUSTOMER_ID_LIMIT`.
 pub fn parse_customer_id(text: &str) -> Option<CustomerId> {
-    let plain = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    let is_hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     let number = u64::from_str_radix(text, 16).ok()?;
-    (plain && number < CUSTOMERS).then_some(CustomerId(number))
+    (is_hex && number < CUSTOMER_ID_LIMIT).then_some(CustomerId(number))
 }
 
-/// The status of an ending, and how long the client had better stay away.
-pub fn rejection_status(ending: EngineRejection) -> (u16, Micros) {
-    match ending {
+/// The HTTP status of a rejection, and how long the client should wait before a retry; 0 gives no advice.
+pub fn rejection_status(rejection: EngineRejection) -> (u16, Micros) {
+    match rejection {
         EngineRejection::Declined {
-            retry_after: stay_away,
+            retry_after,
             over_quota: true,
-        } => (429, stay_away),
+        } => (429, retry_after),
         EngineRejection::Declined {
-            retry_after: stay_away,
+            retry_after,
             over_quota: false,
-        } => (503, stay_away),
+        } => (503, retry_after),
         EngineRejection::Failed => (504, 0),
         EngineRejection::Expired {
             may_have_run: false,
