--- a/crates/limiter/src/config/introspection.rs
+++ b/crates/limiter/src/config/introspection.rs
@@ -1,4 +1,4 @@
-//! The second front's file: OAuth 2 token introspection, as client and as server.
+//! The operators' file of the token introspection front end, which is an OAuth 2 introspection client and server.
 
 use std::net::SocketAddr;
 
@@ -10,29 +10,29 @@
 use crate::frontend::introspection::{Caller, IntrospectionEndpoint};
 use crate::frontend::platform;
 
-/// The second front.
+/// The settings of the token introspection front end.
 #[derive(Debug)]
 pub struct IntrospectionConfig {
     /// Where it listens.
     pub listen: SocketAddr,
-    /// Who may ask us.
+    /// The callers that may use the limiter's own introspection endpoint.
     pub callers: Vec<Caller>,
-    /// The introspection servers that we ask.
+    /// Addresses of the introspection servers.
     pub upstreams: Vec<SocketAddr>,
-    /// How we ask them.
+    /// Their endpoint, and the limiter's credentials there.
     pub endpoint: IntrospectionEndpoint,
-    /// Most tokens that are remembered.
+    /// Maximum number of cached tokens.
     pub cache_entries: usize,
-    /// How long one is remembered at the most.
+    /// Maximum time that a token is cached.
     pub cache_ttl: Micros,
-    /// Settings of the module where it decides on asking: a class safe to repeat, the callers' plans, and last a
-    /// plan without quota for what we ask on our own account.
+    /// Settings of the decision module for introspection requests: one class that is safe to repeat, the callers' plans, and
+    /// as the last plan one without quota for the limiter's own requests.
     pub settings: Settings,
 }
 
 #[derive(Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct File {
+struct IntrospectionFile {
     listen: Option<SocketAddr>,
     callers: Vec<CallerFile>,
     upstreams: Vec<SocketAddr>,
@@ -43,9 +43,9 @@
     cache_s: f64,
 }
 
-impl Default for File {
-    fn default() -> File {
-        File {
+impl Default for IntrospectionFile {
+    fn default() -> IntrospectionFile {
+        IntrospectionFile {
             listen: None,
             callers: Vec::new(),
             upstreams: Vec::new(),
@@ -67,19 +67,19 @@
     plan: Option<String>,
 }
 
-/// Longest time that a token is remembered.
-const CACHE_S: f64 = 86_400.0;
+/// Upper bound of the setting `cache_s`.
+const MAX_CACHE_S: f64 = 86_400.0;
 
-fn callers(files: Vec<CallerFile>, names: &NameTables) -> Result<Vec<Caller>, Fault> {
-    let one = |(k, file): (usize, CallerFile)| {
-        file.caller(names)
-            .map_err(|e| e.under(&format!("callers[{k}]")))
+fn parse_caller_list(files: Vec<CallerFile>, names: &NameTables) -> Result<Vec<Caller>, Fault> {
+    let parse_caller = |(index, file): (usize, CallerFile)| {
+        file.parse(names)
+            .map_err(|e| e.under(&format!("callers[{index}]")))
     };
-    files.into_iter().enumerate().map(one).collect()
+    files.into_iter().enumerate().map(parse_caller).collect()
 }
 
 impl CallerFile {
-    fn caller(self, names: &NameTables) -> Result<Caller, Fault> {
+    fn parse(self, names: &NameTables) -> Result<Caller, Fault> {
         let account = require("account", self.account)?;
         let customer = platform::parse_customer_id(&account)
             .ok_or(Fault::at("account", "is not 16 hex digits"))?;
@@ -96,30 +96,37 @@
 }
 
 impl Config {
-    /// Takes in the second front's file. Without a listen address it stays off.
+    /// Applies the token introspection file. Without a listen address the front end stays disabled.
     ///
     /// # Errors
-    /// The first key that is unknown, missing or cannot be used, under `introspection`.
+    /// A key is unknown, missing or invalid; the error names the first one, below `introspection`.
     pub fn apply_introspection(&mut self, text: &str) -> Result<(), ConfigError> {
-        let file: File = parse_section("introspection", text)?;
+        let file: IntrospectionFile = parse_section("introspection", text)?;
         let Some(listen) = file.listen else {
             return Ok(());
         };
         self.introspection = Some(
-            self.second_front(listen, file)
+            self.introspection_config(listen, file)
                 .map_err(|e| e.under("introspection"))?,
         );
         Ok(())
     }
 
-    fn second_front(&self, listen: SocketAddr, file: File) -> Result<IntrospectionConfig, Fault> {
+    fn introspection_config(
+        &self,
+        listen: SocketAddr,
+        file: IntrospectionFile,
+    ) -> Result<IntrospectionConfig, Fault> {
         if file.upstreams.is_empty() {
             return Err(Fault::at("upstreams", "is missing or empty"));
         }
         if !file.path.starts_with('/') || !file.path.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(Fault::at("path", "is no path"));
+            return Err(Fault::at(
+                "path",
+                "is not an absolute path of visible ASCII characters",
+            ));
         }
-        config_check::within("cache_s", file.cache_s, 0.0, CACHE_S)?;
+        config_check::within("cache_s", file.cache_s, 0.0, MAX_CACHE_S)?;
         let mut settings = self.settings.clone();
         let wait = self.limits.introspection_timeout;
         settings.classes = vec![Class {
@@ -143,7 +150,7 @@
                 client_id: require("id", file.id)?,
                 client_secret: require("secret", file.secret)?,
             },
-            callers: callers(file.callers, &self.names)?,
+            callers: parse_caller_list(file.callers, &self.names)?,
             cache_entries: file.cache_entries as usize,
             cache_ttl: (file.cache_s * 1e6) as Micros,
             settings,
@@ -151,21 +158,22 @@
     }
 }
 
+/// The replicated configuration document; keys other than the list of callers are ignored.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct Document {
     callers: Option<Vec<CallerFile>>,
 }
 
-/// The callers in a document that instances agreed on; `None` if it names none.
+/// The callers in a document that the Raft cluster has committed; `None` if it has no list of callers.
 ///
 /// # Errors
-/// Text that is not JSON; the first key of a caller that cannot be used.
+/// The text is not JSON, or a key of a caller is missing or invalid; the error names the first one.
 pub fn parse_callers(text: &[u8], names: &NameTables) -> Result<Option<Vec<Caller>>, ConfigError> {
     let text = std::str::from_utf8(text).map_err(|_| Fault::at("", "not JSON: not UTF-8"))?;
     let document: Document = config_check::read(text)?;
     Ok(document
         .callers
-        .map(|files| callers(files, names))
+        .map(|files| parse_caller_list(files, names))
         .transpose()?)
 }
--- a/crates/limiter/src/config/mod.rs
+++ b/crates/limiter/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! The only place where configuration is read, checked and given defaults. Errors name the faulty key.
+//! Reads and checks all configuration and fills in defaults. Errors name the invalid key.
 //!
-//! `file` is the platform's file, which may hold keys that we don't know. `fronts`, `members` and `shared` are operators'
-//! files of our own: there a key that is unknown is a fault, and the one that was meant is named.
+//! `platform` is the platform's file, where unknown keys are ignored. `introspection`, `raft` and `shared_state` are files
+//! that operators write for the limiter: there an unknown key is an error, which suggests the key that was meant.
 
 mod introspection;
 mod platform;
@@ -23,12 +23,12 @@
 pub use platform::{NameTables, parse_settings};
 pub use raft::RaftConfig;
 
-/// What is wrong with the configuration, and where.
+/// Why a configuration is rejected.
 #[derive(Debug)]
 pub enum ConfigError {
     /// A file cannot be read.
     Unreadable(String, std::io::Error),
-    /// Text is not JSON, or a key of it is unknown, missing, or cannot be used.
+    /// The text is not JSON, or a key in it is unknown, missing or invalid.
     Invalid(Fault),
 }
 
@@ -49,84 +49,86 @@
     }
 }
 
-/// Reads a file of our own; its faults are named under what it is.
-fn parse_section<T: DeserializeOwned>(what: &str, text: &str) -> Result<T, Fault> {
+/// Parses an operators' file. The keys in its errors are given below `section`.
+fn parse_section<T: DeserializeOwned>(section: &str, text: &str) -> Result<T, Fault> {
     config_check::read(text).map_err(|fault| {
         if fault.key.is_empty() {
             fault
         } else {
-            fault.under(what)
+            fault.under(section)
         }
     })
 }
 
+/// The value of a key, or an error that it is missing.
 fn require<T>(key: &str, value: Option<T>) -> Result<T, Fault> {
     value.ok_or_else(|| Fault::at(key, "is missing"))
 }
 
-/// Everything that a limiter is told at its start.
+/// The configuration of a limiter process.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name, for the log.
+    /// The limiter's name, for the log.
     pub name: String,
     /// Where the platform's clients connect.
     pub listen: SocketAddr,
-    /// Discovery.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Discovery as the file names it, whatever the environment says.
+    /// Address of discovery in the file, which the environment may override.
     pub file_discovery: Option<SocketAddr>,
-    /// The counter, if there is one.
+    /// Address of the counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// Where datagrams of other limiters arrive.
+    /// Where notices of other limiters arrive as datagrams.
     pub peer_listen: Option<SocketAddr>,
-    /// The limiters of the tier by number.
+    /// Addresses of the tier's limiters, by number.
     pub peers: Vec<SocketAddr>,
-    /// The list of servers as last held.
+    /// The server list as last known, for use until discovery answers.
     pub cached_servers: Value,
-    /// Where operators call, if they do.
+    /// Where operators connect; `None` disables their socket.
     pub ops_listen: Option<SocketAddr>,
-    /// Number of the descriptor under which the clients' listening socket was inherited, where it was.
+    /// File descriptor of the clients' listening socket, if it was inherited.
     pub inherited_listener: Option<u32>,
-    /// Where processes of this limiter that overlap tell each other what operators asked for.
+    /// Folder in which overlapping processes of this limiter exchange the operators' commands.
     pub handover_folder: Option<PathBuf>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of classes, plans, zones and kinds of machine, by position.
+    /// Names of classes, plans, zones and machine types, by position.
     pub names: NameTables,
-    /// Probes bring load reports.
+    /// Whether responses to probes carry load reports.
     pub probes_report_load: bool,
-    /// Sizes, counts and times.
+    /// Limits on sizes, counts and times.
     pub limits: Limits,
-    /// The second front, where it is on.
+    /// The token introspection front end, if it is enabled.
     pub introspection: Option<IntrospectionConfig>,
-    /// The instances that agree on a configuration, where they do.
+    /// The Raft cluster that replicates the configuration, if it is enabled.
     pub raft: Option<RaftConfig>,
 }
 
-/// Variables of the environment that stand above the file's keys.
+/// The environment variables, which override the file's keys, and the paths given on the command line.
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
-    /// Path of the configuration.
+    /// Path of the configuration file.
     pub config_path: Option<String>,
     /// The limiter's name.
     pub name: Option<String>,
     /// Where clients connect.
     pub listen: Option<String>,
-    /// Discovery.
+    /// Address of discovery.
     pub discovery: Option<String>,
-    /// Where operators call.
+    /// Where operators connect.
     pub ops_listen: Option<String>,
-    /// Number of the descriptor of an inherited listening socket.
+    /// File descriptor of an inherited listening socket.
     pub inherited_listener: Option<String>,
-    /// Folder for what passes over an upgrade.
+    /// Folder through which processes exchange state in an upgrade.
     pub handover_folder: Option<String>,
-    /// Path of the second front's file; no variable names it, so that it is never on by accident.
+    /// Path of the token introspection file. Given on the command line only, so that a variable that happens to be set does
+    /// not enable it.
     pub introspection_path: Option<String>,
-    /// Path of the file of the instances that agree on a configuration; likewise.
+    /// Path of the Raft cluster's file; on the command line only, likewise.
     pub raft_path: Option<String>,
-    /// Path of the file of what limiters do with shared state when part of the fleet hears nothing; likewise.
+    /// Path of the shared state file; on the command line only, likewise.
     pub shared_state_path: Option<String>,
 }
 
@@ -134,23 +136,26 @@
     std::fs::read_to_string(&path).map_err(|e| ConfigError::Unreadable(path, e))
 }
 
-/// An address that a variable of the environment names above a key of the file.
-fn address(
+/// The address in an environment variable if it is set, else that of the file. `variable_name` names the variable in errors.
+fn override_address(
     variable: &Option<String>,
-    name: &str,
-    value: Option<SocketAddr>,
+    variable_name: &str,
+    file_value: Option<SocketAddr>,
 ) -> Result<Option<SocketAddr>, Fault> {
     let Some(text) = variable else {
-        return Ok(value);
+        return Ok(file_value);
     };
-    let parsed = text
-        .parse()
-        .map_err(|_| Fault::at(name, format!("'{text}' is no address with a port")));
+    let parsed = text.parse().map_err(|_| {
+        Fault::at(
+            variable_name,
+            format!("'{text}' is not an address with a port"),
+        )
+    });
     parsed.map(Some)
 }
 
 impl Environment {
-    /// The variables as they are set.
+    /// Reads the environment variables of the process.
     pub fn from_process() -> Environment {
         let get = |name: &str| std::env::var(name).ok();
         Environment {
@@ -167,10 +172,10 @@
         }
     }
 
-    /// Reads and checks the configuration file that is named here.
+    /// Reads and checks the files whose paths are set.
     ///
     /// # Errors
-    /// A file that cannot be read or is faulty, by its key.
+    /// A file cannot be read, or a key in it is invalid.
     pub fn load(&self) -> Result<Config, ConfigError> {
         let path = self
             .config_path
@@ -189,16 +194,16 @@
         Ok(config)
     }
 
-    /// Checks the text of a configuration and fills in what it leaves out.
+    /// Checks the text of a configuration and fills in the defaults.
     ///
     /// # Errors
-    /// Text that is not JSON; the first key that is missing or cannot be used.
+    /// The text is not JSON, or a key is missing or invalid; the error names the first one.
     pub fn parse(&self, text: &str) -> Result<Config, ConfigError> {
-        let file: platform::File = config_check::read(text)?;
+        let file: platform::PlatformFile = config_check::read(text)?;
         let settings = require("settings", file.settings)?;
         settings.check().map_err(|fault| fault.under("settings"))?;
-        let ops = address(&self.ops_listen, "ROUTER_OPS", file.ops)?;
-        let passed = self
+        let ops = override_address(&self.ops_listen, "ROUTER_OPS", file.ops)?;
+        let inherited_listener = self
             .inherited_listener
             .as_deref()
             .map(str::parse::<u32>)
@@ -208,11 +213,11 @@
             name: self.name.clone().or(file.name).unwrap_or_default(),
             listen: require(
                 "listen",
-                address(&self.listen, "ROUTER_LISTEN", file.listen)?,
+                override_address(&self.listen, "ROUTER_LISTEN", file.listen)?,
             )?,
             discovery: require(
                 "discovery",
-                address(&self.discovery, "ROUTER_DISCOVERY", file.discovery)?,
+                override_address(&self.discovery, "ROUTER_DISCOVERY", file.discovery)?,
             )?,
             file_discovery: file.discovery,
             counter: file.counter,
@@ -220,17 +225,21 @@
             peers: file.peers.unwrap_or_default(),
             cached_servers: file.known,
             ops_listen: ops,
-            // Without an inherited socket no two processes of a limiter overlap.
+            // Processes of a limiter overlap only if the listening socket is inherited.
             handover_folder: self
                 .inherited_listener
                 .as_ref()
                 .and(self.handover_folder.as_ref())
                 .map(PathBuf::from),
-            inherited_listener: passed
-                .map_err(|_| Fault::at(inherited::VARIABLE, "is no descriptor's number"))?,
+            inherited_listener: inherited_listener.map_err(|_| {
+                Fault::at(
+                    inherited::VARIABLE,
+                    "is not the number of a file descriptor",
+                )
+            })?,
             seed: seed.map_err(|_| Fault::at("seed", "is not a number in hex"))?,
             names: settings.names(),
-            probes_report_load: settings.reports(),
+            probes_report_load: settings.probes_report_load(),
             limits: settings.limits(&file.limits.unwrap_or_default(), ops.is_some()),
             settings: settings.module(),
             introspection: None,
--- a/crates/limiter/src/config/platform.rs
+++ b/crates/limiter/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's file, and the settings in it. Keys that we don't know are passed over: the platform may add some.
+//! The platform's configuration file and the settings in it. Unknown keys are ignored, since the platform may add some.
 
 use std::net::SocketAddr;
 
@@ -12,17 +12,17 @@
 use crate::config::ConfigError;
 use crate::limits::Limits;
 
-/// A call's outcome is waited for this many times as long as the platform calls one given up: the counter sets no
-/// time-out, and a total that comes late is true. Guards against calls that are made and then not listened to.
-const COUNTER_PATIENCE: Micros = 4;
+/// The time-out of a counter call as a multiple of the platform's setting. The counter itself sets no time-out, and a late
+/// total is still correct: a longer wait keeps calls from being made whose results are then not used.
+const COUNTER_TIMEOUT_FACTOR: Micros = 4;
 
-/// A number that is 0 where the key is absent or null.
+/// A number; 0 if the key is absent or null.
 #[derive(Clone, Copy, Debug, Default)]
 struct Number(f64);
 
 impl<'de> Deserialize<'de> for Number {
-    fn deserialize<D: Deserializer<'de>>(reader: D) -> Result<Number, D::Error> {
-        Option::<f64>::deserialize(reader).map(|number| Number(number.unwrap_or_default()))
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Number, D::Error> {
+        Option::<f64>::deserialize(deserializer).map(|number| Number(number.unwrap_or_default()))
     }
 }
 
@@ -32,29 +32,30 @@
     }
 }
 
-/// A whole number from 0, likewise; as a decimal number, too.
+/// A whole number from 0, which may be written as a decimal fraction; 0 if the key is absent or null.
 #[derive(Clone, Copy, Debug, Default)]
 struct Count(u32);
 
 impl<'de> Deserialize<'de> for Count {
-    fn deserialize<D: Deserializer<'de>>(reader: D) -> Result<Count, D::Error> {
-        let number = Option::<f64>::deserialize(reader)?.unwrap_or_default();
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Count, D::Error> {
+        let number = Option::<f64>::deserialize(deserializer)?.unwrap_or_default();
         match (0.0..=f64::from(u32::MAX)).contains(&number) {
             true => Ok(Count(number as u32)),
             false => Err(serde::de::Error::custom(format!(
-                "is {number}, not a count"
+                "is {number}, not a whole number from 0 to {}",
+                u32::MAX
             ))),
         }
     }
 }
 
-/// True or false, or a number other than 0.
+/// A boolean, or a number that is true unless it is 0; false if the key is null.
 #[derive(Clone, Copy, Debug, Default)]
 struct Flag(bool);
 
 impl<'de> Deserialize<'de> for Flag {
-    fn deserialize<D: Deserializer<'de>>(reader: D) -> Result<Flag, D::Error> {
-        match Value::deserialize(reader)? {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Flag, D::Error> {
+        match Value::deserialize(deserializer)? {
             Value::Null => Ok(Flag(false)),
             Value::Bool(flag) => Ok(Flag(flag)),
             Value::Number(number) => Ok(Flag(number.as_f64() != Some(0.0))),
@@ -68,7 +69,7 @@
 /// The platform's file.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub(super) struct File {
+pub(super) struct PlatformFile {
     pub(super) name: Option<String>,
     pub(super) listen: Option<SocketAddr>,
     pub(super) discovery: Option<SocketAddr>,
@@ -78,19 +79,19 @@
     pub(super) peers: Option<Vec<SocketAddr>>,
     pub(super) known: Value,
     pub(super) seed: Option<String>,
-    pub(super) limits: Option<Machine>,
+    pub(super) limits: Option<MachineLimits>,
     pub(super) settings: Option<SettingsFile>,
 }
 
-/// What the machine allows; 0: no limit is told.
+/// The limits of the machine; 0 if unknown.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub(super) struct Machine {
+pub(super) struct MachineLimits {
     memory_mb: Count,
     sockets: Count,
 }
 
-/// The object that an instance is given in the simulator's first message.
+/// The settings object, in the form that the simulator sends to an instance in its first message.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, rename_all = "PascalCase")]
 pub(super) struct SettingsFile {
@@ -184,23 +185,23 @@
     fall_us: Number,
 }
 
-/// The names that stand for positions in the settings.
+/// The names of what the settings refer to by position.
 #[derive(Clone, Debug, Default)]
 pub struct NameTables {
-    /// Classes.
+    /// Names of the classes.
     pub classes: Vec<String>,
-    /// Plans.
+    /// Names of the plans.
     pub plans: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Kinds of machine.
+    /// Names of the machine types.
     pub machine_types: Vec<String>,
 }
 
-/// Reads the module's settings from text; keys that are not known are ignored.
+/// Parses the decision module's settings. Unknown keys are ignored.
 ///
 /// # Errors
-/// Text that is not JSON; the first key that cannot be used.
+/// The text is not JSON, or a key is invalid; the error names the first one.
 pub fn parse_settings(text: &str) -> Result<Settings, ConfigError> {
     let file: SettingsFile = config_check::read(text)?;
     file.check_lanes()?;
@@ -236,7 +237,7 @@
             client_timeout: self.give_up_us.micros(),
             late_value_share: self.late_value.0,
             value: self.value.0,
-            // Checked before; what could not be read is never repeated.
+            // Checked before. A class without valid semantics would never be retried.
             idempotency: self.repeat().unwrap_or(Idempotency::NotIdempotent),
             streaming: self.stream.0,
         }
@@ -270,25 +271,25 @@
     }
 
     fn check_lanes(&self) -> Result<(), Fault> {
-        let one = |(k, lane): (usize, &Lane)| {
+        let check_lane = |(index, lane): (usize, &Lane)| {
             lane.repeat()
                 .map(drop)
-                .map_err(|e| e.under(&format!("Lanes[{k}]")))
+                .map_err(|e| e.under(&format!("Lanes[{index}]")))
         };
-        self.lanes().iter().enumerate().try_for_each(one)
+        self.lanes().iter().enumerate().try_for_each(check_lane)
     }
 
-    /// Checks what a limiter on sockets needs beyond the module: names, and something to serve.
+    /// Checks what the daemon needs in addition to the decision module: at least one class and plan, and their names.
     pub(super) fn check(&self) -> Result<(), Fault> {
         self.check_lanes()?;
-        let lanes: Vec<bool> = self.lanes().iter().map(|l| l.name.is_some()).collect();
-        let tariffs: Vec<bool> = self.tariffs().iter().map(|t| t.name.is_some()).collect();
-        for (key, named) in [("Lanes", lanes), ("Tariffs", tariffs)] {
-            if named.is_empty() {
+        let named_lanes: Vec<bool> = self.lanes().iter().map(|l| l.name.is_some()).collect();
+        let named_tariffs: Vec<bool> = self.tariffs().iter().map(|t| t.name.is_some()).collect();
+        for (key, is_named) in [("Lanes", named_lanes), ("Tariffs", named_tariffs)] {
+            if is_named.is_empty() {
                 return Err(Fault::at(key, "is empty"));
             }
-            if let Some(k) = named.iter().position(|named| !named) {
-                return Err(Fault::at(format!("{key}[{k}].Name"), "is missing"));
+            if let Some(index) = is_named.iter().position(|named| !named) {
+                return Err(Fault::at(format!("{key}[{index}].Name"), "is missing"));
             }
         }
         Ok(())
@@ -307,8 +308,8 @@
         }
     }
 
-    /// Probes bring load reports.
-    pub(super) fn reports(&self) -> bool {
+    /// Whether responses to probes carry load reports.
+    pub(super) fn probes_report_load(&self) -> bool {
         self.report
             .as_ref()
             .and_then(|r| r.how.as_deref())
@@ -353,43 +354,43 @@
         }
     }
 
-    /// The default limits, drawn in by what the settings and the machine allow.
-    pub(super) fn limits(&self, machine: &Machine, operators: bool) -> Limits {
+    /// The default limits, lowered to what the settings and the machine allow.
+    pub(super) fn limits(&self, machine: &MachineLimits, has_operators_socket: bool) -> Limits {
         let defaults = Limits::default();
         let (allow, facts) = (
             self.permissions.unwrap_or_default(),
             self.specifics.unwrap_or_default(),
         );
-        let or = |value: Micros, default: Micros| if value > 0 { value } else { default };
+        let or_default = |value: Micros, default: Micros| if value > 0 { value } else { default };
         let sockets = machine.sockets.0 as usize;
-        // What is neither a client's nor a server's connection: standard streams, loop, timers, listeners, counter
-        // (twice while it moves), watch, datagrams, operators where they call, and some to spare. Of the rest clients have the larger share: a
-        // third of all descriptors may be held for requests at once, and silent connections come on top.
-        let spare = 40
-            + if operators {
+        // Descriptors for all but clients' and servers' connections: standard streams, event loop, timers, listeners,
+        // counter (twice while it moves), watch, datagrams, operators if enabled, and some to spare. Clients get the larger
+        // share of the rest: requests may hold a third of all descriptors at once, and idle connections come on top.
+        let reserved_sockets = 40
+            + if has_operators_socket {
                 defaults.max_operator_connections + 4
             } else {
                 0
             };
-        let share = |tenths: usize| match sockets {
+        let socket_share = |tenths: usize| match sockets {
             0 => usize::MAX,
-            _ => (sockets.saturating_sub(spare) * tenths / 10).max(8),
+            _ => (sockets.saturating_sub(reserved_sockets) * tenths / 10).max(8),
         };
         let memory = machine.memory_mb.0 as usize * 1024 * 1024;
-        let eighth = if memory == 0 { usize::MAX } else { memory / 8 };
-        let waits = self.lanes().iter().map(|lane| lane.give_up_us.micros());
+        let memory_eighth = if memory == 0 { usize::MAX } else { memory / 8 };
+        let class_deadlines = self.lanes().iter().map(|lane| lane.give_up_us.micros());
         let most_units = facts.most_units.0;
-        let acquirer_connections = defaults.max_client_connections.min(share(6));
+        let client_connections = defaults.max_client_connections.min(socket_share(6));
         Limits {
-            max_client_connections: acquirer_connections,
-            max_persistent_connections: acquirer_connections * 3 / 4,
-            max_upstream_connections: defaults.max_upstream_connections.min(share(4)),
-            max_pending_request_bytes: defaults.max_pending_request_bytes.min(eighth),
-            // One budget over all connections, a quarter of the memory: all of them may have a transfer at once.
-            relay_window_bytes: (eighth / acquirer_connections.max(1))
+            max_client_connections: client_connections,
+            max_persistent_connections: client_connections * 3 / 4,
+            max_upstream_connections: defaults.max_upstream_connections.min(socket_share(4)),
+            max_pending_request_bytes: defaults.max_pending_request_bytes.min(memory_eighth),
+            // A quarter of the memory divided among all connections, since each of them may relay a transfer at once.
+            relay_window_bytes: (memory_eighth / client_connections.max(1))
                 .saturating_mul(2)
                 .clamp(8 * 1024, defaults.relay_window_bytes),
-            max_authorisations: or(
+            max_authorisations: or_default(
                 Micros::from(allow.most_held.0),
                 defaults.max_authorisations as Micros,
             ) as usize,
@@ -398,16 +399,19 @@
             } else {
                 defaults.max_units_thousandths
             },
-            connect_timeout: or(allow.connect_timeout_us.micros(), defaults.connect_timeout),
+            connect_timeout: or_default(
+                allow.connect_timeout_us.micros(),
+                defaults.connect_timeout,
+            ),
             upstream_idle_timeout: defaults
                 .upstream_idle_timeout
-                .min(or(allow.conn_idle_us.micros(), 15_000_000) * 6 / 10),
-            counter_timeout: or(
-                facts.counter_timeout_us.micros() * COUNTER_PATIENCE,
+                .min(or_default(allow.conn_idle_us.micros(), 15_000_000) * 6 / 10),
+            counter_timeout: or_default(
+                facts.counter_timeout_us.micros() * COUNTER_TIMEOUT_FACTOR,
                 defaults.counter_timeout,
             ),
-            // The end by force comes no sooner than the longest deadline, 3 s at least, and 0.7 s more.
-            shutdown_timeout: waits.fold(3_000_000, Micros::max) + 600_000,
+            // The process is not ended by force before the longest deadline of a class, at least 3 s, and 0.6 s more.
+            shutdown_timeout: class_deadlines.fold(3_000_000, Micros::max) + 600_000,
             ..defaults
         }
     }
--- a/crates/limiter/src/config/raft.rs
+++ b/crates/limiter/src/config/raft.rs
@@ -1,4 +1,4 @@
-//! The file of the instances that agree on a configuration by Raft.
+//! The operators' file of the Raft cluster that replicates the configuration.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,24 +9,24 @@
 
 use crate::config::{Config, ConfigError, parse_section, require};
 
-/// The instances that agree on a configuration by Raft.
+/// This limiter's place in the Raft cluster.
 #[derive(Debug)]
 pub struct RaftConfig {
-    /// Where this one listens for the others.
+    /// Where this member listens for the others.
     pub listen: SocketAddr,
-    /// Its number.
+    /// Id of this member.
     pub id: u64,
-    /// All of them, this one included.
+    /// Ids and addresses of all members, including this one.
     pub members: Vec<(u64, SocketAddr)>,
-    /// Where its log and vote are kept.
+    /// Folder of this member's journal.
     pub folder: PathBuf,
-    /// What they show each other.
+    /// The secret by which the members authenticate to each other.
     pub secret: String,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct File {
+struct RaftFile {
     listen: Option<SocketAddr>,
     id: u32,
     members: Vec<MemberFile>,
@@ -41,11 +41,11 @@
     address: Option<SocketAddr>,
 }
 
-/// Shortest secret, in characters.
-const SECRET: usize = 16;
+/// Minimum length of the secret, in characters.
+const MIN_SECRET_LENGTH: usize = 16;
 
 impl MemberFile {
-    fn member(&self) -> Result<(u64, SocketAddr), Fault> {
+    fn parse(&self) -> Result<(u64, SocketAddr), Fault> {
         match self.id {
             0 => Err(Fault::at("id", "is not above 0")),
             id => Ok((u64::from(id), require("address", self.address)?)),
@@ -54,41 +54,43 @@
 }
 
 impl Config {
-    /// Takes in the file of the instances that agree. Without a listen address this one takes no part.
+    /// Applies the Raft cluster's file. Without a listen address Raft stays disabled.
     ///
     /// # Errors
-    /// The first key that is unknown, missing or cannot be used, under `raft`.
+    /// A key is unknown, missing or invalid; the error names the first one, below `raft`.
     pub fn apply_raft(&mut self, text: &str) -> Result<(), ConfigError> {
-        let file: File = parse_section("raft", text)?;
+        let file: RaftFile = parse_section("raft", text)?;
         let Some(listen) = file.listen else {
             return Ok(());
         };
-        self.raft = Some(file.cluster(listen).map_err(|e| e.under("raft"))?);
+        self.raft = Some(file.into_config(listen).map_err(|e| e.under("raft"))?);
         Ok(())
     }
 }
 
-impl File {
-    fn cluster(self, listen: SocketAddr) -> Result<RaftConfig, Fault> {
-        let one = |(k, m): (usize, &MemberFile)| {
-            m.member().map_err(|e| e.under(&format!("members[{k}]")))
+impl RaftFile {
+    fn into_config(self, listen: SocketAddr) -> Result<RaftConfig, Fault> {
+        let parse_member = |(index, member): (usize, &MemberFile)| {
+            member
+                .parse()
+                .map_err(|e| e.under(&format!("members[{index}]")))
         };
         let members = self
             .members
             .iter()
             .enumerate()
-            .map(one)
+            .map(parse_member)
             .collect::<Result<Vec<_>, _>>()?;
         let id = u64::from(self.id);
         if members.iter().filter(|(member, _)| *member == id).count() != 1 {
-            return Err(Fault::at("id", "is not that of exactly one of the members"));
+            return Err(Fault::at("id", "is not the id of exactly one member"));
         }
-        let distinct: BTreeSet<u64> = members.iter().map(|(id, _)| *id).collect();
-        if distinct.len() != members.len() {
-            return Err(Fault::at("members", "has an id twice"));
+        let distinct_ids: BTreeSet<u64> = members.iter().map(|(id, _)| *id).collect();
+        if distinct_ids.len() != members.len() {
+            return Err(Fault::at("members", "contains an id twice"));
         }
         let secret = require("secret", self.secret)?;
-        if secret.len() < SECRET || !secret.bytes().all(|b| b.is_ascii_graphic()) {
+        if secret.len() < MIN_SECRET_LENGTH || !secret.bytes().all(|b| b.is_ascii_graphic()) {
             return Err(Fault::at("secret", "is not 16 or more visible characters"));
         }
         let folder = require("folder", self.folder)?;
--- a/crates/limiter/src/config/shared_state.rs
+++ b/crates/limiter/src/config/shared_state.rs
@@ -1,34 +1,34 @@
-//! The operators' file of what limiters do with state they share when part of the fleet hears nothing
-//! (`deploy/shared.json`, `docs/shared-state.md`). Everything in it is off unless it is named.
+//! The operators' file that sets how limiters handle shared state while part of the fleet is unreachable
+//! (`deploy/shared.json`, `docs/shared-state.md`). Everything in it is off by default.
 
 use serde::Deserialize;
 
 use crate::config::{Config, ConfigError, parse_section};
 
-/// What a limiter grants while the counter is lost.
+/// What a limiter admits while the counter is unreachable.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 enum CounterLost {
-    /// DESIGN's: open without a counter, by what the limiter knows itself.
+    /// Requests are admitted by what the limiter itself has counted.
     #[default]
     Open,
-    /// Each customer at most its even slice of the window at each of its limiters.
+    /// Each customer may use at most its even share of the window's quota at each of its limiters.
     Slices,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct File {
+struct SharedStateFile {
     counter_lost: CounterLost,
 }
 
 impl Config {
-    /// Takes in the file of shared state.
+    /// Applies the shared state file.
     ///
     /// # Errors
-    /// A key that is unknown or a value that is none of those named, under `shared`.
+    /// A key is unknown or a value is invalid; the error names the key, below `shared`.
     pub fn apply_shared_state(&mut self, text: &str) -> Result<(), ConfigError> {
-        let file: File = parse_section("shared", text)?;
+        let file: SharedStateFile = parse_section("shared", text)?;
         self.settings.even_shares_counter_lost = file.counter_lost == CounterLost::Slices;
         Ok(())
     }
