--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -1,9 +1,9 @@
-//! The engine as a tower [`Layer`]: requests of an axum router, or of any service on [`http`] types, pass the same
-//! decisions as those of the daemon. The wrapped service stands for the one server there is.
+//! The limiter as a tower [`Layer`] for an axum router or any service on [`http`] types. Requests are decided on as by the
+//! daemon, with the wrapped service as the only server.
 //!
-//! A [`Gate`] holds the engine and runs on a task of its own; layers and their services are handles to it. What
-//! the wrapped service answers is passed on unchanged; a request that the module turns down is answered 429 or 503
-//! at once, with `Retry-After`.
+//! A [`Limiter`] owns the engine, which runs on a task of its own; layers and their services are handles to it. Responses
+//! of the wrapped service are passed on unchanged. A request that the decision module rejects is answered at once with 429
+//! or 503 and `Retry-After`.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -23,87 +23,95 @@
 use tower_layer::Layer;
 use tower_service::Service;
 
-/// The server that the wrapped service stands for.
-const INNER: ServerId = ServerId(0);
+/// The server number that stands for the wrapped service.
+const WRAPPED_SERVICE: ServerId = ServerId(0);
 
-/// What the module asks of a counter that all limiters share.
+/// A counter service that all limiters share.
 pub trait Counter: Send + Sync + 'static {
-    /// Adds to a number and gives the total; a new name lives for `life`. `None`: no answer, perhaps added.
+    /// Adds `delta` to the counter `name` and returns the total. A counter that the call creates lives for `ttl`. `None` if
+    /// there was no response; the amount may have been added.
     fn add(
         &self,
         name: CounterKey,
-        add: f64,
-        life: Duration,
+        delta: f64,
+        ttl: Duration,
     ) -> impl Future<Output = Option<f64>> + Send;
 }
 
-/// A counter within this process, for a single limiter.
+/// A counter service within this process, for a single limiter: total and end of life of each counter, by name.
 #[derive(Debug, Default)]
 pub struct LocalCounter(Mutex<BTreeMap<u64, (f64, Instant)>>);
 
 impl Counter for LocalCounter {
-    async fn add(&self, name: CounterKey, add: f64, life: Duration) -> Option<f64> {
+    async fn add(&self, name: CounterKey, delta: f64, ttl: Duration) -> Option<f64> {
         let now = Instant::now();
         let mut totals = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        // Bounds the memory: what has ended its life goes.
-        totals.retain(|_, (_, end)| *end > now);
-        let (total, _) = totals.entry(name.0).or_insert((0.0, now + life));
-        *total += add;
+        // Expired counters are removed to bound the memory.
+        totals.retain(|_, (_, expires_at)| *expires_at > now);
+        let (total, _) = totals.entry(name.0).or_insert((0.0, now + ttl));
+        *total += delta;
         Some(*total)
     }
 }
 
-/// What a service is told about a request.
-enum Verdict {
-    /// It may run, as this leg.
-    Go(u32),
-    /// It may not.
-    End(EngineRejection),
+/// The engine's decision on a request.
+enum Decision {
+    /// It may run, as the attempt of this number.
+    Admit(u32),
+    /// It must not run.
+    Reject(EngineRejection),
 }
 
-struct Inner {
+struct State {
     engine: Engine,
-    waiting: BTreeMap<AuthorisationKey, oneshot::Sender<Verdict>>,
+    /// Where to send the decisions on requests that wait for one.
+    pending: BTreeMap<AuthorisationKey, oneshot::Sender<Decision>>,
 }
 
 struct Shared {
-    inner: Mutex<Inner>,
-    changed: Notify,
-    start: Instant,
-    stay_away: Micros,
+    state: Mutex<State>,
+    /// Wakes the engine's task after an event.
+    wake: Notify,
+    started_at: Instant,
+    /// The least delay that a rejected client is told to wait before a retry.
+    min_retry_after: Micros,
 }
 
+/// The engine's time at the start of its task. Not 0, because the decision module takes a server's start at 0 for one long
+/// ago.
+const CLOCK_START: Micros = 1_000_000;
+
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn now(&self) -> Micros {
-        // Not from 0: the module takes a start at 0 for long ago.
-        1_000_000 + self.start.elapsed().as_micros() as Micros
+        CLOCK_START + self.started_at.elapsed().as_micros() as Micros
     }
 }
 
-/// The engine behind the layers.
+/// A handle to the engine that the layers share.
 #[derive(Clone)]
-pub struct Gate(Arc<Shared>);
+pub struct Limiter(Arc<Shared>);
 
-impl Gate {
-    /// Starts an engine on the present tokio runtime; it ends with the last handle. Of the settings' attempts only
-    /// the first is used: the wrapped service is called once for a request.
+impl Limiter {
+    /// Starts an engine on the current tokio runtime; its task ends after the last handle is dropped. A request is never
+    /// retried, whatever the settings say: the wrapped service is called at most once for it. At most `max_open_requests`
+    /// requests are open at once.
     pub fn start(
         mut settings: Settings,
         seed: u64,
-        most_held: usize,
+        max_open_requests: usize,
         counter: impl Counter,
-    ) -> Gate {
+    ) -> Limiter {
         settings.max_attempts = 1;
         (settings.can_probe, settings.can_notify_gateways) = (false, false);
-        let wait = Duration::from_micros(settings.counter_timeout.max(1) as u64);
-        let mut engine = Engine::new(settings, seed, most_held);
+        let counter_timeout = Duration::from_micros(settings.counter_timeout.max(1) as u64);
+        let mut engine = Engine::new(settings, seed, max_open_requests);
         let state = ServerState::Ready;
         let entry = ServerEntry {
-            server: INNER,
+            server: WRAPPED_SERVICE,
             zone: 0,
             machine_type: 0,
             cell: 0,
@@ -113,70 +121,71 @@
         };
         engine.update_servers(ListKind::Full, vec![entry]);
         let shared = Arc::new(Shared {
-            inner: Mutex::new(Inner {
+            state: Mutex::new(State {
                 engine,
-                waiting: BTreeMap::new(),
+                pending: BTreeMap::new(),
             }),
-            changed: Notify::new(),
-            start: Instant::now(),
-            stay_away: limiter::limits::Limits::default().default_retry_after,
+            wake: Notify::new(),
+            started_at: Instant::now(),
+            min_retry_after: limiter::limits::Limits::default().default_retry_after,
         });
         let weak = Arc::downgrade(&shared);
         let counter = Arc::new(counter);
         tokio::spawn(async move {
             while let Some(shared) = weak.upgrade() {
-                let wake = turn(&shared, &counter, wait);
-                // Held only while it works, so that the last handle can end it: it looks again now and then.
-                let at = shared.start + Duration::from_micros((wake - 1_000_000).max(0) as u64);
-                let pause = at.min(Instant::now() + Duration::from_secs(1));
+                let next_wakeup = run_engine(&shared, &counter, counter_timeout);
+                // The task releases its strong reference at least once a second, so that it ends after the last handle is
+                // dropped.
+                let wake_at = shared.started_at
+                    + Duration::from_micros((next_wakeup - CLOCK_START).max(0) as u64);
+                let sleep_deadline = wake_at.min(Instant::now() + Duration::from_secs(1));
                 tokio::select! {
-                    () = shared.changed.notified() => {}
-                    () = tokio::time::sleep_until(pause) => {}
+                    () = shared.wake.notified() => {}
+                    () = tokio::time::sleep_until(sleep_deadline) => {}
                 }
             }
         });
-        Gate(shared)
+        Limiter(shared)
     }
 
-    /// A layer whose requests `identify` turns into authorisations; `None` lets a request by, unmetered. The
-    /// deadline is given as the time that is left.
+    /// Creates a layer. `identify` maps a request to its authorisation, whose deadline is given as the time that remains;
+    /// for `None` the request is passed on without any limit.
     pub fn layer<F>(&self, identify: F) -> LimiterLayer<F> {
         LimiterLayer {
-            gate: self.clone(),
+            limiter: self.clone(),
             identify: Arc::new(identify),
         }
     }
 
-    /// Requests whose final answer is owed.
-    pub fn open(&self) -> usize {
+    /// The number of requests without a final answer.
+    pub fn open_requests(&self) -> usize {
         self.0.lock().engine.open_request_count()
     }
 }
 
-/// Lets the engine decide and carries out its orders; gives when it has something to do next.
-fn turn<C: Counter>(shared: &Arc<Shared>, counter: &Arc<C>, wait: Duration) -> Micros {
-    let mut inner = shared.lock();
-    let mut orders = Vec::new();
-    inner.engine.run(shared.now(), &mut orders);
-    for order in orders {
-        match order {
-            EngineAction::StartAttempt {
-                key, attempt: leg, ..
-            } => {
-                // A receiver that is gone has told the engine so, or is about to.
-                _ = inner
-                    .waiting
+/// Runs the engine and carries out its actions. Returns when it has to run next.
+fn run_engine<C: Counter>(
+    shared: &Arc<Shared>,
+    counter: &Arc<C>,
+    counter_timeout: Duration,
+) -> Micros {
+    let mut state = shared.lock();
+    let mut actions = Vec::new();
+    state.engine.run(shared.now(), &mut actions);
+    for action in actions {
+        match action {
+            EngineAction::StartAttempt { key, attempt, .. } => {
+                // The receiver may be gone: it has reported that to the engine, or is about to.
+                _ = state
+                    .pending
                     .remove(&key)
-                    .map(|sender| sender.send(Verdict::Go(leg)));
+                    .map(|sender| sender.send(Decision::Admit(attempt)));
             }
-            EngineAction::Reject {
-                key,
-                rejection: ending,
-            } => {
-                _ = inner
-                    .waiting
+            EngineAction::Reject { key, rejection } => {
+                _ = state
+                    .pending
                     .remove(&key)
-                    .map(|sender| sender.send(Verdict::End(ending)));
+                    .map(|sender| sender.send(Decision::Reject(rejection)));
             }
             EngineAction::AddToCounter {
                 name,
@@ -186,7 +195,7 @@
                 let (shared, counter) = (shared.clone(), counter.clone());
                 tokio::spawn(async move {
                     let life = Duration::from_micros(life.max(0) as u64);
-                    let total = tokio::time::timeout(wait, counter.add(name, add, life))
+                    let total = tokio::time::timeout(counter_timeout, counter.add(name, add, life))
                         .await
                         .ok()
                         .flatten();
@@ -199,29 +208,29 @@
                         .lock()
                         .engine
                         .handle_counter_result(name, outcome, total.unwrap_or(0.0));
-                    shared.changed.notify_one();
+                    shared.wake.notify_one();
                 });
             }
-            // The service that runs cannot be called back, and there are no probes and no other limiters here.
+            // The wrapped service cannot be cancelled by the engine, and there are no probes or other limiters here.
             EngineAction::CancelAttempt { .. }
             | EngineAction::Probe(_)
             | EngineAction::Notify(..)
             | EngineAction::Log(_) => {}
         }
     }
-    inner.engine.next_wakeup().unwrap_or(Micros::MAX / 2)
+    state.engine.next_wakeup().unwrap_or(Micros::MAX / 2)
 }
 
-/// Wraps services so that their requests pass the gate.
+/// Wraps services so that the limiter decides on their requests.
 pub struct LimiterLayer<F> {
-    gate: Gate,
+    limiter: Limiter,
     identify: Arc<F>,
 }
 
 impl<F> Clone for LimiterLayer<F> {
     fn clone(&self) -> LimiterLayer<F> {
         LimiterLayer {
-            gate: self.gate.clone(),
+            limiter: self.limiter.clone(),
             identify: self.identify.clone(),
         }
     }
@@ -232,16 +241,16 @@
 
     fn layer(&self, inner: S) -> LimiterService<S, F> {
         LimiterService {
-            gate: self.gate.clone(),
+            limiter: self.limiter.clone(),
             identify: self.identify.clone(),
             inner,
         }
     }
 }
 
-/// A service behind the gate.
+/// A service whose requests the limiter decides on.
 pub struct LimiterService<S, F> {
-    gate: Gate,
+    limiter: Limiter,
     identify: Arc<F>,
     inner: S,
 }
@@ -249,52 +258,56 @@
 impl<S: Clone, F> Clone for LimiterService<S, F> {
     fn clone(&self) -> LimiterService<S, F> {
         LimiterService {
-            gate: self.gate.clone(),
+            limiter: self.limiter.clone(),
             identify: self.identify.clone(),
             inner: self.inner.clone(),
         }
     }
 }
 
-/// An authorisation that the engine holds; dropped before its end, the client has left.
-struct Held {
+/// A request that the engine has accepted. Dropping it before its end tells the engine that the client has left.
+struct OpenRequest {
     shared: Arc<Shared>,
     key: AuthorisationKey,
 }
 
-impl Held {
-    fn ended(&self, leg: u32, outcome: Outcome) {
+impl OpenRequest {
+    fn report_end(&self, attempt: u32, outcome: Outcome) {
         let now = self.shared.now();
         self.shared
             .lock()
             .engine
-            .handle_attempt_ended(now, self.key, leg, outcome, None);
-        self.shared.changed.notify_one();
+            .handle_attempt_ended(now, self.key, attempt, outcome, None);
+        self.shared.wake.notify_one();
     }
 }
 
-impl Drop for Held {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         let now = self.shared.now();
-        let mut inner = self.shared.lock();
-        inner.waiting.remove(&self.key);
-        // What has ended is not in the table any more, and this does nothing.
-        inner
+        let mut state = self.shared.lock();
+        state.pending.remove(&self.key);
+        // Does nothing if the request has ended.
+        state
             .engine
             .handle_client_disconnected(now, self.key, &mut Vec::new());
-        drop(inner);
-        self.shared.changed.notify_one();
+        drop(state);
+        self.shared.wake.notify_one();
     }
 }
 
-fn ending<B: Default>(ending: EngineRejection, least: Micros) -> Response<B> {
-    let (status, stay_away) = limiter::frontend::platform::rejection_status(ending);
+/// The response to a rejected request.
+fn rejection_response<B: Default>(
+    rejection: EngineRejection,
+    min_retry_after: Micros,
+) -> Response<B> {
+    let (status, retry_after) = limiter::frontend::platform::rejection_status(rejection);
     let mut response = Response::new(B::default());
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-    if matches!(ending, EngineRejection::Declined { .. }) {
-        // Whole seconds: what HTTP's own `Retry-After` knows.
-        let seconds = (stay_away.max(least) + 999_999) / 1_000_000;
+    if matches!(rejection, EngineRejection::Declined { .. }) {
+        // `Retry-After` is in whole seconds; rounded up.
+        let seconds = (retry_after.max(min_retry_after) + 999_999) / 1_000_000;
         response
             .headers_mut()
             .insert(header::RETRY_AFTER, HeaderValue::from(seconds));
@@ -320,45 +333,48 @@
     }
 
     fn call(&mut self, request: Request<A>) -> Self::Future {
-        // The clone that was polled ready is the one to call; a fresh one takes its place.
-        let fresh = self.inner.clone();
-        let mut inner = std::mem::replace(&mut self.inner, fresh);
-        let shared = self.gate.0.clone();
+        // The service that was polled ready must be the one that is called; a clone takes its place.
+        let clone = self.inner.clone();
+        let mut service = std::mem::replace(&mut self.inner, clone);
+        let shared = self.limiter.0.clone();
         let Some(mut authorisation) = (self.identify)(&request) else {
-            return Box::pin(inner.call(request));
+            return Box::pin(service.call(request));
         };
         authorisation.deadline = authorisation.deadline.saturating_add(shared.now());
         Box::pin(async move {
-            let (sender, verdict) = oneshot::channel();
+            let (sender, decision) = oneshot::channel();
             let now = shared.now();
-            let taken = {
-                let mut inner = shared.lock();
-                let taken = inner.engine.submit(now, authorisation);
-                taken.inspect(|key| _ = inner.waiting.insert(*key, sender))
+            let submitted = {
+                let mut state = shared.lock();
+                let submitted = state.engine.submit(now, authorisation);
+                submitted.inspect(|key| _ = state.pending.insert(*key, sender))
             };
-            let full = EngineRejection::Declined {
+            let overloaded = EngineRejection::Declined {
                 retry_after: 0,
                 over_quota: false,
             };
-            let Ok(key) = taken else {
-                return Ok(ending(full, shared.stay_away));
+            let Ok(key) = submitted else {
+                return Ok(rejection_response(overloaded, shared.min_retry_after));
             };
-            let held = Held {
+            let open_request = OpenRequest {
                 shared: shared.clone(),
                 key,
             };
-            shared.changed.notify_one();
-            match verdict.await {
-                Ok(Verdict::Go(leg)) => {
-                    let answer = inner.call(request).await;
-                    let good = answer
+            shared.wake.notify_one();
+            match decision.await {
+                Ok(Decision::Admit(attempt)) => {
+                    let result = service.call(request).await;
+                    let is_ok = result
                         .as_ref()
                         .is_ok_and(|response| !response.status().is_server_error());
-                    held.ended(leg, if good { Outcome::Ok } else { Outcome::Error });
-                    answer
+                    open_request
+                        .report_end(attempt, if is_ok { Outcome::Ok } else { Outcome::Error });
+                    result
+                }
+                Ok(Decision::Reject(rejection)) => {
+                    Ok(rejection_response(rejection, shared.min_retry_after))
                 }
-                Ok(Verdict::End(end)) => Ok(ending(end, shared.stay_away)),
-                Err(_) => Ok(ending(full, shared.stay_away)),
+                Err(_) => Ok(rejection_response(overloaded, shared.min_retry_after)),
             }
         })
     }
--- a/crates/middleware/tests/axum.rs
+++ b/crates/middleware/tests/axum.rs
@@ -1,4 +1,4 @@
-//! The layer round an axum router, on a paused clock.
+//! The layer around an axum router, on a paused clock.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,8 +9,8 @@
 use axum::http::{Request, StatusCode};
 use axum::routing::get;
 use limiter::engine::Authorisation;
-use streamarch::{Class, CounterKey, CustomerId, Idempotency, Plan, Settings};
-use streamarch_middleware::{Counter, Gate, LocalCounter};
+use streamarch::{Class, CounterKey, CustomerId, Plan, Idempotency, Settings};
+use streamarch_middleware::{Counter, Limiter, LocalCounter};
 use tower::ServiceExt;
 
 fn settings() -> Settings {
@@ -42,11 +42,11 @@
     }
 }
 
-/// A router whose `/` counts its calls, and `/slow` takes two seconds.
-fn router(gate: &Gate) -> (Router, Arc<AtomicUsize>) {
+/// A router whose `/` answers at once and whose `/slow` fails after two seconds; both count their calls.
+fn router(limiter: &Limiter) -> (Router, Arc<AtomicUsize>) {
     let calls = Arc::new(AtomicUsize::new(0));
-    let (counted, slow) = (calls.clone(), calls.clone());
-    let layer = gate.layer(|request: &Request<Body>| {
+    let (handler_calls, slow_calls) = (calls.clone(), calls.clone());
+    let layer = limiter.layer(|request: &Request<Body>| {
         let customer = request
             .headers()
             .get("x-customer")?
@@ -64,18 +64,18 @@
         })
     });
     let handler = move || async move {
-        counted.fetch_add(1, Ordering::SeqCst);
+        handler_calls.fetch_add(1, Ordering::SeqCst);
         "served"
     };
-    let late = move || async move {
-        slow.fetch_add(1, Ordering::SeqCst);
+    let slow_handler = move || async move {
+        slow_calls.fetch_add(1, Ordering::SeqCst);
         tokio::time::sleep(Duration::from_secs(2)).await;
         (StatusCode::INTERNAL_SERVER_ERROR, "late")
     };
     (
         Router::new()
             .route("/", get(handler))
-            .route("/slow", get(late))
+            .route("/slow", get(slow_handler))
             .layer(layer),
         calls,
     )
@@ -90,17 +90,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_customer_beyond_its_quota_is_told_when_to_come_back_and_others_pass() {
-    let gate = Gate::start(settings(), 7, 100, LocalCounter::default());
-    let (router, calls) = router(&gate);
+async fn a_customer_over_quota_gets_retry_after_and_others_are_served() {
+    let limiter = Limiter::start(settings(), 7, 100, LocalCounter::default());
+    let (router, calls) = router(&limiter);
     let mut statuses = Vec::new();
     for _ in 0..10 {
-        let answer = router.clone().oneshot(request("/", Some(5))).await.unwrap();
+        let response = router.clone().oneshot(request("/", Some(5))).await.unwrap();
         assert_eq!(
-            answer.status() == 429,
-            answer.headers().contains_key("retry-after")
+            response.status() == 429,
+            response.headers().contains_key("retry-after")
         );
-        statuses.push(answer.status().as_u16());
+        statuses.push(response.status().as_u16());
     }
     assert_eq!(
         statuses.iter().filter(|s| **s == 200).count(),
@@ -129,7 +129,7 @@
     assert_eq!(
         calls.load(Ordering::SeqCst),
         6,
-        "what is refused never runs"
+        "rejected requests are never run"
     );
     tokio::time::sleep(Duration::from_secs(8)).await;
     assert_eq!(
@@ -140,46 +140,47 @@
             .status(),
         200
     );
-    assert_eq!(gate.open(), 0);
+    assert_eq!(limiter.open_requests(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_the_service_answers_is_passed_on_even_late_and_it_is_called_once() {
-    let gate = Gate::start(settings(), 7, 100, LocalCounter::default());
-    let (router, calls) = router(&gate);
-    let answer = router.oneshot(request("/slow", Some(5))).await.unwrap();
-    assert_eq!(answer.status(), 500);
+async fn a_late_response_is_passed_on_and_the_service_is_called_once() {
+    let limiter = Limiter::start(settings(), 7, 100, LocalCounter::default());
+    let (router, calls) = router(&limiter);
+    let response = router.oneshot(request("/slow", Some(5))).await.unwrap();
+    assert_eq!(response.status(), 500);
     assert_eq!(calls.load(Ordering::SeqCst), 1);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(gate.open(), 0);
+    assert_eq!(limiter.open_requests(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_that_leaves_is_owed_nothing() {
-    let gate = Gate::start(settings(), 7, 100, LocalCounter::default());
-    let (router, _) = router(&gate);
+async fn a_request_whose_client_leaves_is_no_longer_open() {
+    let limiter = Limiter::start(settings(), 7, 100, LocalCounter::default());
+    let (router, _) = router(&limiter);
     let call = router.oneshot(request("/slow", Some(5)));
     assert!(
         tokio::time::timeout(Duration::from_millis(100), call)
             .await
             .is_err()
     );
-    assert_eq!(gate.open(), 0);
+    assert_eq!(limiter.open_requests(), 0);
 }
 
-struct Silent;
+/// A counter that never responds.
+struct SilentCounter;
 
-impl Counter for Silent {
+impl Counter for SilentCounter {
     async fn add(&self, _: CounterKey, _: f64, _: Duration) -> Option<f64> {
         std::future::pending().await
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_counter_lets_requests_pass_after_its_wait() {
-    let gate = Gate::start(settings(), 7, 100, Silent);
-    let (router, _) = router(&gate);
-    let before = tokio::time::Instant::now();
+async fn requests_are_admitted_after_the_counter_timeout() {
+    let limiter = Limiter::start(settings(), 7, 100, SilentCounter);
+    let (router, _) = router(&limiter);
+    let started_at = tokio::time::Instant::now();
     assert_eq!(
         router
             .oneshot(request("/", Some(5)))
@@ -188,17 +189,17 @@
             .status(),
         200
     );
-    assert!(before.elapsed() >= Duration::from_millis(30));
+    assert!(started_at.elapsed() >= Duration::from_millis(30));
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_more_are_held_than_may_be() {
-    let gate = Gate::start(settings(), 7, 0, LocalCounter::default());
-    let (router, calls) = router(&gate);
-    let answer = router.oneshot(request("/", Some(5))).await.unwrap();
+async fn requests_beyond_the_limit_of_open_ones_are_rejected() {
+    let limiter = Limiter::start(settings(), 7, 0, LocalCounter::default());
+    let (router, calls) = router(&limiter);
+    let response = router.oneshot(request("/", Some(5))).await.unwrap();
     assert_eq!(
-        (answer.status().as_u16(), calls.load(Ordering::SeqCst)),
+        (response.status().as_u16(), calls.load(Ordering::SeqCst)),
         (503, 0)
     );
-    assert!(answer.headers().contains_key("retry-after"));
+    assert!(response.headers().contains_key("retry-after"));
 }
