--- a/crates/limiter/src/peers.rs
+++ b/crates/limiter/src/peers.rs
@@ -35,7 +35,12 @@
     /// Decodes a datagram; `plans` is the number of known plans. Returns `None`, and counts a rejection, if the datagram
     /// is not a valid notice or its sender is not a limiter of the tier: a notice blocks a customer at this limiter for
     /// seconds, so other hosts that can reach the port must not be able to send one.
-    pub fn receive(&mut self, from: SocketAddr, bytes: &[u8], plans: usize) -> Option<OverQuotaNotice> {
+    pub fn receive(
+        &mut self,
+        from: SocketAddr,
+        bytes: &[u8],
+        plans: usize,
+    ) -> Option<OverQuotaNotice> {
         let notice = decode_notice(bytes, plans).filter(|_| self.addresses.contains(&from));
         self.rejected += u64::from(notice.is_none());
         notice
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -121,8 +121,11 @@
                     let status = [200, 503, 404][usize::from(by) % 3];
                     let mut bytes = Vec::new();
                     framing::write_response(&mut bytes, status, &[], b"7.5", false);
-                    let (answer, _) = framing::parse_response(&bytes, false, &limits).unwrap().unwrap();
-                    let outcome = [Outcome::Ok, Outcome::Rejected, Outcome::Error][usize::from(by) % 3];
+                    let (answer, _) = framing::parse_response(&bytes, false, &limits)
+                        .unwrap()
+                        .unwrap();
+                    let outcome =
+                        [Outcome::Ok, Outcome::Rejected, Outcome::Error][usize::from(by) % 3];
                     match (line.handle_response(now, &answer), sent.pop_front()) {
                         (CounterResponse::Completed(one), Some((name, _, false))) => {
                             got.push(one);
--- a/crates/middleware/tests/axum.rs
+++ b/crates/middleware/tests/axum.rs
@@ -9,7 +9,7 @@
 use axum::http::{Request, StatusCode};
 use axum::routing::get;
 use limiter::engine::Authorisation;
-use streamarch::{Class, CounterKey, CustomerId, Plan, Idempotency, Settings};
+use streamarch::{Class, CounterKey, CustomerId, Idempotency, Plan, Settings};
 use streamarch_middleware::{Counter, Limiter, LocalCounter};
 use tower::ServiceExt;
 
