--- a/crates/limiter/src/config/mod.rs
+++ b/crates/limiter/src/config/mod.rs
@@ -241,7 +241,7 @@
             names: settings.names(),
             probes_report_load: settings.probes_report_load(),
             limits: settings.limits(&file.limits.unwrap_or_default(), ops.is_some()),
-            settings: settings.module(),
+            settings: settings.module_settings(),
             introspection: None,
             raft: None,
         })
--- a/crates/limiter/src/config/platform.rs
+++ b/crates/limiter/src/config/platform.rs
@@ -95,94 +95,127 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, rename_all = "PascalCase")]
 pub(super) struct SettingsFile {
-    instances: Count,
-    slot_no: Count,
+    #[serde(rename = "Instances")]
+    limiter_count: Count,
+    #[serde(rename = "SlotNo")]
+    limiter_number: Count,
     zone: Count,
     period_us: Number,
-    discovery: Option<String>,
-    lanes: Option<Vec<Lane>>,
-    tariffs: Option<Vec<Tariff>>,
-    failure_domains: Option<Vec<String>>,
-    skus: Option<Vec<String>>,
-    report: Option<Report>,
+    #[serde(rename = "Discovery")]
+    discovery_mode: Option<String>,
+    #[serde(rename = "Lanes")]
+    classes: Option<Vec<ClassSettings>>,
+    #[serde(rename = "Tariffs")]
+    plans: Option<Vec<PlanSettings>>,
+    #[serde(rename = "FailureDomains")]
+    zones: Option<Vec<String>>,
+    #[serde(rename = "Skus")]
+    machine_types: Option<Vec<String>>,
+    #[serde(rename = "Report")]
+    load_reports: Option<LoadReportSettings>,
     permissions: Option<Permissions>,
     specifics: Option<Specifics>,
     rules: Option<Rules>,
 }
 
+/// A class of requests (`Lanes`).
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Lane {
+struct ClassSettings {
     name: Option<String>,
-    semantics: Option<String>,
-    #[serde(default)]
-    group: Option<String>,
-    #[serde(default)]
-    objective_us: Number,
-    #[serde(default)]
-    give_up_us: Number,
-    #[serde(default)]
-    repeat_window_us: Number,
-    #[serde(default)]
-    late_value: Number,
+    #[serde(rename = "Semantics")]
+    idempotency: Option<String>,
+    #[serde(rename = "Group", default)]
+    dedup_scope: Option<String>,
+    #[serde(rename = "ObjectiveUs", default)]
+    latency_target_us: Number,
+    #[serde(rename = "GiveUpUs", default)]
+    client_timeout_us: Number,
+    #[serde(rename = "RepeatWindowUs", default)]
+    dedup_window_us: Number,
+    #[serde(rename = "LateValue", default)]
+    late_value_share: Number,
     #[serde(default)]
     value: Number,
-    #[serde(default)]
-    stream: Flag,
+    #[serde(rename = "Stream", default)]
+    streaming: Flag,
 }
 
+/// A plan (`Tariffs`).
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, rename_all = "PascalCase")]
-struct Tariff {
+struct PlanSettings {
     name: Option<String>,
     units_per_s: Number,
-    store_size: Number,
-    open: Count,
-    worth_factor: Number,
-    over_cost: Number,
-    beyond_earns: Number,
-    ceiling_rate: Number,
-    cap_depth: Number,
-    hard_slack: Number,
+    #[serde(rename = "StoreSize")]
+    burst: Number,
+    #[serde(rename = "Open")]
+    max_concurrent: Count,
+    #[serde(rename = "WorthFactor")]
+    value_factor: Number,
+    #[serde(rename = "OverCost")]
+    over_quota_cost_share: Number,
+    #[serde(rename = "BeyondEarns")]
+    over_quota_value_share: Number,
+    #[serde(rename = "CeilingRate")]
+    hard_limit_rate_per_s: Number,
+    #[serde(rename = "CapDepth")]
+    hard_limit_burst: Number,
+    #[serde(rename = "HardSlack")]
+    hard_limit_slack: Number,
 }
 
+/// How servers report their load; the transport "none" means that they do not.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, rename_all = "PascalCase")]
-struct Report {
-    how: Option<String>,
+struct LoadReportSettings {
+    #[serde(rename = "How")]
+    transport: Option<String>,
 }
 
+/// What the limiter may do, and the bounds on it.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, rename_all = "PascalCase")]
 struct Permissions {
     cancelling: Flag,
     probes: Flag,
-    second_copies: Flag,
+    #[serde(rename = "SecondCopies")]
+    hedging: Flag,
     max_attempts: Count,
     retry_after: Flag,
     peer_messages: Flag,
     max_retry_after_us: Number,
-    most_held: Count,
+    #[serde(rename = "MostHeld")]
+    max_open_requests: Count,
     connect_timeout_us: Number,
-    conn_idle_us: Number,
+    #[serde(rename = "ConnIdleUs")]
+    server_idle_timeout_us: Number,
 }
 
+/// The counter, and the units of requests.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, rename_all = "PascalCase")]
 struct Specifics {
     counter: Flag,
     counter_timeout_us: Number,
-    settles: Flag,
-    most_units: Number,
+    #[serde(rename = "Settles")]
+    units_are_estimates: Flag,
+    #[serde(rename = "MostUnits")]
+    max_units: Number,
 }
 
+/// How servers behave after a cold start.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, rename_all = "PascalCase")]
 struct Rules {
-    cold_from: Number,
-    cold_us: Number,
-    fall_multiple: Number,
-    fall_us: Number,
+    #[serde(rename = "ColdFrom")]
+    cold_capacity_share: Number,
+    #[serde(rename = "ColdUs")]
+    warm_up_duration_us: Number,
+    #[serde(rename = "FallMultiple")]
+    overload_multiple: Number,
+    #[serde(rename = "FallUs")]
+    overload_window_us: Number,
 }
 
 /// The names of what the settings refer to by position.
@@ -204,23 +237,23 @@
 /// The text is not JSON, or a key is invalid; the error names the first one.
 pub fn parse_settings(text: &str) -> Result<Settings, ConfigError> {
     let file: SettingsFile = config_check::read(text)?;
-    file.check_lanes()?;
-    Ok(file.module())
+    file.check_classes()?;
+    Ok(file.module_settings())
 }
 
-impl Lane {
-    fn repeat(&self) -> Result<Idempotency, Fault> {
-        let group = match self.group.as_deref() {
+impl ClassSettings {
+    fn parse_idempotency(&self) -> Result<Idempotency, Fault> {
+        let scope = match self.dedup_scope.as_deref() {
             Some("zone") => DedupScope::Zone,
             Some("cell") => DedupScope::Cell,
             Some("all") | None => DedupScope::All,
             Some(other) => return Err(Fault::at("Group", format!("unknown group '{other}'"))),
         };
-        match self.semantics.as_deref() {
+        match self.idempotency.as_deref() {
             Some("retryable") => Ok(Idempotency::Idempotent),
             Some("dedup") => Ok(Idempotency::Keyed {
-                scope: group,
-                dedup_window: self.repeat_window_us.micros(),
+                scope,
+                dedup_window: self.dedup_window_us.micros(),
             }),
             Some("fragile") => Ok(Idempotency::NotIdempotent),
             Some(other) => Err(Fault::at(
@@ -231,60 +264,71 @@
         }
     }
 
-    fn class(&self) -> Class {
+    fn to_class(&self) -> Class {
         Class {
-            latency_target: self.objective_us.micros(),
-            client_timeout: self.give_up_us.micros(),
-            late_value_share: self.late_value.0,
+            latency_target: self.latency_target_us.micros(),
+            client_timeout: self.client_timeout_us.micros(),
+            late_value_share: self.late_value_share.0,
             value: self.value.0,
             // Checked before. A class without valid semantics would never be retried.
-            idempotency: self.repeat().unwrap_or(Idempotency::NotIdempotent),
-            streaming: self.stream.0,
+            idempotency: self
+                .parse_idempotency()
+                .unwrap_or(Idempotency::NotIdempotent),
+            streaming: self.streaming.0,
         }
     }
 }
 
-impl Tariff {
-    fn plan(&self) -> Plan {
+impl PlanSettings {
+    fn to_plan(&self) -> Plan {
         Plan {
             rate_per_s: self.units_per_s.0,
-            burst: self.store_size.0,
-            max_concurrent: self.open.0,
-            value_factor: self.worth_factor.0,
-            over_quota_cost_share: self.over_cost.0,
-            over_quota_value_share: self.beyond_earns.0,
-            hard_limit_rate_per_s: self.ceiling_rate.0,
-            hard_limit_burst: self.cap_depth.0,
-            hard_limit_slack: self.hard_slack.0,
+            burst: self.burst.0,
+            max_concurrent: self.max_concurrent.0,
+            value_factor: self.value_factor.0,
+            over_quota_cost_share: self.over_quota_cost_share.0,
+            over_quota_value_share: self.over_quota_value_share.0,
+            hard_limit_rate_per_s: self.hard_limit_rate_per_s.0,
+            hard_limit_burst: self.hard_limit_burst.0,
+            hard_limit_slack: self.hard_limit_slack.0,
             ..Plan::default()
         }
     }
 }
 
 impl SettingsFile {
-    fn lanes(&self) -> &[Lane] {
-        self.lanes.as_deref().unwrap_or_default()
+    fn classes(&self) -> &[ClassSettings] {
+        self.classes.as_deref().unwrap_or_default()
     }
 
-    fn tariffs(&self) -> &[Tariff] {
-        self.tariffs.as_deref().unwrap_or_default()
+    fn plans(&self) -> &[PlanSettings] {
+        self.plans.as_deref().unwrap_or_default()
     }
 
-    fn check_lanes(&self) -> Result<(), Fault> {
-        let check_lane = |(index, lane): (usize, &Lane)| {
-            lane.repeat()
+    fn check_classes(&self) -> Result<(), Fault> {
+        let check_class = |(index, class): (usize, &ClassSettings)| {
+            class
+                .parse_idempotency()
                 .map(drop)
                 .map_err(|e| e.under(&format!("Lanes[{index}]")))
         };
-        self.lanes().iter().enumerate().try_for_each(check_lane)
+        self.classes().iter().enumerate().try_for_each(check_class)
     }
 
     /// Checks what the daemon needs in addition to the decision module: at least one class and plan, and their names.
     pub(super) fn check(&self) -> Result<(), Fault> {
-        self.check_lanes()?;
-        let named_lanes: Vec<bool> = self.lanes().iter().map(|l| l.name.is_some()).collect();
-        let named_tariffs: Vec<bool> = self.tariffs().iter().map(|t| t.name.is_some()).collect();
-        for (key, is_named) in [("Lanes", named_lanes), ("Tariffs", named_tariffs)] {
+        self.check_classes()?;
+        let named_classes: Vec<bool> = self
+            .classes()
+            .iter()
+            .map(|class| class.name.is_some())
+            .collect();
+        let named_plans: Vec<bool> = self
+            .plans()
+            .iter()
+            .map(|plan| plan.name.is_some())
+            .collect();
+        for (key, is_named) in [("Lanes", named_classes), ("Tariffs", named_plans)] {
             if is_named.is_empty() {
                 return Err(Fault::at(key, "is empty"));
             }
@@ -297,67 +341,71 @@
 
     pub(super) fn names(&self) -> NameTables {
         NameTables {
-            classes: self.lanes().iter().filter_map(|l| l.name.clone()).collect(),
+            classes: self
+                .classes()
+                .iter()
+                .filter_map(|class| class.name.clone())
+                .collect(),
             plans: self
-                .tariffs()
+                .plans()
                 .iter()
-                .filter_map(|t| t.name.clone())
+                .filter_map(|plan| plan.name.clone())
                 .collect(),
-            zones: self.failure_domains.clone().unwrap_or_default(),
-            machine_types: self.skus.clone().unwrap_or_default(),
+            zones: self.zones.clone().unwrap_or_default(),
+            machine_types: self.machine_types.clone().unwrap_or_default(),
         }
     }
 
     /// Whether responses to probes carry load reports.
     pub(super) fn probes_report_load(&self) -> bool {
-        self.report
+        self.load_reports
             .as_ref()
-            .and_then(|r| r.how.as_deref())
-            .is_some_and(|how| how != "none")
+            .and_then(|r| r.transport.as_deref())
+            .is_some_and(|transport| transport != "none")
     }
 
-    pub(super) fn module(&self) -> Settings {
-        let allow = self.permissions.unwrap_or_default();
-        let (rules, facts) = (
+    pub(super) fn module_settings(&self) -> Settings {
+        let permissions = self.permissions.unwrap_or_default();
+        let (rules, specifics) = (
             self.rules.unwrap_or_default(),
             self.specifics.unwrap_or_default(),
         );
         Settings {
-            gateway_count: self.instances.0,
-            gateway_index: self.slot_no.0,
+            gateway_count: self.limiter_count.0,
+            gateway_index: self.limiter_number.0,
             zone: self.zone.0,
-            classes: self.lanes().iter().map(Lane::class).collect(),
-            plans: self.tariffs().iter().map(Tariff::plan).collect(),
+            classes: self.classes().iter().map(ClassSettings::to_class).collect(),
+            plans: self.plans().iter().map(PlanSettings::to_plan).collect(),
             min_handle_interval: self.period_us.micros(),
-            watch_server_list: self.discovery.as_deref() == Some("ask"),
-            counter_available: facts.counter.0,
-            counter_timeout: facts.counter_timeout_us.micros(),
-            units_are_estimates: facts.settles.0,
-            can_cancel: allow.cancelling.0,
-            can_probe: allow.probes.0,
-            can_hedge: allow.second_copies.0,
-            max_attempts: allow.max_attempts.0,
+            watch_server_list: self.discovery_mode.as_deref() == Some("ask"),
+            counter_available: specifics.counter.0,
+            counter_timeout: specifics.counter_timeout_us.micros(),
+            units_are_estimates: specifics.units_are_estimates.0,
+            can_cancel: permissions.cancelling.0,
+            can_probe: permissions.probes.0,
+            can_hedge: permissions.hedging.0,
+            max_attempts: permissions.max_attempts.0,
             retry_budget: RetryBudget::default(),
             initial_concurrency: InitialConcurrency::default(),
-            sends_retry_after: allow.retry_after.0,
-            can_notify_gateways: allow.peer_messages.0,
-            max_retry_after: allow.max_retry_after_us.micros(),
+            sends_retry_after: permissions.retry_after.0,
+            can_notify_gateways: permissions.peer_messages.0,
+            max_retry_after: permissions.max_retry_after_us.micros(),
             min_retry_after_counter_lost: 0,
             min_silence_timeout: 0,
-            cold_capacity_share: rules.cold_from.0,
-            warm_up_duration: rules.cold_us.micros(),
-            overload_multiple: rules.fall_multiple.0,
-            overload_window: rules.fall_us.micros(),
+            cold_capacity_share: rules.cold_capacity_share.0,
+            warm_up_duration: rules.warm_up_duration_us.micros(),
+            overload_multiple: rules.overload_multiple.0,
+            overload_window: rules.overload_window_us.micros(),
             even_shares_counter_lost: false,
             even_share_first: false,
             min_counted_share: 0.0,
         }
     }
 
-    /// The default limits, lowered to what the settings and the machine allow.
+    /// The default limits, lowered to what the settings and the machine permit.
     pub(super) fn limits(&self, machine: &MachineLimits, has_operators_socket: bool) -> Limits {
         let defaults = Limits::default();
-        let (allow, facts) = (
+        let (permissions, specifics) = (
             self.permissions.unwrap_or_default(),
             self.specifics.unwrap_or_default(),
         );
@@ -378,8 +426,11 @@
         };
         let memory = machine.memory_mb.0 as usize * 1024 * 1024;
         let memory_eighth = if memory == 0 { usize::MAX } else { memory / 8 };
-        let class_deadlines = self.lanes().iter().map(|lane| lane.give_up_us.micros());
-        let most_units = facts.most_units.0;
+        let client_timeouts = self
+            .classes()
+            .iter()
+            .map(|class| class.client_timeout_us.micros());
+        let max_units = specifics.max_units.0;
         let client_connections = defaults.max_client_connections.min(socket_share(6));
         Limits {
             max_client_connections: client_connections,
@@ -391,27 +442,27 @@
                 .saturating_mul(2)
                 .clamp(8 * 1024, defaults.relay_window_bytes),
             max_authorisations: or_default(
-                Micros::from(allow.most_held.0),
+                Micros::from(permissions.max_open_requests.0),
                 defaults.max_authorisations as Micros,
             ) as usize,
-            max_units_thousandths: if most_units > 0.0 {
-                (most_units * 1_000.0) as u64
+            max_units_thousandths: if max_units > 0.0 {
+                (max_units * 1_000.0) as u64
             } else {
                 defaults.max_units_thousandths
             },
             connect_timeout: or_default(
-                allow.connect_timeout_us.micros(),
+                permissions.connect_timeout_us.micros(),
                 defaults.connect_timeout,
             ),
             upstream_idle_timeout: defaults
                 .upstream_idle_timeout
-                .min(or_default(allow.conn_idle_us.micros(), 15_000_000) * 6 / 10),
+                .min(or_default(permissions.server_idle_timeout_us.micros(), 15_000_000) * 6 / 10),
             counter_timeout: or_default(
-                facts.counter_timeout_us.micros() * COUNTER_TIMEOUT_FACTOR,
+                specifics.counter_timeout_us.micros() * COUNTER_TIMEOUT_FACTOR,
                 defaults.counter_timeout,
             ),
-            // The process is not ended by force before the longest deadline of a class, at least 3 s, and 0.6 s more.
-            shutdown_timeout: class_deadlines.fold(3_000_000, Micros::max) + 600_000,
+            // The process is not ended by force before the longest client time-out of a class, at least 3 s, and 0.6 s more.
+            shutdown_timeout: client_timeouts.fold(3_000_000, Micros::max) + 600_000,
             ..defaults
         }
     }
