--- a/crates/limiter/src/counter_client.rs
+++ b/crates/limiter/src/counter_client.rs
@@ -1,5 +1,5 @@
 //! The client of the counter service: calls are pipelined over a few connections. On each connection responses arrive in
-//! the order of the calls, and all calls for one counter name use the same connection. No I/O.
+//! the order of the calls, and all calls for one counter use the same connection. No I/O.
 
 use std::collections::VecDeque;
 use std::io::Write;
--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -28,27 +28,27 @@
 
 /// A counter service that all limiters share.
 pub trait Counter: Send + Sync + 'static {
-    /// Adds `delta` to the counter `name` and returns the total. A counter that the call creates lives for `ttl`. `None` if
+    /// Adds `delta` to the counter `key` and returns the total. A counter that the call creates lives for `ttl`. `None` if
     /// there was no response; the amount may have been added.
     fn add(
         &self,
-        name: CounterKey,
+        key: CounterKey,
         delta: f64,
         ttl: Duration,
     ) -> impl Future<Output = Option<f64>> + Send;
 }
 
-/// A counter service within this process, for a single limiter: total and end of life of each counter, by name.
+/// A counter service within this process, for a single limiter: total and end of life of each counter, by key.
 #[derive(Debug, Default)]
 pub struct LocalCounter(Mutex<BTreeMap<u64, (f64, Instant)>>);
 
 impl Counter for LocalCounter {
-    async fn add(&self, name: CounterKey, delta: f64, ttl: Duration) -> Option<f64> {
+    async fn add(&self, key: CounterKey, delta: f64, ttl: Duration) -> Option<f64> {
         let now = Instant::now();
         let mut totals = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         // Expired counters are removed to bound the memory.
         totals.retain(|_, (_, expires_at)| *expires_at > now);
-        let (total, _) = totals.entry(name.0).or_insert((0.0, now + ttl));
+        let (total, _) = totals.entry(key.0).or_insert((0.0, now + ttl));
         *total += delta;
         Some(*total)
     }
@@ -158,7 +158,7 @@
     }
 
     /// The number of requests without a final answer.
-    pub fn open_requests(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.0.lock().engine.open_request_count()
     }
 }
--- a/crates/middleware/tests/axum.rs
+++ b/crates/middleware/tests/axum.rs
@@ -140,7 +140,7 @@
             .status(),
         200
     );
-    assert_eq!(limiter.open_requests(), 0);
+    assert_eq!(limiter.open_request_count(), 0);
 }
 
 #[tokio::test(start_paused = true)]
@@ -151,7 +151,7 @@
     assert_eq!(response.status(), 500);
     assert_eq!(calls.load(Ordering::SeqCst), 1);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(limiter.open_requests(), 0);
+    assert_eq!(limiter.open_request_count(), 0);
 }
 
 #[tokio::test(start_paused = true)]
@@ -164,7 +164,7 @@
             .await
             .is_err()
     );
-    assert_eq!(limiter.open_requests(), 0);
+    assert_eq!(limiter.open_request_count(), 0);
 }
 
 /// A counter that never responds.
