--- a/crates/limiter/src/config/introspection.rs
+++ b/crates/limiter/src/config/introspection.rs
@@ -128,10 +128,10 @@
         }
         config_check::within("cache_s", file.cache_s, 0.0, MAX_CACHE_S)?;
         let mut settings = self.settings.clone();
-        let wait = self.limits.introspection_timeout;
+        let timeout = self.limits.introspection_timeout;
         settings.classes = vec![Class {
-            latency_target: wait / 4,
-            client_timeout: wait,
+            latency_target: timeout / 4,
+            client_timeout: timeout,
             late_value_share: 0.0,
             value: 1.0,
             idempotency: Idempotency::Idempotent,
--- a/crates/limiter/src/config/shared_state.rs
+++ b/crates/limiter/src/config/shared_state.rs
@@ -7,13 +7,14 @@
 
 /// What a limiter admits while the counter is unreachable.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "snake_case")]
 enum CounterLost {
     /// Requests are admitted by what the limiter itself has counted.
     #[default]
-    Open,
+    #[serde(rename = "open")]
+    LocalCounts,
     /// Each customer may use at most its even share of the window's quota at each of its limiters.
-    Slices,
+    #[serde(rename = "slices")]
+    EvenShares,
 }
 
 #[derive(Default, Deserialize)]
@@ -29,7 +30,7 @@
     /// A key is unknown or a value is invalid; the error names the key, below `shared`.
     pub fn apply_shared_state(&mut self, text: &str) -> Result<(), ConfigError> {
         let file: SharedStateFile = parse_section("shared", text)?;
-        self.settings.even_shares_counter_lost = file.counter_lost == CounterLost::Slices;
+        self.settings.even_shares_counter_lost = file.counter_lost == CounterLost::EvenShares;
         Ok(())
     }
 }
--- a/crates/limiter/src/routing_table.rs
+++ b/crates/limiter/src/routing_table.rs
@@ -72,7 +72,7 @@
 
 impl std::error::Error for UnknownServer {}
 
-/// A server list is malformed; names the offending key or says what is wrong.
+/// Why a server list is malformed.
 #[derive(Debug, PartialEq, Eq)]
 pub struct MalformedList(pub &'static str);
 
@@ -140,13 +140,15 @@
     }
 
     fn apply_list(&mut self, list: &Value) -> Result<TableUpdate, MalformedList> {
-        let index = list["index"].as_u64().ok_or(MalformedList("index"))?;
+        let version = list["index"]
+            .as_u64()
+            .ok_or(MalformedList("missing or invalid 'index'"))?;
         let is_full = list["snapshot"]
             .as_bool()
-            .ok_or(MalformedList("snapshot"))?;
+            .ok_or(MalformedList("missing or invalid 'snapshot'"))?;
         let endpoints = list["endpoints"]
             .as_array()
-            .ok_or(MalformedList("endpoints"))?;
+            .ok_or(MalformedList("missing or invalid 'endpoints'"))?;
         let kind = if is_full {
             ListKind::Full
         } else {
@@ -189,7 +191,7 @@
                 .insert(name.clone(), ListedServer { entry, address });
             self.append_entry(&name, &mut update);
         }
-        self.list_version = index;
+        self.list_version = version;
         Ok(update)
     }
 
@@ -282,16 +284,18 @@
         &self,
         endpoint: &Value,
     ) -> Result<(String, Option<SocketAddr>, ServerEntry), MalformedList> {
-        let name = endpoint["name"].as_str().ok_or(MalformedList("name"))?;
+        let name = endpoint["name"]
+            .as_str()
+            .ok_or(MalformedList("missing or invalid 'name'"))?;
         let state = match endpoint["status"].as_str() {
             Some("Ready") => ServerState::Ready,
             Some("Terminating") => ServerState::Draining,
             Some("Gone") => ServerState::Removed,
-            _ => return Err(MalformedList("status")),
+            _ => return Err(MalformedList("missing or invalid 'status'")),
         };
         let address = endpoint["address"].as_str().and_then(|a| a.parse().ok());
         if address.is_none() && state != ServerState::Removed {
-            return Err(MalformedList("address"));
+            return Err(MalformedList("missing or invalid 'address'"));
         }
         let entry = ServerEntry {
             server: ServerId(0),
