--- a/crates/limiter/src/handover/tests.rs
+++ b/crates/limiter/src/handover/tests.rs
@@ -1,37 +1,40 @@
 use super::*;
 
-fn record() -> Record {
-    let mut record = Record {
+fn record() -> OperationsRecord {
+    let mut record = OperationsRecord {
         limiter: "n3".to_string(),
-        ..Record::default()
+        ..OperationsRecord::default()
     };
-    record.bans.disable("s-1", 7);
-    record.bans.disable("s-2", 8);
-    record.bans.enable("s-2", 9);
+    record.disabled_servers.disable("s-1", 7);
+    record.disabled_servers.disable("s-2", 8);
+    record.disabled_servers.enable("s-2", 9);
     record
 }
 
 #[test]
-fn a_record_is_read_as_written_and_cut_or_changed_anywhere_not_at_all() {
+fn a_record_round_trips_and_is_rejected_if_truncated_or_changed_at_any_byte() {
     let bytes = record().encode();
-    assert_eq!(Record::decode(&bytes, "n3"), Ok(record()));
-    assert_eq!(Record::decode(&bytes, "n4"), Err(Unusable::Foreign));
-    for at in 0..bytes.len() {
+    assert_eq!(OperationsRecord::decode(&bytes, "n3"), Ok(record()));
+    assert_eq!(
+        OperationsRecord::decode(&bytes, "n4"),
+        Err(RecordError::OtherLimiter)
+    );
+    for index in 0..bytes.len() {
         assert_eq!(
-            Record::decode(&bytes[..at], "n3"),
-            Err(Unusable::Damaged),
-            "cut at {at}"
+            OperationsRecord::decode(&bytes[..index], "n3"),
+            Err(RecordError::Corrupt),
+            "cut at {index}"
         );
         let mut changed = bytes.clone();
-        changed[at] ^= 1;
+        changed[index] ^= 1;
         assert_eq!(
-            Record::decode(&changed, "n3"),
-            Err(Unusable::Damaged),
-            "changed at {at}"
+            OperationsRecord::decode(&changed, "n3"),
+            Err(RecordError::Corrupt),
+            "changed at {index}"
         );
     }
     assert_eq!(
-        Record::decode(&[bytes.as_slice(), b" "].concat(), "n3"),
-        Err(Unusable::Damaged)
+        OperationsRecord::decode(&[bytes.as_slice(), b" "].concat(), "n3"),
+        Err(RecordError::Corrupt)
     );
 }
--- a/crates/limiter/src/net/host/agreement.rs
+++ b/crates/limiter/src/net/host/agreement.rs
@@ -1,8 +1,8 @@
 //! The configuration that a few instances agree on: its messages, its ticks, and what is done with a document.
 
 use super::*;
-use crate::config::{self, Cluster};
-use crate::front::introspection::same;
+use crate::config::{self, RaftConfig};
+use crate::frontend::introspection::constant_time_eq;
 use crate::net::framing::Request;
 use crate::raft::{self, Member, RaftError};
 
@@ -20,7 +20,7 @@
 }
 
 impl Agreement {
-    pub(super) fn open(cluster: &Cluster) -> io::Result<Agreement> {
+    pub(super) fn open(cluster: &RaftConfig) -> io::Result<Agreement> {
         let ids: Vec<u64> = cluster.members.iter().map(|(id, _)| *id).collect();
         let member = Member::open(cluster.id, &ids, &cluster.folder).map_err(io::Error::other)?;
         let others = cluster.members.iter().filter(|(id, _)| *id != cluster.id);
@@ -49,10 +49,10 @@
 
     /// Sends what is to be sent and takes a new document. A member whose journal fails takes no further part: it
     /// could promise what it would forget.
-    fn stepped(&mut self, stepped: Result<raft::News, RaftError>) -> Result<(), RaftError> {
+    fn stepped(&mut self, stepped: Result<raft::StepOutput, RaftError>) -> Result<(), RaftError> {
         match stepped {
             Ok(news) => {
-                news.letters
+                news.messages
                     .into_iter()
                     .for_each(|letter| self.post(letter));
                 if let Some(document) = news.document {
@@ -70,7 +70,7 @@
         }
     }
 
-    fn post(&mut self, letter: raft::Letter) {
+    fn post(&mut self, letter: raft::OutgoingMessage) {
         let Some(agreement) = &self.agreement else {
             return;
         };
@@ -140,7 +140,7 @@
             .headers
             .get("Authorization")
             .and_then(|value| value.strip_prefix("Bearer "));
-        if !shown.is_some_and(|shown| same(shown, &agreement.secret)) {
+        if !shown.is_some_and(|shown| constant_time_eq(shown, &agreement.secret)) {
             return self.answer(key, 401, &[("WWW-Authenticate", "Bearer")], b"");
         }
         match (request.method.as_str(), request.target.as_str()) {
@@ -164,7 +164,7 @@
                 );
             }
             ("PUT", "/configuration") => {
-                if let Err(error) = config::callers_text(&request.body, &self.platform.names) {
+                if let Err(error) = config::parse_callers(&request.body, &self.platform.names) {
                     return self.answer(key, 400, &[], error.to_string().as_bytes());
                 }
                 let stepped = agreement.member.propose(&request.body);
@@ -201,7 +201,7 @@
 
     /// The members agree on this: from now on it holds here too.
     fn take_document(&mut self, document: &[u8]) {
-        match config::callers_text(document, &self.platform.names) {
+        match config::parse_callers(document, &self.platform.names) {
             Ok(Some(callers)) => {
                 self.log(&format!(
                     "configuration agreed on: {} callers",
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -33,18 +33,18 @@
 use super::handover::Handover;
 use super::inherited;
 use crate::client_connection::{ClientConnection, Stage};
-use crate::config::{Config, Introspection};
-use crate::counter::{self, Counted, Line};
+use crate::config::{Config, IntrospectionConfig};
+use crate::counter_client::{self, CounterConnection, CounterResult};
 use crate::deadlines::Deadlines;
 use crate::engine::{Engine, EngineAction};
-use crate::front::platform::{self, Platform};
-use crate::front::{Forward, Rejection};
+use crate::frontend::platform::{self, PlatformFrontend};
+use crate::frontend::{Rejection, UpstreamRequest};
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
 use crate::peers::{self, Peers};
 use crate::probes;
 use crate::relay::Relay;
-use crate::routing_table::{NeverListed, News, RoutingTable};
+use crate::routing_table::{RoutingTable, TableUpdate, UnknownServer};
 use crate::slots::{AuthorisationKey, ConnectionKey, SlotMap};
 use crate::upload::Upload;
 use crate::upstreams::{self, ConnectionPool, UpstreamPurpose, UpstreamState};
@@ -217,7 +217,7 @@
 /// An authorisation whose final answer is owed.
 struct Pending {
     origin: ConnectionKey,
-    forward: Forward,
+    forward: UpstreamRequest,
     purpose: Purpose,
 }
 
@@ -230,7 +230,7 @@
     /// Finding out whose a bearer token is; then the request goes on.
     Identify(Box<tokens::Bearing>),
     /// A caller's question about a token.
-    Introspect(crate::front::introspection::Token),
+    Introspect(crate::frontend::introspection::Token),
 }
 
 #[derive(Default)]
@@ -268,7 +268,7 @@
     orders: Vec<EngineAction>,
     listeners: Vec<(Door, Rc<TcpListener>, RegistrationToken)>,
     accepting: bool,
-    platform: Platform,
+    platform: PlatformFrontend,
     services: Vec<Service>,
     tokens: Option<Tokens>,
     agreement: Option<Agreement>,
@@ -277,7 +277,7 @@
     discovery_in_file: Option<SocketAddr>,
     watch: Watch,
     counter: Option<SocketAddr>,
-    lines: Vec<Line>,
+    lines: Vec<CounterConnection>,
     datagrams: Option<UdpSocket>,
     peers: Peers,
     plans: usize,
@@ -356,19 +356,24 @@
         clock: Clock,
     ) -> io::Result<Host> {
         let limits = config.limits;
-        let mut table = RoutingTable::new(config.names.zones.clone(), config.names.kinds.clone());
+        let mut table = RoutingTable::new(
+            config.names.zones.clone(),
+            config.names.machine_types.clone(),
+        );
         let settings = config.settings;
         let module = settings.clone();
-        let platform = Platform {
+        let platform = PlatformFrontend {
             names: config.names,
             classes: settings.classes.clone(),
-            limiters: settings.gateway_count,
+            limiter_count: settings.gateway_count,
         };
         let tell = settings.can_notify_gateways;
-        let known = table.known(&config.known).unwrap_or_else(|error| {
-            tracing::warn!(limiter = %config.name, "known list not taken: {error}");
-            News::new(ListKind::Cached)
-        });
+        let known = table
+            .load_cached(&config.cached_servers)
+            .unwrap_or_else(|error| {
+                tracing::warn!(limiter = %config.name, "known list not taken: {error}");
+                TableUpdate::new(ListKind::Cached)
+            });
         let plans = settings.plans.len();
         let counter = config.counter.filter(|_| settings.counter_available);
         let mut listeners = Vec::new();
@@ -377,7 +382,7 @@
             listeners.push((door, listener, token));
             io::Result::Ok(())
         };
-        let platform_listener = match config.passed {
+        let platform_listener = match config.inherited_listener {
             Some(number) => inherited::listener(number, config.listen).map_err(io::Error::other)?,
             None => bind(config.listen, &limits)?,
         };
@@ -398,13 +403,13 @@
             tokens = Some(Tokens::new(front, plans));
         }
         let mut agreement = None;
-        if let Some(cluster) = &config.cluster {
+        if let Some(cluster) = &config.raft {
             open_door(Door::Agreement, bind(cluster.listen, &limits)?)?;
             agreement = Some(Agreement::open(cluster)?);
         }
         let datagrams = match config.peer_listen.filter(|_| tell) {
             Some(address) => {
-                let socket = bind_datagrams(address, config.passed.is_some())?;
+                let socket = bind_datagrams(address, config.inherited_listener.is_some())?;
                 let source = Generic::new(socket.try_clone()?, Interest::READ, Mode::Level);
                 let read = |_: Readiness, _: &mut _, host: &mut Host| {
                     host.read_datagrams();
@@ -419,7 +424,7 @@
             handle,
             clock,
             name: config.name,
-            lifecycle: Lifecycle::new(config.passed.is_some()),
+            lifecycle: Lifecycle::new(config.inherited_listener.is_some()),
             operators: None,
             handover: None,
             connections: SlotMap::with_key(),
@@ -440,28 +445,28 @@
             agreement,
             table,
             discovery: config.discovery,
-            discovery_in_file: config.discovery_in_file,
+            discovery_in_file: config.file_discovery,
             watch: Watch {
                 wait: limits.watch_retry_delay,
                 ..Watch::default()
             },
             counter,
             lines: (0..limits.counter_connections)
-                .map(|_| Line::default())
+                .map(|_| CounterConnection::default())
                 .collect(),
             datagrams,
             peers: Peers::new(config.peers),
             plans,
-            reports: config.reports,
+            reports: config.probes_report_load,
             listen: config.listen,
             settings: module,
             limits,
         };
         host.take_news(known);
-        if let Some(folder) = &config.shared_folder {
+        if let Some(folder) = &config.handover_folder {
             host.share(folder);
         }
-        if let Some(address) = config.ops {
+        if let Some(address) = config.ops_listen {
             host.listen_to_operators(address)?;
         }
         host.list_upstreams();
@@ -669,14 +674,14 @@
                 let line = (name.0 % self.lines.len().max(1) as u64) as usize;
                 let deadline = now + self.limits.counter_timeout;
                 let (known, limits) = (&self.lines[line], &self.limits);
-                let of_no_use = known.rested(now - limits.counter_idle_timeout)
-                    || known.stale(now - limits.counter_stale_timeout);
+                let of_no_use = known.is_idle_since(now - limits.counter_idle_timeout)
+                    || known.is_silent_since(now - limits.counter_stale_timeout);
                 if let Some(old) = known.connection.filter(|_| of_no_use) {
                     // Guards against a call that crosses the counter's close of an idle connection, or that waits
                     // behind calls which a counter that died will never answer.
                     self.broken(old);
                 }
-                self.lines[line].call(service, name, add, life, deadline);
+                self.lines[line].enqueue(service, name, add, life, deadline);
                 self.deadlines.schedule(deadline, Due::Counter(line));
                 if self.lines[line].connection.is_none() {
                     self.open_line(line);
@@ -692,7 +697,7 @@
             EngineAction::Notify(number, notice) => {
                 let to = self.peers.address(number);
                 if let (Some(to), Some(socket), Some(bytes)) =
-                    (to, &self.datagrams, peers::encode(&notice))
+                    (to, &self.datagrams, peers::encode_notice(&notice))
                 {
                     // A datagram that cannot be sent is lost, as any may be.
                     let _ = socket.send_to(&bytes, to);
@@ -810,7 +815,7 @@
             }
             Role::Counter(line) => {
                 let mut counted = Vec::new();
-                self.lines[line].broken(&mut counted);
+                self.lines[line].handle_disconnect(&mut counted);
                 self.take_counted(counted);
             }
             Role::Watch => self.watch_lost(),
@@ -870,13 +875,13 @@
         match self.connections.get(key).map(|c| c.role) {
             Some(Role::Server { .. }) => self.send_errand(now, key),
             Some(Role::Counter(line)) => {
-                self.lines[line].connected(now);
+                self.lines[line].handle_connected(now);
                 self.write_line(now, line);
             }
             Some(Role::Watch) => {
                 let request = format!(
                     "GET /discovery/hosts?watch=1&from={} HTTP/1.1\r\nHost: {}\r\n\r\n",
-                    self.table.index, self.discovery
+                    self.table.list_version, self.discovery
                 );
                 self.write(key, request.as_bytes());
                 self.watch.heard = now;
--- a/crates/limiter/src/net/host/overlap.rs
+++ b/crates/limiter/src/net/host/overlap.rs
@@ -1,7 +1,7 @@
 //! While a new process of this limiter and the one before overlap, both go by what operators asked of either.
 
 use super::*;
-use crate::handover::Record;
+use crate::handover::OperationsRecord;
 use crate::net::handover::{Found, Handover};
 
 impl Host {
@@ -11,11 +11,14 @@
         self.look_at_handover();
     }
 
-    fn record(&self) -> Record {
-        let (bans, drain) = (self.table.bans().clone(), self.lifecycle.drain_state());
-        Record {
+    fn record(&self) -> OperationsRecord {
+        let (bans, drain) = (
+            self.table.disabled_servers().clone(),
+            self.lifecycle.drain_state(),
+        );
+        OperationsRecord {
             limiter: self.name.clone(),
-            bans,
+            disabled_servers: bans,
             drain,
         }
     }
@@ -32,7 +35,7 @@
             Found::Same => {}
             Found::Unusable(why) => self.warn(&format!("operations record not taken over: {why}")),
             Found::Record(told) => {
-                let news = self.table.merge(&told.bans);
+                let news = self.table.merge(&told.disabled_servers);
                 let drain = self.lifecycle.merge_drain_state(told.drain);
                 if drain {
                     self.drain_changed(now);
--- a/crates/limiter/src/net/host/tokens.rs
+++ b/crates/limiter/src/net/host/tokens.rs
@@ -2,16 +2,17 @@
 
 use super::*;
 use crate::engine::{Authorisation, EngineRejection};
-use crate::front::introspection::{
-    self, Asking, Cache, Caller, Challenge, Finding, Identity, Token,
+use crate::frontend::introspection::{
+    self, Caller, Challenge, Identity, IntrospectionEndpoint, IntrospectionResult, Token,
+    TokenCache,
 };
-use crate::front::platform::Basics;
+use crate::frontend::platform::CommonFields;
 use crate::net::framing::Request;
 
 /// A bearer request whose token is being asked about.
 pub(super) struct Bearing {
     request: Request,
-    basics: Basics,
+    basics: CommonFields,
     units: f64,
     token: Token,
 }
@@ -19,8 +20,8 @@
 /// What the front holds.
 pub(super) struct Tokens {
     callers: Vec<Caller>,
-    asking: Asking,
-    cache: Cache,
+    asking: IntrospectionEndpoint,
+    cache: TokenCache,
     upstreams: Vec<SocketAddr>,
     /// Position of the plan without quota, for what we ask on our own account.
     house: usize,
@@ -30,11 +31,11 @@
 const JSON: (&str, &str) = ("Content-Type", "application/json");
 
 impl Tokens {
-    pub(super) fn new(front: Introspection, house: usize) -> Tokens {
+    pub(super) fn new(front: IntrospectionConfig, house: usize) -> Tokens {
         Tokens {
-            cache: Cache::new(front.cache_entries, front.cache_for),
+            cache: TokenCache::new(front.cache_entries, front.cache_ttl),
             callers: front.callers,
-            asking: front.asking,
+            asking: front.endpoint,
             upstreams: front.upstreams,
             house,
         }
@@ -80,25 +81,27 @@
         }
         let read = self
             .platform
-            .basics(&request, &self.limits, now)
+            .parse_common_fields(&request, &self.limits, now)
             .and_then(|basics| {
                 let query = request
                     .target
                     .split_once('?')
                     .map_or("", |(_, query)| query);
                 if query.split('&').any(|part| part.starts_with("account=")) {
-                    return Err(crate::front::reject(400, "a token names the account"));
+                    return Err(crate::frontend::reject(400, "a token names the account"));
                 }
                 let terms = request.headers.get("X-Call-Terms").unwrap_or("units=1");
-                let everywhere = Some((self.platform.limiters.max(1), 0));
-                let (units, _) = self.platform.terms(terms, &self.limits, everywhere)?;
+                let everywhere = Some((self.platform.limiter_count.max(1), 0));
+                let (units, _) = self
+                    .platform
+                    .parse_call_terms(terms, &self.limits, everywhere)?;
                 Ok((basics, units))
             });
         let (basics, units) = match read {
             Ok(read) => read,
             Err(rejection) => return self.reject(key, &rejection, !request.keep_alive),
         };
-        let token = match introspection::bearer(&request.headers) {
+        let token = match introspection::bearer_token(&request.headers) {
             Ok(token) => token,
             Err(challenge) => return self.challenge(key, challenge),
         };
@@ -117,13 +120,13 @@
             None => {
                 let asking = Authorisation {
                     plan: tokens.house,
-                    customer: introspection::house(),
+                    customer: introspection::internal_customer(),
                     deadline: bearing.basics.deadline,
                     units: 1.0,
                     limiter_count: 1,
                     ..Authorisation::default()
                 };
-                let forward = tokens.asking.forward(&bearing.token);
+                let forward = tokens.asking.build_request(&bearing.token);
                 self.take(
                     key,
                     TOKENS,
@@ -157,17 +160,17 @@
             customer: identity.customer,
             deadline: basics.deadline,
             units,
-            limiter_count: self.platform.limiters.max(1),
+            limiter_count: self.platform.limiter_count.max(1),
             first_limiter: 0,
-            is_retry: basics.again,
-            token_expires_at: identity.expires,
+            is_retry: basics.is_retry,
+            token_expires_at: identity.expires_at,
             ..Authorisation::default()
         };
         self.take(
             key,
             RECORDS,
             authorisation,
-            Forward::of(&request),
+            UpstreamRequest::from_request(&request),
             Purpose::Record,
         );
     }
@@ -178,7 +181,8 @@
         if request.method != "POST" {
             return self.answer(key, 405, &[("Allow", "POST"), NO_STORE], b"");
         }
-        let Some(caller) = introspection::caller(&request.headers, &tokens.callers) else {
+        let Some(caller) = introspection::authenticate_caller(&request.headers, &tokens.callers)
+        else {
             let headers = [
                 ("WWW-Authenticate", "Basic realm=\"introspection\""),
                 NO_STORE,
@@ -186,28 +190,30 @@
             ];
             return self.answer(key, 401, &headers, b"{\"error\":\"invalid_client\"}");
         };
-        let token = match introspection::asked(request) {
+        let token = match introspection::parse_token_request(request) {
             Ok(token) => token,
             Err(rejection) => {
                 let body = rejection.text.as_bytes();
                 return self.answer(key, rejection.status, &[NO_STORE, JSON], body);
             }
         };
-        let wait = self.platform.wait(&request.headers, &self.limits, now);
+        let wait = self
+            .platform
+            .parse_deadline(&request.headers, &self.limits, now);
         let question = Authorisation {
             plan: caller.plan,
             customer: caller.customer,
             deadline: wait.unwrap_or(now + self.limits.introspection_timeout),
             units: 1.0,
-            limiter_count: self.platform.limiters.max(1),
+            limiter_count: self.platform.limiter_count.max(1),
             ..Authorisation::default()
         };
-        let forward = tokens.asking.forward(&token);
+        let forward = tokens.asking.build_request(&token);
         self.take(key, TOKENS, question, forward, Purpose::Introspect(token));
     }
 
     fn challenge(&mut self, key: ConnectionKey, challenge: Challenge) {
-        let (status, text) = challenge.answer();
+        let (status, text) = challenge.response();
         self.answer(key, status, &[("WWW-Authenticate", text), NO_STORE], b"");
     }
 
@@ -222,8 +228,8 @@
             return false;
         };
         let finding = match tokens.cache.get(token, now) {
-            Some(identity) => Finding::Active(identity),
-            None if token.is_void() => Finding::Inactive,
+            Some(identity) => IntrospectionResult::Active(identity),
+            None if token.is_invalid() => IntrospectionResult::Inactive,
             None => return false,
         };
         // Guards the budget: what a question holds is given back by the one way in which an answer stops being owed.
@@ -237,14 +243,14 @@
         true
     }
 
-    fn tell(&mut self, now: Micros, key: ConnectionKey, finding: Finding) {
-        let body = introspection::write_finding(finding, &self.platform.names.plans, now);
+    fn tell(&mut self, now: Micros, key: ConnectionKey, finding: IntrospectionResult) {
+        let body = introspection::encode_result(finding, &self.platform.names.plans, now);
         self.answer(key, 200, &[JSON, NO_STORE], &body);
     }
 
     /// The outcome of a leg to an introspection server. One that lies has failed, whatever its status.
     pub(super) fn judged(&self, now: Micros, answer: &Response) -> Outcome {
-        match introspection::judge(answer, &self.platform.names.plans, now) {
+        match introspection::parse_response(answer, &self.platform.names.plans, now) {
             Ok(_) => Outcome::Ok,
             Err(_) if matches!(answer.status, 429 | 503) => Outcome::Rejected,
             Err(lie) => {
@@ -258,21 +264,21 @@
     pub(super) fn found(&mut self, key: ConnectionKey, purpose: Purpose, answer: &Response) {
         let now = self.now();
         // Guards the instant between the two looks at the clock: fails closed.
-        let finding = introspection::judge(answer, &self.platform.names.plans, now)
-            .unwrap_or(Finding::Inactive);
+        let finding = introspection::parse_response(answer, &self.platform.names.plans, now)
+            .unwrap_or(IntrospectionResult::Inactive);
         let Some(tokens) = &mut self.tokens else {
             return;
         };
         match (purpose, finding) {
             (Purpose::Identify(bearing), finding) => {
-                tokens.cache.keep(&bearing.token, finding, now);
+                tokens.cache.insert(&bearing.token, finding, now);
                 match finding {
-                    Finding::Active(identity) => self.go_on(key, *bearing, identity),
-                    Finding::Inactive => self.challenge(key, Challenge::Invalid),
+                    IntrospectionResult::Active(identity) => self.go_on(key, *bearing, identity),
+                    IntrospectionResult::Inactive => self.challenge(key, Challenge::Invalid),
                 }
             }
             (Purpose::Introspect(token), finding) => {
-                tokens.cache.keep(&token, finding, now);
+                tokens.cache.insert(&token, finding, now);
                 self.tell(now, key, finding);
             }
             (Purpose::Platform | Purpose::Record, _) => {}
@@ -296,7 +302,7 @@
             }
             _ => ending,
         };
-        let (status, challenge) = introspection::status(ending);
+        let (status, challenge) = introspection::rejection_status(ending);
         let stay_away = match ending {
             EngineRejection::Declined { retry_after: 0, .. } => self.limits.default_retry_after,
             EngineRejection::Declined {
--- a/crates/limiter/src/net/host/uploading.rs
+++ b/crates/limiter/src/net/host/uploading.rs
@@ -1,7 +1,7 @@
 //! Bodies on their way from a client's connection to a server's while they still come.
 
 use super::*;
-use crate::front::reject;
+use crate::frontend::reject;
 use crate::net::framing::{BodyFraming, Request};
 use crate::upload::Upload;
 
@@ -32,7 +32,7 @@
         let read = match door {
             // What is safe to repeat has no body.
             Door::Platform if request.method == "GET" => Err(reject(400, "the class has no body")),
-            Door::Platform => self.platform.read(&request, &self.limits, now),
+            Door::Platform => self.platform.parse_request(&request, &self.limits, now),
             Door::Introspection | Door::Agreement => Err(reject(413, "the body is too long")),
         };
         match read {
@@ -46,7 +46,7 @@
                 };
                 let rest = (left / self.limits.min_body_bytes_per_s.max(1)) as Micros * 1_000_000;
                 authorisation.deadline += rest.min(self.limits.max_upload_extension);
-                let forward = Forward::streamed(&request, extent);
+                let forward = UpstreamRequest::from_streaming_request(&request, extent);
                 self.take(key, RECORDS, authorisation, forward, Purpose::Platform);
                 if let Some(connection) = self.connections.get_mut(key) {
                     connection.visit.record_body_progress(now, come);
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -30,7 +30,7 @@
 
 impl Instance {
     fn boot(fields: &Fields) -> Result<Instance, InputError> {
-        let settings = limiter::config::settings_text(fields.required_text("Params")?)
+        let settings = limiter::config::parse_settings(fields.required_text("Params")?)
             .map_err(|error| InputError::new(&error.to_string()))?;
         let balancer = Balancer::new(settings, fields.optional_integer("RngSeed")?.unwrap_or(0));
         Ok(Instance {
