--- a/crates/proxy/src/config_store.rs
+++ b/crates/proxy/src/config_store.rs
@@ -37,9 +37,9 @@
     /// At least one item is new.
     pub has_new_items: bool,
     /// Zones were evacuated, or their evacuation ended.
-    pub zones: bool,
+    pub zones_changed: bool,
     /// Zones whose evacuation ended, also where this proxy had not received that it had begun.
-    pub returned_zones: Vec<String>,
+    pub restored_zones: Vec<String>,
 }
 
 impl ConfigStore {
@@ -61,10 +61,10 @@
                 Ok(()) => {
                     touched.has_new_items = true;
                     let zone = item.name.kind == ItemKind::Zone;
-                    touched.zones |= zone;
+                    touched.zones_changed |= zone;
                     let back = zone && !self.evacuated.contains(&item.name.name);
                     touched
-                        .returned_zones
+                        .restored_zones
                         .extend(back.then(|| item.name.name.clone()));
                     self.items.insert(item.name.clone(), item);
                 }
@@ -125,7 +125,7 @@
     }
 
     /// The route of a request: the longest matching path prefix of its host.
-    pub fn route(&self, host: &str, target: &str) -> Option<&Rc<Route>> {
+    pub fn find_route(&self, host: &str, target: &str) -> Option<&Rc<Route>> {
         let host = host
             .rsplit_once(':')
             .filter(|(_, port)| port.parse::<u16>().is_ok())
@@ -139,7 +139,7 @@
     }
 
     /// The tenant of an API key.
-    pub fn tenant(&self, key: &str) -> Option<&Rc<NamedTenant>> {
+    pub fn tenant_by_api_key(&self, key: &str) -> Option<&Rc<NamedTenant>> {
         self.keys.get(key)
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Whether there is anything to serve.
-    pub fn is_ready(&self) -> bool {
+    pub fn has_routes(&self) -> bool {
         !self.routes.is_empty()
     }
 }
--- a/crates/proxy/src/config_store/tests.rs
+++ b/crates/proxy/src/config_store/tests.rs
@@ -35,7 +35,7 @@
     ]);
     assert_eq!(
         config_store
-            .route(host, target)
+            .find_route(host, target)
             .and_then(|r| r.svc.as_deref()),
         svc
     );
@@ -53,13 +53,13 @@
             .has_new_items
     );
     assert_eq!(
-        config_store.route("h", "/a/").unwrap().svc.as_deref(),
+        config_store.find_route("h", "/a/").unwrap().svc.as_deref(),
         Some("nine")
     );
     config_store.apply(vec![item(ItemKind::Route, "x", 12, None)]);
     config_store.apply(vec![change(11, "eleven")]);
     assert!(
-        config_store.route("h", "/a/").is_none(),
+        config_store.find_route("h", "/a/").is_none(),
         "dropped at 12, and 11 comes late"
     );
 }
@@ -68,13 +68,13 @@
 fn returned_zone_is_reported_even_if_its_evacuation_was_not_seen() {
     let mut config_store = ConfigStore::default();
     let zone = |ver, spec| vec![item(ItemKind::Zone, "z", ver, Some(spec))];
-    assert_eq!(config_store.apply(zone(4, "false")).0.returned_zones, ["z"]);
+    assert_eq!(config_store.apply(zone(4, "false")).0.restored_zones, ["z"]);
     assert_eq!(
-        config_store.apply(zone(5, "true")).0.returned_zones,
+        config_store.apply(zone(5, "true")).0.restored_zones,
         Vec::<String>::new()
     );
     assert!(config_store.evacuated_zones().contains("z"));
-    assert_eq!(config_store.apply(zone(6, "false")).0.returned_zones, ["z"]);
+    assert_eq!(config_store.apply(zone(6, "false")).0.restored_zones, ["z"]);
     assert!(
         config_store.apply(zone(6, "false")).0 == ConfigChange::default()
             && config_store.evacuated_zones().is_empty()
@@ -94,11 +94,11 @@
     };
     assert!(!config_store.requires_keys());
     config_store.apply(vec![tenant(1, r#""k1","k2""#)]);
-    assert_eq!(config_store.tenant("k1").unwrap().name, "t");
+    assert_eq!(config_store.tenant_by_api_key("k1").unwrap().name, "t");
     config_store.apply(vec![tenant(3, r#""k2""#)]);
     assert!(
-        config_store.tenant("k1").is_none()
-            && config_store.tenant("k2").is_some()
+        config_store.tenant_by_api_key("k1").is_none()
+            && config_store.tenant_by_api_key("k2").is_some()
             && config_store.requires_keys()
     );
 }
@@ -110,7 +110,7 @@
     let (touched, faults) = config_store.apply(vec![route("x", 2, "h", "bare", "two")]);
     assert!(!touched.has_new_items && faults.len() == 1 && faults[0].0.contains("prefix"));
     assert_eq!(
-        config_store.route("h", "/a/").unwrap().svc.as_deref(),
+        config_store.find_route("h", "/a/").unwrap().svc.as_deref(),
         Some("one")
     );
 }
--- a/crates/proxy/src/host/admission.rs
+++ b/crates/proxy/src/host/admission.rs
@@ -40,7 +40,7 @@
         let asked = head
             .headers
             .get("Host")
-            .and_then(|host| self.config_store.route(host, &head.target));
+            .and_then(|host| self.config_store.find_route(host, &head.target));
         let (Some(route), Some(id)) = (asked, head.headers.get("X-Request-Id")) else {
             return false;
         };
@@ -48,7 +48,8 @@
         let (Some((svc, _)), None) = (services.next(), services.next()) else {
             return false;
         };
-        let tenant = api_key(&head.headers).and_then(|key| self.config_store.tenant(key));
+        let tenant =
+            api_key(&head.headers).and_then(|key| self.config_store.tenant_by_api_key(key));
         if tenant.is_none() && !route.public && self.config_store.requires_keys() {
             return false;
         }
@@ -82,7 +83,7 @@
             .ok_or(local_response(400, "Host"))?;
         let route = self
             .config_store
-            .route(host, &head.target)
+            .find_route(host, &head.target)
             .ok_or_else(|| self.refusal(now, 404, "no route"))?
             .clone();
         let id = head
@@ -92,7 +93,7 @@
             .ok_or(local_response(400, "X-Request-Id"))?
             .to_string();
         let tenant = api_key(&head.headers)
-            .and_then(|key| self.config_store.tenant(key))
+            .and_then(|key| self.config_store.tenant_by_api_key(key))
             .cloned();
         if tenant.is_none() && !route.public && self.config_store.requires_keys() {
             return Err(self.refusal(now, 401, "no such key"));
@@ -133,12 +134,12 @@
             failure: None,
         });
         let routing = RoutingRequest {
-            request,
-            id: &id,
+            key: request,
+            request_id: &id,
             route: &route,
-            svc: &svc,
+            service: &svc,
             tenant: tenant.as_ref().map(|t| (t.name.as_str(), &t.tenant)),
-            pins: &pins,
+            allowed_regions: &pins,
             deadline: now + allowed_time + extra_time,
         };
         self.submit(now, key, &routing)
@@ -146,7 +147,7 @@
 
     /// A proxy without configuration or servers sends clients away for a moment.
     fn check_configured(&self) -> Result<(), LocalResponse> {
-        let reason = if !self.config_store.is_ready() {
+        let reason = if !self.config_store.has_routes() {
             "no configuration yet"
         } else if !self.server_table.has_servers() {
             "no server is known yet"
@@ -167,13 +168,13 @@
 
     /// Opens the engine of a service in these regions if there is none.
     fn ensure_engine(&mut self, now: Micros, svc: &str, pins: &[String], route: &Route) {
-        if self.router.engine_of(svc, pins).is_some() {
+        if self.router.engine_index(svc, pins).is_some() {
             return;
         }
         let entries = self.server_table.entries(now, svc, pins);
         self.add_to_pool(entries.iter().map(|entry| entry.server).collect());
         self.router
-            .open_engine(svc, pins, route.target_time.0, entries);
+            .create_engine(svc, pins, route.target_time.0, entries);
     }
 
     fn submit(
@@ -182,7 +183,7 @@
         key: ConnectionId,
         routing: &RoutingRequest<'_>,
     ) -> Result<(), LocalResponse> {
-        let request = routing.request;
+        let request = routing.key;
         let Some(handle) = self.router.submit(now, routing) else {
             self.requests.remove(request);
             return Err(retry_later(503, DEFAULT_RETRY_AFTER, "no room"));
--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -110,7 +110,7 @@
                 has_quorum: in_touch,
                 ..
             }) => {
-                self.router.set_limiters(now, limiters);
+                self.router.set_limiter_count(now, limiters);
                 self.router.set_isolated(!in_touch);
                 self.router.set_counter_term(holder.map(|(_, term)| term));
             }
@@ -160,11 +160,11 @@
             self.limits.client_idle_timeout = limits.idle.0;
             self.client_keep_alive = responses::keep_alive_value(limits.idle.0);
         }
-        if touched.zones {
-            self.server_table.set_evacuated(
+        if touched.zones_changed {
+            self.server_table.set_evacuated_zones(
                 now,
                 self.config_store.evacuated_zones(),
-                touched.returned_zones,
+                touched.restored_zones,
                 WARMUP + COLD_LAG,
             );
             self.update_servers(now);
@@ -243,7 +243,7 @@
     fn fail_batch(&mut self, batch: &CounterBatch, outcome: Outcome) {
         self.metrics.counter_batches_failed += 1;
         for name in batch.names.iter().filter(|_| !batch.expired) {
-            self.router.handle_count(*name, outcome, 0.0);
+            self.router.handle_counter_result(*name, outcome, 0.0);
         }
     }
 
@@ -254,12 +254,16 @@
         self.counter_timeout.record(self.clock.now() - batch.sent);
         if batch.expired {
             self.metrics.counter_batches_late += 1;
-            return self.router.handle_late_count();
+            return self.router.handle_late_counter_result();
         }
         for (at, name) in batch.names.iter().enumerate() {
             match totals.get(at) {
-                Some(total) => self.router.handle_count(*name, Outcome::Ok, *total),
-                None => self.router.handle_count(*name, Outcome::ConnectFailed, 0.0),
+                Some(total) => self
+                    .router
+                    .handle_counter_result(*name, Outcome::Ok, *total),
+                None => self
+                    .router
+                    .handle_counter_result(*name, Outcome::ConnectFailed, 0.0),
             }
         }
     }
@@ -277,7 +281,8 @@
             late.append(&mut batch.names.clone());
         }
         for name in late {
-            self.router.handle_count(name, Outcome::TimedOut, 0.0);
+            self.router
+                .handle_counter_result(name, Outcome::TimedOut, 0.0);
         }
         // Bounds the memory used for calls to a counter that never answers.
         while self.batches.len() > 1_000 {
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -211,7 +211,7 @@
     buffered_bytes: usize,
     listeners: (usize, usize),
     /// The addresses on which clients and readiness checks are accepted.
-    pub addresses: (SocketAddr, SocketAddr),
+    pub listen_addresses: (SocketAddr, SocketAddr),
     deadlines: Deadlines<Timer>,
     lifecycle: Lifecycle,
     config_store: ConfigStore,
@@ -308,7 +308,7 @@
             client_count: 0,
             buffered_bytes: 0,
             listeners: (door, check),
-            addresses: (http, readyz),
+            listen_addresses: (http, readyz),
             deadlines,
             lifecycle: Lifecycle::new(false),
             config_store: ConfigStore::default(),
@@ -447,15 +447,15 @@
 
     fn carry_out(&mut self, now: Micros, step: RouterAction) {
         match step {
-            RouterAction::Send {
+            RouterAction::SendAttempt {
                 request,
                 handle,
                 attempt,
                 server,
             } => self.send_attempt(now, request, handle, attempt, server),
-            RouterAction::Stop(handle, attempt) => self.stop_attempt(now, handle, attempt),
-            RouterAction::Answer(request, ending) => self.finish_request(now, request, ending),
-            RouterAction::Count(add) => self.pending_adds.push(add),
+            RouterAction::CancelAttempt(handle, attempt) => self.stop_attempt(now, handle, attempt),
+            RouterAction::Reject(request, ending) => self.finish_request(now, request, ending),
+            RouterAction::AddToCounter(add) => self.pending_adds.push(add),
             RouterAction::Probe(engine, server) => self.start_probe(now, engine, server),
         }
     }
@@ -577,7 +577,9 @@
     fn state(&self) -> NodeState {
         match (
             self.lifecycle.is_shutting_down(),
-            self.agent_complete && self.config_store.is_ready() && self.server_table.has_servers(),
+            self.agent_complete
+                && self.config_store.has_routes()
+                && self.server_table.has_servers(),
         ) {
             (true, _) => NodeState::Draining,
             (false, true) => NodeState::Ready,
@@ -637,7 +639,7 @@
             name: node.clone(),
             zone: zone.clone(),
             region: region.clone(),
-            http: self.addresses.0,
+            http: self.listen_addresses.0,
         }
     }
 
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouterAction {
     /// Send the request to a server.
-    Send {
+    SendAttempt {
         /// The request.
         request: RequestKey,
         /// The handle by which the host reports the outcome.
@@ -63,11 +63,11 @@
         server: ServerId,
     },
     /// Close the connection of an attempt; its outcome is known.
-    Stop(RequestHandle, u32),
+    CancelAttempt(RequestHandle, u32),
     /// Send the final answer.
-    Answer(RequestKey, EngineRejection),
-    /// Add to the shared counter; report with [`RequestRouter::handle_count`].
-    Count(CounterAdd),
+    Reject(RequestKey, EngineRejection),
+    /// Add to the shared counter; report with [`RequestRouter::handle_counter_result`].
+    AddToCounter(CounterAdd),
     /// Check a server's health, for the engine at this position.
     Probe(usize, ServerId),
 }
@@ -76,17 +76,17 @@
 #[derive(Clone, Debug)]
 pub struct RoutingRequest<'a> {
     /// The request.
-    pub request: RequestKey,
+    pub key: RequestKey,
     /// Its id, as the client sent it.
-    pub id: &'a str,
+    pub request_id: &'a str,
     /// Its route.
     pub route: &'a Route,
     /// The service chosen for it.
-    pub svc: &'a str,
+    pub service: &'a str,
     /// Its tenant, by name.
     pub tenant: Option<(&'a str, &'a Tenant)>,
     /// The regions that may serve it; empty: all.
-    pub pins: &'a [String],
+    pub allowed_regions: &'a [String],
     /// Deadline of the final answer.
     pub deadline: Micros,
 }
@@ -95,9 +95,9 @@
     /// What its priority under overload depends on.
     pub fn shedding_request(&self) -> SheddingRequest<'a> {
         let RoutingRequest {
-            id,
+            request_id: id,
             route,
-            svc,
+            service: svc,
             tenant,
             ..
         } = *self;
@@ -227,13 +227,13 @@
 
     /// Takes a request; [`RequestRouter::run`] returns what follows. `None` if too many are held.
     pub fn submit(&mut self, now: Micros, request: &RoutingRequest<'_>) -> Option<RequestHandle> {
-        let service_engine = self.engine_of(request.svc, request.pins)?;
+        let service_engine = self.engine_index(request.service, request.allowed_regions)?;
         let shedding_request = request.shedding_request();
         let priority = self.shedding.priority(now, &shedding_request);
         let limited = request.tenant.filter(|(_, tenant)| tenant.per_s > 0.0);
         let first = limited.is_none() || self.shedding.is_shed_before_quota(now, &shedding_request);
         if first {
-            self.shedding.record_admitted(request.svc, &priority);
+            self.shedding.record_admitted(request.service, &priority);
         }
         let class = class_of(request.route, tier(request.route, request.tenant));
         let name = limited.map_or(String::new(), |(name, _)| name.to_string());
@@ -248,7 +248,7 @@
             share_retry_after: None,
         };
         let Some((name, tenant)) = limited else {
-            return self.submit_to_service(now, request.request, &pending, priority);
+            return self.submit_to_service(now, request.key, &pending, priority);
         };
         self.submit_for_quota(now, request, pending, (name, tenant))
     }
@@ -288,7 +288,7 @@
         };
         let quota_engine = &mut self.engines[QUOTA_ENGINE];
         let key = quota_engine.engine.submit(now, authorisation).ok()?;
-        quota_engine.requests.insert(key, request.request);
+        quota_engine.requests.insert(key, request.key);
         self.pending_placements.insert(key, pending);
         Some(RequestHandle {
             engine: QUOTA_ENGINE,
@@ -355,7 +355,7 @@
                             retry_after: MAX_RETRY_AFTER / 4,
                             over_quota: false,
                         };
-                        actions.push(RouterAction::Answer(request, rejection));
+                        actions.push(RouterAction::Reject(request, rejection));
                     }
                     None => {}
                 }
@@ -371,9 +371,9 @@
                 attempt,
                 server,
             )),
-            EngineAction::CancelAttempt { key, attempt } => {
-                actions.push(RouterAction::Stop(RequestHandle { engine, key }, attempt))
-            }
+            EngineAction::CancelAttempt { key, attempt } => actions.push(
+                RouterAction::CancelAttempt(RequestHandle { engine, key }, attempt),
+            ),
             EngineAction::Reject { key, rejection } => {
                 actions.extend(self.reject(now, RequestHandle { engine, key }, rejection))
             }
@@ -382,7 +382,7 @@
                 amount: add,
                 ttl: life,
             } => {
-                actions.push(RouterAction::Count(CounterAdd {
+                actions.push(RouterAction::AddToCounter(CounterAdd {
                     counter: name.0,
                     units: add,
                     ttl: life,
@@ -438,7 +438,7 @@
                 .handle_attempt_ended(now, handle.key, attempt, Outcome::NotSent, None);
             return None;
         };
-        Some(RouterAction::Send {
+        Some(RouterAction::SendAttempt {
             request,
             handle,
             attempt,
@@ -459,7 +459,7 @@
             rejection
         };
         let request = self.engines[handle.engine].requests.remove(handle.key)?;
-        Some(RouterAction::Answer(request, rejection))
+        Some(RouterAction::Reject(request, rejection))
     }
 
     /// The quota engine rejects a request: returns the rejection, which names the local share if
@@ -571,7 +571,7 @@
     }
 
     /// The shared counter answered, or the call failed.
-    pub fn handle_count(&mut self, name: u64, outcome: Outcome, total: f64) {
+    pub fn handle_counter_result(&mut self, name: u64, outcome: Outcome, total: f64) {
         self.quota_shares.handle_call_result(outcome == Outcome::Ok);
         self.engines[QUOTA_ENGINE]
             .engine
@@ -580,7 +580,7 @@
 
     /// The counter answered a call that had timed out: it has counted what it was told, and is not
     /// in doubt.
-    pub fn handle_late_count(&mut self) {
+    pub fn handle_late_counter_result(&mut self) {
         self.quota_shares.handle_call_result(true);
         self.engines[QUOTA_ENGINE]
             .engine
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -104,9 +104,9 @@
             .update_servers(ListKind::Full, entries);
     }
 
-    /// The engine of a service in these regions; where there is none, [`RequestRouter::open_engine`] is
+    /// The engine of a service in these regions; where there is none, [`RequestRouter::create_engine`] is
     /// due.
-    pub fn engine_of(&self, svc: &str, pins: &[String]) -> Option<usize> {
+    pub fn engine_index(&self, svc: &str, pins: &[String]) -> Option<usize> {
         // Looked up for each request: the key is built only where regions are named.
         self.positions_by_service
             .iter()
@@ -116,7 +116,7 @@
 
     /// Opens an engine for a service in these regions with these servers. `aim`: the latency target
     /// of the route that it is opened for.
-    pub fn open_engine(
+    pub fn create_engine(
         &mut self,
         svc: &str,
         pins: &[String],
--- a/crates/proxy/src/router/quota_engine.rs
+++ b/crates/proxy/src/router/quota_engine.rs
@@ -107,7 +107,7 @@
     /// delay: leases that expire while the control plane is in trouble would enlarge every local
     /// share, and limiters that are cut off go on using theirs. A proxy that has just started
     /// assumes twice as many: a control plane in trouble may not have heard of all of them.
-    pub fn set_limiters(&mut self, now: Micros, limiters: u32) {
+    pub fn set_limiter_count(&mut self, now: Micros, limiters: u32) {
         self.limiters = limiters.clamp(1, MAX_COUNTING_LIMITERS);
         let young = now < *self.starting_until.get_or_insert(now + START_DURATION);
         let (since, most) = self.pending_decrease.unwrap_or((now, 1));
--- a/crates/proxy/src/router/tests.rs
+++ b/crates/proxy/src/router/tests.rs
@@ -47,9 +47,9 @@
     fn new(limiters: u32) -> Bench {
         assert!(Items::new().is_empty());
         let mut router = RequestRouter::new(7, Bounds::default());
-        router.set_limiters(START - START_DURATION, limiters);
-        router.set_limiters(START, limiters);
-        router.open_engine("s", &[], 500 * MS, (1..=20).map(server).collect());
+        router.set_limiter_count(START - START_DURATION, limiters);
+        router.set_limiter_count(START, limiters);
+        router.create_engine("s", &[], 500 * MS, (1..=20).map(server).collect());
         let (keys, counts) = (SlotMap::with_key(), BTreeMap::new());
         Bench {
             router,
@@ -67,12 +67,12 @@
         let (route, deadline) = (route("idem"), self.now + 3 * SECOND);
         let tenant = tenant.map(|tenant| ("t", tenant));
         let request_info = RoutingRequest {
-            request,
-            id: "i",
+            key: request,
+            request_id: "i",
             route: &route,
-            svc: "s",
+            service: "s",
             tenant,
-            pins: &[],
+            allowed_regions: &[],
             deadline,
         };
         self.router.submit(self.now, &request_info).unwrap();
@@ -86,7 +86,7 @@
             self.router.run(self.now, &mut actions, |_, _| {});
             for step in actions {
                 match step {
-                    RouterAction::Send {
+                    RouterAction::SendAttempt {
                         handle, attempt, ..
                     } => {
                         self.sent += 1;
@@ -97,20 +97,21 @@
                             Outcome::Ok
                         ));
                     }
-                    RouterAction::Answer(
+                    RouterAction::Reject(
                         _,
                         EngineRejection::Declined {
                             over_quota: true, ..
                         },
                     ) => self.refused += 1,
-                    RouterAction::Count(add) if self.count_answers => {
+                    RouterAction::AddToCounter(add) if self.count_answers => {
                         let total = self.counts.entry(add.counter).or_default();
                         *total += add.units;
-                        self.router.handle_count(add.counter, Outcome::Ok, *total);
+                        self.router
+                            .handle_counter_result(add.counter, Outcome::Ok, *total);
                     }
-                    RouterAction::Count(add) => {
+                    RouterAction::AddToCounter(add) => {
                         self.router
-                            .handle_count(add.counter, Outcome::ConnectFailed, 0.0)
+                            .handle_counter_result(add.counter, Outcome::ConnectFailed, 0.0)
                     }
                     other => panic!("{other:?}"),
                 }
@@ -248,7 +249,7 @@
         (17, 4, 12),
     ];
     for (second, limiters, spread) in told {
-        router.set_limiters(second * SECOND, limiters);
+        router.set_limiter_count(second * SECOND, limiters);
         assert_eq!(router.quota_divisor, spread, "at {second}");
     }
 }
@@ -264,11 +265,11 @@
         if told < second {
             router.handle_clock_jump(now, (second - told) * SECOND);
         }
-        router.set_limiters(now, limiters);
+        router.set_limiter_count(now, limiters);
         assert_eq!(router.quota_divisor, spread, "at {second}");
     }
     router.handle_clock_jump(30 * SECOND, 18 * SECOND);
-    router.set_limiters(30 * SECOND, 1);
+    router.set_limiter_count(30 * SECOND, 1);
     assert_eq!(router.quota_divisor, 4);
 }
 
@@ -308,17 +309,19 @@
 #[test_case::test_case(false; "they are refused")]
 fn end_of_one_request_leaves_others_in_the_quota_engine(leave: bool) {
     let mut bench = Bench::new(4);
-    bench.router.open_engine("empty", &[], 500 * MS, Vec::new());
+    bench
+        .router
+        .create_engine("empty", &[], 500 * MS, Vec::new());
     let (limited, route, deadline) = (tenant(100.0), route("idem"), START + 3 * SECOND);
     let mut take = |svc, tenant| {
         let request = bench.keys.insert(());
         let request_info = RoutingRequest {
-            request,
-            id: "i",
+            key: request,
+            request_id: "i",
             route: &route,
-            svc,
+            service: svc,
             tenant,
-            pins: &[],
+            allowed_regions: &[],
             deadline,
         };
         bench.router.submit(START, &request_info).unwrap()
@@ -340,7 +343,7 @@
     bench.router.run(START, &mut actions, |_, _| {});
     for step in actions {
         match step {
-            RouterAction::Send {
+            RouterAction::SendAttempt {
                 handle, attempt, ..
             } => {
                 bench.sent += 1;
@@ -350,8 +353,8 @@
                         .handle_attempt_ended(START, handle, attempt, Outcome::Ok)
                 );
             }
-            RouterAction::Count(add) => counts.push(add),
-            RouterAction::Answer(
+            RouterAction::AddToCounter(add) => counts.push(add),
+            RouterAction::Reject(
                 _,
                 EngineRejection::Declined {
                     over_quota: false, ..
@@ -365,7 +368,7 @@
     counts.into_iter().for_each(|add| {
         bench
             .router
-            .handle_count(add.counter, Outcome::Ok, add.units)
+            .handle_counter_result(add.counter, Outcome::Ok, add.units)
     });
     bench.settle();
     assert_eq!(bench.sent, 40);
--- a/crates/proxy/src/server_table.rs
+++ b/crates/proxy/src/server_table.rs
@@ -102,7 +102,7 @@
 
     /// Sets the evacuated zones, and those whose evacuation just ended: their servers may be cold
     /// for `warmup`.
-    pub fn set_evacuated(
+    pub fn set_evacuated_zones(
         &mut self,
         now: Micros,
         zones: &BTreeSet<String>,
--- a/crates/proxy/src/server_table/tests.rs
+++ b/crates/proxy/src/server_table/tests.rs
@@ -68,9 +68,9 @@
 #[test]
 fn returned_zone_counts_as_cold_whatever_the_list_says() {
     let mut server_table = server_table(vec![server("i-a", "a"), server("i-b", "b")]);
-    server_table.set_evacuated(NOW, &["b".to_string()].into(), Vec::new(), 3_000);
+    server_table.set_evacuated_zones(NOW, &["b".to_string()].into(), Vec::new(), 3_000);
     assert_eq!(ready(&server_table, NOW, &[]).len(), 1);
-    server_table.set_evacuated(NOW, &BTreeSet::new(), vec!["b".to_string()], 3_000);
+    server_table.set_evacuated_zones(NOW, &BTreeSet::new(), vec!["b".to_string()], 3_000);
     server_table.update(NOW, (1, 2), vec![server("i-a", "a"), server("i-b", "b")]);
     assert_eq!(ready(&server_table, NOW + 2_999, &[]).len(), 1);
     assert_eq!(ready(&server_table, NOW + 3_000, &[]).len(), 2);
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -374,8 +374,9 @@
 
     /// A client's connection.
     pub fn client(&mut self) -> usize {
-        self.clients
-            .push(End::new(TcpStream::connect(self.host.addresses.0).unwrap()));
+        self.clients.push(End::new(
+            TcpStream::connect(self.host.listen_addresses.0).unwrap(),
+        ));
         self.clients.len() - 1
     }
 
@@ -477,8 +478,9 @@
 
     /// The platform's connection, for its checks.
     pub fn check(&mut self) -> usize {
-        self.clients
-            .push(End::new(TcpStream::connect(self.host.addresses.1).unwrap()));
+        self.clients.push(End::new(
+            TcpStream::connect(self.host.listen_addresses.1).unwrap(),
+        ));
         self.clients.len() - 1
     }
 
--- a/crates/proxy/tests/edge.rs
+++ b/crates/proxy/tests/edge.rs
@@ -38,7 +38,7 @@
         bench.clients[idle].ended && !bench.clients[under_way].ended && !bench.host.is_finished()
     );
     assert!(
-        std::net::TcpStream::connect(bench.host.addresses.0).is_err(),
+        std::net::TcpStream::connect(bench.host.listen_addresses.0).is_err(),
         "nobody else is taken"
     );
     bench.serve(&first);
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -73,10 +73,10 @@
         let proxy = |at: usize| {
             let mut router = RequestRouter::new(at as u64, Bounds::default());
             for early in [3 * SECOND, 0] {
-                router.set_limiters(START - early, proxies as u32);
+                router.set_limiter_count(START - early, proxies as u32);
             }
             router.set_counter_term(Some(1));
-            router.open_engine("s", &[], 500 * MS, servers());
+            router.create_engine("s", &[], 500 * MS, servers());
             let far = if at.is_multiple_of(3) { MS } else { 55 * MS };
             Proxy {
                 router,
@@ -161,11 +161,13 @@
                     };
                     let (_, _, expired) = proxy.calls.remove(call);
                     match news {
-                        _ if expired => proxy.router.handle_late_count(),
+                        _ if expired => proxy.router.handle_late_counter_result(),
                         News::Total(_, total) => {
-                            proxy.router.handle_count(name, Outcome::Ok, total)
+                            proxy.router.handle_counter_result(name, Outcome::Ok, total)
                         }
-                        _ => proxy.router.handle_count(name, Outcome::ConnectFailed, 0.0),
+                        _ => proxy
+                            .router
+                            .handle_counter_result(name, Outcome::ConnectFailed, 0.0),
                     }
                 }
             }
@@ -177,12 +179,12 @@
                 let (route, deadline) = (route(), self.now + 3 * SECOND);
                 let tenant = Some(("t", tenant));
                 let asked = RoutingRequest {
-                    request,
-                    id: "i",
+                    key: request,
+                    request_id: "i",
                     route: &route,
-                    svc: "s",
+                    service: "s",
                     tenant,
-                    pins: &[],
+                    allowed_regions: &[],
                     deadline,
                 };
                 proxy.router.submit(self.now, &asked).unwrap();
@@ -200,7 +202,9 @@
             .filter(|(due, _, expired)| !*expired && *due <= now)
         {
             *expired = true;
-            proxy.router.handle_count(*name, Outcome::TimedOut, 0.0);
+            proxy
+                .router
+                .handle_counter_result(*name, Outcome::TimedOut, 0.0);
         }
         // An engine decides once a microsecond.
         for round in 0..4 {
@@ -210,7 +214,7 @@
                 .run(now + round, &mut steps, |_, _| {});
             for step in steps {
                 match step {
-                    RouterAction::Send {
+                    RouterAction::SendAttempt {
                         handle: ticket,
                         attempt: leg,
                         ..
@@ -223,8 +227,8 @@
                             Outcome::Ok,
                         );
                     }
-                    RouterAction::Answer(..) => self.refused += 1,
-                    RouterAction::Count(add) => {
+                    RouterAction::Reject(..) => self.refused += 1,
+                    RouterAction::AddToCounter(add) => {
                         let key = (now + self.proxies[at].far, self.number());
                         self.proxies[at]
                             .calls
--- a/crates/simulation/src/edges.rs
+++ b/crates/simulation/src/edges.rs
@@ -218,7 +218,11 @@
                 .ok()?,
             ItemKind::Route => {
                 let path = format!("/{}/", name.name);
-                self.proxy.config_store.route(HOST, &path)?.timeout.millis() as u64
+                self.proxy
+                    .config_store
+                    .find_route(HOST, &path)?
+                    .timeout
+                    .millis() as u64
             }
             _ => return None,
         };
@@ -237,7 +241,7 @@
 
     /// Its proxy was told all, and serves.
     pub fn ready(&self) -> bool {
-        self.up && self.proxy.told && self.proxy.config_store.is_ready()
+        self.up && self.proxy.told && self.proxy.config_store.has_routes()
     }
 
     /// Requests that are held, batches that are out, at the proxy and at the agent.
--- a/crates/simulation/src/edges/agents.rs
+++ b/crates/simulation/src/edges/agents.rs
@@ -458,7 +458,9 @@
                 let Some(batch) = batch else { return };
                 batch.expired = true;
                 for name in batch.names.clone() {
-                    proxy.router.handle_count(name, Outcome::TimedOut, 0.0);
+                    proxy
+                        .router
+                        .handle_counter_result(name, Outcome::TimedOut, 0.0);
                 }
                 while proxy.batches.len() > 1_000 {
                     proxy.batches.pop_front();
--- a/crates/simulation/src/edges/proxies.rs
+++ b/crates/simulation/src/edges/proxies.rs
@@ -18,7 +18,7 @@
         let proxy = &mut self.edges[at].proxy;
         match message {
             ControlMessage::ClusterView(who) => {
-                proxy.router.set_limiters(now, who.limiters);
+                proxy.router.set_limiter_count(now, who.limiters);
                 proxy.router.set_isolated(!who.has_quorum);
                 proxy
                     .router
@@ -38,12 +38,12 @@
                     proxy.config_store = ConfigStore::default();
                 }
                 let (touched, faults) = proxy.config_store.apply(items);
-                if touched.zones {
+                if touched.zones_changed {
                     let evacuated = proxy.config_store.evacuated_zones().clone();
-                    proxy.server_table.set_evacuated(
+                    proxy.server_table.set_evacuated_zones(
                         now,
                         &evacuated,
-                        touched.returned_zones,
+                        touched.restored_zones,
                         4 * SECOND,
                     );
                     self.list(at);
@@ -157,26 +157,29 @@
                 - (rate * LOAD as f64 / SECOND as f64 * (slot - 1.0).max(0.0)) as u64;
             for _ in 0..due {
                 let proxy = &mut self.edges[at].proxy;
-                let Some(route) = proxy.config_store.route(HOST, PREFIX).cloned() else {
+                let Some(route) = proxy.config_store.find_route(HOST, PREFIX).cloned() else {
                     return;
                 };
-                let named = proxy.config_store.tenant(&format!("key{tenant}")).cloned();
+                let named = proxy
+                    .config_store
+                    .tenant_by_api_key(&format!("key{tenant}"))
+                    .cloned();
                 let Some(named) = named else { return };
-                if proxy.router.engine_of(BASE, &[]).is_none() {
+                if proxy.router.engine_index(BASE, &[]).is_none() {
                     let entries = proxy.server_table.entries(now, BASE, &[]);
                     proxy
                         .router
-                        .open_engine(BASE, &[], route.target_time.0, entries);
+                        .create_engine(BASE, &[], route.target_time.0, entries);
                 }
                 let request = proxy.keys.insert(tenant);
                 let tenant = Some((named.name.as_str(), &named.tenant));
                 let asked = RoutingRequest {
-                    request,
-                    id: "i",
+                    key: request,
+                    request_id: "i",
                     route: &route,
-                    svc: BASE,
+                    service: BASE,
                     tenant,
-                    pins: &[],
+                    allowed_regions: &[],
                     deadline: now + 3 * SECOND,
                 };
                 self.grants.asked += 1;
@@ -213,7 +216,7 @@
             for step in std::mem::take(&mut steps) {
                 let proxy = &mut self.edges[at].proxy;
                 match step {
-                    RouterAction::Send {
+                    RouterAction::SendAttempt {
                         request,
                         handle: ticket,
                         attempt: leg,
@@ -233,7 +236,7 @@
                             );
                         }
                     }
-                    RouterAction::Answer(
+                    RouterAction::Reject(
                         request,
                         EngineRejection::Declined { .. }
                         | EngineRejection::Failed
@@ -241,8 +244,8 @@
                     ) => {
                         proxy.keys.remove(request);
                     }
-                    RouterAction::Count(add) => proxy.adds.push(add),
-                    RouterAction::Stop(..) | RouterAction::Probe(..) => {}
+                    RouterAction::AddToCounter(add) => proxy.adds.push(add),
+                    RouterAction::CancelAttempt(..) | RouterAction::Probe(..) => {}
                 }
             }
             self.send_adds(at);
@@ -315,15 +318,21 @@
             return;
         };
         match totals {
-            Some(_) if batch.expired => proxy.router.handle_late_count(),
+            Some(_) if batch.expired => proxy.router.handle_late_counter_result(),
             None if batch.expired => {}
             totals => {
                 for (place, name) in batch.names.iter().enumerate() {
                     match totals.and_then(|totals| totals.get(place)) {
-                        Some(total) => proxy.router.handle_count(*name, Outcome::Ok, *total),
-                        None => proxy
-                            .router
-                            .handle_count(*name, Outcome::ConnectFailed, 0.0),
+                        Some(total) => {
+                            proxy
+                                .router
+                                .handle_counter_result(*name, Outcome::Ok, *total)
+                        }
+                        None => {
+                            proxy
+                                .router
+                                .handle_counter_result(*name, Outcome::ConnectFailed, 0.0)
+                        }
                     }
                 }
             }
