--- a/crates/proxy/src/adaptive_timeout.rs
+++ b/crates/proxy/src/adaptive_timeout.rs
@@ -16,8 +16,8 @@
 /// A time-out in microseconds that follows round trips of one kind, within bounds.
 #[derive(Clone, Copy, Debug)]
 pub struct AdaptiveTimeout {
-    least: Micros,
-    most: Micros,
+    min: Micros,
+    max: Micros,
     /// The mean and the mean deviation of the round trips; none before the first.
     estimate: Option<(Micros, Micros)>,
 }
@@ -26,8 +26,8 @@
     /// One that has seen no round trip yet, and is `least`.
     pub fn new(least: Micros, most: Micros) -> AdaptiveTimeout {
         AdaptiveTimeout {
-            least,
-            most,
+            min: least,
+            max: most,
             estimate: None,
         }
     }
@@ -50,7 +50,7 @@
     /// How long the next answer is waited for.
     pub fn timeout(&self) -> Micros {
         let (mean, variation) = self.estimate.unwrap_or_default();
-        (mean + VARIATION_FACTOR * variation).clamp(self.least, self.most)
+        (mean + VARIATION_FACTOR * variation).clamp(self.min, self.max)
     }
 }
 
--- a/crates/proxy/src/config_freshness.rs
+++ b/crates/proxy/src/config_freshness.rs
@@ -8,13 +8,13 @@
 
 /// The part of the time in which a change has to be in force for which a confirmation holds. The rest is left for the replica
 /// that confirmed it: one that has missed a change hears of it from the others within seconds.
-const CONFIRMED_PART: Micros = 2;
+const CONFIRMATION_DIVISOR: Micros = 2;
 
 /// How old the configuration of this proxy may be.
 #[derive(Clone, Debug)]
 pub struct ConfigFreshness {
     /// How long a confirmation holds.
-    duration: Micros,
+    confirmation_lifetime: Micros,
     /// Everything that was in force at this time is known.
     confirmed_at: Option<Micros>,
     final_refusals: Invariant,
@@ -24,7 +24,7 @@
     /// Of a proxy to which nothing was confirmed yet. `apply`: the time in which a change has to be in force.
     pub fn new(apply: Micros) -> ConfigFreshness {
         ConfigFreshness {
-            duration: apply / CONFIRMED_PART,
+            confirmation_lifetime: apply / CONFIRMATION_DIVISOR,
             confirmed_at: None,
             final_refusals: Invariant::new("final_refusals_of_known_configuration"),
         }
@@ -43,7 +43,7 @@
     /// Whether a change that is missing would not have to be in force yet.
     pub fn is_current(&self, now: Micros) -> bool {
         self.confirmed_at
-            .is_some_and(|at| now.saturating_sub(at) <= self.duration)
+            .is_some_and(|at| now.saturating_sub(at) <= self.confirmation_lifetime)
     }
 
     /// Checks an answer of the proxy itself before it is sent: 401, 403 and 404 are given by a current configuration only.
--- a/crates/proxy/src/config_store.rs
+++ b/crates/proxy/src/config_store.rs
@@ -23,12 +23,12 @@
     items: Items,
     routes: BTreeMap<String, Rc<Route>>,
     /// Routes by host, longest prefix first.
-    hosts: BTreeMap<String, Vec<Rc<Route>>>,
+    routes_by_host: BTreeMap<String, Vec<Rc<Route>>>,
     tenants: BTreeMap<String, Rc<NamedTenant>>,
-    keys: BTreeMap<String, Rc<NamedTenant>>,
+    tenants_by_api_key: BTreeMap<String, Rc<NamedTenant>>,
     services: BTreeMap<String, Service>,
-    limits: Option<ClientLimits>,
-    evacuated: BTreeSet<String>,
+    client_limits: Option<ClientLimits>,
+    evacuated_zones: BTreeSet<String>,
 }
 
 /// What an update changed.
@@ -57,12 +57,12 @@
             {
                 continue;
             }
-            match self.set(&item) {
+            match self.store_item(&item) {
                 Ok(()) => {
                     touched.has_new_items = true;
                     let zone = item.name.kind == ItemKind::Zone;
                     touched.zones_changed |= zone;
-                    let back = zone && !self.evacuated.contains(&item.name.name);
+                    let back = zone && !self.evacuated_zones.contains(&item.name.name);
                     touched
                         .restored_zones
                         .extend(back.then(|| item.name.name.clone()));
@@ -72,12 +72,12 @@
             }
         }
         if touched.has_new_items {
-            self.index();
+            self.rebuild_indexes();
         }
         (touched, faults)
     }
 
-    fn set(&mut self, item: &Item) -> Result<(), ConfigError> {
+    fn store_item(&mut self, item: &Item) -> Result<(), ConfigError> {
         let name = item.name.name.clone();
         let dropped = item.spec.is_none();
         match item.name.kind {
@@ -91,25 +91,25 @@
             }
             ItemKind::Service if dropped => _ = self.services.remove(&name),
             ItemKind::Service => _ = self.services.insert(name, parse_spec(item)?),
-            ItemKind::Limits if dropped => self.limits = None,
-            ItemKind::Limits => self.limits = Some(parse_spec(item)?),
+            ItemKind::Limits if dropped => self.client_limits = None,
+            ItemKind::Limits => self.client_limits = Some(parse_spec(item)?),
             ItemKind::Zone if item.spec.as_deref() == Some("true") => {
-                _ = self.evacuated.insert(name)
+                _ = self.evacuated_zones.insert(name)
             }
-            ItemKind::Zone => _ = self.evacuated.remove(&name),
+            ItemKind::Zone => _ = self.evacuated_zones.remove(&name),
         }
         Ok(())
     }
 
-    fn index(&mut self) {
-        self.hosts.clear();
+    fn rebuild_indexes(&mut self) {
+        self.routes_by_host.clear();
         for route in self.routes.values() {
-            self.hosts
+            self.routes_by_host
                 .entry(route.host.to_ascii_lowercase())
                 .or_default()
                 .push(route.clone());
         }
-        self.hosts
+        self.routes_by_host
             .values_mut()
             .for_each(|routes| routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len())));
         let keys = |named: &Rc<NamedTenant>| {
@@ -121,7 +121,7 @@
                 .into_iter()
                 .map(move |key| (key, named.clone()))
         };
-        self.keys = self.tenants.values().flat_map(keys).collect();
+        self.tenants_by_api_key = self.tenants.values().flat_map(keys).collect();
     }
 
     /// The route of a request: the longest matching path prefix of its host.
@@ -131,20 +131,20 @@
             .filter(|(_, port)| port.parse::<u16>().is_ok())
             .map_or(host, |h| h.0);
         let path = target.split(['?', '#']).next().unwrap_or_default();
-        let routes = match self.hosts.get(host) {
+        let routes = match self.routes_by_host.get(host) {
             Some(routes) => routes,
-            None => self.hosts.get(&host.to_ascii_lowercase())?,
+            None => self.routes_by_host.get(&host.to_ascii_lowercase())?,
         };
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
     /// The tenant of an API key.
     pub fn tenant_by_api_key(&self, key: &str) -> Option<&Rc<NamedTenant>> {
-        self.keys.get(key)
+        self.tenants_by_api_key.get(key)
     }
 
     /// Whether requests must carry a key.
-    pub fn requires_keys(&self) -> bool {
+    pub fn requires_api_keys(&self) -> bool {
         !self.tenants.is_empty()
     }
 
@@ -154,13 +154,13 @@
     }
 
     /// The limits on what clients may send.
-    pub fn limits(&self) -> Option<&ClientLimits> {
-        self.limits.as_ref()
+    pub fn client_limits(&self) -> Option<&ClientLimits> {
+        self.client_limits.as_ref()
     }
 
     /// Zones whose servers receive no new requests.
     pub fn evacuated_zones(&self) -> &BTreeSet<String> {
-        &self.evacuated
+        &self.evacuated_zones
     }
 
     /// The number of items, removed ones included.
--- a/crates/proxy/src/config_store/tests.rs
+++ b/crates/proxy/src/config_store/tests.rs
@@ -92,14 +92,14 @@
             Some(&format!(r#"{{"apikeys":[{keys}],"per_s":5,"burst":5}}"#)),
         )
     };
-    assert!(!config_store.requires_keys());
+    assert!(!config_store.requires_api_keys());
     config_store.apply(vec![tenant(1, r#""k1","k2""#)]);
     assert_eq!(config_store.tenant_by_api_key("k1").unwrap().name, "t");
     config_store.apply(vec![tenant(3, r#""k2""#)]);
     assert!(
         config_store.tenant_by_api_key("k1").is_none()
             && config_store.tenant_by_api_key("k2").is_some()
-            && config_store.requires_keys()
+            && config_store.requires_api_keys()
     );
 }
 
--- a/crates/proxy/src/host/admission.rs
+++ b/crates/proxy/src/host/admission.rs
@@ -5,7 +5,7 @@
 use super::clients::RESPONSE_MARGIN;
 use super::responses::{DEFAULT_RETRY_AFTER, LocalResponse, local_response, retry_later};
 use super::*;
-use crate::answers::is_hop_by_hop;
+use crate::response_class::is_hop_by_hop_field;
 use crate::router::RoutingRequest;
 use crate::shedding::SheddingRequest;
 
@@ -50,18 +50,18 @@
         };
         let tenant =
             api_key(&head.headers).and_then(|key| self.config_store.tenant_by_api_key(key));
-        if tenant.is_none() && !route.public && self.config_store.requires_keys() {
+        if tenant.is_none() && !route.public && self.config_store.requires_api_keys() {
             return false;
         }
         let tenant = tenant.map(|known| (known.name.as_str(), &known.tenant));
         let asker = SheddingRequest {
-            id,
+            request_id: id,
             route,
-            svc,
+            service: svc,
             tenant,
         };
         client.band = asker.band();
-        self.router.would_be_shed(now, &asker)
+        self.router.is_shed_by_head(now, &asker)
     }
 
     /// Admits a request by its head; `streamed`: its body is forwarded while it arrives.
@@ -95,7 +95,7 @@
         let tenant = api_key(&head.headers)
             .and_then(|key| self.config_store.tenant_by_api_key(key))
             .cloned();
-        if tenant.is_none() && !route.public && self.config_store.requires_keys() {
+        if tenant.is_none() && !route.public && self.config_store.requires_api_keys() {
             return Err(self.refusal(now, 401, "no such key"));
         }
         let allowed_time = allowed_time(&head.headers, &route);
@@ -126,7 +126,7 @@
             allowed_time,
             body_framing: streamed.map(|body| body.framing),
             handle: RequestHandle {
-                engine: 0,
+                engine_index: 0,
                 key: AuthorisationKey::default(),
             },
             used_connections: Vec::new(),
@@ -281,7 +281,7 @@
         .collect();
     let passes = |name: &str| {
         let listed = |list: &[&str]| list.iter().any(|other| name.eq_ignore_ascii_case(other));
-        !is_hop_by_hop(name) && !listed(&OWN) && !listed(&named)
+        !is_hop_by_hop_field(name) && !listed(&OWN) && !listed(&named)
     };
     for (name, value) in headers.iter().filter(|(name, _)| passes(name)) {
         line(name, value);
--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -66,7 +66,7 @@
     pub(super) fn send_load_reports(&mut self, now: Micros) {
         self.deadlines
             .schedule(now + overload::EVALUATION_INTERVAL, Timer::LoadReport);
-        let load = self.router.shedding().take_reports(now);
+        let load = self.router.shedding().take_load_reports(now);
         if !load.is_empty() {
             self.send_to_agent(&AgentMessage::LoadReports(load));
         }
@@ -140,9 +140,10 @@
                 self.caught_up_at = self.clock.now();
                 self.router.handle_clock_jump(time, time - now);
             }
-            ControlMessage::Levels { age, levels } => {
-                self.router.shedding().set_levels(now, age, levels)
-            }
+            ControlMessage::Levels { age, levels } => self
+                .router
+                .shedding()
+                .set_admission_levels(now, age, levels),
             ControlMessage::Totals { batch, totals } => self.handle_totals(batch, &totals),
             ControlMessage::NotCounted(batch) => {
                 if let Some(batch) = self.take_batch(batch) {
@@ -153,7 +154,11 @@
     }
 
     fn handle_config_change(&mut self, now: Micros, touched: ConfigChange) {
-        if let Some(limits) = self.config_store.limits().filter(|_| touched.has_new_items) {
+        if let Some(limits) = self
+            .config_store
+            .client_limits()
+            .filter(|_| touched.has_new_items)
+        {
             self.limits.max_head_bytes = limits.hdr_bytes as usize;
             self.limits.max_request_bytes = limits.body_bytes;
             self.limits.request_timeout = limits.hdr.0;
@@ -184,14 +189,14 @@
             self.router.update_servers(engine, entries);
         }
         self.close_unlisted();
-        if let Some(at) = self.server_table.next_warm(now) {
+        if let Some(at) = self.server_table.next_warm_up_end(now) {
             self.deadlines.schedule(at, Timer::WarmupOver);
         }
     }
 
     pub(super) fn add_to_pool(&mut self, servers: Vec<ServerId>) {
         for server in servers {
-            if let Some((address, _)) = self.server_table.address_of(server) {
+            if let Some((address, _)) = self.server_table.address_and_instance_id(server) {
                 let moved = self.pool.add_server(server, address);
                 self.close_idle(moved);
             }
--- a/crates/proxy/src/host/capacity.rs
+++ b/crates/proxy/src/host/capacity.rs
@@ -47,7 +47,7 @@
             self.buffered_bytes as f64 / MAX_BUFFERED_BYTES as f64,
             self.connections.len() as f64 / self.descriptors() as f64,
         ];
-        let node = self.router.shedding().node();
+        let node = self.router.shedding().overload_detector();
         node.record_intake(count, behind.max(late));
         node.set_fill_level(shares.into_iter().fold(0.0, f64::max));
     }
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -132,7 +132,7 @@
     pub(super) fn abandon_request(&mut self, now: Micros, request: RequestKey) {
         if let Some(request) = self.requests.remove(request) {
             self.router
-                .handle_client_left(now, request.handle, &mut self.actions);
+                .handle_client_disconnected(now, request.handle, &mut self.actions);
         }
     }
 
--- a/crates/proxy/src/host/metrics.rs
+++ b/crates/proxy/src/host/metrics.rs
@@ -89,7 +89,7 @@
         text.gauge(
             "proxy_quota_shares_binding",
             "1 while quotas are enforced by local shares",
-            u8::from(self.router.are_shares_binding(now)),
+            u8::from(self.router.enforces_local_shares(now)),
         );
         text.gauge(
             "proxy_config_current",
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -42,9 +42,9 @@
 use self::metrics::ProxyMetrics;
 use self::response_streams::ResponseStream;
 use crate::adaptive_timeout::AdaptiveTimeout;
-use crate::answers::ResponseClass;
 use crate::config_freshness::ConfigFreshness;
 use crate::config_store::ConfigStore;
+use crate::response_class::ResponseClass;
 use crate::router::{
     MAX_COUNTER_TIMEOUT, MIN_COUNTER_TIMEOUT, RequestHandle, RequestKey, RequestRouter,
     RouterAction,
--- a/crates/proxy/src/host/response_streams.rs
+++ b/crates/proxy/src/host/response_streams.rs
@@ -7,7 +7,7 @@
 use super::responses::keep_alive_field;
 use super::upstreams::READ_WINDOW_BYTES;
 use super::*;
-use crate::answers::{is_forwarded, stream_deadline};
+use crate::response_class::{is_forwarded_field, stream_deadline};
 
 /// An answer that is being streamed.
 pub(super) struct ResponseStream {
@@ -40,7 +40,7 @@
         else {
             return self.close_upstream(key);
         };
-        self.upstreams.remove(&(handle.engine, handle.key));
+        self.upstreams.remove(&(handle.engine_index, handle.key));
         let answers = self
             .router
             .handle_attempt_ended(now, handle, number, Outcome::Ok);
@@ -62,7 +62,7 @@
         let lines = head
             .headers
             .iter()
-            .filter(|(name, _)| is_forwarded(name))
+            .filter(|(name, _)| is_forwarded_field(name))
             .chain(keep_alive_field(&self.client_keep_alive, close));
         let relay = Relay::begin((&head, extent), reader, &come, lines, close, out);
         let patience = (relay.is_reusable() && sent).then(|| self.idle_timeout(&head));
--- a/crates/proxy/src/host/responses.rs
+++ b/crates/proxy/src/host/responses.rs
@@ -5,7 +5,7 @@
 
 use super::clients::{READ_WINDOW_BYTES, RESPONSE_MARGIN};
 use super::*;
-use crate::answers::is_forwarded;
+use crate::response_class::is_forwarded_field;
 
 /// An idle connection is kept this much longer than its client is told.
 const KEEP_ALIVE_MARGIN: Micros = SECOND;
@@ -90,7 +90,7 @@
         lines.extend((own.retry_after > 0).then_some(("Retry-After", seconds.as_str())));
         // While the node is crowded, rejected clients are disconnected: a retry uses a new
         // connection anyway.
-        let crowded = self.router.shedding().node().is_nearly_full();
+        let crowded = self.router.shedding().overload_detector().is_nearly_full();
         self.client(key)
             .into_iter()
             .for_each(|client| client.close_after_response |= crowded);
@@ -123,7 +123,10 @@
         let length = body.len().to_string();
         let bodiless = matches!(head.status, 204 | 304);
         let length = (!bodiless).then_some(("Content-Length", length.as_str()));
-        let lines = head.headers.iter().filter(|(name, _)| is_forwarded(name));
+        let lines = head
+            .headers
+            .iter()
+            .filter(|(name, _)| is_forwarded_field(name));
         let lines = length
             .into_iter()
             .chain(lines)
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -169,6 +169,6 @@
         let handle = request.handle;
         self.finish_request(now, key, EngineRejection::Failed);
         self.router
-            .handle_client_left(now, handle, &mut self.actions);
+            .handle_client_disconnected(now, handle, &mut self.actions);
     }
 }
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -9,7 +9,9 @@
 
 use super::admission::has_body;
 use super::*;
-use crate::answers::{ResponseHandling, classify, handling, keep_alive_seconds};
+use crate::response_class::{
+    ResponseHandling, choose_handling, classify, parse_keep_alive_timeout,
+};
 
 /// Bytes read of an answer at a time: a short one together with its head.
 pub(super) const READ_WINDOW_BYTES: usize = MAX_BUFFERED_RESPONSE_BYTES + 16 * 1024;
@@ -77,7 +79,7 @@
         match acquired {
             Ok(connection) => {
                 self.upstreams
-                    .insert((handle.engine, handle.key), connection);
+                    .insert((handle.engine_index, handle.key), connection);
                 self.write_attempt(now, key, connection, server);
             }
             Err(outcome) => {
@@ -103,7 +105,7 @@
     ) {
         let (Some(request), Some((_, id))) = (
             self.requests.get_mut(key),
-            self.server_table.address_of(server),
+            self.server_table.address_and_instance_id(server),
         ) else {
             return;
         };
@@ -216,7 +218,7 @@
     ) -> Result<ConnectionId, Outcome> {
         let (address, _) = self
             .server_table
-            .address_of(server)
+            .address_and_instance_id(server)
             .ok_or(Outcome::ConnectFailed)?;
         let key = self
             .connections
@@ -300,13 +302,17 @@
 
     /// Whether a server that may run this request holds an attempt of it.
     pub(super) fn may_be_running(&self, handle: RequestHandle) -> bool {
-        let key = self.upstreams.get(&(handle.engine, handle.key));
+        let key = self.upstreams.get(&(handle.engine_index, handle.key));
         key.and_then(|key| self.outcome_if_ended(*key)) == Some(Outcome::Reset)
     }
 
     /// The module stops an attempt: its outcome is known.
     pub(super) fn stop_attempt(&mut self, _now: Micros, handle: RequestHandle, number: u32) {
-        let Some(key) = self.upstreams.get(&(handle.engine, handle.key)).copied() else {
+        let Some(key) = self
+            .upstreams
+            .get(&(handle.engine_index, handle.key))
+            .copied()
+        else {
             return;
         };
         let Some(Role::Upstream(upstream)) = self.roles.get(key) else {
@@ -319,7 +325,7 @@
             return;
         }
         let may_have_run = self.outcome_if_ended(key) == Some(Outcome::Reset);
-        self.upstreams.remove(&(handle.engine, handle.key));
+        self.upstreams.remove(&(handle.engine_index, handle.key));
         if let Some(request) = self.requests.get_mut(request) {
             request.may_have_run |= may_have_run;
         }
@@ -407,7 +413,7 @@
             UpstreamPurpose::Attempt(..) => class,
             UpstreamPurpose::Probe(_) => ResponseClass::Failure,
         };
-        match handling(class, &upstream.incoming, &self.limits) {
+        match choose_handling(class, &upstream.incoming, &self.limits) {
             ResponseHandling::Streamed => self.begin_stream(now, key, purpose),
             ResponseHandling::Rejected => {
                 self.finish_exchange(now, key, purpose, ResponseClass::Malformed)
@@ -421,7 +427,10 @@
 
     /// How long an idle connection may be used after this answer.
     pub(super) fn idle_timeout(&self, head: &ResponseHead) -> Micros {
-        let told = head.headers.get("Keep-Alive").and_then(keep_alive_seconds);
+        let told = head
+            .headers
+            .get("Keep-Alive")
+            .and_then(parse_keep_alive_timeout);
         let told = told.map_or(Micros::MAX, |seconds| {
             Micros::from(seconds) * SECOND - IDLE_MARGIN
         });
@@ -457,7 +466,7 @@
             upstream.reusable_until = now + patience;
         }
         if let UpstreamPurpose::Attempt(_, handle, _) = purpose {
-            self.upstreams.remove(&(handle.engine, handle.key));
+            self.upstreams.remove(&(handle.engine_index, handle.key));
         }
         if !(keep && self.pool.release(server, key, now)) {
             self.close_upstream(key);
@@ -468,7 +477,10 @@
                 self.handle_attempt_response(now, (request, handle, number), server, class, answer);
             }
             UpstreamPurpose::Probe(engine) => {
-                let own = self.server_table.address_of(server).map(|(_, id)| id);
+                let own = self
+                    .server_table
+                    .address_and_instance_id(server)
+                    .map(|(_, id)| id);
                 let head = parts.as_ref().map(|(head, ..)| head);
                 let same = head.is_some_and(|head| head.headers.get("X-Instance-Id") == own);
                 let outcome = match head.map(|head| head.status) {
@@ -490,7 +502,7 @@
         answer: Option<(ResponseHead, Vec<u8>)>,
     ) {
         if class == ResponseClass::WrongServer {
-            self.server_table.mark_wrong_server(server);
+            self.server_table.mark_replaced(server);
             self.update_servers(now);
         }
         let Some(outcome) = class.outcome() else {
@@ -533,7 +545,7 @@
         self.close_upstream(key);
         match purpose {
             Some(UpstreamPurpose::Attempt(request, handle, number)) => {
-                self.upstreams.remove(&(handle.engine, handle.key));
+                self.upstreams.remove(&(handle.engine_index, handle.key));
                 if let Some(request) = self.requests.get_mut(request) {
                     request.may_have_run |= outcome == Outcome::Reset;
                 }
@@ -551,13 +563,13 @@
         let path = self
             .server_table
             .get(server)
-            .and_then(|known| self.config_store.service(&known.server.svc));
+            .and_then(|known| self.config_store.service(&known.listing.svc));
         let path = path.map_or("/healthz".to_string(), |service| service.hcheck.clone());
         let key = match self.acquire_connection(now, server, UpstreamPurpose::Probe(engine)) {
             Ok(key) => key,
             Err(outcome) => return self.router.handle_probe_result(engine, server, outcome),
         };
-        let Some((address, id)) = self.server_table.address_of(server) else {
+        let Some((address, id)) = self.server_table.address_and_instance_id(server) else {
             return;
         };
         if let Some(out) = self.connections.output(key) {
@@ -567,7 +579,7 @@
                 "GET {path} HTTP/1.1\r\nHost: {address}\r\nX-Want-Instance: {id}\r\n\r\n"
             );
         }
-        let way = if self.server_table.is_remote(server) {
+        let way = if self.server_table.is_in_other_region(server) {
             TWO_ROUND_TRIPS
         } else {
             0
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -7,10 +7,10 @@
 //! connections.
 
 pub mod adaptive_timeout;
-pub mod answers;
 pub mod config_freshness;
 pub mod config_store;
 pub mod host;
+pub mod response_class;
 pub mod router;
 pub mod server_table;
 pub mod shedding;
--- a/crates/proxy/src/answers.rs
+++ b/crates/proxy/src/response_class.rs
@@ -73,7 +73,7 @@
 }
 
 /// Decides by the answer's head and by how much of it has arrived.
-pub fn handling(
+pub fn choose_handling(
     verdict: ResponseClass,
     incoming: &IncomingMessage<ResponseHead>,
     limits: &Limits,
@@ -101,12 +101,12 @@
 }
 
 /// Whether a header field of an answer is forwarded.
-pub fn is_forwarded(name: &str) -> bool {
-    !is_hop_by_hop(name)
+pub fn is_forwarded_field(name: &str) -> bool {
+    !is_hop_by_hop_field(name)
 }
 
 /// Whether a header field is hop-by-hop, or written by the proxy itself.
-pub fn is_hop_by_hop(name: &str) -> bool {
+pub fn is_hop_by_hop_field(name: &str) -> bool {
     const LINES: [&str; 9] = [
         "connection",
         "keep-alive",
@@ -122,7 +122,7 @@
 }
 
 /// The idle time-out of a server's connection in seconds, from its `Keep-Alive` field.
-pub fn keep_alive_seconds(value: &str) -> Option<u32> {
+pub fn parse_keep_alive_timeout(value: &str) -> Option<u32> {
     value
         .split(',')
         .find_map(|part| part.trim().strip_prefix("timeout="))
--- a/crates/proxy/src/answers/tests.rs
+++ b/crates/proxy/src/response_class/tests.rs
@@ -56,7 +56,7 @@
         ..Limits::default()
     };
     assert_eq!(
-        handling(verdict, &coming(text, come, &limits), &limits),
+        choose_handling(verdict, &coming(text, come, &limits), &limits),
         expected
     );
 }
@@ -81,5 +81,5 @@
 #[test_case("max=3", None; "without")]
 #[test_case("timeout=x", None; "no number")]
 fn keep_alive_seconds_are_parsed(value: &str, seconds: Option<u32>) {
-    assert_eq!(keep_alive_seconds(value), seconds);
+    assert_eq!(parse_keep_alive_timeout(value), seconds);
 }
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -18,11 +18,13 @@
 use slotmap::SecondaryMap;
 use streamarch::{CounterKey, Micros, Outcome, ServerId, Settings};
 
-use self::placement_engine::{LATENCY_TARGETS, class_of};
-use self::quota_engine::{ISOLATION_FACTOR, MAX_COUNTING_LIMITERS, customer_id, quota_engine};
+use self::placement_engine::{LATENCY_TARGETS, class_index};
+use self::quota_engine::{
+    ISOLATED_SHARE_DIVISOR, MAX_COUNTING_LIMITERS, customer_id, quota_engine,
+};
 pub use self::quota_engine::{MAX_COUNTER_TIMEOUT, MIN_COUNTER_TIMEOUT};
 use self::quota_shares::{QuotaShare, QuotaShares};
-use crate::shedding::{LoadShedding, SheddingPriority, SheddingRequest, tier};
+use crate::shedding::{LoadShedding, SheddingPriority, SheddingRequest, priority_tier};
 
 slotmap::new_key_type! {
     /// A request whose final answer is still owed.
@@ -43,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestHandle {
     /// Position of the engine.
-    pub engine: usize,
+    pub engine_index: usize,
     /// Its authorisation.
     pub key: AuthorisationKey,
 }
@@ -102,17 +104,17 @@
             ..
         } = *self;
         SheddingRequest {
-            id,
+            request_id: id,
             route,
-            svc,
+            service: svc,
             tenant,
         }
     }
 }
 
-struct ServiceEngine {
+struct EngineEntry {
     /// The service; empty for the quota engine.
-    svc: String,
+    service: String,
     /// The latency target.
     latency_target: Micros,
     engine: Engine,
@@ -121,11 +123,11 @@
     shed_requests: SecondaryMap<AuthorisationKey, ()>,
 }
 
-impl ServiceEngine {
-    fn new(svc: &str, engine: Engine) -> ServiceEngine {
+impl EngineEntry {
+    fn new(svc: &str, engine: Engine) -> EngineEntry {
         let (requests, waiting) = (SecondaryMap::new(), SecondaryMap::new());
-        ServiceEngine {
-            svc: svc.to_string(),
+        EngineEntry {
+            service: svc.to_string(),
             latency_target: 0,
             engine,
             requests,
@@ -136,11 +138,11 @@
 
 /// Where a request goes once its quota was checked.
 struct PendingPlacement {
-    engine: usize,
+    engine_index: usize,
     class: usize,
     priority: SheddingPriority,
     /// Its admission was decided before its quota was checked.
-    is_counted: bool,
+    is_admission_recorded: bool,
     tenant: String,
     deadline: Micros,
     /// Its tenant's local share is used up; it may come again after this time.
@@ -148,43 +150,43 @@
 }
 
 /// Limits and position of each tenant's plan.
-type Plans = BTreeMap<String, ((u64, u64), usize)>;
+type PlanIndices = BTreeMap<String, ((u64, u64), usize)>;
 
 /// Routes the requests of one proxy.
 pub struct RequestRouter {
     seed: u64,
     bounds: Bounds,
-    limiters: u32,
+    limiter_count: u32,
     /// Number of limiters that quotas are divided by.
     quota_divisor: u32,
     /// The control plane does not count on this limiter any more.
     is_isolated: bool,
     /// Reduces the local shares until then, after a jump of the clock.
-    reduced_until: Micros,
+    reduced_shares_until: Micros,
     /// End of the start-up phase.
-    starting_until: Option<Micros>,
+    startup_until: Option<Micros>,
     /// When a lower number of limiters was first announced, and the highest number announced since.
     pending_decrease: Option<(Micros, u32)>,
     /// The term of the counter's owner.
     counter_term: Option<u64>,
     /// The newest term announced.
-    newest_term: u64,
-    engines: Vec<ServiceEngine>,
+    highest_counter_term: u64,
+    engines: Vec<EngineEntry>,
     shedding: LoadShedding,
     /// Position of each engine by service and regions.
-    positions_by_service: BTreeMap<(String, Vec<String>), usize>,
+    engine_indices: BTreeMap<(String, Vec<String>), usize>,
     pending_placements: SecondaryMap<AuthorisationKey, PendingPlacement>,
     /// The tenants' local shares while the counter is in doubt.
     quota_shares: QuotaShares,
     /// The tenants' plans in the quota engine, with the usual and the reduced burst: limits and
     /// position.
-    plans: [Plans; 2],
+    plan_indices: [PlanIndices; 2],
     plan_count: usize,
     engine_actions: Vec<EngineAction>,
 }
 
 /// The settings of both kinds of engines.
-fn settings(limiters: u32) -> Settings {
+fn common_engine_settings(limiters: u32) -> Settings {
     Settings {
         gateway_count: limiters.max(1),
         min_handle_interval: 1,
@@ -202,24 +204,24 @@
 impl RequestRouter {
     /// A router without services.
     pub fn new(seed: u64, bounds: Bounds) -> RequestRouter {
-        let quota_engine = ServiceEngine::new("", quota_engine(seed, MAX_REQUESTS_PER_ENGINE));
+        let quota_engine = EngineEntry::new("", quota_engine(seed, MAX_REQUESTS_PER_ENGINE));
         RequestRouter {
             seed,
             bounds,
-            limiters: 1,
+            limiter_count: 1,
             quota_divisor: MAX_COUNTING_LIMITERS,
             is_isolated: false,
-            reduced_until: 0,
-            starting_until: None,
+            reduced_shares_until: 0,
+            startup_until: None,
             pending_decrease: None,
             counter_term: None,
-            newest_term: 0,
+            highest_counter_term: 0,
             engines: vec![quota_engine],
             shedding: LoadShedding::default(),
-            positions_by_service: BTreeMap::new(),
+            engine_indices: BTreeMap::new(),
             pending_placements: SecondaryMap::new(),
             quota_shares: QuotaShares::default(),
-            plans: Default::default(),
+            plan_indices: Default::default(),
             plan_count: 0,
             engine_actions: Vec::new(),
         }
@@ -231,24 +233,27 @@
         let shedding_request = request.shedding_request();
         let priority = self.shedding.priority(now, &shedding_request);
         let limited = request.tenant.filter(|(_, tenant)| tenant.per_s > 0.0);
-        let first = limited.is_none() || self.shedding.is_shed_before_quota(now, &shedding_request);
+        let first = limited.is_none()
+            || self
+                .shedding
+                .is_shedding_checked_first(now, &shedding_request);
         if first {
-            self.shedding.record_admitted(request.service, &priority);
+            self.shedding.record_decision(request.service, &priority);
         }
-        let class = class_of(request.route, tier(request.route, request.tenant));
+        let class = class_index(request.route, priority_tier(request.route, request.tenant));
         let name = limited.map_or(String::new(), |(name, _)| name.to_string());
         let deadline = request.deadline;
         let pending = PendingPlacement {
-            engine: service_engine,
+            engine_index: service_engine,
             class,
             priority,
-            is_counted: first,
+            is_admission_recorded: first,
             tenant: name,
             deadline,
             share_retry_after: None,
         };
         let Some((name, tenant)) = limited else {
-            return self.submit_to_service(now, request.key, &pending, priority);
+            return self.submit_to_service_engine(now, request.key, &pending, priority);
         };
         self.submit_for_quota(now, request, pending, (name, tenant))
     }
@@ -262,17 +267,17 @@
         mut pending: PendingPlacement,
         (name, tenant): (&str, &Tenant),
     ) -> Option<RequestHandle> {
-        let plan = self.plan_position(now, name, tenant);
-        let spread = if self.is_isolated || now < self.reduced_until {
-            (ISOLATION_FACTOR * self.quota_divisor).min(MAX_COUNTING_LIMITERS)
+        let plan = self.plan_index(now, name, tenant);
+        let spread = if self.is_isolated || now < self.reduced_shares_until {
+            (ISOLATED_SHARE_DIVISOR * self.quota_divisor).min(MAX_COUNTING_LIMITERS)
         } else {
             self.quota_divisor
         };
-        let share = QuotaShare::of(tenant.per_s, tenant.burst, self.bounds.quota_slack, spread);
+        let share = QuotaShare::new(tenant.per_s, tenant.burst, self.bounds.quota_slack, spread);
         pending.share_retry_after = self.quota_shares.try_charge(now, name, share).err();
         let priority = match pending.share_retry_after {
             Some(_) => SheddingPriority::REJECTED,
-            None if pending.is_counted => pending.priority,
+            None if pending.is_admission_recorded => pending.priority,
             None => SheddingPriority::default(),
         };
         let authorisation = Authorisation {
@@ -291,18 +296,21 @@
         quota_engine.requests.insert(key, request.key);
         self.pending_placements.insert(key, pending);
         Some(RequestHandle {
-            engine: QUOTA_ENGINE,
+            engine_index: QUOTA_ENGINE,
             key,
         })
     }
 
     /// Whether a request is shed by its head alone, so that its body need not be read.
-    pub fn would_be_shed(&mut self, now: Micros, shedding_request: &SheddingRequest<'_>) -> bool {
+    pub fn is_shed_by_head(&mut self, now: Micros, shedding_request: &SheddingRequest<'_>) -> bool {
         let priority = self.shedding.priority(now, shedding_request);
-        let waits = priority.is_shed() && self.shedding.is_shed_before_quota(now, shedding_request);
+        let waits = priority.is_shed()
+            && self
+                .shedding
+                .is_shedding_checked_first(now, shedding_request);
         if waits {
             self.shedding
-                .record_admitted(shedding_request.svc, &priority);
+                .record_decision(shedding_request.service, &priority);
         }
         waits
     }
@@ -332,13 +340,13 @@
             let mut orders = std::mem::take(&mut self.engine_actions);
             self.engines[at].engine.run(now, &mut orders);
             for order in orders.drain(..) {
-                self.carry_out(now, at, order, actions, &mut moved);
+                self.handle_engine_action(now, at, order, actions, &mut moved);
             }
             self.engine_actions = orders;
         }
     }
 
-    fn carry_out(
+    fn handle_engine_action(
         &mut self,
         now: Micros,
         engine: usize,
@@ -348,7 +356,7 @@
     ) {
         match action {
             EngineAction::StartAttempt { key, attempt, .. } if engine == QUOTA_ENGINE => {
-                match self.hand_to_service(now, key, attempt) {
+                match self.submit_admitted(now, key, attempt) {
                     Some((request, Some(handle))) => moved(request, handle),
                     Some((request, None)) => {
                         let rejection = EngineRejection::Declined {
@@ -367,16 +375,30 @@
                 ..
             } => actions.extend(self.start_attempt(
                 now,
-                RequestHandle { engine, key },
+                RequestHandle {
+                    engine_index: engine,
+                    key,
+                },
                 attempt,
                 server,
             )),
-            EngineAction::CancelAttempt { key, attempt } => actions.push(
-                RouterAction::CancelAttempt(RequestHandle { engine, key }, attempt),
-            ),
-            EngineAction::Reject { key, rejection } => {
-                actions.extend(self.reject(now, RequestHandle { engine, key }, rejection))
+            EngineAction::CancelAttempt { key, attempt } => {
+                actions.push(RouterAction::CancelAttempt(
+                    RequestHandle {
+                        engine_index: engine,
+                        key,
+                    },
+                    attempt,
+                ))
             }
+            EngineAction::Reject { key, rejection } => actions.extend(self.handle_rejection(
+                now,
+                RequestHandle {
+                    engine_index: engine,
+                    key,
+                },
+                rejection,
+            )),
             EngineAction::AddToCounter {
                 name,
                 amount: add,
@@ -394,13 +416,13 @@
     }
 
     /// Whether quotas are enforced by local shares now.
-    pub fn are_shares_binding(&mut self, now: Micros) -> bool {
+    pub fn enforces_local_shares(&mut self, now: Micros) -> bool {
         self.quota_shares.is_binding(now)
     }
 
     /// The quota engine admitted a request: hands it to the engine of its service. Returns the
     /// request with its new handle, which is `None` if that engine holds too many.
-    fn hand_to_service(
+    fn submit_admitted(
         &mut self,
         now: Micros,
         key: AuthorisationKey,
@@ -413,14 +435,16 @@
         let request = quota_engine.requests.remove(key);
         let pending = self.pending_placements.remove(key);
         let (request, pending) = request.zip(pending)?;
-        let priority = if pending.is_counted {
+        let priority = if pending.is_admission_recorded {
             SheddingPriority::default()
         } else {
-            self.shedding
-                .record_admitted(&self.engines[pending.engine].svc, &pending.priority);
+            self.shedding.record_decision(
+                &self.engines[pending.engine_index].service,
+                &pending.priority,
+            );
             pending.priority
         };
-        let handle = self.submit_to_service(now, request, &pending, priority);
+        let handle = self.submit_to_service_engine(now, request, &pending, priority);
         Some((request, handle))
     }
 
@@ -431,7 +455,7 @@
         attempt: u32,
         server: ServerId,
     ) -> Option<RouterAction> {
-        let service = &mut self.engines[handle.engine];
+        let service = &mut self.engines[handle.engine_index];
         let Some(request) = service.requests.get(handle.key).copied() else {
             service
                 .engine
@@ -446,25 +470,27 @@
         })
     }
 
-    fn reject(
+    fn handle_rejection(
         &mut self,
         now: Micros,
         handle: RequestHandle,
         rejection: EngineRejection,
     ) -> Option<RouterAction> {
-        let rejection = if handle.engine == QUOTA_ENGINE {
-            self.reject_for_quota(now, handle.key, rejection)
+        let rejection = if handle.engine_index == QUOTA_ENGINE {
+            self.quota_rejection(now, handle.key, rejection)
         } else {
             self.record_rejection(now, handle, rejection);
             rejection
         };
-        let request = self.engines[handle.engine].requests.remove(handle.key)?;
+        let request = self.engines[handle.engine_index]
+            .requests
+            .remove(handle.key)?;
         Some(RouterAction::Reject(request, rejection))
     }
 
     /// The quota engine rejects a request: returns the rejection, which names the local share if
     /// that is used up.
-    fn reject_for_quota(
+    fn quota_rejection(
         &mut self,
         now: Micros,
         key: AuthorisationKey,
@@ -487,8 +513,10 @@
             over_quota: true, ..
         } = rejection
         {
-            let svc = self.engines[pending.engine].svc.as_str();
-            let counted = pending.is_counted.then_some((svc, pending.priority.band));
+            let svc = self.engines[pending.engine_index].service.as_str();
+            let counted = pending
+                .is_admission_recorded
+                .then_some((svc, pending.priority.band));
             self.shedding
                 .record_over_quota(now, &pending.tenant, counted);
         }
@@ -500,9 +528,9 @@
         if !matches!(rejection, EngineRejection::Declined { .. }) {
             return;
         }
-        let service = &mut self.engines[handle.engine];
+        let service = &mut self.engines[handle.engine_index];
         if service.shed_requests.remove(handle.key).is_none() {
-            self.shedding.record_no_server(now, &service.svc);
+            self.shedding.record_no_server(now, &service.service);
         }
     }
 
@@ -514,11 +542,11 @@
         attempt: u32,
         outcome: Outcome,
     ) -> bool {
-        let service_engine = &mut self.engines[handle.engine];
+        let service_engine = &mut self.engines[handle.engine_index];
         if let Some((class, sent)) = service_engine.engine.in_flight_attempt(handle.key) {
             let times = (now - sent, LATENCY_TARGETS[class % LATENCY_TARGETS.len()]);
             self.shedding
-                .record_outcome(now, &service_engine.svc, outcome, times);
+                .record_outcome(now, &service_engine.service, outcome, times);
         }
         let last = service_engine
             .engine
@@ -531,28 +559,28 @@
 
     /// A streamed body was sent to a server and is no longer here: there can be no other attempt.
     pub fn handle_body_sent(&mut self, handle: RequestHandle) {
-        self.engines[handle.engine]
+        self.engines[handle.engine_index]
             .engine
             .handle_body_discarded(handle.key);
     }
 
     /// The last byte of an attempt is written.
     pub fn handle_attempt_written(&mut self, now: Micros, handle: RequestHandle) {
-        self.engines[handle.engine]
+        self.engines[handle.engine_index]
             .engine
             .handle_request_written(now, handle.key);
     }
 
     /// The client disconnected.
-    pub fn handle_client_left(
+    pub fn handle_client_disconnected(
         &mut self,
         now: Micros,
         handle: RequestHandle,
         actions: &mut Vec<RouterAction>,
     ) {
-        let service_engine = &mut self.engines[handle.engine];
+        let service_engine = &mut self.engines[handle.engine_index];
         service_engine.requests.remove(handle.key);
-        if handle.engine == QUOTA_ENGINE
+        if handle.engine_index == QUOTA_ENGINE
             && let Some(pending) = self
                 .pending_placements
                 .remove(handle.key)
@@ -565,7 +593,7 @@
             .engine
             .handle_client_disconnected(now, handle.key, &mut orders);
         for order in orders.drain(..) {
-            self.carry_out(now, handle.engine, order, actions, &mut |_, _| {});
+            self.handle_engine_action(now, handle.engine_index, order, actions, &mut |_, _| {});
         }
         self.engine_actions = orders;
     }
@@ -597,9 +625,9 @@
         // A proxy that starts does not know for how long this owner has been counting. A replica
         // that was isolated names the owner of a former term; that one counts nothing any more, so
         // that the counter has not moved.
-        if term > self.newest_term {
-            self.newest_term = term;
-            self.quota_shares.handle_holder_changed();
+        if term > self.highest_counter_term {
+            self.highest_counter_term = term;
+            self.quota_shares.handle_owner_changed();
         }
     }
 
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -6,8 +6,8 @@
 use streamarch::{Class, Idempotency, ListKind, Micros, Plan, RetryBudget, ServerEntry, Settings};
 
 use super::{
-    MAX_REQUESTS_PER_ENGINE, MS, PendingPlacement, RequestHandle, RequestKey, RequestRouter,
-    ServiceEngine, settings,
+    EngineEntry, MAX_REQUESTS_PER_ENGINE, MS, PendingPlacement, RequestHandle, RequestKey,
+    RequestRouter, common_engine_settings,
 };
 use crate::shedding::SheddingPriority;
 
@@ -28,16 +28,16 @@
 /// differing clocks.
 const RETRY_SHARE: f64 = 0.6;
 
-fn nearest_target(aim: Micros) -> usize {
+fn nearest_latency_target(aim: Micros) -> usize {
     let off = |at: &usize| (LATENCY_TARGETS[*at] - aim).abs();
     (0..LATENCY_TARGETS.len()).min_by_key(off).unwrap_or(0)
 }
 
-pub(super) fn class_of(route: &Route, prio: u32) -> usize {
+pub(super) fn class_index(route: &Route, prio: u32) -> usize {
     let rank = (prio as usize).min(PRIORITY_WEIGHTS.len() - 1);
     let repeat = usize::from(route.kind != Kind::Idempotent);
     (repeat * PRIORITY_WEIGHTS.len() + rank) * LATENCY_TARGETS.len()
-        + nearest_target(route.target_time.0)
+        + nearest_latency_target(route.target_time.0)
 }
 
 fn classes() -> Vec<Class> {
@@ -84,7 +84,7 @@
         retry_budget: retries,
         // An answer that is still of use to its client does not count as a silent server.
         min_silence_timeout: aim,
-        ..settings(limiters)
+        ..common_engine_settings(limiters)
     };
     Engine::new(settings, seed, most)
 }
@@ -92,7 +92,7 @@
 impl RequestRouter {
     /// The services and regions that have an engine, with its position.
     pub fn service_engines(&self) -> impl Iterator<Item = (&str, &[String], usize)> {
-        self.positions_by_service
+        self.engine_indices
             .iter()
             .map(|((svc, pins), at)| (svc.as_str(), pins.as_slice(), *at))
     }
@@ -108,7 +108,7 @@
     /// due.
     pub fn engine_index(&self, svc: &str, pins: &[String]) -> Option<usize> {
         // Looked up for each request: the key is built only where regions are named.
-        self.positions_by_service
+        self.engine_indices
             .iter()
             .find(|((s, p), _)| s == svc && p == pins)
             .map(|(_, at)| *at)
@@ -125,17 +125,17 @@
     ) -> usize {
         let at = self.engines.len();
         let engine = placement_engine(
-            self.limiters,
+            self.limiter_count,
             self.seed.wrapping_add(at as u64),
             MAX_REQUESTS_PER_ENGINE,
             &self.bounds,
             aim,
         );
-        self.engines.push(ServiceEngine {
+        self.engines.push(EngineEntry {
             latency_target: aim,
-            ..ServiceEngine::new(svc, engine)
+            ..EngineEntry::new(svc, engine)
         });
-        self.positions_by_service
+        self.engine_indices
             .insert((svc.to_string(), pins.to_vec()), at);
         self.update_servers(at, entries);
         at
@@ -143,7 +143,7 @@
 
     /// Hands a request to its service's engine. One that was admitted before is not subjected to
     /// shedding again.
-    pub(super) fn submit_to_service(
+    pub(super) fn submit_to_service_engine(
         &mut self,
         now: Micros,
         request: RequestKey,
@@ -151,7 +151,7 @@
         priority: SheddingPriority,
     ) -> Option<RequestHandle> {
         let &PendingPlacement {
-            engine: service_engine,
+            engine_index: service_engine,
             class,
             deadline,
             ..
@@ -178,7 +178,7 @@
             self.engines[service_engine].shed_requests.insert(key, ());
         }
         Some(RequestHandle {
-            engine: service_engine,
+            engine_index: service_engine,
             key,
         })
     }
--- a/crates/proxy/src/router/quota_engine.rs
+++ b/crates/proxy/src/router/quota_engine.rs
@@ -11,7 +11,7 @@
     ServerId, ServerState, Settings,
 };
 
-use super::{MS, RequestRouter, SECOND, settings};
+use super::{MS, RequestRouter, SECOND, common_engine_settings};
 
 /// Up to this many limiters the engine asks the counter for every request.
 pub(super) const MAX_COUNTING_LIMITERS: u32 = 64;
@@ -28,36 +28,36 @@
 const MIN_RETRY_AFTER: Micros = 300 * MS;
 /// A tenant may use its burst in each window in which quotas are counted. This part of it is
 /// refilled evenly over the window, in addition to the rate...
-const BURST_FLOW: f64 = 0.1;
+const BURST_REFILL_SHARE: f64 = 0.1;
 /// ...and this part may be used at one instant. The rest is reserved for a counter that was lost
 /// with its owner and restarts full.
-const BURST_SHARE: f64 = 0.45;
+const INSTANT_BURST_SHARE: f64 = 0.45;
 /// After the counter has moved to another replica, this part of the burst replaces it.
 const REDUCED_BURST_SHARE: f64 = 0.1;
 /// ...and this part of the slack, for a small tenant.
 const REDUCED_SLACK_SHARE: f64 = 0.2;
 /// A small tenant may use up to this part of the rules' slack at one instant.
-const SLACK_SHARE: f64 = 0.6;
+const INSTANT_SLACK_SHARE: f64 = 0.6;
 /// The counter's windows.
 const COUNTER_WINDOW: Micros = SECOND;
 /// A lower number of limiters takes effect after this time; a proxy assumes more than it is told
 /// for as long after its start.
 const DECREASE_DELAY: Micros = 10 * SECOND;
-pub(super) const START_DURATION: Micros = 1_500 * MS;
+pub(super) const STARTUP_DURATION: Micros = 1_500 * MS;
 /// At least this many limiters are assumed, since all may be starting.
-const MIN_LIMITERS_AT_START: u32 = 16;
+const MIN_LIMITERS_AT_STARTUP: u32 = 16;
 /// Clock jumps below this only shift the windows a little, and are ignored.
 const MIN_CLOCK_JUMP: Micros = 250 * MS;
 /// The window in which the rules count quotas.
 const QUOTA_WINDOW: Micros = 5 * SECOND;
 /// A limiter that is isolated divides its local share by this factor.
-pub(super) const ISOLATION_FACTOR: u32 = 3;
+pub(super) const ISOLATED_SHARE_DIVISOR: u32 = 3;
 /// The chance below which a call is not worth its request: dozens are in flight at once, as the
 /// counter is far away.
-const MIN_CALL_CHANCE: f64 = 0.25;
+const MIN_CALL_PROBABILITY: f64 = 0.25;
 /// Stands for all servers where a tenant is only checked; it accepts everything at once.
-const ADMITTED: ServerId = ServerId(0);
-const UNLIMITED: InitialConcurrency = InitialConcurrency(1e9);
+const PLACEHOLDER_SERVER: ServerId = ServerId(0);
+const NO_FIRST_BOUND: InitialConcurrency = InitialConcurrency(1e9);
 
 pub(super) fn customer_id(tenant: &str) -> CustomerId {
     let mut hasher = FnvHasher::default();
@@ -82,15 +82,15 @@
         counter_available: true,
         even_shares_counter_lost: true,
         even_share_first: true,
-        min_counted_share: MIN_CALL_CHANCE,
-        initial_concurrency: UNLIMITED,
+        min_counted_share: MIN_CALL_PROBABILITY,
+        initial_concurrency: NO_FIRST_BOUND,
         min_retry_after_counter_lost: MIN_RETRY_AFTER,
         max_attempts: 1,
-        ..settings(MAX_COUNTING_LIMITERS)
+        ..common_engine_settings(MAX_COUNTING_LIMITERS)
     };
     let mut engine = Engine::new(settings, seed, most);
     let through = ServerEntry {
-        server: ADMITTED,
+        server: PLACEHOLDER_SERVER,
         zone: 0,
         machine_type: 0,
         cell: 0,
@@ -108,17 +108,17 @@
     /// share, and limiters that are cut off go on using theirs. A proxy that has just started
     /// assumes twice as many: a control plane in trouble may not have heard of all of them.
     pub fn set_limiter_count(&mut self, now: Micros, limiters: u32) {
-        self.limiters = limiters.clamp(1, MAX_COUNTING_LIMITERS);
-        let young = now < *self.starting_until.get_or_insert(now + START_DURATION);
+        self.limiter_count = limiters.clamp(1, MAX_COUNTING_LIMITERS);
+        let young = now < *self.startup_until.get_or_insert(now + STARTUP_DURATION);
         let (since, most) = self.pending_decrease.unwrap_or((now, 1));
-        let most = most.max(self.limiters);
+        let most = most.max(self.limiter_count);
         if young {
             (self.quota_divisor, self.pending_decrease) = (
-                (2 * most).clamp(MIN_LIMITERS_AT_START, MAX_COUNTING_LIMITERS),
+                (2 * most).clamp(MIN_LIMITERS_AT_STARTUP, MAX_COUNTING_LIMITERS),
                 Some((now - DECREASE_DELAY, most)),
             );
-        } else if self.limiters >= self.quota_divisor {
-            (self.quota_divisor, self.pending_decrease) = (self.limiters, None);
+        } else if self.limiter_count >= self.quota_divisor {
+            (self.quota_divisor, self.pending_decrease) = (self.limiter_count, None);
         } else if now - since >= DECREASE_DELAY {
             (self.quota_divisor, self.pending_decrease) = (most, None);
         } else {
@@ -140,20 +140,20 @@
         // as complete.
         let by = by.max(0);
         self.quota_shares.handle_clock_jump(now, by);
-        self.starting_until = self.starting_until.map(|until| until + by);
+        self.startup_until = self.startup_until.map(|until| until + by);
         self.pending_decrease = self
             .pending_decrease
             .map(|(since, most)| (since + by, most));
         if by > MIN_CLOCK_JUMP && self.plan_count > 0 {
-            self.reduced_until = now + by.min(QUOTA_WINDOW);
+            self.reduced_shares_until = now + by.min(QUOTA_WINDOW);
         }
     }
 
     /// The position of a tenant's plan in the quota engine.
-    pub(super) fn plan_position(&mut self, now: Micros, name: &str, tenant: &Tenant) -> usize {
-        let lean = self.quota_shares.has_small_burst(now);
+    pub(super) fn plan_index(&mut self, now: Micros, name: &str, tenant: &Tenant) -> usize {
+        let lean = self.quota_shares.has_reduced_burst(now);
         let figures = (tenant.per_s.to_bits(), tenant.burst.to_bits());
-        if let Some((_, position)) = self.plans[usize::from(lean)]
+        if let Some((_, position)) = self.plan_indices[usize::from(lean)]
             .get(name)
             .filter(|(held, _)| *held == figures)
         {
@@ -161,16 +161,16 @@
         }
         let position = self.plan_count;
         self.plan_count += 1;
-        self.plans[usize::from(lean)].insert(name.to_string(), (figures, position));
+        self.plan_indices[usize::from(lean)].insert(name.to_string(), (figures, position));
         let span = (self.bounds.quota_window.0 as f64 / SECOND as f64).max(1.0);
         let (part, slack) = if lean {
             (REDUCED_BURST_SHARE, REDUCED_SLACK_SHARE)
         } else {
-            (BURST_SHARE, SLACK_SHARE)
+            (INSTANT_BURST_SHARE, INSTANT_SLACK_SHARE)
         };
         let slack = self.bounds.quota_slack * slack;
         let plan = Plan {
-            rate_per_s: tenant.per_s + BURST_FLOW * tenant.burst / span,
+            rate_per_s: tenant.per_s + BURST_REFILL_SHARE * tenant.burst / span,
             burst: (part * tenant.burst).max(slack.min(tenant.burst)).max(1.0),
             value_factor: 1.0,
             over_quota_cost_share: 1.0,
--- a/crates/proxy/src/router/quota_shares.rs
+++ b/crates/proxy/src/router/quota_shares.rs
@@ -15,10 +15,10 @@
 /// Shares bind for this long after the first total from a new owner: by then its totals of the open
 /// window and of the one before are complete, as every proxy adds to them from its own first total
 /// on.
-const SETTLING_DURATION: Micros = 2 * SECOND;
+const SETTLING_PERIOD: Micros = 2 * SECOND;
 /// From that first total on the burst is reduced for as long as the rules count: the tenant may
 /// have used a whole burst under the previous owner.
-const SMALL_BURST_DURATION: Micros = 5 * SECOND;
+const REDUCED_BURST_PERIOD: Micros = 5 * SECOND;
 /// All proxies' buckets together hold this part of a tenant's burst...
 const BURST_SHARE: f64 = 0.2;
 /// ...or this part of the rules' slack, if that is more.
@@ -28,18 +28,18 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QuotaShare {
     /// Refill rate in requests a second.
-    rate: f64,
+    rate_per_s: f64,
     /// Capacity in requests.
     burst: f64,
 }
 
 impl QuotaShare {
     /// The share of one of `proxies`.
-    pub(super) fn of(per_s: f64, burst: f64, slack: f64, spread: u32) -> QuotaShare {
+    pub(super) fn new(per_s: f64, burst: f64, slack: f64, spread: u32) -> QuotaShare {
         let spread = f64::from(spread.max(1));
         let held = (BURST_SHARE * burst).max((SLACK_SHARE * slack).min(burst));
         QuotaShare {
-            rate: per_s / spread,
+            rate_per_s: per_s / spread,
             burst: held / spread,
         }
     }
@@ -47,18 +47,19 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    level: f64,
-    at: Micros,
+    tokens: f64,
+    refilled_at: Micros,
     /// The doubt period for which the bucket was last clipped.
-    doubt: u64,
+    outage: u64,
 }
 
 impl Bucket {
-    fn fill(&mut self, now: Micros, share: QuotaShare) {
-        let flowed = share.rate * (now - self.at).max(0) as f64 / SECOND as f64;
+    fn refill(&mut self, now: Micros, share: QuotaShare) {
+        let flowed = share.rate_per_s * (now - self.refilled_at).max(0) as f64 / SECOND as f64;
         // A share below one request still admits one once it has been refilled.
         let most = share.burst.max(1.0);
-        (self.level, self.at) = ((self.level + flowed).min(most), self.at.max(now));
+        (self.tokens, self.refilled_at) =
+            ((self.tokens + flowed).min(most), self.refilled_at.max(now));
     }
 }
 
@@ -67,17 +68,17 @@
 pub(super) struct QuotaShares {
     buckets: BTreeMap<String, Bucket>,
     /// The last call was not answered by a total.
-    calls_failing: bool,
+    last_call_failed: bool,
     /// A total has arrived since another owner was announced.
     has_total: bool,
     /// Shares bind until then; `None`: until a total arrives.
-    settled_at: Option<Micros>,
+    binding_until: Option<Micros>,
     /// The burst is reduced until then.
-    small_burst_until: Option<Micros>,
+    reduced_burst_until: Option<Micros>,
     /// Number of doubt periods so far.
-    doubt_number: u64,
+    outage_count: u64,
     /// This proxy has known another owner before.
-    had_holder: bool,
+    had_owner: bool,
 }
 
 impl Default for QuotaShares {
@@ -86,27 +87,27 @@
         let (settled, lean) = (Some(Micros::MIN), Some(Micros::MIN));
         QuotaShares {
             buckets: BTreeMap::new(),
-            calls_failing: false,
+            last_call_failed: false,
             has_total: false,
-            settled_at: settled,
-            small_burst_until: lean,
-            doubt_number: 0,
-            had_holder: false,
+            binding_until: settled,
+            reduced_burst_until: lean,
+            outage_count: 0,
+            had_owner: false,
         }
     }
 }
 
 impl QuotaShares {
     /// Another replica owns the counter, or the same one after losing its numbers.
-    pub(super) fn handle_holder_changed(&mut self) {
-        (self.has_total, self.settled_at, self.small_burst_until) = (false, None, None);
-        self.doubt_number += 1;
+    pub(super) fn handle_owner_changed(&mut self) {
+        (self.has_total, self.binding_until, self.reduced_burst_until) = (false, None, None);
+        self.outage_count += 1;
     }
 
     /// A counter call was answered by a total, or failed.
     pub(super) fn handle_call_result(&mut self, total: bool) {
-        self.doubt_number += u64::from(!total && !self.calls_failing);
-        self.calls_failing = !total;
+        self.outage_count += u64::from(!total && !self.last_call_failed);
+        self.last_call_failed = !total;
         self.has_total |= total;
     }
 
@@ -121,32 +122,32 @@
             }
         };
         let later = |at: Option<Micros>| at.map(ahead);
-        (self.settled_at, self.small_burst_until) =
-            (later(self.settled_at), later(self.small_burst_until));
+        (self.binding_until, self.reduced_burst_until) =
+            (later(self.binding_until), later(self.reduced_burst_until));
         self.buckets
             .values_mut()
-            .for_each(|bucket| bucket.at = (bucket.at + by).min(now));
+            .for_each(|bucket| bucket.refilled_at = (bucket.refilled_at + by).min(now));
     }
 
     /// Whether shares bind now.
     pub(super) fn is_binding(&mut self, now: Micros) -> bool {
-        if self.settled_at.is_none() && self.has_total {
+        if self.binding_until.is_none() && self.has_total {
             // The first owner that a proxy hears of is not a change: nothing was admitted here by
             // another one's totals.
-            let spans = if self.had_holder {
-                (SETTLING_DURATION, SMALL_BURST_DURATION)
+            let spans = if self.had_owner {
+                (SETTLING_PERIOD, REDUCED_BURST_PERIOD)
             } else {
                 (0, 0)
             };
-            (self.settled_at, self.small_burst_until, self.had_holder) =
+            (self.binding_until, self.reduced_burst_until, self.had_owner) =
                 (Some(now + spans.0), Some(now + spans.1), true);
         }
-        self.calls_failing || self.settled_at.is_none_or(|until| now < until)
+        self.last_call_failed || self.binding_until.is_none_or(|until| now < until)
     }
 
     /// Whether the burst is reduced now.
-    pub(super) fn has_small_burst(&self, now: Micros) -> bool {
-        self.small_burst_until.is_none_or(|until| now < until)
+    pub(super) fn has_reduced_burst(&self, now: Micros) -> bool {
+        self.reduced_burst_until.is_none_or(|until| now < until)
     }
 
     /// Charges a request to its tenant's bucket unless the share binds and is used up; returns then
@@ -157,27 +158,27 @@
         tenant: &str,
         share: QuotaShare,
     ) -> Result<(), Micros> {
-        let (binds, doubt) = (self.is_binding(now), self.doubt_number);
+        let (binds, doubt) = (self.is_binding(now), self.outage_count);
         if !self.buckets.contains_key(tenant) {
             let bucket = Bucket {
-                level: share.burst,
-                at: now,
-                doubt,
+                tokens: share.burst,
+                refilled_at: now,
+                outage: doubt,
             };
             self.buckets.insert(tenant.to_string(), bucket);
         }
         let Some(bucket) = self.buckets.get_mut(tenant) else {
             return Ok(());
         };
-        bucket.fill(now, share);
-        if bucket.doubt != doubt {
-            (bucket.level, bucket.doubt) = (bucket.level.min(share.burst), doubt);
+        bucket.refill(now, share);
+        if bucket.outage != doubt {
+            (bucket.tokens, bucket.outage) = (bucket.tokens.min(share.burst), doubt);
         }
-        if binds && bucket.level < 1.0 {
-            let wait = (1.0 - bucket.level) / share.rate.max(1e-9) * SECOND as f64;
+        if binds && bucket.tokens < 1.0 {
+            let wait = (1.0 - bucket.tokens) / share.rate_per_s.max(1e-9) * SECOND as f64;
             return Err(wait as Micros);
         }
-        bucket.level = (bucket.level - 1.0).max(0.0);
+        bucket.tokens = (bucket.tokens - 1.0).max(0.0);
         Ok(())
     }
 
@@ -185,10 +186,9 @@
     pub(super) fn refund(&mut self, tenant: &str) {
         self.buckets
             .entry(tenant.to_string())
-            .and_modify(|bucket| bucket.level += 1.0);
+            .and_modify(|bucket| bucket.tokens += 1.0);
     }
 }
 
 #[cfg(test)]
-#[path = "fallback_tests.rs"]
 mod tests;
--- a/crates/proxy/src/router/fallback_tests.rs
+++ b/crates/proxy/src/router/quota_shares/tests.rs
@@ -9,7 +9,7 @@
 
 /// The share of one of ten proxies: 10 a second, 2 of burst.
 fn share() -> QuotaShare {
-    QuotaShare::of(100.0, 100.0, 20.0, 10)
+    QuotaShare::new(100.0, 100.0, 20.0, 10)
 }
 
 /// Asks each millisecond; returns how many pass.
@@ -22,20 +22,20 @@
 
 fn settled() -> QuotaShares {
     let mut fallback = QuotaShares::default();
-    fallback.handle_holder_changed();
+    fallback.handle_owner_changed();
     assert!(
-        fallback.is_binding(START - 3 * SMALL_BURST_DURATION),
+        fallback.is_binding(START - 3 * REDUCED_BURST_PERIOD),
         "no total has come in"
     );
     fallback.handle_call_result(true);
     assert!(
-        !fallback.is_binding(START - 3 * SMALL_BURST_DURATION),
+        !fallback.is_binding(START - 3 * REDUCED_BURST_PERIOD),
         "the first holder has not moved"
     );
-    fallback.handle_holder_changed();
+    fallback.handle_owner_changed();
     fallback.handle_call_result(true);
-    assert!(fallback.is_binding(START - 2 * SMALL_BURST_DURATION));
-    assert!(!fallback.is_binding(START) && !fallback.has_small_burst(START));
+    assert!(fallback.is_binding(START - 2 * REDUCED_BURST_PERIOD));
+    assert!(!fallback.is_binding(START) && !fallback.has_reduced_burst(START));
     fallback
 }
 
@@ -65,7 +65,7 @@
 fn share_is_granted_once_however_often_the_counter_moves(moves: i64) {
     let (mut fallback, mut sum) = (settled(), 0);
     for at in 0..moves {
-        fallback.handle_holder_changed();
+        fallback.handle_owner_changed();
         let from = START + at * 500 * MS;
         sum += passed(&mut fallback, from, from + 250 * MS);
         fallback.handle_call_result(true);
@@ -79,14 +79,14 @@
 fn requests_admitted_by_totals_are_charged_to_the_share() {
     let mut fallback = settled();
     passed(&mut fallback, START, START + 100 * MS);
-    fallback.handle_holder_changed();
+    fallback.handle_owner_changed();
     assert_eq!(passed(&mut fallback, START + 100 * MS, START + 190 * MS), 0);
 }
 
 #[test]
 fn after_a_move_shares_bind_until_totals_are_complete_and_bursts_stay_reduced() {
     let mut fallback = settled();
-    fallback.handle_holder_changed();
+    fallback.handle_owner_changed();
     assert!(
         fallback.is_binding(START + 60 * SECOND),
         "no total has come in"
@@ -95,18 +95,18 @@
     let found = START + 60 * SECOND;
     assert!(
         fallback.is_binding(found)
-            && fallback.is_binding(found + SETTLING_DURATION - 1)
-            && !fallback.is_binding(found + SETTLING_DURATION)
+            && fallback.is_binding(found + SETTLING_PERIOD - 1)
+            && !fallback.is_binding(found + SETTLING_PERIOD)
     );
     assert!(
-        fallback.has_small_burst(found + SMALL_BURST_DURATION - 1)
-            && !fallback.has_small_burst(found + SMALL_BURST_DURATION)
+        fallback.has_reduced_burst(found + REDUCED_BURST_PERIOD - 1)
+            && !fallback.has_reduced_burst(found + REDUCED_BURST_PERIOD)
     );
     // A jump of the clock takes no time.
     fallback.handle_clock_jump(found + 4 * SECOND, 4 * SECOND);
     assert!(
-        fallback.is_binding(found + 4 * SECOND + SETTLING_DURATION - 1)
-            && fallback.has_small_burst(found + 4 * SECOND + SMALL_BURST_DURATION - 1)
+        fallback.is_binding(found + 4 * SECOND + SETTLING_PERIOD - 1)
+            && fallback.has_reduced_burst(found + 4 * SECOND + REDUCED_BURST_PERIOD - 1)
     );
 }
 
@@ -115,16 +115,16 @@
     let mut fallback = settled();
     fallback.handle_clock_jump(START + 8 * SECOND, 8 * SECOND);
     assert!(
-        !fallback.is_binding(START + 8 * SECOND) && !fallback.has_small_burst(START + 8 * SECOND)
+        !fallback.is_binding(START + 8 * SECOND) && !fallback.has_reduced_burst(START + 8 * SECOND)
     );
 }
 
 #[test]
 fn shares_below_one_request_accumulate_without_exceeding_the_total() {
-    let small = QuotaShare::of(5.0, 5.0, 20.0, 20);
+    let small = QuotaShare::new(5.0, 5.0, 20.0, 20);
     let request_info = |proxy: i64| {
         let mut fallback = settled();
-        fallback.handle_holder_changed();
+        fallback.handle_owner_changed();
         let times = (0..4 * SECOND)
             .step_by(50_000)
             .map(move |at| START + proxy + at);
--- a/crates/proxy/src/router/tests.rs
+++ b/crates/proxy/src/router/tests.rs
@@ -5,7 +5,7 @@
 use slotmap::SlotMap;
 use streamarch::{ServerEntry, ServerState};
 
-use super::quota_engine::START_DURATION;
+use super::quota_engine::STARTUP_DURATION;
 use super::*;
 
 const START: Micros = 10 * SECOND;
@@ -47,7 +47,7 @@
     fn new(limiters: u32) -> Bench {
         assert!(Items::new().is_empty());
         let mut router = RequestRouter::new(7, Bounds::default());
-        router.set_limiter_count(START - START_DURATION, limiters);
+        router.set_limiter_count(START - STARTUP_DURATION, limiters);
         router.set_limiter_count(START, limiters);
         router.create_engine("s", &[], 500 * MS, (1..=20).map(server).collect());
         let (keys, counts) = (SlotMap::with_key(), BTreeMap::new());
@@ -332,13 +332,15 @@
         judged
             .iter()
             .zip(&others)
-            .all(|(one, other)| one.key == other.key && one.engine == 0)
+            .all(|(one, other)| one.key == other.key && one.engine_index == 0)
     );
     let (mut actions, mut counts) = (Vec::new(), Vec::new());
     if leave {
-        others
-            .into_iter()
-            .for_each(|other| bench.router.handle_client_left(START, other, &mut actions));
+        others.into_iter().for_each(|other| {
+            bench
+                .router
+                .handle_client_disconnected(START, other, &mut actions)
+        });
     }
     bench.router.run(START, &mut actions, |_, _| {});
     for step in actions {
--- a/crates/proxy/src/server_table.rs
+++ b/crates/proxy/src/server_table.rs
@@ -12,21 +12,21 @@
 
 /// Capacity weight by distance, in addition to the slots: a server in another region costs its
 /// clients a tenth of a second and is there for when the near ones are full.
-const SAME_ZONE: f64 = 1.0;
-const SAME_REGION: f64 = 0.5;
-const ELSEWHERE: f64 = 0.0001;
+const SAME_ZONE_WEIGHT: f64 = 1.0;
+const SAME_REGION_WEIGHT: f64 = 0.5;
+const OTHER_REGION_WEIGHT: f64 = 0.0001;
 
 /// A server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KnownServer {
+pub struct ServerRecord {
     /// Its number in the module, never reused for another incarnation.
-    pub number: ServerId,
+    pub server_id: ServerId,
     /// Its entry in the platform's list.
-    pub server: Server,
+    pub listing: Server,
     /// Warming up until then.
-    pub warm_at: Micros,
+    pub warm_up_until: Micros,
     /// Another server answered at its address.
-    pub wrong_server: bool,
+    pub is_replaced: bool,
 }
 
 /// The servers, by the ids of their incarnations.
@@ -34,13 +34,13 @@
 pub struct ServerTable {
     zone: String,
     zones: BTreeMap<String, String>,
-    servers: BTreeMap<String, KnownServer>,
-    numbers: BTreeMap<ServerId, String>,
-    next: u32,
+    servers: BTreeMap<String, ServerRecord>,
+    instance_ids: BTreeMap<ServerId, String>,
+    next_server_id: u32,
     version: Option<(u64, u64)>,
-    evacuated: BTreeSet<String>,
+    evacuated_zones: BTreeSet<String>,
     /// Zones whose evacuation ended, and until when their servers may be cold.
-    returned: BTreeMap<String, Micros>,
+    cold_zones_until: BTreeMap<String, Micros>,
 }
 
 impl ServerTable {
@@ -50,11 +50,11 @@
             zone: zone.to_string(),
             zones,
             servers: BTreeMap::new(),
-            numbers: BTreeMap::new(),
-            next: 1,
+            instance_ids: BTreeMap::new(),
+            next_server_id: 1,
             version: None,
-            evacuated: BTreeSet::new(),
-            returned: BTreeMap::new(),
+            evacuated_zones: BTreeSet::new(),
+            cold_zones_until: BTreeMap::new(),
         }
     }
 
@@ -72,31 +72,35 @@
                 0
             };
             let known = match before.remove(&server.id) {
-                Some(held) if held.server.addr == server.addr => KnownServer {
-                    warm_at,
-                    server,
+                Some(held) if held.listing.addr == server.addr => ServerRecord {
+                    warm_up_until: warm_at,
+                    listing: server,
                     ..held
                 },
                 other => {
-                    let number = other.map_or_else(|| self.number(&server.id), |held| held.number);
-                    KnownServer {
-                        number,
-                        warm_at,
-                        server,
-                        wrong_server: false,
+                    let number = other.map_or_else(
+                        || self.allocate_server_id(&server.id),
+                        |held| held.server_id,
+                    );
+                    ServerRecord {
+                        server_id: number,
+                        warm_up_until: warm_at,
+                        listing: server,
+                        is_replaced: false,
                     }
                 }
             };
-            self.servers.insert(known.server.id.clone(), known);
+            self.servers.insert(known.listing.id.clone(), known);
         }
-        self.numbers.retain(|_, id| self.servers.contains_key(id));
+        self.instance_ids
+            .retain(|_, id| self.servers.contains_key(id));
         true
     }
 
-    fn number(&mut self, id: &str) -> ServerId {
-        let number = ServerId(self.next);
-        self.next += 1;
-        self.numbers.insert(number, id.to_string());
+    fn allocate_server_id(&mut self, id: &str) -> ServerId {
+        let number = ServerId(self.next_server_id);
+        self.next_server_id += 1;
+        self.instance_ids.insert(number, id.to_string());
         number
     }
 
@@ -109,25 +113,25 @@
         back: Vec<String>,
         warmup: Micros,
     ) {
-        self.returned
+        self.cold_zones_until
             .extend(back.into_iter().map(|zone| (zone, now + warmup)));
-        self.evacuated = zones.clone();
+        self.evacuated_zones = zones.clone();
     }
 
     /// Another server answered at the address of this one.
-    pub fn mark_wrong_server(&mut self, number: ServerId) {
+    pub fn mark_replaced(&mut self, number: ServerId) {
         if let Some(known) = self
-            .numbers
+            .instance_ids
             .get(&number)
             .and_then(|id| self.servers.get_mut(id))
         {
-            known.wrong_server = true;
+            known.is_replaced = true;
         }
     }
 
     /// The server with this number.
-    pub fn get(&self, number: ServerId) -> Option<&KnownServer> {
-        self.servers.get(self.numbers.get(&number)?)
+    pub fn get(&self, number: ServerId) -> Option<&ServerRecord> {
+        self.servers.get(self.instance_ids.get(&number)?)
     }
 
     /// Whether any server is known.
@@ -135,17 +139,20 @@
         !self.servers.is_empty()
     }
 
-    fn warm_at(&self, known: &KnownServer) -> Micros {
-        known
-            .warm_at
-            .max(self.returned.get(&known.server.zone).copied().unwrap_or(0))
+    fn warm_up_until(&self, known: &ServerRecord) -> Micros {
+        known.warm_up_until.max(
+            self.cold_zones_until
+                .get(&known.listing.zone)
+                .copied()
+                .unwrap_or(0),
+        )
     }
 
     /// When the next server finishes warming up, after `now`.
-    pub fn next_warm(&self, now: Micros) -> Option<Micros> {
+    pub fn next_warm_up_end(&self, now: Micros) -> Option<Micros> {
         self.servers
             .values()
-            .map(|known| self.warm_at(known))
+            .map(|known| self.warm_up_until(known))
             .filter(|at| *at > now)
             .min()
     }
@@ -154,24 +161,24 @@
     pub fn entries(&self, now: Micros, svc: &str, pins: &[String]) -> Vec<ServerEntry> {
         let region = |zone: &str| self.zones.get(zone);
         let own = region(&self.zone);
-        let allowed = |known: &&KnownServer| {
-            let region = region(&known.server.zone);
-            known.server.svc == svc
+        let allowed = |known: &&ServerRecord| {
+            let region = region(&known.listing.zone);
+            known.listing.svc == svc
                 && (pins.is_empty() || region.is_some_and(|region| pins.contains(region)))
         };
-        let entry = |known: &KnownServer| {
-            let server = &known.server;
+        let entry = |known: &ServerRecord| {
+            let server = &known.listing;
             let near = match region(&server.zone) {
-                _ if server.zone == self.zone => SAME_ZONE,
-                there if there == own => SAME_REGION,
-                _ => ELSEWHERE,
+                _ if server.zone == self.zone => SAME_ZONE_WEIGHT,
+                there if there == own => SAME_REGION_WEIGHT,
+                _ => OTHER_REGION_WEIGHT,
             };
             let gets = server.accepts_requests
-                && !known.wrong_server
-                && !self.evacuated.contains(&server.zone);
-            let ready = gets && self.warm_at(known) <= now;
+                && !known.is_replaced
+                && !self.evacuated_zones.contains(&server.zone);
+            let ready = gets && self.warm_up_until(known) <= now;
             ServerEntry {
-                server: known.number,
+                server: known.server_id,
                 zone: 0,
                 machine_type: 0,
                 cell: 0,
@@ -188,17 +195,17 @@
     }
 
     /// Whether a server is in another region.
-    pub fn is_remote(&self, number: ServerId) -> bool {
+    pub fn is_in_other_region(&self, number: ServerId) -> bool {
         let there = self
             .get(number)
-            .and_then(|known| self.zones.get(&known.server.zone));
+            .and_then(|known| self.zones.get(&known.listing.zone));
         there != self.zones.get(&self.zone)
     }
 
     /// The address of a server, and its id.
-    pub fn address_of(&self, number: ServerId) -> Option<(SocketAddr, &str)> {
+    pub fn address_and_instance_id(&self, number: ServerId) -> Option<(SocketAddr, &str)> {
         self.get(number)
-            .map(|known| (known.server.addr, known.server.id.as_str()))
+            .map(|known| (known.listing.addr, known.listing.id.as_str()))
     }
 }
 
--- a/crates/proxy/src/server_table/tests.rs
+++ b/crates/proxy/src/server_table/tests.rs
@@ -32,7 +32,7 @@
     ready
         .map(|e| {
             (
-                server_table.get(e.server).unwrap().server.id.clone(),
+                server_table.get(e.server).unwrap().listing.id.clone(),
                 e.weight,
             )
         })
@@ -61,7 +61,7 @@
         ..server("i-a", "a")
     }]);
     assert!(ready(&server_table, NOW + 499, &[]).is_empty());
-    assert_eq!(server_table.next_warm(NOW), Some(NOW + 500));
+    assert_eq!(server_table.next_warm_up_end(NOW), Some(NOW + 500));
     assert_eq!(ready(&server_table, NOW + 500, &[]).len(), 1);
 }
 
@@ -89,7 +89,7 @@
 #[test]
 fn replaced_server_gets_nothing_until_its_address_is_listed_anew() {
     let mut server_table = server_table(vec![server("i-a", "a")]);
-    server_table.mark_wrong_server(server_table.entries(NOW, "s", &[])[0].server);
+    server_table.mark_replaced(server_table.entries(NOW, "s", &[])[0].server);
     server_table.update(NOW, (1, 2), vec![server("i-a", "a")]);
     assert!(ready(&server_table, NOW, &[]).is_empty());
     let moved = Server {
--- a/crates/proxy/src/shedding.rs
+++ b/crates/proxy/src/shedding.rs
@@ -12,17 +12,17 @@
 use streamarch::{Micros, Outcome, Request};
 
 /// A tenant that was over its quota within this time has its quota checked first.
-const OVER_QUOTA_DURATION: Micros = 2_000_000;
+const RECENTLY_OVER_QUOTA_WINDOW: Micros = 2_000_000;
 
 /// What the priority of a request depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct SheddingRequest<'a> {
     /// Its id, as the client sent it.
-    pub id: &'a str,
+    pub request_id: &'a str,
     /// Its route.
     pub route: &'a Route,
     /// The service chosen for it.
-    pub svc: &'a str,
+    pub service: &'a str,
     /// Its tenant, by name.
     pub tenant: Option<(&'a str, &'a Tenant)>,
 }
@@ -30,7 +30,7 @@
 impl SheddingRequest<'_> {
     /// Its priority band.
     pub fn band(&self) -> usize {
-        priority::band(tier(self.route, self.tenant), self.route.prio)
+        priority::band(priority_tier(self.route, self.tenant), self.route.prio)
     }
 }
 
@@ -64,7 +64,7 @@
 }
 
 /// The tenant's tier if it has one, else the route's.
-pub fn tier(route: &Route, tenant: Option<(&str, &Tenant)>) -> u32 {
+pub fn priority_tier(route: &Route, tenant: Option<(&str, &Tenant)>) -> u32 {
     tenant
         .and_then(|(_, tenant)| tenant.prio)
         .unwrap_or(route.prio)
@@ -74,9 +74,9 @@
 #[derive(Debug, Default)]
 pub struct LoadShedding {
     admission: Admission,
-    node: OverloadDetector,
+    overload_detector: OverloadDetector,
     /// When each tenant was last over its quota.
-    over_quota_tenants: BTreeMap<String, Micros>,
+    over_quota_at: BTreeMap<String, Micros>,
 }
 
 impl LoadShedding {
@@ -86,11 +86,11 @@
         let waits = 1.0
             - self
                 .admission
-                .threshold(now, asker.svc)
-                .min(self.node.threshold());
+                .threshold(now, asker.service)
+                .min(self.overload_detector.threshold());
         SheddingPriority {
             band,
-            position: priority::position(band, asker.id),
+            position: priority::position(band, asker.request_id),
             shed_share: waits,
         }
     }
@@ -98,23 +98,23 @@
     /// Whether shedding is decided before the quota is checked, so that a rejected request uses up
     /// no quota. For a tenant that was lately over its quota the quota is checked first: otherwise
     /// requests beyond it would displace those of others.
-    pub fn is_shed_before_quota(&self, now: Micros, asker: &SheddingRequest<'_>) -> bool {
+    pub fn is_shedding_checked_first(&self, now: Micros, asker: &SheddingRequest<'_>) -> bool {
         let over = asker
             .tenant
-            .and_then(|(name, _)| self.over_quota_tenants.get(name));
-        over.is_none_or(|at| now - at > OVER_QUOTA_DURATION)
+            .and_then(|(name, _)| self.over_quota_at.get(name));
+        over.is_none_or(|at| now - at > RECENTLY_OVER_QUOTA_WINDOW)
     }
 
     /// Counts a request whose shedding was decided.
-    pub fn record_admitted(&mut self, svc: &str, turn: &SheddingPriority) {
+    pub fn record_decision(&mut self, svc: &str, turn: &SheddingPriority) {
         let sent = !turn.is_shed();
         self.admission.record_request(svc, turn.band, sent);
-        self.node.record_request(turn.band, sent);
+        self.overload_detector.record_request(turn.band, sent);
     }
 
     /// The load of this node.
-    pub fn node(&mut self) -> &mut OverloadDetector {
-        &mut self.node
+    pub fn overload_detector(&mut self) -> &mut OverloadDetector {
+        &mut self.overload_detector
     }
 
     /// Counts a request that was rejected because of its tenant's quota; `counted`: the service and
@@ -123,7 +123,7 @@
         if let Some((svc, band)) = counted {
             self.admission.record_over_quota(svc, band);
         }
-        self.over_quota_tenants.insert(tenant.to_string(), now);
+        self.over_quota_at.insert(tenant.to_string(), now);
     }
 
     /// Counts the outcome of an attempt, with the time it took and the latency target.
@@ -152,15 +152,15 @@
     }
 
     /// Applies the levels from the control program.
-    pub fn set_levels(&mut self, now: Micros, age: Micros, levels: Vec<AdmissionLevel>) {
+    pub fn set_admission_levels(&mut self, now: Micros, age: Micros, levels: Vec<AdmissionLevel>) {
         self.admission.set_levels(now, levels, age);
     }
 
-    /// The reports for the control program; due once a [`overload::EVALUATION_INTERVAL`].
-    pub fn take_reports(&mut self, now: Micros) -> Vec<LoadReport> {
-        self.over_quota_tenants
-            .retain(|_, at| now - *at <= OVER_QUOTA_DURATION);
-        self.node.evaluate(now);
+    /// The reports for the control program; due once a [`overload::STEP`].
+    pub fn take_load_reports(&mut self, now: Micros) -> Vec<LoadReport> {
+        self.over_quota_at
+            .retain(|_, at| now - *at <= RECENTLY_OVER_QUOTA_WINDOW);
+        self.overload_detector.evaluate(now);
         self.admission.take_reports(now)
     }
 }
