--- a/crates/proxy/src/host/admission.rs
+++ b/crates/proxy/src/host/admission.rs
@@ -34,7 +34,7 @@
         let Some(head) = client.incoming.head() else {
             return false;
         };
-        if std::mem::replace(&mut client.checked_by_head, true) {
+        if std::mem::replace(&mut client.shedding_checked, true) {
             return false;
         }
         let asked = head
@@ -76,7 +76,7 @@
         body: Vec<u8>,
         streamed: Option<StreamedBody>,
     ) -> Result<(), LocalResponse> {
-        self.check_configured()?;
+        self.check_configuration_loaded()?;
         let host = head
             .headers
             .get("Host")
@@ -84,7 +84,7 @@
         let route = self
             .config_store
             .find_route(host, &head.target)
-            .ok_or_else(|| self.refusal(now, 404, "no route"))?
+            .ok_or_else(|| self.unknown_route_or_key_response(now, 404, "no route"))?
             .clone();
         let id = head
             .headers
@@ -96,7 +96,7 @@
             .and_then(|key| self.config_store.tenant_by_api_key(key))
             .cloned();
         if tenant.is_none() && !route.public && self.config_store.requires_api_keys() {
-            return Err(self.refusal(now, 401, "no such key"));
+            return Err(self.unknown_route_or_key_response(now, 401, "no such key"));
         }
         let allowed_time = allowed_time(&head.headers, &route);
         let extra_time = streamed.as_ref().map_or(0, |body| body.extra_time);
@@ -113,7 +113,7 @@
         ))?;
         self.ensure_engine(now, &svc, &pins, &route);
         let tenant_name = tenant.as_ref().map(|known| known.name.as_str());
-        let header_lines = forwarded_fields(&head.headers, tenant_name);
+        let header_lines = forwarded_header_lines(&head.headers, tenant_name);
         let request = self.requests.insert(Request {
             client: key,
             method: head.method,
@@ -129,9 +129,9 @@
                 engine_index: 0,
                 key: AuthorisationKey::default(),
             },
-            used_connections: Vec::new(),
+            attempt_connections: Vec::new(),
             may_have_run: false,
-            failure: None,
+            failed_response: None,
         });
         let routing = RoutingRequest {
             key: request,
@@ -142,11 +142,11 @@
             allowed_regions: &pins,
             deadline: now + allowed_time + extra_time,
         };
-        self.submit(now, key, &routing)
+        self.submit_request(now, key, &routing)
     }
 
     /// A proxy without configuration or servers sends clients away for a moment.
-    fn check_configured(&self) -> Result<(), LocalResponse> {
+    fn check_configuration_loaded(&self) -> Result<(), LocalResponse> {
         let reason = if !self.config_store.has_routes() {
             "no configuration yet"
         } else if !self.server_table.has_servers() {
@@ -158,7 +158,12 @@
     }
 
     /// The answer where the configuration has no such route or key: final, unless a change may be missing here.
-    fn refusal(&self, now: Micros, status: u16, reason: &'static str) -> LocalResponse {
+    fn unknown_route_or_key_response(
+        &self,
+        now: Micros,
+        status: u16,
+        reason: &'static str,
+    ) -> LocalResponse {
         if self.config_freshness.is_current(now) {
             local_response(status, reason)
         } else {
@@ -172,12 +177,12 @@
             return;
         }
         let entries = self.server_table.entries(now, svc, pins);
-        self.add_to_pool(entries.iter().map(|entry| entry.server).collect());
+        self.add_servers_to_pool(entries.iter().map(|entry| entry.server).collect());
         self.router
             .create_engine(svc, pins, route.target_time.0, entries);
     }
 
-    fn submit(
+    fn submit_request(
         &mut self,
         now: Micros,
         key: ConnectionId,
@@ -254,7 +259,7 @@
 }
 
 /// The header fields as servers receive them, without those written for each attempt.
-fn forwarded_fields(headers: &Headers, tenant: Option<&str>) -> Vec<u8> {
+fn forwarded_header_lines(headers: &Headers, tenant: Option<&str>) -> Vec<u8> {
     const OWN: [&str; 4] = [
         "authorization",
         "x-tenant",
--- a/crates/proxy/src/host/admission/tests.rs
+++ b/crates/proxy/src/host/admission/tests.rs
@@ -30,7 +30,7 @@
     let (head, _, _) = RequestHead::parse(text.as_bytes(), &Limits::default())
         .unwrap()
         .unwrap();
-    let sent = String::from_utf8(forwarded_fields(&head.headers, Some("t"))).unwrap();
+    let sent = String::from_utf8(forwarded_header_lines(&head.headers, Some("t"))).unwrap();
     assert_eq!(
         sent,
         "Host: h\r\nX-Note: 1\r\nX-Request-Id: i\r\nX-Tenant: t\r\n"
--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -12,25 +12,25 @@
 
 /// After the end of a zone's evacuation its servers may be cold for this much longer than their
 /// warm-up: the operator's call needs time to get here, and the servers may go cold until it does.
-const COLD_LAG: Micros = SECOND;
+const COLD_ZONE_MARGIN: Micros = SECOND;
 /// Warm-up where the configuration names none.
-const WARMUP: Micros = 3 * SECOND;
+const DEFAULT_WARM_UP_TIME: Micros = 3 * SECOND;
 
 impl Host {
     pub(super) fn connect_to_agent(&mut self, now: Micros) {
-        if self.agent.is_some() {
+        if self.agent_connection.is_some() {
             return;
         }
         match self.connections.connect(self.settings.agent_address(), now) {
             Ok(key) => {
                 self.roles.insert(key, Role::Agent);
-                self.agent = Some(key);
+                self.agent_connection = Some(key);
                 self.deadlines
-                    .schedule(now + CONNECT_TIMEOUT, Timer::Connect(key));
+                    .schedule(now + MIN_CONNECT_TIMEOUT, Timer::ConnectTimeout(key));
             }
             Err(_) => self
                 .deadlines
-                .schedule(now + AGENT_RETRY_DELAY, Timer::ConnectAgent),
+                .schedule(now + AGENT_RECONNECT_DELAY, Timer::ConnectAgent),
         }
     }
 
@@ -40,24 +40,27 @@
         if let Some(out) = self.connections.output(key) {
             frames::encode(out, &hello);
         }
-        self.announced_state = self.state();
+        self.announced_state = self.node_state();
         self.send_to_agent(&AgentMessage::Heartbeat(self.announced_state));
         // Counter calls in flight on the old link get no totals.
-        self.send_adds(now);
+        self.send_counter_batch(now);
     }
 
     pub(super) fn handle_agent_lost(&mut self, now: Micros, key: ConnectionId) {
         self.remove_connection(key);
-        self.agent = None;
-        for batch in std::mem::take(&mut self.batches) {
-            self.fail_batch(&batch, Outcome::Reset);
+        self.agent_connection = None;
+        for batch in std::mem::take(&mut self.counter_batches) {
+            self.fail_counter_batch(&batch, Outcome::Reset);
         }
         self.deadlines
-            .schedule(now + AGENT_RETRY_DELAY, Timer::ConnectAgent);
+            .schedule(now + AGENT_RECONNECT_DELAY, Timer::ConnectAgent);
     }
 
     fn send_to_agent(&mut self, message: &AgentMessage) {
-        if let Some(out) = self.agent.and_then(|key| self.connections.output(key)) {
+        if let Some(out) = self
+            .agent_connection
+            .and_then(|key| self.connections.output(key))
+        {
             frames::encode(out, message);
         }
     }
@@ -72,14 +75,14 @@
         }
     }
 
-    pub(super) fn heartbeat(&mut self, now: Micros) {
+    pub(super) fn handle_heartbeat_timer(&mut self, now: Micros) {
         self.send_heartbeat();
         self.deadlines
             .schedule(now + HEARTBEAT_INTERVAL, Timer::Heartbeat);
     }
 
     pub(super) fn send_heartbeat(&mut self) {
-        self.announced_state = self.state();
+        self.announced_state = self.node_state();
         self.send_to_agent(&AgentMessage::Heartbeat(self.announced_state));
     }
 
@@ -97,7 +100,7 @@
                 }
             }
         }
-        if self.announced_state != self.state() {
+        if self.announced_state != self.node_state() {
             self.send_heartbeat();
         }
     }
@@ -126,7 +129,7 @@
                     self.update_servers(now);
                 }
             }
-            ControlMessage::Complete => self.agent_complete = true,
+            ControlMessage::Complete => self.has_complete_state = true,
             ControlMessage::Confirmed { age } => {
                 // The clock may have jumped since this turn began.
                 let confirmed_at = self.clock.now() - age;
@@ -137,17 +140,17 @@
                 self.clock.advance_to(time);
                 let jump = self.clock.now() - before;
                 self.config_freshness.handle_clock_jump(jump);
-                self.caught_up_at = self.clock.now();
+                self.input_read_until = self.clock.now();
                 self.router.handle_clock_jump(time, time - now);
             }
             ControlMessage::Levels { age, levels } => self
                 .router
                 .shedding()
                 .set_admission_levels(now, age, levels),
-            ControlMessage::Totals { batch, totals } => self.handle_totals(batch, &totals),
+            ControlMessage::Totals { batch, totals } => self.handle_counter_totals(batch, &totals),
             ControlMessage::NotCounted(batch) => {
-                if let Some(batch) = self.take_batch(batch) {
-                    self.fail_batch(&batch, Outcome::ConnectFailed);
+                if let Some(batch) = self.take_counter_batch(batch) {
+                    self.fail_counter_batch(&batch, Outcome::ConnectFailed);
                 }
             }
         }
@@ -170,7 +173,7 @@
                 now,
                 self.config_store.evacuated_zones(),
                 touched.restored_zones,
-                WARMUP + COLD_LAG,
+                DEFAULT_WARM_UP_TIME + COLD_ZONE_MARGIN,
             );
             self.update_servers(now);
         }
@@ -185,83 +188,85 @@
             .collect();
         for (svc, regions, engine) in engines {
             let entries = self.server_table.entries(now, &svc, &regions);
-            self.add_to_pool(entries.iter().map(|entry| entry.server).collect());
+            self.add_servers_to_pool(entries.iter().map(|entry| entry.server).collect());
             self.router.update_servers(engine, entries);
         }
-        self.close_unlisted();
+        self.close_unlisted_servers();
         if let Some(at) = self.server_table.next_warm_up_end(now) {
-            self.deadlines.schedule(at, Timer::WarmupOver);
+            self.deadlines.schedule(at, Timer::WarmUpEnd);
         }
     }
 
-    pub(super) fn add_to_pool(&mut self, servers: Vec<ServerId>) {
+    pub(super) fn add_servers_to_pool(&mut self, servers: Vec<ServerId>) {
         for server in servers {
             if let Some((address, _)) = self.server_table.address_and_instance_id(server) {
-                let moved = self.pool.add_server(server, address);
-                self.close_idle(moved);
+                let moved = self.upstream_pool.add_server(server, address);
+                self.close_idle_upstreams(moved);
             }
         }
     }
 
     /// Adds are sent once a turn.
-    pub(super) fn send_adds(&mut self, now: Micros) {
+    pub(super) fn send_counter_batch(&mut self, now: Micros) {
         if self.pending_adds.is_empty() {
             return;
         }
         let adds = std::mem::take(&mut self.pending_adds);
-        self.last_batch += 1;
+        self.last_batch_number += 1;
         self.metrics.counter_batches += 1;
         let names = adds.iter().map(|add| add.counter).collect();
         let batch = CounterBatch {
-            number: self.last_batch,
-            names,
-            sent: now,
+            number: self.last_batch_number,
+            counters: names,
+            sent_at: now,
             deadline: now + self.counter_timeout.timeout(),
-            expired: false,
+            timed_out: false,
         };
         let up = self
-            .agent
+            .agent_connection
             .and_then(|key| self.connections.get(key))
             .is_some_and(|connection| connection.is_connected());
         if !up {
-            return self.fail_batch(&batch, Outcome::ConnectFailed);
+            return self.fail_counter_batch(&batch, Outcome::ConnectFailed);
         }
         self.send_to_agent(&AgentMessage::CounterBatch {
-            batch: self.last_batch,
+            batch: self.last_batch_number,
             time: now,
             adds,
         });
-        if self.batches.is_empty() {
-            self.deadlines.schedule(batch.deadline, Timer::CounterBatch);
+        if self.counter_batches.is_empty() {
+            self.deadlines
+                .schedule(batch.deadline, Timer::CounterBatchTimeout);
         }
-        self.batches.push_back(batch);
+        self.counter_batches.push_back(batch);
     }
 
-    fn take_batch(&mut self, number: u64) -> Option<CounterBatch> {
+    fn take_counter_batch(&mut self, number: u64) -> Option<CounterBatch> {
         let at = self
-            .batches
+            .counter_batches
             .iter()
             .position(|batch| batch.number == number)?;
-        self.batches.remove(at)
+        self.counter_batches.remove(at)
     }
 
-    fn fail_batch(&mut self, batch: &CounterBatch, outcome: Outcome) {
+    fn fail_counter_batch(&mut self, batch: &CounterBatch, outcome: Outcome) {
         self.metrics.counter_batches_failed += 1;
-        for name in batch.names.iter().filter(|_| !batch.expired) {
+        for name in batch.counters.iter().filter(|_| !batch.timed_out) {
             self.router.handle_counter_result(*name, outcome, 0.0);
         }
     }
 
-    fn handle_totals(&mut self, number: u64, totals: &[f64]) {
-        let Some(batch) = self.take_batch(number) else {
+    fn handle_counter_totals(&mut self, number: u64, totals: &[f64]) {
+        let Some(batch) = self.take_counter_batch(number) else {
             return;
         };
-        self.counter_timeout.record(self.clock.now() - batch.sent);
-        if batch.expired {
+        self.counter_timeout
+            .record(self.clock.now() - batch.sent_at);
+        if batch.timed_out {
             self.metrics.counter_batches_late += 1;
             return self.router.handle_late_counter_result();
         }
-        for (at, name) in batch.names.iter().enumerate() {
+        for (at, name) in batch.counters.iter().enumerate() {
             match totals.get(at) {
                 Some(total) => self
                     .router
@@ -273,38 +278,38 @@
         }
     }
 
-    pub(super) fn handle_batch_timeout(&mut self, now: Micros) {
+    pub(super) fn handle_counter_batch_timeout(&mut self, now: Micros) {
         self.batch_check_at = Micros::MAX;
         let mut late = Vec::new();
         for batch in self
-            .batches
+            .counter_batches
             .iter_mut()
-            .filter(|batch| !batch.expired && batch.deadline <= now)
+            .filter(|batch| !batch.timed_out && batch.deadline <= now)
         {
-            batch.expired = true;
+            batch.timed_out = true;
             self.metrics.counter_batches_timed_out += 1;
-            late.append(&mut batch.names.clone());
+            late.append(&mut batch.counters.clone());
         }
         for name in late {
             self.router
                 .handle_counter_result(name, Outcome::TimedOut, 0.0);
         }
         // Bounds the memory used for calls to a counter that never answers.
-        while self.batches.len() > 1_000 {
-            self.batches.pop_front();
+        while self.counter_batches.len() > 1_000 {
+            self.counter_batches.pop_front();
         }
         // One that has timed out is still waited for.
-        let waiting = self.batches.iter().filter(|batch| !batch.expired);
+        let waiting = self.counter_batches.iter().filter(|batch| !batch.timed_out);
         if let Some(next) = waiting.map(|batch| batch.deadline).min() {
-            self.schedule_batch_check(next);
+            self.schedule_batch_timeout_check(next);
         }
     }
 
     /// A batch may have to be answered sooner than the one before it.
-    fn schedule_batch_check(&mut self, at: Micros) {
+    fn schedule_batch_timeout_check(&mut self, at: Micros) {
         if at < self.batch_check_at {
             self.batch_check_at = at;
-            self.deadlines.schedule(at, Timer::CounterBatch);
+            self.deadlines.schedule(at, Timer::CounterBatchTimeout);
         }
     }
 }
--- a/crates/proxy/src/host/capacity.rs
+++ b/crates/proxy/src/host/capacity.rs
@@ -13,11 +13,11 @@
 /// Descriptors used for other than connections, and those reserved for files.
 const RESERVED_DESCRIPTORS: usize = 240;
 /// A wait that ended this soon returned events from before it began.
-const IMMEDIATE_WAKE: Micros = 300;
+const MAX_IMMEDIATE_WAIT: Micros = 300;
 
 impl Host {
     /// Most connections of all kinds.
-    fn descriptors(&self) -> usize {
+    fn max_connections(&self) -> usize {
         (self.settings.limits.nofile as usize)
             .saturating_sub(RESERVED_DESCRIPTORS)
             .max(1)
@@ -26,11 +26,11 @@
     /// Records how late the loop is with its present input, and how full the node is. The events of
     /// a wait may have occurred during the whole turn before it; where a wait did not return all,
     /// even earlier. A wait that ends late delayed the work that was due.
-    pub(super) fn measure_load(&mut self, began: Micros, until: Micros, count: usize) {
+    pub(super) fn record_node_load(&mut self, began: Micros, until: Micros, count: usize) {
         let (woken, all) = self.connections.last_wake();
-        let at_once = woken - began <= IMMEDIATE_WAKE;
+        let at_once = woken - began <= MAX_IMMEDIATE_WAIT;
         let behind = if at_once {
-            began - self.caught_up_at
+            began - self.input_read_until
         } else {
             0
         };
@@ -40,12 +40,12 @@
             0
         };
         if all {
-            self.caught_up_at = woken;
+            self.input_read_until = woken;
         }
         let shares = [
             self.client_count as f64 / MAX_CLIENTS as f64,
             self.buffered_bytes as f64 / MAX_BUFFERED_BYTES as f64,
-            self.connections.len() as f64 / self.descriptors() as f64,
+            self.connections.len() as f64 / self.max_connections() as f64,
         ];
         let node = self.router.shedding().overload_detector();
         node.record_intake(count, behind.max(late));
@@ -54,8 +54,8 @@
 
     /// A connection was accepted: if there are too many, the least valuable is evicted. Among
     /// equals it is one whose last request had the lowest tier.
-    pub(super) fn evict_excess(&mut self, now: Micros) {
-        if self.client_count <= MAX_CLIENTS && self.connections.len() < self.descriptors() {
+    pub(super) fn evict_excess_client(&mut self, now: Micros) {
+        if self.client_count <= MAX_CLIENTS && self.connections.len() < self.max_connections() {
             return;
         }
         let spared = |key: ConnectionId, client: &Client| {
@@ -82,7 +82,7 @@
 
     /// If more is buffered than allowed: the request to evict, of those whose body is still
     /// arriving. It is of the lowest tier, and the largest among equals.
-    pub(super) fn evict_buffered(&self) -> Option<ConnectionId> {
+    pub(super) fn find_request_to_evict(&self) -> Option<ConnectionId> {
         let coming = self.roles.iter().filter_map(|(key, role)| match role {
             Role::Client(client) if client.connection.stage == Stage::Receiving => {
                 Some(((client.band, client.buffered_bytes), key))
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -20,13 +20,13 @@
             connection: ClientConnection::new(now),
             incoming: IncomingMessage::default(),
             request: None,
-            timer_at: Micros::MAX,
+            scheduled_deadline: Micros::MAX,
             close_after_response: false,
-            checked_by_head: false,
+            shedding_checked: false,
             continue_sent: false,
             buffered_bytes: 0,
             band: 0,
-            streaming_from: None,
+            response_source: None,
             upload: None,
         };
         self.roles.insert(key, Role::Client(Box::new(client)));
@@ -34,7 +34,7 @@
             connection.max_input_bytes = READ_WINDOW_BYTES;
         }
         self.schedule_client_deadline(now, key);
-        self.evict_excess(now);
+        self.evict_excess_client(now);
     }
 
     pub(super) fn client(&mut self, key: ConnectionId) -> Option<&mut Client> {
@@ -53,10 +53,10 @@
         if let Some(at) = client
             .connection
             .deadline(closing, &self.limits)
-            .filter(|at| *at < client.timer_at)
+            .filter(|at| *at < client.scheduled_deadline)
         {
-            client.timer_at = at;
-            self.deadlines.schedule(at, Timer::Client(key));
+            client.scheduled_deadline = at;
+            self.deadlines.schedule(at, Timer::ClientDeadline(key));
         }
     }
 
@@ -65,9 +65,9 @@
         let Some(Role::Client(client)) = self.roles.get_mut(key) else {
             return;
         };
-        client.timer_at = Micros::MAX;
+        client.scheduled_deadline = Micros::MAX;
         // A client that waits for the rest of its answer is not idle.
-        if client.streaming_from.is_some()
+        if client.response_source.is_some()
             && self
                 .connections
                 .get(key)
@@ -116,7 +116,7 @@
             self.client_count -= 1;
             self.buffered_bytes -= client.buffered_bytes;
             client
-                .streaming_from
+                .response_source
                 .into_iter()
                 .for_each(|source| self.close_upstream(source));
             client
@@ -132,7 +132,7 @@
     pub(super) fn abandon_request(&mut self, now: Micros, request: RequestKey) {
         if let Some(request) = self.requests.remove(request) {
             self.router
-                .handle_client_disconnected(now, request.handle, &mut self.actions);
+                .handle_client_disconnected(now, request.handle, &mut self.router_actions);
         }
     }
 
@@ -149,7 +149,9 @@
                 connection.input.clear();
                 // Closing with unread input would reset the connection and could destroy the
                 // answer.
-                return self.reread.extend(connection.has_unread().then_some(key));
+                return self
+                    .pending_reads
+                    .extend(connection.has_unread().then_some(key));
             }
             Stage::Processing if client.upload.is_some() => {
                 return self.handle_upload_input(now, key);
@@ -172,7 +174,7 @@
         }
         if client.incoming.is_complete() {
             let incoming = std::mem::take(&mut client.incoming);
-            (client.continue_sent, client.checked_by_head) = (false, false);
+            (client.continue_sent, client.shedding_checked) = (false, false);
             client.connection.begin_processing(now);
             connection.max_input_bytes = MAX_READ_AHEAD_BYTES.max(connection.input.len());
             if let Some((head, _, body)) = incoming.into_parts() {
@@ -187,7 +189,7 @@
         if self.is_shed_by_head(now, key) {
             let jitter = 0.5 + fastrand::f64();
             let retry_after = (DEFAULT_RETRY_AFTER as f64 * jitter) as Micros;
-            return self.write_last_response(
+            return self.write_closing_response(
                 now,
                 key,
                 &retry_later(503, retry_after, "others go first"),
@@ -211,8 +213,8 @@
                 self.write_continue(key);
             }
         }
-        if let Some(evicted) = self.evict_buffered() {
-            self.write_last_response(
+        if let Some(evicted) = self.find_request_to_evict() {
+            self.write_closing_response(
                 now,
                 evicted,
                 &retry_later(503, DEFAULT_RETRY_AFTER, "no room"),
@@ -239,7 +241,7 @@
         let received = events
             .iter()
             .any(|event| matches!(event, IoEvent::Received(_)));
-        self.reread.extend(received.then_some(key));
+        self.pending_reads.extend(received.then_some(key));
         let closed = events
             .into_iter()
             .find(|event| matches!(event, IoEvent::PeerClosed(_) | IoEvent::Failed(_)));
@@ -255,7 +257,7 @@
             ParseError::HeadTooLarge => "head too large",
             ParseError::BodyTooLarge => "body too large",
         };
-        self.write_last_response(now, key, &local_response(fault.status(), text));
+        self.write_closing_response(now, key, &local_response(fault.status(), text));
     }
 
     /// Tells the client to send its body.
@@ -278,7 +280,7 @@
     /// The answer is written with all others at the end of the turn. If it were flushed here, other
     /// pending output would be flushed with it without the host learning of it.
     pub(super) fn handle_readiness_check(&mut self, key: ConnectionId) {
-        let ready = self.state() == NodeState::Ready;
+        let ready = self.node_state() == NodeState::Ready;
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -294,7 +296,12 @@
             _ => 404,
         };
         let last = !request.keep_alive;
-        self.roles.insert(key, Role::Check { last });
+        self.roles.insert(
+            key,
+            Role::ReadinessCheck {
+                close_after_response: last,
+            },
+        );
         if let Some(out) = self.connections.output(key) {
             framing::write_response(out, status, &[], b"", last);
         }
--- a/crates/proxy/src/host/close_reasons.rs
+++ b/crates/proxy/src/host/close_reasons.rs
@@ -25,7 +25,7 @@
     /// It was evicted in favour of others.
     Evicted,
     /// The server of the streamed answer closed its connection.
-    ServerBroke,
+    ServerClosed,
     /// The server of the streamed answer was silent until the deadline.
     ResponseTimeout,
     /// The server of the streamed answer sent a malformed body.
@@ -39,7 +39,7 @@
             CloseReason::IdleTimeout => "idle or incomplete for too long",
             CloseReason::SlowReader => "the client did not read its answer",
             CloseReason::Evicted => "room for other connections",
-            CloseReason::ServerBroke => "the server broke off",
+            CloseReason::ServerClosed => "the server broke off",
             CloseReason::ResponseTimeout => "the server was silent until the deadline",
             CloseReason::MalformedBody => "the server sent what is no answer",
         })
--- a/crates/proxy/src/host/metrics.rs
+++ b/crates/proxy/src/host/metrics.rs
@@ -79,7 +79,7 @@
         text.gauge(
             "proxy_ready",
             "1 if the proxy is ready",
-            u8::from(self.state() == NodeState::Ready),
+            u8::from(self.node_state() == NodeState::Ready),
         );
         text.gauge(
             "proxy_config_items",
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -56,9 +56,9 @@
 /// Interval between two heartbeats to the agent.
 const HEARTBEAT_INTERVAL: Micros = 400 * MS;
 /// Delay before the agent's link is retried.
-const AGENT_RETRY_DELAY: Micros = 100 * MS;
+const AGENT_RECONNECT_DELAY: Micros = 100 * MS;
 /// The least time-out of a connection attempt to a server; the farthest need more than a tenth of a second.
-const CONNECT_TIMEOUT: Micros = 350 * MS;
+const MIN_CONNECT_TIMEOUT: Micros = 350 * MS;
 /// The greatest one, where this machine's link is full.
 const MAX_CONNECT_TIMEOUT: Micros = 1_000 * MS;
 /// Longest answer that is buffered before it is forwarded, in bytes; also the bound of what a
@@ -70,9 +70,9 @@
 const MAX_STREAMED_RESPONSE_BYTES: u64 = 1024 * 1024 * 1024;
 /// From SIGTERM on, clients that look up an edge are sent elsewhere; those that connect all the
 /// same are served for this long.
-const SHUTDOWN_NOTICE: Micros = 2_200 * MS;
+const SHUTDOWN_NOTICE_PERIOD: Micros = 2_200 * MS;
 /// Reserve at the end of the grace period.
-const GRACE_MARGIN: Micros = 400 * MS;
+const SHUTDOWN_GRACE_MARGIN: Micros = 400 * MS;
 /// Longest wait without a deadline.
 const MAX_IDLE_WAIT: Micros = SECOND;
 
@@ -90,8 +90,8 @@
     Upstream(Box<UpstreamConnection>),
     /// The platform's readiness check. `last`: the connection is closed after the answer being
     /// written.
-    Check {
-        last: bool,
+    ReadinessCheck {
+        close_after_response: bool,
     },
     /// The link to the agent.
     Agent,
@@ -103,18 +103,18 @@
     incoming: IncomingMessage<RequestHead>,
     request: Option<RequestKey>,
     /// The earliest deadline scheduled for it.
-    timer_at: Micros,
+    scheduled_deadline: Micros,
     /// The connection is closed after this answer.
     close_after_response: bool,
     continue_sent: bool,
     /// Whether shedding by the request's head was checked.
-    checked_by_head: bool,
+    shedding_checked: bool,
     /// Its part of the bytes buffered for all clients.
     buffered_bytes: usize,
     /// The priority band of its last request.
     band: usize,
     /// The server's connection from which its answer is streamed.
-    streaming_from: Option<ConnectionId>,
+    response_source: Option<ConnectionId>,
     /// The request body that is being streamed.
     upload: Option<Upload<ConnectionId>>,
 }
@@ -125,13 +125,13 @@
     opened_at: Micros,
     state: UpstreamState<UpstreamPurpose>,
     incoming: IncomingMessage<ResponseHead>,
-    class: Option<ResponseClass>,
+    response_class: Option<ResponseClass>,
     /// The answer has no body, whatever its head says.
-    bodiless: bool,
+    expects_no_body: bool,
     /// An idle connection may be used until then.
     reusable_until: Micros,
     /// The answer that is streamed from it.
-    stream: Option<ResponseStream>,
+    response_stream: Option<ResponseStream>,
     /// The body streamed to it is not complete.
     is_uploading: bool,
     /// Bytes written on the connection before the present use.
@@ -157,42 +157,42 @@
     body_framing: Option<BodyFraming>,
     handle: RequestHandle,
     /// Connections on which it was sent to servers.
-    used_connections: Vec<ConnectionId>,
+    attempt_connections: Vec<ConnectionId>,
     /// It may have run.
     may_have_run: bool,
     /// A server's failure, which is forwarded if no better answer arrives.
-    failure: Option<(ResponseHead, Vec<u8>)>,
+    failed_response: Option<(ResponseHead, Vec<u8>)>,
 }
 
 /// Scheduled work.
 #[derive(Debug)]
 enum Timer {
-    Connect(ConnectionId),
-    Client(ConnectionId),
-    Probe(ConnectionId),
+    ConnectTimeout(ConnectionId),
+    ClientDeadline(ConnectionId),
+    ProbeTimeout(ConnectionId),
     /// The answer streamed from this connection.
-    ResponseStream(ConnectionId),
+    ResponseStreamDeadline(ConnectionId),
     /// The deadline of a request whose long body has arrived.
     RequestDeadline(RequestKey),
-    CounterBatch,
-    ExpireIdle,
-    WarmupOver,
+    CounterBatchTimeout,
+    ExpireIdleConnections,
+    WarmUpEnd,
     Heartbeat,
     LoadReport,
     ConnectAgent,
-    ShutdownNotice,
+    ShutdownNoticeEnd,
     ShutdownTimeout,
 }
 
 /// A batch of counter adds in flight.
 struct CounterBatch {
     number: u64,
-    names: Vec<u64>,
-    sent: Micros,
+    counters: Vec<u64>,
+    sent_at: Micros,
     /// Without totals by then it has timed out.
     deadline: Micros,
     /// Its time-out was reported.
-    expired: bool,
+    timed_out: bool,
 }
 
 /// The state of the proxy's event loop.
@@ -218,26 +218,26 @@
     server_table: ServerTable,
     router: RequestRouter,
     requests: SlotMap<RequestKey, Request>,
-    pool: ConnectionPool<ConnectionId>,
-    upstreams: HashMap<(usize, AuthorisationKey), ConnectionId>,
-    actions: Vec<RouterAction>,
-    agent: Option<ConnectionId>,
+    upstream_pool: ConnectionPool<ConnectionId>,
+    attempt_connections: HashMap<(usize, AuthorisationKey), ConnectionId>,
+    router_actions: Vec<RouterAction>,
+    agent_connection: Option<ConnectionId>,
     /// The agent has sent its complete state at least once.
-    agent_complete: bool,
+    has_complete_state: bool,
     config_freshness: ConfigFreshness,
     pending_adds: Vec<CounterAdd>,
-    batches: VecDeque<CounterBatch>,
-    last_batch: u64,
+    counter_batches: VecDeque<CounterBatch>,
+    last_batch_number: u64,
     counter_timeout: AdaptiveTimeout,
     /// Of connection attempts to servers.
     connect_timeout: AdaptiveTimeout,
     /// When the batches are looked at next for one that has timed out.
     batch_check_at: Micros,
     /// Connections whose input is to be handled again.
-    reread: Vec<ConnectionId>,
+    pending_reads: Vec<ConnectionId>,
     announced_state: NodeState,
     /// All input that arrived before this time has been taken in.
-    caught_up_at: Micros,
+    input_read_until: Micros,
     /// When the last line about a connection closed with an answer owed was printed.
     close_logged_at: Micros,
     metrics_endpoint: MetricsEndpoint,
@@ -248,7 +248,7 @@
 ///
 /// # Errors
 /// A key is missing.
-pub fn check(settings: &Settings) -> eyre::Result<()> {
+pub fn check_settings(settings: &Settings) -> eyre::Result<()> {
     settings
         .bind
         .http
@@ -260,7 +260,7 @@
     Ok(())
 }
 
-fn listen(
+fn open_listener(
     connections: &mut Connections,
     key: &str,
     address: Option<SocketAddr>,
@@ -278,13 +278,13 @@
     /// An address is missing in the settings, or can't be bound.
     pub fn open(settings: Settings, clock: Clock, ring: LogRing) -> eyre::Result<Host> {
         let mut connections = Connections::new(&[SIGTERM, SIGHUP]).wrap_err("opening the loop")?;
-        let (door, http) = listen(&mut connections, "bind.http", settings.bind.http)?;
-        let (check, readyz) = listen(&mut connections, "bind.readyz", settings.bind.readyz)?;
+        let (door, http) = open_listener(&mut connections, "bind.http", settings.bind.http)?;
+        let (check, readyz) = open_listener(&mut connections, "bind.readyz", settings.bind.readyz)?;
         let log = ring.logger("proxy", &settings.node);
         let limits = Limits {
-            shutdown_notice_period: SHUTDOWN_NOTICE,
-            shutdown_timeout: settings.bounds.grace.0 - GRACE_MARGIN,
-            connect_timeout: CONNECT_TIMEOUT,
+            shutdown_notice_period: SHUTDOWN_NOTICE_PERIOD,
+            shutdown_timeout: settings.bounds.grace.0 - SHUTDOWN_GRACE_MARGIN,
+            connect_timeout: MIN_CONNECT_TIMEOUT,
             max_buffered_body_bytes: MAX_BUFFERED_RESPONSE_BYTES,
             max_response_bytes: MAX_STREAMED_RESPONSE_BYTES,
             ..Limits::default()
@@ -294,7 +294,10 @@
         deadlines.schedule(now, Timer::ConnectAgent);
         deadlines.schedule(now + HEARTBEAT_INTERVAL, Timer::Heartbeat);
         deadlines.schedule(now + overload::EVALUATION_INTERVAL, Timer::LoadReport);
-        deadlines.schedule(now + limits.upstream_idle_timeout / 4, Timer::ExpireIdle);
+        deadlines.schedule(
+            now + limits.upstream_idle_timeout / 4,
+            Timer::ExpireIdleConnections,
+        );
         let server_table = ServerTable::new(&settings.zone, settings.zones.clone());
         info!(log, "serving on {http}");
         Ok(Host {
@@ -315,21 +318,21 @@
             server_table,
             router: RequestRouter::new(fastrand::u64(..), settings.bounds.clone()),
             requests: SlotMap::with_key(),
-            pool: ConnectionPool::default(),
-            upstreams: HashMap::new(),
-            actions: Vec::new(),
-            agent: None,
-            agent_complete: false,
+            upstream_pool: ConnectionPool::default(),
+            attempt_connections: HashMap::new(),
+            router_actions: Vec::new(),
+            agent_connection: None,
+            has_complete_state: false,
             config_freshness: ConfigFreshness::new(settings.bounds.apply.0),
             pending_adds: Vec::new(),
-            batches: VecDeque::new(),
-            last_batch: 0,
+            counter_batches: VecDeque::new(),
+            last_batch_number: 0,
             counter_timeout: AdaptiveTimeout::new(MIN_COUNTER_TIMEOUT, MAX_COUNTER_TIMEOUT),
-            connect_timeout: AdaptiveTimeout::new(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT),
+            connect_timeout: AdaptiveTimeout::new(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT),
             batch_check_at: Micros::MAX,
-            reread: Vec::new(),
+            pending_reads: Vec::new(),
             announced_state: NodeState::Unavailable,
-            caught_up_at: now,
+            input_read_until: now,
             close_logged_at: 0,
             metrics_endpoint: MetricsEndpoint::default(),
             metrics: ProxyMetrics::default(),
@@ -345,7 +348,7 @@
                     + client.upload.as_ref().map_or(0, Upload::buffered_bytes)
             }
             Role::Upstream(upstream) => upstream.incoming.body.capacity(),
-            Role::Check { .. } | Role::Agent => 0,
+            Role::ReadinessCheck { .. } | Role::Agent => 0,
         };
         let bodies = self
             .requests
@@ -379,7 +382,7 @@
     /// # Errors
     /// The system's wait failed.
     pub fn step(&mut self, longest: Micros, events: &mut Vec<IoEvent>) -> eyre::Result<()> {
-        let busy = !events.is_empty() || !self.reread.is_empty();
+        let busy = !events.is_empty() || !self.pending_reads.is_empty();
         let due = [self.deadlines.earliest(), self.router.next_wakeup()]
             .into_iter()
             .flatten()
@@ -397,14 +400,14 @@
         let came = events
             .iter()
             .filter(|h| matches!(h, IoEvent::Received(_) | IoEvent::Accepted(..)));
-        self.measure_load(now, until, came.count());
-        self.run_due(events);
+        self.record_node_load(now, until, came.count());
+        self.process_events(events);
         Ok(())
     }
 
-    fn run_due(&mut self, events: &mut Vec<IoEvent>) {
+    fn process_events(&mut self, events: &mut Vec<IoEvent>) {
         let now = self.clock.now();
-        for key in std::mem::take(&mut self.reread) {
+        for key in std::mem::take(&mut self.pending_reads) {
             self.connections.resume_reading(key, now, events);
             events.push(IoEvent::Received(key));
         }
@@ -415,7 +418,7 @@
             self.handle_timer(now, due);
         }
         self.run_router(now);
-        self.send_adds(now);
+        self.send_counter_batch(now);
         self.connections.flush_all(events);
     }
 
@@ -424,7 +427,7 @@
         // One request makes the module answer a few times in a row at most; the bound protects
         // against an endless loop.
         for _ in 0..16 {
-            let mut steps = std::mem::take(&mut self.actions);
+            let mut steps = std::mem::take(&mut self.router_actions);
             let requests = &mut self.requests;
             self.router.run(now, &mut steps, |request, handle| {
                 requests
@@ -434,18 +437,18 @@
             });
             let none = steps.is_empty();
             for step in steps.drain(..) {
-                self.carry_out(now, step);
+                self.perform_router_action(now, step);
             }
-            if self.actions.is_empty() {
-                self.actions = steps;
+            if self.router_actions.is_empty() {
+                self.router_actions = steps;
             }
-            if none && self.actions.is_empty() {
+            if none && self.router_actions.is_empty() {
                 return;
             }
         }
     }
 
-    fn carry_out(&mut self, now: Micros, step: RouterAction) {
+    fn perform_router_action(&mut self, now: Micros, step: RouterAction) {
         match step {
             RouterAction::SendAttempt {
                 request,
@@ -453,7 +456,9 @@
                 attempt,
                 server,
             } => self.send_attempt(now, request, handle, attempt, server),
-            RouterAction::CancelAttempt(handle, attempt) => self.stop_attempt(now, handle, attempt),
+            RouterAction::CancelAttempt(handle, attempt) => {
+                self.cancel_attempt(now, handle, attempt)
+            }
             RouterAction::Reject(request, ending) => self.finish_request(now, request, ending),
             RouterAction::AddToCounter(add) => self.pending_adds.push(add),
             RouterAction::Probe(engine, server) => self.start_probe(now, engine, server),
@@ -466,14 +471,23 @@
             IoEvent::Accepted(door, key) if door == self.listeners.0 => {
                 self.accept_client(now, key)
             }
-            IoEvent::Accepted(_, key) => _ = self.roles.insert(key, Role::Check { last: false }),
+            IoEvent::Accepted(_, key) => {
+                _ = self.roles.insert(
+                    key,
+                    Role::ReadinessCheck {
+                        close_after_response: false,
+                    },
+                )
+            }
             IoEvent::Signal(SIGTERM) => self.begin_shutdown(now),
             // The settings file holds nothing that a proxy reloads while it runs.
             IoEvent::Signal(_) => {}
             IoEvent::Connected(key) => self.handle_connected(now, key),
             IoEvent::Received(key) => self.handle_received(now, key),
             IoEvent::Flushed(key) => self.handle_flushed(now, key),
-            IoEvent::PeerClosed(key) | IoEvent::Failed(key) => self.handle_failed(now, key),
+            IoEvent::PeerClosed(key) | IoEvent::Failed(key) => {
+                self.handle_connection_lost(now, key)
+            }
         }
     }
 
@@ -487,7 +501,7 @@
                 }
             }
             Some(Role::Agent) => self.handle_agent_connected(now, key),
-            Some(Role::Client(_) | Role::Check { .. }) | None => {}
+            Some(Role::Client(_) | Role::ReadinessCheck { .. }) | None => {}
         }
     }
 
@@ -495,9 +509,14 @@
         match self.roles.get(key) {
             Some(Role::Client(_)) => self.handle_client_input(now, key),
             Some(Role::Upstream(_)) => self.handle_upstream_input(now, key),
-            Some(Role::Check { last: false }) => self.handle_readiness_check(key),
+            Some(Role::ReadinessCheck {
+                close_after_response: false,
+            }) => self.handle_readiness_check(key),
             Some(Role::Agent) => self.handle_agent_input(now, key),
-            Some(Role::Check { last: true }) | None => {}
+            Some(Role::ReadinessCheck {
+                close_after_response: true,
+            })
+            | None => {}
         }
     }
 
@@ -524,17 +543,19 @@
                     self.router.handle_attempt_written(now, handle);
                 }
             }
-            Some(Role::Check { last: true }) => self.remove_connection(key),
-            Some(Role::Check { .. } | Role::Agent) | None => {}
+            Some(Role::ReadinessCheck {
+                close_after_response: true,
+            }) => self.remove_connection(key),
+            Some(Role::ReadinessCheck { .. } | Role::Agent) | None => {}
         }
     }
 
-    fn handle_failed(&mut self, now: Micros, key: ConnectionId) {
+    fn handle_connection_lost(&mut self, now: Micros, key: ConnectionId) {
         match self.roles.get(key) {
             Some(Role::Client(_)) => self.remove_client(now, key, CloseReason::ClientClosed),
             Some(Role::Upstream(_)) => self.handle_upstream_closed(now, key),
             Some(Role::Agent) => self.handle_agent_lost(now, key),
-            Some(Role::Check { .. }) | None => self.remove_connection(key),
+            Some(Role::ReadinessCheck { .. }) | None => self.remove_connection(key),
         }
     }
 
@@ -545,7 +566,7 @@
 
     fn handle_timer(&mut self, now: Micros, due: Timer) {
         match due {
-            Timer::Connect(key)
+            Timer::ConnectTimeout(key)
                 if self
                     .connections
                     .get(key)
@@ -554,30 +575,30 @@
                 if let Some(Role::Upstream(upstream)) = self.roles.get(key) {
                     self.connect_timeout.record(now - upstream.opened_at);
                 }
-                self.handle_failed(now, key)
+                self.handle_connection_lost(now, key)
             }
-            Timer::Connect(_) => {}
-            Timer::Client(key) => self.handle_client_deadline(now, key),
-            Timer::Probe(key) => self.handle_probe_timeout(now, key),
-            Timer::ResponseStream(key) => self.handle_stream_deadline(now, key),
+            Timer::ConnectTimeout(_) => {}
+            Timer::ClientDeadline(key) => self.handle_client_deadline(now, key),
+            Timer::ProbeTimeout(key) => self.handle_probe_timeout(now, key),
+            Timer::ResponseStreamDeadline(key) => self.handle_response_stream_deadline(now, key),
             Timer::RequestDeadline(key) => self.handle_request_deadline(now, key),
-            Timer::CounterBatch => self.handle_batch_timeout(now),
-            Timer::ExpireIdle => self.expire_idle(now),
-            Timer::WarmupOver => self.update_servers(now),
-            Timer::Heartbeat => self.heartbeat(now),
+            Timer::CounterBatchTimeout => self.handle_counter_batch_timeout(now),
+            Timer::ExpireIdleConnections => self.close_expired_idle_upstreams(now),
+            Timer::WarmUpEnd => self.update_servers(now),
+            Timer::Heartbeat => self.handle_heartbeat_timer(now),
             Timer::LoadReport => self.send_load_reports(now),
             Timer::ConnectAgent => self.connect_to_agent(now),
-            Timer::ShutdownNotice => self.handle_notice_over(now),
+            Timer::ShutdownNoticeEnd => self.handle_shutdown_notice_end(now),
             Timer::ShutdownTimeout => self.handle_shutdown_timeout(now),
         }
     }
 
     /// The state of this node: it is ready once the agent has sent its complete state and there is
     /// something to serve.
-    fn state(&self) -> NodeState {
+    fn node_state(&self) -> NodeState {
         match (
             self.lifecycle.is_shutting_down(),
-            self.agent_complete
+            self.has_complete_state
                 && self.config_store.has_routes()
                 && self.server_table.has_servers(),
         ) {
@@ -593,7 +614,7 @@
             info!(self.log, "shutting down");
             self.deadlines.schedule(
                 now + self.limits.shutdown_notice_period,
-                Timer::ShutdownNotice,
+                Timer::ShutdownNoticeEnd,
             );
             self.deadlines
                 .schedule(now + self.limits.shutdown_timeout, Timer::ShutdownTimeout);
@@ -601,7 +622,7 @@
         }
     }
 
-    fn handle_notice_over(&mut self, now: Micros) {
+    fn handle_shutdown_notice_end(&mut self, now: Micros) {
         self.connections.stop_listening(self.listeners.0);
         let clients: Vec<ConnectionId> = self
             .roles
--- a/crates/proxy/src/host/response_streams.rs
+++ b/crates/proxy/src/host/response_streams.rs
@@ -16,13 +16,13 @@
     /// Deadline of the answer.
     deadline: Micros,
     /// Whether the server's connection may be reused afterwards, and until when.
-    idle_timeout: Option<Micros>,
+    reuse_timeout: Option<Micros>,
 }
 
 impl Host {
     /// A long answer becomes the final one and begins to be streamed. From here on there is no
     /// retry and no other answer.
-    pub(super) fn begin_stream(
+    pub(super) fn begin_response_stream(
         &mut self,
         now: Micros,
         key: ConnectionId,
@@ -33,14 +33,15 @@
         };
         let incoming = std::mem::take(&mut upstream.incoming);
         let sent = upstream.state.outcome_if_broken() == Outcome::Reset;
-        (upstream.class, upstream.state) = (None, UpstreamState::Relaying);
+        (upstream.response_class, upstream.state) = (None, UpstreamState::Relaying);
         let (extent, parts) = (incoming.framing, incoming.into_parts());
         let (Some((head, reader, come)), UpstreamPurpose::Attempt(request, handle, number)) =
             (parts, purpose)
         else {
             return self.close_upstream(key);
         };
-        self.upstreams.remove(&(handle.engine_index, handle.key));
+        self.attempt_connections
+            .remove(&(handle.engine_index, handle.key));
         let answers = self
             .router
             .handle_attempt_ended(now, handle, number, Outcome::Ok);
@@ -65,31 +66,31 @@
             .filter(|(name, _)| is_forwarded_field(name))
             .chain(keep_alive_field(&self.client_keep_alive, close));
         let relay = Relay::begin((&head, extent), reader, &come, lines, close, out);
-        let patience = (relay.is_reusable() && sent).then(|| self.idle_timeout(&head));
+        let patience = (relay.is_reusable() && sent).then(|| self.reuse_timeout(&head));
         if let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) {
-            upstream.stream = Some(ResponseStream {
+            upstream.response_stream = Some(ResponseStream {
                 relay,
                 client: to,
                 deadline,
-                idle_timeout: patience,
+                reuse_timeout: patience,
             });
         }
         if let Some(Role::Client(client)) = self.roles.get_mut(to) {
-            client.streaming_from = Some(key);
+            client.response_source = Some(key);
         }
         self.deadlines
-            .schedule(deadline.max(now), Timer::ResponseStream(key));
-        self.handle_stream_input(now, key);
+            .schedule(deadline.max(now), Timer::ResponseStreamDeadline(key));
+        self.handle_response_stream_input(now, key);
     }
 
     /// Handles more bytes of a streamed answer.
-    pub(super) fn handle_stream_input(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_response_stream_input(&mut self, now: Micros, key: ConnectionId) {
         let (Some(Role::Upstream(upstream)), Some(connection)) =
             (self.roles.get_mut(key), self.connections.get_mut(key))
         else {
             return;
         };
-        let Some(stream) = &mut upstream.stream else {
+        let Some(stream) = &mut upstream.response_stream else {
             return;
         };
         let (to, mut input) = (stream.client, std::mem::take(&mut connection.input));
@@ -107,50 +108,55 @@
             };
         }
         match passed {
-            Err(_) => self.abort_stream(now, key, CloseReason::MalformedBody),
-            Ok(()) if stream.relay.is_complete() => self.finish_stream(now, key, clean),
+            Err(_) => self.abort_response_stream(now, key, CloseReason::MalformedBody),
+            Ok(()) if stream.relay.is_complete() => self.finish_response_stream(now, key, clean),
             Ok(()) => {}
         }
     }
 
     /// The answer is complete: the server's connection is released.
-    fn finish_stream(&mut self, now: Micros, key: ConnectionId, clean: bool) {
+    fn finish_response_stream(&mut self, now: Micros, key: ConnectionId, clean: bool) {
         let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) else {
             return;
         };
-        let Some(stream) = upstream.stream.take() else {
+        let Some(stream) = upstream.response_stream.take() else {
             return;
         };
         upstream.state = UpstreamState::Idle;
-        let (server, patience) = (upstream.server, stream.idle_timeout.filter(|_| clean));
+        let (server, patience) = (upstream.server, stream.reuse_timeout.filter(|_| clean));
         upstream.reusable_until = now + patience.unwrap_or(0);
         if let Some(Role::Client(client)) = self.roles.get_mut(stream.client) {
-            client.streaming_from = None;
+            client.response_source = None;
         }
-        if !(patience.is_some() && self.pool.release(server, key, now)) {
+        if !(patience.is_some() && self.upstream_pool.release(server, key, now)) {
             self.close_upstream(key);
         } else if let Some(connection) = self.connections.get_mut(key) {
             connection.input = Vec::new();
             connection.max_input_bytes = READ_WINDOW_BYTES;
-            self.reread.push(key);
+            self.pending_reads.push(key);
         }
     }
 
     /// The client has taken what was forwarded: more may be read.
-    pub(super) fn resume_stream(&mut self, source: ConnectionId) {
+    pub(super) fn resume_response_stream(&mut self, source: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(source) {
             connection.max_input_bytes = self.limits.relay_window_bytes;
-            self.reread.push(source);
+            self.pending_reads.push(source);
         }
     }
 
     /// A streamed answer breaks off. Its end is never written, and the client's connection is
     /// closed.
-    pub(super) fn abort_stream(&mut self, now: Micros, key: ConnectionId, closing: CloseReason) {
+    pub(super) fn abort_response_stream(
+        &mut self,
+        now: Micros,
+        key: ConnectionId,
+        closing: CloseReason,
+    ) {
         let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) else {
             return;
         };
-        let Some(stream) = upstream.stream.take() else {
+        let Some(stream) = upstream.response_stream.take() else {
             return;
         };
         self.close_upstream(key);
@@ -158,13 +164,13 @@
     }
 
     /// A streamed answer may have exceeded its time.
-    pub(super) fn handle_stream_deadline(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_response_stream_deadline(&mut self, now: Micros, key: ConnectionId) {
         let (Some(Role::Upstream(upstream)), Some(connection)) =
             (self.roles.get(key), self.connections.get(key))
         else {
             return;
         };
-        let Some(stream) = &upstream.stream else {
+        let Some(stream) = &upstream.response_stream else {
             return;
         };
         // While the client is slow, nothing is read from the server; the client's own limit bounds
@@ -183,8 +189,10 @@
             &self.limits,
         );
         match until > now {
-            true => self.deadlines.schedule(until, Timer::ResponseStream(key)),
-            false => self.abort_stream(now, key, CloseReason::ResponseTimeout),
+            true => self
+                .deadlines
+                .schedule(until, Timer::ResponseStreamDeadline(key)),
+            false => self.abort_response_stream(now, key, CloseReason::ResponseTimeout),
         }
     }
 }
--- a/crates/proxy/src/host/responses.rs
+++ b/crates/proxy/src/host/responses.rs
@@ -17,14 +17,14 @@
 pub(super) struct LocalResponse {
     status: u16,
     retry_after: Micros,
-    text: &'static str,
+    reason: &'static str,
 }
 
 pub(super) fn local_response(status: u16, text: &'static str) -> LocalResponse {
     LocalResponse {
         status,
         retry_after: 0,
-        text,
+        reason: text,
     }
 }
 
@@ -32,13 +32,13 @@
     LocalResponse {
         status,
         retry_after,
-        text,
+        reason: text,
     }
 }
 
 impl Host {
     /// Writes an answer after which the connection is closed.
-    pub(super) fn write_last_response(
+    pub(super) fn write_closing_response(
         &mut self,
         now: Micros,
         key: ConnectionId,
@@ -57,7 +57,7 @@
         };
         // An attempt in flight may be running: it is stopped only after this.
         request.may_have_run |= self.may_be_running(request.handle);
-        if let Some((head, body)) = request.failure.filter(|_| request.may_have_run) {
+        if let Some((head, body)) = request.failed_response.filter(|_| request.may_have_run) {
             return self.write_server_response(now, request.client, &head, &body);
         }
         let answer = match ending {
@@ -94,7 +94,7 @@
         self.client(key)
             .into_iter()
             .for_each(|client| client.close_after_response |= crowded);
-        let body = format!("{}\n", own.text);
+        let body = format!("{}\n", own.reason);
         let Some(close) = self.begin_response(now, key) else {
             return;
         };
@@ -167,9 +167,9 @@
         if client.connection.stage != Stage::Responding {
             return;
         }
-        if let Some(source) = client.streaming_from {
+        if let Some(source) = client.response_source {
             client.connection.record_write_progress(now);
-            return self.resume_stream(source);
+            return self.resume_response_stream(source);
         }
         let last = client.close_after_response;
         client.connection.finish_response(now, last);
@@ -183,7 +183,7 @@
             self.connections.shutdown_write(key);
         }
         // Pipelined input may be buffered here or in the kernel.
-        self.reread.push(key);
+        self.pending_reads.push(key);
         self.schedule_client_deadline(now, key);
     }
 }
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -21,7 +21,7 @@
         };
         client.upload = Some(Upload::new(extent, reader, body, 0));
         client.close_after_response = !head.keep_alive;
-        client.checked_by_head = false;
+        client.shedding_checked = false;
         let told = std::mem::take(&mut client.continue_sent);
         client.connection.begin_processing(now);
         client.connection.record_body_progress(now, come);
@@ -144,7 +144,7 @@
         };
         if let Some(connection) = self.connections.get_mut(from) {
             connection.max_input_bytes = self.limits.relay_window_bytes;
-            self.reread.push(from);
+            self.pending_reads.push(from);
         }
     }
 
@@ -169,6 +169,6 @@
         let handle = request.handle;
         self.finish_request(now, key, EngineRejection::Failed);
         self.router
-            .handle_client_disconnected(now, handle, &mut self.actions);
+            .handle_client_disconnected(now, handle, &mut self.router_actions);
     }
 }
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -18,9 +18,9 @@
 /// Most connections to servers, including idle ones.
 const MAX_UPSTREAMS: usize = 1_000;
 /// Two round trips to a server of another region: connecting, and one exchange.
-const TWO_ROUND_TRIPS: Micros = 250 * MS;
+const REMOTE_PROBE_EXTRA_TIME: Micros = 250 * MS;
 /// An idle connection is closed this long before its server would do so.
-const IDLE_MARGIN: Micros = 1_500 * MS;
+const UPSTREAM_KEEP_ALIVE_MARGIN: Micros = 1_500 * MS;
 
 impl UpstreamConnection {
     fn new(opened_at: Micros, server: ServerId, purpose: UpstreamPurpose) -> UpstreamConnection {
@@ -29,10 +29,10 @@
             opened_at,
             state: UpstreamState::Connecting(purpose),
             incoming: IncomingMessage::default(),
-            class: None,
-            bodiless: false,
+            response_class: None,
+            expects_no_body: false,
             reusable_until: 0,
-            stream: None,
+            response_stream: None,
             is_uploading: false,
             bytes_sent_before: 0,
             had_response_without_id: false,
@@ -41,7 +41,7 @@
 }
 
 /// Classifies a response by its head; `None` if its request is gone.
-fn classify_for(
+fn classify_for_purpose(
     purpose: UpstreamPurpose,
     head: &ResponseHead,
     framing: BodyFraming,
@@ -78,7 +78,7 @@
         };
         match acquired {
             Ok(connection) => {
-                self.upstreams
+                self.attempt_connections
                     .insert((handle.engine_index, handle.key), connection);
                 self.write_attempt(now, key, connection, server);
             }
@@ -92,7 +92,7 @@
     /// Whether a request is in progress and its route allows another attempt.
     fn may_attempt(&self, key: RequestKey) -> bool {
         self.requests.get(key).is_some_and(|request| {
-            request.used_connections.len() < request.route.tries.max(1) as usize
+            request.attempt_connections.len() < request.route.tries.max(1) as usize
         })
     }
 
@@ -109,9 +109,9 @@
         ) else {
             return;
         };
-        request.used_connections.push(connection);
+        request.attempt_connections.push(connection);
         if let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection) {
-            upstream.bodiless = request.method == "HEAD";
+            upstream.expects_no_body = request.method == "HEAD";
         }
         let Some(out) = self.connections.output(connection) else {
             return;
@@ -150,8 +150,8 @@
         if let Some(key) = self.reuse_connection(now, server, purpose) {
             return Ok(key);
         }
-        if self.pool.connection_count() >= MAX_UPSTREAMS
-            && let Some(idle) = self.pool.longest_idle_connection()
+        if self.upstream_pool.connection_count() >= MAX_UPSTREAMS
+            && let Some(idle) = self.upstream_pool.longest_idle_connection()
         {
             self.close_upstream(idle);
         }
@@ -174,13 +174,13 @@
         }
         // A second, late answer could not be told from that of a retry by its id.
         let used_connections =
-            request.map_or(Vec::new(), |request| request.used_connections.clone());
+            request.map_or(Vec::new(), |request| request.attempt_connections.clone());
         // A second, late rejection without an id would claim that this request has not run.
         let needs_id = request.is_some_and(|request| request.route.kind != Idempotency::Idempotent);
         let mut passed_over = Vec::new();
         let mut found = None;
         while found.is_none()
-            && let Some(key) = self.pool.acquire(server)
+            && let Some(key) = self.upstream_pool.acquire(server)
         {
             match self.roles.get_mut(key) {
                 Some(Role::Upstream(upstream))
@@ -203,7 +203,7 @@
         }
         // They remain for requests that may be retried.
         for key in passed_over.into_iter().rev() {
-            if !self.pool.release(server, key, now) {
+            if !self.upstream_pool.release(server, key, now) {
                 self.close_upstream(key);
             }
         }
@@ -229,25 +229,27 @@
         if let Some(connection) = self.connections.get_mut(key) {
             connection.max_input_bytes = READ_WINDOW_BYTES;
         }
-        self.pool.record_opened(server);
-        self.deadlines
-            .schedule(now + self.connect_timeout.timeout(), Timer::Connect(key));
+        self.upstream_pool.record_opened(server);
+        self.deadlines.schedule(
+            now + self.connect_timeout.timeout(),
+            Timer::ConnectTimeout(key),
+        );
         Ok(key)
     }
 
     pub(super) fn close_upstream(&mut self, key: ConnectionId) {
         if let Some(Role::Upstream(upstream)) = self.roles.remove(key) {
-            self.pool.record_closed(upstream.server, key);
+            self.upstream_pool.record_closed(upstream.server, key);
         }
         self.connections.close(key);
     }
 
-    pub(super) fn close_idle(&mut self, keys: Vec<ConnectionId>) {
+    pub(super) fn close_idle_upstreams(&mut self, keys: Vec<ConnectionId>) {
         keys.into_iter().for_each(|key| self.close_upstream(key));
     }
 
     /// Closes idle connections to servers that are no longer listed.
-    pub(super) fn close_unlisted(&mut self) {
+    pub(super) fn close_unlisted_servers(&mut self) {
         let gone: Vec<ServerId> = self
             .roles
             .values()
@@ -259,25 +261,25 @@
             })
             .collect();
         for server in gone {
-            let idle = self.pool.remove_server(server);
-            self.close_idle(idle);
+            let idle = self.upstream_pool.remove_server(server);
+            self.close_idle_upstreams(idle);
         }
     }
 
-    pub(super) fn expire_idle(&mut self, now: Micros) {
+    pub(super) fn close_expired_idle_upstreams(&mut self, now: Micros) {
         let old = self
-            .pool
+            .upstream_pool
             .take_expired(now - self.limits.upstream_idle_timeout);
-        self.close_idle(old);
+        self.close_idle_upstreams(old);
         self.deadlines.schedule(
             now + self.limits.upstream_idle_timeout / 4,
-            Timer::ExpireIdle,
+            Timer::ExpireIdleConnections,
         );
     }
 
     /// The outcome of an attempt whose connection ends now. For a request that is not idempotent
     /// one written byte is enough to count as possibly run: a server may begin at the head.
-    fn outcome_if_ended(&self, key: ConnectionId) -> Option<Outcome> {
+    fn outcome_if_closed(&self, key: ConnectionId) -> Option<Outcome> {
         let (Some(Role::Upstream(upstream)), Some(connection)) =
             (self.roles.get(key), self.connections.get(key))
         else {
@@ -302,14 +304,16 @@
 
     /// Whether a server that may run this request holds an attempt of it.
     pub(super) fn may_be_running(&self, handle: RequestHandle) -> bool {
-        let key = self.upstreams.get(&(handle.engine_index, handle.key));
-        key.and_then(|key| self.outcome_if_ended(*key)) == Some(Outcome::Reset)
+        let key = self
+            .attempt_connections
+            .get(&(handle.engine_index, handle.key));
+        key.and_then(|key| self.outcome_if_closed(*key)) == Some(Outcome::Reset)
     }
 
     /// The module stops an attempt: its outcome is known.
-    pub(super) fn stop_attempt(&mut self, _now: Micros, handle: RequestHandle, number: u32) {
+    pub(super) fn cancel_attempt(&mut self, _now: Micros, handle: RequestHandle, number: u32) {
         let Some(key) = self
-            .upstreams
+            .attempt_connections
             .get(&(handle.engine_index, handle.key))
             .copied()
         else {
@@ -324,8 +328,9 @@
         if own != handle || out != number {
             return;
         }
-        let may_have_run = self.outcome_if_ended(key) == Some(Outcome::Reset);
-        self.upstreams.remove(&(handle.engine_index, handle.key));
+        let may_have_run = self.outcome_if_closed(key) == Some(Outcome::Reset);
+        self.attempt_connections
+            .remove(&(handle.engine_index, handle.key));
         if let Some(request) = self.requests.get_mut(request) {
             request.may_have_run |= may_have_run;
         }
@@ -344,8 +349,8 @@
         else {
             return false;
         };
-        if upstream.stream.is_some() {
-            self.handle_stream_input(now, key);
+        if upstream.response_stream.is_some() {
+            self.handle_response_stream_input(now, key);
             return false;
         }
         let Some(purpose) = upstream.state.purpose() else {
@@ -355,7 +360,7 @@
             }
             return false;
         };
-        if connection.input.is_empty() && upstream.class.is_none() {
+        if connection.input.is_empty() && upstream.response_class.is_none() {
             return false;
         }
         let read = upstream.incoming.read(
@@ -370,20 +375,20 @@
         let Some(head) = upstream.incoming.head() else {
             return false;
         };
-        let known = upstream
-            .class
-            .or_else(|| classify_for(purpose, head, upstream.incoming.framing, &self.requests));
+        let known = upstream.response_class.or_else(|| {
+            classify_for_purpose(purpose, head, upstream.incoming.framing, &self.requests)
+        });
         let Some(class) = known else {
             self.close_upstream(key);
             return false;
         };
         upstream.had_response_without_id |= !head.headers.contains("X-Request-Id");
-        upstream.class = Some(class);
+        upstream.response_class = Some(class);
         if class == ResponseClass::Malformed {
             self.finish_exchange(now, key, purpose, class);
             return false;
         }
-        if !upstream.incoming.is_complete() && !upstream.bodiless {
+        if !upstream.incoming.is_complete() && !upstream.expects_no_body {
             self.handle_partial_response(now, key, purpose, class);
             return false;
         }
@@ -391,7 +396,7 @@
             self.finish_exchange(now, key, purpose, class);
             return false;
         }
-        (upstream.incoming, upstream.class) = (IncomingMessage::default(), None);
+        (upstream.incoming, upstream.response_class) = (IncomingMessage::default(), None);
         true
     }
 
@@ -414,25 +419,25 @@
             UpstreamPurpose::Probe(_) => ResponseClass::Failure,
         };
         match choose_handling(class, &upstream.incoming, &self.limits) {
-            ResponseHandling::Streamed => self.begin_stream(now, key, purpose),
+            ResponseHandling::Streamed => self.begin_response_stream(now, key, purpose),
             ResponseHandling::Rejected => {
                 self.finish_exchange(now, key, purpose, ResponseClass::Malformed)
             }
             ResponseHandling::Buffered => {
                 let has_unread = connection.has_unread();
-                self.reread.extend(has_unread.then_some(key));
+                self.pending_reads.extend(has_unread.then_some(key));
             }
         }
     }
 
     /// How long an idle connection may be used after this answer.
-    pub(super) fn idle_timeout(&self, head: &ResponseHead) -> Micros {
+    pub(super) fn reuse_timeout(&self, head: &ResponseHead) -> Micros {
         let told = head
             .headers
             .get("Keep-Alive")
             .and_then(parse_keep_alive_timeout);
         let told = told.map_or(Micros::MAX, |seconds| {
-            Micros::from(seconds) * SECOND - IDLE_MARGIN
+            Micros::from(seconds) * SECOND - UPSTREAM_KEEP_ALIVE_MARGIN
         });
         told.min(self.limits.upstream_idle_timeout)
     }
@@ -451,9 +456,9 @@
             return;
         };
         let incoming = std::mem::take(&mut upstream.incoming);
-        let (server, bodiless) = (upstream.server, upstream.bodiless);
+        let (server, bodiless) = (upstream.server, upstream.expects_no_body);
         let sent = upstream.state.outcome_if_broken() == Outcome::Reset;
-        upstream.class = None;
+        upstream.response_class = None;
         let parts = incoming.into_parts();
         let reusable = parts.as_ref().is_some_and(|(head, ..)| head.is_reusable()) && !bodiless;
         let keep =
@@ -461,14 +466,15 @@
         upstream.state = UpstreamState::Idle;
         let patience = parts
             .as_ref()
-            .map_or(0, |(head, ..)| self.idle_timeout(head));
+            .map_or(0, |(head, ..)| self.reuse_timeout(head));
         if let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) {
             upstream.reusable_until = now + patience;
         }
         if let UpstreamPurpose::Attempt(_, handle, _) = purpose {
-            self.upstreams.remove(&(handle.engine_index, handle.key));
+            self.attempt_connections
+                .remove(&(handle.engine_index, handle.key));
         }
-        if !(keep && self.pool.release(server, key, now)) {
+        if !(keep && self.upstream_pool.release(server, key, now)) {
             self.close_upstream(key);
         }
         match purpose {
@@ -511,7 +517,7 @@
         if let Some(request) = self.requests.get_mut(key) {
             request.may_have_run |= !matches!(outcome, Outcome::Rejected);
             if class == ResponseClass::Failure {
-                request.failure = answer.clone();
+                request.failed_response = answer.clone();
             }
         }
         if !self
@@ -537,15 +543,16 @@
         let Some(Role::Upstream(upstream)) = self.roles.get(key) else {
             return;
         };
-        if upstream.stream.is_some() {
-            return self.abort_stream(now, key, CloseReason::ServerBroke);
+        if upstream.response_stream.is_some() {
+            return self.abort_response_stream(now, key, CloseReason::ServerClosed);
         }
         let (purpose, server) = (upstream.state.purpose(), upstream.server);
-        let outcome = self.outcome_if_ended(key).unwrap_or(Outcome::Reset);
+        let outcome = self.outcome_if_closed(key).unwrap_or(Outcome::Reset);
         self.close_upstream(key);
         match purpose {
             Some(UpstreamPurpose::Attempt(request, handle, number)) => {
-                self.upstreams.remove(&(handle.engine_index, handle.key));
+                self.attempt_connections
+                    .remove(&(handle.engine_index, handle.key));
                 if let Some(request) = self.requests.get_mut(request) {
                     request.may_have_run |= outcome == Outcome::Reset;
                 }
@@ -580,7 +587,7 @@
             );
         }
         let way = if self.server_table.is_in_other_region(server) {
-            TWO_ROUND_TRIPS
+            REMOTE_PROBE_EXTRA_TIME
         } else {
             0
         };
@@ -589,7 +596,8 @@
             .probe_timeout
             .max(self.router.probe_timeout(engine))
             + way;
-        self.deadlines.schedule(now + wait, Timer::Probe(key));
+        self.deadlines
+            .schedule(now + wait, Timer::ProbeTimeout(key));
     }
 
     pub(super) fn handle_probe_timeout(&mut self, now: Micros, key: ConnectionId) {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -9,7 +9,7 @@
 fn main() -> ExitCode {
     program::run(
         "proxy",
-        proxy::host::check,
+        proxy::host::check_settings,
         |ProgramContext { settings, ring, .. }| {
             let mut host = Host::open(settings, Clock::steady(), ring)?;
             host.serve_metrics();
