--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -1,8 +1,13 @@
-//! Routes requests through the decision module: one engine enforces quotas with the shared counter,
-//! and one for each service and set of regions selects servers. Without I/O.
+//! Routes requests through the decision module (crate `streamarch`): one engine enforces quotas
+//! with the shared counter, and one for each service and set of regions selects servers. Performs
+//! no I/O.
 //!
-//! A tenant's quota covers all services, so that one engine checks it and then hands admitted
-//! requests to the engine of their service. Requests of tenants without a quota go there directly.
+//! A tenant's quota covers all services. Therefore a single engine checks it and then hands
+//! admitted requests to the engine of their service. Requests of tenants without a quota go there
+//! directly.
+//!
+//! A limiter is a proxy together with its agent: the unit that quotas and retry budgets are divided
+//! by.
 
 mod placement_engine;
 mod quota_engine;
@@ -27,26 +32,26 @@
 use crate::shedding::{LoadShedding, SheddingPriority, SheddingRequest, priority_tier};
 
 slotmap::new_key_type! {
-    /// A request whose final answer is still owed.
+    /// A request without a final response yet.
     pub struct RequestKey;
 }
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Longest wait that clients are told.
+/// Longest `Retry-After` sent to clients.
 const MAX_RETRY_AFTER: Micros = SECOND;
-/// Shortest wait told where a local share is used up: the counter may be back by then.
+/// Shortest `Retry-After` where a local share is exhausted: the counter may have recovered by then.
 const MIN_SHARE_RETRY_AFTER: Micros = 100 * MS;
 
-/// Position of the engine that enforces quotas; the engines of services follow.
+/// Index of the engine that enforces quotas; the engines of services follow.
 const QUOTA_ENGINE: usize = 0;
 
-/// An authorisation, and the engine that holds it.
+/// Identifies a request within the engine that currently holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestHandle {
-    /// Position of the engine.
+    /// Index of the engine.
     pub engine_index: usize,
-    /// Its authorisation.
+    /// Its authorisation in that engine.
     pub key: AuthorisationKey,
 }
 
@@ -57,20 +62,21 @@
     SendAttempt {
         /// The request.
         request: RequestKey,
-        /// The handle by which the host reports the outcome.
+        /// Identifies the request when the host reports the outcome.
         handle: RequestHandle,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
         /// The server.
         server: ServerId,
     },
-    /// Close the connection of an attempt; its outcome is known.
+    /// Close the connection of an attempt, which the engine already counts as ended.
     CancelAttempt(RequestHandle, u32),
-    /// Send the final answer.
+    /// Send the final response, as no server's response is one.
     Reject(RequestKey, EngineRejection),
     /// Add to the shared counter; report with [`RequestRouter::handle_counter_result`].
     AddToCounter(CounterAdd),
-    /// Check a server's health, for the engine at this position.
+    /// Check a server's health for the engine at this index; report with
+    /// [`RequestRouter::handle_probe_result`].
     Probe(usize, ServerId),
 }
 
@@ -79,77 +85,80 @@
 pub struct RoutingRequest<'a> {
     /// The request.
     pub key: RequestKey,
-    /// Its id, as the client sent it.
+    /// The request id that the client sent.
     pub request_id: &'a str,
     /// Its route.
     pub route: &'a Route,
-    /// The service chosen for it.
+    /// The service selected for it.
     pub service: &'a str,
-    /// Its tenant, by name.
+    /// Its tenant's name and configuration.
     pub tenant: Option<(&'a str, &'a Tenant)>,
     /// The regions that may serve it; empty: all.
     pub allowed_regions: &'a [String],
-    /// Deadline of the final answer.
+    /// Deadline of the final response.
     pub deadline: Micros,
 }
 
 impl<'a> RoutingRequest<'a> {
-    /// What its priority under overload depends on.
+    /// The properties that determine its priority under overload.
     pub fn shedding_request(&self) -> SheddingRequest<'a> {
         let RoutingRequest {
-            request_id: id,
+            request_id,
             route,
-            service: svc,
+            service,
             tenant,
             ..
         } = *self;
         SheddingRequest {
-            request_id: id,
+            request_id,
             route,
-            service: svc,
+            service,
             tenant,
         }
     }
 }
 
+/// An engine with the requests that it holds.
 struct EngineEntry {
     /// The service; empty for the quota engine.
     service: String,
-    /// The latency target.
+    /// The latency target of the route for which the engine was created; 0 for the quota engine.
     latency_target: Micros,
     engine: Engine,
     requests: SecondaryMap<AuthorisationKey, RequestKey>,
-    /// Requests that are to be rejected because of overload; the module rejects them.
+    /// Requests submitted to be rejected because of overload; the decision module rejects them.
     shed_requests: SecondaryMap<AuthorisationKey, ()>,
 }
 
 impl EngineEntry {
-    fn new(svc: &str, engine: Engine) -> EngineEntry {
-        let (requests, waiting) = (SecondaryMap::new(), SecondaryMap::new());
+    fn new(service: &str, engine: Engine) -> EngineEntry {
+        let (requests, shed_requests) = (SecondaryMap::new(), SecondaryMap::new());
         EngineEntry {
-            service: svc.to_string(),
+            service: service.to_string(),
             latency_target: 0,
             engine,
             requests,
-            shed_requests: waiting,
+            shed_requests,
         }
     }
 }
 
-/// Where a request goes once its quota was checked.
+/// How a request is submitted to its service's engine after its quota has been checked.
 struct PendingPlacement {
+    /// Index of the service's engine.
     engine_index: usize,
+    /// Index of its class in the settings of the service's engine.
     class: usize,
     priority: SheddingPriority,
-    /// Its admission was decided before its quota was checked.
+    /// Its shedding decision was made and recorded before its quota was checked.
     is_admission_recorded: bool,
     tenant: String,
     deadline: Micros,
-    /// Its tenant's local share is used up; it may come again after this time.
+    /// Set if its tenant's local share is exhausted: the time until it is refilled.
     share_retry_after: Option<Micros>,
 }
 
-/// Limits and position of each tenant's plan.
+/// By tenant: the bits of its rate and burst, and the index of the plan made from them.
 type PlanIndices = BTreeMap<String, ((u64, u64), usize)>;
 
 /// Routes the requests of one proxy.
@@ -157,35 +166,35 @@
     seed: u64,
     bounds: Bounds,
     limiter_count: u32,
-    /// Number of limiters that quotas are divided by.
+    /// Number of limiters by which quotas are divided.
     quota_divisor: u32,
-    /// The control plane does not count on this limiter any more.
+    /// The control plane no longer includes this limiter when it divides quotas.
     is_isolated: bool,
-    /// Reduces the local shares until then, after a jump of the clock.
+    /// After a jump of the clock, local shares are reduced until then.
     reduced_shares_until: Micros,
-    /// End of the start-up phase.
+    /// End of the start-up phase; `None` before the first number of limiters arrives.
     startup_until: Option<Micros>,
     /// When a lower number of limiters was first announced, and the highest number announced since.
     pending_decrease: Option<(Micros, u32)>,
     /// The term of the counter's owner.
     counter_term: Option<u64>,
-    /// The newest term announced.
+    /// The highest term announced.
     highest_counter_term: u64,
     engines: Vec<EngineEntry>,
     shedding: LoadShedding,
-    /// Position of each engine by service and regions.
+    /// Index of each engine by service and regions.
     engine_indices: BTreeMap<(String, Vec<String>), usize>,
+    /// Requests held by the quota engine.
     pending_placements: SecondaryMap<AuthorisationKey, PendingPlacement>,
-    /// The tenants' local shares while the counter is in doubt.
+    /// The tenants' local shares, enforced while the counter's totals are unreliable.
     quota_shares: QuotaShares,
-    /// The tenants' plans in the quota engine, with the usual and the reduced burst: limits and
-    /// position.
+    /// The tenants' plans in the quota engine: with the usual burst, and with the reduced one.
     plan_indices: [PlanIndices; 2],
     plan_count: usize,
     engine_actions: Vec<EngineAction>,
 }
 
-/// The settings of both kinds of engines.
+/// The settings that both kinds of engines have in common.
 fn common_engine_settings(limiters: u32) -> Settings {
     Settings {
         gateway_count: limiters.max(1),
@@ -202,7 +211,7 @@
 const MAX_REQUESTS_PER_ENGINE: usize = 4_000;
 
 impl RequestRouter {
-    /// A router without services.
+    /// Creates a router without services.
     pub fn new(seed: u64, bounds: Bounds) -> RequestRouter {
         let quota_engine = EngineEntry::new("", quota_engine(seed, MAX_REQUESTS_PER_ENGINE));
         RequestRouter {
@@ -227,54 +236,56 @@
         }
     }
 
-    /// Takes a request; [`RequestRouter::run`] returns what follows. `None` if too many are held.
+    /// Submits a request; [`RequestRouter::run`] returns the resulting actions. `None` if the
+    /// engine's capacity is exhausted, or its service has no engine.
     pub fn submit(&mut self, now: Micros, request: &RoutingRequest<'_>) -> Option<RequestHandle> {
         let service_engine = self.engine_index(request.service, request.allowed_regions)?;
         let shedding_request = request.shedding_request();
         let priority = self.shedding.priority(now, &shedding_request);
-        let limited = request.tenant.filter(|(_, tenant)| tenant.per_s > 0.0);
-        let first = limited.is_none()
+        let limited_tenant = request.tenant.filter(|(_, tenant)| tenant.per_s > 0.0);
+        let is_shedding_checked = limited_tenant.is_none()
             || self
                 .shedding
                 .is_shedding_checked_first(now, &shedding_request);
-        if first {
+        if is_shedding_checked {
             self.shedding.record_decision(request.service, &priority);
         }
         let class = class_index(request.route, priority_tier(request.route, request.tenant));
-        let name = limited.map_or(String::new(), |(name, _)| name.to_string());
+        let tenant_name =
+            limited_tenant.map_or(String::new(), |(tenant_name, _)| tenant_name.to_string());
         let deadline = request.deadline;
         let pending = PendingPlacement {
             engine_index: service_engine,
             class,
             priority,
-            is_admission_recorded: first,
-            tenant: name,
+            is_admission_recorded: is_shedding_checked,
+            tenant: tenant_name,
             deadline,
             share_retry_after: None,
         };
-        let Some((name, tenant)) = limited else {
+        let Some((tenant_name, tenant)) = limited_tenant else {
             return self.submit_to_service_engine(now, request.key, &pending, priority);
         };
-        self.submit_for_quota(now, request, pending, (name, tenant))
+        self.submit_for_quota(now, request, pending, (tenant_name, tenant))
     }
 
-    /// Submits a request to the quota engine, which hands it to its service's engine if it is
-    /// admitted.
+    /// Submits a request to the quota engine; once admitted there, it is submitted to its service's
+    /// engine.
     fn submit_for_quota(
         &mut self,
         now: Micros,
         request: &RoutingRequest<'_>,
         mut pending: PendingPlacement,
-        (name, tenant): (&str, &Tenant),
+        (tenant_name, tenant): (&str, &Tenant),
     ) -> Option<RequestHandle> {
-        let plan = self.plan_index(now, name, tenant);
-        let spread = if self.is_isolated || now < self.reduced_shares_until {
+        let plan = self.plan_index(now, tenant_name, tenant);
+        let divisor = if self.is_isolated || now < self.reduced_shares_until {
             (ISOLATED_SHARE_DIVISOR * self.quota_divisor).min(MAX_COUNTING_LIMITERS)
         } else {
             self.quota_divisor
         };
-        let share = QuotaShare::new(tenant.per_s, tenant.burst, self.bounds.quota_slack, spread);
-        pending.share_retry_after = self.quota_shares.try_charge(now, name, share).err();
+        let share = QuotaShare::new(tenant.per_s, tenant.burst, self.bounds.quota_slack, divisor);
+        pending.share_retry_after = self.quota_shares.try_charge(now, tenant_name, share).err();
         let priority = match pending.share_retry_after {
             Some(_) => SheddingPriority::REJECTED,
             None if pending.is_admission_recorded => pending.priority,
@@ -283,10 +294,10 @@
         let authorisation = Authorisation {
             class: 0,
             plan,
-            customer: customer_id(name),
+            customer: customer_id(tenant_name),
             deadline: request.deadline,
             units: 1.0,
-            limiter_count: spread,
+            limiter_count: divisor,
             priority_position: priority.position,
             shed_share: priority.shed_share,
             ..Authorisation::default()
@@ -301,18 +312,19 @@
         })
     }
 
-    /// Whether a request is shed by its head alone, so that its body need not be read.
+    /// Whether a request is shed by its head alone, so that its body need not be read. If so, the
+    /// decision is recorded.
     pub fn is_shed_by_head(&mut self, now: Micros, shedding_request: &SheddingRequest<'_>) -> bool {
         let priority = self.shedding.priority(now, shedding_request);
-        let waits = priority.is_shed()
+        let is_shed = priority.is_shed()
             && self
                 .shedding
                 .is_shedding_checked_first(now, shedding_request);
-        if waits {
+        if is_shed {
             self.shedding
                 .record_decision(shedding_request.service, &priority);
         }
-        waits
+        is_shed
     }
 
     /// The load shedding state.
@@ -320,44 +332,54 @@
         &mut self.shedding
     }
 
-    /// When [`RequestRouter::run`] has something to do next.
+    /// When [`RequestRouter::run`] must be called next.
     pub fn next_wakeup(&self) -> Option<Micros> {
         self.engines
             .iter()
-            .filter_map(|service_engine| service_engine.engine.next_wakeup())
+            .filter_map(|entry| entry.engine.next_wakeup())
             .min()
     }
 
-    /// Lets the module decide. `moved` is called for requests that were admitted and handed to a
-    /// service's engine.
+    /// Runs all engines and appends the resulting actions to `actions`. `on_handle_changed` is
+    /// called with the new handle of each request that its quota admitted and that is now submitted
+    /// to its service's engine.
     pub fn run(
         &mut self,
         now: Micros,
         actions: &mut Vec<RouterAction>,
-        mut moved: impl FnMut(RequestKey, RequestHandle),
+        mut on_handle_changed: impl FnMut(RequestKey, RequestHandle),
     ) {
-        for at in 0..self.engines.len() {
-            let mut orders = std::mem::take(&mut self.engine_actions);
-            self.engines[at].engine.run(now, &mut orders);
-            for order in orders.drain(..) {
-                self.handle_engine_action(now, at, order, actions, &mut moved);
+        for engine_index in 0..self.engines.len() {
+            // The buffer is reused between calls.
+            let mut engine_actions = std::mem::take(&mut self.engine_actions);
+            self.engines[engine_index]
+                .engine
+                .run(now, &mut engine_actions);
+            for action in engine_actions.drain(..) {
+                self.handle_engine_action(
+                    now,
+                    engine_index,
+                    action,
+                    actions,
+                    &mut on_handle_changed,
+                );
             }
-            self.engine_actions = orders;
+            self.engine_actions = engine_actions;
         }
     }
 
     fn handle_engine_action(
         &mut self,
         now: Micros,
-        engine: usize,
+        engine_index: usize,
         action: EngineAction,
         actions: &mut Vec<RouterAction>,
-        moved: &mut impl FnMut(RequestKey, RequestHandle),
+        on_handle_changed: &mut impl FnMut(RequestKey, RequestHandle),
     ) {
         match action {
-            EngineAction::StartAttempt { key, attempt, .. } if engine == QUOTA_ENGINE => {
+            EngineAction::StartAttempt { key, attempt, .. } if engine_index == QUOTA_ENGINE => {
                 match self.submit_admitted(now, key, attempt) {
-                    Some((request, Some(handle))) => moved(request, handle),
+                    Some((request, Some(handle))) => on_handle_changed(request, handle),
                     Some((request, None)) => {
                         let rejection = EngineRejection::Declined {
                             retry_after: MAX_RETRY_AFTER / 4,
@@ -375,28 +397,16 @@
                 ..
             } => actions.extend(self.start_attempt(
                 now,
-                RequestHandle {
-                    engine_index: engine,
-                    key,
-                },
+                RequestHandle { engine_index, key },
                 attempt,
                 server,
             )),
-            EngineAction::CancelAttempt { key, attempt } => {
-                actions.push(RouterAction::CancelAttempt(
-                    RequestHandle {
-                        engine_index: engine,
-                        key,
-                    },
-                    attempt,
-                ))
-            }
+            EngineAction::CancelAttempt { key, attempt } => actions.push(
+                RouterAction::CancelAttempt(RequestHandle { engine_index, key }, attempt),
+            ),
             EngineAction::Reject { key, rejection } => actions.extend(self.handle_rejection(
                 now,
-                RequestHandle {
-                    engine_index: engine,
-                    key,
-                },
+                RequestHandle { engine_index, key },
                 rejection,
             )),
             EngineAction::AddToCounter {
@@ -410,18 +420,18 @@
                     ttl: life,
                 }));
             }
-            EngineAction::Probe(server) => actions.push(RouterAction::Probe(engine, server)),
+            EngineAction::Probe(server) => actions.push(RouterAction::Probe(engine_index, server)),
             EngineAction::Notify(..) | EngineAction::Log(_) => {}
         }
     }
 
-    /// Whether quotas are enforced by local shares now.
+    /// Whether quotas are currently enforced by local shares.
     pub fn enforces_local_shares(&mut self, now: Micros) -> bool {
         self.quota_shares.is_binding(now)
     }
 
-    /// The quota engine admitted a request: hands it to the engine of its service. Returns the
-    /// request with its new handle, which is `None` if that engine holds too many.
+    /// Submits a request that the quota engine admitted to its service's engine. Returns the request
+    /// with its new handle, which is `None` if that engine's capacity is exhausted.
     fn submit_admitted(
         &mut self,
         now: Micros,
@@ -455,9 +465,9 @@
         attempt: u32,
         server: ServerId,
     ) -> Option<RouterAction> {
-        let service = &mut self.engines[handle.engine_index];
-        let Some(request) = service.requests.get(handle.key).copied() else {
-            service
+        let entry = &mut self.engines[handle.engine_index];
+        let Some(request) = entry.requests.get(handle.key).copied() else {
+            entry
                 .engine
                 .handle_attempt_ended(now, handle.key, attempt, Outcome::NotSent, None);
             return None;
@@ -488,8 +498,8 @@
         Some(RouterAction::Reject(request, rejection))
     }
 
-    /// The quota engine rejects a request: returns the rejection, which names the local share if
-    /// that is used up.
+    /// The rejection of a request by the quota engine. Where the local share is exhausted, that is
+    /// the reason given, and the time until it is refilled.
     fn quota_rejection(
         &mut self,
         now: Micros,
@@ -500,8 +510,8 @@
             return rejection;
         };
         let rejection = match pending.share_retry_after {
-            Some(wait) => EngineRejection::Declined {
-                retry_after: wait.clamp(MIN_SHARE_RETRY_AFTER, MAX_RETRY_AFTER),
+            Some(retry_after) => EngineRejection::Declined {
+                retry_after: retry_after.clamp(MIN_SHARE_RETRY_AFTER, MAX_RETRY_AFTER),
                 over_quota: true,
             },
             None => {
@@ -513,28 +523,28 @@
             over_quota: true, ..
         } = rejection
         {
-            let svc = self.engines[pending.engine_index].service.as_str();
-            let counted = pending
+            let service = self.engines[pending.engine_index].service.as_str();
+            let recorded_decision = pending
                 .is_admission_recorded
-                .then_some((svc, pending.priority.band));
+                .then_some((service, pending.priority.band));
             self.shedding
-                .record_over_quota(now, &pending.tenant, counted);
+                .record_over_quota(now, &pending.tenant, recorded_decision);
         }
         rejection
     }
 
-    /// A service's engine rejects a request: unless it was shed, no server was free.
+    /// Records that a service's engine rejected a request: unless it was shed, no server was free.
     fn record_rejection(&mut self, now: Micros, handle: RequestHandle, rejection: EngineRejection) {
         if !matches!(rejection, EngineRejection::Declined { .. }) {
             return;
         }
-        let service = &mut self.engines[handle.engine_index];
-        if service.shed_requests.remove(handle.key).is_none() {
-            self.shedding.record_no_server(now, &service.service);
+        let entry = &mut self.engines[handle.engine_index];
+        if entry.shed_requests.remove(handle.key).is_none() {
+            self.shedding.record_no_server(now, &entry.service);
         }
     }
 
-    /// An attempt ended. Returns whether its answer is the final answer.
+    /// Handles the end of an attempt. Returns whether its response is the final one.
     pub fn handle_attempt_ended(
         &mut self,
         now: Micros,
@@ -542,29 +552,33 @@
         attempt: u32,
         outcome: Outcome,
     ) -> bool {
-        let service_engine = &mut self.engines[handle.engine_index];
-        if let Some((class, sent)) = service_engine.engine.in_flight_attempt(handle.key) {
-            let times = (now - sent, LATENCY_TARGETS[class % LATENCY_TARGETS.len()]);
+        let entry = &mut self.engines[handle.engine_index];
+        if let Some((class, sent_at)) = entry.engine.in_flight_attempt(handle.key) {
+            let latency = (
+                now - sent_at,
+                LATENCY_TARGETS[class % LATENCY_TARGETS.len()],
+            );
             self.shedding
-                .record_outcome(now, &service_engine.service, outcome, times);
+                .record_outcome(now, &entry.service, outcome, latency);
         }
-        let last = service_engine
+        let is_final = entry
             .engine
             .handle_attempt_ended(now, handle.key, attempt, outcome, None);
-        if last {
-            service_engine.requests.remove(handle.key);
+        if is_final {
+            entry.requests.remove(handle.key);
         }
-        last
+        is_final
     }
 
-    /// A streamed body was sent to a server and is no longer here: there can be no other attempt.
+    /// A streamed body was sent to a server and is no longer buffered: no further attempt is
+    /// possible.
     pub fn handle_body_sent(&mut self, handle: RequestHandle) {
         self.engines[handle.engine_index]
             .engine
             .handle_body_discarded(handle.key);
     }
 
-    /// The last byte of an attempt is written.
+    /// The last byte of an attempt has been written.
     pub fn handle_attempt_written(&mut self, now: Micros, handle: RequestHandle) {
         self.engines[handle.engine_index]
             .engine
@@ -578,8 +592,8 @@
         handle: RequestHandle,
         actions: &mut Vec<RouterAction>,
     ) {
-        let service_engine = &mut self.engines[handle.engine_index];
-        service_engine.requests.remove(handle.key);
+        let entry = &mut self.engines[handle.engine_index];
+        entry.requests.remove(handle.key);
         if handle.engine_index == QUOTA_ENGINE
             && let Some(pending) = self
                 .pending_placements
@@ -588,17 +602,17 @@
         {
             self.quota_shares.refund(&pending.tenant);
         }
-        let mut orders = std::mem::take(&mut self.engine_actions);
-        service_engine
+        let mut engine_actions = std::mem::take(&mut self.engine_actions);
+        entry
             .engine
-            .handle_client_disconnected(now, handle.key, &mut orders);
-        for order in orders.drain(..) {
-            self.handle_engine_action(now, handle.engine_index, order, actions, &mut |_, _| {});
+            .handle_client_disconnected(now, handle.key, &mut engine_actions);
+        for action in engine_actions.drain(..) {
+            self.handle_engine_action(now, handle.engine_index, action, actions, &mut |_, _| {});
         }
-        self.engine_actions = orders;
+        self.engine_actions = engine_actions;
     }
 
-    /// The shared counter answered, or the call failed.
+    /// The shared counter returned a total, or the call failed.
     pub fn handle_counter_result(&mut self, name: u64, outcome: Outcome, total: f64) {
         self.quota_shares.handle_call_result(outcome == Outcome::Ok);
         self.engines[QUOTA_ENGINE]
@@ -606,8 +620,8 @@
             .handle_counter_result(CounterKey(name), outcome, total);
     }
 
-    /// The counter answered a call that had timed out: it has counted what it was told, and is not
-    /// in doubt.
+    /// The counter returned a total for a call that had timed out: it has counted the units, and
+    /// counts as reachable.
     pub fn handle_late_counter_result(&mut self) {
         self.quota_shares.handle_call_result(true);
         self.engines[QUOTA_ENGINE]
@@ -618,37 +632,37 @@
     /// Sets the term of the counter's owner; `None` while there is none.
     pub fn set_counter_term(&mut self, term: Option<u64>) {
         let Some(term) = term else { return };
-        let before = self.counter_term.replace(term);
-        if before.is_some_and(|held| held != term) {
+        let previous_term = self.counter_term.replace(term);
+        if previous_term.is_some_and(|previous| previous != term) {
             self.engines[QUOTA_ENGINE].engine.handle_counter_replaced();
         }
-        // A proxy that starts does not know for how long this owner has been counting. A replica
-        // that was isolated names the owner of a former term; that one counts nothing any more, so
-        // that the counter has not moved.
+        // A proxy that has just started does not know for how long this owner has been counting. A
+        // replica that was isolated may announce the owner of an earlier term. That owner no longer
+        // counts, so this is no change of owner.
         if term > self.highest_counter_term {
             self.highest_counter_term = term;
             self.quota_shares.handle_owner_changed();
         }
     }
 
-    /// Time-out of a health check: it waits for a slot as requests do, and an answer within this
-    /// time is not a silent server's.
-    pub fn probe_timeout(&self, engine: usize) -> Micros {
-        self.engines[engine].latency_target / 2
+    /// Time-out of a health check for the engine at this index. The check waits for a slot of the
+    /// server as requests do; a server that answers within this time is not unresponsive.
+    pub fn probe_timeout(&self, engine_index: usize) -> Micros {
+        self.engines[engine_index].latency_target / 2
     }
 
-    /// A health check ended.
+    /// Handles the end of a health check for the engine at this index.
     pub fn handle_probe_result(&mut self, engine: usize, server: ServerId, outcome: Outcome) {
         self.engines[engine]
             .engine
             .handle_probe_result(server, outcome, None);
     }
 
-    /// Requests whose final answer is owed.
+    /// The number of requests without a final response.
     pub fn open_requests(&self) -> usize {
         self.engines
             .iter()
-            .map(|service_engine| service_engine.engine.open_request_count())
+            .map(|entry| entry.engine.open_request_count())
             .sum()
     }
 }
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -1,7 +1,7 @@
 //! The engines that select servers, one for each service and set of regions.
 
 use dataplane::engine::{Authorisation, Engine};
-use protocol::items::{Idempotency as Kind, Route};
+use protocol::items::{Idempotency as RouteIdempotency, Route};
 use protocol::settings::Bounds;
 use streamarch::{Class, Idempotency, ListKind, Micros, Plan, RetryBudget, ServerEntry, Settings};
 
@@ -11,7 +11,7 @@
 };
 use crate::shedding::SheddingPriority;
 
-/// Latency targets that classes distinguish; a route's target is rounded to the nearest.
+/// The latency targets of request classes; a route's target is rounded to the nearest.
 pub(super) const LATENCY_TARGETS: [Micros; 8] = [
     100 * MS,
     200 * MS,
@@ -22,47 +22,52 @@
     4_000 * MS,
     10_000 * MS,
 ];
-/// Priority weight by rank, highest first; lower ranks count as the last.
+/// The weight of a request by its priority tier, highest first; lower tiers count as the last.
 const PRIORITY_WEIGHTS: [f64; 4] = [4.0, 2.0, 1.0, 0.5];
-/// The part of the rules' bound on retries that is used: the rest covers sliding windows and
-/// differing clocks.
+/// The part of the permitted retries that is used. The rest covers sliding windows and differences
+/// between clocks.
 const RETRY_SHARE: f64 = 0.6;
 
-fn nearest_latency_target(aim: Micros) -> usize {
-    let off = |at: &usize| (LATENCY_TARGETS[*at] - aim).abs();
-    (0..LATENCY_TARGETS.len()).min_by_key(off).unwrap_or(0)
+/// The index of the latency target that is nearest to this one.
+fn nearest_latency_target(target: Micros) -> usize {
+    let distance = |index: &usize| (LATENCY_TARGETS[*index] - target).abs();
+    (0..LATENCY_TARGETS.len()).min_by_key(distance).unwrap_or(0)
 }
 
-pub(super) fn class_index(route: &Route, prio: u32) -> usize {
-    let rank = (prio as usize).min(PRIORITY_WEIGHTS.len() - 1);
-    let repeat = usize::from(route.kind != Kind::Idempotent);
-    (repeat * PRIORITY_WEIGHTS.len() + rank) * LATENCY_TARGETS.len()
+/// The index of a request's class in [`request_classes`].
+pub(super) fn class_index(route: &Route, tier: u32) -> usize {
+    let tier = (tier as usize).min(PRIORITY_WEIGHTS.len() - 1);
+    let idempotency = usize::from(route.kind != RouteIdempotency::Idempotent);
+    (idempotency * PRIORITY_WEIGHTS.len() + tier) * LATENCY_TARGETS.len()
         + nearest_latency_target(route.target_time.0)
 }
 
-fn classes() -> Vec<Class> {
-    let class = |repeat: Idempotency, worth: f64, aim: Micros| Class {
-        latency_target: aim,
-        client_timeout: 10 * aim,
+/// The classes of requests: by whether a retry is safe, then by tier, then by latency target.
+fn request_classes() -> Vec<Class> {
+    let class = |idempotency: Idempotency, value: f64, latency_target: Micros| Class {
+        latency_target,
+        client_timeout: 10 * latency_target,
         late_value_share: 0.1,
-        value: worth,
-        idempotency: repeat,
+        value,
+        idempotency,
         streaming: false,
     };
-    let repeats = [Idempotency::Idempotent, Idempotency::NotIdempotent];
-    let ranks = repeats
+    let idempotencies = [Idempotency::Idempotent, Idempotency::NotIdempotent];
+    let idempotencies_and_weights = idempotencies
         .iter()
-        .flat_map(|repeat| PRIORITY_WEIGHTS.map(|worth| (*repeat, worth)));
-    ranks
-        .flat_map(|(repeat, worth)| LATENCY_TARGETS.map(|aim| class(repeat, worth, aim)))
+        .flat_map(|idempotency| PRIORITY_WEIGHTS.map(|value| (*idempotency, value)));
+    idempotencies_and_weights
+        .flat_map(|(idempotency, value)| {
+            LATENCY_TARGETS.map(|target| class(idempotency, value, target))
+        })
         .collect()
 }
 
-/// The rules' bound on retries holds over all limiters: each one's own share is reduced by its own
-/// first attempts, and the allowance is divided evenly, and halved between the two engines that one
-/// service may have.
-fn retry_budget(limiters: u32, bounds: &Bounds) -> RetryBudget {
-    let most = bounds.retry_slack * RETRY_SHARE / 2.0 / f64::from(limiters.max(1));
+/// The retry budget of one engine. The permitted number of retries holds over all limiters: the
+/// part in proportion to first attempts is earned by each limiter's own first attempts, and the
+/// fixed part is divided evenly, and halved between the two engines that one service may have.
+fn retry_budget(limiter_count: u32, bounds: &Bounds) -> RetryBudget {
+    let most = bounds.retry_slack * RETRY_SHARE / 2.0 / f64::from(limiter_count.max(1));
     RetryBudget {
         earned_per_request: bounds.retry_ratio * RETRY_SHARE,
         max_balance: most.max(1.0),
@@ -70,79 +75,88 @@
     }
 }
 
-fn placement_engine(limiters: u32, seed: u64, most: usize, bounds: &Bounds, aim: Micros) -> Engine {
+/// Creates an engine that selects servers.
+fn placement_engine(
+    limiter_count: u32,
+    seed: u64,
+    max_requests: usize,
+    bounds: &Bounds,
+    latency_target: Micros,
+) -> Engine {
     let plans = vec![Plan {
         value_factor: 1.0,
         ..Plan::default()
     }];
-    let retries = retry_budget(limiters, bounds);
+    let retries = retry_budget(limiter_count, bounds);
     let settings = Settings {
-        classes: classes(),
+        classes: request_classes(),
         plans,
         can_probe: true,
         max_attempts: 8,
         retry_budget: retries,
-        // An answer that is still of use to its client does not count as a silent server.
-        min_silence_timeout: aim,
-        ..common_engine_settings(limiters)
+        // A server is not considered unresponsive while its response would still be in time.
+        min_silence_timeout: latency_target,
+        ..common_engine_settings(limiter_count)
     };
-    Engine::new(settings, seed, most)
+    Engine::new(settings, seed, max_requests)
 }
 
 impl RequestRouter {
-    /// The services and regions that have an engine, with its position.
+    /// The services and sets of regions that have an engine, with its index.
     pub fn service_engines(&self) -> impl Iterator<Item = (&str, &[String], usize)> {
         self.engine_indices
             .iter()
-            .map(|((svc, pins), at)| (svc.as_str(), pins.as_slice(), *at))
+            .map(|((service, regions), engine_index)| {
+                (service.as_str(), regions.as_slice(), *engine_index)
+            })
     }
 
-    /// Replaces the servers of an engine.
-    pub fn update_servers(&mut self, engine: usize, entries: Vec<ServerEntry>) {
-        self.engines[engine]
+    /// Replaces the servers of the engine at this index.
+    pub fn update_servers(&mut self, engine_index: usize, entries: Vec<ServerEntry>) {
+        self.engines[engine_index]
             .engine
             .update_servers(ListKind::Full, entries);
     }
 
-    /// The engine of a service in these regions; where there is none, [`RequestRouter::create_engine`] is
-    /// due.
-    pub fn engine_index(&self, svc: &str, pins: &[String]) -> Option<usize> {
-        // Looked up for each request: the key is built only where regions are named.
+    /// The index of the engine of a service in these regions; `None` if it is yet to be created by
+    /// [`RequestRouter::create_engine`].
+    pub fn engine_index(&self, service: &str, regions: &[String]) -> Option<usize> {
+        // Called for each request: a search needs no key to be allocated, as a lookup would.
         self.engine_indices
             .iter()
-            .find(|((s, p), _)| s == svc && p == pins)
-            .map(|(_, at)| *at)
+            .find(|((s, r), _)| s == service && r == regions)
+            .map(|(_, engine_index)| *engine_index)
     }
 
-    /// Opens an engine for a service in these regions with these servers. `aim`: the latency target
-    /// of the route that it is opened for.
+    /// Creates an engine for a service in these regions with these servers, and returns its index.
+    /// `latency_target`: of the route for which it is created.
     pub fn create_engine(
         &mut self,
-        svc: &str,
-        pins: &[String],
-        aim: Micros,
+        service: &str,
+        regions: &[String],
+        latency_target: Micros,
         entries: Vec<ServerEntry>,
     ) -> usize {
-        let at = self.engines.len();
+        let engine_index = self.engines.len();
         let engine = placement_engine(
             self.limiter_count,
-            self.seed.wrapping_add(at as u64),
+            self.seed.wrapping_add(engine_index as u64),
             MAX_REQUESTS_PER_ENGINE,
             &self.bounds,
-            aim,
+            latency_target,
         );
         self.engines.push(EngineEntry {
-            latency_target: aim,
-            ..EngineEntry::new(svc, engine)
+            latency_target,
+            ..EngineEntry::new(service, engine)
         });
         self.engine_indices
-            .insert((svc.to_string(), pins.to_vec()), at);
-        self.update_servers(at, entries);
-        at
+            .insert((service.to_string(), regions.to_vec()), engine_index);
+        self.update_servers(engine_index, entries);
+        engine_index
     }
 
-    /// Hands a request to its service's engine. One that was admitted before is not subjected to
-    /// shedding again.
+    /// Submits a request to its service's engine. If shedding was decided before, `priority` must be
+    /// the default, which is never shed, so that the request is not subjected to shedding twice.
     pub(super) fn submit_to_service_engine(
         &mut self,
         now: Micros,
--- a/crates/proxy/src/router/quota_shares.rs
+++ b/crates/proxy/src/router/quota_shares.rs
@@ -1,10 +1,11 @@
-//! Local quota shares: while the shared counter is in doubt, each proxy bounds a tenant by a token
-//! bucket of its even share.
+//! Local quota shares: while the shared counter's totals are unreliable, each proxy limits a tenant
+//! by a token bucket that holds its even share of the quota.
 //!
-//! The buckets run all the time and are charged for every admitted request; they bind only while
-//! the counter does not answer, and for a while after another replica took it over. What all
-//! proxies admit in that time is bounded by the sum of their buckets, however often the counter is
-//! lost, emptied or moved: see `docs/control-hardening.md`.
+//! The buckets are refilled at all times and charged for every admitted request. They are enforced
+//! ("bind") only while counter calls fail, and for some time after another replica has taken over
+//! the counter. The number of requests that all proxies admit in that time is bounded by the sum of
+//! their buckets, however often the counter is lost, emptied or moved: see
+//! `docs/control-hardening.md`.
 
 use std::collections::BTreeMap;
 
@@ -12,19 +13,19 @@
 
 use super::SECOND;
 
-/// Shares bind for this long after the first total from a new owner: by then its totals of the open
-/// window and of the one before are complete, as every proxy adds to them from its own first total
-/// on.
+/// Shares bind for this long after the first total from a new owner. By then the owner's totals of
+/// the current window and of the one before are complete, since every proxy adds to them from its
+/// own first total on.
 const SETTLING_PERIOD: Micros = 2 * SECOND;
-/// From that first total on the burst is reduced for as long as the rules count: the tenant may
-/// have used a whole burst under the previous owner.
+/// After the first total from a new owner, the burst is reduced for the length of the window over
+/// which quotas are bounded: the tenant may have used a whole burst under the previous owner.
 const REDUCED_BURST_PERIOD: Micros = 5 * SECOND;
-/// All proxies' buckets together hold this part of a tenant's burst...
+/// The part of a tenant's burst that the buckets of all proxies hold together...
 const BURST_SHARE: f64 = 0.2;
-/// ...or this part of the rules' slack, if that is more.
+/// ...or the part of the permitted overshoot (`quota_slack`), if that is more.
 const SLACK_SHARE: f64 = 0.3;
 
-/// A tenant's token bucket at one proxy.
+/// The parameters of a tenant's token bucket at one proxy.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QuotaShare {
     /// Refill rate in requests a second.
@@ -34,63 +35,70 @@
 }
 
 impl QuotaShare {
-    /// The share of one of `proxies`.
-    pub(super) fn new(per_s: f64, burst: f64, slack: f64, spread: u32) -> QuotaShare {
-        let spread = f64::from(spread.max(1));
-        let held = (BURST_SHARE * burst).max((SLACK_SHARE * slack).min(burst));
+    /// The share of one limiter if the quota is divided by `divisor`. `slack`: the number of
+    /// requests by which a tenant may exceed its quota.
+    pub(super) fn new(rate_per_s: f64, burst: f64, slack: f64, divisor: u32) -> QuotaShare {
+        let divisor = f64::from(divisor.max(1));
+        let total_burst = (BURST_SHARE * burst).max((SLACK_SHARE * slack).min(burst));
         QuotaShare {
-            rate_per_s: per_s / spread,
-            burst: held / spread,
+            rate_per_s: rate_per_s / divisor,
+            burst: total_burst / divisor,
         }
     }
 }
 
+/// A tenant's token bucket.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     tokens: f64,
     refilled_at: Micros,
-    /// The doubt period for which the bucket was last clipped.
+    /// The outage for which the bucket was last capped to its burst, by number.
     outage: u64,
 }
 
 impl Bucket {
     fn refill(&mut self, now: Micros, share: QuotaShare) {
-        let flowed = share.rate_per_s * (now - self.refilled_at).max(0) as f64 / SECOND as f64;
-        // A share below one request still admits one once it has been refilled.
-        let most = share.burst.max(1.0);
-        (self.tokens, self.refilled_at) =
-            ((self.tokens + flowed).min(most), self.refilled_at.max(now));
+        let refilled = share.rate_per_s * (now - self.refilled_at).max(0) as f64 / SECOND as f64;
+        // A share whose burst is below one request still admits one after it has accumulated.
+        let capacity = share.burst.max(1.0);
+        (self.tokens, self.refilled_at) = (
+            (self.tokens + refilled).min(capacity),
+            self.refilled_at.max(now),
+        );
     }
 }
 
-/// The buckets of one proxy.
+/// The buckets of one proxy, and whether they bind.
+///
+/// An outage begins whenever counter calls start to fail, and when the counter changes its owner.
 #[derive(Clone, Debug)]
 pub(super) struct QuotaShares {
     buckets: BTreeMap<String, Bucket>,
-    /// The last call was not answered by a total.
+    /// The last counter call returned no total.
     last_call_failed: bool,
-    /// A total has arrived since another owner was announced.
+    /// A total has arrived since the present owner was announced.
     has_total: bool,
-    /// Shares bind until then; `None`: until a total arrives.
+    /// Shares bind until then. `None`: no total has arrived from the present owner, so that the end
+    /// is not known yet.
     binding_until: Option<Micros>,
-    /// The burst is reduced until then.
+    /// The burst is reduced until then; `None` as for `binding_until`.
     reduced_burst_until: Option<Micros>,
-    /// Number of doubt periods so far.
+    /// Number of outages so far.
     outage_count: u64,
-    /// This proxy has known another owner before.
+    /// This proxy has received totals from an owner before.
     had_owner: bool,
 }
 
 impl Default for QuotaShares {
     /// No owner is known; the first one that is announced counts as a new one.
     fn default() -> QuotaShares {
-        let (settled, lean) = (Some(Micros::MIN), Some(Micros::MIN));
+        let (binding_until, reduced_burst_until) = (Some(Micros::MIN), Some(Micros::MIN));
         QuotaShares {
             buckets: BTreeMap::new(),
             last_call_failed: false,
             has_total: false,
-            binding_until: settled,
-            reduced_burst_until: lean,
+            binding_until,
+            reduced_burst_until,
             outage_count: 0,
             had_owner: false,
         }
@@ -98,72 +106,76 @@
 }
 
 impl QuotaShares {
-    /// Another replica owns the counter, or the same one after losing its numbers.
+    /// Another replica owns the counter, or the same one after it lost its totals.
     pub(super) fn handle_owner_changed(&mut self) {
         (self.has_total, self.binding_until, self.reduced_burst_until) = (false, None, None);
         self.outage_count += 1;
     }
 
-    /// A counter call was answered by a total, or failed.
-    pub(super) fn handle_call_result(&mut self, total: bool) {
-        self.outage_count += u64::from(!total && !self.last_call_failed);
-        self.last_call_failed = !total;
-        self.has_total |= total;
+    /// A counter call succeeded with a total, or failed.
+    pub(super) fn handle_call_result(&mut self, is_success: bool) {
+        self.outage_count += u64::from(!is_success && !self.last_call_failed);
+        self.last_call_failed = !is_success;
+        self.has_total |= is_success;
     }
 
-    /// The limiters' clock jumps ahead to `now` by this much: no time has passed.
-    pub(super) fn handle_clock_jump(&mut self, now: Micros, by: Micros) {
-        // A reduction that is over must not begin again because of the jump.
-        let ahead = |at: Micros| {
-            if at > now.saturating_sub(by) {
-                at.saturating_add(by)
+    /// The limiters' clock jumps ahead by `jump` to `now`: no time has passed.
+    pub(super) fn handle_clock_jump(&mut self, now: Micros, jump: Micros) {
+        // A period that is over must not begin again because of the jump.
+        let shift = |end: Micros| {
+            if end > now.saturating_sub(jump) {
+                end.saturating_add(jump)
             } else {
-                at
+                end
             }
         };
-        let later = |at: Option<Micros>| at.map(ahead);
-        (self.binding_until, self.reduced_burst_until) =
-            (later(self.binding_until), later(self.reduced_burst_until));
+        let shift_end = |end: Option<Micros>| end.map(shift);
+        (self.binding_until, self.reduced_burst_until) = (
+            shift_end(self.binding_until),
+            shift_end(self.reduced_burst_until),
+        );
         self.buckets
             .values_mut()
-            .for_each(|bucket| bucket.refilled_at = (bucket.refilled_at + by).min(now));
+            .for_each(|bucket| bucket.refilled_at = (bucket.refilled_at + jump).min(now));
     }
 
-    /// Whether shares bind now.
+    /// Whether shares currently bind.
     pub(super) fn is_binding(&mut self, now: Micros) -> bool {
         if self.binding_until.is_none() && self.has_total {
-            // The first owner that a proxy hears of is not a change: nothing was admitted here by
-            // another one's totals.
-            let spans = if self.had_owner {
+            // The first owner that a proxy learns of is not a change: this proxy admitted nothing by
+            // another owner's totals.
+            let periods = if self.had_owner {
                 (SETTLING_PERIOD, REDUCED_BURST_PERIOD)
             } else {
                 (0, 0)
             };
             (self.binding_until, self.reduced_burst_until, self.had_owner) =
-                (Some(now + spans.0), Some(now + spans.1), true);
+                (Some(now + periods.0), Some(now + periods.1), true);
         }
         self.last_call_failed || self.binding_until.is_none_or(|until| now < until)
     }
 
-    /// Whether the burst is reduced now.
+    /// Whether the burst is currently reduced.
     pub(super) fn has_reduced_burst(&self, now: Micros) -> bool {
         self.reduced_burst_until.is_none_or(|until| now < until)
     }
 
-    /// Charges a request to its tenant's bucket unless the share binds and is used up; returns then
-    /// how long to wait.
+    /// Charges a request to its tenant's bucket.
+    ///
+    /// # Errors
+    /// The share binds and is exhausted: the time until the next request may be admitted.
     pub(super) fn try_charge(
         &mut self,
         now: Micros,
         tenant: &str,
         share: QuotaShare,
     ) -> Result<(), Micros> {
-        let (binds, doubt) = (self.is_binding(now), self.outage_count);
+        let (is_binding, outage) = (self.is_binding(now), self.outage_count);
         if !self.buckets.contains_key(tenant) {
             let bucket = Bucket {
                 tokens: share.burst,
                 refilled_at: now,
-                outage: doubt,
+                outage,
             };
             self.buckets.insert(tenant.to_string(), bucket);
         }
@@ -171,10 +183,10 @@
             return Ok(());
         };
         bucket.refill(now, share);
-        if bucket.outage != doubt {
-            (bucket.tokens, bucket.outage) = (bucket.tokens.min(share.burst), doubt);
+        if bucket.outage != outage {
+            (bucket.tokens, bucket.outage) = (bucket.tokens.min(share.burst), outage);
         }
-        if binds && bucket.tokens < 1.0 {
+        if is_binding && bucket.tokens < 1.0 {
             let wait = (1.0 - bucket.tokens) / share.rate_per_s.max(1e-9) * SECOND as f64;
             return Err(wait as Micros);
         }
@@ -182,7 +194,7 @@
         Ok(())
     }
 
-    /// Refunds a request that was charged and not admitted.
+    /// Refunds the charge for a request that was not admitted.
     pub(super) fn refund(&mut self, tenant: &str) {
         self.buckets
             .entry(tenant.to_string())
