--- a/crates/proxy/src/adaptive_timeout.rs
+++ b/crates/proxy/src/adaptive_timeout.rs
@@ -1,38 +1,39 @@
-//! How long an answer is waited for: by the round trips of former ones, as TCP's retransmission timer has it (RFC 6298).
-//! Without I/O.
+//! A time-out that is derived from previous round trips, in the manner of TCP's retransmission timer (RFC 6298). Performs
+//! no I/O.
 //!
-//! A machine's link may be so full that each answer takes most of a second. Who answers late is not lost: a wait that is shorter
-//! than the way there and back makes every attempt fail, and the attempts that follow keep the link full.
+//! A machine's link may be so congested that each response takes most of a second. A peer that responds late has not failed:
+//! a time-out shorter than the round trip makes every attempt fail, and the retries keep the link congested.
 
 use streamarch::Micros;
 
-/// The weight of the newest round trip in their mean is one in this.
+/// The weight of the newest round trip in the mean is one divided by this.
 const SMOOTHING: Micros = 8;
-/// The same in their mean deviation.
+/// The weight of the newest deviation in the mean deviation is one divided by this.
 const VARIATION_SMOOTHING: Micros = 4;
-/// So many mean deviations are waited for on top of the mean.
+/// The number of mean deviations that are added to the mean.
 const VARIATION_FACTOR: Micros = 4;
 
-/// A time-out in microseconds that follows round trips of one kind, within bounds.
+/// A time-out in microseconds that adapts to the round trips of one kind of call, within bounds.
 #[derive(Clone, Copy, Debug)]
 pub struct AdaptiveTimeout {
     min: Micros,
     max: Micros,
-    /// The mean and the mean deviation of the round trips; none before the first.
+    /// The mean and the mean deviation of the round trips; `None` before the first.
     estimate: Option<(Micros, Micros)>,
 }
 
 impl AdaptiveTimeout {
-    /// One that has seen no round trip yet, and is `least`.
-    pub fn new(least: Micros, most: Micros) -> AdaptiveTimeout {
+    /// A time-out of `min` until the first round trip is recorded.
+    pub fn new(min: Micros, max: Micros) -> AdaptiveTimeout {
         AdaptiveTimeout {
-            min: least,
-            max: most,
+            min,
+            max,
             estimate: None,
         }
     }
 
-    /// An answer took this long, in time or late; or there was none within the time-out, which counts as one that took as long.
+    /// Records the round trip of a response, which may have arrived after the time-out. If no response arrived within the
+    /// time-out, that time is recorded as the round trip.
     pub fn record(&mut self, round_trip: Micros) {
         let round_trip = round_trip.max(0);
         self.estimate = Some(match self.estimate {
@@ -47,7 +48,7 @@
         });
     }
 
-    /// How long the next answer is waited for.
+    /// The time-out of the next call.
     pub fn timeout(&self) -> Micros {
         let (mean, variation) = self.estimate.unwrap_or_default();
         (mean + VARIATION_FACTOR * variation).clamp(self.min, self.max)
--- a/crates/proxy/src/config_store.rs
+++ b/crates/proxy/src/config_store.rs
@@ -1,5 +1,5 @@
-//! The operators' configuration as the proxy applies it: routes, services, tenants and keys,
-//! evacuated zones. Without I/O.
+//! The operators' configuration as the proxy applies it: routes, services, tenants and their API
+//! keys, limits, evacuated zones. Performs no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -8,12 +8,12 @@
     ClientLimits, ConfigError, Item, ItemKind, Items, Route, Service, Tenant, parse_spec,
 };
 
-/// A tenant with its name.
+/// A tenant and its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedTenant {
     /// The name.
     pub name: String,
-    /// The configured limits and rules.
+    /// The configuration.
     pub tenant: Tenant,
 }
 
@@ -22,7 +22,7 @@
 pub struct ConfigStore {
     items: Items,
     routes: BTreeMap<String, Rc<Route>>,
-    /// Routes by host, longest prefix first.
+    /// Routes by host in lower case, longest prefix first.
     routes_by_host: BTreeMap<String, Vec<Rc<Route>>>,
     tenants: BTreeMap<String, Rc<NamedTenant>>,
     tenants_by_api_key: BTreeMap<String, Rc<NamedTenant>>,
@@ -34,64 +34,64 @@
 /// What an update changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigChange {
-    /// At least one item is new.
+    /// At least one item is new or has a new version.
     pub has_new_items: bool,
-    /// Zones were evacuated, or their evacuation ended.
+    /// The evacuation of a zone began or ended.
     pub zones_changed: bool,
-    /// Zones whose evacuation ended, also where this proxy had not received that it had begun.
+    /// Zones whose evacuation ended, even if this proxy was not informed of its beginning.
     pub restored_zones: Vec<String>,
 }
 
 impl ConfigStore {
-    /// Applies items; one whose version is not higher than the stored one has no effect. Items that
-    /// can't be decoded are left out and returned in the update.
+    /// Applies items, and returns what changed. An item whose version is not higher than the stored
+    /// one has no effect. An item that can't be decoded is skipped; its error is returned.
     pub fn apply(&mut self, items: Vec<Item>) -> (ConfigChange, Vec<ConfigError>) {
-        let (mut touched, mut faults) = (ConfigChange::default(), Vec::new());
+        let (mut change, mut errors) = (ConfigChange::default(), Vec::new());
         for item in items {
-            // Updates can arrive late, twice, and from two replicas: never go back to an older
-            // version.
+            // Updates can arrive late, repeatedly, and from two replicas: a version must never be
+            // replaced by an older one.
             if self
                 .items
                 .get(&item.name)
-                .is_some_and(|held| held.ver >= item.ver)
+                .is_some_and(|stored| stored.ver >= item.ver)
             {
                 continue;
             }
             match self.store_item(&item) {
                 Ok(()) => {
-                    touched.has_new_items = true;
-                    let zone = item.name.kind == ItemKind::Zone;
-                    touched.zones_changed |= zone;
-                    let back = zone && !self.evacuated_zones.contains(&item.name.name);
-                    touched
+                    change.has_new_items = true;
+                    let is_zone = item.name.kind == ItemKind::Zone;
+                    change.zones_changed |= is_zone;
+                    let is_restored = is_zone && !self.evacuated_zones.contains(&item.name.name);
+                    change
                         .restored_zones
-                        .extend(back.then(|| item.name.name.clone()));
+                        .extend(is_restored.then(|| item.name.name.clone()));
                     self.items.insert(item.name.clone(), item);
                 }
-                Err(fault) => faults.push(fault),
+                Err(error) => errors.push(error),
             }
         }
-        if touched.has_new_items {
+        if change.has_new_items {
             self.rebuild_indexes();
         }
-        (touched, faults)
+        (change, errors)
     }
 
     fn store_item(&mut self, item: &Item) -> Result<(), ConfigError> {
         let name = item.name.name.clone();
-        let dropped = item.spec.is_none();
+        let is_removed = item.spec.is_none();
         match item.name.kind {
-            ItemKind::Route if dropped => _ = self.routes.remove(&name),
+            ItemKind::Route if is_removed => _ = self.routes.remove(&name),
             ItemKind::Route => _ = self.routes.insert(name, Rc::new(parse_spec(item)?)),
-            ItemKind::Tenant if dropped => _ = self.tenants.remove(&name),
+            ItemKind::Tenant if is_removed => _ = self.tenants.remove(&name),
             ItemKind::Tenant => {
                 let tenant = parse_spec(item)?;
                 self.tenants
                     .insert(name.clone(), Rc::new(NamedTenant { name, tenant }));
             }
-            ItemKind::Service if dropped => _ = self.services.remove(&name),
+            ItemKind::Service if is_removed => _ = self.services.remove(&name),
             ItemKind::Service => _ = self.services.insert(name, parse_spec(item)?),
-            ItemKind::Limits if dropped => self.client_limits = None,
+            ItemKind::Limits if is_removed => self.client_limits = None,
             ItemKind::Limits => self.client_limits = Some(parse_spec(item)?),
             ItemKind::Zone if item.spec.as_deref() == Some("true") => {
                 _ = self.evacuated_zones.insert(name)
@@ -111,25 +111,25 @@
         }
         self.routes_by_host
             .values_mut()
-            .for_each(|routes| routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len())));
-        let keys = |named: &Rc<NamedTenant>| {
-            let named = named.clone();
-            named
+            .for_each(|routes| routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len())));
+        let api_keys_of = |tenant: &Rc<NamedTenant>| {
+            let tenant = tenant.clone();
+            tenant
                 .tenant
                 .apikeys
                 .clone()
                 .into_iter()
-                .map(move |key| (key, named.clone()))
+                .map(move |api_key| (api_key, tenant.clone()))
         };
-        self.tenants_by_api_key = self.tenants.values().flat_map(keys).collect();
+        self.tenants_by_api_key = self.tenants.values().flat_map(api_keys_of).collect();
     }
 
-    /// The route of a request: the longest matching path prefix of its host.
+    /// The route of a request: the one of its host with the longest matching path prefix.
     pub fn find_route(&self, host: &str, target: &str) -> Option<&Rc<Route>> {
         let host = host
             .rsplit_once(':')
             .filter(|(_, port)| port.parse::<u16>().is_ok())
-            .map_or(host, |h| h.0);
+            .map_or(host, |host_and_port| host_and_port.0);
         let path = target.split(['?', '#']).next().unwrap_or_default();
         let routes = match self.routes_by_host.get(host) {
             Some(routes) => routes,
@@ -138,12 +138,12 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The tenant of an API key.
-    pub fn tenant_by_api_key(&self, key: &str) -> Option<&Rc<NamedTenant>> {
-        self.tenants_by_api_key.get(key)
+    /// The tenant to which an API key belongs.
+    pub fn tenant_by_api_key(&self, api_key: &str) -> Option<&Rc<NamedTenant>> {
+        self.tenants_by_api_key.get(api_key)
     }
 
-    /// Whether requests must carry a key.
+    /// Whether requests must carry an API key: as soon as there is a tenant.
     pub fn requires_api_keys(&self) -> bool {
         !self.tenants.is_empty()
     }
@@ -168,7 +168,7 @@
         self.items.len()
     }
 
-    /// Whether there is anything to serve.
+    /// Whether there is any route.
     pub fn has_routes(&self) -> bool {
         !self.routes.is_empty()
     }
--- a/crates/proxy/src/config_store/tests.rs
+++ b/crates/proxy/src/config_store/tests.rs
@@ -24,10 +24,14 @@
 #[test_case("h", "/a/b/1?x=/c/", Some("two"); "the longest prefix")]
 #[test_case("h:8080", "/a/b/", Some("two"); "a host with its port")]
 #[test_case("H", "/a/b/", Some("two"); "a host in capitals")]
-#[test_case("h", "/a", None; "less than the prefix")]
+#[test_case("h", "/a", None; "a part of the prefix")]
 #[test_case("h", "/?/a/", None; "a prefix in the query")]
 #[test_case("g", "/a/1", None; "another host")]
-fn route_with_the_longest_prefix_of_the_host_is_taken(host: &str, target: &str, svc: Option<&str>) {
+fn route_with_the_longest_prefix_of_the_host_is_found(
+    host: &str,
+    target: &str,
+    expected_service: Option<&str>,
+) {
     let mut config_store = ConfigStore::default();
     config_store.apply(vec![
         route("x", 1, "h", "/a/", "one"),
@@ -36,13 +40,13 @@
     assert_eq!(
         config_store
             .find_route(host, target)
-            .and_then(|r| r.svc.as_deref()),
-        svc
+            .and_then(|route| route.svc.as_deref()),
+        expected_service
     );
 }
 
 #[test]
-fn updates_in_any_order_never_revert() {
+fn updates_in_any_order_never_revert_to_an_older_version() {
     let mut config_store = ConfigStore::default();
     let change = |ver, svc| route("x", ver, "h", "/a/", svc);
     config_store.apply(vec![change(9, "nine")]);
@@ -60,12 +64,12 @@
     config_store.apply(vec![change(11, "eleven")]);
     assert!(
         config_store.find_route("h", "/a/").is_none(),
-        "dropped at 12, and 11 comes late"
+        "removed at version 12, and version 11 arrives late"
     );
 }
 
 #[test]
-fn returned_zone_is_reported_even_if_its_evacuation_was_not_seen() {
+fn restored_zone_is_reported_even_if_its_evacuation_was_not_received() {
     let mut config_store = ConfigStore::default();
     let zone = |ver, spec| vec![item(ItemKind::Zone, "z", ver, Some(spec))];
     assert_eq!(config_store.apply(zone(4, "false")).0.restored_zones, ["z"]);
@@ -104,11 +108,11 @@
 }
 
 #[test]
-fn undecodable_item_leaves_the_present_one() {
+fn undecodable_item_does_not_replace_the_stored_one() {
     let mut config_store = ConfigStore::default();
     config_store.apply(vec![route("x", 1, "h", "/a/", "one")]);
-    let (touched, faults) = config_store.apply(vec![route("x", 2, "h", "bare", "two")]);
-    assert!(!touched.has_new_items && faults.len() == 1 && faults[0].0.contains("prefix"));
+    let (change, errors) = config_store.apply(vec![route("x", 2, "h", "bare", "two")]);
+    assert!(!change.has_new_items && errors.len() == 1 && errors[0].0.contains("prefix"));
     assert_eq!(
         config_store.find_route("h", "/a/").unwrap().svc.as_deref(),
         Some("one")
--- a/crates/proxy/src/response_class.rs
+++ b/crates/proxy/src/response_class.rs
@@ -1,28 +1,29 @@
-//! Classifies the answers of servers. Without I/O.
+//! Classifies the responses of servers. Performs no I/O.
 
 use dataplane::framing::{BodyFraming, IncomingMessage, ResponseHead};
 use dataplane::limits::Limits;
 use streamarch::{Micros, Outcome};
 
-/// What a complete answer means for its request.
+/// What a complete response means for its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseClass {
     /// It is forwarded to the client unchanged.
     Final,
-    /// The server failed and may have run the request: it is forwarded if no better answer arrives.
+    /// The server failed and may have run the request: it is forwarded if no better response
+    /// arrives.
     Failure,
-    /// The request has not run there.
+    /// The server has not run the request.
     NotRun,
     /// The request has not run, and another server has taken over the address.
     WrongServer,
-    /// It belongs to another request; the awaited answer may follow.
+    /// It belongs to another request; the expected response may follow.
     OtherRequest,
-    /// It can't be forwarded, and the connection can't be used any more.
+    /// It can't be forwarded, and the connection can't be used any longer.
     Malformed,
 }
 
 impl ResponseClass {
-    /// The outcome of the attempt; `None` where it is still open.
+    /// The outcome of the attempt; `None` if the attempt is still in progress.
     pub fn outcome(self) -> Option<Outcome> {
         match self {
             ResponseClass::Final => Some(Outcome::Ok),
@@ -34,10 +35,10 @@
     }
 }
 
-/// Classifies an answer by its head. `id`: of the request that waits for it.
-pub fn classify(head: &ResponseHead, extent: BodyFraming, id: &str) -> ResponseClass {
-    let told = head.headers.get("X-Request-Id");
-    if told.is_some_and(|told| told != id) {
+/// Classifies a response by its head. `request_id`: of the request that waits for it.
+pub fn classify(head: &ResponseHead, framing: BodyFraming, request_id: &str) -> ResponseClass {
+    let response_id = head.headers.get("X-Request-Id");
+    if response_id.is_some_and(|response_id| response_id != request_id) {
         return ResponseClass::OtherRequest;
     }
     if head.status == 421 {
@@ -46,39 +47,39 @@
     if head.headers.contains("X-Not-Run") {
         return ResponseClass::NotRun;
     }
-    // A failing server may send anything: without the id the answer may be anybody's, without a
-    // length its end can't be told from that of the connection, and a success must have the
-    // server's stamp and length.
-    let framed = extent != BodyFraming::UntilClose && told.is_some();
-    let stamped =
+    // A failing server may send anything. Without `X-Request-Id` the response may belong to any
+    // request. Without a length its end can't be distinguished from the loss of the connection. A
+    // success must in addition have the server's `X-Server-Seal`, and no content coding.
+    let is_attributable = framing != BodyFraming::UntilClose && response_id.is_some();
+    let is_sealed =
         head.headers.contains("X-Server-Seal") && !head.headers.contains("Content-Encoding");
     match head.status {
-        200..=299 if framed && stamped => ResponseClass::Final,
-        300..=499 if framed => ResponseClass::Final,
-        500..=599 if framed => ResponseClass::Failure,
+        200..=299 if is_attributable && is_sealed => ResponseClass::Final,
+        300..=499 if is_attributable => ResponseClass::Final,
+        500..=599 if is_attributable => ResponseClass::Failure,
         _ => ResponseClass::Malformed,
     }
 }
 
-/// How an incomplete answer is handled.
+/// How an incomplete response is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseHandling {
     /// Buffered, and forwarded when it is complete.
     Buffered,
-    /// Streamed. It becomes the final answer: if it breaks off, the request can't be retried any
-    /// more. That is why short answers, which are most, are buffered.
+    /// Streamed. It becomes the final response: if it is interrupted, the request can no longer be
+    /// retried. Short responses, which are the majority, are therefore buffered.
     Streamed,
-    /// Too long for an answer that is never forwarded before it is complete.
+    /// Too long for a response that is never forwarded before it is complete.
     Rejected,
 }
 
-/// Decides by the answer's head and by how much of it has arrived.
+/// Chooses the handling of an incomplete response by its class and its length as far as known.
 pub fn choose_handling(
-    verdict: ResponseClass,
+    class: ResponseClass,
     incoming: &IncomingMessage<ResponseHead>,
     limits: &Limits,
 ) -> ResponseHandling {
-    match verdict {
+    match class {
         ResponseClass::Final
             if incoming.is_body_longer_than(limits.max_buffered_body_bytes as u64) =>
         {
@@ -92,22 +93,22 @@
     }
 }
 
-/// When a streamed answer is given up: not before its request's deadline, however silent its server
-/// is; and after that for as long as it makes progress, up to a bound.
-pub fn stream_deadline(deadline: Micros, heard: Micros, limits: &Limits) -> Micros {
+/// When a streamed response is aborted: not before its request's deadline, even if its server sends
+/// nothing; after that as soon as it makes no progress, at the latest at an upper bound.
+pub fn stream_deadline(deadline: Micros, last_received_at: Micros, limits: &Limits) -> Micros {
     deadline
-        .max(heard + limits.response_idle_timeout)
+        .max(last_received_at + limits.response_idle_timeout)
         .min(deadline + limits.max_upload_extension)
 }
 
-/// Whether a header field of an answer is forwarded.
+/// Whether a header field of a response is forwarded.
 pub fn is_forwarded_field(name: &str) -> bool {
     !is_hop_by_hop_field(name)
 }
 
-/// Whether a header field is hop-by-hop, or written by the proxy itself.
+/// Whether a header field is hop-by-hop, or generated by the proxy itself.
 pub fn is_hop_by_hop_field(name: &str) -> bool {
-    const LINES: [&str; 9] = [
+    const FIELDS: [&str; 9] = [
         "connection",
         "keep-alive",
         "proxy-connection",
@@ -118,15 +119,15 @@
         "expect",
         "content-length",
     ];
-    LINES.iter().any(|line| name.eq_ignore_ascii_case(line))
+    FIELDS.iter().any(|field| name.eq_ignore_ascii_case(field))
 }
 
-/// The idle time-out of a server's connection in seconds, from its `Keep-Alive` field.
+/// The idle time-out of a server's connection in seconds, from the value of its `Keep-Alive` field.
 pub fn parse_keep_alive_timeout(value: &str) -> Option<u32> {
     value
         .split(',')
-        .find_map(|part| part.trim().strip_prefix("timeout="))
-        .and_then(|n| n.trim().parse().ok())
+        .find_map(|parameter| parameter.trim().strip_prefix("timeout="))
+        .and_then(|seconds| seconds.trim().parse().ok())
 }
 
 #[cfg(test)]
--- a/crates/proxy/src/server_table/tests.rs
+++ b/crates/proxy/src/server_table/tests.rs
@@ -22,25 +22,25 @@
     server_table
 }
 
-/// The ids that may receive requests, and their weights.
-fn ready(server_table: &ServerTable, now: Micros, pins: &[&str]) -> Vec<(String, f64)> {
-    let pins: Vec<String> = pins.iter().map(|pin| pin.to_string()).collect();
-    let entries = server_table.entries(now, "s", &pins);
+/// The instance ids of the servers that may receive requests, and their weights.
+fn ready(server_table: &ServerTable, now: Micros, regions: &[&str]) -> Vec<(String, f64)> {
+    let regions: Vec<String> = regions.iter().map(|region| region.to_string()).collect();
+    let entries = server_table.entries(now, "s", &regions);
     let ready = entries
         .iter()
         .filter(|entry| entry.state == ServerState::Ready);
     ready
-        .map(|e| {
+        .map(|entry| {
             (
-                server_table.get(e.server).unwrap().listing.id.clone(),
-                e.weight,
+                server_table.get(entry.server).unwrap().listing.id.clone(),
+                entry.weight,
             )
         })
         .collect()
 }
 
 #[test]
-fn near_servers_weigh_more_and_other_regions_are_left_out() {
+fn near_servers_have_greater_weight_and_disallowed_regions_are_excluded() {
     let server_table = server_table(vec![
         server("i-a", "a"),
         server("i-b", "b"),
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn cold_server_gets_nothing_until_it_is_warm() {
+fn server_receives_no_requests_until_its_warm_up_ends() {
     let server_table = server_table(vec![Server {
         warm_up_left: 500,
         ..server("i-a", "a")
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn returned_zone_counts_as_cold_whatever_the_list_says() {
+fn zone_is_warming_up_after_its_evacuation_whatever_the_list_says() {
     let mut server_table = server_table(vec![server("i-a", "a"), server("i-b", "b")]);
     server_table.set_evacuated_zones(NOW, &["b".to_string()].into(), Vec::new(), 3_000);
     assert_eq!(ready(&server_table, NOW, &[]).len(), 1);
@@ -77,17 +77,17 @@
 }
 
 #[test]
-fn older_list_changes_nothing_and_a_new_incarnation_has_a_new_number() {
+fn older_list_has_no_effect_and_a_new_instance_has_a_new_id() {
     let mut server_table = server_table(vec![server("i-a", "a")]);
-    let old = server_table.entries(NOW, "s", &[])[0].server;
+    let first_server_id = server_table.entries(NOW, "s", &[])[0].server;
     assert!(server_table.update(NOW, (2, 1), vec![server("i-z", "a")]));
     assert!(!server_table.update(NOW, (1, 9), vec![server("i-a", "a")]));
-    let new = server_table.entries(NOW, "s", &[])[0].server;
-    assert!(new != old && server_table.get(old).is_none());
+    let second_server_id = server_table.entries(NOW, "s", &[])[0].server;
+    assert!(second_server_id != first_server_id && server_table.get(first_server_id).is_none());
 }
 
 #[test]
-fn replaced_server_gets_nothing_until_its_address_is_listed_anew() {
+fn replaced_server_receives_no_requests_until_a_new_address_is_listed() {
     let mut server_table = server_table(vec![server("i-a", "a")]);
     server_table.mark_replaced(server_table.entries(NOW, "s", &[])[0].server);
     server_table.update(NOW, (1, 2), vec![server("i-a", "a")]);
