--- a/crates/proxy/src/host/admission.rs
+++ b/crates/proxy/src/host/admission.rs
@@ -9,26 +9,26 @@
 use crate::router::RoutingRequest;
 use crate::shedding::SheddingRequest;
 
-/// The mean wait told by a proxy that has no configuration or servers yet: after a loss of power
-/// everywhere the server list is back within a second.
+/// Mean `Retry-After` of a proxy that has no configuration or servers yet: after a power failure of
+/// all zones the server list is back within a second.
 const STARTUP_RETRY_AFTER: Micros = 700 * MS;
 
-/// Longest id of a request, in bytes.
+/// Longest request id that is accepted.
 const MAX_REQUEST_ID_BYTES: usize = 256;
 
-/// A body that is forwarded while it arrives.
+/// A request body that is forwarded while it arrives.
 pub(super) struct StreamedBody {
     pub(super) framing: BodyFraming,
-    /// The additional time that it is given to arrive.
+    /// The time that the request is allowed in addition, for the body to arrive.
     pub(super) extra_time: Micros,
 }
 
 impl Host {
     /// Whether a request is shed by its head alone: it is rejected before its body is read, and the
-    /// connection closed after the answer. Checked once, when the head is complete and the route
-    /// has one service; with several it is not known yet which one will be chosen.
-    pub(super) fn is_shed_by_head(&mut self, now: Micros, key: ConnectionId) -> bool {
-        let Some(Role::Client(client)) = self.roles.get_mut(key) else {
+    /// connection is closed after the response. Checked once, when the head is complete, and only if
+    /// the route has a single service: with several the service is not selected yet.
+    pub(super) fn is_shed_by_head(&mut self, now: Micros, connection_id: ConnectionId) -> bool {
+        let Some(Role::Client(client)) = self.roles.get_mut(connection_id) else {
             return false;
         };
         let Some(head) = client.incoming.head() else {
@@ -37,41 +37,43 @@
         if std::mem::replace(&mut client.shedding_checked, true) {
             return false;
         }
-        let asked = head
+        let matched_route = head
             .headers
             .get("Host")
             .and_then(|host| self.config_store.find_route(host, &head.target));
-        let (Some(route), Some(id)) = (asked, head.headers.get("X-Request-Id")) else {
+        let (Some(route), Some(request_id)) = (matched_route, head.headers.get("X-Request-Id"))
+        else {
             return false;
         };
         let mut services = route.services().filter(|(_, weight)| *weight > 0.0);
-        let (Some((svc, _)), None) = (services.next(), services.next()) else {
+        let (Some((service, _)), None) = (services.next(), services.next()) else {
             return false;
         };
         let tenant =
-            api_key(&head.headers).and_then(|key| self.config_store.tenant_by_api_key(key));
+            api_key(&head.headers).and_then(|api_key| self.config_store.tenant_by_api_key(api_key));
         if tenant.is_none() && !route.public && self.config_store.requires_api_keys() {
             return false;
         }
-        let tenant = tenant.map(|known| (known.name.as_str(), &known.tenant));
-        let asker = SheddingRequest {
-            request_id: id,
+        let tenant = tenant.map(|named| (named.name.as_str(), &named.tenant));
+        let shedding_request = SheddingRequest {
+            request_id,
             route,
-            service: svc,
+            service,
             tenant,
         };
-        client.band = asker.band();
-        self.router.is_shed_by_head(now, &asker)
+        client.band = shedding_request.band();
+        self.router.is_shed_by_head(now, &shedding_request)
     }
 
-    /// Admits a request by its head; `streamed`: its body is forwarded while it arrives.
+    /// Admits a request by its head and submits it to the router. `streamed`: its body is forwarded
+    /// while it arrives.
     ///
     /// # Errors
-    /// The answer to a request that can't be routed.
+    /// The response to a request that can't be routed.
     pub(super) fn admit(
         &mut self,
         now: Micros,
-        key: ConnectionId,
+        connection_id: ConnectionId,
         head: RequestHead,
         body: Vec<u8>,
         streamed: Option<StreamedBody>,
@@ -86,41 +88,41 @@
             .find_route(host, &head.target)
             .ok_or_else(|| self.unknown_route_or_key_response(now, 404, "no route"))?
             .clone();
-        let id = head
+        let request_id = head
             .headers
             .get("X-Request-Id")
-            .filter(|id| !id.is_empty() && id.len() <= MAX_REQUEST_ID_BYTES)
+            .filter(|request_id| !request_id.is_empty() && request_id.len() <= MAX_REQUEST_ID_BYTES)
             .ok_or(local_response(400, "X-Request-Id"))?
             .to_string();
         let tenant = api_key(&head.headers)
-            .and_then(|key| self.config_store.tenant_by_api_key(key))
+            .and_then(|api_key| self.config_store.tenant_by_api_key(api_key))
             .cloned();
         if tenant.is_none() && !route.public && self.config_store.requires_api_keys() {
             return Err(self.unknown_route_or_key_response(now, 401, "no such key"));
         }
         let allowed_time = allowed_time(&head.headers, &route);
         let extra_time = streamed.as_ref().map_or(0, |body| body.extra_time);
-        let svc = choose_service(&route).ok_or(retry_later(
+        let service = choose_service(&route).ok_or(retry_later(
             503,
             DEFAULT_RETRY_AFTER,
             "no service takes it",
         ))?;
-        let tenant_pins = tenant.as_ref().map_or(&[][..], |known| &known.tenant.pins);
-        let pins = common_regions(&route.pins, tenant_pins).ok_or(retry_later(
+        let tenant_pins = tenant.as_ref().map_or(&[][..], |named| &named.tenant.pins);
+        let regions = common_regions(&route.pins, tenant_pins).ok_or(retry_later(
             503,
             DEFAULT_RETRY_AFTER,
             "no region may serve it",
         ))?;
-        self.ensure_engine(now, &svc, &pins, &route);
-        let tenant_name = tenant.as_ref().map(|known| known.name.as_str());
+        self.ensure_engine(now, &service, &regions, &route);
+        let tenant_name = tenant.as_ref().map(|named| named.name.as_str());
         let header_lines = forwarded_header_lines(&head.headers, tenant_name);
         let request = self.requests.insert(Request {
-            client: key,
+            client: connection_id,
             method: head.method,
             target: head.target,
             header_lines,
             body,
-            id: id.clone(),
+            id: request_id.clone(),
             route: route.clone(),
             deadline: now + allowed_time + extra_time,
             allowed_time,
@@ -135,17 +137,22 @@
         });
         let routing = RoutingRequest {
             key: request,
-            request_id: &id,
+            request_id: &request_id,
             route: &route,
-            service: &svc,
-            tenant: tenant.as_ref().map(|t| (t.name.as_str(), &t.tenant)),
-            allowed_regions: &pins,
+            service: &service,
+            tenant: tenant
+                .as_ref()
+                .map(|named| (named.name.as_str(), &named.tenant)),
+            allowed_regions: &regions,
             deadline: now + allowed_time + extra_time,
         };
-        self.submit_request(now, key, &routing)
+        self.submit_request(now, connection_id, &routing)
     }
 
-    /// A proxy without configuration or servers sends clients away for a moment.
+    /// Checks that the configuration and the servers have been received.
+    ///
+    /// # Errors
+    /// The response until then, which asks clients to retry.
     fn check_configuration_loaded(&self) -> Result<(), LocalResponse> {
         let reason = if !self.config_store.has_routes() {
             "no configuration yet"
@@ -157,7 +164,7 @@
         Err(retry_later(503, startup_retry_after(), reason))
     }
 
-    /// The answer where the configuration has no such route or key: final, unless a change may be missing here.
+    /// The response if the configuration has no such route or key: final, unless this proxy may lack a change.
     fn unknown_route_or_key_response(
         &self,
         now: Micros,
@@ -171,135 +178,147 @@
         }
     }
 
-    /// Opens the engine of a service in these regions if there is none.
-    fn ensure_engine(&mut self, now: Micros, svc: &str, pins: &[String], route: &Route) {
-        if self.router.engine_index(svc, pins).is_some() {
+    /// Creates the engine of a service in these regions if there is none.
+    fn ensure_engine(&mut self, now: Micros, service: &str, regions: &[String], route: &Route) {
+        if self.router.engine_index(service, regions).is_some() {
             return;
         }
-        let entries = self.server_table.entries(now, svc, pins);
+        let entries = self.server_table.entries(now, service, regions);
         self.add_servers_to_pool(entries.iter().map(|entry| entry.server).collect());
         self.router
-            .create_engine(svc, pins, route.target_time.0, entries);
+            .create_engine(service, regions, route.target_time.0, entries);
     }
 
+    /// Submits a request to the router.
+    ///
+    /// # Errors
+    /// The response if the router's capacity is exhausted.
     fn submit_request(
         &mut self,
         now: Micros,
-        key: ConnectionId,
-        routing: &RoutingRequest<'_>,
+        connection_id: ConnectionId,
+        routing_request: &RoutingRequest<'_>,
     ) -> Result<(), LocalResponse> {
-        let request = routing.key;
-        let Some(handle) = self.router.submit(now, routing) else {
-            self.requests.remove(request);
+        let request_key = routing_request.key;
+        let Some(handle) = self.router.submit(now, routing_request) else {
+            self.requests.remove(request_key);
             return Err(retry_later(503, DEFAULT_RETRY_AFTER, "no room"));
         };
-        self.requests[request].handle = handle;
-        if let Some(client) = self.client(key) {
-            client.request = Some(request);
-            client.band = routing.shedding_request().band();
+        self.requests[request_key].handle = handle;
+        if let Some(client) = self.client(connection_id) {
+            client.request = Some(request_key);
+            client.band = routing_request.shedding_request().band();
         }
         Ok(())
     }
 }
 
-/// The API key that a client shows.
+/// The API key of a request.
 fn api_key(headers: &Headers) -> Option<&str> {
     headers
         .get("Authorization")
-        .and_then(|value| value.strip_prefix("Bearer "))
+        .and_then(|credentials| credentials.strip_prefix("Bearer "))
         .map(str::trim)
 }
 
-/// The time for a request: the client's or its route's, whichever is less, without the margin for
-/// the answer's way back.
+/// The time allowed for a request: the client's or its route's, whichever is less, minus the margin
+/// for the response to reach the client.
 fn allowed_time(headers: &Headers, route: &Route) -> Micros {
-    let asked = headers
+    let requested = headers
         .get("X-Time-Left")
-        .and_then(|text| text.parse::<f64>().ok())
+        .and_then(|value| value.parse::<f64>().ok())
         .filter(|ms| ms.is_finite() && *ms >= 0.0)
         .map_or(route.timeout.0, |ms| (ms * 1e3) as Micros);
-    let allowed = asked.min(route.timeout.0);
+    let allowed = requested.min(route.timeout.0);
     allowed - RESPONSE_MARGIN.min(allowed / 4)
 }
 
-/// Chooses the service of a request, at random by weight where the route has several.
+/// Selects the service of a request, at random by weight if the route has several.
 fn choose_service(route: &Route) -> Option<String> {
-    let all: f64 = route.services().map(|(_, weight)| weight).sum();
-    let mut point = fastrand::f64() * all;
+    let total_weight: f64 = route.services().map(|(_, weight)| weight).sum();
+    let mut point = fastrand::f64() * total_weight;
     let chosen = route.services().find(|(_, weight)| {
         point -= weight;
         *weight > 0.0 && point < 0.0
     });
-    let positive = || route.services().filter(|(_, weight)| *weight > 0.0).last();
-    chosen.or_else(positive).map(|(svc, _)| svc.to_string())
+    let last_weighted = || route.services().filter(|(_, weight)| *weight > 0.0).last();
+    chosen
+        .or_else(last_weighted)
+        .map(|(service, _)| service.to_string())
 }
 
 /// A wait with jitter. With the same wait for all, the clients of a proxy that has just started
-/// would return at once; with a short one they would spend their retries before it is ready.
+/// would all return at the same time; with a short one they would spend their retries before it is
+/// ready.
 fn startup_retry_after() -> Micros {
-    let spread = 0.5 + fastrand::f64();
-    (STARTUP_RETRY_AFTER as f64 * spread) as Micros
+    let jitter = 0.5 + fastrand::f64();
+    (STARTUP_RETRY_AFTER as f64 * jitter) as Micros
 }
 
-/// The regions that both lists allow, where an empty list allows all; `None` if they have none in
-/// common.
-fn common_regions(route: &[String], tenant: &[String]) -> Option<Vec<String>> {
-    match (route.is_empty(), tenant.is_empty()) {
-        (true, _) => Some(tenant.to_vec()),
-        (false, true) => Some(route.to_vec()),
+/// The regions that both lists allow; an empty list allows all. `None` if they have none in common.
+fn common_regions(route_regions: &[String], tenant_regions: &[String]) -> Option<Vec<String>> {
+    match (route_regions.is_empty(), tenant_regions.is_empty()) {
+        (true, _) => Some(tenant_regions.to_vec()),
+        (false, true) => Some(route_regions.to_vec()),
         (false, false) => {
-            let both: Vec<String> = route
+            let common: Vec<String> = route_regions
                 .iter()
-                .filter(|region| tenant.contains(region))
+                .filter(|region| tenant_regions.contains(region))
                 .cloned()
                 .collect();
-            (!both.is_empty()).then_some(both)
+            (!common.is_empty()).then_some(common)
         }
     }
 }
 
-/// The header fields as servers receive them, without those written for each attempt.
+/// The header fields as servers receive them, without those that are written for each attempt.
 fn forwarded_header_lines(headers: &Headers, tenant: Option<&str>) -> Vec<u8> {
-    const OWN: [&str; 4] = [
+    const REPLACED_FIELDS: [&str; 4] = [
         "authorization",
         "x-tenant",
         "x-time-left",
         "x-want-instance",
     ];
-    let mut out = Vec::with_capacity(256);
-    let mut line = |name: &str, value: &str| {
-        out.extend_from_slice(name.as_bytes());
-        out.extend_from_slice(b": ");
-        out.extend_from_slice(value.as_bytes());
-        out.extend_from_slice(b"\r\n");
+    let mut lines = Vec::with_capacity(256);
+    let mut write_line = |name: &str, value: &str| {
+        lines.extend_from_slice(name.as_bytes());
+        lines.extend_from_slice(b": ");
+        lines.extend_from_slice(value.as_bytes());
+        lines.extend_from_slice(b"\r\n");
     };
-    // Fields named by `Connection` are hop-by-hop as well,
-    let named = headers
+    // Fields named by `Connection` are hop-by-hop as well...
+    let connection_options = headers
         .iter()
         .filter(|(name, _)| name.eq_ignore_ascii_case("connection"));
-    let named = named.flat_map(|(_, value)| value.split(',').map(str::trim));
-    // except those that a server needs.
-    let named: Vec<&str> = named
+    let connection_options =
+        connection_options.flat_map(|(_, value)| value.split(',').map(str::trim));
+    // ...except those that a server requires.
+    let connection_options: Vec<&str> = connection_options
         .filter(|name| {
             !name.eq_ignore_ascii_case("host") && !name.eq_ignore_ascii_case("x-request-id")
         })
         .collect();
-    let passes = |name: &str| {
-        let listed = |list: &[&str]| list.iter().any(|other| name.eq_ignore_ascii_case(other));
-        !is_hop_by_hop_field(name) && !listed(&OWN) && !listed(&named)
+    let is_forwarded = |name: &str| {
+        let is_listed = |list: &[&str]| {
+            list.iter()
+                .any(|listed_name| name.eq_ignore_ascii_case(listed_name))
+        };
+        !is_hop_by_hop_field(name)
+            && !is_listed(&REPLACED_FIELDS)
+            && !is_listed(&connection_options)
     };
-    for (name, value) in headers.iter().filter(|(name, _)| passes(name)) {
-        line(name, value);
+    for (name, value) in headers.iter().filter(|(name, _)| is_forwarded(name)) {
+        write_line(name, value);
     }
     tenant
         .into_iter()
-        .for_each(|tenant| line("X-Tenant", tenant));
-    out
+        .for_each(|tenant| write_line("X-Tenant", tenant));
+    lines
 }
 
-/// Whether a body is forwarded, with its length.
-pub(super) fn has_body(method: &str, extent: BodyFraming) -> bool {
-    !matches!((method, extent), ("GET" | "HEAD", BodyFraming::Length(0)))
+/// Whether a request is forwarded as having a body: every request except a GET or HEAD without one.
+pub(super) fn has_body(method: &str, framing: BodyFraming) -> bool {
+    !matches!((method, framing), ("GET" | "HEAD", BodyFraming::Length(0)))
 }
 
 #[cfg(test)]
--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -34,10 +34,10 @@
         }
     }
 
-    pub(super) fn handle_agent_connected(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_agent_connected(&mut self, now: Micros, connection_id: ConnectionId) {
         info!(self.log, "agent is there");
         let hello = AgentMessage::Hello(self.node_info());
-        if let Some(out) = self.connections.output(key) {
+        if let Some(out) = self.connections.output(connection_id) {
             frames::encode(out, &hello);
         }
         self.announced_state = self.node_state();
@@ -46,8 +46,8 @@
         self.send_counter_batch(now);
     }
 
-    pub(super) fn handle_agent_lost(&mut self, now: Micros, key: ConnectionId) {
-        self.remove_connection(key);
+    pub(super) fn handle_agent_lost(&mut self, now: Micros, connection_id: ConnectionId) {
+        self.remove_connection(connection_id);
         self.agent_connection = None;
         for batch in std::mem::take(&mut self.counter_batches) {
             self.fail_counter_batch(&batch, Outcome::Reset);
@@ -86,9 +86,9 @@
         self.send_to_agent(&AgentMessage::Heartbeat(self.announced_state));
     }
 
-    pub(super) fn handle_agent_input(&mut self, now: Micros, key: ConnectionId) {
+    pub(super) fn handle_agent_input(&mut self, now: Micros, connection_id: ConnectionId) {
         loop {
-            let Some(connection) = self.connections.get_mut(key) else {
+            let Some(connection) = self.connections.get_mut(connection_id) else {
                 return;
             };
             match frames::decode::<ControlMessage>(&mut connection.input) {
@@ -96,7 +96,7 @@
                 Ok(None) => break,
                 Err(fault) => {
                     error!(self.log, "agent: {fault}"; "step" => "reading news", "peer" => "agent");
-                    return self.handle_agent_lost(now, key);
+                    return self.handle_agent_lost(now, connection_id);
                 }
             }
         }
--- a/crates/proxy/src/host/close_reasons.rs
+++ b/crates/proxy/src/host/close_reasons.rs
@@ -49,11 +49,16 @@
 impl Host {
     /// Logs that the proxy closes a connection on which an answer is owed or a partial request is
     /// buffered.
-    pub(super) fn log_close(&mut self, now: Micros, key: ConnectionId, closing: CloseReason) {
-        let Some(Role::Client(client)) = self.roles.get(key) else {
+    pub(super) fn log_close(
+        &mut self,
+        now: Micros,
+        connection_id: ConnectionId,
+        closing: CloseReason,
+    ) {
+        let Some(Role::Client(client)) = self.roles.get(connection_id) else {
             return;
         };
-        let connection = self.connections.get(key);
+        let connection = self.connections.get(connection_id);
         let (unread, unwritten) = connection.map_or((0, 0), |connection| {
             (connection.input.len(), connection.backlog())
         });
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -1,5 +1,5 @@
-//! The host of a proxy: one thread, one wait for all connections. Each turn reads all input, then
-//! handles what is due and lets the engines decide, then writes all output.
+//! The host of a proxy: the event loop that owns all connections, in a single thread. Each iteration
+//! reads all input, then handles due timers and runs the router's engines, then writes all output.
 
 mod admission;
 mod agent_link;
@@ -57,30 +57,31 @@
 const HEARTBEAT_INTERVAL: Micros = 400 * MS;
 /// Delay before the agent's link is retried.
 const AGENT_RECONNECT_DELAY: Micros = 100 * MS;
-/// The least time-out of a connection attempt to a server; the farthest need more than a tenth of a second.
+/// Shortest time-out of a connection attempt to a server; the farthest servers need more than a tenth of a second.
 const MIN_CONNECT_TIMEOUT: Micros = 350 * MS;
-/// The greatest one, where this machine's link is full.
+/// Longest time-out of a connection attempt to a server, for when this machine's link is congested.
 const MAX_CONNECT_TIMEOUT: Micros = 1_000 * MS;
-/// Longest answer that is buffered before it is forwarded, in bytes; also the bound of what a
-/// streamed one may hold. A longer one that breaks off can't be retried at another server, a
-/// shorter one can.
+/// Longest response that is buffered before it is forwarded; also the most that is buffered of a
+/// streamed one. An interrupted response up to this length can be retried at another server, a
+/// longer one can't.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 128 * 1024;
-/// Longest answer that is streamed, in bytes. It is never held; the bound protects against endless
-/// answers.
+/// Longest response that is streamed. It is never buffered as a whole; the bound protects against
+/// endless responses.
 const MAX_STREAMED_RESPONSE_BYTES: u64 = 1024 * 1024 * 1024;
-/// From SIGTERM on, clients that look up an edge are sent elsewhere; those that connect all the
-/// same are served for this long.
+/// From SIGTERM on, clients that look up an edge are sent elsewhere. Clients that connect
+/// nevertheless are served for this long.
 const SHUTDOWN_NOTICE_PERIOD: Micros = 2_200 * MS;
-/// Reserve at the end of the grace period.
+/// Time reserved at the end of the grace period between SIGTERM and SIGKILL.
 const SHUTDOWN_GRACE_MARGIN: Micros = 400 * MS;
-/// Longest wait without a deadline.
+/// Longest wait for events if there is no earlier deadline.
 const MAX_IDLE_WAIT: Micros = SECOND;
 
 /// What a connection to a server is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UpstreamPurpose {
+    /// The attempt of this number of a request.
     Attempt(RequestKey, RequestHandle, u32),
-    /// A health check for the engine at this position.
+    /// A health check for the engine at this index.
     Probe(usize),
 }
 
@@ -88,8 +89,8 @@
 enum Role {
     Client(Box<Client>),
     Upstream(Box<UpstreamConnection>),
-    /// The platform's readiness check. `last`: the connection is closed after the answer being
-    /// written.
+    /// The platform's readiness check. `close_after_response`: the connection is closed after the
+    /// response that is being written.
     ReadinessCheck {
         close_after_response: bool,
     },
@@ -104,16 +105,17 @@
     request: Option<RequestKey>,
     /// The earliest deadline scheduled for it.
     scheduled_deadline: Micros,
-    /// The connection is closed after this answer.
+    /// The connection is closed after this response.
     close_after_response: bool,
+    /// `100 Continue` was sent for the present request.
     continue_sent: bool,
-    /// Whether shedding by the request's head was checked.
+    /// Whether the present request is to be shed by its head has been checked.
     shedding_checked: bool,
     /// Its part of the bytes buffered for all clients.
     buffered_bytes: usize,
     /// The priority band of its last request.
     band: usize,
-    /// The server's connection from which its answer is streamed.
+    /// The server's connection from which its response is streamed.
     response_source: Option<ConnectionId>,
     /// The request body that is being streamed.
     upload: Option<Upload<ConnectionId>>,
@@ -126,41 +128,41 @@
     state: UpstreamState<UpstreamPurpose>,
     incoming: IncomingMessage<ResponseHead>,
     response_class: Option<ResponseClass>,
-    /// The answer has no body, whatever its head says.
+    /// The response has no body, whatever its head says.
     expects_no_body: bool,
-    /// An idle connection may be used until then.
+    /// An idle connection may be reused until then.
     reusable_until: Micros,
-    /// The answer that is streamed from it.
+    /// The response that is being streamed from it.
     response_stream: Option<ResponseStream>,
-    /// The body streamed to it is not complete.
+    /// The request body that is being streamed to it is not complete yet.
     is_uploading: bool,
-    /// Bytes written on the connection before the present use.
+    /// Bytes written on the connection before its present use.
     bytes_sent_before: u64,
-    /// An answer without an id arrived on it before.
+    /// A response without a request id has arrived on it.
     had_response_without_id: bool,
 }
 
-/// A request whose final answer is owed.
+/// A request without a final response yet.
 struct Request {
     client: ConnectionId,
     method: String,
     target: String,
-    /// Header fields as servers receive them.
+    /// The header fields as servers receive them, encoded.
     header_lines: Vec<u8>,
     body: Vec<u8>,
     id: String,
     route: Rc<Route>,
     deadline: Micros,
-    /// The time that its client allowed.
+    /// The time allowed by its client and its route.
     allowed_time: Micros,
-    /// How the body ends, where it is streamed.
+    /// The framing of the body if it is streamed.
     body_framing: Option<BodyFraming>,
     handle: RequestHandle,
-    /// Connections on which it was sent to servers.
+    /// The connections on which it was sent to servers.
     attempt_connections: Vec<ConnectionId>,
-    /// It may have run.
+    /// A server may have run it.
     may_have_run: bool,
-    /// A server's failure, which is forwarded if no better answer arrives.
+    /// A server's failure, which is forwarded if no better response arrives.
     failed_response: Option<(ResponseHead, Vec<u8>)>,
 }
 
@@ -170,9 +172,9 @@
     ConnectTimeout(ConnectionId),
     ClientDeadline(ConnectionId),
     ProbeTimeout(ConnectionId),
-    /// The answer streamed from this connection.
+    /// The deadline of the response that is streamed from this connection.
     ResponseStreamDeadline(ConnectionId),
-    /// The deadline of a request whose long body has arrived.
+    /// The deadline of a request whose streamed body has arrived completely.
     RequestDeadline(RequestKey),
     CounterBatchTimeout,
     ExpireIdleConnections,
@@ -189,9 +191,9 @@
     number: u64,
     counters: Vec<u64>,
     sent_at: Micros,
-    /// Without totals by then it has timed out.
+    /// If no totals have arrived by then, the batch has timed out.
     deadline: Micros,
-    /// Its time-out was reported.
+    /// Its time-out was reported to the router.
     timed_out: bool,
 }
 
@@ -200,7 +202,7 @@
     clock: Clock,
     settings: Settings,
     limits: Limits,
-    /// The `Keep-Alive` value for clients.
+    /// The value of the `Keep-Alive` field sent to clients.
     client_keep_alive: String,
     log: Logger,
     log_ring: LogRing,
@@ -209,6 +211,7 @@
     client_count: usize,
     /// Bytes buffered for all clients' requests.
     buffered_bytes: usize,
+    /// The listeners for clients and for readiness checks.
     listeners: (usize, usize),
     /// The addresses on which clients and readiness checks are accepted.
     pub listen_addresses: (SocketAddr, SocketAddr),
@@ -219,32 +222,36 @@
     router: RequestRouter,
     requests: SlotMap<RequestKey, Request>,
     upstream_pool: ConnectionPool<ConnectionId>,
+    /// The connection of each attempt in flight, by engine index and authorisation.
     attempt_connections: HashMap<(usize, AuthorisationKey), ConnectionId>,
     router_actions: Vec<RouterAction>,
     agent_connection: Option<ConnectionId>,
     /// The agent has sent its complete state at least once.
     has_complete_state: bool,
     config_freshness: ConfigFreshness,
+    /// Additions to the shared counter that are sent at the end of the iteration.
     pending_adds: Vec<CounterAdd>,
+    /// Batches of additions without totals yet.
     counter_batches: VecDeque<CounterBatch>,
     last_batch_number: u64,
     counter_timeout: AdaptiveTimeout,
-    /// Of connection attempts to servers.
+    /// The time-out of connection attempts to servers.
     connect_timeout: AdaptiveTimeout,
-    /// When the batches are looked at next for one that has timed out.
+    /// When the counter batches are next checked for time-outs.
     batch_check_at: Micros,
-    /// Connections whose input is to be handled again.
+    /// Connections whose input is handled again in the next iteration.
     pending_reads: Vec<ConnectionId>,
+    /// The state last announced to the agent.
     announced_state: NodeState,
-    /// All input that arrived before this time has been taken in.
+    /// All input that arrived before this time has been read.
     input_read_until: Micros,
-    /// When the last line about a connection closed with an answer owed was printed.
+    /// When the closing of a connection before its response was complete was last logged at once.
     close_logged_at: Micros,
     metrics_endpoint: MetricsEndpoint,
     metrics: ProxyMetrics,
 }
 
-/// Checks that the settings have what a proxy needs.
+/// Checks that the settings contain the keys that a proxy requires.
 ///
 /// # Errors
 /// A key is missing.
@@ -260,6 +267,7 @@
     Ok(())
 }
 
+/// Listens on the address under this key of the settings.
 fn open_listener(
     connections: &mut Connections,
     key: &str,
@@ -276,11 +284,14 @@
     ///
     /// # Errors
     /// An address is missing in the settings, or can't be bound.
-    pub fn open(settings: Settings, clock: Clock, ring: LogRing) -> eyre::Result<Host> {
-        let mut connections = Connections::new(&[SIGTERM, SIGHUP]).wrap_err("opening the loop")?;
-        let (door, http) = open_listener(&mut connections, "bind.http", settings.bind.http)?;
-        let (check, readyz) = open_listener(&mut connections, "bind.readyz", settings.bind.readyz)?;
-        let log = ring.logger("proxy", &settings.node);
+    pub fn open(settings: Settings, clock: Clock, log_ring: LogRing) -> eyre::Result<Host> {
+        let mut connections =
+            Connections::new(&[SIGTERM, SIGHUP]).wrap_err("opening the event loop")?;
+        let (client_listener, http) =
+            open_listener(&mut connections, "bind.http", settings.bind.http)?;
+        let (readiness_listener, readyz) =
+            open_listener(&mut connections, "bind.readyz", settings.bind.readyz)?;
+        let log = log_ring.logger("proxy", &settings.node);
         let limits = Limits {
             shutdown_notice_period: SHUTDOWN_NOTICE_PERIOD,
             shutdown_timeout: settings.bounds.grace.0 - SHUTDOWN_GRACE_MARGIN,
@@ -305,12 +316,12 @@
             client_keep_alive: responses::keep_alive_value(limits.client_idle_timeout),
             limits,
             log,
-            log_ring: ring,
+            log_ring,
             connections,
             roles: SecondaryMap::new(),
             client_count: 0,
             buffered_bytes: 0,
-            listeners: (door, check),
+            listeners: (client_listener, readiness_listener),
             listen_addresses: (http, readyz),
             deadlines,
             lifecycle: Lifecycle::new(false),
@@ -340,9 +351,9 @@
         })
     }
 
-    /// Bytes of buffered messages, including allocated capacity.
+    /// The bytes of all buffered messages, including allocated capacity.
     pub fn buffered_bytes(&self) -> usize {
-        let of = |role: &Role| match role {
+        let buffered_by = |role: &Role| match role {
             Role::Client(client) => {
                 client.incoming.body.capacity()
                     + client.upload.as_ref().map_or(0, Upload::buffered_bytes)
@@ -355,14 +366,14 @@
             .values()
             .map(|request| request.body.capacity());
         self.connections.buffered_bytes()
-            + self.roles.values().map(of).sum::<usize>()
+            + self.roles.values().map(buffered_by).sum::<usize>()
             + bodies.sum::<usize>()
     }
 
-    /// Runs until the program is told to shut down.
+    /// Runs until the program has shut down.
     ///
     /// # Errors
-    /// The system's wait failed.
+    /// Waiting for events failed.
     pub fn run(mut self) -> eyre::Result<()> {
         let mut events = Vec::new();
         while !self.is_finished() {
@@ -371,85 +382,86 @@
         Ok(())
     }
 
-    /// The program may end.
+    /// Whether the program may exit.
     pub fn is_finished(&self) -> bool {
         self.lifecycle.is_finished()
     }
 
-    /// One turn of the event loop: waits for events or deadlines, at most for the given time, and
-    /// handles them. Events caused by writing are left in `events` for the next turn.
+    /// One iteration of the event loop: waits for events or deadlines, at most for `max_wait`, and
+    /// handles them. Events caused by writing are left in `events` for the next iteration.
     ///
     /// # Errors
-    /// The system's wait failed.
-    pub fn step(&mut self, longest: Micros, events: &mut Vec<IoEvent>) -> eyre::Result<()> {
-        let busy = !events.is_empty() || !self.pending_reads.is_empty();
-        let due = [self.deadlines.earliest(), self.router.next_wakeup()]
+    /// Waiting for events failed.
+    pub fn step(&mut self, max_wait: Micros, events: &mut Vec<IoEvent>) -> eyre::Result<()> {
+        let has_work = !events.is_empty() || !self.pending_reads.is_empty();
+        let earliest_deadline = [self.deadlines.earliest(), self.router.next_wakeup()]
             .into_iter()
             .flatten()
             .min();
         let now = self.clock.now();
-        let until = if busy {
+        let until = if has_work {
             now
         } else {
-            due.unwrap_or(Micros::MAX).min(now + longest)
+            earliest_deadline.unwrap_or(Micros::MAX).min(now + max_wait)
         };
         let clock = self.clock.clone();
         self.connections
             .wait(Some(until), || clock.now(), events)
-            .wrap_err("waiting")?;
-        let came = events
+            .wrap_err("waiting for events")?;
+        let input_events = events
             .iter()
-            .filter(|h| matches!(h, IoEvent::Received(_) | IoEvent::Accepted(..)));
-        self.record_node_load(now, until, came.count());
+            .filter(|event| matches!(event, IoEvent::Received(_) | IoEvent::Accepted(..)));
+        self.record_node_load(now, until, input_events.count());
         self.process_events(events);
         Ok(())
     }
 
+    /// Handles the events and due timers, runs the router, and writes all output.
     fn process_events(&mut self, events: &mut Vec<IoEvent>) {
         let now = self.clock.now();
-        for key in std::mem::take(&mut self.pending_reads) {
-            self.connections.resume_reading(key, now, events);
-            events.push(IoEvent::Received(key));
+        for connection_id in std::mem::take(&mut self.pending_reads) {
+            self.connections.resume_reading(connection_id, now, events);
+            events.push(IoEvent::Received(connection_id));
         }
         for event in events.drain(..) {
             self.handle_event(now, event);
         }
-        while let Some(due) = self.deadlines.pop_due(now) {
-            self.handle_timer(now, due);
+        while let Some(timer) = self.deadlines.pop_due(now) {
+            self.handle_timer(now, timer);
         }
         self.run_router(now);
         self.send_counter_batch(now);
         self.connections.flush_all(events);
     }
 
-    /// Lets the module decide, and carries out its actions.
+    /// Runs the router and performs its actions, until there are none left.
     fn run_router(&mut self, now: Micros) {
-        // One request makes the module answer a few times in a row at most; the bound protects
-        // against an endless loop.
+        // Performing the actions for a request may lead to further ones, a few times in a row at
+        // most; the bound protects against an endless loop.
         for _ in 0..16 {
-            let mut steps = std::mem::take(&mut self.router_actions);
+            let mut actions = std::mem::take(&mut self.router_actions);
             let requests = &mut self.requests;
-            self.router.run(now, &mut steps, |request, handle| {
+            self.router.run(now, &mut actions, |request, handle| {
                 requests
                     .get_mut(request)
                     .into_iter()
                     .for_each(|request| request.handle = handle);
             });
-            let none = steps.is_empty();
-            for step in steps.drain(..) {
-                self.perform_router_action(now, step);
+            let is_idle = actions.is_empty();
+            for action in actions.drain(..) {
+                self.perform_router_action(now, action);
             }
             if self.router_actions.is_empty() {
-                self.router_actions = steps;
+                self.router_actions = actions;
             }
-            if none && self.router_actions.is_empty() {
+            if is_idle && self.router_actions.is_empty() {
                 return;
             }
         }
     }
 
-    fn perform_router_action(&mut self, now: Micros, step: RouterAction) {
-        match step {
+    fn perform_router_action(&mut self, now: Micros, action: RouterAction) {
+        match action {
             RouterAction::SendAttempt {
                 request,
                 handle,
@@ -459,7 +471,9 @@
             RouterAction::CancelAttempt(handle, attempt) => {
                 self.cancel_attempt(now, handle, attempt)
             }
-            RouterAction::Reject(request, ending) => self.finish_request(now, request, ending),
+            RouterAction::Reject(request, rejection) => {
+                self.finish_request(now, request, rejection)
+            }
             RouterAction::AddToCounter(add) => self.pending_adds.push(add),
             RouterAction::Probe(engine, server) => self.start_probe(now, engine, server),
         }
@@ -468,51 +482,51 @@
     fn handle_event(&mut self, now: Micros, event: IoEvent) {
         match event {
             event if self.metrics_endpoint.owns(&event) => self.handle_metrics_event(now, event),
-            IoEvent::Accepted(door, key) if door == self.listeners.0 => {
-                self.accept_client(now, key)
+            IoEvent::Accepted(listener, connection_id) if listener == self.listeners.0 => {
+                self.accept_client(now, connection_id)
             }
-            IoEvent::Accepted(_, key) => {
+            IoEvent::Accepted(_, connection_id) => {
                 _ = self.roles.insert(
-                    key,
+                    connection_id,
                     Role::ReadinessCheck {
                         close_after_response: false,
                     },
                 )
             }
             IoEvent::Signal(SIGTERM) => self.begin_shutdown(now),
-            // The settings file holds nothing that a proxy reloads while it runs.
+            // SIGHUP has no effect: the settings file contains nothing that a proxy reloads.
             IoEvent::Signal(_) => {}
-            IoEvent::Connected(key) => self.handle_connected(now, key),
-            IoEvent::Received(key) => self.handle_received(now, key),
-            IoEvent::Flushed(key) => self.handle_flushed(now, key),
-            IoEvent::PeerClosed(key) | IoEvent::Failed(key) => {
-                self.handle_connection_lost(now, key)
+            IoEvent::Connected(connection_id) => self.handle_connected(now, connection_id),
+            IoEvent::Received(connection_id) => self.handle_received(now, connection_id),
+            IoEvent::Flushed(connection_id) => self.handle_flushed(now, connection_id),
+            IoEvent::PeerClosed(connection_id) | IoEvent::Failed(connection_id) => {
+                self.handle_connection_lost(now, connection_id)
             }
         }
     }
 
-    fn handle_connected(&mut self, now: Micros, key: ConnectionId) {
-        match self.roles.get_mut(key) {
+    fn handle_connected(&mut self, now: Micros, connection_id: ConnectionId) {
+        match self.roles.get_mut(connection_id) {
             Some(Role::Upstream(upstream)) => {
                 self.connect_timeout.record(now - upstream.opened_at);
                 upstream.state = upstream.state.on_connected();
                 if let Some(UpstreamPurpose::Attempt(request, ..)) = upstream.state.purpose() {
-                    self.start_upload(request, key);
+                    self.start_upload(request, connection_id);
                 }
             }
-            Some(Role::Agent) => self.handle_agent_connected(now, key),
+            Some(Role::Agent) => self.handle_agent_connected(now, connection_id),
             Some(Role::Client(_) | Role::ReadinessCheck { .. }) | None => {}
         }
     }
 
-    fn handle_received(&mut self, now: Micros, key: ConnectionId) {
-        match self.roles.get(key) {
-            Some(Role::Client(_)) => self.handle_client_input(now, key),
-            Some(Role::Upstream(_)) => self.handle_upstream_input(now, key),
+    fn handle_received(&mut self, now: Micros, connection_id: ConnectionId) {
+        match self.roles.get(connection_id) {
+            Some(Role::Client(_)) => self.handle_client_input(now, connection_id),
+            Some(Role::Upstream(_)) => self.handle_upstream_input(now, connection_id),
             Some(Role::ReadinessCheck {
                 close_after_response: false,
-            }) => self.handle_readiness_check(key),
-            Some(Role::Agent) => self.handle_agent_input(now, key),
+            }) => self.handle_readiness_check(connection_id),
+            Some(Role::Agent) => self.handle_agent_input(now, connection_id),
             Some(Role::ReadinessCheck {
                 close_after_response: true,
             })
@@ -520,14 +534,14 @@
         }
     }
 
-    fn handle_flushed(&mut self, now: Micros, key: ConnectionId) {
-        match self.roles.get_mut(key) {
-            Some(Role::Client(_)) => self.handle_response_written(now, key),
-            // The written bytes may have been an earlier part of it.
+    fn handle_flushed(&mut self, now: Micros, connection_id: ConnectionId) {
+        match self.roles.get_mut(connection_id) {
+            Some(Role::Client(_)) => self.handle_response_written(now, connection_id),
+            // Only a part of the output has been written.
             Some(Role::Upstream(_))
                 if self
                     .connections
-                    .get(key)
+                    .get(connection_id)
                     .is_some_and(|connection| connection.backlog() > 0) => {}
             Some(Role::Upstream(upstream)) if upstream.is_uploading => {
                 if let Some(UpstreamPurpose::Attempt(request, ..)) = upstream.state.purpose() {
@@ -535,53 +549,55 @@
                 }
             }
             Some(Role::Upstream(upstream)) => {
-                let before = upstream.state;
-                upstream.state = before.on_request_written();
+                let previous_state = upstream.state;
+                upstream.state = previous_state.on_request_written();
                 if let (true, Some(UpstreamPurpose::Attempt(_, handle, _))) =
-                    (before != upstream.state, upstream.state.purpose())
+                    (previous_state != upstream.state, upstream.state.purpose())
                 {
                     self.router.handle_attempt_written(now, handle);
                 }
             }
             Some(Role::ReadinessCheck {
                 close_after_response: true,
-            }) => self.remove_connection(key),
+            }) => self.remove_connection(connection_id),
             Some(Role::ReadinessCheck { .. } | Role::Agent) | None => {}
         }
     }
 
-    fn handle_connection_lost(&mut self, now: Micros, key: ConnectionId) {
-        match self.roles.get(key) {
-            Some(Role::Client(_)) => self.remove_client(now, key, CloseReason::ClientClosed),
-            Some(Role::Upstream(_)) => self.handle_upstream_closed(now, key),
-            Some(Role::Agent) => self.handle_agent_lost(now, key),
-            Some(Role::ReadinessCheck { .. }) | None => self.remove_connection(key),
+    fn handle_connection_lost(&mut self, now: Micros, connection_id: ConnectionId) {
+        match self.roles.get(connection_id) {
+            Some(Role::Client(_)) => {
+                self.remove_client(now, connection_id, CloseReason::ClientClosed)
+            }
+            Some(Role::Upstream(_)) => self.handle_upstream_closed(now, connection_id),
+            Some(Role::Agent) => self.handle_agent_lost(now, connection_id),
+            Some(Role::ReadinessCheck { .. }) | None => self.remove_connection(connection_id),
         }
     }
 
-    fn remove_connection(&mut self, key: ConnectionId) {
-        self.roles.remove(key);
-        self.connections.close(key);
+    fn remove_connection(&mut self, connection_id: ConnectionId) {
+        self.roles.remove(connection_id);
+        self.connections.close(connection_id);
     }
 
-    fn handle_timer(&mut self, now: Micros, due: Timer) {
-        match due {
-            Timer::ConnectTimeout(key)
+    fn handle_timer(&mut self, now: Micros, timer: Timer) {
+        match timer {
+            Timer::ConnectTimeout(id)
                 if self
                     .connections
-                    .get(key)
+                    .get(id)
                     .is_some_and(|connection| !connection.is_connected()) =>
             {
-                if let Some(Role::Upstream(upstream)) = self.roles.get(key) {
+                if let Some(Role::Upstream(upstream)) = self.roles.get(id) {
                     self.connect_timeout.record(now - upstream.opened_at);
                 }
-                self.handle_connection_lost(now, key)
+                self.handle_connection_lost(now, id)
             }
             Timer::ConnectTimeout(_) => {}
-            Timer::ClientDeadline(key) => self.handle_client_deadline(now, key),
-            Timer::ProbeTimeout(key) => self.handle_probe_timeout(now, key),
-            Timer::ResponseStreamDeadline(key) => self.handle_response_stream_deadline(now, key),
-            Timer::RequestDeadline(key) => self.handle_request_deadline(now, key),
+            Timer::ClientDeadline(id) => self.handle_client_deadline(now, id),
+            Timer::ProbeTimeout(id) => self.handle_probe_timeout(now, id),
+            Timer::ResponseStreamDeadline(id) => self.handle_response_stream_deadline(now, id),
+            Timer::RequestDeadline(request) => self.handle_request_deadline(now, request),
             Timer::CounterBatchTimeout => self.handle_counter_batch_timeout(now),
             Timer::ExpireIdleConnections => self.close_expired_idle_upstreams(now),
             Timer::WarmUpEnd => self.update_servers(now),
@@ -593,8 +609,8 @@
         }
     }
 
-    /// The state of this node: it is ready once the agent has sent its complete state and there is
-    /// something to serve.
+    /// The state of this node. It is ready once the agent has sent its complete state, and a route
+    /// and a server are known.
     fn node_state(&self) -> NodeState {
         match (
             self.lifecycle.is_shutting_down(),
@@ -608,7 +624,7 @@
         }
     }
 
-    /// Begins the graceful shutdown: accepted requests are finished first.
+    /// Begins the graceful shutdown: accepted requests are completed first.
     pub fn begin_shutdown(&mut self, now: Micros) {
         if self.lifecycle.begin_shutdown(now) {
             info!(self.log, "shutting down");
@@ -627,25 +643,26 @@
         let clients: Vec<ConnectionId> = self
             .roles
             .iter()
-            .filter(|(_, r)| matches!(r, Role::Client(_)))
-            .map(|(k, _)| k)
+            .filter(|(_, role)| matches!(role, Role::Client(_)))
+            .map(|(connection_id, _)| connection_id)
             .collect();
         clients
             .into_iter()
-            .for_each(|key| self.handle_client_deadline(now, key));
+            .for_each(|connection_id| self.handle_client_deadline(now, connection_id));
         self.finish_if_drained();
     }
 
-    /// The time to finish accepted requests is over: waiting clients are told so. Where a server
-    /// has the request, the answer says that it may have run.
+    /// The time to complete accepted requests is over: those that remain are rejected. If a server
+    /// has received the request, the response states that it may have run.
     fn handle_shutdown_timeout(&mut self, now: Micros) {
-        let owed: Vec<RequestKey> = self.requests.keys().collect();
-        owed.into_iter()
+        let open_requests: Vec<RequestKey> = self.requests.keys().collect();
+        open_requests
+            .into_iter()
             .for_each(|request| self.finish_request(now, request, EngineRejection::Failed));
         self.lifecycle.finish_shutdown();
     }
 
-    /// At the end: no answer is owed any more, and no client is connected.
+    /// While shutting down: finishes if every request has its response and no client is connected.
     fn finish_if_drained(&mut self) {
         if self.lifecycle.is_shutting_down() && self.requests.is_empty() && self.client_count == 0 {
             self.lifecycle.finish_shutdown();
@@ -664,7 +681,7 @@
         }
     }
 
-    /// Flushes the log; errors are part of it.
+    /// Writes the buffered log lines to standard error.
     pub fn flush_log(&self) {
         self.log_ring.write_out();
     }
--- a/crates/proxy/src/host/response_streams.rs
+++ b/crates/proxy/src/host/response_streams.rs
@@ -25,10 +25,10 @@
     pub(super) fn begin_response_stream(
         &mut self,
         now: Micros,
-        key: ConnectionId,
+        connection_id: ConnectionId,
         purpose: UpstreamPurpose,
     ) {
-        let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) else {
+        let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection_id) else {
             return;
         };
         let incoming = std::mem::take(&mut upstream.incoming);
@@ -38,7 +38,7 @@
         let (Some((head, reader, come)), UpstreamPurpose::Attempt(request, handle, number)) =
             (parts, purpose)
         else {
-            return self.close_upstream(key);
+            return self.close_upstream(connection_id);
         };
         self.attempt_connections
             .remove(&(handle.engine_index, handle.key));
@@ -52,13 +52,13 @@
         let begins =
             to.and_then(|(to, deadline)| Some((to, deadline, self.begin_response(now, to)?)));
         let Some((to, deadline, close)) = begins else {
-            return self.close_upstream(key);
+            return self.close_upstream(connection_id);
         };
         // An answer that has begun has all of the client's time: to end it sooner would gain
         // nothing.
         let deadline = deadline + RESPONSE_MARGIN;
         let Some(out) = self.connections.output(to) else {
-            return self.close_upstream(key);
+            return self.close_upstream(connection_id);
         };
         let lines = head
             .headers
@@ -67,7 +67,7 @@
             .chain(keep_alive_field(&self.client_keep_alive, close));
         let relay = Relay::begin((&head, extent), reader, &come, lines, close, out);
         let patience = (relay.is_reusable() && sent).then(|| self.reuse_timeout(&head));
-        if let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) {
+        if let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection_id) {
             upstream.response_stream = Some(ResponseStream {
                 relay,
                 client: to,
@@ -76,18 +76,25 @@
             });
         }
         if let Some(Role::Client(client)) = self.roles.get_mut(to) {
-            client.response_source = Some(key);
+            client.response_source = Some(connection_id);
         }
-        self.deadlines
-            .schedule(deadline.max(now), Timer::ResponseStreamDeadline(key));
-        self.handle_response_stream_input(now, key);
+        self.deadlines.schedule(
+            deadline.max(now),
+            Timer::ResponseStreamDeadline(connection_id),
+        );
+        self.handle_response_stream_input(now, connection_id);
     }
 
     /// Handles more bytes of a streamed answer.
-    pub(super) fn handle_response_stream_input(&mut self, now: Micros, key: ConnectionId) {
-        let (Some(Role::Upstream(upstream)), Some(connection)) =
-            (self.roles.get_mut(key), self.connections.get_mut(key))
-        else {
+    pub(super) fn handle_response_stream_input(
+        &mut self,
+        now: Micros,
+        connection_id: ConnectionId,
+    ) {
+        let (Some(Role::Upstream(upstream)), Some(connection)) = (
+            self.roles.get_mut(connection_id),
+            self.connections.get_mut(connection_id),
+        ) else {
             return;
         };
         let Some(stream) = &mut upstream.response_stream else {
@@ -99,7 +106,7 @@
         };
         let passed = stream.relay.forward(&mut input, out);
         let (held_up, clean) = (!out.is_empty(), input.is_empty());
-        if let Some(connection) = self.connections.get_mut(key) {
+        if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.input = input;
             connection.max_input_bytes = if held_up {
                 0
@@ -108,15 +115,17 @@
             };
         }
         match passed {
-            Err(_) => self.abort_response_stream(now, key, CloseReason::MalformedBody),
-            Ok(()) if stream.relay.is_complete() => self.finish_response_stream(now, key, clean),
+            Err(_) => self.abort_response_stream(now, connection_id, CloseReason::MalformedBody),
+            Ok(()) if stream.relay.is_complete() => {
+                self.finish_response_stream(now, connection_id, clean)
+            }
             Ok(()) => {}
         }
     }
 
     /// The answer is complete: the server's connection is released.
-    fn finish_response_stream(&mut self, now: Micros, key: ConnectionId, clean: bool) {
-        let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) else {
+    fn finish_response_stream(&mut self, now: Micros, connection_id: ConnectionId, clean: bool) {
+        let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection_id) else {
             return;
         };
         let Some(stream) = upstream.response_stream.take() else {
@@ -128,12 +137,12 @@
         if let Some(Role::Client(client)) = self.roles.get_mut(stream.client) {
             client.response_source = None;
         }
-        if !(patience.is_some() && self.upstream_pool.release(server, key, now)) {
-            self.close_upstream(key);
-        } else if let Some(connection) = self.connections.get_mut(key) {
+        if !(patience.is_some() && self.upstream_pool.release(server, connection_id, now)) {
+            self.close_upstream(connection_id);
+        } else if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.input = Vec::new();
             connection.max_input_bytes = READ_WINDOW_BYTES;
-            self.pending_reads.push(key);
+            self.pending_reads.push(connection_id);
         }
     }
 
@@ -150,24 +159,29 @@
     pub(super) fn abort_response_stream(
         &mut self,
         now: Micros,
-        key: ConnectionId,
+        connection_id: ConnectionId,
         closing: CloseReason,
     ) {
-        let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) else {
+        let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection_id) else {
             return;
         };
         let Some(stream) = upstream.response_stream.take() else {
             return;
         };
-        self.close_upstream(key);
+        self.close_upstream(connection_id);
         self.remove_client(now, stream.client, closing);
     }
 
     /// A streamed answer may have exceeded its time.
-    pub(super) fn handle_response_stream_deadline(&mut self, now: Micros, key: ConnectionId) {
-        let (Some(Role::Upstream(upstream)), Some(connection)) =
-            (self.roles.get(key), self.connections.get(key))
-        else {
+    pub(super) fn handle_response_stream_deadline(
+        &mut self,
+        now: Micros,
+        connection_id: ConnectionId,
+    ) {
+        let (Some(Role::Upstream(upstream)), Some(connection)) = (
+            self.roles.get(connection_id),
+            self.connections.get(connection_id),
+        ) else {
             return;
         };
         let Some(stream) = &upstream.response_stream else {
@@ -191,8 +205,8 @@
         match until > now {
             true => self
                 .deadlines
-                .schedule(until, Timer::ResponseStreamDeadline(key)),
-            false => self.abort_response_stream(now, key, CloseReason::ResponseTimeout),
+                .schedule(until, Timer::ResponseStreamDeadline(connection_id)),
+            false => self.abort_response_stream(now, connection_id, CloseReason::ResponseTimeout),
         }
     }
 }
--- a/crates/proxy/src/host/responses.rs
+++ b/crates/proxy/src/host/responses.rs
@@ -41,13 +41,13 @@
     pub(super) fn write_closing_response(
         &mut self,
         now: Micros,
-        key: ConnectionId,
+        connection_id: ConnectionId,
         response: &LocalResponse,
     ) {
-        self.client(key)
+        self.client(connection_id)
             .into_iter()
             .for_each(|client| client.close_after_response = true);
-        self.write_local_response(now, key, response);
+        self.write_local_response(now, connection_id, response);
     }
 
     /// Ends a request as the module decided.
@@ -82,7 +82,7 @@
     pub(super) fn write_local_response(
         &mut self,
         now: Micros,
-        key: ConnectionId,
+        connection_id: ConnectionId,
         own: &LocalResponse,
     ) {
         let seconds = format!("{:.3}", own.retry_after as f64 / 1e6);
@@ -91,15 +91,15 @@
         // While the node is crowded, rejected clients are disconnected: a retry uses a new
         // connection anyway.
         let crowded = self.router.shedding().overload_detector().is_nearly_full();
-        self.client(key)
+        self.client(connection_id)
             .into_iter()
             .for_each(|client| client.close_after_response |= crowded);
         let body = format!("{}\n", own.reason);
-        let Some(close) = self.begin_response(now, key) else {
+        let Some(close) = self.begin_response(now, connection_id) else {
             return;
         };
         lines.extend(keep_alive_field(&self.client_keep_alive, close));
-        if let Some(out) = self.connections.output(key) {
+        if let Some(out) = self.connections.output(connection_id) {
             framing::write_response(out, own.status, &lines, body.as_bytes(), close);
             self.config_freshness.check_response(now, own.status);
             *self.metrics.local_responses.entry(own.status).or_default() += 1;
@@ -110,14 +110,14 @@
     pub(super) fn write_server_response(
         &mut self,
         now: Micros,
-        key: ConnectionId,
+        connection_id: ConnectionId,
         head: &ResponseHead,
         body: &[u8],
     ) {
-        let Some(close) = self.begin_response(now, key) else {
+        let Some(close) = self.begin_response(now, connection_id) else {
             return;
         };
-        let Some(out) = self.connections.output(key) else {
+        let Some(out) = self.connections.output(connection_id) else {
             return;
         };
         let length = body.len().to_string();
@@ -137,11 +137,15 @@
 
     /// Prepares the connection for its answer; returns whether the connection is closed after it,
     /// `None` if it is gone.
-    pub(super) fn begin_response(&mut self, now: Micros, key: ConnectionId) -> Option<bool> {
+    pub(super) fn begin_response(
+        &mut self,
+        now: Micros,
+        connection_id: ConnectionId,
+    ) -> Option<bool> {
         let last = self
             .lifecycle
             .should_close_after_response(now, &self.limits);
-        let Some(Role::Client(client)) = self.roles.get_mut(key) else {
+        let Some(Role::Client(client)) = self.roles.get_mut(connection_id) else {
             return None;
         };
         client.request = None;
@@ -156,12 +160,12 @@
         client.close_after_response |= last || rest;
         client.connection.begin_response(now);
         let close = client.close_after_response;
-        self.schedule_client_deadline(now, key);
+        self.schedule_client_deadline(now, connection_id);
         Some(close)
     }
 
-    pub(super) fn handle_response_written(&mut self, now: Micros, key: ConnectionId) {
-        let Some(Role::Client(client)) = self.roles.get_mut(key) else {
+    pub(super) fn handle_response_written(&mut self, now: Micros, connection_id: ConnectionId) {
+        let Some(Role::Client(client)) = self.roles.get_mut(connection_id) else {
             return;
         };
         if client.connection.stage != Stage::Responding {
@@ -173,18 +177,18 @@
         }
         let last = client.close_after_response;
         client.connection.finish_response(now, last);
-        if let Some(connection) = self.connections.get_mut(key) {
+        if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.max_input_bytes = READ_WINDOW_BYTES;
             self.buffered_bytes =
                 self.buffered_bytes + connection.input.len() - client.buffered_bytes;
             client.buffered_bytes = connection.input.len();
         }
         if last {
-            self.connections.shutdown_write(key);
+            self.connections.shutdown_write(connection_id);
         }
         // Pipelined input may be buffered here or in the kernel.
-        self.pending_reads.push(key);
-        self.schedule_client_deadline(now, key);
+        self.pending_reads.push(connection_id);
+        self.schedule_client_deadline(now, connection_id);
     }
 }
 
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -10,8 +10,8 @@
 
 impl Host {
     /// Begins to stream a body: the request is admitted by its head.
-    pub(super) fn begin_upload(&mut self, now: Micros, key: ConnectionId) {
-        let Some(Role::Client(client)) = self.roles.get_mut(key) else {
+    pub(super) fn begin_upload(&mut self, now: Micros, connection_id: ConnectionId) {
+        let Some(Role::Client(client)) = self.roles.get_mut(connection_id) else {
             return;
         };
         let incoming = std::mem::take(&mut client.incoming);
@@ -38,21 +38,22 @@
             extra_time: more.min(self.limits.max_upload_extension),
         };
         let expects = head.expects_continue && !told;
-        if let Err(own) = self.admit(now, key, head, Vec::new(), Some(streamed)) {
-            return self.write_local_response(now, key, &own);
+        if let Err(own) = self.admit(now, connection_id, head, Vec::new(), Some(streamed)) {
+            return self.write_local_response(now, connection_id, &own);
         }
         if expects {
-            self.write_continue(key);
+            self.write_continue(connection_id);
         }
-        self.schedule_client_deadline(now, key);
-        self.handle_upload_input(now, key);
+        self.schedule_client_deadline(now, connection_id);
+        self.handle_upload_input(now, connection_id);
     }
 
     /// Handles more bytes of a streamed body.
-    pub(super) fn handle_upload_input(&mut self, now: Micros, key: ConnectionId) {
-        let (Some(Role::Client(client)), Some(connection)) =
-            (self.roles.get_mut(key), self.connections.get_mut(key))
-        else {
+    pub(super) fn handle_upload_input(&mut self, now: Micros, connection_id: ConnectionId) {
+        let (Some(Role::Client(client)), Some(connection)) = (
+            self.roles.get_mut(connection_id),
+            self.connections.get_mut(connection_id),
+        ) else {
             return;
         };
         let Some(upload) = client
@@ -83,7 +84,7 @@
                 .connection
                 .record_body_progress(now, upload.received_bytes());
         }
-        if let Some(connection) = self.connections.get_mut(key) {
+        if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.max_input_bytes = if whole {
                 MAX_READ_AHEAD_BYTES.max(input.len())
             } else {
@@ -97,15 +98,15 @@
             upstream.is_uploading = !whole;
         }
         match taken {
-            Err(fault) => self.fail_upload(now, key, fault),
-            Ok(()) if whole => self.handle_upload_complete(now, key),
-            Ok(()) => self.schedule_client_deadline(now, key),
+            Err(fault) => self.fail_upload(now, connection_id, fault),
+            Ok(()) if whole => self.handle_upload_complete(now, connection_id),
+            Ok(()) => self.schedule_client_deadline(now, connection_id),
         }
     }
 
     /// The last byte has arrived: from here on the request has the time that its client gives it.
-    fn handle_upload_complete(&mut self, now: Micros, key: ConnectionId) {
-        let Some(request) = self.client(key).and_then(|client| client.request) else {
+    fn handle_upload_complete(&mut self, now: Micros, connection_id: ConnectionId) {
+        let Some(request) = self.client(connection_id).and_then(|client| client.request) else {
             return;
         };
         if let Some(known) = self.requests.get_mut(request) {
@@ -150,11 +151,14 @@
 
     /// The body is malformed or too long. Its end was never written, so that the server never runs
     /// the request.
-    fn fail_upload(&mut self, now: Micros, key: ConnectionId, fault: ParseError) {
-        if let Some(request) = self.client(key).and_then(|client| client.request.take()) {
+    fn fail_upload(&mut self, now: Micros, connection_id: ConnectionId, fault: ParseError) {
+        if let Some(request) = self
+            .client(connection_id)
+            .and_then(|client| client.request.take())
+        {
             self.abandon_request(now, request);
         }
-        self.reject_input(now, key, fault);
+        self.reject_input(now, connection_id, fault);
     }
 
     /// The time of a request whose long body has arrived is over.
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -237,11 +237,12 @@
         Ok(key)
     }
 
-    pub(super) fn close_upstream(&mut self, key: ConnectionId) {
-        if let Some(Role::Upstream(upstream)) = self.roles.remove(key) {
-            self.upstream_pool.record_closed(upstream.server, key);
+    pub(super) fn close_upstream(&mut self, connection_id: ConnectionId) {
+        if let Some(Role::Upstream(upstream)) = self.roles.remove(connection_id) {
+            self.upstream_pool
+                .record_closed(upstream.server, connection_id);
         }
-        self.connections.close(key);
+        self.connections.close(connection_id);
     }
 
     pub(super) fn close_idle_upstreams(&mut self, keys: Vec<ConnectionId>) {
@@ -279,10 +280,11 @@
 
     /// The outcome of an attempt whose connection ends now. For a request that is not idempotent
     /// one written byte is enough to count as possibly run: a server may begin at the head.
-    fn outcome_if_closed(&self, key: ConnectionId) -> Option<Outcome> {
-        let (Some(Role::Upstream(upstream)), Some(connection)) =
-            (self.roles.get(key), self.connections.get(key))
-        else {
+    fn outcome_if_closed(&self, connection_id: ConnectionId) -> Option<Outcome> {
+        let (Some(Role::Upstream(upstream)), Some(connection)) = (
+            self.roles.get(connection_id),
+            self.connections.get(connection_id),
+        ) else {
             return None;
         };
         let begun = connection.sent_bytes() > upstream.bytes_sent_before;
@@ -337,26 +339,27 @@
         self.close_upstream(key);
     }
 
-    pub(super) fn handle_upstream_input(&mut self, now: Micros, key: ConnectionId) {
-        while self.read_response(now, key) {}
+    pub(super) fn handle_upstream_input(&mut self, now: Micros, connection_id: ConnectionId) {
+        while self.read_response(now, connection_id) {}
     }
 
     /// Reads one response; returns whether it belonged to another request, so that the awaited one
     /// may follow it.
-    fn read_response(&mut self, now: Micros, key: ConnectionId) -> bool {
-        let (Some(Role::Upstream(upstream)), Some(connection)) =
-            (self.roles.get_mut(key), self.connections.get_mut(key))
-        else {
+    fn read_response(&mut self, now: Micros, connection_id: ConnectionId) -> bool {
+        let (Some(Role::Upstream(upstream)), Some(connection)) = (
+            self.roles.get_mut(connection_id),
+            self.connections.get_mut(connection_id),
+        ) else {
             return false;
         };
         if upstream.response_stream.is_some() {
-            self.handle_response_stream_input(now, key);
+            self.handle_response_stream_input(now, connection_id);
             return false;
         }
         let Some(purpose) = upstream.state.purpose() else {
             // Nothing is in flight on it: the bytes belong to no request.
             if !connection.input.is_empty() {
-                self.close_upstream(key);
+                self.close_upstream(connection_id);
             }
             return false;
         };
@@ -369,7 +372,7 @@
             &self.limits,
         );
         if read.is_err() {
-            self.finish_exchange(now, key, purpose, ResponseClass::Malformed);
+            self.finish_exchange(now, connection_id, purpose, ResponseClass::Malformed);
             return false;
         }
         let Some(head) = upstream.incoming.head() else {
@@ -379,21 +382,21 @@
             classify_for_purpose(purpose, head, upstream.incoming.framing, &self.requests)
         });
         let Some(class) = known else {
-            self.close_upstream(key);
+            self.close_upstream(connection_id);
             return false;
         };
         upstream.had_response_without_id |= !head.headers.contains("X-Request-Id");
         upstream.response_class = Some(class);
         if class == ResponseClass::Malformed {
-            self.finish_exchange(now, key, purpose, class);
+            self.finish_exchange(now, connection_id, purpose, class);
             return false;
         }
         if !upstream.incoming.is_complete() && !upstream.expects_no_body {
-            self.handle_partial_response(now, key, purpose, class);
+            self.handle_partial_response(now, connection_id, purpose, class);
             return false;
         }
         if class != ResponseClass::OtherRequest {
-            self.finish_exchange(now, key, purpose, class);
+            self.finish_exchange(now, connection_id, purpose, class);
             return false;
         }
         (upstream.incoming, upstream.response_class) = (IncomingMessage::default(), None);
@@ -404,13 +407,14 @@
     fn handle_partial_response(
         &mut self,
         now: Micros,
-        key: ConnectionId,
+        connection_id: ConnectionId,
         purpose: UpstreamPurpose,
         class: ResponseClass,
     ) {
-        let (Some(Role::Upstream(upstream)), Some(connection)) =
-            (self.roles.get(key), self.connections.get(key))
-        else {
+        let (Some(Role::Upstream(upstream)), Some(connection)) = (
+            self.roles.get(connection_id),
+            self.connections.get(connection_id),
+        ) else {
             return;
         };
         // The answer to a health check is never streamed.
@@ -419,13 +423,14 @@
             UpstreamPurpose::Probe(_) => ResponseClass::Failure,
         };
         match choose_handling(class, &upstream.incoming, &self.limits) {
-            ResponseHandling::Streamed => self.begin_response_stream(now, key, purpose),
+            ResponseHandling::Streamed => self.begin_response_stream(now, connection_id, purpose),
             ResponseHandling::Rejected => {
-                self.finish_exchange(now, key, purpose, ResponseClass::Malformed)
+                self.finish_exchange(now, connection_id, purpose, ResponseClass::Malformed)
             }
             ResponseHandling::Buffered => {
                 let has_unread = connection.has_unread();
-                self.pending_reads.extend(has_unread.then_some(key));
+                self.pending_reads
+                    .extend(has_unread.then_some(connection_id));
             }
         }
     }
@@ -446,13 +451,14 @@
     fn finish_exchange(
         &mut self,
         now: Micros,
-        key: ConnectionId,
+        connection_id: ConnectionId,
         purpose: UpstreamPurpose,
         class: ResponseClass,
     ) {
-        let (Some(Role::Upstream(upstream)), Some(connection)) =
-            (self.roles.get_mut(key), self.connections.get_mut(key))
-        else {
+        let (Some(Role::Upstream(upstream)), Some(connection)) = (
+            self.roles.get_mut(connection_id),
+            self.connections.get_mut(connection_id),
+        ) else {
             return;
         };
         let incoming = std::mem::take(&mut upstream.incoming);
@@ -467,15 +473,15 @@
         let patience = parts
             .as_ref()
             .map_or(0, |(head, ..)| self.reuse_timeout(head));
-        if let Some(Role::Upstream(upstream)) = self.roles.get_mut(key) {
+        if let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection_id) {
             upstream.reusable_until = now + patience;
         }
         if let UpstreamPurpose::Attempt(_, handle, _) = purpose {
             self.attempt_connections
                 .remove(&(handle.engine_index, handle.key));
         }
-        if !(keep && self.upstream_pool.release(server, key, now)) {
-            self.close_upstream(key);
+        if !(keep && self.upstream_pool.release(server, connection_id, now)) {
+            self.close_upstream(connection_id);
         }
         match purpose {
             UpstreamPurpose::Attempt(request, handle, number) => {
@@ -539,16 +545,18 @@
     }
 
     /// A connection to a server broke, was never established, or was closed by the server.
-    pub(super) fn handle_upstream_closed(&mut self, now: Micros, key: ConnectionId) {
-        let Some(Role::Upstream(upstream)) = self.roles.get(key) else {
+    pub(super) fn handle_upstream_closed(&mut self, now: Micros, connection_id: ConnectionId) {
+        let Some(Role::Upstream(upstream)) = self.roles.get(connection_id) else {
             return;
         };
         if upstream.response_stream.is_some() {
-            return self.abort_response_stream(now, key, CloseReason::ServerClosed);
+            return self.abort_response_stream(now, connection_id, CloseReason::ServerClosed);
         }
         let (purpose, server) = (upstream.state.purpose(), upstream.server);
-        let outcome = self.outcome_if_closed(key).unwrap_or(Outcome::Reset);
-        self.close_upstream(key);
+        let outcome = self
+            .outcome_if_closed(connection_id)
+            .unwrap_or(Outcome::Reset);
+        self.close_upstream(connection_id);
         match purpose {
             Some(UpstreamPurpose::Attempt(request, handle, number)) => {
                 self.attempt_connections
@@ -600,13 +608,13 @@
             .schedule(now + wait, Timer::ProbeTimeout(key));
     }
 
-    pub(super) fn handle_probe_timeout(&mut self, now: Micros, key: ConnectionId) {
-        let Some(Role::Upstream(upstream)) = self.roles.get(key) else {
+    pub(super) fn handle_probe_timeout(&mut self, now: Micros, connection_id: ConnectionId) {
+        let Some(Role::Upstream(upstream)) = self.roles.get(connection_id) else {
             return;
         };
         if let Some(UpstreamPurpose::Probe(engine)) = upstream.state.purpose() {
             let server = upstream.server;
-            self.close_upstream(key);
+            self.close_upstream(connection_id);
             self.router
                 .handle_probe_result(engine, server, Outcome::TimedOut);
         }
