--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -1,5 +1,5 @@
-//! The link to the agent: configuration, servers and counter totals arrive on it, and counter adds
-//! go out.
+//! The link to the agent: it delivers the configuration, the servers and counter totals, and takes
+//! heartbeats, load reports and additions to the shared counter.
 
 use protocol::frames;
 use protocol::log_ring::IMMEDIATE;
@@ -10,10 +10,11 @@
 use super::*;
 use crate::config_store::ConfigChange;
 
-/// After the end of a zone's evacuation its servers may be cold for this much longer than their
-/// warm-up: the operator's call needs time to get here, and the servers may go cold until it does.
+/// After the end of a zone's evacuation, its servers count as cold for this much longer than their
+/// warm-up: the operator's call takes time to reach this proxy, and the servers may go cold until
+/// then.
 const COLD_ZONE_MARGIN: Micros = SECOND;
-/// Warm-up where the configuration names none.
+/// The warm-up time assumed for the servers of a zone whose evacuation ended.
 const DEFAULT_WARM_UP_TIME: Micros = 3 * SECOND;
 
 impl Host {
@@ -22,11 +23,13 @@
             return;
         }
         match self.connections.connect(self.settings.agent_address(), now) {
-            Ok(key) => {
-                self.roles.insert(key, Role::Agent);
-                self.agent_connection = Some(key);
-                self.deadlines
-                    .schedule(now + MIN_CONNECT_TIMEOUT, Timer::ConnectTimeout(key));
+            Ok(connection_id) => {
+                self.roles.insert(connection_id, Role::Agent);
+                self.agent_connection = Some(connection_id);
+                self.deadlines.schedule(
+                    now + MIN_CONNECT_TIMEOUT,
+                    Timer::ConnectTimeout(connection_id),
+                );
             }
             Err(_) => self
                 .deadlines
@@ -35,14 +38,15 @@
     }
 
     pub(super) fn handle_agent_connected(&mut self, now: Micros, connection_id: ConnectionId) {
-        info!(self.log, "agent is there");
+        info!(self.log, "connected to the agent");
         let hello = AgentMessage::Hello(self.node_info());
-        if let Some(out) = self.connections.output(connection_id) {
-            frames::encode(out, &hello);
+        if let Some(output) = self.connections.output(connection_id) {
+            frames::encode(output, &hello);
         }
         self.announced_state = self.node_state();
         self.send_to_agent(&AgentMessage::Heartbeat(self.announced_state));
-        // Counter calls in flight on the old link get no totals.
+        // The batches in flight on the previous link have failed, as their totals can no longer
+        // arrive; only pending additions are sent.
         self.send_counter_batch(now);
     }
 
@@ -57,21 +61,21 @@
     }
 
     fn send_to_agent(&mut self, message: &AgentMessage) {
-        if let Some(out) = self
+        if let Some(output) = self
             .agent_connection
-            .and_then(|key| self.connections.output(key))
+            .and_then(|connection_id| self.connections.output(connection_id))
         {
-            frames::encode(out, message);
+            frames::encode(output, message);
         }
     }
 
-    /// Sends the load reports.
+    /// Sends the load reports, and schedules the next ones.
     pub(super) fn send_load_reports(&mut self, now: Micros) {
         self.deadlines
             .schedule(now + overload::EVALUATION_INTERVAL, Timer::LoadReport);
-        let load = self.router.shedding().take_load_reports(now);
-        if !load.is_empty() {
-            self.send_to_agent(&AgentMessage::LoadReports(load));
+        let load_reports = self.router.shedding().take_load_reports(now);
+        if !load_reports.is_empty() {
+            self.send_to_agent(&AgentMessage::LoadReports(load_reports));
         }
     }
 
@@ -94,8 +98,8 @@
             match frames::decode::<ControlMessage>(&mut connection.input) {
                 Ok(Some(message)) => self.handle_control_message(now, message),
                 Ok(None) => break,
-                Err(fault) => {
-                    error!(self.log, "agent: {fault}"; "step" => "reading news", "peer" => "agent");
+                Err(error) => {
+                    error!(self.log, "malformed message from the agent: {error}"; "step" => "reading messages", "peer" => "agent");
                     return self.handle_agent_lost(now, connection_id);
                 }
             }
@@ -109,20 +113,21 @@
         match message {
             ControlMessage::ClusterView(ClusterView {
                 limiters,
-                counter: holder,
-                has_quorum: in_touch,
+                counter: counter_owner,
+                has_quorum,
                 ..
             }) => {
                 self.router.set_limiter_count(now, limiters);
-                self.router.set_isolated(!in_touch);
-                self.router.set_counter_term(holder.map(|(_, term)| term));
+                self.router.set_isolated(!has_quorum);
+                self.router
+                    .set_counter_term(counter_owner.map(|(_, term)| term));
             }
             ControlMessage::Items(items) => {
-                let (touched, faults) = self.config_store.apply(items);
-                for fault in faults {
-                    warn!(self.log, #IMMEDIATE, "item left out: {fault}"; "step" => "reading items", "peer" => "agent");
+                let (change, errors) = self.config_store.apply(items);
+                for error in errors {
+                    warn!(self.log, #IMMEDIATE, "configuration item rejected: {error}"; "step" => "reading items", "peer" => "agent");
                 }
-                self.handle_config_change(now, touched);
+                self.handle_config_change(now, change);
             }
             ControlMessage::Servers { version, servers } => {
                 if self.server_table.update(now, version, servers) {
@@ -131,17 +136,18 @@
             }
             ControlMessage::Complete => self.has_complete_state = true,
             ControlMessage::Confirmed { age } => {
-                // The clock may have jumped since this turn began.
+                // The clock may have jumped since this iteration began.
                 let confirmed_at = self.clock.now() - age;
                 self.config_freshness.confirm(confirmed_at);
             }
-            ControlMessage::Clock(time) => {
-                let before = self.clock.now();
-                self.clock.advance_to(time);
-                let jump = self.clock.now() - before;
+            ControlMessage::Clock(advanced_to) => {
+                let time_before = self.clock.now();
+                self.clock.advance_to(advanced_to);
+                let jump = self.clock.now() - time_before;
                 self.config_freshness.handle_clock_jump(jump);
                 self.input_read_until = self.clock.now();
-                self.router.handle_clock_jump(time, time - now);
+                self.router
+                    .handle_clock_jump(advanced_to, advanced_to - now);
             }
             ControlMessage::Levels { age, levels } => self
                 .router
@@ -156,11 +162,11 @@
         }
     }
 
-    fn handle_config_change(&mut self, now: Micros, touched: ConfigChange) {
+    fn handle_config_change(&mut self, now: Micros, change: ConfigChange) {
         if let Some(limits) = self
             .config_store
             .client_limits()
-            .filter(|_| touched.has_new_items)
+            .filter(|_| change.has_new_items)
         {
             self.limits.max_head_bytes = limits.hdr_bytes as usize;
             self.limits.max_request_bytes = limits.body_bytes;
@@ -168,45 +174,45 @@
             self.limits.client_idle_timeout = limits.idle.0;
             self.client_keep_alive = responses::keep_alive_value(limits.idle.0);
         }
-        if touched.zones_changed {
+        if change.zones_changed {
             self.server_table.set_evacuated_zones(
                 now,
                 self.config_store.evacuated_zones(),
-                touched.restored_zones,
+                change.restored_zones,
                 DEFAULT_WARM_UP_TIME + COLD_ZONE_MARGIN,
             );
             self.update_servers(now);
         }
     }
 
-    /// Passes the servers to every engine, and their addresses to the pool.
+    /// Passes the servers to every engine, and their addresses to the connection pool.
     pub(super) fn update_servers(&mut self, now: Micros) {
         let engines: Vec<_> = self
             .router
             .service_engines()
-            .map(|(svc, regions, engine)| (svc.to_string(), regions.to_vec(), engine))
+            .map(|(service, regions, engine)| (service.to_string(), regions.to_vec(), engine))
             .collect();
-        for (svc, regions, engine) in engines {
-            let entries = self.server_table.entries(now, &svc, &regions);
+        for (service, regions, engine) in engines {
+            let entries = self.server_table.entries(now, &service, &regions);
             self.add_servers_to_pool(entries.iter().map(|entry| entry.server).collect());
             self.router.update_servers(engine, entries);
         }
         self.close_unlisted_servers();
-        if let Some(at) = self.server_table.next_warm_up_end(now) {
-            self.deadlines.schedule(at, Timer::WarmUpEnd);
+        if let Some(warm_up_end) = self.server_table.next_warm_up_end(now) {
+            self.deadlines.schedule(warm_up_end, Timer::WarmUpEnd);
         }
     }
 
     pub(super) fn add_servers_to_pool(&mut self, servers: Vec<ServerId>) {
         for server in servers {
             if let Some((address, _)) = self.server_table.address_and_instance_id(server) {
-                let moved = self.upstream_pool.add_server(server, address);
-                self.close_idle_upstreams(moved);
+                let obsolete_connections = self.upstream_pool.add_server(server, address);
+                self.close_idle_upstreams(obsolete_connections);
             }
         }
     }
 
-    /// Adds are sent once a turn.
+    /// Sends the pending additions to the shared counter as a batch, once per iteration.
     pub(super) fn send_counter_batch(&mut self, now: Micros) {
         if self.pending_adds.is_empty() {
             return;
@@ -214,19 +220,19 @@
         let adds = std::mem::take(&mut self.pending_adds);
         self.last_batch_number += 1;
         self.metrics.counter_batches += 1;
-        let names = adds.iter().map(|add| add.counter).collect();
+        let counters = adds.iter().map(|add| add.counter).collect();
         let batch = CounterBatch {
             number: self.last_batch_number,
-            counters: names,
+            counters,
             sent_at: now,
             deadline: now + self.counter_timeout.timeout(),
             timed_out: false,
         };
-        let up = self
+        let is_connected = self
             .agent_connection
-            .and_then(|key| self.connections.get(key))
+            .and_then(|connection_id| self.connections.get(connection_id))
             .is_some_and(|connection| connection.is_connected());
-        if !up {
+        if !is_connected {
             return self.fail_counter_batch(&batch, Outcome::ConnectFailed);
         }
         self.send_to_agent(&AgentMessage::CounterBatch {
@@ -242,17 +248,17 @@
     }
 
     fn take_counter_batch(&mut self, number: u64) -> Option<CounterBatch> {
-        let at = self
+        let index = self
             .counter_batches
             .iter()
             .position(|batch| batch.number == number)?;
-        self.counter_batches.remove(at)
+        self.counter_batches.remove(index)
     }
 
     fn fail_counter_batch(&mut self, batch: &CounterBatch, outcome: Outcome) {
         self.metrics.counter_batches_failed += 1;
-        for name in batch.counters.iter().filter(|_| !batch.timed_out) {
-            self.router.handle_counter_result(*name, outcome, 0.0);
+        for counter in batch.counters.iter().filter(|_| !batch.timed_out) {
+            self.router.handle_counter_result(*counter, outcome, 0.0);
         }
     }
 
@@ -266,21 +272,21 @@
             self.metrics.counter_batches_late += 1;
             return self.router.handle_late_counter_result();
         }
-        for (at, name) in batch.counters.iter().enumerate() {
-            match totals.get(at) {
+        for (index, counter) in batch.counters.iter().enumerate() {
+            match totals.get(index) {
                 Some(total) => self
                     .router
-                    .handle_counter_result(*name, Outcome::Ok, *total),
+                    .handle_counter_result(*counter, Outcome::Ok, *total),
                 None => self
                     .router
-                    .handle_counter_result(*name, Outcome::ConnectFailed, 0.0),
+                    .handle_counter_result(*counter, Outcome::ConnectFailed, 0.0),
             }
         }
     }
 
     pub(super) fn handle_counter_batch_timeout(&mut self, now: Micros) {
         self.batch_check_at = Micros::MAX;
-        let mut late = Vec::new();
+        let mut timed_out_counters = Vec::new();
         for batch in self
             .counter_batches
             .iter_mut()
@@ -288,24 +294,25 @@
         {
             batch.timed_out = true;
             self.metrics.counter_batches_timed_out += 1;
-            late.append(&mut batch.counters.clone());
+            timed_out_counters.append(&mut batch.counters.clone());
         }
-        for name in late {
+        for counter in timed_out_counters {
             self.router
-                .handle_counter_result(name, Outcome::TimedOut, 0.0);
+                .handle_counter_result(counter, Outcome::TimedOut, 0.0);
         }
-        // Bounds the memory used for calls to a counter that never answers.
+        // Bounds the memory used for calls to a counter that never responds.
         while self.counter_batches.len() > 1_000 {
             self.counter_batches.pop_front();
         }
-        // One that has timed out is still waited for.
-        let waiting = self.counter_batches.iter().filter(|batch| !batch.timed_out);
-        if let Some(next) = waiting.map(|batch| batch.deadline).min() {
-            self.schedule_batch_timeout_check(next);
+        // Batches that have timed out are kept, since their totals may still arrive.
+        let waiting_batches = self.counter_batches.iter().filter(|batch| !batch.timed_out);
+        if let Some(next_deadline) = waiting_batches.map(|batch| batch.deadline).min() {
+            self.schedule_batch_timeout_check(next_deadline);
         }
     }
 
-    /// A batch may have to be answered sooner than the one before it.
+    /// Schedules the next check, unless an earlier one is scheduled: a batch may have an earlier
+    /// deadline than the one before it, as the time-out adapts.
     fn schedule_batch_timeout_check(&mut self, at: Micros) {
         if at < self.batch_check_at {
             self.batch_check_at = at;
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of clients, and reading requests from them.
+//! The connections of clients, and the reading of requests from them.
 
 use dataplane::client_connection::Stage;
 use dataplane::framing::{self, ParseError};
@@ -6,11 +6,11 @@
 use super::responses::{DEFAULT_RETRY_AFTER, local_response, retry_later};
 use super::*;
 
-/// Bytes read ahead from a client while its request is in flight.
+/// Bytes read ahead from a client while its request is in progress.
 pub(super) const MAX_READ_AHEAD_BYTES: usize = 4 * 1024;
 /// Bytes read at a time while a request is arriving.
 pub(super) const READ_WINDOW_BYTES: usize = 128 * 1024;
-/// A request ends this long before its client gives up: the answer needs time on its way.
+/// A request's deadline is this long before the client's, as the response takes time to arrive.
 pub(super) const RESPONSE_MARGIN: Micros = 12 * MS;
 
 impl Host {
@@ -47,28 +47,29 @@
 
     /// Schedules the connection's deadline if it is earlier than the scheduled one.
     pub(super) fn schedule_client_deadline(&mut self, now: Micros, connection_id: ConnectionId) {
-        let closing = self.lifecycle.should_close_idle(now, &self.limits);
+        let is_closing_idle = self.lifecycle.should_close_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(connection_id) else {
             return;
         };
-        if let Some(at) = client
+        if let Some(deadline) = client
             .connection
-            .deadline(closing, &self.limits)
-            .filter(|at| *at < client.scheduled_deadline)
+            .deadline(is_closing_idle, &self.limits)
+            .filter(|deadline| *deadline < client.scheduled_deadline)
         {
-            client.scheduled_deadline = at;
+            client.scheduled_deadline = deadline;
             self.deadlines
-                .schedule(at, Timer::ClientDeadline(connection_id));
+                .schedule(deadline, Timer::ClientDeadline(connection_id));
         }
     }
 
+    /// Closes a client's connection if its deadline is over, else schedules the deadline again.
     pub(super) fn handle_client_deadline(&mut self, now: Micros, connection_id: ConnectionId) {
-        let closing = self.lifecycle.should_close_idle(now, &self.limits);
+        let is_closing_idle = self.lifecycle.should_close_idle(now, &self.limits);
         let Some(Role::Client(client)) = self.roles.get_mut(connection_id) else {
             return;
         };
         client.scheduled_deadline = Micros::MAX;
-        // A client that waits for the rest of its answer is not idle.
+        // A client that waits for the rest of its response is not idle.
         if client.response_source.is_some()
             && self
                 .connections
@@ -77,12 +78,12 @@
         {
             client.connection.record_write_progress(now);
         }
-        // Nor is one whose body is not being read because the server is slow.
-        let over = client
+        // A client whose body is not being read because the server is slow is not idle either.
+        let is_over = client
             .connection
-            .deadline(closing, &self.limits)
-            .is_some_and(|at| at <= now);
-        if over
+            .deadline(is_closing_idle, &self.limits)
+            .is_some_and(|deadline| deadline <= now);
+        if is_over
             && client.upload.is_some()
             && self
                 .connections
@@ -91,21 +92,21 @@
         {
             client.connection.restart_body_timer(now);
         }
-        match client.connection.deadline(closing, &self.limits) {
-            Some(at) if at <= now => {
-                let unread = client.connection.stage == Stage::Responding;
+        match client.connection.deadline(is_closing_idle, &self.limits) {
+            Some(deadline) if deadline <= now => {
+                let is_response_unread = client.connection.stage == Stage::Responding;
                 self.remove_client(
                     now,
                     connection_id,
-                    if unread {
+                    if is_response_unread {
                         CloseReason::SlowReader
                     } else {
                         CloseReason::IdleTimeout
                     },
                 );
             }
-            Some(_) if closing && client.connection.stage == Stage::Idle => {
-                // Its next request may be on its way: one that was read is answered.
+            Some(_) if is_closing_idle && client.connection.stage == Stage::Idle => {
+                // Its next request may be in transit; it is served if it arrives before the deadline.
                 self.schedule_client_deadline(now, connection_id);
             }
             _ => self.schedule_client_deadline(now, connection_id),
@@ -116,16 +117,16 @@
         &mut self,
         now: Micros,
         connection_id: ConnectionId,
-        closing: CloseReason,
+        reason: CloseReason,
     ) {
-        self.log_close(now, connection_id, closing);
+        self.log_close(now, connection_id, reason);
         if let Some(Role::Client(client)) = self.roles.remove(connection_id) {
             self.client_count -= 1;
             self.buffered_bytes -= client.buffered_bytes;
             client
                 .response_source
                 .into_iter()
-                .for_each(|source| self.close_upstream(source));
+                .for_each(|upstream| self.close_upstream(upstream));
             client
                 .request
                 .into_iter()
@@ -135,16 +136,16 @@
         self.finish_if_drained();
     }
 
-    /// Drops a request for which no answer is owed any more.
-    pub(super) fn abandon_request(&mut self, now: Micros, request: RequestKey) {
-        if let Some(request) = self.requests.remove(request) {
+    /// Drops a request whose client no longer waits for a response.
+    pub(super) fn abandon_request(&mut self, now: Micros, key: RequestKey) {
+        if let Some(request) = self.requests.remove(key) {
             self.router
                 .handle_client_disconnected(now, request.handle, &mut self.router_actions);
         }
     }
 
     pub(super) fn handle_client_input(&mut self, now: Micros, connection_id: ConnectionId) {
-        let most = self.limits.max_request_bytes;
+        let max_request_bytes = self.limits.max_request_bytes;
         let (Some(Role::Client(client)), Some(connection)) = (
             self.roles.get_mut(connection_id),
             self.connections.get_mut(connection_id),
@@ -155,8 +156,8 @@
             Stage::Idle | Stage::Receiving => {}
             Stage::Lingering => {
                 connection.input.clear();
-                // Closing with unread input would reset the connection and could destroy the
-                // answer.
+                // Closing with unread input would reset the connection, and the client could lose
+                // the response.
                 return self
                     .pending_reads
                     .extend(connection.has_unread().then_some(connection_id));
@@ -164,21 +165,21 @@
             Stage::Processing if client.upload.is_some() => {
                 return self.handle_upload_input(now, connection_id);
             }
-            // Pipelined input waits until the request before it is answered.
+            // Pipelined input waits until the previous request has its response.
             Stage::Processing | Stage::Responding => return,
         }
         if connection.input.is_empty() && client.incoming.head().is_none() {
             return;
         }
         client.connection.begin_request(now);
-        let read = client
+        let result = client
             .incoming
-            .read(&mut connection.input, most, &self.limits);
-        let held = connection.input.len() + client.incoming.body.len();
-        self.buffered_bytes = self.buffered_bytes + held - client.buffered_bytes;
-        client.buffered_bytes = held;
-        if let Err(fault) = read {
-            return self.reject_input(now, connection_id, fault);
+            .read(&mut connection.input, max_request_bytes, &self.limits);
+        let buffered_bytes = connection.input.len() + client.incoming.body.len();
+        self.buffered_bytes = self.buffered_bytes + buffered_bytes - client.buffered_bytes;
+        client.buffered_bytes = buffered_bytes;
+        if let Err(error) = result {
+            return self.reject_input(now, connection_id, error);
         }
         if client.incoming.is_complete() {
             let incoming = std::mem::take(&mut client.incoming);
@@ -193,6 +194,8 @@
         self.handle_partial_request(now, connection_id);
     }
 
+    /// Handles a request that has not arrived completely: sheds it, begins to stream its body, or
+    /// reads on.
     fn handle_partial_request(&mut self, now: Micros, connection_id: ConnectionId) {
         if self.is_shed_by_head(now, connection_id) {
             let jitter = 0.5 + fastrand::f64();
@@ -235,7 +238,7 @@
         self.continue_reading(now, connection_id);
     }
 
-    /// Reads what the kernel still holds of a request, unless the buffer is full.
+    /// Reads what the kernel still buffers of a request, unless the input buffer is full.
     fn continue_reading(&mut self, now: Micros, connection_id: ConnectionId) {
         let has_capacity = self
             .connections
@@ -259,26 +262,27 @@
         }
     }
 
-    /// The input is not a valid request, or too long.
+    /// Rejects input that is not a valid request, or too long.
     pub(super) fn reject_input(
         &mut self,
         now: Micros,
         connection_id: ConnectionId,
-        fault: ParseError,
+        error: ParseError,
     ) {
-        let text = match fault {
+        let reason = match error {
             ParseError::Syntax => "no request",
             ParseError::HeadTooLarge => "head too large",
             ParseError::BodyTooLarge => "body too large",
         };
-        self.write_closing_response(now, connection_id, &local_response(fault.status(), text));
+        self.write_closing_response(now, connection_id, &local_response(error.status(), reason));
     }
 
-    /// Tells the client to send its body.
+    /// Sends `100 Continue`, upon which the client sends its body.
     pub(super) fn write_continue(&mut self, connection_id: ConnectionId) {
-        let out = self.connections.output(connection_id);
-        out.into_iter()
-            .for_each(|out| out.extend(b"HTTP/1.1 100 Continue\r\n\r\n"));
+        let output = self.connections.output(connection_id);
+        output
+            .into_iter()
+            .for_each(|output| output.extend(b"HTTP/1.1 100 Continue\r\n\r\n"));
     }
 
     /// Handles a complete request.
@@ -292,38 +296,40 @@
         if let Some(client) = self.client(connection_id) {
             client.close_after_response = !head.keep_alive;
         }
-        if let Err(own) = self.admit(now, connection_id, head, body, None) {
-            self.write_local_response(now, connection_id, &own);
+        if let Err(response) = self.admit(now, connection_id, head, body, None) {
+            self.write_local_response(now, connection_id, &response);
         }
     }
 
-    /// The answer is written with all others at the end of the turn. If it were flushed here, other
-    /// pending output would be flushed with it without the host learning of it.
+    /// Handles a readiness check by the platform.
+    ///
+    /// The response is written at the end of the iteration, together with all others. If it were
+    /// flushed here, other pending output would be flushed too, without the host being notified.
     pub(super) fn handle_readiness_check(&mut self, connection_id: ConnectionId) {
-        let ready = self.node_state() == NodeState::Ready;
+        let is_ready = self.node_state() == NodeState::Ready;
         let Some(connection) = self.connections.get_mut(connection_id) else {
             return;
         };
         let (request, length) = match framing::parse_request(&connection.input, &self.limits) {
             Ok(None) => return,
-            Ok(Some(asked)) => asked,
+            Ok(Some(request_and_length)) => request_and_length,
             Err(_) => return self.remove_connection(connection_id),
         };
         connection.input.drain(..length);
         let status = match request.target.split('?').next() {
-            Some("/api/readyz") if ready => 200,
+            Some("/api/readyz") if is_ready => 200,
             Some("/api/readyz") => 503,
             _ => 404,
         };
-        let last = !request.keep_alive;
+        let close_after_response = !request.keep_alive;
         self.roles.insert(
             connection_id,
             Role::ReadinessCheck {
-                close_after_response: last,
+                close_after_response,
             },
         );
-        if let Some(out) = self.connections.output(connection_id) {
-            framing::write_response(out, status, &[], b"", last);
+        if let Some(output) = self.connections.output(connection_id) {
+            framing::write_response(output, status, &[], b"", close_after_response);
         }
     }
 }
--- a/crates/proxy/src/host/close_reasons.rs
+++ b/crates/proxy/src/host/close_reasons.rs
@@ -1,5 +1,5 @@
-//! Why the proxy closes a client's connection, and the log line where an answer is still owed on
-//! it.
+//! The reasons for which the proxy closes a client's connection, and the log line if it does so
+//! before a response is complete.
 
 use std::fmt;
 
@@ -9,81 +9,82 @@
 
 use super::*;
 
-/// Shortest interval between two lines that are printed at once; those in between are kept in the
-/// ring.
+/// Shortest interval between two lines that are written at once; those in between are kept in the
+/// log ring only.
 const CLOSE_LOG_INTERVAL: Micros = SECOND;
 
 /// The reason for closing a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// The client closed it, or it broke.
+    /// The client closed it, or it failed.
     ClientClosed,
     /// It was idle, or its request incomplete, for too long.
     IdleTimeout,
-    /// The client did not read its answer.
+    /// The client did not read its response.
     SlowReader,
     /// It was evicted in favour of others.
     Evicted,
-    /// The server of the streamed answer closed its connection.
+    /// The server of the streamed response closed its connection.
     ServerClosed,
-    /// The server of the streamed answer was silent until the deadline.
+    /// The server of the streamed response made no progress until the deadline.
     ResponseTimeout,
-    /// The server of the streamed answer sent a malformed body.
+    /// The server of the streamed response sent a malformed body.
     MalformedBody,
 }
 
 impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CloseReason::ClientClosed => "the client left",
-            CloseReason::IdleTimeout => "idle or incomplete for too long",
-            CloseReason::SlowReader => "the client did not read its answer",
-            CloseReason::Evicted => "room for other connections",
-            CloseReason::ServerClosed => "the server broke off",
-            CloseReason::ResponseTimeout => "the server was silent until the deadline",
-            CloseReason::MalformedBody => "the server sent what is no answer",
+            CloseReason::ClientClosed => "closed by the client",
+            CloseReason::IdleTimeout => "idle, or request incomplete, for too long",
+            CloseReason::SlowReader => "the client did not read its response",
+            CloseReason::Evicted => "evicted in favour of other connections",
+            CloseReason::ServerClosed => "the server closed its connection",
+            CloseReason::ResponseTimeout => "the server made no progress until the deadline",
+            CloseReason::MalformedBody => "the server sent a malformed body",
         })
     }
 }
 
 impl Host {
-    /// Logs that the proxy closes a connection on which an answer is owed or a partial request is
-    /// buffered.
+    /// Logs that the proxy closes a client's connection while its request has no complete response,
+    /// or while unhandled input is buffered.
     pub(super) fn log_close(
         &mut self,
         now: Micros,
         connection_id: ConnectionId,
-        closing: CloseReason,
+        reason: CloseReason,
     ) {
         let Some(Role::Client(client)) = self.roles.get(connection_id) else {
             return;
         };
         let connection = self.connections.get(connection_id);
-        let (unread, unwritten) = connection.map_or((0, 0), |connection| {
+        let (unread_bytes, unwritten_bytes) = connection.map_or((0, 0), |connection| {
             (connection.input.len(), connection.backlog())
         });
-        let owed = matches!(
+        let is_response_due = matches!(
             client.connection.stage,
             Stage::Processing | Stage::Responding
-        ) || (client.connection.stage == Stage::Idle && unread > 0);
-        if closing == CloseReason::ClientClosed || !owed {
+        ) || (client.connection.stage == Stage::Idle && unread_bytes > 0);
+        if reason == CloseReason::ClientClosed || !is_response_due {
             return;
         }
         let request = client
             .request
             .and_then(|request| self.requests.get(request));
-        let id = request.map_or("none", |request| request.id.as_str());
-        let (stage, ms) = (
+        let request_id = request.map_or("none", |request| request.id.as_str());
+        let (stage, stage_duration_ms) = (
             client.connection.stage,
             (now - client.connection.stage_entered_at) / MS,
         );
         let text =
-            format_args!("client's connection closed with an answer owed: {closing}").to_string();
+            format_args!("client connection closed before its response was complete: {reason}")
+                .to_string();
         if now >= self.close_logged_at + CLOSE_LOG_INTERVAL {
             self.close_logged_at = now;
-            warn!(self.log, #IMMEDIATE, "{text}"; "request" => id, "stage" => ?stage, "ms" => ms, "unread" => unread, "unwritten" => unwritten);
+            warn!(self.log, #IMMEDIATE, "{text}"; "request" => request_id, "stage" => ?stage, "ms" => stage_duration_ms, "unread" => unread_bytes, "unwritten" => unwritten_bytes);
         } else {
-            warn!(self.log, "{text}"; "request" => id, "stage" => ?stage, "ms" => ms, "unread" => unread, "unwritten" => unwritten);
+            warn!(self.log, "{text}"; "request" => request_id, "stage" => ?stage, "ms" => stage_duration_ms, "unread" => unread_bytes, "unwritten" => unwritten_bytes);
         }
     }
 }
--- a/crates/proxy/src/host/metrics.rs
+++ b/crates/proxy/src/host/metrics.rs
@@ -1,4 +1,4 @@
-//! What operators are told about a proxy.
+//! The metrics of a proxy.
 
 use std::collections::BTreeMap;
 
@@ -7,23 +7,23 @@
 
 use super::*;
 
-/// Counts since the start.
+/// Counters since the start of the process.
 #[derive(Debug, Default)]
 pub(super) struct ProxyMetrics {
-    /// Answers that the proxy itself generated, by status.
+    /// Responses that the proxy itself generated, by status.
     pub(super) local_responses: BTreeMap<u16, u64>,
     /// Batches of additions to the shared counter.
     pub(super) counter_batches: u64,
-    /// Those whose totals had not arrived in time.
+    /// Batches whose totals did not arrive in time.
     pub(super) counter_batches_timed_out: u64,
-    /// Those whose totals arrived after that.
+    /// Batches whose totals arrived after the time-out.
     pub(super) counter_batches_late: u64,
-    /// Those that reached no counter.
+    /// Batches that reached no counter.
     pub(super) counter_batches_failed: u64,
 }
 
 impl ProxyMetrics {
-    fn report(&self, text: &mut MetricsText) {
+    fn write_to(&self, text: &mut MetricsText) {
         for (status, count) in &self.local_responses {
             text.counter(
                 &format!("proxy_local_responses_{status}_total"),
@@ -55,27 +55,28 @@
 }
 
 impl Host {
-    /// Reports figures to operators. Where the port can't be had the proxy goes on without the report.
+    /// Serves metrics to operators. If the port can't be opened, the proxy runs without them.
     pub fn serve_metrics(&mut self) {
         let ip = self.settings.ip;
-        let listening = self
+        let result = self
             .metrics_endpoint
             .listen(&mut self.connections, ip, PROXY_PORT);
-        if let Err(error) = listening {
-            warn!(self.log, "no report of figures"; "error" => error.to_string());
+        if let Err(error) = result {
+            warn!(self.log, "cannot serve metrics"; "error" => error.to_string());
         }
     }
 
     pub(super) fn handle_metrics_event(&mut self, now: Micros, event: IoEvent) {
         let mut endpoint = std::mem::take(&mut self.metrics_endpoint);
-        let text = self.report(now);
+        let text = self.metrics_text(now);
         endpoint.handle(&mut self.connections, event, || text);
         self.metrics_endpoint = endpoint;
     }
 
-    fn report(&mut self, now: Micros) -> MetricsText {
+    /// All metrics at this time.
+    fn metrics_text(&mut self, now: Micros) -> MetricsText {
         let mut text = MetricsText::default();
-        self.metrics.report(&mut text);
+        self.metrics.write_to(&mut text);
         text.gauge(
             "proxy_ready",
             "1 if the proxy is ready",
--- a/crates/proxy/src/host/response_streams.rs
+++ b/crates/proxy/src/host/response_streams.rs
@@ -1,5 +1,5 @@
-//! Streams long answers from a server's connection to a client's. More is read when the client has
-//! taken what was forwarded, so that at most one window is buffered.
+//! Streams long responses from a server's connection to a client's. More is read only when all that
+//! was forwarded is written to the client, so that at most one window is buffered.
 
 use dataplane::relay::Relay;
 
@@ -9,19 +9,19 @@
 use super::*;
 use crate::response_class::{is_forwarded_field, stream_deadline};
 
-/// An answer that is being streamed.
+/// A response that is being streamed.
 pub(super) struct ResponseStream {
     relay: Relay,
     client: ConnectionId,
-    /// Deadline of the answer.
+    /// The client's deadline; a response that makes progress may exceed it.
     deadline: Micros,
-    /// Whether the server's connection may be reused afterwards, and until when.
+    /// How long the server's connection may be reused afterwards; `None`: not at all.
     reuse_timeout: Option<Micros>,
 }
 
 impl Host {
-    /// A long answer becomes the final one and begins to be streamed. From here on there is no
-    /// retry and no other answer.
+    /// Begins to stream a long response, which thereby becomes the final one: there is no retry and
+    /// no other response after this.
     pub(super) fn begin_response_stream(
         &mut self,
         now: Micros,
@@ -32,50 +32,64 @@
             return;
         };
         let incoming = std::mem::take(&mut upstream.incoming);
-        let sent = upstream.state.outcome_if_broken() == Outcome::Reset;
+        let is_request_sent = upstream.state.outcome_if_broken() == Outcome::Reset;
         (upstream.response_class, upstream.state) = (None, UpstreamState::Relaying);
-        let (extent, parts) = (incoming.framing, incoming.into_parts());
-        let (Some((head, reader, come)), UpstreamPurpose::Attempt(request, handle, number)) =
+        let (framing, parts) = (incoming.framing, incoming.into_parts());
+        let (Some((head, reader, body)), UpstreamPurpose::Attempt(request_key, handle, number)) =
             (parts, purpose)
         else {
             return self.close_upstream(connection_id);
         };
         self.attempt_connections
             .remove(&(handle.engine_index, handle.key));
-        let answers = self
+        let is_final = self
             .router
             .handle_attempt_ended(now, handle, number, Outcome::Ok);
-        let request = answers.then(|| self.requests.remove(request)).flatten();
-        let to = request
+        let request = is_final
+            .then(|| self.requests.remove(request_key))
+            .flatten();
+        let client_and_deadline = request
             .as_ref()
             .map(|request| (request.client, request.deadline));
-        let begins =
-            to.and_then(|(to, deadline)| Some((to, deadline, self.begin_response(now, to)?)));
-        let Some((to, deadline, close)) = begins else {
+        let stream_start = client_and_deadline.and_then(|(client_id, deadline)| {
+            Some((client_id, deadline, self.begin_response(now, client_id)?))
+        });
+        let Some((client_id, deadline, close_after_response)) = stream_start else {
             return self.close_upstream(connection_id);
         };
-        // An answer that has begun has all of the client's time: to end it sooner would gain
-        // nothing.
+        // A response that has begun may use all of the client's time: ending it earlier would have
+        // no benefit.
         let deadline = deadline + RESPONSE_MARGIN;
-        let Some(out) = self.connections.output(to) else {
+        let Some(output) = self.connections.output(client_id) else {
             return self.close_upstream(connection_id);
         };
-        let lines = head
+        let fields = head
             .headers
             .iter()
             .filter(|(name, _)| is_forwarded_field(name))
-            .chain(keep_alive_field(&self.client_keep_alive, close));
-        let relay = Relay::begin((&head, extent), reader, &come, lines, close, out);
-        let patience = (relay.is_reusable() && sent).then(|| self.reuse_timeout(&head));
+            .chain(keep_alive_field(
+                &self.client_keep_alive,
+                close_after_response,
+            ));
+        let relay = Relay::begin(
+            (&head, framing),
+            reader,
+            &body,
+            fields,
+            close_after_response,
+            output,
+        );
+        let reuse_timeout =
+            (relay.is_reusable() && is_request_sent).then(|| self.reuse_timeout(&head));
         if let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection_id) {
             upstream.response_stream = Some(ResponseStream {
                 relay,
-                client: to,
+                client: client_id,
                 deadline,
-                reuse_timeout: patience,
+                reuse_timeout,
             });
         }
-        if let Some(Role::Client(client)) = self.roles.get_mut(to) {
+        if let Some(Role::Client(client)) = self.roles.get_mut(client_id) {
             client.response_source = Some(connection_id);
         }
         self.deadlines.schedule(
@@ -85,7 +99,7 @@
         self.handle_response_stream_input(now, connection_id);
     }
 
-    /// Handles more bytes of a streamed answer.
+    /// Forwards the bytes of a streamed response that have arrived.
     pub(super) fn handle_response_stream_input(
         &mut self,
         now: Micros,
@@ -100,31 +114,37 @@
         let Some(stream) = &mut upstream.response_stream else {
             return;
         };
-        let (to, mut input) = (stream.client, std::mem::take(&mut connection.input));
-        let Some(out) = self.connections.output(to) else {
+        let (client_id, mut input) = (stream.client, std::mem::take(&mut connection.input));
+        let Some(output) = self.connections.output(client_id) else {
             return;
         };
-        let passed = stream.relay.forward(&mut input, out);
-        let (held_up, clean) = (!out.is_empty(), input.is_empty());
+        let result = stream.relay.forward(&mut input, output);
+        let (has_pending_output, is_input_consumed) = (!output.is_empty(), input.is_empty());
         if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.input = input;
-            connection.max_input_bytes = if held_up {
+            connection.max_input_bytes = if has_pending_output {
                 0
             } else {
                 self.limits.relay_window_bytes
             };
         }
-        match passed {
+        match result {
             Err(_) => self.abort_response_stream(now, connection_id, CloseReason::MalformedBody),
             Ok(()) if stream.relay.is_complete() => {
-                self.finish_response_stream(now, connection_id, clean)
+                self.finish_response_stream(now, connection_id, is_input_consumed)
             }
             Ok(()) => {}
         }
     }
 
-    /// The answer is complete: the server's connection is released.
-    fn finish_response_stream(&mut self, now: Micros, connection_id: ConnectionId, clean: bool) {
+    /// The response is complete: releases the server's connection to the pool, or closes it.
+    /// `is_input_consumed`: no input is left on it.
+    fn finish_response_stream(
+        &mut self,
+        now: Micros,
+        connection_id: ConnectionId,
+        is_input_consumed: bool,
+    ) {
         let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection_id) else {
             return;
         };
@@ -132,12 +152,15 @@
             return;
         };
         upstream.state = UpstreamState::Idle;
-        let (server, patience) = (upstream.server, stream.reuse_timeout.filter(|_| clean));
-        upstream.reusable_until = now + patience.unwrap_or(0);
+        let (server, reuse_timeout) = (
+            upstream.server,
+            stream.reuse_timeout.filter(|_| is_input_consumed),
+        );
+        upstream.reusable_until = now + reuse_timeout.unwrap_or(0);
         if let Some(Role::Client(client)) = self.roles.get_mut(stream.client) {
             client.response_source = None;
         }
-        if !(patience.is_some() && self.upstream_pool.release(server, connection_id, now)) {
+        if !(reuse_timeout.is_some() && self.upstream_pool.release(server, connection_id, now)) {
             self.close_upstream(connection_id);
         } else if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.input = Vec::new();
@@ -146,21 +169,21 @@
         }
     }
 
-    /// The client has taken what was forwarded: more may be read.
-    pub(super) fn resume_response_stream(&mut self, source: ConnectionId) {
-        if let Some(connection) = self.connections.get_mut(source) {
+    /// All that was forwarded is written to the client: more may be read.
+    pub(super) fn resume_response_stream(&mut self, upstream: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(upstream) {
             connection.max_input_bytes = self.limits.relay_window_bytes;
-            self.pending_reads.push(source);
+            self.pending_reads.push(upstream);
         }
     }
 
-    /// A streamed answer breaks off. Its end is never written, and the client's connection is
-    /// closed.
+    /// Aborts a streamed response. Its end is never written, and the client's connection is closed,
+    /// from which the client can tell that it is incomplete.
     pub(super) fn abort_response_stream(
         &mut self,
         now: Micros,
         connection_id: ConnectionId,
-        closing: CloseReason,
+        reason: CloseReason,
     ) {
         let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection_id) else {
             return;
@@ -169,10 +192,10 @@
             return;
         };
         self.close_upstream(connection_id);
-        self.remove_client(now, stream.client, closing);
+        self.remove_client(now, stream.client, reason);
     }
 
-    /// A streamed answer may have exceeded its time.
+    /// Aborts a streamed response whose deadline is over, else schedules the deadline again.
     pub(super) fn handle_response_stream_deadline(
         &mut self,
         now: Micros,
@@ -187,25 +210,25 @@
         let Some(stream) = &upstream.response_stream else {
             return;
         };
-        // While the client is slow, nothing is read from the server; the client's own limit bounds
-        // how slow it may be.
-        let held_up = self
+        // While the client is slow, nothing is read from the server; how slow the client may be is
+        // bounded by its own deadline.
+        let is_client_slow = self
             .connections
             .get(stream.client)
             .is_some_and(|client| client.backlog() > 0);
-        let until = stream_deadline(
+        let deadline = stream_deadline(
             stream.deadline,
-            if held_up {
+            if is_client_slow {
                 now
             } else {
                 connection.last_received_at
             },
             &self.limits,
         );
-        match until > now {
+        match deadline > now {
             true => self
                 .deadlines
-                .schedule(until, Timer::ResponseStreamDeadline(connection_id)),
+                .schedule(deadline, Timer::ResponseStreamDeadline(connection_id)),
             false => self.abort_response_stream(now, connection_id, CloseReason::ResponseTimeout),
         }
     }
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -1,5 +1,5 @@
 //! Streams long request bodies from the client's connection to the server's. Such a body is sent to
-//! one server only; the request has not run until the last byte is written there.
+//! one server only, which can't run the request before the last byte is written to it.
 
 use dataplane::framing::{BodyFraming, ParseError};
 use dataplane::upload::Upload;
@@ -9,46 +9,48 @@
 use super::*;
 
 impl Host {
-    /// Begins to stream a body: the request is admitted by its head.
+    /// Begins to stream a body: the request is admitted by its head alone.
     pub(super) fn begin_upload(&mut self, now: Micros, connection_id: ConnectionId) {
         let Some(Role::Client(client)) = self.roles.get_mut(connection_id) else {
             return;
         };
         let incoming = std::mem::take(&mut client.incoming);
-        let (extent, come) = (incoming.framing, incoming.received_body_bytes);
+        let (framing, received_bytes) = (incoming.framing, incoming.received_body_bytes);
         let Some((head, reader, body)) = incoming.into_parts() else {
             return;
         };
-        client.upload = Some(Upload::new(extent, reader, body, 0));
+        client.upload = Some(Upload::new(framing, reader, body, 0));
         client.close_after_response = !head.keep_alive;
         client.shedding_checked = false;
-        let told = std::mem::take(&mut client.continue_sent);
+        let continue_sent = std::mem::take(&mut client.continue_sent);
         client.connection.begin_processing(now);
-        client.connection.record_body_progress(now, come);
-        // The client's time-out counts from its last byte.
-        let left = match extent {
-            BodyFraming::Length(length) => length.saturating_sub(come),
+        client.connection.record_body_progress(now, received_bytes);
+        // The request's time begins when the last byte of the body has arrived. Until then it is
+        // extended by the time that the rest takes at the least permitted rate.
+        let remaining_bytes = match framing {
+            BodyFraming::Length(length) => length.saturating_sub(received_bytes),
             BodyFraming::Chunked | BodyFraming::UntilClose => {
-                self.limits.max_request_bytes.saturating_sub(come)
+                self.limits.max_request_bytes.saturating_sub(received_bytes)
             }
         };
-        let more = (left / self.limits.min_body_bytes_per_s.max(1)) as Micros * SECOND;
+        let extra_time =
+            (remaining_bytes / self.limits.min_body_bytes_per_s.max(1)) as Micros * SECOND;
         let streamed = StreamedBody {
-            framing: extent,
-            extra_time: more.min(self.limits.max_upload_extension),
+            framing,
+            extra_time: extra_time.min(self.limits.max_upload_extension),
         };
-        let expects = head.expects_continue && !told;
-        if let Err(own) = self.admit(now, connection_id, head, Vec::new(), Some(streamed)) {
-            return self.write_local_response(now, connection_id, &own);
+        let awaits_continue = head.expects_continue && !continue_sent;
+        if let Err(response) = self.admit(now, connection_id, head, Vec::new(), Some(streamed)) {
+            return self.write_local_response(now, connection_id, &response);
         }
-        if expects {
+        if awaits_continue {
             self.write_continue(connection_id);
         }
         self.schedule_client_deadline(now, connection_id);
         self.handle_upload_input(now, connection_id);
     }
 
-    /// Handles more bytes of a streamed body.
+    /// Forwards the bytes of a streamed body that have arrived.
     pub(super) fn handle_upload_input(&mut self, now: Micros, connection_id: ConnectionId) {
         let (Some(Role::Client(client)), Some(connection)) = (
             self.roles.get_mut(connection_id),
@@ -64,20 +66,20 @@
             return;
         };
         let mut input = std::mem::take(&mut connection.input);
-        let attempt = upload.attempt();
-        let mut out = attempt.and_then(|attempt| self.connections.output(attempt));
-        let taken = upload.read(&mut input, out.as_deref_mut());
-        let (whole, window) = (upload.is_complete(), self.limits.relay_window_bytes);
+        let upstream_id = upload.attempt();
+        let mut output = upstream_id.and_then(|upstream_id| self.connections.output(upstream_id));
+        let result = upload.read(&mut input, output.as_deref_mut());
+        let (is_complete, window) = (upload.is_complete(), self.limits.relay_window_bytes);
         // No more than one window is buffered on either side.
-        let room = match out {
-            Some(out) if out.is_empty() => window,
+        let max_input_bytes = match output {
+            Some(output) if output.is_empty() => window,
             Some(_) => 0,
             None => window.saturating_sub(upload.buffered_bytes()),
         };
-        let held = input.len() + upload.buffered_bytes();
-        self.buffered_bytes = self.buffered_bytes + held - client.buffered_bytes;
-        client.buffered_bytes = held;
-        if whole {
+        let buffered_bytes = input.len() + upload.buffered_bytes();
+        self.buffered_bytes = self.buffered_bytes + buffered_bytes - client.buffered_bytes;
+        client.buffered_bytes = buffered_bytes;
+        if is_complete {
             client.connection.begin_processing(now);
         } else {
             client
@@ -85,83 +87,85 @@
                 .record_body_progress(now, upload.received_bytes());
         }
         if let Some(connection) = self.connections.get_mut(connection_id) {
-            connection.max_input_bytes = if whole {
+            connection.max_input_bytes = if is_complete {
                 MAX_READ_AHEAD_BYTES.max(input.len())
             } else {
-                room
+                max_input_bytes
             };
             connection.input = input;
         }
         if let Some(Role::Upstream(upstream)) =
-            attempt.and_then(|attempt| self.roles.get_mut(attempt))
+            upstream_id.and_then(|upstream_id| self.roles.get_mut(upstream_id))
         {
-            upstream.is_uploading = !whole;
+            upstream.is_uploading = !is_complete;
         }
-        match taken {
-            Err(fault) => self.fail_upload(now, connection_id, fault),
-            Ok(()) if whole => self.handle_upload_complete(now, connection_id),
+        match result {
+            Err(error) => self.fail_upload(now, connection_id, error),
+            Ok(()) if is_complete => self.handle_upload_complete(now, connection_id),
             Ok(()) => self.schedule_client_deadline(now, connection_id),
         }
     }
 
-    /// The last byte has arrived: from here on the request has the time that its client gives it.
+    /// The last byte of a body has arrived: from now on the request has the time that its client
+    /// allows.
     fn handle_upload_complete(&mut self, now: Micros, connection_id: ConnectionId) {
-        let Some(request) = self.client(connection_id).and_then(|client| client.request) else {
+        let Some(key) = self.client(connection_id).and_then(|client| client.request) else {
             return;
         };
-        if let Some(known) = self.requests.get_mut(request) {
-            known.deadline = known.deadline.min(now + known.allowed_time);
+        if let Some(request) = self.requests.get_mut(key) {
+            request.deadline = request.deadline.min(now + request.allowed_time);
             self.deadlines
-                .schedule(known.deadline, Timer::RequestDeadline(request));
+                .schedule(request.deadline, Timer::RequestDeadline(key));
         }
     }
 
-    /// The attempt's connection is established and the head written: the buffered bytes follow.
-    /// There is no other attempt after it.
-    pub(super) fn start_upload(&mut self, key: RequestKey, connection: ConnectionId) {
+    /// Starts to stream a body on the connection of an attempt, which is established and to which the
+    /// head is written: the buffered bytes follow. There is no further attempt after this one.
+    pub(super) fn start_upload(&mut self, key: RequestKey, upstream_id: ConnectionId) {
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        let (handle, from) = (request.handle, request.client);
-        let Some(Role::Client(client)) = self.roles.get_mut(from) else {
+        let (handle, client_id) = (request.handle, request.client);
+        let Some(Role::Client(client)) = self.roles.get_mut(client_id) else {
             return;
         };
-        let (Some(upload), Some(out)) = (&mut client.upload, self.connections.output(connection))
+        let (Some(upload), Some(output)) =
+            (&mut client.upload, self.connections.output(upstream_id))
         else {
             return;
         };
-        upload.start_attempt(connection, out);
-        let whole = upload.is_complete();
+        upload.start_attempt(upstream_id, output);
+        let is_complete = upload.is_complete();
         self.router.handle_body_sent(handle);
-        if let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection) {
-            upstream.is_uploading = !whole;
+        if let Some(Role::Upstream(upstream)) = self.roles.get_mut(upstream_id) {
+            upstream.is_uploading = !is_complete;
         }
     }
 
-    /// The forwarded bytes are written: the client may send more.
+    /// The forwarded bytes are written: more may be read from the client.
     pub(super) fn resume_upload(&mut self, key: RequestKey) {
-        let Some(from) = self.requests.get(key).map(|request| request.client) else {
+        let Some(client_id) = self.requests.get(key).map(|request| request.client) else {
             return;
         };
-        if let Some(connection) = self.connections.get_mut(from) {
+        if let Some(connection) = self.connections.get_mut(client_id) {
             connection.max_input_bytes = self.limits.relay_window_bytes;
-            self.pending_reads.push(from);
+            self.pending_reads.push(client_id);
         }
     }
 
-    /// The body is malformed or too long. Its end was never written, so that the server never runs
-    /// the request.
-    fn fail_upload(&mut self, now: Micros, connection_id: ConnectionId, fault: ParseError) {
-        if let Some(request) = self
+    /// Rejects a request whose body is malformed or too long. Its end is never written, so that the
+    /// server can't run the request.
+    fn fail_upload(&mut self, now: Micros, connection_id: ConnectionId, error: ParseError) {
+        if let Some(key) = self
             .client(connection_id)
             .and_then(|client| client.request.take())
         {
-            self.abandon_request(now, request);
+            self.abandon_request(now, key);
         }
-        self.reject_input(now, connection_id, fault);
+        self.reject_input(now, connection_id, error);
     }
 
-    /// The time of a request whose long body has arrived is over.
+    /// Ends a request whose streamed body has arrived completely, if its deadline is over.
     pub(super) fn handle_request_deadline(&mut self, now: Micros, key: RequestKey) {
         let Some(request) = self
             .requests
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -13,11 +13,12 @@
     ResponseHandling, choose_handling, classify, parse_keep_alive_timeout,
 };
 
-/// Bytes read of an answer at a time: a short one together with its head.
+/// Bytes read of a response at a time: enough for a short response together with its head.
 pub(super) const READ_WINDOW_BYTES: usize = MAX_BUFFERED_RESPONSE_BYTES + 16 * 1024;
 /// Most connections to servers, including idle ones.
 const MAX_UPSTREAMS: usize = 1_000;
-/// Two round trips to a server of another region: connecting, and one exchange.
+/// Additional time for the probe of a server in another region: two round trips, for connecting and
+/// for one exchange.
 const REMOTE_PROBE_EXTRA_TIME: Micros = 250 * MS;
 /// An idle connection is closed this long before its server would do so.
 const UPSTREAM_KEEP_ALIVE_MARGIN: Micros = 1_500 * MS;
@@ -40,7 +41,7 @@
     }
 }
 
-/// Classifies a response by its head; `None` if its request is gone.
+/// Classifies a response by its head; `None` if its request no longer exists.
 fn classify_for_purpose(
     purpose: UpstreamPurpose,
     head: &ResponseHead,
@@ -48,39 +49,40 @@
     requests: &SlotMap<RequestKey, Request>,
 ) -> Option<ResponseClass> {
     match purpose {
-        // A health check has no id: a response with one is the second one to an earlier request.
+        // A health check has no request id: a response with an id is a second one to an earlier
+        // request.
         UpstreamPurpose::Probe(_) if head.headers.contains("X-Request-Id") => {
             Some(ResponseClass::OtherRequest)
         }
         UpstreamPurpose::Probe(_) => Some(ResponseClass::Final),
-        UpstreamPurpose::Attempt(request, ..) => {
-            let request = requests.get(request)?;
+        UpstreamPurpose::Attempt(key, ..) => {
+            let request = requests.get(key)?;
             Some(classify(head, framing, &request.id))
         }
     }
 }
 
 impl Host {
-    /// Sends a request to a server.
+    /// Sends a request to a server, unless it has ended or used all its attempts.
     pub(super) fn send_attempt(
         &mut self,
         now: Micros,
-        key: RequestKey,
+        request_key: RequestKey,
         handle: RequestHandle,
         attempt: u32,
         server: ServerId,
     ) {
-        let purpose = UpstreamPurpose::Attempt(key, handle, attempt);
-        let acquired = if self.may_attempt(key) {
+        let purpose = UpstreamPurpose::Attempt(request_key, handle, attempt);
+        let result = if self.may_attempt(request_key) {
             self.acquire_connection(now, server, purpose)
         } else {
             Err(Outcome::NotSent)
         };
-        match acquired {
-            Ok(connection) => {
+        match result {
+            Ok(upstream_id) => {
                 self.attempt_connections
-                    .insert((handle.engine_index, handle.key), connection);
-                self.write_attempt(now, key, connection, server);
+                    .insert((handle.engine_index, handle.key), upstream_id);
+                self.write_attempt(now, request_key, upstream_id, server);
             }
             Err(outcome) => {
                 self.router
@@ -90,65 +92,69 @@
     }
 
     /// Whether a request is in progress and its route allows another attempt.
-    fn may_attempt(&self, key: RequestKey) -> bool {
-        self.requests.get(key).is_some_and(|request| {
+    fn may_attempt(&self, request_key: RequestKey) -> bool {
+        self.requests.get(request_key).is_some_and(|request| {
             request.attempt_connections.len() < request.route.tries.max(1) as usize
         })
     }
 
+    /// Writes a request to the connection of an attempt.
     fn write_attempt(
         &mut self,
         now: Micros,
-        key: RequestKey,
-        connection: ConnectionId,
+        request_key: RequestKey,
+        upstream_id: ConnectionId,
         server: ServerId,
     ) {
-        let (Some(request), Some((_, id))) = (
-            self.requests.get_mut(key),
+        let (Some(request), Some((_, instance_id))) = (
+            self.requests.get_mut(request_key),
             self.server_table.address_and_instance_id(server),
         ) else {
             return;
         };
-        request.attempt_connections.push(connection);
-        if let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection) {
+        request.attempt_connections.push(upstream_id);
+        if let Some(Role::Upstream(upstream)) = self.roles.get_mut(upstream_id) {
             upstream.expects_no_body = request.method == "HEAD";
         }
-        let Some(out) = self.connections.output(connection) else {
+        let Some(output) = self.connections.output(upstream_id) else {
             return;
         };
-        let left = (request.deadline - now).min(request.allowed_time).max(0) / MS;
+        let time_left_ms = (request.deadline - now).min(request.allowed_time).max(0) / MS;
         let framing = request
             .body_framing
             .unwrap_or(BodyFraming::Length(request.body.len() as u64));
         // Writing to a vector can't fail.
-        let _ = write!(out, "{} {} HTTP/1.1\r\n", request.method, request.target);
-        out.extend_from_slice(&request.header_lines);
-        let _ = write!(out, "X-Time-Left: {left}\r\nX-Want-Instance: {id}\r\n");
+        let _ = write!(output, "{} {} HTTP/1.1\r\n", request.method, request.target);
+        output.extend_from_slice(&request.header_lines);
+        let _ = write!(
+            output,
+            "X-Time-Left: {time_left_ms}\r\nX-Want-Instance: {instance_id}\r\n"
+        );
         match framing {
             BodyFraming::Length(length) if has_body(&request.method, framing) => {
-                let _ = write!(out, "Content-Length: {length}\r\n");
+                let _ = write!(output, "Content-Length: {length}\r\n");
             }
             BodyFraming::Length(_) => {}
             BodyFraming::Chunked | BodyFraming::UntilClose => {
-                out.extend_from_slice(b"Transfer-Encoding: chunked\r\n")
+                output.extend_from_slice(b"Transfer-Encoding: chunked\r\n")
             }
         }
-        out.extend_from_slice(b"\r\n");
-        out.extend_from_slice(&request.body);
+        output.extend_from_slice(b"\r\n");
+        output.extend_from_slice(&request.body);
     }
 
     /// A connection to a server for this purpose: an idle one from the pool, or a new one.
     ///
     /// # Errors
-    /// The outcome of the attempt: the server is unknown or can't be reached.
+    /// The outcome of the attempt, if the server is unknown or can't be reached.
     fn acquire_connection(
         &mut self,
         now: Micros,
         server: ServerId,
         purpose: UpstreamPurpose,
     ) -> Result<ConnectionId, Outcome> {
-        if let Some(key) = self.reuse_connection(now, server, purpose) {
-            return Ok(key);
+        if let Some(connection_id) = self.reuse_connection(now, server, purpose) {
+            return Ok(connection_id);
         }
         if self.upstream_pool.connection_count() >= MAX_UPSTREAMS
             && let Some(idle) = self.upstream_pool.longest_idle_connection()
@@ -158,6 +164,7 @@
         self.open_connection(now, server, purpose)
     }
 
+    /// An idle connection to a server that may be used for this purpose, if there is one.
     fn reuse_connection(
         &mut self,
         now: Micros,
@@ -168,48 +175,58 @@
             UpstreamPurpose::Attempt(request, ..) => self.requests.get(request),
             UpstreamPurpose::Probe(_) => None,
         };
-        // A long body is sent once only, and its server may close an idle connection at any moment.
+        // A streamed body can be sent once only, and the server may close an idle connection at any
+        // time.
         if request.is_some_and(|request| request.body_framing.is_some()) {
             return None;
         }
-        // A second, late answer could not be told from that of a retry by its id.
+        // On a connection that an earlier attempt used, a late second response to that attempt could
+        // not be distinguished from the response to this one, as both have the same id.
         let used_connections =
             request.map_or(Vec::new(), |request| request.attempt_connections.clone());
-        // A second, late rejection without an id would claim that this request has not run.
+        // A late second rejection without an id, which belongs to an earlier request, would be taken
+        // as a statement that this request has not run.
         let needs_id = request.is_some_and(|request| request.route.kind != Idempotency::Idempotent);
-        let mut passed_over = Vec::new();
-        let mut found = None;
-        while found.is_none()
-            && let Some(key) = self.upstream_pool.acquire(server)
+        let mut skipped = Vec::new();
+        let mut reused = None;
+        while reused.is_none()
+            && let Some(connection_id) = self.upstream_pool.acquire(server)
         {
-            match self.roles.get_mut(key) {
+            match self.roles.get_mut(connection_id) {
                 Some(Role::Upstream(upstream))
                     if upstream.reusable_until > now
                         && needs_id
                         && upstream.had_response_without_id =>
                 {
-                    passed_over.push(key)
+                    skipped.push(connection_id)
                 }
                 Some(Role::Upstream(upstream))
-                    if upstream.reusable_until > now && !used_connections.contains(&key) =>
+                    if upstream.reusable_until > now
+                        && !used_connections.contains(&connection_id) =>
                 {
                     upstream.state = UpstreamState::Sending(purpose);
-                    upstream.bytes_sent_before =
-                        self.connections.get(key).map_or(0, Connection::sent_bytes);
-                    found = Some(key);
+                    upstream.bytes_sent_before = self
+                        .connections
+                        .get(connection_id)
+                        .map_or(0, Connection::sent_bytes);
+                    reused = Some(connection_id);
                 }
-                _ => self.close_upstream(key),
+                _ => self.close_upstream(connection_id),
             }
         }
-        // They remain for requests that may be retried.
-        for key in passed_over.into_iter().rev() {
-            if !self.upstream_pool.release(server, key, now) {
-                self.close_upstream(key);
+        // The skipped connections remain available to requests that may be retried.
+        for connection_id in skipped.into_iter().rev() {
+            if !self.upstream_pool.release(server, connection_id, now) {
+                self.close_upstream(connection_id);
             }
         }
-        found
+        reused
     }
 
+    /// Opens a connection to a server for this purpose.
+    ///
+    /// # Errors
+    /// The outcome of the attempt, if the server is unknown or can't be reached.
     fn open_connection(
         &mut self,
         now: Micros,
@@ -220,21 +237,22 @@
             .server_table
             .address_and_instance_id(server)
             .ok_or(Outcome::ConnectFailed)?;
-        let key = self
+        let connection_id = self
             .connections
             .connect(address, now)
             .map_err(|_| Outcome::ConnectFailed)?;
         let upstream = UpstreamConnection::new(now, server, purpose);
-        self.roles.insert(key, Role::Upstream(Box::new(upstream)));
-        if let Some(connection) = self.connections.get_mut(key) {
+        self.roles
+            .insert(connection_id, Role::Upstream(Box::new(upstream)));
+        if let Some(connection) = self.connections.get_mut(connection_id) {
             connection.max_input_bytes = READ_WINDOW_BYTES;
         }
         self.upstream_pool.record_opened(server);
         self.deadlines.schedule(
             now + self.connect_timeout.timeout(),
-            Timer::ConnectTimeout(key),
+            Timer::ConnectTimeout(connection_id),
         );
-        Ok(key)
+        Ok(connection_id)
     }
 
     pub(super) fn close_upstream(&mut self, connection_id: ConnectionId) {
@@ -245,13 +263,15 @@
         self.connections.close(connection_id);
     }
 
-    pub(super) fn close_idle_upstreams(&mut self, keys: Vec<ConnectionId>) {
-        keys.into_iter().for_each(|key| self.close_upstream(key));
+    pub(super) fn close_idle_upstreams(&mut self, connection_ids: Vec<ConnectionId>) {
+        connection_ids
+            .into_iter()
+            .for_each(|connection_id| self.close_upstream(connection_id));
     }
 
     /// Closes idle connections to servers that are no longer listed.
     pub(super) fn close_unlisted_servers(&mut self) {
-        let gone: Vec<ServerId> = self
+        let unlisted: Vec<ServerId> = self
             .roles
             .values()
             .filter_map(|role| match role {
@@ -261,25 +281,26 @@
                 _ => None,
             })
             .collect();
-        for server in gone {
+        for server in unlisted {
             let idle = self.upstream_pool.remove_server(server);
             self.close_idle_upstreams(idle);
         }
     }
 
     pub(super) fn close_expired_idle_upstreams(&mut self, now: Micros) {
-        let old = self
+        let expired = self
             .upstream_pool
             .take_expired(now - self.limits.upstream_idle_timeout);
-        self.close_idle_upstreams(old);
+        self.close_idle_upstreams(expired);
         self.deadlines.schedule(
             now + self.limits.upstream_idle_timeout / 4,
             Timer::ExpireIdleConnections,
         );
     }
 
-    /// The outcome of an attempt whose connection ends now. For a request that is not idempotent
-    /// one written byte is enough to count as possibly run: a server may begin at the head.
+    /// The outcome of an attempt or health check if its connection is closed now. A request that is
+    /// not idempotent may have run as soon as one byte is written: a server may begin to run it when
+    /// it receives the head.
     fn outcome_if_closed(&self, connection_id: ConnectionId) -> Option<Outcome> {
         let (Some(Role::Upstream(upstream)), Some(connection)) = (
             self.roles.get(connection_id),
@@ -287,10 +308,10 @@
         ) else {
             return None;
         };
-        let begun = connection.sent_bytes() > upstream.bytes_sent_before;
+        let has_sent_bytes = connection.sent_bytes() > upstream.bytes_sent_before;
         Some(match upstream.state {
             UpstreamState::Sending(UpstreamPurpose::Attempt(request, ..))
-                if begun && !self.is_idempotent(request) =>
+                if has_sent_bytes && !self.is_idempotent(request) =>
             {
                 Outcome::Reset
             }
@@ -304,47 +325,52 @@
             .is_some_and(|request| request.route.kind == Idempotency::Idempotent)
     }
 
-    /// Whether a server that may run this request holds an attempt of it.
+    /// Whether an attempt of this request is in flight at a server that may be running it.
     pub(super) fn may_be_running(&self, handle: RequestHandle) -> bool {
-        let key = self
+        let connection_id = self
             .attempt_connections
             .get(&(handle.engine_index, handle.key));
-        key.and_then(|key| self.outcome_if_closed(*key)) == Some(Outcome::Reset)
+        connection_id.and_then(|connection_id| self.outcome_if_closed(*connection_id))
+            == Some(Outcome::Reset)
     }
 
-    /// The module stops an attempt: its outcome is known.
+    /// Cancels an attempt for the decision module, by closing its connection.
     pub(super) fn cancel_attempt(&mut self, _now: Micros, handle: RequestHandle, number: u32) {
-        let Some(key) = self
+        let Some(connection_id) = self
             .attempt_connections
             .get(&(handle.engine_index, handle.key))
             .copied()
         else {
             return;
         };
-        let Some(Role::Upstream(upstream)) = self.roles.get(key) else {
+        let Some(Role::Upstream(upstream)) = self.roles.get(connection_id) else {
             return;
         };
-        let Some(UpstreamPurpose::Attempt(request, own, out)) = upstream.state.purpose() else {
+        let Some(UpstreamPurpose::Attempt(request, current_handle, current_number)) =
+            upstream.state.purpose()
+        else {
             return;
         };
-        if own != handle || out != number {
+        if current_handle != handle || current_number != number {
             return;
         }
-        let may_have_run = self.outcome_if_closed(key) == Some(Outcome::Reset);
+        let may_have_run = self.outcome_if_closed(connection_id) == Some(Outcome::Reset);
         self.attempt_connections
             .remove(&(handle.engine_index, handle.key));
         if let Some(request) = self.requests.get_mut(request) {
             request.may_have_run |= may_have_run;
         }
-        self.close_upstream(key);
+        self.close_upstream(connection_id);
     }
 
+    /// Handles the input from a server: all responses that have arrived.
     pub(super) fn handle_upstream_input(&mut self, now: Micros, connection_id: ConnectionId) {
         while self.read_response(now, connection_id) {}
     }
 
     /// Reads one response; returns whether it belonged to another request, so that the awaited one
     /// may follow it.
+    /// Handles the next response that has arrived; returns whether another one may follow it.
     fn read_response(&mut self, now: Micros, connection_id: ConnectionId) -> bool {
         let (Some(Role::Upstream(upstream)), Some(connection)) = (
             self.roles.get_mut(connection_id),
@@ -357,7 +383,7 @@
             return false;
         }
         let Some(purpose) = upstream.state.purpose() else {
-            // Nothing is in flight on it: the bytes belong to no request.
+            // Nothing is in flight on the connection: the bytes belong to no request.
             if !connection.input.is_empty() {
                 self.close_upstream(connection_id);
             }
@@ -366,44 +392,45 @@
         if connection.input.is_empty() && upstream.response_class.is_none() {
             return false;
         }
-        let read = upstream.incoming.read(
+        let result = upstream.incoming.read(
             &mut connection.input,
             self.limits.max_response_bytes,
             &self.limits,
         );
-        if read.is_err() {
+        if result.is_err() {
             self.finish_exchange(now, connection_id, purpose, ResponseClass::Malformed);
             return false;
         }
         let Some(head) = upstream.incoming.head() else {
             return false;
         };
-        let known = upstream.response_class.or_else(|| {
+        let response_class = upstream.response_class.or_else(|| {
             classify_for_purpose(purpose, head, upstream.incoming.framing, &self.requests)
         });
-        let Some(class) = known else {
+        let Some(response_class) = response_class else {
             self.close_upstream(connection_id);
             return false;
         };
         upstream.had_response_without_id |= !head.headers.contains("X-Request-Id");
-        upstream.response_class = Some(class);
-        if class == ResponseClass::Malformed {
-            self.finish_exchange(now, connection_id, purpose, class);
+        upstream.response_class = Some(response_class);
+        if response_class == ResponseClass::Malformed {
+            self.finish_exchange(now, connection_id, purpose, response_class);
             return false;
         }
         if !upstream.incoming.is_complete() && !upstream.expects_no_body {
-            self.handle_partial_response(now, connection_id, purpose, class);
+            self.handle_partial_response(now, connection_id, purpose, response_class);
             return false;
         }
-        if class != ResponseClass::OtherRequest {
-            self.finish_exchange(now, connection_id, purpose, class);
+        if response_class != ResponseClass::OtherRequest {
+            self.finish_exchange(now, connection_id, purpose, response_class);
             return false;
         }
         (upstream.incoming, upstream.response_class) = (IncomingMessage::default(), None);
         true
     }
 
-    /// The head of a response is complete and its body is not.
+    /// Handles a response whose head is complete and whose body is not: streams it, rejects it, or
+    /// reads on.
     fn handle_partial_response(
         &mut self,
         now: Micros,
@@ -417,7 +444,7 @@
         ) else {
             return;
         };
-        // The answer to a health check is never streamed.
+        // The response to a health check is never streamed.
         let class = match purpose {
             UpstreamPurpose::Attempt(..) => class,
             UpstreamPurpose::Probe(_) => ResponseClass::Failure,
@@ -435,19 +462,20 @@
         }
     }
 
-    /// How long an idle connection may be used after this answer.
+    /// How long an idle connection may be reused after this response.
     pub(super) fn reuse_timeout(&self, head: &ResponseHead) -> Micros {
-        let told = head
+        let announced = head
             .headers
             .get("Keep-Alive")
             .and_then(parse_keep_alive_timeout);
-        let told = told.map_or(Micros::MAX, |seconds| {
+        let announced = announced.map_or(Micros::MAX, |seconds| {
             Micros::from(seconds) * SECOND - UPSTREAM_KEEP_ALIVE_MARGIN
         });
-        told.min(self.limits.upstream_idle_timeout)
+        announced.min(self.limits.upstream_idle_timeout)
     }
 
-    /// The answer on a connection is complete, or can't become valid any more.
+    /// Ends an attempt or health check whose response is complete or invalid: releases the connection
+    /// to the pool or closes it, and reports the outcome.
     fn finish_exchange(
         &mut self,
         now: Micros,
@@ -462,56 +490,62 @@
             return;
         };
         let incoming = std::mem::take(&mut upstream.incoming);
-        let (server, bodiless) = (upstream.server, upstream.expects_no_body);
-        let sent = upstream.state.outcome_if_broken() == Outcome::Reset;
+        let (server, expects_no_body) = (upstream.server, upstream.expects_no_body);
+        let is_request_sent = upstream.state.outcome_if_broken() == Outcome::Reset;
         upstream.response_class = None;
         let parts = incoming.into_parts();
-        let reusable = parts.as_ref().is_some_and(|(head, ..)| head.is_reusable()) && !bodiless;
-        let keep =
-            reusable && sent && connection.input.is_empty() && class != ResponseClass::Malformed;
+        let is_reusable =
+            parts.as_ref().is_some_and(|(head, ..)| head.is_reusable()) && !expects_no_body;
+        let keep_connection = is_reusable
+            && is_request_sent
+            && connection.input.is_empty()
+            && class != ResponseClass::Malformed;
         upstream.state = UpstreamState::Idle;
-        let patience = parts
+        let reuse_timeout = parts
             .as_ref()
             .map_or(0, |(head, ..)| self.reuse_timeout(head));
         if let Some(Role::Upstream(upstream)) = self.roles.get_mut(connection_id) {
-            upstream.reusable_until = now + patience;
+            upstream.reusable_until = now + reuse_timeout;
         }
         if let UpstreamPurpose::Attempt(_, handle, _) = purpose {
             self.attempt_connections
                 .remove(&(handle.engine_index, handle.key));
         }
-        if !(keep && self.upstream_pool.release(server, connection_id, now)) {
+        if !(keep_connection && self.upstream_pool.release(server, connection_id, now)) {
             self.close_upstream(connection_id);
         }
         match purpose {
-            UpstreamPurpose::Attempt(request, handle, number) => {
-                let answer = parts.map(|(head, _, body)| (head, body));
-                self.handle_attempt_response(now, (request, handle, number), server, class, answer);
+            UpstreamPurpose::Attempt(key, handle, attempt) => {
+                let response = parts.map(|(head, _, body)| (head, body));
+                self.handle_attempt_response(now, (key, handle, attempt), server, class, response);
             }
-            UpstreamPurpose::Probe(engine) => {
-                let own = self
+            UpstreamPurpose::Probe(engine_index) => {
+                let instance_id = self
                     .server_table
                     .address_and_instance_id(server)
-                    .map(|(_, id)| id);
+                    .map(|(_, listed_id)| listed_id);
                 let head = parts.as_ref().map(|(head, ..)| head);
-                let same = head.is_some_and(|head| head.headers.get("X-Instance-Id") == own);
+                let is_same_instance =
+                    head.is_some_and(|head| head.headers.get("X-Instance-Id") == instance_id);
                 let outcome = match head.map(|head| head.status) {
-                    Some(200) if same => Outcome::Ok,
+                    Some(200) if is_same_instance => Outcome::Ok,
                     Some(503) => Outcome::Rejected,
                     _ => Outcome::Error,
                 };
-                self.router.handle_probe_result(engine, server, outcome);
+                self.router
+                    .handle_probe_result(engine_index, server, outcome);
             }
         }
     }
 
+    /// Reports the outcome of an attempt to the router, and forwards the response if it is final.
     fn handle_attempt_response(
         &mut self,
         now: Micros,
         (key, handle, attempt): (RequestKey, RequestHandle, u32),
         server: ServerId,
         class: ResponseClass,
-        answer: Option<(ResponseHead, Vec<u8>)>,
+        response: Option<(ResponseHead, Vec<u8>)>,
     ) {
         if class == ResponseClass::WrongServer {
             self.server_table.mark_replaced(server);
@@ -523,7 +557,7 @@
         if let Some(request) = self.requests.get_mut(key) {
             request.may_have_run |= !matches!(outcome, Outcome::Rejected);
             if class == ResponseClass::Failure {
-                request.failed_response = answer.clone();
+                request.failed_response = response.clone();
             }
         }
         if !self
@@ -532,7 +566,7 @@
         {
             return;
         }
-        match (self.requests.remove(key), answer) {
+        match (self.requests.remove(key), response) {
             (Some(request), Some((head, body))) => {
                 self.write_server_response(now, request.client, &head, &body)
             }
@@ -544,7 +578,8 @@
         }
     }
 
-    /// A connection to a server broke, was never established, or was closed by the server.
+    /// Handles the loss of a connection to a server: it failed, was never established, or was closed
+    /// by the server.
     pub(super) fn handle_upstream_closed(&mut self, now: Micros, connection_id: ConnectionId) {
         let Some(Role::Upstream(upstream)) = self.roles.get(connection_id) else {
             return;
@@ -558,65 +593,73 @@
             .unwrap_or(Outcome::Reset);
         self.close_upstream(connection_id);
         match purpose {
-            Some(UpstreamPurpose::Attempt(request, handle, number)) => {
+            Some(UpstreamPurpose::Attempt(request, handle, attempt)) => {
                 self.attempt_connections
                     .remove(&(handle.engine_index, handle.key));
                 if let Some(request) = self.requests.get_mut(request) {
                     request.may_have_run |= outcome == Outcome::Reset;
                 }
                 self.router
-                    .handle_attempt_ended(now, handle, number, outcome);
+                    .handle_attempt_ended(now, handle, attempt, outcome);
             }
-            Some(UpstreamPurpose::Probe(engine)) => {
-                self.router.handle_probe_result(engine, server, outcome)
+            Some(UpstreamPurpose::Probe(engine_index)) => {
+                self.router
+                    .handle_probe_result(engine_index, server, outcome)
             }
             None => {}
         }
     }
 
-    pub(super) fn start_probe(&mut self, now: Micros, engine: usize, server: ServerId) {
+    /// Sends a health check to a server.
+    pub(super) fn start_probe(&mut self, now: Micros, engine_index: usize, server: ServerId) {
         let path = self
             .server_table
             .get(server)
-            .and_then(|known| self.config_store.service(&known.listing.svc));
+            .and_then(|record| self.config_store.service(&record.listing.svc));
         let path = path.map_or("/healthz".to_string(), |service| service.hcheck.clone());
-        let key = match self.acquire_connection(now, server, UpstreamPurpose::Probe(engine)) {
-            Ok(key) => key,
-            Err(outcome) => return self.router.handle_probe_result(engine, server, outcome),
-        };
-        let Some((address, id)) = self.server_table.address_and_instance_id(server) else {
+        let connection_id =
+            match self.acquire_connection(now, server, UpstreamPurpose::Probe(engine_index)) {
+                Ok(connection_id) => connection_id,
+                Err(outcome) => {
+                    return self
+                        .router
+                        .handle_probe_result(engine_index, server, outcome);
+                }
+            };
+        let Some((address, instance_id)) = self.server_table.address_and_instance_id(server) else {
             return;
         };
-        if let Some(out) = self.connections.output(key) {
+        if let Some(output) = self.connections.output(connection_id) {
             // Writing to a vector can't fail.
             let _ = write!(
-                out,
-                "GET {path} HTTP/1.1\r\nHost: {address}\r\nX-Want-Instance: {id}\r\n\r\n"
+                output,
+                "GET {path} HTTP/1.1\r\nHost: {address}\r\nX-Want-Instance: {instance_id}\r\n\r\n"
             );
         }
-        let way = if self.server_table.is_in_other_region(server) {
+        let extra_time = if self.server_table.is_in_other_region(server) {
             REMOTE_PROBE_EXTRA_TIME
         } else {
             0
         };
-        let wait = self
+        let timeout = self
             .limits
             .probe_timeout
-            .max(self.router.probe_timeout(engine))
-            + way;
+            .max(self.router.probe_timeout(engine_index))
+            + extra_time;
         self.deadlines
-            .schedule(now + wait, Timer::ProbeTimeout(key));
+            .schedule(now + timeout, Timer::ProbeTimeout(connection_id));
     }
 
+    /// Ends a health check that is still in progress at its time-out.
     pub(super) fn handle_probe_timeout(&mut self, now: Micros, connection_id: ConnectionId) {
         let Some(Role::Upstream(upstream)) = self.roles.get(connection_id) else {
             return;
         };
-        if let Some(UpstreamPurpose::Probe(engine)) = upstream.state.purpose() {
+        if let Some(UpstreamPurpose::Probe(engine_index)) = upstream.state.purpose() {
             let server = upstream.server;
             self.close_upstream(connection_id);
             self.router
-                .handle_probe_result(engine, server, Outcome::TimedOut);
+                .handle_probe_result(engine_index, server, Outcome::TimedOut);
         }
         let _ = now;
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,10 +1,10 @@
-//! The proxy of an edge: it accepts clients' requests, lets the decision module admit and place
-//! them, and forwards the servers' answers. Its configuration arrives from the agent of its
-//! machine.
+//! The proxy of an edge: it accepts clients' requests, has the decision module (crate `streamarch`)
+//! admit them and select their servers, and forwards the servers' responses. Its configuration
+//! arrives from the agent on the same machine.
 //!
-//! [`config_store`], [`config_freshness`], [`server_table`], [`answers`], [`shedding`],
-//! [`adaptive_timeout`] and [`router`] hold the state and decide, without I/O; [`host`] owns the
-//! connections.
+//! [`config_store`], [`config_freshness`], [`server_table`], [`response_class`], [`shedding`],
+//! [`adaptive_timeout`] and [`router`] contain the state and the logic, and perform no I/O; [`host`]
+//! is the event loop, which owns the connections.
 
 pub mod adaptive_timeout;
 pub mod config_freshness;
--- a/crates/proxy/src/router/quota_engine.rs
+++ b/crates/proxy/src/router/quota_engine.rs
@@ -17,7 +17,7 @@
 pub(super) const MAX_COUNTING_LIMITERS: u32 = 64;
 /// Shortest time-out of a counter call: the round trip over the longest link, and the event loops of the programs on the path.
 pub const MIN_COUNTER_TIMEOUT: Micros = 300 * MS;
-/// Longest time-out of a counter call: for as long the loss of the counter may go unnoticed.
+/// Longest time-out of a counter call: the loss of the counter may go unnoticed for this long.
 pub const MAX_COUNTER_TIMEOUT: Micros = 900 * MS;
 /// The engine's own time-out is a share of this. It is longer than the host's, so that the host's
 /// applies.
