--- a/crates/proxy/src/host/responses.rs
+++ b/crates/proxy/src/host/responses.rs
@@ -98,12 +98,12 @@
         let mut fields = vec![("Content-Type", "text/plain")];
         fields
             .extend((response.retry_after > 0).then_some(("Retry-After", retry_after_s.as_str())));
-        // While the node is crowded, rejected clients are disconnected. A retry uses a new connection
+        // While the node is nearly full, rejected clients are disconnected. A retry uses a new connection
         // in any case.
-        let is_crowded = self.router.shedding().overload_detector().is_nearly_full();
+        let is_nearly_full = self.router.shedding().overload_detector().is_nearly_full();
         self.client(connection_id)
             .into_iter()
-            .for_each(|client| client.close_after_response |= is_crowded);
+            .for_each(|client| client.close_after_response |= is_nearly_full);
         let body = format!("{}\n", response.reason);
         let Some(close) = self.begin_response(now, connection_id) else {
             return;
--- a/crates/proxy/src/host/uploads.rs
+++ b/crates/proxy/src/host/uploads.rs
@@ -136,7 +136,7 @@
         };
         upload.start_attempt(upstream_id, output);
         let is_complete = upload.is_complete();
-        self.router.handle_body_sent(handle);
+        self.router.handle_body_discarded(handle);
         if let Some(Role::Upstream(upstream)) = self.roles.get_mut(upstream_id) {
             upstream.is_uploading = !is_complete;
         }
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -195,9 +195,9 @@
 }
 
 /// The settings that both kinds of engines have in common.
-fn common_engine_settings(limiters: u32) -> Settings {
+fn common_engine_settings(limiter_count: u32) -> Settings {
     Settings {
-        gateway_count: limiters.max(1),
+        gateway_count: limiter_count.max(1),
         min_handle_interval: 1,
         can_cancel: true,
         sends_retry_after: true,
@@ -409,15 +409,11 @@
                 RequestHandle { engine_index, key },
                 rejection,
             )),
-            EngineAction::AddToCounter {
-                name,
-                amount: add,
-                ttl: life,
-            } => {
+            EngineAction::AddToCounter { name, amount, ttl } => {
                 actions.push(RouterAction::AddToCounter(CounterAdd {
                     counter: name.0,
-                    units: add,
-                    ttl: life,
+                    units: amount,
+                    ttl,
                 }));
             }
             EngineAction::Probe(server) => actions.push(RouterAction::Probe(engine_index, server)),
@@ -572,7 +568,7 @@
 
     /// A streamed body was sent to a server and is no longer buffered: no further attempt is
     /// possible.
-    pub fn handle_body_sent(&mut self, handle: RequestHandle) {
+    pub fn handle_body_discarded(&mut self, handle: RequestHandle) {
         self.engines[handle.engine_index]
             .engine
             .handle_body_discarded(handle.key);
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -67,10 +67,10 @@
 /// part in proportion to first attempts is earned by each limiter's own first attempts, and the
 /// fixed part is divided evenly, and halved between the two engines that one service may have.
 fn retry_budget(limiter_count: u32, bounds: &Bounds) -> RetryBudget {
-    let most = bounds.retry_slack * RETRY_SHARE / 2.0 / f64::from(limiter_count.max(1));
+    let max_balance = bounds.retry_slack * RETRY_SHARE / 2.0 / f64::from(limiter_count.max(1));
     RetryBudget {
         earned_per_request: bounds.retry_ratio * RETRY_SHARE,
-        max_balance: most.max(1.0),
+        max_balance: max_balance.max(1.0),
         unexecuted_cost: 1.0,
     }
 }
@@ -87,13 +87,13 @@
         value_factor: 1.0,
         ..Plan::default()
     }];
-    let retries = retry_budget(limiter_count, bounds);
+    let retry_budget = retry_budget(limiter_count, bounds);
     let settings = Settings {
         classes: request_classes(),
         plans,
         can_probe: true,
         max_attempts: 8,
-        retry_budget: retries,
+        retry_budget,
         // A server is not considered unresponsive while its response would still be in time.
         min_silence_timeout: latency_target,
         ..common_engine_settings(limiter_count)
@@ -171,16 +171,16 @@
             ..
         } = pending;
         let SheddingPriority {
-            position: place,
-            shed_share: waits,
+            position: priority_position,
+            shed_share,
             ..
         } = priority;
         let authorisation = Authorisation {
             class,
             deadline,
             limiter_count: 1,
-            priority_position: place,
-            shed_share: waits,
+            priority_position,
+            shed_share,
             ..Authorisation::default()
         };
         let key = self.engines[service_engine]
--- a/crates/proxy/src/router/quota_engine.rs
+++ b/crates/proxy/src/router/quota_engine.rs
@@ -58,8 +58,8 @@
 const MIN_ADDED_UNITS_SHARE: f64 = 0.25;
 /// The only server of the quota engine; an attempt at it means that the request is admitted.
 const PLACEHOLDER_SERVER: ServerId = ServerId(0);
-/// The placeholder server takes any number of attempts.
-const NO_FIRST_BOUND: InitialConcurrency = InitialConcurrency(1e9);
+/// The placeholder server takes any number of attempts at once.
+const UNLIMITED_CONCURRENCY: InitialConcurrency = InitialConcurrency(1e9);
 
 /// The customer number of a tenant.
 pub(super) fn customer_id(tenant: &str) -> CustomerId {
@@ -72,10 +72,10 @@
 /// Creates the engine that enforces quotas. Its only server is a placeholder, at which an attempt of
 /// each admitted request is started.
 pub(super) fn quota_engine(seed: u64, max_requests: usize) -> Engine {
-    let aim = ENGINE_LATENCY_TARGET;
+    let latency_target = ENGINE_LATENCY_TARGET;
     let class = Class {
-        latency_target: aim,
-        client_timeout: 10 * aim,
+        latency_target,
+        client_timeout: 10 * latency_target,
         late_value_share: 0.0,
         value: 1.0,
         idempotency: Idempotency::Idempotent,
@@ -87,7 +87,7 @@
         even_shares_counter_lost: true,
         even_share_first: true,
         min_counted_share: MIN_ADDED_UNITS_SHARE,
-        initial_concurrency: NO_FIRST_BOUND,
+        initial_concurrency: UNLIMITED_CONCURRENCY,
         min_retry_after_counter_lost: MIN_RETRY_AFTER,
         max_attempts: 1,
         ..common_engine_settings(MAX_COUNTING_LIMITERS)
--- a/crates/proxy/src/shedding.rs
+++ b/crates/proxy/src/shedding.rs
@@ -163,7 +163,7 @@
         self.admission.set_levels(now, levels, age);
     }
 
-    /// The load reports for the control program; to be called once per [`overload::STEP`].
+    /// The load reports for the control program; to be called once per [`overload::EVALUATION_INTERVAL`].
     pub fn take_load_reports(&mut self, now: Micros) -> Vec<LoadReport> {
         self.over_quota_at
             .retain(|_, over_quota_at| now - *over_quota_at <= RECENTLY_OVER_QUOTA_WINDOW);
