--- a/crates/limiter/src/config/mod.rs
+++ b/crates/limiter/src/config/mod.rs
@@ -202,7 +202,7 @@
         let file: platform::PlatformFile = config_check::read(text)?;
         let settings = require("settings", file.settings)?;
         settings.check().map_err(|fault| fault.under("settings"))?;
-        let ops = override_address(&self.ops_listen, "ROUTER_OPS", file.ops)?;
+        let ops_listen = override_address(&self.ops_listen, "ROUTER_OPS", file.ops_listen)?;
         let inherited_listener = self
             .inherited_listener
             .as_deref()
@@ -223,8 +223,8 @@
             counter: file.counter,
             peer_listen: file.peer_listen,
             peers: file.peers.unwrap_or_default(),
-            cached_servers: file.known,
-            ops_listen: ops,
+            cached_servers: file.cached_servers,
+            ops_listen,
             // Processes of a limiter overlap only if the listening socket is inherited.
             handover_folder: self
                 .inherited_listener
@@ -240,7 +240,10 @@
             seed: seed.map_err(|_| Fault::at("seed", "is not a number in hex"))?,
             names: settings.names(),
             probes_report_load: settings.probes_report_load(),
-            limits: settings.limits(&file.limits.unwrap_or_default(), ops.is_some()),
+            limits: settings.limits(
+                &file.machine_limits.unwrap_or_default(),
+                ops_listen.is_some(),
+            ),
             settings: settings.module_settings(),
             introspection: None,
             raft: None,
--- a/crates/limiter/src/config/platform.rs
+++ b/crates/limiter/src/config/platform.rs
@@ -74,12 +74,15 @@
     pub(super) listen: Option<SocketAddr>,
     pub(super) discovery: Option<SocketAddr>,
     pub(super) counter: Option<SocketAddr>,
-    pub(super) ops: Option<SocketAddr>,
+    #[serde(rename = "ops")]
+    pub(super) ops_listen: Option<SocketAddr>,
     pub(super) peer_listen: Option<SocketAddr>,
     pub(super) peers: Option<Vec<SocketAddr>>,
-    pub(super) known: Value,
+    #[serde(rename = "known")]
+    pub(super) cached_servers: Value,
     pub(super) seed: Option<String>,
-    pub(super) limits: Option<MachineLimits>,
+    #[serde(rename = "limits")]
+    pub(super) machine_limits: Option<MachineLimits>,
     pub(super) settings: Option<SettingsFile>,
 }
 
--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -28,12 +28,12 @@
 
 /// A counter service that all limiters share.
 pub trait Counter: Send + Sync + 'static {
-    /// Adds `delta` to the counter `key` and returns the total. A counter that the call creates lives for `ttl`. `None` if
+    /// Adds `amount` to the counter `key` and returns the total. A counter that the call creates lives for `ttl`. `None` if
     /// there was no response; the amount may have been added.
     fn add(
         &self,
         key: CounterKey,
-        delta: f64,
+        amount: f64,
         ttl: Duration,
     ) -> impl Future<Output = Option<f64>> + Send;
 }
@@ -43,13 +43,13 @@
 pub struct LocalCounter(Mutex<BTreeMap<u64, (f64, Instant)>>);
 
 impl Counter for LocalCounter {
-    async fn add(&self, key: CounterKey, delta: f64, ttl: Duration) -> Option<f64> {
+    async fn add(&self, key: CounterKey, amount: f64, ttl: Duration) -> Option<f64> {
         let now = Instant::now();
         let mut totals = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         // Expired counters are removed to bound the memory.
         totals.retain(|_, (_, expires_at)| *expires_at > now);
         let (total, _) = totals.entry(key.0).or_insert((0.0, now + ttl));
-        *total += delta;
+        *total += amount;
         Some(*total)
     }
 }
@@ -187,18 +187,15 @@
                     .remove(&key)
                     .map(|sender| sender.send(Decision::Reject(rejection)));
             }
-            EngineAction::AddToCounter {
-                name,
-                amount: add,
-                ttl: life,
-            } => {
+            EngineAction::AddToCounter { name, amount, ttl } => {
                 let (shared, counter) = (shared.clone(), counter.clone());
                 tokio::spawn(async move {
-                    let life = Duration::from_micros(life.max(0) as u64);
-                    let total = tokio::time::timeout(counter_timeout, counter.add(name, add, life))
-                        .await
-                        .ok()
-                        .flatten();
+                    let ttl = Duration::from_micros(ttl.max(0) as u64);
+                    let total =
+                        tokio::time::timeout(counter_timeout, counter.add(name, amount, ttl))
+                            .await
+                            .ok()
+                            .flatten();
                     let outcome = if total.is_some() {
                         Outcome::Ok
                     } else {
