--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -226,7 +226,7 @@
             counters,
             sent_at: now,
             deadline: now + self.counter_timeout.timeout(),
-            timed_out: false,
+            is_timed_out: false,
         };
         let is_connected = self
             .agent_connection
@@ -257,7 +257,7 @@
 
     fn fail_counter_batch(&mut self, batch: &CounterBatch, outcome: Outcome) {
         self.metrics.counter_batches_failed += 1;
-        for counter in batch.counters.iter().filter(|_| !batch.timed_out) {
+        for counter in batch.counters.iter().filter(|_| !batch.is_timed_out) {
             self.router.handle_counter_result(*counter, outcome, 0.0);
         }
     }
@@ -268,7 +268,7 @@
         };
         self.counter_timeout
             .record(self.clock.now() - batch.sent_at);
-        if batch.timed_out {
+        if batch.is_timed_out {
             self.metrics.counter_batches_late += 1;
             return self.router.handle_late_counter_result();
         }
@@ -290,9 +290,9 @@
         for batch in self
             .counter_batches
             .iter_mut()
-            .filter(|batch| !batch.timed_out && batch.deadline <= now)
+            .filter(|batch| !batch.is_timed_out && batch.deadline <= now)
         {
-            batch.timed_out = true;
+            batch.is_timed_out = true;
             self.metrics.counter_batches_timed_out += 1;
             timed_out_counters.append(&mut batch.counters.clone());
         }
@@ -305,7 +305,10 @@
             self.counter_batches.pop_front();
         }
         // Batches that have timed out are kept, since their totals may still arrive.
-        let waiting_batches = self.counter_batches.iter().filter(|batch| !batch.timed_out);
+        let waiting_batches = self
+            .counter_batches
+            .iter()
+            .filter(|batch| !batch.is_timed_out);
         if let Some(next_deadline) = waiting_batches.map(|batch| batch.deadline).min() {
             self.schedule_batch_timeout_check(next_deadline);
         }
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -194,7 +194,7 @@
     /// If no totals have arrived by then, the batch has timed out.
     deadline: Micros,
     /// Its time-out was reported to the router.
-    timed_out: bool,
+    is_timed_out: bool,
 }
 
 /// The state of the proxy's event loop.
--- a/crates/proxy/src/host/upstreams.rs
+++ b/crates/proxy/src/host/upstreams.rs
@@ -73,7 +73,7 @@
         server: ServerId,
     ) {
         let purpose = UpstreamPurpose::Attempt(request_key, handle, attempt);
-        let result = if self.may_attempt(request_key) {
+        let result = if self.can_attempt(request_key) {
             self.acquire_connection(now, server, purpose)
         } else {
             Err(Outcome::NotSent)
@@ -92,7 +92,7 @@
     }
 
     /// Whether a request is in progress and its route allows another attempt.
-    fn may_attempt(&self, request_key: RequestKey) -> bool {
+    fn can_attempt(&self, request_key: RequestKey) -> bool {
         self.requests.get(request_key).is_some_and(|request| {
             request.attempt_connections.len() < request.route.tries.max(1) as usize
         })
--- a/crates/proxy/src/router/quota_engine.rs
+++ b/crates/proxy/src/router/quota_engine.rs
@@ -30,7 +30,7 @@
 /// refilled evenly over the window, in addition to the rate.
 const BURST_REFILL_SHARE: f64 = 0.1;
 /// The part of the burst that may be used at once. The rest is reserved for a counter that was lost
-/// with its owner and restarts with all tokens.
+/// with its owner and restarts with the full burst.
 const INSTANT_BURST_SHARE: f64 = 0.45;
 /// The part of the burst that may be used at once after the counter has moved to another replica.
 const REDUCED_BURST_SHARE: f64 = 0.1;
