--- a/crates/control/src/core/acceptor.rs
+++ b/crates/control/src/core/acceptor.rs
@@ -31,7 +31,15 @@
                 let promise = Payload::Promise { ballot, accepted };
                 self.write(records, Some(PendingWrite::Vote(from, promise)), out);
             }
-            Err(seen) => self.deliver_vote(now, from, Payload::Nack { ballot, seen }, out),
+            Err(seen) => self.deliver_vote(
+                now,
+                from,
+                Payload::Nack {
+                    ballot,
+                    higher_ballot: seen,
+                },
+                out,
+            ),
         }
     }
 
@@ -57,7 +65,15 @@
                 let accepted = Payload::Accepted(ballot);
                 self.write(records, Some(PendingWrite::Vote(from, accepted)), out);
             }
-            Err(seen) => self.deliver_vote(now, from, Payload::Nack { ballot, seen }, out),
+            Err(seen) => self.deliver_vote(
+                now,
+                from,
+                Payload::Nack {
+                    ballot,
+                    higher_ballot: seen,
+                },
+                out,
+            ),
         }
     }
 
@@ -113,7 +129,7 @@
 
     /// Notes whether the accepted value of a register is known to be chosen; if it is not, a repair is due later.
     pub(super) fn track_pending(&mut self, now: i64, name: &ItemName) {
-        match self.registers.accepted(name) {
+        match self.registers.accepted_value(name) {
             Some((_, item)) if !self.chosen.includes(item) => self.pending.insert(now, name),
             _ => self.pending.remove(name),
         }
--- a/crates/control/src/core/anti_entropy.rs
+++ b/crates/control/src/core/anti_entropy.rs
@@ -114,7 +114,7 @@
         }
         self.mark_lagging(now);
         let id = self.begin_exchange();
-        let payload = Payload::FetchRequest { id, wanted };
+        let payload = Payload::FetchRequest { id, keys: wanted };
         self.send(vec![sender.address], payload, out);
     }
 
--- a/crates/control/src/core/dispatch.rs
+++ b/crates/control/src/core/dispatch.rs
@@ -14,11 +14,13 @@
             Input::Tick => {}
             Input::PeerMessage(from, message) => self.handle_peer_message(now, from, message, out),
             Input::PeerConnected(peer) => self.handle_peer_connected(now, peer, out),
-            Input::Written(id) => self.handle_written(now, id, out),
+            Input::WriteCompleted(id) => self.handle_written(now, id, out),
             Input::OperatorCall(call, command, deadline) => {
                 self.handle_call(now, call, command, deadline, out)
             }
-            Input::Agent(link, message) => self.handle_agent_message(now, link, message, out),
+            Input::AgentMessage(link, message) => {
+                self.handle_agent_message(now, link, message, out)
+            }
             Input::AgentDisconnected(link) => self.handle_agent_disconnected(link, out),
             Input::ServerListRead(servers) => self.handle_server_list_read(now, servers, out),
             Input::RoleFailed(role) => self.handle_role_failed(now, role, out),
@@ -145,7 +147,7 @@
             }
             Payload::IncarnationRecorded {
                 incarnation,
-                floor,
+                promise_floor: floor,
                 chunk,
                 terms,
             } => {
@@ -187,17 +189,24 @@
                 role,
                 term,
                 sent_at,
-                renewal,
+                is_renewal: renewal,
             } => {
                 let request = LeaseRequest {
                     term,
                     sent_at,
-                    renewal,
+                    is_renewal: renewal,
                 };
                 self.handle_lease_request(now, Some(from), sender.process, role, request, out)
             }
-            Payload::LeaseRelease { role, term, unused } => {
-                let release = LeaseRelease { term, unused };
+            Payload::LeaseRelease {
+                role,
+                term,
+                is_unused: unused,
+            } => {
+                let release = LeaseRelease {
+                    term,
+                    is_unused: unused,
+                };
                 self.lease_mut(role)
                     .handle_release(now, sender.process, release)
             }
@@ -210,7 +219,7 @@
             Payload::DigestEntries { id, entries } => {
                 self.handle_digest_entries(now, sender, id, &entries, out)
             }
-            Payload::FetchRequest { id, wanted } => {
+            Payload::FetchRequest { id, keys: wanted } => {
                 self.handle_fetch_request(from, id, &wanted, out)
             }
             Payload::ChosenChunk {
--- a/crates/control/src/core/heartbeat.rs
+++ b/crates/control/src/core/heartbeat.rs
@@ -22,7 +22,7 @@
             self.broadcast_membership(out);
         }
         let heartbeat = Heartbeat {
-            reachable: self.table.reachable_replicas(now),
+            reachable_replicas: self.table.reachable_replicas(now),
             chosen_digest: self.chosen.digest(),
             server_list_version: self.server_list.version(),
             membership_digest: self.membership.digest(),
@@ -99,7 +99,7 @@
 
     /// The table of replicas has changed; this replica itself may be superseded.
     pub(super) fn handle_replicas_changed(&mut self, now: i64, out: &mut Vec<Output>) {
-        out.push(Output::Peers(self.table.peers()));
+        out.push(Output::Peers(self.table.peer_addresses()));
         if self.table.is_abandoned() {
             out.push(Output::Log(Event::AbandonedIncarnation));
             self.table.relinquish();
--- a/crates/control/src/core/interface.rs
+++ b/crates/control/src/core/interface.rs
@@ -23,7 +23,7 @@
     /// How often the process has started in this incarnation.
     pub run: u32,
     /// No proposal below this ballot is accepted on any register.
-    pub floor: Ballot,
+    pub promise_floor: Ballot,
     /// The newest term granted for each role, followed by the newest term of each role that was seen to be held.
     pub terms: Vec<Term>,
     /// The newest known incarnation of each replica, by [`ReplicaId`](super::ids::ReplicaId).
@@ -53,9 +53,9 @@
     /// The address at which other replicas and agents reach this one.
     pub address: Option<SocketAddr>,
     /// Addresses to contact first, from the settings.
-    pub seeds: Vec<SocketAddr>,
+    pub seed_addresses: Vec<SocketAddr>,
     /// The seed of the random numbers.
-    pub seed: u64,
+    pub random_seed: u64,
     /// The state found on disk.
     pub recovered: RecoveredState,
     /// Sizes of the messages of a state transfer.
@@ -72,11 +72,11 @@
     /// A link with the replica at this address was established.
     PeerConnected(SocketAddr),
     /// The write with this request id is on disk.
-    Written(u64),
+    WriteCompleted(u64),
     /// A call of an operator, to be answered before the deadline, in microseconds.
     OperatorCall(u64, Command, i64),
     /// A message from the agent on this link.
-    Agent(u64, AgentMessage),
+    AgentMessage(u64, AgentMessage),
     /// The agent's link was closed.
     AgentDisconnected(u64),
     /// All pages of the platform's list were read.
--- a/crates/control/src/core/membership.rs
+++ b/crates/control/src/core/membership.rs
@@ -28,7 +28,7 @@
 
     fn precedence(&self) -> Precedence {
         Precedence {
-            connected: self.member.connected,
+            connected: self.member.is_connected,
             local: true,
             changed_at: 0,
         }
@@ -60,7 +60,7 @@
 
     fn precedence(&self, member: &Member) -> Precedence {
         Precedence {
-            connected: member.connected,
+            connected: member.is_connected,
             local: false,
             changed_at: self.changed_at,
         }
@@ -68,12 +68,12 @@
 
     /// Applies a delta that follows on this report.
     fn apply(&mut self, now: i64, delta: &MembershipDelta) {
-        for name in &delta.removed {
+        for name in &delta.removed_names {
             if let Some(removed) = self.members.remove(name) {
                 self.digest ^= member_digest(&removed);
             }
         }
-        for member in &delta.changed {
+        for member in &delta.changed_members {
             let name = member.node.name.clone();
             let replaced = self.members.insert(name, member.clone());
             self.digest ^= member_digest(member) ^ replaced.as_ref().map_or(0, member_digest);
@@ -242,8 +242,8 @@
         Some(MembershipDelta {
             digest_before: std::mem::replace(&mut announced.digest, self.digest),
             digest_after: self.digest,
-            changed,
-            removed,
+            changed_members: changed,
+            removed_names: removed,
         })
     }
 
@@ -265,7 +265,7 @@
         // The agent sends heartbeats on the link that it keeps, whichever of them was the first.
         if let Some(lease) = self.local.get_mut(&node.name) {
             let member = &lease.member;
-            if member.connected && member.state == state && member.node == node {
+            if member.is_connected && member.state == state && member.node == node {
                 lease.link = link;
                 lease.renewed_at = now;
                 return false;
@@ -279,7 +279,7 @@
         let member = Member {
             node,
             state,
-            connected: true,
+            is_connected: true,
         };
         let lease = MemberLease {
             member,
@@ -299,7 +299,7 @@
         let Some(mut lease) = lease.filter(|lease| lease.link == link).cloned() else {
             return false;
         };
-        lease.member.connected = false;
+        lease.member.is_connected = false;
         let name = lease.member.node.name.clone();
         self.set_lease(&name, Some(lease));
         self.update_serving(&name);
@@ -432,15 +432,15 @@
             };
         }
         report.apply(now, &delta);
-        for name in &delta.removed {
+        for name in &delta.removed_names {
             self.remove_reporter(replica, name);
         }
-        for member in &delta.changed {
+        for member in &delta.changed_members {
             self.add_reporter(replica, &member.node.name);
         }
-        self.release_moved(&delta.changed);
-        let changed = delta.changed.iter().map(|member| &member.node.name);
-        for name in changed.chain(&delta.removed) {
+        self.release_moved(&delta.changed_members);
+        let changed = delta.changed_members.iter().map(|member| &member.node.name);
+        for name in changed.chain(&delta.removed_names) {
             self.update_serving(name);
         }
         if self.has_unannounced_change() {
@@ -452,10 +452,10 @@
 
     /// Releases the leases of edges whose agents were linked here and are linked elsewhere by now.
     fn release_moved(&mut self, members: &[Member]) {
-        for member in members.iter().filter(|member| member.connected) {
+        for member in members.iter().filter(|member| member.is_connected) {
             let name = &member.node.name;
             let lease = self.local.get(name);
-            if lease.is_some_and(|lease| !lease.member.connected) {
+            if lease.is_some_and(|lease| !lease.member.is_connected) {
                 self.set_lease(name, None);
             }
         }
--- a/crates/control/src/core/membership/tests.rs
+++ b/crates/control/src/core/membership/tests.rs
@@ -26,7 +26,7 @@
     let (mut one, mut other) = (Membership::default(), Membership::default());
     assert!(one.handle_hello(0, 1, edge("e")) && one.handle_hello(0, 2, edge("f")));
     let first = one.take_delta().unwrap();
-    assert_eq!((first.changed.len(), one.take_delta()), (2, None));
+    assert_eq!((first.changed_members.len(), one.take_delta()), (2, None));
     assert_eq!(
         other.handle_delta(0, 7, first.clone()),
         DeltaOutcome::Applied
@@ -36,7 +36,10 @@
             && !one.handle_heartbeat(2, 1, NodeState::Ready)
     );
     let second = one.take_delta().unwrap();
-    assert_eq!((second.changed.len(), second.removed.len()), (1, 0));
+    assert_eq!(
+        (second.changed_members.len(), second.removed_names.len()),
+        (1, 0)
+    );
     assert!(one.handle_heartbeat(3, 2, NodeState::Draining));
     let third = one.take_delta().unwrap();
     // The third delta arrives before the second.
@@ -71,7 +74,7 @@
     );
     let last = one.take_delta().unwrap();
     assert_eq!(
-        (last.changed.len(), last.removed.as_slice()),
+        (last.changed_members.len(), last.removed_names.as_slice()),
         (0, ["f".to_string()].as_slice())
     );
     assert_eq!(
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -133,9 +133,9 @@
         };
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
         let address = config.address.unwrap_or(unspecified);
-        let mut table = ReplicaTable::new(local, replica_count, address, config.seeds);
+        let mut table = ReplicaTable::new(local, replica_count, address, config.seed_addresses);
         table.restore(&metadata.incarnations, &metadata.addresses);
-        let registers = Registers::restore(metadata.floor, config.recovered.registers);
+        let registers = Registers::restore(metadata.promise_floor, config.recovered.registers);
         let mut chosen = ChosenItems::default();
         for (ballot, item) in &config.recovered.chosen {
             chosen.learn(*ballot, item);
@@ -176,7 +176,7 @@
             handover: None,
             shutting_down: false,
             last_request_id: 0,
-            random_state: config.seed | 1,
+            random_state: config.random_seed | 1,
             transfer_limits: config.transfer_limits,
         }
     }
@@ -186,10 +186,10 @@
         // These inputs are frequent, and the cluster view that agents are sent does not depend on them.
         let keeps_view = matches!(
             input,
-            Input::Agent(
+            Input::AgentMessage(
                 _,
                 AgentMessage::CounterBatch { .. } | AgentMessage::LoadReports(_)
-            ) | Input::Written(_)
+            ) | Input::WriteCompleted(_)
                 | Input::ServerListRead(_)
         );
         if now - self.next_heartbeat >= limits::CONTACT_TIMEOUT {
@@ -259,8 +259,8 @@
     }
 
     /// The addresses to keep links with until the first [`Output::Peers`].
-    pub fn peers(&self) -> Vec<SocketAddr> {
-        self.table.peers()
+    pub fn peer_addresses(&self) -> Vec<SocketAddr> {
+        self.table.peer_addresses()
     }
 
     /// Whether this replica votes and answers calls.
--- a/crates/control/src/core/outbox.rs
+++ b/crates/control/src/core/outbox.rs
@@ -81,7 +81,7 @@
         ReplicaMetadata {
             incarnation: self.table.local().incarnation,
             run: self.run,
-            floor: self.registers.floor(),
+            promise_floor: self.registers.promise_floor(),
             terms: self.granted_terms().chain(last_held).collect(),
             incarnations: self.table.incarnations(),
             addresses: self.table.addresses(),
@@ -148,7 +148,7 @@
         for chunk in chunks {
             let payload = Payload::IncarnationRecorded {
                 incarnation,
-                floor,
+                promise_floor: floor,
                 chunk,
                 terms: self.granted_terms().collect(),
             };
--- a/crates/control/src/core/peer_messages.rs
+++ b/crates/control/src/core/peer_messages.rs
@@ -21,7 +21,7 @@
     /// Whether it serves.
     pub state: NodeState,
     /// Whether its agent is linked to the replica; otherwise its lease is about to expire.
-    pub connected: bool,
+    pub is_connected: bool,
 }
 
 /// A change of the members of a replica.
@@ -32,16 +32,16 @@
     /// The digest of the members after it.
     pub digest_after: u64,
     /// Members that were added or changed.
-    pub changed: Vec<Member>,
+    pub changed_members: Vec<Member>,
     /// The names of members that were removed.
-    pub removed: Vec<String>,
+    pub removed_names: Vec<String>,
 }
 
 /// The heartbeat of a replica, with digests by which others notice that they have missed something.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The replicas that it hears, one bit each.
-    pub reachable: u128,
+    pub reachable_replicas: u128,
     /// The digest of the items that it knows to be chosen.
     pub chosen_digest: u64,
     /// The version of its list of servers.
@@ -58,7 +58,7 @@
     /// Digests of what it has, by bucket; only buckets that differ are sent.
     pub digests: Vec<u64>,
     /// The name after which to continue.
-    pub after: Option<ItemName>,
+    pub start_after: Option<ItemName>,
 }
 
 /// The payload of a peer message.
@@ -96,7 +96,7 @@
         /// The ballot of the proposal.
         ballot: Ballot,
         /// The higher ballot.
-        seen: Ballot,
+        higher_ballot: Ballot,
     },
     /// Everything that was accepted under this ballot is chosen.
     Chosen(Ballot),
@@ -119,7 +119,7 @@
         /// The id of the exchange.
         id: u64,
         /// The keys of the entries.
-        wanted: Vec<u64>,
+        keys: Vec<u64>,
     },
     /// Chosen items, in answer to a digest or fetch request.
     ChosenChunk {
@@ -158,7 +158,7 @@
         /// The incarnation.
         incarnation: Incarnation,
         /// The highest promise on any register.
-        floor: Ballot,
+        promise_floor: Ballot,
         /// Accepted values.
         chunk: Chunk,
         /// The newest term of each role that the sender has granted.
@@ -173,7 +173,7 @@
         /// When it was sent, on the clock of the requester.
         sent_at: i64,
         /// The requester holds the lease already.
-        renewal: bool,
+        is_renewal: bool,
     },
     /// Answers a lease request.
     LeaseVote {
@@ -184,7 +184,7 @@
         /// When the request was sent.
         sent_at: i64,
         /// Whether the lease is granted.
-        granted: bool,
+        is_granted: bool,
         /// The newest term that the voter knows.
         newest_term: u64,
     },
@@ -195,7 +195,7 @@
         /// The term.
         term: u64,
         /// The term was never won.
-        unused: bool,
+        is_unused: bool,
     },
     /// All members of the sender.
     MemberList(Vec<Member>),
--- a/crates/control/src/core/proposals.rs
+++ b/crates/control/src/core/proposals.rs
@@ -334,9 +334,10 @@
                 let actions = proposal.handle_accepted(voter, &self.table);
                 self.apply_actions(now, id, actions, out);
             }
-            Payload::Nack { ballot, seen } => {
-                self.handle_nack(now, voter.replica, ballot, seen, out)
-            }
+            Payload::Nack {
+                ballot,
+                higher_ballot: seen,
+            } => self.handle_nack(now, voter.replica, ballot, seen, out),
             Payload::RegisterChunk { id, chunk } => {
                 self.handle_register_chunk(now, sender, id, chunk, out)
             }
@@ -344,13 +345,13 @@
                 role,
                 term,
                 sent_at,
-                granted,
+                is_granted: granted,
                 newest_term,
             } => {
                 let vote = LeaseVote {
                     term: term.number,
                     sent_at,
-                    granted,
+                    is_granted: granted,
                     newest_term,
                 };
                 // Hazard: a vote for the request of a former process counts from that request's time.
--- a/crates/control/src/core/quorum_read.rs
+++ b/crates/control/src/core/quorum_read.rs
@@ -76,7 +76,7 @@
         let source = self.sources.get(&replica);
         TransferRequest {
             digests: self.digests.clone(),
-            after: source.and_then(|source| source.progress.after.clone()),
+            start_after: source.and_then(|source| source.progress.start_after.clone()),
         }
     }
 
--- a/crates/control/src/core/recovery.rs
+++ b/crates/control/src/core/recovery.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Promises<'a> {
     /// The highest ballot that the other replica has promised anything to.
-    pub floor: Ballot,
+    pub promise_floor: Ballot,
     /// The newest term that the other replica has granted for each role.
     pub terms: &'a [Term],
 }
@@ -56,7 +56,7 @@
     first_source: Option<SocketAddr>,
     first_source_asked: bool,
     /// The highest promise of any replica.
-    pub floor: Ballot,
+    pub promise_floor: Ballot,
     /// The newest term of each role.
     pub terms: Vec<Term>,
     next_request_at: i64,
@@ -131,10 +131,10 @@
             .filter_map(|(replica, source)| Some((table.address(*replica)?, &source.progress)));
         let by_address: BTreeMap<SocketAddr, _> = by_address.collect();
         let mut requests = Vec::new();
-        for peer in table.peers() {
+        for peer in table.peer_addresses() {
             let progress = by_address.get(&peer);
-            if !progress.is_some_and(|progress| progress.complete) {
-                let after = progress.and_then(|progress| progress.after.clone());
+            if !progress.is_some_and(|progress| progress.is_complete) {
+                let after = progress.and_then(|progress| progress.start_after.clone());
                 requests.push((peer, self.request(after)));
             }
         }
@@ -144,14 +144,14 @@
     fn request(&self, after: Option<ItemName>) -> TransferRequest {
         TransferRequest {
             digests: self.digests.buckets().to_vec(),
-            after,
+            start_after: after,
         }
     }
 
     /// Whether more than half of the other replicas have answered completely, each in its newest incarnation.
     fn has_quorum(&self, table: &ReplicaTable) -> bool {
         let complete = self.sources.iter().filter(|(replica, source)| {
-            source.progress.complete && table.is_current(**replica, source.incarnation)
+            source.progress.is_complete && table.is_current(**replica, source.incarnation)
         });
         complete.count() >= table.recovery_quorum()
     }
@@ -168,7 +168,7 @@
         let source = self.sources.entry(voter.replica);
         let source = source.or_insert(SourceProgress::new(voter.incarnation));
         let continuation = source.record_chunk(voter.incarnation, &chunk);
-        let after = source.progress.after.clone();
+        let after = source.progress.start_after.clone();
         if let Some(continuation) = continuation {
             // The others are asked as soon as the first source is complete; whoever is silent is asked again later.
             let first_complete = continuation == Continuation::End && self.complete_sources() == 1;
@@ -191,11 +191,11 @@
 
     fn complete_sources(&self) -> usize {
         let sources = self.sources.values();
-        sources.filter(|source| source.progress.complete).count()
+        sources.filter(|source| source.progress.is_complete).count()
     }
 
     fn merge_promises(&mut self, promises: Promises<'_>) {
-        self.floor = self.floor.max(promises.floor);
+        self.promise_floor = self.promise_floor.max(promises.promise_floor);
         for (at, term) in promises.terms.iter().enumerate() {
             match self.terms.get_mut(at) {
                 Some(known) => *known = (*known).max(*term),
@@ -271,7 +271,7 @@
                 peer,
             };
             out.push(Output::Log(event));
-            out.push(Output::Peers(self.table.peers()));
+            out.push(Output::Peers(self.table.peer_addresses()));
             self.broadcast_addresses(out);
         }
         let answer = PendingWrite::Recorded(peer, incarnation, request);
@@ -291,7 +291,10 @@
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        let promises = Promises { floor, terms };
+        let promises = Promises {
+            promise_floor: floor,
+            terms,
+        };
         match recovery.handle_chunk(now, sender.voter(), promises, chunk, &self.table) {
             RecoveryStep::Wait => {}
             RecoveryStep::Request(request) => {
@@ -311,14 +314,14 @@
         };
         recovery.persisting = true;
         let incarnation = recovery.incarnation;
-        self.registers.raise_floor(recovery.floor);
+        self.registers.raise_promise_floor(recovery.promise_floor);
         for (ballot, item) in recovery.found.values() {
             self.registers.adopt(*ballot, item);
         }
         for (lease, term) in self.role_leases.iter_mut().zip(&recovery.terms) {
             lease.adopt(*term);
         }
-        self.proposals.observe_round(recovery.floor.round);
+        self.proposals.observe_round(recovery.promise_floor.round);
         let registers = self.registers.iter();
         let record = |(name, register): (&ItemName, &_)| {
             Record::Register(name.clone(), Clone::clone(register))
--- a/crates/control/src/core/registers.rs
+++ b/crates/control/src/core/registers.rs
@@ -20,9 +20,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Register {
     /// No proposal below this ballot is accepted.
-    pub promised: Ballot,
+    pub promised_ballot: Ballot,
     /// The value that was accepted last, and its ballot.
-    pub accepted: Option<(Ballot, Item)>,
+    pub accepted_value: Option<(Ballot, Item)>,
 }
 
 /// All registers of one replica.
@@ -45,7 +45,7 @@
     pub fn restore(floor: Ballot, registers: Vec<(ItemName, Register)>) -> Registers {
         let mut digests = Digests::default();
         for (_, register) in &registers {
-            if let Some((ballot, item)) = &register.accepted {
+            if let Some((ballot, item)) = &register.accepted_value {
                 digests.toggle(&item.name, entry_digest(ballot, item));
             }
         }
@@ -58,7 +58,9 @@
 
     fn promised(&self, name: &ItemName) -> Ballot {
         let register = self.registers.get(name);
-        register.map_or(self.floor, |register| register.promised.max(self.floor))
+        register.map_or(self.floor, |register| {
+            register.promised_ballot.max(self.floor)
+        })
     }
 
     /// Gives the highest promise on any of these registers as an error, if it is above `ballot`.
@@ -75,7 +77,7 @@
 
     fn promise(&mut self, ballot: Ballot, name: &ItemName) {
         let register = self.registers.entry(name.clone()).or_default();
-        register.promised = ballot;
+        register.promised_ballot = ballot;
     }
 
     /// Promises to accept nothing below `ballot` on these registers. Gives their accepted values.
@@ -91,7 +93,9 @@
         for name in names {
             self.promise(ballot, name);
         }
-        let accepted = names.iter().filter_map(|name| self.accepted(name).cloned());
+        let accepted = names
+            .iter()
+            .filter_map(|name| self.accepted_value(name).cloned());
         Ok(accepted.collect())
     }
 
@@ -112,7 +116,7 @@
         let name = item.name.clone();
         self.digests.toggle(&name, entry_digest(&ballot, &item));
         let register = self.registers.entry(name.clone()).or_default();
-        if let Some((ballot, item)) = register.accepted.replace((ballot, item)) {
+        if let Some((ballot, item)) = register.accepted_value.replace((ballot, item)) {
             self.digests.toggle(&name, entry_digest(&ballot, &item));
         }
     }
@@ -120,43 +124,46 @@
     /// Takes over a value that is chosen, or that was accepted elsewhere and stands for what was lost here, unless a newer
     /// one was accepted here. Gives whether it was taken over.
     pub fn adopt(&mut self, ballot: Ballot, item: &Item) -> bool {
-        let accepted = self.accepted(&item.name);
+        let accepted = self.accepted_value(&item.name);
         let is_newer = accepted.is_none_or(|(accepted, _)| *accepted < ballot);
         if is_newer {
             self.store(ballot, item.clone());
             // Hazard: a late message of an earlier proposal would be accepted in its place, and this copy be lost for good.
             if let Some(register) = self.registers.get_mut(&item.name) {
-                register.promised = register.promised.max(ballot);
+                register.promised_ballot = register.promised_ballot.max(ballot);
             }
         }
         is_newer
     }
 
     /// Raises the floor under all promises.
-    pub fn raise_floor(&mut self, floor: Ballot) {
+    pub fn raise_promise_floor(&mut self, floor: Ballot) {
         self.floor = self.floor.max(floor);
     }
 
     /// The floor under all promises.
-    pub fn floor(&self) -> Ballot {
+    pub fn promise_floor(&self) -> Ballot {
         self.floor
     }
 
     /// The highest promise on any register.
     pub fn highest_promise(&self) -> Ballot {
-        let promises = self.registers.values().map(|register| register.promised);
+        let promises = self
+            .registers
+            .values()
+            .map(|register| register.promised_ballot);
         promises.fold(self.floor, Ballot::max)
     }
 
     /// The accepted value of a register, and its ballot.
-    pub fn accepted(&self, name: &ItemName) -> Option<&(Ballot, Item)> {
-        self.registers.get(name)?.accepted.as_ref()
+    pub fn accepted_value(&self, name: &ItemName) -> Option<&(Ballot, Item)> {
+        self.registers.get(name)?.accepted_value.as_ref()
     }
 
     /// All accepted values, in the order of their names.
     pub fn accepted_entries(&self) -> impl Iterator<Item = &(Ballot, Item)> {
         let registers = self.registers.values();
-        registers.filter_map(|register| register.accepted.as_ref())
+        registers.filter_map(|register| register.accepted_value.as_ref())
     }
 
     /// A register, as it is persisted.
@@ -177,18 +184,18 @@
     /// The chunks that answer a transfer request: the accepted values of the buckets that differ, after the name that it
     /// continues from.
     pub fn transfer_chunks(&self, limits: TransferLimits, request: &TransferRequest) -> Vec<Chunk> {
-        let after = request.after.as_ref();
+        let after = request.start_after.as_ref();
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         // Normally nothing differs, and no name has to be looked at.
         let is_same = request.digests == self.digests.buckets();
         let rest = self
             .registers
             .range::<ItemName, _>((from, Bound::Unbounded));
-        let accepted = rest.filter_map(|(_, register)| register.accepted.as_ref());
+        let accepted = rest.filter_map(|(_, register)| register.accepted_value.as_ref());
         let differing = accepted.filter(|(_, item)| {
             !is_same && self.digests.bucket_differs(&request.digests, &item.name)
         });
-        transfer::chunks(limits, request.after.clone(), differing.cloned())
+        transfer::chunks(limits, request.start_after.clone(), differing.cloned())
     }
 }
 
--- a/crates/control/src/core/registers/tests.rs
+++ b/crates/control/src/core/registers/tests.rs
@@ -28,7 +28,7 @@
         Err(ballot(5))
     );
     assert_eq!(registers.accept(ballot(4), &[item("b", 1)]), Ok(()));
-    registers.raise_floor(ballot(7));
+    registers.raise_promise_floor(ballot(7));
     assert_eq!(registers.prepare(ballot(6), &[name("b")]), Err(ballot(7)));
     assert_eq!(registers.prepare(ballot(6), &[name("c")]), Err(ballot(7)));
     assert_eq!(
@@ -43,7 +43,7 @@
         Err(ballot(12))
     );
     assert_eq!(
-        registers.accepted(&name("d")),
+        registers.accepted_value(&name("d")),
         Some(&(ballot(12), item("d", 2)))
     );
     // The digest covers the contents, however they arrived.
--- a/crates/control/src/core/replicas.rs
+++ b/crates/control/src/core/replicas.rs
@@ -229,7 +229,7 @@
     }
 
     /// The addresses to keep links with: those of the other replicas, and the seeds.
-    pub fn peers(&self) -> Vec<SocketAddr> {
+    pub fn peer_addresses(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter().copied();
         let mut peers = self.other_addresses();
         peers.extend(seeds.filter(|seed| *seed != self.local_address));
@@ -346,7 +346,7 @@
             let last_heard = slot.last_heard.replace(now);
             returned = last_heard.is_none_or(|heard| now - heard > limits::CONTACT_TIMEOUT);
             if let Payload::Heartbeat(heartbeat) = &message.payload {
-                slot.hears_us = heartbeat.reachable & (1 << self.local.replica) != 0;
+                slot.hears_us = heartbeat.reachable_replicas & (1 << self.local.replica) != 0;
             }
         }
         self.revision += u64::from(changed);
--- a/crates/control/src/core/role_lease.rs
+++ b/crates/control/src/core/role_lease.rs
@@ -29,14 +29,14 @@
     /// When it is sent, in microseconds on the clock of the requester.
     pub sent_at: i64,
     /// Whether the requester holds the lease already and asks for more time.
-    pub renewal: bool,
+    pub is_renewal: bool,
 }
 
 /// How a voter has decided on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Vote {
     /// The lease is granted for [`limits::GRANT_DURATION`].
-    pub granted: bool,
+    pub is_granted: bool,
     /// The term is new to the voter, or was seen to be held for the first time: it has to be on disk before the vote is sent.
     pub must_persist: bool,
     /// The newest term that the voter knows.
@@ -51,7 +51,7 @@
     /// When the request was sent.
     pub sent_at: i64,
     /// Whether it is granted.
-    pub granted: bool,
+    pub is_granted: bool,
     /// The newest term that the voter knows.
     pub newest_term: u64,
 }
@@ -62,7 +62,7 @@
     /// The term.
     pub term: u64,
     /// The term was never won, and never will be.
-    pub unused: bool,
+    pub is_unused: bool,
 }
 
 /// What is to be done about a lease.
@@ -115,7 +115,7 @@
     fn release(&self) -> LeaseRelease {
         LeaseRelease {
             term: self.term,
-            unused: self.acts_until == 0,
+            is_unused: self.acts_until == 0,
         }
     }
 }
@@ -235,7 +235,7 @@
             holder: from,
         };
         self.newest_term = self.newest_term.max(request.term);
-        if request.renewal {
+        if request.is_renewal {
             self.note_holder(now, wanted);
         }
         let is_new = request.term > self.granted_term.number;
@@ -250,12 +250,12 @@
             self.grant_expires_at = now + limits::GRANT_DURATION;
             self.vacant_since = self.vacant_since.max(self.grant_expires_at);
         }
-        let newly_held = granted && request.renewal && self.last_held_term != wanted;
+        let newly_held = granted && request.is_renewal && self.last_held_term != wanted;
         if newly_held {
             self.last_held_term = wanted;
         }
         Vote {
-            granted,
+            is_granted: granted,
             must_persist: granted && (is_new || newly_held),
             newest_term: self.newest_term,
         }
@@ -305,7 +305,7 @@
         if self.current_grant == released {
             self.grant_expires_at = now;
         }
-        self.unused |= self.granted_term == released && release.unused;
+        self.unused |= self.granted_term == released && release.is_unused;
         if let Some((term, until)) = &mut self.known_holder
             && *term == released
         {
@@ -338,7 +338,8 @@
     pub fn handle_vote(&mut self, voter: Voter, vote: LeaseVote, table: &ReplicaTable) -> bool {
         self.newest_term = self.newest_term.max(vote.newest_term);
         let candidacy = self.candidacy.as_mut();
-        let candidacy = candidacy.filter(|candidacy| candidacy.term == vote.term && vote.granted);
+        let candidacy =
+            candidacy.filter(|candidacy| candidacy.term == vote.term && vote.is_granted);
         let Some(candidacy) = candidacy else {
             return false;
         };
@@ -378,7 +379,7 @@
                 Some(LeaseAction::Request(LeaseRequest {
                     term: candidacy.term,
                     sent_at: now,
-                    renewal: candidacy.acts_until > now,
+                    is_renewal: candidacy.acts_until > now,
                 }))
             }
             None if !may_request || now < wake_at => None,
@@ -399,7 +400,7 @@
         LeaseRequest {
             term,
             sent_at: now,
-            renewal: false,
+            is_renewal: false,
         }
     }
 
@@ -466,7 +467,7 @@
             role,
             term: request.term,
             sent_at: request.sent_at,
-            renewal: request.renewal,
+            is_renewal: request.is_renewal,
         };
         self.broadcast(payload, out);
         self.handle_lease_request(now, None, self.table.local(), role, request, out);
@@ -482,7 +483,7 @@
         let payload = Payload::LeaseRelease {
             role,
             term: release.term,
-            unused: release.unused,
+            is_unused: release.is_unused,
         };
         self.broadcast(payload, out);
         let local = self.table.local();
@@ -513,7 +514,7 @@
             role,
             term,
             sent_at: request.sent_at,
-            granted: vote.granted,
+            is_granted: vote.is_granted,
             newest_term: vote.newest_term,
         };
         if vote.must_persist && !self.disk.is_full {
--- a/crates/control/src/core/role_lease/tests.rs
+++ b/crates/control/src/core/role_lease/tests.rs
@@ -15,13 +15,13 @@
     LeaseRequest {
         term,
         sent_at: 0,
-        renewal: false,
+        is_renewal: false,
     }
 }
 
 fn renewal(term: u64) -> LeaseRequest {
     LeaseRequest {
-        renewal: true,
+        is_renewal: true,
         ..acquisition(term)
     }
 }
@@ -30,17 +30,17 @@
 fn an_unused_term_costs_the_holder_no_vote() {
     let voter = || RoleLease::new(SingletonRole::Counter, by(1), 6, Default::default(), 0);
     let mut lease = voter();
-    assert!(lease.handle_request(STEP, by(0), acquisition(4)).granted);
+    assert!(lease.handle_request(STEP, by(0), acquisition(4)).is_granted);
     // The holder is not heard any more; this replica requests the lease, does not win it, and hears the holder again.
     assert!(
         lease
             .handle_request(3 * STEP, by(1), acquisition(5))
-            .granted
+            .is_granted
     );
     assert!(
         !lease
             .handle_request(3 * STEP + 1, by(0), renewal(4))
-            .granted,
+            .is_granted,
         "while the request is open"
     );
     lease.handle_release(
@@ -48,47 +48,47 @@
         by(1),
         LeaseRelease {
             term: 5,
-            unused: true,
+            is_unused: true,
         },
     );
     assert!(
         lease
             .handle_request(3 * STEP + 3, by(0), renewal(4))
-            .granted
+            .is_granted
     );
     // The number is used up all the same, and further unused terms change nothing.
     assert!(
         !lease
             .handle_request(6 * STEP, by(2), acquisition(5))
-            .granted
+            .is_granted
     );
     assert!(
         lease
             .handle_request(6 * STEP, by(2), acquisition(6))
-            .granted
+            .is_granted
     );
     lease.handle_release(
         6 * STEP,
         by(2),
         LeaseRelease {
             term: 6,
-            unused: true,
+            is_unused: true,
         },
     );
     assert!(
         lease
             .handle_request(6 * STEP + 1, by(0), renewal(4))
-            .granted
+            .is_granted
     );
 
     // A term that has only expired, or was released after it was won, is not known to be unused.
     for released in [false, true] {
         let mut lease = voter();
         assert!(
-            lease.handle_request(STEP, by(0), acquisition(4)).granted
+            lease.handle_request(STEP, by(0), acquisition(4)).is_granted
                 && lease
                     .handle_request(3 * STEP, by(1), acquisition(5))
-                    .granted
+                    .is_granted
         );
         if released {
             lease.handle_release(
@@ -96,11 +96,11 @@
                 by(1),
                 LeaseRelease {
                     term: 5,
-                    unused: false,
+                    is_unused: false,
                 },
             );
         }
-        assert!(!lease.handle_request(6 * STEP, by(0), renewal(4)).granted);
+        assert!(!lease.handle_request(6 * STEP, by(0), renewal(4)).is_granted);
     }
 }
 
@@ -149,13 +149,13 @@
     assert_eq!(
         voter
             .handle_request(limits::STARTUP_DELAY, bidder, acquisition(8))
-            .granted,
+            .is_granted,
         granted
     );
     assert_eq!(
         voter
             .handle_request(limits::STARTUP_DELAY + 1, bidder, renewal(8))
-            .granted,
+            .is_granted,
         granted,
         "and then holds it"
     );
@@ -163,7 +163,7 @@
     assert_eq!(
         voter
             .handle_request(limits::GRANT_DURATION, by(5), acquisition(9))
-            .granted,
+            .is_granted,
         !granted
     );
 }
--- a/crates/control/src/core/server_list.rs
+++ b/crates/control/src/core/server_list.rs
@@ -186,7 +186,7 @@
     }
 
     /// Whether this replica is to read the list from the platform.
-    pub fn polls_platform(&self, now: i64) -> bool {
+    pub fn should_poll_platform(&self, now: i64) -> bool {
         let term = self.acting_term(now, SingletonRole::PlatformPoller);
         term.is_some() || self.polls_before_lease()
     }
--- a/crates/control/src/core/status.rs
+++ b/crates/control/src/core/status.rs
@@ -17,17 +17,21 @@
     /// Its zone.
     pub zone: String,
     /// The version of the program.
-    pub program: String,
+    #[serde(rename = "program")]
+    pub program_version: String,
     /// The number of its incarnation; 0 while it recovers.
     pub incarnation: u32,
     /// How often its process has started in this incarnation.
     pub run: u32,
     /// Whether it votes and answers.
-    pub takes_part: bool,
+    #[serde(rename = "takes_part")]
+    pub is_participant: bool,
     /// Whether another machine holds a newer incarnation of it.
-    pub replaced: bool,
+    #[serde(rename = "replaced")]
+    pub is_superseded: bool,
     /// Whether it is in contact with a quorum.
-    pub in_touch: bool,
+    #[serde(rename = "in_touch")]
+    pub has_quorum_contact: bool,
     /// Whether its disk rejects writes.
     pub disk_full: bool,
     /// The number of items that it knows to be chosen, removed ones included.
@@ -35,17 +39,21 @@
     /// The digest of their names and versions, in hexadecimal: equal where the same items are known.
     pub digest: String,
     /// The number of items that were accepted and are not known to be chosen.
-    pub unfinished: usize,
+    #[serde(rename = "unfinished")]
+    pub unconfirmed_items: usize,
     /// The version of the platform's list: the term of the poller, and the number of the list within it.
-    pub servers: (u64, u64),
+    #[serde(rename = "servers")]
+    pub server_list_version: (u64, u64),
     /// All replicas.
     pub replicas: Vec<ReplicaStatus>,
     /// The roles of which one replica performs each.
-    pub duties: Vec<RoleStatus>,
+    #[serde(rename = "duties")]
+    pub roles: Vec<RoleStatus>,
     /// The members, at most [`limits::MAX_LISTED_LIMITERS`] of them.
     pub limiters: Vec<LimiterStatus>,
     /// How many members are left out.
-    pub left_out: usize,
+    #[serde(rename = "left_out")]
+    pub omitted_limiters: usize,
 }
 
 /// A replica as another one sees it.
@@ -58,14 +66,16 @@
     /// Its address, as far as known.
     pub address: Option<SocketAddr>,
     /// Whether it was heard recently; always so of the replica itself.
-    pub heard: bool,
+    #[serde(rename = "heard")]
+    pub is_reachable: bool,
 }
 
 /// A role as a replica sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleStatus {
     /// `poll` or `count`.
-    pub duty: String,
+    #[serde(rename = "duty")]
+    pub role: String,
     /// The zone of the replica that holds the lease; none while no holder is known.
     pub holder: Option<String>,
     /// The term of the lease; 0 without a holder.
@@ -82,13 +92,16 @@
     /// The zone of the replica that its agent is linked to.
     pub replica: String,
     /// Whether its agent is linked; otherwise its lease is about to expire.
-    pub linked: bool,
+    #[serde(rename = "linked")]
+    pub is_connected: bool,
     /// `ready`, `leaving` or `away`.
-    pub standing: String,
+    #[serde(rename = "standing")]
+    pub state: String,
     /// The number of items that it has, if it is linked to the replica that is asked and has reported it.
     pub items: Option<u32>,
     /// For how long it has had other items than this replica, in milliseconds at most; 0 if it has the same.
-    pub behind: Option<i64>,
+    #[serde(rename = "behind")]
+    pub lag_ms: Option<i64>,
 }
 
 impl Status {
@@ -108,25 +121,25 @@
         let replicas = 0..self.table.replica_count() as ReplicaId;
         Status {
             zone: self.zone_of(local.replica),
-            program: env!("CARGO_PKG_VERSION").to_string(),
+            program_version: env!("CARGO_PKG_VERSION").to_string(),
             incarnation: local.incarnation.number,
             run: self.run,
-            takes_part: self.table.is_participant(),
-            replaced: self.table.is_superseded(),
-            in_touch: self.table.has_quorum_contact(now),
+            is_participant: self.table.is_participant(),
+            is_superseded: self.table.is_superseded(),
+            has_quorum_contact: self.table.has_quorum_contact(now),
             disk_full: self.disk.is_full,
             items: summary.items,
             digest: format!("{:016x}", summary.digest),
-            unfinished: self.pending.len(),
-            servers: self.server_list.version(),
+            unconfirmed_items: self.pending.len(),
+            server_list_version: self.server_list.version(),
             replicas: replicas.map(|id| self.replica_status(now, id)).collect(),
-            duties: SingletonRole::ALL
+            roles: SingletonRole::ALL
                 .map(|role| self.role_status(now, role))
                 .into(),
             limiters: limiters
                 .map(|located| self.limiter_status(now, located))
                 .collect(),
-            left_out: members.len().saturating_sub(limits::MAX_LISTED_LIMITERS),
+            omitted_limiters: members.len().saturating_sub(limits::MAX_LISTED_LIMITERS),
         }
     }
 
@@ -140,7 +153,7 @@
             zone: self.zone_of(replica),
             incarnation: self.table.newest_incarnation(replica).number,
             address: self.table.address(replica),
-            heard: self.table.is_reachable(now, replica),
+            is_reachable: self.table.is_reachable(now, replica),
         }
     }
 
@@ -155,7 +168,7 @@
             }
         };
         RoleStatus {
-            duty: role.to_string(),
+            role: role.to_string(),
             holder: holder.map(|replica| self.zone_of(replica)),
             term,
         }
@@ -172,10 +185,10 @@
             node: member.node.name.clone(),
             zone: member.node.zone.clone(),
             replica: self.zone_of(reporter.unwrap_or(self.table.local().replica)),
-            linked: member.connected,
-            standing: standing(member.state).to_string(),
+            is_connected: member.is_connected,
+            state: standing(member.state).to_string(),
             items: state.map(|state| state.items),
-            behind: state.map(|state| state.behind(now, digest) / MICROS_PER_MILLI),
+            lag_ms: state.map(|state| state.behind(now, digest) / MICROS_PER_MILLI),
         }
     }
 }
--- a/crates/control/src/core/status/tests.rs
+++ b/crates/control/src/core/status/tests.rs
@@ -58,7 +58,7 @@
     };
     let digest = Digests::item_digest(&item);
     let mut take =
-        |core: &mut Replica, now, link, up| core.step(now, Input::Agent(link, up), &mut out);
+        |core: &mut Replica, now, link, up| core.step(now, Input::AgentMessage(link, up), &mut out);
     for (link, node) in [(1, "lags"), (2, "holds"), (3, "new")] {
         take(&mut core, 0, link, AgentMessage::Hello(edge(node)));
     }
@@ -72,13 +72,17 @@
     }
     let status = look(&mut core, 1_100_000);
     assert_eq!(
-        (status.zone.as_str(), status.in_touch, status.items),
+        (
+            status.zone.as_str(),
+            status.has_quorum_contact,
+            status.items
+        ),
         ("b", false, 1)
     );
     let seen: Vec<_> = status
         .limiters
         .iter()
-        .map(|one| (one.node.as_str(), one.behind))
+        .map(|one| (one.node.as_str(), one.lag_ms))
         .collect();
     assert_eq!(
         seen,
@@ -88,6 +92,6 @@
         status
             .limiters
             .iter()
-            .all(|one| one.replica == "b" && one.linked)
+            .all(|one| one.replica == "b" && one.is_connected)
     );
 }
--- a/crates/control/src/core/transfer.rs
+++ b/crates/control/src/core/transfer.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Chunk {
     /// The last name of the chunk before this one; none for the first chunk.
-    pub after: Option<ItemName>,
+    pub start_after: Option<ItemName>,
     /// The accepted items, each with its ballot.
     pub items: Vec<(Ballot, Item)>,
     /// What follows this chunk.
@@ -130,7 +130,7 @@
             previous = Some(last.name.clone());
         }
         chunks.push(Chunk {
-            after,
+            start_after: after,
             items,
             continuation,
         });
@@ -142,21 +142,21 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TransferProgress {
     /// Everything up to this name was received.
-    pub after: Option<ItemName>,
+    pub start_after: Option<ItemName>,
     /// Everything was received.
-    pub complete: bool,
+    pub is_complete: bool,
 }
 
 impl TransferProgress {
     /// Takes note of a chunk. Gives what is to be done next, and nothing for a duplicate or a chunk after a gap.
     pub fn record_chunk(&mut self, chunk: &Chunk) -> Option<Continuation> {
-        if self.complete || chunk.after != self.after {
+        if self.is_complete || chunk.start_after != self.start_after {
             return None;
         }
         if let Some((_, last)) = chunk.items.last() {
-            self.after = Some(last.name.clone());
+            self.start_after = Some(last.name.clone());
         }
-        self.complete = chunk.continuation == Continuation::End;
+        self.is_complete = chunk.continuation == Continuation::End;
         Some(chunk.continuation)
     }
 }
--- a/crates/control/src/core/transfer/tests.rs
+++ b/crates/control/src/core/transfer/tests.rs
@@ -26,9 +26,9 @@
     treat: impl Fn(usize, Vec<Chunk>) -> Vec<Chunk>,
 ) -> (Vec<ItemName>, usize) {
     let (mut transfer, mut got, mut asked) = (TransferProgress::default(), Vec::new(), 0);
-    while !transfer.complete && asked < 100 {
+    while !transfer.is_complete && asked < 100 {
         asked += 1;
-        let after = transfer.after.clone();
+        let after = transfer.start_after.clone();
         let rest = all
             .iter()
             .filter(|(_, item)| after.as_ref().is_none_or(|after| item.name > *after));
--- a/crates/control/src/disk/records.rs
+++ b/crates/control/src/disk/records.rs
@@ -197,7 +197,7 @@
         |name, value| {
             let (name, register) = (decode::<ItemName>(name)?, decode::<Register>(value)?);
             if register
-                .accepted
+                .accepted_value
                 .as_ref()
                 .is_some_and(|(_, item)| item.name != name)
             {
--- a/crates/control/src/disk/tests/cost.rs
+++ b/crates/control/src/disk/tests/cost.rs
@@ -130,8 +130,8 @@
             unreachable!()
         };
         let promised = Register {
-            promised: accepted.promised,
-            accepted: None,
+            promised_ballot: accepted.promised_ballot,
+            accepted_value: None,
         };
         kept.commit(&[Record::Register(name.clone(), promised)]);
         kept.commit(&[Record::Register(name.clone(), accepted.clone())]);
--- a/crates/control/src/disk/tests/growth.rs
+++ b/crates/control/src/disk/tests/growth.rs
@@ -29,8 +29,8 @@
             ..Ballot::default()
         };
         let register = Register {
-            promised: ballot,
-            accepted: Some((ballot, item.clone())),
+            promised_ballot: ballot,
+            accepted_value: Some((ballot, item.clone())),
         };
         rows.push(Record::Register(item.name.clone(), register));
         rows.push(Record::Chosen(ballot, item));
--- a/crates/control/src/disk/tests/mod.rs
+++ b/crates/control/src/disk/tests/mod.rs
@@ -241,8 +241,8 @@
         ..Ballot::default()
     };
     let register = Register {
-        promised: ballot,
-        accepted: Some((ballot, item(at, ver))),
+        promised_ballot: ballot,
+        accepted_value: Some((ballot, item(at, ver))),
     };
     vec![
         Record::Register(name(at), register),
--- a/crates/control/src/disk/verify.rs
+++ b/crates/control/src/disk/verify.rs
@@ -174,7 +174,7 @@
     let accepted = restored
         .registers
         .iter()
-        .filter_map(|(_, register)| register.accepted.as_ref());
+        .filter_map(|(_, register)| register.accepted_value.as_ref());
     for (_, item) in accepted.chain(&restored.chosen) {
         let highest = found.highest.entry(item.name.kind.wire_name()).or_default();
         *highest = (*highest).max(item.ver);
--- a/crates/control/src/host/http_calls.rs
+++ b/crates/control/src/host/http_calls.rs
@@ -152,7 +152,7 @@
 
     /// Reads the platform's list, while this replica has that role.
     pub(super) fn poll_platform(&mut self, now: i64) {
-        let holds = self.core.polls_platform(now);
+        let holds = self.core.should_poll_platform(now);
         let Some(poller) = &mut self.poller else {
             return;
         };
--- a/crates/control/src/host/mod.rs
+++ b/crates/control/src/host/mod.rs
@@ -155,8 +155,8 @@
         zones: settings.zones.keys().cloned().collect(),
         zone: settings.zone.clone(),
         address: Some(paths.core),
-        seeds: settings.seed_addresses(),
-        seed: random_seed(settings),
+        seed_addresses: settings.seed_addresses(),
+        random_seed: random_seed(settings),
         recovered,
         transfer_limits: TransferLimits::default(),
     }
@@ -188,7 +188,7 @@
             handle,
             start,
             log,
-            peers: core.peers(),
+            peers: core.peer_addresses(),
             core,
             address,
             lookup_ttl: limits::LOOKUP_TTL.min(settings.bounds.ttl_max.0),
@@ -241,7 +241,7 @@
         match event {
             WriterEvent::Written(id) => {
                 self.check_for_stall();
-                self.step_core(Input::Written(id));
+                self.step_core(Input::WriteCompleted(id));
             }
             WriterEvent::WritesRejected(error) => {
                 error!(self.log, "disk rejects writes, retrying"; "error" => format!("{error:#}"));
@@ -267,7 +267,7 @@
     }
 
     fn next_wake(&self) -> i64 {
-        let polls = self.core.polls_platform(self.now());
+        let polls = self.core.should_poll_platform(self.now());
         let poller = self.poller.as_ref().filter(|_| polls);
         let poll_at = poller.map_or(i64::MAX, PlatformPoller::wake_at);
         let wakes = [self.next_upkeep, poll_at, self.lookups.wake_at()];
--- a/crates/control/src/host/peer_links.rs
+++ b/crates/control/src/host/peer_links.rs
@@ -102,7 +102,9 @@
                 return;
             };
             match frames::decode::<AgentMessage>(&mut connection.input) {
-                Ok(Some(message)) => self.step_core(Input::Agent(key.data().as_ffi(), message)),
+                Ok(Some(message)) => {
+                    self.step_core(Input::AgentMessage(key.data().as_ffi(), message))
+                }
                 Ok(None) => return,
                 Err(error) => {
                     warn!(self.log, "reading an agent's link failed"; "error" => error.to_string(),
--- a/crates/control/src/lookup/tests.rs
+++ b/crates/control/src/lookup/tests.rs
@@ -17,7 +17,7 @@
             "l" => NodeState::Draining,
             _ => NodeState::Unavailable,
         },
-        connected: true,
+        is_connected: true,
     };
     let members: Vec<Member> = edges.split(' ').enumerate().map(one).collect();
     let found = addresses(&members.iter().collect::<Vec<_>>(), asked);
--- a/crates/control/tests/answers.rs
+++ b/crates/control/tests/answers.rs
@@ -47,8 +47,8 @@
             zones: ["a", "b", "c"].map(String::from).to_vec(),
             zone: "a".to_string(),
             address: Some(address(0)),
-            seeds: Vec::new(),
-            seed: 1,
+            seed_addresses: Vec::new(),
+            random_seed: 1,
             transfer_limits: TransferLimits::default(),
             recovered: RecoveredState {
                 metadata: own,
@@ -82,7 +82,7 @@
             self.heard(
                 replica,
                 Payload::Heartbeat(Heartbeat {
-                    reachable: 0b111,
+                    reachable_replicas: 0b111,
                     ..Heartbeat::default()
                 }),
             );
@@ -128,7 +128,7 @@
             holder: speaker(0, run),
         },
         sent_at: at,
-        granted: true,
+        is_granted: true,
         newest_term: number,
     };
     for replica in [1, 2] {
@@ -154,7 +154,7 @@
 /// The answer of a replica that has accepted the same value as the asking one.
 fn same() -> Chunk {
     Chunk {
-        after: None,
+        start_after: None,
         items: Vec::new(),
         continuation: Continuation::End,
     }
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -78,7 +78,7 @@
     let mut cluster = started();
     cluster.cut(&[AT], &OTHERS);
     cluster.run(2 * SECOND);
-    cluster.feed(AT, Input::Agent(1, AgentMessage::Hello(edge("e1"))));
+    cluster.feed(AT, Input::AgentMessage(1, AgentMessage::Hello(edge("e1"))));
     cluster.run(SECOND);
     assert!(told(
         &cluster,
@@ -95,7 +95,7 @@
         cluster.run(10 * MS);
     }
     // Contact is restored, but it does not know what was chosen meanwhile.
-    cluster.feed(AT, Input::Agent(2, AgentMessage::Hello(edge("e2"))));
+    cluster.feed(AT, Input::AgentMessage(2, AgentMessage::Hello(edge("e2"))));
     let knows = |cluster: &Cluster| cluster.chosen(AT).values().any(|item| item.ver == 2);
     assert!(!knows(&cluster) && !told(&cluster, |down| *down == ControlMessage::Complete));
     while !told(&cluster, |down| *down == ControlMessage::Complete) {
@@ -122,7 +122,7 @@
             ttl: SECOND,
         }],
     };
-    cluster.feed(holder, Input::Agent(3, adds));
+    cluster.feed(holder, Input::AgentMessage(3, adds));
     assert!(
         cluster.nodes[holder]
             .told
@@ -171,10 +171,13 @@
 fn lookups_exclude_expired_members(frozen: bool, span: i64, named: &[&str]) {
     let mut cluster = started();
     let beat = |cluster: &mut Cluster, at: usize, link: u64, node: &str| {
-        cluster.feed(at, Input::Agent(link, AgentMessage::Hello(edge(node))));
         cluster.feed(
             at,
-            Input::Agent(link, AgentMessage::Heartbeat(NodeState::Ready)),
+            Input::AgentMessage(link, AgentMessage::Hello(edge(node))),
+        );
+        cluster.feed(
+            at,
+            Input::AgentMessage(link, AgentMessage::Heartbeat(NodeState::Ready)),
         );
     };
     beat(&mut cluster, 0, 1, "far");
@@ -191,7 +194,7 @@
         if !frozen {
             cluster.feed(
                 AT,
-                Input::Agent(2, AgentMessage::Heartbeat(NodeState::Ready)),
+                Input::AgentMessage(2, AgentMessage::Heartbeat(NodeState::Ready)),
             );
         }
     }
--- a/crates/control/tests/distribution.rs
+++ b/crates/control/tests/distribution.rs
@@ -17,7 +17,10 @@
     cluster.run(SECOND);
     cluster.wipe(5);
     cluster.start(5);
-    cluster.feed(5, Input::Agent(1, AgentMessage::Hello(edge("e1", "f"))));
+    cluster.feed(
+        5,
+        Input::AgentMessage(1, AgentMessage::Hello(edge("e1", "f"))),
+    );
     let heard = |cluster: &Cluster| {
         // Empty, and not the first message: a heartbeat.
         let sign = |(at, down): &(usize, &ControlMessage)| {
@@ -66,8 +69,8 @@
             zones,
             zone,
             address,
-            seeds,
-            seed: 1,
+            seed_addresses: seeds,
+            random_seed: 1,
             recovered: restored,
             ..ReplicaConfig::default()
         },
@@ -75,7 +78,7 @@
     let mut out = Vec::new();
     core.step(
         0,
-        Input::Agent(1, AgentMessage::Hello(edge("e1", "a"))),
+        Input::AgentMessage(1, AgentMessage::Hello(edge("e1", "a"))),
         &mut out,
     );
     (1..10).for_each(|beat| core.step(beat * 500 * MS, Input::Tick, &mut out));
@@ -89,10 +92,13 @@
 #[test]
 fn members_renew_anywhere_and_one_replica_counts() {
     let mut cluster = started(10);
-    cluster.feed(1, Input::Agent(1, AgentMessage::Hello(edge("e1", "a"))));
     cluster.feed(
         1,
-        Input::Agent(1, AgentMessage::Heartbeat(NodeState::Ready)),
+        Input::AgentMessage(1, AgentMessage::Hello(edge("e1", "a"))),
+    );
+    cluster.feed(
+        1,
+        Input::AgentMessage(1, AgentMessage::Heartbeat(NodeState::Ready)),
     );
     cluster.run(100 * MS);
     let members = |cluster: &Cluster, at: usize| {
@@ -108,10 +114,13 @@
     // It moves to another replica, where it drains; what the first one reports of it does not count
     // any more.
     cluster.feed(1, Input::AgentDisconnected(1));
-    cluster.feed(4, Input::Agent(2, AgentMessage::Hello(edge("e1", "a"))));
     cluster.feed(
         4,
-        Input::Agent(2, AgentMessage::Heartbeat(NodeState::Draining)),
+        Input::AgentMessage(2, AgentMessage::Hello(edge("e1", "a"))),
+    );
+    cluster.feed(
+        4,
+        Input::AgentMessage(2, AgentMessage::Heartbeat(NodeState::Draining)),
     );
     cluster.run(100 * MS);
     assert!(
@@ -130,8 +139,8 @@
             ttl: SECOND,
         }],
     };
-    cluster.feed(3, Input::Agent(3, add(TIME)));
-    cluster.feed(2, Input::Agent(4, add(TIME)));
+    cluster.feed(3, Input::AgentMessage(3, add(TIME)));
+    cluster.feed(2, Input::AgentMessage(4, add(TIME)));
     assert_eq!(
         cluster.nodes[3].told.last().unwrap().1,
         ControlMessage::Totals {
@@ -161,7 +170,7 @@
         }],
     };
     let counted = |cluster: &mut Cluster, link, time| {
-        cluster.feed(3, Input::Agent(link, add(time)));
+        cluster.feed(3, Input::AgentMessage(link, add(time)));
         matches!(
             cluster.nodes[3].told.last(),
             Some((_, ControlMessage::Totals { .. }))
@@ -182,7 +191,7 @@
     assert!(counted(&mut cluster, 1, TIME + 4_010 * MS));
     // The other replicas know it by heartbeats, and a counter that moves continues with it.
     cluster.run(SECOND);
-    cluster.feed(5, Input::Agent(9, AgentMessage::Clock(0)));
+    cluster.feed(5, Input::AgentMessage(9, AgentMessage::Clock(0)));
     let told = cluster.nodes[5].told.last().unwrap();
     assert!(
         matches!(told, (9, ControlMessage::Clock(time)) if *time > TIME + 4 * SECOND),
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -74,7 +74,7 @@
 fn question() -> TransferRequest {
     TransferRequest {
         digests: vec![0, 1, u64::MAX],
-        after: Some(name("m")),
+        start_after: Some(name("m")),
     }
 }
 
@@ -95,7 +95,7 @@
     Member {
         node: edge,
         state: standing,
-        connected: linked,
+        is_connected: linked,
     }
 }
 
@@ -113,7 +113,7 @@
 
 fn pieces() -> [(&'static str, Chunk); 3] {
     let piece = |after: Option<ItemName>, then| Chunk {
-        after,
+        start_after: after,
         items: vec![entry("n", 8)],
         continuation: then,
     };
@@ -132,7 +132,7 @@
 
 fn bodies() -> Vec<(&'static str, Payload)> {
     let beat = Heartbeat {
-        reachable: 1 << 127 | 5,
+        reachable_replicas: 1 << 127 | 5,
         chosen_digest: 6,
         server_list_version: (7, 8),
         membership_digest: 9,
@@ -141,11 +141,11 @@
     let moved = MembershipDelta {
         digest_before: 1,
         digest_after: 2,
-        changed: vec![
+        changed_members: vec![
             told(NodeState::Ready, true),
             told(NodeState::Unavailable, false),
         ],
-        removed: vec!["edge-9".into()],
+        removed_names: vec!["edge-9".into()],
     };
     let share = ReplicaLoad {
         offered: vec![(0, 1.5), (63, 2.0)],
@@ -187,7 +187,7 @@
             "rejected",
             Payload::Nack {
                 ballot: ballot(5),
-                seen: ballot(6),
+                higher_ballot: ballot(6),
             },
         ),
         ("chosen", Payload::Chosen(ballot(5))),
@@ -209,7 +209,7 @@
             "fetch",
             Payload::FetchRequest {
                 id: 9,
-                wanted: vec![1, u64::MAX],
+                keys: vec![1, u64::MAX],
             },
         ),
         (
@@ -246,7 +246,7 @@
             "incarnation recorded",
             Payload::IncarnationRecorded {
                 incarnation: speaker().incarnation,
-                floor: ballot(5),
+                promise_floor: ballot(5),
                 chunk: ask,
                 terms: vec![term(), Term::default()],
             },
@@ -257,7 +257,7 @@
                 role: SingletonRole::PlatformPoller,
                 term: 12,
                 sent_at: 13,
-                renewal: false,
+                is_renewal: false,
             },
         ),
         (
@@ -266,7 +266,7 @@
                 role: SingletonRole::Counter,
                 term: 12,
                 sent_at: 13,
-                renewal: true,
+                is_renewal: true,
             },
         ),
         (
@@ -275,7 +275,7 @@
                 role: SingletonRole::Counter,
                 term: term(),
                 sent_at: 13,
-                granted: true,
+                is_granted: true,
                 newest_term: 14,
             },
         ),
@@ -284,7 +284,7 @@
             Payload::LeaseRelease {
                 role: SingletonRole::PlatformPoller,
                 term: 12,
-                unused: true,
+                is_unused: true,
             },
         ),
         (
@@ -373,14 +373,14 @@
     let own = ReplicaMetadata {
         incarnation: speaker().incarnation,
         run: 4,
-        floor: ballot(5),
+        promise_floor: ballot(5),
         terms: vec![term(), Term::default()],
         incarnations: vec![Incarnation::FIRST, speaker().incarnation],
         addresses: vec![Some(address(10)), None],
     };
     let register = Register {
-        promised: ballot(301),
-        accepted: Some(entry("a", 1)),
+        promised_ballot: ballot(301),
+        accepted_value: Some(entry("a", 1)),
     };
     let mut text = encodings(&[
         ("metadata, none", ReplicaMetadata::default()),
@@ -430,25 +430,25 @@
 fn json_of_a_status_keeps_its_keys() {
     let status = Status {
         zone: "alajuela".into(),
-        program: "0.1.0".into(),
+        program_version: "0.1.0".into(),
         incarnation: 3,
         run: 4,
-        takes_part: true,
-        replaced: false,
-        in_touch: true,
+        is_participant: true,
+        is_superseded: false,
+        has_quorum_contact: true,
         disk_full: false,
         items: 350,
         digest: "0123456789abcdef".into(),
-        unfinished: 2,
-        servers: (4, 9),
+        unconfirmed_items: 2,
+        server_list_version: (4, 9),
         replicas: vec![ReplicaStatus {
             zone: "heredia".into(),
             incarnation: 1,
             address: Some(address(11)),
-            heard: true,
+            is_reachable: true,
         }],
-        duties: vec![RoleStatus {
-            duty: "poll".into(),
+        roles: vec![RoleStatus {
+            role: "poll".into(),
             holder: Some("heredia".into()),
             term: 12,
         }],
@@ -456,12 +456,12 @@
             node: "edge-1".into(),
             zone: "alajuela".into(),
             replica: "heredia".into(),
-            linked: true,
-            standing: "ready".into(),
+            is_connected: true,
+            state: "ready".into(),
             items: Some(349),
-            behind: Some(40),
+            lag_ms: Some(40),
         }],
-        left_out: 1,
+        omitted_limiters: 1,
     };
     let json = status.json();
     assert_eq!(serde_json::from_slice::<Status>(&json).unwrap(), status);
--- a/crates/control/tests/roles.rs
+++ b/crates/control/tests/roles.rs
@@ -123,11 +123,14 @@
         cluster.nodes[at]
             .core
             .as_ref()
-            .is_some_and(|core| core.polls_platform(cluster.now))
+            .is_some_and(|core| core.should_poll_platform(cluster.now))
     };
     ALL.iter().for_each(|at| cluster.kill(*at));
     ALL.iter().for_each(|at| cluster.start(*at));
-    cluster.feed(2, Input::Agent(1, AgentMessage::Hello(edge("e1", "c"))));
+    cluster.feed(
+        2,
+        Input::AgentMessage(1, AgentMessage::Hello(edge("e1", "c"))),
+    );
     // Two of six, so that many replicas keep to the platform's rate limit.
     assert_eq!(ALL.iter().filter(|at| polls(&cluster, **at)).count(), 2);
     cluster.run(500 * MS);
@@ -193,7 +196,10 @@
 #[test]
 fn server_list_reaches_all_replicas() {
     let mut cluster = started(11);
-    cluster.feed(5, Input::Agent(1, AgentMessage::Hello(edge("e1", "f"))));
+    cluster.feed(
+        5,
+        Input::AgentMessage(1, AgentMessage::Hello(edge("e1", "f"))),
+    );
     cluster.cut(&[5], &[0, 1, 2, 3, 4]);
     cluster.feed(0, Input::ServerListRead(vec![]));
     // A replica without the role has no say.
--- a/crates/control/tests/transfers.rs
+++ b/crates/control/tests/transfers.rs
@@ -36,8 +36,8 @@
         (
             item.name.clone(),
             Register {
-                promised: ballot,
-                accepted: Some((ballot, item)),
+                promised_ballot: ballot,
+                accepted_value: Some((ballot, item)),
             },
         )
     };
@@ -62,7 +62,7 @@
         ReplicaConfig {
             zones,
             zone,
-            seed: 1,
+            random_seed: 1,
             recovered: restored,
             transfer_limits: bounds,
             ..ReplicaConfig::default()
@@ -91,7 +91,7 @@
     let mut told = take(
         &mut core,
         500 * MS,
-        Input::Agent(7, AgentMessage::Hello(edge)),
+        Input::AgentMessage(7, AgentMessage::Hello(edge)),
     );
     let (mut held, mut open, mut whole, mut asked) = (0, 0, false, 0);
     loop {
@@ -115,7 +115,7 @@
             items: held as u32,
             digest: 1,
         };
-        told = take(&mut core, 500 * MS + asked, Input::Agent(7, holding));
+        told = take(&mut core, 500 * MS + asked, Input::AgentMessage(7, holding));
     }
     assert_eq!((held, whole), (200, true));
 }
@@ -155,7 +155,7 @@
         let hears = 0b11;
         from_other(Payload::Heartbeat(
             control::core::peer_messages::Heartbeat {
-                reachable: hears,
+                reachable_replicas: hears,
                 chosen_digest: chosen,
                 ..Default::default()
             },
@@ -189,7 +189,7 @@
     };
     let first = bodies(take(&mut core, 1_300 * MS, entries(ids[0])));
     let fetch = first.iter().find_map(|body| match body {
-        Payload::FetchRequest { id, wanted } => Some((*id, wanted.len())),
+        Payload::FetchRequest { id, keys: wanted } => Some((*id, wanted.len())),
         _ => None,
     });
     let (id, wanted) = fetch.expect("nothing is fetched");
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -66,7 +66,7 @@
     for status in told.iter().filter_map(|told| told.status.as_ref()) {
         for limiter in &status.limiters {
             // The replica that it is linked to knows most; without, who knows it to be linked.
-            let rank = |one: &LimiterStatus| (one.items.is_some(), one.linked);
+            let rank = |one: &LimiterStatus| (one.items.is_some(), one.is_connected);
             let held = limiters.get(&limiter.node);
             if held.is_none_or(|held| rank(held) < rank(limiter)) {
                 limiters.insert(limiter.node.clone(), limiter.clone());
@@ -92,15 +92,15 @@
         let zone = &status.zone;
         let states = [
             (
-                status.replaced,
+                status.is_superseded,
                 "was replaced: another machine stands for its replica",
             ),
             (
-                !status.replaced && !status.takes_part,
+                !status.is_superseded && !status.is_participant,
                 "has not rebuilt its disk yet",
             ),
             (
-                status.takes_part && !status.in_touch,
+                status.is_participant && !status.has_quorum_contact,
                 "is out of touch with more than half of the replicas",
             ),
             (status.disk_full, "has a full disk"),
@@ -111,22 +111,25 @@
                 .filter(|(is, _)| *is)
                 .map(|(_, text)| format!("replica {zone} {text}")),
         );
-        if !status.takes_part || !status.in_touch {
+        if !status.is_participant || !status.has_quorum_contact {
             continue;
         }
-        let silent = status.replicas.iter().filter(|replica| !replica.heard);
+        let silent = status
+            .replicas
+            .iter()
+            .filter(|replica| !replica.is_reachable);
         found.extend(
             silent.map(|replica| format!("replica {zone} does not hear replica {}", replica.zone)),
         );
-        let vacant = status.duties.iter().filter(|duty| duty.holder.is_none());
+        let vacant = status.roles.iter().filter(|duty| duty.holder.is_none());
         found.extend(
-            vacant.map(|duty| format!("replica {zone} knows nobody with the duty {}", duty.duty)),
+            vacant.map(|duty| format!("replica {zone} knows nobody with the duty {}", duty.role)),
         );
     }
     let parts = || {
         told.iter()
             .filter_map(|told| told.status.as_ref())
-            .filter(|status| status.in_touch)
+            .filter(|status| status.has_quorum_contact)
     };
     if let Some(first) = parts().next() {
         let other = parts().filter(|status| status.digest != first.digest);
@@ -139,14 +142,14 @@
     }
     for limiter in limiters {
         let node = &limiter.node;
-        if !limiter.linked {
+        if !limiter.is_connected {
             found.push(format!(
                 "limiter {node} is linked to no replica, its lease runs out"
             ));
-        } else if limiter.standing != "ready" {
-            found.push(format!("limiter {node} is {}", limiter.standing));
+        } else if limiter.state != "ready" {
+            found.push(format!("limiter {node} is {}", limiter.state));
         }
-        if let Some(behind) = limiter.behind.filter(|behind| *behind > LAG) {
+        if let Some(behind) = limiter.lag_ms.filter(|behind| *behind > LAG) {
             found.push(format!("limiter {node} has lagged for up to {behind} ms"));
         }
     }
@@ -169,19 +172,22 @@
         )?;
         for status in self.told.iter().filter_map(|told| told.status.as_ref()) {
             let touch = match status {
-                status if status.replaced => "replaced",
-                status if !status.takes_part => "rebuilds",
-                status if !status.in_touch => "out",
+                status if status.is_superseded => "replaced",
+                status if !status.is_participant => "rebuilds",
+                status if !status.has_quorum_contact => "out",
                 _ => "in",
             };
             let own = status
-                .duties
+                .roles
                 .iter()
                 .filter(|duty| duty.holder.as_ref() == Some(&status.zone));
             let own: Vec<String> = own
-                .map(|duty| format!("{} (term {})", duty.duty, duty.term))
+                .map(|duty| format!("{} (term {})", duty.role, duty.term))
                 .collect();
-            let list = format!("{}.{}", status.servers.0, status.servers.1);
+            let list = format!(
+                "{}.{}",
+                status.server_list_version.0, status.server_list_version.1
+            );
             writeln!(
                 f,
                 "{:<12} {:<6} {:<4} {touch:<9} {:<7} {:<17} {list:<10} {}",
@@ -201,19 +207,19 @@
         for one in &self.limiters {
             let items = one.items.map_or("?".to_string(), |items| items.to_string());
             let behind = one
-                .behind
+                .lag_ms
                 .map_or("?".to_string(), |behind| format!("{behind} ms"));
             writeln!(
                 f,
                 "{:<20} {:<12} {:<12} {:<8} {items:<7} {behind}",
-                one.node, one.zone, one.replica, one.standing
+                one.node, one.zone, one.replica, one.state
             )?;
         }
         let left: usize = self
             .told
             .iter()
             .filter_map(|told| told.status.as_ref())
-            .map(|s| s.left_out)
+            .map(|s| s.omitted_limiters)
             .max()
             .unwrap_or(0);
         if left > 0 {
--- a/crates/ctl/tests/golden.rs
+++ b/crates/ctl/tests/golden.rs
@@ -17,22 +17,22 @@
     let address = "10.1.0.10:7740".parse().ok();
     Status {
         zone: "alajuela".into(),
-        program: "0.1.0".into(),
+        program_version: "0.1.0".into(),
         incarnation: 3,
         run: 4,
-        takes_part: true,
-        in_touch: true,
+        is_participant: true,
+        has_quorum_contact: true,
         items: 350,
         digest: "0123456789abcdef".into(),
-        servers: (4, 9),
+        server_list_version: (4, 9),
         replicas: vec![ReplicaStatus {
             zone: "heredia".into(),
             incarnation: 1,
             address,
-            heard: true,
+            is_reachable: true,
         }],
-        duties: vec![RoleStatus {
-            duty: "count".into(),
+        roles: vec![RoleStatus {
+            role: "count".into(),
             holder: None,
             term: 0,
         }],
@@ -40,10 +40,10 @@
             node: "edge-1".into(),
             zone: "alajuela".into(),
             replica: "alajuela".into(),
-            linked: true,
-            standing: "leaving".into(),
+            is_connected: true,
+            state: "leaving".into(),
             items: Some(349),
-            behind: Some(4_001),
+            lag_ms: Some(4_001),
         }],
         ..Status::default()
     }
--- a/crates/ctl/tests/system.rs
+++ b/crates/ctl/tests/system.rs
@@ -51,7 +51,7 @@
     // Each limiter is at the replica of its zone, and holds all.
     let settled = |view: &View| {
         let well = |one: &control::core::status::LimiterStatus| {
-            one.behind == Some(0) && one.replica == one.zone
+            one.lag_ms == Some(0) && one.replica == one.zone
         };
         view.findings.is_empty() && view.limiters.len() == 3 && view.limiters.iter().all(well)
     };
--- a/crates/model-check/tests/side_by_side/world.rs
+++ b/crates/model-check/tests/side_by_side/world.rs
@@ -121,12 +121,12 @@
         let setup = ReplicaConfig {
             zone: zones[self.state.machines[machine].replica].clone(),
             address: Some(address(machine)),
-            seeds: (0..zones.len())
+            seed_addresses: (0..zones.len())
                 .filter(|other| *other != machine)
                 .map(address)
                 .collect(),
             zones,
-            seed: seed << 8 | machine as u64,
+            random_seed: seed << 8 | machine as u64,
             transfer_limits: TransferLimits::default(),
             recovered: RecoveredState {
                 metadata: disk.own.clone(),
@@ -172,7 +172,7 @@
                     }
                     Output::Write(number, rows) => {
                         rows.into_iter().for_each(|row| self.written(at, row));
-                        inputs.insert(0, Input::Written(number));
+                        inputs.insert(0, Input::WriteCompleted(number));
                     }
                     Output::Answer(_, reply) => given.replies.push(reply),
                     _ => {}
@@ -202,14 +202,14 @@
         );
         if model.status == Status::Member {
             let register = disk.register.clone().unwrap_or_default();
-            let promised = register.promised.max(disk.own.floor);
+            let promised = register.promised_ballot.max(disk.own.promise_floor);
             assert_eq!(
                 self.names.ballot(promised),
                 model.promised,
                 "promised by {at}"
             );
             assert_eq!(
-                self.names.accepted(register.accepted.as_ref()),
+                self.names.accepted(register.accepted_value.as_ref()),
                 model.accepted,
                 "accepted by {at}"
             );
@@ -248,7 +248,7 @@
                 known.machine()
             };
             let body = Payload::Heartbeat(Heartbeat {
-                reachable: u128::MAX,
+                reachable_replicas: u128::MAX,
                 counter_clock: NOW,
                 ..Heartbeat::default()
             });
@@ -479,7 +479,7 @@
             }
             Payload::IncarnationRecorded {
                 incarnation,
-                floor,
+                promise_floor: floor,
                 chunk: piece,
                 ..
             } if counts => {
@@ -545,7 +545,10 @@
                 );
                 Some(Verdict::Promises(self.names.accepted(accepted.first())))
             }
-            Payload::Nack { seen, .. } => Some(Verdict::Refuses(self.names.ballot(*seen))),
+            Payload::Nack {
+                higher_ballot: seen,
+                ..
+            } => Some(Verdict::Refuses(self.names.ballot(*seen))),
             _ => None,
         });
         assert_eq!(
@@ -564,7 +567,10 @@
         let verdict = self.state.accept(at, ballot, value, None);
         let code = given.find(|sent| match &sent.payload {
             Payload::Accepted(_) => Some(Verdict::Accepts),
-            Payload::Nack { seen, .. } => Some(Verdict::Refuses(self.names.ballot(*seen))),
+            Payload::Nack {
+                higher_ballot: seen,
+                ..
+            } => Some(Verdict::Refuses(self.names.ballot(*seen))),
             _ => None,
         });
         assert_eq!(
@@ -685,7 +691,7 @@
         );
         let code = given.find(|sent| match &sent.payload {
             Payload::IncarnationRecorded {
-                floor,
+                promise_floor: floor,
                 chunk: piece,
                 ..
             } => {
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -373,7 +373,7 @@
         if self.has(Bug::Sync) {
             self.enter(
                 now + 1,
-                Event::Feed(at, incarnation, Box::new(Input::Written(number))),
+                Event::Feed(at, incarnation, Box::new(Input::WriteCompleted(number))),
             );
             return self.enter(when + 2 * SECOND, Event::Synced(at, incarnation, number));
         }
@@ -433,7 +433,7 @@
                 }
                 for number in node.disk.sync(number) {
                     if !self.harm.unreported.remove(&(at, incarnation, number)) {
-                        self.feed(at, Input::Written(number));
+                        self.feed(at, Input::WriteCompleted(number));
                     }
                 }
             }
--- a/crates/simulation/src/cluster/machines.rs
+++ b/crates/simulation/src/cluster/machines.rs
@@ -77,13 +77,13 @@
             zones: self.zones.clone(),
             zone: self.zones[node.zone].clone(),
             address: Some(node.address),
-            seeds,
-            seed: mix(&[self.seed, 2, at as u64, node.incarnation]),
+            seed_addresses: seeds,
+            random_seed: mix(&[self.seed, 2, at as u64, node.incarnation]),
             recovered: node.disk.restore(),
             transfer_limits: BOUNDS,
         };
         let core = Replica::new(node.clock.at(self.now), setup);
-        node.peers = core.peers();
+        node.peers = core.peer_addresses();
         node.core = Some(core);
         (node.frozen, node.slow, node.busy) = (false, 0, 0);
         if node.disk.full {
@@ -164,7 +164,7 @@
             (self.now, self.nodes[at].stood, self.nodes[at].incarnation);
         for (when, input) in std::mem::take(&mut self.nodes[at].inbox) {
             let kept = match &input {
-                Input::PeerMessage(..) | Input::PeerConnected(_) | Input::Agent(..) => {
+                Input::PeerMessage(..) | Input::PeerConnected(_) | Input::AgentMessage(..) => {
                     self.has(Bug::Queued) && when < stood + PEER_LINK_TIMEOUT
                 }
                 Input::ServerListRead(_) => false,
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -80,7 +80,7 @@
     pub fn version(&self, name: &ItemName) -> Option<u64> {
         self.registers
             .get(name)?
-            .accepted
+            .accepted_value
             .as_ref()
             .map(|(_, item)| item.ver)
     }
@@ -96,7 +96,7 @@
     pub fn forget_dropped(&mut self) {
         self.registers.retain(|_, register| {
             register
-                .accepted
+                .accepted_value
                 .as_ref()
                 .is_none_or(|(_, item)| item.spec.is_some())
         });
--- a/crates/simulation/src/edges/agents.rs
+++ b/crates/simulation/src/edges/agents.rs
@@ -126,7 +126,7 @@
                 self.edges[edge].heard = now;
             }
             for _ in 0..self.harmed_up(id, &up) {
-                self.feed(node, Input::Agent(id, up.clone()));
+                self.feed(node, Input::AgentMessage(id, up.clone()));
             }
         }
     }
--- a/crates/simulation/src/harm.rs
+++ b/crates/simulation/src/harm.rs
@@ -221,9 +221,13 @@
             (Some(Bug::Halves), Payload::Accept { items, .. }) if items.len() > 1 => {
                 _ = items.pop()
             }
-            (Some(Bug::Floor), Payload::IncarnationRecorded { floor, .. }) => {
-                *floor = Ballot::default()
-            }
+            (
+                Some(Bug::Floor),
+                Payload::IncarnationRecorded {
+                    promise_floor: floor,
+                    ..
+                },
+            ) => *floor = Ballot::default(),
             (Some(Bug::Hollow), Payload::IncarnationRecorded { chunk: piece, .. }) => {
                 piece.items.clear()
             }
@@ -369,7 +373,10 @@
                     .accepts
                     .insert((from, to, *ballot), peer_message.clone());
             }
-            Payload::Nack { ballot, seen } => {
+            Payload::Nack {
+                ballot,
+                higher_ballot: seen,
+            } => {
                 // What it has promised it forgets, and accepts.
                 if let Some(mut accept) = self.harm.accepts.remove(&(to, from, *ballot)) {
                     self.harm.forgot.insert((from, to, *seen), *ballot);
--- a/crates/simulation/src/scale/world.rs
+++ b/crates/simulation/src/scale/world.rs
@@ -136,8 +136,8 @@
         (
             item.name.clone(),
             Register {
-                promised: ballot,
-                accepted: Some((ballot, item.clone())),
+                promised_ballot: ballot,
+                accepted_value: Some((ballot, item.clone())),
             },
         )
     };
@@ -241,14 +241,14 @@
             zones: self.zones.clone(),
             zone: self.zones[zone].clone(),
             address: Some(address),
-            seeds,
-            seed: 77 + at as u64,
+            seed_addresses: seeds,
+            random_seed: 77 + at as u64,
             recovered: restored,
             transfer_limits: TransferLimits::default(),
         };
         let offset = 1_000 * SECOND + at as i64 * 7_919;
         let core = Replica::new(self.now + offset, setup);
-        let peers = core.peers();
+        let peers = core.peer_addresses();
         self.places.insert(address, at);
         self.replicas.push(SimulatedReplica {
             core: Some(core),
@@ -643,7 +643,7 @@
                     Input::PeerMessage(address, Rc::unwrap_or_clone(peer_message)),
                 );
             }
-            Event::Written(replica, number) => self.feed(replica, Input::Written(number)),
+            Event::Written(replica, number) => self.feed(replica, Input::WriteCompleted(number)),
             Event::Tick(replica, tick) if self.replicas[replica].tick == tick => {
                 self.feed(replica, Input::Tick)
             }
@@ -651,7 +651,7 @@
             Event::Dial => self.dial(),
             Event::Open(agent) => self.open(agent),
             Event::Up(replica, link, up) if self.conns.contains_key(&link) => {
-                self.feed(replica, Input::Agent(link, up))
+                self.feed(replica, Input::AgentMessage(link, up))
             }
             Event::Up(..) => {}
             Event::Down(agent, link, news) => self.down(agent, link, news),
