--- a/crates/control/src/core/acceptor.rs
+++ b/crates/control/src/core/acceptor.rs
@@ -28,7 +28,10 @@
         match self.registers.prepare(ballot, names) {
             Ok(accepted) => {
                 let records = self.register_records(names.iter());
-                let promise = Payload::Promise { ballot, accepted };
+                let promise = Payload::Promise {
+                    ballot,
+                    accepted_values: accepted,
+                };
                 self.write(records, Some(PendingWrite::Vote(from, promise)), out);
             }
             Err(seen) => self.deliver_vote(
--- a/crates/control/src/core/catch_up.rs
+++ b/crates/control/src/core/catch_up.rs
@@ -142,7 +142,7 @@
             return;
         }
         let matched = self.catch_up.matched_replicas.count_ones() as usize + 1;
-        let quorum_matches = matched >= self.table.quorum() && self.pending.is_empty();
+        let quorum_matches = matched >= self.table.quorum_size() && self.pending.is_empty();
         let deadline = now + limits::CATCH_UP_DURATION;
         let deadline = *self.catch_up.read_at.get_or_insert(deadline);
         if (quorum_matches || now >= deadline) && self.table.is_participant() {
--- a/crates/control/src/core/dispatch.rs
+++ b/crates/control/src/core/dispatch.rs
@@ -45,10 +45,10 @@
         out: &mut Vec<Output>,
     ) {
         let reception = self.table.record_message(now, from, &message);
-        if reception.changed {
+        if reception.table_changed {
             self.handle_replicas_changed(now, out);
         }
-        if reception.returned {
+        if reception.sender_returned {
             self.greet_replica(from, out);
         }
         let sender = Sender {
@@ -87,7 +87,10 @@
         out: &mut Vec<Output>,
     ) {
         if let Payload::ReplicaAddresses(addresses) = &message.payload {
-            if self.table.knows_more(&message.incarnations, addresses) {
+            if self
+                .table
+                .has_address_missing_from(&message.incarnations, addresses)
+            {
                 self.greet_replica(sender.address, out);
             }
             return;
--- a/crates/control/src/core/handover.rs
+++ b/crates/control/src/core/handover.rs
@@ -128,7 +128,7 @@
     /// Whether everything is handed over. The first time that it seems so, voting ends and all are queried again.
     fn check_handover(&self, handover: &mut Handover, out: &mut Vec<Output>) -> bool {
         let others = self.table.replica_count() - 1;
-        let needed = self.table.quorum().min(others);
+        let needed = self.table.quorum_size().min(others);
         if self.table.is_superseded() {
             return handover.successor_seen && handover.complete_receivers() + 1 >= needed;
         }
--- a/crates/control/src/core/heartbeat.rs
+++ b/crates/control/src/core/heartbeat.rs
@@ -34,7 +34,7 @@
                 self.broadcast_addresses(out);
             }
         }
-        if self.table.quorum() == 1 {
+        if self.table.quorum_size() == 1 {
             // The only replica receives no heartbeats that would make it check this.
             self.update_up_to_date(now, out);
         }
@@ -102,7 +102,7 @@
         out.push(Output::Peers(self.table.peer_addresses()));
         if self.table.is_abandoned() {
             out.push(Output::Log(Event::AbandonedIncarnation));
-            self.table.relinquish();
+            self.table.relinquish_incarnation();
             // Its disk still holds the registers, so that the others need to send what differs alone.
             let accepted = self.registers.accepted_entries();
             self.recovery = Some(Recovery::from_accepted(accepted));
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -147,7 +147,7 @@
             }
         }
         let role_leases = SingletonRole::ALL.map(|role| {
-            let stored = role_lease::StoredTerms::of(&metadata.terms, role);
+            let stored = role_lease::StoredTerms::for_role(&metadata.terms, role);
             RoleLease::new(role, local, replica_count, stored, now)
         });
         Replica {
@@ -297,8 +297,8 @@
     pub fn pending_counts(&self) -> PendingCounts {
         PendingCounts {
             proposals: self.proposals.len(),
-            calls: self.proposals.calls(),
-            reads: self.reads.calls(),
+            calls: self.proposals.call_count(),
+            reads: self.reads.call_count(),
             writes: self.disk.pending_writes(),
             repairs: self.pending.len(),
         }
@@ -306,7 +306,7 @@
 
     /// Whether every call that was taken has been answered.
     pub fn is_idle(&self) -> bool {
-        self.proposals.calls() == 0 && self.reads.calls() == 0
+        self.proposals.call_count() == 0 && self.reads.call_count() == 0
     }
 
     fn lease(&self, role: SingletonRole) -> &RoleLease {
--- a/crates/control/src/core/peer_messages.rs
+++ b/crates/control/src/core/peer_messages.rs
@@ -80,7 +80,7 @@
         /// The ballot of the proposal.
         ballot: Ballot,
         /// The accepted values of the registers that have one.
-        accepted: Vec<(Ballot, Item)>,
+        accepted_values: Vec<(Ballot, Item)>,
     },
     /// Phase 2 of a proposal: requests acceptance.
     Accept {
--- a/crates/control/src/core/proposal.rs
+++ b/crates/control/src/core/proposal.rs
@@ -98,9 +98,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
     /// The least time.
-    pub minimum: i64,
+    pub minimum_us: i64,
     /// The bound of the random time on top.
-    pub jitter: u64,
+    pub max_jitter_us: u64,
 }
 
 /// A proposal in progress.
@@ -114,7 +114,7 @@
     /// The replicas that have rejected its present ballot.
     rejections: BTreeSet<ReplicaId>,
     attempts: u32,
-    reported: bool,
+    outcome_reported: bool,
     /// What is reported once the proposed values are chosen.
     outcome: Outcome,
     /// The highest version of values of its own that it has proposed: they may come into force whatever is found later.
@@ -124,7 +124,7 @@
     /// When it is to be looked at again.
     pub wake_at: i64,
     /// The highest ballot that it was rejected for.
-    pub highest_seen: Ballot,
+    pub highest_rejecting_ballot: Ballot,
 }
 
 impl Proposal {
@@ -137,12 +137,12 @@
             votes: BTreeMap::new(),
             rejections: BTreeSet::new(),
             attempts: 0,
-            reported: false,
+            outcome_reported: false,
             outcome: Outcome::Done,
             proposed_version: None,
             deadline,
             wake_at: now,
-            highest_seen: Ballot::default(),
+            highest_rejecting_ballot: Ballot::default(),
         }
     }
 
@@ -162,8 +162,8 @@
     }
 
     /// Whether its outcome was reported.
-    pub fn is_reported(&self) -> bool {
-        self.reported
+    pub fn has_reported_outcome(&self) -> bool {
+        self.outcome_reported
     }
 
     /// Whether it only completes what others began.
@@ -189,25 +189,25 @@
     pub fn start(&mut self, now: i64, ballot: Ballot) -> Action {
         self.ballot = ballot;
         self.attempts += 1;
-        self.enter(now, Phase::Preparing(BTreeMap::new()));
-        Action::Broadcast(self.prepare())
+        self.enter_phase(now, Phase::Preparing(BTreeMap::new()));
+        Action::Broadcast(self.prepare_payload())
     }
 
-    fn enter(&mut self, now: i64, phase: Phase) {
+    fn enter_phase(&mut self, now: i64, phase: Phase) {
         self.phase = phase;
         self.votes.clear();
         self.rejections.clear();
         self.wake_at = self.next_resend(now);
     }
 
-    fn prepare(&self) -> Payload {
+    fn prepare_payload(&self) -> Payload {
         Payload::Prepare {
             ballot: self.ballot,
             names: self.intent.names(),
         }
     }
 
-    fn accept(&self, items: &[Item]) -> Payload {
+    fn accept_payload(&self, items: &[Item]) -> Payload {
         Payload::Accept {
             ballot: self.ballot,
             items: items.to_vec(),
@@ -241,7 +241,7 @@
         };
         let Choice { items, outcome } = self.choose_values(&found, chosen);
         if items.is_empty() {
-            self.reported = true;
+            self.outcome_reported = true;
             return vec![Action::Report(outcome), Action::Finished];
         }
         // A conflict is reported only once what caused it is chosen: until then it may be lost again.
@@ -249,8 +249,8 @@
         if outcome == Outcome::Done && !self.is_repair() {
             self.proposed_version = items.iter().map(|item| item.ver).max();
         }
-        let accept = self.accept(&items);
-        self.enter(now, Phase::Accepting(items));
+        let accept = self.accept_payload(&items);
+        self.enter_phase(now, Phase::Accepting(items));
         vec![Action::Broadcast(accept)]
     }
 
@@ -261,16 +261,16 @@
         chosen: &ChosenItems,
     ) -> Choice {
         match &self.intent {
-            Intent::Repair(_) => Choice::done(unconfirmed(found, chosen)),
+            Intent::Repair(_) => Choice::done(unconfirmed_values(found, chosen)),
             Intent::SetItems(items) => choose_items(items, found, chosen),
             Intent::SetEvacuation(name, evacuate) => {
-                let current = current(name, found, chosen);
+                let current = current_value(name, found, chosen);
                 let is_set = current.and_then(|item| item.spec.as_deref()) == Some("true");
                 let is_overtaken = self
                     .proposed_version
                     .is_some_and(|own| current.is_some_and(|item| item.ver > own));
                 if is_set == *evacuate || is_overtaken {
-                    return Choice::done(unconfirmed(found, chosen));
+                    return Choice::done(unconfirmed_values(found, chosen));
                 }
                 Choice::done(vec![Item {
                     name: name.clone(),
@@ -294,8 +294,8 @@
             return Vec::new();
         };
         let mut actions = vec![Action::Chosen(self.ballot, items)];
-        if !self.reported {
-            self.reported = true;
+        if !self.outcome_reported {
+            self.outcome_reported = true;
             actions.push(Action::Report(self.outcome));
         }
         actions.push(Action::Finished);
@@ -307,12 +307,12 @@
     pub fn backoff(&self) -> Backoff {
         let doublings = self.attempts.saturating_sub(1);
         Backoff {
-            minimum: if self.is_repair() {
+            minimum_us: if self.is_repair() {
                 limits::REPAIR_BACKOFF
             } else {
                 limits::PROPOSAL_BACKOFF
             },
-            jitter: limits::BACKOFF_JITTER << doublings.min(limits::MAX_BACKOFF_DOUBLINGS),
+            max_jitter_us: limits::BACKOFF_JITTER << doublings.min(limits::MAX_BACKOFF_DOUBLINGS),
         }
     }
 
@@ -326,13 +326,13 @@
         backoff: i64,
         table: &ReplicaTable,
     ) -> Vec<Action> {
-        self.highest_seen = self.highest_seen.max(seen);
+        self.highest_rejecting_ballot = self.highest_rejecting_ballot.max(seen);
         self.rejections.insert(replica);
         let replicas = 0..table.replica_count() as ReplicaId;
         let may_vote = replicas.filter(|replica| {
             table.is_reachable(now, *replica) && !self.rejections.contains(replica)
         });
-        if self.is_idle() || may_vote.count() >= table.quorum() {
+        if self.is_idle() || may_vote.count() >= table.quorum_size() {
             return Vec::new();
         }
         self.retry_at(now + backoff)
@@ -345,15 +345,15 @@
     }
 
     /// Not all replicas have voted in time: resends the last message, or starts again if any has rejected the ballot.
-    pub fn on_timeout(&mut self, now: i64) -> Vec<Action> {
+    pub fn handle_timeout(&mut self, now: i64) -> Vec<Action> {
         self.wake_at = self.next_resend(now);
         let payload = match &self.phase {
             Phase::Idle => return Vec::new(),
             _ if !self.rejections.is_empty() => {
                 return self.retry_at(now + limits::PROPOSAL_BACKOFF);
             }
-            Phase::Preparing(_) => self.prepare(),
-            Phase::Accepting(items) => self.accept(items),
+            Phase::Preparing(_) => self.prepare_payload(),
+            Phase::Accepting(items) => self.accept_payload(items),
         };
         vec![Action::Broadcast(payload)]
     }
@@ -363,7 +363,7 @@
 ///
 /// Hazard: promises that were given before another proposal was chosen may tell a value that has lost against that one at
 /// the same version. So of one version the chosen value counts.
-fn current<'a>(
+fn current_value<'a>(
     name: &ItemName,
     found: &'a BTreeMap<ItemName, (Ballot, Item)>,
     chosen: &'a ChosenItems,
@@ -375,7 +375,10 @@
 }
 
 /// The found values that are not known to be chosen.
-fn unconfirmed(found: &BTreeMap<ItemName, (Ballot, Item)>, chosen: &ChosenItems) -> Vec<Item> {
+fn unconfirmed_values(
+    found: &BTreeMap<ItemName, (Ballot, Item)>,
+    chosen: &ChosenItems,
+) -> Vec<Item> {
     let items = found.values().map(|(_, item)| item);
     items
         .filter(|item| !chosen.includes(item))
@@ -389,7 +392,7 @@
     chosen: &ChosenItems,
 ) -> Choice {
     let conflicts = |item: &Item| {
-        current(&item.name, found, chosen)
+        current_value(&item.name, found, chosen)
             .is_some_and(|current| current.ver == item.ver && !has_same_content(current, item))
     };
     if items.iter().any(conflicts) {
@@ -397,7 +400,7 @@
     }
     let mut proposed = Vec::new();
     for item in items {
-        match current(&item.name, found, chosen) {
+        match current_value(&item.name, found, chosen) {
             // A lower version has no effect, and that is no error: a later change has overtaken it. The same version is there
             // already: the call was sent before.
             Some(current) if current.ver >= item.ver => {
@@ -430,7 +433,7 @@
     };
     match items {
         [_] => Choice {
-            items: unconfirmed(found, chosen),
+            items: unconfirmed_values(found, chosen),
             outcome: Outcome::Conflict,
         },
         _ if items.iter().all(is_excluded) => Choice {
@@ -438,7 +441,7 @@
             outcome: Outcome::Conflict,
         },
         _ => Choice {
-            items: unconfirmed(found, chosen),
+            items: unconfirmed_values(found, chosen),
             outcome: Outcome::PartiallyApplied,
         },
     }
--- a/crates/control/src/core/proposals.rs
+++ b/crates/control/src/core/proposals.rs
@@ -27,7 +27,7 @@
 /// The proposals of one replica, by request id.
 #[derive(Debug)]
 pub(super) struct Proposals {
-    open: BTreeMap<u64, Proposal>,
+    in_progress: BTreeMap<u64, Proposal>,
     /// The operator's call that a proposal is for.
     calls: BTreeMap<u64, u64>,
     /// The highest round of a ballot that was seen anywhere.
@@ -35,11 +35,11 @@
 }
 
 /// What is to be done with a proposal that was looked at.
-enum Due {
+enum DueStep {
     Nothing,
     Expired,
     /// All that the repair found is chosen by now.
-    Superfluous,
+    Redundant,
     Start,
     WaitForOther,
     Resend,
@@ -48,7 +48,7 @@
 impl Proposals {
     pub(super) fn new(highest_round: u64) -> Proposals {
         Proposals {
-            open: BTreeMap::new(),
+            in_progress: BTreeMap::new(),
             calls: BTreeMap::new(),
             highest_round,
         }
@@ -56,22 +56,22 @@
 
     /// How many proposals are in progress.
     pub(super) fn len(&self) -> usize {
-        self.open.len()
+        self.in_progress.len()
     }
 
     /// Whether no proposal is in progress.
     pub(super) fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.in_progress.is_empty()
     }
 
     /// How many of them are for an operator's call.
-    pub(super) fn calls(&self) -> usize {
+    pub(super) fn call_count(&self) -> usize {
         self.calls.len()
     }
 
     /// When the next one is to be looked at.
     pub(super) fn wake_at(&self) -> Option<i64> {
-        let wakes = self.open.values();
+        let wakes = self.in_progress.values();
         wakes
             .map(|proposal| proposal.wake_at.min(proposal.deadline))
             .min()
@@ -82,8 +82,8 @@
         self.highest_round = self.highest_round.max(round);
     }
 
-    fn with_ballot(&self, ballot: Ballot) -> Option<u64> {
-        let mut open = self.open.iter();
+    fn find_by_ballot(&self, ballot: Ballot) -> Option<u64> {
+        let mut open = self.in_progress.iter();
         open.find(|(_, proposal)| proposal.ballot() == ballot)
             .map(|(id, _)| *id)
     }
@@ -101,7 +101,7 @@
     ) {
         let id = self.next_request_id();
         let proposal = Proposal::new(intent, now, deadline);
-        self.proposals.open.insert(id, proposal);
+        self.proposals.in_progress.insert(id, proposal);
         self.proposals.calls.insert(id, call);
         self.drive_proposals(now, out);
     }
@@ -110,7 +110,7 @@
     pub(super) fn propose_repair(&mut self, now: i64, names: Vec<ItemName>, deadline: i64) -> u64 {
         let id = self.next_request_id();
         let proposal = Proposal::new(Intent::Repair(names), now, deadline);
-        self.proposals.open.insert(id, proposal);
+        self.proposals.in_progress.insert(id, proposal);
         id
     }
 
@@ -120,26 +120,26 @@
         if self.proposals.is_empty() {
             return;
         }
-        let ids: Vec<u64> = self.proposals.open.keys().copied().collect();
+        let ids: Vec<u64> = self.proposals.in_progress.keys().copied().collect();
         let mut busy: BTreeSet<ItemName> = BTreeSet::new();
         for id in ids {
-            match self.due(now, id, &mut busy) {
-                Due::Nothing => {}
-                Due::Expired => self.expire_proposal(now, id, out),
-                Due::Superfluous => {
+            match self.due_step(now, id, &mut busy) {
+                DueStep::Nothing => {}
+                DueStep::Expired => self.expire_proposal(now, id, out),
+                DueStep::Redundant => {
                     // Hazard: it would only make others fail that work on these registers.
                     let actions = vec![Action::Report(Outcome::Done), Action::Finished];
                     self.apply_actions(now, id, actions, out);
                 }
-                Due::Start => self.start_proposal(now, id, out),
-                Due::WaitForOther => {
-                    if let Some(proposal) = self.proposals.open.get_mut(&id) {
+                DueStep::Start => self.start_proposal(now, id, out),
+                DueStep::WaitForOther => {
+                    if let Some(proposal) = self.proposals.in_progress.get_mut(&id) {
                         proposal.wake_at = now + BUSY_RETRY_INTERVAL;
                     }
                 }
-                Due::Resend => {
-                    let proposal = self.proposals.open.get_mut(&id);
-                    let actions = proposal.map(|proposal| proposal.on_timeout(now));
+                DueStep::Resend => {
+                    let proposal = self.proposals.in_progress.get_mut(&id);
+                    let actions = proposal.map(|proposal| proposal.handle_timeout(now));
                     self.apply_actions(now, id, actions.unwrap_or_default(), out);
                 }
             }
@@ -171,12 +171,12 @@
 
     /// What is due for a proposal. `busy` holds the registers of those looked at before it: two proposals of one process
     /// for the same register would only hinder each other.
-    fn due(&self, now: i64, id: u64, busy: &mut BTreeSet<ItemName>) -> Due {
-        let Some(proposal) = self.proposals.open.get(&id) else {
-            return Due::Nothing;
+    fn due_step(&self, now: i64, id: u64, busy: &mut BTreeSet<ItemName>) -> DueStep {
+        let Some(proposal) = self.proposals.in_progress.get(&id) else {
+            return DueStep::Nothing;
         };
         if now >= proposal.deadline || !self.table.is_participant() {
-            return Due::Expired;
+            return DueStep::Expired;
         }
         let names = if self.proposals.len() > 1 {
             proposal.names()
@@ -186,17 +186,17 @@
         let free = names.iter().all(|name| !busy.contains(name));
         busy.extend(names);
         match (proposal.wake_at <= now, proposal.is_idle(), free) {
-            (false, ..) => Due::Nothing,
-            (true, false, _) => Due::Resend,
-            (true, true, false) => Due::WaitForOther,
-            (true, true, true) if self.is_superfluous(id) => Due::Superfluous,
-            (true, true, true) => Due::Start,
+            (false, ..) => DueStep::Nothing,
+            (true, false, _) => DueStep::Resend,
+            (true, true, false) => DueStep::WaitForOther,
+            (true, true, true) if self.is_redundant(id) => DueStep::Redundant,
+            (true, true, true) => DueStep::Start,
         }
     }
 
     /// Whether a proposal is a repair, and everything that it is to complete is known to be chosen by now.
-    fn is_superfluous(&self, id: u64) -> bool {
-        let proposal = self.proposals.open.get(&id);
+    fn is_redundant(&self, id: u64) -> bool {
+        let proposal = self.proposals.in_progress.get(&id);
         let Some(repair) = proposal.filter(|proposal| proposal.is_repair()) else {
             return false;
         };
@@ -212,14 +212,18 @@
     fn start_proposal(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
         let proposer = self.table.local();
         let Proposals {
-            open,
+            in_progress: open,
             highest_round,
             ..
         } = &mut self.proposals;
         let Some(proposal) = open.get_mut(&id) else {
             return;
         };
-        *highest_round = proposal.highest_seen.round.max(*highest_round + 1) + 1;
+        *highest_round = proposal
+            .highest_rejecting_ballot
+            .round
+            .max(*highest_round + 1)
+            + 1;
         let ballot = Ballot {
             round: *highest_round,
             proposer,
@@ -244,7 +248,7 @@
         if let (Some(call), Some(reply)) = (call.or(read.and_then(|read| read.call())), reply) {
             out.push(Output::Answer(call, reply));
         }
-        if let Some(proposal) = self.proposals.open.remove(&id) {
+        if let Some(proposal) = self.proposals.in_progress.remove(&id) {
             self.pending.release(now, &proposal.names());
         }
     }
@@ -281,7 +285,7 @@
 
     /// Sends a message to every replica that has not voted yet, this one included.
     fn broadcast_proposal(&mut self, now: i64, id: u64, payload: Payload, out: &mut Vec<Output>) {
-        let Some(proposal) = self.proposals.open.get(&id) else {
+        let Some(proposal) = self.proposals.in_progress.get(&id) else {
             return;
         };
         let local = self.table.local().replica;
@@ -313,11 +317,14 @@
     ) {
         let voter = sender.voter();
         match vote {
-            Payload::Promise { ballot, accepted } => {
-                let Some(id) = self.proposals.with_ballot(ballot) else {
+            Payload::Promise {
+                ballot,
+                accepted_values: accepted,
+            } => {
+                let Some(id) = self.proposals.find_by_ballot(ballot) else {
                     return;
                 };
-                let Some(proposal) = self.proposals.open.get_mut(&id) else {
+                let Some(proposal) = self.proposals.in_progress.get_mut(&id) else {
                     return;
                 };
                 let actions =
@@ -325,10 +332,10 @@
                 self.apply_actions(now, id, actions, out);
             }
             Payload::Accepted(ballot) => {
-                let Some(id) = self.proposals.with_ballot(ballot) else {
+                let Some(id) = self.proposals.find_by_ballot(ballot) else {
                     return;
                 };
-                let Some(proposal) = self.proposals.open.get_mut(&id) else {
+                let Some(proposal) = self.proposals.in_progress.get_mut(&id) else {
                     return;
                 };
                 let actions = proposal.handle_accepted(voter, &self.table);
@@ -371,17 +378,17 @@
         seen: Ballot,
         out: &mut Vec<Output>,
     ) {
-        let Some(id) = self.proposals.with_ballot(ballot) else {
+        let Some(id) = self.proposals.find_by_ballot(ballot) else {
             return;
         };
         self.proposals.observe_round(seen.round);
-        let Some(proposal) = self.proposals.open.get(&id) else {
+        let Some(proposal) = self.proposals.in_progress.get(&id) else {
             return;
         };
         // Hazard: proposers of one register that all start again at once reject each other for seconds.
         let backoff = proposal.backoff();
-        let backoff = backoff.minimum + self.random_below(backoff.jitter) as i64;
-        let Some(proposal) = self.proposals.open.get_mut(&id) else {
+        let backoff = backoff.minimum_us + self.random_below(backoff.max_jitter_us) as i64;
+        let Some(proposal) = self.proposals.in_progress.get_mut(&id) else {
             return;
         };
         let actions = proposal.handle_nack(now, replica, seen, backoff, &self.table);
--- a/crates/control/src/core/quorum_read.rs
+++ b/crates/control/src/core/quorum_read.rs
@@ -56,7 +56,7 @@
     votes: BTreeMap<ReplicaId, Incarnation>,
     sources: BTreeMap<ReplicaId, SourceProgress>,
     /// The newest accepted value of each register so far.
-    found: BTreeMap<ItemName, (Ballot, Item)>,
+    accepted_values: BTreeMap<ItemName, (Ballot, Item)>,
     /// Digests of the registers of this replica when the read began.
     digests: Vec<u64>,
     /// Set once a quorum has answered. What is not known to be chosen by then is repaired before the read completes.
@@ -86,9 +86,10 @@
         let source = source.or_insert(SourceProgress::new(voter.incarnation));
         let continuation = source.record_chunk(voter.incarnation, &chunk);
         for (ballot, item) in chunk.items {
-            let known = self.found.get(&item.name);
+            let known = self.accepted_values.get(&item.name);
             if known.is_none_or(|(known, _)| *known < ballot) {
-                self.found.insert(item.name.clone(), (ballot, item));
+                self.accepted_values
+                    .insert(item.name.clone(), (ballot, item));
             }
         }
         continuation
@@ -96,7 +97,7 @@
 
     /// The registers whose value was found and is not known to be chosen. It may be lost again, so nobody may see it yet.
     pub(super) fn unconfirmed(&self, chosen: &ChosenItems) -> Vec<ItemName> {
-        let items = self.found.values().map(|(_, item)| item);
+        let items = self.accepted_values.values().map(|(_, item)| item);
         let unconfirmed =
             items.filter(|item| item.name.kind != ItemKind::Zone && !chosen.includes(item));
         unconfirmed.map(|item| item.name.clone()).collect()
@@ -106,27 +107,33 @@
 /// The quorum reads of one replica, by request id.
 #[derive(Debug, Default)]
 pub(super) struct QuorumReads {
-    open: BTreeMap<u64, QuorumRead>,
+    in_progress: BTreeMap<u64, QuorumRead>,
     /// Reads that wait for a repair, by the id of its proposal.
     awaiting_repair: BTreeMap<u64, QuorumRead>,
 }
 
 impl QuorumReads {
     /// How many are in progress for an operator's call.
-    pub(super) fn calls(&self) -> usize {
-        let reads = self.open.values().chain(self.awaiting_repair.values());
+    pub(super) fn call_count(&self) -> usize {
+        let reads = self
+            .in_progress
+            .values()
+            .chain(self.awaiting_repair.values());
         reads.filter(|read| read.call().is_some()).count()
     }
 
     /// Whether this replica reads what it may lack itself.
     pub(super) fn is_catching_up(&self) -> bool {
-        let mut reads = self.open.values().chain(self.awaiting_repair.values());
+        let mut reads = self
+            .in_progress
+            .values()
+            .chain(self.awaiting_repair.values());
         reads.any(|read| read.call().is_none())
     }
 
     /// When the next one is to be looked at.
     pub(super) fn wake_at(&self) -> Option<i64> {
-        let wakes = self.open.values();
+        let wakes = self.in_progress.values();
         wakes.map(|read| read.wake_at.min(read.deadline)).min()
     }
 
@@ -157,7 +164,7 @@
             purpose,
             votes: BTreeMap::from([(local.replica, local.incarnation)]),
             sources: BTreeMap::new(),
-            found: self.registers.accepted_entries().map(entry).collect(),
+            accepted_values: self.registers.accepted_entries().map(entry).collect(),
             digests: self.registers.digests().buckets().to_vec(),
             repair_at: None,
             deadline,
@@ -170,7 +177,7 @@
             request,
         };
         self.broadcast(payload, out);
-        self.reads.open.insert(id, read);
+        self.reads.in_progress.insert(id, read);
         self.check_read(now, id, out);
     }
 
@@ -211,7 +218,7 @@
         if id != self.request_id(id.number) {
             return;
         }
-        let Some(read) = self.reads.open.get_mut(&id.number) else {
+        let Some(read) = self.reads.in_progress.get_mut(&id.number) else {
             return;
         };
         let voter = sender.voter();
@@ -238,7 +245,7 @@
 
     /// Completes a read that a quorum has answered, or starts the repair that it needs first.
     fn check_read(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
-        let Some(read) = self.reads.open.get_mut(&id) else {
+        let Some(read) = self.reads.in_progress.get_mut(&id) else {
             return;
         };
         if !self.table.is_quorum(&read.votes) {
@@ -253,7 +260,7 @@
             read.wake_at = repair_at;
             return;
         }
-        let Some(read) = self.reads.open.remove(&id) else {
+        let Some(read) = self.reads.in_progress.remove(&id) else {
             return;
         };
         if unconfirmed.is_empty() {
@@ -267,7 +274,7 @@
     /// Answers the call of a read: everything that was found is chosen by now, or was lost.
     pub(super) fn complete_read(&mut self, now: i64, read: QuorumRead, out: &mut Vec<Output>) {
         let lost = read.unconfirmed(&self.chosen);
-        let found = read.found.values().map(|(_, item)| item);
+        let found = read.accepted_values.values().map(|(_, item)| item);
         let found = found.filter(|item| !lost.contains(&item.name));
         // Of two items of one version the chosen one counts.
         let chosen = self.chosen.entries().map(|(_, item)| item);
@@ -287,10 +294,10 @@
 
     /// Resends the requests that were not answered, and ends reads whose deadline has passed.
     pub(super) fn drive_reads(&mut self, now: i64, out: &mut Vec<Output>) {
-        let due = self.reads.open.iter();
+        let due = self.reads.in_progress.iter();
         let due = due.filter(|(_, read)| now >= read.wake_at.min(read.deadline));
         for id in due.map(|(id, _)| *id).collect::<Vec<_>>() {
-            let Some(read) = self.reads.open.get_mut(&id) else {
+            let Some(read) = self.reads.in_progress.get_mut(&id) else {
                 continue;
             };
             if now >= read.deadline {
@@ -298,7 +305,7 @@
                     let reply = Reply::Unavailable(NO_QUORUM);
                     out.push(Output::Answer(call, reply));
                 }
-                self.reads.open.remove(&id);
+                self.reads.in_progress.remove(&id);
                 continue;
             }
             read.wake_at = now + limits::RESEND_INTERVAL;
@@ -311,7 +318,7 @@
     }
 
     fn resend_read_requests(&self, id: u64, out: &mut Vec<Output>) {
-        let Some(read) = self.reads.open.get(&id) else {
+        let Some(read) = self.reads.in_progress.get(&id) else {
             return;
         };
         for replica in 0..self.table.replica_count() as ReplicaId {
--- a/crates/control/src/core/reclaim.rs
+++ b/crates/control/src/core/reclaim.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct Superseded {
     /// When the newer incarnation was last known to be heard by any replica.
-    last_heard: i64,
+    last_heard_at: i64,
     /// When each other replica last said that it does not hear the newer incarnation.
-    not_heard_by: BTreeMap<ReplicaId, i64>,
+    unreachable_reports: BTreeMap<ReplicaId, i64>,
     next_request_at: i64,
 }
 
@@ -31,21 +31,21 @@
             return;
         }
         let superseded = self.superseded.get_or_insert_with(|| Superseded {
-            last_heard: now,
-            not_heard_by: BTreeMap::new(),
+            last_heard_at: now,
+            unreachable_reports: BTreeMap::new(),
             next_request_at: now,
         });
         if now < superseded.next_request_at {
             return;
         }
         superseded.next_request_at = now + limits::HEARTBEAT_INTERVAL;
-        let reports = &mut superseded.not_heard_by;
+        let reports = &mut superseded.unreachable_reports;
         reports.retain(|_, at| now - *at <= limits::CONTACT_TIMEOUT);
-        let unreachable = reports.len() >= self.table.recovery_quorum();
-        if unreachable && now - superseded.last_heard >= limits::RECLAIM_TIMEOUT {
+        let unreachable = reports.len() >= self.table.recovery_quorum_size();
+        if unreachable && now - superseded.last_heard_at >= limits::RECLAIM_TIMEOUT {
             out.push(Output::Log(Event::IncarnationReclaimed));
             self.superseded = None;
-            self.table.relinquish();
+            self.table.relinquish_incarnation();
             self.recovery = Some(Recovery::default());
             return self.drive_recovery(now, out);
         }
@@ -59,10 +59,10 @@
             return;
         };
         if heard > local {
-            superseded.last_heard = now;
-            superseded.not_heard_by.clear();
+            superseded.last_heard_at = now;
+            superseded.unreachable_reports.clear();
         } else {
-            superseded.not_heard_by.insert(from, now);
+            superseded.unreachable_reports.insert(from, now);
         }
     }
 
--- a/crates/control/src/core/recovery.rs
+++ b/crates/control/src/core/recovery.rs
@@ -49,19 +49,19 @@
     pub incarnation: Incarnation,
     sources: BTreeMap<ReplicaId, SourceProgress>,
     /// The accepted value of each register, by the highest ballot.
-    pub found: BTreeMap<ItemName, (Ballot, Item)>,
+    pub accepted_values: BTreeMap<ItemName, (Ballot, Item)>,
     /// Digests of `found`: a source does not send the buckets in which it has the same.
     digests: Digests,
     /// The first replica with a link. It is asked alone at first, since most of the others will have nothing to add.
     first_source: Option<SocketAddr>,
-    first_source_asked: bool,
+    first_source_requested: bool,
     /// The highest promise of any replica.
     pub promise_floor: Ballot,
     /// The newest term of each role.
     pub terms: Vec<Term>,
     next_request_at: i64,
     /// Everything was received and is being written to disk.
-    persisting: bool,
+    is_persisting: bool,
 }
 
 impl Recovery {
@@ -69,20 +69,22 @@
     pub fn from_accepted<'a>(entries: impl Iterator<Item = &'a (Ballot, Item)>) -> Recovery {
         let mut recovery = Recovery::default();
         for (ballot, item) in entries {
-            recovery.merge(*ballot, item.clone());
+            recovery.merge_value(*ballot, item.clone());
         }
         recovery
     }
 
     /// Keeps the value with the higher ballot.
-    fn merge(&mut self, ballot: Ballot, item: Item) {
-        let known = self.found.get(&item.name);
+    fn merge_value(&mut self, ballot: Ballot, item: Item) {
+        let known = self.accepted_values.get(&item.name);
         if known.is_some_and(|(known, _)| *known >= ballot) {
             return;
         }
         let digest = entry_digest(&ballot, &item);
         self.digests.toggle(&item.name, digest);
-        let replaced = self.found.insert(item.name.clone(), (ballot, item));
+        let replaced = self
+            .accepted_values
+            .insert(item.name.clone(), (ballot, item));
         if let Some((ballot, item)) = replaced {
             let digest = entry_digest(&ballot, &item);
             self.digests.toggle(&item.name, digest);
@@ -96,9 +98,9 @@
             let number = newest.max(Incarnation::FIRST).number + 1;
             self.incarnation = Incarnation { number, nonce };
             self.sources.clear();
-            self.first_source_asked = false;
+            self.first_source_requested = false;
             self.next_request_at = 0;
-            self.persisting = false;
+            self.is_persisting = false;
         }
     }
 
@@ -112,14 +114,14 @@
 
     /// When requests are sent again; none once everything was received.
     pub fn wake_at(&self) -> Option<i64> {
-        (!self.persisting).then_some(self.next_request_at)
+        (!self.is_persisting).then_some(self.next_request_at)
     }
 
     /// The requests to send now: to the first source alone at first, then to every replica that has not answered
     /// completely.
     pub fn next_requests(&mut self, table: &ReplicaTable) -> Vec<(SocketAddr, TransferRequest)> {
         if let Some(first) = self.first_source
-            && !std::mem::replace(&mut self.first_source_asked, true)
+            && !std::mem::replace(&mut self.first_source_requested, true)
             && self.sources.is_empty()
         {
             return vec![(first, self.request(None))];
@@ -153,7 +155,7 @@
         let complete = self.sources.iter().filter(|(replica, source)| {
             source.progress.is_complete && table.is_current(**replica, source.incarnation)
         });
-        complete.count() >= table.recovery_quorum()
+        complete.count() >= table.recovery_quorum_size()
     }
 
     /// Takes in a chunk of another replica's registers.
@@ -179,7 +181,7 @@
             };
         }
         for (ballot, item) in chunk.items {
-            self.merge(ballot, item);
+            self.merge_value(ballot, item);
         }
         self.merge_promises(promises);
         match continuation {
@@ -210,7 +212,7 @@
     pub(super) fn is_recovering_as(&self, incarnation: Incarnation) -> bool {
         self.recovery
             .as_ref()
-            .is_some_and(|recovery| !recovery.persisting && recovery.incarnation == incarnation)
+            .is_some_and(|recovery| !recovery.is_persisting && recovery.incarnation == incarnation)
     }
 
     /// Sends the requests of a recovery that are due.
@@ -222,7 +224,7 @@
         let Some(recovery) = self
             .recovery
             .as_mut()
-            .filter(|recovery| !recovery.persisting)
+            .filter(|recovery| !recovery.is_persisting)
         else {
             return;
         };
@@ -312,14 +314,14 @@
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        recovery.persisting = true;
+        recovery.is_persisting = true;
         let incarnation = recovery.incarnation;
         self.registers.raise_promise_floor(recovery.promise_floor);
-        for (ballot, item) in recovery.found.values() {
+        for (ballot, item) in recovery.accepted_values.values() {
             self.registers.adopt(*ballot, item);
         }
         for (lease, term) in self.role_leases.iter_mut().zip(&recovery.terms) {
-            lease.adopt(*term);
+            lease.adopt_term(*term);
         }
         self.proposals.observe_round(recovery.promise_floor.round);
         let registers = self.registers.iter();
@@ -377,8 +379,8 @@
         let (local, count) = (self.table.local(), self.table.replica_count());
         self.role_leases = SingletonRole::ALL.map(|role| {
             let stored = StoredTerms {
-                granted: self.role_leases[role as usize].granted_term(),
-                last_held: Term::default(),
+                granted_term: self.role_leases[role as usize].granted_term(),
+                last_held_term: Term::default(),
             };
             RoleLease::new(role, local, count, stored, now)
         });
--- a/crates/control/src/core/replicas.rs
+++ b/crates/control/src/core/replicas.rs
@@ -33,13 +33,13 @@
     /// The address is that of the newest incarnation. Otherwise it is of a former one, and any better knowledge is believed.
     address_confirmed: bool,
     /// When the newest incarnation was last heard.
-    last_heard: Option<i64>,
+    last_heard_at: Option<i64>,
     /// It hears this replica, as of its last heartbeat.
-    hears_us: bool,
+    hears_local: bool,
 }
 
 impl ReplicaSlot {
-    fn is_held(&self) -> bool {
+    fn has_incarnation(&self) -> bool {
         self.incarnation != Incarnation::NONE
     }
 }
@@ -52,22 +52,22 @@
     seeds: Vec<SocketAddr>,
     slots: Vec<ReplicaSlot>,
     /// Another process holds a newer incarnation of this replica.
-    superseded: bool,
+    is_superseded: bool,
     /// That newer incarnation was begun by this machine itself and never completed: nobody holds it.
-    abandoned: bool,
+    is_abandoned: bool,
     /// Rises whenever an incarnation or an address changes.
     revision: u64,
 }
 
 /// What the receipt of a message has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reception {
+pub struct ReceiptOutcome {
     /// The message comes from the newest incarnation of another replica.
     pub is_current: bool,
     /// An incarnation or an address has changed.
-    pub changed: bool,
+    pub table_changed: bool,
     /// The sender had not been heard for [`limits::CONTACT_TIMEOUT`].
-    pub returned: bool,
+    pub sender_returned: bool,
 }
 
 impl ReplicaTable {
@@ -84,8 +84,8 @@
                 incarnation: local.incarnation,
                 address: Some(local_address),
                 address_confirmed: true,
-                last_heard: None,
-                hears_us: true,
+                last_heard_at: None,
+                hears_local: true,
             };
         }
         ReplicaTable {
@@ -93,8 +93,8 @@
             local_address,
             seeds,
             slots,
-            superseded: false,
-            abandoned: false,
+            is_superseded: false,
+            is_abandoned: false,
             revision: 0,
         }
     }
@@ -126,12 +126,12 @@
     }
 
     /// The size of a quorum: more than half of the replicas.
-    pub fn quorum(&self) -> usize {
+    pub fn quorum_size(&self) -> usize {
         self.slots.len() / 2 + 1
     }
 
     /// The number of replicas that a recovery needs: more than half of the others.
-    pub fn recovery_quorum(&self) -> usize {
+    pub fn recovery_quorum_size(&self) -> usize {
         let others = self.slots.len() - 1;
         (others / 2 + 1).min(others)
     }
@@ -142,29 +142,29 @@
         let counted = votes
             .iter()
             .filter(|(replica, incarnation)| self.is_current(**replica, **incarnation));
-        counted.count() >= self.quorum()
+        counted.count() >= self.quorum_size()
     }
 
     /// Whether this process votes and answers: it has an incarnation, and no newer one of its replica is known.
     pub fn is_participant(&self) -> bool {
-        self.local.incarnation != Incarnation::NONE && !self.superseded
+        self.local.incarnation != Incarnation::NONE && !self.is_superseded
     }
 
     /// Whether another process holds a newer incarnation of this replica.
     pub fn is_superseded(&self) -> bool {
-        self.superseded
+        self.is_superseded
     }
 
     /// Whether this process is superseded by an incarnation that it began itself before its disk was lost again.
     pub fn is_abandoned(&self) -> bool {
-        self.abandoned
+        self.is_abandoned
     }
 
     /// Gives up the local incarnation, so that one after the newest known can be begun.
-    pub fn relinquish(&mut self) {
+    pub fn relinquish_incarnation(&mut self) {
         self.local.incarnation = Incarnation::NONE;
-        self.superseded = false;
-        self.abandoned = false;
+        self.is_superseded = false;
+        self.is_abandoned = false;
     }
 
     /// Begins an incarnation of the local replica.
@@ -189,11 +189,11 @@
     /// Whether some replica is held by a process whose address is not known.
     pub fn has_unconfirmed_address(&self) -> bool {
         let mut slots = self.slots.iter();
-        slots.any(|slot| slot.is_held() && !slot.address_confirmed)
+        slots.any(|slot| slot.has_incarnation() && !slot.address_confirmed)
     }
 
     /// Whether an address is known here that another replica, which sent these tables, lacks.
-    pub fn knows_more(
+    pub fn has_address_missing_from(
         &self,
         incarnations: &[Incarnation],
         addresses: &[Option<SocketAddr>],
@@ -202,7 +202,7 @@
         slots.any(|(at, slot)| {
             let lacks_address = addresses.get(at).is_some_and(Option::is_none);
             let same_incarnation = incarnations.get(at) == Some(&slot.incarnation);
-            slot.address_confirmed && slot.is_held() && lacks_address && same_incarnation
+            slot.address_confirmed && slot.has_incarnation() && lacks_address && same_incarnation
         })
     }
 
@@ -278,8 +278,8 @@
                 incarnation,
                 address: address.or(slot.address),
                 address_confirmed: address.is_some(),
-                last_heard: None,
-                hears_us: false,
+                last_heard_at: None,
+                hears_local: false,
             };
             true
         } else {
@@ -308,14 +308,14 @@
         let newer = incarnation > slot.incarnation;
         slot.incarnation = incarnation;
         // A recovering process has no incarnation yet, and will choose one after this.
-        self.superseded |= newer && self.local.incarnation != Incarnation::NONE;
+        self.is_superseded |= newer && self.local.incarnation != Incarnation::NONE;
         // Hazard: if the local address were sent along with the newer incarnation, the others would take it for that one's.
-        slot.address_confirmed &= !self.superseded;
+        slot.address_confirmed &= !self.is_superseded;
         // Hazard: an incarnation that few replicas have recorded, and that was lost with the disk, may turn up after the one
         // that was begun in its place. It would supersede this process, and nobody would hold the replica.
-        let abandoned = self.superseded && address == Some(self.local_address);
-        let newly_abandoned = abandoned && !self.abandoned;
-        self.abandoned |= abandoned;
+        let abandoned = self.is_superseded && address == Some(self.local_address);
+        let newly_abandoned = abandoned && !self.is_abandoned;
+        self.is_abandoned |= abandoned;
         newly_abandoned || newer
     }
 
@@ -325,13 +325,13 @@
         now: i64,
         from: SocketAddr,
         message: &PeerMessage,
-    ) -> Reception {
+    ) -> ReceiptOutcome {
         let process = message.sender;
         let at = usize::from(process.replica);
         if message.incarnations.len() != self.slots.len() || at >= self.slots.len() {
-            return Reception::default();
+            return ReceiptOutcome::default();
         }
-        let mut changed = self.learn_from(message);
+        let mut changed = self.learn_from_message(message);
         if process.incarnation != Incarnation::NONE {
             changed |= self.learn_incarnation(process.replica, process.incarnation, Some(from));
         }
@@ -343,22 +343,22 @@
             // The sender itself knows best where it is.
             changed |= slot.address.replace(from) != Some(from) || !slot.address_confirmed;
             slot.address_confirmed = true;
-            let last_heard = slot.last_heard.replace(now);
+            let last_heard = slot.last_heard_at.replace(now);
             returned = last_heard.is_none_or(|heard| now - heard > limits::CONTACT_TIMEOUT);
             if let Payload::Heartbeat(heartbeat) = &message.payload {
-                slot.hears_us = heartbeat.reachable_replicas & (1 << self.local.replica) != 0;
+                slot.hears_local = heartbeat.reachable_replicas & (1 << self.local.replica) != 0;
             }
         }
         self.revision += u64::from(changed);
-        Reception {
+        ReceiptOutcome {
             is_current,
-            changed,
-            returned,
+            table_changed: changed,
+            sender_returned: returned,
         }
     }
 
     /// Learns the incarnations that a message tells about, and the addresses if it is about those.
-    fn learn_from(&mut self, message: &PeerMessage) -> bool {
+    fn learn_from_message(&mut self, message: &PeerMessage) -> bool {
         let addresses: &[Option<SocketAddr>] = match &message.payload {
             Payload::ReplicaAddresses(addresses) => addresses,
             _ => &[],
@@ -374,7 +374,7 @@
     /// Whether a replica was heard within [`limits::CONTACT_TIMEOUT`]; always so of the local one.
     pub fn is_reachable(&self, now: i64, replica: ReplicaId) -> bool {
         let slot = self.slots.get(usize::from(replica));
-        let last_heard = slot.and_then(|slot| slot.last_heard);
+        let last_heard = slot.and_then(|slot| slot.last_heard_at);
         replica == self.local.replica
             || last_heard.is_some_and(|heard| now - heard <= limits::CONTACT_TIMEOUT)
     }
@@ -390,7 +390,7 @@
     pub fn has_quorum_contact(&self, now: i64) -> bool {
         let slots = self.slots.iter().enumerate();
         let in_contact =
-            slots.filter(|(at, slot)| slot.hears_us && self.is_reachable(now, *at as ReplicaId));
-        self.is_participant() && in_contact.count() >= self.quorum()
+            slots.filter(|(at, slot)| slot.hears_local && self.is_reachable(now, *at as ReplicaId));
+        self.is_participant() && in_contact.count() >= self.quorum_size()
     }
 }
--- a/crates/control/src/core/role_lease.rs
+++ b/crates/control/src/core/role_lease.rs
@@ -34,7 +34,7 @@
 
 /// How a voter has decided on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Vote {
+pub struct LeaseDecision {
     /// The lease is granted for [`limits::GRANT_DURATION`].
     pub is_granted: bool,
     /// The term is new to the voter, or was seen to be held for the first time: it has to be on disk before the vote is sent.
@@ -78,18 +78,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoredTerms {
     /// The newest term that this replica has granted.
-    pub granted: Term,
+    pub granted_term: Term,
     /// The newest term that it has seen to be held.
-    pub last_held: Term,
+    pub last_held_term: Term,
 }
 
 impl StoredTerms {
     /// The terms of one role, of those of all roles as the metadata has them.
-    pub fn of(terms: &[Term], role: SingletonRole) -> StoredTerms {
+    pub fn for_role(terms: &[Term], role: SingletonRole) -> StoredTerms {
         let term = |at: usize| terms.get(at).copied().unwrap_or_default();
         StoredTerms {
-            granted: term(role as usize),
-            last_held: term(SingletonRole::ALL.len() + role as usize),
+            granted_term: term(role as usize),
+            last_held_term: term(SingletonRole::ALL.len() + role as usize),
         }
     }
 }
@@ -100,22 +100,22 @@
     term: u64,
     requested_at: i64,
     /// It holds the lease until then; 0 while it was not granted by a quorum.
-    acts_until: i64,
+    lease_expires_at: i64,
     /// The votes on each request that is open, by when it was sent.
     open_votes: BTreeMap<i64, BTreeMap<ReplicaId, Incarnation>>,
 }
 
 impl Candidacy {
     /// Whether the lease has run out, or was not won in time.
-    fn is_over(&self, now: i64) -> bool {
+    fn has_ended(&self, now: i64) -> bool {
         let timed_out = now >= self.requested_at + limits::LEASE_REQUEST_TIMEOUT;
-        self.acts_until <= now && (self.acts_until > 0 || timed_out)
+        self.lease_expires_at <= now && (self.lease_expires_at > 0 || timed_out)
     }
 
     fn release(&self) -> LeaseRelease {
         LeaseRelease {
             term: self.term,
-            is_unused: self.acts_until == 0,
+            is_unused: self.lease_expires_at == 0,
         }
     }
 }
@@ -128,7 +128,7 @@
     /// The newest term that this replica has granted.
     granted_term: Term,
     /// That term was released by a candidate that had not won it: nobody ever holds it.
-    unused: bool,
+    granted_term_is_unused: bool,
     /// The newest term before that one that was not unused.
     previous_term: Term,
     /// The newest term that was seen to be held, as it is on disk.
@@ -146,9 +146,9 @@
     /// No request is sent before then.
     next_request_at: i64,
     /// Until then a grant of before the restart may last, and nothing is granted but to whom that can be.
-    silent_until: i64,
+    quiet_period_ends_at: i64,
     /// This replica held the lease when its process ended, and requests it ahead of all others.
-    resumes: bool,
+    is_resuming_holder: bool,
 }
 
 /// Whether `process` is `holder`, or was started after `holder` had ended.
@@ -177,7 +177,10 @@
             SingletonRole::Counter => limits::GRANT_DURATION,
         };
         let silent_until = now + silence;
-        let StoredTerms { granted, last_held } = stored;
+        let StoredTerms {
+            granted_term: granted,
+            last_held_term: last_held,
+        } = stored;
         let held_it = last_held.number > 0 && last_held == granted;
         let resumes = role == SingletonRole::Counter
             && held_it
@@ -185,7 +188,7 @@
         RoleLease {
             rank: rank as i64,
             granted_term: granted,
-            unused: false,
+            granted_term_is_unused: false,
             previous_term: Term::default(),
             last_held_term: last_held,
             current_grant: granted,
@@ -199,8 +202,8 @@
             } else {
                 silent_until
             },
-            silent_until,
-            resumes,
+            quiet_period_ends_at: silent_until,
+            is_resuming_holder: resumes,
         }
     }
 
@@ -220,30 +223,35 @@
     }
 
     /// Takes over a term that another replica has granted, in place of what was lost with the disk.
-    pub fn adopt(&mut self, term: Term) {
+    pub fn adopt_term(&mut self, term: Term) {
         if term > self.granted_term {
             self.granted_term = term;
-            self.unused = false;
+            self.granted_term_is_unused = false;
         }
         self.newest_term = self.newest_term.max(self.granted_term.number);
     }
 
     /// Votes on a request.
-    pub fn handle_request(&mut self, now: i64, from: ProcessId, request: LeaseRequest) -> Vote {
+    pub fn handle_request(
+        &mut self,
+        now: i64,
+        from: ProcessId,
+        request: LeaseRequest,
+    ) -> LeaseDecision {
         let wanted = Term {
             number: request.term,
             holder: from,
         };
         self.newest_term = self.newest_term.max(request.term);
         if request.is_renewal {
-            self.note_holder(now, wanted);
+            self.record_holder(now, wanted);
         }
         let is_new = request.term > self.granted_term.number;
         let granted = self.may_grant(now, from) && (is_new || wanted == self.grantable_term());
         if granted && is_new {
             self.previous_term = self.grantable_term();
             self.granted_term = wanted;
-            self.unused = false;
+            self.granted_term_is_unused = false;
         }
         if granted {
             self.current_grant = wanted;
@@ -254,7 +262,7 @@
         if newly_held {
             self.last_held_term = wanted;
         }
-        Vote {
+        LeaseDecision {
             is_granted: granted,
             must_persist: granted && (is_new || newly_held),
             newest_term: self.newest_term,
@@ -263,7 +271,7 @@
 
     /// Notes who says that it holds the lease. What this replica has granted does not matter here: it may have been a
     /// candidate in vain while it did not hear the holder.
-    fn note_holder(&mut self, now: i64, term: Term) {
+    fn record_holder(&mut self, now: i64, term: Term) {
         if self.known_holder.is_none_or(|(known, _)| known <= term) {
             let until = now + limits::GRANT_DURATION;
             self.known_holder = Some((term, until));
@@ -276,7 +284,7 @@
     /// Hazard: a replica that does not hear the holder any more grants itself a newer term in vain. If the holder's own
     /// requests were rejected for that afterwards, a few such replicas would cost it the lease.
     fn grantable_term(&self) -> Term {
-        if self.unused {
+        if self.granted_term_is_unused {
             self.previous_term
         } else {
             self.granted_term
@@ -293,7 +301,7 @@
         let held_last = self.last_held_term.number > 0
             && self.last_held_term == self.granted_term
             && is_same_or_successor(to, self.last_held_term.holder);
-        now >= self.silent_until || held_last || has_grant
+        now >= self.quiet_period_ends_at || held_last || has_grant
     }
 
     /// A candidate or holder gives its term up.
@@ -305,7 +313,7 @@
         if self.current_grant == released {
             self.grant_expires_at = now;
         }
-        self.unused |= self.granted_term == released && release.is_unused;
+        self.granted_term_is_unused |= self.granted_term == released && release.is_unused;
         if let Some((term, until)) = &mut self.known_holder
             && *term == released
         {
@@ -319,7 +327,7 @@
     /// The term in which this replica holds the lease at this instant.
     pub fn acting_term(&self, now: i64) -> Option<u64> {
         let candidacy = self.candidacy.as_ref();
-        let acting = candidacy.filter(|candidacy| candidacy.acts_until > now);
+        let acting = candidacy.filter(|candidacy| candidacy.lease_expires_at > now);
         acting.map(|candidacy| candidacy.term)
     }
 
@@ -350,9 +358,9 @@
         if !table.is_quorum(votes) {
             return false;
         }
-        let won = candidacy.acts_until == 0;
+        let won = candidacy.lease_expires_at == 0;
         let acts_until = vote.sent_at + limits::GRANT_DURATION - limits::GRANT_SAFETY_MARGIN;
-        candidacy.acts_until = candidacy.acts_until.max(acts_until);
+        candidacy.lease_expires_at = candidacy.lease_expires_at.max(acts_until);
         let sent_at = vote.sent_at;
         candidacy.open_votes.retain(|sent, _| *sent > sent_at);
         won
@@ -363,7 +371,7 @@
     pub fn tick(&mut self, now: i64, may_request: bool, jitter: i64) -> Option<LeaseAction> {
         let wake_at = self.wake_at();
         match &mut self.candidacy {
-            Some(candidacy) if candidacy.is_over(now) => {
+            Some(candidacy) if candidacy.has_ended(now) => {
                 let release = candidacy.release();
                 self.candidacy = None;
                 let stagger = limits::LEASE_REQUEST_STAGGER * (self.rank + 1);
@@ -379,7 +387,7 @@
                 Some(LeaseAction::Request(LeaseRequest {
                     term: candidacy.term,
                     sent_at: now,
-                    is_renewal: candidacy.acts_until > now,
+                    is_renewal: candidacy.lease_expires_at > now,
                 }))
             }
             None if !may_request || now < wake_at => None,
@@ -388,12 +396,12 @@
     }
 
     fn become_candidate(&mut self, now: i64) -> LeaseRequest {
-        self.resumes = false;
+        self.is_resuming_holder = false;
         let term = self.newest_term.max(self.granted_term.number) + 1;
         self.candidacy = Some(Candidacy {
             term,
             requested_at: now,
-            acts_until: 0,
+            lease_expires_at: 0,
             open_votes: BTreeMap::from([(now, BTreeMap::new())]),
         });
         self.next_request_at = now + limits::LEASE_REQUEST_TIMEOUT;
@@ -418,17 +426,19 @@
     /// When [`RoleLease::tick`] is to be called at the latest.
     pub fn wake_at(&self) -> i64 {
         match &self.candidacy {
-            Some(candidacy) if candidacy.acts_until > 0 => {
-                self.next_request_at.min(candidacy.acts_until)
+            Some(candidacy) if candidacy.lease_expires_at > 0 => {
+                self.next_request_at.min(candidacy.lease_expires_at)
             }
             Some(candidacy) => {
                 let timeout = candidacy.requested_at + limits::LEASE_REQUEST_TIMEOUT;
                 self.next_request_at.min(timeout)
             }
-            None if self.resumes => self.next_request_at,
+            None if self.is_resuming_holder => self.next_request_at,
             None => {
                 let turn = self.vacant_since + self.rank * limits::LEASE_REQUEST_STAGGER;
-                self.next_request_at.max(self.silent_until).max(turn)
+                self.next_request_at
+                    .max(self.quiet_period_ends_at)
+                    .max(turn)
             }
         }
     }
--- a/crates/control/src/core/role_lease/tests.rs
+++ b/crates/control/src/core/role_lease/tests.rs
@@ -133,8 +133,8 @@
         by(1),
         6,
         StoredTerms {
-            granted: held,
-            last_held: kept,
+            granted_term: held,
+            last_held_term: kept,
         },
         0,
     );
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -172,7 +172,7 @@
             "promise",
             Payload::Promise {
                 ballot: ballot(5),
-                accepted: vec![entry("a", 1)],
+                accepted_values: vec![entry("a", 1)],
             },
         ),
         (
--- a/crates/model-check/tests/side_by_side/world.rs
+++ b/crates/model-check/tests/side_by_side/world.rs
@@ -463,7 +463,10 @@
             Payload::Accept { ballot, items } => {
                 self.accept(at, self.names.ballot(*ballot), value(&items[0]), &given)
             }
-            Payload::Promise { ballot, accepted } if counts && mine(self.names.ballot(*ballot)) => {
+            Payload::Promise {
+                ballot,
+                accepted_values: accepted,
+            } if counts && mine(self.names.ballot(*ballot)) => {
                 let vote = vote(Ballot::default(), self.names.accepted(accepted.first()));
                 self.promised(at, vote, &given);
             }
@@ -538,7 +541,10 @@
     fn prepare(&mut self, at: usize, ballot: Ballot, given: &Given) {
         let verdict = self.state.prepare(at, ballot, None);
         let code = given.find(|sent| match &sent.payload {
-            Payload::Promise { accepted, .. } => {
+            Payload::Promise {
+                accepted_values: accepted,
+                ..
+            } => {
                 assert_eq!(
                     self.names.table(&sent.incarnations),
                     self.state.machines[at].table
--- a/crates/simulation/src/harm.rs
+++ b/crates/simulation/src/harm.rs
@@ -201,12 +201,24 @@
             (Some(Bug::Asked), Payload::LeaseVote { term, .. }) => {
                 term.holder = self.speaker(to).unwrap_or(term.holder)
             }
-            (Some(Bug::Versions), Payload::Promise { accepted, .. }) => {
+            (
+                Some(Bug::Versions),
+                Payload::Promise {
+                    accepted_values: accepted,
+                    ..
+                },
+            ) => {
                 accepted
                     .iter_mut()
                     .for_each(|(_, item)| item.ver = item.ver.saturating_sub(1));
             }
-            (Some(Bug::Traces), Payload::Promise { accepted, .. })
+            (
+                Some(Bug::Traces),
+                Payload::Promise {
+                    accepted_values: accepted,
+                    ..
+                },
+            )
             | (
                 Some(Bug::Traces),
                 Payload::RegisterChunk {
@@ -241,7 +253,13 @@
             (Some(Bug::Undropped), Payload::IncarnationRecorded { chunk: piece, .. }) => {
                 piece.items.retain(|(_, item)| item.spec.is_some());
             }
-            (Some(Bug::Arrival), Payload::Promise { accepted, .. }) => by_arrival(accepted),
+            (
+                Some(Bug::Arrival),
+                Payload::Promise {
+                    accepted_values: accepted,
+                    ..
+                },
+            ) => by_arrival(accepted),
             (Some(Bug::Arrival), Payload::RegisterChunk { chunk: piece, .. }) => {
                 by_arrival(&mut piece.items)
             }
@@ -309,7 +327,7 @@
         let body = match &peer_message.payload {
             Payload::Prepare { ballot, .. } => Payload::Promise {
                 ballot: *ballot,
-                accepted: Vec::new(),
+                accepted_values: Vec::new(),
             },
             Payload::Accept { ballot, .. } => Payload::Accepted(*ballot),
             _ => return,
