--- a/crates/control/src/core/acceptor.rs
+++ b/crates/control/src/core/acceptor.rs
@@ -32,7 +32,7 @@
                     ballot,
                     accepted_values: accepted,
                 };
-                self.write(records, Some(PendingWrite::Vote(from, promise)), out);
+                self.write(records, Some(PendingWrite::SendVote(from, promise)), out);
             }
             Err(seen) => self.deliver_vote(
                 now,
@@ -66,7 +66,7 @@
                 }
                 let records = self.register_records(items.iter().map(|item| &item.name));
                 let accepted = Payload::Accepted(ballot);
-                self.write(records, Some(PendingWrite::Vote(from, accepted)), out);
+                self.write(records, Some(PendingWrite::SendVote(from, accepted)), out);
             }
             Err(seen) => self.deliver_vote(
                 now,
@@ -83,7 +83,10 @@
     /// Whether this replica votes at all. While it hands over, and a quorum is complete without it, it votes on no further
     /// proposal of another replica.
     fn may_vote(&self, from: Option<SocketAddr>) -> bool {
-        let closed = self.handover.as_ref().is_some_and(Handover::voting_closed);
+        let closed = self
+            .handover
+            .as_ref()
+            .is_some_and(Handover::is_voting_closed);
         !self.disk.is_full && (from.is_none() || !closed)
     }
 
--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -49,7 +49,7 @@
 
 impl AgentState {
     /// For how long the agent has had other items than those with this digest, in microseconds at most; 0 if it has the same.
-    pub(super) fn behind(&self, now: i64, digest: u64) -> i64 {
+    pub(super) fn lag_us(&self, now: i64, digest: u64) -> i64 {
         if self.digest == digest {
             0
         } else {
@@ -77,21 +77,21 @@
     /// The zone of each agent that is sent the configuration.
     zones: BTreeMap<u64, String>,
     /// The view that each zone was sent last.
-    announced: BTreeMap<String, AnnouncedView>,
+    announced_views: BTreeMap<String, AnnouncedView>,
     /// Links for the counter alone, and when each was last used.
     counter_links: BTreeMap<u64, i64>,
     states: BTreeMap<u64, AgentState>,
     /// Agents that have just started and are sent everything at this time: most of them leave for the replica of their own
     /// zone before that.
-    deferred: BTreeMap<u64, i64>,
+    deferred_syncs: BTreeMap<u64, i64>,
     /// Digests of the items that an agent has, from before it says which edge it belongs to.
     known_digests: BTreeMap<u64, Vec<u64>>,
     /// Initial transfers in progress.
-    pending: BTreeMap<u64, PendingSync>,
+    pending_syncs: BTreeMap<u64, PendingSync>,
     /// A changed number of limiters is not announced before this time.
-    next_count_update: i64,
+    next_count_update_at: i64,
     /// A changed number of limiters has not been announced yet.
-    count_update_due: bool,
+    has_unannounced_count: bool,
 }
 
 impl AgentLinks {
@@ -116,8 +116,10 @@
 
     /// When something is to be sent to any of them.
     pub(super) fn wake_at(&self) -> Option<i64> {
-        let count_update = self.count_update_due.then_some(self.next_count_update);
-        let deferred = self.deferred.values().copied().min();
+        let count_update = self
+            .has_unannounced_count
+            .then_some(self.next_count_update_at);
+        let deferred = self.deferred_syncs.values().copied().min();
         count_update.into_iter().chain(deferred).min()
     }
 
@@ -125,9 +127,9 @@
         self.zones.remove(&link);
         self.counter_links.remove(&link);
         self.known_digests.remove(&link);
-        self.pending.remove(&link);
+        self.pending_syncs.remove(&link);
         self.states.remove(&link);
-        self.deferred.remove(&link);
+        self.deferred_syncs.remove(&link);
     }
 }
 
@@ -175,15 +177,15 @@
         let changed = self.membership.handle_hello(now, link, node);
         self.agents.zones.insert(link, zone.clone());
         // All agents of a zone have the same view, so that a change can be sent to all of them alike.
-        let announced = self.agents.announced.get(&zone).cloned();
+        let announced = self.agents.announced_views.get(&zone).cloned();
         let announced = announced.unwrap_or_else(|| self.cluster_view(now, &zone));
         let view = ControlMessage::ClusterView(announced.view.clone());
         out.push(Output::SendToAgents(vec![link], view));
-        self.agents.announced.insert(zone.clone(), announced);
+        self.agents.announced_views.insert(zone.clone(), announced);
         let is_new = !self.agents.known_digests.contains_key(&link);
-        if is_new && self.has_reachable_home(now, &zone) {
+        if is_new && self.has_reachable_zone_replica(now, &zone) {
             let start_at = now + limits::HEARTBEAT_INTERVAL;
-            self.agents.deferred.insert(link, start_at);
+            self.agents.deferred_syncs.insert(link, start_at);
         } else {
             self.start_sync(now, link, out);
         }
@@ -226,7 +228,7 @@
     ) {
         self.advance_clock(now, time);
         self.agents.record_counter_link(now, link);
-        let share = self.reached_share();
+        let share = self.counter_reach_share();
         let is_late = now + self.clock_offset - time > limits::MAX_CLOCK_DIFFERENCE;
         if is_late {
             self.send_clock(now, link, out);
@@ -249,7 +251,7 @@
     }
 
     /// Whether the zone of an agent has a replica of its own, other than this one, that is reachable.
-    fn has_reachable_home(&self, now: i64, zone: &str) -> bool {
+    fn has_reachable_zone_replica(&self, now: i64, zone: &str) -> bool {
         let position = self.zones.iter().position(|other| other == zone);
         let home = position.map(|position| position as ReplicaId);
         home.is_some_and(|home| {
@@ -269,13 +271,13 @@
             unacknowledged: 0,
             progressed_at: now,
         };
-        self.agents.pending.insert(link, sync);
+        self.agents.pending_syncs.insert(link, sync);
         self.send_chunks(now, link, out);
     }
 
     /// An agent that has acknowledged nothing for [`limits::CHUNK_ACK_TIMEOUT`] is sent the next chunk all the same.
     fn resume_stalled_sync(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        let sync = self.agents.pending.get(&link);
+        let sync = self.agents.pending_syncs.get(&link);
         if sync.is_some_and(|sync| now - sync.progressed_at > limits::CHUNK_ACK_TIMEOUT) {
             self.handle_chunk_ack(now, link, out);
         }
@@ -283,7 +285,7 @@
 
     /// An agent has taken in a chunk.
     fn handle_chunk_ack(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        if let Some(sync) = self.agents.pending.get_mut(&link) {
+        if let Some(sync) = self.agents.pending_syncs.get_mut(&link) {
             sync.unacknowledged = sync.unacknowledged.saturating_sub(1);
             sync.progressed_at = now;
             self.send_chunks(now, link, out);
@@ -292,7 +294,7 @@
 
     /// Sends an agent as many chunks as may be in flight to it.
     fn send_chunks(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        let Some(sync) = self.agents.pending.get_mut(&link) else {
+        let Some(sync) = self.agents.pending_syncs.get_mut(&link) else {
             return;
         };
         let free = limits::MAX_UNACKNOWLEDGED_CHUNKS.saturating_sub(sync.unacknowledged);
@@ -314,7 +316,7 @@
             out.push(Output::SendToAgents(vec![link], items));
         }
         if !has_more {
-            self.agents.pending.remove(&link);
+            self.agents.pending_syncs.remove(&link);
             if self.catch_up.is_up_to_date() && self.table.has_quorum_contact(now) {
                 out.push(Output::SendToAgents(vec![link], ControlMessage::Complete));
             }
@@ -323,10 +325,10 @@
 
     /// Starts to send everything to the agents that were to find the replica of their own zone first and have not left.
     pub(super) fn drive_deferred_syncs(&mut self, now: i64, out: &mut Vec<Output>) {
-        let due = self.agents.deferred.iter();
+        let due = self.agents.deferred_syncs.iter();
         let due = due.filter(|(_, start_at)| **start_at <= now);
         for link in due.map(|(link, _)| *link).collect::<Vec<_>>() {
-            self.agents.deferred.remove(&link);
+            self.agents.deferred_syncs.remove(&link);
             self.start_sync(now, link, out);
         }
     }
@@ -344,7 +346,7 @@
 
     /// The share of the limiters that reach this counter. The others use even slices of the quotas, which must be left for
     /// them.
-    fn reached_share(&self) -> f64 {
+    fn counter_reach_share(&self) -> f64 {
         let limiters = self.membership.recently_serving_count();
         let reached = self.agents.counter_links.len();
         if reached >= limiters {
@@ -385,7 +387,7 @@
         let view = ClusterView {
             replicas: replicas.collect(),
             counter: self.counter_holder(now),
-            has_quorum: self.table.has_quorum_contact(now) && !self.shutting_down,
+            has_quorum: self.table.has_quorum_contact(now) && !self.is_shutting_down,
             limiters: serving.total.max(recently_serving),
             limiters_in_zone: serving.in_zone,
         };
@@ -399,7 +401,7 @@
     /// nothing has.
     fn view_change(&self, now: i64, zone: &str, announced: &AnnouncedView) -> ViewChange {
         let former = &announced.view;
-        let has_quorum = self.table.has_quorum_contact(now) && !self.shutting_down;
+        let has_quorum = self.table.has_quorum_contact(now) && !self.is_shutting_down;
         if former.counter != self.counter_holder(now)
             || former.has_quorum != has_quorum
             || announced.table_revision != self.table.revision()
@@ -427,7 +429,7 @@
         announcement: Announcement,
         out: &mut Vec<Output>,
     ) {
-        self.agents.count_update_due = false;
+        self.agents.has_unannounced_count = false;
         if self.agents.zones.is_empty() {
             return;
         }
@@ -435,7 +437,7 @@
         for (link, zone) in &self.agents.zones {
             links_by_zone.entry(zone).or_default().push(*link);
         }
-        let mut announced = std::mem::take(&mut self.agents.announced);
+        let mut announced = std::mem::take(&mut self.agents.announced_views);
         announced.retain(|zone, _| links_by_zone.contains_key(zone));
         let mut unchanged = Vec::new();
         let mut has_announced = false;
@@ -445,8 +447,8 @@
                 None => ViewChange::Major,
             };
             // Hazard: when many limiters start, each of them would otherwise be announced to all others at once.
-            let defer = change == ViewChange::Minor && now < self.agents.next_count_update;
-            self.agents.count_update_due |= defer;
+            let defer = change == ViewChange::Minor && now < self.agents.next_count_update_at;
+            self.agents.has_unannounced_count |= defer;
             if change == ViewChange::None || defer {
                 unchanged.extend(links);
                 continue;
@@ -463,9 +465,9 @@
             announced.insert(zone.clone(), view);
             has_announced = true;
         }
-        self.agents.announced = announced;
+        self.agents.announced_views = announced;
         if has_announced {
-            self.agents.next_count_update = now + limits::LIMITER_COUNT_INTERVAL;
+            self.agents.next_count_update_at = now + limits::LIMITER_COUNT_INTERVAL;
         }
         if announcement == Announcement::WithKeepAlive && !unchanged.is_empty() {
             let keep_alive = ControlMessage::Items(Vec::new());
@@ -492,8 +494,8 @@
 
     fn announce_complete_to(&self, mut links: Vec<u64>, out: &mut Vec<Output>) {
         links.retain(|link| {
-            let is_deferred = self.agents.deferred.contains_key(link);
-            !is_deferred && !self.agents.pending.contains_key(link)
+            let is_deferred = self.agents.deferred_syncs.contains_key(link);
+            !is_deferred && !self.agents.pending_syncs.contains_key(link)
         });
         self.send_to_agents(links, ControlMessage::Complete, out);
     }
--- a/crates/control/src/core/anti_entropy.rs
+++ b/crates/control/src/core/anti_entropy.rs
@@ -40,7 +40,7 @@
     }
 }
 
-fn key_of(entry: &(Ballot, Item)) -> u64 {
+fn entry_key(entry: &(Ballot, Item)) -> u64 {
     digests::name_key(&entry.1.name)
 }
 
@@ -80,7 +80,7 @@
                 continuation: Continuation::End,
             },
             _ => {
-                let entries = differing.iter().map(|entry| (key_of(entry), entry.0));
+                let entries = differing.iter().map(|entry| (entry_key(entry), entry.0));
                 Payload::DigestEntries {
                     id,
                     entries: entries.collect(),
@@ -102,7 +102,10 @@
         if id != self.catch_up.exchange.id {
             return;
         }
-        let known = self.chosen.entries().map(|entry| (key_of(entry), entry.0));
+        let known = self
+            .chosen
+            .entries()
+            .map(|entry| (entry_key(entry), entry.0));
         let known: BTreeMap<u64, Ballot> = known.collect();
         let is_newer = |key: &u64, ballot: &Ballot| known.get(key).is_none_or(|own| own < ballot);
         let newer = entries.iter().filter(|(key, ballot)| is_newer(key, ballot));
@@ -128,7 +131,7 @@
     ) {
         let wanted: BTreeSet<u64> = wanted.iter().copied().collect();
         let entries = self.chosen.entries();
-        let entries = entries.filter(|entry| wanted.contains(&key_of(entry)));
+        let entries = entries.filter(|entry| wanted.contains(&entry_key(entry)));
         let split = split_into_chunks(self.transfer_limits, entries.cloned(), |(_, item)| item);
         let continuations = continuations(split.chunks.len(), split.has_more);
         let chunks = split.chunks.into_iter().zip(continuations);
--- a/crates/control/src/core/catch_up.rs
+++ b/crates/control/src/core/catch_up.rs
@@ -23,9 +23,9 @@
 pub(super) struct CatchUp {
     /// The replicas whose chosen items were all known here at some instant since the start, one bit each.
     matched_replicas: u128,
-    up_to_date: bool,
+    is_up_to_date: bool,
     /// The read begins at this time, whatever the digests say.
-    read_at: Option<i64>,
+    read_due_at: Option<i64>,
     /// How often this replica has lost contact to a quorum: a read that began before does not count.
     epoch: u64,
     /// Heartbeats in a row of each replica with another digest of the chosen items.
@@ -40,8 +40,8 @@
     pub(super) fn new(now: i64, incarnation: Incarnation, run: u32) -> CatchUp {
         CatchUp {
             matched_replicas: 0,
-            up_to_date: false,
-            read_at: None,
+            is_up_to_date: false,
+            read_due_at: None,
             epoch: 0,
             digest_mismatches: BTreeMap::new(),
             next_request_at: now,
@@ -53,7 +53,7 @@
 
     /// Whether everything that is chosen is known here, as far as a quorum can tell.
     pub(super) fn is_up_to_date(&self) -> bool {
-        self.up_to_date
+        self.is_up_to_date
     }
 
     /// When another replica may be asked for chosen items.
@@ -75,9 +75,9 @@
 
     /// Without contact to a quorum the others may choose what this replica does not hear of.
     pub(super) fn reset(&mut self) {
-        self.up_to_date = false;
+        self.is_up_to_date = false;
         self.matched_replicas = 0;
-        self.read_at = None;
+        self.read_due_at = None;
         self.epoch += 1;
     }
 
@@ -103,7 +103,7 @@
 
 impl Replica {
     /// Compares the digest of another replica's chosen items with that of this one.
-    pub(super) fn compare_chosen(
+    pub(super) fn compare_chosen_digest(
         &mut self,
         now: i64,
         sender: Sender,
@@ -111,7 +111,7 @@
         out: &mut Vec<Output>,
     ) {
         let replica = sender.replica();
-        if !self.catch_up.up_to_date && self.has_quorum_contact {
+        if !self.catch_up.is_up_to_date && self.has_quorum_contact {
             if chosen_digest == self.chosen.digest() {
                 self.catch_up.matched_replicas |= 1 << replica;
             }
@@ -132,19 +132,19 @@
 
     /// Chosen items are on their way to this replica: it is not up to date, and asks no second replica meanwhile.
     pub(super) fn mark_lagging(&mut self, now: i64) {
-        self.catch_up.read_at = Some(now + limits::CATCH_UP_DURATION);
+        self.catch_up.read_due_at = Some(now + limits::CATCH_UP_DURATION);
         self.catch_up.next_request_at = now + limits::SYNC_REQUEST_INTERVAL;
     }
 
     /// Begins the read that makes this replica up to date, once nothing else is to be learned before.
     pub(super) fn update_up_to_date(&mut self, now: i64, out: &mut Vec<Output>) {
-        if self.catch_up.up_to_date || !self.has_quorum_contact || self.reads.is_catching_up() {
+        if self.catch_up.is_up_to_date || !self.has_quorum_contact || self.reads.is_catching_up() {
             return;
         }
         let matched = self.catch_up.matched_replicas.count_ones() as usize + 1;
         let quorum_matches = matched >= self.table.quorum_size() && self.pending.is_empty();
         let deadline = now + limits::CATCH_UP_DURATION;
-        let deadline = *self.catch_up.read_at.get_or_insert(deadline);
+        let deadline = *self.catch_up.read_due_at.get_or_insert(deadline);
         if (quorum_matches || now >= deadline) && self.table.is_participant() {
             let purpose = ReadPurpose::CatchUp {
                 epoch: self.catch_up.epoch,
@@ -155,7 +155,9 @@
 
     /// Everything that more than half of the replicas have accepted is known to be chosen here: the agents are told.
     pub(super) fn handle_catch_up_read(&mut self, epoch: u64, out: &mut Vec<Output>) {
-        if epoch == self.catch_up.epoch && !std::mem::replace(&mut self.catch_up.up_to_date, true) {
+        if epoch == self.catch_up.epoch
+            && !std::mem::replace(&mut self.catch_up.is_up_to_date, true)
+        {
             self.announce_complete(out);
         }
     }
--- a/crates/control/src/core/counter.rs
+++ b/crates/control/src/core/counter.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SharedCounter {
     totals: HashMap<u64, Total>,
-    next_sweep: i64,
+    next_sweep_at: i64,
     /// The term of the lease under which the totals were counted.
     term: u64,
     last_add_at: Option<i64>,
@@ -80,8 +80,8 @@
     }
 
     fn sweep(&mut self, now: i64) {
-        if now >= self.next_sweep {
-            self.next_sweep = now + limits::COUNTER_SWEEP_INTERVAL;
+        if now >= self.next_sweep_at {
+            self.next_sweep_at = now + limits::COUNTER_SWEEP_INTERVAL;
             self.totals.retain(|_, total| total.expires_at > now);
         }
     }
--- a/crates/control/src/core/handover.rs
+++ b/crates/control/src/core/handover.rs
@@ -61,35 +61,37 @@
 pub(super) struct Handover {
     receivers: BTreeMap<ReplicaId, Receiver>,
     /// No further proposal is voted on; what counts now are the answers to the second query.
-    voting_closed: bool,
+    is_voting_closed: bool,
     /// Another replica hears the newer incarnation of this one.
-    successor_seen: bool,
-    done: bool,
+    is_successor_reachable: bool,
+    is_done: bool,
     next_query_at: i64,
 }
 
 impl Handover {
     /// How many other replicas have everything.
-    fn complete_receivers(&self) -> usize {
+    fn complete_receiver_count(&self) -> usize {
         let receivers = self.receivers.values();
         receivers.filter(|receiver| receiver.is_complete()).count()
     }
 
     /// Whether no further proposal of another replica is voted on.
-    pub(super) fn voting_closed(&self) -> bool {
-        self.voting_closed
+    pub(super) fn is_voting_closed(&self) -> bool {
+        self.is_voting_closed
     }
 
     /// When [`Replica::drive_handover`] is due.
     pub(super) fn wake_at(&self) -> Option<i64> {
-        (!self.done).then_some(self.next_query_at)
+        (!self.is_done).then_some(self.next_query_at)
     }
 }
 
 impl Replica {
     /// Whether a quorum without this replica has what it knows to be chosen, or it was not told to end.
     pub fn is_handed_over(&self) -> bool {
-        self.handover.as_ref().is_none_or(|handover| handover.done)
+        self.handover
+            .as_ref()
+            .is_none_or(|handover| handover.is_done)
     }
 
     /// The process was told to end, or has recovered after that.
@@ -97,7 +99,7 @@
         self.handover = Some(Handover {
             next_query_at: now,
             // A replica that has not recovered has no votes, and nothing that the others lack.
-            done: self.table.local().incarnation == Incarnation::NONE,
+            is_done: self.table.local().incarnation == Incarnation::NONE,
             ..Handover::default()
         });
     }
@@ -115,10 +117,10 @@
         let Some(mut handover) = self.handover.take() else {
             return;
         };
-        if !handover.done && self.check_handover(&mut handover, out) {
-            handover.done = true;
+        if !handover.is_done && self.check_handover(&mut handover, out) {
+            handover.is_done = true;
         }
-        if !handover.done && now >= handover.next_query_at {
+        if !handover.is_done && now >= handover.next_query_at {
             handover.next_query_at = now + limits::RESEND_INTERVAL;
             self.query_receivers(&mut handover, out);
         }
@@ -130,18 +132,19 @@
         let others = self.table.replica_count() - 1;
         let needed = self.table.quorum_size().min(others);
         if self.table.is_superseded() {
-            return handover.successor_seen && handover.complete_receivers() + 1 >= needed;
+            return handover.is_successor_reachable
+                && handover.complete_receiver_count() + 1 >= needed;
         }
         // Hazard: what was accepted here and is not known to be chosen may have been acknowledged by another replica, and
         // a read in progress may become a proposal.
         let at_work = !self.is_idle() || !self.proposals.is_empty();
-        if handover.complete_receivers() < needed || !self.pending.is_empty() || at_work {
+        if handover.complete_receiver_count() < needed || !self.pending.is_empty() || at_work {
             return false;
         }
-        if handover.voting_closed {
+        if handover.is_voting_closed {
             return true;
         }
-        handover.voting_closed = true;
+        handover.is_voting_closed = true;
         handover.receivers.clear();
         self.query_receivers(handover, out);
         needed == 0
@@ -149,7 +152,7 @@
 
     fn query_receivers(&self, handover: &mut Handover, out: &mut Vec<Output>) {
         let local = self.table.local().replica;
-        let awaits_successor = self.table.is_superseded() && !handover.successor_seen;
+        let awaits_successor = self.table.is_superseded() && !handover.is_successor_reachable;
         for replica in 0..self.table.replica_count() as ReplicaId {
             if replica == local {
                 continue;
@@ -192,7 +195,7 @@
             slot_incarnation,
         };
         // Records are written in order: once this write is done, so are all before it.
-        let ack = PendingWrite::Vote(Some(sender.address), ack);
+        let ack = PendingWrite::SendVote(Some(sender.address), ack);
         self.write(Vec::new(), Some(ack), out);
     }
 
@@ -209,10 +212,10 @@
         self.handle_slot_report(now, sender.replica(), slot_incarnation);
         let local = self.table.local();
         // Hazard: a handover that is done has to stay, as it keeps this replica from voting.
-        let Some(mut handover) = self.handover.take_if(|handover| !handover.done) else {
+        let Some(mut handover) = self.handover.take_if(|handover| !handover.is_done) else {
             return;
         };
-        handover.successor_seen |= slot_incarnation > local.incarnation;
+        handover.is_successor_reachable |= slot_incarnation > local.incarnation;
         let receiver = handover.receivers.entry(sender.replica()).or_default();
         let entries = receiver.handle_digests(id, digests, &self.chosen);
         // Everything is sent at once: this replica has only its grace period, and its receivers request nothing more.
--- a/crates/control/src/core/heartbeat.rs
+++ b/crates/control/src/core/heartbeat.rs
@@ -58,11 +58,11 @@
             self.send(vec![sender.address], Payload::MemberListRequest, out);
         }
         let lacks_servers = heartbeat.server_list_version > self.server_list.version();
-        if lacks_servers && now >= self.next_server_request {
-            self.next_server_request = now + limits::SYNC_REQUEST_INTERVAL;
+        if lacks_servers && now >= self.next_server_list_request_at {
+            self.next_server_list_request_at = now + limits::SYNC_REQUEST_INTERVAL;
             self.send(vec![sender.address], Payload::ServerListRequest, out);
         }
-        self.compare_chosen(now, sender, heartbeat.chosen_digest, out);
+        self.compare_chosen_digest(now, sender, heartbeat.chosen_digest, out);
     }
 
     /// Checks whether this replica is in contact with a quorum.
--- a/crates/control/src/core/membership.rs
+++ b/crates/control/src/core/membership.rs
@@ -28,8 +28,8 @@
 
     fn precedence(&self) -> Precedence {
         Precedence {
-            connected: self.member.is_connected,
-            local: true,
+            is_connected: self.member.is_connected,
+            is_local: true,
             changed_at: 0,
         }
     }
@@ -60,8 +60,8 @@
 
     fn precedence(&self, member: &Member) -> Precedence {
         Precedence {
-            connected: member.is_connected,
-            local: false,
+            is_connected: member.is_connected,
+            is_local: false,
             changed_at: self.changed_at,
         }
     }
@@ -87,9 +87,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Precedence {
     /// The edge's agent is linked to the replica that reports it.
-    connected: bool,
+    is_connected: bool,
     /// The edge holds its lease at this replica.
-    local: bool,
+    is_local: bool,
     /// When the report changed last.
     changed_at: i64,
 }
@@ -147,9 +147,9 @@
     /// Edges that serve or served recently, and when each was last known to.
     recently_serving: BTreeMap<String, i64>,
     /// Edges that have not said yet that they serve.
-    starting: BTreeSet<String>,
+    not_yet_ready: BTreeSet<String>,
     /// Edges that served and say that they do no longer.
-    left: BTreeSet<String>,
+    departed: BTreeSet<String>,
     serving: ServingNodes,
 }
 
@@ -162,7 +162,7 @@
 
 impl ServingNodes {
     /// An edge serves in a zone, or does not serve.
-    fn set(&mut self, name: &str, zone: Option<&str>) {
+    fn set_zone(&mut self, name: &str, zone: Option<&str>) {
         if self.nodes.get(name).map(String::as_str) == zone {
             return;
         }
@@ -339,7 +339,7 @@
             match member.state {
                 NodeState::Unavailable => _ = unavailable.insert(name.clone()),
                 NodeState::Ready | NodeState::Draining => {
-                    serving.set(name, Some(&member.node.zone))
+                    serving.set_zone(name, Some(&member.node.zone))
                 }
             }
         }
@@ -357,15 +357,15 @@
         let recently_serving = &mut self.recently_serving;
         let newly_left = unavailable.iter();
         let newly_left = newly_left.filter(|name| recently_serving.contains_key(*name));
-        self.left.extend(newly_left.cloned());
-        self.left.retain(|name| unavailable.contains(name));
+        self.departed.extend(newly_left.cloned());
+        self.departed.retain(|name| unavailable.contains(name));
         // Hazard: an edge that falls silent before it has said that it serves may serve by then, and use its slices.
-        for name in &self.starting {
+        for name in &self.not_yet_ready {
             if !unavailable.contains(name) && !self.serving.nodes.contains_key(name) {
                 recently_serving.insert(name.clone(), now);
             }
         }
-        self.starting = unavailable.difference(&self.left).cloned().collect();
+        self.not_yet_ready = unavailable.difference(&self.departed).cloned().collect();
         for name in self.serving.nodes.keys() {
             recently_serving.insert(name.clone(), now);
         }
@@ -387,7 +387,7 @@
         replica: ReplicaId,
         members: Vec<Member>,
     ) -> bool {
-        self.release_moved(&members);
+        self.release_moved_leases(&members);
         let digest = list_digest(members.iter());
         let by_name = members.into_iter();
         let by_name = by_name.map(|member| (member.node.name.clone(), member));
@@ -438,7 +438,7 @@
         for member in &delta.changed_members {
             self.add_reporter(replica, &member.node.name);
         }
-        self.release_moved(&delta.changed_members);
+        self.release_moved_leases(&delta.changed_members);
         let changed = delta.changed_members.iter().map(|member| &member.node.name);
         for name in changed.chain(&delta.removed_names) {
             self.update_serving(name);
@@ -451,7 +451,7 @@
     }
 
     /// Releases the leases of edges whose agents were linked here and are linked elsewhere by now.
-    fn release_moved(&mut self, members: &[Member]) {
+    fn release_moved_leases(&mut self, members: &[Member]) {
         for member in members.iter().filter(|member| member.is_connected) {
             let name = &member.node.name;
             let lease = self.local.get(name);
@@ -518,7 +518,7 @@
         let member = self.best_report(name);
         let serving = member.filter(|member| member.state != NodeState::Unavailable);
         let zone = serving.map(|member| member.node.zone.clone());
-        self.serving.set(name, zone.as_deref());
+        self.serving.set_zone(name, zone.as_deref());
     }
 
     /// The report of an edge that is believed, as [`Membership::all_members`] has it.
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -64,7 +64,7 @@
 use self::pending_proposals::PendingProposals;
 use self::proposals::Proposals;
 use self::quorum_read::QuorumReads;
-use self::reclaim::Superseded;
+use self::reclaim::Supersession;
 use self::recovery::Recovery;
 use self::registers::Registers;
 use self::replicas::ReplicaTable;
@@ -85,7 +85,7 @@
     table: ReplicaTable,
     /// More than half of the replicas are in contact with this one, as of the last heartbeat.
     has_quorum_contact: bool,
-    next_heartbeat: i64,
+    next_heartbeat_at: i64,
 
     registers: Registers,
     chosen: ChosenItems,
@@ -101,7 +101,7 @@
     clock_offset: i64,
     server_list: ServerList,
     /// The server list is not requested from another replica before this time.
-    next_server_request: i64,
+    next_server_list_request_at: i64,
 
     membership: Membership,
     agents: AgentLinks,
@@ -110,10 +110,10 @@
     /// The recovery of this replica, while its disk has lost the registers.
     recovery: Option<Recovery>,
     /// Set while another machine holds a newer incarnation of this replica.
-    superseded: Option<Superseded>,
+    supersession: Option<Supersession>,
     /// Set once the process was told to end.
     handover: Option<Handover>,
-    shutting_down: bool,
+    is_shutting_down: bool,
 
     last_request_id: u64,
     random_state: u64,
@@ -155,7 +155,7 @@
             run: metadata.run,
             table,
             has_quorum_contact: false,
-            next_heartbeat: now,
+            next_heartbeat_at: now,
             proposals: Proposals::new(registers.highest_promise().round),
             registers,
             chosen,
@@ -167,14 +167,14 @@
             counter: SharedCounter::default(),
             clock_offset: STEADY_CLOCK_START.saturating_sub(now),
             server_list: ServerList::default(),
-            next_server_request: now,
+            next_server_list_request_at: now,
             membership: Membership::default(),
             agents: AgentLinks::default(),
             load: LoadAggregation::default(),
             recovery: (metadata.incarnation == Incarnation::NONE).then(Recovery::default),
-            superseded: None,
+            supersession: None,
             handover: None,
-            shutting_down: false,
+            is_shutting_down: false,
             last_request_id: 0,
             random_state: config.random_seed | 1,
             transfer_limits: config.transfer_limits,
@@ -192,7 +192,7 @@
             ) | Input::WriteCompleted(_)
                 | Input::ServerListRead(_)
         );
-        if now - self.next_heartbeat >= limits::CONTACT_TIMEOUT {
+        if now - self.next_heartbeat_at >= limits::CONTACT_TIMEOUT {
             self.handle_stall(now);
         }
         self.handle_input(now, input, out);
@@ -205,7 +205,7 @@
     /// The time at which [`Input::Tick`] is to be passed in at the latest.
     pub fn wake_at(&self) -> i64 {
         let able = self.table.is_participant() && self.has_quorum_contact && !self.disk.is_full;
-        let may_request = able && !self.shutting_down;
+        let may_request = able && !self.is_shutting_down;
         let leases = self
             .role_leases
             .iter()
@@ -222,13 +222,15 @@
             self.reclaim_wake_at(),
         ];
         let optional = optional.into_iter().flatten();
-        leases.chain(optional).fold(self.next_heartbeat, i64::min)
+        leases
+            .chain(optional)
+            .fold(self.next_heartbeat_at, i64::min)
     }
 
     /// Runs what is due, in a fixed order.
     fn run_due(&mut self, now: i64, out: &mut Vec<Output>) {
-        if now >= self.next_heartbeat {
-            self.next_heartbeat = now + limits::HEARTBEAT_INTERVAL;
+        if now >= self.next_heartbeat_at {
+            self.next_heartbeat_at = now + limits::HEARTBEAT_INTERVAL;
             self.send_heartbeat(now, out);
         }
         self.drive_recovery(now, out);
@@ -243,7 +245,7 @@
 
     /// The term in which this replica performs a role at this instant, if it holds the lease.
     pub fn acting_term(&self, now: i64, role: SingletonRole) -> Option<u64> {
-        let able = self.table.is_participant() && !self.shutting_down;
+        let able = self.table.is_participant() && !self.is_shutting_down;
         self.lease(role).acting_term(now).filter(|_| able)
     }
 
--- a/crates/control/src/core/operator_calls.rs
+++ b/crates/control/src/core/operator_calls.rs
@@ -53,7 +53,7 @@
     fn rejection(&self, now: i64, command: &Command) -> Option<&'static str> {
         if !self.table.is_participant() {
             Some("this replica has not rebuilt, or was replaced")
-        } else if self.shutting_down {
+        } else if self.is_shutting_down {
             Some("this process is about to end")
         } else if !self.table.has_quorum_contact(now) {
             Some("more than half of the replicas are out of touch")
--- a/crates/control/src/core/outbox.rs
+++ b/crates/control/src/core/outbox.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum PendingWrite {
     /// Send a vote to the replica at this address; without one it is this replica's own vote.
-    Vote(Option<SocketAddr>, Payload),
+    SendVote(Option<SocketAddr>, Payload),
     /// Tell a recovering replica that its incarnation is recorded, and send it what it requested.
-    Recorded(SocketAddr, Incarnation, TransferRequest),
+    SendIncarnationRecorded(SocketAddr, Incarnation, TransferRequest),
     /// Take part in the incarnation that was recovered.
     BeginIncarnation(Incarnation),
 }
@@ -121,20 +121,20 @@
     /// Records are on disk: carries out what waited for them.
     pub(super) fn handle_written(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
         match self.disk.pending.remove(&id) {
-            Some(PendingWrite::Vote(to, vote)) if self.table.is_participant() => {
+            Some(PendingWrite::SendVote(to, vote)) if self.table.is_participant() => {
                 self.deliver_vote(now, to, vote, out)
             }
-            Some(PendingWrite::Recorded(to, incarnation, request)) => {
-                self.send_recorded(to, incarnation, &request, out)
+            Some(PendingWrite::SendIncarnationRecorded(to, incarnation, request)) => {
+                self.send_incarnation_recorded(to, incarnation, &request, out)
             }
             Some(PendingWrite::BeginIncarnation(incarnation)) => {
                 self.begin_incarnation(now, incarnation, out)
             }
-            Some(PendingWrite::Vote(..)) | None => {}
+            Some(PendingWrite::SendVote(..)) | None => {}
         }
     }
 
-    fn send_recorded(
+    fn send_incarnation_recorded(
         &self,
         to: SocketAddr,
         incarnation: Incarnation,
--- a/crates/control/src/core/pending_proposals.rs
+++ b/crates/control/src/core/pending_proposals.rs
@@ -12,61 +12,64 @@
 #[derive(Clone, Debug, Default)]
 pub struct PendingProposals {
     /// Since when each has waited, or when its last repair has failed.
-    since: BTreeMap<ItemName, i64>,
+    pending_since: BTreeMap<ItemName, i64>,
     /// Those that a repair is working on.
-    in_repair: BTreeSet<ItemName>,
+    under_repair: BTreeSet<ItemName>,
 }
 
 impl PendingProposals {
     /// Adds a register whose value was accepted and is not known to be chosen.
     pub fn insert(&mut self, now: i64, name: &ItemName) {
-        self.since.entry(name.clone()).or_insert(now);
+        self.pending_since.entry(name.clone()).or_insert(now);
     }
 
     /// Whether the register's value is not known to be chosen.
     pub fn contains(&self, name: &ItemName) -> bool {
-        self.since.contains_key(name)
+        self.pending_since.contains_key(name)
     }
 
     /// Removes a register whose value is known to be chosen.
     pub fn remove(&mut self, name: &ItemName) {
-        self.since.remove(name);
-        self.in_repair.remove(name);
+        self.pending_since.remove(name);
+        self.under_repair.remove(name);
     }
 
     /// When the next repair is due at this replica. The replicas' delays are staggered, so that normally only one of them
     /// starts a repair.
     pub fn wake_at(&self, replica: ReplicaId) -> Option<i64> {
-        if self.in_repair.len() >= limits::MAX_REPAIRS_IN_FLIGHT {
+        if self.under_repair.len() >= limits::MAX_REPAIRS_IN_FLIGHT {
             return None;
         }
-        let waiting = self.since.iter();
-        let waiting = waiting.filter(|(name, _)| !self.in_repair.contains(*name));
+        let waiting = self.pending_since.iter();
+        let waiting = waiting.filter(|(name, _)| !self.under_repair.contains(*name));
         let earliest = waiting.map(|(_, since)| *since).min()?;
         let stagger = i64::from(replica) * limits::REPAIR_STAGGER;
         Some(earliest + limits::REPAIR_DELAY + stagger)
     }
 
     /// Takes the registers that are due for a repair, once the first of them is.
-    pub fn take_due(&mut self, now: i64, replica: ReplicaId) -> Vec<ItemName> {
+    pub fn take_due_repairs(&mut self, now: i64, replica: ReplicaId) -> Vec<ItemName> {
         if self.wake_at(replica).is_none_or(|wake_at| wake_at > now) {
             return Vec::new();
         }
         // Those that were added soon after the first one are repaired together with it.
         let latest = now - limits::REPAIR_DELAY / 2;
-        let due = self.since.iter().filter(|(_, since)| **since <= latest);
-        let due = due.filter(|(name, _)| !self.in_repair.contains(*name));
-        let free = limits::MAX_REPAIRS_IN_FLIGHT - self.in_repair.len();
+        let due = self
+            .pending_since
+            .iter()
+            .filter(|(_, since)| **since <= latest);
+        let due = due.filter(|(name, _)| !self.under_repair.contains(*name));
+        let free = limits::MAX_REPAIRS_IN_FLIGHT - self.under_repair.len();
         let due: Vec<ItemName> = due.take(free).map(|(name, _)| name.clone()).collect();
-        self.in_repair.extend(due.iter().cloned());
+        self.under_repair.extend(due.iter().cloned());
         due
     }
 
     /// A proposal for these registers has ended; if they are still pending, their delay begins anew.
-    pub fn release(&mut self, now: i64, names: &[ItemName]) {
+    pub fn finish_repair(&mut self, now: i64, names: &[ItemName]) {
         for name in names {
-            self.in_repair.remove(name);
-            if let Some(since) = self.since.get_mut(name) {
+            self.under_repair.remove(name);
+            if let Some(since) = self.pending_since.get_mut(name) {
                 *since = now;
             }
         }
@@ -74,11 +77,11 @@
 
     /// How many registers are pending.
     pub fn len(&self) -> usize {
-        self.since.len()
+        self.pending_since.len()
     }
 
     /// Whether no register is pending.
     pub fn is_empty(&self) -> bool {
-        self.since.is_empty()
+        self.pending_since.is_empty()
     }
 }
--- a/crates/control/src/core/proposals.rs
+++ b/crates/control/src/core/proposals.rs
@@ -153,7 +153,9 @@
         if !due || !able {
             return;
         }
-        let names = self.pending.take_due(now, self.table.local().replica);
+        let names = self
+            .pending
+            .take_due_repairs(now, self.table.local().replica);
         if !names.is_empty() {
             self.propose_repair(now, names, now + limits::REPAIR_TIMEOUT);
         }
@@ -249,7 +251,7 @@
             out.push(Output::Answer(call, reply));
         }
         if let Some(proposal) = self.proposals.in_progress.remove(&id) {
-            self.pending.release(now, &proposal.names());
+            self.pending.finish_repair(now, &proposal.names());
         }
     }
 
--- a/crates/control/src/core/reclaim.rs
+++ b/crates/control/src/core/reclaim.rs
@@ -15,7 +15,7 @@
 
 /// What a superseded process knows about the newer incarnation of its replica.
 #[derive(Clone, Debug)]
-pub(super) struct Superseded {
+pub(super) struct Supersession {
     /// When the newer incarnation was last known to be heard by any replica.
     last_heard_at: i64,
     /// When each other replica last said that it does not hear the newer incarnation.
@@ -26,11 +26,11 @@
 impl Replica {
     /// Asks the others about the newer incarnation, and begins to recover once it is unreachable.
     pub(super) fn drive_reclaim(&mut self, now: i64, out: &mut Vec<Output>) {
-        if !self.table.is_superseded() || self.shutting_down {
-            self.superseded = None;
+        if !self.table.is_superseded() || self.is_shutting_down {
+            self.supersession = None;
             return;
         }
-        let superseded = self.superseded.get_or_insert_with(|| Superseded {
+        let superseded = self.supersession.get_or_insert_with(|| Supersession {
             last_heard_at: now,
             unreachable_reports: BTreeMap::new(),
             next_request_at: now,
@@ -44,7 +44,7 @@
         let unreachable = reports.len() >= self.table.recovery_quorum_size();
         if unreachable && now - superseded.last_heard_at >= limits::RECLAIM_TIMEOUT {
             out.push(Output::Log(Event::IncarnationReclaimed));
-            self.superseded = None;
+            self.supersession = None;
             self.table.relinquish_incarnation();
             self.recovery = Some(Recovery::default());
             return self.drive_recovery(now, out);
@@ -55,7 +55,7 @@
     /// Another replica reports the newest incarnation of this one that it hears, or none.
     pub(super) fn handle_slot_report(&mut self, now: i64, from: ReplicaId, heard: Incarnation) {
         let local = self.table.local().incarnation;
-        let Some(superseded) = &mut self.superseded else {
+        let Some(superseded) = &mut self.supersession else {
             return;
         };
         if heard > local {
@@ -68,7 +68,7 @@
 
     /// When [`Replica::drive_reclaim`] is due.
     pub(super) fn reclaim_wake_at(&self) -> Option<i64> {
-        let superseded = self.superseded.as_ref();
+        let superseded = self.supersession.as_ref();
         superseded.map(|superseded| superseded.next_request_at)
     }
 }
--- a/crates/control/src/core/recovery.rs
+++ b/crates/control/src/core/recovery.rs
@@ -173,7 +173,8 @@
         let after = source.progress.start_after.clone();
         if let Some(continuation) = continuation {
             // The others are asked as soon as the first source is complete; whoever is silent is asked again later.
-            let first_complete = continuation == Continuation::End && self.complete_sources() == 1;
+            let first_complete =
+                continuation == Continuation::End && self.complete_source_count() == 1;
             self.next_request_at = if first_complete {
                 now
             } else {
@@ -191,7 +192,7 @@
         }
     }
 
-    fn complete_sources(&self) -> usize {
+    fn complete_source_count(&self) -> usize {
         let sources = self.sources.values();
         sources.filter(|source| source.progress.is_complete).count()
     }
@@ -276,7 +277,7 @@
             out.push(Output::Peers(self.table.peer_addresses()));
             self.broadcast_addresses(out);
         }
-        let answer = PendingWrite::Recorded(peer, incarnation, request);
+        let answer = PendingWrite::SendIncarnationRecorded(peer, incarnation, request);
         self.write(vec![Record::Metadata(self.metadata())], Some(answer), out);
     }
 
@@ -359,7 +360,7 @@
         for name in &names {
             self.track_pending(now, name);
         }
-        if self.shutting_down {
+        if self.is_shutting_down {
             // The process was told to end when it had nothing to hand over; now it has.
             self.begin_handover(now);
         }
@@ -367,7 +368,7 @@
         out.push(Output::Log(Event::RecoveryCompleted { incarnation, items }));
         self.handle_replicas_changed(now, out);
         self.broadcast_membership(out);
-        self.next_heartbeat = now;
+        self.next_heartbeat_at = now;
         // What is chosen can be learned from any of the others.
         if let Some(first) = self.table.other_addresses().first() {
             self.request_digest_exchange(*first, out);
--- a/crates/control/src/core/registers.rs
+++ b/crates/control/src/core/registers.rs
@@ -195,7 +195,7 @@
         let differing = accepted.filter(|(_, item)| {
             !is_same && self.digests.bucket_differs(&request.digests, &item.name)
         });
-        transfer::chunks(limits, request.start_after.clone(), differing.cloned())
+        transfer::response_chunks(limits, request.start_after.clone(), differing.cloned())
     }
 }
 
--- a/crates/control/src/core/role_lease.rs
+++ b/crates/control/src/core/role_lease.rs
@@ -452,7 +452,7 @@
     pub(super) fn drive_role_leases(&mut self, now: i64, out: &mut Vec<Output>) {
         let may_request = self.has_quorum_contact
             && self.table.is_participant()
-            && !self.shutting_down
+            && !self.is_shutting_down
             && !self.disk.is_full;
         for role in SingletonRole::ALL {
             let jitter = self.random_below(LEASE_JITTER) as i64;
@@ -530,7 +530,7 @@
         if vote.must_persist && !self.disk.is_full {
             // A term must never be granted twice, not even after all replicas were killed at once.
             let metadata = Record::Metadata(self.metadata());
-            let vote = PendingWrite::Vote(from, payload);
+            let vote = PendingWrite::SendVote(from, payload);
             self.write(vec![metadata], Some(vote), out);
         } else {
             self.deliver_vote(now, from, payload, out);
@@ -568,7 +568,7 @@
 
     /// The process is to end: releases all leases at once, and hands over what it holds.
     pub(super) fn handle_shutdown(&mut self, now: i64, out: &mut Vec<Output>) {
-        self.shutting_down = true;
+        self.is_shutting_down = true;
         self.begin_handover(now);
         for role in SingletonRole::ALL {
             self.handle_role_failed(now, role, out);
--- a/crates/control/src/core/server_list.rs
+++ b/crates/control/src/core/server_list.rs
@@ -18,13 +18,13 @@
 #[derive(Clone, Debug)]
 struct ListedServer {
     server: Server,
-    warm_at: i64,
+    warm_up_ends_at: i64,
 }
 
 impl ListedServer {
     fn new(now: i64, server: Server) -> ListedServer {
         ListedServer {
-            warm_at: now + server.warm_up_left,
+            warm_up_ends_at: now + server.warm_up_left,
             server,
         }
     }
@@ -34,8 +34,8 @@
         let (old, new) = (&self.server, &later.server);
         let is_same =
             old.id == new.id && old.svc == new.svc && old.addr == new.addr && old.zone == new.zone;
-        let old_left = (self.warm_at - now).max(0);
-        let new_left = (later.warm_at - now).max(0);
+        let old_left = (self.warm_up_ends_at - now).max(0);
+        let new_left = (later.warm_up_ends_at - now).max(0);
         !is_same
             || old.slots != new.slots
             || old.accepts_requests != new.accepts_requests
@@ -64,7 +64,7 @@
         self.version != (0, 0)
     }
 
-    fn sorted(now: i64, mut servers: Vec<Server>) -> Vec<ListedServer> {
+    fn sort_servers(now: i64, mut servers: Vec<Server>) -> Vec<ListedServer> {
         servers.sort_by(|a, b| (&a.svc, &a.id).cmp(&(&b.svc, &b.id)));
         let servers = servers.into_iter();
         servers
@@ -79,7 +79,7 @@
 
     /// Takes over what the poller of this term has read. Gives whether anything has changed.
     pub fn update_from_platform(&mut self, now: i64, term: u64, servers: Vec<Server>) -> bool {
-        let servers = ServerList::sorted(now, servers);
+        let servers = ServerList::sort_servers(now, servers);
         let changed = !self.is_known() || self.differs(now, &servers);
         if changed {
             let (last_term, last_number) = self.version;
@@ -103,7 +103,7 @@
     ) -> bool {
         let newer = version > self.version;
         if newer {
-            let servers = ServerList::sorted(now, servers);
+            let servers = ServerList::sort_servers(now, servers);
             *self = ServerList { version, servers };
         }
         newer
@@ -113,7 +113,7 @@
     pub fn current(&self, now: i64) -> Vec<Server> {
         let servers = self.servers.iter();
         let current = servers.map(|listed| Server {
-            warm_up_left: (listed.warm_at - now).max(0),
+            warm_up_left: (listed.warm_up_ends_at - now).max(0),
             ..listed.server.clone()
         });
         current.collect()
@@ -159,7 +159,7 @@
         let term = self.acting_term(now, SingletonRole::PlatformPoller);
         let changed = match term.filter(|term| *term >= list_term) {
             Some(term) => self.server_list.update_from_platform(now, term, servers),
-            None if self.polls_before_lease() => {
+            None if self.should_poll_without_lease() => {
                 let list = &mut self.server_list;
                 list.update_from_replica(now, UNLEASED_VERSION, servers)
             }
@@ -174,7 +174,7 @@
     /// Whether this replica reads the list without the lease: it is the first one to request the lease on some role, has
     /// been here before, and knows no list. After a loss of power everywhere the proxies can serve nothing until they have
     /// a list, so that it must not wait for a lease.
-    fn polls_before_lease(&self) -> bool {
+    fn should_poll_without_lease(&self) -> bool {
         let ranks_first = self.role_leases.iter().any(RoleLease::ranks_first);
         let mut leases = self.role_leases.iter();
         let was_here = leases.any(|lease| lease.granted_term().number > 0);
@@ -182,13 +182,13 @@
             && was_here
             && !self.server_list.is_known()
             && self.table.is_participant()
-            && !self.shutting_down
+            && !self.is_shutting_down
     }
 
     /// Whether this replica is to read the list from the platform.
     pub fn should_poll_platform(&self, now: i64) -> bool {
         let term = self.acting_term(now, SingletonRole::PlatformPoller);
-        term.is_some() || self.polls_before_lease()
+        term.is_some() || self.should_poll_without_lease()
     }
 }
 
--- a/crates/control/src/core/status.rs
+++ b/crates/control/src/core/status.rs
@@ -120,7 +120,7 @@
         let limiters = members.iter().take(limits::MAX_LISTED_LIMITERS);
         let replicas = 0..self.table.replica_count() as ReplicaId;
         Status {
-            zone: self.zone_of(local.replica),
+            zone: self.zone_name(local.replica),
             program_version: env!("CARGO_PKG_VERSION").to_string(),
             incarnation: local.incarnation.number,
             run: self.run,
@@ -143,14 +143,14 @@
         }
     }
 
-    fn zone_of(&self, replica: ReplicaId) -> String {
+    fn zone_name(&self, replica: ReplicaId) -> String {
         let zone = self.zones.get(usize::from(replica));
         zone.cloned().unwrap_or_default()
     }
 
     fn replica_status(&self, now: i64, replica: ReplicaId) -> ReplicaStatus {
         ReplicaStatus {
-            zone: self.zone_of(replica),
+            zone: self.zone_name(replica),
             incarnation: self.table.newest_incarnation(replica).number,
             address: self.table.address(replica),
             is_reachable: self.table.is_reachable(now, replica),
@@ -169,7 +169,7 @@
         };
         RoleStatus {
             role: role.to_string(),
-            holder: holder.map(|replica| self.zone_of(replica)),
+            holder: holder.map(|replica| self.zone_name(replica)),
             term,
         }
     }
@@ -184,17 +184,17 @@
         LimiterStatus {
             node: member.node.name.clone(),
             zone: member.node.zone.clone(),
-            replica: self.zone_of(reporter.unwrap_or(self.table.local().replica)),
+            replica: self.zone_name(reporter.unwrap_or(self.table.local().replica)),
             is_connected: member.is_connected,
-            state: standing(member.state).to_string(),
+            state: state_name(member.state).to_string(),
             items: state.map(|state| state.items),
-            lag_ms: state.map(|state| state.behind(now, digest) / MICROS_PER_MILLI),
+            lag_ms: state.map(|state| state.lag_us(now, digest) / MICROS_PER_MILLI),
         }
     }
 }
 
 /// The word for a node's state in [`LimiterStatus::standing`].
-fn standing(state: NodeState) -> &'static str {
+fn state_name(state: NodeState) -> &'static str {
     match state {
         NodeState::Ready => "ready",
         NodeState::Draining => "leaving",
--- a/crates/control/src/core/transfer.rs
+++ b/crates/control/src/core/transfer.rs
@@ -115,7 +115,7 @@
 }
 
 /// The chunks that answer one request. `entries` are in the order of their names, all of them after `after`.
-pub fn chunks(
+pub fn response_chunks(
     limits: TransferLimits,
     after: Option<ItemName>,
     entries: impl Iterator<Item = (Ballot, Item)>,
--- a/crates/control/src/core/transfer/tests.rs
+++ b/crates/control/src/core/transfer/tests.rs
@@ -34,7 +34,7 @@
             .filter(|(_, item)| after.as_ref().is_none_or(|after| item.name > *after));
         for piece in treat(
             asked,
-            chunks(TransferLimits::default(), after.clone(), rest.cloned()),
+            response_chunks(TransferLimits::default(), after.clone(), rest.cloned()),
         ) {
             if transfer.record_chunk(&piece).is_some() {
                 got.extend(piece.items.into_iter().map(|(_, item)| item.name));
