--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -44,7 +44,7 @@
     pub(super) items: u32,
     digest: u64,
     /// When it last reported the same items as this replica has.
-    complete_at: i64,
+    up_to_date_at: i64,
 }
 
 impl AgentState {
@@ -53,7 +53,7 @@
         if self.digest == digest {
             0
         } else {
-            now - self.complete_at
+            now - self.up_to_date_at
         }
     }
 }
@@ -75,12 +75,12 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct AgentLinks {
     /// The zone of each agent that is sent the configuration.
-    zones: BTreeMap<u64, String>,
+    agent_zones: BTreeMap<u64, String>,
     /// The view that each zone was sent last.
     announced_views: BTreeMap<String, AnnouncedView>,
     /// Links for the counter alone, and when each was last used.
     counter_links: BTreeMap<u64, i64>,
-    states: BTreeMap<u64, AgentState>,
+    agent_states: BTreeMap<u64, AgentState>,
     /// Agents that have just started and are sent everything at this time: most of them leave for the replica of their own
     /// zone before that.
     deferred_syncs: BTreeMap<u64, i64>,
@@ -96,12 +96,12 @@
 
 impl AgentLinks {
     fn links(&self) -> Vec<u64> {
-        self.zones.keys().copied().collect()
+        self.agent_zones.keys().copied().collect()
     }
 
     /// Takes note of the use of a link for the counter; one of these has no zone.
     fn record_counter_link(&mut self, now: i64, link: u64) {
-        if !self.zones.contains_key(&link) {
+        if !self.agent_zones.contains_key(&link) {
             self.counter_links.insert(link, now);
         }
         let timeout = limits::COUNTER_CONTACT_TIMEOUT;
@@ -110,8 +110,8 @@
     }
 
     /// The items that the agent on a link has, if it has reported them.
-    pub(super) fn state(&self, link: u64) -> Option<AgentState> {
-        self.states.get(&link).copied()
+    pub(super) fn agent_state(&self, link: u64) -> Option<AgentState> {
+        self.agent_states.get(&link).copied()
     }
 
     /// When something is to be sent to any of them.
@@ -124,11 +124,11 @@
     }
 
     fn remove(&mut self, link: u64) {
-        self.zones.remove(&link);
+        self.agent_zones.remove(&link);
         self.counter_links.remove(&link);
         self.known_digests.remove(&link);
         self.pending_syncs.remove(&link);
-        self.states.remove(&link);
+        self.agent_states.remove(&link);
         self.deferred_syncs.remove(&link);
     }
 }
@@ -175,7 +175,7 @@
         let zone = node.zone.clone();
         self.load.add_agent(link, &node.region);
         let changed = self.membership.handle_hello(now, link, node);
-        self.agents.zones.insert(link, zone.clone());
+        self.agents.agent_zones.insert(link, zone.clone());
         // All agents of a zone have the same view, so that a change can be sent to all of them alike.
         let announced = self.agents.announced_views.get(&zone).cloned();
         let announced = announced.unwrap_or_else(|| self.cluster_view(now, &zone));
@@ -202,18 +202,18 @@
         digest: u64,
         out: &mut Vec<Output>,
     ) {
-        let former = self.agents.states.get(&link);
+        let former = self.agents.agent_states.get(&link);
         let complete_at = if digest == self.chosen.summary().digest {
             now
         } else {
-            former.map_or(now, |former| former.complete_at)
+            former.map_or(now, |former| former.up_to_date_at)
         };
         let state = AgentState {
             items,
             digest,
-            complete_at,
+            up_to_date_at: complete_at,
         };
-        self.agents.states.insert(link, state);
+        self.agents.agent_states.insert(link, state);
         self.handle_chunk_ack(now, link, out);
     }
 
@@ -430,11 +430,11 @@
         out: &mut Vec<Output>,
     ) {
         self.agents.has_unannounced_count = false;
-        if self.agents.zones.is_empty() {
+        if self.agents.agent_zones.is_empty() {
             return;
         }
         let mut links_by_zone: BTreeMap<&String, Vec<u64>> = BTreeMap::new();
-        for (link, zone) in &self.agents.zones {
+        for (link, zone) in &self.agents.agent_zones {
             links_by_zone.entry(zone).or_default().push(*link);
         }
         let mut announced = std::mem::take(&mut self.agents.announced_views);
--- a/crates/control/src/core/load_aggregation.rs
+++ b/crates/control/src/core/load_aggregation.rs
@@ -25,7 +25,7 @@
     /// The controllers, by region and service.
     controllers: BTreeMap<(String, String), AdmissionController>,
     next_step_at: i64,
-    steps: u64,
+    step_count: u64,
 }
 
 impl LoadAggregation {
@@ -111,14 +111,14 @@
             return;
         }
         self.load.next_step_at = now + EVALUATION_INTERVAL;
-        self.load.steps += 1;
+        self.load.step_count += 1;
         self.load.evaluate(now);
         self.share_load(now, out);
         let mut links_by_region: BTreeMap<&String, Vec<u64>> = BTreeMap::new();
         for (link, region) in &self.load.regions {
             links_by_region.entry(region).or_default().push(*link);
         }
-        let sends_empty = self.load.steps.is_multiple_of(EMPTY_LEVELS_INTERVAL);
+        let sends_empty = self.load.step_count.is_multiple_of(EMPTY_LEVELS_INTERVAL);
         for (region, links) in links_by_region {
             let levels = self.load.levels(region);
             if sends_empty || !levels.is_empty() {
--- a/crates/control/src/core/membership.rs
+++ b/crates/control/src/core/membership.rs
@@ -135,7 +135,7 @@
 /// The members as one replica sees them. Edges are named by their machines.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
-    local: BTreeMap<String, MemberLease>,
+    local_leases: BTreeMap<String, MemberLease>,
     /// The edge behind each agent's link; for a while an agent may have two links.
     links: BTreeMap<u64, NodeInfo>,
     reports: BTreeMap<ReplicaId, PeerReport>,
@@ -143,7 +143,7 @@
     reporters: BTreeMap<String, BTreeSet<ReplicaId>>,
     /// The digest of the local members.
     digest: u64,
-    announced: Announced,
+    last_announced: Announced,
     /// Edges that serve or served recently, and when each was last known to.
     recently_serving: BTreeMap<String, i64>,
     /// Edges that have not said yet that they serve.
@@ -194,7 +194,7 @@
 impl Membership {
     /// The edges whose leases are held at this replica.
     pub fn local_members(&self) -> Vec<Member> {
-        let leases = self.local.values();
+        let leases = self.local_leases.values();
         leases.map(|lease| lease.member.clone()).collect()
     }
 
@@ -205,7 +205,7 @@
 
     /// Whether the local members differ from what was announced to the other replicas.
     fn has_unannounced_change(&self) -> bool {
-        self.digest != self.announced.digest
+        self.digest != self.last_announced.digest
     }
 
     /// Adds, replaces or removes a lease, and keeps the digest up to date.
@@ -213,8 +213,8 @@
         let digest_of = |lease: &MemberLease| member_digest(&lease.member);
         self.digest ^= lease.as_ref().map_or(0, digest_of);
         let replaced = match lease {
-            Some(lease) => self.local.insert(name.to_string(), lease),
-            None => self.local.remove(name),
+            Some(lease) => self.local_leases.insert(name.to_string(), lease),
+            None => self.local_leases.remove(name),
         };
         self.digest ^= replaced.as_ref().map_or(0, digest_of);
     }
@@ -224,13 +224,13 @@
         if !self.has_unannounced_change() {
             return None;
         }
-        let announced = &mut self.announced;
-        let changed = self.local.iter();
+        let announced = &mut self.last_announced;
+        let changed = self.local_leases.iter();
         let changed =
             changed.filter(|(name, lease)| announced.members.get(*name) != Some(&lease.member));
         let changed: Vec<Member> = changed.map(|(_, lease)| lease.member.clone()).collect();
         let removed = announced.members.keys();
-        let removed = removed.filter(|name| !self.local.contains_key(*name));
+        let removed = removed.filter(|name| !self.local_leases.contains_key(*name));
         let removed: Vec<String> = removed.cloned().collect();
         for name in &removed {
             announced.members.remove(name);
@@ -263,7 +263,7 @@
             return false;
         };
         // The agent sends heartbeats on the link that it keeps, whichever of them was the first.
-        if let Some(lease) = self.local.get_mut(&node.name) {
+        if let Some(lease) = self.local_leases.get_mut(&node.name) {
             let member = &lease.member;
             if member.is_connected && member.state == state && member.node == node {
                 lease.link = link;
@@ -295,7 +295,7 @@
     /// change.
     pub fn handle_disconnect(&mut self, link: u64) -> bool {
         let node = self.links.remove(&link);
-        let lease = node.and_then(|node| self.local.get(&node.name));
+        let lease = node.and_then(|node| self.local_leases.get(&node.name));
         let Some(mut lease) = lease.filter(|lease| lease.link == link).cloned() else {
             return false;
         };
@@ -309,7 +309,10 @@
     /// Removes the leases and reports that have expired. Gives whether the local members have an unannounced change.
     pub fn expire_leases(&mut self, now: i64, has_quorum_contact: bool) -> bool {
         self.expire_reports(now, has_quorum_contact);
-        let expired = self.local.iter().filter(|(_, lease)| !lease.is_valid(now));
+        let expired = self
+            .local_leases
+            .iter()
+            .filter(|(_, lease)| !lease.is_valid(now));
         let expired: Vec<String> = expired.map(|(name, _)| name.clone()).collect();
         for name in expired {
             self.set_lease(&name, None);
@@ -454,7 +457,7 @@
     fn release_moved_leases(&mut self, members: &[Member]) {
         for member in members.iter().filter(|member| member.is_connected) {
             let name = &member.node.name;
-            let lease = self.local.get(name);
+            let lease = self.local_leases.get(name);
             if lease.is_some_and(|lease| !lease.member.is_connected) {
                 self.set_lease(name, None);
             }
@@ -523,7 +526,7 @@
 
     /// The report of an edge that is believed, as [`Membership::all_members`] has it.
     fn best_report(&self, name: &str) -> Option<&Member> {
-        let local = self.local.get(name);
+        let local = self.local_leases.get(name);
         let local = local.map(|lease| (lease.precedence(), &lease.member));
         let reporters = self.reporters.get(name).into_iter().flatten();
         let reported = reporters.filter_map(|replica| {
@@ -562,7 +565,10 @@
         is_valid_lease: impl Fn(&MemberLease) -> bool,
         is_valid_report: impl Fn(&PeerReport) -> bool,
     ) -> Vec<LocatedMember<'_>> {
-        let local = self.local.values().filter(|lease| is_valid_lease(lease));
+        let local = self
+            .local_leases
+            .values()
+            .filter(|lease| is_valid_lease(lease));
         let local = local.map(|lease| {
             let located = LocatedMember {
                 reporter: None,
--- a/crates/control/src/core/proposals.rs
+++ b/crates/control/src/core/proposals.rs
@@ -29,7 +29,7 @@
 pub(super) struct Proposals {
     in_progress: BTreeMap<u64, Proposal>,
     /// The operator's call that a proposal is for.
-    calls: BTreeMap<u64, u64>,
+    call_by_proposal: BTreeMap<u64, u64>,
     /// The highest round of a ballot that was seen anywhere.
     highest_round: u64,
 }
@@ -49,7 +49,7 @@
     pub(super) fn new(highest_round: u64) -> Proposals {
         Proposals {
             in_progress: BTreeMap::new(),
-            calls: BTreeMap::new(),
+            call_by_proposal: BTreeMap::new(),
             highest_round,
         }
     }
@@ -66,7 +66,7 @@
 
     /// How many of them are for an operator's call.
     pub(super) fn call_count(&self) -> usize {
-        self.calls.len()
+        self.call_by_proposal.len()
     }
 
     /// When the next one is to be looked at.
@@ -102,7 +102,7 @@
         let id = self.next_request_id();
         let proposal = Proposal::new(intent, now, deadline);
         self.proposals.in_progress.insert(id, proposal);
-        self.proposals.calls.insert(id, call);
+        self.proposals.call_by_proposal.insert(id, call);
         self.drive_proposals(now, out);
     }
 
@@ -246,7 +246,7 @@
 
     fn end_proposal(&mut self, now: i64, id: u64, reply: Option<Reply>, out: &mut Vec<Output>) {
         let read = self.reads.take_awaiting_repair(id);
-        let call = self.proposals.calls.remove(&id);
+        let call = self.proposals.call_by_proposal.remove(&id);
         if let (Some(call), Some(reply)) = (call.or(read.and_then(|read| read.call())), reply) {
             out.push(Output::Answer(call, reply));
         }
@@ -277,7 +277,7 @@
             Outcome::Conflict => Reply::Conflict,
             Outcome::PartiallyApplied => Reply::Unavailable(PARTIALLY_APPLIED),
         };
-        if let Some(call) = self.proposals.calls.remove(&id) {
+        if let Some(call) = self.proposals.call_by_proposal.remove(&id) {
             out.push(Output::Answer(call, reply));
         }
         if let Some(read) = self.reads.take_awaiting_repair(id) {
--- a/crates/control/src/core/registers.rs
+++ b/crates/control/src/core/registers.rs
@@ -107,12 +107,12 @@
         self.check_promises(ballot, items.iter().map(|item| &item.name))?;
         for item in items {
             self.promise(ballot, &item.name);
-            self.store(ballot, item.clone());
+            self.store_accepted(ballot, item.clone());
         }
         Ok(())
     }
 
-    fn store(&mut self, ballot: Ballot, item: Item) {
+    fn store_accepted(&mut self, ballot: Ballot, item: Item) {
         let name = item.name.clone();
         self.digests.toggle(&name, entry_digest(&ballot, &item));
         let register = self.registers.entry(name.clone()).or_default();
@@ -127,7 +127,7 @@
         let accepted = self.accepted_value(&item.name);
         let is_newer = accepted.is_none_or(|(accepted, _)| *accepted < ballot);
         if is_newer {
-            self.store(ballot, item.clone());
+            self.store_accepted(ballot, item.clone());
             // Hazard: a late message of an earlier proposal would be accepted in its place, and this copy be lost for good.
             if let Some(register) = self.registers.get_mut(&item.name) {
                 register.promised_ballot = register.promised_ballot.max(ballot);
--- a/crates/control/src/core/status.rs
+++ b/crates/control/src/core/status.rs
@@ -178,7 +178,7 @@
         let LocatedMember {
             reporter, member, ..
         } = located;
-        let state = self.agents.state(located.link);
+        let state = self.agents.agent_state(located.link);
         let state = state.filter(|_| reporter.is_none());
         let digest = self.chosen.summary().digest;
         LimiterStatus {
