--- a/crates/control/src/core/acceptor.rs
+++ b/crates/control/src/core/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor: promises, acceptances, and what this replica learns to be chosen.
+//! The Paxos acceptor, promising and accepting, and the learner of chosen items.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,8 @@
 use super::{Output, Record, Replica};
 
 impl Replica {
-    /// Phase 1: promises to accept nothing below `ballot` on these registers. `from` is none for this replica's own proposal.
+    /// Phase 1: promises to accept nothing below `ballot` on these registers. `from` is `None` for this replica's own
+    /// proposal.
     pub(super) fn handle_prepare(
         &mut self,
         now: i64,
@@ -46,7 +47,8 @@
         }
     }
 
-    /// Phase 2: accepts the items under `ballot`, all of them or none. `from` is none for this replica's own proposal.
+    /// Phase 2: accepts the items under `ballot`, all of them or none. `from` is `None` for this replica's own
+    /// proposal.
     pub(super) fn handle_accept(
         &mut self,
         now: i64,
@@ -80,8 +82,8 @@
         }
     }
 
-    /// Whether this replica votes at all. While it hands over, and a quorum is complete without it, it votes on no further
-    /// proposal of another replica.
+    /// Whether this replica votes on a proposal. It does not while its disk rejects writes, nor on other replicas'
+    /// proposals once its handover has closed voting.
     fn may_vote(&self, from: Option<SocketAddr>) -> bool {
         let closed = self
             .handover
@@ -95,7 +97,7 @@
         names.map(record).collect()
     }
 
-    /// Another replica says that everything accepted under `ballot` is chosen.
+    /// Another replica reports that all values accepted under `ballot` are chosen.
     pub(super) fn handle_chosen(&mut self, now: i64, ballot: Ballot, out: &mut Vec<Output>) {
         let entries = self.registers.accepted_entries();
         let entries = entries.filter(|(accepted, _)| *accepted == ballot);
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Notes whether the accepted value of a register is known to be chosen; if it is not, a repair is due later.
+    /// Updates whether the accepted value of a register is known to be chosen; if it is not, a repair is due later.
     pub(super) fn track_pending(&mut self, now: i64, name: &ItemName) {
         match self.registers.accepted_value(name) {
             Some((_, item)) if !self.chosen.includes(item) => self.pending.insert(now, name),
--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -1,4 +1,5 @@
-//! The agents linked to this replica: what each of them is sent, and their additions to the shared counter.
+//! The agents linked to this replica: the distribution of items, server lists and cluster views to them, and their
+//! additions to the shared counter.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,44 +12,45 @@
 use super::{Output, Replica};
 use crate::limits;
 
-/// How much a cluster view differs from the one that was announced.
+/// How much a cluster view differs from the announced one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ViewChange {
     None,
-    /// The number of limiters differs by little.
+    /// Only numbers of limiters differ, the total by at most one in [`limits::MINOR_LIMITER_CHANGE_DIVISOR`].
     Minor,
     Major,
 }
 
-/// Whether agents whose cluster view has not changed are sent a sign of life in its place.
+/// Whether agents whose cluster view has not changed are sent a keep-alive message instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Announcement {
-    /// Only a view that has changed is sent.
+    /// Only changed views are sent.
     IfChanged,
-    /// A sign of life is sent where the view has not changed.
+    /// Agents with an unchanged view are sent a keep-alive message.
     WithKeepAlive,
 }
 
-/// The cluster view that the agents of a zone were sent last.
+/// The cluster view last sent to the agents of a zone.
 #[derive(Clone, Debug)]
 struct AnnouncedView {
     view: ClusterView,
-    /// The revision of the table of replicas that it was made of.
+    /// The revision of the table of replicas from which the view was built.
     table_revision: u64,
 }
 
-/// The items that an agent has, as it reported last.
+/// The items that an agent has, according to its last report.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AgentState {
-    /// How many items, removed ones included.
+    /// The number of items, including removed ones.
     pub(super) items: u32,
     digest: u64,
-    /// When it last reported the same items as this replica has.
+    /// When the agent last reported the same items as this replica has.
     up_to_date_at: i64,
 }
 
 impl AgentState {
-    /// For how long the agent has had other items than those with this digest, in microseconds at most; 0 if it has the same.
+    /// An upper bound of the time for which the agent's items have differed from those with this digest, in
+    /// microseconds; 0 if they are the same.
     pub(super) fn lag_us(&self, now: i64, digest: u64) -> i64 {
         if self.digest == digest {
             0
@@ -58,12 +60,12 @@
     }
 }
 
-/// The initial transfer of the items to an agent.
+/// The initial transfer of items to an agent.
 #[derive(Clone, Debug)]
 struct PendingSync {
     /// Digests of the items that the agent had when it connected.
     digests: Vec<u64>,
-    /// Everything up to this name was sent. Items that are chosen later are announced at once.
+    /// All items up to this name were sent. Items chosen later are announced at once.
     after: Option<ItemName>,
     /// Chunks that the agent has not acknowledged.
     unacknowledged: usize,
@@ -76,15 +78,15 @@
 pub(super) struct AgentLinks {
     /// The zone of each agent that is sent the configuration.
     agent_zones: BTreeMap<u64, String>,
-    /// The view that each zone was sent last.
+    /// The view last sent to each zone.
     announced_views: BTreeMap<String, AnnouncedView>,
-    /// Links for the counter alone, and when each was last used.
+    /// Links used for the counter alone, and when each was last used.
     counter_links: BTreeMap<u64, i64>,
     agent_states: BTreeMap<u64, AgentState>,
-    /// Agents that have just started and are sent everything at this time: most of them leave for the replica of their own
-    /// zone before that.
+    /// The times at which initial transfers begin to agents that have just started: most of them move to the replica of
+    /// their own zone before that.
     deferred_syncs: BTreeMap<u64, i64>,
-    /// Digests of the items that an agent has, from before it says which edge it belongs to.
+    /// Digests of the items that an agent has, received before its hello message.
     known_digests: BTreeMap<u64, Vec<u64>>,
     /// Initial transfers in progress.
     pending_syncs: BTreeMap<u64, PendingSync>,
@@ -99,7 +101,7 @@
         self.agent_zones.keys().copied().collect()
     }
 
-    /// Takes note of the use of a link for the counter; one of these has no zone.
+    /// Records the use of a link for the counter, unless the link has a zone and so serves other purposes as well.
     fn record_counter_link(&mut self, now: i64, link: u64) {
         if !self.agent_zones.contains_key(&link) {
             self.counter_links.insert(link, now);
@@ -114,7 +116,7 @@
         self.agent_states.get(&link).copied()
     }
 
-    /// When something is to be sent to any of them.
+    /// The time at which an announcement or initial transfer to any agent is due.
     pub(super) fn wake_at(&self) -> Option<i64> {
         let count_update = self
             .has_unannounced_count
@@ -176,7 +178,7 @@
         self.load.add_agent(link, &node.region);
         let changed = self.membership.handle_hello(now, link, node);
         self.agents.agent_zones.insert(link, zone.clone());
-        // All agents of a zone have the same view, so that a change can be sent to all of them alike.
+        // All agents of a zone are sent the same view, so that one message announces a change to all of them.
         let announced = self.agents.announced_views.get(&zone).cloned();
         let announced = announced.unwrap_or_else(|| self.cluster_view(now, &zone));
         let view = ControlMessage::ClusterView(announced.view.clone());
@@ -250,7 +252,7 @@
         out.push(Output::SendToAgents(vec![link], clock));
     }
 
-    /// Whether the zone of an agent has a replica of its own, other than this one, that is reachable.
+    /// Whether another replica, which belongs to the zone of an agent, is reachable.
     fn has_reachable_zone_replica(&self, now: i64, zone: &str) -> bool {
         let position = self.zones.iter().position(|other| other == zone);
         let home = position.map(|position| position as ReplicaId);
@@ -259,7 +261,7 @@
         })
     }
 
-    /// Starts to send an agent everything that it lacks.
+    /// Starts to send an agent the server list and the items that it lacks.
     fn start_sync(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
         let digests = self.agents.known_digests.remove(&link);
         if self.server_list.is_known() {
@@ -275,7 +277,7 @@
         self.send_chunks(now, link, out);
     }
 
-    /// An agent that has acknowledged nothing for [`limits::CHUNK_ACK_TIMEOUT`] is sent the next chunk all the same.
+    /// Sends the next chunk to an agent that has acknowledged nothing for [`limits::CHUNK_ACK_TIMEOUT`].
     fn resume_stalled_sync(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
         let sync = self.agents.pending_syncs.get(&link);
         if sync.is_some_and(|sync| now - sync.progressed_at > limits::CHUNK_ACK_TIMEOUT) {
@@ -283,7 +285,7 @@
         }
     }
 
-    /// An agent has taken in a chunk.
+    /// An agent has acknowledged a chunk.
     fn handle_chunk_ack(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
         if let Some(sync) = self.agents.pending_syncs.get_mut(&link) {
             sync.unacknowledged = sync.unacknowledged.saturating_sub(1);
@@ -292,7 +294,7 @@
         }
     }
 
-    /// Sends an agent as many chunks as may be in flight to it.
+    /// Sends an agent chunks up to the maximum number in flight.
     fn send_chunks(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
         let Some(sync) = self.agents.pending_syncs.get_mut(&link) else {
             return;
@@ -323,7 +325,7 @@
         }
     }
 
-    /// Starts to send everything to the agents that were to find the replica of their own zone first and have not left.
+    /// Starts the deferred transfers to agents that have not moved to the replica of their own zone in time.
     pub(super) fn drive_deferred_syncs(&mut self, now: i64, out: &mut Vec<Output>) {
         let due = self.agents.deferred_syncs.iter();
         let due = due.filter(|(_, start_at)| **start_at <= now);
@@ -333,19 +335,20 @@
         }
     }
 
-    /// Advances the clock by which the limiters name the windows of quotas. Whoever is ahead leads, and the time of day has
-    /// no part in it. The replicas tell it to each other and to their agents, so that all limiters name windows alike.
+    /// Advances the shared clock by which the limiters number quota windows. It follows the fastest clock and is
+    /// independent of the time of day. The replicas send it to each other and to their agents, so that all limiters
+    /// number windows alike.
     pub(super) fn advance_clock(&mut self, now: i64, time: i64) {
         let ahead = time.saturating_sub(now).saturating_sub(self.clock_offset);
         self.clock_offset += ahead.max(0);
         if ahead > limits::MAX_CLOCK_DIFFERENCE {
-            // The windows have other names from now on than those that were counted under.
+            // The window numbers jump: additions so far were counted under other numbers.
             self.counter.suspend(now, ahead.min(limits::QUOTA_WINDOW));
         }
     }
 
-    /// The share of the limiters that reach this counter. The others use even slices of the quotas, which must be left for
-    /// them.
+    /// The share of the limiters that reach this counter. The others use even slices of the quotas without it, which
+    /// must remain available to them.
     fn counter_reach_share(&self) -> f64 {
         let limiters = self.membership.recently_serving_count();
         let reached = self.agents.counter_links.len();
@@ -365,7 +368,7 @@
         }
     }
 
-    /// The address and the term of the replica that keeps the counter, as far as known.
+    /// The address and the term of the replica that holds the lease on the counter, as far as known.
     fn counter_holder(&self, now: i64) -> Option<(SocketAddr, u64)> {
         let local = self.table.local().replica;
         let acting = self.acting_term(now, SingletonRole::Counter);
@@ -397,8 +400,8 @@
         }
     }
 
-    /// How much the view of a zone has changed since it was announced. This is asked after most inputs, and is cheap where
-    /// nothing has.
+    /// How much the view of a zone has changed since it was announced. This runs after most inputs, and is cheap if
+    /// nothing has changed.
     fn view_change(&self, now: i64, zone: &str, announced: &AnnouncedView) -> ViewChange {
         let former = &announced.view;
         let has_quorum = self.table.has_quorum_contact(now) && !self.is_shutting_down;
@@ -415,7 +418,8 @@
         if difference == 0 && former.limiters_in_zone == serving.in_zone {
             ViewChange::None
         } else if difference * limits::MINOR_LIMITER_CHANGE_DIVISOR > former.limiters {
-            // Hazard: limiters that each take an even slice of a quota must not go on with a number that is much too low.
+            // Hazard: limiters that each take an even slice of a quota must not go on with a number that is much too
+            // low.
             ViewChange::Major
         } else {
             ViewChange::Minor
@@ -446,7 +450,7 @@
                 Some(announced) => self.view_change(now, zone, announced),
                 None => ViewChange::Major,
             };
-            // Hazard: when many limiters start, each of them would otherwise be announced to all others at once.
+            // Without the delay, each of many starting limiters would be announced to all others separately.
             let defer = change == ViewChange::Minor && now < self.agents.next_count_update_at;
             self.agents.has_unannounced_count |= defer;
             if change == ViewChange::None || defer {
@@ -475,19 +479,19 @@
         }
     }
 
-    /// Sends a message to all agents that are sent the configuration.
+    /// Sends a message to the agents on these links, if there are any.
     fn send_to_agents(&self, links: Vec<u64>, message: ControlMessage, out: &mut Vec<Output>) {
         if !links.is_empty() {
             out.push(Output::SendToAgents(links, message));
         }
     }
 
-    /// Sends the agents items that were chosen.
+    /// Sends newly chosen items to the agents.
     pub(super) fn announce_items(&self, items: Vec<Item>, out: &mut Vec<Output>) {
         self.send_to_agents(self.agents.links(), ControlMessage::Items(items), out);
     }
 
-    /// Tells the agents whose initial transfer is complete that they have everything that is in force.
+    /// Notifies the agents whose initial transfer is complete that they have all items in force.
     pub(super) fn announce_complete(&self, out: &mut Vec<Output>) {
         self.announce_complete_to(self.agents.links(), out);
     }
@@ -507,7 +511,7 @@
         }
     }
 
-    /// Sends the agents the platform's list of servers.
+    /// Sends the platform's list of servers to the agents.
     pub(super) fn announce_servers(&self, now: i64, out: &mut Vec<Output>) {
         let links = self.agents.links();
         if !links.is_empty() {
--- a/crates/control/src/core/anti_entropy.rs
+++ b/crates/control/src/core/anti_entropy.rs
@@ -1,8 +1,8 @@
-//! Anti-entropy between two replicas whose digests of the chosen items differ: they find out which items differ, and only
-//! those are sent.
+//! Anti-entropy between two replicas whose digests of the chosen items differ: they determine which items differ, and
+//! only those are sent.
 //!
-//! The replica that answers keeps no state. The one that asks has at most one exchange open, by its id: an answer that is
-//! a duplicate, late or follows a lost one is still learned from, and leads to nothing else.
+//! The responder keeps no state. The requester has at most one open exchange, identified by its id: the items of a
+//! response that is duplicate, late or follows a lost one are still learned, but it does not advance the exchange.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,12 +17,12 @@
 use super::{Output, Replica};
 use crate::limits;
 
-/// The exchange that waits for its answer.
+/// The open exchange of a requester.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct DigestExchange {
-    /// Its id; 0 while no exchange is open.
+    /// The id; 0 while no exchange is open.
     id: u64,
-    /// How many chunks of the answer were received, each after the one before it.
+    /// The number of chunks of the response that were received in sequence.
     chunks_received: u32,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Whether an answer is awaited.
+    /// Whether a response is outstanding.
     pub(super) fn is_open(&self) -> bool {
         self.id != 0
     }
@@ -45,7 +45,7 @@
 }
 
 impl Replica {
-    /// Asks a replica for the chosen items that are not known here.
+    /// Requests the chosen items that are not known here from a replica.
     pub(super) fn request_digest_exchange(&mut self, to: SocketAddr, out: &mut Vec<Output>) {
         let id = self.begin_exchange();
         let digests = self.chosen.digest_buckets().to_vec();
@@ -57,7 +57,7 @@
         self.catch_up.open_exchange(number)
     }
 
-    /// Answers with the items that differ, where they are few, and otherwise with a key and a ballot of each.
+    /// Answers with the items that differ if they are small, and otherwise with the key and the ballot of each.
     pub(super) fn handle_digest_request(
         &self,
         from: SocketAddr,
@@ -90,7 +90,7 @@
         self.send(vec![from], payload, out);
     }
 
-    /// Requests those of another replica's items that are newer than what is known here.
+    /// Requests those of another replica's items that are newer than the ones known here.
     pub(super) fn handle_digest_entries(
         &mut self,
         now: i64,
@@ -111,7 +111,7 @@
         let newer = entries.iter().filter(|(key, ballot)| is_newer(key, ballot));
         let wanted: Vec<u64> = newer.map(|(key, _)| *key).collect();
         if wanted.is_empty() {
-            // It is the other replica that lacks items.
+            // Only the other replica lacks items.
             self.catch_up.exchange = DigestExchange::default();
             return self.handle_caught_up(now, sender.replica(), out);
         }
@@ -146,7 +146,7 @@
         }
     }
 
-    /// A chunk of chosen items was learned: notes how far the exchange has come.
+    /// A chunk of chosen items was learned: advances the exchange.
     pub(super) fn handle_chosen_chunk(
         &mut self,
         now: i64,
--- a/crates/control/src/core/catch_up.rs
+++ b/crates/control/src/core/catch_up.rs
@@ -1,10 +1,11 @@
-//! Whether this replica knows everything that is chosen.
+//! Tracks whether this replica knows all chosen items.
 //!
-//! After a start, or without contact to a quorum, a replica may know less than the others. First it learns what they know to be
-//! chosen, until more than half of the replicas, itself included, know the same, or, while items change all the time, for
-//! [`limits::CATCH_UP_DURATION`]. That may still lack what was acknowledged by a replica that is gone: it is accepted by more
-//! than half, and none of them may know that it is chosen. So then a quorum read follows, and once everything that it has found
-//! is known to be chosen the replica is up to date.
+//! After a start or a loss of contact to a quorum, a replica may know fewer chosen items than the others. It first
+//! learns the items that they know to be chosen, until more than half of the replicas, itself included, know the same
+//! ones, or, if items change continuously, for [`limits::CATCH_UP_DURATION`]. A change that was acknowledged by a
+//! replica that is now gone may still be missing: more than half have accepted it, but none of them may know that it is
+//! chosen. Therefore a quorum read follows; once everything that it finds is known to be chosen, the replica is up to
+//! date.
 
 use std::collections::BTreeMap;
 
@@ -15,22 +16,23 @@
 use super::{Output, Replica};
 use crate::limits;
 
-/// Heartbeats in a row with another digest after which a replica is asked for what differs.
+/// The number of consecutive heartbeats with a different digest after which an exchange with their sender begins.
 const MISMATCHES_BEFORE_EXCHANGE: u32 = 2;
 
-/// What a replica knows about its own completeness.
+/// The progress of a replica in learning all chosen items.
 #[derive(Debug)]
 pub(super) struct CatchUp {
-    /// The replicas whose chosen items were all known here at some instant since the start, one bit each.
+    /// The replicas whose chosen items were all known here at some time since the start or the last reset, one bit
+    /// each.
     matched_replicas: u128,
     is_up_to_date: bool,
-    /// The read begins at this time, whatever the digests say.
+    /// The read begins at this time at the latest, even if digests still differ.
     read_due_at: Option<i64>,
-    /// How often this replica has lost contact to a quorum: a read that began before does not count.
+    /// Counts the resets: a read that began before the last one does not make this replica up to date.
     epoch: u64,
-    /// Heartbeats in a row of each replica with another digest of the chosen items.
+    /// The number of consecutive heartbeats of each replica with a different digest of the chosen items.
     digest_mismatches: BTreeMap<ReplicaId, u32>,
-    /// No other replica is asked for chosen items before this time.
+    /// Earliest time of the next request for another replica's chosen items.
     next_request_at: i64,
     pub(super) exchange: DigestExchange,
     exchange_id_base: u64,
@@ -46,34 +48,35 @@
             digest_mismatches: BTreeMap::new(),
             next_request_at: now,
             exchange: DigestExchange::default(),
-            // Hazard: with the numbers of a former process, a late answer to that one would be taken for one to this.
+            // Ids differ from those of earlier processes, so that a late response to one of these matches no exchange
+            // here.
             exchange_id_base: u64::from(incarnation.number) << 48 | u64::from(run) << 24,
         }
     }
 
-    /// Whether everything that is chosen is known here, as far as a quorum can tell.
+    /// Whether all items that were chosen when the last quorum read completed are known here.
     pub(super) fn is_up_to_date(&self) -> bool {
         self.is_up_to_date
     }
 
-    /// When another replica may be asked for chosen items.
+    /// Earliest time of the next request for another replica's chosen items.
     pub(super) fn next_request_at(&self) -> i64 {
         self.next_request_at
     }
 
-    /// Whether a digest exchange waits for its answer.
+    /// Whether a digest exchange is open.
     pub(super) fn is_exchanging(&self) -> bool {
         self.exchange.is_open()
     }
 
-    /// Opens a digest exchange in place of any other, and gives its id.
+    /// Opens a digest exchange in place of any other. Returns its id.
     pub(super) fn open_exchange(&mut self, number: u64) -> u64 {
         let id = self.exchange_id_base + number;
         self.exchange = DigestExchange::new(id);
         id
     }
 
-    /// Without contact to a quorum the others may choose what this replica does not hear of.
+    /// Starts over: without contact to a quorum the other replicas may choose items unknown here.
     pub(super) fn reset(&mut self) {
         self.is_up_to_date = false;
         self.matched_replicas = 0;
@@ -81,8 +84,8 @@
         self.epoch += 1;
     }
 
-    /// Counts a heartbeat whose digest is, or is not, the one of this replica. Gives whether its sender is to be asked for
-    /// what differs.
+    /// Counts consecutive heartbeats whose digest differs from the local one. Returns whether to begin an exchange with
+    /// the sender now.
     fn count_mismatch(
         &mut self,
         now: i64,
@@ -124,19 +127,20 @@
         }
     }
 
-    /// Everything that another replica knew to be chosen is known here.
+    /// All items that another replica knew to be chosen are known here.
     pub(super) fn handle_caught_up(&mut self, now: i64, replica: ReplicaId, out: &mut Vec<Output>) {
         self.catch_up.matched_replicas |= 1 << replica;
         self.update_up_to_date(now, out);
     }
 
-    /// Chosen items are on their way to this replica: it is not up to date, and asks no second replica meanwhile.
+    /// Chosen items are being transferred to this replica: postpones the read and the next request to another replica.
     pub(super) fn mark_lagging(&mut self, now: i64) {
         self.catch_up.read_due_at = Some(now + limits::CATCH_UP_DURATION);
         self.catch_up.next_request_at = now + limits::SYNC_REQUEST_INTERVAL;
     }
 
-    /// Begins the read that makes this replica up to date, once nothing else is to be learned before.
+    /// Begins the quorum read that makes this replica up to date, once a quorum knows the same items or the time is
+    /// over.
     pub(super) fn update_up_to_date(&mut self, now: i64, out: &mut Vec<Output>) {
         if self.catch_up.is_up_to_date || !self.has_quorum_contact || self.reads.is_catching_up() {
             return;
@@ -153,7 +157,7 @@
         }
     }
 
-    /// Everything that more than half of the replicas have accepted is known to be chosen here: the agents are told.
+    /// The quorum read has completed: this replica is up to date, and notifies the agents.
     pub(super) fn handle_catch_up_read(&mut self, epoch: u64, out: &mut Vec<Output>) {
         if epoch == self.catch_up.epoch
             && !std::mem::replace(&mut self.catch_up.is_up_to_date, true)
--- a/crates/control/src/core/chosen.rs
+++ b/crates/control/src/core/chosen.rs
@@ -1,4 +1,4 @@
-//! The items that are known to be chosen, and so are in force.
+//! The items known to be chosen, which are in force.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -9,41 +9,41 @@
 use super::ids::Ballot;
 use super::registers::entry_digest;
 
-/// The items that are known to be chosen, removed ones included.
+/// The items known to be chosen, including removed ones.
 #[derive(Clone, Debug, Default)]
 pub struct ChosenItems {
     entries: BTreeMap<ItemName, (Ballot, Item)>,
     /// The digest of all entries.
     digest: u64,
-    /// Digests of the entries by bucket.
+    /// Digests of the entries, by bucket.
     digests: Digests,
-    /// Digests of names and versions alone by bucket, as agents have them.
+    /// Digests of names and versions alone, by bucket: agents compute theirs in the same way.
     version_digests: Digests,
 }
 
-/// What learning a chosen item has changed.
+/// The effect of learning a chosen item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LearnOutcome {
-    /// Nothing: it was known, or a newer one was.
+    /// None: the item or a newer one was already known.
     AlreadyKnown,
-    /// Its version was known, and was chosen again under a higher ballot.
+    /// The version was already known and has been chosen again under a higher ballot.
     NewBallot,
-    /// Its version was not known.
+    /// The version is new.
     NewVersion,
 }
 
-/// A summary of a set of items by which agents and replicas compare what they have.
+/// A summary of a set of items by which agents and replicas compare their items.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ItemSummary {
-    /// How many items, removed ones included.
+    /// The number of items, including removed ones.
     pub items: u32,
-    /// The digest of their names and versions.
+    /// The digest of the names and versions.
     pub digest: u64,
 }
 
 impl ChosenItems {
-    /// Learns that an item is chosen under a ballot. One version has one content, and a later choice never has a lower
-    /// version.
+    /// Records that an item is chosen under a ballot. A version has exactly one chosen content, and a later choice
+    /// never has a lower version.
     pub fn learn(&mut self, ballot: Ballot, item: &Item) -> LearnOutcome {
         let outcome = match self.entries.get(&item.name) {
             Some((_, known)) if known.ver > item.ver => LearnOutcome::AlreadyKnown,
@@ -66,7 +66,7 @@
         outcome
     }
 
-    /// Adds an entry to the digests, or removes it from them.
+    /// Adds an entry to the digests, or removes it if it is included.
     fn toggle_digests(&mut self, ballot: Ballot, item: &Item) {
         let digest = entry_digest(&ballot, item);
         self.digest ^= digest;
@@ -101,7 +101,7 @@
         self.digests.buckets()
     }
 
-    /// The summary that the agents' ones are compared with.
+    /// The summary with which agents' summaries are compared.
     pub fn summary(&self) -> ItemSummary {
         ItemSummary {
             items: self.entries.len() as u32,
@@ -118,7 +118,7 @@
             .filter(|(_, item)| self.digests.bucket_differs(digests, &item.name))
     }
 
-    /// The items after a name, of the buckets whose digests of names and versions differ from these.
+    /// The items after the name `after`, of the buckets whose digests of names and versions differ from these.
     pub fn items_missing_from<'a>(
         &'a self,
         digests: &'a [u64],
--- a/crates/control/src/core/counter.rs
+++ b/crates/control/src/core/counter.rs
@@ -1,5 +1,5 @@
-//! The shared counter: totals by name, kept only by the replica that holds the lease on that role. A new holder starts with
-//! no totals.
+//! The shared counter: totals by counter id, kept only by the replica that holds the lease on that role. A new holder
+//! starts without totals.
 
 use std::collections::HashMap;
 
@@ -7,11 +7,11 @@
 
 use crate::limits;
 
-/// One total.
+/// The total of one counter.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     units: f64,
-    /// The total is dropped at this time.
+    /// The time at which the total expires, in microseconds.
     expires_at: i64,
 }
 
@@ -23,13 +23,14 @@
     /// The term of the lease under which the totals were counted.
     term: u64,
     last_add_at: Option<i64>,
-    /// Nothing is counted before this time.
+    /// Counting is suspended until this time.
     suspended_until: Option<i64>,
 }
 
 impl SharedCounter {
-    /// The clock by which windows are named has jumped ahead by `duration`, to names under which nothing was counted yet. If
-    /// anything was counted recently, counting is suspended for as long: otherwise a tenant would have both windows.
+    /// Handles a jump of the clock by which windows are numbered, ahead by `duration` microseconds to numbers without
+    /// any counts. If there were recent additions, counting is suspended for the same time: otherwise a tenant could
+    /// use the quotas of both windows.
     pub fn suspend(&mut self, now: i64, duration: i64) {
         let last_add_at = self.last_add_at;
         if last_add_at.is_some_and(|last| now - last < limits::QUOTA_WINDOW) {
@@ -42,8 +43,9 @@
         self.suspended_until.is_some_and(|until| now < until)
     }
 
-    /// Adds in order, and gives the total after each addition. Where only a share of the limiters reaches the counter, the
-    /// totals are given as if the others had added as much: they use even slices of the quotas without it.
+    /// Applies the additions in order. Returns the total after each of them. If only `share` of the limiters reaches
+    /// the counter, the totals are extrapolated as if the others had added in proportion: they use even slices of the
+    /// quotas without it.
     pub fn add(&mut self, now: i64, term: u64, share: f64, adds: &[CounterAdd]) -> Vec<f64> {
         if self.term != term {
             *self = SharedCounter {
@@ -67,11 +69,11 @@
             };
         }
         let is_first = total.units == 0.0;
-        // An addition that is not a number must not spoil the total for good.
+        // An addition that is not finite would make the total unusable for good.
         if add.units.is_finite() {
             total.units += add.units;
         }
-        // The first limiter must find its own addition alone: it carries over what is left of the window before.
+        // The first addition is returned unchanged: its limiter carries over the remainder of the previous window.
         if is_first {
             total.units
         } else {
--- a/crates/control/src/core/counter/tests.rs
+++ b/crates/control/src/core/counter/tests.rs
@@ -13,7 +13,7 @@
         [2.0, 1.5, 0.0]
     );
     assert_eq!(count.add(999, 1, 1.0, &[add(1, 1.0)]), [2.5]);
-    // Forgotten after its lifetime, which counts from its first add.
+    // A total expires after its lifetime, which counts from its first addition.
     assert_eq!(count.add(1_000, 1, 1.0, &[add(1, 1.0)]), [1.0]);
     assert_eq!(
         count.add(1_001, 2, 1.0, &[add(1, 1.0), add(1, f64::NAN)]),
@@ -29,7 +29,7 @@
         units,
         ttl: 1_000,
     };
-    // The first to add finds itself alone, as it carries over the window before.
+    // The first addition is returned unchanged, since its limiter carries over the previous window.
     assert_eq!(count.add(0, 1, 0.5, &[add(3.0), add(1.0)]), [3.0, 8.0]);
     assert_eq!(count.add(1, 1, 1.0, &[add(1.0)]), [5.0]);
 }
--- a/crates/control/src/core/dispatch.rs
+++ b/crates/control/src/core/dispatch.rs
@@ -1,4 +1,4 @@
-//! The dispatch of inputs and of peer messages to the handlers of each concern.
+//! Dispatch of inputs and peer messages to their handlers.
 
 use std::net::SocketAddr;
 
@@ -36,7 +36,7 @@
         self.greet_replica(peer, out);
     }
 
-    /// Records what the message tells about the replicas, then handles its payload.
+    /// Updates the table of replicas from the message, then handles its payload.
     fn handle_peer_message(
         &mut self,
         now: i64,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Handles a message of an incarnation that is not, or no longer, the newest of its replica.
+    /// Handles a message from a process that is not in the newest known incarnation of its replica.
     fn handle_outdated_message(
         &mut self,
         now: i64,
@@ -71,7 +71,7 @@
         out: &mut Vec<Output>,
     ) {
         match payload {
-            // The sender learns about the newer incarnation from any message.
+            // Any message tells the sender about the newer incarnation.
             Payload::Heartbeat(_) if sender.process.incarnation != Incarnation::NONE => {
                 self.greet_replica(sender.address, out)
             }
@@ -106,8 +106,7 @@
         }
     }
 
-    /// Handles requests that are granted to any process, also to one that recovers or is superseded. Gives back any other
-    /// payload.
+    /// Handles requests that any process may send, even one that recovers or is superseded. Returns any other payload.
     fn handle_request_of_any(
         &mut self,
         now: i64,
@@ -130,8 +129,8 @@
         None
     }
 
-    /// Handles what a current replica tells about itself and the edges, also where this replica does not take part in
-    /// agreement. Gives back any other payload.
+    /// Handles what a current replica reports about itself and the edges, and responses to recovery and handover; these
+    /// are processed even while this replica does not vote. Returns any other payload.
     fn handle_dissemination(
         &mut self,
         now: i64,
@@ -171,7 +170,7 @@
         None
     }
 
-    /// Handles the messages of agreement, leases and catching up.
+    /// Handles the messages of proposals, leases and catching up.
     fn handle_participant_message(
         &mut self,
         now: i64,
--- a/crates/control/src/core/events.rs
+++ b/crates/control/src/core/events.rs
@@ -1,14 +1,14 @@
-//! Events of a replica that are worth a line of the log.
+//! Events of a replica that are logged.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use super::ids::{Incarnation, ReplicaId, SingletonRole};
 
-/// An event of a replica. Its [`message`](Event::message) is fixed; the rest is logged as key-values.
+/// An event of a replica. Its [`message`](Event::message) is a fixed text; its fields are logged as key-value pairs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// This replica was granted the lease on a role by a quorum.
+    /// A quorum granted this replica the lease on a role.
     RoleAcquired {
         /// The role.
         role: SingletonRole,
@@ -26,25 +26,25 @@
     },
     /// Another machine holds a newer incarnation of this replica.
     Superseded,
-    /// The newer incarnation was begun by this machine itself and never completed: this replica recovers.
+    /// This machine itself began the newer incarnation and never completed it: this replica recovers again.
     AbandonedIncarnation,
-    /// No quorum can reach the newer incarnation of this replica any more: this replica recovers.
+    /// A quorum reports that the newer incarnation of this replica is unreachable: this replica recovers.
     IncarnationReclaimed,
-    /// This replica has recovered its registers from the others and takes part in an incarnation of its own.
+    /// This replica has recovered its registers from the others and participates under a new incarnation.
     RecoveryCompleted {
         /// The incarnation.
         incarnation: Incarnation,
-        /// How many items were recovered.
+        /// The number of recovered items.
         items: usize,
     },
-    /// The disk rejects writes: this replica promises, accepts and grants nothing new.
+    /// The disk rejects writes: this replica makes no new promises, acceptances or lease grants.
     VotingSuspended,
     /// The disk accepts writes again.
     VotingResumed,
 }
 
 impl Event {
-    /// The line of the log.
+    /// The text of the log line.
     pub fn message(&self) -> &'static str {
         match self {
             Event::RoleAcquired { .. } => "role acquired",
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether operators wait for this line, so that it must not stay in the log's buffer.
+    /// Whether the log line must be flushed at once, since operators wait for it.
     pub fn is_immediate(&self) -> bool {
         match self {
             Event::IncarnationObserved { .. }
--- a/crates/control/src/core/handover.rs
+++ b/crates/control/src/core/handover.rs
@@ -1,9 +1,11 @@
-//! Handover: a replica that is told to end stays until a quorum without it has on disk what it knows to be chosen.
+//! Handover: a replica that is asked to shut down keeps running until a quorum without it has all items that it knows
+//! to be chosen on disk.
 //!
-//! It asks each other replica by digests what that one has on disk, sends what is missing there, and counts a replica once
-//! everything is confirmed. Once enough of them are complete it votes on no further proposals and asks all of them again:
-//! what it helped to choose meanwhile is handed over as well. A superseded replica hands over in the same way, and stays
-//! until the newer incarnation takes part, as its votes may have been part of what that one is still gathering.
+//! It queries the digests of the items on each other replica's disk, sends the missing items, and counts the replica as
+//! complete once all of them are confirmed. Once enough replicas are complete it stops voting on other replicas'
+//! proposals and queries all of them again, so that items which its votes helped to choose meanwhile are handed over as
+//! well. A superseded replica hands over in the same way, and keeps running until the newer incarnation participates,
+//! since that one may still be collecting values that depend on its votes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,12 +20,12 @@
 use super::{Output, Replica};
 use crate::limits;
 
-/// How much of the handover one other replica has.
+/// The progress of the handover to one other replica.
 #[derive(Clone, Debug, Default)]
 struct Receiver {
-    /// What it lacked when it first answered and has not confirmed since; none before its first answer.
+    /// The items that were missing in its first answer and have not been confirmed since; `None` before that answer.
     missing: Option<BTreeSet<ItemName>>,
-    /// The items that were sent and are not confirmed yet, by the id of the message.
+    /// The items sent and not yet confirmed, by the id of the message.
     in_flight: BTreeMap<u64, Vec<ItemName>>,
 }
 
@@ -32,7 +34,7 @@
         self.missing.as_ref().is_some_and(BTreeSet::is_empty)
     }
 
-    /// Takes in the digests of what is on its disk. Gives the items to send now.
+    /// Handles the digests of the items on its disk. Returns the items to send now.
     fn handle_digests(
         &mut self,
         id: u64,
@@ -56,55 +58,56 @@
     }
 }
 
-/// The handover of a replica that is to end.
+/// The handover of a replica that shuts down.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Handover {
     receivers: BTreeMap<ReplicaId, Receiver>,
-    /// No further proposal is voted on; what counts now are the answers to the second query.
+    /// No further proposals of other replicas are voted on, and receivers are complete by their answers to the second
+    /// query.
     is_voting_closed: bool,
-    /// Another replica hears the newer incarnation of this one.
+    /// Another replica reports the newer incarnation of this one as reachable.
     is_successor_reachable: bool,
     is_done: bool,
     next_query_at: i64,
 }
 
 impl Handover {
-    /// How many other replicas have everything.
+    /// The number of other replicas that have all items.
     fn complete_receiver_count(&self) -> usize {
         let receivers = self.receivers.values();
         receivers.filter(|receiver| receiver.is_complete()).count()
     }
 
-    /// Whether no further proposal of another replica is voted on.
+    /// Whether no further proposals of other replicas are voted on.
     pub(super) fn is_voting_closed(&self) -> bool {
         self.is_voting_closed
     }
 
-    /// When [`Replica::drive_handover`] is due.
+    /// The time at which [`Replica::drive_handover`] is due.
     pub(super) fn wake_at(&self) -> Option<i64> {
         (!self.is_done).then_some(self.next_query_at)
     }
 }
 
 impl Replica {
-    /// Whether a quorum without this replica has what it knows to be chosen, or it was not told to end.
+    /// Whether the handover is complete, or no shutdown was requested.
     pub fn is_handed_over(&self) -> bool {
         self.handover
             .as_ref()
             .is_none_or(|handover| handover.is_done)
     }
 
-    /// The process was told to end, or has recovered after that.
+    /// Begins the handover, when a shutdown is requested or when a recovery completes after that.
     pub(super) fn begin_handover(&mut self, now: i64) {
         self.handover = Some(Handover {
             next_query_at: now,
-            // A replica that has not recovered has no votes, and nothing that the others lack.
+            // A replica that has not recovered has cast no votes, and has no items that the others lack.
             is_done: self.table.local().incarnation == Incarnation::NONE,
             ..Handover::default()
         });
     }
 
-    /// The message that asks what a replica has on disk, and which incarnation of this one it hears.
+    /// The message that queries the items on a replica's disk, and the incarnation of this replica that it can reach.
     pub(super) fn handover_query() -> Payload {
         Payload::HandoverRequest {
             id: 0,
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Queries the receivers that are not complete, and checks whether enough of them are.
+    /// Checks whether the handover is complete, and otherwise queries the receivers that are not.
     pub(super) fn drive_handover(&mut self, now: i64, out: &mut Vec<Output>) {
         let Some(mut handover) = self.handover.take() else {
             return;
@@ -127,7 +130,8 @@
         self.handover = Some(handover);
     }
 
-    /// Whether everything is handed over. The first time that it seems so, voting ends and all are queried again.
+    /// Whether all items are handed over. When enough receivers are complete for the first time, closes voting and
+    /// queries all of them again.
     fn check_handover(&self, handover: &mut Handover, out: &mut Vec<Output>) -> bool {
         let others = self.table.replica_count() - 1;
         let needed = self.table.quorum_size().min(others);
@@ -135,8 +139,8 @@
             return handover.is_successor_reachable
                 && handover.complete_receiver_count() + 1 >= needed;
         }
-        // Hazard: what was accepted here and is not known to be chosen may have been acknowledged by another replica, and
-        // a read in progress may become a proposal.
+        // Hazard: what was accepted here and is not known to be chosen may have been acknowledged by another replica,
+        // and a read in progress may become a proposal.
         let at_work = !self.is_idle() || !self.proposals.is_empty();
         if handover.complete_receiver_count() < needed || !self.pending.is_empty() || at_work {
             return false;
@@ -168,8 +172,8 @@
         }
     }
 
-    /// Another replica is to end: learns the items that it knows to be chosen, and confirms once they are on disk. The
-    /// sender may be a former incarnation, as what is chosen stays chosen.
+    /// Another replica shuts down: learns the items that it knows to be chosen, and confirms them once they are on
+    /// disk. The sender may be an earlier incarnation, since chosen items stay chosen.
     pub(super) fn handle_handover_request(
         &mut self,
         now: i64,
@@ -182,7 +186,8 @@
             return;
         }
         self.learn_chosen(now, entries, out);
-        // A process speaks under its incarnation only once it takes part, and only the newest one counts as reachable.
+        // A process sends messages under its incarnation only once it participates, and only the newest incarnation
+        // counts as reachable.
         let replica = sender.replica();
         let slot_incarnation = if self.table.is_reachable(now, replica) {
             self.table.newest_incarnation(replica)
@@ -194,12 +199,13 @@
             digests: self.chosen.digest_buckets().to_vec(),
             slot_incarnation,
         };
-        // Records are written in order: once this write is done, so are all before it.
+        // Records are written in order: once this write is done, all earlier ones are.
         let ack = PendingWrite::SendVote(Some(sender.address), ack);
         self.write(Vec::new(), Some(ack), out);
     }
 
-    /// Another replica says what it has on disk, and which incarnation of this replica it hears.
+    /// Another replica reports the digests of the items on its disk, and the incarnation of this replica that it can
+    /// reach.
     pub(super) fn handle_handover_ack(
         &mut self,
         now: i64,
@@ -211,14 +217,14 @@
     ) {
         self.handle_slot_report(now, sender.replica(), slot_incarnation);
         let local = self.table.local();
-        // Hazard: a handover that is done has to stay, as it keeps this replica from voting.
+        // A completed handover must not be taken out, since it keeps this replica from voting.
         let Some(mut handover) = self.handover.take_if(|handover| !handover.is_done) else {
             return;
         };
         handover.is_successor_reachable |= slot_incarnation > local.incarnation;
         let receiver = handover.receivers.entry(sender.replica()).or_default();
         let entries = receiver.handle_digests(id, digests, &self.chosen);
-        // Everything is sent at once: this replica has only its grace period, and its receivers request nothing more.
+        // All items are sent at once: this replica has only its grace period, and receivers do not request more chunks.
         let limits = TransferLimits {
             response_bytes: usize::MAX,
             ..self.transfer_limits
--- a/crates/control/src/core/heartbeat.rs
+++ b/crates/control/src/core/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between the replicas, and what each of them compares.
+//! Heartbeats between the replicas, and the comparison of their states.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 use crate::limits;
 
 impl Replica {
-    /// Sends a heartbeat, and checks what depends on the time alone.
+    /// Sends a heartbeat, and performs the checks that depend on the time alone.
     pub(super) fn send_heartbeat(&mut self, now: i64, out: &mut Vec<Output>) {
         self.update_quorum_contact(now);
         if self.table.is_superseded() {
@@ -35,13 +35,13 @@
             }
         }
         if self.table.quorum_size() == 1 {
-            // The only replica receives no heartbeats that would make it check this.
+            // A single replica receives no heartbeats, which trigger this check otherwise.
             self.update_up_to_date(now, out);
         }
         self.announce_view(now, Announcement::WithKeepAlive, out);
     }
 
-    /// Compares what another replica knows with what is known here.
+    /// Compares the state of another replica with the local one, and requests what is missing here.
     pub(super) fn handle_heartbeat(
         &mut self,
         now: i64,
@@ -65,7 +65,7 @@
         self.compare_chosen_digest(now, sender, heartbeat.chosen_digest, out);
     }
 
-    /// Checks whether this replica is in contact with a quorum.
+    /// Updates whether this replica is in contact with a quorum.
     fn update_quorum_contact(&mut self, now: i64) {
         self.has_quorum_contact = self.table.has_quorum_contact(now);
         if !self.has_quorum_contact {
@@ -73,14 +73,14 @@
         }
     }
 
-    /// This process made no progress for longer than its peers wait for it: what it knew about them is out of date, and must
-    /// not be used before they are heard again.
+    /// This process stalled for longer than the contact timeout: its state about its peers is outdated, and must not be
+    /// used before new messages of them arrive.
     pub(super) fn handle_stall(&mut self, now: i64) {
         self.update_quorum_contact(now);
         self.membership.expire_leases(now, self.has_quorum_contact);
     }
 
-    /// Tells a replica that was out of contact where the others are and which edges are linked here.
+    /// Sends the addresses of the replicas and the local members to a replica that was unreachable.
     pub(super) fn greet_replica(&self, peer: SocketAddr, out: &mut Vec<Output>) {
         if self.table.local().incarnation == Incarnation::NONE {
             return;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Tells all replicas where each of them is.
+    /// Sends the addresses of the replicas to all of them.
     pub(super) fn broadcast_addresses(&self, out: &mut Vec<Output>) {
         self.broadcast(Payload::ReplicaAddresses(self.table.addresses()), out);
     }
@@ -103,7 +103,7 @@
         if self.table.is_abandoned() {
             out.push(Output::Log(Event::AbandonedIncarnation));
             self.table.relinquish_incarnation();
-            // Its disk still holds the registers, so that the others need to send what differs alone.
+            // The disk still holds the registers, so that the others only need to send values that differ.
             let accepted = self.registers.accepted_entries();
             self.recovery = Some(Recovery::from_accepted(accepted));
             return self.announce_view(now, Announcement::WithKeepAlive, out);
--- a/crates/control/src/core/ids.rs
+++ b/crates/control/src/core/ids.rs
@@ -1,28 +1,28 @@
-//! The identifiers of replicas, processes, proposals, requests and leases, and their orders.
+//! The identifiers of replicas, processes, proposals, requests and leases, and their orderings.
 //!
-//! Fields are written by their position (`postcard`): their order is part of the wire and of stored data.
+//! Fields are encoded by position (`postcard`): their order is part of the wire format and of the stored data.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a replica: the position of its zone among all zones, by name.
+/// The number of a replica: the position of its zone among all zones, sorted by name.
 pub type ReplicaId = u8;
 
-/// An incarnation of a replica: it lasts as long as the disk, and a process with an empty disk begins a new one.
-/// Incarnations are ordered; the nonce tells two apart that begin with the same number at once.
+/// An incarnation of a replica: it lasts as long as the disk's contents, and a process with an empty disk begins a new
+/// one. Incarnations are ordered; the nonce distinguishes two that begin with the same number at the same time.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation {
-    /// Its number; 0 for none.
+    /// The number; 0 for no incarnation.
     pub number: u32,
     /// A random number.
     pub nonce: u32,
 }
 
 impl Incarnation {
-    /// No incarnation: the process has not recovered yet, and its votes count for nothing.
+    /// No incarnation: the process has not recovered yet, and its votes are not counted.
     pub const NONE: Incarnation = Incarnation {
         number: 0,
         nonce: 0,
@@ -34,7 +34,7 @@
     };
 }
 
-/// A replica in one incarnation: whose vote it is.
+/// A replica in one incarnation, as the originator of a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Voter {
     /// The replica.
@@ -43,7 +43,7 @@
     pub incarnation: Incarnation,
 }
 
-/// A process of a replica: its incarnation, and how often it has started in it.
+/// A process of a replica: its incarnation, and the number of the process start within it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -52,12 +52,12 @@
     pub replica: ReplicaId,
     /// The incarnation.
     pub incarnation: Incarnation,
-    /// The number of the start in this incarnation, from 1.
+    /// The number of the process start within this incarnation, from 1.
     pub run: u32,
 }
 
 impl ProcessId {
-    /// Whose votes this process gives.
+    /// The voter on whose behalf this process votes.
     pub fn voter(&self) -> Voter {
         Voter {
             replica: self.replica,
@@ -66,12 +66,12 @@
     }
 }
 
-/// The ballot of a proposal. No two proposals share one, since the run changes with each start of a process.
+/// The ballot of a proposal. Ballots are unique even across restarts, since `run` changes with each start of a process.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// Rises with each attempt.
+    /// The round, increased with each attempt.
     pub round: u64,
     /// The proposer.
     pub proposer: ProcessId,
@@ -83,22 +83,22 @@
     }
 }
 
-/// The id of a request. A process that restarts counts from the beginning: a late answer counts only for the very process
-/// that has sent the request.
+/// The id of a request. Numbers start over when a process restarts, so the id names the process as well: a late
+/// response to a request of an earlier process must not match.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RequestId {
-    /// The process that has sent the request.
+    /// The process that sent the request.
     pub requester: ProcessId,
-    /// The number of the request in that process.
+    /// The number of the request within that process.
     pub number: u64,
 }
 
-/// A role that only one replica performs, for all of them.
+/// A role that one replica at a time performs for all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum SingletonRole {
-    /// Reads the platform's list of servers.
+    /// Polls the platform's list of servers.
     PlatformPoller,
     /// Keeps the shared counter.
     Counter,
@@ -121,8 +121,8 @@
 /// The term of a lease, and its holder or candidate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Term {
-    /// Rises with each holder.
+    /// The number, increased with each candidacy.
     pub number: u64,
-    /// The holder.
+    /// The holder or candidate.
     pub holder: ProcessId,
 }
--- a/crates/control/src/core/interface.rs
+++ b/crates/control/src/core/interface.rs
@@ -1,5 +1,5 @@
-//! What a host and a replica exchange: the configuration and the stored state that a replica starts with, the inputs of
-//! [`Replica::step`](super::Replica::step) and its outputs.
+//! The interface between a host and a replica: the configuration and the stored state that a replica starts with, and
+//! the inputs and outputs of [`Replica::step`](super::Replica::step).
 
 use std::net::SocketAddr;
 
@@ -20,11 +20,11 @@
 pub struct ReplicaMetadata {
     /// The incarnation of this replica; [`Incarnation::NONE`] until it has recovered.
     pub incarnation: Incarnation,
-    /// How often the process has started in this incarnation.
+    /// The number of the process start within this incarnation, from 1.
     pub run: u32,
     /// No proposal below this ballot is accepted on any register.
     pub promise_floor: Ballot,
-    /// The newest term granted for each role, followed by the newest term of each role that was seen to be held.
+    /// The newest term granted for each role, followed by the newest term of each role that was observed as held.
     pub terms: Vec<Term>,
     /// The newest known incarnation of each replica, by [`ReplicaId`](super::ids::ReplicaId).
     pub incarnations: Vec<Incarnation>,
@@ -32,14 +32,14 @@
     pub addresses: Vec<Option<SocketAddr>>,
 }
 
-/// The state that a replica found on its disk.
+/// The state that a replica reads from its disk at startup.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveredState {
     /// The metadata; the default one for an empty disk.
     pub metadata: ReplicaMetadata,
     /// All registers.
     pub registers: Vec<(ItemName, Register)>,
-    /// The items that were known to be chosen, with the ballot of each.
+    /// The items known to be chosen, with the ballot of each.
     pub chosen: Vec<(Ballot, Item)>,
 }
 
@@ -52,17 +52,17 @@
     pub zone: String,
     /// The address at which other replicas and agents reach this one.
     pub address: Option<SocketAddr>,
-    /// Addresses to contact first, from the settings.
+    /// Addresses of replicas to contact first, from the settings.
     pub seed_addresses: Vec<SocketAddr>,
     /// The seed of the random numbers.
     pub random_seed: u64,
-    /// The state found on disk.
+    /// The state read from disk.
     pub recovered: RecoveredState,
     /// Sizes of the messages of a state transfer.
     pub transfer_limits: TransferLimits,
 }
 
-/// An input of a replica. A call or an agent's link is named by a number that the host gives it.
+/// An input of a replica. Calls and agents' links are identified by numbers that the host assigns.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// Only time has passed.
@@ -77,37 +77,37 @@
     OperatorCall(u64, Command, i64),
     /// A message from the agent on this link.
     AgentMessage(u64, AgentMessage),
-    /// The agent's link was closed.
+    /// An agent's link was closed.
     AgentDisconnected(u64),
-    /// All pages of the platform's list were read.
+    /// The platform's complete list of servers.
     ServerListRead(Vec<Server>),
-    /// This process is unable to perform the role.
+    /// This process failed to perform the role.
     RoleFailed(SingletonRole),
-    /// Whether the disk rejects writes. Requested writes wait until it accepts them again.
+    /// Whether the disk rejects writes. The host keeps requested writes until the disk accepts them again.
     DiskFull(bool),
-    /// The process was told to end.
+    /// The process was asked to shut down.
     Shutdown,
 }
 
-/// A record to be written to disk. Records are written in the order in which they were requested.
+/// A record to be written to disk. Records are written in the order in which they are requested.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// The metadata of this replica.
     Metadata(ReplicaMetadata),
     /// A register.
     Register(ItemName, Register),
-    /// An item that is known to be chosen, and its ballot.
+    /// An item known to be chosen, and its ballot.
     Chosen(Ballot, Item),
 }
 
-/// An output of a replica, to be carried out by the host in order.
+/// An output of a replica. The host performs the outputs in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to the replicas at these addresses.
     SendToReplicas(Vec<SocketAddr>, PeerMessage),
-    /// Keep links with the replicas at these addresses, and with no others.
+    /// Keep links to the replicas at these addresses, and to no others.
     Peers(Vec<SocketAddr>),
-    /// Write the records, then pass [`Input::Written`] with the request id.
+    /// Write the records, then pass in [`Input::WriteCompleted`] with this request id.
     Write(u64, Vec<Record>),
     /// Answer an operator's call.
     Answer(u64, Reply),
@@ -122,11 +122,11 @@
 pub struct PendingCounts {
     /// Proposals.
     pub proposals: usize,
-    /// Operators' calls that a proposal is for.
+    /// Operators' calls that wait for a proposal.
     pub calls: usize,
-    /// Quorum reads, including those that wait for a repair.
+    /// Quorum reads for operators' calls, including those that wait for a repair.
     pub reads: usize,
-    /// Writes that something waits for.
+    /// Writes whose completion triggers a further step.
     pub writes: usize,
     /// Registers whose accepted value is not known to be chosen.
     pub repairs: usize,
--- a/crates/control/src/core/load_aggregation.rs
+++ b/crates/control/src/core/load_aggregation.rs
@@ -1,6 +1,6 @@
-//! Load shedding, aggregated over limiters: this replica decides for the limiters linked to it how much of the load of each
-//! service is admitted. Their reports are summed up by region, since the limiters of a region share its servers, and shared
-//! with the other replicas.
+//! Load shedding, aggregated over limiters: this replica decides for its linked limiters how much of the load of each
+//! service is admitted. Their reports are summed by region, since the limiters of a region share its servers, and sent
+//! to the other replicas.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 use super::replicas::Sender;
 use super::{Output, Replica};
 
-/// A region without admission levels is told so every so many steps.
+/// A region without admission levels is sent an empty list once in this many steps.
 const EMPTY_LEVELS_INTERVAL: u64 = 2;
 
 /// The admission controllers of this replica.
@@ -51,7 +51,7 @@
         entry.or_insert_with(|| AdmissionController::new(local.into()))
     }
 
-    /// Takes in the reports of the agent on a link.
+    /// Handles the reports of the agent on a link.
     pub(super) fn handle_reports(
         &mut self,
         now: i64,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// When the next step is due. Without controllers the replica's own heartbeat is often enough.
+    /// The time of the next step. Without controllers a step at each heartbeat of the replica suffices.
     pub(super) fn wake_at(&self) -> Option<i64> {
         (!self.controllers.is_empty()).then_some(self.next_step_at)
     }
@@ -90,7 +90,7 @@
 }
 
 impl Replica {
-    /// Another replica has shared what its limiters report about the services of a region.
+    /// Another replica has sent the load that its limiters report for the services of a region.
     pub(super) fn handle_load_report(
         &mut self,
         now: i64,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Evaluates the controllers, once a step, and sends the agents their levels.
+    /// Evaluates the controllers if a step is due, and sends the resulting levels to the agents.
     pub(super) fn drive_load_aggregation(&mut self, now: i64, out: &mut Vec<Output>) {
         if now < self.load.next_step_at {
             return;
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Shares what the local limiters report with the other replicas: the limiters of a region may be linked to any of them.
+    /// Sends the load that the local limiters report to the other replicas, since the limiters of a region may be
+    /// linked to any of them.
     fn share_load(&self, now: i64, out: &mut Vec<Output>) {
         let mut shares_by_region: BTreeMap<&String, Vec<(String, ReplicaLoad)>> = BTreeMap::new();
         for ((region, service), controller) in &self.load.controllers {
--- a/crates/control/src/core/membership.rs
+++ b/crates/control/src/core/membership.rs
@@ -1,5 +1,6 @@
-//! Membership of the edges: each holds a lease at the replica that its agent is linked to, and is a member as long as it
-//! renews it there. The replicas report their members to each other; an edge that no replica reports is no member.
+//! Membership of the edges: each edge holds a lease at the replica to which its agent is linked, and is a member as
+//! long as it renews the lease there. The replicas report their members to each other; an edge that no replica reports
+//! is no member.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hasher};
@@ -42,9 +43,9 @@
     digest: u64,
     /// When the report last changed.
     changed_at: i64,
-    /// When the other replica last confirmed its digest.
+    /// When the other replica last confirmed the digest.
     confirmed_at: i64,
-    /// When the whole list was last requested.
+    /// When the complete list was last requested.
     requested_at: Option<i64>,
 }
 
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Applies a delta that follows on this report.
+    /// Applies a delta whose `digest_before` is the digest of this report.
     fn apply(&mut self, now: i64, delta: &MembershipDelta) {
         for name in &delta.removed_names {
             if let Some(removed) = self.members.remove(name) {
@@ -83,40 +84,40 @@
     }
 }
 
-/// Which of several reports of one edge is believed: the greatest one.
+/// The precedence of a report of an edge: of several, the one with the greatest precedence is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Precedence {
     /// The edge's agent is linked to the replica that reports it.
     is_connected: bool,
     /// The edge holds its lease at this replica.
     is_local: bool,
-    /// When the report changed last.
+    /// When the report was last changed.
     changed_at: i64,
 }
 
-/// A member, and where it holds its lease.
+/// A member, and the place of its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocatedMember<'a> {
-    /// The replica that reports it; none for this replica itself.
+    /// The replica that reports it; `None` for this replica itself.
     pub reporter: Option<ReplicaId>,
-    /// The agent's link, where the lease is held at this replica.
+    /// The agent's link if the lease is held at this replica, otherwise 0.
     pub link: u64,
     /// The member.
     pub member: &'a Member,
 }
 
-/// How a delta of another replica's members was applied.
+/// The outcome of a delta of another replica's members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeltaOutcome {
-    /// It was applied, or known before.
+    /// No further step is needed: the delta was applied or already known, or the list was requested recently.
     Applied,
-    /// It was applied, and the members of this replica have changed by it.
+    /// The delta was applied, and the local members have an unannounced change.
     LocalMembersChanged,
-    /// A delta before it was missed: the whole list is to be requested.
+    /// An earlier delta was missed: the complete list must be requested.
     ListNeeded,
 }
 
-/// How many edges serve.
+/// The numbers of serving edges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServingCounts {
     /// In all zones.
@@ -125,35 +126,36 @@
     pub in_zone: u32,
 }
 
-/// The local members as they were last announced to the other replicas.
+/// The local members as last announced to the other replicas.
 #[derive(Clone, Debug, Default)]
 struct Announced {
     members: BTreeMap<String, Member>,
     digest: u64,
 }
 
-/// The members as one replica sees them. Edges are named by their machines.
+/// The members as known to one replica. Edges are identified by the names of their machines.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
     local_leases: BTreeMap<String, MemberLease>,
-    /// The edge behind each agent's link; for a while an agent may have two links.
+    /// The edge of each agent's link; for a while an agent may have two links.
     links: BTreeMap<u64, NodeInfo>,
     reports: BTreeMap<ReplicaId, PeerReport>,
-    /// The replicas that report each edge. They are few, and a look at all reports for each change would grow with them.
+    /// The replicas that report each edge, so that a change need not be looked up in all reports.
     reporters: BTreeMap<String, BTreeSet<ReplicaId>>,
     /// The digest of the local members.
     digest: u64,
     last_announced: Announced,
-    /// Edges that serve or served recently, and when each was last known to.
+    /// Edges that serve or served recently, and when each was last known to serve.
     recently_serving: BTreeMap<String, i64>,
-    /// Edges that have not said yet that they serve.
+    /// Edges that have not reported yet that they serve.
     not_yet_ready: BTreeSet<String>,
-    /// Edges that served and say that they do no longer.
+    /// Edges that served and report that they no longer do.
     departed: BTreeSet<String>,
     serving: ServingNodes,
 }
 
-/// The edges that serve, with their zones, and how many serve in each zone: kept up to date, as it is asked often.
+/// The serving edges with their zones, and their number in each zone. They are kept up to date incrementally, since
+/// they are read often.
 #[derive(Clone, Debug, Default)]
 struct ServingNodes {
     nodes: BTreeMap<String, String>,
@@ -161,7 +163,7 @@
 }
 
 impl ServingNodes {
-    /// An edge serves in a zone, or does not serve.
+    /// Sets the zone in which an edge serves; `None` if it does not serve.
     fn set_zone(&mut self, name: &str, zone: Option<&str>) {
         if self.nodes.get(name).map(String::as_str) == zone {
             return;
@@ -181,12 +183,12 @@
 
 fn member_digest(member: &Member) -> u64 {
     let mut hasher = DefaultHasher::new();
-    // A member can always be encoded; if it could not, its digest would only be that of another one.
+    // Encoding a member does not fail; if it did, the digest would merely coincide with that of other such members.
     hasher.write(&postcard::to_allocvec(member).unwrap_or_default());
     hasher.finish()
 }
 
-/// The digest of a list, whatever its order; 0 for an empty one.
+/// The digest of a list, independent of its order; 0 for an empty one.
 fn list_digest<'a>(members: impl Iterator<Item = &'a Member>) -> u64 {
     members.fold(0, |digest, member| digest ^ member_digest(member))
 }
@@ -203,7 +205,7 @@
         self.digest
     }
 
-    /// Whether the local members differ from what was announced to the other replicas.
+    /// Whether the local members differ from those announced to the other replicas.
     fn has_unannounced_change(&self) -> bool {
         self.digest != self.last_announced.digest
     }
@@ -219,7 +221,7 @@
         self.digest ^= replaced.as_ref().map_or(0, digest_of);
     }
 
-    /// The changes of the local members since they were last announced, if there are any. They count as announced now.
+    /// Returns the changes of the local members since they were last announced, if any, and marks them as announced.
     pub fn take_delta(&mut self) -> Option<MembershipDelta> {
         if !self.has_unannounced_change() {
             return None;
@@ -247,9 +249,9 @@
         })
     }
 
-    /// An agent has said which edge it belongs to. Gives whether the local members have an unannounced change.
+    /// An agent has reported to which edge it belongs. Returns whether the local members have an unannounced change.
     pub fn handle_hello(&mut self, now: i64, link: u64, node: NodeInfo) -> bool {
-        // An edge that comes from another replica keeps the state that it had there until its agent tells another one.
+        // An edge that moves here from another replica keeps its state until its agent reports another one.
         let known = self.best_report(&node.name);
         let known = known.filter(|member| member.node == node);
         let state = known.map(|member| member.state).unwrap_or_default();
@@ -257,12 +259,12 @@
         self.renew(now, link, node, state)
     }
 
-    /// An agent has renewed its lease. Gives whether the local members have an unannounced change.
+    /// An agent has renewed its lease. Returns whether the local members have an unannounced change.
     pub fn handle_heartbeat(&mut self, now: i64, link: u64, state: NodeState) -> bool {
         let Some(node) = self.links.get(&link).cloned() else {
             return false;
         };
-        // The agent sends heartbeats on the link that it keeps, whichever of them was the first.
+        // If an agent has two links, it sends heartbeats on the one that it keeps.
         if let Some(lease) = self.local_leases.get_mut(&node.name) {
             let member = &lease.member;
             if member.is_connected && member.state == state && member.node == node {
@@ -291,8 +293,8 @@
         self.has_unannounced_change()
     }
 
-    /// An agent's link was closed; its lease goes on until it expires. Gives whether the local members have an unannounced
-    /// change.
+    /// An agent's link was closed; its lease remains until it expires. Returns whether the local members have an
+    /// unannounced change.
     pub fn handle_disconnect(&mut self, link: u64) -> bool {
         let node = self.links.remove(&link);
         let lease = node.and_then(|node| self.local_leases.get(&node.name));
@@ -306,7 +308,7 @@
         self.has_unannounced_change()
     }
 
-    /// Removes the leases and reports that have expired. Gives whether the local members have an unannounced change.
+    /// Removes expired leases and reports. Returns whether the local members have an unannounced change.
     pub fn expire_leases(&mut self, now: i64, has_quorum_contact: bool) -> bool {
         self.expire_reports(now, has_quorum_contact);
         let expired = self
@@ -333,7 +335,7 @@
         }
     }
 
-    /// Determines anew which edges serve, and gives those that say that they do not.
+    /// Recomputes which edges serve. Returns the edges that report that they do not.
     fn rebuild_serving(&mut self) -> BTreeSet<String> {
         let mut serving = ServingNodes::default();
         let mut unavailable = BTreeSet::new();
@@ -350,7 +352,7 @@
         unavailable
     }
 
-    /// Determines which edges may still use their slices of quotas although they are not heard any more.
+    /// Updates which edges may still use their slices of quotas although no replica reports them any more.
     fn update_recently_serving(
         &mut self,
         now: i64,
@@ -362,7 +364,7 @@
         let newly_left = newly_left.filter(|name| recently_serving.contains_key(*name));
         self.departed.extend(newly_left.cloned());
         self.departed.retain(|name| unavailable.contains(name));
-        // Hazard: an edge that falls silent before it has said that it serves may serve by then, and use its slices.
+        // An edge that becomes silent before it has reported that it serves may be serving by now, and use its slices.
         for name in &self.not_yet_ready {
             if !unavailable.contains(name) && !self.serving.nodes.contains_key(name) {
                 recently_serving.insert(name.clone(), now);
@@ -373,8 +375,8 @@
             recently_serving.insert(name.clone(), now);
         }
         if !has_quorum_contact {
-            // Hazard: edges that are not heard here may go on serving beside other replicas. Agents that are told a lower
-            // number of limiters take larger slices of quotas, while those others go on with theirs.
+            // Hazard: edges that are not heard here may go on serving beside other replicas. Agents that are told a
+            // lower number of limiters take larger slices of quotas, while those others go on with theirs.
             recently_serving.values_mut().for_each(|at| *at = now);
         }
         // An edge that says that it has left uses no slice any more.
@@ -383,7 +385,7 @@
         });
     }
 
-    /// Another replica has sent all its members. Gives whether the local members have an unannounced change.
+    /// Another replica has sent all its members. Returns whether the local members have an unannounced change.
     pub fn handle_member_list(
         &mut self,
         now: i64,
@@ -453,7 +455,7 @@
         }
     }
 
-    /// Releases the leases of edges whose agents were linked here and are linked elsewhere by now.
+    /// Releases the leases of edges whose agents are no longer linked here but to another replica.
     fn release_moved_leases(&mut self, members: &[Member]) {
         for member in members.iter().filter(|member| member.is_connected) {
             let name = &member.node.name;
@@ -464,7 +466,7 @@
         }
     }
 
-    /// Another replica has sent the digest of its members. Gives whether its list is to be requested.
+    /// Another replica has sent the digest of its members. Returns whether to request its list now.
     pub fn handle_digest(&mut self, now: i64, replica: ReplicaId, digest: u64) -> bool {
         let report = self.reports.entry(replica).or_default();
         if report.digest == digest {
@@ -474,7 +476,7 @@
         self.should_request_list(now, replica)
     }
 
-    /// Whether to request the list of a replica that has other members than were reported, now.
+    /// Whether to request the list of a replica whose members differ from its report now. If so, records the request.
     fn should_request_list(&mut self, now: i64, replica: ReplicaId) -> bool {
         let report = self.reports.entry(replica).or_default();
         let request = report
@@ -489,12 +491,12 @@
         request
     }
 
-    /// How many edges serve or served recently: those that are cut off go on using their slices of quotas.
+    /// The number of edges that serve or served recently: partitioned edges keep using their slices of quotas.
     pub fn recently_serving_count(&self) -> usize {
         self.recently_serving.len()
     }
 
-    /// How many edges serve, in all and in a zone.
+    /// The numbers of edges that serve in total and in a zone.
     pub fn serving_counts(&self, zone: &str) -> ServingCounts {
         ServingCounts {
             total: self.serving.nodes.len() as u32,
@@ -516,7 +518,7 @@
         }
     }
 
-    /// The reports of an edge have changed: determines anew whether it serves.
+    /// Recomputes whether an edge serves, after a change of its reports.
     fn update_serving(&mut self, name: &str) {
         let member = self.best_report(name);
         let serving = member.filter(|member| member.state != NodeState::Unavailable);
@@ -524,7 +526,7 @@
         self.serving.set_zone(name, zone.as_deref());
     }
 
-    /// The report of an edge that is believed, as [`Membership::all_members`] has it.
+    /// The report of an edge with the highest precedence, as in [`Membership::all_members`].
     fn best_report(&self, name: &str) -> Option<&Member> {
         let local = self.local_leases.get(name);
         let local = local.map(|lease| (lease.precedence(), &lease.member));
@@ -539,14 +541,14 @@
         best.map(|(_, member)| member)
     }
 
-    /// All members, each as the report with the highest precedence has it.
+    /// All members, each as in the report with the highest precedence.
     pub fn all_members(&self) -> Vec<&Member> {
         let located = self.located_members().into_iter();
         located.map(|located| located.member).collect()
     }
 
-    /// The members whose leases and reports are valid at this instant, also if a stalled process has not removed the others
-    /// yet.
+    /// The members whose leases and reports are valid at `now`, even if a process that stalled has not removed the
+    /// expired ones yet.
     pub fn valid_members(&self, now: i64, has_quorum_contact: bool) -> Vec<&Member> {
         let located = self.located_members_where(
             |lease| lease.is_valid(now),
@@ -555,7 +557,7 @@
         located.into_iter().map(|located| located.member).collect()
     }
 
-    /// All members, each with the place where it holds its lease.
+    /// All members, each with the place of its lease.
     pub fn located_members(&self) -> Vec<LocatedMember<'_>> {
         self.located_members_where(|_| true, |_| true)
     }
@@ -639,7 +641,7 @@
         }
     }
 
-    /// Sends the changes of the local members to the other replicas, if there are any.
+    /// Sends the changes of the local members, if any, to the other replicas.
     pub(super) fn broadcast_membership(&mut self, out: &mut Vec<Output>) {
         if let Some(delta) = self.membership.take_delta() {
             self.broadcast(Payload::MembershipDelta(delta), out);
--- a/crates/control/src/core/membership/tests.rs
+++ b/crates/control/src/core/membership/tests.rs
@@ -42,7 +42,7 @@
     );
     assert!(one.handle_heartbeat(3, 2, NodeState::Draining));
     let third = one.take_delta().unwrap();
-    // The third delta arrives before the second.
+    // The third delta arrives before the second one.
     assert_eq!(other.handle_delta(3, 7, third), DeltaOutcome::ListNeeded);
     assert_eq!(other.handle_delta(4, 7, second), DeltaOutcome::Applied);
     assert_eq!(
@@ -67,7 +67,7 @@
             in_zone: 2
         }
     );
-    // An edge whose lease has expired is removed by its name alone.
+    // An edge whose lease has expired is announced as removed by its name alone.
     assert!(
         one.handle_heartbeat(limits::MEMBER_LEASE_DURATION, 1, NodeState::Ready)
             || one.expire_leases(limits::MEMBER_LEASE_DURATION + 4, true)
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -1,9 +1,9 @@
 //! The control state of one replica: a deterministic state machine without I/O. The host passes in messages, times and
-//! completed writes, and carries out the outputs: messages to send, records to write, calls to answer.
+//! completed writes, and performs the outputs: messages to send, records to write, calls to answer.
 //!
-//! Configuration items are kept in one register each, in the manner of CASPaxos: there is neither a log nor a leader. A
-//! change is proposed by the replica that was called, under a ballot, and is chosen once more than half of the replicas
-//! have accepted it.
+//! Each configuration item is kept in a register of its own, as in CASPaxos: there is neither a log nor a leader. The
+//! replica that receives an operator's call proposes the change under a ballot; the change is chosen once more than
+//! half of the replicas have accepted it.
 //!
 //! | concern | modules |
 //! | --- | --- |
@@ -11,8 +11,8 @@
 //! | which machine holds each replica | [`ids`], [`replicas`], [`recovery`], `reclaim`, `handover` |
 //! | agreement on items | [`registers`], `acceptor`, [`proposal`], `proposals`, [`pending_proposals`], [`chosen`] |
 //! | operators' calls | `operator_calls`, `quorum_read`, [`status`] |
-//! | catching up after losses | `heartbeat`, `catch_up`, `anti_entropy`, [`transfer`] |
-//! | roles of which only one replica performs each | [`role_lease`], [`counter`], [`server_list`] |
+//! | catching up after lost messages or a restart | `heartbeat`, `catch_up`, `anti_entropy`, [`transfer`] |
+//! | roles that one replica performs for all | [`role_lease`], [`counter`], [`server_list`] |
 //! | edges | [`membership`], `agents`, `load_aggregation` |
 
 mod acceptor;
@@ -80,7 +80,7 @@
 /// The control state of one replica.
 pub struct Replica {
     zones: Vec<String>,
-    /// How often this process has started in its incarnation.
+    /// The number of the process start within the incarnation, from 1.
     run: u32,
     table: ReplicaTable,
     /// More than half of the replicas are in contact with this one, as of the last heartbeat.
@@ -97,21 +97,21 @@
 
     role_leases: [RoleLease; SingletonRole::ALL.len()],
     counter: SharedCounter,
-    /// The clock by which the limiters name the windows of quotas, less the clock of this replica.
+    /// The shared clock that numbers quota windows, minus this replica's clock, in microseconds.
     clock_offset: i64,
     server_list: ServerList,
-    /// The server list is not requested from another replica before this time.
+    /// Earliest time of the next request for another replica's server list.
     next_server_list_request_at: i64,
 
     membership: Membership,
     agents: AgentLinks,
     load: LoadAggregation,
 
-    /// The recovery of this replica, while its disk has lost the registers.
+    /// Set while this replica recovers the registers that its disk has lost.
     recovery: Option<Recovery>,
     /// Set while another machine holds a newer incarnation of this replica.
     supersession: Option<Supersession>,
-    /// Set once the process was told to end.
+    /// Set once the process was asked to shut down.
     handover: Option<Handover>,
     is_shutting_down: bool,
 
@@ -121,7 +121,7 @@
 }
 
 impl Replica {
-    /// Creates a replica that starts now, from the state that was found on its disk.
+    /// Creates a replica that starts at `now`, from the state found on its disk.
     pub fn new(now: i64, config: ReplicaConfig) -> Replica {
         let replica_count = config.zones.len();
         let position = config.zones.iter().position(|zone| *zone == config.zone);
@@ -202,7 +202,7 @@
         }
     }
 
-    /// The time at which [`Input::Tick`] is to be passed in at the latest.
+    /// The time by which [`Input::Tick`] must be passed in if no other input comes earlier.
     pub fn wake_at(&self) -> i64 {
         let able = self.table.is_participant() && self.has_quorum_contact && !self.disk.is_full;
         let may_request = able && !self.is_shutting_down;
@@ -227,7 +227,7 @@
             .fold(self.next_heartbeat_at, i64::min)
     }
 
-    /// Runs what is due, in a fixed order.
+    /// Runs all work that is due, in a fixed order.
     fn run_due(&mut self, now: i64, out: &mut Vec<Output>) {
         if now >= self.next_heartbeat_at {
             self.next_heartbeat_at = now + limits::HEARTBEAT_INTERVAL;
@@ -243,19 +243,19 @@
         self.drive_reclaim(now, out);
     }
 
-    /// The term in which this replica performs a role at this instant, if it holds the lease.
+    /// The term in which this replica performs a role at `now`, if it holds the lease.
     pub fn acting_term(&self, now: i64, role: SingletonRole) -> Option<u64> {
         let able = self.table.is_participant() && !self.is_shutting_down;
         self.lease(role).acting_term(now).filter(|_| able)
     }
 
-    /// The edges whose leases are valid at this instant, as far as this replica knows.
+    /// The edges whose leases are valid at `now`, as far as this replica knows.
     pub fn members(&self, now: i64) -> Vec<&Member> {
         let has_quorum_contact = self.table.has_quorum_contact(now);
         self.membership.valid_members(now, has_quorum_contact)
     }
 
-    /// Whether more than half of the replicas are in contact with this one.
+    /// Whether more than half of the replicas, this one included, exchange messages with this one in both directions.
     pub fn has_quorum_contact(&self, now: i64) -> bool {
         self.table.has_quorum_contact(now)
     }
@@ -275,12 +275,12 @@
         self.table.is_superseded()
     }
 
-    /// The items that are known to be chosen, removed ones included.
+    /// The items known to be chosen, including removed ones.
     pub fn chosen_items(&self) -> impl Iterator<Item = &Item> {
         self.chosen.entries().map(|(_, item)| item)
     }
 
-    /// The digest of the items that are known to be chosen.
+    /// The digest of the items known to be chosen.
     pub fn chosen_digest(&self) -> u64 {
         self.chosen.digest()
     }
@@ -306,7 +306,7 @@
         }
     }
 
-    /// Whether every call that was taken has been answered.
+    /// Whether all accepted calls have been answered.
     pub fn is_idle(&self) -> bool {
         self.proposals.call_count() == 0 && self.reads.call_count() == 0
     }
--- a/crates/control/src/core/operator_calls.rs
+++ b/crates/control/src/core/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls: which are rejected here, and which become a proposal or a quorum read.
+//! Operators' calls: rejects a call, or starts a proposal or a quorum read for it.
 
 use protocol::items::{self, Item, ItemKind, ItemName};
 
@@ -12,7 +12,7 @@
     "the disk of this replica is full or fails: it takes no writes";
 
 impl Replica {
-    /// Handles an operator's call, to be answered before the deadline.
+    /// Handles an operator's call, which must be answered before the deadline.
     pub(super) fn handle_call(
         &mut self,
         now: i64,
@@ -21,7 +21,7 @@
         deadline: i64,
         out: &mut Vec<Output>,
     ) {
-        // A replica that can do nothing else is asked for its status in particular.
+        // The status is answered in any state, since operators need it most of a replica that can do nothing else.
         if command == Command::GetStatus {
             return out.push(Output::Answer(call, Reply::Status(self.status(now).json())));
         }
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Why this replica can't carry out a command now.
+    /// The reason why this replica cannot execute a command now, if any.
     fn rejection(&self, now: i64, command: &Command) -> Option<&'static str> {
         if !self.table.is_participant() {
             Some("this replica has not rebuilt, or was replaced")
@@ -72,14 +72,15 @@
         deadline: i64,
         out: &mut Vec<Output>,
     ) {
-        // Checked against chosen items alone: an accepted item may be lost again, and with it what the patch refers to.
+        // Checked against chosen items alone: an accepted item that the patch refers to may still be lost.
         match items::parse_patch(&body, &self.chosen) {
             Ok(items)
                 if self.catch_up.is_up_to_date() || !items::depends_on_other_items(&items) =>
             {
                 self.propose_items(now, call, items, deadline, out);
             }
-            // What the patch refers to may have been acknowledged or removed elsewhere, and not be known here yet.
+            // An item that the patch refers to may have been changed or removed through another replica, and this one
+            // may not know that yet.
             _ => {
                 let purpose = ReadPurpose::Patch { call, patch: body };
                 self.start_read(now, purpose, deadline, out)
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Proposes items that were checked.
+    /// Proposes validated items.
     pub(super) fn propose_items(
         &mut self,
         now: i64,
--- a/crates/control/src/core/outbox.rs
+++ b/crates/control/src/core/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages and records on their way out, and what waits for the disk.
+//! Outgoing messages and disk writes, and the steps that wait for a write to complete.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,28 +10,28 @@
 use super::role_lease::RoleLease;
 use super::{Output, Record, Replica, ReplicaMetadata};
 
-/// What is done once records are on disk.
+/// The step to run once records are on disk.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum PendingWrite {
-    /// Send a vote to the replica at this address; without one it is this replica's own vote.
+    /// Send a vote to the replica at this address; without an address the vote is for this replica's own proposal.
     SendVote(Option<SocketAddr>, Payload),
-    /// Tell a recovering replica that its incarnation is recorded, and send it what it requested.
+    /// Confirm to a recovering replica that its incarnation is recorded, and send it the requested registers.
     SendIncarnationRecorded(SocketAddr, Incarnation, TransferRequest),
-    /// Take part in the incarnation that was recovered.
+    /// Participate under the recovered incarnation.
     BeginIncarnation(Incarnation),
 }
 
-/// The disk as the replica knows it.
+/// The state of the disk as known to the replica.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DiskState {
     /// The disk rejects writes.
     pub(super) is_full: bool,
-    /// What waits for a write, by its request id.
+    /// The steps that wait for a write, by request id.
     pending: BTreeMap<u64, PendingWrite>,
 }
 
 impl DiskState {
-    /// How many writes something waits for.
+    /// The number of writes whose completion triggers a further step.
     pub(super) fn pending_writes(&self) -> usize {
         self.pending.len()
     }
@@ -75,7 +75,7 @@
         self.role_leases.iter().map(RoleLease::granted_term)
     }
 
-    /// The metadata as it is to be persisted now.
+    /// The current metadata, to be persisted.
     pub(super) fn metadata(&self) -> ReplicaMetadata {
         let last_held = self.role_leases.iter().map(RoleLease::last_held_term);
         ReplicaMetadata {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Sends a vote, or counts it if it is this replica's own.
+    /// Sends a vote to another replica, or counts it directly if it is for this replica's own proposal.
     pub(super) fn deliver_vote(
         &mut self,
         now: i64,
@@ -106,7 +106,8 @@
         self.send(vec![to], vote, out);
     }
 
-    /// The disk rejects writes, or accepts them again. Until it does, this replica promises, accepts and grants nothing new.
+    /// The disk rejects writes, or accepts them again. Until it does, this replica promises, accepts and grants nothing
+    /// new.
     pub(super) fn handle_disk_full(&mut self, full: bool, out: &mut Vec<Output>) {
         if std::mem::replace(&mut self.disk.is_full, full) != full {
             let event = if full {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Records are on disk: carries out what waited for them.
+    /// Records are on disk: runs the step that waited for them.
     pub(super) fn handle_written(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
         match self.disk.pending.remove(&id) {
             Some(PendingWrite::SendVote(to, vote)) if self.table.is_participant() => {
--- a/crates/control/src/core/peer_messages.rs
+++ b/crates/control/src/core/peer_messages.rs
@@ -1,6 +1,6 @@
-//! The messages that replicas send each other.
+//! The messages between replicas.
 //!
-//! Variants and fields are written by their position (`postcard`): their order is part of the wire.
+//! Variants and fields are encoded by position (`postcard`): their order is part of the wire format.
 
 use std::net::SocketAddr;
 
@@ -13,14 +13,14 @@
 use super::ids::{Ballot, Incarnation, ProcessId, ReplicaId, RequestId, SingletonRole, Term};
 use super::transfer::{Chunk, Continuation};
 
-/// An edge as the replica knows it at which it holds its lease.
+/// An edge as known to the replica at which it holds its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The edge.
     pub node: NodeInfo,
-    /// Whether it serves.
+    /// Whether it serves requests.
     pub state: NodeState,
-    /// Whether its agent is linked to the replica; otherwise its lease is about to expire.
+    /// Whether its agent is linked to the replica. The lease of a disconnected one expires soon.
     pub is_connected: bool,
 }
 
@@ -37,27 +37,27 @@
     pub removed_names: Vec<String>,
 }
 
-/// The heartbeat of a replica, with digests by which others notice that they have missed something.
+/// The heartbeat of a replica, with digests by which the others detect that they lack updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The replicas that it hears, one bit each.
+    /// The replicas whose messages it receives, one bit each.
     pub reachable_replicas: u128,
     /// The digest of the items that it knows to be chosen.
     pub chosen_digest: u64,
-    /// The version of its list of servers.
+    /// The version of its server list.
     pub server_list_version: (u64, u64),
     /// The digest of its members.
     pub membership_digest: u64,
-    /// The clock by which limiters name windows, in microseconds.
+    /// The shared clock by which limiters number quota windows, in microseconds.
     pub counter_clock: i64,
 }
 
-/// What the requester of a transfer has.
+/// A request for a transfer, with a description of the requester's entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TransferRequest {
-    /// Digests of what it has, by bucket; only buckets that differ are sent.
+    /// Digests of the requester's entries, by bucket; only buckets that differ are sent.
     pub digests: Vec<u64>,
-    /// The name after which to continue.
+    /// The name after which the transfer continues; `None` to begin with the first.
     pub start_after: Option<ItemName>,
 }
 
@@ -89,16 +89,16 @@
         /// One item for each register.
         items: Vec<Item>,
     },
-    /// Everything of the proposal is accepted, and on disk.
+    /// Accepts a proposal: all its items are on disk.
     Accepted(Ballot),
-    /// Rejects a proposal, since something was promised to a higher ballot.
+    /// Rejects a proposal, since a register was promised to a higher ballot.
     Nack {
         /// The ballot of the proposal.
         ballot: Ballot,
         /// The higher ballot.
         higher_ballot: Ballot,
     },
-    /// Everything that was accepted under this ballot is chosen.
+    /// All values accepted under this ballot are chosen.
     Chosen(Ballot),
     /// Opens a digest exchange: requests the chosen items of the buckets that differ.
     DigestRequest {
@@ -107,7 +107,8 @@
         /// Digests of the chosen items that the sender knows, by bucket.
         digests: Vec<u64>,
     },
-    /// Answers a digest request where much differs: the key and the ballot of each entry of the buckets that differ.
+    /// Answers a digest request if the difference is large: the key and the ballot of each entry of the buckets that
+    /// differ.
     DigestEntries {
         /// The id of the exchange.
         id: u64,
@@ -129,14 +130,14 @@
         sequence: u32,
         /// The items.
         items: Vec<(Ballot, Item)>,
-        /// What follows.
+        /// What follows this chunk.
         continuation: Continuation,
     },
     /// Requests the accepted values of all registers, for a quorum read.
     ReadRequest {
         /// The id of the request.
         id: RequestId,
-        /// What the requester has accepted itself.
+        /// The values that the requester itself has accepted.
         request: TransferRequest,
     },
     /// Accepted values, in answer to a read request.
@@ -146,14 +147,14 @@
         /// The values.
         chunk: Chunk,
     },
-    /// The sender recovers under a new incarnation, which is to be persisted and answered with all accepted values.
+    /// The sender recovers under a new incarnation: the receiver persists it and answers with all accepted values.
     IncarnationRequest {
         /// The incarnation.
         incarnation: Incarnation,
-        /// What the sender has gathered so far.
+        /// The values that the sender has collected so far.
         request: TransferRequest,
     },
-    /// The incarnation is on disk here; accepted values follow.
+    /// The requester's incarnation is on the sender's disk; carries accepted values.
     IncarnationRecorded {
         /// The incarnation.
         incarnation: Incarnation,
@@ -170,36 +171,36 @@
         role: SingletonRole,
         /// The term.
         term: u64,
-        /// When it was sent, on the clock of the requester.
+        /// When the request was sent, in microseconds on the clock of the requester.
         sent_at: i64,
-        /// The requester holds the lease already.
+        /// Whether the requester already holds the lease.
         is_renewal: bool,
     },
     /// Answers a lease request.
     LeaseVote {
         /// The role.
         role: SingletonRole,
-        /// The term and its requester: after a restart the same numbers come again.
+        /// The term and its requester, since a restarted process may use the same numbers again.
         term: Term,
-        /// When the request was sent.
+        /// When the request was sent, in microseconds on the clock of the requester.
         sent_at: i64,
         /// Whether the lease is granted.
         is_granted: bool,
         /// The newest term that the voter knows.
         newest_term: u64,
     },
-    /// The holder or candidate of a term gives it up.
+    /// The holder or candidate of a term releases it.
     LeaseRelease {
         /// The role.
         role: SingletonRole,
         /// The term.
         term: u64,
-        /// The term was never won.
+        /// Whether the lease was never acquired in this term.
         is_unused: bool,
     },
     /// All members of the sender.
     MemberList(Vec<Member>),
-    /// The change of the sender's members since it was last announced.
+    /// The change of the sender's members since its last announcement.
     MembershipDelta(MembershipDelta),
     /// Requests all members of the receiver.
     MemberListRequest,
@@ -207,21 +208,21 @@
     ServerList {
         /// The term of the poller, and the number of the list within it.
         version: (u64, u64),
-        /// The servers; what is left of a warm-up counts from now.
+        /// The servers; the remaining warm-up time counts from the receipt.
         servers: Vec<Server>,
     },
     /// Requests the list of servers.
     ServerListRequest,
-    /// What the limiters of the sender report about the services of a region.
+    /// The load that the limiters of the sender report for the services of a region.
     LoadReport {
         /// The region.
         region: String,
         /// The reports, by service.
         services: Vec<(String, ReplicaLoad)>,
     },
-    /// The sender is to end, or is superseded: these chosen items are to be on disk at the receiver.
+    /// The sender shuts down or is superseded: the receiver persists these chosen items.
     HandoverRequest {
-        /// The id of the message; 0 asks only what the receiver has.
+        /// The id of the message; 0 for a query of the receiver's items.
         id: u64,
         /// The items.
         items: Vec<(Ballot, Item)>,
@@ -232,7 +233,7 @@
         id: u64,
         /// Digests of the chosen items on disk, by bucket.
         digests: Vec<u64>,
-        /// The newest incarnation of the requester's replica that was heard recently; none if none was.
+        /// The newest incarnation of the requester's replica if it is reachable, otherwise [`Incarnation::NONE`].
         slot_incarnation: Incarnation,
     },
 }
@@ -249,8 +250,8 @@
     pub payload: Payload,
 }
 
-/// The encoding of the incarnations: their number, and those that are not the first one. Most replicas keep the first one
-/// for long, so that messages do not grow with the number of replicas.
+/// The encoding of the incarnations: their count, and those other than the first one. Most replicas stay in their first
+/// incarnation for long, so that messages do not grow with the number of replicas.
 mod incarnations {
     use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
 
@@ -286,9 +287,9 @@
 /// A frame on a link between replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The address at which the sender is reached; the first frame in both directions.
+    /// The listening address of the sender; the first frame in both directions.
     SenderAddress(SocketAddr),
-    /// A sign of life of the link.
+    /// Keeps an idle link open.
     KeepAlive,
     /// A message.
     PeerMessage(PeerMessage),
--- a/crates/control/src/core/pending_proposals.rs
+++ b/crates/control/src/core/pending_proposals.rs
@@ -1,5 +1,5 @@
-//! Registers whose accepted value is not known to be chosen: its proposer may have stopped half way, and then another
-//! replica has to complete what it began.
+//! Registers whose accepted value is not known to be chosen. Its proposer may have stopped before the proposal
+//! completed; another replica then has to complete it by a repair.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,19 +11,19 @@
 /// The registers of one replica that may need a repair.
 #[derive(Clone, Debug, Default)]
 pub struct PendingProposals {
-    /// Since when each has waited, or when its last repair has failed.
+    /// When each register was added, or when its last repair ended.
     pending_since: BTreeMap<ItemName, i64>,
-    /// Those that a repair is working on.
+    /// The registers that a repair in progress covers.
     under_repair: BTreeSet<ItemName>,
 }
 
 impl PendingProposals {
-    /// Adds a register whose value was accepted and is not known to be chosen.
+    /// Adds a register whose accepted value is not known to be chosen.
     pub fn insert(&mut self, now: i64, name: &ItemName) {
         self.pending_since.entry(name.clone()).or_insert(now);
     }
 
-    /// Whether the register's value is not known to be chosen.
+    /// Whether the register is pending.
     pub fn contains(&self, name: &ItemName) -> bool {
         self.pending_since.contains_key(name)
     }
@@ -34,8 +34,8 @@
         self.under_repair.remove(name);
     }
 
-    /// When the next repair is due at this replica. The replicas' delays are staggered, so that normally only one of them
-    /// starts a repair.
+    /// The time of the next repair at this replica; `None` if nothing is pending or the maximum number of repairs is in
+    /// progress. The replicas' delays are staggered, so that normally only one of them starts a repair.
     pub fn wake_at(&self, replica: ReplicaId) -> Option<i64> {
         if self.under_repair.len() >= limits::MAX_REPAIRS_IN_FLIGHT {
             return None;
@@ -47,12 +47,12 @@
         Some(earliest + limits::REPAIR_DELAY + stagger)
     }
 
-    /// Takes the registers that are due for a repair, once the first of them is.
+    /// Returns the registers to repair now and marks them as under repair; empty before the first of them is due.
     pub fn take_due_repairs(&mut self, now: i64, replica: ReplicaId) -> Vec<ItemName> {
         if self.wake_at(replica).is_none_or(|wake_at| wake_at > now) {
             return Vec::new();
         }
-        // Those that were added soon after the first one are repaired together with it.
+        // Registers that were added soon after the first one are repaired together with it.
         let latest = now - limits::REPAIR_DELAY / 2;
         let due = self
             .pending_since
@@ -65,7 +65,7 @@
         due
     }
 
-    /// A proposal for these registers has ended; if they are still pending, their delay begins anew.
+    /// A proposal for these registers has ended. The delay of those that are still pending starts over.
     pub fn finish_repair(&mut self, now: i64, names: &[ItemName]) {
         for name in names {
             self.under_repair.remove(name);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// How many registers are pending.
+    /// The number of pending registers.
     pub fn len(&self) -> usize {
         self.pending_since.len()
     }
--- a/crates/control/src/core/proposal.rs
+++ b/crates/control/src/core/proposal.rs
@@ -1,5 +1,5 @@
-//! One proposal, as its proposer sees it: promises from a quorum (phase 1), a choice of values by what was accepted before,
-//! and acceptance by a quorum (phase 2). All items of a call are proposed together, under one ballot.
+//! One proposal on the proposer's side: promises from a quorum (phase 1), the choice of values from those accepted
+//! before, and acceptance by a quorum (phase 2). All items of a call are proposed together, under one ballot.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,19 +12,19 @@
 use super::replicas::ReplicaTable;
 use crate::limits;
 
-/// What a proposal is to achieve.
+/// The purpose of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Intent {
-    /// These items are to be in force, each by its version.
+    /// Put these items in force, each under its version.
     SetItems(Vec<Item>),
-    /// The zone of this name is to be evacuated, or not.
+    /// Set whether the zone of this name is evacuated.
     SetEvacuation(ItemName, bool),
-    /// Whatever was accepted on these registers is to be completed.
+    /// Complete whatever was accepted on these registers.
     Repair(Vec<ItemName>),
 }
 
 impl Intent {
-    /// The registers that the proposal is for.
+    /// The names of the registers that the proposal concerns.
     pub fn names(&self) -> Vec<ItemName> {
         match self {
             Intent::SetItems(items) => items.iter().map(|item| item.name.clone()).collect(),
@@ -42,28 +42,28 @@
     }
 }
 
-/// How a proposal ends for the call that it is for.
+/// The outcome of a proposal for its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Everything is on the disks of a quorum.
+    /// All items are on the disks of a quorum.
     Done,
-    /// Another content was found at the version of an item; nothing of the call is in force or can come into force.
+    /// Different content was found under the version of an item; no item of the call is or can come into force.
     Conflict,
-    /// Another content was found at the version of an item, while other items of the call are in force or may come into
-    /// force.
+    /// Different content was found under the version of an item, while other items of the call are in force or may come
+    /// into force.
     PartiallyApplied,
 }
 
-/// What the proposer is to do next.
+/// The proposer's next step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the payload to all replicas that have not voted, this one included.
     Broadcast(Payload),
-    /// Learn that these items are chosen, and tell the other replicas.
+    /// Learn that these items are chosen, and notify the other replicas.
     Chosen(Ballot, Vec<Item>),
-    /// Report the outcome. The proposal may go on, to complete what it has found.
+    /// Report the outcome to the caller.
     Report(Outcome),
-    /// Start again under a higher ballot, not before this time.
+    /// Start again under a higher ballot, no earlier than this time.
     Retry(i64),
     /// Remove the proposal.
     Finished,
@@ -71,9 +71,9 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
-    /// It has not started, or waits to start again.
+    /// Not started, or waiting to start again.
     Idle,
-    /// Phase 1, with the newest accepted value of each register that the promises have told so far.
+    /// Phase 1, with the newest accepted value of each register that the promises have reported so far.
     Preparing(BTreeMap<ItemName, (Ballot, Item)>),
     /// Phase 2, with the proposed values.
     Accepting(Vec<Item>),
@@ -94,12 +94,12 @@
     }
 }
 
-/// How long a rejected proposal waits: the minimum and a random share of the jitter, in microseconds.
+/// How long a rejected proposal waits before it starts again: the minimum plus a random part of the jitter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// The least time.
+    /// The minimum, in microseconds.
     pub minimum_us: i64,
-    /// The bound of the random time on top.
+    /// The upper bound of the random part, in microseconds.
     pub max_jitter_us: u64,
 }
 
@@ -109,26 +109,27 @@
     intent: Intent,
     ballot: Ballot,
     phase: Phase,
-    /// The replicas that have voted for it in the present phase.
+    /// The replicas that have voted for the proposal in the current phase.
     votes: BTreeMap<ReplicaId, Incarnation>,
-    /// The replicas that have rejected its present ballot.
+    /// The replicas that have rejected the current ballot.
     rejections: BTreeSet<ReplicaId>,
     attempts: u32,
     outcome_reported: bool,
-    /// What is reported once the proposed values are chosen.
+    /// The outcome to report once the proposed values are chosen.
     outcome: Outcome,
-    /// The highest version of values of its own that it has proposed: they may come into force whatever is found later.
+    /// The highest version among values of its own that it has proposed: they may come into force whatever is found
+    /// later.
     proposed_version: Option<u64>,
-    /// When it is given up.
+    /// The time at which the proposal expires.
     pub deadline: i64,
-    /// When it is to be looked at again.
+    /// The time of the next resend or start.
     pub wake_at: i64,
-    /// The highest ballot that it was rejected for.
+    /// The highest ballot in favor of which the proposal was rejected.
     pub highest_rejecting_ballot: Ballot,
 }
 
 impl Proposal {
-    /// A proposal that has not started.
+    /// Creates a proposal that has not started.
     pub fn new(intent: Intent, now: i64, deadline: i64) -> Proposal {
         Proposal {
             intent,
@@ -146,32 +147,32 @@
         }
     }
 
-    /// The registers that it is for.
+    /// The names of the registers that the proposal concerns.
     pub fn names(&self) -> Vec<ItemName> {
         self.intent.names()
     }
 
-    /// Its present ballot.
+    /// The current ballot.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// Whether it has not started, or waits to start again.
+    /// Whether the proposal has not started, or waits to start again.
     pub fn is_idle(&self) -> bool {
         self.phase == Phase::Idle
     }
 
-    /// Whether its outcome was reported.
+    /// Whether the outcome was reported.
     pub fn has_reported_outcome(&self) -> bool {
         self.outcome_reported
     }
 
-    /// Whether it only completes what others began.
+    /// Whether the proposal only completes proposals of other replicas.
     pub fn is_repair(&self) -> bool {
         matches!(self.intent, Intent::Repair(_))
     }
 
-    /// Whether a replica has not voted in the present phase.
+    /// Whether a replica has not voted in the current phase.
     pub fn awaits_vote_of(&self, replica: ReplicaId) -> bool {
         !self.votes.contains_key(&replica)
     }
@@ -185,7 +186,7 @@
         now + interval
     }
 
-    /// Starts phase 1 under a ballot above all that were seen.
+    /// Starts phase 1. `ballot` must be above all known ballots.
     pub fn start(&mut self, now: i64, ballot: Ballot) -> Action {
         self.ballot = ballot;
         self.attempts += 1;
@@ -214,7 +215,7 @@
         }
     }
 
-    /// A replica has promised, and has told what it had accepted before.
+    /// A replica has promised, and reports the values that it had accepted before.
     pub fn handle_promise(
         &mut self,
         now: i64,
@@ -244,7 +245,7 @@
             self.outcome_reported = true;
             return vec![Action::Report(outcome), Action::Finished];
         }
-        // A conflict is reported only once what caused it is chosen: until then it may be lost again.
+        // A conflict is reported only once the conflicting values are chosen: until then they may still be lost.
         self.outcome = outcome;
         if outcome == Outcome::Done && !self.is_repair() {
             self.proposed_version = items.iter().map(|item| item.ver).max();
@@ -254,7 +255,8 @@
         vec![Action::Broadcast(accept)]
     }
 
-    /// Chooses the values to propose by what was found. Nothing is proposed for what is chosen already.
+    /// Chooses the values to propose from those found in phase 1. Values that are already chosen are not proposed
+    /// again.
     fn choose_values(
         &self,
         found: &BTreeMap<ItemName, (Ballot, Item)>,
@@ -302,8 +304,8 @@
         actions
     }
 
-    /// How long to wait after a rejection: the longer the more often. A repair gives way, as the proposal that it was
-    /// rejected for completes the same registers.
+    /// The backoff after a rejection, which grows with the number of attempts. A repair waits longer, since the
+    /// proposal in favor of which it was rejected completes the same registers.
     pub fn backoff(&self) -> Backoff {
         let doublings = self.attempts.saturating_sub(1);
         Backoff {
@@ -316,8 +318,8 @@
         }
     }
 
-    /// A replica has rejected the ballot, as it has promised something to the higher ballot `seen`. If no quorum is left the
-    /// proposal starts again after `backoff` microseconds.
+    /// A replica has rejected the ballot, since it has promised a register to `higher_ballot`. If the remaining
+    /// reachable replicas are no quorum, the proposal starts again after `backoff` microseconds.
     pub fn handle_nack(
         &mut self,
         now: i64,
@@ -344,7 +346,7 @@
         vec![Action::Retry(at)]
     }
 
-    /// Not all replicas have voted in time: resends the last message, or starts again if any has rejected the ballot.
+    /// No quorum has voted in time: resends the last message, or starts again if any replica has rejected the ballot.
     pub fn handle_timeout(&mut self, now: i64) -> Vec<Action> {
         self.wake_at = self.next_resend(now);
         let payload = match &self.phase {
@@ -361,8 +363,8 @@
 
 /// The current value of a register.
 ///
-/// Hazard: promises that were given before another proposal was chosen may tell a value that has lost against that one at
-/// the same version. So of one version the chosen value counts.
+/// Of one version the chosen value is used: promises given before another proposal was chosen may report a value that
+/// lost against it under the same version.
 fn current_value<'a>(
     name: &ItemName,
     found: &'a BTreeMap<ItemName, (Ballot, Item)>,
@@ -374,7 +376,7 @@
     chosen.filter(is_newest).or(found)
 }
 
-/// The found values that are not known to be chosen.
+/// The values found in phase 1 that are not known to be chosen.
 fn unconfirmed_values(
     found: &BTreeMap<ItemName, (Ballot, Item)>,
     chosen: &ChosenItems,
@@ -401,8 +403,8 @@
     let mut proposed = Vec::new();
     for item in items {
         match current_value(&item.name, found, chosen) {
-            // A lower version has no effect, and that is no error: a later change has overtaken it. The same version is there
-            // already: the call was sent before.
+            // A lower version has no effect and is no error: a later change has overtaken it. The same version is a
+            // repeated call.
             Some(current) if current.ver >= item.ver => {
                 if !chosen.includes(current) {
                     proposed.push(current.clone());
@@ -414,13 +416,13 @@
     Choice::done(proposed)
 }
 
-/// Chooses the values where another content was found at the version of one of the items.
+/// Chooses the values where different content was found under the version of one of the items.
 ///
-/// A former attempt of the same call, here or at another replica, may have reached a few replicas, and its other items might
-/// still be found there and completed. A conflict must rule that out: what was found is proposed again, even where it is
-/// chosen already, so that nothing of the former attempt can be chosen any more. Where nothing was found there is nothing to
-/// put in its place; a value that is as the call has it is in force, and one that was overtaken may have been. Then the
-/// caller gets no definite answer.
+/// An earlier attempt of the same call, here or at another replica, may have reached a few replicas, and its other
+/// items could still be found there and completed. A conflict must rule that out: the values found are proposed again,
+/// even if already chosen, so that no value of the earlier attempt can be chosen any more. This is impossible for a
+/// register without a value. A value equal to the call's item is in force, and one that was overtaken may have been. In
+/// these cases the outcome is [`Outcome::PartiallyApplied`], and the caller gets no definite answer.
 fn resolve_conflict(
     items: &[Item],
     found: &BTreeMap<ItemName, (Ballot, Item)>,
--- a/crates/control/src/core/proposals.rs
+++ b/crates/control/src/core/proposals.rs
@@ -1,4 +1,4 @@
-//! The proposals of this replica: when each starts, is resent, backs off and ends.
+//! The proposals in progress at this replica: when each starts, is resent, backs off and ends.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,23 +14,23 @@
 use crate::limits;
 use crate::operator_api::Reply;
 
-/// The answer to a call some of whose items may be in force although another change has overtaken one of them.
+/// The response to a call some of whose items may be in force although another change has taken the version of one.
 const PARTIALLY_APPLIED: &str = "ver: another change stands at the version of an item, and other items of this call may be in force: \
                       send it with higher versions";
 
-/// The answer to a call whose proposal or read did not reach a quorum in time.
+/// The response to a call whose proposal or read did not reach a quorum in time.
 pub(super) const NO_QUORUM: &str = "no answer of more than half of the replicas";
 
-/// How long a proposal waits whose registers another proposal of this replica is working on.
+/// The delay before a proposal is checked again whose registers are in use by another proposal of this replica.
 const BUSY_RETRY_INTERVAL: i64 = limits::RESEND_INTERVAL / 10;
 
 /// The proposals of one replica, by request id.
 #[derive(Debug)]
 pub(super) struct Proposals {
     in_progress: BTreeMap<u64, Proposal>,
-    /// The operator's call that a proposal is for.
+    /// The operator's call that waits for each proposal.
     call_by_proposal: BTreeMap<u64, u64>,
-    /// The highest round of a ballot that was seen anywhere.
+    /// The highest known round of any ballot.
     highest_round: u64,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// How many proposals are in progress.
+    /// The number of proposals in progress.
     pub(super) fn len(&self) -> usize {
         self.in_progress.len()
     }
@@ -64,7 +64,7 @@
         self.in_progress.is_empty()
     }
 
-    /// How many of them are for an operator's call.
+    /// The number of operators' calls that wait for a proposal.
     pub(super) fn call_count(&self) -> usize {
         self.call_by_proposal.len()
     }
@@ -77,7 +77,7 @@
             .min()
     }
 
-    /// Takes note of a round that another proposer has used, so that the next ballot is above it.
+    /// Records a round used by another proposer, so that the next ballot is above it.
     pub(super) fn observe_round(&mut self, round: u64) {
         self.highest_round = self.highest_round.max(round);
     }
@@ -106,7 +106,7 @@
         self.drive_proposals(now, out);
     }
 
-    /// Starts a proposal that only completes what was accepted on these registers, and gives its id.
+    /// Starts a proposal that only completes what was accepted on these registers. Returns its id.
     pub(super) fn propose_repair(&mut self, now: i64, names: Vec<ItemName>, deadline: i64) -> u64 {
         let id = self.next_request_id();
         let proposal = Proposal::new(Intent::Repair(names), now, deadline);
@@ -114,7 +114,7 @@
         id
     }
 
-    /// Starts proposals that wait, resends what was not answered and ends those whose deadline has passed.
+    /// Starts waiting proposals, resends unanswered messages and ends proposals whose deadline has passed.
     pub(super) fn drive_proposals(&mut self, now: i64, out: &mut Vec<Output>) {
         self.start_due_repairs(now);
         if self.proposals.is_empty() {
@@ -161,7 +161,8 @@
         }
     }
 
-    /// When the next repair is due. While another replica is telling what is chosen there is no need for one.
+    /// The time of the next repair. It is postponed while a digest exchange with another replica is open, since that is
+    /// likely to report the value as chosen.
     pub(super) fn repair_wake_at(&self) -> Option<i64> {
         let wake_at = self.pending.wake_at(self.table.local().replica)?;
         Some(if self.catch_up.is_exchanging() {
@@ -171,8 +172,8 @@
         })
     }
 
-    /// What is due for a proposal. `busy` holds the registers of those looked at before it: two proposals of one process
-    /// for the same register would only hinder each other.
+    /// The step that is due for a proposal. `busy` collects the registers of the proposals checked before it: two
+    /// proposals of one process for the same register would only reject each other.
     fn due_step(&self, now: i64, id: u64, busy: &mut BTreeSet<ItemName>) -> DueStep {
         let Some(proposal) = self.proposals.in_progress.get(&id) else {
             return DueStep::Nothing;
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Whether a proposal is a repair, and everything that it is to complete is known to be chosen by now.
+    /// Whether a proposal is a repair, and everything that it would complete is known to be chosen by now.
     fn is_redundant(&self, id: u64) -> bool {
         let proposal = self.proposals.in_progress.get(&id);
         let Some(repair) = proposal.filter(|proposal| proposal.is_repair()) else {
@@ -235,7 +236,7 @@
     }
 
     fn expire_proposal(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
-        // The votes of others may do without this replica's; where they did not, it is this disk that needs a look.
+        // A quorum may exist without this replica's vote; if it did not, the caller is pointed to this replica's disk.
         let reason = if self.disk.is_full {
             DISK_REJECTS_WRITES
         } else {
@@ -285,7 +286,7 @@
         }
     }
 
-    /// Sends a message to every replica that has not voted yet, this one included.
+    /// Sends a message to each replica that has not voted yet, this one included.
     fn broadcast_proposal(&mut self, now: i64, id: u64, payload: Payload, out: &mut Vec<Output>) {
         let Some(proposal) = self.proposals.in_progress.get(&id) else {
             return;
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Handles the answer to a proposal, a quorum read or a lease request of this replica.
+    /// Handles a response to a proposal, a quorum read or a lease request of this replica.
     pub(super) fn handle_vote(
         &mut self,
         now: i64,
@@ -363,7 +364,8 @@
                     is_granted: granted,
                     newest_term,
                 };
-                // Hazard: a vote for the request of a former process counts from that request's time.
+                // A vote on a request of an earlier process of this replica must not count, since its `sent_at` belongs
+                // to that request.
                 if term.holder == self.table.local() {
                     self.handle_lease_vote(now, voter, role, vote, out);
                 }
@@ -387,7 +389,7 @@
         let Some(proposal) = self.proposals.in_progress.get(&id) else {
             return;
         };
-        // Hazard: proposers of one register that all start again at once reject each other for seconds.
+        // Without jitter, proposers of one register start again at the same time and reject each other for seconds.
         let backoff = proposal.backoff();
         let backoff = backoff.minimum_us + self.random_below(backoff.max_jitter_us) as i64;
         let Some(proposal) = self.proposals.in_progress.get_mut(&id) else {
--- a/crates/control/src/core/quorum_read.rs
+++ b/crates/control/src/core/quorum_read.rs
@@ -1,5 +1,5 @@
-//! Quorum reads: all registers as more than half of the replicas have accepted them, so that nothing that was
-//! acknowledged anywhere can be missing.
+//! Quorum reads: the values of all registers as accepted by more than half of the replicas, so that no change that any
+//! replica has acknowledged can be missing.
 
 use std::collections::BTreeMap;
 
@@ -16,14 +16,14 @@
 use crate::limits;
 use crate::operator_api::Reply;
 
-/// What a quorum read is for.
+/// The purpose of a quorum read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ReadPurpose {
-    /// An operator asks for the configuration.
+    /// An operator has requested the configuration.
     Configuration { call: u64 },
-    /// A patch that was inconsistent with the items known here is to be checked against the result.
+    /// A patch whose consistency could not be decided from the items known here is checked against the result.
     Patch { call: u64, patch: Vec<u8> },
-    /// This replica makes sure that it knows everything that was acknowledged: see [`super::catch_up`].
+    /// This replica verifies that it knows every acknowledged change: see [`super::catch_up`].
     CatchUp { epoch: u64 },
 }
 
@@ -36,30 +36,32 @@
         }
     }
 
-    /// How long the read waits for the replicas that proposed what it has found to complete it.
+    /// How long the read waits for the proposers of the values that it has found to complete their proposals.
     fn repair_delay(&self) -> i64 {
         match self {
             ReadPurpose::Configuration { .. } | ReadPurpose::Patch { .. } => {
                 limits::READ_REPAIR_DELAY
             }
-            // Nobody waits for the answer. Hazard: replicas that start together would repair the same registers at once.
+            // No caller waits for the result, and with a short delay replicas that start together would repair the same
+            // registers at the same time.
             ReadPurpose::CatchUp { .. } => limits::CATCH_UP_REPAIR_DELAY,
         }
     }
 }
 
-/// A quorum read that is in progress.
+/// A quorum read in progress.
 #[derive(Clone, Debug)]
 pub(super) struct QuorumRead {
     purpose: ReadPurpose,
     /// The replicas that have answered completely.
     votes: BTreeMap<ReplicaId, Incarnation>,
     sources: BTreeMap<ReplicaId, SourceProgress>,
-    /// The newest accepted value of each register so far.
+    /// The newest accepted value of each register received so far.
     accepted_values: BTreeMap<ItemName, (Ballot, Item)>,
     /// Digests of the registers of this replica when the read began.
     digests: Vec<u64>,
-    /// Set once a quorum has answered. What is not known to be chosen by then is repaired before the read completes.
+    /// Set once a quorum has answered: values that are not known to be chosen by this time are repaired before the read
+    /// completes.
     repair_at: Option<i64>,
     deadline: i64,
     wake_at: i64,
@@ -71,7 +73,7 @@
         self.purpose.call()
     }
 
-    /// The request for what a replica has not answered yet.
+    /// The request for the part that a replica has not sent yet.
     fn request(&self, replica: ReplicaId) -> TransferRequest {
         let source = self.sources.get(&replica);
         TransferRequest {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Takes in a chunk of a replica's answer, and gives what follows it; none for a duplicate.
+    /// Merges a chunk of a replica's response. Returns what follows the chunk; `None` for a duplicate.
     fn record_chunk(&mut self, voter: Voter, chunk: Chunk) -> Option<Continuation> {
         let source = self.sources.entry(voter.replica);
         let source = source.or_insert(SourceProgress::new(voter.incarnation));
@@ -95,7 +97,8 @@
         continuation
     }
 
-    /// The registers whose value was found and is not known to be chosen. It may be lost again, so nobody may see it yet.
+    /// The registers with a value that is not known to be chosen. Such a value may still be lost, so it must not be
+    /// reported to a caller.
     pub(super) fn unconfirmed(&self, chosen: &ChosenItems) -> Vec<ItemName> {
         let items = self.accepted_values.values().map(|(_, item)| item);
         let unconfirmed =
@@ -113,7 +116,7 @@
 }
 
 impl QuorumReads {
-    /// How many are in progress for an operator's call.
+    /// The number of reads in progress for operators' calls.
     pub(super) fn call_count(&self) -> usize {
         let reads = self
             .in_progress
@@ -122,7 +125,7 @@
         reads.filter(|read| read.call().is_some()).count()
     }
 
-    /// Whether this replica reads what it may lack itself.
+    /// Whether a read for this replica's own catching up is in progress.
     pub(super) fn is_catching_up(&self) -> bool {
         let mut reads = self
             .in_progress
@@ -142,7 +145,7 @@
         self.awaiting_repair.get(&proposal)
     }
 
-    /// Takes out the read that waits for this repair.
+    /// Removes and returns the read that waits for this repair.
     pub(super) fn take_awaiting_repair(&mut self, proposal: u64) -> Option<QuorumRead> {
         self.awaiting_repair.remove(&proposal)
     }
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Takes in a chunk of the answer to a quorum read.
+    /// Handles a chunk of a response to a quorum read.
     pub(super) fn handle_register_chunk(
         &mut self,
         now: i64,
@@ -213,8 +216,8 @@
         chunk: Chunk,
         out: &mut Vec<Output>,
     ) {
-        // Hazard: a former process of this replica used the same numbers. An answer to it tells what was accepted then,
-        // and leaves out what that process had, which this one may lack.
+        // An earlier process of this replica used the same numbers. A response to it is outdated, and omits values that
+        // that process had and this one may lack.
         if id != self.request_id(id.number) {
             return;
         }
@@ -252,7 +255,7 @@
             return;
         }
         let unconfirmed = read.unconfirmed(&self.chosen);
-        // Whoever proposed it normally completes it soon.
+        // The proposer of an unconfirmed value normally completes it soon.
         let repair_at = *read
             .repair_at
             .get_or_insert(now + read.purpose.repair_delay());
@@ -271,12 +274,12 @@
         self.drive_proposals(now, out);
     }
 
-    /// Answers the call of a read: everything that was found is chosen by now, or was lost.
+    /// Completes a read: each value found is chosen by now, or was lost.
     pub(super) fn complete_read(&mut self, now: i64, read: QuorumRead, out: &mut Vec<Output>) {
         let lost = read.unconfirmed(&self.chosen);
         let found = read.accepted_values.values().map(|(_, item)| item);
         let found = found.filter(|item| !lost.contains(&item.name));
-        // Of two items of one version the chosen one counts.
+        // Of two items with the same version the chosen one is used.
         let chosen = self.chosen.entries().map(|(_, item)| item);
         let items: Items = newest_versions(chosen.chain(found));
         match read.purpose {
@@ -292,7 +295,7 @@
         }
     }
 
-    /// Resends the requests that were not answered, and ends reads whose deadline has passed.
+    /// Resends unanswered requests, and ends reads whose deadline has passed.
     pub(super) fn drive_reads(&mut self, now: i64, out: &mut Vec<Output>) {
         let due = self.reads.in_progress.iter();
         let due = due.filter(|(_, read)| now >= read.wake_at.min(read.deadline));
@@ -336,7 +339,7 @@
     }
 }
 
-/// The newest version of each item; of one version the first.
+/// The newest version of each item; of equal versions the first.
 fn newest_versions<'a>(items: impl Iterator<Item = &'a Item>) -> Items {
     let mut newest = Items::new();
     for item in items {
--- a/crates/control/src/core/reclaim.rs
+++ b/crates/control/src/core/reclaim.rs
@@ -1,9 +1,10 @@
 //! Reclaiming a replica whose newer incarnation is unreachable.
 //!
-//! Two machines may recover one replica at the same time, and the one whose incarnation is newer may be gone before the
-//! other hears of it. Then nobody would hold the replica for good. The superseded process asks the others, and recovers
-//! under an incarnation of its own once no replica of a quorum has heard the newer one for [`limits::RECLAIM_TIMEOUT`].
-//! That is as safe as the recovery of an empty disk, since it gathers anew what a quorum of the others holds.
+//! Two machines may recover one replica at the same time, and the one with the newer incarnation may fail before the
+//! other learns of it. The replica would then stay vacant for good. The superseded process therefore queries the other
+//! replicas, and recovers under a new incarnation once a quorum has received no message of the newer one for
+//! [`limits::RECLAIM_TIMEOUT`]. This is as safe as the recovery of an empty disk, since it collects the accepted values
+//! of a quorum of the others again.
 
 use std::collections::BTreeMap;
 
@@ -13,18 +14,18 @@
 use super::{Output, Replica};
 use crate::limits;
 
-/// What a superseded process knows about the newer incarnation of its replica.
+/// The state of a superseded process regarding the newer incarnation of its replica.
 #[derive(Clone, Debug)]
 pub(super) struct Supersession {
-    /// When the newer incarnation was last known to be heard by any replica.
+    /// When any replica last reported the newer incarnation as reachable.
     last_heard_at: i64,
-    /// When each other replica last said that it does not hear the newer incarnation.
+    /// When each other replica last reported the newer incarnation as unreachable.
     unreachable_reports: BTreeMap<ReplicaId, i64>,
     next_request_at: i64,
 }
 
 impl Replica {
-    /// Asks the others about the newer incarnation, and begins to recover once it is unreachable.
+    /// Queries the other replicas about the newer incarnation, and begins to recover once it is unreachable.
     pub(super) fn drive_reclaim(&mut self, now: i64, out: &mut Vec<Output>) {
         if !self.table.is_superseded() || self.is_shutting_down {
             self.supersession = None;
@@ -66,7 +67,7 @@
         }
     }
 
-    /// When [`Replica::drive_reclaim`] is due.
+    /// The time at which [`Replica::drive_reclaim`] is due.
     pub(super) fn reclaim_wake_at(&self) -> Option<i64> {
         let superseded = self.supersession.as_ref();
         superseded.map(|superseded| superseded.next_request_at)
--- a/crates/control/src/core/recovery.rs
+++ b/crates/control/src/core/recovery.rs
@@ -1,8 +1,9 @@
 //! Recovery of a replica whose disk has lost its registers, under a new incarnation.
 //!
-//! The other replicas first persist the new incarnation and then answer with what they have accepted. So whoever counts a
-//! vote of the former incarnation meets, in any quorum, a replica that knows better. The recovering replica takes part
-//! again once more than half of the others have answered completely and everything is on its disk.
+//! The other replicas first persist the new incarnation and then answer with their accepted values. A proposer that
+//! counts a vote of the previous incarnation therefore meets, in any quorum, a replica that reports the new one. The
+//! recovering replica participates again once more than half of the others have answered completely and all values are
+//! on its disk.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,7 +23,7 @@
 use super::{Output, Record, Replica};
 use crate::limits;
 
-/// What is to be done after a chunk of another replica's registers.
+/// The step that follows a chunk of another replica's registers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecoveryStep {
     /// Wait for further chunks.
@@ -33,10 +34,10 @@
     Complete,
 }
 
-/// The limits that a recovering replica takes over from another one.
+/// The promises and lease grants that a recovering replica adopts from another one.
 #[derive(Clone, Copy, Debug)]
 pub struct Promises<'a> {
-    /// The highest ballot that the other replica has promised anything to.
+    /// The highest ballot to which the other replica has promised any register.
     pub promise_floor: Ballot,
     /// The newest term that the other replica has granted for each role.
     pub terms: &'a [Term],
@@ -45,14 +46,15 @@
 /// A recovery in progress.
 #[derive(Clone, Debug, Default)]
 pub struct Recovery {
-    /// The incarnation that is to begin.
+    /// The incarnation to begin.
     pub incarnation: Incarnation,
     sources: BTreeMap<ReplicaId, SourceProgress>,
-    /// The accepted value of each register, by the highest ballot.
+    /// The received value of each register with the highest ballot.
     pub accepted_values: BTreeMap<ItemName, (Ballot, Item)>,
-    /// Digests of `found`: a source does not send the buckets in which it has the same.
+    /// Digests of `accepted_values`: a source omits the buckets in which it has the same values.
     digests: Digests,
-    /// The first replica with a link. It is asked alone at first, since most of the others will have nothing to add.
+    /// The first connected replica. It alone is sent the first request, since most of the others will have nothing to
+    /// add.
     first_source: Option<SocketAddr>,
     first_source_requested: bool,
     /// The highest promise of any replica.
@@ -60,12 +62,12 @@
     /// The newest term of each role.
     pub terms: Vec<Term>,
     next_request_at: i64,
-    /// Everything was received and is being written to disk.
+    /// All values were received and are being written to disk.
     is_persisting: bool,
 }
 
 impl Recovery {
-    /// A recovery of a replica whose disk still holds these entries: only what differs has to be received.
+    /// Creates a recovery of a replica whose disk still holds these entries, so that only differing ones are received.
     pub fn from_accepted<'a>(entries: impl Iterator<Item = &'a (Ballot, Item)>) -> Recovery {
         let mut recovery = Recovery::default();
         for (ballot, item) in entries {
@@ -74,7 +76,7 @@
         recovery
     }
 
-    /// Keeps the value with the higher ballot.
+    /// Stores the value unless one with a higher ballot is known.
     fn merge_value(&mut self, ballot: Ballot, item: Item) {
         let known = self.accepted_values.get(&item.name);
         if known.is_some_and(|(known, _)| *known >= ballot) {
@@ -91,8 +93,8 @@
         }
     }
 
-    /// Chooses an incarnation after the newest known one. What was gathered stays valid, as it was accepted under its ballots
-    /// whatever this incarnation is; the sources have to answer again.
+    /// Chooses an incarnation after the newest known one. The received values stay valid, since they were accepted
+    /// under their ballots independently of this incarnation, but the sources have to answer again.
     pub fn choose_incarnation(&mut self, newest: Incarnation, nonce: u32) {
         if newest >= self.incarnation {
             let number = newest.max(Incarnation::FIRST).number + 1;
@@ -104,7 +106,7 @@
         }
     }
 
-    /// A link with a replica was established.
+    /// A link to a replica was established.
     pub fn handle_peer_connected(&mut self, now: i64, peer: SocketAddr) {
         if self.first_source.is_none() {
             self.first_source = Some(peer);
@@ -112,12 +114,12 @@
         }
     }
 
-    /// When requests are sent again; none once everything was received.
+    /// The time of the next requests; `None` once everything was received.
     pub fn wake_at(&self) -> Option<i64> {
         (!self.is_persisting).then_some(self.next_request_at)
     }
 
-    /// The requests to send now: to the first source alone at first, then to every replica that has not answered
+    /// The requests to send now: initially to the first source alone, then to each replica that has not answered
     /// completely.
     pub fn next_requests(&mut self, table: &ReplicaTable) -> Vec<(SocketAddr, TransferRequest)> {
         if let Some(first) = self.first_source
@@ -158,7 +160,7 @@
         complete.count() >= table.recovery_quorum_size()
     }
 
-    /// Takes in a chunk of another replica's registers.
+    /// Merges a chunk of another replica's registers.
     pub fn handle_chunk(
         &mut self,
         now: i64,
@@ -172,7 +174,8 @@
         let continuation = source.record_chunk(voter.incarnation, &chunk);
         let after = source.progress.start_after.clone();
         if let Some(continuation) = continuation {
-            // The others are asked as soon as the first source is complete; whoever is silent is asked again later.
+            // The others are sent requests as soon as the first source is complete; unanswered requests are repeated
+            // later.
             let first_complete =
                 continuation == Continuation::End && self.complete_source_count() == 1;
             self.next_request_at = if first_complete {
@@ -209,7 +212,7 @@
 }
 
 impl Replica {
-    /// Whether this replica recovers and waits for answers under this incarnation.
+    /// Whether this replica is recovering under this incarnation and waits for responses.
     pub(super) fn is_recovering_as(&self, incarnation: Incarnation) -> bool {
         self.recovery
             .as_ref()
@@ -218,7 +221,7 @@
 
     /// Sends the requests of a recovery that are due.
     pub(super) fn drive_recovery(&mut self, now: i64, out: &mut Vec<Output>) {
-        // Drawn at each call, so that the sequence of random numbers does not depend on what follows.
+        // Drawn at each call, so that the sequence of random numbers does not depend on the state of the recovery.
         let nonce = self.random_below(1 << 32) as u32;
         let local = self.table.local().replica;
         let newest = self.table.newest_incarnation(local);
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Another replica recovers under a new incarnation: persists that before it answers.
+    /// Another replica recovers under a new incarnation: persists that incarnation, then answers.
     pub(super) fn handle_incarnation_request(
         &mut self,
         sender: Sender,
@@ -259,7 +262,7 @@
         if !self.table.is_participant() || is_itself || self.disk.is_full {
             return;
         }
-        // The sender learns where the others are, and about a newer incarnation than the one that it has chosen.
+        // The sender learns the addresses of the others, and any incarnation newer than the one that it has chosen.
         self.greet_replica(peer, out);
         if incarnation < self.table.newest_incarnation(replica) {
             return;
@@ -281,7 +284,7 @@
         self.write(vec![Record::Metadata(self.metadata())], Some(answer), out);
     }
 
-    /// Takes in a chunk of another replica's registers. Once a quorum is complete everything is written to disk.
+    /// Handles a chunk of another replica's registers. Once a quorum has answered completely, all values are persisted.
     pub(super) fn handle_incarnation_recorded(
         &mut self,
         now: i64,
@@ -338,7 +341,7 @@
         self.write(records, Some(begin), out);
     }
 
-    /// Everything that was recovered is on disk: this replica takes part from now on.
+    /// All recovered values are on disk: this replica participates from now on.
     pub(super) fn begin_incarnation(
         &mut self,
         now: i64,
@@ -350,7 +353,7 @@
         let newest = self.table.newest_incarnation(replica);
         self.table.begin_incarnation(incarnation);
         if newest > incarnation {
-            // Another machine has begun a newer incarnation meanwhile: this one is superseded as it begins.
+            // Another machine has begun a newer incarnation meanwhile: this one is superseded at once.
             self.table.learn_incarnation(replica, newest, None);
             return self.handle_replicas_changed(now, out);
         }
@@ -361,7 +364,7 @@
             self.track_pending(now, name);
         }
         if self.is_shutting_down {
-            // The process was told to end when it had nothing to hand over; now it has.
+            // The shutdown was requested while there was nothing to hand over; now there is.
             self.begin_handover(now);
         }
         let items = names.len();
@@ -369,13 +372,13 @@
         self.handle_replicas_changed(now, out);
         self.broadcast_membership(out);
         self.next_heartbeat_at = now;
-        // What is chosen can be learned from any of the others.
+        // Chosen items can be learned from any of the others.
         if let Some(first) = self.table.other_addresses().first() {
             self.request_digest_exchange(*first, out);
         }
     }
 
-    /// In a new incarnation this replica has granted only what it took over from the others.
+    /// Resets the leases: in a new incarnation this replica has granted only the terms that it adopted from the others.
     fn restart_role_leases(&mut self, now: i64) {
         let (local, count) = (self.table.local(), self.table.replica_count());
         self.role_leases = SingletonRole::ALL.map(|role| {
--- a/crates/control/src/core/registers.rs
+++ b/crates/control/src/core/registers.rs
@@ -1,8 +1,7 @@
-//! The registers of one replica: what it has promised and what it has accepted, one register for the name of each item.
+//! The registers of one replica: its promises and accepted values, one register per item name.
 //!
-//! Promises are kept per register, so that changes of different items do not hinder each other. What a replica may have
-//! promised in a former incarnation, before its disk was lost, is not known per register: a floor under all promises stands
-//! for it.
+//! Promises are kept per register, so that changes of different items do not conflict. The promises of a previous
+//! incarnation, before its disk was lost, are not known per register: a floor under all promises covers them.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -21,7 +20,7 @@
 pub struct Register {
     /// No proposal below this ballot is accepted.
     pub promised_ballot: Ballot,
-    /// The value that was accepted last, and its ballot.
+    /// The value accepted last, and its ballot.
     pub accepted_value: Option<(Ballot, Item)>,
 }
 
@@ -33,7 +32,7 @@
     digests: Digests,
 }
 
-/// The digest of an accepted or chosen value; the digest of a set is the exclusive or of those of its entries.
+/// The digest of an accepted or chosen value. The digest of a set is the XOR of the digests of its entries.
 pub fn entry_digest(ballot: &Ballot, item: &Item) -> u64 {
     let mut hasher = DefaultHasher::new();
     (ballot, item).hash(&mut hasher);
@@ -41,7 +40,7 @@
 }
 
 impl Registers {
-    /// The registers as they were found on disk.
+    /// Creates the registers from those read from disk.
     pub fn restore(floor: Ballot, registers: Vec<(ItemName, Register)>) -> Registers {
         let mut digests = Digests::default();
         for (_, register) in &registers {
@@ -63,7 +62,7 @@
         })
     }
 
-    /// Gives the highest promise on any of these registers as an error, if it is above `ballot`.
+    /// Fails with the highest promise on any of these registers if that is above `ballot`.
     fn check_promises<'a>(
         &self,
         ballot: Ballot,
@@ -80,10 +79,10 @@
         register.promised_ballot = ballot;
     }
 
-    /// Promises to accept nothing below `ballot` on these registers. Gives their accepted values.
+    /// Promises to accept nothing below `ballot` on these registers. Returns their accepted values.
     ///
     /// # Errors
-    /// The highest promise on any of them, if it is above `ballot`; nothing is promised then.
+    /// The highest promise on any of them, if it is above `ballot`; then nothing is promised.
     pub fn prepare(
         &mut self,
         ballot: Ballot,
@@ -102,7 +101,7 @@
     /// Accepts all of the items under `ballot`, or none.
     ///
     /// # Errors
-    /// The highest promise on any of their registers, if it is above `ballot`; nothing is accepted then.
+    /// The highest promise on any of their registers, if it is above `ballot`; then nothing is accepted.
     pub fn accept(&mut self, ballot: Ballot, items: &[Item]) -> Result<(), Ballot> {
         self.check_promises(ballot, items.iter().map(|item| &item.name))?;
         for item in items {
@@ -121,14 +120,15 @@
         }
     }
 
-    /// Takes over a value that is chosen, or that was accepted elsewhere and stands for what was lost here, unless a newer
-    /// one was accepted here. Gives whether it was taken over.
+    /// Stores a value that is chosen, or that another replica has accepted and this one recovers, unless a value with a
+    /// higher ballot was accepted here. Returns whether it was stored.
     pub fn adopt(&mut self, ballot: Ballot, item: &Item) -> bool {
         let accepted = self.accepted_value(&item.name);
         let is_newer = accepted.is_none_or(|(accepted, _)| *accepted < ballot);
         if is_newer {
             self.store_accepted(ballot, item.clone());
-            // Hazard: a late message of an earlier proposal would be accepted in its place, and this copy be lost for good.
+            // Without this promise a late message of an earlier proposal would be accepted and overwrite this copy for
+            // good.
             if let Some(register) = self.registers.get_mut(&item.name) {
                 register.promised_ballot = register.promised_ballot.max(ballot);
             }
@@ -160,18 +160,18 @@
         self.registers.get(name)?.accepted_value.as_ref()
     }
 
-    /// All accepted values, in the order of their names.
+    /// All accepted values, sorted by name.
     pub fn accepted_entries(&self) -> impl Iterator<Item = &(Ballot, Item)> {
         let registers = self.registers.values();
         registers.filter_map(|register| register.accepted_value.as_ref())
     }
 
-    /// A register, as it is persisted.
+    /// A register as it is persisted; the default one if it has never been used.
     pub fn get(&self, name: &ItemName) -> Register {
         self.registers.get(name).cloned().unwrap_or_default()
     }
 
-    /// All registers, as they are persisted.
+    /// All registers as they are persisted.
     pub fn iter(&self) -> impl Iterator<Item = (&ItemName, &Register)> {
         self.registers.iter()
     }
@@ -181,8 +181,8 @@
         &self.digests
     }
 
-    /// The chunks that answer a transfer request: the accepted values of the buckets that differ, after the name that it
-    /// continues from.
+    /// The chunks that answer a transfer request: the accepted values of the buckets that differ, after the name at
+    /// which it continues.
     pub fn transfer_chunks(&self, limits: TransferLimits, request: &TransferRequest) -> Vec<Chunk> {
         let after = request.start_after.as_ref();
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
--- a/crates/control/src/core/registers/tests.rs
+++ b/crates/control/src/core/registers/tests.rs
@@ -22,7 +22,7 @@
     let mut registers = Registers::default();
     assert_eq!(registers.prepare(ballot(5), &[name("a")]), Ok(vec![]));
     assert_eq!(registers.accept(ballot(4), &[item("a", 1)]), Err(ballot(5)));
-    // All of a message or nothing; another register is free.
+    // A message is accepted as a whole or not at all; a register without a promise accepts it.
     assert_eq!(
         registers.accept(ballot(4), &[item("b", 1), item("a", 1)]),
         Err(ballot(5))
@@ -36,7 +36,7 @@
         Ok(vec![(ballot(4), item("b", 1))])
     );
     assert_eq!(registers.highest_promise(), ballot(8));
-    // An adopted value is not replaced by a late message of an earlier proposal.
+    // A late message of an earlier proposal does not replace an adopted value.
     assert!(registers.adopt(ballot(12), &item("d", 2)));
     assert_eq!(
         registers.accept(ballot(11), &[item("d", 1)]),
@@ -46,7 +46,7 @@
         registers.accepted_value(&name("d")),
         Some(&(ballot(12), item("d", 2)))
     );
-    // The digest covers the contents, however they arrived.
+    // The digests depend on the contents alone, not on how they were stored.
     assert!(
         registers.adopt(ballot(8), &item("b", 2)) && !registers.adopt(ballot(7), &item("b", 1))
     );
--- a/crates/control/src/core/replicas.rs
+++ b/crates/control/src/core/replicas.rs
@@ -1,4 +1,4 @@
-//! The table of replicas: the newest incarnation of each, its address, and when it was last heard.
+//! The table of replicas: the newest known incarnation of each, its address, and when its last message was received.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use super::peer_messages::{Payload, PeerMessage};
 use crate::limits;
 
-/// The process that sent a message, and the address at which it is reached.
+/// The process that sent a message, and its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Sender {
     pub(super) address: SocketAddr,
@@ -24,17 +24,18 @@
     }
 }
 
-/// What is known about one replica.
+/// The state of one replica as known here.
 #[derive(Clone, Debug, Default)]
 struct ReplicaSlot {
     /// The newest known incarnation.
     incarnation: Incarnation,
     address: Option<SocketAddr>,
-    /// The address is that of the newest incarnation. Otherwise it is of a former one, and any better knowledge is believed.
+    /// The address belongs to the newest incarnation. Otherwise it is that of an earlier one, and is replaced by any
+    /// reported address.
     address_confirmed: bool,
-    /// When the newest incarnation was last heard.
+    /// When the last message of the newest incarnation was received.
     last_heard_at: Option<i64>,
-    /// It hears this replica, as of its last heartbeat.
+    /// Whether it receives messages of the local replica, as of its last heartbeat.
     hears_local: bool,
 }
 
@@ -44,7 +45,7 @@
     }
 }
 
-/// The table of replicas as one of them sees it.
+/// The table of replicas as known to one of them.
 #[derive(Clone, Debug)]
 pub struct ReplicaTable {
     local: ProcessId,
@@ -53,20 +54,20 @@
     slots: Vec<ReplicaSlot>,
     /// Another process holds a newer incarnation of this replica.
     is_superseded: bool,
-    /// That newer incarnation was begun by this machine itself and never completed: nobody holds it.
+    /// This machine itself began that newer incarnation and never completed it: no process holds it.
     is_abandoned: bool,
-    /// Rises whenever an incarnation or an address changes.
+    /// Increased whenever an incarnation or an address changes.
     revision: u64,
 }
 
-/// What the receipt of a message has changed.
+/// The effects of a received message on the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceiptOutcome {
-    /// The message comes from the newest incarnation of another replica.
+    /// The sender is the newest known incarnation of another replica.
     pub is_current: bool,
     /// An incarnation or an address has changed.
     pub table_changed: bool,
-    /// The sender had not been heard for [`limits::CONTACT_TIMEOUT`].
+    /// The sender had been unreachable: it had sent no message for [`limits::CONTACT_TIMEOUT`].
     pub sender_returned: bool,
 }
 
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Takes over what was on disk about the other replicas.
+    /// Restores the incarnations and addresses of the other replicas from disk.
     pub fn restore(&mut self, incarnations: &[Incarnation], addresses: &[Option<SocketAddr>]) {
         let local = usize::from(self.local.replica);
         let slots = self.slots.iter_mut().enumerate();
@@ -130,14 +131,14 @@
         self.slots.len() / 2 + 1
     }
 
-    /// The number of replicas that a recovery needs: more than half of the others.
+    /// The number of replicas that a recovery needs: more than half of the other replicas.
     pub fn recovery_quorum_size(&self) -> usize {
         let others = self.slots.len() - 1;
         (others / 2 + 1).min(others)
     }
 
-    /// Whether these votes are those of a quorum. A vote counts only from the newest known incarnation of its replica; the
-    /// incarnations that a message tells about are learned before its vote is counted.
+    /// Whether these votes form a quorum. A vote counts only from the newest known incarnation of its replica; the
+    /// incarnations listed in a message are learned before its vote is counted.
     pub fn is_quorum(&self, votes: &BTreeMap<ReplicaId, Incarnation>) -> bool {
         let counted = votes
             .iter()
@@ -145,7 +146,7 @@
         counted.count() >= self.quorum_size()
     }
 
-    /// Whether this process votes and answers: it has an incarnation, and no newer one of its replica is known.
+    /// Whether this process votes and answers calls: it has an incarnation, and no newer one of its replica is known.
     pub fn is_participant(&self) -> bool {
         self.local.incarnation != Incarnation::NONE && !self.is_superseded
     }
@@ -160,7 +161,7 @@
         self.is_abandoned
     }
 
-    /// Gives up the local incarnation, so that one after the newest known can be begun.
+    /// Gives up the local incarnation, so that a new one after the newest known can begin.
     pub fn relinquish_incarnation(&mut self) {
         self.local.incarnation = Incarnation::NONE;
         self.is_superseded = false;
@@ -186,13 +187,13 @@
         self.slots.iter().map(confirmed).collect()
     }
 
-    /// Whether some replica is held by a process whose address is not known.
+    /// Whether any replica has an incarnation whose address is not confirmed.
     pub fn has_unconfirmed_address(&self) -> bool {
         let mut slots = self.slots.iter();
         slots.any(|slot| slot.has_incarnation() && !slot.address_confirmed)
     }
 
-    /// Whether an address is known here that another replica, which sent these tables, lacks.
+    /// Whether a confirmed address is known here that is missing from these tables of another replica.
     pub fn has_address_missing_from(
         &self,
         incarnations: &[Incarnation],
@@ -228,7 +229,7 @@
             .collect()
     }
 
-    /// The addresses to keep links with: those of the other replicas, and the seeds.
+    /// The addresses to keep links to: those of the other replicas, and the seed addresses.
     pub fn peer_addresses(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter().copied();
         let mut peers = self.other_addresses();
@@ -238,7 +239,7 @@
         peers
     }
 
-    /// The known address of each replica, with its zone.
+    /// The zone and address of each replica whose address is known.
     pub fn addresses_by_zone<'a>(
         &self,
         zones: &'a [String],
@@ -254,13 +255,13 @@
         incarnation != Incarnation::NONE && self.newest_incarnation(replica) == incarnation
     }
 
-    /// Rises whenever an incarnation or an address changes.
+    /// A number that increases whenever an incarnation or an address changes.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Learns about an incarnation of a replica, and the address of its process if that is known. Gives whether anything
-    /// changed.
+    /// Learns about an incarnation of a replica, and the address of its process if that is known. Returns whether the
+    /// table changed.
     pub fn learn_incarnation(
         &mut self,
         replica: ReplicaId,
@@ -283,7 +284,7 @@
             };
             true
         } else {
-            // Hazard: of two replicas that were replaced at once, each would keep to the other's former address.
+            // Without this, two replicas that were replaced at the same time would keep each other's previous address.
             let confirms = !is_local
                 && incarnation == slot.incarnation
                 && !slot.address_confirmed
@@ -298,7 +299,7 @@
         changed
     }
 
-    /// Learns about an incarnation of the local replica that is as new as the known one, or newer.
+    /// Learns about an incarnation of the local replica that is at least as new as the known one.
     fn learn_local_incarnation(
         &mut self,
         incarnation: Incarnation,
@@ -307,19 +308,20 @@
         let slot = &mut self.slots[usize::from(self.local.replica)];
         let newer = incarnation > slot.incarnation;
         slot.incarnation = incarnation;
-        // A recovering process has no incarnation yet, and will choose one after this.
+        // A recovering process has no incarnation yet, and will choose one above this.
         self.is_superseded |= newer && self.local.incarnation != Incarnation::NONE;
-        // Hazard: if the local address were sent along with the newer incarnation, the others would take it for that one's.
+        // The local address must not be sent along with the newer incarnation: the others would attribute it to that
+        // one.
         slot.address_confirmed &= !self.is_superseded;
-        // Hazard: an incarnation that few replicas have recorded, and that was lost with the disk, may turn up after the one
-        // that was begun in its place. It would supersede this process, and nobody would hold the replica.
+        // An incarnation that few replicas recorded before its disk was lost may be reported after its replacement has
+        // begun. It would supersede this process for good, although no process holds it.
         let abandoned = self.is_superseded && address == Some(self.local_address);
         let newly_abandoned = abandoned && !self.is_abandoned;
         self.is_abandoned |= abandoned;
         newly_abandoned || newer
     }
 
-    /// Takes note of a message: who sent it from where, and the incarnations that it tells about.
+    /// Updates the table from a message: the sender and its address, and the incarnations that the message lists.
     pub fn record_message(
         &mut self,
         now: i64,
@@ -357,7 +359,7 @@
         }
     }
 
-    /// Learns the incarnations that a message tells about, and the addresses if it is about those.
+    /// Learns the incarnations that a message lists, and the addresses if that is its payload.
     fn learn_from_message(&mut self, message: &PeerMessage) -> bool {
         let addresses: &[Option<SocketAddr>] = match &message.payload {
             Payload::ReplicaAddresses(addresses) => addresses,
@@ -371,7 +373,7 @@
         changed
     }
 
-    /// Whether a replica was heard within [`limits::CONTACT_TIMEOUT`]; always so of the local one.
+    /// Whether a message of the replica was received within [`limits::CONTACT_TIMEOUT`]; always true for the local one.
     pub fn is_reachable(&self, now: i64, replica: ReplicaId) -> bool {
         let slot = self.slots.get(usize::from(replica));
         let last_heard = slot.and_then(|slot| slot.last_heard_at);
@@ -379,14 +381,14 @@
             || last_heard.is_some_and(|heard| now - heard <= limits::CONTACT_TIMEOUT)
     }
 
-    /// The replicas that are reachable, one bit each.
+    /// The reachable replicas, one bit each.
     pub fn reachable_replicas(&self, now: i64) -> u128 {
         let replicas = 0..self.slots.len();
         let reachable = replicas.filter(|at| self.is_reachable(now, *at as ReplicaId));
         reachable.fold(0, |bits, at| bits | 1 << at)
     }
 
-    /// Whether this process hears a quorum, itself included, and is heard by each replica of it.
+    /// Whether messages pass in both directions between this process and a quorum, itself included.
     pub fn has_quorum_contact(&self, now: i64) -> bool {
         let slots = self.slots.iter().enumerate();
         let in_contact =
--- a/crates/control/src/core/role_lease.rs
+++ b/crates/control/src/core/role_lease.rs
@@ -1,13 +1,13 @@
-//! Leases on the roles that only one replica performs for all: won by a vote of a quorum whenever a role is vacant, and
-//! held as long as a quorum goes on granting it.
+//! Leases on the roles that one replica performs for all: acquired by a vote of a quorum whenever a role is vacant, and
+//! held as long as a quorum keeps granting it.
 //!
-//! A grant lasts for a fixed time at the voter, counted from the arrival of the request. The holder counts from when it
-//! sent the request, and stops earlier. So at most one replica performs a role at any instant, without any comparison of
-//! two clocks.
+//! A grant lasts for a fixed time at the voter, counted from the receipt of the request. The holder counts from when it
+//! sent the request, and stops earlier. Therefore at most one replica performs a role at any time, without any
+//! comparison of two clocks.
 //!
-//! A voter that has restarted does not know how long its last grant lasts, but its disk tells to whom it can be: to the
-//! holder of the newest term, and to nobody else, if that holder was seen to hold the lease. The same replica gets it
-//! again at once: what held it before is the same process, or one that has ended.
+//! A voter that has restarted does not know when its last grant expires, but its disk names the only possible grantee:
+//! the holder of the newest term, if that holder was observed holding the lease. The voter may grant the lease to the
+//! same replica again at once: the earlier holder is either the same process or one that has ended.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,18 +26,19 @@
 pub struct LeaseRequest {
     /// The term that is requested.
     pub term: u64,
-    /// When it is sent, in microseconds on the clock of the requester.
+    /// The time of sending, in microseconds on the clock of the requester.
     pub sent_at: i64,
-    /// Whether the requester holds the lease already and asks for more time.
+    /// Whether the requester already holds the lease and requests its extension.
     pub is_renewal: bool,
 }
 
-/// How a voter has decided on a request.
+/// The decision of a voter on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseDecision {
-    /// The lease is granted for [`limits::GRANT_DURATION`].
+    /// Whether the lease is granted for [`limits::GRANT_DURATION`].
     pub is_granted: bool,
-    /// The term is new to the voter, or was seen to be held for the first time: it has to be on disk before the vote is sent.
+    /// Whether the term must be on disk before the vote is sent: it is new to the voter, or observed as held for the
+    /// first time.
     pub must_persist: bool,
     /// The newest term that the voter knows.
     pub newest_term: u64,
@@ -48,38 +49,38 @@
 pub struct LeaseVote {
     /// The term that was requested.
     pub term: u64,
-    /// When the request was sent.
+    /// When the request was sent, in microseconds on the clock of the requester.
     pub sent_at: i64,
-    /// Whether it is granted.
+    /// Whether the request is granted.
     pub is_granted: bool,
     /// The newest term that the voter knows.
     pub newest_term: u64,
 }
 
-/// A term that its holder or candidate gives up.
+/// The release of a term by its holder or candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseRelease {
     /// The term.
     pub term: u64,
-    /// The term was never won, and never will be.
+    /// Whether the candidate never acquired the lease in this term; it no longer can.
     pub is_unused: bool,
 }
 
-/// What is to be done about a lease.
+/// The next step of a candidate or holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Send a request to all replicas.
     Request(LeaseRequest),
-    /// Tell all replicas that a term is given up.
+    /// Notify all replicas that a term is released.
     Release(LeaseRelease),
 }
 
-/// What the disk tells about the terms of a role.
+/// The terms of a role as stored on disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoredTerms {
     /// The newest term that this replica has granted.
     pub granted_term: Term,
-    /// The newest term that it has seen to be held.
+    /// The newest term that this replica has observed as held.
     pub last_held_term: Term,
 }
 
@@ -94,19 +95,19 @@
     }
 }
 
-/// This replica's own attempt to hold the lease.
+/// This replica's candidacy for the lease, or its tenure.
 #[derive(Clone, Debug)]
 struct Candidacy {
     term: u64,
     requested_at: i64,
-    /// It holds the lease until then; 0 while it was not granted by a quorum.
+    /// The time until which this replica holds the lease; 0 before a quorum has granted it.
     lease_expires_at: i64,
-    /// The votes on each request that is open, by when it was sent.
+    /// The votes on each open request, by the time at which it was sent.
     open_votes: BTreeMap<i64, BTreeMap<ReplicaId, Incarnation>>,
 }
 
 impl Candidacy {
-    /// Whether the lease has run out, or was not won in time.
+    /// Whether the lease has expired, or was not acquired in time.
     fn has_ended(&self, now: i64) -> bool {
         let timed_out = now >= self.requested_at + limits::LEASE_REQUEST_TIMEOUT;
         self.lease_expires_at <= now && (self.lease_expires_at > 0 || timed_out)
@@ -120,44 +121,45 @@
     }
 }
 
-/// The lease on one role, as a replica sees it: as a voter, and as a candidate or holder.
+/// The lease on one role at one replica, which is a voter and may be a candidate or holder.
 #[derive(Clone, Debug)]
 pub struct RoleLease {
     /// The position of this replica in the order in which the replicas request a vacant lease.
     rank: i64,
     /// The newest term that this replica has granted.
     granted_term: Term,
-    /// That term was released by a candidate that had not won it: nobody ever holds it.
+    /// The candidate of the granted term released it without having acquired the lease: nobody will ever hold it.
     granted_term_is_unused: bool,
-    /// The newest term before that one that was not unused.
+    /// The newest term before the granted one that was not unused.
     previous_term: Term,
-    /// The newest term that was seen to be held, as it is on disk.
+    /// The newest term that was observed as held; it is persisted.
     last_held_term: Term,
-    /// The term that is granted until `grant_expires_at`.
+    /// The term granted until `grant_expires_at`.
     current_grant: Term,
     grant_expires_at: i64,
     candidacy: Option<Candidacy>,
-    /// The holder as it says itself, and until when that is believed.
+    /// The term of the holder according to its own requests, and the time until which that is valid.
     known_holder: Option<(Term, i64)>,
-    /// The newest term that was heard of.
+    /// The newest known term.
     newest_term: u64,
-    /// The role is vacant since then, as far as known.
+    /// The time from which the role is vacant, as far as known.
     vacant_since: i64,
-    /// No request is sent before then.
+    /// Earliest time of the next request.
     next_request_at: i64,
-    /// Until then a grant of before the restart may last, and nothing is granted but to whom that can be.
+    /// Until this time a grant given before the restart may be valid, and only its possible grantee is granted the
+    /// lease.
     quiet_period_ends_at: i64,
-    /// This replica held the lease when its process ended, and requests it ahead of all others.
+    /// This replica held the lease when its process ended, and requests it before all others.
     is_resuming_holder: bool,
 }
 
-/// Whether `process` is `holder`, or was started after `holder` had ended.
+/// Whether `process` is `holder`, or a later process of the same replica and incarnation.
 fn is_same_or_successor(process: ProcessId, holder: ProcessId) -> bool {
     process.voter() == holder.voter() && process.run >= holder.run
 }
 
 impl RoleLease {
-    /// The lease as seen by a replica that starts, or takes part from now on.
+    /// Creates the lease state of a replica that starts, or participates from `now` on.
     pub fn new(
         role: SingletonRole,
         local: ProcessId,
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Whether this replica is the first one to request a vacant lease.
+    /// Whether this replica is the first in the order of requests for a vacant lease.
     pub fn ranks_first(&self) -> bool {
         self.rank == 0
     }
@@ -217,12 +219,12 @@
         self.granted_term
     }
 
-    /// The newest term that this replica has seen to be held.
+    /// The newest term that this replica has observed as held.
     pub fn last_held_term(&self) -> Term {
         self.last_held_term
     }
 
-    /// Takes over a term that another replica has granted, in place of what was lost with the disk.
+    /// Adopts a term that another replica has granted, in place of the grants lost with the disk.
     pub fn adopt_term(&mut self, term: Term) {
         if term > self.granted_term {
             self.granted_term = term;
@@ -231,7 +233,7 @@
         self.newest_term = self.newest_term.max(self.granted_term.number);
     }
 
-    /// Votes on a request.
+    /// Decides on a request.
     pub fn handle_request(
         &mut self,
         now: i64,
@@ -269,8 +271,8 @@
         }
     }
 
-    /// Notes who says that it holds the lease. What this replica has granted does not matter here: it may have been a
-    /// candidate in vain while it did not hear the holder.
+    /// Records the holder that renews the lease, whatever this replica has granted: it may have been an unsuccessful
+    /// candidate while it received no messages of the holder.
     fn record_holder(&mut self, now: i64, term: Term) {
         if self.known_holder.is_none_or(|(known, _)| known <= term) {
             let until = now + limits::GRANT_DURATION;
@@ -279,10 +281,11 @@
         }
     }
 
-    /// The term that may be granted again.
+    /// The term that may be granted again: the newest granted one that was not released unused.
     ///
-    /// Hazard: a replica that does not hear the holder any more grants itself a newer term in vain. If the holder's own
-    /// requests were rejected for that afterwards, a few such replicas would cost it the lease.
+    /// A replica that no longer receives the holder's messages grants itself a newer term and does not acquire the
+    /// lease. If it then rejected the holder's renewals because of that term, a few such replicas would make the holder
+    /// lose the lease.
     fn grantable_term(&self) -> Term {
         if self.granted_term_is_unused {
             self.previous_term
@@ -304,7 +307,7 @@
         now >= self.quiet_period_ends_at || held_last || has_grant
     }
 
-    /// A candidate or holder gives its term up.
+    /// A candidate or holder has released its term.
     pub fn handle_release(&mut self, now: i64, from: ProcessId, release: LeaseRelease) {
         let released = Term {
             number: release.term,
@@ -324,7 +327,7 @@
         }
     }
 
-    /// The term in which this replica holds the lease at this instant.
+    /// The term in which this replica holds the lease at `now`.
     pub fn acting_term(&self, now: i64) -> Option<u64> {
         let candidacy = self.candidacy.as_ref();
         let acting = candidacy.filter(|candidacy| candidacy.lease_expires_at > now);
@@ -342,7 +345,7 @@
         (until > now).then_some(term)
     }
 
-    /// Takes in a vote on a request of this replica. Gives whether the lease was won by it.
+    /// Counts a vote on a request of this replica. Returns whether this vote acquired the lease.
     pub fn handle_vote(&mut self, voter: Voter, vote: LeaseVote, table: &ReplicaTable) -> bool {
         self.newest_term = self.newest_term.max(vote.newest_term);
         let candidacy = self.candidacy.as_mut();
@@ -366,8 +369,8 @@
         won
     }
 
-    /// What is to be done now, if anything. `may_request`: this replica takes part, is in contact with a quorum and goes on
-    /// running. `jitter` delays the next request after a lease that was lost.
+    /// Performs the step that is due, if any. `may_request` is whether this replica may become a candidate; `jitter`,
+    /// in microseconds, delays the next request after the lease was lost or not acquired.
     pub fn tick(&mut self, now: i64, may_request: bool, jitter: i64) -> Option<LeaseAction> {
         let wake_at = self.wake_at();
         match &mut self.candidacy {
@@ -412,18 +415,18 @@
         }
     }
 
-    /// The lease was just won: the next request tells all replicas at once that it is held.
+    /// Makes a renewal due at once: the lease was just acquired, and the renewal notifies all replicas of the holder.
     pub fn renew_now(&mut self, now: i64) {
         self.next_request_at = now;
     }
 
-    /// Gives the lease up, and requests it no more for [`limits::ROLE_FAILURE_PENALTY`].
+    /// Gives up the lease or candidacy, and does not request it again for [`limits::ROLE_FAILURE_PENALTY`].
     pub fn give_up(&mut self, now: i64) -> Option<LeaseRelease> {
         self.next_request_at = now + limits::ROLE_FAILURE_PENALTY;
         self.candidacy.take().map(|candidacy| candidacy.release())
     }
 
-    /// When [`RoleLease::tick`] is to be called at the latest.
+    /// The time by which [`RoleLease::tick`] must be called.
     pub fn wake_at(&self) -> i64 {
         match &self.candidacy {
             Some(candidacy) if candidacy.lease_expires_at > 0 => {
@@ -500,7 +503,7 @@
         self.lease_mut(role).handle_release(now, local, release);
     }
 
-    /// Votes on a request for a lease. `from` is none for this replica's own request.
+    /// Votes on a request for a lease. `from` is `None` for this replica's own request.
     pub(super) fn handle_lease_request(
         &mut self,
         now: i64,
@@ -510,7 +513,7 @@
         request: LeaseRequest,
         out: &mut Vec<Output>,
     ) {
-        // A new term has to be on disk first; one that was granted before goes on without it.
+        // A new term must be persisted first; one granted before can be renewed while the disk rejects writes.
         let is_new = request.term > self.lease(role).granted_term().number;
         if self.disk.is_full && is_new {
             return;
@@ -528,7 +531,7 @@
             newest_term: vote.newest_term,
         };
         if vote.must_persist && !self.disk.is_full {
-            // A term must never be granted twice, not even after all replicas were killed at once.
+            // A term must never be granted twice, not even after all replicas are killed at the same time.
             let metadata = Record::Metadata(self.metadata());
             let vote = PendingWrite::SendVote(from, payload);
             self.write(vec![metadata], Some(vote), out);
@@ -537,7 +540,7 @@
         }
     }
 
-    /// Takes in a vote on a request of this process.
+    /// Handles a vote on a request of this process.
     pub(super) fn handle_lease_vote(
         &mut self,
         now: i64,
@@ -554,7 +557,7 @@
         }
     }
 
-    /// This process can't perform a role: its lease is released, as another replica may do better.
+    /// This process failed to perform a role: releases its lease, as another replica may be able to perform it.
     pub(super) fn handle_role_failed(
         &mut self,
         now: i64,
@@ -566,7 +569,7 @@
         }
     }
 
-    /// The process is to end: releases all leases at once, and hands over what it holds.
+    /// The process was asked to shut down: releases all leases at once, and begins the handover of the chosen items.
     pub(super) fn handle_shutdown(&mut self, now: i64, out: &mut Vec<Output>) {
         self.is_shutting_down = true;
         self.begin_handover(now);
--- a/crates/control/src/core/role_lease/tests.rs
+++ b/crates/control/src/core/role_lease/tests.rs
@@ -31,7 +31,8 @@
     let voter = || RoleLease::new(SingletonRole::Counter, by(1), 6, Default::default(), 0);
     let mut lease = voter();
     assert!(lease.handle_request(STEP, by(0), acquisition(4)).is_granted);
-    // The holder is not heard any more; this replica requests the lease, does not win it, and hears the holder again.
+    // The voter receives no messages of the holder, requests the lease itself without acquiring it, and then receives a
+    // renewal of the holder.
     assert!(
         lease
             .handle_request(3 * STEP, by(1), acquisition(5))
@@ -56,7 +57,7 @@
             .handle_request(3 * STEP + 3, by(0), renewal(4))
             .is_granted
     );
-    // The number is used up all the same, and further unused terms change nothing.
+    // The number of an unused term is not granted again, and further unused terms do not block the holder either.
     assert!(
         !lease
             .handle_request(6 * STEP, by(2), acquisition(5))
@@ -81,7 +82,7 @@
             .is_granted
     );
 
-    // A term that has only expired, or was released after it was won, is not known to be unused.
+    // A term that has merely expired, or was released after it was acquired, does not count as unused.
     for released in [false, true] {
         let mut lease = voter();
         assert!(
@@ -104,8 +105,8 @@
     }
 }
 
-/// Who asks a voter that has just restarted, and whether it may grant before its own earlier grants have surely expired.
-/// `seen`: the newest term, of replica 3 in its second run, was seen to be held.
+/// A restarted voter grants the lease only to its possible earlier grantee until all its earlier grants have expired.
+/// `was_held`: the newest term, of replica 3 in its second run, was observed as held.
 #[test_case(true, 3, 1, 2, true; "the same process")]
 #[test_case(true, 3, 1, 3, true; "the same replica, restarted")]
 #[test_case(true, 3, 1, 1, false; "a process that has ended")]
@@ -159,7 +160,7 @@
         granted,
         "and then holds it"
     );
-    // The others have their turn once its grant, or a forgotten one, has expired.
+    // Other replicas are granted the lease once this grant, or one given before the restart, has expired.
     assert_eq!(
         voter
             .handle_request(limits::GRANT_DURATION, by(5), acquisition(9))
--- a/crates/control/src/core/server_list.rs
+++ b/crates/control/src/core/server_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers as the replicas pass it on: complete, by version.
+//! The platform's list of servers as the replicas distribute it: complete lists, ordered by version.
 
 use std::net::SocketAddr;
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether a later list says something else about the server at this place of the list.
+    /// Whether the entry at the same position of a later list differs.
     fn differs(&self, now: i64, later: &ListedServer) -> bool {
         let (old, new) = (&self.server, &later.server);
         let is_same =
@@ -44,12 +44,12 @@
     }
 }
 
-/// The newest list that is known.
+/// The newest known list.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList {
     /// The term of the poller, and the number of the list within it.
     version: (u64, u64),
-    /// In the order of services and ids.
+    /// Sorted by service and id.
     servers: Vec<ListedServer>,
 }
 
@@ -77,7 +77,7 @@
         self.servers.len() != later.len() || pairs.any(|(old, new)| old.differs(now, new))
     }
 
-    /// Takes over what the poller of this term has read. Gives whether anything has changed.
+    /// Replaces the list by one that the poller of this term has read. Returns whether it differs.
     pub fn update_from_platform(&mut self, now: i64, term: u64, servers: Vec<Server>) -> bool {
         let servers = ServerList::sort_servers(now, servers);
         let changed = !self.is_known() || self.differs(now, &servers);
@@ -94,7 +94,7 @@
         changed
     }
 
-    /// Takes over the list of another replica, if it is newer. Gives whether it was.
+    /// Replaces the list by that of another replica if that is newer. Returns whether it is.
     pub fn update_from_replica(
         &mut self,
         now: i64,
@@ -109,7 +109,7 @@
         newer
     }
 
-    /// The list, with what is left of each warm-up now.
+    /// The list, with the remaining warm-up times at `now`.
     pub fn current(&self, now: i64) -> Vec<Server> {
         let servers = self.servers.iter();
         let current = servers.map(|listed| Server {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The list was read from the platform by this process.
+    /// This process has read the list from the platform.
     pub(super) fn handle_server_list_read(
         &mut self,
         now: i64,
@@ -171,9 +171,9 @@
         }
     }
 
-    /// Whether this replica reads the list without the lease: it is the first one to request the lease on some role, has
-    /// been here before, and knows no list. After a loss of power everywhere the proxies can serve nothing until they have
-    /// a list, so that it must not wait for a lease.
+    /// Whether this replica reads the list without the lease: it is the first in the order of requests for the lease on
+    /// a role, it ran before this start, and it knows no list. After a power loss at all sites the proxies cannot serve
+    /// requests until they have a list, so that reading it must not wait for a lease.
     fn should_poll_without_lease(&self) -> bool {
         let ranks_first = self.role_leases.iter().any(RoleLease::ranks_first);
         let mut leases = self.role_leases.iter();
@@ -185,7 +185,7 @@
             && !self.is_shutting_down
     }
 
-    /// Whether this replica is to read the list from the platform.
+    /// Whether this replica should read the list from the platform.
     pub fn should_poll_platform(&self, now: i64) -> bool {
         let term = self.acting_term(now, SingletonRole::PlatformPoller);
         term.is_some() || self.should_poll_without_lease()
--- a/crates/control/src/core/status.rs
+++ b/crates/control/src/core/status.rs
@@ -1,5 +1,5 @@
-//! How a replica sees the system, for operators: from its own state alone, and bounded in size. The names of the fields are
-//! the keys of the JSON that operators' scripts read.
+//! The status of the system as known to one replica, for operators: built from its own state alone, and bounded in
+//! size. Operators' scripts read the JSON: renamed fields keep their keys by `serde` attributes.
 
 use std::net::SocketAddr;
 
@@ -11,19 +11,19 @@
 use super::membership::LocatedMember;
 use crate::limits;
 
-/// How one replica sees the system.
+/// The status of the system as known to one replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its zone.
+    /// The zone of the replica.
     pub zone: String,
     /// The version of the program.
     #[serde(rename = "program")]
     pub program_version: String,
     /// The number of its incarnation; 0 while it recovers.
     pub incarnation: u32,
-    /// How often its process has started in this incarnation.
+    /// The number of the process start within this incarnation, from 1.
     pub run: u32,
-    /// Whether it votes and answers.
+    /// Whether it votes and answers calls.
     #[serde(rename = "takes_part")]
     pub is_participant: bool,
     /// Whether another machine holds a newer incarnation of it.
@@ -34,11 +34,11 @@
     pub has_quorum_contact: bool,
     /// Whether its disk rejects writes.
     pub disk_full: bool,
-    /// The number of items that it knows to be chosen, removed ones included.
+    /// The number of items that it knows to be chosen, including removed ones.
     pub items: u32,
-    /// The digest of their names and versions, in hexadecimal: equal where the same items are known.
+    /// The digest of their names and versions, in hexadecimal: equal at replicas that know the same items.
     pub digest: String,
-    /// The number of items that were accepted and are not known to be chosen.
+    /// The number of accepted items that are not known to be chosen.
     #[serde(rename = "unfinished")]
     pub unconfirmed_items: usize,
     /// The version of the platform's list: the term of the poller, and the number of the list within it.
@@ -46,43 +46,43 @@
     pub server_list_version: (u64, u64),
     /// All replicas.
     pub replicas: Vec<ReplicaStatus>,
-    /// The roles of which one replica performs each.
+    /// The roles that one replica performs for all.
     #[serde(rename = "duties")]
     pub roles: Vec<RoleStatus>,
     /// The members, at most [`limits::MAX_LISTED_LIMITERS`] of them.
     pub limiters: Vec<LimiterStatus>,
-    /// How many members are left out.
+    /// The number of further members that are not listed.
     #[serde(rename = "left_out")]
     pub omitted_limiters: usize,
 }
 
-/// A replica as another one sees it.
+/// A replica as known to another one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
     /// Its zone.
     pub zone: String,
     /// The number of its newest known incarnation; 0 for none.
     pub incarnation: u32,
-    /// Its address, as far as known.
+    /// Its address, if known.
     pub address: Option<SocketAddr>,
-    /// Whether it was heard recently; always so of the replica itself.
+    /// Whether a message of it was received recently; always true for the reporting replica itself.
     #[serde(rename = "heard")]
     pub is_reachable: bool,
 }
 
-/// A role as a replica sees it.
+/// A role as known to a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleStatus {
     /// `poll` or `count`.
     #[serde(rename = "duty")]
     pub role: String,
-    /// The zone of the replica that holds the lease; none while no holder is known.
+    /// The zone of the replica that holds the lease; `None` while no holder is known.
     pub holder: Option<String>,
     /// The term of the lease; 0 without a holder.
     pub term: u64,
 }
 
-/// An edge, whose proxy and agent are one limiter, as a replica sees it.
+/// An edge, whose proxy and agent form one limiter, as known to a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimiterStatus {
     /// The name of its machine.
@@ -91,28 +91,29 @@
     pub zone: String,
     /// The zone of the replica that its agent is linked to.
     pub replica: String,
-    /// Whether its agent is linked; otherwise its lease is about to expire.
+    /// Whether its agent is linked. The lease of a disconnected one expires soon.
     #[serde(rename = "linked")]
     pub is_connected: bool,
-    /// `ready`, `leaving` or `away`.
+    /// The state: `ready`, `leaving` or `away`.
     #[serde(rename = "standing")]
     pub state: String,
-    /// The number of items that it has, if it is linked to the replica that is asked and has reported it.
+    /// The number of items that it has, if it is linked to the reporting replica and has reported them.
     pub items: Option<u32>,
-    /// For how long it has had other items than this replica, in milliseconds at most; 0 if it has the same.
+    /// An upper bound of the time for which its items have differed from this replica's, in milliseconds; 0 if they are
+    /// the same.
     #[serde(rename = "behind")]
     pub lag_ms: Option<i64>,
 }
 
 impl Status {
-    /// The JSON that operators are sent.
+    /// The status as JSON, as sent to operators.
     pub fn json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 }
 
 impl Replica {
-    /// How this replica sees the system.
+    /// The status of the system as known to this replica.
     pub(super) fn status(&self, now: i64) -> Status {
         let local = self.table.local();
         let summary = self.chosen.summary();
@@ -193,7 +194,7 @@
     }
 }
 
-/// The word for a node's state in [`LimiterStatus::standing`].
+/// The name of a node's state in [`LimiterStatus::state`].
 fn state_name(state: NodeState) -> &'static str {
     match state {
         NodeState::Ready => "ready",
