--- a/crates/control/src/core/transfer.rs
+++ b/crates/control/src/core/transfer.rs
@@ -1,9 +1,10 @@
-//! State transfer in chunks: how the registers of one replica reach another, whatever is lost, duplicated or reordered.
+//! State transfer in chunks: sends the registers of one replica to another, tolerating lost, duplicated and reordered
+//! messages.
 //!
-//! Registers are independent of each other, so a transfer needs no consistent cut: each register is sent as it is at some
-//! instant after the request. A request names what the requester has, as digests by bucket, and the item name after which
-//! to continue; the source keeps no state between two requests. A lost chunk is requested again, and a duplicate or late
-//! one makes no progress. Its contents are merged by ballot and so do no harm.
+//! Registers are independent of each other, so a transfer needs no consistent snapshot: each register is sent as it is
+//! at some time after the request. A request contains digests of the requester's entries, by bucket, and the item name
+//! after which to continue; the source keeps no state between two requests. A lost chunk is requested again, and a
+//! duplicate or late one makes no progress; merging its contents is harmless, since they are merged by ballot.
 
 use protocol::items::{Item, ItemName};
 use serde::{Deserialize, Serialize};
@@ -25,7 +26,7 @@
 /// A chunk of a transfer; items are in the order of their names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The last name of the chunk before this one; none for the first chunk.
+    /// The last name of the previous chunk; `None` for the first chunk of a transfer.
     pub start_after: Option<ItemName>,
     /// The accepted items, each with its ballot.
     pub items: Vec<(Ballot, Item)>,
@@ -39,12 +40,12 @@
     item.name.name.len() + spec_bytes + limits::ITEM_OVERHEAD_BYTES
 }
 
-/// Sizes of the messages of a transfer. A simulation sets lower ones, so that its few items need many chunks.
+/// Maximum sizes of the messages of a transfer. Simulations set lower ones, so that few items need many chunks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransferLimits {
-    /// The size of one chunk, in bytes.
+    /// The maximum size of one chunk, in bytes.
     pub chunk_bytes: usize,
-    /// The size of all chunks that answer one request, in bytes.
+    /// The maximum size of all chunks that answer one request, in bytes.
     pub response_bytes: usize,
 }
 
@@ -57,16 +58,16 @@
     }
 }
 
-/// Entries that were split into messages.
+/// Entries split into messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Split<T> {
     /// The entries of each message. There is at least one message, which may be empty.
     pub chunks: Vec<Vec<T>>,
-    /// Whether entries are left that did not fit into one response.
+    /// Whether further entries did not fit into the response.
     pub has_more: bool,
 }
 
-/// Splits entries into messages within `limits`. An entry that alone exceeds a limit still goes into a message.
+/// Splits entries into messages within `limits`. A single entry that exceeds a limit still forms a message.
 pub fn split_into_chunks<T>(
     limits: TransferLimits,
     entries: impl Iterator<Item = T>,
@@ -114,7 +115,7 @@
     })
 }
 
-/// The chunks that answer one request. `entries` are in the order of their names, all of them after `after`.
+/// The chunks that answer one request. `entries` are sorted by name, all of them after `start_after`.
 pub fn response_chunks(
     limits: TransferLimits,
     after: Option<ItemName>,
@@ -138,17 +139,17 @@
     chunks
 }
 
-/// How far a transfer from one source has come.
+/// The progress of a transfer from one source.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TransferProgress {
-    /// Everything up to this name was received.
+    /// All entries up to this name were received.
     pub start_after: Option<ItemName>,
-    /// Everything was received.
+    /// Whether all entries were received.
     pub is_complete: bool,
 }
 
 impl TransferProgress {
-    /// Takes note of a chunk. Gives what is to be done next, and nothing for a duplicate or a chunk after a gap.
+    /// Records a chunk. Returns what follows it; `None` for a duplicate or a chunk after a gap.
     pub fn record_chunk(&mut self, chunk: &Chunk) -> Option<Continuation> {
         if self.is_complete || chunk.start_after != self.start_after {
             return None;
@@ -176,8 +177,8 @@
         }
     }
 
-    /// As [`TransferProgress::record_chunk`]. What a former incarnation has sent does not count: it may have lost what
-    /// this one was to hear of.
+    /// Like [`TransferProgress::record_chunk`], but starts over with a new incarnation of the source: chunks of an
+    /// earlier one do not count, since the source may have lost promises or values with its disk after sending them.
     pub(super) fn record_chunk(
         &mut self,
         incarnation: Incarnation,
