--- a/crates/control/src/core/acceptor.rs
+++ b/crates/control/src/core/acceptor.rs
@@ -27,20 +27,20 @@
             return;
         }
         match self.registers.prepare(ballot, names) {
-            Ok(accepted) => {
+            Ok(accepted_values) => {
                 let records = self.register_records(names.iter());
                 let promise = Payload::Promise {
                     ballot,
-                    accepted_values: accepted,
+                    accepted_values,
                 };
                 self.write(records, Some(PendingWrite::SendVote(from, promise)), out);
             }
-            Err(seen) => self.deliver_vote(
+            Err(higher_ballot) => self.deliver_vote(
                 now,
                 from,
                 Payload::Nack {
                     ballot,
-                    higher_ballot: seen,
+                    higher_ballot,
                 },
                 out,
             ),
@@ -67,15 +67,15 @@
                     self.track_pending(now, &item.name);
                 }
                 let records = self.register_records(items.iter().map(|item| &item.name));
-                let accepted = Payload::Accepted(ballot);
-                self.write(records, Some(PendingWrite::SendVote(from, accepted)), out);
+                let vote = Payload::Accepted(ballot);
+                self.write(records, Some(PendingWrite::SendVote(from, vote)), out);
             }
-            Err(seen) => self.deliver_vote(
+            Err(higher_ballot) => self.deliver_vote(
                 now,
                 from,
                 Payload::Nack {
                     ballot,
-                    higher_ballot: seen,
+                    higher_ballot,
                 },
                 out,
             ),
@@ -85,11 +85,11 @@
     /// Whether this replica votes on a proposal. It does not while its disk rejects writes, nor on other replicas'
     /// proposals once its handover has closed voting.
     fn may_vote(&self, from: Option<SocketAddr>) -> bool {
-        let closed = self
+        let is_voting_closed = self
             .handover
             .as_ref()
             .is_some_and(Handover::is_voting_closed);
-        !self.disk.is_full && (from.is_none() || !closed)
+        !self.disk.is_full && (from.is_none() || !is_voting_closed)
     }
 
     fn register_records<'a>(&self, names: impl Iterator<Item = &'a ItemName>) -> Vec<Record> {
@@ -100,7 +100,7 @@
     /// Another replica reports that all values accepted under `ballot` are chosen.
     pub(super) fn handle_chosen(&mut self, now: i64, ballot: Ballot, out: &mut Vec<Output>) {
         let entries = self.registers.accepted_entries();
-        let entries = entries.filter(|(accepted, _)| *accepted == ballot);
+        let entries = entries.filter(|(accepted_ballot, _)| *accepted_ballot == ballot);
         let entries = entries.cloned().collect();
         self.learn_chosen(now, entries, out);
     }
--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -66,9 +66,9 @@
     /// Digests of the items that the agent had when it connected.
     digests: Vec<u64>,
     /// All items up to this name were sent. Items chosen later are announced at once.
-    after: Option<ItemName>,
-    /// Chunks that the agent has not acknowledged.
-    unacknowledged: usize,
+    start_after: Option<ItemName>,
+    /// The number of chunks that the agent has not acknowledged.
+    unacknowledged_chunks: usize,
     /// When a chunk was last sent or acknowledged.
     progressed_at: i64,
 }
@@ -118,11 +118,11 @@
 
     /// The time at which an announcement or initial transfer to any agent is due.
     pub(super) fn wake_at(&self) -> Option<i64> {
-        let count_update = self
+        let count_update_at = self
             .has_unannounced_count
             .then_some(self.next_count_update_at);
-        let deferred = self.deferred_syncs.values().copied().min();
-        count_update.into_iter().chain(deferred).min()
+        let deferred_sync_at = self.deferred_syncs.values().copied().min();
+        count_update_at.into_iter().chain(deferred_sync_at).min()
     }
 
     fn remove(&mut self, link: u64) {
@@ -204,11 +204,11 @@
         digest: u64,
         out: &mut Vec<Output>,
     ) {
-        let former = self.agents.agent_states.get(&link);
+        let previous = self.agents.agent_states.get(&link);
         let complete_at = if digest == self.chosen.summary().digest {
             now
         } else {
-            former.map_or(now, |former| former.up_to_date_at)
+            previous.map_or(now, |previous| previous.up_to_date_at)
         };
         let state = AgentState {
             items,
@@ -235,9 +235,9 @@
         if is_late {
             self.send_clock(now, link, out);
         }
-        let counts = !is_late && !self.counter.is_suspended(now);
+        let may_count = !is_late && !self.counter.is_suspended(now);
         let term = self.acting_term(now, SingletonRole::Counter);
-        let answer = match term.filter(|_| counts) {
+        let answer = match term.filter(|_| may_count) {
             Some(term) => ControlMessage::Totals {
                 batch,
                 totals: self.counter.add(now, term, share, adds),
@@ -255,9 +255,9 @@
     /// Whether another replica, which belongs to the zone of an agent, is reachable.
     fn has_reachable_zone_replica(&self, now: i64, zone: &str) -> bool {
         let position = self.zones.iter().position(|other| other == zone);
-        let home = position.map(|position| position as ReplicaId);
-        home.is_some_and(|home| {
-            home != self.table.local().replica && self.table.is_reachable(now, home)
+        let zone_replica = position.map(|position| position as ReplicaId);
+        zone_replica.is_some_and(|replica| {
+            replica != self.table.local().replica && self.table.is_reachable(now, replica)
         })
     }
 
@@ -269,8 +269,8 @@
         }
         let sync = PendingSync {
             digests: digests.unwrap_or_default(),
-            after: None,
-            unacknowledged: 0,
+            start_after: None,
+            unacknowledged_chunks: 0,
             progressed_at: now,
         };
         self.agents.pending_syncs.insert(link, sync);
@@ -288,7 +288,7 @@
     /// An agent has acknowledged a chunk.
     fn handle_chunk_ack(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
         if let Some(sync) = self.agents.pending_syncs.get_mut(&link) {
-            sync.unacknowledged = sync.unacknowledged.saturating_sub(1);
+            sync.unacknowledged_chunks = sync.unacknowledged_chunks.saturating_sub(1);
             sync.progressed_at = now;
             self.send_chunks(now, link, out);
         }
@@ -299,20 +299,21 @@
         let Some(sync) = self.agents.pending_syncs.get_mut(&link) else {
             return;
         };
-        let free = limits::MAX_UNACKNOWLEDGED_CHUNKS.saturating_sub(sync.unacknowledged);
-        if free == 0 {
+        let remaining =
+            limits::MAX_UNACKNOWLEDGED_CHUNKS.saturating_sub(sync.unacknowledged_chunks);
+        if remaining == 0 {
             return;
         }
         let missing = self
             .chosen
-            .items_missing_from(&sync.digests, sync.after.as_ref());
+            .items_missing_from(&sync.digests, sync.start_after.as_ref());
         let split = split_into_chunks(self.transfer_limits, missing, |item| item);
-        let has_more = split.has_more || split.chunks.len() > free;
-        for chunk in split.chunks.into_iter().take(free) {
+        let has_more = split.has_more || split.chunks.len() > remaining;
+        for chunk in split.chunks.into_iter().take(remaining) {
             if let Some(last) = chunk.last() {
-                sync.after = Some(last.name.clone());
+                sync.start_after = Some(last.name.clone());
             }
-            sync.unacknowledged += 1;
+            sync.unacknowledged_chunks += 1;
             sync.progressed_at = now;
             let items = ControlMessage::Items(chunk.into_iter().cloned().collect());
             out.push(Output::SendToAgents(vec![link], items));
@@ -351,11 +352,11 @@
     /// must remain available to them.
     fn counter_reach_share(&self) -> f64 {
         let limiters = self.membership.recently_serving_count();
-        let reached = self.agents.counter_links.len();
-        if reached >= limiters {
+        let reaching_limiters = self.agents.counter_links.len();
+        if reaching_limiters >= limiters {
             return 1.0;
         }
-        let share = reached as f64 / limiters as f64;
+        let share = reaching_limiters as f64 / limiters as f64;
         share.max(limits::MIN_REACHED_SHARE)
     }
 
@@ -403,10 +404,10 @@
     /// How much the view of a zone has changed since it was announced. This runs after most inputs, and is cheap if
     /// nothing has changed.
     fn view_change(&self, now: i64, zone: &str, announced: &AnnouncedView) -> ViewChange {
-        let former = &announced.view;
+        let previous = &announced.view;
         let has_quorum = self.table.has_quorum_contact(now) && !self.is_shutting_down;
-        if former.counter != self.counter_holder(now)
-            || former.has_quorum != has_quorum
+        if previous.counter != self.counter_holder(now)
+            || previous.has_quorum != has_quorum
             || announced.table_revision != self.table.revision()
         {
             return ViewChange::Major;
@@ -414,12 +415,11 @@
         let serving = self.membership.serving_counts(zone);
         let recently_serving = self.membership.recently_serving_count() as u32;
         let limiters = serving.total.max(recently_serving);
-        let difference = former.limiters.abs_diff(limiters);
-        if difference == 0 && former.limiters_in_zone == serving.in_zone {
+        let difference = previous.limiters.abs_diff(limiters);
+        if difference == 0 && previous.limiters_in_zone == serving.in_zone {
             ViewChange::None
-        } else if difference * limits::MINOR_LIMITER_CHANGE_DIVISOR > former.limiters {
-            // Hazard: limiters that each take an even slice of a quota must not go on with a number that is much too
-            // low.
+        } else if difference * limits::MINOR_LIMITER_CHANGE_DIVISOR > previous.limiters {
+            // Limiters that each use an even slice of a quota exceed it if they keep a number that is much too low.
             ViewChange::Major
         } else {
             ViewChange::Minor
@@ -451,19 +451,20 @@
                 None => ViewChange::Major,
             };
             // Without the delay, each of many starting limiters would be announced to all others separately.
-            let defer = change == ViewChange::Minor && now < self.agents.next_count_update_at;
-            self.agents.has_unannounced_count |= defer;
-            if change == ViewChange::None || defer {
+            let is_deferred = change == ViewChange::Minor && now < self.agents.next_count_update_at;
+            self.agents.has_unannounced_count |= is_deferred;
+            if change == ViewChange::None || is_deferred {
                 unchanged.extend(links);
                 continue;
             }
             let view = self.cluster_view(now, zone);
             let message = ControlMessage::ClusterView(view.view.clone());
-            let former = announced.get(zone);
-            let regained = view.view.has_quorum && former.is_some_and(|f| !f.view.has_quorum);
+            let previous = announced.get(zone);
+            let regained_quorum =
+                view.view.has_quorum && previous.is_some_and(|previous| !previous.view.has_quorum);
             out.push(Output::SendToAgents(links.clone(), message));
-            // An agent takes what it has for incomplete from the loss of the quorum on.
-            if regained && self.catch_up.is_up_to_date() {
+            // An agent treats its items as incomplete from the loss of the quorum on.
+            if regained_quorum && self.catch_up.is_up_to_date() {
                 self.announce_complete_to(links, out);
             }
             announced.insert(zone.clone(), view);
--- a/crates/control/src/core/anti_entropy.rs
+++ b/crates/control/src/core/anti_entropy.rs
@@ -66,17 +66,17 @@
         out: &mut Vec<Output>,
     ) {
         let differing: Vec<&(Ballot, Item)> = self.chosen.entries_differing_from(digests).collect();
-        let few_bytes = self.transfer_limits.chunk_bytes / limits::SMALL_DIFFERENCE_DIVISOR;
-        let few = TransferLimits {
-            chunk_bytes: few_bytes,
-            response_bytes: few_bytes,
+        let max_bytes = self.transfer_limits.chunk_bytes / limits::SMALL_DIFFERENCE_DIVISOR;
+        let small_difference = TransferLimits {
+            chunk_bytes: max_bytes,
+            response_bytes: max_bytes,
         };
-        let split = split_into_chunks(few, differing.iter(), |(_, item)| item);
+        let split = split_into_chunks(small_difference, differing.iter(), |(_, item)| item);
         let payload = match split.chunks.as_slice() {
-            [only] if !split.has_more => Payload::ChosenChunk {
+            [chunk] if !split.has_more => Payload::ChosenChunk {
                 id,
                 sequence: 0,
-                items: only.iter().map(|entry| (**entry).clone()).collect(),
+                items: chunk.iter().map(|entry| (**entry).clone()).collect(),
                 continuation: Continuation::End,
             },
             _ => {
@@ -107,17 +107,21 @@
             .entries()
             .map(|entry| (entry_key(entry), entry.0));
         let known: BTreeMap<u64, Ballot> = known.collect();
-        let is_newer = |key: &u64, ballot: &Ballot| known.get(key).is_none_or(|own| own < ballot);
+        let is_newer = |key: &u64, ballot: &Ballot| {
+            known
+                .get(key)
+                .is_none_or(|known_ballot| known_ballot < ballot)
+        };
         let newer = entries.iter().filter(|(key, ballot)| is_newer(key, ballot));
-        let wanted: Vec<u64> = newer.map(|(key, _)| *key).collect();
-        if wanted.is_empty() {
+        let keys: Vec<u64> = newer.map(|(key, _)| *key).collect();
+        if keys.is_empty() {
             // Only the other replica lacks items.
             self.catch_up.exchange = DigestExchange::default();
             return self.handle_caught_up(now, sender.replica(), out);
         }
         self.mark_lagging(now);
         let id = self.begin_exchange();
-        let payload = Payload::FetchRequest { id, keys: wanted };
+        let payload = Payload::FetchRequest { id, keys };
         self.send(vec![sender.address], payload, out);
     }
 
@@ -126,12 +130,12 @@
         &self,
         from: SocketAddr,
         id: u64,
-        wanted: &[u64],
+        keys: &[u64],
         out: &mut Vec<Output>,
     ) {
-        let wanted: BTreeSet<u64> = wanted.iter().copied().collect();
+        let keys: BTreeSet<u64> = keys.iter().copied().collect();
         let entries = self.chosen.entries();
-        let entries = entries.filter(|entry| wanted.contains(&entry_key(entry)));
+        let entries = entries.filter(|entry| keys.contains(&entry_key(entry)));
         let split = split_into_chunks(self.transfer_limits, entries.cloned(), |(_, item)| item);
         let continuations = continuations(split.chunks.len(), split.has_more);
         let chunks = split.chunks.into_iter().zip(continuations);
--- a/crates/control/src/core/catch_up.rs
+++ b/crates/control/src/core/catch_up.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether all items that were chosen when the last quorum read completed are known here.
+    /// Whether all chosen items are known here, as verified by a quorum read since the last reset.
     pub(super) fn is_up_to_date(&self) -> bool {
         self.is_up_to_date
     }
@@ -91,16 +91,16 @@
         now: i64,
         replica: ReplicaId,
         matches: bool,
-        may_ask: bool,
+        may_request: bool,
     ) -> bool {
         let mismatches = self.digest_mismatches.entry(replica).or_default();
         *mismatches = if matches { 0 } else { *mismatches + 1 };
-        let ask = *mismatches >= MISMATCHES_BEFORE_EXCHANGE && now >= self.next_request_at;
-        if ask && may_ask {
+        let is_due = *mismatches >= MISMATCHES_BEFORE_EXCHANGE && now >= self.next_request_at;
+        if is_due && may_request {
             *mismatches = 0;
             self.next_request_at = now + limits::SYNC_REQUEST_INTERVAL;
         }
-        ask && may_ask
+        is_due && may_request
     }
 }
 
@@ -121,8 +121,11 @@
             self.update_up_to_date(now, out);
         }
         let matches = chosen_digest == self.chosen.digest();
-        let may_ask = self.table.is_participant();
-        if self.catch_up.count_mismatch(now, replica, matches, may_ask) {
+        let may_request = self.table.is_participant();
+        if self
+            .catch_up
+            .count_mismatch(now, replica, matches, may_request)
+        {
             self.request_digest_exchange(sender.address, out);
         }
     }
--- a/crates/control/src/core/chosen.rs
+++ b/crates/control/src/core/chosen.rs
@@ -125,8 +125,9 @@
         after: Option<&ItemName>,
     ) -> impl Iterator<Item = &'a Item> {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let rest = self.entries.range::<ItemName, _>((from, Bound::Unbounded));
-        rest.map(|(_, (_, item))| item)
+        let remaining = self.entries.range::<ItemName, _>((from, Bound::Unbounded));
+        remaining
+            .map(|(_, (_, item))| item)
             .filter(|item| self.version_digests.bucket_differs(digests, &item.name))
     }
 }
--- a/crates/control/src/core/counter.rs
+++ b/crates/control/src/core/counter.rs
@@ -33,7 +33,7 @@
     /// use the quotas of both windows.
     pub fn suspend(&mut self, now: i64, duration: i64) {
         let last_add_at = self.last_add_at;
-        if last_add_at.is_some_and(|last| now - last < limits::QUOTA_WINDOW) {
+        if last_add_at.is_some_and(|last_add_at| now - last_add_at < limits::QUOTA_WINDOW) {
             self.suspended_until = self.suspended_until.max(Some(now + duration));
         }
     }
--- a/crates/control/src/core/dispatch.rs
+++ b/crates/control/src/core/dispatch.rs
@@ -24,7 +24,7 @@
             Input::AgentDisconnected(link) => self.handle_agent_disconnected(link, out),
             Input::ServerListRead(servers) => self.handle_server_list_read(now, servers, out),
             Input::RoleFailed(role) => self.handle_role_failed(now, role, out),
-            Input::DiskFull(full) => self.handle_disk_full(full, out),
+            Input::DiskFull(is_full) => self.handle_disk_full(is_full, out),
             Input::Shutdown => self.handle_shutdown(now, out),
         }
     }
@@ -44,18 +44,18 @@
         message: PeerMessage,
         out: &mut Vec<Output>,
     ) {
-        let reception = self.table.record_message(now, from, &message);
-        if reception.table_changed {
+        let outcome = self.table.record_message(now, from, &message);
+        if outcome.table_changed {
             self.handle_replicas_changed(now, out);
         }
-        if reception.sender_returned {
+        if outcome.sender_returned {
             self.greet_replica(from, out);
         }
         let sender = Sender {
             address: from,
             process: message.sender,
         };
-        if reception.is_current {
+        if outcome.is_current {
             self.handle_current_message(now, sender, message, out);
         } else {
             self.handle_outdated_message(now, sender, message.payload, out);
@@ -149,12 +149,12 @@
             }
             Payload::IncarnationRecorded {
                 incarnation,
-                promise_floor: floor,
+                promise_floor,
                 chunk,
                 terms,
             } => {
                 if self.is_recovering_as(incarnation) {
-                    self.handle_incarnation_recorded(now, sender, floor, chunk, &terms, out)
+                    self.handle_incarnation_recorded(now, sender, promise_floor, chunk, &terms, out)
                 }
             }
             Payload::HandoverAck {
@@ -191,24 +191,21 @@
                 role,
                 term,
                 sent_at,
-                is_renewal: renewal,
+                is_renewal,
             } => {
                 let request = LeaseRequest {
                     term,
                     sent_at,
-                    is_renewal: renewal,
+                    is_renewal,
                 };
                 self.handle_lease_request(now, Some(from), sender.process, role, request, out)
             }
             Payload::LeaseRelease {
                 role,
                 term,
-                is_unused: unused,
+                is_unused,
             } => {
-                let release = LeaseRelease {
-                    term,
-                    is_unused: unused,
-                };
+                let release = LeaseRelease { term, is_unused };
                 self.lease_mut(role)
                     .handle_release(now, sender.process, release)
             }
@@ -221,9 +218,7 @@
             Payload::DigestEntries { id, entries } => {
                 self.handle_digest_entries(now, sender, id, &entries, out)
             }
-            Payload::FetchRequest { id, keys: wanted } => {
-                self.handle_fetch_request(from, id, &wanted, out)
-            }
+            Payload::FetchRequest { id, keys } => self.handle_fetch_request(from, id, &keys, out),
             Payload::ChosenChunk {
                 id,
                 sequence,
--- a/crates/control/src/core/handover.rs
+++ b/crates/control/src/core/handover.rs
@@ -51,8 +51,8 @@
         if !self.in_flight.is_empty() {
             return Vec::new();
         }
-        let to_send = differing.into_iter();
-        to_send
+        let unconfirmed = differing.into_iter();
+        unconfirmed
             .filter(|(_, item)| missing.contains(&item.name))
             .collect()
     }
@@ -134,15 +134,18 @@
     /// queries all of them again.
     fn check_handover(&self, handover: &mut Handover, out: &mut Vec<Output>) -> bool {
         let others = self.table.replica_count() - 1;
-        let needed = self.table.quorum_size().min(others);
+        let required = self.table.quorum_size().min(others);
         if self.table.is_superseded() {
             return handover.is_successor_reachable
-                && handover.complete_receiver_count() + 1 >= needed;
+                && handover.complete_receiver_count() + 1 >= required;
         }
-        // Hazard: what was accepted here and is not known to be chosen may have been acknowledged by another replica,
+        // A value that was accepted here and is not known to be chosen may have been acknowledged by another replica,
         // and a read in progress may become a proposal.
-        let at_work = !self.is_idle() || !self.proposals.is_empty();
-        if handover.complete_receiver_count() < needed || !self.pending.is_empty() || at_work {
+        let has_open_work = !self.is_idle() || !self.proposals.is_empty();
+        if handover.complete_receiver_count() < required
+            || !self.pending.is_empty()
+            || has_open_work
+        {
             return false;
         }
         if handover.is_voting_closed {
@@ -151,7 +154,7 @@
         handover.is_voting_closed = true;
         handover.receivers.clear();
         self.query_receivers(handover, out);
-        needed == 0
+        required == 0
     }
 
     fn query_receivers(&self, handover: &mut Handover, out: &mut Vec<Output>) {
--- a/crates/control/src/core/heartbeat.rs
+++ b/crates/control/src/core/heartbeat.rs
@@ -104,8 +104,8 @@
             out.push(Output::Log(Event::AbandonedIncarnation));
             self.table.relinquish_incarnation();
             // The disk still holds the registers, so that the others only need to send values that differ.
-            let accepted = self.registers.accepted_entries();
-            self.recovery = Some(Recovery::from_accepted(accepted));
+            let entries = self.registers.accepted_entries();
+            self.recovery = Some(Recovery::from_accepted(entries));
             return self.announce_view(now, Announcement::WithKeepAlive, out);
         }
         if self.table.is_superseded() {
--- a/crates/control/src/core/load_aggregation.rs
+++ b/crates/control/src/core/load_aggregation.rs
@@ -83,8 +83,9 @@
 
     fn levels(&self, region: &str) -> Vec<AdmissionLevel> {
         let controllers = self.controllers.iter();
-        let of_region = controllers.filter(|((of, _), _)| of == region);
-        let levels = of_region.filter_map(|((_, service), controller)| controller.level(service));
+        let regional =
+            controllers.filter(|((controller_region, _), _)| controller_region == region);
+        let levels = regional.filter_map(|((_, service), controller)| controller.level(service));
         levels.collect()
     }
 }
--- a/crates/control/src/core/membership.rs
+++ b/crates/control/src/core/membership.rs
@@ -168,14 +168,14 @@
         if self.nodes.get(name).map(String::as_str) == zone {
             return;
         }
-        let former_zone = match zone {
+        let previous_zone = match zone {
             Some(zone) => {
                 *self.zones.entry(zone.to_string()).or_default() += 1;
                 self.nodes.insert(name.to_string(), zone.to_string())
             }
             None => self.nodes.remove(name),
         };
-        if let Some(count) = former_zone.and_then(|zone| self.zones.get_mut(&zone)) {
+        if let Some(count) = previous_zone.and_then(|zone| self.zones.get_mut(&zone)) {
             *count -= 1;
         }
     }
@@ -227,25 +227,27 @@
             return None;
         }
         let announced = &mut self.last_announced;
-        let changed = self.local_leases.iter();
-        let changed =
-            changed.filter(|(name, lease)| announced.members.get(*name) != Some(&lease.member));
-        let changed: Vec<Member> = changed.map(|(_, lease)| lease.member.clone()).collect();
-        let removed = announced.members.keys();
-        let removed = removed.filter(|name| !self.local_leases.contains_key(*name));
-        let removed: Vec<String> = removed.cloned().collect();
-        for name in &removed {
+        let changed_leases = self.local_leases.iter();
+        let changed_leases = changed_leases
+            .filter(|(name, lease)| announced.members.get(*name) != Some(&lease.member));
+        let changed_members: Vec<Member> = changed_leases
+            .map(|(_, lease)| lease.member.clone())
+            .collect();
+        let removed_names = announced.members.keys();
+        let removed_names = removed_names.filter(|name| !self.local_leases.contains_key(*name));
+        let removed_names: Vec<String> = removed_names.cloned().collect();
+        for name in &removed_names {
             announced.members.remove(name);
         }
-        for member in &changed {
+        for member in &changed_members {
             let name = member.node.name.clone();
             announced.members.insert(name, member.clone());
         }
         Some(MembershipDelta {
             digest_before: std::mem::replace(&mut announced.digest, self.digest),
             digest_after: self.digest,
-            changed_members: changed,
-            removed_names: removed,
+            changed_members,
+            removed_names,
         })
     }
 
@@ -360,9 +362,9 @@
         unavailable: &BTreeSet<String>,
     ) {
         let recently_serving = &mut self.recently_serving;
-        let newly_left = unavailable.iter();
-        let newly_left = newly_left.filter(|name| recently_serving.contains_key(*name));
-        self.departed.extend(newly_left.cloned());
+        let newly_departed = unavailable.iter();
+        let newly_departed = newly_departed.filter(|name| recently_serving.contains_key(*name));
+        self.departed.extend(newly_departed.cloned());
         self.departed.retain(|name| unavailable.contains(name));
         // An edge that becomes silent before it has reported that it serves may be serving by now, and use its slices.
         for name in &self.not_yet_ready {
@@ -375,13 +377,15 @@
             recently_serving.insert(name.clone(), now);
         }
         if !has_quorum_contact {
-            // Hazard: edges that are not heard here may go on serving beside other replicas. Agents that are told a
-            // lower number of limiters take larger slices of quotas, while those others go on with theirs.
-            recently_serving.values_mut().for_each(|at| *at = now);
-        }
-        // An edge that says that it has left uses no slice any more.
-        recently_serving.retain(|name, at| {
-            now - *at <= limits::RECENTLY_SERVING_DURATION && !unavailable.contains(name)
+            // Edges unknown here may keep serving while linked to other replicas. If agents were sent a lower number of
+            // limiters, they would take larger slices of quotas while those edges keep using theirs.
+            recently_serving
+                .values_mut()
+                .for_each(|serving_at| *serving_at = now);
+        }
+        // An edge that reports that it no longer serves uses no slice any more.
+        recently_serving.retain(|name, serving_at| {
+            now - *serving_at <= limits::RECENTLY_SERVING_DURATION && !unavailable.contains(name)
         });
     }
 
@@ -479,16 +483,16 @@
     /// Whether to request the list of a replica whose members differ from its report now. If so, records the request.
     fn should_request_list(&mut self, now: i64, replica: ReplicaId) -> bool {
         let report = self.reports.entry(replica).or_default();
-        let request = report
+        let is_due = report
             .requested_at
             .is_none_or(|requested_at| now - requested_at >= limits::SYNC_REQUEST_INTERVAL);
-        if request {
+        if is_due {
             report.requested_at = Some(now);
-            // The report must not expire while the answer is on its way.
-            let grace = now - limits::MEMBER_LEASE_DURATION / 2;
-            report.confirmed_at = report.confirmed_at.max(grace);
+            // The report must not expire before the response arrives.
+            let min_confirmed_at = now - limits::MEMBER_LEASE_DURATION / 2;
+            report.confirmed_at = report.confirmed_at.max(min_confirmed_at);
         }
-        request
+        is_due
     }
 
     /// The number of edges that serve or served recently: partitioned edges keep using their slices of quotas.
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -183,8 +183,8 @@
 
     /// Processes one input at the time `now`, in microseconds on a monotonic clock, and appends the outputs.
     pub fn step(&mut self, now: i64, input: Input, out: &mut Vec<Output>) {
-        // These inputs are frequent, and the cluster view that agents are sent does not depend on them.
-        let keeps_view = matches!(
+        // These inputs are frequent and never change the cluster view that agents are sent.
+        let leaves_view_unchanged = matches!(
             input,
             Input::AgentMessage(
                 _,
@@ -197,25 +197,26 @@
         }
         self.handle_input(now, input, out);
         self.run_due(now, out);
-        if !keeps_view || self.agents.wake_at().is_some_and(|wake_at| wake_at <= now) {
+        if !leaves_view_unchanged || self.agents.wake_at().is_some_and(|wake_at| wake_at <= now) {
             self.announce_view(now, Announcement::IfChanged, out);
         }
     }
 
     /// The time by which [`Input::Tick`] must be passed in if no other input comes earlier.
     pub fn wake_at(&self) -> i64 {
-        let able = self.table.is_participant() && self.has_quorum_contact && !self.disk.is_full;
-        let may_request = able && !self.is_shutting_down;
+        let can_propose =
+            self.table.is_participant() && self.has_quorum_contact && !self.disk.is_full;
+        let may_request_lease = can_propose && !self.is_shutting_down;
         let leases = self
             .role_leases
             .iter()
-            .filter(|lease| may_request || lease.is_candidate())
+            .filter(|lease| may_request_lease || lease.is_candidate())
             .map(RoleLease::wake_at);
         let optional = [
             self.proposals.wake_at(),
             self.reads.wake_at(),
             self.recovery.as_ref().and_then(Recovery::wake_at),
-            self.repair_wake_at().filter(|_| able),
+            self.repair_wake_at().filter(|_| can_propose),
             self.agents.wake_at(),
             self.load.wake_at(),
             self.handover.as_ref().and_then(Handover::wake_at),
@@ -245,8 +246,8 @@
 
     /// The term in which this replica performs a role at `now`, if it holds the lease.
     pub fn acting_term(&self, now: i64, role: SingletonRole) -> Option<u64> {
-        let able = self.table.is_participant() && !self.is_shutting_down;
-        self.lease(role).acting_term(now).filter(|_| able)
+        let may_act = self.table.is_participant() && !self.is_shutting_down;
+        self.lease(role).acting_term(now).filter(|_| may_act)
     }
 
     /// The edges whose leases are valid at `now`, as far as this replica knows.
--- a/crates/control/src/core/operator_calls.rs
+++ b/crates/control/src/core/operator_calls.rs
@@ -7,9 +7,9 @@
 use super::{Output, Replica};
 use crate::operator_api::{Command, Reply};
 
-/// Why no change is taken; operators are to look at the disk of this replica.
+/// The response to a change while the disk rejects writes; it directs operators to the disk of this replica.
 pub(super) const DISK_REJECTS_WRITES: &str =
-    "the disk of this replica is full or fails: it takes no writes";
+    "the disk of this replica is full or fails: it rejects writes";
 
 impl Replica {
     /// Handles an operator's call, which must be answered before the deadline.
@@ -52,11 +52,11 @@
     /// The reason why this replica cannot execute a command now, if any.
     fn rejection(&self, now: i64, command: &Command) -> Option<&'static str> {
         if !self.table.is_participant() {
-            Some("this replica has not rebuilt, or was replaced")
+            Some("this replica is recovering, or was superseded by another machine")
         } else if self.is_shutting_down {
-            Some("this process is about to end")
+            Some("this process is shutting down")
         } else if !self.table.has_quorum_contact(now) {
-            Some("more than half of the replicas are out of touch")
+            Some("this replica is not in contact with a quorum of the replicas")
         } else if self.disk.is_full && *command != Command::GetConfiguration {
             Some(DISK_REJECTS_WRITES)
         } else {
--- a/crates/control/src/core/outbox.rs
+++ b/crates/control/src/core/outbox.rs
@@ -56,16 +56,16 @@
         self.send(self.table.other_addresses(), payload, out);
     }
 
-    /// Writes records; `then` is carried out once they are on disk.
+    /// Writes records; `next_step` runs once they are on disk.
     pub(super) fn write(
         &mut self,
         records: Vec<Record>,
-        then: Option<PendingWrite>,
+        next_step: Option<PendingWrite>,
         out: &mut Vec<Output>,
     ) {
         let id = self.next_request_id();
-        if let Some(then) = then {
-            self.disk.pending.insert(id, then);
+        if let Some(next_step) = next_step {
+            self.disk.pending.insert(id, next_step);
         }
         out.push(Output::Write(id, records));
     }
@@ -106,11 +106,11 @@
         self.send(vec![to], vote, out);
     }
 
-    /// The disk rejects writes, or accepts them again. Until it does, this replica promises, accepts and grants nothing
-    /// new.
-    pub(super) fn handle_disk_full(&mut self, full: bool, out: &mut Vec<Output>) {
-        if std::mem::replace(&mut self.disk.is_full, full) != full {
-            let event = if full {
+    /// The disk rejects writes, or accepts them again. While it rejects them this replica promises, accepts and grants
+    /// nothing new.
+    pub(super) fn handle_disk_full(&mut self, is_full: bool, out: &mut Vec<Output>) {
+        if std::mem::replace(&mut self.disk.is_full, is_full) != is_full {
+            let event = if is_full {
                 Event::VotingSuspended
             } else {
                 Event::VotingResumed
--- a/crates/control/src/core/peer_messages.rs
+++ b/crates/control/src/core/peer_messages.rs
@@ -259,26 +259,29 @@
 
     pub fn serialize<S: Serializer>(
         incarnations: &[Incarnation],
-        to: S,
+        serializer: S,
     ) -> Result<S::Ok, S::Error> {
         let later = incarnations
             .iter()
             .enumerate()
             .filter(|(_, incarnation)| **incarnation != Incarnation::FIRST);
         let later: Vec<(ReplicaId, Incarnation)> = later
-            .map(|(at, incarnation)| (at as ReplicaId, *incarnation))
+            .map(|(replica, incarnation)| (replica as ReplicaId, *incarnation))
             .collect();
-        (incarnations.len() as ReplicaId, later).serialize(to)
+        (incarnations.len() as ReplicaId, later).serialize(serializer)
     }
 
-    pub fn deserialize<'a, D: Deserializer<'a>>(from: D) -> Result<Vec<Incarnation>, D::Error> {
-        let (count, later) = <(ReplicaId, Vec<(ReplicaId, Incarnation)>)>::deserialize(from)?;
+    pub fn deserialize<'a, D: Deserializer<'a>>(
+        deserializer: D,
+    ) -> Result<Vec<Incarnation>, D::Error> {
+        let (count, later) =
+            <(ReplicaId, Vec<(ReplicaId, Incarnation)>)>::deserialize(deserializer)?;
         let mut incarnations = vec![Incarnation::FIRST; usize::from(count)];
         for (replica, incarnation) in later {
-            let place = incarnations
+            let entry = incarnations
                 .get_mut(usize::from(replica))
-                .ok_or_else(|| D::Error::custom("no such replica"))?;
-            *place = incarnation;
+                .ok_or_else(|| D::Error::custom("replica number out of range"))?;
+            *entry = incarnation;
         }
         Ok(incarnations)
     }
--- a/crates/control/src/core/pending_proposals.rs
+++ b/crates/control/src/core/pending_proposals.rs
@@ -59,8 +59,8 @@
             .iter()
             .filter(|(_, since)| **since <= latest);
         let due = due.filter(|(name, _)| !self.under_repair.contains(*name));
-        let free = limits::MAX_REPAIRS_IN_FLIGHT - self.under_repair.len();
-        let due: Vec<ItemName> = due.take(free).map(|(name, _)| name.clone()).collect();
+        let remaining = limits::MAX_REPAIRS_IN_FLIGHT - self.under_repair.len();
+        let due: Vec<ItemName> = due.take(remaining).map(|(name, _)| name.clone()).collect();
         self.under_repair.extend(due.iter().cloned());
         due
     }
--- a/crates/control/src/core/proposal.rs
+++ b/crates/control/src/core/proposal.rs
@@ -220,27 +220,27 @@
         &mut self,
         now: i64,
         voter: Voter,
-        accepted: Vec<(Ballot, Item)>,
+        accepted_values: Vec<(Ballot, Item)>,
         table: &ReplicaTable,
         chosen: &ChosenItems,
     ) -> Vec<Action> {
-        let Phase::Preparing(found) = &mut self.phase else {
+        let Phase::Preparing(found_values) = &mut self.phase else {
             return Vec::new();
         };
-        for (ballot, item) in accepted {
-            let known = found.get(&item.name);
-            if known.is_none_or(|(known, _)| *known < ballot) {
-                found.insert(item.name.clone(), (ballot, item));
+        for (ballot, item) in accepted_values {
+            let known = found_values.get(&item.name);
+            if known.is_none_or(|(known_ballot, _)| *known_ballot < ballot) {
+                found_values.insert(item.name.clone(), (ballot, item));
             }
         }
         self.votes.insert(voter.replica, voter.incarnation);
         if !table.is_quorum(&self.votes) {
             return Vec::new();
         }
-        let Phase::Preparing(found) = std::mem::replace(&mut self.phase, Phase::Idle) else {
+        let Phase::Preparing(found_values) = std::mem::replace(&mut self.phase, Phase::Idle) else {
             return Vec::new();
         };
-        let Choice { items, outcome } = self.choose_values(&found, chosen);
+        let Choice { items, outcome } = self.choose_values(&found_values, chosen);
         if items.is_empty() {
             self.outcome_reported = true;
             return vec![Action::Report(outcome), Action::Finished];
@@ -259,20 +259,20 @@
     /// again.
     fn choose_values(
         &self,
-        found: &BTreeMap<ItemName, (Ballot, Item)>,
+        found_values: &BTreeMap<ItemName, (Ballot, Item)>,
         chosen: &ChosenItems,
     ) -> Choice {
         match &self.intent {
-            Intent::Repair(_) => Choice::done(unconfirmed_values(found, chosen)),
-            Intent::SetItems(items) => choose_items(items, found, chosen),
+            Intent::Repair(_) => Choice::done(unconfirmed_values(found_values, chosen)),
+            Intent::SetItems(items) => choose_items(items, found_values, chosen),
             Intent::SetEvacuation(name, evacuate) => {
-                let current = current_value(name, found, chosen);
-                let is_set = current.and_then(|item| item.spec.as_deref()) == Some("true");
+                let current = current_value(name, found_values, chosen);
+                let is_evacuated = current.and_then(|item| item.spec.as_deref()) == Some("true");
                 let is_overtaken = self
                     .proposed_version
-                    .is_some_and(|own| current.is_some_and(|item| item.ver > own));
-                if is_set == *evacuate || is_overtaken {
-                    return Choice::done(unconfirmed_values(found, chosen));
+                    .is_some_and(|proposed| current.is_some_and(|item| item.ver > proposed));
+                if is_evacuated == *evacuate || is_overtaken {
+                    return Choice::done(unconfirmed_values(found_values, chosen));
                 }
                 Choice::done(vec![Item {
                     name: name.clone(),
@@ -324,26 +324,26 @@
         &mut self,
         now: i64,
         replica: ReplicaId,
-        seen: Ballot,
+        higher_ballot: Ballot,
         backoff: i64,
         table: &ReplicaTable,
     ) -> Vec<Action> {
-        self.highest_rejecting_ballot = self.highest_rejecting_ballot.max(seen);
+        self.highest_rejecting_ballot = self.highest_rejecting_ballot.max(higher_ballot);
         self.rejections.insert(replica);
         let replicas = 0..table.replica_count() as ReplicaId;
-        let may_vote = replicas.filter(|replica| {
+        let remaining_voters = replicas.filter(|replica| {
             table.is_reachable(now, *replica) && !self.rejections.contains(replica)
         });
-        if self.is_idle() || may_vote.count() >= table.quorum_size() {
+        if self.is_idle() || remaining_voters.count() >= table.quorum_size() {
             return Vec::new();
         }
         self.retry_at(now + backoff)
     }
 
-    fn retry_at(&mut self, at: i64) -> Vec<Action> {
+    fn retry_at(&mut self, start_at: i64) -> Vec<Action> {
         self.phase = Phase::Idle;
-        self.wake_at = at;
-        vec![Action::Retry(at)]
+        self.wake_at = start_at;
+        vec![Action::Retry(start_at)]
     }
 
     /// No quorum has voted in time: resends the last message, or starts again if any replica has rejected the ballot.
@@ -367,10 +367,10 @@
 /// lost against it under the same version.
 fn current_value<'a>(
     name: &ItemName,
-    found: &'a BTreeMap<ItemName, (Ballot, Item)>,
+    found_values: &'a BTreeMap<ItemName, (Ballot, Item)>,
     chosen: &'a ChosenItems,
 ) -> Option<&'a Item> {
-    let found = found.get(name).map(|(_, item)| item);
+    let found = found_values.get(name).map(|(_, item)| item);
     let chosen = chosen.get(name);
     let is_newest = |chosen: &&Item| found.is_none_or(|found| found.ver <= chosen.ver);
     chosen.filter(is_newest).or(found)
@@ -428,7 +428,7 @@
     found: &BTreeMap<ItemName, (Ballot, Item)>,
     chosen: &ChosenItems,
 ) -> Choice {
-    let is_excluded = |item: &Item| {
+    let can_be_excluded = |item: &Item| {
         found.get(&item.name).is_some_and(|(_, found)| {
             found.ver < item.ver || found.ver == item.ver && !has_same_content(found, item)
         })
@@ -438,7 +438,7 @@
             items: unconfirmed_values(found, chosen),
             outcome: Outcome::Conflict,
         },
-        _ if items.iter().all(is_excluded) => Choice {
+        _ if items.iter().all(can_be_excluded) => Choice {
             items: found.values().map(|(_, item)| item.clone()).collect(),
             outcome: Outcome::Conflict,
         },
--- a/crates/control/src/core/proposals.rs
+++ b/crates/control/src/core/proposals.rs
@@ -15,11 +15,11 @@
 use crate::operator_api::Reply;
 
 /// The response to a call some of whose items may be in force although another change has taken the version of one.
-const PARTIALLY_APPLIED: &str = "ver: another change stands at the version of an item, and other items of this call may be in force: \
-                      send it with higher versions";
+const PARTIALLY_APPLIED: &str = "ver: another change has taken the version of an item, and other items of this call \
+     may be in force: resend the call with higher versions";
 
 /// The response to a call whose proposal or read did not reach a quorum in time.
-pub(super) const NO_QUORUM: &str = "no answer of more than half of the replicas";
+pub(super) const NO_QUORUM: &str = "no quorum of the replicas answered before the deadline";
 
 /// The delay before a proposal is checked again whose registers are in use by another proposal of this replica.
 const BUSY_RETRY_INTERVAL: i64 = limits::RESEND_INTERVAL / 10;
@@ -34,14 +34,15 @@
     highest_round: u64,
 }
 
-/// What is to be done with a proposal that was looked at.
+/// The step that is due for a proposal.
 enum DueStep {
     Nothing,
-    Expired,
-    /// All that the repair found is chosen by now.
-    Redundant,
+    Expire,
+    /// End a repair whose registers are all known to be chosen by now.
+    EndRedundantRepair,
     Start,
-    WaitForOther,
+    /// Wait for another proposal of this replica that uses the same registers.
+    WaitForRegisters,
     Resend,
 }
 
@@ -69,10 +70,10 @@
         self.call_by_proposal.len()
     }
 
-    /// When the next one is to be looked at.
+    /// The time of the next due step of any proposal.
     pub(super) fn wake_at(&self) -> Option<i64> {
-        let wakes = self.in_progress.values();
-        wakes
+        let proposals = self.in_progress.values();
+        proposals
             .map(|proposal| proposal.wake_at.min(proposal.deadline))
             .min()
     }
@@ -125,14 +126,14 @@
         for id in ids {
             match self.due_step(now, id, &mut busy) {
                 DueStep::Nothing => {}
-                DueStep::Expired => self.expire_proposal(now, id, out),
-                DueStep::Redundant => {
-                    // Hazard: it would only make others fail that work on these registers.
+                DueStep::Expire => self.expire_proposal(now, id, out),
+                DueStep::EndRedundantRepair => {
+                    // Continuing would only cause rejections of other proposals for these registers.
                     let actions = vec![Action::Report(Outcome::Done), Action::Finished];
                     self.apply_actions(now, id, actions, out);
                 }
                 DueStep::Start => self.start_proposal(now, id, out),
-                DueStep::WaitForOther => {
+                DueStep::WaitForRegisters => {
                     if let Some(proposal) = self.proposals.in_progress.get_mut(&id) {
                         proposal.wake_at = now + BUSY_RETRY_INTERVAL;
                     }
@@ -146,11 +147,13 @@
         }
     }
 
-    /// Proposes again what was accepted long ago and is not known to be chosen.
+    /// Starts a repair of the registers whose accepted value has not become known as chosen for
+    /// [`limits::REPAIR_DELAY`].
     fn start_due_repairs(&mut self, now: i64) {
-        let due = self.repair_wake_at().is_some_and(|wake_at| wake_at <= now);
-        let able = self.has_quorum_contact && self.table.is_participant() && !self.disk.is_full;
-        if !due || !able {
+        let is_due = self.repair_wake_at().is_some_and(|wake_at| wake_at <= now);
+        let can_propose =
+            self.has_quorum_contact && self.table.is_participant() && !self.disk.is_full;
+        if !is_due || !can_propose {
             return;
         }
         let names = self
@@ -179,20 +182,24 @@
             return DueStep::Nothing;
         };
         if now >= proposal.deadline || !self.table.is_participant() {
-            return DueStep::Expired;
+            return DueStep::Expire;
         }
         let names = if self.proposals.len() > 1 {
             proposal.names()
         } else {
             Vec::new()
         };
-        let free = names.iter().all(|name| !busy.contains(name));
+        let has_free_registers = names.iter().all(|name| !busy.contains(name));
         busy.extend(names);
-        match (proposal.wake_at <= now, proposal.is_idle(), free) {
+        match (
+            proposal.wake_at <= now,
+            proposal.is_idle(),
+            has_free_registers,
+        ) {
             (false, ..) => DueStep::Nothing,
             (true, false, _) => DueStep::Resend,
-            (true, true, false) => DueStep::WaitForOther,
-            (true, true, true) if self.is_redundant(id) => DueStep::Redundant,
+            (true, true, false) => DueStep::WaitForRegisters,
+            (true, true, true) if self.is_redundant(id) => DueStep::EndRedundantRepair,
             (true, true, true) => DueStep::Start,
         }
     }
@@ -297,13 +304,13 @@
         let to = others
             .filter_map(|replica| self.table.address(replica))
             .collect();
-        let votes_itself = proposal.awaits_vote_of(local);
+        let awaits_local_vote = proposal.awaits_vote_of(local);
         self.send(to, payload.clone(), out);
         match payload {
-            Payload::Prepare { ballot, names } if votes_itself => {
+            Payload::Prepare { ballot, names } if awaits_local_vote => {
                 self.handle_prepare(now, None, ballot, &names, out)
             }
-            Payload::Accept { ballot, items } if votes_itself => {
+            Payload::Accept { ballot, items } if awaits_local_vote => {
                 self.handle_accept(now, None, ballot, &items, out)
             }
             _ => {}
@@ -322,7 +329,7 @@
         match vote {
             Payload::Promise {
                 ballot,
-                accepted_values: accepted,
+                accepted_values,
             } => {
                 let Some(id) = self.proposals.find_by_ballot(ballot) else {
                     return;
@@ -331,7 +338,7 @@
                     return;
                 };
                 let actions =
-                    proposal.handle_promise(now, voter, accepted, &self.table, &self.chosen);
+                    proposal.handle_promise(now, voter, accepted_values, &self.table, &self.chosen);
                 self.apply_actions(now, id, actions, out);
             }
             Payload::Accepted(ballot) => {
@@ -346,8 +353,8 @@
             }
             Payload::Nack {
                 ballot,
-                higher_ballot: seen,
-            } => self.handle_nack(now, voter.replica, ballot, seen, out),
+                higher_ballot,
+            } => self.handle_nack(now, voter.replica, ballot, higher_ballot, out),
             Payload::RegisterChunk { id, chunk } => {
                 self.handle_register_chunk(now, sender, id, chunk, out)
             }
@@ -355,13 +362,13 @@
                 role,
                 term,
                 sent_at,
-                is_granted: granted,
+                is_granted,
                 newest_term,
             } => {
                 let vote = LeaseVote {
                     term: term.number,
                     sent_at,
-                    is_granted: granted,
+                    is_granted,
                     newest_term,
                 };
                 // A vote on a request of an earlier process of this replica must not count, since its `sent_at` belongs
@@ -379,13 +386,13 @@
         now: i64,
         replica: ReplicaId,
         ballot: Ballot,
-        seen: Ballot,
+        higher_ballot: Ballot,
         out: &mut Vec<Output>,
     ) {
         let Some(id) = self.proposals.find_by_ballot(ballot) else {
             return;
         };
-        self.proposals.observe_round(seen.round);
+        self.proposals.observe_round(higher_ballot.round);
         let Some(proposal) = self.proposals.in_progress.get(&id) else {
             return;
         };
@@ -395,7 +402,7 @@
         let Some(proposal) = self.proposals.in_progress.get_mut(&id) else {
             return;
         };
-        let actions = proposal.handle_nack(now, replica, seen, backoff, &self.table);
+        let actions = proposal.handle_nack(now, replica, higher_ballot, backoff, &self.table);
         self.apply_actions(now, id, actions, out);
     }
 }
--- a/crates/control/src/core/quorum_read.rs
+++ b/crates/control/src/core/quorum_read.rs
@@ -134,10 +134,10 @@
         reads.any(|read| read.call().is_none())
     }
 
-    /// When the next one is to be looked at.
+    /// The time of the next due step of any read.
     pub(super) fn wake_at(&self) -> Option<i64> {
-        let wakes = self.in_progress.values();
-        wakes.map(|read| read.wake_at.min(read.deadline)).min()
+        let reads = self.in_progress.values();
+        reads.map(|read| read.wake_at.min(read.deadline)).min()
     }
 
     /// The read that waits for this repair.
@@ -174,9 +174,9 @@
             wake_at: now + limits::RESEND_INTERVAL,
         };
         let request = read.request(local.replica);
-        let id_of_process = self.request_id(id);
+        let request_id = self.request_id(id);
         let payload = Payload::ReadRequest {
-            id: id_of_process,
+            id: request_id,
             request,
         };
         self.broadcast(payload, out);
--- a/crates/control/src/core/reclaim.rs
+++ b/crates/control/src/core/reclaim.rs
@@ -31,19 +31,19 @@
             self.supersession = None;
             return;
         }
-        let superseded = self.supersession.get_or_insert_with(|| Supersession {
+        let supersession = self.supersession.get_or_insert_with(|| Supersession {
             last_heard_at: now,
             unreachable_reports: BTreeMap::new(),
             next_request_at: now,
         });
-        if now < superseded.next_request_at {
+        if now < supersession.next_request_at {
             return;
         }
-        superseded.next_request_at = now + limits::HEARTBEAT_INTERVAL;
-        let reports = &mut superseded.unreachable_reports;
-        reports.retain(|_, at| now - *at <= limits::CONTACT_TIMEOUT);
-        let unreachable = reports.len() >= self.table.recovery_quorum_size();
-        if unreachable && now - superseded.last_heard_at >= limits::RECLAIM_TIMEOUT {
+        supersession.next_request_at = now + limits::HEARTBEAT_INTERVAL;
+        let reports = &mut supersession.unreachable_reports;
+        reports.retain(|_, reported_at| now - *reported_at <= limits::CONTACT_TIMEOUT);
+        let is_unreachable = reports.len() >= self.table.recovery_quorum_size();
+        if is_unreachable && now - supersession.last_heard_at >= limits::RECLAIM_TIMEOUT {
             out.push(Output::Log(Event::IncarnationReclaimed));
             self.supersession = None;
             self.table.relinquish_incarnation();
@@ -53,23 +53,29 @@
         self.broadcast(Replica::handover_query(), out);
     }
 
-    /// Another replica reports the newest incarnation of this one that it hears, or none.
-    pub(super) fn handle_slot_report(&mut self, now: i64, from: ReplicaId, heard: Incarnation) {
+    /// Another replica reports the newest incarnation of this one that is reachable from it; [`Incarnation::NONE`] if
+    /// none is.
+    pub(super) fn handle_slot_report(
+        &mut self,
+        now: i64,
+        from: ReplicaId,
+        reachable_incarnation: Incarnation,
+    ) {
         let local = self.table.local().incarnation;
-        let Some(superseded) = &mut self.supersession else {
+        let Some(supersession) = &mut self.supersession else {
             return;
         };
-        if heard > local {
-            superseded.last_heard_at = now;
-            superseded.unreachable_reports.clear();
+        if reachable_incarnation > local {
+            supersession.last_heard_at = now;
+            supersession.unreachable_reports.clear();
         } else {
-            superseded.unreachable_reports.insert(from, now);
+            supersession.unreachable_reports.insert(from, now);
         }
     }
 
     /// The time at which [`Replica::drive_reclaim`] is due.
     pub(super) fn reclaim_wake_at(&self) -> Option<i64> {
-        let superseded = self.supersession.as_ref();
-        superseded.map(|superseded| superseded.next_request_at)
+        let supersession = self.supersession.as_ref();
+        supersession.map(|supersession| supersession.next_request_at)
     }
 }
--- a/crates/control/src/core/recovery.rs
+++ b/crates/control/src/core/recovery.rs
@@ -138,17 +138,17 @@
         for peer in table.peer_addresses() {
             let progress = by_address.get(&peer);
             if !progress.is_some_and(|progress| progress.is_complete) {
-                let after = progress.and_then(|progress| progress.start_after.clone());
-                requests.push((peer, self.request(after)));
+                let start_after = progress.and_then(|progress| progress.start_after.clone());
+                requests.push((peer, self.request(start_after)));
             }
         }
         requests
     }
 
-    fn request(&self, after: Option<ItemName>) -> TransferRequest {
+    fn request(&self, start_after: Option<ItemName>) -> TransferRequest {
         TransferRequest {
             digests: self.digests.buckets().to_vec(),
-            start_after: after,
+            start_after,
         }
     }
 
@@ -172,7 +172,7 @@
         let source = self.sources.entry(voter.replica);
         let source = source.or_insert(SourceProgress::new(voter.incarnation));
         let continuation = source.record_chunk(voter.incarnation, &chunk);
-        let after = source.progress.start_after.clone();
+        let start_after = source.progress.start_after.clone();
         if let Some(continuation) = continuation {
             // The others are sent requests as soon as the first source is complete; unanswered requests are repeated
             // later.
@@ -189,7 +189,7 @@
         }
         self.merge_promises(promises);
         match continuation {
-            Some(Continuation::RequestMore) => RecoveryStep::Request(self.request(after)),
+            Some(Continuation::RequestMore) => RecoveryStep::Request(self.request(start_after)),
             _ if self.has_quorum(table) => RecoveryStep::Complete,
             _ => RecoveryStep::Wait,
         }
@@ -202,8 +202,8 @@
 
     fn merge_promises(&mut self, promises: Promises<'_>) {
         self.promise_floor = self.promise_floor.max(promises.promise_floor);
-        for (at, term) in promises.terms.iter().enumerate() {
-            match self.terms.get_mut(at) {
+        for (role, term) in promises.terms.iter().enumerate() {
+            match self.terms.get_mut(role) {
                 Some(known) => *known = (*known).max(*term),
                 None => self.terms.push(*term),
             }
@@ -258,8 +258,8 @@
         out: &mut Vec<Output>,
     ) {
         let (peer, replica) = (sender.address, sender.replica());
-        let is_itself = replica == self.table.local().replica;
-        if !self.table.is_participant() || is_itself || self.disk.is_full {
+        let is_local = replica == self.table.local().replica;
+        if !self.table.is_participant() || is_local || self.disk.is_full {
             return;
         }
         // The sender learns the addresses of the others, and any incarnation newer than the one that it has chosen.
@@ -289,7 +289,7 @@
         &mut self,
         now: i64,
         sender: Sender,
-        floor: Ballot,
+        promise_floor: Ballot,
         chunk: Chunk,
         terms: &[Term],
         out: &mut Vec<Output>,
@@ -298,7 +298,7 @@
             return;
         };
         let promises = Promises {
-            promise_floor: floor,
+            promise_floor,
             terms,
         };
         match recovery.handle_chunk(now, sender.voter(), promises, chunk, &self.table) {
@@ -380,13 +380,13 @@
 
     /// Resets the leases: in a new incarnation this replica has granted only the terms that it adopted from the others.
     fn restart_role_leases(&mut self, now: i64) {
-        let (local, count) = (self.table.local(), self.table.replica_count());
+        let (local, replica_count) = (self.table.local(), self.table.replica_count());
         self.role_leases = SingletonRole::ALL.map(|role| {
             let stored = StoredTerms {
                 granted_term: self.role_leases[role as usize].granted_term(),
                 last_held_term: Term::default(),
             };
-            RoleLease::new(role, local, count, stored, now)
+            RoleLease::new(role, local, replica_count, stored, now)
         });
     }
 }
--- a/crates/control/src/core/registers.rs
+++ b/crates/control/src/core/registers.rs
@@ -123,8 +123,8 @@
     /// Stores a value that is chosen, or that another replica has accepted and this one recovers, unless a value with a
     /// higher ballot was accepted here. Returns whether it was stored.
     pub fn adopt(&mut self, ballot: Ballot, item: &Item) -> bool {
-        let accepted = self.accepted_value(&item.name);
-        let is_newer = accepted.is_none_or(|(accepted, _)| *accepted < ballot);
+        let known = self.accepted_value(&item.name);
+        let is_newer = known.is_none_or(|(known_ballot, _)| *known_ballot < ballot);
         if is_newer {
             self.store_accepted(ballot, item.clone());
             // Without this promise a late message of an earlier proposal would be accepted and overwrite this copy for
@@ -184,16 +184,16 @@
     /// The chunks that answer a transfer request: the accepted values of the buckets that differ, after the name at
     /// which it continues.
     pub fn transfer_chunks(&self, limits: TransferLimits, request: &TransferRequest) -> Vec<Chunk> {
-        let after = request.start_after.as_ref();
-        let from = after.map_or(Bound::Unbounded, Bound::Excluded);
-        // Normally nothing differs, and no name has to be looked at.
-        let is_same = request.digests == self.digests.buckets();
-        let rest = self
+        let start_after = request.start_after.as_ref();
+        let from = start_after.map_or(Bound::Unbounded, Bound::Excluded);
+        // Normally nothing differs, and the entries need no comparison by bucket.
+        let has_same_digests = request.digests == self.digests.buckets();
+        let remaining = self
             .registers
             .range::<ItemName, _>((from, Bound::Unbounded));
-        let accepted = rest.filter_map(|(_, register)| register.accepted_value.as_ref());
+        let accepted = remaining.filter_map(|(_, register)| register.accepted_value.as_ref());
         let differing = accepted.filter(|(_, item)| {
-            !is_same && self.digests.bucket_differs(&request.digests, &item.name)
+            !has_same_digests && self.digests.bucket_differs(&request.digests, &item.name)
         });
         transfer::response_chunks(limits, request.start_after.clone(), differing.cloned())
     }
--- a/crates/control/src/core/registers/tests.rs
+++ b/crates/control/src/core/registers/tests.rs
@@ -9,13 +9,13 @@
 }
 
 #[test]
-fn promise_binds_its_register_and_the_floor_binds_all() {
+fn promise_applies_to_its_register_and_the_floor_to_all() {
     let name = |name: &str| ItemName {
         kind: ItemKind::Service,
         name: name.to_string(),
     };
-    let item = |at: &str, ver| Item {
-        name: name(at),
+    let item = |item_name: &str, ver| Item {
+        name: name(item_name),
         ver,
         spec: None,
     };
@@ -50,12 +50,12 @@
     assert!(
         registers.adopt(ballot(8), &item("b", 2)) && !registers.adopt(ballot(7), &item("b", 1))
     );
-    let held = registers
+    let stored = registers
         .iter()
         .map(|(name, register)| (name.clone(), register.clone()))
         .collect();
     assert_eq!(
-        Registers::restore(ballot(7), held).digests(),
+        Registers::restore(ballot(7), stored).digests(),
         registers.digests()
     );
 }
--- a/crates/control/src/core/replicas.rs
+++ b/crates/control/src/core/replicas.rs
@@ -72,14 +72,14 @@
 }
 
 impl ReplicaTable {
-    /// A table of `count` replicas, of which `local` is one.
+    /// Creates a table of `replica_count` replicas, of which `local` is one.
     pub fn new(
         local: ProcessId,
-        count: usize,
+        replica_count: usize,
         local_address: SocketAddr,
         seeds: Vec<SocketAddr>,
     ) -> ReplicaTable {
-        let mut slots = vec![ReplicaSlot::default(); count];
+        let mut slots = vec![ReplicaSlot::default(); replica_count];
         if let Some(slot) = slots.get_mut(usize::from(local.replica)) {
             *slot = ReplicaSlot {
                 incarnation: local.incarnation,
@@ -104,9 +104,9 @@
     pub fn restore(&mut self, incarnations: &[Incarnation], addresses: &[Option<SocketAddr>]) {
         let local = usize::from(self.local.replica);
         let slots = self.slots.iter_mut().enumerate();
-        for (at, slot) in slots.filter(|(at, _)| *at != local) {
-            slot.incarnation = incarnations.get(at).copied().unwrap_or_default();
-            slot.address = addresses.get(at).copied().flatten();
+        for (replica, slot) in slots.filter(|(replica, _)| *replica != local) {
+            slot.incarnation = incarnations.get(replica).copied().unwrap_or_default();
+            slot.address = addresses.get(replica).copied().flatten();
             slot.address_confirmed = slot.address.is_some();
         }
     }
@@ -200,9 +200,9 @@
         addresses: &[Option<SocketAddr>],
     ) -> bool {
         let mut slots = self.slots.iter().enumerate();
-        slots.any(|(at, slot)| {
-            let lacks_address = addresses.get(at).is_some_and(Option::is_none);
-            let same_incarnation = incarnations.get(at) == Some(&slot.incarnation);
+        slots.any(|(replica, slot)| {
+            let lacks_address = addresses.get(replica).is_some_and(Option::is_none);
+            let same_incarnation = incarnations.get(replica) == Some(&slot.incarnation);
             slot.address_confirmed && slot.has_incarnation() && lacks_address && same_incarnation
         })
     }
@@ -222,7 +222,7 @@
     pub fn other_addresses(&self) -> Vec<SocketAddr> {
         let local = usize::from(self.local.replica);
         let others = self.slots.iter().enumerate();
-        let others = others.filter(|(at, _)| *at != local);
+        let others = others.filter(|(replica, _)| *replica != local);
         let addresses = others.filter_map(|(_, slot)| slot.address);
         addresses
             .filter(|address| *address != self.local_address)
@@ -272,7 +272,7 @@
         let Some(slot) = self.slots.get_mut(usize::from(replica)) else {
             return false;
         };
-        let changed = if is_local && incarnation >= slot.incarnation {
+        let has_changed = if is_local && incarnation >= slot.incarnation {
             self.learn_local_incarnation(incarnation, address)
         } else if incarnation > slot.incarnation {
             *slot = ReplicaSlot {
@@ -295,8 +295,8 @@
             }
             confirms
         };
-        self.revision += u64::from(changed);
-        changed
+        self.revision += u64::from(has_changed);
+        has_changed
     }
 
     /// Learns about an incarnation of the local replica that is at least as new as the known one.
@@ -306,19 +306,19 @@
         address: Option<SocketAddr>,
     ) -> bool {
         let slot = &mut self.slots[usize::from(self.local.replica)];
-        let newer = incarnation > slot.incarnation;
+        let is_newer = incarnation > slot.incarnation;
         slot.incarnation = incarnation;
         // A recovering process has no incarnation yet, and will choose one above this.
-        self.is_superseded |= newer && self.local.incarnation != Incarnation::NONE;
+        self.is_superseded |= is_newer && self.local.incarnation != Incarnation::NONE;
         // The local address must not be sent along with the newer incarnation: the others would attribute it to that
         // one.
         slot.address_confirmed &= !self.is_superseded;
         // An incarnation that few replicas recorded before its disk was lost may be reported after its replacement has
         // begun. It would supersede this process for good, although no process holds it.
-        let abandoned = self.is_superseded && address == Some(self.local_address);
-        let newly_abandoned = abandoned && !self.is_abandoned;
-        self.is_abandoned |= abandoned;
-        newly_abandoned || newer
+        let is_abandoned = self.is_superseded && address == Some(self.local_address);
+        let newly_abandoned = is_abandoned && !self.is_abandoned;
+        self.is_abandoned |= is_abandoned;
+        newly_abandoned || is_newer
     }
 
     /// Updates the table from a message: the sender and its address, and the incarnations that the message lists.
@@ -329,33 +329,34 @@
         message: &PeerMessage,
     ) -> ReceiptOutcome {
         let process = message.sender;
-        let at = usize::from(process.replica);
-        if message.incarnations.len() != self.slots.len() || at >= self.slots.len() {
+        let index = usize::from(process.replica);
+        if message.incarnations.len() != self.slots.len() || index >= self.slots.len() {
             return ReceiptOutcome::default();
         }
-        let mut changed = self.learn_from_message(message);
+        let mut has_changed = self.learn_from_message(message);
         if process.incarnation != Incarnation::NONE {
-            changed |= self.learn_incarnation(process.replica, process.incarnation, Some(from));
+            has_changed |= self.learn_incarnation(process.replica, process.incarnation, Some(from));
         }
         let is_current = self.is_current(process.replica, process.incarnation)
             && process.replica != self.local.replica;
-        let mut returned = false;
+        let mut sender_returned = false;
         if is_current {
-            let slot = &mut self.slots[at];
-            // The sender itself knows best where it is.
-            changed |= slot.address.replace(from) != Some(from) || !slot.address_confirmed;
+            let slot = &mut self.slots[index];
+            // The address from which the sender itself is reached takes precedence over reported ones.
+            has_changed |= slot.address.replace(from) != Some(from) || !slot.address_confirmed;
             slot.address_confirmed = true;
-            let last_heard = slot.last_heard_at.replace(now);
-            returned = last_heard.is_none_or(|heard| now - heard > limits::CONTACT_TIMEOUT);
+            let last_heard_at = slot.last_heard_at.replace(now);
+            sender_returned = last_heard_at
+                .is_none_or(|last_heard_at| now - last_heard_at > limits::CONTACT_TIMEOUT);
             if let Payload::Heartbeat(heartbeat) = &message.payload {
                 slot.hears_local = heartbeat.reachable_replicas & (1 << self.local.replica) != 0;
             }
         }
-        self.revision += u64::from(changed);
+        self.revision += u64::from(has_changed);
         ReceiptOutcome {
             is_current,
-            table_changed: changed,
-            sender_returned: returned,
+            table_changed: has_changed,
+            sender_returned,
         }
     }
 
@@ -365,27 +366,28 @@
             Payload::ReplicaAddresses(addresses) => addresses,
             _ => &[],
         };
-        let mut changed = false;
-        for (at, incarnation) in message.incarnations.iter().enumerate() {
-            let address = addresses.get(at).copied().flatten();
-            changed |= self.learn_incarnation(at as ReplicaId, *incarnation, address);
+        let mut has_changed = false;
+        for (replica, incarnation) in message.incarnations.iter().enumerate() {
+            let address = addresses.get(replica).copied().flatten();
+            has_changed |= self.learn_incarnation(replica as ReplicaId, *incarnation, address);
         }
-        changed
+        has_changed
     }
 
     /// Whether a message of the replica was received within [`limits::CONTACT_TIMEOUT`]; always true for the local one.
     pub fn is_reachable(&self, now: i64, replica: ReplicaId) -> bool {
         let slot = self.slots.get(usize::from(replica));
-        let last_heard = slot.and_then(|slot| slot.last_heard_at);
+        let last_heard_at = slot.and_then(|slot| slot.last_heard_at);
         replica == self.local.replica
-            || last_heard.is_some_and(|heard| now - heard <= limits::CONTACT_TIMEOUT)
+            || last_heard_at
+                .is_some_and(|last_heard_at| now - last_heard_at <= limits::CONTACT_TIMEOUT)
     }
 
     /// The reachable replicas, one bit each.
     pub fn reachable_replicas(&self, now: i64) -> u128 {
         let replicas = 0..self.slots.len();
-        let reachable = replicas.filter(|at| self.is_reachable(now, *at as ReplicaId));
-        reachable.fold(0, |bits, at| bits | 1 << at)
+        let reachable = replicas.filter(|replica| self.is_reachable(now, *replica as ReplicaId));
+        reachable.fold(0, |bits, replica| bits | 1 << replica)
     }
 
     /// Whether messages pass in both directions between this process and a quorum, itself included.
--- a/crates/control/src/core/role_lease.rs
+++ b/crates/control/src/core/role_lease.rs
@@ -85,9 +85,9 @@
 }
 
 impl StoredTerms {
-    /// The terms of one role, of those of all roles as the metadata has them.
+    /// Extracts the terms of one role from `terms`, which are laid out as in the metadata.
     pub fn for_role(terms: &[Term], role: SingletonRole) -> StoredTerms {
-        let term = |at: usize| terms.get(at).copied().unwrap_or_default();
+        let term = |index: usize| terms.get(index).copied().unwrap_or_default();
         StoredTerms {
             granted_term: term(role as usize),
             last_held_term: term(SingletonRole::ALL.len() + role as usize),
@@ -167,45 +167,47 @@
         stored: StoredTerms,
         now: i64,
     ) -> RoleLease {
-        // The orders of the two roles begin at opposite replicas, so that normally different ones perform them.
-        let first = match role {
+        // The request orders of the two roles begin at different replicas, so that normally different ones perform
+        // them.
+        let first_replica = match role {
             SingletonRole::PlatformPoller => 0,
             SingletonRole::Counter => replica_count / 2,
         };
-        let rank = (usize::from(local.replica) + replica_count - first) % replica_count;
-        // Two pollers at once do no harm, as their lists are ordered by term. Two counters would.
-        let silence = match role {
+        let rank = (usize::from(local.replica) + replica_count - first_replica) % replica_count;
+        // Two simultaneous pollers are harmless, since their lists are ordered by term; two simultaneous counters are
+        // not.
+        let quiet_period = match role {
             SingletonRole::PlatformPoller => limits::STARTUP_DELAY,
             SingletonRole::Counter => limits::GRANT_DURATION,
         };
-        let silent_until = now + silence;
+        let quiet_period_ends_at = now + quiet_period;
         let StoredTerms {
-            granted_term: granted,
-            last_held_term: last_held,
+            granted_term,
+            last_held_term,
         } = stored;
-        let held_it = last_held.number > 0 && last_held == granted;
-        let resumes = role == SingletonRole::Counter
-            && held_it
-            && is_same_or_successor(local, last_held.holder);
+        let newest_was_held = last_held_term.number > 0 && last_held_term == granted_term;
+        let is_resuming_holder = role == SingletonRole::Counter
+            && newest_was_held
+            && is_same_or_successor(local, last_held_term.holder);
         RoleLease {
             rank: rank as i64,
-            granted_term: granted,
+            granted_term,
             granted_term_is_unused: false,
             previous_term: Term::default(),
-            last_held_term: last_held,
-            current_grant: granted,
+            last_held_term,
+            current_grant: granted_term,
             grant_expires_at: i64::MIN,
             candidacy: None,
             known_holder: None,
-            newest_term: granted.number,
-            vacant_since: silent_until,
-            next_request_at: if resumes {
+            newest_term: granted_term.number,
+            vacant_since: quiet_period_ends_at,
+            next_request_at: if is_resuming_holder {
                 now + limits::STARTUP_DELAY
             } else {
-                silent_until
+                quiet_period_ends_at
             },
-            quiet_period_ends_at: silent_until,
-            is_resuming_holder: resumes,
+            quiet_period_ends_at,
+            is_resuming_holder,
         }
     }
 
@@ -240,33 +242,34 @@
         from: ProcessId,
         request: LeaseRequest,
     ) -> LeaseDecision {
-        let wanted = Term {
+        let requested_term = Term {
             number: request.term,
             holder: from,
         };
         self.newest_term = self.newest_term.max(request.term);
         if request.is_renewal {
-            self.record_holder(now, wanted);
+            self.record_holder(now, requested_term);
         }
         let is_new = request.term > self.granted_term.number;
-        let granted = self.may_grant(now, from) && (is_new || wanted == self.grantable_term());
-        if granted && is_new {
+        let is_granted =
+            self.may_grant(now, from) && (is_new || requested_term == self.grantable_term());
+        if is_granted && is_new {
             self.previous_term = self.grantable_term();
-            self.granted_term = wanted;
+            self.granted_term = requested_term;
             self.granted_term_is_unused = false;
         }
-        if granted {
-            self.current_grant = wanted;
+        if is_granted {
+            self.current_grant = requested_term;
             self.grant_expires_at = now + limits::GRANT_DURATION;
             self.vacant_since = self.vacant_since.max(self.grant_expires_at);
         }
-        let newly_held = granted && request.is_renewal && self.last_held_term != wanted;
+        let newly_held = is_granted && request.is_renewal && self.last_held_term != requested_term;
         if newly_held {
-            self.last_held_term = wanted;
+            self.last_held_term = requested_term;
         }
         LeaseDecision {
-            is_granted: granted,
-            must_persist: granted && (is_new || newly_held),
+            is_granted,
+            must_persist: is_granted && (is_new || newly_held),
             newest_term: self.newest_term,
         }
     }
@@ -275,9 +278,9 @@
     /// candidate while it received no messages of the holder.
     fn record_holder(&mut self, now: i64, term: Term) {
         if self.known_holder.is_none_or(|(known, _)| known <= term) {
-            let until = now + limits::GRANT_DURATION;
-            self.known_holder = Some((term, until));
-            self.vacant_since = self.vacant_since.max(until);
+            let expires_at = now + limits::GRANT_DURATION;
+            self.known_holder = Some((term, expires_at));
+            self.vacant_since = self.vacant_since.max(expires_at);
         }
     }
 
@@ -294,17 +297,17 @@
         }
     }
 
-    /// Whether no other process can hold a grant of this replica.
-    fn may_grant(&self, now: i64, to: ProcessId) -> bool {
+    /// Whether `requester` may be granted the lease: no other process can have a valid grant of this replica.
+    fn may_grant(&self, now: i64, requester: ProcessId) -> bool {
         let has_grant = self.grant_expires_at > now;
-        let to_same = is_same_or_successor(to, self.current_grant.holder);
-        if has_grant && !to_same {
+        let is_grantee = is_same_or_successor(requester, self.current_grant.holder);
+        if has_grant && !is_grantee {
             return false;
         }
-        let held_last = self.last_held_term.number > 0
+        let is_last_holder = self.last_held_term.number > 0
             && self.last_held_term == self.granted_term
-            && is_same_or_successor(to, self.last_held_term.holder);
-        now >= self.quiet_period_ends_at || held_last || has_grant
+            && is_same_or_successor(requester, self.last_held_term.holder);
+        now >= self.quiet_period_ends_at || is_last_holder || has_grant
     }
 
     /// A candidate or holder has released its term.
@@ -317,10 +320,10 @@
             self.grant_expires_at = now;
         }
         self.granted_term_is_unused |= self.granted_term == released && release.is_unused;
-        if let Some((term, until)) = &mut self.known_holder
+        if let Some((term, expires_at)) = &mut self.known_holder
             && *term == released
         {
-            *until = now;
+            *expires_at = now;
         }
         if self.grant_expires_at <= now && self.known_holder(now).is_none() {
             self.vacant_since = now;
@@ -341,8 +344,8 @@
 
     /// The term of the holder, as far as known.
     pub fn known_holder(&self, now: i64) -> Option<Term> {
-        let (term, until) = self.known_holder?;
-        (until > now).then_some(term)
+        let (term, expires_at) = self.known_holder?;
+        (expires_at > now).then_some(term)
     }
 
     /// Counts a vote on a request of this replica. Returns whether this vote acquired the lease.
@@ -361,12 +364,14 @@
         if !table.is_quorum(votes) {
             return false;
         }
-        let won = candidacy.lease_expires_at == 0;
-        let acts_until = vote.sent_at + limits::GRANT_DURATION - limits::GRANT_SAFETY_MARGIN;
-        candidacy.lease_expires_at = candidacy.lease_expires_at.max(acts_until);
+        let newly_acquired = candidacy.lease_expires_at == 0;
+        let expires_at = vote.sent_at + limits::GRANT_DURATION - limits::GRANT_SAFETY_MARGIN;
+        candidacy.lease_expires_at = candidacy.lease_expires_at.max(expires_at);
         let sent_at = vote.sent_at;
-        candidacy.open_votes.retain(|sent, _| *sent > sent_at);
-        won
+        candidacy
+            .open_votes
+            .retain(|request_sent_at, _| *request_sent_at > sent_at);
+        newly_acquired
     }
 
     /// Performs the step that is due, if any. `may_request` is whether this replica may become a candidate; `jitter`,
@@ -385,7 +390,7 @@
             Some(candidacy) => {
                 self.next_request_at = now + limits::HEARTBEAT_INTERVAL;
                 let votes = &mut candidacy.open_votes;
-                votes.retain(|sent, _| now - sent < limits::GRANT_DURATION);
+                votes.retain(|sent_at, _| now - sent_at < limits::GRANT_DURATION);
                 votes.insert(now, BTreeMap::new());
                 Some(LeaseAction::Request(LeaseRequest {
                     term: candidacy.term,
@@ -438,17 +443,17 @@
             }
             None if self.is_resuming_holder => self.next_request_at,
             None => {
-                let turn = self.vacant_since + self.rank * limits::LEASE_REQUEST_STAGGER;
+                let request_at = self.vacant_since + self.rank * limits::LEASE_REQUEST_STAGGER;
                 self.next_request_at
                     .max(self.quiet_period_ends_at)
-                    .max(turn)
+                    .max(request_at)
             }
         }
     }
 }
 
-/// The range of the random delay after a lease that was lost, in microseconds.
-const LEASE_JITTER: u64 = 100_000;
+/// The upper bound of the random delay after a lease was lost or not acquired, in microseconds.
+const MAX_LEASE_JITTER_US: u64 = 100_000;
 
 impl Replica {
     /// Requests, renews and releases leases as they are due.
@@ -458,7 +463,7 @@
             && !self.is_shutting_down
             && !self.disk.is_full;
         for role in SingletonRole::ALL {
-            let jitter = self.random_below(LEASE_JITTER) as i64;
+            let jitter = self.random_below(MAX_LEASE_JITTER_US) as i64;
             match self.lease_mut(role).tick(now, may_request, jitter) {
                 Some(LeaseAction::Release(release)) => self.release_lease(now, role, release, out),
                 Some(LeaseAction::Request(request)) if self.table.is_participant() => {
--- a/crates/control/src/core/server_list.rs
+++ b/crates/control/src/core/server_list.rs
@@ -9,10 +9,10 @@
 use super::role_lease::RoleLease;
 use super::{Output, Replica};
 
-/// The version of a list that a replica read without the lease; any list of a lease holder is newer.
+/// The version of a list that a replica has read without the lease; any list of a lease holder is newer.
 pub const UNLEASED_VERSION: (u64, u64) = (0, 1);
-/// The end of a server's warm-up has changed if it moved by more than this, in microseconds.
-const MAX_WARM_UP_DRIFT: i64 = 400_000;
+/// The end of a server's warm-up counts as unchanged if it moves by at most this time, in microseconds.
+const MAX_WARM_UP_DRIFT_US: i64 = 400_000;
 
 /// A server, and when its warm-up ends on the clock of this process.
 #[derive(Clone, Debug)]
@@ -34,13 +34,13 @@
         let (old, new) = (&self.server, &later.server);
         let is_same =
             old.id == new.id && old.svc == new.svc && old.addr == new.addr && old.zone == new.zone;
-        let old_left = (self.warm_up_ends_at - now).max(0);
-        let new_left = (later.warm_up_ends_at - now).max(0);
+        let old_remaining = (self.warm_up_ends_at - now).max(0);
+        let new_remaining = (later.warm_up_ends_at - now).max(0);
         !is_same
             || old.slots != new.slots
             || old.accepts_requests != new.accepts_requests
-            || old_left == 0 && new_left > 0
-            || (old_left - new_left).abs() > MAX_WARM_UP_DRIFT
+            || old_remaining == 0 && new_remaining > 0
+            || (old_remaining - new_remaining).abs() > MAX_WARM_UP_DRIFT_US
     }
 }
 
@@ -101,12 +101,12 @@
         version: (u64, u64),
         servers: Vec<Server>,
     ) -> bool {
-        let newer = version > self.version;
-        if newer {
+        let is_newer = version > self.version;
+        if is_newer {
             let servers = ServerList::sort_servers(now, servers);
             *self = ServerList { version, servers };
         }
-        newer
+        is_newer
     }
 
     /// The list, with the remaining warm-up times at `now`.
@@ -177,9 +177,9 @@
     fn should_poll_without_lease(&self) -> bool {
         let ranks_first = self.role_leases.iter().any(RoleLease::ranks_first);
         let mut leases = self.role_leases.iter();
-        let was_here = leases.any(|lease| lease.granted_term().number > 0);
+        let ran_before = leases.any(|lease| lease.granted_term().number > 0);
         ranks_first
-            && was_here
+            && ran_before
             && !self.server_list.is_known()
             && self.table.is_participant()
             && !self.is_shutting_down
--- a/crates/control/src/core/status/tests.rs
+++ b/crates/control/src/core/status/tests.rs
@@ -6,9 +6,9 @@
 use protocol::items::{Item, ItemKind, ItemName};
 use protocol::messages::{AgentMessage, NodeInfo};
 
-fn look(core: &mut Replica, now: i64) -> Status {
+fn read_status(replica: &mut Replica, now: i64) -> Status {
     let mut out = Vec::new();
-    core.step(
+    replica.step(
         now,
         Input::OperatorCall(9, Command::GetStatus, now),
         &mut out,
@@ -31,46 +31,47 @@
         ver: 3,
         spec: Some("{}".to_string()),
     };
-    let own = ReplicaMetadata {
+    let metadata = ReplicaMetadata {
         incarnation: Incarnation::FIRST,
         run: 1,
         ..ReplicaMetadata::default()
     };
     let chosen = vec![(Ballot::default(), item.clone())];
     let zones = ["a", "b", "c"].map(String::from).to_vec();
-    let restored = RecoveredState {
-        metadata: own,
+    let recovered = RecoveredState {
+        metadata,
         chosen,
         ..RecoveredState::default()
     };
-    let setup = ReplicaConfig {
+    let config = ReplicaConfig {
         zones,
         zone: "b".to_string(),
-        recovered: restored,
+        recovered,
         ..ReplicaConfig::default()
     };
-    let (mut core, mut out) = (Replica::new(0, setup), Vec::new());
-    let edge = |node: &str| NodeInfo {
-        name: node.to_string(),
+    let (mut replica, mut out) = (Replica::new(0, config), Vec::new());
+    let edge = |name: &str| NodeInfo {
+        name: name.to_string(),
         zone: "b".to_string(),
         region: "r".to_string(),
         http: SocketAddr::from(([10, 0, 0, 1], 80)),
     };
     let digest = Digests::item_digest(&item);
-    let mut take =
-        |core: &mut Replica, now, link, up| core.step(now, Input::AgentMessage(link, up), &mut out);
+    let mut handle_agent_message = |replica: &mut Replica, now, link, message| {
+        replica.step(now, Input::AgentMessage(link, message), &mut out)
+    };
     for (link, node) in [(1, "lags"), (2, "holds"), (3, "new")] {
-        take(&mut core, 0, link, AgentMessage::Hello(edge(node)));
+        handle_agent_message(&mut replica, 0, link, AgentMessage::Hello(edge(node)));
     }
     for (now, link, digest) in [(100_000, 1, digest), (900_000, 1, 7), (900_000, 2, digest)] {
-        take(
-            &mut core,
+        handle_agent_message(
+            &mut replica,
             now,
             link,
             AgentMessage::ConfigState { items: 1, digest },
         );
     }
-    let status = look(&mut core, 1_100_000);
+    let status = read_status(&mut replica, 1_100_000);
     assert_eq!(
         (
             status.zone.as_str(),
@@ -79,19 +80,19 @@
         ),
         ("b", false, 1)
     );
-    let seen: Vec<_> = status
+    let limiter_lags: Vec<_> = status
         .limiters
         .iter()
-        .map(|one| (one.node.as_str(), one.lag_ms))
+        .map(|limiter| (limiter.node.as_str(), limiter.lag_ms))
         .collect();
     assert_eq!(
-        seen,
+        limiter_lags,
         [("holds", Some(0)), ("lags", Some(1_000)), ("new", None)]
     );
     assert!(
         status
             .limiters
             .iter()
-            .all(|one| one.replica == "b" && one.is_connected)
+            .all(|limiter| limiter.replica == "b" && limiter.is_connected)
     );
 }
--- a/crates/control/src/core/transfer.rs
+++ b/crates/control/src/core/transfer.rs
@@ -118,20 +118,20 @@
 /// The chunks that answer one request. `entries` are sorted by name, all of them after `start_after`.
 pub fn response_chunks(
     limits: TransferLimits,
-    after: Option<ItemName>,
+    start_after: Option<ItemName>,
     entries: impl Iterator<Item = (Ballot, Item)>,
 ) -> Vec<Chunk> {
     let split = split_into_chunks(limits, entries, |(_, item)| item);
     let continuations = continuations(split.chunks.len(), split.has_more);
-    let mut previous = after;
+    let mut previous = start_after;
     let mut chunks = Vec::with_capacity(split.chunks.len());
     for (items, continuation) in split.chunks.into_iter().zip(continuations) {
-        let after = previous.clone();
+        let start_after = previous.clone();
         if let Some((_, last)) = items.last() {
             previous = Some(last.name.clone());
         }
         chunks.push(Chunk {
-            start_after: after,
+            start_after,
             items,
             continuation,
         });
@@ -178,7 +178,7 @@
     }
 
     /// Like [`TransferProgress::record_chunk`], but starts over with a new incarnation of the source: chunks of an
-    /// earlier one do not count, since the source may have lost promises or values with its disk after sending them.
+    /// earlier one do not count, since values that the requester needs may have been lost with its disk.
     pub(super) fn record_chunk(
         &mut self,
         incarnation: Incarnation,
