--- a/crates/control/src/core/chosen.rs
+++ b/crates/control/src/core/chosen.rs
@@ -118,13 +118,13 @@
             .filter(|(_, item)| self.digests.bucket_differs(digests, &item.name))
     }
 
-    /// The items after the name `after`, of the buckets whose digests of names and versions differ from these.
+    /// The items after the name `start_after`, of the buckets whose digests of names and versions differ from these.
     pub fn items_missing_from<'a>(
         &'a self,
         digests: &'a [u64],
-        after: Option<&ItemName>,
+        start_after: Option<&ItemName>,
     ) -> impl Iterator<Item = &'a Item> {
-        let from = after.map_or(Bound::Unbounded, Bound::Excluded);
+        let from = start_after.map_or(Bound::Unbounded, Bound::Excluded);
         let remaining = self.entries.range::<ItemName, _>((from, Bound::Unbounded));
         remaining
             .map(|(_, (_, item))| item)
--- a/crates/control/src/core/counter.rs
+++ b/crates/control/src/core/counter.rs
@@ -40,7 +40,8 @@
 
     /// Whether counting is suspended.
     pub fn is_suspended(&self, now: i64) -> bool {
-        self.suspended_until.is_some_and(|until| now < until)
+        self.suspended_until
+            .is_some_and(|suspended_until| now < suspended_until)
     }
 
     /// Applies the additions in order. Returns the total after each of them. If only `share` of the limiters reaches
--- a/crates/control/src/core/dispatch.rs
+++ b/crates/control/src/core/dispatch.rs
@@ -33,7 +33,7 @@
         if let Some(recovery) = &mut self.recovery {
             recovery.handle_peer_connected(now, peer);
         }
-        self.greet_replica(peer, out);
+        self.send_addresses_and_members(peer, out);
     }
 
     /// Updates the table of replicas from the message, then handles its payload.
@@ -49,7 +49,7 @@
             self.handle_replicas_changed(now, out);
         }
         if outcome.sender_returned {
-            self.greet_replica(from, out);
+            self.send_addresses_and_members(from, out);
         }
         let sender = Sender {
             address: from,
@@ -73,7 +73,7 @@
         match payload {
             // Any message tells the sender about the newer incarnation.
             Payload::Heartbeat(_) if sender.process.incarnation != Incarnation::NONE => {
-                self.greet_replica(sender.address, out)
+                self.send_addresses_and_members(sender.address, out)
             }
             payload => _ = self.handle_request_of_any(now, sender, payload, out),
         }
@@ -91,7 +91,7 @@
                 .table
                 .has_address_missing_from(&message.incarnations, addresses)
             {
-                self.greet_replica(sender.address, out);
+                self.send_addresses_and_members(sender.address, out);
             }
             return;
         }
--- a/crates/control/src/core/heartbeat.rs
+++ b/crates/control/src/core/heartbeat.rs
@@ -81,7 +81,7 @@
     }
 
     /// Sends the addresses of the replicas and the local members to a replica that was unreachable.
-    pub(super) fn greet_replica(&self, peer: SocketAddr, out: &mut Vec<Output>) {
+    pub(super) fn send_addresses_and_members(&self, peer: SocketAddr, out: &mut Vec<Output>) {
         if self.table.local().incarnation == Incarnation::NONE {
             return;
         }
--- a/crates/control/src/core/proposal.rs
+++ b/crates/control/src/core/proposal.rs
@@ -378,10 +378,10 @@
 
 /// The values found in phase 1 that are not known to be chosen.
 fn unconfirmed_values(
-    found: &BTreeMap<ItemName, (Ballot, Item)>,
+    found_values: &BTreeMap<ItemName, (Ballot, Item)>,
     chosen: &ChosenItems,
 ) -> Vec<Item> {
-    let items = found.values().map(|(_, item)| item);
+    let items = found_values.values().map(|(_, item)| item);
     items
         .filter(|item| !chosen.includes(item))
         .cloned()
@@ -390,19 +390,19 @@
 
 fn choose_items(
     items: &[Item],
-    found: &BTreeMap<ItemName, (Ballot, Item)>,
+    found_values: &BTreeMap<ItemName, (Ballot, Item)>,
     chosen: &ChosenItems,
 ) -> Choice {
     let conflicts = |item: &Item| {
-        current_value(&item.name, found, chosen)
+        current_value(&item.name, found_values, chosen)
             .is_some_and(|current| current.ver == item.ver && !has_same_content(current, item))
     };
     if items.iter().any(conflicts) {
-        return resolve_conflict(items, found, chosen);
+        return resolve_conflict(items, found_values, chosen);
     }
     let mut proposed = Vec::new();
     for item in items {
-        match current_value(&item.name, found, chosen) {
+        match current_value(&item.name, found_values, chosen) {
             // A lower version has no effect and is no error: a later change has overtaken it. The same version is a
             // repeated call.
             Some(current) if current.ver >= item.ver => {
@@ -425,25 +425,28 @@
 /// these cases the outcome is [`Outcome::PartiallyApplied`], and the caller gets no definite answer.
 fn resolve_conflict(
     items: &[Item],
-    found: &BTreeMap<ItemName, (Ballot, Item)>,
+    found_values: &BTreeMap<ItemName, (Ballot, Item)>,
     chosen: &ChosenItems,
 ) -> Choice {
     let can_be_excluded = |item: &Item| {
-        found.get(&item.name).is_some_and(|(_, found)| {
+        found_values.get(&item.name).is_some_and(|(_, found)| {
             found.ver < item.ver || found.ver == item.ver && !has_same_content(found, item)
         })
     };
     match items {
         [_] => Choice {
-            items: unconfirmed_values(found, chosen),
+            items: unconfirmed_values(found_values, chosen),
             outcome: Outcome::Conflict,
         },
         _ if items.iter().all(can_be_excluded) => Choice {
-            items: found.values().map(|(_, item)| item.clone()).collect(),
+            items: found_values
+                .values()
+                .map(|(_, item)| item.clone())
+                .collect(),
             outcome: Outcome::Conflict,
         },
         _ => Choice {
-            items: unconfirmed_values(found, chosen),
+            items: unconfirmed_values(found_values, chosen),
             outcome: Outcome::PartiallyApplied,
         },
     }
--- a/crates/control/src/core/quorum_read.rs
+++ b/crates/control/src/core/quorum_read.rs
@@ -277,11 +277,11 @@
     /// Completes a read: each value found is chosen by now, or was lost.
     pub(super) fn complete_read(&mut self, now: i64, read: QuorumRead, out: &mut Vec<Output>) {
         let lost = read.unconfirmed(&self.chosen);
-        let found = read.accepted_values.values().map(|(_, item)| item);
-        let found = found.filter(|item| !lost.contains(&item.name));
+        let found_items = read.accepted_values.values().map(|(_, item)| item);
+        let found_items = found_items.filter(|item| !lost.contains(&item.name));
         // Of two items with the same version the chosen one is used.
         let chosen = self.chosen.entries().map(|(_, item)| item);
-        let items: Items = newest_versions(chosen.chain(found));
+        let items: Items = newest_versions(chosen.chain(found_items));
         match read.purpose {
             ReadPurpose::Configuration { call } => {
                 let body = items::configuration_json(items.values());
--- a/crates/control/src/core/reclaim.rs
+++ b/crates/control/src/core/reclaim.rs
@@ -2,9 +2,9 @@
 //!
 //! Two machines may recover one replica at the same time, and the one with the newer incarnation may fail before the
 //! other learns of it. The replica would then stay vacant for good. The superseded process therefore queries the other
-//! replicas, and recovers under a new incarnation once a quorum has received no message of the newer one for
-//! [`limits::RECLAIM_TIMEOUT`]. This is as safe as the recovery of an empty disk, since it collects the accepted values
-//! of a quorum of the others again.
+//! replicas, and recovers under a new incarnation once more than half of them report the newer one as unreachable and
+//! none has reported it as reachable for [`limits::RECLAIM_TIMEOUT`]. This is as safe as the recovery of an empty disk,
+//! since it collects the accepted values of a quorum of the others again.
 
 use std::collections::BTreeMap;
 
--- a/crates/control/src/core/recovery.rs
+++ b/crates/control/src/core/recovery.rs
@@ -263,7 +263,7 @@
             return;
         }
         // The sender learns the addresses of the others, and any incarnation newer than the one that it has chosen.
-        self.greet_replica(peer, out);
+        self.send_addresses_and_members(peer, out);
         if incarnation < self.table.newest_incarnation(replica) {
             return;
         }
--- a/crates/control/src/core/replicas.rs
+++ b/crates/control/src/core/replicas.rs
@@ -36,7 +36,7 @@
     /// When the last message of the newest incarnation was received.
     last_heard_at: Option<i64>,
     /// Whether it receives messages of the local replica, as of its last heartbeat.
-    hears_local: bool,
+    receives_local_messages: bool,
 }
 
 impl ReplicaSlot {
@@ -86,7 +86,7 @@
                 address: Some(local_address),
                 address_confirmed: true,
                 last_heard_at: None,
-                hears_local: true,
+                receives_local_messages: true,
             };
         }
         ReplicaTable {
@@ -280,7 +280,7 @@
                 address: address.or(slot.address),
                 address_confirmed: address.is_some(),
                 last_heard_at: None,
-                hears_local: false,
+                receives_local_messages: false,
             };
             true
         } else {
@@ -349,7 +349,8 @@
             sender_returned = last_heard_at
                 .is_none_or(|last_heard_at| now - last_heard_at > limits::CONTACT_TIMEOUT);
             if let Payload::Heartbeat(heartbeat) = &message.payload {
-                slot.hears_local = heartbeat.reachable_replicas & (1 << self.local.replica) != 0;
+                slot.receives_local_messages =
+                    heartbeat.reachable_replicas & (1 << self.local.replica) != 0;
             }
         }
         self.revision += u64::from(has_changed);
@@ -393,8 +394,9 @@
     /// Whether messages pass in both directions between this process and a quorum, itself included.
     pub fn has_quorum_contact(&self, now: i64) -> bool {
         let slots = self.slots.iter().enumerate();
-        let in_contact =
-            slots.filter(|(at, slot)| slot.hears_local && self.is_reachable(now, *at as ReplicaId));
+        let in_contact = slots.filter(|(replica, slot)| {
+            slot.receives_local_messages && self.is_reachable(now, *replica as ReplicaId)
+        });
         self.is_participant() && in_contact.count() >= self.quorum_size()
     }
 }
