--- a/crates/control/src/core/acceptor.rs
+++ b/crates/control/src/core/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor: promises, acceptances, and what this replica learns to be chosen.
+//! The Paxos acceptor, promising and accepting, and the learner of chosen items.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,8 @@
 use super::{Output, Record, Replica};
 
 impl Replica {
-    /// Phase 1: promises to accept nothing below `ballot` on these registers. `from` is none for this replica's own proposal.
+    /// Phase 1: promises to accept nothing below `ballot` on these registers. `from` is `None` for this replica's own
+    /// proposal.
     pub(super) fn handle_prepare(
         &mut self,
         now: i64,
@@ -26,16 +27,28 @@
             return;
         }
         match self.registers.prepare(ballot, names) {
-            Ok(accepted) => {
+            Ok(accepted_values) => {
                 let records = self.register_records(names.iter());
-                let promise = Payload::Promise { ballot, accepted };
-                self.write(records, Some(PendingWrite::Vote(from, promise)), out);
+                let promise = Payload::Promise {
+                    ballot,
+                    accepted_values,
+                };
+                self.write(records, Some(PendingWrite::SendVote(from, promise)), out);
             }
-            Err(seen) => self.deliver_vote(now, from, Payload::Nack { ballot, seen }, out),
+            Err(higher_ballot) => self.deliver_vote(
+                now,
+                from,
+                Payload::Nack {
+                    ballot,
+                    higher_ballot,
+                },
+                out,
+            ),
         }
     }
 
-    /// Phase 2: accepts the items under `ballot`, all of them or none. `from` is none for this replica's own proposal.
+    /// Phase 2: accepts the items under `ballot`, all of them or none. `from` is `None` for this replica's own
+    /// proposal.
     pub(super) fn handle_accept(
         &mut self,
         now: i64,
@@ -54,18 +67,29 @@
                     self.track_pending(now, &item.name);
                 }
                 let records = self.register_records(items.iter().map(|item| &item.name));
-                let accepted = Payload::Accepted(ballot);
-                self.write(records, Some(PendingWrite::Vote(from, accepted)), out);
+                let vote = Payload::Accepted(ballot);
+                self.write(records, Some(PendingWrite::SendVote(from, vote)), out);
             }
-            Err(seen) => self.deliver_vote(now, from, Payload::Nack { ballot, seen }, out),
+            Err(higher_ballot) => self.deliver_vote(
+                now,
+                from,
+                Payload::Nack {
+                    ballot,
+                    higher_ballot,
+                },
+                out,
+            ),
         }
     }
 
-    /// Whether this replica votes at all. While it hands over, and a quorum is complete without it, it votes on no further
-    /// proposal of another replica.
+    /// Whether this replica votes on a proposal. It does not while its disk rejects writes, nor on other replicas'
+    /// proposals once its handover has closed voting.
     fn may_vote(&self, from: Option<SocketAddr>) -> bool {
-        let closed = self.handover.as_ref().is_some_and(Handover::voting_closed);
-        !self.disk.is_full && (from.is_none() || !closed)
+        let is_voting_closed = self
+            .handover
+            .as_ref()
+            .is_some_and(Handover::is_voting_closed);
+        !self.disk.is_full && (from.is_none() || !is_voting_closed)
     }
 
     fn register_records<'a>(&self, names: impl Iterator<Item = &'a ItemName>) -> Vec<Record> {
@@ -73,10 +97,10 @@
         names.map(record).collect()
     }
 
-    /// Another replica says that everything accepted under `ballot` is chosen.
+    /// Another replica reports that all values accepted under `ballot` are chosen.
     pub(super) fn handle_chosen(&mut self, now: i64, ballot: Ballot, out: &mut Vec<Output>) {
         let entries = self.registers.accepted_entries();
-        let entries = entries.filter(|(accepted, _)| *accepted == ballot);
+        let entries = entries.filter(|(accepted_ballot, _)| *accepted_ballot == ballot);
         let entries = entries.cloned().collect();
         self.learn_chosen(now, entries, out);
     }
@@ -111,9 +135,9 @@
         }
     }
 
-    /// Notes whether the accepted value of a register is known to be chosen; if it is not, a repair is due later.
+    /// Updates whether the accepted value of a register is known to be chosen; if it is not, a repair is due later.
     pub(super) fn track_pending(&mut self, now: i64, name: &ItemName) {
-        match self.registers.accepted(name) {
+        match self.registers.accepted_value(name) {
             Some((_, item)) if !self.chosen.includes(item) => self.pending.insert(now, name),
             _ => self.pending.remove(name),
         }
--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -1,4 +1,5 @@
-//! The agents linked to this replica: what each of them is sent, and their additions to the shared counter.
+//! The agents linked to this replica: the distribution of items, server lists and cluster views to them, and their
+//! additions to the shared counter.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,62 +12,63 @@
 use super::{Output, Replica};
 use crate::limits;
 
-/// How much a cluster view differs from the one that was announced.
+/// How much a cluster view differs from the announced one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ViewChange {
     None,
-    /// The number of limiters differs by little.
+    /// Only numbers of limiters differ, the total by at most one in [`limits::MINOR_LIMITER_CHANGE_DIVISOR`].
     Minor,
     Major,
 }
 
-/// Whether agents whose cluster view has not changed are sent a sign of life in its place.
+/// Whether agents whose cluster view has not changed are sent a keep-alive message instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Announcement {
-    /// Only a view that has changed is sent.
+    /// Only changed views are sent.
     IfChanged,
-    /// A sign of life is sent where the view has not changed.
+    /// Agents with an unchanged view are sent a keep-alive message.
     WithKeepAlive,
 }
 
-/// The cluster view that the agents of a zone were sent last.
+/// The cluster view last sent to the agents of a zone.
 #[derive(Clone, Debug)]
 struct AnnouncedView {
     view: ClusterView,
-    /// The revision of the table of replicas that it was made of.
+    /// The revision of the table of replicas from which the view was built.
     table_revision: u64,
 }
 
-/// The items that an agent has, as it reported last.
+/// The items that an agent has, according to its last report.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AgentState {
-    /// How many items, removed ones included.
+    /// The number of items, including removed ones.
     pub(super) items: u32,
     digest: u64,
-    /// When it last reported the same items as this replica has.
-    complete_at: i64,
+    /// When the agent last reported the same items as this replica has.
+    up_to_date_at: i64,
 }
 
 impl AgentState {
-    /// For how long the agent has had other items than those with this digest, in microseconds at most; 0 if it has the same.
-    pub(super) fn behind(&self, now: i64, digest: u64) -> i64 {
+    /// An upper bound of the time for which the agent's items have differed from those with this digest, in
+    /// microseconds; 0 if they are the same.
+    pub(super) fn lag_us(&self, now: i64, digest: u64) -> i64 {
         if self.digest == digest {
             0
         } else {
-            now - self.complete_at
+            now - self.up_to_date_at
         }
     }
 }
 
-/// The initial transfer of the items to an agent.
+/// The initial transfer of items to an agent.
 #[derive(Clone, Debug)]
 struct PendingSync {
     /// Digests of the items that the agent had when it connected.
     digests: Vec<u64>,
-    /// Everything up to this name was sent. Items that are chosen later are announced at once.
-    after: Option<ItemName>,
-    /// Chunks that the agent has not acknowledged.
-    unacknowledged: usize,
+    /// All items up to this name were sent. Items chosen later are announced at once.
+    start_after: Option<ItemName>,
+    /// The number of chunks that the agent has not acknowledged.
+    unacknowledged_chunks: usize,
     /// When a chunk was last sent or acknowledged.
     progressed_at: i64,
 }
@@ -75,33 +77,33 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct AgentLinks {
     /// The zone of each agent that is sent the configuration.
-    zones: BTreeMap<u64, String>,
-    /// The view that each zone was sent last.
-    announced: BTreeMap<String, AnnouncedView>,
-    /// Links for the counter alone, and when each was last used.
+    agent_zones: BTreeMap<u64, String>,
+    /// The view last sent to each zone.
+    announced_views: BTreeMap<String, AnnouncedView>,
+    /// Links used for the counter alone, and when each was last used.
     counter_links: BTreeMap<u64, i64>,
-    states: BTreeMap<u64, AgentState>,
-    /// Agents that have just started and are sent everything at this time: most of them leave for the replica of their own
-    /// zone before that.
-    deferred: BTreeMap<u64, i64>,
-    /// Digests of the items that an agent has, from before it says which edge it belongs to.
+    agent_states: BTreeMap<u64, AgentState>,
+    /// The times at which initial transfers begin to agents that have just started: most of them move to the replica of
+    /// their own zone before that.
+    deferred_syncs: BTreeMap<u64, i64>,
+    /// Digests of the items that an agent has, received before its hello message.
     known_digests: BTreeMap<u64, Vec<u64>>,
     /// Initial transfers in progress.
-    pending: BTreeMap<u64, PendingSync>,
+    pending_syncs: BTreeMap<u64, PendingSync>,
     /// A changed number of limiters is not announced before this time.
-    next_count_update: i64,
+    next_count_update_at: i64,
     /// A changed number of limiters has not been announced yet.
-    count_update_due: bool,
+    has_unannounced_count: bool,
 }
 
 impl AgentLinks {
     fn links(&self) -> Vec<u64> {
-        self.zones.keys().copied().collect()
+        self.agent_zones.keys().copied().collect()
     }
 
-    /// Takes note of the use of a link for the counter; one of these has no zone.
+    /// Records the use of a link for the counter, unless the link has a zone and so serves other purposes as well.
     fn record_counter_link(&mut self, now: i64, link: u64) {
-        if !self.zones.contains_key(&link) {
+        if !self.agent_zones.contains_key(&link) {
             self.counter_links.insert(link, now);
         }
         let timeout = limits::COUNTER_CONTACT_TIMEOUT;
@@ -110,24 +112,26 @@
     }
 
     /// The items that the agent on a link has, if it has reported them.
-    pub(super) fn state(&self, link: u64) -> Option<AgentState> {
-        self.states.get(&link).copied()
+    pub(super) fn agent_state(&self, link: u64) -> Option<AgentState> {
+        self.agent_states.get(&link).copied()
     }
 
-    /// When something is to be sent to any of them.
+    /// The time at which an announcement or initial transfer to any agent is due.
     pub(super) fn wake_at(&self) -> Option<i64> {
-        let count_update = self.count_update_due.then_some(self.next_count_update);
-        let deferred = self.deferred.values().copied().min();
-        count_update.into_iter().chain(deferred).min()
+        let count_update_at = self
+            .has_unannounced_count
+            .then_some(self.next_count_update_at);
+        let deferred_sync_at = self.deferred_syncs.values().copied().min();
+        count_update_at.into_iter().chain(deferred_sync_at).min()
     }
 
     fn remove(&mut self, link: u64) {
-        self.zones.remove(&link);
+        self.agent_zones.remove(&link);
         self.counter_links.remove(&link);
         self.known_digests.remove(&link);
-        self.pending.remove(&link);
-        self.states.remove(&link);
-        self.deferred.remove(&link);
+        self.pending_syncs.remove(&link);
+        self.agent_states.remove(&link);
+        self.deferred_syncs.remove(&link);
     }
 }
 
@@ -173,17 +177,17 @@
         let zone = node.zone.clone();
         self.load.add_agent(link, &node.region);
         let changed = self.membership.handle_hello(now, link, node);
-        self.agents.zones.insert(link, zone.clone());
-        // All agents of a zone have the same view, so that a change can be sent to all of them alike.
-        let announced = self.agents.announced.get(&zone).cloned();
+        self.agents.agent_zones.insert(link, zone.clone());
+        // All agents of a zone are sent the same view, so that one message announces a change to all of them.
+        let announced = self.agents.announced_views.get(&zone).cloned();
         let announced = announced.unwrap_or_else(|| self.cluster_view(now, &zone));
         let view = ControlMessage::ClusterView(announced.view.clone());
         out.push(Output::SendToAgents(vec![link], view));
-        self.agents.announced.insert(zone.clone(), announced);
+        self.agents.announced_views.insert(zone.clone(), announced);
         let is_new = !self.agents.known_digests.contains_key(&link);
-        if is_new && self.has_reachable_home(now, &zone) {
+        if is_new && self.has_reachable_zone_replica(now, &zone) {
             let start_at = now + limits::HEARTBEAT_INTERVAL;
-            self.agents.deferred.insert(link, start_at);
+            self.agents.deferred_syncs.insert(link, start_at);
         } else {
             self.start_sync(now, link, out);
         }
@@ -200,18 +204,18 @@
         digest: u64,
         out: &mut Vec<Output>,
     ) {
-        let former = self.agents.states.get(&link);
+        let previous = self.agents.agent_states.get(&link);
         let complete_at = if digest == self.chosen.summary().digest {
             now
         } else {
-            former.map_or(now, |former| former.complete_at)
+            previous.map_or(now, |previous| previous.up_to_date_at)
         };
         let state = AgentState {
             items,
             digest,
-            complete_at,
+            up_to_date_at: complete_at,
         };
-        self.agents.states.insert(link, state);
+        self.agents.agent_states.insert(link, state);
         self.handle_chunk_ack(now, link, out);
     }
 
@@ -226,14 +230,14 @@
     ) {
         self.advance_clock(now, time);
         self.agents.record_counter_link(now, link);
-        let share = self.reached_share();
+        let share = self.counter_reach_share();
         let is_late = now + self.clock_offset - time > limits::MAX_CLOCK_DIFFERENCE;
         if is_late {
             self.send_clock(now, link, out);
         }
-        let counts = !is_late && !self.counter.is_suspended(now);
+        let may_count = !is_late && !self.counter.is_suspended(now);
         let term = self.acting_term(now, SingletonRole::Counter);
-        let answer = match term.filter(|_| counts) {
+        let answer = match term.filter(|_| may_count) {
             Some(term) => ControlMessage::Totals {
                 batch,
                 totals: self.counter.add(now, term, share, adds),
@@ -248,16 +252,16 @@
         out.push(Output::SendToAgents(vec![link], clock));
     }
 
-    /// Whether the zone of an agent has a replica of its own, other than this one, that is reachable.
-    fn has_reachable_home(&self, now: i64, zone: &str) -> bool {
+    /// Whether another replica, which belongs to the zone of an agent, is reachable.
+    fn has_reachable_zone_replica(&self, now: i64, zone: &str) -> bool {
         let position = self.zones.iter().position(|other| other == zone);
-        let home = position.map(|position| position as ReplicaId);
-        home.is_some_and(|home| {
-            home != self.table.local().replica && self.table.is_reachable(now, home)
+        let zone_replica = position.map(|position| position as ReplicaId);
+        zone_replica.is_some_and(|replica| {
+            replica != self.table.local().replica && self.table.is_reachable(now, replica)
         })
     }
 
-    /// Starts to send an agent everything that it lacks.
+    /// Starts to send an agent the server list and the items that it lacks.
     fn start_sync(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
         let digests = self.agents.known_digests.remove(&link);
         if self.server_list.is_known() {
@@ -265,92 +269,94 @@
         }
         let sync = PendingSync {
             digests: digests.unwrap_or_default(),
-            after: None,
-            unacknowledged: 0,
+            start_after: None,
+            unacknowledged_chunks: 0,
             progressed_at: now,
         };
-        self.agents.pending.insert(link, sync);
+        self.agents.pending_syncs.insert(link, sync);
         self.send_chunks(now, link, out);
     }
 
-    /// An agent that has acknowledged nothing for [`limits::CHUNK_ACK_TIMEOUT`] is sent the next chunk all the same.
+    /// Sends the next chunk to an agent that has acknowledged nothing for [`limits::CHUNK_ACK_TIMEOUT`].
     fn resume_stalled_sync(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        let sync = self.agents.pending.get(&link);
+        let sync = self.agents.pending_syncs.get(&link);
         if sync.is_some_and(|sync| now - sync.progressed_at > limits::CHUNK_ACK_TIMEOUT) {
             self.handle_chunk_ack(now, link, out);
         }
     }
 
-    /// An agent has taken in a chunk.
+    /// An agent has acknowledged a chunk.
     fn handle_chunk_ack(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        if let Some(sync) = self.agents.pending.get_mut(&link) {
-            sync.unacknowledged = sync.unacknowledged.saturating_sub(1);
+        if let Some(sync) = self.agents.pending_syncs.get_mut(&link) {
+            sync.unacknowledged_chunks = sync.unacknowledged_chunks.saturating_sub(1);
             sync.progressed_at = now;
             self.send_chunks(now, link, out);
         }
     }
 
-    /// Sends an agent as many chunks as may be in flight to it.
+    /// Sends an agent chunks up to the maximum number in flight.
     fn send_chunks(&mut self, now: i64, link: u64, out: &mut Vec<Output>) {
-        let Some(sync) = self.agents.pending.get_mut(&link) else {
+        let Some(sync) = self.agents.pending_syncs.get_mut(&link) else {
             return;
         };
-        let free = limits::MAX_UNACKNOWLEDGED_CHUNKS.saturating_sub(sync.unacknowledged);
-        if free == 0 {
+        let remaining =
+            limits::MAX_UNACKNOWLEDGED_CHUNKS.saturating_sub(sync.unacknowledged_chunks);
+        if remaining == 0 {
             return;
         }
         let missing = self
             .chosen
-            .items_missing_from(&sync.digests, sync.after.as_ref());
+            .items_missing_from(&sync.digests, sync.start_after.as_ref());
         let split = split_into_chunks(self.transfer_limits, missing, |item| item);
-        let has_more = split.has_more || split.chunks.len() > free;
-        for chunk in split.chunks.into_iter().take(free) {
+        let has_more = split.has_more || split.chunks.len() > remaining;
+        for chunk in split.chunks.into_iter().take(remaining) {
             if let Some(last) = chunk.last() {
-                sync.after = Some(last.name.clone());
+                sync.start_after = Some(last.name.clone());
             }
-            sync.unacknowledged += 1;
+            sync.unacknowledged_chunks += 1;
             sync.progressed_at = now;
             let items = ControlMessage::Items(chunk.into_iter().cloned().collect());
             out.push(Output::SendToAgents(vec![link], items));
         }
         if !has_more {
-            self.agents.pending.remove(&link);
+            self.agents.pending_syncs.remove(&link);
             if self.catch_up.is_up_to_date() && self.table.has_quorum_contact(now) {
                 out.push(Output::SendToAgents(vec![link], ControlMessage::Complete));
             }
         }
     }
 
-    /// Starts to send everything to the agents that were to find the replica of their own zone first and have not left.
+    /// Starts the deferred transfers to agents that have not moved to the replica of their own zone in time.
     pub(super) fn drive_deferred_syncs(&mut self, now: i64, out: &mut Vec<Output>) {
-        let due = self.agents.deferred.iter();
+        let due = self.agents.deferred_syncs.iter();
         let due = due.filter(|(_, start_at)| **start_at <= now);
         for link in due.map(|(link, _)| *link).collect::<Vec<_>>() {
-            self.agents.deferred.remove(&link);
+            self.agents.deferred_syncs.remove(&link);
             self.start_sync(now, link, out);
         }
     }
 
-    /// Advances the clock by which the limiters name the windows of quotas. Whoever is ahead leads, and the time of day has
-    /// no part in it. The replicas tell it to each other and to their agents, so that all limiters name windows alike.
+    /// Advances the shared clock by which the limiters number quota windows. It follows the fastest clock and is
+    /// independent of the time of day. The replicas send it to each other and to their agents, so that all limiters
+    /// number windows alike.
     pub(super) fn advance_clock(&mut self, now: i64, time: i64) {
         let ahead = time.saturating_sub(now).saturating_sub(self.clock_offset);
         self.clock_offset += ahead.max(0);
         if ahead > limits::MAX_CLOCK_DIFFERENCE {
-            // The windows have other names from now on than those that were counted under.
+            // The window numbers jump: additions so far were counted under other numbers.
             self.counter.suspend(now, ahead.min(limits::QUOTA_WINDOW));
         }
     }
 
-    /// The share of the limiters that reach this counter. The others use even slices of the quotas, which must be left for
-    /// them.
-    fn reached_share(&self) -> f64 {
+    /// The share of the limiters that reach this counter. The others use even slices of the quotas without it, which
+    /// must remain available to them.
+    fn counter_reach_share(&self) -> f64 {
         let limiters = self.membership.recently_serving_count();
-        let reached = self.agents.counter_links.len();
-        if reached >= limiters {
+        let reaching_limiters = self.agents.counter_links.len();
+        if reaching_limiters >= limiters {
             return 1.0;
         }
-        let share = reached as f64 / limiters as f64;
+        let share = reaching_limiters as f64 / limiters as f64;
         share.max(limits::MIN_REACHED_SHARE)
     }
 
@@ -363,7 +369,7 @@
         }
     }
 
-    /// The address and the term of the replica that keeps the counter, as far as known.
+    /// The address and the term of the replica that holds the lease on the counter, as far as known.
     fn counter_holder(&self, now: i64) -> Option<(SocketAddr, u64)> {
         let local = self.table.local().replica;
         let acting = self.acting_term(now, SingletonRole::Counter);
@@ -385,7 +391,7 @@
         let view = ClusterView {
             replicas: replicas.collect(),
             counter: self.counter_holder(now),
-            has_quorum: self.table.has_quorum_contact(now) && !self.shutting_down,
+            has_quorum: self.table.has_quorum_contact(now) && !self.is_shutting_down,
             limiters: serving.total.max(recently_serving),
             limiters_in_zone: serving.in_zone,
         };
@@ -395,13 +401,13 @@
         }
     }
 
-    /// How much the view of a zone has changed since it was announced. This is asked after most inputs, and is cheap where
-    /// nothing has.
+    /// How much the view of a zone has changed since it was announced. This runs after most inputs, and is cheap if
+    /// nothing has changed.
     fn view_change(&self, now: i64, zone: &str, announced: &AnnouncedView) -> ViewChange {
-        let former = &announced.view;
-        let has_quorum = self.table.has_quorum_contact(now) && !self.shutting_down;
-        if former.counter != self.counter_holder(now)
-            || former.has_quorum != has_quorum
+        let previous = &announced.view;
+        let has_quorum = self.table.has_quorum_contact(now) && !self.is_shutting_down;
+        if previous.counter != self.counter_holder(now)
+            || previous.has_quorum != has_quorum
             || announced.table_revision != self.table.revision()
         {
             return ViewChange::Major;
@@ -409,11 +415,11 @@
         let serving = self.membership.serving_counts(zone);
         let recently_serving = self.membership.recently_serving_count() as u32;
         let limiters = serving.total.max(recently_serving);
-        let difference = former.limiters.abs_diff(limiters);
-        if difference == 0 && former.limiters_in_zone == serving.in_zone {
+        let difference = previous.limiters.abs_diff(limiters);
+        if difference == 0 && previous.limiters_in_zone == serving.in_zone {
             ViewChange::None
-        } else if difference * limits::MINOR_LIMITER_CHANGE_DIVISOR > former.limiters {
-            // Hazard: limiters that each take an even slice of a quota must not go on with a number that is much too low.
+        } else if difference * limits::MINOR_LIMITER_CHANGE_DIVISOR > previous.limiters {
+            // Limiters that each use an even slice of a quota exceed it if they keep a number that is much too low.
             ViewChange::Major
         } else {
             ViewChange::Minor
@@ -427,15 +433,15 @@
         announcement: Announcement,
         out: &mut Vec<Output>,
     ) {
-        self.agents.count_update_due = false;
-        if self.agents.zones.is_empty() {
+        self.agents.has_unannounced_count = false;
+        if self.agents.agent_zones.is_empty() {
             return;
         }
         let mut links_by_zone: BTreeMap<&String, Vec<u64>> = BTreeMap::new();
-        for (link, zone) in &self.agents.zones {
+        for (link, zone) in &self.agents.agent_zones {
             links_by_zone.entry(zone).or_default().push(*link);
         }
-        let mut announced = std::mem::take(&mut self.agents.announced);
+        let mut announced = std::mem::take(&mut self.agents.announced_views);
         announced.retain(|zone, _| links_by_zone.contains_key(zone));
         let mut unchanged = Vec::new();
         let mut has_announced = false;
@@ -444,28 +450,29 @@
                 Some(announced) => self.view_change(now, zone, announced),
                 None => ViewChange::Major,
             };
-            // Hazard: when many limiters start, each of them would otherwise be announced to all others at once.
-            let defer = change == ViewChange::Minor && now < self.agents.next_count_update;
-            self.agents.count_update_due |= defer;
-            if change == ViewChange::None || defer {
+            // Without the delay, each of many starting limiters would be announced to all others separately.
+            let is_deferred = change == ViewChange::Minor && now < self.agents.next_count_update_at;
+            self.agents.has_unannounced_count |= is_deferred;
+            if change == ViewChange::None || is_deferred {
                 unchanged.extend(links);
                 continue;
             }
             let view = self.cluster_view(now, zone);
             let message = ControlMessage::ClusterView(view.view.clone());
-            let former = announced.get(zone);
-            let regained = view.view.has_quorum && former.is_some_and(|f| !f.view.has_quorum);
+            let previous = announced.get(zone);
+            let regained_quorum =
+                view.view.has_quorum && previous.is_some_and(|previous| !previous.view.has_quorum);
             out.push(Output::SendToAgents(links.clone(), message));
-            // An agent takes what it has for incomplete from the loss of the quorum on.
-            if regained && self.catch_up.is_up_to_date() {
+            // An agent treats its items as incomplete from the loss of the quorum on.
+            if regained_quorum && self.catch_up.is_up_to_date() {
                 self.announce_complete_to(links, out);
             }
             announced.insert(zone.clone(), view);
             has_announced = true;
         }
-        self.agents.announced = announced;
+        self.agents.announced_views = announced;
         if has_announced {
-            self.agents.next_count_update = now + limits::LIMITER_COUNT_INTERVAL;
+            self.agents.next_count_update_at = now + limits::LIMITER_COUNT_INTERVAL;
         }
         if announcement == Announcement::WithKeepAlive && !unchanged.is_empty() {
             let keep_alive = ControlMessage::Items(Vec::new());
@@ -473,27 +480,27 @@
         }
     }
 
-    /// Sends a message to all agents that are sent the configuration.
+    /// Sends a message to the agents on these links, if there are any.
     fn send_to_agents(&self, links: Vec<u64>, message: ControlMessage, out: &mut Vec<Output>) {
         if !links.is_empty() {
             out.push(Output::SendToAgents(links, message));
         }
     }
 
-    /// Sends the agents items that were chosen.
+    /// Sends newly chosen items to the agents.
     pub(super) fn announce_items(&self, items: Vec<Item>, out: &mut Vec<Output>) {
         self.send_to_agents(self.agents.links(), ControlMessage::Items(items), out);
     }
 
-    /// Tells the agents whose initial transfer is complete that they have everything that is in force.
+    /// Notifies the agents whose initial transfer is complete that they have all items in force.
     pub(super) fn announce_complete(&self, out: &mut Vec<Output>) {
         self.announce_complete_to(self.agents.links(), out);
     }
 
     fn announce_complete_to(&self, mut links: Vec<u64>, out: &mut Vec<Output>) {
         links.retain(|link| {
-            let is_deferred = self.agents.deferred.contains_key(link);
-            !is_deferred && !self.agents.pending.contains_key(link)
+            let is_deferred = self.agents.deferred_syncs.contains_key(link);
+            !is_deferred && !self.agents.pending_syncs.contains_key(link)
         });
         self.send_to_agents(links, ControlMessage::Complete, out);
     }
@@ -505,7 +512,7 @@
         }
     }
 
-    /// Sends the agents the platform's list of servers.
+    /// Sends the platform's list of servers to the agents.
     pub(super) fn announce_servers(&self, now: i64, out: &mut Vec<Output>) {
         let links = self.agents.links();
         if !links.is_empty() {
--- a/crates/control/src/core/anti_entropy.rs
+++ b/crates/control/src/core/anti_entropy.rs
@@ -1,8 +1,8 @@
-//! Anti-entropy between two replicas whose digests of the chosen items differ: they find out which items differ, and only
-//! those are sent.
+//! Anti-entropy between two replicas whose digests of the chosen items differ: they determine which items differ, and
+//! only those are sent.
 //!
-//! The replica that answers keeps no state. The one that asks has at most one exchange open, by its id: an answer that is
-//! a duplicate, late or follows a lost one is still learned from, and leads to nothing else.
+//! The responder keeps no state. The requester has at most one open exchange, identified by its id: the items of a
+//! response that is duplicate, late or follows a lost one are still learned, but it does not advance the exchange.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,12 +17,12 @@
 use super::{Output, Replica};
 use crate::limits;
 
-/// The exchange that waits for its answer.
+/// The open exchange of a requester.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct DigestExchange {
-    /// Its id; 0 while no exchange is open.
+    /// The id; 0 while no exchange is open.
     id: u64,
-    /// How many chunks of the answer were received, each after the one before it.
+    /// The number of chunks of the response that were received in sequence.
     chunks_received: u32,
 }
 
@@ -34,18 +34,18 @@
         }
     }
 
-    /// Whether an answer is awaited.
+    /// Whether a response is outstanding.
     pub(super) fn is_open(&self) -> bool {
         self.id != 0
     }
 }
 
-fn key_of(entry: &(Ballot, Item)) -> u64 {
+fn entry_key(entry: &(Ballot, Item)) -> u64 {
     digests::name_key(&entry.1.name)
 }
 
 impl Replica {
-    /// Asks a replica for the chosen items that are not known here.
+    /// Requests the chosen items that are not known here from a replica.
     pub(super) fn request_digest_exchange(&mut self, to: SocketAddr, out: &mut Vec<Output>) {
         let id = self.begin_exchange();
         let digests = self.chosen.digest_buckets().to_vec();
@@ -57,7 +57,7 @@
         self.catch_up.open_exchange(number)
     }
 
-    /// Answers with the items that differ, where they are few, and otherwise with a key and a ballot of each.
+    /// Answers with the items that differ if they are small, and otherwise with the key and the ballot of each.
     pub(super) fn handle_digest_request(
         &self,
         from: SocketAddr,
@@ -66,21 +66,21 @@
         out: &mut Vec<Output>,
     ) {
         let differing: Vec<&(Ballot, Item)> = self.chosen.entries_differing_from(digests).collect();
-        let few_bytes = self.transfer_limits.chunk_bytes / limits::SMALL_DIFFERENCE_DIVISOR;
-        let few = TransferLimits {
-            chunk_bytes: few_bytes,
-            response_bytes: few_bytes,
+        let max_bytes = self.transfer_limits.chunk_bytes / limits::SMALL_DIFFERENCE_DIVISOR;
+        let small_difference = TransferLimits {
+            chunk_bytes: max_bytes,
+            response_bytes: max_bytes,
         };
-        let split = split_into_chunks(few, differing.iter(), |(_, item)| item);
+        let split = split_into_chunks(small_difference, differing.iter(), |(_, item)| item);
         let payload = match split.chunks.as_slice() {
-            [only] if !split.has_more => Payload::ChosenChunk {
+            [chunk] if !split.has_more => Payload::ChosenChunk {
                 id,
                 sequence: 0,
-                items: only.iter().map(|entry| (**entry).clone()).collect(),
+                items: chunk.iter().map(|entry| (**entry).clone()).collect(),
                 continuation: Continuation::End,
             },
             _ => {
-                let entries = differing.iter().map(|entry| (key_of(entry), entry.0));
+                let entries = differing.iter().map(|entry| (entry_key(entry), entry.0));
                 Payload::DigestEntries {
                     id,
                     entries: entries.collect(),
@@ -90,7 +90,7 @@
         self.send(vec![from], payload, out);
     }
 
-    /// Requests those of another replica's items that are newer than what is known here.
+    /// Requests those of another replica's items that are newer than the ones known here.
     pub(super) fn handle_digest_entries(
         &mut self,
         now: i64,
@@ -102,19 +102,26 @@
         if id != self.catch_up.exchange.id {
             return;
         }
-        let known = self.chosen.entries().map(|entry| (key_of(entry), entry.0));
+        let known = self
+            .chosen
+            .entries()
+            .map(|entry| (entry_key(entry), entry.0));
         let known: BTreeMap<u64, Ballot> = known.collect();
-        let is_newer = |key: &u64, ballot: &Ballot| known.get(key).is_none_or(|own| own < ballot);
+        let is_newer = |key: &u64, ballot: &Ballot| {
+            known
+                .get(key)
+                .is_none_or(|known_ballot| known_ballot < ballot)
+        };
         let newer = entries.iter().filter(|(key, ballot)| is_newer(key, ballot));
-        let wanted: Vec<u64> = newer.map(|(key, _)| *key).collect();
-        if wanted.is_empty() {
-            // It is the other replica that lacks items.
+        let keys: Vec<u64> = newer.map(|(key, _)| *key).collect();
+        if keys.is_empty() {
+            // Only the other replica lacks items.
             self.catch_up.exchange = DigestExchange::default();
             return self.handle_caught_up(now, sender.replica(), out);
         }
         self.mark_lagging(now);
         let id = self.begin_exchange();
-        let payload = Payload::FetchRequest { id, wanted };
+        let payload = Payload::FetchRequest { id, keys };
         self.send(vec![sender.address], payload, out);
     }
 
@@ -123,12 +130,12 @@
         &self,
         from: SocketAddr,
         id: u64,
-        wanted: &[u64],
+        keys: &[u64],
         out: &mut Vec<Output>,
     ) {
-        let wanted: BTreeSet<u64> = wanted.iter().copied().collect();
+        let keys: BTreeSet<u64> = keys.iter().copied().collect();
         let entries = self.chosen.entries();
-        let entries = entries.filter(|entry| wanted.contains(&key_of(entry)));
+        let entries = entries.filter(|entry| keys.contains(&entry_key(entry)));
         let split = split_into_chunks(self.transfer_limits, entries.cloned(), |(_, item)| item);
         let continuations = continuations(split.chunks.len(), split.has_more);
         let chunks = split.chunks.into_iter().zip(continuations);
@@ -143,7 +150,7 @@
         }
     }
 
-    /// A chunk of chosen items was learned: notes how far the exchange has come.
+    /// A chunk of chosen items was learned: advances the exchange.
     pub(super) fn handle_chosen_chunk(
         &mut self,
         now: i64,
--- a/crates/control/src/core/dispatch.rs
+++ b/crates/control/src/core/dispatch.rs
@@ -1,4 +1,4 @@
-//! The dispatch of inputs and of peer messages to the handlers of each concern.
+//! Dispatch of inputs and peer messages to their handlers.
 
 use std::net::SocketAddr;
 
@@ -14,15 +14,17 @@
             Input::Tick => {}
             Input::PeerMessage(from, message) => self.handle_peer_message(now, from, message, out),
             Input::PeerConnected(peer) => self.handle_peer_connected(now, peer, out),
-            Input::Written(id) => self.handle_written(now, id, out),
+            Input::WriteCompleted(id) => self.handle_written(now, id, out),
             Input::OperatorCall(call, command, deadline) => {
                 self.handle_call(now, call, command, deadline, out)
             }
-            Input::Agent(link, message) => self.handle_agent_message(now, link, message, out),
+            Input::AgentMessage(link, message) => {
+                self.handle_agent_message(now, link, message, out)
+            }
             Input::AgentDisconnected(link) => self.handle_agent_disconnected(link, out),
             Input::ServerListRead(servers) => self.handle_server_list_read(now, servers, out),
             Input::RoleFailed(role) => self.handle_role_failed(now, role, out),
-            Input::DiskFull(full) => self.handle_disk_full(full, out),
+            Input::DiskFull(is_full) => self.handle_disk_full(is_full, out),
             Input::Shutdown => self.handle_shutdown(now, out),
         }
     }
@@ -31,10 +33,10 @@
         if let Some(recovery) = &mut self.recovery {
             recovery.handle_peer_connected(now, peer);
         }
-        self.greet_replica(peer, out);
+        self.send_addresses_and_members(peer, out);
     }
 
-    /// Records what the message tells about the replicas, then handles its payload.
+    /// Updates the table of replicas from the message, then handles its payload.
     fn handle_peer_message(
         &mut self,
         now: i64,
@@ -42,25 +44,25 @@
         message: PeerMessage,
         out: &mut Vec<Output>,
     ) {
-        let reception = self.table.record_message(now, from, &message);
-        if reception.changed {
+        let outcome = self.table.record_message(now, from, &message);
+        if outcome.table_changed {
             self.handle_replicas_changed(now, out);
         }
-        if reception.returned {
-            self.greet_replica(from, out);
+        if outcome.sender_returned {
+            self.send_addresses_and_members(from, out);
         }
         let sender = Sender {
             address: from,
             process: message.sender,
         };
-        if reception.is_current {
+        if outcome.is_current {
             self.handle_current_message(now, sender, message, out);
         } else {
             self.handle_outdated_message(now, sender, message.payload, out);
         }
     }
 
-    /// Handles a message of an incarnation that is not, or no longer, the newest of its replica.
+    /// Handles a message from a process that is not in the newest known incarnation of its replica.
     fn handle_outdated_message(
         &mut self,
         now: i64,
@@ -69,9 +71,9 @@
         out: &mut Vec<Output>,
     ) {
         match payload {
-            // The sender learns about the newer incarnation from any message.
+            // Any message tells the sender about the newer incarnation.
             Payload::Heartbeat(_) if sender.process.incarnation != Incarnation::NONE => {
-                self.greet_replica(sender.address, out)
+                self.send_addresses_and_members(sender.address, out)
             }
             payload => _ = self.handle_request_of_any(now, sender, payload, out),
         }
@@ -85,8 +87,11 @@
         out: &mut Vec<Output>,
     ) {
         if let Payload::ReplicaAddresses(addresses) = &message.payload {
-            if self.table.knows_more(&message.incarnations, addresses) {
-                self.greet_replica(sender.address, out);
+            if self
+                .table
+                .has_address_missing_from(&message.incarnations, addresses)
+            {
+                self.send_addresses_and_members(sender.address, out);
             }
             return;
         }
@@ -101,8 +106,7 @@
         }
     }
 
-    /// Handles requests that are granted to any process, also to one that recovers or is superseded. Gives back any other
-    /// payload.
+    /// Handles requests that any process may send, even one that recovers or is superseded. Returns any other payload.
     fn handle_request_of_any(
         &mut self,
         now: i64,
@@ -125,8 +129,8 @@
         None
     }
 
-    /// Handles what a current replica tells about itself and the edges, also where this replica does not take part in
-    /// agreement. Gives back any other payload.
+    /// Handles what a current replica reports about itself and the edges, and responses to recovery and handover; these
+    /// are processed even while this replica does not vote. Returns any other payload.
     fn handle_dissemination(
         &mut self,
         now: i64,
@@ -145,12 +149,12 @@
             }
             Payload::IncarnationRecorded {
                 incarnation,
-                floor,
+                promise_floor,
                 chunk,
                 terms,
             } => {
                 if self.is_recovering_as(incarnation) {
-                    self.handle_incarnation_recorded(now, sender, floor, chunk, &terms, out)
+                    self.handle_incarnation_recorded(now, sender, promise_floor, chunk, &terms, out)
                 }
             }
             Payload::HandoverAck {
@@ -166,7 +170,7 @@
         None
     }
 
-    /// Handles the messages of agreement, leases and catching up.
+    /// Handles the messages of proposals, leases and catching up.
     fn handle_participant_message(
         &mut self,
         now: i64,
@@ -187,17 +191,21 @@
                 role,
                 term,
                 sent_at,
-                renewal,
+                is_renewal,
             } => {
                 let request = LeaseRequest {
                     term,
                     sent_at,
-                    renewal,
+                    is_renewal,
                 };
                 self.handle_lease_request(now, Some(from), sender.process, role, request, out)
             }
-            Payload::LeaseRelease { role, term, unused } => {
-                let release = LeaseRelease { term, unused };
+            Payload::LeaseRelease {
+                role,
+                term,
+                is_unused,
+            } => {
+                let release = LeaseRelease { term, is_unused };
                 self.lease_mut(role)
                     .handle_release(now, sender.process, release)
             }
@@ -210,9 +218,7 @@
             Payload::DigestEntries { id, entries } => {
                 self.handle_digest_entries(now, sender, id, &entries, out)
             }
-            Payload::FetchRequest { id, wanted } => {
-                self.handle_fetch_request(from, id, &wanted, out)
-            }
+            Payload::FetchRequest { id, keys } => self.handle_fetch_request(from, id, &keys, out),
             Payload::ChosenChunk {
                 id,
                 sequence,
--- a/crates/control/src/core/membership.rs
+++ b/crates/control/src/core/membership.rs
@@ -1,5 +1,6 @@
-//! Membership of the edges: each holds a lease at the replica that its agent is linked to, and is a member as long as it
-//! renews it there. The replicas report their members to each other; an edge that no replica reports is no member.
+//! Membership of the edges: each edge holds a lease at the replica to which its agent is linked, and is a member as
+//! long as it renews the lease there. The replicas report their members to each other; an edge that no replica reports
+//! is no member.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hasher};
@@ -28,8 +29,8 @@
 
     fn precedence(&self) -> Precedence {
         Precedence {
-            connected: self.member.connected,
-            local: true,
+            is_connected: self.member.is_connected,
+            is_local: true,
             changed_at: 0,
         }
     }
@@ -42,9 +43,9 @@
     digest: u64,
     /// When the report last changed.
     changed_at: i64,
-    /// When the other replica last confirmed its digest.
+    /// When the other replica last confirmed the digest.
     confirmed_at: i64,
-    /// When the whole list was last requested.
+    /// When the complete list was last requested.
     requested_at: Option<i64>,
 }
 
@@ -60,20 +61,20 @@
 
     fn precedence(&self, member: &Member) -> Precedence {
         Precedence {
-            connected: member.connected,
-            local: false,
+            is_connected: member.is_connected,
+            is_local: false,
             changed_at: self.changed_at,
         }
     }
 
-    /// Applies a delta that follows on this report.
+    /// Applies a delta whose `digest_before` is the digest of this report.
     fn apply(&mut self, now: i64, delta: &MembershipDelta) {
-        for name in &delta.removed {
+        for name in &delta.removed_names {
             if let Some(removed) = self.members.remove(name) {
                 self.digest ^= member_digest(&removed);
             }
         }
-        for member in &delta.changed {
+        for member in &delta.changed_members {
             let name = member.node.name.clone();
             let replaced = self.members.insert(name, member.clone());
             self.digest ^= member_digest(member) ^ replaced.as_ref().map_or(0, member_digest);
@@ -83,40 +84,40 @@
     }
 }
 
-/// Which of several reports of one edge is believed: the greatest one.
+/// The precedence of a report of an edge: of several, the one with the greatest precedence is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Precedence {
     /// The edge's agent is linked to the replica that reports it.
-    connected: bool,
+    is_connected: bool,
     /// The edge holds its lease at this replica.
-    local: bool,
-    /// When the report changed last.
+    is_local: bool,
+    /// When the report was last changed.
     changed_at: i64,
 }
 
-/// A member, and where it holds its lease.
+/// A member, and the place of its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocatedMember<'a> {
-    /// The replica that reports it; none for this replica itself.
+    /// The replica that reports it; `None` for this replica itself.
     pub reporter: Option<ReplicaId>,
-    /// The agent's link, where the lease is held at this replica.
+    /// The agent's link if the lease is held at this replica, otherwise 0.
     pub link: u64,
     /// The member.
     pub member: &'a Member,
 }
 
-/// How a delta of another replica's members was applied.
+/// The outcome of a delta of another replica's members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeltaOutcome {
-    /// It was applied, or known before.
+    /// No further step is needed: the delta was applied or already known, or the list was requested recently.
     Applied,
-    /// It was applied, and the members of this replica have changed by it.
+    /// The delta was applied, and the local members have an unannounced change.
     LocalMembersChanged,
-    /// A delta before it was missed: the whole list is to be requested.
+    /// An earlier delta was missed: the complete list must be requested.
     ListNeeded,
 }
 
-/// How many edges serve.
+/// The numbers of serving edges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServingCounts {
     /// In all zones.
@@ -125,35 +126,36 @@
     pub in_zone: u32,
 }
 
-/// The local members as they were last announced to the other replicas.
+/// The local members as last announced to the other replicas.
 #[derive(Clone, Debug, Default)]
 struct Announced {
     members: BTreeMap<String, Member>,
     digest: u64,
 }
 
-/// The members as one replica sees them. Edges are named by their machines.
+/// The members as known to one replica. Edges are identified by the names of their machines.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
-    local: BTreeMap<String, MemberLease>,
-    /// The edge behind each agent's link; for a while an agent may have two links.
+    local_leases: BTreeMap<String, MemberLease>,
+    /// The edge of each agent's link; for a while an agent may have two links.
     links: BTreeMap<u64, NodeInfo>,
     reports: BTreeMap<ReplicaId, PeerReport>,
-    /// The replicas that report each edge. They are few, and a look at all reports for each change would grow with them.
+    /// The replicas that report each edge, so that a change need not be looked up in all reports.
     reporters: BTreeMap<String, BTreeSet<ReplicaId>>,
     /// The digest of the local members.
     digest: u64,
-    announced: Announced,
-    /// Edges that serve or served recently, and when each was last known to.
+    last_announced: Announced,
+    /// Edges that serve or served recently, and when each was last known to serve.
     recently_serving: BTreeMap<String, i64>,
-    /// Edges that have not said yet that they serve.
-    starting: BTreeSet<String>,
-    /// Edges that served and say that they do no longer.
-    left: BTreeSet<String>,
+    /// Edges that have not reported yet that they serve.
+    not_yet_ready: BTreeSet<String>,
+    /// Edges that served and report that they no longer do.
+    departed: BTreeSet<String>,
     serving: ServingNodes,
 }
 
-/// The edges that serve, with their zones, and how many serve in each zone: kept up to date, as it is asked often.
+/// The serving edges with their zones, and their number in each zone. They are kept up to date incrementally, since
+/// they are read often.
 #[derive(Clone, Debug, Default)]
 struct ServingNodes {
     nodes: BTreeMap<String, String>,
@@ -161,19 +163,19 @@
 }
 
 impl ServingNodes {
-    /// An edge serves in a zone, or does not serve.
-    fn set(&mut self, name: &str, zone: Option<&str>) {
+    /// Sets the zone in which an edge serves; `None` if it does not serve.
+    fn set_zone(&mut self, name: &str, zone: Option<&str>) {
         if self.nodes.get(name).map(String::as_str) == zone {
             return;
         }
-        let former_zone = match zone {
+        let previous_zone = match zone {
             Some(zone) => {
                 *self.zones.entry(zone.to_string()).or_default() += 1;
                 self.nodes.insert(name.to_string(), zone.to_string())
             }
             None => self.nodes.remove(name),
         };
-        if let Some(count) = former_zone.and_then(|zone| self.zones.get_mut(&zone)) {
+        if let Some(count) = previous_zone.and_then(|zone| self.zones.get_mut(&zone)) {
             *count -= 1;
         }
     }
@@ -181,12 +183,12 @@
 
 fn member_digest(member: &Member) -> u64 {
     let mut hasher = DefaultHasher::new();
-    // A member can always be encoded; if it could not, its digest would only be that of another one.
+    // Encoding a member does not fail; if it did, the digest would merely coincide with that of other such members.
     hasher.write(&postcard::to_allocvec(member).unwrap_or_default());
     hasher.finish()
 }
 
-/// The digest of a list, whatever its order; 0 for an empty one.
+/// The digest of a list, independent of its order; 0 for an empty one.
 fn list_digest<'a>(members: impl Iterator<Item = &'a Member>) -> u64 {
     members.fold(0, |digest, member| digest ^ member_digest(member))
 }
@@ -194,7 +196,7 @@
 impl Membership {
     /// The edges whose leases are held at this replica.
     pub fn local_members(&self) -> Vec<Member> {
-        let leases = self.local.values();
+        let leases = self.local_leases.values();
         leases.map(|lease| lease.member.clone()).collect()
     }
 
@@ -203,9 +205,9 @@
         self.digest
     }
 
-    /// Whether the local members differ from what was announced to the other replicas.
+    /// Whether the local members differ from those announced to the other replicas.
     fn has_unannounced_change(&self) -> bool {
-        self.digest != self.announced.digest
+        self.digest != self.last_announced.digest
     }
 
     /// Adds, replaces or removes a lease, and keeps the digest up to date.
@@ -213,43 +215,45 @@
         let digest_of = |lease: &MemberLease| member_digest(&lease.member);
         self.digest ^= lease.as_ref().map_or(0, digest_of);
         let replaced = match lease {
-            Some(lease) => self.local.insert(name.to_string(), lease),
-            None => self.local.remove(name),
+            Some(lease) => self.local_leases.insert(name.to_string(), lease),
+            None => self.local_leases.remove(name),
         };
         self.digest ^= replaced.as_ref().map_or(0, digest_of);
     }
 
-    /// The changes of the local members since they were last announced, if there are any. They count as announced now.
+    /// Returns the changes of the local members since they were last announced, if any, and marks them as announced.
     pub fn take_delta(&mut self) -> Option<MembershipDelta> {
         if !self.has_unannounced_change() {
             return None;
         }
-        let announced = &mut self.announced;
-        let changed = self.local.iter();
-        let changed =
-            changed.filter(|(name, lease)| announced.members.get(*name) != Some(&lease.member));
-        let changed: Vec<Member> = changed.map(|(_, lease)| lease.member.clone()).collect();
-        let removed = announced.members.keys();
-        let removed = removed.filter(|name| !self.local.contains_key(*name));
-        let removed: Vec<String> = removed.cloned().collect();
-        for name in &removed {
+        let announced = &mut self.last_announced;
+        let changed_leases = self.local_leases.iter();
+        let changed_leases = changed_leases
+            .filter(|(name, lease)| announced.members.get(*name) != Some(&lease.member));
+        let changed_members: Vec<Member> = changed_leases
+            .map(|(_, lease)| lease.member.clone())
+            .collect();
+        let removed_names = announced.members.keys();
+        let removed_names = removed_names.filter(|name| !self.local_leases.contains_key(*name));
+        let removed_names: Vec<String> = removed_names.cloned().collect();
+        for name in &removed_names {
             announced.members.remove(name);
         }
-        for member in &changed {
+        for member in &changed_members {
             let name = member.node.name.clone();
             announced.members.insert(name, member.clone());
         }
         Some(MembershipDelta {
             digest_before: std::mem::replace(&mut announced.digest, self.digest),
             digest_after: self.digest,
-            changed,
-            removed,
+            changed_members,
+            removed_names,
         })
     }
 
-    /// An agent has said which edge it belongs to. Gives whether the local members have an unannounced change.
+    /// An agent has reported to which edge it belongs. Returns whether the local members have an unannounced change.
     pub fn handle_hello(&mut self, now: i64, link: u64, node: NodeInfo) -> bool {
-        // An edge that comes from another replica keeps the state that it had there until its agent tells another one.
+        // An edge that moves here from another replica keeps its state until its agent reports another one.
         let known = self.best_report(&node.name);
         let known = known.filter(|member| member.node == node);
         let state = known.map(|member| member.state).unwrap_or_default();
@@ -257,15 +261,15 @@
         self.renew(now, link, node, state)
     }
 
-    /// An agent has renewed its lease. Gives whether the local members have an unannounced change.
+    /// An agent has renewed its lease. Returns whether the local members have an unannounced change.
     pub fn handle_heartbeat(&mut self, now: i64, link: u64, state: NodeState) -> bool {
         let Some(node) = self.links.get(&link).cloned() else {
             return false;
         };
-        // The agent sends heartbeats on the link that it keeps, whichever of them was the first.
-        if let Some(lease) = self.local.get_mut(&node.name) {
+        // If an agent has two links, it sends heartbeats on the one that it keeps.
+        if let Some(lease) = self.local_leases.get_mut(&node.name) {
             let member = &lease.member;
-            if member.connected && member.state == state && member.node == node {
+            if member.is_connected && member.state == state && member.node == node {
                 lease.link = link;
                 lease.renewed_at = now;
                 return false;
@@ -279,7 +283,7 @@
         let member = Member {
             node,
             state,
-            connected: true,
+            is_connected: true,
         };
         let lease = MemberLease {
             member,
@@ -291,25 +295,28 @@
         self.has_unannounced_change()
     }
 
-    /// An agent's link was closed; its lease goes on until it expires. Gives whether the local members have an unannounced
-    /// change.
+    /// An agent's link was closed; its lease remains until it expires. Returns whether the local members have an
+    /// unannounced change.
     pub fn handle_disconnect(&mut self, link: u64) -> bool {
         let node = self.links.remove(&link);
-        let lease = node.and_then(|node| self.local.get(&node.name));
+        let lease = node.and_then(|node| self.local_leases.get(&node.name));
         let Some(mut lease) = lease.filter(|lease| lease.link == link).cloned() else {
             return false;
         };
-        lease.member.connected = false;
+        lease.member.is_connected = false;
         let name = lease.member.node.name.clone();
         self.set_lease(&name, Some(lease));
         self.update_serving(&name);
         self.has_unannounced_change()
     }
 
-    /// Removes the leases and reports that have expired. Gives whether the local members have an unannounced change.
+    /// Removes expired leases and reports. Returns whether the local members have an unannounced change.
     pub fn expire_leases(&mut self, now: i64, has_quorum_contact: bool) -> bool {
         self.expire_reports(now, has_quorum_contact);
-        let expired = self.local.iter().filter(|(_, lease)| !lease.is_valid(now));
+        let expired = self
+            .local_leases
+            .iter()
+            .filter(|(_, lease)| !lease.is_valid(now));
         let expired: Vec<String> = expired.map(|(name, _)| name.clone()).collect();
         for name in expired {
             self.set_lease(&name, None);
@@ -330,7 +337,7 @@
         }
     }
 
-    /// Determines anew which edges serve, and gives those that say that they do not.
+    /// Recomputes which edges serve. Returns the edges that report that they do not.
     fn rebuild_serving(&mut self) -> BTreeSet<String> {
         let mut serving = ServingNodes::default();
         let mut unavailable = BTreeSet::new();
@@ -339,7 +346,7 @@
             match member.state {
                 NodeState::Unavailable => _ = unavailable.insert(name.clone()),
                 NodeState::Ready | NodeState::Draining => {
-                    serving.set(name, Some(&member.node.zone))
+                    serving.set_zone(name, Some(&member.node.zone))
                 }
             }
         }
@@ -347,7 +354,7 @@
         unavailable
     }
 
-    /// Determines which edges may still use their slices of quotas although they are not heard any more.
+    /// Updates which edges may still use their slices of quotas although no replica reports them any more.
     fn update_recently_serving(
         &mut self,
         now: i64,
@@ -355,39 +362,41 @@
         unavailable: &BTreeSet<String>,
     ) {
         let recently_serving = &mut self.recently_serving;
-        let newly_left = unavailable.iter();
-        let newly_left = newly_left.filter(|name| recently_serving.contains_key(*name));
-        self.left.extend(newly_left.cloned());
-        self.left.retain(|name| unavailable.contains(name));
-        // Hazard: an edge that falls silent before it has said that it serves may serve by then, and use its slices.
-        for name in &self.starting {
+        let newly_departed = unavailable.iter();
+        let newly_departed = newly_departed.filter(|name| recently_serving.contains_key(*name));
+        self.departed.extend(newly_departed.cloned());
+        self.departed.retain(|name| unavailable.contains(name));
+        // An edge that becomes silent before it has reported that it serves may be serving by now, and use its slices.
+        for name in &self.not_yet_ready {
             if !unavailable.contains(name) && !self.serving.nodes.contains_key(name) {
                 recently_serving.insert(name.clone(), now);
             }
         }
-        self.starting = unavailable.difference(&self.left).cloned().collect();
+        self.not_yet_ready = unavailable.difference(&self.departed).cloned().collect();
         for name in self.serving.nodes.keys() {
             recently_serving.insert(name.clone(), now);
         }
         if !has_quorum_contact {
-            // Hazard: edges that are not heard here may go on serving beside other replicas. Agents that are told a lower
-            // number of limiters take larger slices of quotas, while those others go on with theirs.
-            recently_serving.values_mut().for_each(|at| *at = now);
-        }
-        // An edge that says that it has left uses no slice any more.
-        recently_serving.retain(|name, at| {
-            now - *at <= limits::RECENTLY_SERVING_DURATION && !unavailable.contains(name)
+            // Edges unknown here may keep serving while linked to other replicas. If agents were sent a lower number of
+            // limiters, they would take larger slices of quotas while those edges keep using theirs.
+            recently_serving
+                .values_mut()
+                .for_each(|serving_at| *serving_at = now);
+        }
+        // An edge that reports that it no longer serves uses no slice any more.
+        recently_serving.retain(|name, serving_at| {
+            now - *serving_at <= limits::RECENTLY_SERVING_DURATION && !unavailable.contains(name)
         });
     }
 
-    /// Another replica has sent all its members. Gives whether the local members have an unannounced change.
+    /// Another replica has sent all its members. Returns whether the local members have an unannounced change.
     pub fn handle_member_list(
         &mut self,
         now: i64,
         replica: ReplicaId,
         members: Vec<Member>,
     ) -> bool {
-        self.release_moved(&members);
+        self.release_moved_leases(&members);
         let digest = list_digest(members.iter());
         let by_name = members.into_iter();
         let by_name = by_name.map(|member| (member.node.name.clone(), member));
@@ -432,15 +441,15 @@
             };
         }
         report.apply(now, &delta);
-        for name in &delta.removed {
+        for name in &delta.removed_names {
             self.remove_reporter(replica, name);
         }
-        for member in &delta.changed {
+        for member in &delta.changed_members {
             self.add_reporter(replica, &member.node.name);
         }
-        self.release_moved(&delta.changed);
-        let changed = delta.changed.iter().map(|member| &member.node.name);
-        for name in changed.chain(&delta.removed) {
+        self.release_moved_leases(&delta.changed_members);
+        let changed = delta.changed_members.iter().map(|member| &member.node.name);
+        for name in changed.chain(&delta.removed_names) {
             self.update_serving(name);
         }
         if self.has_unannounced_change() {
@@ -450,18 +459,18 @@
         }
     }
 
-    /// Releases the leases of edges whose agents were linked here and are linked elsewhere by now.
-    fn release_moved(&mut self, members: &[Member]) {
-        for member in members.iter().filter(|member| member.connected) {
+    /// Releases the leases of edges whose agents are no longer linked here but to another replica.
+    fn release_moved_leases(&mut self, members: &[Member]) {
+        for member in members.iter().filter(|member| member.is_connected) {
             let name = &member.node.name;
-            let lease = self.local.get(name);
-            if lease.is_some_and(|lease| !lease.member.connected) {
+            let lease = self.local_leases.get(name);
+            if lease.is_some_and(|lease| !lease.member.is_connected) {
                 self.set_lease(name, None);
             }
         }
     }
 
-    /// Another replica has sent the digest of its members. Gives whether its list is to be requested.
+    /// Another replica has sent the digest of its members. Returns whether to request its list now.
     pub fn handle_digest(&mut self, now: i64, replica: ReplicaId, digest: u64) -> bool {
         let report = self.reports.entry(replica).or_default();
         if report.digest == digest {
@@ -471,27 +480,27 @@
         self.should_request_list(now, replica)
     }
 
-    /// Whether to request the list of a replica that has other members than were reported, now.
+    /// Whether to request the list of a replica whose members differ from its report now. If so, records the request.
     fn should_request_list(&mut self, now: i64, replica: ReplicaId) -> bool {
         let report = self.reports.entry(replica).or_default();
-        let request = report
+        let is_due = report
             .requested_at
             .is_none_or(|requested_at| now - requested_at >= limits::SYNC_REQUEST_INTERVAL);
-        if request {
+        if is_due {
             report.requested_at = Some(now);
-            // The report must not expire while the answer is on its way.
-            let grace = now - limits::MEMBER_LEASE_DURATION / 2;
-            report.confirmed_at = report.confirmed_at.max(grace);
+            // The report must not expire before the response arrives.
+            let min_confirmed_at = now - limits::MEMBER_LEASE_DURATION / 2;
+            report.confirmed_at = report.confirmed_at.max(min_confirmed_at);
         }
-        request
+        is_due
     }
 
-    /// How many edges serve or served recently: those that are cut off go on using their slices of quotas.
+    /// The number of edges that serve or served recently: partitioned edges keep using their slices of quotas.
     pub fn recently_serving_count(&self) -> usize {
         self.recently_serving.len()
     }
 
-    /// How many edges serve, in all and in a zone.
+    /// The numbers of edges that serve in total and in a zone.
     pub fn serving_counts(&self, zone: &str) -> ServingCounts {
         ServingCounts {
             total: self.serving.nodes.len() as u32,
@@ -513,17 +522,17 @@
         }
     }
 
-    /// The reports of an edge have changed: determines anew whether it serves.
+    /// Recomputes whether an edge serves, after a change of its reports.
     fn update_serving(&mut self, name: &str) {
         let member = self.best_report(name);
         let serving = member.filter(|member| member.state != NodeState::Unavailable);
         let zone = serving.map(|member| member.node.zone.clone());
-        self.serving.set(name, zone.as_deref());
+        self.serving.set_zone(name, zone.as_deref());
     }
 
-    /// The report of an edge that is believed, as [`Membership::all_members`] has it.
+    /// The report of an edge with the highest precedence, as in [`Membership::all_members`].
     fn best_report(&self, name: &str) -> Option<&Member> {
-        let local = self.local.get(name);
+        let local = self.local_leases.get(name);
         let local = local.map(|lease| (lease.precedence(), &lease.member));
         let reporters = self.reporters.get(name).into_iter().flatten();
         let reported = reporters.filter_map(|replica| {
@@ -536,14 +545,14 @@
         best.map(|(_, member)| member)
     }
 
-    /// All members, each as the report with the highest precedence has it.
+    /// All members, each as in the report with the highest precedence.
     pub fn all_members(&self) -> Vec<&Member> {
         let located = self.located_members().into_iter();
         located.map(|located| located.member).collect()
     }
 
-    /// The members whose leases and reports are valid at this instant, also if a stalled process has not removed the others
-    /// yet.
+    /// The members whose leases and reports are valid at `now`, even if a process that stalled has not removed the
+    /// expired ones yet.
     pub fn valid_members(&self, now: i64, has_quorum_contact: bool) -> Vec<&Member> {
         let located = self.located_members_where(
             |lease| lease.is_valid(now),
@@ -552,7 +561,7 @@
         located.into_iter().map(|located| located.member).collect()
     }
 
-    /// All members, each with the place where it holds its lease.
+    /// All members, each with the place of its lease.
     pub fn located_members(&self) -> Vec<LocatedMember<'_>> {
         self.located_members_where(|_| true, |_| true)
     }
@@ -562,7 +571,10 @@
         is_valid_lease: impl Fn(&MemberLease) -> bool,
         is_valid_report: impl Fn(&PeerReport) -> bool,
     ) -> Vec<LocatedMember<'_>> {
-        let local = self.local.values().filter(|lease| is_valid_lease(lease));
+        let local = self
+            .local_leases
+            .values()
+            .filter(|lease| is_valid_lease(lease));
         let local = local.map(|lease| {
             let located = LocatedMember {
                 reporter: None,
@@ -633,7 +645,7 @@
         }
     }
 
-    /// Sends the changes of the local members to the other replicas, if there are any.
+    /// Sends the changes of the local members, if any, to the other replicas.
     pub(super) fn broadcast_membership(&mut self, out: &mut Vec<Output>) {
         if let Some(delta) = self.membership.take_delta() {
             self.broadcast(Payload::MembershipDelta(delta), out);
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -1,9 +1,9 @@
 //! The control state of one replica: a deterministic state machine without I/O. The host passes in messages, times and
-//! completed writes, and carries out the outputs: messages to send, records to write, calls to answer.
+//! completed writes, and performs the outputs: messages to send, records to write, calls to answer.
 //!
-//! Configuration items are kept in one register each, in the manner of CASPaxos: there is neither a log nor a leader. A
-//! change is proposed by the replica that was called, under a ballot, and is chosen once more than half of the replicas
-//! have accepted it.
+//! Each configuration item is kept in a register of its own, as in CASPaxos: there is neither a log nor a leader. The
+//! replica that receives an operator's call proposes the change under a ballot; the change is chosen once more than
+//! half of the replicas have accepted it.
 //!
 //! | concern | modules |
 //! | --- | --- |
@@ -11,8 +11,8 @@
 //! | which machine holds each replica | [`ids`], [`replicas`], [`recovery`], `reclaim`, `handover` |
 //! | agreement on items | [`registers`], `acceptor`, [`proposal`], `proposals`, [`pending_proposals`], [`chosen`] |
 //! | operators' calls | `operator_calls`, `quorum_read`, [`status`] |
-//! | catching up after losses | `heartbeat`, `catch_up`, `anti_entropy`, [`transfer`] |
-//! | roles of which only one replica performs each | [`role_lease`], [`counter`], [`server_list`] |
+//! | catching up after lost messages or a restart | `heartbeat`, `catch_up`, `anti_entropy`, [`transfer`] |
+//! | roles that one replica performs for all | [`role_lease`], [`counter`], [`server_list`] |
 //! | edges | [`membership`], `agents`, `load_aggregation` |
 
 mod acceptor;
@@ -64,7 +64,7 @@
 use self::pending_proposals::PendingProposals;
 use self::proposals::Proposals;
 use self::quorum_read::QuorumReads;
-use self::reclaim::Superseded;
+use self::reclaim::Supersession;
 use self::recovery::Recovery;
 use self::registers::Registers;
 use self::replicas::ReplicaTable;
@@ -80,12 +80,12 @@
 /// The control state of one replica.
 pub struct Replica {
     zones: Vec<String>,
-    /// How often this process has started in its incarnation.
+    /// The number of the process start within the incarnation, from 1.
     run: u32,
     table: ReplicaTable,
     /// More than half of the replicas are in contact with this one, as of the last heartbeat.
     has_quorum_contact: bool,
-    next_heartbeat: i64,
+    next_heartbeat_at: i64,
 
     registers: Registers,
     chosen: ChosenItems,
@@ -97,23 +97,23 @@
 
     role_leases: [RoleLease; SingletonRole::ALL.len()],
     counter: SharedCounter,
-    /// The clock by which the limiters name the windows of quotas, less the clock of this replica.
+    /// The shared clock that numbers quota windows, minus this replica's clock, in microseconds.
     clock_offset: i64,
     server_list: ServerList,
-    /// The server list is not requested from another replica before this time.
-    next_server_request: i64,
+    /// Earliest time of the next request for another replica's server list.
+    next_server_list_request_at: i64,
 
     membership: Membership,
     agents: AgentLinks,
     load: LoadAggregation,
 
-    /// The recovery of this replica, while its disk has lost the registers.
+    /// Set while this replica recovers the registers that its disk has lost.
     recovery: Option<Recovery>,
     /// Set while another machine holds a newer incarnation of this replica.
-    superseded: Option<Superseded>,
-    /// Set once the process was told to end.
+    supersession: Option<Supersession>,
+    /// Set once the process was asked to shut down.
     handover: Option<Handover>,
-    shutting_down: bool,
+    is_shutting_down: bool,
 
     last_request_id: u64,
     random_state: u64,
@@ -121,7 +121,7 @@
 }
 
 impl Replica {
-    /// Creates a replica that starts now, from the state that was found on its disk.
+    /// Creates a replica that starts at `now`, from the state found on its disk.
     pub fn new(now: i64, config: ReplicaConfig) -> Replica {
         let replica_count = config.zones.len();
         let position = config.zones.iter().position(|zone| *zone == config.zone);
@@ -133,9 +133,9 @@
         };
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
         let address = config.address.unwrap_or(unspecified);
-        let mut table = ReplicaTable::new(local, replica_count, address, config.seeds);
+        let mut table = ReplicaTable::new(local, replica_count, address, config.seed_addresses);
         table.restore(&metadata.incarnations, &metadata.addresses);
-        let registers = Registers::restore(metadata.floor, config.recovered.registers);
+        let registers = Registers::restore(metadata.promise_floor, config.recovered.registers);
         let mut chosen = ChosenItems::default();
         for (ballot, item) in &config.recovered.chosen {
             chosen.learn(*ballot, item);
@@ -147,7 +147,7 @@
             }
         }
         let role_leases = SingletonRole::ALL.map(|role| {
-            let stored = role_lease::StoredTerms::of(&metadata.terms, role);
+            let stored = role_lease::StoredTerms::for_role(&metadata.terms, role);
             RoleLease::new(role, local, replica_count, stored, now)
         });
         Replica {
@@ -155,7 +155,7 @@
             run: metadata.run,
             table,
             has_quorum_contact: false,
-            next_heartbeat: now,
+            next_heartbeat_at: now,
             proposals: Proposals::new(registers.highest_promise().round),
             registers,
             chosen,
@@ -167,68 +167,71 @@
             counter: SharedCounter::default(),
             clock_offset: STEADY_CLOCK_START.saturating_sub(now),
             server_list: ServerList::default(),
-            next_server_request: now,
+            next_server_list_request_at: now,
             membership: Membership::default(),
             agents: AgentLinks::default(),
             load: LoadAggregation::default(),
             recovery: (metadata.incarnation == Incarnation::NONE).then(Recovery::default),
-            superseded: None,
+            supersession: None,
             handover: None,
-            shutting_down: false,
+            is_shutting_down: false,
             last_request_id: 0,
-            random_state: config.seed | 1,
+            random_state: config.random_seed | 1,
             transfer_limits: config.transfer_limits,
         }
     }
 
     /// Processes one input at the time `now`, in microseconds on a monotonic clock, and appends the outputs.
     pub fn step(&mut self, now: i64, input: Input, out: &mut Vec<Output>) {
-        // These inputs are frequent, and the cluster view that agents are sent does not depend on them.
-        let keeps_view = matches!(
+        // These inputs are frequent and never change the cluster view that agents are sent.
+        let leaves_view_unchanged = matches!(
             input,
-            Input::Agent(
+            Input::AgentMessage(
                 _,
                 AgentMessage::CounterBatch { .. } | AgentMessage::LoadReports(_)
-            ) | Input::Written(_)
+            ) | Input::WriteCompleted(_)
                 | Input::ServerListRead(_)
         );
-        if now - self.next_heartbeat >= limits::CONTACT_TIMEOUT {
+        if now - self.next_heartbeat_at >= limits::CONTACT_TIMEOUT {
             self.handle_stall(now);
         }
         self.handle_input(now, input, out);
         self.run_due(now, out);
-        if !keeps_view || self.agents.wake_at().is_some_and(|wake_at| wake_at <= now) {
+        if !leaves_view_unchanged || self.agents.wake_at().is_some_and(|wake_at| wake_at <= now) {
             self.announce_view(now, Announcement::IfChanged, out);
         }
     }
 
-    /// The time at which [`Input::Tick`] is to be passed in at the latest.
+    /// The time by which [`Input::Tick`] must be passed in if no other input comes earlier.
     pub fn wake_at(&self) -> i64 {
-        let able = self.table.is_participant() && self.has_quorum_contact && !self.disk.is_full;
-        let may_request = able && !self.shutting_down;
+        let can_propose =
+            self.table.is_participant() && self.has_quorum_contact && !self.disk.is_full;
+        let may_request_lease = can_propose && !self.is_shutting_down;
         let leases = self
             .role_leases
             .iter()
-            .filter(|lease| may_request || lease.is_candidate())
+            .filter(|lease| may_request_lease || lease.is_candidate())
             .map(RoleLease::wake_at);
         let optional = [
             self.proposals.wake_at(),
             self.reads.wake_at(),
             self.recovery.as_ref().and_then(Recovery::wake_at),
-            self.repair_wake_at().filter(|_| able),
+            self.repair_wake_at().filter(|_| can_propose),
             self.agents.wake_at(),
             self.load.wake_at(),
             self.handover.as_ref().and_then(Handover::wake_at),
             self.reclaim_wake_at(),
         ];
         let optional = optional.into_iter().flatten();
-        leases.chain(optional).fold(self.next_heartbeat, i64::min)
+        leases
+            .chain(optional)
+            .fold(self.next_heartbeat_at, i64::min)
     }
 
-    /// Runs what is due, in a fixed order.
+    /// Runs all work that is due, in a fixed order.
     fn run_due(&mut self, now: i64, out: &mut Vec<Output>) {
-        if now >= self.next_heartbeat {
-            self.next_heartbeat = now + limits::HEARTBEAT_INTERVAL;
+        if now >= self.next_heartbeat_at {
+            self.next_heartbeat_at = now + limits::HEARTBEAT_INTERVAL;
             self.send_heartbeat(now, out);
         }
         self.drive_recovery(now, out);
@@ -241,26 +244,26 @@
         self.drive_reclaim(now, out);
     }
 
-    /// The term in which this replica performs a role at this instant, if it holds the lease.
+    /// The term in which this replica performs a role at `now`, if it holds the lease.
     pub fn acting_term(&self, now: i64, role: SingletonRole) -> Option<u64> {
-        let able = self.table.is_participant() && !self.shutting_down;
-        self.lease(role).acting_term(now).filter(|_| able)
+        let may_act = self.table.is_participant() && !self.is_shutting_down;
+        self.lease(role).acting_term(now).filter(|_| may_act)
     }
 
-    /// The edges whose leases are valid at this instant, as far as this replica knows.
+    /// The edges whose leases are valid at `now`, as far as this replica knows.
     pub fn members(&self, now: i64) -> Vec<&Member> {
         let has_quorum_contact = self.table.has_quorum_contact(now);
         self.membership.valid_members(now, has_quorum_contact)
     }
 
-    /// Whether more than half of the replicas are in contact with this one.
+    /// Whether more than half of the replicas, this one included, exchange messages with this one in both directions.
     pub fn has_quorum_contact(&self, now: i64) -> bool {
         self.table.has_quorum_contact(now)
     }
 
     /// The addresses to keep links with until the first [`Output::Peers`].
-    pub fn peers(&self) -> Vec<SocketAddr> {
-        self.table.peers()
+    pub fn peer_addresses(&self) -> Vec<SocketAddr> {
+        self.table.peer_addresses()
     }
 
     /// Whether this replica votes and answers calls.
@@ -273,12 +276,12 @@
         self.table.is_superseded()
     }
 
-    /// The items that are known to be chosen, removed ones included.
+    /// The items known to be chosen, including removed ones.
     pub fn chosen_items(&self) -> impl Iterator<Item = &Item> {
         self.chosen.entries().map(|(_, item)| item)
     }
 
-    /// The digest of the items that are known to be chosen.
+    /// The digest of the items known to be chosen.
     pub fn chosen_digest(&self) -> u64 {
         self.chosen.digest()
     }
@@ -297,16 +300,16 @@
     pub fn pending_counts(&self) -> PendingCounts {
         PendingCounts {
             proposals: self.proposals.len(),
-            calls: self.proposals.calls(),
-            reads: self.reads.calls(),
+            calls: self.proposals.call_count(),
+            reads: self.reads.call_count(),
             writes: self.disk.pending_writes(),
             repairs: self.pending.len(),
         }
     }
 
-    /// Whether every call that was taken has been answered.
+    /// Whether all accepted calls have been answered.
     pub fn is_idle(&self) -> bool {
-        self.proposals.calls() == 0 && self.reads.calls() == 0
+        self.proposals.call_count() == 0 && self.reads.call_count() == 0
     }
 
     fn lease(&self, role: SingletonRole) -> &RoleLease {
--- a/crates/control/src/core/outbox.rs
+++ b/crates/control/src/core/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages and records on their way out, and what waits for the disk.
+//! Outgoing messages and disk writes, and the steps that wait for a write to complete.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,28 +10,28 @@
 use super::role_lease::RoleLease;
 use super::{Output, Record, Replica, ReplicaMetadata};
 
-/// What is done once records are on disk.
+/// The step to run once records are on disk.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum PendingWrite {
-    /// Send a vote to the replica at this address; without one it is this replica's own vote.
-    Vote(Option<SocketAddr>, Payload),
-    /// Tell a recovering replica that its incarnation is recorded, and send it what it requested.
-    Recorded(SocketAddr, Incarnation, TransferRequest),
-    /// Take part in the incarnation that was recovered.
+    /// Send a vote to the replica at this address; without an address the vote is for this replica's own proposal.
+    SendVote(Option<SocketAddr>, Payload),
+    /// Confirm to a recovering replica that its incarnation is recorded, and send it the requested registers.
+    SendIncarnationRecorded(SocketAddr, Incarnation, TransferRequest),
+    /// Participate under the recovered incarnation.
     BeginIncarnation(Incarnation),
 }
 
-/// The disk as the replica knows it.
+/// The state of the disk as known to the replica.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DiskState {
     /// The disk rejects writes.
     pub(super) is_full: bool,
-    /// What waits for a write, by its request id.
+    /// The steps that wait for a write, by request id.
     pending: BTreeMap<u64, PendingWrite>,
 }
 
 impl DiskState {
-    /// How many writes something waits for.
+    /// The number of writes whose completion triggers a further step.
     pub(super) fn pending_writes(&self) -> usize {
         self.pending.len()
     }
@@ -56,16 +56,16 @@
         self.send(self.table.other_addresses(), payload, out);
     }
 
-    /// Writes records; `then` is carried out once they are on disk.
+    /// Writes records; `next_step` runs once they are on disk.
     pub(super) fn write(
         &mut self,
         records: Vec<Record>,
-        then: Option<PendingWrite>,
+        next_step: Option<PendingWrite>,
         out: &mut Vec<Output>,
     ) {
         let id = self.next_request_id();
-        if let Some(then) = then {
-            self.disk.pending.insert(id, then);
+        if let Some(next_step) = next_step {
+            self.disk.pending.insert(id, next_step);
         }
         out.push(Output::Write(id, records));
     }
@@ -75,20 +75,20 @@
         self.role_leases.iter().map(RoleLease::granted_term)
     }
 
-    /// The metadata as it is to be persisted now.
+    /// The current metadata, to be persisted.
     pub(super) fn metadata(&self) -> ReplicaMetadata {
         let last_held = self.role_leases.iter().map(RoleLease::last_held_term);
         ReplicaMetadata {
             incarnation: self.table.local().incarnation,
             run: self.run,
-            floor: self.registers.floor(),
+            promise_floor: self.registers.promise_floor(),
             terms: self.granted_terms().chain(last_held).collect(),
             incarnations: self.table.incarnations(),
             addresses: self.table.addresses(),
         }
     }
 
-    /// Sends a vote, or counts it if it is this replica's own.
+    /// Sends a vote to another replica, or counts it directly if it is for this replica's own proposal.
     pub(super) fn deliver_vote(
         &mut self,
         now: i64,
@@ -106,10 +106,11 @@
         self.send(vec![to], vote, out);
     }
 
-    /// The disk rejects writes, or accepts them again. Until it does, this replica promises, accepts and grants nothing new.
-    pub(super) fn handle_disk_full(&mut self, full: bool, out: &mut Vec<Output>) {
-        if std::mem::replace(&mut self.disk.is_full, full) != full {
-            let event = if full {
+    /// The disk rejects writes, or accepts them again. While it rejects them this replica promises, accepts and grants
+    /// nothing new.
+    pub(super) fn handle_disk_full(&mut self, is_full: bool, out: &mut Vec<Output>) {
+        if std::mem::replace(&mut self.disk.is_full, is_full) != is_full {
+            let event = if is_full {
                 Event::VotingSuspended
             } else {
                 Event::VotingResumed
@@ -118,23 +119,23 @@
         }
     }
 
-    /// Records are on disk: carries out what waited for them.
+    /// Records are on disk: runs the step that waited for them.
     pub(super) fn handle_written(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
         match self.disk.pending.remove(&id) {
-            Some(PendingWrite::Vote(to, vote)) if self.table.is_participant() => {
+            Some(PendingWrite::SendVote(to, vote)) if self.table.is_participant() => {
                 self.deliver_vote(now, to, vote, out)
             }
-            Some(PendingWrite::Recorded(to, incarnation, request)) => {
-                self.send_recorded(to, incarnation, &request, out)
+            Some(PendingWrite::SendIncarnationRecorded(to, incarnation, request)) => {
+                self.send_incarnation_recorded(to, incarnation, &request, out)
             }
             Some(PendingWrite::BeginIncarnation(incarnation)) => {
                 self.begin_incarnation(now, incarnation, out)
             }
-            Some(PendingWrite::Vote(..)) | None => {}
+            Some(PendingWrite::SendVote(..)) | None => {}
         }
     }
 
-    fn send_recorded(
+    fn send_incarnation_recorded(
         &self,
         to: SocketAddr,
         incarnation: Incarnation,
@@ -148,7 +149,7 @@
         for chunk in chunks {
             let payload = Payload::IncarnationRecorded {
                 incarnation,
-                floor,
+                promise_floor: floor,
                 chunk,
                 terms: self.granted_terms().collect(),
             };
--- a/crates/control/src/core/proposals.rs
+++ b/crates/control/src/core/proposals.rs
@@ -1,4 +1,4 @@
-//! The proposals of this replica: when each starts, is resent, backs off and ends.
+//! The proposals in progress at this replica: when each starts, is resent, backs off and ends.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,76 +14,77 @@
 use crate::limits;
 use crate::operator_api::Reply;
 
-/// The answer to a call some of whose items may be in force although another change has overtaken one of them.
-const PARTIALLY_APPLIED: &str = "ver: another change stands at the version of an item, and other items of this call may be in force: \
-                      send it with higher versions";
+/// The response to a call some of whose items may be in force although another change has taken the version of one.
+const PARTIALLY_APPLIED: &str = "ver: another change has taken the version of an item, and other items of this call \
+     may be in force: resend the call with higher versions";
 
-/// The answer to a call whose proposal or read did not reach a quorum in time.
-pub(super) const NO_QUORUM: &str = "no answer of more than half of the replicas";
+/// The response to a call whose proposal or read did not reach a quorum in time.
+pub(super) const NO_QUORUM: &str = "no quorum of the replicas answered before the deadline";
 
-/// How long a proposal waits whose registers another proposal of this replica is working on.
+/// The delay before a proposal is checked again whose registers are in use by another proposal of this replica.
 const BUSY_RETRY_INTERVAL: i64 = limits::RESEND_INTERVAL / 10;
 
 /// The proposals of one replica, by request id.
 #[derive(Debug)]
 pub(super) struct Proposals {
-    open: BTreeMap<u64, Proposal>,
-    /// The operator's call that a proposal is for.
-    calls: BTreeMap<u64, u64>,
-    /// The highest round of a ballot that was seen anywhere.
+    in_progress: BTreeMap<u64, Proposal>,
+    /// The operator's call that waits for each proposal.
+    call_by_proposal: BTreeMap<u64, u64>,
+    /// The highest known round of any ballot.
     highest_round: u64,
 }
 
-/// What is to be done with a proposal that was looked at.
-enum Due {
+/// The step that is due for a proposal.
+enum DueStep {
     Nothing,
-    Expired,
-    /// All that the repair found is chosen by now.
-    Superfluous,
+    Expire,
+    /// End a repair whose registers are all known to be chosen by now.
+    EndRedundantRepair,
     Start,
-    WaitForOther,
+    /// Wait for another proposal of this replica that uses the same registers.
+    WaitForRegisters,
     Resend,
 }
 
 impl Proposals {
     pub(super) fn new(highest_round: u64) -> Proposals {
         Proposals {
-            open: BTreeMap::new(),
-            calls: BTreeMap::new(),
+            in_progress: BTreeMap::new(),
+            call_by_proposal: BTreeMap::new(),
             highest_round,
         }
     }
 
-    /// How many proposals are in progress.
+    /// The number of proposals in progress.
     pub(super) fn len(&self) -> usize {
-        self.open.len()
+        self.in_progress.len()
     }
 
     /// Whether no proposal is in progress.
     pub(super) fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.in_progress.is_empty()
     }
 
-    /// How many of them are for an operator's call.
-    pub(super) fn calls(&self) -> usize {
-        self.calls.len()
+    /// The number of operators' calls that wait for a proposal.
+    pub(super) fn call_count(&self) -> usize {
+        self.call_by_proposal.len()
     }
 
-    /// When the next one is to be looked at.
+    /// The time of the next due step of any proposal.
     pub(super) fn wake_at(&self) -> Option<i64> {
-        let wakes = self.open.values();
-        wakes
+        let proposals = self.in_progress.values();
+        proposals
             .map(|proposal| proposal.wake_at.min(proposal.deadline))
             .min()
     }
 
-    /// Takes note of a round that another proposer has used, so that the next ballot is above it.
+    /// Records a round used by another proposer, so that the next ballot is above it.
     pub(super) fn observe_round(&mut self, round: u64) {
         self.highest_round = self.highest_round.max(round);
     }
 
-    fn with_ballot(&self, ballot: Ballot) -> Option<u64> {
-        let mut open = self.open.iter();
+    fn find_by_ballot(&self, ballot: Ballot) -> Option<u64> {
+        let mut open = self.in_progress.iter();
         open.find(|(_, proposal)| proposal.ballot() == ballot)
             .map(|(id, _)| *id)
     }
@@ -101,65 +102,70 @@
     ) {
         let id = self.next_request_id();
         let proposal = Proposal::new(intent, now, deadline);
-        self.proposals.open.insert(id, proposal);
-        self.proposals.calls.insert(id, call);
+        self.proposals.in_progress.insert(id, proposal);
+        self.proposals.call_by_proposal.insert(id, call);
         self.drive_proposals(now, out);
     }
 
-    /// Starts a proposal that only completes what was accepted on these registers, and gives its id.
+    /// Starts a proposal that only completes what was accepted on these registers. Returns its id.
     pub(super) fn propose_repair(&mut self, now: i64, names: Vec<ItemName>, deadline: i64) -> u64 {
         let id = self.next_request_id();
         let proposal = Proposal::new(Intent::Repair(names), now, deadline);
-        self.proposals.open.insert(id, proposal);
+        self.proposals.in_progress.insert(id, proposal);
         id
     }
 
-    /// Starts proposals that wait, resends what was not answered and ends those whose deadline has passed.
+    /// Starts waiting proposals, resends unanswered messages and ends proposals whose deadline has passed.
     pub(super) fn drive_proposals(&mut self, now: i64, out: &mut Vec<Output>) {
         self.start_due_repairs(now);
         if self.proposals.is_empty() {
             return;
         }
-        let ids: Vec<u64> = self.proposals.open.keys().copied().collect();
+        let ids: Vec<u64> = self.proposals.in_progress.keys().copied().collect();
         let mut busy: BTreeSet<ItemName> = BTreeSet::new();
         for id in ids {
-            match self.due(now, id, &mut busy) {
-                Due::Nothing => {}
-                Due::Expired => self.expire_proposal(now, id, out),
-                Due::Superfluous => {
-                    // Hazard: it would only make others fail that work on these registers.
+            match self.due_step(now, id, &mut busy) {
+                DueStep::Nothing => {}
+                DueStep::Expire => self.expire_proposal(now, id, out),
+                DueStep::EndRedundantRepair => {
+                    // Continuing would only cause rejections of other proposals for these registers.
                     let actions = vec![Action::Report(Outcome::Done), Action::Finished];
                     self.apply_actions(now, id, actions, out);
                 }
-                Due::Start => self.start_proposal(now, id, out),
-                Due::WaitForOther => {
-                    if let Some(proposal) = self.proposals.open.get_mut(&id) {
+                DueStep::Start => self.start_proposal(now, id, out),
+                DueStep::WaitForRegisters => {
+                    if let Some(proposal) = self.proposals.in_progress.get_mut(&id) {
                         proposal.wake_at = now + BUSY_RETRY_INTERVAL;
                     }
                 }
-                Due::Resend => {
-                    let proposal = self.proposals.open.get_mut(&id);
-                    let actions = proposal.map(|proposal| proposal.on_timeout(now));
+                DueStep::Resend => {
+                    let proposal = self.proposals.in_progress.get_mut(&id);
+                    let actions = proposal.map(|proposal| proposal.handle_timeout(now));
                     self.apply_actions(now, id, actions.unwrap_or_default(), out);
                 }
             }
         }
     }
 
-    /// Proposes again what was accepted long ago and is not known to be chosen.
+    /// Starts a repair of the registers whose accepted value has not become known as chosen for
+    /// [`limits::REPAIR_DELAY`].
     fn start_due_repairs(&mut self, now: i64) {
-        let due = self.repair_wake_at().is_some_and(|wake_at| wake_at <= now);
-        let able = self.has_quorum_contact && self.table.is_participant() && !self.disk.is_full;
-        if !due || !able {
+        let is_due = self.repair_wake_at().is_some_and(|wake_at| wake_at <= now);
+        let can_propose =
+            self.has_quorum_contact && self.table.is_participant() && !self.disk.is_full;
+        if !is_due || !can_propose {
             return;
         }
-        let names = self.pending.take_due(now, self.table.local().replica);
+        let names = self
+            .pending
+            .take_due_repairs(now, self.table.local().replica);
         if !names.is_empty() {
             self.propose_repair(now, names, now + limits::REPAIR_TIMEOUT);
         }
     }
 
-    /// When the next repair is due. While another replica is telling what is chosen there is no need for one.
+    /// The time of the next repair. It is postponed while a digest exchange with another replica is open, since that is
+    /// likely to report the value as chosen.
     pub(super) fn repair_wake_at(&self) -> Option<i64> {
         let wake_at = self.pending.wake_at(self.table.local().replica)?;
         Some(if self.catch_up.is_exchanging() {
@@ -169,34 +175,38 @@
         })
     }
 
-    /// What is due for a proposal. `busy` holds the registers of those looked at before it: two proposals of one process
-    /// for the same register would only hinder each other.
-    fn due(&self, now: i64, id: u64, busy: &mut BTreeSet<ItemName>) -> Due {
-        let Some(proposal) = self.proposals.open.get(&id) else {
-            return Due::Nothing;
+    /// The step that is due for a proposal. `busy` collects the registers of the proposals checked before it: two
+    /// proposals of one process for the same register would only reject each other.
+    fn due_step(&self, now: i64, id: u64, busy: &mut BTreeSet<ItemName>) -> DueStep {
+        let Some(proposal) = self.proposals.in_progress.get(&id) else {
+            return DueStep::Nothing;
         };
         if now >= proposal.deadline || !self.table.is_participant() {
-            return Due::Expired;
+            return DueStep::Expire;
         }
         let names = if self.proposals.len() > 1 {
             proposal.names()
         } else {
             Vec::new()
         };
-        let free = names.iter().all(|name| !busy.contains(name));
+        let has_free_registers = names.iter().all(|name| !busy.contains(name));
         busy.extend(names);
-        match (proposal.wake_at <= now, proposal.is_idle(), free) {
-            (false, ..) => Due::Nothing,
-            (true, false, _) => Due::Resend,
-            (true, true, false) => Due::WaitForOther,
-            (true, true, true) if self.is_superfluous(id) => Due::Superfluous,
-            (true, true, true) => Due::Start,
+        match (
+            proposal.wake_at <= now,
+            proposal.is_idle(),
+            has_free_registers,
+        ) {
+            (false, ..) => DueStep::Nothing,
+            (true, false, _) => DueStep::Resend,
+            (true, true, false) => DueStep::WaitForRegisters,
+            (true, true, true) if self.is_redundant(id) => DueStep::EndRedundantRepair,
+            (true, true, true) => DueStep::Start,
         }
     }
 
-    /// Whether a proposal is a repair, and everything that it is to complete is known to be chosen by now.
-    fn is_superfluous(&self, id: u64) -> bool {
-        let proposal = self.proposals.open.get(&id);
+    /// Whether a proposal is a repair, and everything that it would complete is known to be chosen by now.
+    fn is_redundant(&self, id: u64) -> bool {
+        let proposal = self.proposals.in_progress.get(&id);
         let Some(repair) = proposal.filter(|proposal| proposal.is_repair()) else {
             return false;
         };
@@ -212,14 +222,18 @@
     fn start_proposal(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
         let proposer = self.table.local();
         let Proposals {
-            open,
+            in_progress: open,
             highest_round,
             ..
         } = &mut self.proposals;
         let Some(proposal) = open.get_mut(&id) else {
             return;
         };
-        *highest_round = proposal.highest_seen.round.max(*highest_round + 1) + 1;
+        *highest_round = proposal
+            .highest_rejecting_ballot
+            .round
+            .max(*highest_round + 1)
+            + 1;
         let ballot = Ballot {
             round: *highest_round,
             proposer,
@@ -229,7 +243,7 @@
     }
 
     fn expire_proposal(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
-        // The votes of others may do without this replica's; where they did not, it is this disk that needs a look.
+        // A quorum may exist without this replica's vote; if it did not, the caller is pointed to this replica's disk.
         let reason = if self.disk.is_full {
             DISK_REJECTS_WRITES
         } else {
@@ -240,12 +254,12 @@
 
     fn end_proposal(&mut self, now: i64, id: u64, reply: Option<Reply>, out: &mut Vec<Output>) {
         let read = self.reads.take_awaiting_repair(id);
-        let call = self.proposals.calls.remove(&id);
+        let call = self.proposals.call_by_proposal.remove(&id);
         if let (Some(call), Some(reply)) = (call.or(read.and_then(|read| read.call())), reply) {
             out.push(Output::Answer(call, reply));
         }
-        if let Some(proposal) = self.proposals.open.remove(&id) {
-            self.pending.release(now, &proposal.names());
+        if let Some(proposal) = self.proposals.in_progress.remove(&id) {
+            self.pending.finish_repair(now, &proposal.names());
         }
     }
 
@@ -271,7 +285,7 @@
             Outcome::Conflict => Reply::Conflict,
             Outcome::PartiallyApplied => Reply::Unavailable(PARTIALLY_APPLIED),
         };
-        if let Some(call) = self.proposals.calls.remove(&id) {
+        if let Some(call) = self.proposals.call_by_proposal.remove(&id) {
             out.push(Output::Answer(call, reply));
         }
         if let Some(read) = self.reads.take_awaiting_repair(id) {
@@ -279,9 +293,9 @@
         }
     }
 
-    /// Sends a message to every replica that has not voted yet, this one included.
+    /// Sends a message to each replica that has not voted yet, this one included.
     fn broadcast_proposal(&mut self, now: i64, id: u64, payload: Payload, out: &mut Vec<Output>) {
-        let Some(proposal) = self.proposals.open.get(&id) else {
+        let Some(proposal) = self.proposals.in_progress.get(&id) else {
             return;
         };
         let local = self.table.local().replica;
@@ -290,20 +304,20 @@
         let to = others
             .filter_map(|replica| self.table.address(replica))
             .collect();
-        let votes_itself = proposal.awaits_vote_of(local);
+        let awaits_local_vote = proposal.awaits_vote_of(local);
         self.send(to, payload.clone(), out);
         match payload {
-            Payload::Prepare { ballot, names } if votes_itself => {
+            Payload::Prepare { ballot, names } if awaits_local_vote => {
                 self.handle_prepare(now, None, ballot, &names, out)
             }
-            Payload::Accept { ballot, items } if votes_itself => {
+            Payload::Accept { ballot, items } if awaits_local_vote => {
                 self.handle_accept(now, None, ballot, &items, out)
             }
             _ => {}
         }
     }
 
-    /// Handles the answer to a proposal, a quorum read or a lease request of this replica.
+    /// Handles a response to a proposal, a quorum read or a lease request of this replica.
     pub(super) fn handle_vote(
         &mut self,
         now: i64,
@@ -313,30 +327,34 @@
     ) {
         let voter = sender.voter();
         match vote {
-            Payload::Promise { ballot, accepted } => {
-                let Some(id) = self.proposals.with_ballot(ballot) else {
+            Payload::Promise {
+                ballot,
+                accepted_values,
+            } => {
+                let Some(id) = self.proposals.find_by_ballot(ballot) else {
                     return;
                 };
-                let Some(proposal) = self.proposals.open.get_mut(&id) else {
+                let Some(proposal) = self.proposals.in_progress.get_mut(&id) else {
                     return;
                 };
                 let actions =
-                    proposal.handle_promise(now, voter, accepted, &self.table, &self.chosen);
+                    proposal.handle_promise(now, voter, accepted_values, &self.table, &self.chosen);
                 self.apply_actions(now, id, actions, out);
             }
             Payload::Accepted(ballot) => {
-                let Some(id) = self.proposals.with_ballot(ballot) else {
+                let Some(id) = self.proposals.find_by_ballot(ballot) else {
                     return;
                 };
-                let Some(proposal) = self.proposals.open.get_mut(&id) else {
+                let Some(proposal) = self.proposals.in_progress.get_mut(&id) else {
                     return;
                 };
                 let actions = proposal.handle_accepted(voter, &self.table);
                 self.apply_actions(now, id, actions, out);
             }
-            Payload::Nack { ballot, seen } => {
-                self.handle_nack(now, voter.replica, ballot, seen, out)
-            }
+            Payload::Nack {
+                ballot,
+                higher_ballot,
+            } => self.handle_nack(now, voter.replica, ballot, higher_ballot, out),
             Payload::RegisterChunk { id, chunk } => {
                 self.handle_register_chunk(now, sender, id, chunk, out)
             }
@@ -344,16 +362,17 @@
                 role,
                 term,
                 sent_at,
-                granted,
+                is_granted,
                 newest_term,
             } => {
                 let vote = LeaseVote {
                     term: term.number,
                     sent_at,
-                    granted,
+                    is_granted,
                     newest_term,
                 };
-                // Hazard: a vote for the request of a former process counts from that request's time.
+                // A vote on a request of an earlier process of this replica must not count, since its `sent_at` belongs
+                // to that request.
                 if term.holder == self.table.local() {
                     self.handle_lease_vote(now, voter, role, vote, out);
                 }
@@ -367,23 +386,23 @@
         now: i64,
         replica: ReplicaId,
         ballot: Ballot,
-        seen: Ballot,
+        higher_ballot: Ballot,
         out: &mut Vec<Output>,
     ) {
-        let Some(id) = self.proposals.with_ballot(ballot) else {
+        let Some(id) = self.proposals.find_by_ballot(ballot) else {
             return;
         };
-        self.proposals.observe_round(seen.round);
-        let Some(proposal) = self.proposals.open.get(&id) else {
+        self.proposals.observe_round(higher_ballot.round);
+        let Some(proposal) = self.proposals.in_progress.get(&id) else {
             return;
         };
-        // Hazard: proposers of one register that all start again at once reject each other for seconds.
+        // Without jitter, proposers of one register start again at the same time and reject each other for seconds.
         let backoff = proposal.backoff();
-        let backoff = backoff.minimum + self.random_below(backoff.jitter) as i64;
-        let Some(proposal) = self.proposals.open.get_mut(&id) else {
+        let backoff = backoff.minimum_us + self.random_below(backoff.max_jitter_us) as i64;
+        let Some(proposal) = self.proposals.in_progress.get_mut(&id) else {
             return;
         };
-        let actions = proposal.handle_nack(now, replica, seen, backoff, &self.table);
+        let actions = proposal.handle_nack(now, replica, higher_ballot, backoff, &self.table);
         self.apply_actions(now, id, actions, out);
     }
 }
--- a/crates/control/src/core/quorum_read.rs
+++ b/crates/control/src/core/quorum_read.rs
@@ -1,5 +1,5 @@
-//! Quorum reads: all registers as more than half of the replicas have accepted them, so that nothing that was
-//! acknowledged anywhere can be missing.
+//! Quorum reads: the values of all registers as accepted by more than half of the replicas, so that no change that any
+//! replica has acknowledged can be missing.
 
 use std::collections::BTreeMap;
 
@@ -16,14 +16,14 @@
 use crate::limits;
 use crate::operator_api::Reply;
 
-/// What a quorum read is for.
+/// The purpose of a quorum read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ReadPurpose {
-    /// An operator asks for the configuration.
+    /// An operator has requested the configuration.
     Configuration { call: u64 },
-    /// A patch that was inconsistent with the items known here is to be checked against the result.
+    /// A patch whose consistency could not be decided from the items known here is checked against the result.
     Patch { call: u64, patch: Vec<u8> },
-    /// This replica makes sure that it knows everything that was acknowledged: see [`super::catch_up`].
+    /// This replica verifies that it knows every acknowledged change: see [`super::catch_up`].
     CatchUp { epoch: u64 },
 }
 
@@ -36,30 +36,32 @@
         }
     }
 
-    /// How long the read waits for the replicas that proposed what it has found to complete it.
+    /// How long the read waits for the proposers of the values that it has found to complete their proposals.
     fn repair_delay(&self) -> i64 {
         match self {
             ReadPurpose::Configuration { .. } | ReadPurpose::Patch { .. } => {
                 limits::READ_REPAIR_DELAY
             }
-            // Nobody waits for the answer. Hazard: replicas that start together would repair the same registers at once.
+            // No caller waits for the result, and with a short delay replicas that start together would repair the same
+            // registers at the same time.
             ReadPurpose::CatchUp { .. } => limits::CATCH_UP_REPAIR_DELAY,
         }
     }
 }
 
-/// A quorum read that is in progress.
+/// A quorum read in progress.
 #[derive(Clone, Debug)]
 pub(super) struct QuorumRead {
     purpose: ReadPurpose,
     /// The replicas that have answered completely.
     votes: BTreeMap<ReplicaId, Incarnation>,
     sources: BTreeMap<ReplicaId, SourceProgress>,
-    /// The newest accepted value of each register so far.
-    found: BTreeMap<ItemName, (Ballot, Item)>,
+    /// The newest accepted value of each register received so far.
+    accepted_values: BTreeMap<ItemName, (Ballot, Item)>,
     /// Digests of the registers of this replica when the read began.
     digests: Vec<u64>,
-    /// Set once a quorum has answered. What is not known to be chosen by then is repaired before the read completes.
+    /// Set once a quorum has answered: values that are not known to be chosen by this time are repaired before the read
+    /// completes.
     repair_at: Option<i64>,
     deadline: i64,
     wake_at: i64,
@@ -71,32 +73,34 @@
         self.purpose.call()
     }
 
-    /// The request for what a replica has not answered yet.
+    /// The request for the part that a replica has not sent yet.
     fn request(&self, replica: ReplicaId) -> TransferRequest {
         let source = self.sources.get(&replica);
         TransferRequest {
             digests: self.digests.clone(),
-            after: source.and_then(|source| source.progress.after.clone()),
+            start_after: source.and_then(|source| source.progress.start_after.clone()),
         }
     }
 
-    /// Takes in a chunk of a replica's answer, and gives what follows it; none for a duplicate.
+    /// Merges a chunk of a replica's response. Returns what follows the chunk; `None` for a duplicate.
     fn record_chunk(&mut self, voter: Voter, chunk: Chunk) -> Option<Continuation> {
         let source = self.sources.entry(voter.replica);
         let source = source.or_insert(SourceProgress::new(voter.incarnation));
         let continuation = source.record_chunk(voter.incarnation, &chunk);
         for (ballot, item) in chunk.items {
-            let known = self.found.get(&item.name);
+            let known = self.accepted_values.get(&item.name);
             if known.is_none_or(|(known, _)| *known < ballot) {
-                self.found.insert(item.name.clone(), (ballot, item));
+                self.accepted_values
+                    .insert(item.name.clone(), (ballot, item));
             }
         }
         continuation
     }
 
-    /// The registers whose value was found and is not known to be chosen. It may be lost again, so nobody may see it yet.
+    /// The registers with a value that is not known to be chosen. Such a value may still be lost, so it must not be
+    /// reported to a caller.
     pub(super) fn unconfirmed(&self, chosen: &ChosenItems) -> Vec<ItemName> {
-        let items = self.found.values().map(|(_, item)| item);
+        let items = self.accepted_values.values().map(|(_, item)| item);
         let unconfirmed =
             items.filter(|item| item.name.kind != ItemKind::Zone && !chosen.includes(item));
         unconfirmed.map(|item| item.name.clone()).collect()
@@ -106,28 +110,34 @@
 /// The quorum reads of one replica, by request id.
 #[derive(Debug, Default)]
 pub(super) struct QuorumReads {
-    open: BTreeMap<u64, QuorumRead>,
+    in_progress: BTreeMap<u64, QuorumRead>,
     /// Reads that wait for a repair, by the id of its proposal.
     awaiting_repair: BTreeMap<u64, QuorumRead>,
 }
 
 impl QuorumReads {
-    /// How many are in progress for an operator's call.
-    pub(super) fn calls(&self) -> usize {
-        let reads = self.open.values().chain(self.awaiting_repair.values());
+    /// The number of reads in progress for operators' calls.
+    pub(super) fn call_count(&self) -> usize {
+        let reads = self
+            .in_progress
+            .values()
+            .chain(self.awaiting_repair.values());
         reads.filter(|read| read.call().is_some()).count()
     }
 
-    /// Whether this replica reads what it may lack itself.
+    /// Whether a read for this replica's own catching up is in progress.
     pub(super) fn is_catching_up(&self) -> bool {
-        let mut reads = self.open.values().chain(self.awaiting_repair.values());
+        let mut reads = self
+            .in_progress
+            .values()
+            .chain(self.awaiting_repair.values());
         reads.any(|read| read.call().is_none())
     }
 
-    /// When the next one is to be looked at.
+    /// The time of the next due step of any read.
     pub(super) fn wake_at(&self) -> Option<i64> {
-        let wakes = self.open.values();
-        wakes.map(|read| read.wake_at.min(read.deadline)).min()
+        let reads = self.in_progress.values();
+        reads.map(|read| read.wake_at.min(read.deadline)).min()
     }
 
     /// The read that waits for this repair.
@@ -135,7 +145,7 @@
         self.awaiting_repair.get(&proposal)
     }
 
-    /// Takes out the read that waits for this repair.
+    /// Removes and returns the read that waits for this repair.
     pub(super) fn take_awaiting_repair(&mut self, proposal: u64) -> Option<QuorumRead> {
         self.awaiting_repair.remove(&proposal)
     }
@@ -157,20 +167,20 @@
             purpose,
             votes: BTreeMap::from([(local.replica, local.incarnation)]),
             sources: BTreeMap::new(),
-            found: self.registers.accepted_entries().map(entry).collect(),
+            accepted_values: self.registers.accepted_entries().map(entry).collect(),
             digests: self.registers.digests().buckets().to_vec(),
             repair_at: None,
             deadline,
             wake_at: now + limits::RESEND_INTERVAL,
         };
         let request = read.request(local.replica);
-        let id_of_process = self.request_id(id);
+        let request_id = self.request_id(id);
         let payload = Payload::ReadRequest {
-            id: id_of_process,
+            id: request_id,
             request,
         };
         self.broadcast(payload, out);
-        self.reads.open.insert(id, read);
+        self.reads.in_progress.insert(id, read);
         self.check_read(now, id, out);
     }
 
@@ -197,7 +207,7 @@
         }
     }
 
-    /// Takes in a chunk of the answer to a quorum read.
+    /// Handles a chunk of a response to a quorum read.
     pub(super) fn handle_register_chunk(
         &mut self,
         now: i64,
@@ -206,12 +216,12 @@
         chunk: Chunk,
         out: &mut Vec<Output>,
     ) {
-        // Hazard: a former process of this replica used the same numbers. An answer to it tells what was accepted then,
-        // and leaves out what that process had, which this one may lack.
+        // An earlier process of this replica used the same numbers. A response to it is outdated, and omits values that
+        // that process had and this one may lack.
         if id != self.request_id(id.number) {
             return;
         }
-        let Some(read) = self.reads.open.get_mut(&id.number) else {
+        let Some(read) = self.reads.in_progress.get_mut(&id.number) else {
             return;
         };
         let voter = sender.voter();
@@ -238,14 +248,14 @@
 
     /// Completes a read that a quorum has answered, or starts the repair that it needs first.
     fn check_read(&mut self, now: i64, id: u64, out: &mut Vec<Output>) {
-        let Some(read) = self.reads.open.get_mut(&id) else {
+        let Some(read) = self.reads.in_progress.get_mut(&id) else {
             return;
         };
         if !self.table.is_quorum(&read.votes) {
             return;
         }
         let unconfirmed = read.unconfirmed(&self.chosen);
-        // Whoever proposed it normally completes it soon.
+        // The proposer of an unconfirmed value normally completes it soon.
         let repair_at = *read
             .repair_at
             .get_or_insert(now + read.purpose.repair_delay());
@@ -253,7 +263,7 @@
             read.wake_at = repair_at;
             return;
         }
-        let Some(read) = self.reads.open.remove(&id) else {
+        let Some(read) = self.reads.in_progress.remove(&id) else {
             return;
         };
         if unconfirmed.is_empty() {
@@ -264,14 +274,14 @@
         self.drive_proposals(now, out);
     }
 
-    /// Answers the call of a read: everything that was found is chosen by now, or was lost.
+    /// Completes a read: each value found is chosen by now, or was lost.
     pub(super) fn complete_read(&mut self, now: i64, read: QuorumRead, out: &mut Vec<Output>) {
         let lost = read.unconfirmed(&self.chosen);
-        let found = read.found.values().map(|(_, item)| item);
-        let found = found.filter(|item| !lost.contains(&item.name));
-        // Of two items of one version the chosen one counts.
+        let found_items = read.accepted_values.values().map(|(_, item)| item);
+        let found_items = found_items.filter(|item| !lost.contains(&item.name));
+        // Of two items with the same version the chosen one is used.
         let chosen = self.chosen.entries().map(|(_, item)| item);
-        let items: Items = newest_versions(chosen.chain(found));
+        let items: Items = newest_versions(chosen.chain(found_items));
         match read.purpose {
             ReadPurpose::Configuration { call } => {
                 let body = items::configuration_json(items.values());
@@ -285,12 +295,12 @@
         }
     }
 
-    /// Resends the requests that were not answered, and ends reads whose deadline has passed.
+    /// Resends unanswered requests, and ends reads whose deadline has passed.
     pub(super) fn drive_reads(&mut self, now: i64, out: &mut Vec<Output>) {
-        let due = self.reads.open.iter();
+        let due = self.reads.in_progress.iter();
         let due = due.filter(|(_, read)| now >= read.wake_at.min(read.deadline));
         for id in due.map(|(id, _)| *id).collect::<Vec<_>>() {
-            let Some(read) = self.reads.open.get_mut(&id) else {
+            let Some(read) = self.reads.in_progress.get_mut(&id) else {
                 continue;
             };
             if now >= read.deadline {
@@ -298,7 +308,7 @@
                     let reply = Reply::Unavailable(NO_QUORUM);
                     out.push(Output::Answer(call, reply));
                 }
-                self.reads.open.remove(&id);
+                self.reads.in_progress.remove(&id);
                 continue;
             }
             read.wake_at = now + limits::RESEND_INTERVAL;
@@ -311,7 +321,7 @@
     }
 
     fn resend_read_requests(&self, id: u64, out: &mut Vec<Output>) {
-        let Some(read) = self.reads.open.get(&id) else {
+        let Some(read) = self.reads.in_progress.get(&id) else {
             return;
         };
         for replica in 0..self.table.replica_count() as ReplicaId {
@@ -329,7 +339,7 @@
     }
 }
 
-/// The newest version of each item; of one version the first.
+/// The newest version of each item; of equal versions the first.
 fn newest_versions<'a>(items: impl Iterator<Item = &'a Item>) -> Items {
     let mut newest = Items::new();
     for item in items {
--- a/crates/control/src/core/reclaim.rs
+++ b/crates/control/src/core/reclaim.rs
@@ -1,9 +1,10 @@
 //! Reclaiming a replica whose newer incarnation is unreachable.
 //!
-//! Two machines may recover one replica at the same time, and the one whose incarnation is newer may be gone before the
-//! other hears of it. Then nobody would hold the replica for good. The superseded process asks the others, and recovers
-//! under an incarnation of its own once no replica of a quorum has heard the newer one for [`limits::RECLAIM_TIMEOUT`].
-//! That is as safe as the recovery of an empty disk, since it gathers anew what a quorum of the others holds.
+//! Two machines may recover one replica at the same time, and the one with the newer incarnation may fail before the
+//! other learns of it. The replica would then stay vacant for good. The superseded process therefore queries the other
+//! replicas, and recovers under a new incarnation once more than half of them report the newer one as unreachable and
+//! none has reported it as reachable for [`limits::RECLAIM_TIMEOUT`]. This is as safe as the recovery of an empty disk,
+//! since it collects the accepted values of a quorum of the others again.
 
 use std::collections::BTreeMap;
 
@@ -13,62 +14,68 @@
 use super::{Output, Replica};
 use crate::limits;
 
-/// What a superseded process knows about the newer incarnation of its replica.
+/// The state of a superseded process regarding the newer incarnation of its replica.
 #[derive(Clone, Debug)]
-pub(super) struct Superseded {
-    /// When the newer incarnation was last known to be heard by any replica.
-    last_heard: i64,
-    /// When each other replica last said that it does not hear the newer incarnation.
-    not_heard_by: BTreeMap<ReplicaId, i64>,
+pub(super) struct Supersession {
+    /// When any replica last reported the newer incarnation as reachable.
+    last_heard_at: i64,
+    /// When each other replica last reported the newer incarnation as unreachable.
+    unreachable_reports: BTreeMap<ReplicaId, i64>,
     next_request_at: i64,
 }
 
 impl Replica {
-    /// Asks the others about the newer incarnation, and begins to recover once it is unreachable.
+    /// Queries the other replicas about the newer incarnation, and begins to recover once it is unreachable.
     pub(super) fn drive_reclaim(&mut self, now: i64, out: &mut Vec<Output>) {
-        if !self.table.is_superseded() || self.shutting_down {
-            self.superseded = None;
+        if !self.table.is_superseded() || self.is_shutting_down {
+            self.supersession = None;
             return;
         }
-        let superseded = self.superseded.get_or_insert_with(|| Superseded {
-            last_heard: now,
-            not_heard_by: BTreeMap::new(),
+        let supersession = self.supersession.get_or_insert_with(|| Supersession {
+            last_heard_at: now,
+            unreachable_reports: BTreeMap::new(),
             next_request_at: now,
         });
-        if now < superseded.next_request_at {
+        if now < supersession.next_request_at {
             return;
         }
-        superseded.next_request_at = now + limits::HEARTBEAT_INTERVAL;
-        let reports = &mut superseded.not_heard_by;
-        reports.retain(|_, at| now - *at <= limits::CONTACT_TIMEOUT);
-        let unreachable = reports.len() >= self.table.recovery_quorum();
-        if unreachable && now - superseded.last_heard >= limits::RECLAIM_TIMEOUT {
+        supersession.next_request_at = now + limits::HEARTBEAT_INTERVAL;
+        let reports = &mut supersession.unreachable_reports;
+        reports.retain(|_, reported_at| now - *reported_at <= limits::CONTACT_TIMEOUT);
+        let is_unreachable = reports.len() >= self.table.recovery_quorum_size();
+        if is_unreachable && now - supersession.last_heard_at >= limits::RECLAIM_TIMEOUT {
             out.push(Output::Log(Event::IncarnationReclaimed));
-            self.superseded = None;
-            self.table.relinquish();
+            self.supersession = None;
+            self.table.relinquish_incarnation();
             self.recovery = Some(Recovery::default());
             return self.drive_recovery(now, out);
         }
         self.broadcast(Replica::handover_query(), out);
     }
 
-    /// Another replica reports the newest incarnation of this one that it hears, or none.
-    pub(super) fn handle_slot_report(&mut self, now: i64, from: ReplicaId, heard: Incarnation) {
+    /// Another replica reports the newest incarnation of this one that is reachable from it; [`Incarnation::NONE`] if
+    /// none is.
+    pub(super) fn handle_slot_report(
+        &mut self,
+        now: i64,
+        from: ReplicaId,
+        reachable_incarnation: Incarnation,
+    ) {
         let local = self.table.local().incarnation;
-        let Some(superseded) = &mut self.superseded else {
+        let Some(supersession) = &mut self.supersession else {
             return;
         };
-        if heard > local {
-            superseded.last_heard = now;
-            superseded.not_heard_by.clear();
+        if reachable_incarnation > local {
+            supersession.last_heard_at = now;
+            supersession.unreachable_reports.clear();
         } else {
-            superseded.not_heard_by.insert(from, now);
+            supersession.unreachable_reports.insert(from, now);
         }
     }
 
-    /// When [`Replica::drive_reclaim`] is due.
+    /// The time at which [`Replica::drive_reclaim`] is due.
     pub(super) fn reclaim_wake_at(&self) -> Option<i64> {
-        let superseded = self.superseded.as_ref();
-        superseded.map(|superseded| superseded.next_request_at)
+        let supersession = self.supersession.as_ref();
+        supersession.map(|supersession| supersession.next_request_at)
     }
 }
--- a/crates/control/src/core/recovery.rs
+++ b/crates/control/src/core/recovery.rs
@@ -1,8 +1,9 @@
 //! Recovery of a replica whose disk has lost its registers, under a new incarnation.
 //!
-//! The other replicas first persist the new incarnation and then answer with what they have accepted. So whoever counts a
-//! vote of the former incarnation meets, in any quorum, a replica that knows better. The recovering replica takes part
-//! again once more than half of the others have answered completely and everything is on its disk.
+//! The other replicas first persist the new incarnation and then answer with their accepted values. A proposer that
+//! counts a vote of the previous incarnation therefore meets, in any quorum, a replica that reports the new one. The
+//! recovering replica participates again once more than half of the others have answered completely and all values are
+//! on its disk.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,7 +23,7 @@
 use super::{Output, Record, Replica};
 use crate::limits;
 
-/// What is to be done after a chunk of another replica's registers.
+/// The step that follows a chunk of another replica's registers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecoveryStep {
     /// Wait for further chunks.
@@ -33,11 +34,11 @@
     Complete,
 }
 
-/// The limits that a recovering replica takes over from another one.
+/// The promises and lease grants that a recovering replica adopts from another one.
 #[derive(Clone, Copy, Debug)]
 pub struct Promises<'a> {
-    /// The highest ballot that the other replica has promised anything to.
-    pub floor: Ballot,
+    /// The highest ballot to which the other replica has promised any register.
+    pub promise_floor: Ballot,
     /// The newest term that the other replica has granted for each role.
     pub terms: &'a [Term],
 }
@@ -45,64 +46,67 @@
 /// A recovery in progress.
 #[derive(Clone, Debug, Default)]
 pub struct Recovery {
-    /// The incarnation that is to begin.
+    /// The incarnation to begin.
     pub incarnation: Incarnation,
     sources: BTreeMap<ReplicaId, SourceProgress>,
-    /// The accepted value of each register, by the highest ballot.
-    pub found: BTreeMap<ItemName, (Ballot, Item)>,
-    /// Digests of `found`: a source does not send the buckets in which it has the same.
+    /// The received value of each register with the highest ballot.
+    pub accepted_values: BTreeMap<ItemName, (Ballot, Item)>,
+    /// Digests of `accepted_values`: a source omits the buckets in which it has the same values.
     digests: Digests,
-    /// The first replica with a link. It is asked alone at first, since most of the others will have nothing to add.
+    /// The first connected replica. It alone is sent the first request, since most of the others will have nothing to
+    /// add.
     first_source: Option<SocketAddr>,
-    first_source_asked: bool,
+    first_source_requested: bool,
     /// The highest promise of any replica.
-    pub floor: Ballot,
+    pub promise_floor: Ballot,
     /// The newest term of each role.
     pub terms: Vec<Term>,
     next_request_at: i64,
-    /// Everything was received and is being written to disk.
-    persisting: bool,
+    /// All values were received and are being written to disk.
+    is_persisting: bool,
 }
 
 impl Recovery {
-    /// A recovery of a replica whose disk still holds these entries: only what differs has to be received.
+    /// Creates a recovery of a replica whose disk still holds these entries, so that only differing ones are received.
     pub fn from_accepted<'a>(entries: impl Iterator<Item = &'a (Ballot, Item)>) -> Recovery {
         let mut recovery = Recovery::default();
         for (ballot, item) in entries {
-            recovery.merge(*ballot, item.clone());
+            recovery.merge_value(*ballot, item.clone());
         }
         recovery
     }
 
-    /// Keeps the value with the higher ballot.
-    fn merge(&mut self, ballot: Ballot, item: Item) {
-        let known = self.found.get(&item.name);
+    /// Stores the value unless one with a higher ballot is known.
+    fn merge_value(&mut self, ballot: Ballot, item: Item) {
+        let known = self.accepted_values.get(&item.name);
         if known.is_some_and(|(known, _)| *known >= ballot) {
             return;
         }
         let digest = entry_digest(&ballot, &item);
         self.digests.toggle(&item.name, digest);
-        let replaced = self.found.insert(item.name.clone(), (ballot, item));
+        let replaced = self
+            .accepted_values
+            .insert(item.name.clone(), (ballot, item));
         if let Some((ballot, item)) = replaced {
             let digest = entry_digest(&ballot, &item);
             self.digests.toggle(&item.name, digest);
         }
     }
 
-    /// Chooses an incarnation after the newest known one. What was gathered stays valid, as it was accepted under its ballots
-    /// whatever this incarnation is; the sources have to answer again.
+    /// Chooses an incarnation after the newest known one. The received values stay valid, since they were accepted
+    /// under their ballots independently of this incarnation, but the sources have to answer again.
     pub fn choose_incarnation(&mut self, newest: Incarnation, nonce: u32) {
         if newest >= self.incarnation {
             let number = newest.max(Incarnation::FIRST).number + 1;
             self.incarnation = Incarnation { number, nonce };
             self.sources.clear();
-            self.first_source_asked = false;
+            self.first_source_requested = false;
             self.next_request_at = 0;
-            self.persisting = false;
+            self.is_persisting = false;
         }
     }
 
-    /// A link with a replica was established.
+    /// A link to a replica was established.
     pub fn handle_peer_connected(&mut self, now: i64, peer: SocketAddr) {
         if self.first_source.is_none() {
             self.first_source = Some(peer);
@@ -110,16 +114,16 @@
         }
     }
 
-    /// When requests are sent again; none once everything was received.
+    /// The time of the next requests; `None` once everything was received.
     pub fn wake_at(&self) -> Option<i64> {
-        (!self.persisting).then_some(self.next_request_at)
+        (!self.is_persisting).then_some(self.next_request_at)
     }
 
-    /// The requests to send now: to the first source alone at first, then to every replica that has not answered
+    /// The requests to send now: initially to the first source alone, then to each replica that has not answered
     /// completely.
     pub fn next_requests(&mut self, table: &ReplicaTable) -> Vec<(SocketAddr, TransferRequest)> {
         if let Some(first) = self.first_source
-            && !std::mem::replace(&mut self.first_source_asked, true)
+            && !std::mem::replace(&mut self.first_source_requested, true)
             && self.sources.is_empty()
         {
             return vec![(first, self.request(None))];
@@ -131,32 +135,32 @@
             .filter_map(|(replica, source)| Some((table.address(*replica)?, &source.progress)));
         let by_address: BTreeMap<SocketAddr, _> = by_address.collect();
         let mut requests = Vec::new();
-        for peer in table.peers() {
+        for peer in table.peer_addresses() {
             let progress = by_address.get(&peer);
-            if !progress.is_some_and(|progress| progress.complete) {
-                let after = progress.and_then(|progress| progress.after.clone());
-                requests.push((peer, self.request(after)));
+            if !progress.is_some_and(|progress| progress.is_complete) {
+                let start_after = progress.and_then(|progress| progress.start_after.clone());
+                requests.push((peer, self.request(start_after)));
             }
         }
         requests
     }
 
-    fn request(&self, after: Option<ItemName>) -> TransferRequest {
+    fn request(&self, start_after: Option<ItemName>) -> TransferRequest {
         TransferRequest {
             digests: self.digests.buckets().to_vec(),
-            after,
+            start_after,
         }
     }
 
     /// Whether more than half of the other replicas have answered completely, each in its newest incarnation.
     fn has_quorum(&self, table: &ReplicaTable) -> bool {
         let complete = self.sources.iter().filter(|(replica, source)| {
-            source.progress.complete && table.is_current(**replica, source.incarnation)
+            source.progress.is_complete && table.is_current(**replica, source.incarnation)
         });
-        complete.count() >= table.recovery_quorum()
+        complete.count() >= table.recovery_quorum_size()
     }
 
-    /// Takes in a chunk of another replica's registers.
+    /// Merges a chunk of another replica's registers.
     pub fn handle_chunk(
         &mut self,
         now: i64,
@@ -168,10 +172,12 @@
         let source = self.sources.entry(voter.replica);
         let source = source.or_insert(SourceProgress::new(voter.incarnation));
         let continuation = source.record_chunk(voter.incarnation, &chunk);
-        let after = source.progress.after.clone();
+        let start_after = source.progress.start_after.clone();
         if let Some(continuation) = continuation {
-            // The others are asked as soon as the first source is complete; whoever is silent is asked again later.
-            let first_complete = continuation == Continuation::End && self.complete_sources() == 1;
+            // The others are sent requests as soon as the first source is complete; unanswered requests are repeated
+            // later.
+            let first_complete =
+                continuation == Continuation::End && self.complete_source_count() == 1;
             self.next_request_at = if first_complete {
                 now
             } else {
@@ -179,25 +185,25 @@
             };
         }
         for (ballot, item) in chunk.items {
-            self.merge(ballot, item);
+            self.merge_value(ballot, item);
         }
         self.merge_promises(promises);
         match continuation {
-            Some(Continuation::RequestMore) => RecoveryStep::Request(self.request(after)),
+            Some(Continuation::RequestMore) => RecoveryStep::Request(self.request(start_after)),
             _ if self.has_quorum(table) => RecoveryStep::Complete,
             _ => RecoveryStep::Wait,
         }
     }
 
-    fn complete_sources(&self) -> usize {
+    fn complete_source_count(&self) -> usize {
         let sources = self.sources.values();
-        sources.filter(|source| source.progress.complete).count()
+        sources.filter(|source| source.progress.is_complete).count()
     }
 
     fn merge_promises(&mut self, promises: Promises<'_>) {
-        self.floor = self.floor.max(promises.floor);
-        for (at, term) in promises.terms.iter().enumerate() {
-            match self.terms.get_mut(at) {
+        self.promise_floor = self.promise_floor.max(promises.promise_floor);
+        for (role, term) in promises.terms.iter().enumerate() {
+            match self.terms.get_mut(role) {
                 Some(known) => *known = (*known).max(*term),
                 None => self.terms.push(*term),
             }
@@ -206,23 +212,23 @@
 }
 
 impl Replica {
-    /// Whether this replica recovers and waits for answers under this incarnation.
+    /// Whether this replica is recovering under this incarnation and waits for responses.
     pub(super) fn is_recovering_as(&self, incarnation: Incarnation) -> bool {
         self.recovery
             .as_ref()
-            .is_some_and(|recovery| !recovery.persisting && recovery.incarnation == incarnation)
+            .is_some_and(|recovery| !recovery.is_persisting && recovery.incarnation == incarnation)
     }
 
     /// Sends the requests of a recovery that are due.
     pub(super) fn drive_recovery(&mut self, now: i64, out: &mut Vec<Output>) {
-        // Drawn at each call, so that the sequence of random numbers does not depend on what follows.
+        // Drawn at each call, so that the sequence of random numbers does not depend on the state of the recovery.
         let nonce = self.random_below(1 << 32) as u32;
         let local = self.table.local().replica;
         let newest = self.table.newest_incarnation(local);
         let Some(recovery) = self
             .recovery
             .as_mut()
-            .filter(|recovery| !recovery.persisting)
+            .filter(|recovery| !recovery.is_persisting)
         else {
             return;
         };
@@ -243,7 +249,7 @@
         }
     }
 
-    /// Another replica recovers under a new incarnation: persists that before it answers.
+    /// Another replica recovers under a new incarnation: persists that incarnation, then answers.
     pub(super) fn handle_incarnation_request(
         &mut self,
         sender: Sender,
@@ -252,12 +258,12 @@
         out: &mut Vec<Output>,
     ) {
         let (peer, replica) = (sender.address, sender.replica());
-        let is_itself = replica == self.table.local().replica;
-        if !self.table.is_participant() || is_itself || self.disk.is_full {
+        let is_local = replica == self.table.local().replica;
+        if !self.table.is_participant() || is_local || self.disk.is_full {
             return;
         }
-        // The sender learns where the others are, and about a newer incarnation than the one that it has chosen.
-        self.greet_replica(peer, out);
+        // The sender learns the addresses of the others, and any incarnation newer than the one that it has chosen.
+        self.send_addresses_and_members(peer, out);
         if incarnation < self.table.newest_incarnation(replica) {
             return;
         }
@@ -271,19 +277,19 @@
                 peer,
             };
             out.push(Output::Log(event));
-            out.push(Output::Peers(self.table.peers()));
+            out.push(Output::Peers(self.table.peer_addresses()));
             self.broadcast_addresses(out);
         }
-        let answer = PendingWrite::Recorded(peer, incarnation, request);
+        let answer = PendingWrite::SendIncarnationRecorded(peer, incarnation, request);
         self.write(vec![Record::Metadata(self.metadata())], Some(answer), out);
     }
 
-    /// Takes in a chunk of another replica's registers. Once a quorum is complete everything is written to disk.
+    /// Handles a chunk of another replica's registers. Once a quorum has answered completely, all values are persisted.
     pub(super) fn handle_incarnation_recorded(
         &mut self,
         now: i64,
         sender: Sender,
-        floor: Ballot,
+        promise_floor: Ballot,
         chunk: Chunk,
         terms: &[Term],
         out: &mut Vec<Output>,
@@ -291,7 +297,10 @@
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        let promises = Promises { floor, terms };
+        let promises = Promises {
+            promise_floor,
+            terms,
+        };
         match recovery.handle_chunk(now, sender.voter(), promises, chunk, &self.table) {
             RecoveryStep::Wait => {}
             RecoveryStep::Request(request) => {
@@ -309,16 +318,16 @@
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        recovery.persisting = true;
+        recovery.is_persisting = true;
         let incarnation = recovery.incarnation;
-        self.registers.raise_floor(recovery.floor);
-        for (ballot, item) in recovery.found.values() {
+        self.registers.raise_promise_floor(recovery.promise_floor);
+        for (ballot, item) in recovery.accepted_values.values() {
             self.registers.adopt(*ballot, item);
         }
         for (lease, term) in self.role_leases.iter_mut().zip(&recovery.terms) {
-            lease.adopt(*term);
+            lease.adopt_term(*term);
         }
-        self.proposals.observe_round(recovery.floor.round);
+        self.proposals.observe_round(recovery.promise_floor.round);
         let registers = self.registers.iter();
         let record = |(name, register): (&ItemName, &_)| {
             Record::Register(name.clone(), Clone::clone(register))
@@ -332,7 +341,7 @@
         self.write(records, Some(begin), out);
     }
 
-    /// Everything that was recovered is on disk: this replica takes part from now on.
+    /// All recovered values are on disk: this replica participates from now on.
     pub(super) fn begin_incarnation(
         &mut self,
         now: i64,
@@ -344,7 +353,7 @@
         let newest = self.table.newest_incarnation(replica);
         self.table.begin_incarnation(incarnation);
         if newest > incarnation {
-            // Another machine has begun a newer incarnation meanwhile: this one is superseded as it begins.
+            // Another machine has begun a newer incarnation meanwhile: this one is superseded at once.
             self.table.learn_incarnation(replica, newest, None);
             return self.handle_replicas_changed(now, out);
         }
@@ -354,30 +363,30 @@
         for name in &names {
             self.track_pending(now, name);
         }
-        if self.shutting_down {
-            // The process was told to end when it had nothing to hand over; now it has.
+        if self.is_shutting_down {
+            // The shutdown was requested while there was nothing to hand over; now there is.
             self.begin_handover(now);
         }
         let items = names.len();
         out.push(Output::Log(Event::RecoveryCompleted { incarnation, items }));
         self.handle_replicas_changed(now, out);
         self.broadcast_membership(out);
-        self.next_heartbeat = now;
-        // What is chosen can be learned from any of the others.
+        self.next_heartbeat_at = now;
+        // Chosen items can be learned from any of the others.
         if let Some(first) = self.table.other_addresses().first() {
             self.request_digest_exchange(*first, out);
         }
     }
 
-    /// In a new incarnation this replica has granted only what it took over from the others.
+    /// Resets the leases: in a new incarnation this replica has granted only the terms that it adopted from the others.
     fn restart_role_leases(&mut self, now: i64) {
-        let (local, count) = (self.table.local(), self.table.replica_count());
+        let (local, replica_count) = (self.table.local(), self.table.replica_count());
         self.role_leases = SingletonRole::ALL.map(|role| {
             let stored = StoredTerms {
-                granted: self.role_leases[role as usize].granted_term(),
-                last_held: Term::default(),
+                granted_term: self.role_leases[role as usize].granted_term(),
+                last_held_term: Term::default(),
             };
-            RoleLease::new(role, local, count, stored, now)
+            RoleLease::new(role, local, replica_count, stored, now)
         });
     }
 }
--- a/crates/control/src/core/registers.rs
+++ b/crates/control/src/core/registers.rs
@@ -1,8 +1,7 @@
-//! The registers of one replica: what it has promised and what it has accepted, one register for the name of each item.
+//! The registers of one replica: its promises and accepted values, one register per item name.
 //!
-//! Promises are kept per register, so that changes of different items do not hinder each other. What a replica may have
-//! promised in a former incarnation, before its disk was lost, is not known per register: a floor under all promises stands
-//! for it.
+//! Promises are kept per register, so that changes of different items do not conflict. The promises of a previous
+//! incarnation, before its disk was lost, are not known per register: a floor under all promises covers them.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -20,9 +19,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Register {
     /// No proposal below this ballot is accepted.
-    pub promised: Ballot,
-    /// The value that was accepted last, and its ballot.
-    pub accepted: Option<(Ballot, Item)>,
+    pub promised_ballot: Ballot,
+    /// The value accepted last, and its ballot.
+    pub accepted_value: Option<(Ballot, Item)>,
 }
 
 /// All registers of one replica.
@@ -33,7 +32,7 @@
     digests: Digests,
 }
 
-/// The digest of an accepted or chosen value; the digest of a set is the exclusive or of those of its entries.
+/// The digest of an accepted or chosen value. The digest of a set is the XOR of the digests of its entries.
 pub fn entry_digest(ballot: &Ballot, item: &Item) -> u64 {
     let mut hasher = DefaultHasher::new();
     (ballot, item).hash(&mut hasher);
@@ -41,11 +40,11 @@
 }
 
 impl Registers {
-    /// The registers as they were found on disk.
+    /// Creates the registers from those read from disk.
     pub fn restore(floor: Ballot, registers: Vec<(ItemName, Register)>) -> Registers {
         let mut digests = Digests::default();
         for (_, register) in &registers {
-            if let Some((ballot, item)) = &register.accepted {
+            if let Some((ballot, item)) = &register.accepted_value {
                 digests.toggle(&item.name, entry_digest(ballot, item));
             }
         }
@@ -58,10 +57,12 @@
 
     fn promised(&self, name: &ItemName) -> Ballot {
         let register = self.registers.get(name);
-        register.map_or(self.floor, |register| register.promised.max(self.floor))
+        register.map_or(self.floor, |register| {
+            register.promised_ballot.max(self.floor)
+        })
     }
 
-    /// Gives the highest promise on any of these registers as an error, if it is above `ballot`.
+    /// Fails with the highest promise on any of these registers if that is above `ballot`.
     fn check_promises<'a>(
         &self,
         ballot: Ballot,
@@ -75,13 +76,13 @@
 
     fn promise(&mut self, ballot: Ballot, name: &ItemName) {
         let register = self.registers.entry(name.clone()).or_default();
-        register.promised = ballot;
+        register.promised_ballot = ballot;
     }
 
-    /// Promises to accept nothing below `ballot` on these registers. Gives their accepted values.
+    /// Promises to accept nothing below `ballot` on these registers. Returns their accepted values.
     ///
     /// # Errors
-    /// The highest promise on any of them, if it is above `ballot`; nothing is promised then.
+    /// The highest promise on any of them, if it is above `ballot`; then nothing is promised.
     pub fn prepare(
         &mut self,
         ballot: Ballot,
@@ -91,80 +92,86 @@
         for name in names {
             self.promise(ballot, name);
         }
-        let accepted = names.iter().filter_map(|name| self.accepted(name).cloned());
+        let accepted = names
+            .iter()
+            .filter_map(|name| self.accepted_value(name).cloned());
         Ok(accepted.collect())
     }
 
     /// Accepts all of the items under `ballot`, or none.
     ///
     /// # Errors
-    /// The highest promise on any of their registers, if it is above `ballot`; nothing is accepted then.
+    /// The highest promise on any of their registers, if it is above `ballot`; then nothing is accepted.
     pub fn accept(&mut self, ballot: Ballot, items: &[Item]) -> Result<(), Ballot> {
         self.check_promises(ballot, items.iter().map(|item| &item.name))?;
         for item in items {
             self.promise(ballot, &item.name);
-            self.store(ballot, item.clone());
+            self.store_accepted(ballot, item.clone());
         }
         Ok(())
     }
 
-    fn store(&mut self, ballot: Ballot, item: Item) {
+    fn store_accepted(&mut self, ballot: Ballot, item: Item) {
         let name = item.name.clone();
         self.digests.toggle(&name, entry_digest(&ballot, &item));
         let register = self.registers.entry(name.clone()).or_default();
-        if let Some((ballot, item)) = register.accepted.replace((ballot, item)) {
+        if let Some((ballot, item)) = register.accepted_value.replace((ballot, item)) {
             self.digests.toggle(&name, entry_digest(&ballot, &item));
         }
     }
 
-    /// Takes over a value that is chosen, or that was accepted elsewhere and stands for what was lost here, unless a newer
-    /// one was accepted here. Gives whether it was taken over.
+    /// Stores a value that is chosen, or that another replica has accepted and this one recovers, unless a value with a
+    /// higher ballot was accepted here. Returns whether it was stored.
     pub fn adopt(&mut self, ballot: Ballot, item: &Item) -> bool {
-        let accepted = self.accepted(&item.name);
-        let is_newer = accepted.is_none_or(|(accepted, _)| *accepted < ballot);
+        let known = self.accepted_value(&item.name);
+        let is_newer = known.is_none_or(|(known_ballot, _)| *known_ballot < ballot);
         if is_newer {
-            self.store(ballot, item.clone());
-            // Hazard: a late message of an earlier proposal would be accepted in its place, and this copy be lost for good.
+            self.store_accepted(ballot, item.clone());
+            // Without this promise a late message of an earlier proposal would be accepted and overwrite this copy for
+            // good.
             if let Some(register) = self.registers.get_mut(&item.name) {
-                register.promised = register.promised.max(ballot);
+                register.promised_ballot = register.promised_ballot.max(ballot);
             }
         }
         is_newer
     }
 
     /// Raises the floor under all promises.
-    pub fn raise_floor(&mut self, floor: Ballot) {
+    pub fn raise_promise_floor(&mut self, floor: Ballot) {
         self.floor = self.floor.max(floor);
     }
 
     /// The floor under all promises.
-    pub fn floor(&self) -> Ballot {
+    pub fn promise_floor(&self) -> Ballot {
         self.floor
     }
 
     /// The highest promise on any register.
     pub fn highest_promise(&self) -> Ballot {
-        let promises = self.registers.values().map(|register| register.promised);
+        let promises = self
+            .registers
+            .values()
+            .map(|register| register.promised_ballot);
         promises.fold(self.floor, Ballot::max)
     }
 
     /// The accepted value of a register, and its ballot.
-    pub fn accepted(&self, name: &ItemName) -> Option<&(Ballot, Item)> {
-        self.registers.get(name)?.accepted.as_ref()
+    pub fn accepted_value(&self, name: &ItemName) -> Option<&(Ballot, Item)> {
+        self.registers.get(name)?.accepted_value.as_ref()
     }
 
-    /// All accepted values, in the order of their names.
+    /// All accepted values, sorted by name.
     pub fn accepted_entries(&self) -> impl Iterator<Item = &(Ballot, Item)> {
         let registers = self.registers.values();
-        registers.filter_map(|register| register.accepted.as_ref())
+        registers.filter_map(|register| register.accepted_value.as_ref())
     }
 
-    /// A register, as it is persisted.
+    /// A register as it is persisted; the default one if it has never been used.
     pub fn get(&self, name: &ItemName) -> Register {
         self.registers.get(name).cloned().unwrap_or_default()
     }
 
-    /// All registers, as they are persisted.
+    /// All registers as they are persisted.
     pub fn iter(&self) -> impl Iterator<Item = (&ItemName, &Register)> {
         self.registers.iter()
     }
@@ -174,21 +181,21 @@
         &self.digests
     }
 
-    /// The chunks that answer a transfer request: the accepted values of the buckets that differ, after the name that it
-    /// continues from.
+    /// The chunks that answer a transfer request: the accepted values of the buckets that differ, after the name at
+    /// which it continues.
     pub fn transfer_chunks(&self, limits: TransferLimits, request: &TransferRequest) -> Vec<Chunk> {
-        let after = request.after.as_ref();
-        let from = after.map_or(Bound::Unbounded, Bound::Excluded);
-        // Normally nothing differs, and no name has to be looked at.
-        let is_same = request.digests == self.digests.buckets();
-        let rest = self
+        let start_after = request.start_after.as_ref();
+        let from = start_after.map_or(Bound::Unbounded, Bound::Excluded);
+        // Normally nothing differs, and the entries need no comparison by bucket.
+        let has_same_digests = request.digests == self.digests.buckets();
+        let remaining = self
             .registers
             .range::<ItemName, _>((from, Bound::Unbounded));
-        let accepted = rest.filter_map(|(_, register)| register.accepted.as_ref());
+        let accepted = remaining.filter_map(|(_, register)| register.accepted_value.as_ref());
         let differing = accepted.filter(|(_, item)| {
-            !is_same && self.digests.bucket_differs(&request.digests, &item.name)
+            !has_same_digests && self.digests.bucket_differs(&request.digests, &item.name)
         });
-        transfer::chunks(limits, request.after.clone(), differing.cloned())
+        transfer::response_chunks(limits, request.start_after.clone(), differing.cloned())
     }
 }
 
--- a/crates/control/src/core/registers/tests.rs
+++ b/crates/control/src/core/registers/tests.rs
@@ -9,26 +9,26 @@
 }
 
 #[test]
-fn promise_binds_its_register_and_the_floor_binds_all() {
+fn promise_applies_to_its_register_and_the_floor_to_all() {
     let name = |name: &str| ItemName {
         kind: ItemKind::Service,
         name: name.to_string(),
     };
-    let item = |at: &str, ver| Item {
-        name: name(at),
+    let item = |item_name: &str, ver| Item {
+        name: name(item_name),
         ver,
         spec: None,
     };
     let mut registers = Registers::default();
     assert_eq!(registers.prepare(ballot(5), &[name("a")]), Ok(vec![]));
     assert_eq!(registers.accept(ballot(4), &[item("a", 1)]), Err(ballot(5)));
-    // All of a message or nothing; another register is free.
+    // A message is accepted as a whole or not at all; a register without a promise accepts it.
     assert_eq!(
         registers.accept(ballot(4), &[item("b", 1), item("a", 1)]),
         Err(ballot(5))
     );
     assert_eq!(registers.accept(ballot(4), &[item("b", 1)]), Ok(()));
-    registers.raise_floor(ballot(7));
+    registers.raise_promise_floor(ballot(7));
     assert_eq!(registers.prepare(ballot(6), &[name("b")]), Err(ballot(7)));
     assert_eq!(registers.prepare(ballot(6), &[name("c")]), Err(ballot(7)));
     assert_eq!(
@@ -36,26 +36,26 @@
         Ok(vec![(ballot(4), item("b", 1))])
     );
     assert_eq!(registers.highest_promise(), ballot(8));
-    // An adopted value is not replaced by a late message of an earlier proposal.
+    // A late message of an earlier proposal does not replace an adopted value.
     assert!(registers.adopt(ballot(12), &item("d", 2)));
     assert_eq!(
         registers.accept(ballot(11), &[item("d", 1)]),
         Err(ballot(12))
     );
     assert_eq!(
-        registers.accepted(&name("d")),
+        registers.accepted_value(&name("d")),
         Some(&(ballot(12), item("d", 2)))
     );
-    // The digest covers the contents, however they arrived.
+    // The digests depend on the contents alone, not on how they were stored.
     assert!(
         registers.adopt(ballot(8), &item("b", 2)) && !registers.adopt(ballot(7), &item("b", 1))
     );
-    let held = registers
+    let stored = registers
         .iter()
         .map(|(name, register)| (name.clone(), register.clone()))
         .collect();
     assert_eq!(
-        Registers::restore(ballot(7), held).digests(),
+        Registers::restore(ballot(7), stored).digests(),
         registers.digests()
     );
 }
--- a/crates/control/src/core/role_lease/tests.rs
+++ b/crates/control/src/core/role_lease/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 use test_case::test_case;
 
-const STEP: i64 = limits::GRANT_DURATION + 1;
+/// Longer than any grant lasts.
+const AFTER_GRANT: i64 = limits::GRANT_DURATION + 1;
 
-fn by(replica: ReplicaId) -> ProcessId {
+fn process(replica: ReplicaId) -> ProcessId {
     ProcessId {
         replica,
         incarnation: Incarnation::FIRST,
@@ -15,130 +16,147 @@
     LeaseRequest {
         term,
         sent_at: 0,
-        renewal: false,
+        is_renewal: false,
     }
 }
 
 fn renewal(term: u64) -> LeaseRequest {
     LeaseRequest {
-        renewal: true,
+        is_renewal: true,
         ..acquisition(term)
     }
 }
 
 #[test]
-fn an_unused_term_costs_the_holder_no_vote() {
-    let voter = || RoleLease::new(SingletonRole::Counter, by(1), 6, Default::default(), 0);
+fn unused_term_does_not_block_renewals_of_the_holder() {
+    let voter = || RoleLease::new(SingletonRole::Counter, process(1), 6, Default::default(), 0);
     let mut lease = voter();
-    assert!(lease.handle_request(STEP, by(0), acquisition(4)).granted);
-    // The holder is not heard any more; this replica requests the lease, does not win it, and hears the holder again.
     assert!(
         lease
-            .handle_request(3 * STEP, by(1), acquisition(5))
-            .granted
+            .handle_request(AFTER_GRANT, process(0), acquisition(4))
+            .is_granted
+    );
+    // The voter receives no messages of the holder, requests the lease itself without acquiring it, and then receives a
+    // renewal of the holder.
+    assert!(
+        lease
+            .handle_request(3 * AFTER_GRANT, process(1), acquisition(5))
+            .is_granted
     );
     assert!(
         !lease
-            .handle_request(3 * STEP + 1, by(0), renewal(4))
-            .granted,
-        "while the request is open"
+            .handle_request(3 * AFTER_GRANT + 1, process(0), renewal(4))
+            .is_granted,
+        "a renewal is rejected while the voter's own request is open"
     );
     lease.handle_release(
-        3 * STEP + 2,
-        by(1),
+        3 * AFTER_GRANT + 2,
+        process(1),
         LeaseRelease {
             term: 5,
-            unused: true,
+            is_unused: true,
         },
     );
     assert!(
         lease
-            .handle_request(3 * STEP + 3, by(0), renewal(4))
-            .granted
+            .handle_request(3 * AFTER_GRANT + 3, process(0), renewal(4))
+            .is_granted
     );
-    // The number is used up all the same, and further unused terms change nothing.
+    // The number of an unused term is not granted again, and further unused terms do not block the holder either.
     assert!(
         !lease
-            .handle_request(6 * STEP, by(2), acquisition(5))
-            .granted
+            .handle_request(6 * AFTER_GRANT, process(2), acquisition(5))
+            .is_granted
     );
     assert!(
         lease
-            .handle_request(6 * STEP, by(2), acquisition(6))
-            .granted
+            .handle_request(6 * AFTER_GRANT, process(2), acquisition(6))
+            .is_granted
     );
     lease.handle_release(
-        6 * STEP,
-        by(2),
+        6 * AFTER_GRANT,
+        process(2),
         LeaseRelease {
             term: 6,
-            unused: true,
+            is_unused: true,
         },
     );
     assert!(
         lease
-            .handle_request(6 * STEP + 1, by(0), renewal(4))
-            .granted
+            .handle_request(6 * AFTER_GRANT + 1, process(0), renewal(4))
+            .is_granted
     );
 
-    // A term that has only expired, or was released after it was won, is not known to be unused.
+    // A term that has merely expired, or was released after it was acquired, does not count as unused.
     for released in [false, true] {
         let mut lease = voter();
         assert!(
-            lease.handle_request(STEP, by(0), acquisition(4)).granted
+            lease
+                .handle_request(AFTER_GRANT, process(0), acquisition(4))
+                .is_granted
                 && lease
-                    .handle_request(3 * STEP, by(1), acquisition(5))
-                    .granted
+                    .handle_request(3 * AFTER_GRANT, process(1), acquisition(5))
+                    .is_granted
         );
         if released {
             lease.handle_release(
-                3 * STEP,
-                by(1),
+                3 * AFTER_GRANT,
+                process(1),
                 LeaseRelease {
                     term: 5,
-                    unused: false,
+                    is_unused: false,
                 },
             );
         }
-        assert!(!lease.handle_request(6 * STEP, by(0), renewal(4)).granted);
+        assert!(
+            !lease
+                .handle_request(6 * AFTER_GRANT, process(0), renewal(4))
+                .is_granted
+        );
     }
 }
 
-/// Who asks a voter that has just restarted, and whether it may grant before its own earlier grants have surely expired.
-/// `seen`: the newest term, of replica 3 in its second run, was seen to be held.
+/// A restarted voter grants the lease only to its possible earlier grantee until all its earlier grants have expired.
+/// `was_held`: the newest term, of replica 3 in its second run, was observed as held.
 #[test_case(true, 3, 1, 2, true; "the same process")]
 #[test_case(true, 3, 1, 3, true; "the same replica, restarted")]
 #[test_case(true, 3, 1, 1, false; "a process that has ended")]
-#[test_case(true, 3, 2, 1, false; "another machine in its place")]
+#[test_case(true, 3, 2, 1, false; "a later incarnation of the replica")]
 #[test_case(true, 4, 1, 9, false; "another replica")]
-#[test_case(false, 3, 1, 3, false; "a request that may have been in vain while another held the lease")]
+#[test_case(false, 3, 1, 3, false; "a candidate that may not have acquired the lease")]
 fn restarted_voter_grants_only_to_the_last_holder(
-    seen: bool,
+    was_held: bool,
     replica: ReplicaId,
     incarnation: u32,
     run: u32,
-    granted: bool,
+    is_granted: bool,
 ) {
-    let held = Term {
+    let newest_term = Term {
         number: 7,
-        holder: ProcessId { run: 2, ..by(3) },
+        holder: ProcessId {
+            run: 2,
+            ..process(3)
+        },
     };
-    let kept = if seen {
-        held
+    let last_held_term = if was_held {
+        newest_term
     } else {
-        Term { number: 6, ..held }
+        Term {
+            number: 6,
+            ..newest_term
+        }
     };
     let mut voter = RoleLease::new(
         SingletonRole::Counter,
-        by(1),
+        process(1),
         6,
         StoredTerms {
-            granted: held,
-            last_held: kept,
+            granted_term: newest_term,
+            last_held_term,
         },
         0,
     );
-    let bidder = ProcessId {
+    let requester = ProcessId {
         replica,
         incarnation: Incarnation {
             number: incarnation,
@@ -148,22 +166,22 @@
     };
     assert_eq!(
         voter
-            .handle_request(limits::STARTUP_DELAY, bidder, acquisition(8))
-            .granted,
-        granted
+            .handle_request(limits::STARTUP_DELAY, requester, acquisition(8))
+            .is_granted,
+        is_granted
     );
     assert_eq!(
         voter
-            .handle_request(limits::STARTUP_DELAY + 1, bidder, renewal(8))
-            .granted,
-        granted,
-        "and then holds it"
+            .handle_request(limits::STARTUP_DELAY + 1, requester, renewal(8))
+            .is_granted,
+        is_granted,
+        "a renewal in the new term"
     );
-    // The others have their turn once its grant, or a forgotten one, has expired.
+    // Other replicas are granted the lease once this grant, or one given before the restart, has expired.
     assert_eq!(
         voter
-            .handle_request(limits::GRANT_DURATION, by(5), acquisition(9))
-            .granted,
-        !granted
+            .handle_request(limits::GRANT_DURATION, process(5), acquisition(9))
+            .is_granted,
+        !is_granted
     );
 }
--- a/crates/control/src/core/server_list.rs
+++ b/crates/control/src/core/server_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers as the replicas pass it on: complete, by version.
+//! The platform's list of servers as the replicas distribute it: complete lists, ordered by version.
 
 use std::net::SocketAddr;
 
@@ -9,47 +9,47 @@
 use super::role_lease::RoleLease;
 use super::{Output, Replica};
 
-/// The version of a list that a replica read without the lease; any list of a lease holder is newer.
+/// The version of a list that a replica has read without the lease; any list of a lease holder is newer.
 pub const UNLEASED_VERSION: (u64, u64) = (0, 1);
-/// The end of a server's warm-up has changed if it moved by more than this, in microseconds.
-const MAX_WARM_UP_DRIFT: i64 = 400_000;
+/// The end of a server's warm-up counts as unchanged if it moves by at most this time, in microseconds.
+const MAX_WARM_UP_DRIFT_US: i64 = 400_000;
 
 /// A server, and when its warm-up ends on the clock of this process.
 #[derive(Clone, Debug)]
 struct ListedServer {
     server: Server,
-    warm_at: i64,
+    warm_up_ends_at: i64,
 }
 
 impl ListedServer {
     fn new(now: i64, server: Server) -> ListedServer {
         ListedServer {
-            warm_at: now + server.warm_up_left,
+            warm_up_ends_at: now + server.warm_up_left,
             server,
         }
     }
 
-    /// Whether a later list says something else about the server at this place of the list.
+    /// Whether the entry at the same position of a later list differs.
     fn differs(&self, now: i64, later: &ListedServer) -> bool {
         let (old, new) = (&self.server, &later.server);
         let is_same =
             old.id == new.id && old.svc == new.svc && old.addr == new.addr && old.zone == new.zone;
-        let old_left = (self.warm_at - now).max(0);
-        let new_left = (later.warm_at - now).max(0);
+        let old_remaining = (self.warm_up_ends_at - now).max(0);
+        let new_remaining = (later.warm_up_ends_at - now).max(0);
         !is_same
             || old.slots != new.slots
             || old.accepts_requests != new.accepts_requests
-            || old_left == 0 && new_left > 0
-            || (old_left - new_left).abs() > MAX_WARM_UP_DRIFT
+            || old_remaining == 0 && new_remaining > 0
+            || (old_remaining - new_remaining).abs() > MAX_WARM_UP_DRIFT_US
     }
 }
 
-/// The newest list that is known.
+/// The newest known list.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList {
     /// The term of the poller, and the number of the list within it.
     version: (u64, u64),
-    /// In the order of services and ids.
+    /// Sorted by service and id.
     servers: Vec<ListedServer>,
 }
 
@@ -64,7 +64,7 @@
         self.version != (0, 0)
     }
 
-    fn sorted(now: i64, mut servers: Vec<Server>) -> Vec<ListedServer> {
+    fn sort_servers(now: i64, mut servers: Vec<Server>) -> Vec<ListedServer> {
         servers.sort_by(|a, b| (&a.svc, &a.id).cmp(&(&b.svc, &b.id)));
         let servers = servers.into_iter();
         servers
@@ -77,9 +77,9 @@
         self.servers.len() != later.len() || pairs.any(|(old, new)| old.differs(now, new))
     }
 
-    /// Takes over what the poller of this term has read. Gives whether anything has changed.
+    /// Replaces the list by one that the poller of this term has read. Returns whether it differs.
     pub fn update_from_platform(&mut self, now: i64, term: u64, servers: Vec<Server>) -> bool {
-        let servers = ServerList::sorted(now, servers);
+        let servers = ServerList::sort_servers(now, servers);
         let changed = !self.is_known() || self.differs(now, &servers);
         if changed {
             let (last_term, last_number) = self.version;
@@ -94,26 +94,26 @@
         changed
     }
 
-    /// Takes over the list of another replica, if it is newer. Gives whether it was.
+    /// Replaces the list by that of another replica if that is newer. Returns whether it is.
     pub fn update_from_replica(
         &mut self,
         now: i64,
         version: (u64, u64),
         servers: Vec<Server>,
     ) -> bool {
-        let newer = version > self.version;
-        if newer {
-            let servers = ServerList::sorted(now, servers);
+        let is_newer = version > self.version;
+        if is_newer {
+            let servers = ServerList::sort_servers(now, servers);
             *self = ServerList { version, servers };
         }
-        newer
+        is_newer
     }
 
-    /// The list, with what is left of each warm-up now.
+    /// The list, with the remaining warm-up times at `now`.
     pub fn current(&self, now: i64) -> Vec<Server> {
         let servers = self.servers.iter();
         let current = servers.map(|listed| Server {
-            warm_up_left: (listed.warm_at - now).max(0),
+            warm_up_left: (listed.warm_up_ends_at - now).max(0),
             ..listed.server.clone()
         });
         current.collect()
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The list was read from the platform by this process.
+    /// This process has read the list from the platform.
     pub(super) fn handle_server_list_read(
         &mut self,
         now: i64,
@@ -159,7 +159,7 @@
         let term = self.acting_term(now, SingletonRole::PlatformPoller);
         let changed = match term.filter(|term| *term >= list_term) {
             Some(term) => self.server_list.update_from_platform(now, term, servers),
-            None if self.polls_before_lease() => {
+            None if self.should_poll_without_lease() => {
                 let list = &mut self.server_list;
                 list.update_from_replica(now, UNLEASED_VERSION, servers)
             }
@@ -171,24 +171,24 @@
         }
     }
 
-    /// Whether this replica reads the list without the lease: it is the first one to request the lease on some role, has
-    /// been here before, and knows no list. After a loss of power everywhere the proxies can serve nothing until they have
-    /// a list, so that it must not wait for a lease.
-    fn polls_before_lease(&self) -> bool {
+    /// Whether this replica reads the list without the lease: it is the first in the order of requests for the lease on
+    /// a role, it ran before this start, and it knows no list. After a power loss at all sites the proxies cannot serve
+    /// requests until they have a list, so that reading it must not wait for a lease.
+    fn should_poll_without_lease(&self) -> bool {
         let ranks_first = self.role_leases.iter().any(RoleLease::ranks_first);
         let mut leases = self.role_leases.iter();
-        let was_here = leases.any(|lease| lease.granted_term().number > 0);
+        let ran_before = leases.any(|lease| lease.granted_term().number > 0);
         ranks_first
-            && was_here
+            && ran_before
             && !self.server_list.is_known()
             && self.table.is_participant()
-            && !self.shutting_down
+            && !self.is_shutting_down
     }
 
-    /// Whether this replica is to read the list from the platform.
-    pub fn polls_platform(&self, now: i64) -> bool {
+    /// Whether this replica should read the list from the platform.
+    pub fn should_poll_platform(&self, now: i64) -> bool {
         let term = self.acting_term(now, SingletonRole::PlatformPoller);
-        term.is_some() || self.polls_before_lease()
+        term.is_some() || self.should_poll_without_lease()
     }
 }
 
--- a/crates/control/src/core/status.rs
+++ b/crates/control/src/core/status.rs
@@ -1,5 +1,5 @@
-//! How a replica sees the system, for operators: from its own state alone, and bounded in size. The names of the fields are
-//! the keys of the JSON that operators' scripts read.
+//! The status of the system as known to one replica, for operators: built from its own state alone, and bounded in
+//! size. Operators' scripts read the JSON: renamed fields keep their keys by `serde` attributes.
 
 use std::net::SocketAddr;
 
@@ -11,68 +11,78 @@
 use super::membership::LocatedMember;
 use crate::limits;
 
-/// How one replica sees the system.
+/// The status of the system as known to one replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its zone.
+    /// The zone of the replica.
     pub zone: String,
     /// The version of the program.
-    pub program: String,
+    #[serde(rename = "program")]
+    pub program_version: String,
     /// The number of its incarnation; 0 while it recovers.
     pub incarnation: u32,
-    /// How often its process has started in this incarnation.
+    /// The number of the process start within this incarnation, from 1.
     pub run: u32,
-    /// Whether it votes and answers.
-    pub takes_part: bool,
+    /// Whether it votes and answers calls.
+    #[serde(rename = "takes_part")]
+    pub is_participant: bool,
     /// Whether another machine holds a newer incarnation of it.
-    pub replaced: bool,
+    #[serde(rename = "replaced")]
+    pub is_superseded: bool,
     /// Whether it is in contact with a quorum.
-    pub in_touch: bool,
+    #[serde(rename = "in_touch")]
+    pub has_quorum_contact: bool,
     /// Whether its disk rejects writes.
     pub disk_full: bool,
-    /// The number of items that it knows to be chosen, removed ones included.
+    /// The number of items that it knows to be chosen, including removed ones.
     pub items: u32,
-    /// The digest of their names and versions, in hexadecimal: equal where the same items are known.
+    /// The digest of their names and versions, in hexadecimal: equal at replicas that know the same items.
     pub digest: String,
-    /// The number of items that were accepted and are not known to be chosen.
-    pub unfinished: usize,
+    /// The number of accepted items that are not known to be chosen.
+    #[serde(rename = "unfinished")]
+    pub unconfirmed_items: usize,
     /// The version of the platform's list: the term of the poller, and the number of the list within it.
-    pub servers: (u64, u64),
+    #[serde(rename = "servers")]
+    pub server_list_version: (u64, u64),
     /// All replicas.
     pub replicas: Vec<ReplicaStatus>,
-    /// The roles of which one replica performs each.
-    pub duties: Vec<RoleStatus>,
+    /// The roles that one replica performs for all.
+    #[serde(rename = "duties")]
+    pub roles: Vec<RoleStatus>,
     /// The members, at most [`limits::MAX_LISTED_LIMITERS`] of them.
     pub limiters: Vec<LimiterStatus>,
-    /// How many members are left out.
-    pub left_out: usize,
+    /// The number of further members that are not listed.
+    #[serde(rename = "left_out")]
+    pub omitted_limiters: usize,
 }
 
-/// A replica as another one sees it.
+/// A replica as known to another one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
     /// Its zone.
     pub zone: String,
     /// The number of its newest known incarnation; 0 for none.
     pub incarnation: u32,
-    /// Its address, as far as known.
+    /// Its address, if known.
     pub address: Option<SocketAddr>,
-    /// Whether it was heard recently; always so of the replica itself.
-    pub heard: bool,
+    /// Whether a message of it was received recently; always true for the reporting replica itself.
+    #[serde(rename = "heard")]
+    pub is_reachable: bool,
 }
 
-/// A role as a replica sees it.
+/// A role as known to a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleStatus {
     /// `poll` or `count`.
-    pub duty: String,
-    /// The zone of the replica that holds the lease; none while no holder is known.
+    #[serde(rename = "duty")]
+    pub role: String,
+    /// The zone of the replica that holds the lease; `None` while no holder is known.
     pub holder: Option<String>,
     /// The term of the lease; 0 without a holder.
     pub term: u64,
 }
 
-/// An edge, whose proxy and agent are one limiter, as a replica sees it.
+/// An edge, whose proxy and agent form one limiter, as known to a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimiterStatus {
     /// The name of its machine.
@@ -81,25 +91,29 @@
     pub zone: String,
     /// The zone of the replica that its agent is linked to.
     pub replica: String,
-    /// Whether its agent is linked; otherwise its lease is about to expire.
-    pub linked: bool,
-    /// `ready`, `leaving` or `away`.
-    pub standing: String,
-    /// The number of items that it has, if it is linked to the replica that is asked and has reported it.
+    /// Whether its agent is linked. The lease of a disconnected one expires soon.
+    #[serde(rename = "linked")]
+    pub is_connected: bool,
+    /// The state: `ready`, `leaving` or `away`.
+    #[serde(rename = "standing")]
+    pub state: String,
+    /// The number of items that it has, if it is linked to the reporting replica and has reported them.
     pub items: Option<u32>,
-    /// For how long it has had other items than this replica, in milliseconds at most; 0 if it has the same.
-    pub behind: Option<i64>,
+    /// An upper bound of the time for which its items have differed from this replica's, in milliseconds; 0 if they are
+    /// the same.
+    #[serde(rename = "behind")]
+    pub lag_ms: Option<i64>,
 }
 
 impl Status {
-    /// The JSON that operators are sent.
+    /// The status as JSON, as sent to operators.
     pub fn json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 }
 
 impl Replica {
-    /// How this replica sees the system.
+    /// The status of the system as known to this replica.
     pub(super) fn status(&self, now: i64) -> Status {
         let local = self.table.local();
         let summary = self.chosen.summary();
@@ -107,40 +121,40 @@
         let limiters = members.iter().take(limits::MAX_LISTED_LIMITERS);
         let replicas = 0..self.table.replica_count() as ReplicaId;
         Status {
-            zone: self.zone_of(local.replica),
-            program: env!("CARGO_PKG_VERSION").to_string(),
+            zone: self.zone_name(local.replica),
+            program_version: env!("CARGO_PKG_VERSION").to_string(),
             incarnation: local.incarnation.number,
             run: self.run,
-            takes_part: self.table.is_participant(),
-            replaced: self.table.is_superseded(),
-            in_touch: self.table.has_quorum_contact(now),
+            is_participant: self.table.is_participant(),
+            is_superseded: self.table.is_superseded(),
+            has_quorum_contact: self.table.has_quorum_contact(now),
             disk_full: self.disk.is_full,
             items: summary.items,
             digest: format!("{:016x}", summary.digest),
-            unfinished: self.pending.len(),
-            servers: self.server_list.version(),
+            unconfirmed_items: self.pending.len(),
+            server_list_version: self.server_list.version(),
             replicas: replicas.map(|id| self.replica_status(now, id)).collect(),
-            duties: SingletonRole::ALL
+            roles: SingletonRole::ALL
                 .map(|role| self.role_status(now, role))
                 .into(),
             limiters: limiters
                 .map(|located| self.limiter_status(now, located))
                 .collect(),
-            left_out: members.len().saturating_sub(limits::MAX_LISTED_LIMITERS),
+            omitted_limiters: members.len().saturating_sub(limits::MAX_LISTED_LIMITERS),
         }
     }
 
-    fn zone_of(&self, replica: ReplicaId) -> String {
+    fn zone_name(&self, replica: ReplicaId) -> String {
         let zone = self.zones.get(usize::from(replica));
         zone.cloned().unwrap_or_default()
     }
 
     fn replica_status(&self, now: i64, replica: ReplicaId) -> ReplicaStatus {
         ReplicaStatus {
-            zone: self.zone_of(replica),
+            zone: self.zone_name(replica),
             incarnation: self.table.newest_incarnation(replica).number,
             address: self.table.address(replica),
-            heard: self.table.is_reachable(now, replica),
+            is_reachable: self.table.is_reachable(now, replica),
         }
     }
 
@@ -155,8 +169,8 @@
             }
         };
         RoleStatus {
-            duty: role.to_string(),
-            holder: holder.map(|replica| self.zone_of(replica)),
+            role: role.to_string(),
+            holder: holder.map(|replica| self.zone_name(replica)),
             term,
         }
     }
@@ -165,23 +179,23 @@
         let LocatedMember {
             reporter, member, ..
         } = located;
-        let state = self.agents.state(located.link);
+        let state = self.agents.agent_state(located.link);
         let state = state.filter(|_| reporter.is_none());
         let digest = self.chosen.summary().digest;
         LimiterStatus {
             node: member.node.name.clone(),
             zone: member.node.zone.clone(),
-            replica: self.zone_of(reporter.unwrap_or(self.table.local().replica)),
-            linked: member.connected,
-            standing: standing(member.state).to_string(),
+            replica: self.zone_name(reporter.unwrap_or(self.table.local().replica)),
+            is_connected: member.is_connected,
+            state: state_name(member.state).to_string(),
             items: state.map(|state| state.items),
-            behind: state.map(|state| state.behind(now, digest) / MICROS_PER_MILLI),
+            lag_ms: state.map(|state| state.lag_us(now, digest) / MICROS_PER_MILLI),
         }
     }
 }
 
-/// The word for a node's state in [`LimiterStatus::standing`].
-fn standing(state: NodeState) -> &'static str {
+/// The name of a node's state in [`LimiterStatus::state`].
+fn state_name(state: NodeState) -> &'static str {
     match state {
         NodeState::Ready => "ready",
         NodeState::Draining => "leaving",
--- a/crates/simulation/src/harm.rs
+++ b/crates/simulation/src/harm.rs
@@ -201,12 +201,24 @@
             (Some(Bug::Asked), Payload::LeaseVote { term, .. }) => {
                 term.holder = self.speaker(to).unwrap_or(term.holder)
             }
-            (Some(Bug::Versions), Payload::Promise { accepted, .. }) => {
+            (
+                Some(Bug::Versions),
+                Payload::Promise {
+                    accepted_values: accepted,
+                    ..
+                },
+            ) => {
                 accepted
                     .iter_mut()
                     .for_each(|(_, item)| item.ver = item.ver.saturating_sub(1));
             }
-            (Some(Bug::Traces), Payload::Promise { accepted, .. })
+            (
+                Some(Bug::Traces),
+                Payload::Promise {
+                    accepted_values: accepted,
+                    ..
+                },
+            )
             | (
                 Some(Bug::Traces),
                 Payload::RegisterChunk {
@@ -221,9 +233,13 @@
             (Some(Bug::Halves), Payload::Accept { items, .. }) if items.len() > 1 => {
                 _ = items.pop()
             }
-            (Some(Bug::Floor), Payload::IncarnationRecorded { floor, .. }) => {
-                *floor = Ballot::default()
-            }
+            (
+                Some(Bug::Floor),
+                Payload::IncarnationRecorded {
+                    promise_floor: floor,
+                    ..
+                },
+            ) => *floor = Ballot::default(),
             (Some(Bug::Hollow), Payload::IncarnationRecorded { chunk: piece, .. }) => {
                 piece.items.clear()
             }
@@ -237,7 +253,13 @@
             (Some(Bug::Undropped), Payload::IncarnationRecorded { chunk: piece, .. }) => {
                 piece.items.retain(|(_, item)| item.spec.is_some());
             }
-            (Some(Bug::Arrival), Payload::Promise { accepted, .. }) => by_arrival(accepted),
+            (
+                Some(Bug::Arrival),
+                Payload::Promise {
+                    accepted_values: accepted,
+                    ..
+                },
+            ) => by_arrival(accepted),
             (Some(Bug::Arrival), Payload::RegisterChunk { chunk: piece, .. }) => {
                 by_arrival(&mut piece.items)
             }
@@ -305,7 +327,7 @@
         let body = match &peer_message.payload {
             Payload::Prepare { ballot, .. } => Payload::Promise {
                 ballot: *ballot,
-                accepted: Vec::new(),
+                accepted_values: Vec::new(),
             },
             Payload::Accept { ballot, .. } => Payload::Accepted(*ballot),
             _ => return,
@@ -369,7 +391,10 @@
                     .accepts
                     .insert((from, to, *ballot), peer_message.clone());
             }
-            Payload::Nack { ballot, seen } => {
+            Payload::Nack {
+                ballot,
+                higher_ballot: seen,
+            } => {
                 // What it has promised it forgets, and accepts.
                 if let Some(mut accept) = self.harm.accepts.remove(&(to, from, *ballot)) {
                     self.harm.forgot.insert((from, to, *seen), *ballot);
