--- a/crates/limiter/tests/agreement.rs
+++ b/crates/limiter/tests/agreement.rs
@@ -20,7 +20,7 @@
     )
 }
 
-fn call(method: &str, body: &str) -> String {
+fn configuration_request(method: &str, body: &str) -> String {
     format!(
         "{method} /configuration HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\nContent-Length: {}\r\n\r\n{body}",
         SECRET.replace(' ', "-"),
@@ -28,11 +28,11 @@
     )
 }
 
-fn question(at: std::net::SocketAddr) -> u16 {
+fn introspection_status(at: std::net::SocketAddr) -> u16 {
     // clerk:other
     let text = "POST /introspect HTTP/1.1\r\nHost: x\r\nAuthorization: Basic Y2xlcms6b3RoZXI=\r\n\
                 Content-Type: application/x-www-form-urlencoded\r\nContent-Length: 7\r\n\r\ntoken=a";
-    ask(at, text).status
+    send_request(at, text).status
 }
 
 #[test]
@@ -43,40 +43,42 @@
         .map(|n| format!("127.{}.{}.{n}:19301", pid / 250 % 250 + 2, pid % 250 + 1))
         .collect();
     let folder = tempfile::tempdir().unwrap();
-    let upstream = StandIn::start(|_, _| ok(r#"{"active":false}"#));
-    let counter = counter();
+    let upstream = MockServer::start(|_, _| ok(r#"{"active":false}"#));
+    let counter = start_counter();
     let front = format!(
         r#"{{"listen":"127.0.0.1:0","upstreams":["{}"],"id":"us","secret":"hush","callers":[]}}"#,
         upstream.address
     );
     let start = |id| {
         let member = member(id, &addresses, folder.path());
-        Limiter::start_with(&config(&[], counter.address), Some(&front), Some(&member))
+        Limiter::start_with_raft(&config(&[], counter.address), Some(&front), Some(&member))
     };
     let limiters: Vec<Limiter> = (1..=3).map(start).collect();
     let places: Vec<std::net::SocketAddr> = addresses.iter().map(|a| a.parse().unwrap()).collect();
     assert!(
         limiters
             .iter()
-            .all(|l| question(l.introspection.unwrap()) == 401),
+            .all(|l| introspection_status(l.introspection_address.unwrap()) == 401),
         "nobody may ask yet"
     );
     assert_eq!(
-        ask(places[0], "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n").status,
+        send_request(places[0], "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n").status,
         401
     );
     let wrong = r#"{"callers":[{"id":"clerk","secret":"other","account":"5","plan":"taller"}]}"#;
-    let answer = ask(places[0], &call("PUT", wrong));
+    let answer = send_request(places[0], &configuration_request("PUT", wrong));
     assert!(answer.status == 400 && answer.body.starts_with(b"key 'callers[0].account'"));
 
     let right = wrong.replace("\"5\"", "\"0000000000000005\"");
     let (mut proposed, mut pointed) = (false, 0);
     let mut agreed = false;
     for _ in 0..2_000 {
-        limiters.iter().for_each(|limiter| limiter.pass(50_000));
+        limiters
+            .iter()
+            .for_each(|limiter| limiter.advance_clock_us(50_000));
         if !proposed {
             for place in &places {
-                match ask(*place, &call("PUT", &right)) {
+                match send_request(*place, &configuration_request("PUT", &right)) {
                     answer if answer.status == 202 => proposed = true,
                     answer if answer.status == 307 => {
                         let leader = answer.headers.get("Location").unwrap();
@@ -90,9 +92,9 @@
                 }
             }
         }
-        agreed = places
-            .iter()
-            .all(|place| ask(*place, &call("GET", "")).body == right.as_bytes());
+        agreed = places.iter().all(|place| {
+            send_request(*place, &configuration_request("GET", "")).body == right.as_bytes()
+        });
         if agreed {
             break;
         }
@@ -104,6 +106,6 @@
     assert!(
         limiters
             .iter()
-            .all(|l| question(l.introspection.unwrap()) == 200)
+            .all(|l| introspection_status(l.introspection_address.unwrap()) == 200)
     );
 }
--- a/crates/limiter/tests/common/mod.rs
+++ b/crates/limiter/tests/common/mod.rs
@@ -15,140 +15,144 @@
 use limiter::net::{Clock, Daemon, Remote};
 
 /// Start of the driven clock: 100 ms before a full second.
-pub const START: i64 = 1_000_900_000;
+pub const CLOCK_START_US: i64 = 1_000_900_000;
 /// Guards a failing test against hanging for ever; nothing is measured by it.
-pub const HANG: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a stand-in does with a request.
 pub enum Reply {
     /// Answers.
-    Answer(u16, Vec<(&'static str, &'static str)>, String),
+    Respond(u16, Vec<(&'static str, &'static str)>, String),
     /// Answers 200 with this body, and once more unasked.
-    Twice(&'static str),
+    RespondTwice(&'static str),
     /// Sends these bytes.
-    Raw(&'static [u8]),
+    RawBytes(&'static [u8]),
     /// Closes the connection.
-    Drop,
+    Close,
     /// Waits for a word of the test, then does this.
-    Held(mpsc::Receiver<()>, Box<Reply>),
+    Delay(mpsc::Receiver<()>, Box<Reply>),
 }
 
 pub fn ok(body: &str) -> Reply {
-    Reply::Answer(200, vec![], body.to_string())
+    Reply::Respond(200, vec![], body.to_string())
 }
 
 /// A server on loopback that notes what it is asked.
-pub struct StandIn {
+pub struct MockServer {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Request>>>,
-    pub closed: mpsc::Receiver<()>,
+    pub requests: Arc<Mutex<Vec<Request>>>,
+    pub connection_closed: mpsc::Receiver<()>,
     /// Told each time an answer has been written.
-    pub written: mpsc::Receiver<()>,
+    pub response_written: mpsc::Receiver<()>,
 }
 
-impl StandIn {
+impl MockServer {
     /// Starts one; `reply` is told each request and how many came before.
-    pub fn start(mut reply: impl FnMut(&Request, usize) -> Reply + Send + 'static) -> StandIn {
+    pub fn start(mut reply: impl FnMut(&Request, usize) -> Reply + Send + 'static) -> MockServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let (ended, closed) = mpsc::channel();
-        let (wrote, written) = mpsc::channel();
-        let (log, shared) = (
-            seen.clone(),
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let (closed_sender, connection_closed) = mpsc::channel();
+        let (written_sender, response_written) = mpsc::channel();
+        let (request_log, shared_reply) = (
+            requests.clone(),
             Arc::new(Mutex::new(move |r: &Request, n| reply(r, n))),
         );
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (log, shared, ended, wrote) =
-                    (log.clone(), shared.clone(), ended.clone(), wrote.clone());
+                let (request_log, shared_reply, closed_sender, written_sender) = (
+                    request_log.clone(),
+                    shared_reply.clone(),
+                    closed_sender.clone(),
+                    written_sender.clone(),
+                );
                 thread::spawn(move || {
                     let mut stream = stream.unwrap();
                     let mut bytes = Vec::new();
                     while let Some(request) = next_request(&mut stream, &mut bytes) {
-                        let count = {
-                            let mut log = log.lock().unwrap();
-                            log.push(request.clone());
-                            log.len() - 1
+                        let earlier_requests = {
+                            let mut request_log = request_log.lock().unwrap();
+                            request_log.push(request.clone());
+                            request_log.len() - 1
                         };
-                        let mut reply = (shared.lock().unwrap())(&request, count);
-                        while let Reply::Held(word, then) = reply {
-                            let _ = word.recv_timeout(HANG);
+                        let mut reply = (shared_reply.lock().unwrap())(&request, earlier_requests);
+                        while let Reply::Delay(release, then) = reply {
+                            let _ = release.recv_timeout(TEST_TIMEOUT);
                             reply = *then;
                         }
                         let mut out = Vec::new();
                         match reply {
-                            Reply::Answer(status, headers, body) => framing::write_response(
+                            Reply::Respond(status, headers, body) => framing::write_response(
                                 &mut out,
                                 status,
                                 &headers,
                                 body.as_bytes(),
                                 false,
                             ),
-                            Reply::Twice(body) => (0..2).for_each(|_| {
+                            Reply::RespondTwice(body) => (0..2).for_each(|_| {
                                 framing::write_response(&mut out, 200, &[], body.as_bytes(), false)
                             }),
-                            Reply::Raw(bytes) => out.extend_from_slice(bytes),
-                            Reply::Drop | Reply::Held(..) => break,
+                            Reply::RawBytes(bytes) => out.extend_from_slice(bytes),
+                            Reply::Close | Reply::Delay(..) => break,
                         }
                         if stream.write_all(&out).is_err() {
                             break;
                         }
-                        let _ = wrote.send(());
+                        let _ = written_sender.send(());
                     }
-                    let _ = ended.send(());
+                    let _ = closed_sender.send(());
                 });
             }
         });
-        StandIn {
+        MockServer {
             address,
-            seen,
-            closed,
-            written,
+            requests,
+            connection_closed,
+            response_written,
         }
     }
 
-    pub fn count(&self) -> usize {
-        self.seen.lock().unwrap().len()
+    pub fn request_count(&self) -> usize {
+        self.requests.lock().unwrap().len()
     }
 }
 
 fn next_request(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<Request> {
-    let mut part = [0; 4096];
+    let mut buffer = [0; 4096];
     loop {
         if let Some((request, length)) = framing::parse_request(bytes, &Limits::default()).ok()? {
             bytes.drain(..length);
             return Some(request);
         }
-        match stream.read(&mut part).ok()? {
+        match stream.read(&mut buffer).ok()? {
             0 => return None,
-            length => bytes.extend_from_slice(&part[..length]),
+            length => bytes.extend_from_slice(&buffer[..length]),
         }
     }
 }
 
 /// A counter that answers at once.
-pub fn counter() -> StandIn {
+pub fn start_counter() -> MockServer {
     let mut totals: BTreeMap<String, f64> = BTreeMap::new();
-    StandIn::start(move |request, _| {
+    MockServer::start(move |request, _| {
         let (name, query) = request.target.split_once('?').unwrap();
         let delta = query
             .split('&')
             .find_map(|p| p.strip_prefix("delta="))
             .unwrap();
-        let total = totals.entry(name.to_string()).or_default();
-        *total += delta.parse::<f64>().unwrap();
-        ok(&total.to_string())
+        let counter_total = totals.entry(name.to_string()).or_default();
+        *counter_total += delta.parse::<f64>().unwrap();
+        ok(&counter_total.to_string())
     })
 }
 
 /// An address where nobody listens. Guards against one that the system gives to another test meanwhile: port 1
 /// is never given out.
-pub fn nobody() -> SocketAddr {
+pub fn unreachable_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-const SETTINGS: &str = r#"{"Instances":1,"SlotNo":0,"PeriodUs":1,"Discovery":"push",
+const PLATFORM_SETTINGS: &str = r#"{"Instances":1,"SlotNo":0,"PeriodUs":1,"Discovery":"push",
  "FailureDomains":["a"],"Skus":["m"],"Report":{"How":"probe"},
  "Lanes":[{"Name":"lookup","ObjectiveUs":1200000,"GiveUpUs":4000000,"Semantics":"retryable","Group":"all","Value":1},
           {"Name":"sign-off","ObjectiveUs":1000000,"GiveUpUs":4000000,"Semantics":"dedup","Group":"cell","RepeatWindowUs":8000000,"Value":2}],
@@ -161,11 +165,15 @@
 
 /// The configuration of a limiter in front of these servers.
 pub fn config(servers: &[SocketAddr], counter: SocketAddr) -> String {
-    config_at(nobody(), servers, counter)
+    config_with_discovery(unreachable_address(), servers, counter)
 }
 
 /// The same with discovery at this address.
-pub fn config_at(discovery: SocketAddr, servers: &[SocketAddr], counter: SocketAddr) -> String {
+pub fn config_with_discovery(
+    discovery: SocketAddr,
+    servers: &[SocketAddr],
+    counter: SocketAddr,
+) -> String {
     let endpoint = |(n, address): (usize, &SocketAddr)| {
         format!(
             "{{\"name\":\"s-{n}\",\"address\":\"{address}\",\"zone\":\"a\",\"type\":\"m\",\"group\":1,\
@@ -175,27 +183,31 @@
     let endpoints: Vec<String> = servers.iter().enumerate().map(endpoint).collect();
     format!(
         "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"{discovery}\",\"seed\":\"7\",\"counter\":\"{counter}\",\
-         \"known\":{{\"index\":1,\"snapshot\":true,\"endpoints\":[{}]}},\"settings\":{SETTINGS}}}",
+         \"known\":{{\"index\":1,\"snapshot\":true,\"endpoints\":[{}]}},\"settings\":{PLATFORM_SETTINGS}}}",
         endpoints.join(",")
     )
 }
 
 /// A limiter that runs on a thread of its own.
 pub struct Limiter {
-    pub platform: SocketAddr,
-    pub introspection: Option<SocketAddr>,
-    operators: Option<SocketAddr>,
-    hand: Arc<AtomicI64>,
+    pub platform_address: SocketAddr,
+    pub introspection_address: Option<SocketAddr>,
+    operator_address: Option<SocketAddr>,
+    clock_us: Arc<AtomicI64>,
     remote: Remote,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl Limiter {
     pub fn start(config: &str, introspection: Option<&str>) -> Limiter {
-        Limiter::start_with(config, introspection, None)
+        Limiter::start_with_raft(config, introspection, None)
     }
 
-    pub fn start_with(config: &str, introspection: Option<&str>, raft: Option<&str>) -> Limiter {
+    pub fn start_with_raft(
+        config: &str,
+        introspection: Option<&str>,
+        raft: Option<&str>,
+    ) -> Limiter {
         let mut config = Environment::default()
             .parse(config)
             .expect("a good configuration");
@@ -206,45 +218,55 @@
                 .apply_introspection(text)
                 .expect("a good second front")
         });
-        let hand = Arc::new(AtomicI64::new(START));
-        let clock = Clock::manual(hand.clone());
-        let (tell, told) = mpsc::channel();
+        let clock_us = Arc::new(AtomicI64::new(CLOCK_START_US));
+        let clock = Clock::manual(clock_us.clone());
+        let (started_sender, started) = mpsc::channel();
         let thread = thread::spawn(move || {
             let daemon = Daemon::open(config, clock).expect("sockets open");
-            let (platform, second) = daemon.addresses().unwrap();
-            tell.send((platform, second, daemon.operators(), daemon.remote()))
+            let (platform_address, introspection_address) = daemon.addresses().unwrap();
+            started_sender
+                .send((
+                    platform_address,
+                    introspection_address,
+                    daemon.operators(),
+                    daemon.remote(),
+                ))
                 .unwrap();
             daemon.run().expect("runs to its end");
         });
-        let (platform, introspection, operators, remote) = told.recv().unwrap();
+        let (platform_address, introspection_address, operator_address, remote) =
+            started.recv().unwrap();
         Limiter {
-            platform,
-            introspection,
-            operators,
-            hand,
+            platform_address,
+            introspection_address,
+            operator_address,
+            clock_us,
             remote,
             thread: Some(thread),
         }
     }
 
     /// Calls as operators do, and gives the answer's line.
-    pub fn call(&self, line: &str) -> String {
-        call(self.operators.expect("an operators' address"), line)
+    pub fn send_operator_command(&self, command: &str) -> String {
+        send_operator_command(
+            self.operator_address.expect("an operators' address"),
+            command,
+        )
     }
 
     /// A connection at the operators' address.
-    pub fn operator(&self) -> Client {
-        Client::connect(self.operators.expect("an operators' address"))
+    pub fn connect_operator(&self) -> Client {
+        Client::connect(self.operator_address.expect("an operators' address"))
     }
 
     /// Moves the clock on.
-    pub fn pass(&self, micros: i64) {
-        self.hand.fetch_add(micros, Ordering::SeqCst);
+    pub fn advance_clock_us(&self, micros: i64) {
+        self.clock_us.fetch_add(micros, Ordering::SeqCst);
         self.remote.wake();
     }
 
-    pub fn now(&self) -> i64 {
-        self.hand.load(Ordering::SeqCst)
+    pub fn now_us(&self) -> i64 {
+        self.clock_us.load(Ordering::SeqCst)
     }
 
     /// Gives it a new configuration.
@@ -274,16 +296,16 @@
 /// A client's connection.
 pub struct Client {
     pub stream: TcpStream,
-    bytes: Vec<u8>,
+    received: Vec<u8>,
 }
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(HANG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Client {
             stream,
-            bytes: Vec::new(),
+            received: Vec::new(),
         }
     }
 
@@ -292,18 +314,18 @@
     }
 
     /// The next answer; `None` when the connection ends first.
-    pub fn answer(&mut self) -> Option<Response> {
-        let mut part = [0; 4096];
+    pub fn read_response(&mut self) -> Option<Response> {
+        let mut buffer = [0; 4096];
         loop {
-            if let Some((answer, length)) =
-                framing::parse_response(&self.bytes, false, &Limits::default()).unwrap()
+            if let Some((response, length)) =
+                framing::parse_response(&self.received, false, &Limits::default()).unwrap()
             {
-                self.bytes.drain(..length);
-                return Some(answer);
+                self.received.drain(..length);
+                return Some(response);
             }
-            match self.stream.read(&mut part) {
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return None,
-                Ok(length) => self.bytes.extend_from_slice(&part[..length]),
+                Ok(length) => self.received.extend_from_slice(&buffer[..length]),
                 Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => return None,
                 Err(error) => panic!("no answer: {error}"),
             }
@@ -311,8 +333,8 @@
     }
 
     /// All that comes until the connection ends.
-    pub fn rest(&mut self) -> String {
-        let mut text = String::from_utf8(std::mem::take(&mut self.bytes)).unwrap();
+    pub fn read_to_end(&mut self) -> String {
+        let mut text = String::from_utf8(std::mem::take(&mut self.received)).unwrap();
         match self.stream.read_to_string(&mut text) {
             Ok(_) => text,
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => text,
@@ -321,21 +343,21 @@
     }
 
     /// Asks and takes the answer.
-    pub fn ask(&mut self, text: &str) -> Response {
+    pub fn send_request(&mut self, text: &str) -> Response {
         self.send(text);
-        self.answer().expect("an answer")
+        self.read_response().expect("an answer")
     }
 }
 
 /// Calls as operators do, and gives the answer's line; empty if the connection ends without one.
-pub fn call(address: SocketAddr, line: &str) -> String {
+pub fn send_operator_command(address: SocketAddr, command: &str) -> String {
     let mut client = Client::connect(address);
-    client.send(line);
-    client.rest().trim_end().to_string()
+    client.send(command);
+    client.read_to_end().trim_end().to_string()
 }
 
 /// Discovery's side of a watch: its request is read and its head answered.
-pub fn watched(mut stream: TcpStream) -> (TcpStream, String) {
+pub fn accept_watch(mut stream: TcpStream) -> (TcpStream, String) {
     stream.set_nonblocking(false).unwrap();
     let mut bytes = vec![0; 1024];
     let length = stream.read(&mut bytes).unwrap();
@@ -351,17 +373,17 @@
 }
 
 /// Writes a line in two chunks: a line is not a chunk.
-pub fn tell(stream: &mut TcpStream, line: &str) {
+pub fn write_chunked_line(stream: &mut TcpStream, line: &str) {
     let (a, b) = line.split_at(line.len() / 2);
-    for part in [a, b] {
+    for chunk in [a, b] {
         stream
-            .write_all(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes())
+            .write_all(format!("{:x}\r\n{chunk}\r\n", chunk.len()).as_bytes())
             .unwrap();
     }
 }
 
 /// A request that carries a key.
-pub fn sign_off(key: &str) -> String {
+pub fn keyed_request(key: &str) -> String {
     format!(
         "POST /sign-off?account=0000000000000005 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: t-{key}\r\n\
          X-Qos: sign-off\r\nX-Tier: empresa\r\nX-Expires-In: 2.5\r\nIdempotency-Key: {key}\r\n\
@@ -370,7 +392,7 @@
 }
 
 /// A request that is safe to repeat.
-pub fn lookup(id: &str) -> String {
+pub fn idempotent_request(id: &str) -> String {
     format!(
         "GET /lookup?account=0000000000000005 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: {id}\r\n\
          X-Qos: lookup\r\nX-Tier: empresa\r\nX-Expires-In: 2.5\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n"
@@ -378,6 +400,6 @@
 }
 
 /// Asks on a connection of its own.
-pub fn ask(address: SocketAddr, text: &str) -> Response {
-    Client::connect(address).ask(text)
+pub fn send_request(address: SocketAddr, text: &str) -> Response {
+    Client::connect(address).send_request(text)
 }
--- a/crates/limiter/tests/config.rs
+++ b/crates/limiter/tests/config.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{config, nobody};
+use common::{config, unreachable_address};
 use limiter::config::Environment;
 
 fn fault(text: &str) -> String {
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_faulty_key_is_named_with_those_it_lies_under() {
-    let good = config(&[nobody()], nobody());
+    let good = config(&[unreachable_address()], unreachable_address());
     assert!(Environment::default().parse(&good).is_ok());
     for (from, to, key) in [
         (
@@ -69,7 +69,7 @@
 
 #[test]
 fn variables_stand_above_keys_and_are_named_when_faulty() {
-    let good = config(&[], nobody());
+    let good = config(&[], unreachable_address());
     let with = |listen: &str| {
         Environment {
             listen: Some(listen.into()),
@@ -88,8 +88,11 @@
 
 #[test]
 fn limits_keep_within_what_the_machine_allows() {
-    let text =
-        config(&[], nobody()).replacen('{', "{\"limits\":{\"sockets\":300,\"memory_mb\":192},", 1);
+    let text = config(&[], unreachable_address()).replacen(
+        '{',
+        "{\"limits\":{\"sockets\":300,\"memory_mb\":192},",
+        1,
+    );
     let limits = Environment::default().parse(&text).unwrap().limits;
     assert_eq!(
         (
@@ -111,7 +114,7 @@
     let of = |sockets: u32, memory: u32| {
         let machine = format!("{{\"limits\":{{\"sockets\":{sockets},\"memory_mb\":{memory}}},");
         Environment::default()
-            .parse(&config(&[], nobody()).replacen('{', &machine, 1))
+            .parse(&config(&[], unreachable_address()).replacen('{', &machine, 1))
             .unwrap()
             .limits
     };
@@ -129,7 +132,7 @@
 #[test]
 fn the_second_front_and_raft_are_off_without_an_address_and_their_faults_are_named() {
     let mut read = Environment::default()
-        .parse(&config(&[], nobody()))
+        .parse(&config(&[], unreachable_address()))
         .unwrap();
     read.apply_introspection(include_str!("../../../deploy/introspection.json"))
         .unwrap();
@@ -186,7 +189,7 @@
 #[test]
 fn slices_while_the_counter_is_lost_only_where_named_and_a_wrong_word_is_refused_by_its_key() {
     let mut read = Environment::default()
-        .parse(&config(&[], nobody()))
+        .parse(&config(&[], unreachable_address()))
         .unwrap();
     read.apply_shared_state(include_str!("../../../deploy/shared.json"))
         .unwrap();
@@ -209,8 +212,11 @@
 
 #[test]
 fn a_misspelt_key_of_our_own_files_is_named_and_one_of_the_platform_is_passed_over() {
-    let platform =
-        config(&[nobody()], nobody()).replacen('{', "{\"new_of_the_platform\":{\"a\":[1]},", 1);
+    let platform = config(&[unreachable_address()], unreachable_address()).replacen(
+        '{',
+        "{\"new_of_the_platform\":{\"a\":[1]},",
+        1,
+    );
     let mut read = Environment::default().parse(&platform).unwrap();
     let error = |r: Result<(), limiter::config::ConfigError>| r.unwrap_err().to_string();
     assert_eq!(
@@ -230,7 +236,8 @@
 
 #[test]
 fn absent_and_null_are_alike_and_numbers_may_be_decimal() {
-    let text = config(&[], nobody()).replacen("\"Instances\":1", "\"Instances\":1.0", 1);
+    let text =
+        config(&[], unreachable_address()).replacen("\"Instances\":1", "\"Instances\":1.0", 1);
     let text = text
         .replacen("\"Probes\":false", "\"Probes\":null", 1)
         .replacen("\"Counter\":true", "\"Counter\":1", 1);
--- a/crates/limiter/tests/process.rs
+++ b/crates/limiter/tests/process.rs
@@ -25,9 +25,9 @@
 fn at_sighup_a_faulty_file_changes_nothing_and_a_good_one_is_taken() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("config.json");
-    let server = StandIn::start(|_, _| ok("served"));
+    let server = MockServer::start(|_, _| ok("served"));
     let write = |text: &str| std::fs::write(&path, text).unwrap();
-    write(&config(&[server.address], nobody()));
+    write(&config(&[server.address], unreachable_address()));
     let mut child = Command::new(env!("CARGO_BIN_EXE_streamarch"))
         .args(["serve", "--config"])
         .arg(&path)
@@ -52,12 +52,12 @@
         assert!(told.unwrap().success());
     };
 
-    let good = config(&[server.address], nobody());
+    let good = config(&[server.address], unreachable_address());
     write(&good.replace("\"discovery\":\"", "\"discovery\":\"nowhere"));
     signal("HUP");
     assert!(line_with("configuration not taken").contains("key 'discovery'"));
     assert_eq!(
-        ask(address, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status,
+        send_request(address, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status,
         200
     );
     write(&good);
@@ -71,14 +71,14 @@
 /// hand over without unsafe code.
 struct Version {
     process: Process,
-    operators: SocketAddr,
+    operator_address: SocketAddr,
 }
 
 impl Version {
     fn start(folder: &std::path::Path, config: &str, socket: &TcpListener) -> Version {
-        let operators = free_address();
-        let path = folder.join(format!("config-{}.json", operators.port()));
-        let text = config.replacen('{', &format!("{{\"ops\":\"{operators}\","), 1);
+        let operator_address = free_address();
+        let path = folder.join(format!("config-{}.json", operator_address.port()));
+        let text = config.replacen('{', &format!("{{\"ops\":\"{operator_address}\","), 1);
         std::fs::write(&path, text).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_streamarch"))
             .args(["serve", "--config"])
@@ -91,18 +91,18 @@
             .unwrap();
         Version {
             process: Process(child),
-            operators,
+            operator_address,
         }
     }
 
     /// Waits until it says that it takes clients.
     fn ready(&mut self) {
         let asked = Instant::now();
-        while std::net::TcpStream::connect(self.operators).is_err()
-            || call(self.operators, "ready\n") != "done"
+        while std::net::TcpStream::connect(self.operator_address).is_err()
+            || send_operator_command(self.operator_address, "ready\n") != "done"
         {
             assert!(
-                self.process.0.try_wait().unwrap().is_none() && asked.elapsed() < HANG,
+                self.process.0.try_wait().unwrap().is_none() && asked.elapsed() < TEST_TIMEOUT,
                 "it starts"
             );
             thread::sleep(Duration::from_millis(5));
@@ -132,7 +132,7 @@
 #[test]
 fn a_process_started_again_takes_over_the_inherited_socket_and_no_request_is_lost() {
     let folder = tempfile::tempdir().unwrap();
-    let server = StandIn::start(|_, _| {
+    let server = MockServer::start(|_, _| {
         thread::sleep(Duration::from_millis(2));
         ok("served")
     });
@@ -142,7 +142,7 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let text = config(&[server.address], counter().address)
+    let text = config(&[server.address], start_counter().address)
         .replace("127.0.0.1:0", &address.to_string())
         .replacen('{', &format!("{{\"peer_listen\":\"{peers}\","), 1)
         .replace(
@@ -159,7 +159,8 @@
             thread::spawn(move || {
                 let (mut client, mut asked) = (Client::connect(address), 0);
                 while !stop.load(std::sync::atomic::Ordering::SeqCst) {
-                    let answer = client.ask(&lookup(&format!("c{number}-{asked}")));
+                    let answer =
+                        client.send_request(&idempotent_request(&format!("c{number}-{asked}")));
                     assert_eq!(answer.status, 200);
                     asked += 1;
                     if !answer.keep_alive {
@@ -171,8 +172,8 @@
         })
         .collect();
     let serves_on = || {
-        let before = server.count();
-        while server.count() < before + 50 {
+        let before = server.request_count();
+        while server.request_count() < before + 50 {
             thread::sleep(Duration::from_millis(1));
         }
     };
@@ -197,18 +198,18 @@
         .into_iter()
         .map(|client| client.join().unwrap())
         .sum();
-    assert_eq!(server.count(), asked, "each ran once");
+    assert_eq!(server.request_count(), asked, "each ran once");
 }
 
 #[test]
 fn what_operators_asked_for_holds_over_an_upgrade_at_whichever_process() {
     let folder = tempfile::tempdir().unwrap();
-    let servers = ["out", "in"].map(|name| StandIn::start(move |_, _| ok(name)));
+    let servers = ["out", "in"].map(|name| MockServer::start(move |_, _| ok(name)));
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
     let text = config(
         &servers.each_ref().map(|server| server.address),
-        counter().address,
+        start_counter().address,
     )
     .replace("127.0.0.1:0", &address.to_string());
     // What an earlier process left torn stops nobody.
@@ -219,33 +220,57 @@
     .unwrap();
     let mut old = Version::start(folder.path(), &text, &socket);
     old.ready();
-    assert_eq!(call(old.operators, "disable-server s-0\n"), "done");
+    assert_eq!(
+        send_operator_command(old.operator_address, "disable-server s-0\n"),
+        "done"
+    );
     let mut new = Version::start(folder.path(), &text, &socket);
     new.ready();
-    let served =
-        |count: usize| (0..count).all(|n| ask(address, &lookup(&format!("t{n}"))).body == b"in");
+    let served = |count: usize| {
+        (0..count)
+            .all(|n| send_request(address, &idempotent_request(&format!("t{n}"))).body == b"in")
+    };
     assert!(served(40), "the new process has it out from its start");
-    assert_eq!(servers[0].count(), 0);
+    assert_eq!(servers[0].request_count(), 0);
     // Called back at the new one, and out again, with the server's fellow: the old one hears of it.
-    assert_eq!(call(new.operators, "enable-server s-0\n"), "done");
-    assert_eq!(call(new.operators, "disable-server s-1\n"), "done");
-    assert_eq!(call(new.operators, "drain\n"), "done");
+    assert_eq!(
+        send_operator_command(new.operator_address, "enable-server s-0\n"),
+        "done"
+    );
+    assert_eq!(
+        send_operator_command(new.operator_address, "disable-server s-1\n"),
+        "done"
+    );
+    assert_eq!(
+        send_operator_command(new.operator_address, "drain\n"),
+        "done"
+    );
     thread::sleep(Duration::from_millis(300));
     new.signal("KILL");
-    let up = ask(address, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+    let up = send_request(address, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(
         (up.status, up.keep_alive),
         (503, false),
         "the old one drains"
     );
-    assert_eq!(call(old.operators, "resume\n"), "done");
+    assert_eq!(
+        send_operator_command(old.operator_address, "resume\n"),
+        "done"
+    );
     let asked = Instant::now();
-    while ask(address, &lookup("u")).body != b"out" {
-        assert!(asked.elapsed() < HANG, "called back at the old one too");
+    while send_request(address, &idempotent_request("u")).body != b"out" {
+        assert!(
+            asked.elapsed() < TEST_TIMEOUT,
+            "called back at the old one too"
+        );
     }
-    let before = servers[1].count();
-    (0..20).for_each(|n| _ = ask(address, &lookup(&format!("v{n}"))));
-    assert_eq!(servers[1].count(), before, "taken out at the old one too");
+    let before = servers[1].request_count();
+    (0..20).for_each(|n| _ = send_request(address, &idempotent_request(&format!("v{n}"))));
+    assert_eq!(
+        servers[1].request_count(),
+        before,
+        "taken out at the old one too"
+    );
     old.signal("TERM");
     assert!(old.ended());
 }
@@ -299,7 +324,7 @@
     let address = socket.local_addr().unwrap();
     // These servers take 0.3 s to answer, as long as silence needs to be suspected: on a busy machine all are, and what
     // may be repeated would be moved from one to the next until its tries are over. That is for other tests.
-    let text = config(&[server; 32], counter().address)
+    let text = config(&[server; 32], start_counter().address)
         .replace("127.0.0.1:0", &address.to_string())
         .replace("\"Cancelling\":true", "\"Cancelling\":false");
     let mut limiter = Version::start(folder.path(), &text, &socket);
@@ -308,11 +333,11 @@
         let mut client = std::net::TcpStream::connect(address).unwrap();
         let uploads = number.is_multiple_of(2);
         let text = match uploads {
-            true => sign_off(&format!("k{number}")).replace(
+            true => keyed_request(&format!("k{number}")).replace(
                 "Content-Length: 5\r\n\r\nhours",
                 &format!("Content-Length: {LENGTH}\r\n\r\n"),
             ),
-            false => lookup(&format!("t{number}")),
+            false => idempotent_request(&format!("t{number}")),
         };
         client
             .write_all(
@@ -354,7 +379,11 @@
 fn the_log_is_lines_or_json_and_its_options_are_checked() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("config.json");
-    std::fs::write(&path, config(&[nobody()], nobody())).unwrap();
+    std::fs::write(
+        &path,
+        config(&[unreachable_address()], unreachable_address()),
+    )
+    .unwrap();
     let start = |options: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_streamarch"));
         command
@@ -410,7 +439,7 @@
         ledger.went_out();
         ledger.sync().unwrap();
     }
-    let call = |words: &[&str], paths: &[&std::path::Path], rest: &[&str]| {
+    let run_usage = |words: &[&str], paths: &[&std::path::Path], rest: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_streamarch"));
         let output = command
             .arg("usage")
@@ -425,26 +454,29 @@
         )
     };
     assert!(
-        call(&["verify"], &[&ledger], &[])
+        run_usage(&["verify"], &[&ledger], &[])
             .1
             .contains("3 tries, 0 of them unsure, a torn tail of 0 bytes")
     );
-    assert_eq!(call(&["show"], &[&ledger], &[]).1.lines().count(), 3);
+    assert_eq!(run_usage(&["show"], &[&ledger], &[]).1.lines().count(), 3);
     for _ in 0..2 {
         assert!(
-            call(&["export"], &[&ledger, &out], &[])
+            run_usage(&["export"], &[&ledger, &out], &[])
                 .1
                 .starts_with("batch 1: 3 tries")
         );
     }
-    assert!(!call(&["acknowledge"], &[&ledger], &["2"]).0);
-    assert!(call(&["acknowledge"], &[&ledger], &["1"]).0);
-    assert_eq!(call(&["export"], &[&ledger, &out], &[]).1, "nothing new\n");
+    assert!(!run_usage(&["acknowledge"], &[&ledger], &["2"]).0);
+    assert!(run_usage(&["acknowledge"], &[&ledger], &["1"]).0);
+    assert_eq!(
+        run_usage(&["export"], &[&ledger, &out], &[]).1,
+        "nothing new\n"
+    );
     let path = ledger.join("life-00000001.use");
     let mut bytes = std::fs::read(&path).unwrap();
     bytes[20] ^= 1;
     std::fs::write(&path, bytes).unwrap();
-    let (whole, said) = call(&["verify"], &[&ledger], &[]);
+    let (whole, said) = run_usage(&["verify"], &[&ledger], &[]);
     assert!(!whole && said.contains("damaged at byte "), "{said}");
 }
 
@@ -454,7 +486,7 @@
 #[test]
 fn a_request_read_with_its_clients_end_after_a_pause_makes_no_call() {
     let folder = tempfile::tempdir().unwrap();
-    let (server, counter) = (StandIn::start(|_, _| ok("served")), counter());
+    let (server, counter) = (MockServer::start(|_, _| ok("served")), start_counter());
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
     let text =
@@ -464,17 +496,21 @@
     process.signal("STOP");
     for n in 0..3 {
         let mut gone = std::net::TcpStream::connect(address).unwrap();
-        gone.write_all(lookup(&format!("gone-{n}")).as_bytes())
+        gone.write_all(idempotent_request(&format!("gone-{n}")).as_bytes())
             .unwrap();
     }
     process.signal("CONT");
     thread::sleep(Duration::from_millis(300));
     assert_eq!(
-        (counter.count(), server.count()),
+        (counter.request_count(), server.request_count()),
         (0, 0),
         "no call and no leg for a client that has gone"
     );
-    assert_eq!(ask(address, &lookup("here")).status, 200, "it serves on");
+    assert_eq!(
+        send_request(address, &idempotent_request("here")).status,
+        200,
+        "it serves on"
+    );
     process.signal("TERM");
     assert!(process.ended());
 }
--- a/crates/limiter/tests/relay.rs
+++ b/crates/limiter/tests/relay.rs
@@ -38,7 +38,7 @@
 }
 
 fn before(server: std::net::SocketAddr) -> Limiter {
-    Limiter::start(&config(&[server], counter().address), None)
+    Limiter::start(&config(&[server], start_counter().address), None)
 }
 
 /// Bytes by which a shift or a gap shows.
@@ -77,8 +77,8 @@
 }
 
 fn asks(limiter: &Limiter, text: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(limiter.platform).unwrap();
-    stream.set_read_timeout(Some(HANG)).unwrap();
+    let mut stream = TcpStream::connect(limiter.platform_address).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
     stream
 }
@@ -116,14 +116,16 @@
             let _ = stream.shutdown(Shutdown::Write);
         });
         let limiter = before(server);
-        let mut stream = asks(&limiter, &lookup("t"));
+        let mut stream = asks(&limiter, &idempotent_request("t"));
         let answer = long_answer(&mut stream).expect("whole");
         assert!(
             answer.status == 200 && answer.body == body && answer.keep_alive,
             "{framing}"
         );
         // The connection is free for the next request.
-        stream.write_all(lookup("u").as_bytes()).unwrap();
+        stream
+            .write_all(idempotent_request("u").as_bytes())
+            .unwrap();
         assert_eq!(
             long_answer(&mut stream).expect("whole").body,
             body,
@@ -140,7 +142,7 @@
             .unwrap();
     });
     assert_eq!(
-        ask(before(server).platform, &lookup("t")).body,
+        send_request(before(server).platform_address, &idempotent_request("t")).body,
         b"all of it"
     );
     let server = raw_server(|stream, _| {
@@ -151,7 +153,10 @@
             .set_linger(Some(Duration::ZERO))
             .unwrap();
     });
-    assert_ne!(ask(before(server).platform, &lookup("t")).status, 200);
+    assert_ne!(
+        send_request(before(server).platform_address, &idempotent_request("t")).status,
+        200
+    );
 }
 
 #[test]
@@ -176,8 +181,8 @@
                 }
             });
             let limiter = before(server);
-            let mut stream = asks(&limiter, &lookup("t"));
-            told.recv_timeout(HANG).unwrap();
+            let mut stream = asks(&limiter, &idempotent_request("t"));
+            told.recv_timeout(TEST_TIMEOUT).unwrap();
             let mut begun = vec![0; 90_000];
             stream
                 .read_exact(&mut begun)
@@ -185,11 +190,11 @@
             if silent {
                 // All that was sent has been read by then: what is asked now is answered in a later turn.
                 assert_eq!(
-                    ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status,
+                    send_request(limiter.platform_address, "GET /up HTTP/1.1\r\n\r\n").status,
                     200
                 );
-                limiter.pass(8_500_000);
-                limiter.pass(4_500_000);
+                limiter.advance_clock_us(8_500_000);
+                limiter.advance_clock_us(4_500_000);
             }
             // The connection ends, short of what was promised, or without the last chunk.
             let mut rest = Vec::new();
@@ -211,23 +216,23 @@
         let _ = sent.send(());
     });
     let limiter = before(server);
-    let mut stream = asks(&limiter, &lookup("t"));
+    let mut stream = asks(&limiter, &idempotent_request("t"));
     stream.read_exact(&mut [0; 100_000]).unwrap();
     drop(stream);
-    gone.recv_timeout(HANG)
+    gone.recv_timeout(TEST_TIMEOUT)
         .expect("the server's connection is closed too");
     assert_eq!(
-        ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status,
+        send_request(limiter.platform_address, "GET /up HTTP/1.1\r\n\r\n").status,
         200
     );
 }
 
 #[test]
 fn a_body_that_comes_slowly_is_waited_for_while_it_keeps_a_pace_and_is_told_to_come() {
-    let server = StandIn::start(|request, _| ok(&request.body.len().to_string()));
+    let server = MockServer::start(|request, _| ok(&request.body.len().to_string()));
     let limiter = before(server.address);
-    let mut client = Client::connect(limiter.platform);
-    let request = sign_off("k").replace(
+    let mut client = Client::connect(limiter.platform_address);
+    let request = keyed_request("k").replace(
         "Content-Length: 5\r\n\r\nhours",
         "Expect: 100-continue\r\nContent-Length: 65536\r\n\r\n",
     );
@@ -235,12 +240,12 @@
     // What is asked afterwards is answered in a later turn: the part has been read.
     let seen = || {
         assert_eq!(
-            ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status,
+            send_request(limiter.platform_address, "GET /up HTTP/1.1\r\n\r\n").status,
             200
         )
     };
     seen();
-    limiter.pass(1_900_000);
+    limiter.advance_clock_us(1_900_000);
     client.send(&request[50..]);
     assert_eq!(
         client.stream.read(&mut [0; 64]).unwrap(),
@@ -250,17 +255,17 @@
     for _ in 0..16 {
         client.send(&"x".repeat(4_096));
         seen();
-        limiter.pass(64_000);
+        limiter.advance_clock_us(64_000);
     }
-    assert_eq!(client.answer().unwrap().body, b"65536");
+    assert_eq!(client.read_response().unwrap().body, b"65536");
     // One that falls silent is not waited for.
-    let mut client = Client::connect(limiter.platform);
+    let mut client = Client::connect(limiter.platform_address);
     client.send(&request.replace("t-k", "t-l"));
     client.stream.read_exact(&mut [0; 25]).unwrap();
     client.send("half");
     seen();
-    limiter.pass(2_400_000);
-    assert_eq!(client.answer().unwrap().status, 408);
+    limiter.advance_clock_us(2_400_000);
+    assert_eq!(client.read_response().unwrap().status, 408);
 }
 
 #[test]
@@ -280,7 +285,7 @@
         }
     });
     let limiter = before(server);
-    let head = sign_off("k");
+    let head = keyed_request("k");
     let length = format!("Content-Length: {}\r\n\r\n", body.len());
     let mut plain = asks(
         &limiter,
@@ -306,7 +311,7 @@
 
 /// A request with a body of this many bytes, as the start of it.
 fn with_body(key: &str, length: usize) -> String {
-    sign_off(key).replace(
+    keyed_request(key).replace(
         "Content-Length: 5\r\n\r\nhours",
         &format!("Content-Length: {length}\r\n\r\n"),
     )
@@ -347,7 +352,7 @@
     let mut client = asks(&limiter, &with_body("k", body.len()));
     client.write_all(&body[..2_000_000]).unwrap();
     arrived
-        .recv_timeout(HANG)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("the server has the first of it before the last has come");
     client.write_all(&body[2_000_000..]).unwrap();
     assert_eq!(long_answer(&mut client).unwrap().status, 200);
@@ -373,17 +378,17 @@
         }
         stream.write_all(SAME).unwrap();
     });
-    let limiter = Limiter::start(&config(&[server; 4], counter().address), None);
+    let limiter = Limiter::start(&config(&[server; 4], start_counter().address), None);
     let mut client = asks(&limiter, &with_body("k", 3_000_000));
     client.write_all(&pattern(1_000_000)).unwrap();
     arrived
-        .recv_timeout(HANG)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("the server has the first of it");
     // Longer than a server may be silent before it is suspected, where there are no probes.
     for _ in 0..4 {
-        limiter.pass(110_000);
+        limiter.advance_clock_us(110_000);
         assert_eq!(
-            ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status,
+            send_request(limiter.platform_address, "GET /up HTTP/1.1\r\n\r\n").status,
             200
         );
     }
@@ -409,7 +414,7 @@
             stream.write_all(if first { never } else { SAME }).unwrap();
             let _ = stream.read(&mut part);
         });
-        let limiter = Limiter::start(&config(&[server; 3], counter().address), None);
+        let limiter = Limiter::start(&config(&[server; 3], start_counter().address), None);
         let mut client = asks(&limiter, &with_body("k", 3_000_000));
         client
             .write_all(&pattern(if taken == 0 { 20_000 } else { 1_100_000 }))
@@ -458,16 +463,16 @@
     client.write_all(&pattern(500_000)).unwrap();
     let seen = || {
         assert_eq!(
-            ask(limiter.platform, "GET /up HTTP/1.1\r\n\r\n").status,
+            send_request(limiter.platform_address, "GET /up HTTP/1.1\r\n\r\n").status,
             200
         )
     };
     // Read by then, some in each turn.
     (0..100).for_each(|_| seen());
-    limiter.pass(2_400_000);
+    limiter.advance_clock_us(2_400_000);
     (0..3).for_each(|_| seen());
-    limiter.pass(800_000);
+    limiter.advance_clock_us(800_000);
     assert_eq!(long_answer(&mut client).unwrap().status, 408);
-    gone.recv_timeout(HANG)
+    gone.recv_timeout(TEST_TIMEOUT)
         .expect("its leg is ended, before the last byte");
 }
