--- a/crates/limiter/tests/agreement.rs
+++ b/crates/limiter/tests/agreement.rs
@@ -6,7 +6,7 @@
 
 const SECRET: &str = "sixteen characters or more";
 
-fn member(id: u32, addresses: &[String], folder: &std::path::Path) -> String {
+fn raft_config(id: u32, addresses: &[String], directory: &std::path::Path) -> String {
     let members = addresses.iter().enumerate();
     let members: Vec<String> = members
         .map(|(n, a)| format!("{{\"id\":{},\"address\":\"{a}\"}}", n + 1))
@@ -14,7 +14,7 @@
     format!(
         r#"{{"listen":"{}","id":{id},"folder":"{}","secret":"{}","members":[{}]}}"#,
         addresses[id as usize - 1],
-        folder.join(id.to_string()).display(),
+        directory.join(id.to_string()).display(),
         SECRET.replace(' ', "-"),
         members.join(",")
     )
@@ -28,72 +28,89 @@
     )
 }
 
-fn introspection_status(at: std::net::SocketAddr) -> u16 {
+fn introspection_status(address: std::net::SocketAddr) -> u16 {
     // clerk:other
     let text = "POST /introspect HTTP/1.1\r\nHost: x\r\nAuthorization: Basic Y2xlcms6b3RoZXI=\r\n\
                 Content-Type: application/x-www-form-urlencoded\r\nContent-Length: 7\r\n\r\ntoken=a";
-    send_request(at, text).status
+    send_request(address, text).status
 }
 
 #[test]
-fn members_agree_on_callers_and_a_caller_named_at_one_may_ask_at_another() {
+fn callers_configured_at_one_member_are_accepted_at_every_member() {
     // A loopback address of this process's own: the members' addresses must be known before they listen.
     let pid = std::process::id();
     let addresses: Vec<String> = (1..=3)
         .map(|n| format!("127.{}.{}.{n}:19301", pid / 250 % 250 + 2, pid % 250 + 1))
         .collect();
-    let folder = tempfile::tempdir().unwrap();
+    let directory = tempfile::tempdir().unwrap();
     let upstream = MockServer::start(|_, _| ok(r#"{"active":false}"#));
     let counter = start_counter();
-    let front = format!(
+    let introspection_config = format!(
         r#"{{"listen":"127.0.0.1:0","upstreams":["{}"],"id":"us","secret":"hush","callers":[]}}"#,
         upstream.address
     );
     let start = |id| {
-        let member = member(id, &addresses, folder.path());
-        Limiter::start_with_raft(&config(&[], counter.address), Some(&front), Some(&member))
+        let raft_config_text = raft_config(id, &addresses, directory.path());
+        Limiter::start_with_raft(
+            &config(&[], counter.address),
+            Some(&introspection_config),
+            Some(&raft_config_text),
+        )
     };
     let limiters: Vec<Limiter> = (1..=3).map(start).collect();
-    let places: Vec<std::net::SocketAddr> = addresses.iter().map(|a| a.parse().unwrap()).collect();
+    let member_addresses: Vec<std::net::SocketAddr> =
+        addresses.iter().map(|a| a.parse().unwrap()).collect();
     assert!(
         limiters
             .iter()
-            .all(|l| introspection_status(l.introspection_address.unwrap()) == 401),
+            .all(|limiter| introspection_status(limiter.introspection_address.unwrap()) == 401),
         "nobody may ask yet"
     );
     assert_eq!(
-        send_request(places[0], "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n").status,
+        send_request(
+            member_addresses[0],
+            "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n"
+        )
+        .status,
         401
     );
-    let wrong = r#"{"callers":[{"id":"clerk","secret":"other","account":"5","plan":"taller"}]}"#;
-    let answer = send_request(places[0], &configuration_request("PUT", wrong));
-    assert!(answer.status == 400 && answer.body.starts_with(b"key 'callers[0].account'"));
+    let invalid_document =
+        r#"{"callers":[{"id":"clerk","secret":"other","account":"5","plan":"taller"}]}"#;
+    let response = send_request(
+        member_addresses[0],
+        &configuration_request("PUT", invalid_document),
+    );
+    assert!(response.status == 400 && response.body.starts_with(b"key 'callers[0].account'"));
 
-    let right = wrong.replace("\"5\"", "\"0000000000000005\"");
-    let (mut proposed, mut pointed) = (false, 0);
+    let valid_document = invalid_document.replace("\"5\"", "\"0000000000000005\"");
+    let (mut proposed, mut redirect_count) = (false, 0);
     let mut agreed = false;
     for _ in 0..2_000 {
         limiters
             .iter()
             .for_each(|limiter| limiter.advance_clock_us(50_000));
         if !proposed {
-            for place in &places {
-                match send_request(*place, &configuration_request("PUT", &right)) {
-                    answer if answer.status == 202 => proposed = true,
-                    answer if answer.status == 307 => {
-                        let leader = answer.headers.get("Location").unwrap();
-                        pointed +=
+            for member_address in &member_addresses {
+                match send_request(
+                    *member_address,
+                    &configuration_request("PUT", &valid_document),
+                ) {
+                    response if response.status == 202 => proposed = true,
+                    response if response.status == 307 => {
+                        let leader = response.headers.get("Location").unwrap();
+                        redirect_count +=
                             usize::from(addresses.iter().any(|a| leader.contains(a.as_str())));
                     }
-                    answer => assert_eq!(answer.status, 503),
+                    response => assert_eq!(response.status, 503),
                 }
                 if proposed {
                     break;
                 }
             }
         }
-        agreed = places.iter().all(|place| {
-            send_request(*place, &configuration_request("GET", "")).body == right.as_bytes()
+        agreed = member_addresses.iter().all(|member_address| {
+            send_request(*member_address, &configuration_request("GET", "")).body
+                == valid_document.as_bytes()
         });
         if agreed {
             break;
@@ -101,11 +118,11 @@
     }
     assert!(
         agreed,
-        "proposed: {proposed}, pointed to the leader: {pointed} times"
+        "proposed: {proposed}, pointed to the leader: {redirect_count} times"
     );
     assert!(
         limiters
             .iter()
-            .all(|l| introspection_status(l.introspection_address.unwrap()) == 200)
+            .all(|limiter| introspection_status(limiter.introspection_address.unwrap()) == 200)
     );
 }
--- a/crates/limiter/tests/config.rs
+++ b/crates/limiter/tests/config.rs
@@ -5,7 +5,7 @@
 use common::{config, unreachable_address};
 use limiter::config::Environment;
 
-fn fault(text: &str) -> String {
+fn config_error(text: &str) -> String {
     Environment::default()
         .parse(text)
         .expect_err("a fault")
@@ -13,9 +13,9 @@
 }
 
 #[test]
-fn a_faulty_key_is_named_with_those_it_lies_under() {
-    let good = config(&[unreachable_address()], unreachable_address());
-    assert!(Environment::default().parse(&good).is_ok());
+fn error_names_the_full_path_of_an_invalid_key() {
+    let valid_config = config(&[unreachable_address()], unreachable_address());
+    assert!(Environment::default().parse(&valid_config).is_ok());
     for (from, to, key) in [
         (
             "\"listen\":\"127.0.0.1:0\"",
@@ -60,26 +60,30 @@
         ),
         ("\"seed\":\"7\"", "\"seed\":\"x\"", "key 'seed'"),
     ] {
-        let text = good.replacen(from, to, 1);
-        assert_ne!(text, good, "{from}");
-        assert!(fault(&text).starts_with(key), "{}", fault(&text));
+        let text = valid_config.replacen(from, to, 1);
+        assert_ne!(text, valid_config, "{from}");
+        assert!(
+            config_error(&text).starts_with(key),
+            "{}",
+            config_error(&text)
+        );
     }
-    assert!(fault("{").starts_with("not JSON"));
+    assert!(config_error("{").starts_with("not JSON"));
 }
 
 #[test]
-fn variables_stand_above_keys_and_are_named_when_faulty() {
-    let good = config(&[], unreachable_address());
-    let with = |listen: &str| {
+fn environment_variables_override_keys_and_are_named_in_errors() {
+    let valid_config = config(&[], unreachable_address());
+    let parse_with_listen = |listen: &str| {
         Environment {
             listen: Some(listen.into()),
             ..Environment::default()
         }
-        .parse(&good)
+        .parse(&valid_config)
     };
-    assert_eq!(with("127.0.0.1:9").unwrap().listen.port(), 9);
+    assert_eq!(parse_with_listen("127.0.0.1:9").unwrap().listen.port(), 9);
     assert!(
-        with("nine")
+        parse_with_listen("nine")
             .unwrap_err()
             .to_string()
             .starts_with("key 'ROUTER_LISTEN'")
@@ -87,7 +91,7 @@
 }
 
 #[test]
-fn limits_keep_within_what_the_machine_allows() {
+fn limits_are_derived_from_the_sockets_and_memory_of_the_machine() {
     let text = config(&[], unreachable_address()).replacen(
         '{',
         "{\"limits\":{\"sockets\":300,\"memory_mb\":192},",
@@ -111,18 +115,19 @@
         "well before the server's 15 s"
     );
     assert_eq!(limits.shutdown_timeout, 4_600_000);
-    let of = |sockets: u32, memory: u32| {
-        let machine = format!("{{\"limits\":{{\"sockets\":{sockets},\"memory_mb\":{memory}}},");
+    let limits_for = |sockets: u32, memory: u32| {
+        let machine_limits =
+            format!("{{\"limits\":{{\"sockets\":{sockets},\"memory_mb\":{memory}}},");
         Environment::default()
-            .parse(&config(&[], unreachable_address()).replacen('{', &machine, 1))
+            .parse(&config(&[], unreachable_address()).replacen('{', &machine_limits, 1))
             .unwrap()
             .limits
     };
     for (sockets, memory) in [(256, 32), (384, 48), (1_024, 32), (1_024, 192)] {
-        let limits = of(sockets, memory);
-        let all = limits.relay_window_bytes * limits.max_client_connections;
+        let limits = limits_for(sockets, memory);
+        let total_window_bytes = limits.relay_window_bytes * limits.max_client_connections;
         assert!(
-            all <= (memory as usize) << 18,
+            total_window_bytes <= (memory as usize) << 18,
             "transfers on all connections have a quarter of the memory at the most"
         );
         assert!((8 << 10..=64 << 10).contains(&limits.relay_window_bytes));
@@ -130,80 +135,91 @@
 }
 
 #[test]
-fn the_second_front_and_raft_are_off_without_an_address_and_their_faults_are_named() {
-    let mut read = Environment::default()
+fn introspection_and_raft_are_off_without_an_address_and_errors_name_the_key() {
+    let mut config = Environment::default()
         .parse(&config(&[], unreachable_address()))
         .unwrap();
-    read.apply_introspection(include_str!("../../../deploy/introspection.json"))
+    config
+        .apply_introspection(include_str!("../../../deploy/introspection.json"))
         .unwrap();
-    read.apply_raft(include_str!("../../../deploy/raft.json"))
+    config
+        .apply_raft(include_str!("../../../deploy/raft.json"))
         .unwrap();
     assert!(
-        read.introspection.is_none() && read.raft.is_none(),
+        config.introspection.is_none() && config.raft.is_none(),
         "as they are shipped"
     );
-    let front = |rest: &str| format!("{{\"listen\":\"127.0.0.1:0\",{rest}}}");
+    let enabled_config = |rest: &str| format!("{{\"listen\":\"127.0.0.1:0\",{rest}}}");
     let caller = "\"upstreams\":[\"127.0.0.1:1\"],\"id\":\"a\",\"secret\":\"b\",\"callers\":[{\"id\":\"c\",\"secret\":\"d\"";
     for (text, key) in [
-        (front("\"upstreams\":[]"), "key 'introspection.upstreams'"),
         (
-            front("\"upstreams\":[\"x\"]"),
+            enabled_config("\"upstreams\":[]"),
+            "key 'introspection.upstreams'",
+        ),
+        (
+            enabled_config("\"upstreams\":[\"x\"]"),
             "key 'introspection.upstreams[0]'",
         ),
         (
-            front("\"upstreams\":[\"127.0.0.1:1\"],\"id\":\"a\""),
+            enabled_config("\"upstreams\":[\"127.0.0.1:1\"],\"id\":\"a\""),
             "key 'introspection.secret'",
         ),
         (
-            front(&format!("{caller}}}]")),
+            enabled_config(&format!("{caller}}}]")),
             "key 'introspection.callers[0].account'",
         ),
         (
-            front(&format!(
+            enabled_config(&format!(
                 "{caller},\"account\":\"0000000000000001\",\"plan\":\"gold\"}}]"
             )),
             "key 'introspection.callers[0].plan'",
         ),
     ] {
-        let error = read.apply_introspection(&text).unwrap_err().to_string();
+        let error = config.apply_introspection(&text).unwrap_err().to_string();
         assert!(error.starts_with(key), "{error}");
     }
     let members = "\"members\":[{\"id\":1,\"address\":\"127.0.0.1:1\"}],\"folder\":\"f\"";
     for (text, key) in [
         (
-            front(&format!(
+            enabled_config(&format!(
                 "{members},\"id\":2,\"secret\":\"0123456789abcdef\""
             )),
             "key 'raft.id'",
         ),
         (
-            front(&format!("{members},\"id\":1,\"secret\":\"short\"")),
+            enabled_config(&format!("{members},\"id\":1,\"secret\":\"short\"")),
             "key 'raft.secret'",
         ),
     ] {
-        let error = read.apply_raft(&text).unwrap_err().to_string();
+        let error = config.apply_raft(&text).unwrap_err().to_string();
         assert!(error.starts_with(key), "{error}");
     }
 }
 
 #[test]
-fn slices_while_the_counter_is_lost_only_where_named_and_a_wrong_word_is_refused_by_its_key() {
-    let mut read = Environment::default()
+fn even_shares_without_a_counter_are_opt_in_and_unknown_values_are_rejected() {
+    let mut config = Environment::default()
         .parse(&config(&[], unreachable_address()))
         .unwrap();
-    read.apply_shared_state(include_str!("../../../deploy/shared.json"))
+    config
+        .apply_shared_state(include_str!("../../../deploy/shared.json"))
         .unwrap();
-    assert!(!read.settings.even_shares_counter_lost, "as it is shipped");
-    read.apply_shared_state(r#"{"counter_lost": "slices"}"#)
+    assert!(
+        !config.settings.even_shares_counter_lost,
+        "as it is shipped"
+    );
+    config
+        .apply_shared_state(r#"{"counter_lost": "slices"}"#)
         .unwrap();
-    assert!(read.settings.even_shares_counter_lost);
-    let error = read
+    assert!(config.settings.even_shares_counter_lost);
+    let error = config
         .apply_shared_state(r#"{"counter_lost": "shares"}"#)
         .unwrap_err()
         .to_string();
     assert!(error.starts_with("key 'shared.counter_lost'"), "{error}");
     assert!(
-        read.apply_shared_state(r#"{"counter_los": "open"}"#)
+        config
+            .apply_shared_state(r#"{"counter_los": "open"}"#)
             .unwrap_err()
             .to_string()
             .contains("shared")
@@ -211,31 +227,31 @@
 }
 
 #[test]
-fn a_misspelt_key_of_our_own_files_is_named_and_one_of_the_platform_is_passed_over() {
-    let platform = config(&[unreachable_address()], unreachable_address()).replacen(
+fn unknown_keys_are_rejected_in_our_files_and_ignored_in_the_platform_configuration() {
+    let platform_config = config(&[unreachable_address()], unreachable_address()).replacen(
         '{',
         "{\"new_of_the_platform\":{\"a\":[1]},",
         1,
     );
-    let mut read = Environment::default().parse(&platform).unwrap();
+    let mut config = Environment::default().parse(&platform_config).unwrap();
     let error = |r: Result<(), limiter::config::ConfigError>| r.unwrap_err().to_string();
     assert_eq!(
-        error(read.apply_introspection("{\"listen\":null,\"up_streams\":[]}")),
+        error(config.apply_introspection("{\"listen\":null,\"up_streams\":[]}")),
         "key 'introspection.up_streams': unknown key; did you mean 'upstreams'?"
     );
     assert_eq!(
-        error(read.apply_raft("{\"members\":[{\"id\":1,\"adress\":\"127.0.0.1:1\"}]}")),
+        error(config.apply_raft("{\"members\":[{\"id\":1,\"adress\":\"127.0.0.1:1\"}]}")),
         "key 'raft.members[0].adress': unknown key; did you mean 'address'?"
     );
-    assert!(error(read.apply_raft("{\"listen\"")).starts_with("not JSON"));
+    assert!(error(config.apply_raft("{\"listen\"")).starts_with("not JSON"));
     assert!(
-        read.introspection.is_none() && read.raft.is_none(),
+        config.introspection.is_none() && config.raft.is_none(),
         "a faulty file changes nothing"
     );
 }
 
 #[test]
-fn absent_and_null_are_alike_and_numbers_may_be_decimal() {
+fn null_equals_absent_and_integers_may_be_written_as_decimals() {
     let text =
         config(&[], unreachable_address()).replacen("\"Instances\":1", "\"Instances\":1.0", 1);
     let text = text
--- a/crates/limiter/tests/golden.rs
+++ b/crates/limiter/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use limiter::raft::Member;
 
-fn hex(bytes: &[u8]) -> String {
+fn hex_lines(bytes: &[u8]) -> String {
     let lines = bytes
         .chunks(32)
         .map(|line| line.iter().map(|byte| format!("{byte:02x}")).collect());
@@ -12,9 +12,9 @@
 const DOCUMENT: &[u8] = br#"{"callers":[]}"#;
 
 #[test]
-fn a_journal_keeps_its_bytes_and_is_read_back() {
-    let folder = tempfile::tempdir().unwrap();
-    let mut member = Member::open(1, &[1], folder.path()).unwrap();
+fn journal_bytes_are_stable_and_can_be_read_back() {
+    let directory = tempfile::tempdir().unwrap();
+    let mut member = Member::open(1, &[1], directory.path()).unwrap();
     for _ in 0..100 {
         if member.is_leader() {
             break;
@@ -24,9 +24,9 @@
     member.propose(DOCUMENT).unwrap();
     assert_eq!(member.document().0, DOCUMENT);
     drop(member);
-    let journal = std::fs::read(folder.path().join("raft.journal")).unwrap();
-    insta::assert_snapshot!("raft-journal", hex(&journal));
-    let mut member = Member::open(1, &[1], folder.path()).unwrap();
+    let journal = std::fs::read(directory.path().join("raft.journal")).unwrap();
+    insta::assert_snapshot!("raft-journal", hex_lines(&journal));
+    let mut member = Member::open(1, &[1], directory.path()).unwrap();
     for _ in 0..100 {
         member.tick().unwrap();
     }
--- a/crates/limiter/tests/introspection.rs
+++ b/crates/limiter/tests/introspection.rs
@@ -9,11 +9,13 @@
 use common::*;
 use limiter::net::framing::Response;
 
-const ACTIVE: &str = r#"{"active":true,"sub":"0000000000000005","plan":"empresa","exp":2000}"#;
+const ACTIVE_TOKEN_RESPONSE: &str =
+    r#"{"active":true,"sub":"0000000000000005","plan":"empresa","exp":2000}"#;
 /// Active until 100 ms after the start of the clock.
-const SHORT: &str = r#"{"active":true,"sub":"0000000000000005","plan":"empresa","exp":1001}"#;
+const EXPIRING_TOKEN_RESPONSE: &str =
+    r#"{"active":true,"sub":"0000000000000005","plan":"empresa","exp":1001}"#;
 
-fn front(upstreams: &[SocketAddr]) -> String {
+fn introspection_config(upstreams: &[SocketAddr]) -> String {
     let upstreams: Vec<String> = upstreams.iter().map(|a| format!("\"{a}\"")).collect();
     format!(
         r#"{{"listen":"127.0.0.1:0","upstreams":[{}],"id":"us","secret":"hush",
@@ -22,10 +24,10 @@
     )
 }
 
-fn bearer_request(key: &str, token: &str, wait: &str) -> String {
+fn bearer_request(key: &str, token: &str, timeout_s: &str) -> String {
     format!(
         "POST /sign-off?term=2 HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t-{key}\r\nIdempotency-Key: {key}\r\n\
-         X-Expires-In: {wait}\r\nAuthorization: Bearer {token}\r\nContent-Length: 5\r\n\r\nhours"
+         X-Expires-In: {timeout_s}\r\nAuthorization: Bearer {token}\r\nContent-Length: 5\r\n\r\nhours"
     )
 }
 
@@ -40,270 +42,298 @@
 }
 
 /// Records server, introspection server, counter and limiter.
-struct Scene {
-    records: MockServer,
+struct Fixture {
+    backend: MockServer,
     upstream: MockServer,
     limiter: Limiter,
-    at: SocketAddr,
+    address: SocketAddr,
 }
 
-fn scene(
-    records: impl FnMut(&limiter::net::framing::Request, usize) -> Reply + Send + 'static,
+fn start_fixture(
+    backend: impl FnMut(&limiter::net::framing::Request, usize) -> Reply + Send + 'static,
     upstream: impl FnMut(&limiter::net::framing::Request, usize) -> Reply + Send + 'static,
-) -> Scene {
-    let (records, upstream) = (MockServer::start(records), MockServer::start(upstream));
+) -> Fixture {
+    let (backend, upstream) = (MockServer::start(backend), MockServer::start(upstream));
     // Two servers by name, so that one that rests leaves another to choose.
-    let config = config(&[records.address, records.address], start_counter().address);
-    let limiter = Limiter::start(&config, Some(&front(&[upstream.address])));
-    let at = limiter
+    let config = config(&[backend.address, backend.address], start_counter().address);
+    let limiter = Limiter::start(&config, Some(&introspection_config(&[upstream.address])));
+    let address = limiter
         .introspection_address
         .expect("the second front is on");
-    Scene {
-        records,
+    Fixture {
+        backend,
         upstream,
         limiter,
-        at,
+        address,
     }
 }
 
-fn assert_declined(answer: &Response) {
-    assert_eq!(answer.status, 503);
-    let wait: f64 = answer
+fn assert_unavailable(response: &Response) {
+    assert_eq!(response.status, 503);
+    let retry_after_s: f64 = response
         .headers
         .get("Retry-After")
         .expect("when to come back")
         .parse()
         .unwrap();
-    assert!(wait > 0.0);
+    assert!(retry_after_s > 0.0);
 }
 
 #[test]
-fn a_bearer_token_stands_for_the_account_and_is_remembered() {
-    let scene = scene(|_, _| ok("signed"), |_, _| ok(ACTIVE));
+fn bearer_token_identifies_the_account_and_is_cached() {
+    let fixture = start_fixture(|_, _| ok("signed"), |_, _| ok(ACTIVE_TOKEN_RESPONSE));
     for n in 0..3 {
-        let answer = send_request(scene.at, &bearer_request(&format!("k{n}"), "good", "4"));
+        let response = send_request(
+            fixture.address,
+            &bearer_request(&format!("k{n}"), "good", "4"),
+        );
         assert_eq!(
-            (answer.status, answer.body.as_slice()),
+            (response.status, response.body.as_slice()),
             (200, b"signed".as_slice())
         );
     }
     assert_eq!(
         (
-            scene.records.request_count(),
-            scene.upstream.request_count()
+            fixture.backend.request_count(),
+            fixture.upstream.request_count()
         ),
         (3, 1)
     );
-    let seen = scene.records.requests.lock().unwrap();
-    assert_eq!(seen[0].target, "/sign-off?term=2&account=0000000000000005");
-    assert_eq!(seen[0].body, b"hours");
+    let backend_requests = fixture.backend.requests.lock().unwrap();
+    assert_eq!(
+        backend_requests[0].target,
+        "/sign-off?term=2&account=0000000000000005"
+    );
+    assert_eq!(backend_requests[0].body, b"hours");
     assert!(
-        !seen[0].headers.contains("Authorization"),
+        !backend_requests[0].headers.contains("Authorization"),
         "the token goes no further"
     );
-    let asked = scene.upstream.requests.lock().unwrap();
-    assert!(asked[0].body.starts_with(b"token=good"));
-    assert!(asked[0].headers.contains("Authorization"));
+    let introspection_requests = fixture.upstream.requests.lock().unwrap();
+    assert!(introspection_requests[0].body.starts_with(b"token=good"));
+    assert!(introspection_requests[0].headers.contains("Authorization"));
 }
 
 #[test]
-fn tokens_that_do_not_do_are_challenged_and_nothing_runs() {
-    let scene = scene(|_, _| ok(""), |_, _| ok(r#"{"active":false}"#));
-    let answer = send_request(scene.at, &bearer_request("k", "bad", "4"));
-    assert_eq!(answer.status, 401);
+fn invalid_tokens_are_challenged_and_no_request_is_forwarded() {
+    let fixture = start_fixture(|_, _| ok(""), |_, _| ok(r#"{"active":false}"#));
+    let response = send_request(fixture.address, &bearer_request("k", "bad", "4"));
+    assert_eq!(response.status, 401);
     assert_eq!(
-        answer.headers.get("WWW-Authenticate"),
+        response.headers.get("WWW-Authenticate"),
         Some("Bearer error=\"invalid_token\"")
     );
-    let none = bearer_request("k", "x", "4").replace("Authorization: Bearer x\r\n", "");
-    let answer = send_request(scene.at, &none);
+    let request_without_token =
+        bearer_request("k", "x", "4").replace("Authorization: Bearer x\r\n", "");
+    let response = send_request(fixture.address, &request_without_token);
     assert_eq!(
-        (answer.status, answer.headers.get("WWW-Authenticate")),
+        (response.status, response.headers.get("WWW-Authenticate")),
         (401, Some("Bearer"))
     );
     assert_eq!(
-        send_request(scene.at, &bearer_request("k", "a b", "4")).status,
+        send_request(fixture.address, &bearer_request("k", "a b", "4")).status,
+        400
+    );
+    let request_naming_account =
+        bearer_request("k", "x", "4").replace("term=2", "account=0000000000000005");
+    assert_eq!(
+        send_request(fixture.address, &request_naming_account).status,
         400
     );
-    let named = bearer_request("k", "x", "4").replace("term=2", "account=0000000000000005");
-    assert_eq!(send_request(scene.at, &named).status, 400);
     assert_eq!(
         (
-            scene.records.request_count(),
-            scene.upstream.request_count()
+            fixture.backend.request_count(),
+            fixture.upstream.request_count()
         ),
         (0, 1)
     );
 }
 
 #[test]
-fn a_stall_of_half_a_second_is_waited_out_if_there_is_time_and_declined_if_not() {
-    for (wait, status) in [("4", 200), ("0.400", 503)] {
-        let (release, held) = mpsc::channel();
-        let (reached, arrived) = mpsc::channel();
-        let mut held = Some(held);
-        let scene = scene(
+fn introspection_stall_of_500_ms_is_waited_out_only_within_the_deadline() {
+    for (timeout_s, status) in [("4", 200), ("0.400", 503)] {
+        let (release_sender, release_receiver) = mpsc::channel();
+        let (arrival_sender, arrival_receiver) = mpsc::channel();
+        let mut release_receiver = Some(release_receiver);
+        let fixture = start_fixture(
             |_, _| ok("signed"),
             move |_, _| {
-                reached.send(()).unwrap();
-                Reply::Delay(held.take().expect("asked once"), Box::new(ok(ACTIVE)))
+                arrival_sender.send(()).unwrap();
+                Reply::Delay(
+                    release_receiver.take().expect("asked once"),
+                    Box::new(ok(ACTIVE_TOKEN_RESPONSE)),
+                )
             },
         );
-        let mut client = Client::connect(scene.at);
-        client.send(&bearer_request("k", "good", wait));
-        arrived.recv().unwrap();
-        scene.limiter.advance_clock_us(500_000);
+        let mut client = Client::connect(fixture.address);
+        client.send(&bearer_request("k", "good", timeout_s));
+        arrival_receiver.recv().unwrap();
+        fixture.limiter.advance_clock_us(500_000);
         if status == 503 {
-            assert_declined(&client.read_response().expect("an answer at its deadline"));
-            assert_eq!(scene.records.request_count(), 0);
-            let _ = release.send(());
+            assert_unavailable(&client.read_response().expect("an answer at its deadline"));
+            assert_eq!(fixture.backend.request_count(), 0);
+            let _ = release_sender.send(());
         } else {
-            release.send(()).unwrap();
+            release_sender.send(()).unwrap();
             assert_eq!(client.read_response().expect("an answer").status, 200);
         }
     }
 }
 
 #[test]
-fn a_server_that_refuses_or_lies_fails_closed_and_harmlessly() {
-    let lies = [
+fn failing_or_malformed_introspection_fails_closed_with_a_retryable_response() {
+    let malformed_bodies = [
         "",
         "{\"active\":\"yes\"}",
         r#"{"active":true,"sub":5,"plan":"empresa"}"#,
     ];
-    let past = r#"{"active":true,"sub":"0000000000000005","plan":"empresa","exp":999}"#;
-    for lie in lies.into_iter().chain([past]) {
-        let scene = scene(|_, _| ok("signed"), move |_, _| ok(lie));
-        assert_declined(&send_request(scene.at, &bearer_request("k", "good", "4")));
-        assert_eq!(scene.records.request_count(), 0, "{lie}");
-        assert!(scene.upstream.request_count() >= 1);
+    let expired_token_body =
+        r#"{"active":true,"sub":"0000000000000005","plan":"empresa","exp":999}"#;
+    for body in malformed_bodies.into_iter().chain([expired_token_body]) {
+        let fixture = start_fixture(|_, _| ok("signed"), move |_, _| ok(body));
+        assert_unavailable(&send_request(
+            fixture.address,
+            &bearer_request("k", "good", "4"),
+        ));
+        assert_eq!(fixture.backend.request_count(), 0, "{body}");
+        assert!(fixture.upstream.request_count() >= 1);
     }
     for status in [500, 401, 503] {
-        let scene = scene(
+        let fixture = start_fixture(
             |_, _| ok("signed"),
             move |_, _| Reply::Respond(status, vec![], String::new()),
         );
-        assert_declined(&send_request(scene.at, &bearer_request("k", "good", "4")));
-        assert_eq!(scene.records.request_count(), 0);
+        assert_unavailable(&send_request(
+            fixture.address,
+            &bearer_request("k", "good", "4"),
+        ));
+        assert_eq!(fixture.backend.request_count(), 0);
     }
-    let records = MockServer::start(|_, _| ok("signed"));
+    let backend = MockServer::start(|_, _| ok("signed"));
     let limiter = Limiter::start(
-        &config(&[records.address], start_counter().address),
-        Some(&front(&[unreachable_address()])),
+        &config(&[backend.address], start_counter().address),
+        Some(&introspection_config(&[unreachable_address()])),
     );
-    assert_declined(&send_request(
+    assert_unavailable(&send_request(
         limiter.introspection_address.unwrap(),
         &bearer_request("k", "good", "4"),
     ));
-    assert_eq!(records.request_count(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
-fn a_sign_off_whose_token_expires_between_try_and_retry_is_not_sent_again() {
-    let never_ran = || Reply::Respond(503, vec![("X-Never-Ran", "1")], String::new());
-    for (end, status) in [(Some(never_ran()), 401), (None, 504)] {
-        let (release, held) = mpsc::channel();
-        let (reached, arrived) = mpsc::channel();
-        let mut first = Some(Reply::Delay(held, Box::new(end.unwrap_or(Reply::Close))));
-        let scene = scene(
+fn keyed_request_is_not_retried_after_its_token_expired() {
+    let not_executed = || Reply::Respond(503, vec![("X-Never-Ran", "1")], String::new());
+    for (attempt_end, status) in [(Some(not_executed()), 401), (None, 504)] {
+        let (release_sender, release_receiver) = mpsc::channel();
+        let (arrival_sender, arrival_receiver) = mpsc::channel();
+        let mut first_reply = Some(Reply::Delay(
+            release_receiver,
+            Box::new(attempt_end.unwrap_or(Reply::Close)),
+        ));
+        let fixture = start_fixture(
             move |_, _| {
-                reached.send(()).unwrap();
-                first.take().unwrap_or_else(|| ok("signed twice"))
+                arrival_sender.send(()).unwrap();
+                first_reply.take().unwrap_or_else(|| ok("signed twice"))
             },
-            |_, _| ok(SHORT),
+            |_, _| ok(EXPIRING_TOKEN_RESPONSE),
         );
-        let mut client = Client::connect(scene.at);
+        let mut client = Client::connect(fixture.address);
         client.send(&bearer_request("k", "short", "30"));
-        arrived.recv().unwrap();
-        scene.limiter.advance_clock_us(150_000);
-        release.send(()).unwrap();
-        let answer = client.read_response().expect("one final answer");
-        assert_eq!(answer.status, status);
-        assert_eq!(answer.headers.contains("WWW-Authenticate"), status == 401);
-        assert_eq!(scene.records.request_count(), 1, "sent once");
+        arrival_receiver.recv().unwrap();
+        fixture.limiter.advance_clock_us(150_000);
+        release_sender.send(()).unwrap();
+        let response = client.read_response().expect("one final answer");
+        assert_eq!(response.status, status);
+        assert_eq!(response.headers.contains("WWW-Authenticate"), status == 401);
+        assert_eq!(fixture.backend.request_count(), 1, "sent once");
     }
 }
 
 #[test]
-fn a_sign_off_that_never_ran_is_sent_again_while_its_token_is_good() {
-    let scene = scene(
+fn unexecuted_keyed_request_is_retried_while_its_token_is_valid() {
+    let fixture = start_fixture(
         |_, n| match n {
             0 => Reply::Respond(503, vec![("X-Never-Ran", "1")], String::new()),
             _ => ok("signed"),
         },
-        |_, _| ok(ACTIVE),
+        |_, _| ok(ACTIVE_TOKEN_RESPONSE),
     );
-    let mut client = Client::connect(scene.at);
+    let mut client = Client::connect(fixture.address);
     client.send(&bearer_request("k", "good", "30"));
     assert_eq!(client.read_response().expect("an answer").status, 200);
-    assert_eq!(scene.records.request_count(), 2);
+    assert_eq!(fixture.backend.request_count(), 2);
 }
 
 #[test]
-fn the_server_tells_callers_what_it_may_and_nobody_else_anything() {
-    let scene = scene(
+fn introspection_endpoint_answers_only_authenticated_callers() {
+    let fixture = start_fixture(
         |_, _| ok(""),
         |request, _| {
             ok(if request.body.starts_with(b"token=good&") {
-                ACTIVE
+                ACTIVE_TOKEN_RESPONSE
             } else {
                 r#"{"active":false,"x":1}"#
             })
         },
     );
-    let answer = send_request(scene.at, &introspection_request("good"));
-    assert_eq!(answer.headers.get("Cache-Control"), Some("no-store"));
-    let told: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
+    let response = send_request(fixture.address, &introspection_request("good"));
+    assert_eq!(response.headers.get("Cache-Control"), Some("no-store"));
+    let token_info: serde_json::Value = serde_json::from_slice(&response.body).unwrap();
     assert_eq!(
-        (&told["active"], &told["sub"]),
+        (&token_info["active"], &token_info["sub"]),
         (&true.into(), &"0000000000000005".into())
     );
     assert_eq!(
-        (&told["plan"], &told["exp"]),
+        (&token_info["plan"], &token_info["exp"]),
         (&"empresa".into(), &2000.into())
     );
-    for unknown in ["other", "not%20a%20token"] {
+    for unknown_token in ["other", "not%20a%20token"] {
         assert_eq!(
-            send_request(scene.at, &introspection_request(unknown)).body,
+            send_request(fixture.address, &introspection_request(unknown_token)).body,
             b"{\"active\":false}"
         );
     }
-    let stranger =
+    let wrong_secret_request =
         introspection_request("good").replace("b2ZmaWNlOnMzY3JldA==", "b2ZmaWNlOndyb25n");
-    let answer = send_request(scene.at, &stranger);
-    assert_eq!(answer.status, 401);
+    let response = send_request(fixture.address, &wrong_secret_request);
+    assert_eq!(response.status, 401);
     assert!(
-        answer
+        response
             .headers
             .get("WWW-Authenticate")
             .is_some_and(|w| w.starts_with("Basic"))
     );
     assert_eq!(
         send_request(
-            scene.at,
+            fixture.address,
             &introspection_request("good").replace("token=", "other=")
         )
         .status,
         400
     );
     assert_eq!(
-        send_request(scene.at, "GET /introspect HTTP/1.1\r\nHost: x\r\n\r\n").status,
+        send_request(
+            fixture.address,
+            "GET /introspect HTTP/1.1\r\nHost: x\r\n\r\n"
+        )
+        .status,
         405
     );
-    assert_eq!(scene.records.request_count(), 0);
+    assert_eq!(fixture.backend.request_count(), 0);
 }
 
 #[test]
-fn a_callers_quota_holds_for_questions_even_from_the_cache() {
-    let scene = scene(|_, _| ok(""), |_, _| ok(ACTIVE));
+fn introspection_requests_answered_from_the_cache_count_against_the_callers_quota() {
+    let fixture = start_fixture(|_, _| ok(""), |_, _| ok(ACTIVE_TOKEN_RESPONSE));
     let mut statuses = BTreeMap::new();
     for _ in 0..20 {
-        let answer = send_request(scene.at, &introspection_request("good"));
-        *statuses.entry(answer.status).or_insert(0) += 1;
-        assert!(answer.status == 200 || answer.headers.contains("Retry-After"));
+        let response = send_request(fixture.address, &introspection_request("good"));
+        *statuses.entry(response.status).or_insert(0) += 1;
+        assert!(response.status == 200 || response.headers.contains("Retry-After"));
     }
     assert_eq!(
-        scene.upstream.request_count(),
+        fixture.upstream.request_count(),
         1,
         "the rest came from the cache"
     );
@@ -312,91 +342,99 @@
 }
 
 #[test]
-fn one_installation_asks_another() {
-    let far = scene(|_, _| ok(""), |_, _| ok(ACTIVE));
-    let records = MockServer::start(|_, _| ok("signed"));
-    let near = front(&[far.at])
+fn one_installation_introspects_tokens_at_another() {
+    let remote_fixture = start_fixture(|_, _| ok(""), |_, _| ok(ACTIVE_TOKEN_RESPONSE));
+    let backend = MockServer::start(|_, _| ok("signed"));
+    let local_config = introspection_config(&[remote_fixture.address])
         .replace("\"us\"", "\"office\"")
         .replace("hush", "s3cret");
     let limiter = Limiter::start(
-        &config(&[records.address], start_counter().address),
-        Some(&near),
+        &config(&[backend.address], start_counter().address),
+        Some(&local_config),
     );
-    let answer = send_request(
+    let response = send_request(
         limiter.introspection_address.unwrap(),
         &bearer_request("k", "good", "4"),
     );
-    assert_eq!((answer.status, records.request_count()), (200, 1));
+    assert_eq!((response.status, backend.request_count()), (200, 1));
 }
 
 #[test]
-fn against_a_server_that_stalls_refuses_and_lies_each_request_gets_one_answer_and_no_sign_off_runs_twice()
- {
-    let (reached, arrived) = mpsc::channel();
-    let scene = scene(
+fn unreliable_introspection_yields_one_response_per_request_and_no_duplicate_execution() {
+    let (arrival_sender, arrival_receiver) = mpsc::channel();
+    let fixture = start_fixture(
         |_, _| ok("signed"),
         move |request, _| match request.body.get("token=".len()) {
-            Some(b'a') => ok(ACTIVE),
+            Some(b'a') => ok(ACTIVE_TOKEN_RESPONSE),
             Some(b'r') => Reply::Close,
             Some(b'l') => ok("{\"active\":1}"),
             Some(b's') => {
-                let (never, held) = mpsc::channel();
-                std::mem::forget(never);
-                reached.send(()).unwrap();
-                Reply::Delay(held, Box::new(Reply::Close))
+                let (never_released, release_receiver) = mpsc::channel();
+                std::mem::forget(never_released);
+                arrival_sender.send(()).unwrap();
+                Reply::Delay(release_receiver, Box::new(Reply::Close))
             }
             _ => Reply::Respond(500, vec![], String::new()),
         },
     );
     let mut statuses = BTreeMap::new();
     for (n, kind) in "arlse".chars().cycle().take(60).enumerate() {
-        let mut client = Client::connect(scene.at);
+        let mut client = Client::connect(fixture.address);
         let text = bearer_request(&format!("k{n}"), &format!("{kind}{n}"), "0.450");
         client.send(&text.replace("Host: x\r\n", "Host: x\r\nConnection: close\r\n"));
         if kind == 's' {
-            arrived.recv().unwrap();
-            scene.limiter.advance_clock_us(500_000);
+            arrival_receiver.recv().unwrap();
+            fixture.limiter.advance_clock_us(500_000);
         }
-        let answer = client.read_response().expect("a final answer");
+        let response = client.read_response().expect("a final answer");
         assert!(client.read_response().is_none(), "and no second one");
-        *statuses.entry((kind, answer.status)).or_insert(0) += 1;
+        *statuses.entry((kind, response.status)).or_insert(0) += 1;
         // Lets a server that was found silent rest.
-        scene.limiter.advance_clock_us(5_000_000);
+        fixture.limiter.advance_clock_us(5_000_000);
     }
     let expected = "arlse"
         .chars()
         .map(|kind| ((kind, if kind == 'a' { 200 } else { 503 }), 12));
     assert_eq!(statuses, expected.collect());
-    let mut sent = BTreeMap::new();
-    for request in scene.records.requests.lock().unwrap().iter() {
-        *sent
+    let mut sent_per_key = BTreeMap::new();
+    for request in fixture.backend.requests.lock().unwrap().iter() {
+        *sent_per_key
             .entry(request.headers.get("Idempotency-Key").unwrap().to_string())
             .or_insert(0) += 1;
     }
-    assert_eq!(sent.len(), 12, "only those whose client is known");
-    assert!(sent.values().all(|times| *times == 1), "{sent:?}");
+    assert_eq!(sent_per_key.len(), 12, "only those whose client is known");
+    assert!(
+        sent_per_key.values().all(|count| *count == 1),
+        "{sent_per_key:?}"
+    );
 }
 
 #[test]
-fn what_questions_hold_is_given_back_also_where_the_cache_answers_them() {
-    let records = MockServer::start(|_, _| ok(""));
-    let upstream = MockServer::start(|_, _| ok(ACTIVE));
+fn memory_of_introspection_requests_is_released_also_on_cache_hits() {
+    let backend = MockServer::start(|_, _| ok(""));
+    let upstream = MockServer::start(|_, _| ok(ACTIVE_TOKEN_RESPONSE));
     // Requests may hold 128 KiB at once.
-    let config = config(&[records.address, records.address], start_counter().address);
+    let config = config(&[backend.address, backend.address], start_counter().address);
     let config = config.replacen('{', "{\"limits\":{\"memory_mb\":1},", 1);
-    let front = front(&[upstream.address]).replace("taller", "empresa");
-    let limiter = Limiter::start(&config, Some(&front));
-    let at = limiter
+    let introspection_config_text =
+        introspection_config(&[upstream.address]).replace("taller", "empresa");
+    let limiter = Limiter::start(&config, Some(&introspection_config_text));
+    let address = limiter
         .introspection_address
         .expect("the second front is on");
     let token = "t".repeat(3_000);
     // More than that in all, one after the other.
-    (0..60).for_each(|_| assert_eq!(send_request(at, &introspection_request(&token)).status, 200));
+    (0..60).for_each(|_| {
+        assert_eq!(
+            send_request(address, &introspection_request(&token)).status,
+            200
+        )
+    });
     assert_eq!(upstream.request_count(), 1, "the rest came from the cache");
-    let long = format!("Content-Length: 70000\r\n\r\n{}", "x".repeat(70_000));
-    let answer = send_request(
-        at,
-        &bearer_request("k", &token, "2.5").replace("Content-Length: 5\r\n\r\nhours", &long),
+    let long_body = format!("Content-Length: 70000\r\n\r\n{}", "x".repeat(70_000));
+    let response = send_request(
+        address,
+        &bearer_request("k", &token, "2.5").replace("Content-Length: 5\r\n\r\nhours", &long_body),
     );
-    assert_ne!(answer.status, 413, "there is room for a body again");
+    assert_ne!(response.status, 413, "there is room for a body again");
 }
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -35,34 +35,34 @@
 }
 
 #[test]
-fn a_leg_can_have_run_only_once_its_last_byte_was_written() {
+fn attempt_may_have_executed_only_after_its_last_byte_was_written() {
     fn property(steps: Vec<Step>) -> bool {
-        let errand = UpstreamPurpose::Probe;
-        let mut state = UpstreamState::Connecting(errand);
-        let (mut up, mut whole) = (false, false);
+        let purpose = UpstreamPurpose::Probe;
+        let mut state = UpstreamState::Connecting(purpose);
+        let (mut connected, mut request_written) = (false, false);
         for Step(kind, _) in steps {
             state = match kind % 3 {
                 0 => {
-                    up = true;
+                    connected = true;
                     state.on_connected()
                 }
                 1 => {
-                    whole |= up;
+                    request_written |= connected;
                     state.on_request_written()
                 }
                 _ => {
-                    (up, whole) = (true, false);
-                    UpstreamState::Sending(errand)
+                    (connected, request_written) = (true, false);
+                    UpstreamState::Sending(purpose)
                 }
             };
-            let never = (Outcome::ConnectFailed, Outcome::ConnectFailed);
-            let expected = if whole {
+            let not_executed = (Outcome::ConnectFailed, Outcome::ConnectFailed);
+            let expected = if request_written {
                 (Outcome::Reset, Outcome::TimedOut)
             } else {
-                never
+                not_executed
             };
             if (state.outcome_if_broken(), state.outcome_if_timed_out()) != expected
-                || state.purpose() != Some(errand)
+                || state.purpose() != Some(purpose)
             {
                 return false;
             }
@@ -73,62 +73,66 @@
 }
 
 #[test]
-fn every_counter_call_has_one_outcome_and_answers_are_matched_in_order() {
+fn each_counter_call_has_one_outcome_and_responses_match_in_order() {
     fn property(steps: Vec<Step>) -> bool {
         let limits = Limits::default();
-        let mut line = CounterConnection::default();
+        let mut connection = CounterConnection::default();
         // The model: calls not written, and written ones with whether their outcome was given.
-        let mut unsent: VecDeque<(u64, i64)> = VecDeque::new();
-        let mut sent: VecDeque<(u64, i64, bool)> = VecDeque::new();
-        let (mut up, mut leaving, mut now, mut next) = (false, false, 1_000_i64, 0_u64);
-        for Step(kind, by) in steps {
-            let mut got = Vec::new();
+        let mut unsent_calls: VecDeque<(u64, i64)> = VecDeque::new();
+        let mut sent_calls: VecDeque<(u64, i64, bool)> = VecDeque::new();
+        let (mut connected, mut moving, mut now_us, mut next_counter) =
+            (false, false, 1_000_i64, 0_u64);
+        for Step(kind, choice) in steps {
+            let mut reported = Vec::new();
             let mut expected = Vec::new();
             match kind % 7 {
                 0 => {
-                    line.enqueue(0, CounterKey(next), 1.0, 1_000, now + 30);
-                    unsent.push_back((next, now + 30));
-                    next += 1;
+                    connection.enqueue(0, CounterKey(next_counter), 1.0, 1_000, now_us + 30);
+                    unsent_calls.push_back((next_counter, now_us + 30));
+                    next_counter += 1;
                 }
                 1 => {
-                    line.handle_connected(now);
-                    up = true;
+                    connection.handle_connected(now_us);
+                    connected = true;
                 }
                 2 => {
                     let mut out = Vec::new();
-                    line.write_requests(now, "counter", &mut out);
+                    connection.write_requests(now_us, "counter", &mut out);
                     let mut written = 0;
                     while let Some((request, length)) =
                         framing::parse_request(&out, &limits).unwrap()
                     {
-                        let (name, deadline) = unsent.pop_front().unwrap();
+                        let (name, deadline) = unsent_calls.pop_front().unwrap();
                         if !request
                             .target
                             .starts_with(&format!("/v2/numbers/{name}?delta=1&life_ms=1"))
                         {
                             return false;
                         }
-                        sent.push_back((name, deadline, false));
+                        sent_calls.push_back((name, deadline, false));
                         out.drain(..length);
                         written += 1;
                     }
-                    let may = up && !leaving;
-                    if (!may && written > 0) || (may && !unsent.is_empty()) {
+                    let may_write = connected && !moving;
+                    if (!may_write && written > 0) || (may_write && !unsent_calls.is_empty()) {
                         return false;
                     }
                 }
                 3 => {
-                    let status = [200, 503, 404][usize::from(by) % 3];
+                    let status = [200, 503, 404][usize::from(choice) % 3];
                     let mut bytes = Vec::new();
                     framing::write_response(&mut bytes, status, &[], b"7.5", false);
-                    let (answer, _) = framing::parse_response(&bytes, false, &limits)
+                    let (response, _) = framing::parse_response(&bytes, false, &limits)
                         .unwrap()
                         .unwrap();
                     let outcome =
-                        [Outcome::Ok, Outcome::Rejected, Outcome::Error][usize::from(by) % 3];
-                    match (line.handle_response(now, &answer), sent.pop_front()) {
-                        (CounterResponse::Completed(one), Some((name, _, false))) => {
-                            got.push(one);
+                        [Outcome::Ok, Outcome::Rejected, Outcome::Error][usize::from(choice) % 3];
+                    match (
+                        connection.handle_response(now_us, &response),
+                        sent_calls.pop_front(),
+                    ) {
+                        (CounterResponse::Completed(result), Some((name, _, false))) => {
+                            reported.push(result);
                             expected.push((name, outcome));
                         }
                         // Late: matched off to its own call, and told to nobody.
@@ -138,36 +142,41 @@
                     }
                 }
                 4 => {
-                    now += i64::from(by);
-                    line.expire_calls(now, &mut got);
-                    for call in sent.iter_mut().filter(|c| !c.2 && c.1 <= now) {
+                    now_us += i64::from(choice);
+                    connection.expire_calls(now_us, &mut reported);
+                    for call in sent_calls.iter_mut().filter(|c| !c.2 && c.1 <= now_us) {
                         call.2 = true;
                         expected.push((call.0, Outcome::TimedOut));
                     }
                     expected.extend(
-                        unsent
+                        unsent_calls
                             .iter()
-                            .filter(|c| c.1 <= now)
+                            .filter(|c| c.1 <= now_us)
                             .map(|c| (c.0, Outcome::ConnectFailed)),
                     );
-                    unsent.retain(|c| c.1 > now);
+                    unsent_calls.retain(|c| c.1 > now_us);
                 }
                 5 => {
-                    line.begin_move();
-                    leaving = true;
+                    connection.begin_move();
+                    moving = true;
                 }
                 _ => {
-                    line.handle_disconnect(&mut got);
-                    (up, leaving) = (false, false);
+                    connection.handle_disconnect(&mut reported);
+                    (connected, moving) = (false, false);
                     expected.extend(
-                        sent.drain(..)
+                        sent_calls
+                            .drain(..)
                             .filter(|c| !c.2)
                             .map(|c| (c.0, Outcome::TimedOut)),
                     );
-                    expected.extend(unsent.drain(..).map(|c| (c.0, Outcome::ConnectFailed)));
+                    expected.extend(
+                        unsent_calls
+                            .drain(..)
+                            .map(|c| (c.0, Outcome::ConnectFailed)),
+                    );
                 }
             }
-            if !got
+            if !reported
                 .iter()
                 .map(|c| (c.name.0, c.outcome))
                 .eq(expected.iter().copied())
@@ -175,13 +184,13 @@
                 return false;
             }
             // It leaves once all that it wrote has its outcome, and takes along what it did not write.
-            let leaves = leaving && sent.iter().all(|c| c.2);
-            if line.finish_move().is_some() != leaves {
+            let move_finishes = moving && sent_calls.iter().all(|c| c.2);
+            if connection.finish_move().is_some() != move_finishes {
                 return false;
             }
-            if leaves {
-                sent.clear();
-                (up, leaving) = (false, false);
+            if move_finishes {
+                sent_calls.clear();
+                (connected, moving) = (false, false);
             }
         }
         true
@@ -190,90 +199,106 @@
 }
 
 #[test]
-fn a_line_that_went_silent_is_of_no_use_however_much_is_written_to_it() {
-    let (mut line, mut out, mut counted) = (CounterConnection::default(), Vec::new(), Vec::new());
-    line.handle_connected(0);
-    for now in (0..=200).step_by(10) {
-        line.enqueue(0, CounterKey(1), 1.0, 1_000, now + 30);
-        line.write_requests(now, "counter", &mut out);
-        line.expire_calls(now, &mut counted);
-        if now == 50 {
+fn counter_connection_without_responses_is_silent_even_while_requests_are_written() {
+    let (mut connection, mut out, mut results) =
+        (CounterConnection::default(), Vec::new(), Vec::new());
+    connection.handle_connected(0);
+    for now_us in (0..=200).step_by(10) {
+        connection.enqueue(0, CounterKey(1), 1.0, 1_000, now_us + 30);
+        connection.write_requests(now_us, "counter", &mut out);
+        connection.expire_calls(now_us, &mut results);
+        if now_us == 50 {
             let mut bytes = Vec::new();
             framing::write_response(&mut bytes, 200, &[], b"1", false);
-            let (answer, _) = framing::parse_response(&bytes, false, &Limits::default())
+            let (response, _) = framing::parse_response(&bytes, false, &Limits::default())
                 .unwrap()
                 .unwrap();
             assert_eq!(
-                line.handle_response(now, &answer),
+                connection.handle_response(now_us, &response),
                 CounterResponse::Late { engine_index: 0 }
             );
         }
-        assert_eq!(line.is_silent_since(now - 100), now >= 150, "at {now}");
+        assert_eq!(
+            connection.is_silent_since(now_us - 100),
+            now_us >= 150,
+            "at {now_us}"
+        );
     }
     // Nothing is owed to one on which everything was answered.
-    let mut rested = CounterConnection::default();
-    rested.handle_connected(0);
-    assert!(!rested.is_silent_since(1_000));
+    let mut idle_connection = CounterConnection::default();
+    idle_connection.handle_connected(0);
+    assert!(!idle_connection.is_silent_since(1_000));
 }
 
 #[test]
-fn the_pool_counts_what_is_open_and_gives_each_idle_connection_once() {
+fn connection_pool_counts_open_connections_and_hands_out_each_idle_one_once() {
     fn property(steps: Vec<Step>) -> bool {
         let address = "127.0.0.1:9".parse().unwrap();
         let mut keys: SlotMap<ConnectionKey, ()> = SlotMap::with_key();
         let mut pool = ConnectionPool::default();
         (0..3).for_each(|n| drop(pool.add_server(ServerId(n), address)));
-        let mut listed = [true; 3];
-        let mut open: Vec<(u32, ConnectionKey, Option<i64>)> = Vec::new();
-        for (now, Step(kind, by)) in (0_i64..).zip(steps) {
-            let server = u32::from(by) % 3;
-            let at = usize::from(by) % open.len().max(1);
+        let mut is_listed = [true; 3];
+        let mut open_connections: Vec<(u32, ConnectionKey, Option<i64>)> = Vec::new();
+        for (now_us, Step(kind, choice)) in (0_i64..).zip(steps) {
+            let server = u32::from(choice) % 3;
+            let position = usize::from(choice) % open_connections.len().max(1);
             match kind % 6 {
-                0 if listed[server as usize] => {
+                0 if is_listed[server as usize] => {
                     pool.record_opened(ServerId(server));
-                    open.push((server, keys.insert(()), None));
+                    open_connections.push((server, keys.insert(()), None));
                 }
-                1 if at < open.len() => {
-                    let (server, key, _) = open.remove(at);
+                1 if position < open_connections.len() => {
+                    let (server, key, _) = open_connections.remove(position);
                     pool.record_closed(ServerId(server), key);
                 }
-                2 if at < open.len() && open[at].2.is_none() => {
-                    let rests = pool.release(ServerId(open[at].0), open[at].1, now);
-                    if rests != listed[open[at].0 as usize] {
+                2 if position < open_connections.len()
+                    && open_connections[position].2.is_none() =>
+                {
+                    let is_idle = pool.release(
+                        ServerId(open_connections[position].0),
+                        open_connections[position].1,
+                        now_us,
+                    );
+                    if is_idle != is_listed[open_connections[position].0 as usize] {
                         return false;
                     }
-                    open[at].2 = rests.then_some(now);
+                    open_connections[position].2 = is_idle.then_some(now_us);
                 }
                 3 => {
-                    let idle = open.iter_mut().filter(|c| c.0 == server && c.2.is_some());
-                    let last = idle.max_by_key(|c| c.2);
-                    if pool.acquire(ServerId(server)) != last.as_ref().map(|c| c.1) {
+                    let idle = open_connections
+                        .iter_mut()
+                        .filter(|c| c.0 == server && c.2.is_some());
+                    let most_recent = idle.max_by_key(|c| c.2);
+                    if pool.acquire(ServerId(server)) != most_recent.as_ref().map(|c| c.1) {
                         return false;
                     }
-                    last.into_iter().for_each(|c| c.2 = None);
+                    most_recent.into_iter().for_each(|c| c.2 = None);
                 }
                 4 => {
-                    for key in pool.take_expired(now - 5) {
-                        let Some(place) = open.iter().position(|c| c.1 == key) else {
+                    for key in pool.take_expired(now_us - 5) {
+                        let Some(index) = open_connections.iter().position(|c| c.1 == key) else {
                             return false;
                         };
-                        if open[place].2.is_none_or(|since| since > now - 5) {
+                        if open_connections[index]
+                            .2
+                            .is_none_or(|since| since > now_us - 5)
+                        {
                             return false;
                         }
-                        let (server, key, _) = open.remove(place);
+                        let (server, key, _) = open_connections.remove(index);
                         pool.record_closed(ServerId(server), key);
                     }
                 }
                 5 => {
                     for key in pool.remove_server(ServerId(server)) {
-                        open.retain(|c| c.1 != key);
+                        open_connections.retain(|c| c.1 != key);
                         pool.record_closed(ServerId(server), key);
                     }
-                    listed[server as usize] = false;
+                    is_listed[server as usize] = false;
                 }
                 _ => {}
             }
-            if pool.connection_count() != open.len() {
+            if pool.connection_count() != open_connections.len() {
                 return false;
             }
         }
@@ -283,59 +308,69 @@
 }
 
 #[test]
-fn a_visit_has_a_deadline_unless_its_answer_is_owed_and_is_spared_only_between_requests() {
+fn client_connection_has_a_deadline_unless_processing_and_idle_ones_may_be_evicted() {
     fn property(steps: Vec<Step>) -> bool {
         let limits = Limits::default();
-        let mut now = 1_000_000;
-        let mut visit = ClientConnection::new(now);
+        let mut now_us = 1_000_000;
+        let mut connection = ClientConnection::new(now_us);
         // The model: since when nothing whole has come, whether an answer was ever written, what is going on.
-        let (mut waiting_since, mut answered, mut owed, mut writing, mut last) =
-            (now, false, false, false, false);
-        let mut part = false;
-        for Step(kind, by) in steps {
-            now += i64::from(by) * 10_000;
-            let between = !owed && !writing && !last;
+        let (
+            mut waiting_since_us,
+            mut has_responded,
+            mut processing,
+            mut responding,
+            mut lingering,
+        ) = (now_us, false, false, false, false);
+        let mut partial_request = false;
+        for Step(kind, choice) in steps {
+            now_us += i64::from(choice) * 10_000;
+            let between_requests = !processing && !responding && !lingering;
             match kind % 4 {
-                0 if between => {
-                    if !part && answered {
-                        waiting_since = now;
+                0 if between_requests => {
+                    if !partial_request && has_responded {
+                        waiting_since_us = now_us;
                     }
-                    part = true;
-                    visit.begin_request(now);
+                    partial_request = true;
+                    connection.begin_request(now_us);
                 }
-                1 if between => {
-                    (owed, part) = (true, false);
-                    visit.begin_processing(now);
+                1 if between_requests => {
+                    (processing, partial_request) = (true, false);
+                    connection.begin_processing(now_us);
                 }
-                2 if !last => {
-                    (owed, writing, part) = (false, true, false);
-                    visit.begin_response(now);
+                2 if !lingering => {
+                    (processing, responding, partial_request) = (false, true, false);
+                    connection.begin_response(now_us);
                 }
                 3 => {
-                    if writing {
-                        (writing, answered, waiting_since, last) = (false, true, now, by > 250);
+                    if responding {
+                        (responding, has_responded, waiting_since_us, lingering) =
+                            (false, true, now_us, choice > 250);
                     }
-                    visit.finish_response(now, by > 250);
+                    connection.finish_response(now_us, choice > 250);
                 }
                 _ => {}
             }
-            let span = match (last, answered, part) {
+            let timeout = match (lingering, has_responded, partial_request) {
                 (true, _, _) => limits.linger_timeout,
                 (false, true, false) => limits.client_idle_timeout,
                 (false, _, _) => limits.request_timeout,
             };
-            let good = match visit.stage {
-                Stage::Processing => owed && visit.deadline(false, &limits).is_none(),
-                Stage::Responding => writing && visit.deadline(false, &limits).is_some(),
+            let is_deadline_valid = match connection.stage {
+                Stage::Processing => processing && connection.deadline(false, &limits).is_none(),
+                Stage::Responding => responding && connection.deadline(false, &limits).is_some(),
                 _ => {
-                    !owed
-                        && !writing
-                        && visit.deadline(false, &limits) == Some(waiting_since + span)
+                    !processing
+                        && !responding
+                        && connection.deadline(false, &limits) == Some(waiting_since_us + timeout)
                 }
             };
-            let fresh = now - waiting_since < limits.first_request_grace_period;
-            let kept = owed || writing || (!last && fresh && (part || !answered));
-            if !good || visit.eviction_rank(now, &limits).is_none() != kept {
+            let within_grace_period = now_us - waiting_since_us < limits.first_request_grace_period;
+            let is_spared = processing
+                || responding
+                || (!lingering && within_grace_period && (partial_request || !has_responded));
+            if !is_deadline_valid
+                || connection.eviction_rank(now_us, &limits).is_none() != is_spared
+            {
                 return false;
             }
         }
@@ -345,12 +380,12 @@
 }
 
 fn settings() -> Settings {
-    let class = |repeat| Class {
+    let class = |idempotency| Class {
         latency_target: 500_000,
         client_timeout: 1_000_000,
         late_value_share: 0.0,
         value: 1.0,
-        idempotency: repeat,
+        idempotency,
         streaming: false,
     };
     let keyed = Idempotency::Keyed {
@@ -384,23 +419,26 @@
 
 /// What the model of an authorisation knows.
 #[derive(Default)]
-struct Seen {
+struct RequestModel {
     class: usize,
-    out: Option<u32>,
-    legs: u32,
-    ended: bool,
-    may_have_run: bool,
+    attempt_in_flight: Option<u32>,
+    attempts_started: u32,
+    is_ended: bool,
+    may_have_executed: bool,
 }
 
-fn find(known: &mut [(AuthorisationKey, Seen)], key: AuthorisationKey) -> Option<&mut Seen> {
-    known
+fn find_request(
+    requests: &mut [(AuthorisationKey, RequestModel)],
+    key: AuthorisationKey,
+) -> Option<&mut RequestModel> {
+    requests
         .iter_mut()
         .find(|(k, _)| *k == key)
-        .map(|(_, seen)| seen)
+        .map(|(_, request)| request)
 }
 
 #[test]
-fn whatever_happens_there_is_one_final_answer_one_leg_out_and_none_after_the_end() {
+fn each_request_has_one_final_result_and_at_most_one_attempt_in_flight() {
     fn property(steps: Vec<Step>) -> bool {
         let mut engine = Engine::new(settings(), 7, 1_000);
         let state = ServerState::Ready;
@@ -414,39 +452,39 @@
             started_at: 0,
         };
         engine.update_servers(ListKind::Full, (0..4).map(entry).collect());
-        let mut now = 1_000_000;
-        let mut known: Vec<(AuthorisationKey, Seen)> = Vec::new();
-        let mut asked = VecDeque::new();
-        let mut calm = steps;
+        let mut now_us = 1_000_000;
+        let mut requests: Vec<(AuthorisationKey, RequestModel)> = Vec::new();
+        let mut counter_calls = VecDeque::new();
+        let mut steps = steps;
         // At the end time passes until all deadlines are over.
-        calm.extend([Step(0, 255); 40]);
-        for Step(kind, by) in calm {
-            let mut orders = Vec::new();
+        steps.extend([Step(0, 255); 40]);
+        for Step(kind, choice) in steps {
+            let mut actions = Vec::new();
             match kind % 8 {
-                0 | 1 => now += i64::from(by) * 1_000,
+                0 | 1 => now_us += i64::from(choice) * 1_000,
                 2 | 3 => {
-                    let class = usize::from(by) % 3;
+                    let class = usize::from(choice) % 3;
                     let authorisation = Authorisation {
                         class,
-                        customer: CustomerId(u64::from(by % 4)),
-                        deadline: now + 1_000_000,
+                        customer: CustomerId(u64::from(choice % 4)),
+                        deadline: now_us + 1_000_000,
                         units: 1.0,
                         limiter_count: 1,
-                        token_expires_at: (by > 200).then_some(now + 100_000),
+                        token_expires_at: (choice > 200).then_some(now_us + 100_000),
                         ..Authorisation::default()
                     };
-                    let key = engine.submit(now, authorisation).unwrap();
-                    known.push((
+                    let key = engine.submit(now_us, authorisation).unwrap();
+                    requests.push((
                         key,
-                        Seen {
+                        RequestModel {
                             class,
-                            ..Seen::default()
+                            ..RequestModel::default()
                         },
                     ));
                 }
-                4 | 5 if !known.is_empty() => {
-                    let at = usize::from(by) % known.len();
-                    let (key, seen) = &mut known[at];
+                4 | 5 if !requests.is_empty() => {
+                    let position = usize::from(choice) % requests.len();
+                    let (key, request) = &mut requests[position];
                     let outcome = [
                         Outcome::Ok,
                         Outcome::Error,
@@ -454,71 +492,88 @@
                         Outcome::TimedOut,
                         Outcome::Reset,
                         Outcome::ConnectFailed,
-                    ][usize::from(by / 40) % 6];
+                    ][usize::from(choice / 40) % 6];
                     // A leg that was never started, or has ended, is nobody's.
-                    let leg = seen.out.unwrap_or(seen.legs + 1);
-                    let answers = engine.handle_attempt_ended(now, *key, leg, outcome, None);
-                    if answers != (seen.out.is_some() && outcome == Outcome::Ok && !seen.ended) {
+                    let attempt = request
+                        .attempt_in_flight
+                        .unwrap_or(request.attempts_started + 1);
+                    let is_answered =
+                        engine.handle_attempt_ended(now_us, *key, attempt, outcome, None);
+                    if is_answered
+                        != (request.attempt_in_flight.is_some()
+                            && outcome == Outcome::Ok
+                            && !request.is_ended)
+                    {
                         return false;
                     }
-                    if seen.out.take().is_some() {
-                        seen.may_have_run |=
+                    if request.attempt_in_flight.take().is_some() {
+                        request.may_have_executed |=
                             !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed);
                     }
-                    seen.ended |= answers;
+                    request.is_ended |= is_answered;
                 }
-                6 if !known.is_empty() => {
-                    let at = usize::from(by) % known.len();
-                    engine.handle_client_disconnected(now, known[at].0, &mut orders);
-                    known[at].1.ended = true;
+                6 if !requests.is_empty() => {
+                    let position = usize::from(choice) % requests.len();
+                    engine.handle_client_disconnected(now_us, requests[position].0, &mut actions);
+                    requests[position].1.is_ended = true;
                 }
                 _ => {
-                    if let Some(name) = asked.pop_front() {
+                    if let Some(name) = counter_calls.pop_front() {
                         engine.handle_counter_result(
                             name,
-                            if by > 200 {
+                            if choice > 200 {
                                 Outcome::TimedOut
                             } else {
                                 Outcome::Ok
                             },
-                            f64::from(by),
+                            f64::from(choice),
                         );
                     }
                 }
             }
-            engine.run(now, &mut orders);
-            for order in orders {
-                let good = match order {
+            engine.run(now_us, &mut actions);
+            for action in actions {
+                let is_valid = match action {
                     EngineAction::StartAttempt {
                         key,
-                        attempt: leg,
+                        attempt,
                         deadline,
                         ..
-                    } => find(&mut known, key).is_some_and(|seen| {
-                        let fresh =
-                            !seen.ended && seen.out.is_none() && leg >= seen.legs && leg < 3;
-                        let harmless = seen.class != 2 || !seen.may_have_run;
-                        (seen.out, seen.legs) = (Some(leg), leg + 1);
-                        fresh && harmless && deadline > now
+                    } => find_request(&mut requests, key).is_some_and(|request| {
+                        let is_next_attempt = !request.is_ended
+                            && request.attempt_in_flight.is_none()
+                            && attempt >= request.attempts_started
+                            && attempt < 3;
+                        let may_retry = request.class != 2 || !request.may_have_executed;
+                        (request.attempt_in_flight, request.attempts_started) =
+                            (Some(attempt), attempt + 1);
+                        is_next_attempt && may_retry && deadline > now_us
                     }),
-                    EngineAction::CancelAttempt { key, attempt: leg } => {
-                        find(&mut known, key).is_some_and(|seen| seen.out.take() == Some(leg))
+                    EngineAction::CancelAttempt { key, attempt } => {
+                        find_request(&mut requests, key).is_some_and(|request| {
+                            request.attempt_in_flight.take() == Some(attempt)
+                        })
                     }
-                    EngineAction::Reject { key, .. } => find(&mut known, key)
-                        .is_some_and(|seen| !std::mem::replace(&mut seen.ended, true)),
+                    EngineAction::Reject { key, .. } => find_request(&mut requests, key)
+                        .is_some_and(|request| !std::mem::replace(&mut request.is_ended, true)),
                     EngineAction::AddToCounter { name, .. } => {
-                        asked.push_back(name);
+                        counter_calls.push_back(name);
                         true
                     }
                     EngineAction::Probe(_) | EngineAction::Notify(..) | EngineAction::Log(_) => {
                         true
                     }
                 };
-                if !good {
+                if !is_valid {
                     return false;
                 }
             }
-            if engine.open_request_count() != known.iter().filter(|(_, seen)| !seen.ended).count() {
+            if engine.open_request_count()
+                != requests
+                    .iter()
+                    .filter(|(_, request)| !request.is_ended)
+                    .count()
+            {
                 return false;
             }
         }
@@ -528,7 +583,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_just_as_its_leg_is_decided_on_leaves_nothing_behind() {
+fn client_disconnecting_as_its_attempt_is_chosen_leaves_no_state_behind() {
     let mut engine = Engine::new(settings(), 7, 1_000);
     let entry = |n| ServerEntry {
         server: ServerId(n),
@@ -540,39 +595,39 @@
         started_at: 0,
     };
     engine.update_servers(ListKind::Full, (0..4).map(entry).collect());
-    let mut now = 1_000_000;
-    let mut ask = |engine: &mut Engine, customer, leaves: bool| {
+    let mut now_us = 1_000_000;
+    let mut starts_attempt = |engine: &mut Engine, customer, disconnects: bool| {
         let authorisation = Authorisation {
             customer: CustomerId(customer),
-            deadline: now + 1_000_000,
+            deadline: now_us + 1_000_000,
             units: 1.0,
             limiter_count: 1,
             ..Authorisation::default()
         };
-        let key = engine.submit(now, authorisation).unwrap();
-        let mut orders = Vec::new();
-        now += 10_000;
-        engine.run(now, &mut orders);
-        for order in std::mem::take(&mut orders) {
-            if let EngineAction::AddToCounter { name, .. } = order {
+        let key = engine.submit(now_us, authorisation).unwrap();
+        let mut actions = Vec::new();
+        now_us += 10_000;
+        engine.run(now_us, &mut actions);
+        for action in std::mem::take(&mut actions) {
+            if let EngineAction::AddToCounter { name, .. } = action {
                 engine.handle_counter_result(name, Outcome::Ok, 1.0);
             }
         }
         // The counter's answer and the client's leaving come to the module together.
-        if leaves {
-            engine.handle_client_disconnected(now, key, &mut orders);
+        if disconnects {
+            engine.handle_client_disconnected(now_us, key, &mut actions);
         }
-        now += 10_000;
-        engine.run(now, &mut orders);
-        orders
+        now_us += 10_000;
+        engine.run(now_us, &mut actions);
+        actions
             .iter()
-            .any(|order| matches!(order, EngineAction::StartAttempt { .. }))
+            .any(|action| matches!(action, EngineAction::StartAttempt { .. }))
     };
     for customer in 0..500 {
-        assert!(!ask(&mut engine, customer, true));
+        assert!(!starts_attempt(&mut engine, customer, true));
     }
     assert!(
-        ask(&mut engine, 1_000, false),
+        starts_attempt(&mut engine, 1_000, false),
         "no server is taken to be full of legs that were never sent"
     );
 }
--- a/crates/limiter/tests/operations.rs
+++ b/crates/limiter/tests/operations.rs
@@ -10,22 +10,22 @@
 const READINESS_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 const US_PER_MS: i64 = 1_000;
 
-fn with_operators(config: &str) -> String {
+fn with_operator_listener(config: &str) -> String {
     config.replacen('{', "{\"ops\":\"127.0.0.1:0\",", 1)
 }
 
-fn start(servers: &[std::net::SocketAddr]) -> Limiter {
+fn start_limiter(servers: &[std::net::SocketAddr]) -> Limiter {
     Limiter::start(
-        &with_operators(&config(servers, start_counter().address)),
+        &with_operator_listener(&config(servers, start_counter().address)),
         None,
     )
 }
 
 #[test]
-fn calls_are_answered_and_what_is_no_call_changes_nothing() {
+fn operator_commands_are_answered_and_invalid_ones_change_nothing() {
     let server = MockServer::start(|_, _| ok("served"));
-    let limiter = start(&[server.address]);
-    for (line, answer) in [
+    let limiter = start_limiter(&[server.address]);
+    for (line, response) in [
         ("ready\n", "done"),
         ("resume\r\n", "done"),
         ("enable-server s-0\n", "done"),
@@ -42,7 +42,7 @@
         ("disable-server s-0 s-0\n", "error too many words"),
         ("drain \u{7}\n", "error the line is no text"),
     ] {
-        assert_eq!(limiter.send_operator_command(line), answer, "{line:?}");
+        assert_eq!(limiter.send_operator_command(line), response, "{line:?}");
     }
     assert!(
         limiter
@@ -56,9 +56,9 @@
     );
     // A half line and a close.
     drop({
-        let mut half = limiter.connect_operator();
-        half.send("drain");
-        half
+        let mut partial = limiter.connect_operator();
+        partial.send("drain");
+        partial
     });
     assert_eq!(
         send_request(limiter.platform_address, READINESS_REQUEST).status,
@@ -71,26 +71,26 @@
 }
 
 #[test]
-fn callers_that_finish_no_call_go_for_new_ones_and_clients_stay() {
+fn unfinished_operator_connections_are_evicted_for_new_ones_and_clients_stay_connected() {
     let server = MockServer::start(|_, _| ok("served"));
-    let limiter = start(&[server.address]);
+    let limiter = start_limiter(&[server.address]);
     let mut client = Client::connect(limiter.platform_address);
     assert_eq!(client.send_request(&idempotent_request("a")).status, 200);
     let mut silent: Vec<Client> = (0..20).map(|_| limiter.connect_operator()).collect();
     assert_eq!(limiter.send_operator_command("ready\n"), "done");
     assert_eq!(silent[0].read_to_end(), "", "the oldest went");
-    let last = silent.last_mut().unwrap();
-    last.send("ready\n");
-    assert_eq!(last.read_to_end(), "done\n", "the latest is still heard");
+    let newest = silent.last_mut().unwrap();
+    newest.send("ready\n");
+    assert_eq!(newest.read_to_end(), "done\n", "the latest is still heard");
     assert_eq!(client.send_request(&idempotent_request("b")).status, 200);
     limiter.advance_clock_us(11_000 * US_PER_MS);
     assert_eq!(silent[18].read_to_end(), "", "none stays for ever");
 }
 
 #[test]
-fn a_server_taken_out_gets_nothing_until_the_call_back() {
+fn disabled_server_gets_no_requests_until_enabled() {
     let [first, second] = ["first", "second"].map(|name| MockServer::start(move |_, _| ok(name)));
-    let limiter = start(&[first.address, second.address]);
+    let limiter = start_limiter(&[first.address, second.address]);
     let mut client = Client::connect(limiter.platform_address);
     let mut send_requests = |from: usize, to: usize| {
         (from..to).for_each(|n| {
@@ -115,28 +115,28 @@
         .connection_closed
         .recv_timeout(TEST_TIMEOUT)
         .expect("an idle connection to it goes at once");
-    let before = first.request_count();
+    let count_before = first.request_count();
     send_requests(30, 60);
-    assert_eq!(first.request_count(), before);
+    assert_eq!(first.request_count(), count_before);
     // One call back ends it, however often it was taken out; it is used again, as one that has just started.
     assert_eq!(limiter.send_operator_command("enable-server s-0\n"), "done");
     for n in 60..400 {
         send_requests(n, n + 1);
         limiter.advance_clock_us(5 * US_PER_MS);
     }
-    assert!(first.request_count() > before, "used again");
+    assert!(first.request_count() > count_before, "used again");
 }
 
 #[test]
-fn without_the_last_server_clients_are_told_when_to_come_back() {
+fn requests_get_retry_after_while_the_last_server_is_disabled() {
     let server = MockServer::start(|_, _| ok("served"));
-    let limiter = start(&[server.address]);
+    let limiter = start_limiter(&[server.address]);
     assert_eq!(
         limiter.send_operator_command("disable-server s-0\n"),
         "done"
     );
-    let answer = send_request(limiter.platform_address, &idempotent_request("t"));
-    assert!(answer.status == 503 && answer.headers.contains("Retry-After"));
+    let response = send_request(limiter.platform_address, &idempotent_request("t"));
+    assert!(response.status == 503 && response.headers.contains("Retry-After"));
     assert_eq!(
         send_request(limiter.platform_address, READINESS_REQUEST).status,
         503
@@ -154,18 +154,23 @@
 }
 
 #[test]
-fn a_drain_sends_clients_away_and_its_end_takes_them_again() {
-    let (word, held) = mpsc::channel();
-    let mut held = Some(held);
+fn drain_closes_client_connections_and_resume_accepts_them_again() {
+    let (release_sender, release_receiver) = mpsc::channel();
+    let mut release_receiver = Some(release_receiver);
     let server = MockServer::start(move |request, _| match request.headers.get("X-Trace-Id") {
-        Some("slow") => Reply::Delay(held.take().unwrap(), Box::new(ok("slow"))),
+        Some("slow") => Reply::Delay(release_receiver.take().unwrap(), Box::new(ok("slow"))),
         _ => ok("served"),
     });
-    let limiter = start(&[server.address]);
-    let [mut idle, mut busy, mut used] =
+    let limiter = start_limiter(&[server.address]);
+    let [mut idle, mut busy, mut keep_alive_client] =
         [(); 3].map(|()| Client::connect(limiter.platform_address));
     assert_eq!(idle.send_request(&idempotent_request("a")).status, 200);
-    assert_eq!(used.send_request(&idempotent_request("b")).status, 200);
+    assert_eq!(
+        keep_alive_client
+            .send_request(&idempotent_request("b"))
+            .status,
+        200
+    );
     busy.send(&idempotent_request("slow"));
     while server.request_count() < 3 {
         std::thread::yield_now();
@@ -182,21 +187,24 @@
         "done",
         "the process takes who still comes"
     );
-    let refused = send_request(limiter.platform_address, READINESS_REQUEST);
-    assert!(refused.status == 503 && !refused.keep_alive);
+    let readiness = send_request(limiter.platform_address, READINESS_REQUEST);
+    assert!(readiness.status == 503 && !readiness.keep_alive);
     // In the notice both who comes and who is there are served, once.
-    for client in [&mut used, &mut Client::connect(limiter.platform_address)] {
-        let answer = client.send_request(&idempotent_request("c"));
-        assert!(answer.status == 200 && !answer.keep_alive);
+    for client in [
+        &mut keep_alive_client,
+        &mut Client::connect(limiter.platform_address),
+    ] {
+        let response = client.send_request(&idempotent_request("c"));
+        assert!(response.status == 200 && !response.keep_alive);
         assert_eq!(client.read_to_end(), "");
     }
     // After it idle connections go, and what is out is finished.
     let mut silent = Client::connect(limiter.platform_address);
     limiter.advance_clock_us(600 * US_PER_MS);
     assert_eq!(idle.read_to_end(), "");
-    word.send(()).unwrap();
-    let answer = busy.read_response().unwrap();
-    assert!(answer.body == b"slow" && !answer.keep_alive && busy.read_to_end().is_empty());
+    release_sender.send(()).unwrap();
+    let response = busy.read_response().unwrap();
+    assert!(response.body == b"slow" && !response.keep_alive && busy.read_to_end().is_empty());
     limiter.advance_clock_us(600 * US_PER_MS);
     assert_eq!(
         silent.read_to_end(),
@@ -204,11 +212,11 @@
         "who says nothing can't hold the drain open"
     );
     // A half head can't either.
-    let mut half = Client::connect(limiter.platform_address);
-    half.send("GET /lookup HTTP/1.1\r\n");
+    let mut partial = Client::connect(limiter.platform_address);
+    partial.send("GET /lookup HTTP/1.1\r\n");
     send_request(limiter.platform_address, READINESS_REQUEST);
     limiter.advance_clock_us(2_400 * US_PER_MS);
-    assert_eq!(half.read_response().unwrap().status, 408);
+    assert_eq!(partial.read_response().unwrap().status, 408);
     assert_eq!(limiter.send_operator_command("resume\n"), "done");
     let mut client = Client::connect(limiter.platform_address);
     assert!(
@@ -218,11 +226,11 @@
 }
 
 #[test]
-fn told_to_end_in_a_drain_the_process_ends_and_a_resume_is_refused() {
+fn shutdown_during_a_drain_completes_and_resume_is_rejected() {
     let server = MockServer::start(|_, _| ok("served"));
-    let limiter = start(&[server.address]);
+    let limiter = start_limiter(&[server.address]);
     assert_eq!(limiter.send_operator_command("drain\n"), "done");
-    let waiting = Client::connect(limiter.platform_address);
+    let idle_client = Client::connect(limiter.platform_address);
     limiter.stop();
     while limiter.send_operator_command("ready\n") != "error ending" {}
     assert_eq!(
@@ -233,18 +241,18 @@
         ["done", "error ending"]
     );
     limiter.advance_clock_us(600 * US_PER_MS);
-    drop(waiting);
+    drop(idle_client);
     limiter.join();
 }
 
 #[test]
-fn a_ban_holds_whatever_the_list_says_and_over_its_changes() {
+fn disabled_server_stays_disabled_across_discovery_updates() {
     let [first, second] = ["first", "second"].map(|name| MockServer::start(move |_, _| ok(name)));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = listener.local_addr().unwrap();
     let servers = [first.address, second.address];
     let limiter = Limiter::start(
-        &with_operators(&config_with_discovery(
+        &with_operator_listener(&config_with_discovery(
             discovery,
             &servers,
             start_counter().address,
@@ -256,7 +264,7 @@
         limiter.send_operator_command("disable-server s-0\n"),
         "done"
     );
-    let entry = |name: usize, status: &str, since: i64| {
+    let endpoint = |name: usize, status: &str, since: i64| {
         format!(
             "{{\"name\":\"s-{name}\",\"address\":\"{}\",\"zone\":\"a\",\"type\":\"m\",\"group\":1,\
              \"status\":\"{status}\",\"weight\":1.0,\"since_ms\":{since}}}",
@@ -265,19 +273,21 @@
     };
     let mut client = Client::connect(limiter.platform_address);
     let lists = [
-        (false, entry(0, "Ready", 900)),
-        (false, entry(0, "Gone", 0)),
-        (false, entry(0, "Ready", 1_000)),
+        (false, endpoint(0, "Ready", 900)),
+        (false, endpoint(0, "Gone", 0)),
+        (false, endpoint(0, "Ready", 1_000)),
         (
             true,
-            [entry(0, "Ready", 1_000), entry(1, "Ready", 0)].join(","),
+            [endpoint(0, "Ready", 1_000), endpoint(1, "Ready", 0)].join(","),
         ),
     ];
-    for (n, (whole, entries)) in lists.iter().enumerate() {
+    for (n, (is_snapshot, endpoints)) in lists.iter().enumerate() {
         let index = n + 2;
         write_chunked_line(
             &mut watch,
-            &format!("{{\"index\":{index},\"snapshot\":{whole},\"endpoints\":[{entries}]}}\n"),
+            &format!(
+                "{{\"index\":{index},\"snapshot\":{is_snapshot},\"endpoints\":[{endpoints}]}}\n"
+            ),
         );
         (0..20).for_each(|m| {
             assert_eq!(
@@ -290,12 +300,12 @@
     }
     assert_eq!(first.request_count(), 0);
     assert_eq!(limiter.send_operator_command("enable-server s-0\n"), "done");
-    let used = (0..2_000).any(|n| {
+    let is_used_again = (0..2_000).any(|n| {
         limiter.advance_clock_us(2 * US_PER_MS);
         client
             .send_request(&idempotent_request(&format!("u{n}")))
             .body
             == b"first"
     });
-    assert!(used, "used again");
+    assert!(is_used_again, "used again");
 }
--- a/crates/limiter/tests/platform.rs
+++ b/crates/limiter/tests/platform.rs
@@ -8,49 +8,49 @@
 use common::*;
 
 /// A limiter before one server of `names` names: the module suspects a silent one only where there is another.
-fn start(
-    names: usize,
+fn start_server_and_limiter(
+    server_names: usize,
     reply: impl FnMut(&limiter::net::framing::Request, usize) -> Reply + Send + 'static,
 ) -> (MockServer, Limiter) {
     let server = MockServer::start(reply);
     let limiter = Limiter::start(
-        &config(&vec![server.address; names], start_counter().address),
+        &config(&vec![server.address; server_names], start_counter().address),
         None,
     );
     (server, limiter)
 }
 
 #[test]
-fn an_answer_comes_through_unchanged_and_the_request_goes_on_whole() {
-    let (server, limiter) = start(1, |_, _| ok("\u{0}body\r\n"));
+fn request_and_response_are_forwarded_unchanged() {
+    let (server, limiter) = start_server_and_limiter(1, |_, _| ok("\u{0}body\r\n"));
     let mut client = Client::connect(limiter.platform_address);
     for n in 0..3 {
-        let answer = client.send_request(&keyed_request(&format!("k{n}")));
+        let response = client.send_request(&keyed_request(&format!("k{n}")));
         assert_eq!(
-            (answer.status, answer.body.as_slice()),
+            (response.status, response.body.as_slice()),
             (200, b"\0body\r\n".as_slice())
         );
     }
-    let seen = server.requests.lock().unwrap();
-    assert_eq!(seen[0].target, "/sign-off?account=0000000000000005");
+    let requests = server.requests.lock().unwrap();
+    assert_eq!(requests[0].target, "/sign-off?account=0000000000000005");
     assert_eq!(
-        (seen[0].method.as_str(), seen[0].body.as_slice()),
+        (requests[0].method.as_str(), requests[0].body.as_slice()),
         ("POST", b"hours".as_slice())
     );
-    assert_eq!(seen[0].headers.get("X-Trace-Id"), Some("t-k0"));
-    assert_eq!(seen[0].headers.get("Idempotency-Key"), Some("k0"));
-    let left: f64 = seen[0]
+    assert_eq!(requests[0].headers.get("X-Trace-Id"), Some("t-k0"));
+    assert_eq!(requests[0].headers.get("Idempotency-Key"), Some("k0"));
+    let remaining_s: f64 = requests[0]
         .headers
         .get("X-Expires-In")
         .unwrap()
         .parse()
         .unwrap();
-    assert!(left > 0.0 && left < 2.5);
+    assert!(remaining_s > 0.0 && remaining_s < 2.5);
 }
 
 #[test]
-fn a_request_written_byte_by_byte_is_taken_once() {
-    let (server, limiter) = start(1, |_, _| ok("done"));
+fn request_written_byte_by_byte_is_processed_once() {
+    let (server, limiter) = start_server_and_limiter(1, |_, _| ok("done"));
     let mut client = Client::connect(limiter.platform_address);
     client.stream.set_nodelay(true).unwrap();
     for byte in keyed_request("k").bytes() {
@@ -61,9 +61,9 @@
 }
 
 #[test]
-fn each_end_of_a_leg_leads_where_the_rules_allow() {
+fn failed_attempts_are_retried_only_where_the_request_may_be_repeated() {
     // What the server does at first, for a lookup and a sign-off: statuses, and how often it was sent.
-    let never_ran = |status| Reply::Respond(status, vec![("X-Never-Ran", "1")], String::new());
+    let not_executed = |status| Reply::Respond(status, vec![("X-Never-Ran", "1")], String::new());
     type Case = (&'static str, fn() -> Reply);
     let cases: [Case; 3] = [
         ("error", || Reply::Respond(500, vec![], String::new())),
@@ -72,7 +72,8 @@
     ];
     for (name, reply) in cases {
         for text in [idempotent_request("t"), keyed_request("k")] {
-            let (server, limiter) = start(1, move |_, n| if n == 0 { reply() } else { ok("done") });
+            let (server, limiter) =
+                start_server_and_limiter(1, move |_, n| if n == 0 { reply() } else { ok("done") });
             assert_eq!(
                 send_request(limiter.platform_address, &text).status,
                 200,
@@ -86,9 +87,9 @@
         }
     }
     for status in [503, 504] {
-        let (server, limiter) = start(2, move |_, n| {
+        let (server, limiter) = start_server_and_limiter(2, move |_, n| {
             if n == 0 {
-                never_ran(status)
+                not_executed(status)
             } else {
                 ok("done")
             }
@@ -100,7 +101,8 @@
         assert_eq!(server.request_count(), 2);
     }
     // A sign-off that may have run each time is not declined: that would promise that a retry is harmless.
-    let (_, limiter) = start(1, |_, _| Reply::Respond(500, vec![], String::new()));
+    let (_, limiter) =
+        start_server_and_limiter(1, |_, _| Reply::Respond(500, vec![], String::new()));
     assert_eq!(
         send_request(limiter.platform_address, &keyed_request("k")).status,
         504
@@ -114,23 +116,23 @@
         &config(&[unreachable_address()], start_counter().address),
         None,
     );
-    let answer = send_request(limiter.platform_address, &keyed_request("k"));
-    assert!(answer.status == 503 && answer.headers.contains("Retry-After"));
+    let response = send_request(limiter.platform_address, &keyed_request("k"));
+    assert!(response.status == 503 && response.headers.contains("Retry-After"));
 }
 
 #[test]
-fn a_server_that_never_answers_costs_the_request_its_time_and_no_more() {
+fn unresponsive_server_delays_the_request_only_until_its_deadline() {
     for (text, status) in [(idempotent_request("t"), 503), (keyed_request("k"), 504)] {
-        let (_release, held) = mpsc::channel();
-        let (reached, arrived) = mpsc::channel();
-        let mut held = Some(held);
-        let (server, limiter) = start(1, move |_, _| {
-            reached.send(()).unwrap();
-            Reply::Delay(held.take().unwrap(), Box::new(Reply::Close))
+        let (_release_sender, release_receiver) = mpsc::channel();
+        let (arrival_sender, arrival_receiver) = mpsc::channel();
+        let mut release_receiver = Some(release_receiver);
+        let (server, limiter) = start_server_and_limiter(1, move |_, _| {
+            arrival_sender.send(()).unwrap();
+            Reply::Delay(release_receiver.take().unwrap(), Box::new(Reply::Close))
         });
         let mut client = Client::connect(limiter.platform_address);
         client.send(&text);
-        arrived.recv().unwrap();
+        arrival_receiver.recv().unwrap();
         limiter.advance_clock_us(2_500_000);
         assert_eq!(client.read_response().unwrap().status, status);
         assert_eq!(server.request_count(), 1);
@@ -138,42 +140,45 @@
 }
 
 #[test]
-fn bad_input_is_answered_at_once_and_reaches_no_server() {
-    let (server, limiter) = start(1, |_, _| ok("done"));
-    let good = keyed_request("k");
-    let bad = |from: &str, to: &str| good.replace(from, to);
-    let long = format!("X-Long: {}\r\nHost", "a".repeat(20_000));
+fn invalid_requests_are_rejected_without_reaching_a_server() {
+    let (server, limiter) = start_server_and_limiter(1, |_, _| ok("done"));
+    let valid_request = keyed_request("k");
+    let request_with = |from: &str, to: &str| valid_request.replace(from, to);
+    let long_header = format!("X-Long: {}\r\nHost", "a".repeat(20_000));
     for (text, status) in [
         ("hello\r\n\r\n".to_string(), 400),
-        (bad("X-Trace-Id: t-k\r\n", ""), 400),
-        (bad("X-Qos: sign-off", "X-Qos: lookup"), 400),
-        (bad("X-Tier: empresa", "X-Tier: gold"), 400),
-        (bad("account=0000000000000005", "account=5"), 400),
+        (request_with("X-Trace-Id: t-k\r\n", ""), 400),
+        (request_with("X-Qos: sign-off", "X-Qos: lookup"), 400),
+        (request_with("X-Tier: empresa", "X-Tier: gold"), 400),
+        (request_with("account=0000000000000005", "account=5"), 400),
         (
-            bad("account=0000000000000005", "account=0000000200000000"),
+            request_with("account=0000000000000005", "account=0000000200000000"),
             400,
         ),
-        (bad("?account=0000000000000005", ""), 400),
-        (bad("X-Expires-In: 2.5", "X-Expires-In: -1"), 400),
-        (bad("X-Expires-In: 2.5", "X-Expires-In: inf"), 400),
-        (bad("X-Expires-In: 2.5", "X-Expires-In: 0"), 400),
-        (bad("units=2", "units=0"), 400),
-        (bad("units=2", "units=99"), 400),
-        (bad("spread=1", "spread=2"), 400),
-        (bad("first=0", "first=1"), 400),
-        (bad("first=0", "first=0,first=0"), 400),
-        (bad("Idempotency-Key: k\r\n", ""), 400),
-        (bad("POST", "GET"), 400),
-        (bad("/sign-off", "/other"), 404),
+        (request_with("?account=0000000000000005", ""), 400),
+        (request_with("X-Expires-In: 2.5", "X-Expires-In: -1"), 400),
+        (request_with("X-Expires-In: 2.5", "X-Expires-In: inf"), 400),
+        (request_with("X-Expires-In: 2.5", "X-Expires-In: 0"), 400),
+        (request_with("units=2", "units=0"), 400),
+        (request_with("units=2", "units=99"), 400),
+        (request_with("spread=1", "spread=2"), 400),
+        (request_with("first=0", "first=1"), 400),
+        (request_with("first=0", "first=0,first=0"), 400),
+        (request_with("Idempotency-Key: k\r\n", ""), 400),
+        (request_with("POST", "GET"), 400),
+        (request_with("/sign-off", "/other"), 404),
         (
-            bad(
+            request_with(
                 "Content-Length: 5",
                 "Content-Length: 5\r\nContent-Length: 6",
             ),
             400,
         ),
-        (bad("Content-Length: 5", "Content-Length: 60000000"), 413),
-        (bad("Host", &long), 431),
+        (
+            request_with("Content-Length: 5", "Content-Length: 60000000"),
+            413,
+        ),
+        (request_with("Host", &long_header), 431),
     ] {
         assert_eq!(
             send_request(limiter.platform_address, &text).status,
@@ -182,21 +187,27 @@
         );
     }
     assert_eq!(server.request_count(), 0);
-    assert_eq!(send_request(limiter.platform_address, &good).status, 200);
+    assert_eq!(
+        send_request(limiter.platform_address, &valid_request).status,
+        200
+    );
 }
 
 #[test]
-fn the_leg_of_a_client_that_left_is_closed() {
-    let (release, held) = mpsc::channel();
-    let (reached, arrived) = mpsc::channel();
-    let mut held = Some(held);
-    let (server, limiter) = start(1, move |_, _| {
-        reached.send(()).unwrap();
-        Reply::Delay(held.take().unwrap(), Box::new(ok(&"x".repeat(60_000))))
+fn client_disconnect_closes_its_attempt() {
+    let (release_sender, release_receiver) = mpsc::channel();
+    let (arrival_sender, arrival_receiver) = mpsc::channel();
+    let mut release_receiver = Some(release_receiver);
+    let (server, limiter) = start_server_and_limiter(1, move |_, _| {
+        arrival_sender.send(()).unwrap();
+        Reply::Delay(
+            release_receiver.take().unwrap(),
+            Box::new(ok(&"x".repeat(60_000))),
+        )
     });
     let mut client = Client::connect(limiter.platform_address);
     client.send(&keyed_request("k"));
-    arrived.recv().unwrap();
+    arrival_receiver.recv().unwrap();
     drop(client);
     // An answered request after it: by then the limiter has seen the end of the first.
     assert_eq!(
@@ -207,7 +218,7 @@
         .status,
         200
     );
-    release.send(()).unwrap();
+    release_sender.send(()).unwrap();
     server
         .connection_closed
         .recv_timeout(std::time::Duration::from_secs(5))
@@ -216,32 +227,38 @@
 }
 
 #[test]
-fn up_is_told_only_where_serving_is_possible() {
-    let up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
+fn readiness_is_reported_only_with_a_listed_server() {
+    let readiness_request = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     let limiter = Limiter::start(&config(&[], start_counter().address), None);
-    assert_eq!(send_request(limiter.platform_address, up).status, 503);
+    assert_eq!(
+        send_request(limiter.platform_address, readiness_request).status,
+        503
+    );
     let limiter = Limiter::start(
         &config(&[unreachable_address()], start_counter().address),
         None,
     );
-    assert_eq!(send_request(limiter.platform_address, up).status, 200);
+    assert_eq!(
+        send_request(limiter.platform_address, readiness_request).status,
+        200
+    );
 }
 
 #[test]
-fn told_to_end_it_takes_connections_through_the_notice_and_finishes_what_it_took() {
-    let (release, held) = mpsc::channel();
-    let (reached, arrived) = mpsc::channel();
-    let mut held = Some(held);
-    let (_server, limiter) = start(1, move |_, _| {
-        reached.send(()).unwrap();
-        match held.take() {
-            Some(held) => Reply::Delay(held, Box::new(ok("late"))),
+fn shutdown_accepts_connections_during_the_notice_period_and_finishes_open_requests() {
+    let (release_sender, release_receiver) = mpsc::channel();
+    let (arrival_sender, arrival_receiver) = mpsc::channel();
+    let mut release_receiver = Some(release_receiver);
+    let (_server, limiter) = start_server_and_limiter(1, move |_, _| {
+        arrival_sender.send(()).unwrap();
+        match release_receiver.take() {
+            Some(release_receiver) => Reply::Delay(release_receiver, Box::new(ok("late"))),
             None => ok("during the notice"),
         }
     });
     let mut first = Client::connect(limiter.platform_address);
     first.send(&keyed_request("k0"));
-    arrived.recv().unwrap();
+    arrival_receiver.recv().unwrap();
     limiter.stop();
     let mut second = Client::connect(limiter.platform_address);
     assert_eq!(
@@ -250,21 +267,21 @@
     );
     limiter.advance_clock_us(600_000);
     assert!(second.read_response().is_none(), "closed between requests");
-    release.send(()).unwrap();
-    let last = first.read_response().expect("what was taken is finished");
-    assert!(last.body == b"late" && !last.keep_alive);
+    release_sender.send(()).unwrap();
+    let last_response = first.read_response().expect("what was taken is finished");
+    assert!(last_response.body == b"late" && !last_response.keep_alive);
     limiter.join();
 }
 
 #[test]
-fn a_silent_counter_lets_requests_pass_after_its_wait() {
+fn unresponsive_counter_lets_requests_pass_after_its_timeout() {
     let (server, counter) = (
         MockServer::start(|_, _| ok("done")),
         // Keeps every call waiting.
         MockServer::start(|_, _| {
-            let (word, held) = mpsc::channel();
-            std::mem::forget(word);
-            Reply::Delay(held, Box::new(Reply::Close))
+            let (release_sender, release_receiver) = mpsc::channel();
+            std::mem::forget(release_sender);
+            Reply::Delay(release_receiver, Box::new(Reply::Close))
         }),
     );
     let limiter = Limiter::start(&config(&[server.address], counter.address), None);
@@ -278,8 +295,8 @@
 }
 
 #[test]
-fn a_connection_on_which_more_came_than_was_asked_is_closed() {
-    let (server, limiter) = start(1, |_, n| {
+fn upstream_connection_with_an_unsolicited_response_is_closed() {
+    let (server, limiter) = start_server_and_limiter(1, |_, n| {
         if n == 0 {
             Reply::RespondTwice("first")
         } else {
@@ -296,23 +313,23 @@
 }
 
 #[test]
-fn calls_do_not_wait_behind_those_that_a_dead_counter_left_unanswered() {
+fn counter_calls_do_not_queue_behind_unanswered_calls() {
     let server = MockServer::start(|_, _| ok("done"));
-    let (reached, arrived) = mpsc::channel();
+    let (arrival_sender, arrival_receiver) = mpsc::channel();
     // The first call is never answered, and so is nothing behind it on its connection.
     let counter = MockServer::start(move |_, n| {
         if n > 0 {
             return ok("2");
         }
-        let (word, held) = mpsc::channel();
-        std::mem::forget(word);
-        reached.send(()).unwrap();
-        Reply::Delay(held, Box::new(Reply::Close))
+        let (release_sender, release_receiver) = mpsc::channel();
+        std::mem::forget(release_sender);
+        arrival_sender.send(()).unwrap();
+        Reply::Delay(release_receiver, Box::new(Reply::Close))
     });
     let limiter = Limiter::start(&config(&[server.address], counter.address), None);
     let mut client = Client::connect(limiter.platform_address);
     client.send(&keyed_request("k0"));
-    arrived.recv().unwrap();
+    arrival_receiver.recv().unwrap();
     limiter.advance_clock_us(120_000);
     assert_eq!(
         client.read_response().unwrap().status,
@@ -329,8 +346,8 @@
 }
 
 #[test]
-fn behind_a_spoilt_answer_of_the_counter_its_connection_is_given_up() {
-    let spoilt: [&[u8]; 4] = [
+fn malformed_counter_response_closes_its_connection() {
+    let malformed_responses: [&[u8]; 4] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n--3",
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
         // The number is longer than any, and what follows would be taken for its end.
@@ -338,7 +355,7 @@
         // A head that does not end.
         b"HTTP/1.1 200 OK\r\nX-Pad: p",
     ];
-    for (n, bytes) in spoilt.into_iter().enumerate() {
+    for (n, bytes) in malformed_responses.into_iter().enumerate() {
         let server = MockServer::start(|_, _| ok("done"));
         let counter = MockServer::start(move |_, n| {
             if n == 0 {
@@ -370,14 +387,14 @@
 }
 
 #[test]
-fn an_answer_that_does_not_end_has_failed_and_the_request_goes_on() {
-    let spoilt: [&[u8]; 3] = [
+fn incomplete_response_fails_the_attempt_and_the_request_is_retried() {
+    let malformed_responses: [&[u8]; 3] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort",
         b"HTTP/1.1 200 OK\r\nX-Pad: p\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
     ];
-    for bytes in spoilt {
-        let (server, limiter) = start(1, move |_, n| {
+    for bytes in malformed_responses {
+        let (server, limiter) = start_server_and_limiter(1, move |_, n| {
             if n == 0 {
                 Reply::RawBytes(bytes)
             } else {
@@ -398,11 +415,11 @@
 }
 
 #[test]
-fn an_answer_without_a_length_is_not_passed_on() {
-    let part = b"HTTP/1.1 200 OK\r\nServer: x\r\n\r\na part";
-    let (server, limiter) = start(1, move |_, n| {
+fn response_without_framing_is_not_relayed() {
+    let unframed_response = b"HTTP/1.1 200 OK\r\nServer: x\r\n\r\na part";
+    let (server, limiter) = start_server_and_limiter(1, move |_, n| {
         if n == 0 {
-            Reply::RawBytes(part)
+            Reply::RawBytes(unframed_response)
         } else {
             ok("done")
         }
--- a/crates/limiter/tests/process.rs
+++ b/crates/limiter/tests/process.rs
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn at_sighup_a_faulty_file_changes_nothing_and_a_good_one_is_taken() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("config.json");
+fn sighup_ignores_an_invalid_configuration_and_applies_a_valid_one() {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("config.json");
     let server = MockServer::start(|_, _| ok("served"));
-    let write = |text: &str| std::fs::write(&path, text).unwrap();
-    write(&config(&[server.address], unreachable_address()));
+    let write_config = |text: &str| std::fs::write(&path, text).unwrap();
+    write_config(&config(&[server.address], unreachable_address()));
     let mut child = Command::new(env!("CARGO_BIN_EXE_streamarch"))
         .args(["serve", "--config"])
         .arg(&path)
@@ -37,86 +37,86 @@
     let mut log = BufReader::new(child.stderr.take().unwrap()).lines();
     let process = Process(child);
     // Ends with the log if the program does.
-    let mut line_with = |text: &str| {
+    let mut next_log_line_containing = |text: &str| {
         log.by_ref()
             .map(Result::unwrap)
             .find(|line| line.contains(text))
             .expect(text)
     };
-    let serving = line_with("serving on ");
-    let address = serving.rsplit(' ').next().unwrap().parse().unwrap();
-    let signal = |name: &str| {
-        let told = Command::new("sh")
+    let serving_line = next_log_line_containing("serving on ");
+    let address = serving_line.rsplit(' ').next().unwrap().parse().unwrap();
+    let send_signal = |name: &str| {
+        let status = Command::new("sh")
             .args(["-c", &format!("kill -{name} {}", process.0.id())])
             .status();
-        assert!(told.unwrap().success());
+        assert!(status.unwrap().success());
     };
 
-    let good = config(&[server.address], unreachable_address());
-    write(&good.replace("\"discovery\":\"", "\"discovery\":\"nowhere"));
-    signal("HUP");
-    assert!(line_with("configuration not taken").contains("key 'discovery'"));
+    let valid_config = config(&[server.address], unreachable_address());
+    write_config(&valid_config.replace("\"discovery\":\"", "\"discovery\":\"nowhere"));
+    send_signal("HUP");
+    assert!(next_log_line_containing("configuration not taken").contains("key 'discovery'"));
     assert_eq!(
         send_request(address, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status,
         200
     );
-    write(&good);
-    signal("HUP");
-    line_with("configuration taken");
-    signal("TERM");
-    line_with("told to end");
+    write_config(&valid_config);
+    send_signal("HUP");
+    next_log_line_containing("configuration taken");
+    send_signal("TERM");
+    next_log_line_containing("told to end");
 }
 
 /// A process that inherits the clients' listening socket: as its standard input, the one descriptor that a test can
 /// hand over without unsafe code.
-struct Version {
+struct InheritingProcess {
     process: Process,
     operator_address: SocketAddr,
 }
 
-impl Version {
-    fn start(folder: &std::path::Path, config: &str, socket: &TcpListener) -> Version {
+impl InheritingProcess {
+    fn start(directory: &std::path::Path, config: &str, socket: &TcpListener) -> InheritingProcess {
         let operator_address = free_address();
-        let path = folder.join(format!("config-{}.json", operator_address.port()));
-        let text = config.replacen('{', &format!("{{\"ops\":\"{operator_address}\","), 1);
-        std::fs::write(&path, text).unwrap();
+        let path = directory.join(format!("config-{}.json", operator_address.port()));
+        let config_text = config.replacen('{', &format!("{{\"ops\":\"{operator_address}\","), 1);
+        std::fs::write(&path, config_text).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_streamarch"))
             .args(["serve", "--config"])
             .arg(&path)
             .env("ROUTER_PASSED_SOCKET", "0")
-            .env("TMPDIR", folder)
+            .env("TMPDIR", directory)
             .stdin(OwnedFd::from(socket.try_clone().unwrap()))
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        Version {
+        InheritingProcess {
             process: Process(child),
             operator_address,
         }
     }
 
     /// Waits until it says that it takes clients.
-    fn ready(&mut self) {
-        let asked = Instant::now();
+    fn wait_until_ready(&mut self) {
+        let started_at = Instant::now();
         while std::net::TcpStream::connect(self.operator_address).is_err()
             || send_operator_command(self.operator_address, "ready\n") != "done"
         {
             assert!(
-                self.process.0.try_wait().unwrap().is_none() && asked.elapsed() < TEST_TIMEOUT,
+                self.process.0.try_wait().unwrap().is_none() && started_at.elapsed() < TEST_TIMEOUT,
                 "it starts"
             );
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    fn signal(&self, name: &str) {
-        let told = Command::new("sh")
+    fn send_signal(&self, name: &str) {
+        let status = Command::new("sh")
             .args(["-c", &format!("kill -{name} {}", self.process.0.id())])
             .status();
-        assert!(told.unwrap().success());
+        assert!(status.unwrap().success());
     }
 
-    fn ended(&mut self) -> bool {
+    fn exited_successfully(&mut self) -> bool {
         self.process.0.wait().unwrap().success()
     }
 }
@@ -130,8 +130,8 @@
 }
 
 #[test]
-fn a_process_started_again_takes_over_the_inherited_socket_and_no_request_is_lost() {
-    let folder = tempfile::tempdir().unwrap();
+fn restarted_process_takes_over_the_inherited_socket_without_losing_requests() {
+    let directory = tempfile::tempdir().unwrap();
     let server = MockServer::start(|_, _| {
         thread::sleep(Duration::from_millis(2));
         ok("served")
@@ -142,141 +142,147 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let text = config(&[server.address], start_counter().address)
+    let config_text = config(&[server.address], start_counter().address)
         .replace("127.0.0.1:0", &address.to_string())
         .replacen('{', &format!("{{\"peer_listen\":\"{peers}\","), 1)
         .replace(
             "\"Permissions\":{",
             "\"Permissions\":{\"PeerMessages\":true,",
         );
-    let mut old = Version::start(folder.path(), &text, &socket);
-    old.ready();
+    let mut old_process = InheritingProcess::start(directory.path(), &config_text, &socket);
+    old_process.wait_until_ready();
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     // Each client goes on on its connection for as long as that stays open, and is told its end before it asks again.
-    let clients: Vec<_> = (0..4)
+    let client_threads: Vec<_> = (0..4)
         .map(|number| {
             let stop = stop.clone();
             thread::spawn(move || {
-                let (mut client, mut asked) = (Client::connect(address), 0);
+                let (mut client, mut request_count) = (Client::connect(address), 0);
                 while !stop.load(std::sync::atomic::Ordering::SeqCst) {
-                    let answer =
-                        client.send_request(&idempotent_request(&format!("c{number}-{asked}")));
-                    assert_eq!(answer.status, 200);
-                    asked += 1;
-                    if !answer.keep_alive {
+                    let response = client
+                        .send_request(&idempotent_request(&format!("c{number}-{request_count}")));
+                    assert_eq!(response.status, 200);
+                    request_count += 1;
+                    if !response.keep_alive {
                         client = Client::connect(address);
                     }
                 }
-                asked
+                request_count
             })
         })
         .collect();
-    let serves_on = || {
-        let before = server.request_count();
-        while server.request_count() < before + 50 {
+    let wait_for_50_requests = || {
+        let count_before = server.request_count();
+        while server.request_count() < count_before + 50 {
             thread::sleep(Duration::from_millis(1));
         }
     };
     // Twice in a row, and before each of them one that dies before it is ready.
     for _ in 0..2 {
-        serves_on();
-        let broken = text.replace("\"Lanes\"", "\"Lines\"");
-        assert!(!Version::start(folder.path(), &broken, &socket).ended());
-        let mut new = Version::start(folder.path(), &text, &socket);
-        new.ready();
-        old.signal("TERM");
-        let told = Instant::now();
+        wait_for_50_requests();
+        let invalid_config = config_text.replace("\"Lanes\"", "\"Lines\"");
         assert!(
-            old.ended() && told.elapsed() < Duration::from_secs(4),
+            !InheritingProcess::start(directory.path(), &invalid_config, &socket)
+                .exited_successfully()
+        );
+        let mut new_process = InheritingProcess::start(directory.path(), &config_text, &socket);
+        new_process.wait_until_ready();
+        old_process.send_signal("TERM");
+        let signalled_at = Instant::now();
+        assert!(
+            old_process.exited_successfully() && signalled_at.elapsed() < Duration::from_secs(4),
             "what is idle does not keep it"
         );
-        old = new;
+        old_process = new_process;
     }
-    serves_on();
+    wait_for_50_requests();
     stop.store(true, std::sync::atomic::Ordering::SeqCst);
-    let asked: usize = clients
+    let request_count: usize = client_threads
         .into_iter()
-        .map(|client| client.join().unwrap())
+        .map(|client_thread| client_thread.join().unwrap())
         .sum();
-    assert_eq!(server.request_count(), asked, "each ran once");
+    assert_eq!(server.request_count(), request_count, "each ran once");
 }
 
 #[test]
-fn what_operators_asked_for_holds_over_an_upgrade_at_whichever_process() {
-    let folder = tempfile::tempdir().unwrap();
+fn operator_commands_survive_an_upgrade_and_reach_both_processes() {
+    let directory = tempfile::tempdir().unwrap();
     let servers = ["out", "in"].map(|name| MockServer::start(move |_, _| ok(name)));
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    let text = config(
+    let config_text = config(
         &servers.each_ref().map(|server| server.address),
         start_counter().address,
     )
     .replace("127.0.0.1:0", &address.to_string());
     // What an earlier process left torn stops nobody.
     std::fs::write(
-        folder.path().join("streamarch-operations"),
+        directory.path().join("streamarch-operations"),
         "streamarch-operations-1 00",
     )
     .unwrap();
-    let mut old = Version::start(folder.path(), &text, &socket);
-    old.ready();
+    let mut old_process = InheritingProcess::start(directory.path(), &config_text, &socket);
+    old_process.wait_until_ready();
     assert_eq!(
-        send_operator_command(old.operator_address, "disable-server s-0\n"),
+        send_operator_command(old_process.operator_address, "disable-server s-0\n"),
         "done"
     );
-    let mut new = Version::start(folder.path(), &text, &socket);
-    new.ready();
-    let served = |count: usize| {
+    let mut new_process = InheritingProcess::start(directory.path(), &config_text, &socket);
+    new_process.wait_until_ready();
+    let all_served_by_second = |count: usize| {
         (0..count)
             .all(|n| send_request(address, &idempotent_request(&format!("t{n}"))).body == b"in")
     };
-    assert!(served(40), "the new process has it out from its start");
+    assert!(
+        all_served_by_second(40),
+        "the new process has it out from its start"
+    );
     assert_eq!(servers[0].request_count(), 0);
     // Called back at the new one, and out again, with the server's fellow: the old one hears of it.
     assert_eq!(
-        send_operator_command(new.operator_address, "enable-server s-0\n"),
+        send_operator_command(new_process.operator_address, "enable-server s-0\n"),
         "done"
     );
     assert_eq!(
-        send_operator_command(new.operator_address, "disable-server s-1\n"),
+        send_operator_command(new_process.operator_address, "disable-server s-1\n"),
         "done"
     );
     assert_eq!(
-        send_operator_command(new.operator_address, "drain\n"),
+        send_operator_command(new_process.operator_address, "drain\n"),
         "done"
     );
     thread::sleep(Duration::from_millis(300));
-    new.signal("KILL");
-    let up = send_request(address, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+    new_process.send_signal("KILL");
+    let readiness = send_request(address, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(
-        (up.status, up.keep_alive),
+        (readiness.status, readiness.keep_alive),
         (503, false),
         "the old one drains"
     );
     assert_eq!(
-        send_operator_command(old.operator_address, "resume\n"),
+        send_operator_command(old_process.operator_address, "resume\n"),
         "done"
     );
-    let asked = Instant::now();
+    let started_at = Instant::now();
     while send_request(address, &idempotent_request("u")).body != b"out" {
         assert!(
-            asked.elapsed() < TEST_TIMEOUT,
+            started_at.elapsed() < TEST_TIMEOUT,
             "called back at the old one too"
         );
     }
-    let before = servers[1].request_count();
+    let count_before = servers[1].request_count();
     (0..20).for_each(|n| _ = send_request(address, &idempotent_request(&format!("v{n}"))));
     assert_eq!(
         servers[1].request_count(),
-        before,
+        count_before,
         "taken out at the old one too"
     );
-    old.signal("TERM");
-    assert!(old.ended());
+    old_process.send_signal("TERM");
+    assert!(old_process.exited_successfully());
 }
 
 /// The most memory that a process has had, in KiB.
-fn most_memory(process: &Process) -> usize {
+fn peak_memory_kib(process: &Process) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.0.id())).unwrap();
     let line = status
         .lines()
@@ -286,17 +292,17 @@
 }
 
 #[test]
-fn many_transfers_of_32_mb_both_ways_with_slow_peers_stay_within_a_bound_of_memory() {
-    const LENGTH: usize = 32 << 20;
-    const EACH: usize = 8;
-    let folder = tempfile::tempdir().unwrap();
+fn memory_stays_bounded_during_concurrent_32_mib_uploads_and_downloads() {
+    const BODY_BYTES: usize = 32 << 20;
+    const TRANSFERS_PER_DIRECTION: usize = 8;
+    let directory = tempfile::tempdir().unwrap();
     // Takes a body in slowly at first, and gives one as long as fast as it is taken.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let server = listener.local_addr().unwrap();
     thread::spawn(move || {
         for stream in listener.incoming() {
             thread::spawn(move || {
-                let (mut stream, mut part) = (stream.unwrap(), vec![7; 1 << 20]);
+                let (mut stream, mut buffer) = (stream.unwrap(), vec![7; 1 << 20]);
                 let mut head = Vec::new();
                 while !head.windows(4).any(|four| four == b"\r\n\r\n") {
                     let mut byte = [0];
@@ -304,19 +310,23 @@
                     head.push(byte[0]);
                 }
                 thread::sleep(Duration::from_millis(300));
-                let mut left = if head.starts_with(b"POST") { LENGTH } else { 0 };
-                while left > 0 {
-                    match stream.read(&mut part) {
-                        Ok(length) if length > 0 => left -= length,
+                let mut remaining_bytes = if head.starts_with(b"POST") {
+                    BODY_BYTES
+                } else {
+                    0
+                };
+                while remaining_bytes > 0 {
+                    match stream.read(&mut buffer) {
+                        Ok(length) if length > 0 => remaining_bytes -= length,
                         // The leg is over; its client tells.
                         _ => return,
                     }
                 }
                 let _ = write!(
                     stream,
-                    "HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n"
+                    "HTTP/1.1 200 OK\r\nContent-Length: {BODY_BYTES}\r\n\r\n"
                 );
-                let _ = (0..LENGTH >> 20).try_for_each(|_| stream.write_all(&part));
+                let _ = (0..BODY_BYTES >> 20).try_for_each(|_| stream.write_all(&buffer));
             });
         }
     });
@@ -324,67 +334,71 @@
     let address = socket.local_addr().unwrap();
     // These servers take 0.3 s to answer, as long as silence needs to be suspected: on a busy machine all are, and what
     // may be repeated would be moved from one to the next until its tries are over. That is for other tests.
-    let text = config(&[server; 32], start_counter().address)
+    let config_text = config(&[server; 32], start_counter().address)
         .replace("127.0.0.1:0", &address.to_string())
         .replace("\"Cancelling\":true", "\"Cancelling\":false");
-    let mut limiter = Version::start(folder.path(), &text, &socket);
-    limiter.ready();
+    let mut limiter = InheritingProcess::start(directory.path(), &config_text, &socket);
+    limiter.wait_until_ready();
     let transfer = move |number: usize| {
         let mut client = std::net::TcpStream::connect(address).unwrap();
-        let uploads = number.is_multiple_of(2);
-        let text = match uploads {
+        let is_upload = number.is_multiple_of(2);
+        let request = match is_upload {
             true => keyed_request(&format!("k{number}")).replace(
                 "Content-Length: 5\r\n\r\nhours",
-                &format!("Content-Length: {LENGTH}\r\n\r\n"),
+                &format!("Content-Length: {BODY_BYTES}\r\n\r\n"),
             ),
             false => idempotent_request(&format!("t{number}")),
         };
         client
             .write_all(
-                text.replace("X-Expires-In: 2.5", "X-Expires-In: 60")
+                request
+                    .replace("X-Expires-In: 2.5", "X-Expires-In: 60")
                     .as_bytes(),
             )
             .unwrap();
-        if uploads {
-            let part = vec![3; 1 << 20];
-            (0..LENGTH >> 20).for_each(|_| client.write_all(&part).unwrap());
+        if is_upload {
+            let buffer = vec![3; 1 << 20];
+            (0..BODY_BYTES >> 20).for_each(|_| client.write_all(&buffer).unwrap());
         }
         // Takes nothing in for a while, then all.
         thread::sleep(Duration::from_millis(300));
-        let (mut part, mut come) = (vec![0; 1 << 20], 0);
-        while come < LENGTH {
-            match client.read(&mut part).unwrap() {
+        let (mut buffer, mut received_bytes) = (vec![0; 1 << 20], 0);
+        while received_bytes < BODY_BYTES {
+            match client.read(&mut buffer).unwrap() {
                 0 => break,
-                length => come += length,
+                length => received_bytes += length,
             }
         }
-        come
+        received_bytes
     };
-    let clients: Vec<_> = (0..2 * EACH)
+    let client_threads: Vec<_> = (0..2 * TRANSFERS_PER_DIRECTION)
         .map(|number| thread::spawn(move || transfer(number)))
         .collect();
-    for client in clients {
-        assert!(client.join().unwrap() >= LENGTH);
+    for client_thread in client_threads {
+        assert!(client_thread.join().unwrap() >= BODY_BYTES);
     }
-    let memory = most_memory(&limiter.process);
-    println!("{memory} KiB for {} transfers of 32 MB", 2 * EACH);
+    let peak_kib = peak_memory_kib(&limiter.process);
+    println!(
+        "{peak_kib} KiB for {} transfers of 32 MB",
+        2 * TRANSFERS_PER_DIRECTION
+    );
     assert!(
-        memory < 24 * 1024,
-        "{memory} KiB for {} transfers",
-        2 * EACH
+        peak_kib < 24 * 1024,
+        "{peak_kib} KiB for {} transfers",
+        2 * TRANSFERS_PER_DIRECTION
     );
 }
 
 #[test]
-fn the_log_is_lines_or_json_and_its_options_are_checked() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("config.json");
+fn log_format_is_text_or_json_and_invalid_options_are_rejected() {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("config.json");
     std::fs::write(
         &path,
         config(&[unreachable_address()], unreachable_address()),
     )
     .unwrap();
-    let start = |options: &[&str]| {
+    let spawn = |options: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_streamarch"));
         command
             .args(["serve", "--config"])
@@ -394,8 +408,8 @@
             .spawn()
             .unwrap()
     };
-    let first = |options: &[&str]| {
-        let mut child = start(options);
+    let first_log_line = |options: &[&str]| {
+        let mut child = spawn(options);
         let mut line = String::new();
         BufReader::new(child.stderr.take().unwrap())
             .read_line(&mut line)
@@ -403,8 +417,9 @@
         drop(Process(child));
         line
     };
-    assert!(first(&[]).starts_with("n0 serving on 127.0.0.1:"));
-    let json: serde_json::Value = serde_json::from_str(&first(&["--log-format", "json"])).unwrap();
+    assert!(first_log_line(&[]).starts_with("n0 serving on 127.0.0.1:"));
+    let json: serde_json::Value =
+        serde_json::from_str(&first_log_line(&["--log-format", "json"])).unwrap();
     assert_eq!(
         (json["level"].as_str(), json["fields"]["limiter"].as_str()),
         (Some("INFO"), Some("n0"))
@@ -416,15 +431,18 @@
             .starts_with("serving on ")
     );
     for options in [["--log-format", "xml"], ["--log-level", "loud"]] {
-        let mut child = start(&options);
+        let mut child = spawn(&options);
         assert_eq!(child.wait().unwrap().code(), Some(2), "{options:?}");
     }
 }
 
 #[test]
-fn use_is_verified_exported_and_acknowledged_on_the_command_line() {
-    let folder = tempfile::tempdir().unwrap();
-    let (ledger, out) = (folder.path().join("ledger"), folder.path().join("out"));
+fn usage_commands_verify_export_and_acknowledge_the_ledger() {
+    let directory = tempfile::tempdir().unwrap();
+    let (ledger, export_directory) = (
+        directory.path().join("ledger"),
+        directory.path().join("out"),
+    );
     {
         let (mut ledger, _) = usage::ledger::Ledger::open(&ledger, "n0").unwrap();
         (0..3).for_each(|n| {
@@ -439,13 +457,13 @@
         ledger.went_out();
         ledger.sync().unwrap();
     }
-    let run_usage = |words: &[&str], paths: &[&std::path::Path], rest: &[&str]| {
+    let run_usage = |subcommand: &[&str], paths: &[&std::path::Path], arguments: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_streamarch"));
         let output = command
             .arg("usage")
-            .args(words)
+            .args(subcommand)
             .args(paths)
-            .args(rest)
+            .args(arguments)
             .output()
             .unwrap();
         (
@@ -461,7 +479,7 @@
     assert_eq!(run_usage(&["show"], &[&ledger], &[]).1.lines().count(), 3);
     for _ in 0..2 {
         assert!(
-            run_usage(&["export"], &[&ledger, &out], &[])
+            run_usage(&["export"], &[&ledger, &export_directory], &[])
                 .1
                 .starts_with("batch 1: 3 tries")
         );
@@ -469,37 +487,38 @@
     assert!(!run_usage(&["acknowledge"], &[&ledger], &["2"]).0);
     assert!(run_usage(&["acknowledge"], &[&ledger], &["1"]).0);
     assert_eq!(
-        run_usage(&["export"], &[&ledger, &out], &[]).1,
+        run_usage(&["export"], &[&ledger, &export_directory], &[]).1,
         "nothing new\n"
     );
     let path = ledger.join("life-00000001.use");
     let mut bytes = std::fs::read(&path).unwrap();
     bytes[20] ^= 1;
     std::fs::write(&path, bytes).unwrap();
-    let (whole, said) = run_usage(&["verify"], &[&ledger], &[]);
-    assert!(!whole && said.contains("damaged at byte "), "{said}");
+    let (is_valid, output) = run_usage(&["verify"], &[&ledger], &[]);
+    assert!(!is_valid && output.contains("damaged at byte "), "{output}");
 }
 
 /// Guards what a limiter that stood still does with requests whose clients gave up meanwhile: the request and the
 /// client's end are read together, and the request costs no call of the counter. A burst of such calls after a
 /// pause starved the other limiters' calls (`docs/shared-state.md`).
 #[test]
-fn a_request_read_with_its_clients_end_after_a_pause_makes_no_call() {
-    let folder = tempfile::tempdir().unwrap();
+fn request_read_after_a_pause_together_with_its_clients_disconnect_makes_no_counter_call() {
+    let directory = tempfile::tempdir().unwrap();
     let (server, counter) = (MockServer::start(|_, _| ok("served")), start_counter());
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    let text =
+    let config_text =
         config(&[server.address], counter.address).replace("127.0.0.1:0", &address.to_string());
-    let mut process = Version::start(folder.path(), &text, &socket);
-    process.ready();
-    process.signal("STOP");
+    let mut process = InheritingProcess::start(directory.path(), &config_text, &socket);
+    process.wait_until_ready();
+    process.send_signal("STOP");
     for n in 0..3 {
-        let mut gone = std::net::TcpStream::connect(address).unwrap();
-        gone.write_all(idempotent_request(&format!("gone-{n}")).as_bytes())
+        let mut disconnecting = std::net::TcpStream::connect(address).unwrap();
+        disconnecting
+            .write_all(idempotent_request(&format!("gone-{n}")).as_bytes())
             .unwrap();
     }
-    process.signal("CONT");
+    process.send_signal("CONT");
     thread::sleep(Duration::from_millis(300));
     assert_eq!(
         (counter.request_count(), server.request_count()),
@@ -511,6 +530,6 @@
         200,
         "it serves on"
     );
-    process.signal("TERM");
-    assert!(process.ended());
+    process.send_signal("TERM");
+    assert!(process.exited_successfully());
 }
