--- a/crates/limiter/tests/agreement.rs
+++ b/crates/limiter/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! Three daemons agree on a configuration over loopback, and it holds where it is used.
+//! Three limiters agree on a configuration by Raft over loopback, and each of them applies it.
 
 mod common;
 
@@ -29,7 +29,7 @@
 }
 
 fn introspection_status(address: std::net::SocketAddr) -> u16 {
-    // clerk:other
+    // The credentials are the base64 of `clerk:other`.
     let text = "POST /introspect HTTP/1.1\r\nHost: x\r\nAuthorization: Basic Y2xlcms6b3RoZXI=\r\n\
                 Content-Type: application/x-www-form-urlencoded\r\nContent-Length: 7\r\n\r\ntoken=a";
     send_request(address, text).status
@@ -37,7 +37,7 @@
 
 #[test]
 fn callers_configured_at_one_member_are_accepted_at_every_member() {
-    // A loopback address of this process's own: the members' addresses must be known before they listen.
+    // Loopback addresses derived from the process id, because the members' addresses must be known before they listen.
     let pid = std::process::id();
     let addresses: Vec<String> = (1..=3)
         .map(|n| format!("127.{}.{}.{n}:19301", pid / 250 % 250 + 2, pid % 250 + 1))
@@ -64,7 +64,7 @@
         limiters
             .iter()
             .all(|limiter| introspection_status(limiter.introspection_address.unwrap()) == 401),
-        "nobody may ask yet"
+        "no caller is configured yet"
     );
     assert_eq!(
         send_request(
@@ -118,7 +118,7 @@
     }
     assert!(
         agreed,
-        "proposed: {proposed}, pointed to the leader: {redirect_count} times"
+        "no agreement; accepted by the leader: {proposed}, redirects to the leader: {redirect_count}"
     );
     assert!(
         limiters
--- a/crates/limiter/tests/clients.rs
+++ b/crates/limiter/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that misbehave, against stand-ins: each is answered or closed in time, and the others are served.
+//! Misbehaving clients: each gets a response or is disconnected in time, and the other clients are served.
 
 mod common;
 
@@ -23,7 +23,7 @@
     (server, limiter)
 }
 
-/// A limiter with room for eight clients.
+/// Starts a limiter whose connection limit is eight clients.
 fn start_limiter_for_eight_clients() -> Limiter {
     let text = config(&[unreachable_address()], start_counter().address);
     Limiter::start(
@@ -41,21 +41,32 @@
     let mut idle = Client::connect(limiter.platform_address);
     assert_eq!(idle.send_request(&idempotent_request("t-1")).status, 200);
     let mut other = Client::connect(limiter.platform_address);
-    // Every connection was taken before this one, and what it sent is read before this answer is given.
+    // All earlier connections are accepted, and what they sent is read, before this response is sent.
     assert_eq!(other.send_request(READINESS_REQUEST).status, 200);
     limiter.advance_clock_us(2_400_000);
-    assert!(silent.read_response().is_none(), "closed");
-    let response = partial.read_response().expect("an error");
+    assert!(
+        silent.read_response().is_none(),
+        "the silent connection is closed"
+    );
+    let response = partial
+        .read_response()
+        .expect("a partial request gets an error response");
     assert!(response.status == 408 && !response.keep_alive);
-    assert!(partial.read_response().is_none(), "and closed");
+    assert!(
+        partial.read_response().is_none(),
+        "the connection is closed after the error"
+    );
     assert_eq!(idle.send_request(&idempotent_request("t-2")).status, 200);
-    // By this answer the limiter has noted the end of the one before.
+    // When this response arrives, the limiter has finished the previous one.
     assert_eq!(
         send_request(limiter.platform_address, READINESS_REQUEST).status,
         200
     );
     limiter.advance_clock_us(6_100_000);
-    assert!(idle.read_response().is_none(), "closed between requests");
+    assert!(
+        idle.read_response().is_none(),
+        "the idle connection is closed"
+    );
     assert_eq!(server.request_count(), 2);
 }
 
@@ -73,7 +84,7 @@
     let mut new_clients: Vec<Client> = (0..3)
         .map(|_| Client::connect(limiter.platform_address))
         .collect();
-    // One too many is taken: the one that was answered first goes, and the new ones may still ask.
+    // With one connection over the limit, the one idle for longest is closed, and the new ones can still send requests.
     assert!(clients.remove(0).read_response().is_none());
     assert!(
         new_clients
@@ -89,10 +100,13 @@
     let mut clients: Vec<Client> = (0..6)
         .map(|_| Client::connect(limiter.platform_address))
         .collect();
-    // By this answer the others, which came before, have been taken.
+    // The other connections were opened earlier, so they are accepted before this response is sent.
     let mut seventh = Client::connect(limiter.platform_address);
     assert!(!seventh.send_request(READINESS_REQUEST).keep_alive);
-    assert!(seventh.read_response().is_none(), "and closed");
+    assert!(
+        seventh.read_response().is_none(),
+        "the connection is closed after the response"
+    );
     assert!(
         clients
             .iter_mut()
@@ -108,17 +122,26 @@
         .collect();
     let mut client = Client::connect(limiter.platform_address);
     client.send(READINESS_REQUEST);
-    // They go, as many as are in the way, as soon as their first requests are no longer likely to be coming. The
-    // clock goes on until then, however seldom the limiter gets to run.
+    // As many silent connections as needed are closed once their grace period for a first request is over. The clock
+    // advances until then, however rarely the limiter's thread is scheduled.
     client.stream.set_nonblocking(true).unwrap();
     let give_up_at = Instant::now() + TEST_TIMEOUT;
     while client.stream.peek(&mut [0]).is_err() {
-        assert!(Instant::now() < give_up_at, "no answer");
+        assert!(
+            Instant::now() < give_up_at,
+            "no response while silent connections are open"
+        );
         limiter.advance_clock_us(1_000);
         std::thread::yield_now();
     }
     client.stream.set_nonblocking(false).unwrap();
-    assert_eq!(client.read_response().expect("an answer").status, 200);
+    assert_eq!(
+        client
+            .read_response()
+            .expect("the new client gets a response")
+            .status,
+        200
+    );
     drop(silent);
 }
 
@@ -135,7 +158,10 @@
     });
     for _ in 0..request_count {
         assert_eq!(
-            client.read_response().expect("an answer to each").status,
+            client
+                .read_response()
+                .expect("each request gets a response")
+                .status,
             404
         );
     }
@@ -151,9 +177,15 @@
         let mut client = Client::connect(limiter.platform_address);
         let head = idempotent_request("t").replace("Host", "Content-Length: 60000000\r\nHost");
         client.send(&head);
-        // Less than is thrown away: a close with this unread would reset the connection.
+        // The limiter reads and discards more than this: closing with unread bytes would reset the connection.
         client.send(&"x".repeat(100_000));
-        assert_eq!(client.read_response().expect("an error").status, 413);
+        assert_eq!(
+            client
+                .read_response()
+                .expect("the client gets the error response")
+                .status,
+            413
+        );
         assert!(client.read_response().is_none());
     }
     assert_eq!(server.request_count(), 0);
@@ -179,13 +211,13 @@
         send_request(limiter.platform_address, &idempotent_request("same")).status,
         409
     );
-    assert_eq!(server.request_count(), 1, "it has reached no server");
+    assert_eq!(server.request_count(), 1, "the duplicate reaches no server");
     release_sender.send(()).unwrap();
     assert_eq!(first.read_response().unwrap().body, b"first");
     assert_eq!(
         send_request(limiter.platform_address, &idempotent_request("same")).body,
         b"again",
-        "the id is free again"
+        "the id can be used again"
     );
 }
 
@@ -205,7 +237,7 @@
     let mut client = Client::connect(limiter.platform_address);
     client.send(&idempotent_request("t-0"));
     arrival_receiver.recv().unwrap();
-    // More than is taken in while the first one is out.
+    // More than the limiter reads while the first request is in flight.
     let request_count = 40;
     (1..=request_count).for_each(|n| client.send(&idempotent_request(&format!("t-{n}"))));
     assert_eq!(
--- a/crates/limiter/tests/common/mod.rs
+++ b/crates/limiter/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins on loopback for clients, servers, the counter and introspection servers; the clock is driven by hand.
+//! Mock servers, counter and introspection servers and test clients on loopback, and a limiter whose clock is advanced
+//! by the tests.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -14,22 +15,22 @@
 use limiter::net::framing::{self, Request, Response};
 use limiter::net::{Clock, Daemon, Remote};
 
-/// Start of the driven clock: 100 ms before a full second.
+/// Start of the manual clock: 100 ms before a full second.
 pub const CLOCK_START_US: i64 = 1_000_900_000;
-/// Guards a failing test against hanging for ever; nothing is measured by it.
+/// Time after which a failing test gives up instead of hanging. No test measures time by it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a stand-in does with a request.
+/// What a mock server does with a request.
 pub enum Reply {
-    /// Answers.
+    /// Sends a response of this status, headers and body.
     Respond(u16, Vec<(&'static str, &'static str)>, String),
-    /// Answers 200 with this body, and once more unasked.
+    /// Sends a response of status 200 with this body, and a second, unsolicited one.
     RespondTwice(&'static str),
-    /// Sends these bytes.
+    /// Sends these bytes as they are.
     RawBytes(&'static [u8]),
     /// Closes the connection.
     Close,
-    /// Waits for a word of the test, then does this.
+    /// Waits for a message on the channel, then does this.
     Delay(mpsc::Receiver<()>, Box<Reply>),
 }
 
@@ -37,17 +38,19 @@
     Reply::Respond(200, vec![], body.to_string())
 }
 
-/// A server on loopback that notes what it is asked.
+/// A server on loopback that records the requests that it receives.
 pub struct MockServer {
     pub address: SocketAddr,
+    /// All requests received so far.
     pub requests: Arc<Mutex<Vec<Request>>>,
+    /// Receives a message each time a connection ends.
     pub connection_closed: mpsc::Receiver<()>,
-    /// Told each time an answer has been written.
+    /// Receives a message each time a response has been written.
     pub response_written: mpsc::Receiver<()>,
 }
 
 impl MockServer {
-    /// Starts one; `reply` is told each request and how many came before.
+    /// Starts a server; `reply` gets each request and the number of requests before it.
     pub fn start(mut reply: impl FnMut(&Request, usize) -> Reply + Send + 'static) -> MockServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -131,7 +134,7 @@
     }
 }
 
-/// A counter that answers at once.
+/// Starts a counter that responds at once.
 pub fn start_counter() -> MockServer {
     let mut totals: BTreeMap<String, f64> = BTreeMap::new();
     MockServer::start(move |request, _| {
@@ -146,8 +149,7 @@
     })
 }
 
-/// An address where nobody listens. Guards against one that the system gives to another test meanwhile: port 1
-/// is never given out.
+/// An address without a listener. Port 1 is never assigned by the system, so no other test can be listening there.
 pub fn unreachable_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
@@ -163,12 +165,12 @@
   "ConnIdleUs":15000000,"ConnectTimeoutUs":250000,"MostHeld":1000},
  "Rules":{"ColdFrom":0.2,"ColdUs":1000000,"FallMultiple":3,"FallUs":1000000}}"#;
 
-/// The configuration of a limiter in front of these servers.
+/// The platform's configuration of a limiter in front of these servers.
 pub fn config(servers: &[SocketAddr], counter: SocketAddr) -> String {
     config_with_discovery(unreachable_address(), servers, counter)
 }
 
-/// The same with discovery at this address.
+/// The same configuration with discovery at this address.
 pub fn config_with_discovery(
     discovery: SocketAddr,
     servers: &[SocketAddr],
@@ -188,7 +190,7 @@
     )
 }
 
-/// A limiter that runs on a thread of its own.
+/// A limiter that runs on its own thread, with a manual clock.
 pub struct Limiter {
     pub platform_address: SocketAddr,
     pub introspection_address: Option<SocketAddr>,
@@ -210,19 +212,22 @@
     ) -> Limiter {
         let mut config = Environment::default()
             .parse(config)
-            .expect("a good configuration");
-        raft.into_iter()
-            .for_each(|text| config.apply_raft(text).expect("good members"));
+            .expect("the configuration is valid");
+        raft.into_iter().for_each(|text| {
+            config
+                .apply_raft(text)
+                .expect("the Raft configuration is valid")
+        });
         introspection.into_iter().for_each(|text| {
             config
                 .apply_introspection(text)
-                .expect("a good second front")
+                .expect("the introspection configuration is valid")
         });
         let clock_us = Arc::new(AtomicI64::new(CLOCK_START_US));
         let clock = Clock::manual(clock_us.clone());
         let (started_sender, started) = mpsc::channel();
         let thread = thread::spawn(move || {
-            let daemon = Daemon::open(config, clock).expect("sockets open");
+            let daemon = Daemon::open(config, clock).expect("the limiter opens its sockets");
             let (platform_address, introspection_address) = daemon.addresses().unwrap();
             started_sender
                 .send((
@@ -232,7 +237,7 @@
                     daemon.remote(),
                 ))
                 .unwrap();
-            daemon.run().expect("runs to its end");
+            daemon.run().expect("the limiter runs without an error");
         });
         let (platform_address, introspection_address, operator_address, remote) =
             started.recv().unwrap();
@@ -246,20 +251,24 @@
         }
     }
 
-    /// Calls as operators do, and gives the answer's line.
+    /// Sends a command to the operators' address and returns the response line.
     pub fn send_operator_command(&self, command: &str) -> String {
         send_operator_command(
-            self.operator_address.expect("an operators' address"),
+            self.operator_address
+                .expect("the operators' address is configured"),
             command,
         )
     }
 
-    /// A connection at the operators' address.
+    /// Opens a connection to the operators' address.
     pub fn connect_operator(&self) -> Client {
-        Client::connect(self.operator_address.expect("an operators' address"))
+        Client::connect(
+            self.operator_address
+                .expect("the operators' address is configured"),
+        )
     }
 
-    /// Moves the clock on.
+    /// Advances the clock by `micros` and wakes the event loop.
     pub fn advance_clock_us(&self, micros: i64) {
         self.clock_us.fetch_add(micros, Ordering::SeqCst);
         self.remote.wake();
@@ -269,31 +278,31 @@
         self.clock_us.load(Ordering::SeqCst)
     }
 
-    /// Gives it a new configuration.
+    /// Reloads the limiter with a new configuration.
     pub fn reload(&self, config: &str) {
         self.remote.reload(
             Environment::default()
                 .parse(config)
-                .expect("a good configuration"),
+                .expect("the configuration is valid"),
         );
     }
 
-    /// Tells it to end.
+    /// Starts the shutdown.
     pub fn stop(&self) {
         self.remote.stop();
     }
 
-    /// Waits for its end.
+    /// Waits until the limiter has shut down.
     pub fn join(mut self) {
         self.thread
             .take()
             .unwrap()
             .join()
-            .expect("ended without a panic");
+            .expect("the limiter ends without a panic");
     }
 }
 
-/// A client's connection.
+/// A connection of a test client.
 pub struct Client {
     pub stream: TcpStream,
     received: Vec<u8>,
@@ -313,7 +322,7 @@
         self.stream.write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next answer; `None` when the connection ends first.
+    /// Reads the next response; `None` if the connection ends first.
     pub fn read_response(&mut self) -> Option<Response> {
         let mut buffer = [0; 4096];
         loop {
@@ -327,36 +336,38 @@
                 Ok(0) => return None,
                 Ok(length) => self.received.extend_from_slice(&buffer[..length]),
                 Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => return None,
-                Err(error) => panic!("no answer: {error}"),
+                Err(error) => panic!("reading a response failed: {error}"),
             }
         }
     }
 
-    /// All that comes until the connection ends.
+    /// Reads until the connection ends.
     pub fn read_to_end(&mut self) -> String {
         let mut text = String::from_utf8(std::mem::take(&mut self.received)).unwrap();
         match self.stream.read_to_string(&mut text) {
             Ok(_) => text,
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => text,
-            Err(error) => panic!("no end: {error}"),
+            Err(error) => panic!("the connection did not end: {error}"),
         }
     }
 
-    /// Asks and takes the answer.
+    /// Sends a request and reads the response.
     pub fn send_request(&mut self, text: &str) -> Response {
         self.send(text);
-        self.read_response().expect("an answer")
+        self.read_response()
+            .expect("the connection ended before a response")
     }
 }
 
-/// Calls as operators do, and gives the answer's line; empty if the connection ends without one.
+/// Sends a command to an operators' address and returns the response line, empty if the connection ends without one.
 pub fn send_operator_command(address: SocketAddr, command: &str) -> String {
     let mut client = Client::connect(address);
     client.send(command);
     client.read_to_end().trim_end().to_string()
 }
 
-/// Discovery's side of a watch: its request is read and its head answered.
+/// Accepts a watch as discovery does: reads the request and sends the head of the response. Returns the connection and
+/// the request line.
 pub fn accept_watch(mut stream: TcpStream) -> (TcpStream, String) {
     stream.set_nonblocking(false).unwrap();
     let mut bytes = vec![0; 1024];
@@ -372,7 +383,7 @@
     (stream, line)
 }
 
-/// Writes a line in two chunks: a line is not a chunk.
+/// Writes a line in two chunks, because a line need not arrive as one chunk.
 pub fn write_chunked_line(stream: &mut TcpStream, line: &str) {
     let (a, b) = line.split_at(line.len() / 2);
     for chunk in [a, b] {
@@ -382,7 +393,7 @@
     }
 }
 
-/// A request that carries a key.
+/// A request with an idempotency key.
 pub fn keyed_request(key: &str) -> String {
     format!(
         "POST /sign-off?account=0000000000000005 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: t-{key}\r\n\
@@ -391,7 +402,7 @@
     )
 }
 
-/// A request that is safe to repeat.
+/// An idempotent request.
 pub fn idempotent_request(id: &str) -> String {
     format!(
         "GET /lookup?account=0000000000000005 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: {id}\r\n\
@@ -399,7 +410,7 @@
     )
 }
 
-/// Asks on a connection of its own.
+/// Sends a request on a new connection and reads the response.
 pub fn send_request(address: SocketAddr, text: &str) -> Response {
     Client::connect(address).send_request(text)
 }
--- a/crates/limiter/tests/config.rs
+++ b/crates/limiter/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: what is read, and messages that name the faulty key.
+//! Configuration: accepted texts, derived limits, and errors that name the invalid key.
 
 mod common;
 
@@ -8,7 +8,7 @@
 fn config_error(text: &str) -> String {
     Environment::default()
         .parse(text)
-        .expect_err("a fault")
+        .expect_err("the configuration is invalid")
         .to_string()
 }
 
@@ -107,12 +107,12 @@
     );
     assert!(
         limits.max_client_connections > 300 / 3,
-        "silent connections come on top of the busy ones"
+        "silent connections are allowed in addition to busy ones"
     );
     assert!(limits.max_pending_request_bytes < 32 << 20);
     assert!(
         limits.upstream_idle_timeout < 10_000_000,
-        "well before the server's 15 s"
+        "well before the server closes an idle connection after 15 s"
     );
     assert_eq!(limits.shutdown_timeout, 4_600_000);
     let limits_for = |sockets: u32, memory: u32| {
@@ -128,7 +128,7 @@
         let total_window_bytes = limits.relay_window_bytes * limits.max_client_connections;
         assert!(
             total_window_bytes <= (memory as usize) << 18,
-            "transfers on all connections have a quarter of the memory at the most"
+            "transfers on all connections use at most a quarter of the memory"
         );
         assert!((8 << 10..=64 << 10).contains(&limits.relay_window_bytes));
     }
@@ -147,7 +147,7 @@
         .unwrap();
     assert!(
         config.introspection.is_none() && config.raft.is_none(),
-        "as they are shipped"
+        "both are off in the shipped files"
     );
     let enabled_config = |rest: &str| format!("{{\"listen\":\"127.0.0.1:0\",{rest}}}");
     let caller = "\"upstreams\":[\"127.0.0.1:1\"],\"id\":\"a\",\"secret\":\"b\",\"callers\":[{\"id\":\"c\",\"secret\":\"d\"";
@@ -206,7 +206,7 @@
         .unwrap();
     assert!(
         !config.settings.even_shares_counter_lost,
-        "as it is shipped"
+        "off in the shipped file"
     );
     config
         .apply_shared_state(r#"{"counter_lost": "slices"}"#)
@@ -246,7 +246,7 @@
     assert!(error(config.apply_raft("{\"listen\"")).starts_with("not JSON"));
     assert!(
         config.introspection.is_none() && config.raft.is_none(),
-        "a faulty file changes nothing"
+        "an invalid file changes nothing"
     );
 }
 
--- a/crates/limiter/tests/discovery.rs
+++ b/crates/limiter/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's watch: its lines, a lost connection, an end of the list.
+//! The watch of discovery: list changes, a lost or silent connection, and a reload that moves it.
 
 mod common;
 
@@ -10,8 +10,8 @@
 
 const READINESS_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// Lets time pass step by step until a watch is opened. An answer after each step shows that the step was taken in,
-/// so that no more time passes than it needs.
+/// Advances the clock in steps of `step_us` until a watch is opened. A response after each step shows that the limiter
+/// has processed the step, so that no more time passes than needed.
 fn next_watch(listener: &TcpListener, limiter: &Limiter, step_us: i64) -> (TcpStream, String) {
     listener.set_nonblocking(true).unwrap();
     for _ in 0..1_000 {
@@ -21,15 +21,16 @@
             return accept_watch(stream);
         }
     }
-    panic!("no watch was opened");
+    panic!("no watch was opened within 1000 steps");
 }
 
-/// Asks until the limiter has heard: what was written before is read in its next turns.
+/// Polls readiness until it has this status: the limiter reads what was written before in the next iterations of its
+/// event loop.
 fn wait_for_readiness_status(limiter: &Limiter, status: u16) {
     let mut client = Client::connect(limiter.platform_address);
     let reached_status =
         (0..100_000).any(|_| client.send_request(READINESS_REQUEST).status == status);
-    assert!(reached_status, "{status} is told in the end");
+    assert!(reached_status, "readiness did not reach status {status}");
 }
 
 #[test]
@@ -64,13 +65,13 @@
     wait_for_readiness_status(&limiter, 503);
 
     drop(watch);
-    // The loss is noticed, then the wait before a new watch passes.
+    // The limiter notices the loss and waits for its backoff before it opens a new watch.
     let (mut watch, line) = next_watch(&listener, &limiter, 100_000);
     assert_eq!(line, "GET /discovery/hosts?watch=1&from=3 HTTP/1.1");
     write_chunked_line(&mut watch, &list_change(4, "Ready"));
     wait_for_readiness_status(&limiter, 200);
 
-    // A silent one is given up, though its connection stands.
+    // A silent watch is abandoned although its connection is open.
     let (_watch, line) = next_watch(&listener, &limiter, 1_000_000);
     assert!(line.contains("from=4"));
 }
@@ -89,7 +90,7 @@
     let mut release_receiver = Some(release_receiver);
     let first_counter = MockServer::start(move |_, _| {
         arrival_sender.send(()).unwrap();
-        // A total far beyond any allowance: whoever hears it declines.
+        // A total far beyond any quota, so that the limiter rejects the request if it processes this response.
         let total_over_quota = || ok("1000000");
         release_receiver
             .take()
@@ -117,19 +118,19 @@
     assert_eq!(
         old_watch.read(&mut [0; 16]).unwrap(),
         0,
-        "the former watch is closed"
+        "the previous watch is closed"
     );
     release_sender.send(()).unwrap();
     assert_eq!(
         client.read_response().unwrap().status,
         429,
-        "the former counter's answer is heard"
+        "the response of the previous counter is processed"
     );
     let calls_before = first_counter.request_count();
     assert_eq!(
         client.send_request(&idempotent_request_of(6)).status,
         200,
-        "on the connection from before"
+        "the client's connection stays open over the reload"
     );
     assert!(
         second_counter.request_count() > 0 && first_counter.request_count() == calls_before,
--- a/crates/limiter/tests/golden.rs
+++ b/crates/limiter/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The journal of the instances that agree stays as it is, byte for byte: it outlives the program that wrote it.
+//! The format of the Raft journal stays the same byte for byte, because a journal outlives the program version that
+//! wrote it.
 
 use limiter::raft::Member;
 
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -1,5 +1,5 @@
-//! Models of the connections' states, against which random steps are checked. Seeds are fixed: the same verdict
-//! every time.
+//! Model-based tests: random steps on connections and the engine are checked against simple models of their states. The
+//! seeds are fixed, so each run checks the same steps.
 
 use std::collections::VecDeque;
 
@@ -16,7 +16,7 @@
     ServerId, ServerState, Settings,
 };
 
-/// Runs a property on the same random steps each time.
+/// Checks a property on 300 random sequences of steps, which the seed determines.
 fn check<T: Testable>(seed: u64, property: T) {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, seed))
@@ -24,7 +24,7 @@
         .quickcheck(property);
 }
 
-/// A step, and a number to choose by.
+/// The kind of a step, and a number that selects among its variants.
 #[derive(Clone, Copy, Debug)]
 struct Step(u8, u8);
 
@@ -77,7 +77,7 @@
     fn property(steps: Vec<Step>) -> bool {
         let limits = Limits::default();
         let mut connection = CounterConnection::default();
-        // The model: calls not written, and written ones with whether their outcome was given.
+        // The model: unsent calls as (counter, deadline), and sent ones with whether their outcome has been reported.
         let mut unsent_calls: VecDeque<(u64, i64)> = VecDeque::new();
         let mut sent_calls: VecDeque<(u64, i64, bool)> = VecDeque::new();
         let (mut connected, mut moving, mut now_us, mut next_counter) =
@@ -135,7 +135,7 @@
                             reported.push(result);
                             expected.push((name, outcome));
                         }
-                        // Late: matched off to its own call, and told to nobody.
+                        // A late response is matched to its own call, and no outcome is reported.
                         (CounterResponse::Late { engine_index: 0 }, Some((_, _, true)))
                         | (CounterResponse::Unsolicited, None) => {}
                         _ => return false,
@@ -183,7 +183,7 @@
             {
                 return false;
             }
-            // It leaves once all that it wrote has its outcome, and takes along what it did not write.
+            // The move finishes once all sent calls have their outcomes, and keeps the unsent calls.
             let move_finishes = moving && sent_calls.iter().all(|c| c.2);
             if connection.finish_move().is_some() != move_finishes {
                 return false;
@@ -224,7 +224,7 @@
             "at {now_us}"
         );
     }
-    // Nothing is owed to one on which everything was answered.
+    // A connection without outstanding responses is never silent.
     let mut idle_connection = CounterConnection::default();
     idle_connection.handle_connected(0);
     assert!(!idle_connection.is_silent_since(1_000));
@@ -313,7 +313,7 @@
         let limits = Limits::default();
         let mut now_us = 1_000_000;
         let mut connection = ClientConnection::new(now_us);
-        // The model: since when nothing whole has come, whether an answer was ever written, what is going on.
+        // The model: since when no complete request has arrived, whether a response was ever written, and the stage.
         let (
             mut waiting_since_us,
             mut has_responded,
@@ -417,10 +417,11 @@
     }
 }
 
-/// What the model of an authorisation knows.
+/// The model of a request.
 #[derive(Default)]
 struct RequestModel {
     class: usize,
+    /// Index of the attempt in flight.
     attempt_in_flight: Option<u32>,
     attempts_started: u32,
     is_ended: bool,
@@ -456,7 +457,7 @@
         let mut requests: Vec<(AuthorisationKey, RequestModel)> = Vec::new();
         let mut counter_calls = VecDeque::new();
         let mut steps = steps;
-        // At the end time passes until all deadlines are over.
+        // At the end, time advances past all deadlines.
         steps.extend([Step(0, 255); 40]);
         for Step(kind, choice) in steps {
             let mut actions = Vec::new();
@@ -493,7 +494,7 @@
                         Outcome::Reset,
                         Outcome::ConnectFailed,
                     ][usize::from(choice / 40) % 6];
-                    // A leg that was never started, or has ended, is nobody's.
+                    // The end of an attempt that was never started, or has ended, must be ignored.
                     let attempt = request
                         .attempt_in_flight
                         .unwrap_or(request.attempts_started + 1);
@@ -613,7 +614,7 @@
                 engine.handle_counter_result(name, Outcome::Ok, 1.0);
             }
         }
-        // The counter's answer and the client's leaving come to the module together.
+        // The counter's response and the client's disconnect reach the engine in the same run.
         if disconnects {
             engine.handle_client_disconnected(now_us, key, &mut actions);
         }
@@ -628,6 +629,6 @@
     }
     assert!(
         starts_attempt(&mut engine, 1_000, false),
-        "no server is taken to be full of legs that were never sent"
+        "attempts that were never sent do not count against the servers' capacity"
     );
 }
--- a/crates/limiter/tests/operations.rs
+++ b/crates/limiter/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Days of operation on driven time: the operators' calls, servers taken out, clients sent away.
+//! Operators' commands under a manual clock: disabled servers, drain and resume, shutdown.
 
 mod common;
 
@@ -54,7 +54,7 @@
             .send_operator_command(&"x".repeat(4_000))
             .starts_with("error the line is too long")
     );
-    // A half line and a close.
+    // An incomplete line, then a close.
     drop({
         let mut partial = limiter.connect_operator();
         partial.send("drain");
@@ -78,13 +78,25 @@
     assert_eq!(client.send_request(&idempotent_request("a")).status, 200);
     let mut silent: Vec<Client> = (0..20).map(|_| limiter.connect_operator()).collect();
     assert_eq!(limiter.send_operator_command("ready\n"), "done");
-    assert_eq!(silent[0].read_to_end(), "", "the oldest went");
+    assert_eq!(
+        silent[0].read_to_end(),
+        "",
+        "the oldest connection is closed"
+    );
     let newest = silent.last_mut().unwrap();
     newest.send("ready\n");
-    assert_eq!(newest.read_to_end(), "done\n", "the latest is still heard");
+    assert_eq!(
+        newest.read_to_end(),
+        "done\n",
+        "the newest connection is still served"
+    );
     assert_eq!(client.send_request(&idempotent_request("b")).status, 200);
     limiter.advance_clock_us(11_000 * US_PER_MS);
-    assert_eq!(silent[18].read_to_end(), "", "none stays for ever");
+    assert_eq!(
+        silent[18].read_to_end(),
+        "",
+        "an idle operator connection times out"
+    );
 }
 
 #[test]
@@ -114,17 +126,20 @@
     first
         .connection_closed
         .recv_timeout(TEST_TIMEOUT)
-        .expect("an idle connection to it goes at once");
+        .expect("an idle connection to the disabled server is closed at once");
     let count_before = first.request_count();
     send_requests(30, 60);
     assert_eq!(first.request_count(), count_before);
-    // One call back ends it, however often it was taken out; it is used again, as one that has just started.
+    // One command enables the server, however often it was disabled. It is then used like one that has just started.
     assert_eq!(limiter.send_operator_command("enable-server s-0\n"), "done");
     for n in 60..400 {
         send_requests(n, n + 1);
         limiter.advance_clock_us(5 * US_PER_MS);
     }
-    assert!(first.request_count() > count_before, "used again");
+    assert!(
+        first.request_count() > count_before,
+        "the server is used again"
+    );
 }
 
 #[test]
@@ -144,7 +159,7 @@
     assert_eq!(
         limiter.send_operator_command("ready\n"),
         "done",
-        "the process takes clients; `/up` says whether it can serve them"
+        "the process accepts clients; `/up` reports whether it can serve them"
     );
     assert_eq!(limiter.send_operator_command("enable-server s-0\n"), "done");
     assert_eq!(
@@ -185,11 +200,11 @@
     assert_eq!(
         limiter.send_operator_command("ready\n"),
         "done",
-        "the process takes who still comes"
+        "the process still accepts connections"
     );
     let readiness = send_request(limiter.platform_address, READINESS_REQUEST);
     assert!(readiness.status == 503 && !readiness.keep_alive);
-    // In the notice both who comes and who is there are served, once.
+    // During the notice period, new and existing connections are served one request each.
     for client in [
         &mut keep_alive_client,
         &mut Client::connect(limiter.platform_address),
@@ -198,7 +213,7 @@
         assert!(response.status == 200 && !response.keep_alive);
         assert_eq!(client.read_to_end(), "");
     }
-    // After it idle connections go, and what is out is finished.
+    // Afterwards idle connections are closed, and requests in flight are finished.
     let mut silent = Client::connect(limiter.platform_address);
     limiter.advance_clock_us(600 * US_PER_MS);
     assert_eq!(idle.read_to_end(), "");
@@ -209,9 +224,9 @@
     assert_eq!(
         silent.read_to_end(),
         "",
-        "who says nothing can't hold the drain open"
+        "a silent connection does not prolong the drain"
     );
-    // A half head can't either.
+    // Neither does an incomplete head.
     let mut partial = Client::connect(limiter.platform_address);
     partial.send("GET /lookup HTTP/1.1\r\n");
     send_request(limiter.platform_address, READINESS_REQUEST);
@@ -307,5 +322,5 @@
             .body
             == b"first"
     });
-    assert!(is_used_again, "used again");
+    assert!(is_used_again, "the server is used again");
 }
--- a/crates/limiter/tests/plan_changes.rs
+++ b/crates/limiter/tests/plan_changes.rs
@@ -1,4 +1,4 @@
-//! Plans that change while the engine runs: what each request is judged by, at two limiters that share a counter.
+//! Plan changes while the engines run: the plan that applies to each request at two limiters that share a counter.
 
 use std::collections::BTreeMap;
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Limiters with a book each, and one counter that answers at once, or when it is told to.
+/// Two limiters with their own plan resolvers, and a shared counter that responds at once unless it is paused.
 struct Cluster {
     engines: Vec<Engine>,
     totals: BTreeMap<CounterKey, f64>,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A change, given to every limiter. `after`: seconds from now.
+    /// Applies a plan change at every limiter. It takes effect `delay_s` seconds from now.
     fn apply_change(&mut self, id: &str, delay_s: i64, operation: &str) {
         let effective_at_us = self.now_us + delay_s * SECOND_US;
         let text = format!(
@@ -116,7 +116,8 @@
             .unwrap()
     }
 
-    /// Lets a limiter decide; how many legs went out, each of them served, and what was declined.
+    /// Runs a limiter's engine until it has no more actions; each attempt succeeds at once. Returns the number of attempts
+    /// started and the number of requests declined.
     fn run_engine(&mut self, limiter: usize) -> (usize, usize) {
         let (mut started, mut declined) = (0, 0);
         for _ in 0..8 {
@@ -183,20 +184,23 @@
 fn moving_a_customer_takes_effect_on_time_and_grants_no_second_burst() {
     let mut cluster = Cluster::new();
     let served = cluster.serve_requests(0, 30);
-    assert!((9..=11).contains(&served), "{served} of a store of 10");
+    assert!(
+        (9..=11).contains(&served),
+        "served {served} from a burst of 10"
+    );
     cluster.apply_change("m", 0, MOVE_TO_EMPRESA);
     let (served_by_first, served_by_second) =
         (cluster.serve_requests(0, 20), cluster.serve_requests(1, 20));
     assert!(
         served_by_first + served_by_second <= 2,
-        "{served_by_first} and {served_by_second} right after the change"
+        "served {served_by_first} and {served_by_second} right after the change"
     );
-    // A second later 20 have flowed in, by the new rate.
+    // A second later the bucket holds 20 more, at the new rate.
     cluster.now_us += SECOND_US;
     let served_after_refill = cluster.serve_requests(0, 60);
     assert!(
         (16..=24).contains(&served_after_refill),
-        "{served_after_refill} of 20"
+        "served {served_after_refill} of 20"
     );
 }
 
@@ -209,7 +213,7 @@
     let retry = cluster.submit_request(1);
     assert_eq!(cluster.resolved_plan(0, first), ("taller".into(), 1));
     assert_eq!(cluster.resolved_plan(1, retry), ("empresa".into(), 1));
-    // A clock that steps back over the instant: what holds then is what held then.
+    // A clock that steps back to before the change resolves to the plan that applied then.
     cluster.now_us -= SECOND_US / 2;
     let key_before_change = cluster.submit_request(1);
     assert_eq!(cluster.resolved_plan(1, key_before_change).0, "taller");
@@ -222,7 +226,11 @@
     for _ in 0..6 {
         cluster.submit_request(0);
     }
-    assert_eq!(cluster.run_engine(0).0, 0, "they wait for the counter");
+    assert_eq!(
+        cluster.run_engine(0).0,
+        0,
+        "the requests wait for the counter"
+    );
     cluster.apply_change(
         "f",
         0,
@@ -233,12 +241,12 @@
     assert_eq!(
         cluster.run_engine(0),
         (6, 0),
-        "taken under the plan before, and within it"
+        "admitted under the previous plan and within its quota"
     );
     let served_after_change = cluster.serve_requests(0, 20);
     assert!(
         served_after_change <= 3,
-        "{served_after_change} of the 2 that the lower plan holds"
+        "served {served_after_change} from the lower plan's burst of 2"
     );
 }
 
@@ -246,7 +254,7 @@
 fn frequent_plan_changes_across_quota_windows_preserve_the_quota() {
     let mut cluster = Cluster::new();
     let (mut served, started_at_us) = (0, cluster.now_us);
-    // Twenty seconds, with a change every half second; at either limiter in turn.
+    // 20 s with a change every half second, and requests to the two limiters in turn.
     for step in 0..40 {
         cluster.apply_change(
             &format!("c{step}"),
@@ -264,11 +272,11 @@
         }
     }
     let elapsed_s = (cluster.now_us - started_at_us) as f64 / 1e6;
-    // Half of the time at 5 a second, half at 20, from a store of 10.
+    // Half of the time at 5 per second and half at 20, after a burst of 10.
     let expected = 10.0 + elapsed_s * 12.5;
     assert!(
         (served as f64) <= expected * 1.05 && served as f64 >= expected * 0.8,
-        "{served} of {expected:.0} in {elapsed_s:.1} s"
+        "served {served} of {expected:.0} in {elapsed_s:.1} s"
     );
 }
 
--- a/crates/limiter/tests/platform.rs
+++ b/crates/limiter/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's front against stand-ins: each outcome, bad input, a client that leaves, the end.
+//! The platform's front end against mock servers: outcomes of attempts, invalid input, client disconnects, shutdown and
+//! failures of the counter.
 
 mod common;
 
@@ -7,7 +8,8 @@
 
 use common::*;
 
-/// A limiter before one server of `names` names: the module suspects a silent one only where there is another.
+/// Starts a limiter in front of one server that is listed under `server_names` names. The decision module suspects a
+/// silent server only if another one is listed.
 fn start_server_and_limiter(
     server_names: usize,
     reply: impl FnMut(&limiter::net::framing::Request, usize) -> Reply + Send + 'static,
@@ -62,7 +64,7 @@
 
 #[test]
 fn failed_attempts_are_retried_only_where_the_request_may_be_repeated() {
-    // What the server does at first, for a lookup and a sign-off: statuses, and how often it was sent.
+    // The server's first reply, for an idempotent and a keyed request: both are sent again.
     let not_executed = |status| Reply::Respond(status, vec![("X-Never-Ran", "1")], String::new());
     type Case = (&'static str, fn() -> Reply);
     let cases: [Case; 3] = [
@@ -82,7 +84,7 @@
             assert_eq!(
                 server.request_count(),
                 2,
-                "{name}: once more, in the group of the first"
+                "{name}: sent once more, within the group of the first attempt"
             );
         }
     }
@@ -100,7 +102,7 @@
         );
         assert_eq!(server.request_count(), 2);
     }
-    // A sign-off that may have run each time is not declined: that would promise that a retry is harmless.
+    // A keyed request that may have been executed is not declined, as that would promise that a retry is harmless.
     let (_, limiter) =
         start_server_and_limiter(1, |_, _| Reply::Respond(500, vec![], String::new()));
     assert_eq!(
@@ -111,7 +113,7 @@
         send_request(limiter.platform_address, &idempotent_request("t")).status,
         503
     );
-    // Nobody listens: nothing ran, so even a sign-off is declined.
+    // No server listens, so nothing was executed and even a keyed request is declined.
     let limiter = Limiter::start(
         &config(&[unreachable_address()], start_counter().address),
         None,
@@ -209,7 +211,7 @@
     client.send(&keyed_request("k"));
     arrival_receiver.recv().unwrap();
     drop(client);
-    // An answered request after it: by then the limiter has seen the end of the first.
+    // When this later request is answered, the limiter has read the disconnect of the first client.
     assert_eq!(
         send_request(
             limiter.platform_address,
@@ -222,7 +224,7 @@
     server
         .connection_closed
         .recv_timeout(std::time::Duration::from_secs(5))
-        .expect("its connection is closed");
+        .expect("the connection is closed");
     assert_eq!(server.request_count(), 1);
 }
 
@@ -266,9 +268,12 @@
         b"during the notice"
     );
     limiter.advance_clock_us(600_000);
-    assert!(second.read_response().is_none(), "closed between requests");
+    assert!(
+        second.read_response().is_none(),
+        "the idle connection is closed"
+    );
     release_sender.send(()).unwrap();
-    let last_response = first.read_response().expect("what was taken is finished");
+    let last_response = first.read_response().expect("the open request is finished");
     assert!(last_response.body == b"late" && !last_response.keep_alive);
     limiter.join();
 }
@@ -277,7 +282,7 @@
 fn unresponsive_counter_lets_requests_pass_after_its_timeout() {
     let (server, counter) = (
         MockServer::start(|_, _| ok("done")),
-        // Keeps every call waiting.
+        // Never responds to a call.
         MockServer::start(|_, _| {
             let (release_sender, release_receiver) = mpsc::channel();
             std::mem::forget(release_sender);
@@ -308,7 +313,7 @@
     server
         .connection_closed
         .recv_timeout(std::time::Duration::from_secs(5))
-        .expect("its connection is closed");
+        .expect("the connection is closed");
     assert_eq!(client.send_request(&keyed_request("k1")).body, b"second");
 }
 
@@ -316,7 +321,7 @@
 fn counter_calls_do_not_queue_behind_unanswered_calls() {
     let server = MockServer::start(|_, _| ok("done"));
     let (arrival_sender, arrival_receiver) = mpsc::channel();
-    // The first call is never answered, and so is nothing behind it on its connection.
+    // The first call is never answered, and neither is any later one on the same connection.
     let counter = MockServer::start(move |_, n| {
         if n > 0 {
             return ok("2");
@@ -334,13 +339,13 @@
     assert_eq!(
         client.read_response().unwrap().status,
         200,
-        "passes without an answer of the counter"
+        "the request passes without the counter's response"
     );
     limiter.advance_clock_us(500_000);
     assert_eq!(
         client.send_request(&keyed_request("k1")).status,
         200,
-        "and the clock stands still for this one"
+        "the next request gets its response without the clock advancing"
     );
     assert!(counter.request_count() >= 2);
 }
@@ -350,9 +355,9 @@
     let malformed_responses: [&[u8]; 4] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n--3",
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-        // The number is longer than any, and what follows would be taken for its end.
+        // Longer than any number, so that a later response would be taken for the rest of it.
         b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n",
-        // A head that does not end.
+        // An incomplete head.
         b"HTTP/1.1 200 OK\r\nX-Pad: p",
     ];
     for (n, bytes) in malformed_responses.into_iter().enumerate() {
@@ -368,7 +373,8 @@
         let mut client = Client::connect(limiter.platform_address);
         client.send(&keyed_request("k0"));
         if n == 3 {
-            // What has begun may still end until the call's time is up. By the answer it has been read.
+            // An incomplete response may be completed until the call times out. The response to this request shows that
+            // the limiter has read the malformed bytes.
             counter.response_written.recv().unwrap();
             send_request(limiter.platform_address, "GET /up HTTP/1.1\r\n\r\n");
             limiter.advance_clock_us(120_000);
@@ -377,11 +383,11 @@
         counter
             .connection_closed
             .recv_timeout(std::time::Duration::from_secs(5))
-            .expect("its connection is closed");
+            .expect("the connection is closed");
         assert_eq!(
             client.send_request(&keyed_request("k1")).status,
             200,
-            "and the clock stands still for this one"
+            "the next request gets its response without the clock advancing"
         );
     }
 }
@@ -410,7 +416,7 @@
         server
             .connection_closed
             .recv_timeout(std::time::Duration::from_secs(5))
-            .expect("its connection is closed");
+            .expect("the connection is closed");
     }
 }
 
--- a/crates/limiter/tests/process.rs
+++ b/crates/limiter/tests/process.rs
@@ -1,4 +1,4 @@
-//! The program as a process: what a signal does to it.
+//! The program as a process: signals, restarts with an inherited socket, memory, log and usage commands.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 use common::*;
 
-/// Ends the process also when the test fails.
+/// Kills the process on drop, also when the test fails.
 struct Process(Child);
 
 impl Drop for Process {
@@ -36,7 +36,7 @@
         .unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap()).lines();
     let process = Process(child);
-    // Ends with the log if the program does.
+    // Fails when the log ends, so an early exit of the program does not hang the test.
     let mut next_log_line_containing = |text: &str| {
         log.by_ref()
             .map(Result::unwrap)
@@ -67,8 +67,8 @@
     next_log_line_containing("told to end");
 }
 
-/// A process that inherits the clients' listening socket: as its standard input, the one descriptor that a test can
-/// hand over without unsafe code.
+/// A limiter process that inherits the clients' listening socket as its standard input, the one descriptor that a test
+/// can pass on without unsafe code.
 struct InheritingProcess {
     process: Process,
     operator_address: SocketAddr,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Waits until it says that it takes clients.
+    /// Waits until the process reports that it accepts clients.
     fn wait_until_ready(&mut self) {
         let started_at = Instant::now();
         while std::net::TcpStream::connect(self.operator_address).is_err()
@@ -103,7 +103,7 @@
         {
             assert!(
                 self.process.0.try_wait().unwrap().is_none() && started_at.elapsed() < TEST_TIMEOUT,
-                "it starts"
+                "the process exited or did not become ready in time"
             );
             thread::sleep(Duration::from_millis(5));
         }
@@ -121,7 +121,8 @@
     }
 }
 
-/// An address that was free a moment ago; guards against two tests that are given the same one by holding none.
+/// An address that the system assigned a moment ago and that is free again. Another test can be assigned the same one,
+/// as it is not held until it is used.
 fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -152,7 +153,7 @@
     let mut old_process = InheritingProcess::start(directory.path(), &config_text, &socket);
     old_process.wait_until_ready();
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
-    // Each client goes on on its connection for as long as that stays open, and is told its end before it asks again.
+    // Each client keeps its connection until a response announces its close, then connects anew for the next request.
     let client_threads: Vec<_> = (0..4)
         .map(|number| {
             let stop = stop.clone();
@@ -177,7 +178,7 @@
             thread::sleep(Duration::from_millis(1));
         }
     };
-    // Twice in a row, and before each of them one that dies before it is ready.
+    // Two restarts, each preceded by a process that fails before it is ready.
     for _ in 0..2 {
         wait_for_50_requests();
         let invalid_config = config_text.replace("\"Lanes\"", "\"Lines\"");
@@ -191,7 +192,7 @@
         let signalled_at = Instant::now();
         assert!(
             old_process.exited_successfully() && signalled_at.elapsed() < Duration::from_secs(4),
-            "what is idle does not keep it"
+            "idle connections do not delay the exit"
         );
         old_process = new_process;
     }
@@ -201,7 +202,11 @@
         .into_iter()
         .map(|client_thread| client_thread.join().unwrap())
         .sum();
-    assert_eq!(server.request_count(), request_count, "each ran once");
+    assert_eq!(
+        server.request_count(),
+        request_count,
+        "each request was executed once"
+    );
 }
 
 #[test]
@@ -215,7 +220,7 @@
         start_counter().address,
     )
     .replace("127.0.0.1:0", &address.to_string());
-    // What an earlier process left torn stops nobody.
+    // A truncated record of an earlier process does not prevent the start.
     std::fs::write(
         directory.path().join("streamarch-operations"),
         "streamarch-operations-1 00",
@@ -235,10 +240,10 @@
     };
     assert!(
         all_served_by_second(40),
-        "the new process has it out from its start"
+        "the server is disabled at the new process from its start"
     );
     assert_eq!(servers[0].request_count(), 0);
-    // Called back at the new one, and out again, with the server's fellow: the old one hears of it.
+    // The new process enables this server, disables the other one and drains; the old process learns of it.
     assert_eq!(
         send_operator_command(new_process.operator_address, "enable-server s-0\n"),
         "done"
@@ -257,7 +262,7 @@
     assert_eq!(
         (readiness.status, readiness.keep_alive),
         (503, false),
-        "the old one drains"
+        "the old process drains too"
     );
     assert_eq!(
         send_operator_command(old_process.operator_address, "resume\n"),
@@ -267,7 +272,7 @@
     while send_request(address, &idempotent_request("u")).body != b"out" {
         assert!(
             started_at.elapsed() < TEST_TIMEOUT,
-            "called back at the old one too"
+            "the server is enabled at the old process too"
         );
     }
     let count_before = servers[1].request_count();
@@ -275,13 +280,13 @@
     assert_eq!(
         servers[1].request_count(),
         count_before,
-        "taken out at the old one too"
+        "the other server is disabled at the old process too"
     );
     old_process.send_signal("TERM");
     assert!(old_process.exited_successfully());
 }
 
-/// The most memory that a process has had, in KiB.
+/// Peak resident memory of a process in KiB.
 fn peak_memory_kib(process: &Process) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.0.id())).unwrap();
     let line = status
@@ -296,7 +301,7 @@
     const BODY_BYTES: usize = 32 << 20;
     const TRANSFERS_PER_DIRECTION: usize = 8;
     let directory = tempfile::tempdir().unwrap();
-    // Takes a body in slowly at first, and gives one as long as fast as it is taken.
+    // Waits before it reads a request body, then sends a response body of the same length as fast as the client reads.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let server = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -318,7 +323,7 @@
                 while remaining_bytes > 0 {
                     match stream.read(&mut buffer) {
                         Ok(length) if length > 0 => remaining_bytes -= length,
-                        // The leg is over; its client tells.
+                        // The attempt is over; the client's assertion reports a failure.
                         _ => return,
                     }
                 }
@@ -332,8 +337,9 @@
     });
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    // These servers take 0.3 s to answer, as long as silence needs to be suspected: on a busy machine all are, and what
-    // may be repeated would be moved from one to the next until its tries are over. That is for other tests.
+    // The server waits 0.3 s before it responds, as long as a server may be silent before it is suspected. On a busy
+    // machine all would be suspected, and idempotent requests would be moved between them until their attempts are used
+    // up. Other tests cover that, so cancelling is off here.
     let config_text = config(&[server; 32], start_counter().address)
         .replace("127.0.0.1:0", &address.to_string())
         .replace("\"Cancelling\":true", "\"Cancelling\":false");
@@ -360,7 +366,7 @@
             let buffer = vec![3; 1 << 20];
             (0..BODY_BYTES >> 20).for_each(|_| client.write_all(&buffer).unwrap());
         }
-        // Takes nothing in for a while, then all.
+        // Reads nothing for a while, then everything.
         thread::sleep(Duration::from_millis(300));
         let (mut buffer, mut received_bytes) = (vec![0; 1 << 20], 0);
         while received_bytes < BODY_BYTES {
@@ -498,9 +504,9 @@
     assert!(!is_valid && output.contains("damaged at byte "), "{output}");
 }
 
-/// Guards what a limiter that stood still does with requests whose clients gave up meanwhile: the request and the
-/// client's end are read together, and the request costs no call of the counter. A burst of such calls after a
-/// pause starved the other limiters' calls (`docs/shared-state.md`).
+/// Guards against counter calls for requests whose clients disconnected while the limiter was paused. The request and
+/// the disconnect are then read together. A burst of such calls after a pause starved the calls of the other limiters
+/// (`docs/shared-state.md`).
 #[test]
 fn request_read_after_a_pause_together_with_its_clients_disconnect_makes_no_counter_call() {
     let directory = tempfile::tempdir().unwrap();
@@ -523,12 +529,12 @@
     assert_eq!(
         (counter.request_count(), server.request_count()),
         (0, 0),
-        "no call and no leg for a client that has gone"
+        "no counter call and no attempt for a disconnected client"
     );
     assert_eq!(
         send_request(address, &idempotent_request("here")).status,
         200,
-        "it serves on"
+        "later requests are served"
     );
     process.send_signal("TERM");
     assert!(process.exited_successfully());
--- a/crates/limiter/tests/relay.rs
+++ b/crates/limiter/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Long and slow messages: answers that are relayed, bodies that come slowly, and what a client can tell of a cut.
+//! Long and slow messages: relayed responses, streamed and slow request bodies, and truncation that clients can detect.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 use common::*;
 
-/// A server that does this with each connection, once a request has come on it.
+/// Starts a server that runs `handle_connection` on each connection, with the first bytes received on it.
 fn start_raw_server(
     handle_connection: impl Fn(&mut TcpStream, Vec<u8>) + Send + Sync + Clone + 'static,
 ) -> std::net::SocketAddr {
@@ -30,18 +30,19 @@
     address
 }
 
-/// Reads on. Ends the server's thread with the connection.
+/// Appends the next bytes of the connection to `bytes`. Panics at its end, which ends the server's thread.
 fn read_more(stream: &mut TcpStream, buffer: &mut [u8], bytes: &mut Vec<u8>) {
-    let length = stream.read(buffer).expect("the connection holds");
-    assert!(length > 0, "the connection holds");
+    let length = stream.read(buffer).expect("the connection stays open");
+    assert!(length > 0, "the connection stays open");
     bytes.extend_from_slice(&buffer[..length]);
 }
 
+/// Starts a limiter in front of one server.
 fn start_limiter(server: std::net::SocketAddr) -> Limiter {
     Limiter::start(&config(&[server], start_counter().address), None)
 }
 
-/// Bytes by which a shift or a gap shows.
+/// A body in which shifted or missing bytes are detected.
 fn patterned_body(length: usize) -> Vec<u8> {
     (0..length).map(|n| (n * 31 / 7) as u8).collect()
 }
@@ -49,7 +50,7 @@
 const BODY_MATCHES_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const BODY_DIFFERS_RESPONSE: &[u8] = b"HTTP/1.1 500 Other\r\nContent-Length: 0\r\n\r\n";
 
-/// Limits for the ends of a transfer, which hold messages whole.
+/// Limits for the test's own client and servers, which buffer complete messages.
 fn large_message_limits() -> limiter::limits::Limits {
     limiter::limits::Limits {
         max_buffered_body_bytes: 64 << 20,
@@ -57,7 +58,7 @@
     }
 }
 
-/// Reads a whole answer of any length: what the limits of the others are for does not hold here.
+/// Reads a complete response of up to 64 MiB; `None` if the connection ends first.
 fn read_long_response(stream: &mut TcpStream) -> Option<limiter::net::framing::Response> {
     let limits = large_message_limits();
     let mut bytes = Vec::new();
@@ -67,7 +68,7 @@
             Ok(0) | Err(_) => return None,
             Ok(length) => bytes.extend_from_slice(&buffer[..length]),
         }
-        // Parsed where it may be whole only: the tail tells, for a length as for chunks.
+        // Yields a response once it is complete, for a length as for chunks.
         if let Some((response, _)) =
             limiter::net::framing::parse_response(&bytes, false, &limits).unwrap()
         {
@@ -108,7 +109,7 @@
             } else {
                 b""
             });
-            // Small pieces first, so that heads and chunks are cut anywhere.
+            // The first bytes are written one by one, so that heads and chunks are split at every position.
             out[..400]
                 .iter()
                 .for_each(|byte| stream.write_all(&[*byte]).unwrap());
@@ -117,17 +118,19 @@
         });
         let limiter = start_limiter(server);
         let mut stream = open_request(&limiter, &idempotent_request("t"));
-        let response = read_long_response(&mut stream).expect("whole");
+        let response = read_long_response(&mut stream).expect("the response is complete");
         assert!(
             response.status == 200 && response.body == body && response.keep_alive,
             "{framing}"
         );
-        // The connection is free for the next request.
+        // The connection can be used for the next request.
         stream
             .write_all(idempotent_request("u").as_bytes())
             .unwrap();
         assert_eq!(
-            read_long_response(&mut stream).expect("whole").body,
+            read_long_response(&mut stream)
+                .expect("the response is complete")
+                .body,
             body,
             "{framing}"
         );
@@ -194,9 +197,9 @@
             let mut first_part = vec![0; 90_000];
             stream
                 .read_exact(&mut first_part)
-                .expect("what the server gave is passed on");
+                .expect("the bytes received from the server are relayed");
             if is_silent {
-                // All that was sent has been read by then: what is asked now is answered in a later turn.
+                // This request is answered in a later iteration of the event loop, after all sent bytes were read.
                 assert_eq!(
                     send_request(limiter.platform_address, "GET /up HTTP/1.1\r\n\r\n").status,
                     200
@@ -204,7 +207,7 @@
                 limiter.advance_clock_us(8_500_000);
                 limiter.advance_clock_us(4_500_000);
             }
-            // The connection ends, short of what was promised, or without the last chunk.
+            // The connection ends before the announced length, or without the last chunk.
             let mut remainder = Vec::new();
             let _ = stream.read_to_end(&mut remainder);
             assert!(
@@ -229,7 +232,7 @@
     drop(stream);
     closed_receiver
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the server's connection is closed too");
+        .expect("the upstream connection is closed too");
     assert_eq!(
         send_request(limiter.platform_address, "GET /up HTTP/1.1\r\n\r\n").status,
         200
@@ -246,7 +249,7 @@
         "Expect: 100-continue\r\nContent-Length: 65536\r\n\r\n",
     );
     client.send(&request[..50]);
-    // What is asked afterwards is answered in a later turn: the part has been read.
+    // This request is answered in a later iteration of the event loop, after the sent part was read.
     let wait_for_turn = || {
         assert_eq!(
             send_request(limiter.platform_address, "GET /up HTTP/1.1\r\n\r\n").status,
@@ -259,7 +262,7 @@
     assert_eq!(
         client.stream.read(&mut [0; 64]).unwrap(),
         25,
-        "100 Continue, at once"
+        "the 100 Continue response is sent at once"
     );
     for _ in 0..16 {
         client.send(&"x".repeat(4_096));
@@ -267,7 +270,7 @@
         limiter.advance_clock_us(64_000);
     }
     assert_eq!(client.read_response().unwrap().body, b"65536");
-    // One that falls silent is not waited for.
+    // A body that stalls times out.
     let mut client = Client::connect(limiter.platform_address);
     client.send(&request.replace("t-k", "t-l"));
     client.stream.read_exact(&mut [0; 25]).unwrap();
@@ -324,7 +327,7 @@
     assert_eq!(read_long_response(&mut stream).unwrap().status, 200);
 }
 
-/// A request with a body of this many bytes, as the start of it.
+/// The head of a request that announces a body of `length` bytes.
 fn request_head_with_body_length(key: &str, length: usize) -> String {
     keyed_request(key).replace(
         "Content-Length: 5\r\n\r\nhours",
@@ -368,14 +371,14 @@
     client.write_all(&body[..2_000_000]).unwrap();
     arrival_receiver
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the server has the first of it before the last has come");
+        .expect("the server gets the start of the body before the client has sent its end");
     client.write_all(&body[2_000_000..]).unwrap();
     assert_eq!(read_long_response(&mut client).unwrap().status, 200);
     client.write_all(b"GET /up HTTP/1.1\r\n\r\n").unwrap();
     assert_eq!(
         read_long_response(&mut client).unwrap().status,
         200,
-        "the connection goes on"
+        "the connection can be used for the next request"
     );
 }
 
@@ -398,8 +401,8 @@
     client.write_all(&patterned_body(1_000_000)).unwrap();
     arrival_receiver
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the server has the first of it");
-    // Longer than a server may be silent before it is suspected, where there are no probes.
+        .expect("the server gets the start of the body");
+    // Longer than a server may be silent before it is suspected, without probes.
     for _ in 0..4 {
         limiter.advance_clock_us(110_000);
         assert_eq!(
@@ -409,14 +412,16 @@
     }
     client.write_all(&patterned_body(2_000_000)).unwrap();
     assert_eq!(
-        read_long_response(&mut client).expect("an answer").status,
+        read_long_response(&mut client)
+            .expect("the request gets a response")
+            .status,
         200
     );
 }
 
 #[test]
 fn body_is_resent_only_while_fully_buffered_and_otherwise_fails_at_once() {
-    // Turned away with the head, then once more after a good part of the body.
+    // The first attempt is rejected right after the head, and in the second case once the server has read 1 MB.
     for (bytes_read_first, status) in [(0, 200), (1_000_000, 503)] {
         let attempt_count = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
         let server_attempt_count = attempt_count.clone();
@@ -459,7 +464,7 @@
             client.write_all(&patterned_body(2_980_000)).unwrap();
         }
         let response =
-            read_long_response(&mut client).expect("an answer, whatever of the body has come");
+            read_long_response(&mut client).expect("a response, however much of the body was sent");
         assert_eq!(response.status, status, "after {bytes_read_first} bytes");
         assert_eq!(response.keep_alive, bytes_read_first == 0);
         assert_eq!(
@@ -505,7 +510,7 @@
             200
         )
     };
-    // Read by then, some in each turn.
+    // After these requests the body has been read, a part in each iteration of the event loop.
     (0..100).for_each(|_| wait_for_turn());
     limiter.advance_clock_us(2_400_000);
     (0..3).for_each(|_| wait_for_turn());
@@ -513,5 +518,5 @@
     assert_eq!(read_long_response(&mut client).unwrap().status, 408);
     closed_receiver
         .recv_timeout(TEST_TIMEOUT)
-        .expect("its leg is ended, before the last byte");
+        .expect("the attempt is ended before the last byte of the body");
 }
