--- a/crates/limiter/tests/clients.rs
+++ b/crates/limiter/tests/clients.rs
@@ -35,28 +35,34 @@
 #[test]
 fn silent_and_partial_requests_time_out_before_idle_connections() {
     let (server, limiter) = start_server_and_limiter();
-    let mut silent = Client::connect(limiter.platform_address);
-    let mut partial = Client::connect(limiter.platform_address);
-    partial.send(&idempotent_request("t-half")[..90]);
-    let mut idle = Client::connect(limiter.platform_address);
-    assert_eq!(idle.send_request(&idempotent_request("t-1")).status, 200);
-    let mut other = Client::connect(limiter.platform_address);
+    let mut silent_client = Client::connect(limiter.platform_address);
+    let mut partial_client = Client::connect(limiter.platform_address);
+    partial_client.send(&idempotent_request("t-half")[..90]);
+    let mut idle_client = Client::connect(limiter.platform_address);
+    assert_eq!(
+        idle_client.send_request(&idempotent_request("t-1")).status,
+        200
+    );
+    let mut other_client = Client::connect(limiter.platform_address);
     // All earlier connections are accepted, and what they sent is read, before this response is sent.
-    assert_eq!(other.send_request(READINESS_REQUEST).status, 200);
+    assert_eq!(other_client.send_request(READINESS_REQUEST).status, 200);
     limiter.advance_clock_us(2_400_000);
     assert!(
-        silent.read_response().is_none(),
+        silent_client.read_response().is_none(),
         "the silent connection is closed"
     );
-    let response = partial
+    let response = partial_client
         .read_response()
         .expect("a partial request gets an error response");
     assert!(response.status == 408 && !response.keep_alive);
     assert!(
-        partial.read_response().is_none(),
+        partial_client.read_response().is_none(),
         "the connection is closed after the error"
     );
-    assert_eq!(idle.send_request(&idempotent_request("t-2")).status, 200);
+    assert_eq!(
+        idle_client.send_request(&idempotent_request("t-2")).status,
+        200
+    );
     // When this response arrives, the limiter has finished the previous one.
     assert_eq!(
         send_request(limiter.platform_address, READINESS_REQUEST).status,
@@ -64,7 +70,7 @@
     );
     limiter.advance_clock_us(6_100_000);
     assert!(
-        idle.read_response().is_none(),
+        idle_client.read_response().is_none(),
         "the idle connection is closed"
     );
     assert_eq!(server.request_count(), 2);
@@ -101,10 +107,10 @@
         .map(|_| Client::connect(limiter.platform_address))
         .collect();
     // The other connections were opened earlier, so they are accepted before this response is sent.
-    let mut seventh = Client::connect(limiter.platform_address);
-    assert!(!seventh.send_request(READINESS_REQUEST).keep_alive);
+    let mut seventh_client = Client::connect(limiter.platform_address);
+    assert!(!seventh_client.send_request(READINESS_REQUEST).keep_alive);
     assert!(
-        seventh.read_response().is_none(),
+        seventh_client.read_response().is_none(),
         "the connection is closed after the response"
     );
     assert!(
@@ -117,7 +123,7 @@
 #[test]
 fn silent_connections_do_not_block_new_clients() {
     let limiter = start_limiter_for_eight_clients();
-    let silent: Vec<Client> = (0..30)
+    let silent_clients: Vec<Client> = (0..30)
         .map(|_| Client::connect(limiter.platform_address))
         .collect();
     let mut client = Client::connect(limiter.platform_address);
@@ -142,7 +148,7 @@
             .status,
         200
     );
-    drop(silent);
+    drop(silent_clients);
 }
 
 #[test]
@@ -204,8 +210,8 @@
         )
     });
     let limiter = Limiter::start(&config(&[server.address], start_counter().address), None);
-    let mut first = Client::connect(limiter.platform_address);
-    first.send(&idempotent_request("same"));
+    let mut first_client = Client::connect(limiter.platform_address);
+    first_client.send(&idempotent_request("same"));
     arrival_receiver.recv().unwrap();
     assert_eq!(
         send_request(limiter.platform_address, &idempotent_request("same")).status,
@@ -213,7 +219,7 @@
     );
     assert_eq!(server.request_count(), 1, "the duplicate reaches no server");
     release_sender.send(()).unwrap();
-    assert_eq!(first.read_response().unwrap().body, b"first");
+    assert_eq!(first_client.read_response().unwrap().body, b"first");
     assert_eq!(
         send_request(limiter.platform_address, &idempotent_request("same")).body,
         b"again",
--- a/crates/limiter/tests/operations.rs
+++ b/crates/limiter/tests/operations.rs
@@ -56,9 +56,9 @@
     );
     // An incomplete line, then a close.
     drop({
-        let mut partial = limiter.connect_operator();
-        partial.send("drain");
-        partial
+        let mut partial_operator = limiter.connect_operator();
+        partial_operator.send("drain");
+        partial_operator
     });
     assert_eq!(
         send_request(limiter.platform_address, READINESS_REQUEST).status,
@@ -76,24 +76,24 @@
     let limiter = start_limiter(&[server.address]);
     let mut client = Client::connect(limiter.platform_address);
     assert_eq!(client.send_request(&idempotent_request("a")).status, 200);
-    let mut silent: Vec<Client> = (0..20).map(|_| limiter.connect_operator()).collect();
+    let mut silent_operators: Vec<Client> = (0..20).map(|_| limiter.connect_operator()).collect();
     assert_eq!(limiter.send_operator_command("ready\n"), "done");
     assert_eq!(
-        silent[0].read_to_end(),
+        silent_operators[0].read_to_end(),
         "",
         "the oldest connection is closed"
     );
-    let newest = silent.last_mut().unwrap();
-    newest.send("ready\n");
+    let newest_operator = silent_operators.last_mut().unwrap();
+    newest_operator.send("ready\n");
     assert_eq!(
-        newest.read_to_end(),
+        newest_operator.read_to_end(),
         "done\n",
         "the newest connection is still served"
     );
     assert_eq!(client.send_request(&idempotent_request("b")).status, 200);
     limiter.advance_clock_us(11_000 * US_PER_MS);
     assert_eq!(
-        silent[18].read_to_end(),
+        silent_operators[18].read_to_end(),
         "",
         "an idle operator connection times out"
     );
@@ -101,8 +101,9 @@
 
 #[test]
 fn disabled_server_gets_no_requests_until_enabled() {
-    let [first, second] = ["first", "second"].map(|name| MockServer::start(move |_, _| ok(name)));
-    let limiter = start_limiter(&[first.address, second.address]);
+    let [first_server, second_server] =
+        ["first", "second"].map(|name| MockServer::start(move |_, _| ok(name)));
+    let limiter = start_limiter(&[first_server.address, second_server.address]);
     let mut client = Client::connect(limiter.platform_address);
     let mut send_requests = |from: usize, to: usize| {
         (from..to).for_each(|n| {
@@ -115,7 +116,7 @@
         });
     };
     send_requests(0, 30);
-    assert!(first.request_count() > 0 && second.request_count() > 0);
+    assert!(first_server.request_count() > 0 && second_server.request_count() > 0);
     assert_eq!(
         [
             limiter.send_operator_command("disable-server s-0\n"),
@@ -123,13 +124,13 @@
         ],
         ["done"; 2]
     );
-    first
+    first_server
         .connection_closed
         .recv_timeout(TEST_TIMEOUT)
         .expect("an idle connection to the disabled server is closed at once");
-    let count_before = first.request_count();
+    let count_before = first_server.request_count();
     send_requests(30, 60);
-    assert_eq!(first.request_count(), count_before);
+    assert_eq!(first_server.request_count(), count_before);
     // One command enables the server, however often it was disabled. It is then used like one that has just started.
     assert_eq!(limiter.send_operator_command("enable-server s-0\n"), "done");
     for n in 60..400 {
@@ -137,7 +138,7 @@
         limiter.advance_clock_us(5 * US_PER_MS);
     }
     assert!(
-        first.request_count() > count_before,
+        first_server.request_count() > count_before,
         "the server is used again"
     );
 }
@@ -177,16 +178,19 @@
         _ => ok("served"),
     });
     let limiter = start_limiter(&[server.address]);
-    let [mut idle, mut busy, mut keep_alive_client] =
+    let [mut idle_client, mut busy_client, mut keep_alive_client] =
         [(); 3].map(|()| Client::connect(limiter.platform_address));
-    assert_eq!(idle.send_request(&idempotent_request("a")).status, 200);
+    assert_eq!(
+        idle_client.send_request(&idempotent_request("a")).status,
+        200
+    );
     assert_eq!(
         keep_alive_client
             .send_request(&idempotent_request("b"))
             .status,
         200
     );
-    busy.send(&idempotent_request("slow"));
+    busy_client.send(&idempotent_request("slow"));
     while server.request_count() < 3 {
         std::thread::yield_now();
     }
@@ -214,24 +218,26 @@
         assert_eq!(client.read_to_end(), "");
     }
     // Afterwards idle connections are closed, and requests in flight are finished.
-    let mut silent = Client::connect(limiter.platform_address);
+    let mut silent_client = Client::connect(limiter.platform_address);
     limiter.advance_clock_us(600 * US_PER_MS);
-    assert_eq!(idle.read_to_end(), "");
+    assert_eq!(idle_client.read_to_end(), "");
     release_sender.send(()).unwrap();
-    let response = busy.read_response().unwrap();
-    assert!(response.body == b"slow" && !response.keep_alive && busy.read_to_end().is_empty());
+    let response = busy_client.read_response().unwrap();
+    assert!(
+        response.body == b"slow" && !response.keep_alive && busy_client.read_to_end().is_empty()
+    );
     limiter.advance_clock_us(600 * US_PER_MS);
     assert_eq!(
-        silent.read_to_end(),
+        silent_client.read_to_end(),
         "",
         "a silent connection does not prolong the drain"
     );
     // Neither does an incomplete head.
-    let mut partial = Client::connect(limiter.platform_address);
-    partial.send("GET /lookup HTTP/1.1\r\n");
+    let mut partial_client = Client::connect(limiter.platform_address);
+    partial_client.send("GET /lookup HTTP/1.1\r\n");
     send_request(limiter.platform_address, READINESS_REQUEST);
     limiter.advance_clock_us(2_400 * US_PER_MS);
-    assert_eq!(partial.read_response().unwrap().status, 408);
+    assert_eq!(partial_client.read_response().unwrap().status, 408);
     assert_eq!(limiter.send_operator_command("resume\n"), "done");
     let mut client = Client::connect(limiter.platform_address);
     assert!(
@@ -262,10 +268,11 @@
 
 #[test]
 fn disabled_server_stays_disabled_across_discovery_updates() {
-    let [first, second] = ["first", "second"].map(|name| MockServer::start(move |_, _| ok(name)));
+    let [first_server, second_server] =
+        ["first", "second"].map(|name| MockServer::start(move |_, _| ok(name)));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = listener.local_addr().unwrap();
-    let servers = [first.address, second.address];
+    let servers = [first_server.address, second_server.address];
     let limiter = Limiter::start(
         &with_operator_listener(&config_with_discovery(
             discovery,
@@ -313,7 +320,7 @@
             )
         });
     }
-    assert_eq!(first.request_count(), 0);
+    assert_eq!(first_server.request_count(), 0);
     assert_eq!(limiter.send_operator_command("enable-server s-0\n"), "done");
     let is_used_again = (0..2_000).any(|n| {
         limiter.advance_clock_us(2 * US_PER_MS);
--- a/crates/limiter/tests/plan_changes.rs
+++ b/crates/limiter/tests/plan_changes.rs
@@ -208,11 +208,11 @@
 fn request_keeps_its_resolved_plan_and_a_retry_at_another_limiter_resolves_again() {
     let mut cluster = Cluster::new();
     cluster.apply_change("m", 1, MOVE_TO_EMPRESA);
-    let first = cluster.submit_request(0);
+    let first_key = cluster.submit_request(0);
     cluster.now_us += SECOND_US;
-    let retry = cluster.submit_request(1);
-    assert_eq!(cluster.resolved_plan(0, first), ("taller".into(), 1));
-    assert_eq!(cluster.resolved_plan(1, retry), ("empresa".into(), 1));
+    let retry_key = cluster.submit_request(1);
+    assert_eq!(cluster.resolved_plan(0, first_key), ("taller".into(), 1));
+    assert_eq!(cluster.resolved_plan(1, retry_key), ("empresa".into(), 1));
     // A clock that steps back to before the change resolves to the plan that applied then.
     cluster.now_us -= SECOND_US / 2;
     let key_before_change = cluster.submit_request(1);
--- a/crates/limiter/tests/platform.rs
+++ b/crates/limiter/tests/platform.rs
@@ -258,22 +258,24 @@
             None => ok("during the notice"),
         }
     });
-    let mut first = Client::connect(limiter.platform_address);
-    first.send(&keyed_request("k0"));
+    let mut first_client = Client::connect(limiter.platform_address);
+    first_client.send(&keyed_request("k0"));
     arrival_receiver.recv().unwrap();
     limiter.stop();
-    let mut second = Client::connect(limiter.platform_address);
+    let mut second_client = Client::connect(limiter.platform_address);
     assert_eq!(
-        second.send_request(&keyed_request("k1")).body,
+        second_client.send_request(&keyed_request("k1")).body,
         b"during the notice"
     );
     limiter.advance_clock_us(600_000);
     assert!(
-        second.read_response().is_none(),
+        second_client.read_response().is_none(),
         "the idle connection is closed"
     );
     release_sender.send(()).unwrap();
-    let last_response = first.read_response().expect("the open request is finished");
+    let last_response = first_client
+        .read_response()
+        .expect("the open request is finished");
     assert!(last_response.body == b"late" && !last_response.keep_alive);
     limiter.join();
 }
--- a/crates/limiter/tests/process.rs
+++ b/crates/limiter/tests/process.rs
@@ -519,8 +519,8 @@
     process.wait_until_ready();
     process.send_signal("STOP");
     for n in 0..3 {
-        let mut disconnecting = std::net::TcpStream::connect(address).unwrap();
-        disconnecting
+        let mut disconnecting_client = std::net::TcpStream::connect(address).unwrap();
+        disconnecting_client
             .write_all(idempotent_request(&format!("gone-{n}")).as_bytes())
             .unwrap();
     }
--- a/crates/limiter/tests/relay.rs
+++ b/crates/limiter/tests/relay.rs
@@ -290,9 +290,9 @@
             if let Some((request, _)) =
                 limiter::net::framing::parse_request(&bytes, &large_message_limits()).unwrap()
             {
-                let matches = request.body == expected;
+                let body_matches = request.body == expected;
                 return stream
-                    .write_all(if matches {
+                    .write_all(if body_matches {
                         BODY_MATCHES_RESPONSE
                     } else {
                         BODY_DIFFERS_RESPONSE
@@ -305,26 +305,26 @@
     let limiter = start_limiter(server);
     let head = keyed_request("k");
     let length = format!("Content-Length: {}\r\n\r\n", body.len());
-    let mut plain = open_request(
+    let mut plain_stream = open_request(
         &limiter,
         &head.replace("Content-Length: 5\r\n\r\nhours", &length),
     );
-    plain.write_all(&body).unwrap();
-    assert_eq!(read_long_response(&mut plain).unwrap().status, 200);
-    let chunked = head.replace(
+    plain_stream.write_all(&body).unwrap();
+    assert_eq!(read_long_response(&mut plain_stream).unwrap().status, 200);
+    let chunked_request = head.replace(
         "Content-Length: 5\r\n\r\nhours",
         "Transfer-Encoding: chunked\r\n\r\n",
     );
-    let mut stream = open_request(&limiter, &chunked.replace("t-k", "t-l"));
+    let mut chunked_stream = open_request(&limiter, &chunked_request.replace("t-k", "t-l"));
     for piece in body.chunks(100_000) {
-        stream
+        chunked_stream
             .write_all(format!("{:x}\r\n", piece.len()).as_bytes())
             .unwrap();
-        stream.write_all(piece).unwrap();
-        stream.write_all(b"\r\n").unwrap();
+        chunked_stream.write_all(piece).unwrap();
+        chunked_stream.write_all(b"\r\n").unwrap();
     }
-    stream.write_all(b"0\r\n\r\n").unwrap();
-    assert_eq!(read_long_response(&mut stream).unwrap().status, 200);
+    chunked_stream.write_all(b"0\r\n\r\n").unwrap();
+    assert_eq!(read_long_response(&mut chunked_stream).unwrap().status, 200);
 }
 
 /// The head of a request that announces a body of `length` bytes.
