--- a/crates/limiter/tests/common/mod.rs
+++ b/crates/limiter/tests/common/mod.rs
@@ -79,26 +79,32 @@
                             request_log.len() - 1
                         };
                         let mut reply = (shared_reply.lock().unwrap())(&request, earlier_requests);
-                        while let Reply::Delay(release, then) = reply {
-                            let _ = release.recv_timeout(TEST_TIMEOUT);
-                            reply = *then;
+                        while let Reply::Delay(release_receiver, next_reply) = reply {
+                            let _ = release_receiver.recv_timeout(TEST_TIMEOUT);
+                            reply = *next_reply;
                         }
-                        let mut out = Vec::new();
+                        let mut response_bytes = Vec::new();
                         match reply {
                             Reply::Respond(status, headers, body) => framing::write_response(
-                                &mut out,
+                                &mut response_bytes,
                                 status,
                                 &headers,
                                 body.as_bytes(),
                                 false,
                             ),
                             Reply::RespondTwice(body) => (0..2).for_each(|_| {
-                                framing::write_response(&mut out, 200, &[], body.as_bytes(), false)
+                                framing::write_response(
+                                    &mut response_bytes,
+                                    200,
+                                    &[],
+                                    body.as_bytes(),
+                                    false,
+                                )
                             }),
-                            Reply::RawBytes(bytes) => out.extend_from_slice(bytes),
+                            Reply::RawBytes(bytes) => response_bytes.extend_from_slice(bytes),
                             Reply::Close | Reply::Delay(..) => break,
                         }
-                        if stream.write_all(&out).is_err() {
+                        if stream.write_all(&response_bytes).is_err() {
                             break;
                         }
                         let _ = written_sender.send(());
@@ -225,7 +231,7 @@
         });
         let clock_us = Arc::new(AtomicI64::new(CLOCK_START_US));
         let clock = Clock::manual(clock_us.clone());
-        let (started_sender, started) = mpsc::channel();
+        let (started_sender, started_receiver) = mpsc::channel();
         let thread = thread::spawn(move || {
             let daemon = Daemon::open(config, clock).expect("the limiter opens its sockets");
             let (platform_address, introspection_address) = daemon.addresses().unwrap();
@@ -240,7 +246,7 @@
             daemon.run().expect("the limiter runs without an error");
         });
         let (platform_address, introspection_address, operator_address, remote) =
-            started.recv().unwrap();
+            started_receiver.recv().unwrap();
         Limiter {
             platform_address,
             introspection_address,
@@ -268,9 +274,9 @@
         )
     }
 
-    /// Advances the clock by `micros` and wakes the event loop.
-    pub fn advance_clock_us(&self, micros: i64) {
-        self.clock_us.fetch_add(micros, Ordering::SeqCst);
+    /// Advances the clock by `duration_us` and wakes the event loop.
+    pub fn advance_clock_us(&self, duration_us: i64) {
+        self.clock_us.fetch_add(duration_us, Ordering::SeqCst);
         self.remote.wake();
     }
 
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -96,11 +96,11 @@
                     connected = true;
                 }
                 2 => {
-                    let mut out = Vec::new();
-                    connection.write_requests(now_us, "counter", &mut out);
-                    let mut written = 0;
+                    let mut request_bytes = Vec::new();
+                    connection.write_requests(now_us, "counter", &mut request_bytes);
+                    let mut written_count = 0;
                     while let Some((request, length)) =
-                        framing::parse_request(&out, &limits).unwrap()
+                        framing::parse_request(&request_bytes, &limits).unwrap()
                     {
                         let (name, deadline) = unsent_calls.pop_front().unwrap();
                         if !request
@@ -110,11 +110,12 @@
                             return false;
                         }
                         sent_calls.push_back((name, deadline, false));
-                        out.drain(..length);
-                        written += 1;
+                        request_bytes.drain(..length);
+                        written_count += 1;
                     }
                     let may_write = connected && !moving;
-                    if (!may_write && written > 0) || (may_write && !unsent_calls.is_empty()) {
+                    if (!may_write && written_count > 0) || (may_write && !unsent_calls.is_empty())
+                    {
                         return false;
                     }
                 }
@@ -200,12 +201,12 @@
 
 #[test]
 fn counter_connection_without_responses_is_silent_even_while_requests_are_written() {
-    let (mut connection, mut out, mut results) =
+    let (mut connection, mut request_bytes, mut results) =
         (CounterConnection::default(), Vec::new(), Vec::new());
     connection.handle_connected(0);
     for now_us in (0..=200).step_by(10) {
         connection.enqueue(0, CounterKey(1), 1.0, 1_000, now_us + 30);
-        connection.write_requests(now_us, "counter", &mut out);
+        connection.write_requests(now_us, "counter", &mut request_bytes);
         connection.expire_calls(now_us, &mut results);
         if now_us == 50 {
             let mut bytes = Vec::new();
--- a/crates/limiter/tests/process.rs
+++ b/crates/limiter/tests/process.rs
@@ -139,27 +139,27 @@
     });
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    let peers = UdpSocket::bind("127.0.0.1:0")
+    let peer_address = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let config_text = config(&[server.address], start_counter().address)
         .replace("127.0.0.1:0", &address.to_string())
-        .replacen('{', &format!("{{\"peer_listen\":\"{peers}\","), 1)
+        .replacen('{', &format!("{{\"peer_listen\":\"{peer_address}\","), 1)
         .replace(
             "\"Permissions\":{",
             "\"Permissions\":{\"PeerMessages\":true,",
         );
     let mut old_process = InheritingProcess::start(directory.path(), &config_text, &socket);
     old_process.wait_until_ready();
-    let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
+    let stop_requested = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     // Each client keeps its connection until a response announces its close, then connects anew for the next request.
     let client_threads: Vec<_> = (0..4)
         .map(|number| {
-            let stop = stop.clone();
+            let stop_requested = stop_requested.clone();
             thread::spawn(move || {
                 let (mut client, mut request_count) = (Client::connect(address), 0);
-                while !stop.load(std::sync::atomic::Ordering::SeqCst) {
+                while !stop_requested.load(std::sync::atomic::Ordering::SeqCst) {
                     let response = client
                         .send_request(&idempotent_request(&format!("c{number}-{request_count}")));
                     assert_eq!(response.status, 200);
@@ -197,7 +197,7 @@
         old_process = new_process;
     }
     wait_for_50_requests();
-    stop.store(true, std::sync::atomic::Ordering::SeqCst);
+    stop_requested.store(true, std::sync::atomic::Ordering::SeqCst);
     let request_count: usize = client_threads
         .into_iter()
         .map(|client_thread| client_thread.join().unwrap())
@@ -309,7 +309,7 @@
             thread::spawn(move || {
                 let (mut stream, mut buffer) = (stream.unwrap(), vec![7; 1 << 20]);
                 let mut head = Vec::new();
-                while !head.windows(4).any(|four| four == b"\r\n\r\n") {
+                while !head.windows(4).any(|window| window == b"\r\n\r\n") {
                     let mut byte = [0];
                     stream.read_exact(&mut byte).unwrap();
                     head.push(byte[0]);
@@ -445,12 +445,12 @@
 #[test]
 fn usage_commands_verify_export_and_acknowledge_the_ledger() {
     let directory = tempfile::tempdir().unwrap();
-    let (ledger, export_directory) = (
+    let (ledger_directory, export_directory) = (
         directory.path().join("ledger"),
         directory.path().join("out"),
     );
     {
-        let (mut ledger, _) = usage::ledger::Ledger::open(&ledger, "n0").unwrap();
+        let (mut ledger, _) = usage::ledger::Ledger::open(&ledger_directory, "n0").unwrap();
         (0..3).for_each(|n| {
             _ = ledger
                 .book(usage::booking::Booking {
@@ -478,29 +478,35 @@
         )
     };
     assert!(
-        run_usage(&["verify"], &[&ledger], &[])
+        run_usage(&["verify"], &[&ledger_directory], &[])
             .1
             .contains("3 tries, 0 of them unsure, a torn tail of 0 bytes")
     );
-    assert_eq!(run_usage(&["show"], &[&ledger], &[]).1.lines().count(), 3);
+    assert_eq!(
+        run_usage(&["show"], &[&ledger_directory], &[])
+            .1
+            .lines()
+            .count(),
+        3
+    );
     for _ in 0..2 {
         assert!(
-            run_usage(&["export"], &[&ledger, &export_directory], &[])
+            run_usage(&["export"], &[&ledger_directory, &export_directory], &[])
                 .1
                 .starts_with("batch 1: 3 tries")
         );
     }
-    assert!(!run_usage(&["acknowledge"], &[&ledger], &["2"]).0);
-    assert!(run_usage(&["acknowledge"], &[&ledger], &["1"]).0);
+    assert!(!run_usage(&["acknowledge"], &[&ledger_directory], &["2"]).0);
+    assert!(run_usage(&["acknowledge"], &[&ledger_directory], &["1"]).0);
     assert_eq!(
-        run_usage(&["export"], &[&ledger, &export_directory], &[]).1,
+        run_usage(&["export"], &[&ledger_directory, &export_directory], &[]).1,
         "nothing new\n"
     );
-    let path = ledger.join("life-00000001.use");
+    let path = ledger_directory.join("life-00000001.use");
     let mut bytes = std::fs::read(&path).unwrap();
     bytes[20] ^= 1;
     std::fs::write(&path, bytes).unwrap();
-    let (is_valid, output) = run_usage(&["verify"], &[&ledger], &[]);
+    let (is_valid, output) = run_usage(&["verify"], &[&ledger_directory], &[]);
     assert!(!is_valid && output.contains("damaged at byte "), "{output}");
 }
 
--- a/crates/limiter/tests/relay.rs
+++ b/crates/limiter/tests/relay.rs
@@ -88,32 +88,33 @@
 fn long_responses_of_every_framing_are_relayed_unchanged() {
     for framing in ["length", "chunks", "close"] {
         let body = patterned_body(300_000);
-        let sent = body.clone();
+        let sent_body = body.clone();
         let server = start_raw_server(move |stream, _| {
-            let mut out =
+            let mut response_bytes =
                 b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\n".to_vec();
             match framing {
-                "length" => out.extend(format!("content-length:  {} \r\n\r\n", sent.len()).bytes()),
-                "chunks" => out.extend(b"Transfer-Encoding: Chunked\r\n\r\n"),
-                _ => out.extend(b"Connection: x, close\r\n\r\n"),
+                "length" => response_bytes
+                    .extend(format!("content-length:  {} \r\n\r\n", sent_body.len()).bytes()),
+                "chunks" => response_bytes.extend(b"Transfer-Encoding: Chunked\r\n\r\n"),
+                _ => response_bytes.extend(b"Connection: x, close\r\n\r\n"),
             }
-            for piece in sent.chunks(7_001) {
+            for piece in sent_body.chunks(7_001) {
                 if framing == "chunks" {
-                    out.extend(format!("{:X};n=\"v\"\r\n", piece.len()).bytes());
+                    response_bytes.extend(format!("{:X};n=\"v\"\r\n", piece.len()).bytes());
                 }
-                out.extend_from_slice(piece);
-                out.extend_from_slice(if framing == "chunks" { b"\r\n" } else { b"" });
+                response_bytes.extend_from_slice(piece);
+                response_bytes.extend_from_slice(if framing == "chunks" { b"\r\n" } else { b"" });
             }
-            out.extend_from_slice(if framing == "chunks" {
+            response_bytes.extend_from_slice(if framing == "chunks" {
                 b"0\r\nTrailer: t\r\n\r\n"
             } else {
                 b""
             });
             // The first bytes are written one by one, so that heads and chunks are split at every position.
-            out[..400]
+            response_bytes[..400]
                 .iter()
                 .for_each(|byte| stream.write_all(&[*byte]).unwrap());
-            stream.write_all(&out[400..]).unwrap();
+            stream.write_all(&response_bytes[400..]).unwrap();
             let _ = stream.shutdown(Shutdown::Write);
         });
         let limiter = start_limiter(server);
@@ -179,12 +180,12 @@
                 stream
                     .write_all(format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n").as_bytes())
                     .unwrap();
-                let chunk = if head.starts_with('T') {
+                let chunk_header = if head.starts_with('T') {
                     "186a0\r\n"
                 } else {
                     ""
                 };
-                stream.write_all(chunk.as_bytes()).unwrap();
+                stream.write_all(chunk_header.as_bytes()).unwrap();
                 stream.write_all(&patterned_body(100_000)).unwrap();
                 let _ = part_sent_sender.send(());
                 if is_silent {
@@ -250,13 +251,13 @@
     );
     client.send(&request[..50]);
     // This request is answered in a later iteration of the event loop, after the sent part was read.
-    let wait_for_turn = || {
+    let wait_for_loop_iteration = || {
         assert_eq!(
             send_request(limiter.platform_address, "GET /up HTTP/1.1\r\n\r\n").status,
             200
         )
     };
-    wait_for_turn();
+    wait_for_loop_iteration();
     limiter.advance_clock_us(1_900_000);
     client.send(&request[50..]);
     assert_eq!(
@@ -266,7 +267,7 @@
     );
     for _ in 0..16 {
         client.send(&"x".repeat(4_096));
-        wait_for_turn();
+        wait_for_loop_iteration();
         limiter.advance_clock_us(64_000);
     }
     assert_eq!(client.read_response().unwrap().body, b"65536");
@@ -275,7 +276,7 @@
     client.send(&request.replace("t-k", "t-l"));
     client.stream.read_exact(&mut [0; 25]).unwrap();
     client.send("half");
-    wait_for_turn();
+    wait_for_loop_iteration();
     limiter.advance_clock_us(2_400_000);
     assert_eq!(client.read_response().unwrap().status, 408);
 }
@@ -283,14 +284,14 @@
 #[test]
 fn large_request_body_is_forwarded_unchanged_for_every_framing() {
     let body = patterned_body(1_000_000);
-    let expected = body.clone();
+    let expected_body = body.clone();
     let server = start_raw_server(move |stream, mut bytes| {
         let mut buffer = vec![0; 1 << 16];
         loop {
             if let Some((request, _)) =
                 limiter::net::framing::parse_request(&bytes, &large_message_limits()).unwrap()
             {
-                let body_matches = request.body == expected;
+                let body_matches = request.body == expected_body;
                 return stream
                     .write_all(if body_matches {
                         BODY_MATCHES_RESPONSE
@@ -339,7 +340,7 @@
 fn body_larger_than_the_buffer_is_streamed_as_it_arrives() {
     let (arrival_sender, arrival_receiver) = std::sync::mpsc::channel();
     let body = patterned_body(5_000_000);
-    let expected = body.clone();
+    let expected_body = body.clone();
     let server = start_raw_server(move |stream, mut bytes| {
         let mut buffer = vec![0; 1 << 16];
         while bytes.len() < 300_000 {
@@ -359,7 +360,7 @@
             .unwrap()
             .unwrap();
         stream
-            .write_all(if request.body == expected {
+            .write_all(if request.body == expected_body {
                 BODY_MATCHES_RESPONSE
             } else {
                 BODY_DIFFERS_RESPONSE
@@ -504,16 +505,16 @@
     }
     let mut client = open_request(&limiter, &request_head_with_body_length("k", 5_000_000));
     client.write_all(&patterned_body(500_000)).unwrap();
-    let wait_for_turn = || {
+    let wait_for_loop_iteration = || {
         assert_eq!(
             send_request(limiter.platform_address, "GET /up HTTP/1.1\r\n\r\n").status,
             200
         )
     };
     // After these requests the body has been read, a part in each iteration of the event loop.
-    (0..100).for_each(|_| wait_for_turn());
+    (0..100).for_each(|_| wait_for_loop_iteration());
     limiter.advance_clock_us(2_400_000);
-    (0..3).for_each(|_| wait_for_turn());
+    (0..3).for_each(|_| wait_for_loop_iteration());
     limiter.advance_clock_us(800_000);
     assert_eq!(read_long_response(&mut client).unwrap().status, 408);
     closed_receiver
