--- a/crates/limiter/src/config/mod.rs
+++ b/crates/limiter/src/config/mod.rs
@@ -18,7 +18,7 @@
 use streamarch::Settings;
 
 use crate::limits::Limits;
-use crate::net::inherited;
+use crate::net::inherited_listener;
 pub use introspection::{IntrospectionConfig, parse_callers};
 pub use platform::{NameTables, parse_settings};
 pub use raft::RaftConfig;
@@ -164,7 +164,7 @@
             listen: get("ROUTER_LISTEN"),
             discovery: get("ROUTER_DISCOVERY"),
             ops_listen: get("ROUTER_OPS"),
-            inherited_listener: get(inherited::VARIABLE),
+            inherited_listener: get(inherited_listener::ENV_VARIABLE),
             handover_folder: get("TMPDIR"),
             introspection_path: None,
             raft_path: None,
@@ -233,7 +233,7 @@
                 .map(PathBuf::from),
             inherited_listener: inherited_listener.map_err(|_| {
                 Fault::at(
-                    inherited::VARIABLE,
+                    inherited_listener::ENV_VARIABLE,
                     "is not the number of a file descriptor",
                 )
             })?,
--- a/crates/limiter/src/net/host/overlap.rs
+++ b/crates/limiter/src/net/host/handover.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 use crate::handover::OperationsRecord;
-use crate::net::handover::{Found, Handover};
+use crate::net::operations_file::{OperationsFile, PollOutcome};
 
 impl Host {
     /// Shares in the record of the folder from now on, and takes over what stands there.
     pub(super) fn share(&mut self, folder: &std::path::Path) {
-        self.handover = Some(Handover::new(folder));
+        self.handover = Some(OperationsFile::new(folder));
         self.look_at_handover();
     }
 
@@ -31,10 +31,12 @@
         let Some(handover) = &mut self.handover else {
             return;
         };
-        match handover.look(&self.name) {
-            Found::Same => {}
-            Found::Unusable(why) => self.warn(&format!("operations record not taken over: {why}")),
-            Found::Record(told) => {
+        match handover.poll(&self.name) {
+            PollOutcome::Unchanged => {}
+            PollOutcome::Unusable(why) => {
+                self.warn(&format!("operations record not taken over: {why}"))
+            }
+            PollOutcome::Record(told) => {
                 let news = self.table.merge(&told.disabled_servers);
                 let drain = self.lifecycle.merge_drain_state(told.drain);
                 if drain {
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -1,18 +1,18 @@
 //! The host: connections, and who is behind them.
 
-mod acquirers;
-mod agreement;
-mod counting;
+mod clients;
+mod cluster;
+mod counter_calls;
 mod datagrams;
-mod ending;
-mod errands;
+mod discovery;
+mod handover;
+mod introspection;
 mod operators;
-mod overlap;
-mod relaying;
-mod reloading;
-mod tokens;
-mod uploading;
-mod watching;
+mod reload;
+mod responses;
+mod shutdown;
+mod uploads;
+mod upstream_requests;
 
 use std::collections::BTreeSet;
 use std::io::{self, Read, Write};
@@ -25,13 +25,13 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use streamarch::{ListKind, LoadReport, Micros, Outcome, ServerEntry, ServerId, Settings};
 
-use self::agreement::Agreement;
+use self::cluster::Agreement;
+use self::introspection::Tokens;
 use self::operators::Operators;
-use self::tokens::Tokens;
 use super::Clock;
 use super::framing::{self, IncomingMessage, RequestHead, Response, ResponseHead};
-use super::handover::Handover;
-use super::inherited;
+use super::inherited_listener;
+use super::operations_file::OperationsFile;
 use crate::client_connection::{ClientConnection, Stage};
 use crate::config::{Config, IntrospectionConfig};
 use crate::counter_client::{self, CounterConnection, CounterResult};
@@ -228,7 +228,7 @@
     /// The same work asked for with a bearer token, whose it is being known.
     Record,
     /// Finding out whose a bearer token is; then the request goes on.
-    Identify(Box<tokens::Bearing>),
+    Identify(Box<introspection::Bearing>),
     /// A caller's question about a token.
     Introspect(crate::frontend::introspection::Token),
 }
@@ -251,7 +251,7 @@
     name: String,
     lifecycle: Lifecycle,
     operators: Option<Operators>,
-    handover: Option<Handover>,
+    handover: Option<OperationsFile>,
     connections: SlotMap<ConnectionKey, Connection>,
     acquirers: usize,
     deadlines: Deadlines<Due>,
@@ -383,7 +383,9 @@
             io::Result::Ok(())
         };
         let platform_listener = match config.inherited_listener {
-            Some(number) => inherited::listener(number, config.listen).map_err(io::Error::other)?,
+            Some(number) => {
+                inherited_listener::duplicate(number, config.listen).map_err(io::Error::other)?
+            }
             None => bind(config.listen, &limits)?,
         };
         open_door(Door::Platform, platform_listener)?;
@@ -507,7 +509,7 @@
     }
 
     /// When something is due next.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Micros> {
         if !self.again.is_empty() {
             return Some(Micros::MIN);
         }
@@ -519,7 +521,7 @@
     }
 
     /// All is done that was to be done.
-    pub fn finished(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.lifecycle.is_finished()
     }
 
@@ -533,7 +535,7 @@
     }
 
     /// What is due, what the module decides, what is to be written.
-    pub fn turn(&mut self) {
+    pub fn run_turn(&mut self) {
         let now = self.now();
         while let Some(due) = self.deadlines.pop_due(now) {
             self.due(now, due);
--- a/crates/limiter/src/net/host/reloading.rs
+++ b/crates/limiter/src/net/host/reload.rs
@@ -53,7 +53,7 @@
     }
 
     /// A configuration that cannot be used changes nothing.
-    pub fn refuse_reload(&self, error: &ConfigError) {
+    pub fn reject_reload(&self, error: &ConfigError) {
         self.warn(&format!(
             "configuration not taken, all stays as it was: {error}"
         ));
--- a/crates/limiter/src/net/host/ending.rs
+++ b/crates/limiter/src/net/host/shutdown.rs
@@ -5,7 +5,7 @@
 impl Host {
     /// Told to end. New connections are taken for as long as the front may still send some, unless another process
     /// takes them.
-    pub fn drain(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         let now = self.now();
         if !self.lifecycle.begin_shutdown(now) {
             return;
--- a/crates/limiter/src/net/inherited.rs
+++ b/crates/limiter/src/net/inherited_listener.rs
@@ -8,7 +8,7 @@
 use socket2::{SockRef, Type};
 
 /// Name of the variable that tells the descriptor's number.
-pub const VARIABLE: &str = "ROUTER_PASSED_SOCKET";
+pub const ENV_VARIABLE: &str = "ROUTER_PASSED_SOCKET";
 
 /// A duplicate of the descriptor of this number, which must be the socket that listens on this address.
 ///
@@ -17,8 +17,8 @@
 ///
 /// # Errors
 /// What the variable names is no such socket.
-pub fn listener(number: u32, address: SocketAddr) -> Result<TcpListener, Fault> {
-    let fault = |text: String| Fault::at(VARIABLE, format!("descriptor {number} {text}"));
+pub fn duplicate(number: u32, address: SocketAddr) -> Result<TcpListener, Fault> {
+    let fault = |text: String| Fault::at(ENV_VARIABLE, format!("descriptor {number} {text}"));
     let duplicate = || -> rustix::io::Result<OwnedFd> {
         let number = i32::try_from(number).map_err(|_| rustix::io::Errno::BADF)?;
         let this = pidfd_open(getpid(), PidfdFlags::empty())?;
--- a/crates/limiter/src/net/inherited/tests.rs
+++ b/crates/limiter/src/net/inherited_listener/tests.rs
@@ -7,7 +7,7 @@
 fn a_listening_socket_is_taken_over_and_stays_open_for_the_other() {
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = held.local_addr().unwrap();
-    let taken = listener(held.as_raw_fd() as u32, address).unwrap();
+    let taken = duplicate(held.as_raw_fd() as u32, address).unwrap();
     let client = TcpStream::connect(address).unwrap();
     assert_eq!(taken.accept().unwrap().1, client.local_addr().unwrap());
     drop(taken);
@@ -41,9 +41,9 @@
         (file.as_raw_fd() as u32, address, "no listening TCP socket"),
         (held.as_raw_fd() as u32, other, "not on 127.0.0.1:1"),
     ] {
-        let fault = listener(number, address).unwrap_err();
+        let fault = duplicate(number, address).unwrap_err();
         assert!(
-            fault.key == VARIABLE && fault.to_string().contains(text),
+            fault.key == ENV_VARIABLE && fault.to_string().contains(text),
             "{fault}"
         );
     }
--- a/crates/limiter/src/net/mod.rs
+++ b/crates/limiter/src/net/mod.rs
@@ -1,9 +1,9 @@
 //! The event loop: one thread, one calloop loop. What a dispatch brought is taken in first; then what is due and
 //! the engines have their turn; then all that is to be written goes out.
 
-pub mod handover;
 mod host;
-pub mod inherited;
+pub mod inherited_listener;
+pub mod operations_file;
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,13 +21,13 @@
 
 /// Reaches a running daemon from another thread.
 #[derive(Clone, Debug)]
-pub struct Remote {
+pub struct DaemonHandle {
     stop: Ping,
     wake: Ping,
     reload: Sender<Config>,
 }
 
-impl Remote {
+impl DaemonHandle {
     /// Has the daemon take over what a new configuration may change while it runs.
     pub fn reload(&self, config: Config) {
         // A daemon that has ended takes nothing over any more.
@@ -47,9 +47,9 @@
 
 /// A limiter with its sockets open.
 pub struct Daemon {
-    events: EventLoop<'static, Host>,
+    event_loop: EventLoop<'static, Host>,
     host: Host,
-    remote: Remote,
+    handle: DaemonHandle,
 }
 
 impl Daemon {
@@ -64,7 +64,7 @@
         let (wake, woken) = make_ping()?;
         let (reload, reloaded) = channel::channel();
         handle
-            .insert_source(stopped, |(), _, host: &mut Host| host.drain())
+            .insert_source(stopped, |(), _, host: &mut Host| host.begin_shutdown())
             .map_err(|e| e.error)?;
         handle
             .insert_source(woken, |(), _, _: &mut Host| {})
@@ -77,9 +77,9 @@
         handle.insert_source(reloaded, take).map_err(|e| e.error)?;
         let host = Host::open(config, handle, clock)?;
         Ok(Daemon {
-            events,
+            event_loop: events,
             host,
-            remote: Remote { stop, wake, reload },
+            handle: DaemonHandle { stop, wake, reload },
         })
     }
 
@@ -92,13 +92,13 @@
     }
 
     /// Where operators call, if they may.
-    pub fn operators(&self) -> Option<SocketAddr> {
+    pub fn operators_address(&self) -> Option<SocketAddr> {
         self.host.operators_address()
     }
 
     /// A handle for other threads.
-    pub fn remote(&self) -> Remote {
-        self.remote.clone()
+    pub fn handle(&self) -> DaemonHandle {
+        self.handle.clone()
     }
 
     /// Runs until told to end.
@@ -106,14 +106,14 @@
     /// # Errors
     /// The event loop fails.
     pub fn run(mut self) -> io::Result<()> {
-        while !self.host.finished() {
+        while !self.host.is_finished() {
             let now = self.host.now();
             let wait = self
                 .host
-                .next()
+                .next_wakeup()
                 .map(|at| Duration::from_micros(at.saturating_sub(now).max(0) as u64));
-            self.events.dispatch(wait, &mut self.host)?;
-            self.host.turn();
+            self.event_loop.dispatch(wait, &mut self.host)?;
+            self.host.run_turn();
         }
         Ok(())
     }
@@ -130,13 +130,13 @@
 ) -> io::Result<()> {
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])?;
     let daemon = Daemon::open(config, Clock::system())?;
-    let handle = daemon.events.handle();
+    let handle = daemon.event_loop.handle();
     let signalled = move |event: Event, _: &mut _, host: &mut Host| match event.signal() {
         Signal::SIGHUP => match load() {
             Ok(config) => host.reload(config),
-            Err(error) => host.refuse_reload(&error),
+            Err(error) => host.reject_reload(&error),
         },
-        _ => host.drain(),
+        _ => host.begin_shutdown(),
     };
     handle
         .insert_source(signals, signalled)
--- a/crates/limiter/src/net/handover.rs
+++ b/crates/limiter/src/net/operations_file.rs
@@ -9,49 +9,49 @@
 
 /// The file, and what of it is known here.
 #[derive(Debug)]
-pub struct Handover {
+pub struct OperationsFile {
     path: PathBuf,
     /// The file as it was when it was last read or written: a rename brings another number.
-    seen: Option<(u64, i64, i64, u64)>,
+    last_seen: Option<(u64, i64, i64, u64)>,
 }
 
 /// What stands in the file.
 #[derive(Debug)]
-pub enum Found {
+pub enum PollOutcome {
     /// Nothing that was not known.
-    Same,
+    Unchanged,
     /// A record that another process wrote.
     Record(OperationsRecord),
     /// Something that is passed over.
     Unusable(RecordError),
 }
 
-impl Handover {
+impl OperationsFile {
     /// In this folder; nothing is read or written yet.
-    pub fn new(folder: &Path) -> Handover {
-        Handover {
+    pub fn new(folder: &Path) -> OperationsFile {
+        OperationsFile {
             path: folder.join("streamarch-operations"),
-            seen: None,
+            last_seen: None,
         }
     }
 
-    fn mark(&self) -> Option<(u64, i64, i64, u64)> {
+    fn identity(&self) -> Option<(u64, i64, i64, u64)> {
         let file = fs::metadata(&self.path).ok()?;
         Some((file.ino(), file.mtime(), file.mtime_nsec(), file.len()))
     }
 
     /// Looks whether another process has written.
-    pub fn look(&mut self, limiter: &str) -> Found {
-        let mark = self.mark();
-        if mark == self.seen {
-            return Found::Same;
+    pub fn poll(&mut self, limiter: &str) -> PollOutcome {
+        let mark = self.identity();
+        if mark == self.last_seen {
+            return PollOutcome::Unchanged;
         }
-        self.seen = mark;
+        self.last_seen = mark;
         match fs::read(&self.path).map(|bytes| OperationsRecord::decode(&bytes, limiter)) {
-            Ok(Ok(record)) => Found::Record(record),
-            Ok(Err(unusable)) => Found::Unusable(unusable),
+            Ok(Ok(record)) => PollOutcome::Record(record),
+            Ok(Err(unusable)) => PollOutcome::Unusable(unusable),
             // Gone, or going: there is nothing to take over.
-            Err(_) => Found::Same,
+            Err(_) => PollOutcome::Unchanged,
         }
     }
 
@@ -67,7 +67,7 @@
             let _ = fs::remove_file(&new);
         }
         // Guards what another process may have written just before: it is looked at once more, and finds the same.
-        self.seen = None;
+        self.last_seen = None;
         written
     }
 }
--- a/crates/limiter/tests/common/mod.rs
+++ b/crates/limiter/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use limiter::config::Environment;
 use limiter::limits::Limits;
 use limiter::net::framing::{self, Request, Response};
-use limiter::net::{Clock, Daemon, Remote};
+use limiter::net::{Clock, Daemon, DaemonHandle};
 
 /// Start of the driven clock: 100 ms before a full second.
 pub const START: i64 = 1_000_900_000;
@@ -186,7 +186,7 @@
     pub introspection: Option<SocketAddr>,
     operators: Option<SocketAddr>,
     hand: Arc<AtomicI64>,
-    remote: Remote,
+    remote: DaemonHandle,
     thread: Option<thread::JoinHandle<()>>,
 }
 
@@ -212,8 +212,13 @@
         let thread = thread::spawn(move || {
             let daemon = Daemon::open(config, clock).expect("sockets open");
             let (platform, second) = daemon.addresses().unwrap();
-            tell.send((platform, second, daemon.operators(), daemon.remote()))
-                .unwrap();
+            tell.send((
+                platform,
+                second,
+                daemon.operators_address(),
+                daemon.handle(),
+            ))
+            .unwrap();
             daemon.run().expect("runs to its end");
         });
         let (platform, introspection, operators, remote) = told.recv().unwrap();
