--- a/crates/limiter/src/net/host/clients.rs
+++ b/crates/limiter/src/net/host/clients.rs
@@ -21,7 +21,7 @@
             return false;
         }
         let (door, listener, _) = &self.listeners[at];
-        let role = Role::Acquirer {
+        let role = Role::Client {
             door: *door,
             waits: None,
         };
@@ -44,8 +44,10 @@
                 if !passing.contains(&error.kind()) {
                     self.warn(&format!("cannot accept: {error}"));
                     self.pause_accepting();
-                    self.deadlines
-                        .schedule(self.now() + self.limits.accept_retry_delay, Due::Accept);
+                    self.deadlines.schedule(
+                        self.now() + self.limits.accept_retry_delay,
+                        Timer::RetryAccept,
+                    );
                 }
                 false
             }
@@ -60,7 +62,7 @@
             let acquirers = self
                 .connections
                 .iter()
-                .filter(|(_, c)| matches!(c.role, Role::Acquirer { .. }));
+                .filter(|(_, c)| matches!(c.role, Role::Client { .. }));
             let spared = acquirers
                 .filter_map(|(key, c)| Some((c.visit.eviction_rank(now, &self.limits)?, key)));
             let Some((rank, key)) = spared.min() else {
@@ -80,7 +82,7 @@
         }
         self.pause_accepting();
         self.deadlines
-            .schedule(now + self.limits.accept_retry_delay, Due::Accept);
+            .schedule(now + self.limits.accept_retry_delay, Timer::RetryAccept);
         false
     }
 
@@ -112,7 +114,7 @@
         let at = connection.visit.deadline(closing, &self.limits);
         if let Some(at) = at.filter(|at| *at < connection.armed) {
             connection.armed = at;
-            self.deadlines.schedule(at, Due::Visit(key));
+            self.deadlines.schedule(at, Timer::Client(key));
         }
     }
 
@@ -201,7 +203,7 @@
             return;
         };
         // One request at a time: what comes while one is out waits.
-        let Role::Acquirer { door, .. } = connection.role else {
+        let Role::Client { door, .. } = connection.role else {
             return;
         };
         if connection.uploading().is_some() {
@@ -212,7 +214,7 @@
         }
         let before = connection.held();
         let mut incoming = match std::mem::take(&mut connection.reading) {
-            Reading::Request(incoming) => incoming,
+            ReadState::Request(incoming) => incoming,
             _ => IncomingMessage::default(),
         };
         let read = incoming.read(
@@ -254,7 +256,7 @@
                 self.partial -= before - connection.held();
                 return self.begin_upload(key, incoming);
             }
-            connection.reading = Reading::Request(incoming);
+            connection.reading = ReadState::Request(incoming);
             self.partial -= before - connection.held();
             return self.arm(key);
         }
@@ -275,18 +277,18 @@
             return self.answer(key, status, &[], text);
         }
         match door {
-            Door::Platform => {}
-            Door::Introspection => return self.read_bearing(now, key, request),
-            Door::Agreement => return self.read_agreement(key, &request),
+            ListenerKind::Platform => {}
+            ListenerKind::Introspection => return self.read_bearing(now, key, request),
+            ListenerKind::Cluster => return self.read_agreement(key, &request),
         }
         match self.platform.parse_request(&request, &self.limits, now) {
             Ok(authorisation) => {
                 self.take(
                     key,
-                    RECORDS,
+                    RECORDS_SERVICE,
                     authorisation,
                     UpstreamRequest::from_request(&request),
-                    Purpose::Platform,
+                    RequestKind::Platform,
                 );
             }
             Err(rejection) => self.reject(key, &rejection, false),
@@ -300,7 +302,7 @@
         service: usize,
         authorisation: Authorisation,
         forward: UpstreamRequest,
-        purpose: Purpose,
+        purpose: RequestKind,
     ) {
         // Guards the rule on duplicates: servers would run a second request under an id that is out as a copy of
         // the first, and drop or answer one for the other.
@@ -324,14 +326,14 @@
                 self.partial += forward.body.len();
                 known.pending.insert(
                     authorisation,
-                    Pending {
+                    PendingRequest {
                         origin: key,
                         forward,
                         purpose,
                     },
                 );
                 if let Some(connection) = self.connections.get_mut(key)
-                    && let Role::Acquirer { waits, .. } = &mut connection.role
+                    && let Role::Client { waits, .. } = &mut connection.role
                 {
                     *waits = Some((service, authorisation));
                     connection.visit.begin_processing(now);
@@ -354,7 +356,7 @@
             return;
         };
         let before = connection.held();
-        connection.reading = Reading::Nothing;
+        connection.reading = ReadState::Idle;
         self.partial -= before - connection.held();
     }
 
@@ -385,7 +387,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Role::Acquirer { waits, .. } = &mut connection.role else {
+        let Role::Client { waits, .. } = &mut connection.role else {
             return;
         };
         *waits = None;
@@ -418,7 +420,7 @@
     }
 
     /// The final answer of an authorisation is no longer owed.
-    pub(super) fn settle(&mut self, ticket: Ticket) -> Option<Pending> {
+    pub(super) fn settle(&mut self, ticket: AuthorisationRef) -> Option<PendingRequest> {
         let pending = self.services[ticket.0].pending.remove(ticket.1)?;
         self.open_ids.remove(&pending.forward.request_id);
         self.partial -= pending.forward.body.len();
@@ -426,12 +428,12 @@
     }
 
     /// The final answer of an authorisation that no server's answer ends.
-    pub(super) fn ended(&mut self, ticket: Ticket, ending: EngineRejection) {
+    pub(super) fn ended(&mut self, ticket: AuthorisationRef, ending: EngineRejection) {
         let Some(pending) = self.settle(ticket) else {
             return;
         };
         match pending.purpose {
-            Purpose::Platform => {
+            RequestKind::Platform => {
                 let (status, stay_away) = platform::rejection_status(ending);
                 self.decline(pending.origin, status, stay_away, &[], b"");
             }
@@ -440,12 +442,12 @@
     }
 
     /// The final answer of an authorisation that a server gave.
-    pub(super) fn served(&mut self, ticket: Ticket, answer: Response) {
+    pub(super) fn served(&mut self, ticket: AuthorisationRef, answer: Response) {
         let Some(pending) = self.settle(ticket) else {
             return;
         };
         match pending.purpose {
-            Purpose::Platform | Purpose::Record => {
+            RequestKind::Platform | RequestKind::Bearer => {
                 let kind = answer
                     .headers
                     .get("Content-Type")
--- a/crates/limiter/src/net/host/cluster.rs
+++ b/crates/limiter/src/net/host/cluster.rs
@@ -6,7 +6,7 @@
 use crate::net::framing::Request;
 use crate::raft::{self, Member, RaftError};
 
-struct Other {
+struct ClusterPeer {
     id: u64,
     address: SocketAddr,
     connection: Option<ConnectionKey>,
@@ -15,7 +15,7 @@
 /// This instance among the members.
 pub(super) struct Agreement {
     member: Member,
-    others: Vec<Other>,
+    others: Vec<ClusterPeer>,
     secret: String,
 }
 
@@ -24,7 +24,7 @@
         let ids: Vec<u64> = cluster.members.iter().map(|(id, _)| *id).collect();
         let member = Member::open(cluster.id, &ids, &cluster.folder).map_err(io::Error::other)?;
         let others = cluster.members.iter().filter(|(id, _)| *id != cluster.id);
-        let others = others.map(|(id, address)| Other {
+        let others = others.map(|(id, address)| ClusterPeer {
             id: *id,
             address: *address,
             connection: None,
@@ -40,7 +40,7 @@
 impl Host {
     pub(super) fn raft_tick(&mut self, now: Micros) {
         self.deadlines
-            .schedule(now + self.limits.raft_tick_interval, Due::RaftTick);
+            .schedule(now + self.limits.raft_tick_interval, Timer::RaftTick);
         if let Some(agreement) = &mut self.agreement {
             let stepped = agreement.member.tick();
             _ = self.stepped(stepped);
@@ -92,7 +92,7 @@
         );
         let key = match known {
             Some(key) => key,
-            None => match self.connect(address, Role::Member(at)) {
+            None => match self.connect(address, Role::ClusterPeer(at)) {
                 Ok(key) => key,
                 Err(_) => return,
             },
--- a/crates/limiter/src/net/host/datagrams.rs
+++ b/crates/limiter/src/net/host/datagrams.rs
@@ -10,7 +10,7 @@
         let mut bytes = [0; 512];
         while let Ok((length, from)) = socket.recv_from(&mut bytes) {
             if let Some(notice) = self.peers.receive(from, &bytes[..length], self.plans) {
-                self.services[RECORDS].engine.handle_notice(notice);
+                self.services[RECORDS_SERVICE].engine.handle_notice(notice);
             }
         }
         if let Some(refused) = self
--- a/crates/limiter/src/net/host/discovery.rs
+++ b/crates/limiter/src/net/host/discovery.rs
@@ -10,7 +10,7 @@
         }
         self.watch.stream = None;
         self.watch.line.clear();
-        match self.connect(self.discovery, Role::Watch) {
+        match self.connect(self.discovery, Role::DiscoveryWatch) {
             Ok(key) => self.watch.connection = Some(key),
             Err(_) => self.watch_lost(),
         }
@@ -20,7 +20,7 @@
         self.watch.connection = None;
         let at = self.now() + self.watch.wait;
         self.watch.wait = (self.watch.wait * 2).min(self.limits.max_watch_retry_delay);
-        self.deadlines.schedule(at, Due::WatchRetry);
+        self.deadlines.schedule(at, Timer::WatchRetry);
     }
 
     pub(super) fn read_watch(&mut self, key: ConnectionKey) {
@@ -72,7 +72,7 @@
     }
 
     pub(super) fn take_news(&mut self, news: TableUpdate) {
-        let records = &mut self.services[RECORDS];
+        let records = &mut self.services[RECORDS_SERVICE];
         let listed = news
             .addresses
             .into_iter()
--- a/crates/limiter/src/net/host/handover.rs
+++ b/crates/limiter/src/net/host/handover.rs
@@ -26,8 +26,10 @@
     /// Takes over what the other process knows later, and writes what it lacks.
     pub(super) fn look_at_handover(&mut self) {
         let now = self.now();
-        self.deadlines
-            .schedule(now + self.limits.handover_poll_interval, Due::Handover);
+        self.deadlines.schedule(
+            now + self.limits.handover_poll_interval,
+            Timer::PollOperationsFile,
+        );
         let Some(handover) = &mut self.handover else {
             return;
         };
--- a/crates/limiter/src/net/host/introspection.rs
+++ b/crates/limiter/src/net/host/introspection.rs
@@ -10,7 +10,7 @@
 use crate::net::framing::Request;
 
 /// A bearer request whose token is being asked about.
-pub(super) struct Bearing {
+pub(super) struct BearerRequest {
     request: Request,
     basics: CommonFields,
     units: f64,
@@ -18,7 +18,7 @@
 }
 
 /// What the front holds.
-pub(super) struct Tokens {
+pub(super) struct IntrospectionFrontend {
     callers: Vec<Caller>,
     asking: IntrospectionEndpoint,
     cache: TokenCache,
@@ -30,9 +30,9 @@
 const NO_STORE: (&str, &str) = ("Cache-Control", "no-store");
 const JSON: (&str, &str) = ("Content-Type", "application/json");
 
-impl Tokens {
-    pub(super) fn new(front: IntrospectionConfig, house: usize) -> Tokens {
-        Tokens {
+impl IntrospectionFrontend {
+    pub(super) fn new(front: IntrospectionConfig, house: usize) -> IntrospectionFrontend {
+        IntrospectionFrontend {
             cache: TokenCache::new(front.cache_entries, front.cache_ttl),
             callers: front.callers,
             asking: front.endpoint,
@@ -42,7 +42,7 @@
     }
 }
 
-impl Tokens {
+impl IntrospectionFrontend {
     /// Who may ask from now on.
     pub(super) fn set_callers(&mut self, callers: Vec<Caller>) {
         self.callers = callers;
@@ -52,7 +52,9 @@
 impl Host {
     /// The introspection servers are the token engine's routing table; it never changes.
     pub(super) fn list_upstreams(&mut self) {
-        let (Some(tokens), Some(service)) = (&self.tokens, self.services.get_mut(TOKENS)) else {
+        let (Some(tokens), Some(service)) =
+            (&self.tokens, self.services.get_mut(INTROSPECTION_SERVICE))
+        else {
             return;
         };
         let mut entries = Vec::new();
@@ -109,7 +111,7 @@
             return;
         };
         let known = tokens.cache.get(&token, now);
-        let bearing = Bearing {
+        let bearing = BearerRequest {
             request,
             basics,
             units,
@@ -129,18 +131,18 @@
                 let forward = tokens.asking.build_request(&bearing.token);
                 self.take(
                     key,
-                    TOKENS,
+                    INTROSPECTION_SERVICE,
                     asking,
                     forward,
-                    Purpose::Identify(Box::new(bearing)),
+                    RequestKind::TokenLookup(Box::new(bearing)),
                 );
             }
         }
     }
 
     /// Whose the token is, is known: the work itself is asked for, in the same time and good no longer than it.
-    fn go_on(&mut self, key: ConnectionKey, bearing: Bearing, identity: Identity) {
-        let Bearing {
+    fn go_on(&mut self, key: ConnectionKey, bearing: BearerRequest, identity: Identity) {
+        let BearerRequest {
             mut request,
             basics,
             units,
@@ -168,10 +170,10 @@
         };
         self.take(
             key,
-            RECORDS,
+            RECORDS_SERVICE,
             authorisation,
             UpstreamRequest::from_request(&request),
-            Purpose::Record,
+            RequestKind::Bearer,
         );
     }
 
@@ -209,7 +211,13 @@
             ..Authorisation::default()
         };
         let forward = tokens.asking.build_request(&token);
-        self.take(key, TOKENS, question, forward, Purpose::Introspect(token));
+        self.take(
+            key,
+            INTROSPECTION_SERVICE,
+            question,
+            forward,
+            RequestKind::Introspection(token),
+        );
     }
 
     fn challenge(&mut self, key: ConnectionKey, challenge: Challenge) {
@@ -218,13 +226,23 @@
     }
 
     /// A leg whose answer is known already needs no server: the question has passed the caller's quota by then.
-    pub(super) fn answered_from_cache(&mut self, now: Micros, ticket: Ticket, leg: u32) -> bool {
+    pub(super) fn answered_from_cache(
+        &mut self,
+        now: Micros,
+        ticket: AuthorisationRef,
+        leg: u32,
+    ) -> bool {
         let (service, key) = ticket;
-        let Some(tokens) = self.tokens.as_mut().filter(|_| service == TOKENS) else {
+        let Some(tokens) = self
+            .tokens
+            .as_mut()
+            .filter(|_| service == INTROSPECTION_SERVICE)
+        else {
             return false;
         };
         let known = &mut self.services[service];
-        let Some(Purpose::Introspect(token)) = known.pending.get(key).map(|p| &p.purpose) else {
+        let Some(RequestKind::Introspection(token)) = known.pending.get(key).map(|p| &p.purpose)
+        else {
             return false;
         };
         let finding = match tokens.cache.get(token, now) {
@@ -261,7 +279,7 @@
     }
 
     /// An introspection server's answer, judged before.
-    pub(super) fn found(&mut self, key: ConnectionKey, purpose: Purpose, answer: &Response) {
+    pub(super) fn found(&mut self, key: ConnectionKey, purpose: RequestKind, answer: &Response) {
         let now = self.now();
         // Guards the instant between the two looks at the clock: fails closed.
         let finding = introspection::parse_response(answer, &self.platform.names.plans, now)
@@ -270,18 +288,18 @@
             return;
         };
         match (purpose, finding) {
-            (Purpose::Identify(bearing), finding) => {
+            (RequestKind::TokenLookup(bearing), finding) => {
                 tokens.cache.insert(&bearing.token, finding, now);
                 match finding {
                     IntrospectionResult::Active(identity) => self.go_on(key, *bearing, identity),
                     IntrospectionResult::Inactive => self.challenge(key, Challenge::Invalid),
                 }
             }
-            (Purpose::Introspect(token), finding) => {
+            (RequestKind::Introspection(token), finding) => {
                 tokens.cache.insert(&token, finding, now);
                 self.tell(now, key, finding);
             }
-            (Purpose::Platform | Purpose::Record, _) => {}
+            (RequestKind::Platform | RequestKind::Bearer, _) => {}
         }
     }
 
@@ -289,12 +307,12 @@
     pub(super) fn ended_tokens(
         &mut self,
         key: ConnectionKey,
-        purpose: Purpose,
+        purpose: RequestKind,
         ending: EngineRejection,
     ) {
         let ending = match purpose {
             // Whose it is could not be learned: nothing has run, and a retry is harmless.
-            Purpose::Identify(_) if !matches!(ending, EngineRejection::Declined { .. }) => {
+            RequestKind::TokenLookup(_) if !matches!(ending, EngineRejection::Declined { .. }) => {
                 EngineRejection::Declined {
                     retry_after: 0,
                     over_quota: false,
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -26,7 +26,7 @@
 use streamarch::{ListKind, LoadReport, Micros, Outcome, ServerEntry, ServerId, Settings};
 
 use self::cluster::Agreement;
-use self::introspection::Tokens;
+use self::introspection::IntrospectionFrontend;
 use self::operators::Operators;
 use super::Clock;
 use super::framing::{self, IncomingMessage, RequestHead, Response, ResponseHead};
@@ -50,25 +50,25 @@
 use crate::upstreams::{self, ConnectionPool, UpstreamPurpose, UpstreamState};
 
 /// Positions of the services: the records servers, and the introspection servers that we ask.
-const RECORDS: usize = 0;
-const TOKENS: usize = 1;
+const RECORDS_SERVICE: usize = 0;
+const INTROSPECTION_SERVICE: usize = 1;
 
 /// An authorisation of a service.
-type Ticket = (usize, AuthorisationKey);
+type AuthorisationRef = (usize, AuthorisationKey);
 
 /// The fronts that listen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Door {
+enum ListenerKind {
     Platform,
     Introspection,
-    Agreement,
+    Cluster,
 }
 
 /// An engine with its servers and what is out.
 struct Service {
     engine: Engine,
     pool: ConnectionPool,
-    pending: SecondaryMap<AuthorisationKey, Pending>,
+    pending: SecondaryMap<AuthorisationKey, PendingRequest>,
     legs: SecondaryMap<AuthorisationKey, ConnectionKey>,
 }
 
@@ -87,9 +87,12 @@
 #[derive(Clone, Copy, Debug)]
 enum Role {
     /// The acquirer side: a client's, and what it waits for.
-    Acquirer { door: Door, waits: Option<Ticket> },
+    Client {
+        door: ListenerKind,
+        waits: Option<AuthorisationRef>,
+    },
     /// A server's, of the service whose engine sends to it.
-    Server {
+    Upstream {
         service: usize,
         server: ServerId,
         state: UpstreamState,
@@ -97,9 +100,9 @@
     /// The counter's, by its line.
     Counter(usize),
     /// Discovery's.
-    Watch,
+    DiscoveryWatch,
     /// Another member's, among those that agree on the configuration.
-    Member(usize),
+    ClusterPeer(usize),
     /// An operator's.
     Operator,
 }
@@ -118,7 +121,7 @@
     /// Reading has stopped though more may be there: no event will tell of it again.
     unread: bool,
     /// What is coming in, where it is read as it comes.
-    reading: Reading,
+    reading: ReadState,
     /// Of the acquirer side: the client has been told that the body of its request is wanted.
     told_to_go_on: bool,
     /// When something last came.
@@ -137,13 +140,13 @@
 
 /// A message that is coming in on a connection.
 #[derive(Debug, Default)]
-enum Reading {
+enum ReadState {
     #[default]
-    Nothing,
+    Idle,
     Request(IncomingMessage<RequestHead>),
     /// A part of an answer is there, which is looked at anew each time.
-    Begun,
-    Answer(IncomingMessage<ResponseHead>),
+    ResponseStarted,
+    Response(IncomingMessage<ResponseHead>),
     /// A body that goes on to a server as it comes, and how many bytes of it have.
     Upload(Upload),
     /// An answer that goes on to this client as it comes.
@@ -154,9 +157,12 @@
     /// Bytes held of what has come and was not taken yet.
     fn held(&self) -> usize {
         let body = match &self.reading {
-            Reading::Request(incoming) => incoming.body.len(),
-            Reading::Upload(upload) => upload.buffered_bytes(),
-            Reading::Nothing | Reading::Begun | Reading::Answer(_) | Reading::Relay(..) => 0,
+            ReadState::Request(incoming) => incoming.body.len(),
+            ReadState::Upload(upload) => upload.buffered_bytes(),
+            ReadState::Idle
+            | ReadState::ResponseStarted
+            | ReadState::Response(_)
+            | ReadState::Relay(..) => 0,
         };
         self.input.len() + body
     }
@@ -164,7 +170,7 @@
     /// The body that still comes of a request which was taken.
     fn uploading(&self) -> Option<&Upload> {
         match &self.reading {
-            Reading::Upload(upload) if !upload.is_complete() => Some(upload),
+            ReadState::Upload(upload) if !upload.is_complete() => Some(upload),
             _ => None,
         }
     }
@@ -181,60 +187,60 @@
 }
 
 /// How far reading went.
-enum Come {
+enum FillResult {
     /// Nothing more is there for now.
-    All,
+    WouldBlock,
     /// More may be there, and is not to be taken in now.
-    Full,
+    LimitReached,
     /// The other side sends no more.
-    End,
+    Eof,
     /// The connection broke.
-    Broken,
+    Failed,
 }
 
 /// What falls due.
 #[derive(Debug)]
-enum Due {
+enum Timer {
     Connect(ConnectionKey),
-    Errand(ConnectionKey, UpstreamPurpose),
+    UpstreamDeadline(ConnectionKey, UpstreamPurpose),
     /// An answer to the errand has begun, and more of it is to have come by now.
-    Rest(ConnectionKey, UpstreamPurpose),
+    ResponseIdle(ConnectionKey, UpstreamPurpose),
     /// More of an answer that is being relayed is to have come by now.
     Relay(ConnectionKey),
-    Visit(ConnectionKey),
+    Client(ConnectionKey),
     Counter(usize),
-    Retire,
+    ExpireIdleUpstreams,
     RaftTick,
-    Accept,
+    RetryAccept,
     WatchRetry,
-    WatchSilent(ConnectionKey, Micros),
-    NoticeOver,
-    DrainOver,
-    Callers,
-    Handover,
+    WatchIdle(ConnectionKey, Micros),
+    NoticeExpired,
+    ShutdownTimeout,
+    OperatorIdle,
+    PollOperationsFile,
 }
 
 /// An authorisation whose final answer is owed.
-struct Pending {
+struct PendingRequest {
     origin: ConnectionKey,
     forward: UpstreamRequest,
-    purpose: Purpose,
+    purpose: RequestKind,
 }
 
 /// What the answer to an authorisation is for.
-enum Purpose {
+enum RequestKind {
     /// A request in the platform's protocol.
     Platform,
     /// The same work asked for with a bearer token, whose it is being known.
-    Record,
+    Bearer,
     /// Finding out whose a bearer token is; then the request goes on.
-    Identify(Box<introspection::Bearing>),
+    TokenLookup(Box<introspection::BearerRequest>),
     /// A caller's question about a token.
-    Introspect(crate::frontend::introspection::Token),
+    Introspection(crate::frontend::introspection::Token),
 }
 
 #[derive(Default)]
-struct Watch {
+struct DiscoveryWatch {
     connection: Option<ConnectionKey>,
     /// Where the answer stands, once its head has been read.
     stream: Option<framing::BodyReader>,
@@ -254,7 +260,7 @@
     handover: Option<OperationsFile>,
     connections: SlotMap<ConnectionKey, Connection>,
     acquirers: usize,
-    deadlines: Deadlines<Due>,
+    deadlines: Deadlines<Timer>,
     dirty: Vec<ConnectionKey>,
     /// Clients' connections to be looked at again: what has come on them had to wait.
     again: Vec<ConnectionKey>,
@@ -266,16 +272,16 @@
     told_full: Micros,
     scratch: Vec<u8>,
     orders: Vec<EngineAction>,
-    listeners: Vec<(Door, Rc<TcpListener>, RegistrationToken)>,
+    listeners: Vec<(ListenerKind, Rc<TcpListener>, RegistrationToken)>,
     accepting: bool,
     platform: PlatformFrontend,
     services: Vec<Service>,
-    tokens: Option<Tokens>,
+    tokens: Option<IntrospectionFrontend>,
     agreement: Option<Agreement>,
     table: RoutingTable,
     discovery: SocketAddr,
     discovery_in_file: Option<SocketAddr>,
-    watch: Watch,
+    watch: DiscoveryWatch,
     counter: Option<SocketAddr>,
     lines: Vec<CounterConnection>,
     datagrams: Option<UdpSocket>,
@@ -377,7 +383,7 @@
         let plans = settings.plans.len();
         let counter = config.counter.filter(|_| settings.counter_available);
         let mut listeners = Vec::new();
-        let mut open_door = |door: Door, listener: TcpListener| {
+        let mut open_door = |door: ListenerKind, listener: TcpListener| {
             let (listener, token) = watch_listener(&handle, listener, Host::accept)?;
             listeners.push((door, listener, token));
             io::Result::Ok(())
@@ -388,7 +394,7 @@
             }
             None => bind(config.listen, &limits)?,
         };
-        open_door(Door::Platform, platform_listener)?;
+        open_door(ListenerKind::Platform, platform_listener)?;
         let mut services = vec![Service::new(Engine::new(
             settings,
             config.seed,
@@ -396,17 +402,17 @@
         ))];
         let mut tokens = None;
         if let Some(front) = config.introspection {
-            open_door(Door::Introspection, bind(front.listen, &limits)?)?;
+            open_door(ListenerKind::Introspection, bind(front.listen, &limits)?)?;
             services.push(Service::new(Engine::new(
                 front.settings.clone(),
                 !config.seed,
                 limits.max_authorisations,
             )));
-            tokens = Some(Tokens::new(front, plans));
+            tokens = Some(IntrospectionFrontend::new(front, plans));
         }
         let mut agreement = None;
         if let Some(cluster) = &config.raft {
-            open_door(Door::Agreement, bind(cluster.listen, &limits)?)?;
+            open_door(ListenerKind::Cluster, bind(cluster.listen, &limits)?)?;
             agreement = Some(Agreement::open(cluster)?);
         }
         let datagrams = match config.peer_listen.filter(|_| tell) {
@@ -448,9 +454,9 @@
             table,
             discovery: config.discovery,
             discovery_in_file: config.file_discovery,
-            watch: Watch {
+            watch: DiscoveryWatch {
                 wait: limits.watch_retry_delay,
-                ..Watch::default()
+                ..DiscoveryWatch::default()
             },
             counter,
             lines: (0..limits.counter_connections)
@@ -473,7 +479,7 @@
         }
         host.list_upstreams();
         if host.agreement.is_some() {
-            host.deadlines.schedule(host.now(), Due::RaftTick);
+            host.deadlines.schedule(host.now(), Timer::RaftTick);
         }
         host.open_watch();
         for line in 0..host.lines.len() {
@@ -481,7 +487,7 @@
         }
         host.deadlines.schedule(
             host.now() + host.limits.upstream_idle_timeout / 4,
-            Due::Retire,
+            Timer::ExpireIdleUpstreams,
         );
         host.log(&format!("serving on {}", host.addresses()?.0));
         Ok(host)
@@ -503,9 +509,9 @@
                 .find(|(d, _, _)| *d == door)
                 .map(|(_, l, _)| l.local_addr())
         };
-        let platform =
-            of(Door::Platform).unwrap_or_else(|| Err(io::ErrorKind::NotConnected.into()))?;
-        Ok((platform, of(Door::Introspection).transpose()?))
+        let platform = of(ListenerKind::Platform)
+            .unwrap_or_else(|| Err(io::ErrorKind::NotConnected.into()))?;
+        Ok((platform, of(ListenerKind::Introspection).transpose()?))
     }
 
     /// When something is due next.
@@ -566,16 +572,16 @@
         }
     }
 
-    fn due(&mut self, now: Micros, due: Due) {
+    fn due(&mut self, now: Micros, due: Timer) {
         match due {
-            Due::Connect(key) => {
+            Timer::Connect(key) => {
                 if self.connections.get(key).is_some_and(|c| !c.up) {
                     self.broken(key);
                 }
             }
-            Due::Errand(key, errand) => {
+            Timer::UpstreamDeadline(key, errand) => {
                 let role = self.connections.get(key).map(|c| c.role);
-                let Some(Role::Server {
+                let Some(Role::Upstream {
                     service,
                     server,
                     state,
@@ -588,11 +594,11 @@
                     self.close(key);
                 }
             }
-            Due::Rest(key, errand) => {
+            Timer::ResponseIdle(key, errand) => {
                 let Some(connection) = self.connections.get(key) else {
                     return;
                 };
-                let Role::Server {
+                let Role::Upstream {
                     service,
                     server,
                     state,
@@ -602,7 +608,8 @@
                 };
                 let until = connection.heard + self.limits.response_idle_timeout;
                 if state.purpose() == Some(errand) && until > now {
-                    self.deadlines.schedule(until, Due::Rest(key, errand));
+                    self.deadlines
+                        .schedule(until, Timer::ResponseIdle(key, errand));
                 } else if state.purpose() == Some(errand) {
                     // Guards against an answer that is spoilt where its connection stays open: the request has run,
                     // and what is missing of it will not come.
@@ -610,10 +617,10 @@
                     self.close(key);
                 }
             }
-            Due::Relay(key) => self.relay_due(now, key),
-            Due::Visit(key) => self.visit_due(now, key),
-            Due::Counter(line) => self.expire_line(now, line),
-            Due::Retire => {
+            Timer::Relay(key) => self.relay_due(now, key),
+            Timer::Client(key) => self.visit_due(now, key),
+            Timer::Counter(line) => self.expire_line(now, line),
+            Timer::ExpireIdleUpstreams => {
                 let before = now - self.limits.upstream_idle_timeout;
                 let old = self
                     .services
@@ -622,15 +629,17 @@
                 for key in old.collect::<Vec<_>>() {
                     self.close(key);
                 }
-                self.deadlines
-                    .schedule(now + self.limits.upstream_idle_timeout / 4, Due::Retire);
+                self.deadlines.schedule(
+                    now + self.limits.upstream_idle_timeout / 4,
+                    Timer::ExpireIdleUpstreams,
+                );
             }
-            Due::RaftTick => self.raft_tick(now),
-            Due::Accept => self.resume_accepting(),
+            Timer::RaftTick => self.raft_tick(now),
+            Timer::RetryAccept => self.resume_accepting(),
             // A reload may have opened one meanwhile.
-            Due::WatchRetry if self.watch.connection.is_some() => {}
-            Due::WatchRetry => self.open_watch(),
-            Due::WatchSilent(key, heard) => {
+            Timer::WatchRetry if self.watch.connection.is_some() => {}
+            Timer::WatchRetry => self.open_watch(),
+            Timer::WatchIdle(key, heard) => {
                 if self.watch.connection != Some(key) {
                 } else if self.watch.heard <= heard {
                     self.warn("discovery silent: watch opened anew");
@@ -639,14 +648,14 @@
                     let heard = self.watch.heard;
                     self.deadlines.schedule(
                         heard + self.limits.watch_idle_timeout,
-                        Due::WatchSilent(key, heard),
+                        Timer::WatchIdle(key, heard),
                     );
                 }
             }
-            Due::NoticeOver => self.notice_over(),
-            Due::DrainOver => self.lifecycle.finish_shutdown(),
-            Due::Callers => self.callers_due(now),
-            Due::Handover => self.look_at_handover(),
+            Timer::NoticeExpired => self.notice_over(),
+            Timer::ShutdownTimeout => self.lifecycle.finish_shutdown(),
+            Timer::OperatorIdle => self.callers_due(now),
+            Timer::PollOperationsFile => self.look_at_handover(),
         }
     }
 
@@ -684,7 +693,7 @@
                     self.broken(old);
                 }
                 self.lines[line].enqueue(service, name, add, life, deadline);
-                self.deadlines.schedule(deadline, Due::Counter(line));
+                self.deadlines.schedule(deadline, Timer::Counter(line));
                 if self.lines[line].connection.is_none() {
                     self.open_line(line);
                 }
@@ -724,7 +733,7 @@
             visit: ClientConnection::new(now),
             armed: Micros::MAX,
             unread: false,
-            reading: Reading::Nothing,
+            reading: ReadState::Idle,
             told_to_go_on: false,
             heard: now,
             feeding: false,
@@ -752,8 +761,10 @@
     /// Opens a connection; it must come up within the limit for that.
     fn connect(&mut self, address: SocketAddr, role: Role) -> io::Result<ConnectionKey> {
         let key = self.register(nonblocking_connect(address)?, role, false)?;
-        self.deadlines
-            .schedule(self.now() + self.limits.connect_timeout, Due::Connect(key));
+        self.deadlines.schedule(
+            self.now() + self.limits.connect_timeout,
+            Timer::Connect(key),
+        );
         Ok(key)
     }
 
@@ -764,7 +775,7 @@
             self.handle.remove(token);
         }
         match connection.role {
-            Role::Acquirer { .. } => {
+            Role::Client { .. } => {
                 self.acquirers -= 1;
                 self.partial -= connection.held();
                 self.resume_accepting();
@@ -774,11 +785,11 @@
                     .into_iter()
                     .for_each(|source| _ = self.close(source));
             }
-            Role::Server {
+            Role::Upstream {
                 service, server, ..
             } => self.services[service].pool.record_closed(server, key),
             Role::Operator => self.operator_left(key),
-            Role::Counter(_) | Role::Watch | Role::Member(_) => {}
+            Role::Counter(_) | Role::DiscoveryWatch | Role::ClusterPeer(_) => {}
         }
         Some(connection)
     }
@@ -790,23 +801,23 @@
             return;
         };
         match connection.role {
-            Role::Acquirer {
+            Role::Client {
                 waits: Some(ticket),
                 ..
             } => self.abandon(now, ticket),
-            Role::Acquirer { waits: None, .. } => {}
-            Role::Server {
+            Role::Client { waits: None, .. } => {}
+            Role::Upstream {
                 service,
                 server,
                 state,
             } => {
-                if let Reading::Relay(_, to) = connection.reading {
+                if let ReadState::Relay(_, to) = connection.reading {
                     // Cut off here too, so that the client can tell.
                     self.close(to);
                 }
                 if let Some(errand) = state.purpose() {
                     // Only an introspection server's answer may end with its connection: it is judged by its text.
-                    let ended = (service == TOKENS)
+                    let ended = (service == INTROSPECTION_SERVICE)
                         .then(|| framing::parse_response(&connection.input, true, &self.limits));
                     let answer = ended
                         .and_then(Result::ok)
@@ -820,14 +831,14 @@
                 self.lines[line].handle_disconnect(&mut counted);
                 self.take_counted(counted);
             }
-            Role::Watch => self.watch_lost(),
-            Role::Member(at) => self.member_lost(at),
+            Role::DiscoveryWatch => self.watch_lost(),
+            Role::ClusterPeer(at) => self.member_lost(at),
             Role::Operator => {}
         }
     }
 
     /// Nobody waits for an authorisation any more.
-    fn abandon(&mut self, now: Micros, ticket: Ticket) {
+    fn abandon(&mut self, now: Micros, ticket: AuthorisationRef) {
         self.settle(ticket);
         let mut orders = std::mem::take(&mut self.orders);
         self.services[ticket.0]
@@ -843,7 +854,7 @@
     fn client_gone(&mut self, key: ConnectionKey) {
         let now = self.now();
         if let Some(connection) = self.connections.get_mut(key)
-            && let Role::Acquirer { waits, .. } = &mut connection.role
+            && let Role::Client { waits, .. } = &mut connection.role
             && let Some(ticket) = waits.take()
         {
             self.abandon(now, ticket);
@@ -875,12 +886,12 @@
     fn came_up(&mut self, key: ConnectionKey) {
         let now = self.now();
         match self.connections.get(key).map(|c| c.role) {
-            Some(Role::Server { .. }) => self.send_errand(now, key),
+            Some(Role::Upstream { .. }) => self.send_errand(now, key),
             Some(Role::Counter(line)) => {
                 self.lines[line].handle_connected(now);
                 self.write_line(now, line);
             }
-            Some(Role::Watch) => {
+            Some(Role::DiscoveryWatch) => {
                 let request = format!(
                     "GET /discovery/hosts?watch=1&from={} HTTP/1.1\r\nHost: {}\r\n\r\n",
                     self.table.list_version, self.discovery
@@ -889,10 +900,10 @@
                 self.watch.heard = now;
                 self.deadlines.schedule(
                     now + self.limits.watch_idle_timeout,
-                    Due::WatchSilent(key, now),
+                    Timer::WatchIdle(key, now),
                 );
             }
-            Some(Role::Acquirer { .. } | Role::Member(_) | Role::Operator) | None => {}
+            Some(Role::Client { .. } | Role::ClusterPeer(_) | Role::Operator) | None => {}
         }
     }
 
@@ -900,12 +911,12 @@
     fn room(&self, connection: &Connection) -> usize {
         let limits = &self.limits;
         let most = match (connection.role, connection.visit.stage) {
-            (Role::Acquirer { .. }, Stage::Idle | Stage::Receiving) => {
+            (Role::Client { .. }, Stage::Idle | Stage::Receiving) => {
                 limits.max_head_bytes + 2 * limits.max_buffered_body_bytes
             }
             // Guards the memory against a client that sends on and on while its request is out. A little is read,
             // so that its leaving is seen.
-            (Role::Acquirer { .. }, Stage::Processing) if connection.uploading().is_some() => {
+            (Role::Client { .. }, Stage::Processing) if connection.uploading().is_some() => {
                 // Guards it against a client that is faster than the server which gets its body.
                 let leg = connection
                     .uploading()
@@ -916,16 +927,16 @@
                 });
                 return limits.relay_window_bytes.saturating_sub(held);
             }
-            (Role::Acquirer { .. }, Stage::Processing | Stage::Responding) => {
+            (Role::Client { .. }, Stage::Processing | Stage::Responding) => {
                 limits.max_pipelined_bytes
             }
-            (Role::Acquirer { .. }, Stage::Lingering) => {
+            (Role::Client { .. }, Stage::Lingering) => {
                 return limits.max_linger_bytes.saturating_sub(connection.discarded);
             }
-            (Role::Server { .. }, _) => {
+            (Role::Upstream { .. }, _) => {
                 // Guards the memory against a client that is slower than the server whose answer it gets.
                 let most = match &connection.reading {
-                    Reading::Relay(_, to) => {
+                    ReadState::Relay(_, to) => {
                         let held = self.connections.get(*to).map_or(0, Connection::backlog);
                         limits.relay_window_bytes.saturating_sub(held)
                     }
@@ -956,19 +967,19 @@
     }
 
     /// Takes in all there is and may be taken in.
-    fn fill(&mut self, key: ConnectionKey) -> Option<Come> {
+    fn fill(&mut self, key: ConnectionKey) -> Option<FillResult> {
         let now = self.now();
         loop {
             let room = self.connections.get(key).map(|c| self.room(c))?;
             let connection = self.connections.get_mut(key)?;
-            let acquirer = matches!(connection.role, Role::Acquirer { .. });
+            let acquirer = matches!(connection.role, Role::Client { .. });
             connection.unread = room == 0;
             if room == 0 {
-                return Some(Come::Full);
+                return Some(FillResult::LimitReached);
             }
             let size = room.min(self.scratch.len());
             match (&*connection.stream).read(&mut self.scratch[..size]) {
-                Ok(0) => return Some(Come::End),
+                Ok(0) => return Some(FillResult::Eof),
                 Ok(length) if acquirer && connection.visit.stage == Stage::Lingering => {
                     connection.discarded += length
                 }
@@ -977,9 +988,11 @@
                     connection.input.extend_from_slice(&self.scratch[..length]);
                     self.partial += if acquirer { length } else { 0 };
                 }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Some(Come::All),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    return Some(FillResult::WouldBlock);
+                }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Some(Come::Broken),
+                Err(_) => return Some(FillResult::Failed),
             }
         }
     }
@@ -996,25 +1009,25 @@
                 // Danger: a client that has gone (its end read with its request, as after a pause) is abandoned just
                 // below; handed in, its request would first cost a call of the counter, and a burst of them starves
                 // the other limiters' calls.
-                Some((Role::Acquirer { .. }, false)) if !matches!(come, Come::End) => {
+                Some((Role::Client { .. }, false)) if !matches!(come, FillResult::Eof) => {
                     self.read_request(key)
                 }
-                Some((Role::Server { .. }, false)) => self.read_answer(key),
+                Some((Role::Upstream { .. }, false)) => self.read_answer(key),
                 Some((Role::Counter(line), false)) => self.read_totals(key, line),
-                Some((Role::Watch, false)) => self.read_watch(key),
-                Some((Role::Member(_), false)) => self.read_receipts(key),
+                Some((Role::DiscoveryWatch, false)) => self.read_watch(key),
+                Some((Role::ClusterPeer(_), false)) => self.read_receipts(key),
                 Some((Role::Operator, false)) => self.read_call(key),
                 _ => {}
             }
             match come {
-                Come::All => return,
-                Come::End => {
+                FillResult::WouldBlock => return,
+                FillResult::Eof => {
                     // That may be the end of an answer, in order.
                     self.answer_ended(key);
                     return self.broken(key);
                 }
-                Come::Broken => return self.broken(key),
-                Come::Full => {}
+                FillResult::Failed => return self.broken(key),
+                FillResult::LimitReached => {}
             }
             let Some(connection) = self.connections.get(key) else {
                 return;
@@ -1022,15 +1035,15 @@
             let room = self.room(connection) > 0;
             match connection.role {
                 // The rest waits until the request before it is answered.
-                Role::Acquirer { .. } if !room => return,
-                Role::Acquirer { .. }
+                Role::Client { .. } if !room => return,
+                Role::Client { .. }
                     if connection.visit.stage != Stage::Receiving
                         && connection.uploading().is_none() =>
                 {
                     return;
                 }
                 // The rest waits until the client has taken in what is there.
-                Role::Server { .. } if !room => return,
+                Role::Upstream { .. } if !room => return,
                 _ if !room => return self.broken(key),
                 _ => {}
             }
@@ -1074,7 +1087,7 @@
         }
         // Guards the memory on a long day: one large message must not be paid for as long as the connection lasts.
         connection.output.shrink_to(4 * 1024);
-        if let Role::Server { service, state, .. } = &mut connection.role {
+        if let Role::Upstream { service, state, .. } = &mut connection.role {
             let before = std::mem::replace(state, state.on_request_written());
             if let (true, Some(UpstreamPurpose::Attempt(authorisation, _))) =
                 (before != *state, state.purpose())
@@ -1085,7 +1098,7 @@
             }
         }
         match connection.role {
-            Role::Acquirer { .. } => self.answer_written(key),
+            Role::Client { .. } => self.answer_written(key),
             Role::Operator => self.call_answered(key),
             _ if connection.closing => _ = self.close(key),
             _ => {}
--- a/crates/limiter/src/net/host/operators.rs
+++ b/crates/limiter/src/net/host/operators.rs
@@ -52,7 +52,7 @@
                 .and_then(|o| o.callers.insert(key, now, &self.limits));
             spared.into_iter().for_each(|oldest| _ = self.close(oldest));
             self.deadlines
-                .schedule(now + self.limits.operator_idle_timeout, Due::Callers);
+                .schedule(now + self.limits.operator_idle_timeout, Timer::OperatorIdle);
             // The line is there already, most often.
             self.read(key);
         }
@@ -159,8 +159,10 @@
 
     /// Clients are sent away, or no longer.
     pub(super) fn drain_changed(&mut self, now: Micros) {
-        self.deadlines
-            .schedule(now + self.limits.shutdown_notice_period, Due::NoticeOver);
+        self.deadlines.schedule(
+            now + self.limits.shutdown_notice_period,
+            Timer::NoticeExpired,
+        );
     }
 
     fn ban(
--- a/crates/limiter/src/net/host/responses.rs
+++ b/crates/limiter/src/net/host/responses.rs
@@ -13,7 +13,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Role::Server {
+        let Role::Upstream {
             service,
             server,
             state,
@@ -28,7 +28,7 @@
             _ = self.close(key);
             return;
         };
-        connection.role = Role::Server {
+        connection.role = Role::Upstream {
             service,
             server,
             state: UpstreamState::Relaying,
@@ -55,7 +55,7 @@
         let Some(client) = self.connections.get_mut(to) else {
             return;
         };
-        let Role::Acquirer { waits, .. } = &mut client.role else {
+        let Role::Client { waits, .. } = &mut client.role else {
             return;
         };
         *waits = None;
@@ -76,10 +76,10 @@
         );
         self.arm(to);
         if let Some(connection) = self.connections.get_mut(key) {
-            connection.reading = Reading::Relay(relay, to);
+            connection.reading = ReadState::Relay(relay, to);
         }
         self.deadlines
-            .schedule(now + self.limits.relay_idle_timeout, Due::Relay(key));
+            .schedule(now + self.limits.relay_idle_timeout, Timer::Relay(key));
         self.read_relayed(key, to);
     }
 
@@ -88,7 +88,7 @@
         let Some([server, client]) = self.connections.get_disjoint_mut([key, to]) else {
             return;
         };
-        let Reading::Relay(relay, _) = &mut server.reading else {
+        let ReadState::Relay(relay, _) = &mut server.reading else {
             return;
         };
         match relay.forward(&mut server.input, &mut client.output) {
@@ -104,8 +104,8 @@
             return;
         };
         if let (
-            Reading::Relay(relay, _),
-            Role::Server {
+            ReadState::Relay(relay, _),
+            Role::Upstream {
                 service,
                 server: id,
                 ..
@@ -114,8 +114,8 @@
             && relay.is_complete()
         {
             let clean = relay.is_reusable() && server.input.is_empty() && server.all_sent();
-            server.reading = Reading::Nothing;
-            server.role = Role::Server {
+            server.reading = ReadState::Idle;
+            server.role = Role::Upstream {
                 service,
                 server: id,
                 state: UpstreamState::Idle,
@@ -134,14 +134,14 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Role::Server {
+        let Role::Upstream {
             service, server, ..
         } = connection.role
         else {
             return;
         };
         let (mut incoming, first) = match std::mem::take(&mut connection.reading) {
-            Reading::Answer(incoming) => (incoming, false),
+            ReadState::Response(incoming) => (incoming, false),
             _ => (IncomingMessage::default(), true),
         };
         if incoming
@@ -171,12 +171,12 @@
                 _ = self.close(key);
             }
             _ => {
-                connection.reading = Reading::Answer(incoming);
+                connection.reading = ReadState::Response(incoming);
                 // Most answers are there at once: the rest is waited for only where some of it is missing.
                 if first {
                     self.deadlines.schedule(
                         now + self.limits.response_idle_timeout,
-                        Due::Rest(key, errand),
+                        Timer::ResponseIdle(key, errand),
                     );
                 }
             }
@@ -198,7 +198,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Role::Server {
+        let Role::Upstream {
             service, server, ..
         } = connection.role
         else {
@@ -208,7 +208,7 @@
             whole && connection.input.is_empty() && answer.keep_alive && connection.all_sent();
         connection.input.clear();
         connection.input.shrink_to(4 * 1024);
-        connection.role = Role::Server {
+        connection.role = Role::Upstream {
             service,
             server,
             state: UpstreamState::Idle,
@@ -225,11 +225,11 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Role::Server { state, .. } = connection.role else {
+        let Role::Upstream { state, .. } = connection.role else {
             return;
         };
         match (std::mem::take(&mut connection.reading), state.purpose()) {
-            (Reading::Relay(mut relay, to), _) => {
+            (ReadState::Relay(mut relay, to), _) => {
                 let Some(client) = self.connections.get_mut(to) else {
                     return;
                 };
@@ -240,10 +240,10 @@
                     self.flush(to);
                 } else if let Some(connection) = self.connections.get_mut(key) {
                     // Broken off: that is told on.
-                    connection.reading = Reading::Relay(relay, to);
+                    connection.reading = ReadState::Relay(relay, to);
                 }
             }
-            (Reading::Answer(incoming), Some(errand)) if incoming.ends_at_close() => {
+            (ReadState::Response(incoming), Some(errand)) if incoming.ends_at_close() => {
                 self.answer_came(key, errand, incoming);
             }
             _ => {}
@@ -255,7 +255,7 @@
         let Some(connection) = self.connections.get(key) else {
             return;
         };
-        let Reading::Relay(..) = connection.reading else {
+        let ReadState::Relay(..) = connection.reading else {
             return;
         };
         // Where the client is slow the server is not asked for more; how slow that may be is the client's own limit.
@@ -265,7 +265,7 @@
             connection.heard
         } + self.limits.relay_idle_timeout;
         if until > now {
-            self.deadlines.schedule(until, Due::Relay(key));
+            self.deadlines.schedule(until, Timer::Relay(key));
         } else {
             self.broken(key);
         }
--- a/crates/limiter/src/net/host/shutdown.rs
+++ b/crates/limiter/src/net/host/shutdown.rs
@@ -16,10 +16,12 @@
             self.log("told to end: new connections are left to others, finishing");
             self.leave_listeners();
         }
+        self.deadlines.schedule(
+            now + self.limits.shutdown_notice_period,
+            Timer::NoticeExpired,
+        );
         self.deadlines
-            .schedule(now + self.limits.shutdown_notice_period, Due::NoticeOver);
-        self.deadlines
-            .schedule(now + self.limits.shutdown_timeout, Due::DrainOver);
+            .schedule(now + self.limits.shutdown_timeout, Timer::ShutdownTimeout);
     }
 
     /// Listening sockets are only closed: one that is shared goes on to listen for the others.
@@ -43,7 +45,7 @@
         let acquirers = self
             .connections
             .iter()
-            .filter(|(_, c)| matches!(c.role, Role::Acquirer { .. }));
+            .filter(|(_, c)| matches!(c.role, Role::Client { .. }));
         for key in acquirers.map(|(key, _)| key).collect::<Vec<_>>() {
             // What is there already is taken; a close that crosses a request is made good by the client.
             self.read(key);
--- a/crates/limiter/src/net/host/uploads.rs
+++ b/crates/limiter/src/net/host/uploads.rs
@@ -16,7 +16,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Role::Acquirer { door, .. } = connection.role else {
+        let Role::Client { door, .. } = connection.role else {
             return;
         };
         let (extent, come) = (incoming.framing, incoming.received_body_bytes);
@@ -27,13 +27,17 @@
         connection.last = !head.keep_alive;
         connection.told_to_go_on = false;
         let upload = Upload::new(extent, reader, body, self.limits.relay_window_bytes);
-        connection.reading = Reading::Upload(upload);
+        connection.reading = ReadState::Upload(upload);
         let request = Request::new(head, Vec::new());
         let read = match door {
             // What is safe to repeat has no body.
-            Door::Platform if request.method == "GET" => Err(reject(400, "the class has no body")),
-            Door::Platform => self.platform.parse_request(&request, &self.limits, now),
-            Door::Introspection | Door::Agreement => Err(reject(413, "the body is too long")),
+            ListenerKind::Platform if request.method == "GET" => {
+                Err(reject(400, "the class has no body"))
+            }
+            ListenerKind::Platform => self.platform.parse_request(&request, &self.limits, now),
+            ListenerKind::Introspection | ListenerKind::Cluster => {
+                Err(reject(413, "the body is too long"))
+            }
         };
         match read {
             Ok(mut authorisation) => {
@@ -47,7 +51,13 @@
                 let rest = (left / self.limits.min_body_bytes_per_s.max(1)) as Micros * 1_000_000;
                 authorisation.deadline += rest.min(self.limits.max_upload_extension);
                 let forward = UpstreamRequest::from_streaming_request(&request, extent);
-                self.take(key, RECORDS, authorisation, forward, Purpose::Platform);
+                self.take(
+                    key,
+                    RECORDS_SERVICE,
+                    authorisation,
+                    forward,
+                    RequestKind::Platform,
+                );
                 if let Some(connection) = self.connections.get_mut(key) {
                     connection.visit.record_body_progress(now, come);
                 }
@@ -64,7 +74,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Reading::Upload(upload) = &connection.reading else {
+        let ReadState::Upload(upload) = &connection.reading else {
             return;
         };
         let (before, leg) = (connection.held(), upload.attempt());
@@ -79,7 +89,7 @@
             return;
         };
         self.partial = (self.partial + connection.held()).saturating_sub(before);
-        let Reading::Upload(upload) = &connection.reading else {
+        let ReadState::Upload(upload) = &connection.reading else {
             return;
         };
         let (whole, bytes) = (upload.is_complete(), upload.received_bytes());
@@ -103,7 +113,7 @@
         let Some(connection) = self.connections.get(key) else {
             return;
         };
-        if let Role::Acquirer {
+        if let Role::Client {
             waits: Some((service, authorisation)),
             ..
         } = connection.role
@@ -119,7 +129,7 @@
         connection: &mut Connection,
         out: Option<&mut Vec<u8>>,
     ) -> Result<(), framing::ParseError> {
-        let Reading::Upload(upload) = &mut connection.reading else {
+        let ReadState::Upload(upload) = &mut connection.reading else {
             return Ok(());
         };
         upload.read(&mut connection.input, out)
@@ -131,7 +141,7 @@
             return;
         };
         let before = client.held();
-        let Reading::Upload(upload) = &mut client.reading else {
+        let ReadState::Upload(upload) = &mut client.reading else {
             return;
         };
         upload.start_attempt(leg, &mut server.output);
@@ -157,14 +167,14 @@
         else {
             return;
         };
-        if let Reading::Upload(upload) = &mut client.reading {
+        if let ReadState::Upload(upload) = &mut client.reading {
             upload.end_attempt();
         }
     }
 
     /// A leg's connection takes in more: its client may be read on.
     pub(super) fn more_from(&mut self, leg: ConnectionKey) {
-        let Some(Role::Server { service, state, .. }) = self.connections.get(leg).map(|c| c.role)
+        let Some(Role::Upstream { service, state, .. }) = self.connections.get(leg).map(|c| c.role)
         else {
             return;
         };
--- a/crates/limiter/src/net/host/upstream_requests.rs
+++ b/crates/limiter/src/net/host/upstream_requests.rs
@@ -6,7 +6,7 @@
     pub(super) fn start_leg(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        ticket: AuthorisationRef,
         leg: u32,
         server: ServerId,
         deadline: Micros,
@@ -41,7 +41,7 @@
                 self.close(key);
                 continue;
             }
-            connection.role = Role::Server {
+            connection.role = Role::Upstream {
                 service,
                 server,
                 state: UpstreamState::Sending(errand),
@@ -66,7 +66,7 @@
                 }
             }
         }
-        let role = Role::Server {
+        let role = Role::Upstream {
             service,
             server,
             state: UpstreamState::Connecting(errand),
@@ -93,7 +93,8 @@
         if let UpstreamPurpose::Attempt(authorisation, _) = errand {
             self.services[service].legs.insert(authorisation, key);
         }
-        self.deadlines.schedule(deadline, Due::Errand(key, errand));
+        self.deadlines
+            .schedule(deadline, Timer::UpstreamDeadline(key, errand));
     }
 
     /// The connection is up: writes what the errand carries.
@@ -101,7 +102,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Role::Server {
+        let Role::Upstream {
             service,
             server,
             state,
@@ -150,7 +151,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Role::Server {
+        let Role::Upstream {
             service,
             server,
             state,
@@ -158,7 +159,7 @@
         else {
             return;
         };
-        if let Reading::Relay(_, to) = connection.reading {
+        if let ReadState::Relay(_, to) = connection.reading {
             return self.read_relayed(key, to);
         }
         let Some(errand) = state.purpose() else {
@@ -166,18 +167,18 @@
             _ = self.close(key);
             return;
         };
-        if service == RECORDS {
+        if service == RECORDS_SERVICE {
             return self.read_records(key, errand);
         }
         match framing::parse_response(&connection.input, false, &self.limits) {
             Ok(None) => {
                 if !matches!(
-                    std::mem::replace(&mut connection.reading, Reading::Begun),
-                    Reading::Begun
+                    std::mem::replace(&mut connection.reading, ReadState::ResponseStarted),
+                    ReadState::ResponseStarted
                 ) {
                     self.deadlines.schedule(
                         self.clock.now() + self.limits.response_idle_timeout,
-                        Due::Rest(key, errand),
+                        Timer::ResponseIdle(key, errand),
                     );
                 }
             }
@@ -186,8 +187,8 @@
                     connection.input.len() == length && answer.keep_alive && connection.all_sent();
                 connection.input.clear();
                 connection.input.shrink_to(4 * 1024);
-                connection.reading = Reading::Nothing;
-                connection.role = Role::Server {
+                connection.reading = ReadState::Idle;
+                connection.role = Role::Upstream {
                     service,
                     server,
                     state: UpstreamState::Idle,
@@ -223,7 +224,7 @@
             UpstreamPurpose::Attempt(authorisation, leg) => {
                 let outcome = match &answer {
                     None => otherwise,
-                    Some(answer) if service == TOKENS => self.judged(now, answer),
+                    Some(answer) if service == INTROSPECTION_SERVICE => self.judged(now, answer),
                     Some(answer) => upstreams::response_outcome(answer),
                 };
                 self.leg_left_upload(service, authorisation);
