--- a/crates/limiter/src/net/host/clients.rs
+++ b/crates/limiter/src/net/host/clients.rs
@@ -9,14 +9,14 @@
 impl Host {
     pub(super) fn accept(&mut self) {
         for at in 0..self.listeners.len() {
-            while self.accepting && self.accept_one(at) {}
+            while self.is_accepting && self.accept_one(at) {}
         }
     }
 
     /// Takes one connection; false if there is none to take.
     fn accept_one(&mut self, at: usize) -> bool {
         // One more than the most is taken, so that none has to go before another is there.
-        let full = |host: &Host| host.acquirers > host.limits.max_client_connections;
+        let full = |host: &Host| host.client_count > host.limits.max_client_connections;
         if full(self) && !self.make_room() {
             return false;
         }
@@ -32,7 +32,7 @@
                     .and_then(|()| stream.set_nodelay(true));
                 match ready.and_then(|()| self.register(stream, role, true)) {
                     Ok(key) => {
-                        self.acquirers += 1;
+                        self.client_count += 1;
                         self.arm(key);
                     }
                     Err(error) => self.warn(&format!("cannot take a connection: {error}")),
@@ -64,20 +64,20 @@
                 .iter()
                 .filter(|(_, c)| matches!(c.role, Role::Client { .. }));
             let spared = acquirers
-                .filter_map(|(key, c)| Some((c.visit.eviction_rank(now, &self.limits)?, key)));
+                .filter_map(|(key, c)| Some((c.client.eviction_rank(now, &self.limits)?, key)));
             let Some((rank, key)) = spared.min() else {
                 break;
             };
             // Guards a request that is there already, but not read.
             self.read(key);
-            let still = |c: &Connection| c.visit.eviction_rank(now, &self.limits) == Some(rank);
+            let still = |c: &Connection| c.client.eviction_rank(now, &self.limits) == Some(rank);
             if self.connections.get(key).is_none_or(still) {
                 self.close(key);
                 return true;
             }
         }
-        if now - self.told_full >= self.limits.accept_pause_log_interval {
-            self.told_full = now;
+        if now - self.accept_pause_logged_at >= self.limits.accept_pause_log_interval {
+            self.accept_pause_logged_at = now;
             self.warn("at the most connections: accepting paused");
         }
         self.pause_accepting();
@@ -89,16 +89,16 @@
     /// Guards against a loop that spins on a listener whose connections it cannot take.
     fn pause_accepting(&mut self) {
         for (_, _, token) in &self.listeners {
-            self.accepting &= self.handle.disable(token).is_err();
+            self.is_accepting &= self.loop_handle.disable(token).is_err();
         }
     }
 
     pub(super) fn resume_accepting(&mut self) {
-        if !self.accepting {
-            self.accepting = self
+        if !self.is_accepting {
+            self.is_accepting = self
                 .listeners
                 .iter()
-                .all(|(_, _, token)| self.handle.enable(token).is_ok());
+                .all(|(_, _, token)| self.loop_handle.enable(token).is_ok());
         }
     }
 
@@ -111,9 +111,9 @@
         let closing = self
             .lifecycle
             .should_close_idle(self.clock.now(), &self.limits);
-        let at = connection.visit.deadline(closing, &self.limits);
-        if let Some(at) = at.filter(|at| *at < connection.armed) {
-            connection.armed = at;
+        let at = connection.client.deadline(closing, &self.limits);
+        if let Some(at) = at.filter(|at| *at < connection.timer_at) {
+            connection.timer_at = at;
             self.deadlines.schedule(at, Timer::Client(key));
         }
     }
@@ -123,10 +123,10 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        connection.armed = Micros::MAX;
+        connection.timer_at = Micros::MAX;
         let closing = self.lifecycle.should_close_idle(now, &self.limits);
         let over = |c: &Connection, limits: &Limits| {
-            c.visit
+            c.client
                 .deadline(closing, limits)
                 .is_some_and(|at| at <= now)
         };
@@ -144,14 +144,16 @@
             status: 408,
             text: "the request did not come whole in time",
         };
-        match connection.visit.stage {
+        match connection.client.stage {
             Stage::Receiving => self.reject(key, &late, true),
             // Where the server is slow the client is not asked for more.
-            Stage::Processing if connection.uploading().is_some() && connection.unread => {
-                connection.visit.restart_body_timer(now);
+            Stage::Processing if connection.active_upload().is_some() && connection.has_unread => {
+                connection.client.restart_body_timer(now);
                 self.arm(key);
             }
-            Stage::Processing if connection.uploading().is_some() => self.end_upload(key, &late),
+            Stage::Processing if connection.active_upload().is_some() => {
+                self.end_upload(key, &late)
+            }
             Stage::Idle | Stage::Lingering => _ = self.close(key),
             // A client that takes nothing in has gone away.
             Stage::Processing | Stage::Responding => self.broken(key),
@@ -164,9 +166,9 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let closing = connection.closing;
-        let more = connection.unread || !connection.input.is_empty();
-        connection.visit.finish_response(now, closing);
+        let closing = connection.close_when_written;
+        let more = connection.has_unread || !connection.input.is_empty();
+        connection.client.finish_response(now, closing);
         if closing && !more {
             self.close(key);
             return;
@@ -182,7 +184,7 @@
         }
         self.arm(key);
         if more {
-            self.again.push(key);
+            self.reread.push(key);
         }
     }
 
@@ -194,7 +196,7 @@
         let length = length.min(connection.input.len());
         connection.input.drain(..length);
         connection.input.shrink_to(connection.input.len().max(1024));
-        self.partial -= length;
+        self.buffered_bytes -= length;
     }
 
     pub(super) fn read_request(&mut self, key: ConnectionKey) {
@@ -206,14 +208,16 @@
         let Role::Client { door, .. } = connection.role else {
             return;
         };
-        if connection.uploading().is_some() {
+        if connection.active_upload().is_some() {
             return self.read_upload(key);
         }
-        if connection.closing || !matches!(connection.visit.stage, Stage::Idle | Stage::Receiving) {
+        if connection.close_when_written
+            || !matches!(connection.client.stage, Stage::Idle | Stage::Receiving)
+        {
             return;
         }
-        let before = connection.held();
-        let mut incoming = match std::mem::take(&mut connection.reading) {
+        let before = connection.buffered_bytes();
+        let mut incoming = match std::mem::take(&mut connection.read_state) {
             ReadState::Request(incoming) => incoming,
             _ => IncomingMessage::default(),
         };
@@ -223,7 +227,7 @@
             &self.limits,
         );
         if let Err(malformed) = read {
-            self.partial -= before - connection.held();
+            self.buffered_bytes -= before - connection.buffered_bytes();
             let rejection = Rejection {
                 status: malformed.status(),
                 text: "malformed",
@@ -235,40 +239,40 @@
                 incoming.head().map(|head| head.expects_continue),
                 incoming.received_body_bytes,
             );
-            connection.visit.begin_request(now);
+            connection.client.begin_request(now);
             if waits.is_some() {
-                connection.visit.record_body_progress(now, length);
+                connection.client.record_body_progress(now, length);
             }
             let long = incoming.is_body_longer_than(self.limits.max_buffered_request_bytes);
             // Or all that clients have under way is more than may be held.
             let crowded = length > self.limits.max_buffered_body_bytes as u64
-                && self.partial > self.limits.max_pending_request_bytes;
+                && self.buffered_bytes > self.limits.max_pending_request_bytes;
             if waits == Some(true)
                 && length == 0
-                && !std::mem::replace(&mut connection.told_to_go_on, true)
+                && !std::mem::replace(&mut connection.continue_sent, true)
             {
                 connection
                     .output
                     .extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
-                self.dirty.push(key);
+                self.unflushed.push(key);
             }
             if waits.is_some() && (long || crowded) {
-                self.partial -= before - connection.held();
+                self.buffered_bytes -= before - connection.buffered_bytes();
                 return self.begin_upload(key, incoming);
             }
-            connection.reading = ReadState::Request(incoming);
-            self.partial -= before - connection.held();
+            connection.read_state = ReadState::Request(incoming);
+            self.buffered_bytes -= before - connection.buffered_bytes();
             return self.arm(key);
         }
-        connection.told_to_go_on = false;
-        self.partial -= before - connection.held();
+        connection.continue_sent = false;
+        self.buffered_bytes -= before - connection.buffered_bytes();
         let Some((head, _, body)) = incoming.into_parts() else {
             return;
         };
         let request = Request::new(head, body);
-        connection.last = !request.keep_alive;
+        connection.close_after_response = !request.keep_alive;
         if request.method == "GET" && request.target == "/up" {
-            let serving = self.lifecycle.is_serving() && self.table.has_usable_server();
+            let serving = self.lifecycle.is_serving() && self.routing_table.has_usable_server();
             let (status, text): (u16, &[u8]) = if serving {
                 (200, b"up\n")
             } else {
@@ -306,7 +310,7 @@
     ) {
         // Guards the rule on duplicates: servers would run a second request under an id that is out as a copy of
         // the first, and drop or answer one for the other.
-        if self.open_ids.contains(&forward.request_id) {
+        if self.open_request_ids.contains(&forward.request_id) {
             return self.reject(
                 key,
                 &Rejection {
@@ -321,22 +325,22 @@
         match known.engine.submit(now, authorisation) {
             Ok(authorisation) => {
                 if !forward.request_id.is_empty() {
-                    self.open_ids.insert(forward.request_id.clone());
+                    self.open_request_ids.insert(forward.request_id.clone());
                 }
-                self.partial += forward.body.len();
+                self.buffered_bytes += forward.body.len();
                 known.pending.insert(
                     authorisation,
                     PendingRequest {
-                        origin: key,
+                        connection: key,
                         forward,
-                        purpose,
+                        kind: purpose,
                     },
                 );
                 if let Some(connection) = self.connections.get_mut(key)
                     && let Role::Client { waits, .. } = &mut connection.role
                 {
                     *waits = Some((service, authorisation));
-                    connection.visit.begin_processing(now);
+                    connection.client.begin_processing(now);
                 }
             }
             Err(_) => self.decline(key, 503, self.limits.default_retry_after, &[], b""),
@@ -345,7 +349,7 @@
 
     pub(super) fn reject(&mut self, key: ConnectionKey, rejection: &Rejection, close: bool) {
         if let Some(connection) = self.connections.get_mut(key) {
-            connection.last |= close;
+            connection.close_after_response |= close;
         }
         self.answer(key, rejection.status, &[], rejection.text.as_bytes());
     }
@@ -355,17 +359,19 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let before = connection.held();
-        connection.reading = ReadState::Idle;
-        self.partial -= before - connection.held();
+        let before = connection.buffered_bytes();
+        connection.read_state = ReadState::Idle;
+        self.buffered_bytes -= before - connection.buffered_bytes();
     }
 
     /// Whether a client's next answer is the last of its connection.
     pub(super) fn last_answer(&self, key: ConnectionKey) -> bool {
         // Guards requests of clients whose idle connections would be closed for room: where it is scarce they are told
         // that this answer is the last, and write no other into a connection that is being closed.
-        let scarce = self.acquirers > self.limits.max_persistent_connections;
-        let last = |connection: &Connection| connection.last || connection.uploading().is_some();
+        let scarce = self.client_count > self.limits.max_persistent_connections;
+        let last = |connection: &Connection| {
+            connection.close_after_response || connection.active_upload().is_some()
+        };
         let asked = self.connections.get(key).is_some_and(last);
         asked
             || scarce
@@ -396,9 +402,9 @@
             return;
         };
         framing::write_response(&mut connection.output, status, headers, body, close);
-        connection.closing = close;
-        connection.visit.begin_response(now);
-        self.dirty.push(key);
+        connection.close_when_written = close;
+        connection.client.begin_response(now);
+        self.unflushed.push(key);
         self.arm(key);
     }
 
@@ -422,8 +428,8 @@
     /// The final answer of an authorisation is no longer owed.
     pub(super) fn settle(&mut self, ticket: AuthorisationRef) -> Option<PendingRequest> {
         let pending = self.services[ticket.0].pending.remove(ticket.1)?;
-        self.open_ids.remove(&pending.forward.request_id);
-        self.partial -= pending.forward.body.len();
+        self.open_request_ids.remove(&pending.forward.request_id);
+        self.buffered_bytes -= pending.forward.body.len();
         Some(pending)
     }
 
@@ -432,12 +438,12 @@
         let Some(pending) = self.settle(ticket) else {
             return;
         };
-        match pending.purpose {
+        match pending.kind {
             RequestKind::Platform => {
                 let (status, stay_away) = platform::rejection_status(ending);
-                self.decline(pending.origin, status, stay_away, &[], b"");
+                self.decline(pending.connection, status, stay_away, &[], b"");
             }
-            purpose => self.ended_tokens(pending.origin, purpose, ending),
+            purpose => self.ended_tokens(pending.connection, purpose, ending),
         }
     }
 
@@ -446,15 +452,15 @@
         let Some(pending) = self.settle(ticket) else {
             return;
         };
-        match pending.purpose {
+        match pending.kind {
             RequestKind::Platform | RequestKind::Bearer => {
                 let kind = answer
                     .headers
                     .get("Content-Type")
                     .map(|kind| ("Content-Type", kind));
-                self.answer(pending.origin, 200, kind.as_slice(), &answer.body);
+                self.answer(pending.connection, 200, kind.as_slice(), &answer.body);
             }
-            purpose => self.found(pending.origin, purpose, &answer),
+            purpose => self.found(pending.connection, purpose, &answer),
         }
     }
 }
--- a/crates/limiter/src/net/host/cluster.rs
+++ b/crates/limiter/src/net/host/cluster.rs
@@ -13,14 +13,14 @@
 }
 
 /// This instance among the members.
-pub(super) struct Agreement {
+pub(super) struct ClusterNode {
     member: Member,
-    others: Vec<ClusterPeer>,
+    peers: Vec<ClusterPeer>,
     secret: String,
 }
 
-impl Agreement {
-    pub(super) fn open(cluster: &RaftConfig) -> io::Result<Agreement> {
+impl ClusterNode {
+    pub(super) fn open(cluster: &RaftConfig) -> io::Result<ClusterNode> {
         let ids: Vec<u64> = cluster.members.iter().map(|(id, _)| *id).collect();
         let member = Member::open(cluster.id, &ids, &cluster.folder).map_err(io::Error::other)?;
         let others = cluster.members.iter().filter(|(id, _)| *id != cluster.id);
@@ -29,9 +29,9 @@
             address: *address,
             connection: None,
         });
-        Ok(Agreement {
+        Ok(ClusterNode {
             member,
-            others: others.collect(),
+            peers: others.collect(),
             secret: cluster.secret.clone(),
         })
     }
@@ -41,7 +41,7 @@
     pub(super) fn raft_tick(&mut self, now: Micros) {
         self.deadlines
             .schedule(now + self.limits.raft_tick_interval, Timer::RaftTick);
-        if let Some(agreement) = &mut self.agreement {
+        if let Some(agreement) = &mut self.cluster {
             let stepped = agreement.member.tick();
             _ = self.stepped(stepped);
         }
@@ -63,7 +63,7 @@
             Err(error) => {
                 if matches!(error, RaftError::Io(_) | RaftError::Protocol(_)) {
                     self.warn(&format!("raft: {error}; no further part is taken"));
-                    self.agreement = None;
+                    self.cluster = None;
                 }
                 Err(error)
             }
@@ -71,20 +71,17 @@
     }
 
     fn post(&mut self, letter: raft::OutgoingMessage) {
-        let Some(agreement) = &self.agreement else {
+        let Some(agreement) = &self.cluster else {
             return;
         };
         let Some(at) = agreement
-            .others
+            .peers
             .iter()
             .position(|other| other.id == letter.to)
         else {
             return;
         };
-        let (address, known) = (
-            agreement.others[at].address,
-            agreement.others[at].connection,
-        );
+        let (address, known) = (agreement.peers[at].address, agreement.peers[at].connection);
         let head = format!(
             "POST /raft HTTP/1.1\r\nHost: {address}\r\nAuthorization: Bearer {}\r\nContent-Length: {}\r\n\r\n",
             agreement.secret,
@@ -97,8 +94,8 @@
                 Err(_) => return,
             },
         };
-        if let Some(agreement) = &mut self.agreement {
-            agreement.others[at].connection = Some(key);
+        if let Some(agreement) = &mut self.cluster {
+            agreement.peers[at].connection = Some(key);
         }
         // Guards the memory where a member takes nothing in: the protocol bears the loss of messages.
         if self
@@ -126,14 +123,14 @@
     }
 
     pub(super) fn member_lost(&mut self, at: usize) {
-        if let Some(agreement) = &mut self.agreement {
-            agreement.others[at].connection = None;
+        if let Some(agreement) = &mut self.cluster {
+            agreement.peers[at].connection = None;
         }
     }
 
     /// A request at the members' own address.
     pub(super) fn read_agreement(&mut self, key: ConnectionKey, request: &Request) {
-        let Some(agreement) = &mut self.agreement else {
+        let Some(agreement) = &mut self.cluster else {
             return self.answer(key, 503, &[], b"");
         };
         let shown = request
@@ -189,9 +186,9 @@
 
     fn point_to(&mut self, key: ConnectionKey, leader: u64) {
         let others = self
-            .agreement
+            .cluster
             .as_ref()
-            .map_or(&[][..], |agreement| &agreement.others);
+            .map_or(&[][..], |agreement| &agreement.peers);
         let place = others.iter().find(|other| other.id == leader);
         match place.map(|other| format!("http://{}/configuration", other.address)) {
             Some(place) => self.answer(key, 307, &[("Location", &place)], b""),
@@ -207,7 +204,7 @@
                     "configuration agreed on: {} callers",
                     callers.len()
                 ));
-                if let Some(tokens) = &mut self.tokens {
+                if let Some(tokens) = &mut self.introspection {
                     tokens.set_callers(callers);
                 }
             }
--- a/crates/limiter/src/net/host/counter_calls.rs
+++ b/crates/limiter/src/net/host/counter_calls.rs
@@ -5,28 +5,30 @@
 
 impl Host {
     pub(super) fn open_line(&mut self, line: usize) {
-        let Some(address) = self.counter else { return };
+        let Some(address) = self.counter_address else {
+            return;
+        };
         match self.connect(address, Role::Counter(line)) {
-            Ok(key) => self.lines[line].connection = Some(key),
+            Ok(key) => self.counter_connections[line].connection = Some(key),
             Err(_) => {
                 let mut counted = Vec::new();
-                self.lines[line].handle_disconnect(&mut counted);
+                self.counter_connections[line].handle_disconnect(&mut counted);
                 self.take_counted(counted);
             }
         }
     }
 
     pub(super) fn write_line(&mut self, now: Micros, line: usize) {
-        let Some(key) = self.lines[line].connection else {
+        let Some(key) = self.counter_connections[line].connection else {
             return;
         };
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         let before = connection.output.len();
-        self.lines[line].write_requests(now, "counter", &mut connection.output);
+        self.counter_connections[line].write_requests(now, "counter", &mut connection.output);
         if connection.output.len() > before {
-            self.dirty.push(key);
+            self.unflushed.push(key);
         }
     }
 
@@ -46,7 +48,7 @@
             match framing::parse_framed_response(&connection.input[at..], &limits) {
                 Ok(Some((answer, length))) => {
                     at += length;
-                    match self.lines[line].handle_response(now, &answer) {
+                    match self.counter_connections[line].handle_response(now, &answer) {
                         CounterResponse::Completed(one) => counted.push(one),
                         CounterResponse::Late {
                             engine_index: asker,
@@ -78,9 +80,9 @@
                 .get(key)
                 .is_some_and(|c| !c.input.is_empty())
         };
-        if let Some(key) = self.lines[line]
+        if let Some(key) = self.counter_connections[line]
             .connection
-            .filter(|key| self.lines[line].has_timed_out_call() && begun(*key))
+            .filter(|key| self.counter_connections[line].has_timed_out_call() && begun(*key))
         {
             self.broken(key);
         }
@@ -89,7 +91,7 @@
     /// Gives the outcomes of a line's calls whose time is up.
     pub(super) fn expire_line(&mut self, now: Micros, line: usize) {
         let mut counted = Vec::new();
-        self.lines[line].expire_calls(now, &mut counted);
+        self.counter_connections[line].expire_calls(now, &mut counted);
         self.take_counted(counted);
         self.drop_stuck(line);
         self.move_line(line);
@@ -97,7 +99,7 @@
 
     /// A line whose counter has moved goes on at the new address as soon as its written calls have their outcomes.
     pub(super) fn move_line(&mut self, line: usize) {
-        if let Some(former) = self.lines[line].finish_move() {
+        if let Some(former) = self.counter_connections[line].finish_move() {
             former.into_iter().for_each(|key| _ = self.close(key));
             self.open_line(line);
         }
--- a/crates/limiter/src/net/host/datagrams.rs
+++ b/crates/limiter/src/net/host/datagrams.rs
@@ -4,12 +4,12 @@
 
 impl Host {
     pub(super) fn read_datagrams(&mut self) {
-        let Some(socket) = &self.datagrams else {
+        let Some(socket) = &self.peer_socket else {
             return;
         };
         let mut bytes = [0; 512];
         while let Ok((length, from)) = socket.recv_from(&mut bytes) {
-            if let Some(notice) = self.peers.receive(from, &bytes[..length], self.plans) {
+            if let Some(notice) = self.peers.receive(from, &bytes[..length], self.plan_count) {
                 self.services[RECORDS_SERVICE].engine.handle_notice(notice);
             }
         }
--- a/crates/limiter/src/net/host/discovery.rs
+++ b/crates/limiter/src/net/host/discovery.rs
@@ -8,9 +8,9 @@
         if let Some(former) = self.watch.connection.take() {
             self.close(former);
         }
-        self.watch.stream = None;
-        self.watch.line.clear();
-        match self.connect(self.discovery, Role::DiscoveryWatch) {
+        self.watch.body = None;
+        self.watch.partial_line.clear();
+        match self.connect(self.discovery_address, Role::DiscoveryWatch) {
             Ok(key) => self.watch.connection = Some(key),
             Err(_) => self.watch_lost(),
         }
@@ -18,31 +18,32 @@
 
     pub(super) fn watch_lost(&mut self) {
         self.watch.connection = None;
-        let at = self.now() + self.watch.wait;
-        self.watch.wait = (self.watch.wait * 2).min(self.limits.max_watch_retry_delay);
+        let at = self.now() + self.watch.retry_delay;
+        self.watch.retry_delay =
+            (self.watch.retry_delay * 2).min(self.limits.max_watch_retry_delay);
         self.deadlines.schedule(at, Timer::WatchRetry);
     }
 
     pub(super) fn read_watch(&mut self, key: ConnectionKey) {
-        self.watch.heard = self.now();
+        self.watch.last_received_at = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         let mut at = 0;
         let mut bad = false;
-        if self.watch.stream.is_none() {
+        if self.watch.body.is_none() {
             match framing::parse_chunked_head(&connection.input, &self.limits) {
                 Ok(None) => return,
                 Ok(Some((200, from))) => {
                     // However long it lasts: what is bounded is each line.
-                    self.watch.stream = BodyReader::new(BodyFraming::Chunked, u64::MAX).ok();
+                    self.watch.body = BodyReader::new(BodyFraming::Chunked, u64::MAX).ok();
                     at = from;
                 }
                 Ok(Some(_)) | Err(_) => bad = true,
             }
         }
-        if let Some(stream) = &mut self.watch.stream {
-            match stream.read(&connection.input[at..], &mut self.watch.line) {
+        if let Some(stream) = &mut self.watch.body {
+            match stream.read(&connection.input[at..], &mut self.watch.partial_line) {
                 Ok(taken) => at += taken,
                 Err(_) => bad = true,
             }
@@ -50,12 +51,12 @@
         }
         connection.input.drain(..at);
         let mut ended = false;
-        while let Some(end) = self.watch.line.iter().position(|b| *b == b'\n') {
-            let line: Vec<u8> = self.watch.line.drain(..=end).collect();
-            match self.table.apply_line(&line) {
-                Ok(None) => self.watch.wait = self.limits.watch_retry_delay,
+        while let Some(end) = self.watch.partial_line.iter().position(|b| *b == b'\n') {
+            let line: Vec<u8> = self.watch.partial_line.drain(..=end).collect();
+            match self.routing_table.apply_line(&line) {
+                Ok(None) => self.watch.retry_delay = self.limits.watch_retry_delay,
                 Ok(Some(news)) => {
-                    self.watch.wait = self.limits.watch_retry_delay;
+                    self.watch.retry_delay = self.limits.watch_retry_delay;
                     self.take_news(news);
                 }
                 Err(error) => {
@@ -65,7 +66,7 @@
                 }
             }
         }
-        bad |= ended || self.watch.line.len() > self.limits.max_watch_line_bytes;
+        bad |= ended || self.watch.partial_line.len() > self.limits.max_watch_line_bytes;
         if bad {
             self.broken(key);
         }
--- a/crates/limiter/src/net/host/handover.rs
+++ b/crates/limiter/src/net/host/handover.rs
@@ -7,13 +7,13 @@
 impl Host {
     /// Shares in the record of the folder from now on, and takes over what stands there.
     pub(super) fn share(&mut self, folder: &std::path::Path) {
-        self.handover = Some(OperationsFile::new(folder));
+        self.operations_file = Some(OperationsFile::new(folder));
         self.look_at_handover();
     }
 
     fn record(&self) -> OperationsRecord {
         let (bans, drain) = (
-            self.table.disabled_servers().clone(),
+            self.routing_table.disabled_servers().clone(),
             self.lifecycle.drain_state(),
         );
         OperationsRecord {
@@ -30,7 +30,7 @@
             now + self.limits.handover_poll_interval,
             Timer::PollOperationsFile,
         );
-        let Some(handover) = &mut self.handover else {
+        let Some(handover) = &mut self.operations_file else {
             return;
         };
         match handover.poll(&self.name) {
@@ -39,7 +39,7 @@
                 self.warn(&format!("operations record not taken over: {why}"))
             }
             PollOutcome::Record(told) => {
-                let news = self.table.merge(&told.disabled_servers);
+                let news = self.routing_table.merge(&told.disabled_servers);
                 let drain = self.lifecycle.merge_drain_state(told.drain);
                 if drain {
                     self.drain_changed(now);
@@ -58,7 +58,7 @@
     /// Operators asked for something: the other process is to know.
     pub(super) fn write_handover(&mut self) {
         let record = self.record();
-        let Some(handover) = &mut self.handover else {
+        let Some(handover) = &mut self.operations_file else {
             return;
         };
         if let Err(error) = handover.write(&record) {
--- a/crates/limiter/src/net/host/introspection.rs
+++ b/crates/limiter/src/net/host/introspection.rs
@@ -20,11 +20,11 @@
 /// What the front holds.
 pub(super) struct IntrospectionFrontend {
     callers: Vec<Caller>,
-    asking: IntrospectionEndpoint,
+    endpoint: IntrospectionEndpoint,
     cache: TokenCache,
     upstreams: Vec<SocketAddr>,
     /// Position of the plan without quota, for what we ask on our own account.
-    house: usize,
+    internal_plan: usize,
 }
 
 const NO_STORE: (&str, &str) = ("Cache-Control", "no-store");
@@ -35,9 +35,9 @@
         IntrospectionFrontend {
             cache: TokenCache::new(front.cache_entries, front.cache_ttl),
             callers: front.callers,
-            asking: front.endpoint,
+            endpoint: front.endpoint,
             upstreams: front.upstreams,
-            house,
+            internal_plan: house,
         }
     }
 }
@@ -52,9 +52,10 @@
 impl Host {
     /// The introspection servers are the token engine's routing table; it never changes.
     pub(super) fn list_upstreams(&mut self) {
-        let (Some(tokens), Some(service)) =
-            (&self.tokens, self.services.get_mut(INTROSPECTION_SERVICE))
-        else {
+        let (Some(tokens), Some(service)) = (
+            &self.introspection,
+            self.services.get_mut(INTROSPECTION_SERVICE),
+        ) else {
             return;
         };
         let mut entries = Vec::new();
@@ -107,7 +108,7 @@
             Ok(token) => token,
             Err(challenge) => return self.challenge(key, challenge),
         };
-        let Some(tokens) = &mut self.tokens else {
+        let Some(tokens) = &mut self.introspection else {
             return;
         };
         let known = tokens.cache.get(&token, now);
@@ -121,14 +122,14 @@
             Some(identity) => self.go_on(key, bearing, identity),
             None => {
                 let asking = Authorisation {
-                    plan: tokens.house,
+                    plan: tokens.internal_plan,
                     customer: introspection::internal_customer(),
                     deadline: bearing.basics.deadline,
                     units: 1.0,
                     limiter_count: 1,
                     ..Authorisation::default()
                 };
-                let forward = tokens.asking.build_request(&bearing.token);
+                let forward = tokens.endpoint.build_request(&bearing.token);
                 self.take(
                     key,
                     INTROSPECTION_SERVICE,
@@ -179,7 +180,9 @@
 
     /// A caller asks about a token.
     fn read_question(&mut self, now: Micros, key: ConnectionKey, request: &Request) {
-        let Some(tokens) = &self.tokens else { return };
+        let Some(tokens) = &self.introspection else {
+            return;
+        };
         if request.method != "POST" {
             return self.answer(key, 405, &[("Allow", "POST"), NO_STORE], b"");
         }
@@ -210,7 +213,7 @@
             limiter_count: self.platform.limiter_count.max(1),
             ..Authorisation::default()
         };
-        let forward = tokens.asking.build_request(&token);
+        let forward = tokens.endpoint.build_request(&token);
         self.take(
             key,
             INTROSPECTION_SERVICE,
@@ -234,14 +237,14 @@
     ) -> bool {
         let (service, key) = ticket;
         let Some(tokens) = self
-            .tokens
+            .introspection
             .as_mut()
             .filter(|_| service == INTROSPECTION_SERVICE)
         else {
             return false;
         };
         let known = &mut self.services[service];
-        let Some(RequestKind::Introspection(token)) = known.pending.get(key).map(|p| &p.purpose)
+        let Some(RequestKind::Introspection(token)) = known.pending.get(key).map(|p| &p.kind)
         else {
             return false;
         };
@@ -256,7 +259,7 @@
             .handle_attempt_ended(now, key, leg, Outcome::Ok, None)
             && let Some(pending) = self.settle(ticket)
         {
-            self.tell(now, pending.origin, finding);
+            self.tell(now, pending.connection, finding);
         }
         true
     }
@@ -284,7 +287,7 @@
         // Guards the instant between the two looks at the clock: fails closed.
         let finding = introspection::parse_response(answer, &self.platform.names.plans, now)
             .unwrap_or(IntrospectionResult::Inactive);
-        let Some(tokens) = &mut self.tokens else {
+        let Some(tokens) = &mut self.introspection else {
             return;
         };
         match (purpose, finding) {
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -25,7 +25,7 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use streamarch::{ListKind, LoadReport, Micros, Outcome, ServerEntry, ServerId, Settings};
 
-use self::cluster::Agreement;
+use self::cluster::ClusterNode;
 use self::introspection::IntrospectionFrontend;
 use self::operators::Operators;
 use super::Clock;
@@ -69,7 +69,7 @@
     engine: Engine,
     pool: ConnectionPool,
     pending: SecondaryMap<AuthorisationKey, PendingRequest>,
-    legs: SecondaryMap<AuthorisationKey, ConnectionKey>,
+    attempt_connections: SecondaryMap<AuthorisationKey, ConnectionKey>,
 }
 
 impl Service {
@@ -78,7 +78,7 @@
             engine,
             pool: ConnectionPool::default(),
             pending: SecondaryMap::new(),
-            legs: SecondaryMap::new(),
+            attempt_connections: SecondaryMap::new(),
         }
     }
 }
@@ -109,33 +109,33 @@
 
 struct Connection {
     stream: Rc<TcpStream>,
-    token: Option<RegistrationToken>,
+    registration: Option<RegistrationToken>,
     role: Role,
-    up: bool,
+    is_established: bool,
     input: Vec<u8>,
     output: Vec<u8>,
-    written: usize,
+    written_bytes: usize,
     /// Of the acquirer side: where it stands, and the earliest deadline entered for it.
-    visit: ClientConnection,
-    armed: Micros,
+    client: ClientConnection,
+    timer_at: Micros,
     /// Reading has stopped though more may be there: no event will tell of it again.
-    unread: bool,
+    has_unread: bool,
     /// What is coming in, where it is read as it comes.
-    reading: ReadState,
+    read_state: ReadState,
     /// Of the acquirer side: the client has been told that the body of its request is wanted.
-    told_to_go_on: bool,
+    continue_sent: bool,
     /// When something last came.
-    heard: Micros,
+    last_received_at: Micros,
     /// Of a server: more of the request that is being written is still to come.
-    feeding: bool,
+    is_uploading: bool,
     /// Of the acquirer side: the server's connection from which the answer is being relayed.
-    source: Option<ConnectionKey>,
+    streaming_from: Option<ConnectionKey>,
     /// Bytes thrown away after the last answer.
-    discarded: usize,
+    discarded_bytes: usize,
     /// The client asked that the answer be the last.
-    last: bool,
+    close_after_response: bool,
     /// To be closed once all is written.
-    closing: bool,
+    close_when_written: bool,
 }
 
 /// A message that is coming in on a connection.
@@ -155,8 +155,8 @@
 
 impl Connection {
     /// Bytes held of what has come and was not taken yet.
-    fn held(&self) -> usize {
-        let body = match &self.reading {
+    fn buffered_bytes(&self) -> usize {
+        let body = match &self.read_state {
             ReadState::Request(incoming) => incoming.body.len(),
             ReadState::Upload(upload) => upload.buffered_bytes(),
             ReadState::Idle
@@ -168,21 +168,21 @@
     }
 
     /// The body that still comes of a request which was taken.
-    fn uploading(&self) -> Option<&Upload> {
-        match &self.reading {
+    fn active_upload(&self) -> Option<&Upload> {
+        match &self.read_state {
             ReadState::Upload(upload) if !upload.is_complete() => Some(upload),
             _ => None,
         }
     }
 
     /// The request that was to be written is, to its end.
-    fn all_sent(&self) -> bool {
-        self.backlog() == 0 && !self.feeding
+    fn has_sent_all(&self) -> bool {
+        self.backlog_bytes() == 0 && !self.is_uploading
     }
 
     /// Bytes that were not written yet.
-    fn backlog(&self) -> usize {
-        self.output.len() - self.written
+    fn backlog_bytes(&self) -> usize {
+        self.output.len() - self.written_bytes
     }
 }
 
@@ -201,14 +201,14 @@
 /// What falls due.
 #[derive(Debug)]
 enum Timer {
-    Connect(ConnectionKey),
+    ConnectTimeout(ConnectionKey),
     UpstreamDeadline(ConnectionKey, UpstreamPurpose),
     /// An answer to the errand has begun, and more of it is to have come by now.
     ResponseIdle(ConnectionKey, UpstreamPurpose),
     /// More of an answer that is being relayed is to have come by now.
-    Relay(ConnectionKey),
+    RelayIdle(ConnectionKey),
     Client(ConnectionKey),
-    Counter(usize),
+    CounterTimeout(usize),
     ExpireIdleUpstreams,
     RaftTick,
     RetryAccept,
@@ -222,9 +222,9 @@
 
 /// An authorisation whose final answer is owed.
 struct PendingRequest {
-    origin: ConnectionKey,
+    connection: ConnectionKey,
     forward: UpstreamRequest,
-    purpose: RequestKind,
+    kind: RequestKind,
 }
 
 /// What the answer to an authorisation is for.
@@ -243,53 +243,53 @@
 struct DiscoveryWatch {
     connection: Option<ConnectionKey>,
     /// Where the answer stands, once its head has been read.
-    stream: Option<framing::BodyReader>,
-    line: Vec<u8>,
-    heard: Micros,
-    wait: Micros,
+    body: Option<framing::BodyReader>,
+    partial_line: Vec<u8>,
+    last_received_at: Micros,
+    retry_delay: Micros,
 }
 
 /// All that runs on the loop.
 pub struct Host {
-    handle: LoopHandle<'static, Host>,
+    loop_handle: LoopHandle<'static, Host>,
     clock: Clock,
     limits: Limits,
     name: String,
     lifecycle: Lifecycle,
     operators: Option<Operators>,
-    handover: Option<OperationsFile>,
+    operations_file: Option<OperationsFile>,
     connections: SlotMap<ConnectionKey, Connection>,
-    acquirers: usize,
+    client_count: usize,
     deadlines: Deadlines<Timer>,
-    dirty: Vec<ConnectionKey>,
+    unflushed: Vec<ConnectionKey>,
     /// Clients' connections to be looked at again: what has come on them had to wait.
-    again: Vec<ConnectionKey>,
+    reread: Vec<ConnectionKey>,
     /// Bytes of clients' requests that are coming in or not answered yet, on all connections together.
-    partial: usize,
+    buffered_bytes: usize,
     /// Ids of the requests whose final answers are owed.
-    open_ids: BTreeSet<String>,
+    open_request_ids: BTreeSet<String>,
     /// When it was last logged that there is no room.
-    told_full: Micros,
-    scratch: Vec<u8>,
-    orders: Vec<EngineAction>,
+    accept_pause_logged_at: Micros,
+    read_buffer: Vec<u8>,
+    actions: Vec<EngineAction>,
     listeners: Vec<(ListenerKind, Rc<TcpListener>, RegistrationToken)>,
-    accepting: bool,
+    is_accepting: bool,
     platform: PlatformFrontend,
     services: Vec<Service>,
-    tokens: Option<IntrospectionFrontend>,
-    agreement: Option<Agreement>,
-    table: RoutingTable,
-    discovery: SocketAddr,
-    discovery_in_file: Option<SocketAddr>,
+    introspection: Option<IntrospectionFrontend>,
+    cluster: Option<ClusterNode>,
+    routing_table: RoutingTable,
+    discovery_address: SocketAddr,
+    discovery_address_in_file: Option<SocketAddr>,
     watch: DiscoveryWatch,
-    counter: Option<SocketAddr>,
-    lines: Vec<CounterConnection>,
-    datagrams: Option<UdpSocket>,
+    counter_address: Option<SocketAddr>,
+    counter_connections: Vec<CounterConnection>,
+    peer_socket: Option<UdpSocket>,
     peers: Peers,
-    plans: usize,
-    reports: bool,
+    plan_count: usize,
+    fetch_load_reports: bool,
     /// As at the start: a reload changes neither.
-    listen: SocketAddr,
+    listen_address: SocketAddr,
     settings: Settings,
 }
 
@@ -413,7 +413,7 @@
         let mut agreement = None;
         if let Some(cluster) = &config.raft {
             open_door(ListenerKind::Cluster, bind(cluster.listen, &limits)?)?;
-            agreement = Some(Agreement::open(cluster)?);
+            agreement = Some(ClusterNode::open(cluster)?);
         }
         let datagrams = match config.peer_listen.filter(|_| tell) {
             Some(address) => {
@@ -429,44 +429,44 @@
             None => None,
         };
         let mut host = Host {
-            handle,
+            loop_handle: handle,
             clock,
             name: config.name,
             lifecycle: Lifecycle::new(config.inherited_listener.is_some()),
             operators: None,
-            handover: None,
+            operations_file: None,
             connections: SlotMap::with_key(),
-            acquirers: 0,
+            client_count: 0,
             deadlines: Deadlines::default(),
-            dirty: Vec::new(),
-            again: Vec::new(),
-            partial: 0,
-            open_ids: BTreeSet::new(),
-            told_full: Micros::MIN / 2,
-            scratch: vec![0; limits.read_buffer_bytes],
-            orders: Vec::new(),
+            unflushed: Vec::new(),
+            reread: Vec::new(),
+            buffered_bytes: 0,
+            open_request_ids: BTreeSet::new(),
+            accept_pause_logged_at: Micros::MIN / 2,
+            read_buffer: vec![0; limits.read_buffer_bytes],
+            actions: Vec::new(),
             listeners,
-            accepting: true,
+            is_accepting: true,
             platform,
             services,
-            tokens,
-            agreement,
-            table,
-            discovery: config.discovery,
-            discovery_in_file: config.file_discovery,
+            introspection: tokens,
+            cluster: agreement,
+            routing_table: table,
+            discovery_address: config.discovery,
+            discovery_address_in_file: config.file_discovery,
             watch: DiscoveryWatch {
-                wait: limits.watch_retry_delay,
+                retry_delay: limits.watch_retry_delay,
                 ..DiscoveryWatch::default()
             },
-            counter,
-            lines: (0..limits.counter_connections)
+            counter_address: counter,
+            counter_connections: (0..limits.counter_connections)
                 .map(|_| CounterConnection::default())
                 .collect(),
-            datagrams,
+            peer_socket: datagrams,
             peers: Peers::new(config.peers),
-            plans,
-            reports: config.probes_report_load,
-            listen: config.listen,
+            plan_count: plans,
+            fetch_load_reports: config.probes_report_load,
+            listen_address: config.listen,
             settings: module,
             limits,
         };
@@ -478,11 +478,11 @@
             host.listen_to_operators(address)?;
         }
         host.list_upstreams();
-        if host.agreement.is_some() {
+        if host.cluster.is_some() {
             host.deadlines.schedule(host.now(), Timer::RaftTick);
         }
         host.open_watch();
-        for line in 0..host.lines.len() {
+        for line in 0..host.counter_connections.len() {
             host.open_line(line);
         }
         host.deadlines.schedule(
@@ -516,7 +516,7 @@
 
     /// When something is due next.
     pub fn next_wakeup(&self) -> Option<Micros> {
-        if !self.again.is_empty() {
+        if !self.reread.is_empty() {
             return Some(Micros::MIN);
         }
         let engines = self
@@ -547,26 +547,26 @@
             self.due(now, due);
         }
         for service in 0..self.services.len() {
-            let mut orders = std::mem::take(&mut self.orders);
+            let mut orders = std::mem::take(&mut self.actions);
             self.services[service].engine.run(now, &mut orders);
             for order in orders.drain(..) {
                 self.carry_out(now, service, order);
             }
-            self.orders = orders;
+            self.actions = orders;
         }
-        for line in 0..self.lines.len() {
+        for line in 0..self.counter_connections.len() {
             self.write_line(now, line);
         }
         // One request of each: a client that sends many at once waits for the others.
-        for key in std::mem::take(&mut self.again) {
+        for key in std::mem::take(&mut self.reread) {
             self.read(key);
         }
-        for key in std::mem::take(&mut self.dirty) {
+        for key in std::mem::take(&mut self.unflushed) {
             self.flush(key);
         }
         let left =
             self.lifecycle.is_shutting_down() && !self.lifecycle.is_accepting(now, &self.limits);
-        if left && self.acquirers == 0 && !self.lifecycle.is_finished() {
+        if left && self.client_count == 0 && !self.lifecycle.is_finished() {
             self.log("all answered, ending");
             self.lifecycle.finish_shutdown();
         }
@@ -574,8 +574,8 @@
 
     fn due(&mut self, now: Micros, due: Timer) {
         match due {
-            Timer::Connect(key) => {
-                if self.connections.get(key).is_some_and(|c| !c.up) {
+            Timer::ConnectTimeout(key) => {
+                if self.connections.get(key).is_some_and(|c| !c.is_established) {
                     self.broken(key);
                 }
             }
@@ -606,7 +606,7 @@
                 else {
                     return;
                 };
-                let until = connection.heard + self.limits.response_idle_timeout;
+                let until = connection.last_received_at + self.limits.response_idle_timeout;
                 if state.purpose() == Some(errand) && until > now {
                     self.deadlines
                         .schedule(until, Timer::ResponseIdle(key, errand));
@@ -617,9 +617,9 @@
                     self.close(key);
                 }
             }
-            Timer::Relay(key) => self.relay_due(now, key),
+            Timer::RelayIdle(key) => self.relay_due(now, key),
             Timer::Client(key) => self.visit_due(now, key),
-            Timer::Counter(line) => self.expire_line(now, line),
+            Timer::CounterTimeout(line) => self.expire_line(now, line),
             Timer::ExpireIdleUpstreams => {
                 let before = now - self.limits.upstream_idle_timeout;
                 let old = self
@@ -641,11 +641,11 @@
             Timer::WatchRetry => self.open_watch(),
             Timer::WatchIdle(key, heard) => {
                 if self.watch.connection != Some(key) {
-                } else if self.watch.heard <= heard {
+                } else if self.watch.last_received_at <= heard {
                     self.warn("discovery silent: watch opened anew");
                     self.broken(key);
                 } else {
-                    let heard = self.watch.heard;
+                    let heard = self.watch.last_received_at;
                     self.deadlines.schedule(
                         heard + self.limits.watch_idle_timeout,
                         Timer::WatchIdle(key, heard),
@@ -669,7 +669,7 @@
             } => self.start_leg(now, (service, key), leg, server, deadline),
             EngineAction::CancelAttempt { key, .. } => {
                 self.leg_left_upload(service, key);
-                if let Some(connection) = self.services[service].legs.remove(key) {
+                if let Some(connection) = self.services[service].attempt_connections.remove(key) {
                     self.close(connection);
                 }
             }
@@ -682,9 +682,9 @@
                 amount: add,
                 ttl: life,
             } => {
-                let line = (name.0 % self.lines.len().max(1) as u64) as usize;
+                let line = (name.0 % self.counter_connections.len().max(1) as u64) as usize;
                 let deadline = now + self.limits.counter_timeout;
-                let (known, limits) = (&self.lines[line], &self.limits);
+                let (known, limits) = (&self.counter_connections[line], &self.limits);
                 let of_no_use = known.is_idle_since(now - limits.counter_idle_timeout)
                     || known.is_silent_since(now - limits.counter_stale_timeout);
                 if let Some(old) = known.connection.filter(|_| of_no_use) {
@@ -692,9 +692,10 @@
                     // behind calls which a counter that died will never answer.
                     self.broken(old);
                 }
-                self.lines[line].enqueue(service, name, add, life, deadline);
-                self.deadlines.schedule(deadline, Timer::Counter(line));
-                if self.lines[line].connection.is_none() {
+                self.counter_connections[line].enqueue(service, name, add, life, deadline);
+                self.deadlines
+                    .schedule(deadline, Timer::CounterTimeout(line));
+                if self.counter_connections[line].connection.is_none() {
                     self.open_line(line);
                 }
             }
@@ -708,7 +709,7 @@
             EngineAction::Notify(number, notice) => {
                 let to = self.peers.address(number);
                 if let (Some(to), Some(socket), Some(bytes)) =
-                    (to, &self.datagrams, peers::encode_notice(&notice))
+                    (to, &self.peer_socket, peers::encode_notice(&notice))
                 {
                     // A datagram that cannot be sent is lost, as any may be.
                     let _ = socket.send_to(&bytes, to);
@@ -724,31 +725,31 @@
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
         let key = self.connections.insert(Connection {
             stream,
-            token: None,
+            registration: None,
             role,
-            up,
+            is_established: up,
             input: Vec::new(),
             output: Vec::new(),
-            written: 0,
-            visit: ClientConnection::new(now),
-            armed: Micros::MAX,
-            unread: false,
-            reading: ReadState::Idle,
-            told_to_go_on: false,
-            heard: now,
-            feeding: false,
-            source: None,
-            discarded: 0,
-            last: false,
-            closing: false,
+            written_bytes: 0,
+            client: ClientConnection::new(now),
+            timer_at: Micros::MAX,
+            has_unread: false,
+            read_state: ReadState::Idle,
+            continue_sent: false,
+            last_received_at: now,
+            is_uploading: false,
+            streaming_from: None,
+            discarded_bytes: 0,
+            close_after_response: false,
+            close_when_written: false,
         });
         let ready = move |_: Readiness, _: &mut _, host: &mut Host| {
             host.ready(key);
             Ok(PostAction::Continue)
         };
-        match self.handle.insert_source(source, ready) {
+        match self.loop_handle.insert_source(source, ready) {
             Ok(token) => {
-                self.connections[key].token = Some(token);
+                self.connections[key].registration = Some(token);
                 Ok(key)
             }
             Err(error) => {
@@ -763,7 +764,7 @@
         let key = self.register(nonblocking_connect(address)?, role, false)?;
         self.deadlines.schedule(
             self.now() + self.limits.connect_timeout,
-            Timer::Connect(key),
+            Timer::ConnectTimeout(key),
         );
         Ok(key)
     }
@@ -771,17 +772,17 @@
     /// Takes a connection out of all tables.
     fn close(&mut self, key: ConnectionKey) -> Option<Connection> {
         let connection = self.connections.remove(key)?;
-        if let Some(token) = connection.token {
-            self.handle.remove(token);
+        if let Some(token) = connection.registration {
+            self.loop_handle.remove(token);
         }
         match connection.role {
             Role::Client { .. } => {
-                self.acquirers -= 1;
-                self.partial -= connection.held();
+                self.client_count -= 1;
+                self.buffered_bytes -= connection.buffered_bytes();
                 self.resume_accepting();
                 // What a server still sends is for nobody.
                 connection
-                    .source
+                    .streaming_from
                     .into_iter()
                     .for_each(|source| _ = self.close(source));
             }
@@ -811,7 +812,7 @@
                 server,
                 state,
             } => {
-                if let ReadState::Relay(_, to) = connection.reading {
+                if let ReadState::Relay(_, to) = connection.read_state {
                     // Cut off here too, so that the client can tell.
                     self.close(to);
                 }
@@ -828,7 +829,7 @@
             }
             Role::Counter(line) => {
                 let mut counted = Vec::new();
-                self.lines[line].handle_disconnect(&mut counted);
+                self.counter_connections[line].handle_disconnect(&mut counted);
                 self.take_counted(counted);
             }
             Role::DiscoveryWatch => self.watch_lost(),
@@ -840,14 +841,14 @@
     /// Nobody waits for an authorisation any more.
     fn abandon(&mut self, now: Micros, ticket: AuthorisationRef) {
         self.settle(ticket);
-        let mut orders = std::mem::take(&mut self.orders);
+        let mut orders = std::mem::take(&mut self.actions);
         self.services[ticket.0]
             .engine
             .handle_client_disconnected(now, ticket.1, &mut orders);
         for order in orders.drain(..) {
             self.carry_out(now, ticket.0, order);
         }
-        self.orders = orders;
+        self.actions = orders;
     }
 
     /// The request of a connection that stays is over without the engine's answer.
@@ -865,9 +866,11 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if !connection.up {
+        if !connection.is_established {
             match connection.stream.take_error() {
-                Ok(None) if connection.stream.peer_addr().is_ok() => connection.up = true,
+                Ok(None) if connection.stream.peer_addr().is_ok() => {
+                    connection.is_established = true
+                }
                 Ok(None) => return,
                 _ => return self.broken(key),
             }
@@ -876,7 +879,7 @@
         if self
             .connections
             .get(key)
-            .is_some_and(|c| c.written < c.output.len())
+            .is_some_and(|c| c.written_bytes < c.output.len())
         {
             self.flush(key);
         }
@@ -888,16 +891,16 @@
         match self.connections.get(key).map(|c| c.role) {
             Some(Role::Upstream { .. }) => self.send_errand(now, key),
             Some(Role::Counter(line)) => {
-                self.lines[line].handle_connected(now);
+                self.counter_connections[line].handle_connected(now);
                 self.write_line(now, line);
             }
             Some(Role::DiscoveryWatch) => {
                 let request = format!(
                     "GET /discovery/hosts?watch=1&from={} HTTP/1.1\r\nHost: {}\r\n\r\n",
-                    self.table.list_version, self.discovery
+                    self.routing_table.list_version, self.discovery_address
                 );
                 self.write(key, request.as_bytes());
-                self.watch.heard = now;
+                self.watch.last_received_at = now;
                 self.deadlines.schedule(
                     now + self.limits.watch_idle_timeout,
                     Timer::WatchIdle(key, now),
@@ -910,20 +913,20 @@
     /// How many bytes may be taken in now on a connection.
     fn room(&self, connection: &Connection) -> usize {
         let limits = &self.limits;
-        let most = match (connection.role, connection.visit.stage) {
+        let most = match (connection.role, connection.client.stage) {
             (Role::Client { .. }, Stage::Idle | Stage::Receiving) => {
                 limits.max_head_bytes + 2 * limits.max_buffered_body_bytes
             }
             // Guards the memory against a client that sends on and on while its request is out. A little is read,
             // so that its leaving is seen.
-            (Role::Client { .. }, Stage::Processing) if connection.uploading().is_some() => {
+            (Role::Client { .. }, Stage::Processing) if connection.active_upload().is_some() => {
                 // Guards it against a client that is faster than the server which gets its body.
                 let leg = connection
-                    .uploading()
+                    .active_upload()
                     .and_then(Upload::attempt)
                     .and_then(|leg| self.connections.get(leg));
-                let held = leg.map_or(connection.held(), |leg| {
-                    leg.backlog() + connection.input.len()
+                let held = leg.map_or(connection.buffered_bytes(), |leg| {
+                    leg.backlog_bytes() + connection.input.len()
                 });
                 return limits.relay_window_bytes.saturating_sub(held);
             }
@@ -931,13 +934,18 @@
                 limits.max_pipelined_bytes
             }
             (Role::Client { .. }, Stage::Lingering) => {
-                return limits.max_linger_bytes.saturating_sub(connection.discarded);
+                return limits
+                    .max_linger_bytes
+                    .saturating_sub(connection.discarded_bytes);
             }
             (Role::Upstream { .. }, _) => {
                 // Guards the memory against a client that is slower than the server whose answer it gets.
-                let most = match &connection.reading {
+                let most = match &connection.read_state {
                     ReadState::Relay(_, to) => {
-                        let held = self.connections.get(*to).map_or(0, Connection::backlog);
+                        let held = self
+                            .connections
+                            .get(*to)
+                            .map_or(0, Connection::backlog_bytes);
                         limits.relay_window_bytes.saturating_sub(held)
                     }
                     _ => limits.max_head_bytes + 2 * limits.max_buffered_body_bytes,
@@ -958,7 +966,7 @@
         // A usual request has room also where large ones have taken all that may be held.
         let shared = limits
             .max_pending_request_bytes
-            .saturating_sub(self.partial);
+            .saturating_sub(self.buffered_bytes);
         let own = limits
             .max_pipelined_bytes
             .saturating_sub(connection.input.len());
@@ -973,20 +981,22 @@
             let room = self.connections.get(key).map(|c| self.room(c))?;
             let connection = self.connections.get_mut(key)?;
             let acquirer = matches!(connection.role, Role::Client { .. });
-            connection.unread = room == 0;
+            connection.has_unread = room == 0;
             if room == 0 {
                 return Some(FillResult::LimitReached);
             }
-            let size = room.min(self.scratch.len());
-            match (&*connection.stream).read(&mut self.scratch[..size]) {
+            let size = room.min(self.read_buffer.len());
+            match (&*connection.stream).read(&mut self.read_buffer[..size]) {
                 Ok(0) => return Some(FillResult::Eof),
-                Ok(length) if acquirer && connection.visit.stage == Stage::Lingering => {
-                    connection.discarded += length
+                Ok(length) if acquirer && connection.client.stage == Stage::Lingering => {
+                    connection.discarded_bytes += length
                 }
                 Ok(length) => {
-                    connection.heard = now;
-                    connection.input.extend_from_slice(&self.scratch[..length]);
-                    self.partial += if acquirer { length } else { 0 };
+                    connection.last_received_at = now;
+                    connection
+                        .input
+                        .extend_from_slice(&self.read_buffer[..length]);
+                    self.buffered_bytes += if acquirer { length } else { 0 };
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     return Some(FillResult::WouldBlock);
@@ -1037,8 +1047,8 @@
                 // The rest waits until the request before it is answered.
                 Role::Client { .. } if !room => return,
                 Role::Client { .. }
-                    if connection.visit.stage != Stage::Receiving
-                        && connection.uploading().is_none() =>
+                    if connection.client.stage != Stage::Receiving
+                        && connection.active_upload().is_none() =>
                 {
                     return;
                 }
@@ -1049,26 +1059,26 @@
             }
         }
         // Others have their turn first.
-        self.again.push(key);
+        self.reread.push(key);
     }
 
     fn write(&mut self, key: ConnectionKey, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.output.extend_from_slice(bytes);
-            self.dirty.push(key);
+            self.unflushed.push(key);
         }
     }
 
     fn flush(&mut self, key: ConnectionKey) {
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(key).filter(|c| c.up) else {
+        let Some(connection) = self.connections.get_mut(key).filter(|c| c.is_established) else {
             return;
         };
-        while connection.written < connection.output.len() {
-            match (&*connection.stream).write(&connection.output[connection.written..]) {
+        while connection.written_bytes < connection.output.len() {
+            match (&*connection.stream).write(&connection.output[connection.written_bytes..]) {
                 Ok(length) => {
-                    connection.written += length;
-                    connection.visit.record_write_progress(now);
+                    connection.written_bytes += length;
+                    connection.client.record_write_progress(now);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     return self.held_up(key);
@@ -1078,11 +1088,11 @@
             }
         }
         connection.output.clear();
-        connection.written = 0;
-        if connection.source.is_some() {
+        connection.written_bytes = 0;
+        if connection.streaming_from.is_some() {
             return self.more_for(key);
         }
-        if connection.feeding {
+        if connection.is_uploading {
             return self.more_from(key);
         }
         // Guards the memory on a long day: one large message must not be paid for as long as the connection lasts.
@@ -1100,7 +1110,7 @@
         match connection.role {
             Role::Client { .. } => self.answer_written(key),
             Role::Operator => self.call_answered(key),
-            _ if connection.closing => _ = self.close(key),
+            _ if connection.close_when_written => _ = self.close(key),
             _ => {}
         }
     }
--- a/crates/limiter/src/net/host/operators.rs
+++ b/crates/limiter/src/net/host/operators.rs
@@ -14,7 +14,8 @@
 impl Host {
     pub(super) fn listen_to_operators(&mut self, address: SocketAddr) -> io::Result<()> {
         let accept = |host: &mut Host| host.accept_operators();
-        let (listener, _) = watch_listener(&self.handle, bind(address, &self.limits)?, accept)?;
+        let (listener, _) =
+            watch_listener(&self.loop_handle, bind(address, &self.limits)?, accept)?;
         self.operators = Some(Operators {
             listener,
             callers: OperatorConnections::default(),
@@ -79,7 +80,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if connection.closing {
+        if connection.close_when_written {
             // What comes behind the call is thrown away, so that the close does not reset the answer.
             return connection.input.clear();
         }
@@ -105,7 +106,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        connection.closing = true;
+        connection.close_when_written = true;
         connection
             .output
             .extend_from_slice(format!("{answer}\n").as_bytes());
@@ -117,7 +118,7 @@
         let Some(connection) = self
             .connections
             .get(key)
-            .filter(|connection| connection.closing)
+            .filter(|connection| connection.close_when_written)
         else {
             return;
         };
@@ -132,7 +133,7 @@
             OperatorCommand::Ready if self.lifecycle.is_shutting_down() => {
                 Err("ending".to_string())
             }
-            OperatorCommand::Ready if !self.table.has_ready_server() => {
+            OperatorCommand::Ready if !self.routing_table.has_ready_server() => {
                 Err("no server is known yet".to_string())
             }
             OperatorCommand::Ready => Ok(()),
@@ -169,7 +170,7 @@
         &mut self,
         change: impl FnOnce(&mut RoutingTable) -> Result<(bool, TableUpdate), UnknownServer>,
     ) -> Result<(), String> {
-        let (changed, news) = change(&mut self.table).map_err(|error| error.to_string())?;
+        let (changed, news) = change(&mut self.routing_table).map_err(|error| error.to_string())?;
         self.take_news(news);
         if changed {
             self.write_handover();
--- a/crates/limiter/src/net/host/reload.rs
+++ b/crates/limiter/src/net/host/reload.rs
@@ -11,30 +11,30 @@
         // file itself changes.
         let changed = config
             .file_discovery
-            .filter(|_| config.file_discovery != self.discovery_in_file);
-        self.discovery_in_file = config.file_discovery;
-        if let Some(discovery) = changed.filter(|address| *address != self.discovery) {
-            self.discovery = discovery;
-            self.watch.wait = self.limits.watch_retry_delay;
+            .filter(|_| config.file_discovery != self.discovery_address_in_file);
+        self.discovery_address_in_file = config.file_discovery;
+        if let Some(discovery) = changed.filter(|address| *address != self.discovery_address) {
+            self.discovery_address = discovery;
+            self.watch.retry_delay = self.limits.watch_retry_delay;
             // The watch goes on from the version of the list held here, so that no change is missed.
             self.open_watch();
         }
         let counter = config.counter.filter(|_| self.settings.counter_available);
-        if counter != self.counter {
-            self.counter = counter;
-            for line in 0..self.lines.len() {
-                self.lines[line].begin_move();
+        if counter != self.counter_address {
+            self.counter_address = counter;
+            for line in 0..self.counter_connections.len() {
+                self.counter_connections[line].begin_move();
                 self.move_line(line);
             }
         }
         self.peers.set_addresses(config.peers);
         if let (Some(tokens), Some(front), None) =
-            (&mut self.tokens, config.introspection, &self.agreement)
+            (&mut self.introspection, config.introspection, &self.cluster)
         {
             tokens.set_callers(front.callers);
         }
         let kept = [
-            ("listen", config.listen == self.listen),
+            ("listen", config.listen == self.listen_address),
             ("settings", config.settings == self.settings),
             ("limits", config.limits == self.limits),
         ];
@@ -42,8 +42,8 @@
             |address: Option<SocketAddr>| address.map_or("none".to_string(), |a| a.to_string());
         self.log(&format!(
             "configuration taken: discovery {}, counter {}",
-            self.discovery,
-            told(self.counter)
+            self.discovery_address,
+            told(self.counter_address)
         ));
         for (key, _) in kept.iter().filter(|(_, same)| !same) {
             self.log(&format!(
--- a/crates/limiter/src/net/host/responses.rs
+++ b/crates/limiter/src/net/host/responses.rs
@@ -38,7 +38,7 @@
             .get("Endpoint-Load-Metrics")
             .and_then(probes::parse_load_report);
         let known = &mut self.services[service];
-        known.legs.remove(authorisation);
+        known.attempt_connections.remove(authorisation);
         let answers =
             known
                 .engine
@@ -46,7 +46,7 @@
         let pending = answers
             .then(|| self.settle((service, authorisation)))
             .flatten();
-        let Some(to) = pending.map(|pending| pending.origin) else {
+        let Some(to) = pending.map(|pending| pending.connection) else {
             _ = self.close(key);
             return;
         };
@@ -59,9 +59,9 @@
             return;
         };
         *waits = None;
-        client.closing = close;
-        client.source = Some(key);
-        client.visit.begin_response(now);
+        client.close_when_written = close;
+        client.streaming_from = Some(key);
+        client.client.begin_response(now);
         let kind = head
             .headers
             .get("Content-Type")
@@ -76,10 +76,10 @@
         );
         self.arm(to);
         if let Some(connection) = self.connections.get_mut(key) {
-            connection.reading = ReadState::Relay(relay, to);
+            connection.read_state = ReadState::Relay(relay, to);
         }
         self.deadlines
-            .schedule(now + self.limits.relay_idle_timeout, Timer::Relay(key));
+            .schedule(now + self.limits.relay_idle_timeout, Timer::RelayIdle(key));
         self.read_relayed(key, to);
     }
 
@@ -88,7 +88,7 @@
         let Some([server, client]) = self.connections.get_disjoint_mut([key, to]) else {
             return;
         };
-        let ReadState::Relay(relay, _) = &mut server.reading else {
+        let ReadState::Relay(relay, _) = &mut server.read_state else {
             return;
         };
         match relay.forward(&mut server.input, &mut client.output) {
@@ -110,17 +110,17 @@
                 server: id,
                 ..
             },
-        ) = (&server.reading, server.role)
+        ) = (&server.read_state, server.role)
             && relay.is_complete()
         {
-            let clean = relay.is_reusable() && server.input.is_empty() && server.all_sent();
-            server.reading = ReadState::Idle;
+            let clean = relay.is_reusable() && server.input.is_empty() && server.has_sent_all();
+            server.read_state = ReadState::Idle;
             server.role = Role::Upstream {
                 service,
                 server: id,
                 state: UpstreamState::Idle,
             };
-            client.source = None;
+            client.streaming_from = None;
             if !(clean && self.services[service].pool.release(id, key, now)) {
                 self.close(key);
             }
@@ -140,7 +140,7 @@
         else {
             return;
         };
-        let (mut incoming, first) = match std::mem::take(&mut connection.reading) {
+        let (mut incoming, first) = match std::mem::take(&mut connection.read_state) {
             ReadState::Response(incoming) => (incoming, false),
             _ => (IncomingMessage::default(), true),
         };
@@ -171,7 +171,7 @@
                 _ = self.close(key);
             }
             _ => {
-                connection.reading = ReadState::Response(incoming);
+                connection.read_state = ReadState::Response(incoming);
                 // Most answers are there at once: the rest is waited for only where some of it is missing.
                 if first {
                     self.deadlines.schedule(
@@ -205,7 +205,7 @@
             return;
         };
         let clean =
-            whole && connection.input.is_empty() && answer.keep_alive && connection.all_sent();
+            whole && connection.input.is_empty() && answer.keep_alive && connection.has_sent_all();
         connection.input.clear();
         connection.input.shrink_to(4 * 1024);
         connection.role = Role::Upstream {
@@ -228,19 +228,19 @@
         let Role::Upstream { state, .. } = connection.role else {
             return;
         };
-        match (std::mem::take(&mut connection.reading), state.purpose()) {
+        match (std::mem::take(&mut connection.read_state), state.purpose()) {
             (ReadState::Relay(mut relay, to), _) => {
                 let Some(client) = self.connections.get_mut(to) else {
                     return;
                 };
                 let whole = relay.handle_close(&mut client.output);
                 if whole {
-                    client.source = None;
+                    client.streaming_from = None;
                     self.close(key);
                     self.flush(to);
                 } else if let Some(connection) = self.connections.get_mut(key) {
                     // Broken off: that is told on.
-                    connection.reading = ReadState::Relay(relay, to);
+                    connection.read_state = ReadState::Relay(relay, to);
                 }
             }
             (ReadState::Response(incoming), Some(errand)) if incoming.ends_at_close() => {
@@ -255,17 +255,17 @@
         let Some(connection) = self.connections.get(key) else {
             return;
         };
-        let ReadState::Relay(..) = connection.reading else {
+        let ReadState::Relay(..) = connection.read_state else {
             return;
         };
         // Where the client is slow the server is not asked for more; how slow that may be is the client's own limit.
-        let until = if connection.unread {
+        let until = if connection.has_unread {
             now
         } else {
-            connection.heard
+            connection.last_received_at
         } + self.limits.relay_idle_timeout;
         if until > now {
-            self.deadlines.schedule(until, Timer::Relay(key));
+            self.deadlines.schedule(until, Timer::RelayIdle(key));
         } else {
             self.broken(key);
         }
@@ -276,14 +276,14 @@
         let Some(connection) = self.connections.get(to) else {
             return;
         };
-        let room = connection.backlog() < self.limits.relay_window_bytes;
+        let room = connection.backlog_bytes() < self.limits.relay_window_bytes;
         let waits = |key: &ConnectionKey| {
             self.connections
                 .get(*key)
-                .is_some_and(|server| server.unread)
+                .is_some_and(|server| server.has_unread)
         };
-        if let Some(source) = connection.source.filter(|key| room && waits(key)) {
-            self.again.push(source);
+        if let Some(source) = connection.streaming_from.filter(|key| room && waits(key)) {
+            self.reread.push(source);
         }
     }
 
@@ -293,10 +293,10 @@
             return;
         };
         // Guards the memory: what was written must not be held for as long as more is passed on behind it.
-        let passes_on = connection.source.is_some() || connection.feeding;
-        if passes_on && connection.written >= connection.output.len() / 2 {
-            connection.output.drain(..connection.written);
-            connection.written = 0;
+        let passes_on = connection.streaming_from.is_some() || connection.is_uploading;
+        if passes_on && connection.written_bytes >= connection.output.len() / 2 {
+            connection.output.drain(..connection.written_bytes);
+            connection.written_bytes = 0;
         }
         self.more_for(key);
         self.more_from(key);
--- a/crates/limiter/src/net/host/shutdown.rs
+++ b/crates/limiter/src/net/host/shutdown.rs
@@ -27,7 +27,7 @@
     /// Listening sockets are only closed: one that is shared goes on to listen for the others.
     fn leave_listeners(&mut self) {
         for (_, _, token) in self.listeners.drain(..) {
-            self.handle.remove(token);
+            self.loop_handle.remove(token);
         }
     }
 
@@ -52,8 +52,8 @@
             let Some(connection) = self.connections.get_mut(key) else {
                 continue;
             };
-            match connection.visit.stage {
-                Stage::Idle if connection.visit.has_responded => _ = self.close(key),
+            match connection.client.stage {
+                Stage::Idle if connection.client.has_responded => _ = self.close(key),
                 _ => self.arm(key),
             }
         }
--- a/crates/limiter/src/net/host/uploads.rs
+++ b/crates/limiter/src/net/host/uploads.rs
@@ -23,11 +23,11 @@
         let Some((head, reader, body)) = incoming.into_parts() else {
             return;
         };
-        self.partial += body.len();
-        connection.last = !head.keep_alive;
-        connection.told_to_go_on = false;
+        self.buffered_bytes += body.len();
+        connection.close_after_response = !head.keep_alive;
+        connection.continue_sent = false;
         let upload = Upload::new(extent, reader, body, self.limits.relay_window_bytes);
-        connection.reading = ReadState::Upload(upload);
+        connection.read_state = ReadState::Upload(upload);
         let request = Request::new(head, Vec::new());
         let read = match door {
             // What is safe to repeat has no body.
@@ -59,7 +59,7 @@
                     RequestKind::Platform,
                 );
                 if let Some(connection) = self.connections.get_mut(key) {
-                    connection.visit.record_body_progress(now, come);
+                    connection.client.record_body_progress(now, come);
                 }
                 self.arm(key);
                 self.read_upload(key);
@@ -74,10 +74,10 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let ReadState::Upload(upload) = &connection.reading else {
+        let ReadState::Upload(upload) = &connection.read_state else {
             return;
         };
-        let (before, leg) = (connection.held(), upload.attempt());
+        let (before, leg) = (connection.buffered_bytes(), upload.attempt());
         let taken = match leg {
             None => Host::upload_on(connection, None),
             Some(leg) => match self.connections.get_disjoint_mut([key, leg]) {
@@ -88,18 +88,19 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        self.partial = (self.partial + connection.held()).saturating_sub(before);
-        let ReadState::Upload(upload) = &connection.reading else {
+        self.buffered_bytes =
+            (self.buffered_bytes + connection.buffered_bytes()).saturating_sub(before);
+        let ReadState::Upload(upload) = &connection.read_state else {
             return;
         };
         let (whole, bytes) = (upload.is_complete(), upload.received_bytes());
-        connection.visit.record_body_progress(now, bytes);
+        connection.client.record_body_progress(now, bytes);
         if taken.is_err() {
             // What is spoilt here cannot be told on: the leg ends, and the client hears what is wrong.
             return self.end_upload(key, &reject(400, "malformed"));
         }
         if whole {
-            connection.visit.begin_processing(now);
+            connection.client.begin_processing(now);
         }
         if let Some(leg) = leg {
             self.feed(leg, whole);
@@ -117,7 +118,7 @@
             waits: Some((service, authorisation)),
             ..
         } = connection.role
-            && connection.uploading().is_some_and(Upload::is_discarded)
+            && connection.active_upload().is_some_and(Upload::is_discarded)
         {
             self.services[service]
                 .engine
@@ -129,7 +130,7 @@
         connection: &mut Connection,
         out: Option<&mut Vec<u8>>,
     ) -> Result<(), framing::ParseError> {
-        let ReadState::Upload(upload) = &mut connection.reading else {
+        let ReadState::Upload(upload) = &mut connection.read_state else {
             return Ok(());
         };
         upload.read(&mut connection.input, out)
@@ -140,34 +141,35 @@
         let Some([client, server]) = self.connections.get_disjoint_mut([origin, leg]) else {
             return;
         };
-        let before = client.held();
-        let ReadState::Upload(upload) = &mut client.reading else {
+        let before = client.buffered_bytes();
+        let ReadState::Upload(upload) = &mut client.read_state else {
             return;
         };
         upload.start_attempt(leg, &mut server.output);
         let whole = upload.is_complete();
-        self.partial = (self.partial + client.held()).saturating_sub(before);
+        self.buffered_bytes =
+            (self.buffered_bytes + client.buffered_bytes()).saturating_sub(before);
         self.feed(leg, whole);
         self.body_gone(origin);
-        self.again.push(origin);
+        self.reread.push(origin);
     }
 
     /// What was passed on to a server is written; until its end has been, nothing counts as sent.
     fn feed(&mut self, leg: ConnectionKey, whole: bool) {
         if let Some(server) = self.connections.get_mut(leg) {
-            server.feeding = !whole;
-            self.dirty.push(leg);
+            server.is_uploading = !whole;
+            self.unflushed.push(leg);
         }
     }
 
     /// A leg is over.
     pub(super) fn leg_left_upload(&mut self, service: usize, authorisation: AuthorisationKey) {
         let pending = self.services[service].pending.get(authorisation);
-        let Some(client) = pending.and_then(|pending| self.connections.get_mut(pending.origin))
+        let Some(client) = pending.and_then(|pending| self.connections.get_mut(pending.connection))
         else {
             return;
         };
-        if let ReadState::Upload(upload) = &mut client.reading {
+        if let ReadState::Upload(upload) = &mut client.read_state {
             upload.end_attempt();
         }
     }
@@ -184,14 +186,14 @@
         let origin = self.services[service]
             .pending
             .get(authorisation)
-            .map(|pending| pending.origin);
+            .map(|pending| pending.connection);
         let waits = |key: &ConnectionKey| {
             self.connections
                 .get(*key)
-                .is_some_and(|client| client.unread)
+                .is_some_and(|client| client.has_unread)
         };
         if let Some(origin) = origin.filter(waits) {
-            self.again.push(origin);
+            self.reread.push(origin);
         }
     }
 
--- a/crates/limiter/src/net/host/upstream_requests.rs
+++ b/crates/limiter/src/net/host/upstream_requests.rs
@@ -91,7 +91,9 @@
         deadline: Micros,
     ) {
         if let UpstreamPurpose::Attempt(authorisation, _) = errand {
-            self.services[service].legs.insert(authorisation, key);
+            self.services[service]
+                .attempt_connections
+                .insert(authorisation, key);
         }
         self.deadlines
             .schedule(deadline, Timer::UpstreamDeadline(key, errand));
@@ -121,7 +123,7 @@
                     .unwrap_or_default();
                 connection
                     .output
-                    .extend(probes::build_request(&host, self.reports));
+                    .extend(probes::build_request(&host, self.fetch_load_reports));
             }
             Some(UpstreamPurpose::Attempt(authorisation, _)) => {
                 let Some(pending) = known.pending.get(authorisation) else {
@@ -139,12 +141,12 @@
                     left as f64 / 1e6
                 );
                 connection.output.extend_from_slice(&pending.forward.body);
-                let origin = pending.origin;
+                let origin = pending.connection;
                 self.start_upload(origin, key);
             }
             None => {}
         }
-        self.dirty.push(key);
+        self.unflushed.push(key);
     }
 
     pub(super) fn read_answer(&mut self, key: ConnectionKey) {
@@ -159,7 +161,7 @@
         else {
             return;
         };
-        if let ReadState::Relay(_, to) = connection.reading {
+        if let ReadState::Relay(_, to) = connection.read_state {
             return self.read_relayed(key, to);
         }
         let Some(errand) = state.purpose() else {
@@ -173,7 +175,7 @@
         match framing::parse_response(&connection.input, false, &self.limits) {
             Ok(None) => {
                 if !matches!(
-                    std::mem::replace(&mut connection.reading, ReadState::ResponseStarted),
+                    std::mem::replace(&mut connection.read_state, ReadState::ResponseStarted),
                     ReadState::ResponseStarted
                 ) {
                     self.deadlines.schedule(
@@ -183,11 +185,12 @@
                 }
             }
             Ok(Some((answer, length))) => {
-                let clean =
-                    connection.input.len() == length && answer.keep_alive && connection.all_sent();
+                let clean = connection.input.len() == length
+                    && answer.keep_alive
+                    && connection.has_sent_all();
                 connection.input.clear();
                 connection.input.shrink_to(4 * 1024);
-                connection.reading = ReadState::Idle;
+                connection.read_state = ReadState::Idle;
                 connection.role = Role::Upstream {
                     service,
                     server,
@@ -229,7 +232,7 @@
                 };
                 self.leg_left_upload(service, authorisation);
                 let known = &mut self.services[service];
-                known.legs.remove(authorisation);
+                known.attempt_connections.remove(authorisation);
                 let answers =
                     known
                         .engine
