--- a/crates/limiter/src/net/host/clients.rs
+++ b/crates/limiter/src/net/host/clients.rs
@@ -7,17 +7,17 @@
 use crate::net::framing::Request;
 
 impl Host {
-    pub(super) fn accept(&mut self) {
+    pub(super) fn accept_clients(&mut self) {
         for at in 0..self.listeners.len() {
-            while self.is_accepting && self.accept_one(at) {}
+            while self.is_accepting && self.accept_client(at) {}
         }
     }
 
     /// Takes one connection; false if there is none to take.
-    fn accept_one(&mut self, at: usize) -> bool {
+    fn accept_client(&mut self, at: usize) -> bool {
         // One more than the most is taken, so that none has to go before another is there.
         let full = |host: &Host| host.client_count > host.limits.max_client_connections;
-        if full(self) && !self.make_room() {
+        if full(self) && !self.evict_for_new_client() {
             return false;
         }
         let (door, listener, _) = &self.listeners[at];
@@ -30,14 +30,14 @@
                 let ready = stream
                     .set_nonblocking(true)
                     .and_then(|()| stream.set_nodelay(true));
-                match ready.and_then(|()| self.register(stream, role, true)) {
+                match ready.and_then(|()| self.register_connection(stream, role, true)) {
                     Ok(key) => {
                         self.client_count += 1;
-                        self.arm(key);
+                        self.schedule_client_deadline(key);
                     }
                     Err(error) => self.warn(&format!("cannot take a connection: {error}")),
                 }
-                !full(self) || self.make_room()
+                !full(self) || self.evict_for_new_client()
             }
             Err(error) => {
                 let passing = [io::ErrorKind::WouldBlock, io::ErrorKind::ConnectionAborted];
@@ -56,7 +56,7 @@
 
     /// At the most connections the one that can best be spared makes room. Else new ones wait with the system until
     /// one ends, or can be spared. True if there is room.
-    fn make_room(&mut self) -> bool {
+    fn evict_for_new_client(&mut self) -> bool {
         let now = self.now();
         loop {
             let acquirers = self
@@ -69,7 +69,7 @@
                 break;
             };
             // Guards a request that is there already, but not read.
-            self.read(key);
+            self.read_connection(key);
             let still = |c: &Connection| c.client.eviction_rank(now, &self.limits) == Some(rank);
             if self.connections.get(key).is_none_or(still) {
                 self.close(key);
@@ -104,7 +104,7 @@
 
     /// Sees to it that the connection is looked at when its time is up. One entry serves it for as long as its
     /// deadline only moves on.
-    pub(super) fn arm(&mut self, key: ConnectionKey) {
+    pub(super) fn schedule_client_deadline(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -119,7 +119,7 @@
     }
 
     /// A connection may have been as it is for too long.
-    pub(super) fn visit_due(&mut self, now: Micros, key: ConnectionKey) {
+    pub(super) fn handle_client_deadline(&mut self, now: Micros, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -132,36 +132,36 @@
         };
         if over(connection, &self.limits) {
             // What is there already is taken, not lost to the close.
-            self.read(key);
+            self.read_connection(key);
         }
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         if !over(connection, &self.limits) {
-            return self.arm(key);
+            return self.schedule_client_deadline(key);
         }
         let late = Rejection {
             status: 408,
             text: "the request did not come whole in time",
         };
         match connection.client.stage {
-            Stage::Receiving => self.reject(key, &late, true),
+            Stage::Receiving => self.respond_rejection(key, &late, true),
             // Where the server is slow the client is not asked for more.
             Stage::Processing if connection.active_upload().is_some() && connection.has_unread => {
                 connection.client.restart_body_timer(now);
-                self.arm(key);
+                self.schedule_client_deadline(key);
             }
             Stage::Processing if connection.active_upload().is_some() => {
-                self.end_upload(key, &late)
+                self.reject_upload(key, &late)
             }
             Stage::Idle | Stage::Lingering => _ = self.close(key),
             // A client that takes nothing in has gone away.
-            Stage::Processing | Stage::Responding => self.broken(key),
+            Stage::Processing | Stage::Responding => self.handle_broken_connection(key),
         }
     }
 
     /// An answer is written whole: the connection is free for the next request, or ends.
-    pub(super) fn answer_written(&mut self, key: ConnectionKey) {
+    pub(super) fn handle_response_written(&mut self, key: ConnectionKey) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -180,16 +180,16 @@
                 self.close(key);
                 return;
             }
-            self.consume(key, usize::MAX);
+            self.discard_input(key, usize::MAX);
         }
-        self.arm(key);
+        self.schedule_client_deadline(key);
         if more {
             self.reread.push(key);
         }
     }
 
     /// Takes what has been read off a connection's input.
-    fn consume(&mut self, key: ConnectionKey, length: usize) {
+    fn discard_input(&mut self, key: ConnectionKey, length: usize) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -232,7 +232,7 @@
                 status: malformed.status(),
                 text: "malformed",
             };
-            return self.reject(key, &rejection, true);
+            return self.respond_rejection(key, &rejection, true);
         }
         if !incoming.is_complete() {
             let (waits, length) = (
@@ -262,7 +262,7 @@
             }
             connection.read_state = ReadState::Request(incoming);
             self.buffered_bytes -= before - connection.buffered_bytes();
-            return self.arm(key);
+            return self.schedule_client_deadline(key);
         }
         connection.continue_sent = false;
         self.buffered_bytes -= before - connection.buffered_bytes();
@@ -278,16 +278,16 @@
             } else {
                 (503, b"not serving\n")
             };
-            return self.answer(key, status, &[], text);
+            return self.respond(key, status, &[], text);
         }
         match door {
             ListenerKind::Platform => {}
-            ListenerKind::Introspection => return self.read_bearing(now, key, request),
-            ListenerKind::Cluster => return self.read_agreement(key, &request),
+            ListenerKind::Introspection => return self.read_bearer_request(now, key, request),
+            ListenerKind::Cluster => return self.read_cluster_request(key, &request),
         }
         match self.platform.parse_request(&request, &self.limits, now) {
             Ok(authorisation) => {
-                self.take(
+                self.submit_authorisation(
                     key,
                     RECORDS_SERVICE,
                     authorisation,
@@ -295,12 +295,12 @@
                     RequestKind::Platform,
                 );
             }
-            Err(rejection) => self.reject(key, &rejection, false),
+            Err(rejection) => self.respond_rejection(key, &rejection, false),
         }
     }
 
     /// Hands an authorisation to an engine; the connection waits for its final answer.
-    pub(super) fn take(
+    pub(super) fn submit_authorisation(
         &mut self,
         key: ConnectionKey,
         service: usize,
@@ -311,7 +311,7 @@
         // Guards the rule on duplicates: servers would run a second request under an id that is out as a copy of
         // the first, and drop or answer one for the other.
         if self.open_request_ids.contains(&forward.request_id) {
-            return self.reject(
+            return self.respond_rejection(
                 key,
                 &Rejection {
                     status: 409,
@@ -343,19 +343,24 @@
                     connection.client.begin_processing(now);
                 }
             }
-            Err(_) => self.decline(key, 503, self.limits.default_retry_after, &[], b""),
+            Err(_) => self.respond_retry_later(key, 503, self.limits.default_retry_after, &[], b""),
         }
     }
 
-    pub(super) fn reject(&mut self, key: ConnectionKey, rejection: &Rejection, close: bool) {
+    pub(super) fn respond_rejection(
+        &mut self,
+        key: ConnectionKey,
+        rejection: &Rejection,
+        close: bool,
+    ) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.close_after_response |= close;
         }
-        self.answer(key, rejection.status, &[], rejection.text.as_bytes());
+        self.respond(key, rejection.status, &[], rejection.text.as_bytes());
     }
 
     /// The request is answered: what is here of it is of no more use.
-    pub(super) fn drop_rest(&mut self, key: ConnectionKey) {
+    pub(super) fn discard_request(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -365,7 +370,7 @@
     }
 
     /// Whether a client's next answer is the last of its connection.
-    pub(super) fn last_answer(&self, key: ConnectionKey) -> bool {
+    pub(super) fn closes_after_response(&self, key: ConnectionKey) -> bool {
         // Guards requests of clients whose idle connections would be closed for room: where it is scarce they are told
         // that this answer is the last, and write no other into a connection that is being closed.
         let scarce = self.client_count > self.limits.max_persistent_connections;
@@ -381,7 +386,7 @@
     }
 
     /// Writes an answer to a client; the connection is then free for the next request.
-    pub(super) fn answer(
+    pub(super) fn respond(
         &mut self,
         key: ConnectionKey,
         status: u16,
@@ -389,7 +394,7 @@
         body: &[u8],
     ) {
         let now = self.now();
-        let close = self.last_answer(key);
+        let close = self.closes_after_response(key);
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -397,7 +402,7 @@
             return;
         };
         *waits = None;
-        self.drop_rest(key);
+        self.discard_request(key);
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -405,11 +410,11 @@
         connection.close_when_written = close;
         connection.client.begin_response(now);
         self.unflushed.push(key);
-        self.arm(key);
+        self.schedule_client_deadline(key);
     }
 
     /// An answer that tells when to come back.
-    pub(super) fn decline(
+    pub(super) fn respond_retry_later(
         &mut self,
         key: ConnectionKey,
         status: u16,
@@ -422,11 +427,11 @@
         if stay_away > 0 {
             all.push(("Retry-After", &stay));
         }
-        self.answer(key, status, &all, body);
+        self.respond(key, status, &all, body);
     }
 
     /// The final answer of an authorisation is no longer owed.
-    pub(super) fn settle(&mut self, ticket: AuthorisationRef) -> Option<PendingRequest> {
+    pub(super) fn take_pending(&mut self, ticket: AuthorisationRef) -> Option<PendingRequest> {
         let pending = self.services[ticket.0].pending.remove(ticket.1)?;
         self.open_request_ids.remove(&pending.forward.request_id);
         self.buffered_bytes -= pending.forward.body.len();
@@ -434,22 +439,26 @@
     }
 
     /// The final answer of an authorisation that no server's answer ends.
-    pub(super) fn ended(&mut self, ticket: AuthorisationRef, ending: EngineRejection) {
-        let Some(pending) = self.settle(ticket) else {
+    pub(super) fn handle_engine_rejection(
+        &mut self,
+        ticket: AuthorisationRef,
+        ending: EngineRejection,
+    ) {
+        let Some(pending) = self.take_pending(ticket) else {
             return;
         };
         match pending.kind {
             RequestKind::Platform => {
                 let (status, stay_away) = platform::rejection_status(ending);
-                self.decline(pending.connection, status, stay_away, &[], b"");
+                self.respond_retry_later(pending.connection, status, stay_away, &[], b"");
             }
-            purpose => self.ended_tokens(pending.connection, purpose, ending),
+            purpose => self.reject_introspection(pending.connection, purpose, ending),
         }
     }
 
     /// The final answer of an authorisation that a server gave.
-    pub(super) fn served(&mut self, ticket: AuthorisationRef, answer: Response) {
-        let Some(pending) = self.settle(ticket) else {
+    pub(super) fn respond_served(&mut self, ticket: AuthorisationRef, answer: Response) {
+        let Some(pending) = self.take_pending(ticket) else {
             return;
         };
         match pending.kind {
@@ -458,9 +467,9 @@
                     .headers
                     .get("Content-Type")
                     .map(|kind| ("Content-Type", kind));
-                self.answer(pending.connection, 200, kind.as_slice(), &answer.body);
+                self.respond(pending.connection, 200, kind.as_slice(), &answer.body);
             }
-            purpose => self.found(pending.connection, purpose, &answer),
+            purpose => self.handle_introspection_response(pending.connection, purpose, &answer),
         }
     }
 }
--- a/crates/limiter/src/net/host/cluster.rs
+++ b/crates/limiter/src/net/host/cluster.rs
@@ -43,20 +43,23 @@
             .schedule(now + self.limits.raft_tick_interval, Timer::RaftTick);
         if let Some(agreement) = &mut self.cluster {
             let stepped = agreement.member.tick();
-            _ = self.stepped(stepped);
+            _ = self.apply_raft_result(stepped);
         }
     }
 
     /// Sends what is to be sent and takes a new document. A member whose journal fails takes no further part: it
     /// could promise what it would forget.
-    fn stepped(&mut self, stepped: Result<raft::StepOutput, RaftError>) -> Result<(), RaftError> {
+    fn apply_raft_result(
+        &mut self,
+        stepped: Result<raft::StepOutput, RaftError>,
+    ) -> Result<(), RaftError> {
         match stepped {
             Ok(news) => {
                 news.messages
                     .into_iter()
-                    .for_each(|letter| self.post(letter));
+                    .for_each(|letter| self.send_to_peer(letter));
                 if let Some(document) = news.document {
-                    self.take_document(&document);
+                    self.apply_document(&document);
                 }
                 Ok(())
             }
@@ -70,7 +73,7 @@
         }
     }
 
-    fn post(&mut self, letter: raft::OutgoingMessage) {
+    fn send_to_peer(&mut self, letter: raft::OutgoingMessage) {
         let Some(agreement) = &self.cluster else {
             return;
         };
@@ -103,13 +106,13 @@
             .get(key)
             .is_some_and(|c| c.output.len() < 4 * self.limits.max_buffered_body_bytes)
         {
-            self.write(key, head.as_bytes());
-            self.write(key, &letter.bytes);
+            self.queue_output(key, head.as_bytes());
+            self.queue_output(key, &letter.bytes);
         }
     }
 
     /// Other members' answers say nothing that the protocol's own messages don't.
-    pub(super) fn read_receipts(&mut self, key: ConnectionKey) {
+    pub(super) fn read_cluster_responses(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -117,43 +120,43 @@
             match framing::parse_response(&connection.input, false, &self.limits) {
                 Ok(Some((_, length))) => _ = connection.input.drain(..length),
                 Ok(None) => return,
-                Err(_) => return self.broken(key),
+                Err(_) => return self.handle_broken_connection(key),
             }
         }
     }
 
-    pub(super) fn member_lost(&mut self, at: usize) {
+    pub(super) fn handle_peer_lost(&mut self, at: usize) {
         if let Some(agreement) = &mut self.cluster {
             agreement.peers[at].connection = None;
         }
     }
 
     /// A request at the members' own address.
-    pub(super) fn read_agreement(&mut self, key: ConnectionKey, request: &Request) {
+    pub(super) fn read_cluster_request(&mut self, key: ConnectionKey, request: &Request) {
         let Some(agreement) = &mut self.cluster else {
-            return self.answer(key, 503, &[], b"");
+            return self.respond(key, 503, &[], b"");
         };
         let shown = request
             .headers
             .get("Authorization")
             .and_then(|value| value.strip_prefix("Bearer "));
         if !shown.is_some_and(|shown| constant_time_eq(shown, &agreement.secret)) {
-            return self.answer(key, 401, &[("WWW-Authenticate", "Bearer")], b"");
+            return self.respond(key, 401, &[("WWW-Authenticate", "Bearer")], b"");
         }
         match (request.method.as_str(), request.target.as_str()) {
             ("POST", "/raft") => {
                 let stepped = agreement.member.receive(&request.body);
-                let status = if self.stepped(stepped).is_ok() {
+                let status = if self.apply_raft_result(stepped).is_ok() {
                     200
                 } else {
                     400
                 };
-                self.answer(key, status, &[], b"");
+                self.respond(key, status, &[], b"");
             }
             ("GET", "/configuration") => {
                 let (document, index) = agreement.member.document();
                 let (document, tag) = (document.to_vec(), format!("\"{index}\""));
-                self.answer(
+                self.respond(
                     key,
                     200,
                     &[("Content-Type", "application/json"), ("ETag", &tag)],
@@ -162,16 +165,16 @@
             }
             ("PUT", "/configuration") => {
                 if let Err(error) = config::parse_callers(&request.body, &self.platform.names) {
-                    return self.answer(key, 400, &[], error.to_string().as_bytes());
+                    return self.respond(key, 400, &[], error.to_string().as_bytes());
                 }
                 let stepped = agreement.member.propose(&request.body);
-                match self.stepped(stepped) {
-                    Ok(()) => self.answer(key, 202, &[], b""),
-                    Err(RaftError::NotLeader(Some(leader))) => self.point_to(key, leader),
+                match self.apply_raft_result(stepped) {
+                    Ok(()) => self.respond(key, 202, &[], b""),
+                    Err(RaftError::NotLeader(Some(leader))) => self.redirect_to_leader(key, leader),
                     Err(RaftError::BadDocument) => {
-                        self.answer(key, 400, &[], b"no JSON object, or too long")
+                        self.respond(key, 400, &[], b"no JSON object, or too long")
                     }
-                    Err(error) => self.decline(
+                    Err(error) => self.respond_retry_later(
                         key,
                         503,
                         self.limits.default_retry_after,
@@ -180,24 +183,24 @@
                     ),
                 }
             }
-            _ => self.answer(key, 404, &[], b""),
+            _ => self.respond(key, 404, &[], b""),
         }
     }
 
-    fn point_to(&mut self, key: ConnectionKey, leader: u64) {
+    fn redirect_to_leader(&mut self, key: ConnectionKey, leader: u64) {
         let others = self
             .cluster
             .as_ref()
             .map_or(&[][..], |agreement| &agreement.peers);
         let place = others.iter().find(|other| other.id == leader);
         match place.map(|other| format!("http://{}/configuration", other.address)) {
-            Some(place) => self.answer(key, 307, &[("Location", &place)], b""),
-            None => self.decline(key, 503, self.limits.default_retry_after, &[], b""),
+            Some(place) => self.respond(key, 307, &[("Location", &place)], b""),
+            None => self.respond_retry_later(key, 503, self.limits.default_retry_after, &[], b""),
         }
     }
 
     /// The members agree on this: from now on it holds here too.
-    fn take_document(&mut self, document: &[u8]) {
+    fn apply_document(&mut self, document: &[u8]) {
         match config::parse_callers(document, &self.platform.names) {
             Ok(Some(callers)) => {
                 self.log(&format!(
--- a/crates/limiter/src/net/host/counter_calls.rs
+++ b/crates/limiter/src/net/host/counter_calls.rs
@@ -4,7 +4,7 @@
 use crate::counter_client::CounterResponse;
 
 impl Host {
-    pub(super) fn open_line(&mut self, line: usize) {
+    pub(super) fn connect_counter(&mut self, line: usize) {
         let Some(address) = self.counter_address else {
             return;
         };
@@ -13,12 +13,12 @@
             Err(_) => {
                 let mut counted = Vec::new();
                 self.counter_connections[line].handle_disconnect(&mut counted);
-                self.take_counted(counted);
+                self.deliver_counter_results(counted);
             }
         }
     }
 
-    pub(super) fn write_line(&mut self, now: Micros, line: usize) {
+    pub(super) fn write_counter_calls(&mut self, now: Micros, line: usize) {
         let Some(key) = self.counter_connections[line].connection else {
             return;
         };
@@ -32,7 +32,7 @@
         }
     }
 
-    pub(super) fn read_totals(&mut self, key: ConnectionKey, line: usize) {
+    pub(super) fn read_counter_responses(&mut self, key: ConnectionKey, line: usize) {
         let now = self.now();
         let mut counted = Vec::new();
         let (mut at, mut bad) = (0, false);
@@ -65,16 +65,16 @@
             }
         }
         connection.input.drain(..at);
-        self.take_counted(counted);
+        self.deliver_counter_results(counted);
         if bad {
-            self.broken(key);
+            self.handle_broken_connection(key);
         }
-        self.drop_stuck(line);
-        self.move_line(line);
+        self.close_stalled_counter(line);
+        self.reconnect_moved_counter(line);
     }
 
     /// Where an answer has begun and does not end in time, nothing more will be heard on its connection.
-    fn drop_stuck(&mut self, line: usize) {
+    fn close_stalled_counter(&mut self, line: usize) {
         let begun = |key| {
             self.connections
                 .get(key)
@@ -84,28 +84,28 @@
             .connection
             .filter(|key| self.counter_connections[line].has_timed_out_call() && begun(*key))
         {
-            self.broken(key);
+            self.handle_broken_connection(key);
         }
     }
 
     /// Gives the outcomes of a line's calls whose time is up.
-    pub(super) fn expire_line(&mut self, now: Micros, line: usize) {
+    pub(super) fn expire_counter_calls(&mut self, now: Micros, line: usize) {
         let mut counted = Vec::new();
         self.counter_connections[line].expire_calls(now, &mut counted);
-        self.take_counted(counted);
-        self.drop_stuck(line);
-        self.move_line(line);
+        self.deliver_counter_results(counted);
+        self.close_stalled_counter(line);
+        self.reconnect_moved_counter(line);
     }
 
     /// A line whose counter has moved goes on at the new address as soon as its written calls have their outcomes.
-    pub(super) fn move_line(&mut self, line: usize) {
+    pub(super) fn reconnect_moved_counter(&mut self, line: usize) {
         if let Some(former) = self.counter_connections[line].finish_move() {
             former.into_iter().for_each(|key| _ = self.close(key));
-            self.open_line(line);
+            self.connect_counter(line);
         }
     }
 
-    pub(super) fn take_counted(&mut self, counted: Vec<CounterResult>) {
+    pub(super) fn deliver_counter_results(&mut self, counted: Vec<CounterResult>) {
         for one in counted {
             self.services[one.engine_index]
                 .engine
--- a/crates/limiter/src/net/host/datagrams.rs
+++ b/crates/limiter/src/net/host/datagrams.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Host {
-    pub(super) fn read_datagrams(&mut self) {
+    pub(super) fn read_peer_datagrams(&mut self) {
         let Some(socket) = &self.peer_socket else {
             return;
         };
--- a/crates/limiter/src/net/host/discovery.rs
+++ b/crates/limiter/src/net/host/discovery.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 impl Host {
-    pub(super) fn open_watch(&mut self) {
+    pub(super) fn open_discovery_watch(&mut self) {
         if let Some(former) = self.watch.connection.take() {
             self.close(former);
         }
@@ -12,11 +12,11 @@
         self.watch.partial_line.clear();
         match self.connect(self.discovery_address, Role::DiscoveryWatch) {
             Ok(key) => self.watch.connection = Some(key),
-            Err(_) => self.watch_lost(),
+            Err(_) => self.schedule_watch_retry(),
         }
     }
 
-    pub(super) fn watch_lost(&mut self) {
+    pub(super) fn schedule_watch_retry(&mut self) {
         self.watch.connection = None;
         let at = self.now() + self.watch.retry_delay;
         self.watch.retry_delay =
@@ -24,7 +24,7 @@
         self.deadlines.schedule(at, Timer::WatchRetry);
     }
 
-    pub(super) fn read_watch(&mut self, key: ConnectionKey) {
+    pub(super) fn read_discovery_watch(&mut self, key: ConnectionKey) {
         self.watch.last_received_at = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -57,7 +57,7 @@
                 Ok(None) => self.watch.retry_delay = self.limits.watch_retry_delay,
                 Ok(Some(news)) => {
                     self.watch.retry_delay = self.limits.watch_retry_delay;
-                    self.take_news(news);
+                    self.apply_table_update(news);
                 }
                 Err(error) => {
                     self.warn(&format!("discovery: {error}"));
@@ -68,11 +68,11 @@
         }
         bad |= ended || self.watch.partial_line.len() > self.limits.max_watch_line_bytes;
         if bad {
-            self.broken(key);
+            self.handle_broken_connection(key);
         }
     }
 
-    pub(super) fn take_news(&mut self, news: TableUpdate) {
+    pub(super) fn apply_table_update(&mut self, news: TableUpdate) {
         let records = &mut self.services[RECORDS_SERVICE];
         let listed = news
             .addresses
--- a/crates/limiter/src/net/host/handover.rs
+++ b/crates/limiter/src/net/host/handover.rs
@@ -6,12 +6,12 @@
 
 impl Host {
     /// Shares in the record of the folder from now on, and takes over what stands there.
-    pub(super) fn share(&mut self, folder: &std::path::Path) {
+    pub(super) fn open_operations_file(&mut self, folder: &std::path::Path) {
         self.operations_file = Some(OperationsFile::new(folder));
-        self.look_at_handover();
+        self.poll_operations_file();
     }
 
-    fn record(&self) -> OperationsRecord {
+    fn operations_record(&self) -> OperationsRecord {
         let (bans, drain) = (
             self.routing_table.disabled_servers().clone(),
             self.lifecycle.drain_state(),
@@ -24,7 +24,7 @@
     }
 
     /// Takes over what the other process knows later, and writes what it lacks.
-    pub(super) fn look_at_handover(&mut self) {
+    pub(super) fn poll_operations_file(&mut self) {
         let now = self.now();
         self.deadlines.schedule(
             now + self.limits.handover_poll_interval,
@@ -42,22 +42,22 @@
                 let news = self.routing_table.merge(&told.disabled_servers);
                 let drain = self.lifecycle.merge_drain_state(told.drain);
                 if drain {
-                    self.drain_changed(now);
+                    self.schedule_drain_notice(now);
                 }
                 if drain || !news.entries.is_empty() {
                     self.log("operations record taken over from another process");
                 }
-                self.take_news(news);
-                if self.record() != told {
-                    self.write_handover();
+                self.apply_table_update(news);
+                if self.operations_record() != told {
+                    self.write_operations_file();
                 }
             }
         }
     }
 
     /// Operators asked for something: the other process is to know.
-    pub(super) fn write_handover(&mut self) {
-        let record = self.record();
+    pub(super) fn write_operations_file(&mut self) {
+        let record = self.operations_record();
         let Some(handover) = &mut self.operations_file else {
             return;
         };
--- a/crates/limiter/src/net/host/introspection.rs
+++ b/crates/limiter/src/net/host/introspection.rs
@@ -51,7 +51,7 @@
 
 impl Host {
     /// The introspection servers are the token engine's routing table; it never changes.
-    pub(super) fn list_upstreams(&mut self) {
+    pub(super) fn list_introspection_servers(&mut self) {
         let (Some(tokens), Some(service)) = (
             &self.introspection,
             self.services.get_mut(INTROSPECTION_SERVICE),
@@ -77,10 +77,15 @@
     }
 
     /// A request at the introspection front.
-    pub(super) fn read_bearing(&mut self, now: Micros, key: ConnectionKey, request: Request) {
+    pub(super) fn read_bearer_request(
+        &mut self,
+        now: Micros,
+        key: ConnectionKey,
+        request: Request,
+    ) {
         let path = request.target.split('?').next().unwrap_or_default();
         if path == "/introspect" {
-            return self.read_question(now, key, &request);
+            return self.read_introspection_request(now, key, &request);
         }
         let read = self
             .platform
@@ -102,11 +107,11 @@
             });
         let (basics, units) = match read {
             Ok(read) => read,
-            Err(rejection) => return self.reject(key, &rejection, !request.keep_alive),
+            Err(rejection) => return self.respond_rejection(key, &rejection, !request.keep_alive),
         };
         let token = match introspection::bearer_token(&request.headers) {
             Ok(token) => token,
-            Err(challenge) => return self.challenge(key, challenge),
+            Err(challenge) => return self.respond_challenge(key, challenge),
         };
         let Some(tokens) = &mut self.introspection else {
             return;
@@ -119,7 +124,7 @@
             token,
         };
         match known {
-            Some(identity) => self.go_on(key, bearing, identity),
+            Some(identity) => self.submit_identified(key, bearing, identity),
             None => {
                 let asking = Authorisation {
                     plan: tokens.internal_plan,
@@ -130,7 +135,7 @@
                     ..Authorisation::default()
                 };
                 let forward = tokens.endpoint.build_request(&bearing.token);
-                self.take(
+                self.submit_authorisation(
                     key,
                     INTROSPECTION_SERVICE,
                     asking,
@@ -142,7 +147,12 @@
     }
 
     /// Whose the token is, is known: the work itself is asked for, in the same time and good no longer than it.
-    fn go_on(&mut self, key: ConnectionKey, bearing: BearerRequest, identity: Identity) {
+    fn submit_identified(
+        &mut self,
+        key: ConnectionKey,
+        bearing: BearerRequest,
+        identity: Identity,
+    ) {
         let BearerRequest {
             mut request,
             basics,
@@ -169,7 +179,7 @@
             token_expires_at: identity.expires_at,
             ..Authorisation::default()
         };
-        self.take(
+        self.submit_authorisation(
             key,
             RECORDS_SERVICE,
             authorisation,
@@ -179,12 +189,12 @@
     }
 
     /// A caller asks about a token.
-    fn read_question(&mut self, now: Micros, key: ConnectionKey, request: &Request) {
+    fn read_introspection_request(&mut self, now: Micros, key: ConnectionKey, request: &Request) {
         let Some(tokens) = &self.introspection else {
             return;
         };
         if request.method != "POST" {
-            return self.answer(key, 405, &[("Allow", "POST"), NO_STORE], b"");
+            return self.respond(key, 405, &[("Allow", "POST"), NO_STORE], b"");
         }
         let Some(caller) = introspection::authenticate_caller(&request.headers, &tokens.callers)
         else {
@@ -193,13 +203,13 @@
                 NO_STORE,
                 JSON,
             ];
-            return self.answer(key, 401, &headers, b"{\"error\":\"invalid_client\"}");
+            return self.respond(key, 401, &headers, b"{\"error\":\"invalid_client\"}");
         };
         let token = match introspection::parse_token_request(request) {
             Ok(token) => token,
             Err(rejection) => {
                 let body = rejection.text.as_bytes();
-                return self.answer(key, rejection.status, &[NO_STORE, JSON], body);
+                return self.respond(key, rejection.status, &[NO_STORE, JSON], body);
             }
         };
         let wait = self
@@ -214,7 +224,7 @@
             ..Authorisation::default()
         };
         let forward = tokens.endpoint.build_request(&token);
-        self.take(
+        self.submit_authorisation(
             key,
             INTROSPECTION_SERVICE,
             question,
@@ -223,13 +233,13 @@
         );
     }
 
-    fn challenge(&mut self, key: ConnectionKey, challenge: Challenge) {
+    fn respond_challenge(&mut self, key: ConnectionKey, challenge: Challenge) {
         let (status, text) = challenge.response();
-        self.answer(key, status, &[("WWW-Authenticate", text), NO_STORE], b"");
+        self.respond(key, status, &[("WWW-Authenticate", text), NO_STORE], b"");
     }
 
     /// A leg whose answer is known already needs no server: the question has passed the caller's quota by then.
-    pub(super) fn answered_from_cache(
+    pub(super) fn answer_from_cache(
         &mut self,
         now: Micros,
         ticket: AuthorisationRef,
@@ -257,20 +267,20 @@
         if known
             .engine
             .handle_attempt_ended(now, key, leg, Outcome::Ok, None)
-            && let Some(pending) = self.settle(ticket)
+            && let Some(pending) = self.take_pending(ticket)
         {
-            self.tell(now, pending.connection, finding);
+            self.respond_finding(now, pending.connection, finding);
         }
         true
     }
 
-    fn tell(&mut self, now: Micros, key: ConnectionKey, finding: IntrospectionResult) {
+    fn respond_finding(&mut self, now: Micros, key: ConnectionKey, finding: IntrospectionResult) {
         let body = introspection::encode_result(finding, &self.platform.names.plans, now);
-        self.answer(key, 200, &[JSON, NO_STORE], &body);
+        self.respond(key, 200, &[JSON, NO_STORE], &body);
     }
 
     /// The outcome of a leg to an introspection server. One that lies has failed, whatever its status.
-    pub(super) fn judged(&self, now: Micros, answer: &Response) -> Outcome {
+    pub(super) fn introspection_outcome(&self, now: Micros, answer: &Response) -> Outcome {
         match introspection::parse_response(answer, &self.platform.names.plans, now) {
             Ok(_) => Outcome::Ok,
             Err(_) if matches!(answer.status, 429 | 503) => Outcome::Rejected,
@@ -282,7 +292,12 @@
     }
 
     /// An introspection server's answer, judged before.
-    pub(super) fn found(&mut self, key: ConnectionKey, purpose: RequestKind, answer: &Response) {
+    pub(super) fn handle_introspection_response(
+        &mut self,
+        key: ConnectionKey,
+        purpose: RequestKind,
+        answer: &Response,
+    ) {
         let now = self.now();
         // Guards the instant between the two looks at the clock: fails closed.
         let finding = introspection::parse_response(answer, &self.platform.names.plans, now)
@@ -294,20 +309,24 @@
             (RequestKind::TokenLookup(bearing), finding) => {
                 tokens.cache.insert(&bearing.token, finding, now);
                 match finding {
-                    IntrospectionResult::Active(identity) => self.go_on(key, *bearing, identity),
-                    IntrospectionResult::Inactive => self.challenge(key, Challenge::Invalid),
+                    IntrospectionResult::Active(identity) => {
+                        self.submit_identified(key, *bearing, identity)
+                    }
+                    IntrospectionResult::Inactive => {
+                        self.respond_challenge(key, Challenge::Invalid)
+                    }
                 }
             }
             (RequestKind::Introspection(token), finding) => {
                 tokens.cache.insert(&token, finding, now);
-                self.tell(now, key, finding);
+                self.respond_finding(now, key, finding);
             }
             (RequestKind::Platform | RequestKind::Bearer, _) => {}
         }
     }
 
     /// An ending that no server gave, at this front.
-    pub(super) fn ended_tokens(
+    pub(super) fn reject_introspection(
         &mut self,
         key: ConnectionKey,
         purpose: RequestKind,
@@ -334,6 +353,6 @@
         };
         let mut headers = vec![NO_STORE];
         headers.extend(challenge.map(|text| ("WWW-Authenticate", text)));
-        self.decline(key, status, stay_away, &headers, b"");
+        self.respond_retry_later(key, status, stay_away, &headers, b"");
     }
 }
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -312,11 +312,11 @@
 const EINPROGRESS: i32 = 115;
 
 /// Whether an idle connection is still whole: nothing has come on it, no end either.
-fn quiet(stream: &TcpStream) -> bool {
+fn has_no_input(stream: &TcpStream) -> bool {
     matches!(stream.peek(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
-fn bind(address: SocketAddr, limits: &Limits) -> io::Result<TcpListener> {
+fn bind_listener(address: SocketAddr, limits: &Limits) -> io::Result<TcpListener> {
     let kind = Type::STREAM.nonblocking().cloexec();
     let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -328,7 +328,7 @@
 
 /// `shared`: another process of this limiter may hold the address as well. Both have to ask for that, and the one that
 /// bound last hears what comes.
-fn bind_datagrams(address: SocketAddr, shared: bool) -> io::Result<UdpSocket> {
+fn bind_peer_socket(address: SocketAddr, shared: bool) -> io::Result<UdpSocket> {
     let kind = Type::DGRAM.nonblocking().cloexec();
     let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::UDP))?;
     socket.set_reuse_address(shared)?;
@@ -336,7 +336,7 @@
     Ok(socket.into())
 }
 
-fn watch_listener(
+fn register_listener(
     handle: &LoopHandle<'static, Host>,
     listener: TcpListener,
     accept: fn(&mut Host),
@@ -384,7 +384,7 @@
         let counter = config.counter.filter(|_| settings.counter_available);
         let mut listeners = Vec::new();
         let mut open_door = |door: ListenerKind, listener: TcpListener| {
-            let (listener, token) = watch_listener(&handle, listener, Host::accept)?;
+            let (listener, token) = register_listener(&handle, listener, Host::accept_clients)?;
             listeners.push((door, listener, token));
             io::Result::Ok(())
         };
@@ -392,7 +392,7 @@
             Some(number) => {
                 inherited_listener::duplicate(number, config.listen).map_err(io::Error::other)?
             }
-            None => bind(config.listen, &limits)?,
+            None => bind_listener(config.listen, &limits)?,
         };
         open_door(ListenerKind::Platform, platform_listener)?;
         let mut services = vec![Service::new(Engine::new(
@@ -402,7 +402,10 @@
         ))];
         let mut tokens = None;
         if let Some(front) = config.introspection {
-            open_door(ListenerKind::Introspection, bind(front.listen, &limits)?)?;
+            open_door(
+                ListenerKind::Introspection,
+                bind_listener(front.listen, &limits)?,
+            )?;
             services.push(Service::new(Engine::new(
                 front.settings.clone(),
                 !config.seed,
@@ -412,15 +415,18 @@
         }
         let mut agreement = None;
         if let Some(cluster) = &config.raft {
-            open_door(ListenerKind::Cluster, bind(cluster.listen, &limits)?)?;
+            open_door(
+                ListenerKind::Cluster,
+                bind_listener(cluster.listen, &limits)?,
+            )?;
             agreement = Some(ClusterNode::open(cluster)?);
         }
         let datagrams = match config.peer_listen.filter(|_| tell) {
             Some(address) => {
-                let socket = bind_datagrams(address, config.inherited_listener.is_some())?;
+                let socket = bind_peer_socket(address, config.inherited_listener.is_some())?;
                 let source = Generic::new(socket.try_clone()?, Interest::READ, Mode::Level);
                 let read = |_: Readiness, _: &mut _, host: &mut Host| {
-                    host.read_datagrams();
+                    host.read_peer_datagrams();
                     Ok(PostAction::Continue)
                 };
                 handle.insert_source(source, read).map_err(|e| e.error)?;
@@ -470,20 +476,20 @@
             settings: module,
             limits,
         };
-        host.take_news(known);
+        host.apply_table_update(known);
         if let Some(folder) = &config.handover_folder {
-            host.share(folder);
+            host.open_operations_file(folder);
         }
         if let Some(address) = config.ops_listen {
             host.listen_to_operators(address)?;
         }
-        host.list_upstreams();
+        host.list_introspection_servers();
         if host.cluster.is_some() {
             host.deadlines.schedule(host.now(), Timer::RaftTick);
         }
-        host.open_watch();
+        host.open_discovery_watch();
         for line in 0..host.counter_connections.len() {
-            host.open_line(line);
+            host.connect_counter(line);
         }
         host.deadlines.schedule(
             host.now() + host.limits.upstream_idle_timeout / 4,
@@ -544,22 +550,22 @@
     pub fn run_turn(&mut self) {
         let now = self.now();
         while let Some(due) = self.deadlines.pop_due(now) {
-            self.due(now, due);
+            self.handle_timer(now, due);
         }
         for service in 0..self.services.len() {
             let mut orders = std::mem::take(&mut self.actions);
             self.services[service].engine.run(now, &mut orders);
             for order in orders.drain(..) {
-                self.carry_out(now, service, order);
+                self.execute_action(now, service, order);
             }
             self.actions = orders;
         }
         for line in 0..self.counter_connections.len() {
-            self.write_line(now, line);
+            self.write_counter_calls(now, line);
         }
         // One request of each: a client that sends many at once waits for the others.
         for key in std::mem::take(&mut self.reread) {
-            self.read(key);
+            self.read_connection(key);
         }
         for key in std::mem::take(&mut self.unflushed) {
             self.flush(key);
@@ -572,11 +578,11 @@
         }
     }
 
-    fn due(&mut self, now: Micros, due: Timer) {
+    fn handle_timer(&mut self, now: Micros, due: Timer) {
         match due {
             Timer::ConnectTimeout(key) => {
                 if self.connections.get(key).is_some_and(|c| !c.is_established) {
-                    self.broken(key);
+                    self.handle_broken_connection(key);
                 }
             }
             Timer::UpstreamDeadline(key, errand) => {
@@ -590,7 +596,13 @@
                     return;
                 };
                 if state.purpose() == Some(errand) {
-                    self.end_errand(service, server, errand, state.outcome_if_timed_out(), None);
+                    self.end_upstream_request(
+                        service,
+                        server,
+                        errand,
+                        state.outcome_if_timed_out(),
+                        None,
+                    );
                     self.close(key);
                 }
             }
@@ -613,13 +625,13 @@
                 } else if state.purpose() == Some(errand) {
                     // Guards against an answer that is spoilt where its connection stays open: the request has run,
                     // and what is missing of it will not come.
-                    self.end_errand(service, server, errand, Outcome::Error, None);
+                    self.end_upstream_request(service, server, errand, Outcome::Error, None);
                     self.close(key);
                 }
             }
-            Timer::RelayIdle(key) => self.relay_due(now, key),
-            Timer::Client(key) => self.visit_due(now, key),
-            Timer::CounterTimeout(line) => self.expire_line(now, line),
+            Timer::RelayIdle(key) => self.handle_relay_idle(now, key),
+            Timer::Client(key) => self.handle_client_deadline(now, key),
+            Timer::CounterTimeout(line) => self.expire_counter_calls(now, line),
             Timer::ExpireIdleUpstreams => {
                 let before = now - self.limits.upstream_idle_timeout;
                 let old = self
@@ -638,12 +650,12 @@
             Timer::RetryAccept => self.resume_accepting(),
             // A reload may have opened one meanwhile.
             Timer::WatchRetry if self.watch.connection.is_some() => {}
-            Timer::WatchRetry => self.open_watch(),
+            Timer::WatchRetry => self.open_discovery_watch(),
             Timer::WatchIdle(key, heard) => {
                 if self.watch.connection != Some(key) {
                 } else if self.watch.last_received_at <= heard {
                     self.warn("discovery silent: watch opened anew");
-                    self.broken(key);
+                    self.handle_broken_connection(key);
                 } else {
                     let heard = self.watch.last_received_at;
                     self.deadlines.schedule(
@@ -652,23 +664,23 @@
                     );
                 }
             }
-            Timer::NoticeExpired => self.notice_over(),
+            Timer::NoticeExpired => self.handle_notice_expired(),
             Timer::ShutdownTimeout => self.lifecycle.finish_shutdown(),
-            Timer::OperatorIdle => self.callers_due(now),
-            Timer::PollOperationsFile => self.look_at_handover(),
+            Timer::OperatorIdle => self.close_overdue_operators(now),
+            Timer::PollOperationsFile => self.poll_operations_file(),
         }
     }
 
-    fn carry_out(&mut self, now: Micros, service: usize, order: EngineAction) {
+    fn execute_action(&mut self, now: Micros, service: usize, order: EngineAction) {
         match order {
             EngineAction::StartAttempt {
                 key,
                 attempt: leg,
                 server,
                 deadline,
-            } => self.start_leg(now, (service, key), leg, server, deadline),
+            } => self.start_attempt(now, (service, key), leg, server, deadline),
             EngineAction::CancelAttempt { key, .. } => {
-                self.leg_left_upload(service, key);
+                self.detach_upload(service, key);
                 if let Some(connection) = self.services[service].attempt_connections.remove(key) {
                     self.close(connection);
                 }
@@ -676,7 +688,7 @@
             EngineAction::Reject {
                 key,
                 rejection: ending,
-            } => self.ended((service, key), ending),
+            } => self.handle_engine_rejection((service, key), ending),
             EngineAction::AddToCounter {
                 name,
                 amount: add,
@@ -690,16 +702,16 @@
                 if let Some(old) = known.connection.filter(|_| of_no_use) {
                     // Guards against a call that crosses the counter's close of an idle connection, or that waits
                     // behind calls which a counter that died will never answer.
-                    self.broken(old);
+                    self.handle_broken_connection(old);
                 }
                 self.counter_connections[line].enqueue(service, name, add, life, deadline);
                 self.deadlines
                     .schedule(deadline, Timer::CounterTimeout(line));
                 if self.counter_connections[line].connection.is_none() {
-                    self.open_line(line);
+                    self.connect_counter(line);
                 }
             }
-            EngineAction::Probe(server) => self.start_errand(
+            EngineAction::Probe(server) => self.start_upstream_request(
                 now,
                 service,
                 server,
@@ -719,7 +731,12 @@
         }
     }
 
-    fn register(&mut self, stream: TcpStream, role: Role, up: bool) -> io::Result<ConnectionKey> {
+    fn register_connection(
+        &mut self,
+        stream: TcpStream,
+        role: Role,
+        up: bool,
+    ) -> io::Result<ConnectionKey> {
         let now = self.now();
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
@@ -744,7 +761,7 @@
             close_when_written: false,
         });
         let ready = move |_: Readiness, _: &mut _, host: &mut Host| {
-            host.ready(key);
+            host.handle_ready(key);
             Ok(PostAction::Continue)
         };
         match self.loop_handle.insert_source(source, ready) {
@@ -761,7 +778,7 @@
 
     /// Opens a connection; it must come up within the limit for that.
     fn connect(&mut self, address: SocketAddr, role: Role) -> io::Result<ConnectionKey> {
-        let key = self.register(nonblocking_connect(address)?, role, false)?;
+        let key = self.register_connection(nonblocking_connect(address)?, role, false)?;
         self.deadlines.schedule(
             self.now() + self.limits.connect_timeout,
             Timer::ConnectTimeout(key),
@@ -789,14 +806,14 @@
             Role::Upstream {
                 service, server, ..
             } => self.services[service].pool.record_closed(server, key),
-            Role::Operator => self.operator_left(key),
+            Role::Operator => self.remove_operator(key),
             Role::Counter(_) | Role::DiscoveryWatch | Role::ClusterPeer(_) => {}
         }
         Some(connection)
     }
 
     /// The other side closed or broke a connection, or it never came up.
-    fn broken(&mut self, key: ConnectionKey) {
+    fn handle_broken_connection(&mut self, key: ConnectionKey) {
         let now = self.now();
         let Some(connection) = self.close(key) else {
             return;
@@ -805,7 +822,7 @@
             Role::Client {
                 waits: Some(ticket),
                 ..
-            } => self.abandon(now, ticket),
+            } => self.abandon_authorisation(now, ticket),
             Role::Client { waits: None, .. } => {}
             Role::Upstream {
                 service,
@@ -824,45 +841,51 @@
                         .and_then(Result::ok)
                         .flatten()
                         .map(|(answer, _)| answer);
-                    self.end_errand(service, server, errand, state.outcome_if_broken(), answer);
+                    self.end_upstream_request(
+                        service,
+                        server,
+                        errand,
+                        state.outcome_if_broken(),
+                        answer,
+                    );
                 }
             }
             Role::Counter(line) => {
                 let mut counted = Vec::new();
                 self.counter_connections[line].handle_disconnect(&mut counted);
-                self.take_counted(counted);
+                self.deliver_counter_results(counted);
             }
-            Role::DiscoveryWatch => self.watch_lost(),
-            Role::ClusterPeer(at) => self.member_lost(at),
+            Role::DiscoveryWatch => self.schedule_watch_retry(),
+            Role::ClusterPeer(at) => self.handle_peer_lost(at),
             Role::Operator => {}
         }
     }
 
     /// Nobody waits for an authorisation any more.
-    fn abandon(&mut self, now: Micros, ticket: AuthorisationRef) {
-        self.settle(ticket);
+    fn abandon_authorisation(&mut self, now: Micros, ticket: AuthorisationRef) {
+        self.take_pending(ticket);
         let mut orders = std::mem::take(&mut self.actions);
         self.services[ticket.0]
             .engine
             .handle_client_disconnected(now, ticket.1, &mut orders);
         for order in orders.drain(..) {
-            self.carry_out(now, ticket.0, order);
+            self.execute_action(now, ticket.0, order);
         }
         self.actions = orders;
     }
 
     /// The request of a connection that stays is over without the engine's answer.
-    fn client_gone(&mut self, key: ConnectionKey) {
+    fn abandon_client_request(&mut self, key: ConnectionKey) {
         let now = self.now();
         if let Some(connection) = self.connections.get_mut(key)
             && let Role::Client { waits, .. } = &mut connection.role
             && let Some(ticket) = waits.take()
         {
-            self.abandon(now, ticket);
+            self.abandon_authorisation(now, ticket);
         }
     }
 
-    fn ready(&mut self, key: ConnectionKey) {
+    fn handle_ready(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -872,9 +895,9 @@
                     connection.is_established = true
                 }
                 Ok(None) => return,
-                _ => return self.broken(key),
+                _ => return self.handle_broken_connection(key),
             }
-            self.came_up(key);
+            self.handle_established(key);
         }
         if self
             .connections
@@ -883,23 +906,23 @@
         {
             self.flush(key);
         }
-        self.read(key);
+        self.read_connection(key);
     }
 
-    fn came_up(&mut self, key: ConnectionKey) {
+    fn handle_established(&mut self, key: ConnectionKey) {
         let now = self.now();
         match self.connections.get(key).map(|c| c.role) {
-            Some(Role::Upstream { .. }) => self.send_errand(now, key),
+            Some(Role::Upstream { .. }) => self.send_upstream_request(now, key),
             Some(Role::Counter(line)) => {
                 self.counter_connections[line].handle_connected(now);
-                self.write_line(now, line);
+                self.write_counter_calls(now, line);
             }
             Some(Role::DiscoveryWatch) => {
                 let request = format!(
                     "GET /discovery/hosts?watch=1&from={} HTTP/1.1\r\nHost: {}\r\n\r\n",
                     self.routing_table.list_version, self.discovery_address
                 );
-                self.write(key, request.as_bytes());
+                self.queue_output(key, request.as_bytes());
                 self.watch.last_received_at = now;
                 self.deadlines.schedule(
                     now + self.limits.watch_idle_timeout,
@@ -911,7 +934,7 @@
     }
 
     /// How many bytes may be taken in now on a connection.
-    fn room(&self, connection: &Connection) -> usize {
+    fn read_capacity(&self, connection: &Connection) -> usize {
         let limits = &self.limits;
         let most = match (connection.role, connection.client.stage) {
             (Role::Client { .. }, Stage::Idle | Stage::Receiving) => {
@@ -975,10 +998,10 @@
     }
 
     /// Takes in all there is and may be taken in.
-    fn fill(&mut self, key: ConnectionKey) -> Option<FillResult> {
+    fn fill_input(&mut self, key: ConnectionKey) -> Option<FillResult> {
         let now = self.now();
         loop {
-            let room = self.connections.get(key).map(|c| self.room(c))?;
+            let room = self.connections.get(key).map(|c| self.read_capacity(c))?;
             let connection = self.connections.get_mut(key)?;
             let acquirer = matches!(connection.role, Role::Client { .. });
             connection.has_unread = room == 0;
@@ -1008,9 +1031,11 @@
     }
 
     /// Reads what there is, and looks at it; only then at an end.
-    fn read(&mut self, key: ConnectionKey) {
+    fn read_connection(&mut self, key: ConnectionKey) {
         for _ in 0..self.limits.max_reads_per_turn.max(1) {
-            let Some(come) = self.fill(key) else { return };
+            let Some(come) = self.fill_input(key) else {
+                return;
+            };
             match self
                 .connections
                 .get(key)
@@ -1022,27 +1047,27 @@
                 Some((Role::Client { .. }, false)) if !matches!(come, FillResult::Eof) => {
                     self.read_request(key)
                 }
-                Some((Role::Upstream { .. }, false)) => self.read_answer(key),
-                Some((Role::Counter(line), false)) => self.read_totals(key, line),
-                Some((Role::DiscoveryWatch, false)) => self.read_watch(key),
-                Some((Role::ClusterPeer(_), false)) => self.read_receipts(key),
-                Some((Role::Operator, false)) => self.read_call(key),
+                Some((Role::Upstream { .. }, false)) => self.read_upstream_response(key),
+                Some((Role::Counter(line), false)) => self.read_counter_responses(key, line),
+                Some((Role::DiscoveryWatch, false)) => self.read_discovery_watch(key),
+                Some((Role::ClusterPeer(_), false)) => self.read_cluster_responses(key),
+                Some((Role::Operator, false)) => self.read_operator_command(key),
                 _ => {}
             }
             match come {
                 FillResult::WouldBlock => return,
                 FillResult::Eof => {
                     // That may be the end of an answer, in order.
-                    self.answer_ended(key);
-                    return self.broken(key);
+                    self.handle_upstream_eof(key);
+                    return self.handle_broken_connection(key);
                 }
-                FillResult::Failed => return self.broken(key),
+                FillResult::Failed => return self.handle_broken_connection(key),
                 FillResult::LimitReached => {}
             }
             let Some(connection) = self.connections.get(key) else {
                 return;
             };
-            let room = self.room(connection) > 0;
+            let room = self.read_capacity(connection) > 0;
             match connection.role {
                 // The rest waits until the request before it is answered.
                 Role::Client { .. } if !room => return,
@@ -1054,7 +1079,7 @@
                 }
                 // The rest waits until the client has taken in what is there.
                 Role::Upstream { .. } if !room => return,
-                _ if !room => return self.broken(key),
+                _ if !room => return self.handle_broken_connection(key),
                 _ => {}
             }
         }
@@ -1062,7 +1087,7 @@
         self.reread.push(key);
     }
 
-    fn write(&mut self, key: ConnectionKey, bytes: &[u8]) {
+    fn queue_output(&mut self, key: ConnectionKey, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.output.extend_from_slice(bytes);
             self.unflushed.push(key);
@@ -1081,19 +1106,19 @@
                     connection.client.record_write_progress(now);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    return self.held_up(key);
+                    return self.handle_write_blocked(key);
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.broken(key),
+                Err(_) => return self.handle_broken_connection(key),
             }
         }
         connection.output.clear();
         connection.written_bytes = 0;
         if connection.streaming_from.is_some() {
-            return self.more_for(key);
+            return self.resume_relay(key);
         }
         if connection.is_uploading {
-            return self.more_from(key);
+            return self.resume_upload(key);
         }
         // Guards the memory on a long day: one large message must not be paid for as long as the connection lasts.
         connection.output.shrink_to(4 * 1024);
@@ -1108,8 +1133,8 @@
             }
         }
         match connection.role {
-            Role::Client { .. } => self.answer_written(key),
-            Role::Operator => self.call_answered(key),
+            Role::Client { .. } => self.handle_response_written(key),
+            Role::Operator => self.finish_operator_command(key),
             _ if connection.close_when_written => _ = self.close(key),
             _ => {}
         }
--- a/crates/limiter/src/net/host/operators.rs
+++ b/crates/limiter/src/net/host/operators.rs
@@ -14,8 +14,11 @@
 impl Host {
     pub(super) fn listen_to_operators(&mut self, address: SocketAddr) -> io::Result<()> {
         let accept = |host: &mut Host| host.accept_operators();
-        let (listener, _) =
-            watch_listener(&self.loop_handle, bind(address, &self.limits)?, accept)?;
+        let (listener, _) = register_listener(
+            &self.loop_handle,
+            bind_listener(address, &self.limits)?,
+            accept,
+        )?;
         self.operators = Some(Operators {
             listener,
             callers: OperatorConnections::default(),
@@ -39,13 +42,14 @@
             let ready = stream
                 .set_nonblocking(true)
                 .and_then(|()| stream.set_nodelay(true));
-            let key = match ready.and_then(|()| self.register(stream, Role::Operator, true)) {
-                Ok(key) => key,
-                Err(error) => {
-                    self.warn(&format!("cannot take an operators' connection: {error}"));
-                    continue;
-                }
-            };
+            let key =
+                match ready.and_then(|()| self.register_connection(stream, Role::Operator, true)) {
+                    Ok(key) => key,
+                    Err(error) => {
+                        self.warn(&format!("cannot take an operators' connection: {error}"));
+                        continue;
+                    }
+                };
             let now = self.now();
             let spared = self
                 .operators
@@ -55,12 +59,12 @@
             self.deadlines
                 .schedule(now + self.limits.operator_idle_timeout, Timer::OperatorIdle);
             // The line is there already, most often.
-            self.read(key);
+            self.read_connection(key);
         }
     }
 
     /// Callers that finish no call in time are gone.
-    pub(super) fn callers_due(&mut self, now: Micros) {
+    pub(super) fn close_overdue_operators(&mut self, now: Micros) {
         while let Some(key) = self
             .operators
             .as_ref()
@@ -70,13 +74,13 @@
         }
     }
 
-    pub(super) fn operator_left(&mut self, key: ConnectionKey) {
+    pub(super) fn remove_operator(&mut self, key: ConnectionKey) {
         self.operators
             .iter_mut()
             .for_each(|operators| operators.callers.remove(key));
     }
 
-    pub(super) fn read_call(&mut self, key: ConnectionKey) {
+    pub(super) fn read_operator_command(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -91,7 +95,7 @@
         };
         connection.input.clear();
         let (asked, outcome) = match call {
-            Ok(call) => (call.to_string(), self.carry_out_call(&call)),
+            Ok(call) => (call.to_string(), self.execute_operator_command(&call)),
             Err(fault) => ("not a call".to_string(), Err(fault.to_string())),
         };
         let answer = match outcome {
@@ -114,7 +118,7 @@
     }
 
     /// The answer is written. The end of it is told at once; the connection goes when the caller closes.
-    pub(super) fn call_answered(&mut self, key: ConnectionKey) {
+    pub(super) fn finish_operator_command(&mut self, key: ConnectionKey) {
         let Some(connection) = self
             .connections
             .get(key)
@@ -127,7 +131,7 @@
         }
     }
 
-    fn carry_out_call(&mut self, call: &OperatorCommand) -> Result<(), String> {
+    fn execute_operator_command(&mut self, call: &OperatorCommand) -> Result<(), String> {
         let now = self.now();
         match call {
             OperatorCommand::Ready if self.lifecycle.is_shutting_down() => {
@@ -137,12 +141,16 @@
                 Err("no server is known yet".to_string())
             }
             OperatorCommand::Ready => Ok(()),
-            OperatorCommand::DisableServer(id) => self.ban(|table| table.disable(id, now)),
-            OperatorCommand::EnableServer(id) => self.ban(|table| table.enable(id, now)),
+            OperatorCommand::DisableServer(id) => {
+                self.update_disabled_servers(|table| table.disable(id, now))
+            }
+            OperatorCommand::EnableServer(id) => {
+                self.update_disabled_servers(|table| table.enable(id, now))
+            }
             OperatorCommand::Drain => {
                 if self.lifecycle.begin_drain(now) {
-                    self.drain_changed(now);
-                    self.write_handover();
+                    self.schedule_drain_notice(now);
+                    self.write_operations_file();
                 }
                 Ok(())
             }
@@ -151,7 +159,7 @@
             }
             OperatorCommand::Resume => {
                 if self.lifecycle.end_drain(now) {
-                    self.write_handover();
+                    self.write_operations_file();
                 }
                 Ok(())
             }
@@ -159,21 +167,21 @@
     }
 
     /// Clients are sent away, or no longer.
-    pub(super) fn drain_changed(&mut self, now: Micros) {
+    pub(super) fn schedule_drain_notice(&mut self, now: Micros) {
         self.deadlines.schedule(
             now + self.limits.shutdown_notice_period,
             Timer::NoticeExpired,
         );
     }
 
-    fn ban(
+    fn update_disabled_servers(
         &mut self,
         change: impl FnOnce(&mut RoutingTable) -> Result<(bool, TableUpdate), UnknownServer>,
     ) -> Result<(), String> {
         let (changed, news) = change(&mut self.routing_table).map_err(|error| error.to_string())?;
-        self.take_news(news);
+        self.apply_table_update(news);
         if changed {
-            self.write_handover();
+            self.write_operations_file();
         }
         Ok(())
     }
--- a/crates/limiter/src/net/host/reload.rs
+++ b/crates/limiter/src/net/host/reload.rs
@@ -17,14 +17,14 @@
             self.discovery_address = discovery;
             self.watch.retry_delay = self.limits.watch_retry_delay;
             // The watch goes on from the version of the list held here, so that no change is missed.
-            self.open_watch();
+            self.open_discovery_watch();
         }
         let counter = config.counter.filter(|_| self.settings.counter_available);
         if counter != self.counter_address {
             self.counter_address = counter;
             for line in 0..self.counter_connections.len() {
                 self.counter_connections[line].begin_move();
-                self.move_line(line);
+                self.reconnect_moved_counter(line);
             }
         }
         self.peers.set_addresses(config.peers);
--- a/crates/limiter/src/net/host/responses.rs
+++ b/crates/limiter/src/net/host/responses.rs
@@ -44,14 +44,14 @@
                 .engine
                 .handle_attempt_ended(now, authorisation, leg, Outcome::Ok, report);
         let pending = answers
-            .then(|| self.settle((service, authorisation)))
+            .then(|| self.take_pending((service, authorisation)))
             .flatten();
         let Some(to) = pending.map(|pending| pending.connection) else {
             _ = self.close(key);
             return;
         };
-        let close = self.last_answer(to);
-        self.drop_rest(to);
+        let close = self.closes_after_response(to);
+        self.discard_request(to);
         let Some(client) = self.connections.get_mut(to) else {
             return;
         };
@@ -74,17 +74,17 @@
             close,
             &mut client.output,
         );
-        self.arm(to);
+        self.schedule_client_deadline(to);
         if let Some(connection) = self.connections.get_mut(key) {
             connection.read_state = ReadState::Relay(relay, to);
         }
         self.deadlines
             .schedule(now + self.limits.relay_idle_timeout, Timer::RelayIdle(key));
-        self.read_relayed(key, to);
+        self.forward_relay(key, to);
     }
 
     /// More has come of an answer that is being relayed.
-    pub(super) fn read_relayed(&mut self, key: ConnectionKey, to: ConnectionKey) {
+    pub(super) fn forward_relay(&mut self, key: ConnectionKey, to: ConnectionKey) {
         let Some([server, client]) = self.connections.get_disjoint_mut([key, to]) else {
             return;
         };
@@ -92,13 +92,13 @@
             return;
         };
         match relay.forward(&mut server.input, &mut client.output) {
-            Ok(()) => self.relayed(key, to),
-            Err(_) => self.broken(key),
+            Ok(()) => self.flush_relay(key, to),
+            Err(_) => self.handle_broken_connection(key),
         }
     }
 
     /// What has been passed on is written. Where the answer is whole, both connections are free of each other.
-    fn relayed(&mut self, key: ConnectionKey, to: ConnectionKey) {
+    fn flush_relay(&mut self, key: ConnectionKey, to: ConnectionKey) {
         let now = self.now();
         let Some([server, client]) = self.connections.get_disjoint_mut([key, to]) else {
             return;
@@ -129,7 +129,7 @@
     }
 
     /// More has come of an answer, and what that makes of it.
-    pub(super) fn read_records(&mut self, key: ConnectionKey, errand: UpstreamPurpose) {
+    pub(super) fn read_records_response(&mut self, key: ConnectionKey, errand: UpstreamPurpose) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -152,7 +152,7 @@
             )
             .is_err()
         {
-            self.end_errand(service, server, errand, Outcome::Error, None);
+            self.end_upstream_request(service, server, errand, Outcome::Error, None);
             _ = self.close(key);
             return;
         }
@@ -164,10 +164,10 @@
             (_, Some(200)) if long && matches!(errand, UpstreamPurpose::Attempt(..)) => {
                 self.begin_relay(key, incoming)
             }
-            (true, _) => self.answer_came(key, errand, incoming),
+            (true, _) => self.handle_response(key, errand, incoming),
             // What else is long says nothing more than its head does.
             (_, Some(_)) if long => {
-                self.answer_came(key, errand, incoming);
+                self.handle_response(key, errand, incoming);
                 _ = self.close(key);
             }
             _ => {
@@ -184,7 +184,7 @@
     }
 
     /// An answer is there, as far as it is wanted.
-    fn answer_came(
+    fn handle_response(
         &mut self,
         key: ConnectionKey,
         errand: UpstreamPurpose,
@@ -213,7 +213,7 @@
             server,
             state: UpstreamState::Idle,
         };
-        self.end_errand(service, server, errand, Outcome::Reset, Some(answer));
+        self.end_upstream_request(service, server, errand, Outcome::Reset, Some(answer));
         let now = self.now();
         if !(clean && self.services[service].pool.release(server, key, now)) {
             self.close(key);
@@ -221,7 +221,7 @@
     }
 
     /// A server's connection ended in order, which may be the end of its answer.
-    pub(super) fn answer_ended(&mut self, key: ConnectionKey) {
+    pub(super) fn handle_upstream_eof(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -244,14 +244,14 @@
                 }
             }
             (ReadState::Response(incoming), Some(errand)) if incoming.ends_at_close() => {
-                self.answer_came(key, errand, incoming);
+                self.handle_response(key, errand, incoming);
             }
             _ => {}
         }
     }
 
     /// A server may have fallen silent in the midst of an answer.
-    pub(super) fn relay_due(&mut self, now: Micros, key: ConnectionKey) {
+    pub(super) fn handle_relay_idle(&mut self, now: Micros, key: ConnectionKey) {
         let Some(connection) = self.connections.get(key) else {
             return;
         };
@@ -267,12 +267,12 @@
         if until > now {
             self.deadlines.schedule(until, Timer::RelayIdle(key));
         } else {
-            self.broken(key);
+            self.handle_broken_connection(key);
         }
     }
 
     /// The client takes in what is being relayed to it: more may be read, where there is room.
-    pub(super) fn more_for(&mut self, to: ConnectionKey) {
+    pub(super) fn resume_relay(&mut self, to: ConnectionKey) {
         let Some(connection) = self.connections.get(to) else {
             return;
         };
@@ -288,7 +288,7 @@
     }
 
     /// A connection takes in no more for now.
-    pub(super) fn held_up(&mut self, key: ConnectionKey) {
+    pub(super) fn handle_write_blocked(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -298,7 +298,7 @@
             connection.output.drain(..connection.written_bytes);
             connection.written_bytes = 0;
         }
-        self.more_for(key);
-        self.more_from(key);
+        self.resume_relay(key);
+        self.resume_upload(key);
     }
 }
--- a/crates/limiter/src/net/host/shutdown.rs
+++ b/crates/limiter/src/net/host/shutdown.rs
@@ -14,7 +14,7 @@
             self.log("told to end: taking connections through the notice, then finishing");
         } else {
             self.log("told to end: new connections are left to others, finishing");
-            self.leave_listeners();
+            self.close_listeners();
         }
         self.deadlines.schedule(
             now + self.limits.shutdown_notice_period,
@@ -25,22 +25,22 @@
     }
 
     /// Listening sockets are only closed: one that is shared goes on to listen for the others.
-    fn leave_listeners(&mut self) {
+    fn close_listeners(&mut self) {
         for (_, _, token) in self.listeners.drain(..) {
             self.loop_handle.remove(token);
         }
     }
 
     /// The notice of a drain or of the end is over: idle connections go.
-    pub(super) fn notice_over(&mut self) {
+    pub(super) fn handle_notice_expired(&mut self) {
         let now = self.now();
         if !self.lifecycle.should_close_idle(now, &self.limits) {
             return;
         }
         if !self.lifecycle.is_accepting(now, &self.limits) {
             // What has come until now is taken.
-            self.accept();
-            self.leave_listeners();
+            self.accept_clients();
+            self.close_listeners();
         }
         let acquirers = self
             .connections
@@ -48,13 +48,13 @@
             .filter(|(_, c)| matches!(c.role, Role::Client { .. }));
         for key in acquirers.map(|(key, _)| key).collect::<Vec<_>>() {
             // What is there already is taken; a close that crosses a request is made good by the client.
-            self.read(key);
+            self.read_connection(key);
             let Some(connection) = self.connections.get_mut(key) else {
                 continue;
             };
             match connection.client.stage {
                 Stage::Idle if connection.client.has_responded => _ = self.close(key),
-                _ => self.arm(key),
+                _ => self.schedule_client_deadline(key),
             }
         }
     }
--- a/crates/limiter/src/net/host/uploads.rs
+++ b/crates/limiter/src/net/host/uploads.rs
@@ -51,7 +51,7 @@
                 let rest = (left / self.limits.min_body_bytes_per_s.max(1)) as Micros * 1_000_000;
                 authorisation.deadline += rest.min(self.limits.max_upload_extension);
                 let forward = UpstreamRequest::from_streaming_request(&request, extent);
-                self.take(
+                self.submit_authorisation(
                     key,
                     RECORDS_SERVICE,
                     authorisation,
@@ -61,10 +61,10 @@
                 if let Some(connection) = self.connections.get_mut(key) {
                     connection.client.record_body_progress(now, come);
                 }
-                self.arm(key);
+                self.schedule_client_deadline(key);
                 self.read_upload(key);
             }
-            Err(rejection) => self.reject(key, &rejection, true),
+            Err(rejection) => self.respond_rejection(key, &rejection, true),
         }
     }
 
@@ -79,9 +79,9 @@
         };
         let (before, leg) = (connection.buffered_bytes(), upload.attempt());
         let taken = match leg {
-            None => Host::upload_on(connection, None),
+            None => Host::forward_body(connection, None),
             Some(leg) => match self.connections.get_disjoint_mut([key, leg]) {
-                Some([client, server]) => Host::upload_on(client, Some(&mut server.output)),
+                Some([client, server]) => Host::forward_body(client, Some(&mut server.output)),
                 None => return,
             },
         };
@@ -97,20 +97,20 @@
         connection.client.record_body_progress(now, bytes);
         if taken.is_err() {
             // What is spoilt here cannot be told on: the leg ends, and the client hears what is wrong.
-            return self.end_upload(key, &reject(400, "malformed"));
+            return self.reject_upload(key, &reject(400, "malformed"));
         }
         if whole {
             connection.client.begin_processing(now);
         }
         if let Some(leg) = leg {
-            self.feed(leg, whole);
+            self.queue_upload(leg, whole);
         }
-        self.body_gone(key);
-        self.arm(key);
+        self.report_discarded_body(key);
+        self.schedule_client_deadline(key);
     }
 
     /// Once some of a body is no longer here its request can't be moved to another server.
-    fn body_gone(&mut self, key: ConnectionKey) {
+    fn report_discarded_body(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get(key) else {
             return;
         };
@@ -126,7 +126,7 @@
         }
     }
 
-    fn upload_on(
+    fn forward_body(
         connection: &mut Connection,
         out: Option<&mut Vec<u8>>,
     ) -> Result<(), framing::ParseError> {
@@ -149,13 +149,13 @@
         let whole = upload.is_complete();
         self.buffered_bytes =
             (self.buffered_bytes + client.buffered_bytes()).saturating_sub(before);
-        self.feed(leg, whole);
-        self.body_gone(origin);
+        self.queue_upload(leg, whole);
+        self.report_discarded_body(origin);
         self.reread.push(origin);
     }
 
     /// What was passed on to a server is written; until its end has been, nothing counts as sent.
-    fn feed(&mut self, leg: ConnectionKey, whole: bool) {
+    fn queue_upload(&mut self, leg: ConnectionKey, whole: bool) {
         if let Some(server) = self.connections.get_mut(leg) {
             server.is_uploading = !whole;
             self.unflushed.push(leg);
@@ -163,7 +163,7 @@
     }
 
     /// A leg is over.
-    pub(super) fn leg_left_upload(&mut self, service: usize, authorisation: AuthorisationKey) {
+    pub(super) fn detach_upload(&mut self, service: usize, authorisation: AuthorisationKey) {
         let pending = self.services[service].pending.get(authorisation);
         let Some(client) = pending.and_then(|pending| self.connections.get_mut(pending.connection))
         else {
@@ -175,7 +175,7 @@
     }
 
     /// A leg's connection takes in more: its client may be read on.
-    pub(super) fn more_from(&mut self, leg: ConnectionKey) {
+    pub(super) fn resume_upload(&mut self, leg: ConnectionKey) {
         let Some(Role::Upstream { service, state, .. }) = self.connections.get(leg).map(|c| c.role)
         else {
             return;
@@ -198,8 +198,8 @@
     }
 
     /// The client's body is spoilt or does not come: its request is over, and this is its answer.
-    pub(super) fn end_upload(&mut self, key: ConnectionKey, rejection: &Rejection) {
-        self.client_gone(key);
-        self.reject(key, rejection, true);
+    pub(super) fn reject_upload(&mut self, key: ConnectionKey, rejection: &Rejection) {
+        self.abandon_client_request(key);
+        self.respond_rejection(key, rejection, true);
     }
 }
--- a/crates/limiter/src/net/host/upstream_requests.rs
+++ b/crates/limiter/src/net/host/upstream_requests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Host {
-    pub(super) fn start_leg(
+    pub(super) fn start_attempt(
         &mut self,
         now: Micros,
         ticket: AuthorisationRef,
@@ -11,10 +11,10 @@
         server: ServerId,
         deadline: Micros,
     ) {
-        if self.answered_from_cache(now, ticket, leg) {
+        if self.answer_from_cache(now, ticket, leg) {
             return;
         }
-        self.start_errand(
+        self.start_upstream_request(
             now,
             ticket.0,
             server,
@@ -24,7 +24,7 @@
     }
 
     /// Sends a leg or a probe on an idle connection, or on a new one.
-    pub(super) fn start_errand(
+    pub(super) fn start_upstream_request(
         &mut self,
         now: Micros,
         service: usize,
@@ -37,7 +37,7 @@
                 continue;
             };
             // Guards against a close that came meanwhile: what is written then would end in a reset.
-            if !quiet(&connection.stream) {
+            if !has_no_input(&connection.stream) {
                 self.close(key);
                 continue;
             }
@@ -46,8 +46,8 @@
                 server,
                 state: UpstreamState::Sending(errand),
             };
-            self.out_on(key, service, errand, deadline);
-            return self.send_errand(now, key);
+            self.track_upstream_request(key, service, errand, deadline);
+            return self.send_upstream_request(now, key);
         }
         let open: usize = self
             .services
@@ -62,7 +62,13 @@
             {
                 Some(key) => _ = self.close(key),
                 None => {
-                    return self.end_errand(service, server, errand, Outcome::ConnectFailed, None);
+                    return self.end_upstream_request(
+                        service,
+                        server,
+                        errand,
+                        Outcome::ConnectFailed,
+                        None,
+                    );
                 }
             }
         }
@@ -75,15 +81,15 @@
         match address.map(|address| self.connect(address, role)) {
             Some(Ok(key)) => {
                 self.services[service].pool.record_opened(server);
-                self.out_on(key, service, errand, deadline);
+                self.track_upstream_request(key, service, errand, deadline);
             }
             Some(Err(_)) | None => {
-                self.end_errand(service, server, errand, Outcome::ConnectFailed, None)
+                self.end_upstream_request(service, server, errand, Outcome::ConnectFailed, None)
             }
         }
     }
 
-    fn out_on(
+    fn track_upstream_request(
         &mut self,
         key: ConnectionKey,
         service: usize,
@@ -100,7 +106,7 @@
     }
 
     /// The connection is up: writes what the errand carries.
-    pub(super) fn send_errand(&mut self, now: Micros, key: ConnectionKey) {
+    pub(super) fn send_upstream_request(&mut self, now: Micros, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -149,7 +155,7 @@
         self.unflushed.push(key);
     }
 
-    pub(super) fn read_answer(&mut self, key: ConnectionKey) {
+    pub(super) fn read_upstream_response(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -162,7 +168,7 @@
             return;
         };
         if let ReadState::Relay(_, to) = connection.read_state {
-            return self.read_relayed(key, to);
+            return self.forward_relay(key, to);
         }
         let Some(errand) = state.purpose() else {
             // Nothing was asked: whatever this is, the connection is of no more use.
@@ -170,7 +176,7 @@
             return;
         };
         if service == RECORDS_SERVICE {
-            return self.read_records(key, errand);
+            return self.read_records_response(key, errand);
         }
         match framing::parse_response(&connection.input, false, &self.limits) {
             Ok(None) => {
@@ -196,21 +202,21 @@
                     server,
                     state: UpstreamState::Idle,
                 };
-                self.end_errand(service, server, errand, Outcome::Reset, Some(answer));
+                self.end_upstream_request(service, server, errand, Outcome::Reset, Some(answer));
                 let now = self.now();
                 if !(clean && self.services[service].pool.release(server, key, now)) {
                     self.close(key);
                 }
             }
             Err(_) => {
-                self.end_errand(service, server, errand, Outcome::Error, None);
+                self.end_upstream_request(service, server, errand, Outcome::Error, None);
                 self.close(key);
             }
         }
     }
 
     /// An errand is over: by its answer, or else by this outcome.
-    pub(super) fn end_errand(
+    pub(super) fn end_upstream_request(
         &mut self,
         service: usize,
         server: ServerId,
@@ -227,10 +233,12 @@
             UpstreamPurpose::Attempt(authorisation, leg) => {
                 let outcome = match &answer {
                     None => otherwise,
-                    Some(answer) if service == INTROSPECTION_SERVICE => self.judged(now, answer),
+                    Some(answer) if service == INTROSPECTION_SERVICE => {
+                        self.introspection_outcome(now, answer)
+                    }
                     Some(answer) => upstreams::response_outcome(answer),
                 };
-                self.leg_left_upload(service, authorisation);
+                self.detach_upload(service, authorisation);
                 let known = &mut self.services[service];
                 known.attempt_connections.remove(authorisation);
                 let answers =
@@ -238,7 +246,7 @@
                         .engine
                         .handle_attempt_ended(now, authorisation, leg, outcome, report);
                 if let (true, Some(answer)) = (answers, answer) {
-                    self.served((service, authorisation), answer);
+                    self.respond_served((service, authorisation), answer);
                 }
             }
             UpstreamPurpose::Probe => {
