--- a/crates/limiter/src/net/inherited_listener.rs
+++ b/crates/limiter/src/net/inherited_listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket that the platform holds and each process of the limiter inherits.
+//! The listening socket that the platform keeps open and that each process of the limiter inherits.
 
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
@@ -7,46 +7,46 @@
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
 use socket2::{SockRef, Type};
 
-/// Name of the variable that tells the descriptor's number.
+/// Environment variable that holds the number of the socket's descriptor.
 pub const ENV_VARIABLE: &str = "ROUTER_PASSED_SOCKET";
 
-/// A duplicate of the descriptor of this number, which must be the socket that listens on this address.
+/// Duplicates the descriptor with this number, which must be a TCP socket listening on this address.
 ///
-/// The number alone gives no owned descriptor without unsafe code; the system hands out a duplicate through a pidfd of
-/// this process. The original stays as it is, for as long as the process lives.
+/// A raw number can't become an owned descriptor without unsafe code; `pidfd_getfd` on this process returns a
+/// duplicate instead. The original stays open for the lifetime of the process.
 ///
 /// # Errors
-/// What the variable names is no such socket.
+/// The descriptor is not open, can't be duplicated, or is not a TCP socket listening on `address`.
 pub fn duplicate(number: u32, address: SocketAddr) -> Result<TcpListener, Fault> {
     let fault = |text: String| Fault::at(ENV_VARIABLE, format!("descriptor {number} {text}"));
     let duplicate = || -> rustix::io::Result<OwnedFd> {
         let number = i32::try_from(number).map_err(|_| rustix::io::Errno::BADF)?;
-        let this = pidfd_open(getpid(), PidfdFlags::empty())?;
-        pidfd_getfd(&this, number, PidfdGetfdFlags::empty())
+        let process = pidfd_open(getpid(), PidfdFlags::empty())?;
+        pidfd_getfd(&process, number, PidfdGetfdFlags::empty())
     };
     let descriptor = duplicate().map_err(|error| match error {
         rustix::io::Errno::BADF => fault("is not open".to_string()),
-        error => fault(format!("cannot be taken over: {error}")),
+        error => fault(format!("cannot be duplicated: {error}")),
     })?;
     let socket = SockRef::from(&descriptor);
-    let listens = socket.r#type().is_ok_and(|kind| kind == Type::STREAM)
+    let is_tcp_listener = socket.r#type().is_ok_and(|kind| kind == Type::STREAM)
         && socket.is_listener().unwrap_or(false);
     let bound = socket
         .local_addr()
         .ok()
         .and_then(|address| address.as_socket());
     match bound {
-        Some(bound) if listens && bound == address => {}
-        Some(bound) if listens => {
+        Some(bound) if is_tcp_listener && bound == address => {}
+        Some(bound) if is_tcp_listener => {
             return Err(fault(format!("listens on {bound}, not on {address}")));
         }
-        _ => return Err(fault("is no listening TCP socket".to_string())),
+        _ => return Err(fault("is not a listening TCP socket".to_string())),
     }
-    // Holds for all processes that share the socket, and each of them wants it: none may wait in an accept for a
-    // connection that another has taken.
+    // The flag applies to all processes that share the socket. Each of them needs it: otherwise one could block in
+    // accept, waiting for a connection that another process has accepted.
     socket
         .set_nonblocking(true)
-        .map_err(|error| fault(format!("cannot be used: {error}")))?;
+        .map_err(|error| fault(format!("cannot be made non-blocking: {error}")))?;
     Ok(TcpListener::from(descriptor))
 }
 
--- a/crates/limiter/src/net/mod.rs
+++ b/crates/limiter/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop: one thread, one calloop loop. What a dispatch brought is taken in first; then what is due and
-//! the engines have their turn; then all that is to be written goes out.
+//! The event loop: one thread, one calloop loop. A dispatch reads all input first; then timers that are due and the
+//! engines run; then all output is written.
 
 mod host;
 pub mod inherited_listener;
@@ -19,7 +19,7 @@
 pub use dataplane::framing;
 pub use host::Host;
 
-/// Reaches a running daemon from another thread.
+/// Controls a running daemon from another thread.
 #[derive(Clone, Debug)]
 pub struct DaemonHandle {
     stop: Ping,
@@ -28,18 +28,18 @@
 }
 
 impl DaemonHandle {
-    /// Has the daemon take over what a new configuration may change while it runs.
+    /// Applies the parts of a new configuration that may change while the daemon runs.
     pub fn reload(&self, config: Config) {
-        // A daemon that has ended takes nothing over any more.
+        // A daemon that has ended ignores it.
         let _ = self.reload.send(config);
     }
 
-    /// Tells the daemon to finish what it has taken and end.
+    /// Makes the daemon finish the accepted requests and end.
     pub fn stop(&self) {
         self.stop.ping();
     }
 
-    /// Has the daemon look at its clock.
+    /// Makes the daemon read its clock again.
     pub fn wake(&self) {
         self.wake.ping();
     }
@@ -58,40 +58,43 @@
     /// # Errors
     /// An address can't be used, or a file can't be read or written.
     pub fn open(config: Config, clock: Clock) -> io::Result<Daemon> {
-        let events: EventLoop<'static, Host> = EventLoop::try_new()?;
-        let handle = events.handle();
-        let (stop, stopped) = make_ping()?;
-        let (wake, woken) = make_ping()?;
-        let (reload, reloaded) = channel::channel();
-        handle
-            .insert_source(stopped, |(), _, host: &mut Host| host.begin_shutdown())
+        let event_loop: EventLoop<'static, Host> = EventLoop::try_new()?;
+        let loop_handle = event_loop.handle();
+        let (stop, stop_source) = make_ping()?;
+        let (wake, wake_source) = make_ping()?;
+        let (reload, reload_source) = channel::channel();
+        loop_handle
+            .insert_source(stop_source, |(), _, host: &mut Host| host.begin_shutdown())
             .map_err(|e| e.error)?;
-        handle
-            .insert_source(woken, |(), _, _: &mut Host| {})
+        loop_handle
+            .insert_source(wake_source, |(), _, _: &mut Host| {})
             .map_err(|e| e.error)?;
-        let take = |event, _: &mut _, host: &mut Host| {
+        let on_reload = |event, _: &mut _, host: &mut Host| {
             if let channel::Event::Msg(config) = event {
                 host.reload(config);
             }
         };
-        handle.insert_source(reloaded, take).map_err(|e| e.error)?;
-        let host = Host::open(config, handle, clock)?;
+        loop_handle
+            .insert_source(reload_source, on_reload)
+            .map_err(|e| e.error)?;
+        let host = Host::open(config, loop_handle, clock)?;
         Ok(Daemon {
-            event_loop: events,
+            event_loop,
             host,
             handle: DaemonHandle { stop, wake, reload },
         })
     }
 
-    /// Where the fronts listen: the platform's, and introspection's if it is on.
+    /// The addresses on which clients are accepted: the platform front end's, and the introspection front end's if it
+    /// is enabled.
     ///
     /// # Errors
-    /// The system does not tell an address.
+    /// The address of a socket can't be read.
     pub fn addresses(&self) -> io::Result<(SocketAddr, Option<SocketAddr>)> {
         self.host.addresses()
     }
 
-    /// Where operators call, if they may.
+    /// The address for operator commands, if one is configured.
     pub fn operators_address(&self) -> Option<SocketAddr> {
         self.host.operators_address()
     }
@@ -101,45 +104,45 @@
         self.handle.clone()
     }
 
-    /// Runs until told to end.
+    /// Runs until the shutdown is finished.
     ///
     /// # Errors
     /// The event loop fails.
     pub fn run(mut self) -> io::Result<()> {
         while !self.host.is_finished() {
             let now = self.host.now();
-            let wait = self
+            let timeout = self
                 .host
                 .next_wakeup()
                 .map(|at| Duration::from_micros(at.saturating_sub(now).max(0) as u64));
-            self.event_loop.dispatch(wait, &mut self.host)?;
+            self.event_loop.dispatch(timeout, &mut self.host)?;
             self.host.run_turn();
         }
         Ok(())
     }
 }
 
-/// Runs the limiter until SIGTERM or SIGINT. At SIGHUP the configuration is loaded anew; one that is faulty is
-/// logged and changes nothing.
+/// Runs the limiter until SIGTERM or SIGINT. SIGHUP reloads the configuration; an invalid one is logged and changes
+/// nothing.
 ///
 /// # Errors
 /// The daemon can't be opened, or its event loop fails.
 pub fn serve(
     config: Config,
-    load: impl Fn() -> Result<Config, ConfigError> + 'static,
+    load_config: impl Fn() -> Result<Config, ConfigError> + 'static,
 ) -> io::Result<()> {
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])?;
     let daemon = Daemon::open(config, Clock::system())?;
-    let handle = daemon.event_loop.handle();
-    let signalled = move |event: Event, _: &mut _, host: &mut Host| match event.signal() {
-        Signal::SIGHUP => match load() {
+    let loop_handle = daemon.event_loop.handle();
+    let on_signal = move |event: Event, _: &mut _, host: &mut Host| match event.signal() {
+        Signal::SIGHUP => match load_config() {
             Ok(config) => host.reload(config),
             Err(error) => host.reject_reload(&error),
         },
         _ => host.begin_shutdown(),
     };
-    handle
-        .insert_source(signals, signalled)
+    loop_handle
+        .insert_source(signals, on_signal)
         .map_err(|e| e.error)?;
     daemon.run()
 }
--- a/crates/limiter/src/net/operations_file.rs
+++ b/crates/limiter/src/net/operations_file.rs
@@ -1,4 +1,4 @@
-//! The file through which the processes of a limiter tell each other what operators asked for.
+//! The file through which the processes of a limiter exchange the results of operator commands.
 
 use std::fs;
 use std::io;
@@ -7,66 +7,74 @@
 
 use crate::handover::{OperationsRecord, RecordError};
 
-/// The file, and what of it is known here.
+/// The file, and the version of it that was last read.
 #[derive(Debug)]
 pub struct OperationsFile {
     path: PathBuf,
-    /// The file as it was when it was last read or written: a rename brings another number.
+    /// Inode, modification time (seconds and nanoseconds) and length at the last read; `None` after a write. A rename
+    /// changes the inode.
     last_seen: Option<(u64, i64, i64, u64)>,
 }
 
-/// What stands in the file.
+/// The result of a poll of the file.
 #[derive(Debug)]
 pub enum PollOutcome {
-    /// Nothing that was not known.
+    /// Unchanged since the last poll, or missing.
     Unchanged,
-    /// A record that another process wrote.
+    /// A record, normally written by another process.
     Record(OperationsRecord),
-    /// Something that is passed over.
+    /// Content that is ignored.
     Unusable(RecordError),
 }
 
 impl OperationsFile {
-    /// In this folder; nothing is read or written yet.
-    pub fn new(folder: &Path) -> OperationsFile {
+    /// The file in this directory; nothing is read or written yet.
+    pub fn new(directory: &Path) -> OperationsFile {
         OperationsFile {
-            path: folder.join("streamarch-operations"),
+            path: directory.join("streamarch-operations"),
             last_seen: None,
         }
     }
 
     fn identity(&self) -> Option<(u64, i64, i64, u64)> {
-        let file = fs::metadata(&self.path).ok()?;
-        Some((file.ino(), file.mtime(), file.mtime_nsec(), file.len()))
+        let metadata = fs::metadata(&self.path).ok()?;
+        Some((
+            metadata.ino(),
+            metadata.mtime(),
+            metadata.mtime_nsec(),
+            metadata.len(),
+        ))
     }
 
-    /// Looks whether another process has written.
+    /// Reads the file if it has changed since the last poll.
     pub fn poll(&mut self, limiter: &str) -> PollOutcome {
-        let mark = self.identity();
-        if mark == self.last_seen {
+        let identity = self.identity();
+        if identity == self.last_seen {
             return PollOutcome::Unchanged;
         }
-        self.last_seen = mark;
+        self.last_seen = identity;
         match fs::read(&self.path).map(|bytes| OperationsRecord::decode(&bytes, limiter)) {
             Ok(Ok(record)) => PollOutcome::Record(record),
             Ok(Err(unusable)) => PollOutcome::Unusable(unusable),
-            // Gone, or going: there is nothing to take over.
+            // Missing, or deleted since the check above: there is nothing to apply.
             Err(_) => PollOutcome::Unchanged,
         }
     }
 
-    /// Replaces the file whole.
+    /// Replaces the whole file atomically, by a rename.
     ///
     /// # Errors
-    /// The system's: the file is as it was.
+    /// The system's error: the file is as it was.
     pub fn write(&mut self, record: &OperationsRecord) -> io::Result<()> {
-        let new = self.path.with_extension(std::process::id().to_string());
-        let written = fs::write(&new, record.encode()).and_then(|()| fs::rename(&new, &self.path));
+        let temporary = self.path.with_extension(std::process::id().to_string());
+        let written = fs::write(&temporary, record.encode())
+            .and_then(|()| fs::rename(&temporary, &self.path));
         if written.is_err() {
-            // What is left of it is of no use; that it may not be there is no matter.
-            let _ = fs::remove_file(&new);
+            // A partial temporary file is of no use; it is no error if there is none.
+            let _ = fs::remove_file(&temporary);
         }
-        // Guards what another process may have written just before: it is looked at once more, and finds the same.
+        // Another process may have written just before: the next poll reads the file again, and normally finds this
+        // record.
         self.last_seen = None;
         written
     }
