--- a/crates/limiter/src/net/host/cluster.rs
+++ b/crates/limiter/src/net/host/cluster.rs
@@ -1,4 +1,5 @@
-//! The configuration that a few instances agree on: its messages, its ticks, and what is done with a document.
+//! The replicated configuration of a small cluster of instances: Raft messages and ticks, the HTTP interface, and
+//! applying a committed document.
 
 use super::*;
 use crate::config::{self, RaftConfig};
@@ -6,13 +7,14 @@
 use crate::net::framing::Request;
 use crate::raft::{self, Member, RaftError};
 
+/// Another member of the cluster.
 struct ClusterPeer {
     id: u64,
     address: SocketAddr,
     connection: Option<ConnectionKey>,
 }
 
-/// This instance among the members.
+/// This instance as a member of the cluster.
 pub(super) struct ClusterNode {
     member: Member,
     peers: Vec<ClusterPeer>,
@@ -20,52 +22,57 @@
 }
 
 impl ClusterNode {
+    /// Opens the member's journal; connections to the peers are opened when there is a message for them.
     pub(super) fn open(cluster: &RaftConfig) -> io::Result<ClusterNode> {
         let ids: Vec<u64> = cluster.members.iter().map(|(id, _)| *id).collect();
         let member = Member::open(cluster.id, &ids, &cluster.folder).map_err(io::Error::other)?;
-        let others = cluster.members.iter().filter(|(id, _)| *id != cluster.id);
-        let others = others.map(|(id, address)| ClusterPeer {
+        let other_members = cluster.members.iter().filter(|(id, _)| *id != cluster.id);
+        let peers = other_members.map(|(id, address)| ClusterPeer {
             id: *id,
             address: *address,
             connection: None,
         });
         Ok(ClusterNode {
             member,
-            peers: others.collect(),
+            peers: peers.collect(),
             secret: cluster.secret.clone(),
         })
     }
 }
 
 impl Host {
+    /// One tick of the Raft protocol, and the timer for the next.
     pub(super) fn raft_tick(&mut self, now: Micros) {
         self.deadlines
             .schedule(now + self.limits.raft_tick_interval, Timer::RaftTick);
-        if let Some(agreement) = &mut self.cluster {
-            let stepped = agreement.member.tick();
-            _ = self.apply_raft_result(stepped);
+        if let Some(cluster) = &mut self.cluster {
+            let result = cluster.member.tick();
+            _ = self.apply_raft_result(result);
         }
     }
 
-    /// Sends what is to be sent and takes a new document. A member whose journal fails takes no further part: it
-    /// could promise what it would forget.
+    /// Sends the messages of a step and applies a committed document. After a failure of the journal or the protocol
+    /// this instance leaves the cluster until its next start: it could acknowledge entries or votes that it would lose.
     fn apply_raft_result(
         &mut self,
-        stepped: Result<raft::StepOutput, RaftError>,
+        result: Result<raft::StepOutput, RaftError>,
     ) -> Result<(), RaftError> {
-        match stepped {
-            Ok(news) => {
-                news.messages
+        match result {
+            Ok(output) => {
+                output
+                    .messages
                     .into_iter()
-                    .for_each(|letter| self.send_to_peer(letter));
-                if let Some(document) = news.document {
+                    .for_each(|message| self.send_to_peer(message));
+                if let Some(document) = output.document {
                     self.apply_document(&document);
                 }
                 Ok(())
             }
             Err(error) => {
                 if matches!(error, RaftError::Io(_) | RaftError::Protocol(_)) {
-                    self.warn(&format!("raft: {error}; no further part is taken"));
+                    self.warn(&format!(
+                        "raft: {error}; not taking part in the cluster until the next start"
+                    ));
                     self.cluster = None;
                 }
                 Err(error)
@@ -73,45 +80,45 @@
         }
     }
 
-    fn send_to_peer(&mut self, letter: raft::OutgoingMessage) {
-        let Some(agreement) = &self.cluster else {
+    /// Queues a message to a peer, and connects to it if there is no connection.
+    fn send_to_peer(&mut self, message: raft::OutgoingMessage) {
+        let Some(cluster) = &self.cluster else {
             return;
         };
-        let Some(at) = agreement
-            .peers
-            .iter()
-            .position(|other| other.id == letter.to)
-        else {
+        let Some(index) = cluster.peers.iter().position(|peer| peer.id == message.to) else {
             return;
         };
-        let (address, known) = (agreement.peers[at].address, agreement.peers[at].connection);
+        let (address, connection) = (
+            cluster.peers[index].address,
+            cluster.peers[index].connection,
+        );
         let head = format!(
             "POST /raft HTTP/1.1\r\nHost: {address}\r\nAuthorization: Bearer {}\r\nContent-Length: {}\r\n\r\n",
-            agreement.secret,
-            letter.bytes.len()
+            cluster.secret,
+            message.bytes.len()
         );
-        let key = match known {
+        let key = match connection {
             Some(key) => key,
-            None => match self.connect(address, Role::ClusterPeer(at)) {
+            None => match self.connect(address, Role::ClusterPeer(index)) {
                 Ok(key) => key,
                 Err(_) => return,
             },
         };
-        if let Some(agreement) = &mut self.cluster {
-            agreement.peers[at].connection = Some(key);
+        if let Some(cluster) = &mut self.cluster {
+            cluster.peers[index].connection = Some(key);
         }
-        // Guards the memory where a member takes nothing in: the protocol bears the loss of messages.
+        // Bounds memory while a peer reads nothing. Raft tolerates lost messages.
         if self
             .connections
             .get(key)
             .is_some_and(|c| c.output.len() < 4 * self.limits.max_buffered_body_bytes)
         {
             self.queue_output(key, head.as_bytes());
-            self.queue_output(key, &letter.bytes);
+            self.queue_output(key, &message.bytes);
         }
     }
 
-    /// Other members' answers say nothing that the protocol's own messages don't.
+    /// Discards the HTTP responses of a peer: Raft's replies are messages of their own.
     pub(super) fn read_cluster_responses(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -125,28 +132,29 @@
         }
     }
 
-    pub(super) fn handle_peer_lost(&mut self, at: usize) {
-        if let Some(agreement) = &mut self.cluster {
-            agreement.peers[at].connection = None;
+    /// The connection to a peer was closed; the next message opens a new one.
+    pub(super) fn handle_peer_lost(&mut self, index: usize) {
+        if let Some(cluster) = &mut self.cluster {
+            cluster.peers[index].connection = None;
         }
     }
 
-    /// A request at the members' own address.
+    /// Handles a request at the cluster's listener: a Raft message, or a read or change of the configuration.
     pub(super) fn read_cluster_request(&mut self, key: ConnectionKey, request: &Request) {
-        let Some(agreement) = &mut self.cluster else {
+        let Some(cluster) = &mut self.cluster else {
             return self.respond(key, 503, &[], b"");
         };
-        let shown = request
+        let token = request
             .headers
             .get("Authorization")
             .and_then(|value| value.strip_prefix("Bearer "));
-        if !shown.is_some_and(|shown| constant_time_eq(shown, &agreement.secret)) {
+        if !token.is_some_and(|token| constant_time_eq(token, &cluster.secret)) {
             return self.respond(key, 401, &[("WWW-Authenticate", "Bearer")], b"");
         }
         match (request.method.as_str(), request.target.as_str()) {
             ("POST", "/raft") => {
-                let stepped = agreement.member.receive(&request.body);
-                let status = if self.apply_raft_result(stepped).is_ok() {
+                let result = cluster.member.receive(&request.body);
+                let status = if self.apply_raft_result(result).is_ok() {
                     200
                 } else {
                     400
@@ -154,12 +162,12 @@
                 self.respond(key, status, &[], b"");
             }
             ("GET", "/configuration") => {
-                let (document, index) = agreement.member.document();
-                let (document, tag) = (document.to_vec(), format!("\"{index}\""));
+                let (document, index) = cluster.member.document();
+                let (document, etag) = (document.to_vec(), format!("\"{index}\""));
                 self.respond(
                     key,
                     200,
-                    &[("Content-Type", "application/json"), ("ETag", &tag)],
+                    &[("Content-Type", "application/json"), ("ETag", &etag)],
                     &document,
                 );
             }
@@ -167,8 +175,8 @@
                 if let Err(error) = config::parse_callers(&request.body, &self.platform.names) {
                     return self.respond(key, 400, &[], error.to_string().as_bytes());
                 }
-                let stepped = agreement.member.propose(&request.body);
-                match self.apply_raft_result(stepped) {
+                let result = cluster.member.propose(&request.body);
+                match self.apply_raft_result(result) {
                     Ok(()) => self.respond(key, 202, &[], b""),
                     Err(RaftError::NotLeader(Some(leader))) => self.redirect_to_leader(key, leader),
                     Err(RaftError::BadDocument) => {
@@ -187,33 +195,34 @@
         }
     }
 
+    /// Redirects the sender of a change to the leader.
     fn redirect_to_leader(&mut self, key: ConnectionKey, leader: u64) {
-        let others = self
+        let peers = self
             .cluster
             .as_ref()
-            .map_or(&[][..], |agreement| &agreement.peers);
-        let place = others.iter().find(|other| other.id == leader);
-        match place.map(|other| format!("http://{}/configuration", other.address)) {
-            Some(place) => self.respond(key, 307, &[("Location", &place)], b""),
+            .map_or(&[][..], |cluster| &cluster.peers);
+        let leader = peers.iter().find(|peer| peer.id == leader);
+        match leader.map(|peer| format!("http://{}/configuration", peer.address)) {
+            Some(location) => self.respond(key, 307, &[("Location", &location)], b""),
             None => self.respond_retry_later(key, 503, self.limits.default_retry_after, &[], b""),
         }
     }
 
-    /// The members agree on this: from now on it holds here too.
+    /// Applies a committed document.
     fn apply_document(&mut self, document: &[u8]) {
         match config::parse_callers(document, &self.platform.names) {
             Ok(Some(callers)) => {
                 self.log(&format!(
-                    "configuration agreed on: {} callers",
+                    "cluster configuration applied: {} callers",
                     callers.len()
                 ));
-                if let Some(tokens) = &mut self.introspection {
-                    tokens.set_callers(callers);
+                if let Some(introspection) = &mut self.introspection {
+                    introspection.set_callers(callers);
                 }
             }
-            Ok(None) => self.log("configuration agreed on: callers as before"),
-            // Other members may know plans that this one does not.
-            Err(error) => self.warn(&format!("configuration not taken: {error}")),
+            Ok(None) => self.log("cluster configuration applied: callers unchanged"),
+            // Another member may have accepted plans that this one does not know.
+            Err(error) => self.warn(&format!("cluster configuration rejected: {error}")),
         }
     }
 }
--- a/crates/limiter/src/net/host/datagrams.rs
+++ b/crates/limiter/src/net/host/datagrams.rs
@@ -1,8 +1,9 @@
-//! Datagrams from other limiters.
+//! Notices from other limiters, received as UDP datagrams.
 
 use super::*;
 
 impl Host {
+    /// Passes the received notices to the engine, and logs how many datagrams were rejected.
     pub(super) fn read_peer_datagrams(&mut self) {
         let Some(socket) = &self.peer_socket else {
             return;
@@ -13,12 +14,12 @@
                 self.services[RECORDS_SERVICE].engine.handle_notice(notice);
             }
         }
-        if let Some(refused) = self
+        if let Some(rejected) = self
             .peers
             .take_rejected_count(self.now(), self.limits.accept_pause_log_interval)
         {
             self.warn(&format!(
-                "{refused} datagrams not taken: not a notice, or from no limiter of the tier"
+                "{rejected} datagrams rejected: invalid notice, or sender is not a limiter of this tier"
             ));
         }
     }
--- a/crates/limiter/src/net/host/discovery.rs
+++ b/crates/limiter/src/net/host/discovery.rs
@@ -1,12 +1,13 @@
-//! Discovery's watch, and what it brings.
+//! The watch on discovery, and applying its changes to the list of servers.
 
 use super::framing::{BodyFraming, BodyReader};
 use super::*;
 
 impl Host {
+    /// Opens a new watch in place of the present one.
     pub(super) fn open_discovery_watch(&mut self) {
-        if let Some(former) = self.watch.connection.take() {
-            self.close(former);
+        if let Some(old_connection) = self.watch.connection.take() {
+            self.close(old_connection);
         }
         self.watch.body = None;
         self.watch.partial_line.clear();
@@ -16,6 +17,7 @@
         }
     }
 
+    /// The watch was lost: schedules a new one after a delay that doubles up to the limit.
     pub(super) fn schedule_watch_retry(&mut self) {
         self.watch.connection = None;
         let at = self.now() + self.watch.retry_delay;
@@ -29,68 +31,75 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let mut at = 0;
-        let mut bad = false;
+        let mut parsed_bytes = 0;
+        let mut is_broken = false;
         if self.watch.body.is_none() {
             match framing::parse_chunked_head(&connection.input, &self.limits) {
                 Ok(None) => return,
-                Ok(Some((200, from))) => {
-                    // However long it lasts: what is bounded is each line.
+                Ok(Some((200, head_bytes))) => {
+                    // The length of the stream is unbounded; that of each line is bounded.
                     self.watch.body = BodyReader::new(BodyFraming::Chunked, u64::MAX).ok();
-                    at = from;
+                    parsed_bytes = head_bytes;
                 }
-                Ok(Some(_)) | Err(_) => bad = true,
+                Ok(Some(_)) | Err(_) => is_broken = true,
             }
         }
-        if let Some(stream) = &mut self.watch.body {
-            match stream.read(&connection.input[at..], &mut self.watch.partial_line) {
-                Ok(taken) => at += taken,
-                Err(_) => bad = true,
+        if let Some(body) = &mut self.watch.body {
+            match body.read(
+                &connection.input[parsed_bytes..],
+                &mut self.watch.partial_line,
+            ) {
+                Ok(length) => parsed_bytes += length,
+                Err(_) => is_broken = true,
             }
-            bad |= stream.is_complete();
+            is_broken |= body.is_complete();
         }
-        connection.input.drain(..at);
-        let mut ended = false;
+        connection.input.drain(..parsed_bytes);
+        let mut is_invalid = false;
         while let Some(end) = self.watch.partial_line.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = self.watch.partial_line.drain(..=end).collect();
             match self.routing_table.apply_line(&line) {
                 Ok(None) => self.watch.retry_delay = self.limits.watch_retry_delay,
-                Ok(Some(news)) => {
+                Ok(Some(update)) => {
                     self.watch.retry_delay = self.limits.watch_retry_delay;
-                    self.apply_table_update(news);
+                    self.apply_table_update(update);
                 }
                 Err(error) => {
                     self.warn(&format!("discovery: {error}"));
-                    ended = true;
+                    is_invalid = true;
                     break;
                 }
             }
         }
-        bad |= ended || self.watch.partial_line.len() > self.limits.max_watch_line_bytes;
-        if bad {
+        is_broken |= is_invalid || self.watch.partial_line.len() > self.limits.max_watch_line_bytes;
+        if is_broken {
             self.handle_broken_connection(key);
         }
     }
 
-    pub(super) fn apply_table_update(&mut self, news: TableUpdate) {
+    /// Passes changes of the list to the connection pool and the engine, and closes idle connections that are no
+    /// longer wanted.
+    pub(super) fn apply_table_update(&mut self, update: TableUpdate) {
         let records = &mut self.services[RECORDS_SERVICE];
-        let listed = news
+        let moved = update
             .addresses
             .into_iter()
             .map(|(server, address)| records.pool.add_server(server, address));
-        let mut idle: Vec<_> = listed.flatten().collect();
-        idle.extend(
-            news.disabled
+        let mut unwanted: Vec<_> = moved.flatten().collect();
+        unwanted.extend(
+            update
+                .disabled
                 .into_iter()
                 .flat_map(|server| records.pool.take_out_of_service(server)),
         );
-        idle.extend(
-            news.removed
+        unwanted.extend(
+            update
+                .removed
                 .into_iter()
                 .flat_map(|server| records.pool.remove_server(server)),
         );
-        records.engine.update_servers(news.kind, news.entries);
-        for key in idle {
+        records.engine.update_servers(update.kind, update.entries);
+        for key in unwanted {
             self.close(key);
         }
     }
--- a/crates/limiter/src/net/host/handover.rs
+++ b/crates/limiter/src/net/host/handover.rs
@@ -1,13 +1,14 @@
-//! While a new process of this limiter and the one before overlap, both go by what operators asked of either.
+//! Shares the results of operator commands between two processes of this limiter while they overlap: a command to
+//! either applies to both.
 
 use super::*;
 use crate::handover::OperationsRecord;
 use crate::net::operations_file::{OperationsFile, PollOutcome};
 
 impl Host {
-    /// Shares in the record of the folder from now on, and takes over what stands there.
-    pub(super) fn open_operations_file(&mut self, folder: &std::path::Path) {
-        self.operations_file = Some(OperationsFile::new(folder));
+    /// Opens the operations file in this directory and applies its record.
+    pub(super) fn open_operations_file(&mut self, directory: &std::path::Path) {
+        self.operations_file = Some(OperationsFile::new(directory));
         self.poll_operations_file();
     }
 
@@ -23,46 +24,44 @@
         }
     }
 
-    /// Takes over what the other process knows later, and writes what it lacks.
+    /// Applies the later changes of the other process, and writes those that its record lacks.
     pub(super) fn poll_operations_file(&mut self) {
         let now = self.now();
         self.deadlines.schedule(
             now + self.limits.handover_poll_interval,
             Timer::PollOperationsFile,
         );
-        let Some(handover) = &mut self.operations_file else {
+        let Some(operations_file) = &mut self.operations_file else {
             return;
         };
-        match handover.poll(&self.name) {
+        match operations_file.poll(&self.name) {
             PollOutcome::Unchanged => {}
-            PollOutcome::Unusable(why) => {
-                self.warn(&format!("operations record not taken over: {why}"))
-            }
-            PollOutcome::Record(told) => {
-                let news = self.routing_table.merge(&told.disabled_servers);
-                let drain = self.lifecycle.merge_drain_state(told.drain);
-                if drain {
+            PollOutcome::Unusable(error) => self.warn(&format!("operations file ignored: {error}")),
+            PollOutcome::Record(record) => {
+                let update = self.routing_table.merge(&record.disabled_servers);
+                let drain_changed = self.lifecycle.merge_drain_state(record.drain);
+                if drain_changed {
                     self.schedule_drain_notice(now);
                 }
-                if drain || !news.entries.is_empty() {
-                    self.log("operations record taken over from another process");
+                if drain_changed || !update.entries.is_empty() {
+                    self.log("operator changes of another process applied");
                 }
-                self.apply_table_update(news);
-                if self.operations_record() != told {
+                self.apply_table_update(update);
+                if self.operations_record() != record {
                     self.write_operations_file();
                 }
             }
         }
     }
 
-    /// Operators asked for something: the other process is to know.
+    /// Publishes the results of operator commands to the other process.
     pub(super) fn write_operations_file(&mut self) {
         let record = self.operations_record();
-        let Some(handover) = &mut self.operations_file else {
+        let Some(operations_file) = &mut self.operations_file else {
             return;
         };
-        if let Err(error) = handover.write(&record) {
-            self.warn(&format!("operations record not written: {error}"));
+        if let Err(error) = operations_file.write(&record) {
+            self.warn(&format!("cannot write operations file: {error}"));
         }
     }
 }
--- a/crates/limiter/src/net/host/introspection.rs
+++ b/crates/limiter/src/net/host/introspection.rs
@@ -1,4 +1,4 @@
-//! The introspection front on its connections: bearer requests, callers' questions, and what was found.
+//! The introspection front end: requests with bearer tokens, and callers' introspection requests (RFC 7662).
 
 use super::*;
 use crate::engine::{Authorisation, EngineRejection};
@@ -9,21 +9,23 @@
 use crate::frontend::platform::CommonFields;
 use crate::net::framing::Request;
 
-/// A bearer request whose token is being asked about.
+/// A request with a bearer token that is being looked up.
 pub(super) struct BearerRequest {
     request: Request,
+    /// Its class and deadline.
     basics: CommonFields,
     units: f64,
     token: Token,
 }
 
-/// What the front holds.
+/// The state of the introspection front end.
 pub(super) struct IntrospectionFrontend {
     callers: Vec<Caller>,
+    /// The endpoint of the introspection servers, and the credentials for it.
     endpoint: IntrospectionEndpoint,
     cache: TokenCache,
     upstreams: Vec<SocketAddr>,
-    /// Position of the plan without quota, for what we ask on our own account.
+    /// Position of the plan without quota, for the look-up of bearer tokens.
     internal_plan: usize,
 }
 
@@ -31,35 +33,35 @@
 const JSON: (&str, &str) = ("Content-Type", "application/json");
 
 impl IntrospectionFrontend {
-    pub(super) fn new(front: IntrospectionConfig, house: usize) -> IntrospectionFrontend {
+    pub(super) fn new(config: IntrospectionConfig, internal_plan: usize) -> IntrospectionFrontend {
         IntrospectionFrontend {
-            cache: TokenCache::new(front.cache_entries, front.cache_ttl),
-            callers: front.callers,
-            endpoint: front.endpoint,
-            upstreams: front.upstreams,
-            internal_plan: house,
+            cache: TokenCache::new(config.cache_entries, config.cache_ttl),
+            callers: config.callers,
+            endpoint: config.endpoint,
+            upstreams: config.upstreams,
+            internal_plan,
         }
     }
 }
 
 impl IntrospectionFrontend {
-    /// Who may ask from now on.
+    /// Replaces the callers that may send introspection requests.
     pub(super) fn set_callers(&mut self, callers: Vec<Caller>) {
         self.callers = callers;
     }
 }
 
 impl Host {
-    /// The introspection servers are the token engine's routing table; it never changes.
+    /// Passes the configured introspection servers to their engine. The list never changes.
     pub(super) fn list_introspection_servers(&mut self) {
-        let (Some(tokens), Some(service)) = (
+        let (Some(frontend), Some(service)) = (
             &self.introspection,
             self.services.get_mut(INTROSPECTION_SERVICE),
         ) else {
             return;
         };
         let mut entries = Vec::new();
-        for (n, address) in tokens.upstreams.iter().enumerate() {
+        for (n, address) in frontend.upstreams.iter().enumerate() {
             let server = ServerId(n as u32);
             service.pool.add_server(server, *address);
             let state = streamarch::ServerState::Ready;
@@ -76,7 +78,7 @@
         service.engine.update_servers(ListKind::Full, entries);
     }
 
-    /// A request at the introspection front.
+    /// Handles a request at the introspection front end: looks up the token of a bearer request.
     pub(super) fn read_bearer_request(
         &mut self,
         now: Micros,
@@ -87,7 +89,7 @@
         if path == "/introspect" {
             return self.read_introspection_request(now, key, &request);
         }
-        let read = self
+        let result = self
             .platform
             .parse_common_fields(&request, &self.limits, now)
             .and_then(|basics| {
@@ -99,58 +101,59 @@
                     return Err(crate::frontend::reject(400, "a token names the account"));
                 }
                 let terms = request.headers.get("X-Call-Terms").unwrap_or("units=1");
-                let everywhere = Some((self.platform.limiter_count.max(1), 0));
-                let (units, _) = self
-                    .platform
-                    .parse_call_terms(terms, &self.limits, everywhere)?;
+                let all_limiters = Some((self.platform.limiter_count.max(1), 0));
+                let (units, _) =
+                    self.platform
+                        .parse_call_terms(terms, &self.limits, all_limiters)?;
                 Ok((basics, units))
             });
-        let (basics, units) = match read {
-            Ok(read) => read,
+        let (basics, units) = match result {
+            Ok(parsed) => parsed,
             Err(rejection) => return self.respond_rejection(key, &rejection, !request.keep_alive),
         };
         let token = match introspection::bearer_token(&request.headers) {
             Ok(token) => token,
             Err(challenge) => return self.respond_challenge(key, challenge),
         };
-        let Some(tokens) = &mut self.introspection else {
+        let Some(frontend) = &mut self.introspection else {
             return;
         };
-        let known = tokens.cache.get(&token, now);
-        let bearing = BearerRequest {
+        let cached = frontend.cache.get(&token, now);
+        let bearer_request = BearerRequest {
             request,
             basics,
             units,
             token,
         };
-        match known {
-            Some(identity) => self.submit_identified(key, bearing, identity),
+        match cached {
+            Some(identity) => self.submit_identified(key, bearer_request, identity),
             None => {
-                let asking = Authorisation {
-                    plan: tokens.internal_plan,
+                let token_lookup = Authorisation {
+                    plan: frontend.internal_plan,
                     customer: introspection::internal_customer(),
-                    deadline: bearing.basics.deadline,
+                    deadline: bearer_request.basics.deadline,
                     units: 1.0,
                     limiter_count: 1,
                     ..Authorisation::default()
                 };
-                let forward = tokens.endpoint.build_request(&bearing.token);
+                let forward = frontend.endpoint.build_request(&bearer_request.token);
                 self.submit_authorisation(
                     key,
                     INTROSPECTION_SERVICE,
-                    asking,
+                    token_lookup,
                     forward,
-                    RequestKind::TokenLookup(Box::new(bearing)),
+                    RequestKind::TokenLookup(Box::new(bearer_request)),
                 );
             }
         }
     }
 
-    /// Whose the token is, is known: the work itself is asked for, in the same time and good no longer than it.
+    /// Submits a bearer request whose customer is known to the records service. It keeps its deadline, and does not run
+    /// after the token has expired.
     fn submit_identified(
         &mut self,
         key: ConnectionKey,
-        bearing: BearerRequest,
+        bearer_request: BearerRequest,
         identity: Identity,
     ) {
         let BearerRequest {
@@ -158,15 +161,15 @@
             basics,
             units,
             ..
-        } = bearing;
-        let joint = if request.target.contains('?') {
+        } = bearer_request;
+        let separator = if request.target.contains('?') {
             '&'
         } else {
             '?'
         };
         request
             .target
-            .push_str(&format!("{joint}account={:016x}", identity.customer.0));
+            .push_str(&format!("{separator}account={:016x}", identity.customer.0));
         let authorisation = Authorisation {
             class: basics.class,
             plan: identity.plan,
@@ -188,15 +191,15 @@
         );
     }
 
-    /// A caller asks about a token.
+    /// Handles a caller's introspection request.
     fn read_introspection_request(&mut self, now: Micros, key: ConnectionKey, request: &Request) {
-        let Some(tokens) = &self.introspection else {
+        let Some(frontend) = &self.introspection else {
             return;
         };
         if request.method != "POST" {
             return self.respond(key, 405, &[("Allow", "POST"), NO_STORE], b"");
         }
-        let Some(caller) = introspection::authenticate_caller(&request.headers, &tokens.callers)
+        let Some(caller) = introspection::authenticate_caller(&request.headers, &frontend.callers)
         else {
             let headers = [
                 ("WWW-Authenticate", "Basic realm=\"introspection\""),
@@ -212,62 +215,70 @@
                 return self.respond(key, rejection.status, &[NO_STORE, JSON], body);
             }
         };
-        let wait = self
+        let requested_deadline = self
             .platform
             .parse_deadline(&request.headers, &self.limits, now);
-        let question = Authorisation {
+        let authorisation = Authorisation {
             plan: caller.plan,
             customer: caller.customer,
-            deadline: wait.unwrap_or(now + self.limits.introspection_timeout),
+            deadline: requested_deadline.unwrap_or(now + self.limits.introspection_timeout),
             units: 1.0,
             limiter_count: self.platform.limiter_count.max(1),
             ..Authorisation::default()
         };
-        let forward = tokens.endpoint.build_request(&token);
+        let forward = frontend.endpoint.build_request(&token);
         self.submit_authorisation(
             key,
             INTROSPECTION_SERVICE,
-            question,
+            authorisation,
             forward,
             RequestKind::Introspection(token),
         );
     }
 
     fn respond_challenge(&mut self, key: ConnectionKey, challenge: Challenge) {
-        let (status, text) = challenge.response();
-        self.respond(key, status, &[("WWW-Authenticate", text), NO_STORE], b"");
+        let (status, header_value) = challenge.response();
+        self.respond(
+            key,
+            status,
+            &[("WWW-Authenticate", header_value), NO_STORE],
+            b"",
+        );
     }
 
-    /// A leg whose answer is known already needs no server: the question has passed the caller's quota by then.
+    /// Answers an introspection request from the cache instead of starting an attempt. It counts against the caller's
+    /// quota all the same, as the engine has admitted it. Returns whether it was answered.
     pub(super) fn answer_from_cache(
         &mut self,
         now: Micros,
-        ticket: AuthorisationRef,
-        leg: u32,
+        authorisation: AuthorisationRef,
+        attempt: u32,
     ) -> bool {
-        let (service, key) = ticket;
-        let Some(tokens) = self
+        let (service, key) = authorisation;
+        let Some(frontend) = self
             .introspection
             .as_mut()
             .filter(|_| service == INTROSPECTION_SERVICE)
         else {
             return false;
         };
-        let known = &mut self.services[service];
-        let Some(RequestKind::Introspection(token)) = known.pending.get(key).map(|p| &p.kind)
+        let service_state = &mut self.services[service];
+        let Some(RequestKind::Introspection(token)) =
+            service_state.pending.get(key).map(|p| &p.kind)
         else {
             return false;
         };
-        let finding = match tokens.cache.get(token, now) {
+        let finding = match frontend.cache.get(token, now) {
             Some(identity) => IntrospectionResult::Active(identity),
             None if token.is_invalid() => IntrospectionResult::Inactive,
             None => return false,
         };
-        // Guards the budget: what a question holds is given back by the one way in which an answer stops being owed.
-        if known
+        // The request ends like any other, by `handle_attempt_ended` and `take_pending`, so that its share of the
+        // buffer limit is released.
+        if service_state
             .engine
-            .handle_attempt_ended(now, key, leg, Outcome::Ok, None)
-            && let Some(pending) = self.take_pending(ticket)
+            .handle_attempt_ended(now, key, attempt, Outcome::Ok, None)
+            && let Some(pending) = self.take_pending(authorisation)
         {
             self.respond_finding(now, pending.connection, finding);
         }
@@ -279,38 +290,38 @@
         self.respond(key, 200, &[JSON, NO_STORE], &body);
     }
 
-    /// The outcome of a leg to an introspection server. One that lies has failed, whatever its status.
-    pub(super) fn introspection_outcome(&self, now: Micros, answer: &Response) -> Outcome {
-        match introspection::parse_response(answer, &self.platform.names.plans, now) {
+    /// The outcome of an attempt at an introspection server. An invalid response is a failure, whatever its status.
+    pub(super) fn introspection_outcome(&self, now: Micros, response: &Response) -> Outcome {
+        match introspection::parse_response(response, &self.platform.names.plans, now) {
             Ok(_) => Outcome::Ok,
-            Err(_) if matches!(answer.status, 429 | 503) => Outcome::Rejected,
-            Err(lie) => {
-                self.warn(&format!("{lie} (status {})", answer.status));
+            Err(_) if matches!(response.status, 429 | 503) => Outcome::Rejected,
+            Err(error) => {
+                self.warn(&format!("{error} (status {})", response.status));
                 Outcome::Error
             }
         }
     }
 
-    /// An introspection server's answer, judged before.
+    /// Handles an introspection server's response, which was found valid before.
     pub(super) fn handle_introspection_response(
         &mut self,
         key: ConnectionKey,
-        purpose: RequestKind,
-        answer: &Response,
+        kind: RequestKind,
+        response: &Response,
     ) {
         let now = self.now();
-        // Guards the instant between the two looks at the clock: fails closed.
-        let finding = introspection::parse_response(answer, &self.platform.names.plans, now)
+        // The token may have expired since the first check: then it counts as inactive.
+        let finding = introspection::parse_response(response, &self.platform.names.plans, now)
             .unwrap_or(IntrospectionResult::Inactive);
-        let Some(tokens) = &mut self.introspection else {
+        let Some(frontend) = &mut self.introspection else {
             return;
         };
-        match (purpose, finding) {
-            (RequestKind::TokenLookup(bearing), finding) => {
-                tokens.cache.insert(&bearing.token, finding, now);
+        match (kind, finding) {
+            (RequestKind::TokenLookup(bearer_request), finding) => {
+                frontend.cache.insert(&bearer_request.token, finding, now);
                 match finding {
                     IntrospectionResult::Active(identity) => {
-                        self.submit_identified(key, *bearing, identity)
+                        self.submit_identified(key, *bearer_request, identity)
                     }
                     IntrospectionResult::Inactive => {
                         self.respond_challenge(key, Challenge::Invalid)
@@ -318,41 +329,40 @@
                 }
             }
             (RequestKind::Introspection(token), finding) => {
-                tokens.cache.insert(&token, finding, now);
+                frontend.cache.insert(&token, finding, now);
                 self.respond_finding(now, key, finding);
             }
             (RequestKind::Platform | RequestKind::Bearer, _) => {}
         }
     }
 
-    /// An ending that no server gave, at this front.
+    /// Responds to a request at this front end that the engine rejected.
     pub(super) fn reject_introspection(
         &mut self,
         key: ConnectionKey,
-        purpose: RequestKind,
-        ending: EngineRejection,
+        kind: RequestKind,
+        rejection: EngineRejection,
     ) {
-        let ending = match purpose {
-            // Whose it is could not be learned: nothing has run, and a retry is harmless.
-            RequestKind::TokenLookup(_) if !matches!(ending, EngineRejection::Declined { .. }) => {
+        let rejection = match kind {
+            // The token could not be looked up: the request itself has not run, and may be retried.
+            RequestKind::TokenLookup(_)
+                if !matches!(rejection, EngineRejection::Declined { .. }) =>
+            {
                 EngineRejection::Declined {
                     retry_after: 0,
                     over_quota: false,
                 }
             }
-            _ => ending,
+            _ => rejection,
         };
-        let (status, challenge) = introspection::rejection_status(ending);
-        let stay_away = match ending {
+        let (status, challenge) = introspection::rejection_status(rejection);
+        let retry_after = match rejection {
             EngineRejection::Declined { retry_after: 0, .. } => self.limits.default_retry_after,
-            EngineRejection::Declined {
-                retry_after: stay_away,
-                ..
-            } => stay_away,
+            EngineRejection::Declined { retry_after, .. } => retry_after,
             _ => 0,
         };
         let mut headers = vec![NO_STORE];
-        headers.extend(challenge.map(|text| ("WWW-Authenticate", text)));
-        self.respond_retry_later(key, status, stay_away, &headers, b"");
+        headers.extend(challenge.map(|value| ("WWW-Authenticate", value)));
+        self.respond_retry_later(key, status, retry_after, &headers, b"");
     }
 }
--- a/crates/limiter/src/net/host/operators.rs
+++ b/crates/limiter/src/net/host/operators.rs
@@ -1,17 +1,18 @@
-//! Calls of operators: taken, carried out and answered ahead of the turn in which clients' work is decided on.
+//! Commands of operators: read, executed and answered as their input arrives, before the engines run in that turn.
 
 use std::net::Shutdown;
 
 use super::*;
 use crate::operators::{OperatorCommand, OperatorConnections};
 
-/// The operators' address, where there is one, and who is connected to it.
+/// The listener for operator commands, and the connections accepted on it.
 pub(super) struct Operators {
     listener: Rc<TcpListener>,
     callers: OperatorConnections,
 }
 
 impl Host {
+    /// Opens the listener for operator commands.
     pub(super) fn listen_to_operators(&mut self, address: SocketAddr) -> io::Result<()> {
         let accept = |host: &mut Host| host.accept_operators();
         let (listener, _) = register_listener(
@@ -26,7 +27,7 @@
         Ok(())
     }
 
-    /// Where operators call, if they may.
+    /// The address for operator commands, if one is configured.
     pub fn operators_address(&self) -> Option<SocketAddr> {
         self.operators
             .as_ref()
@@ -39,31 +40,34 @@
             .as_ref()
             .map(|operators| operators.listener.clone());
         while let Some(Ok((stream, _))) = listener.as_ref().map(|listener| listener.accept()) {
-            let ready = stream
+            let configured = stream
                 .set_nonblocking(true)
                 .and_then(|()| stream.set_nodelay(true));
-            let key =
-                match ready.and_then(|()| self.register_connection(stream, Role::Operator, true)) {
-                    Ok(key) => key,
-                    Err(error) => {
-                        self.warn(&format!("cannot take an operators' connection: {error}"));
-                        continue;
-                    }
-                };
+            let key = match configured
+                .and_then(|()| self.register_connection(stream, Role::Operator, true))
+            {
+                Ok(key) => key,
+                Err(error) => {
+                    self.warn(&format!("cannot register operator connection: {error}"));
+                    continue;
+                }
+            };
             let now = self.now();
-            let spared = self
+            let evicted = self
                 .operators
                 .as_mut()
                 .and_then(|o| o.callers.insert(key, now, &self.limits));
-            spared.into_iter().for_each(|oldest| _ = self.close(oldest));
+            evicted
+                .into_iter()
+                .for_each(|oldest| _ = self.close(oldest));
             self.deadlines
                 .schedule(now + self.limits.operator_idle_timeout, Timer::OperatorIdle);
-            // The line is there already, most often.
+            // Usually the line has already arrived.
             self.read_connection(key);
         }
     }
 
-    /// Callers that finish no call in time are gone.
+    /// Closes the connections without a complete command within the time-out.
     pub(super) fn close_overdue_operators(&mut self, now: Micros) {
         while let Some(key) = self
             .operators
@@ -74,38 +78,43 @@
         }
     }
 
+    /// Removes a closed connection from the list.
     pub(super) fn remove_operator(&mut self, key: ConnectionKey) {
         self.operators
             .iter_mut()
             .for_each(|operators| operators.callers.remove(key));
     }
 
+    /// Executes and answers the command on a connection once its line is complete. A connection carries one command.
     pub(super) fn read_operator_command(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         if connection.close_when_written {
-            // What comes behind the call is thrown away, so that the close does not reset the answer.
+            // Input after the command is discarded: if it stayed unread, the close would reset the connection and the
+            // answer could be lost.
             return connection.input.clear();
         }
-        let call = match OperatorCommand::parse(&connection.input, &self.limits) {
+        let command = match OperatorCommand::parse(&connection.input, &self.limits) {
             Ok(None) => return,
-            Ok(Some(call)) => Ok(call),
-            Err(fault) => Err(fault),
+            Ok(Some(command)) => Ok(command),
+            Err(error) => Err(error),
         };
         connection.input.clear();
-        let (asked, outcome) = match call {
-            Ok(call) => (call.to_string(), self.execute_operator_command(&call)),
-            Err(fault) => ("not a call".to_string(), Err(fault.to_string())),
+        let (command_text, outcome) = match command {
+            Ok(command) => (command.to_string(), self.execute_operator_command(&command)),
+            Err(error) => ("(invalid)".to_string(), Err(error.to_string())),
         };
         let answer = match outcome {
             Ok(()) => "done".to_string(),
             Err(reason) => format!("error {reason}"),
         };
-        // Asked for several times a second while a start is waited for: no line each.
-        match asked == OperatorCommand::Ready.to_string() {
-            true => tracing::debug!(limiter = %self.name, "operators: {asked}: {answer}"),
-            false => self.log(&format!("operators: {asked}: {answer}")),
+        // Logged at debug level only: while a start is awaited, `ready` is polled several times a second.
+        match command_text == OperatorCommand::Ready.to_string() {
+            true => {
+                tracing::debug!(limiter = %self.name, "operator command {command_text}: {answer}")
+            }
+            false => self.log(&format!("operator command {command_text}: {answer}")),
         }
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -117,7 +126,8 @@
         self.flush(key);
     }
 
-    /// The answer is written. The end of it is told at once; the connection goes when the caller closes.
+    /// The answer is written: shuts down the write side, so that the caller sees its end. The connection is closed once
+    /// the caller closes it.
     pub(super) fn finish_operator_command(&mut self, key: ConnectionKey) {
         let Some(connection) = self
             .connections
@@ -131,9 +141,9 @@
         }
     }
 
-    fn execute_operator_command(&mut self, call: &OperatorCommand) -> Result<(), String> {
+    fn execute_operator_command(&mut self, command: &OperatorCommand) -> Result<(), String> {
         let now = self.now();
-        match call {
+        match command {
             OperatorCommand::Ready if self.lifecycle.is_shutting_down() => {
                 Err("ending".to_string())
             }
@@ -166,7 +176,8 @@
         }
     }
 
-    /// Clients are sent away, or no longer.
+    /// Schedules the closing of idle client connections at the end of the notice period, after a drain has begun or
+    /// ended.
     pub(super) fn schedule_drain_notice(&mut self, now: Micros) {
         self.deadlines.schedule(
             now + self.limits.shutdown_notice_period,
@@ -174,12 +185,14 @@
         );
     }
 
+    /// Disables or enables a server, and shares that with the limiter's other process.
     fn update_disabled_servers(
         &mut self,
         change: impl FnOnce(&mut RoutingTable) -> Result<(bool, TableUpdate), UnknownServer>,
     ) -> Result<(), String> {
-        let (changed, news) = change(&mut self.routing_table).map_err(|error| error.to_string())?;
-        self.apply_table_update(news);
+        let (changed, update) =
+            change(&mut self.routing_table).map_err(|error| error.to_string())?;
+        self.apply_table_update(update);
         if changed {
             self.write_operations_file();
         }
--- a/crates/limiter/src/net/host/reload.rs
+++ b/crates/limiter/src/net/host/reload.rs
@@ -1,61 +1,62 @@
-//! A new configuration under load: what may change while the program runs is taken over, the rest is named.
+//! Reload of the configuration: what may change while the program runs is applied, other changes are logged.
 
 use super::*;
 use crate::config::ConfigError;
 
 impl Host {
-    /// Goes over to a configuration that was read and checked whole. Connections, counts and requests stay; the
-    /// watch and the counter's lines move if their addresses have changed.
+    /// Applies a configuration that was completely validated. Connections, counts and requests are kept; the discovery
+    /// watch and the counter connections are reconnected if their addresses have changed.
     pub fn reload(&mut self, config: Config) {
-        // Guards the override: the environment names the address of the start, and stands above the file until the
-        // file itself changes.
-        let changed = config
+        // The environment may override the address in the file. The override, made at start, holds until the address
+        // in the file itself changes.
+        let changed_address = config
             .file_discovery
             .filter(|_| config.file_discovery != self.discovery_address_in_file);
         self.discovery_address_in_file = config.file_discovery;
-        if let Some(discovery) = changed.filter(|address| *address != self.discovery_address) {
-            self.discovery_address = discovery;
+        if let Some(address) = changed_address.filter(|address| *address != self.discovery_address)
+        {
+            self.discovery_address = address;
             self.watch.retry_delay = self.limits.watch_retry_delay;
-            // The watch goes on from the version of the list held here, so that no change is missed.
+            // The new watch starts from the version of the list held here, so that no change is missed.
             self.open_discovery_watch();
         }
-        let counter = config.counter.filter(|_| self.settings.counter_available);
-        if counter != self.counter_address {
-            self.counter_address = counter;
-            for line in 0..self.counter_connections.len() {
-                self.counter_connections[line].begin_move();
-                self.reconnect_moved_counter(line);
+        let counter_address = config.counter.filter(|_| self.settings.counter_available);
+        if counter_address != self.counter_address {
+            self.counter_address = counter_address;
+            for index in 0..self.counter_connections.len() {
+                self.counter_connections[index].begin_move();
+                self.reconnect_moved_counter(index);
             }
         }
         self.peers.set_addresses(config.peers);
-        if let (Some(tokens), Some(front), None) =
+        if let (Some(introspection), Some(introspection_config), None) =
             (&mut self.introspection, config.introspection, &self.cluster)
         {
-            tokens.set_callers(front.callers);
+            introspection.set_callers(introspection_config.callers);
         }
-        let kept = [
+        let fixed_keys = [
             ("listen", config.listen == self.listen_address),
             ("settings", config.settings == self.settings),
             ("limits", config.limits == self.limits),
         ];
-        let told =
+        let address_text =
             |address: Option<SocketAddr>| address.map_or("none".to_string(), |a| a.to_string());
         self.log(&format!(
-            "configuration taken: discovery {}, counter {}",
+            "configuration reloaded: discovery {}, counter {}",
             self.discovery_address,
-            told(self.counter_address)
+            address_text(self.counter_address)
         ));
-        for (key, _) in kept.iter().filter(|(_, same)| !same) {
+        for (key, _) in fixed_keys.iter().filter(|(_, unchanged)| !unchanged) {
             self.log(&format!(
-                "configuration: '{key}' has changed, which holds from the next start"
+                "configuration: change of '{key}' takes effect at the next start"
             ));
         }
     }
 
-    /// A configuration that cannot be used changes nothing.
+    /// Logs that an invalid configuration was rejected; nothing changes.
     pub fn reject_reload(&self, error: &ConfigError) {
         self.warn(&format!(
-            "configuration not taken, all stays as it was: {error}"
+            "configuration rejected, the previous one stays in effect: {error}"
         ));
     }
 }
--- a/crates/limiter/src/net/host/upstream_requests.rs
+++ b/crates/limiter/src/net/host/upstream_requests.rs
@@ -1,42 +1,43 @@
-//! Legs and probes on connections to servers.
+//! Attempts and health checks on connections to servers.
 
 use super::*;
 
 impl Host {
+    /// Starts an attempt of an authorisation, unless the cache already has its response.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
-        ticket: AuthorisationRef,
-        leg: u32,
+        authorisation: AuthorisationRef,
+        attempt: u32,
         server: ServerId,
         deadline: Micros,
     ) {
-        if self.answer_from_cache(now, ticket, leg) {
+        if self.answer_from_cache(now, authorisation, attempt) {
             return;
         }
         self.start_upstream_request(
             now,
-            ticket.0,
+            authorisation.0,
             server,
-            UpstreamPurpose::Attempt(ticket.1, leg),
+            UpstreamPurpose::Attempt(authorisation.1, attempt),
             deadline,
         );
     }
 
-    /// Sends a leg or a probe on an idle connection, or on a new one.
+    /// Sends an attempt or a health check on an idle connection, or on a new one.
     pub(super) fn start_upstream_request(
         &mut self,
         now: Micros,
         service: usize,
         server: ServerId,
-        errand: UpstreamPurpose,
+        purpose: UpstreamPurpose,
         deadline: Micros,
     ) {
         while let Some(key) = self.services[service].pool.acquire(server) {
             let Some(connection) = self.connections.get_mut(key) else {
                 continue;
             };
-            // Guards against a close that came meanwhile: what is written then would end in a reset.
+            // The server may have closed it meanwhile: a request written to it would end in a reset.
             if !has_no_input(&connection.stream) {
                 self.close(key);
                 continue;
@@ -44,17 +45,17 @@
             connection.role = Role::Upstream {
                 service,
                 server,
-                state: UpstreamState::Sending(errand),
+                state: UpstreamState::Sending(purpose),
             };
-            self.track_upstream_request(key, service, errand, deadline);
+            self.track_upstream_request(key, service, purpose, deadline);
             return self.send_upstream_request(now, key);
         }
-        let open: usize = self
+        let connection_count: usize = self
             .services
             .iter()
             .map(|s| s.pool.connection_count())
             .sum();
-        if open >= self.limits.max_upstream_connections {
+        if connection_count >= self.limits.max_upstream_connections {
             match self
                 .services
                 .iter()
@@ -65,7 +66,7 @@
                     return self.end_upstream_request(
                         service,
                         server,
-                        errand,
+                        purpose,
                         Outcome::ConnectFailed,
                         None,
                     );
@@ -75,37 +76,38 @@
         let role = Role::Upstream {
             service,
             server,
-            state: UpstreamState::Connecting(errand),
+            state: UpstreamState::Connecting(purpose),
         };
         let address = self.services[service].pool.address(server);
         match address.map(|address| self.connect(address, role)) {
             Some(Ok(key)) => {
                 self.services[service].pool.record_opened(server);
-                self.track_upstream_request(key, service, errand, deadline);
+                self.track_upstream_request(key, service, purpose, deadline);
             }
             Some(Err(_)) | None => {
-                self.end_upstream_request(service, server, errand, Outcome::ConnectFailed, None)
+                self.end_upstream_request(service, server, purpose, Outcome::ConnectFailed, None)
             }
         }
     }
 
+    /// Records the connection of an attempt, and schedules the request's deadline.
     fn track_upstream_request(
         &mut self,
         key: ConnectionKey,
         service: usize,
-        errand: UpstreamPurpose,
+        purpose: UpstreamPurpose,
         deadline: Micros,
     ) {
-        if let UpstreamPurpose::Attempt(authorisation, _) = errand {
+        if let UpstreamPurpose::Attempt(authorisation, _) = purpose {
             self.services[service]
                 .attempt_connections
                 .insert(authorisation, key);
         }
         self.deadlines
-            .schedule(deadline, Timer::UpstreamDeadline(key, errand));
+            .schedule(deadline, Timer::UpstreamDeadline(key, purpose));
     }
 
-    /// The connection is up: writes what the errand carries.
+    /// The connection is established: queues its request for writing.
     pub(super) fn send_upstream_request(&mut self, now: Micros, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -118,11 +120,11 @@
         else {
             return;
         };
-        let known = &self.services[*service];
+        let service_state = &self.services[*service];
         *state = state.on_connected();
         match state.purpose() {
             Some(UpstreamPurpose::Probe) => {
-                let host = known
+                let host = service_state
                     .pool
                     .address(*server)
                     .map(|a| a.to_string())
@@ -132,29 +134,30 @@
                     .extend(probes::build_request(&host, self.fetch_load_reports));
             }
             Some(UpstreamPurpose::Attempt(authorisation, _)) => {
-                let Some(pending) = known.pending.get(authorisation) else {
+                let Some(pending) = service_state.pending.get(authorisation) else {
                     return;
                 };
-                let left = known
+                let remaining = service_state
                     .engine
                     .deadline(authorisation)
-                    .map_or(0, |at| (at - now).max(0));
+                    .map_or(0, |deadline| (deadline - now).max(0));
                 connection.output.extend_from_slice(&pending.forward.head);
                 // Writing to a vector cannot fail.
                 let _ = write!(
                     connection.output,
                     "X-Expires-In: {:.3}\r\n\r\n",
-                    left as f64 / 1e6
+                    remaining as f64 / 1e6
                 );
                 connection.output.extend_from_slice(&pending.forward.body);
-                let origin = pending.connection;
-                self.start_upload(origin, key);
+                let client_key = pending.connection;
+                self.start_upload(client_key, key);
             }
             None => {}
         }
         self.unflushed.push(key);
     }
 
+    /// Reads a server's input: a response, or more of one.
     pub(super) fn read_upstream_response(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -167,16 +170,16 @@
         else {
             return;
         };
-        if let ReadState::Relay(_, to) = connection.read_state {
-            return self.forward_relay(key, to);
+        if let ReadState::Relay(_, client_key) = connection.read_state {
+            return self.forward_relay(key, client_key);
         }
-        let Some(errand) = state.purpose() else {
-            // Nothing was asked: whatever this is, the connection is of no more use.
+        let Some(purpose) = state.purpose() else {
+            // Input without a request: the connection can't be reused.
             _ = self.close(key);
             return;
         };
         if service == RECORDS_SERVICE {
-            return self.read_records_response(key, errand);
+            return self.read_records_response(key, purpose);
         }
         match framing::parse_response(&connection.input, false, &self.limits) {
             Ok(None) => {
@@ -186,13 +189,13 @@
                 ) {
                     self.deadlines.schedule(
                         self.clock.now() + self.limits.response_idle_timeout,
-                        Timer::ResponseIdle(key, errand),
+                        Timer::ResponseIdle(key, purpose),
                     );
                 }
             }
-            Ok(Some((answer, length))) => {
-                let clean = connection.input.len() == length
-                    && answer.keep_alive
+            Ok(Some((response, length))) => {
+                let is_reusable = connection.input.len() == length
+                    && response.keep_alive
                     && connection.has_sent_all();
                 connection.input.clear();
                 connection.input.shrink_to(4 * 1024);
@@ -202,59 +205,62 @@
                     server,
                     state: UpstreamState::Idle,
                 };
-                self.end_upstream_request(service, server, errand, Outcome::Reset, Some(answer));
+                self.end_upstream_request(service, server, purpose, Outcome::Reset, Some(response));
                 let now = self.now();
-                if !(clean && self.services[service].pool.release(server, key, now)) {
+                if !(is_reusable && self.services[service].pool.release(server, key, now)) {
                     self.close(key);
                 }
             }
             Err(_) => {
-                self.end_upstream_request(service, server, errand, Outcome::Error, None);
+                self.end_upstream_request(service, server, purpose, Outcome::Error, None);
                 self.close(key);
             }
         }
     }
 
-    /// An errand is over: by its answer, or else by this outcome.
+    /// An attempt or a health check has ended. Its outcome follows from the response; without one it is `fallback`.
     pub(super) fn end_upstream_request(
         &mut self,
         service: usize,
         server: ServerId,
-        errand: UpstreamPurpose,
-        otherwise: Outcome,
-        answer: Option<Response>,
+        purpose: UpstreamPurpose,
+        fallback: Outcome,
+        response: Option<Response>,
     ) {
         let now = self.now();
-        let header = answer
+        let header = response
             .as_ref()
-            .and_then(|a| a.headers.get("Endpoint-Load-Metrics"));
+            .and_then(|r| r.headers.get("Endpoint-Load-Metrics"));
         let report: Option<LoadReport> = header.and_then(probes::parse_load_report);
-        match errand {
-            UpstreamPurpose::Attempt(authorisation, leg) => {
-                let outcome = match &answer {
-                    None => otherwise,
-                    Some(answer) if service == INTROSPECTION_SERVICE => {
-                        self.introspection_outcome(now, answer)
+        match purpose {
+            UpstreamPurpose::Attempt(authorisation, attempt) => {
+                let outcome = match &response {
+                    None => fallback,
+                    Some(response) if service == INTROSPECTION_SERVICE => {
+                        self.introspection_outcome(now, response)
                     }
-                    Some(answer) => upstreams::response_outcome(answer),
+                    Some(response) => upstreams::response_outcome(response),
                 };
                 self.detach_upload(service, authorisation);
-                let known = &mut self.services[service];
-                known.attempt_connections.remove(authorisation);
-                let answers =
-                    known
-                        .engine
-                        .handle_attempt_ended(now, authorisation, leg, outcome, report);
-                if let (true, Some(answer)) = (answers, answer) {
-                    self.respond_served((service, authorisation), answer);
+                let service_state = &mut self.services[service];
+                service_state.attempt_connections.remove(authorisation);
+                let is_final = service_state.engine.handle_attempt_ended(
+                    now,
+                    authorisation,
+                    attempt,
+                    outcome,
+                    report,
+                );
+                if let (true, Some(response)) = (is_final, response) {
+                    self.respond_served((service, authorisation), response);
                 }
             }
             UpstreamPurpose::Probe => {
-                let body = answer
+                let body = response
                     .as_ref()
-                    .and_then(|a| std::str::from_utf8(&a.body).ok());
+                    .and_then(|r| std::str::from_utf8(&r.body).ok());
                 let report = report.or(body.and_then(probes::parse_load_report));
-                let outcome = answer.as_ref().map_or(otherwise, probes::probe_outcome);
+                let outcome = response.as_ref().map_or(fallback, probes::probe_outcome);
                 self.services[service]
                     .engine
                     .handle_probe_result(server, outcome, report);
--- a/crates/limiter/tests/process.rs
+++ b/crates/limiter/tests/process.rs
@@ -55,16 +55,16 @@
     let good = config(&[server.address], nobody());
     write(&good.replace("\"discovery\":\"", "\"discovery\":\"nowhere"));
     signal("HUP");
-    assert!(line_with("configuration not taken").contains("key 'discovery'"));
+    assert!(line_with("configuration rejected").contains("key 'discovery'"));
     assert_eq!(
         ask(address, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status,
         200
     );
     write(&good);
     signal("HUP");
-    line_with("configuration taken");
+    line_with("configuration reloaded");
     signal("TERM");
-    line_with("told to end");
+    line_with("shutting down");
 }
 
 /// A process that inherits the clients' listening socket: as its standard input, the one descriptor that a test can
