--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -1,4 +1,4 @@
-//! The host: connections, and who is behind them.
+//! The state of the event loop: the connections, the engines, and everything that runs between them.
 
 mod clients;
 mod cluster;
@@ -49,14 +49,15 @@
 use crate::upload::Upload;
 use crate::upstreams::{self, ConnectionPool, UpstreamPurpose, UpstreamState};
 
-/// Positions of the services: the records servers, and the introspection servers that we ask.
+/// Position of the service of the records servers, which run clients' requests.
 const RECORDS_SERVICE: usize = 0;
+/// Position of the service of the introspection servers, which look up tokens.
 const INTROSPECTION_SERVICE: usize = 1;
 
-/// An authorisation of a service.
+/// The position of a service, and the key of one of its authorisations.
 type AuthorisationRef = (usize, AuthorisationKey);
 
-/// The fronts that listen.
+/// The front end that a listener belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListenerKind {
     Platform,
@@ -64,11 +65,13 @@
     Cluster,
 }
 
-/// An engine with its servers and what is out.
+/// An engine with the connections to its servers and its open requests.
 struct Service {
     engine: Engine,
     pool: ConnectionPool,
+    /// Authorisations whose final response is owed.
     pending: SecondaryMap<AuthorisationKey, PendingRequest>,
+    /// The connections that carry the attempts in flight.
     attempt_connections: SecondaryMap<AuthorisationKey, ConnectionKey>,
 }
 
@@ -83,78 +86,83 @@
     }
 }
 
-/// Whose a connection is.
+/// The role of a connection.
 #[derive(Clone, Copy, Debug)]
 enum Role {
-    /// The acquirer side: a client's, and what it waits for.
+    /// From a client.
     Client {
-        door: ListenerKind,
-        waits: Option<AuthorisationRef>,
+        listener: ListenerKind,
+        /// The authorisation whose final response it waits for.
+        authorisation: Option<AuthorisationRef>,
     },
-    /// A server's, of the service whose engine sends to it.
+    /// To a server of this service.
     Upstream {
         service: usize,
         server: ServerId,
         state: UpstreamState,
     },
-    /// The counter's, by its line.
+    /// To the counter; the index of the counter connection.
     Counter(usize),
-    /// Discovery's.
+    /// To discovery.
     DiscoveryWatch,
-    /// Another member's, among those that agree on the configuration.
+    /// To another member of the configuration cluster; its index among the peers.
     ClusterPeer(usize),
-    /// An operator's.
+    /// From an operator.
     Operator,
 }
 
+/// A TCP connection with its buffers. Which fields are used depends on its role.
 struct Connection {
     stream: Rc<TcpStream>,
+    /// Its registration with the event loop.
     registration: Option<RegistrationToken>,
     role: Role,
     is_established: bool,
     input: Vec<u8>,
     output: Vec<u8>,
+    /// Bytes of `output` that are already written.
     written_bytes: usize,
-    /// Of the acquirer side: where it stands, and the earliest deadline entered for it.
+    /// The state machine of a client's connection.
     client: ClientConnection,
+    /// The earliest timer scheduled for a client's connection.
     timer_at: Micros,
-    /// Reading has stopped though more may be there: no event will tell of it again.
+    /// Reading has stopped while more input may be available. Polling is edge-triggered: no event will report it again.
     has_unread: bool,
-    /// What is coming in, where it is read as it comes.
+    /// The message that is being received.
     read_state: ReadState,
-    /// Of the acquirer side: the client has been told that the body of its request is wanted.
+    /// The client was sent `100 Continue` for its request.
     continue_sent: bool,
-    /// When something last came.
+    /// When input last arrived.
     last_received_at: Micros,
-    /// Of a server: more of the request that is being written is still to come.
+    /// More of the request body that is streamed to the server is still to come.
     is_uploading: bool,
-    /// Of the acquirer side: the server's connection from which the answer is being relayed.
+    /// The server's connection from which the client's response is being streamed.
     streaming_from: Option<ConnectionKey>,
-    /// Bytes thrown away after the last answer.
+    /// Bytes discarded after the client's last response.
     discarded_bytes: usize,
-    /// The client asked that the answer be the last.
+    /// The client asked to close the connection after the response, or its request was malformed.
     close_after_response: bool,
-    /// To be closed once all is written.
+    /// The connection is closed once all output is written.
     close_when_written: bool,
 }
 
-/// A message that is coming in on a connection.
+/// The message that is being received on a connection.
 #[derive(Debug, Default)]
 enum ReadState {
     #[default]
     Idle,
     Request(IncomingMessage<RequestHead>),
-    /// A part of an answer is there, which is looked at anew each time.
+    /// Part of a response has arrived; it is parsed from its start each time.
     ResponseStarted,
     Response(IncomingMessage<ResponseHead>),
-    /// A body that goes on to a server as it comes, and how many bytes of it have.
+    /// A request body that is streamed to a server.
     Upload(Upload),
-    /// An answer that goes on to this client as it comes.
+    /// A response that is streamed to the client with this connection.
     Relay(Relay, ConnectionKey),
 }
 
 impl Connection {
-    /// Bytes held of what has come and was not taken yet.
+    /// Bytes received that were neither processed nor forwarded yet.
     fn buffered_bytes(&self) -> usize {
         let body = match &self.read_state {
             ReadState::Request(incoming) => incoming.body.len(),
@@ -167,7 +175,7 @@
         self.input.len() + body
     }
 
-    /// The body that still comes of a request which was taken.
+    /// The streamed request body, while it is still arriving.
     fn active_upload(&self) -> Option<&Upload> {
         match &self.read_state {
             ReadState::Upload(upload) if !upload.is_complete() => Some(upload),
@@ -175,81 +183,92 @@
         }
     }
 
-    /// The request that was to be written is, to its end.
+    /// Whether the request is completely written.
     fn has_sent_all(&self) -> bool {
         self.backlog_bytes() == 0 && !self.is_uploading
     }
 
-    /// Bytes that were not written yet.
+    /// Bytes of output that are not written yet.
     fn backlog_bytes(&self) -> usize {
         self.output.len() - self.written_bytes
     }
 }
 
-/// How far reading went.
+/// Why reading into the input buffer stopped.
 enum FillResult {
-    /// Nothing more is there for now.
+    /// All available input was read.
     WouldBlock,
-    /// More may be there, and is not to be taken in now.
+    /// The buffer limit is reached; more input may be available.
     LimitReached,
-    /// The other side sends no more.
+    /// The other side has closed its sending direction.
     Eof,
-    /// The connection broke.
+    /// The connection failed.
     Failed,
 }
 
-/// What falls due.
+/// Scheduled work.
 #[derive(Debug)]
 enum Timer {
     ConnectTimeout(ConnectionKey),
+    /// The deadline of an attempt or a health check.
     UpstreamDeadline(ConnectionKey, UpstreamPurpose),
-    /// An answer to the errand has begun, and more of it is to have come by now.
+    /// Checks that more of a response that has begun has arrived.
     ResponseIdle(ConnectionKey, UpstreamPurpose),
-    /// More of an answer that is being relayed is to have come by now.
+    /// Checks that more of a streamed response has arrived.
     RelayIdle(ConnectionKey),
+    /// The deadline of a client's connection.
     Client(ConnectionKey),
+    /// The time-out of a call on this counter connection.
     CounterTimeout(usize),
     ExpireIdleUpstreams,
     RaftTick,
+    /// Resumes accepting after a pause.
     RetryAccept,
     WatchRetry,
+    /// Checks that the discovery watch has received input after the given time.
     WatchIdle(ConnectionKey, Micros),
+    /// The end of the notice period of a drain or of the shutdown.
     NoticeExpired,
     ShutdownTimeout,
     OperatorIdle,
     PollOperationsFile,
 }
 
-/// An authorisation whose final answer is owed.
+/// A request whose final response is owed.
 struct PendingRequest {
+    /// The client's connection.
     connection: ConnectionKey,
+    /// The request as it is sent to a server.
     forward: UpstreamRequest,
     kind: RequestKind,
 }
 
-/// What the answer to an authorisation is for.
+/// The kind of a request, which decides how its final response is handled.
 enum RequestKind {
     /// A request in the platform's protocol.
     Platform,
-    /// The same work asked for with a bearer token, whose it is being known.
+    /// A request at the introspection front end whose bearer token was resolved to a customer.
     Bearer,
-    /// Finding out whose a bearer token is; then the request goes on.
+    /// The look-up of a bearer token; with its result the held request is submitted.
     TokenLookup(Box<introspection::BearerRequest>),
-    /// A caller's question about a token.
+    /// A caller's introspection request for this token.
     Introspection(crate::frontend::introspection::Token),
 }
 
+/// The watch on discovery's list of servers.
 #[derive(Default)]
 struct DiscoveryWatch {
     connection: Option<ConnectionKey>,
-    /// Where the answer stands, once its head has been read.
+    /// Reads the body of the response; set once its head is complete.
     body: Option<framing::BodyReader>,
+    /// Received bytes of the next line.
     partial_line: Vec<u8>,
     last_received_at: Micros,
+    /// The delay before the watch is opened again after a loss.
     retry_delay: Micros,
 }
 
-/// All that runs on the loop.
+/// The state of the limiter's event loop.
 pub struct Host {
     loop_handle: LoopHandle<'static, Host>,
     clock: Clock,
@@ -261,16 +280,19 @@
     connections: SlotMap<ConnectionKey, Connection>,
     client_count: usize,
     deadlines: Deadlines<Timer>,
+    /// Connections with new output to be written in this turn.
     unflushed: Vec<ConnectionKey>,
-    /// Clients' connections to be looked at again: what has come on them had to wait.
+    /// Connections to be read again in this turn: their input had to wait.
     reread: Vec<ConnectionKey>,
-    /// Bytes of clients' requests that are coming in or not answered yet, on all connections together.
+    /// Bytes buffered of all clients' requests that are arriving or not answered yet.
     buffered_bytes: usize,
-    /// Ids of the requests whose final answers are owed.
+    /// Ids of the requests whose final responses are owed.
     open_request_ids: BTreeSet<String>,
-    /// When it was last logged that there is no room.
+    /// When it was last logged that accepting is paused.
     accept_pause_logged_at: Micros,
+    /// The buffer of each read of a socket.
     read_buffer: Vec<u8>,
+    /// The engines' actions; empty between uses, kept for its allocation.
     actions: Vec<EngineAction>,
     listeners: Vec<(ListenerKind, Rc<TcpListener>, RegistrationToken)>,
     is_accepting: bool,
@@ -280,6 +302,7 @@
     cluster: Option<ClusterNode>,
     routing_table: RoutingTable,
     discovery_address: SocketAddr,
+    /// The address in the configuration file, which the environment may override.
     discovery_address_in_file: Option<SocketAddr>,
     watch: DiscoveryWatch,
     counter_address: Option<SocketAddr>,
@@ -287,12 +310,14 @@
     peer_socket: Option<UdpSocket>,
     peers: Peers,
     plan_count: usize,
+    /// Health checks request load reports.
     fetch_load_reports: bool,
-    /// As at the start: a reload changes neither.
+    /// This and the settings are those of the start: a reload does not change them.
     listen_address: SocketAddr,
     settings: Settings,
 }
 
+/// Starts to connect; the connection is established later.
 fn nonblocking_connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -308,10 +333,10 @@
     Ok(socket.into())
 }
 
-/// Linux's number for a connect that goes on in the background; the standard library has no stable name for it.
+/// Linux's error number for a connect that continues in the background. The standard library has no stable name for it.
 const EINPROGRESS: i32 = 115;
 
-/// Whether an idle connection is still whole: nothing has come on it, no end either.
+/// Whether an idle connection is still usable: there is no input, and the other side has not closed it.
 fn has_no_input(stream: &TcpStream) -> bool {
     matches!(stream.peek(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
@@ -321,13 +346,13 @@
     let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    // Guards against connections that come by hundreds: one too many for the queue tries again a second later.
+    // Hundreds of connections may arrive at once. One that finds the queue full is retried only after a second.
     socket.listen(limits.listen_backlog)?;
     Ok(socket.into())
 }
 
-/// `shared`: another process of this limiter may hold the address as well. Both have to ask for that, and the one that
-/// bound last hears what comes.
+/// Opens the socket for other limiters' notices. `shared`: another process of this limiter may have bound the address
+/// as well. Both have to allow that, and the one that bound last receives the datagrams.
 fn bind_peer_socket(address: SocketAddr, shared: bool) -> io::Result<UdpSocket> {
     let kind = Type::DGRAM.nonblocking().cloexec();
     let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::UDP))?;
@@ -336,56 +361,60 @@
     Ok(socket.into())
 }
 
+/// Registers a listener with the event loop; `accept` is called when connections are waiting.
 fn register_listener(
-    handle: &LoopHandle<'static, Host>,
+    loop_handle: &LoopHandle<'static, Host>,
     listener: TcpListener,
     accept: fn(&mut Host),
 ) -> io::Result<(Rc<TcpListener>, RegistrationToken)> {
     let listener = Rc::new(listener);
     let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
-    let ready = move |_: Readiness, _: &mut _, host: &mut Host| {
+    let on_ready = move |_: Readiness, _: &mut _, host: &mut Host| {
         accept(host);
         Ok(PostAction::Continue)
     };
-    let token = handle.insert_source(source, ready).map_err(|e| e.error)?;
-    Ok((listener, token))
+    let registration = loop_handle
+        .insert_source(source, on_ready)
+        .map_err(|e| e.error)?;
+    Ok((listener, registration))
 }
 
 impl Host {
-    /// Opens the sockets and starts from the list as last held.
+    /// Opens the sockets. Until discovery answers, the list of servers is the one cached in the configuration.
     ///
     /// # Errors
     /// An address can't be used, or a file can't be read or written.
     pub fn open(
         config: Config,
-        handle: LoopHandle<'static, Host>,
+        loop_handle: LoopHandle<'static, Host>,
         clock: Clock,
     ) -> io::Result<Host> {
         let limits = config.limits;
-        let mut table = RoutingTable::new(
+        let mut routing_table = RoutingTable::new(
             config.names.zones.clone(),
             config.names.machine_types.clone(),
         );
         let settings = config.settings;
-        let module = settings.clone();
+        let initial_settings = settings.clone();
         let platform = PlatformFrontend {
             names: config.names,
             classes: settings.classes.clone(),
             limiter_count: settings.gateway_count,
         };
-        let tell = settings.can_notify_gateways;
-        let known = table
+        let can_notify_peers = settings.can_notify_gateways;
+        let cached_servers = routing_table
             .load_cached(&config.cached_servers)
             .unwrap_or_else(|error| {
-                tracing::warn!(limiter = %config.name, "known list not taken: {error}");
+                tracing::warn!(limiter = %config.name, "cached server list rejected: {error}");
                 TableUpdate::new(ListKind::Cached)
             });
-        let plans = settings.plans.len();
-        let counter = config.counter.filter(|_| settings.counter_available);
+        let plan_count = settings.plans.len();
+        let counter_address = config.counter.filter(|_| settings.counter_available);
         let mut listeners = Vec::new();
-        let mut open_door = |door: ListenerKind, listener: TcpListener| {
-            let (listener, token) = register_listener(&handle, listener, Host::accept_clients)?;
-            listeners.push((door, listener, token));
+        let mut add_listener = |kind: ListenerKind, listener: TcpListener| {
+            let (listener, registration) =
+                register_listener(&loop_handle, listener, Host::accept_clients)?;
+            listeners.push((kind, listener, registration));
             io::Result::Ok(())
         };
         let platform_listener = match config.inherited_listener {
@@ -394,48 +423,50 @@
             }
             None => bind_listener(config.listen, &limits)?,
         };
-        open_door(ListenerKind::Platform, platform_listener)?;
+        add_listener(ListenerKind::Platform, platform_listener)?;
         let mut services = vec![Service::new(Engine::new(
             settings,
             config.seed,
             limits.max_authorisations,
         ))];
-        let mut tokens = None;
-        if let Some(front) = config.introspection {
-            open_door(
+        let mut introspection = None;
+        if let Some(introspection_config) = config.introspection {
+            add_listener(
                 ListenerKind::Introspection,
-                bind_listener(front.listen, &limits)?,
+                bind_listener(introspection_config.listen, &limits)?,
             )?;
             services.push(Service::new(Engine::new(
-                front.settings.clone(),
+                introspection_config.settings.clone(),
                 !config.seed,
                 limits.max_authorisations,
             )));
-            tokens = Some(IntrospectionFrontend::new(front, plans));
+            introspection = Some(IntrospectionFrontend::new(introspection_config, plan_count));
         }
-        let mut agreement = None;
+        let mut cluster_node = None;
         if let Some(cluster) = &config.raft {
-            open_door(
+            add_listener(
                 ListenerKind::Cluster,
                 bind_listener(cluster.listen, &limits)?,
             )?;
-            agreement = Some(ClusterNode::open(cluster)?);
+            cluster_node = Some(ClusterNode::open(cluster)?);
         }
-        let datagrams = match config.peer_listen.filter(|_| tell) {
+        let peer_socket = match config.peer_listen.filter(|_| can_notify_peers) {
             Some(address) => {
                 let socket = bind_peer_socket(address, config.inherited_listener.is_some())?;
                 let source = Generic::new(socket.try_clone()?, Interest::READ, Mode::Level);
-                let read = |_: Readiness, _: &mut _, host: &mut Host| {
+                let on_ready = |_: Readiness, _: &mut _, host: &mut Host| {
                     host.read_peer_datagrams();
                     Ok(PostAction::Continue)
                 };
-                handle.insert_source(source, read).map_err(|e| e.error)?;
+                loop_handle
+                    .insert_source(source, on_ready)
+                    .map_err(|e| e.error)?;
                 Some(socket)
             }
             None => None,
         };
         let mut host = Host {
-            loop_handle: handle,
+            loop_handle,
             clock,
             name: config.name,
             lifecycle: Lifecycle::new(config.inherited_listener.is_some()),
@@ -455,30 +486,30 @@
             is_accepting: true,
             platform,
             services,
-            introspection: tokens,
-            cluster: agreement,
-            routing_table: table,
+            introspection,
+            cluster: cluster_node,
+            routing_table,
             discovery_address: config.discovery,
             discovery_address_in_file: config.file_discovery,
             watch: DiscoveryWatch {
                 retry_delay: limits.watch_retry_delay,
                 ..DiscoveryWatch::default()
             },
-            counter_address: counter,
+            counter_address,
             counter_connections: (0..limits.counter_connections)
                 .map(|_| CounterConnection::default())
                 .collect(),
-            peer_socket: datagrams,
+            peer_socket,
             peers: Peers::new(config.peers),
-            plan_count: plans,
+            plan_count,
             fetch_load_reports: config.probes_report_load,
             listen_address: config.listen,
-            settings: module,
+            settings: initial_settings,
             limits,
         };
-        host.apply_table_update(known);
-        if let Some(folder) = &config.handover_folder {
-            host.open_operations_file(folder);
+        host.apply_table_update(cached_servers);
+        if let Some(directory) = &config.handover_folder {
+            host.open_operations_file(directory);
         }
         if let Some(address) = config.ops_listen {
             host.listen_to_operators(address)?;
@@ -488,8 +519,8 @@
             host.deadlines.schedule(host.now(), Timer::RaftTick);
         }
         host.open_discovery_watch();
-        for line in 0..host.counter_connections.len() {
-            host.connect_counter(line);
+        for index in 0..host.counter_connections.len() {
+            host.connect_counter(index);
         }
         host.deadlines.schedule(
             host.now() + host.limits.upstream_idle_timeout / 4,
@@ -499,28 +530,29 @@
         Ok(host)
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Where the fronts listen: the platform's, and introspection's if it is on.
+    /// The addresses on which clients are accepted: the platform front end's, and the introspection front end's if it
+    /// is enabled.
     ///
     /// # Errors
-    /// The system does not tell an address.
+    /// The address of a socket can't be read, or the platform's listener is closed.
     pub fn addresses(&self) -> io::Result<(SocketAddr, Option<SocketAddr>)> {
-        let of = |door| {
+        let address = |kind| {
             self.listeners
                 .iter()
-                .find(|(d, _, _)| *d == door)
+                .find(|(k, _, _)| *k == kind)
                 .map(|(_, l, _)| l.local_addr())
         };
-        let platform = of(ListenerKind::Platform)
+        let platform = address(ListenerKind::Platform)
             .unwrap_or_else(|| Err(io::ErrorKind::NotConnected.into()))?;
-        Ok((platform, of(ListenerKind::Introspection).transpose()?))
+        Ok((platform, address(ListenerKind::Introspection).transpose()?))
     }
 
-    /// When something is due next.
+    /// When the next turn is due without any event.
     pub fn next_wakeup(&self) -> Option<Micros> {
         if !self.reread.is_empty() {
             return Some(Micros::MIN);
@@ -532,7 +564,7 @@
         self.deadlines.earliest().into_iter().chain(engines).min()
     }
 
-    /// All is done that was to be done.
+    /// Whether the shutdown is finished.
     pub fn is_finished(&self) -> bool {
         self.lifecycle.is_finished()
     }
@@ -541,51 +573,51 @@
         tracing::info!(limiter = %self.name, "{text}");
     }
 
-    /// Logs what those on call may have to act on.
+    /// Logs what may need an operator's attention.
     fn warn(&self, text: &str) {
         tracing::warn!(limiter = %self.name, "{text}");
     }
 
-    /// What is due, what the module decides, what is to be written.
+    /// One turn after the input was read: handles due timers, runs the engines, and writes all output.
     pub fn run_turn(&mut self) {
         let now = self.now();
-        while let Some(due) = self.deadlines.pop_due(now) {
-            self.handle_timer(now, due);
+        while let Some(timer) = self.deadlines.pop_due(now) {
+            self.handle_timer(now, timer);
         }
         for service in 0..self.services.len() {
-            let mut orders = std::mem::take(&mut self.actions);
-            self.services[service].engine.run(now, &mut orders);
-            for order in orders.drain(..) {
-                self.execute_action(now, service, order);
+            let mut actions = std::mem::take(&mut self.actions);
+            self.services[service].engine.run(now, &mut actions);
+            for action in actions.drain(..) {
+                self.execute_action(now, service, action);
             }
-            self.actions = orders;
+            self.actions = actions;
         }
-        for line in 0..self.counter_connections.len() {
-            self.write_counter_calls(now, line);
+        for index in 0..self.counter_connections.len() {
+            self.write_counter_calls(now, index);
         }
-        // One request of each: a client that sends many at once waits for the others.
+        // One request of each connection per turn: a client that pipelines many does not delay the others.
         for key in std::mem::take(&mut self.reread) {
             self.read_connection(key);
         }
         for key in std::mem::take(&mut self.unflushed) {
             self.flush(key);
         }
-        let left =
+        let is_finishing =
             self.lifecycle.is_shutting_down() && !self.lifecycle.is_accepting(now, &self.limits);
-        if left && self.client_count == 0 && !self.lifecycle.is_finished() {
-            self.log("all answered, ending");
+        if is_finishing && self.client_count == 0 && !self.lifecycle.is_finished() {
+            self.log("all client connections closed, exiting");
             self.lifecycle.finish_shutdown();
         }
     }
 
-    fn handle_timer(&mut self, now: Micros, due: Timer) {
-        match due {
+    fn handle_timer(&mut self, now: Micros, timer: Timer) {
+        match timer {
             Timer::ConnectTimeout(key) => {
                 if self.connections.get(key).is_some_and(|c| !c.is_established) {
                     self.handle_broken_connection(key);
                 }
             }
-            Timer::UpstreamDeadline(key, errand) => {
+            Timer::UpstreamDeadline(key, purpose) => {
                 let role = self.connections.get(key).map(|c| c.role);
                 let Some(Role::Upstream {
                     service,
@@ -595,18 +627,18 @@
                 else {
                     return;
                 };
-                if state.purpose() == Some(errand) {
+                if state.purpose() == Some(purpose) {
                     self.end_upstream_request(
                         service,
                         server,
-                        errand,
+                        purpose,
                         state.outcome_if_timed_out(),
                         None,
                     );
                     self.close(key);
                 }
             }
-            Timer::ResponseIdle(key, errand) => {
+            Timer::ResponseIdle(key, purpose) => {
                 let Some(connection) = self.connections.get(key) else {
                     return;
                 };
@@ -618,27 +650,27 @@
                 else {
                     return;
                 };
-                let until = connection.last_received_at + self.limits.response_idle_timeout;
-                if state.purpose() == Some(errand) && until > now {
+                let deadline = connection.last_received_at + self.limits.response_idle_timeout;
+                if state.purpose() == Some(purpose) && deadline > now {
                     self.deadlines
-                        .schedule(until, Timer::ResponseIdle(key, errand));
-                } else if state.purpose() == Some(errand) {
-                    // Guards against an answer that is spoilt where its connection stays open: the request has run,
-                    // and what is missing of it will not come.
-                    self.end_upstream_request(service, server, errand, Outcome::Error, None);
+                        .schedule(deadline, Timer::ResponseIdle(key, purpose));
+                } else if state.purpose() == Some(purpose) {
+                    // The response is truncated although its connection stays open: the request has run, and the rest
+                    // will not arrive.
+                    self.end_upstream_request(service, server, purpose, Outcome::Error, None);
                     self.close(key);
                 }
             }
             Timer::RelayIdle(key) => self.handle_relay_idle(now, key),
             Timer::Client(key) => self.handle_client_deadline(now, key),
-            Timer::CounterTimeout(line) => self.expire_counter_calls(now, line),
+            Timer::CounterTimeout(index) => self.expire_counter_calls(now, index),
             Timer::ExpireIdleUpstreams => {
-                let before = now - self.limits.upstream_idle_timeout;
-                let old = self
+                let idle_since = now - self.limits.upstream_idle_timeout;
+                let expired = self
                     .services
                     .iter_mut()
-                    .flat_map(|service| service.pool.take_expired(before));
-                for key in old.collect::<Vec<_>>() {
+                    .flat_map(|service| service.pool.take_expired(idle_since));
+                for key in expired.collect::<Vec<_>>() {
                     self.close(key);
                 }
                 self.deadlines.schedule(
@@ -648,19 +680,19 @@
             }
             Timer::RaftTick => self.raft_tick(now),
             Timer::RetryAccept => self.resume_accepting(),
-            // A reload may have opened one meanwhile.
+            // A reload may have opened a new watch meanwhile.
             Timer::WatchRetry if self.watch.connection.is_some() => {}
             Timer::WatchRetry => self.open_discovery_watch(),
-            Timer::WatchIdle(key, heard) => {
+            Timer::WatchIdle(key, last_received_at) => {
                 if self.watch.connection != Some(key) {
-                } else if self.watch.last_received_at <= heard {
-                    self.warn("discovery silent: watch opened anew");
+                } else if self.watch.last_received_at <= last_received_at {
+                    self.warn("discovery watch timed out: reconnecting");
                     self.handle_broken_connection(key);
                 } else {
-                    let heard = self.watch.last_received_at;
+                    let last_received_at = self.watch.last_received_at;
                     self.deadlines.schedule(
-                        heard + self.limits.watch_idle_timeout,
-                        Timer::WatchIdle(key, heard),
+                        last_received_at + self.limits.watch_idle_timeout,
+                        Timer::WatchIdle(key, last_received_at),
                     );
                 }
             }
@@ -671,44 +703,41 @@
         }
     }
 
-    fn execute_action(&mut self, now: Micros, service: usize, order: EngineAction) {
-        match order {
+    /// Executes an action of a service's engine.
+    fn execute_action(&mut self, now: Micros, service: usize, action: EngineAction) {
+        match action {
             EngineAction::StartAttempt {
                 key,
-                attempt: leg,
+                attempt,
                 server,
                 deadline,
-            } => self.start_attempt(now, (service, key), leg, server, deadline),
+            } => self.start_attempt(now, (service, key), attempt, server, deadline),
             EngineAction::CancelAttempt { key, .. } => {
                 self.detach_upload(service, key);
                 if let Some(connection) = self.services[service].attempt_connections.remove(key) {
                     self.close(connection);
                 }
             }
-            EngineAction::Reject {
-                key,
-                rejection: ending,
-            } => self.handle_engine_rejection((service, key), ending),
-            EngineAction::AddToCounter {
-                name,
-                amount: add,
-                ttl: life,
-            } => {
-                let line = (name.0 % self.counter_connections.len().max(1) as u64) as usize;
+            EngineAction::Reject { key, rejection } => {
+                self.handle_engine_rejection((service, key), rejection)
+            }
+            EngineAction::AddToCounter { name, amount, ttl } => {
+                let index = (name.0 % self.counter_connections.len().max(1) as u64) as usize;
                 let deadline = now + self.limits.counter_timeout;
-                let (known, limits) = (&self.counter_connections[line], &self.limits);
-                let of_no_use = known.is_idle_since(now - limits.counter_idle_timeout)
-                    || known.is_silent_since(now - limits.counter_stale_timeout);
-                if let Some(old) = known.connection.filter(|_| of_no_use) {
-                    // Guards against a call that crosses the counter's close of an idle connection, or that waits
-                    // behind calls which a counter that died will never answer.
+                let (counter_connection, limits) = (&self.counter_connections[index], &self.limits);
+                let is_unusable = counter_connection
+                    .is_idle_since(now - limits.counter_idle_timeout)
+                    || counter_connection.is_silent_since(now - limits.counter_stale_timeout);
+                if let Some(old) = counter_connection.connection.filter(|_| is_unusable) {
+                    // On an idle connection the call could cross the counter's close; on a stale one it would wait
+                    // behind calls that a dead counter never answers.
                     self.handle_broken_connection(old);
                 }
-                self.counter_connections[line].enqueue(service, name, add, life, deadline);
+                self.counter_connections[index].enqueue(service, name, amount, ttl, deadline);
                 self.deadlines
-                    .schedule(deadline, Timer::CounterTimeout(line));
-                if self.counter_connections[line].connection.is_none() {
-                    self.connect_counter(line);
+                    .schedule(deadline, Timer::CounterTimeout(index));
+                if self.counter_connections[index].connection.is_none() {
+                    self.connect_counter(index);
                 }
             }
             EngineAction::Probe(server) => self.start_upstream_request(
@@ -719,23 +748,24 @@
                 now + self.limits.probe_timeout,
             ),
             EngineAction::Notify(number, notice) => {
-                let to = self.peers.address(number);
-                if let (Some(to), Some(socket), Some(bytes)) =
-                    (to, &self.peer_socket, peers::encode_notice(&notice))
+                let address = self.peers.address(number);
+                if let (Some(address), Some(socket), Some(bytes)) =
+                    (address, &self.peer_socket, peers::encode_notice(&notice))
                 {
-                    // A datagram that cannot be sent is lost, as any may be.
-                    let _ = socket.send_to(&bytes, to);
+                    // A failure is ignored: datagrams may be lost anyway.
+                    let _ = socket.send_to(&bytes, address);
                 }
             }
             EngineAction::Log(text) => self.log(&text),
         }
     }
 
+    /// Adds a connection and registers it with the event loop.
     fn register_connection(
         &mut self,
         stream: TcpStream,
         role: Role,
-        up: bool,
+        is_established: bool,
     ) -> io::Result<ConnectionKey> {
         let now = self.now();
         let stream = Rc::new(stream);
@@ -744,7 +774,7 @@
             stream,
             registration: None,
             role,
-            is_established: up,
+            is_established,
             input: Vec::new(),
             output: Vec::new(),
             written_bytes: 0,
@@ -760,13 +790,13 @@
             close_after_response: false,
             close_when_written: false,
         });
-        let ready = move |_: Readiness, _: &mut _, host: &mut Host| {
+        let on_ready = move |_: Readiness, _: &mut _, host: &mut Host| {
             host.handle_ready(key);
             Ok(PostAction::Continue)
         };
-        match self.loop_handle.insert_source(source, ready) {
-            Ok(token) => {
-                self.connections[key].registration = Some(token);
+        match self.loop_handle.insert_source(source, on_ready) {
+            Ok(registration) => {
+                self.connections[key].registration = Some(registration);
                 Ok(key)
             }
             Err(error) => {
@@ -776,7 +806,7 @@
         }
     }
 
-    /// Opens a connection; it must come up within the limit for that.
+    /// Opens a connection, which must be established within the connect time-out.
     fn connect(&mut self, address: SocketAddr, role: Role) -> io::Result<ConnectionKey> {
         let key = self.register_connection(nonblocking_connect(address)?, role, false)?;
         self.deadlines.schedule(
@@ -786,18 +816,18 @@
         Ok(key)
     }
 
-    /// Takes a connection out of all tables.
+    /// Closes a connection and removes it from all tables.
     fn close(&mut self, key: ConnectionKey) -> Option<Connection> {
         let connection = self.connections.remove(key)?;
-        if let Some(token) = connection.registration {
-            self.loop_handle.remove(token);
+        if let Some(registration) = connection.registration {
+            self.loop_handle.remove(registration);
         }
         match connection.role {
             Role::Client { .. } => {
                 self.client_count -= 1;
                 self.buffered_bytes -= connection.buffered_bytes();
                 self.resume_accepting();
-                // What a server still sends is for nobody.
+                // The rest of a streamed response has no receiver any more.
                 connection
                     .streaming_from
                     .into_iter()
@@ -812,7 +842,7 @@
         Some(connection)
     }
 
-    /// The other side closed or broke a connection, or it never came up.
+    /// A connection was closed by the other side, failed, or was never established.
     fn handle_broken_connection(&mut self, key: ConnectionKey) {
         let now = self.now();
         let Some(connection) = self.close(key) else {
@@ -820,71 +850,76 @@
         };
         match connection.role {
             Role::Client {
-                waits: Some(ticket),
+                authorisation: Some(authorisation),
+                ..
+            } => self.abandon_authorisation(now, authorisation),
+            Role::Client {
+                authorisation: None,
                 ..
-            } => self.abandon_authorisation(now, ticket),
-            Role::Client { waits: None, .. } => {}
+            } => {}
             Role::Upstream {
                 service,
                 server,
                 state,
             } => {
-                if let ReadState::Relay(_, to) = connection.read_state {
-                    // Cut off here too, so that the client can tell.
-                    self.close(to);
+                if let ReadState::Relay(_, client_key) = connection.read_state {
+                    // The client's connection is closed as well, so that it notices the truncation.
+                    self.close(client_key);
                 }
-                if let Some(errand) = state.purpose() {
-                    // Only an introspection server's answer may end with its connection: it is judged by its text.
-                    let ended = (service == INTROSPECTION_SERVICE)
+                if let Some(purpose) = state.purpose() {
+                    // Here only an introspection server's response may end with its connection: a truncated one is
+                    // rejected by its content.
+                    let parsed = (service == INTROSPECTION_SERVICE)
                         .then(|| framing::parse_response(&connection.input, true, &self.limits));
-                    let answer = ended
+                    let response = parsed
                         .and_then(Result::ok)
                         .flatten()
-                        .map(|(answer, _)| answer);
+                        .map(|(response, _)| response);
                     self.end_upstream_request(
                         service,
                         server,
-                        errand,
+                        purpose,
                         state.outcome_if_broken(),
-                        answer,
+                        response,
                     );
                 }
             }
-            Role::Counter(line) => {
-                let mut counted = Vec::new();
-                self.counter_connections[line].handle_disconnect(&mut counted);
-                self.deliver_counter_results(counted);
+            Role::Counter(index) => {
+                let mut results = Vec::new();
+                self.counter_connections[index].handle_disconnect(&mut results);
+                self.deliver_counter_results(results);
             }
             Role::DiscoveryWatch => self.schedule_watch_retry(),
-            Role::ClusterPeer(at) => self.handle_peer_lost(at),
+            Role::ClusterPeer(index) => self.handle_peer_lost(index),
             Role::Operator => {}
         }
     }
 
-    /// Nobody waits for an authorisation any more.
-    fn abandon_authorisation(&mut self, now: Micros, ticket: AuthorisationRef) {
-        self.take_pending(ticket);
-        let mut orders = std::mem::take(&mut self.actions);
-        self.services[ticket.0]
+    /// No client waits for an authorisation any more: drops its pending request, and tells the engine.
+    fn abandon_authorisation(&mut self, now: Micros, authorisation: AuthorisationRef) {
+        self.take_pending(authorisation);
+        let mut actions = std::mem::take(&mut self.actions);
+        self.services[authorisation.0]
             .engine
-            .handle_client_disconnected(now, ticket.1, &mut orders);
-        for order in orders.drain(..) {
-            self.execute_action(now, ticket.0, order);
+            .handle_client_disconnected(now, authorisation.1, &mut actions);
+        for action in actions.drain(..) {
+            self.execute_action(now, authorisation.0, action);
         }
-        self.actions = orders;
+        self.actions = actions;
     }
 
-    /// The request of a connection that stays is over without the engine's answer.
+    /// Abandons the request of a client whose connection stays open; its response will not come from the engine.
     fn abandon_client_request(&mut self, key: ConnectionKey) {
         let now = self.now();
         if let Some(connection) = self.connections.get_mut(key)
-            && let Role::Client { waits, .. } = &mut connection.role
-            && let Some(ticket) = waits.take()
+            && let Role::Client { authorisation, .. } = &mut connection.role
+            && let Some(authorisation) = authorisation.take()
         {
-            self.abandon_authorisation(now, ticket);
+            self.abandon_authorisation(now, authorisation);
         }
     }
 
+    /// A connection is readable or writable, or was established.
     fn handle_ready(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -909,13 +944,14 @@
         self.read_connection(key);
     }
 
+    /// A connection that was opened here is established: queues its first output.
     fn handle_established(&mut self, key: ConnectionKey) {
         let now = self.now();
         match self.connections.get(key).map(|c| c.role) {
             Some(Role::Upstream { .. }) => self.send_upstream_request(now, key),
-            Some(Role::Counter(line)) => {
-                self.counter_connections[line].handle_connected(now);
-                self.write_counter_calls(now, line);
+            Some(Role::Counter(index)) => {
+                self.counter_connections[index].handle_connected(now);
+                self.write_counter_calls(now, index);
             }
             Some(Role::DiscoveryWatch) => {
                 let request = format!(
@@ -933,26 +969,26 @@
         }
     }
 
-    /// How many bytes may be taken in now on a connection.
+    /// How many bytes may be read from a connection now.
     fn read_capacity(&self, connection: &Connection) -> usize {
         let limits = &self.limits;
-        let most = match (connection.role, connection.client.stage) {
+        let max_input_bytes = match (connection.role, connection.client.stage) {
             (Role::Client { .. }, Stage::Idle | Stage::Receiving) => {
                 limits.max_head_bytes + 2 * limits.max_buffered_body_bytes
             }
-            // Guards the memory against a client that sends on and on while its request is out. A little is read,
-            // so that its leaving is seen.
             (Role::Client { .. }, Stage::Processing) if connection.active_upload().is_some() => {
-                // Guards it against a client that is faster than the server which gets its body.
-                let leg = connection
+                // Bounds memory when a client sends its body faster than the server reads it.
+                let attempt = connection
                     .active_upload()
                     .and_then(Upload::attempt)
-                    .and_then(|leg| self.connections.get(leg));
-                let held = leg.map_or(connection.buffered_bytes(), |leg| {
-                    leg.backlog_bytes() + connection.input.len()
+                    .and_then(|attempt| self.connections.get(attempt));
+                let buffered_bytes = attempt.map_or(connection.buffered_bytes(), |attempt| {
+                    attempt.backlog_bytes() + connection.input.len()
                 });
-                return limits.relay_window_bytes.saturating_sub(held);
+                return limits.relay_window_bytes.saturating_sub(buffered_bytes);
             }
+            // Bounds memory when a client keeps sending while its request is in progress. A little is read, so that a
+            // disconnect is noticed.
             (Role::Client { .. }, Stage::Processing | Stage::Responding) => {
                 limits.max_pipelined_bytes
             }
@@ -962,56 +998,57 @@
                     .saturating_sub(connection.discarded_bytes);
             }
             (Role::Upstream { .. }, _) => {
-                // Guards the memory against a client that is slower than the server whose answer it gets.
-                let most = match &connection.read_state {
-                    ReadState::Relay(_, to) => {
-                        let held = self
+                // Bounds memory when a client reads its streamed response more slowly than the server sends it.
+                let max_input_bytes = match &connection.read_state {
+                    ReadState::Relay(_, client_key) => {
+                        let backlog_bytes = self
                             .connections
-                            .get(*to)
+                            .get(*client_key)
                             .map_or(0, Connection::backlog_bytes);
-                        limits.relay_window_bytes.saturating_sub(held)
+                        limits.relay_window_bytes.saturating_sub(backlog_bytes)
                     }
                     _ => limits.max_head_bytes + 2 * limits.max_buffered_body_bytes,
                 };
-                return most.saturating_sub(connection.input.len());
+                return max_input_bytes.saturating_sub(connection.input.len());
             }
             (Role::Operator, _) => {
                 return (limits.max_operator_line_bytes + 2).saturating_sub(connection.input.len());
             }
-            // Guards the memory against a peer that only ever sends.
+            // Bounds memory when a peer sends without end.
             _ => {
-                let most = limits.max_head_bytes
+                let max_input_bytes = limits.max_head_bytes
                     + limits.max_buffered_body_bytes
                     + limits.max_watch_line_bytes;
-                return most.saturating_sub(connection.input.len());
+                return max_input_bytes.saturating_sub(connection.input.len());
             }
         };
-        // A usual request has room also where large ones have taken all that may be held.
-        let shared = limits
+        // Each connection may buffer a request of usual size even when large ones have used up the shared limit.
+        let shared_capacity = limits
             .max_pending_request_bytes
             .saturating_sub(self.buffered_bytes);
-        let own = limits
+        let reserved_capacity = limits
             .max_pipelined_bytes
             .saturating_sub(connection.input.len());
-        most.saturating_sub(connection.input.len())
-            .min(shared.max(own))
+        max_input_bytes
+            .saturating_sub(connection.input.len())
+            .min(shared_capacity.max(reserved_capacity))
     }
 
-    /// Takes in all there is and may be taken in.
+    /// Reads all available input into the buffer, up to its limit.
     fn fill_input(&mut self, key: ConnectionKey) -> Option<FillResult> {
         let now = self.now();
         loop {
-            let room = self.connections.get(key).map(|c| self.read_capacity(c))?;
+            let capacity = self.connections.get(key).map(|c| self.read_capacity(c))?;
             let connection = self.connections.get_mut(key)?;
-            let acquirer = matches!(connection.role, Role::Client { .. });
-            connection.has_unread = room == 0;
-            if room == 0 {
+            let is_client = matches!(connection.role, Role::Client { .. });
+            connection.has_unread = capacity == 0;
+            if capacity == 0 {
                 return Some(FillResult::LimitReached);
             }
-            let size = room.min(self.read_buffer.len());
+            let size = capacity.min(self.read_buffer.len());
             match (&*connection.stream).read(&mut self.read_buffer[..size]) {
                 Ok(0) => return Some(FillResult::Eof),
-                Ok(length) if acquirer && connection.client.stage == Stage::Lingering => {
+                Ok(length) if is_client && connection.client.stage == Stage::Lingering => {
                     connection.discarded_bytes += length
                 }
                 Ok(length) => {
@@ -1019,7 +1056,7 @@
                     connection
                         .input
                         .extend_from_slice(&self.read_buffer[..length]);
-                    self.buffered_bytes += if acquirer { length } else { 0 };
+                    self.buffered_bytes += if is_client { length } else { 0 };
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     return Some(FillResult::WouldBlock);
@@ -1030,10 +1067,10 @@
         }
     }
 
-    /// Reads what there is, and looks at it; only then at an end.
+    /// Reads the available input and processes it; an end of input is handled after that.
     fn read_connection(&mut self, key: ConnectionKey) {
         for _ in 0..self.limits.max_reads_per_turn.max(1) {
-            let Some(come) = self.fill_input(key) else {
+            let Some(fill_result) = self.fill_input(key) else {
                 return;
             };
             match self
@@ -1041,23 +1078,23 @@
                 .get(key)
                 .map(|c| (c.role, c.input.is_empty()))
             {
-                // Danger: a client that has gone (its end read with its request, as after a pause) is abandoned just
-                // below; handed in, its request would first cost a call of the counter, and a burst of them starves
-                // the other limiters' calls.
-                Some((Role::Client { .. }, false)) if !matches!(come, FillResult::Eof) => {
+                // A request that is read together with the end of its connection, as after a pause of this process, is
+                // not submitted: its client has left, and the connection is closed below. Submitting it would cost a
+                // call to the counter, and a burst of such calls starves those of the other limiters.
+                Some((Role::Client { .. }, false)) if !matches!(fill_result, FillResult::Eof) => {
                     self.read_request(key)
                 }
                 Some((Role::Upstream { .. }, false)) => self.read_upstream_response(key),
-                Some((Role::Counter(line), false)) => self.read_counter_responses(key, line),
+                Some((Role::Counter(index), false)) => self.read_counter_responses(key, index),
                 Some((Role::DiscoveryWatch, false)) => self.read_discovery_watch(key),
                 Some((Role::ClusterPeer(_), false)) => self.read_cluster_responses(key),
                 Some((Role::Operator, false)) => self.read_operator_command(key),
                 _ => {}
             }
-            match come {
+            match fill_result {
                 FillResult::WouldBlock => return,
                 FillResult::Eof => {
-                    // That may be the end of an answer, in order.
+                    // This may be the regular end of a response.
                     self.handle_upstream_eof(key);
                     return self.handle_broken_connection(key);
                 }
@@ -1067,26 +1104,27 @@
             let Some(connection) = self.connections.get(key) else {
                 return;
             };
-            let room = self.read_capacity(connection) > 0;
+            let has_capacity = self.read_capacity(connection) > 0;
             match connection.role {
-                // The rest waits until the request before it is answered.
-                Role::Client { .. } if !room => return,
+                // Further input waits until the request before it is answered.
+                Role::Client { .. } if !has_capacity => return,
                 Role::Client { .. }
                     if connection.client.stage != Stage::Receiving
                         && connection.active_upload().is_none() =>
                 {
                     return;
                 }
-                // The rest waits until the client has taken in what is there.
-                Role::Upstream { .. } if !room => return,
-                _ if !room => return self.handle_broken_connection(key),
+                // Further input waits until the client has read what is buffered for it.
+                Role::Upstream { .. } if !has_capacity => return,
+                _ if !has_capacity => return self.handle_broken_connection(key),
                 _ => {}
             }
         }
-        // Others have their turn first.
+        // The bound on reads lets other connections have their turn first.
         self.reread.push(key);
     }
 
+    /// Appends bytes to a connection's output, to be written at the end of the turn.
     fn queue_output(&mut self, key: ConnectionKey, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.output.extend_from_slice(bytes);
@@ -1094,6 +1132,7 @@
         }
     }
 
+    /// Writes a connection's output, as far as it is accepted.
     fn flush(&mut self, key: ConnectionKey) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key).filter(|c| c.is_established) else {
@@ -1120,12 +1159,12 @@
         if connection.is_uploading {
             return self.resume_upload(key);
         }
-        // Guards the memory on a long day: one large message must not be paid for as long as the connection lasts.
+        // After one large message the buffer would otherwise keep its size for the lifetime of the connection.
         connection.output.shrink_to(4 * 1024);
         if let Role::Upstream { service, state, .. } = &mut connection.role {
-            let before = std::mem::replace(state, state.on_request_written());
+            let previous_state = std::mem::replace(state, state.on_request_written());
             if let (true, Some(UpstreamPurpose::Attempt(authorisation, _))) =
-                (before != *state, state.purpose())
+                (previous_state != *state, state.purpose())
             {
                 self.services[*service]
                     .engine
--- a/crates/limiter/src/net/host/responses.rs
+++ b/crates/limiter/src/net/host/responses.rs
@@ -1,9 +1,10 @@
-//! Long answers on their way from a server's connection to a client's.
+//! Responses of the records servers, and streaming the long ones to their clients.
 
 use super::*;
 
 impl Host {
-    /// A long answer is the final one: it begins, and goes on as it comes.
+    /// Begins to stream a long response to the client. It is the final one: the attempt counts as successful from here,
+    /// and can't be retried.
     pub(super) fn begin_relay(
         &mut self,
         key: ConnectionKey,
@@ -21,8 +22,8 @@
         else {
             return;
         };
-        let (extent, parts) = (incoming.framing, incoming.into_parts());
-        let (Some((head, reader, come)), Some(UpstreamPurpose::Attempt(authorisation, leg))) =
+        let (framing, parts) = (incoming.framing, incoming.into_parts());
+        let (Some((head, reader, body)), Some(UpstreamPurpose::Attempt(authorisation, attempt))) =
             (parts, state.purpose())
         else {
             _ = self.close(key);
@@ -37,99 +38,103 @@
             .headers
             .get("Endpoint-Load-Metrics")
             .and_then(probes::parse_load_report);
-        let known = &mut self.services[service];
-        known.attempt_connections.remove(authorisation);
-        let answers =
-            known
-                .engine
-                .handle_attempt_ended(now, authorisation, leg, Outcome::Ok, report);
-        let pending = answers
+        let service_state = &mut self.services[service];
+        service_state.attempt_connections.remove(authorisation);
+        let is_final = service_state.engine.handle_attempt_ended(
+            now,
+            authorisation,
+            attempt,
+            Outcome::Ok,
+            report,
+        );
+        let pending = is_final
             .then(|| self.take_pending((service, authorisation)))
             .flatten();
-        let Some(to) = pending.map(|pending| pending.connection) else {
+        let Some(client_key) = pending.map(|pending| pending.connection) else {
             _ = self.close(key);
             return;
         };
-        let close = self.closes_after_response(to);
-        self.discard_request(to);
-        let Some(client) = self.connections.get_mut(to) else {
+        let close = self.closes_after_response(client_key);
+        self.discard_request(client_key);
+        let Some(client) = self.connections.get_mut(client_key) else {
             return;
         };
-        let Role::Client { waits, .. } = &mut client.role else {
+        let Role::Client { authorisation, .. } = &mut client.role else {
             return;
         };
-        *waits = None;
+        *authorisation = None;
         client.close_when_written = close;
         client.streaming_from = Some(key);
         client.client.begin_response(now);
-        let kind = head
+        let content_type = head
             .headers
             .get("Content-Type")
-            .map(|kind| ("Content-Type", kind));
+            .map(|value| ("Content-Type", value));
         let relay = Relay::begin(
-            (&head, extent),
+            (&head, framing),
             reader,
-            &come,
-            kind.into_iter(),
+            &body,
+            content_type.into_iter(),
             close,
             &mut client.output,
         );
-        self.schedule_client_deadline(to);
+        self.schedule_client_deadline(client_key);
         if let Some(connection) = self.connections.get_mut(key) {
-            connection.read_state = ReadState::Relay(relay, to);
+            connection.read_state = ReadState::Relay(relay, client_key);
         }
         self.deadlines
             .schedule(now + self.limits.relay_idle_timeout, Timer::RelayIdle(key));
-        self.forward_relay(key, to);
+        self.forward_relay(key, client_key);
     }
 
-    /// More has come of an answer that is being relayed.
-    pub(super) fn forward_relay(&mut self, key: ConnectionKey, to: ConnectionKey) {
-        let Some([server, client]) = self.connections.get_disjoint_mut([key, to]) else {
+    /// Forwards the received part of a streamed response.
+    pub(super) fn forward_relay(&mut self, key: ConnectionKey, client_key: ConnectionKey) {
+        let Some([server, client]) = self.connections.get_disjoint_mut([key, client_key]) else {
             return;
         };
         let ReadState::Relay(relay, _) = &mut server.read_state else {
             return;
         };
         match relay.forward(&mut server.input, &mut client.output) {
-            Ok(()) => self.flush_relay(key, to),
+            Ok(()) => self.flush_relay(key, client_key),
             Err(_) => self.handle_broken_connection(key),
         }
     }
 
-    /// What has been passed on is written. Where the answer is whole, both connections are free of each other.
-    fn flush_relay(&mut self, key: ConnectionKey, to: ConnectionKey) {
+    /// Writes what was forwarded. Once the response is complete the server's connection is released.
+    fn flush_relay(&mut self, key: ConnectionKey, client_key: ConnectionKey) {
         let now = self.now();
-        let Some([server, client]) = self.connections.get_disjoint_mut([key, to]) else {
+        let Some([server, client]) = self.connections.get_disjoint_mut([key, client_key]) else {
             return;
         };
         if let (
             ReadState::Relay(relay, _),
             Role::Upstream {
                 service,
-                server: id,
+                server: server_id,
                 ..
             },
         ) = (&server.read_state, server.role)
             && relay.is_complete()
         {
-            let clean = relay.is_reusable() && server.input.is_empty() && server.has_sent_all();
+            let is_reusable =
+                relay.is_reusable() && server.input.is_empty() && server.has_sent_all();
             server.read_state = ReadState::Idle;
             server.role = Role::Upstream {
                 service,
-                server: id,
+                server: server_id,
                 state: UpstreamState::Idle,
             };
             client.streaming_from = None;
-            if !(clean && self.services[service].pool.release(id, key, now)) {
+            if !(is_reusable && self.services[service].pool.release(server_id, key, now)) {
                 self.close(key);
             }
         }
-        self.flush(to);
+        self.flush(client_key);
     }
 
-    /// More has come of an answer, and what that makes of it.
-    pub(super) fn read_records_response(&mut self, key: ConnectionKey, errand: UpstreamPurpose) {
+    /// Reads more of a records server's response: handles it when it is complete, or streams it when it is long.
+    pub(super) fn read_records_response(&mut self, key: ConnectionKey, purpose: UpstreamPurpose) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -140,7 +145,7 @@
         else {
             return;
         };
-        let (mut incoming, first) = match std::mem::take(&mut connection.read_state) {
+        let (mut incoming, is_first_read) = match std::mem::take(&mut connection.read_state) {
             ReadState::Response(incoming) => (incoming, false),
             _ => (IncomingMessage::default(), true),
         };
@@ -152,49 +157,49 @@
             )
             .is_err()
         {
-            self.end_upstream_request(service, server, errand, Outcome::Error, None);
+            self.end_upstream_request(service, server, purpose, Outcome::Error, None);
             _ = self.close(key);
             return;
         }
-        let long = incoming.is_body_longer_than(self.limits.max_buffered_body_bytes as u64);
+        let is_long = incoming.is_body_longer_than(self.limits.max_buffered_body_bytes as u64);
         match (
             incoming.is_complete(),
             incoming.head().map(|head| head.status),
         ) {
-            (_, Some(200)) if long && matches!(errand, UpstreamPurpose::Attempt(..)) => {
+            (_, Some(200)) if is_long && matches!(purpose, UpstreamPurpose::Attempt(..)) => {
                 self.begin_relay(key, incoming)
             }
-            (true, _) => self.handle_response(key, errand, incoming),
-            // What else is long says nothing more than its head does.
-            (_, Some(_)) if long => {
-                self.handle_response(key, errand, incoming);
+            (true, _) => self.handle_response(key, purpose, incoming),
+            // Of other long responses only the head matters.
+            (_, Some(_)) if is_long => {
+                self.handle_response(key, purpose, incoming);
                 _ = self.close(key);
             }
             _ => {
                 connection.read_state = ReadState::Response(incoming);
-                // Most answers are there at once: the rest is waited for only where some of it is missing.
-                if first {
+                // Most responses arrive at once; only for an incomplete one a timer is needed.
+                if is_first_read {
                     self.deadlines.schedule(
                         now + self.limits.response_idle_timeout,
-                        Timer::ResponseIdle(key, errand),
+                        Timer::ResponseIdle(key, purpose),
                     );
                 }
             }
         }
     }
 
-    /// An answer is there, as far as it is wanted.
+    /// Handles a response that is complete, or as much of it as is needed.
     fn handle_response(
         &mut self,
         key: ConnectionKey,
-        errand: UpstreamPurpose,
+        purpose: UpstreamPurpose,
         incoming: IncomingMessage<ResponseHead>,
     ) {
-        let whole = incoming.is_complete();
+        let is_complete = incoming.is_complete();
         let Some((head, _, body)) = incoming.into_parts() else {
             return;
         };
-        let answer = Response::new(head, body);
+        let response = Response::new(head, body);
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -204,8 +209,10 @@
         else {
             return;
         };
-        let clean =
-            whole && connection.input.is_empty() && answer.keep_alive && connection.has_sent_all();
+        let is_reusable = is_complete
+            && connection.input.is_empty()
+            && response.keep_alive
+            && connection.has_sent_all();
         connection.input.clear();
         connection.input.shrink_to(4 * 1024);
         connection.role = Role::Upstream {
@@ -213,14 +220,14 @@
             server,
             state: UpstreamState::Idle,
         };
-        self.end_upstream_request(service, server, errand, Outcome::Reset, Some(answer));
+        self.end_upstream_request(service, server, purpose, Outcome::Reset, Some(response));
         let now = self.now();
-        if !(clean && self.services[service].pool.release(server, key, now)) {
+        if !(is_reusable && self.services[service].pool.release(server, key, now)) {
             self.close(key);
         }
     }
 
-    /// A server's connection ended in order, which may be the end of its answer.
+    /// A server closed its connection in order, which may complete its response.
     pub(super) fn handle_upstream_eof(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -229,28 +236,28 @@
             return;
         };
         match (std::mem::take(&mut connection.read_state), state.purpose()) {
-            (ReadState::Relay(mut relay, to), _) => {
-                let Some(client) = self.connections.get_mut(to) else {
+            (ReadState::Relay(mut relay, client_key), _) => {
+                let Some(client) = self.connections.get_mut(client_key) else {
                     return;
                 };
-                let whole = relay.handle_close(&mut client.output);
-                if whole {
+                let is_complete = relay.handle_close(&mut client.output);
+                if is_complete {
                     client.streaming_from = None;
                     self.close(key);
-                    self.flush(to);
+                    self.flush(client_key);
                 } else if let Some(connection) = self.connections.get_mut(key) {
-                    // Broken off: that is told on.
-                    connection.read_state = ReadState::Relay(relay, to);
+                    // Truncated: when this connection is closed, the client's is closed as well.
+                    connection.read_state = ReadState::Relay(relay, client_key);
                 }
             }
-            (ReadState::Response(incoming), Some(errand)) if incoming.ends_at_close() => {
-                self.handle_response(key, errand, incoming);
+            (ReadState::Response(incoming), Some(purpose)) if incoming.ends_at_close() => {
+                self.handle_response(key, purpose, incoming);
             }
             _ => {}
         }
     }
 
-    /// A server may have fallen silent in the midst of an answer.
+    /// Closes the connection of a streamed response if nothing was received within the idle time-out.
     pub(super) fn handle_relay_idle(&mut self, now: Micros, key: ConnectionKey) {
         let Some(connection) = self.connections.get(key) else {
             return;
@@ -258,43 +265,47 @@
         let ReadState::Relay(..) = connection.read_state else {
             return;
         };
-        // Where the client is slow the server is not asked for more; how slow that may be is the client's own limit.
-        let until = if connection.has_unread {
+        // While the client is slow nothing is read from the server, which is not the server's fault. A slow client has
+        // its own time-out.
+        let deadline = if connection.has_unread {
             now
         } else {
             connection.last_received_at
         } + self.limits.relay_idle_timeout;
-        if until > now {
-            self.deadlines.schedule(until, Timer::RelayIdle(key));
+        if deadline > now {
+            self.deadlines.schedule(deadline, Timer::RelayIdle(key));
         } else {
             self.handle_broken_connection(key);
         }
     }
 
-    /// The client takes in what is being relayed to it: more may be read, where there is room.
-    pub(super) fn resume_relay(&mut self, to: ConnectionKey) {
-        let Some(connection) = self.connections.get(to) else {
+    /// The client's connection accepts more output: continues to read from the server if the backlog leaves room.
+    pub(super) fn resume_relay(&mut self, client_key: ConnectionKey) {
+        let Some(connection) = self.connections.get(client_key) else {
             return;
         };
-        let room = connection.backlog_bytes() < self.limits.relay_window_bytes;
-        let waits = |key: &ConnectionKey| {
+        let has_room = connection.backlog_bytes() < self.limits.relay_window_bytes;
+        let has_unread = |key: &ConnectionKey| {
             self.connections
                 .get(*key)
                 .is_some_and(|server| server.has_unread)
         };
-        if let Some(source) = connection.streaming_from.filter(|key| room && waits(key)) {
+        if let Some(source) = connection
+            .streaming_from
+            .filter(|key| has_room && has_unread(key))
+        {
             self.reread.push(source);
         }
     }
 
-    /// A connection takes in no more for now.
+    /// A connection accepts no more output for now.
     pub(super) fn handle_write_blocked(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        // Guards the memory: what was written must not be held for as long as more is passed on behind it.
-        let passes_on = connection.streaming_from.is_some() || connection.is_uploading;
-        if passes_on && connection.written_bytes >= connection.output.len() / 2 {
+        // While more is forwarded the buffer may never become empty: written bytes are dropped here to bound memory.
+        let is_forwarding = connection.streaming_from.is_some() || connection.is_uploading;
+        if is_forwarding && connection.written_bytes >= connection.output.len() / 2 {
             connection.output.drain(..connection.written_bytes);
             connection.written_bytes = 0;
         }
--- a/crates/limiter/src/net/host/uploads.rs
+++ b/crates/limiter/src/net/host/uploads.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way from a client's connection to a server's while they still come.
+//! Request bodies that are streamed to a server while they arrive.
 
 use super::*;
 use crate::frontend::reject;
@@ -6,7 +6,7 @@
 use crate::upload::Upload;
 
 impl Host {
-    /// A body that is not kept whole: the request is taken by its head.
+    /// Submits a request by its head; its body is streamed instead of buffered completely.
     pub(super) fn begin_upload(
         &mut self,
         key: ConnectionKey,
@@ -16,21 +16,21 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Role::Client { door, .. } = connection.role else {
+        let Role::Client { listener, .. } = connection.role else {
             return;
         };
-        let (extent, come) = (incoming.framing, incoming.received_body_bytes);
+        let (framing, received_body_bytes) = (incoming.framing, incoming.received_body_bytes);
         let Some((head, reader, body)) = incoming.into_parts() else {
             return;
         };
         self.buffered_bytes += body.len();
         connection.close_after_response = !head.keep_alive;
         connection.continue_sent = false;
-        let upload = Upload::new(extent, reader, body, self.limits.relay_window_bytes);
+        let upload = Upload::new(framing, reader, body, self.limits.relay_window_bytes);
         connection.read_state = ReadState::Upload(upload);
         let request = Request::new(head, Vec::new());
-        let read = match door {
-            // What is safe to repeat has no body.
+        let result = match listener {
+            // The requests of a class that is safe to repeat have no body.
             ListenerKind::Platform if request.method == "GET" => {
                 Err(reject(400, "the class has no body"))
             }
@@ -39,18 +39,22 @@
                 Err(reject(413, "the body is too long"))
             }
         };
-        match read {
+        match result {
             Ok(mut authorisation) => {
-                // The client's time counts from its last byte.
-                let left = match extent {
-                    BodyFraming::Length(length) => length.saturating_sub(come),
-                    BodyFraming::Chunked | BodyFraming::UntilClose => {
-                        self.limits.max_request_bytes.saturating_sub(come)
-                    }
+                // The client's time counts from its last byte: the deadline is extended by the time for the rest of the
+                // body at the minimum rate.
+                let remaining_bytes = match framing {
+                    BodyFraming::Length(length) => length.saturating_sub(received_body_bytes),
+                    BodyFraming::Chunked | BodyFraming::UntilClose => self
+                        .limits
+                        .max_request_bytes
+                        .saturating_sub(received_body_bytes),
                 };
-                let rest = (left / self.limits.min_body_bytes_per_s.max(1)) as Micros * 1_000_000;
-                authorisation.deadline += rest.min(self.limits.max_upload_extension);
-                let forward = UpstreamRequest::from_streaming_request(&request, extent);
+                let upload_time = (remaining_bytes / self.limits.min_body_bytes_per_s.max(1))
+                    as Micros
+                    * 1_000_000;
+                authorisation.deadline += upload_time.min(self.limits.max_upload_extension);
+                let forward = UpstreamRequest::from_streaming_request(&request, framing);
                 self.submit_authorisation(
                     key,
                     RECORDS_SERVICE,
@@ -59,7 +63,9 @@
                     RequestKind::Platform,
                 );
                 if let Some(connection) = self.connections.get_mut(key) {
-                    connection.client.record_body_progress(now, come);
+                    connection
+                        .client
+                        .record_body_progress(now, received_body_bytes);
                 }
                 self.schedule_client_deadline(key);
                 self.read_upload(key);
@@ -68,7 +74,7 @@
         }
     }
 
-    /// More has come of a body that goes on while it comes.
+    /// Reads more of a streamed body, and forwards it to the server if an attempt carries it.
     pub(super) fn read_upload(&mut self, key: ConnectionKey) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
@@ -77,10 +83,10 @@
         let ReadState::Upload(upload) = &connection.read_state else {
             return;
         };
-        let (before, leg) = (connection.buffered_bytes(), upload.attempt());
-        let taken = match leg {
+        let (bytes_before, attempt) = (connection.buffered_bytes(), upload.attempt());
+        let result = match attempt {
             None => Host::forward_body(connection, None),
-            Some(leg) => match self.connections.get_disjoint_mut([key, leg]) {
+            Some(attempt) => match self.connections.get_disjoint_mut([key, attempt]) {
                 Some([client, server]) => Host::forward_body(client, Some(&mut server.output)),
                 None => return,
             },
@@ -89,33 +95,34 @@
             return;
         };
         self.buffered_bytes =
-            (self.buffered_bytes + connection.buffered_bytes()).saturating_sub(before);
+            (self.buffered_bytes + connection.buffered_bytes()).saturating_sub(bytes_before);
         let ReadState::Upload(upload) = &connection.read_state else {
             return;
         };
-        let (whole, bytes) = (upload.is_complete(), upload.received_bytes());
-        connection.client.record_body_progress(now, bytes);
-        if taken.is_err() {
-            // What is spoilt here cannot be told on: the leg ends, and the client hears what is wrong.
+        let (is_complete, received_bytes) = (upload.is_complete(), upload.received_bytes());
+        connection.client.record_body_progress(now, received_bytes);
+        if result.is_err() {
+            // A malformed body can't be reported to the server: the attempt is cancelled, and the client gets the
+            // error.
             return self.reject_upload(key, &reject(400, "malformed"));
         }
-        if whole {
+        if is_complete {
             connection.client.begin_processing(now);
         }
-        if let Some(leg) = leg {
-            self.queue_upload(leg, whole);
+        if let Some(attempt) = attempt {
+            self.queue_upload(attempt, is_complete);
         }
         self.report_discarded_body(key);
         self.schedule_client_deadline(key);
     }
 
-    /// Once some of a body is no longer here its request can't be moved to another server.
+    /// Tells the engine once a part of the body is no longer buffered: the request can't be moved to another server.
     fn report_discarded_body(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get(key) else {
             return;
         };
         if let Role::Client {
-            waits: Some((service, authorisation)),
+            authorisation: Some((service, authorisation)),
             ..
         } = connection.role
             && connection.active_upload().is_some_and(Upload::is_discarded)
@@ -128,41 +135,42 @@
 
     fn forward_body(
         connection: &mut Connection,
-        out: Option<&mut Vec<u8>>,
+        output: Option<&mut Vec<u8>>,
     ) -> Result<(), framing::ParseError> {
         let ReadState::Upload(upload) = &mut connection.read_state else {
             return Ok(());
         };
-        upload.read(&mut connection.input, out)
+        upload.read(&mut connection.input, output)
     }
 
-    /// A leg of such a request is up, and its head written: what is here goes on.
-    pub(super) fn start_upload(&mut self, origin: ConnectionKey, leg: ConnectionKey) {
-        let Some([client, server]) = self.connections.get_disjoint_mut([origin, leg]) else {
+    /// The head of an attempt is queued on its connection: the buffered part of the body follows it.
+    pub(super) fn start_upload(&mut self, client_key: ConnectionKey, attempt: ConnectionKey) {
+        let Some([client, server]) = self.connections.get_disjoint_mut([client_key, attempt])
+        else {
             return;
         };
-        let before = client.buffered_bytes();
+        let bytes_before = client.buffered_bytes();
         let ReadState::Upload(upload) = &mut client.read_state else {
             return;
         };
-        upload.start_attempt(leg, &mut server.output);
-        let whole = upload.is_complete();
+        upload.start_attempt(attempt, &mut server.output);
+        let is_complete = upload.is_complete();
         self.buffered_bytes =
-            (self.buffered_bytes + client.buffered_bytes()).saturating_sub(before);
-        self.queue_upload(leg, whole);
-        self.report_discarded_body(origin);
-        self.reread.push(origin);
+            (self.buffered_bytes + client.buffered_bytes()).saturating_sub(bytes_before);
+        self.queue_upload(attempt, is_complete);
+        self.report_discarded_body(client_key);
+        self.reread.push(client_key);
     }
 
-    /// What was passed on to a server is written; until its end has been, nothing counts as sent.
-    fn queue_upload(&mut self, leg: ConnectionKey, whole: bool) {
-        if let Some(server) = self.connections.get_mut(leg) {
-            server.is_uploading = !whole;
-            self.unflushed.push(leg);
+    /// Queues the forwarded part of a body for writing. Until its end is written the request does not count as sent.
+    fn queue_upload(&mut self, attempt: ConnectionKey, is_complete: bool) {
+        if let Some(server) = self.connections.get_mut(attempt) {
+            server.is_uploading = !is_complete;
+            self.unflushed.push(attempt);
         }
     }
 
-    /// A leg is over.
+    /// An attempt has ended: the client's upload has no destination until the next one starts.
     pub(super) fn detach_upload(&mut self, service: usize, authorisation: AuthorisationKey) {
         let pending = self.services[service].pending.get(authorisation);
         let Some(client) = pending.and_then(|pending| self.connections.get_mut(pending.connection))
@@ -174,30 +182,31 @@
         }
     }
 
-    /// A leg's connection takes in more: its client may be read on.
-    pub(super) fn resume_upload(&mut self, leg: ConnectionKey) {
-        let Some(Role::Upstream { service, state, .. }) = self.connections.get(leg).map(|c| c.role)
+    /// The connection of an attempt accepts more output: continues to read from its client if that was stopped.
+    pub(super) fn resume_upload(&mut self, attempt: ConnectionKey) {
+        let Some(Role::Upstream { service, state, .. }) =
+            self.connections.get(attempt).map(|c| c.role)
         else {
             return;
         };
         let Some(UpstreamPurpose::Attempt(authorisation, _)) = state.purpose() else {
             return;
         };
-        let origin = self.services[service]
+        let client_key = self.services[service]
             .pending
             .get(authorisation)
             .map(|pending| pending.connection);
-        let waits = |key: &ConnectionKey| {
+        let has_unread = |key: &ConnectionKey| {
             self.connections
                 .get(*key)
                 .is_some_and(|client| client.has_unread)
         };
-        if let Some(origin) = origin.filter(waits) {
-            self.reread.push(origin);
+        if let Some(client_key) = client_key.filter(has_unread) {
+            self.reread.push(client_key);
         }
     }
 
-    /// The client's body is spoilt or does not come: its request is over, and this is its answer.
+    /// The client's body is malformed or timed out: abandons the request, and rejects it.
     pub(super) fn reject_upload(&mut self, key: ConnectionKey, rejection: &Rejection) {
         self.abandon_client_request(key);
         self.respond_rejection(key, rejection, true);
