--- a/crates/limiter/src/net/host/clients.rs
+++ b/crates/limiter/src/net/host/clients.rs
@@ -317,12 +317,12 @@
         key: ConnectionKey,
         service: usize,
         authorisation: Authorisation,
-        forward: UpstreamRequest,
+        upstream_request: UpstreamRequest,
         purpose: RequestKind,
     ) {
         // Servers take a second request with the id of an open one for a copy of the first, and would drop one or
         // answer it with the other's response.
-        if self.open_request_ids.contains(&forward.request_id) {
+        if self.open_request_ids.contains(&upstream_request.request_id) {
             return self.respond_rejection(
                 key,
                 &Rejection {
@@ -336,15 +336,16 @@
         let service_state = &mut self.services[service];
         match service_state.engine.submit(now, authorisation) {
             Ok(authorisation_key) => {
-                if !forward.request_id.is_empty() {
-                    self.open_request_ids.insert(forward.request_id.clone());
+                if !upstream_request.request_id.is_empty() {
+                    self.open_request_ids
+                        .insert(upstream_request.request_id.clone());
                 }
-                self.buffered_bytes += forward.body.len();
+                self.buffered_bytes += upstream_request.body.len();
                 service_state.pending.insert(
                     authorisation_key,
                     PendingRequest {
                         connection: key,
-                        forward,
+                        upstream_request,
                         kind: purpose,
                     },
                 );
@@ -451,8 +452,9 @@
         let pending = self.services[authorisation.0]
             .pending
             .remove(authorisation.1)?;
-        self.open_request_ids.remove(&pending.forward.request_id);
-        self.buffered_bytes -= pending.forward.body.len();
+        self.open_request_ids
+            .remove(&pending.upstream_request.request_id);
+        self.buffered_bytes -= pending.upstream_request.body.len();
         Some(pending)
     }
 
--- a/crates/limiter/src/net/host/counter_calls.rs
+++ b/crates/limiter/src/net/host/counter_calls.rs
@@ -53,9 +53,9 @@
                     parsed_bytes += length;
                     match self.counter_connections[index].handle_response(now, &response) {
                         CounterResponse::Completed(result) => results.push(result),
-                        CounterResponse::Late {
-                            engine_index: asker,
-                        } => self.services[asker].engine.handle_late_counter_result(),
+                        CounterResponse::Late { engine_index } => self.services[engine_index]
+                            .engine
+                            .handle_late_counter_result(),
                         CounterResponse::Unsolicited => {}
                     }
                     is_broken = !counter_client::is_connection_reusable(&response);
--- a/crates/limiter/src/net/host/handover.rs
+++ b/crates/limiter/src/net/host/handover.rs
@@ -13,13 +13,13 @@
     }
 
     fn operations_record(&self) -> OperationsRecord {
-        let (bans, drain) = (
+        let (disabled_servers, drain) = (
             self.routing_table.disabled_servers().clone(),
             self.lifecycle.drain_state(),
         );
         OperationsRecord {
             limiter: self.name.clone(),
-            disabled_servers: bans,
+            disabled_servers,
             drain,
         }
     }
--- a/crates/limiter/src/net/host/introspection.rs
+++ b/crates/limiter/src/net/host/introspection.rs
@@ -13,7 +13,7 @@
 pub(super) struct BearerRequest {
     request: Request,
     /// Its class and deadline.
-    basics: CommonFields,
+    common_fields: CommonFields,
     units: f64,
     token: Token,
 }
@@ -92,7 +92,7 @@
         let result = self
             .platform
             .parse_common_fields(&request, &self.limits, now)
-            .and_then(|basics| {
+            .and_then(|common_fields| {
                 let query = request
                     .target
                     .split_once('?')
@@ -105,9 +105,9 @@
                 let (units, _) =
                     self.platform
                         .parse_call_terms(terms, &self.limits, all_limiters)?;
-                Ok((basics, units))
+                Ok((common_fields, units))
             });
-        let (basics, units) = match result {
+        let (common_fields, units) = match result {
             Ok(parsed) => parsed,
             Err(rejection) => return self.respond_rejection(key, &rejection, !request.keep_alive),
         };
@@ -121,7 +121,7 @@
         let cached = frontend.cache.get(&token, now);
         let bearer_request = BearerRequest {
             request,
-            basics,
+            common_fields,
             units,
             token,
         };
@@ -131,17 +131,17 @@
                 let token_lookup = Authorisation {
                     plan: frontend.internal_plan,
                     customer: introspection::internal_customer(),
-                    deadline: bearer_request.basics.deadline,
+                    deadline: bearer_request.common_fields.deadline,
                     units: 1.0,
                     limiter_count: 1,
                     ..Authorisation::default()
                 };
-                let forward = frontend.endpoint.build_request(&bearer_request.token);
+                let upstream_request = frontend.endpoint.build_request(&bearer_request.token);
                 self.submit_authorisation(
                     key,
                     INTROSPECTION_SERVICE,
                     token_lookup,
-                    forward,
+                    upstream_request,
                     RequestKind::TokenLookup(Box::new(bearer_request)),
                 );
             }
@@ -158,7 +158,7 @@
     ) {
         let BearerRequest {
             mut request,
-            basics,
+            common_fields,
             units,
             ..
         } = bearer_request;
@@ -171,14 +171,14 @@
             .target
             .push_str(&format!("{separator}account={:016x}", identity.customer.0));
         let authorisation = Authorisation {
-            class: basics.class,
+            class: common_fields.class,
             plan: identity.plan,
             customer: identity.customer,
-            deadline: basics.deadline,
+            deadline: common_fields.deadline,
             units,
             limiter_count: self.platform.limiter_count.max(1),
             first_limiter: 0,
-            is_retry: basics.is_retry,
+            is_retry: common_fields.is_retry,
             token_expires_at: identity.expires_at,
             ..Authorisation::default()
         };
@@ -226,12 +226,12 @@
             limiter_count: self.platform.limiter_count.max(1),
             ..Authorisation::default()
         };
-        let forward = frontend.endpoint.build_request(&token);
+        let upstream_request = frontend.endpoint.build_request(&token);
         self.submit_authorisation(
             key,
             INTROSPECTION_SERVICE,
             authorisation,
-            forward,
+            upstream_request,
             RequestKind::Introspection(token),
         );
     }
@@ -268,7 +268,7 @@
         else {
             return false;
         };
-        let finding = match frontend.cache.get(token, now) {
+        let introspection_result = match frontend.cache.get(token, now) {
             Some(identity) => IntrospectionResult::Active(identity),
             None if token.is_invalid() => IntrospectionResult::Inactive,
             None => return false,
@@ -280,13 +280,19 @@
             .handle_attempt_ended(now, key, attempt, Outcome::Ok, None)
             && let Some(pending) = self.take_pending(authorisation)
         {
-            self.respond_finding(now, pending.connection, finding);
+            self.respond_introspection_result(now, pending.connection, introspection_result);
         }
         true
     }
 
-    fn respond_finding(&mut self, now: Micros, key: ConnectionKey, finding: IntrospectionResult) {
-        let body = introspection::encode_result(finding, &self.platform.names.plans, now);
+    fn respond_introspection_result(
+        &mut self,
+        now: Micros,
+        key: ConnectionKey,
+        introspection_result: IntrospectionResult,
+    ) {
+        let body =
+            introspection::encode_result(introspection_result, &self.platform.names.plans, now);
         self.respond(key, 200, &[JSON, NO_STORE], &body);
     }
 
@@ -311,15 +317,18 @@
     ) {
         let now = self.now();
         // The token may have expired since the first check: then it counts as inactive.
-        let finding = introspection::parse_response(response, &self.platform.names.plans, now)
-            .unwrap_or(IntrospectionResult::Inactive);
+        let introspection_result =
+            introspection::parse_response(response, &self.platform.names.plans, now)
+                .unwrap_or(IntrospectionResult::Inactive);
         let Some(frontend) = &mut self.introspection else {
             return;
         };
-        match (kind, finding) {
-            (RequestKind::TokenLookup(bearer_request), finding) => {
-                frontend.cache.insert(&bearer_request.token, finding, now);
-                match finding {
+        match (kind, introspection_result) {
+            (RequestKind::TokenLookup(bearer_request), introspection_result) => {
+                frontend
+                    .cache
+                    .insert(&bearer_request.token, introspection_result, now);
+                match introspection_result {
                     IntrospectionResult::Active(identity) => {
                         self.submit_identified(key, *bearer_request, identity)
                     }
@@ -328,9 +337,9 @@
                     }
                 }
             }
-            (RequestKind::Introspection(token), finding) => {
-                frontend.cache.insert(&token, finding, now);
-                self.respond_finding(now, key, finding);
+            (RequestKind::Introspection(token), introspection_result) => {
+                frontend.cache.insert(&token, introspection_result, now);
+                self.respond_introspection_result(now, key, introspection_result);
             }
             (RequestKind::Platform | RequestKind::Bearer, _) => {}
         }
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -239,7 +239,7 @@
     /// The client's connection.
     connection: ConnectionKey,
     /// The request as it is sent to a server.
-    forward: UpstreamRequest,
+    upstream_request: UpstreamRequest,
     kind: RequestKind,
 }
 
--- a/crates/limiter/src/net/host/operators.rs
+++ b/crates/limiter/src/net/host/operators.rs
@@ -8,7 +8,7 @@
 /// The listener for operator commands, and the connections accepted on it.
 pub(super) struct Operators {
     listener: Rc<TcpListener>,
-    callers: OperatorConnections,
+    connections: OperatorConnections,
 }
 
 impl Host {
@@ -22,7 +22,7 @@
         )?;
         self.operators = Some(Operators {
             listener,
-            callers: OperatorConnections::default(),
+            connections: OperatorConnections::default(),
         });
         Ok(())
     }
@@ -56,7 +56,7 @@
             let evicted = self
                 .operators
                 .as_mut()
-                .and_then(|o| o.callers.insert(key, now, &self.limits));
+                .and_then(|o| o.connections.insert(key, now, &self.limits));
             evicted
                 .into_iter()
                 .for_each(|oldest| _ = self.close(oldest));
@@ -72,7 +72,7 @@
         while let Some(key) = self
             .operators
             .as_ref()
-            .and_then(|o| o.callers.first_timed_out(now, &self.limits))
+            .and_then(|o| o.connections.first_timed_out(now, &self.limits))
         {
             self.close(key);
         }
@@ -82,7 +82,7 @@
     pub(super) fn remove_operator(&mut self, key: ConnectionKey) {
         self.operators
             .iter_mut()
-            .for_each(|operators| operators.callers.remove(key));
+            .for_each(|operators| operators.connections.remove(key));
     }
 
     /// Executes and answers the command on a connection once its line is complete. A connection carries one command.
--- a/crates/limiter/src/net/host/uploads.rs
+++ b/crates/limiter/src/net/host/uploads.rs
@@ -54,12 +54,12 @@
                     as Micros
                     * 1_000_000;
                 authorisation.deadline += upload_time.min(self.limits.max_upload_extension);
-                let forward = UpstreamRequest::from_streaming_request(&request, framing);
+                let upstream_request = UpstreamRequest::from_streaming_request(&request, framing);
                 self.submit_authorisation(
                     key,
                     RECORDS_SERVICE,
                     authorisation,
-                    forward,
+                    upstream_request,
                     RequestKind::Platform,
                 );
                 if let Some(connection) = self.connections.get_mut(key) {
--- a/crates/limiter/src/net/host/upstream_requests.rs
+++ b/crates/limiter/src/net/host/upstream_requests.rs
@@ -141,14 +141,18 @@
                     .engine
                     .deadline(authorisation)
                     .map_or(0, |deadline| (deadline - now).max(0));
-                connection.output.extend_from_slice(&pending.forward.head);
+                connection
+                    .output
+                    .extend_from_slice(&pending.upstream_request.head);
                 // Writing to a vector cannot fail.
                 let _ = write!(
                     connection.output,
                     "X-Expires-In: {:.3}\r\n\r\n",
                     remaining as f64 / 1e6
                 );
-                connection.output.extend_from_slice(&pending.forward.body);
+                connection
+                    .output
+                    .extend_from_slice(&pending.upstream_request.body);
                 let client_key = pending.connection;
                 self.start_upload(client_key, key);
             }
