--- a/crates/limiter/tests/common/mod.rs
+++ b/crates/limiter/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use limiter::config::Environment;
 use limiter::limits::Limits;
 use limiter::net::framing::{self, Request, Response};
-use limiter::net::{Clock, Daemon, Remote};
+use limiter::net::{Clock, Daemon, DaemonHandle};
 
 /// Start of the manual clock: 100 ms before a full second.
 pub const CLOCK_START_US: i64 = 1_000_900_000;
@@ -202,7 +202,7 @@
     pub introspection_address: Option<SocketAddr>,
     operator_address: Option<SocketAddr>,
     clock_us: Arc<AtomicI64>,
-    remote: Remote,
+    remote: DaemonHandle,
     thread: Option<thread::JoinHandle<()>>,
 }
 
@@ -239,8 +239,8 @@
                 .send((
                     platform_address,
                     introspection_address,
-                    daemon.operators(),
-                    daemon.remote(),
+                    daemon.operators_address(),
+                    daemon.handle(),
                 ))
                 .unwrap();
             daemon.run().expect("the limiter runs without an error");
--- a/crates/limiter/tests/process.rs
+++ b/crates/limiter/tests/process.rs
@@ -55,16 +55,16 @@
     let valid_config = config(&[server.address], unreachable_address());
     write_config(&valid_config.replace("\"discovery\":\"", "\"discovery\":\"nowhere"));
     send_signal("HUP");
-    assert!(next_log_line_containing("configuration not taken").contains("key 'discovery'"));
+    assert!(next_log_line_containing("configuration rejected").contains("key 'discovery'"));
     assert_eq!(
         send_request(address, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status,
         200
     );
     write_config(&valid_config);
     send_signal("HUP");
-    next_log_line_containing("configuration taken");
+    next_log_line_containing("configuration reloaded");
     send_signal("TERM");
-    next_log_line_containing("told to end");
+    next_log_line_containing("shutting down");
 }
 
 /// A limiter process that inherits the clients' listening socket as its standard input, the one descriptor that a test
