--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A proxy between scripted stand-ins for its agent, servers and clients, all in the thread of the
-//! test. The clock is driven by the test, and sockets are only polled: nothing here waits.
+//! Test harness: a proxy host with a scripted agent, scripted servers and clients, all in the
+//! thread of the test. The test advances the clock, and sockets are non-blocking: nothing here
+//! sleeps.
 #![allow(dead_code)]
 
 use std::collections::VecDeque;
@@ -20,124 +21,137 @@
 use protocol::settings::Settings;
 use proxy::host::Host;
 
-/// Start of the driven clock.
+/// Initial value of the manual clock, in microseconds.
 pub const START: i64 = 1_000_000_000;
+/// A millisecond in the unit of the clock, microseconds.
 pub const MS: i64 = 1_000;
-/// An awaited event must occur while polling alone advances the clock this far, some ten thousand
-/// rounds. Keeps a failing test from hanging, and detects events that only occur because of a
-/// time-out.
-const HANG: i64 = 400 * MS;
-
-/// One end of a connection.
-pub struct End {
-    stream: Option<TcpStream>,
-    pub input: Vec<u8>,
-    /// The other side sends no more.
-    pub ended: bool,
-    /// Reads nothing.
-    pub deaf: bool,
+/// An awaited event must occur before the clock has advanced this far, which takes some ten
+/// thousand steps, as each reading advances it by 1 µs. Keeps a failing test from hanging, and
+/// detects events that only occur because of a timeout.
+const MAX_WAIT_US: i64 = 400 * MS;
+
+/// The test's end of a TCP connection.
+pub struct TestStream {
+    socket: Option<TcpStream>,
+    pub received: Vec<u8>,
+    /// The peer has closed or reset the connection.
+    pub closed_by_peer: bool,
+    /// While set, nothing is read from the socket.
+    pub reading_paused: bool,
 }
 
-impl End {
-    fn new(stream: TcpStream) -> End {
-        stream.set_nonblocking(true).unwrap();
-        stream.set_nodelay(true).unwrap();
-        End {
-            stream: Some(stream),
-            input: Vec::new(),
-            ended: false,
-            deaf: false,
+impl TestStream {
+    fn new(socket: TcpStream) -> TestStream {
+        socket.set_nonblocking(true).unwrap();
+        socket.set_nodelay(true).unwrap();
+        TestStream {
+            socket: Some(socket),
+            received: Vec::new(),
+            closed_by_peer: false,
+            reading_paused: false,
         }
     }
 
-    /// Closes it; one with unread bytes is reset.
+    /// Closes the socket. With unread bytes in its receive buffer, the connection is reset.
     pub fn close(&mut self) {
-        self.stream = None;
+        self.socket = None;
     }
 
-    pub fn open(&self) -> bool {
-        self.stream.is_some()
+    pub fn is_open(&self) -> bool {
+        self.socket.is_some()
     }
 
-    /// Reads what is available.
-    pub fn look(&mut self) {
-        let mut part = [0; 16 * 1024];
-        while let Some(stream) = self.stream.as_mut().filter(|_| !self.ended && !self.deaf) {
-            match stream.read(&mut part) {
-                Ok(0) => self.ended = true,
-                Ok(length) => self.input.extend_from_slice(&part[..length]),
+    /// Appends all bytes that the socket has to `received`.
+    pub fn read_available(&mut self) {
+        let mut buffer = [0; 16 * 1024];
+        while let Some(socket) = self
+            .socket
+            .as_mut()
+            .filter(|_| !self.closed_by_peer && !self.reading_paused)
+        {
+            match socket.read(&mut buffer) {
+                Ok(0) => self.closed_by_peer = true,
+                Ok(length) => self.received.extend_from_slice(&buffer[..length]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                Err(_) => self.ended = true,
+                Err(_) => self.closed_by_peer = true,
             }
         }
     }
 
-    /// A complete answer, once there is one.
-    pub fn answer(&mut self) -> Option<Response> {
-        let (answer, length) = framing::parse_response(&self.input, false, &limits()).unwrap()?;
-        self.input.drain(..length);
-        Some(answer)
+    /// Removes the first complete response from `received`, if there is one.
+    pub fn take_response(&mut self) -> Option<Response> {
+        let (response, length) =
+            framing::parse_response(&self.received, false, &limits()).unwrap()?;
+        self.received.drain(..length);
+        Some(response)
     }
 
-    /// Writes what fits; returns how much.
+    /// Writes what fits into the send buffer; returns the number of bytes. On a closed connection
+    /// all bytes count as written.
     pub fn write(&mut self, bytes: &[u8]) -> usize {
-        let Some(stream) = self.stream.as_mut() else {
+        let Some(socket) = self.socket.as_mut() else {
             return bytes.len();
         };
-        match stream.write(bytes) {
+        match socket.write(bytes) {
             Ok(length) => length,
             Err(error) if error.kind() == ErrorKind::WouldBlock => 0,
-            // The other side has closed it.
+            // The peer has closed the connection.
             Err(_) => bytes.len(),
         }
     }
 }
 
-/// A connection as a server sees it.
-pub struct Line {
-    pub end: End,
-    pub asked: VecDeque<Request>,
+/// A connection that a scripted server has accepted.
+pub struct ServerConnection {
+    pub stream: TestStream,
+    /// Complete requests that the test has not taken yet.
+    pub requests: VecDeque<Request>,
 }
 
-/// A scripted server.
-pub struct Stub {
+/// A scripted server. It answers health checks by itself; the test answers all other requests.
+pub struct StubServer {
     listener: TcpListener,
-    pub listed: Server,
-    pub lines: Vec<Line>,
-    /// Reads nothing on its connections.
-    pub deaf: bool,
-    /// All its slots are taken: health checks wait for one.
-    pub full: bool,
-    /// Complete requests received, without health checks.
-    pub count: usize,
+    /// The server's entry in the list that the agent sends to the proxy.
+    pub list_entry: Server,
+    pub connections: Vec<ServerConnection>,
+    /// While set, the server reads nothing on its connections.
+    pub reading_paused: bool,
+    /// All slots are in use: health checks get no response.
+    pub saturated: bool,
+    /// Complete requests received, except health checks.
+    pub request_count: usize,
     /// Health checks received.
-    pub checks: usize,
+    pub health_check_count: usize,
 }
 
-/// Where a request has arrived.
-pub struct At {
-    pub stub: usize,
-    pub line: usize,
+/// A request that has arrived at a server.
+pub struct Attempt {
+    /// Index in [`ProxyHarness::servers`].
+    pub server: usize,
+    /// Index in [`StubServer::connections`].
+    pub connection: usize,
     pub request: Request,
 }
 
-impl At {
+impl Attempt {
     pub fn id(&self) -> &str {
         self.request.headers.get("X-Request-Id").unwrap()
     }
 }
 
-pub struct Bench {
+/// A proxy host with everything that it is connected to.
+pub struct ProxyHarness {
     pub host: Host,
-    hand: Arc<AtomicI64>,
-    happenings: Vec<IoEvent>,
-    feed: TcpListener,
-    agent: Option<End>,
-    /// What the proxy sent to its agent.
-    pub told: Vec<AgentMessage>,
-    list: (u64, u64),
-    pub stubs: Vec<Stub>,
-    pub clients: Vec<End>,
+    clock_us: Arc<AtomicI64>,
+    io_events: Vec<IoEvent>,
+    agent_listener: TcpListener,
+    agent: Option<TestStream>,
+    /// All messages that the proxy has sent to its agent.
+    pub agent_messages: Vec<AgentMessage>,
+    server_list_version: (u64, u64),
+    pub servers: Vec<StubServer>,
+    /// Connections to the proxy: of clients, and of readiness probes.
+    pub clients: Vec<TestStream>,
 }
 
 pub fn item(kind: ItemKind, name: &str, ver: u64, spec: &str) -> Item {
@@ -151,50 +165,52 @@
     }
 }
 
-/// A route of host `h` to service `s`, by its kind, named by its prefix.
-pub fn route(prefix: &str, ver: u64, kind: &str, more: &str) -> Item {
+/// A route of host `h` to service `s`, of this kind and with its prefix as its name. `extra_fields`
+/// are appended to its JSON object.
+pub fn route(prefix: &str, ver: u64, kind: &str, extra_fields: &str) -> Item {
     let spec = format!(
-        r#"{{"host":"h","prefix":"{prefix}","kind":"{kind}","timeout":"3s","target_time":"500ms","svc":"s","tries":3{more}}}"#
+        r#"{{"host":"h","prefix":"{prefix}","kind":"{kind}","timeout":"3s","target_time":"500ms","svc":"s","tries":3{extra_fields}}}"#
     );
     item(ItemKind::Route, prefix, ver, &spec)
 }
 
-/// A request as clients send it.
-pub fn ask(line: &str, id: &str, more: &str, body: &str) -> String {
+/// A client's request with a deadline 3 s away.
+pub fn request_text(request_line: &str, id: &str, extra_headers: &str, body: &str) -> String {
     format!(
-        "{line} HTTP/1.1\r\nHost: h\r\nX-Request-Id: {id}\r\nX-Time-Left: 3000\r\n{more}\r\n{body}"
+        "{request_line} HTTP/1.1\r\nHost: h\r\nX-Request-Id: {id}\r\nX-Time-Left: 3000\r\n{extra_headers}\r\n{body}"
     )
 }
 
-/// A server's answer with these fields, separated by `|`.
-pub fn lines(status: u16, lines: &str, body: &str) -> String {
+/// A server's response with these header lines, separated by `|`.
+pub fn response_text(status: u16, header_lines: &str, body: &str) -> String {
     let length = body.len();
     format!(
         "HTTP/1.1 {status} X\r\n{}\r\nContent-Length: {length}\r\n\r\n{body}",
-        lines.replace('|', "\r\n")
+        header_lines.replace('|', "\r\n")
     )
 }
 
-/// A success.
-pub fn good(id: &str, body: &str) -> String {
-    lines(
+/// A successful response with its seal.
+pub fn ok_response(id: &str, body: &str) -> String {
+    response_text(
         200,
         &format!("X-Request-Id: {id}|X-Server-Seal: seal-{body}"),
         body,
     )
 }
 
-pub fn not_run(id: &str) -> String {
-    lines(503, &format!("X-Request-Id: {id}|X-Not-Run: 1"), "")
+/// A rejection by a server that has not run the request.
+pub fn not_run_response(id: &str) -> String {
+    response_text(503, &format!("X-Request-Id: {id}|X-Not-Run: 1"), "")
 }
 
-/// Bytes that reveal a shift or a gap.
-pub fn pattern(length: usize) -> Vec<u8> {
+/// A body in which a shift or a gap is detected by comparison.
+pub fn patterned_body(length: usize) -> Vec<u8> {
     (0..length).map(|n| (n * 31 / 7) as u8).collect()
 }
 
-/// The same in chunks.
-pub fn chunks(body: &[u8]) -> Vec<u8> {
+/// A body in chunked transfer coding.
+pub fn chunked_body(body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::new();
     body.chunks(70_001)
         .for_each(|part| framing::write_chunk(&mut bytes, part));
@@ -208,297 +224,317 @@
     }
 }
 
-impl Bench {
-    /// A configured proxy: routes `/i/`, `/m/` and `/u/` of the three kinds that need no key, and
-    /// the named servers by zone.
-    pub fn new(zones: &[&str]) -> Bench {
-        Bench::at(START, zones)
+impl ProxyHarness {
+    /// A ready proxy with the public routes `/i/` (idempotent), `/m/` (mutating) and `/u/`
+    /// (upload), and one server per listed zone.
+    pub fn new(zones: &[&str]) -> ProxyHarness {
+        ProxyHarness::new_at(START, zones)
     }
 
-    /// The same at another time, which also seeds it differently.
-    pub fn at(start: i64, zones: &[&str]) -> Bench {
-        Bench::with(start, zones, "")
+    /// As [`ProxyHarness::new`], with another start of the clock, which also seeds the proxy.
+    pub fn new_at(start_us: i64, zones: &[&str]) -> ProxyHarness {
+        ProxyHarness::with_settings(start_us, zones, "")
     }
 
-    /// The same with additional settings.
-    pub fn with(start: i64, zones: &[&str], more: &str) -> Bench {
-        let mut bench = Bench::started(start, zones, more);
-        bench.configure();
-        bench.complete();
-        bench
+    /// As [`ProxyHarness::new_at`], with additional lines in the settings file.
+    pub fn with_settings(start_us: i64, zones: &[&str], extra_settings: &str) -> ProxyHarness {
+        let mut harness = ProxyHarness::without_state(start_us, zones, extra_settings);
+        harness.configure();
+        harness.confirm_complete_state();
+        harness
     }
 
-    /// The agent says that it has told everything that is in force now.
-    pub fn complete(&mut self) {
-        self.tell(ControlMessage::Complete);
-        self.tell(ControlMessage::Confirmed { age: 0 });
+    /// The agent confirms that the proxy has the complete and current state.
+    pub fn confirm_complete_state(&mut self) {
+        self.send_control(ControlMessage::Complete);
+        self.send_control(ControlMessage::Confirmed { age: 0 });
         self.settle();
     }
 
-    /// A proxy whose agent is there and has told nothing yet.
-    pub fn started(start: i64, zones: &[&str], more: &str) -> Bench {
-        let feed = TcpListener::bind("127.0.0.1:0").unwrap();
-        feed.set_nonblocking(true).unwrap();
-        let port = feed.local_addr().unwrap().port();
+    /// A proxy whose agent is connected and has sent nothing yet.
+    pub fn without_state(start_us: i64, zones: &[&str], extra_settings: &str) -> ProxyHarness {
+        let agent_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        agent_listener.set_nonblocking(true).unwrap();
+        let port = agent_listener.local_addr().unwrap().port();
         let settings = Settings::parse(&format!(
             "node: e\nserves: [edge]\nip: 127.0.0.1\nzone: a\nregion: r\nzones: {{a: r, b: r, c: q}}\n\
-            bind: {{http: '127.0.0.1:0', readyz: '127.0.0.1:0'}}\nport_range: [{}, {}]\n{more}",
+            bind: {{http: '127.0.0.1:0', readyz: '127.0.0.1:0'}}\nport_range: [{}, {}]\n{extra_settings}",
             port - 1,
             port + 1
         ));
-        let hand = Arc::new(AtomicI64::new(start));
+        let clock_us = Arc::new(AtomicI64::new(start_us));
         let host = Host::open(
             settings.unwrap(),
-            Clock::manual(hand.clone()),
+            Clock::manual(clock_us.clone()),
             LogRing::default(),
         )
         .unwrap();
-        let mut bench = Bench {
+        let mut harness = ProxyHarness {
             host,
-            hand,
-            happenings: Vec::new(),
-            feed,
+            clock_us,
+            io_events: Vec::new(),
+            agent_listener,
             agent: None,
-            told: Vec::new(),
-            list: (1, 0),
-            stubs: Vec::new(),
+            agent_messages: Vec::new(),
+            server_list_version: (1, 0),
+            servers: Vec::new(),
             clients: Vec::new(),
         };
-        bench.stubs = zones
+        harness.servers = zones
             .iter()
             .enumerate()
-            .map(|(n, zone)| Stub::new(&format!("i-{n}"), zone))
+            .map(|(n, zone)| StubServer::new(&format!("i-{n}"), zone))
             .collect();
-        bench.agent_there();
-        bench
+        harness.connect_agent();
+        harness
     }
 
-    /// The agent tells the configuration and the servers, but not that this is everything.
+    /// The agent sends the configuration and the servers, but does not confirm that they are
+    /// complete.
     pub fn configure(&mut self) {
-        let public = r#","public":true"#;
+        let extra_fields = r#","public":true"#;
         let kinds = [("/i/", "idem"), ("/m/", "mutating"), ("/u/", "upload")];
         let mut items: Vec<Item> = kinds
             .iter()
-            .map(|(prefix, kind)| route(prefix, 1, kind, public))
+            .map(|(prefix, kind)| route(prefix, 1, kind, extra_fields))
             .collect();
         items.push(item(ItemKind::Service, "s", 1, r#"{"hcheck":"/healthz"}"#));
-        self.tell(ControlMessage::ClusterView(ClusterView {
+        self.send_control(ControlMessage::ClusterView(ClusterView {
             limiters: 1,
             limiters_in_zone: 1,
             has_quorum: true,
             ..ClusterView::default()
         }));
-        self.tell(ControlMessage::Items(items));
-        self.list();
+        self.send_control(ControlMessage::Items(items));
+        self.send_server_list();
     }
 
-    /// One round of everything.
-    pub fn turn(&mut self) {
-        self.host.step(0, &mut self.happenings).unwrap();
-        if let Ok((stream, _)) = self.feed.accept() {
-            self.agent = Some(End::new(stream));
+    /// Runs one turn of the proxy's event loop and reads what has arrived at the agent, the servers
+    /// and the clients.
+    pub fn step(&mut self) {
+        self.host.step(0, &mut self.io_events).unwrap();
+        if let Ok((stream, _)) = self.agent_listener.accept() {
+            self.agent = Some(TestStream::new(stream));
         }
         if let Some(agent) = &mut self.agent {
-            agent.look();
-            while let Some(message) = frames::decode(&mut agent.input).unwrap() {
-                self.told.push(message);
+            agent.read_available();
+            while let Some(message) = frames::decode(&mut agent.received).unwrap() {
+                self.agent_messages.push(message);
             }
         }
-        self.stubs.iter_mut().for_each(Stub::look);
-        self.clients.iter_mut().for_each(End::look);
-    }
-
-    /// Runs rounds until there is a result.
-    pub fn until<T>(&mut self, what: &str, mut there: impl FnMut(&mut Bench) -> Option<T>) -> T {
-        let start = self.now();
-        while self.now() < start + HANG {
-            if let Some(found) = there(self) {
-                return found;
+        self.servers.iter_mut().for_each(StubServer::read_available);
+        self.clients.iter_mut().for_each(TestStream::read_available);
+    }
+
+    /// Steps until the condition yields a result; panics after [`MAX_WAIT_US`].
+    pub fn step_until<T>(
+        &mut self,
+        description: &str,
+        mut condition: impl FnMut(&mut ProxyHarness) -> Option<T>,
+    ) -> T {
+        let start_us = self.now_us();
+        while self.now_us() < start_us + MAX_WAIT_US {
+            if let Some(result) = condition(self) {
+                return result;
             }
-            self.turn();
+            self.step();
         }
-        panic!("there is no {what}");
+        panic!("there is no {description}");
     }
 
-    /// Enough rounds for everything in flight to arrive.
+    /// Runs enough steps for everything in flight to arrive.
     pub fn settle(&mut self) {
-        (0..12).for_each(|_| self.turn());
+        (0..12).for_each(|_| self.step());
     }
 
-    /// Time passes.
-    pub fn pass(&mut self, ms: i64) {
-        let until = self.hand.load(Ordering::SeqCst) + ms * MS;
-        while self.hand.load(Ordering::SeqCst) < until {
-            self.hand.fetch_add(20 * MS, Ordering::SeqCst);
-            self.turn();
+    /// Advances the clock in increments of 20 ms, with a step after each.
+    pub fn advance_ms(&mut self, ms: i64) {
+        let end_us = self.clock_us.load(Ordering::SeqCst) + ms * MS;
+        while self.clock_us.load(Ordering::SeqCst) < end_us {
+            self.clock_us.fetch_add(20 * MS, Ordering::SeqCst);
+            self.step();
         }
         self.settle();
     }
 
-    /// Time passes without a turn of the proxy: it is late with its input.
-    pub fn late(&mut self, ms: i64) {
-        self.hand.fetch_add(ms * MS, Ordering::SeqCst);
+    /// Advances the clock at once and settles only then: the proxy handles its pending input late.
+    pub fn stall_ms(&mut self, ms: i64) {
+        self.clock_us.fetch_add(ms * MS, Ordering::SeqCst);
         self.settle();
     }
 
-    pub fn now(&self) -> i64 {
-        self.hand.load(Ordering::SeqCst)
+    pub fn now_us(&self) -> i64 {
+        self.clock_us.load(Ordering::SeqCst)
     }
 
-    /// An agent without any state is there.
-    pub fn agent_there(&mut self) {
+    /// Drops the agent's connection and waits for the proxy to connect to a new agent, which has no
+    /// state.
+    pub fn connect_agent(&mut self) {
         self.agent = None;
-        self.until("agent's link", |bench| {
-            bench.hand.fetch_add(MS, Ordering::SeqCst);
-            bench.agent.is_some().then_some(())
+        self.step_until("connection of the agent", |harness| {
+            harness.clock_us.fetch_add(MS, Ordering::SeqCst);
+            harness.agent.is_some().then_some(())
         });
     }
 
-    pub fn tell(&mut self, message: ControlMessage) {
+    /// The agent sends a message to the proxy.
+    pub fn send_control(&mut self, message: ControlMessage) {
         let mut bytes = Vec::new();
         frames::encode(&mut bytes, &message);
         let agent = self.agent.as_mut().unwrap();
         assert_eq!(agent.write(&bytes), bytes.len());
     }
 
-    /// Sends the servers as they are listed, in a newer list.
-    pub fn list(&mut self) {
-        self.list.1 += 1;
-        let servers = self.stubs.iter().map(|stub| stub.listed.clone()).collect();
-        self.tell(ControlMessage::Servers {
-            version: self.list,
+    /// The agent sends the current server entries as a list of the next version.
+    pub fn send_server_list(&mut self) {
+        self.server_list_version.1 += 1;
+        let servers = self
+            .servers
+            .iter()
+            .map(|stub| stub.list_entry.clone())
+            .collect();
+        self.send_control(ControlMessage::Servers {
+            version: self.server_list_version,
             servers,
         });
         self.settle();
     }
 
-    /// A client's connection.
-    pub fn client(&mut self) -> usize {
-        self.clients.push(End::new(
+    /// Opens a client connection; returns its index.
+    pub fn connect_client(&mut self) -> usize {
+        self.clients.push(TestStream::new(
             TcpStream::connect(self.host.listen_addresses.0).unwrap(),
         ));
         self.clients.len() - 1
     }
 
-    pub fn send(&mut self, client: usize, text: impl AsRef<[u8]>) {
-        let mut bytes = text.as_ref();
+    /// Sends all bytes on a client connection, with a step after each write.
+    pub fn send(&mut self, client: usize, bytes: impl AsRef<[u8]>) {
+        let mut bytes = bytes.as_ref();
         while !bytes.is_empty() {
             let length = self.clients[client].write(bytes);
             bytes = &bytes[length..];
-            self.turn();
+            self.step();
         }
     }
 
-    /// A new client sends this.
-    pub fn ask(&mut self, text: impl AsRef<[u8]>) -> usize {
-        let client = self.client();
-        self.send(client, text);
+    /// Sends all bytes on a new client connection; returns its index.
+    pub fn send_from_new_client(&mut self, bytes: impl AsRef<[u8]>) -> usize {
+        let client = self.connect_client();
+        self.send(client, bytes);
         client
     }
 
-    /// The next answer on a client's connection.
-    pub fn answer(&mut self, client: usize) -> Response {
-        self.until("answer", |bench| bench.clients[client].answer())
+    /// Waits for the next response on a client connection.
+    pub fn next_response(&mut self, client: usize) -> Response {
+        self.step_until("response", |harness| {
+            harness.clients[client].take_response()
+        })
     }
 
-    /// The next request that arrives at a server.
-    pub fn served(&mut self) -> At {
-        self.until("request at a server", Bench::take)
+    /// Waits for the next request that arrives at a server.
+    pub fn next_request(&mut self) -> Attempt {
+        self.step_until("request at a server", ProxyHarness::take_request)
     }
 
-    /// A request that has arrived, if any.
-    pub fn take(&mut self) -> Option<At> {
-        self.stubs.iter_mut().enumerate().find_map(|(stub, s)| {
-            let lines = s.lines.iter_mut().enumerate();
-            let (line, request) =
-                { lines }.find_map(|(n, line)| Some((n, line.asked.pop_front()?)))?;
-            Some(At {
-                stub,
-                line,
-                request,
+    /// Takes a request that has arrived at a server, if there is one.
+    pub fn take_request(&mut self) -> Option<Attempt> {
+        self.servers
+            .iter_mut()
+            .enumerate()
+            .find_map(|(server, stub)| {
+                let connections = stub.connections.iter_mut().enumerate();
+                let (connection, request) = { connections }
+                    .find_map(|(n, connection)| Some((n, connection.requests.pop_front()?)))?;
+                Some(Attempt {
+                    server,
+                    connection,
+                    request,
+                })
             })
-        })
     }
 
-    pub fn line(&mut self, at: &At) -> &mut Line {
-        &mut self.stubs[at.stub].lines[at.line]
+    pub fn connection_mut(&mut self, attempt: &Attempt) -> &mut ServerConnection {
+        &mut self.servers[attempt.server].connections[attempt.connection]
     }
 
-    /// A server sends this.
-    pub fn reply(&mut self, at: &At, text: impl AsRef<[u8]>) {
-        let mut bytes = text.as_ref();
+    /// Sends all bytes on the connection on which the request arrived, with a step after each
+    /// write.
+    pub fn send_response(&mut self, attempt: &Attempt, bytes: impl AsRef<[u8]>) {
+        let mut bytes = bytes.as_ref();
         while !bytes.is_empty() {
-            let length = self.line(at).end.write(bytes);
+            let length = self.connection_mut(attempt).stream.write(bytes);
             bytes = &bytes[length..];
-            self.turn();
+            self.step();
         }
     }
 
-    /// A server answers successfully.
-    pub fn serve(&mut self, at: &At) {
-        let answer = good(at.id(), &format!("of {}", at.id()));
-        self.reply(at, answer);
+    /// The server answers the request with a successful response that names its id.
+    pub fn respond_ok(&mut self, attempt: &Attempt) {
+        let response = ok_response(attempt.id(), &format!("of {}", attempt.id()));
+        self.send_response(attempt, response);
     }
 
-    /// A client's next request is served successfully; returns where.
-    pub fn next(&mut self, client: usize) -> At {
-        self.send(client, ask("GET /i/1", "two", "", ""));
-        let at = self.served();
-        self.serve(&at);
-        assert_eq!(self.answer(client).body, b"of two");
-        at
+    /// Sends a request on a client connection and has it served; returns where it arrived.
+    pub fn round_trip(&mut self, client: usize) -> Attempt {
+        self.send(client, request_text("GET /i/1", "two", "", ""));
+        let attempt = self.next_request();
+        self.respond_ok(&attempt);
+        assert_eq!(self.next_response(client).body, b"of two");
+        attempt
     }
 
-    /// A server closes the connection of a request.
-    pub fn hang_up(&mut self, at: &At) {
-        self.line(at).end.close();
+    /// The server closes the connection on which the request arrived.
+    pub fn close_server_connection(&mut self, attempt: &Attempt) {
+        self.connection_mut(attempt).stream.close();
     }
 
-    /// Complete requests that arrived at servers.
-    pub fn count(&self) -> usize {
-        self.stubs.iter().map(|stub| stub.count).sum()
+    /// Number of complete requests that arrived at all servers, except health checks.
+    pub fn request_count(&self) -> usize {
+        self.servers.iter().map(|stub| stub.request_count).sum()
     }
 
-    /// Has this many requests answered one by one; returns how many arrived at each server.
-    pub fn spread(&mut self, requests: usize) -> Vec<usize> {
-        let mut counts = vec![0; self.stubs.len()];
-        let client = self.client();
+    /// Sends this many requests one by one and has them served; returns how many arrived at each
+    /// server.
+    pub fn requests_per_server(&mut self, requests: usize) -> Vec<usize> {
+        let mut counts = vec![0; self.servers.len()];
+        let client = self.connect_client();
         for n in 0..requests {
             self.send(
                 client,
-                ask("GET /i/", &format!("spread-{n}-{client}"), "", ""),
+                request_text("GET /i/", &format!("spread-{n}-{client}"), "", ""),
             );
-            let at = self.served();
-            counts[at.stub] += 1;
-            self.serve(&at);
-            assert_eq!(self.answer(client).status, 200);
+            let attempt = self.next_request();
+            counts[attempt.server] += 1;
+            self.respond_ok(&attempt);
+            assert_eq!(self.next_response(client).status, 200);
         }
         counts
     }
 
-    /// The platform's connection, for its checks.
-    pub fn check(&mut self) -> usize {
-        self.clients.push(End::new(
+    /// Opens a connection to the port of the platform's readiness probe; returns its index.
+    pub fn connect_probe(&mut self) -> usize {
+        self.clients.push(TestStream::new(
             TcpStream::connect(self.host.listen_addresses.1).unwrap(),
         ));
         self.clients.len() - 1
     }
 
-    /// The answer to the platform's check.
-    pub fn ready(&mut self) -> u16 {
-        let check = self.check();
-        self.send(check, "GET /api/readyz HTTP/1.1\r\nHost: x\r\n\r\n");
-        self.answer(check).status
+    /// The status of the response to the platform's readiness probe.
+    pub fn probe_readiness(&mut self) -> u16 {
+        let probe = self.connect_probe();
+        self.send(probe, "GET /api/readyz HTTP/1.1\r\nHost: x\r\n\r\n");
+        self.next_response(probe).status
     }
 }
 
-impl Stub {
-    pub fn new(id: &str, zone: &str) -> Stub {
+impl StubServer {
+    pub fn new(id: &str, zone: &str) -> StubServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let addr = listener.local_addr().unwrap();
         let (id, zone) = (id.to_string(), zone.to_string());
-        let listed = Server {
+        let list_entry = Server {
             id,
             svc: "s".into(),
             addr,
@@ -507,56 +543,57 @@
             accepts_requests: true,
             warm_up_left: 0,
         };
-        Stub {
+        StubServer {
             listener,
-            listed,
-            lines: Vec::new(),
-            deaf: false,
-            full: false,
-            count: 0,
-            checks: 0,
+            list_entry,
+            connections: Vec::new(),
+            reading_paused: false,
+            saturated: false,
+            request_count: 0,
+            health_check_count: 0,
         }
     }
 
-    /// Nothing listens at its listed address.
-    pub fn refuse(&mut self) {
-        // Port 1 is never assigned, so that no other test listens there.
-        self.listed.addr = SocketAddr::from(([127, 0, 0, 1], 1));
+    /// Replaces the listed address by one on which nothing listens.
+    pub fn make_unreachable(&mut self) {
+        // The system never assigns port 1, so that no other test listens there.
+        self.list_entry.addr = SocketAddr::from(([127, 0, 0, 1], 1));
     }
 
-    fn look(&mut self) {
+    fn read_available(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
-            self.lines.push(Line {
-                end: End::new(stream),
-                asked: VecDeque::new(),
+            self.connections.push(ServerConnection {
+                stream: TestStream::new(stream),
+                requests: VecDeque::new(),
             });
         }
-        for line in self.lines.iter_mut().filter(|_| !self.deaf) {
-            line.end.look();
+        for connection in self.connections.iter_mut().filter(|_| !self.reading_paused) {
+            connection.stream.read_available();
             while let Some((request, length)) =
-                framing::parse_request(&line.end.input, &limits()).unwrap()
+                framing::parse_request(&connection.stream.received, &limits()).unwrap()
             {
-                line.end.input.drain(..length);
-                self.checks += usize::from(request.target == "/healthz");
-                if request.target == "/healthz" && self.full {
+                connection.stream.received.drain(..length);
+                self.health_check_count += usize::from(request.target == "/healthz");
+                if request.target == "/healthz" && self.saturated {
                     continue;
                 }
                 if request.target == "/healthz" {
-                    let well = lines(200, &format!("X-Instance-Id: {}", self.listed.id), "");
-                    line.end.write(well.as_bytes());
+                    let healthy =
+                        response_text(200, &format!("X-Instance-Id: {}", self.list_entry.id), "");
+                    connection.stream.write(healthy.as_bytes());
                 } else {
-                    self.count += 1;
-                    line.asked.push_back(request);
+                    self.request_count += 1;
+                    connection.requests.push_back(request);
                 }
             }
         }
     }
 
-    /// Connections that are open on both sides.
-    pub fn open(&self) -> usize {
-        self.lines
+    /// Number of connections that are open on both sides.
+    pub fn open_connections(&self) -> usize {
+        self.connections
             .iter()
-            .filter(|line| line.end.open() && !line.end.ended)
+            .filter(|connection| connection.stream.is_open() && !connection.stream.closed_by_peer)
             .count()
     }
 }
--- a/crates/proxy/tests/crossed.rs
+++ b/crates/proxy/tests/crossed.rs
@@ -1,6 +1,6 @@
-//! The built programs before servers that reset, fall silent, forget connections, break off, and
-//! answer twice or to nobody: nothing that is not idempotent runs twice, and no answer goes to
-//! another caller.
+//! The real programs with servers that reset or drop connections, don't respond, truncate
+//! responses, and send malformed, duplicate or surplus ones. Guards against a write that runs twice
+//! and against a response that reaches another caller.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -11,14 +11,14 @@
 use emulator::system::whole::{Size, TENANT, Whole, lines};
 use tempfile::TempDir;
 
-/// Requests of each client, which are sent one by one.
-const REQUESTS: usize = 40;
-/// Concurrent clients.
-const CLIENTS: usize = 4;
-/// Clients' time-out in milliseconds: the cost of a silent server.
-const LEFT: u128 = 400;
-/// All faults of servers.
-const TROUBLES: [Trouble; 7] = [
+/// Number of requests of each client, which sends them one by one.
+const REQUESTS_PER_CLIENT: usize = 40;
+/// Number of concurrent clients.
+const CLIENT_COUNT: usize = 4;
+/// Clients' timeout in milliseconds, which is how long each silent server delays the test.
+const CLIENT_TIMEOUT_MS: u128 = 400;
+/// All kinds of server faults.
+const SERVER_FAULTS: [Trouble; 7] = [
     Trouble::Twice,
     Trouble::Reset,
     Trouble::Extra,
@@ -27,27 +27,29 @@
     Trouble::Garbled,
     Trouble::Silent,
 ];
-/// Promises that a request has not run and never will.
-const PROMISES: [u16; 4] = [503, 429, 408, 421];
+/// Statuses that promise that the request has not run and never will.
+const NOT_RUN_STATUSES: [u16; 4] = [503, 429, 408, 421];
 
-fn soon() -> Instant {
+/// The deadline of an awaited event.
+fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(12)
 }
 
-/// A request as it was sent, and the status of its answer, if it had one.
-struct Asked {
+/// A request that was sent, and the status of its response, if there was one.
+struct SentRequest {
     id: String,
     write: bool,
     status: Option<u16>,
 }
 
-/// A client after its requests. A successful answer says to whom it belongs.
-fn client(whole: &Whole, number: usize) -> Vec<Asked> {
-    let (mut connection, mut all) = (None, Vec::new());
-    for n in 0..REQUESTS {
-        let (id, write) = (format!("c{number}-{n}"), n % 3 > 0);
+/// Sends the requests of a client one by one. A successful response echoes its request, by which it
+/// is checked that it belongs to the request.
+fn run_client(system: &Whole, number: usize) -> Vec<SentRequest> {
+    let (mut connection, mut sent_requests) = (None, Vec::new());
+    for index in 0..REQUESTS_PER_CLIENT {
+        let (id, write) = (format!("c{number}-{index}"), index % 3 > 0);
         let body = if write {
-            "x".repeat(n * 37)
+            "x".repeat(index * 37)
         } else {
             String::new()
         };
@@ -56,78 +58,79 @@
         } else {
             ("GET", "/read/1")
         };
-        let length = if write {
+        let content_length = if write {
             format!("Content-Length: {}\r\n", body.len())
         } else {
             String::new()
         };
         let text = format!(
-            "{method} {path} HTTP/1.1\r\n{}{length}\r\n{body}",
-            lines(&id, LEFT)
+            "{method} {path} HTTP/1.1\r\n{}{content_length}\r\n{body}",
+            lines(&id, CLIENT_TIMEOUT_MS)
         );
-        let until = Instant::now() + Duration::from_secs(4);
-        let mut open = match connection.take() {
-            Some(open) => open,
-            None => Connection::open(whole.machines.http(0), until).unwrap(),
+        let deadline = Instant::now() + Duration::from_secs(4);
+        let mut open_connection = match connection.take() {
+            Some(open_connection) => open_connection,
+            None => Connection::open(system.machines.http(0), deadline).unwrap(),
         };
-        let answer = open
-            .send(text.as_bytes(), until)
-            .and_then(|()| open.answer(until));
-        let status = match answer {
+        let result = open_connection
+            .send(text.as_bytes(), deadline)
+            .and_then(|()| open_connection.answer(deadline));
+        let status = match result {
             Ok(reply) => {
                 if reply.status == 200 {
-                    let own = echo(&id, method, path, TENANT, body.as_bytes());
+                    let expected = echo(&id, method, path, TENANT, body.as_bytes());
                     assert!(
-                        reply.text().contains(&own),
-                        "{id}: another's answer: {}",
+                        reply.text().contains(&expected),
+                        "{id}: response to another request: {}",
                         reply.text()
                     );
                     assert_eq!(reply.line("X-Request-Id"), Some(id.as_str()));
                 }
-                connection = Some(open).filter(|_| !reply.close);
+                connection = Some(open_connection).filter(|_| !reply.close);
                 Some(reply.status)
             }
-            Err(Failure::Surplus) => panic!("{id}: bytes of no answer"),
+            Err(Failure::Surplus) => panic!("{id}: surplus bytes after the response"),
             Err(_) => None,
         };
-        all.push(Asked { id, write, status });
+        sent_requests.push(SentRequest { id, write, status });
     }
-    all
+    sent_requests
 }
 
 #[test]
-fn each_answer_is_its_callers_and_no_write_runs_twice_whatever_servers_do() {
-    let folder = TempDir::new().unwrap();
+fn each_response_reaches_its_own_caller_and_no_write_runs_twice() {
+    let directory = TempDir::new().unwrap();
     let programs = beside(Path::new(env!("CARGO_BIN_EXE_proxy")), env!("CARGO"));
     let size = Size {
         zones: 1,
         edges: 1,
         net: net(),
     };
-    let mut whole = Whole::start(folder.path(), &programs, size, soon()).unwrap();
-    // The two servers of the service that all routes go to; each ordering begins at another one.
+    let mut system = Whole::start(directory.path(), &programs, size, deadline()).unwrap();
+    // All routes go to one service with two servers. Each has the same faults, starting with
+    // another one.
     for server in 0..2 {
-        let mut troubles: Vec<Trouble> = TROUBLES.repeat(2);
-        troubles.rotate_left(3 * server);
-        whole.town.trouble(server, &troubles);
+        let mut faults: Vec<Trouble> = SERVER_FAULTS.repeat(2);
+        faults.rotate_left(3 * server);
+        system.town.trouble(server, &faults);
     }
-    let asked: Vec<Asked> = std::thread::scope(|scope| {
-        let whole = &whole;
-        let clients: Vec<_> = (0..CLIENTS)
-            .map(|n| scope.spawn(move || client(whole, n)))
+    let requests: Vec<SentRequest> = std::thread::scope(|scope| {
+        let system = &system;
+        let clients: Vec<_> = (0..CLIENT_COUNT)
+            .map(|index| scope.spawn(move || run_client(system, index)))
             .collect();
         clients
             .into_iter()
             .flat_map(|client| client.join().unwrap())
             .collect()
     });
-    let counts = whole.town.counts();
+    let counts = system.town.counts();
     assert_eq!(counts.twice, 0, "{counts:?}");
-    assert!(counts.spoilt >= 14, "troubles were met: {counts:?}");
-    for Asked { id, write, status } in asked.iter().filter(|asked| asked.write) {
-        let runs = whole.town.runs(id);
+    assert!(counts.spoilt >= 14, "too few faults occurred: {counts:?}");
+    for SentRequest { id, write, status } in requests.iter().filter(|request| request.write) {
+        let runs = system.town.runs(id);
         assert!(*write && runs <= 1, "{id} ran {runs} times");
-        if status.is_some_and(|status| PROMISES.contains(&status)) {
+        if status.is_some_and(|status| NOT_RUN_STATUSES.contains(&status)) {
             assert_eq!(
                 runs, 0,
                 "{id} was promised not to have run, with {status:?}"
@@ -137,27 +140,27 @@
             assert_eq!(runs, 1, "{id}");
         }
     }
-    let good = asked
+    let success_count = requests
         .iter()
-        .filter(|asked| asked.status == Some(200))
+        .filter(|request| request.status == Some(200))
         .count();
-    let statuses: Vec<_> = asked.iter().map(|asked| asked.status).collect();
+    let statuses: Vec<_> = requests.iter().map(|request| request.status).collect();
     assert!(
-        good * 2 > asked.len(),
-        "{good} of {}: {statuses:?}",
-        asked.len()
+        success_count * 2 > requests.len(),
+        "{success_count} of {} requests succeeded: {statuses:?}",
+        requests.len()
     );
-    // A restarted agent and control program reach the same numbers again: nothing is answered for
-    // another one.
-    whole.machines.kill(Role::Agent, 0);
-    whole.machines.kill(Role::Control, 0);
-    whole.machines.start(Role::Control, 0).unwrap();
-    whole.machines.start(Role::Agent, 0).unwrap();
-    let asked = client(&whole, CLIENTS);
+    // A restarted agent and control program count their messages from the start again: no reply may
+    // be matched to an earlier message of the same number.
+    system.machines.kill(Role::Agent, 0);
+    system.machines.kill(Role::Control, 0);
+    system.machines.start(Role::Control, 0).unwrap();
+    system.machines.start(Role::Agent, 0).unwrap();
+    let requests = run_client(&system, CLIENT_COUNT);
     assert!(
-        asked
+        requests
             .iter()
-            .all(|asked| whole.town.runs(&asked.id) <= if asked.write { 1 } else { 3 })
+            .all(|request| system.town.runs(&request.id) <= if request.write { 1 } else { 3 })
     );
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
