--- a/crates/agent/src/config_cache.rs
+++ b/crates/agent/src/config_cache.rs
@@ -67,7 +67,8 @@
                     has_quorum: !self.isolated,
                     ..view
                 };
-                let content = |view: &ClusterView| (view.limiters, view.counter, view.has_quorum);
+                let content =
+                    |view: &ClusterView| (view.limiter_count, view.counter, view.has_quorum);
                 let same = self
                     .view
                     .as_ref()
@@ -115,11 +116,17 @@
                 self.time = if newer { Some((time, now)) } else { self.time };
                 newer.then_some(ControlMessage::Clock(time))
             }
-            ControlMessage::Levels { age, levels } => {
+            ControlMessage::AdmissionLevels {
+                age_us: age,
+                levels,
+            } => {
                 self.levels = Some((levels.clone(), now - age));
-                Some(ControlMessage::Levels { age, levels })
+                Some(ControlMessage::AdmissionLevels {
+                    age_us: age,
+                    levels,
+                })
             }
-            ControlMessage::Totals { .. }
+            ControlMessage::CounterTotals { .. }
             | ControlMessage::NotCounted(_)
             | ControlMessage::Confirmed { .. } => None,
         }
@@ -133,7 +140,7 @@
     /// The message that tells the proxy how old its configuration may be; none before it is known.
     pub fn confirmation(&self, now: i64) -> Option<ControlMessage> {
         let age = now - self.confirmed_at?;
-        Some(ControlMessage::Confirmed { age })
+        Some(ControlMessage::Confirmed { age_us: age })
     }
 
     /// The items, each in the newest version that was received.
@@ -163,19 +170,19 @@
     /// The summary of the items that the control program is sent.
     pub fn config_state(&self) -> AgentMessage {
         AgentMessage::ConfigState {
-            items: self.items.len() as u32,
+            item_count: self.items.len() as u32,
             digest: self.digests.combined(),
         }
     }
 
     /// Adds figures to a report.
     pub fn report(&self, text: &mut MetricsText) {
-        text.gauge(
+        text.add_gauge(
             "agent_config_items",
             "items that the agent has, removed ones included",
             self.items.len(),
         );
-        text.gauge(
+        text.add_gauge(
             "agent_config_digest",
             "digest of their names and versions: equal where they are",
             self.digests.combined(),
@@ -199,7 +206,7 @@
         let list = self.server_list.as_ref().map(|list| {
             // What was left of the warm-ups when the list was received, less the time since.
             let current = |server: &Server| Server {
-                warm_up_left: (server.warm_up_left - (now - list.received_at)).max(0),
+                warm_up_left_us: (server.warm_up_left_us - (now - list.received_at)).max(0),
                 ..server.clone()
             };
             ControlMessage::Servers {
@@ -211,8 +218,8 @@
         let levels = self
             .levels
             .iter()
-            .map(|(levels, at)| ControlMessage::Levels {
-                age: now - at,
+            .map(|(levels, at)| ControlMessage::AdmissionLevels {
+                age_us: now - at,
                 levels: levels.clone(),
             });
         view.into_iter()
--- a/crates/agent/src/config_cache/tests.rs
+++ b/crates/agent/src/config_cache/tests.rs
@@ -21,7 +21,7 @@
         zone: "z".into(),
         slots: 1,
         accepts_requests: true,
-        warm_up_left: cold,
+        warm_up_left_us: cold,
     };
     ControlMessage::Servers {
         version,
@@ -82,7 +82,7 @@
         0,
         ControlMessage::ClusterView(ClusterView {
             has_quorum: true,
-            limiters: 3,
+            limiter_count: 3,
             ..ClusterView::default()
         }),
     );
@@ -94,7 +94,7 @@
     known.apply(
         2 * QUORUM_LOSS_TIMEOUT,
         ControlMessage::ClusterView(ClusterView {
-            limiters: 3,
+            limiter_count: 3,
             ..ClusterView::default()
         }),
     );
@@ -106,7 +106,7 @@
 fn isolation_is_reported_to_the_proxy_once() {
     let who = |in_touch| {
         ControlMessage::ClusterView(ClusterView {
-            limiters: 3,
+            limiter_count: 3,
             has_quorum: in_touch,
             ..ClusterView::default()
         })
--- a/crates/agent/src/host/mod.rs
+++ b/crates/agent/src/host/mod.rs
@@ -15,7 +15,7 @@
 use protocol::messages::{
     AgentMessage, ClusterView, ControlMessage, CounterAdd, NodeInfo, NodeState,
 };
-use protocol::metrics::{AGENT_PORT, MetricsEndpoint, MetricsText};
+use protocol::metrics::{AGENT_METRICS_PORT, MetricsEndpoint, MetricsText};
 use protocol::settings::Settings;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use slog::{Logger, error, info, warn};
@@ -175,7 +175,7 @@
         let ip = self.settings.ip;
         let listening = self
             .metrics_endpoint
-            .listen(&mut self.connections, ip, AGENT_PORT);
+            .listen(&mut self.connections, ip, AGENT_METRICS_PORT);
         if let Err(error) = listening {
             warn!(self.log, "no report of figures"; "error" => error.to_string());
         }
@@ -184,7 +184,7 @@
     fn handle_metrics_event(&mut self, now: i64, event: IoEvent) {
         let (link_metrics, cache) = (&self.link_metrics, &self.cache);
         self.metrics_endpoint
-            .handle(&mut self.connections, event, || {
+            .handle_event(&mut self.connections, event, || {
                 let mut text = MetricsText::default();
                 link_metrics.report(now, &mut text);
                 cache.report(&mut text);
@@ -396,10 +396,10 @@
 
     fn handle_control_message(&mut self, now: i64, from: ConnectionId, message: ControlMessage) {
         match message {
-            ControlMessage::Totals { batch, totals } => {
+            ControlMessage::CounterTotals { batch, totals } => {
                 if let Some(PendingBatch { proxy, number }) = self.pending_batches.remove(&batch) {
                     let batch = number;
-                    self.send(proxy, &ControlMessage::Totals { batch, totals });
+                    self.send(proxy, &ControlMessage::CounterTotals { batch, totals });
                 }
             }
             ControlMessage::NotCounted(batch) => {
@@ -428,8 +428,8 @@
                 }
             }
             // While two links are open only the one that is kept tells the admission levels.
-            ControlMessage::Levels { .. } if !self.is_link(from) => {}
-            ControlMessage::Levels { .. } => self.forward(now, message),
+            ControlMessage::AdmissionLevels { .. } if !self.is_link(from) => {}
+            ControlMessage::AdmissionLevels { .. } => self.forward(now, message),
         }
     }
 
@@ -465,7 +465,11 @@
                 }
             }
             AgentMessage::Heartbeat(state) => self.set_state(state),
-            AgentMessage::CounterBatch { batch, time, adds } => {
+            AgentMessage::CounterBatch {
+                batch,
+                clock_us: time,
+                adds,
+            } => {
                 let pending = PendingBatch {
                     proxy: from,
                     number: batch,
@@ -501,7 +505,11 @@
         if self.pending_batches.len() > MAX_PENDING_BATCHES {
             self.pending_batches.pop_first();
         }
-        let message = AgentMessage::CounterBatch { batch, time, adds };
+        let message = AgentMessage::CounterBatch {
+            batch,
+            clock_us: time,
+            adds,
+        };
         self.send(link.connection, &message);
     }
 
--- a/crates/agent/src/link_metrics.rs
+++ b/crates/agent/src/link_metrics.rs
@@ -52,28 +52,28 @@
 
     /// Adds the figures to a report.
     pub fn report(&self, now: i64, text: &mut MetricsText) {
-        text.counter(
+        text.add_counter(
             "agent_link_attempts_total",
             "connections to control programs that were begun",
             self.attempts,
         );
-        text.counter(
+        text.add_counter(
             "agent_link_attempts_timed_out_total",
             "of these, not established in time",
             self.attempts_timed_out,
         );
-        text.counter(
+        text.add_counter(
             "agent_link_attempts_failed_total",
             "of these, refused or reset",
             self.attempts_failed,
         );
-        text.counter(
+        text.add_counter(
             "agent_links_lost_total",
             "links that were lost or given up",
             self.links_lost,
         );
         let outage = self.without_link_since.map_or(0, |since| now - since);
-        text.gauge(
+        text.add_gauge(
             "agent_without_link_seconds",
             "for how long there has been no link, 0 with one",
             outage as f64 / 1e6,
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -12,8 +12,8 @@
         agent::host::check,
         |ProgramContext {
              settings,
-             file,
-             ring,
+             settings_path: file,
+             log_ring: ring,
          }| {
             let mut host = Host::open(settings, Some(file), Clock::steady(), &ring)?;
             host.serve_metrics();
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -186,7 +186,7 @@
         (0..20).for_each(|_| self.turn());
         let heard = std::mem::take(&mut self.proxies.last_mut().unwrap().heard);
         let age = |message: &ControlMessage| match message {
-            ControlMessage::Confirmed { age } => Some(*age),
+            ControlMessage::Confirmed { age_us: age } => Some(*age),
             _ => None,
         };
         heard.iter().filter_map(age).collect()
@@ -210,7 +210,7 @@
         name: "e".into(),
         zone: "a".into(),
         region: "r".into(),
-        http,
+        http_address: http,
     }
 }
 
@@ -218,8 +218,8 @@
     ControlMessage::ClusterView(ClusterView {
         counter: holder,
         has_quorum: true,
-        limiters: 1,
-        limiters_in_zone: 1,
+        limiter_count: 1,
+        zone_limiter_count: 1,
         ..ClusterView::default()
     })
 }
@@ -245,7 +245,7 @@
         zone: "a".into(),
         slots: 1,
         accepts_requests: true,
-        warm_up_left: cold,
+        warm_up_left_us: cold,
     };
     ControlMessage::Servers {
         version,
--- a/crates/agent/tests/restarts.rs
+++ b/crates/agent/tests/restarts.rs
@@ -56,7 +56,7 @@
             .iter()
             .all(|heard| matches!(
                 heard,
-                AgentMessage::Clock(0) | AgentMessage::ConfigState { items: 0, .. }
+                AgentMessage::Clock(0) | AgentMessage::ConfigState { item_count: 0, .. }
             ))
     );
     bench.proxy();
@@ -81,11 +81,11 @@
     bench.proxy_hears(&[items(&[])]);
     let adds = |batch| AgentMessage::CounterBatch {
         batch,
-        time: 5,
+        clock_us: 5,
         adds: vec![CounterAdd {
             counter: 9,
             units: 1.0,
-            ttl: 7,
+            ttl_us: 7,
         }],
     };
     bench.proxies[0].say(&adds(41));
@@ -122,11 +122,11 @@
         count.heard
     );
     assert_eq!(count.heard[1..], [adds(1)]);
-    count.say(&ControlMessage::Totals {
+    count.say(&ControlMessage::CounterTotals {
         batch: 1,
         totals: vec![3.0],
     });
-    bench.proxy_hears(&[ControlMessage::Totals {
+    bench.proxy_hears(&[ControlMessage::CounterTotals {
         batch: 42,
         totals: vec![3.0],
     }]);
--- a/crates/control/src/core/agents.rs
+++ b/crates/control/src/core/agents.rs
@@ -145,9 +145,10 @@
             AgentMessage::KnownDigests(digests) => {
                 self.agents.known_digests.insert(link, digests);
             }
-            AgentMessage::ConfigState { items, digest } => {
-                self.handle_config_state(now, link, items, digest, out)
-            }
+            AgentMessage::ConfigState {
+                item_count: items,
+                digest,
+            } => self.handle_config_state(now, link, items, digest, out),
             AgentMessage::Heartbeat(state) => {
                 self.resume_stalled_sync(now, link, out);
                 if self.membership.handle_heartbeat(now, link, state) {
@@ -163,9 +164,11 @@
                 self.agents.record_counter_link(now, link);
                 self.send_clock(now, link, out);
             }
-            AgentMessage::CounterBatch { batch, time, adds } => {
-                self.handle_counter_batch(now, link, batch, time, &adds, out)
-            }
+            AgentMessage::CounterBatch {
+                batch,
+                clock_us: time,
+                adds,
+            } => self.handle_counter_batch(now, link, batch, time, &adds, out),
         }
     }
 
@@ -234,7 +237,7 @@
         let counts = !is_late && !self.counter.is_suspended(now);
         let term = self.acting_term(now, SingletonRole::Counter);
         let answer = match term.filter(|_| counts) {
-            Some(term) => ControlMessage::Totals {
+            Some(term) => ControlMessage::CounterTotals {
                 batch,
                 totals: self.counter.add(now, term, share, adds),
             },
@@ -386,8 +389,8 @@
             replicas: replicas.collect(),
             counter: self.counter_holder(now),
             has_quorum: self.table.has_quorum_contact(now) && !self.shutting_down,
-            limiters: serving.total.max(recently_serving),
-            limiters_in_zone: serving.in_zone,
+            limiter_count: serving.total.max(recently_serving),
+            zone_limiter_count: serving.in_zone,
         };
         AnnouncedView {
             view,
@@ -409,10 +412,10 @@
         let serving = self.membership.serving_counts(zone);
         let recently_serving = self.membership.recently_serving_count() as u32;
         let limiters = serving.total.max(recently_serving);
-        let difference = former.limiters.abs_diff(limiters);
-        if difference == 0 && former.limiters_in_zone == serving.in_zone {
+        let difference = former.limiter_count.abs_diff(limiters);
+        if difference == 0 && former.zone_limiter_count == serving.in_zone {
             ViewChange::None
-        } else if difference * limits::MINOR_LIMITER_CHANGE_DIVISOR > former.limiters {
+        } else if difference * limits::MINOR_LIMITER_CHANGE_DIVISOR > former.limiter_count {
             // Hazard: limiters that each take an even slice of a quota must not go on with a number that is much too low.
             ViewChange::Major
         } else {
--- a/crates/control/src/core/counter.rs
+++ b/crates/control/src/core/counter.rs
@@ -63,7 +63,7 @@
         if total.expires_at <= now {
             *total = Total {
                 units: 0.0,
-                expires_at: now.saturating_add(add.ttl.max(0)),
+                expires_at: now.saturating_add(add.ttl_us.max(0)),
             };
         }
         let is_first = total.units == 0.0;
--- a/crates/control/src/core/counter/tests.rs
+++ b/crates/control/src/core/counter/tests.rs
@@ -6,7 +6,7 @@
     let add = |name, units| CounterAdd {
         counter: name,
         units,
-        ttl: 1_000,
+        ttl_us: 1_000,
     };
     assert_eq!(
         count.add(0, 1, 1.0, &[add(1, 2.0), add(1, -0.5), add(2, 0.0)]),
@@ -27,7 +27,7 @@
     let add = |units| CounterAdd {
         counter: 1,
         units,
-        ttl: 1_000,
+        ttl_us: 1_000,
     };
     // The first to add finds itself alone, as it carries over the window before.
     assert_eq!(count.add(0, 1, 0.5, &[add(3.0), add(1.0)]), [3.0, 8.0]);
@@ -39,7 +39,7 @@
     let add = [CounterAdd {
         counter: 1,
         units: 1.0,
-        ttl: 1_000,
+        ttl_us: 1_000,
     }];
     let mut count = SharedCounter::default();
     count.suspend(10, limits::QUOTA_WINDOW);
--- a/crates/control/src/core/load_aggregation.rs
+++ b/crates/control/src/core/load_aggregation.rs
@@ -122,7 +122,7 @@
         for (region, links) in links_by_region {
             let levels = self.load.levels(region);
             if sends_empty || !levels.is_empty() {
-                let message = ControlMessage::Levels { age: 0, levels };
+                let message = ControlMessage::AdmissionLevels { age_us: 0, levels };
                 out.push(Output::SendToAgents(links, message));
             }
         }
--- a/crates/control/src/core/membership/tests.rs
+++ b/crates/control/src/core/membership/tests.rs
@@ -8,7 +8,7 @@
         name: node.to_string(),
         zone,
         region,
-        http: SocketAddr::from(([10, 0, 0, 1], 80)),
+        http_address: SocketAddr::from(([10, 0, 0, 1], 80)),
     }
 }
 
--- a/crates/control/src/core/server_list.rs
+++ b/crates/control/src/core/server_list.rs
@@ -24,7 +24,7 @@
 impl ListedServer {
     fn new(now: i64, server: Server) -> ListedServer {
         ListedServer {
-            warm_at: now + server.warm_up_left,
+            warm_at: now + server.warm_up_left_us,
             server,
         }
     }
@@ -113,7 +113,7 @@
     pub fn current(&self, now: i64) -> Vec<Server> {
         let servers = self.servers.iter();
         let current = servers.map(|listed| Server {
-            warm_up_left: (listed.warm_at - now).max(0),
+            warm_up_left_us: (listed.warm_at - now).max(0),
             ..listed.server.clone()
         });
         current.collect()
--- a/crates/control/src/core/server_list/tests.rs
+++ b/crates/control/src/core/server_list/tests.rs
@@ -14,7 +14,7 @@
         zone,
         slots: 2,
         accepts_requests: up,
-        warm_up_left: cold,
+        warm_up_left_us: cold,
     }
 }
 
@@ -44,6 +44,6 @@
         !listed.update_from_replica(0, (2, 4), vec![])
             && !listed.update_from_replica(0, (1, 9), vec![])
     );
-    assert_eq!(listed.current(300)[0].warm_up_left, 600);
-    assert_eq!(listed.current(1_000)[0].warm_up_left, 0);
+    assert_eq!(listed.current(300)[0].warm_up_left_us, 600);
+    assert_eq!(listed.current(1_000)[0].warm_up_left_us, 0);
 }
--- a/crates/control/src/core/status/tests.rs
+++ b/crates/control/src/core/status/tests.rs
@@ -54,7 +54,7 @@
         name: node.to_string(),
         zone: "b".to_string(),
         region: "r".to_string(),
-        http: SocketAddr::from(([10, 0, 0, 1], 80)),
+        http_address: SocketAddr::from(([10, 0, 0, 1], 80)),
     };
     let digest = Digests::item_digest(&item);
     let mut take =
@@ -67,7 +67,10 @@
             &mut core,
             now,
             link,
-            AgentMessage::ConfigState { items: 1, digest },
+            AgentMessage::ConfigState {
+                item_count: 1,
+                digest,
+            },
         );
     }
     let status = look(&mut core, 1_100_000);
--- a/crates/control/src/host/platform_poller.rs
+++ b/crates/control/src/host/platform_poller.rs
@@ -169,7 +169,7 @@
         }
         let page = platform::parse_page(&answer.body).wrap_err_with(step)?;
         round.servers.extend(page.servers);
-        match page.next.filter(|next| !next.is_empty()) {
+        match page.next_cursor.filter(|next| !next.is_empty()) {
             None => {
                 self.consecutive_failures = 0;
                 Ok((PollResult::Complete(round.servers), keep_open))
--- a/crates/control/src/lookup.rs
+++ b/crates/control/src/lookup.rs
@@ -20,12 +20,12 @@
             .filter(|member| member.state == NodeState::Ready)
     };
     let near = ready().filter(|member| member.node.region == region);
-    let mut found: Vec<SocketAddr> = near.map(|member| member.node.http).collect();
+    let mut found: Vec<SocketAddr> = near.map(|member| member.node.http_address).collect();
     if found.len() < MIN_LOCAL_NODES {
         found.extend(
             ready()
                 .filter(|member| member.node.region != region)
-                .map(|member| member.node.http),
+                .map(|member| member.node.http_address),
         );
     }
     found.truncate(limits::MAX_LOOKUP_ADDRESSES);
--- a/crates/control/src/lookup/tests.rs
+++ b/crates/control/src/lookup/tests.rs
@@ -10,7 +10,7 @@
             name: format!("edge-{at}"),
             zone: format!("{}1", &text[..1]),
             region: text[..1].to_string(),
-            http: SocketAddr::from(([10, 0, 0, at as u8], 80)),
+            http_address: SocketAddr::from(([10, 0, 0, at as u8], 80)),
         },
         state: match &text[1..] {
             "r" => NodeState::Ready,
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -8,8 +8,10 @@
     program::run(
         "control",
         control::host::check,
-        |ProgramContext { settings, ring, .. }| {
-            control::host::serve(&settings, ring.logger("control", &settings.node))
-        },
+        |ProgramContext {
+             settings,
+             log_ring: ring,
+             ..
+         }| { control::host::serve(&settings, ring.logger("control", &settings.node)) },
     )
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -31,6 +31,6 @@
         name: node.to_string(),
         zone: zone.to_string(),
         region: "r".to_string(),
-        http,
+        http_address: http,
     }
 }
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -25,7 +25,7 @@
         name: node.to_string(),
         zone: "e".to_string(),
         region: "r2".to_string(),
-        http,
+        http_address: http,
     }
 }
 
@@ -115,11 +115,11 @@
     cluster.run(1_500 * MS);
     let adds = AgentMessage::CounterBatch {
         batch: 5,
-        time: 0,
+        clock_us: 0,
         adds: vec![CounterAdd {
             counter: 1,
             units: 2.0,
-            ttl: SECOND,
+            ttl_us: SECOND,
         }],
     };
     cluster.feed(holder, Input::Agent(3, adds));
@@ -133,7 +133,7 @@
         !cluster.nodes[holder]
             .told
             .iter()
-            .any(|(_, down)| matches!(down, ControlMessage::Totals { .. }))
+            .any(|(_, down)| matches!(down, ControlMessage::CounterTotals { .. }))
     );
 }
 
--- a/crates/control/tests/distribution.rs
+++ b/crates/control/tests/distribution.rs
@@ -31,7 +31,7 @@
         let told = told.filter(|told| {
             !matches!(
                 told.1,
-                ControlMessage::ClusterView(_) | ControlMessage::Levels { .. }
+                ControlMessage::ClusterView(_) | ControlMessage::AdmissionLevels { .. }
             ) && !sign(told)
         });
         told.map(|(_, down)| match down {
@@ -123,18 +123,18 @@
 
     let add = |time| AgentMessage::CounterBatch {
         batch: 5,
-        time,
+        clock_us: time,
         adds: vec![CounterAdd {
             counter: 1,
             units: 2.0,
-            ttl: SECOND,
+            ttl_us: SECOND,
         }],
     };
     cluster.feed(3, Input::Agent(3, add(TIME)));
     cluster.feed(2, Input::Agent(4, add(TIME)));
     assert_eq!(
         cluster.nodes[3].told.last().unwrap().1,
-        ControlMessage::Totals {
+        ControlMessage::CounterTotals {
             batch: 5,
             totals: vec![2.0]
         }
@@ -153,18 +153,18 @@
     let mut cluster = started(10);
     let add = |time| AgentMessage::CounterBatch {
         batch: 5,
-        time,
+        clock_us: time,
         adds: vec![CounterAdd {
             counter: 1,
             units: 2.0,
-            ttl: 90 * SECOND,
+            ttl_us: 90 * SECOND,
         }],
     };
     let counted = |cluster: &mut Cluster, link, time| {
         cluster.feed(3, Input::Agent(link, add(time)));
         matches!(
             cluster.nodes[3].told.last(),
-            Some((_, ControlMessage::Totals { .. }))
+            Some((_, ControlMessage::CounterTotals { .. }))
         )
     };
     assert!(counted(&mut cluster, 1, TIME) && counted(&mut cluster, 2, TIME - 400 * MS));
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -90,7 +90,7 @@
         name: "edge-1".into(),
         zone: "alajuela".into(),
         region: "meseta".into(),
-        http: address(33),
+        http_address: address(33),
     };
     Member {
         node: edge,
@@ -107,7 +107,7 @@
         zone: "alajuela".into(),
         slots: 300,
         accepts_requests: false,
-        warm_up_left: 1_500_000,
+        warm_up_left_us: 1_500_000,
     }
 }
 
--- a/crates/control/tests/roles.rs
+++ b/crates/control/tests/roles.rs
@@ -159,7 +159,7 @@
         zone: "a".into(),
         slots: 2,
         accepts_requests: true,
-        warm_up_left: 0,
+        warm_up_left_us: 0,
     };
     cluster.feed(holder, Input::ServerListRead(vec![one]));
     cluster.run(100 * MS);
--- a/crates/control/tests/transfers.rs
+++ b/crates/control/tests/transfers.rs
@@ -86,7 +86,7 @@
         name: "e".into(),
         zone: "z0".into(),
         region: "r".into(),
-        http,
+        http_address: http,
     };
     let mut told = take(
         &mut core,
@@ -112,7 +112,7 @@
         }
         open -= 1;
         let holding = AgentMessage::ConfigState {
-            items: held as u32,
+            item_count: held as u32,
             digest: 1,
         };
         told = take(&mut core, 500 * MS + asked, Input::Agent(7, holding));
--- a/crates/load/src/soak/mod.rs
+++ b/crates/load/src/soak/mod.rs
@@ -57,7 +57,10 @@
 /// The share of the orders that are first sent without waiting for the answer.
 const LOST_ANSWERS: f64 = 0.3;
 /// Ports of the reports of agents and proxies.
-const METRICS_PORTS: [u16; 2] = [protocol::metrics::AGENT_PORT, protocol::metrics::PROXY_PORT];
+const METRICS_PORTS: [u16; 2] = [
+    protocol::metrics::AGENT_METRICS_PORT,
+    protocol::metrics::PROXY_METRICS_PORT,
+];
 
 /// What is played.
 #[derive(Clone, Debug)]
--- a/crates/protocol/src/connections.rs
+++ b/crates/protocol/src/connections.rs
@@ -64,7 +64,7 @@
     }
 
     /// The number of bytes that are queued and not written yet.
-    pub fn backlog(&self) -> usize {
+    pub fn pending_output_bytes(&self) -> usize {
         self.output.len() - self.written_bytes
     }
 
@@ -209,7 +209,7 @@
     }
 
     /// When the last poll ended, before anything was read; and whether it brought all events.
-    pub fn last_wake(&self) -> (i64, bool) {
+    pub fn last_poll(&self) -> (i64, bool) {
         self.last_wake
     }
 
@@ -333,7 +333,7 @@
             connection.connected = true;
             events.push(IoEvent::Connected(id));
         }
-        if event.is_writable() && connection.backlog() > 0 {
+        if event.is_writable() && connection.pending_output_bytes() > 0 {
             self.flush(id, events);
         }
         if event.is_readable() || event.is_read_closed() || event.is_error() {
@@ -412,7 +412,7 @@
         for id in dirty.drain(..) {
             if let Some(connection) = self.connections.get_mut(id) {
                 connection.flush_pending = false;
-                if connection.connected && connection.backlog() > 0 {
+                if connection.connected && connection.pending_output_bytes() > 0 {
                     self.flush(id, events);
                 }
             }
--- a/crates/protocol/src/duration.rs
+++ b/crates/protocol/src/duration.rs
@@ -22,7 +22,7 @@
     }
 
     /// The duration in whole milliseconds.
-    pub fn millis(self) -> i64 {
+    pub fn as_millis(self) -> i64 {
         self.0 / 1000
     }
 }
--- a/crates/protocol/src/frames/tests.rs
+++ b/crates/protocol/src/frames/tests.rs
@@ -7,11 +7,11 @@
         AgentMessage::Clock(5),
         AgentMessage::CounterBatch {
             batch: 3,
-            time: 8,
+            clock_us: 8,
             adds: vec![CounterAdd {
                 counter: 9,
                 units: -1.5,
-                ttl: 7,
+                ttl_us: 7,
             }],
         },
     ];
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -35,7 +35,7 @@
     /// Its region.
     pub region: String,
     /// The address at which its proxy accepts clients' requests.
-    pub http: SocketAddr,
+    pub http_address: SocketAddr,
 }
 
 /// One addition to the shared counter.
@@ -46,7 +46,7 @@
     /// The units; negative where they are given back.
     pub units: f64,
     /// A new counter expires after this, in microseconds.
-    pub ttl: i64,
+    pub ttl_us: i64,
 }
 
 /// A message from an agent to a control program, or from a proxy to its agent.
@@ -60,7 +60,7 @@
     /// The items that an agent has, sent after each change and now and then, so that its replica knows whether it lags.
     ConfigState {
         /// How many items, removed ones included.
-        items: u32,
+        item_count: u32,
         /// The digest of their names and versions.
         digest: u64,
     },
@@ -75,7 +75,7 @@
         /// The number of the batch on this link.
         batch: u64,
         /// The limiters' clock as the proxy has it, by which windows are named.
-        time: i64,
+        clock_us: i64,
         /// The additions.
         adds: Vec<CounterAdd>,
     },
@@ -93,9 +93,9 @@
     /// Whether the sender is in contact with a quorum of the replicas.
     pub has_quorum: bool,
     /// The number of limiters with a lease, those that had one recently included.
-    pub limiters: u32,
+    pub limiter_count: u32,
     /// The number of those in the zone of the agent.
-    pub limiters_in_zone: u32,
+    pub zone_limiter_count: u32,
 }
 
 /// A message from a control program to an agent, or from an agent to its proxy.
@@ -116,7 +116,7 @@
     /// Everything that is in force has been sent; what follows are changes.
     Complete,
     /// The totals after a batch of additions, in order.
-    Totals {
+    CounterTotals {
         /// The number of the batch.
         batch: u64,
         /// The total after each addition.
@@ -127,15 +127,15 @@
     /// The batch of this number reached no counter: nothing was added.
     NotCounted(u64),
     /// How much of the load of each service is admitted; of services without a level everything is.
-    Levels {
+    AdmissionLevels {
         /// How long ago the levels were determined, in microseconds.
-        age: i64,
+        age_us: i64,
         /// The levels.
         levels: Vec<AdmissionLevel>,
     },
     /// From an agent to its proxy: everything that was in force so long ago has been sent, in microseconds.
     Confirmed {
         /// The age of the configuration at most.
-        age: i64,
+        age_us: i64,
     },
 }
--- a/crates/protocol/src/metrics.rs
+++ b/crates/protocol/src/metrics.rs
@@ -12,11 +12,11 @@
 use crate::invariant::Invariant;
 
 /// The port at which each program reports its figures, on the address of its machine; `deploy/system.toml` names the same.
-pub const CONTROL_PORT: u16 = 9464;
+pub const CONTROL_METRICS_PORT: u16 = 9464;
 /// As [`CONTROL_PORT`], for the agent.
-pub const AGENT_PORT: u16 = 9465;
+pub const AGENT_METRICS_PORT: u16 = 9465;
 /// As [`CONTROL_PORT`], for the proxy.
-pub const PROXY_PORT: u16 = 9466;
+pub const PROXY_METRICS_PORT: u16 = 9466;
 
 /// The greatest size of a request, in bytes.
 const MAX_REQUEST_BYTES: usize = 8 * 1024;
@@ -29,25 +29,25 @@
 
 impl MetricsText {
     /// Adds a figure that only rises while the process runs.
-    pub fn counter(&mut self, name: &str, help: &str, value: impl Display) {
+    pub fn add_counter(&mut self, name: &str, help: &str, value: impl Display) {
         self.add("counter", name, help, value);
     }
 
     /// Adds a figure that rises and falls.
-    pub fn gauge(&mut self, name: &str, help: &str, value: impl Display) {
+    pub fn add_gauge(&mut self, name: &str, help: &str, value: impl Display) {
         self.add("gauge", name, help, value);
     }
 
     /// Adds how often an invariant was checked and violated.
-    pub fn invariant(&mut self, invariant: &Invariant) {
+    pub fn add_invariant(&mut self, invariant: &Invariant) {
         let name = invariant.name();
         let (checks, violations) = (invariant.checks(), invariant.violations());
-        self.counter(
+        self.add_counter(
             &format!("invariant_{name}_checks_total"),
             "checks of the invariant",
             checks,
         );
-        self.counter(
+        self.add_counter(
             &format!("invariant_{name}_violations_total"),
             "checks that failed",
             violations,
@@ -105,7 +105,7 @@
     }
 
     /// Handles an event of a caller; `report` makes the text.
-    pub fn handle(
+    pub fn handle_event(
         &mut self,
         connections: &mut Connections,
         event: IoEvent,
--- a/crates/protocol/src/metrics/tests.rs
+++ b/crates/protocol/src/metrics/tests.rs
@@ -24,10 +24,10 @@
         connections.wait(Some(10_000), || 0, &mut events).unwrap();
         for event in events.drain(..) {
             assert!(endpoint.owns(&event));
-            endpoint.handle(&mut connections, event, || {
+            endpoint.handle_event(&mut connections, event, || {
                 let mut text = MetricsText::default();
-                text.counter("links_lost_total", "links lost", 3);
-                text.invariant(&Invariant::new("order"));
+                text.add_counter("links_lost_total", "links lost", 3);
+                text.add_invariant(&Invariant::new("order"));
                 text
             });
         }
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -25,16 +25,16 @@
     /// Whether it accepts new requests.
     pub accepts_requests: bool,
     /// How much longer it warms up, in microseconds from when this was sent.
-    pub warm_up_left: i64,
+    pub warm_up_left_us: i64,
 }
 
 /// A page of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Page {
+pub struct ServerPage {
     /// The servers of the page.
     pub servers: Vec<Server>,
     /// The token of the next page; none on the last one.
-    pub next: Option<String>,
+    pub next_cursor: Option<String>,
 }
 
 #[derive(Deserialize)]
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// The page does not have the platform's layout, or a server lacks a column that is needed. Nothing of the page counts then.
-pub fn parse_page(bytes: &[u8]) -> eyre::Result<Page> {
+pub fn parse_page(bytes: &[u8]) -> eyre::Result<ServerPage> {
     let raw: RawPage = serde_json::from_slice(bytes).wrap_err("list of servers")?;
     let servers = raw
         .insts
@@ -62,9 +62,9 @@
         .iter()
         .map(|row| parse_server(&raw.insts.cols, row))
         .collect::<eyre::Result<_>>()?;
-    Ok(Page {
+    Ok(ServerPage {
         servers,
-        next: raw.next_cursor,
+        next_cursor: raw.next_cursor,
     })
 }
 
@@ -90,7 +90,7 @@
             .unwrap_or(1)
             .clamp(1, 100_000) as u32,
         accepts_requests: text("state").is_none_or(|state| state == "up"),
-        warm_up_left: text("warm_left")
+        warm_up_left_us: text("warm_left")
             .and_then(ConfigDuration::parse)
             .unwrap_or_default()
             .0,
--- a/crates/protocol/src/platform/tests.rs
+++ b/crates/protocol/src/platform/tests.rs
@@ -8,11 +8,11 @@
 #[test]
 fn page_is_read_by_its_column_names() {
     let read = parse_page(PAGE.as_bytes()).unwrap();
-    assert_eq!(read.next.as_deref(), Some("p-50"));
+    assert_eq!(read.next_cursor.as_deref(), Some("p-50"));
     assert_eq!(
         (
             read.servers[0].accepts_requests,
-            read.servers[0].warm_up_left,
+            read.servers[0].warm_up_left_us,
             read.servers[0].slots
         ),
         (false, 1_500_000, 2)
@@ -20,7 +20,7 @@
     assert_eq!(
         (
             read.servers[1].accepts_requests,
-            read.servers[1].warm_up_left,
+            read.servers[1].warm_up_left_us,
             read.servers[1].slots
         ),
         (true, 0, 1)
--- a/crates/protocol/src/program.rs
+++ b/crates/protocol/src/program.rs
@@ -25,9 +25,9 @@
     /// Its settings.
     pub settings: Settings,
     /// The file that the settings were read from.
-    pub file: PathBuf,
+    pub settings_path: PathBuf,
     /// Its log.
-    pub ring: LogRing,
+    pub log_ring: LogRing,
 }
 
 /// Reads arguments and settings, checks them, also with the program's own `check`, and runs the program. An error is written
@@ -76,7 +76,7 @@
     }
     Ok(Some(ProgramContext {
         settings,
-        file,
-        ring: ring.clone(),
+        settings_path: file,
+        log_ring: ring.clone(),
     }))
 }
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -28,7 +28,7 @@
         name: "edge-1".into(),
         zone: "alajuela".into(),
         region: "meseta".into(),
-        http: address(33),
+        http_address: address(33),
     }
 }
 
@@ -51,7 +51,7 @@
         zone: "alajuela".into(),
         slots: 300,
         accepts_requests: true,
-        warm_up_left: 1_500_000,
+        warm_up_left_us: 1_500_000,
     }
 }
 
@@ -84,12 +84,12 @@
         CounterAdd {
             counter: 9,
             units: -1.5,
-            ttl: 7_000_000,
+            ttl_us: 7_000_000,
         },
         CounterAdd {
             counter: u64::MAX,
             units: 2.0,
-            ttl: 1,
+            ttl_us: 1,
         },
     ];
     let examples = [
@@ -101,7 +101,7 @@
         (
             "count and digest of what is known",
             AgentMessage::ConfigState {
-                items: 350,
+                item_count: 350,
                 digest: 0x0123_4567_89ab_cdef,
             },
         ),
@@ -122,7 +122,7 @@
             "adds to the shared counter",
             AgentMessage::CounterBatch {
                 batch: 3,
-                time: 8,
+                clock_us: 8,
                 adds,
             },
         ),
@@ -143,8 +143,8 @@
         ],
         counter: Some((address(11), 12)),
         has_quorum: true,
-        limiters: 18,
-        limiters_in_zone: 3,
+        limiter_count: 18,
+        zone_limiter_count: 3,
     };
     let set = item(ItemKind::Route, "reads", 7, Some(r#"{"host":"h"}"#));
     let examples = [
@@ -170,7 +170,7 @@
         ("complete", ControlMessage::Complete),
         (
             "totals",
-            ControlMessage::Totals {
+            ControlMessage::CounterTotals {
                 batch: 3,
                 totals: vec![0.0, 2.5],
             },
@@ -179,12 +179,12 @@
         ("not counted", ControlMessage::NotCounted(3)),
         (
             "levels",
-            ControlMessage::Levels {
-                age: 40,
+            ControlMessage::AdmissionLevels {
+                age_us: 40,
                 levels: vec![level(), AdmissionLevel::default()],
             },
         ),
-        ("confirmed", ControlMessage::Confirmed { age: 300_000 }),
+        ("confirmed", ControlMessage::Confirmed { age_us: 300_000 }),
     ];
     insta::assert_snapshot!("from-control", variants(&examples));
 }
@@ -279,7 +279,7 @@
                 ["records","10.128.0.8:8080","alajuela",null,null,"draining",null,"i-8"]]},"next_cursor":"p-50"}"#;
     let page = platform::parse_page(page.as_bytes()).unwrap();
     assert_eq!(
-        (page.next.as_deref(), &page.servers[0]),
+        (page.next_cursor.as_deref(), &page.servers[0]),
         (Some("p-50"), &server())
     );
     let examples = [
@@ -351,7 +351,7 @@
         bounds.sync_time,
         bounds.drain,
     ];
-    assert_eq!(spans.map(ConfigDuration::millis), [1, 2, 3, 4, 5, 6]);
+    assert_eq!(spans.map(ConfigDuration::as_millis), [1, 2, 3, 4, 5, 6]);
     let spans = [
         bounds.grace,
         bounds.apply,
@@ -360,7 +360,7 @@
         bounds.evac,
         bounds.ttl_max,
     ];
-    assert_eq!(spans.map(ConfigDuration::millis), [7, 8, 9, 10, 11, 12]);
+    assert_eq!(spans.map(ConfigDuration::as_millis), [7, 8, 9, 10, 11, 12]);
     let figures = [
         bounds.retry_ratio,
         bounds.retry_slack,
@@ -376,7 +376,7 @@
         (
             platform.addr.port(),
             platform.per_s,
-            platform.max_lag.millis()
+            platform.max_lag.as_millis()
         ),
         (80, 50.0, 500)
     );
--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -112,7 +112,7 @@
     fn handle_control_message(&mut self, now: Micros, message: ControlMessage) {
         match message {
             ControlMessage::ClusterView(ClusterView {
-                limiters,
+                limiter_count: limiters,
                 counter: counter_owner,
                 has_quorum,
                 ..
@@ -135,7 +135,7 @@
                 }
             }
             ControlMessage::Complete => self.has_complete_state = true,
-            ControlMessage::Confirmed { age } => {
+            ControlMessage::Confirmed { age_us: age } => {
                 // The clock may have jumped since this iteration began.
                 let confirmed_at = self.clock.now() - age;
                 self.config_freshness.confirm(confirmed_at);
@@ -149,11 +149,16 @@
                 self.router
                     .handle_clock_jump(advanced_to, advanced_to - now);
             }
-            ControlMessage::Levels { age, levels } => self
+            ControlMessage::AdmissionLevels {
+                age_us: age,
+                levels,
+            } => self
                 .router
                 .shedding()
                 .set_admission_levels(now, age, levels),
-            ControlMessage::Totals { batch, totals } => self.handle_counter_totals(batch, &totals),
+            ControlMessage::CounterTotals { batch, totals } => {
+                self.handle_counter_totals(batch, &totals)
+            }
             ControlMessage::NotCounted(batch) => {
                 if let Some(batch) = self.take_counter_batch(batch) {
                     self.fail_counter_batch(&batch, Outcome::ConnectFailed);
@@ -237,7 +242,7 @@
         }
         self.send_to_agent(&AgentMessage::CounterBatch {
             batch: self.last_batch_number,
-            time: now,
+            clock_us: now,
             adds,
         });
         if self.counter_batches.is_empty() {
--- a/crates/proxy/src/host/capacity.rs
+++ b/crates/proxy/src/host/capacity.rs
@@ -31,7 +31,7 @@
     /// The events of a wait may have occurred at any time during the iteration before it; if that
     /// wait did not return all events, even earlier. A wait that ends late delays due timers.
     pub(super) fn record_node_load(&mut self, began: Micros, until: Micros, count: usize) {
-        let (woken_at, returned_all) = self.connections.last_wake();
+        let (woken_at, returned_all) = self.connections.last_poll();
         let is_immediate = woken_at - began <= MAX_IMMEDIATE_WAIT;
         let input_delay = if is_immediate {
             began - self.input_read_until
--- a/crates/proxy/src/host/clients.rs
+++ b/crates/proxy/src/host/clients.rs
@@ -74,7 +74,7 @@
             && self
                 .connections
                 .get(connection_id)
-                .is_some_and(|connection| connection.backlog() == 0)
+                .is_some_and(|connection| connection.pending_output_bytes() == 0)
         {
             client.connection.record_write_progress(now);
         }
--- a/crates/proxy/src/host/close_reasons.rs
+++ b/crates/proxy/src/host/close_reasons.rs
@@ -60,7 +60,7 @@
         };
         let connection = self.connections.get(connection_id);
         let (unread_bytes, unwritten_bytes) = connection.map_or((0, 0), |connection| {
-            (connection.input.len(), connection.backlog())
+            (connection.input.len(), connection.pending_output_bytes())
         });
         let is_response_due = matches!(
             client.connection.stage,
--- a/crates/proxy/src/host/metrics.rs
+++ b/crates/proxy/src/host/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use protocol::metrics::{MetricsText, PROXY_PORT};
+use protocol::metrics::{MetricsText, PROXY_METRICS_PORT};
 use slog::warn;
 
 use super::*;
@@ -25,28 +25,28 @@
 impl ProxyMetrics {
     fn write_to(&self, text: &mut MetricsText) {
         for (status, count) in &self.local_responses {
-            text.counter(
+            text.add_counter(
                 &format!("proxy_local_responses_{status}_total"),
                 "answers of the proxy itself with this status",
                 count,
             );
         }
-        text.counter(
+        text.add_counter(
             "proxy_counter_batches_total",
             "batches of additions to the shared counter",
             self.counter_batches,
         );
-        text.counter(
+        text.add_counter(
             "proxy_counter_batches_timed_out_total",
             "of these, without totals in time",
             self.counter_batches_timed_out,
         );
-        text.counter(
+        text.add_counter(
             "proxy_counter_batches_late_total",
             "of these, with totals after that",
             self.counter_batches_late,
         );
-        text.counter(
+        text.add_counter(
             "proxy_counter_batches_failed_total",
             "batches that reached no counter",
             self.counter_batches_failed,
@@ -60,7 +60,7 @@
         let ip = self.settings.ip;
         let result = self
             .metrics_endpoint
-            .listen(&mut self.connections, ip, PROXY_PORT);
+            .listen(&mut self.connections, ip, PROXY_METRICS_PORT);
         if let Err(error) = result {
             warn!(self.log, "cannot serve metrics"; "error" => error.to_string());
         }
@@ -69,7 +69,7 @@
     pub(super) fn handle_metrics_event(&mut self, now: Micros, event: IoEvent) {
         let mut endpoint = std::mem::take(&mut self.metrics_endpoint);
         let text = self.metrics_text(now);
-        endpoint.handle(&mut self.connections, event, || text);
+        endpoint.handle_event(&mut self.connections, event, || text);
         self.metrics_endpoint = endpoint;
     }
 
@@ -77,27 +77,27 @@
     fn metrics_text(&mut self, now: Micros) -> MetricsText {
         let mut text = MetricsText::default();
         self.metrics.write_to(&mut text);
-        text.gauge(
+        text.add_gauge(
             "proxy_ready",
             "1 if the proxy is ready",
             u8::from(self.node_state() == NodeState::Ready),
         );
-        text.gauge(
+        text.add_gauge(
             "proxy_config_items",
             "items in force, removed ones included",
             self.config_store.item_count(),
         );
-        text.gauge(
+        text.add_gauge(
             "proxy_quota_shares_binding",
             "1 while quotas are enforced by local shares",
             u8::from(self.router.enforces_local_shares(now)),
         );
-        text.gauge(
+        text.add_gauge(
             "proxy_config_current",
             "1 while no change can be missing that has to be in force",
             u8::from(self.config_freshness.is_current(now)),
         );
-        text.invariant(self.config_freshness.invariant());
+        text.add_invariant(self.config_freshness.invariant());
         text
     }
 }
--- a/crates/proxy/src/host/mod.rs
+++ b/crates/proxy/src/host/mod.rs
@@ -542,7 +542,7 @@
                 if self
                     .connections
                     .get(connection_id)
-                    .is_some_and(|connection| connection.backlog() > 0) => {}
+                    .is_some_and(|connection| connection.pending_output_bytes() > 0) => {}
             Some(Role::Upstream(upstream)) if upstream.is_uploading => {
                 if let Some(UpstreamPurpose::Attempt(request, ..)) = upstream.state.purpose() {
                     self.resume_upload(request);
@@ -677,7 +677,7 @@
             name: node.clone(),
             zone: zone.clone(),
             region: region.clone(),
-            http: self.listen_addresses.0,
+            http_address: self.listen_addresses.0,
         }
     }
 
--- a/crates/proxy/src/host/response_streams.rs
+++ b/crates/proxy/src/host/response_streams.rs
@@ -215,7 +215,7 @@
         let is_client_slow = self
             .connections
             .get(stream.client)
-            .is_some_and(|client| client.backlog() > 0);
+            .is_some_and(|client| client.pending_output_bytes() > 0);
         let deadline = stream_deadline(
             stream.deadline,
             if is_client_slow {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -10,7 +10,11 @@
     program::run(
         "proxy",
         proxy::host::check_settings,
-        |ProgramContext { settings, ring, .. }| {
+        |ProgramContext {
+             settings,
+             log_ring: ring,
+             ..
+         }| {
             let mut host = Host::open(settings, Clock::steady(), ring)?;
             host.serve_metrics();
             host.run()
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -413,7 +413,7 @@
                 actions.push(RouterAction::AddToCounter(CounterAdd {
                     counter: name.0,
                     units: amount,
-                    ttl,
+                    ttl_us: ttl,
                 }));
             }
             EngineAction::Probe(server) => actions.push(RouterAction::Probe(engine_index, server)),
--- a/crates/proxy/src/server_table.rs
+++ b/crates/proxy/src/server_table.rs
@@ -69,8 +69,8 @@
         self.version = Some(version);
         let mut previous_servers = std::mem::take(&mut self.servers);
         for server in servers {
-            let warm_up_until = if server.warm_up_left > 0 {
-                now + server.warm_up_left
+            let warm_up_until = if server.warm_up_left_us > 0 {
+                now + server.warm_up_left_us
             } else {
                 0
             };
--- a/crates/proxy/src/server_table/tests.rs
+++ b/crates/proxy/src/server_table/tests.rs
@@ -11,7 +11,7 @@
         zone: zone.into(),
         slots: 2,
         accepts_requests: true,
-        warm_up_left: 0,
+        warm_up_left_us: 0,
     }
 }
 
@@ -57,7 +57,7 @@
 #[test]
 fn server_receives_no_requests_until_its_warm_up_ends() {
     let server_table = server_table(vec![Server {
-        warm_up_left: 500,
+        warm_up_left_us: 500,
         ..server("i-a", "a")
     }]);
     assert!(ready(&server_table, NOW + 499, &[]).is_empty());
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -231,7 +231,7 @@
     /// The agent says that it has told everything that is in force now.
     pub fn complete(&mut self) {
         self.tell(ControlMessage::Complete);
-        self.tell(ControlMessage::Confirmed { age: 0 });
+        self.tell(ControlMessage::Confirmed { age_us: 0 });
         self.settle();
     }
 
@@ -283,8 +283,8 @@
             .collect();
         items.push(item(ItemKind::Service, "s", 1, r#"{"hcheck":"/healthz"}"#));
         self.tell(ControlMessage::ClusterView(ClusterView {
-            limiters: 1,
-            limiters_in_zone: 1,
+            limiter_count: 1,
+            zone_limiter_count: 1,
             has_quorum: true,
             ..ClusterView::default()
         }));
@@ -505,7 +505,7 @@
             zone,
             slots: 4,
             accepts_requests: true,
-            warm_up_left: 0,
+            warm_up_left_us: 0,
         };
         Stub {
             listener,
--- a/crates/proxy/tests/late_totals.rs
+++ b/crates/proxy/tests/late_totals.rs
@@ -37,7 +37,7 @@
                 *total
             };
             let totals = adds.iter().map(|one| add(one.counter, one.units)).collect();
-            let answer = ControlMessage::Totals { batch, totals };
+            let answer = ControlMessage::CounterTotals { batch, totals };
             self.due.push_back((now + ROUND_TRIP, answer));
         }
         while self.due.front().is_some_and(|(at, _)| *at <= now) {
@@ -53,8 +53,8 @@
     bench.tell(ControlMessage::ClusterView(ClusterView {
         counter: Some(("10.0.0.9:7740".parse().unwrap(), 1)),
         has_quorum: true,
-        limiters: LIMITERS,
-        limiters_in_zone: LIMITERS,
+        limiter_count: LIMITERS,
+        zone_limiter_count: LIMITERS,
         ..ClusterView::default()
     }));
     let tenant = r#"{"apikeys":["k1"],"prio":1,"per_s":60,"burst":60,"pins":[]}"#;
--- a/crates/proxy/tests/servers.rs
+++ b/crates/proxy/tests/servers.rs
@@ -143,7 +143,7 @@
 #[test]
 fn cold_server_gets_nothing_until_it_is_warm() {
     let mut bench = Bench::new(&["a", "a"]);
-    bench.stubs[0].listed.warm_up_left = 500 * common::MS;
+    bench.stubs[0].listed.warm_up_left_us = 500 * common::MS;
     bench.list();
     assert_eq!(bench.spread(20)[0], 0);
     bench.pass(460);
--- a/crates/proxy/tests/stale.rs
+++ b/crates/proxy/tests/stale.rs
@@ -62,7 +62,7 @@
     assert_eq!(status(&mut bench, "/k/", other_key), 503);
     serves(&mut bench);
     for (age, expected) in [(5_000_000, 503), (100_000, 404)] {
-        bench.tell(ControlMessage::Confirmed { age });
+        bench.tell(ControlMessage::Confirmed { age_us: age });
         bench.settle();
         assert_eq!(status(&mut bench, "/other/", ""), expected, "age {age}");
     }
--- a/crates/simulation/src/edges.rs
+++ b/crates/simulation/src/edges.rs
@@ -222,7 +222,7 @@
                     .config_store
                     .find_route(HOST, &path)?
                     .timeout
-                    .millis() as u64
+                    .as_millis() as u64
             }
             _ => return None,
         };
--- a/crates/simulation/src/edges/agents.rs
+++ b/crates/simulation/src/edges/agents.rs
@@ -89,7 +89,7 @@
             name: format!("edge-{at}"),
             zone: self.zones[zone].clone(),
             region: format!("r{}", zone / 2),
-            http: SocketAddr::from(([10, 1, 0, at as u8], 8686)),
+            http_address: SocketAddr::from(([10, 1, 0, at as u8], 8686)),
         };
         let standing = self.edges[at].agent.standing;
         self.say(id, AgentMessage::Hello(edge));
@@ -257,7 +257,7 @@
             self.edges[at].agent.counted = now;
         }
         match message {
-            ControlMessage::Totals { batch, totals } => {
+            ControlMessage::CounterTotals { batch, totals } => {
                 if let Some((incarnation, batch)) = self.edges[at].agent.batches.remove(&batch) {
                     self.totals(at, incarnation, batch, Some(&totals));
                 }
--- a/crates/simulation/src/edges/proxies.rs
+++ b/crates/simulation/src/edges/proxies.rs
@@ -18,7 +18,7 @@
         let proxy = &mut self.edges[at].proxy;
         match message {
             ControlMessage::ClusterView(who) => {
-                proxy.router.set_limiter_count(now, who.limiters);
+                proxy.router.set_limiter_count(now, who.limiter_count);
                 proxy.router.set_isolated(!who.has_quorum);
                 proxy
                     .router
@@ -72,9 +72,9 @@
                 proxy.router.handle_clock_jump(time, time - now);
             }
             // The simulation's servers answer at once: nothing is under strain.
-            ControlMessage::Totals { .. }
+            ControlMessage::CounterTotals { .. }
             | ControlMessage::NotCounted(_)
-            | ControlMessage::Levels { .. }
+            | ControlMessage::AdmissionLevels { .. }
             | ControlMessage::Confirmed { .. } => {}
         }
         self.stands(at);
@@ -293,7 +293,14 @@
             agent.batches.pop_first();
         }
         let time = self.local(at);
-        self.say(id, AgentMessage::CounterBatch { batch, time, adds });
+        self.say(
+            id,
+            AgentMessage::CounterBatch {
+                batch,
+                clock_us: time,
+                adds,
+            },
+        );
     }
 
     pub(super) fn totals(
--- a/crates/simulation/src/harm.rs
+++ b/crates/simulation/src/harm.rs
@@ -398,8 +398,8 @@
         down: ControlMessage,
     ) -> ControlMessage {
         match down {
-            ControlMessage::Totals { batch, totals } if self.has(Bug::Count) => {
-                ControlMessage::Totals {
+            ControlMessage::CounterTotals { batch, totals } if self.has(Bug::Count) => {
+                ControlMessage::CounterTotals {
                     batch,
                     totals: totals.iter().map(|_| 1.0).collect(),
                 }
@@ -412,13 +412,16 @@
                     *total += add.units;
                     *total
                 };
-                ControlMessage::Totals {
+                ControlMessage::CounterTotals {
                     batch,
                     totals: adds.iter().map(one).collect(),
                 }
             }
             ControlMessage::ClusterView(who) if self.has(Bug::Only) => {
-                ControlMessage::ClusterView(ClusterView { limiters: 1, ..who })
+                ControlMessage::ClusterView(ClusterView {
+                    limiter_count: 1,
+                    ..who
+                })
             }
             ControlMessage::ClusterView(who) if self.has(Bug::Totals) => {
                 // It goes on as the holder of the last term that it had.
--- a/crates/simulation/src/play/asks.rs
+++ b/crates/simulation/src/play/asks.rs
@@ -171,7 +171,7 @@
         zone: zones[at as usize % zones.len()].clone(),
         slots: 100,
         accepts_requests: true,
-        warm_up_left: 0,
+        warm_up_left_us: 0,
     };
     (0..6).map(one).collect()
 }
--- a/crates/simulation/src/scale/footprint.rs
+++ b/crates/simulation/src/scale/footprint.rs
@@ -94,7 +94,7 @@
         zone: format!("zone-{:02}", at % 74),
         slots: 6,
         accepts_requests: true,
-        warm_up_left: 0,
+        warm_up_left_us: 0,
     };
     (0..count).map(server).collect()
 }
--- a/crates/simulation/src/scale/world.rs
+++ b/crates/simulation/src/scale/world.rs
@@ -280,7 +280,10 @@
             name: format!("edge-{at:05}"),
             zone: self.zones[zone].clone(),
             region: region(zone),
-            http: SocketAddr::from(([10, 1 + (at >> 16) as u8, (at >> 8) as u8, at as u8], 8080)),
+            http_address: SocketAddr::from((
+                [10, 1 + (at >> 16) as u8, (at >> 8) as u8, at as u8],
+                8080,
+            )),
         };
         let regions = self
             .zones
@@ -544,7 +547,7 @@
                 agent,
                 link,
                 AgentMessage::ConfigState {
-                    items: items as u32,
+                    item_count: items as u32,
                     digest: u64::MAX,
                 },
             );
