--- a/crates/agent/src/config_cache.rs
+++ b/crates/agent/src/config_cache.rs
@@ -29,19 +29,19 @@
     /// Digests of the items, by bucket.
     digests: Digests,
     server_list: Option<CachedServerList>,
-    view: Option<ClusterView>,
+    cluster_view: Option<ClusterView>,
     /// When a replica was last heard, and when one in contact with a quorum was.
-    last_heard: i64,
-    quorum_seen_at: i64,
+    last_received_at: i64,
+    last_quorum_at: i64,
     /// The replica that was heard last is in contact with a quorum.
     has_quorum: bool,
     /// The others do not count on this limiter any more, and its proxy was told so.
-    isolated: bool,
-    complete: bool,
+    is_isolated: bool,
+    is_complete: bool,
     /// Everything that was in force at this time is known here.
     confirmed_at: Option<i64>,
     /// The limiters' clock, and when it was received.
-    time: Option<(i64, i64)>,
+    limiter_clock: Option<(i64, i64)>,
     /// The admission levels of services, and when they were determined.
     levels: Option<(Vec<AdmissionLevel>, i64)>,
 }
@@ -50,30 +50,30 @@
     /// Takes in a message; gives what of it is new to the proxy.
     pub fn apply(&mut self, now: i64, message: ControlMessage) -> Option<ControlMessage> {
         // The cluster view is sent only when it changes; every other message is a sign of life as well.
-        self.last_heard = now;
-        self.quorum_seen_at = if self.has_quorum {
+        self.last_received_at = now;
+        self.last_quorum_at = if self.has_quorum {
             now
         } else {
-            self.quorum_seen_at
+            self.last_quorum_at
         };
         match message {
             ControlMessage::ClusterView(view) => {
                 self.has_quorum = view.has_quorum;
                 if view.has_quorum {
-                    (self.quorum_seen_at, self.isolated) = (now, false);
+                    (self.last_quorum_at, self.is_isolated) = (now, false);
                 }
                 // For the proxy this says whether this limiter is isolated.
                 let view = ClusterView {
-                    has_quorum: !self.isolated,
+                    has_quorum: !self.is_isolated,
                     ..view
                 };
                 let content =
                     |view: &ClusterView| (view.limiter_count, view.counter, view.has_quorum);
                 let same = self
-                    .view
+                    .cluster_view
                     .as_ref()
                     .is_some_and(|known| content(known) == content(&view));
-                self.view = Some(view.clone());
+                self.cluster_view = Some(view.clone());
                 (!same).then_some(ControlMessage::ClusterView(view))
             }
             ControlMessage::Items(items) => {
@@ -107,13 +107,17 @@
                 Some(ControlMessage::Servers { version, servers })
             }
             ControlMessage::Complete => {
-                let first = !std::mem::replace(&mut self.complete, true);
+                let first = !std::mem::replace(&mut self.is_complete, true);
                 first.then_some(ControlMessage::Complete)
             }
             ControlMessage::Clock(time) => {
                 // The clock that is ahead leads.
-                let newer = self.time(now).is_none_or(|known| known < time);
-                self.time = if newer { Some((time, now)) } else { self.time };
+                let newer = self.limiter_clock(now).is_none_or(|known| known < time);
+                self.limiter_clock = if newer {
+                    Some((time, now))
+                } else {
+                    self.limiter_clock
+                };
                 newer.then_some(ControlMessage::Clock(time))
             }
             ControlMessage::AdmissionLevels {
@@ -133,7 +137,7 @@
     }
 
     /// Everything that was in force at this time is known here.
-    pub fn confirm(&mut self, at: i64) {
+    pub fn confirm_current_at(&mut self, at: i64) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
@@ -150,14 +154,14 @@
 
     /// Checks whether this limiter is isolated by now; if so, gives the message for its proxy, once.
     pub fn check_isolation(&mut self, now: i64) -> Option<ControlMessage> {
-        let view = self.view.as_mut()?;
-        if self.isolated
-            || (now - self.last_heard < ISOLATION_TIMEOUT
-                && now - self.quorum_seen_at < QUORUM_LOSS_TIMEOUT)
+        let view = self.cluster_view.as_mut()?;
+        if self.is_isolated
+            || (now - self.last_received_at < ISOLATION_TIMEOUT
+                && now - self.last_quorum_at < QUORUM_LOSS_TIMEOUT)
         {
             return None;
         }
-        self.isolated = true;
+        self.is_isolated = true;
         (view.has_quorum, view.counter) = (false, None);
         Some(ControlMessage::ClusterView(view.clone()))
     }
@@ -176,7 +180,7 @@
     }
 
     /// Adds figures to a report.
-    pub fn report(&self, text: &mut MetricsText) {
+    pub fn add_metrics(&self, text: &mut MetricsText) {
         text.add_gauge(
             "agent_config_items",
             "items that the agent has, removed ones included",
@@ -191,17 +195,17 @@
 
     /// The cluster view that was received last.
     pub fn cluster_view(&self) -> Option<&ClusterView> {
-        self.view.as_ref()
+        self.cluster_view.as_ref()
     }
 
     /// The limiters' clock.
-    pub fn time(&self, now: i64) -> Option<i64> {
-        self.time.map(|(time, at)| time + (now - at))
+    pub fn limiter_clock(&self, now: i64) -> Option<i64> {
+        self.limiter_clock.map(|(time, at)| time + (now - at))
     }
 
     /// Everything that was received, for a proxy that has just connected.
     pub fn snapshot(&self, now: i64) -> Vec<ControlMessage> {
-        let view = self.view.clone().map(ControlMessage::ClusterView);
+        let view = self.cluster_view.clone().map(ControlMessage::ClusterView);
         let items = ControlMessage::Items(self.items.values().cloned().collect());
         let list = self.server_list.as_ref().map(|list| {
             // What was left of the warm-ups when the list was received, less the time since.
@@ -214,7 +218,7 @@
                 servers: list.servers.iter().map(current).collect(),
             }
         });
-        let complete = self.complete.then_some(ControlMessage::Complete);
+        let complete = self.is_complete.then_some(ControlMessage::Complete);
         let levels = self
             .levels
             .iter()
@@ -223,7 +227,7 @@
                 levels: levels.clone(),
             });
         view.into_iter()
-            .chain(self.time(now).map(ControlMessage::Clock))
+            .chain(self.limiter_clock(now).map(ControlMessage::Clock))
             .chain([items])
             .chain(list)
             .chain(levels)
--- a/crates/agent/src/config_cache/tests.rs
+++ b/crates/agent/src/config_cache/tests.rs
@@ -141,7 +141,7 @@
         Some(ControlMessage::Clock(70_000))
     );
     assert_eq!(known.apply(2_000, ControlMessage::Clock(70_900)), None);
-    assert_eq!(known.time(3_000), Some(72_000));
+    assert_eq!(known.limiter_clock(3_000), Some(72_000));
     assert!(
         known
             .snapshot(3_000)
--- a/crates/agent/src/host/control_link.rs
+++ b/crates/agent/src/host/control_link.rs
@@ -14,7 +14,7 @@
 /// The same while a link is there whose control program has lost the quorum.
 const SEARCH_INTERVAL_WITH_LINK: i64 = 700 * MS;
 /// A candidate that was established is the only one for this long.
-const ANSWER_PATIENCE: i64 = LINK_TIMEOUT;
+const ANSWER_PATIENCE: i64 = LINK_IDLE_TIMEOUT;
 /// A candidate that has not become the link is closed after this.
 const CANDIDATE_TIMEOUT: i64 = 8_000 * MS;
 /// A link on which nothing is received is closed after this, if no other one has taken its place.
@@ -187,7 +187,7 @@
         }) else {
             return;
         };
-        self.cache.confirm(requested_at);
+        self.cache.confirm_current_at(requested_at);
         self.send_confirmation(now);
     }
 
@@ -209,7 +209,7 @@
         // What was requested before may have been answered by a control program that was not up to date.
         link.ignored_clock_answers = link.clock_requests.len();
         if let Some(registered_at) = link.registered_at.take() {
-            self.cache.confirm(registered_at);
+            self.cache.confirm_current_at(registered_at);
             self.send_confirmation(now);
         }
         self.request_link_clock(now, id);
@@ -219,7 +219,7 @@
         if self.is_candidate(from) && (view.has_quorum || self.link.is_none()) {
             self.promote(now, from);
         } else if self.close_candidate(from).is_some() {
-            return self.selection.add_reported(&view.replicas);
+            return self.selection.add_unconfirmed_replicas(&view.replicas);
         }
         let link = self.link.as_mut();
         let Some(link) = link.filter(|link| link.connection == from) else {
@@ -232,7 +232,7 @@
         } else {
             link.without_quorum_since.get_or_insert(now);
             (link.complete, link.registered_at) = (false, None);
-            self.selection.add_reported(&view.replicas);
+            self.selection.add_unconfirmed_replicas(&view.replicas);
         }
         let has_quorum = view.has_quorum;
         self.forward(now, ControlMessage::ClusterView(view));
@@ -253,7 +253,7 @@
         {
             warn!(self.log, #IMMEDIATE, "linked again";
                 "peer" => candidate.address.to_string(), "outage_ms" => outage.duration / MS,
-                "attempts" => outage.attempts, "timed_out" => outage.timed_out);
+                "attempts" => outage.attempts, "timed_out" => outage.attempts_timed_out);
         }
         let former = self.link.replace(ControlLink {
             connection: candidate.connection,
@@ -305,12 +305,12 @@
         self.link.as_ref().is_some_and(|link| {
             let lost = link.without_quorum_since;
             !self.is_silent(now, link)
-                && lost.is_none_or(|since| now - since <= QUORUM_LOSS_PATIENCE)
+                && lost.is_none_or(|since| now - since <= LINK_QUORUM_LOSS_TIMEOUT)
         })
     }
 
     fn is_silent(&self, now: i64, link: &ControlLink) -> bool {
-        self.node.is_some() && now - self.last_received_at(link) > LINK_TIMEOUT
+        self.node.is_some() && now - self.last_received_at(link) > LINK_IDLE_TIMEOUT
     }
 
     fn last_received_at(&self, link: &ControlLink) -> i64 {
@@ -411,7 +411,7 @@
             .into_iter()
             .for_each(|id| _ = self.close_candidate(id));
         let linked = self.link.as_ref().map(|link| link.address);
-        let home = self.selection.home();
+        let home = self.selection.home_replica();
         let home = home.filter(|home| linked.is_some_and(|linked| linked != *home));
         if let Some(address) = home {
             self.open_candidate(now, address, true);
--- a/crates/agent/src/host/mod.rs
+++ b/crates/agent/src/host/mod.rs
@@ -24,7 +24,8 @@
 use crate::config_cache::ConfigCache;
 use crate::link_metrics::LinkMetrics;
 use crate::replica_selection::{
-    COUNTER_LINK_TIMEOUT, HOME_RETRY_INTERVAL, LINK_TIMEOUT, QUORUM_LOSS_PATIENCE, ReplicaSelection,
+    COUNTER_LINK_IDLE_TIMEOUT, HOME_RETRY_INTERVAL, LINK_IDLE_TIMEOUT, LINK_QUORUM_LOSS_TIMEOUT,
+    ReplicaSelection,
 };
 
 const MS: i64 = 1_000;
@@ -187,7 +188,7 @@
             .handle_event(&mut self.connections, event, || {
                 let mut text = MetricsText::default();
                 link_metrics.report(now, &mut text);
-                cache.report(&mut text);
+                cache.add_metrics(&mut text);
                 text
             });
     }
@@ -493,7 +494,7 @@
         let link = self.counter_link;
         let link = link.filter(|link| self.is_connected(link.connection));
         // Without the others' clock this limiter's windows are not theirs.
-        let link = link.filter(|_| self.cache.time(now).is_some());
+        let link = link.filter(|_| self.cache.limiter_clock(now).is_some());
         let Some(link) = link else {
             let not_counted = ControlMessage::NotCounted(pending.number);
             return self.send(pending.proxy, &not_counted);
@@ -515,7 +516,7 @@
 
     /// Requests the limiters' clock, and tells what it is here.
     fn request_clock(&mut self, now: i64, to: ConnectionId) {
-        let time = self.cache.time(now).unwrap_or(0);
+        let time = self.cache.limiter_clock(now).unwrap_or(0);
         self.send(to, &AgentMessage::Clock(time));
     }
 
@@ -559,7 +560,8 @@
         };
         let connection = self.connections.get(link.connection);
         let is_silent = connection.is_some_and(|connection| {
-            connection.is_connected() && now - connection.last_received_at > COUNTER_LINK_TIMEOUT
+            connection.is_connected()
+                && now - connection.last_received_at > COUNTER_LINK_IDLE_TIMEOUT
         });
         if is_silent {
             self.handle_connection_lost(now, link.connection);
--- a/crates/agent/src/link_metrics.rs
+++ b/crates/agent/src/link_metrics.rs
@@ -14,7 +14,7 @@
     /// Established links that were lost or given up.
     pub links_lost: u64,
     /// Attempts and time-outs when the last link was lost.
-    at_loss: (u64, u64),
+    counts_at_loss: (u64, u64),
     /// Since when there is no link on which a control program has told its view.
     without_link_since: Option<i64>,
 }
@@ -27,7 +27,7 @@
     /// Connections that were begun in it.
     pub attempts: u64,
     /// Those of them that were given up because they were not established in time.
-    pub timed_out: u64,
+    pub attempts_timed_out: u64,
 }
 
 impl LinkMetrics {
@@ -35,7 +35,7 @@
     pub fn record_loss(&mut self, now: i64) {
         if self.without_link_since.is_none() {
             self.links_lost += 1;
-            self.at_loss = (self.attempts, self.attempts_timed_out);
+            self.counts_at_loss = (self.attempts, self.attempts_timed_out);
             self.without_link_since = Some(now);
         }
     }
@@ -45,8 +45,8 @@
         let since = self.without_link_since.take()?;
         Some(LinkOutage {
             duration: now - since,
-            attempts: self.attempts - self.at_loss.0,
-            timed_out: self.attempts_timed_out - self.at_loss.1,
+            attempts: self.attempts - self.counts_at_loss.0,
+            attempts_timed_out: self.attempts_timed_out - self.counts_at_loss.1,
         })
     }
 
--- a/crates/agent/src/replica_selection.rs
+++ b/crates/agent/src/replica_selection.rs
@@ -8,16 +8,16 @@
 use std::net::SocketAddr;
 
 /// A link on which nothing is received is given up after this, in microseconds.
-pub const LINK_TIMEOUT: i64 = 1_200_000;
+pub const LINK_IDLE_TIMEOUT: i64 = 1_200_000;
 /// A replica without contact to a quorum is left after this, in microseconds: all of them may be, for a moment.
-pub const QUORUM_LOSS_PATIENCE: i64 = 700_000;
+pub const LINK_QUORUM_LOSS_TIMEOUT: i64 = 700_000;
 /// A link to the counter on which nothing is received is given up after this, in microseconds. The limiters' clock is
 /// requested on it all the time, and a replica that has closed it may not be able to say so.
-pub const COUNTER_LINK_TIMEOUT: i64 = 2_000_000;
+pub const COUNTER_LINK_IDLE_TIMEOUT: i64 = 2_000_000;
 /// An agent that is linked elsewhere tries the replica of its own zone at this interval, in microseconds.
 pub const HOME_RETRY_INTERVAL: i64 = 8_000_000;
 /// The greatest number of reported replicas that are kept.
-const MAX_REPORTED_REPLICAS: usize = 256;
+const MAX_UNCONFIRMED_REPLICAS: usize = 256;
 
 /// A replica to try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,15 +33,15 @@
 pub struct ReplicaSelection {
     zone: String,
     region: String,
-    zones: BTreeMap<String, String>,
+    region_by_zone: BTreeMap<String, String>,
     /// Replicas by zone, as a replica with a quorum has told last.
-    replicas: BTreeMap<String, SocketAddr>,
+    replica_by_zone: BTreeMap<String, SocketAddr>,
     /// Replicas that were reported by others without a quorum: these may have been replaced, as may those that they report.
-    reported: Vec<SocketAddr>,
+    unconfirmed_replicas: Vec<SocketAddr>,
     /// Replicas of any zone, from the settings.
     seeds: Vec<SocketAddr>,
-    attempts: usize,
-    shift: usize,
+    next_index: usize,
+    rotation: usize,
 }
 
 impl ReplicaSelection {
@@ -57,12 +57,12 @@
         ReplicaSelection {
             zone,
             region,
-            zones,
-            replicas,
-            reported: hearsay,
+            region_by_zone: zones,
+            replica_by_zone: replicas,
+            unconfirmed_replicas: hearsay,
             seeds,
-            attempts: 0,
-            shift,
+            next_index: 0,
+            rotation: shift,
         }
     }
 
@@ -73,33 +73,36 @@
 
     /// Takes over the replicas that a replica with a quorum has told.
     pub fn set_replicas(&mut self, replicas: &[(String, SocketAddr)]) {
-        self.replicas = replicas.iter().cloned().collect();
-        self.reported.clear();
+        self.replica_by_zone = replicas.iter().cloned().collect();
+        self.unconfirmed_replicas.clear();
     }
 
     /// Adds the replicas that a replica without a quorum has told. All known ones may have been replaced meanwhile, and the
     /// one that was replaced last knows where some of the others are.
-    pub fn add_reported(&mut self, replicas: &[(String, SocketAddr)]) {
+    pub fn add_unconfirmed_replicas(&mut self, replicas: &[(String, SocketAddr)]) {
         let new = replicas
             .iter()
             .map(|(_, at)| *at)
-            .filter(|at| !self.replicas.values().any(|replica| replica == at));
+            .filter(|at| !self.replica_by_zone.values().any(|replica| replica == at));
         for at in new.collect::<Vec<_>>() {
-            self.reported.retain(|old| *old != at);
-            self.reported.push(at);
+            self.unconfirmed_replicas.retain(|old| *old != at);
+            self.unconfirmed_replicas.push(at);
         }
-        let over = self.reported.len().saturating_sub(MAX_REPORTED_REPLICAS);
-        self.reported.drain(..over);
+        let over = self
+            .unconfirmed_replicas
+            .len()
+            .saturating_sub(MAX_UNCONFIRMED_REPLICAS);
+        self.unconfirmed_replicas.drain(..over);
     }
 
     /// The replica of the own zone, if it is known.
-    pub fn home(&self) -> Option<SocketAddr> {
-        self.replicas.get(&self.zone).copied()
+    pub fn home_replica(&self) -> Option<SocketAddr> {
+        self.replica_by_zone.get(&self.zone).copied()
     }
 
     /// The replicas in the order in which they are tried.
-    fn order(&self) -> Vec<SocketAddr> {
-        let rank = |zone: &String| match self.zones.get(zone) {
+    fn ordered_replicas(&self) -> Vec<SocketAddr> {
+        let rank = |zone: &String| match self.region_by_zone.get(zone) {
             _ if *zone == self.zone => 0,
             Some(region) if *region == self.region => 1,
             _ => 2,
@@ -107,23 +110,23 @@
         let mut order: Vec<(u8, SocketAddr)> = Vec::new();
         for wanted in 0..3 {
             let mut equal: Vec<SocketAddr> = self
-                .replicas
+                .replica_by_zone
                 .iter()
                 .filter(|(zone, _)| rank(zone) == wanted)
                 .map(|(_, at)| *at)
                 .collect();
-            let shift = self.shift % equal.len().max(1);
+            let shift = self.rotation % equal.len().max(1);
             equal.rotate_left(shift);
             order.extend(equal.into_iter().map(|at| (wanted, at)));
         }
         let mut order: Vec<SocketAddr> = order.into_iter().map(|(_, at)| at).collect();
-        order.extend(&self.reported);
+        order.extend(&self.unconfirmed_replicas);
         // Seeds may be of any zone; those that no replica has told of come last, or are all there are.
         let seeds = self
             .seeds
             .iter()
             .cycle()
-            .skip(self.shift % self.seeds.len().max(1))
+            .skip(self.rotation % self.seeds.len().max(1))
             .take(self.seeds.len());
         for seed in seeds {
             if !order.contains(seed) {
@@ -135,19 +138,19 @@
 
     /// The next replica to try; none if none is known.
     pub fn next_attempt(&mut self) -> Option<Attempt> {
-        let order = self.order();
-        let address = *order.get(self.attempts % order.len().max(1))?;
-        self.attempts += 1;
+        let order = self.ordered_replicas();
+        let address = *order.get(self.next_index % order.len().max(1))?;
+        self.next_index += 1;
         Some(Attempt {
             address,
-            is_last_of_round: self.attempts.is_multiple_of(order.len()),
+            is_last_of_round: self.next_index.is_multiple_of(order.len()),
         })
     }
 
     /// A link to this replica was lost, or is of no use: the next attempt is the one after it.
     pub fn skip_past(&mut self, from: SocketAddr) {
-        self.attempts = self
-            .order()
+        self.next_index = self
+            .ordered_replicas()
             .iter()
             .position(|at| *at == from)
             .map_or(0, |at| at + 1);
@@ -155,7 +158,7 @@
 
     /// A link is established and has told the replicas: the next search starts from the beginning.
     pub fn reset(&mut self) {
-        self.attempts = 0;
+        self.next_index = 0;
     }
 }
 
--- a/crates/agent/src/replica_selection/tests.rs
+++ b/crates/agent/src/replica_selection/tests.rs
@@ -70,8 +70,8 @@
     // `a` was replaced, and knows by now that `b` was, too.
     links.skip_past(at(b'b'));
     assert_eq!(tried(&mut links, 1), [at(b'a')]);
-    links.add_reported(&[("a".to_string(), at(b'a')), ("b".to_string(), at(5))]);
-    links.add_reported(&[("b".to_string(), at(5))]);
+    links.add_unconfirmed_replicas(&[("a".to_string(), at(b'a')), ("b".to_string(), at(5))]);
+    links.add_unconfirmed_replicas(&[("b".to_string(), at(5))]);
     links.skip_past(at(b'a'));
     assert_eq!(tried(&mut links, 3), [at(5), at(9), at(b'b')]);
     links.set_replicas(&[("b".to_string(), at(5))]);
--- a/crates/simulation/src/edges/agents.rs
+++ b/crates/simulation/src/edges/agents.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use agent::replica_selection::{
-    COUNTER_LINK_TIMEOUT, HOME_RETRY_INTERVAL, LINK_TIMEOUT, QUORUM_LOSS_PATIENCE,
+    COUNTER_LINK_IDLE_TIMEOUT, HOME_RETRY_INTERVAL, LINK_IDLE_TIMEOUT, LINK_QUORUM_LOSS_TIMEOUT,
 };
 use control::core::Input;
 use control::limits::AGENT_LINK_TIMEOUT;
@@ -297,7 +297,7 @@
                     agent.links.set_replicas(&replicas);
                     agent.links.reset();
                 } else {
-                    agent.links.add_reported(&replicas);
+                    agent.links.add_unconfirmed_replicas(&replicas);
                 }
                 self.pass_on(at, message);
                 self.open_count(at);
@@ -323,7 +323,7 @@
     pub(super) fn ask_time(&mut self, at: usize, id: u64) {
         let now = self.steady(at);
         let agent = &mut self.edges[at].agent;
-        let time = agent.known.time(now).unwrap_or(0);
+        let time = agent.known.limiter_clock(now).unwrap_or(0);
         self.say(id, AgentMessage::Clock(time));
     }
 
@@ -413,17 +413,18 @@
                 let agent = &self.edges[at].agent;
                 let up = |id: &u64| self.conns.get(id).is_none_or(|conn| conn.up);
                 let count = agent.count.map(|(id, ..)| id).filter(up);
-                if let Some(id) = count.filter(|_| self.now - agent.counted > COUNTER_LINK_TIMEOUT)
+                if let Some(id) =
+                    count.filter(|_| self.now - agent.counted > COUNTER_LINK_IDLE_TIMEOUT)
                 {
                     self.lost(at, id);
                 }
                 let agent = &self.edges[at].agent;
                 let standing = agent.standing;
                 let Some(link) = &agent.link else { return };
-                let (conn, silent) = (link.conn, self.now - link.heard > LINK_TIMEOUT);
+                let (conn, silent) = (link.conn, self.now - link.heard > LINK_IDLE_TIMEOUT);
                 let astray = link
                     .astray
-                    .is_some_and(|since| self.now - since > QUORUM_LOSS_PATIENCE);
+                    .is_some_and(|since| self.now - since > LINK_QUORUM_LOSS_TIMEOUT);
                 self.say(conn, AgentMessage::Heartbeat(standing));
                 if silent || astray {
                     self.lost(at, conn);
@@ -442,7 +443,7 @@
                     .map(|link| link.to);
                 let home = agent
                     .links
-                    .home()
+                    .home_replica()
                     .filter(|home| linked.is_some_and(|to| to != *home));
                 if let Some(home) = home {
                     let conn = self.connect(at, home);
--- a/crates/simulation/src/edges/proxies.rs
+++ b/crates/simulation/src/edges/proxies.rs
@@ -282,7 +282,7 @@
         let up = agent
             .count
             .filter(|(id, ..)| self.conns.get(id).is_some_and(|conn| conn.up));
-        let up = up.filter(|_| agent.known.time(steady).is_some());
+        let up = up.filter(|_| agent.known.limiter_clock(steady).is_some());
         let Some((id, ..)) = up else {
             return self.totals(at, incarnation, number, None);
         };
--- a/crates/simulation/src/scale/world.rs
+++ b/crates/simulation/src/scale/world.rs
@@ -502,7 +502,7 @@
             if let Some(held) = news_came.then_some(self.agents[agent].items) {
                 self.hold(agent, held);
             }
-            let homed = self.agents[agent].links.home().is_none()
+            let homed = self.agents[agent].links.home_replica().is_none()
                 || std::mem::replace(&mut self.agents[agent].homed, true);
             if !homed {
                 self.try_home(agent);
@@ -560,7 +560,7 @@
     }
 
     fn try_home(&mut self, agent: usize) {
-        let home = self.agents[agent].links.home();
+        let home = self.agents[agent].links.home_replica();
         let Some((old, home)) = self.agents[agent].link.zip(home) else {
             return;
         };
