--- a/crates/protocol/src/connections.rs
+++ b/crates/protocol/src/connections.rs
@@ -1,8 +1,8 @@
-//! The connections of a program with one thread: they are polled together, read when something is received, and written once
-//! an iteration.
+//! The TCP connections of a single-threaded program. All of them are polled together; each is read when input arrives, and
+//! queued output is written once per iteration of the event loop.
 //!
-//! Polling is done with `mio`: it takes one system call, where the limiter's event loop makes five, and an edge has a fifth of
-//! a processor for two programs. The caller owns the purpose of each connection, and all deadlines.
+//! Polling uses `mio`, which needs one system call per iteration where the limiter's event loop makes five: an edge has a fifth
+//! of a processor for two programs. The caller keeps track of the purpose of each connection and of all deadlines.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -15,24 +15,24 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 slotmap::new_key_type! {
-    /// The id of a connection. That of a connection that was closed finds nothing.
+    /// The id of a connection. The id of a closed connection finds nothing.
     pub struct ConnectionId;
 }
 
-/// An event of the sockets or of the process.
+/// An event on a socket or a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IoEvent {
-    /// A connection was accepted by the listener with this number.
+    /// The listener with this index accepted a connection.
     Accepted(usize, ConnectionId),
     /// A connection that was opened by this process is established.
     Connected(ConnectionId),
-    /// Something was received, and is in the input buffer.
+    /// Bytes were received and are in the input buffer.
     Received(ConnectionId),
-    /// Everything that was queued is written.
+    /// All queued output was written to the socket.
     Flushed(ConnectionId),
-    /// The peer has closed its direction. The connection is still open.
+    /// The peer has closed its sending direction. The connection can still be written to.
     PeerClosed(ConnectionId),
-    /// The connection has failed, or could not be established. It can't be used, and is to be closed.
+    /// The connection has failed or could not be established. The caller has to close it.
     Failed(ConnectionId),
     /// The process has received a signal.
     Signal(i32),
@@ -43,44 +43,45 @@
 pub struct Connection {
     stream: TcpStream,
     is_connected: bool,
-    /// What was received and not taken yet.
+    /// The bytes that were received and not yet consumed by the caller.
     pub input: Vec<u8>,
-    /// The greatest number of bytes in the input buffer; more than that waits in the socket.
+    /// The limit of the input buffer in bytes; further input stays in the socket.
     pub max_input_bytes: usize,
     output: Vec<u8>,
     written_bytes: usize,
     sent_bytes: u64,
-    /// More may have been received than was read.
+    /// The input buffer was full, so that the socket may hold unread bytes.
     has_unread: bool,
+    /// The connection is in the flush queue.
     is_flush_queued: bool,
-    /// When something was last received, in microseconds.
+    /// When bytes were last received (at first, when the connection was opened), in microseconds.
     pub last_received_at: i64,
 }
 
 impl Connection {
-    /// Whether it is established.
+    /// Whether the connection is established.
     pub fn is_connected(&self) -> bool {
         self.is_connected
     }
 
-    /// The number of bytes that are queued and not written yet.
+    /// The number of bytes that are queued and not yet written to the socket.
     pub fn pending_output_bytes(&self) -> usize {
         self.output.len() - self.written_bytes
     }
 
-    /// The number of bytes that were written to the socket since the connection was opened. If none of a message is among
-    /// them, the peer can't have seen anything of it.
+    /// The number of bytes that were written to the socket since the connection was opened. If they include no byte of a
+    /// message, the peer can't have received any part of it.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes
     }
 
-    /// Whether more may have been received than was read, because the input buffer was full.
+    /// Whether the socket may hold unread bytes because the input buffer was full.
     pub fn has_unread(&self) -> bool {
         self.has_unread
     }
 }
 
-/// All connections of a program.
+/// The listeners and connections of a program, and the signals that it receives.
 pub struct Connections {
     poll: Poll,
     events: Events,
@@ -90,22 +91,23 @@
     flush_queue: Vec<ConnectionId>,
     read_buffer: Vec<u8>,
     is_accepting: bool,
-    /// A connection could not be accepted, as for want of descriptors: it waits, and no event tells of it again.
+    /// Accepting a connection failed, for example because no file descriptor was free. The connection stays in the backlog of
+    /// the listener, for which the poll reports no second event.
     accept_failed: bool,
-    /// When the last poll ended, and whether it brought all events.
+    /// When the last poll ended, and whether it returned all pending events.
     last_poll: (i64, bool),
 }
 
 const SIGNAL_TOKEN: Token = Token(1_000);
-/// The greatest number of events that one poll brings.
+/// The maximum number of events that one poll returns.
 const MAX_EVENTS: usize = 256;
-/// A connection that could not be accepted is tried again after this, in microseconds.
+/// The delay before connections are accepted again after a failure to accept one, in microseconds.
 const ACCEPT_RETRY_INTERVAL: i64 = 50_000;
-/// The number of bytes read from a socket at a time.
+/// The maximum number of bytes that one read from a socket returns.
 const READ_BYTES: usize = 32 * 1024;
-/// The number of connections that may wait to be accepted.
+/// The backlog of a listener: the number of established connections that may wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1_024;
-/// The capacity that an empty buffer may keep, in bytes.
+/// The capacity in bytes that an output buffer keeps once it is empty, so that idle connections use little memory.
 const MAX_IDLE_BUFFER_BYTES: usize = 4 * 1024;
 
 fn token(id: ConnectionId) -> Token {
@@ -113,10 +115,10 @@
 }
 
 impl Connections {
-    /// Creates the poll, which also receives these signals.
+    /// Creates the poll and registers these signals with it.
     ///
     /// # Errors
-    /// The system can't create it.
+    /// The operating system refuses the poll or a signal handler.
     pub fn new(signals: &[i32]) -> io::Result<Connections> {
         let poll = Poll::new()?;
         let mut signals = Signals::new(signals)?;
@@ -136,10 +138,10 @@
         })
     }
 
-    /// Listens at an address; gives the number of the listener and its actual address.
+    /// Listens on an address. Returns the index of the listener and the address that it is bound to.
     ///
     /// # Errors
-    /// The address can't be used.
+    /// The address can't be bound.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<(usize, SocketAddr)> {
         let kind = Type::STREAM.nonblocking().cloexec();
         let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
@@ -156,15 +158,15 @@
         Ok((index, address))
     }
 
-    /// Accepts no more connections on a listener.
+    /// Closes a listener. The indices of the others stay the same.
     pub fn stop_listening(&mut self, listener: usize) {
         self.listeners[listener] = None;
     }
 
-    /// Opens a connection; [`IoEvent::Connected`] or [`IoEvent::Failed`] follows.
+    /// Starts to connect to an address; [`IoEvent::Connected`] or [`IoEvent::Failed`] follows.
     ///
     /// # Errors
-    /// The system refuses at once.
+    /// The operating system refuses the connection immediately.
     pub fn connect(&mut self, address: SocketAddr, now: i64) -> io::Result<ConnectionId> {
         let stream = TcpStream::connect(address)?;
         self.register(stream, false, now)
@@ -203,27 +205,27 @@
         }
     }
 
-    /// A connection.
+    /// Looks up a connection.
     pub fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.connections.get(id)
     }
 
-    /// A connection, to take from its input buffer.
+    /// Looks up a connection, to consume its input or to change its limits.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(id)
     }
 
-    /// When the last poll ended, before anything was read; and whether it brought all events.
+    /// When the last poll ended, before any input was read, and whether it returned all pending events.
     pub fn last_poll(&self) -> (i64, bool) {
         self.last_poll
     }
 
-    /// The number of connections.
+    /// The number of open connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// The number of bytes that the buffers of all connections take up.
+    /// The memory that is allocated for the buffers of all connections, in bytes.
     pub fn buffered_bytes(&self) -> usize {
         self.connections
             .values()
@@ -231,12 +233,12 @@
             .sum()
     }
 
-    /// Whether there are no connections.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// The buffer of what is to be written on a connection at the end of the iteration; none if it was closed.
+    /// The output buffer of a connection, which is written at the end of the iteration; `None` if the connection is closed.
     pub fn output(&mut self, id: ConnectionId) -> Option<&mut Vec<u8>> {
         let connection = self.connections.get_mut(id)?;
         if !std::mem::replace(&mut connection.is_flush_queued, true) {
@@ -245,20 +247,20 @@
         Some(&mut connection.output)
     }
 
-    /// Closes a connection. What was not written is lost.
+    /// Closes a connection and discards its unwritten output.
     pub fn close(&mut self, id: ConnectionId) -> Option<Connection> {
         self.connections.remove(id)
     }
 
-    /// Closes the sending direction of a connection; what the peer still sends is read.
+    /// Closes the sending direction of a connection; it can still be read from.
     pub fn shutdown_write(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get(id) {
-            // A connection that has failed is noticed when it is read.
+            // If the connection has failed, the next read reports it.
             let _ = connection.stream.shutdown(Shutdown::Write);
         }
     }
 
-    /// Accepts connections, or accepts none until this is called again.
+    /// Starts or stops accepting connections on all listeners. On a start, those in the backlog are accepted at once.
     pub fn set_accepting(&mut self, is_accepting: bool, now: i64, events: &mut Vec<IoEvent>) {
         if is_accepting && !std::mem::replace(&mut self.is_accepting, is_accepting) {
             (0..self.listeners.len()).for_each(|listener| self.accept(listener, now, events));
@@ -266,7 +268,7 @@
         self.is_accepting = is_accepting;
     }
 
-    /// Reads what had to wait because the input buffer was full.
+    /// Reads the input that was left in the socket because the input buffer was full.
     pub fn resume_reading(&mut self, id: ConnectionId, now: i64, events: &mut Vec<IoEvent>) {
         if self
             .connections
@@ -277,7 +279,8 @@
         }
     }
 
-    /// Waits for events, until `until` at the latest, on the clock that `clock` reads.
+    /// Waits for events until `deadline` at the latest, without end if there is none. `clock` reads the clock that the
+    /// deadline refers to.
     ///
     /// # Errors
     /// The poll has failed.
@@ -318,7 +321,7 @@
         }
     }
 
-    /// Connects, writes and reads a connection, as far as the event says that it is ready for that.
+    /// Completes the connect of a connection, writes and reads it, as far as the event reports it ready.
     fn handle_ready(
         &mut self,
         id: ConnectionId,
@@ -362,7 +365,7 @@
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // One failed before it was accepted, or descriptors are short.
+                // The connection failed before it was accepted, or no file descriptor is free.
                 Err(_) => {
                     self.accept_failed = true;
                     return;
@@ -371,7 +374,8 @@
         }
     }
 
-    /// Reads what was received. A read that brings less than was asked for has taken everything: an end is told by the event.
+    /// Reads the available input. A read that returns less than was asked for has emptied the socket: the end of the stream is
+    /// reported by an event of its own. With `until_end`, reads on until the end of the stream or an error.
     fn read(&mut self, id: ConnectionId, until_end: bool, now: i64, events: &mut Vec<IoEvent>) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
@@ -415,7 +419,8 @@
         events.extend(end_event);
     }
 
-    /// Writes everything that is queued. To be called again until it brings no more events.
+    /// Writes the queued output of all connections. Handling the events that it adds may queue more output: it has to be called
+    /// until it adds none.
     pub fn flush_all(&mut self, events: &mut Vec<IoEvent>) {
         let mut queue = std::mem::take(&mut self.flush_queue);
         for id in queue.drain(..) {
@@ -444,8 +449,8 @@
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // Hazard: what was received before the failure may be an answer, which says that nothing was run. It has to be
-                // reported before the failure.
+                // Input that arrived before the failure may be a response saying that the request was not run. It must be read
+                // and reported before the failure, or the caller would take the outcome of the request for unknown.
                 Err(_) => {
                     self.read(id, true, self.last_poll.0, events);
                     return events.push(IoEvent::Failed(id));
--- a/crates/protocol/src/connections/tests.rs
+++ b/crates/protocol/src/connections/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Turns until something of the wanted kind happens; bounded.
+/// Polls until an event matches, for a bounded number of iterations.
 fn poll_until(connections: &mut Connections, is_match: fn(&IoEvent) -> bool) -> IoEvent {
     for _ in 0..200 {
         let mut events = Vec::new();
@@ -10,7 +10,7 @@
             return event;
         }
     }
-    panic!("it did not happen");
+    panic!("the expected event did not occur");
 }
 
 #[test]
@@ -68,7 +68,7 @@
         .extend_from_slice(b"a part of a request");
     poll_until(&mut connections, |e| matches!(e, IoEvent::Flushed(_)));
     assert_eq!(connections.get(client).unwrap().sent_bytes(), 19);
-    // It answers without reading on, and closes: what it had not read resets the connection.
+    // The server responds without reading the rest and closes: its unread input makes the kernel reset the connection.
     connections
         .get_mut(server)
         .unwrap()
--- a/crates/protocol/src/duration.rs
+++ b/crates/protocol/src/duration.rs
@@ -8,7 +8,7 @@
 pub struct ConfigDuration(pub i64);
 
 impl ConfigDuration {
-    /// Parses a text; none if it is no duration.
+    /// Parses a duration; `None` if the text is not one, or is negative or beyond 9e15 microseconds.
     pub fn parse(text: &str) -> Option<ConfigDuration> {
         let text = text.trim();
         let (number, unit_us) = match text.strip_suffix("ms") {
@@ -30,8 +30,9 @@
 impl<'de> Deserialize<'de> for ConfigDuration {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<ConfigDuration, D::Error> {
         let text = String::deserialize(deserializer)?;
-        ConfigDuration::parse(&text)
-            .ok_or_else(|| D::Error::custom(format!("{text:?} is no time such as 1500ms or 2.5s")))
+        ConfigDuration::parse(&text).ok_or_else(|| {
+            D::Error::custom(format!("{text:?} is not a duration such as 1500ms or 2.5s"))
+        })
     }
 }
 
--- a/crates/protocol/src/invariant.rs
+++ b/crates/protocol/src/invariant.rs
@@ -1,7 +1,7 @@
-//! Conditions that must hold whenever they are checked. A program counts checks and violations and goes on; a build with
-//! debug assertions, as the tests have it, panics at the first violation.
+//! Conditions that must hold whenever they are checked. A release build counts checks and violations and goes on; a build with
+//! debug assertions, such as that of the tests, panics at the first violation.
 
-/// A condition, and how often it was checked and violated.
+/// A condition, with the number of its checks and violations.
 #[derive(Clone, Debug)]
 pub struct Invariant {
     name: &'static str,
@@ -10,7 +10,7 @@
 }
 
 impl Invariant {
-    /// An invariant that was not checked yet; the name is part of the names of its figures.
+    /// Creates an invariant that has not been checked yet. Its name is part of the names of its metrics.
     pub const fn new(name: &'static str) -> Invariant {
         Invariant {
             name,
@@ -19,28 +19,28 @@
         }
     }
 
-    /// Checks it, and gives whether it holds.
+    /// Counts a check, and returns whether the invariant holds.
     ///
     /// # Panics
-    /// With debug assertions, if it does not hold.
+    /// With debug assertions, if the invariant does not hold.
     pub fn check(&mut self, holds: bool) -> bool {
         self.checks += 1;
         self.violations += u64::from(!holds);
-        debug_assert!(holds, "the invariant {} is violated", self.name);
+        debug_assert!(holds, "invariant {} is violated", self.name);
         holds
     }
 
-    /// Its name.
+    /// The name, as in the names of its metrics.
     pub fn name(&self) -> &'static str {
         self.name
     }
 
-    /// How often it was checked.
+    /// The number of checks.
     pub fn checks(&self) -> u64 {
         self.checks
     }
 
-    /// How often it did not hold.
+    /// The number of checks that failed.
     pub fn violations(&self) -> u64 {
         self.violations
     }
--- a/crates/protocol/src/items.rs
+++ b/crates/protocol/src/items.rs
@@ -1,6 +1,6 @@
-//! The operators' configuration: named items, each with its own version. Of each name the highest version is in force,
-//! whether it sets or removes the item; the configuration as a whole has no version. The names of the fields of
-//! specifications are keys of the operators' JSON.
+//! The operators' configuration: named items, each with its own version. The highest version of an item is in force, whether
+//! it sets or removes the item; the configuration as a whole has no version. The field names of the specifications are keys of
+//! the operators' JSON.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -21,14 +21,14 @@
     Tenant,
     /// A service.
     Service,
-    /// The limits for clients, of which there is one item.
+    /// The limits for clients; there is a single item of this kind.
     Limits,
-    /// Whether a zone is evacuated: these calls of the operators are items as well.
+    /// Whether a zone is evacuated. Evacuations are stored and replicated as items too.
     Zone,
 }
 
 impl ItemKind {
-    /// The name of the kind in the operators' calls. Zones are not named there: evacuations have calls of their own.
+    /// The name of the kind in operators' calls. Zones do not occur there, as evacuations have calls of their own.
     pub fn wire_name(self) -> &'static str {
         match self {
             ItemKind::Route => "routes",
@@ -56,7 +56,7 @@
 pub struct ItemName {
     /// The kind of the item.
     pub kind: ItemKind,
-    /// The name within the kind; empty for the limits.
+    /// The name, unique within the kind; empty for the limits.
     pub name: String,
 }
 
@@ -66,36 +66,36 @@
     }
 }
 
-/// An item in one version.
+/// One version of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Item {
-    /// Its name.
+    /// The name and kind of the item.
     pub name: ItemName,
-    /// Its version.
+    /// The version.
     pub ver: u64,
-    /// The specification as it was sent, in JSON; none if the item is removed.
+    /// The specification in JSON, byte for byte as the operators sent it; `None` if this version removes the item.
     pub spec: Option<String>,
 }
 
-/// Whether a request may be repeated.
+/// Whether requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Idempotency {
-    /// It may run more than once.
+    /// A request may run more than once.
     #[serde(rename = "idem")]
     Idempotent,
-    /// It may run at most once for each attempt of a client.
+    /// A request may run at most once for each attempt of a client.
     Mutating,
-    /// As `Mutating`, with a large body.
+    /// Like `Mutating`, with a large body.
     Upload,
 }
 
-/// A service that a route is split to, and its weight.
+/// One of the services between which a route splits its requests.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 pub struct TrafficSplit {
-    /// The service.
+    /// The name of the service.
     pub svc: String,
-    /// Its weight.
+    /// The weight of the service, relative to the other ones of the route.
     #[validate(range(min = 0.0))]
     pub wt: f64,
 }
@@ -104,34 +104,34 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[validate(schema(function = "check_route"))]
 pub struct Route {
-    /// The host.
+    /// The host that the route applies to.
     pub host: String,
-    /// The prefix of its paths.
+    /// The path prefix that the route applies to.
     #[validate(custom(function = "check_prefix"))]
     pub prefix: String,
-    /// Whether a request may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: Idempotency,
-    /// The longest time that a request may take.
+    /// The maximum duration of a request.
     pub timeout: ConfigDuration,
-    /// The latency target: an answer within this has its full value.
+    /// The latency target: a response within this time has its full value to the client.
     pub target_time: ConfigDuration,
-    /// The priority tier; 0 is the highest.
+    /// The priority tier of its requests; 0 is the highest.
     #[serde(default)]
     pub prio: u32,
-    /// The service, if it is only one.
+    /// The name of the service, if the route has only one.
     #[serde(default)]
     pub svc: Option<String>,
-    /// The services, if there are several.
+    /// The services and their weights, if the route has several.
     #[serde(default)]
     #[validate(nested)]
     pub split: Vec<TrafficSplit>,
-    /// The greatest number of servers that one attempt of a client is sent to.
+    /// The maximum number of servers that one attempt of a client is sent to.
     #[serde(default = "default_tries")]
     pub tries: u32,
-    /// Whether it needs no API key.
+    /// Whether its requests need no API key.
     #[serde(default)]
     pub public: bool,
-    /// The regions where it may be served; everywhere if there are none.
+    /// The regions where its requests may be served; if empty, any region.
     #[serde(default)]
     pub pins: Vec<String>,
 }
@@ -150,31 +150,31 @@
     if prefix.starts_with('/') {
         Ok(())
     } else {
-        Err(validation_error("prefix", "does not begin with a slash"))
+        Err(validation_error("prefix", "does not begin with '/'"))
     }
 }
 
-/// A target further above the timeout than this is invalid, in microseconds.
+/// The latency target must exceed the timeout by less than this, in microseconds.
 const MAX_TARGET_OVER_TIMEOUT: i64 = 60_000_000;
 
 fn check_route(route: &Route) -> Result<(), ValidationError> {
     if route.target_time.0 - route.timeout.0 >= MAX_TARGET_OVER_TIMEOUT {
         return Err(validation_error(
             "target_time",
-            "target_time: a minute or more over timeout",
+            "target_time: exceeds timeout by 60 s or more",
         ));
     }
     if route.svc.is_none() == route.split.is_empty() {
         return Err(validation_error(
             "svc",
-            "svc: either svc or split is wanted",
+            "svc: exactly one of svc and split is required",
         ));
     }
     Ok(())
 }
 
 impl Route {
-    /// The services that it is sent to, with their weights.
+    /// The services that requests are sent to, with their weights.
     pub fn services(&self) -> impl Iterator<Item = (&str, f64)> {
         let single = self.svc.iter().map(|svc| (svc.as_str(), 1.0));
         single.chain(
@@ -188,21 +188,21 @@
 /// A tenant.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 pub struct Tenant {
-    /// Its API keys.
+    /// The API keys that identify the tenant.
     #[serde(default)]
     pub apikeys: Vec<String>,
-    /// The priority tier of its requests, in place of the route's.
+    /// The priority tier of its requests; overrides that of the route.
     #[serde(default)]
     pub prio: Option<u32>,
-    /// The rate limit in requests per second; 0 for none.
+    /// The rate limit in requests per second; 0 means no limit.
     #[serde(default)]
     #[validate(range(min = 0.0))]
     pub per_s: f64,
-    /// The burst on top of the rate.
+    /// The number of requests that may exceed the rate in a burst.
     #[serde(default)]
     #[validate(range(min = 0.0))]
     pub burst: f64,
-    /// The regions where it may be served; everywhere if there are none.
+    /// The regions where the tenant may be served; if empty, any region.
     #[serde(default)]
     pub pins: Vec<String>,
 }
@@ -210,16 +210,16 @@
 /// A service.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 pub struct Service {
-    /// The path of its health check.
+    /// The path that health checks request.
     #[serde(default)]
     pub hcheck: String,
-    /// The greatest number of connections that one of its servers accepts from all callers together.
+    /// The maximum number of connections that one server accepts from all limiters together.
     #[serde(default = "default_maxconn")]
     pub maxconn: u32,
-    /// How long a server warms up.
+    /// The duration of the warm-up of a server.
     #[serde(default)]
     pub warmup: ConfigDuration,
-    /// The rate that a server can bear while it warms up, in requests per second.
+    /// The rate that a server can handle while it warms up, in requests per second.
     #[serde(default)]
     #[validate(range(min = 0.0))]
     pub cold_rate_s: f64,
@@ -229,21 +229,21 @@
     100
 }
 
-/// The limits for clients.
+/// The limits that clients' requests and connections must keep.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 pub struct ClientLimits {
-    /// The greatest size of a request head, in bytes.
+    /// The maximum size of a request head, in bytes.
     #[validate(range(min = 1))]
     pub hdr_bytes: u64,
-    /// The greatest size of a request body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// The longest time for a request head.
+    /// The timeout for receiving a complete request head.
     pub hdr: ConfigDuration,
-    /// The longest idle time between two requests.
+    /// The idle timeout of a connection between two requests.
     pub idle: ConfigDuration,
 }
 
-/// Why a call is rejected: the text names the item and the key. Nothing of the call comes into force.
+/// The reason why a call is rejected, naming the item and the key. No part of a rejected call comes into force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError(pub String);
 
@@ -292,7 +292,7 @@
     let text = item
         .spec
         .as_deref()
-        .ok_or_else(|| ConfigError(format!("{}: dropped", item.name)))?;
+        .ok_or_else(|| ConfigError(format!("{}: the item is removed", item.name)))?;
     let spec: T =
         serde_json::from_str(text).map_err(|e| ConfigError(format!("{}: {e}", item.name)))?;
     spec.validate().map_err(|e| {
@@ -305,11 +305,11 @@
     Ok(spec)
 }
 
-/// Checks one item by itself.
+/// Checks an item by itself, without its references to other ones.
 fn check_item(item: &Item) -> Result<(), ConfigError> {
     if item.name.name.is_empty() != (item.name.kind == ItemKind::Limits) {
         return Err(ConfigError(format!(
-            "{}: a name is wanted, and none for limits",
+            "{}: a name is required, except for limits, which must have none",
             item.name
         )));
     }
@@ -322,14 +322,15 @@
     }
 }
 
-/// The items in force, removed ones included: they keep their version.
+/// The items in force. Removed items are included with their version, so that an older version can't set them again.
 pub type Items = BTreeMap<ItemName, Item>;
 
-/// A set of items in force, wherever it is kept: a call is checked only against the few that it depends on.
+/// Access to the items in force. Checking a call looks up the few items that it depends on, and lists all of them only if the
+/// call removes a service.
 pub trait ItemLookup {
-    /// The item of this name.
+    /// Looks up an item.
     fn find_item(&self, name: &ItemName) -> Option<&Item>;
-    /// All items.
+    /// Lists all items.
     fn all_items(&self) -> impl Iterator<Item = &Item>;
 }
 
@@ -343,17 +344,17 @@
     }
 }
 
-/// Parses a call of the operators, and checks all of it, by itself and against the items in force.
+/// Parses an operators' call that changes the configuration and checks its items, by themselves and against those in force.
 ///
 /// # Errors
-/// The first error, by the item and the key.
+/// The first error that is found, naming the item and the key.
 pub fn parse_patch(bytes: &[u8], in_force: &impl ItemLookup) -> Result<Vec<Item>, ConfigError> {
     let patch: Patch<'_> =
         serde_json::from_slice(bytes).map_err(|e| ConfigError(format!("call: {e}")))?;
     let mut items = Vec::new();
     for object in patch.upsert.objs {
         let kind = ItemKind::from_wire_name(&object.r#type)
-            .ok_or_else(|| ConfigError(format!("type: {:?}", object.r#type)))?;
+            .ok_or_else(|| ConfigError(format!("type: unknown kind {:?}", object.r#type)))?;
         let name = ItemName {
             kind,
             name: object.meta.name,
@@ -366,7 +367,7 @@
     }
     for (wire_name, metas) in patch.remove {
         let kind = ItemKind::from_wire_name(&wire_name)
-            .ok_or_else(|| ConfigError(format!("remove: {wire_name:?}")))?;
+            .ok_or_else(|| ConfigError(format!("remove: unknown kind {wire_name:?}")))?;
         let removed_item = |meta: Meta| Item {
             name: ItemName {
                 kind,
@@ -383,7 +384,8 @@
     Ok(items)
 }
 
-/// Of an item that a call names twice, keeps the higher version, as if they had been sent one after the other.
+/// Keeps the highest version of each item that a call names several times, as if the versions had been sent one after the
+/// other.
 fn keep_newest_versions(items: Vec<Item>) -> Result<Vec<Item>, ConfigError> {
     let mut newest: Vec<Item> = Vec::with_capacity(items.len());
     let mut index_by_name: BTreeMap<ItemName, usize> = BTreeMap::new();
@@ -397,7 +399,10 @@
                 newest.push(item);
             }
             Some(kept) if kept.ver == item.ver && !has_same_content(kept, &item) => {
-                return Err(ConfigError(format!("{}: twice at one version", item.name)));
+                return Err(ConfigError(format!(
+                    "{}: given twice with the same version and different contents",
+                    item.name
+                )));
             }
             Some(kept) if kept.ver < item.ver => *kept = item,
             Some(_) => {}
@@ -406,8 +411,8 @@
     Ok(newest)
 }
 
-/// Whether the validity of these items depends on other ones: routes name services, and a service that is removed may be
-/// named.
+/// Whether the validity of these items depends on other ones: routes refer to services, and a service that is removed may be
+/// referred to.
 pub fn depends_on_other_items(items: &[Item]) -> bool {
     items.iter().any(|item| match item.name.kind {
         ItemKind::Route => item.spec.is_some(),
@@ -416,11 +421,11 @@
     })
 }
 
-/// Checks that every route that comes into force names services that exist afterwards, and that no service is removed that a
-/// route in force names.
+/// Checks that every route that comes into force refers to services that exist afterwards, and that no service is removed
+/// that a route in force refers to.
 ///
-/// An item whose version is in force already, or was overtaken, has no effect: a call that was accepted may be sent again
-/// after its services were removed. Removed items keep their version, so the services of such a route must at least be known.
+/// An item whose version is not higher than the one in force has no effect: an accepted call may be sent again after its
+/// services were removed. As removed items keep their version, the services of such a route must at least be known.
 fn check_references(items: &[Item], in_force: &impl ItemLookup) -> Result<(), ConfigError> {
     let is_newer = |item: &&Item| {
         in_force
@@ -476,19 +481,19 @@
     Ok(())
 }
 
-/// Checks that every service that a route names is known.
+/// Checks that every service that a route refers to is known.
 fn check_services_known(item: &Item, is_known: impl Fn(&str) -> bool) -> Result<(), ConfigError> {
     let route: Route = parse_spec(item)?;
     match route.services().find(|(svc, _)| !is_known(svc)) {
         Some((unknown, _)) => Err(ConfigError(format!(
-            "{}: svc: no service {unknown:?}",
+            "{}: svc: unknown service {unknown:?}",
             item.name
         ))),
         None => Ok(()),
     }
 }
 
-/// The configuration as operators read it back: every item that is set, as it was sent.
+/// Encodes the configuration as operators read it: every item that is not removed, with its specification as it was sent.
 pub fn configuration_json<'a>(items: impl Iterator<Item = &'a Item>) -> Vec<u8> {
     let configured = items.filter(|item| item.name.kind != ItemKind::Zone);
     let objects: Vec<Value> = configured
@@ -504,7 +509,7 @@
     json!({ "objs": objects }).to_string().into_bytes()
 }
 
-/// Whether two items have the same name, version and specification, however the JSON is laid out.
+/// Whether two items have the same name, version and specification, ignoring the layout of the JSON.
 pub fn has_same_content(a: &Item, b: &Item) -> bool {
     let parsed_spec = |item: &Item| {
         item.spec
--- a/crates/protocol/src/items/tests.rs
+++ b/crates/protocol/src/items/tests.rs
@@ -30,11 +30,11 @@
 }
 
 #[test_case(r#"{"svc":"b","wt":10}"#, r#"{"svc":"c","wt":10}"#, "svc"; "an unknown service")]
-#[test_case(r#""wt":10"#, r#""wt":-1"#, "wt"; "a weight below nothing")]
-#[test_case(r#""target_time":"500ms""#, r#""target_time":"63000ms""#, "target_time"; "a target a minute over")]
-#[test_case(r#""/p/""#, r#""p/""#, "prefix"; "a bare prefix")]
-#[test_case(r#""ver":9}]}}"#, r#""ver":9}"#, "call"; "a call that is cut short")]
-#[test_case(r#""meta":{"name":"b","ver":7}"#, r#""meta":{"name":"a","ver":7}"#, "twice"; "one name twice at one version")]
+#[test_case(r#""wt":10"#, r#""wt":-1"#, "wt"; "a negative weight")]
+#[test_case(r#""target_time":"500ms""#, r#""target_time":"63000ms""#, "target_time"; "a target a minute above the timeout")]
+#[test_case(r#""/p/""#, r#""p/""#, "prefix"; "a prefix without a slash")]
+#[test_case(r#""ver":9}]}}"#, r#""ver":9}"#, "call"; "a truncated call")]
+#[test_case(r#""meta":{"name":"b","ver":7}"#, r#""meta":{"name":"a","ver":7}"#, "twice"; "one name twice with one version")]
 #[test_case(r#""type":"limits""#, r#""type":"rules""#, "type"; "an unknown kind")]
 fn error_of_an_invalid_call_names_the_key(from: &str, to: &str, key: &str) {
     assert!(CALL.contains(from));
@@ -57,13 +57,14 @@
 
 #[test]
 fn change_without_a_removed_service_does_not_list_all_items() {
+    /// Fails the test if all items are listed.
     struct LookupOnly(Items);
     impl ItemLookup for LookupOnly {
         fn find_item(&self, name: &ItemName) -> Option<&Item> {
             self.0.get(name)
         }
         fn all_items(&self) -> impl Iterator<Item = &Item> {
-            assert!(self.0.is_empty(), "it looks at all_items that stands");
+            assert!(self.0.is_empty(), "all items were listed");
             self.0.values()
         }
     }
@@ -87,14 +88,14 @@
     let in_force = by_name(parse_patch(CALL.as_bytes(), &Items::new()).unwrap());
     let removal = |ver: u64| format!(r#"{{"remove":{{"svcs":[{{"name":"b","ver":{ver}}}]}}}}"#);
     assert!(parse_patch(removal(8).as_bytes(), &in_force).is_err());
-    // Without effect, it harms nothing.
+    // An older version than the one in force has no effect, and is accepted.
     assert!(parse_patch(removal(6).as_bytes(), &in_force).is_ok());
 }
 
 #[test]
 fn removal_is_valid_beside_a_route_with_another_missing_service() {
     let mut in_force = by_name(parse_patch(CALL.as_bytes(), &Items::new()).unwrap());
-    // The route and this drop were taken at two replicas at once.
+    // The route and this removal were accepted by two replicas at the same time.
     let name = ItemName {
         kind: ItemKind::Service,
         name: "a".to_string(),
--- a/crates/protocol/src/log_ring.rs
+++ b/crates/protocol/src/log_ring.rs
@@ -1,4 +1,4 @@
-//! The log: a ring buffer in memory that is written to standard error when something goes wrong.
+//! The log of a program: a ring buffer in memory that is written to standard error when an error occurs.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -6,10 +6,10 @@
 
 use slog::{Drain, KV, Level, Logger, OwnedKVList, Record, Serializer, o};
 
-/// The greatest number of lines in the buffer.
+/// The maximum number of buffered lines; beyond it the oldest one is discarded.
 const MAX_LINES: usize = 256;
 
-/// The tag of a line that operators wait for: it is written out at once, alone, and not buffered.
+/// The tag of a line that operators need to see when it occurs: it is written to standard error immediately and not buffered.
 pub const IMMEDIATE: &str = "at once";
 
 #[derive(Default)]
@@ -18,10 +18,11 @@
     discarded: u64,
 }
 
-/// Lines that are buffered until something goes wrong.
+/// A shared handle to the log buffer of a program.
 #[derive(Clone, Default)]
 pub struct LogRing(Arc<Mutex<RingState>>);
 
+/// Formats the key-value pairs of a record as ` key=value`.
 struct KeyValueWriter(String);
 
 impl Serializer for KeyValueWriter {
@@ -32,8 +33,8 @@
 }
 
 impl LogRing {
-    /// A logger for a program on a machine. A line of level `error` or above writes out the buffer at once; `warn` is
-    /// buffered like the rest.
+    /// Creates a logger whose lines name the program and its machine. A line of level `error` or above writes out the whole
+    /// buffer; lines of lower levels are only buffered.
     pub fn logger(&self, program: &'static str, node: &str) -> Logger {
         Logger::root(
             self.clone().fuse(),
@@ -41,18 +42,18 @@
         )
     }
 
-    /// Removes the buffered lines, oldest first.
+    /// Removes and returns the buffered lines, oldest first, after a line with the number of discarded ones, if any.
     pub fn take_lines(&self) -> Vec<String> {
         let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let discarded = std::mem::take(&mut state.discarded);
-        let notice = (discarded > 0).then(|| format!("({discarded} older lines are gone)"));
+        let notice = (discarded > 0).then(|| format!("({discarded} older lines were discarded)"));
         notice.into_iter().chain(state.lines.drain(..)).collect()
     }
 
-    /// Writes the buffered lines to standard error.
+    /// Writes the buffered lines to standard error and removes them.
     pub fn write_out(&self) {
         let text = self.take_lines().join("\n");
-        // The program goes on if the log can't be written.
+        // A program whose log can't be written goes on.
         let _ = writeln!(std::io::stderr(), "{text}");
     }
 }
@@ -63,7 +64,7 @@
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), slog::Never> {
         let mut pairs = KeyValueWriter(String::new());
-        // Key-values that can't be written are left out of the line.
+        // Pairs that can't be formatted are omitted from the line.
         let _ = record.kv().serialize(record, &mut pairs);
         let _ = values.serialize(record, &mut pairs);
         let line = format!(
@@ -73,7 +74,7 @@
             pairs.0
         );
         if record.tag() == IMMEDIATE {
-            // The program goes on if the log can't be written.
+            // A program whose log can't be written goes on.
             let _ = writeln!(std::io::stderr(), "{line}");
             return Ok(());
         }
--- a/crates/protocol/src/log_ring/tests.rs
+++ b/crates/protocol/src/log_ring/tests.rs
@@ -9,7 +9,7 @@
     let lines = ring.take_lines();
     assert_eq!(
         (lines.len(), lines[0].as_str()),
-        (MAX_LINES + 1, "(3 older lines are gone)")
+        (MAX_LINES + 1, "(3 older lines were discarded)")
     );
     assert!(
         lines[1].contains("line 3") && lines[1].contains("peer=10.0.0.1"),
@@ -17,7 +17,7 @@
         lines[1]
     );
     assert!(ring.take_lines().is_empty());
-    // What has come out at once is not written a second time.
+    // A line that was written immediately is not written a second time with the buffer.
     info!(log, #IMMEDIATE, "rebuilt");
     assert!(ring.take_lines().is_empty());
 }
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -1,8 +1,8 @@
 //! The messages between agents and control programs, and between proxies and their agents.
 //!
-//! An agent keeps a link to one control program and, where that is another one, to the one that keeps the shared counter. It
-//! forwards to the proxy of its machine what the proxy needs, in the same messages. Variants and fields are written by their
-//! position (`postcard`): their order is part of the wire.
+//! An agent keeps a link to one control program and another link to the one that keeps the shared counter. It forwards to the
+//! proxy of its machine what the proxy needs, in the same messages. `postcard` encodes variants and fields by position, so
+//! their order is part of the wire format.
 
 use std::net::SocketAddr;
 
@@ -13,19 +13,19 @@
 use crate::items::Item;
 use crate::platform::Server;
 
-/// Whether an edge serves.
+/// Whether an edge serves requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeState {
-    /// Its proxy does not run, or can't serve yet.
+    /// Its proxy is not running or can't serve yet.
     #[default]
     Unavailable,
     /// It serves requests.
     Ready,
-    /// It shuts down gracefully: it completes the requests that it has accepted.
+    /// It is shutting down gracefully: it completes the requests that it has accepted and accepts no new ones.
     Draining,
 }
 
-/// An edge: a machine with a proxy and its agent, which together are one limiter.
+/// An edge: a machine with a proxy and an agent, which together form one limiter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
     /// The name of the machine.
@@ -41,81 +41,83 @@
 /// One addition to the shared counter.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CounterAdd {
-    /// The counter that is added to: a hash of a tenant and a window.
+    /// The id of the counter: a hash of a tenant and a window.
     pub counter: u64,
-    /// The units; negative where they are given back.
+    /// The units to add; negative to return units.
     pub units: f64,
-    /// A new counter expires after this, in microseconds.
+    /// If this addition creates the counter, the time until the counter expires, in microseconds.
     pub ttl_us: i64,
 }
 
 /// A message from an agent to a control program, or from a proxy to its agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AgentMessage {
-    /// The first message of an agent: its lease begins, and it subscribes to the configuration.
+    /// Registers the agent: starts its lease and subscribes to the configuration.
     Hello(NodeInfo),
-    /// Digests of the items that an agent has already, by bucket (see [`crate::digests`]), sent before its `Hello` if it
-    /// has any. It is sent only what differs.
+    /// Digests by bucket (see [`crate::digests`]) of the items that an agent has already, sent before its `Hello` if it has
+    /// any. The control program sends it only the items that differ.
     KnownDigests(Vec<u64>),
-    /// The items that an agent has, sent after each change and now and then, so that its replica knows whether it lags.
+    /// A summary of the items that an agent has, sent after each change and at intervals, so that its replica knows whether
+    /// it lags.
     ConfigState {
-        /// How many items, removed ones included.
+        /// The number of items, removed ones included.
         item_count: u32,
-        /// The digest of their names and versions.
+        /// The digest of the names and versions of all items.
         digest: u64,
     },
-    /// Renews the lease; a proxy's only message about itself.
+    /// Renews the lease of an agent. Also the message by which a proxy reports its state.
     Heartbeat(NodeState),
-    /// The limiters' clock as the agent has it, 0 if it has not received it: the first message on a link to the counter, the
-    /// second on a link to another replica, and sent now and then. Answered by [`ControlMessage::Clock`].
+    /// Requests the limiters' clock, and carries the clock as the agent has it, or 0 if it has received none. Sent first on a
+    /// link to the counter, after `Hello` on a link to a control program, and at intervals. Answered by
+    /// [`ControlMessage::Clock`].
     Clock(i64),
     /// Additions to the shared counter, in order; answered by [`ControlMessage::Totals`] or
     /// [`ControlMessage::NotCounted`] of the same batch.
     CounterBatch {
-        /// The number of the batch on this link.
+        /// The number of the batch, unique on this link.
         batch: u64,
-        /// The limiters' clock as the proxy has it, by which windows are named.
+        /// The limiters' clock as the proxy has it, in microseconds, by which it assigned the additions to windows.
         clock_us: i64,
         /// The additions.
         adds: Vec<CounterAdd>,
     },
-    /// What a proxy reports about services under load.
+    /// The proxy's reports of the load of services.
     LoadReports(Vec<LoadReport>),
 }
 
-/// The replicas and limiters as a control program sees them.
+/// The replicas and limiters, as a control program sees them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterView {
     /// The zone and the address of each known replica.
     pub replicas: Vec<(String, SocketAddr)>,
-    /// The address of the replica that keeps the shared counter, and its term; none while there is none.
+    /// The address and the term of the replica that keeps the shared counter; `None` while no replica does.
     pub counter: Option<(SocketAddr, u64)>,
     /// Whether the sender is in contact with a quorum of the replicas.
     pub has_quorum: bool,
-    /// The number of limiters with a lease, those that had one recently included.
+    /// The number of limiters that have a lease or recently had one.
     pub limiter_count: u32,
-    /// The number of those in the zone of the agent.
+    /// The number of these limiters in the zone of the agent.
     pub zone_limiter_count: u32,
 }
 
 /// A message from a control program to an agent, or from an agent to its proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlMessage {
-    /// The replicas and limiters: the first message, and sent at each change.
+    /// The replicas and limiters; the first message on a link, sent again at each change.
     ClusterView(ClusterView),
-    /// Chosen items, each in force by its own version. The first ones on a link are those that the agent has not said to
-    /// have. Without any items it is a sign of life.
+    /// Chosen items; of each item the highest version is in force. The first ones on a link are those that the agent's digests
+    /// show to be missing. Without items the message is a keep-alive.
     Items(Vec<Item>),
-    /// The whole list of servers. What is left of a warm-up counts from now.
+    /// The complete list of servers. Remaining warm-up times count from when the message was sent.
     Servers {
-        /// The term of the poller, and the number of the list within it.
+        /// The term of the platform poller, and the number of the list within this term.
         version: (u64, u64),
         /// The servers.
         servers: Vec<Server>,
     },
-    /// Everything that is in force has been sent; what follows are changes.
+    /// The initial transfer is complete: everything in force was sent, and later messages are changes.
     Complete,
-    /// The totals after a batch of additions, in order.
+    /// The totals of the counters of a batch, in the order of its additions.
     CounterTotals {
         /// The number of the batch.
         batch: u64,
@@ -124,18 +126,18 @@
     },
     /// The limiters' clock when this was sent, in microseconds.
     Clock(i64),
-    /// The batch of this number reached no counter: nothing was added.
+    /// The batch with this number did not reach the counter: nothing was added.
     NotCounted(u64),
-    /// How much of the load of each service is admitted; of services without a level everything is.
+    /// How much of the load of each service is admitted. Services without a level are admitted in full.
     AdmissionLevels {
-        /// How long ago the levels were determined, in microseconds.
+        /// The time since the levels were determined, in microseconds.
         age_us: i64,
         /// The levels.
         levels: Vec<AdmissionLevel>,
     },
-    /// From an agent to its proxy: everything that was in force so long ago has been sent, in microseconds.
+    /// Sent by an agent to its proxy: everything that was in force this long ago has been sent.
     Confirmed {
-        /// The age of the configuration at most.
+        /// The maximum age of the configuration, in microseconds.
         age_us: i64,
     },
 }
--- a/crates/protocol/src/metrics.rs
+++ b/crates/protocol/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Figures that a program reports to operators: text in the Prometheus exposition format, served over HTTP to any path.
+//! The metrics of a program in the Prometheus exposition format, served over HTTP under any path.
 //!
-//! The endpoint shares the program's event loop. It answers one request a connection and closes it; a caller that sends more
-//! than 8 KiB without a complete head, or one beyond the eighth at a time, is disconnected.
+//! The endpoint shares the program's event loop. It answers one request per connection. A client is disconnected if it sends
+//! more than 8 KiB without completing the request head, or if eight others are connected already.
 
 use std::collections::BTreeSet;
 use std::fmt::{Display, Write};
@@ -11,34 +11,35 @@
 use crate::connections::{ConnectionId, Connections, IoEvent};
 use crate::invariant::Invariant;
 
-/// The port at which each program reports its figures, on the address of its machine; `deploy/system.toml` names the same.
+/// The port of the control program's metrics endpoint, on the address of its machine. `deploy/system.toml` has to name the
+/// same port.
 pub const CONTROL_METRICS_PORT: u16 = 9464;
-/// As [`CONTROL_PORT`], for the agent.
+/// As [`CONTROL_METRICS_PORT`], for the agent.
 pub const AGENT_METRICS_PORT: u16 = 9465;
-/// As [`CONTROL_PORT`], for the proxy.
+/// As [`CONTROL_METRICS_PORT`], for the proxy.
 pub const PROXY_METRICS_PORT: u16 = 9466;
 
-/// The greatest size of a request, in bytes.
+/// The maximum size of a request head, in bytes.
 const MAX_REQUEST_BYTES: usize = 8 * 1024;
-/// The greatest number of callers at a time.
+/// The maximum number of connected clients.
 const MAX_CLIENTS: usize = 8;
 
-/// The text of a report.
+/// A report of metrics as text.
 #[derive(Debug, Default)]
 pub struct MetricsText(String);
 
 impl MetricsText {
-    /// Adds a figure that only rises while the process runs.
+    /// Adds a counter: a value that only rises while the process runs.
     pub fn add_counter(&mut self, name: &str, help: &str, value: impl Display) {
         self.add_metric("counter", name, help, value);
     }
 
-    /// Adds a figure that rises and falls.
+    /// Adds a gauge: a value that rises and falls.
     pub fn add_gauge(&mut self, name: &str, help: &str, value: impl Display) {
         self.add_metric("gauge", name, help, value);
     }
 
-    /// Adds how often an invariant was checked and violated.
+    /// Adds the numbers of checks and violations of an invariant.
     pub fn add_invariant(&mut self, invariant: &Invariant) {
         let name = invariant.name();
         let (checks, violations) = (invariant.checks(), invariant.violations());
@@ -55,20 +56,20 @@
     }
 
     fn add_metric(&mut self, kind: &str, name: &str, help: &str, value: impl Display) {
-        // Writing to a string does not fail.
+        // Writing to a string can't fail.
         let _ = writeln!(
             self.0,
             "# HELP {name} {help}\n# TYPE {name} {kind}\n{name} {value}"
         );
     }
 
-    /// The text.
+    /// The text in the exposition format.
     pub fn into_string(self) -> String {
         self.0
     }
 }
 
-/// The listener of a program's report, and its callers.
+/// The HTTP endpoint of a program's metrics: its listener and its clients.
 #[derive(Debug, Default)]
 pub struct MetricsEndpoint {
     listener: Option<usize>,
@@ -76,10 +77,10 @@
 }
 
 impl MetricsEndpoint {
-    /// Listens at a port of the machine's address; gives the actual address.
+    /// Listens on a port of the machine's address. Returns the address that the listener is bound to.
     ///
     /// # Errors
-    /// The address can't be used. The program goes on without the report.
+    /// The address can't be bound. A program can go on without the endpoint.
     pub fn listen(
         &mut self,
         connections: &mut Connections,
@@ -91,7 +92,7 @@
         Ok(address)
     }
 
-    /// Whether an event concerns a caller of the report.
+    /// Whether an event concerns this endpoint's listener or one of its clients.
     pub fn owns(&self, event: &IoEvent) -> bool {
         match event {
             IoEvent::Accepted(listener, _) => self.listener == Some(*listener),
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Handles an event of a caller; `report` makes the text.
+    /// Handles an event that [`MetricsEndpoint::owns`]; `report` collects the metrics for a response.
     pub fn handle_event(
         &mut self,
         connections: &mut Connections,
@@ -119,7 +120,8 @@
                 self.close(connections, id);
             }
             IoEvent::Received(id) => self.read_request(connections, id, report),
-            // The caller closes; what it still sends must not reset the connection before it has read the answer.
+            // Only the sending direction is closed, and the client closes the connection: closing it here while the client still
+            // sends would reset it, and the client might lose the response.
             IoEvent::Flushed(id) => connections.shutdown_write(id),
             IoEvent::Connected(_) | IoEvent::Signal(_) => {}
         }
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers, of which a page is read from columns and rows.
+//! The platform's list of servers, which is read in pages of columns and rows.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,31 +9,31 @@
 
 use crate::duration::ConfigDuration;
 
-/// A server as the platform lists it.
+/// A server in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// The id of its incarnation.
+    /// The id, which identifies one incarnation of the server.
     pub id: String,
-    /// The service that it belongs to.
+    /// The name of its service.
     pub svc: String,
-    /// Its address.
+    /// The address at which it accepts requests.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: String,
-    /// The number of requests that it works on at a time.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it accepts new requests.
     pub accepts_requests: bool,
-    /// How much longer it warms up, in microseconds from when this was sent.
+    /// The remaining time of its warm-up when this was sent, in microseconds.
     pub warm_up_left_us: i64,
 }
 
-/// A page of the list.
+/// A page of the platform's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerPage {
     /// The servers of the page.
     pub servers: Vec<Server>,
-    /// The token of the next page; none on the last one.
+    /// The cursor of the next page; `None` on the last one.
     pub next_cursor: Option<String>,
 }
 
@@ -53,7 +53,7 @@
 /// Parses a page.
 ///
 /// # Errors
-/// The page does not have the platform's layout, or a server lacks a column that is needed. Nothing of the page counts then.
+/// The page does not have the expected layout, or a server lacks a required column. No server of the page is returned then.
 pub fn parse_page(bytes: &[u8]) -> eyre::Result<ServerPage> {
     let raw: RawPage = serde_json::from_slice(bytes).wrap_err("list of servers")?;
     let servers = raw
--- a/crates/protocol/src/platform/tests.rs
+++ b/crates/protocol/src/platform/tests.rs
@@ -28,8 +28,8 @@
 }
 
 #[test_case(r#""i-8""#, "null", "id"; "a server without an id")]
-#[test_case("10.128.0.8:8080", "nowhere", "addr"; "an address that is none")]
-#[test_case("next_cursor\":\"p-50\"}", "", "list"; "a page that is cut off")]
+#[test_case("10.128.0.8:8080", "nowhere", "addr"; "an invalid address")]
+#[test_case("next_cursor\":\"p-50\"}", "", "list"; "a truncated page")]
 fn error_of_an_invalid_page_names_the_key(from: &str, to: &str, key: &str) {
     let error = format!(
         "{:#}",
--- a/crates/protocol/src/program.rs
+++ b/crates/protocol/src/program.rs
@@ -1,4 +1,4 @@
-//! The start of a program of the system: its arguments, its settings, its log and its exit code.
+//! The start of a program of the system: its arguments, settings, log and exit code.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,29 +9,29 @@
 use crate::log_ring::LogRing;
 use crate::settings::{SETTINGS_VARIABLE, Settings};
 
-/// A program of the whole system; docs/system.md says what each does.
+/// A program of the streamarch system; docs/system.md describes each of them.
 #[derive(FromArgs)]
 struct Arguments {
-    /// the settings file, in place of the one that `STREAMARCH_SETTINGS` names
+    /// the settings file; overrides the environment variable `STREAMARCH_SETTINGS`
     #[argh(option)]
     settings: Option<PathBuf>,
-    /// read and check the settings, say what is wrong with them, and end
+    /// check the settings, report the first error and exit
     #[argh(switch)]
     check: bool,
 }
 
-/// What a program is started with.
+/// The context that a program is started with.
 pub struct ProgramContext {
-    /// Its settings.
+    /// The settings of the program.
     pub settings: Settings,
-    /// The file that the settings were read from.
+    /// The path of the file that the settings were read from.
     pub settings_path: PathBuf,
-    /// Its log.
+    /// The log of the program.
     pub log_ring: LogRing,
 }
 
-/// Reads arguments and settings, checks them, also with the program's own `check`, and runs the program. An error is written
-/// to standard error after the buffered log, which is written out when the program panics as well.
+/// Reads arguments and settings, validates the settings, also with the program's own `check`, and runs the program. The buffered
+/// log is written to standard error before the error that ended the program, and before the message of a panic.
 pub fn run(
     name: &'static str,
     check: impl FnOnce(&Settings) -> eyre::Result<()>,
@@ -57,6 +57,7 @@
     }
 }
 
+/// Loads and checks the settings; `None` if the program was only asked to check them.
 fn prepare(
     arguments: Arguments,
     check: impl FnOnce(&Settings) -> eyre::Result<()>,
@@ -65,13 +66,12 @@
     let path = arguments
         .settings
         .or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
-    let settings_path = path.ok_or_else(|| {
-        eyre!("no settings: neither --settings nor {SETTINGS_VARIABLE} names a file")
-    })?;
+    let settings_path =
+        path.ok_or_else(|| eyre!("no settings file: set --settings or {SETTINGS_VARIABLE}"))?;
     let settings = Settings::load(&settings_path)?;
     check(&settings).wrap_err_with(|| format!("in {}", settings_path.display()))?;
     if arguments.check {
-        println!("{}: in order", settings_path.display());
+        println!("{}: settings are valid", settings_path.display());
         return Ok(None);
     }
     Ok(Some(ProgramContext {
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings file of a process. Unknown fields are ignored, as the platform may add some; known ones must be valid, and an
-//! error names its key. The names of the fields are the keys of the file.
+//! The settings file of a process. Unknown keys are ignored, as the platform may add some. Known keys must have valid values,
+//! and an error names the key. The field names are the keys of the file.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,7 +11,7 @@
 
 use crate::duration::ConfigDuration;
 
-/// The environment variable with the path of the settings file.
+/// The environment variable that contains the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "STREAMARCH_SETTINGS";
 
 /// The settings of one process.
@@ -21,56 +21,56 @@
     /// The name of the machine.
     #[validate(length(min = 1))]
     pub node: String,
-    /// What the process serves to callers from outside: `edge`, `ctl`, `dir`.
+    /// The interfaces that the process serves to external clients: `edge`, `ctl`, `dir`.
     #[serde(default)]
     pub serves: Vec<String>,
-    /// The address of the machine.
+    /// The IP address of the machine.
     pub ip: Ipv4Addr,
-    /// Its zone.
+    /// The zone of the machine.
     #[validate(length(min = 1))]
     pub zone: String,
-    /// Its region.
+    /// The region of the machine.
     pub region: String,
-    /// All zones and their regions. There is one replica of the core in each zone.
+    /// All zones and their regions. Each zone has one replica of the core.
     #[validate(length(min = 1))]
     pub zones: BTreeMap<String, String>,
-    /// The addresses to listen at.
+    /// The addresses to listen on.
     #[serde(default)]
     pub bind: Bind,
-    /// The first and the last of the ports for messages between the programs.
+    /// The first and the last port for messages between the programs.
     pub port_range: (u16, u16),
-    /// Addresses of some control programs, as of when the file was written.
+    /// The addresses of some control programs at the time when the file was written.
     #[serde(default)]
     pub seed_peers: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time, with empty disks.
+    /// Whether the system starts for the first time, with empty disks.
     #[serde(default)]
     pub bootstrap: bool,
     /// The resources of the machine.
     #[serde(default)]
     #[validate(nested)]
     pub limits: MachineLimits,
-    /// The folder for stored data, on machines with a disk.
+    /// The directory for stored data, on machines with a disk.
     #[serde(default)]
     pub datadir: Option<PathBuf>,
-    /// The bounds that the programs keep.
+    /// The time limits and tolerances that the programs keep.
     #[serde(default)]
     pub bounds: Bounds,
-    /// The platform's own interface.
+    /// The platform's API.
     #[serde(default)]
     #[validate(nested)]
     pub cloud_api: Option<CloudApi>,
 }
 
-/// The addresses to listen at.
+/// The addresses to listen on.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Bind {
     /// For clients' requests.
     pub http: Option<SocketAddr>,
     /// For the platform's readiness checks.
     pub readyz: Option<SocketAddr>,
-    /// For servers and operators.
+    /// For calls of servers and operators.
     pub ctl: Option<SocketAddr>,
-    /// For clients that look up where to go.
+    /// For clients that look up the addresses of edges.
     pub dir: Option<SocketAddr>,
 }
 
@@ -78,13 +78,13 @@
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(default)]
 pub struct MachineLimits {
-    /// The share of a processor.
+    /// The CPU quota in processors.
     #[validate(range(min = 0.0))]
     pub cpu_quota: f64,
-    /// The memory in MB.
+    /// The memory limit in MB.
     #[validate(range(min = 1))]
     pub mem_mb: u64,
-    /// The number of file descriptors.
+    /// The maximum number of open file descriptors.
     #[validate(range(min = 1))]
     pub nofile: u64,
     /// The disk space in MB.
@@ -104,22 +104,22 @@
 
 macro_rules! bounds {
     ($($(#[$doc:meta])* $name:ident: $default:expr,)*) => {
-        /// The bounds that the programs keep.
+        /// The time limits and tolerances that the programs keep.
         #[derive(Clone, Debug, Deserialize)]
         #[serde(default)]
         pub struct Bounds {
             $($(#[$doc])* pub $name: ConfigDuration,)*
-            /// The retries to a service in a window, as a share of the first attempts.
+            /// The retries to a service that a window allows, as a ratio of the first attempts.
             pub retry_ratio: f64,
-            /// The retries to a service in a window on top of that share.
+            /// The number of retries to a service that a window allows in addition to the ratio.
             pub retry_slack: f64,
-            /// By how much a tenant's use may exceed its quota in a window, as a share.
+            /// The ratio by which a tenant's use may exceed its quota in a window.
             pub quota_over: f64,
-            /// The requests on top of that share.
+            /// The number of requests that are tolerated in addition to that ratio.
             pub quota_slack: f64,
-            /// The factor on the rate of a server that warms up.
+            /// The factor by which the request rate of a server may exceed its rate during the warm-up.
             pub warm_over: f64,
-            /// The requests on top of that rate.
+            /// The number of requests that are tolerated in addition to that factor.
             pub warm_slack: f64,
         }
 
@@ -140,41 +140,41 @@
 }
 
 bounds! {
-    /// How much the operators' list of control programs may lag.
+    /// The maximum lag of the list of control programs in the settings.
     seed_lag: 3_000,
-    /// An address is not given to another service earlier than this.
+    /// The minimum time before the address of a server is assigned to another service.
     reuse: 2_000,
-    /// A machine is in touch if it was reachable for this long.
+    /// A machine counts as in contact after it has been reachable for this long.
     contact: 5_000,
-    /// An operator's call is acknowledged within this.
+    /// An operator's call is acknowledged within this time.
     ack: 8_000,
-    /// A machine that returns counts as lost for this long.
+    /// A machine that returns still counts as lost for this long.
     sync_time: 4_000,
-    /// A server that drains is sent nothing after this.
+    /// A draining server is sent no requests after this time.
     drain: 4_000,
-    /// The time from SIGTERM to SIGKILL.
+    /// The grace period from SIGTERM to SIGKILL.
     grace: 6_000,
-    /// A change is in force everywhere within this.
+    /// A change of the configuration is in force everywhere within this time.
     apply: 4_000,
     /// The window over which retries are counted.
     retry_window: 10_000,
     /// The window over which quotas are counted.
     quota_window: 5_000,
-    /// An evacuated zone is sent nothing after this.
+    /// An evacuated zone is sent no requests after this time.
     evac: 5_000,
-    /// The longest time for which an answer to a lookup is valid.
+    /// The maximum time for which the response to a lookup is valid.
     ttl_max: 5_000,
 }
 
-/// The platform's own interface.
+/// The platform's API.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct CloudApi {
-    /// Its address.
+    /// The address of the API.
     pub addr: SocketAddr,
-    /// The rate of calls that it accepts from all callers together, per second.
+    /// The rate limit for calls of all clients together, per second.
     #[validate(range(min = 0.0))]
     pub per_s: f64,
-    /// How much its list may lag.
+    /// The maximum lag of its list of servers.
     #[serde(default)]
     pub max_lag: ConfigDuration,
 }
@@ -186,46 +186,46 @@
         Err(error)
     };
     if settings.zones.get(&settings.zone) != Some(&settings.region) {
-        return validation_error("zone", "zone: not among zones with this region");
+        return validation_error("zone", "zone: zones does not list it with this region");
     }
     let (first, last) = settings.port_range;
     if first == 0 || last < first || last - first < 2 {
         return validation_error(
             "port_range",
-            "port_range: three ports or more are wanted, the first above 0",
+            "port_range: at least three ports are required, the first above 0",
         );
     }
     Ok(())
 }
 
 impl Settings {
-    /// Parses the text of a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// The text is no YAML, a key is missing or of the wrong type, or a value is invalid.
+    /// The text is not valid YAML, a key is missing or has the wrong type, or a value is invalid.
     pub fn parse(text: &str) -> eyre::Result<Settings> {
         let settings: Settings = serde_yaml_ng::from_str(text).wrap_err("settings")?;
         settings.validate().wrap_err("settings")?;
         Ok(settings)
     }
 
-    /// Reads a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// The file can't be read, or [`Settings::parse`] finds an error.
+    /// The file can't be read, or [`Settings::parse`] fails.
     pub fn load(path: &Path) -> eyre::Result<Settings> {
         let text = std::fs::read_to_string(path)
             .wrap_err_with(|| format!("reading {}", path.display()))?;
         Settings::parse(&text).wrap_err_with(|| format!("in {}", path.display()))
     }
 
-    /// The address at which the control program of a machine listens for replicas and agents.
+    /// The address on which the control program of the machine with this IP address listens for replicas and agents.
     pub fn core_address(&self, ip: Ipv4Addr) -> SocketAddr {
         SocketAddr::new(ip.into(), self.port_range.0)
     }
 
-    /// The address at which an agent listens for the proxy of its machine, always on loopback. If the machine's own address is
-    /// on loopback it is used, so that several machines can be on one host.
+    /// The loopback address on which the agent of this machine listens for its proxy. If the address of the machine is a loopback
+    /// address, as with several machines on one host, it is used itself.
     pub fn agent_address(&self) -> SocketAddr {
         let ip = if self.ip.is_loopback() {
             self.ip
@@ -235,7 +235,7 @@
         SocketAddr::new(ip.into(), self.port_range.0 + 1)
     }
 
-    /// The core addresses of the seed peers.
+    /// The core addresses (see [`Settings::core_address`]) of the seed peers.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         let core_address = |peer: &SocketAddr| SocketAddr::new(peer.ip(), self.port_range.0);
         self.seed_peers.iter().map(core_address).collect()
--- a/crates/protocol/src/settings/tests.rs
+++ b/crates/protocol/src/settings/tests.rs
@@ -16,8 +16,8 @@
     assert!(!settings.bootstrap && settings.cloud_api.is_none());
 }
 
-#[test_case("10.1.0.3", "127.0.0.1:7741"; "a machine of its own")]
-#[test_case("127.0.2.3", "127.0.2.3:7741"; "one of several on a host")]
+#[test_case("10.1.0.3", "127.0.0.1:7741"; "a host with one machine")]
+#[test_case("127.0.2.3", "127.0.2.3:7741"; "a host with several machines")]
 fn agent_address_is_on_loopback(ip: &str, agent_address: &str) {
     let settings =
         Settings::parse(&TEXT.replacen("ip: 10.1.0.3", &format!("ip: {ip}"), 1)).unwrap();
@@ -26,9 +26,9 @@
 
 #[test_case("zone: a", "zone: b", "zone"; "a zone of another region")]
 #[test_case("[7740, 7755]", "[7740, 7740]", "port_range"; "too few ports")]
-#[test_case("mem_mb: 260", "mem_mb: 0", "mem_mb"; "no memory")]
-#[test_case("drain: 2.5s", "drain: 2.5", "bounds"; "a time without a unit")]
-#[test_case("ip: 10.1.0.3", "ip: here", "ip"; "no address")]
+#[test_case("mem_mb: 260", "mem_mb: 0", "mem_mb"; "a memory limit of zero")]
+#[test_case("drain: 2.5s", "drain: 2.5", "bounds"; "a duration without a unit")]
+#[test_case("ip: 10.1.0.3", "ip: here", "ip"; "an invalid address")]
 fn error_of_an_invalid_setting_names_the_key(from: &str, to: &str, key: &str) {
     let error = format!(
         "{:#}",
--- a/crates/protocol/tests/common/mod.rs
+++ b/crates/protocol/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! Golden encodings: the bytes of an example of each variant, as text that is compared with a stored snapshot.
+//! Golden encodings: the encoded bytes of examples, as text that is compared with a stored snapshot.
 
 use std::fmt::{Debug, Write};
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// One line for each example, its label and its `postcard` bytes in hexadecimal. Each example must decode to itself, and
-/// so what a snapshot holds decodes to what the example says.
+/// Formats one line per example: its label and its `postcard` encoding in hexadecimal. Asserts that each encoding decodes to
+/// the example.
 pub fn encodings<T>(examples: &[(&str, T)]) -> String
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -25,7 +25,8 @@
     text
 }
 
-/// The same of the variants of an enum, of which none may lack an example: `postcard` writes a variant's position first.
+/// Like [`encodings`], for an enum. Asserts that each variant has an example: `postcard` encodes the position of a variant as
+/// the first byte.
 pub fn variants<T>(examples: &[(&str, T)]) -> String
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -40,13 +41,13 @@
     assert_eq!(
         positions,
         (0..count).collect::<Vec<u8>>(),
-        "examples stand in the order of the variants"
+        "examples must cover the variants in order, without gaps"
     );
     let next_variant = postcard::from_bytes::<T>(&[count]);
     assert_eq!(
         next_variant.unwrap_err(),
         postcard::Error::SerdeDeCustom,
-        "a variant has no example"
+        "the last variants have no example"
     );
     encodings(examples)
 }
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What the programs send each other and read stays as it is, byte for byte: programs of two versions run side by side
-//! during an upgrade. A snapshot that changes here breaks the wire.
+//! The encodings that programs exchange and the formats that they read must not change, as programs of two versions run side by
+//! side during an upgrade. A change of a snapshot breaks the compatibility of the wire format.
 
 mod common;
 
@@ -217,7 +217,7 @@
     assert!(bytes.is_empty());
 }
 
-/// Programs compare digests of what they hold: those of one version must come to the same as those of another.
+/// Programs of different versions compare digests of their items, so the digests must not depend on the version.
 #[test]
 fn digests_of_a_set_of_items_keep_their_values() {
     let items = [
--- a/crates/protocol/tests/repeated_calls.rs
+++ b/crates/protocol/tests/repeated_calls.rs
@@ -1,4 +1,5 @@
-//! A call that was taken may be sent again after what it names was changed or dropped.
+//! An accepted call that is sent again must stay valid after the items that it refers to were changed or removed. It was
+//! rejected when its services no longer existed, although its items have no effect any more.
 
 use protocol::items::{Item, Items, parse_patch};
 use test_case::test_case;
@@ -20,7 +21,7 @@
     format!(r#"{{"remove":{{"{kind}":[{{"name":"{name}","ver":{ver}}}]}}}}"#)
 }
 
-/// What stands after these calls, each of which is in order.
+/// The items in force after these calls, all of which must be valid.
 fn items_after(calls: &[String]) -> Items {
     let mut in_force = Items::new();
     for call in calls {
@@ -37,8 +38,8 @@
     in_force
 }
 
-#[test_case(&[route("r", 2, "b")]; "the route goes to another service")]
-#[test_case(&[]; "the route was dropped")]
+#[test_case(&[route("r", 2, "b")]; "the route refers to another service")]
+#[test_case(&[]; "the route was removed")]
 fn repeated_call_is_valid_after_its_service_was_removed(newer_route: &[String]) {
     let call = upsert(&[SERVICE, &route("r", 1, "a")]);
     let other = r#"{"type":"svcs","meta":{"name":"b","ver":1},"spec":{}}"#;
@@ -57,7 +58,7 @@
     assert!(parse_patch(call.as_bytes(), &in_force).is_ok());
     let route_alone = upsert(&[&route("r", 1, "a")]);
     assert!(parse_patch(route_alone.as_bytes(), &in_force).is_ok());
-    // It would come into force, or was never taken: no such service ever stood.
+    // Calls that would come into force, or that were never accepted as they refer to an unknown service.
     for (ver, svc) in [(3, "a"), (1, "c"), (3, "c")] {
         let invalid = upsert(&[&route("r", ver, svc)]);
         assert!(
@@ -71,7 +72,7 @@
 fn repeated_removal_is_valid_beside_unrelated_routes() {
     let calls = [upsert(&[SERVICE]), removal("svcs", "a", 2)];
     let mut in_force = items_after(&calls);
-    // Taken elsewhere at the same time as the drop: a route that names what is gone.
+    // A route to the removed service that another replica accepted at the same time as the removal.
     let stale = items_after(&calls[..1]);
     let concurrent_items = parse_patch(upsert(&[&route("r", 1, "a")]).as_bytes(), &stale).unwrap();
     in_force.extend(
