--- a/crates/agent/src/config_cache.rs
+++ b/crates/agent/src/config_cache.rs
@@ -69,20 +69,20 @@
                 };
                 let content =
                     |view: &ClusterView| (view.limiter_count, view.counter, view.has_quorum);
-                let same = self
+                let is_unchanged = self
                     .cluster_view
                     .as_ref()
-                    .is_some_and(|known| content(known) == content(&view));
+                    .is_some_and(|cached| content(cached) == content(&view));
                 self.cluster_view = Some(view.clone());
-                (!same).then_some(ControlMessage::ClusterView(view))
+                (!is_unchanged).then_some(ControlMessage::ClusterView(view))
             }
             ControlMessage::Items(items) => {
-                let newer = |item: &Item| {
+                let is_newer = |item: &Item| {
                     self.items
                         .get(&item.name)
-                        .is_none_or(|known| known.ver < item.ver)
+                        .is_none_or(|cached| cached.ver < item.ver)
                 };
-                let new: Vec<Item> = items.into_iter().filter(newer).collect();
+                let new: Vec<Item> = items.into_iter().filter(is_newer).collect();
                 for item in &new {
                     self.digests.toggle(&item.name, Digests::item_digest(item));
                     if let Some(old) = self.items.insert(item.name.clone(), item.clone()) {
@@ -95,7 +95,7 @@
                 if self
                     .server_list
                     .as_ref()
-                    .is_some_and(|known| known.version >= version)
+                    .is_some_and(|cached| cached.version >= version)
                 {
                     return None;
                 }
@@ -107,28 +107,22 @@
                 Some(ControlMessage::Servers { version, servers })
             }
             ControlMessage::Complete => {
-                let first = !std::mem::replace(&mut self.is_complete, true);
-                first.then_some(ControlMessage::Complete)
+                let is_first = !std::mem::replace(&mut self.is_complete, true);
+                is_first.then_some(ControlMessage::Complete)
             }
             ControlMessage::Clock(time) => {
                 // The clock that is ahead leads.
-                let newer = self.limiter_clock(now).is_none_or(|known| known < time);
-                self.limiter_clock = if newer {
+                let is_ahead = self.limiter_clock(now).is_none_or(|cached| cached < time);
+                self.limiter_clock = if is_ahead {
                     Some((time, now))
                 } else {
                     self.limiter_clock
                 };
-                newer.then_some(ControlMessage::Clock(time))
+                is_ahead.then_some(ControlMessage::Clock(time))
             }
-            ControlMessage::AdmissionLevels {
-                age_us: age,
-                levels,
-            } => {
-                self.levels = Some((levels.clone(), now - age));
-                Some(ControlMessage::AdmissionLevels {
-                    age_us: age,
-                    levels,
-                })
+            ControlMessage::AdmissionLevels { age_us, levels } => {
+                self.levels = Some((levels.clone(), now - age_us));
+                Some(ControlMessage::AdmissionLevels { age_us, levels })
             }
             ControlMessage::CounterTotals { .. }
             | ControlMessage::NotCounted(_)
@@ -137,14 +131,14 @@
     }
 
     /// Everything that was in force at this time is known here.
-    pub fn confirm_current_at(&mut self, at: i64) {
-        self.confirmed_at = self.confirmed_at.max(Some(at));
+    pub fn confirm_current_at(&mut self, confirmed_at: i64) {
+        self.confirmed_at = self.confirmed_at.max(Some(confirmed_at));
     }
 
     /// The message that tells the proxy how old its configuration may be; none before it is known.
     pub fn confirmation(&self, now: i64) -> Option<ControlMessage> {
-        let age = now - self.confirmed_at?;
-        Some(ControlMessage::Confirmed { age_us: age })
+        let age_us = now - self.confirmed_at?;
+        Some(ControlMessage::Confirmed { age_us })
     }
 
     /// The items, each in the newest version that was received.
@@ -200,7 +194,8 @@
 
     /// The limiters' clock.
     pub fn limiter_clock(&self, now: i64) -> Option<i64> {
-        self.limiter_clock.map(|(time, at)| time + (now - at))
+        self.limiter_clock
+            .map(|(time, received_at)| time + (now - received_at))
     }
 
     /// Everything that was received, for a proxy that has just connected.
@@ -209,23 +204,23 @@
         let items = ControlMessage::Items(self.items.values().cloned().collect());
         let list = self.server_list.as_ref().map(|list| {
             // What was left of the warm-ups when the list was received, less the time since.
-            let current = |server: &Server| Server {
+            let with_remaining_warm_up = |server: &Server| Server {
                 warm_up_left_us: (server.warm_up_left_us - (now - list.received_at)).max(0),
                 ..server.clone()
             };
             ControlMessage::Servers {
                 version: list.version,
-                servers: list.servers.iter().map(current).collect(),
+                servers: list.servers.iter().map(with_remaining_warm_up).collect(),
             }
         });
         let complete = self.is_complete.then_some(ControlMessage::Complete);
-        let levels = self
-            .levels
-            .iter()
-            .map(|(levels, at)| ControlMessage::AdmissionLevels {
-                age_us: now - at,
-                levels: levels.clone(),
-            });
+        let levels =
+            self.levels
+                .iter()
+                .map(|(levels, determined_at)| ControlMessage::AdmissionLevels {
+                    age_us: now - determined_at,
+                    levels: levels.clone(),
+                });
         view.into_iter()
             .chain(self.limiter_clock(now).map(ControlMessage::Clock))
             .chain([items])
--- a/crates/agent/src/config_cache/tests.rs
+++ b/crates/agent/src/config_cache/tests.rs
@@ -12,7 +12,7 @@
     }
 }
 
-fn list(version: (u64, u64), cold: i64) -> ControlMessage {
+fn server_list(version: (u64, u64), warm_up_left_us: i64) -> ControlMessage {
     let addr = "10.128.0.9:8080".parse().unwrap();
     let server = Server {
         id: "i".into(),
@@ -21,7 +21,7 @@
         zone: "z".into(),
         slots: 1,
         accepts_requests: true,
-        warm_up_left_us: cold,
+        warm_up_left_us,
     };
     ControlMessage::Servers {
         version,
@@ -31,39 +31,42 @@
 
 #[test]
 fn only_newer_messages_are_forwarded() {
-    let mut known = ConfigCache::default();
+    let mut cache = ConfigCache::default();
     assert!(
-        known
+        cache
             .apply(0, ControlMessage::Items(vec![item(3)]))
             .is_some()
     );
     assert_eq!(
-        known.apply(0, ControlMessage::Items(vec![item(2), item(3)])),
+        cache.apply(0, ControlMessage::Items(vec![item(2), item(3)])),
         None
     );
     assert_eq!(
-        known.apply(0, ControlMessage::Items(vec![item(2), item(5)])),
+        cache.apply(0, ControlMessage::Items(vec![item(2), item(5)])),
         Some(ControlMessage::Items(vec![item(5)]))
     );
-    assert!(known.apply(0, list((2, 1), 0)).is_some() && known.apply(0, list((1, 9), 0)).is_none());
+    assert!(
+        cache.apply(0, server_list((2, 1), 0)).is_some()
+            && cache.apply(0, server_list((1, 9), 0)).is_none()
+    );
 }
 
 #[test]
 fn late_proxy_is_sent_a_snapshot_with_remaining_warm_ups() {
-    let mut known = ConfigCache::default();
+    let mut cache = ConfigCache::default();
     for message in [
         ControlMessage::Items(vec![item(3)]),
-        list((1, 1), 500),
+        server_list((1, 1), 500),
         ControlMessage::Complete,
     ] {
-        known.apply(1_000, message);
+        cache.apply(1_000, message);
     }
-    let told = known.snapshot(1_200);
+    let snapshot = cache.snapshot(1_200);
     assert_eq!(
-        told,
+        snapshot,
         vec![
             ControlMessage::Items(vec![item(3)]),
-            list((1, 1), 300),
+            server_list((1, 1), 300),
             ControlMessage::Complete
         ]
     );
@@ -76,9 +79,9 @@
 }
 
 #[test]
-fn limiter_with_signs_of_life_is_not_isolated() {
-    let mut known = ConfigCache::default();
-    known.apply(
+fn limiter_that_receives_keep_alives_is_not_isolated() {
+    let mut cache = ConfigCache::default();
+    cache.apply(
         0,
         ControlMessage::ClusterView(ClusterView {
             has_quorum: true,
@@ -86,64 +89,70 @@
             ..ClusterView::default()
         }),
     );
-    for at in (0..2 * QUORUM_LOSS_TIMEOUT).step_by(400_000) {
-        assert_eq!(known.apply(at, ControlMessage::Items(Vec::new())), None);
-        assert_eq!(known.check_isolation(at + 1), None, "at {at}");
+    for now in (0..2 * QUORUM_LOSS_TIMEOUT).step_by(400_000) {
+        assert_eq!(cache.apply(now, ControlMessage::Items(Vec::new())), None);
+        assert_eq!(cache.check_isolation(now + 1), None, "at {now}");
     }
     // Signs of life of a replica that said that it is out of touch are none of the core.
-    known.apply(
+    cache.apply(
         2 * QUORUM_LOSS_TIMEOUT,
         ControlMessage::ClusterView(ClusterView {
             limiter_count: 3,
             ..ClusterView::default()
         }),
     );
-    known.apply(3 * QUORUM_LOSS_TIMEOUT, ControlMessage::Items(Vec::new()));
-    assert!(known.check_isolation(3 * QUORUM_LOSS_TIMEOUT + 1).is_some());
+    cache.apply(3 * QUORUM_LOSS_TIMEOUT, ControlMessage::Items(Vec::new()));
+    assert!(cache.check_isolation(3 * QUORUM_LOSS_TIMEOUT + 1).is_some());
 }
 
 #[test]
 fn isolation_is_reported_to_the_proxy_once() {
-    let who = |in_touch| {
+    let cluster_view = |has_quorum| {
         ControlMessage::ClusterView(ClusterView {
             limiter_count: 3,
-            has_quorum: in_touch,
+            has_quorum,
             ..ClusterView::default()
         })
     };
-    let mut known = ConfigCache::default();
-    assert_eq!(known.apply(0, who(true)), Some(who(true)));
-    assert_eq!(known.check_isolation(ISOLATION_TIMEOUT - 1), None);
-    assert_eq!(known.check_isolation(ISOLATION_TIMEOUT), Some(who(false)));
-    assert_eq!(known.check_isolation(ISOLATION_TIMEOUT + 1), None);
+    let mut cache = ConfigCache::default();
+    assert_eq!(cache.apply(0, cluster_view(true)), Some(cluster_view(true)));
+    assert_eq!(cache.check_isolation(ISOLATION_TIMEOUT - 1), None);
+    assert_eq!(
+        cache.check_isolation(ISOLATION_TIMEOUT),
+        Some(cluster_view(false))
+    );
+    assert_eq!(cache.check_isolation(ISOLATION_TIMEOUT + 1), None);
     // A replica that is out of touch changes nothing; one in touch does.
-    assert_eq!(known.apply(ISOLATION_TIMEOUT + 2, who(false)), None);
     assert_eq!(
-        known.apply(ISOLATION_TIMEOUT + 3, who(true)),
-        Some(who(true))
+        cache.apply(ISOLATION_TIMEOUT + 2, cluster_view(false)),
+        None
+    );
+    assert_eq!(
+        cache.apply(ISOLATION_TIMEOUT + 3, cluster_view(true)),
+        Some(cluster_view(true))
     );
     // While it hears replicas that are out of touch it is counted on for longer.
-    for at in (ISOLATION_TIMEOUT + 3..ISOLATION_TIMEOUT + QUORUM_LOSS_TIMEOUT).step_by(400_000) {
-        known.apply(at, who(false));
-        assert_eq!(known.check_isolation(at), None);
+    for now in (ISOLATION_TIMEOUT + 3..ISOLATION_TIMEOUT + QUORUM_LOSS_TIMEOUT).step_by(400_000) {
+        cache.apply(now, cluster_view(false));
+        assert_eq!(cache.check_isolation(now), None);
     }
     assert_eq!(
-        known.check_isolation(ISOLATION_TIMEOUT + 3 + QUORUM_LOSS_TIMEOUT),
-        Some(who(false))
+        cache.check_isolation(ISOLATION_TIMEOUT + 3 + QUORUM_LOSS_TIMEOUT),
+        Some(cluster_view(false))
     );
 }
 
 #[test]
 fn clock_advances_between_messages_and_never_back() {
-    let mut known = ConfigCache::default();
+    let mut cache = ConfigCache::default();
     assert_eq!(
-        known.apply(1_000, ControlMessage::Clock(70_000)),
+        cache.apply(1_000, ControlMessage::Clock(70_000)),
         Some(ControlMessage::Clock(70_000))
     );
-    assert_eq!(known.apply(2_000, ControlMessage::Clock(70_900)), None);
-    assert_eq!(known.limiter_clock(3_000), Some(72_000));
+    assert_eq!(cache.apply(2_000, ControlMessage::Clock(70_900)), None);
+    assert_eq!(cache.limiter_clock(3_000), Some(72_000));
     assert!(
-        known
+        cache
             .snapshot(3_000)
             .contains(&ControlMessage::Clock(72_000))
     );
--- a/crates/agent/src/host/control_link.rs
+++ b/crates/agent/src/host/control_link.rs
@@ -14,7 +14,7 @@
 /// The same while a link is there whose control program has lost the quorum.
 const SEARCH_INTERVAL_WITH_LINK: i64 = 700 * MS;
 /// A candidate that was established is the only one for this long.
-const ANSWER_PATIENCE: i64 = LINK_IDLE_TIMEOUT;
+const ANSWER_TIMEOUT: i64 = LINK_IDLE_TIMEOUT;
 /// A candidate that has not become the link is closed after this.
 const CANDIDATE_TIMEOUT: i64 = 8_000 * MS;
 /// A link on which nothing is received is closed after this, if no other one has taken its place.
@@ -27,9 +27,9 @@
     pub(super) connection: ConnectionId,
     pub(super) address: SocketAddr,
     /// Since when the control program says that it is not in contact with a quorum.
-    without_quorum_since: Option<i64>,
+    quorum_lost_at: Option<i64>,
     /// Everything that is in force was received on this link, and its control program has not lost the quorum since.
-    complete: bool,
+    is_complete: bool,
     /// When the edge was registered on it; none once it is known that everything in force at that time was received.
     registered_at: Option<i64>,
     /// When each request for the limiters' clock was sent that was not answered yet. Answers come in the same order.
@@ -69,7 +69,7 @@
             return false;
         };
         self.deadlines
-            .schedule(now + CANDIDATE_TIMEOUT, Timer::Candidate(connection));
+            .schedule(now + CANDIDATE_TIMEOUT, Timer::CandidateTimeout(connection));
         self.candidates.push(Candidate {
             connection,
             address,
@@ -81,16 +81,16 @@
         true
     }
 
-    fn take_candidate(&mut self, id: ConnectionId) -> Option<Candidate> {
-        let at = self
+    fn remove_candidate(&mut self, id: ConnectionId) -> Option<Candidate> {
+        let index = self
             .candidates
             .iter()
             .position(|candidate| candidate.connection == id)?;
-        Some(self.candidates.swap_remove(at))
+        Some(self.candidates.swap_remove(index))
     }
 
     fn close_candidate(&mut self, id: ConnectionId) -> Option<Candidate> {
-        let candidate = self.take_candidate(id)?;
+        let candidate = self.remove_candidate(id)?;
         self.connections.close(id);
         Some(candidate)
     }
@@ -110,15 +110,15 @@
             return;
         }
         let established = || self.candidates.iter().filter(|c| c.is_established);
-        let due = |is_home: bool| {
+        let next_unregistered = |is_home: bool| {
             established().find(|c| c.is_home == is_home && c.registered_at.is_none())
         };
-        let is_patient = established().any(|candidate| {
+        let is_answer_pending = established().any(|candidate| {
             let registered_at = candidate.registered_at;
-            !candidate.is_home && registered_at.is_some_and(|at| now - at < ANSWER_PATIENCE)
+            !candidate.is_home && registered_at.is_some_and(|at| now - at < ANSWER_TIMEOUT)
         });
-        let other = due(false).filter(|_| !is_patient);
-        let due: Vec<ConnectionId> = due(true)
+        let other = next_unregistered(false).filter(|_| !is_answer_pending);
+        let due: Vec<ConnectionId> = next_unregistered(true)
             .into_iter()
             .chain(other)
             .map(|candidate| candidate.connection)
@@ -144,7 +144,7 @@
             .filter(|candidate| candidate.connection == id)
             .map(|candidate| &mut candidate.registered_at);
         let link = self.link.iter_mut().filter(|link| link.connection == id);
-        let link = link.filter(|link| !link.complete);
+        let link = link.filter(|link| !link.is_complete);
         let link = link.map(|link| &mut link.registered_at);
         candidate
             .chain(link)
@@ -183,7 +183,7 @@
             let requested_at = link.clock_requests.pop_front()?;
             let is_ignored = link.ignored_clock_answers > 0;
             link.ignored_clock_answers = link.ignored_clock_answers.saturating_sub(1);
-            (link.complete && !is_ignored).then_some(requested_at)
+            (link.is_complete && !is_ignored).then_some(requested_at)
         }) else {
             return;
         };
@@ -203,7 +203,7 @@
         let Some(link) = self.link.as_mut().filter(|link| link.connection == id) else {
             return;
         };
-        if std::mem::replace(&mut link.complete, true) {
+        if std::mem::replace(&mut link.is_complete, true) {
             return;
         }
         // What was requested before may have been answered by a control program that was not up to date.
@@ -226,30 +226,30 @@
             return;
         };
         if view.has_quorum {
-            link.without_quorum_since = None;
+            link.quorum_lost_at = None;
             self.selection.set_replicas(&view.replicas);
             self.selection.reset();
         } else {
-            link.without_quorum_since.get_or_insert(now);
-            (link.complete, link.registered_at) = (false, None);
+            link.quorum_lost_at.get_or_insert(now);
+            (link.is_complete, link.registered_at) = (false, None);
             self.selection.add_unconfirmed_replicas(&view.replicas);
         }
         let has_quorum = view.has_quorum;
         self.forward(now, ControlMessage::ClusterView(view));
         self.update_counter_link(now);
         // The settings name only a few replicas, and not all agents that start may stay with these.
-        if has_quorum && !std::mem::replace(&mut self.home_tried, true) {
-            self.try_home(now);
+        if has_quorum && !std::mem::replace(&mut self.has_tried_home, true) {
+            self.try_home_replica(now);
         }
     }
 
     /// Makes a candidate the link, and closes all others.
     fn promote(&mut self, now: i64, id: ConnectionId) {
-        let Some(candidate) = self.take_candidate(id) else {
+        let Some(candidate) = self.remove_candidate(id) else {
             return;
         };
         if let Some(outage) = self.link_metrics.record_link(now)
-            && outage.duration > REPORTED_OUTAGE
+            && outage.duration > MIN_REPORTED_OUTAGE
         {
             warn!(self.log, #IMMEDIATE, "linked again";
                 "peer" => candidate.address.to_string(), "outage_ms" => outage.duration / MS,
@@ -258,8 +258,8 @@
         let former = self.link.replace(ControlLink {
             connection: candidate.connection,
             address: candidate.address,
-            without_quorum_since: None,
-            complete: false,
+            quorum_lost_at: None,
+            is_complete: false,
             registered_at: candidate.registered_at,
             clock_requests: candidate.clock_requests,
             ignored_clock_answers: 0,
@@ -283,7 +283,7 @@
             self.link_metrics.record_loss(now);
             self.selection.skip_past(link.address);
             info!(self.log, "link lost"; "peer" => link.address.to_string());
-        } else if let Some(candidate) = self.take_candidate(id) {
+        } else if let Some(candidate) = self.remove_candidate(id) {
             self.link_metrics.attempts_failed += 1;
             if candidate.is_home {
                 return;
@@ -301,11 +301,11 @@
     }
 
     /// Whether the link is there and in order.
-    fn has_useful_link(&self, now: i64) -> bool {
+    fn has_healthy_link(&self, now: i64) -> bool {
         self.link.as_ref().is_some_and(|link| {
-            let lost = link.without_quorum_since;
+            let quorum_lost_at = link.quorum_lost_at;
             !self.is_silent(now, link)
-                && lost.is_none_or(|since| now - since <= LINK_QUORUM_LOSS_TIMEOUT)
+                && quorum_lost_at.is_none_or(|lost_at| now - lost_at <= LINK_QUORUM_LOSS_TIMEOUT)
         })
     }
 
@@ -332,7 +332,7 @@
             return;
         }
         self.next_search_at = i64::MAX;
-        if self.has_useful_link(now) {
+        if self.has_healthy_link(now) {
             return;
         }
         self.register_candidates(now);
@@ -350,9 +350,15 @@
                     }
                     // A replica without a quorum is of no more use on a second connection; one that is silent may be.
                     let link = self.link.as_ref().filter(|link| !self.is_silent(now, link));
-                    let is_linked = link.is_some_and(|link| link.address == attempt.address);
-                    let opened = !is_linked && self.open_candidate(now, attempt.address, false);
-                    next_at = if opened { next_at } else { now + RETRY_DELAY };
+                    let is_already_linked =
+                        link.is_some_and(|link| link.address == attempt.address);
+                    let is_opened =
+                        !is_already_linked && self.open_candidate(now, attempt.address, false);
+                    next_at = if is_opened {
+                        next_at
+                    } else {
+                        now + RETRY_DELAY
+                    };
                 }
                 None => next_at = now + RETRY_DELAY,
             }
@@ -368,7 +374,7 @@
             .filter(|candidate| candidate.is_established && !candidate.is_home);
         established.any(|candidate| {
             let registered_at = candidate.registered_at;
-            self.node.is_none() || registered_at.is_some_and(|at| now - at < ANSWER_PATIENCE)
+            self.node.is_none() || registered_at.is_some_and(|at| now - at < ANSWER_TIMEOUT)
         })
     }
 
@@ -385,22 +391,24 @@
         } else if self.link.is_some() {
             self.link_metrics.record_link(now);
         }
-        if self.has_useful_link(now) {
+        if self.has_healthy_link(now) {
             // What was begun while the link was silent is not needed any more.
-            let late: Vec<ConnectionId> = self
+            let superseded: Vec<ConnectionId> = self
                 .candidates
                 .iter()
                 .filter(|candidate| !candidate.is_home)
                 .map(|candidate| candidate.connection)
                 .collect();
-            late.into_iter().for_each(|id| _ = self.close_candidate(id));
+            superseded
+                .into_iter()
+                .for_each(|id| _ = self.close_candidate(id));
         } else if self.next_search_at == i64::MAX {
             self.schedule_search(now);
         }
     }
 
     /// Tries whether the replica of the own zone can be reached, if the agent is linked to another one.
-    pub(super) fn try_home(&mut self, now: i64) {
+    pub(super) fn try_home_replica(&mut self, now: i64) {
         let former: Vec<ConnectionId> = self
             .candidates
             .iter()
@@ -410,9 +418,9 @@
         former
             .into_iter()
             .for_each(|id| _ = self.close_candidate(id));
-        let linked = self.link.as_ref().map(|link| link.address);
+        let linked_address = self.link.as_ref().map(|link| link.address);
         let home = self.selection.home_replica();
-        let home = home.filter(|home| linked.is_some_and(|linked| linked != *home));
+        let home = home.filter(|home| linked_address.is_some_and(|linked| linked != *home));
         if let Some(address) = home {
             self.open_candidate(now, address, true);
         }
--- a/crates/agent/src/host/mod.rs
+++ b/crates/agent/src/host/mod.rs
@@ -41,7 +41,7 @@
 /// How long before the end of its grace period the agent ends.
 const GRACE_MARGIN: i64 = 200 * MS;
 /// Operators are told of the end of a time without a link that was longer than this.
-const REPORTED_OUTAGE: i64 = 1_000 * MS;
+const MIN_REPORTED_OUTAGE: i64 = 1_000 * MS;
 /// The greatest number of batches that wait for the counter: of more than these the proxy has given up the oldest.
 const MAX_PENDING_BATCHES: usize = 2_000;
 
@@ -63,20 +63,20 @@
 #[derive(Debug)]
 enum Timer {
     /// The link to the counter has to be established.
-    ConnectCounter(ConnectionId),
-    Candidate(ConnectionId),
+    CounterConnectTimeout(ConnectionId),
+    CandidateTimeout(ConnectionId),
     Upkeep,
     Search,
     ReconnectCounter,
-    TryHome,
-    Stop,
+    TryHomeReplica,
+    GracePeriodEnd,
 }
 
 /// The state of the event loop.
 pub struct Host {
     clock: Clock,
     settings: Settings,
-    settings_file: Option<PathBuf>,
+    settings_path: Option<PathBuf>,
     /// The error of the last time that the settings were read; it is logged once.
     last_settings_error: String,
     log: Logger,
@@ -91,17 +91,17 @@
     counter_link: Option<CounterLink>,
     /// Batches that wait for the counter, by their numbers on its link.
     pending_batches: BTreeMap<u64, PendingBatch>,
-    last_batch: u64,
+    last_batch_number: u64,
     clock_requested_at: i64,
     proxy: Option<ConnectionId>,
     node: Option<NodeInfo>,
     state: NodeState,
     /// The replica of the own zone was tried since the start.
-    home_tried: bool,
+    has_tried_home: bool,
     metrics_endpoint: MetricsEndpoint,
     link_metrics: LinkMetrics,
-    shutting_down: bool,
-    finished: bool,
+    is_shutting_down: bool,
+    is_finished: bool,
 }
 
 /// Checks that the settings name everything that an agent needs.
@@ -123,31 +123,31 @@
     /// The address can't be used.
     pub fn open(
         settings: Settings,
-        settings_file: Option<PathBuf>,
+        settings_path: Option<PathBuf>,
         clock: Clock,
         log_ring: &LogRing,
     ) -> eyre::Result<Host> {
         let signals = [SIGTERM, SIGHUP];
         let mut connections = Connections::new(&signals).wrap_err("opening the event loop")?;
         let address = settings.agent_address();
-        let listening = connections.listen(address);
-        listening.wrap_err_with(|| format!("listening for the proxy on {address}"))?;
+        let listener = connections.listen(address);
+        listener.wrap_err_with(|| format!("listening for the proxy on {address}"))?;
         // Agents with different addresses try the replicas in different orders.
-        let shift = settings.ip.octets().map(usize::from).iter().sum();
+        let rotation = settings.ip.octets().map(usize::from).iter().sum();
         let (zone, region) = (&settings.zone, &settings.region);
         let zones = settings.zones.clone();
-        let mut selection = ReplicaSelection::new(zone, region, zones, shift);
+        let mut selection = ReplicaSelection::new(zone, region, zones, rotation);
         selection.set_seeds(settings.seed_addresses());
         let mut deadlines = Deadlines::default();
         let now = clock.now();
         deadlines.schedule(now, Timer::Search);
         deadlines.schedule(now + HEARTBEAT_INTERVAL, Timer::Upkeep);
-        deadlines.schedule(now + HOME_RETRY_INTERVAL, Timer::TryHome);
+        deadlines.schedule(now + HOME_RETRY_INTERVAL, Timer::TryHomeReplica);
         Ok(Host {
             log: log_ring.logger("agent", &settings.node),
             clock,
             settings,
-            settings_file,
+            settings_path,
             last_settings_error: String::new(),
             connections,
             deadlines,
@@ -158,26 +158,26 @@
             next_search_at: now,
             counter_link: None,
             pending_batches: BTreeMap::new(),
-            last_batch: 0,
+            last_batch_number: 0,
             clock_requested_at: 0,
             proxy: None,
             node: None,
             state: NodeState::Unavailable,
-            home_tried: false,
+            has_tried_home: false,
             metrics_endpoint: MetricsEndpoint::default(),
             link_metrics: LinkMetrics::default(),
-            shutting_down: false,
-            finished: false,
+            is_shutting_down: false,
+            is_finished: false,
         })
     }
 
     /// Reports figures to operators. Where the port can't be had the agent goes on without the report.
     pub fn serve_metrics(&mut self) {
         let ip = self.settings.ip;
-        let listening = self
+        let listener = self
             .metrics_endpoint
             .listen(&mut self.connections, ip, AGENT_METRICS_PORT);
-        if let Err(error) = listening {
+        if let Err(error) = listener {
             warn!(self.log, "no report of figures"; "error" => error.to_string());
         }
     }
@@ -187,7 +187,7 @@
         self.metrics_endpoint
             .handle_event(&mut self.connections, event, || {
                 let mut text = MetricsText::default();
-                link_metrics.report(now, &mut text);
+                link_metrics.add_metrics(now, &mut text);
                 cache.add_metrics(&mut text);
                 text
             });
@@ -199,7 +199,7 @@
     /// Polling the connections has failed.
     pub fn run(mut self) -> eyre::Result<()> {
         let mut events = Vec::new();
-        while !self.finished {
+        while !self.is_finished {
             self.run_once(HEARTBEAT_INTERVAL, &mut events)?;
         }
         Ok(())
@@ -210,17 +210,19 @@
     ///
     /// # Errors
     /// Polling the connections has failed.
-    pub fn run_once(&mut self, longest: i64, events: &mut Vec<IoEvent>) -> eyre::Result<()> {
+    pub fn run_once(&mut self, max_wait_us: i64, events: &mut Vec<IoEvent>) -> eyre::Result<()> {
         let now = self.clock.now();
         let next_timer = self.deadlines.earliest().unwrap_or(i64::MAX);
-        let until = if events.is_empty() {
-            next_timer.min(now + longest)
+        let deadline = if events.is_empty() {
+            next_timer.min(now + max_wait_us)
         } else {
             now
         };
         let clock = self.clock.clone();
-        let waited = self.connections.wait(Some(until), || clock.now(), events);
-        waited.wrap_err("waiting")?;
+        let result = self
+            .connections
+            .wait(Some(deadline), || clock.now(), events);
+        result.wrap_err("waiting")?;
         let now = self.clock.now();
         for event in events.drain(..) {
             self.handle_event(now, event);
@@ -258,22 +260,22 @@
 
     fn handle_timer(&mut self, now: i64, timer: Timer) {
         match timer {
-            Timer::ConnectCounter(id) => {
+            Timer::CounterConnectTimeout(id) => {
                 let is_open = self.connections.get(id).is_some();
                 if is_open && !self.is_connected(id) {
                     self.handle_connection_lost(now, id);
                 }
             }
-            Timer::Candidate(id) => self.handle_candidate_timeout(now, id),
-            Timer::Upkeep => self.upkeep(now),
+            Timer::CandidateTimeout(id) => self.handle_candidate_timeout(now, id),
+            Timer::Upkeep => self.run_upkeep(now),
             Timer::Search => self.search(now),
             Timer::ReconnectCounter => self.update_counter_link(now),
-            Timer::TryHome => {
-                let next = now + HOME_RETRY_INTERVAL;
-                self.deadlines.schedule(next, Timer::TryHome);
-                self.try_home(now);
+            Timer::TryHomeReplica => {
+                let next_at = now + HOME_RETRY_INTERVAL;
+                self.deadlines.schedule(next_at, Timer::TryHomeReplica);
+                self.try_home_replica(now);
             }
-            Timer::Stop => self.finished = true,
+            Timer::GracePeriodEnd => self.is_finished = true,
         }
     }
 
@@ -295,10 +297,10 @@
 
     /// Reads the settings again: they may name other seeds by now.
     fn reload_settings(&mut self) {
-        let Some(file) = &self.settings_file else {
+        let Some(path) = &self.settings_path else {
             return;
         };
-        match Settings::load(file) {
+        match Settings::load(path) {
             Ok(settings) => self.selection.set_seeds(settings.seed_addresses()),
             Err(error) => {
                 let error = format!("{error:#}");
@@ -315,8 +317,8 @@
     fn update_counter_link(&mut self, now: i64) {
         let view = self.cache.cluster_view();
         let holder = view.and_then(|view| view.counter);
-        let linked = self.counter_link.map(|link| (link.address, link.term));
-        if linked == holder {
+        let linked_holder = self.counter_link.map(|link| (link.address, link.term));
+        if linked_holder == holder {
             return;
         }
         if let Some(former) = self.counter_link.take() {
@@ -329,7 +331,7 @@
             Ok(connection) => {
                 let deadline = now + COUNTER_CONNECT_TIMEOUT;
                 self.deadlines
-                    .schedule(deadline, Timer::ConnectCounter(connection));
+                    .schedule(deadline, Timer::CounterConnectTimeout(connection));
                 self.counter_link = Some(CounterLink {
                     connection,
                     address,
@@ -355,13 +357,13 @@
         } else if self.proxy == Some(id) {
             self.proxy = None;
             self.set_state(NodeState::Unavailable);
-            self.finished |= self.shutting_down;
+            self.is_finished |= self.is_shutting_down;
         }
     }
 
     /// Takes over the state of the proxy. While the agent shuts down the edge drains.
     fn set_state(&mut self, state: NodeState) {
-        let state = if self.shutting_down && state == NodeState::Ready {
+        let state = if self.is_shutting_down && state == NodeState::Ready {
             NodeState::Draining
         } else {
             state
@@ -468,14 +470,14 @@
             AgentMessage::Heartbeat(state) => self.set_state(state),
             AgentMessage::CounterBatch {
                 batch,
-                clock_us: time,
+                clock_us,
                 adds,
             } => {
                 let pending = PendingBatch {
                     proxy: from,
                     number: batch,
                 };
-                self.forward_batch(now, pending, time, adds);
+                self.forward_batch(now, pending, clock_us, adds);
             }
             AgentMessage::LoadReports(reports) => {
                 let link = self.link.as_ref();
@@ -490,7 +492,13 @@
     }
 
     /// Forwards a batch of the proxy to the counter, or says at once that it is not counted.
-    fn forward_batch(&mut self, now: i64, pending: PendingBatch, time: i64, adds: Vec<CounterAdd>) {
+    fn forward_batch(
+        &mut self,
+        now: i64,
+        pending: PendingBatch,
+        clock_us: i64,
+        adds: Vec<CounterAdd>,
+    ) {
         let link = self.counter_link;
         let link = link.filter(|link| self.is_connected(link.connection));
         // Without the others' clock this limiter's windows are not theirs.
@@ -499,8 +507,8 @@
             let not_counted = ControlMessage::NotCounted(pending.number);
             return self.send(pending.proxy, &not_counted);
         };
-        self.last_batch += 1;
-        let batch = self.last_batch;
+        self.last_batch_number += 1;
+        let batch = self.last_batch_number;
         self.pending_batches.insert(batch, pending);
         // A counter that answers nothing must not use up the memory.
         if self.pending_batches.len() > MAX_PENDING_BATCHES {
@@ -508,7 +516,7 @@
         }
         let message = AgentMessage::CounterBatch {
             batch,
-            clock_us: time,
+            clock_us,
             adds,
         };
         self.send(link.connection, &message);
@@ -521,23 +529,23 @@
     }
 
     /// Sends a heartbeat, and gives up links that are silent or of no use.
-    fn upkeep(&mut self, now: i64) {
-        let next = now + HEARTBEAT_INTERVAL;
-        self.deadlines.schedule(next, Timer::Upkeep);
+    fn run_upkeep(&mut self, now: i64) {
+        let next_at = now + HEARTBEAT_INTERVAL;
+        self.deadlines.schedule(next_at, Timer::Upkeep);
         if let Some((message, proxy)) = self.cache.check_isolation(now).zip(self.proxy) {
             self.send(proxy, &message);
         }
         self.send_heartbeat();
         if now - self.clock_requested_at >= CLOCK_REQUEST_INTERVAL {
             self.clock_requested_at = now;
-            self.report_state(now);
+            self.request_clocks(now);
         }
         self.close_silent_counter_link(now);
         self.check_link(now);
     }
 
     /// Requests the clock on all links, and tells the control program which items the agent has.
-    fn report_state(&mut self, now: i64) {
+    fn request_clocks(&mut self, now: i64) {
         let counter_link = self.counter_link.map(|link| link.connection);
         if let Some(id) = counter_link.filter(|id| self.is_connected(*id)) {
             self.request_clock(now, id);
@@ -570,12 +578,12 @@
 
     /// The process is to end: the edge drains until the proxy has ended, or the grace period is over.
     fn begin_shutdown(&mut self, now: i64) {
-        if std::mem::replace(&mut self.shutting_down, true) {
+        if std::mem::replace(&mut self.is_shutting_down, true) {
             return;
         }
         self.set_state(self.state);
-        self.finished |= self.proxy.is_none();
-        let end = now + self.settings.bounds.grace.0 - GRACE_MARGIN;
-        self.deadlines.schedule(end, Timer::Stop);
+        self.is_finished |= self.proxy.is_none();
+        let end_at = now + self.settings.bounds.grace.0 - GRACE_MARGIN;
+        self.deadlines.schedule(end_at, Timer::GracePeriodEnd);
     }
 }
--- a/crates/agent/src/link_metrics.rs
+++ b/crates/agent/src/link_metrics.rs
@@ -16,7 +16,7 @@
     /// Attempts and time-outs when the last link was lost.
     counts_at_loss: (u64, u64),
     /// Since when there is no link on which a control program has told its view.
-    without_link_since: Option<i64>,
+    outage_started_at: Option<i64>,
 }
 
 /// A time without a link that is over.
@@ -33,25 +33,25 @@
 impl LinkMetrics {
     /// There is no link from now on.
     pub fn record_loss(&mut self, now: i64) {
-        if self.without_link_since.is_none() {
+        if self.outage_started_at.is_none() {
             self.links_lost += 1;
             self.counts_at_loss = (self.attempts, self.attempts_timed_out);
-            self.without_link_since = Some(now);
+            self.outage_started_at = Some(now);
         }
     }
 
     /// A control program has told its view on a link; gives the outage that this ends.
     pub fn record_link(&mut self, now: i64) -> Option<LinkOutage> {
-        let since = self.without_link_since.take()?;
+        let started_at = self.outage_started_at.take()?;
         Some(LinkOutage {
-            duration: now - since,
+            duration: now - started_at,
             attempts: self.attempts - self.counts_at_loss.0,
             attempts_timed_out: self.attempts_timed_out - self.counts_at_loss.1,
         })
     }
 
     /// Adds the figures to a report.
-    pub fn report(&self, now: i64, text: &mut MetricsText) {
+    pub fn add_metrics(&self, now: i64, text: &mut MetricsText) {
         text.add_counter(
             "agent_link_attempts_total",
             "connections to control programs that were begun",
@@ -72,11 +72,13 @@
             "links that were lost or given up",
             self.links_lost,
         );
-        let outage = self.without_link_since.map_or(0, |since| now - since);
+        let outage_us = self
+            .outage_started_at
+            .map_or(0, |started_at| now - started_at);
         text.add_gauge(
             "agent_without_link_seconds",
             "for how long there has been no link, 0 with one",
-            outage as f64 / 1e6,
+            outage_us as f64 / 1e6,
         );
     }
 }
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -12,10 +12,10 @@
         agent::host::check,
         |ProgramContext {
              settings,
-             settings_path: file,
-             log_ring: ring,
+             settings_path,
+             log_ring,
          }| {
-            let mut host = Host::open(settings, Some(file), Clock::steady(), &ring)?;
+            let mut host = Host::open(settings, Some(settings_path), Clock::steady(), &log_ring)?;
             host.serve_metrics();
             host.run()
         },
--- a/crates/agent/src/replica_selection.rs
+++ b/crates/agent/src/replica_selection.rs
@@ -49,20 +49,21 @@
     pub fn new(
         zone: &str,
         region: &str,
-        zones: BTreeMap<String, String>,
-        shift: usize,
+        region_by_zone: BTreeMap<String, String>,
+        rotation: usize,
     ) -> ReplicaSelection {
         let (zone, region) = (zone.to_string(), region.to_string());
-        let (replicas, hearsay, seeds) = (BTreeMap::new(), Vec::new(), Vec::new());
+        let (replica_by_zone, unconfirmed_replicas, seeds) =
+            (BTreeMap::new(), Vec::new(), Vec::new());
         ReplicaSelection {
             zone,
             region,
-            region_by_zone: zones,
-            replica_by_zone: replicas,
-            unconfirmed_replicas: hearsay,
+            region_by_zone,
+            replica_by_zone,
+            unconfirmed_replicas,
             seeds,
             next_index: 0,
-            rotation: shift,
+            rotation,
         }
     }
 
@@ -82,17 +83,22 @@
     pub fn add_unconfirmed_replicas(&mut self, replicas: &[(String, SocketAddr)]) {
         let new = replicas
             .iter()
-            .map(|(_, at)| *at)
-            .filter(|at| !self.replica_by_zone.values().any(|replica| replica == at));
-        for at in new.collect::<Vec<_>>() {
-            self.unconfirmed_replicas.retain(|old| *old != at);
-            self.unconfirmed_replicas.push(at);
+            .map(|(_, address)| *address)
+            .filter(|address| {
+                !self
+                    .replica_by_zone
+                    .values()
+                    .any(|replica| replica == address)
+            });
+        for address in new.collect::<Vec<_>>() {
+            self.unconfirmed_replicas.retain(|old| *old != address);
+            self.unconfirmed_replicas.push(address);
         }
-        let over = self
+        let excess = self
             .unconfirmed_replicas
             .len()
             .saturating_sub(MAX_UNCONFIRMED_REPLICAS);
-        self.unconfirmed_replicas.drain(..over);
+        self.unconfirmed_replicas.drain(..excess);
     }
 
     /// The replica of the own zone, if it is known.
@@ -108,18 +114,18 @@
             _ => 2,
         };
         let mut order: Vec<(u8, SocketAddr)> = Vec::new();
-        for wanted in 0..3 {
-            let mut equal: Vec<SocketAddr> = self
+        for group_rank in 0..3 {
+            let mut group: Vec<SocketAddr> = self
                 .replica_by_zone
                 .iter()
-                .filter(|(zone, _)| rank(zone) == wanted)
-                .map(|(_, at)| *at)
+                .filter(|(zone, _)| rank(zone) == group_rank)
+                .map(|(_, address)| *address)
                 .collect();
-            let shift = self.rotation % equal.len().max(1);
-            equal.rotate_left(shift);
-            order.extend(equal.into_iter().map(|at| (wanted, at)));
+            let rotation = self.rotation % group.len().max(1);
+            group.rotate_left(rotation);
+            order.extend(group.into_iter().map(|address| (group_rank, address)));
         }
-        let mut order: Vec<SocketAddr> = order.into_iter().map(|(_, at)| at).collect();
+        let mut order: Vec<SocketAddr> = order.into_iter().map(|(_, address)| address).collect();
         order.extend(&self.unconfirmed_replicas);
         // Seeds may be of any zone; those that no replica has told of come last, or are all there are.
         let seeds = self
@@ -148,12 +154,12 @@
     }
 
     /// A link to this replica was lost, or is of no use: the next attempt is the one after it.
-    pub fn skip_past(&mut self, from: SocketAddr) {
+    pub fn skip_past(&mut self, failed: SocketAddr) {
         self.next_index = self
             .ordered_replicas()
             .iter()
-            .position(|at| *at == from)
-            .map_or(0, |at| at + 1);
+            .position(|address| *address == failed)
+            .map_or(0, |index| index + 1);
     }
 
     /// A link is established and has told the replicas: the next search starts from the beginning.
--- a/crates/agent/tests/beside.rs
+++ b/crates/agent/tests/beside.rs
@@ -9,28 +9,28 @@
 use emulator::system::whole::{READS, SERVICES, Size, Whole, route};
 use tempfile::TempDir;
 
-fn soon() -> Instant {
+fn test_deadline() -> Instant {
     Instant::now() + Duration::from_secs(12)
 }
 
-fn one_edge(folder: &TempDir) -> Whole {
+fn start_one_edge(folder: &TempDir) -> Whole {
     let programs = beside(Path::new(env!("CARGO_BIN_EXE_agent")), env!("CARGO"));
     let size = Size {
         zones: 1,
         edges: 1,
         net: net(),
     };
-    Whole::start(folder.path(), &programs, size, soon()).unwrap()
+    Whole::start(folder.path(), &programs, size, test_deadline()).unwrap()
 }
 
-fn reads_go_to(whole: &mut Whole, ver: u64, svc: &str) {
-    let change = Change::default().set("routes", "reads", ver, route(READS, svc));
-    whole.operator.change(&change, soon()).unwrap();
+fn route_reads_to(system: &mut Whole, version: u64, service: &str) {
+    let change = Change::default().set("routes", "reads", version, route(READS, service));
+    system.operator.change(&change, test_deadline()).unwrap();
 }
 
-fn served_by(whole: &Whole, svc: &str) -> bool {
-    wait_for(soon(), || {
-        (whole.served_by(0, "/read/1").as_deref() == Some(svc)).then_some(())
+fn reads_are_served_by(system: &Whole, service: &str) -> bool {
+    wait_for(test_deadline(), || {
+        (system.served_by(0, "/read/1").as_deref() == Some(service)).then_some(())
     })
     .is_some()
 }
@@ -38,43 +38,43 @@
 #[test]
 fn edge_serves_newest_items_after_either_program_is_killed() {
     let folder = TempDir::new().unwrap();
-    let mut whole = one_edge(&folder);
-    assert!(served_by(&whole, SERVICES[0]));
-    whole.machines.kill(Role::Proxy, 0);
-    reads_go_to(&mut whole, 2, SERVICES[1]);
-    whole.machines.start(Role::Proxy, 0).unwrap();
-    assert!(whole.machines.all_ready(soon()));
-    assert_eq!(whole.served_by(0, "/read/1").as_deref(), Some(SERVICES[1]));
+    let mut system = start_one_edge(&folder);
+    assert!(reads_are_served_by(&system, SERVICES[0]));
+    system.machines.kill(Role::Proxy, 0);
+    route_reads_to(&mut system, 2, SERVICES[1]);
+    system.machines.start(Role::Proxy, 0).unwrap();
+    assert!(system.machines.all_ready(test_deadline()));
+    assert_eq!(system.served_by(0, "/read/1").as_deref(), Some(SERVICES[1]));
 
-    whole.machines.kill(Role::Agent, 0);
-    reads_go_to(&mut whole, 3, SERVICES[0]);
-    assert_eq!(whole.served_by(0, "/read/2").as_deref(), Some(SERVICES[1]));
-    whole.machines.start(Role::Agent, 0).unwrap();
-    assert!(served_by(&whole, SERVICES[0]));
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    system.machines.kill(Role::Agent, 0);
+    route_reads_to(&mut system, 3, SERVICES[0]);
+    assert_eq!(system.served_by(0, "/read/2").as_deref(), Some(SERVICES[1]));
+    system.machines.start(Role::Agent, 0).unwrap();
+    assert!(reads_are_served_by(&system, SERVICES[0]));
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
 
 #[test]
 fn invalid_settings_at_sighup_are_logged_and_ignored() {
     let folder = TempDir::new().unwrap();
-    let mut whole = one_edge(&folder);
-    std::fs::write(whole.machines.file(Role::Agent, 0, "yaml"), "node: [").unwrap();
+    let mut system = start_one_edge(&folder);
+    std::fs::write(system.machines.file(Role::Agent, 0, "yaml"), "node: [").unwrap();
     for role in [Role::Control, Role::Proxy, Role::Agent] {
-        whole.machines.tell_to_read(role, 0);
+        system.machines.tell_to_read(role, 0);
     }
-    let named = || {
-        whole
+    let rejection_logged = || {
+        system
             .machines
             .log(Role::Agent, 0)
             .contains("WARN settings rejected error=")
             .then_some(())
     };
     assert!(
-        wait_for(soon(), named).is_some(),
+        wait_for(test_deadline(), rejection_logged).is_some(),
         "{}",
-        whole.machines.log(Role::Agent, 0)
+        system.machines.log(Role::Agent, 0)
     );
-    reads_go_to(&mut whole, 2, SERVICES[1]);
-    assert!(served_by(&whole, SERVICES[1]));
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    route_reads_to(&mut system, 2, SERVICES[1]);
+    assert!(reads_are_served_by(&system, SERVICES[1]));
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -23,42 +23,42 @@
 
 pub const MS: i64 = 1_000;
 /// Guards a failing test against hanging for ever; nothing is measured by it.
-pub const HANG: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One end of a link; it hears `T`.
-pub struct End<T> {
+pub struct LinkEnd<T> {
     pub stream: TcpStream,
     pub input: Vec<u8>,
-    pub heard: Vec<T>,
+    pub received: Vec<T>,
 }
 
-impl<T: DeserializeOwned> End<T> {
-    pub fn new(stream: TcpStream) -> End<T> {
+impl<T: DeserializeOwned> LinkEnd<T> {
+    pub fn new(stream: TcpStream) -> LinkEnd<T> {
         stream.set_nonblocking(true).unwrap();
         stream.set_nodelay(true).unwrap();
-        End {
+        LinkEnd {
             stream,
             input: Vec::new(),
-            heard: Vec::new(),
+            received: Vec::new(),
         }
     }
 
-    pub fn say(&mut self, message: &impl Serialize) {
+    pub fn send(&mut self, message: &impl Serialize) {
         let mut bytes = Vec::new();
         frames::encode(&mut bytes, message);
         self.stream.write_all(&bytes).unwrap();
     }
 
     /// True once the other side has closed it.
-    pub fn look(&mut self) -> bool {
-        let mut part = [0; 4096];
+    pub fn receive(&mut self) -> bool {
+        let mut buffer = [0; 4096];
         loop {
-            match self.stream.read(&mut part) {
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return true,
-                Ok(length) => self.input.extend_from_slice(&part[..length]),
+                Ok(length) => self.input.extend_from_slice(&buffer[..length]),
                 Err(error) => {
                     while let Some(message) = frames::decode(&mut self.input).unwrap() {
-                        self.heard.push(message);
+                        self.received.push(message);
                     }
                     return error.kind() != ErrorKind::WouldBlock;
                 }
@@ -77,23 +77,23 @@
 
 pub struct Bench {
     pub host: Host,
-    pub hand: Arc<AtomicI64>,
-    pub happenings: Vec<IoEvent>,
-    pub feed: SocketAddr,
+    pub clock_us: Arc<AtomicI64>,
+    pub events: Vec<IoEvent>,
+    pub agent_address: SocketAddr,
     pub replica: TcpListener,
-    pub link: Option<End<AgentMessage>>,
-    pub proxies: Vec<End<ControlMessage>>,
+    pub link: Option<LinkEnd<AgentMessage>>,
+    pub proxies: Vec<LinkEnd<ControlMessage>>,
 }
 
 impl Bench {
     /// An agent that has just started.
     pub fn new() -> Bench {
-        Bench::started("127.0.0.2:1", None)
+        Bench::start("127.0.0.2:1", None)
     }
 
     /// One whose settings name this seed, and stand in a file.
-    pub fn started(seed: &str, file: Option<&Path>) -> Bench {
-        let hand = Arc::new(AtomicI64::new(1_000_000_000));
+    pub fn start(seed: &str, settings_path: Option<&Path>) -> Bench {
+        let clock_us = Arc::new(AtomicI64::new(1_000_000_000));
         for _ in 0..50 {
             // The replica has the first port, the agent listens on the next: if that one is taken, others are drawn.
             let replica = TcpListener::bind("127.0.0.2:0").unwrap();
@@ -102,21 +102,22 @@
             let Ok(settings) = Settings::parse(&text) else {
                 continue;
             };
-            file.into_iter()
-                .for_each(|file| std::fs::write(file, &text).unwrap());
-            let path = file.map(Path::to_path_buf);
-            let feed = settings.agent_address();
-            let clock = Clock::manual(hand.clone());
+            settings_path
+                .into_iter()
+                .for_each(|path| std::fs::write(path, &text).unwrap());
+            let path = settings_path.map(Path::to_path_buf);
+            let agent_address = settings.agent_address();
+            let clock = Clock::manual(clock_us.clone());
             let Ok(host) = Host::open(settings, path, clock, &LogRing::default()) else {
                 continue;
             };
             replica.set_nonblocking(true).unwrap();
-            let (happenings, proxies) = (Vec::new(), Vec::new());
+            let (events, proxies) = (Vec::new(), Vec::new());
             return Bench {
                 host,
-                hand,
-                happenings,
-                feed,
+                clock_us,
+                events,
+                agent_address,
                 replica,
                 link: None,
                 proxies,
@@ -125,98 +126,106 @@
         panic!("no two ports in a row are free");
     }
 
-    pub fn turn(&mut self) {
-        self.host.run_once(0, &mut self.happenings).unwrap();
+    pub fn run_once(&mut self) {
+        self.host.run_once(0, &mut self.events).unwrap();
         if let Ok((stream, _)) = self.replica.accept() {
-            self.link = Some(End::new(stream));
+            self.link = Some(LinkEnd::new(stream));
         }
-        if self.link.as_mut().is_some_and(End::look) {
+        if self.link.as_mut().is_some_and(LinkEnd::receive) {
             self.link = None;
         }
-        self.proxies.retain_mut(|proxy| !proxy.look());
+        self.proxies.retain_mut(|proxy| !proxy.receive());
     }
 
-    pub fn until(&mut self, what: &str, mut there: impl FnMut(&Bench) -> bool) {
-        let start = Instant::now();
-        while !there(self) {
-            assert!(start.elapsed() < HANG, "there is no {what}");
-            self.turn();
+    pub fn run_until(&mut self, description: &str, mut condition: impl FnMut(&Bench) -> bool) {
+        let started_at = Instant::now();
+        while !condition(self) {
+            assert!(
+                started_at.elapsed() < WAIT_TIMEOUT,
+                "there is no {description}"
+            );
+            self.run_once();
         }
     }
 
-    pub fn pass(&mut self, ms: i64) {
-        for _ in 0..ms / 10 {
-            self.hand.fetch_add(10 * MS, Ordering::SeqCst);
-            self.turn();
+    pub fn advance_ms(&mut self, duration_ms: i64) {
+        for _ in 0..duration_ms / 10 {
+            self.clock_us.fetch_add(10 * MS, Ordering::SeqCst);
+            self.run_once();
         }
     }
 
     /// A proxy starts, says who it is and serves.
-    pub fn proxy(&mut self) {
-        self.proxies
-            .push(End::new(TcpStream::connect(self.feed).unwrap()));
+    pub fn connect_proxy(&mut self) {
+        self.proxies.push(LinkEnd::new(
+            TcpStream::connect(self.agent_address).unwrap(),
+        ));
         let proxy = self.proxies.last_mut().unwrap();
-        proxy.say(&AgentMessage::Hello(edge()));
-        proxy.say(&AgentMessage::Heartbeat(NodeState::Ready));
+        proxy.send(&AgentMessage::Hello(edge()));
+        proxy.send(&AgentMessage::Heartbeat(NodeState::Ready));
     }
 
-    pub fn replica_says(&mut self, messages: &[ControlMessage]) {
-        self.until("link", |bench| bench.link.is_some());
+    pub fn send_from_replica(&mut self, messages: &[ControlMessage]) {
+        self.run_until("link", |bench| bench.link.is_some());
         messages
             .iter()
-            .for_each(|message| self.link.as_mut().unwrap().say(message));
+            .for_each(|message| self.link.as_mut().unwrap().send(message));
     }
 
     /// What the proxy hears, apart from confirmations.
-    pub fn proxy_hears(&mut self, messages: &[ControlMessage]) {
+    pub fn expect_at_proxy(&mut self, messages: &[ControlMessage]) {
         let is_content =
             |message: &ControlMessage| !matches!(message, ControlMessage::Confirmed { .. });
-        self.until("news", |bench| {
-            let heard = &bench.proxies.last().unwrap().heard;
-            heard.iter().filter(|message| is_content(message)).count() >= messages.len()
+        self.run_until("news", |bench| {
+            let received = &bench.proxies.last().unwrap().received;
+            received
+                .iter()
+                .filter(|message| is_content(message))
+                .count()
+                >= messages.len()
         });
-        (0..20).for_each(|_| self.turn());
-        let mut heard = std::mem::take(&mut self.proxies.last_mut().unwrap().heard);
-        heard.retain(is_content);
-        assert_eq!(heard, messages);
+        (0..20).for_each(|_| self.run_once());
+        let mut received = std::mem::take(&mut self.proxies.last_mut().unwrap().received);
+        received.retain(is_content);
+        assert_eq!(received, messages);
     }
 
     /// The ages that were confirmed to the proxy since this was asked last.
-    pub fn confirmed_ages(&mut self) -> Vec<i64> {
-        (0..20).for_each(|_| self.turn());
-        let heard = std::mem::take(&mut self.proxies.last_mut().unwrap().heard);
-        let age = |message: &ControlMessage| match message {
-            ControlMessage::Confirmed { age_us: age } => Some(*age),
+    pub fn take_confirmed_ages(&mut self) -> Vec<i64> {
+        (0..20).for_each(|_| self.run_once());
+        let received = std::mem::take(&mut self.proxies.last_mut().unwrap().received);
+        let confirmed_age = |message: &ControlMessage| match message {
+            ControlMessage::Confirmed { age_us } => Some(*age_us),
             _ => None,
         };
-        heard.iter().filter_map(age).collect()
+        received.iter().filter_map(confirmed_age).collect()
     }
 
-    pub fn replica_hears(&mut self, message: &AgentMessage) {
-        let hears = |bench: &Bench| {
+    pub fn expect_at_replica(&mut self, message: &AgentMessage) {
+        let has_received = |bench: &Bench| {
             bench
                 .link
                 .as_ref()
-                .is_some_and(|link| link.heard.contains(message))
+                .is_some_and(|link| link.received.contains(message))
         };
-        self.until("word at the replica", hears);
-        self.link.as_mut().unwrap().heard.clear();
+        self.run_until("word at the replica", has_received);
+        self.link.as_mut().unwrap().received.clear();
     }
 }
 
 pub fn edge() -> NodeInfo {
-    let http = "10.1.0.3:80".parse().unwrap();
+    let http_address = "10.1.0.3:80".parse().unwrap();
     NodeInfo {
         name: "e".into(),
         zone: "a".into(),
         region: "r".into(),
-        http_address: http,
+        http_address,
     }
 }
 
-pub fn who(holder: Option<(SocketAddr, u64)>) -> ControlMessage {
+pub fn cluster_view(counter: Option<(SocketAddr, u64)>) -> ControlMessage {
     ControlMessage::ClusterView(ClusterView {
-        counter: holder,
+        counter,
         has_quorum: true,
         limiter_count: 1,
         zone_limiter_count: 1,
@@ -225,10 +234,10 @@
 }
 
 pub fn items(versions: &[u64]) -> ControlMessage {
-    let item = |(n, ver): (usize, &u64)| Item {
+    let item = |(index, ver): (usize, &u64)| Item {
         name: ItemName {
             kind: ItemKind::Zone,
-            name: format!("z{n}"),
+            name: format!("z{index}"),
         },
         ver: *ver,
         spec: Some("true".into()),
@@ -236,7 +245,7 @@
     ControlMessage::Items(versions.iter().enumerate().map(item).collect())
 }
 
-pub fn servers(version: (u64, u64), cold: i64) -> ControlMessage {
+pub fn servers(version: (u64, u64), warm_up_left_us: i64) -> ControlMessage {
     let addr = "10.128.0.9:80".parse().unwrap();
     let server = Server {
         id: "i".into(),
@@ -245,7 +254,7 @@
         zone: "a".into(),
         slots: 1,
         accepts_requests: true,
-        warm_up_left_us: cold,
+        warm_up_left_us,
     };
     ControlMessage::Servers {
         version,
--- a/crates/agent/tests/restarts.rs
+++ b/crates/agent/tests/restarts.rs
@@ -11,74 +11,74 @@
 #[test]
 fn restarted_proxy_is_sent_everything_without_a_core() {
     let mut bench = Bench::new();
-    bench.proxy();
-    let told = [
-        who(None),
+    bench.connect_proxy();
+    let configuration = [
+        cluster_view(None),
         items(&[3, 5]),
         servers((2, 7), 0),
         ControlMessage::Complete,
     ];
-    bench.replica_says(&told);
+    bench.send_from_replica(&configuration);
     // Nothing was known when it came.
-    let news = [&[items(&[])], &told[..]].concat();
-    bench.proxy_hears(&news);
-    bench.replica_hears(&AgentMessage::Heartbeat(NodeState::Ready));
+    let expected = [&[items(&[])], &configuration[..]].concat();
+    bench.expect_at_proxy(&expected);
+    bench.expect_at_replica(&AgentMessage::Heartbeat(NodeState::Ready));
     bench.proxies.clear();
-    bench.replica_hears(&AgentMessage::Heartbeat(NodeState::Unavailable));
+    bench.expect_at_replica(&AgentMessage::Heartbeat(NodeState::Unavailable));
     bench.link = None;
-    bench.proxy();
-    bench.proxy_hears(&told);
+    bench.connect_proxy();
+    bench.expect_at_proxy(&configuration);
     // The next replica hears who is here, and how it stands, and brings nothing but what is newer.
-    bench.pass(200);
-    bench.replica_hears(&AgentMessage::Hello(edge()));
-    bench.replica_says(&[
-        who(None),
+    bench.advance_ms(200);
+    bench.expect_at_replica(&AgentMessage::Hello(edge()));
+    bench.send_from_replica(&[
+        cluster_view(None),
         items(&[2, 5]),
         servers((2, 6), 0),
         ControlMessage::Complete,
         items(&[4]),
     ]);
-    bench.proxy_hears(&[items(&[4])]);
+    bench.expect_at_proxy(&[items(&[4])]);
 }
 
 #[test]
-fn agent_feeds_its_proxy_and_renews_its_lease() {
+fn agent_registers_and_forwards_only_once_a_proxy_is_connected() {
     let mut bench = Bench::new();
     // The replica hears of no edge before there is a proxy.
-    bench.until("link", |bench| bench.link.is_some());
-    bench.pass(900);
+    bench.run_until("link", |bench| bench.link.is_some());
+    bench.advance_ms(900);
     assert!(
         bench
             .link
             .as_ref()
             .unwrap()
-            .heard
+            .received
             .iter()
-            .all(|heard| matches!(
-                heard,
+            .all(|message| matches!(
+                message,
                 AgentMessage::Clock(0) | AgentMessage::ConfigState { item_count: 0, .. }
             ))
     );
-    bench.proxy();
-    bench.replica_hears(&AgentMessage::Hello(edge()));
-    bench.replica_hears(&AgentMessage::Heartbeat(NodeState::Ready));
+    bench.connect_proxy();
+    bench.expect_at_replica(&AgentMessage::Hello(edge()));
+    bench.expect_at_replica(&AgentMessage::Heartbeat(NodeState::Ready));
     // Cold times run on while they are kept here.
-    bench.replica_says(&[servers((1, 1), 500 * MS), ControlMessage::Complete]);
-    bench.proxy_hears(&[
+    bench.send_from_replica(&[servers((1, 1), 500 * MS), ControlMessage::Complete]);
+    bench.expect_at_proxy(&[
         items(&[]),
         servers((1, 1), 500 * MS),
         ControlMessage::Complete,
     ]);
-    bench.pass(600);
-    bench.proxy();
-    bench.proxy_hears(&[items(&[]), servers((1, 1), 0), ControlMessage::Complete]);
+    bench.advance_ms(600);
+    bench.connect_proxy();
+    bench.expect_at_proxy(&[items(&[]), servers((1, 1), 0), ControlMessage::Complete]);
 }
 
 #[test]
-fn batches_go_to_the_counter_or_are_reported_as_not_counted() {
+fn batches_are_forwarded_to_the_counter_or_answered_as_not_counted() {
     let mut bench = Bench::new();
-    bench.proxy();
-    bench.proxy_hears(&[items(&[])]);
+    bench.connect_proxy();
+    bench.expect_at_proxy(&[items(&[])]);
     let adds = |batch| AgentMessage::CounterBatch {
         batch,
         clock_us: 5,
@@ -88,45 +88,50 @@
             ttl_us: 7,
         }],
     };
-    bench.proxies[0].say(&adds(41));
-    bench.proxy_hears(&[ControlMessage::NotCounted(41)]);
-    let holder = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = (holder.local_addr().unwrap(), 1);
-    bench.replica_says(&[who(Some(at))]);
-    bench.proxy_hears(&[who(Some(at))]);
+    bench.proxies[0].send(&adds(41));
+    bench.expect_at_proxy(&[ControlMessage::NotCounted(41)]);
+    let counter_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let counter = (counter_listener.local_addr().unwrap(), 1);
+    bench.send_from_replica(&[cluster_view(Some(counter))]);
+    bench.expect_at_proxy(&[cluster_view(Some(counter))]);
     // The limiters' clock is not known yet: in what window the adds are nobody could say.
-    bench.proxies[0].say(&adds(41));
-    bench.proxy_hears(&[ControlMessage::NotCounted(41)]);
-    bench.replica_says(&[ControlMessage::Clock(7_000_000_000_000)]);
-    bench.until("time", |bench| !bench.proxies[0].heard.is_empty());
-    let told = std::mem::take(&mut bench.proxies[0].heard);
+    bench.proxies[0].send(&adds(41));
+    bench.expect_at_proxy(&[ControlMessage::NotCounted(41)]);
+    bench.send_from_replica(&[ControlMessage::Clock(7_000_000_000_000)]);
+    bench.run_until("time", |bench| !bench.proxies[0].received.is_empty());
+    let received = std::mem::take(&mut bench.proxies[0].received);
     assert!(
-        matches!(told[..], [ControlMessage::Clock(time)] if time - 7_000_000_000_000 < 1_000_000),
-        "{told:?}"
+        matches!(received[..], [ControlMessage::Clock(time)] if time - 7_000_000_000_000 < 1_000_000),
+        "{received:?}"
     );
-    holder.set_nonblocking(true).unwrap();
-    let mut count: Option<End<AgentMessage>> = None;
-    bench.until("link to the count", |_| {
-        count = holder.accept().ok().map(|(stream, _)| End::new(stream));
-        count.is_some()
+    counter_listener.set_nonblocking(true).unwrap();
+    let mut link: Option<LinkEnd<AgentMessage>> = None;
+    bench.run_until("link to the count", |_| {
+        link = counter_listener
+            .accept()
+            .ok()
+            .map(|(stream, _)| LinkEnd::new(stream));
+        link.is_some()
     });
-    let mut count = count.unwrap();
-    bench.until("first word there", |_| {
-        !count.look() && !count.heard.is_empty()
+    let mut counter_link = link.unwrap();
+    bench.run_until("first word there", |_| {
+        !counter_link.receive() && !counter_link.received.is_empty()
+    });
+    bench.proxies[0].send(&adds(42));
+    bench.run_until("adds there", |_| {
+        !counter_link.receive() && counter_link.received.len() > 1
     });
-    bench.proxies[0].say(&adds(42));
-    bench.until("adds there", |_| !count.look() && count.heard.len() > 1);
     assert!(
-        matches!(count.heard[0], AgentMessage::Clock(_)),
+        matches!(counter_link.received[0], AgentMessage::Clock(_)),
         "{:?}",
-        count.heard
+        counter_link.received
     );
-    assert_eq!(count.heard[1..], [adds(1)]);
-    count.say(&ControlMessage::CounterTotals {
+    assert_eq!(counter_link.received[1..], [adds(1)]);
+    counter_link.send(&ControlMessage::CounterTotals {
         batch: 1,
         totals: vec![3.0],
     });
-    bench.proxy_hears(&[ControlMessage::CounterTotals {
+    bench.expect_at_proxy(&[ControlMessage::CounterTotals {
         batch: 42,
         totals: vec![3.0],
     }]);
@@ -135,62 +140,64 @@
 #[test]
 fn agent_without_replicas_reloads_its_settings() {
     let folder = tempfile::tempdir().unwrap();
-    let file = folder.path().join("local.yaml");
+    let path = folder.path().join("local.yaml");
     // Nobody listens there: the replica that the file named at the start is gone.
-    let mut bench = Bench::started("127.0.0.3:1", Some(&file));
-    bench.pass(600);
+    let mut bench = Bench::start("127.0.0.3:1", Some(&path));
+    bench.advance_ms(600);
     assert!(bench.link.is_none());
     // A faulty file changes nothing, and the next one counts.
-    std::fs::write(&file, "node: [").unwrap();
-    bench.pass(600);
+    std::fs::write(&path, "node: [").unwrap();
+    bench.advance_ms(600);
     let port = bench.replica.local_addr().unwrap().port();
-    std::fs::write(&file, settings(port, "127.0.0.2:1")).unwrap();
-    bench.pass(600);
-    bench.until("link", |bench| bench.link.is_some());
+    std::fs::write(&path, settings(port, "127.0.0.2:1")).unwrap();
+    bench.advance_ms(600);
+    bench.run_until("link", |bench| bench.link.is_some());
 }
 
 /// The replica answers all requests for the clock that it has heard.
-fn answer_clocks(bench: &mut Bench) {
-    (0..20).for_each(|_| bench.turn());
+fn answer_clock_requests(bench: &mut Bench) {
+    (0..20).for_each(|_| bench.run_once());
     let link = bench.link.as_mut().unwrap();
-    let heard = std::mem::take(&mut link.heard);
-    let asked = heard.iter().filter(|m| matches!(m, AgentMessage::Clock(_)));
-    for _ in 0..asked.count() {
-        link.say(&ControlMessage::Clock(7));
+    let received = std::mem::take(&mut link.received);
+    let requests = received
+        .iter()
+        .filter(|message| matches!(message, AgentMessage::Clock(_)));
+    for _ in 0..requests.count() {
+        link.send(&ControlMessage::Clock(7));
     }
 }
 
 #[test]
-fn proxy_is_told_how_old_its_configuration_may_be() {
+fn proxy_is_sent_the_maximum_age_of_its_configuration() {
     let mut bench = Bench::new();
-    bench.proxy();
+    bench.connect_proxy();
     let hello = AgentMessage::Hello(edge());
-    bench.until("registration", |bench| {
+    bench.run_until("registration", |bench| {
         let link = bench.link.as_ref();
-        link.is_some_and(|link| link.heard.contains(&hello))
+        link.is_some_and(|link| link.received.contains(&hello))
     });
-    bench.replica_says(&[who(None), items(&[1])]);
-    bench.pass(600);
-    answer_clocks(&mut bench);
-    assert!(bench.confirmed_ages().is_empty(), "it may lack items");
-    bench.pass(200);
-    bench.replica_says(&[ControlMessage::Complete]);
+    bench.send_from_replica(&[cluster_view(None), items(&[1])]);
+    bench.advance_ms(600);
+    answer_clock_requests(&mut bench);
+    assert!(bench.take_confirmed_ages().is_empty(), "it may lack items");
+    bench.advance_ms(200);
+    bench.send_from_replica(&[ControlMessage::Complete]);
     // What was in force when the edge was registered has arrived.
-    let ages = bench.confirmed_ages();
+    let ages = bench.take_confirmed_ages();
     assert!(matches!(ages[..], [800_000..1_000_000]), "{ages:?}");
     // An answer confirms the time at which it was asked for.
-    bench.pass(300);
-    answer_clocks(&mut bench);
-    let ages = bench.confirmed_ages();
+    bench.advance_ms(300);
+    answer_clock_requests(&mut bench);
+    let ages = bench.take_confirmed_ages();
     assert!(matches!(ages[..], [300_000..=400_000]), "{ages:?}");
     // A replica that has lost the quorum confirms nothing until it has said again that it knows all.
-    bench.replica_says(&[ControlMessage::ClusterView(ClusterView::default())]);
-    bench.pass(500);
-    answer_clocks(&mut bench);
-    assert!(bench.confirmed_ages().is_empty());
-    bench.replica_says(&[who(None), ControlMessage::Complete]);
-    bench.pass(100);
-    answer_clocks(&mut bench);
-    let ages = bench.confirmed_ages();
+    bench.send_from_replica(&[ControlMessage::ClusterView(ClusterView::default())]);
+    bench.advance_ms(500);
+    answer_clock_requests(&mut bench);
+    assert!(bench.take_confirmed_ages().is_empty());
+    bench.send_from_replica(&[cluster_view(None), ControlMessage::Complete]);
+    bench.advance_ms(100);
+    answer_clock_requests(&mut bench);
+    let ages = bench.take_confirmed_ages();
     assert!(matches!(ages[..], [0..=200_000]), "{ages:?}");
 }
--- a/crates/agent/tests/slow_links.rs
+++ b/crates/agent/tests/slow_links.rs
@@ -6,13 +6,13 @@
 use protocol::messages::{AgentMessage, ControlMessage};
 
 /// How long every answer of the replica takes.
-const DELAY: i64 = 3_000 * MS;
+const ANSWER_DELAY: i64 = 3_000 * MS;
 /// Within this the agent has what it asked for: twice the delay, for the connection and the answer.
-const IN_FORCE: i64 = 2 * DELAY;
+const MAX_TRANSFER_TIME: i64 = 2 * ANSWER_DELAY;
 
 /// A connection of the agent to the replica, and when its answer arrives.
 struct SlowLink {
-    end: End<AgentMessage>,
+    end: LinkEnd<AgentMessage>,
     answered_at: Option<i64>,
     opened_at: i64,
     is_answered: bool,
@@ -22,13 +22,13 @@
 #[derive(Default)]
 struct SlowReplica {
     links: Vec<SlowLink>,
-    opened: usize,
+    opened_count: usize,
 }
 
 impl SlowReplica {
-    fn turn(&mut self, bench: &mut Bench, now: i64, told: &[ControlMessage]) {
+    fn run_once(&mut self, bench: &mut Bench, now: i64, answers: &[ControlMessage]) {
         if let Some(end) = bench.link.take() {
-            self.opened += 1;
+            self.opened_count += 1;
             self.links.push(SlowLink {
                 end,
                 opened_at: now,
@@ -36,17 +36,17 @@
                 is_answered: false,
             });
         }
-        self.links.retain_mut(|link| !link.end.look());
+        self.links.retain_mut(|link| !link.end.receive());
         for link in &mut self.links {
             let is_registered = link
                 .end
-                .heard
+                .received
                 .iter()
-                .any(|heard| matches!(heard, AgentMessage::Hello(_)));
-            let due = now - link.opened_at >= DELAY && is_registered;
-            if due && !std::mem::replace(&mut link.is_answered, true) {
+                .any(|message| matches!(message, AgentMessage::Hello(_)));
+            let is_due = now - link.opened_at >= ANSWER_DELAY && is_registered;
+            if is_due && !std::mem::replace(&mut link.is_answered, true) {
                 link.answered_at = Some(now);
-                told.iter().for_each(|message| link.end.say(message));
+                answers.iter().for_each(|message| link.end.send(message));
             }
         }
     }
@@ -55,21 +55,21 @@
 #[test]
 fn configuration_arrives_over_a_link_on_which_each_answer_takes_seconds() {
     let mut bench = Bench::new();
-    bench.proxy();
-    bench.proxy_hears(&[items(&[])]);
-    let told = [who(None), items(&[3]), ControlMessage::Complete];
+    bench.connect_proxy();
+    bench.expect_at_proxy(&[items(&[])]);
+    let answers = [cluster_view(None), items(&[3]), ControlMessage::Complete];
     let mut replica = SlowReplica::default();
-    let mut passed = 0;
-    let has_items = |bench: &Bench| bench.proxies[0].heard.contains(&items(&[3]));
-    while passed < IN_FORCE && !has_items(&bench) {
-        bench.pass(10);
-        passed += 10 * MS;
-        replica.turn(&mut bench, passed, &told);
+    let mut elapsed_us = 0;
+    let has_items = |bench: &Bench| bench.proxies[0].received.contains(&items(&[3]));
+    while elapsed_us < MAX_TRANSFER_TIME && !has_items(&bench) {
+        bench.advance_ms(10);
+        elapsed_us += 10 * MS;
+        replica.run_once(&mut bench, elapsed_us, &answers);
     }
-    (0..20).for_each(|_| bench.turn());
+    (0..20).for_each(|_| bench.run_once());
     assert!(
         has_items(&bench),
-        "no items after {passed} us and {} connections",
-        replica.opened
+        "no items after {elapsed_us} us and {} connections",
+        replica.opened_count
     );
 }
