--- a/crates/agent/src/config_cache.rs
+++ b/crates/agent/src/config_cache.rs
@@ -1,4 +1,4 @@
-//! The configuration that an agent was sent, kept for its proxy, also for one that starts later. Without I/O.
+//! The configuration that an agent has received, cached for its proxy, which may connect later or again. Without I/O.
 
 use overload::admission_controller::AdmissionLevel;
 use protocol::digests::Digests;
@@ -7,7 +7,7 @@
 use protocol::metrics::MetricsText;
 use protocol::platform::Server;
 
-/// A list of servers, and when it was received, in microseconds.
+/// A list of servers, with its version and the time in microseconds at which it was received.
 #[derive(Clone, Debug)]
 struct CachedServerList {
     version: (u64, u64),
@@ -15,14 +15,14 @@
     received_at: i64,
 }
 
-/// A limiter that has heard no replica for this long is isolated, in microseconds: its lease has expired, and the others leave
-/// no share of the quotas for it any more, at the latest once replicas have started that never knew it.
+/// A limiter that has received nothing from a replica for this long is isolated, in microseconds: its lease has expired, and
+/// the other limiters no longer leave it a share of the quotas, at the latest after a restart of replicas that do not know it.
 pub const ISOLATION_TIMEOUT: i64 = 3_000_000;
-/// A limiter that has heard no replica in contact with a quorum for this long is isolated too, in microseconds: such replicas
-/// leave a share for it that long.
+/// A limiter that has received nothing from a replica with a quorum for this long is isolated too, in microseconds: replicas
+/// without a quorum count it as a limiter, and so reserve its share, for that long.
 pub const QUORUM_LOSS_TIMEOUT: i64 = 8_000_000;
 
-/// The configuration that was received.
+/// The cache of the configuration and of the state of the cluster.
 #[derive(Debug, Default)]
 pub struct ConfigCache {
     items: Items,
@@ -30,26 +30,28 @@
     digests: Digests,
     server_list: Option<CachedServerList>,
     cluster_view: Option<ClusterView>,
-    /// When a replica was last heard, and when one in contact with a quorum was.
+    /// When a message was last received.
     last_received_at: i64,
+    /// When a message of a replica with a quorum was last received.
     last_quorum_at: i64,
-    /// The replica that was heard last is in contact with a quorum.
+    /// Whether the current replica is in contact with a quorum.
     has_quorum: bool,
-    /// The others do not count on this limiter any more, and its proxy was told so.
+    /// Whether this limiter is isolated, and the proxy was notified of it.
     is_isolated: bool,
+    /// Whether the initial transfer has been completed once.
     is_complete: bool,
-    /// Everything that was in force at this time is known here.
+    /// The cache contains everything that was in force at this time.
     confirmed_at: Option<i64>,
-    /// The limiters' clock, and when it was received.
+    /// The limiters' clock when it was received, and the time of the receipt on the local clock.
     limiter_clock: Option<(i64, i64)>,
     /// The admission levels of services, and when they were determined.
     levels: Option<(Vec<AdmissionLevel>, i64)>,
 }
 
 impl ConfigCache {
-    /// Takes in a message; gives what of it is new to the proxy.
+    /// Applies a message. Returns the part of it that is new to the proxy, as a message to forward.
     pub fn apply(&mut self, now: i64, message: ControlMessage) -> Option<ControlMessage> {
-        // The cluster view is sent only when it changes; every other message is a sign of life as well.
+        // Every message proves that the replica is alive: the cluster view itself is sent only when it changes.
         self.last_received_at = now;
         self.last_quorum_at = if self.has_quorum {
             now
@@ -62,7 +64,7 @@
                 if view.has_quorum {
                     (self.last_quorum_at, self.is_isolated) = (now, false);
                 }
-                // For the proxy this says whether this limiter is isolated.
+                // Towards the proxy, `has_quorum` means that this limiter is not isolated.
                 let view = ClusterView {
                     has_quorum: !self.is_isolated,
                     ..view
@@ -111,7 +113,7 @@
                 is_first.then_some(ControlMessage::Complete)
             }
             ControlMessage::Clock(time) => {
-                // The clock that is ahead leads.
+                // The clock that is furthest ahead wins.
                 let is_ahead = self.limiter_clock(now).is_none_or(|cached| cached < time);
                 self.limiter_clock = if is_ahead {
                     Some((time, now))
@@ -130,23 +132,23 @@
         }
     }
 
-    /// Everything that was in force at this time is known here.
+    /// Records that the cache contains everything that was in force at this time.
     pub fn confirm_current_at(&mut self, confirmed_at: i64) {
         self.confirmed_at = self.confirmed_at.max(Some(confirmed_at));
     }
 
-    /// The message that tells the proxy how old its configuration may be; none before it is known.
+    /// The message that informs the proxy of the maximum age of its configuration; `None` while it is unknown.
     pub fn confirmation(&self, now: i64) -> Option<ControlMessage> {
         let age_us = now - self.confirmed_at?;
         Some(ControlMessage::Confirmed { age_us })
     }
 
-    /// The items, each in the newest version that was received.
+    /// The items, each in the highest version that was received.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.items.values()
     }
 
-    /// Checks whether this limiter is isolated by now; if so, gives the message for its proxy, once.
+    /// Checks whether this limiter has become isolated. If so, returns the message that notifies the proxy, once.
     pub fn check_isolation(&mut self, now: i64) -> Option<ControlMessage> {
         let view = self.cluster_view.as_mut()?;
         if self.is_isolated
@@ -160,12 +162,12 @@
         Some(ControlMessage::ClusterView(view.clone()))
     }
 
-    /// Digests of the items, by which a control program sends only what is missing; none without any items.
+    /// Digests of the items, from which a control program determines the missing ones; `None` if there are no items.
     pub fn known_digests(&self) -> Option<Vec<u64>> {
         (!self.items.is_empty()).then(|| self.digests.buckets().to_vec())
     }
 
-    /// The summary of the items that the control program is sent.
+    /// The summary of the items for the control program.
     pub fn config_state(&self) -> AgentMessage {
         AgentMessage::ConfigState {
             item_count: self.items.len() as u32,
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Adds figures to a report.
+    /// Adds the metrics of the cache to a report.
     pub fn add_metrics(&self, text: &mut MetricsText) {
         text.add_gauge(
             "agent_config_items",
@@ -187,23 +189,23 @@
         );
     }
 
-    /// The cluster view that was received last.
+    /// The cluster view, without the counter while this limiter is isolated.
     pub fn cluster_view(&self) -> Option<&ClusterView> {
         self.cluster_view.as_ref()
     }
 
-    /// The limiters' clock.
+    /// The limiters' clock in microseconds; `None` before it was received.
     pub fn limiter_clock(&self, now: i64) -> Option<i64> {
         self.limiter_clock
             .map(|(time, received_at)| time + (now - received_at))
     }
 
-    /// Everything that was received, for a proxy that has just connected.
+    /// The messages that bring a newly connected proxy up to date.
     pub fn snapshot(&self, now: i64) -> Vec<ControlMessage> {
         let view = self.cluster_view.clone().map(ControlMessage::ClusterView);
         let items = ControlMessage::Items(self.items.values().cloned().collect());
         let list = self.server_list.as_ref().map(|list| {
-            // What was left of the warm-ups when the list was received, less the time since.
+            // The remaining warm-up times at the receipt of the list, less the time since.
             let with_remaining_warm_up = |server: &Server| Server {
                 warm_up_left_us: (server.warm_up_left_us - (now - list.received_at)).max(0),
                 ..server.clone()
--- a/crates/agent/src/config_cache/tests.rs
+++ b/crates/agent/src/config_cache/tests.rs
@@ -70,7 +70,7 @@
             ControlMessage::Complete
         ]
     );
-    // Nothing is whole before it was said to be.
+    // Before the control program has sent `Complete`, the snapshot does not contain it.
     assert!(
         !ConfigCache::default()
             .snapshot(0)
@@ -93,7 +93,7 @@
         assert_eq!(cache.apply(now, ControlMessage::Items(Vec::new())), None);
         assert_eq!(cache.check_isolation(now + 1), None, "at {now}");
     }
-    // Signs of life of a replica that said that it is out of touch are none of the core.
+    // Keep-alives of a replica without a quorum do not prove contact with the core.
     cache.apply(
         2 * QUORUM_LOSS_TIMEOUT,
         ControlMessage::ClusterView(ClusterView {
@@ -122,7 +122,7 @@
         Some(cluster_view(false))
     );
     assert_eq!(cache.check_isolation(ISOLATION_TIMEOUT + 1), None);
-    // A replica that is out of touch changes nothing; one in touch does.
+    // A replica without a quorum does not end the isolation; one with a quorum does.
     assert_eq!(
         cache.apply(ISOLATION_TIMEOUT + 2, cluster_view(false)),
         None
@@ -131,7 +131,7 @@
         cache.apply(ISOLATION_TIMEOUT + 3, cluster_view(true)),
         Some(cluster_view(true))
     );
-    // While it hears replicas that are out of touch it is counted on for longer.
+    // While replicas without a quorum send messages, the limiter becomes isolated only after the longer timeout.
     for now in (ISOLATION_TIMEOUT + 3..ISOLATION_TIMEOUT + QUORUM_LOSS_TIMEOUT).step_by(400_000) {
         cache.apply(now, cluster_view(false));
         assert_eq!(cache.check_isolation(now), None);
--- a/crates/agent/src/host/control_link.rs
+++ b/crates/agent/src/host/control_link.rs
@@ -1,51 +1,52 @@
 //! The link to a control program, and the search for one.
 //!
-//! A connection is a *candidate* until a control program has told its view on it; then it becomes the link. Candidates overlap:
-//! the next one is begun although the former ones have not been answered, as the machine's own link may be so full that each
-//! answer takes seconds. A link that is silent, or whose control program has lost the quorum, is kept until another one has
-//! taken its place.
+//! A connection is a *candidate* until its control program has sent a cluster view; then it becomes the link. Candidates overlap:
+//! the next one is opened while the former ones still wait for an answer, as the network link of the machine may be so congested
+//! that each answer takes seconds. A link that is silent, or whose control program has lost the quorum, is kept until another
+//! one replaces it.
 
 use std::collections::VecDeque;
 
 use super::*;
 
-/// The interval at which a search begins another candidate.
+/// The interval at which a search opens another candidate, in microseconds, as all durations here.
 const SEARCH_INTERVAL: i64 = 250 * MS;
-/// The same while a link is there whose control program has lost the quorum.
+/// The search interval while there is a link, which is silent or whose control program has lost the quorum.
 const SEARCH_INTERVAL_WITH_LINK: i64 = 700 * MS;
-/// A candidate that was established is the only one for this long.
+/// After the edge was registered on a candidate, no other candidate is opened or registered on for this long, except one to the
+/// replica of the agent's own zone.
 const ANSWER_TIMEOUT: i64 = LINK_IDLE_TIMEOUT;
-/// A candidate that has not become the link is closed after this.
+/// A candidate that has not become the link after this time is closed.
 const CANDIDATE_TIMEOUT: i64 = 8_000 * MS;
-/// A link on which nothing is received is closed after this, if no other one has taken its place.
+/// A link on which nothing was received for this long is closed, even if no other one has replaced it.
 const SILENT_LINK_TIMEOUT: i64 = 8_000 * MS;
-/// The greatest number of candidates.
+/// The maximum number of candidates.
 const MAX_CANDIDATES: usize = 24;
 
 /// The link to a control program.
 pub(super) struct ControlLink {
     pub(super) connection: ConnectionId,
     pub(super) address: SocketAddr,
-    /// Since when the control program says that it is not in contact with a quorum.
+    /// When the control program first reported that it is not in contact with a quorum; `None` while it is.
     quorum_lost_at: Option<i64>,
-    /// Everything that is in force was received on this link, and its control program has not lost the quorum since.
+    /// Whether everything in force was received on this link and its control program has not lost the quorum since.
     is_complete: bool,
-    /// When the edge was registered on it; none once it is known that everything in force at that time was received.
+    /// When the edge was registered on it; `None` after the cache was confirmed to contain everything in force at that time.
     registered_at: Option<i64>,
-    /// When each request for the limiters' clock was sent that was not answered yet. Answers come in the same order.
+    /// When the unanswered requests for the limiters' clock were sent, oldest first. They are answered in this order.
     clock_requests: VecDeque<i64>,
-    /// So many of the next answers are to requests from before everything in force was received.
+    /// The number of the next answers that confirm nothing, as they belong to requests from before the link was complete.
     ignored_clock_answers: usize,
 }
 
-/// A connection to a control program that has not told its view yet.
+/// A connection to a control program that has not sent its cluster view yet.
 pub(super) struct Candidate {
     pub(super) connection: ConnectionId,
     address: SocketAddr,
     is_established: bool,
     /// When the edge was registered on it.
     registered_at: Option<i64>,
-    /// It replaces a link that is in order, if it is to the replica of the own zone.
+    /// Whether it leads to the replica of the agent's own zone. It is opened although the link is healthy, and replaces it.
     is_home: bool,
     clock_requests: VecDeque<i64>,
 }
@@ -61,7 +62,7 @@
             .any(|candidate| candidate.connection == id)
     }
 
-    /// Begins a connection to a control program.
+    /// Starts to connect to a control program. Returns whether the connection could be opened.
     fn open_candidate(&mut self, now: i64, address: SocketAddr, is_home: bool) -> bool {
         self.link_metrics.attempts += 1;
         let Ok(connection) = self.connections.connect(address, now) else {
@@ -95,7 +96,7 @@
         Some(candidate)
     }
 
-    /// A candidate is established: the edge is registered on it, unless another one waits for its answer.
+    /// Marks a candidate as established and registers the edge on it, unless another candidate is waiting for its answer.
     pub(super) fn handle_candidate_connected(&mut self, now: i64, id: ConnectionId) {
         let candidates = self.candidates.iter_mut();
         for candidate in candidates.filter(|candidate| candidate.connection == id) {
@@ -104,7 +105,8 @@
         self.register_candidates(now);
     }
 
-    /// Registers the edge on a candidate that is established, where no other one has been asked lately.
+    /// Registers the edge on an established candidate, unless it was registered on another one less than [`ANSWER_TIMEOUT`] ago.
+    /// A candidate to the replica of the agent's own zone does not wait for others.
     pub(super) fn register_candidates(&mut self, now: i64) {
         if self.node.is_none() {
             return;
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Subscribes to the configuration on a candidate.
+    /// Registers the edge on a candidate or on the link, which subscribes to the configuration.
     fn register(&mut self, now: i64, id: ConnectionId) {
         let Some(node) = self.node.clone() else {
             return;
@@ -151,7 +153,7 @@
             .for_each(|registered_at| *registered_at = Some(now));
     }
 
-    /// The proxy has said which edge it belongs to, or that it is another one: control programs are told.
+    /// Registers the edge anew after the proxy has sent information about the edge that differs from before.
     pub(super) fn handle_node_changed(&mut self, now: i64) {
         if let Some(link) = &self.link {
             let id = link.connection;
@@ -160,8 +162,8 @@
         self.register_candidates(now);
     }
 
-    /// Requests the limiters' clock on a link or candidate. The answer also says that the link had everything that was in
-    /// force when this was sent.
+    /// Requests the limiters' clock on the link or a candidate. The answer also confirms that everything that was in force when
+    /// the request was sent has been received before it.
     pub(super) fn request_link_clock(&mut self, now: i64, id: ConnectionId) {
         self.request_clock(now, id);
         let link = self.link.iter_mut().filter(|link| link.connection == id);
@@ -172,7 +174,7 @@
         requests.for_each(|requests| requests.push_back(now));
     }
 
-    /// The clock was received on a link: everything that was in force when it was requested has arrived before.
+    /// Handles an answer to a clock request on the link: everything that was in force when it was requested has been received.
     pub(super) fn handle_clock_answer(&mut self, now: i64, id: ConnectionId) {
         let candidates = self.candidates.iter_mut();
         for candidate in candidates.filter(|candidate| candidate.connection == id) {
@@ -191,14 +193,14 @@
         self.send_confirmation(now);
     }
 
-    /// Tells the proxy how old its configuration may be.
+    /// Informs the proxy of the maximum age of its configuration.
     pub(super) fn send_confirmation(&mut self, now: i64) {
         if let Some((message, proxy)) = self.cache.confirmation(now).zip(self.proxy) {
             self.send(proxy, &message);
         }
     }
 
-    /// Everything that is in force was received.
+    /// Handles the message that everything in force was sent on a connection.
     pub(super) fn handle_complete(&mut self, now: i64, id: ConnectionId) {
         let Some(link) = self.link.as_mut().filter(|link| link.connection == id) else {
             return;
@@ -206,7 +208,7 @@
         if std::mem::replace(&mut link.is_complete, true) {
             return;
         }
-        // What was requested before may have been answered by a control program that was not up to date.
+        // The answers to earlier requests may come from a control program that was not up to date, and must confirm nothing.
         link.ignored_clock_answers = link.clock_requests.len();
         if let Some(registered_at) = link.registered_at.take() {
             self.cache.confirm_current_at(registered_at);
@@ -215,6 +217,8 @@
         self.request_link_clock(now, id);
     }
 
+    /// Handles a cluster view: the first one on a candidate makes it the link, or closes it if its control program has no quorum
+    /// and there is a link already.
     pub(super) fn handle_cluster_view(&mut self, now: i64, from: ConnectionId, view: ClusterView) {
         if self.is_candidate(from) && (view.has_quorum || self.link.is_none()) {
             self.promote(now, from);
@@ -237,13 +241,13 @@
         let has_quorum = view.has_quorum;
         self.forward(now, ControlMessage::ClusterView(view));
         self.update_counter_link(now);
-        // The settings name only a few replicas, and not all agents that start may stay with these.
+        // The settings name only a few replicas: without this, all agents that start would stay linked to these.
         if has_quorum && !std::mem::replace(&mut self.has_tried_home, true) {
             self.try_home_replica(now);
         }
     }
 
-    /// Makes a candidate the link, and closes all others.
+    /// Makes a candidate the link, and closes the former link and all other candidates.
     fn promote(&mut self, now: i64, id: ConnectionId) {
         let Some(candidate) = self.remove_candidate(id) else {
             return;
@@ -251,7 +255,7 @@
         if let Some(outage) = self.link_metrics.record_link(now)
             && outage.duration > MIN_REPORTED_OUTAGE
         {
-            warn!(self.log, #IMMEDIATE, "linked again";
+            warn!(self.log, #IMMEDIATE, "control link restored after an outage";
                 "peer" => candidate.address.to_string(), "outage_ms" => outage.duration / MS,
                 "attempts" => outage.attempts, "timed_out" => outage.attempts_timed_out);
         }
@@ -276,13 +280,13 @@
         }
     }
 
-    /// The link was closed, or a candidate was refused.
+    /// Handles the loss of the link, or the failure of a candidate.
     pub(super) fn handle_control_link_lost(&mut self, now: i64, id: ConnectionId) {
         self.connections.close(id);
         if let Some(link) = self.link.take_if(|link| link.connection == id) {
             self.link_metrics.record_loss(now);
             self.selection.skip_past(link.address);
-            info!(self.log, "link lost"; "peer" => link.address.to_string());
+            info!(self.log, "control link lost"; "peer" => link.address.to_string());
         } else if let Some(candidate) = self.remove_candidate(id) {
             self.link_metrics.attempts_failed += 1;
             if candidate.is_home {
@@ -292,7 +296,7 @@
         self.schedule_search(now + RETRY_DELAY);
     }
 
-    /// A candidate that has not become the link in time is given up.
+    /// Closes a candidate that has not become the link in time.
     pub(super) fn handle_candidate_timeout(&mut self, now: i64, id: ConnectionId) {
         if self.close_candidate(id).is_some() {
             self.link_metrics.attempts_timed_out += 1;
@@ -300,7 +304,7 @@
         }
     }
 
-    /// Whether the link is there and in order.
+    /// Whether there is a link that is not silent and whose control program has not lost the quorum for too long.
     fn has_healthy_link(&self, now: i64) -> bool {
         self.link.as_ref().is_some_and(|link| {
             let quorum_lost_at = link.quorum_lost_at;
@@ -318,7 +322,7 @@
         connection.map_or(i64::MIN, |connection| connection.last_received_at)
     }
 
-    /// Schedules the next step of the search, if none is due before.
+    /// Schedules the next step of the search, unless an earlier one is scheduled.
     pub(super) fn schedule_search(&mut self, at: i64) {
         if at < self.next_search_at {
             self.next_search_at = at;
@@ -326,7 +330,7 @@
         }
     }
 
-    /// Begins another candidate, as long as there is no link that is of use.
+    /// Opens another candidate, unless there is a healthy link.
     pub(super) fn search(&mut self, now: i64) {
         if now < self.next_search_at {
             return;
@@ -348,7 +352,8 @@
                     if attempt.is_last_of_round {
                         self.reload_settings();
                     }
-                    // A replica without a quorum is of no more use on a second connection; one that is silent may be.
+                    // A second connection to the linked replica can help if the link is silent, but not if the replica has lost the
+                    // quorum.
                     let link = self.link.as_ref().filter(|link| !self.is_silent(now, link));
                     let is_already_linked =
                         link.is_some_and(|link| link.address == attempt.address);
@@ -366,7 +371,8 @@
         self.schedule_search(next_at);
     }
 
-    /// Whether a candidate is established and its answer may still come soon; without a proxy nothing is asked.
+    /// Whether an established candidate may still answer soon. Before a proxy has connected, an established candidate is enough,
+    /// as the edge can't be registered on any.
     fn is_awaiting_answer(&self, now: i64) -> bool {
         let mut established = self
             .candidates
@@ -378,7 +384,7 @@
         })
     }
 
-    /// Looks for another link where the present one is of no use, and gives up one that has been silent for long.
+    /// Starts a search if the link is not healthy, and closes the link if it has been silent for [`SILENT_LINK_TIMEOUT`].
     pub(super) fn check_link(&mut self, now: i64) {
         if let Some(link) = &self.link
             && self.is_silent(now, link)
@@ -392,7 +398,7 @@
             self.link_metrics.record_link(now);
         }
         if self.has_healthy_link(now) {
-            // What was begun while the link was silent is not needed any more.
+            // Candidates that were opened while the link was not healthy are not needed any more.
             let superseded: Vec<ConnectionId> = self
                 .candidates
                 .iter()
@@ -407,7 +413,7 @@
         }
     }
 
-    /// Tries whether the replica of the own zone can be reached, if the agent is linked to another one.
+    /// Opens a candidate to the replica of the agent's own zone, if the agent is linked to another replica.
     pub(super) fn try_home_replica(&mut self, now: i64) {
         let former: Vec<ConnectionId> = self
             .candidates
--- a/crates/agent/src/host/mod.rs
+++ b/crates/agent/src/host/mod.rs
@@ -1,4 +1,4 @@
-//! The host of an agent: the link to a control program, the link to the shared counter, and the connection of the proxy.
+//! The event loop of an agent: the link to a control program, the link to the shared counter, and the connection of the proxy.
 
 mod control_link;
 
@@ -28,21 +28,23 @@
     ReplicaSelection,
 };
 
+/// Microseconds per millisecond.
 const MS: i64 = 1_000;
 /// The interval of the heartbeats to the control program, in microseconds, as all durations here.
 const HEARTBEAT_INTERVAL: i64 = 400 * MS;
-/// The interval at which the limiters' clock is requested, as clocks drift.
+/// The interval at which the limiters' clock is requested again, as clocks drift.
 const CLOCK_REQUEST_INTERVAL: i64 = 800 * MS;
 /// The delay before the next attempt after a link has failed.
 const RETRY_DELAY: i64 = 30 * MS;
-/// The link to the counter has to be established within this: as the machine's link may be full, far longer than the way there
-/// and back takes.
+/// The link to the counter has to be established within this time. It is far longer than a round trip, as the network link of
+/// the machine may be congested.
 const COUNTER_CONNECT_TIMEOUT: i64 = 3_000 * MS;
-/// How long before the end of its grace period the agent ends.
+/// The agent ends this long before the end of its grace period, so that it is not killed.
 const GRACE_MARGIN: i64 = 200 * MS;
-/// Operators are told of the end of a time without a link that was longer than this.
+/// The end of an outage of the control link that was longer than this is written to the log immediately.
 const MIN_REPORTED_OUTAGE: i64 = 1_000 * MS;
-/// The greatest number of batches that wait for the counter: of more than these the proxy has given up the oldest.
+/// The maximum number of batches that wait for the counter. Beyond it the oldest one is forgotten, which the proxy has given up
+/// by then.
 const MAX_PENDING_BATCHES: usize = 2_000;
 
 /// The link to the replica that keeps the shared counter.
@@ -53,22 +55,28 @@
     term: u64,
 }
 
-/// A batch of the proxy that was forwarded to the counter.
+/// A batch of the proxy that was forwarded to the counter and has not been answered.
 struct PendingBatch {
     proxy: ConnectionId,
-    /// Its number on the proxy's connection.
+    /// The number of the batch on the connection of the proxy.
     number: u64,
 }
 
 #[derive(Debug)]
 enum Timer {
-    /// The link to the counter has to be established.
+    /// The time for establishing the link to the counter is over.
     CounterConnectTimeout(ConnectionId),
+    /// The time for a candidate to become the link is over.
     CandidateTimeout(ConnectionId),
+    /// A heartbeat and the checks of the links are due.
     Upkeep,
+    /// The next step of the search for a link is due.
     Search,
+    /// The link to the counter is to be opened again.
     ReconnectCounter,
+    /// The replica of the agent's own zone is to be tried again.
     TryHomeReplica,
+    /// The grace period is about to end.
     GracePeriodEnd,
 }
 
@@ -77,7 +85,7 @@
     clock: Clock,
     settings: Settings,
     settings_path: Option<PathBuf>,
-    /// The error of the last time that the settings were read; it is logged once.
+    /// The error of the last reload of the settings, empty if there was none, so that a persistent error is logged once.
     last_settings_error: String,
     log: Logger,
     connections: Connections,
@@ -86,17 +94,17 @@
     cache: ConfigCache,
     link: Option<ControlLink>,
     candidates: Vec<Candidate>,
-    /// When the search for a link is continued.
+    /// When the search for a link continues; `i64::MAX` if no step is scheduled.
     next_search_at: i64,
     counter_link: Option<CounterLink>,
-    /// Batches that wait for the counter, by their numbers on its link.
+    /// The batches that wait for the counter, by their number on its link.
     pending_batches: BTreeMap<u64, PendingBatch>,
     last_batch_number: u64,
     clock_requested_at: i64,
     proxy: Option<ConnectionId>,
     node: Option<NodeInfo>,
     state: NodeState,
-    /// The replica of the own zone was tried since the start.
+    /// Whether the replica of the agent's own zone was tried once since the start.
     has_tried_home: bool,
     metrics_endpoint: MetricsEndpoint,
     link_metrics: LinkMetrics,
@@ -104,23 +112,24 @@
     is_finished: bool,
 }
 
-/// Checks that the settings name everything that an agent needs.
+/// Checks that the settings contain everything that an agent needs.
 ///
 /// # Errors
-/// The key that is missing or empty.
+/// A key is missing or empty; the error names it.
 pub fn check(settings: &Settings) -> eyre::Result<()> {
     eyre::ensure!(
         !settings.seed_peers.is_empty(),
-        "seed_peers is empty: nobody to call"
+        "seed_peers: the address of at least one control program is required"
     );
     Ok(())
 }
 
 impl Host {
-    /// Listens for the proxy. `settings_file` is read again whenever no control program can be reached.
+    /// Creates an agent that listens for its proxy. The file at `settings_path` is read again whenever no control program can be
+    /// reached.
     ///
     /// # Errors
-    /// The address can't be used.
+    /// The event loop can't be created, or the address can't be bound.
     pub fn open(
         settings: Settings,
         settings_path: Option<PathBuf>,
@@ -128,11 +137,11 @@
         log_ring: &LogRing,
     ) -> eyre::Result<Host> {
         let signals = [SIGTERM, SIGHUP];
-        let mut connections = Connections::new(&signals).wrap_err("opening the event loop")?;
+        let mut connections = Connections::new(&signals).wrap_err("creating the event loop")?;
         let address = settings.agent_address();
         let listener = connections.listen(address);
         listener.wrap_err_with(|| format!("listening for the proxy on {address}"))?;
-        // Agents with different addresses try the replicas in different orders.
+        // The rotation depends on the address, so that agents try the replicas in different orders.
         let rotation = settings.ip.octets().map(usize::from).iter().sum();
         let (zone, region) = (&settings.zone, &settings.region);
         let zones = settings.zones.clone();
@@ -171,14 +180,14 @@
         })
     }
 
-    /// Reports figures to operators. Where the port can't be had the agent goes on without the report.
+    /// Serves metrics to operators. If the port can't be bound, the agent goes on without the endpoint.
     pub fn serve_metrics(&mut self) {
         let ip = self.settings.ip;
         let listener = self
             .metrics_endpoint
             .listen(&mut self.connections, ip, AGENT_METRICS_PORT);
         if let Err(error) = listener {
-            warn!(self.log, "no report of figures"; "error" => error.to_string());
+            warn!(self.log, "metrics endpoint unavailable"; "error" => error.to_string());
         }
     }
 
@@ -205,8 +214,8 @@
         Ok(())
     }
 
-    /// One iteration of the event loop: waits for events or timers for at most `longest` microseconds, and handles them. The
-    /// events of writing are in `events` afterwards, for the next iteration.
+    /// Runs one iteration of the event loop: waits for events or timers for at most `max_wait_us`, and handles them. Afterwards
+    /// `events` contains those that occurred while writing, for the next iteration.
     ///
     /// # Errors
     /// Polling the connections has failed.
@@ -222,7 +231,7 @@
         let result = self
             .connections
             .wait(Some(deadline), || clock.now(), events);
-        result.wrap_err("waiting")?;
+        result.wrap_err("polling the connections")?;
         let now = self.clock.now();
         for event in events.drain(..) {
             self.handle_event(now, event);
@@ -285,6 +294,7 @@
         }
     }
 
+    /// Takes over a new connection of the proxy, closes the former one, and sends a snapshot of the cache.
     fn handle_proxy_connected(&mut self, now: i64, id: ConnectionId) {
         if let Some(former) = self.proxy.replace(id) {
             self.connections.close(former);
@@ -295,7 +305,7 @@
         }
     }
 
-    /// Reads the settings again: they may name other seeds by now.
+    /// Reads the settings again, as they may name other seeds by now.
     fn reload_settings(&mut self) {
         let Some(path) = &self.settings_path else {
             return;
@@ -304,7 +314,7 @@
             Ok(settings) => self.selection.set_seeds(settings.seed_addresses()),
             Err(error) => {
                 let error = format!("{error:#}");
-                // They are read again and again: an error that stays is logged once.
+                // Reloads are frequent while no replica can be reached: a persistent error is logged once.
                 if error != self.last_settings_error {
                     warn!(self.log, #IMMEDIATE, "settings rejected"; "error" => &error);
                 }
@@ -313,7 +323,7 @@
         }
     }
 
-    /// Opens the link to the replica that keeps the counter, if that is another one than before.
+    /// Opens a link to the replica that keeps the counter, and closes the former one, if its address or term has changed.
     fn update_counter_link(&mut self, now: i64) {
         let view = self.cache.cluster_view();
         let holder = view.and_then(|view| view.counter);
@@ -361,7 +371,7 @@
         }
     }
 
-    /// Takes over the state of the proxy. While the agent shuts down the edge drains.
+    /// Sets the state of the edge as the proxy reports it. While the agent shuts down, a ready edge is draining.
     fn set_state(&mut self, state: NodeState) {
         let state = if self.is_shutting_down && state == NodeState::Ready {
             NodeState::Draining
@@ -382,14 +392,14 @@
         }
     }
 
-    /// Handles the messages that were received from a control program.
+    /// Decodes and handles the messages that were received from a control program.
     fn read_control(&mut self, now: i64, id: ConnectionId) {
         while let Some(connection) = self.connections.get_mut(id) {
             match frames::decode::<ControlMessage>(&mut connection.input) {
                 Ok(Some(message)) => self.handle_control_message(now, id, message),
                 Ok(None) => return,
                 Err(error) => {
-                    error!(self.log, "reading from a control program failed";
+                    error!(self.log, "invalid message from a control program, closing the connection";
                         "error" => error.to_string());
                     return self.handle_connection_lost(now, id);
                 }
@@ -411,7 +421,8 @@
                 }
             }
             ControlMessage::ClusterView(view) => self.handle_cluster_view(now, from, view),
-            // Nothing is added to the clock for the time on the way: as whoever is ahead leads, such guesses would drive it on.
+            // The clock is not corrected for the network delay: as the clock that is furthest ahead wins, such estimates would
+            // drive it forward.
             ControlMessage::Clock(_) => {
                 self.forward(now, message);
                 self.handle_clock_answer(now, from);
@@ -421,7 +432,7 @@
                 self.forward(now, message);
                 self.handle_complete(now, from);
             }
-            // Only agents send it.
+            // Only agents send this message.
             ControlMessage::Confirmed { .. } => {}
             ControlMessage::Items(ref items) => {
                 let has_items = !items.is_empty();
@@ -430,13 +441,13 @@
                     self.send(from, &self.cache.config_state());
                 }
             }
-            // While two links are open only the one that is kept tells the admission levels.
+            // While several connections are open, only the levels from the link count.
             ControlMessage::AdmissionLevels { .. } if !self.is_link(from) => {}
             ControlMessage::AdmissionLevels { .. } => self.forward(now, message),
         }
     }
 
-    /// Forwards what is new in a message to the proxy.
+    /// Applies a message to the cache and forwards the new part to the proxy.
     fn forward(&mut self, now: i64, message: ControlMessage) {
         if let Some(message) = self.cache.apply(now, message)
             && let Some(proxy) = self.proxy
@@ -445,14 +456,14 @@
         }
     }
 
-    /// Handles the messages that were received from the proxy.
+    /// Decodes and handles the messages that were received from the proxy.
     fn read_proxy(&mut self, now: i64, id: ConnectionId) {
         while let Some(connection) = self.connections.get_mut(id) {
             match frames::decode::<AgentMessage>(&mut connection.input) {
                 Ok(Some(message)) => self.handle_proxy_message(now, id, message),
                 Ok(None) => return,
                 Err(error) => {
-                    error!(self.log, "reading from the proxy failed"; "error" => error.to_string());
+                    error!(self.log, "invalid message from the proxy, closing the connection"; "error" => error.to_string());
                     return self.handle_connection_lost(now, id);
                 }
             }
@@ -491,7 +502,7 @@
         }
     }
 
-    /// Forwards a batch of the proxy to the counter, or says at once that it is not counted.
+    /// Forwards a batch of the proxy to the counter, or answers at once that it was not counted.
     fn forward_batch(
         &mut self,
         now: i64,
@@ -501,7 +512,7 @@
     ) {
         let link = self.counter_link;
         let link = link.filter(|link| self.is_connected(link.connection));
-        // Without the others' clock this limiter's windows are not theirs.
+        // Without the shared clock, the windows of this limiter differ from those of the others.
         let link = link.filter(|_| self.cache.limiter_clock(now).is_some());
         let Some(link) = link else {
             let not_counted = ControlMessage::NotCounted(pending.number);
@@ -510,7 +521,7 @@
         self.last_batch_number += 1;
         let batch = self.last_batch_number;
         self.pending_batches.insert(batch, pending);
-        // A counter that answers nothing must not use up the memory.
+        // A counter that does not answer must not exhaust the memory.
         if self.pending_batches.len() > MAX_PENDING_BATCHES {
             self.pending_batches.pop_first();
         }
@@ -522,13 +533,13 @@
         self.send(link.connection, &message);
     }
 
-    /// Requests the limiters' clock, and tells what it is here.
+    /// Requests the limiters' clock, and sends it as the agent has it.
     fn request_clock(&mut self, now: i64, to: ConnectionId) {
         let time = self.cache.limiter_clock(now).unwrap_or(0);
         self.send(to, &AgentMessage::Clock(time));
     }
 
-    /// Sends a heartbeat, and gives up links that are silent or of no use.
+    /// Sends a heartbeat, and checks the links and whether this limiter is isolated.
     fn run_upkeep(&mut self, now: i64) {
         let next_at = now + HEARTBEAT_INTERVAL;
         self.deadlines.schedule(next_at, Timer::Upkeep);
@@ -544,7 +555,7 @@
         self.check_link(now);
     }
 
-    /// Requests the clock on all links, and tells the control program which items the agent has.
+    /// Requests the clock on all links, and sends the control program the summary of the items.
     fn request_clocks(&mut self, now: i64) {
         let counter_link = self.counter_link.map(|link| link.connection);
         if let Some(id) = counter_link.filter(|id| self.is_connected(*id)) {
@@ -576,7 +587,7 @@
         }
     }
 
-    /// The process is to end: the edge drains until the proxy has ended, or the grace period is over.
+    /// Starts to shut down: the edge drains until the proxy has ended or the grace period is over.
     fn begin_shutdown(&mut self, now: i64) {
         if std::mem::replace(&mut self.is_shutting_down, true) {
             return;
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,9 @@
-//! The agent beside a proxy. It keeps a link to a control program, caches the configuration that it is sent, and forwards it to
-//! the proxy of its machine over loopback. The proxy's additions to the shared counter go to the replica that keeps it.
+//! The agent that runs beside a proxy. It keeps a link to a control program, caches the configuration that it receives, and
+//! forwards it to the proxy of its machine over loopback. It forwards the proxy's additions to the shared counter to the replica
+//! that keeps the counter.
 //!
-//! [`config_cache`] holds the configuration and [`replica_selection`] decides which control program to call, both without I/O;
-//! [`host`] has the connections, [`link_metrics`] what operators are told about the links.
+//! [`config_cache`] holds the configuration and [`replica_selection`] decides which control program to connect to, both without
+//! I/O. [`host`] runs the event loop with the connections, and [`link_metrics`] collects metrics about the links.
 
 pub mod config_cache;
 pub mod host;
--- a/crates/agent/src/link_metrics.rs
+++ b/crates/agent/src/link_metrics.rs
@@ -1,37 +1,37 @@
-//! What operators are told about an agent's link to the control programs.
+//! Metrics about an agent's link to the control programs.
 
 use protocol::metrics::MetricsText;
 
-/// Counts since the start, and since when the agent has had no link. Times are in microseconds.
+/// Counts since the start of the process, and the start of the current outage, if any. Times are in microseconds.
 #[derive(Debug, Default)]
 pub struct LinkMetrics {
-    /// Connections to control programs that were begun.
+    /// Attempts to connect to a control program.
     pub attempts: u64,
-    /// Those that were given up because they were not established in time.
+    /// Attempts that did not become the link in time.
     pub attempts_timed_out: u64,
-    /// Those that were refused or reset.
+    /// Attempts that were refused or reset.
     pub attempts_failed: u64,
-    /// Established links that were lost or given up.
+    /// Links that were lost, or that were silent for too long.
     pub links_lost: u64,
-    /// Attempts and time-outs when the last link was lost.
+    /// The values of `attempts` and `attempts_timed_out` when the last link was lost.
     counts_at_loss: (u64, u64),
-    /// Since when there is no link on which a control program has told its view.
+    /// When the current outage began; `None` while there is a link on which a control program has sent its cluster view.
     outage_started_at: Option<i64>,
 }
 
-/// A time without a link that is over.
+/// A completed period without a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkOutage {
-    /// Its length.
+    /// The duration in microseconds.
     pub duration: i64,
-    /// Connections that were begun in it.
+    /// The attempts to connect during the outage.
     pub attempts: u64,
-    /// Those of them that were given up because they were not established in time.
+    /// The attempts during the outage that did not become the link in time.
     pub attempts_timed_out: u64,
 }
 
 impl LinkMetrics {
-    /// There is no link from now on.
+    /// Records that the link was lost, which begins an outage unless one has begun already.
     pub fn record_loss(&mut self, now: i64) {
         if self.outage_started_at.is_none() {
             self.links_lost += 1;
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A control program has told its view on a link; gives the outage that this ends.
+    /// Records that a control program has sent its cluster view on the link. Returns the outage that this ends, if any.
     pub fn record_link(&mut self, now: i64) -> Option<LinkOutage> {
         let started_at = self.outage_started_at.take()?;
         Some(LinkOutage {
@@ -50,7 +50,7 @@
         })
     }
 
-    /// Adds the figures to a report.
+    /// Adds these metrics to a report.
     pub fn add_metrics(&self, now: i64, text: &mut MetricsText) {
         text.add_counter(
             "agent_link_attempts_total",
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The agent beside a proxy.
+//! The agent program, which runs beside a proxy.
 
 use std::process::ExitCode;
 
--- a/crates/agent/src/replica_selection.rs
+++ b/crates/agent/src/replica_selection.rs
@@ -1,51 +1,56 @@
 //! The selection of the control program that an agent links to. Without I/O.
 //!
-//! The replica of its own zone is tried first, then those of its region, then the others, in an order that differs from agent
-//! to agent, so that the agents of a zone that has lost its replica spread. An agent moves on when a link can't be established
-//! or is silent, and when the replica at its other end has lost contact with the quorum.
+//! The replica of the agent's own zone is tried first, then those of its region, then the others. The order within a group
+//! differs between agents, so that the agents of a zone that has lost its replica spread over the others. An agent tries the
+//! next replica when a link can't be established, when it is silent, and when its replica has lost contact with the quorum.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A link on which nothing is received is given up after this, in microseconds.
+/// A link on which nothing was received for this long counts as silent, and the agent looks for another one, in microseconds.
 pub const LINK_IDLE_TIMEOUT: i64 = 1_200_000;
-/// A replica without contact to a quorum is left after this, in microseconds: all of them may be, for a moment.
+/// The agent looks for another replica after its replica has had no contact with a quorum for this long, in microseconds. Not
+/// at once, as all replicas may lose the quorum for a moment.
 pub const LINK_QUORUM_LOSS_TIMEOUT: i64 = 700_000;
-/// A link to the counter on which nothing is received is given up after this, in microseconds. The limiters' clock is
-/// requested on it all the time, and a replica that has closed it may not be able to say so.
+/// A link to the counter on which nothing was received for this long is closed, in microseconds. The agent requests the
+/// limiters' clock on it at intervals, so a working one is never silent; a replica that has closed it may not be able to
+/// notify the agent.
 pub const COUNTER_LINK_IDLE_TIMEOUT: i64 = 2_000_000;
-/// An agent that is linked elsewhere tries the replica of its own zone at this interval, in microseconds.
+/// The interval at which an agent that is linked to another zone tries the replica of its own zone, in microseconds.
 pub const HOME_RETRY_INTERVAL: i64 = 8_000_000;
-/// The greatest number of reported replicas that are kept.
+/// The maximum number of unconfirmed replicas that are kept.
 const MAX_UNCONFIRMED_REPLICAS: usize = 256;
 
-/// A replica to try.
+/// An attempt to link to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Its address.
+    /// The address of the replica.
     pub address: SocketAddr,
-    /// All replicas have been tried with this one since the last success.
+    /// With this attempt, all known replicas have been tried since the last success.
     pub is_last_of_round: bool,
 }
 
-/// The replicas to call, and their order.
+/// The known replicas and the order in which they are tried.
 #[derive(Debug)]
 pub struct ReplicaSelection {
     zone: String,
     region: String,
     region_by_zone: BTreeMap<String, String>,
-    /// Replicas by zone, as a replica with a quorum has told last.
+    /// The replicas by zone, as a replica with a quorum last reported them.
     replica_by_zone: BTreeMap<String, SocketAddr>,
-    /// Replicas that were reported by others without a quorum: these may have been replaced, as may those that they report.
+    /// Replicas that only replicas without a quorum have reported. Both may have been replaced meanwhile.
     unconfirmed_replicas: Vec<SocketAddr>,
-    /// Replicas of any zone, from the settings.
+    /// Replicas from the settings, of any zone.
     seeds: Vec<SocketAddr>,
+    /// The position of the next attempt in the order, modulo the number of replicas.
     next_index: usize,
+    /// The number of places by which this agent rotates the order of each group.
     rotation: usize,
 }
 
 impl ReplicaSelection {
-    /// A selection that knows no replicas yet. `shift`: by which the order of this agent differs from that of its neighbours.
+    /// Creates a selection that knows no replicas yet. Agents with different values of `rotation` try the replicas of a group in
+    /// different orders.
     pub fn new(
         zone: &str,
         region: &str,
@@ -67,19 +72,19 @@
         }
     }
 
-    /// Takes over the seeds of the settings.
+    /// Sets the seeds, which are the replicas named in the settings.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Takes over the replicas that a replica with a quorum has told.
+    /// Sets the replicas as a replica with a quorum has reported them.
     pub fn set_replicas(&mut self, replicas: &[(String, SocketAddr)]) {
         self.replica_by_zone = replicas.iter().cloned().collect();
         self.unconfirmed_replicas.clear();
     }
 
-    /// Adds the replicas that a replica without a quorum has told. All known ones may have been replaced meanwhile, and the
-    /// one that was replaced last knows where some of the others are.
+    /// Adds the replicas that a replica without a quorum has reported. All known replicas may have been replaced meanwhile, and
+    /// the one that was replaced last still knows the addresses of some current ones.
     pub fn add_unconfirmed_replicas(&mut self, replicas: &[(String, SocketAddr)]) {
         let new = replicas
             .iter()
@@ -101,7 +106,7 @@
         self.unconfirmed_replicas.drain(..excess);
     }
 
-    /// The replica of the own zone, if it is known.
+    /// The replica of the agent's own zone, if it is known.
     pub fn home_replica(&self) -> Option<SocketAddr> {
         self.replica_by_zone.get(&self.zone).copied()
     }
@@ -127,7 +132,7 @@
         }
         let mut order: Vec<SocketAddr> = order.into_iter().map(|(_, address)| address).collect();
         order.extend(&self.unconfirmed_replicas);
-        // Seeds may be of any zone; those that no replica has told of come last, or are all there are.
+        // Seeds may be of any zone. Those that no replica has reported come last; at the start they are the only replicas.
         let seeds = self
             .seeds
             .iter()
@@ -142,7 +147,7 @@
         order
     }
 
-    /// The next replica to try; none if none is known.
+    /// Returns the next replica to try; `None` if no replica is known.
     pub fn next_attempt(&mut self) -> Option<Attempt> {
         let order = self.ordered_replicas();
         let address = *order.get(self.next_index % order.len().max(1))?;
@@ -153,7 +158,7 @@
         })
     }
 
-    /// A link to this replica was lost, or is of no use: the next attempt is the one after it.
+    /// Continues with the replica after this one in the order, because the link to it was lost or it is of no use.
     pub fn skip_past(&mut self, failed: SocketAddr) {
         self.next_index = self
             .ordered_replicas()
@@ -162,7 +167,7 @@
             .map_or(0, |index| index + 1);
     }
 
-    /// A link is established and has told the replicas: the next search starts from the beginning.
+    /// Restarts the order from its beginning for the next search, once a link is established and has reported the replicas.
     pub fn reset(&mut self) {
         self.next_index = 0;
     }
--- a/crates/agent/src/replica_selection/tests.rs
+++ b/crates/agent/src/replica_selection/tests.rs
@@ -34,7 +34,7 @@
     assert_eq!(
         next_addresses(&mut selection, 2),
         [address(9), address(9)],
-        "the seeds are all there is"
+        "the seeds are the only known replicas"
     );
     selection.set_replicas(
         &["d", "a", "c", "b"].map(|zone| (zone.to_string(), address(zone.as_bytes()[0]))),
@@ -73,7 +73,7 @@
     assert_eq!(
         next_addresses(&mut selection, 1),
         [address(b'b')],
-        "one that nobody knows any more"
+        "an unknown replica restarts the order"
     );
 }
 
@@ -82,7 +82,7 @@
     let mut selection = selection(0);
     selection.set_replicas(&["a", "b"].map(|zone| (zone.to_string(), address(zone.as_bytes()[0]))));
     selection.reset();
-    // `a` was replaced, and knows by now that `b` was, too.
+    // `a` was replaced, and has learned meanwhile that `b` was replaced too.
     selection.skip_past(address(b'b'));
     assert_eq!(next_addresses(&mut selection, 1), [address(b'a')]);
     selection.add_unconfirmed_replicas(&[
--- a/crates/agent/tests/beside.rs
+++ b/crates/agent/tests/beside.rs
@@ -1,4 +1,5 @@
-//! An agent and a proxy on one machine: whichever is lost, the other stays, and what was lost returns to the newest.
+//! An agent and a proxy on one machine: the loss of one must not affect the other, and after its restart it must have the
+//! newest configuration.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A scripted replica of the core and a scripted proxy around an agent, in the thread of the test. The clock is driven by hand.
+//! A test bench with an agent between a scripted replica of the core and scripted proxies, all in the thread of the test. The
+//! test advances the clock.
 
 #![allow(dead_code)]
 
@@ -21,14 +22,16 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
+/// Microseconds per millisecond.
 pub const MS: i64 = 1_000;
-/// Guards a failing test against hanging for ever; nothing is measured by it.
+/// The time in real time after which a wait fails, so that a failing test does not hang.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One end of a link; it hears `T`.
+/// The scripted end of a link, which receives messages of type `T`.
 pub struct LinkEnd<T> {
     pub stream: TcpStream,
     pub input: Vec<u8>,
+    /// The messages that were received and not yet taken by the test.
     pub received: Vec<T>,
 }
 
@@ -49,7 +52,7 @@
         self.stream.write_all(&bytes).unwrap();
     }
 
-    /// True once the other side has closed it.
+    /// Reads and decodes the available messages. Returns whether the agent has closed the connection.
     pub fn receive(&mut self) -> bool {
         let mut buffer = [0; 4096];
         loop {
@@ -67,6 +70,7 @@
     }
 }
 
+/// The text of a settings file with this first port and this seed peer.
 pub fn settings(port: u16, seed: &str) -> String {
     format!(
         "node: e\nserves: []\nip: 127.0.0.1\nzone: a\nregion: r\nzones: {{a: r}}\n\
@@ -75,27 +79,29 @@
     )
 }
 
+/// The agent, the replica's listener and the scripted ends of the agent's connections.
 pub struct Bench {
     pub host: Host,
     pub clock_us: Arc<AtomicI64>,
     pub events: Vec<IoEvent>,
     pub agent_address: SocketAddr,
     pub replica: TcpListener,
+    /// The connection that the agent opened last, while it is open.
     pub link: Option<LinkEnd<AgentMessage>>,
     pub proxies: Vec<LinkEnd<ControlMessage>>,
 }
 
 impl Bench {
-    /// An agent that has just started.
+    /// Starts an agent whose seed peer is the replica of the bench.
     pub fn new() -> Bench {
         Bench::start("127.0.0.2:1", None)
     }
 
-    /// One whose settings name this seed, and stand in a file.
+    /// Starts an agent with this seed peer, whose settings are also written to `settings_path`.
     pub fn start(seed: &str, settings_path: Option<&Path>) -> Bench {
         let clock_us = Arc::new(AtomicI64::new(1_000_000_000));
         for _ in 0..50 {
-            // The replica has the first port, the agent listens on the next: if that one is taken, others are drawn.
+            // The replica listens on the first port and the agent on the next one. If that is in use, other ports are tried.
             let replica = TcpListener::bind("127.0.0.2:0").unwrap();
             let port = replica.local_addr().unwrap().port();
             let text = settings(port, seed);
@@ -123,9 +129,10 @@
                 proxies,
             };
         }
-        panic!("no two ports in a row are free");
+        panic!("found no two free adjacent ports");
     }
 
+    /// Runs one iteration of the agent's event loop, and receives at the scripted ends.
     pub fn run_once(&mut self) {
         self.host.run_once(0, &mut self.events).unwrap();
         if let Ok((stream, _)) = self.replica.accept() {
@@ -137,17 +144,19 @@
         self.proxies.retain_mut(|proxy| !proxy.receive());
     }
 
+    /// Runs the agent until a condition holds, without advancing the clock.
     pub fn run_until(&mut self, description: &str, mut condition: impl FnMut(&Bench) -> bool) {
         let started_at = Instant::now();
         while !condition(self) {
             assert!(
                 started_at.elapsed() < WAIT_TIMEOUT,
-                "there is no {description}"
+                "timed out waiting for {description}"
             );
             self.run_once();
         }
     }
 
+    /// Advances the clock in steps of 10 ms, and runs the agent once after each.
     pub fn advance_ms(&mut self, duration_ms: i64) {
         for _ in 0..duration_ms / 10 {
             self.clock_us.fetch_add(10 * MS, Ordering::SeqCst);
@@ -155,7 +164,7 @@
         }
     }
 
-    /// A proxy starts, says who it is and serves.
+    /// Connects a proxy to the agent, which sends its edge and reports itself ready.
     pub fn connect_proxy(&mut self) {
         self.proxies.push(LinkEnd::new(
             TcpStream::connect(self.agent_address).unwrap(),
@@ -165,18 +174,19 @@
         proxy.send(&AgentMessage::Heartbeat(NodeState::Ready));
     }
 
+    /// Sends messages from the replica to the agent, once there is a link.
     pub fn send_from_replica(&mut self, messages: &[ControlMessage]) {
-        self.run_until("link", |bench| bench.link.is_some());
+        self.run_until("a link", |bench| bench.link.is_some());
         messages
             .iter()
             .for_each(|message| self.link.as_mut().unwrap().send(message));
     }
 
-    /// What the proxy hears, apart from confirmations.
+    /// Asserts that the last proxy receives exactly these messages, apart from confirmations.
     pub fn expect_at_proxy(&mut self, messages: &[ControlMessage]) {
         let is_content =
             |message: &ControlMessage| !matches!(message, ControlMessage::Confirmed { .. });
-        self.run_until("news", |bench| {
+        self.run_until("messages at the proxy", |bench| {
             let received = &bench.proxies.last().unwrap().received;
             received
                 .iter()
@@ -190,7 +200,7 @@
         assert_eq!(received, messages);
     }
 
-    /// The ages that were confirmed to the proxy since this was asked last.
+    /// Takes the ages in microseconds that were confirmed to the proxy, and discards its other messages.
     pub fn take_confirmed_ages(&mut self) -> Vec<i64> {
         (0..20).for_each(|_| self.run_once());
         let received = std::mem::take(&mut self.proxies.last_mut().unwrap().received);
@@ -201,6 +211,7 @@
         received.iter().filter_map(confirmed_age).collect()
     }
 
+    /// Waits until the replica has received this message, and discards all that it has received.
     pub fn expect_at_replica(&mut self, message: &AgentMessage) {
         let has_received = |bench: &Bench| {
             bench
@@ -208,7 +219,7 @@
                 .as_ref()
                 .is_some_and(|link| link.received.contains(message))
         };
-        self.run_until("word at the replica", has_received);
+        self.run_until("a message at the replica", has_received);
         self.link.as_mut().unwrap().received.clear();
     }
 }
@@ -223,6 +234,7 @@
     }
 }
 
+/// The cluster view of a replica with a quorum, with this counter.
 pub fn cluster_view(counter: Option<(SocketAddr, u64)>) -> ControlMessage {
     ControlMessage::ClusterView(ClusterView {
         counter,
@@ -233,6 +245,7 @@
     })
 }
 
+/// Items `z0`, `z1` and so on with these versions.
 pub fn items(versions: &[u64]) -> ControlMessage {
     let item = |(index, ver): (usize, &u64)| Item {
         name: ItemName {
@@ -245,6 +258,7 @@
     ControlMessage::Items(versions.iter().enumerate().map(item).collect())
 }
 
+/// A list with a single server that warms up for this long.
 pub fn servers(version: (u64, u64), warm_up_left_us: i64) -> ControlMessage {
     let addr = "10.128.0.9:80".parse().unwrap();
     let server = Server {
--- a/crates/agent/tests/restarts.rs
+++ b/crates/agent/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! An agent between a scripted replica of the core and a scripted proxy, in the thread of the test: who starts anew hears
-//! all, and nobody goes back. The clock is driven by hand.
+//! An agent between a scripted replica of the core and scripted proxies: after a restart of its proxy or a change of its
+//! replica the proxy must have the complete configuration, and never an older version than before.
 
 mod common;
 
@@ -19,7 +19,7 @@
         ControlMessage::Complete,
     ];
     bench.send_from_replica(&configuration);
-    // Nothing was known when it came.
+    // The snapshot on the connection of the proxy was empty.
     let expected = [&[items(&[])], &configuration[..]].concat();
     bench.expect_at_proxy(&expected);
     bench.expect_at_replica(&AgentMessage::Heartbeat(NodeState::Ready));
@@ -28,7 +28,7 @@
     bench.link = None;
     bench.connect_proxy();
     bench.expect_at_proxy(&configuration);
-    // The next replica hears who is here, and how it stands, and brings nothing but what is newer.
+    // The edge is registered at the next replica; of what that sends, only newer items are forwarded.
     bench.advance_ms(200);
     bench.expect_at_replica(&AgentMessage::Hello(edge()));
     bench.send_from_replica(&[
@@ -44,8 +44,8 @@
 #[test]
 fn agent_registers_and_forwards_only_once_a_proxy_is_connected() {
     let mut bench = Bench::new();
-    // The replica hears of no edge before there is a proxy.
-    bench.run_until("link", |bench| bench.link.is_some());
+    // The edge is not registered before a proxy has connected.
+    bench.run_until("a link", |bench| bench.link.is_some());
     bench.advance_ms(900);
     assert!(
         bench
@@ -62,7 +62,7 @@
     bench.connect_proxy();
     bench.expect_at_replica(&AgentMessage::Hello(edge()));
     bench.expect_at_replica(&AgentMessage::Heartbeat(NodeState::Ready));
-    // Cold times run on while they are kept here.
+    // The remaining warm-up times decrease while the list is cached.
     bench.send_from_replica(&[servers((1, 1), 500 * MS), ControlMessage::Complete]);
     bench.expect_at_proxy(&[
         items(&[]),
@@ -94,11 +94,11 @@
     let counter = (counter_listener.local_addr().unwrap(), 1);
     bench.send_from_replica(&[cluster_view(Some(counter))]);
     bench.expect_at_proxy(&[cluster_view(Some(counter))]);
-    // The limiters' clock is not known yet: in what window the adds are nobody could say.
+    // Without the limiters' clock, the window of the additions is undefined.
     bench.proxies[0].send(&adds(41));
     bench.expect_at_proxy(&[ControlMessage::NotCounted(41)]);
     bench.send_from_replica(&[ControlMessage::Clock(7_000_000_000_000)]);
-    bench.run_until("time", |bench| !bench.proxies[0].received.is_empty());
+    bench.run_until("the clock", |bench| !bench.proxies[0].received.is_empty());
     let received = std::mem::take(&mut bench.proxies[0].received);
     assert!(
         matches!(received[..], [ControlMessage::Clock(time)] if time - 7_000_000_000_000 < 1_000_000),
@@ -106,7 +106,7 @@
     );
     counter_listener.set_nonblocking(true).unwrap();
     let mut link: Option<LinkEnd<AgentMessage>> = None;
-    bench.run_until("link to the count", |_| {
+    bench.run_until("a link to the counter", |_| {
         link = counter_listener
             .accept()
             .ok()
@@ -114,11 +114,11 @@
         link.is_some()
     });
     let mut counter_link = link.unwrap();
-    bench.run_until("first word there", |_| {
+    bench.run_until("the first message at the counter", |_| {
         !counter_link.receive() && !counter_link.received.is_empty()
     });
     bench.proxies[0].send(&adds(42));
-    bench.run_until("adds there", |_| {
+    bench.run_until("the batch at the counter", |_| {
         !counter_link.receive() && counter_link.received.len() > 1
     });
     assert!(
@@ -141,20 +141,20 @@
 fn agent_without_replicas_reloads_its_settings() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("local.yaml");
-    // Nobody listens there: the replica that the file named at the start is gone.
+    // No replica listens at the seed that the file contains at the start.
     let mut bench = Bench::start("127.0.0.3:1", Some(&path));
     bench.advance_ms(600);
     assert!(bench.link.is_none());
-    // A faulty file changes nothing, and the next one counts.
+    // An invalid file is ignored, and a later valid one is used.
     std::fs::write(&path, "node: [").unwrap();
     bench.advance_ms(600);
     let port = bench.replica.local_addr().unwrap().port();
     std::fs::write(&path, settings(port, "127.0.0.2:1")).unwrap();
     bench.advance_ms(600);
-    bench.run_until("link", |bench| bench.link.is_some());
+    bench.run_until("a link", |bench| bench.link.is_some());
 }
 
-/// The replica answers all requests for the clock that it has heard.
+/// Answers all requests for the clock that the replica has received.
 fn answer_clock_requests(bench: &mut Bench) {
     (0..20).for_each(|_| bench.run_once());
     let link = bench.link.as_mut().unwrap();
@@ -172,25 +172,28 @@
     let mut bench = Bench::new();
     bench.connect_proxy();
     let hello = AgentMessage::Hello(edge());
-    bench.run_until("registration", |bench| {
+    bench.run_until("the registration", |bench| {
         let link = bench.link.as_ref();
         link.is_some_and(|link| link.received.contains(&hello))
     });
     bench.send_from_replica(&[cluster_view(None), items(&[1])]);
     bench.advance_ms(600);
     answer_clock_requests(&mut bench);
-    assert!(bench.take_confirmed_ages().is_empty(), "it may lack items");
+    assert!(
+        bench.take_confirmed_ages().is_empty(),
+        "an incomplete configuration was confirmed"
+    );
     bench.advance_ms(200);
     bench.send_from_replica(&[ControlMessage::Complete]);
-    // What was in force when the edge was registered has arrived.
+    // Everything that was in force when the edge was registered has been received.
     let ages = bench.take_confirmed_ages();
     assert!(matches!(ages[..], [800_000..1_000_000]), "{ages:?}");
-    // An answer confirms the time at which it was asked for.
+    // An answer confirms the time at which it was requested.
     bench.advance_ms(300);
     answer_clock_requests(&mut bench);
     let ages = bench.take_confirmed_ages();
     assert!(matches!(ages[..], [300_000..=400_000]), "{ages:?}");
-    // A replica that has lost the quorum confirms nothing until it has said again that it knows all.
+    // A replica that has lost the quorum confirms nothing until it has sent `Complete` again.
     bench.send_from_replica(&[ControlMessage::ClusterView(ClusterView::default())]);
     bench.advance_ms(500);
     answer_clock_requests(&mut bench);
--- a/crates/agent/tests/slow_links.rs
+++ b/crates/agent/tests/slow_links.rs
@@ -1,16 +1,17 @@
-//! An agent whose machine's link is full: what it asks for arrives seconds later, but it arrives.
+//! An agent on a machine with a congested network link must receive the configuration although each answer takes seconds. It
+//! must not close connections whose answer is only late.
 
 mod common;
 
 use common::*;
 use protocol::messages::{AgentMessage, ControlMessage};
 
-/// How long every answer of the replica takes.
+/// The delay of each answer of the replica, in microseconds.
 const ANSWER_DELAY: i64 = 3_000 * MS;
-/// Within this the agent has what it asked for: twice the delay, for the connection and the answer.
+/// The agent must have the configuration within this time, in microseconds: one delay for the connection, one for the answer.
 const MAX_TRANSFER_TIME: i64 = 2 * ANSWER_DELAY;
 
-/// A connection of the agent to the replica, and when its answer arrives.
+/// A connection of the agent to the replica, and when the replica answered on it.
 struct SlowLink {
     end: LinkEnd<AgentMessage>,
     answered_at: Option<i64>,
@@ -18,7 +19,7 @@
     is_answered: bool,
 }
 
-/// The replica's end of all connections that the agent opens; answers on each arrive after [`DELAY`].
+/// The replica's ends of all connections that the agent opens. It answers on each after [`ANSWER_DELAY`].
 #[derive(Default)]
 struct SlowReplica {
     links: Vec<SlowLink>,
