--- a/crates/ctl/src/configuration.rs
+++ b/crates/ctl/src/configuration.rs
@@ -9,9 +9,9 @@
 use sha2::{Digest, Sha256};
 
 /// The key of secrets in a tenant.
-pub const SECRETS: &str = "apikeys";
+pub const SECRETS_KEY: &str = "apikeys";
 /// What a hash begins with.
-const MARK: &str = "hash:";
+const HASH_PREFIX: &str = "hash:";
 
 /// A configuration: its items as they were read, by name, and how its secrets stand in it.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -23,21 +23,21 @@
 }
 
 /// A salt that nobody has used.
-pub fn salt() -> String {
+pub fn random_salt() -> String {
     use std::hash::{BuildHasher, Hasher, RandomState};
-    let part = || RandomState::new().build_hasher().finish();
-    format!("{:016x}{:016x}", part(), part())
+    let random_u64 = || RandomState::new().build_hasher().finish();
+    format!("{:016x}{:016x}", random_u64(), random_u64())
 }
 
 /// The hash that stands for a secret.
-pub fn hashed(salt: &str, secret: &str) -> String {
+pub fn hash_secret(salt: &str, secret: &str) -> String {
     let digest = Sha256::digest(format!("{salt}:{secret}").as_bytes());
-    let text: String = digest
+    let digits: String = digest
         .iter()
         .take(16)
         .map(|byte| format!("{byte:02x}"))
         .collect();
-    format!("{MARK}{text}")
+    format!("{HASH_PREFIX}{digits}")
 }
 
 impl Configuration {
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// It is none; the message names the item and the key.
-    pub fn read(text: &[u8]) -> eyre::Result<Configuration> {
+    pub fn parse(text: &[u8]) -> eyre::Result<Configuration> {
         let value: Value = serde_json::from_slice(text).wrap_err("configuration: no JSON")?;
         let objects = value
             .get("objs")
@@ -57,10 +57,10 @@
         };
         // Checked as a call of the operators would be.
         let call = json!({"upsert": {"objs": objects}}).to_string();
-        let read = items::parse_patch(call.as_bytes(), &Items::new());
-        let read = read.map_err(|error| eyre!("configuration: {error}"))?;
+        let parsed = items::parse_patch(call.as_bytes(), &Items::new());
+        let parsed = parsed.map_err(|error| eyre!("configuration: {error}"))?;
         let mut items = BTreeMap::new();
-        for item in read {
+        for item in parsed {
             let text = item.spec.as_deref().unwrap_or_default();
             let spec = serde_json::from_str(text)
                 .wrap_err_with(|| format!("configuration: {}", item.name))?;
@@ -70,15 +70,15 @@
     }
 
     /// The same with hashes in place of secrets; as it is where it has such already.
-    pub fn hidden(mut self, salt: &str) -> Configuration {
+    pub fn with_hashed_secrets(mut self, salt: &str) -> Configuration {
         if self.salt.is_some() {
             return self;
         }
         for (_, spec) in self.items.values_mut() {
-            let secrets = spec.get_mut(SECRETS).and_then(Value::as_array_mut);
+            let secrets = spec.get_mut(SECRETS_KEY).and_then(Value::as_array_mut);
             for secret in secrets.into_iter().flatten() {
                 if let Value::String(text) = secret {
-                    *text = hashed(salt, text);
+                    *text = hash_secret(salt, text);
                 }
             }
         }
@@ -87,8 +87,8 @@
     }
 
     /// As it is written out, an item a line, in the order of names.
-    pub fn write(&self) -> String {
-        let one = |(name, (ver, spec)): (&String, &(u64, Map<String, Value>))| {
+    pub fn to_json_lines(&self) -> String {
+        let item_json = |(name, (ver, spec)): (&String, &(u64, Map<String, Value>))| {
             let (kind, name) = name.split_once('/').unwrap_or((name, ""));
             let meta = if name.is_empty() {
                 json!({"ver": ver})
@@ -97,7 +97,7 @@
             };
             json!({"type": kind, "meta": meta, "spec": spec}).to_string()
         };
-        let lines: Vec<String> = self.items.iter().map(one).collect();
+        let lines: Vec<String> = self.items.iter().map(item_json).collect();
         let salt = self
             .salt
             .as_ref()
--- a/crates/ctl/src/configuration/tests.rs
+++ b/crates/ctl/src/configuration/tests.rs
@@ -6,20 +6,23 @@
         {"type":"limits","meta":{"ver":2},"spec":{"hdr_bytes":1,"body_bytes":1,"hdr":"1s","idle":"1s"}}]}"#;
 
 #[test]
-fn exported_configuration_is_read_back_without_secrets() {
-    let plain = Configuration::read(TEXT.as_bytes()).unwrap();
+fn exported_configuration_is_parsed_back_without_secrets() {
+    let plain = Configuration::parse(TEXT.as_bytes()).unwrap();
     assert_eq!(
-        Configuration::read(plain.write().as_bytes()).unwrap(),
+        Configuration::parse(plain.to_json_lines().as_bytes()).unwrap(),
         plain
     );
-    let hidden = plain.clone().hidden("pepper");
-    let text = hidden.write();
+    let hashed = plain.clone().with_hashed_secrets("pepper");
+    let text = hashed.to_json_lines();
     assert!(
-        !text.contains("secret-1") && text.contains(&hashed("pepper", "secret-1")),
+        !text.contains("secret-1") && text.contains(&hash_secret("pepper", "secret-1")),
         "{text}"
     );
-    assert_eq!(Configuration::read(text.as_bytes()).unwrap(), hidden);
-    assert_ne!(hashed("pepper", "secret-1"), hashed("salt", "secret-1"));
+    assert_eq!(Configuration::parse(text.as_bytes()).unwrap(), hashed);
+    assert_ne!(
+        hash_secret("pepper", "secret-1"),
+        hash_secret("salt", "secret-1")
+    );
 }
 
 #[test_case(r#""per_s":5"#, r#""per_s":-5"#, "per_s"; "a rate below nothing")]
@@ -27,8 +30,8 @@
 #[test_case(r#""objs""#, r#""objects""#, "objs"; "no items")]
 #[test_case(r#""type":"svcs""#, r#""type":"rules""#, "type"; "an unknown kind")]
 #[test_case(r#""ver":1}"#, r#""ver":1"#, "JSON"; "cut short")]
-fn error_names_its_key(from: &str, to: &str, key: &str) {
+fn error_of_an_invalid_configuration_names_the_key(from: &str, to: &str, key: &str) {
     assert!(TEXT.contains(from));
-    let error = Configuration::read(TEXT.replacen(from, to, 1).as_bytes()).unwrap_err();
+    let error = Configuration::parse(TEXT.replacen(from, to, 1).as_bytes()).unwrap_err();
     assert!(format!("{error:#}").contains(key), "{error:#}");
 }
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -7,11 +7,11 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use crate::configuration::{Configuration, SECRETS, salt};
+use crate::configuration::{Configuration, SECRETS_KEY, random_salt};
 
 /// A key whose value is another one.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Key {
+pub struct ChangedKey {
     /// The key.
     pub key: String,
     /// Its value before; none where it was not there.
@@ -22,61 +22,67 @@
 
 /// An item that is in both and not the same.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Changed {
+pub struct ChangedItem {
     /// The item.
     pub item: String,
     /// Its versions.
-    pub ver: (u64, u64),
+    #[serde(rename = "ver")]
+    pub versions: (u64, u64),
     /// The keys that changed; none where only the version did.
-    pub keys: Vec<Key>,
+    pub keys: Vec<ChangedKey>,
     /// Secrets are hashed with two salts: whether they are the same can't be told.
-    pub unsure: bool,
+    #[serde(rename = "unsure")]
+    pub has_incomparable_secrets: bool,
 }
 
 /// An item that is in one of them.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Alone {
+pub struct UnmatchedItem {
     /// The item.
     pub item: String,
     /// Its version.
-    pub ver: u64,
+    #[serde(rename = "ver")]
+    pub version: u64,
 }
 
 /// How two configurations differ.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Diff {
     /// Items that are new.
-    pub added: Vec<Alone>,
+    pub added: Vec<UnmatchedItem>,
     /// Items that are there no more.
-    pub dropped: Vec<Alone>,
+    #[serde(rename = "dropped")]
+    pub removed: Vec<UnmatchedItem>,
     /// Items that are in both and not the same.
-    pub changed: Vec<Changed>,
+    pub changed: Vec<ChangedItem>,
     /// Items that are the same.
-    pub same: usize,
+    #[serde(rename = "same")]
+    pub unchanged_count: usize,
 }
 
 /// What a key holds, without an order where none is meant.
-fn plain(key: &str, value: &Value) -> Value {
+fn normalized(key: &str, value: &Value) -> Value {
     let mut value = value.clone();
-    if let (SECRETS | "pins" | "split", Some(parts)) = (key, value.as_array_mut()) {
-        parts.sort_by_key(Value::to_string);
+    if let (SECRETS_KEY | "pins" | "split", Some(elements)) = (key, value.as_array_mut()) {
+        elements.sort_by_key(Value::to_string);
     }
     value
 }
 
-fn keys(old: &Map<String, Value>, new: &Map<String, Value>) -> Vec<Key> {
+fn changed_keys(old: &Map<String, Value>, new: &Map<String, Value>) -> Vec<ChangedKey> {
     let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
-    let one = |name: &String| {
-        let of = |spec: &Map<String, Value>| spec.get(name).map(|value| plain(name, value));
-        Key {
+    let compare_key = |name: &String| {
+        let value_in =
+            |spec: &Map<String, Value>| spec.get(name).map(|value| normalized(name, value));
+        ChangedKey {
             key: name.clone(),
-            old: of(old),
-            new: of(new),
+            old: value_in(old),
+            new: value_in(new),
         }
     };
     names
         .into_iter()
-        .map(one)
+        .map(compare_key)
         .filter(|key| key.old != key.new)
         .collect()
 }
@@ -87,31 +93,36 @@
         .salt
         .clone()
         .or_else(|| new.salt.clone())
-        .unwrap_or_else(salt);
-    let (old, new) = (old.hidden(&salt), new.hidden(&salt));
-    let salts = old.salt == new.salt;
+        .unwrap_or_else(random_salt);
+    let (old, new) = (
+        old.with_hashed_secrets(&salt),
+        new.with_hashed_secrets(&salt),
+    );
+    let have_same_salt = old.salt == new.salt;
     let mut diff = Diff::default();
-    for (item, (ver, spec)) in &old.items {
-        let Some((newer, other)) = new.items.get(item) else {
-            diff.dropped.push(Alone {
+    for (item, (old_version, old_spec)) in &old.items {
+        let Some((new_version, new_spec)) = new.items.get(item) else {
+            diff.removed.push(UnmatchedItem {
                 item: item.clone(),
-                ver: *ver,
+                version: *old_version,
             });
             continue;
         };
-        let mut keys = keys(spec, other);
-        let before = keys.len();
+        let mut keys = changed_keys(old_spec, new_spec);
+        let count_with_secrets = keys.len();
         let count = |value: &Option<Value>| value.as_ref().and_then(Value::as_array).map(Vec::len);
-        keys.retain(|key| salts || key.key != SECRETS || count(&key.old) != count(&key.new));
-        let unsure = keys.len() < before;
-        if keys.is_empty() && ver == newer && !unsure {
-            diff.same += 1;
+        keys.retain(|key| {
+            have_same_salt || key.key != SECRETS_KEY || count(&key.old) != count(&key.new)
+        });
+        let has_incomparable_secrets = keys.len() < count_with_secrets;
+        if keys.is_empty() && old_version == new_version && !has_incomparable_secrets {
+            diff.unchanged_count += 1;
         } else {
-            diff.changed.push(Changed {
+            diff.changed.push(ChangedItem {
                 item: item.clone(),
-                ver: (*ver, *newer),
+                versions: (*old_version, *new_version),
                 keys,
-                unsure,
+                has_incomparable_secrets,
             });
         }
     }
@@ -120,9 +131,9 @@
         .iter()
         .filter(|(item, _)| !old.items.contains_key(*item));
     diff.added = added
-        .map(|(item, (ver, _))| Alone {
+        .map(|(item, (version, _))| UnmatchedItem {
             item: item.clone(),
-            ver: *ver,
+            version: *version,
         })
         .collect();
     diff
@@ -131,7 +142,7 @@
 impl Diff {
     /// They are the same.
     pub fn is_empty(&self) -> bool {
-        self.added.is_empty() && self.dropped.is_empty() && self.changed.is_empty()
+        self.added.is_empty() && self.removed.is_empty() && self.changed.is_empty()
     }
 }
 
@@ -139,19 +150,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.added
             .iter()
-            .try_for_each(|one| writeln!(f, "+ {} at version {}", one.item, one.ver))?;
-        self.dropped
+            .try_for_each(|item| writeln!(f, "+ {} at version {}", item.item, item.version))?;
+        self.removed
             .iter()
-            .try_for_each(|one| writeln!(f, "- {} at version {}", one.item, one.ver))?;
-        for one in &self.changed {
-            let moved = match one.ver {
-                (old, new) if old == new && one.keys.is_empty() => format!("version {old}"),
+            .try_for_each(|item| writeln!(f, "- {} at version {}", item.item, item.version))?;
+        for item in &self.changed {
+            let versions = match item.versions {
+                (old, new) if old == new && item.keys.is_empty() => format!("version {old}"),
                 (old, new) if old == new => format!("version {old} in both, with two contents"),
                 (old, new) if old > new => format!("version {old} back to {new}"),
                 (old, new) => format!("version {old} to {new}"),
             };
-            writeln!(f, "~ {} {moved}", one.item)?;
-            for key in &one.keys {
+            writeln!(f, "~ {} {versions}", item.item)?;
+            for key in &item.keys {
                 let text = |value: &Option<Value>| {
                     value
                         .as_ref()
@@ -165,15 +176,18 @@
                     text(&key.new)
                 )?;
             }
-            if one.unsure {
-                writeln!(f, "    {SECRETS}: hashed with two salts, can't be compared")?;
+            if item.has_incomparable_secrets {
+                writeln!(
+                    f,
+                    "    {SECRETS_KEY}: hashed with two salts, can't be compared"
+                )?;
             }
         }
-        let (added, dropped, changed) = (self.added.len(), self.dropped.len(), self.changed.len());
+        let (added, removed, changed) = (self.added.len(), self.removed.len(), self.changed.len());
         writeln!(
             f,
-            "{added} added, {dropped} dropped, {changed} changed, {} the same",
-            self.same
+            "{added} added, {removed} dropped, {changed} changed, {} the same",
+            self.unchanged_count
         )
     }
 }
--- a/crates/ctl/src/http.rs
+++ b/crates/ctl/src/http.rs
@@ -7,18 +7,18 @@
 use eyre::{WrapErr, ensure, eyre};
 
 /// Longest answer that is taken, in bytes.
-const LONGEST: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 /// Longest head of an answer.
-const HEAD: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// Gets a path; gives the body of an answer with the status 200.
 ///
 /// # Errors
 /// There is none in time, or another one; the message names the address and the step.
-pub fn get(at: SocketAddr, path: &str, until: Instant) -> eyre::Result<Vec<u8>> {
-    let (status, body) =
-        ask(at, path, until).wrap_err_with(|| format!("asking {at} for {path}"))?;
-    let text = || {
+pub fn get(address: SocketAddr, path: &str, deadline: Instant) -> eyre::Result<Vec<u8>> {
+    let (status, body) = request(address, path, deadline)
+        .wrap_err_with(|| format!("asking {address} for {path}"))?;
+    let excerpt = || {
         String::from_utf8_lossy(&body)
             .chars()
             .take(200)
@@ -26,36 +26,38 @@
     };
     ensure!(
         status == 200,
-        "asking {at} for {path}: answered {status}: {}",
-        text()
+        "asking {address} for {path}: answered {status}: {}",
+        excerpt()
     );
     Ok(body)
 }
 
-fn ask(at: SocketAddr, path: &str, until: Instant) -> eyre::Result<(u16, Vec<u8>)> {
-    let left = || {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+fn request(address: SocketAddr, path: &str, deadline: Instant) -> eyre::Result<(u16, Vec<u8>)> {
+    let time_left = || {
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        if time_left.is_zero() {
             Err(eyre!("no answer in time"))
         } else {
-            Ok(left)
+            Ok(time_left)
         }
     };
-    let mut stream = TcpStream::connect_timeout(&at, left()?).wrap_err("connecting")?;
+    let mut stream = TcpStream::connect_timeout(&address, time_left()?).wrap_err("connecting")?;
     stream
-        .set_write_timeout(Some(left()?))
+        .set_write_timeout(Some(time_left()?))
         .wrap_err("writing")?;
-    let request = format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n");
+    let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).wrap_err("writing")?;
-    let (mut input, mut part) = (Vec::new(), [0; 16 * 1024]);
+    let (mut input, mut buffer) = (Vec::new(), [0; 16 * 1024]);
     loop {
-        if let Some(answer) = read(&input)? {
-            return Ok(answer);
+        if let Some(response) = parse_response(&input)? {
+            return Ok(response);
         }
-        stream.set_read_timeout(Some(left()?)).wrap_err("reading")?;
-        match stream.read(&mut part) {
+        stream
+            .set_read_timeout(Some(time_left()?))
+            .wrap_err("reading")?;
+        match stream.read(&mut buffer) {
             Ok(0) => return Err(eyre!("reading: it ended in the middle of an answer")),
-            Ok(length) => input.extend_from_slice(&part[..length]),
+            Ok(length) => input.extend_from_slice(&buffer[..length]),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(error).wrap_err("reading"),
         }
@@ -63,13 +65,16 @@
 }
 
 /// Status and body, once both are there.
-fn read(input: &[u8]) -> eyre::Result<Option<(u16, Vec<u8>)>> {
+fn parse_response(input: &[u8]) -> eyre::Result<Option<(u16, Vec<u8>)>> {
     let Some(end) = input
         .windows(4)
-        .take(HEAD)
-        .position(|four| four == b"\r\n\r\n")
+        .take(MAX_HEAD_BYTES)
+        .position(|window| window == b"\r\n\r\n")
     else {
-        ensure!(input.len() < HEAD, "reading: a head that does not end");
+        ensure!(
+            input.len() < MAX_HEAD_BYTES,
+            "reading: a head that does not end"
+        );
         return Ok(None);
     };
     let head = std::str::from_utf8(&input[..end]).wrap_err("reading: the head")?;
@@ -85,7 +90,10 @@
         .filter_map(|(_, value)| value.trim().parse::<usize>().ok())
         .next();
     let length = length.ok_or_else(|| eyre!("reading: an answer without its length"))?;
-    ensure!(length <= LONGEST, "reading: an answer of {length} bytes");
+    ensure!(
+        length <= MAX_BODY_BYTES,
+        "reading: an answer of {length} bytes"
+    );
     let body = input.get(end + 4..end + 4 + length);
     Ok(body.map(|body| (status, body.to_vec())))
 }
--- a/crates/ctl/src/http/tests.rs
+++ b/crates/ctl/src/http/tests.rs
@@ -5,18 +5,18 @@
 #[test_case("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", Some((503, "")); "without a body")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}", None; "a body on its way")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-", None; "a head on its way")]
-fn complete_answer_is_read(text: &str, is: Option<(u16, &str)>) {
-    let read = read(text.as_bytes()).unwrap();
+fn complete_response_is_parsed(text: &str, expected: Option<(u16, &str)>) {
+    let response = parse_response(text.as_bytes()).unwrap();
     assert_eq!(
-        read,
-        is.map(|(status, body)| (status, body.as_bytes().to_vec()))
+        response,
+        expected.map(|(status, body)| (status, body.as_bytes().to_vec()))
     );
 }
 
 #[test_case("HTTP/1.1 200 OK\r\n\r\n{}", "length"; "no length")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 999999999999\r\n\r\n", "bytes"; "too long")]
 #[test_case("what\r\n\r\n", "status"; "something else")]
-fn invalid_answer_is_reported(text: &str, word: &str) {
-    let error = read(text.as_bytes()).unwrap_err().to_string();
-    assert!(error.contains(word), "{error}");
+fn error_of_an_invalid_response_names_the_fault(text: &str, expected: &str) {
+    let error = parse_response(text.as_bytes()).unwrap_err().to_string();
+    assert!(error.contains(expected), "{error}");
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -7,13 +7,13 @@
 
 use argh::FromArgs;
 use control::disk;
-use ctl::configuration::{Configuration, salt};
+use ctl::configuration::{Configuration, random_salt};
 use ctl::{diff, http, status};
 use eyre::{WrapErr, ensure, eyre};
 use serde::Serialize;
 
 /// An answer is given up after this.
-const ANSWER: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How the system stands, and how configurations differ.
 #[derive(FromArgs)]
@@ -26,12 +26,12 @@
 )]
 struct Arguments {
     #[argh(subcommand)]
-    command: Sub,
+    command: Command,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum Sub {
+enum Command {
     Status(Status),
     Export(Export),
     Diff(Diff),
@@ -64,8 +64,8 @@
 )]
 struct Status {
     /// where operators call the replicas, with commas between
-    #[argh(option)]
-    at: String,
+    #[argh(option, long = "at")]
+    addresses: String,
     /// as JSON
     #[argh(switch)]
     json: bool,
@@ -80,8 +80,8 @@
 )]
 struct Export {
     /// where operators call a replica
-    #[argh(option)]
-    at: String,
+    #[argh(option, long = "at")]
+    address: String,
     /// the salt of the hashes, so that two files can be compared (another one each time)
     #[argh(option)]
     salt: Option<String>,
@@ -112,32 +112,32 @@
     json: bool,
 }
 
-fn addresses(text: &str) -> eyre::Result<Vec<SocketAddr>> {
-    let one = |word: &str| {
+fn parse_addresses(text: &str) -> eyre::Result<Vec<SocketAddr>> {
+    let parse_one = |word: &str| {
         word.trim()
             .parse()
             .wrap_err_with(|| format!("--at: {word:?} is no address"))
     };
-    text.split(',').map(one).collect()
+    text.split(',').map(parse_one).collect()
 }
 
-fn fetch(at: SocketAddr) -> eyre::Result<Configuration> {
-    let body = http::get(at, "/api/cfg/get", Instant::now() + ANSWER)?;
-    Configuration::read(&body).wrap_err_with(|| format!("what {at} has"))
+fn fetch_configuration(address: SocketAddr) -> eyre::Result<Configuration> {
+    let body = http::get(address, "/api/cfg/get", Instant::now() + REQUEST_TIMEOUT)?;
+    Configuration::parse(&body).wrap_err_with(|| format!("what {address} has"))
 }
 
 /// A file goes before an address of the same name.
-fn configuration(word: &str) -> eyre::Result<Configuration> {
-    if !Path::new(word).exists()
-        && let Ok(at) = word.parse()
+fn load_configuration(source: &str) -> eyre::Result<Configuration> {
+    if !Path::new(source).exists()
+        && let Ok(address) = source.parse()
     {
-        return fetch(at);
+        return fetch_configuration(address);
     }
-    let text = std::fs::read(word).wrap_err_with(|| format!("reading {word}"))?;
-    Configuration::read(&text).wrap_err_with(|| format!("file {word}"))
+    let text = std::fs::read(source).wrap_err_with(|| format!("reading {source}"))?;
+    Configuration::parse(&text).wrap_err_with(|| format!("file {source}"))
 }
 
-fn show<T: Serialize + std::fmt::Display>(json: bool, value: &T) -> eyre::Result<()> {
+fn print_value<T: Serialize + std::fmt::Display>(json: bool, value: &T) -> eyre::Result<()> {
     if json {
         println!(
             "{}",
@@ -150,34 +150,36 @@
 }
 
 /// Gives whether something was found.
-fn work(arguments: Arguments) -> eyre::Result<bool> {
+fn run(arguments: Arguments) -> eyre::Result<bool> {
     match arguments.command {
-        Sub::Status(Status { at, json }) => {
-            let view = status::ask(&addresses(&at)?, || Instant::now() + ANSWER);
+        Command::Status(Status { addresses, json }) => {
+            let system = status::query_replicas(&parse_addresses(&addresses)?, || {
+                Instant::now() + REQUEST_TIMEOUT
+            });
             ensure!(
-                view.told_anything(),
+                system.has_answer(),
                 "no replica answers: {}",
-                view.findings.join("; ")
+                system.findings.join("; ")
             );
-            show(json, &view)?;
-            Ok(!view.findings.is_empty())
+            print_value(json, &system)?;
+            Ok(!system.findings.is_empty())
         }
-        Sub::Export(Export {
-            at,
-            salt: wanted,
+        Command::Export(Export {
+            address,
+            salt,
             plain,
             json,
         }) => {
-            let at = *addresses(&at)?
+            let address = *parse_addresses(&address)?
                 .first()
                 .ok_or_else(|| eyre!("--at: no address"))?;
-            let all = fetch(at)?;
-            let all = if plain {
-                all
+            let configuration = fetch_configuration(address)?;
+            let configuration = if plain {
+                configuration
             } else {
-                all.hidden(&wanted.unwrap_or_else(salt))
+                configuration.with_hashed_secrets(&salt.unwrap_or_else(random_salt))
             };
-            let text = all.write();
+            let text = configuration.to_json_lines();
             if json {
                 let value: serde_json::Value =
                     serde_json::from_str(&text).wrap_err("writing JSON")?;
@@ -190,18 +192,18 @@
             }
             Ok(false)
         }
-        Sub::Verify(Verify { path, json }) => {
+        Command::Verify(Verify { path, json }) => {
             let report = if path.is_dir() {
                 disk::verify(&path)?
             } else {
                 disk::verify_file(&path)?
             };
-            show(json, &report)?;
+            print_value(json, &report)?;
             Ok(!report.faults.is_empty())
         }
-        Sub::Diff(Diff { old, new, json }) => {
-            let diff = diff::diff(configuration(&old)?, configuration(&new)?);
-            show(json, &diff)?;
+        Command::Diff(Diff { old, new, json }) => {
+            let diff = diff::diff(load_configuration(&old)?, load_configuration(&new)?);
+            print_value(json, &diff)?;
             Ok(!diff.is_empty())
         }
     }
@@ -213,17 +215,17 @@
     let arguments =
         match Arguments::from_args(&["streamarchctl"], words.get(1..).unwrap_or_default()) {
             Ok(arguments) => arguments,
-            Err(early) if early.status.is_ok() => {
-                println!("{}", early.output);
+            Err(early_exit) if early_exit.status.is_ok() => {
+                println!("{}", early_exit.output);
                 return ExitCode::SUCCESS;
             }
-            Err(early) => {
-                eprintln!("{}", early.output);
+            Err(early_exit) => {
+                eprintln!("{}", early_exit.output);
                 return ExitCode::from(2);
             }
         };
-    match work(arguments) {
-        Ok(found) => ExitCode::from(u8::from(found)),
+    match run(arguments) {
+        Ok(has_findings) => ExitCode::from(u8::from(has_findings)),
         Err(error) => {
             eprintln!("streamarchctl: {error:#}");
             ExitCode::from(2)
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -12,13 +12,14 @@
 use crate::http;
 
 /// A limiter that has held less than its replica for longer than this lags, in milliseconds: the operators' bound.
-const LAG: i64 = 4_000;
+const MAX_LAG_MS: i64 = 4_000;
 
 /// What was told at one address.
 #[derive(Clone, Debug, Serialize)]
-pub struct Told {
+pub struct ReplicaAnswer {
     /// The address.
-    pub at: SocketAddr,
+    #[serde(rename = "at")]
+    pub address: SocketAddr,
     /// What it told.
     pub status: Option<Status>,
     /// Why it told nothing.
@@ -27,9 +28,10 @@
 
 /// The system as all that were asked see it.
 #[derive(Clone, Debug, Serialize)]
-pub struct View {
+pub struct SystemStatus {
     /// What each told.
-    pub told: Vec<Told>,
+    #[serde(rename = "told")]
+    pub answers: Vec<ReplicaAnswer>,
     /// The limiters: each as its own replica tells of it, where that was asked, else as another one does.
     pub limiters: Vec<LimiterStatus>,
     /// What is wrong.
@@ -37,56 +39,56 @@
 }
 
 /// Asks replicas, one after the other, each by a deadline of its own.
-pub fn ask(at: &[SocketAddr], until: impl Fn() -> Instant) -> View {
-    let one = |at: &SocketAddr| {
-        let body = http::get(*at, "/api/status", until());
+pub fn query_replicas(addresses: &[SocketAddr], deadline: impl Fn() -> Instant) -> SystemStatus {
+    let query = |address: &SocketAddr| {
+        let body = http::get(*address, "/api/status", deadline());
         let status = body.and_then(|body| {
             serde_json::from_slice::<Status>(&body)
-                .wrap_err_with(|| format!("reading what {at} tells"))
+                .wrap_err_with(|| format!("reading what {address} tells"))
         });
         match status {
-            Ok(status) => Told {
-                at: *at,
+            Ok(status) => ReplicaAnswer {
+                address: *address,
                 status: Some(status),
                 error: None,
             },
-            Err(error) => Told {
-                at: *at,
+            Err(error) => ReplicaAnswer {
+                address: *address,
                 status: None,
                 error: Some(format!("{error:#}")),
             },
         }
     };
-    view(at.iter().map(one).collect())
+    combine(addresses.iter().map(query).collect())
 }
 
 /// Puts side by side what was told.
-pub fn view(told: Vec<Told>) -> View {
+pub fn combine(answers: Vec<ReplicaAnswer>) -> SystemStatus {
     let mut limiters: BTreeMap<String, LimiterStatus> = BTreeMap::new();
-    for status in told.iter().filter_map(|told| told.status.as_ref()) {
+    for status in answers.iter().filter_map(|answer| answer.status.as_ref()) {
         for limiter in &status.limiters {
             // The replica that it is linked to knows most; without, who knows it to be linked.
-            let rank = |one: &LimiterStatus| (one.items.is_some(), one.linked);
-            let held = limiters.get(&limiter.node);
-            if held.is_none_or(|held| rank(held) < rank(limiter)) {
+            let rank = |status: &LimiterStatus| (status.items.is_some(), status.linked);
+            let former = limiters.get(&limiter.node);
+            if former.is_none_or(|former| rank(former) < rank(limiter)) {
                 limiters.insert(limiter.node.clone(), limiter.clone());
             }
         }
     }
     let limiters: Vec<LimiterStatus> = limiters.into_values().collect();
-    let findings = findings(&told, &limiters);
-    View {
-        told,
+    let findings = find_faults(&answers, &limiters);
+    SystemStatus {
+        answers,
         limiters,
         findings,
     }
 }
 
-fn findings(told: &[Told], limiters: &[LimiterStatus]) -> Vec<String> {
-    let mut found = Vec::new();
-    for one in told {
-        let Some(status) = &one.status else {
-            found.push(one.error.clone().unwrap_or_default());
+fn find_faults(answers: &[ReplicaAnswer], limiters: &[LimiterStatus]) -> Vec<String> {
+    let mut findings = Vec::new();
+    for answer in answers {
+        let Some(status) = &answer.status else {
+            findings.push(answer.error.clone().unwrap_or_default());
             continue;
         };
         let zone = &status.zone;
@@ -105,32 +107,33 @@
             ),
             (status.disk_full, "has a full disk"),
         ];
-        found.extend(
+        findings.extend(
             states
                 .iter()
-                .filter(|(is, _)| *is)
+                .filter(|(applies, _)| *applies)
                 .map(|(_, text)| format!("replica {zone} {text}")),
         );
         if !status.takes_part || !status.in_touch {
             continue;
         }
         let silent = status.replicas.iter().filter(|replica| !replica.heard);
-        found.extend(
+        findings.extend(
             silent.map(|replica| format!("replica {zone} does not hear replica {}", replica.zone)),
         );
         let vacant = status.duties.iter().filter(|duty| duty.holder.is_none());
-        found.extend(
+        findings.extend(
             vacant.map(|duty| format!("replica {zone} knows nobody with the duty {}", duty.duty)),
         );
     }
-    let parts = || {
-        told.iter()
-            .filter_map(|told| told.status.as_ref())
+    let statuses_with_quorum = || {
+        answers
+            .iter()
+            .filter_map(|answer| answer.status.as_ref())
             .filter(|status| status.in_touch)
     };
-    if let Some(first) = parts().next() {
-        let other = parts().filter(|status| status.digest != first.digest);
-        found.extend(other.map(|status| {
+    if let Some(first) = statuses_with_quorum().next() {
+        let differing = statuses_with_quorum().filter(|status| status.digest != first.digest);
+        findings.extend(differing.map(|status| {
             format!(
                 "replicas {} and {} know other items ({} and {})",
                 first.zone, status.zone, first.items, status.items
@@ -140,57 +143,61 @@
     for limiter in limiters {
         let node = &limiter.node;
         if !limiter.linked {
-            found.push(format!(
+            findings.push(format!(
                 "limiter {node} is linked to no replica, its lease runs out"
             ));
         } else if limiter.standing != "ready" {
-            found.push(format!("limiter {node} is {}", limiter.standing));
+            findings.push(format!("limiter {node} is {}", limiter.standing));
         }
-        if let Some(behind) = limiter.behind.filter(|behind| *behind > LAG) {
-            found.push(format!("limiter {node} has lagged for up to {behind} ms"));
+        if let Some(behind) = limiter.behind.filter(|behind| *behind > MAX_LAG_MS) {
+            findings.push(format!("limiter {node} has lagged for up to {behind} ms"));
         }
     }
-    found
+    findings
 }
 
-impl View {
+impl SystemStatus {
     /// Somebody told something.
-    pub fn told_anything(&self) -> bool {
-        self.told.iter().any(|told| told.status.is_some())
+    pub fn has_answer(&self) -> bool {
+        self.answers.iter().any(|answer| answer.status.is_some())
     }
 }
 
-impl fmt::Display for View {
+impl fmt::Display for SystemStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
             "{:<12} {:<6} {:<4} {:<9} {:<7} {:<17} {:<10} duties",
             "replica", "incarnation", "run", "touch", "items", "digest", "list"
         )?;
-        for status in self.told.iter().filter_map(|told| told.status.as_ref()) {
-            let touch = match status {
+        for status in self
+            .answers
+            .iter()
+            .filter_map(|answer| answer.status.as_ref())
+        {
+            let contact = match status {
                 status if status.replaced => "replaced",
                 status if !status.takes_part => "rebuilds",
                 status if !status.in_touch => "out",
                 _ => "in",
             };
-            let own = status
+            let held_duties = status
                 .duties
                 .iter()
                 .filter(|duty| duty.holder.as_ref() == Some(&status.zone));
-            let own: Vec<String> = own
+            let held_duties: Vec<String> = held_duties
                 .map(|duty| format!("{} (term {})", duty.duty, duty.term))
                 .collect();
-            let list = format!("{}.{}", status.servers.0, status.servers.1);
+            let list_version = format!("{}.{}", status.servers.0, status.servers.1);
             writeln!(
                 f,
-                "{:<12} {:<6} {:<4} {touch:<9} {:<7} {:<17} {list:<10} {}",
+                "{:<12} {:<6} {:<4} {contact:<9} {:<7} {:<17} {list_version:<10} {}",
                 status.zone,
                 status.incarnation,
                 status.run,
                 status.items,
                 status.digest,
-                own.join(", ")
+                held_duties.join(", ")
             )?;
         }
         writeln!(
@@ -198,26 +205,28 @@
             "\n{:<20} {:<12} {:<12} {:<8} {:<7} behind",
             "limiter", "zone", "at replica", "stands", "items"
         )?;
-        for one in &self.limiters {
-            let items = one.items.map_or("?".to_string(), |items| items.to_string());
-            let behind = one
+        for limiter in &self.limiters {
+            let items = limiter
+                .items
+                .map_or("?".to_string(), |items| items.to_string());
+            let behind = limiter
                 .behind
                 .map_or("?".to_string(), |behind| format!("{behind} ms"));
             writeln!(
                 f,
                 "{:<20} {:<12} {:<12} {:<8} {items:<7} {behind}",
-                one.node, one.zone, one.replica, one.standing
+                limiter.node, limiter.zone, limiter.replica, limiter.standing
             )?;
         }
-        let left: usize = self
-            .told
+        let omitted: usize = self
+            .answers
             .iter()
-            .filter_map(|told| told.status.as_ref())
-            .map(|s| s.left_out)
+            .filter_map(|answer| answer.status.as_ref())
+            .map(|status| status.left_out)
             .max()
             .unwrap_or(0);
-        if left > 0 {
-            writeln!(f, "... and {left} more")?;
+        if omitted > 0 {
+            writeln!(f, "... and {omitted} more")?;
         }
         writeln!(f)?;
         self.findings
--- a/crates/ctl/src/status/tests.rs
+++ b/crates/ctl/src/status/tests.rs
@@ -42,23 +42,23 @@
 #[test_case(|s| s[1].digest = "8".into(), &["replicas a and b know other items (0 and 0)"]; "apart")]
 #[test_case(|s| s[0].limiters[0].behind = Some(9_000), &["limiter e has lagged for up to 9000 ms"]; "lagging")]
 #[test_case(|s| s[0].limiters[0].standing = "away".into(), &["limiter e is away"]; "away")]
-fn findings_name_what_is_wrong(change: impl Fn(&mut Vec<Status>), is: &[&str]) {
+fn findings_describe_the_faults(change: impl Fn(&mut Vec<Status>), expected: &[&str]) {
     let mut replicas = vec![replica("a"), replica("b")];
     change(&mut replicas);
     // In whatever order they were asked.
-    for turned in [false, true] {
-        let told = |status: &Status| Told {
-            at: SocketAddr::from(([127, 0, 0, 1], 1)),
+    for is_reversed in [false, true] {
+        let answer = |status: &Status| ReplicaAnswer {
+            address: SocketAddr::from(([127, 0, 0, 1], 1)),
             status: Some(status.clone()),
             error: None,
         };
-        let mut told: Vec<Told> = replicas.iter().map(told).collect();
-        let apart = replicas[0].digest != replicas[1].digest;
-        if turned && !apart {
-            told.reverse();
+        let mut answers: Vec<ReplicaAnswer> = replicas.iter().map(answer).collect();
+        let items_differ = replicas[0].digest != replicas[1].digest;
+        if is_reversed && !items_differ {
+            answers.reverse();
         }
-        let view = view(told);
-        assert_eq!(view.findings, is, "{view}");
-        assert_eq!(view.limiters.len(), 1);
+        let system = combine(answers);
+        assert_eq!(system.findings, expected, "{system}");
+        assert_eq!(system.limiters.len(), 1);
     }
 }
--- a/crates/ctl/tests/golden.rs
+++ b/crates/ctl/tests/golden.rs
@@ -6,10 +6,10 @@
 use control::disk::{CorruptRecord, Report};
 use ctl::configuration::Configuration;
 use ctl::diff::diff;
-use ctl::status::{Told, view};
+use ctl::status::{ReplicaAnswer, combine};
 use serde::Serialize;
 
-fn pretty<T: Serialize>(value: &T) -> String {
+fn pretty_json<T: Serialize>(value: &T) -> String {
     serde_json::to_string_pretty(value).unwrap()
 }
 
@@ -50,39 +50,39 @@
 }
 
 #[test]
-fn json_of_a_view_keeps_its_keys() {
-    let at = |last: u8| std::net::SocketAddr::from(([10, 1, 0, last], 8688));
-    let told = vec![
-        Told {
-            at: at(10),
+fn json_of_the_status_keeps_its_keys() {
+    let address = |last_octet: u8| std::net::SocketAddr::from(([10, 1, 0, last_octet], 8688));
+    let answers = vec![
+        ReplicaAnswer {
+            address: address(10),
             status: Some(status()),
             error: None,
         },
-        Told {
-            at: at(11),
+        ReplicaAnswer {
+            address: address(11),
             status: None,
             error: Some("10.1.0.11:8688: refused".into()),
         },
     ];
-    insta::assert_snapshot!("status", pretty(&view(told)));
+    insta::assert_snapshot!("status", pretty_json(&combine(answers)));
 }
 
 #[test]
 fn json_of_a_difference_keeps_its_keys() {
-    let read = |text: &str| Configuration::read(text.as_bytes()).unwrap();
-    let old = read(
+    let parse = |text: &str| Configuration::parse(text.as_bytes()).unwrap();
+    let old = parse(
         r#"{"objs":[{"type":"svcs","meta":{"name":"a","ver":1},"spec":{"maxconn":1}},
             {"type":"svcs","meta":{"name":"b","ver":1},"spec":{}}]}"#,
     );
-    let new = read(
+    let new = parse(
         r#"{"objs":[{"type":"svcs","meta":{"name":"a","ver":2},"spec":{"maxconn":2}},
             {"type":"svcs","meta":{"name":"c","ver":1},"spec":{}}]}"#,
     );
-    insta::assert_snapshot!("difference", pretty(&diff(old, new)));
+    insta::assert_snapshot!("difference", pretty_json(&diff(old, new)));
 }
 
 #[test]
-fn json_of_a_report_keeps_its_keys() {
+fn json_of_a_verify_report_keeps_its_keys() {
     let fault = CorruptRecord {
         table: "chosen".into(),
         name: "svcs/a".into(),
@@ -98,5 +98,5 @@
         commits: 2,
         faults: vec![fault],
     };
-    insta::assert_snapshot!("report", pretty(&report));
+    insta::assert_snapshot!("report", pretty_json(&report));
 }
--- a/crates/ctl/tests/system.rs
+++ b/crates/ctl/tests/system.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-use ctl::status::{View, ask};
+use ctl::status::{SystemStatus, query_replicas};
 use emulator::system::machines::{Role, beside, net};
 use emulator::system::operator::Change;
 use emulator::system::wait_for;
@@ -15,16 +15,16 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_streamarchctl");
 
-fn soon() -> Instant {
+fn test_deadline() -> Instant {
     Instant::now() + Duration::from_secs(12)
 }
 
-fn gauge(words: &[&str]) -> (Option<i32>, String) {
+fn run_ctl(arguments: &[&str]) -> (Option<i32>, String) {
     let Output {
         status,
         stdout,
         stderr,
-    } = Command::new(PROGRAM).args(words).output().unwrap();
+    } = Command::new(PROGRAM).args(arguments).output().unwrap();
     (
         status.code(),
         String::from_utf8([stdout, stderr].concat()).unwrap(),
@@ -40,71 +40,81 @@
         edges: 1,
         net: net(),
     };
-    let mut whole = Whole::start(folder.path(), &programs, size, soon()).unwrap();
-    let ctl: Vec<SocketAddr> = (0..3).map(|number| whole.machines.ctl(number)).collect();
-    let all = ctl
+    let mut system = Whole::start(folder.path(), &programs, size, test_deadline()).unwrap();
+    let addresses: Vec<SocketAddr> = (0..3).map(|number| system.machines.ctl(number)).collect();
+    let all_addresses = addresses
         .iter()
         .map(SocketAddr::to_string)
         .collect::<Vec<_>>()
         .join(",");
 
     // Each limiter is at the replica of its zone, and holds all.
-    let settled = |view: &View| {
-        let well = |one: &control::core::status::LimiterStatus| {
-            one.behind == Some(0) && one.replica == one.zone
+    let is_settled = |status: &SystemStatus| {
+        let is_current = |limiter: &control::core::status::LimiterStatus| {
+            limiter.behind == Some(0) && limiter.replica == limiter.zone
         };
-        view.findings.is_empty() && view.limiters.len() == 3 && view.limiters.iter().all(well)
+        status.findings.is_empty()
+            && status.limiters.len() == 3
+            && status.limiters.iter().all(is_current)
     };
-    let look = || ask(&ctl, || Instant::now() + Duration::from_secs(1));
-    let view = wait_for(soon(), || Some(look()).filter(|view| settled(view)));
-    assert!(view.is_some(), "{}", look());
-    let (code, text) = gauge(&["status", "--at", &all]);
+    let query = || query_replicas(&addresses, || Instant::now() + Duration::from_secs(1));
+    let settled = wait_for(test_deadline(), || {
+        Some(query()).filter(|status| is_settled(status))
+    });
+    assert!(settled.is_some(), "{}", query());
+    let (code, text) = run_ctl(&["status", "--at", &all_addresses]);
     assert_eq!(code, Some(0), "{text}");
     assert!(
         text.contains("count (term") && text.contains("poll (term"),
         "{text}"
     );
 
-    let (code, before) = gauge(&["export", "--at", &ctl[0].to_string()]);
+    let (code, before) = run_ctl(&["export", "--at", &addresses[0].to_string()]);
     assert_eq!(code, Some(0), "{before}");
     assert!(before.contains(TENANT) && !before.contains(KEY), "{before}");
-    let file = folder.path().join("before.json");
-    std::fs::write(&file, &before).unwrap();
-    let file = file.to_str().unwrap();
-    assert_eq!(gauge(&["diff", file, &ctl[1].to_string()]).0, Some(0));
+    let path = folder.path().join("before.json");
+    std::fs::write(&path, &before).unwrap();
+    let path = path.to_str().unwrap();
+    assert_eq!(
+        run_ctl(&["diff", path, &addresses[1].to_string()]).0,
+        Some(0)
+    );
     let change = Change::default()
         .set("routes", "reads", 5, route("/other/", SERVICES[0]))
         .drop("routes", "writes", 3);
-    whole.operator.change(&change, soon()).unwrap();
-    let (code, text) = gauge(&["diff", file, &ctl[1].to_string(), "--json"]);
-    let found: Value = serde_json::from_str(&text).unwrap();
+    system.operator.change(&change, test_deadline()).unwrap();
+    let (code, text) = run_ctl(&["diff", path, &addresses[1].to_string(), "--json"]);
+    let output: Value = serde_json::from_str(&text).unwrap();
     assert_eq!(
-        (code, &found["changed"][0]["item"]),
+        (code, &output["changed"][0]["item"]),
         (Some(1), &Value::from("routes/reads")),
         "{text}"
     );
     assert_eq!(
-        found["changed"][0]["keys"].as_array().map(Vec::len),
+        output["changed"][0]["keys"].as_array().map(Vec::len),
         Some(1),
         "{text}"
     );
-    assert_eq!(found["dropped"][0]["item"], "routes/writes");
+    assert_eq!(output["dropped"][0]["item"], "routes/writes");
 
     // A replica that is gone is a finding; a call that nobody answers, or words that make no sense, are none.
-    whole.machines.kill(Role::Control, 2);
-    let (code, text) = gauge(&["status", "--at", &all, "--json"]);
-    let found: Value = serde_json::from_str(&text).unwrap();
+    system.machines.kill(Role::Control, 2);
+    let (code, text) = run_ctl(&["status", "--at", &all_addresses, "--json"]);
+    let output: Value = serde_json::from_str(&text).unwrap();
     assert_eq!(code, Some(1), "{text}");
     assert!(
-        found["findings"][0]
+        output["findings"][0]
             .as_str()
             .unwrap()
-            .contains(&ctl[2].to_string()),
+            .contains(&addresses[2].to_string()),
         "{text}"
     );
-    assert_eq!(gauge(&["status", "--at", &ctl[2].to_string()]).0, Some(2));
-    assert_eq!(gauge(&["diff", "no-such-file", file]).0, Some(2));
-    assert_eq!(gauge(&["what"]).0, Some(2));
-    let (code, text) = gauge(&["--help"]);
+    assert_eq!(
+        run_ctl(&["status", "--at", &addresses[2].to_string()]).0,
+        Some(2)
+    );
+    assert_eq!(run_ctl(&["diff", "no-such-file", path]).0, Some(2));
+    assert_eq!(run_ctl(&["what"]).0, Some(2));
+    let (code, text) = run_ctl(&["--help"]);
     assert!(code == Some(0) && text.contains("before.json"), "{text}");
 }
