--- a/crates/ctl/src/configuration.rs
+++ b/crates/ctl/src/configuration.rs
@@ -1,5 +1,5 @@
-//! A configuration as it is written out: all items that stand, each with its version. Keys of tenants are secrets: they
-//! are shown as hashes with a salt, which stands beside the items.
+//! An exported configuration: all items in force, each with its version. The API keys of tenants are secrets: they are replaced
+//! by salted hashes, and the export contains the salt.
 
 use std::collections::BTreeMap;
 
@@ -8,28 +8,28 @@
 use serde_json::{Map, Value, json};
 use sha2::{Digest, Sha256};
 
-/// The key of secrets in a tenant.
+/// The key in a tenant's specification whose values are secrets.
 pub const SECRETS_KEY: &str = "apikeys";
-/// What a hash begins with.
+/// The prefix of a hash that replaces a secret.
 const HASH_PREFIX: &str = "hash:";
 
-/// A configuration: its items as they were read, by name, and how its secrets stand in it.
+/// A configuration: its items by name, and the salt of its hashed secrets.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Version and content of each item.
+    /// The version and the specification of each item.
     pub items: BTreeMap<String, (u64, Map<String, Value>)>,
-    /// The salt of the hashes that stand for its secrets; none where these are plain.
+    /// The salt of the hashes that replace the secrets; `None` if the secrets are in plain text.
     pub salt: Option<String>,
 }
 
-/// A salt that nobody has used.
+/// Generates a random salt.
 pub fn random_salt() -> String {
     use std::hash::{BuildHasher, Hasher, RandomState};
     let random_u64 = || RandomState::new().build_hasher().finish();
     format!("{:016x}{:016x}", random_u64(), random_u64())
 }
 
-/// The hash that stands for a secret.
+/// The salted hash that replaces a secret.
 pub fn hash_secret(salt: &str, secret: &str) -> String {
     let digest = Sha256::digest(format!("{salt}:{secret}").as_bytes());
     let digits: String = digest
@@ -41,21 +41,21 @@
 }
 
 impl Configuration {
-    /// Reads what a replica answers, or what was written out before.
+    /// Parses the response of a replica, or a configuration that was exported before.
     ///
     /// # Errors
-    /// It is none; the message names the item and the key.
+    /// The text is not a valid configuration; the error names the item and the key.
     pub fn parse(text: &[u8]) -> eyre::Result<Configuration> {
-        let value: Value = serde_json::from_slice(text).wrap_err("configuration: no JSON")?;
+        let value: Value = serde_json::from_slice(text).wrap_err("configuration: invalid JSON")?;
         let objects = value
             .get("objs")
             .ok_or_else(|| eyre!("configuration: objs: missing"))?;
         let salt = match value.get("salt") {
             None => None,
             Some(Value::String(salt)) => Some(salt.clone()),
-            Some(_) => return Err(eyre!("configuration: salt: no text")),
+            Some(_) => return Err(eyre!("configuration: salt: expected a string")),
         };
-        // Checked as a call of the operators would be.
+        // The items are validated in the same way as an operators' call.
         let call = json!({"upsert": {"objs": objects}}).to_string();
         let parsed = items::parse_patch(call.as_bytes(), &Items::new());
         let parsed = parsed.map_err(|error| eyre!("configuration: {error}"))?;
@@ -69,7 +69,7 @@
         Ok(Configuration { items, salt })
     }
 
-    /// The same with hashes in place of secrets; as it is where it has such already.
+    /// Replaces the secrets by hashes with this salt. A configuration with hashed secrets is returned unchanged.
     pub fn with_hashed_secrets(mut self, salt: &str) -> Configuration {
         if self.salt.is_some() {
             return self;
@@ -86,7 +86,7 @@
         self
     }
 
-    /// As it is written out, an item a line, in the order of names.
+    /// Formats the configuration as JSON with one item per line, ordered by name.
     pub fn to_json_lines(&self) -> String {
         let item_json = |(name, (ver, spec)): (&String, &(u64, Map<String, Value>))| {
             let (kind, name) = name.split_once('/').unwrap_or((name, ""));
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -1,5 +1,5 @@
-//! How two configurations differ, by item and key. In what order items, keys, secrets, pins and parts of a split stand
-//! does not matter.
+//! The differences between two configurations by item and key. The order of items, keys, secrets, pins and the services of a
+//! split does not matter.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -9,58 +9,58 @@
 
 use crate::configuration::{Configuration, SECRETS_KEY, random_salt};
 
-/// A key whose value is another one.
+/// A key of an item whose value has changed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ChangedKey {
     /// The key.
     pub key: String,
-    /// Its value before; none where it was not there.
+    /// The old value; `None` if the key was added.
     pub old: Option<Value>,
-    /// Its value now.
+    /// The new value; `None` if the key was removed.
     pub new: Option<Value>,
 }
 
-/// An item that is in both and not the same.
+/// An item that differs between the configurations.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ChangedItem {
-    /// The item.
+    /// The name of the item.
     pub item: String,
-    /// Its versions.
+    /// The old and the new version.
     #[serde(rename = "ver")]
     pub versions: (u64, u64),
-    /// The keys that changed; none where only the version did.
+    /// The keys that have changed; empty if only the version has.
     pub keys: Vec<ChangedKey>,
-    /// Secrets are hashed with two salts: whether they are the same can't be told.
+    /// Whether the secrets can't be compared, as they are hashed with different salts.
     #[serde(rename = "unsure")]
     pub has_incomparable_secrets: bool,
 }
 
-/// An item that is in one of them.
+/// An item that only one of the configurations contains.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct UnmatchedItem {
-    /// The item.
+    /// The name of the item.
     pub item: String,
-    /// Its version.
+    /// The version of the item.
     #[serde(rename = "ver")]
     pub version: u64,
 }
 
-/// How two configurations differ.
+/// The differences between two configurations.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Diff {
-    /// Items that are new.
+    /// The items that only the new configuration contains.
     pub added: Vec<UnmatchedItem>,
-    /// Items that are there no more.
+    /// The items that only the old configuration contains.
     #[serde(rename = "dropped")]
     pub removed: Vec<UnmatchedItem>,
-    /// Items that are in both and not the same.
+    /// The items that differ.
     pub changed: Vec<ChangedItem>,
-    /// Items that are the same.
+    /// The number of items that are equal in both.
     #[serde(rename = "same")]
     pub unchanged_count: usize,
 }
 
-/// What a key holds, without an order where none is meant.
+/// The value of a key, sorted if it is a list whose order has no meaning.
 fn normalized(key: &str, value: &Value) -> Value {
     let mut value = value.clone();
     if let (SECRETS_KEY | "pins" | "split", Some(elements)) = (key, value.as_array_mut()) {
@@ -87,7 +87,7 @@
         .collect()
 }
 
-/// Compares two configurations. Secrets are hashed before anything else is done with them.
+/// Compares two configurations. Secrets are hashed before the comparison, so that the result never contains them.
 pub fn diff(old: Configuration, new: Configuration) -> Diff {
     let salt = old
         .salt
@@ -140,7 +140,7 @@
 }
 
 impl Diff {
-    /// They are the same.
+    /// Whether the configurations are equal.
     pub fn is_empty(&self) -> bool {
         self.added.is_empty() && self.removed.is_empty() && self.changed.is_empty()
     }
--- a/crates/ctl/src/diff/tests.rs
+++ b/crates/ctl/src/diff/tests.rs
@@ -4,6 +4,7 @@
 const OLD: &str = r#"{"objs":[
         {"type":"tenants","meta":{"name":"t","ver":3},"spec":{"apikeys":["a","b"],"per_s":5}},
         {"type":"svcs","meta":{"name":"s","ver":1},"spec":{"hcheck":"/h","maxconn":9}}]}"#;
+/// The content of [`OLD`] in another order.
 const REORDERED: &str = r#"{"objs":[
         {"type":"svcs","meta":{"name":"s","ver":1},"spec":{"maxconn":9,"hcheck":"/h"}},
         {"type":"tenants","meta":{"name":"t","ver":3},"spec":{"per_s":5,"apikeys":["b","a"]}}]}"#;
@@ -12,12 +13,12 @@
     Configuration::parse(text.as_bytes()).unwrap()
 }
 
-#[test_case("", "", "0 added, 0 dropped, 0 changed, 2 the same\n"; "another order")]
-#[test_case(r#""ver":1"#, r#""ver":4"#, "~ svcs/s version 1 to 4\n0 added, 0 dropped, 1 changed, 1 the same\n"; "a version alone")]
-#[test_case(r#""ver":3"#, r#""ver":2"#, "~ tenants/t version 3 back to 2\n0 added, 0 dropped, 1 changed, 1 the same\n"; "a version that went back")]
-#[test_case(r#""ver":1},"spec":{"maxconn":9,"#, r#""ver":2},"spec":{"#, "~ svcs/s version 1 to 2\n    maxconn: 9 -> nothing\n0 added, 0 dropped, 1 changed, 1 the same\n"; "a key that went")]
-#[test_case(r#""per_s":5"#, r#""per_s":6"#, "~ tenants/t version 3 in both, with two contents\n    per_s: 5 -> 6\n0 added, 0 dropped, 1 changed, 1 the same\n"; "two contents of one version")]
-#[test_case(r#""name":"s""#, r#""name":"r""#, "+ svcs/r at version 1\n- svcs/s at version 1\n1 added, 1 dropped, 0 changed, 1 the same\n"; "another name")]
+#[test_case("", "", "0 added, 0 dropped, 0 changed, 2 the same\n"; "a different order")]
+#[test_case(r#""ver":1"#, r#""ver":4"#, "~ svcs/s version 1 to 4\n0 added, 0 dropped, 1 changed, 1 the same\n"; "only the version")]
+#[test_case(r#""ver":3"#, r#""ver":2"#, "~ tenants/t version 3 back to 2\n0 added, 0 dropped, 1 changed, 1 the same\n"; "a lower version")]
+#[test_case(r#""ver":1},"spec":{"maxconn":9,"#, r#""ver":2},"spec":{"#, "~ svcs/s version 1 to 2\n    maxconn: 9 -> nothing\n0 added, 0 dropped, 1 changed, 1 the same\n"; "a removed key")]
+#[test_case(r#""per_s":5"#, r#""per_s":6"#, "~ tenants/t version 3 in both, with two contents\n    per_s: 5 -> 6\n0 added, 0 dropped, 1 changed, 1 the same\n"; "different contents of one version")]
+#[test_case(r#""name":"s""#, r#""name":"r""#, "+ svcs/r at version 1\n- svcs/s at version 1\n1 added, 1 dropped, 0 changed, 1 the same\n"; "a different name")]
 fn differences_are_listed_by_item_and_key(from: &str, to: &str, expected: &str) {
     let new = if from.is_empty() {
         REORDERED.to_string()
--- a/crates/ctl/src/http.rs
+++ b/crates/ctl/src/http.rs
@@ -1,4 +1,4 @@
-//! One call of a replica, by an absolute deadline.
+//! An HTTP request to a replica with an absolute deadline.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,18 +6,19 @@
 
 use eyre::{WrapErr, ensure, eyre};
 
-/// Longest answer that is taken, in bytes.
+/// The maximum size of a response body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
-/// Longest head of an answer.
+/// The maximum size of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Gets a path; gives the body of an answer with the status 200.
+/// Requests a path with GET, and returns the body of the response.
 ///
 /// # Errors
-/// There is none in time, or another one; the message names the address and the step.
+/// The response is not complete by the deadline, is invalid, or has a status other than 200. The error names the address and the
+/// step that failed.
 pub fn get(address: SocketAddr, path: &str, deadline: Instant) -> eyre::Result<Vec<u8>> {
-    let (status, body) = request(address, path, deadline)
-        .wrap_err_with(|| format!("asking {address} for {path}"))?;
+    let (status, body) =
+        request(address, path, deadline).wrap_err_with(|| format!("GET {path} at {address}"))?;
     let excerpt = || {
         String::from_utf8_lossy(&body)
             .chars()
@@ -26,7 +27,7 @@
     };
     ensure!(
         status == 200,
-        "asking {address} for {path}: answered {status}: {}",
+        "GET {path} at {address}: status {status}: {}",
         excerpt()
     );
     Ok(body)
@@ -36,7 +37,7 @@
     let time_left = || {
         let time_left = deadline.saturating_duration_since(Instant::now());
         if time_left.is_zero() {
-            Err(eyre!("no answer in time"))
+            Err(eyre!("no complete response before the deadline"))
         } else {
             Ok(time_left)
         }
@@ -56,7 +57,11 @@
             .set_read_timeout(Some(time_left()?))
             .wrap_err("reading")?;
         match stream.read(&mut buffer) {
-            Ok(0) => return Err(eyre!("reading: it ended in the middle of an answer")),
+            Ok(0) => {
+                return Err(eyre!(
+                    "reading: connection closed before the response was complete"
+                ));
+            }
             Ok(length) => input.extend_from_slice(&buffer[..length]),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(error).wrap_err("reading"),
@@ -64,7 +69,7 @@
     }
 }
 
-/// Status and body, once both are there.
+/// Parses the status and the body; `None` if the response is not complete.
 fn parse_response(input: &[u8]) -> eyre::Result<Option<(u16, Vec<u8>)>> {
     let Some(end) = input
         .windows(4)
@@ -73,26 +78,26 @@
     else {
         ensure!(
             input.len() < MAX_HEAD_BYTES,
-            "reading: a head that does not end"
+            "reading: response head exceeds {MAX_HEAD_BYTES} bytes"
         );
         return Ok(None);
     };
-    let head = std::str::from_utf8(&input[..end]).wrap_err("reading: the head")?;
+    let head = std::str::from_utf8(&input[..end]).wrap_err("reading: response head")?;
     let mut lines = head.split("\r\n");
     let status = lines
         .next()
         .and_then(|line| line.split(' ').nth(1))
         .and_then(|word| word.parse().ok());
-    let status = status.ok_or_else(|| eyre!("reading: no status"))?;
+    let status = status.ok_or_else(|| eyre!("reading: response without a valid status line"))?;
     let length = lines.filter_map(|line| line.split_once(':'));
     let length = length.filter(|(name, _)| name.eq_ignore_ascii_case("content-length"));
     let length = length
         .filter_map(|(_, value)| value.trim().parse::<usize>().ok())
         .next();
-    let length = length.ok_or_else(|| eyre!("reading: an answer without its length"))?;
+    let length = length.ok_or_else(|| eyre!("reading: response without a valid Content-Length"))?;
     ensure!(
         length <= MAX_BODY_BYTES,
-        "reading: an answer of {length} bytes"
+        "reading: response body of {length} bytes exceeds {MAX_BODY_BYTES}"
     );
     let body = input.get(end + 4..end + 4 + length);
     Ok(body.map(|body| (status, body.to_vec())))
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' view. [`status`] is how the replicas see the system, [`configuration`] what is in force as it is written
-//! out, and [`diff`] how two of these differ; [`http`] asks the replicas.
+//! The library of the operators' command line. [`status`] collects and compares the status reports of the replicas,
+//! [`configuration`] is the exported configuration, and [`diff`] compares two of them; [`http`] queries a replica.
 
 pub mod configuration;
 pub mod diff;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The `streamarchctl` program: the command line around the library.
+//! The `streamarchctl` program: the operators' command line.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,17 +12,17 @@
 use eyre::{WrapErr, ensure, eyre};
 use serde::Serialize;
 
-/// An answer is given up after this.
+/// The timeout of a request to a replica.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How the system stands, and how configurations differ.
+/// Shows the status of the system, exports and compares configurations, and verifies stored data.
 #[derive(FromArgs)]
 #[argh(
     example = "{command_name} status --at 10.1.0.10:8688,10.2.0.10:8688",
     example = "{command_name} export --at 10.1.0.10:8688 > before.json",
     example = "{command_name} diff before.json 10.1.0.10:8688 --json",
     example = "{command_name} verify /var/lib/streamarch",
-    note = "Exit codes: 0 all is well or the same; 1 something was found; 2 it could not be done."
+    note = "Exit codes: 0 no findings or differences; 1 findings or differences; 2 the command failed."
 )]
 struct Arguments {
     #[argh(subcommand)]
@@ -38,8 +38,8 @@
     Verify(Verify),
 }
 
-/// Reads the files of a replica's folder while its program does not run, and says what stands there and what is harmed.
-/// Nothing is changed.
+/// Checks the stored data of a replica while its program is stopped, and reports its content and any corruption. Changes
+/// nothing.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -47,15 +47,15 @@
     example = "{command_name} /var/lib/streamarch"
 )]
 struct Verify {
-    /// the folder that `datadir` names, or a database file that was put aside
+    /// the data directory (setting `datadir`), or a database file that was moved aside
     #[argh(positional)]
     path: std::path::PathBuf,
-    /// as JSON
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// Replicas, incarnations, leases, duties, versions and what lags, as the replicas that are asked see it.
+/// Shows replicas, incarnations, leases, duties, versions and lag, as the queried replicas report them.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -63,15 +63,15 @@
     example = "{command_name} --at 10.1.0.10:8688,10.2.0.10:8688 --json"
 )]
 struct Status {
-    /// where operators call the replicas, with commas between
+    /// the addresses of the replicas for operators, separated by commas
     #[argh(option, long = "at")]
     addresses: String,
-    /// as JSON
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// Writes out the configuration that is in force, keys of tenants as hashes with a salt.
+/// Exports the configuration in force, with salted hashes in place of the tenants' API keys.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -79,16 +79,16 @@
     example = "{command_name} --at 10.1.0.10:8688 > before.json"
 )]
 struct Export {
-    /// where operators call a replica
+    /// the address of a replica for operators
     #[argh(option, long = "at")]
     address: String,
-    /// the salt of the hashes, so that two files can be compared (another one each time)
+    /// the salt of the hashes; exports with the same salt can be compared (default: random)
     #[argh(option)]
     salt: Option<String>,
-    /// keys of tenants as they are, to be sent again later
+    /// export API keys in plain text, so that the configuration can be restored
     #[argh(switch)]
     plain: bool,
-    /// a key a line, in place of an item a line; it is JSON either way
+    /// print indented JSON in place of JSON with one item per line
     #[argh(switch)]
     json: bool,
 }
@@ -101,13 +101,13 @@
     example = "{command_name} before.json 10.1.0.10:8688"
 )]
 struct Diff {
-    /// a file, or where operators call a replica
+    /// a file, or the address of a replica for operators
     #[argh(positional)]
     old: String,
-    /// the same
+    /// a file or an address, like the first one
     #[argh(positional)]
     new: String,
-    /// as JSON
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
@@ -116,17 +116,17 @@
     let parse_one = |word: &str| {
         word.trim()
             .parse()
-            .wrap_err_with(|| format!("--at: {word:?} is no address"))
+            .wrap_err_with(|| format!("--at: {word:?} is not an address"))
     };
     text.split(',').map(parse_one).collect()
 }
 
 fn fetch_configuration(address: SocketAddr) -> eyre::Result<Configuration> {
     let body = http::get(address, "/api/cfg/get", Instant::now() + REQUEST_TIMEOUT)?;
-    Configuration::parse(&body).wrap_err_with(|| format!("what {address} has"))
+    Configuration::parse(&body).wrap_err_with(|| format!("from {address}"))
 }
 
-/// A file goes before an address of the same name.
+/// Reads the configuration from a file, or fetches it from an address if no file has this name.
 fn load_configuration(source: &str) -> eyre::Result<Configuration> {
     if !Path::new(source).exists()
         && let Ok(address) = source.parse()
@@ -149,7 +149,7 @@
     Ok(())
 }
 
-/// Gives whether something was found.
+/// Runs the command, and returns whether it has found faults or differences.
 fn run(arguments: Arguments) -> eyre::Result<bool> {
     match arguments.command {
         Command::Status(Status { addresses, json }) => {
@@ -158,7 +158,7 @@
             });
             ensure!(
                 system.has_answer(),
-                "no replica answers: {}",
+                "no replica has answered: {}",
                 system.findings.join("; ")
             );
             print_value(json, &system)?;
@@ -172,7 +172,7 @@
         }) => {
             let address = *parse_addresses(&address)?
                 .first()
-                .ok_or_else(|| eyre!("--at: no address"))?;
+                .ok_or_else(|| eyre!("--at: an address is required"))?;
             let configuration = fetch_configuration(address)?;
             let configuration = if plain {
                 configuration
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,4 +1,4 @@
-//! How the replicas see the system: what each told, put side by side, and what is wrong in it.
+//! The status of the system: the reports of the replicas, their comparison, and the findings, which are the faults in them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,40 +11,41 @@
 
 use crate::http;
 
-/// A limiter that has held less than its replica for longer than this lags, in milliseconds: the operators' bound.
+/// A limiter that has lacked items of its replica for longer than this lags, in milliseconds. It is the bound of the operators
+/// for a change to be in force everywhere.
 const MAX_LAG_MS: i64 = 4_000;
 
-/// What was told at one address.
+/// The answer of one replica.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReplicaAnswer {
-    /// The address.
+    /// The address that was queried.
     #[serde(rename = "at")]
     pub address: SocketAddr,
-    /// What it told.
+    /// The status that the replica reported; `None` after an error.
     pub status: Option<Status>,
-    /// Why it told nothing.
+    /// The reason why there is no status.
     pub error: Option<String>,
 }
 
-/// The system as all that were asked see it.
+/// The status of the system, combined from the answers of the replicas.
 #[derive(Clone, Debug, Serialize)]
 pub struct SystemStatus {
-    /// What each told.
+    /// The answer of each replica that was queried.
     #[serde(rename = "told")]
     pub answers: Vec<ReplicaAnswer>,
-    /// The limiters: each as its own replica tells of it, where that was asked, else as another one does.
+    /// The limiters, each as reported by the replica that it is linked to if that one was queried, else by another one.
     pub limiters: Vec<LimiterStatus>,
-    /// What is wrong.
+    /// The faults that were found.
     pub findings: Vec<String>,
 }
 
-/// Asks replicas, one after the other, each by a deadline of its own.
+/// Queries replicas one after the other. `deadline` is called before each query and returns the deadline of that query.
 pub fn query_replicas(addresses: &[SocketAddr], deadline: impl Fn() -> Instant) -> SystemStatus {
     let query = |address: &SocketAddr| {
         let body = http::get(*address, "/api/status", deadline());
         let status = body.and_then(|body| {
             serde_json::from_slice::<Status>(&body)
-                .wrap_err_with(|| format!("reading what {address} tells"))
+                .wrap_err_with(|| format!("parsing the status of {address}"))
         });
         match status {
             Ok(status) => ReplicaAnswer {
@@ -62,12 +63,12 @@
     combine(addresses.iter().map(query).collect())
 }
 
-/// Puts side by side what was told.
+/// Combines the answers of the replicas and determines the findings.
 pub fn combine(answers: Vec<ReplicaAnswer>) -> SystemStatus {
     let mut limiters: BTreeMap<String, LimiterStatus> = BTreeMap::new();
     for status in answers.iter().filter_map(|answer| answer.status.as_ref()) {
         for limiter in &status.limiters {
-            // The replica that it is linked to knows most; without, who knows it to be linked.
+            // The replica that a limiter is linked to knows its items; next best is one that knows of the link.
             let rank = |status: &LimiterStatus| (status.items.is_some(), status.linked);
             let former = limiters.get(&limiter.node);
             if former.is_none_or(|former| rank(former) < rank(limiter)) {
@@ -93,17 +94,14 @@
         };
         let zone = &status.zone;
         let states = [
-            (
-                status.replaced,
-                "was replaced: another machine stands for its replica",
-            ),
+            (status.replaced, "was replaced by another machine"),
             (
                 !status.replaced && !status.takes_part,
                 "has not rebuilt its disk yet",
             ),
             (
                 status.takes_part && !status.in_touch,
-                "is out of touch with more than half of the replicas",
+                "is not in contact with a quorum of the replicas",
             ),
             (status.disk_full, "has a full disk"),
         ];
@@ -117,9 +115,12 @@
             continue;
         }
         let silent = status.replicas.iter().filter(|replica| !replica.heard);
-        findings.extend(
-            silent.map(|replica| format!("replica {zone} does not hear replica {}", replica.zone)),
-        );
+        findings.extend(silent.map(|replica| {
+            format!(
+                "replica {zone} receives nothing from replica {}",
+                replica.zone
+            )
+        }));
         let vacant = status.duties.iter().filter(|duty| duty.holder.is_none());
         findings.extend(
             vacant.map(|duty| format!("replica {zone} knows nobody with the duty {}", duty.duty)),
@@ -135,7 +136,7 @@
         let differing = statuses_with_quorum().filter(|status| status.digest != first.digest);
         findings.extend(differing.map(|status| {
             format!(
-                "replicas {} and {} know other items ({} and {})",
+                "replicas {} and {} have different items ({} and {})",
                 first.zone, status.zone, first.items, status.items
             )
         }));
@@ -144,7 +145,7 @@
         let node = &limiter.node;
         if !limiter.linked {
             findings.push(format!(
-                "limiter {node} is linked to no replica, its lease runs out"
+                "limiter {node} is not linked to a replica, its lease will expire"
             ));
         } else if limiter.standing != "ready" {
             findings.push(format!("limiter {node} is {}", limiter.standing));
@@ -157,7 +158,7 @@
 }
 
 impl SystemStatus {
-    /// Somebody told something.
+    /// Whether at least one replica has reported its status.
     pub fn has_answer(&self) -> bool {
         self.answers.iter().any(|answer| answer.status.is_some())
     }
--- a/crates/ctl/src/status/tests.rs
+++ b/crates/ctl/src/status/tests.rs
@@ -33,19 +33,19 @@
     }
 }
 
-#[test_case(|_| {}, &[]; "all is well")]
-#[test_case(|s| s[1].in_touch = false, &["replica b is out of touch with more than half of the replicas"]; "cut off")]
-#[test_case(|s| (s[1].takes_part, s[1].in_touch) = (false, false), &["replica b has not rebuilt its disk yet"]; "rebuilding")]
-#[test_case(|s| s[0].disk_full = true, &["replica a has a full disk"]; "full")]
-#[test_case(|s| s[0].replicas[1].heard = false, &["replica a does not hear replica b"]; "silent")]
-#[test_case(|s| s[1].duties[0].holder = None, &["replica b knows nobody with the duty poll"]; "vacant")]
-#[test_case(|s| s[1].digest = "8".into(), &["replicas a and b know other items (0 and 0)"]; "apart")]
-#[test_case(|s| s[0].limiters[0].behind = Some(9_000), &["limiter e has lagged for up to 9000 ms"]; "lagging")]
-#[test_case(|s| s[0].limiters[0].standing = "away".into(), &["limiter e is away"]; "away")]
+#[test_case(|_| {}, &[]; "no faults")]
+#[test_case(|s| s[1].in_touch = false, &["replica b is not in contact with a quorum of the replicas"]; "a replica without a quorum")]
+#[test_case(|s| (s[1].takes_part, s[1].in_touch) = (false, false), &["replica b has not rebuilt its disk yet"]; "a replica that rebuilds its disk")]
+#[test_case(|s| s[0].disk_full = true, &["replica a has a full disk"]; "a full disk")]
+#[test_case(|s| s[0].replicas[1].heard = false, &["replica a receives nothing from replica b"]; "a silent replica")]
+#[test_case(|s| s[1].duties[0].holder = None, &["replica b knows nobody with the duty poll"]; "a duty without a holder")]
+#[test_case(|s| s[1].digest = "8".into(), &["replicas a and b have different items (0 and 0)"]; "different items")]
+#[test_case(|s| s[0].limiters[0].behind = Some(9_000), &["limiter e has lagged for up to 9000 ms"]; "a limiter that lags")]
+#[test_case(|s| s[0].limiters[0].standing = "away".into(), &["limiter e is away"]; "a limiter that is away")]
 fn findings_describe_the_faults(change: impl Fn(&mut Vec<Status>), expected: &[&str]) {
     let mut replicas = vec![replica("a"), replica("b")];
     change(&mut replicas);
-    // In whatever order they were asked.
+    // The findings must not depend on the order of the answers.
     for is_reversed in [false, true] {
         let answer = |status: &Status| ReplicaAnswer {
             address: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -53,6 +53,7 @@
             error: None,
         };
         let mut answers: Vec<ReplicaAnswer> = replicas.iter().map(answer).collect();
+        // The order of the two replicas in this finding follows the answers.
         let items_differ = replicas[0].digest != replicas[1].digest;
         if is_reversed && !items_differ {
             answers.reverse();
--- a/crates/ctl/tests/golden.rs
+++ b/crates/ctl/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The JSON that `streamarchctl` prints keeps its keys: operators' scripts read it.
+//! The JSON that `streamarchctl` prints must keep its keys, as operators' scripts read it.
 
 use std::collections::BTreeMap;
 
--- a/crates/ctl/tests/system.rs
+++ b/crates/ctl/tests/system.rs
@@ -1,4 +1,4 @@
-//! The built program against a whole system on loopback.
+//! The built `streamarchctl` program against a complete system on loopback.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -19,6 +19,7 @@
     Instant::now() + Duration::from_secs(12)
 }
 
+/// Runs the program, and returns its exit code and its output.
 fn run_ctl(arguments: &[&str]) -> (Option<i32>, String) {
     let Output {
         status,
@@ -48,7 +49,7 @@
         .collect::<Vec<_>>()
         .join(",");
 
-    // Each limiter is at the replica of its zone, and holds all.
+    // Each limiter is linked to the replica of its zone and has all items.
     let is_settled = |status: &SystemStatus| {
         let is_current = |limiter: &control::core::status::LimiterStatus| {
             limiter.behind == Some(0) && limiter.replica == limiter.zone
@@ -97,7 +98,8 @@
     );
     assert_eq!(output["dropped"][0]["item"], "routes/writes");
 
-    // A replica that is gone is a finding; a call that nobody answers, or words that make no sense, are none.
+    // A replica that does not answer is a finding (exit code 1). If none answers, or the arguments are invalid, the command
+    // fails (exit code 2).
     system.machines.kill(Role::Control, 2);
     let (code, text) = run_ctl(&["status", "--at", &all_addresses, "--json"]);
     let output: Value = serde_json::from_str(&text).unwrap();
