--- a/crates/agent/src/host/control_link.rs
+++ b/crates/agent/src/host/control_link.rs
@@ -1,9 +1,9 @@
 //! The link to a control program, and the search for one.
 //!
-//! A connection is a *candidate* until its control program has sent a cluster view; then it becomes the link. Candidates overlap:
-//! the next one is opened while the former ones still wait for an answer, as the network link of the machine may be so congested
-//! that each answer takes seconds. A link that is silent, or whose control program has lost the quorum, is kept until another
-//! one replaces it.
+//! A connection is a *candidate* until its control program has sent a cluster view; then it becomes the link. Candidates
+//! overlap: the next one is opened while the former ones still wait for an answer, as the network link of the machine may be so
+//! congested that each answer takes seconds. A link that is silent, or whose control program has lost the quorum, is kept until
+//! another one replaces it.
 
 use std::collections::VecDeque;
 
@@ -105,8 +105,8 @@
         self.register_candidates(now);
     }
 
-    /// Registers the edge on an established candidate, unless it was registered on another one less than [`ANSWER_TIMEOUT`] ago.
-    /// A candidate to the replica of the agent's own zone does not wait for others.
+    /// Registers the edge on an established candidate, unless it was registered on another one less than [`ANSWER_TIMEOUT`]
+    /// ago. A candidate to the replica of the agent's own zone does not wait for others.
     pub(super) fn register_candidates(&mut self, now: i64) {
         if self.node.is_none() {
             return;
@@ -217,8 +217,8 @@
         self.request_link_clock(now, id);
     }
 
-    /// Handles a cluster view: the first one on a candidate makes it the link, or closes it if its control program has no quorum
-    /// and there is a link already.
+    /// Handles a cluster view: the first one on a candidate makes it the link, or closes it if its control program has no
+    /// quorum and there is a link already.
     pub(super) fn handle_cluster_view(&mut self, now: i64, from: ConnectionId, view: ClusterView) {
         if self.is_candidate(from) && (view.has_quorum || self.link.is_none()) {
             self.promote(now, from);
@@ -352,8 +352,8 @@
                     if attempt.is_last_of_round {
                         self.reload_settings();
                     }
-                    // A second connection to the linked replica can help if the link is silent, but not if the replica has lost the
-                    // quorum.
+                    // A second connection to the linked replica can help if the link is silent, but not if the replica has lost
+                    // the quorum.
                     let link = self.link.as_ref().filter(|link| !self.is_silent(now, link));
                     let is_already_linked =
                         link.is_some_and(|link| link.address == attempt.address);
@@ -371,8 +371,8 @@
         self.schedule_search(next_at);
     }
 
-    /// Whether an established candidate may still answer soon. Before a proxy has connected, an established candidate is enough,
-    /// as the edge can't be registered on any.
+    /// Whether an established candidate may still answer soon. Before a proxy has connected, an established candidate is
+    /// enough, as the edge can't be registered on any.
     fn is_awaiting_answer(&self, now: i64) -> bool {
         let mut established = self
             .candidates
--- a/crates/agent/src/host/mod.rs
+++ b/crates/agent/src/host/mod.rs
@@ -43,8 +43,8 @@
 const GRACE_MARGIN: i64 = 200 * MS;
 /// The end of an outage of the control link that was longer than this is written to the log immediately.
 const MIN_REPORTED_OUTAGE: i64 = 1_000 * MS;
-/// The maximum number of batches that wait for the counter. Beyond it the oldest one is forgotten, which the proxy has given up
-/// by then.
+/// The maximum number of batches that wait for the counter. Beyond it the oldest one is discarded; by then the proxy no longer
+/// waits for its answer.
 const MAX_PENDING_BATCHES: usize = 2_000;
 
 /// The link to the replica that keeps the shared counter.
@@ -125,8 +125,8 @@
 }
 
 impl Host {
-    /// Creates an agent that listens for its proxy. The file at `settings_path` is read again whenever no control program can be
-    /// reached.
+    /// Creates an agent that listens for its proxy. The file at `settings_path` is read again whenever no control program can
+    /// be reached.
     ///
     /// # Errors
     /// The event loop can't be created, or the address can't be bound.
--- a/crates/agent/src/replica_selection.rs
+++ b/crates/agent/src/replica_selection.rs
@@ -9,8 +9,8 @@
 
 /// A link on which nothing was received for this long counts as silent, and the agent looks for another one, in microseconds.
 pub const LINK_IDLE_TIMEOUT: i64 = 1_200_000;
-/// The agent looks for another replica after its replica has had no contact with a quorum for this long, in microseconds. Not
-/// at once, as all replicas may lose the quorum for a moment.
+/// The agent looks for another replica after its replica has had no contact with a quorum for this long, in microseconds. It
+/// does not do so immediately, as all replicas may lose the quorum for a moment.
 pub const LINK_QUORUM_LOSS_TIMEOUT: i64 = 700_000;
 /// A link to the counter on which nothing was received for this long is closed, in microseconds. The agent requests the
 /// limiters' clock on it at intervals, so a working one is never silent; a replica that has closed it may not be able to
@@ -49,7 +49,7 @@
 }
 
 impl ReplicaSelection {
-    /// Creates a selection that knows no replicas yet. Agents with different values of `rotation` try the replicas of a group in
+    /// Creates a selection without replicas. Agents with different values of `rotation` try the replicas of a group in
     /// different orders.
     pub fn new(
         zone: &str,
--- a/crates/ctl/src/http.rs
+++ b/crates/ctl/src/http.rs
@@ -14,8 +14,8 @@
 /// Requests a path with GET, and returns the body of the response.
 ///
 /// # Errors
-/// The response is not complete by the deadline, is invalid, or has a status other than 200. The error names the address and the
-/// step that failed.
+/// The response is not complete by the deadline, is invalid, or has a status other than 200. The error names the address and
+/// the step that failed.
 pub fn get(address: SocketAddr, path: &str, deadline: Instant) -> eyre::Result<Vec<u8>> {
     let (status, body) =
         request(address, path, deadline).wrap_err_with(|| format!("GET {path} at {address}"))?;
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -71,7 +71,7 @@
     /// link to the counter, after `Hello` on a link to a control program, and at intervals. Answered by
     /// [`ControlMessage::Clock`].
     Clock(i64),
-    /// Additions to the shared counter, in order; answered by [`ControlMessage::Totals`] or
+    /// Additions to the shared counter, in order; answered by [`ControlMessage::CounterTotals`] or
     /// [`ControlMessage::NotCounted`] of the same batch.
     CounterBatch {
         /// The number of the batch, unique on this link.
--- a/crates/protocol/src/metrics.rs
+++ b/crates/protocol/src/metrics.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Handles an event that [`MetricsEndpoint::owns`]; `report` collects the metrics for a response.
+    /// Handles an event of this endpoint (see [`MetricsEndpoint::owns`]); `report` collects the metrics for a response.
     pub fn handle_event(
         &mut self,
         connections: &mut Connections,
@@ -120,8 +120,8 @@
                 self.close(connections, id);
             }
             IoEvent::Received(id) => self.read_request(connections, id, report),
-            // Only the sending direction is closed, and the client closes the connection: closing it here while the client still
-            // sends would reset it, and the client might lose the response.
+            // Only the sending direction is closed, and the client closes the connection: closing it here while the client
+            // still sends would reset it, and the client might lose the response.
             IoEvent::Flushed(id) => connections.shutdown_write(id),
             IoEvent::Connected(_) | IoEvent::Signal(_) => {}
         }
--- a/crates/protocol/src/program.rs
+++ b/crates/protocol/src/program.rs
@@ -30,8 +30,8 @@
     pub log_ring: LogRing,
 }
 
-/// Reads arguments and settings, validates the settings, also with the program's own `check`, and runs the program. The buffered
-/// log is written to standard error before the error that ended the program, and before the message of a panic.
+/// Reads arguments and settings, validates the settings, also with the program's own `check`, and runs the program. The
+/// buffered log is written to standard error before the error that ended the program, and before the message of a panic.
 pub fn run(
     name: &'static str,
     check: impl FnOnce(&Settings) -> eyre::Result<()>,
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -224,8 +224,8 @@
         SocketAddr::new(ip.into(), self.port_range.0)
     }
 
-    /// The loopback address on which the agent of this machine listens for its proxy. If the address of the machine is a loopback
-    /// address, as with several machines on one host, it is used itself.
+    /// The loopback address on which the agent of this machine listens for its proxy. If the address of the machine is a
+    /// loopback address, as with several machines on one host, that one is used.
     pub fn agent_address(&self) -> SocketAddr {
         let ip = if self.ip.is_loopback() {
             self.ip
