--- a/crates/agent/src/host/mod.rs
+++ b/crates/agent/src/host/mod.rs
@@ -137,7 +137,7 @@
         log_ring: &LogRing,
     ) -> eyre::Result<Host> {
         let signals = [SIGTERM, SIGHUP];
-        let mut connections = Connections::new(&signals).wrap_err("creating the event loop")?;
+        let mut connections = Connections::new(&signals).wrap_err("opening the event loop")?;
         let address = settings.agent_address();
         let listener = connections.listen(address);
         listener.wrap_err_with(|| format!("listening for the proxy on {address}"))?;
@@ -187,7 +187,7 @@
             .metrics_endpoint
             .listen(&mut self.connections, ip, AGENT_METRICS_PORT);
         if let Err(error) = listener {
-            warn!(self.log, "metrics endpoint unavailable"; "error" => error.to_string());
+            warn!(self.log, "cannot serve metrics"; "error" => error.to_string());
         }
     }
 
@@ -231,7 +231,7 @@
         let result = self
             .connections
             .wait(Some(deadline), || clock.now(), events);
-        result.wrap_err("polling the connections")?;
+        result.wrap_err("waiting for events")?;
         let now = self.clock.now();
         for event in events.drain(..) {
             self.handle_event(now, event);
--- a/crates/protocol/src/items/tests.rs
+++ b/crates/protocol/src/items/tests.rs
@@ -36,7 +36,7 @@
 #[test_case(r#""ver":9}]}}"#, r#""ver":9}"#, "call"; "a truncated call")]
 #[test_case(r#""meta":{"name":"b","ver":7}"#, r#""meta":{"name":"a","ver":7}"#, "twice"; "one name twice with one version")]
 #[test_case(r#""type":"limits""#, r#""type":"rules""#, "type"; "an unknown kind")]
-fn error_of_an_invalid_call_names_the_key(from: &str, to: &str, key: &str) {
+fn invalid_call_is_rejected_by_its_key(from: &str, to: &str, key: &str) {
     assert!(CALL.contains(from));
     let error = parse_patch(CALL.replacen(from, to, 1).as_bytes(), &Items::new()).unwrap_err();
     assert!(error.0.contains(key), "{error}");
