--- a/crates/agent/src/config_cache.rs
+++ b/crates/agent/src/config_cache.rs
@@ -1,4 +1,4 @@
-//! The configuration that an agent was sent, kept for its proxy, also for one that starts later. Without I/O.
+//! The configuration that an agent has received, cached for its proxy, which may connect later or again. Without I/O.
 
 use overload::admission_controller::AdmissionLevel;
 use protocol::digests::Digests;
@@ -7,7 +7,7 @@
 use protocol::metrics::MetricsText;
 use protocol::platform::Server;
 
-/// A list of servers, and when it was received, in microseconds.
+/// A list of servers, with its version and the time in microseconds at which it was received.
 #[derive(Clone, Debug)]
 struct CachedServerList {
     version: (u64, u64),
@@ -15,73 +15,76 @@
     received_at: i64,
 }
 
-/// A limiter that has heard no replica for this long is isolated, in microseconds: its lease has expired, and the others leave
-/// no share of the quotas for it any more, at the latest once replicas have started that never knew it.
+/// A limiter that has received nothing from a replica for this long is isolated, in microseconds: its lease has expired, and
+/// the other limiters no longer leave it a share of the quotas, at the latest after a restart of replicas that do not know it.
 pub const ISOLATION_TIMEOUT: i64 = 3_000_000;
-/// A limiter that has heard no replica in contact with a quorum for this long is isolated too, in microseconds: such replicas
-/// leave a share for it that long.
+/// A limiter that has received nothing from a replica with a quorum for this long is isolated too, in microseconds: replicas
+/// without a quorum count it as a limiter, and so reserve its share, for that long.
 pub const QUORUM_LOSS_TIMEOUT: i64 = 8_000_000;
 
-/// The configuration that was received.
+/// The cache of the configuration and of the state of the cluster.
 #[derive(Debug, Default)]
 pub struct ConfigCache {
     items: Items,
     /// Digests of the items, by bucket.
     digests: Digests,
     server_list: Option<CachedServerList>,
-    view: Option<ClusterView>,
-    /// When a replica was last heard, and when one in contact with a quorum was.
-    last_heard: i64,
-    quorum_seen_at: i64,
-    /// The replica that was heard last is in contact with a quorum.
+    cluster_view: Option<ClusterView>,
+    /// When a message was last received.
+    last_received_at: i64,
+    /// When a message of a replica with a quorum was last received.
+    last_quorum_at: i64,
+    /// Whether the current replica is in contact with a quorum.
     has_quorum: bool,
-    /// The others do not count on this limiter any more, and its proxy was told so.
-    isolated: bool,
-    complete: bool,
-    /// Everything that was in force at this time is known here.
+    /// Whether this limiter is isolated, and the proxy was notified of it.
+    is_isolated: bool,
+    /// Whether the initial transfer has been completed once.
+    is_complete: bool,
+    /// The cache contains everything that was in force at this time.
     confirmed_at: Option<i64>,
-    /// The limiters' clock, and when it was received.
-    time: Option<(i64, i64)>,
+    /// The limiters' clock when it was received, and the time of the receipt on the local clock.
+    limiter_clock: Option<(i64, i64)>,
     /// The admission levels of services, and when they were determined.
     levels: Option<(Vec<AdmissionLevel>, i64)>,
 }
 
 impl ConfigCache {
-    /// Takes in a message; gives what of it is new to the proxy.
+    /// Applies a message. Returns the part of it that is new to the proxy, as a message to forward.
     pub fn apply(&mut self, now: i64, message: ControlMessage) -> Option<ControlMessage> {
-        // The cluster view is sent only when it changes; every other message is a sign of life as well.
-        self.last_heard = now;
-        self.quorum_seen_at = if self.has_quorum {
+        // Every message proves that the replica is alive: the cluster view itself is sent only when it changes.
+        self.last_received_at = now;
+        self.last_quorum_at = if self.has_quorum {
             now
         } else {
-            self.quorum_seen_at
+            self.last_quorum_at
         };
         match message {
             ControlMessage::ClusterView(view) => {
                 self.has_quorum = view.has_quorum;
                 if view.has_quorum {
-                    (self.quorum_seen_at, self.isolated) = (now, false);
+                    (self.last_quorum_at, self.is_isolated) = (now, false);
                 }
-                // For the proxy this says whether this limiter is isolated.
+                // Towards the proxy, `has_quorum` means that this limiter is not isolated.
                 let view = ClusterView {
-                    has_quorum: !self.isolated,
+                    has_quorum: !self.is_isolated,
                     ..view
                 };
-                let content = |view: &ClusterView| (view.limiters, view.counter, view.has_quorum);
-                let same = self
-                    .view
+                let content =
+                    |view: &ClusterView| (view.limiter_count, view.counter, view.has_quorum);
+                let is_unchanged = self
+                    .cluster_view
                     .as_ref()
-                    .is_some_and(|known| content(known) == content(&view));
-                self.view = Some(view.clone());
-                (!same).then_some(ControlMessage::ClusterView(view))
+                    .is_some_and(|cached| content(cached) == content(&view));
+                self.cluster_view = Some(view.clone());
+                (!is_unchanged).then_some(ControlMessage::ClusterView(view))
             }
             ControlMessage::Items(items) => {
-                let newer = |item: &Item| {
+                let is_newer = |item: &Item| {
                     self.items
                         .get(&item.name)
-                        .is_none_or(|known| known.ver < item.ver)
+                        .is_none_or(|cached| cached.ver < item.ver)
                 };
-                let new: Vec<Item> = items.into_iter().filter(newer).collect();
+                let new: Vec<Item> = items.into_iter().filter(is_newer).collect();
                 for item in &new {
                     self.digests.toggle(&item.name, Digests::item_digest(item));
                     if let Some(old) = self.items.insert(item.name.clone(), item.clone()) {
@@ -94,7 +97,7 @@
                 if self
                     .server_list
                     .as_ref()
-                    .is_some_and(|known| known.version >= version)
+                    .is_some_and(|cached| cached.version >= version)
                 {
                     return None;
                 }
@@ -106,117 +109,122 @@
                 Some(ControlMessage::Servers { version, servers })
             }
             ControlMessage::Complete => {
-                let first = !std::mem::replace(&mut self.complete, true);
-                first.then_some(ControlMessage::Complete)
+                let is_first = !std::mem::replace(&mut self.is_complete, true);
+                is_first.then_some(ControlMessage::Complete)
             }
             ControlMessage::Clock(time) => {
-                // The clock that is ahead leads.
-                let newer = self.time(now).is_none_or(|known| known < time);
-                self.time = if newer { Some((time, now)) } else { self.time };
-                newer.then_some(ControlMessage::Clock(time))
+                // The clock that is furthest ahead wins.
+                let is_ahead = self.limiter_clock(now).is_none_or(|cached| cached < time);
+                self.limiter_clock = if is_ahead {
+                    Some((time, now))
+                } else {
+                    self.limiter_clock
+                };
+                is_ahead.then_some(ControlMessage::Clock(time))
             }
-            ControlMessage::Levels { age, levels } => {
-                self.levels = Some((levels.clone(), now - age));
-                Some(ControlMessage::Levels { age, levels })
+            ControlMessage::AdmissionLevels { age_us, levels } => {
+                self.levels = Some((levels.clone(), now - age_us));
+                Some(ControlMessage::AdmissionLevels { age_us, levels })
             }
-            ControlMessage::Totals { .. }
+            ControlMessage::CounterTotals { .. }
             | ControlMessage::NotCounted(_)
             | ControlMessage::Confirmed { .. } => None,
         }
     }
 
-    /// Everything that was in force at this time is known here.
-    pub fn confirm(&mut self, at: i64) {
-        self.confirmed_at = self.confirmed_at.max(Some(at));
+    /// Records that the cache contains everything that was in force at this time.
+    pub fn confirm_current_at(&mut self, confirmed_at: i64) {
+        self.confirmed_at = self.confirmed_at.max(Some(confirmed_at));
     }
 
-    /// The message that tells the proxy how old its configuration may be; none before it is known.
+    /// The message that informs the proxy of the maximum age of its configuration; `None` while it is unknown.
     pub fn confirmation(&self, now: i64) -> Option<ControlMessage> {
-        let age = now - self.confirmed_at?;
-        Some(ControlMessage::Confirmed { age })
+        let age_us = now - self.confirmed_at?;
+        Some(ControlMessage::Confirmed { age_us })
     }
 
-    /// The items, each in the newest version that was received.
+    /// The items, each in the highest version that was received.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.items.values()
     }
 
-    /// Checks whether this limiter is isolated by now; if so, gives the message for its proxy, once.
+    /// Checks whether this limiter has become isolated. If so, returns the message that notifies the proxy, once.
     pub fn check_isolation(&mut self, now: i64) -> Option<ControlMessage> {
-        let view = self.view.as_mut()?;
-        if self.isolated
-            || (now - self.last_heard < ISOLATION_TIMEOUT
-                && now - self.quorum_seen_at < QUORUM_LOSS_TIMEOUT)
+        let view = self.cluster_view.as_mut()?;
+        if self.is_isolated
+            || (now - self.last_received_at < ISOLATION_TIMEOUT
+                && now - self.last_quorum_at < QUORUM_LOSS_TIMEOUT)
         {
             return None;
         }
-        self.isolated = true;
+        self.is_isolated = true;
         (view.has_quorum, view.counter) = (false, None);
         Some(ControlMessage::ClusterView(view.clone()))
     }
 
-    /// Digests of the items, by which a control program sends only what is missing; none without any items.
+    /// Digests of the items, from which a control program determines the missing ones; `None` if there are no items.
     pub fn known_digests(&self) -> Option<Vec<u64>> {
         (!self.items.is_empty()).then(|| self.digests.buckets().to_vec())
     }
 
-    /// The summary of the items that the control program is sent.
+    /// The summary of the items for the control program.
     pub fn config_state(&self) -> AgentMessage {
         AgentMessage::ConfigState {
-            items: self.items.len() as u32,
+            item_count: self.items.len() as u32,
             digest: self.digests.combined(),
         }
     }
 
-    /// Adds figures to a report.
-    pub fn report(&self, text: &mut MetricsText) {
-        text.gauge(
+    /// Adds the metrics of the cache to a report.
+    pub fn add_metrics(&self, text: &mut MetricsText) {
+        text.add_gauge(
             "agent_config_items",
             "items that the agent has, removed ones included",
             self.items.len(),
         );
-        text.gauge(
+        text.add_gauge(
             "agent_config_digest",
             "digest of their names and versions: equal where they are",
             self.digests.combined(),
         );
     }
 
-    /// The cluster view that was received last.
+    /// The cluster view, without the counter while this limiter is isolated.
     pub fn cluster_view(&self) -> Option<&ClusterView> {
-        self.view.as_ref()
+        self.cluster_view.as_ref()
     }
 
-    /// The limiters' clock.
-    pub fn time(&self, now: i64) -> Option<i64> {
-        self.time.map(|(time, at)| time + (now - at))
+    /// The limiters' clock in microseconds; `None` before it was received.
+    pub fn limiter_clock(&self, now: i64) -> Option<i64> {
+        self.limiter_clock
+            .map(|(time, received_at)| time + (now - received_at))
     }
 
-    /// Everything that was received, for a proxy that has just connected.
+    /// The messages that bring a newly connected proxy up to date.
     pub fn snapshot(&self, now: i64) -> Vec<ControlMessage> {
-        let view = self.view.clone().map(ControlMessage::ClusterView);
+        let view = self.cluster_view.clone().map(ControlMessage::ClusterView);
         let items = ControlMessage::Items(self.items.values().cloned().collect());
         let list = self.server_list.as_ref().map(|list| {
-            // What was left of the warm-ups when the list was received, less the time since.
-            let current = |server: &Server| Server {
-                warm_up_left: (server.warm_up_left - (now - list.received_at)).max(0),
+            // The remaining warm-up times at the receipt of the list, less the time since.
+            let with_remaining_warm_up = |server: &Server| Server {
+                warm_up_left_us: (server.warm_up_left_us - (now - list.received_at)).max(0),
                 ..server.clone()
             };
             ControlMessage::Servers {
                 version: list.version,
-                servers: list.servers.iter().map(current).collect(),
+                servers: list.servers.iter().map(with_remaining_warm_up).collect(),
             }
         });
-        let complete = self.complete.then_some(ControlMessage::Complete);
-        let levels = self
-            .levels
-            .iter()
-            .map(|(levels, at)| ControlMessage::Levels {
-                age: now - at,
-                levels: levels.clone(),
-            });
+        let complete = self.is_complete.then_some(ControlMessage::Complete);
+        let levels =
+            self.levels
+                .iter()
+                .map(|(levels, determined_at)| ControlMessage::AdmissionLevels {
+                    age_us: now - determined_at,
+                    levels: levels.clone(),
+                });
         view.into_iter()
-            .chain(self.time(now).map(ControlMessage::Clock))
+            .chain(self.limiter_clock(now).map(ControlMessage::Clock))
             .chain([items])
             .chain(list)
             .chain(levels)
--- a/crates/agent/src/link_metrics.rs
+++ b/crates/agent/src/link_metrics.rs
@@ -1,82 +1,84 @@
-//! What operators are told about an agent's link to the control programs.
+//! Metrics about an agent's link to the control programs.
 
 use protocol::metrics::MetricsText;
 
-/// Counts since the start, and since when the agent has had no link. Times are in microseconds.
+/// Counts since the start of the process, and the start of the current outage, if any. Times are in microseconds.
 #[derive(Debug, Default)]
 pub struct LinkMetrics {
-    /// Connections to control programs that were begun.
+    /// Attempts to connect to a control program.
     pub attempts: u64,
-    /// Those that were given up because they were not established in time.
+    /// Attempts that did not become the link in time.
     pub attempts_timed_out: u64,
-    /// Those that were refused or reset.
+    /// Attempts that were refused or reset.
     pub attempts_failed: u64,
-    /// Established links that were lost or given up.
+    /// Links that were lost, or that were silent for too long.
     pub links_lost: u64,
-    /// Attempts and time-outs when the last link was lost.
-    at_loss: (u64, u64),
-    /// Since when there is no link on which a control program has told its view.
-    without_link_since: Option<i64>,
+    /// The values of `attempts` and `attempts_timed_out` when the last link was lost.
+    counts_at_loss: (u64, u64),
+    /// When the current outage began; `None` while there is a link on which a control program has sent its cluster view.
+    outage_started_at: Option<i64>,
 }
 
-/// A time without a link that is over.
+/// A completed period without a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkOutage {
-    /// Its length.
+    /// The duration in microseconds.
     pub duration: i64,
-    /// Connections that were begun in it.
+    /// The attempts to connect during the outage.
     pub attempts: u64,
-    /// Those of them that were given up because they were not established in time.
-    pub timed_out: u64,
+    /// The attempts during the outage that did not become the link in time.
+    pub attempts_timed_out: u64,
 }
 
 impl LinkMetrics {
-    /// There is no link from now on.
+    /// Records that the link was lost, which begins an outage unless one has begun already.
     pub fn record_loss(&mut self, now: i64) {
-        if self.without_link_since.is_none() {
+        if self.outage_started_at.is_none() {
             self.links_lost += 1;
-            self.at_loss = (self.attempts, self.attempts_timed_out);
-            self.without_link_since = Some(now);
+            self.counts_at_loss = (self.attempts, self.attempts_timed_out);
+            self.outage_started_at = Some(now);
         }
     }
 
-    /// A control program has told its view on a link; gives the outage that this ends.
+    /// Records that a control program has sent its cluster view on the link. Returns the outage that this ends, if any.
     pub fn record_link(&mut self, now: i64) -> Option<LinkOutage> {
-        let since = self.without_link_since.take()?;
+        let started_at = self.outage_started_at.take()?;
         Some(LinkOutage {
-            duration: now - since,
-            attempts: self.attempts - self.at_loss.0,
-            timed_out: self.attempts_timed_out - self.at_loss.1,
+            duration: now - started_at,
+            attempts: self.attempts - self.counts_at_loss.0,
+            attempts_timed_out: self.attempts_timed_out - self.counts_at_loss.1,
         })
     }
 
-    /// Adds the figures to a report.
-    pub fn report(&self, now: i64, text: &mut MetricsText) {
-        text.counter(
+    /// Adds these metrics to a report.
+    pub fn add_metrics(&self, now: i64, text: &mut MetricsText) {
+        text.add_counter(
             "agent_link_attempts_total",
             "connections to control programs that were begun",
             self.attempts,
         );
-        text.counter(
+        text.add_counter(
             "agent_link_attempts_timed_out_total",
             "of these, not established in time",
             self.attempts_timed_out,
         );
-        text.counter(
+        text.add_counter(
             "agent_link_attempts_failed_total",
             "of these, refused or reset",
             self.attempts_failed,
         );
-        text.counter(
+        text.add_counter(
             "agent_links_lost_total",
             "links that were lost or given up",
             self.links_lost,
         );
-        let outage = self.without_link_since.map_or(0, |since| now - since);
-        text.gauge(
+        let outage_us = self
+            .outage_started_at
+            .map_or(0, |started_at| now - started_at);
+        text.add_gauge(
             "agent_without_link_seconds",
             "for how long there has been no link, 0 with one",
-            outage as f64 / 1e6,
+            outage_us as f64 / 1e6,
         );
     }
 }
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The agent beside a proxy.
+//! The agent program, which runs beside a proxy.
 
 use std::process::ExitCode;
 
@@ -12,10 +12,10 @@
         agent::host::check,
         |ProgramContext {
              settings,
-             file,
-             ring,
+             settings_path,
+             log_ring,
          }| {
-            let mut host = Host::open(settings, Some(file), Clock::steady(), &ring)?;
+            let mut host = Host::open(settings, Some(settings_path), Clock::steady(), &log_ring)?;
             host.serve_metrics();
             host.run()
         },
--- a/crates/agent/src/replica_selection.rs
+++ b/crates/agent/src/replica_selection.rs
@@ -1,129 +1,143 @@
 //! The selection of the control program that an agent links to. Without I/O.
 //!
-//! The replica of its own zone is tried first, then those of its region, then the others, in an order that differs from agent
-//! to agent, so that the agents of a zone that has lost its replica spread. An agent moves on when a link can't be established
-//! or is silent, and when the replica at its other end has lost contact with the quorum.
+//! The replica of the agent's own zone is tried first, then those of its region, then the others. The order within a group
+//! differs between agents, so that the agents of a zone that has lost its replica spread over the others. An agent tries the
+//! next replica when a link can't be established, when it is silent, and when its replica has lost contact with the quorum.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A link on which nothing is received is given up after this, in microseconds.
-pub const LINK_TIMEOUT: i64 = 1_200_000;
-/// A replica without contact to a quorum is left after this, in microseconds: all of them may be, for a moment.
-pub const QUORUM_LOSS_PATIENCE: i64 = 700_000;
-/// A link to the counter on which nothing is received is given up after this, in microseconds. The limiters' clock is
-/// requested on it all the time, and a replica that has closed it may not be able to say so.
-pub const COUNTER_LINK_TIMEOUT: i64 = 2_000_000;
-/// An agent that is linked elsewhere tries the replica of its own zone at this interval, in microseconds.
+/// A link on which nothing was received for this long counts as silent, and the agent looks for another one, in microseconds.
+pub const LINK_IDLE_TIMEOUT: i64 = 1_200_000;
+/// The agent looks for another replica after its replica has had no contact with a quorum for this long, in microseconds. It
+/// does not do so immediately, as all replicas may lose the quorum for a moment.
+pub const LINK_QUORUM_LOSS_TIMEOUT: i64 = 700_000;
+/// A link to the counter on which nothing was received for this long is closed, in microseconds. The agent requests the
+/// limiters' clock on it at intervals, so a working one is never silent; a replica that has closed it may not be able to
+/// notify the agent.
+pub const COUNTER_LINK_IDLE_TIMEOUT: i64 = 2_000_000;
+/// The interval at which an agent that is linked to another zone tries the replica of its own zone, in microseconds.
 pub const HOME_RETRY_INTERVAL: i64 = 8_000_000;
-/// The greatest number of reported replicas that are kept.
-const MAX_REPORTED_REPLICAS: usize = 256;
+/// The maximum number of unconfirmed replicas that are kept.
+const MAX_UNCONFIRMED_REPLICAS: usize = 256;
 
-/// A replica to try.
+/// An attempt to link to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Its address.
+    /// The address of the replica.
     pub address: SocketAddr,
-    /// All replicas have been tried with this one since the last success.
+    /// With this attempt, all known replicas have been tried since the last success.
     pub is_last_of_round: bool,
 }
 
-/// The replicas to call, and their order.
+/// The known replicas and the order in which they are tried.
 #[derive(Debug)]
 pub struct ReplicaSelection {
     zone: String,
     region: String,
-    zones: BTreeMap<String, String>,
-    /// Replicas by zone, as a replica with a quorum has told last.
-    replicas: BTreeMap<String, SocketAddr>,
-    /// Replicas that were reported by others without a quorum: these may have been replaced, as may those that they report.
-    reported: Vec<SocketAddr>,
-    /// Replicas of any zone, from the settings.
+    region_by_zone: BTreeMap<String, String>,
+    /// The replicas by zone, as a replica with a quorum last reported them.
+    replica_by_zone: BTreeMap<String, SocketAddr>,
+    /// Replicas that only replicas without a quorum have reported. Both may have been replaced meanwhile.
+    unconfirmed_replicas: Vec<SocketAddr>,
+    /// Replicas from the settings, of any zone.
     seeds: Vec<SocketAddr>,
-    attempts: usize,
-    shift: usize,
+    /// The position of the next attempt in the order, modulo the number of replicas.
+    next_index: usize,
+    /// The number of places by which this agent rotates the order of each group.
+    rotation: usize,
 }
 
 impl ReplicaSelection {
-    /// A selection that knows no replicas yet. `shift`: by which the order of this agent differs from that of its neighbours.
+    /// Creates a selection without replicas. Agents with different values of `rotation` try the replicas of a group in
+    /// different orders.
     pub fn new(
         zone: &str,
         region: &str,
-        zones: BTreeMap<String, String>,
-        shift: usize,
+        region_by_zone: BTreeMap<String, String>,
+        rotation: usize,
     ) -> ReplicaSelection {
         let (zone, region) = (zone.to_string(), region.to_string());
-        let (replicas, hearsay, seeds) = (BTreeMap::new(), Vec::new(), Vec::new());
+        let (replica_by_zone, unconfirmed_replicas, seeds) =
+            (BTreeMap::new(), Vec::new(), Vec::new());
         ReplicaSelection {
             zone,
             region,
-            zones,
-            replicas,
-            reported: hearsay,
+            region_by_zone,
+            replica_by_zone,
+            unconfirmed_replicas,
             seeds,
-            attempts: 0,
-            shift,
+            next_index: 0,
+            rotation,
         }
     }
 
-    /// Takes over the seeds of the settings.
+    /// Sets the seeds, which are the replicas named in the settings.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Takes over the replicas that a replica with a quorum has told.
+    /// Sets the replicas as a replica with a quorum has reported them.
     pub fn set_replicas(&mut self, replicas: &[(String, SocketAddr)]) {
-        self.replicas = replicas.iter().cloned().collect();
-        self.reported.clear();
+        self.replica_by_zone = replicas.iter().cloned().collect();
+        self.unconfirmed_replicas.clear();
     }
 
-    /// Adds the replicas that a replica without a quorum has told. All known ones may have been replaced meanwhile, and the
-    /// one that was replaced last knows where some of the others are.
-    pub fn add_reported(&mut self, replicas: &[(String, SocketAddr)]) {
+    /// Adds the replicas that a replica without a quorum has reported. All known replicas may have been replaced meanwhile, and
+    /// the one that was replaced last still knows the addresses of some current ones.
+    pub fn add_unconfirmed_replicas(&mut self, replicas: &[(String, SocketAddr)]) {
         let new = replicas
             .iter()
-            .map(|(_, at)| *at)
-            .filter(|at| !self.replicas.values().any(|replica| replica == at));
-        for at in new.collect::<Vec<_>>() {
-            self.reported.retain(|old| *old != at);
-            self.reported.push(at);
+            .map(|(_, address)| *address)
+            .filter(|address| {
+                !self
+                    .replica_by_zone
+                    .values()
+                    .any(|replica| replica == address)
+            });
+        for address in new.collect::<Vec<_>>() {
+            self.unconfirmed_replicas.retain(|old| *old != address);
+            self.unconfirmed_replicas.push(address);
         }
-        let over = self.reported.len().saturating_sub(MAX_REPORTED_REPLICAS);
-        self.reported.drain(..over);
+        let excess = self
+            .unconfirmed_replicas
+            .len()
+            .saturating_sub(MAX_UNCONFIRMED_REPLICAS);
+        self.unconfirmed_replicas.drain(..excess);
     }
 
-    /// The replica of the own zone, if it is known.
-    pub fn home(&self) -> Option<SocketAddr> {
-        self.replicas.get(&self.zone).copied()
+    /// The replica of the agent's own zone, if it is known.
+    pub fn home_replica(&self) -> Option<SocketAddr> {
+        self.replica_by_zone.get(&self.zone).copied()
     }
 
     /// The replicas in the order in which they are tried.
-    fn order(&self) -> Vec<SocketAddr> {
-        let rank = |zone: &String| match self.zones.get(zone) {
+    fn ordered_replicas(&self) -> Vec<SocketAddr> {
+        let rank = |zone: &String| match self.region_by_zone.get(zone) {
             _ if *zone == self.zone => 0,
             Some(region) if *region == self.region => 1,
             _ => 2,
         };
         let mut order: Vec<(u8, SocketAddr)> = Vec::new();
-        for wanted in 0..3 {
-            let mut equal: Vec<SocketAddr> = self
-                .replicas
+        for group_rank in 0..3 {
+            let mut group: Vec<SocketAddr> = self
+                .replica_by_zone
                 .iter()
-                .filter(|(zone, _)| rank(zone) == wanted)
-                .map(|(_, at)| *at)
+                .filter(|(zone, _)| rank(zone) == group_rank)
+                .map(|(_, address)| *address)
                 .collect();
-            let shift = self.shift % equal.len().max(1);
-            equal.rotate_left(shift);
-            order.extend(equal.into_iter().map(|at| (wanted, at)));
+            let rotation = self.rotation % group.len().max(1);
+            group.rotate_left(rotation);
+            order.extend(group.into_iter().map(|address| (group_rank, address)));
         }
-        let mut order: Vec<SocketAddr> = order.into_iter().map(|(_, at)| at).collect();
-        order.extend(&self.reported);
-        // Seeds may be of any zone; those that no replica has told of come last, or are all there are.
+        let mut order: Vec<SocketAddr> = order.into_iter().map(|(_, address)| address).collect();
+        order.extend(&self.unconfirmed_replicas);
+        // Seeds may be of any zone. Those that no replica has reported come last; at the start they are the only replicas.
         let seeds = self
             .seeds
             .iter()
             .cycle()
-            .skip(self.shift % self.seeds.len().max(1))
+            .skip(self.rotation % self.seeds.len().max(1))
             .take(self.seeds.len());
         for seed in seeds {
             if !order.contains(seed) {
@@ -133,29 +147,29 @@
         order
     }
 
-    /// The next replica to try; none if none is known.
+    /// Returns the next replica to try; `None` if no replica is known.
     pub fn next_attempt(&mut self) -> Option<Attempt> {
-        let order = self.order();
-        let address = *order.get(self.attempts % order.len().max(1))?;
-        self.attempts += 1;
+        let order = self.ordered_replicas();
+        let address = *order.get(self.next_index % order.len().max(1))?;
+        self.next_index += 1;
         Some(Attempt {
             address,
-            is_last_of_round: self.attempts.is_multiple_of(order.len()),
+            is_last_of_round: self.next_index.is_multiple_of(order.len()),
         })
     }
 
-    /// A link to this replica was lost, or is of no use: the next attempt is the one after it.
-    pub fn skip_past(&mut self, from: SocketAddr) {
-        self.attempts = self
-            .order()
+    /// Continues with the replica after this one in the order, because the link to it was lost or it is of no use.
+    pub fn skip_past(&mut self, failed: SocketAddr) {
+        self.next_index = self
+            .ordered_replicas()
             .iter()
-            .position(|at| *at == from)
-            .map_or(0, |at| at + 1);
+            .position(|address| *address == failed)
+            .map_or(0, |index| index + 1);
     }
 
-    /// A link is established and has told the replicas: the next search starts from the beginning.
+    /// Restarts the order from its beginning for the next search, once a link is established and has reported the replicas.
     pub fn reset(&mut self) {
-        self.attempts = 0;
+        self.next_index = 0;
     }
 }
 
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A scripted replica of the core and a scripted proxy around an agent, in the thread of the test. The clock is driven by hand.
+//! A test bench with an agent between a scripted replica of the core and scripted proxies, all in the thread of the test. The
+//! test advances the clock.
 
 #![allow(dead_code)]
 
@@ -21,44 +22,46 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
+/// Microseconds per millisecond.
 pub const MS: i64 = 1_000;
-/// Guards a failing test against hanging for ever; nothing is measured by it.
-pub const HANG: Duration = Duration::from_secs(20);
+/// The time in real time after which a wait fails, so that a failing test does not hang.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One end of a link; it hears `T`.
-pub struct End<T> {
+/// The scripted end of a link, which receives messages of type `T`.
+pub struct LinkEnd<T> {
     pub stream: TcpStream,
     pub input: Vec<u8>,
-    pub heard: Vec<T>,
+    /// The messages that were received and not yet taken by the test.
+    pub received: Vec<T>,
 }
 
-impl<T: DeserializeOwned> End<T> {
-    pub fn new(stream: TcpStream) -> End<T> {
+impl<T: DeserializeOwned> LinkEnd<T> {
+    pub fn new(stream: TcpStream) -> LinkEnd<T> {
         stream.set_nonblocking(true).unwrap();
         stream.set_nodelay(true).unwrap();
-        End {
+        LinkEnd {
             stream,
             input: Vec::new(),
-            heard: Vec::new(),
+            received: Vec::new(),
         }
     }
 
-    pub fn say(&mut self, message: &impl Serialize) {
+    pub fn send(&mut self, message: &impl Serialize) {
         let mut bytes = Vec::new();
         frames::encode(&mut bytes, message);
         self.stream.write_all(&bytes).unwrap();
     }
 
-    /// True once the other side has closed it.
-    pub fn look(&mut self) -> bool {
-        let mut part = [0; 4096];
+    /// Reads and decodes the available messages. Returns whether the agent has closed the connection.
+    pub fn receive(&mut self) -> bool {
+        let mut buffer = [0; 4096];
         loop {
-            match self.stream.read(&mut part) {
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return true,
-                Ok(length) => self.input.extend_from_slice(&part[..length]),
+                Ok(length) => self.input.extend_from_slice(&buffer[..length]),
                 Err(error) => {
                     while let Some(message) = frames::decode(&mut self.input).unwrap() {
-                        self.heard.push(message);
+                        self.received.push(message);
                     }
                     return error.kind() != ErrorKind::WouldBlock;
                 }
@@ -67,6 +70,7 @@
     }
 }
 
+/// The text of a settings file with this first port and this seed peer.
 pub fn settings(port: u16, seed: &str) -> String {
     format!(
         "node: e\nserves: []\nip: 127.0.0.1\nzone: a\nregion: r\nzones: {{a: r}}\n\
@@ -75,160 +79,178 @@
     )
 }
 
+/// The agent, the replica's listener and the scripted ends of the agent's connections.
 pub struct Bench {
     pub host: Host,
-    pub hand: Arc<AtomicI64>,
-    pub happenings: Vec<IoEvent>,
-    pub feed: SocketAddr,
+    pub clock_us: Arc<AtomicI64>,
+    pub events: Vec<IoEvent>,
+    pub agent_address: SocketAddr,
     pub replica: TcpListener,
-    pub link: Option<End<AgentMessage>>,
-    pub proxies: Vec<End<ControlMessage>>,
+    /// The connection that the agent opened last, while it is open.
+    pub link: Option<LinkEnd<AgentMessage>>,
+    pub proxies: Vec<LinkEnd<ControlMessage>>,
 }
 
 impl Bench {
-    /// An agent that has just started.
+    /// Starts an agent whose seed peer is the replica of the bench.
     pub fn new() -> Bench {
-        Bench::started("127.0.0.2:1", None)
+        Bench::start("127.0.0.2:1", None)
     }
 
-    /// One whose settings name this seed, and stand in a file.
-    pub fn started(seed: &str, file: Option<&Path>) -> Bench {
-        let hand = Arc::new(AtomicI64::new(1_000_000_000));
+    /// Starts an agent with this seed peer, whose settings are also written to `settings_path`.
+    pub fn start(seed: &str, settings_path: Option<&Path>) -> Bench {
+        let clock_us = Arc::new(AtomicI64::new(1_000_000_000));
         for _ in 0..50 {
-            // The replica has the first port, the agent listens on the next: if that one is taken, others are drawn.
+            // The replica listens on the first port and the agent on the next one. If that is in use, other ports are tried.
             let replica = TcpListener::bind("127.0.0.2:0").unwrap();
             let port = replica.local_addr().unwrap().port();
             let text = settings(port, seed);
             let Ok(settings) = Settings::parse(&text) else {
                 continue;
             };
-            file.into_iter()
-                .for_each(|file| std::fs::write(file, &text).unwrap());
-            let path = file.map(Path::to_path_buf);
-            let feed = settings.agent_address();
-            let clock = Clock::manual(hand.clone());
+            settings_path
+                .into_iter()
+                .for_each(|path| std::fs::write(path, &text).unwrap());
+            let path = settings_path.map(Path::to_path_buf);
+            let agent_address = settings.agent_address();
+            let clock = Clock::manual(clock_us.clone());
             let Ok(host) = Host::open(settings, path, clock, &LogRing::default()) else {
                 continue;
             };
             replica.set_nonblocking(true).unwrap();
-            let (happenings, proxies) = (Vec::new(), Vec::new());
+            let (events, proxies) = (Vec::new(), Vec::new());
             return Bench {
                 host,
-                hand,
-                happenings,
-                feed,
+                clock_us,
+                events,
+                agent_address,
                 replica,
                 link: None,
                 proxies,
             };
         }
-        panic!("no two ports in a row are free");
+        panic!("found no two free adjacent ports");
     }
 
-    pub fn turn(&mut self) {
-        self.host.run_once(0, &mut self.happenings).unwrap();
+    /// Runs one iteration of the agent's event loop, and receives at the scripted ends.
+    pub fn run_once(&mut self) {
+        self.host.run_once(0, &mut self.events).unwrap();
         if let Ok((stream, _)) = self.replica.accept() {
-            self.link = Some(End::new(stream));
+            self.link = Some(LinkEnd::new(stream));
         }
-        if self.link.as_mut().is_some_and(End::look) {
+        if self.link.as_mut().is_some_and(LinkEnd::receive) {
             self.link = None;
         }
-        self.proxies.retain_mut(|proxy| !proxy.look());
+        self.proxies.retain_mut(|proxy| !proxy.receive());
     }
 
-    pub fn until(&mut self, what: &str, mut there: impl FnMut(&Bench) -> bool) {
-        let start = Instant::now();
-        while !there(self) {
-            assert!(start.elapsed() < HANG, "there is no {what}");
-            self.turn();
+    /// Runs the agent until a condition holds, without advancing the clock.
+    pub fn run_until(&mut self, description: &str, mut condition: impl FnMut(&Bench) -> bool) {
+        let started_at = Instant::now();
+        while !condition(self) {
+            assert!(
+                started_at.elapsed() < WAIT_TIMEOUT,
+                "timed out waiting for {description}"
+            );
+            self.run_once();
         }
     }
 
-    pub fn pass(&mut self, ms: i64) {
-        for _ in 0..ms / 10 {
-            self.hand.fetch_add(10 * MS, Ordering::SeqCst);
-            self.turn();
+    /// Advances the clock in steps of 10 ms, and runs the agent once after each.
+    pub fn advance_ms(&mut self, duration_ms: i64) {
+        for _ in 0..duration_ms / 10 {
+            self.clock_us.fetch_add(10 * MS, Ordering::SeqCst);
+            self.run_once();
         }
     }
 
-    /// A proxy starts, says who it is and serves.
-    pub fn proxy(&mut self) {
-        self.proxies
-            .push(End::new(TcpStream::connect(self.feed).unwrap()));
+    /// Connects a proxy to the agent, which sends its edge and reports itself ready.
+    pub fn connect_proxy(&mut self) {
+        self.proxies.push(LinkEnd::new(
+            TcpStream::connect(self.agent_address).unwrap(),
+        ));
         let proxy = self.proxies.last_mut().unwrap();
-        proxy.say(&AgentMessage::Hello(edge()));
-        proxy.say(&AgentMessage::Heartbeat(NodeState::Ready));
+        proxy.send(&AgentMessage::Hello(edge()));
+        proxy.send(&AgentMessage::Heartbeat(NodeState::Ready));
     }
 
-    pub fn replica_says(&mut self, messages: &[ControlMessage]) {
-        self.until("link", |bench| bench.link.is_some());
+    /// Sends messages from the replica to the agent, once there is a link.
+    pub fn send_from_replica(&mut self, messages: &[ControlMessage]) {
+        self.run_until("a link", |bench| bench.link.is_some());
         messages
             .iter()
-            .for_each(|message| self.link.as_mut().unwrap().say(message));
+            .for_each(|message| self.link.as_mut().unwrap().send(message));
     }
 
-    /// What the proxy hears, apart from confirmations.
-    pub fn proxy_hears(&mut self, messages: &[ControlMessage]) {
+    /// Asserts that the last proxy receives exactly these messages, apart from confirmations.
+    pub fn expect_at_proxy(&mut self, messages: &[ControlMessage]) {
         let is_content =
             |message: &ControlMessage| !matches!(message, ControlMessage::Confirmed { .. });
-        self.until("news", |bench| {
-            let heard = &bench.proxies.last().unwrap().heard;
-            heard.iter().filter(|message| is_content(message)).count() >= messages.len()
+        self.run_until("messages at the proxy", |bench| {
+            let received = &bench.proxies.last().unwrap().received;
+            received
+                .iter()
+                .filter(|message| is_content(message))
+                .count()
+                >= messages.len()
         });
-        (0..20).for_each(|_| self.turn());
-        let mut heard = std::mem::take(&mut self.proxies.last_mut().unwrap().heard);
-        heard.retain(is_content);
-        assert_eq!(heard, messages);
+        (0..20).for_each(|_| self.run_once());
+        let mut received = std::mem::take(&mut self.proxies.last_mut().unwrap().received);
+        received.retain(is_content);
+        assert_eq!(received, messages);
     }
 
-    /// The ages that were confirmed to the proxy since this was asked last.
-    pub fn confirmed_ages(&mut self) -> Vec<i64> {
-        (0..20).for_each(|_| self.turn());
-        let heard = std::mem::take(&mut self.proxies.last_mut().unwrap().heard);
-        let age = |message: &ControlMessage| match message {
-            ControlMessage::Confirmed { age } => Some(*age),
+    /// Takes the ages in microseconds that were confirmed to the proxy, and discards its other messages.
+    pub fn take_confirmed_ages(&mut self) -> Vec<i64> {
+        (0..20).for_each(|_| self.run_once());
+        let received = std::mem::take(&mut self.proxies.last_mut().unwrap().received);
+        let confirmed_age = |message: &ControlMessage| match message {
+            ControlMessage::Confirmed { age_us } => Some(*age_us),
             _ => None,
         };
-        heard.iter().filter_map(age).collect()
+        received.iter().filter_map(confirmed_age).collect()
     }
 
-    pub fn replica_hears(&mut self, message: &AgentMessage) {
-        let hears = |bench: &Bench| {
+    /// Waits until the replica has received this message, and discards all that it has received.
+    pub fn expect_at_replica(&mut self, message: &AgentMessage) {
+        let has_received = |bench: &Bench| {
             bench
                 .link
                 .as_ref()
-                .is_some_and(|link| link.heard.contains(message))
+                .is_some_and(|link| link.received.contains(message))
         };
-        self.until("word at the replica", hears);
-        self.link.as_mut().unwrap().heard.clear();
+        self.run_until("a message at the replica", has_received);
+        self.link.as_mut().unwrap().received.clear();
     }
 }
 
 pub fn edge() -> NodeInfo {
-    let http = "10.1.0.3:80".parse().unwrap();
+    let http_address = "10.1.0.3:80".parse().unwrap();
     NodeInfo {
         name: "e".into(),
         zone: "a".into(),
         region: "r".into(),
-        http,
+        http_address,
     }
 }
 
-pub fn who(holder: Option<(SocketAddr, u64)>) -> ControlMessage {
+/// The cluster view of a replica with a quorum, with this counter.
+pub fn cluster_view(counter: Option<(SocketAddr, u64)>) -> ControlMessage {
     ControlMessage::ClusterView(ClusterView {
-        counter: holder,
+        counter,
         has_quorum: true,
-        limiters: 1,
-        limiters_in_zone: 1,
+        limiter_count: 1,
+        zone_limiter_count: 1,
         ..ClusterView::default()
     })
 }
 
+/// Items `z0`, `z1` and so on with these versions.
 pub fn items(versions: &[u64]) -> ControlMessage {
-    let item = |(n, ver): (usize, &u64)| Item {
+    let item = |(index, ver): (usize, &u64)| Item {
         name: ItemName {
             kind: ItemKind::Zone,
-            name: format!("z{n}"),
+            name: format!("z{index}"),
         },
         ver: *ver,
         spec: Some("true".into()),
@@ -236,7 +258,8 @@
     ControlMessage::Items(versions.iter().enumerate().map(item).collect())
 }
 
-pub fn servers(version: (u64, u64), cold: i64) -> ControlMessage {
+/// A list with a single server that warms up for this long.
+pub fn servers(version: (u64, u64), warm_up_left_us: i64) -> ControlMessage {
     let addr = "10.128.0.9:80".parse().unwrap();
     let server = Server {
         id: "i".into(),
@@ -245,7 +268,7 @@
         zone: "a".into(),
         slots: 1,
         accepts_requests: true,
-        warm_up_left: cold,
+        warm_up_left_us,
     };
     ControlMessage::Servers {
         version,
--- a/crates/control/src/core/counter/tests.rs
+++ b/crates/control/src/core/counter/tests.rs
@@ -6,7 +6,7 @@
     let add = |id, units| CounterAdd {
         counter: id,
         units,
-        ttl: 1_000,
+        ttl_us: 1_000,
     };
     assert_eq!(
         counter.add(0, 1, 1.0, &[add(1, 2.0), add(1, -0.5), add(2, 0.0)]),
@@ -27,7 +27,7 @@
     let add = |units| CounterAdd {
         counter: 1,
         units,
-        ttl: 1_000,
+        ttl_us: 1_000,
     };
     // The first addition is returned unchanged, since its limiter carries over the previous window.
     assert_eq!(counter.add(0, 1, 0.5, &[add(3.0), add(1.0)]), [3.0, 8.0]);
@@ -39,7 +39,7 @@
     let add = [CounterAdd {
         counter: 1,
         units: 1.0,
-        ttl: 1_000,
+        ttl_us: 1_000,
     }];
     let mut counter = SharedCounter::default();
     counter.suspend(10, limits::QUOTA_WINDOW);
--- a/crates/control/src/core/server_list/tests.rs
+++ b/crates/control/src/core/server_list/tests.rs
@@ -14,7 +14,7 @@
         zone,
         slots: 2,
         accepts_requests,
-        warm_up_left,
+        warm_up_left_us: warm_up_left,
     }
 }
 
@@ -44,6 +44,6 @@
         !list.update_from_replica(0, (2, 4), vec![])
             && !list.update_from_replica(0, (1, 9), vec![])
     );
-    assert_eq!(list.current(300)[0].warm_up_left, 600);
-    assert_eq!(list.current(1_000)[0].warm_up_left, 0);
+    assert_eq!(list.current(300)[0].warm_up_left_us, 600);
+    assert_eq!(list.current(1_000)[0].warm_up_left_us, 0);
 }
--- a/crates/ctl/src/configuration.rs
+++ b/crates/ctl/src/configuration.rs
@@ -1,5 +1,5 @@
-//! A configuration as it is written out: all items that stand, each with its version. Keys of tenants are secrets: they
-//! are shown as hashes with a salt, which stands beside the items.
+//! An exported configuration: all items in force, each with its version. The API keys of tenants are secrets: they are replaced
+//! by salted hashes, and the export contains the salt.
 
 use std::collections::BTreeMap;
 
@@ -8,59 +8,59 @@
 use serde_json::{Map, Value, json};
 use sha2::{Digest, Sha256};
 
-/// The key of secrets in a tenant.
-pub const SECRETS: &str = "apikeys";
-/// What a hash begins with.
-const MARK: &str = "hash:";
+/// The key in a tenant's specification whose values are secrets.
+pub const SECRETS_KEY: &str = "apikeys";
+/// The prefix of a hash that replaces a secret.
+const HASH_PREFIX: &str = "hash:";
 
-/// A configuration: its items as they were read, by name, and how its secrets stand in it.
+/// A configuration: its items by name, and the salt of its hashed secrets.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Version and content of each item.
+    /// The version and the specification of each item.
     pub items: BTreeMap<String, (u64, Map<String, Value>)>,
-    /// The salt of the hashes that stand for its secrets; none where these are plain.
+    /// The salt of the hashes that replace the secrets; `None` if the secrets are in plain text.
     pub salt: Option<String>,
 }
 
-/// A salt that nobody has used.
-pub fn salt() -> String {
+/// Generates a random salt.
+pub fn random_salt() -> String {
     use std::hash::{BuildHasher, Hasher, RandomState};
-    let part = || RandomState::new().build_hasher().finish();
-    format!("{:016x}{:016x}", part(), part())
+    let random_u64 = || RandomState::new().build_hasher().finish();
+    format!("{:016x}{:016x}", random_u64(), random_u64())
 }
 
-/// The hash that stands for a secret.
-pub fn hashed(salt: &str, secret: &str) -> String {
+/// The salted hash that replaces a secret.
+pub fn hash_secret(salt: &str, secret: &str) -> String {
     let digest = Sha256::digest(format!("{salt}:{secret}").as_bytes());
-    let text: String = digest
+    let digits: String = digest
         .iter()
         .take(16)
         .map(|byte| format!("{byte:02x}"))
         .collect();
-    format!("{MARK}{text}")
+    format!("{HASH_PREFIX}{digits}")
 }
 
 impl Configuration {
-    /// Reads what a replica answers, or what was written out before.
+    /// Parses the response of a replica, or a configuration that was exported before.
     ///
     /// # Errors
-    /// It is none; the message names the item and the key.
-    pub fn read(text: &[u8]) -> eyre::Result<Configuration> {
-        let value: Value = serde_json::from_slice(text).wrap_err("configuration: no JSON")?;
+    /// The text is not a valid configuration; the error names the item and the key.
+    pub fn parse(text: &[u8]) -> eyre::Result<Configuration> {
+        let value: Value = serde_json::from_slice(text).wrap_err("configuration: invalid JSON")?;
         let objects = value
             .get("objs")
             .ok_or_else(|| eyre!("configuration: objs: missing"))?;
         let salt = match value.get("salt") {
             None => None,
             Some(Value::String(salt)) => Some(salt.clone()),
-            Some(_) => return Err(eyre!("configuration: salt: no text")),
+            Some(_) => return Err(eyre!("configuration: salt: expected a string")),
         };
-        // Checked as a call of the operators would be.
+        // The items are validated in the same way as an operators' call.
         let call = json!({"upsert": {"objs": objects}}).to_string();
-        let read = items::parse_patch(call.as_bytes(), &Items::new());
-        let read = read.map_err(|error| eyre!("configuration: {error}"))?;
+        let parsed = items::parse_patch(call.as_bytes(), &Items::new());
+        let parsed = parsed.map_err(|error| eyre!("configuration: {error}"))?;
         let mut items = BTreeMap::new();
-        for item in read {
+        for item in parsed {
             let text = item.spec.as_deref().unwrap_or_default();
             let spec = serde_json::from_str(text)
                 .wrap_err_with(|| format!("configuration: {}", item.name))?;
@@ -69,16 +69,16 @@
         Ok(Configuration { items, salt })
     }
 
-    /// The same with hashes in place of secrets; as it is where it has such already.
-    pub fn hidden(mut self, salt: &str) -> Configuration {
+    /// Replaces the secrets by hashes with this salt. A configuration with hashed secrets is returned unchanged.
+    pub fn with_hashed_secrets(mut self, salt: &str) -> Configuration {
         if self.salt.is_some() {
             return self;
         }
         for (_, spec) in self.items.values_mut() {
-            let secrets = spec.get_mut(SECRETS).and_then(Value::as_array_mut);
+            let secrets = spec.get_mut(SECRETS_KEY).and_then(Value::as_array_mut);
             for secret in secrets.into_iter().flatten() {
                 if let Value::String(text) = secret {
-                    *text = hashed(salt, text);
+                    *text = hash_secret(salt, text);
                 }
             }
         }
@@ -86,9 +86,9 @@
         self
     }
 
-    /// As it is written out, an item a line, in the order of names.
-    pub fn write(&self) -> String {
-        let one = |(name, (ver, spec)): (&String, &(u64, Map<String, Value>))| {
+    /// Formats the configuration as JSON with one item per line, ordered by name.
+    pub fn to_json_lines(&self) -> String {
+        let item_json = |(name, (ver, spec)): (&String, &(u64, Map<String, Value>))| {
             let (kind, name) = name.split_once('/').unwrap_or((name, ""));
             let meta = if name.is_empty() {
                 json!({"ver": ver})
@@ -97,7 +97,7 @@
             };
             json!({"type": kind, "meta": meta, "spec": spec}).to_string()
         };
-        let lines: Vec<String> = self.items.iter().map(one).collect();
+        let lines: Vec<String> = self.items.iter().map(item_json).collect();
         let salt = self
             .salt
             .as_ref()
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -1,5 +1,5 @@
-//! How two configurations differ, by item and key. In what order items, keys, secrets, pins and parts of a split stand
-//! does not matter.
+//! The differences between two configurations by item and key. The order of items, keys, secrets, pins and the services of a
+//! split does not matter.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,111 +7,122 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use crate::configuration::{Configuration, SECRETS, salt};
+use crate::configuration::{Configuration, SECRETS_KEY, random_salt};
 
-/// A key whose value is another one.
+/// A key of an item whose value has changed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Key {
+pub struct ChangedKey {
     /// The key.
     pub key: String,
-    /// Its value before; none where it was not there.
+    /// The old value; `None` if the key was added.
     pub old: Option<Value>,
-    /// Its value now.
+    /// The new value; `None` if the key was removed.
     pub new: Option<Value>,
 }
 
-/// An item that is in both and not the same.
+/// An item that differs between the configurations.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Changed {
-    /// The item.
+pub struct ChangedItem {
+    /// The name of the item.
     pub item: String,
-    /// Its versions.
-    pub ver: (u64, u64),
-    /// The keys that changed; none where only the version did.
-    pub keys: Vec<Key>,
-    /// Secrets are hashed with two salts: whether they are the same can't be told.
-    pub unsure: bool,
+    /// The old and the new version.
+    #[serde(rename = "ver")]
+    pub versions: (u64, u64),
+    /// The keys that have changed; empty if only the version has.
+    pub keys: Vec<ChangedKey>,
+    /// Whether the secrets can't be compared, as they are hashed with different salts.
+    #[serde(rename = "unsure")]
+    pub has_incomparable_secrets: bool,
 }
 
-/// An item that is in one of them.
+/// An item that only one of the configurations contains.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Alone {
-    /// The item.
+pub struct UnmatchedItem {
+    /// The name of the item.
     pub item: String,
-    /// Its version.
-    pub ver: u64,
+    /// The version of the item.
+    #[serde(rename = "ver")]
+    pub version: u64,
 }
 
-/// How two configurations differ.
+/// The differences between two configurations.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Diff {
-    /// Items that are new.
-    pub added: Vec<Alone>,
-    /// Items that are there no more.
-    pub dropped: Vec<Alone>,
-    /// Items that are in both and not the same.
-    pub changed: Vec<Changed>,
-    /// Items that are the same.
-    pub same: usize,
+    /// The items that only the new configuration contains.
+    pub added: Vec<UnmatchedItem>,
+    /// The items that only the old configuration contains.
+    #[serde(rename = "dropped")]
+    pub removed: Vec<UnmatchedItem>,
+    /// The items that differ.
+    pub changed: Vec<ChangedItem>,
+    /// The number of items that are equal in both.
+    #[serde(rename = "same")]
+    pub unchanged_count: usize,
 }
 
-/// What a key holds, without an order where none is meant.
-fn plain(key: &str, value: &Value) -> Value {
+/// The value of a key, sorted if it is a list whose order has no meaning.
+fn normalized(key: &str, value: &Value) -> Value {
     let mut value = value.clone();
-    if let (SECRETS | "pins" | "split", Some(parts)) = (key, value.as_array_mut()) {
-        parts.sort_by_key(Value::to_string);
+    if let (SECRETS_KEY | "pins" | "split", Some(elements)) = (key, value.as_array_mut()) {
+        elements.sort_by_key(Value::to_string);
     }
     value
 }
 
-fn keys(old: &Map<String, Value>, new: &Map<String, Value>) -> Vec<Key> {
+fn changed_keys(old: &Map<String, Value>, new: &Map<String, Value>) -> Vec<ChangedKey> {
     let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
-    let one = |name: &String| {
-        let of = |spec: &Map<String, Value>| spec.get(name).map(|value| plain(name, value));
-        Key {
+    let compare_key = |name: &String| {
+        let value_in =
+            |spec: &Map<String, Value>| spec.get(name).map(|value| normalized(name, value));
+        ChangedKey {
             key: name.clone(),
-            old: of(old),
-            new: of(new),
+            old: value_in(old),
+            new: value_in(new),
         }
     };
     names
         .into_iter()
-        .map(one)
+        .map(compare_key)
         .filter(|key| key.old != key.new)
         .collect()
 }
 
-/// Compares two configurations. Secrets are hashed before anything else is done with them.
+/// Compares two configurations. Secrets are hashed before the comparison, so that the result never contains them.
 pub fn diff(old: Configuration, new: Configuration) -> Diff {
     let salt = old
         .salt
         .clone()
         .or_else(|| new.salt.clone())
-        .unwrap_or_else(salt);
-    let (old, new) = (old.hidden(&salt), new.hidden(&salt));
-    let salts = old.salt == new.salt;
+        .unwrap_or_else(random_salt);
+    let (old, new) = (
+        old.with_hashed_secrets(&salt),
+        new.with_hashed_secrets(&salt),
+    );
+    let have_same_salt = old.salt == new.salt;
     let mut diff = Diff::default();
-    for (item, (ver, spec)) in &old.items {
-        let Some((newer, other)) = new.items.get(item) else {
-            diff.dropped.push(Alone {
+    for (item, (old_version, old_spec)) in &old.items {
+        let Some((new_version, new_spec)) = new.items.get(item) else {
+            diff.removed.push(UnmatchedItem {
                 item: item.clone(),
-                ver: *ver,
+                version: *old_version,
             });
             continue;
         };
-        let mut keys = keys(spec, other);
-        let before = keys.len();
+        let mut keys = changed_keys(old_spec, new_spec);
+        let count_with_secrets = keys.len();
         let count = |value: &Option<Value>| value.as_ref().and_then(Value::as_array).map(Vec::len);
-        keys.retain(|key| salts || key.key != SECRETS || count(&key.old) != count(&key.new));
-        let unsure = keys.len() < before;
-        if keys.is_empty() && ver == newer && !unsure {
-            diff.same += 1;
+        keys.retain(|key| {
+            have_same_salt || key.key != SECRETS_KEY || count(&key.old) != count(&key.new)
+        });
+        let has_incomparable_secrets = keys.len() < count_with_secrets;
+        if keys.is_empty() && old_version == new_version && !has_incomparable_secrets {
+            diff.unchanged_count += 1;
         } else {
-            diff.changed.push(Changed {
+            diff.changed.push(ChangedItem {
                 item: item.clone(),
-                ver: (*ver, *newer),
+                versions: (*old_version, *new_version),
                 keys,
-                unsure,
+                has_incomparable_secrets,
             });
         }
     }
@@ -120,18 +131,18 @@
         .iter()
         .filter(|(item, _)| !old.items.contains_key(*item));
     diff.added = added
-        .map(|(item, (ver, _))| Alone {
+        .map(|(item, (version, _))| UnmatchedItem {
             item: item.clone(),
-            ver: *ver,
+            version: *version,
         })
         .collect();
     diff
 }
 
 impl Diff {
-    /// They are the same.
+    /// Whether the configurations are equal.
     pub fn is_empty(&self) -> bool {
-        self.added.is_empty() && self.dropped.is_empty() && self.changed.is_empty()
+        self.added.is_empty() && self.removed.is_empty() && self.changed.is_empty()
     }
 }
 
@@ -139,19 +150,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.added
             .iter()
-            .try_for_each(|one| writeln!(f, "+ {} at version {}", one.item, one.ver))?;
-        self.dropped
+            .try_for_each(|item| writeln!(f, "+ {} at version {}", item.item, item.version))?;
+        self.removed
             .iter()
-            .try_for_each(|one| writeln!(f, "- {} at version {}", one.item, one.ver))?;
-        for one in &self.changed {
-            let moved = match one.ver {
-                (old, new) if old == new && one.keys.is_empty() => format!("version {old}"),
+            .try_for_each(|item| writeln!(f, "- {} at version {}", item.item, item.version))?;
+        for item in &self.changed {
+            let versions = match item.versions {
+                (old, new) if old == new && item.keys.is_empty() => format!("version {old}"),
                 (old, new) if old == new => format!("version {old} in both, with two contents"),
                 (old, new) if old > new => format!("version {old} back to {new}"),
                 (old, new) => format!("version {old} to {new}"),
             };
-            writeln!(f, "~ {} {moved}", one.item)?;
-            for key in &one.keys {
+            writeln!(f, "~ {} {versions}", item.item)?;
+            for key in &item.keys {
                 let text = |value: &Option<Value>| {
                     value
                         .as_ref()
@@ -165,15 +176,18 @@
                     text(&key.new)
                 )?;
             }
-            if one.unsure {
-                writeln!(f, "    {SECRETS}: hashed with two salts, can't be compared")?;
+            if item.has_incomparable_secrets {
+                writeln!(
+                    f,
+                    "    {SECRETS_KEY}: hashed with two salts, can't be compared"
+                )?;
             }
         }
-        let (added, dropped, changed) = (self.added.len(), self.dropped.len(), self.changed.len());
+        let (added, removed, changed) = (self.added.len(), self.removed.len(), self.changed.len());
         writeln!(
             f,
-            "{added} added, {dropped} dropped, {changed} changed, {} the same",
-            self.same
+            "{added} added, {removed} dropped, {changed} changed, {} the same",
+            self.unchanged_count
         )
     }
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The `streamarchctl` program: the command line around the library.
+//! The `streamarchctl` program: the operators' command line.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -7,39 +7,39 @@
 
 use argh::FromArgs;
 use control::disk;
-use ctl::configuration::{Configuration, salt};
+use ctl::configuration::{Configuration, random_salt};
 use ctl::{diff, http, status};
 use eyre::{WrapErr, ensure, eyre};
 use serde::Serialize;
 
-/// An answer is given up after this.
-const ANSWER: Duration = Duration::from_secs(3);
+/// The timeout of a request to a replica.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How the system stands, and how configurations differ.
+/// Shows the status of the system, exports and compares configurations, and verifies stored data.
 #[derive(FromArgs)]
 #[argh(
     example = "{command_name} status --at 10.1.0.10:8688,10.2.0.10:8688",
     example = "{command_name} export --at 10.1.0.10:8688 > before.json",
     example = "{command_name} diff before.json 10.1.0.10:8688 --json",
     example = "{command_name} verify /var/lib/streamarch",
-    note = "Exit codes: 0 all is well or the same; 1 something was found; 2 it could not be done."
+    note = "Exit codes: 0 no findings or differences; 1 findings or differences; 2 the command failed."
 )]
 struct Arguments {
     #[argh(subcommand)]
-    command: Sub,
+    command: Command,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum Sub {
+enum Command {
     Status(Status),
     Export(Export),
     Diff(Diff),
     Verify(Verify),
 }
 
-/// Reads the files of a replica's folder while its program does not run, and says what stands there and what is harmed.
-/// Nothing is changed.
+/// Checks the stored data of a replica while its program is stopped, and reports its content and any corruption. Changes
+/// nothing.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -47,15 +47,15 @@
     example = "{command_name} /var/lib/streamarch"
 )]
 struct Verify {
-    /// the folder that `datadir` names, or a database file that was put aside
+    /// the data directory (setting `datadir`), or a database file that was moved aside
     #[argh(positional)]
     path: std::path::PathBuf,
-    /// as JSON
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// Replicas, incarnations, leases, duties, versions and what lags, as the replicas that are asked see it.
+/// Shows replicas, incarnations, leases, duties, versions and lag, as the queried replicas report them.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -63,15 +63,15 @@
     example = "{command_name} --at 10.1.0.10:8688,10.2.0.10:8688 --json"
 )]
 struct Status {
-    /// where operators call the replicas, with commas between
-    #[argh(option)]
-    at: String,
-    /// as JSON
+    /// the addresses of the replicas for operators, separated by commas
+    #[argh(option, long = "at")]
+    addresses: String,
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// Writes out the configuration that is in force, keys of tenants as hashes with a salt.
+/// Exports the configuration in force, with salted hashes in place of the tenants' API keys.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -79,16 +79,16 @@
     example = "{command_name} --at 10.1.0.10:8688 > before.json"
 )]
 struct Export {
-    /// where operators call a replica
-    #[argh(option)]
-    at: String,
-    /// the salt of the hashes, so that two files can be compared (another one each time)
+    /// the address of a replica for operators
+    #[argh(option, long = "at")]
+    address: String,
+    /// the salt of the hashes; exports with the same salt can be compared (default: random)
     #[argh(option)]
     salt: Option<String>,
-    /// keys of tenants as they are, to be sent again later
+    /// export API keys in plain text, so that the configuration can be restored
     #[argh(switch)]
     plain: bool,
-    /// a key a line, in place of an item a line; it is JSON either way
+    /// print indented JSON in place of JSON with one item per line
     #[argh(switch)]
     json: bool,
 }
@@ -101,43 +101,43 @@
     example = "{command_name} before.json 10.1.0.10:8688"
 )]
 struct Diff {
-    /// a file, or where operators call a replica
+    /// a file, or the address of a replica for operators
     #[argh(positional)]
     old: String,
-    /// the same
+    /// a file or an address, like the first one
     #[argh(positional)]
     new: String,
-    /// as JSON
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-fn addresses(text: &str) -> eyre::Result<Vec<SocketAddr>> {
-    let one = |word: &str| {
+fn parse_addresses(text: &str) -> eyre::Result<Vec<SocketAddr>> {
+    let parse_one = |word: &str| {
         word.trim()
             .parse()
-            .wrap_err_with(|| format!("--at: {word:?} is no address"))
+            .wrap_err_with(|| format!("--at: {word:?} is not an address"))
     };
-    text.split(',').map(one).collect()
+    text.split(',').map(parse_one).collect()
 }
 
-fn fetch(at: SocketAddr) -> eyre::Result<Configuration> {
-    let body = http::get(at, "/api/cfg/get", Instant::now() + ANSWER)?;
-    Configuration::read(&body).wrap_err_with(|| format!("what {at} has"))
+fn fetch_configuration(address: SocketAddr) -> eyre::Result<Configuration> {
+    let body = http::get(address, "/api/cfg/get", Instant::now() + REQUEST_TIMEOUT)?;
+    Configuration::parse(&body).wrap_err_with(|| format!("from {address}"))
 }
 
-/// A file goes before an address of the same name.
-fn configuration(word: &str) -> eyre::Result<Configuration> {
-    if !Path::new(word).exists()
-        && let Ok(at) = word.parse()
+/// Reads the configuration from a file, or fetches it from an address if no file has this name.
+fn load_configuration(source: &str) -> eyre::Result<Configuration> {
+    if !Path::new(source).exists()
+        && let Ok(address) = source.parse()
     {
-        return fetch(at);
+        return fetch_configuration(address);
     }
-    let text = std::fs::read(word).wrap_err_with(|| format!("reading {word}"))?;
-    Configuration::read(&text).wrap_err_with(|| format!("file {word}"))
+    let text = std::fs::read(source).wrap_err_with(|| format!("reading {source}"))?;
+    Configuration::parse(&text).wrap_err_with(|| format!("file {source}"))
 }
 
-fn show<T: Serialize + std::fmt::Display>(json: bool, value: &T) -> eyre::Result<()> {
+fn print_value<T: Serialize + std::fmt::Display>(json: bool, value: &T) -> eyre::Result<()> {
     if json {
         println!(
             "{}",
@@ -149,35 +149,37 @@
     Ok(())
 }
 
-/// Gives whether something was found.
-fn work(arguments: Arguments) -> eyre::Result<bool> {
+/// Runs the command, and returns whether it has found faults or differences.
+fn run(arguments: Arguments) -> eyre::Result<bool> {
     match arguments.command {
-        Sub::Status(Status { at, json }) => {
-            let view = status::ask(&addresses(&at)?, || Instant::now() + ANSWER);
+        Command::Status(Status { addresses, json }) => {
+            let system = status::query_replicas(&parse_addresses(&addresses)?, || {
+                Instant::now() + REQUEST_TIMEOUT
+            });
             ensure!(
-                view.told_anything(),
-                "no replica answers: {}",
-                view.findings.join("; ")
+                system.has_answer(),
+                "no replica has answered: {}",
+                system.findings.join("; ")
             );
-            show(json, &view)?;
-            Ok(!view.findings.is_empty())
+            print_value(json, &system)?;
+            Ok(!system.findings.is_empty())
         }
-        Sub::Export(Export {
-            at,
-            salt: wanted,
+        Command::Export(Export {
+            address,
+            salt,
             plain,
             json,
         }) => {
-            let at = *addresses(&at)?
+            let address = *parse_addresses(&address)?
                 .first()
-                .ok_or_else(|| eyre!("--at: no address"))?;
-            let all = fetch(at)?;
-            let all = if plain {
-                all
+                .ok_or_else(|| eyre!("--at: an address is required"))?;
+            let configuration = fetch_configuration(address)?;
+            let configuration = if plain {
+                configuration
             } else {
-                all.hidden(&wanted.unwrap_or_else(salt))
+                configuration.with_hashed_secrets(&salt.unwrap_or_else(random_salt))
             };
-            let text = all.write();
+            let text = configuration.to_json_lines();
             if json {
                 let value: serde_json::Value =
                     serde_json::from_str(&text).wrap_err("writing JSON")?;
@@ -190,18 +192,18 @@
             }
             Ok(false)
         }
-        Sub::Verify(Verify { path, json }) => {
+        Command::Verify(Verify { path, json }) => {
             let report = if path.is_dir() {
                 disk::verify(&path)?
             } else {
                 disk::verify_file(&path)?
             };
-            show(json, &report)?;
+            print_value(json, &report)?;
             Ok(!report.faults.is_empty())
         }
-        Sub::Diff(Diff { old, new, json }) => {
-            let diff = diff::diff(configuration(&old)?, configuration(&new)?);
-            show(json, &diff)?;
+        Command::Diff(Diff { old, new, json }) => {
+            let diff = diff::diff(load_configuration(&old)?, load_configuration(&new)?);
+            print_value(json, &diff)?;
             Ok(!diff.is_empty())
         }
     }
@@ -213,17 +215,17 @@
     let arguments =
         match Arguments::from_args(&["streamarchctl"], words.get(1..).unwrap_or_default()) {
             Ok(arguments) => arguments,
-            Err(early) if early.status.is_ok() => {
-                println!("{}", early.output);
+            Err(early_exit) if early_exit.status.is_ok() => {
+                println!("{}", early_exit.output);
                 return ExitCode::SUCCESS;
             }
-            Err(early) => {
-                eprintln!("{}", early.output);
+            Err(early_exit) => {
+                eprintln!("{}", early_exit.output);
                 return ExitCode::from(2);
             }
         };
-    match work(arguments) {
-        Ok(found) => ExitCode::from(u8::from(found)),
+    match run(arguments) {
+        Ok(has_findings) => ExitCode::from(u8::from(has_findings)),
         Err(error) => {
             eprintln!("streamarchctl: {error:#}");
             ExitCode::from(2)
--- a/crates/ctl/src/status/tests.rs
+++ b/crates/ctl/src/status/tests.rs
@@ -33,32 +33,33 @@
     }
 }
 
-#[test_case(|_| {}, &[]; "all is well")]
-#[test_case(|s| s[1].has_quorum_contact = false, &["replica b is out of touch with more than half of the replicas"]; "cut off")]
-#[test_case(|s| (s[1].is_participant, s[1].has_quorum_contact) = (false, false), &["replica b has not rebuilt its disk yet"]; "rebuilding")]
-#[test_case(|s| s[0].disk_full = true, &["replica a has a full disk"]; "full")]
-#[test_case(|s| s[0].replicas[1].is_reachable = false, &["replica a does not hear replica b"]; "silent")]
-#[test_case(|s| s[1].roles[0].holder = None, &["replica b knows nobody with the duty poll"]; "vacant")]
-#[test_case(|s| s[1].digest = "8".into(), &["replicas a and b know other items (0 and 0)"]; "apart")]
-#[test_case(|s| s[0].limiters[0].lag_ms = Some(9_000), &["limiter e has lagged for up to 9000 ms"]; "lagging")]
-#[test_case(|s| s[0].limiters[0].state = "away".into(), &["limiter e is away"]; "away")]
-fn findings_name_what_is_wrong(change: impl Fn(&mut Vec<Status>), is: &[&str]) {
+#[test_case(|_| {}, &[]; "no faults")]
+#[test_case(|s| s[1].has_quorum_contact = false, &["replica b is not in contact with a quorum of the replicas"]; "a replica without a quorum")]
+#[test_case(|s| (s[1].is_participant, s[1].has_quorum_contact) = (false, false), &["replica b has not rebuilt its disk yet"]; "a replica that rebuilds its disk")]
+#[test_case(|s| s[0].disk_full = true, &["replica a has a full disk"]; "a full disk")]
+#[test_case(|s| s[0].replicas[1].is_reachable = false, &["replica a receives nothing from replica b"]; "a silent replica")]
+#[test_case(|s| s[1].roles[0].holder = None, &["replica b knows nobody with the duty poll"]; "a duty without a holder")]
+#[test_case(|s| s[1].digest = "8".into(), &["replicas a and b have different items (0 and 0)"]; "different items")]
+#[test_case(|s| s[0].limiters[0].lag_ms = Some(9_000), &["limiter e has lagged for up to 9000 ms"]; "a limiter that lags")]
+#[test_case(|s| s[0].limiters[0].state = "away".into(), &["limiter e is away"]; "a limiter that is away")]
+fn findings_describe_the_faults(change: impl Fn(&mut Vec<Status>), expected: &[&str]) {
     let mut replicas = vec![replica("a"), replica("b")];
     change(&mut replicas);
-    // In whatever order they were asked.
-    for turned in [false, true] {
-        let told = |status: &Status| Told {
-            at: SocketAddr::from(([127, 0, 0, 1], 1)),
+    // The findings must not depend on the order of the answers.
+    for is_reversed in [false, true] {
+        let answer = |status: &Status| ReplicaAnswer {
+            address: SocketAddr::from(([127, 0, 0, 1], 1)),
             status: Some(status.clone()),
             error: None,
         };
-        let mut told: Vec<Told> = replicas.iter().map(told).collect();
-        let apart = replicas[0].digest != replicas[1].digest;
-        if turned && !apart {
-            told.reverse();
+        let mut answers: Vec<ReplicaAnswer> = replicas.iter().map(answer).collect();
+        // The order of the two replicas in this finding follows the answers.
+        let items_differ = replicas[0].digest != replicas[1].digest;
+        if is_reversed && !items_differ {
+            answers.reverse();
         }
-        let view = view(told);
-        assert_eq!(view.findings, is, "{view}");
-        assert_eq!(view.limiters.len(), 1);
+        let system = combine(answers);
+        assert_eq!(system.findings, expected, "{system}");
+        assert_eq!(system.limiters.len(), 1);
     }
 }
--- a/crates/protocol/src/connections.rs
+++ b/crates/protocol/src/connections.rs
@@ -1,8 +1,8 @@
-//! The connections of a program with one thread: they are polled together, read when something is received, and written once
-//! an iteration.
+//! The TCP connections of a single-threaded program. All of them are polled together; each is read when input arrives, and
+//! queued output is written once per iteration of the event loop.
 //!
-//! Polling is done with `mio`: it takes one system call, where the limiter's event loop makes five, and an edge has a fifth of
-//! a processor for two programs. The caller owns the purpose of each connection, and all deadlines.
+//! Polling uses `mio`, which needs one system call per iteration where the limiter's event loop makes five: an edge has a fifth
+//! of a processor for two programs. The caller keeps track of the purpose of each connection and of all deadlines.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -15,24 +15,24 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 slotmap::new_key_type! {
-    /// The id of a connection. That of a connection that was closed finds nothing.
+    /// The id of a connection. The id of a closed connection finds nothing.
     pub struct ConnectionId;
 }
 
-/// An event of the sockets or of the process.
+/// An event on a socket or a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IoEvent {
-    /// A connection was accepted by the listener with this number.
+    /// The listener with this index accepted a connection.
     Accepted(usize, ConnectionId),
     /// A connection that was opened by this process is established.
     Connected(ConnectionId),
-    /// Something was received, and is in the input buffer.
+    /// Bytes were received and are in the input buffer.
     Received(ConnectionId),
-    /// Everything that was queued is written.
+    /// All queued output was written to the socket.
     Flushed(ConnectionId),
-    /// The peer has closed its direction. The connection is still open.
+    /// The peer has closed its sending direction. The connection can still be written to.
     PeerClosed(ConnectionId),
-    /// The connection has failed, or could not be established. It can't be used, and is to be closed.
+    /// The connection has failed or could not be established. The caller has to close it.
     Failed(ConnectionId),
     /// The process has received a signal.
     Signal(i32),
@@ -42,45 +42,46 @@
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
-    connected: bool,
-    /// What was received and not taken yet.
+    is_connected: bool,
+    /// The bytes that were received and not yet consumed by the caller.
     pub input: Vec<u8>,
-    /// The greatest number of bytes in the input buffer; more than that waits in the socket.
+    /// The limit of the input buffer in bytes; further input stays in the socket.
     pub max_input_bytes: usize,
     output: Vec<u8>,
     written_bytes: usize,
     sent_bytes: u64,
-    /// More may have been received than was read.
+    /// The input buffer was full, so that the socket may hold unread bytes.
     has_unread: bool,
-    flush_pending: bool,
-    /// When something was last received, in microseconds.
+    /// The connection is in the flush queue.
+    is_flush_queued: bool,
+    /// When bytes were last received (at first, when the connection was opened), in microseconds.
     pub last_received_at: i64,
 }
 
 impl Connection {
-    /// Whether it is established.
+    /// Whether the connection is established.
     pub fn is_connected(&self) -> bool {
-        self.connected
+        self.is_connected
     }
 
-    /// The number of bytes that are queued and not written yet.
-    pub fn backlog(&self) -> usize {
+    /// The number of bytes that are queued and not yet written to the socket.
+    pub fn pending_output_bytes(&self) -> usize {
         self.output.len() - self.written_bytes
     }
 
-    /// The number of bytes that were written to the socket since the connection was opened. If none of a message is among
-    /// them, the peer can't have seen anything of it.
+    /// The number of bytes that were written to the socket since the connection was opened. If they include no byte of a
+    /// message, the peer can't have received any part of it.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes
     }
 
-    /// Whether more may have been received than was read, because the input buffer was full.
+    /// Whether the socket may hold unread bytes because the input buffer was full.
     pub fn has_unread(&self) -> bool {
         self.has_unread
     }
 }
 
-/// All connections of a program.
+/// The listeners and connections of a program, and the signals that it receives.
 pub struct Connections {
     poll: Poll,
     events: Events,
@@ -88,24 +89,25 @@
     listeners: Vec<Option<TcpListener>>,
     connections: SlotMap<ConnectionId, Connection>,
     flush_queue: Vec<ConnectionId>,
-    scratch: Vec<u8>,
-    accepting: bool,
-    /// A connection could not be accepted, as for want of descriptors: it waits, and no event tells of it again.
+    read_buffer: Vec<u8>,
+    is_accepting: bool,
+    /// Accepting a connection failed, for example because no file descriptor was free. The connection stays in the backlog of
+    /// the listener, for which the poll reports no second event.
     accept_failed: bool,
-    /// When the last poll ended, and whether it brought all events.
-    last_wake: (i64, bool),
+    /// When the last poll ended, and whether it returned all pending events.
+    last_poll: (i64, bool),
 }
 
 const SIGNAL_TOKEN: Token = Token(1_000);
-/// The greatest number of events that one poll brings.
+/// The maximum number of events that one poll returns.
 const MAX_EVENTS: usize = 256;
-/// A connection that could not be accepted is tried again after this, in microseconds.
+/// The delay before connections are accepted again after a failure to accept one, in microseconds.
 const ACCEPT_RETRY_INTERVAL: i64 = 50_000;
-/// The number of bytes read from a socket at a time.
+/// The maximum number of bytes that one read from a socket returns.
 const READ_BYTES: usize = 32 * 1024;
-/// The number of connections that may wait to be accepted.
+/// The backlog of a listener: the number of established connections that may wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1_024;
-/// The capacity that an empty buffer may keep, in bytes.
+/// The capacity in bytes that an output buffer keeps once it is empty, so that idle connections use little memory.
 const MAX_IDLE_BUFFER_BYTES: usize = 4 * 1024;
 
 fn token(id: ConnectionId) -> Token {
@@ -113,10 +115,10 @@
 }
 
 impl Connections {
-    /// Creates the poll, which also receives these signals.
+    /// Creates the poll and registers these signals with it.
     ///
     /// # Errors
-    /// The system can't create it.
+    /// The operating system refuses the poll or a signal handler.
     pub fn new(signals: &[i32]) -> io::Result<Connections> {
         let poll = Poll::new()?;
         let mut signals = Signals::new(signals)?;
@@ -129,17 +131,17 @@
             listeners: Vec::new(),
             connections: SlotMap::with_key(),
             flush_queue: Vec::new(),
-            scratch: vec![0; READ_BYTES],
-            accepting: true,
+            read_buffer: vec![0; READ_BYTES],
+            is_accepting: true,
             accept_failed: false,
-            last_wake: (0, true),
+            last_poll: (0, true),
         })
     }
 
-    /// Listens at an address; gives the number of the listener and its actual address.
+    /// Listens on an address. Returns the index of the listener and the address that it is bound to.
     ///
     /// # Errors
-    /// The address can't be used.
+    /// The address can't be bound.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<(usize, SocketAddr)> {
         let kind = Type::STREAM.nonblocking().cloexec();
         let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
@@ -147,41 +149,46 @@
         socket.bind(&address.into())?;
         socket.listen(LISTEN_BACKLOG)?;
         let mut listener = TcpListener::from_std(socket.into());
-        let number = self.listeners.len();
+        let index = self.listeners.len();
         self.poll
             .registry()
-            .register(&mut listener, Token(number), Interest::READABLE)?;
+            .register(&mut listener, Token(index), Interest::READABLE)?;
         let address = listener.local_addr()?;
         self.listeners.push(Some(listener));
-        Ok((number, address))
+        Ok((index, address))
     }
 
-    /// Accepts no more connections on a listener.
-    pub fn stop_listening(&mut self, number: usize) {
-        self.listeners[number] = None;
+    /// Closes a listener. The indices of the others stay the same.
+    pub fn stop_listening(&mut self, listener: usize) {
+        self.listeners[listener] = None;
     }
 
-    /// Opens a connection; [`IoEvent::Connected`] or [`IoEvent::Failed`] follows.
+    /// Starts to connect to an address; [`IoEvent::Connected`] or [`IoEvent::Failed`] follows.
     ///
     /// # Errors
-    /// The system refuses at once.
+    /// The operating system refuses the connection immediately.
     pub fn connect(&mut self, address: SocketAddr, now: i64) -> io::Result<ConnectionId> {
         let stream = TcpStream::connect(address)?;
         self.register(stream, false, now)
     }
 
-    fn register(&mut self, stream: TcpStream, up: bool, now: i64) -> io::Result<ConnectionId> {
+    fn register(
+        &mut self,
+        stream: TcpStream,
+        is_connected: bool,
+        now: i64,
+    ) -> io::Result<ConnectionId> {
         stream.set_nodelay(true)?;
         let id = self.connections.insert(Connection {
             stream,
-            connected: up,
+            is_connected,
             input: Vec::new(),
             max_input_bytes: usize::MAX,
             output: Vec::new(),
             written_bytes: 0,
             sent_bytes: 0,
             has_unread: false,
-            flush_pending: false,
+            is_flush_queued: false,
             last_received_at: now,
         });
         let interest = Interest::READABLE | Interest::WRITABLE;
@@ -198,27 +205,27 @@
         }
     }
 
-    /// A connection.
+    /// Looks up a connection.
     pub fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.connections.get(id)
     }
 
-    /// A connection, to take from its input buffer.
+    /// Looks up a connection, to consume its input or to change its limits.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(id)
     }
 
-    /// When the last poll ended, before anything was read; and whether it brought all events.
-    pub fn last_wake(&self) -> (i64, bool) {
-        self.last_wake
+    /// When the last poll ended, before any input was read, and whether it returned all pending events.
+    pub fn last_poll(&self) -> (i64, bool) {
+        self.last_poll
     }
 
-    /// The number of connections.
+    /// The number of open connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// The number of bytes that the buffers of all connections take up.
+    /// The memory that is allocated for the buffers of all connections, in bytes.
     pub fn buffered_bytes(&self) -> usize {
         self.connections
             .values()
@@ -226,42 +233,42 @@
             .sum()
     }
 
-    /// Whether there are no connections.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// The buffer of what is to be written on a connection at the end of the iteration; none if it was closed.
+    /// The output buffer of a connection, which is written at the end of the iteration; `None` if the connection is closed.
     pub fn output(&mut self, id: ConnectionId) -> Option<&mut Vec<u8>> {
         let connection = self.connections.get_mut(id)?;
-        if !std::mem::replace(&mut connection.flush_pending, true) {
+        if !std::mem::replace(&mut connection.is_flush_queued, true) {
             self.flush_queue.push(id);
         }
         Some(&mut connection.output)
     }
 
-    /// Closes a connection. What was not written is lost.
+    /// Closes a connection and discards its unwritten output.
     pub fn close(&mut self, id: ConnectionId) -> Option<Connection> {
         self.connections.remove(id)
     }
 
-    /// Closes the sending direction of a connection; what the peer still sends is read.
+    /// Closes the sending direction of a connection; it can still be read from.
     pub fn shutdown_write(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get(id) {
-            // A connection that has failed is noticed when it is read.
+            // If the connection has failed, the next read reports it.
             let _ = connection.stream.shutdown(Shutdown::Write);
         }
     }
 
-    /// Accepts connections, or accepts none until this is called again.
-    pub fn set_accepting(&mut self, accepting: bool, now: i64, events: &mut Vec<IoEvent>) {
-        if accepting && !std::mem::replace(&mut self.accepting, accepting) {
-            (0..self.listeners.len()).for_each(|number| self.accept(number, now, events));
+    /// Starts or stops accepting connections on all listeners. On a start, those in the backlog are accepted at once.
+    pub fn set_accepting(&mut self, is_accepting: bool, now: i64, events: &mut Vec<IoEvent>) {
+        if is_accepting && !std::mem::replace(&mut self.is_accepting, is_accepting) {
+            (0..self.listeners.len()).for_each(|listener| self.accept(listener, now, events));
         }
-        self.accepting = accepting;
+        self.is_accepting = is_accepting;
     }
 
-    /// Reads what had to wait because the input buffer was full.
+    /// Reads the input that was left in the socket because the input buffer was full.
     pub fn resume_reading(&mut self, id: ConnectionId, now: i64, events: &mut Vec<IoEvent>) {
         if self
             .connections
@@ -272,34 +279,37 @@
         }
     }
 
-    /// Waits for events, until `until` at the latest, on the clock that `clock` reads.
+    /// Waits for events until `deadline` at the latest, without end if there is none. `clock` reads the clock that the
+    /// deadline refers to.
     ///
     /// # Errors
     /// The poll has failed.
     pub fn wait(
         &mut self,
-        until: Option<i64>,
+        deadline: Option<i64>,
         clock: impl Fn() -> i64,
         events: &mut Vec<IoEvent>,
     ) -> io::Result<()> {
         let retry_at = self
             .accept_failed
             .then(|| clock().saturating_add(ACCEPT_RETRY_INTERVAL));
-        let until = until.into_iter().chain(retry_at).min();
-        let left = until.map(|until| until.saturating_sub(clock()).max(0) as u64);
+        let deadline = deadline.into_iter().chain(retry_at).min();
+        let timeout_us = deadline.map(|deadline| deadline.saturating_sub(clock()).max(0) as u64);
         let mut polled = std::mem::replace(&mut self.events, Events::with_capacity(0));
-        let result = self.poll.poll(&mut polled, left.map(Duration::from_micros));
+        let result = self
+            .poll
+            .poll(&mut polled, timeout_us.map(Duration::from_micros));
         let now = clock();
-        self.last_wake = (now, polled.iter().count() < MAX_EVENTS);
+        self.last_poll = (now, polled.iter().count() < MAX_EVENTS);
         if std::mem::take(&mut self.accept_failed) {
-            (0..self.listeners.len()).for_each(|number| self.accept(number, now, events));
+            (0..self.listeners.len()).for_each(|listener| self.accept(listener, now, events));
         }
         for event in &polled {
             match event.token() {
                 SIGNAL_TOKEN => events.extend(self.signals.pending().map(IoEvent::Signal)),
-                Token(number) if number < self.listeners.len() => self.accept(number, now, events),
-                Token(number) => {
-                    let id = ConnectionId::from(KeyData::from_ffi(number as u64));
+                Token(value) if value < self.listeners.len() => self.accept(value, now, events),
+                Token(value) => {
+                    let id = ConnectionId::from(KeyData::from_ffi(value as u64));
                     self.handle_ready(id, event, now, events);
                 }
             }
@@ -311,7 +321,7 @@
         }
     }
 
-    /// Connects, writes and reads a connection, as far as the event says that it is ready for that.
+    /// Completes the connect of a connection, writes and reads it, as far as the event reports it ready.
     fn handle_ready(
         &mut self,
         id: ConnectionId,
@@ -322,7 +332,7 @@
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        if !connection.connected {
+        if !connection.is_connected {
             if event.is_error() || event.is_write_closed() {
                 events.push(IoEvent::Failed(id));
                 return;
@@ -330,32 +340,32 @@
             if !event.is_writable() {
                 return;
             }
-            connection.connected = true;
+            connection.is_connected = true;
             events.push(IoEvent::Connected(id));
         }
-        if event.is_writable() && connection.backlog() > 0 {
+        if event.is_writable() && connection.pending_output_bytes() > 0 {
             self.flush(id, events);
         }
         if event.is_readable() || event.is_read_closed() || event.is_error() {
-            let to_the_end = event.is_read_closed() || event.is_error();
-            self.read(id, to_the_end, now, events);
+            let until_end = event.is_read_closed() || event.is_error();
+            self.read(id, until_end, now, events);
         }
     }
 
-    fn accept(&mut self, number: usize, now: i64, events: &mut Vec<IoEvent>) {
-        while self.accepting {
-            let Some(Some(listener)) = self.listeners.get(number) else {
+    fn accept(&mut self, index: usize, now: i64, events: &mut Vec<IoEvent>) {
+        while self.is_accepting {
+            let Some(Some(listener)) = self.listeners.get(index) else {
                 return;
             };
             match listener.accept() {
                 Ok((stream, _)) => {
                     if let Ok(id) = self.register(stream, true, now) {
-                        events.push(IoEvent::Accepted(number, id));
+                        events.push(IoEvent::Accepted(index, id));
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // One failed before it was accepted, or descriptors are short.
+                // The connection failed before it was accepted, or no file descriptor is free.
                 Err(_) => {
                     self.accept_failed = true;
                     return;
@@ -364,60 +374,64 @@
         }
     }
 
-    /// Reads what was received. A read that brings less than was asked for has taken everything: an end is told by the event.
-    fn read(&mut self, id: ConnectionId, to_the_end: bool, now: i64, events: &mut Vec<IoEvent>) {
+    /// Reads the available input. A read that returns less than was asked for has emptied the socket: the end of the stream is
+    /// reported by an event of its own. With `until_end`, reads on until the end of the stream or an error.
+    fn read(&mut self, id: ConnectionId, until_end: bool, now: i64, events: &mut Vec<IoEvent>) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        let before = connection.input.len();
-        let mut last = None;
+        let length_before = connection.input.len();
+        let mut end_event = None;
         loop {
-            let room = connection
+            let max_read = connection
                 .max_input_bytes
                 .saturating_sub(connection.input.len())
-                .min(self.scratch.len());
-            connection.has_unread = room == 0;
-            if room == 0 {
+                .min(self.read_buffer.len());
+            connection.has_unread = max_read == 0;
+            if max_read == 0 {
                 break;
             }
-            match connection.stream.read(&mut self.scratch[..room]) {
+            match connection.stream.read(&mut self.read_buffer[..max_read]) {
                 Ok(0) => {
-                    last = Some(IoEvent::PeerClosed(id));
+                    end_event = Some(IoEvent::PeerClosed(id));
                     break;
                 }
                 Ok(length) => {
-                    connection.input.extend_from_slice(&self.scratch[..length]);
-                    if length < room && !to_the_end {
+                    connection
+                        .input
+                        .extend_from_slice(&self.read_buffer[..length]);
+                    if length < max_read && !until_end {
                         break;
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
-                    last = Some(IoEvent::Failed(id));
+                    end_event = Some(IoEvent::Failed(id));
                     break;
                 }
             }
         }
-        if connection.input.len() > before {
+        if connection.input.len() > length_before {
             connection.last_received_at = now;
             events.push(IoEvent::Received(id));
         }
-        events.extend(last);
+        events.extend(end_event);
     }
 
-    /// Writes everything that is queued. To be called again until it brings no more events.
+    /// Writes the queued output of all connections. Handling the events that it adds may queue more output: it has to be called
+    /// until it adds none.
     pub fn flush_all(&mut self, events: &mut Vec<IoEvent>) {
-        let mut dirty = std::mem::take(&mut self.flush_queue);
-        for id in dirty.drain(..) {
+        let mut queue = std::mem::take(&mut self.flush_queue);
+        for id in queue.drain(..) {
             if let Some(connection) = self.connections.get_mut(id) {
-                connection.flush_pending = false;
-                if connection.connected && connection.backlog() > 0 {
+                connection.is_flush_queued = false;
+                if connection.is_connected && connection.pending_output_bytes() > 0 {
                     self.flush(id, events);
                 }
             }
         }
-        self.flush_queue = dirty;
+        self.flush_queue = queue;
     }
 
     fn flush(&mut self, id: ConnectionId, events: &mut Vec<IoEvent>) {
@@ -435,10 +449,10 @@
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // Hazard: what was received before the failure may be an answer, which says that nothing was run. It has to be
-                // reported before the failure.
+                // Input that arrived before the failure may be a response saying that the request was not run. It must be read
+                // and reported before the failure, or the caller would take the outcome of the request for unknown.
                 Err(_) => {
-                    self.read(id, true, self.last_wake.0, events);
+                    self.read(id, true, self.last_poll.0, events);
                     return events.push(IoEvent::Failed(id));
                 }
             }
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers, of which a page is read from columns and rows.
+//! The platform's list of servers, which is read in pages of columns and rows.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,32 +9,32 @@
 
 use crate::duration::ConfigDuration;
 
-/// A server as the platform lists it.
+/// A server in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// The id of its incarnation.
+    /// The id, which identifies one incarnation of the server.
     pub id: String,
-    /// The service that it belongs to.
+    /// The name of its service.
     pub svc: String,
-    /// Its address.
+    /// The address at which it accepts requests.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: String,
-    /// The number of requests that it works on at a time.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it accepts new requests.
     pub accepts_requests: bool,
-    /// How much longer it warms up, in microseconds from when this was sent.
-    pub warm_up_left: i64,
+    /// The remaining time of its warm-up when this was sent, in microseconds.
+    pub warm_up_left_us: i64,
 }
 
-/// A page of the list.
+/// A page of the platform's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Page {
+pub struct ServerPage {
     /// The servers of the page.
     pub servers: Vec<Server>,
-    /// The token of the next page; none on the last one.
-    pub next: Option<String>,
+    /// The cursor of the next page; `None` on the last one.
+    pub next_cursor: Option<String>,
 }
 
 #[derive(Deserialize)]
@@ -53,8 +53,8 @@
 /// Parses a page.
 ///
 /// # Errors
-/// The page does not have the platform's layout, or a server lacks a column that is needed. Nothing of the page counts then.
-pub fn parse_page(bytes: &[u8]) -> eyre::Result<Page> {
+/// The page does not have the expected layout, or a server lacks a required column. No server of the page is returned then.
+pub fn parse_page(bytes: &[u8]) -> eyre::Result<ServerPage> {
     let raw: RawPage = serde_json::from_slice(bytes).wrap_err("list of servers")?;
     let servers = raw
         .insts
@@ -62,35 +62,35 @@
         .iter()
         .map(|row| parse_server(&raw.insts.cols, row))
         .collect::<eyre::Result<_>>()?;
-    Ok(Page {
+    Ok(ServerPage {
         servers,
-        next: raw.next_cursor,
+        next_cursor: raw.next_cursor,
     })
 }
 
 fn parse_server(cols: &[String], row: &[Value]) -> eyre::Result<Server> {
     let fields: BTreeMap<&str, &Value> = cols.iter().map(String::as_str).zip(row).collect();
     let text = |key: &str| fields.get(key).and_then(|v| v.as_str());
-    let want = |key: &str| {
+    let required = |key: &str| {
         text(key)
             .map(str::to_string)
             .ok_or_else(|| eyre!("list of servers: {key} is missing"))
     };
-    let addr = want("addr")?;
+    let addr = required("addr")?;
     Ok(Server {
-        id: want("id")?,
-        svc: want("svc")?,
+        id: required("id")?,
+        svc: required("svc")?,
         addr: addr
             .parse()
             .wrap_err_with(|| format!("list of servers: addr {addr:?}"))?,
-        zone: want("zone")?,
+        zone: required("zone")?,
         slots: fields
             .get("slots")
             .and_then(|v| v.as_u64())
             .unwrap_or(1)
             .clamp(1, 100_000) as u32,
         accepts_requests: text("state").is_none_or(|state| state == "up"),
-        warm_up_left: text("warm_left")
+        warm_up_left_us: text("warm_left")
             .and_then(ConfigDuration::parse)
             .unwrap_or_default()
             .0,
--- a/crates/protocol/src/program.rs
+++ b/crates/protocol/src/program.rs
@@ -1,4 +1,4 @@
-//! The start of a program of the system: its arguments, its settings, its log and its exit code.
+//! The start of a program of the system: its arguments, settings, log and exit code.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,74 +9,74 @@
 use crate::log_ring::LogRing;
 use crate::settings::{SETTINGS_VARIABLE, Settings};
 
-/// A program of the whole system; docs/system.md says what each does.
+/// A program of the streamarch system; docs/system.md describes each of them.
 #[derive(FromArgs)]
 struct Arguments {
-    /// the settings file, in place of the one that `STREAMARCH_SETTINGS` names
+    /// the settings file; overrides the environment variable `STREAMARCH_SETTINGS`
     #[argh(option)]
     settings: Option<PathBuf>,
-    /// read and check the settings, say what is wrong with them, and end
+    /// check the settings, report the first error and exit
     #[argh(switch)]
     check: bool,
 }
 
-/// What a program is started with.
+/// The context that a program is started with.
 pub struct ProgramContext {
-    /// Its settings.
+    /// The settings of the program.
     pub settings: Settings,
-    /// The file that the settings were read from.
-    pub file: PathBuf,
-    /// Its log.
-    pub ring: LogRing,
+    /// The path of the file that the settings were read from.
+    pub settings_path: PathBuf,
+    /// The log of the program.
+    pub log_ring: LogRing,
 }
 
-/// Reads arguments and settings, checks them, also with the program's own `check`, and runs the program. An error is written
-/// to standard error after the buffered log, which is written out when the program panics as well.
+/// Reads arguments and settings, validates the settings, also with the program's own `check`, and runs the program. The
+/// buffered log is written to standard error before the error that ended the program, and before the message of a panic.
 pub fn run(
     name: &'static str,
     check: impl FnOnce(&Settings) -> eyre::Result<()>,
     run: impl FnOnce(ProgramContext) -> eyre::Result<()>,
 ) -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    let ring = LogRing::default();
-    let (at_panic, usual) = (ring.clone(), std::panic::take_hook());
+    let log_ring = LogRing::default();
+    let (panic_log, default_hook) = (log_ring.clone(), std::panic::take_hook());
     std::panic::set_hook(Box::new(move |panic| {
-        at_panic.write_out();
-        usual(panic);
+        panic_log.write_out();
+        default_hook(panic);
     }));
-    match start(arguments, check, &ring)
-        .and_then(|started| started.map_or(Ok(()), run))
+    match prepare(arguments, check, &log_ring)
+        .and_then(|context| context.map_or(Ok(()), run))
         .wrap_err(name)
     {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            ring.write_out();
+            log_ring.write_out();
             eprintln!("{error:#}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn start(
+/// Loads and checks the settings; `None` if the program was only asked to check them.
+fn prepare(
     arguments: Arguments,
     check: impl FnOnce(&Settings) -> eyre::Result<()>,
-    ring: &LogRing,
+    log_ring: &LogRing,
 ) -> eyre::Result<Option<ProgramContext>> {
-    let named = arguments
+    let path = arguments
         .settings
         .or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
-    let file = named.ok_or_else(|| {
-        eyre!("no settings: neither --settings nor {SETTINGS_VARIABLE} names a file")
-    })?;
-    let settings = Settings::load(&file)?;
-    check(&settings).wrap_err_with(|| format!("in {}", file.display()))?;
+    let settings_path =
+        path.ok_or_else(|| eyre!("no settings file: set --settings or {SETTINGS_VARIABLE}"))?;
+    let settings = Settings::load(&settings_path)?;
+    check(&settings).wrap_err_with(|| format!("in {}", settings_path.display()))?;
     if arguments.check {
-        println!("{}: in order", file.display());
+        println!("{}: settings are valid", settings_path.display());
         return Ok(None);
     }
     Ok(Some(ProgramContext {
         settings,
-        file,
-        ring: ring.clone(),
+        settings_path,
+        log_ring: log_ring.clone(),
     }))
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -247,7 +247,7 @@
     /// The agent confirms that the proxy has the complete and current state.
     pub fn confirm_complete_state(&mut self) {
         self.send_control(ControlMessage::Complete);
-        self.send_control(ControlMessage::Confirmed { age: 0 });
+        self.send_control(ControlMessage::Confirmed { age_us: 0 });
         self.settle();
     }
 
@@ -300,8 +300,8 @@
             .collect();
         items.push(item(ItemKind::Service, "s", 1, r#"{"hcheck":"/healthz"}"#));
         self.send_control(ControlMessage::ClusterView(ClusterView {
-            limiters: 1,
-            limiters_in_zone: 1,
+            limiter_count: 1,
+            zone_limiter_count: 1,
             has_quorum: true,
             ..ClusterView::default()
         }));
@@ -541,7 +541,7 @@
             zone,
             slots: 4,
             accepts_requests: true,
-            warm_up_left: 0,
+            warm_up_left_us: 0,
         };
         StubServer {
             listener,
--- a/crates/proxy/tests/late_totals.rs
+++ b/crates/proxy/tests/late_totals.rs
@@ -44,7 +44,7 @@
                 .iter()
                 .map(|counter_add| add(counter_add.counter, counter_add.units))
                 .collect();
-            let response = ControlMessage::Totals { batch, totals };
+            let response = ControlMessage::CounterTotals { batch, totals };
             self.pending.push_back((now + ROUND_TRIP_US, response));
         }
         while self
@@ -65,8 +65,8 @@
     harness.send_control(ControlMessage::ClusterView(ClusterView {
         counter: Some(("10.0.0.9:7740".parse().unwrap(), 1)),
         has_quorum: true,
-        limiters: LIMITERS,
-        limiters_in_zone: LIMITERS,
+        limiter_count: LIMITERS,
+        zone_limiter_count: LIMITERS,
         ..ClusterView::default()
     }));
     let tenant = r#"{"apikeys":["k1"],"prio":1,"per_s":60,"burst":60,"pins":[]}"#;
--- a/crates/proxy/tests/servers.rs
+++ b/crates/proxy/tests/servers.rs
@@ -161,7 +161,7 @@
 #[test]
 fn server_receives_no_requests_during_its_warm_up() {
     let mut harness = ProxyHarness::new(&["a", "a"]);
-    harness.servers[0].list_entry.warm_up_left = 500 * common::MS;
+    harness.servers[0].list_entry.warm_up_left_us = 500 * common::MS;
     harness.send_server_list();
     assert_eq!(harness.requests_per_server(20)[0], 0);
     harness.advance_ms(460);
--- a/crates/simulation/src/scale/world.rs
+++ b/crates/simulation/src/scale/world.rs
@@ -280,7 +280,10 @@
             name: format!("edge-{at:05}"),
             zone: self.zones[zone].clone(),
             region: region(zone),
-            http: SocketAddr::from(([10, 1 + (at >> 16) as u8, (at >> 8) as u8, at as u8], 8080)),
+            http_address: SocketAddr::from((
+                [10, 1 + (at >> 16) as u8, (at >> 8) as u8, at as u8],
+                8080,
+            )),
         };
         let regions = self
             .zones
@@ -499,7 +502,7 @@
             if let Some(held) = news_came.then_some(self.agents[agent].items) {
                 self.hold(agent, held);
             }
-            let homed = self.agents[agent].links.home().is_none()
+            let homed = self.agents[agent].links.home_replica().is_none()
                 || std::mem::replace(&mut self.agents[agent].homed, true);
             if !homed {
                 self.try_home(agent);
@@ -544,7 +547,7 @@
                 agent,
                 link,
                 AgentMessage::ConfigState {
-                    items: items as u32,
+                    item_count: items as u32,
                     digest: u64::MAX,
                 },
             );
@@ -557,7 +560,7 @@
     }
 
     fn try_home(&mut self, agent: usize) {
-        let home = self.agents[agent].links.home();
+        let home = self.agents[agent].links.home_replica();
         let Some((old, home)) = self.agents[agent].link.zip(home) else {
             return;
         };
