--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -23,7 +23,7 @@
     Total(u64, f64),
     /// The call for this counter failed: no node holds it.
     Unavailable(u64),
-    /// The counter has moved, in this term.
+    /// The counter has moved to another node, which holds it in this term.
     TermChanged(u64),
 }
 
@@ -41,19 +41,25 @@
 
 /// A fleet of proxies and the counter that they share.
 struct Fleet {
+    /// The simulated time.
     now: Micros,
     proxies: Vec<Proxy>,
     /// Messages to the counter, by their arrival and a sequence number: proxy, counter and units.
     adds_in_flight: BTreeMap<(Micros, u64), (usize, u64, f64)>,
     /// Messages to the proxies, by their arrival and a sequence number.
     messages_in_flight: BTreeMap<(Micros, u64), (usize, CounterMessage)>,
+    /// Number of messages so far. It orders messages that arrive at the same time.
     sequence: u64,
+    /// The counter's totals.
     totals: BTreeMap<u64, f64>,
+    /// Whether a node holds the counter.
     counter_available: bool,
     /// The share of the proxies that the counter assumes to reach it; it scales its totals up by
     /// this.
     reachable_fraction: f64,
+    /// When each request was sent to a server.
     sent_at: Vec<Micros>,
+    /// Number of rejected requests.
     rejected: usize,
 }
 
--- a/crates/proxy/tests/random_schedules.rs
+++ b/crates/proxy/tests/random_schedules.rs
@@ -43,7 +43,7 @@
     valid_bodies: BTreeSet<Vec<u8>>,
     /// The client was told that it has not run, or it can't run any more.
     promised_not_run: bool,
-    sent_at: i64,
+    sent_at_us: i64,
     /// A server truncated a long response to it.
     response_truncated: bool,
 }
@@ -274,7 +274,7 @@
             id,
             RequestState {
                 mutating,
-                sent_at: self.harness.now_us(),
+                sent_at_us: self.harness.now_us(),
                 ..RequestState::default()
             },
         );
@@ -397,10 +397,10 @@
         if !self.sent_responses.is_empty() {
             let n = self.rng.usize(0..self.sent_responses.len());
             let (attempt, text) = &self.sent_responses[n];
-            let is_streaming_there = |(other, _): &(Attempt, String)| {
+            let is_on_this_connection = |(other, _): &(Attempt, String)| {
                 (other.server, other.connection) == (attempt.server, attempt.connection)
             };
-            if !self.streaming.iter().any(is_streaming_there) {
+            if !self.streaming.iter().any(is_on_this_connection) {
                 self.harness.send_response(attempt, text);
             }
         }
@@ -416,7 +416,7 @@
     /// A server closes its idle connections.
     fn close_idle_connections(&mut self) {
         let server = self.rng.usize(0..self.harness.servers.len());
-        let busy: BTreeSet<usize> = self
+        let busy_connections: BTreeSet<usize> = self
             .busy_attempts()
             .filter(|attempt| attempt.server == server)
             .map(|attempt| attempt.connection)
@@ -426,7 +426,7 @@
             .iter_mut()
             .enumerate()
         {
-            if !busy.contains(&n) && connection.requests.is_empty() {
+            if !busy_connections.contains(&n) && connection.requests.is_empty() {
                 connection.stream.close();
             }
         }
@@ -483,11 +483,11 @@
                 "{} runs after the client was told that it has not run",
                 attempt.id()
             );
-            let busy = |other: &Attempt| {
+            let is_on_this_connection = |other: &Attempt| {
                 (other.server, other.connection) == (attempt.server, attempt.connection)
             };
             assert!(
-                !self.running.iter().any(busy),
+                !self.running.iter().any(is_on_this_connection),
                 "two requests on one connection"
             );
             state.runs += 1;
@@ -551,7 +551,7 @@
                     let truncated = &self.requests_by_id[&unanswered.pop_front().unwrap()];
                     assert!(
                         truncated.response_truncated
-                            || self.harness.now_us() >= truncated.sent_at + 2_900 * MS
+                            || self.harness.now_us() >= truncated.sent_at_us + 2_900 * MS
                     );
                     assert!(
                         unanswered
--- a/crates/proxy/tests/server_faults_system.rs
+++ b/crates/proxy/tests/server_faults_system.rs
@@ -38,27 +38,27 @@
 /// A request that was sent, and the status of its response, if there was one.
 struct SentRequest {
     id: String,
-    write: bool,
+    is_write: bool,
     status: Option<u16>,
 }
 
 /// Sends the requests of a client one by one. A successful response echoes its request, by which it
 /// is checked that it belongs to the request.
-fn run_client(system: &Whole, number: usize) -> Vec<SentRequest> {
+fn run_client(system: &Whole, client_index: usize) -> Vec<SentRequest> {
     let (mut connection, mut sent_requests) = (None, Vec::new());
     for index in 0..REQUESTS_PER_CLIENT {
-        let (id, write) = (format!("c{number}-{index}"), index % 3 > 0);
-        let body = if write {
+        let (id, is_write) = (format!("c{client_index}-{index}"), index % 3 > 0);
+        let body = if is_write {
             "x".repeat(index * 37)
         } else {
             String::new()
         };
-        let (method, path) = if write {
+        let (method, path) = if is_write {
             ("POST", "/write/1")
         } else {
             ("GET", "/read/1")
         };
-        let content_length = if write {
+        let content_length = if is_write {
             format!("Content-Length: {}\r\n", body.len())
         } else {
             String::new()
@@ -92,7 +92,11 @@
             Err(Failure::Surplus) => panic!("{id}: surplus bytes after the response"),
             Err(_) => None,
         };
-        sent_requests.push(SentRequest { id, write, status });
+        sent_requests.push(SentRequest {
+            id,
+            is_write,
+            status,
+        });
     }
     sent_requests
 }
@@ -127,13 +131,18 @@
     let counts = system.town.counts();
     assert_eq!(counts.twice, 0, "{counts:?}");
     assert!(counts.spoilt >= 14, "too few faults occurred: {counts:?}");
-    for SentRequest { id, write, status } in requests.iter().filter(|request| request.write) {
+    for SentRequest {
+        id,
+        is_write,
+        status,
+    } in requests.iter().filter(|request| request.is_write)
+    {
         let runs = system.town.runs(id);
-        assert!(*write && runs <= 1, "{id} ran {runs} times");
+        assert!(*is_write && runs <= 1, "{id} ran {runs} times");
         if status.is_some_and(|status| NOT_RUN_STATUSES.contains(&status)) {
             assert_eq!(
                 runs, 0,
-                "{id} was promised not to have run, with {status:?}"
+                "{id} ran although {status:?} promises that it did not"
             );
         }
         if *status == Some(200) {
@@ -160,7 +169,7 @@
     assert!(
         requests
             .iter()
-            .all(|request| system.town.runs(&request.id) <= if request.write { 1 } else { 3 })
+            .all(|request| system.town.runs(&request.id) <= if request.is_write { 1 } else { 3 })
     );
     assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
--- a/crates/proxy/tests/shedding.rs
+++ b/crates/proxy/tests/shedding.rs
@@ -103,10 +103,10 @@
             };
             let protected = spawn_clients(PROTECTED_CLIENTS, "inspector", "key-of-inspectors");
             let guests = spawn_clients(GUEST_CLIENTS, "guest", "key-of-guests");
-            let join_all = |results: Vec<std::thread::ScopedJoinHandle<'_, Vec<RequestResult>>>| {
-                results
+            let join_all = |handles: Vec<std::thread::ScopedJoinHandle<'_, Vec<RequestResult>>>| {
+                handles
                     .into_iter()
-                    .flat_map(|one| one.join().unwrap())
+                    .flat_map(|handle| handle.join().unwrap())
                     .collect()
             };
             (join_all(protected), join_all(guests))
--- a/crates/proxy/tests/upload.rs
+++ b/crates/proxy/tests/upload.rs
@@ -76,7 +76,10 @@
 #[test_case(|stream| _ = stream.write(response_text(421, "X-Request-Id: one", "").as_bytes()), [503; 2]; "server was replaced")]
 #[test_case(|stream| _ = stream.write(response_text(500, "X-Request-Id: one", "no").as_bytes()), [500; 2]; "server error")]
 #[test_case(|stream| _ = stream.write(ok_response("one", "early").as_bytes()), [200; 2]; "success before the end of the body")]
-fn partly_streamed_body_goes_to_no_other_server(act: fn(&mut TestStream), statuses: [u16; 2]) {
+fn partly_streamed_body_goes_to_no_other_server(
+    server_action: fn(&mut TestStream),
+    statuses: [u16; 2],
+) {
     for (request_line, status) in ["POST /u/1", "POST /i/1"].into_iter().zip(statuses) {
         let mut harness = ProxyHarness::new(&["a", "a"]);
         let body = patterned_body(LONG_BODY_BYTES);
@@ -94,7 +97,7 @@
             .servers
             .iter_mut()
             .flat_map(|server| &mut server.connections);
-        connections.for_each(|connection| act(&mut connection.stream));
+        connections.for_each(|connection| server_action(&mut connection.stream));
         let response = harness.next_response(client);
         assert_eq!(
             (response.status, response.headers.contains("Retry-After")),
