--- a/crates/proxy/tests/retry_safety.rs
+++ b/crates/proxy/tests/retry_safety.rs
@@ -41,7 +41,7 @@
             } else {
                 truncated_status
             },
-            "cut at {length}"
+            "truncated at {length}"
         );
         harness.settle();
         assert_eq!(
@@ -64,9 +64,13 @@
         harness.send_response(&attempt, &text[..length]);
         harness.close_server_connection(&attempt);
         if length < text.len() {
-            assert_eq!(harness.next_response(client).status, 502, "cut at {length}");
+            assert_eq!(
+                harness.next_response(client).status,
+                502,
+                "truncated at {length}"
+            );
             harness.settle();
-            assert_eq!(harness.request_count(), 1, "cut at {length}");
+            assert_eq!(harness.request_count(), 1, "truncated at {length}");
         } else {
             let retry = harness.next_request();
             assert_ne!(retry.server, attempt.server);
