--- a/crates/control/src/core/operator_calls.rs
+++ b/crates/control/src/core/operator_calls.rs
@@ -9,7 +9,7 @@
 
 /// The response to a change while the disk rejects writes; it directs operators to the disk of this replica.
 pub(super) const DISK_REJECTS_WRITES: &str =
-    "the disk of this replica is full or fails: it rejects writes";
+    "the disk of this replica is full or fails: it takes no writes";
 
 impl Replica {
     /// Handles an operator's call, which must be answered before the deadline.
@@ -52,11 +52,11 @@
     /// The reason why this replica cannot execute a command now, if any.
     fn rejection(&self, now: i64, command: &Command) -> Option<&'static str> {
         if !self.table.is_participant() {
-            Some("this replica is recovering, or was superseded by another machine")
+            Some("this replica has not rebuilt, or was replaced")
         } else if self.is_shutting_down {
-            Some("this process is shutting down")
+            Some("this process is about to end")
         } else if !self.table.has_quorum_contact(now) {
-            Some("this replica is not in contact with a quorum of the replicas")
+            Some("more than half of the replicas are out of touch")
         } else if self.disk.is_full && *command != Command::GetConfiguration {
             Some(DISK_REJECTS_WRITES)
         } else {
--- a/crates/control/src/core/proposals.rs
+++ b/crates/control/src/core/proposals.rs
@@ -15,11 +15,11 @@
 use crate::operator_api::Reply;
 
 /// The response to a call some of whose items may be in force although another change has taken the version of one.
-const PARTIALLY_APPLIED: &str = "ver: another change has taken the version of an item, and other items of this call \
-     may be in force: resend the call with higher versions";
+const PARTIALLY_APPLIED: &str = "ver: another change stands at the version of an item, and other items of this call \
+     may be in force: send it with higher versions";
 
 /// The response to a call whose proposal or read did not reach a quorum in time.
-pub(super) const NO_QUORUM: &str = "no quorum of the replicas answered before the deadline";
+pub(super) const NO_QUORUM: &str = "no answer of more than half of the replicas";
 
 /// The delay before a proposal is checked again whose registers are in use by another proposal of this replica.
 const BUSY_RETRY_INTERVAL: i64 = limits::RESEND_INTERVAL / 10;
--- a/crates/ctl/src/http.rs
+++ b/crates/ctl/src/http.rs
@@ -17,8 +17,8 @@
 /// The response is not complete by the deadline, is invalid, or has a status other than 200. The error names the address and
 /// the step that failed.
 pub fn get(address: SocketAddr, path: &str, deadline: Instant) -> eyre::Result<Vec<u8>> {
-    let (status, body) =
-        request(address, path, deadline).wrap_err_with(|| format!("GET {path} at {address}"))?;
+    let (status, body) = request(address, path, deadline)
+        .wrap_err_with(|| format!("asking {address} for {path}"))?;
     let excerpt = || {
         String::from_utf8_lossy(&body)
             .chars()
@@ -27,7 +27,7 @@
     };
     ensure!(
         status == 200,
-        "GET {path} at {address}: status {status}: {}",
+        "asking {address} for {path}: answered {status}: {}",
         excerpt()
     );
     Ok(body)
@@ -37,7 +37,7 @@
     let time_left = || {
         let time_left = deadline.saturating_duration_since(Instant::now());
         if time_left.is_zero() {
-            Err(eyre!("no complete response before the deadline"))
+            Err(eyre!("no answer in time"))
         } else {
             Ok(time_left)
         }
@@ -58,9 +58,7 @@
             .wrap_err("reading")?;
         match stream.read(&mut buffer) {
             Ok(0) => {
-                return Err(eyre!(
-                    "reading: connection closed before the response was complete"
-                ));
+                return Err(eyre!("reading: it ended in the middle of an answer"));
             }
             Ok(length) => input.extend_from_slice(&buffer[..length]),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -78,26 +76,26 @@
     else {
         ensure!(
             input.len() < MAX_HEAD_BYTES,
-            "reading: response head exceeds {MAX_HEAD_BYTES} bytes"
+            "reading: a head that does not end"
         );
         return Ok(None);
     };
-    let head = std::str::from_utf8(&input[..end]).wrap_err("reading: response head")?;
+    let head = std::str::from_utf8(&input[..end]).wrap_err("reading: the head")?;
     let mut lines = head.split("\r\n");
     let status = lines
         .next()
         .and_then(|line| line.split(' ').nth(1))
         .and_then(|word| word.parse().ok());
-    let status = status.ok_or_else(|| eyre!("reading: response without a valid status line"))?;
+    let status = status.ok_or_else(|| eyre!("reading: no status"))?;
     let length = lines.filter_map(|line| line.split_once(':'));
     let length = length.filter(|(name, _)| name.eq_ignore_ascii_case("content-length"));
     let length = length
         .filter_map(|(_, value)| value.trim().parse::<usize>().ok())
         .next();
-    let length = length.ok_or_else(|| eyre!("reading: response without a valid Content-Length"))?;
+    let length = length.ok_or_else(|| eyre!("reading: an answer without its length"))?;
     ensure!(
         length <= MAX_BODY_BYTES,
-        "reading: response body of {length} bytes exceeds {MAX_BODY_BYTES}"
+        "reading: an answer of {length} bytes"
     );
     let body = input.get(end + 4..end + 4 + length);
     Ok(body.map(|body| (status, body.to_vec())))
--- a/crates/ctl/src/http/tests.rs
+++ b/crates/ctl/src/http/tests.rs
@@ -13,7 +13,7 @@
     );
 }
 
-#[test_case("HTTP/1.1 200 OK\r\n\r\n{}", "Content-Length"; "no content length")]
+#[test_case("HTTP/1.1 200 OK\r\n\r\n{}", "answer without its length"; "no content length")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 999999999999\r\n\r\n", "bytes"; "a body that is too long")]
 #[test_case("what\r\n\r\n", "status"; "no HTTP")]
 fn error_of_an_invalid_response_names_the_fault(text: &str, expected: &str) {
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -45,7 +45,7 @@
         let body = http::get(*address, "/api/status", deadline());
         let status = body.and_then(|body| {
             serde_json::from_slice::<Status>(&body)
-                .wrap_err_with(|| format!("parsing the status of {address}"))
+                .wrap_err_with(|| format!("reading what {address} tells"))
         });
         match status {
             Ok(status) => ReplicaAnswer {
@@ -94,14 +94,17 @@
         };
         let zone = &status.zone;
         let states = [
-            (status.is_superseded, "was replaced by another machine"),
+            (
+                status.is_superseded,
+                "was replaced: another machine stands for its replica",
+            ),
             (
                 !status.is_superseded && !status.is_participant,
                 "has not rebuilt its disk yet",
             ),
             (
                 status.is_participant && !status.has_quorum_contact,
-                "is not in contact with a quorum of the replicas",
+                "is out of touch with more than half of the replicas",
             ),
             (status.disk_full, "has a full disk"),
         ];
@@ -118,12 +121,9 @@
             .replicas
             .iter()
             .filter(|replica| !replica.is_reachable);
-        findings.extend(silent.map(|replica| {
-            format!(
-                "replica {zone} receives nothing from replica {}",
-                replica.zone
-            )
-        }));
+        findings.extend(
+            silent.map(|replica| format!("replica {zone} does not hear replica {}", replica.zone)),
+        );
         let vacant = status.roles.iter().filter(|duty| duty.holder.is_none());
         findings.extend(
             vacant.map(|duty| format!("replica {zone} knows nobody with the duty {}", duty.role)),
@@ -139,7 +139,7 @@
         let differing = statuses_with_quorum().filter(|status| status.digest != first.digest);
         findings.extend(differing.map(|status| {
             format!(
-                "replicas {} and {} have different items ({} and {})",
+                "replicas {} and {} know other items ({} and {})",
                 first.zone, status.zone, first.items, status.items
             )
         }));
@@ -148,7 +148,7 @@
         let node = &limiter.node;
         if !limiter.is_connected {
             findings.push(format!(
-                "limiter {node} is not linked to a replica, its lease will expire"
+                "limiter {node} is linked to no replica, its lease runs out"
             ));
         } else if limiter.state != "ready" {
             findings.push(format!("limiter {node} is {}", limiter.state));
--- a/crates/ctl/src/status/tests.rs
+++ b/crates/ctl/src/status/tests.rs
@@ -34,12 +34,12 @@
 }
 
 #[test_case(|_| {}, &[]; "no faults")]
-#[test_case(|s| s[1].has_quorum_contact = false, &["replica b is not in contact with a quorum of the replicas"]; "a replica without a quorum")]
+#[test_case(|s| s[1].has_quorum_contact = false, &["replica b is out of touch with more than half of the replicas"]; "a replica without a quorum")]
 #[test_case(|s| (s[1].is_participant, s[1].has_quorum_contact) = (false, false), &["replica b has not rebuilt its disk yet"]; "a replica that rebuilds its disk")]
 #[test_case(|s| s[0].disk_full = true, &["replica a has a full disk"]; "a full disk")]
-#[test_case(|s| s[0].replicas[1].is_reachable = false, &["replica a receives nothing from replica b"]; "a silent replica")]
+#[test_case(|s| s[0].replicas[1].is_reachable = false, &["replica a does not hear replica b"]; "a silent replica")]
 #[test_case(|s| s[1].roles[0].holder = None, &["replica b knows nobody with the duty poll"]; "a duty without a holder")]
-#[test_case(|s| s[1].digest = "8".into(), &["replicas a and b have different items (0 and 0)"]; "different items")]
+#[test_case(|s| s[1].digest = "8".into(), &["replicas a and b know other items (0 and 0)"]; "different items")]
 #[test_case(|s| s[0].limiters[0].lag_ms = Some(9_000), &["limiter e has lagged for up to 9000 ms"]; "a limiter that lags")]
 #[test_case(|s| s[0].limiters[0].state = "away".into(), &["limiter e is away"]; "a limiter that is away")]
 fn findings_describe_the_faults(change: impl Fn(&mut Vec<Status>), expected: &[&str]) {
--- a/crates/protocol/src/duration.rs
+++ b/crates/protocol/src/duration.rs
@@ -30,9 +30,8 @@
 impl<'de> Deserialize<'de> for ConfigDuration {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<ConfigDuration, D::Error> {
         let text = String::deserialize(deserializer)?;
-        ConfigDuration::parse(&text).ok_or_else(|| {
-            D::Error::custom(format!("{text:?} is not a duration such as 1500ms or 2.5s"))
-        })
+        ConfigDuration::parse(&text)
+            .ok_or_else(|| D::Error::custom(format!("{text:?} is no time such as 1500ms or 2.5s")))
     }
 }
 
--- a/crates/protocol/src/items.rs
+++ b/crates/protocol/src/items.rs
@@ -150,7 +150,7 @@
     if prefix.starts_with('/') {
         Ok(())
     } else {
-        Err(validation_error("prefix", "does not begin with '/'"))
+        Err(validation_error("prefix", "does not begin with a slash"))
     }
 }
 
@@ -161,13 +161,13 @@
     if route.target_time.0 - route.timeout.0 >= MAX_TARGET_OVER_TIMEOUT {
         return Err(validation_error(
             "target_time",
-            "target_time: exceeds timeout by 60 s or more",
+            "target_time: a minute or more over timeout",
         ));
     }
     if route.svc.is_none() == route.split.is_empty() {
         return Err(validation_error(
             "svc",
-            "svc: exactly one of svc and split is required",
+            "svc: either svc or split is wanted",
         ));
     }
     Ok(())
@@ -292,7 +292,7 @@
     let text = item
         .spec
         .as_deref()
-        .ok_or_else(|| ConfigError(format!("{}: the item is removed", item.name)))?;
+        .ok_or_else(|| ConfigError(format!("{}: dropped", item.name)))?;
     let spec: T =
         serde_json::from_str(text).map_err(|e| ConfigError(format!("{}: {e}", item.name)))?;
     spec.validate().map_err(|e| {
@@ -309,7 +309,7 @@
 fn check_item(item: &Item) -> Result<(), ConfigError> {
     if item.name.name.is_empty() != (item.name.kind == ItemKind::Limits) {
         return Err(ConfigError(format!(
-            "{}: a name is required, except for limits, which must have none",
+            "{}: a name is wanted, and none for limits",
             item.name
         )));
     }
@@ -354,7 +354,7 @@
     let mut items = Vec::new();
     for object in patch.upsert.objs {
         let kind = ItemKind::from_wire_name(&object.r#type)
-            .ok_or_else(|| ConfigError(format!("type: unknown kind {:?}", object.r#type)))?;
+            .ok_or_else(|| ConfigError(format!("type: {:?}", object.r#type)))?;
         let name = ItemName {
             kind,
             name: object.meta.name,
@@ -367,7 +367,7 @@
     }
     for (wire_name, metas) in patch.remove {
         let kind = ItemKind::from_wire_name(&wire_name)
-            .ok_or_else(|| ConfigError(format!("remove: unknown kind {wire_name:?}")))?;
+            .ok_or_else(|| ConfigError(format!("remove: {wire_name:?}")))?;
         let removed_item = |meta: Meta| Item {
             name: ItemName {
                 kind,
@@ -399,10 +399,7 @@
                 newest.push(item);
             }
             Some(kept) if kept.ver == item.ver && !has_same_content(kept, &item) => {
-                return Err(ConfigError(format!(
-                    "{}: given twice with the same version and different contents",
-                    item.name
-                )));
+                return Err(ConfigError(format!("{}: twice at one version", item.name)));
             }
             Some(kept) if kept.ver < item.ver => *kept = item,
             Some(_) => {}
@@ -486,7 +483,7 @@
     let route: Route = parse_spec(item)?;
     match route.services().find(|(svc, _)| !is_known(svc)) {
         Some((unknown, _)) => Err(ConfigError(format!(
-            "{}: svc: unknown service {unknown:?}",
+            "{}: svc: no service {unknown:?}",
             item.name
         ))),
         None => Ok(()),
