--- a/crates/config-check/src/lib.rs
+++ b/crates/config-check/src/lib.rs
@@ -6,58 +6,58 @@
 
 /// What is wrong with a file, and at which key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct KeyError {
     /// The key, with those it lies under; empty for the whole.
     pub key: String,
     /// What is wrong with it.
-    pub text: String,
+    pub message: String,
 }
 
-impl Fault {
+impl KeyError {
     /// A fault at a key.
-    pub fn at(key: impl Into<String>, text: impl Into<String>) -> Fault {
-        Fault {
+    pub fn new(key: impl Into<String>, message: impl Into<String>) -> KeyError {
+        KeyError {
             key: key.into(),
-            text: text.into(),
+            message: message.into(),
         }
     }
 
     /// The same fault with its key below another one.
-    pub fn under(self, parent: &str) -> Fault {
+    pub fn under_parent(self, parent: &str) -> KeyError {
         let dot = if self.key.is_empty() || self.key.starts_with('[') {
             ""
         } else {
             "."
         };
-        Fault {
+        KeyError {
             key: format!("{parent}{dot}{}", self.key),
-            text: self.text,
+            message: self.message,
         }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for KeyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.key.as_str() {
-            "" => write!(f, "{}", self.text),
-            key => write!(f, "key '{key}': {}", self.text),
+            "" => write!(f, "{}", self.message),
+            key => write!(f, "key '{key}': {}", self.message),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for KeyError {}
 
 /// Reads a value from JSON text.
 ///
 /// # Errors
 /// Text that is not JSON, with line and column; a key that is unknown, of a wrong type or missing, by its path.
-pub fn read<T: DeserializeOwned>(text: &str) -> Result<T, Fault> {
+pub fn parse_json<T: DeserializeOwned>(text: &str) -> Result<T, KeyError> {
     let mut reader = serde_json::Deserializer::from_str(text);
     let value = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
         let path = error.path().to_string();
         match error.into_inner() {
             inner if inner.is_syntax() || inner.is_eof() => {
-                Fault::at("", format!("not JSON: {inner}"))
+                KeyError::new("", format!("not JSON: {inner}"))
             }
             inner => explain(
                 if path == "." { String::new() } else { path },
@@ -68,19 +68,19 @@
     // Guards against a second document behind the first, which would be passed over in silence.
     reader
         .end()
-        .map_err(|error| Fault::at("", format!("not JSON: {error}")))?;
+        .map_err(|error| KeyError::new("", format!("not JSON: {error}")))?;
     Ok(value)
 }
 
 /// Turns serde's words on an unknown name into ours, with the name that was meant.
-fn explain(path: String, text: &str) -> Fault {
+fn explain(path: String, text: &str) -> KeyError {
     let quoted: Vec<&str> = text.split('`').skip(1).step_by(2).collect();
     let unknown = text.starts_with("unknown field") || text.starts_with("unknown variant");
     let [name, known @ ..] = quoted.as_slice() else {
-        return Fault::at(path, text);
+        return KeyError::new(path, text);
     };
     if !unknown {
-        return Fault::at(path, text);
+        return KeyError::new(path, text);
     }
     let near = known
         .iter()
@@ -97,7 +97,7 @@
         None => format!("known are {}", known.join(", ")),
     };
     if text.starts_with("unknown variant") {
-        return Fault::at(path, format!("'{name}' is not known; {meant}"));
+        return KeyError::new(path, format!("'{name}' is not known; {meant}"));
     }
     // The path of an unknown field may end with its name or with what holds it.
     let key = if path.split('.').next_back() == Some(name) {
@@ -107,17 +107,17 @@
     } else {
         format!("{path}.{name}")
     };
-    Fault::at(key, format!("unknown key; {meant}"))
+    KeyError::new(key, format!("unknown key; {meant}"))
 }
 
 /// Checks that a number lies within bounds, both of them allowed.
 ///
 /// # Errors
 /// A number outside, or no number, by the key.
-pub fn within(key: &str, value: f64, low: f64, high: f64) -> Result<(), Fault> {
+pub fn check_within(key: &str, value: f64, low: f64, high: f64) -> Result<(), KeyError> {
     match value >= low && value <= high {
         true => Ok(()),
-        false => Err(Fault::at(
+        false => Err(KeyError::new(
             key,
             format!("is {value}, not between {low} and {high}"),
         )),
@@ -128,12 +128,12 @@
 ///
 /// # Errors
 /// As [`within`]; the ends in the wrong order.
-pub fn range(key: &str, [from, to]: [f64; 2], low: f64, high: f64) -> Result<(), Fault> {
-    within(&format!("{key}[0]"), from, low, high)?;
-    within(&format!("{key}[1]"), to, low, high)?;
+pub fn check_range(key: &str, [from, to]: [f64; 2], low: f64, high: f64) -> Result<(), KeyError> {
+    check_within(&format!("{key}[0]"), from, low, high)?;
+    check_within(&format!("{key}[1]"), to, low, high)?;
     match from <= to {
         true => Ok(()),
-        false => Err(Fault::at(key, format!("{from} to {to} is no range"))),
+        false => Err(KeyError::new(key, format!("{from} to {to} is no range"))),
     }
 }
 
--- a/crates/config-check/src/tests.rs
+++ b/crates/config-check/src/tests.rs
@@ -35,7 +35,7 @@
 }
 
 fn fault(text: &str) -> String {
-    read::<World>(text)
+    parse_json::<World>(text)
         .map(|world| (world.nodes.count, world.nodes.cores, world.more.len()))
         .unwrap_err()
         .to_string()
@@ -57,15 +57,22 @@
 
 #[test]
 fn numbers_and_ranges_stay_within_their_bounds() {
-    assert!(within("n", 1.0, 1.0, 2.0).is_ok());
+    assert!(check_within("n", 1.0, 1.0, 2.0).is_ok());
     assert_eq!(
-        within("n", f64::NAN, 1.0, 2.0).unwrap_err().to_string(),
+        check_within("n", f64::NAN, 1.0, 2.0)
+            .unwrap_err()
+            .to_string(),
         "key 'n': is NaN, not between 1 and 2"
     );
     assert_eq!(
-        range("r", [2.0, 1.0], 0.0, 9.0).unwrap_err().to_string(),
+        check_range("r", [2.0, 1.0], 0.0, 9.0)
+            .unwrap_err()
+            .to_string(),
         "key 'r': 2 to 1 is no range"
     );
-    assert_eq!(Fault::at("[0].a", "x").under("list").key, "list[0].a");
-    assert_eq!(Fault::at("a", "x").under("b").key, "b.a");
+    assert_eq!(
+        KeyError::new("[0].a", "x").under_parent("list").key,
+        "list[0].a"
+    );
+    assert_eq!(KeyError::new("a", "x").under_parent("b").key, "b.a");
 }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
-use config_check::{Fault, within};
+use config_check::{KeyError, check_within};
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
@@ -145,31 +145,34 @@
     ///
     /// # Errors
     /// The first value that makes no fault, by its key.
-    pub fn check(&self, (nodes, limiters): (usize, usize)) -> Result<(), Fault> {
-        within("at_s", self.at_s, 0.0, 86_400.0)?;
-        within("for_ms", self.for_ms, 1.0, 8.64e7)?;
-        within("every_s", self.every_s, 0.0, 86_400.0)?;
-        within("times", self.times, 1.0, 1e6)?;
-        within("share", self.share, 0.0, 1.0)?;
+    pub fn check(&self, (nodes, limiters): (usize, usize)) -> Result<(), KeyError> {
+        check_within("at_s", self.at_s, 0.0, 86_400.0)?;
+        check_within("for_ms", self.for_ms, 1.0, 8.64e7)?;
+        check_within("every_s", self.every_s, 0.0, 86_400.0)?;
+        check_within("times", self.times, 1.0, 1e6)?;
+        check_within("share", self.share, 0.0, 1.0)?;
         if self.every_s > 0.0 && self.every_s * 1e3 <= self.for_ms {
-            return Err(Fault::at("every_s", "comes again before it is over"));
+            return Err(KeyError::new("every_s", "comes again before it is over"));
         }
         match self.on {
             Party::Node(number) if number >= nodes => {
-                return Err(Fault::at(
+                return Err(KeyError::new(
                     "on",
                     format!("there is no node {number}: they are 0 to {}", nodes - 1),
                 ));
             }
-            Party::Nodes(share) => within("on", share, 0.0, 1.0)?,
+            Party::Nodes(share) => check_within("on", share, 0.0, 1.0)?,
             _ => {}
         }
         let node = matches!(self.on, Party::Node(_) | Party::Nodes(_));
         if matches!(self.kind, Kind::Drain | Kind::Replace) && !node {
-            return Err(Fault::at("on", "only records nodes drain or are replaced"));
+            return Err(KeyError::new(
+                "on",
+                "only records nodes drain or are replaced",
+            ));
         }
         if (self.kind == Kind::Pause) != matches!(self.on, Party::Limiter(_)) {
-            return Err(Fault::at(
+            return Err(KeyError::new(
                 "on",
                 "only a limiter pauses, and a limiter does nothing else",
             ));
@@ -177,10 +180,10 @@
         if let Party::Limiter(number) = self.on
             && number >= limiters
         {
-            return Err(Fault::at("on", format!("there is no limiter {number}")));
+            return Err(KeyError::new("on", format!("there is no limiter {number}")));
         }
         if self.kind == Kind::Partition && self.limiter >= limiters {
-            return Err(Fault::at(
+            return Err(KeyError::new(
                 "limiter",
                 format!("there is no limiter {}", self.limiter),
             ));
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::faults::FaultPlan;
-use config_check::{Fault, range, within};
+use config_check::{KeyError, check_range, check_within};
 
 /// The emulated world. Everything has a default.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
@@ -120,35 +120,35 @@
     ///
     /// # Errors
     /// The first value that makes no world, by its key.
-    pub fn check(&self, limiters: usize) -> Result<(), Fault> {
+    pub fn check(&self, limiters: usize) -> Result<(), KeyError> {
         let n = &self.nodes;
-        within("nodes.count", n.count as f64, 1.0, 1_000.0)?;
-        within("nodes.cores", n.cores as f64, 1.0, 1_024.0)?;
-        range("nodes.speed", n.speed, 1e-3, 1e6)?;
-        within("nodes.queue", n.queue as f64, 0.0, 1e6)?;
-        within("nodes.work_ms", n.work_ms, 0.0, 1e6)?;
-        within("nodes.work_cv", n.work_cv, 0.0, 10.0)?;
-        within("nodes.cold_from", n.cold_from, 0.01, 1.0)?;
-        within("nodes.cold_s", n.cold_s, 0.0, 3_600.0)?;
-        within("nodes.rack", n.rack as f64, 1.0, 1_000.0)?;
-        within("nodes.keys_ms", n.keys_ms, 0.0, 3.6e6)?;
-        within("nodes.errors", n.errors, 0.0, 1.0)?;
-        within("nodes.util_ms", n.util_ms, 1.0, 60_000.0)?;
-        within("nodes.body_bytes", n.body_bytes as f64, 1.0, 65_536.0)?;
-        within("counter.parts", self.counter.parts as f64, 1.0, 64.0)?;
-        within("counter.per_s", self.counter.per_s, 1.0, 1e7)?;
-        within("counter.ms", self.counter.ms, 0.0, 10_000.0)?;
-        within(
+        check_within("nodes.count", n.count as f64, 1.0, 1_000.0)?;
+        check_within("nodes.cores", n.cores as f64, 1.0, 1_024.0)?;
+        check_range("nodes.speed", n.speed, 1e-3, 1e6)?;
+        check_within("nodes.queue", n.queue as f64, 0.0, 1e6)?;
+        check_within("nodes.work_ms", n.work_ms, 0.0, 1e6)?;
+        check_within("nodes.work_cv", n.work_cv, 0.0, 10.0)?;
+        check_within("nodes.cold_from", n.cold_from, 0.01, 1.0)?;
+        check_within("nodes.cold_s", n.cold_s, 0.0, 3_600.0)?;
+        check_within("nodes.rack", n.rack as f64, 1.0, 1_000.0)?;
+        check_within("nodes.keys_ms", n.keys_ms, 0.0, 3.6e6)?;
+        check_within("nodes.errors", n.errors, 0.0, 1.0)?;
+        check_within("nodes.util_ms", n.util_ms, 1.0, 60_000.0)?;
+        check_within("nodes.body_bytes", n.body_bytes as f64, 1.0, 65_536.0)?;
+        check_within("counter.parts", self.counter.parts as f64, 1.0, 64.0)?;
+        check_within("counter.per_s", self.counter.per_s, 1.0, 1e7)?;
+        check_within("counter.ms", self.counter.ms, 0.0, 10_000.0)?;
+        check_within(
             "discovery.notice_ms",
             self.discovery.notice_ms,
             0.0,
             60_000.0,
         )?;
-        within("discovery.beat_ms", self.discovery.beat_ms, 10.0, 60_000.0)?;
+        check_within("discovery.beat_ms", self.discovery.beat_ms, 10.0, 60_000.0)?;
         let bounds = (n.count, limiters);
         let checked = |(k, f): (usize, &FaultPlan)| {
             f.check(bounds)
-                .map_err(|e| e.under(&format!("faults[{k}]")))
+                .map_err(|e| e.under_parent(&format!("faults[{k}]")))
         };
         self.faults.iter().enumerate().try_for_each(checked)
     }
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -14,7 +14,7 @@
         "{{\"nodes\":{{\"count\":2,\"cores\":1,\"speed\":[1,1],\"work_ms\":10,\"work_cv\":0,\"rack\":1,\"queue\":4,\
          \"cold_s\":1}},\"counter\":{{\"parts\":1,\"per_s\":1000,\"ms\":0}},\"faults\":[{faults}]}}"
     );
-    let plan: WorldPlan = config_check::read(&text).unwrap();
+    let plan: WorldPlan = config_check::parse_json(&text).unwrap();
     plan.check(2).unwrap();
     let mut world = World::new(&plan, 3, 2, 0);
     world.begin(0, 60 * SECOND);
--- a/crates/limiter/src/config/introspection.rs
+++ b/crates/limiter/src/config/introspection.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use config_check::Fault;
+use config_check::KeyError;
 use serde::Deserialize;
 use streamarch::{Class, Idempotency, Micros, Plan, Settings};
 
@@ -70,19 +70,19 @@
 /// Upper bound of the setting `cache_s`.
 const MAX_CACHE_S: f64 = 86_400.0;
 
-fn parse_caller_list(files: Vec<CallerFile>, names: &NameTables) -> Result<Vec<Caller>, Fault> {
+fn parse_caller_list(files: Vec<CallerFile>, names: &NameTables) -> Result<Vec<Caller>, KeyError> {
     let parse_caller = |(index, file): (usize, CallerFile)| {
         file.parse(names)
-            .map_err(|e| e.under(&format!("callers[{index}]")))
+            .map_err(|e| e.under_parent(&format!("callers[{index}]")))
     };
     files.into_iter().enumerate().map(parse_caller).collect()
 }
 
 impl CallerFile {
-    fn parse(self, names: &NameTables) -> Result<Caller, Fault> {
+    fn parse(self, names: &NameTables) -> Result<Caller, KeyError> {
         let account = require("account", self.account)?;
         let customer = platform::parse_customer_id(&account)
-            .ok_or(Fault::at("account", "is not 16 hex digits"))?;
+            .ok_or(KeyError::new("account", "is not 16 hex digits"))?;
         let plan = self
             .plan
             .and_then(|plan| names.plans.iter().position(|name| *name == plan));
@@ -90,7 +90,7 @@
             client_id: require("id", self.id)?,
             client_secret: require("secret", self.secret)?,
             customer,
-            plan: plan.ok_or_else(|| Fault::at("plan", "is not the name of a plan"))?,
+            plan: plan.ok_or_else(|| KeyError::new("plan", "is not the name of a plan"))?,
         })
     }
 }
@@ -107,7 +107,7 @@
         };
         self.introspection = Some(
             self.introspection_config(listen, file)
-                .map_err(|e| e.under("introspection"))?,
+                .map_err(|e| e.under_parent("introspection"))?,
         );
         Ok(())
     }
@@ -116,17 +116,17 @@
         &self,
         listen: SocketAddr,
         file: IntrospectionFile,
-    ) -> Result<IntrospectionConfig, Fault> {
+    ) -> Result<IntrospectionConfig, KeyError> {
         if file.upstreams.is_empty() {
-            return Err(Fault::at("upstreams", "is missing or empty"));
+            return Err(KeyError::new("upstreams", "is missing or empty"));
         }
         if !file.path.starts_with('/') || !file.path.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(Fault::at(
+            return Err(KeyError::new(
                 "path",
                 "is not an absolute path of visible ASCII characters",
             ));
         }
-        config_check::within("cache_s", file.cache_s, 0.0, MAX_CACHE_S)?;
+        config_check::check_within("cache_s", file.cache_s, 0.0, MAX_CACHE_S)?;
         let mut settings = self.settings.clone();
         let timeout = self.limits.introspection_timeout;
         settings.classes = vec![Class {
@@ -170,8 +170,8 @@
 /// # Errors
 /// The text is not JSON, or a key of a caller is missing or invalid; the error names the first one.
 pub fn parse_callers(text: &[u8], names: &NameTables) -> Result<Option<Vec<Caller>>, ConfigError> {
-    let text = std::str::from_utf8(text).map_err(|_| Fault::at("", "not JSON: not UTF-8"))?;
-    let document: Document = config_check::read(text)?;
+    let text = std::str::from_utf8(text).map_err(|_| KeyError::new("", "not JSON: not UTF-8"))?;
+    let document: Document = config_check::parse_json(text)?;
     Ok(document
         .callers
         .map(|files| parse_caller_list(files, names))
--- a/crates/limiter/src/config/mod.rs
+++ b/crates/limiter/src/config/mod.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use config_check::Fault;
+use config_check::KeyError;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use streamarch::Settings;
@@ -29,7 +29,7 @@
     /// A file cannot be read.
     Unreadable(String, std::io::Error),
     /// The text is not JSON, or a key in it is unknown, missing or invalid.
-    Invalid(Fault),
+    Invalid(KeyError),
 }
 
 impl fmt::Display for ConfigError {
@@ -43,26 +43,26 @@
 
 impl std::error::Error for ConfigError {}
 
-impl From<Fault> for ConfigError {
-    fn from(fault: Fault) -> ConfigError {
+impl From<KeyError> for ConfigError {
+    fn from(fault: KeyError) -> ConfigError {
         ConfigError::Invalid(fault)
     }
 }
 
 /// Parses an operators' file. The keys in its errors are given below `section`.
-fn parse_section<T: DeserializeOwned>(section: &str, text: &str) -> Result<T, Fault> {
-    config_check::read(text).map_err(|fault| {
+fn parse_section<T: DeserializeOwned>(section: &str, text: &str) -> Result<T, KeyError> {
+    config_check::parse_json(text).map_err(|fault| {
         if fault.key.is_empty() {
             fault
         } else {
-            fault.under(section)
+            fault.under_parent(section)
         }
     })
 }
 
 /// The value of a key, or an error that it is missing.
-fn require<T>(key: &str, value: Option<T>) -> Result<T, Fault> {
-    value.ok_or_else(|| Fault::at(key, "is missing"))
+fn require<T>(key: &str, value: Option<T>) -> Result<T, KeyError> {
+    value.ok_or_else(|| KeyError::new(key, "is missing"))
 }
 
 /// The configuration of a limiter process.
@@ -141,12 +141,12 @@
     variable: &Option<String>,
     variable_name: &str,
     file_value: Option<SocketAddr>,
-) -> Result<Option<SocketAddr>, Fault> {
+) -> Result<Option<SocketAddr>, KeyError> {
     let Some(text) = variable else {
         return Ok(file_value);
     };
     let parsed = text.parse().map_err(|_| {
-        Fault::at(
+        KeyError::new(
             variable_name,
             format!("'{text}' is not an address with a port"),
         )
@@ -180,7 +180,7 @@
         let path = self
             .config_path
             .clone()
-            .ok_or_else(|| Fault::at("ROUTER_CONFIG", "is not set"))?;
+            .ok_or_else(|| KeyError::new("ROUTER_CONFIG", "is not set"))?;
         let mut config = self.parse(&read_file(path)?)?;
         if let Some(path) = self.introspection_path.clone() {
             config.apply_introspection(&read_file(path)?)?;
@@ -199,9 +199,11 @@
     /// # Errors
     /// The text is not JSON, or a key is missing or invalid; the error names the first one.
     pub fn parse(&self, text: &str) -> Result<Config, ConfigError> {
-        let file: platform::PlatformFile = config_check::read(text)?;
+        let file: platform::PlatformFile = config_check::parse_json(text)?;
         let settings = require("settings", file.settings)?;
-        settings.check().map_err(|fault| fault.under("settings"))?;
+        settings
+            .check()
+            .map_err(|fault| fault.under_parent("settings"))?;
         let ops_listen = override_address(&self.ops_listen, "ROUTER_OPS", file.ops_listen)?;
         let inherited_listener = self
             .inherited_listener
@@ -232,12 +234,12 @@
                 .and(self.handover_folder.as_ref())
                 .map(PathBuf::from),
             inherited_listener: inherited_listener.map_err(|_| {
-                Fault::at(
+                KeyError::new(
                     inherited::VARIABLE,
                     "is not the number of a file descriptor",
                 )
             })?,
-            seed: seed.map_err(|_| Fault::at("seed", "is not a number in hex"))?,
+            seed: seed.map_err(|_| KeyError::new("seed", "is not a number in hex"))?,
             names: settings.names(),
             probes_report_load: settings.probes_report_load(),
             limits: settings.limits(
--- a/crates/limiter/src/config/platform.rs
+++ b/crates/limiter/src/config/platform.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use config_check::Fault;
+use config_check::KeyError;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 use streamarch::{
@@ -239,18 +239,18 @@
 /// # Errors
 /// The text is not JSON, or a key is invalid; the error names the first one.
 pub fn parse_settings(text: &str) -> Result<Settings, ConfigError> {
-    let file: SettingsFile = config_check::read(text)?;
+    let file: SettingsFile = config_check::parse_json(text)?;
     file.check_classes()?;
     Ok(file.module_settings())
 }
 
 impl ClassSettings {
-    fn parse_idempotency(&self) -> Result<Idempotency, Fault> {
+    fn parse_idempotency(&self) -> Result<Idempotency, KeyError> {
         let scope = match self.dedup_scope.as_deref() {
             Some("zone") => DedupScope::Zone,
             Some("cell") => DedupScope::Cell,
             Some("all") | None => DedupScope::All,
-            Some(other) => return Err(Fault::at("Group", format!("unknown group '{other}'"))),
+            Some(other) => return Err(KeyError::new("Group", format!("unknown group '{other}'"))),
         };
         match self.idempotency.as_deref() {
             Some("retryable") => Ok(Idempotency::Idempotent),
@@ -259,11 +259,11 @@
                 dedup_window: self.dedup_window_us.micros(),
             }),
             Some("fragile") => Ok(Idempotency::NotIdempotent),
-            Some(other) => Err(Fault::at(
+            Some(other) => Err(KeyError::new(
                 "Semantics",
                 format!("unknown semantics '{other}'"),
             )),
-            None => Err(Fault::at("Semantics", "is missing")),
+            None => Err(KeyError::new("Semantics", "is missing")),
         }
     }
 
@@ -308,18 +308,18 @@
         self.plans.as_deref().unwrap_or_default()
     }
 
-    fn check_classes(&self) -> Result<(), Fault> {
+    fn check_classes(&self) -> Result<(), KeyError> {
         let check_class = |(index, class): (usize, &ClassSettings)| {
             class
                 .parse_idempotency()
                 .map(drop)
-                .map_err(|e| e.under(&format!("Lanes[{index}]")))
+                .map_err(|e| e.under_parent(&format!("Lanes[{index}]")))
         };
         self.classes().iter().enumerate().try_for_each(check_class)
     }
 
     /// Checks what the daemon needs in addition to the decision module: at least one class and plan, and their names.
-    pub(super) fn check(&self) -> Result<(), Fault> {
+    pub(super) fn check(&self) -> Result<(), KeyError> {
         self.check_classes()?;
         let named_classes: Vec<bool> = self
             .classes()
@@ -333,10 +333,10 @@
             .collect();
         for (key, is_named) in [("Lanes", named_classes), ("Tariffs", named_plans)] {
             if is_named.is_empty() {
-                return Err(Fault::at(key, "is empty"));
+                return Err(KeyError::new(key, "is empty"));
             }
             if let Some(index) = is_named.iter().position(|named| !named) {
-                return Err(Fault::at(format!("{key}[{index}].Name"), "is missing"));
+                return Err(KeyError::new(format!("{key}[{index}].Name"), "is missing"));
             }
         }
         Ok(())
--- a/crates/limiter/src/config/raft.rs
+++ b/crates/limiter/src/config/raft.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use config_check::Fault;
+use config_check::KeyError;
 use serde::Deserialize;
 
 use crate::config::{Config, ConfigError, parse_section, require};
@@ -45,9 +45,9 @@
 const MIN_SECRET_LENGTH: usize = 16;
 
 impl MemberFile {
-    fn parse(&self) -> Result<(u64, SocketAddr), Fault> {
+    fn parse(&self) -> Result<(u64, SocketAddr), KeyError> {
         match self.id {
-            0 => Err(Fault::at("id", "is not above 0")),
+            0 => Err(KeyError::new("id", "is not above 0")),
             id => Ok((u64::from(id), require("address", self.address)?)),
         }
     }
@@ -63,17 +63,20 @@
         let Some(listen) = file.listen else {
             return Ok(());
         };
-        self.raft = Some(file.into_config(listen).map_err(|e| e.under("raft"))?);
+        self.raft = Some(
+            file.into_config(listen)
+                .map_err(|e| e.under_parent("raft"))?,
+        );
         Ok(())
     }
 }
 
 impl RaftFile {
-    fn into_config(self, listen: SocketAddr) -> Result<RaftConfig, Fault> {
+    fn into_config(self, listen: SocketAddr) -> Result<RaftConfig, KeyError> {
         let parse_member = |(index, member): (usize, &MemberFile)| {
             member
                 .parse()
-                .map_err(|e| e.under(&format!("members[{index}]")))
+                .map_err(|e| e.under_parent(&format!("members[{index}]")))
         };
         let members = self
             .members
@@ -83,15 +86,18 @@
             .collect::<Result<Vec<_>, _>>()?;
         let id = u64::from(self.id);
         if members.iter().filter(|(member, _)| *member == id).count() != 1 {
-            return Err(Fault::at("id", "is not the id of exactly one member"));
+            return Err(KeyError::new("id", "is not the id of exactly one member"));
         }
         let distinct_ids: BTreeSet<u64> = members.iter().map(|(id, _)| *id).collect();
         if distinct_ids.len() != members.len() {
-            return Err(Fault::at("members", "contains an id twice"));
+            return Err(KeyError::new("members", "contains an id twice"));
         }
         let secret = require("secret", self.secret)?;
         if secret.len() < MIN_SECRET_LENGTH || !secret.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(Fault::at("secret", "is not 16 or more visible characters"));
+            return Err(KeyError::new(
+                "secret",
+                "is not 16 or more visible characters",
+            ));
         }
         let folder = require("folder", self.folder)?;
         Ok(RaftConfig {
--- a/crates/limiter/src/net/inherited.rs
+++ b/crates/limiter/src/net/inherited.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
 
-use config_check::Fault;
+use config_check::KeyError;
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
 use socket2::{SockRef, Type};
 
@@ -17,8 +17,8 @@
 ///
 /// # Errors
 /// What the variable names is no such socket.
-pub fn listener(number: u32, address: SocketAddr) -> Result<TcpListener, Fault> {
-    let fault = |text: String| Fault::at(VARIABLE, format!("descriptor {number} {text}"));
+pub fn listener(number: u32, address: SocketAddr) -> Result<TcpListener, KeyError> {
+    let fault = |text: String| KeyError::new(VARIABLE, format!("descriptor {number} {text}"));
     let duplicate = || -> rustix::io::Result<OwnedFd> {
         let number = i32::try_from(number).map_err(|_| rustix::io::Errno::BADF)?;
         let this = pidfd_open(getpid(), PidfdFlags::empty())?;
--- a/crates/load/src/pauses/tests.rs
+++ b/crates/load/src/pauses/tests.rs
@@ -10,12 +10,12 @@
 fn a_limiter_stands_still_for_its_time_and_all_go_on_at_the_end() {
     let text =
         r#"{"faults": [{"kind": "pause", "on": "limiter:1", "at_s": 0.05, "for_ms": 60000}]}"#;
-    let plan: WorldPlan = config_check::read(text).unwrap();
+    let plan: WorldPlan = config_check::parse_json(text).unwrap();
     assert!(
         plan.check(2).is_ok() && plan.check(1).is_err(),
         "there is no limiter 1 of one"
     );
-    let wrong: WorldPlan = config_check::read(&text.replace("limiter:1", "counter")).unwrap();
+    let wrong: WorldPlan = config_check::parse_json(&text.replace("limiter:1", "counter")).unwrap();
     assert!(wrong.check(2).is_err(), "only a limiter pauses");
     let mut children: Vec<_> = (0..2)
         .map(|_| Command::new("sleep").arg("30").spawn().unwrap())
--- a/crates/load/src/report/mod.rs
+++ b/crates/load/src/report/mod.rs
@@ -12,7 +12,7 @@
 use crate::generator::Setup;
 use crate::records::Try;
 use crate::summary::Summary;
-use table::{self, Table, TableError, Values};
+use table::{self, ColumnValues, Table, TableError};
 
 pub use side_by_side::{compare, knee};
 
@@ -44,7 +44,7 @@
 /// # Errors
 /// The system's.
 pub fn write_text(path: &Path, text: &str) -> Result<(), ReportError> {
-    table::whole(
+    table::write_atomically(
         path,
         |e| ReportError::File(path.to_path_buf(), e),
         |mut file| {
@@ -93,15 +93,17 @@
     let of = |t: &Try| setup.schedule.requests[t.request as usize];
     let workshop = |t: &Try| &setup.schedule.workshops[of(t).workshop as usize];
     let plans = &setup.scenario.workshops.plans;
-    let numbers = |get: &dyn Fn(&Try) -> i64| Values::Numbers(tries.iter().map(get).collect());
-    let texts = |get: &dyn Fn(&Try) -> String| Values::Texts(tries.iter().map(get).collect());
+    let numbers =
+        |get: &dyn Fn(&Try) -> i64| ColumnValues::Integers(tries.iter().map(get).collect());
+    let texts =
+        |get: &dyn Fn(&Try) -> String| ColumnValues::Strings(tries.iter().map(get).collect());
     vec![
         ("request", numbers(&|t| i64::from(t.request))),
         ("try", numbers(&|t| i64::from(t.number))),
         ("intended_us", numbers(&|t| t.intended)),
         (
             "sent_us",
-            Values::Perhaps(tries.iter().map(|t| t.sent).collect()),
+            ColumnValues::OptionalIntegers(tries.iter().map(|t| t.sent).collect()),
         ),
         ("ended_us", numbers(&|t| t.ended)),
         ("account", numbers(&|t| workshop(t).customer as i64)),
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -1,6 +1,6 @@
 //! What a run is: read from JSON, checked, faults named by key.
 
-use config_check::{Fault, range, within};
+use config_check::{KeyError, check_range, check_within};
 use emulator::plan::WorldPlan;
 use serde::{Deserialize, Serialize};
 
@@ -244,8 +244,8 @@
     ///
     /// # Errors
     /// Text that is not JSON; the first key that is unknown, of a wrong type or impossible.
-    pub fn read(text: &str) -> Result<Scenario, Fault> {
-        let scenario: Scenario = config_check::read(text)?;
+    pub fn read(text: &str) -> Result<Scenario, KeyError> {
+        let scenario: Scenario = config_check::parse_json(text)?;
         scenario.check()?;
         Ok(scenario)
     }
@@ -254,10 +254,10 @@
     ///
     /// # Errors
     /// The first value that makes no run, by its key.
-    pub fn check(&self) -> Result<(), Fault> {
-        within("seconds", self.seconds, 0.001, 86_400.0)?;
+    pub fn check(&self) -> Result<(), KeyError> {
+        check_within("seconds", self.seconds, 0.001, 86_400.0)?;
         if self.arrivals.is_empty() {
-            return Err(Fault::at(
+            return Err(KeyError::new(
                 "arrivals",
                 "is missing or empty: there is nothing to send",
             ));
@@ -265,46 +265,52 @@
         for (k, arrival) in self.arrivals.iter().enumerate() {
             arrival
                 .check(&self.workshops)
-                .map_err(|e| e.under(&format!("arrivals[{k}]")))?;
+                .map_err(|e| e.under_parent(&format!("arrivals[{k}]")))?;
         }
-        self.workshops.check().map_err(|e| e.under("workshops"))?;
+        self.workshops
+            .check()
+            .map_err(|e| e.under_parent("workshops"))?;
         if self.classes.is_empty() || self.classes.len() > 255 {
-            return Err(Fault::at("classes", "are not 1 to 255"));
+            return Err(KeyError::new("classes", "are not 1 to 255"));
         }
         for (k, class) in self.classes.iter().enumerate() {
             class
                 .check()
-                .map_err(|e| e.under(&format!("classes[{k}]")))?;
+                .map_err(|e| e.under_parent(&format!("classes[{k}]")))?;
         }
-        self.limiters.check().map_err(|e| e.under("limiters"))?;
-        self.retries.check().map_err(|e| e.under("retries"))?;
+        self.limiters
+            .check()
+            .map_err(|e| e.under_parent("limiters"))?;
+        self.retries
+            .check()
+            .map_err(|e| e.under_parent("retries"))?;
         let g = &self.generator;
-        within("generator.threads", g.threads as f64, 0.0, 64.0)?;
-        within("generator.connections", g.connections as f64, 1.0, 1e6)?;
-        within("generator.lag_bound_ms", g.lag_bound_ms, 0.001, 60_000.0)?;
-        within("generator.quota_window_s", g.quota_window_s, 0.1, 86_400.0)?;
+        check_within("generator.threads", g.threads as f64, 0.0, 64.0)?;
+        check_within("generator.connections", g.connections as f64, 1.0, 1e6)?;
+        check_within("generator.lag_bound_ms", g.lag_bound_ms, 0.001, 60_000.0)?;
+        check_within("generator.quota_window_s", g.quota_window_s, 0.1, 86_400.0)?;
         let requests: f64 = self
             .arrivals
             .iter()
             .map(|a| a.expected(self.seconds, &self.workshops))
             .sum();
         if requests > MOST_REQUESTS as f64 {
-            return Err(Fault::at(
+            return Err(KeyError::new(
                 "arrivals",
                 format!("ask for {requests:.0} requests, {MOST_REQUESTS} at most"),
             ));
         }
         self.world
             .check(self.limiters.count)
-            .map_err(|e| e.under("world"))
+            .map_err(|e| e.under_parent("world"))
     }
 }
 
-fn named(name: &str) -> Result<(), Fault> {
+fn named(name: &str) -> Result<(), KeyError> {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     match !name.is_empty() && name.len() <= 64 && name.bytes().all(plain) {
         true => Ok(()),
-        false => Err(Fault::at(
+        false => Err(KeyError::new(
             "name",
             format!("'{name}' is not 1 to 64 letters, digits, '-', '_' or '.'"),
         )),
@@ -312,73 +318,74 @@
 }
 
 impl Workshops {
-    fn check(&self) -> Result<(), Fault> {
-        within("count", self.count as f64, 1.0, 10_000_000.0)?;
-        within("skew", self.skew, 0.0, 10.0)?;
+    fn check(&self) -> Result<(), KeyError> {
+        check_within("count", self.count as f64, 1.0, 10_000_000.0)?;
+        check_within("skew", self.skew, 0.0, 10.0)?;
         if self.plans.is_empty() || self.plans.len() > 255 {
-            return Err(Fault::at("plans", "are not 1 to 255"));
+            return Err(KeyError::new("plans", "are not 1 to 255"));
         }
         for (k, plan) in self.plans.iter().enumerate() {
-            plan.check().map_err(|e| e.under(&format!("plans[{k}]")))?;
+            plan.check()
+                .map_err(|e| e.under_parent(&format!("plans[{k}]")))?;
         }
         match self.plans.iter().map(|p| p.share).sum::<f64>() > 0.0 {
             true => Ok(()),
-            false => Err(Fault::at("plans", "have no share at all")),
+            false => Err(KeyError::new("plans", "have no share at all")),
         }
     }
 }
 
 impl PlanPlan {
-    fn check(&self) -> Result<(), Fault> {
+    fn check(&self) -> Result<(), KeyError> {
         named(&self.name)?;
-        within("share", self.share, 0.0, 1e6)?;
-        within("rate", self.rate, 0.0, 1e9)?;
-        within("burst", self.burst, 0.0, 1e9)?;
-        within("worth", self.worth, 0.0, 1e6)?;
-        within("over_cost", self.over_cost, 0.0, 1.0)?;
-        range("units", self.units.map(f64::from), 1.0, 255.0)
+        check_within("share", self.share, 0.0, 1e6)?;
+        check_within("rate", self.rate, 0.0, 1e9)?;
+        check_within("burst", self.burst, 0.0, 1e9)?;
+        check_within("worth", self.worth, 0.0, 1e6)?;
+        check_within("over_cost", self.over_cost, 0.0, 1.0)?;
+        check_range("units", self.units.map(f64::from), 1.0, 255.0)
     }
 }
 
 impl ClassPlan {
-    fn check(&self) -> Result<(), Fault> {
+    fn check(&self) -> Result<(), KeyError> {
         named(&self.name)?;
-        within("share", self.share, 0.0, 1e6)?;
-        range(
+        check_within("share", self.share, 0.0, 1e6)?;
+        check_range(
             "body_bytes",
             self.body_bytes.map(|b| b as f64),
             0.0,
             65_536.0,
         )?;
         if !self.keyed && self.body_bytes[1] > 0 {
-            return Err(Fault::at(
+            return Err(KeyError::new(
                 "body_bytes",
                 "a class that is safe to repeat has no body",
             ));
         }
-        within("aim_ms", self.aim_ms, 0.0, 3.6e6)?;
-        within("deadline_ms", self.deadline_ms, 1.0, 3.6e6)?;
-        range("try_share", self.try_share, 0.001, 1.0)?;
-        within("worth", self.worth, 0.0, 1e6)
+        check_within("aim_ms", self.aim_ms, 0.0, 3.6e6)?;
+        check_within("deadline_ms", self.deadline_ms, 1.0, 3.6e6)?;
+        check_range("try_share", self.try_share, 0.001, 1.0)?;
+        check_within("worth", self.worth, 0.0, 1e6)
     }
 }
 
 impl Limiters {
-    fn check(&self) -> Result<(), Fault> {
-        within("count", self.count as f64, 1.0, 64.0)?;
-        range("spread", self.spread.map(|s| s as f64), 1.0, 64.0)?;
-        within("uneven", self.uneven, 0.0, 1.0)?;
-        range("shift_s", self.shift_s, 0.01, 86_400.0)
+    fn check(&self) -> Result<(), KeyError> {
+        check_within("count", self.count as f64, 1.0, 64.0)?;
+        check_range("spread", self.spread.map(|s| s as f64), 1.0, 64.0)?;
+        check_within("uneven", self.uneven, 0.0, 1.0)?;
+        check_range("shift_s", self.shift_s, 0.01, 86_400.0)
     }
 }
 
 impl Retries {
-    fn check(&self) -> Result<(), Fault> {
-        within("most", f64::from(self.most), 0.0, 100.0)?;
-        range("wait_ms", self.wait_ms, 0.0, 3.6e6)?;
-        within("elsewhere", self.elsewhere, 0.0, 1.0)?;
-        within("heed", self.heed, 0.0, 1.0)?;
-        within("heed_most_ms", self.heed_most_ms, 0.0, 3.6e6)
+    fn check(&self) -> Result<(), KeyError> {
+        check_within("most", f64::from(self.most), 0.0, 100.0)?;
+        check_range("wait_ms", self.wait_ms, 0.0, 3.6e6)?;
+        check_within("elsewhere", self.elsewhere, 0.0, 1.0)?;
+        check_within("heed", self.heed, 0.0, 1.0)?;
+        check_within("heed_most_ms", self.heed_most_ms, 0.0, 3.6e6)
     }
 }
 
--- a/crates/load/src/shapes.rs
+++ b/crates/load/src/shapes.rs
@@ -3,7 +3,7 @@
 //! Every shape becomes a line of rates through points; instants are where the integral under it reaches each next
 //! step, of one for even spacing and of an exponential draw for Poisson arrivals.
 
-use config_check::{Fault, range, within};
+use config_check::{KeyError, check_range, check_within};
 use rand::Rng;
 use rand_distr::{Distribution, Exp1};
 use serde::{Deserialize, Serialize};
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     /// The first key that is missing, out of place or impossible.
-    pub fn check(&self, workshops: &Workshops) -> Result<(), Fault> {
+    pub fn check(&self, workshops: &Workshops) -> Result<(), KeyError> {
         use Shape::*;
         let s = self.shape;
         let takes = [
@@ -114,13 +114,16 @@
         ];
         for (key, given, taken) in takes {
             if given && !taken {
-                return Err(Fault::at(
+                return Err(KeyError::new(
                     key,
                     format!("is not taken by the shape {s:?}").to_lowercase(),
                 ));
             }
             if !given && taken && matches!(key, "rate" | "to_rate" | "steps") {
-                return Err(Fault::at(key, format!("is missing for the shape {s:?}")));
+                return Err(KeyError::new(
+                    key,
+                    format!("is missing for the shape {s:?}"),
+                ));
             }
         }
         for (key, value) in [
@@ -128,34 +131,35 @@
             ("to_rate", self.to_rate),
             ("times", self.times),
         ] {
-            value.map_or(Ok(()), |v| within(key, v, 0.0, HIGHEST))?;
+            value.map_or(Ok(()), |v| check_within(key, v, 0.0, HIGHEST))?;
         }
         for (key, value) in [("length_s", self.length_s), ("every_s", self.every_s)] {
-            value.map_or(Ok(()), |v| range(key, v, 0.01, 86_400.0))?;
+            value.map_or(Ok(()), |v| check_range(key, v, 0.01, 86_400.0))?;
         }
-        within("scale", self.scale, 0.0, 1e6)?;
-        within("from_s", self.from_s, 0.0, 86_400.0)?;
-        self.until_s
-            .map_or(Ok(()), |u| within("until_s", u, self.from_s, 86_400.0))?;
+        check_within("scale", self.scale, 0.0, 1e6)?;
+        check_within("from_s", self.from_s, 0.0, 86_400.0)?;
+        self.until_s.map_or(Ok(()), |u| {
+            check_within("until_s", u, self.from_s, 86_400.0)
+        })?;
         self.peak_s
-            .map_or(Ok(()), |p| within("peak_s", p, self.from_s, 86_400.0))?;
+            .map_or(Ok(()), |p| check_within("peak_s", p, self.from_s, 86_400.0))?;
         let mut last = 0.0;
         for (k, [at, rate]) in self.steps.iter().flatten().enumerate() {
-            within(&format!("steps[{k}][0]"), *at, last, 86_400.0)?;
-            within(&format!("steps[{k}][1]"), *rate, 0.0, HIGHEST)?;
+            check_within(&format!("steps[{k}][0]"), *at, last, 86_400.0)?;
+            check_within(&format!("steps[{k}][1]"), *rate, 0.0, HIGHEST)?;
             last = *at;
         }
         if let Some(plan) = &self.plan
             && !workshops.plans.iter().any(|p| p.name == *plan)
         {
             let known: Vec<&str> = workshops.plans.iter().map(|p| p.name.as_str()).collect();
-            return Err(Fault::at(
+            return Err(KeyError::new(
                 "plan",
                 format!("there is no plan '{plan}'; known are {}", known.join(", ")),
             ));
         }
         self.workshops.map_or(Ok(()), |w| {
-            within("workshops", w as f64, 1.0, workshops.count as f64)
+            check_within("workshops", w as f64, 1.0, workshops.count as f64)
         })
     }
 
--- a/crates/load/src/shapes/tests.rs
+++ b/crates/load/src/shapes/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 fn shaped(text: &str, seconds: f64) -> Vec<Micros> {
-    let arrival: Arrival = config_check::read(text).unwrap();
+    let arrival: Arrival = config_check::parse_json(text).unwrap();
     arrival.check(&Workshops::default()).unwrap();
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let points = arrival.points(seconds, 2.0, &mut rng);
--- a/crates/load/src/trace/store.rs
+++ b/crates/load/src/trace/store.rs
@@ -3,15 +3,15 @@
 use std::path::Path;
 
 use crate::trace::Row;
-use table::{self, Table, TableError, Values};
+use table::{self, ColumnValues, Table, TableError};
 
 /// Writes a trace, whole or not at all.
 ///
 /// # Errors
 /// The system's.
 pub fn write(path: &Path, rows: &[Row]) -> Result<(), TableError> {
-    let numbers = |get: fn(&Row) -> i64| Values::Numbers(rows.iter().map(get).collect());
-    let texts = |get: fn(&Row) -> String| Values::Texts(rows.iter().map(get).collect());
+    let numbers = |get: fn(&Row) -> i64| ColumnValues::Integers(rows.iter().map(get).collect());
+    let texts = |get: fn(&Row) -> String| ColumnValues::Strings(rows.iter().map(get).collect());
     let table: Table = vec![
         ("at_us", numbers(|r| r.at)),
         ("account", numbers(|r| r.account as i64)),
@@ -20,7 +20,7 @@
         ("units", numbers(|r| i64::from(r.units))),
         (
             "limiter",
-            Values::Perhaps(rows.iter().map(|r| r.limiter.map(i64::from)).collect()),
+            ColumnValues::OptionalIntegers(rows.iter().map(|r| r.limiter.map(i64::from)).collect()),
         ),
         ("id", texts(|r| r.id.clone())),
     ];
@@ -34,16 +34,16 @@
 pub fn read(path: &Path) -> Result<Vec<Row>, TableError> {
     let stored = table::open(path)?;
     let (at, accounts, units) = (
-        stored.numbers("at_us")?,
-        stored.numbers("account")?,
-        stored.numbers("units")?,
+        stored.integers("at_us")?,
+        stored.integers("account")?,
+        stored.integers("units")?,
     );
     let (plans, classes, ids) = (
-        stored.texts("plan")?,
-        stored.texts("class")?,
-        stored.texts("id")?,
+        stored.strings("plan")?,
+        stored.strings("class")?,
+        stored.strings("id")?,
     );
-    let limiters = stored.perhaps("limiter")?;
+    let limiters = stored.optional_integers("limiter")?;
     let bad = |column: &str| TableError::Column(path.to_path_buf(), column.to_string());
     let row = |k: usize| {
         Ok(Row {
@@ -59,5 +59,5 @@
             id: ids[k].clone(),
         })
     };
-    (0..stored.rows()).map(row).collect()
+    (0..stored.row_count()).map(row).collect()
 }
--- a/crates/load/tests/sockets.rs
+++ b/crates/load/tests/sockets.rs
@@ -225,7 +225,7 @@
     let page = std::fs::read_to_string(report.join("report.html")).unwrap();
     assert!(page.contains("<svg") && page.contains("ended before its time"));
     let stored = table::open(&report.join("records.parquet")).unwrap();
-    assert_eq!(stored.rows() as u64, kept["tries"].as_u64().unwrap());
+    assert_eq!(stored.row_count() as u64, kept["tries"].as_u64().unwrap());
 }
 
 #[test]
--- a/crates/plans/src/book.rs
+++ b/crates/plans/src/book.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use config_check::Fault;
+use config_check::KeyError;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// A key makes no sense, by itself or against the book.
-    Faulty(Fault),
+    Faulty(KeyError),
     /// Another change has this id, taken as this version.
     IdTaken(u64),
     /// It was written against another version than the present one.
@@ -101,8 +101,8 @@
 
 impl std::error::Error for Refusal {}
 
-impl From<Fault> for Refusal {
-    fn from(fault: Fault) -> Refusal {
+impl From<KeyError> for Refusal {
+    fn from(fault: KeyError) -> Refusal {
         Refusal::Faulty(fault)
     }
 }
@@ -211,7 +211,7 @@
         }
         if change.at < now - self.slack {
             let late = (now - change.at) as f64 / 1e6;
-            return Err(Fault::at(
+            return Err(KeyError::new(
                 "at",
                 format!(
                     "is {late:.3} s in the past, {:.3} s at most",
@@ -221,7 +221,7 @@
             .into());
         }
         self.fits(&change)
-            .map_err(|fault| fault.under(change.what.key()))?;
+            .map_err(|fault| fault.under_parent(change.what.key()))?;
         Ok(Taken::New(self.enter(now, change)))
     }
 
@@ -237,12 +237,12 @@
     }
 
     /// Whether a change makes sense against what the book holds.
-    fn fits(&self, change: &Change) -> Result<(), Fault> {
+    fn fits(&self, change: &Change) -> Result<(), KeyError> {
         let known = |plan: &str| match self.base.contains_key(plan) {
             true => Ok(()),
             false => {
                 let names: Vec<&str> = self.base.keys().map(String::as_str).collect();
-                Err(Fault::at(
+                Err(KeyError::new(
                     "plan",
                     format!("there is no plan '{plan}'; known are {}", names.join(", ")),
                 ))
@@ -258,21 +258,21 @@
                 ..
             } => {
                 let customer =
-                    account(text).ok_or_else(|| Fault::at("account", "is no customer"))?;
+                    account(text).ok_or_else(|| KeyError::new("account", "is no customer"))?;
                 self.grantable(customer, *units, change.at, *until)
             }
             What::Cancel { reservation } => match self.made(reservation) {
-                None => Err(Fault::at(
+                None => Err(KeyError::new(
                     "reservation",
                     format!("there is none with the id '{reservation}'"),
                 )),
                 Some((_, end)) if change.at >= end => {
-                    Err(Fault::at("reservation", "has ended by then"))
+                    Err(KeyError::new("reservation", "has ended by then"))
                 }
                 Some((from, _)) if change.at < from => {
-                    Err(Fault::at("reservation", "has not begun by then"))
+                    Err(KeyError::new("reservation", "has not begun by then"))
                 }
-                Some(_) if self.cancelled(reservation).is_some() => Err(Fault::at(
+                Some(_) if self.cancelled(reservation).is_some() => Err(KeyError::new(
                     "reservation",
                     format!("'{reservation}' is cancelled already"),
                 )),
@@ -289,7 +289,7 @@
         units: f64,
         from: Micros,
         until: Micros,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), KeyError> {
         let beside = |r: &Reservation| r.customer == customer && r.from < until && from < r.until;
         let held: f64 = self
             .reservations()
@@ -307,7 +307,7 @@
             .fold(0.0, f64::max);
         match held + units <= most {
             true => Ok(()),
-            false => Err(Fault::at(
+            false => Err(KeyError::new(
                 "units",
                 format!(
                     "are {units} beside {held} reserved already; the plan could grant {most:.3} by then at most"
@@ -490,7 +490,7 @@
             // The slack is the business of the book that took it first: here it may come late.
             let key = entry.change.what.key();
             book.fits(&entry.change)
-                .map_err(|fault| refused(fault.under(key).into()))?;
+                .map_err(|fault| refused(fault.under_parent(key).into()))?;
             book.enter(entry.taken, entry.change.clone());
         }
         *self = book;
--- a/crates/plans/src/change.rs
+++ b/crates/plans/src/change.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use config_check::{Fault, within};
+use config_check::{KeyError, check_within};
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
@@ -92,10 +92,10 @@
         .filter(|number| plain && *number < CUSTOMERS)
 }
 
-fn text(key: &str, text: &str) -> Result<(), Fault> {
+fn text(key: &str, text: &str) -> Result<(), KeyError> {
     match !text.trim().is_empty() && text.len() <= TEXT && !text.chars().any(char::is_control) {
         true => Ok(()),
-        false => Err(Fault::at(
+        false => Err(KeyError::new(
             key,
             format!("is not 1 to {TEXT} printable bytes"),
         )),
@@ -103,9 +103,9 @@
 }
 
 impl Figures {
-    fn check(&self) -> Result<(), Fault> {
-        within("figures.rate", self.rate, 0.0, HIGHEST)?;
-        within("figures.burst", self.burst, 0.0, HIGHEST)
+    fn check(&self) -> Result<(), KeyError> {
+        check_within("figures.rate", self.rate, 0.0, HIGHEST)?;
+        check_within("figures.burst", self.burst, 0.0, HIGHEST)
     }
 
     /// The most units that a customer may ever use within a span.
@@ -119,8 +119,8 @@
     ///
     /// # Errors
     /// Text that is not JSON; a key that is unknown, missing, of a wrong type or out of its bounds.
-    pub fn read(text: &str) -> Result<Change, Fault> {
-        let change: Change = config_check::read(text)?;
+    pub fn read(text: &str) -> Result<Change, KeyError> {
+        let change: Change = config_check::parse_json(text)?;
         change.check()?;
         Ok(change)
     }
@@ -129,14 +129,14 @@
     ///
     /// # Errors
     /// The first key that makes no sense by itself.
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn check(&self) -> Result<(), KeyError> {
         text("id", &self.id)?;
         text("by", &self.by)?;
         text("why", &self.why)?;
-        within("at", self.at as f64, 0.0, 1e17)?;
+        check_within("at", self.at as f64, 0.0, 1e17)?;
         self.what
             .check(self.at)
-            .map_err(|fault| fault.under(self.what.key()))
+            .map_err(|fault| fault.under_parent(self.what.key()))
     }
 }
 
@@ -151,10 +151,10 @@
         }
     }
 
-    fn check(&self, at: Micros) -> Result<(), Fault> {
+    fn check(&self, at: Micros) -> Result<(), KeyError> {
         let known = |account_text: &str| match account(account_text) {
             Some(_) => Ok(()),
-            None => Err(Fault::at("account", "is not 16 hex digits below 2^33")),
+            None => Err(KeyError::new("account", "is not 16 hex digits below 2^33")),
         };
         match self {
             What::Figures { plan, figures } => {
@@ -173,14 +173,16 @@
                 prefix,
             } => {
                 known(account)?;
-                within("units", *units, f64::MIN_POSITIVE, HIGHEST)?;
+                check_within("units", *units, f64::MIN_POSITIVE, HIGHEST)?;
                 text("class", class)?;
                 prefix
                     .as_deref()
                     .map_or(Ok(()), |prefix| text("prefix", prefix))?;
                 match *until - at {
-                    span if span <= 0 => Err(Fault::at("until", "is not after 'at'")),
-                    span if span > LONGEST => Err(Fault::at("until", "is over 31 days after 'at'")),
+                    span if span <= 0 => Err(KeyError::new("until", "is not after 'at'")),
+                    span if span > LONGEST => {
+                        Err(KeyError::new("until", "is over 31 days after 'at'"))
+                    }
                     _ => Ok(()),
                 }
             }
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -21,17 +21,17 @@
 
 /// A column: a name and as many values as every other.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Values {
+pub enum ColumnValues {
     /// Whole numbers.
-    Numbers(Vec<i64>),
+    Integers(Vec<i64>),
     /// Whole numbers that may be missing.
-    Perhaps(Vec<Option<i64>>),
+    OptionalIntegers(Vec<Option<i64>>),
     /// Texts.
-    Texts(Vec<String>),
+    Strings(Vec<String>),
 }
 
 /// A table: columns by name, in order.
-pub type Table = Vec<(&'static str, Values)>;
+pub type Table = Vec<(&'static str, ColumnValues)>;
 
 /// Why a table can't be written or read.
 #[derive(Debug)]
@@ -60,22 +60,22 @@
 
 impl std::error::Error for TableError {}
 
-impl Values {
+impl ColumnValues {
     fn len(&self) -> usize {
         match self {
-            Values::Numbers(v) => v.len(),
-            Values::Perhaps(v) => v.len(),
-            Values::Texts(v) => v.len(),
+            ColumnValues::Integers(v) => v.len(),
+            ColumnValues::OptionalIntegers(v) => v.len(),
+            ColumnValues::Strings(v) => v.len(),
         }
     }
 
     fn field(&self, name: &str) -> Result<Type, ParquetError> {
         let (physical, repetition) = match self {
-            Values::Numbers(_) => (Physical::INT64, Repetition::REQUIRED),
-            Values::Perhaps(_) => (Physical::INT64, Repetition::OPTIONAL),
-            Values::Texts(_) => (Physical::BYTE_ARRAY, Repetition::REQUIRED),
+            ColumnValues::Integers(_) => (Physical::INT64, Repetition::REQUIRED),
+            ColumnValues::OptionalIntegers(_) => (Physical::INT64, Repetition::OPTIONAL),
+            ColumnValues::Strings(_) => (Physical::BYTE_ARRAY, Repetition::REQUIRED),
         };
-        let text = matches!(self, Values::Texts(_)).then_some(LogicalType::String);
+        let text = matches!(self, ColumnValues::Strings(_)).then_some(LogicalType::String);
         Type::primitive_type_builder(name, physical)
             .with_repetition(repetition)
             .with_logical_type(text)
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 /// The system's; nothing half-written is left at either place.
-pub fn whole<E>(
+pub fn write_atomically<E>(
     path: &Path,
     fail: impl Fn(io::Error) -> E,
     write: impl FnOnce(File) -> Result<File, E>,
@@ -115,7 +115,7 @@
 /// The system's, most often a full disk; then nothing is left.
 pub fn write(path: &Path, table: &Table) -> Result<(), TableError> {
     let format = |e| TableError::Format(path.to_path_buf(), e);
-    whole(
+    write_atomically(
         path,
         |e| TableError::File(path.to_path_buf(), e),
         |file| write_to(file, table).map_err(format),
@@ -147,16 +147,16 @@
                 break;
             };
             match (values, column.untyped()) {
-                (Values::Numbers(v), ColumnWriter::Int64ColumnWriter(w)) => {
+                (ColumnValues::Integers(v), ColumnWriter::Int64ColumnWriter(w)) => {
                     w.write_batch(&v[at..end], None, None)?;
                 }
-                (Values::Perhaps(v), ColumnWriter::Int64ColumnWriter(w)) => {
+                (ColumnValues::OptionalIntegers(v), ColumnWriter::Int64ColumnWriter(w)) => {
                     let there: Vec<i64> = v[at..end].iter().flatten().copied().collect();
                     let levels: Vec<i16> =
                         v[at..end].iter().map(|v| i16::from(v.is_some())).collect();
                     w.write_batch(&there, Some(&levels), None)?;
                 }
-                (Values::Texts(v), ColumnWriter::ByteArrayColumnWriter(w)) => {
+                (ColumnValues::Strings(v), ColumnWriter::ByteArrayColumnWriter(w)) => {
                     let bytes: Vec<ByteArray> =
                         v[at..end].iter().map(|t| t.as_str().into()).collect();
                     w.write_batch(&bytes, None, None)?;
@@ -172,7 +172,7 @@
 }
 
 /// A table's columns as they stand in a file.
-pub struct Stored {
+pub struct TableReader {
     path: PathBuf,
     reader: SerializedFileReader<File>,
 }
@@ -181,24 +181,24 @@
 ///
 /// # Errors
 /// A file that is missing, cut or no Parquet file.
-pub fn open(path: &Path) -> Result<Stored, TableError> {
+pub fn open(path: &Path) -> Result<TableReader, TableError> {
     let file = File::open(path).map_err(|e| TableError::File(path.to_path_buf(), e))?;
     let reader =
         SerializedFileReader::new(file).map_err(|e| TableError::Format(path.to_path_buf(), e))?;
-    Ok(Stored {
+    Ok(TableReader {
         path: path.to_path_buf(),
         reader,
     })
 }
 
-impl Stored {
+impl TableReader {
     /// Rows.
-    pub fn rows(&self) -> usize {
+    pub fn row_count(&self) -> usize {
         self.reader.metadata().file_metadata().num_rows().max(0) as usize
     }
 
     /// Column names.
-    pub fn names(&self) -> Vec<String> {
+    pub fn column_names(&self) -> Vec<String> {
         let schema = self.reader.metadata().file_metadata().schema_descr();
         schema
             .columns()
@@ -214,7 +214,7 @@
     ) -> Result<(), TableError> {
         let lacks = || TableError::Column(self.path.clone(), name.to_string());
         let column = self
-            .names()
+            .column_names()
             .iter()
             .position(|n| n == name)
             .ok_or_else(lacks)?;
@@ -234,8 +234,8 @@
     ///
     /// # Errors
     /// The column is missing or of another type; the file is damaged.
-    pub fn numbers(&self, name: &str) -> Result<Vec<i64>, TableError> {
-        let perhaps = self.perhaps(name)?;
+    pub fn integers(&self, name: &str) -> Result<Vec<i64>, TableError> {
+        let perhaps = self.optional_integers(name)?;
         let all: Option<Vec<i64>> = perhaps.into_iter().collect();
         all.ok_or_else(|| TableError::Column(self.path.clone(), name.to_string()))
     }
@@ -244,8 +244,8 @@
     ///
     /// # Errors
     /// As [`Stored::numbers`].
-    pub fn perhaps(&self, name: &str) -> Result<Vec<Option<i64>>, TableError> {
-        let mut all = Vec::with_capacity(self.rows());
+    pub fn optional_integers(&self, name: &str) -> Result<Vec<Option<i64>>, TableError> {
+        let mut all = Vec::with_capacity(self.row_count());
         self.each(name, |reader, rows| {
             let ColumnReader::Int64ColumnReader(mut reader) = reader else {
                 return Ok(false);
@@ -272,8 +272,8 @@
     ///
     /// # Errors
     /// As [`Stored::numbers`].
-    pub fn texts(&self, name: &str) -> Result<Vec<String>, TableError> {
-        let mut all = Vec::with_capacity(self.rows());
+    pub fn strings(&self, name: &str) -> Result<Vec<String>, TableError> {
+        let mut all = Vec::with_capacity(self.row_count());
         self.each(name, |reader, rows| {
             let ColumnReader::ByteArrayColumnReader(mut reader) = reader else {
                 return Ok(false);
--- a/crates/table/src/tests.rs
+++ b/crates/table/src/tests.rs
@@ -5,24 +5,36 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("t.parquet");
     let table: Table = vec![
-        ("n", Values::Numbers(vec![1, -2, 3])),
-        ("p", Values::Perhaps(vec![None, Some(7), None])),
+        ("n", ColumnValues::Integers(vec![1, -2, 3])),
+        (
+            "p",
+            ColumnValues::OptionalIntegers(vec![None, Some(7), None]),
+        ),
         (
             "t",
-            Values::Texts(vec!["a".into(), String::new(), "ñ".into()]),
+            ColumnValues::Strings(vec!["a".into(), String::new(), "ñ".into()]),
         ),
     ];
     write(&path, &table).unwrap();
     let stored = open(&path).unwrap();
     assert_eq!(
-        (stored.rows(), stored.names()),
+        (stored.row_count(), stored.column_names()),
         (3, vec!["n".into(), "p".into(), "t".into()])
     );
-    assert_eq!(Values::Numbers(stored.numbers("n").unwrap()), table[0].1);
-    assert_eq!(Values::Perhaps(stored.perhaps("p").unwrap()), table[1].1);
-    assert_eq!(Values::Texts(stored.texts("t").unwrap()), table[2].1);
-    assert!(matches!(stored.numbers("x"), Err(TableError::Column(..))));
-    assert!(matches!(stored.numbers("t"), Err(TableError::Column(..))));
+    assert_eq!(
+        ColumnValues::Integers(stored.integers("n").unwrap()),
+        table[0].1
+    );
+    assert_eq!(
+        ColumnValues::OptionalIntegers(stored.optional_integers("p").unwrap()),
+        table[1].1
+    );
+    assert_eq!(
+        ColumnValues::Strings(stored.strings("t").unwrap()),
+        table[2].1
+    );
+    assert!(matches!(stored.integers("x"), Err(TableError::Column(..))));
+    assert!(matches!(stored.integers("t"), Err(TableError::Column(..))));
     let bytes = fs::read(&path).unwrap();
     for cut in (0..bytes.len()).step_by(7) {
         fs::write(&path, &bytes[..cut]).unwrap();
--- a/crates/usage/src/export.rs
+++ b/crates/usage/src/export.rs
@@ -11,9 +11,9 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use config_check::Fault;
+use config_check::KeyError;
 use serde::{Deserialize, Serialize};
-use table::{Table, TableError, Values};
+use table::{ColumnValues, Table, TableError};
 
 use crate::ledger::lives;
 use crate::reading::{self, Booked, ReadError};
@@ -69,7 +69,7 @@
     /// The system's word.
     File(PathBuf, io::Error),
     /// The cursor's file makes no sense; it is not guessed anew, since that could bill twice.
-    Cursor(PathBuf, Fault),
+    Cursor(PathBuf, KeyError),
     /// The ledger can't be read.
     Read(ReadError),
     /// The batch can't be written.
@@ -171,7 +171,7 @@
         let path = folder.join("export.json");
         let cursor = match fs::read_to_string(&path) {
             Ok(text) => {
-                config_check::read(&text).map_err(|fault| ExportError::Cursor(path, fault))?
+                config_check::parse_json(&text).map_err(|fault| ExportError::Cursor(path, fault))?
             }
             Err(error) if error.kind() == io::ErrorKind::NotFound => Cursor::default(),
             Err(error) => return Err(ExportError::File(path, error)),
@@ -191,7 +191,7 @@
             file.write_all(text.as_bytes()).map_err(system(&path))?;
             Ok(file)
         };
-        table::whole(&path, |e| ExportError::File(path.clone(), e), write)?;
+        table::write_atomically(&path, |e| ExportError::File(path.clone(), e), write)?;
         // A rename outlasts a loss of power once its folder is on the disk.
         File::open(&self.folder)
             .and_then(|folder| folder.sync_all())
@@ -319,9 +319,9 @@
 }
 
 fn columns(tries: &[Booked]) -> Table {
-    let numbers = |get: fn(&Booked) -> i64| Values::Numbers(tries.iter().map(get).collect());
+    let numbers = |get: fn(&Booked) -> i64| ColumnValues::Integers(tries.iter().map(get).collect());
     let texts = |get: fn(&Booked) -> &str| {
-        Values::Texts(tries.iter().map(|t| get(t).to_string()).collect())
+        ColumnValues::Strings(tries.iter().map(|t| get(t).to_string()).collect())
     };
     vec![
         ("limiter", texts(|t| &t.limiter)),
--- a/crates/usage/tests/export.rs
+++ b/crates/usage/tests/export.rs
@@ -40,12 +40,12 @@
         let stored = table::open(&path).unwrap();
         all.extend(
             stored
-                .numbers("life")
+                .integers("life")
                 .unwrap()
                 .into_iter()
-                .zip(stored.numbers("number").unwrap()),
+                .zip(stored.integers("number").unwrap()),
         );
-        unsure += stored.numbers("unsure").unwrap().iter().sum::<i64>();
+        unsure += stored.integers("unsure").unwrap().iter().sum::<i64>();
     }
     (all, unsure)
 }
