--- a/crates/dataplane/src/plan_resolver.rs
+++ b/crates/dataplane/src/plan_resolver.rs
@@ -7,8 +7,8 @@
 
 use std::collections::BTreeMap;
 
-use plans::book::{Book, Refusal, Taken};
-use plans::change::{Base, Change, Figures};
+use plans::book::{ApplyError, ApplyOutcome, PlanBook};
+use plans::change::{Change, PlatformPlans, RateLimit};
 use streamarch::{CustomerId, Micros, Plan};
 
 /// Most changes within one window that are followed back.
@@ -24,7 +24,7 @@
 /// The plan book, and the positions of its plans in the module.
 #[derive(Debug)]
 pub struct PlanResolver {
-    book: Book,
+    book: PlanBook,
     /// Names of the platform's plans, by position.
     names: Vec<String>,
     /// The module's plans: those of the platform, then the added ones.
@@ -43,26 +43,26 @@
     pub book_version: u64,
 }
 
-fn figure_bits(figures: Figures) -> FigureBits {
-    (figures.rate.to_bits(), figures.burst.to_bits())
+fn figure_bits(figures: RateLimit) -> FigureBits {
+    (figures.rate_per_s.to_bits(), figures.burst.to_bits())
 }
 
 impl PlanResolver {
     /// Creates a resolver for the platform's plans, given by name and position. `slack`: how far in
     /// the past a change may take effect, in microseconds.
     pub fn new(names: &[String], platform_plans: &[Plan], slack: Micros) -> PlanResolver {
-        let figures = |plan: &Plan| Figures {
-            rate: plan.rate_per_s,
+        let figures = |plan: &Plan| RateLimit {
+            rate_per_s: plan.rate_per_s,
             burst: plan.burst,
         };
-        let base: Base = names
+        let base: PlatformPlans = names
             .iter()
             .cloned()
             .zip(platform_plans.iter().map(figures))
             .collect();
         let (names, plans) = (names.to_vec(), platform_plans.to_vec());
         PlanResolver {
-            book: Book::new(base, slack),
+            book: PlanBook::new(base, slack),
             names,
             plans,
             added_positions: BTreeMap::new(),
@@ -70,7 +70,7 @@
     }
 
     /// The plan book.
-    pub fn book(&self) -> &Book {
+    pub fn book(&self) -> &PlanBook {
         &self.book
     }
 
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// Why the change was rejected; the book is unchanged.
-    pub fn apply(&mut self, now: Micros, change: Change) -> Result<Taken, Refusal> {
+    pub fn apply(&mut self, now: Micros, change: Change) -> Result<ApplyOutcome, ApplyError> {
         self.book.apply(now, change)
     }
 
@@ -114,10 +114,10 @@
         let Some(name) = self.names.get(named) else {
             return (named, named);
         };
-        let Some(terms) = self.book.terms(customer.0, name, at) else {
+        let Some(terms) = self.book.effective_plan(customer.0, name, at) else {
             return (named, named);
         };
-        let Some(changed_at) = terms.since else {
+        let Some(changed_at) = terms.effective_since else {
             return (named, named);
         };
         let plan = self
@@ -143,11 +143,14 @@
                 .0,
             )
         });
-        let key = (plan, figure_bits(terms.figures), named, previous);
+        let key = (plan, figure_bits(terms.rate_limit), named, previous);
         if let Some(position) = self.added_positions.get(&key) {
             return (*position, plan);
         }
-        let Figures { rate, burst } = terms.figures;
+        let RateLimit {
+            rate_per_s: rate,
+            burst,
+        } = terms.rate_limit;
         let added = Plan {
             rate_per_s: rate,
             burst,
--- a/crates/plans/src/book.rs
+++ b/crates/plans/src/book.rs
@@ -11,7 +11,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::Micros;
-use crate::change::{Base, Change, Figures, What, account};
+use crate::change::{Change, ChangeKind, PlatformPlans, RateLimit, parse_customer};
 
 /// A change that was taken.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -20,22 +20,23 @@
     /// Its number, from 1 without gaps.
     pub version: u64,
     /// When it was taken.
-    pub taken: Micros,
+    #[serde(rename = "taken")]
+    pub applied_at: Micros,
     /// The change.
     pub change: Change,
 }
 
 /// What a request is judged by, fixed when it is taken.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct EffectivePlan {
     /// The book's version at the time of judging.
     pub version: u64,
     /// The plan that holds, which may not be the one that the request named.
     pub plan: String,
     /// That plan's figures.
-    pub figures: Figures,
+    pub rate_limit: RateLimit,
     /// Since when these figures hold for this customer; `None`: they are the platform's.
-    pub since: Option<Micros>,
+    pub effective_since: Option<Micros>,
 }
 
 /// A reservation as it stands.
@@ -48,9 +49,9 @@
     /// Units set aside.
     pub units: f64,
     /// From when.
-    pub from: Micros,
+    pub starts_at: Micros,
     /// Until when: its end, or its cancelling.
-    pub until: Micros,
+    pub ends_at: Micros,
     /// For this class.
     pub class: &'a str,
     /// For keys that begin so.
@@ -59,37 +60,40 @@
 
 /// What became of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ApplyOutcome {
     /// It is a new version.
-    New(u64),
+    Applied(u64),
     /// The same change had been taken before, as this version.
-    Before(u64),
+    AlreadyApplied(u64),
 }
 
 /// Why a change was refused; the book is as it was.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum ApplyError {
     /// A key makes no sense, by itself or against the book.
-    Faulty(KeyError),
+    Invalid(KeyError),
     /// Another change has this id, taken as this version.
-    IdTaken(u64),
+    DuplicateId(u64),
     /// It was written against another version than the present one.
     Conflict {
         /// The version that it was written against.
-        after: u64,
+        expected_version: u64,
         /// The present one.
         version: u64,
     },
 }
 
-impl std::fmt::Display for Refusal {
+impl std::fmt::Display for ApplyError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Refusal::Faulty(fault) => write!(f, "{fault}"),
-            Refusal::IdTaken(version) => {
+            ApplyError::Invalid(fault) => write!(f, "{fault}"),
+            ApplyError::DuplicateId(version) => {
                 write!(f, "key 'id': another change has it, version {version}")
             }
-            Refusal::Conflict { after, version } => {
+            ApplyError::Conflict {
+                expected_version: after,
+                version,
+            } => {
                 write!(
                     f,
                     "key 'after': written against version {after}, the book is at {version}"
@@ -99,63 +103,66 @@
     }
 }
 
-impl std::error::Error for Refusal {}
+impl std::error::Error for ApplyError {}
 
-impl From<KeyError> for Refusal {
-    fn from(fault: KeyError) -> Refusal {
-        Refusal::Faulty(fault)
+impl From<KeyError> for ApplyError {
+    fn from(fault: KeyError) -> ApplyError {
+        ApplyError::Invalid(fault)
     }
 }
 
 /// Why entries of another book can't be taken over.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Parted {
+pub enum CatchUpError {
     /// Entries are missing between the present version and the first one given.
-    Gap {
+    MissingVersions {
         /// The present version.
         version: u64,
         /// The first one given.
-        first: u64,
+        first_received: u64,
     },
     /// The books hold different changes as this version.
-    Differs(u64),
+    Diverged(u64),
     /// The change of this version does not hold against the versions before it.
-    Refused(u64, Refusal),
+    Rejected(u64, ApplyError),
 }
 
-impl std::fmt::Display for Parted {
+impl std::fmt::Display for CatchUpError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Parted::Gap { version, first } => {
+            CatchUpError::MissingVersions {
+                version,
+                first_received: first,
+            } => {
                 write!(f, "the book is at {version}, what came begins at {first}")
             }
-            Parted::Differs(version) => write!(f, "the books differ in version {version}"),
-            Parted::Refused(version, refusal) => {
+            CatchUpError::Diverged(version) => write!(f, "the books differ in version {version}"),
+            CatchUpError::Rejected(version, refusal) => {
                 write!(f, "version {version} does not hold here: {refusal}")
             }
         }
     }
 }
 
-impl std::error::Error for Parted {}
+impl std::error::Error for CatchUpError {}
 
 /// The plan book.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Book {
-    base: Base,
+pub struct PlanBook {
+    base: PlatformPlans,
     entries: Vec<Entry>,
     ids: BTreeMap<String, u64>,
     /// How far in the past a change may take effect.
     slack: Micros,
 }
 
-impl Book {
+impl PlanBook {
     /// A book over the platform's plans. `slack`: how far in the past a change may take effect, for what was on its way.
-    pub fn new(base: Base, slack: Micros) -> Book {
-        Book {
+    pub fn new(base: PlatformPlans, slack: Micros) -> PlanBook {
+        PlanBook {
             base,
             slack,
-            ..Book::default()
+            ..PlanBook::default()
         }
     }
 
@@ -170,7 +177,7 @@
     }
 
     /// The changes behind a version: what a book that has it lacks. `None`: that version is none of ours.
-    pub fn since(&self, version: u64) -> Option<&[Entry]> {
+    pub fn entries_after(&self, version: u64) -> Option<&[Entry]> {
         self.entries.get(usize::try_from(version).ok()?..)
     }
 
@@ -192,7 +199,7 @@
     ///
     /// # Errors
     /// Why it was refused; the book is as it was.
-    pub fn apply(&mut self, now: Micros, change: Change) -> Result<Taken, Refusal> {
+    pub fn apply(&mut self, now: Micros, change: Change) -> Result<ApplyOutcome, ApplyError> {
         change.check()?;
         if let Some(version) = self.ids.get(&change.id) {
             let same = self
@@ -200,17 +207,20 @@
                 .get(*version as usize - 1)
                 .is_some_and(|entry| entry.change == change);
             return if same {
-                Ok(Taken::Before(*version))
+                Ok(ApplyOutcome::AlreadyApplied(*version))
             } else {
-                Err(Refusal::IdTaken(*version))
+                Err(ApplyError::DuplicateId(*version))
             };
         }
         let version = self.version();
-        if let Some(after) = change.after.filter(|after| *after != version) {
-            return Err(Refusal::Conflict { after, version });
+        if let Some(after) = change.expected_version.filter(|after| *after != version) {
+            return Err(ApplyError::Conflict {
+                expected_version: after,
+                version,
+            });
         }
-        if change.at < now - self.slack {
-            let late = (now - change.at) as f64 / 1e6;
+        if change.effective_at < now - self.slack {
+            let late = (now - change.effective_at) as f64 / 1e6;
             return Err(KeyError::new(
                 "at",
                 format!(
@@ -221,8 +231,8 @@
             .into());
         }
         self.fits(&change)
-            .map_err(|fault| fault.under_parent(change.what.key()))?;
-        Ok(Taken::New(self.enter(now, change)))
+            .map_err(|fault| fault.under_parent(change.kind.key()))?;
+        Ok(ApplyOutcome::Applied(self.enter(now, change)))
     }
 
     fn enter(&mut self, taken: Micros, change: Change) -> u64 {
@@ -230,7 +240,7 @@
         self.ids.insert(change.id.clone(), version);
         self.entries.push(Entry {
             version,
-            taken,
+            applied_at: taken,
             change,
         });
         version
@@ -248,28 +258,28 @@
                 ))
             }
         };
-        match &change.what {
-            What::Figures { plan, .. } => known(plan),
-            What::Move { plan, .. } => plan.as_deref().map_or(Ok(()), known),
-            What::Reserve {
+        match &change.kind {
+            ChangeKind::RateLimit { plan, .. } => known(plan),
+            ChangeKind::AssignPlan { plan, .. } => plan.as_deref().map_or(Ok(()), known),
+            ChangeKind::Reserve {
                 account: text,
                 units,
-                until,
+                ends_at: until,
                 ..
             } => {
-                let customer =
-                    account(text).ok_or_else(|| KeyError::new("account", "is no customer"))?;
-                self.grantable(customer, *units, change.at, *until)
+                let customer = parse_customer(text)
+                    .ok_or_else(|| KeyError::new("account", "is no customer"))?;
+                self.grantable(customer, *units, change.effective_at, *until)
             }
-            What::Cancel { reservation } => match self.made(reservation) {
+            ChangeKind::Cancel { reservation } => match self.made(reservation) {
                 None => Err(KeyError::new(
                     "reservation",
                     format!("there is none with the id '{reservation}'"),
                 )),
-                Some((_, end)) if change.at >= end => {
+                Some((_, end)) if change.effective_at >= end => {
                     Err(KeyError::new("reservation", "has ended by then"))
                 }
-                Some((from, _)) if change.at < from => {
+                Some((from, _)) if change.effective_at < from => {
                     Err(KeyError::new("reservation", "has not begun by then"))
                 }
                 Some(_) if self.cancelled(reservation).is_some() => Err(KeyError::new(
@@ -290,7 +300,8 @@
         from: Micros,
         until: Micros,
     ) -> Result<(), KeyError> {
-        let beside = |r: &Reservation| r.customer == customer && r.from < until && from < r.until;
+        let beside =
+            |r: &Reservation| r.customer == customer && r.starts_at < until && from < r.ends_at;
         let held: f64 = self
             .reservations()
             .iter()
@@ -303,7 +314,7 @@
             .keys()
             .filter(|plan| moved.as_ref().is_none_or(|moved| moved == *plan))
             .filter_map(|plan| self.figures(plan, from))
-            .map(|(figures, _)| figures.most_within(until - from))
+            .map(|(figures, _)| figures.max_units_within(until - from))
             .fold(0.0, f64::max);
         match held + units <= most {
             true => Ok(()),
@@ -317,19 +328,27 @@
     }
 
     /// The last change that holds at an instant: the latest instant first, and of one instant the latest version.
-    fn holding<T>(&self, at: Micros, get: impl Fn(&What) -> Option<T>) -> Option<(T, Micros)> {
-        let due = self.entries.iter().filter(|entry| entry.change.at <= at);
-        let named = due.filter_map(|e| get(&e.change.what).map(|t| (t, e.change.at, e.version)));
+    fn holding<T>(
+        &self,
+        at: Micros,
+        get: impl Fn(&ChangeKind) -> Option<T>,
+    ) -> Option<(T, Micros)> {
+        let due = self
+            .entries
+            .iter()
+            .filter(|entry| entry.change.effective_at <= at);
+        let named =
+            due.filter_map(|e| get(&e.change.kind).map(|t| (t, e.change.effective_at, e.version)));
         named
             .max_by_key(|(_, at, version)| (*at, *version))
             .map(|(t, at, _)| (t, at))
     }
 
-    fn figures(&self, plan: &str, at: Micros) -> Option<(Figures, Option<Micros>)> {
+    fn figures(&self, plan: &str, at: Micros) -> Option<(RateLimit, Option<Micros>)> {
         let changed = self.holding(at, |what| match what {
-            What::Figures {
+            ChangeKind::RateLimit {
                 plan: name,
-                figures,
+                rate_limit: figures,
             } if name == plan => Some(*figures),
             _ => None,
         });
@@ -341,10 +360,10 @@
 
     fn moved(&self, customer: u64, at: Micros) -> Option<(Option<String>, Micros)> {
         self.holding(at, |what| match what {
-            What::Move {
+            ChangeKind::AssignPlan {
                 account: text,
                 plan,
-            } if account(text) == Some(customer) => Some(plan.clone()),
+            } if parse_customer(text) == Some(customer) => Some(plan.clone()),
             _ => None,
         })
     }
@@ -356,7 +375,7 @@
     /// What a customer's request is judged by that is taken at an instant and names a plan. The book's move stands above
     /// the plan that the request names; without one the request's plan holds, with the book's figures for it. `None`: no
     /// such plan.
-    pub fn terms(&self, customer: u64, named: &str, at: Micros) -> Option<Terms> {
+    pub fn effective_plan(&self, customer: u64, named: &str, at: Micros) -> Option<EffectivePlan> {
         let moved = self.moved(customer, at);
         let plan = moved
             .as_ref()
@@ -364,24 +383,24 @@
             .unwrap_or(named);
         let (figures, changed) = self.figures(plan, at)?;
         let since = changed.max(moved.as_ref().map(|(_, since)| *since));
-        Some(Terms {
+        Some(EffectivePlan {
             version: self.version(),
             plan: plan.to_string(),
-            figures,
-            since,
+            rate_limit: figures,
+            effective_since: since,
         })
     }
 
     /// The next instant at which anything takes effect.
-    pub fn next(&self, now: Micros) -> Option<Micros> {
+    pub fn next_change_at(&self, now: Micros) -> Option<Micros> {
         let ends = self
             .reservations()
             .into_iter()
-            .map(|r| r.until)
+            .map(|r| r.ends_at)
             .collect::<BTreeSet<_>>();
         self.entries
             .iter()
-            .map(|e| e.change.at)
+            .map(|e| e.change.effective_at)
             .chain(ends)
             .filter(|at| *at > now)
             .min()
@@ -389,8 +408,8 @@
 
     fn made(&self, id: &str) -> Option<(Micros, Micros)> {
         let entry = self.entries.get(*self.ids.get(id)? as usize - 1)?;
-        match &entry.change.what {
-            What::Reserve { until, .. } => Some((entry.change.at, *until)),
+        match &entry.change.kind {
+            ChangeKind::Reserve { ends_at: until, .. } => Some((entry.change.effective_at, *until)),
             _ => None,
         }
     }
@@ -398,8 +417,10 @@
     fn cancelled(&self, id: &str) -> Option<Micros> {
         self.entries
             .iter()
-            .find_map(|entry| match &entry.change.what {
-                What::Cancel { reservation } if reservation == id => Some(entry.change.at),
+            .find_map(|entry| match &entry.change.kind {
+                ChangeKind::Cancel { reservation } if reservation == id => {
+                    Some(entry.change.effective_at)
+                }
                 _ => None,
             })
     }
@@ -413,13 +434,13 @@
     }
 
     fn reservation<'a>(&self, entry: &'a Entry) -> Option<Reservation<'a>> {
-        let What::Reserve {
+        let ChangeKind::Reserve {
             account: text,
             units,
-            until,
+            ends_at: until,
             class,
             prefix,
-        } = &entry.change.what
+        } = &entry.change.kind
         else {
             return None;
         };
@@ -428,17 +449,17 @@
             .map_or(*until, |at| at.min(*until));
         Some(Reservation {
             id: &entry.change.id,
-            customer: account(text)?,
+            customer: parse_customer(text)?,
             units: *units,
-            from: entry.change.at,
-            until,
+            starts_at: entry.change.effective_at,
+            ends_at: until,
             class,
             prefix: prefix.as_deref(),
         })
     }
 
     /// The reservation that a customer's request takes from: of those that fit, the one that ends first.
-    pub fn reserved(
+    pub fn reservation_for(
         &self,
         customer: u64,
         class: &str,
@@ -448,50 +469,50 @@
         let fits = |r: &Reservation| {
             r.customer == customer
                 && r.class == class
-                && (r.from..r.until).contains(&at)
+                && (r.starts_at..r.ends_at).contains(&at)
                 && r.prefix.is_none_or(|prefix| key.starts_with(prefix))
         };
         self.reservations()
             .into_iter()
             .filter(fits)
-            .min_by(|a, b| (a.until, a.id).cmp(&(b.until, b.id)))
+            .min_by(|a, b| (a.ends_at, a.id).cmp(&(b.ends_at, b.id)))
     }
 
     /// Takes over what another book has beyond this one. Entries that are here already are passed over.
     ///
     /// # Errors
     /// Missing or different entries, or one that does not hold: the book is as it was.
-    pub fn catch_up(&mut self, entries: &[Entry]) -> Result<u64, Parted> {
+    pub fn catch_up(&mut self, entries: &[Entry]) -> Result<u64, CatchUpError> {
         let mut book = self.clone();
         for entry in entries {
             let version = book.version();
             if entry.version > version + 1 {
-                return Err(Parted::Gap {
+                return Err(CatchUpError::MissingVersions {
                     version,
-                    first: entry.version,
+                    first_received: entry.version,
                 });
             }
             if entry.version <= version {
                 let same =
                     book.entries.get((entry.version as usize).wrapping_sub(1)) == Some(entry);
                 if !same {
-                    return Err(Parted::Differs(entry.version));
+                    return Err(CatchUpError::Diverged(entry.version));
                 }
                 continue;
             }
-            let refused = |refusal| Parted::Refused(entry.version, refusal);
+            let refused = |refusal| CatchUpError::Rejected(entry.version, refusal);
             entry
                 .change
                 .check()
                 .map_err(|fault| refused(fault.into()))?;
             if let Some(taken) = book.ids.get(&entry.change.id) {
-                return Err(refused(Refusal::IdTaken(*taken)));
+                return Err(refused(ApplyError::DuplicateId(*taken)));
             }
             // The slack is the business of the book that took it first: here it may come late.
-            let key = entry.change.what.key();
+            let key = entry.change.kind.key();
             book.fits(&entry.change)
                 .map_err(|fault| refused(fault.under_parent(key).into()))?;
-            book.enter(entry.taken, entry.change.clone());
+            book.enter(entry.applied_at, entry.change.clone());
         }
         *self = book;
         Ok(self.version())
--- a/crates/plans/src/change.rs
+++ b/crates/plans/src/change.rs
@@ -19,9 +19,10 @@
 /// A plan's figures.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Figures {
+pub struct RateLimit {
     /// Units a second.
-    pub rate: f64,
+    #[serde(rename = "rate")]
+    pub rate_per_s: f64,
     /// Units that may be used at once.
     pub burst: f64,
 }
@@ -29,16 +30,19 @@
 /// What is changed: in JSON an object with one key, the kind of change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
+pub enum ChangeKind {
     /// A plan's figures.
-    Figures {
+    #[serde(rename = "figures")]
+    RateLimit {
         /// The plan, by name.
         plan: String,
         /// Its figures from then on.
-        figures: Figures,
+        #[serde(rename = "figures")]
+        rate_limit: RateLimit,
     },
     /// A customer's plan, whatever its requests name.
-    Move {
+    #[serde(rename = "move")]
+    AssignPlan {
         /// The customer, in 16 hex digits.
         account: String,
         /// Its plan from then on; `None`: the one that its requests name.
@@ -51,7 +55,8 @@
         /// Units.
         units: f64,
         /// Until when, in microseconds since the epoch.
-        until: Micros,
+        #[serde(rename = "until")]
+        ends_at: Micros,
         /// For this class alone.
         class: String,
         /// For keys that begin so, if given.
@@ -72,20 +77,24 @@
     /// Its id: the same change sent twice is taken once.
     pub id: String,
     /// When it takes effect, in microseconds since the epoch.
-    pub at: Micros,
+    #[serde(rename = "at")]
+    pub effective_at: Micros,
     /// The version that it was written against, where that matters: if anything was changed since, it is refused.
-    #[serde(default)]
-    pub after: Option<u64>,
+    #[serde(default, rename = "after")]
+    pub expected_version: Option<u64>,
     /// Who asks for it.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub requested_by: String,
     /// Why.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// What is changed.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: ChangeKind,
 }
 
 /// A customer in 16 hex digits.
-pub fn account(text: &str) -> Option<u64> {
+pub fn parse_customer(text: &str) -> Option<u64> {
     let plain = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     u64::from_str_radix(text, 16)
         .ok()
@@ -102,15 +111,15 @@
     }
 }
 
-impl Figures {
+impl RateLimit {
     fn check(&self) -> Result<(), KeyError> {
-        check_within("figures.rate", self.rate, 0.0, HIGHEST)?;
+        check_within("figures.rate", self.rate_per_s, 0.0, HIGHEST)?;
         check_within("figures.burst", self.burst, 0.0, HIGHEST)
     }
 
     /// The most units that a customer may ever use within a span.
-    pub fn most_within(&self, span: Micros) -> f64 {
-        self.burst + self.rate * span.max(0) as f64 / 1e6
+    pub fn max_units_within(&self, span: Micros) -> f64 {
+        self.burst + self.rate_per_s * span.max(0) as f64 / 1e6
     }
 }
 
@@ -131,44 +140,47 @@
     /// The first key that makes no sense by itself.
     pub fn check(&self) -> Result<(), KeyError> {
         text("id", &self.id)?;
-        text("by", &self.by)?;
-        text("why", &self.why)?;
-        check_within("at", self.at as f64, 0.0, 1e17)?;
-        self.what
-            .check(self.at)
-            .map_err(|fault| fault.under_parent(self.what.key()))
+        text("by", &self.requested_by)?;
+        text("why", &self.reason)?;
+        check_within("at", self.effective_at as f64, 0.0, 1e17)?;
+        self.kind
+            .check(self.effective_at)
+            .map_err(|fault| fault.under_parent(self.kind.key()))
     }
 }
 
-impl What {
+impl ChangeKind {
     /// Where its keys lie.
     pub(crate) fn key(&self) -> &'static str {
         match self {
-            What::Figures { .. } => "what.figures",
-            What::Move { .. } => "what.move",
-            What::Reserve { .. } => "what.reserve",
-            What::Cancel { .. } => "what.cancel",
+            ChangeKind::RateLimit { .. } => "what.figures",
+            ChangeKind::AssignPlan { .. } => "what.move",
+            ChangeKind::Reserve { .. } => "what.reserve",
+            ChangeKind::Cancel { .. } => "what.cancel",
         }
     }
 
     fn check(&self, at: Micros) -> Result<(), KeyError> {
-        let known = |account_text: &str| match account(account_text) {
+        let known = |account_text: &str| match parse_customer(account_text) {
             Some(_) => Ok(()),
             None => Err(KeyError::new("account", "is not 16 hex digits below 2^33")),
         };
         match self {
-            What::Figures { plan, figures } => {
+            ChangeKind::RateLimit {
+                plan,
+                rate_limit: figures,
+            } => {
                 text("plan", plan)?;
                 figures.check()
             }
-            What::Move { account, plan } => {
+            ChangeKind::AssignPlan { account, plan } => {
                 known(account)?;
                 plan.as_deref().map_or(Ok(()), |plan| text("plan", plan))
             }
-            What::Reserve {
+            ChangeKind::Reserve {
                 account,
                 units,
-                until,
+                ends_at: until,
                 class,
                 prefix,
             } => {
@@ -186,10 +198,10 @@
                     _ => Ok(()),
                 }
             }
-            What::Cancel { reservation } => text("reservation", reservation),
+            ChangeKind::Cancel { reservation } => text("reservation", reservation),
         }
     }
 }
 
 /// The plans of the platform's settings by name, which the book starts from.
-pub type Base = BTreeMap<String, Figures>;
+pub type PlatformPlans = BTreeMap<String, RateLimit>;
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -6,7 +6,7 @@
 
 pub mod book;
 pub mod change;
-pub mod store;
+pub mod token_bucket;
 
 /// Microseconds since the epoch, or a span.
 pub type Micros = i64;
--- a/crates/plans/src/store.rs
+++ b/crates/plans/src/token_bucket.rs
@@ -12,56 +12,57 @@
 //! In the two windows after it that is never more than what the larger of the two plans grants in the same time.
 
 use crate::Micros;
-use crate::change::Figures;
+use crate::change::RateLimit;
 
 /// A store's level at an instant.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Level {
+pub struct TokenBucket {
     /// The figures that hold.
-    pub figures: Figures,
+    pub rate_limit: RateLimit,
     /// Units left.
-    pub left: f64,
+    pub remaining_units: f64,
     /// When that was so.
-    pub at: Micros,
+    pub updated_at: Micros,
 }
 
-impl Level {
+impl TokenBucket {
     /// A full store.
-    pub fn full(figures: Figures, at: Micros) -> Level {
-        Level {
-            figures,
-            left: figures.burst,
-            at,
+    pub fn full(figures: RateLimit, at: Micros) -> TokenBucket {
+        TokenBucket {
+            rate_limit: figures,
+            remaining_units: figures.burst,
+            updated_at: at,
         }
     }
 
     /// The level at a later instant. A clock that steps back fills nothing and empties nothing.
-    pub fn on(self, now: Micros) -> Level {
-        let passed = (now - self.at).max(0) as f64 / 1e6;
-        let left = (self.left + passed * self.figures.rate).min(self.figures.burst);
-        Level {
-            left,
-            at: self.at.max(now),
+    pub fn advanced_to(self, now: Micros) -> TokenBucket {
+        let passed = (now - self.updated_at).max(0) as f64 / 1e6;
+        let left =
+            (self.remaining_units + passed * self.rate_limit.rate_per_s).min(self.rate_limit.burst);
+        TokenBucket {
+            remaining_units: left,
+            updated_at: self.updated_at.max(now),
             ..self
         }
     }
 
     /// Figures change at an instant.
-    pub fn change(self, figures: Figures, at: Micros) -> Level {
-        let before = self.on(at);
-        Level {
-            figures,
-            left: before.left.min(figures.burst),
-            at: before.at,
+    pub fn with_rate_limit(self, figures: RateLimit, at: Micros) -> TokenBucket {
+        let before = self.advanced_to(at);
+        TokenBucket {
+            rate_limit: figures,
+            remaining_units: before.remaining_units.min(figures.burst),
+            updated_at: before.updated_at,
         }
     }
 
     /// Takes units if they are left; whether they were.
-    pub fn take(&mut self, now: Micros, units: f64) -> bool {
-        *self = self.on(now);
-        let fits = units <= self.left;
+    pub fn try_take(&mut self, now: Micros, units: f64) -> bool {
+        *self = self.advanced_to(now);
+        let fits = units <= self.remaining_units;
         if fits {
-            self.left -= units;
+            self.remaining_units -= units;
         }
         fits
     }
@@ -69,6 +70,6 @@
 
 /// How much must be added to what a window counts as used when figures change, so that the level moves as [`Level`]
 /// says: the room of a window is burst and what flowed in, less what is used. `left`: the level before the change.
-pub fn shift(from: Figures, to: Figures, left: f64) -> f64 {
+pub fn window_usage_shift(from: RateLimit, to: RateLimit, left: f64) -> f64 {
     (to.burst - from.burst) + (left - to.burst).max(0.0)
 }
--- a/crates/plans/tests/book.rs
+++ b/crates/plans/tests/book.rs
@@ -1,24 +1,27 @@
 //! The plan book: what is taken, what is refused and by which key, and what holds when.
 
 use plans::Micros;
-use plans::book::{Book, Parted, Refusal, Taken};
-use plans::change::{Base, Change, Figures};
-use plans::store::{Level, shift};
+use plans::book::{ApplyError, ApplyOutcome, CatchUpError, PlanBook};
+use plans::change::{Change, PlatformPlans, RateLimit};
+use plans::token_bucket::{TokenBucket, window_usage_shift};
 use quickcheck::{Gen, QuickCheck};
 
 const SECOND: Micros = 1_000_000;
 const NOW: Micros = 1_000 * SECOND;
 const ANA: u64 = 0xa;
 
-fn figures(rate: f64, burst: f64) -> Figures {
-    Figures { rate, burst }
+fn figures(rate: f64, burst: f64) -> RateLimit {
+    RateLimit {
+        rate_per_s: rate,
+        burst,
+    }
 }
 
-fn book() -> Book {
-    let base: Base = [("taller", (1.0, 5.0)), ("empresa", (4.0, 20.0))]
+fn book() -> PlanBook {
+    let base: PlatformPlans = [("taller", (1.0, 5.0)), ("empresa", (4.0, 20.0))]
         .map(|(name, (rate, burst))| (name.to_string(), figures(rate, burst)))
         .into();
-    Book::new(base, 2 * SECOND)
+    PlanBook::new(base, 2 * SECOND)
 }
 
 /// A change by its id, seconds after now, and the rest of its JSON.
@@ -46,27 +49,40 @@
 #[test]
 fn a_change_takes_effect_at_its_instant_and_a_clock_that_steps_back_goes_back_with_it() {
     let mut book = book();
-    assert_eq!(book.apply(NOW, change("m", 10, MOVE)), Ok(Taken::New(1)));
-    assert_eq!(book.apply(NOW, change("f", 5, RAISE)), Ok(Taken::New(2)));
+    assert_eq!(
+        book.apply(NOW, change("m", 10, MOVE)),
+        Ok(ApplyOutcome::Applied(1))
+    );
+    assert_eq!(
+        book.apply(NOW, change("f", 5, RAISE)),
+        Ok(ApplyOutcome::Applied(2))
+    );
     let plan = |at_s: i64| {
-        let terms = book.terms(ANA, "taller", NOW + at_s * SECOND).unwrap();
+        let terms = book
+            .effective_plan(ANA, "taller", NOW + at_s * SECOND)
+            .unwrap();
         (
             terms.plan,
-            terms.figures.rate,
-            terms.since.map(|at| (at - NOW) / SECOND),
+            terms.rate_limit.rate_per_s,
+            terms.effective_since.map(|at| (at - NOW) / SECOND),
         )
     };
     assert_eq!(plan(4), ("taller".into(), 1.0, None));
     assert_eq!(plan(5), ("taller".into(), 2.0, Some(5)));
     assert_eq!(plan(10), ("empresa".into(), 4.0, Some(10)));
     assert_eq!(plan(9), ("taller".into(), 2.0, Some(5)));
-    assert_eq!(book.next(NOW + 5 * SECOND), Some(NOW + 10 * SECOND));
+    assert_eq!(
+        book.next_change_at(NOW + 5 * SECOND),
+        Some(NOW + 10 * SECOND)
+    );
     // Others go by what their requests name, and a plan that nobody knows has no terms.
     assert_eq!(
-        book.terms(0xb, "empresa", NOW + 20 * SECOND).unwrap().plan,
+        book.effective_plan(0xb, "empresa", NOW + 20 * SECOND)
+            .unwrap()
+            .plan,
         "empresa"
     );
-    assert!(book.terms(0xb, "gold", NOW).is_none());
+    assert!(book.effective_plan(0xb, "gold", NOW).is_none());
 }
 
 #[test]
@@ -75,9 +91,9 @@
     for (id, rest) in [("a", MOVE), ("b", BACK), ("c", MOVE), ("d", BACK)] {
         book.apply(NOW, change(id, 1, rest)).unwrap();
     }
-    let terms = book.terms(ANA, "taller", NOW + SECOND).unwrap();
+    let terms = book.effective_plan(ANA, "taller", NOW + SECOND).unwrap();
     assert_eq!(
-        (terms.plan.as_str(), terms.figures, terms.version),
+        (terms.plan.as_str(), terms.rate_limit, terms.version),
         ("taller", figures(1.0, 5.0), 4)
     );
 }
@@ -89,11 +105,11 @@
     // Even long after its instant: it was taken when it was in time.
     assert_eq!(
         book.apply(NOW + 99 * SECOND, change("m", 10, MOVE)),
-        Ok(Taken::Before(1))
+        Ok(ApplyOutcome::AlreadyApplied(1))
     );
     assert_eq!(
         book.apply(NOW, change("m", 11, MOVE)),
-        Err(Refusal::IdTaken(1))
+        Err(ApplyError::DuplicateId(1))
     );
     assert_eq!(book.version(), 1);
 }
@@ -103,7 +119,7 @@
     let mut book = book();
     book.apply(NOW, change("r", 0, &reserve(10.0, 60))).unwrap();
     let before = book.clone();
-    let refused = |book: &mut Book, change| book.apply(NOW, change).unwrap_err().to_string();
+    let refused = |book: &mut PlanBook, change| book.apply(NOW, change).unwrap_err().to_string();
     for (change, key) in [
         (
             change("x", -3, MOVE),
@@ -115,7 +131,7 @@
         ),
         (
             Change {
-                after: Some(7),
+                expected_version: Some(7),
                 ..change("x", 1, MOVE)
             },
             "key 'after': written against version 7, the book is at 1",
@@ -173,13 +189,16 @@
         .unwrap();
     book.apply(NOW, change("short", 0, &reserve(10.0, 60)))
         .unwrap();
-    let from = |book: &Book, key: &str, at_s: i64| {
-        book.reserved(ANA, "sign-off", key, NOW + at_s * SECOND)
+    let from = |book: &PlanBook, key: &str, at_s: i64| {
+        book.reservation_for(ANA, "sign-off", key, NOW + at_s * SECOND)
             .map(|r| r.id.to_string())
     };
     assert_eq!(from(&book, "batch-7", 1).as_deref(), Some("short"));
     assert_eq!(from(&book, "other-7", 1), None);
-    assert_eq!(book.reserved(ANA, "lookup", "batch-7", NOW + SECOND), None);
+    assert_eq!(
+        book.reservation_for(ANA, "lookup", "batch-7", NOW + SECOND),
+        None
+    );
     assert_eq!(
         from(&book, "batch-7", 60).as_deref(),
         Some("long"),
@@ -208,21 +227,21 @@
     let entries = one.history().to_vec();
     assert_eq!(
         two.catch_up(&entries[1..]),
-        Err(Parted::Gap {
+        Err(CatchUpError::MissingVersions {
             version: 0,
-            first: 2
+            first_received: 2
         })
     );
     assert_eq!(two.catch_up(&entries[..1]), Ok(1));
-    assert_eq!(two.catch_up(one.since(0).unwrap()), Ok(3));
+    assert_eq!(two.catch_up(one.entries_after(0).unwrap()), Ok(3));
     assert_eq!((two.digest(), two.history()), (one.digest(), one.history()));
-    assert_eq!(one.since(4), None);
+    assert_eq!(one.entries_after(4), None);
 
     // Each took another change as version 4: neither goes over to the other in silence.
     one.apply(NOW, change("d", 2, MOVE)).unwrap();
     two.apply(NOW, change("e", 2, RAISE)).unwrap();
     let before = two.clone();
-    assert_eq!(two.catch_up(one.history()), Err(Parted::Differs(4)));
+    assert_eq!(two.catch_up(one.history()), Err(CatchUpError::Diverged(4)));
     assert_eq!(two, before);
     assert_ne!(one.digest(), two.digest());
 }
@@ -238,34 +257,39 @@
             figures(2.0, 3.0),
             figures(0.0, 0.0),
         ];
-        let mut level = Level::full(plans[0], 0);
+        let mut level = TokenBucket::full(plans[0], 0);
         let (mut now, mut granted, mut flowed, mut used) = (0, 0.0, 0.0, 0.0);
         for (wait, plan, units) in steps {
             let passed = Micros::from(wait) * 10_000;
             let before = level;
             now += passed;
-            flowed += before.figures.rate * passed as f64 / 1e6;
+            flowed += before.rate_limit.rate_per_s * passed as f64 / 1e6;
             // The window's side: burst and what flowed in, less what is used, but never more than the store holds.
-            used += (before.left + before.figures.rate * passed as f64 / 1e6
-                - before.figures.burst)
+            used += (before.remaining_units + before.rate_limit.rate_per_s * passed as f64 / 1e6
+                - before.rate_limit.burst)
                 .max(0.0);
             if plan % 3 == 0 {
                 let to = plans[usize::from(plan / 3) % plans.len()];
-                used += shift(before.figures, to, before.on(now).left);
-                level = level.change(to, now);
-                if level.left > before.on(now).left
-                    || level.left < before.on(now).left.min(to.burst)
+                used += window_usage_shift(
+                    before.rate_limit,
+                    to,
+                    before.advanced_to(now).remaining_units,
+                );
+                level = level.with_rate_limit(to, now);
+                if level.remaining_units > before.advanced_to(now).remaining_units
+                    || level.remaining_units < before.advanced_to(now).remaining_units.min(to.burst)
                 {
                     return false;
                 }
             }
             let units = f64::from(units % 8);
-            if level.take(now, units) {
+            if level.try_take(now, units) {
                 granted += units;
                 used += units;
             }
-            let room = level.figures.burst + flowed - used;
-            if (room - level.on(now).left).abs() > 1e-6 || granted > plans[0].burst + flowed + 1e-6
+            let room = level.rate_limit.burst + flowed - used;
+            if (room - level.advanced_to(now).remaining_units).abs() > 1e-6
+                || granted > plans[0].burst + flowed + 1e-6
             {
                 return false;
             }
