--- a/crates/limiter/src/usage_cli.rs
+++ b/crates/limiter/src/usage_cli.rs
@@ -3,9 +3,9 @@
 use std::io::Write;
 use std::path::Path;
 
-use usage::export::Export;
-use usage::ledger::{file_name, lives};
-use usage::reading::{self, Booked};
+use usage::export::Exporter;
+use usage::ledger::{file_name, list_incarnations};
+use usage::reader::{self, RecordedAttempt};
 
 /// Maximum number of tries in an exported batch.
 const MAX_BATCH_TRIES: usize = 1_000_000;
@@ -24,7 +24,7 @@
             let number = number
                 .parse()
                 .map_err(|_| format!("'{number}' is not a batch number"))?;
-            let mut export = Export::open(Path::new(folder)).map_err(|e| e.to_string())?;
+            let mut export = Exporter::open(Path::new(folder)).map_err(|e| e.to_string())?;
             export.acknowledge(number).map_err(|e| e.to_string())
         }
         _ => {
@@ -36,13 +36,14 @@
 /// Prints a summary of each life (the ledger file of one run of a limiter). A life that cannot be read is reported and
 /// the remaining ones are still checked.
 fn verify(folder: &Path) -> Result<(), String> {
-    let numbers = lives(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+    let numbers = list_incarnations(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let mut failed_lives = 0;
     for number in &numbers {
-        match reading::life(folder, *number) {
+        match reader::read_incarnation(folder, *number) {
             Ok(life) => {
-                let unsure = life.tries.iter().filter(|t| t.unsure).count();
-                let (name, tries, torn) = (file_name(*number), life.tries.len(), life.torn);
+                let unsure = life.attempts.iter().filter(|t| t.maybe_unsent).count();
+                let (name, tries, torn) =
+                    (file_name(*number), life.attempts.len(), life.torn_bytes);
                 println!(
                     "{name}: {tries} tries, {unsure} of them unsure, a torn tail of {torn} bytes"
                 );
@@ -62,36 +63,36 @@
     }
 }
 
-fn format_try(booked: &Booked) -> String {
-    let booking = &booked.booking;
+fn format_try(booked: &RecordedAttempt) -> String {
+    let booking = &booked.usage;
     format!(
         "{} {}.{} at {} account {:016x} {} {} v{} units {}{}{}{}{}",
         booked.limiter,
-        booked.life,
+        booked.incarnation,
         booked.number,
-        booking.at,
+        booking.sent_at,
         booking.customer,
         booking.class,
         booking.plan,
-        booking.version,
+        booking.plan_version,
         booking.milli_units as f64 / 1e3,
         booking
             .reservation
             .as_deref()
             .map_or(String::new(), |r| format!(" reservation {r}")),
         booking
-            .key
+            .idempotency_key
             .as_deref()
             .map_or(String::new(), |k| format!(" key {k}")),
-        if booking.again { " again" } else { "" },
-        if booked.unsure { " unsure" } else { "" }
+        if booking.is_retry { " again" } else { "" },
+        if booked.maybe_unsent { " unsure" } else { "" }
     )
 }
 
 fn show(folder: &Path) -> Result<(), String> {
     let mut out = std::io::stdout().lock();
-    for life in reading::all(folder).map_err(|e| e.to_string())? {
-        for booked in &life.tries {
+    for life in reader::read_all(folder).map_err(|e| e.to_string())? {
+        for booked in &life.attempts {
             // The reader may have closed the pipe.
             if writeln!(out, "{}", format_try(booked)).is_err() {
                 return Ok(());
@@ -102,15 +103,15 @@
 }
 
 fn export(folder: &Path, out: &Path) -> Result<(), String> {
-    let mut export = Export::open(folder).map_err(|e| e.to_string())?;
+    let mut export = Exporter::open(folder).map_err(|e| e.to_string())?;
     match export
-        .write(out, MAX_BATCH_TRIES, &mut |_| true)
+        .write_batch(out, MAX_BATCH_TRIES, &mut |_| true)
         .map_err(|e| e.to_string())?
     {
         Some(batch) => println!(
             "batch {}: {} tries in {}",
             batch.number,
-            batch.tries(),
+            batch.attempt_count(),
             out.join(batch.file_name()).display()
         ),
         None => println!("nothing new"),
--- a/crates/limiter/tests/process.rs
+++ b/crates/limiter/tests/process.rs
@@ -453,14 +453,14 @@
         let (mut ledger, _) = usage::ledger::Ledger::open(&ledger_directory, "n0").unwrap();
         (0..3).for_each(|n| {
             _ = ledger
-                .book(usage::booking::Booking {
+                .record(usage::record::AttemptUsage {
                     customer: n,
                     ..Default::default()
                 })
                 .unwrap()
         });
         ledger.write().unwrap();
-        ledger.went_out();
+        ledger.mark_sent();
         ledger.sync().unwrap();
     }
     let run_usage = |subcommand: &[&str], paths: &[&std::path::Path], arguments: &[&str]| {
--- a/crates/usage/benches/ledger.rs
+++ b/crates/usage/benches/ledger.rs
@@ -3,20 +3,20 @@
 use std::hint::black_box;
 
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use usage::booking::Booking;
-use usage::export::Export;
+use usage::export::Exporter;
 use usage::ledger::Ledger;
+use usage::record::AttemptUsage;
 
-fn booking(customer: u64) -> Booking {
-    Booking {
-        at: 1_800_000_000_000_000,
+fn booking(customer: u64) -> AttemptUsage {
+    AttemptUsage {
+        sent_at: 1_800_000_000_000_000,
         customer,
         class: "sign-off".into(),
         plan: "institucion".into(),
-        version: 7,
+        plan_version: 7,
         milli_units: 2_000,
-        key: Some(format!("{customer:032x}")),
-        ..Booking::default()
+        idempotency_key: Some(format!("{customer:032x}")),
+        ..AttemptUsage::default()
     }
 }
 
@@ -25,10 +25,10 @@
 fn booked(folder: &std::path::Path, group: u64, sync: bool) {
     let (mut ledger, _) = Ledger::open(folder, "n0").expect("a ledger");
     for customer in 0..TRIES {
-        ledger.book(booking(customer)).expect("a booking");
+        ledger.record(booking(customer)).expect("a booking");
         if customer % group == group - 1 {
             ledger.write().expect("room");
-            ledger.went_out();
+            ledger.mark_sent();
             if sync {
                 ledger.sync().expect("a disk");
             }
@@ -71,9 +71,9 @@
     };
     group.bench_function("exported", |b| {
         let export = |folder: tempfile::TempDir| {
-            let mut export = Export::open(folder.path()).expect("an export");
+            let mut export = Exporter::open(folder.path()).expect("an export");
             let batch = export
-                .write(&folder.path().join("out"), usize::MAX, &mut |_| true)
+                .write_batch(&folder.path().join("out"), usize::MAX, &mut |_| true)
                 .expect("a batch");
             black_box(batch);
         };
--- a/crates/usage/src/export.rs
+++ b/crates/usage/src/export.rs
@@ -15,19 +15,22 @@
 use serde::{Deserialize, Serialize};
 use table::{ColumnValues, Table, TableError};
 
-use crate::ledger::lives;
-use crate::reading::{self, Booked, ReadError};
+use crate::ledger::list_incarnations;
+use crate::reader::{self, ReadError, RecordedAttempt};
 
 /// The tries of a batch within one life: from and to, both included.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Range {
+pub struct AttemptRange {
     /// The life.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The first try.
-    pub from: u64,
+    #[serde(rename = "from")]
+    pub first: u64,
     /// The last one.
-    pub to: u64,
+    #[serde(rename = "to")]
+    pub last: u64,
 }
 
 /// A batch.
@@ -37,7 +40,7 @@
     /// Its number, from 1 without gaps.
     pub number: u64,
     /// Its tries.
-    pub ranges: Vec<Range>,
+    pub ranges: Vec<AttemptRange>,
 }
 
 impl Batch {
@@ -47,8 +50,8 @@
     }
 
     /// How many tries it holds.
-    pub fn tries(&self) -> u64 {
-        self.ranges.iter().map(|r| r.to + 1 - r.from).sum()
+    pub fn attempt_count(&self) -> u64 {
+        self.ranges.iter().map(|r| r.last + 1 - r.first).sum()
     }
 }
 
@@ -75,16 +78,16 @@
     /// The batch can't be written.
     Table(TableError),
     /// Another process exports from this folder.
-    Held(PathBuf),
+    Locked(PathBuf),
     /// An acknowledgement of another batch than the one under way.
-    NotUnderWay {
+    NotPending {
         /// What was acknowledged.
-        told: u64,
+        acknowledged: u64,
         /// What is under way, if anything is.
-        under_way: Option<u64>,
+        pending: Option<u64>,
     },
     /// A batch under way names tries that the ledger does not have.
-    Missing(Range),
+    MissingAttempts(AttemptRange),
 }
 
 impl fmt::Display for ExportError {
@@ -94,23 +97,23 @@
             ExportError::Cursor(path, fault) => write!(f, "{}: {fault}", path.display()),
             ExportError::Read(error) => write!(f, "{error}"),
             ExportError::Table(error) => write!(f, "{error}"),
-            ExportError::Held(path) => write!(f, "{}: another process exports", path.display()),
-            ExportError::NotUnderWay {
-                told,
-                under_way: Some(number),
+            ExportError::Locked(path) => write!(f, "{}: another process exports", path.display()),
+            ExportError::NotPending {
+                acknowledged: told,
+                pending: Some(number),
             } => {
                 write!(f, "batch {told} is not under way, batch {number} is")
             }
-            ExportError::NotUnderWay {
-                told,
-                under_way: None,
+            ExportError::NotPending {
+                acknowledged: told,
+                pending: None,
             } => {
                 write!(f, "batch {told} is not under way, none is")
             }
-            ExportError::Missing(r) => write!(
+            ExportError::MissingAttempts(r) => write!(
                 f,
                 "life {}: tries {} to {} are missing",
-                r.life, r.from, r.to
+                r.incarnation, r.first, r.last
             ),
         }
     }
@@ -122,9 +125,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Before anything.
-    Begun,
+    Started,
     /// The batch is decided, and stands in the cursor.
-    Decided,
+    BatchRecorded,
     /// Its file stands whole.
     Written,
     /// It is acknowledged.
@@ -133,7 +136,7 @@
 
 /// A folder's export. One process at a time.
 #[derive(Debug)]
-pub struct Export {
+pub struct Exporter {
     folder: PathBuf,
     cursor: Cursor,
     /// Held as long as the export is.
@@ -160,13 +163,13 @@
     }
 }
 
-impl Export {
+impl Exporter {
     /// Opens a ledger's folder for exporting.
     ///
     /// # Errors
     /// The system's; another process exports; a cursor that makes no sense.
-    pub fn open(folder: &Path) -> Result<Export, ExportError> {
-        let held = || ExportError::Held(folder.to_path_buf());
+    pub fn open(folder: &Path) -> Result<Exporter, ExportError> {
+        let held = || ExportError::Locked(folder.to_path_buf());
         let lock = lock(&folder.join("export.lock"))?.ok_or_else(held)?;
         let path = folder.join("export.json");
         let cursor = match fs::read_to_string(&path) {
@@ -176,7 +179,7 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => Cursor::default(),
             Err(error) => return Err(ExportError::File(path, error)),
         };
-        Ok(Export {
+        Ok(Exporter {
             folder: folder.to_path_buf(),
             cursor,
             _lock: lock,
@@ -201,7 +204,7 @@
     }
 
     /// The batch under way.
-    pub fn under_way(&self) -> Option<&Batch> {
+    pub fn pending(&self) -> Option<&Batch> {
         self.cursor.under_way.as_ref()
     }
 
@@ -210,13 +213,13 @@
     ///
     /// # Errors
     /// The system's; damage in the ledger, by its place. Run again, it goes on where it was.
-    pub fn write(
+    pub fn write_batch(
         &mut self,
         out: &Path,
         most: usize,
         go_on: &mut dyn FnMut(Step) -> bool,
     ) -> Result<Option<Batch>, ExportError> {
-        if !go_on(Step::Begun) {
+        if !go_on(Step::Started) {
             return Ok(None);
         }
         let lives = self.settled()?;
@@ -233,18 +236,18 @@
                 batch
             }
         };
-        if !go_on(Step::Decided) {
+        if !go_on(Step::BatchRecorded) {
             return Ok(None);
         }
         let mut tries = Vec::new();
         for range in &batch.ranges {
             let of = lives
-                .get(&range.life)
+                .get(&range.incarnation)
                 .map(Vec::as_slice)
                 .unwrap_or_default();
             let named = of
-                .get(range.from as usize - 1..range.to as usize)
-                .ok_or(ExportError::Missing(*range))?;
+                .get(range.first as usize - 1..range.last as usize)
+                .ok_or(ExportError::MissingAttempts(*range))?;
             tries.extend_from_slice(named);
         }
         fs::create_dir_all(out).map_err(system(out))?;
@@ -262,13 +265,18 @@
         }
         let under_way = self.cursor.under_way.as_ref().map(|b| b.number);
         let Some(batch) = self.cursor.under_way.clone().filter(|b| b.number == number) else {
-            return Err(ExportError::NotUnderWay {
-                told: number,
-                under_way,
+            return Err(ExportError::NotPending {
+                acknowledged: number,
+                pending: under_way,
             });
         };
         let mut done = self.cursor.done.clone();
-        done.extend(batch.ranges.iter().map(|range| (range.life, range.to)));
+        done.extend(
+            batch
+                .ranges
+                .iter()
+                .map(|range| (range.incarnation, range.last)),
+        );
         self.keep(Cursor {
             acknowledged: number,
             done,
@@ -278,8 +286,8 @@
 
     /// All tries of which nothing will change any more: of a life that goes on those that are known to have gone out, of
     /// one that has ended all.
-    fn settled(&self) -> Result<BTreeMap<u64, Vec<Booked>>, ExportError> {
-        let numbers = lives(&self.folder).map_err(system(&self.folder))?;
+    fn settled(&self) -> Result<BTreeMap<u64, Vec<RecordedAttempt>>, ExportError> {
+        let numbers = list_incarnations(&self.folder).map_err(system(&self.folder))?;
         let ended = lock(&self.folder.join("lock"))?;
         let goes_on = if ended.is_none() {
             numbers.last().copied()
@@ -288,27 +296,27 @@
         };
         let mut settled = BTreeMap::new();
         for number in numbers {
-            let mut tries = reading::life(&self.folder, number)
+            let mut tries = reader::read_incarnation(&self.folder, number)
                 .map_err(ExportError::Read)?
-                .tries;
+                .attempts;
             if goes_on == Some(number) {
-                tries.retain(|t| !t.unsure);
+                tries.retain(|t| !t.maybe_unsent);
             }
             settled.insert(number, tries);
         }
         Ok(settled)
     }
 
-    fn next(&self, lives: &BTreeMap<u64, Vec<Booked>>, most: usize) -> Option<Batch> {
+    fn next(&self, lives: &BTreeMap<u64, Vec<RecordedAttempt>>, most: usize) -> Option<Batch> {
         let (mut ranges, mut room) = (Vec::new(), most as u64);
         for (life, tries) in lives {
             let done = self.cursor.done.get(life).copied().unwrap_or(0);
             let to = (tries.len() as u64).min(done + room);
             if to > done {
-                ranges.push(Range {
-                    life: *life,
-                    from: done + 1,
-                    to,
+                ranges.push(AttemptRange {
+                    incarnation: *life,
+                    first: done + 1,
+                    last: to,
                 });
                 room -= to - done;
             }
@@ -318,30 +326,31 @@
     }
 }
 
-fn columns(tries: &[Booked]) -> Table {
-    let numbers = |get: fn(&Booked) -> i64| ColumnValues::Integers(tries.iter().map(get).collect());
-    let texts = |get: fn(&Booked) -> &str| {
+fn columns(tries: &[RecordedAttempt]) -> Table {
+    let numbers =
+        |get: fn(&RecordedAttempt) -> i64| ColumnValues::Integers(tries.iter().map(get).collect());
+    let texts = |get: fn(&RecordedAttempt) -> &str| {
         ColumnValues::Strings(tries.iter().map(|t| get(t).to_string()).collect())
     };
     vec![
         ("limiter", texts(|t| &t.limiter)),
-        ("life", numbers(|t| t.life as i64)),
+        ("life", numbers(|t| t.incarnation as i64)),
         ("number", numbers(|t| t.number as i64)),
-        ("at_us", numbers(|t| t.booking.at)),
-        ("account", numbers(|t| t.booking.customer as i64)),
-        ("class", texts(|t| &t.booking.class)),
-        ("plan", texts(|t| &t.booking.plan)),
-        ("plan_version", numbers(|t| t.booking.version as i64)),
-        ("milli_units", numbers(|t| t.booking.milli_units as i64)),
+        ("at_us", numbers(|t| t.usage.sent_at)),
+        ("account", numbers(|t| t.usage.customer as i64)),
+        ("class", texts(|t| &t.usage.class)),
+        ("plan", texts(|t| &t.usage.plan)),
+        ("plan_version", numbers(|t| t.usage.plan_version as i64)),
+        ("milli_units", numbers(|t| t.usage.milli_units as i64)),
         (
             "reservation",
-            texts(|t| t.booking.reservation.as_deref().unwrap_or_default()),
+            texts(|t| t.usage.reservation.as_deref().unwrap_or_default()),
         ),
         (
             "key",
-            texts(|t| t.booking.key.as_deref().unwrap_or_default()),
+            texts(|t| t.usage.idempotency_key.as_deref().unwrap_or_default()),
         ),
-        ("again", numbers(|t| i64::from(t.booking.again))),
-        ("unsure", numbers(|t| i64::from(t.unsure))),
+        ("again", numbers(|t| i64::from(t.usage.is_retry))),
+        ("unsure", numbers(|t| i64::from(t.maybe_unsent))),
     ]
 }
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -9,8 +9,8 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::booking::{Booking, FORM, Record};
-use crate::log::{Disk, TooLong, Writer};
+use crate::log::{LogFile, RecordTooLong, Writer};
+use crate::record::{AttemptUsage, FORMAT_VERSION, LogRecord};
 
 /// Why a ledger can't be opened.
 #[derive(Debug)]
@@ -18,14 +18,14 @@
     /// The system's word.
     File(PathBuf, io::Error),
     /// Another process writes this folder.
-    Held(PathBuf),
+    Locked(PathBuf),
 }
 
 impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             OpenError::File(path, error) => write!(f, "{}: {error}", path.display()),
-            OpenError::Held(path) => write!(f, "{}: another process books here", path.display()),
+            OpenError::Locked(path) => write!(f, "{}: another process books here", path.display()),
         }
     }
 }
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 /// The system's.
-pub fn lives(folder: &Path) -> io::Result<Vec<u64>> {
+pub fn list_incarnations(folder: &Path) -> io::Result<Vec<u64>> {
     let mut lives = Vec::new();
     for entry in fs::read_dir(folder)? {
         let name = entry?.file_name();
@@ -91,10 +91,10 @@
             .map_err(system(&path))?;
         match lock.try_lock() {
             Ok(()) => {}
-            Err(TryLockError::WouldBlock) => return Err(OpenError::Held(folder.to_path_buf())),
+            Err(TryLockError::WouldBlock) => return Err(OpenError::Locked(folder.to_path_buf())),
             Err(TryLockError::Error(error)) => return Err(OpenError::File(path, error)),
         }
-        let life = lives(folder)
+        let life = list_incarnations(folder)
             .map_err(system(folder))?
             .last()
             .copied()
@@ -106,7 +106,7 @@
             .write(true)
             .open(&path)
             .map_err(system(&path))?;
-        let mut ledger = Ledger::begin(file, limiter, life).map_err(system(&path))?;
+        let mut ledger = Ledger::start(file, limiter, life).map_err(system(&path))?;
         // The name must outlast a loss of power as the records do.
         File::open(folder)
             .and_then(|folder| folder.sync_all())
@@ -116,12 +116,12 @@
     }
 }
 
-impl<D: Disk> Ledger<D> {
+impl<D: LogFile> Ledger<D> {
     /// Begins a life on an empty disk.
     ///
     /// # Errors
     /// The system's.
-    pub fn begin(disk: D, limiter: &str, life: u64) -> io::Result<Ledger<D>> {
+    pub fn start(disk: D, limiter: &str, life: u64) -> io::Result<Ledger<D>> {
         let mut ledger = Ledger {
             writer: Writer::new(disk),
             booked: 0,
@@ -130,10 +130,10 @@
             told: 0,
             _lock: None,
         };
-        let life = Record::Life {
-            form: FORM,
+        let life = LogRecord::Header {
+            format_version: FORMAT_VERSION,
             limiter: limiter.to_string(),
-            life,
+            incarnation: life,
         };
         ledger.put(&life).map_err(io::Error::other)?;
         ledger.writer.write()?;
@@ -141,25 +141,25 @@
         Ok(ledger)
     }
 
-    fn put(&mut self, record: &Record) -> Result<(), TooLong> {
+    fn put(&mut self, record: &LogRecord) -> Result<(), RecordTooLong> {
         // Plain data into memory: it can't fail but for its length.
-        let bytes = postcard::to_stdvec(record).map_err(|_| TooLong(usize::MAX))?;
-        self.writer.put(&bytes)
+        let bytes = postcard::to_stdvec(record).map_err(|_| RecordTooLong(usize::MAX))?;
+        self.writer.append(&bytes)
     }
 
     /// Books a try; it is in the log once [`Ledger::write`] has succeeded, and must not go out before.
     ///
     /// # Errors
     /// A booking that no record can hold; nothing was booked.
-    pub fn book(&mut self, booking: Booking) -> Result<u64, TooLong> {
+    pub fn record(&mut self, booking: AttemptUsage) -> Result<u64, RecordTooLong> {
         self.tell();
-        self.put(&Record::Try(self.booked + 1, booking))?;
+        self.put(&LogRecord::Attempt(self.booked + 1, booking))?;
         self.booked += 1;
         Ok(self.booked)
     }
 
     fn tell(&mut self) {
-        if self.sent > self.told && self.put(&Record::Sent(self.sent)).is_ok() {
+        if self.sent > self.told && self.put(&LogRecord::Sent(self.sent)).is_ok() {
             self.told = self.sent;
         }
     }
@@ -175,12 +175,12 @@
     }
 
     /// All tries that were written have gone out; the next group says so.
-    pub fn went_out(&mut self) {
+    pub fn mark_sent(&mut self) {
         self.sent = self.written;
     }
 
     /// Whether anything is to be written.
-    pub fn pending(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         self.writer.pending() > 0
     }
 
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -4,11 +4,11 @@
 //! say: a general store will take its place. `ledger` numbers bookings without gaps within a limiter's life and writes
 //! them in groups. `reading` goes through all lives of a folder.
 
-pub mod booking;
 pub mod export;
 pub mod ledger;
 pub mod log;
-pub mod reading;
+pub mod reader;
+pub mod record;
 
 /// Microseconds since the epoch.
 pub type Micros = i64;
--- a/crates/usage/src/log.rs
+++ b/crates/usage/src/log.rs
@@ -11,10 +11,10 @@
 /// Length and checksum ahead of a record.
 const HEAD: usize = 8;
 /// Longest record.
-pub const LONGEST: usize = 64 * 1024;
+pub const MAX_RECORD_BYTES: usize = 64 * 1024;
 
 /// Where records go: a file, or what a test puts in its place.
-pub trait Disk {
+pub trait LogFile {
     /// Writes at the end; how much was written may be less.
     ///
     /// # Errors
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     /// The system's.
-    fn cut(&mut self, length: u64) -> io::Result<()>;
+    fn truncate(&mut self, length: u64) -> io::Result<()>;
 
     /// Brings all that was written to the disk itself.
     ///
@@ -34,12 +34,12 @@
     fn sync(&mut self) -> io::Result<()>;
 }
 
-impl Disk for File {
+impl LogFile for File {
     fn append(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.write(bytes)
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.set_len(length)?;
         self.seek(SeekFrom::Start(length)).map(drop)
     }
@@ -60,7 +60,7 @@
     group: Vec<u8>,
 }
 
-impl<D: Disk> Writer<D> {
+impl<D: LogFile> Writer<D> {
     /// Appends to an empty file.
     pub fn new(disk: D) -> Writer<D> {
         Writer {
@@ -75,9 +75,9 @@
     ///
     /// # Errors
     /// A record that is too long.
-    pub fn put(&mut self, record: &[u8]) -> Result<(), TooLong> {
-        if record.len() > LONGEST {
-            return Err(TooLong(record.len()));
+    pub fn append(&mut self, record: &[u8]) -> Result<(), RecordTooLong> {
+        if record.len() > MAX_RECORD_BYTES {
+            return Err(RecordTooLong(record.len()));
         }
         self.group
             .extend_from_slice(&(record.len() as u32).to_le_bytes());
@@ -98,7 +98,7 @@
     /// The system's. The group is kept, and goes out with the next call, behind what was whole before.
     pub fn write(&mut self) -> io::Result<()> {
         if self.torn {
-            self.disk.cut(self.whole)?;
+            self.disk.truncate(self.whole)?;
             self.torn = false;
         }
         let mut done = 0;
@@ -128,15 +128,19 @@
 
 /// A record over [`LONGEST`], and its length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooLong(pub usize);
+pub struct RecordTooLong(pub usize);
 
-impl fmt::Display for TooLong {
+impl fmt::Display for RecordTooLong {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a record of {} bytes, {LONGEST} at most", self.0)
+        write!(
+            f,
+            "a record of {} bytes, {MAX_RECORD_BYTES} at most",
+            self.0
+        )
     }
 }
 
-impl std::error::Error for TooLong {}
+impl std::error::Error for RecordTooLong {}
 
 /// The checksum also covers the length, so that a changed length can't pass with a record that happens to fit it.
 fn sum(record: &[u8]) -> u32 {
@@ -148,11 +152,11 @@
 
 /// What a file holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Contents {
+pub struct LogContents {
     /// Its whole records, in order, with their offsets.
     pub records: Vec<(u64, Vec<u8>)>,
     /// Bytes of a torn tail behind them.
-    pub torn: u64,
+    pub torn_bytes: u64,
 }
 
 /// Why a file can't be read.
@@ -167,7 +171,7 @@
         /// Where the damage begins.
         offset: u64,
         /// Bytes from there to the file's end.
-        behind: u64,
+        unread_bytes: u64,
     },
 }
 
@@ -178,7 +182,7 @@
             LogError::Damaged {
                 file,
                 offset,
-                behind,
+                unread_bytes: behind,
             } => {
                 write!(
                     f,
@@ -196,16 +200,16 @@
 ///
 /// # Errors
 /// The system's; damage, with its place.
-pub fn read(path: &Path) -> Result<Contents, LogError> {
+pub fn read(path: &Path) -> Result<LogContents, LogError> {
     let mut bytes = Vec::new();
     let system = |error| LogError::File(path.to_path_buf(), error);
     File::open(path)
         .and_then(|mut file| file.read_to_end(&mut bytes))
         .map_err(system)?;
-    contents(&bytes).map_err(|offset| LogError::Damaged {
+    decode(&bytes).map_err(|offset| LogError::Damaged {
         file: path.to_path_buf(),
         offset,
-        behind: bytes.len() as u64 - offset,
+        unread_bytes: bytes.len() as u64 - offset,
     })
 }
 
@@ -213,23 +217,23 @@
 ///
 /// # Errors
 /// Where damage begins.
-pub fn contents(bytes: &[u8]) -> Result<Contents, u64> {
+pub fn decode(bytes: &[u8]) -> Result<LogContents, u64> {
     let mut records = Vec::new();
     let mut at = 0;
     loop {
         let rest = &bytes[at..];
-        let torn = Contents {
+        let torn = LogContents {
             records: Vec::new(),
-            torn: rest.len() as u64,
+            torn_bytes: rest.len() as u64,
         };
         if rest.iter().all(|byte| *byte == 0) || rest.len() < HEAD {
-            return Ok(Contents { records, ..torn });
+            return Ok(LogContents { records, ..torn });
         }
         let word = |from: usize| {
             u32::from_le_bytes([rest[from], rest[from + 1], rest[from + 2], rest[from + 3]])
         };
         let (length, told) = (word(0) as usize, word(4));
-        if length > LONGEST {
+        if length > MAX_RECORD_BYTES {
             return Err(at as u64);
         }
         let Some(record) = rest.get(HEAD..HEAD + length) else {
@@ -238,7 +242,7 @@
             return if whole_behind(&rest[1..]) {
                 Err(at as u64)
             } else {
-                Ok(Contents { records, ..torn })
+                Ok(LogContents { records, ..torn })
             };
         };
         if sum(record) != told {
@@ -247,7 +251,7 @@
                 record.iter().rev().take_while(|byte| **byte == 0).count() == length && length > 0;
             let last = rest[HEAD + length..].iter().all(|byte| *byte == 0);
             return if unwritten && last {
-                Ok(Contents { records, ..torn })
+                Ok(LogContents { records, ..torn })
             } else {
                 Err(at as u64)
             };
@@ -263,7 +267,7 @@
         let rest = &bytes[at..];
         let length = u32::from_le_bytes([rest[0], rest[1], rest[2], rest[3]]) as usize;
         let told = u32::from_le_bytes([rest[4], rest[5], rest[6], rest[7]]);
-        (1..=LONGEST).contains(&length)
+        (1..=MAX_RECORD_BYTES).contains(&length)
             && rest
                 .get(HEAD..HEAD + length)
                 .is_some_and(|record| sum(record) == told)
--- a/crates/usage/src/reading.rs
+++ b/crates/usage/src/reader.rs
@@ -4,32 +4,32 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::booking::{Booking, FORM, Record};
-use crate::ledger::{file_name, lives};
+use crate::ledger::{file_name, list_incarnations};
 use crate::log::{self, LogError};
+use crate::record::{AttemptUsage, FORMAT_VERSION, LogRecord};
 
 /// A try as it stands in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Booked {
+pub struct RecordedAttempt {
     /// The limiter.
     pub limiter: String,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// Number within that life, from 1 without gaps.
     pub number: u64,
     /// What was booked.
-    pub booking: Booking,
+    pub usage: AttemptUsage,
     /// Booked in the last group before a kill: it may not have gone out.
-    pub unsure: bool,
+    pub maybe_unsent: bool,
 }
 
 /// A life's file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Life {
+pub struct IncarnationLog {
     /// Its tries.
-    pub tries: Vec<Booked>,
+    pub attempts: Vec<RecordedAttempt>,
     /// Bytes of a torn tail, which was never acknowledged.
-    pub torn: u64,
+    pub torn_bytes: u64,
 }
 
 /// Why a ledger can't be read.
@@ -46,7 +46,7 @@
         /// Where the record begins.
         offset: u64,
         /// What is wrong with it.
-        text: String,
+        message: String,
     },
 }
 
@@ -55,7 +55,11 @@
         match self {
             ReadError::Folder(path, error) => write!(f, "{}: {error}", path.display()),
             ReadError::Log(error) => write!(f, "{error}"),
-            ReadError::Record { file, offset, text } => {
+            ReadError::Record {
+                file,
+                offset,
+                message: text,
+            } => {
                 write!(f, "{}: byte {offset}: {text}", file.display())
             }
         }
@@ -68,53 +72,61 @@
 ///
 /// # Errors
 /// The system's; damage or a gap, by its place. Nothing is passed over in silence.
-pub fn life(folder: &Path, life: u64) -> Result<Life, ReadError> {
+pub fn read_incarnation(folder: &Path, life: u64) -> Result<IncarnationLog, ReadError> {
     let file = folder.join(file_name(life));
     let contents = log::read(&file).map_err(ReadError::Log)?;
-    let mut read = Life {
-        tries: Vec::new(),
-        torn: contents.torn,
+    let mut read = IncarnationLog {
+        attempts: Vec::new(),
+        torn_bytes: contents.torn_bytes,
     };
     let (mut limiter, mut sent) = (None, 0);
     for (offset, bytes) in &contents.records {
         let bad = |text: String| ReadError::Record {
             file: file.clone(),
             offset: *offset,
-            text,
+            message: text,
         };
-        match (postcard::from_bytes::<Record>(bytes), &limiter) {
-            (Ok(Record::Life { form, .. }), None) if form != FORM => {
-                return Err(bad(format!("form {form}, this program reads {FORM}")));
+        match (postcard::from_bytes::<LogRecord>(bytes), &limiter) {
+            (
+                Ok(LogRecord::Header {
+                    format_version: form,
+                    ..
+                }),
+                None,
+            ) if form != FORMAT_VERSION => {
+                return Err(bad(format!(
+                    "form {form}, this program reads {FORMAT_VERSION}"
+                )));
             }
             (
-                Ok(Record::Life {
+                Ok(LogRecord::Header {
                     limiter: name,
-                    life: told,
+                    incarnation: told,
                     ..
                 }),
                 None,
             ) if told == life => limiter = Some(name),
-            (Ok(Record::Try(number, booking)), Some(limiter))
-                if number == read.tries.len() as u64 + 1 =>
+            (Ok(LogRecord::Attempt(number, booking)), Some(limiter))
+                if number == read.attempts.len() as u64 + 1 =>
             {
-                read.tries.push(Booked {
+                read.attempts.push(RecordedAttempt {
                     limiter: limiter.clone(),
-                    life,
+                    incarnation: life,
                     number,
-                    booking,
-                    unsure: false,
+                    usage: booking,
+                    maybe_unsent: false,
                 });
             }
-            (Ok(Record::Sent(upto)), Some(_)) if upto <= read.tries.len() as u64 => {
+            (Ok(LogRecord::Sent(upto)), Some(_)) if upto <= read.attempts.len() as u64 => {
                 sent = sent.max(upto)
             }
             (Ok(other), _) => return Err(bad(format!("out of place: {other:?}"))),
             (Err(error), _) => return Err(bad(error.to_string())),
         }
     }
-    read.tries
+    read.attempts
         .iter_mut()
-        .for_each(|t| t.unsure = t.number > sent);
+        .for_each(|t| t.maybe_unsent = t.number > sent);
     Ok(read)
 }
 
@@ -122,10 +134,11 @@
 ///
 /// # Errors
 /// As [`life`].
-pub fn all(folder: &Path) -> Result<Vec<Life>, ReadError> {
-    let lives = lives(folder).map_err(|e| ReadError::Folder(folder.to_path_buf(), e))?;
+pub fn read_all(folder: &Path) -> Result<Vec<IncarnationLog>, ReadError> {
+    let lives =
+        list_incarnations(folder).map_err(|e| ReadError::Folder(folder.to_path_buf(), e))?;
     lives
         .into_iter()
-        .map(|number| life(folder, number))
+        .map(|number| read_incarnation(folder, number))
         .collect()
 }
--- a/crates/usage/src/booking.rs
+++ b/crates/usage/src/record.rs
@@ -6,9 +6,9 @@
 
 /// A try that goes out.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Booking {
+pub struct AttemptUsage {
     /// When it was first sent on.
-    pub at: Micros,
+    pub sent_at: Micros,
     /// Whose it is.
     pub customer: u64,
     /// Its class, by name.
@@ -16,34 +16,34 @@
     /// The plan that it was judged by, by name.
     pub plan: String,
     /// The version of the plan book at that time; 0 without a book.
-    pub version: u64,
+    pub plan_version: u64,
     /// Units, in thousandths.
     pub milli_units: u64,
     /// The reservation that it took from.
     pub reservation: Option<String>,
     /// Its idempotency key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// A client's retry: a try of its own, which the reader may tell from the first.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 /// What stands in the log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub enum Record {
+pub enum LogRecord {
     /// The first of a file: whose life it is.
-    Life {
+    Header {
         /// Version of this form.
-        form: u32,
+        format_version: u32,
         /// The limiter.
         limiter: String,
         /// Its life, from 1.
-        life: u64,
+        incarnation: u64,
     },
     /// A try, numbered from 1 without gaps.
-    Try(u64, Booking),
+    Attempt(u64, AttemptUsage),
     /// All tries up to this number went out: a kill came after them, not between booking and sending.
     Sent(u64),
 }
 
 /// The version of the form that is written.
-pub const FORM: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
--- a/crates/usage/tests/export.rs
+++ b/crates/usage/tests/export.rs
@@ -4,18 +4,18 @@
 use std::fs;
 use std::path::Path;
 
-use usage::booking::Booking;
-use usage::export::{Export, ExportError, Step};
+use usage::export::{ExportError, Exporter, Step};
 use usage::ledger::{Ledger, file_name};
+use usage::record::AttemptUsage;
 
 fn booked(ledger: &mut Ledger, count: u64) {
     for customer in 0..count {
         ledger
-            .book(Booking {
+            .record(AttemptUsage {
                 customer,
                 class: "lookup".into(),
                 milli_units: 1_000,
-                ..Booking::default()
+                ..AttemptUsage::default()
             })
             .unwrap();
     }
@@ -54,12 +54,12 @@
 /// time, as by a process that was killed.
 fn run(folder: &Path, out: &Path, most: usize, kill: Step) {
     for _ in 0..100 {
-        Export::open(folder)
+        Exporter::open(folder)
             .unwrap()
-            .write(out, most, &mut |step| step != kill)
+            .write_batch(out, most, &mut |step| step != kill)
             .unwrap();
-        let mut export = Export::open(folder).unwrap();
-        match export.write(out, most, &mut |_| true).unwrap() {
+        let mut export = Exporter::open(folder).unwrap();
+        match export.write_batch(out, most, &mut |_| true).unwrap() {
             Some(batch) => export.acknowledge(batch.number).unwrap(),
             None => return,
         }
@@ -70,8 +70,8 @@
 #[test]
 fn ended_at_any_step_and_begun_again_it_hands_over_the_same_set() {
     for kill in [
-        Step::Begun,
-        Step::Decided,
+        Step::Started,
+        Step::BatchRecorded,
         Step::Written,
         Step::Acknowledged,
     ] {
@@ -94,34 +94,37 @@
 fn a_repeat_reproduces_a_batch_byte_for_byte_and_later_use_does_not_change_it() {
     let (folder, out) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
     life(folder.path(), 5);
-    let mut export = Export::open(folder.path()).unwrap();
-    let batch = export.write(out.path(), 3, &mut |_| true).unwrap().unwrap();
-    assert_eq!((batch.number, batch.tries()), (1, 3));
+    let mut export = Exporter::open(folder.path()).unwrap();
+    let batch = export
+        .write_batch(out.path(), 3, &mut |_| true)
+        .unwrap()
+        .unwrap();
+    assert_eq!((batch.number, batch.attempt_count()), (1, 3));
     let path = out.path().join(batch.file_name());
     let first = fs::read(&path).unwrap();
     fs::remove_file(&path).unwrap();
     drop(export);
     life(folder.path(), 9);
-    let mut export = Export::open(folder.path()).unwrap();
+    let mut export = Exporter::open(folder.path()).unwrap();
     assert_eq!(
-        export.write(out.path(), 100, &mut |_| true).unwrap(),
+        export.write_batch(out.path(), 100, &mut |_| true).unwrap(),
         Some(batch.clone())
     );
     assert_eq!(fs::read(&path).unwrap(), first);
     assert!(matches!(
         export.acknowledge(2),
-        Err(ExportError::NotUnderWay {
-            told: 2,
-            under_way: Some(1)
+        Err(ExportError::NotPending {
+            acknowledged: 2,
+            pending: Some(1)
         })
     ));
     export.acknowledge(1).unwrap();
     export.acknowledge(1).unwrap();
     let next = export
-        .write(out.path(), 100, &mut |_| true)
+        .write_batch(out.path(), 100, &mut |_| true)
         .unwrap()
         .unwrap();
-    assert_eq!((next.number, next.tries()), (2, 11));
+    assert_eq!((next.number, next.attempt_count()), (2, 11));
 }
 
 #[test]
@@ -129,20 +132,23 @@
     let (folder, out) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
     let (mut ledger, _) = Ledger::open(folder.path(), "n0").unwrap();
     booked(&mut ledger, 4);
-    let mut export = Export::open(folder.path()).unwrap();
-    assert_eq!(export.write(out.path(), 100, &mut |_| true).unwrap(), None);
-    ledger.went_out();
+    let mut export = Exporter::open(folder.path()).unwrap();
+    assert_eq!(
+        export.write_batch(out.path(), 100, &mut |_| true).unwrap(),
+        None
+    );
+    ledger.mark_sent();
     booked(&mut ledger, 2);
     let batch = export
-        .write(out.path(), 100, &mut |_| true)
+        .write_batch(out.path(), 100, &mut |_| true)
         .unwrap()
         .unwrap();
-    assert_eq!(batch.tries(), 4);
+    assert_eq!(batch.attempt_count(), 4);
     export.acknowledge(1).unwrap();
     // Killed: the last two may or may not have gone out, and are handed over as that.
     drop(ledger);
     export
-        .write(out.path(), 100, &mut |_| true)
+        .write_batch(out.path(), 100, &mut |_| true)
         .unwrap()
         .unwrap();
     let (all, unsure) = handed_over(out.path());
@@ -159,13 +165,13 @@
     let mut damaged = whole.clone();
     damaged[whole.len() / 2] ^= 1;
     fs::write(&path, &damaged).unwrap();
-    let mut export = Export::open(folder.path()).unwrap();
+    let mut export = Exporter::open(folder.path()).unwrap();
     assert!(matches!(
-        Export::open(folder.path()),
-        Err(ExportError::Held(_))
+        Exporter::open(folder.path()),
+        Err(ExportError::Locked(_))
     ));
     let said = export
-        .write(out.path(), 100, &mut |_| true)
+        .write_batch(out.path(), 100, &mut |_| true)
         .unwrap_err()
         .to_string();
     assert!(
@@ -176,14 +182,14 @@
     fs::write(&path, &whole).unwrap();
     assert_eq!(
         export
-            .write(out.path(), 100, &mut |_| true)
+            .write_batch(out.path(), 100, &mut |_| true)
             .unwrap()
             .unwrap()
-            .tries(),
+            .attempt_count(),
         10
     );
     drop(export);
     fs::write(folder.path().join("export.json"), "{\"acknowledgd\":1}").unwrap();
-    let said = Export::open(folder.path()).unwrap_err().to_string();
+    let said = Exporter::open(folder.path()).unwrap_err().to_string();
     assert!(said.contains("did you mean 'acknowledged'?"), "{said}");
 }
--- a/crates/usage/tests/golden.rs
+++ b/crates/usage/tests/golden.rs
@@ -2,10 +2,10 @@
 
 use std::fs;
 
-use usage::booking::Booking;
-use usage::export::Export;
+use usage::export::Exporter;
 use usage::ledger::{Ledger, file_name};
-use usage::reading;
+use usage::reader;
+use usage::record::AttemptUsage;
 
 fn hex(bytes: &[u8]) -> String {
     let lines = bytes
@@ -14,20 +14,20 @@
     lines.collect::<Vec<String>>().join("\n")
 }
 
-fn bookings() -> [Booking; 2] {
-    let plain = Booking {
-        at: 1_790_000_000_000_000,
+fn bookings() -> [AttemptUsage; 2] {
+    let plain = AttemptUsage {
+        sent_at: 1_790_000_000_000_000,
         customer: 9,
         class: "sign-off".into(),
         plan: "taller".into(),
-        version: 3,
+        plan_version: 3,
         milli_units: 2_500,
-        ..Booking::default()
+        ..AttemptUsage::default()
     };
-    let repeated = Booking {
+    let repeated = AttemptUsage {
         reservation: Some("r-1".into()),
-        key: Some("k-1".into()),
-        again: true,
+        idempotency_key: Some("k-1".into()),
+        is_retry: true,
         ..plain.clone()
     };
     [plain, repeated]
@@ -38,9 +38,9 @@
     let folder = tempfile::tempdir().unwrap();
     let (mut ledger, life) = Ledger::open(folder.path(), "limiter-1").unwrap();
     for booking in bookings() {
-        ledger.book(booking).unwrap();
+        ledger.record(booking).unwrap();
         ledger.write().unwrap();
-        ledger.went_out();
+        ledger.mark_sent();
     }
     ledger.sync().unwrap();
     let file = file_name(life);
@@ -51,11 +51,11 @@
             hex(&fs::read(folder.path().join(&file)).unwrap())
         )
     );
-    let read = reading::life(folder.path(), life).unwrap();
-    let read: Vec<Booking> = read
-        .tries
+    let read = reader::read_incarnation(folder.path(), life).unwrap();
+    let read: Vec<AttemptUsage> = read
+        .attempts
         .into_iter()
-        .map(|booked| booked.booking)
+        .map(|booked| booked.usage)
         .collect();
     assert_eq!(read, bookings());
 }
@@ -64,13 +64,13 @@
 fn the_cursor_of_an_export_keeps_its_keys() {
     let (folder, out) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
     let (mut ledger, _) = Ledger::open(folder.path(), "limiter-1").unwrap();
-    ledger.book(bookings()[0].clone()).unwrap();
+    ledger.record(bookings()[0].clone()).unwrap();
     ledger.write().unwrap();
     drop(ledger);
     let cursor = || fs::read_to_string(folder.path().join("export.json")).unwrap();
-    let mut export = Export::open(folder.path()).unwrap();
+    let mut export = Exporter::open(folder.path()).unwrap();
     let batch = export
-        .write(out.path(), 10, &mut |_| true)
+        .write_batch(out.path(), 10, &mut |_| true)
         .unwrap()
         .unwrap();
     let under_way = cursor();
--- a/crates/usage/tests/ledger.rs
+++ b/crates/usage/tests/ledger.rs
@@ -5,21 +5,21 @@
 use std::path::Path;
 
 use quickcheck::{Gen, QuickCheck};
-use usage::booking::Booking;
 use usage::ledger::{Ledger, OpenError, file_name};
-use usage::log::{self, Disk, Writer};
-use usage::reading::{self, ReadError};
+use usage::log::{self, LogFile, Writer};
+use usage::reader::{self, ReadError};
+use usage::record::AttemptUsage;
 
-fn booking(customer: u64) -> Booking {
+fn booking(customer: u64) -> AttemptUsage {
     let key = Some(format!("key-{customer}"));
-    Booking {
-        at: 7,
+    AttemptUsage {
+        sent_at: 7,
         customer,
         class: "sign-off".into(),
         plan: "taller".into(),
         milli_units: 2_000,
-        key,
-        ..Booking::default()
+        idempotency_key: key,
+        ..AttemptUsage::default()
     }
 }
 
@@ -30,11 +30,11 @@
     for (k, size) in groups.iter().enumerate() {
         for _ in 0..*size {
             customer += 1;
-            ledger.book(booking(customer)).unwrap();
+            ledger.record(booking(customer)).unwrap();
         }
         ledger.write().unwrap();
         if k + 1 < groups.len() {
-            ledger.went_out();
+            ledger.mark_sent();
         }
     }
 }
@@ -44,21 +44,30 @@
     let folder = tempfile::tempdir().unwrap();
     written(folder.path(), &[3, 2, 4]);
     written(folder.path(), &[1]);
-    let lives = reading::all(folder.path()).unwrap();
-    let sure = |life: usize| lives[life].tries.iter().filter(|t| !t.unsure).count();
+    let lives = reader::read_all(folder.path()).unwrap();
+    let sure = |life: usize| {
+        lives[life]
+            .attempts
+            .iter()
+            .filter(|t| !t.maybe_unsent)
+            .count()
+    };
     assert_eq!(
-        (lives.len(), lives[0].tries.len(), sure(0), sure(1)),
+        (lives.len(), lives[0].attempts.len(), sure(0), sure(1)),
         (2, 9, 5, 0)
     );
     assert!(
         lives[0]
-            .tries
+            .attempts
             .iter()
             .enumerate()
-            .all(|(k, t)| t.number == k as u64 + 1 && t.booking.customer == t.number)
+            .all(|(k, t)| t.number == k as u64 + 1 && t.usage.customer == t.number)
     );
     assert_eq!(
-        (lives[1].tries[0].life, lives[1].tries[0].limiter.as_str()),
+        (
+            lives[1].attempts[0].incarnation,
+            lives[1].attempts[0].limiter.as_str()
+        ),
         (2, "n0")
     );
 }
@@ -67,11 +76,16 @@
 fn a_life_that_ended_in_order_has_nothing_unsure() {
     let folder = tempfile::tempdir().unwrap();
     let (mut ledger, life) = Ledger::open(folder.path(), "n0").unwrap();
-    ledger.book(booking(1)).unwrap();
+    ledger.record(booking(1)).unwrap();
     ledger.write().unwrap();
-    ledger.went_out();
+    ledger.mark_sent();
     ledger.sync().unwrap();
-    assert!(!reading::life(folder.path(), life).unwrap().tries[0].unsure);
+    assert!(
+        !reader::read_incarnation(folder.path(), life)
+            .unwrap()
+            .attempts[0]
+            .maybe_unsent
+    );
 }
 
 #[test]
@@ -80,7 +94,7 @@
     let held = Ledger::open(folder.path(), "n0").unwrap();
     assert!(matches!(
         Ledger::open(folder.path(), "n0"),
-        Err(OpenError::Held(_))
+        Err(OpenError::Locked(_))
     ));
     drop(held);
     assert_eq!(Ledger::open(folder.path(), "n0").unwrap().1, 2);
@@ -93,21 +107,21 @@
     written(folder.path(), &[2, 3, 2]);
     let path = folder.path().join(file_name(1));
     let whole = fs::read(&path).unwrap();
-    let tries = reading::life(folder.path(), 1).unwrap().tries;
+    let tries = reader::read_incarnation(folder.path(), 1).unwrap().attempts;
     let mut before = 0;
     for cut in 0..=whole.len() {
         fs::write(&path, &whole[..cut]).unwrap();
-        let read = reading::life(folder.path(), 1).unwrap();
+        let read = reader::read_incarnation(folder.path(), 1).unwrap();
         assert!(
-            read.tries.len() >= before && read.tries.len() <= tries.len(),
+            read.attempts.len() >= before && read.attempts.len() <= tries.len(),
             "cut at {cut}"
         );
-        before = read.tries.len();
+        before = read.attempts.len();
         let same = read
-            .tries
+            .attempts
             .iter()
             .zip(&tries)
-            .all(|(a, b)| a.booking == b.booking && a.number == b.number);
+            .all(|(a, b)| a.usage == b.usage && a.number == b.number);
         assert!(same, "cut at {cut}");
     }
     assert_eq!(before, tries.len());
@@ -117,7 +131,7 @@
             let mut flipped = whole.clone();
             flipped[at] ^= bit;
             fs::write(&path, &flipped).unwrap();
-            match reading::life(folder.path(), 1) {
+            match reader::read_incarnation(folder.path(), 1) {
                 Err(ReadError::Log(log::LogError::Damaged { offset, .. })) => {
                     assert!(offset <= at as u64, "byte {at} is not behind {offset}");
                     named += 1;
@@ -126,7 +140,7 @@
                 // Only a longer length of the very last record looks like a tail that was cut off.
                 Ok(read) => {
                     assert!(
-                        read.torn > 0 && read.tries.len() == tries.len() - 1,
+                        read.torn_bytes > 0 && read.attempts.len() == tries.len() - 1,
                         "byte {at}"
                     );
                 }
@@ -152,7 +166,7 @@
     room: usize,
 }
 
-impl Disk for &mut Small {
+impl LogFile for &mut Small {
     fn append(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let length = bytes
             .len()
@@ -165,7 +179,7 @@
         Ok(length)
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.bytes.truncate(length as usize);
         Ok(())
     }
@@ -183,19 +197,19 @@
             bytes: Vec::new(),
             room,
         };
-        let mut ledger = Ledger::begin(&mut disk, "n0", 1).unwrap();
+        let mut ledger = Ledger::start(&mut disk, "n0", 1).unwrap();
         let mut failed = false;
         for customer in 1..=8 {
-            ledger.book(booking(customer)).unwrap();
+            ledger.record(booking(customer)).unwrap();
             if ledger.write().is_err() {
                 failed = true;
                 break;
             }
         }
-        let pending = ledger.pending();
+        let pending = ledger.has_pending();
         drop(ledger);
         assert_eq!(failed, pending);
-        let read = log::contents(&disk.bytes).expect("a tail is torn, nothing is damaged");
+        let read = log::decode(&disk.bytes).expect("a tail is torn, nothing is damaged");
         assert!(failed || read.records.len() == 9);
     }
     // And with the writer still there.
@@ -204,9 +218,9 @@
         room: 30,
     };
     let mut writer = Writer::new(&mut disk);
-    writer.put(b"a record of some length").unwrap();
+    writer.append(b"a record of some length").unwrap();
     assert!(writer.write().is_err());
-    writer.put(b"another").unwrap();
+    writer.append(b"another").unwrap();
     assert!(writer.write().is_err(), "still full");
     drop(writer);
     let mut disk = Small {
@@ -214,10 +228,10 @@
         room: 40,
     };
     let mut writer = Writer::new(&mut disk);
-    writer.put(b"first").unwrap();
+    writer.append(b"first").unwrap();
     writer.write().unwrap();
-    writer.put(b"a record of some length").unwrap();
-    writer.put(b"third").unwrap();
+    writer.append(b"a record of some length").unwrap();
+    writer.append(b"third").unwrap();
     assert!(writer.write().is_err());
     assert_eq!(writer.pending(), 23 + 5 + 16);
 }
@@ -231,11 +245,13 @@
         };
         let mut writer = Writer::new(&mut disk);
         for group in &groups {
-            group.iter().for_each(|record| writer.put(record).unwrap());
+            group
+                .iter()
+                .for_each(|record| writer.append(record).unwrap());
             writer.write().unwrap();
         }
         drop(writer);
-        let read = log::contents(&disk.bytes).unwrap();
+        let read = log::decode(&disk.bytes).unwrap();
         let records: Vec<Vec<u8>> = read.records.into_iter().map(|(_, record)| record).collect();
         records == groups.concat()
     }
