--- a/crates/plans/src/book.rs
+++ b/crates/plans/src/book.rs
@@ -1,8 +1,8 @@
-//! The book: changes in numbered versions, and what holds at an instant.
+//! The plan book: an ordered log of plan changes, and queries for the plan in effect at an instant.
 //!
-//! Versions are the order in which changes were taken; instants say when each takes effect. What holds at an instant is
-//! a matter of the book alone, so that a clock that steps back only goes back to what held then, and two books with the
-//! same versions never differ.
+//! Versions number the changes in the order of their application; each change has an instant at which it takes effect.
+//! Queries depend only on the log and on the instant asked for. If the clock steps back, they return what was in effect
+//! at that earlier time, and two books with the same versions give the same results.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,72 +13,72 @@
 use crate::Micros;
 use crate::change::{Change, ChangeKind, PlatformPlans, RateLimit, parse_customer};
 
-/// A change that was taken.
+/// A change that was applied.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Its number, from 1 without gaps.
+    /// Version number, from 1 without gaps.
     pub version: u64,
-    /// When it was taken.
+    /// When the change was applied, in microseconds since the epoch.
     #[serde(rename = "taken")]
     pub applied_at: Micros,
-    /// The change.
+    /// The applied change.
     pub change: Change,
 }
 
-/// What a request is judged by, fixed when it is taken.
+/// The plan that applies to a request, fixed when the request is accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectivePlan {
-    /// The book's version at the time of judging.
+    /// The book's version at that time.
     pub version: u64,
-    /// The plan that holds, which may not be the one that the request named.
+    /// The plan in effect, which may differ from the one that the request names.
     pub plan: String,
-    /// That plan's figures.
+    /// That plan's rate limit.
     pub rate_limit: RateLimit,
-    /// Since when these figures hold for this customer; `None`: they are the platform's.
+    /// Since when this rate limit applies to the customer; `None` if it is the one from the platform's settings.
     pub effective_since: Option<Micros>,
 }
 
-/// A reservation as it stands.
+/// A reservation, with cancellation taken into account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation<'a> {
-    /// The id of the change that made it.
+    /// Id of the change that created it.
     pub id: &'a str,
-    /// Whose it is.
+    /// The customer it belongs to.
     pub customer: u64,
-    /// Units set aside.
+    /// Units reserved.
     pub units: f64,
-    /// From when.
+    /// Start, in microseconds since the epoch.
     pub starts_at: Micros,
-    /// Until when: its end, or its cancelling.
+    /// End or cancellation, whichever is earlier, in microseconds since the epoch.
     pub ends_at: Micros,
-    /// For this class.
+    /// Request class that may use it.
     pub class: &'a str,
-    /// For keys that begin so.
+    /// If given, only requests whose key has this prefix may use it.
     pub prefix: Option<&'a str>,
 }
 
-/// What became of a change.
+/// Outcome of [`PlanBook::apply`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is a new version.
+    /// The change was added as this version.
     Applied(u64),
-    /// The same change had been taken before, as this version.
+    /// The same change was applied earlier, as this version.
     AlreadyApplied(u64),
 }
 
-/// Why a change was refused; the book is as it was.
+/// Why a change was rejected; the book is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyError {
-    /// A key makes no sense, by itself or against the book.
+    /// A key is invalid, by itself or given the book's contents.
     Invalid(KeyError),
-    /// Another change has this id, taken as this version.
+    /// Another change, applied as this version, has the same id.
     DuplicateId(u64),
-    /// It was written against another version than the present one.
+    /// The change expects a version other than the current one.
     Conflict {
-        /// The version that it was written against.
+        /// The version that the change expects.
         expected_version: u64,
-        /// The present one.
+        /// The current version.
         version: u64,
     },
 }
@@ -86,17 +86,20 @@
 impl std::fmt::Display for ApplyError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            ApplyError::Invalid(fault) => write!(f, "{fault}"),
+            ApplyError::Invalid(error) => write!(f, "{error}"),
             ApplyError::DuplicateId(version) => {
-                write!(f, "key 'id': another change has it, version {version}")
+                write!(
+                    f,
+                    "key 'id': already used by the change of version {version}"
+                )
             }
             ApplyError::Conflict {
-                expected_version: after,
+                expected_version,
                 version,
             } => {
                 write!(
                     f,
-                    "key 'after': written against version {after}, the book is at {version}"
+                    "key 'after': expects version {expected_version}, the plan book is at version {version}"
                 )
             }
         }
@@ -106,24 +109,24 @@
 impl std::error::Error for ApplyError {}
 
 impl From<KeyError> for ApplyError {
-    fn from(fault: KeyError) -> ApplyError {
-        ApplyError::Invalid(fault)
+    fn from(error: KeyError) -> ApplyError {
+        ApplyError::Invalid(error)
     }
 }
 
-/// Why entries of another book can't be taken over.
+/// Why the entries of another book cannot be applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CatchUpError {
-    /// Entries are missing between the present version and the first one given.
+    /// Entries are missing between the current version and the first one received.
     MissingVersions {
-        /// The present version.
+        /// The current version.
         version: u64,
-        /// The first one given.
+        /// The first version received.
         first_received: u64,
     },
-    /// The books hold different changes as this version.
+    /// The two books have different changes as this version.
     Diverged(u64),
-    /// The change of this version does not hold against the versions before it.
+    /// The change of this version is invalid given the versions before it.
     Rejected(u64, ApplyError),
 }
 
@@ -132,13 +135,16 @@
         match self {
             CatchUpError::MissingVersions {
                 version,
-                first_received: first,
+                first_received,
             } => {
-                write!(f, "the book is at {version}, what came begins at {first}")
+                write!(
+                    f,
+                    "plan book is at version {version}, received entries begin at version {first_received}"
+                )
             }
-            CatchUpError::Diverged(version) => write!(f, "the books differ in version {version}"),
-            CatchUpError::Rejected(version, refusal) => {
-                write!(f, "version {version} does not hold here: {refusal}")
+            CatchUpError::Diverged(version) => write!(f, "plan books differ in version {version}"),
+            CatchUpError::Rejected(version, error) => {
+                write!(f, "version {version} was rejected: {error}")
             }
         }
     }
@@ -146,46 +152,47 @@
 
 impl std::error::Error for CatchUpError {}
 
-/// The plan book.
+/// Versioned log of plan changes over the plans of the platform's settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlanBook {
-    base: PlatformPlans,
+    platform_plans: PlatformPlans,
     entries: Vec<Entry>,
     ids: BTreeMap<String, u64>,
-    /// How far in the past a change may take effect.
-    slack: Micros,
+    /// How far in the past a new change may take effect, in microseconds.
+    max_lateness_us: Micros,
 }
 
 impl PlanBook {
-    /// A book over the platform's plans. `slack`: how far in the past a change may take effect, for what was on its way.
-    pub fn new(base: PlatformPlans, slack: Micros) -> PlanBook {
+    /// Creates a book over the platform's plans. `max_lateness_us`: how far in the past a change may take effect, in
+    /// microseconds, which allows for changes that were delayed in transit.
+    pub fn new(platform_plans: PlatformPlans, max_lateness_us: Micros) -> PlanBook {
         PlanBook {
-            base,
-            slack,
+            platform_plans,
+            max_lateness_us,
             ..PlanBook::default()
         }
     }
 
-    /// The number of the latest change; 0: none.
+    /// Version of the latest change; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.entries.len() as u64
     }
 
-    /// All changes taken, in order, with who, when and why.
+    /// All applied changes in order, with author, time and reason.
     pub fn history(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// The changes behind a version: what a book that has it lacks. `None`: that version is none of ours.
+    /// The entries after a version, which a book at that version is missing. `None` if this book has not reached it.
     pub fn entries_after(&self, version: u64) -> Option<&[Entry]> {
         self.entries.get(usize::try_from(version).ok()?..)
     }
 
-    /// A digest of all versions: two books with the same one hold the same.
+    /// SHA-256 over all changes, in hex; equal digests mean equal changes in the same order.
     pub fn digest(&self) -> String {
         let mut hash = Sha256::new();
         for entry in &self.entries {
-            // Plain data: nothing in it can fail to be written.
+            // Serializing cannot fail: the change is plain data.
             hash.update(serde_json::to_vec(&entry.change).unwrap_or_default());
             hash.update(b"\n");
         }
@@ -195,171 +202,183 @@
             .collect()
     }
 
-    /// Takes a change, whole or not at all.
+    /// Applies a change atomically.
     ///
     /// # Errors
-    /// Why it was refused; the book is as it was.
+    /// Why the change was rejected; the book is unchanged.
     pub fn apply(&mut self, now: Micros, change: Change) -> Result<ApplyOutcome, ApplyError> {
         change.check()?;
         if let Some(version) = self.ids.get(&change.id) {
-            let same = self
+            let is_same = self
                 .entries
                 .get(*version as usize - 1)
                 .is_some_and(|entry| entry.change == change);
-            return if same {
+            return if is_same {
                 Ok(ApplyOutcome::AlreadyApplied(*version))
             } else {
                 Err(ApplyError::DuplicateId(*version))
             };
         }
         let version = self.version();
-        if let Some(after) = change.expected_version.filter(|after| *after != version) {
+        if let Some(expected_version) = change
+            .expected_version
+            .filter(|expected| *expected != version)
+        {
             return Err(ApplyError::Conflict {
-                expected_version: after,
+                expected_version,
                 version,
             });
         }
-        if change.effective_at < now - self.slack {
-            let late = (now - change.effective_at) as f64 / 1e6;
+        if change.effective_at < now - self.max_lateness_us {
+            let late_s = (now - change.effective_at) as f64 / 1e6;
             return Err(KeyError::new(
                 "at",
                 format!(
-                    "is {late:.3} s in the past, {:.3} s at most",
-                    self.slack as f64 / 1e6
+                    "is {late_s:.3} s in the past, {:.3} s at most",
+                    self.max_lateness_us as f64 / 1e6
                 ),
             )
             .into());
         }
-        self.fits(&change)
-            .map_err(|fault| fault.under_parent(change.kind.key()))?;
-        Ok(ApplyOutcome::Applied(self.enter(now, change)))
+        self.check_against_book(&change)
+            .map_err(|error| error.under_parent(change.kind.key()))?;
+        Ok(ApplyOutcome::Applied(self.append(now, change)))
     }
 
-    fn enter(&mut self, taken: Micros, change: Change) -> u64 {
+    fn append(&mut self, applied_at: Micros, change: Change) -> u64 {
         let version = self.version() + 1;
         self.ids.insert(change.id.clone(), version);
         self.entries.push(Entry {
             version,
-            applied_at: taken,
+            applied_at,
             change,
         });
         version
     }
 
-    /// Whether a change makes sense against what the book holds.
-    fn fits(&self, change: &Change) -> Result<(), KeyError> {
-        let known = |plan: &str| match self.base.contains_key(plan) {
+    /// Checks a change against the book's contents.
+    fn check_against_book(&self, change: &Change) -> Result<(), KeyError> {
+        let check_plan = |plan: &str| match self.platform_plans.contains_key(plan) {
             true => Ok(()),
             false => {
-                let names: Vec<&str> = self.base.keys().map(String::as_str).collect();
+                let names: Vec<&str> = self.platform_plans.keys().map(String::as_str).collect();
                 Err(KeyError::new(
                     "plan",
-                    format!("there is no plan '{plan}'; known are {}", names.join(", ")),
+                    format!(
+                        "there is no plan '{plan}'; known plans: {}",
+                        names.join(", ")
+                    ),
                 ))
             }
         };
         match &change.kind {
-            ChangeKind::RateLimit { plan, .. } => known(plan),
-            ChangeKind::AssignPlan { plan, .. } => plan.as_deref().map_or(Ok(()), known),
+            ChangeKind::RateLimit { plan, .. } => check_plan(plan),
+            ChangeKind::AssignPlan { plan, .. } => plan.as_deref().map_or(Ok(()), check_plan),
             ChangeKind::Reserve {
                 account: text,
                 units,
-                ends_at: until,
+                ends_at,
                 ..
             } => {
                 let customer = parse_customer(text)
-                    .ok_or_else(|| KeyError::new("account", "is no customer"))?;
-                self.grantable(customer, *units, change.effective_at, *until)
+                    .ok_or_else(|| KeyError::new("account", "is not a customer"))?;
+                self.check_grantable(customer, *units, change.effective_at, *ends_at)
             }
-            ChangeKind::Cancel { reservation } => match self.made(reservation) {
+            ChangeKind::Cancel { reservation } => match self.reservation_span(reservation) {
                 None => Err(KeyError::new(
                     "reservation",
-                    format!("there is none with the id '{reservation}'"),
+                    format!("there is no reservation with the id '{reservation}'"),
                 )),
-                Some((_, end)) if change.effective_at >= end => {
-                    Err(KeyError::new("reservation", "has ended by then"))
-                }
-                Some((from, _)) if change.effective_at < from => {
-                    Err(KeyError::new("reservation", "has not begun by then"))
-                }
-                Some(_) if self.cancelled(reservation).is_some() => Err(KeyError::new(
+                Some((_, ends_at)) if change.effective_at >= ends_at => Err(KeyError::new(
                     "reservation",
-                    format!("'{reservation}' is cancelled already"),
+                    "has ended before the cancellation takes effect",
+                )),
+                Some((starts_at, _)) if change.effective_at < starts_at => Err(KeyError::new(
+                    "reservation",
+                    "begins only after the cancellation takes effect",
+                )),
+                Some(_) if self.cancelled_at(reservation).is_some() => Err(KeyError::new(
+                    "reservation",
+                    format!("'{reservation}' is already cancelled"),
                 )),
                 Some(_) => Ok(()),
             },
         }
     }
 
-    /// Reservations of a customer may not together exceed what its plan could ever grant while they last. A customer
-    /// whose plan the book does not know is taken at the most generous one: which plan holds, its requests say.
-    fn grantable(
+    /// Checks that the overlapping reservations of a customer do not exceed what its plan can grant while they last. For
+    /// a customer without an assigned plan the most generous plan counts, because its requests name the plan.
+    fn check_grantable(
         &self,
         customer: u64,
         units: f64,
-        from: Micros,
-        until: Micros,
+        starts_at: Micros,
+        ends_at: Micros,
     ) -> Result<(), KeyError> {
-        let beside =
-            |r: &Reservation| r.customer == customer && r.starts_at < until && from < r.ends_at;
-        let held: f64 = self
+        let overlaps = |r: &Reservation| {
+            r.customer == customer && r.starts_at < ends_at && starts_at < r.ends_at
+        };
+        let reserved_units: f64 = self
             .reservations()
             .iter()
-            .filter(|r| beside(r))
+            .filter(|r| overlaps(r))
             .map(|r| r.units)
             .sum();
-        let moved = self.plan_of(customer, from);
-        let most = self
-            .base
+        let assigned = self.assigned_plan(customer, starts_at);
+        let max_units = self
+            .platform_plans
             .keys()
-            .filter(|plan| moved.as_ref().is_none_or(|moved| moved == *plan))
-            .filter_map(|plan| self.figures(plan, from))
-            .map(|(figures, _)| figures.max_units_within(until - from))
+            .filter(|plan| assigned.as_ref().is_none_or(|assigned| assigned == *plan))
+            .filter_map(|plan| self.rate_limit_at(plan, starts_at))
+            .map(|(rate_limit, _)| rate_limit.max_units_within(ends_at - starts_at))
             .fold(0.0, f64::max);
-        match held + units <= most {
+        match reserved_units + units <= max_units {
             true => Ok(()),
             false => Err(KeyError::new(
                 "units",
                 format!(
-                    "are {units} beside {held} reserved already; the plan could grant {most:.3} by then at most"
+                    "{units} units on top of {reserved_units} already reserved exceed the {max_units:.3} that the plan can grant until then"
                 ),
             )),
         }
     }
 
-    /// The last change that holds at an instant: the latest instant first, and of one instant the latest version.
-    fn holding<T>(
+    /// The change in effect at an instant, and its start. The latest start wins; among equal starts the latest version.
+    fn change_in_effect<T>(
         &self,
         at: Micros,
         get: impl Fn(&ChangeKind) -> Option<T>,
     ) -> Option<(T, Micros)> {
-        let due = self
+        let started = self
             .entries
             .iter()
             .filter(|entry| entry.change.effective_at <= at);
-        let named =
-            due.filter_map(|e| get(&e.change.kind).map(|t| (t, e.change.effective_at, e.version)));
-        named
+        let candidates = started
+            .filter_map(|e| get(&e.change.kind).map(|t| (t, e.change.effective_at, e.version)));
+        candidates
             .max_by_key(|(_, at, version)| (*at, *version))
             .map(|(t, at, _)| (t, at))
     }
 
-    fn figures(&self, plan: &str, at: Micros) -> Option<(RateLimit, Option<Micros>)> {
-        let changed = self.holding(at, |what| match what {
+    fn rate_limit_at(&self, plan: &str, at: Micros) -> Option<(RateLimit, Option<Micros>)> {
+        let changed_at = self.change_in_effect(at, |kind| match kind {
             ChangeKind::RateLimit {
                 plan: name,
-                rate_limit: figures,
-            } if name == plan => Some(*figures),
+                rate_limit,
+            } if name == plan => Some(*rate_limit),
             _ => None,
         });
-        match changed {
-            Some((figures, since)) => Some((figures, Some(since))),
-            None => self.base.get(plan).map(|figures| (*figures, None)),
+        match changed_at {
+            Some((rate_limit, since)) => Some((rate_limit, Some(since))),
+            None => self
+                .platform_plans
+                .get(plan)
+                .map(|rate_limit| (*rate_limit, None)),
         }
     }
 
-    fn moved(&self, customer: u64, at: Micros) -> Option<(Option<String>, Micros)> {
-        self.holding(at, |what| match what {
+    fn assigned_plan_change(&self, customer: u64, at: Micros) -> Option<(Option<String>, Micros)> {
+        self.change_in_effect(at, |kind| match kind {
             ChangeKind::AssignPlan {
                 account: text,
                 plan,
@@ -368,32 +387,38 @@
         })
     }
 
-    fn plan_of(&self, customer: u64, at: Micros) -> Option<String> {
-        self.moved(customer, at).and_then(|(plan, _)| plan)
+    fn assigned_plan(&self, customer: u64, at: Micros) -> Option<String> {
+        self.assigned_plan_change(customer, at)
+            .and_then(|(plan, _)| plan)
     }
 
-    /// What a customer's request is judged by that is taken at an instant and names a plan. The book's move stands above
-    /// the plan that the request names; without one the request's plan holds, with the book's figures for it. `None`: no
-    /// such plan.
-    pub fn effective_plan(&self, customer: u64, named: &str, at: Micros) -> Option<EffectivePlan> {
-        let moved = self.moved(customer, at);
-        let plan = moved
+    /// The plan in effect for a customer's request that is accepted at an instant and names a plan. A plan assigned in the
+    /// book overrides the one that the request names. Either way the book's rate limit for that plan applies. `None` if
+    /// there is no such plan.
+    pub fn effective_plan(
+        &self,
+        customer: u64,
+        named_plan: &str,
+        at: Micros,
+    ) -> Option<EffectivePlan> {
+        let assigned = self.assigned_plan_change(customer, at);
+        let plan = assigned
             .as_ref()
             .and_then(|(plan, _)| plan.as_deref())
-            .unwrap_or(named);
-        let (figures, changed) = self.figures(plan, at)?;
-        let since = changed.max(moved.as_ref().map(|(_, since)| *since));
+            .unwrap_or(named_plan);
+        let (rate_limit, changed_at) = self.rate_limit_at(plan, at)?;
+        let effective_since = changed_at.max(assigned.as_ref().map(|(_, since)| *since));
         Some(EffectivePlan {
             version: self.version(),
             plan: plan.to_string(),
-            rate_limit: figures,
-            effective_since: since,
+            rate_limit,
+            effective_since,
         })
     }
 
-    /// The next instant at which anything takes effect.
+    /// The next instant after `now` at which a change takes effect or a reservation ends.
     pub fn next_change_at(&self, now: Micros) -> Option<Micros> {
-        let ends = self
+        let reservation_ends = self
             .reservations()
             .into_iter()
             .map(|r| r.ends_at)
@@ -401,20 +426,20 @@
         self.entries
             .iter()
             .map(|e| e.change.effective_at)
-            .chain(ends)
+            .chain(reservation_ends)
             .filter(|at| *at > now)
             .min()
     }
 
-    fn made(&self, id: &str) -> Option<(Micros, Micros)> {
+    fn reservation_span(&self, id: &str) -> Option<(Micros, Micros)> {
         let entry = self.entries.get(*self.ids.get(id)? as usize - 1)?;
         match &entry.change.kind {
-            ChangeKind::Reserve { ends_at: until, .. } => Some((entry.change.effective_at, *until)),
+            ChangeKind::Reserve { ends_at, .. } => Some((entry.change.effective_at, *ends_at)),
             _ => None,
         }
     }
 
-    fn cancelled(&self, id: &str) -> Option<Micros> {
+    fn cancelled_at(&self, id: &str) -> Option<Micros> {
         self.entries
             .iter()
             .find_map(|entry| match &entry.change.kind {
@@ -425,7 +450,7 @@
             })
     }
 
-    /// All reservations, those that have ended included.
+    /// All reservations, including those that have ended.
     pub fn reservations(&self) -> Vec<Reservation<'_>> {
         self.entries
             .iter()
@@ -437,28 +462,28 @@
         let ChangeKind::Reserve {
             account: text,
             units,
-            ends_at: until,
+            ends_at,
             class,
             prefix,
         } = &entry.change.kind
         else {
             return None;
         };
-        let until = self
-            .cancelled(&entry.change.id)
-            .map_or(*until, |at| at.min(*until));
+        let ends_at = self
+            .cancelled_at(&entry.change.id)
+            .map_or(*ends_at, |at| at.min(*ends_at));
         Some(Reservation {
             id: &entry.change.id,
             customer: parse_customer(text)?,
             units: *units,
             starts_at: entry.change.effective_at,
-            ends_at: until,
+            ends_at,
             class,
             prefix: prefix.as_deref(),
         })
     }
 
-    /// The reservation that a customer's request takes from: of those that fit, the one that ends first.
+    /// The reservation that a customer's request draws from: the earliest-ending one of those that match.
     pub fn reservation_for(
         &self,
         customer: u64,
@@ -466,7 +491,7 @@
         key: &str,
         at: Micros,
     ) -> Option<Reservation<'_>> {
-        let fits = |r: &Reservation| {
+        let matches = |r: &Reservation| {
             r.customer == customer
                 && r.class == class
                 && (r.starts_at..r.ends_at).contains(&at)
@@ -474,14 +499,14 @@
         };
         self.reservations()
             .into_iter()
-            .filter(fits)
+            .filter(matches)
             .min_by(|a, b| (a.ends_at, a.id).cmp(&(b.ends_at, b.id)))
     }
 
-    /// Takes over what another book has beyond this one. Entries that are here already are passed over.
+    /// Applies the entries of another book that this one is missing, atomically. Entries already present are skipped.
     ///
     /// # Errors
-    /// Missing or different entries, or one that does not hold: the book is as it was.
+    /// Entries are missing, differ or are invalid; the book is unchanged.
     pub fn catch_up(&mut self, entries: &[Entry]) -> Result<u64, CatchUpError> {
         let mut book = self.clone();
         for entry in entries {
@@ -493,26 +518,26 @@
                 });
             }
             if entry.version <= version {
-                let same =
+                let is_same =
                     book.entries.get((entry.version as usize).wrapping_sub(1)) == Some(entry);
-                if !same {
+                if !is_same {
                     return Err(CatchUpError::Diverged(entry.version));
                 }
                 continue;
             }
-            let refused = |refusal| CatchUpError::Rejected(entry.version, refusal);
+            let rejected = |error| CatchUpError::Rejected(entry.version, error);
             entry
                 .change
                 .check()
-                .map_err(|fault| refused(fault.into()))?;
-            if let Some(taken) = book.ids.get(&entry.change.id) {
-                return Err(refused(ApplyError::DuplicateId(*taken)));
+                .map_err(|error| rejected(error.into()))?;
+            if let Some(earlier) = book.ids.get(&entry.change.id) {
+                return Err(rejected(ApplyError::DuplicateId(*earlier)));
             }
-            // The slack is the business of the book that took it first: here it may come late.
+            // Lateness was checked by the book that applied the change first; it may arrive here later.
             let key = entry.change.kind.key();
-            book.fits(&entry.change)
-                .map_err(|fault| refused(fault.under_parent(key).into()))?;
-            book.enter(entry.applied_at, entry.change.clone());
+            book.check_against_book(&entry.change)
+                .map_err(|error| rejected(error.under_parent(key).into()))?;
+            book.append(entry.applied_at, entry.change.clone());
         }
         *self = book;
         Ok(self.version())
--- a/crates/plans/src/change.rs
+++ b/crates/plans/src/change.rs
@@ -1,4 +1,4 @@
-//! What an operator asks for.
+//! Changes that operators request.
 
 use std::collections::BTreeMap;
 
@@ -7,117 +7,120 @@
 
 use crate::Micros;
 
-/// Customers are numbers below this.
-const CUSTOMERS: u64 = 1 << 33;
-/// Highest rate or burst, in units.
-const HIGHEST: f64 = 1e9;
+/// Customer numbers are below this.
+const CUSTOMER_LIMIT: u64 = 1 << 33;
+/// Largest rate, burst or reservation, in units.
+const MAX_UNITS: f64 = 1e9;
 /// Longest text of an id, a name or a reason, in bytes.
-const TEXT: usize = 256;
-/// Longest reservation.
-const LONGEST: Micros = 31 * 86_400 * 1_000_000;
+const MAX_TEXT_BYTES: usize = 256;
+/// Longest reservation, in microseconds (31 days).
+const MAX_RESERVATION_US: Micros = 31 * 86_400 * 1_000_000;
 
-/// A plan's figures.
+/// The rate limit of a plan.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RateLimit {
-    /// Units a second.
+    /// Units per second.
     #[serde(rename = "rate")]
     pub rate_per_s: f64,
-    /// Units that may be used at once.
+    /// Burst: units that may be used at once.
     pub burst: f64,
 }
 
-/// What is changed: in JSON an object with one key, the kind of change.
+/// Kind of a change and its parameters; in JSON an object with the kind as its only key.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ChangeKind {
-    /// A plan's figures.
+    /// Sets the rate limit of a plan.
     #[serde(rename = "figures")]
     RateLimit {
-        /// The plan, by name.
+        /// Name of the plan.
         plan: String,
-        /// Its figures from then on.
+        /// The new rate limit.
         #[serde(rename = "figures")]
         rate_limit: RateLimit,
     },
-    /// A customer's plan, whatever its requests name.
+    /// Assigns a plan to a customer, overriding the plan that its requests name.
     #[serde(rename = "move")]
     AssignPlan {
-        /// The customer, in 16 hex digits.
+        /// The customer, as 16 hex digits.
         account: String,
-        /// Its plan from then on; `None`: the one that its requests name.
+        /// The new plan; `None` returns to the plan that its requests name.
         plan: Option<String>,
     },
-    /// Units set aside.
+    /// Reserves units for a customer.
     Reserve {
-        /// The customer, in 16 hex digits.
+        /// The customer, as 16 hex digits.
         account: String,
-        /// Units.
+        /// Units reserved.
         units: f64,
-        /// Until when, in microseconds since the epoch.
+        /// End of the reservation, in microseconds since the epoch.
         #[serde(rename = "until")]
         ends_at: Micros,
-        /// For this class alone.
+        /// Request class that may use it.
         class: String,
-        /// For keys that begin so, if given.
+        /// If given, only requests whose key has this prefix may use it.
         #[serde(default)]
         prefix: Option<String>,
     },
-    /// A reservation is given up before its end.
+    /// Cancels a reservation before its end.
     Cancel {
-        /// The id of the change that made it.
+        /// Id of the change that created the reservation.
         reservation: String,
     },
 }
 
-/// A change.
+/// A requested change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Its id: the same change sent twice is taken once.
+    /// Unique id; a change that is sent again with the same id is applied once.
     pub id: String,
-    /// When it takes effect, in microseconds since the epoch.
+    /// Instant at which the change takes effect, in microseconds since the epoch.
     #[serde(rename = "at")]
     pub effective_at: Micros,
-    /// The version that it was written against, where that matters: if anything was changed since, it is refused.
+    /// Version of the book that the change expects, if any: with another current version the change is rejected.
     #[serde(default, rename = "after")]
     pub expected_version: Option<u64>,
-    /// Who asks for it.
+    /// Who requested the change.
     #[serde(rename = "by")]
     pub requested_by: String,
-    /// Why.
+    /// Reason for the change.
     #[serde(rename = "why")]
     pub reason: String,
-    /// What is changed.
+    /// Kind and parameters.
     #[serde(rename = "what")]
     pub kind: ChangeKind,
 }
 
-/// A customer in 16 hex digits.
+/// Parses a customer number from 16 hex digits; `None` if it is malformed or out of range.
 pub fn parse_customer(text: &str) -> Option<u64> {
-    let plain = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    let is_hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     u64::from_str_radix(text, 16)
         .ok()
-        .filter(|number| plain && *number < CUSTOMERS)
+        .filter(|number| is_hex && *number < CUSTOMER_LIMIT)
 }
 
-fn text(key: &str, text: &str) -> Result<(), KeyError> {
-    match !text.trim().is_empty() && text.len() <= TEXT && !text.chars().any(char::is_control) {
+fn check_text(key: &str, text: &str) -> Result<(), KeyError> {
+    match !text.trim().is_empty()
+        && text.len() <= MAX_TEXT_BYTES
+        && !text.chars().any(char::is_control)
+    {
         true => Ok(()),
         false => Err(KeyError::new(
             key,
-            format!("is not 1 to {TEXT} printable bytes"),
+            format!("is not 1 to {MAX_TEXT_BYTES} printable bytes"),
         )),
     }
 }
 
 impl RateLimit {
     fn check(&self) -> Result<(), KeyError> {
-        check_within("figures.rate", self.rate_per_s, 0.0, HIGHEST)?;
-        check_within("figures.burst", self.burst, 0.0, HIGHEST)
+        check_within("figures.rate", self.rate_per_s, 0.0, MAX_UNITS)?;
+        check_within("figures.burst", self.burst, 0.0, MAX_UNITS)
     }
 
-    /// The most units that a customer may ever use within a span.
+    /// Most units that a customer can use within a span of microseconds.
     pub fn max_units_within(&self, span: Micros) -> f64 {
         self.burst + self.rate_per_s * span.max(0) as f64 / 1e6
     }
@@ -127,30 +130,30 @@
     /// Reads a change from JSON.
     ///
     /// # Errors
-    /// Text that is not JSON; a key that is unknown, missing, of a wrong type or out of its bounds.
+    /// The text is not JSON, or a key is unknown, missing, of a wrong type or out of bounds.
     pub fn read(text: &str) -> Result<Change, KeyError> {
         let change: Change = config_check::parse_json(text)?;
         change.check()?;
         Ok(change)
     }
 
-    /// Checks what needs no book.
+    /// Checks everything that does not depend on the book.
     ///
     /// # Errors
-    /// The first key that makes no sense by itself.
+    /// The first invalid key.
     pub fn check(&self) -> Result<(), KeyError> {
-        text("id", &self.id)?;
-        text("by", &self.requested_by)?;
-        text("why", &self.reason)?;
+        check_text("id", &self.id)?;
+        check_text("by", &self.requested_by)?;
+        check_text("why", &self.reason)?;
         check_within("at", self.effective_at as f64, 0.0, 1e17)?;
         self.kind
             .check(self.effective_at)
-            .map_err(|fault| fault.under_parent(self.kind.key()))
+            .map_err(|error| error.under_parent(self.kind.key()))
     }
 }
 
 impl ChangeKind {
-    /// Where its keys lie.
+    /// Path of the keys of this kind, as a prefix for error messages.
     pub(crate) fn key(&self) -> &'static str {
         match self {
             ChangeKind::RateLimit { .. } => "what.figures",
@@ -160,8 +163,8 @@
         }
     }
 
-    fn check(&self, at: Micros) -> Result<(), KeyError> {
-        let known = |account_text: &str| match parse_customer(account_text) {
+    fn check(&self, effective_at: Micros) -> Result<(), KeyError> {
+        let check_account = |account_text: &str| match parse_customer(account_text) {
             Some(_) => Ok(()),
             None => Err(KeyError::new("account", "is not 16 hex digits below 2^33")),
         };
@@ -170,38 +173,39 @@
                 plan,
                 rate_limit: figures,
             } => {
-                text("plan", plan)?;
+                check_text("plan", plan)?;
                 figures.check()
             }
             ChangeKind::AssignPlan { account, plan } => {
-                known(account)?;
-                plan.as_deref().map_or(Ok(()), |plan| text("plan", plan))
+                check_account(account)?;
+                plan.as_deref()
+                    .map_or(Ok(()), |plan| check_text("plan", plan))
             }
             ChangeKind::Reserve {
                 account,
                 units,
-                ends_at: until,
+                ends_at,
                 class,
                 prefix,
             } => {
-                known(account)?;
-                check_within("units", *units, f64::MIN_POSITIVE, HIGHEST)?;
-                text("class", class)?;
+                check_account(account)?;
+                check_within("units", *units, f64::MIN_POSITIVE, MAX_UNITS)?;
+                check_text("class", class)?;
                 prefix
                     .as_deref()
-                    .map_or(Ok(()), |prefix| text("prefix", prefix))?;
-                match *until - at {
+                    .map_or(Ok(()), |prefix| check_text("prefix", prefix))?;
+                match *ends_at - effective_at {
                     span if span <= 0 => Err(KeyError::new("until", "is not after 'at'")),
-                    span if span > LONGEST => {
+                    span if span > MAX_RESERVATION_US => {
                         Err(KeyError::new("until", "is over 31 days after 'at'"))
                     }
                     _ => Ok(()),
                 }
             }
-            ChangeKind::Cancel { reservation } => text("reservation", reservation),
+            ChangeKind::Cancel { reservation } => check_text("reservation", reservation),
         }
     }
 }
 
-/// The plans of the platform's settings by name, which the book starts from.
+/// The plans of the platform's settings by name: what is in effect without any change.
 pub type PlatformPlans = BTreeMap<String, RateLimit>;
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -1,12 +1,13 @@
-//! The plan book: plans' figures, customers' plans and reservations, changed in service, in numbered versions.
+//! The plan book: versioned changes at run time to plans' rate limits, customers' plans and reservations.
 //!
-//! It decides what a change means and whether it makes sense; it does no I/O and has no clock of its own. `change` is
-//! what an operator asks for, `book` takes it or refuses it whole and says what holds at an instant, `store` keeps a
-//! customer's allowance level across a change. The decision module goes on deciding on each request.
+//! The crate validates changes and determines their effect; it does no I/O and does not read the clock. `change` defines
+//! the changes that operators request, `book` applies or rejects each one atomically and answers what is in effect at an
+//! instant, `token_bucket` carries a customer's remaining units over a change of its rate limit. Admission of single
+//! requests stays with the decision module.
 
 pub mod book;
 pub mod change;
 pub mod token_bucket;
 
-/// Microseconds since the epoch, or a span.
+/// Microseconds since the epoch, or a duration in microseconds.
 pub type Micros = i64;
--- a/crates/plans/src/token_bucket.rs
+++ b/crates/plans/src/token_bucket.rs
@@ -1,75 +1,77 @@
-//! A customer's allowance across a change: what is left stays, no more and no less.
+//! A customer's token bucket across a change of its rate limit: the remaining units carry over.
 //!
-//! An allowance is a store that fills at a rate and holds a burst. The limiters count use in windows whose length
-//! follows burst over rate, and the length is part of a count's name: a change that went by its own length would open a
-//! fresh window, and with it a second burst. So a customer's windows keep the length that they had (that of the plan its
-//! requests name, in the platform's figures) and a change moves the *level*:
+//! The limiters count usage in windows whose length is burst divided by rate, and the length is part of the counter's
+//! name. If a change brought its own window length, it would start a fresh window and so grant a second burst. Therefore
+//! a customer's windows keep their length (that of the plan its requests name, from the platform's settings) and a change
+//! carries over the *remaining units* instead:
 //!
-//! - up: the level stays, and grows at the new rate up to the new burst;
-//! - down: the level stays as far as the smaller store holds it.
+//! - limit raised: the remaining units stay, and refill at the new rate up to the new burst;
+//! - limit lowered: the remaining units stay, capped at the new burst.
 //!
-//! Bound: from a change on, no more passes within a span than the level at the change and the new rate times the span.
-//! In the two windows after it that is never more than what the larger of the two plans grants in the same time.
+//! Bound: after a change, the units granted within a span are at most the remaining units at the change plus the new rate
+//! times the span. In the two windows after the change this never exceeds what the larger of the two plans grants in the
+//! same time.
 
 use crate::Micros;
 use crate::change::RateLimit;
 
-/// A store's level at an instant.
+/// State of a token bucket at an instant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TokenBucket {
-    /// The figures that hold.
+    /// Refill rate and capacity (burst).
     pub rate_limit: RateLimit,
-    /// Units left.
+    /// Units that remain.
     pub remaining_units: f64,
-    /// When that was so.
+    /// Instant of this state.
     pub updated_at: Micros,
 }
 
 impl TokenBucket {
-    /// A full store.
-    pub fn full(figures: RateLimit, at: Micros) -> TokenBucket {
+    /// Creates a full bucket.
+    pub fn full(rate_limit: RateLimit, updated_at: Micros) -> TokenBucket {
         TokenBucket {
-            rate_limit: figures,
-            remaining_units: figures.burst,
-            updated_at: at,
+            rate_limit,
+            remaining_units: rate_limit.burst,
+            updated_at,
         }
     }
 
-    /// The level at a later instant. A clock that steps back fills nothing and empties nothing.
+    /// The bucket at a later instant, refilled at its rate. If the clock has stepped back, the units stay unchanged.
     pub fn advanced_to(self, now: Micros) -> TokenBucket {
-        let passed = (now - self.updated_at).max(0) as f64 / 1e6;
-        let left =
-            (self.remaining_units + passed * self.rate_limit.rate_per_s).min(self.rate_limit.burst);
+        let elapsed_s = (now - self.updated_at).max(0) as f64 / 1e6;
+        let remaining_units = (self.remaining_units + elapsed_s * self.rate_limit.rate_per_s)
+            .min(self.rate_limit.burst);
         TokenBucket {
-            remaining_units: left,
+            remaining_units,
             updated_at: self.updated_at.max(now),
             ..self
         }
     }
 
-    /// Figures change at an instant.
-    pub fn with_rate_limit(self, figures: RateLimit, at: Micros) -> TokenBucket {
+    /// The bucket after a change of its rate limit at an instant.
+    pub fn with_rate_limit(self, rate_limit: RateLimit, at: Micros) -> TokenBucket {
         let before = self.advanced_to(at);
         TokenBucket {
-            rate_limit: figures,
-            remaining_units: before.remaining_units.min(figures.burst),
+            rate_limit,
+            remaining_units: before.remaining_units.min(rate_limit.burst),
             updated_at: before.updated_at,
         }
     }
 
-    /// Takes units if they are left; whether they were.
+    /// Takes the units if enough remain; returns whether they were taken.
     pub fn try_take(&mut self, now: Micros, units: f64) -> bool {
         *self = self.advanced_to(now);
-        let fits = units <= self.remaining_units;
-        if fits {
+        let is_allowed = units <= self.remaining_units;
+        if is_allowed {
             self.remaining_units -= units;
         }
-        fits
+        is_allowed
     }
 }
 
-/// How much must be added to what a window counts as used when figures change, so that the level moves as [`Level`]
-/// says: the room of a window is burst and what flowed in, less what is used. `left`: the level before the change.
-pub fn window_usage_shift(from: RateLimit, to: RateLimit, left: f64) -> f64 {
-    (to.burst - from.burst) + (left - to.burst).max(0.0)
+/// Units to add to a window's usage count when the rate limit changes, so that the window grants the same as
+/// [`TokenBucket`] does: a window grants the burst plus the refilled units, less the usage. `remaining_units`: those of the
+/// bucket before the change.
+pub fn window_usage_shift(from: RateLimit, to: RateLimit, remaining_units: f64) -> f64 {
+    (to.burst - from.burst) + (remaining_units - to.burst).max(0.0)
 }
--- a/crates/plans/tests/golden.rs
+++ b/crates/plans/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Changes of the plan book stay as they are, key for key: entries are kept and exchanged as JSON.
+//! The JSON form of plan book entries must not change, because entries are stored and exchanged as JSON.
 
 use plans::book::Entry;
 
@@ -11,7 +11,7 @@
 ];
 
 #[test]
-fn an_entry_of_each_kind_is_read_and_written_as_it_was() {
+fn entries_of_each_kind_keep_their_json_form() {
     for text in ENTRIES {
         let entry: Entry = serde_json::from_str(text).unwrap();
         assert_eq!(serde_json::to_string(&entry).unwrap(), text);
