--- a/crates/usage/benches/ledger.rs
+++ b/crates/usage/benches/ledger.rs
@@ -1,4 +1,4 @@
-//! What booking costs by group size, and how fast use is handed over.
+//! Cost of recording attempts by group size, and throughput of the export.
 
 use std::hint::black_box;
 
@@ -7,7 +7,7 @@
 use usage::ledger::Ledger;
 use usage::record::AttemptUsage;
 
-fn booking(customer: u64) -> AttemptUsage {
+fn usage(customer: u64) -> AttemptUsage {
     AttemptUsage {
         sent_at: 1_800_000_000_000_000,
         customer,
@@ -20,34 +20,34 @@
     }
 }
 
-const TRIES: u64 = 10_000;
+const ATTEMPTS: u64 = 10_000;
 
-fn booked(folder: &std::path::Path, group: u64, sync: bool) {
-    let (mut ledger, _) = Ledger::open(folder, "n0").expect("a ledger");
-    for customer in 0..TRIES {
-        ledger.record(booking(customer)).expect("a booking");
+fn record_attempts(folder: &std::path::Path, group: u64, sync: bool) {
+    let (mut ledger, _) = Ledger::open(folder, "n0").expect("ledger opens");
+    for customer in 0..ATTEMPTS {
+        ledger.record(usage(customer)).expect("attempt is recorded");
         if customer % group == group - 1 {
-            ledger.write().expect("room");
+            ledger.write().expect("group is written");
             ledger.mark_sent();
             if sync {
-                ledger.sync().expect("a disk");
+                ledger.sync().expect("ledger is synced");
             }
         }
     }
-    ledger.sync().expect("a disk");
+    ledger.sync().expect("ledger is synced");
 }
 
 fn benches(c: &mut Criterion) {
-    let folder = || tempfile::tempdir().expect("a folder");
+    let folder = || tempfile::tempdir().expect("temporary folder");
     let mut group = c.benchmark_group("10,000 tries");
     group
-        .throughput(Throughput::Elements(TRIES))
+        .throughput(Throughput::Elements(ATTEMPTS))
         .sample_size(10);
     for size in [1, 10, 100, 1_000] {
         group.bench_function(BenchmarkId::new("booked in groups of", size), |b| {
             b.iter_batched(
                 folder,
-                |f| booked(f.path(), size, false),
+                |f| record_attempts(f.path(), size, false),
                 BatchSize::PerIteration,
             );
         });
@@ -58,26 +58,26 @@
             |b| {
                 b.iter_batched(
                     folder,
-                    |f| booked(f.path(), size, true),
+                    |f| record_attempts(f.path(), size, true),
                     BatchSize::PerIteration,
                 );
             },
         );
     }
-    let full = || {
+    let filled_ledger = || {
         let folder = folder();
-        booked(folder.path(), 1_000, false);
+        record_attempts(folder.path(), 1_000, false);
         folder
     };
     group.bench_function("exported", |b| {
         let export = |folder: tempfile::TempDir| {
-            let mut export = Exporter::open(folder.path()).expect("an export");
+            let mut export = Exporter::open(folder.path()).expect("export opens");
             let batch = export
                 .write_batch(&folder.path().join("out"), usize::MAX, &mut |_| true)
-                .expect("a batch");
+                .expect("batch is written");
             black_box(batch);
         };
-        b.iter_batched(full, export, BatchSize::PerIteration);
+        b.iter_batched(filled_ledger, export, BatchSize::PerIteration);
     });
     group.finish();
 }
--- a/crates/usage/src/export.rs
+++ b/crates/usage/src/export.rs
@@ -1,9 +1,9 @@
-//! Use handed over once and only once: batches that a repeat reproduces byte for byte, and a cursor that moves only when
-//! a batch has been acknowledged.
+//! Exactly-once export of usage: batches that a repeated run reproduces byte for byte, and a cursor that advances only
+//! when a batch has been acknowledged.
 //!
-//! The cursor is one file, replaced whole. It holds what was acknowledged, and the batch that is under way with the
-//! tries that belong to it. A batch is decided there before its file is written; interrupted anywhere, the next run
-//! finds the same batch and writes the same file.
+//! The cursor is a file that is replaced atomically. It stores which attempts were acknowledged, and the pending batch
+//! with the ranges of its attempts. A batch is stored there before its file is written, so that after an interruption at
+//! any point the next run finds the same batch and writes the same file.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -18,38 +18,38 @@
 use crate::ledger::list_incarnations;
 use crate::reader::{self, ReadError, RecordedAttempt};
 
-/// The tries of a batch within one life: from and to, both included.
+/// The attempts of a batch within one incarnation, as an inclusive range.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct AttemptRange {
-    /// The life.
+    /// Number of the incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The first try.
+    /// Number of the first attempt.
     #[serde(rename = "from")]
     pub first: u64,
-    /// The last one.
+    /// Number of the last attempt.
     #[serde(rename = "to")]
     pub last: u64,
 }
 
-/// A batch.
+/// A batch of attempts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Batch {
-    /// Its number, from 1 without gaps.
+    /// Number of the batch, from 1 without gaps.
     pub number: u64,
-    /// Its tries.
+    /// Its attempts.
     pub ranges: Vec<AttemptRange>,
 }
 
 impl Batch {
-    /// Its file's name.
+    /// File name of the batch.
     pub fn file_name(&self) -> String {
         format!("use-{:08}.parquet", self.number)
     }
 
-    /// How many tries it holds.
+    /// Number of attempts in the batch.
     pub fn attempt_count(&self) -> u64 {
         self.ranges.iter().map(|r| r.last + 1 - r.first).sum()
     }
@@ -58,35 +58,38 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 struct Cursor {
-    /// Number of the last batch that was acknowledged.
-    acknowledged: u64,
-    /// By life, the last try of an acknowledged batch.
-    done: BTreeMap<u64, u64>,
-    /// The batch under way.
-    under_way: Option<Batch>,
+    /// Number of the last acknowledged batch.
+    #[serde(rename = "acknowledged")]
+    acknowledged_batch: u64,
+    /// Last acknowledged attempt of each incarnation.
+    #[serde(rename = "done")]
+    acknowledged_attempts: BTreeMap<u64, u64>,
+    /// The pending batch: stored, not yet acknowledged.
+    #[serde(rename = "under_way")]
+    pending: Option<Batch>,
 }
 
-/// Why nothing can be exported.
+/// Why usage cannot be exported.
 #[derive(Debug)]
 pub enum ExportError {
-    /// The system's word.
+    /// An I/O error on a file.
     File(PathBuf, io::Error),
-    /// The cursor's file makes no sense; it is not guessed anew, since that could bill twice.
+    /// The cursor file is invalid. It is not rebuilt, because that could bill attempts twice.
     Cursor(PathBuf, KeyError),
-    /// The ledger can't be read.
+    /// The ledger cannot be read.
     Read(ReadError),
-    /// The batch can't be written.
+    /// The batch file cannot be written.
     Table(TableError),
     /// Another process exports from this folder.
     Locked(PathBuf),
-    /// An acknowledgement of another batch than the one under way.
+    /// The acknowledged batch is not the pending one.
     NotPending {
-        /// What was acknowledged.
+        /// Number of the batch that was acknowledged.
         acknowledged: u64,
-        /// What is under way, if anything is.
+        /// Number of the pending batch, if there is one.
         pending: Option<u64>,
     },
-    /// A batch under way names tries that the ledger does not have.
+    /// The pending batch refers to attempts that the ledger does not have.
     MissingAttempts(AttemptRange),
 }
 
@@ -97,22 +100,30 @@
             ExportError::Cursor(path, fault) => write!(f, "{}: {fault}", path.display()),
             ExportError::Read(error) => write!(f, "{error}"),
             ExportError::Table(error) => write!(f, "{error}"),
-            ExportError::Locked(path) => write!(f, "{}: another process exports", path.display()),
+            ExportError::Locked(path) => {
+                write!(f, "{}: another process is exporting", path.display())
+            }
             ExportError::NotPending {
-                acknowledged: told,
+                acknowledged,
                 pending: Some(number),
             } => {
-                write!(f, "batch {told} is not under way, batch {number} is")
+                write!(
+                    f,
+                    "batch {acknowledged} is not pending; the pending batch is {number}"
+                )
             }
             ExportError::NotPending {
-                acknowledged: told,
+                acknowledged,
                 pending: None,
             } => {
-                write!(f, "batch {told} is not under way, none is")
+                write!(
+                    f,
+                    "batch {acknowledged} is not pending; there is no pending batch"
+                )
             }
             ExportError::MissingAttempts(r) => write!(
                 f,
-                "life {}: tries {} to {} are missing",
+                "incarnation {}: attempts {} to {} are missing",
                 r.incarnation, r.first, r.last
             ),
         }
@@ -121,41 +132,41 @@
 
 impl std::error::Error for ExportError {}
 
-/// A point at which a run may end without leaving anything undone for good.
+/// A point at which a run may be interrupted and later resumed without loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Before anything.
+    /// Nothing was done yet.
     Started,
-    /// The batch is decided, and stands in the cursor.
+    /// The batch is stored in the cursor.
     BatchRecorded,
-    /// Its file stands whole.
+    /// The batch file is complete.
     Written,
-    /// It is acknowledged.
+    /// The batch is acknowledged.
     Acknowledged,
 }
 
-/// A folder's export. One process at a time.
+/// Exports the ledger of a folder, by one process at a time.
 #[derive(Debug)]
 pub struct Exporter {
     folder: PathBuf,
     cursor: Cursor,
-    /// Held as long as the export is.
+    /// Lock on the export, held for the lifetime of the exporter.
     _lock: File,
 }
 
-fn system(path: &Path) -> impl FnOnce(io::Error) -> ExportError {
+fn io_error(path: &Path) -> impl FnOnce(io::Error) -> ExportError {
     let path = path.to_path_buf();
     move |error| ExportError::File(path, error)
 }
 
-/// Whether a file is locked by a process that lives; if not, it is locked here as long as the result is kept.
-fn lock(path: &Path) -> Result<Option<File>, ExportError> {
+/// Tries to lock a file. `None` if another process has locked it; otherwise the lock lasts as long as the returned file.
+fn try_lock(path: &Path) -> Result<Option<File>, ExportError> {
     let file = OpenOptions::new()
         .create(true)
         .truncate(false)
         .write(true)
         .open(path)
-        .map_err(system(path))?;
+        .map_err(io_error(path))?;
     match file.try_lock() {
         Ok(()) => Ok(Some(file)),
         Err(TryLockError::WouldBlock) => Ok(None),
@@ -164,13 +175,13 @@
 }
 
 impl Exporter {
-    /// Opens a ledger's folder for exporting.
+    /// Opens a ledger's folder for export.
     ///
     /// # Errors
-    /// The system's; another process exports; a cursor that makes no sense.
+    /// An I/O error; another process is exporting; the cursor file is invalid.
     pub fn open(folder: &Path) -> Result<Exporter, ExportError> {
-        let held = || ExportError::Locked(folder.to_path_buf());
-        let lock = lock(&folder.join("export.lock"))?.ok_or_else(held)?;
+        let locked = || ExportError::Locked(folder.to_path_buf());
+        let lock = try_lock(&folder.join("export.lock"))?.ok_or_else(locked)?;
         let path = folder.join("export.json");
         let cursor = match fs::read_to_string(&path) {
             Ok(text) => {
@@ -186,151 +197,162 @@
         })
     }
 
-    fn keep(&mut self, cursor: Cursor) -> Result<(), ExportError> {
+    fn store_cursor(&mut self, cursor: Cursor) -> Result<(), ExportError> {
         let path = self.folder.join("export.json");
-        // Plain data: nothing in it can fail to be written.
+        // Serializing cannot fail: the cursor is plain data.
         let text = serde_json::to_string_pretty(&cursor).unwrap_or_default();
         let write = |mut file: File| {
-            file.write_all(text.as_bytes()).map_err(system(&path))?;
+            file.write_all(text.as_bytes()).map_err(io_error(&path))?;
             Ok(file)
         };
         table::write_atomically(&path, |e| ExportError::File(path.clone(), e), write)?;
-        // A rename outlasts a loss of power once its folder is on the disk.
+        // The rename survives a power loss only after the folder has been synced.
         File::open(&self.folder)
             .and_then(|folder| folder.sync_all())
-            .map_err(system(&self.folder))?;
+            .map_err(io_error(&self.folder))?;
         self.cursor = cursor;
         Ok(())
     }
 
-    /// The batch under way.
+    /// The pending batch: stored, not yet acknowledged.
     pub fn pending(&self) -> Option<&Batch> {
-        self.cursor.under_way.as_ref()
+        self.cursor.pending.as_ref()
     }
 
-    /// Writes the batch under way into a folder, or the next one of `most` tries at most; `None` if there is nothing new.
-    /// `go_on` is asked at each step; a run that it ends has done that step and nothing behind it.
+    /// Writes the pending batch into a folder, or else the next one of at most `max_attempts` attempts. `None` if there is
+    /// nothing to export or the run was stopped: `should_continue` is called at each step, and `false` stops the run
+    /// there.
     ///
     /// # Errors
-    /// The system's; damage in the ledger, by its place. Run again, it goes on where it was.
+    /// An I/O error; damage in the ledger, with its offset. A repeated run resumes where this one failed.
     pub fn write_batch(
         &mut self,
         out: &Path,
-        most: usize,
-        go_on: &mut dyn FnMut(Step) -> bool,
+        max_attempts: usize,
+        should_continue: &mut dyn FnMut(Step) -> bool,
     ) -> Result<Option<Batch>, ExportError> {
-        if !go_on(Step::Started) {
+        if !should_continue(Step::Started) {
             return Ok(None);
         }
-        let lives = self.settled()?;
-        let batch = match self.cursor.under_way.clone() {
+        let incarnations = self.final_attempts()?;
+        let batch = match self.cursor.pending.clone() {
             Some(batch) => batch,
             None => {
-                let Some(batch) = self.next(&lives, most) else {
+                let Some(batch) = self.next_batch(&incarnations, max_attempts) else {
                     return Ok(None);
                 };
-                self.keep(Cursor {
-                    under_way: Some(batch.clone()),
+                self.store_cursor(Cursor {
+                    pending: Some(batch.clone()),
                     ..self.cursor.clone()
                 })?;
                 batch
             }
         };
-        if !go_on(Step::BatchRecorded) {
+        if !should_continue(Step::BatchRecorded) {
             return Ok(None);
         }
-        let mut tries = Vec::new();
+        let mut attempts = Vec::new();
         for range in &batch.ranges {
-            let of = lives
+            let incarnation = incarnations
                 .get(&range.incarnation)
                 .map(Vec::as_slice)
                 .unwrap_or_default();
-            let named = of
+            let attempts_of_range = incarnation
                 .get(range.first as usize - 1..range.last as usize)
                 .ok_or(ExportError::MissingAttempts(*range))?;
-            tries.extend_from_slice(named);
+            attempts.extend_from_slice(attempts_of_range);
         }
-        fs::create_dir_all(out).map_err(system(out))?;
-        table::write(&out.join(batch.file_name()), &columns(&tries)).map_err(ExportError::Table)?;
-        Ok(go_on(Step::Written).then_some(batch))
+        fs::create_dir_all(out).map_err(io_error(out))?;
+        table::write(&out.join(batch.file_name()), &columns(&attempts))
+            .map_err(ExportError::Table)?;
+        Ok(should_continue(Step::Written).then_some(batch))
     }
 
-    /// The batch has been taken over by whoever bills: the cursor moves behind it. A repeat changes nothing.
+    /// Records that billing has received the batch: the cursor advances past it. Repeated calls have no effect.
     ///
     /// # Errors
-    /// Another batch is under way; the system's.
+    /// The batch is not the pending one; an I/O error.
     pub fn acknowledge(&mut self, number: u64) -> Result<(), ExportError> {
-        if number > 0 && number == self.cursor.acknowledged {
+        if number > 0 && number == self.cursor.acknowledged_batch {
             return Ok(());
         }
-        let under_way = self.cursor.under_way.as_ref().map(|b| b.number);
-        let Some(batch) = self.cursor.under_way.clone().filter(|b| b.number == number) else {
+        let pending = self.cursor.pending.as_ref().map(|b| b.number);
+        let Some(batch) = self.cursor.pending.clone().filter(|b| b.number == number) else {
             return Err(ExportError::NotPending {
                 acknowledged: number,
-                pending: under_way,
+                pending,
             });
         };
-        let mut done = self.cursor.done.clone();
-        done.extend(
+        let mut acknowledged_attempts = self.cursor.acknowledged_attempts.clone();
+        acknowledged_attempts.extend(
             batch
                 .ranges
                 .iter()
                 .map(|range| (range.incarnation, range.last)),
         );
-        self.keep(Cursor {
-            acknowledged: number,
-            done,
-            under_way: None,
+        self.store_cursor(Cursor {
+            acknowledged_batch: number,
+            acknowledged_attempts,
+            pending: None,
         })
     }
 
-    /// All tries of which nothing will change any more: of a life that goes on those that are known to have gone out, of
-    /// one that has ended all.
-    fn settled(&self) -> Result<BTreeMap<u64, Vec<RecordedAttempt>>, ExportError> {
-        let numbers = list_incarnations(&self.folder).map_err(system(&self.folder))?;
-        let ended = lock(&self.folder.join("lock"))?;
-        let goes_on = if ended.is_none() {
+    /// All attempts whose records are final: of a running incarnation those that were sent, of an ended one all.
+    fn final_attempts(&self) -> Result<BTreeMap<u64, Vec<RecordedAttempt>>, ExportError> {
+        let numbers = list_incarnations(&self.folder).map_err(io_error(&self.folder))?;
+        let ended = try_lock(&self.folder.join("lock"))?;
+        let running = if ended.is_none() {
             numbers.last().copied()
         } else {
             None
         };
-        let mut settled = BTreeMap::new();
+        let mut final_attempts = BTreeMap::new();
         for number in numbers {
-            let mut tries = reader::read_incarnation(&self.folder, number)
+            let mut attempts = reader::read_incarnation(&self.folder, number)
                 .map_err(ExportError::Read)?
                 .attempts;
-            if goes_on == Some(number) {
-                tries.retain(|t| !t.maybe_unsent);
+            if running == Some(number) {
+                attempts.retain(|t| !t.maybe_unsent);
             }
-            settled.insert(number, tries);
+            final_attempts.insert(number, attempts);
         }
-        Ok(settled)
+        Ok(final_attempts)
     }
 
-    fn next(&self, lives: &BTreeMap<u64, Vec<RecordedAttempt>>, most: usize) -> Option<Batch> {
-        let (mut ranges, mut room) = (Vec::new(), most as u64);
-        for (life, tries) in lives {
-            let done = self.cursor.done.get(life).copied().unwrap_or(0);
-            let to = (tries.len() as u64).min(done + room);
-            if to > done {
+    fn next_batch(
+        &self,
+        incarnations: &BTreeMap<u64, Vec<RecordedAttempt>>,
+        max_attempts: usize,
+    ) -> Option<Batch> {
+        let (mut ranges, mut remaining) = (Vec::new(), max_attempts as u64);
+        for (incarnation, attempts) in incarnations {
+            let acknowledged = self
+                .cursor
+                .acknowledged_attempts
+                .get(incarnation)
+                .copied()
+                .unwrap_or(0);
+            let last = (attempts.len() as u64).min(acknowledged + remaining);
+            if last > acknowledged {
                 ranges.push(AttemptRange {
-                    incarnation: *life,
-                    first: done + 1,
-                    last: to,
+                    incarnation: *incarnation,
+                    first: acknowledged + 1,
+                    last,
                 });
-                room -= to - done;
+                remaining -= last - acknowledged;
             }
         }
-        let number = self.cursor.acknowledged + 1;
+        let number = self.cursor.acknowledged_batch + 1;
         (!ranges.is_empty()).then_some(Batch { number, ranges })
     }
 }
 
-fn columns(tries: &[RecordedAttempt]) -> Table {
-    let numbers =
-        |get: fn(&RecordedAttempt) -> i64| ColumnValues::Integers(tries.iter().map(get).collect());
+fn columns(attempts: &[RecordedAttempt]) -> Table {
+    let numbers = |get: fn(&RecordedAttempt) -> i64| {
+        ColumnValues::Integers(attempts.iter().map(get).collect())
+    };
     let texts = |get: fn(&RecordedAttempt) -> &str| {
-        ColumnValues::Strings(tries.iter().map(|t| get(t).to_string()).collect())
+        ColumnValues::Strings(attempts.iter().map(|t| get(t).to_string()).collect())
     };
     vec![
         ("limiter", texts(|t| &t.limiter)),
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -1,8 +1,8 @@
-//! Booking: numbers without gaps, groups, one writer a folder.
+//! Recording attempts: numbered without gaps, written in groups, by one process per folder.
 //!
-//! A try is booked before its leg goes out, in the same turn of the loop: a group is written, its legs are sent, and the
-//! next group says that they went out. A kill loses nothing that was sent. It may leave tries that were booked and not
-//! sent: those of one group, which the reader is told apart (`unsure`).
+//! An attempt is recorded before it is sent, in the same iteration of the event loop: a group is written, its attempts are
+//! sent, and the next group records that they were. A kill loses no attempt that was sent. It may leave attempts of one
+//! group that were recorded but not sent; the reader marks these as `maybe_unsent`.
 
 use std::fmt;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -12,12 +12,12 @@
 use crate::log::{LogFile, RecordTooLong, Writer};
 use crate::record::{AttemptUsage, FORMAT_VERSION, LogRecord};
 
-/// Why a ledger can't be opened.
+/// Why a ledger cannot be opened.
 #[derive(Debug)]
 pub enum OpenError {
-    /// The system's word.
+    /// An I/O error on a file.
     File(PathBuf, io::Error),
-    /// Another process writes this folder.
+    /// Another process writes to this folder.
     Locked(PathBuf),
 }
 
@@ -25,38 +25,44 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             OpenError::File(path, error) => write!(f, "{}: {error}", path.display()),
-            OpenError::Locked(path) => write!(f, "{}: another process books here", path.display()),
+            OpenError::Locked(path) => write!(
+                f,
+                "{}: another process writes to this ledger",
+                path.display()
+            ),
         }
     }
 }
 
 impl std::error::Error for OpenError {}
 
-/// A ledger in one life of its limiter.
+/// The ledger of one incarnation of a limiter.
 #[derive(Debug)]
 pub struct Ledger<D = File> {
     writer: Writer<D>,
-    /// Number of the last try that was booked, and of the last one that is known to have gone out.
-    booked: u64,
-    sent: u64,
-    /// Number of the last try of the last group that was written.
-    written: u64,
-    told: u64,
-    /// Held as long as the ledger is.
+    /// Number of the last recorded attempt.
+    recorded_attempts: u64,
+    /// Number of the last attempt that was sent.
+    sent_attempts: u64,
+    /// Number of the last attempt of the last group that was written.
+    written_attempts: u64,
+    /// Number up to which the log records that attempts were sent.
+    logged_sent_attempts: u64,
+    /// Lock on the folder, held for the lifetime of the ledger.
     _lock: Option<File>,
 }
 
-/// The name of a life's file.
-pub fn file_name(life: u64) -> String {
-    format!("life-{life:08}.use")
+/// The file name of an incarnation.
+pub fn file_name(incarnation: u64) -> String {
+    format!("life-{incarnation:08}.use")
 }
 
-/// The lives in a folder, in order.
+/// The numbers of the incarnations in a folder, in ascending order.
 ///
 /// # Errors
-/// The system's.
+/// An I/O error.
 pub fn list_incarnations(folder: &Path) -> io::Result<Vec<u64>> {
-    let mut lives = Vec::new();
+    let mut incarnations = Vec::new();
     for entry in fs::read_dir(folder)? {
         let name = entry?.file_name();
         let number = name.to_str().and_then(|n| {
@@ -65,132 +71,138 @@
                 .parse::<u64>()
                 .ok()
         });
-        lives.extend(number);
+        incarnations.extend(number);
     }
-    lives.sort_unstable();
-    Ok(lives)
+    incarnations.sort_unstable();
+    Ok(incarnations)
 }
 
 impl Ledger<File> {
-    /// Begins a new life of a limiter in a folder. What earlier lives left there is not touched, torn or not.
+    /// Starts a new incarnation of a limiter in a folder and returns its number. Files of earlier incarnations are not
+    /// modified, even if truncated.
     ///
     /// # Errors
-    /// The system's; another process books in the folder.
+    /// An I/O error, or another process writes to the folder.
     pub fn open(folder: &Path, limiter: &str) -> Result<(Ledger<File>, u64), OpenError> {
-        let system = |path: &Path| {
+        let io_error = |path: &Path| {
             let path = path.to_path_buf();
             move |error| OpenError::File(path, error)
         };
-        fs::create_dir_all(folder).map_err(system(folder))?;
+        fs::create_dir_all(folder).map_err(io_error(folder))?;
         let path = folder.join("lock");
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
             .open(&path)
-            .map_err(system(&path))?;
+            .map_err(io_error(&path))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Err(OpenError::Locked(folder.to_path_buf())),
             Err(TryLockError::Error(error)) => return Err(OpenError::File(path, error)),
         }
-        let life = list_incarnations(folder)
-            .map_err(system(folder))?
+        let incarnation = list_incarnations(folder)
+            .map_err(io_error(folder))?
             .last()
             .copied()
             .unwrap_or(0)
             + 1;
-        let path = folder.join(file_name(life));
+        let path = folder.join(file_name(incarnation));
         let file = OpenOptions::new()
             .create_new(true)
             .write(true)
             .open(&path)
-            .map_err(system(&path))?;
-        let mut ledger = Ledger::start(file, limiter, life).map_err(system(&path))?;
-        // The name must outlast a loss of power as the records do.
+            .map_err(io_error(&path))?;
+        let mut ledger = Ledger::start(file, limiter, incarnation).map_err(io_error(&path))?;
+        // The directory entry must survive a power loss like the records do.
         File::open(folder)
             .and_then(|folder| folder.sync_all())
-            .map_err(system(folder))?;
+            .map_err(io_error(folder))?;
         ledger._lock = Some(lock);
-        Ok((ledger, life))
+        Ok((ledger, incarnation))
     }
 }
 
 impl<D: LogFile> Ledger<D> {
-    /// Begins a life on an empty disk.
+    /// Starts an incarnation on an empty file.
     ///
     /// # Errors
-    /// The system's.
-    pub fn start(disk: D, limiter: &str, life: u64) -> io::Result<Ledger<D>> {
+    /// An I/O error.
+    pub fn start(file: D, limiter: &str, incarnation: u64) -> io::Result<Ledger<D>> {
         let mut ledger = Ledger {
-            writer: Writer::new(disk),
-            booked: 0,
-            sent: 0,
-            written: 0,
-            told: 0,
+            writer: Writer::new(file),
+            recorded_attempts: 0,
+            sent_attempts: 0,
+            written_attempts: 0,
+            logged_sent_attempts: 0,
             _lock: None,
         };
-        let life = LogRecord::Header {
+        let header = LogRecord::Header {
             format_version: FORMAT_VERSION,
             limiter: limiter.to_string(),
-            incarnation: life,
+            incarnation,
         };
-        ledger.put(&life).map_err(io::Error::other)?;
+        ledger.append_record(&header).map_err(io::Error::other)?;
         ledger.writer.write()?;
         ledger.writer.sync()?;
         Ok(ledger)
     }
 
-    fn put(&mut self, record: &LogRecord) -> Result<(), RecordTooLong> {
-        // Plain data into memory: it can't fail but for its length.
+    fn append_record(&mut self, record: &LogRecord) -> Result<(), RecordTooLong> {
+        // Serializing plain data into memory can fail only because of its length.
         let bytes = postcard::to_stdvec(record).map_err(|_| RecordTooLong(usize::MAX))?;
         self.writer.append(&bytes)
     }
 
-    /// Books a try; it is in the log once [`Ledger::write`] has succeeded, and must not go out before.
+    /// Records an attempt and returns its number. It is in the log once [`Ledger::write`] has succeeded, and must not be
+    /// sent before.
     ///
     /// # Errors
-    /// A booking that no record can hold; nothing was booked.
-    pub fn record(&mut self, booking: AttemptUsage) -> Result<u64, RecordTooLong> {
-        self.tell();
-        self.put(&LogRecord::Attempt(self.booked + 1, booking))?;
-        self.booked += 1;
-        Ok(self.booked)
+    /// The record would be too long; nothing was recorded.
+    pub fn record(&mut self, usage: AttemptUsage) -> Result<u64, RecordTooLong> {
+        self.append_sent();
+        self.append_record(&LogRecord::Attempt(self.recorded_attempts + 1, usage))?;
+        self.recorded_attempts += 1;
+        Ok(self.recorded_attempts)
     }
 
-    fn tell(&mut self) {
-        if self.sent > self.told && self.put(&LogRecord::Sent(self.sent)).is_ok() {
-            self.told = self.sent;
+    fn append_sent(&mut self) {
+        if self.sent_attempts > self.logged_sent_attempts
+            && self
+                .append_record(&LogRecord::Sent(self.sent_attempts))
+                .is_ok()
+        {
+            self.logged_sent_attempts = self.sent_attempts;
         }
     }
 
-    /// Writes what was booked. Then it may go out.
+    /// Writes the recorded attempts, which may then be sent.
     ///
     /// # Errors
-    /// The system's. Nothing of the group may go out yet; it is kept and goes with the next call.
+    /// An I/O error. No attempt of the group may be sent yet; the group is kept and written by the next call.
     pub fn write(&mut self) -> io::Result<()> {
         self.writer.write()?;
-        self.written = self.booked;
+        self.written_attempts = self.recorded_attempts;
         Ok(())
     }
 
-    /// All tries that were written have gone out; the next group says so.
+    /// Marks all written attempts as sent; the next group records it.
     pub fn mark_sent(&mut self) {
-        self.sent = self.written;
+        self.sent_attempts = self.written_attempts;
     }
 
-    /// Whether anything is to be written.
+    /// Whether records wait to be written.
     pub fn has_pending(&self) -> bool {
         self.writer.pending() > 0
     }
 
-    /// Brings everything to the disk itself, with what is known to have gone out: at the end of a life, and as often as
-    /// a loss of power shall cost no more.
+    /// Writes everything and syncs it to the disk, including which attempts were sent. Called at the end of an incarnation
+    /// and periodically: a power loss can lose what was written since the last call.
     ///
     /// # Errors
-    /// The system's.
+    /// An I/O error.
     pub fn sync(&mut self) -> io::Result<()> {
-        self.tell();
+        self.append_sent();
         self.write()?;
         self.writer.sync()
     }
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -1,8 +1,9 @@
-//! The use ledger: every try's units are booked once, when it is first sent on.
+//! The usage ledger: records the units of every attempt once, when the attempt is first sent upstream.
 //!
-//! `booking` is what is booked. `log` keeps records whole or tells that they are not, and knows nothing of what they
-//! say: a general store will take its place. `ledger` numbers bookings without gaps within a limiter's life and writes
-//! them in groups. `reading` goes through all lives of a folder.
+//! `record` defines the records. `log` stores records with checksums and detects damage, independently of their content,
+//! so that a general store can replace it. `ledger` numbers attempts without gaps within an incarnation (one run of a
+//! limiter) and writes them in groups. `reader` reads the incarnations of a folder. `export` hands the usage over to
+//! billing in batches.
 
 pub mod export;
 pub mod ledger;
--- a/crates/usage/src/log.rs
+++ b/crates/usage/src/log.rs
@@ -1,36 +1,37 @@
-//! Records in a file, each with its length and checksum.
+//! An append-only file of records, each with its length and checksum.
 //!
-//! What was appended whole is read back whole, or its place is named. A tail that the system or a kill cut off is told
-//! from damage: it reaches past the end of the file, or what should hold it is nothing but zeros.
+//! A record that was appended completely is either read back intact or reported as damaged with its offset. A tail that
+//! was truncated by the system or a kill is distinguished from damage: its record reaches past the end of the file, or
+//! its bytes are all zero.
 
 use std::fmt;
 use std::fs::File;
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// Length and checksum ahead of a record.
-const HEAD: usize = 8;
-/// Longest record.
+/// Bytes ahead of a record: length and checksum, 4 bytes each.
+const HEADER_BYTES: usize = 8;
+/// Maximum length of a record.
 pub const MAX_RECORD_BYTES: usize = 64 * 1024;
 
-/// Where records go: a file, or what a test puts in its place.
+/// The file that records are written to, or a test double.
 pub trait LogFile {
-    /// Writes at the end; how much was written may be less.
+    /// Writes at the end and returns the number of bytes written, which may be fewer than given.
     ///
     /// # Errors
-    /// The system's, a full disk among them.
+    /// An I/O error, such as a full disk.
     fn append(&mut self, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Cuts the file to a length.
+    /// Truncates the file to a length in bytes.
     ///
     /// # Errors
-    /// The system's.
+    /// An I/O error.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
 
-    /// Brings all that was written to the disk itself.
+    /// Syncs all written data to the disk.
     ///
     /// # Errors
-    /// The system's. What it was about is then unknown, and not tried again.
+    /// An I/O error. It is then unknown which data reached the disk, and the sync is not retried.
     fn sync(&mut self) -> io::Result<()>;
 }
 
@@ -49,84 +50,86 @@
     }
 }
 
-/// Appends records in groups.
+/// Appends records to a file in groups.
 #[derive(Debug)]
 pub struct Writer<D> {
-    disk: D,
-    /// Length of what is whole.
-    whole: u64,
-    /// A group that failed may have left a part of it behind `whole`.
-    torn: bool,
+    file: D,
+    /// Length in bytes of the completely written groups.
+    whole_bytes: u64,
+    /// Whether a failed write may have left part of a group after `whole_bytes`.
+    is_torn: bool,
+    /// Encoded records that wait to be written.
     group: Vec<u8>,
 }
 
 impl<D: LogFile> Writer<D> {
-    /// Appends to an empty file.
-    pub fn new(disk: D) -> Writer<D> {
+    /// Creates a writer for an empty file.
+    pub fn new(file: D) -> Writer<D> {
         Writer {
-            disk,
-            whole: 0,
-            torn: false,
+            file,
+            whole_bytes: 0,
+            is_torn: false,
             group: Vec::new(),
         }
     }
 
-    /// Puts a record into the group; nothing is written yet.
+    /// Adds a record to the group; nothing is written yet.
     ///
     /// # Errors
-    /// A record that is too long.
+    /// The record is too long.
     pub fn append(&mut self, record: &[u8]) -> Result<(), RecordTooLong> {
         if record.len() > MAX_RECORD_BYTES {
             return Err(RecordTooLong(record.len()));
         }
         self.group
             .extend_from_slice(&(record.len() as u32).to_le_bytes());
-        self.group.extend_from_slice(&sum(record).to_le_bytes());
+        self.group
+            .extend_from_slice(&checksum(record).to_le_bytes());
         self.group.extend_from_slice(record);
         Ok(())
     }
 
-    /// Bytes in the group.
+    /// Length of the group in bytes.
     pub fn pending(&self) -> usize {
         self.group.len()
     }
 
-    /// Writes the group. Once it is written, an end of the process can't lose it; a loss of power can, until
+    /// Writes the group. Once written, it survives the end of the process; it survives a power loss only after
     /// [`Writer::sync`].
     ///
     /// # Errors
-    /// The system's. The group is kept, and goes out with the next call, behind what was whole before.
+    /// An I/O error. The group is kept, and the next call writes it after the last completely written group.
     pub fn write(&mut self) -> io::Result<()> {
-        if self.torn {
-            self.disk.truncate(self.whole)?;
-            self.torn = false;
+        if self.is_torn {
+            self.file.truncate(self.whole_bytes)?;
+            self.is_torn = false;
         }
-        let mut done = 0;
-        while done < self.group.len() {
-            self.torn = true;
-            match self.disk.append(&self.group[done..]) {
+        let mut written = 0;
+        while written < self.group.len() {
+            self.is_torn = true;
+            match self.file.append(&self.group[written..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(length) => done += length,
+                Ok(length) => written += length,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
             }
         }
-        self.torn = false;
-        self.whole += self.group.len() as u64;
+        self.is_torn = false;
+        self.whole_bytes += self.group.len() as u64;
         self.group.clear();
         Ok(())
     }
 
-    /// Brings what was written to the disk itself.
+    /// Syncs written groups to the disk.
     ///
     /// # Errors
-    /// The system's.
+    /// An I/O error.
     pub fn sync(&mut self) -> io::Result<()> {
-        self.disk.sync()
+        self.file.sync()
     }
 }
 
-/// A record over [`LONGEST`], and its length.
+/// A record exceeds [`MAX_RECORD_BYTES`]; holds its length in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordTooLong(pub usize);
 
@@ -134,7 +137,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "a record of {} bytes, {MAX_RECORD_BYTES} at most",
+            "record of {} bytes exceeds the maximum of {MAX_RECORD_BYTES}",
             self.0
         )
     }
@@ -142,35 +145,36 @@
 
 impl std::error::Error for RecordTooLong {}
 
-/// The checksum also covers the length, so that a changed length can't pass with a record that happens to fit it.
-fn sum(record: &[u8]) -> u32 {
+/// CRC-32 of the length and the record. It covers the length so that a corrupted length is detected even if the bytes it
+/// selects match the checksum.
+fn checksum(record: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&(record.len() as u32).to_le_bytes());
     hasher.update(record);
     hasher.finalize()
 }
 
-/// What a file holds.
+/// Contents of a log file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogContents {
-    /// Its whole records, in order, with their offsets.
+    /// The complete records in order, each with its offset in bytes.
     pub records: Vec<(u64, Vec<u8>)>,
-    /// Bytes of a torn tail behind them.
+    /// Length of a truncated tail after them, in bytes.
     pub torn_bytes: u64,
 }
 
-/// Why a file can't be read.
+/// Why a log file cannot be read.
 #[derive(Debug)]
 pub enum LogError {
-    /// The system's word.
+    /// An I/O error on a file.
     File(PathBuf, io::Error),
-    /// Damage: what stood at this offset is lost, and whole records may stand behind it. Nothing was changed.
+    /// The file is damaged: the record at this offset is lost, and intact records may follow. The file was not modified.
     Damaged {
         /// The file.
         file: PathBuf,
-        /// Where the damage begins.
+        /// Offset in bytes at which the damage begins.
         offset: u64,
-        /// Bytes from there to the file's end.
+        /// Bytes from there to the end of the file.
         unread_bytes: u64,
     },
 }
@@ -182,11 +186,11 @@
             LogError::Damaged {
                 file,
                 offset,
-                unread_bytes: behind,
+                unread_bytes,
             } => {
                 write!(
                     f,
-                    "{}: damaged at byte {offset}, {behind} bytes from there on are not read",
+                    "{}: damaged at byte {offset}, the {unread_bytes} bytes from there on were not read",
                     file.display()
                 )
             }
@@ -196,16 +200,16 @@
 
 impl std::error::Error for LogError {}
 
-/// Reads a file whole.
+/// Reads all records of a file.
 ///
 /// # Errors
-/// The system's; damage, with its place.
+/// An I/O error; damage, with its offset.
 pub fn read(path: &Path) -> Result<LogContents, LogError> {
     let mut bytes = Vec::new();
-    let system = |error| LogError::File(path.to_path_buf(), error);
+    let io_error = |error| LogError::File(path.to_path_buf(), error);
     File::open(path)
         .and_then(|mut file| file.read_to_end(&mut bytes))
-        .map_err(system)?;
+        .map_err(io_error)?;
     decode(&bytes).map_err(|offset| LogError::Damaged {
         file: path.to_path_buf(),
         offset,
@@ -213,63 +217,63 @@
     })
 }
 
-/// The records of a file's bytes.
+/// Decodes the records of a file's bytes.
 ///
 /// # Errors
-/// Where damage begins.
+/// The offset at which damage begins.
 pub fn decode(bytes: &[u8]) -> Result<LogContents, u64> {
     let mut records = Vec::new();
     let mut at = 0;
     loop {
         let rest = &bytes[at..];
-        let torn = LogContents {
+        let tail = LogContents {
             records: Vec::new(),
             torn_bytes: rest.len() as u64,
         };
-        if rest.iter().all(|byte| *byte == 0) || rest.len() < HEAD {
-            return Ok(LogContents { records, ..torn });
+        if rest.iter().all(|byte| *byte == 0) || rest.len() < HEADER_BYTES {
+            return Ok(LogContents { records, ..tail });
         }
-        let word = |from: usize| {
+        let read_u32 = |from: usize| {
             u32::from_le_bytes([rest[from], rest[from + 1], rest[from + 2], rest[from + 3]])
         };
-        let (length, told) = (word(0) as usize, word(4));
+        let (length, stored_checksum) = (read_u32(0) as usize, read_u32(4));
         if length > MAX_RECORD_BYTES {
             return Err(at as u64);
         }
-        let Some(record) = rest.get(HEAD..HEAD + length) else {
-            // Danger: a changed length of a record in the middle also reaches past the end; then something whole
-            // stands behind its head.
-            return if whole_behind(&rest[1..]) {
+        let Some(record) = rest.get(HEADER_BYTES..HEADER_BYTES + length) else {
+            // A corrupted length in the middle of the file may also reach past the end. Without this check that damage
+            // would pass as a truncated tail; it shows by an intact record that follows.
+            return if has_intact_record(&rest[1..]) {
                 Err(at as u64)
             } else {
-                Ok(LogContents { records, ..torn })
+                Ok(LogContents { records, ..tail })
             };
         };
-        if sum(record) != told {
-            // A loss of power may leave zeros where a tail was to be; anything else is damage.
-            let unwritten =
+        if checksum(record) != stored_checksum {
+            // A power loss may leave zeros in place of the tail; anything else is damage.
+            let is_zeroed =
                 record.iter().rev().take_while(|byte| **byte == 0).count() == length && length > 0;
-            let last = rest[HEAD + length..].iter().all(|byte| *byte == 0);
-            return if unwritten && last {
-                Ok(LogContents { records, ..torn })
+            let is_last = rest[HEADER_BYTES + length..].iter().all(|byte| *byte == 0);
+            return if is_zeroed && is_last {
+                Ok(LogContents { records, ..tail })
             } else {
                 Err(at as u64)
             };
         }
         records.push((at as u64, record.to_vec()));
-        at += HEAD + length;
+        at += HEADER_BYTES + length;
     }
 }
 
-/// Whether a whole record begins anywhere in these bytes.
-fn whole_behind(bytes: &[u8]) -> bool {
-    (0..bytes.len().saturating_sub(HEAD)).any(|at| {
+/// Whether an intact record begins anywhere in these bytes.
+fn has_intact_record(bytes: &[u8]) -> bool {
+    (0..bytes.len().saturating_sub(HEADER_BYTES)).any(|at| {
         let rest = &bytes[at..];
         let length = u32::from_le_bytes([rest[0], rest[1], rest[2], rest[3]]) as usize;
-        let told = u32::from_le_bytes([rest[4], rest[5], rest[6], rest[7]]);
+        let stored_checksum = u32::from_le_bytes([rest[4], rest[5], rest[6], rest[7]]);
         (1..=MAX_RECORD_BYTES).contains(&length)
             && rest
-                .get(HEAD..HEAD + length)
-                .is_some_and(|record| sum(record) == told)
+                .get(HEADER_BYTES..HEADER_BYTES + length)
+                .is_some_and(|record| checksum(record) == stored_checksum)
     })
 }
--- a/crates/usage/src/reader.rs
+++ b/crates/usage/src/reader.rs
@@ -1,4 +1,4 @@
-//! Going through what was booked.
+//! Reading recorded attempts.
 
 use std::fmt;
 use std::io;
@@ -8,44 +8,44 @@
 use crate::log::{self, LogError};
 use crate::record::{AttemptUsage, FORMAT_VERSION, LogRecord};
 
-/// A try as it stands in the ledger.
+/// An attempt as read from the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedAttempt {
-    /// The limiter.
+    /// Name of the limiter.
     pub limiter: String,
-    /// Its life.
+    /// Number of the limiter's incarnation.
     pub incarnation: u64,
-    /// Number within that life, from 1 without gaps.
+    /// Number within that incarnation, from 1 without gaps.
     pub number: u64,
-    /// What was booked.
+    /// The recorded usage.
     pub usage: AttemptUsage,
-    /// Booked in the last group before a kill: it may not have gone out.
+    /// Recorded in the last group before a kill, so possibly not sent.
     pub maybe_unsent: bool,
 }
 
-/// A life's file.
+/// Contents of an incarnation's file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct IncarnationLog {
-    /// Its tries.
+    /// Its attempts.
     pub attempts: Vec<RecordedAttempt>,
-    /// Bytes of a torn tail, which was never acknowledged.
+    /// Length in bytes of a truncated tail, which was never acknowledged as written.
     pub torn_bytes: u64,
 }
 
-/// Why a ledger can't be read.
+/// Why a ledger cannot be read.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The folder.
+    /// An I/O error on the folder.
     Folder(PathBuf, io::Error),
-    /// The log.
+    /// An error of a log file.
     Log(LogError),
-    /// A record that is whole and makes no sense, by its place.
+    /// A record is intact but invalid.
     Record {
         /// The file.
         file: PathBuf,
-        /// Where the record begins.
+        /// Offset of the record in bytes.
         offset: u64,
-        /// What is wrong with it.
+        /// Description of the error.
         message: String,
     },
 }
@@ -58,9 +58,9 @@
             ReadError::Record {
                 file,
                 offset,
-                message: text,
+                message,
             } => {
-                write!(f, "{}: byte {offset}: {text}", file.display())
+                write!(f, "{}: byte {offset}: {message}", file.display())
             }
         }
     }
@@ -68,76 +68,72 @@
 
 impl std::error::Error for ReadError {}
 
-/// Reads one life.
+/// Reads one incarnation.
 ///
 /// # Errors
-/// The system's; damage or a gap, by its place. Nothing is passed over in silence.
-pub fn read_incarnation(folder: &Path, life: u64) -> Result<IncarnationLog, ReadError> {
-    let file = folder.join(file_name(life));
+/// An I/O error; damage or a gap, with its offset. No record is skipped silently.
+pub fn read_incarnation(folder: &Path, incarnation: u64) -> Result<IncarnationLog, ReadError> {
+    let file = folder.join(file_name(incarnation));
     let contents = log::read(&file).map_err(ReadError::Log)?;
-    let mut read = IncarnationLog {
+    let mut log = IncarnationLog {
         attempts: Vec::new(),
         torn_bytes: contents.torn_bytes,
     };
-    let (mut limiter, mut sent) = (None, 0);
+    let (mut limiter, mut sent_attempts) = (None, 0);
     for (offset, bytes) in &contents.records {
-        let bad = |text: String| ReadError::Record {
+        let invalid_record = |message: String| ReadError::Record {
             file: file.clone(),
             offset: *offset,
-            message: text,
+            message,
         };
         match (postcard::from_bytes::<LogRecord>(bytes), &limiter) {
-            (
-                Ok(LogRecord::Header {
-                    format_version: form,
-                    ..
-                }),
-                None,
-            ) if form != FORMAT_VERSION => {
-                return Err(bad(format!(
-                    "form {form}, this program reads {FORMAT_VERSION}"
+            (Ok(LogRecord::Header { format_version, .. }), None)
+                if format_version != FORMAT_VERSION =>
+            {
+                return Err(invalid_record(format!(
+                    "format version {format_version} is not supported, expected {FORMAT_VERSION}"
                 )));
             }
             (
                 Ok(LogRecord::Header {
                     limiter: name,
-                    incarnation: told,
+                    incarnation: header_incarnation,
                     ..
                 }),
                 None,
-            ) if told == life => limiter = Some(name),
-            (Ok(LogRecord::Attempt(number, booking)), Some(limiter))
-                if number == read.attempts.len() as u64 + 1 =>
+            ) if header_incarnation == incarnation => limiter = Some(name),
+            (Ok(LogRecord::Attempt(number, usage)), Some(limiter))
+                if number == log.attempts.len() as u64 + 1 =>
             {
-                read.attempts.push(RecordedAttempt {
+                log.attempts.push(RecordedAttempt {
                     limiter: limiter.clone(),
-                    incarnation: life,
+                    incarnation,
                     number,
-                    usage: booking,
+                    usage,
                     maybe_unsent: false,
                 });
             }
-            (Ok(LogRecord::Sent(upto)), Some(_)) if upto <= read.attempts.len() as u64 => {
-                sent = sent.max(upto)
+            (Ok(LogRecord::Sent(last_sent)), Some(_)) if last_sent <= log.attempts.len() as u64 => {
+                sent_attempts = sent_attempts.max(last_sent)
             }
-            (Ok(other), _) => return Err(bad(format!("out of place: {other:?}"))),
-            (Err(error), _) => return Err(bad(error.to_string())),
+            (Ok(other), _) => return Err(invalid_record(format!("unexpected record: {other:?}"))),
+            (Err(error), _) => return Err(invalid_record(error.to_string())),
         }
     }
-    read.attempts
+    log.attempts
         .iter_mut()
-        .for_each(|t| t.maybe_unsent = t.number > sent);
-    Ok(read)
+        .for_each(|t| t.maybe_unsent = t.number > sent_attempts);
+    Ok(log)
 }
 
-/// Reads all lives of a folder, in order.
+/// Reads all incarnations of a folder, in order.
 ///
 /// # Errors
-/// As [`life`].
+/// See [`read_incarnation`].
 pub fn read_all(folder: &Path) -> Result<Vec<IncarnationLog>, ReadError> {
-    let lives =
+    let incarnations =
         list_incarnations(folder).map_err(|e| ReadError::Folder(folder.to_path_buf(), e))?;
-    lives
+    incarnations
         .into_iter()
         .map(|number| read_incarnation(folder, number))
         .collect()
--- a/crates/usage/src/record.rs
+++ b/crates/usage/src/record.rs
@@ -1,49 +1,49 @@
-//! What is booked.
+//! The records of the usage ledger.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
 
-/// A try that goes out.
+/// Usage of an attempt that is sent upstream.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct AttemptUsage {
-    /// When it was first sent on.
+    /// When it was first sent, in microseconds since the epoch.
     pub sent_at: Micros,
-    /// Whose it is.
+    /// The customer.
     pub customer: u64,
-    /// Its class, by name.
+    /// Name of the request class.
     pub class: String,
-    /// The plan that it was judged by, by name.
+    /// Name of the plan in effect.
     pub plan: String,
-    /// The version of the plan book at that time; 0 without a book.
+    /// Version of the plan book at that time; 0 without a plan book.
     pub plan_version: u64,
-    /// Units, in thousandths.
+    /// Units used, in thousandths.
     pub milli_units: u64,
-    /// The reservation that it took from.
+    /// Id of the reservation that it drew from.
     pub reservation: Option<String>,
-    /// Its idempotency key.
+    /// Idempotency key of the request.
     pub idempotency_key: Option<String>,
-    /// A client's retry: a try of its own, which the reader may tell from the first.
+    /// Whether it is a client's retry, which counts as an attempt of its own.
     pub is_retry: bool,
 }
 
-/// What stands in the log.
+/// A record of the log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum LogRecord {
-    /// The first of a file: whose life it is.
+    /// First record of a file.
     Header {
-        /// Version of this form.
+        /// Version of the format; see [`FORMAT_VERSION`].
         format_version: u32,
-        /// The limiter.
+        /// Name of the limiter.
         limiter: String,
-        /// Its life, from 1.
+        /// Number of the limiter's incarnation, from 1.
         incarnation: u64,
     },
-    /// A try, numbered from 1 without gaps.
+    /// An attempt, numbered from 1 without gaps.
     Attempt(u64, AttemptUsage),
-    /// All tries up to this number went out: a kill came after them, not between booking and sending.
+    /// All attempts up to this number were sent: a kill, if any, came after that and not between recording and sending.
     Sent(u64),
 }
 
-/// The version of the form that is written.
+/// Version of the format that is written.
 pub const FORMAT_VERSION: u32 = 1;
--- a/crates/usage/tests/export.rs
+++ b/crates/usage/tests/export.rs
@@ -1,4 +1,4 @@
-//! The export under kills at every step, damage and two processes: nothing missing, nothing doubled.
+//! Export with kills at every step, damaged files and two processes: no attempt is lost or exported twice.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,7 +8,7 @@
 use usage::ledger::{Ledger, file_name};
 use usage::record::AttemptUsage;
 
-fn booked(ledger: &mut Ledger, count: u64) {
+fn record_attempts(ledger: &mut Ledger, count: u64) {
     for customer in 0..count {
         ledger
             .record(AttemptUsage {
@@ -22,15 +22,15 @@
     ledger.write().unwrap();
 }
 
-/// A life of so many tries that ended without a word of its last group.
-fn life(folder: &Path, count: u64) {
+/// An incarnation with `count` attempts that ended before it recorded that its last group was sent.
+fn write_incarnation(folder: &Path, count: u64) {
     let (mut ledger, _) = Ledger::open(folder, "n0").unwrap();
-    booked(&mut ledger, count);
+    record_attempts(&mut ledger, count);
 }
 
-/// What stands in the batches of a folder: by life and number, and how many are unsure.
-fn handed_over(out: &Path) -> (Vec<(i64, i64)>, i64) {
-    let (mut all, mut unsure) = (Vec::new(), 0);
+/// The attempts in the batches of a folder as pairs of incarnation and number, and how many are possibly unsent.
+fn read_batches(out: &Path) -> (Vec<(i64, i64)>, i64) {
+    let (mut attempts, mut maybe_unsent) = (Vec::new(), 0);
     let mut paths: Vec<_> = fs::read_dir(out)
         .unwrap()
         .map(|e| e.unwrap().path())
@@ -38,38 +38,41 @@
     paths.sort();
     for path in paths {
         let stored = table::open(&path).unwrap();
-        all.extend(
+        attempts.extend(
             stored
                 .integers("life")
                 .unwrap()
                 .into_iter()
                 .zip(stored.integers("number").unwrap()),
         );
-        unsure += stored.integers("unsure").unwrap().iter().sum::<i64>();
+        maybe_unsent += stored.integers("unsure").unwrap().iter().sum::<i64>();
     }
-    (all, unsure)
+    (attempts, maybe_unsent)
 }
 
-/// Runs until nothing is left; ahead of each run that is let alone goes one that is ended at a step. Opened anew each
-/// time, as by a process that was killed.
-fn run(folder: &Path, out: &Path, most: usize, kill: Step) {
+/// Exports until nothing is left. Before each complete run there is one that is interrupted at a step. The exporter is
+/// opened anew each time, as after a kill of its process.
+fn run_until_done(folder: &Path, out: &Path, max_attempts: usize, interrupted_step: Step) {
     for _ in 0..100 {
         Exporter::open(folder)
             .unwrap()
-            .write_batch(out, most, &mut |step| step != kill)
+            .write_batch(out, max_attempts, &mut |step| step != interrupted_step)
             .unwrap();
         let mut export = Exporter::open(folder).unwrap();
-        match export.write_batch(out, most, &mut |_| true).unwrap() {
+        match export
+            .write_batch(out, max_attempts, &mut |_| true)
+            .unwrap()
+        {
             Some(batch) => export.acknowledge(batch.number).unwrap(),
             None => return,
         }
     }
-    panic!("no end");
+    panic!("export did not finish within 100 runs");
 }
 
 #[test]
-fn ended_at_any_step_and_begun_again_it_hands_over_the_same_set() {
-    for kill in [
+fn an_export_interrupted_at_any_step_and_resumed_exports_each_attempt_once() {
+    for interrupted_step in [
         Step::Started,
         Step::BatchRecorded,
         Step::Written,
@@ -78,22 +81,22 @@
         let (folder, out) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
         [7, 3, 5]
             .iter()
-            .for_each(|count| life(folder.path(), *count));
-        run(folder.path(), out.path(), 4, kill);
-        let (all, unsure) = handed_over(out.path());
-        let distinct: BTreeSet<_> = all.iter().collect();
+            .for_each(|count| write_incarnation(folder.path(), *count));
+        run_until_done(folder.path(), out.path(), 4, interrupted_step);
+        let (attempts, maybe_unsent) = read_batches(out.path());
+        let distinct: BTreeSet<_> = attempts.iter().collect();
         assert_eq!(
-            (all.len(), distinct.len(), unsure),
+            (attempts.len(), distinct.len(), maybe_unsent),
             (15, 15, 15),
-            "{kill:?}"
+            "{interrupted_step:?}"
         );
     }
 }
 
 #[test]
-fn a_repeat_reproduces_a_batch_byte_for_byte_and_later_use_does_not_change_it() {
+fn a_repeated_run_reproduces_the_pending_batch_despite_later_usage() {
     let (folder, out) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
-    life(folder.path(), 5);
+    write_incarnation(folder.path(), 5);
     let mut export = Exporter::open(folder.path()).unwrap();
     let batch = export
         .write_batch(out.path(), 3, &mut |_| true)
@@ -104,7 +107,7 @@
     let first = fs::read(&path).unwrap();
     fs::remove_file(&path).unwrap();
     drop(export);
-    life(folder.path(), 9);
+    write_incarnation(folder.path(), 9);
     let mut export = Exporter::open(folder.path()).unwrap();
     assert_eq!(
         export.write_batch(out.path(), 100, &mut |_| true).unwrap(),
@@ -128,58 +131,58 @@
 }
 
 #[test]
-fn of_a_life_that_goes_on_only_what_went_out_is_handed_over() {
+fn only_sent_attempts_of_a_running_incarnation_are_exported() {
     let (folder, out) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
     let (mut ledger, _) = Ledger::open(folder.path(), "n0").unwrap();
-    booked(&mut ledger, 4);
+    record_attempts(&mut ledger, 4);
     let mut export = Exporter::open(folder.path()).unwrap();
     assert_eq!(
         export.write_batch(out.path(), 100, &mut |_| true).unwrap(),
         None
     );
     ledger.mark_sent();
-    booked(&mut ledger, 2);
+    record_attempts(&mut ledger, 2);
     let batch = export
         .write_batch(out.path(), 100, &mut |_| true)
         .unwrap()
         .unwrap();
     assert_eq!(batch.attempt_count(), 4);
     export.acknowledge(1).unwrap();
-    // Killed: the last two may or may not have gone out, and are handed over as that.
+    // After a kill the last two attempts are exported as possibly unsent.
     drop(ledger);
     export
         .write_batch(out.path(), 100, &mut |_| true)
         .unwrap()
         .unwrap();
-    let (all, unsure) = handed_over(out.path());
-    assert_eq!((all.len(), unsure), (6, 2));
+    let (attempts, maybe_unsent) = read_batches(out.path());
+    assert_eq!((attempts.len(), maybe_unsent), (6, 2));
 }
 
 #[test]
-fn damage_ends_an_export_by_its_place_and_a_second_process_is_refused() {
+fn damage_is_reported_with_its_offset_and_a_second_process_is_rejected() {
     let (folder, out) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
-    life(folder.path(), 5);
-    life(folder.path(), 5);
+    write_incarnation(folder.path(), 5);
+    write_incarnation(folder.path(), 5);
     let path = folder.path().join(file_name(1));
-    let whole = fs::read(&path).unwrap();
-    let mut damaged = whole.clone();
-    damaged[whole.len() / 2] ^= 1;
+    let intact = fs::read(&path).unwrap();
+    let mut damaged = intact.clone();
+    damaged[intact.len() / 2] ^= 1;
     fs::write(&path, &damaged).unwrap();
     let mut export = Exporter::open(folder.path()).unwrap();
     assert!(matches!(
         Exporter::open(folder.path()),
         Err(ExportError::Locked(_))
     ));
-    let said = export
+    let error = export
         .write_batch(out.path(), 100, &mut |_| true)
         .unwrap_err()
         .to_string();
     assert!(
-        said.contains("life-00000001.use: damaged at byte "),
-        "{said}"
+        error.contains("life-00000001.use: damaged at byte "),
+        "{error}"
     );
     assert_eq!(fs::read_dir(out.path()).unwrap().count(), 0);
-    fs::write(&path, &whole).unwrap();
+    fs::write(&path, &intact).unwrap();
     assert_eq!(
         export
             .write_batch(out.path(), 100, &mut |_| true)
@@ -190,6 +193,6 @@
     );
     drop(export);
     fs::write(folder.path().join("export.json"), "{\"acknowledgd\":1}").unwrap();
-    let said = Exporter::open(folder.path()).unwrap_err().to_string();
-    assert!(said.contains("did you mean 'acknowledged'?"), "{said}");
+    let error = Exporter::open(folder.path()).unwrap_err().to_string();
+    assert!(error.contains("did you mean 'acknowledged'?"), "{error}");
 }
--- a/crates/usage/tests/golden.rs
+++ b/crates/usage/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The ledger's files stay as they are, byte for byte: a ledger outlives the program that wrote it.
+//! The byte format of the ledger's files must not change, because a ledger outlives the program that wrote it.
 
 use std::fs;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_ledger_keeps_its_bytes_and_is_read_back() {
+fn ledger_files_keep_their_byte_format_and_are_read_back() {
     let folder = tempfile::tempdir().unwrap();
     let (mut ledger, life) = Ledger::open(folder.path(), "limiter-1").unwrap();
     for booking in bookings() {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_cursor_of_an_export_keeps_its_keys() {
+fn the_export_cursor_keeps_its_keys() {
     let (folder, out) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
     let (mut ledger, _) = Ledger::open(folder.path(), "limiter-1").unwrap();
     ledger.record(bookings()[0].clone()).unwrap();
--- a/crates/usage/tests/ledger.rs
+++ b/crates/usage/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger under cuts, flips, full disks and kills.
+//! The ledger with truncated files, flipped bits, full disks and kills.
 
 use std::fs;
 use std::io;
@@ -10,7 +10,7 @@
 use usage::reader::{self, ReadError};
 use usage::record::AttemptUsage;
 
-fn booking(customer: u64) -> AttemptUsage {
+fn usage(customer: u64) -> AttemptUsage {
     let key = Some(format!("key-{customer}"));
     AttemptUsage {
         sent_at: 7,
@@ -23,65 +23,70 @@
     }
 }
 
-/// Groups of these sizes, each sent but the last.
-fn written(folder: &Path, groups: &[u64]) {
+/// Writes an incarnation with groups of these sizes; all groups but the last are marked as sent.
+fn write_incarnation(folder: &Path, groups: &[u64]) {
     let (mut ledger, _) = Ledger::open(folder, "n0").unwrap();
     let mut customer = 0;
-    for (k, size) in groups.iter().enumerate() {
+    for (index, size) in groups.iter().enumerate() {
         for _ in 0..*size {
             customer += 1;
-            ledger.record(booking(customer)).unwrap();
+            ledger.record(usage(customer)).unwrap();
         }
         ledger.write().unwrap();
-        if k + 1 < groups.len() {
+        if index + 1 < groups.len() {
             ledger.mark_sent();
         }
     }
 }
 
 #[test]
-fn what_was_booked_is_read_and_a_kill_before_the_sending_leaves_one_unsure_group() {
+fn recorded_attempts_are_read_and_a_kill_before_sending_leaves_one_group_possibly_unsent() {
     let folder = tempfile::tempdir().unwrap();
-    written(folder.path(), &[3, 2, 4]);
-    written(folder.path(), &[1]);
-    let lives = reader::read_all(folder.path()).unwrap();
-    let sure = |life: usize| {
-        lives[life]
+    write_incarnation(folder.path(), &[3, 2, 4]);
+    write_incarnation(folder.path(), &[1]);
+    let incarnations = reader::read_all(folder.path()).unwrap();
+    let sent_count = |incarnation: usize| {
+        incarnations[incarnation]
             .attempts
             .iter()
             .filter(|t| !t.maybe_unsent)
             .count()
     };
     assert_eq!(
-        (lives.len(), lives[0].attempts.len(), sure(0), sure(1)),
+        (
+            incarnations.len(),
+            incarnations[0].attempts.len(),
+            sent_count(0),
+            sent_count(1)
+        ),
         (2, 9, 5, 0)
     );
     assert!(
-        lives[0]
+        incarnations[0]
             .attempts
             .iter()
             .enumerate()
-            .all(|(k, t)| t.number == k as u64 + 1 && t.usage.customer == t.number)
+            .all(|(index, t)| t.number == index as u64 + 1 && t.usage.customer == t.number)
     );
     assert_eq!(
         (
-            lives[1].attempts[0].incarnation,
-            lives[1].attempts[0].limiter.as_str()
+            incarnations[1].attempts[0].incarnation,
+            incarnations[1].attempts[0].limiter.as_str()
         ),
         (2, "n0")
     );
 }
 
 #[test]
-fn a_life_that_ended_in_order_has_nothing_unsure() {
+fn an_incarnation_that_ended_in_order_has_no_possibly_unsent_attempts() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut ledger, life) = Ledger::open(folder.path(), "n0").unwrap();
-    ledger.record(booking(1)).unwrap();
+    let (mut ledger, incarnation) = Ledger::open(folder.path(), "n0").unwrap();
+    ledger.record(usage(1)).unwrap();
     ledger.write().unwrap();
     ledger.mark_sent();
     ledger.sync().unwrap();
     assert!(
-        !reader::read_incarnation(folder.path(), life)
+        !reader::read_incarnation(folder.path(), incarnation)
             .unwrap()
             .attempts[0]
             .maybe_unsent
@@ -89,58 +94,62 @@
 }
 
 #[test]
-fn one_process_books_at_a_time() {
+fn only_one_process_writes_at_a_time() {
     let folder = tempfile::tempdir().unwrap();
-    let held = Ledger::open(folder.path(), "n0").unwrap();
+    let locked = Ledger::open(folder.path(), "n0").unwrap();
     assert!(matches!(
         Ledger::open(folder.path(), "n0"),
         Err(OpenError::Locked(_))
     ));
-    drop(held);
+    drop(locked);
     assert_eq!(Ledger::open(folder.path(), "n0").unwrap().1, 2);
 }
 
-/// Every cut leaves an earlier state, and every flipped byte is named or leaves all that was acknowledged.
+/// Truncation at any byte leaves an earlier state. A flipped bit is reported as damage, except where it makes the last
+/// record look truncated; all records before that one are then still read.
 #[test]
-fn cuts_leave_an_earlier_state_and_flips_are_never_passed_over() {
+fn truncation_leaves_an_earlier_state_and_flipped_bits_are_never_ignored() {
     let folder = tempfile::tempdir().unwrap();
-    written(folder.path(), &[2, 3, 2]);
+    write_incarnation(folder.path(), &[2, 3, 2]);
     let path = folder.path().join(file_name(1));
-    let whole = fs::read(&path).unwrap();
-    let tries = reader::read_incarnation(folder.path(), 1).unwrap().attempts;
-    let mut before = 0;
-    for cut in 0..=whole.len() {
-        fs::write(&path, &whole[..cut]).unwrap();
+    let intact = fs::read(&path).unwrap();
+    let attempts = reader::read_incarnation(folder.path(), 1).unwrap().attempts;
+    let mut previous_count = 0;
+    for length in 0..=intact.len() {
+        fs::write(&path, &intact[..length]).unwrap();
         let read = reader::read_incarnation(folder.path(), 1).unwrap();
         assert!(
-            read.attempts.len() >= before && read.attempts.len() <= tries.len(),
-            "cut at {cut}"
+            read.attempts.len() >= previous_count && read.attempts.len() <= attempts.len(),
+            "truncated at {length}"
         );
-        before = read.attempts.len();
-        let same = read
+        previous_count = read.attempts.len();
+        let is_prefix = read
             .attempts
             .iter()
-            .zip(&tries)
+            .zip(&attempts)
             .all(|(a, b)| a.usage == b.usage && a.number == b.number);
-        assert!(same, "cut at {cut}");
+        assert!(is_prefix, "truncated at {length}");
     }
-    assert_eq!(before, tries.len());
-    let mut named = 0;
-    for at in 0..whole.len() {
+    assert_eq!(previous_count, attempts.len());
+    let mut reported = 0;
+    for at in 0..intact.len() {
         for bit in [0x01, 0x80] {
-            let mut flipped = whole.clone();
-            flipped[at] ^= bit;
-            fs::write(&path, &flipped).unwrap();
+            let mut damaged = intact.clone();
+            damaged[at] ^= bit;
+            fs::write(&path, &damaged).unwrap();
             match reader::read_incarnation(folder.path(), 1) {
                 Err(ReadError::Log(log::LogError::Damaged { offset, .. })) => {
-                    assert!(offset <= at as u64, "byte {at} is not behind {offset}");
-                    named += 1;
+                    assert!(
+                        offset <= at as u64,
+                        "damage at byte {at} is reported at the later offset {offset}"
+                    );
+                    reported += 1;
                 }
                 Err(error) => panic!("byte {at}: {error}"),
-                // Only a longer length of the very last record looks like a tail that was cut off.
+                // Only an increased length of the last record looks like a truncated tail.
                 Ok(read) => {
                     assert!(
-                        read.torn_bytes > 0 && read.attempts.len() == tries.len() - 1,
+                        read.torn_bytes > 0 && read.attempts.len() == attempts.len() - 1,
                         "byte {at}"
                     );
                 }
@@ -148,30 +157,30 @@
         }
     }
     println!(
-        "{} cuts, {} flips, {named} named",
-        whole.len() + 1,
-        whole.len() * 2
+        "{} truncations, {} flips, {reported} reported",
+        intact.len() + 1,
+        intact.len() * 2
     );
     assert!(
-        named >= whole.len() * 2 - 8,
-        "{named} of {}",
-        whole.len() * 2
+        reported >= intact.len() * 2 - 8,
+        "{reported} of {}",
+        intact.len() * 2
     );
 }
 
-/// A disk that has room for so many bytes until it is given more, and takes a few at a time.
+/// A file on a disk with a capacity in bytes, which accepts at most 7 bytes per write.
 #[derive(Default)]
-struct Small {
+struct SmallFile {
     bytes: Vec<u8>,
-    room: usize,
+    capacity: usize,
 }
 
-impl LogFile for &mut Small {
+impl LogFile for &mut SmallFile {
     fn append(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let length = bytes
             .len()
             .min(7)
-            .min(self.room.saturating_sub(self.bytes.len()));
+            .min(self.capacity.saturating_sub(self.bytes.len()));
         if length == 0 {
             return Err(io::ErrorKind::StorageFull.into());
         }
@@ -190,17 +199,17 @@
 }
 
 #[test]
-fn a_full_disk_keeps_what_is_whole_and_the_group_goes_out_once_there_is_room() {
-    // For every size at which the disk is full.
-    for room in 60..400 {
-        let mut disk = Small {
+fn a_full_disk_keeps_complete_records_and_the_pending_group() {
+    // For a range of capacities at which the disk becomes full.
+    for capacity in 60..400 {
+        let mut file = SmallFile {
             bytes: Vec::new(),
-            room,
+            capacity,
         };
-        let mut ledger = Ledger::start(&mut disk, "n0", 1).unwrap();
+        let mut ledger = Ledger::start(&mut file, "n0", 1).unwrap();
         let mut failed = false;
         for customer in 1..=8 {
-            ledger.record(booking(customer)).unwrap();
+            ledger.record(usage(customer)).unwrap();
             if ledger.write().is_err() {
                 failed = true;
                 break;
@@ -209,25 +218,25 @@
         let pending = ledger.has_pending();
         drop(ledger);
         assert_eq!(failed, pending);
-        let read = log::decode(&disk.bytes).expect("a tail is torn, nothing is damaged");
+        let read = log::decode(&file.bytes).expect("the tail is truncated, not damaged");
         assert!(failed || read.records.len() == 9);
     }
-    // And with the writer still there.
-    let mut disk = Small {
+    // With a writer that continues after the error.
+    let mut file = SmallFile {
         bytes: Vec::new(),
-        room: 30,
+        capacity: 30,
     };
-    let mut writer = Writer::new(&mut disk);
+    let mut writer = Writer::new(&mut file);
     writer.append(b"a record of some length").unwrap();
     assert!(writer.write().is_err());
     writer.append(b"another").unwrap();
     assert!(writer.write().is_err(), "still full");
     drop(writer);
-    let mut disk = Small {
+    let mut file = SmallFile {
         bytes: Vec::new(),
-        room: 40,
+        capacity: 40,
     };
-    let mut writer = Writer::new(&mut disk);
+    let mut writer = Writer::new(&mut file);
     writer.append(b"first").unwrap();
     writer.write().unwrap();
     writer.append(b"a record of some length").unwrap();
@@ -237,13 +246,13 @@
 }
 
 #[test]
-fn random_records_come_back_in_order_from_groups_of_any_size() {
+fn random_records_are_read_back_in_order_from_groups_of_any_size() {
     fn holds(groups: Vec<Vec<Vec<u8>>>) -> bool {
-        let mut disk = Small {
+        let mut file = SmallFile {
             bytes: Vec::new(),
-            room: usize::MAX,
+            capacity: usize::MAX,
         };
-        let mut writer = Writer::new(&mut disk);
+        let mut writer = Writer::new(&mut file);
         for group in &groups {
             group
                 .iter()
@@ -251,7 +260,7 @@
             writer.write().unwrap();
         }
         drop(writer);
-        let read = log::decode(&disk.bytes).unwrap();
+        let read = log::decode(&file.bytes).unwrap();
         let records: Vec<Vec<u8>> = read.records.into_iter().map(|(_, record)| record).collect();
         records == groups.concat()
     }
