--- a/crates/config-check/src/lib.rs
+++ b/crates/config-check/src/lib.rs
@@ -1,20 +1,20 @@
-//! Reading JSON with faults named by key: the path to it, and the key that was meant where one is near.
+//! Reads JSON configuration and reports errors with the path of the key and, for a misspelled key, the closest known one.
 
 use std::fmt;
 
 use serde::de::DeserializeOwned;
 
-/// What is wrong with a file, and at which key.
+/// An error in a configuration file and the key that it concerns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyError {
-    /// The key, with those it lies under; empty for the whole.
+    /// Full path of the key; empty for the whole file.
     pub key: String,
-    /// What is wrong with it.
+    /// Description of the error.
     pub message: String,
 }
 
 impl KeyError {
-    /// A fault at a key.
+    /// Creates an error for a key.
     pub fn new(key: impl Into<String>, message: impl Into<String>) -> KeyError {
         KeyError {
             key: key.into(),
@@ -22,15 +22,15 @@
         }
     }
 
-    /// The same fault with its key below another one.
+    /// The same error with the key's path prefixed by a parent key.
     pub fn under_parent(self, parent: &str) -> KeyError {
-        let dot = if self.key.is_empty() || self.key.starts_with('[') {
+        let separator = if self.key.is_empty() || self.key.starts_with('[') {
             ""
         } else {
             "."
         };
         KeyError {
-            key: format!("{parent}{dot}{}", self.key),
+            key: format!("{parent}{separator}{}", self.key),
             message: self.message,
         }
     }
@@ -47,10 +47,10 @@
 
 impl std::error::Error for KeyError {}
 
-/// Reads a value from JSON text.
+/// Parses a value from JSON text.
 ///
 /// # Errors
-/// Text that is not JSON, with line and column; a key that is unknown, of a wrong type or missing, by its path.
+/// The text is not JSON (with line and column), or a key is unknown, missing or of a wrong type (with its path).
 pub fn parse_json<T: DeserializeOwned>(text: &str) -> Result<T, KeyError> {
     let mut reader = serde_json::Deserializer::from_str(text);
     let value = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
@@ -59,47 +59,48 @@
             inner if inner.is_syntax() || inner.is_eof() => {
                 KeyError::new("", format!("not JSON: {inner}"))
             }
-            inner => explain(
+            inner => to_key_error(
                 if path == "." { String::new() } else { path },
                 &inner.to_string(),
             ),
         }
     })?;
-    // Guards against a second document behind the first, which would be passed over in silence.
+    // Without this check a second document after the first would be ignored silently.
     reader
         .end()
         .map_err(|error| KeyError::new("", format!("not JSON: {error}")))?;
     Ok(value)
 }
 
-/// Turns serde's words on an unknown name into ours, with the name that was meant.
-fn explain(path: String, text: &str) -> KeyError {
-    let quoted: Vec<&str> = text.split('`').skip(1).step_by(2).collect();
-    let unknown = text.starts_with("unknown field") || text.starts_with("unknown variant");
-    let [name, known @ ..] = quoted.as_slice() else {
-        return KeyError::new(path, text);
+/// Builds the error for a serde message; for an unknown name it adds the closest known name, or all known ones.
+fn to_key_error(path: String, message: &str) -> KeyError {
+    let quoted_names: Vec<&str> = message.split('`').skip(1).step_by(2).collect();
+    let is_unknown_name =
+        message.starts_with("unknown field") || message.starts_with("unknown variant");
+    let [name, known_names @ ..] = quoted_names.as_slice() else {
+        return KeyError::new(path, message);
     };
-    if !unknown {
-        return KeyError::new(path, text);
+    if !is_unknown_name {
+        return KeyError::new(path, message);
     }
-    let near = known
+    let closest = known_names
         .iter()
-        .map(|k| {
+        .map(|known_name| {
             (
-                strsim::damerau_levenshtein(&k.to_lowercase(), &name.to_lowercase()),
-                k,
+                strsim::damerau_levenshtein(&known_name.to_lowercase(), &name.to_lowercase()),
+                known_name,
             )
         })
-        .filter(|(distance, k)| *distance <= 1 + k.len() / 4)
+        .filter(|(distance, known_name)| *distance <= 1 + known_name.len() / 4)
         .min();
-    let meant = match near {
-        Some((_, k)) => format!("did you mean '{k}'?"),
-        None => format!("known are {}", known.join(", ")),
+    let suggestion = match closest {
+        Some((_, known_name)) => format!("did you mean '{known_name}'?"),
+        None => format!("known are {}", known_names.join(", ")),
     };
-    if text.starts_with("unknown variant") {
-        return KeyError::new(path, format!("'{name}' is not known; {meant}"));
+    if message.starts_with("unknown variant") {
+        return KeyError::new(path, format!("'{name}' is not known; {suggestion}"));
     }
-    // The path of an unknown field may end with its name or with what holds it.
+    // The path of an unknown field ends with the field's name or with that of its parent.
     let key = if path.split('.').next_back() == Some(name) {
         path
     } else if path.is_empty() {
@@ -107,33 +108,33 @@
     } else {
         format!("{path}.{name}")
     };
-    KeyError::new(key, format!("unknown key; {meant}"))
+    KeyError::new(key, format!("unknown key; {suggestion}"))
 }
 
-/// Checks that a number lies within bounds, both of them allowed.
+/// Checks that a number lies within inclusive bounds.
 ///
 /// # Errors
-/// A number outside, or no number, by the key.
-pub fn check_within(key: &str, value: f64, low: f64, high: f64) -> Result<(), KeyError> {
-    match value >= low && value <= high {
+/// The number is out of bounds or NaN.
+pub fn check_within(key: &str, value: f64, min: f64, max: f64) -> Result<(), KeyError> {
+    match value >= min && value <= max {
         true => Ok(()),
         false => Err(KeyError::new(
             key,
-            format!("is {value}, not between {low} and {high}"),
+            format!("is {value}, not between {min} and {max}"),
         )),
     }
 }
 
-/// Checks that a pair is a range within bounds.
+/// Checks that a pair is an ascending range within inclusive bounds.
 ///
 /// # Errors
-/// As [`within`]; the ends in the wrong order.
-pub fn check_range(key: &str, [from, to]: [f64; 2], low: f64, high: f64) -> Result<(), KeyError> {
-    check_within(&format!("{key}[0]"), from, low, high)?;
-    check_within(&format!("{key}[1]"), to, low, high)?;
+/// An end is out of bounds or NaN, or the ends are in descending order.
+pub fn check_range(key: &str, [from, to]: [f64; 2], min: f64, max: f64) -> Result<(), KeyError> {
+    check_within(&format!("{key}[0]"), from, min, max)?;
+    check_within(&format!("{key}[1]"), to, min, max)?;
     match from <= to {
         true => Ok(()),
-        false => Err(KeyError::new(key, format!("{from} to {to} is no range"))),
+        false => Err(KeyError::new(key, format!("{from} to {to} is not a range"))),
     }
 }
 
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,4 +1,4 @@
-//! Tables in Parquet with zstd: written whole or not at all, read back by column name.
+//! Parquet tables compressed with zstd: written atomically, read back by column name.
 
 use std::fmt;
 use std::fs::{self, File};
@@ -16,31 +16,31 @@
 use parquet::file::writer::SerializedFileWriter;
 use parquet::schema::types::Type;
 
-/// Rows of a group: what is held in memory beside the table itself.
-const GROUP: usize = 1 << 18;
+/// Rows per row group; bounds the memory that the writer needs in addition to the table.
+const ROWS_PER_GROUP: usize = 1 << 18;
 
-/// A column: a name and as many values as every other.
+/// The values of a column; all columns of a table have the same length.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ColumnValues {
-    /// Whole numbers.
+    /// Integers.
     Integers(Vec<i64>),
-    /// Whole numbers that may be missing.
+    /// Integers or null.
     OptionalIntegers(Vec<Option<i64>>),
-    /// Texts.
+    /// UTF-8 strings.
     Strings(Vec<String>),
 }
 
-/// A table: columns by name, in order.
+/// A table: its columns in order, each with its name.
 pub type Table = Vec<(&'static str, ColumnValues)>;
 
-/// Why a table can't be written or read.
+/// Why a table cannot be written or read.
 #[derive(Debug)]
 pub enum TableError {
-    /// The system's word on a file.
+    /// An I/O error on a file.
     File(PathBuf, io::Error),
-    /// The file is no whole Parquet file, or the format's own fault.
+    /// The file is not a complete Parquet file, or the Parquet library reported an error.
     Format(PathBuf, ParquetError),
-    /// A column is missing or of another type.
+    /// The named column is missing or has another type.
     Column(PathBuf, String),
 }
 
@@ -49,10 +49,18 @@
         match self {
             TableError::File(path, error) => write!(f, "{}: {error}", path.display()),
             TableError::Format(path, error) => {
-                write!(f, "{}: not a whole table: {error}", path.display())
+                write!(
+                    f,
+                    "{}: not a complete Parquet table: {error}",
+                    path.display()
+                )
             }
             TableError::Column(path, name) => {
-                write!(f, "{}: no column '{name}' of its type", path.display())
+                write!(
+                    f,
+                    "{}: column '{name}' is missing or has another type",
+                    path.display()
+                )
             }
         }
     }
@@ -69,63 +77,63 @@
         }
     }
 
-    fn field(&self, name: &str) -> Result<Type, ParquetError> {
+    fn parquet_type(&self, name: &str) -> Result<Type, ParquetError> {
         let (physical, repetition) = match self {
             ColumnValues::Integers(_) => (Physical::INT64, Repetition::REQUIRED),
             ColumnValues::OptionalIntegers(_) => (Physical::INT64, Repetition::OPTIONAL),
             ColumnValues::Strings(_) => (Physical::BYTE_ARRAY, Repetition::REQUIRED),
         };
-        let text = matches!(self, ColumnValues::Strings(_)).then_some(LogicalType::String);
+        let logical_type = matches!(self, ColumnValues::Strings(_)).then_some(LogicalType::String);
         Type::primitive_type_builder(name, physical)
             .with_repetition(repetition)
-            .with_logical_type(text)
+            .with_logical_type(logical_type)
             .build()
     }
 }
 
-/// Writes a file whole or not at all: beside its place first, then moved there.
+/// Writes a file atomically: first to a temporary file in the same folder, which is then renamed to `path`.
 ///
 /// # Errors
-/// The system's; nothing half-written is left at either place.
+/// An I/O error, or an error of `write`; neither the file nor the temporary file is left incomplete.
 pub fn write_atomically<E>(
     path: &Path,
-    fail: impl Fn(io::Error) -> E,
+    to_error: impl Fn(io::Error) -> E,
     write: impl FnOnce(File) -> Result<File, E>,
 ) -> Result<(), E> {
     let mut name = path.file_name().unwrap_or_default().to_os_string();
     name.push(format!(".part-{}", std::process::id()));
-    let beside = path.with_file_name(name);
-    let done = File::create(&beside)
-        .map_err(&fail)
+    let temporary = path.with_file_name(name);
+    let result = File::create(&temporary)
+        .map_err(&to_error)
         .and_then(write)
         .and_then(|file| {
-            file.sync_all().map_err(&fail)?;
-            fs::rename(&beside, path).map_err(&fail)
+            file.sync_all().map_err(&to_error)?;
+            fs::rename(&temporary, path).map_err(&to_error)
         });
-    if done.is_err() {
-        // What can't be removed was not made either, or the error above names the disk's fault.
-        let _ = fs::remove_file(&beside);
+    if result.is_err() {
+        // If removal fails, the file was not created, or the error above already reports the problem of the disk.
+        let _ = fs::remove_file(&temporary);
     }
-    done
+    result
 }
 
-/// Writes a table.
+/// Writes a table to a file, atomically.
 ///
 /// # Errors
-/// The system's, most often a full disk; then nothing is left.
+/// An I/O error, most often a full disk; no incomplete file is left.
 pub fn write(path: &Path, table: &Table) -> Result<(), TableError> {
-    let format = |e| TableError::Format(path.to_path_buf(), e);
+    let format_error = |e| TableError::Format(path.to_path_buf(), e);
     write_atomically(
         path,
         |e| TableError::File(path.to_path_buf(), e),
-        |file| write_to(file, table).map_err(format),
+        |file| write_to(file, table).map_err(format_error),
     )
 }
 
 fn write_to(file: File, table: &Table) -> Result<File, ParquetError> {
     let fields = table
         .iter()
-        .map(|(name, values)| values.field(name).map(Arc::new))
+        .map(|(name, values)| values.parquet_type(name).map(Arc::new))
         .collect::<Result<_, _>>()?;
     let schema = Arc::new(
         Type::group_type_builder("schema")
@@ -137,9 +145,9 @@
         .build();
     let mut writer = SerializedFileWriter::new(file, schema, Arc::new(properties))?;
     let rows = table.first().map_or(0, |(_, values)| values.len());
-    let mut at = 0;
-    while at < rows {
-        let end = (at + GROUP).min(rows);
+    let mut start = 0;
+    while start < rows {
+        let end = (start + ROWS_PER_GROUP).min(rows);
         let mut group = writer.next_row_group()?;
         let mut columns = table.iter();
         while let Some(mut column) = group.next_column()? {
@@ -148,39 +156,45 @@
             };
             match (values, column.untyped()) {
                 (ColumnValues::Integers(v), ColumnWriter::Int64ColumnWriter(w)) => {
-                    w.write_batch(&v[at..end], None, None)?;
+                    w.write_batch(&v[start..end], None, None)?;
                 }
                 (ColumnValues::OptionalIntegers(v), ColumnWriter::Int64ColumnWriter(w)) => {
-                    let there: Vec<i64> = v[at..end].iter().flatten().copied().collect();
-                    let levels: Vec<i16> =
-                        v[at..end].iter().map(|v| i16::from(v.is_some())).collect();
-                    w.write_batch(&there, Some(&levels), None)?;
+                    let present: Vec<i64> = v[start..end].iter().flatten().copied().collect();
+                    let levels: Vec<i16> = v[start..end]
+                        .iter()
+                        .map(|v| i16::from(v.is_some()))
+                        .collect();
+                    w.write_batch(&present, Some(&levels), None)?;
                 }
                 (ColumnValues::Strings(v), ColumnWriter::ByteArrayColumnWriter(w)) => {
                     let bytes: Vec<ByteArray> =
-                        v[at..end].iter().map(|t| t.as_str().into()).collect();
+                        v[start..end].iter().map(|t| t.as_str().into()).collect();
                     w.write_batch(&bytes, None, None)?;
                 }
-                _ => return Err(ParquetError::General("a column of another type".into())),
+                _ => {
+                    return Err(ParquetError::General(
+                        "the column's values do not match its type".into(),
+                    ));
+                }
             }
             column.close()?;
         }
         group.close()?;
-        at = end;
+        start = end;
     }
     writer.into_inner()
 }
 
-/// A table's columns as they stand in a file.
+/// Reads the columns of a table file.
 pub struct TableReader {
     path: PathBuf,
     reader: SerializedFileReader<File>,
 }
 
-/// Opens a table.
+/// Opens a table file.
 ///
 /// # Errors
-/// A file that is missing, cut or no Parquet file.
+/// The file is missing, truncated or not a Parquet file.
 pub fn open(path: &Path) -> Result<TableReader, TableError> {
     let file = File::open(path).map_err(|e| TableError::File(path.to_path_buf(), e))?;
     let reader =
@@ -192,12 +206,12 @@
 }
 
 impl TableReader {
-    /// Rows.
+    /// Number of rows.
     pub fn row_count(&self) -> usize {
         self.reader.metadata().file_metadata().num_rows().max(0) as usize
     }
 
-    /// Column names.
+    /// Names of the columns, in order.
     pub fn column_names(&self) -> Vec<String> {
         let schema = self.reader.metadata().file_metadata().schema_descr();
         schema
@@ -207,46 +221,46 @@
             .collect()
     }
 
-    fn each(
+    fn for_each_row_group(
         &self,
         name: &str,
-        mut take: impl FnMut(ColumnReader, usize) -> Result<bool, ParquetError>,
+        mut read: impl FnMut(ColumnReader, usize) -> Result<bool, ParquetError>,
     ) -> Result<(), TableError> {
-        let lacks = || TableError::Column(self.path.clone(), name.to_string());
+        let column_error = || TableError::Column(self.path.clone(), name.to_string());
         let column = self
             .column_names()
             .iter()
             .position(|n| n == name)
-            .ok_or_else(lacks)?;
-        let format = |e| TableError::Format(self.path.clone(), e);
-        for number in 0..self.reader.num_row_groups() {
-            let group = self.reader.get_row_group(number).map_err(format)?;
+            .ok_or_else(column_error)?;
+        let format_error = |e| TableError::Format(self.path.clone(), e);
+        for index in 0..self.reader.num_row_groups() {
+            let group = self.reader.get_row_group(index).map_err(format_error)?;
             let rows = group.metadata().num_rows().max(0) as usize;
-            let reader = group.get_column_reader(column).map_err(format)?;
-            if !take(reader, rows).map_err(format)? {
-                return Err(lacks());
+            let reader = group.get_column_reader(column).map_err(format_error)?;
+            if !read(reader, rows).map_err(format_error)? {
+                return Err(column_error());
             }
         }
         Ok(())
     }
 
-    /// A column of whole numbers, all there.
+    /// Reads a column of integers without nulls.
     ///
     /// # Errors
-    /// The column is missing or of another type; the file is damaged.
+    /// The column is missing, has another type or contains nulls; the file is damaged.
     pub fn integers(&self, name: &str) -> Result<Vec<i64>, TableError> {
-        let perhaps = self.optional_integers(name)?;
-        let all: Option<Vec<i64>> = perhaps.into_iter().collect();
-        all.ok_or_else(|| TableError::Column(self.path.clone(), name.to_string()))
+        let values = self.optional_integers(name)?;
+        let integers: Option<Vec<i64>> = values.into_iter().collect();
+        integers.ok_or_else(|| TableError::Column(self.path.clone(), name.to_string()))
     }
 
-    /// A column of whole numbers, some of which may be missing.
+    /// Reads a column of integers that may contain nulls.
     ///
     /// # Errors
-    /// As [`Stored::numbers`].
+    /// The column is missing or has another type; the file is damaged.
     pub fn optional_integers(&self, name: &str) -> Result<Vec<Option<i64>>, TableError> {
         let mut all = Vec::with_capacity(self.row_count());
-        self.each(name, |reader, rows| {
+        self.for_each_row_group(name, |reader, rows| {
             let ColumnReader::Int64ColumnReader(mut reader) = reader else {
                 return Ok(false);
             };
@@ -268,13 +282,13 @@
         Ok(all)
     }
 
-    /// A column of texts.
+    /// Reads a column of strings.
     ///
     /// # Errors
-    /// As [`Stored::numbers`].
+    /// The column is missing or has another type; the file is damaged.
     pub fn strings(&self, name: &str) -> Result<Vec<String>, TableError> {
         let mut all = Vec::with_capacity(self.row_count());
-        self.each(name, |reader, rows| {
+        self.for_each_row_group(name, |reader, rows| {
             let ColumnReader::ByteArrayColumnReader(mut reader) = reader else {
                 return Ok(false);
             };
--- a/crates/table/src/tests.rs
+++ b/crates/table/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_table_comes_back_as_it_was_and_a_cut_one_is_refused() {
+fn tables_are_read_back_unchanged_and_truncated_files_are_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("t.parquet");
     let table: Table = vec![
@@ -16,33 +16,33 @@
         ),
     ];
     write(&path, &table).unwrap();
-    let stored = open(&path).unwrap();
+    let reader = open(&path).unwrap();
     assert_eq!(
-        (stored.row_count(), stored.column_names()),
+        (reader.row_count(), reader.column_names()),
         (3, vec!["n".into(), "p".into(), "t".into()])
     );
     assert_eq!(
-        ColumnValues::Integers(stored.integers("n").unwrap()),
+        ColumnValues::Integers(reader.integers("n").unwrap()),
         table[0].1
     );
     assert_eq!(
-        ColumnValues::OptionalIntegers(stored.optional_integers("p").unwrap()),
+        ColumnValues::OptionalIntegers(reader.optional_integers("p").unwrap()),
         table[1].1
     );
     assert_eq!(
-        ColumnValues::Strings(stored.strings("t").unwrap()),
+        ColumnValues::Strings(reader.strings("t").unwrap()),
         table[2].1
     );
-    assert!(matches!(stored.integers("x"), Err(TableError::Column(..))));
-    assert!(matches!(stored.integers("t"), Err(TableError::Column(..))));
+    assert!(matches!(reader.integers("x"), Err(TableError::Column(..))));
+    assert!(matches!(reader.integers("t"), Err(TableError::Column(..))));
     let bytes = fs::read(&path).unwrap();
-    for cut in (0..bytes.len()).step_by(7) {
-        fs::write(&path, &bytes[..cut]).unwrap();
-        assert!(open(&path).is_err(), "cut at {cut}");
+    for length in (0..bytes.len()).step_by(7) {
+        fs::write(&path, &bytes[..length]).unwrap();
+        assert!(open(&path).is_err(), "truncated at {length}");
     }
     assert_eq!(
         fs::read_dir(folder.path()).unwrap().count(),
         1,
-        "nothing half-written is left"
+        "no temporary file is left"
     );
 }
