--- a/crates/config-check/src/lib.rs
+++ b/crates/config-check/src/lib.rs
@@ -1,4 +1,5 @@
-//! Reads JSON configuration and reports errors with the path of the key and, for a misspelled key, the closest known one.
+//! Reads JSON configuration and reports errors with the path of the key and, for a misspelled key, the closest known
+//! one.
 
 use std::fmt;
 
--- a/crates/plans/src/book.rs
+++ b/crates/plans/src/book.rs
@@ -157,6 +157,7 @@
 pub struct PlanBook {
     platform_plans: PlatformPlans,
     entries: Vec<Entry>,
+    /// Version of each change, by the change's id.
     ids: BTreeMap<String, u64>,
     /// How far in the past a new change may take effect, in microseconds.
     max_lateness_us: Micros,
@@ -245,6 +246,7 @@
         Ok(ApplyOutcome::Applied(self.append(now, change)))
     }
 
+    /// Adds a change as the next version, and returns its number.
     fn append(&mut self, applied_at: Micros, change: Change) -> u64 {
         let version = self.version() + 1;
         self.ids.insert(change.id.clone(), version);
@@ -306,8 +308,8 @@
         }
     }
 
-    /// Checks that the overlapping reservations of a customer do not exceed what its plan can grant while they last. For
-    /// a customer without an assigned plan the most generous plan counts, because its requests name the plan.
+    /// Checks that the overlapping reservations of a customer do not exceed what its plan can grant while they last.
+    /// For a customer without an assigned plan the most generous plan counts, because its requests name the plan.
     fn check_grantable(
         &self,
         customer: u64,
@@ -360,6 +362,7 @@
             .map(|(t, at, _)| (t, at))
     }
 
+    /// The rate limit of a plan at an instant, and since when; `None` as the latter if the book never changed it.
     fn rate_limit_at(&self, plan: &str, at: Micros) -> Option<(RateLimit, Option<Micros>)> {
         let changed_at = self.change_in_effect(at, |kind| match kind {
             ChangeKind::RateLimit {
@@ -377,6 +380,7 @@
         }
     }
 
+    /// The latest assignment of a customer's plan at an instant, and since when it applies.
     fn assigned_plan_change(&self, customer: u64, at: Micros) -> Option<(Option<String>, Micros)> {
         self.change_in_effect(at, |kind| match kind {
             ChangeKind::AssignPlan {
@@ -392,9 +396,9 @@
             .and_then(|(plan, _)| plan)
     }
 
-    /// The plan in effect for a customer's request that is accepted at an instant and names a plan. A plan assigned in the
-    /// book overrides the one that the request names. Either way the book's rate limit for that plan applies. `None` if
-    /// there is no such plan.
+    /// The plan in effect for a customer's request that is accepted at an instant and names a plan. A plan assigned in
+    /// the book overrides the one that the request names. Either way the book's rate limit for that plan applies.
+    /// `None` if there is no such plan.
     pub fn effective_plan(
         &self,
         customer: u64,
@@ -431,6 +435,7 @@
             .min()
     }
 
+    /// Start and original end of a reservation, by the id of the change that created it.
     fn reservation_span(&self, id: &str) -> Option<(Micros, Micros)> {
         let entry = self.entries.get(*self.ids.get(id)? as usize - 1)?;
         match &entry.change.kind {
@@ -439,6 +444,7 @@
         }
     }
 
+    /// When a reservation is cancelled, if it is.
     fn cancelled_at(&self, id: &str) -> Option<Micros> {
         self.entries
             .iter()
--- a/crates/plans/src/change.rs
+++ b/crates/plans/src/change.rs
@@ -169,12 +169,9 @@
             None => Err(KeyError::new("account", "is not 16 hex digits below 2^33")),
         };
         match self {
-            ChangeKind::RateLimit {
-                plan,
-                rate_limit: figures,
-            } => {
+            ChangeKind::RateLimit { plan, rate_limit } => {
                 check_text("plan", plan)?;
-                figures.check()
+                rate_limit.check()
             }
             ChangeKind::AssignPlan { account, plan } => {
                 check_account(account)?;
--- a/crates/plans/src/token_bucket.rs
+++ b/crates/plans/src/token_bucket.rs
@@ -1,16 +1,16 @@
 //! A customer's token bucket across a change of its rate limit: the remaining units carry over.
 //!
 //! The limiters count usage in windows whose length is burst divided by rate, and the length is part of the counter's
-//! name. If a change brought its own window length, it would start a fresh window and so grant a second burst. Therefore
-//! a customer's windows keep their length (that of the plan its requests name, from the platform's settings) and a change
-//! carries over the *remaining units* instead:
+//! name. If a change brought its own window length, it would start a fresh window and so grant a second burst.
+//! Therefore a customer's windows keep their length (that of the plan its requests name, from the platform's settings)
+//! and a change carries over the *remaining units* instead:
 //!
 //! - limit raised: the remaining units stay, and refill at the new rate up to the new burst;
 //! - limit lowered: the remaining units stay, capped at the new burst.
 //!
-//! Bound: after a change, the units granted within a span are at most the remaining units at the change plus the new rate
-//! times the span. In the two windows after the change this never exceeds what the larger of the two plans grants in the
-//! same time.
+//! Bound: after a change, the units granted within a span are at most the remaining units at the change plus the new
+//! rate times the span. In the two windows after the change this never exceeds what the larger of the two plans grants
+//! in the same time.
 
 use crate::Micros;
 use crate::change::RateLimit;
@@ -70,8 +70,8 @@
 }
 
 /// Units to add to a window's usage count when the rate limit changes, so that the window grants the same as
-/// [`TokenBucket`] does: a window grants the burst plus the refilled units, less the usage. `remaining_units`: those of the
-/// bucket before the change.
+/// [`TokenBucket`] does: a window grants the burst plus the refilled units, less the usage. `remaining_units`: those of
+/// the bucket before the change.
 pub fn window_usage_shift(from: RateLimit, to: RateLimit, remaining_units: f64) -> f64 {
     (to.burst - from.burst) + (remaining_units - to.burst).max(0.0)
 }
--- a/crates/plans/tests/book.rs
+++ b/crates/plans/tests/book.rs
@@ -270,8 +270,8 @@
     assert_ne!(source.digest(), follower.digest());
 }
 
-/// Under random usage and changes, the granted units stay within the initial burst plus the refilled units, and a window's
-/// usage count, adjusted by [`window_usage_shift`], leaves the same units as the token bucket.
+/// Under random usage and changes, the granted units stay within the initial burst plus the refilled units, and a
+/// window's usage count, adjusted by [`window_usage_shift`], leaves the same units as the token bucket.
 #[test]
 fn rate_limit_changes_neither_grant_a_second_burst_nor_take_remaining_units() {
     fn holds(steps: Vec<(u8, u8, u8)>) -> bool {
--- a/crates/usage/src/export.rs
+++ b/crates/usage/src/export.rs
@@ -2,8 +2,8 @@
 //! when a batch has been acknowledged.
 //!
 //! The cursor is a file that is replaced atomically. It stores which attempts were acknowledged, and the pending batch
-//! with the ranges of its attempts. A batch is stored there before its file is written, so that after an interruption at
-//! any point the next run finds the same batch and writes the same file.
+//! with the ranges of its attempts. A batch is stored there before its file is written, so that after an interruption
+//! at any point the next run finds the same batch and writes the same file.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -97,7 +97,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ExportError::File(path, error) => write!(f, "{}: {error}", path.display()),
-            ExportError::Cursor(path, fault) => write!(f, "{}: {fault}", path.display()),
+            ExportError::Cursor(path, error) => write!(f, "{}: {error}", path.display()),
             ExportError::Read(error) => write!(f, "{error}"),
             ExportError::Table(error) => write!(f, "{error}"),
             ExportError::Locked(path) => {
@@ -159,7 +159,8 @@
     move |error| ExportError::File(path, error)
 }
 
-/// Tries to lock a file. `None` if another process has locked it; otherwise the lock lasts as long as the returned file.
+/// Tries to lock a file. `None` if another process has locked it; otherwise the lock lasts as long as the returned
+/// file.
 fn try_lock(path: &Path) -> Result<Option<File>, ExportError> {
     let file = OpenOptions::new()
         .create(true)
@@ -185,7 +186,7 @@
         let path = folder.join("export.json");
         let cursor = match fs::read_to_string(&path) {
             Ok(text) => {
-                config_check::parse_json(&text).map_err(|fault| ExportError::Cursor(path, fault))?
+                config_check::parse_json(&text).map_err(|error| ExportError::Cursor(path, error))?
             }
             Err(error) if error.kind() == io::ErrorKind::NotFound => Cursor::default(),
             Err(error) => return Err(ExportError::File(path, error)),
@@ -219,8 +220,8 @@
         self.cursor.pending.as_ref()
     }
 
-    /// Writes the pending batch into a folder, or else the next one of at most `max_attempts` attempts. `None` if there is
-    /// nothing to export or the run was stopped: `should_continue` is called at each step, and `false` stops the run
+    /// Writes the pending batch into a folder, or else the next one of at most `max_attempts` attempts. `None` if there
+    /// is nothing to export or the run was stopped: `should_continue` is called at each step, and `false` stops the run
     /// there.
     ///
     /// # Errors
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -1,8 +1,8 @@
 //! Recording attempts: numbered without gaps, written in groups, by one process per folder.
 //!
-//! An attempt is recorded before it is sent, in the same iteration of the event loop: a group is written, its attempts are
-//! sent, and the next group records that they were. A kill loses no attempt that was sent. It may leave attempts of one
-//! group that were recorded but not sent; the reader marks these as `maybe_unsent`.
+//! An attempt is recorded before it is sent, in the same iteration of the event loop: a group is written, its attempts
+//! are sent, and the next group records that they were. A kill loses no attempt that was sent. It may leave attempts of
+//! one group that were recorded but not sent; the reader marks these as `maybe_unsent`.
 
 use std::fmt;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -154,8 +154,8 @@
         self.writer.append(&bytes)
     }
 
-    /// Records an attempt and returns its number. It is in the log once [`Ledger::write`] has succeeded, and must not be
-    /// sent before.
+    /// Records an attempt and returns its number. It is in the log once [`Ledger::write`] has succeeded, and must not
+    /// be sent before.
     ///
     /// # Errors
     /// The record would be too long; nothing was recorded.
@@ -166,6 +166,7 @@
         Ok(self.recorded_attempts)
     }
 
+    /// Records that attempts were sent, if that is not in the log yet.
     fn append_sent(&mut self) {
         if self.sent_attempts > self.logged_sent_attempts
             && self
@@ -196,8 +197,8 @@
         self.writer.pending() > 0
     }
 
-    /// Writes everything and syncs it to the disk, including which attempts were sent. Called at the end of an incarnation
-    /// and periodically: a power loss can lose what was written since the last call.
+    /// Writes everything and syncs it to the disk, including which attempts were sent. Called at the end of an
+    /// incarnation and periodically: a power loss can lose what was written since the last call.
     ///
     /// # Errors
     /// An I/O error.
--- a/crates/usage/src/log.rs
+++ b/crates/usage/src/log.rs
@@ -145,8 +145,8 @@
 
 impl std::error::Error for RecordTooLong {}
 
-/// CRC-32 of the length and the record. It covers the length so that a corrupted length is detected even if the bytes it
-/// selects match the checksum.
+/// CRC-32 of the length and the record. It covers the length so that a corrupted length is detected even if the bytes
+/// it selects match the checksum.
 fn checksum(record: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&(record.len() as u32).to_le_bytes());
@@ -168,7 +168,8 @@
 pub enum LogError {
     /// An I/O error on a file.
     File(PathBuf, io::Error),
-    /// The file is damaged: the record at this offset is lost, and intact records may follow. The file was not modified.
+    /// The file is damaged: the record at this offset is lost, and intact records may follow. The file was not
+    /// modified.
     Damaged {
         /// The file.
         file: PathBuf,
--- a/crates/usage/tests/golden.rs
+++ b/crates/usage/tests/golden.rs
@@ -14,7 +14,7 @@
     lines.collect::<Vec<String>>().join("\n")
 }
 
-fn bookings() -> [AttemptUsage; 2] {
+fn usages() -> [AttemptUsage; 2] {
     let plain = AttemptUsage {
         sent_at: 1_790_000_000_000_000,
         customer: 9,
@@ -36,14 +36,14 @@
 #[test]
 fn ledger_files_keep_their_byte_format_and_are_read_back() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut ledger, life) = Ledger::open(folder.path(), "limiter-1").unwrap();
-    for booking in bookings() {
-        ledger.record(booking).unwrap();
+    let (mut ledger, incarnation) = Ledger::open(folder.path(), "limiter-1").unwrap();
+    for usage in usages() {
+        ledger.record(usage).unwrap();
         ledger.write().unwrap();
         ledger.mark_sent();
     }
     ledger.sync().unwrap();
-    let file = file_name(life);
+    let file = file_name(incarnation);
     insta::assert_snapshot!(
         "ledger",
         format!(
@@ -51,20 +51,20 @@
             hex(&fs::read(folder.path().join(&file)).unwrap())
         )
     );
-    let read = reader::read_incarnation(folder.path(), life).unwrap();
+    let read = reader::read_incarnation(folder.path(), incarnation).unwrap();
     let read: Vec<AttemptUsage> = read
         .attempts
         .into_iter()
-        .map(|booked| booked.usage)
+        .map(|attempt| attempt.usage)
         .collect();
-    assert_eq!(read, bookings());
+    assert_eq!(read, usages());
 }
 
 #[test]
 fn the_export_cursor_keeps_its_keys() {
     let (folder, out) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
     let (mut ledger, _) = Ledger::open(folder.path(), "limiter-1").unwrap();
-    ledger.record(bookings()[0].clone()).unwrap();
+    ledger.record(usages()[0].clone()).unwrap();
     ledger.write().unwrap();
     drop(ledger);
     let cursor = || fs::read_to_string(folder.path().join("export.json")).unwrap();
