--- a/crates/limiter/src/net/inherited_listener.rs
+++ b/crates/limiter/src/net/inherited_listener.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
 
-use config_check::Fault;
+use config_check::KeyError;
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
 use socket2::{SockRef, Type};
 
@@ -17,8 +17,8 @@
 ///
 /// # Errors
 /// The descriptor is not open, can't be duplicated, or is not a TCP socket listening on `address`.
-pub fn duplicate(number: u32, address: SocketAddr) -> Result<TcpListener, Fault> {
-    let fault = |text: String| Fault::at(ENV_VARIABLE, format!("descriptor {number} {text}"));
+pub fn duplicate(number: u32, address: SocketAddr) -> Result<TcpListener, KeyError> {
+    let fault = |text: String| KeyError::new(ENV_VARIABLE, format!("descriptor {number} {text}"));
     let duplicate = || -> rustix::io::Result<OwnedFd> {
         let number = i32::try_from(number).map_err(|_| rustix::io::Errno::BADF)?;
         let process = pidfd_open(getpid(), PidfdFlags::empty())?;
--- a/crates/plans/src/change.rs
+++ b/crates/plans/src/change.rs
@@ -1,116 +1,128 @@
-//! What an operator asks for.
+//! Changes that operators request.
 
 use std::collections::BTreeMap;
 
-use config_check::{Fault, within};
+use config_check::{KeyError, check_within};
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
 
-/// Customers are numbers below this.
-const CUSTOMERS: u64 = 1 << 33;
-/// Highest rate or burst, in units.
-const HIGHEST: f64 = 1e9;
+/// Customer numbers are below this.
+const CUSTOMER_LIMIT: u64 = 1 << 33;
+/// Largest rate, burst or reservation, in units.
+const MAX_UNITS: f64 = 1e9;
 /// Longest text of an id, a name or a reason, in bytes.
-const TEXT: usize = 256;
-/// Longest reservation.
-const LONGEST: Micros = 31 * 86_400 * 1_000_000;
+const MAX_TEXT_BYTES: usize = 256;
+/// Longest reservation, in microseconds (31 days).
+const MAX_RESERVATION_US: Micros = 31 * 86_400 * 1_000_000;
 
-/// A plan's figures.
+/// The rate limit of a plan.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Figures {
-    /// Units a second.
-    pub rate: f64,
-    /// Units that may be used at once.
+pub struct RateLimit {
+    /// Units per second.
+    #[serde(rename = "rate")]
+    pub rate_per_s: f64,
+    /// Burst: units that may be used at once.
     pub burst: f64,
 }
 
-/// What is changed: in JSON an object with one key, the kind of change.
+/// Kind of a change and its parameters; in JSON an object with the kind as its only key.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
-    /// A plan's figures.
-    Figures {
-        /// The plan, by name.
+pub enum ChangeKind {
+    /// Sets the rate limit of a plan.
+    #[serde(rename = "figures")]
+    RateLimit {
+        /// Name of the plan.
         plan: String,
-        /// Its figures from then on.
-        figures: Figures,
+        /// The new rate limit.
+        #[serde(rename = "figures")]
+        rate_limit: RateLimit,
     },
-    /// A customer's plan, whatever its requests name.
-    Move {
-        /// The customer, in 16 hex digits.
+    /// Assigns a plan to a customer, overriding the plan that its requests name.
+    #[serde(rename = "move")]
+    AssignPlan {
+        /// The customer, as 16 hex digits.
         account: String,
-        /// Its plan from then on; `None`: the one that its requests name.
+        /// The new plan; `None` returns to the plan that its requests name.
         plan: Option<String>,
     },
-    /// Units set aside.
+    /// Reserves units for a customer.
     Reserve {
-        /// The customer, in 16 hex digits.
+        /// The customer, as 16 hex digits.
         account: String,
-        /// Units.
+        /// Units reserved.
         units: f64,
-        /// Until when, in microseconds since the epoch.
-        until: Micros,
-        /// For this class alone.
+        /// End of the reservation, in microseconds since the epoch.
+        #[serde(rename = "until")]
+        ends_at: Micros,
+        /// Request class that may use it.
         class: String,
-        /// For keys that begin so, if given.
+        /// If given, only requests whose key has this prefix may use it.
         #[serde(default)]
         prefix: Option<String>,
     },
-    /// A reservation is given up before its end.
+    /// Cancels a reservation before its end.
     Cancel {
-        /// The id of the change that made it.
+        /// Id of the change that created the reservation.
         reservation: String,
     },
 }
 
-/// A change.
+/// A requested change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Its id: the same change sent twice is taken once.
+    /// Unique id; a change that is sent again with the same id is applied once.
     pub id: String,
-    /// When it takes effect, in microseconds since the epoch.
-    pub at: Micros,
-    /// The version that it was written against, where that matters: if anything was changed since, it is refused.
-    #[serde(default)]
-    pub after: Option<u64>,
-    /// Who asks for it.
-    pub by: String,
-    /// Why.
-    pub why: String,
-    /// What is changed.
-    pub what: What,
+    /// Instant at which the change takes effect, in microseconds since the epoch.
+    #[serde(rename = "at")]
+    pub effective_at: Micros,
+    /// Version of the book that the change expects, if any: with another current version the change is rejected.
+    #[serde(default, rename = "after")]
+    pub expected_version: Option<u64>,
+    /// Who requested the change.
+    #[serde(rename = "by")]
+    pub requested_by: String,
+    /// Reason for the change.
+    #[serde(rename = "why")]
+    pub reason: String,
+    /// Kind and parameters.
+    #[serde(rename = "what")]
+    pub kind: ChangeKind,
 }
 
-/// A customer in 16 hex digits.
-pub fn account(text: &str) -> Option<u64> {
-    let plain = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+/// Parses a customer number from 16 hex digits; `None` if it is malformed or out of range.
+pub fn parse_customer(text: &str) -> Option<u64> {
+    let is_hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     u64::from_str_radix(text, 16)
         .ok()
-        .filter(|number| plain && *number < CUSTOMERS)
+        .filter(|number| is_hex && *number < CUSTOMER_LIMIT)
 }
 
-fn text(key: &str, text: &str) -> Result<(), Fault> {
-    match !text.trim().is_empty() && text.len() <= TEXT && !text.chars().any(char::is_control) {
+fn check_text(key: &str, text: &str) -> Result<(), KeyError> {
+    match !text.trim().is_empty()
+        && text.len() <= MAX_TEXT_BYTES
+        && !text.chars().any(char::is_control)
+    {
         true => Ok(()),
-        false => Err(Fault::at(
+        false => Err(KeyError::new(
             key,
-            format!("is not 1 to {TEXT} printable bytes"),
+            format!("is not 1 to {MAX_TEXT_BYTES} printable bytes"),
         )),
     }
 }
 
-impl Figures {
-    fn check(&self) -> Result<(), Fault> {
-        within("figures.rate", self.rate, 0.0, HIGHEST)?;
-        within("figures.burst", self.burst, 0.0, HIGHEST)
+impl RateLimit {
+    fn check(&self) -> Result<(), KeyError> {
+        check_within("figures.rate", self.rate_per_s, 0.0, MAX_UNITS)?;
+        check_within("figures.burst", self.burst, 0.0, MAX_UNITS)
     }
 
-    /// The most units that a customer may ever use within a span.
-    pub fn most_within(&self, span: Micros) -> f64 {
-        self.burst + self.rate * span.max(0) as f64 / 1e6
+    /// Most units that a customer can use within a span of microseconds.
+    pub fn max_units_within(&self, span: Micros) -> f64 {
+        self.burst + self.rate_per_s * span.max(0) as f64 / 1e6
     }
 }
 
@@ -118,76 +130,79 @@
     /// Reads a change from JSON.
     ///
     /// # Errors
-    /// Text that is not JSON; a key that is unknown, missing, of a wrong type or out of its bounds.
-    pub fn read(text: &str) -> Result<Change, Fault> {
-        let change: Change = config_check::read(text)?;
+    /// The text is not JSON, or a key is unknown, missing, of a wrong type or out of bounds.
+    pub fn read(text: &str) -> Result<Change, KeyError> {
+        let change: Change = config_check::parse_json(text)?;
         change.check()?;
         Ok(change)
     }
 
-    /// Checks what needs no book.
+    /// Checks everything that does not depend on the book.
     ///
     /// # Errors
-    /// The first key that makes no sense by itself.
-    pub fn check(&self) -> Result<(), Fault> {
-        text("id", &self.id)?;
-        text("by", &self.by)?;
-        text("why", &self.why)?;
-        within("at", self.at as f64, 0.0, 1e17)?;
-        self.what
-            .check(self.at)
-            .map_err(|fault| fault.under(self.what.key()))
+    /// The first invalid key.
+    pub fn check(&self) -> Result<(), KeyError> {
+        check_text("id", &self.id)?;
+        check_text("by", &self.requested_by)?;
+        check_text("why", &self.reason)?;
+        check_within("at", self.effective_at as f64, 0.0, 1e17)?;
+        self.kind
+            .check(self.effective_at)
+            .map_err(|error| error.under_parent(self.kind.key()))
     }
 }
 
-impl What {
-    /// Where its keys lie.
+impl ChangeKind {
+    /// Path of the keys of this kind, as a prefix for error messages.
     pub(crate) fn key(&self) -> &'static str {
         match self {
-            What::Figures { .. } => "what.figures",
-            What::Move { .. } => "what.move",
-            What::Reserve { .. } => "what.reserve",
-            What::Cancel { .. } => "what.cancel",
+            ChangeKind::RateLimit { .. } => "what.figures",
+            ChangeKind::AssignPlan { .. } => "what.move",
+            ChangeKind::Reserve { .. } => "what.reserve",
+            ChangeKind::Cancel { .. } => "what.cancel",
         }
     }
 
-    fn check(&self, at: Micros) -> Result<(), Fault> {
-        let known = |account_text: &str| match account(account_text) {
+    fn check(&self, effective_at: Micros) -> Result<(), KeyError> {
+        let check_account = |account_text: &str| match parse_customer(account_text) {
             Some(_) => Ok(()),
-            None => Err(Fault::at("account", "is not 16 hex digits below 2^33")),
+            None => Err(KeyError::new("account", "is not 16 hex digits below 2^33")),
         };
         match self {
-            What::Figures { plan, figures } => {
-                text("plan", plan)?;
-                figures.check()
+            ChangeKind::RateLimit { plan, rate_limit } => {
+                check_text("plan", plan)?;
+                rate_limit.check()
             }
-            What::Move { account, plan } => {
-                known(account)?;
-                plan.as_deref().map_or(Ok(()), |plan| text("plan", plan))
+            ChangeKind::AssignPlan { account, plan } => {
+                check_account(account)?;
+                plan.as_deref()
+                    .map_or(Ok(()), |plan| check_text("plan", plan))
             }
-            What::Reserve {
+            ChangeKind::Reserve {
                 account,
                 units,
-                until,
+                ends_at,
                 class,
                 prefix,
             } => {
-                known(account)?;
-                within("units", *units, f64::MIN_POSITIVE, HIGHEST)?;
-                text("class", class)?;
+                check_account(account)?;
+                check_within("units", *units, f64::MIN_POSITIVE, MAX_UNITS)?;
+                check_text("class", class)?;
                 prefix
                     .as_deref()
-                    .map_or(Ok(()), |prefix| text("prefix", prefix))?;
-                match *until - at {
-                    span if span <= 0 => Err(Fault::at("until", "is not after 'at'")),
-                    span if span > LONGEST => Err(Fault::at("until", "is over 31 days after 'at'")),
+                    .map_or(Ok(()), |prefix| check_text("prefix", prefix))?;
+                match *ends_at - effective_at {
+                    span if span <= 0 => Err(KeyError::new("until", "is not after 'at'")),
+                    span if span > MAX_RESERVATION_US => {
+                        Err(KeyError::new("until", "is over 31 days after 'at'"))
+                    }
                     _ => Ok(()),
                 }
             }
-            What::Cancel { reservation } => text("reservation", reservation),
+            ChangeKind::Cancel { reservation } => check_text("reservation", reservation),
         }
     }
 }
 
-/// The plans of the platform's settings by name, which the book starts from.
-pub type Base = BTreeMap<String, Figures>;
+/// The plans of the platform's settings by name: what is in effect without any change.
+pub type PlatformPlans = BTreeMap<String, RateLimit>;
--- a/crates/usage/benches/ledger.rs
+++ b/crates/usage/benches/ledger.rs
@@ -1,53 +1,53 @@
-//! What booking costs by group size, and how fast use is handed over.
+//! Cost of recording attempts by group size, and throughput of the export.
 
 use std::hint::black_box;
 
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use usage::booking::Booking;
-use usage::export::Export;
+use usage::export::Exporter;
 use usage::ledger::Ledger;
+use usage::record::AttemptUsage;
 
-fn booking(customer: u64) -> Booking {
-    Booking {
-        at: 1_800_000_000_000_000,
+fn usage(customer: u64) -> AttemptUsage {
+    AttemptUsage {
+        sent_at: 1_800_000_000_000_000,
         customer,
         class: "sign-off".into(),
         plan: "institucion".into(),
-        version: 7,
+        plan_version: 7,
         milli_units: 2_000,
-        key: Some(format!("{customer:032x}")),
-        ..Booking::default()
+        idempotency_key: Some(format!("{customer:032x}")),
+        ..AttemptUsage::default()
     }
 }
 
-const TRIES: u64 = 10_000;
+const ATTEMPTS: u64 = 10_000;
 
-fn booked(folder: &std::path::Path, group: u64, sync: bool) {
-    let (mut ledger, _) = Ledger::open(folder, "n0").expect("a ledger");
-    for customer in 0..TRIES {
-        ledger.book(booking(customer)).expect("a booking");
+fn record_attempts(folder: &std::path::Path, group: u64, sync: bool) {
+    let (mut ledger, _) = Ledger::open(folder, "n0").expect("ledger opens");
+    for customer in 0..ATTEMPTS {
+        ledger.record(usage(customer)).expect("attempt is recorded");
         if customer % group == group - 1 {
-            ledger.write().expect("room");
-            ledger.went_out();
+            ledger.write().expect("group is written");
+            ledger.mark_sent();
             if sync {
-                ledger.sync().expect("a disk");
+                ledger.sync().expect("ledger is synced");
             }
         }
     }
-    ledger.sync().expect("a disk");
+    ledger.sync().expect("ledger is synced");
 }
 
 fn benches(c: &mut Criterion) {
-    let folder = || tempfile::tempdir().expect("a folder");
+    let folder = || tempfile::tempdir().expect("temporary folder");
     let mut group = c.benchmark_group("10,000 tries");
     group
-        .throughput(Throughput::Elements(TRIES))
+        .throughput(Throughput::Elements(ATTEMPTS))
         .sample_size(10);
     for size in [1, 10, 100, 1_000] {
         group.bench_function(BenchmarkId::new("booked in groups of", size), |b| {
             b.iter_batched(
                 folder,
-                |f| booked(f.path(), size, false),
+                |f| record_attempts(f.path(), size, false),
                 BatchSize::PerIteration,
             );
         });
@@ -58,26 +58,26 @@
             |b| {
                 b.iter_batched(
                     folder,
-                    |f| booked(f.path(), size, true),
+                    |f| record_attempts(f.path(), size, true),
                     BatchSize::PerIteration,
                 );
             },
         );
     }
-    let full = || {
+    let filled_ledger = || {
         let folder = folder();
-        booked(folder.path(), 1_000, false);
+        record_attempts(folder.path(), 1_000, false);
         folder
     };
     group.bench_function("exported", |b| {
         let export = |folder: tempfile::TempDir| {
-            let mut export = Export::open(folder.path()).expect("an export");
+            let mut export = Exporter::open(folder.path()).expect("export opens");
             let batch = export
-                .write(&folder.path().join("out"), usize::MAX, &mut |_| true)
-                .expect("a batch");
+                .write_batch(&folder.path().join("out"), usize::MAX, &mut |_| true)
+                .expect("batch is written");
             black_box(batch);
         };
-        b.iter_batched(full, export, BatchSize::PerIteration);
+        b.iter_batched(filled_ledger, export, BatchSize::PerIteration);
     });
     group.finish();
 }
