--- a/crates/control/src/disk/mod.rs
+++ b/crates/control/src/disk/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! Files are trusted only as far as they can be checked: `wal` reads SQLite's write-ahead log before SQLite does, SQLite
 //! checks its own pages, and each record has a checksum. Corrupt files are quarantined ([`OpenedStore::quarantined`]), and the
-//! replica counts as empty. A file of a newer schema version is rejected and left as it is. `docs/disk.md` explains the lines
-//! of the log.
+//! replica starts with an empty state. A file of a newer schema version is rejected and not modified. `docs/disk.md` explains
+//! the log lines.
 
 mod quarantine;
 mod records;
@@ -41,7 +41,8 @@
 /// The database.
 pub struct Store {
     connection: Connection,
-    log: PathBuf,
+    /// The path of the write-ahead log.
+    wal_path: PathBuf,
     /// The size of the write-ahead log, in bytes, at which it is checkpointed.
     checkpoint_bytes: u64,
 }
@@ -81,7 +82,8 @@
                 ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase | ErrorCode::TypeMismatch => {
                     true
                 }
-                // Not a failure to read: the next attempt may succeed, also at all replicas that share a fault.
+                // SQLITE_ERROR is a schema that does not fit. Any other code is a failed access, which is no corruption: the next
+                // attempt may succeed, and replicas that share a fault must not all quarantine their files.
                 _ => error.extended_code == ffi::SQLITE_ERROR,
             },
             Some(Error::SqlInputError { .. } | Error::QueryReturnedNoRows) => true,
@@ -98,90 +100,93 @@
     }
 }
 
-/// The size of the database's pages, as its header says.
-fn page_size(head: &[u8]) -> usize {
-    match head.get(16..18) {
+/// The page size in bytes that the header of the database states; 0 if it can't be read.
+fn page_size(header: &[u8]) -> usize {
+    match header.get(16..18) {
         Some([0, 1]) => 65_536,
         Some([high, low]) => usize::from(*high) << 8 | usize::from(*low),
         _ => 0,
     }
 }
 
-/// What is wrong with the header of a database file.
-fn header_corruption(head: &[u8]) -> Option<&'static str> {
-    if head.len() < 100 {
-        return Some("the file is cut short");
+/// Why the header of a database file is corrupt, if it is.
+fn header_corruption(header: &[u8]) -> Option<&'static str> {
+    if header.len() < 100 {
+        return Some("database file truncated");
     }
-    if !head.starts_with(b"SQLite format 3\0") || page_size(head) < 512 {
-        return Some("the file is no database");
+    if !header.starts_with(b"SQLite format 3\0") || page_size(header) < 512 {
+        return Some("not an SQLite database");
     }
-    // With another number there SQLite would open the file read-only.
-    let formats = head[18..20].iter().all(|format| (1..=2).contains(format));
-    (!formats).then_some("the head of the file names formats that are none")
+    // SQLite opens a file with a higher write version read-only.
+    let versions_known = header[18..20]
+        .iter()
+        .all(|version| (1..=2).contains(version));
+    (!versions_known).then_some("unknown file format version in the database header")
 }
 
 /// Checks the files for corruption that SQLite itself would not report, and for a newer schema version.
 fn check_files(folder: &Path) -> eyre::Result<()> {
-    let path = |end: &str| folder.join(format!("{DATABASE_FILE}{end}"));
-    let step = || format!("disk: looking at {}", path("").display());
+    let path = |suffix: &str| folder.join(format!("{DATABASE_FILE}{suffix}"));
+    let context = || format!("disk: checking {}", path("").display());
     if file_length(&path("-journal"))
-        .wrap_err_with(step)?
+        .wrap_err_with(context)?
         .is_some_and(|length| length > 0)
     {
-        // The first start was cut off: SQLite rolls it back.
+        // A rollback journal is left by a first start that was interrupted: SQLite rolls it back.
         return Ok(());
     }
-    let length = file_length(&path("")).wrap_err_with(step)?;
-    let log = match std::fs::read(path("-wal")) {
-        Ok(log) => log,
+    let length = file_length(&path("")).wrap_err_with(context)?;
+    let wal_bytes = match std::fs::read(path("-wal")) {
+        Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => Vec::new(),
-        Err(error) => return Err(error).wrap_err_with(step),
+        Err(error) => return Err(error).wrap_err_with(context),
     };
     if length.is_none_or(|length| length == 0) {
-        return match log.is_empty() {
+        return match wal_bytes.is_empty() {
             true => Ok(()),
-            false => Err(Corruption::of("the log stands without its file").into()),
+            false => Err(Corruption::of("write-ahead log without its database file").into()),
         };
     }
-    let file = File::open(path("")).wrap_err_with(step)?;
-    let mut head = [0; 100];
-    if file.read_exact_at(&mut head, 0).is_err() {
-        return Err(Corruption::of("the file is cut short").into());
+    let file = File::open(path("")).wrap_err_with(context)?;
+    let mut header = [0; 100];
+    if file.read_exact_at(&mut header, 0).is_err() {
+        return Err(Corruption::of("database file truncated").into());
     }
-    if let Some(harm) = header_corruption(&head) {
-        return Err(Corruption::of(harm).into());
+    if let Some(corruption) = header_corruption(&header) {
+        return Err(Corruption::of(corruption).into());
     }
-    let page = page_size(&head);
-    let stands = |number: u32, content: &[u8]| {
-        let mut there = vec![0; page];
-        let at = u64::from(number.saturating_sub(1)) * page as u64;
-        file.read_exact_at(&mut there, at).is_ok() && there == content
+    let page_bytes = page_size(&header);
+    let page_matches = |number: u32, content: &[u8]| {
+        let mut stored = vec![0; page_bytes];
+        let offset = u64::from(number.saturating_sub(1)) * page_bytes as u64;
+        file.read_exact_at(&mut stored, offset).is_ok() && stored == content
     };
-    let read = wal::read(&log, page, stands);
+    let wal_contents = wal::read(&wal_bytes, page_bytes, page_matches);
     // The schema version is in the first page.
-    let first = read
+    let first_page = wal_contents
         .pages
         .get(&1)
-        .map(|at| wal::page_content(&log, *at, page));
-    let version = first
-        .unwrap_or(&head)
+        .map(|offset| wal::page_content(&wal_bytes, *offset, page_bytes));
+    let version = first_page
+        .unwrap_or(&header)
         .get(60..64)
         .and_then(|word| word.try_into().ok());
     if version.is_some_and(|version| u32::from_be_bytes(version) > CURRENT_VERSION) {
-        // SQLite would create a log beside the file even to read it: verified in memory, the file is left as it is.
+        // SQLite would create a write-ahead log even to read the file, which has to stay unchanged: it is verified in memory.
         verify(folder)?;
     }
-    match read.corruption {
-        Some(harm) => Err(Corruption::of(harm).into()),
+    match wal_contents.corruption {
+        Some(corruption) => Err(Corruption::of(corruption).into()),
         None => Ok(()),
     }
 }
 
-fn pragma(connection: &Connection, text: &str) -> eyre::Result<String> {
-    let step = || format!("disk: {text}");
-    let mut statement = connection.prepare(text).wrap_err_with(step)?;
-    let mut rows = statement.query([]).wrap_err_with(step)?;
-    let row = rows.next().wrap_err_with(step)?;
+/// Runs a pragma; gives the first column of its first row, or an empty text.
+fn pragma(connection: &Connection, sql: &str) -> eyre::Result<String> {
+    let context = || format!("disk: {sql}");
+    let mut statement = connection.prepare(sql).wrap_err_with(context)?;
+    let mut rows = statement.query([]).wrap_err_with(context)?;
+    let row = rows.next().wrap_err_with(context)?;
     Ok(row
         .and_then(|row| row.get::<_, String>(0).ok())
         .unwrap_or_default())
@@ -190,8 +195,8 @@
 /// SQLite's own check of a database.
 fn quick_check(connection: &Connection) -> eyre::Result<()> {
     match pragma(connection, "PRAGMA quick_check")? {
-        whole if whole == "ok" => Ok(()),
-        found => Err(Corruption::of(format!("the check says {found:?}")).into()),
+        result if result == "ok" => Ok(()),
+        result => Err(Corruption::of(format!("quick_check reports {result:?}")).into()),
     }
 }
 
@@ -204,44 +209,45 @@
             Some(vfs) => Connection::open_with_flags_and_vfs(file, flags, vfs),
         };
         let mut connection = opened.wrap_err("disk: opening")?;
-        // Hazard: a rejected file must be left as it is, but SQLite would checkpoint the log into it as it closes it.
-        let kept = DbConfig::SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE;
+        // Without this SQLite would checkpoint the log into the file on close, and so modify a file that is rejected.
+        let no_checkpoint_on_close = DbConfig::SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE;
         connection
-            .set_db_config(kept, true)
+            .set_db_config(no_checkpoint_on_close, true)
             .wrap_err("disk: opening")?;
-        // Hazard: exclusive locking has to be set first. Otherwise the log's index is in memory that is shared between processes.
+        // Exclusive locking has to be set before the journal mode: otherwise the index of the write-ahead log is placed in memory
+        // that is shared between processes.
         pragma(&connection, "PRAGMA locking_mode=EXCLUSIVE")?;
         pragma(&connection, "PRAGMA synchronous=FULL")?;
-        let found = schema::stored_schema(&connection)?;
+        let stored_schema = schema::stored_schema(&connection)?;
         quick_check(&connection)?;
         let mode = pragma(&connection, "PRAGMA journal_mode=WAL")?;
         if mode != "wal" {
-            return Err(eyre!("disk: the journal is {mode:?}, not wal"));
+            return Err(eyre!("disk: journal mode is {mode:?}, expected \"wal\""));
         }
         pragma(&connection, "PRAGMA cache_size=-512")?;
         pragma(&connection, "PRAGMA temp_store=MEMORY")?;
         pragma(&connection, "PRAGMA wal_autocheckpoint=0")?;
-        schema::migrate(&mut connection, found)?;
-        let (restored, faults) = records::read_all(&connection, true)?;
+        schema::migrate(&mut connection, stored_schema)?;
+        let (recovered, faults) = records::read_all(&connection, true)?;
         if !faults.is_empty() {
             return Err(Corruption(faults).into());
         }
         connection
-            .set_db_config(kept, false)
+            .set_db_config(no_checkpoint_on_close, false)
             .wrap_err("disk: opening")?;
-        let log = folder.join(format!("{DATABASE_FILE}-wal"));
+        let wal_path = folder.join(format!("{DATABASE_FILE}-wal"));
         Ok((
             Store {
                 connection,
-                log,
+                wal_path,
                 checkpoint_bytes: CHECKPOINT_BYTES,
             },
-            restored,
+            recovered,
         ))
     }
 
     /// Opens the database of a folder. `bootstrap`: the whole system starts for the first time, so that an empty disk is
-    /// no loss. Corrupt files are quarantined; the disk then counts as empty, and never as that of a first start.
+    /// no loss. Corrupt files are quarantined; the state is then empty, but never treated as that of a first start.
     ///
     /// # Errors
     /// The folder can't be used, the disk rejects writes, or the file is of a newer schema version.
@@ -250,56 +256,57 @@
     }
 
     fn open_with(access: FileAccess, folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
-        let step = || format!("disk: folder {}", folder.display());
-        std::fs::create_dir_all(folder).wrap_err_with(step)?;
+        let context = || format!("disk: folder {}", folder.display());
+        std::fs::create_dir_all(folder).wrap_err_with(context)?;
         let mut quarantined = None;
-        let (mut store, mut restored) = match Store::connect(access, folder) {
-            Ok(found) => found,
+        let (mut store, mut recovered) = match Store::connect(access, folder) {
+            Ok(connected) => connected,
             Err(error) if is_corruption(&error) => {
-                let kept = quarantine::quarantine(folder, access.sync_folder)?;
-                quarantined = Some(format!("{error:#}; put aside as {}", kept.display()));
+                let path = quarantine::quarantine(folder, access.sync_folder)?;
+                quarantined = Some(format!("{error:#}; quarantined as {}", path.display()));
                 Store::connect(access, folder)?
             }
             Err(error) => return Err(error),
         };
-        if restored.metadata.incarnation == Incarnation::NONE {
-            // A recovery that was cut off counts for nothing.
-            if restored != RecoveredState::default() {
+        if recovered.metadata.incarnation == Incarnation::NONE {
+            // A recovery that was interrupted is discarded, and starts over.
+            if recovered != RecoveredState::default() {
                 store.clear()?;
-                restored = RecoveredState::default();
+                recovered = RecoveredState::default();
             }
             if bootstrap && !quarantine::has_quarantined(folder) {
-                restored.metadata.incarnation = Incarnation::FIRST;
+                recovered.metadata.incarnation = Incarnation::FIRST;
             }
         }
-        if restored.metadata.incarnation != Incarnation::NONE {
-            // No ballot may be used twice: each start has a run of its own, which is on disk before anything is sent.
-            restored.metadata.run += 1;
-            store.commit([&Record::Metadata(restored.metadata.clone())])?;
+        if recovered.metadata.incarnation != Incarnation::NONE {
+            // No ballot may be used twice: each start has its own run number, which is on disk before anything is sent.
+            recovered.metadata.run += 1;
+            store.commit([&Record::Metadata(recovered.metadata.clone())])?;
         }
-        (access.sync_folder)(folder).wrap_err_with(step)?;
+        (access.sync_folder)(folder).wrap_err_with(context)?;
         Ok(OpenedStore {
             store,
-            recovered: restored,
+            recovered,
             quarantined,
         })
     }
 
+    /// Deletes all records.
     fn clear(&mut self) -> eyre::Result<()> {
-        let step = "disk: clearing";
-        let transaction = self.connection.transaction().wrap_err(step)?;
+        let context = "disk: clearing";
+        let transaction = self.connection.transaction().wrap_err(context)?;
         for table in records::TABLES {
             transaction
                 .execute(&format!("DELETE FROM {table}"), [])
-                .wrap_err(step)?;
+                .wrap_err(context)?;
         }
-        transaction.commit().wrap_err(step)
+        transaction.commit().wrap_err(context)
     }
 
-    /// Writes records, in order, in one commit. They are on disk once this returns.
+    /// Writes records, in order, in one commit. They are durable once this returns.
     ///
     /// # Errors
-    /// The disk rejects the write. Then either none of the records is there, or all of them are.
+    /// The disk rejects the write. Then either none of the records is stored, or all of them are.
     pub fn commit<'a>(
         &mut self,
         records: impl IntoIterator<Item = &'a Record>,
@@ -309,11 +316,12 @@
             records::write_record(&transaction, record)?;
         }
         transaction.commit().wrap_err("disk: committing")?;
-        if file_length(&self.log)
+        if file_length(&self.wal_path)
             .is_ok_and(|length| length.is_some_and(|length| length >= self.checkpoint_bytes))
         {
-            // The commit stands without a checkpoint: a disk that rejects this will reject the next commit as well. The log is
-            // truncated, as corruption would go unnoticed in a log that the file is ahead of.
+            // The commit is durable without a checkpoint, so a failure is ignored: a disk that rejects this will reject the
+            // next commit as well. The log is truncated, as corruption would go unnoticed in a log whose pages are already
+            // in the file.
             pragma(&self.connection, "PRAGMA wal_checkpoint(TRUNCATE)").ok();
         }
         Ok(())
--- a/crates/control/src/disk/quarantine.rs
+++ b/crates/control/src/disk/quarantine.rs
@@ -8,15 +8,16 @@
 
 use super::DATABASE_FILE;
 
-/// The endings of the files that SQLite keeps beside the database.
+/// The suffixes of the files that SQLite keeps beside the database.
 const SIDE_FILE_SUFFIXES: [&str; 3] = ["-wal", "-shm", "-journal"];
+/// The start of the name of a quarantined file; its number follows.
 const QUARANTINE_PREFIX: &str = "aside-";
 /// The greatest number of databases in quarantine; the oldest are removed first.
 const MAX_QUARANTINED: usize = 3;
 
 /// The files in quarantine, by their numbers.
 fn quarantined_files(folder: &Path) -> io::Result<Vec<(u32, PathBuf)>> {
-    let mut all = Vec::new();
+    let mut files = Vec::new();
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
         let name = entry.file_name().to_string_lossy().into_owned();
@@ -24,19 +25,19 @@
             .strip_prefix(QUARANTINE_PREFIX)
             .and_then(|name| name.split('-').next()?.parse().ok());
         if let Some(number) = number {
-            all.push((number, entry.path()));
+            files.push((number, entry.path()));
         }
     }
-    all.sort();
-    Ok(all)
+    files.sort();
+    Ok(files)
 }
 
 /// Whether a file of this folder was quarantined before, so that this is no first start.
 pub(super) fn has_quarantined(folder: &Path) -> bool {
-    quarantined_files(folder).is_ok_and(|kept| !kept.is_empty())
+    quarantined_files(folder).is_ok_and(|files| !files.is_empty())
 }
 
-/// Renames a database and the files beside it. Gives the new name of the database.
+/// Renames a database and the files beside it. Gives the new path of the database.
 ///
 /// # Errors
 /// A file can't be renamed, or the folder can't be synced.
@@ -44,34 +45,41 @@
     folder: &Path,
     sync: impl Fn(&Path) -> io::Result<()>,
 ) -> eyre::Result<PathBuf> {
-    let step = || {
+    let context = || {
         format!(
-            "disk: putting {} aside",
+            "disk: quarantining {}",
             folder.join(DATABASE_FILE).display()
         )
     };
-    let kept = quarantined_files(folder).wrap_err_with(step)?;
-    let number = kept.last().map_or(1, |(number, _)| number + 1);
-    let name = |end: &str| folder.join(format!("{QUARANTINE_PREFIX}{number}-{DATABASE_FILE}{end}"));
-    // Hazard: the file is renamed first, and that is synced, then its log. A file without its log would be read as an intact
-    // one that is older.
-    for end in std::iter::once("").chain(SIDE_FILE_SUFFIXES) {
-        match fs::rename(folder.join(format!("{DATABASE_FILE}{end}")), name(end)) {
-            Ok(()) => sync(folder).wrap_err_with(step)?,
+    let earlier = quarantined_files(folder).wrap_err_with(context)?;
+    let number = earlier.last().map_or(1, |(number, _)| number + 1);
+    let new_path = |suffix: &str| {
+        folder.join(format!(
+            "{QUARANTINE_PREFIX}{number}-{DATABASE_FILE}{suffix}"
+        ))
+    };
+    // The database is renamed and that is synced before its log is renamed: after a loss of power in between, a database
+    // without its log would be read as an intact, older one.
+    for suffix in std::iter::once("").chain(SIDE_FILE_SUFFIXES) {
+        match fs::rename(
+            folder.join(format!("{DATABASE_FILE}{suffix}")),
+            new_path(suffix),
+        ) {
+            Ok(()) => sync(folder).wrap_err_with(context)?,
             Err(error) if error.kind() == io::ErrorKind::NotFound => {}
-            Err(error) => return Err(error).wrap_err_with(step),
+            Err(error) => return Err(error).wrap_err_with(context),
         }
     }
-    let mut numbers: Vec<u32> = kept.iter().map(|(number, _)| *number).collect();
+    let mut numbers: Vec<u32> = earlier.iter().map(|(number, _)| *number).collect();
     numbers.dedup();
-    let old = numbers.len().saturating_sub(MAX_QUARANTINED - 1);
-    for (_, path) in kept
+    let excess = numbers.len().saturating_sub(MAX_QUARANTINED - 1);
+    for (_, path) in earlier
         .iter()
-        .filter(|(number, _)| numbers[..old].contains(number))
+        .filter(|(number, _)| numbers[..excess].contains(number))
     {
-        fs::remove_file(path).wrap_err_with(step)?;
+        fs::remove_file(path).wrap_err_with(context)?;
     }
-    Ok(name(""))
+    Ok(new_path(""))
 }
 
 /// Syncs a folder, so that the names in it are durable.
--- a/crates/control/src/disk/records.rs
+++ b/crates/control/src/disk/records.rs
@@ -19,7 +19,7 @@
 /// What is wrong with one record, or with the file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CorruptRecord {
-    /// The table; empty if it is not about one record.
+    /// The table; empty if the whole file is meant.
     pub table: String,
     /// The name of the record, as far as it can be read.
     pub name: String,
@@ -36,11 +36,12 @@
     }
 }
 
-/// The files hold something that was never written, or not everything that was.
+/// The files hold data that was never written, or lack data that was.
 #[derive(Clone, Debug)]
 pub struct Corruption(pub Vec<CorruptRecord>);
 
 impl Corruption {
+    /// A corruption that concerns the file as a whole.
     pub(super) fn of(what: impl Into<String>) -> Corruption {
         Corruption(vec![CorruptRecord {
             table: String::new(),
@@ -50,7 +51,7 @@
     }
 }
 
-/// The greatest number of corrupt records that one line of the log names.
+/// The greatest number of corrupt records that one log line names.
 const MAX_NAMED_RECORDS: usize = 16;
 
 impl fmt::Display for Corruption {
@@ -71,7 +72,7 @@
 
 impl std::error::Error for Corruption {}
 
-/// The checksum of a record. It covers the table and the name as well, so that a record in the place of another is noticed.
+/// The checksum of a record. It covers the table and the name as well, so that a record stored in the place of another is detected.
 pub(super) fn checksum(table: &str, name: &[u8], value: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(table.as_bytes());
@@ -82,14 +83,14 @@
 }
 
 fn encode<T: Serialize>(value: &T) -> eyre::Result<Vec<u8>> {
-    postcard::to_allocvec(value).wrap_err("disk: encoding a row")
+    postcard::to_allocvec(value).wrap_err("disk: encoding a record")
 }
 
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, String> {
     postcard::from_bytes(bytes).map_err(|error| format!("does not decode: {error}"))
 }
 
-/// A name, which may be corrupt itself, as it is displayed.
+/// A stored name as text: decoded, or its first bytes in hexadecimal if it is corrupt itself.
 fn display_name(name: &[u8]) -> String {
     match decode::<ItemName>(name) {
         Ok(name) => name.to_string(),
@@ -102,9 +103,9 @@
 }
 
 /// Writes a record.
-pub(super) fn write_record(transaction: &Transaction<'_>, row: &Record) -> eyre::Result<()> {
-    let (table, name, value) = match row {
-        Record::Metadata(own) => ("own", None, encode(own)?),
+pub(super) fn write_record(transaction: &Transaction<'_>, record: &Record) -> eyre::Result<()> {
+    let (table, name, value) = match record {
+        Record::Metadata(metadata) => ("own", None, encode(metadata)?),
         Record::Register(name, register) => ("registers", Some(encode(name)?), encode(register)?),
         Record::Chosen(ballot, item) => (
             "chosen",
@@ -112,23 +113,23 @@
             encode(&(ballot, item))?,
         ),
     };
-    let sum = checksum(table, name.as_deref().unwrap_or_default(), &value);
-    let step = || format!("disk: writing {table}");
-    let text = format!("INSERT OR REPLACE INTO {table} VALUES (?1, ?2, ?3)");
-    let mut statement = transaction.prepare_cached(&text).wrap_err_with(step)?;
+    let checksum = checksum(table, name.as_deref().unwrap_or_default(), &value);
+    let context = || format!("disk: writing {table}");
+    let sql = format!("INSERT OR REPLACE INTO {table} VALUES (?1, ?2, ?3)");
+    let mut statement = transaction.prepare_cached(&sql).wrap_err_with(context)?;
     let written = match name {
-        None => statement.execute(params![1, value, sum]),
-        Some(name) => statement.execute(params![name, value, sum]),
+        None => statement.execute(params![1, value, checksum]),
+        Some(name) => statement.execute(params![name, value, checksum]),
     };
-    written.map(|_| ()).wrap_err_with(step)
+    written.map(|_| ()).wrap_err_with(context)
 }
 
 fn blob_bytes(value: ValueRef<'_>) -> Result<&[u8], String> {
-    value.as_blob().map_err(|_| "is no bytes".to_string())
+    value.as_blob().map_err(|_| "is not a blob".to_string())
 }
 
-/// Passes the name and value of each record of a table to `read`, and adds what it finds wrong to `faults`. `checksums`: the
-/// records have checksums, and these are checked.
+/// Passes the name and value of each record of a table to `read`, and adds corrupt records to `faults`. `checksums`: the
+/// records have checksums, which are verified.
 fn for_each_record(
     connection: &Connection,
     table: &str,
@@ -136,7 +137,7 @@
     faults: &mut Vec<CorruptRecord>,
     mut read: impl FnMut(&[u8], &[u8]) -> Result<(), String>,
 ) -> eyre::Result<()> {
-    let step = || format!("disk: reading {table}");
+    let context = || format!("disk: reading {table}");
     let columns = match (table, checksums) {
         ("own", true) => "x'', value, sum",
         ("own", false) => "x'', value",
@@ -145,29 +146,29 @@
     };
     let mut statement = connection
         .prepare(&format!("SELECT {columns} FROM {table}"))
-        .wrap_err_with(step)?;
-    let mut rows = statement.query([]).wrap_err_with(step)?;
-    while let Some(row) = rows.next().wrap_err_with(step)? {
-        let name_value = row.get_ref(0).wrap_err_with(step)?;
-        let value = row.get_ref(1).wrap_err_with(step)?;
-        let stored = if checksums {
-            Some(row.get_ref(2).wrap_err_with(step)?)
+        .wrap_err_with(context)?;
+    let mut rows = statement.query([]).wrap_err_with(context)?;
+    while let Some(row) = rows.next().wrap_err_with(context)? {
+        let name_column = row.get_ref(0).wrap_err_with(context)?;
+        let value = row.get_ref(1).wrap_err_with(context)?;
+        let stored_checksum = if checksums {
+            Some(row.get_ref(2).wrap_err_with(context)?)
         } else {
             None
         };
-        let checked = || {
-            let (name, value) = (blob_bytes(name_value)?, blob_bytes(value)?);
-            match stored {
-                Some(told)
-                    if told != ValueRef::Integer(i64::from(checksum(table, name, value))) =>
+        let check = || {
+            let (name, value) = (blob_bytes(name_column)?, blob_bytes(value)?);
+            match stored_checksum {
+                Some(stored)
+                    if stored != ValueRef::Integer(i64::from(checksum(table, name, value))) =>
                 {
                     Err("does not match its checksum".to_string())
                 }
                 _ => Ok((name, value)),
             }
         };
-        if let Err(what) = checked().and_then(|(name, value)| read(name, value)) {
-            let name = name_value.as_blob().map(display_name).unwrap_or_default();
+        if let Err(what) = check().and_then(|(name, value)| read(name, value)) {
+            let name = name_column.as_blob().map(display_name).unwrap_or_default();
             faults.push(CorruptRecord {
                 table: table.to_string(),
                 name,
@@ -178,15 +179,15 @@
     Ok(())
 }
 
-/// Everything that a database holds, and what is wrong with it.
+/// All records of a database, and the corrupt ones among them.
 pub(super) fn read_all(
     connection: &Connection,
     checksums: bool,
 ) -> eyre::Result<(RecoveredState, Vec<CorruptRecord>)> {
-    let (mut restored, mut faults) = (RecoveredState::default(), Vec::new());
-    let other = || "is of another name".to_string();
+    let (mut recovered, mut faults) = (RecoveredState::default(), Vec::new());
+    let wrong_name = || "holds a record of another name".to_string();
     for_each_record(connection, "own", checksums, &mut faults, |_, value| {
-        restored.metadata = decode::<ReplicaMetadata>(value)?;
+        recovered.metadata = decode::<ReplicaMetadata>(value)?;
         Ok(())
     })?;
     for_each_record(
@@ -201,9 +202,9 @@
                 .as_ref()
                 .is_some_and(|(_, item)| item.name != name)
             {
-                return Err(other());
+                return Err(wrong_name());
             }
-            restored.registers.push((name, register));
+            recovered.registers.push((name, register));
             Ok(())
         },
     )?;
@@ -216,26 +217,26 @@
             let (name, (ballot, item)) =
                 (decode::<ItemName>(name)?, decode::<(Ballot, Item)>(value)?);
             if item.name != name {
-                return Err(other());
+                return Err(wrong_name());
             }
-            restored.chosen.push((ballot, item));
+            recovered.chosen.push((ballot, item));
             Ok(())
         },
     )?;
-    Ok((restored, faults))
+    Ok((recovered, faults))
 }
 
 /// Writes the checksum of each record of a table that has none yet.
 pub(super) fn add_checksums(transaction: &Transaction<'_>, table: &str) -> eyre::Result<()> {
-    let step = || format!("disk: summing up {table}");
+    let context = || format!("disk: adding checksums to {table}");
     let key = if table == "own" { "one" } else { "name" };
-    let next = format!(
+    let next_sql = format!(
         "SELECT {key}, value FROM {table} WHERE ?1 IS NULL OR {key} > ?1 ORDER BY {key} LIMIT 1"
     );
-    let text = format!("UPDATE {table} SET sum = ?1 WHERE {key} = ?2");
-    let mut update = transaction.prepare(&text).wrap_err_with(step)?;
-    let mut next = transaction.prepare(&next).wrap_err_with(step)?;
-    let mut at = rusqlite::types::Value::Null;
+    let sql = format!("UPDATE {table} SET sum = ?1 WHERE {key} = ?2");
+    let mut update = transaction.prepare(&sql).wrap_err_with(context)?;
+    let mut next = transaction.prepare(&next_sql).wrap_err_with(context)?;
+    let mut last_key = rusqlite::types::Value::Null;
     loop {
         let read_row = |row: &rusqlite::Row<'_>| {
             Ok((
@@ -244,9 +245,9 @@
             ))
         };
         let found = next
-            .query_row([&at], read_row)
+            .query_row([&last_key], read_row)
             .optional()
-            .wrap_err_with(step)?;
+            .wrap_err_with(context)?;
         let Some((name, value)) = found else {
             return Ok(());
         };
@@ -256,7 +257,7 @@
         };
         update
             .execute(params![checksum(table, bytes, &value), name])
-            .wrap_err_with(step)?;
-        at = name;
+            .wrap_err_with(context)?;
+        last_key = name;
     }
 }
--- a/crates/control/src/disk/schema.rs
+++ b/crates/control/src/disk/schema.rs
@@ -1,7 +1,7 @@
 //! The versions of the schema, and the migration of a file of an older version to the current one.
 //!
 //! The version is in `PRAGMA user_version` and again, with a checksum, in the table `schema`; every later version has to keep
-//! that table as it is. So a newer file is distinguished from a corrupt one: both places must have the same version.
+//! that table as it is. This distinguishes a newer file from a corrupt one: both places must have the same version.
 //!
 //! | version | content |
 //! | --- | --- |
@@ -16,10 +16,12 @@
 /// The current version, which this program writes.
 pub const CURRENT_VERSION: u32 = 1;
 
+/// The tables of the records.
 const CREATE_TABLES: &str =
     "CREATE TABLE own (one INTEGER PRIMARY KEY CHECK (one = 1), value BLOB NOT NULL, sum INTEGER NOT NULL);
     CREATE TABLE registers (name BLOB PRIMARY KEY, value BLOB NOT NULL, sum INTEGER NOT NULL) WITHOUT ROWID;
     CREATE TABLE chosen (name BLOB PRIMARY KEY, value BLOB NOT NULL, sum INTEGER NOT NULL) WITHOUT ROWID;";
+/// The table of the schema version.
 const CREATE_SCHEMA_TABLE: &str = "CREATE TABLE schema (one INTEGER PRIMARY KEY CHECK (one = 1), version INTEGER NOT NULL, sum INTEGER NOT NULL);";
 
 /// The schema of a file.
@@ -27,7 +29,7 @@
 pub(super) enum StoredSchema {
     /// There are no tables yet.
     Empty,
-    /// A version.
+    /// The tables of this version.
     Version(u32),
 }
 
@@ -36,8 +38,8 @@
 }
 
 fn table_exists(connection: &Connection, table: &str) -> eyre::Result<bool> {
-    let text = "SELECT 1 FROM sqlite_schema WHERE type = 'table' AND name = ?1";
-    let found = connection.query_row(text, [table], |_| Ok(())).optional();
+    let sql = "SELECT 1 FROM sqlite_schema WHERE type = 'table' AND name = ?1";
+    let found = connection.query_row(sql, [table], |_| Ok(())).optional();
     found
         .map(|found| found.is_some())
         .wrap_err("disk: reading the schema")
@@ -48,33 +50,35 @@
 /// # Errors
 /// It is corrupt, or newer than this program knows.
 pub(super) fn stored_schema(connection: &Connection) -> eyre::Result<StoredSchema> {
-    let step = "disk: reading the schema's version";
-    let head = connection
+    let context = "disk: reading the schema's version";
+    let header_version = connection
         .query_row("PRAGMA user_version", [], |row| row.get::<_, i64>(0))
-        .wrap_err(step)?;
+        .wrap_err(context)?;
     let stated = if table_exists(connection, "schema")? {
-        let read = |row: &rusqlite::Row<'_>| Ok((row.get::<_, i64>(0)?, row.get::<_, i64>(1)?));
+        let read_row = |row: &rusqlite::Row<'_>| Ok((row.get::<_, i64>(0)?, row.get::<_, i64>(1)?));
         let stated = connection
-            .query_row("SELECT version, sum FROM schema", [], read)
-            .wrap_err(step)?;
+            .query_row("SELECT version, sum FROM schema", [], read_row)
+            .wrap_err(context)?;
         Some(stated)
             .filter(|(version, sum)| *sum == i64::from(version_checksum(*version)))
             .map(|(version, _)| version)
     } else {
         Some(0)
     };
-    if stated != Some(head) {
+    if stated != Some(header_version) {
         let what = match stated {
-            Some(stated) => format!("the head names schema version {head}, its table {stated}"),
-            None => "the schema's version does not match its checksum".to_string(),
+            Some(stated) => {
+                format!("header has schema version {header_version}, table schema has {stated}")
+            }
+            None => "schema version does not match its checksum".to_string(),
         };
         return Err(Corruption::of(what).into());
     }
-    match u32::try_from(head) {
+    match u32::try_from(header_version) {
         Ok(0) if !table_exists(connection, "own")? => Ok(StoredSchema::Empty),
         Ok(version) if version <= CURRENT_VERSION => Ok(StoredSchema::Version(version)),
         _ => Err(eyre!(
-            "disk: the file is of schema version {head}, this program knows versions up to {CURRENT_VERSION}: it is left as it is"
+            "disk: database has schema version {header_version}, this program supports versions up to {CURRENT_VERSION}; file left unchanged"
         )),
     }
 }
@@ -83,16 +87,16 @@
 ///
 /// # Errors
 /// It is corrupt, or the disk rejects writes.
-pub(super) fn migrate(connection: &mut Connection, found: StoredSchema) -> eyre::Result<()> {
-    if found == StoredSchema::Version(CURRENT_VERSION) {
+pub(super) fn migrate(connection: &mut Connection, stored: StoredSchema) -> eyre::Result<()> {
+    if stored == StoredSchema::Version(CURRENT_VERSION) {
         return Ok(());
     }
-    let step = || format!("disk: to schema version {CURRENT_VERSION}");
-    let transaction = connection.transaction().wrap_err_with(step)?;
-    if found == StoredSchema::Empty {
+    let context = || format!("disk: migrating to schema version {CURRENT_VERSION}");
+    let transaction = connection.transaction().wrap_err_with(context)?;
+    if stored == StoredSchema::Empty {
         transaction
             .execute_batch(CREATE_TABLES)
-            .wrap_err_with(step)?;
+            .wrap_err_with(context)?;
     } else {
         // A record that does not decode must not get a checksum that says that it is valid.
         let (_, faults) = records::read_all(&transaction, false)?;
@@ -100,21 +104,21 @@
             return Err(Corruption(faults).into());
         }
         for table in records::TABLES {
-            let text = format!("ALTER TABLE {table} ADD COLUMN sum INTEGER NOT NULL DEFAULT 0");
-            transaction.execute_batch(&text).wrap_err_with(step)?;
+            let sql = format!("ALTER TABLE {table} ADD COLUMN sum INTEGER NOT NULL DEFAULT 0");
+            transaction.execute_batch(&sql).wrap_err_with(context)?;
             records::add_checksums(&transaction, table)?;
         }
     }
     let version = i64::from(CURRENT_VERSION);
     transaction
         .execute_batch(CREATE_SCHEMA_TABLE)
-        .wrap_err_with(step)?;
-    let text = "INSERT INTO schema VALUES (1, ?1, ?2)";
+        .wrap_err_with(context)?;
+    let sql = "INSERT INTO schema VALUES (1, ?1, ?2)";
     transaction
-        .execute(text, params![version, version_checksum(version)])
-        .wrap_err_with(step)?;
+        .execute(sql, params![version, version_checksum(version)])
+        .wrap_err_with(context)?;
     transaction
         .pragma_update(None, "user_version", version)
-        .wrap_err_with(step)?;
-    transaction.commit().wrap_err_with(step)
+        .wrap_err_with(context)?;
+    transaction.commit().wrap_err_with(context)
 }
--- a/crates/control/src/disk/tests/full.rs
+++ b/crates/control/src/disk/tests/full.rs
@@ -1,68 +1,79 @@
-//! A disk that is full, or that fails for a while: writes are rejected, kept, and done once they
-//! are accepted again.
+//! A disk that is full, or that fails for a while: writes are rejected, stay queued, and complete
+//! once the disk accepts them again.
 
 use test_case::test_case;
 
 use super::*;
 use crate::disk::write_queue::{WriteQueue, WriterEvent};
 
-fn said(heard: Vec<WriterEvent>) -> Vec<String> {
-    let said = heard.into_iter().map(|heard| match heard {
-        WriterEvent::Written(number) => number.to_string(),
-        WriterEvent::WritesRejected(why) => format!("refused: {why:#}"),
-        WriterEvent::WritesResumed => "taken".to_string(),
-        WriterEvent::Failed(why) => panic!("{why:#}"),
+/// The events as text: a completed write as its request id.
+fn describe(events: Vec<WriterEvent>) -> Vec<String> {
+    let descriptions = events.into_iter().map(|event| match event {
+        WriterEvent::Written(id) => id.to_string(),
+        WriterEvent::WritesRejected(error) => format!("rejected: {error:#}"),
+        WriterEvent::WritesResumed => "resumed".to_string(),
+        WriterEvent::Failed(error) => panic!("{error:#}"),
     });
-    said.collect()
+    descriptions.collect()
 }
 
-fn fail(folder: &Path, fails: Option<(usize, ErrorKind)>) {
-    tapes().get_mut(folder).unwrap().fails = fails;
+/// Sets how many more operations on a folder succeed, and the error of later ones.
+fn set_failure(folder: &Path, fail_after: Option<(usize, ErrorKind)>) {
+    recordings().get_mut(folder).unwrap().fail_after = fail_after;
 }
 
-#[test_case(ErrorKind::StorageFull; "no room")]
-#[test_case(ErrorKind::Other; "a fault")]
+#[test_case(ErrorKind::StorageFull; "disk full")]
+#[test_case(ErrorKind::Other; "I/O error")]
 fn rejected_writes_are_queued_and_complete_later(kind: ErrorKind) {
-    for left in 0.. {
+    for successes in 0.. {
         let folder = tempfile::tempdir().unwrap();
         let mut opened = open(folder.path(), true).unwrap();
-        let first = [rows("s", 1), rows("t", 1)].concat();
+        let first = [change_records("s", 1), change_records("t", 1)].concat();
         opened.store.commit(&first).unwrap();
-        watch(folder.path());
-        fail(folder.path(), Some((left, kind)));
-        let mut desk = WriteQueue::new(opened.store);
-        desk.enqueue((1, rows("s", 2)));
-        desk.enqueue((2, rows("u", 1)));
-        let heard = said(desk.commit_pending());
-        if heard == ["1", "2"] {
-            assert!(left >= 5, "{left}");
+        start_recording(folder.path());
+        set_failure(folder.path(), Some((successes, kind)));
+        let mut queue = WriteQueue::new(opened.store);
+        queue.enqueue((1, change_records("s", 2)));
+        queue.enqueue((2, change_records("u", 1)));
+        let events = describe(queue.commit_pending());
+        if events == ["1", "2"] {
+            assert!(successes >= 5, "{successes}");
             return;
         }
         assert!(
-            heard.len() == 1 && heard[0].contains("refused: disk: "),
-            "{heard:?}"
+            events.len() == 1 && events[0].contains("rejected: disk: "),
+            "{events:?}"
         );
-        // Power is lost now: either all of it is there, or nothing.
-        let whole = [first.clone(), rows("s", 2), rows("u", 1)];
-        let lost = open(lay(&files(folder.path())).path(), false).unwrap();
+        // After a loss of power at this point either all of the commit is stored, or nothing.
+        let commits = [
+            first.clone(),
+            change_records("s", 2),
+            change_records("u", 1),
+        ];
+        let reopened = open(write_files(&read_files(folder.path())).path(), false).unwrap();
         assert!(
-            lost.quarantined.is_none()
-                && [after(&whole[..1]), after(&whole)].contains(&held(&lost)),
-            "{left}"
+            reopened.quarantined.is_none()
+                && [state_after(&commits[..1]), state_after(&commits)]
+                    .contains(&state_of(&reopened)),
+            "{successes}"
         );
-        // Reported once; later writes wait too.
-        desk.enqueue((3, rows("s", 3)));
-        assert_eq!(said(desk.commit_pending()), [""; 0]);
-        fail(folder.path(), None);
-        assert_eq!(said(desk.commit_pending()), ["taken", "1", "2", "3"]);
-        desk.enqueue((4, rows("v", 1)));
-        assert_eq!(said(desk.commit_pending()), ["4"]);
-        drop(desk);
+        // The rejection is reported once; later writes are queued as well.
+        queue.enqueue((3, change_records("s", 3)));
+        assert_eq!(describe(queue.commit_pending()), [""; 0]);
+        set_failure(folder.path(), None);
+        assert_eq!(describe(queue.commit_pending()), ["resumed", "1", "2", "3"]);
+        queue.enqueue((4, change_records("v", 1)));
+        assert_eq!(describe(queue.commit_pending()), ["4"]);
+        drop(queue);
         let opened = open(folder.path(), false).unwrap();
         assert_eq!(opened.quarantined, None);
         assert_eq!(
-            held(&opened),
-            after(&[whole.concat(), rows("s", 3), rows("v", 1)])
+            state_of(&opened),
+            state_after(&[
+                commits.concat(),
+                change_records("s", 3),
+                change_records("v", 1)
+            ])
         );
     }
 }
@@ -71,20 +82,20 @@
 fn queue_of_rejected_writes_is_bounded() {
     let folder = tempfile::tempdir().unwrap();
     let opened = open(folder.path(), true).unwrap();
-    watch(folder.path());
-    fail(folder.path(), Some((0, ErrorKind::StorageFull)));
-    let mut desk = WriteQueue::new(opened.store);
+    start_recording(folder.path());
+    set_failure(folder.path(), Some((0, ErrorKind::StorageFull)));
+    let mut queue = WriteQueue::new(opened.store);
     for ver in 1..=300 {
-        desk.enqueue((ver, rows("s", ver)));
-        desk.commit_pending();
+        queue.enqueue((ver, change_records("s", ver)));
+        queue.commit_pending();
     }
-    assert_eq!(desk.pending_records(), 2);
-    fail(folder.path(), None);
-    assert_eq!(desk.commit_pending().len(), 301);
-    drop(desk);
+    assert_eq!(queue.pending_records(), 2);
+    set_failure(folder.path(), None);
+    assert_eq!(queue.commit_pending().len(), 301);
+    drop(queue);
     assert_eq!(
-        held(&open(folder.path(), false).unwrap()),
-        after(&[rows("s", 300)])
+        state_of(&open(folder.path(), false).unwrap()),
+        state_after(&[change_records("s", 300)])
     );
 }
 
@@ -94,13 +105,15 @@
     open(folder.path(), true)
         .unwrap()
         .store
-        .commit(&rows("s", 1))
+        .commit(&change_records("s", 1))
         .unwrap();
-    watch(folder.path());
-    fail(folder.path(), Some((0, ErrorKind::StorageFull)));
-    let why = open(folder.path(), false).err().unwrap();
-    assert!(format!("{why:#}").contains("disk: "), "{why:#}");
-    fail(folder.path(), None);
+    start_recording(folder.path());
+    set_failure(folder.path(), Some((0, ErrorKind::StorageFull)));
+    let error = open(folder.path(), false).err().unwrap();
+    assert!(format!("{error:#}").contains("disk: "), "{error:#}");
+    set_failure(folder.path(), None);
     let opened = open(folder.path(), false).unwrap();
-    assert!(opened.quarantined.is_none() && held(&opened) == after(&[rows("s", 1)]));
+    assert!(
+        opened.quarantined.is_none() && state_of(&opened) == state_after(&[change_records("s", 1)])
+    );
 }
--- a/crates/control/src/disk/tests/mod.rs
+++ b/crates/control/src/disk/tests/mod.rs
@@ -1,14 +1,15 @@
-//! The database under faults: cut off at every write and sync, torn, corrupted, full.
+//! The database under faults: power lost at every write and sync, torn writes, corruption, a full
+//! disk.
 //!
-//! SQLite's writes are observed through a file system of the tests that SQLite calls (`sqlite-vfs`,
-//! a crate with a safe trait). Deriving the sequence of writes from snapshots of the files was
-//! rejected: it shows no syncs, and nothing of the first start, where a rollback journal is used.
+//! SQLite's writes are recorded by a virtual file system of these tests (`sqlite-vfs`, a crate with a
+//! safe trait). Deriving the sequence of writes from snapshots of the files was rejected: they show
+//! no syncs, and nothing of the first start, which uses a rollback journal.
 
+mod corruption;
 mod cost;
-mod cuts;
 mod full;
 mod growth;
-mod harm;
+mod power_loss;
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -20,7 +21,8 @@
 
 use protocol::items::{Item, ItemKind, ItemName};
 use sqlite_vfs::{
-    DatabaseHandle, LockKind, OpenAccess, OpenOptions as Wanted, Vfs, WalDisabled, register,
+    DatabaseHandle, LockKind, OpenAccess, OpenOptions as SqliteOpenOptions, Vfs, WalDisabled,
+    register,
 };
 
 use super::{FileAccess, OpenedStore, Store};
@@ -30,64 +32,68 @@
 
 /// An operation on the files of a folder.
 #[derive(Clone, Debug)]
-enum Step {
+enum FileOp {
     Write(String, u64, Vec<u8>),
-    Length(String, u64),
+    SetLength(String, u64),
     Sync(String),
     Delete(String),
-    /// The folder's names are synced.
-    Folder,
+    /// The names in the folder are synced.
+    SyncFolder,
     /// A commit was reported as on disk.
-    Told,
+    CommitReported,
 }
 
-/// A folder under observation.
+/// The operations on a folder, in order.
 #[derive(Default)]
-struct Tape {
-    steps: Vec<Step>,
-    /// This many writes and syncs succeed; later ones fail in this way.
-    fails: Option<(usize, ErrorKind)>,
+struct Recording {
+    operations: Vec<FileOp>,
+    /// This many operations succeed; later ones fail with this error.
+    fail_after: Option<(usize, ErrorKind)>,
 }
 
-type Tapes = BTreeMap<PathBuf, Tape>;
+type Recordings = BTreeMap<PathBuf, Recording>;
 
-fn tapes() -> MutexGuard<'static, Tapes> {
-    static TAPES: OnceLock<Mutex<Tapes>> = OnceLock::new();
-    TAPES
+fn recordings() -> MutexGuard<'static, Recordings> {
+    static RECORDINGS: OnceLock<Mutex<Recordings>> = OnceLock::new();
+    RECORDINGS
         .get_or_init(Mutex::default)
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Records a step in an observed folder, or fails.
-fn step(folder: &Path, step: Step) -> Result<(), Error> {
-    let mut tapes = tapes();
-    let Some(tape) = tapes.get_mut(folder) else {
+/// Records an operation on a recorded folder, or fails it.
+fn record(folder: &Path, operation: FileOp) -> Result<(), Error> {
+    let mut recordings = recordings();
+    let Some(recording) = recordings.get_mut(folder) else {
         return Ok(());
     };
-    if let Some((left, kind)) = &mut tape.fails {
-        match left.checked_sub(1) {
-            Some(less) => *left = less,
+    if let Some((remaining, kind)) = &mut recording.fail_after {
+        match remaining.checked_sub(1) {
+            Some(fewer) => *remaining = fewer,
             None => return Err(Error::from(*kind)),
         }
     }
-    tape.steps.push(step);
+    recording.operations.push(operation);
     Ok(())
 }
 
-fn watch(folder: &Path) {
-    tapes().insert(folder.to_path_buf(), Tape::default());
+/// Begins to record the operations on a folder.
+fn start_recording(folder: &Path) {
+    recordings().insert(folder.to_path_buf(), Recording::default());
 }
 
-fn told(folder: &Path) {
-    step(folder, Step::Told).unwrap();
+/// Records that a commit was reported as on disk.
+fn record_report(folder: &Path) {
+    record(folder, FileOp::CommitReported).unwrap();
 }
 
-fn steps(folder: &Path) -> Vec<Step> {
-    tapes().remove(folder).unwrap().steps
+/// Ends the recording of a folder; gives its operations.
+fn take_recording(folder: &Path) -> Vec<FileOp> {
+    recordings().remove(folder).unwrap().operations
 }
 
-struct Watched;
+/// Stores files on disk and records each operation; syncs are recorded alone.
+struct RecordingVfs;
 
 struct Handle {
     file: File,
@@ -95,7 +101,7 @@
     name: String,
 }
 
-fn parts(path: &str) -> (PathBuf, String) {
+fn split_path(path: &str) -> (PathBuf, String) {
     let path = Path::new(path);
     (
         path.parent().unwrap().to_path_buf(),
@@ -103,12 +109,12 @@
     )
 }
 
-impl Vfs for Watched {
+impl Vfs for RecordingVfs {
     type Handle = Handle;
 
-    fn open(&self, path: &str, wanted: Wanted) -> Result<Handle, Error> {
-        let (folder, name) = parts(path);
-        let create = matches!(wanted.access, OpenAccess::Create | OpenAccess::CreateNew);
+    fn open(&self, path: &str, options: SqliteOpenOptions) -> Result<Handle, Error> {
+        let (folder, name) = split_path(path);
+        let create = matches!(options.access, OpenAccess::Create | OpenAccess::CreateNew);
         let file = OpenOptions::new()
             .read(true)
             .write(true)
@@ -119,9 +125,9 @@
     }
 
     fn delete(&self, path: &str) -> Result<(), Error> {
-        let (folder, name) = parts(path);
+        let (folder, name) = split_path(path);
         std::fs::remove_file(path)?;
-        step(&folder, Step::Delete(name))
+        record(&folder, FileOp::Delete(name))
     }
 
     fn exists(&self, path: &str) -> Result<bool, Error> {
@@ -129,15 +135,15 @@
     }
 
     fn temporary_name(&self) -> String {
-        unreachable!("what is kept for a while is kept in memory")
+        unreachable!("temporary data is kept in memory")
     }
 
     fn random(&self, buffer: &mut [i8]) {
-        static CHANCE: Mutex<Chance> = Mutex::new(Chance(7));
-        let mut chance = CHANCE.lock().unwrap();
+        static RNG: Mutex<Rng> = Mutex::new(Rng(7));
+        let mut rng = RNG.lock().unwrap();
         buffer
             .iter_mut()
-            .for_each(|byte| *byte = chance.below(256) as u8 as i8);
+            .for_each(|byte| *byte = rng.below(256) as u8 as i8);
     }
 
     fn sleep(&self, duration: Duration) -> Duration {
@@ -152,24 +158,24 @@
         Ok(self.file.metadata()?.len())
     }
 
-    fn read_exact_at(&mut self, buffer: &mut [u8], at: u64) -> Result<(), Error> {
-        self.file.read_exact_at(buffer, at)
+    fn read_exact_at(&mut self, buffer: &mut [u8], offset: u64) -> Result<(), Error> {
+        self.file.read_exact_at(buffer, offset)
     }
 
-    fn write_all_at(&mut self, bytes: &[u8], at: u64) -> Result<(), Error> {
-        step(
+    fn write_all_at(&mut self, bytes: &[u8], offset: u64) -> Result<(), Error> {
+        record(
             &self.folder,
-            Step::Write(self.name.clone(), at, bytes.to_vec()),
+            FileOp::Write(self.name.clone(), offset, bytes.to_vec()),
         )?;
-        self.file.write_all_at(bytes, at)
+        self.file.write_all_at(bytes, offset)
     }
 
     fn sync(&mut self, _: bool) -> Result<(), Error> {
-        step(&self.folder, Step::Sync(self.name.clone()))
+        record(&self.folder, FileOp::Sync(self.name.clone()))
     }
 
     fn set_len(&mut self, length: u64) -> Result<(), Error> {
-        step(&self.folder, Step::Length(self.name.clone(), length))?;
+        record(&self.folder, FileOp::SetLength(self.name.clone(), length))?;
         self.file.set_len(length)
     }
 
@@ -190,32 +196,32 @@
     }
 }
 
-fn folder_synced(folder: &Path) -> io::Result<()> {
-    step(folder, Step::Folder)
+fn record_folder_sync(folder: &Path) -> io::Result<()> {
+    record(folder, FileOp::SyncFolder)
 }
 
-/// Opens through the observing file system. Nothing waits for a real disk.
+/// Opens a store through the recording file system. No sync waits for a real disk.
 fn open(folder: &Path, bootstrap: bool) -> eyre::Result<OpenedStore> {
     static ONCE: OnceLock<()> = OnceLock::new();
-    ONCE.get_or_init(|| register("watched", Watched, false).unwrap());
+    ONCE.get_or_init(|| register("recording", RecordingVfs, false).unwrap());
     Store::open_with(
         FileAccess {
-            vfs: Some("watched"),
-            sync_folder: folder_synced,
+            vfs: Some("recording"),
+            sync_folder: record_folder_sync,
         },
         folder,
         bootstrap,
     )
 }
 
-/// A random generator with a seed.
-struct Chance(u64);
+/// A seeded random number generator.
+struct Rng(u64);
 
-impl Chance {
-    fn below(&mut self, most: usize) -> usize {
+impl Rng {
+    fn below(&mut self, bound: usize) -> usize {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        ((mixed ^ (mixed >> 27)) % most.max(1) as u64) as usize
+        ((mixed ^ (mixed >> 27)) % bound.max(1) as u64) as usize
     }
 }
 
@@ -226,41 +232,41 @@
     }
 }
 
-fn item(at: &str, ver: u64) -> Item {
+fn item(service: &str, ver: u64) -> Item {
     Item {
-        name: name(at),
+        name: name(service),
         ver,
         spec: Some(format!("{{\"ver\":{ver},\"text\":\"{}\"}}", "x".repeat(60))),
     }
 }
 
-/// The writes of one change at a replica.
-fn rows(at: &str, ver: u64) -> Vec<Record> {
+/// The records that one change of a service writes at a replica.
+fn change_records(service: &str, ver: u64) -> Vec<Record> {
     let ballot = Ballot {
         round: ver,
         ..Ballot::default()
     };
     let register = Register {
         promised_ballot: ballot,
-        accepted_value: Some((ballot, item(at, ver))),
+        accepted_value: Some((ballot, item(service, ver))),
     };
     vec![
-        Record::Register(name(at), register),
-        Record::Chosen(ballot, item(at, ver)),
+        Record::Register(name(service), register),
+        Record::Chosen(ballot, item(service, ver)),
     ]
 }
 
-/// Registers and chosen items.
-type Held = (
+/// Registers and chosen items by name.
+type StoredState = (
     BTreeMap<ItemName, Register>,
     BTreeMap<ItemName, (Ballot, Item)>,
 );
 
-/// The contents after some commits.
-fn after(commits: &[Vec<Record>]) -> Held {
+/// The state after some commits.
+fn state_after(commits: &[Vec<Record>]) -> StoredState {
     let (mut registers, mut chosen) = (BTreeMap::new(), BTreeMap::new());
-    for row in commits.iter().flatten().cloned() {
-        match row {
+    for record in commits.iter().flatten().cloned() {
+        match record {
             Record::Metadata(_) => {}
             Record::Register(name, register) => _ = registers.insert(name, register),
             Record::Chosen(ballot, item) => _ = chosen.insert(item.name.clone(), (ballot, item)),
@@ -269,8 +275,8 @@
     (registers, chosen)
 }
 
-/// The contents that a store was opened with, in the same form.
-fn held(opened: &OpenedStore) -> Held {
+/// The state that a store was opened with.
+fn state_of(opened: &OpenedStore) -> StoredState {
     let chosen = opened
         .recovered
         .chosen
@@ -282,9 +288,10 @@
     )
 }
 
+/// The contents of the files of a folder, by name.
 type Files = BTreeMap<String, Vec<u8>>;
 
-fn files(folder: &Path) -> Files {
+fn read_files(folder: &Path) -> Files {
     let entries = std::fs::read_dir(folder)
         .unwrap()
         .map(|entry| entry.unwrap());
@@ -298,7 +305,8 @@
         .collect()
 }
 
-fn lay(files: &Files) -> tempfile::TempDir {
+/// Creates a folder with these files.
+fn write_files(files: &Files) -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
     for (name, bytes) in files {
         std::fs::write(folder.path().join(name), bytes).unwrap();
@@ -306,8 +314,11 @@
     folder
 }
 
-/// A file of the first builds: no version, no checksums.
-fn unversioned(commits: &[Vec<Record>], own: &crate::core::ReplicaMetadata) -> tempfile::TempDir {
+/// A database as the first builds wrote it: without a version and without checksums.
+fn create_unversioned(
+    commits: &[Vec<Record>],
+    metadata: &crate::core::ReplicaMetadata,
+) -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
     let connection = rusqlite::Connection::open(folder.path().join(super::DATABASE_FILE)).unwrap();
     let tables = "PRAGMA journal_mode=WAL;
@@ -315,30 +326,30 @@
         CREATE TABLE registers (name BLOB PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;
         CREATE TABLE chosen (name BLOB PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;";
     connection.execute_batch(tables).unwrap();
-    let (registers, chosen) = after(commits);
-    let bytes = |table: &str, name: Vec<u8>, value: Vec<u8>| {
-        let text = format!("INSERT INTO {table} VALUES (?1, ?2)");
+    let (registers, chosen) = state_after(commits);
+    let insert = |table: &str, name: Vec<u8>, value: Vec<u8>| {
+        let sql = format!("INSERT INTO {table} VALUES (?1, ?2)");
         connection
-            .execute(&text, rusqlite::params![name, value])
+            .execute(&sql, rusqlite::params![name, value])
             .unwrap();
     };
     for (name, register) in &registers {
-        bytes(
+        insert(
             "registers",
             postcard::to_allocvec(name).unwrap(),
             postcard::to_allocvec(register).unwrap(),
         );
     }
     for (name, chosen) in &chosen {
-        bytes(
+        insert(
             "chosen",
             postcard::to_allocvec(name).unwrap(),
             postcard::to_allocvec(chosen).unwrap(),
         );
     }
-    let own = postcard::to_allocvec(own).unwrap();
+    let metadata = postcard::to_allocvec(metadata).unwrap();
     connection
-        .execute("INSERT INTO own VALUES (1, ?1)", [own])
+        .execute("INSERT INTO own VALUES (1, ?1)", [metadata])
         .unwrap();
     drop(connection);
     folder
--- a/crates/control/src/disk/verify.rs
+++ b/crates/control/src/disk/verify.rs
@@ -31,7 +31,7 @@
     pub highest: BTreeMap<&'static str, u64>,
     /// The number of commits in the write-ahead log.
     pub commits: usize,
-    /// What is wrong; a start with these files would quarantine them.
+    /// What is corrupt; a start with these files would quarantine them.
     pub faults: Vec<CorruptRecord>,
 }
 
@@ -69,27 +69,27 @@
     verify_file(&folder.join(DATABASE_FILE))
 }
 
-/// Reads a file by its own name, such as one that was quarantined; its log has the same name and `-wal`.
+/// Reads a database file of any name, such as a quarantined one; its write-ahead log has the same name with `-wal` appended.
 ///
 /// # Errors
 /// As [`verify`].
 pub fn verify_file(file: &Path) -> eyre::Result<Report> {
-    let step = || format!("disk: reading {}", file.display());
-    let bytes = std::fs::read(file).wrap_err_with(step)?;
-    let mut beside = file.as_os_str().to_os_string();
-    beside.push("-wal");
-    let log = match std::fs::read(&beside) {
-        Ok(log) => log,
+    let context = || format!("disk: reading {}", file.display());
+    let bytes = std::fs::read(file).wrap_err_with(context)?;
+    let mut wal_path = file.as_os_str().to_os_string();
+    wal_path.push("-wal");
+    let wal_bytes = match std::fs::read(&wal_path) {
+        Ok(bytes) => bytes,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Vec::new(),
-        Err(error) => return Err(error).wrap_err_with(step),
+        Err(error) => return Err(error).wrap_err_with(context),
     };
-    if bytes.is_empty() && log.is_empty() {
+    if bytes.is_empty() && wal_bytes.is_empty() {
         return Err(eyre!(
-            "disk: {} is empty: its program has not come to write anything",
+            "disk: {} is empty: the program has not written anything yet",
             file.display()
         ));
     }
-    let mut found = Report {
+    let mut report = Report {
         schema: 0,
         incarnation: 0,
         run: 0,
@@ -99,84 +99,105 @@
         commits: 0,
         faults: Vec::new(),
     };
-    let read = match merge_wal(bytes, &log, &mut found) {
-        Ok(image) => read_image(&image, &mut found),
-        Err(harm) => Err(harm.into()),
+    let recovered = match merge_wal(bytes, &wal_bytes, &mut report) {
+        Ok(image) => read_image(&image, &mut report),
+        Err(corruption) => Err(corruption.into()),
     };
-    match read {
-        Ok(restored) => summarize(&restored, &mut found),
+    match recovered {
+        Ok(recovered) => summarize(&recovered, &mut report),
         Err(error) if is_corruption(&error) => match error.downcast::<Corruption>() {
-            Ok(Corruption(faults)) => found.faults.extend(faults),
-            Err(error) => found.faults.extend(Corruption::of(format!("{error:#}")).0),
+            Ok(Corruption(faults)) => report.faults.extend(faults),
+            Err(error) => report.faults.extend(Corruption::of(format!("{error:#}")).0),
         },
         Err(error) => return Err(error),
     }
-    Ok(found)
+    Ok(report)
 }
 
-/// The content of the file with its log applied.
-fn merge_wal(mut bytes: Vec<u8>, log: &[u8], found: &mut Report) -> Result<Vec<u8>, Corruption> {
+/// The content of the file with its write-ahead log applied.
+fn merge_wal(
+    mut bytes: Vec<u8>,
+    wal_bytes: &[u8],
+    report: &mut Report,
+) -> Result<Vec<u8>, Corruption> {
     if bytes.is_empty() {
-        return Err(Corruption::of("the log stands without its file"));
+        return Err(Corruption::of("write-ahead log without its database file"));
     }
-    if let Some(harm) = header_corruption(&bytes) {
-        return Err(Corruption::of(harm));
+    if let Some(corruption) = header_corruption(&bytes) {
+        return Err(Corruption::of(corruption));
     }
-    let page = page_size(&bytes);
-    let place = |number: u32| (number as usize).saturating_sub(1) * page;
-    let read = wal::read(log, page, |number, content| {
+    let page_bytes = page_size(&bytes);
+    let page_offset = |number: u32| (number as usize).saturating_sub(1) * page_bytes;
+    let wal_contents = wal::read(wal_bytes, page_bytes, |number, content| {
         bytes
-            .get(place(number)..)
-            .is_some_and(|there| there.starts_with(content))
+            .get(page_offset(number)..)
+            .is_some_and(|stored| stored.starts_with(content))
     });
-    found.commits = read.commits;
-    found.faults.extend(
-        read.corruption
+    report.commits = wal_contents.commits;
+    report.faults.extend(
+        wal_contents
+            .corruption
             .into_iter()
-            .flat_map(|harm| Corruption::of(harm).0),
+            .flat_map(|corruption| Corruption::of(corruption).0),
     );
-    if let Some(size) = read.size {
-        // A size that no log can have filled is corrupt, and must not use up the memory.
-        if size as usize > bytes.len() / page + read.pages.len() {
-            return Err(Corruption::of("the log names more pages than there are"));
+    if let Some(size) = wal_contents.size {
+        // A larger size than the pages can fill is corrupt, and must not exhaust the memory.
+        if size as usize > bytes.len() / page_bytes + wal_contents.pages.len() {
+            return Err(Corruption::of(
+                "write-ahead log commits more pages than the database and the log hold",
+            ));
         }
-        bytes.resize(size as usize * page, 0);
-        for (number, at) in read.pages.into_iter().filter(|(number, _)| *number <= size) {
-            bytes[place(number)..place(number) + page]
-                .copy_from_slice(wal::page_content(log, at, page));
+        bytes.resize(size as usize * page_bytes, 0);
+        for (number, offset) in wal_contents
+            .pages
+            .into_iter()
+            .filter(|(number, _)| *number <= size)
+        {
+            bytes[page_offset(number)..page_offset(number) + page_bytes]
+                .copy_from_slice(wal::page_content(wal_bytes, offset, page_bytes));
         }
     }
-    // There is no log in memory; without this SQLite would look for one.
+    // Sets the file format versions to rollback journal: otherwise SQLite would look for a write-ahead log, which an
+    // in-memory database has not.
     bytes[18..20].fill(1);
     Ok(bytes)
 }
 
-fn read_image(image: &[u8], found: &mut Report) -> eyre::Result<RecoveredState> {
-    let mut connection = Connection::open_in_memory().wrap_err("disk: opening a copy")?;
-    let length = image.len();
+/// Reads a database from memory.
+fn read_image(image: &[u8], report: &mut Report) -> eyre::Result<RecoveredState> {
+    let mut connection =
+        Connection::open_in_memory().wrap_err("disk: opening an in-memory copy")?;
+    let length_bytes = image.len();
     connection
-        .deserialize_read_exact(MAIN_DB, image, length, true)
-        .wrap_err("disk: opening a copy")?;
+        .deserialize_read_exact(MAIN_DB, image, length_bytes, true)
+        .wrap_err("disk: opening an in-memory copy")?;
     let version = schema::stored_schema(&connection)?;
     quick_check(&connection)?;
     let schema::StoredSchema::Version(version) = version else {
         return Ok(RecoveredState::default());
     };
-    found.schema = version;
-    let (restored, faults) = records::read_all(&connection, version > 0)?;
-    found.faults.extend(faults);
-    Ok(restored)
+    report.schema = version;
+    let (recovered, faults) = records::read_all(&connection, version > 0)?;
+    report.faults.extend(faults);
+    Ok(recovered)
 }
 
-fn summarize(restored: &RecoveredState, found: &mut Report) {
-    (found.incarnation, found.run) = (restored.metadata.incarnation.number, restored.metadata.run);
-    (found.registers, found.chosen) = (restored.registers.len(), restored.chosen.len());
-    let accepted = restored
+/// Adds the figures of the recovered state to a report.
+fn summarize(recovered: &RecoveredState, report: &mut Report) {
+    (report.incarnation, report.run) = (
+        recovered.metadata.incarnation.number,
+        recovered.metadata.run,
+    );
+    (report.registers, report.chosen) = (recovered.registers.len(), recovered.chosen.len());
+    let accepted = recovered
         .registers
         .iter()
         .filter_map(|(_, register)| register.accepted_value.as_ref());
-    for (_, item) in accepted.chain(&restored.chosen) {
-        let highest = found.highest.entry(item.name.kind.wire_name()).or_default();
+    for (_, item) in accepted.chain(&recovered.chosen) {
+        let highest = report
+            .highest
+            .entry(item.name.kind.wire_name())
+            .or_default();
         *highest = (*highest).max(item.ver);
     }
 }
--- a/crates/control/src/disk/write_queue.rs
+++ b/crates/control/src/disk/write_queue.rs
@@ -1,5 +1,6 @@
-//! The queue of writes, and the thread that commits them. A disk that rejects a write is tried again with everything that is
-//! queued: nothing is given up, and the event loop is told when the disk begins to reject writes and when it accepts them again.
+//! The queue of writes, and the thread that commits them. A rejected write is retried together with everything
+//! that is queued: no write is dropped, and the event loop is notified when the disk starts to reject writes and when it
+//! accepts them again.
 
 use std::collections::BTreeMap;
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
@@ -15,13 +16,13 @@
 
 /// The greatest number of writes that go into one commit.
 const MAX_GROUP_COMMIT: usize = 64;
-/// The stack of the thread, in bytes.
+/// The stack size of the writer thread.
 const STACK_BYTES: usize = 512 * 1024;
 
 /// The records to be written under a request id.
 pub type WriteRequest = (u64, Vec<Record>);
 
-/// What the thread reports to the event loop.
+/// What the writer thread reports to the event loop.
 #[derive(Debug)]
 pub enum WriterEvent {
     /// The write with this request id is on disk. Writes are reported in the order in which they were requested.
@@ -30,21 +31,21 @@
     WritesRejected(eyre::Report),
     /// The disk accepts writes again.
     WritesResumed,
-    /// The database can't be used any more.
+    /// The database is corrupt; the thread has ended.
     Failed(eyre::Report),
 }
 
 /// The identity of a record: a later one with the same key replaces it.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum RecordKey {
-    Own,
+    Metadata,
     Register(ItemName),
     Chosen(ItemName),
 }
 
 fn record_key(record: &Record) -> RecordKey {
     match record {
-        Record::Metadata(_) => RecordKey::Own,
+        Record::Metadata(_) => RecordKey::Metadata,
         Record::Register(name, _) => RecordKey::Register(name.clone()),
         Record::Chosen(_, item) => RecordKey::Chosen(item.name.clone()),
     }
@@ -54,9 +55,10 @@
 pub(super) struct WriteQueue {
     store: Store,
     request_ids: Vec<u64>,
-    /// Only the newest record of each key: a disk that is full for long must not fill up the memory.
+    /// Only the newest record of each key: a disk that stays full must not exhaust the memory.
     records: BTreeMap<RecordKey, Record>,
-    rejecting: bool,
+    /// The last commit was rejected.
+    is_rejecting: bool,
 }
 
 impl WriteQueue {
@@ -65,7 +67,7 @@
             store,
             request_ids: Vec::new(),
             records: BTreeMap::new(),
-            rejecting: false,
+            is_rejecting: false,
         }
     }
 
@@ -84,22 +86,22 @@
         self.records.len()
     }
 
-    /// Tries to write everything that is queued in one commit.
+    /// Tries to write everything that is queued in one commit. Repeated rejections are reported once.
     pub(super) fn commit_pending(&mut self) -> Vec<WriterEvent> {
         match self.store.commit(self.records.values()) {
             Ok(()) => {
                 self.records.clear();
-                let again =
-                    std::mem::take(&mut self.rejecting).then_some(WriterEvent::WritesResumed);
-                again
+                let resumed =
+                    std::mem::take(&mut self.is_rejecting).then_some(WriterEvent::WritesResumed);
+                resumed
                     .into_iter()
                     .chain(self.request_ids.drain(..).map(WriterEvent::Written))
                     .collect()
             }
             Err(error) if is_corruption(&error) => vec![WriterEvent::Failed(error)],
-            Err(_) if self.rejecting => Vec::new(),
+            Err(_) if self.is_rejecting => Vec::new(),
             Err(error) => {
-                self.rejecting = true;
+                self.is_rejecting = true;
                 vec![WriterEvent::WritesRejected(error)]
             }
         }
@@ -120,22 +122,24 @@
         .stack_size(STACK_BYTES);
     thread
         .spawn(move || run_writer(WriteQueue::new(store), &queue, &events))
-        .wrap_err("disk: starting its thread")?;
+        .wrap_err("disk: starting the writer thread")?;
     Ok(requests)
 }
 
+/// Commits requested writes until the event loop or the store is gone.
 fn run_writer(
     mut writes: WriteQueue,
     queue: &Receiver<WriteRequest>,
     events: &calloop::channel::Sender<WriterEvent>,
 ) {
     loop {
-        let mut room = MAX_GROUP_COMMIT;
-        if writes.rejecting {
-            // What is requested meanwhile is queued, and written with the next attempt.
-            let next = Instant::now() + Duration::from_micros(limits::DISK_RETRY_INTERVAL as u64);
+        let mut remaining = MAX_GROUP_COMMIT;
+        if writes.is_rejecting {
+            // Writes requested until the next attempt are queued, and committed with it.
+            let retry_at =
+                Instant::now() + Duration::from_micros(limits::DISK_RETRY_INTERVAL as u64);
             loop {
-                match queue.recv_timeout(next.saturating_duration_since(Instant::now())) {
+                match queue.recv_timeout(retry_at.saturating_duration_since(Instant::now())) {
                     Ok(request) => writes.enqueue(request),
                     Err(RecvTimeoutError::Timeout) => break,
                     Err(RecvTimeoutError::Disconnected) => return,
@@ -144,15 +148,15 @@
         } else {
             let Ok(first) = queue.recv() else { return };
             writes.enqueue(first);
-            room -= 1;
+            remaining -= 1;
         }
         queue
             .try_iter()
-            .take(room)
+            .take(remaining)
             .for_each(|request| writes.enqueue(request));
         for event in writes.commit_pending() {
-            let last = matches!(event, WriterEvent::Failed(_));
-            if events.send(event).is_err() || last {
+            let is_final = matches!(event, WriterEvent::Failed(_));
+            if events.send(event).is_err() || is_final {
                 return;
             }
         }
