--- a/crates/control/src/dataplane_types.rs
+++ b/crates/control/src/dataplane_types.rs
@@ -1,4 +1,4 @@
-//! What comes from the dataplane: framing, deadlines and the numbered table. Named here and nowhere else.
+//! The types of the dataplane that this crate uses: framing, frame limits and the slot map. Only this module imports them.
 
 pub use dataplane::framing::{
     IncomingMessage, ParseError, Request, RequestHead, parse_framed_response, write_response,
--- a/crates/control/src/host/connections.rs
+++ b/crates/control/src/host/connections.rs
@@ -12,17 +12,17 @@
 /// Who is at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
-    /// A replica or an agent, from which nothing was received yet.
+    /// A replica or an agent that has not sent its first bytes yet.
     Unidentified,
-    /// The replica at this address; none until it has sent its address.
+    /// The replica at this address; `None` until it has sent its address.
     Replica { peer: Option<SocketAddr> },
     /// An agent.
     Agent,
     /// An operator, or a server.
     Operator,
-    /// A client that looks up where to go.
+    /// A client that looks up the addresses of edges.
     Client,
-    /// The platform.
+    /// The platform API, whose list of servers this process reads.
     Platform,
 }
 
@@ -30,33 +30,42 @@
     pub(super) stream: Rc<TcpStream>,
     pub(super) token: Option<RegistrationToken>,
     pub(super) role: Role,
-    pub(super) connected: bool,
+    pub(super) is_connected: bool,
     pub(super) opened_at: i64,
-    /// When something was last received, and when something was last queued to be sent.
+    /// When bytes were last received.
     pub(super) last_received_at: i64,
+    /// When bytes were last queued to be sent.
     pub(super) last_sent_at: i64,
     pub(super) input: Vec<u8>,
     pub(super) output: Vec<u8>,
+    /// The number of bytes of `output` that are written already.
     pub(super) written: usize,
-    /// The request of a caller that is being received, and whether one was received and awaits its reply.
+    /// The request of a caller that is being received.
     pub(super) incoming: IncomingMessage<RequestHead>,
+    /// A request was received and awaits its reply.
     pub(super) awaiting_reply: bool,
+    /// `100 Continue` was sent for the request that is being received.
     pub(super) continue_sent: bool,
-    /// No other request follows on this connection.
+    /// The caller sends no other request on this connection.
     pub(super) close_after_reply: bool,
     /// Reading has stopped although more may have been received.
     pub(super) has_unread: bool,
-    /// The connection is closed once everything is written.
+    /// The connection is closed once all output is written.
     pub(super) closing: bool,
 }
 
 impl Connection {
-    pub(super) fn new(stream: Rc<TcpStream>, role: Role, up: bool, now: i64) -> Connection {
+    pub(super) fn new(
+        stream: Rc<TcpStream>,
+        role: Role,
+        is_connected: bool,
+        now: i64,
+    ) -> Connection {
         Connection {
             stream,
             token: None,
             role,
-            connected: up,
+            is_connected,
             opened_at: now,
             last_received_at: now,
             last_sent_at: now,
@@ -73,23 +82,27 @@
     }
 
     /// The number of bytes that are queued and not written yet.
-    pub(super) fn backlog(&self) -> usize {
+    pub(super) fn backlog_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Whether something is still to be sent on it.
+    /// Whether output or a reply is still to be sent.
     pub(super) fn has_pending_output(&self) -> bool {
-        self.connected && self.backlog() > 0 || self.awaiting_reply
+        self.is_connected && self.backlog_bytes() > 0 || self.awaiting_reply
     }
 }
 
 /// The error of a `connect` that continues in the background on Linux; the standard library has no stable name for it.
 const EINPROGRESS: i32 = 115;
 
-/// Opens a connection without waiting until it is established.
+/// Starts to open a connection, without blocking.
 pub(super) fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let kind = Type::STREAM.nonblocking().cloexec();
-    let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
+    let socket_type = Type::STREAM.nonblocking().cloexec();
+    let socket = Socket::new(
+        Domain::for_address(address),
+        socket_type,
+        Some(Protocol::TCP),
+    )?;
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&address.into()) {
         Ok(()) => {}
@@ -99,13 +112,17 @@
     Ok(socket.into())
 }
 
-/// Connections that may wait to be accepted.
+/// The greatest number of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 512;
 
 /// Listens at an address.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let kind = Type::STREAM.nonblocking().cloexec();
-    let socket = Socket::new(Domain::for_address(address), kind, Some(Protocol::TCP))?;
+    let socket_type = Type::STREAM.nonblocking().cloexec();
+    let socket = Socket::new(
+        Domain::for_address(address),
+        socket_type,
+        Some(Protocol::TCP),
+    )?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     socket.listen(LISTEN_BACKLOG)?;
--- a/crates/control/src/host/http_calls.rs
+++ b/crates/control/src/host/http_calls.rs
@@ -14,13 +14,13 @@
 use crate::operator_api::{self, Reply};
 use crate::{limits, lookup};
 
-/// The greatest size of the body of a lookup, in bytes.
+/// The greatest size of the body of a lookup.
 const MAX_LOOKUP_BODY_BYTES: u64 = 1_024;
 
 const JSON_HEADERS: [(&str, &str); 1] = [("Content-Type", "application/json")];
 
 impl Host {
-    /// Reads the calls of a connection one after the other: the next one once this one is answered.
+    /// Reads the calls of a connection one at a time: the next one is read once this one is answered.
     pub(super) fn read_call(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -28,25 +28,25 @@
         if connection.awaiting_reply || connection.closing {
             return;
         }
-        let operator = connection.role == Role::Operator;
-        let max_body_bytes = if operator {
+        let is_operator = connection.role == Role::Operator;
+        let max_body_bytes = if is_operator {
             limits::MAX_CALL_BYTES
         } else {
             MAX_LOOKUP_BODY_BYTES
         };
-        if let Err(malformed) =
+        if let Err(error) =
             connection
                 .incoming
-                .read(&mut connection.input, max_body_bytes, &self.frames)
+                .read(&mut connection.input, max_body_bytes, &self.frame_limits)
         {
-            return self.reject(key, malformed);
+            return self.reject(key, error);
         }
         if !connection.incoming.is_complete() {
-            let expects = connection
+            let expects_continue = connection
                 .incoming
                 .head()
                 .is_some_and(|head| head.expects_continue);
-            if expects && !std::mem::replace(&mut connection.continue_sent, true) {
+            if expects_continue && !std::mem::replace(&mut connection.continue_sent, true) {
                 self.write(key, b"HTTP/1.1 100 Continue\r\n\r\n");
             }
             return;
@@ -58,23 +58,24 @@
         connection.close_after_reply = !head.keep_alive;
         connection.awaiting_reply = true;
         let request = Request::new(head, body);
-        if operator {
+        if is_operator {
             self.handle_operator_call(key, request)
         } else {
             self.handle_client_call(key, &request)
         }
     }
 
-    fn reject(&mut self, key: ConnectionKey, malformed: ParseError) {
+    /// Answers a malformed request, and closes the connection.
+    fn reject(&mut self, key: ConnectionKey, error: ParseError) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.close_after_reply = true;
             connection.awaiting_reply = true;
         }
-        let body = format!(r#"{{"error":"{malformed}"}}"#);
-        self.answer(key, malformed.status(), body.as_bytes());
+        let body = format!(r#"{{"error":"{error}"}}"#);
+        self.answer(key, error.status(), body.as_bytes());
     }
 
-    /// Whether a caller has closed its end of the connection. What it has sent after the call is kept.
+    /// Whether a caller has closed its end of the connection. Bytes that it has sent after the call are kept.
     fn has_disconnected(&mut self, key: ConnectionKey) -> bool {
         let Some(connection) = self.connections.get_mut(key) else {
             return true;
@@ -92,16 +93,16 @@
     }
 
     fn handle_operator_call(&mut self, key: ConnectionKey, request: Request) {
-        // Hazard: an evacuation has no version. One that waited while this process stalled, and was sent again elsewhere,
-        // must not be begun after the opposite call was acknowledged.
+        // An evacuation has no version. A call that was pending while this process stalled, and was retried at another
+        // replica, must not be executed after the opposite call was acknowledged.
         if self.has_disconnected(key) {
             return self.close(key);
         }
-        let large = request.body.len() > limits::LARGE_CONTENT_BYTES;
+        let is_large = request.body.len() > limits::LARGE_CONTENT_BYTES;
         match operator_api::parse_command(request) {
             Ok(command) => {
                 let deadline = self.now()
-                    + if large {
+                    + if is_large {
                         limits::LARGE_CALL_TIMEOUT
                     } else {
                         limits::CALL_TIMEOUT
@@ -116,7 +117,7 @@
 
     fn handle_client_call(&mut self, key: ConnectionKey, request: &Request) {
         let path = request.target.split('?').next().unwrap_or_default();
-        let refusal = match (request.method.as_str(), path) {
+        let reply = match (request.method.as_str(), path) {
             ("GET", "/api/lookup") => {
                 let region = lookup::requested_region(&request.target).unwrap_or_default();
                 return self.handle_lookup(key, region);
@@ -124,7 +125,7 @@
             (_, "/api/lookup") => Reply::MethodNotAllowed,
             _ => Reply::NotFound(format!("path: {path}")),
         };
-        self.send_reply(key, refusal);
+        self.send_reply(key, reply);
     }
 
     /// Answers a caller, and reads its next call.
@@ -138,21 +139,21 @@
         };
         connection.awaiting_reply = false;
         connection.closing = connection.close_after_reply || self.shutdown_started_at.is_some();
-        let (close, unread) = (connection.closing, connection.has_unread);
+        let (close, has_unread) = (connection.closing, connection.has_unread);
         let mut bytes = Vec::with_capacity(body.len() + 128);
         write_response(&mut bytes, status, &JSON_HEADERS, body, close);
         self.write(key, &bytes);
         if !close {
             self.read_call(key);
-            if unread {
+            if has_unread {
                 self.read(key);
             }
         }
     }
 
-    /// Reads the platform's list, while this replica has that role.
+    /// Advances the poll of the platform's list of servers while this replica has that role.
     pub(super) fn poll_platform(&mut self, now: i64) {
-        let holds = self.core.should_poll_platform(now);
+        let has_role = self.core.should_poll_platform(now);
         let Some(poller) = &mut self.poller else {
             return;
         };
@@ -163,7 +164,7 @@
             }
             return self.handle_poll_failed();
         }
-        if !holds {
+        if !has_role {
             return poller.pause();
         }
         let Some(request) = poller.next_request(now) else {
@@ -183,7 +184,7 @@
         }
     }
 
-    /// A poll has failed.
+    /// Discards a failed poll, and gives up the role after too many failures.
     fn handle_poll_failed(&mut self) {
         if self
             .poller
@@ -194,6 +195,7 @@
         }
     }
 
+    /// Reads a page of the platform's list.
     pub(super) fn read_page(&mut self, key: ConnectionKey) {
         let Some(poller) = &mut self.poller else {
             return;
@@ -201,7 +203,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        // What was received answers no request. Left in the buffer it would be taken for the answer to the next one.
+        // These bytes answer no request. Left in the buffer they would be taken for the response to the next one.
         if !poller.is_waiting() || poller.connection != Some(key) {
             poller.connection.take_if(|connection| *connection == key);
             return self.close(key);
@@ -225,8 +227,9 @@
         }
     }
 
-    /// The connection to the platform was closed. One that was kept open may be closed at any time: then the poll restarts.
-    pub(super) fn handle_platform_disconnected(&mut self, key: ConnectionKey, since: i64) {
+    /// Handles the end of the connection to the platform. One that was kept open may be closed by the platform at any time:
+    /// then the poll restarts.
+    pub(super) fn handle_platform_disconnected(&mut self, key: ConnectionKey, opened_at: i64) {
         let now = self.now();
         let Some(poller) = self
             .poller
@@ -236,7 +239,7 @@
             return;
         };
         poller.connection = None;
-        if poller.is_waiting() && now - since > limits::POLL_INTERVAL / 2 {
+        if poller.is_waiting() && now - opened_at > limits::POLL_INTERVAL / 2 {
             poller.restart(now);
         } else if poller.is_waiting() {
             self.handle_poll_failed();
--- a/crates/control/src/host/mod.rs
+++ b/crates/control/src/host/mod.rs
@@ -1,6 +1,6 @@
 //! The host of a replica: one thread with one event loop, around the deterministic core.
 //!
-//! Each iteration first takes in what was received, then runs what is due, and then writes everything that is to be sent.
+//! Each iteration first handles received input, then runs due timers, and then writes all queued output.
 
 mod connections;
 mod http_calls;
@@ -40,51 +40,51 @@
 use crate::limits;
 use crate::operator_api::Reply;
 
-/// The addresses to listen at, and the folder of the database, as the settings name them.
-struct Paths {
+/// The listen addresses and the database folder, from the settings.
+struct Endpoints {
     core: SocketAddr,
     operators: SocketAddr,
     clients: SocketAddr,
-    folder: PathBuf,
+    data_folder: PathBuf,
 }
 
-/// Checks that the settings name everything that this program needs.
+/// Checks that the settings have all keys that this program needs.
 ///
 /// # Errors
-/// A key that is missing, by its name.
+/// The name of a missing key.
 pub fn check(settings: &Settings) -> eyre::Result<()> {
-    paths(settings).map(|_| ())
+    endpoints(settings).map(|_| ())
 }
 
-fn paths(settings: &Settings) -> eyre::Result<Paths> {
-    let missing =
-        |key: &str| eyre!("settings: {key}: missing, and wanted on a machine of the core");
+fn endpoints(settings: &Settings) -> eyre::Result<Endpoints> {
+    let missing = |key: &str| eyre!("settings: {key}: missing, required by the control program");
     if settings.zones.len() > limits::MAX_REPLICAS {
         return Err(eyre!("settings: zones: more than 128 replicas"));
     }
-    Ok(Paths {
+    Ok(Endpoints {
         core: settings.core_address(settings.ip),
         operators: settings.bind.ctl.ok_or_else(|| missing("bind.ctl"))?,
         clients: settings.bind.dir.ok_or_else(|| missing("bind.dir"))?,
-        folder: settings.datadir.clone().ok_or_else(|| missing("datadir"))?,
+        data_folder: settings.datadir.clone().ok_or_else(|| missing("datadir"))?,
     })
 }
 
 /// The state of the event loop.
 struct Host {
     handle: LoopHandle<'static, Host>,
-    start: Instant,
+    started_at: Instant,
     log: Logger,
     core: Replica,
     address: SocketAddr,
-    lookup_ttl: i64,
-    frames: FrameLimits,
+    /// The validity of an answer to a lookup, in microseconds.
+    lookup_ttl_us: i64,
+    frame_limits: FrameLimits,
     write_requests: Sender<WriteRequest>,
     connections: SlotMap<ConnectionKey, Connection>,
-    /// How many connections of operators and clients there are.
-    callers: usize,
+    /// The number of connections of operators and clients.
+    caller_count: usize,
     listeners: Vec<RegistrationToken>,
-    /// Listeners that could not accept, as for want of descriptors: they are asked again at the next upkeep.
+    /// Listeners that could not accept, for example for lack of file descriptors: they are retried at the next upkeep.
     paused_listeners: Vec<RegistrationToken>,
     flush_queue: Vec<ConnectionKey>,
     read_buffer: Vec<u8>,
@@ -92,55 +92,56 @@
     peers: Vec<SocketAddr>,
     /// The link in use with each peer.
     links: BTreeMap<SocketAddr, ConnectionKey>,
-    /// When a link with a peer without one is to be opened.
+    /// When to open a link to each peer that has none.
     reconnect_at: BTreeMap<SocketAddr, i64>,
     poller: Option<PlatformPoller>,
     lookups: PendingLookups,
     stall: StallDetector,
-    next_upkeep: i64,
+    next_upkeep_at: i64,
     shutdown_started_at: Option<i64>,
-    /// The longest time from then to the end of the process, in microseconds.
-    grace: i64,
+    /// The longest time from the start of the shutdown to the end of the process, in microseconds.
+    grace_period_us: i64,
     disk_failure: Option<eyre::Report>,
 }
 
-/// The interval at which silent connections and missing links are looked for, in microseconds.
-const UPKEEP_INTERVAL: i64 = 200_000;
-/// The least time from SIGTERM to the end of the process, so that all peers hear of it, in microseconds.
-const MIN_SHUTDOWN_DURATION: i64 = 300_000;
-/// What an idle connection keeps of a buffer, in bytes.
+/// The interval of the check for silent connections and missing links, in microseconds.
+const UPKEEP_INTERVAL_US: i64 = 200_000;
+/// The shortest time from SIGTERM to the end of the process, in microseconds: all peers have to be notified before.
+const MIN_SHUTDOWN_DURATION_US: i64 = 300_000;
+/// The capacity to which the buffers of an idle connection shrink.
 const IDLE_BUFFER_BYTES: usize = 4 * 1024;
 
 /// Runs the program until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// An address can't be had, or the disk fails.
+/// An address can't be bound, or the database can't be opened or has become corrupt.
 pub fn serve(settings: &Settings, log: Logger) -> eyre::Result<()> {
-    let paths = paths(settings)?;
-    // Hazard: the writer's thread inherits the blocked signals only if they are blocked before it is started.
+    let endpoints = endpoints(settings)?;
+    // The signals have to be blocked before the writer thread starts, which inherits the mask: otherwise they might be
+    // delivered to that thread.
     let signals = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
     let signals = Signals::new(&signals).wrap_err("signals")?;
-    let opened = Store::open(&paths.folder, settings.bootstrap)?;
+    let opened = Store::open(&endpoints.data_folder, settings.bootstrap)?;
     if let Some(reason) = &opened.quarantined {
-        error!(log, "disk is corrupt and counts as empty"; "error" => reason);
+        error!(log, "database corrupt and quarantined, starting with an empty state"; "error" => reason);
     }
     let mut events: EventLoop<'static, Host> = EventLoop::try_new().wrap_err("event loop")?;
-    let (done, writer_events) = channel::channel();
-    let write_requests = disk::spawn(opened.store, done)?;
-    let config = replica_config(settings, &paths, opened.recovered);
+    let (events_sender, writer_events) = channel::channel();
+    let write_requests = disk::spawn(opened.store, events_sender)?;
+    let config = replica_config(settings, &endpoints, opened.recovered);
     let mut host = Host::new(settings, config, write_requests, events.handle(), log);
     info!(host.log, "started";
-        "incarnation" => host.core.incarnation().number, "address" => paths.core.to_string());
+        "incarnation" => host.core.incarnation().number, "address" => endpoints.core.to_string());
     host.add_signals(signals)?;
     host.add_writer_events(writer_events)?;
-    host.listen(paths.core, Role::Unidentified)?;
-    host.listen(paths.operators, Role::Operator)?;
-    host.listen(paths.clients, Role::Client)?;
+    host.listen(endpoints.core, Role::Unidentified)?;
+    host.listen(endpoints.operators, Role::Operator)?;
+    host.listen(endpoints.clients, Role::Client)?;
     host.run_due();
     while !host.is_finished() {
-        let wait = host.next_wake().saturating_sub(host.now()).max(0);
-        let wait = Some(Duration::from_micros(wait as u64));
-        events.dispatch(wait, &mut host).wrap_err("event loop")?;
+        let timeout_us = host.next_wake_at().saturating_sub(host.now()).max(0);
+        let timeout = Some(Duration::from_micros(timeout_us as u64));
+        events.dispatch(timeout, &mut host).wrap_err("event loop")?;
         host.run_due();
     }
     if let Some(error) = host.disk_failure.take() {
@@ -150,11 +151,15 @@
     Ok(())
 }
 
-fn replica_config(settings: &Settings, paths: &Paths, recovered: RecoveredState) -> ReplicaConfig {
+fn replica_config(
+    settings: &Settings,
+    endpoints: &Endpoints,
+    recovered: RecoveredState,
+) -> ReplicaConfig {
     ReplicaConfig {
         zones: settings.zones.keys().cloned().collect(),
         zone: settings.zone.clone(),
-        address: Some(paths.core),
+        address: Some(endpoints.core),
         seed_addresses: settings.seed_addresses(),
         random_seed: random_seed(settings),
         recovered,
@@ -179,23 +184,23 @@
         handle: LoopHandle<'static, Host>,
         log: Logger,
     ) -> Host {
-        let start = Instant::now();
+        let started_at = Instant::now();
         let address = settings.core_address(settings.ip);
         let core = Replica::new(0, config);
-        let grace = settings.bounds.grace.0;
-        let grace = grace.saturating_sub(limits::GRACE_MARGIN);
+        let grace_us = settings.bounds.grace.0;
+        let grace_us = grace_us.saturating_sub(limits::GRACE_MARGIN);
         Host {
             handle,
-            start,
+            started_at,
             log,
             peers: core.peer_addresses(),
             core,
             address,
-            lookup_ttl: limits::LOOKUP_TTL.min(settings.bounds.ttl_max.0),
-            frames: FrameLimits::default(),
+            lookup_ttl_us: limits::LOOKUP_TTL.min(settings.bounds.ttl_max.0),
+            frame_limits: FrameLimits::default(),
             write_requests,
             connections: SlotMap::with_key(),
-            callers: 0,
+            caller_count: 0,
             listeners: Vec::new(),
             paused_listeners: Vec::new(),
             flush_queue: Vec::new(),
@@ -206,9 +211,9 @@
             poller: settings.cloud_api.as_ref().map(PlatformPoller::new),
             lookups: PendingLookups::default(),
             stall: StallDetector::default(),
-            next_upkeep: 0,
+            next_upkeep_at: 0,
             shutdown_started_at: None,
-            grace: grace.max(MIN_SHUTDOWN_DURATION),
+            grace_period_us: grace_us.max(MIN_SHUTDOWN_DURATION_US),
             disk_failure: None,
         }
     }
@@ -216,7 +221,7 @@
     fn add_signals(&mut self, signals: Signals) -> eyre::Result<()> {
         let handle_signal = |event: calloop::signals::Event, _: &mut _, host: &mut Host| {
             match event.signal() {
-                // The settings are read at the start alone: nothing here depends on a later change of them.
+                // The settings are read only at the start: a reload would change nothing.
                 Signal::SIGHUP => {}
                 _ => host.begin_shutdown(),
             }
@@ -233,7 +238,9 @@
             }
         };
         let inserted = self.handle.insert_source(events, handle_event);
-        inserted.map_err(|e| e.error).wrap_err("disk: its events")?;
+        inserted
+            .map_err(|e| e.error)
+            .wrap_err("disk: event channel")?;
         Ok(())
     }
 
@@ -263,15 +270,16 @@
 
     /// Microseconds since the start; never decreases.
     fn now(&self) -> i64 {
-        self.start.elapsed().as_micros() as i64
+        self.started_at.elapsed().as_micros() as i64
     }
 
-    fn next_wake(&self) -> i64 {
-        let polls = self.core.should_poll_platform(self.now());
-        let poller = self.poller.as_ref().filter(|_| polls);
+    /// When the event loop has to run next without an event.
+    fn next_wake_at(&self) -> i64 {
+        let should_poll = self.core.should_poll_platform(self.now());
+        let poller = self.poller.as_ref().filter(|_| should_poll);
         let poll_at = poller.map_or(i64::MAX, PlatformPoller::wake_at);
-        let wakes = [self.next_upkeep, poll_at, self.lookups.wake_at()];
-        wakes.into_iter().fold(self.core.wake_at(), i64::min)
+        let wake_times = [self.next_upkeep_at, poll_at, self.lookups.wake_at()];
+        wake_times.into_iter().fold(self.core.wake_at(), i64::min)
     }
 
     fn begin_shutdown(&mut self) {
@@ -282,7 +290,7 @@
         }
     }
 
-    /// Logs what operators have to know before they remove a machine and its disk.
+    /// Logs whether the handover is complete: operators check this before they remove a machine and its disk.
     fn log_handover_result(&self) {
         if self.core.is_handed_over() {
             info!(self.log, #IMMEDIATE, "handover complete");
@@ -291,6 +299,7 @@
         }
     }
 
+    /// Whether the process ends now.
     fn is_finished(&self) -> bool {
         if self.disk_failure.is_some() {
             return true;
@@ -301,21 +310,21 @@
         let elapsed = self.now() - started_at;
         let mut connections = self.connections.values();
         let is_idle = self.core.is_idle() && !connections.any(Connection::has_pending_output);
-        let is_answered = elapsed >= limits::SHUTDOWN_CALL_TIMEOUT
-            || (is_idle && elapsed >= MIN_SHUTDOWN_DURATION);
-        elapsed >= self.grace || (is_answered && self.core.is_handed_over())
+        let calls_completed = elapsed >= limits::SHUTDOWN_CALL_TIMEOUT
+            || (is_idle && elapsed >= MIN_SHUTDOWN_DURATION_US);
+        elapsed >= self.grace_period_us || (calls_completed && self.core.is_handed_over())
     }
 
     fn add_listener(&mut self, listener: TcpListener, role: Role) -> io::Result<()> {
         let source = Generic::new(listener, Interest::READ, Mode::Level);
-        let number = self.listeners.len();
+        let index = self.listeners.len();
         let accept = move |_: Readiness,
                            listener: &mut calloop::generic::NoIoDrop<TcpListener>,
                            host: &mut Host| {
             if host.accept(listener, role).is_ok() {
                 return Ok(PostAction::Continue);
             }
-            host.paused_listeners.push(host.listeners[number]);
+            host.paused_listeners.push(host.listeners[index]);
             Ok(PostAction::Disable)
         };
         let token = self.handle.insert_source(source, accept);
@@ -323,20 +332,21 @@
         Ok(())
     }
 
-    /// Asks listeners again that could not accept.
+    /// Resumes listeners that could not accept.
     fn resume_listeners(&mut self) {
         for token in std::mem::take(&mut self.paused_listeners) {
             if let Err(error) = self.handle.enable(&token) {
-                warn!(self.log, "listening again failed"; "error" => error.to_string());
+                warn!(self.log, "resuming a listener failed"; "error" => error.to_string());
                 self.paused_listeners.push(token);
             }
         }
     }
 
-    /// Accepts all connections that wait.
+    /// Accepts all pending connections.
     ///
     /// # Errors
-    /// One can't be accepted, as for want of descriptors. It goes on waiting, and is reported all the time.
+    /// A connection can't be accepted, for example for lack of file descriptors. It stays pending and keeps the listener
+    /// readable, so that the listener has to be disabled.
     fn accept(&mut self, listener: &TcpListener, role: Role) -> io::Result<()> {
         self.check_for_stall();
         loop {
@@ -347,38 +357,41 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(error) => return Err(error),
             };
-            let caller = matches!(role, Role::Operator | Role::Client);
-            // Descriptors are kept free for replicas and agents.
-            if caller && self.callers >= limits::MAX_CALLERS {
+            let is_caller = matches!(role, Role::Operator | Role::Client);
+            // File descriptors are reserved for replicas and agents.
+            if is_caller && self.caller_count >= limits::MAX_CALLERS {
                 continue;
             }
-            let ready = stream
+            let configured = stream
                 .set_nonblocking(true)
                 .and_then(|()| stream.set_nodelay(true));
-            if let Err(error) = ready.and_then(|()| self.register(stream, role, true).map(|_| ())) {
+            if let Err(error) =
+                configured.and_then(|()| self.register(stream, role, true).map(|_| ()))
+            {
                 warn!(self.log, "accepting a connection failed"; "error" => error.to_string());
-            } else if caller {
-                self.callers += 1;
+            } else if is_caller {
+                self.caller_count += 1;
             }
         }
     }
 
+    /// Adds a connection to the event loop.
     fn register(
         &mut self,
         stream: std::net::TcpStream,
         role: Role,
-        up: bool,
+        is_connected: bool,
     ) -> io::Result<ConnectionKey> {
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
         let key = self
             .connections
-            .insert(Connection::new(stream, role, up, self.now()));
-        let ready = move |_: Readiness, _: &mut _, host: &mut Host| {
+            .insert(Connection::new(stream, role, is_connected, self.now()));
+        let on_ready = move |_: Readiness, _: &mut _, host: &mut Host| {
             host.handle_ready(key);
             Ok(PostAction::Continue)
         };
-        match self.handle.insert_source(source, ready) {
+        match self.handle.insert_source(source, on_ready) {
             Ok(token) => {
                 self.connections[key].token = Some(token);
                 Ok(key)
@@ -390,11 +403,11 @@
         }
     }
 
-    /// Opens a connection, which is closed again if it is not established within [`limits::CONNECT_TIMEOUT`].
+    /// Opens a connection, which the upkeep closes if it is not established within [`limits::CONNECT_TIMEOUT`].
     fn connect(&mut self, address: SocketAddr, role: Role) -> Option<ConnectionKey> {
-        let opened =
+        let registered =
             connections::connect(address).and_then(|stream| self.register(stream, role, false));
-        opened
+        registered
             .inspect_err(|error| debug!(self.log, "connecting failed"; "peer" => address.to_string(), "error" => error.to_string()))
             .ok()
     }
@@ -411,7 +424,7 @@
             Role::Unidentified => {}
             Role::Replica { peer } => self.handle_link_lost(key, peer),
             Role::Agent => self.step_core(Input::AgentDisconnected(key.data().as_ffi())),
-            Role::Operator | Role::Client => self.callers -= 1,
+            Role::Operator | Role::Client => self.caller_count -= 1,
             Role::Platform => self.handle_platform_disconnected(key, connection.opened_at),
         }
     }
@@ -421,9 +434,9 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if !connection.connected {
+        if !connection.is_connected {
             match connection.stream.take_error() {
-                Ok(None) if connection.stream.peer_addr().is_ok() => connection.connected = true,
+                Ok(None) if connection.stream.peer_addr().is_ok() => connection.is_connected = true,
                 Ok(None) => return,
                 _ => return self.close(key),
             }
@@ -432,30 +445,31 @@
         if self
             .connections
             .get(key)
-            .is_some_and(|connection| connection.backlog() > 0)
+            .is_some_and(|connection| connection.backlog_bytes() > 0)
         {
             self.flush(key);
         }
         self.read(key);
     }
 
-    /// Reads everything that was received on a connection.
+    /// Reads all received bytes of a connection.
     fn read(&mut self, key: ConnectionKey) {
         loop {
             let now = self.now();
             let Some(connection) = self.connections.get_mut(key) else {
                 return;
             };
-            // Further requests of a caller wait until the one before them is answered.
+            // Pipelined requests of a caller are left unread until the current one is answered.
             connection.has_unread =
                 connection.awaiting_reply && connection.input.len() >= limits::READ_BYTES;
             if connection.has_unread {
                 return;
             }
-            // Hazard: a call whose caller is gone may be old, and sent again to another replica since. It is handled only once
-            // everything that was received with it is read, so that the end of the connection is seen first.
-            let caller = matches!(connection.role, Role::Operator | Role::Client);
-            let defer = caller && connection.input.len() < limits::CALLER_READ_BYTES;
+            // A call whose caller has disconnected may be old, and may have been retried at another replica since: executing it
+            // could undo a later call. So a call is handled only once all received bytes are read, as the end of the
+            // connection is then detected first.
+            let is_caller = matches!(connection.role, Role::Operator | Role::Client);
+            let is_deferred = is_caller && connection.input.len() < limits::CALLER_READ_BYTES;
             match (&*connection.stream).read(&mut self.read_buffer) {
                 Ok(0) => return self.close(key),
                 Ok(length) => {
@@ -463,11 +477,11 @@
                     connection
                         .input
                         .extend_from_slice(&self.read_buffer[..length]);
-                    if !defer {
+                    if !is_deferred {
                         self.dispatch_input(key);
                     }
                 }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock && caller => {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock && is_caller => {
                     return self.dispatch_input(key);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
@@ -477,7 +491,7 @@
         }
     }
 
-    /// Handles what was received, by the role of the connection.
+    /// Handles received bytes by the role of the connection.
     fn dispatch_input(&mut self, key: ConnectionKey) {
         match self.connections.get(key).map(|connection| connection.role) {
             Some(Role::Unidentified) => self.identify(key),
@@ -495,8 +509,8 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        // A peer that does not read must not use up the memory.
-        if connection.backlog() + bytes.len() > limits::MAX_BACKLOG_BYTES {
+        // A peer that does not read must not exhaust the memory.
+        if connection.backlog_bytes() + bytes.len() > limits::MAX_BACKLOG_BYTES {
             return self.close(key);
         }
         connection.output.extend_from_slice(bytes);
@@ -504,15 +518,16 @@
         self.flush_queue.push(key);
     }
 
+    /// Writes the queued bytes of a connection as far as its socket accepts them.
     fn flush(&mut self, key: ConnectionKey) {
         let Some(connection) = self
             .connections
             .get_mut(key)
-            .filter(|connection| connection.connected)
+            .filter(|connection| connection.is_connected)
         else {
             return;
         };
-        while connection.backlog() > 0 {
+        while connection.backlog_bytes() > 0 {
             match (&*connection.stream).write(&connection.output[connection.written..]) {
                 Ok(length) => connection.written += length,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
@@ -522,7 +537,7 @@
         }
         connection.output.clear();
         connection.written = 0;
-        // One large message must not cost memory for as long as the connection lasts.
+        // Otherwise one large message would occupy memory for the lifetime of the connection.
         connection.output.shrink_to(IDLE_BUFFER_BYTES);
         connection.input.shrink_to(IDLE_BUFFER_BYTES);
         if connection.closing {
@@ -533,17 +548,17 @@
     /// Passes an input to the core, and carries out its outputs.
     fn step_core(&mut self, input: Input) {
         let now = self.now();
-        let mut out = std::mem::take(&mut self.outputs);
-        self.core.step(now, input, &mut out);
-        for output in out.drain(..) {
+        let mut outputs = std::mem::take(&mut self.outputs);
+        self.core.step(now, input, &mut outputs);
+        for output in outputs.drain(..) {
             match output {
-                Output::SendToReplicas(to, message) => self.send_to_replicas(&to, message),
+                Output::SendToReplicas(peers, message) => self.send_to_replicas(&peers, message),
                 Output::Peers(peers) => {
                     self.peers = peers;
-                    self.next_upkeep = now;
+                    self.next_upkeep_at = now;
                 }
-                // The writer's thread has reported why it ended, and the program ends with it.
-                Output::Write(number, rows) => _ = self.write_requests.send((number, rows)),
+                // Sending fails only after the writer thread has ended, which it has reported: the program is about to end.
+                Output::Write(id, records) => _ = self.write_requests.send((id, records)),
                 Output::Answer(call, reply) => {
                     let key = ConnectionKey::from(KeyData::from_ffi(call));
                     self.send_reply(key, reply);
@@ -561,7 +576,7 @@
                 Output::Log(event) => info!(self.log, "{}", event.message(); event),
             }
         }
-        self.outputs = out;
+        self.outputs = outputs;
     }
 
     /// Answers a caller.
@@ -570,8 +585,8 @@
         self.answer(key, status, &body);
     }
 
-    fn send_to_replicas(&mut self, to: &[SocketAddr], message: PeerMessage) {
-        let links: Vec<ConnectionKey> = to
+    fn send_to_replicas(&mut self, peers: &[SocketAddr], message: PeerMessage) {
+        let links: Vec<ConnectionKey> = peers
             .iter()
             .filter_map(|peer| self.links.get(peer).copied())
             .collect();
@@ -585,19 +600,19 @@
         }
     }
 
-    /// Runs what is due, then writes everything that is queued.
+    /// Runs due timers, then writes all queued output.
     fn run_due(&mut self) {
         let now = self.now();
         if now >= self.core.wake_at() {
             self.step_core(Input::Tick);
         }
-        if now >= self.next_upkeep {
-            self.next_upkeep = now + UPKEEP_INTERVAL;
+        if now >= self.next_upkeep_at {
+            self.next_upkeep_at = now + UPKEEP_INTERVAL_US;
             self.upkeep(now);
         }
         self.poll_platform(now);
         self.answer_lookups(now);
-        // The process may have stalled in this very iteration.
+        // The process may have stalled during this iteration.
         self.check_for_stall();
         self.stall.record_iteration(self.now());
         while let Some(key) = self.flush_queue.pop() {
@@ -605,26 +620,28 @@
         }
     }
 
-    /// Closes silent connections, and opens missing links.
+    /// Resumes paused listeners, closes silent connections, and maintains the links with peers.
     fn upkeep(&mut self, now: i64) {
         self.resume_listeners();
         let is_dead = |connection: &Connection| {
-            let silent = now - connection.last_received_at;
+            let silent_for = now - connection.last_received_at;
             match connection.role {
-                _ if !connection.connected => now - connection.opened_at >= limits::CONNECT_TIMEOUT,
-                Role::Replica { .. } => silent >= limits::PEER_LINK_TIMEOUT,
-                Role::Unidentified | Role::Agent => silent >= limits::AGENT_LINK_TIMEOUT,
+                _ if !connection.is_connected => {
+                    now - connection.opened_at >= limits::CONNECT_TIMEOUT
+                }
+                Role::Replica { .. } => silent_for >= limits::PEER_LINK_TIMEOUT,
+                Role::Unidentified | Role::Agent => silent_for >= limits::AGENT_LINK_TIMEOUT,
                 Role::Operator | Role::Client => {
-                    silent >= limits::CALLER_IDLE_TIMEOUT && !connection.awaiting_reply
+                    silent_for >= limits::CALLER_IDLE_TIMEOUT && !connection.awaiting_reply
                 }
                 Role::Platform => false,
             }
         };
-        let dead = self
+        let dead_connections = self
             .connections
             .iter()
             .filter(|(_, connection)| is_dead(connection));
-        for key in dead.map(|(key, _)| key).collect::<Vec<_>>() {
+        for key in dead_connections.map(|(key, _)| key).collect::<Vec<_>>() {
             self.close(key);
         }
         self.maintain_links(now);
--- a/crates/control/src/host/peer_links.rs
+++ b/crates/control/src/host/peer_links.rs
@@ -1,5 +1,5 @@
-//! Links with the other replicas and with agents. Two replicas need one link, whichever of them opened it. Each end sends a
-//! sign of life now and then, so that a broken link is noticed.
+//! Links with the other replicas and with agents. Two replicas need one link, whichever of them opened it. Each end sends
+//! keep-alive frames on an idle link, so that a broken link is detected.
 
 use std::net::SocketAddr;
 
@@ -15,12 +15,13 @@
 use crate::dataplane_types::ConnectionKey;
 use crate::limits;
 
-/// The first bytes of a link between replicas: no frame of an agent begins with such a length.
+/// The first bytes of a link between replicas. An agent's first bytes are the length of a frame, which is never as great.
 const REPLICA_PREAMBLE: [u8; 4] = [255; 4];
-/// Of two links with one peer the unused one is closed after this, in microseconds.
-const DUPLICATE_LINK_TIMEOUT: i64 = 3_000_000;
-/// A sign of life is sent on a link on which nothing was sent for this long: a little less than the heartbeat interval.
-const KEEP_ALIVE_INTERVAL: i64 = limits::HEARTBEAT_INTERVAL - 100_000;
+/// Of two links with one peer the unused one is closed after this time, in microseconds.
+const DUPLICATE_LINK_TIMEOUT_US: i64 = 3_000_000;
+/// A keep-alive frame is sent on a link that was idle for this time, in microseconds: a little less than the heartbeat
+/// interval.
+const KEEP_ALIVE_INTERVAL_US: i64 = limits::HEARTBEAT_INTERVAL - 100_000;
 
 impl Host {
     /// Distinguishes a replica from an agent by the first bytes.
@@ -41,7 +42,7 @@
         }
     }
 
-    /// A connection that was opened here is established.
+    /// Handles a connection that was opened by this process and is established now.
     pub(super) fn handle_connected(&mut self, key: ConnectionKey) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(key) else {
@@ -56,6 +57,7 @@
         }
     }
 
+    /// Uses a link for messages to this peer.
     fn handle_peer_linked(&mut self, key: ConnectionKey, peer: SocketAddr) {
         self.links.insert(peer, key);
         self.reconnect_at.remove(&peer);
@@ -115,17 +117,17 @@
         }
     }
 
-    /// A link with a peer was closed; another one with it takes its place, if there is one.
+    /// Handles the end of a link with a peer: another link with it is used, if there is one.
     pub(super) fn handle_link_lost(&mut self, key: ConnectionKey, peer: Option<SocketAddr>) {
         let Some(peer) = peer.filter(|peer| self.links.get(peer) == Some(&key)) else {
             return;
         };
         debug!(self.log, "link closed"; "peer" => peer.to_string());
-        let other = self.connections.iter().find(|(_, connection)| {
-            connection.connected
+        let other_link = self.connections.iter().find(|(_, connection)| {
+            connection.is_connected
                 && matches!(connection.role, Role::Replica { peer: Some(other) } if other == peer)
         });
-        match other.map(|(key, _)| key) {
+        match other_link.map(|(key, _)| key) {
             Some(other) => _ = self.links.insert(peer, other),
             None => {
                 self.links.remove(&peer);
@@ -136,42 +138,46 @@
         }
     }
 
-    /// Opens missing links, sends signs of life, and closes duplicate links.
+    /// Opens missing links, sends keep-alive frames, and closes duplicate links.
     pub(super) fn maintain_links(&mut self, now: i64) {
-        let mut opening: Vec<SocketAddr> = Vec::new();
-        let (mut silent, mut duplicates) = (Vec::new(), Vec::new());
+        let mut connecting: Vec<SocketAddr> = Vec::new();
+        let (mut idle, mut duplicates) = (Vec::new(), Vec::new());
         for (key, connection) in &self.connections {
             let Role::Replica { peer: Some(peer) } = connection.role else {
                 continue;
             };
-            if !connection.connected {
-                opening.push(peer);
+            if !connection.is_connected {
+                connecting.push(peer);
                 continue;
             }
-            // If both ends closed one, both links might go: only the replica with the lower address does.
-            let used = self.links.get(&peer) == Some(&key);
-            if !used && self.address < peer && now - connection.opened_at >= DUPLICATE_LINK_TIMEOUT
+            // If each end closed a duplicate, both links might be closed: only the replica with the lower address closes one.
+            let is_used = self.links.get(&peer) == Some(&key);
+            if !is_used
+                && self.address < peer
+                && now - connection.opened_at >= DUPLICATE_LINK_TIMEOUT_US
             {
                 duplicates.push(key);
-            } else if now - connection.last_sent_at >= KEEP_ALIVE_INTERVAL {
-                silent.push(key);
+            } else if now - connection.last_sent_at >= KEEP_ALIVE_INTERVAL_US {
+                idle.push(key);
             }
         }
         let mut bytes = Vec::new();
         frames::encode(&mut bytes, &Frame::KeepAlive);
-        silent.into_iter().for_each(|key| self.write(key, &bytes));
+        idle.into_iter().for_each(|key| self.write(key, &bytes));
         duplicates.into_iter().for_each(|key| self.close(key));
         for peer in self.peers.clone() {
-            if peer == self.address || self.links.contains_key(&peer) || opening.contains(&peer) {
+            if peer == self.address || self.links.contains_key(&peer) || connecting.contains(&peer)
+            {
                 continue;
             }
-            let later = if self.address > peer {
+            // Two replicas that lack a link don't open one each: the one with the higher address waits.
+            let stagger = if self.address > peer {
                 limits::RECONNECT_STAGGER
             } else {
                 0
             };
-            let since = *self.reconnect_at.entry(peer).or_insert(now);
-            if now >= since + later {
+            let connect_at = *self.reconnect_at.entry(peer).or_insert(now);
+            if now >= connect_at + stagger {
                 self.reconnect_at
                     .insert(peer, now + limits::RECONNECT_DELAY);
                 self.connect(peer, Role::Replica { peer: Some(peer) });
--- a/crates/control/src/host/pending_lookups.rs
+++ b/crates/control/src/host/pending_lookups.rs
@@ -1,4 +1,4 @@
-//! Clients that look up where to go. One that asks before any edge is ready waits a little for the first one, if one can be
+//! Lookups of edges by clients. A lookup before any edge is ready waits up to a deadline for the first one, if one can be
 //! expected: this replica is in contact with a quorum, or has just started.
 
 use super::Host;
@@ -6,21 +6,21 @@
 use crate::operator_api::Reply;
 use crate::{limits, lookup};
 
-/// A client that waits for the first ready edge.
+/// The lookup of a client that waits for the first ready edge.
 #[derive(Debug)]
 struct PendingLookup {
     connection: ConnectionKey,
-    /// The region that the client asks for.
+    /// The requested region.
     region: String,
     deadline: i64,
 }
 
-/// The clients that wait for the first ready edge.
+/// The lookups that wait for the first ready edge.
 #[derive(Debug, Default)]
 pub(super) struct PendingLookups(Vec<PendingLookup>);
 
 impl PendingLookups {
-    /// The earliest deadline.
+    /// The earliest deadline; `i64::MAX` if no lookup waits.
     pub(super) fn wake_at(&self) -> i64 {
         let deadlines = self.0.iter().map(|lookup| lookup.deadline);
         deadlines.min().unwrap_or(i64::MAX)
@@ -28,7 +28,7 @@
 }
 
 impl Host {
-    /// Answers a client, or lets it wait for the first ready edge.
+    /// Answers a lookup, or queues it until the first edge is ready.
     pub(super) fn handle_lookup(&mut self, connection: ConnectionKey, region: String) {
         let now = self.now();
         let may_become_ready =
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Answers the clients that wait, if an edge is ready or their deadline has passed.
+    /// Answers the queued lookups if an edge is ready or their deadline has passed.
     pub(super) fn answer_lookups(&mut self, now: i64) {
-        let mut waiting = std::mem::take(&mut self.lookups.0);
-        waiting.retain(|lookup| !self.try_answer(now, lookup));
-        self.lookups.0.append(&mut waiting);
+        let mut pending = std::mem::take(&mut self.lookups.0);
+        pending.retain(|lookup| !self.try_answer(now, lookup));
+        self.lookups.0.append(&mut pending);
     }
 
-    /// Answers a client if that is possible now. Gives whether the lookup is over.
+    /// Answers a client if that is possible now. Gives whether the lookup is finished.
     fn try_answer(&mut self, now: i64, lookup: &PendingLookup) -> bool {
         if !self.connections.contains_key(lookup.connection) {
             return true;
@@ -63,7 +63,7 @@
         let members = self.core.members(now);
         let addresses = lookup::addresses(&members, &lookup.region);
         if !addresses.is_empty() {
-            let body = lookup::answer_body(&addresses, self.lookup_ttl);
+            let body = lookup::answer_body(&addresses, self.lookup_ttl_us);
             self.answer(lookup.connection, 200, &body);
             return true;
         }
--- a/crates/control/src/host/platform_poller.rs
+++ b/crates/control/src/host/platform_poller.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of servers page by page. A list counts only if every page of it was read.
+//! Reads the platform's list of servers page by page. A list is used only if every page of it was read.
 
 use std::net::SocketAddr;
 
@@ -9,16 +9,16 @@
 use crate::dataplane_types::{ConnectionKey, FrameLimits, parse_framed_response};
 use crate::limits;
 
-/// After this many failed polls in a row another replica may do better.
+/// After this many consecutive failed polls the role is given up, as another replica may reach the platform.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 
 /// A poll in progress.
 #[derive(Debug)]
 struct PollRound {
     servers: Vec<Server>,
-    /// The page that is requested, or is to be; none for the first one.
-    page: Option<String>,
-    /// The page is requested, and has to be received by this time.
+    /// The token of the current page; `None` for the first one.
+    page_token: Option<String>,
+    /// When the requested page has to be received; `None` while no page is requested.
     deadline: Option<i64>,
 }
 
@@ -26,42 +26,43 @@
 #[derive(Debug)]
 pub(super) struct PlatformPoller {
     pub(super) address: SocketAddr,
-    /// The least interval of two requests.
-    call_interval: i64,
+    /// The shortest interval between two requests, in microseconds.
+    request_interval_us: i64,
     /// When the next poll begins.
-    next_poll: i64,
-    next_call: i64,
+    next_poll_at: i64,
+    /// When the next request may be sent.
+    next_request_at: i64,
     pub(super) connection: Option<ConnectionKey>,
     round: Option<PollRound>,
     consecutive_failures: u32,
     limits: FrameLimits,
 }
 
-/// What an answer has brought.
+/// The result of reading a response.
 pub(super) enum PollResult {
-    /// The answer is not complete yet.
+    /// The response is not complete yet.
     Incomplete,
     /// More pages follow.
     MorePages,
-    /// The whole list.
+    /// The complete list.
     Complete(Vec<Server>),
 }
 
 impl PlatformPoller {
     pub(super) fn new(settings: &CloudApi) -> PlatformPoller {
-        // Some requests are left for the process that had the role before, and for a clock that is a little off.
-        let rate = (settings.per_s * 0.8).max(0.5);
+        // The rest of the rate limit is left for requests of the previous holder of the role, and for clock drift.
+        let requests_per_s = (settings.per_s * 0.8).max(0.5);
         let limits = FrameLimits {
             max_buffered_body_bytes: limits::MAX_PAGE_BYTES,
             ..FrameLimits::default()
         };
-        let gap = (1e6 / rate) as i64;
+        let request_interval_us = (1e6 / requests_per_s) as i64;
         let (connection, round) = (None, None);
         PlatformPoller {
             address: settings.addr,
-            call_interval: gap,
-            next_poll: 0,
-            next_call: 0,
+            request_interval_us,
+            next_poll_at: 0,
+            next_request_at: 0,
             connection,
             round,
             consecutive_failures: 0,
@@ -69,37 +70,37 @@
         }
     }
 
-    /// When the poller is to be called again, while this replica has the role.
+    /// When the poller has to run next, while this replica has the role.
     pub(super) fn wake_at(&self) -> i64 {
         match &self.round {
-            None => self.next_poll.max(self.next_call),
+            None => self.next_poll_at.max(self.next_request_at),
             Some(PollRound {
                 deadline: Some(deadline),
                 ..
             }) => *deadline,
-            Some(_) => self.next_call,
+            Some(_) => self.next_request_at,
         }
     }
 
     /// The request that is due now, if one is.
     pub(super) fn next_request(&mut self, now: i64) -> Option<String> {
-        if self.round.is_none() && now >= self.next_poll {
-            self.next_poll = now + limits::POLL_INTERVAL;
+        if self.round.is_none() && now >= self.next_poll_at {
+            self.next_poll_at = now + limits::POLL_INTERVAL;
             self.round = Some(PollRound {
                 servers: Vec::new(),
-                page: None,
+                page_token: None,
                 deadline: None,
             });
         }
         let round = self
             .round
             .as_mut()
-            .filter(|round| round.deadline.is_none() && now >= self.next_call)?;
-        self.next_call = now + self.call_interval;
+            .filter(|round| round.deadline.is_none() && now >= self.next_request_at)?;
+        self.next_request_at = now + self.request_interval_us;
         round.deadline = Some(now + limits::PAGE_TIMEOUT);
-        let query = round.page.as_deref().map(|page| {
-            let page: String = form_urlencoded::byte_serialize(page.as_bytes()).collect();
-            format!("?pagetok={page}")
+        let query = round.page_token.as_deref().map(|token| {
+            let token: String = form_urlencoded::byte_serialize(token.as_bytes()).collect();
+            format!("?pagetok={token}")
         });
         Some(format!(
             "GET /insts{} HTTP/1.1\r\nHost: {}\r\n\r\n",
@@ -116,14 +117,14 @@
             .is_some_and(|deadline| now >= deadline)
     }
 
-    /// Whether a page is requested.
+    /// Whether a requested page is awaited.
     pub(super) fn is_waiting(&self) -> bool {
         self.round
             .as_ref()
             .is_some_and(|round| round.deadline.is_some())
     }
 
-    /// Gives up the poll; the next one begins at its time. Gives whether too many have failed in a row.
+    /// Discards the failed poll; the next one begins at its scheduled time. Gives whether too many have failed in a row.
     pub(super) fn abandon_round(&mut self) -> bool {
         self.round = None;
         self.consecutive_failures += 1;
@@ -134,40 +135,40 @@
         }
     }
 
-    /// This replica does not have the role: what it has read so far is of no use later.
+    /// Discards the pages read so far while this replica does not have the role. A requested page is still received.
     pub(super) fn pause(&mut self) {
         self.round.take_if(|round| round.deadline.is_none());
         self.consecutive_failures = 0;
     }
 
-    /// The connection that was kept open had been closed: the poll restarts.
+    /// Restarts the poll after a connection that was kept open had been closed.
     pub(super) fn restart(&mut self, now: i64) {
         self.round = None;
-        self.next_poll = now;
+        self.next_poll_at = now;
     }
 
-    /// Reads what was received. Gives what it has brought, and whether the connection may carry the next request.
+    /// Reads received bytes. Gives the result, and whether the connection can be used for the next request.
     ///
     /// # Errors
-    /// What was received is no page; nothing of the poll counts.
+    /// The response is no page of the list; the whole poll is discarded.
     pub(super) fn read(&mut self, input: &mut Vec<u8>) -> eyre::Result<(PollResult, bool)> {
-        let step = || format!("list of servers from {}", self.address);
-        let Some((answer, length)) =
-            parse_framed_response(input, &self.limits).wrap_err_with(step)?
+        let context = || format!("list of servers from {}", self.address);
+        let Some((response, length)) =
+            parse_framed_response(input, &self.limits).wrap_err_with(context)?
         else {
             return Ok((PollResult::Incomplete, true));
         };
         input.drain(..length);
-        // Hazard: only its position tells which request an answer is for. What follows it is a second answer to the same
-        // request, and would be taken for the next page, or for the next poll's list.
-        let keep_open = answer.keep_alive && input.is_empty();
+        // A response belongs to a request by its position alone. Bytes that follow it are a second response to the same request
+        // and would be taken for the next page, or for the list of the next poll: the connection has to be closed.
+        let keep_open = response.keep_alive && input.is_empty();
         let Some(mut round) = self.round.take().filter(|round| round.deadline.is_some()) else {
-            return Err(eyre!("an answer to no request")).wrap_err_with(step);
+            return Err(eyre!("response without a request")).wrap_err_with(context);
         };
-        if answer.status != 200 {
-            return Err(eyre!("status {}", answer.status)).wrap_err_with(step);
+        if response.status != 200 {
+            return Err(eyre!("status {}", response.status)).wrap_err_with(context);
         }
-        let page = platform::parse_page(&answer.body).wrap_err_with(step)?;
+        let page = platform::parse_page(&response.body).wrap_err_with(context)?;
         round.servers.extend(page.servers);
         match page.next.filter(|next| !next.is_empty()) {
             None => {
@@ -177,7 +178,7 @@
             Some(next) => {
                 self.round = Some(PollRound {
                     servers: round.servers,
-                    page: Some(next),
+                    page_token: Some(next),
                     deadline: None,
                 });
                 Ok((PollResult::MorePages, keep_open))
--- a/crates/control/src/host/platform_poller/tests.rs
+++ b/crates/control/src/host/platform_poller/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn list_is_complete_with_its_last_page_and_calls_are_paced() {
+fn list_is_complete_after_the_last_page_and_requests_are_rate_limited() {
     let settings = CloudApi {
         addr: "10.2.0.1:80".parse().unwrap(),
         per_s: 50.0,
@@ -38,9 +38,9 @@
     );
     match poller.read(&mut page("null")).unwrap().0 {
         PollResult::Complete(servers) => assert_eq!(servers.len(), 2),
-        _ => panic!("no list"),
+        _ => panic!("the list is not complete after its last page"),
     }
-    // Over the rate limit: the whole round is discarded, and the next one comes at its time.
+    // A response 429 discards the whole poll; the next one begins at its scheduled time.
     assert!(poller.next_request(900_000).is_none());
     assert!(poller.next_request(1_000_000).is_some());
     assert!(
@@ -53,20 +53,20 @@
 }
 
 #[test]
-fn surplus_answer_closes_the_platform_connection() {
+fn surplus_response_closes_the_platform_connection() {
     let settings = CloudApi {
         addr: "10.2.0.1:80".parse().unwrap(),
         per_s: 50.0,
         max_lag: Default::default(),
     };
-    for cut in 0..=page("null").len() {
+    for surplus_bytes in 0..=page("null").len() {
         let mut poller = PlatformPoller::new(&settings);
         assert!(poller.next_request(0).is_some());
-        let mut input = [page(r#""p/1""#), page("null")[..cut].to_vec()].concat();
-        let (come, kept) = poller.read(&mut input).unwrap();
+        let mut input = [page(r#""p/1""#), page("null")[..surplus_bytes].to_vec()].concat();
+        let (result, keep_open) = poller.read(&mut input).unwrap();
         assert!(
-            matches!(come, PollResult::MorePages) && kept == (cut == 0),
-            "{cut} bytes behind it"
+            matches!(result, PollResult::MorePages) && keep_open == (surplus_bytes == 0),
+            "{surplus_bytes} bytes after the response"
         );
     }
 }
--- a/crates/control/src/host/stall.rs
+++ b/crates/control/src/host/stall.rs
@@ -1,6 +1,6 @@
-//! Detection of a stalled process. After a stall its links are full of outdated messages: heartbeats, leases and votes as they
-//! were when it stalled, while its peers have closed these links since. It closes them as well before it reads anything, so
-//! that no message is older than a link may be silent.
+//! Detection of a stalled process. After a stall its links hold outdated messages (heartbeats, leases and votes from before the
+//! stall), and its peers have closed these links since. The process closes them as well before it reads anything, so that no
+//! message is older than the time after which a silent link is closed.
 
 use protocol::log_ring::IMMEDIATE;
 use slog::info;
@@ -11,7 +11,7 @@
 use crate::dataplane_types::ConnectionKey;
 use crate::limits;
 
-/// When the event loop last completed an iteration, and for how many more what it finds may be outdated.
+/// When the event loop last completed an iteration, and for how many further iterations pending input may be outdated.
 #[derive(Debug, Default)]
 pub(super) struct StallDetector {
     last_iteration_at: i64,
@@ -19,13 +19,13 @@
 }
 
 impl StallDetector {
-    /// The event loop has completed an iteration.
+    /// Records that the event loop has completed an iteration.
     pub(super) fn record_iteration(&mut self, now: i64) {
         self.last_iteration_at = now;
         self.suspect_iterations = self.suspect_iterations.saturating_sub(1);
     }
 
-    /// Whether what is received now may have waited since before a stall.
+    /// Whether pending input may date from before a stall.
     pub(super) fn is_suspect(&self) -> bool {
         self.suspect_iterations > 0
     }
@@ -53,7 +53,7 @@
         let links = self.connections.iter();
         let links = links.filter(|(_, connection)| match connection.role {
             Role::Unidentified | Role::Replica { .. } | Role::Agent | Role::Platform => true,
-            // Callers that are gone are noticed by the end of their connection.
+            // A caller that has given up is detected by the end of its connection.
             Role::Operator | Role::Client => false,
         });
         for key in links.map(|(key, _)| key).collect::<Vec<ConnectionKey>>() {
--- a/crates/control/src/host/stall/tests.rs
+++ b/crates/control/src/host/stall/tests.rs
@@ -3,9 +3,9 @@
 #[test]
 fn stall_is_detected_once() {
     let mut stall = StallDetector::default();
-    for turn in 1..100 {
-        assert_eq!(stall.detect(turn * 200_000), None);
-        stall.record_iteration(turn * 200_000);
+    for iteration in 1..100 {
+        assert_eq!(stall.detect(iteration * 200_000), None);
+        stall.record_iteration(iteration * 200_000);
     }
     assert!(!stall.is_suspect());
     let now = 99 * 200_000 + limits::STALL_THRESHOLD;
--- a/crates/control/src/lookup.rs
+++ b/crates/control/src/lookup.rs
@@ -1,4 +1,4 @@
-//! The directory: which edges a client is sent to. Ready edges of the client's own region come first; those of other regions
+//! The directory: selects the edges for a client. Ready edges of the client's own region come first; those of other regions
 //! follow where there are fewer than two. The answer is never empty while any edge is ready.
 
 use std::net::SocketAddr;
@@ -9,27 +9,27 @@
 use crate::core::peer_messages::Member;
 use crate::limits;
 
-/// Edges of other regions are named if fewer than this many are ready in the client's own.
+/// Edges of other regions are added if fewer than this many are ready in the client's own.
 const MIN_LOCAL_NODES: usize = 2;
 
-/// The addresses for a client of a region, best first; none if no edge is ready.
+/// The addresses for a client of a region, best first; empty if no edge is ready.
 pub fn addresses(members: &[&Member], region: &str) -> Vec<SocketAddr> {
     let ready = || {
         members
             .iter()
             .filter(|member| member.state == NodeState::Ready)
     };
-    let near = ready().filter(|member| member.node.region == region);
-    let mut found: Vec<SocketAddr> = near.map(|member| member.node.http).collect();
-    if found.len() < MIN_LOCAL_NODES {
-        found.extend(
+    let local = ready().filter(|member| member.node.region == region);
+    let mut addresses: Vec<SocketAddr> = local.map(|member| member.node.http).collect();
+    if addresses.len() < MIN_LOCAL_NODES {
+        addresses.extend(
             ready()
                 .filter(|member| member.node.region != region)
                 .map(|member| member.node.http),
         );
     }
-    found.truncate(limits::MAX_LOOKUP_ADDRESSES);
-    found
+    addresses.truncate(limits::MAX_LOOKUP_ADDRESSES);
+    addresses
 }
 
 /// The region that the query of a request names.
@@ -41,10 +41,10 @@
         .map(|(_, value)| value.into_owned())
 }
 
-/// The body of the answer, which is valid for `ttl` microseconds.
-pub fn answer_body(addresses: &[SocketAddr], ttl: i64) -> Vec<u8> {
+/// The body of the response, which is valid for `ttl_us` microseconds.
+pub fn answer_body(addresses: &[SocketAddr], ttl_us: i64) -> Vec<u8> {
     let addresses: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
-    json!({"addrs": addresses, "ttl": format!("{}ms", ttl / 1_000)})
+    json!({"addrs": addresses, "ttl": format!("{}ms", ttl_us / 1_000)})
         .to_string()
         .into_bytes()
 }
--- a/crates/control/src/lookup/tests.rs
+++ b/crates/control/src/lookup/tests.rs
@@ -2,15 +2,15 @@
 use protocol::messages::NodeInfo;
 use test_case::test_case;
 
-/// Edges as text: region, then `r` (ready), `l` (draining) or `a` (unavailable); the number is its
-/// position.
-fn lookup(edges: &str, asked: &str) -> String {
-    let one = |(at, text): (usize, &str)| Member {
+/// The indices of the edges for a client of this region. Each edge is written as its region, then `r`
+/// (ready), `l` (draining) or `a` (unavailable).
+fn lookup(edges: &str, region: &str) -> String {
+    let member = |(index, text): (usize, &str)| Member {
         node: NodeInfo {
-            name: format!("edge-{at}"),
+            name: format!("edge-{index}"),
             zone: format!("{}1", &text[..1]),
             region: text[..1].to_string(),
-            http: SocketAddr::from(([10, 0, 0, at as u8], 80)),
+            http: SocketAddr::from(([10, 0, 0, index as u8], 80)),
         },
         state: match &text[1..] {
             "r" => NodeState::Ready,
@@ -19,8 +19,8 @@
         },
         is_connected: true,
     };
-    let members: Vec<Member> = edges.split(' ').enumerate().map(one).collect();
-    let found = addresses(&members.iter().collect::<Vec<_>>(), asked);
+    let members: Vec<Member> = edges.split(' ').enumerate().map(member).collect();
+    let found = addresses(&members.iter().collect::<Vec<_>>(), region);
     found
         .iter()
         .map(|address| address.to_string()[7..8].to_string())
@@ -28,18 +28,18 @@
         .join(" ")
 }
 
-#[test_case("ar ar br br", "a", "0 1"; "the region's own")]
-#[test_case("ar al aa br br", "a", "0 3 4"; "one is few: the others after it")]
-#[test_case("aa br cr", "a", "1 2"; "none there")]
-#[test_case("ar br cl", "x", "0 1"; "an unknown region: all")]
-#[test_case("ar ar br", "", "0 1 2"; "no region: all")]
-#[test_case("al aa bl", "a", ""; "none is ready")]
-fn local_edges_come_first_and_others_fill_up(edges: &str, asked: &str, is: &str) {
-    assert_eq!(lookup(edges, asked), is);
+#[test_case("ar ar br br", "a", "0 1"; "two local edges suffice")]
+#[test_case("ar al aa br br", "a", "0 3 4"; "one local edge: the others follow")]
+#[test_case("aa br cr", "a", "1 2"; "no local edge is ready")]
+#[test_case("ar br cl", "x", "0 1"; "unknown region: all")]
+#[test_case("ar ar br", "", "0 1 2"; "empty region: all")]
+#[test_case("al aa bl", "a", ""; "no edge is ready")]
+fn local_edges_come_first_and_others_follow_if_few(edges: &str, region: &str, expected: &str) {
+    assert_eq!(lookup(edges, region), expected);
 }
 
 #[test]
-fn query_is_parsed_and_answer_encoded() {
+fn query_is_parsed_and_response_encoded() {
     assert_eq!(
         requested_region("/api/lookup?name=x.example&region=serra&zone=a").as_deref(),
         Some("serra")
--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' API: calls are parsed into commands, which the core carries out, and replies are written as JSON.
+//! The operators' API: calls are parsed into commands, which the core executes, and replies are written as JSON.
 
 use serde_json::json;
 
@@ -7,11 +7,11 @@
 /// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Sets and removes items; the body as it was received.
+    /// Sets and removes items; holds the unparsed body.
     ApplyPatch(Vec<u8>),
     /// Reads the configuration.
     GetConfiguration,
-    /// Reads how this replica sees the system.
+    /// Reads the status of the system as known to this replica.
     GetStatus,
     /// Begins or ends the evacuation of a zone.
     SetEvacuation {
@@ -25,21 +25,21 @@
 /// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The command was carried out, and is on the disks of a quorum.
+    /// The command was executed, and is on the disks of a quorum.
     Done,
     /// The configuration, as JSON.
     Items(Vec<u8>),
-    /// How this replica sees the system, as JSON.
+    /// The status of the system as known to this replica, as JSON.
     Status(Vec<u8>),
     /// The call is invalid; the text names the key.
     Invalid(String),
-    /// Another content stands at the version of an item.
+    /// An item has another content at this version, or a higher version.
     Conflict,
-    /// Nothing of this name exists.
+    /// There is no path or zone of this name.
     NotFound(String),
-    /// This replica can't carry out the command now; it may still come into force.
+    /// This replica can't complete the command now; it may still take effect.
     Unavailable(&'static str),
-    /// The path is not called with this method.
+    /// The path does not support this method.
     MethodNotAllowed,
 }
 
@@ -69,30 +69,30 @@
 /// The reply to a call of an unknown path or with another method.
 pub fn parse_command(request: Request) -> Result<Command, Reply> {
     let path = request.target.split('?').next().unwrap_or_default();
-    let mut parts = path.split('/').skip(1);
-    let command = match (
-        parts.next(),
-        parts.next(),
-        parts.next(),
-        parts.next(),
-        parts.next(),
+    let mut segments = path.split('/').skip(1);
+    let method_and_command = match (
+        segments.next(),
+        segments.next(),
+        segments.next(),
+        segments.next(),
+        segments.next(),
     ) {
         (Some("api"), Some("cfg"), Some("patch"), None, None) => {
             ("POST", Command::ApplyPatch(request.body))
         }
         (Some("api"), Some("cfg"), Some("get"), None, None) => ("GET", Command::GetConfiguration),
         (Some("api"), Some("status"), None, None, None) => ("GET", Command::GetStatus),
-        (Some("api"), Some("drain"), Some(zone), Some(word @ ("begin" | "finish")), None) => (
+        (Some("api"), Some("drain"), Some(zone), Some(action @ ("begin" | "finish")), None) => (
             "POST",
             Command::SetEvacuation {
                 zone: zone.to_string(),
-                evacuate: word == "begin",
+                evacuate: action == "begin",
             },
         ),
         _ => return Err(Reply::NotFound(format!("path: {path}"))),
     };
-    if request.method == command.0 {
-        Ok(command.1)
+    if request.method == method_and_command.0 {
+        Ok(method_and_command.1)
     } else {
         Err(Reply::MethodNotAllowed)
     }
