--- a/crates/control/src/disk/tests/corruption.rs
+++ b/crates/control/src/disk/tests/corruption.rs
@@ -367,10 +367,10 @@
     let (base, last, _) = partly_checkpointed();
     let frame_bytes = 24 + 4_096;
     let frames = (0..(last - 32) / frame_bytes)
-        .flat_map(|number| (0..24).map(move |at| 32 + number * frame_bytes + at));
-    let undetected = (0..32).chain(frames).filter(|at| {
+        .flat_map(|number| (0..24).map(move |byte| 32 + number * frame_bytes + byte));
+    let undetected = (0..32).chain(frames).filter(|offset| {
         let mut files = base.clone();
-        files.get_mut(WAL_FILE).unwrap()[*at] ^= 1;
+        files.get_mut(WAL_FILE).unwrap()[*offset] ^= 1;
         let log = crate::disk::wal::read(&files[WAL_FILE], 4_096, |_, _| false);
         log.corruption.is_none()
     });
@@ -398,9 +398,10 @@
 fn quarantined_files_are_unchanged() {
     let (mut base, ..) = partly_checkpointed();
     let file = base.get_mut(DATABASE_FILE).unwrap();
-    // Old copies of the record remain in the free space of pages: the bit is flipped in all of them.
-    for at in 0..file.len() - 30 {
-        file[at + 20] ^= if file[at..].starts_with(b"\"ver\":175") {
+    // Old copies of the record remain in the free space of pages: the bit is flipped in all of
+    // them.
+    for offset in 0..file.len() - 30 {
+        file[offset + 20] ^= if file[offset..].starts_with(b"\"ver\":175") {
             4
         } else {
             0
@@ -430,8 +431,8 @@
         let bytes = files
             .get_mut(if in_wal { WAL_FILE } else { DATABASE_FILE })
             .unwrap();
-        let at = rng.below(bytes.len());
-        let sector = at / 512 * 512;
+        let offset = rng.below(bytes.len());
+        let sector = offset / 512 * 512;
         // Corruption in the last commit can't be distinguished from a loss of power, nor can the
         // loss of the sector with the commit mark of the commit before it.
         let commit_mark = last.saturating_sub(4_120);
@@ -445,7 +446,7 @@
             let zeros = vec![0; sector.len()];
             bytes[sector].copy_from_slice(if trial % 2 == 0 { &zeros } else { &other });
         } else {
-            bytes[at] ^= 1 << rng.below(8);
+            bytes[offset] ^= 1 << rng.below(8);
         }
         let folder = write_files(&files);
         let report = verify(folder.path()).unwrap_or_else(|error| panic!("{trial}: {error:#}"));
@@ -458,7 +459,7 @@
                 StartResult::Truncated
             }
             reason => panic!(
-                "{trial}: {at} of {}: {reason:?}",
+                "{trial}: {offset} of {}: {reason:?}",
                 if in_wal { WAL_FILE } else { DATABASE_FILE }
             ),
         };
@@ -469,8 +470,8 @@
         );
         *counts.entry((in_wal, result)).or_insert(0) += 1;
     }
-    // Most of the bytes of the file are unused, or are replaced by newer pages in the log. Each other
-    // result has to occur often.
+    // Most of the bytes of the file are unused, or are replaced by newer pages in the log. Each
+    // other result has to occur often.
     let results: Vec<_> = counts
         .into_iter()
         .filter(|(_, count)| *count >= 100)
--- a/crates/control/src/disk/tests/cost.rs
+++ b/crates/control/src/disk/tests/cost.rs
@@ -116,7 +116,8 @@
     }
 }
 
-/// Fills a folder, then makes single changes; gives the syncs, bytes and milliseconds of one change.
+/// Fills a folder, then makes single changes; gives the syncs, bytes and milliseconds of one
+/// change.
 fn measure_changes(layout: Layout, recorded: bool) -> (f64, f64, f64) {
     let folder = tempfile::tempdir().unwrap();
     drop(open(tempfile::tempdir().unwrap().path(), false));
--- a/crates/control/src/disk/tests/growth.rs
+++ b/crates/control/src/disk/tests/growth.rs
@@ -11,8 +11,8 @@
 /// The size of a file without items.
 const EMPTY_FILE_BYTES: u64 = 64 * 1_024;
 
-/// The greatest sizes of the file and of its write-ahead log in bytes, after each commit of this many
-/// changes of this many items. A fifth of the changes are removals.
+/// The greatest sizes of the file and of its write-ahead log in bytes, after each commit of this
+/// many changes of this many items. A fifth of the changes are removals.
 fn max_file_sizes(items: u64, changes: u64) -> (u64, u64) {
     let folder = tempfile::tempdir().unwrap();
     let mut store = Store::open(folder.path(), true).unwrap().store;
--- a/crates/control/src/disk/tests/mod.rs
+++ b/crates/control/src/disk/tests/mod.rs
@@ -1,9 +1,9 @@
 //! The database under faults: power lost at every write and sync, torn writes, corruption, a full
 //! disk.
 //!
-//! SQLite's writes are recorded by a virtual file system of these tests (`sqlite-vfs`, a crate with a
-//! safe trait). Deriving the sequence of writes from snapshots of the files was rejected: they show
-//! no syncs, and nothing of the first start, which uses a rollback journal.
+//! SQLite's writes are recorded by a virtual file system of these tests (`sqlite-vfs`, a crate with
+//! a safe trait). Deriving the sequence of writes from snapshots of the files was rejected: they
+//! show no syncs, and nothing of the first start, which uses a rollback journal.
 
 mod corruption;
 mod cost;
--- a/crates/control/src/lookup/tests.rs
+++ b/crates/control/src/lookup/tests.rs
@@ -2,8 +2,8 @@
 use protocol::messages::NodeInfo;
 use test_case::test_case;
 
-/// The indices of the edges for a client of this region. Each edge is written as its region, then `r`
-/// (ready), `l` (draining) or `a` (unavailable).
+/// The indices of the edges for a client of this region. Each edge is written as its region, then
+/// `r` (ready), `l` (draining) or `a` (unavailable).
 fn lookup(edges: &str, region: &str) -> String {
     let member = |(index, text): (usize, &str)| Member {
         node: NodeInfo {
--- a/crates/control/tests/agreement.rs
+++ b/crates/control/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! Agreement on configuration items: timelines of six replicas, one column each, two to a region.
+//! Agreement on configuration items: timelines of six replicas, one column each, two per region.
 
 mod common;
 
@@ -54,21 +54,21 @@
         );
         cluster.check_contents();
         assert!(cluster.agree() && cluster.chosen(0).len() == 1, "{seed}");
-        let won = if replies[0] == Some(Reply::Done) {
+        let winner = if replies[0] == Some(Reply::Done) {
             "/1"
         } else {
             "/2"
         };
-        assert!(read_back(&mut cluster, 3).contains(won));
+        assert!(read_back(&mut cluster, 3).contains(winner));
     }
 }
 
-#[test_case(false; "it loses power")]
-#[test_case(true; "it loses its disk")]
+#[test_case(false; "power loss")]
+#[test_case(true; "disk loss")]
 fn acknowledged_item_survives_loss_of_its_replica(wipe: bool) {
     let mut cluster = started(2);
     assert_eq!(cluster.ask(4, service("s", 7, 1)), Some(Reply::Done));
-    // Before any other replica learns that it is chosen: the announcement is lost.
+    // No other replica learns that the item is chosen, as the announcement is lost.
     cluster.cut(&[4], &[0, 1, 2, 3, 5]);
     if wipe {
         cluster.wipe(4)
@@ -83,13 +83,13 @@
     lines.push(cluster.line(&["s"]));
     cluster.run(2 * SECOND);
     lines.push(cluster.line(&["s"]));
-    let back = if wipe { "r_" } else { "-_" };
+    let restarted = if wipe { "r_" } else { "-_" };
     assert_timeline(
         &lines,
         &format!(
             "  a   b   c   d   e   f
         3.2s  oP_ o_  o_  oC_ .   o_
-        4.2s  oP7 o7  o7  oC7 {back} o7
+        4.2s  oP7 o7  o7  oC7 {restarted} o7
         6.2s  oP7 o7  o7  oC7 o7  o7"
         ),
     );
@@ -99,15 +99,18 @@
 fn only_the_majority_partition_acknowledges() {
     let mut cluster = started(3);
     cluster.cut(&[0, 1], &[2, 3, 4, 5]);
-    let early = cluster.call(0, service("s", 1, 1));
+    let pending = cluster.call(0, service("s", 1, 1));
     cluster.run(1_500 * MS);
     let mut lines = vec![cluster.line(&["s"])];
-    // The part without a majority says so at once.
+    // The side without a majority answers 503 at once.
     assert!(matches!(
         cluster.ask(1, service("s", 2, 1)),
         Some(Reply::Unavailable(_))
     ));
-    assert!(matches!(cluster.reply(early), Some(Reply::Unavailable(_))));
+    assert!(matches!(
+        cluster.reply(pending),
+        Some(Reply::Unavailable(_))
+    ));
     assert_eq!(cluster.ask(2, service("s", 3, 1)), Some(Reply::Done));
     cluster.run(2 * SECOND);
     lines.push(cluster.line(&["s"]));
@@ -123,22 +126,26 @@
     );
 }
 
-#[test_case(true; "the smaller part hears and is not heard")]
-#[test_case(false; "the smaller part is heard and does not hear")]
-fn only_the_majority_side_of_a_one_way_partition_acknowledges(hears: bool) {
+#[test_case(true; "the minority receives but is not received")]
+#[test_case(false; "the minority is received but does not receive")]
+fn only_the_majority_side_of_a_one_way_partition_acknowledges(minority_receives: bool) {
     let mut cluster = started(16);
     let pairs = [0, 1]
         .into_iter()
-        .flat_map(|one| [2, 3, 4, 5].map(|other| (one, other)));
-    cluster
-        .cuts
-        .extend(pairs.map(|(one, other)| if hears { (one, other) } else { (other, one) }));
-    let early = cluster.call(1, service("s", 1, 1));
+        .flat_map(|minority| [2, 3, 4, 5].map(|majority| (minority, majority)));
+    cluster.cuts.extend(pairs.map(|(minority, majority)| {
+        if minority_receives {
+            (minority, majority)
+        } else {
+            (majority, minority)
+        }
+    }));
+    let pending = cluster.call(1, service("s", 1, 1));
     cluster.run(1_500 * MS);
     assert!(
-        matches!(cluster.reply(early), Some(Reply::Unavailable(_))),
+        matches!(cluster.reply(pending), Some(Reply::Unavailable(_))),
         "{:?}",
-        cluster.reply(early)
+        cluster.reply(pending)
     );
     assert!(matches!(
         cluster.ask(0, service("s", 2, 2)),
@@ -150,7 +157,11 @@
     cluster.heal();
     cluster.run(2 * SECOND);
     lines.push(cluster.line(&["s"]));
-    let cut = if hears { "-3  -3 " } else { "-_  -_ " };
+    let cut = if minority_receives {
+        "-3  -3 "
+    } else {
+        "-_  -_ "
+    };
     assert_timeline(
         &lines,
         &format!(
@@ -170,12 +181,13 @@
 #[test]
 fn older_and_repeated_changes_have_no_effect() {
     let mut cluster = started(6);
-    let mut ask = |at: usize, ver: u64, content: u64| cluster.ask(at, service("s", ver, content));
-    assert_eq!(ask(0, 7, 1), Some(Reply::Done));
-    // A later change has overtaken it: it succeeds without an effect.
-    assert_eq!(ask(3, 5, 2), Some(Reply::Done));
-    assert_eq!(ask(3, 7, 2), Some(Reply::Conflict));
-    assert_eq!(ask(3, 7, 1), Some(Reply::Done));
+    let mut set =
+        |replica: usize, ver: u64, content: u64| cluster.ask(replica, service("s", ver, content));
+    assert_eq!(set(0, 7, 1), Some(Reply::Done));
+    // A change with a lower version than the chosen one succeeds without an effect.
+    assert_eq!(set(3, 5, 2), Some(Reply::Done));
+    assert_eq!(set(3, 7, 2), Some(Reply::Conflict));
+    assert_eq!(set(3, 7, 1), Some(Reply::Done));
     cluster.run(SECOND);
     assert!(read_back(&mut cluster, 5).contains("/1"));
     assert!(cluster.agree());
@@ -190,12 +202,14 @@
             "timeout":"3s","target_time":"1s","svc":"{svc}"}}}}"#
         )
     };
-    let call = |last: &str| {
-        let mut all: Vec<String> = (0..349).map(|n| route(n, "s")).collect();
-        all.push(route(349, last));
-        Command::ApplyPatch(format!(r#"{{"upsert":{{"objs":[{}]}}}}"#, all.join(",")).into_bytes())
+    let call = |last_svc: &str| {
+        let mut routes: Vec<String> = (0..349).map(|n| route(n, "s")).collect();
+        routes.push(route(349, last_svc));
+        Command::ApplyPatch(
+            format!(r#"{{"upsert":{{"objs":[{}]}}}}"#, routes.join(",")).into_bytes(),
+        )
     };
-    // A replica that has not heard of the service yet asks the others before it rejects the call.
+    // A replica that does not know the service yet reads from a quorum before it rejects the call.
     let first = cluster.call(0, service("s", 1, 1));
     cluster.run(230 * MS);
     assert_eq!(cluster.reply(first), Some(Reply::Done));
@@ -218,23 +232,23 @@
 #[test]
 fn evacuation_begins_and_ends_once() {
     let mut cluster = started(8);
-    let mut drain = |zone: &str, on| {
+    let mut evacuate = |zone: &str, evacuate| {
         cluster.ask(
             2,
             Command::SetEvacuation {
                 zone: zone.into(),
-                evacuate: on,
+                evacuate,
             },
         )
     };
-    assert_eq!(drain("c", false), Some(Reply::Done));
-    assert_eq!(drain("c", true), Some(Reply::Done));
-    assert_eq!(drain("c", true), Some(Reply::Done));
-    assert_eq!(drain("c", false), Some(Reply::Done));
-    assert!(matches!(drain("x", true), Some(Reply::NotFound(_))));
+    assert_eq!(evacuate("c", false), Some(Reply::Done));
+    assert_eq!(evacuate("c", true), Some(Reply::Done));
+    assert_eq!(evacuate("c", true), Some(Reply::Done));
+    assert_eq!(evacuate("c", false), Some(Reply::Done));
+    assert!(matches!(evacuate("x", true), Some(Reply::NotFound(_))));
     cluster.run(SECOND);
     let zone = cluster.chosen(5).into_values().next().unwrap();
     assert_eq!((zone.ver, zone.spec.as_deref()), (2, Some("false")));
-    // Not an item of the operators' configuration.
+    // The evacuation is no item of the configuration that operators read.
     assert_eq!(read_back(&mut cluster, 0), r#"{"objs":[]}"#);
 }
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -1,4 +1,4 @@
-//! A replica without quorum contact, or with contact only just restored: what it sends to whom.
+//! The replies and agent messages of a replica that has no quorum contact, or has just regained it.
 
 use control::core::Input;
 use control::core::ids::SingletonRole;
@@ -9,7 +9,7 @@
 
 const OTHERS: [usize; 5] = [0, 1, 2, 3, 5];
 /// The replica that is cut off.
-const AT: usize = 4;
+const ISOLATED: usize = 4;
 
 fn started() -> Cluster {
     let mut cluster = Cluster::new(7);
@@ -19,26 +19,29 @@
     cluster
 }
 
-fn edge(node: &str) -> NodeInfo {
+fn edge(name: &str) -> NodeInfo {
     let http = "10.1.0.9:8686".parse().unwrap();
     NodeInfo {
-        name: node.to_string(),
+        name: name.to_string(),
         zone: "e".to_string(),
         region: "r2".to_string(),
         http,
     }
 }
 
-fn in_touch(cluster: &Cluster) -> bool {
-    let node = &cluster.nodes[AT];
+fn has_quorum_contact(cluster: &Cluster) -> bool {
+    let node = &cluster.nodes[ISOLATED];
     node.core
         .as_ref()
         .unwrap()
         .has_quorum_contact(node.clock.at(cluster.now))
 }
 
-fn told(cluster: &Cluster, wanted: impl Fn(&ControlMessage) -> bool) -> bool {
-    cluster.nodes[AT].told.iter().any(|(_, down)| wanted(down))
+fn has_sent(cluster: &Cluster, matches: impl Fn(&ControlMessage) -> bool) -> bool {
+    cluster.nodes[ISOLATED]
+        .told
+        .iter()
+        .any(|(_, message)| matches(message))
 }
 
 fn route(svc: &str) -> Command {
@@ -49,26 +52,26 @@
     Command::ApplyPatch(format!(r#"{{"upsert":{{"objs":[{object}]}}}}"#).into_bytes())
 }
 
-fn drop_service() -> Command {
+fn remove_service() -> Command {
     Command::ApplyPatch(br#"{"remove":{"svcs":[{"name":"s","ver":2}]}}"#.to_vec())
 }
 
 #[test_case(service("s", 2, 2); "a change")]
-#[test_case(service("s", 1, 9); "a change that conflicts with what it knows")]
-#[test_case(route("nowhere"); "a change that refers to what it has not heard of")]
-#[test_case(Command::ApplyPatch(b"{".to_vec()); "no change at all")]
-#[test_case(Command::GetConfiguration; "a reading")]
+#[test_case(service("s", 1, 9); "a change that conflicts with its chosen items")]
+#[test_case(route("nowhere"); "a change that refers to an unknown service")]
+#[test_case(Command::ApplyPatch(b"{".to_vec()); "a malformed change")]
+#[test_case(Command::GetConfiguration; "a read of the configuration")]
 #[test_case(Command::SetEvacuation { zone: "c".to_string(), evacuate: true }; "an evacuation")]
 fn isolated_replica_answers_unavailable_not_rejected(command: Command) {
     let mut cluster = started();
-    cluster.cut(&[AT], &OTHERS);
-    // Before it notices, and long after.
-    for after in [0, 500 * MS, 2 * SECOND, 20 * SECOND] {
-        cluster.run(after);
-        let reply = cluster.ask(AT, command.clone());
+    cluster.cut(&[ISOLATED], &OTHERS);
+    // Before the replica detects the loss of contact, and long after.
+    for delay in [0, 500 * MS, 2 * SECOND, 20 * SECOND] {
+        cluster.run(delay);
+        let reply = cluster.ask(ISOLATED, command.clone());
         assert!(
             matches!(reply, Some(Reply::Unavailable(_))),
-            "{after}: {reply:?}"
+            "{delay}: {reply:?}"
         );
     }
 }
@@ -76,41 +79,51 @@
 #[test]
 fn lagging_replica_does_not_report_complete() {
     let mut cluster = started();
-    cluster.cut(&[AT], &OTHERS);
+    cluster.cut(&[ISOLATED], &OTHERS);
     cluster.run(2 * SECOND);
-    cluster.feed(AT, Input::AgentMessage(1, AgentMessage::Hello(edge("e1"))));
+    cluster.feed(
+        ISOLATED,
+        Input::AgentMessage(1, AgentMessage::Hello(edge("e1"))),
+    );
     cluster.run(SECOND);
-    assert!(told(
+    assert!(has_sent(
         &cluster,
-        |down| matches!(down, ControlMessage::ClusterView(who) if !who.has_quorum && who.counter.is_none())
+        |message| matches!(message, ControlMessage::ClusterView(view) if !view.has_quorum && view.counter.is_none())
     ));
-    assert!(told(
+    assert!(has_sent(
         &cluster,
-        |down| matches!(down, ControlMessage::Items(items) if !items.is_empty())
+        |message| matches!(message, ControlMessage::Items(items) if !items.is_empty())
     ));
-    assert!(!told(&cluster, |down| *down == ControlMessage::Complete));
+    assert!(!has_sent(&cluster, |message| *message == ControlMessage::Complete));
     assert_eq!(cluster.ask(0, service("s", 2, 2)), Some(Reply::Done));
     cluster.heal();
-    while !in_touch(&cluster) {
+    while !has_quorum_contact(&cluster) {
         cluster.run(10 * MS);
     }
-    // Contact is restored, but it does not know what was chosen meanwhile.
-    cluster.feed(AT, Input::AgentMessage(2, AgentMessage::Hello(edge("e2"))));
-    let knows = |cluster: &Cluster| cluster.chosen(AT).values().any(|item| item.ver == 2);
-    assert!(!knows(&cluster) && !told(&cluster, |down| *down == ControlMessage::Complete));
-    while !told(&cluster, |down| *down == ControlMessage::Complete) {
-        assert!(cluster.now < 40 * SECOND, "it never says so");
+    // Contact is restored, but the replica does not know yet what was chosen meanwhile.
+    cluster.feed(
+        ISOLATED,
+        Input::AgentMessage(2, AgentMessage::Hello(edge("e2"))),
+    );
+    let knows_change =
+        |cluster: &Cluster| cluster.chosen(ISOLATED).values().any(|item| item.ver == 2);
+    assert!(
+        !knows_change(&cluster)
+            && !has_sent(&cluster, |message| *message == ControlMessage::Complete)
+    );
+    while !has_sent(&cluster, |message| *message == ControlMessage::Complete) {
+        assert!(cluster.now < 40 * SECOND, "Complete is never sent");
         cluster.run(10 * MS);
     }
-    assert!(knows(&cluster));
+    assert!(knows_change(&cluster));
 }
 
 #[test]
-fn expired_grant_counts_nothing() {
+fn counter_with_an_expired_lease_counts_nothing() {
     let mut cluster = Cluster::new(7);
     cluster.run_to(4 * SECOND);
     let holder = cluster.holders(SingletonRole::Counter)[0].0;
-    let others: Vec<usize> = (0..6).filter(|at| *at != holder).collect();
+    let others: Vec<usize> = (0..6).filter(|replica| *replica != holder).collect();
     cluster.cut(&[holder], &others);
     cluster.run(1_500 * MS);
     let adds = AgentMessage::CounterBatch {
@@ -127,84 +140,87 @@
         cluster.nodes[holder]
             .told
             .iter()
-            .any(|(_, down)| *down == ControlMessage::NotCounted(5))
+            .any(|(_, message)| *message == ControlMessage::NotCounted(5))
     );
     assert!(
         !cluster.nodes[holder]
             .told
             .iter()
-            .any(|(_, down)| matches!(down, ControlMessage::Totals { .. }))
+            .any(|(_, message)| matches!(message, ControlMessage::Totals { .. }))
     );
 }
 
 #[test]
 fn reconnected_replica_checks_changes_by_a_quorum_read() {
     let mut cluster = started();
-    cluster.cut(&[AT], &OTHERS);
+    cluster.cut(&[ISOLATED], &OTHERS);
     cluster.run(2 * SECOND);
-    assert_eq!(cluster.ask(0, drop_service()), Some(Reply::Done));
+    assert_eq!(cluster.ask(0, remove_service()), Some(Reply::Done));
     cluster.run(18 * SECOND);
     cluster.heal();
-    while !in_touch(&cluster) {
+    while !has_quorum_contact(&cluster) {
         cluster.run(10 * MS);
     }
     assert!(
         cluster
-            .chosen(AT)
+            .chosen(ISOLATED)
             .values()
             .any(|item| item.ver == 1 && item.spec.is_some()),
-        "it knows by now"
+        "the replica already knows the removal"
     );
-    let reply = cluster.ask(AT, route("s"));
+    let reply = cluster.ask(ISOLATED, route("s"));
     assert!(
         matches!(&reply, Some(Reply::Invalid(text)) if text.contains("no service")),
         "{reply:?}"
     );
 }
 
-/// How long it is cut off, and with which edges: those linked to others, and the one linked to
-/// itself.
-#[test_case(false, 5 * SECOND, &["far", "near"]; "cut off for a while: all, as it may hear of them no more")]
-#[test_case(false, 12 * SECOND, &["near"]; "cut off for long: its own")]
-#[test_case(true, 5 * SECOND, &["far"]; "frozen for a while: its own have gone elsewhere")]
-#[test_case(true, 20 * SECOND, &[]; "frozen for long: nobody")]
-fn lookups_exclude_expired_members(frozen: bool, span: i64, named: &[&str]) {
+/// The replica is cut off or frozen for a span; `far` is linked to another replica, `near` to this
+/// one.
+#[test_case(false, 5 * SECOND, &["far", "near"]; "cut off briefly: all, as members have not expired yet")]
+#[test_case(false, 12 * SECOND, &["near"]; "cut off for long: its own member")]
+#[test_case(true, 5 * SECOND, &["far"]; "frozen briefly: without its own member, whose link is lost")]
+#[test_case(true, 20 * SECOND, &[]; "frozen for long: none")]
+fn lookups_exclude_expired_members(is_frozen: bool, span: i64, expected: &[&str]) {
     let mut cluster = started();
-    let beat = |cluster: &mut Cluster, at: usize, link: u64, node: &str| {
+    let register = |cluster: &mut Cluster, replica: usize, link: u64, name: &str| {
         cluster.feed(
-            at,
-            Input::AgentMessage(link, AgentMessage::Hello(edge(node))),
+            replica,
+            Input::AgentMessage(link, AgentMessage::Hello(edge(name))),
         );
         cluster.feed(
-            at,
+            replica,
             Input::AgentMessage(link, AgentMessage::Heartbeat(NodeState::Ready)),
         );
     };
-    beat(&mut cluster, 0, 1, "far");
-    beat(&mut cluster, AT, 2, "near");
+    register(&mut cluster, 0, 1, "far");
+    register(&mut cluster, ISOLATED, 2, "near");
     cluster.run(400 * MS);
-    if frozen {
-        cluster.freeze(AT, true);
+    if is_frozen {
+        cluster.freeze(ISOLATED, true);
     } else {
-        cluster.cut(&[AT], &OTHERS);
+        cluster.cut(&[ISOLATED], &OTHERS);
     }
-    let end = cluster.now + span;
-    while cluster.now < end {
+    let end_at = cluster.now + span;
+    while cluster.now < end_at {
         cluster.run(400 * MS);
-        if !frozen {
+        if !is_frozen {
             cluster.feed(
-                AT,
+                ISOLATED,
                 Input::AgentMessage(2, AgentMessage::Heartbeat(NodeState::Ready)),
             );
         }
     }
-    // It is asked first, before any other input.
-    let node = &cluster.nodes[AT];
+    // Members are read before the replica handles any other input.
+    let node = &cluster.nodes[ISOLATED];
     let members = node
         .core
         .as_ref()
         .unwrap()
         .members(node.clock.at(cluster.now));
-    let members: Vec<&str> = members.iter().map(|told| told.node.name.as_str()).collect();
-    assert_eq!(members, named);
+    let members: Vec<&str> = members
+        .iter()
+        .map(|member| member.node.name.as_str())
+        .collect();
+    assert_eq!(members, expected);
 }
--- a/crates/control/tests/cut_off_programs.rs
+++ b/crates/control/tests/cut_off_programs.rs
@@ -1,4 +1,4 @@
-//! The built programs with one control program cut off: it stalls for a while, or hears no others.
+//! The built programs with one isolated control program: it stalls for a while, or has no quorum.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -12,11 +12,11 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-fn soon() -> Instant {
+fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(12)
 }
 
-fn whole(folder: &TempDir) -> Whole {
+fn start_system(folder: &TempDir) -> Whole {
     let programs = beside(Path::new(env!("CARGO_BIN_EXE_control")), env!("CARGO"));
     Whole::start(
         folder.path(),
@@ -26,33 +26,33 @@
             edges: 1,
             net: net(),
         },
-        soon(),
+        deadline(),
     )
     .unwrap()
 }
 
-fn asked(whole: &Whole, replica: usize, method: &str, path: &str, body: &str) -> Reply {
+fn send_call(system: &Whole, replica: usize, method: &str, path: &str, body: &str) -> Reply {
     call(
-        whole.machines.ctl(replica),
+        system.machines.ctl(replica),
         method,
         path,
         "",
         body.as_bytes(),
-        soon(),
+        deadline(),
     )
     .unwrap()
 }
 
-/// How a replica sees the system; `None` while it does not answer.
-fn status(whole: &Whole, replica: usize) -> Value {
-    let until = Instant::now() + Duration::from_millis(500);
+/// The status that a replica reports; null while it does not answer.
+fn status(system: &Whole, replica: usize) -> Value {
+    let reply_deadline = Instant::now() + Duration::from_millis(500);
     let reply = call(
-        whole.machines.ctl(replica),
+        system.machines.ctl(replica),
         "GET",
         "/api/status",
         "",
         b"",
-        until,
+        reply_deadline,
     );
     reply
         .ok()
@@ -60,106 +60,110 @@
         .unwrap_or_default()
 }
 
-fn until(wanted: impl Fn() -> bool, what: &str) {
+fn wait_until(condition: impl Fn() -> bool, description: &str) {
     assert!(
-        wait_for(soon(), || wanted().then_some(())).is_some(),
-        "{what}"
+        wait_for(deadline(), || condition().then_some(())).is_some(),
+        "not reached: {description}"
     );
 }
 
 #[test]
 fn stalled_call_is_not_applied_after_later_ones() {
     let folder = TempDir::new().unwrap();
-    let mut whole = whole(&folder);
-    until(|| status(&whole, 2)["in_touch"] == true, "it is in touch");
-    whole.machines.stand_still(Role::Control, 2);
-    let (stopped, stood) = (
+    let mut system = start_system(&folder);
+    wait_until(
+        || status(&system, 2)["in_touch"] == true,
+        "the replica has quorum contact",
+    );
+    system.machines.stand_still(Role::Control, 2);
+    let (stalled_at, min_stall) = (
         Instant::now(),
         Duration::from_micros(STALL_THRESHOLD as u64 + 100_000),
     );
-    let mut late = Connection::open(whole.machines.ctl(2), soon()).unwrap();
-    let order = b"POST /api/drain/z1/begin HTTP/1.1\r\nHost: core\r\nContent-Length: 0\r\n\r\n";
-    late.send(order, soon()).unwrap();
-    // Without an answer the operator gives up and has the call made elsewhere; then the evacuation
-    // is ended.
+    let mut late = Connection::open(system.machines.ctl(2), deadline()).unwrap();
+    let request = b"POST /api/drain/z1/begin HTTP/1.1\r\nHost: core\r\nContent-Length: 0\r\n\r\n";
+    late.send(request, deadline()).unwrap();
+    // The operator gets no answer and retries the call at another replica; then the evacuation is
+    // ended.
     drop(late);
     for begin in [true, false] {
-        whole.operator.evacuate("z1", begin, soon()).unwrap();
+        system.operator.evacuate("z1", begin, deadline()).unwrap();
     }
-    let digest = status(&whole, 0)["digest"].clone();
-    assert!(digest.is_string(), "{}", status(&whole, 0));
-    let misses = |whole: &Whole| status(whole, 0)["replicas"][2]["heard"] == false;
-    until(
-        || misses(&whole) && stopped.elapsed() > stood,
-        "the others miss it, and it stood still for long enough",
+    let digest = status(&system, 0)["digest"].clone();
+    assert!(digest.is_string(), "{}", status(&system, 0));
+    let is_missing = |system: &Whole| status(system, 0)["replicas"][2]["heard"] == false;
+    wait_until(
+        || is_missing(&system) && stalled_at.elapsed() > min_stall,
+        "the others have noticed the stall, and it lasted for longer than the threshold",
     );
-    whole.machines.go_on(Role::Control, 2);
-    until(
-        || !misses(&whole) && status(&whole, 2)["in_touch"] == true,
-        "it is back",
+    system.machines.go_on(Role::Control, 2);
+    wait_until(
+        || !is_missing(&system) && status(&system, 2)["in_touch"] == true,
+        "the replica has quorum contact again",
     );
-    // What it accepted before would be chosen within a second, the time allowed for a call.
-    let end = Instant::now() + Duration::from_millis(1_200);
-    let chosen = || status(&whole, 0)["digest"].clone();
+    // A change from the stalled call would be chosen within a second, the timeout of a call.
+    let window_end = Instant::now() + Duration::from_millis(1_200);
+    let chosen = || status(&system, 0)["digest"].clone();
     assert_eq!(
-        wait_for(end, || Some(chosen()).filter(|chosen| *chosen != digest)),
+        wait_for(window_end, || Some(chosen())
+            .filter(|chosen| *chosen != digest)),
         None
     );
     assert!(
-        whole
+        system
             .machines
             .log(Role::Control, 2)
             .contains("process stalled, closing all links")
     );
-    assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    assert_eq!(system.operator.differences(deadline()), Ok(Vec::new()));
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
 
 #[test]
 fn isolated_replica_neither_rejects_nor_acknowledges() {
     let folder = TempDir::new().unwrap();
-    let mut whole = whole(&folder);
-    (0..2).for_each(|replica| whole.machines.kill(Role::Control, replica));
-    until(
-        || status(&whole, 2)["in_touch"] == false,
-        "it is out of touch",
+    let mut system = start_system(&folder);
+    (0..2).for_each(|replica| system.machines.kill(Role::Control, replica));
+    wait_until(
+        || status(&system, 2)["in_touch"] == false,
+        "the replica has no quorum contact",
     );
     let object = json!({"type": "routes", "meta": {"name": "new", "ver": 1}, "spec": route("/new/", "unheard-of")});
-    let refers = json!({"upsert": {"objs": [object]}}).to_string();
+    let unknown_service = json!({"upsert": {"objs": [object]}}).to_string();
     for (method, path, body) in [
-        ("POST", "/api/cfg/patch", refers.as_str()),
+        ("POST", "/api/cfg/patch", unknown_service.as_str()),
         ("POST", "/api/cfg/patch", "{"),
         ("GET", "/api/cfg/get", ""),
         ("POST", "/api/drain/z1/begin", ""),
     ] {
-        let begun = Instant::now();
-        let reply = asked(&whole, 2, method, path, body);
+        let started_at = Instant::now();
+        let reply = send_call(&system, 2, method, path, body);
         assert_eq!((reply.status, path), (503, path), "{}", reply.text());
         assert!(
-            begun.elapsed() < Duration::from_secs(1),
-            "a caller asks the next one after that"
+            started_at.elapsed() < Duration::from_secs(1),
+            "a caller retries at another replica after one second"
         );
     }
     let lookup = call(
-        whole.machines.dir(2),
+        system.machines.dir(2),
         "GET",
         "/api/lookup?name=x&region=r3",
         "",
         b"",
-        soon(),
+        deadline(),
     )
     .unwrap();
-    assert!(lookup.status == 200 && lookup.text().contains(&whole.machines.http(2).to_string()));
-    // The edges are ready and serve by what they know.
-    for edge in 0..whole.machines.edges() {
+    assert!(lookup.status == 200 && lookup.text().contains(&system.machines.http(2).to_string()));
+    // The edges stay ready and serve by their last configuration.
+    for edge in 0..system.machines.edges() {
         assert!(
-            whole.machines.ready(edge) && whole.served_by(edge, "/read/1").is_some(),
+            system.machines.ready(edge) && system.served_by(edge, "/read/1").is_some(),
             "edge {edge}"
         );
     }
-    (0..2).for_each(|replica| whole.machines.start(Role::Control, replica).unwrap());
+    (0..2).for_each(|replica| system.machines.start(Role::Control, replica).unwrap());
     let change = Change::default().set("routes", "reads", 2, route(READS, SERVICES[1]));
-    whole.operator.change(&change, soon()).unwrap();
-    assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    system.operator.change(&change, deadline()).unwrap();
+    assert_eq!(system.operator.differences(deadline()), Ok(Vec::new()));
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
--- a/crates/control/tests/distribution.rs
+++ b/crates/control/tests/distribution.rs
@@ -1,4 +1,5 @@
-//! What replicas send to agents: completeness, membership, the shared counter.
+//! Messages of replicas to agents: configuration and its completeness, membership, the shared
+//! counter.
 
 mod common;
 
@@ -11,7 +12,7 @@
 use common::{ALL, edge, started};
 
 #[test]
-fn agent_is_told_complete_by_an_up_to_date_replica() {
+fn only_an_up_to_date_replica_sends_complete() {
     let mut cluster = started(13);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     cluster.run(SECOND);
@@ -21,45 +22,46 @@
         5,
         Input::AgentMessage(1, AgentMessage::Hello(edge("e1", "f"))),
     );
-    let heard = |cluster: &Cluster| {
-        // Empty, and not the first message: a heartbeat.
-        let sign = |(at, down): &(usize, &ControlMessage)| {
-            *at > 1 && *down == &ControlMessage::Items(Vec::new())
+    let received = |cluster: &Cluster| {
+        // An empty list of items after the first message is a heartbeat.
+        let is_heartbeat = |(index, message): &(usize, &ControlMessage)| {
+            *index > 1 && *message == &ControlMessage::Items(Vec::new())
         };
-        let told = cluster.nodes[5]
+        let messages = cluster.nodes[5]
             .told
             .iter()
-            .map(|(_, down)| down)
+            .map(|(_, message)| message)
             .enumerate();
-        let told = told.filter(|told| {
+        let messages = messages.filter(|message| {
             !matches!(
-                told.1,
+                message.1,
                 ControlMessage::ClusterView(_) | ControlMessage::Levels { .. }
-            ) && !sign(told)
+            ) && !is_heartbeat(message)
         });
-        told.map(|(_, down)| match down {
-            ControlMessage::Items(items) => format!("{} items", items.len()),
-            down => format!("{down:?}"),
-        })
-        .collect::<Vec<_>>()
+        messages
+            .map(|(_, message)| match message {
+                ControlMessage::Items(items) => format!("{} items", items.len()),
+                message => format!("{message:?}"),
+            })
+            .collect::<Vec<_>>()
     };
-    assert_eq!(heard(&cluster), ["0 items"]);
+    assert_eq!(received(&cluster), ["0 items"]);
     cluster.run(2 * SECOND);
-    assert_eq!(heard(&cluster), ["0 items", "1 items", "Complete"]);
+    assert_eq!(received(&cluster), ["0 items", "1 items", "Complete"]);
 }
 
 #[test]
-fn only_replica_reports_complete() {
-    let own = ReplicaMetadata {
+fn single_replica_sends_complete() {
+    let metadata = ReplicaMetadata {
         incarnation: Incarnation::FIRST,
         run: 1,
         ..ReplicaMetadata::default()
     };
-    let (zones, zone, seeds) = (vec!["a".to_string()], "a".to_string(), Vec::new());
-    let (address, restored) = (
+    let (zones, zone, seed_addresses) = (vec!["a".to_string()], "a".to_string(), Vec::new());
+    let (address, recovered) = (
         "10.0.0.0:7740".parse().ok(),
         RecoveredState {
-            metadata: own,
+            metadata,
             ..RecoveredState::default()
         },
     );
@@ -69,28 +71,29 @@
             zones,
             zone,
             address,
-            seed_addresses: seeds,
+            seed_addresses,
             random_seed: 1,
-            recovered: restored,
+            recovered,
             ..ReplicaConfig::default()
         },
     );
-    let mut out = Vec::new();
+    let mut outputs = Vec::new();
     core.step(
         0,
         Input::AgentMessage(1, AgentMessage::Hello(edge("e1", "a"))),
-        &mut out,
+        &mut outputs,
     );
-    (1..10).for_each(|beat| core.step(beat * 500 * MS, Input::Tick, &mut out));
+    (1..10).for_each(|tick| core.step(tick * 500 * MS, Input::Tick, &mut outputs));
     assert!(
-        out.iter()
+        outputs
+            .iter()
             .any(|output| matches!(output, Output::SendToAgents(_, ControlMessage::Complete))),
-        "{out:?}"
+        "{outputs:?}"
     );
 }
 
 #[test]
-fn members_renew_anywhere_and_one_replica_counts() {
+fn members_renew_at_any_replica_and_one_replica_counts() {
     let mut cluster = started(10);
     cluster.feed(
         1,
@@ -101,18 +104,21 @@
         Input::AgentMessage(1, AgentMessage::Heartbeat(NodeState::Ready)),
     );
     cluster.run(100 * MS);
-    let members = |cluster: &Cluster, at: usize| {
-        let core = cluster.nodes[at].core.as_ref().unwrap();
-        let now = cluster.nodes[at].clock.at(cluster.now);
+    let members = |cluster: &Cluster, replica: usize| {
+        let core = cluster.nodes[replica].core.as_ref().unwrap();
+        let now = cluster.nodes[replica].clock.at(cluster.now);
         core.members(now)
             .iter()
-            .map(|told| (told.node.name.clone(), told.state))
+            .map(|member| (member.node.name.clone(), member.state))
             .collect::<Vec<_>>()
     };
     let ready = vec![("e1".to_string(), NodeState::Ready)];
-    assert!(ALL.iter().all(|at| members(&cluster, *at) == ready));
-    // It moves to another replica, where it drains; what the first one reports of it does not count
-    // any more.
+    assert!(
+        ALL.iter()
+            .all(|replica| members(&cluster, *replica) == ready)
+    );
+    // The edge moves to another replica, where it drains; the state that the first replica reports
+    // is superseded.
     cluster.feed(1, Input::AgentDisconnected(1));
     cluster.feed(
         4,
@@ -125,10 +131,13 @@
     cluster.run(100 * MS);
     assert!(
         ALL.iter()
-            .all(|at| members(&cluster, *at) == [("e1".to_string(), NodeState::Draining)])
+            .all(|replica| members(&cluster, *replica) == [("e1".to_string(), NodeState::Draining)])
     );
     cluster.run(4 * SECOND);
-    assert!(ALL.iter().all(|at| members(&cluster, *at).is_empty()));
+    assert!(
+        ALL.iter()
+            .all(|replica| members(&cluster, *replica).is_empty())
+    );
 
     let add = |time| AgentMessage::CounterBatch {
         batch: 5,
@@ -139,8 +148,8 @@
             ttl: SECOND,
         }],
     };
-    cluster.feed(3, Input::AgentMessage(3, add(TIME)));
-    cluster.feed(2, Input::AgentMessage(4, add(TIME)));
+    cluster.feed(3, Input::AgentMessage(3, add(LIMITER_TIME)));
+    cluster.feed(2, Input::AgentMessage(4, add(LIMITER_TIME)));
     assert_eq!(
         cluster.nodes[3].told.last().unwrap().1,
         ControlMessage::Totals {
@@ -154,8 +163,8 @@
     );
 }
 
-/// The limiters' clock, ahead of the replicas' knowledge of it.
-const TIME: i64 = 2 * dataplane::clock::STEADY_CLOCK_START;
+/// A time of the limiters' clock, later than the replicas know.
+const LIMITER_TIME: i64 = 2 * dataplane::clock::STEADY_CLOCK_START;
 
 #[test]
 fn limiters_with_different_clocks_do_not_count_together() {
@@ -169,32 +178,39 @@
             ttl: 90 * SECOND,
         }],
     };
-    let counted = |cluster: &mut Cluster, link, time| {
+    let is_counted = |cluster: &mut Cluster, link, time| {
         cluster.feed(3, Input::AgentMessage(link, add(time)));
         matches!(
             cluster.nodes[3].told.last(),
             Some((_, ControlMessage::Totals { .. }))
         )
     };
-    assert!(counted(&mut cluster, 1, TIME) && counted(&mut cluster, 2, TIME - 400 * MS));
-    // A limiter that is behind is told so, and counted once it follows.
-    assert!(!counted(&mut cluster, 2, TIME - SECOND));
-    let told = &cluster.nodes[3].told;
-    assert!(matches!(told[told.len() - 2], (2, ControlMessage::Clock(time)) if time == TIME));
-    assert!(counted(&mut cluster, 2, TIME));
-    // One that is ahead: nothing was counted under its names, so that nothing is counted for as
-    // long as it is ahead.
-    assert!(!counted(&mut cluster, 3, TIME + 2 * SECOND));
+    assert!(
+        is_counted(&mut cluster, 1, LIMITER_TIME)
+            && is_counted(&mut cluster, 2, LIMITER_TIME - 400 * MS)
+    );
+    // A limiter whose clock is behind receives the current time, and is counted once it has adopted
+    // it.
+    assert!(!is_counted(&mut cluster, 2, LIMITER_TIME - SECOND));
+    let messages = &cluster.nodes[3].told;
+    assert!(
+        matches!(messages[messages.len() - 2], (2, ControlMessage::Clock(time)) if time == LIMITER_TIME)
+    );
+    assert!(is_counted(&mut cluster, 2, LIMITER_TIME));
+    // After a limiter whose clock is ahead, nothing is counted until that time: nothing was counted
+    // under the counter names of the later time before.
+    assert!(!is_counted(&mut cluster, 3, LIMITER_TIME + 2 * SECOND));
     cluster.run(1_900 * MS);
-    assert!(!counted(&mut cluster, 1, TIME + 3_900 * MS));
+    assert!(!is_counted(&mut cluster, 1, LIMITER_TIME + 3_900 * MS));
     cluster.run(110 * MS);
-    assert!(counted(&mut cluster, 1, TIME + 4_010 * MS));
-    // The other replicas know it by heartbeats, and a counter that moves continues with it.
+    assert!(is_counted(&mut cluster, 1, LIMITER_TIME + 4_010 * MS));
+    // Heartbeats carry the clock to the other replicas, so that a new holder of the counter
+    // continues it.
     cluster.run(SECOND);
     cluster.feed(5, Input::AgentMessage(9, AgentMessage::Clock(0)));
-    let told = cluster.nodes[5].told.last().unwrap();
+    let last_message = cluster.nodes[5].told.last().unwrap();
     assert!(
-        matches!(told, (9, ControlMessage::Clock(time)) if *time > TIME + 4 * SECOND),
-        "{told:?}"
+        matches!(last_message, (9, ControlMessage::Clock(time)) if *time > LIMITER_TIME + 4 * SECOND),
+        "{last_message:?}"
     );
 }
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What the replicas send each other, what they store and what they answer stays as it is, byte for byte: replicas are
-//! upgraded one at a time, and a stored database outlives the program that wrote it.
+//! The messages between replicas, the stored records and the replies to operators keep their encoding byte for byte:
+//! replicas are upgraded one at a time, and a stored database outlives the program that wrote it.
 
 #[path = "../../protocol/tests/common/mod.rs"]
 mod common;
@@ -34,15 +34,15 @@
     }
 }
 
-fn item(at: &str, ver: u64) -> Item {
+fn item(service: &str, ver: u64) -> Item {
     Item {
-        name: name(at),
+        name: name(service),
         ver,
         spec: Some(format!(r#"{{"maxconn":{ver}}}"#)),
     }
 }
 
-fn speaker() -> ProcessId {
+fn process_id() -> ProcessId {
     ProcessId {
         replica: 2,
         incarnation: Incarnation {
@@ -56,46 +56,46 @@
 fn ballot(round: u64) -> Ballot {
     Ballot {
         round,
-        proposer: speaker(),
+        proposer: process_id(),
     }
 }
 
 fn term() -> Term {
     Term {
         number: 12,
-        holder: speaker(),
+        holder: process_id(),
     }
 }
 
-fn entry(at: &str, ver: u64) -> (Ballot, Item) {
-    (ballot(300), item(at, ver))
+fn entry(service: &str, ver: u64) -> (Ballot, Item) {
+    (ballot(300), item(service, ver))
 }
 
-fn question() -> TransferRequest {
+fn transfer_request() -> TransferRequest {
     TransferRequest {
         digests: vec![0, 1, u64::MAX],
         start_after: Some(name("m")),
     }
 }
 
-fn question_id() -> RequestId {
+fn request_id() -> RequestId {
     RequestId {
-        requester: speaker(),
+        requester: process_id(),
         number: 77,
     }
 }
 
-fn told(standing: NodeState, linked: bool) -> Member {
-    let edge = NodeInfo {
+fn member(state: NodeState, is_connected: bool) -> Member {
+    let node = NodeInfo {
         name: "edge-1".into(),
         zone: "alajuela".into(),
         region: "meseta".into(),
         http: address(33),
     };
     Member {
-        node: edge,
-        state: standing,
-        is_connected: linked,
+        node,
+        state,
+        is_connected,
     }
 }
 
@@ -111,52 +111,52 @@
     }
 }
 
-fn pieces() -> [(&'static str, Chunk); 3] {
-    let piece = |after: Option<ItemName>, then| Chunk {
-        start_after: after,
+fn chunks() -> [(&'static str, Chunk); 3] {
+    let chunk = |start_after: Option<ItemName>, continuation| Chunk {
+        start_after,
         items: vec![entry("n", 8)],
-        continuation: then,
+        continuation,
     };
     [
-        ("the last chunk", piece(None, Continuation::End)),
+        ("the last chunk", chunk(None, Continuation::End)),
         (
             "a chunk that another follows",
-            piece(Some(name("m")), Continuation::MoreFollows),
+            chunk(Some(name("m")), Continuation::MoreFollows),
         ),
         (
             "a chunk after which more is to be requested",
-            piece(Some(name("m")), Continuation::RequestMore),
+            chunk(Some(name("m")), Continuation::RequestMore),
         ),
     ]
 }
 
-fn bodies() -> Vec<(&'static str, Payload)> {
-    let beat = Heartbeat {
+fn payloads() -> Vec<(&'static str, Payload)> {
+    let heartbeat = Heartbeat {
         reachable_replicas: 1 << 127 | 5,
         chosen_digest: 6,
         server_list_version: (7, 8),
         membership_digest: 9,
         counter_clock: -10,
     };
-    let moved = MembershipDelta {
+    let delta = MembershipDelta {
         digest_before: 1,
         digest_after: 2,
         changed_members: vec![
-            told(NodeState::Ready, true),
-            told(NodeState::Unavailable, false),
+            member(NodeState::Ready, true),
+            member(NodeState::Unavailable, false),
         ],
         removed_names: vec!["edge-9".into()],
     };
-    let share = ReplicaLoad {
+    let load = ReplicaLoad {
         offered: vec![(0, 1.5), (63, 2.0)],
         admitted: 3.0,
         outcomes: [1.0, 2.0, 3.0, 4.0, 5.0],
         limiter_count: 6,
         decided_rate: Some(Some(0.5)),
     };
-    let [last, follows, ask] = pieces().map(|(_, piece)| piece);
+    let [last, with_follower, with_request] = chunks().map(|(_, chunk)| chunk);
     vec![
-        ("heartbeat", Payload::Heartbeat(beat)),
+        ("heartbeat", Payload::Heartbeat(heartbeat)),
         (
             "replicas",
             Payload::ReplicaAddresses(vec![Some(address(10)), None]),
@@ -224,30 +224,30 @@
         (
             "read",
             Payload::ReadRequest {
-                id: question_id(),
-                request: question(),
+                id: request_id(),
+                request: transfer_request(),
             },
         ),
         (
             "registers",
             Payload::RegisterChunk {
-                id: question_id(),
-                chunk: follows,
+                id: request_id(),
+                chunk: with_follower,
             },
         ),
         (
             "record an incarnation",
             Payload::IncarnationRequest {
-                incarnation: speaker().incarnation,
-                request: question(),
+                incarnation: process_id().incarnation,
+                request: transfer_request(),
             },
         ),
         (
             "incarnation recorded",
             Payload::IncarnationRecorded {
-                incarnation: speaker().incarnation,
+                incarnation: process_id().incarnation,
                 promise_floor: ballot(5),
-                chunk: ask,
+                chunk: with_request,
                 terms: vec![term(), Term::default()],
             },
         ),
@@ -289,9 +289,9 @@
         ),
         (
             "members",
-            Payload::MemberList(vec![told(NodeState::Draining, true)]),
+            Payload::MemberList(vec![member(NodeState::Draining, true)]),
         ),
-        ("membership change", Payload::MembershipDelta(moved)),
+        ("membership change", Payload::MembershipDelta(delta)),
         ("request for members", Payload::MemberListRequest),
         (
             "servers",
@@ -305,7 +305,7 @@
             "load",
             Payload::LoadReport {
                 region: "meseta".into(),
-                services: vec![("records".into(), share)],
+                services: vec![("records".into(), load)],
             },
         ),
         (
@@ -326,7 +326,7 @@
         (
             "the last chunk of registers",
             Payload::RegisterChunk {
-                id: question_id(),
+                id: request_id(),
                 chunk: last,
             },
         ),
@@ -335,13 +335,13 @@
 
 #[test]
 fn messages_between_replicas_keep_their_bytes() {
-    let mut bodies = bodies();
-    let extra = bodies.split_off(bodies.len() - 1);
-    let text = variants(&bodies) + &encodings(&extra);
+    let mut payloads = payloads();
+    let extra = payloads.split_off(payloads.len() - 1);
+    let text = variants(&payloads) + &encodings(&extra);
     insta::assert_snapshot!("peer-messages", text);
     insta::assert_snapshot!(
         "continuations",
-        variants(&pieces().map(|(label, piece)| (label, piece.continuation)))
+        variants(&chunks().map(|(label, chunk)| (label, chunk.continuation)))
     );
     insta::assert_snapshot!(
         "roles",
@@ -354,9 +354,13 @@
 
 #[test]
 fn frames_between_replicas_keep_their_bytes() {
-    let incarnations = vec![Incarnation::FIRST, Incarnation::NONE, speaker().incarnation];
+    let incarnations = vec![
+        Incarnation::FIRST,
+        Incarnation::NONE,
+        process_id().incarnation,
+    ];
     let message = PeerMessage {
-        sender: speaker(),
+        sender: process_id(),
         incarnations,
         payload: Payload::MemberListRequest,
     };
@@ -369,13 +373,13 @@
 }
 
 #[test]
-fn stored_rows_keep_their_bytes() {
-    let own = ReplicaMetadata {
-        incarnation: speaker().incarnation,
+fn stored_records_keep_their_bytes() {
+    let metadata = ReplicaMetadata {
+        incarnation: process_id().incarnation,
         run: 4,
         promise_floor: ballot(5),
         terms: vec![term(), Term::default()],
-        incarnations: vec![Incarnation::FIRST, speaker().incarnation],
+        incarnations: vec![Incarnation::FIRST, process_id().incarnation],
         addresses: vec![Some(address(10)), None],
     };
     let register = Register {
@@ -384,7 +388,7 @@
     };
     let mut text = encodings(&[
         ("metadata, none", ReplicaMetadata::default()),
-        ("metadata", own),
+        ("metadata", metadata),
     ]);
     text += &encodings(&[
         ("register, empty", Register::default()),
--- a/crates/control/tests/many_changes.rs
+++ b/crates/control/tests/many_changes.rs
@@ -1,4 +1,5 @@
-//! The built programs: a replica that is stopped for hundreds of changes, and started again.
+//! The built programs: a replica that was stopped during hundreds of changes catches up after its
+//! start.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -11,47 +12,57 @@
 use tempfile::TempDir;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_control");
+/// The changes of the test.
 const CHANGES: u64 = 300;
+/// The items that they set and remove in turn.
 const ITEMS: u64 = 40;
-/// Stated bound: most bytes of a replica's files with this few items; the write-ahead log is
-/// truncated at 4 MiB.
-const FILES: u64 = 5 * 1024 * 1024;
+/// The greatest size of a replica's files with this few items: the write-ahead log is truncated at
+/// 4 MiB.
+const MAX_FILE_BYTES: u64 = 5 * 1024 * 1024;
 
-fn soon() -> Instant {
+fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(12)
 }
 
-fn read(whole: &Whole, replica: usize, path: &str) -> Option<Value> {
-    let reply = call(whole.machines.ctl(replica), "GET", path, "", b"", soon()).ok()?;
+fn get_json(system: &Whole, replica: usize, path: &str) -> Option<Value> {
+    let reply = call(
+        system.machines.ctl(replica),
+        "GET",
+        path,
+        "",
+        b"",
+        deadline(),
+    )
+    .ok()?;
     serde_json::from_slice(reply.body())
         .ok()
         .filter(|_| reply.status == 200)
 }
 
 /// A change of one service, or its removal, by the number of the change.
-fn change(whole: &Whole, number: u64) {
+fn change(system: &Whole, number: u64) {
     let (name, ver) = (format!("many-{:02}", number % ITEMS), 1 + number / ITEMS);
     let body = match number % 5 {
         0 => json!({"remove": {"svcs": [{"name": name, "ver": ver}]}}),
         _ => json!({"upsert": {"objs": [{"type": "svcs", "meta": {"name": name, "ver": ver},
             "spec": {"hcheck": format!("/{number}")}}]}}),
     };
-    let at = whole.machines.ctl(number as usize % 2);
-    let taken = || {
+    let address = system.machines.ctl(number as usize % 2);
+    let acknowledged = || {
         let reply = call(
-            at,
+            address,
             "POST",
             "/api/cfg/patch",
             "",
             body.to_string().as_bytes(),
-            soon(),
+            deadline(),
         )
         .ok()?;
         (reply.status == 200).then_some(())
     };
     assert!(
-        wait_for(soon(), taken).is_some(),
-        "change {number} is not taken"
+        wait_for(deadline(), acknowledged).is_some(),
+        "change {number} is not acknowledged"
     );
 }
 
@@ -63,31 +74,38 @@
         edges: 1,
         net: net(),
     };
-    let mut whole = Whole::start(
+    let mut system = Whole::start(
         folder.path(),
         &beside(Path::new(PROGRAM), env!("CARGO")),
         size,
-        soon(),
+        deadline(),
     )
     .unwrap();
-    (0..ITEMS).for_each(|number| change(&whole, number));
-    whole.machines.kill(Role::Control, 2);
-    (ITEMS..CHANGES).for_each(|number| change(&whole, number));
-    whole.machines.start(Role::Control, 2).unwrap();
-    let started = Instant::now();
-    // What it knows itself, not what it reads from the others.
+    (0..ITEMS).for_each(|number| change(&system, number));
+    system.machines.kill(Role::Control, 2);
+    (ITEMS..CHANGES).for_each(|number| change(&system, number));
+    system.machines.start(Role::Control, 2).unwrap();
+    let started_at = Instant::now();
+    // The digest covers the items that the replica itself knows, not those that it reads from
+    // others.
     let digest =
-        |replica| read(&whole, replica, "/api/status").map(|status| status["digest"].clone());
-    let same = || digest(2).filter(|own| !own.is_null() && Some(own) == digest(0).as_ref());
+        |replica| get_json(&system, replica, "/api/status").map(|status| status["digest"].clone());
+    let has_caught_up = || {
+        digest(2)
+            .filter(|digest_here| !digest_here.is_null() && Some(digest_here) == digest(0).as_ref())
+    };
     assert!(
-        wait_for(soon(), same).is_some(),
-        "{:?} at the one that was away, {:?}",
+        wait_for(deadline(), has_caught_up).is_some(),
+        "digest {:?} at the restarted replica, {:?} at another",
         digest(2),
         digest(0)
     );
-    println!("whole {} ms after its start", started.elapsed().as_millis());
-    let items = wait_for(soon(), || read(&whole, 2, "/api/cfg/get")).unwrap();
-    let shown = |name: &str| {
+    println!(
+        "caught up {} ms after its start",
+        started_at.elapsed().as_millis()
+    );
+    let items = wait_for(deadline(), || get_json(&system, 2, "/api/cfg/get")).unwrap();
+    let version_of = |name: &str| {
         let objects = items["objs"].as_array().into_iter().flatten();
         objects
             .clone()
@@ -95,11 +113,11 @@
             .map(|object| object["meta"]["ver"].clone())
     };
     for number in CHANGES - ITEMS..CHANGES {
-        let dropped = number % 5 == 0;
-        let wanted = (!dropped).then(|| json!(1 + number / ITEMS));
+        let is_removed = number % 5 == 0;
+        let expected = (!is_removed).then(|| json!(1 + number / ITEMS));
         assert_eq!(
-            shown(&format!("many-{:02}", number % ITEMS)),
-            wanted,
+            version_of(&format!("many-{:02}", number % ITEMS)),
+            expected,
             "change {number}"
         );
     }
@@ -109,7 +127,7 @@
             .map(|file| file.unwrap().metadata().unwrap().len())
             .sum();
         println!("replica {replica}: {bytes} bytes on disk");
-        assert!(bytes <= FILES, "replica {replica}: {bytes} bytes");
+        assert!(bytes <= MAX_FILE_BYTES, "replica {replica}: {bytes} bytes");
     }
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
--- a/crates/control/tests/proposals.rs
+++ b/crates/control/tests/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals, and what their proposer knows to be chosen.
+//! The outcome of a proposal when the proposer knows another value to be chosen.
 
 use std::net::SocketAddr;
 
@@ -52,13 +52,13 @@
     table
 }
 
-/// The actions of a proposal whose promises were given before another proposal was chosen: one
-/// replica still has the value that lost against it.
-fn decided(intent: Intent, left: Item, chosen: &Item) -> Vec<Action> {
+/// The actions of a proposal that receives promises from before another proposal was chosen: one
+/// replica reports an accepted value that was not chosen.
+fn actions_after_promises(intent: Intent, accepted: Item, chosen: &Item) -> Vec<Action> {
     let mut chosen_items = ChosenItems::default();
     let mut proposal = Proposal::new(intent, 0, 1_000_000);
-    let own = ballot(1, 0, 1);
-    proposal.start(0, own);
+    let proposed_ballot = ballot(1, 0, 1);
+    proposal.start(0, proposed_ballot);
     let table = three_replicas();
     assert_eq!(
         proposal.handle_promise(0, voter(0), vec![], &table, &chosen_items),
@@ -68,7 +68,7 @@
     proposal.handle_promise(
         0,
         voter(2),
-        vec![(ballot(1, 0, 0), left)],
+        vec![(ballot(1, 0, 0), accepted)],
         &table,
         &chosen_items,
     )
@@ -78,16 +78,16 @@
     item(ItemKind::Service, 1, spec)
 }
 
-#[test_case("1", "1", "2" => Outcome::Conflict; "the value left has the wanted content and lost")]
-#[test_case("2", "1", "2" => Outcome::Done; "the value left has another content and the wanted one is chosen")]
+#[test_case("1", "1", "2" => Outcome::Conflict; "the accepted value has the requested content and was not chosen")]
+#[test_case("2", "1", "2" => Outcome::Done; "the accepted value has another content and the requested one is chosen")]
 fn chosen_content_of_a_version_decides_the_outcome(
-    wanted: &str,
-    left: &str,
+    requested: &str,
+    accepted: &str,
     chosen: &str,
 ) -> Outcome {
-    let actions = decided(
-        Intent::SetItems(vec![service(wanted)]),
-        service(left),
+    let actions = actions_after_promises(
+        Intent::SetItems(vec![service(requested)]),
+        service(accepted),
         &service(chosen),
     );
     match actions.as_slice() {
@@ -99,17 +99,17 @@
 #[test]
 fn evacuation_is_proposed_above_the_chosen_version() {
     let zone = |ver, spec: &str| item(ItemKind::Zone, ver, spec);
-    let actions = decided(
+    let actions = actions_after_promises(
         Intent::SetEvacuation(zone(1, "true").name, true),
         zone(1, "true"),
         &zone(2, "false"),
     );
-    let proposed = vec![zone(3, "true")];
+    let items = vec![zone(3, "true")];
     assert_eq!(
         actions,
         vec![Action::Broadcast(Payload::Accept {
             ballot: ballot(1, 0, 1),
-            items: proposed
+            items
         })]
     );
 }
--- a/crates/control/tests/repeated_orders.rs
+++ b/crates/control/tests/repeated_calls.rs
@@ -1,4 +1,5 @@
-//! Two operators under one number, and calls sent again, at the replicas' cores.
+//! Two operators that set different contents of one version, and retried calls, in a cluster of
+//! cores.
 
 use control::operator_api::{Command, Reply};
 use simulation::cluster::{Cluster, MS, SECOND, service};
@@ -9,18 +10,18 @@
     cluster
 }
 
-/// Sets these services, each with its version and content, in one call.
-fn services(all: &[(&str, u64, u64)]) -> Command {
+/// One call that sets these services, each with its version and content.
+fn services(services: &[(&str, u64, u64)]) -> Command {
     let object = |(name, ver, content): &(&str, u64, u64)| {
         format!(
             r#"{{"type":"svcs","meta":{{"name":"{name}","ver":{ver}}},"spec":{{"hcheck":"/{content}"}}}}"#
         )
     };
-    let objects: Vec<String> = all.iter().map(object).collect();
+    let objects: Vec<String> = services.iter().map(object).collect();
     Command::ApplyPatch(format!(r#"{{"upsert":{{"objs":[{}]}}}}"#, objects.join(",")).into_bytes())
 }
 
-/// The content of a service as all replicas know it.
+/// The chosen content of a service, as the first replica knows it.
 fn content(cluster: &Cluster, name: &str) -> Option<String> {
     cluster
         .chosen(0)
@@ -31,43 +32,44 @@
 
 #[test]
 fn rejected_call_has_no_effect() {
-    let mut refused = 0;
+    let mut rejected = 0;
     for seed in 0..60 {
         let mut cluster = started(seed);
         assert_eq!(
             cluster.ask(1, services(&[("a", 4, 1), ("b", 4, 1)])),
             Some(Reply::Done)
         );
-        // The second call takes one of the first one's items before, while or after that has
-        // reached a few replicas.
-        let both = cluster.call(0, services(&[("a", 5, 2), ("b", 5, 2)]));
+        // The second call sets one of the first call's items before, while or after the first one
+        // has reached a few replicas.
+        let first = cluster.call(0, services(&[("a", 5, 2), ("b", 5, 2)]));
         cluster.run((seed as i64 % 12) * 12 * MS);
-        let one = cluster.call(5, service("b", 5, 3));
+        let second = cluster.call(5, service("b", 5, 3));
         cluster.run(3 * SECOND);
-        let replies = [both, one].map(|call| cluster.reply(call));
+        let replies = [first, second].map(|call| cluster.reply(call));
         assert!(cluster.agree());
-        let taken = |name: &str| content(&cluster, name).is_some_and(|spec| spec.contains("/2"));
+        let is_applied =
+            |name: &str| content(&cluster, name).is_some_and(|spec| spec.contains("/2"));
         if replies[0] == Some(Reply::Conflict) {
-            refused += 1;
+            rejected += 1;
             assert!(
-                !taken("a") && !taken("b"),
-                "{seed}: {replies:?}, and a part is in force"
+                !is_applied("a") && !is_applied("b"),
+                "{seed}: {replies:?}, but a part was applied"
             );
         }
-        let again = cluster.ask(3, services(&[("a", 5, 2), ("b", 5, 2)]));
-        let may = match replies[0] {
-            Some(Reply::Done) => again == Some(Reply::Done),
-            Some(Reply::Conflict) => again == Some(Reply::Conflict),
-            _ => matches!(again, Some(Reply::Unavailable(_))),
+        let retried = cluster.ask(3, services(&[("a", 5, 2), ("b", 5, 2)]));
+        let is_consistent = match replies[0] {
+            Some(Reply::Done) => retried == Some(Reply::Done),
+            Some(Reply::Conflict) => retried == Some(Reply::Conflict),
+            _ => matches!(retried, Some(Reply::Unavailable(_))),
         };
-        assert!(may, "{seed}: {replies:?}, and again {again:?}");
+        assert!(is_consistent, "{seed}: {replies:?}, on retry {retried:?}");
     }
-    assert!(refused > 0, "no call was refused");
+    assert!(rejected > 0, "no call was rejected");
 }
 
 #[test]
-fn leftovers_of_a_rejected_call_are_not_completed() {
-    let mut found = 0;
+fn partly_accepted_proposal_of_a_rejected_call_is_not_completed() {
+    let mut rejected = 0;
     for seed in 0..40 {
         let mut cluster = started(seed);
         assert_eq!(
@@ -80,19 +82,19 @@
         cluster.cut(&[0, 1], &[2, 3, 4, 5]);
         cluster.run(1_500 * MS);
         let other = cluster.ask(4, service("b", 5, 3));
-        let again = cluster.ask(3, services(&[("a", 5, 2), ("b", 5, 2)]));
+        let retried = cluster.ask(3, services(&[("a", 5, 2), ("b", 5, 2)]));
         cluster.heal();
         cluster.run(4 * SECOND);
         assert!(cluster.agree());
-        if other == Some(Reply::Done) && again == Some(Reply::Conflict) {
-            found += 1;
+        if other == Some(Reply::Done) && retried == Some(Reply::Conflict) {
+            rejected += 1;
             assert!(
                 content(&cluster, "a").is_some_and(|spec| spec.contains("/1")),
                 "{seed}"
             );
         }
     }
-    assert!(found > 0, "no call was refused");
+    assert!(rejected > 0, "no call was rejected");
 }
 
 #[test]
@@ -103,38 +105,38 @@
     let object = r#"{"type":"svcs","meta":{"name":"s","ver":5},"spec":{"hcheck":"/1"}}"#;
     let call =
         Command::ApplyPatch(format!(r#"{{"upsert":{{"objs":[{object},{route}]}}}}"#).into_bytes());
-    let drop = |kind: &str, name: &str, ver: u64| {
+    let removal = |kind: &str, name: &str, ver: u64| {
         Command::ApplyPatch(
             format!(r#"{{"remove":{{"{kind}":[{{"name":"{name}","ver":{ver}}}]}}}}"#).into_bytes(),
         )
     };
     assert_eq!(cluster.ask(2, call.clone()), Some(Reply::Done));
-    let everywhere = |cluster: &mut Cluster, command: &Command, when: &str| {
-        for at in cluster.holding() {
+    let assert_done_everywhere = |cluster: &mut Cluster, command: &Command, when: &str| {
+        for replica in cluster.holding() {
             assert_eq!(
-                cluster.ask(at, command.clone()),
+                cluster.ask(replica, command.clone()),
                 Some(Reply::Done),
-                "at {at} {when}"
+                "at {replica} {when}"
             );
         }
     };
-    everywhere(&mut cluster, &call, "at once");
-    for at in 0..6 {
-        cluster.power(at);
-        cluster.start(at);
+    assert_done_everywhere(&mut cluster, &call, "at once");
+    for replica in 0..6 {
+        cluster.power(replica);
+        cluster.start(replica);
     }
     cluster.run(2 * SECOND);
-    everywhere(&mut cluster, &call, "after a loss of power");
+    assert_done_everywhere(&mut cluster, &call, "after a loss of power");
     let new = cluster.add(4);
     cluster.start(new);
     cluster.run(3 * SECOND);
-    everywhere(&mut cluster, &call, "at a newcomer too");
-    for on in [true, false, true] {
-        let zone = Command::SetEvacuation {
+    assert_done_everywhere(&mut cluster, &call, "with a replaced node");
+    for evacuate in [true, false, true] {
+        let evacuation = Command::SetEvacuation {
             zone: "c".into(),
-            evacuate: on,
+            evacuate,
         };
-        assert_eq!(cluster.ask(1, zone), Some(Reply::Done));
+        assert_eq!(cluster.ask(1, evacuation), Some(Reply::Done));
     }
     for ver in 1..=200 {
         assert_eq!(
@@ -145,15 +147,15 @@
             Some(Reply::Done)
         );
     }
-    everywhere(&mut cluster, &call, "after 200 changes of others");
-    // The items that it names are removed; then neither the repeat nor the repeats of the removals
-    // have an effect.
-    let gone = [drop("routes", "r", 6), drop("svcs", "s", 6)];
-    for order in &gone {
-        assert_eq!(cluster.ask(0, order.clone()), Some(Reply::Done));
+    assert_done_everywhere(&mut cluster, &call, "after 200 changes of other items");
+    // The items of the call are removed; then neither a retry of the call nor retries of the
+    // removals have an effect.
+    let removals = [removal("routes", "r", 6), removal("svcs", "s", 6)];
+    for command in &removals {
+        assert_eq!(cluster.ask(0, command.clone()), Some(Reply::Done));
     }
-    for order in gone.iter().chain([&call]) {
-        everywhere(&mut cluster, order, "after it was dropped");
+    for command in removals.iter().chain([&call]) {
+        assert_done_everywhere(&mut cluster, command, "after its items were removed");
     }
     assert_eq!(content(&cluster, "s"), None);
     assert!(
--- a/crates/control/tests/replacement.rs
+++ b/crates/control/tests/replacement.rs
@@ -1,4 +1,5 @@
-//! Full disks, replacements and recoveries: timelines of six replicas, one column each, two to a region.
+//! Full disks, replacements and recoveries: timelines of six replicas, one column each, two per
+//! region.
 
 mod common;
 
@@ -15,28 +16,28 @@
 fn replica_with_a_full_disk_keeps_its_role_and_resumes_later() {
     let mut cluster = started(5);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
-    // The replica that polls, while a call of its operator is in progress.
+    // The replica with the role of the poller, while it also handles a call of an operator.
     cluster.fill(0, true);
     let mut lines = vec![cluster.line(&["s"])];
-    let refused = cluster.ask(0, service("s", 8, 1));
+    let rejected = cluster.ask(0, service("s", 8, 1));
     assert!(
-        matches!(refused, Some(Reply::Unavailable(why)) if why.contains("disk of this replica")),
-        "{refused:?}"
+        matches!(rejected, Some(Reply::Unavailable(reason)) if reason.contains("disk of this replica")),
+        "{rejected:?}"
     );
     assert!(read_back(&mut cluster, 0).contains(r#""ver":7"#));
-    // The others are enough without it, and it learns what they decide.
+    // The others are a quorum without it, and it learns their changes.
     assert_eq!(cluster.ask(4, service("s", 9, 1)), Some(Reply::Done));
     cluster.run(4 * SECOND);
     lines.push(cluster.line(&["s"]));
-    // With two more gone it is needed again. A change that was in progress when the disk became
-    // full says so as well.
+    // With two more replicas stopped it is needed for a quorum. A change that was in progress when
+    // the disk became full is answered with the same error.
     cluster.fill(0, false);
     (1..3).for_each(|replica| cluster.kill(replica));
-    let open = cluster.call(0, service("s", 10, 1));
+    let pending = cluster.call(0, service("s", 10, 1));
     cluster.fill(0, true);
     cluster.run(SECOND);
     assert!(
-        matches!(cluster.reply(open), Some(Reply::Unavailable(why)) if why.contains("disk of this replica"))
+        matches!(cluster.reply(pending), Some(Reply::Unavailable(reason)) if reason.contains("disk of this replica"))
     );
     cluster.fill(0, false);
     assert_eq!(cluster.ask(0, service("s", 11, 1)), Some(Reply::Done));
@@ -53,10 +54,10 @@
 }
 
 #[test]
-fn replaced_replica_votes_and_its_former_holder_does_not() {
+fn replacement_votes_and_the_replaced_node_does_not() {
     let mut cluster = started(4);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
-    // The new machine starts while the old one still runs, cut off from all but two.
+    // The new node starts while the old one still runs, cut off from most replicas.
     cluster.cut(&[5], &[0, 1, 2, 3]);
     let new = cluster.add(5);
     cluster.cut(&[5], &[new]);
@@ -68,7 +69,7 @@
     cluster.heal();
     cluster.run(SECOND);
     lines.push(cluster.line(&["s"]));
-    // With three replicas down, the old holder's vote would be the fourth.
+    // With three replicas stopped, the vote of the replaced node would complete the quorum of four.
     cluster.kill(0);
     cluster.kill(1);
     cluster.kill(new);
@@ -107,7 +108,8 @@
     cluster.start(new);
     cluster.run(2 * SECOND);
     let mut lines = vec![cluster.line(&["s"])];
-    // With two more gone it is one of the four that are needed, and operators may call it.
+    // With two more replicas stopped it is one of the four that a quorum needs, and operators can
+    // call it.
     cluster.kill(0);
     cluster.kill(1);
     cluster.run(2 * SECOND);
@@ -148,9 +150,9 @@
 }
 
 #[test]
-fn recovered_replica_keeps_former_promises() {
+fn recovered_replica_keeps_promises_of_its_previous_incarnation() {
     let mut cluster = started(14);
-    // A promise given only by the replica's previous incarnation and some others.
+    // The promise was given by the previous incarnation of this replica and by some others.
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     cluster.wipe(5);
     cluster.start(5);
@@ -165,7 +167,7 @@
         Incarnation::FIRST,
         core.incarnation(),
     ];
-    let by = ProcessId {
+    let sender = ProcessId {
         replica: 0,
         incarnation: Incarnation::FIRST,
         run: 1,
@@ -174,26 +176,27 @@
         kind: ItemKind::Tenant,
         name: "t".to_string(),
     }];
-    let body = Payload::Prepare {
+    let payload = Payload::Prepare {
         ballot: Ballot {
             round: 1,
             ..Ballot::default()
         },
         names,
     };
-    let mut out = Vec::new();
-    // Below the highest promise, on a register of which nothing is known any more.
+    let mut outputs = Vec::new();
+    // The ballot is below the highest promise, for a register that the recovered replica does not
+    // know.
     let peer_message = PeerMessage {
-        sender: by,
+        sender,
         incarnations,
-        payload: body,
+        payload,
     };
     core.step(
         node.clock.at(cluster.now),
         Input::PeerMessage("10.0.0.0:7740".parse().unwrap(), peer_message),
-        &mut out,
+        &mut outputs,
     );
-    let refused = |output: &Output| {
+    let is_nack = |output: &Output| {
         matches!(
             output,
             Output::SendToReplicas(
@@ -205,5 +208,5 @@
             )
         )
     };
-    assert!(out.iter().any(refused), "{out:?}");
+    assert!(outputs.iter().any(is_nack), "{outputs:?}");
 }
--- a/crates/control/tests/resent.rs
+++ b/crates/control/tests/resent.rs
@@ -1,5 +1,6 @@
-//! The built control programs: two operators under one number at two replicas at once, and an
-//! accepted call sent again at every replica, whatever happened in between.
+//! The built control programs: two operators set different contents of one version at two replicas
+//! at once, and an acknowledged call is retried at every replica after restarts, disk losses and
+//! other changes.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,25 +16,25 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_control");
 
-fn soon() -> Instant {
+fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(12)
 }
 
-/// Sends a call until it has a definite answer, always to the same replica.
-fn clear(at: SocketAddr, path: &str, body: &str) -> u16 {
-    let once = || {
-        let reply = call(at, "POST", path, "", body.as_bytes(), soon()).ok()?;
+/// Retries a call at the same replica until the status is final (below 500), and gives the status.
+fn call_until_final(address: SocketAddr, path: &str, body: &str) -> u16 {
+    let attempt = || {
+        let reply = call(address, "POST", path, "", body.as_bytes(), deadline()).ok()?;
         (reply.status < 500).then_some(reply.status)
     };
-    wait_for(soon(), once).expect("no clear answer")
+    wait_for(deadline(), attempt).expect("no final status in time")
 }
 
-fn patch(at: SocketAddr, body: &Value) -> u16 {
-    clear(at, "/api/cfg/patch", &body.to_string())
+fn patch(address: SocketAddr, body: &Value) -> u16 {
+    call_until_final(address, "/api/cfg/patch", &body.to_string())
 }
 
 /// A service and a route to it, by version and by the operator who set them.
-fn order(ver: u64, operator: u32) -> Value {
+fn service_and_route(ver: u64, operator: u32) -> Value {
     let prefix = format!("/ours-{operator}/");
     json!({"upsert": {"objs": [
         {"type": "svcs", "meta": {"name": "ours", "ver": ver}, "spec": {"hcheck": "/h", "maxconn": 100 + operator}},
@@ -44,17 +45,17 @@
 struct Replicas(Whole);
 
 impl Replicas {
-    fn ctl(&self) -> Vec<SocketAddr> {
+    fn operator_addresses(&self) -> Vec<SocketAddr> {
         (0..self.0.machines.cores())
             .map(|number| self.0.machines.ctl(number))
             .collect()
     }
 
-    /// The answers of all replicas.
+    /// Sends a call to every replica, and checks the status.
     #[track_caller]
-    fn everywhere(&self, body: &Value, status: u16, when: &str) {
-        for (number, at) in self.ctl().into_iter().enumerate() {
-            assert_eq!(patch(at, body), status, "replica {number} {when}");
+    fn assert_status_everywhere(&self, body: &Value, status: u16, when: &str) {
+        for (number, address) in self.operator_addresses().into_iter().enumerate() {
+            assert_eq!(patch(address, body), status, "replica {number} {when}");
         }
     }
 }
@@ -68,45 +69,53 @@
         net: net(),
     };
     let programs = beside(Path::new(PROGRAM), env!("CARGO"));
-    let mut replicas = Replicas(Whole::start(folder.path(), &programs, size, soon()).unwrap());
-    let ctl = replicas.ctl();
+    let mut replicas = Replicas(Whole::start(folder.path(), &programs, size, deadline()).unwrap());
+    let ctl = replicas.operator_addresses();
     for ver in 2..5 {
         let start = Barrier::new(2);
         let send = |operator: usize| {
             start.wait();
-            patch(ctl[operator], &order(ver, operator as u32))
+            patch(ctl[operator], &service_and_route(ver, operator as u32))
         };
         let statuses = std::thread::scope(|scope| {
-            let both = [0, 1].map(|operator| scope.spawn(move || send(operator)));
-            both.map(|one| one.join().unwrap())
+            let threads = [0, 1].map(|operator| scope.spawn(move || send(operator)));
+            threads.map(|thread| thread.join().unwrap())
         });
         assert!(
             statuses == [200, 409] || statuses == [409, 200],
             "{statuses:?} for version {ver}"
         );
-        let (taken, refused) = if statuses[0] == 200 { (0, 1) } else { (1, 0) };
-        replicas.everywhere(&order(ver, taken), 200, "at once");
-        replicas.everywhere(&order(ver, refused), 409, "to the other one");
+        let (accepted, rejected) = if statuses[0] == 200 { (0, 1) } else { (1, 0) };
+        replicas.assert_status_everywhere(&service_and_route(ver, accepted), 200, "at once");
+        replicas.assert_status_everywhere(
+            &service_and_route(ver, rejected),
+            409,
+            "for the other operator",
+        );
     }
-    let taken = (0..2)
-        .find(|operator| patch(ctl[2], &order(4, *operator)) == 200)
+    let accepted = (0..2)
+        .find(|operator| patch(ctl[2], &service_and_route(4, *operator)) == 200)
         .unwrap();
-    let taken = order(4, taken);
-    for zone in ["begin", "finish", "begin"] {
+    let accepted = service_and_route(4, accepted);
+    for action in ["begin", "finish", "begin"] {
         assert_eq!(
-            clear(ctl[1], &format!("/api/drain/{}/{zone}", zones(3)[2].0), ""),
+            call_until_final(
+                ctl[1],
+                &format!("/api/drain/{}/{action}", zones(3)[2].0),
+                ""
+            ),
             200
         );
     }
-    replicas.everywhere(&taken, 200, "after evacuations");
+    replicas.assert_status_everywhere(&accepted, 200, "after evacuations");
     (0..ctl.len()).for_each(|number| replicas.0.machines.kill(Role::Control, number));
     replicas.0.machines.start_cores().unwrap();
-    replicas.everywhere(&taken, 200, "after all were killed");
+    replicas.assert_status_everywhere(&accepted, 200, "after all were killed");
     replicas.0.machines.kill(Role::Control, 2);
     std::fs::remove_dir_all(folder.path().join("disk-2")).unwrap();
     replicas.0.machines.write(Role::Control, 2, false).unwrap();
     replicas.0.machines.start(Role::Control, 2).unwrap();
-    replicas.everywhere(&taken, 200, "after a disk was lost");
+    replicas.assert_status_everywhere(&accepted, 200, "after a disk was lost");
     for ver in 1..=60 {
         let other = json!({"type": "routes", "meta": {"name": "other", "ver": ver}, "spec": route("/other/", SERVICES[0])});
         assert_eq!(
@@ -114,18 +123,18 @@
             200
         );
     }
-    replicas.everywhere(&taken, 200, "after sixty changes of another item");
+    replicas.assert_status_everywhere(&accepted, 200, "after sixty changes of another item");
     for kind in ["routes", "svcs"] {
-        let gone = json!({"remove": {kind: [{"name": "ours", "ver": 5}]}});
-        replicas.everywhere(&gone, 200, "as it is dropped");
+        let removal = json!({"remove": {kind: [{"name": "ours", "ver": 5}]}});
+        replicas.assert_status_everywhere(&removal, 200, "on removal");
     }
-    replicas.everywhere(&taken, 200, "after all of it was dropped");
+    replicas.assert_status_everywhere(&accepted, 200, "after all its items were removed");
     assert_eq!(replicas.0.machines.stop(), Vec::<String>::new());
 }
 
-/// How many items a replica knows to be chosen, evacuations included.
-fn items(at: SocketAddr) -> u64 {
-    let reply = call(at, "GET", "/api/status", "", b"", soon()).unwrap();
+/// The number of items that a replica knows to be chosen, evacuations included.
+fn chosen_count(address: SocketAddr) -> u64 {
+    let reply = call(address, "GET", "/api/status", "", b"", deadline()).unwrap();
     serde_json::from_slice::<Value>(reply.body()).unwrap()["items"]
         .as_u64()
         .unwrap()
@@ -140,38 +149,45 @@
         net: net(),
     };
     let programs = beside(Path::new(PROGRAM), env!("CARGO"));
-    let mut whole = Whole::start(folder.path(), &programs, size, soon()).unwrap();
-    let at = whole.machines.ctl(0);
-    // The first sender is gone when the replica resumes, the second one still waits for its answer.
-    for (gone, zone) in [(true, 1), (false, 2)] {
-        let before = items(at);
-        whole.machines.stand_still(Role::Control, 0);
-        let mut sender = Connection::open(at, soon()).unwrap();
+    let mut system = Whole::start(folder.path(), &programs, size, deadline()).unwrap();
+    let address = system.machines.ctl(0);
+    // The first sender has disconnected when the replica resumes, the second one still waits for
+    // its answer.
+    for (disconnects, zone) in [(true, 1), (false, 2)] {
+        let before = chosen_count(address);
+        system.machines.stand_still(Role::Control, 0);
+        let mut sender = Connection::open(address, deadline()).unwrap();
         let path = format!("/api/drain/{}/begin", zones(3)[zone].0);
-        let order = format!("POST {path} HTTP/1.1\r\nHost: core\r\nContent-Length: 0\r\n\r\n");
-        sender.send(order.as_bytes(), soon()).unwrap();
-        let sender = (!gone).then_some(sender);
-        whole.machines.go_on(Role::Control, 0);
-        // More calls follow, so that everything begun is finished.
+        let request = format!("POST {path} HTTP/1.1\r\nHost: core\r\nContent-Length: 0\r\n\r\n");
+        sender.send(request.as_bytes(), deadline()).unwrap();
+        let sender = (!disconnects).then_some(sender);
+        system.machines.go_on(Role::Control, 0);
+        // Later calls complete only after the pending one was handled.
         for ver in 1..=5 {
-            assert_eq!(patch(at, &order_of_limits(ver + zone as u64 * 10)), 200);
+            assert_eq!(
+                patch(address, &change_of_limits(ver + zone as u64 * 10)),
+                200
+            );
         }
         if let Some(mut sender) = sender {
-            // While it hears nobody yet it answers 503, and the call is sent again.
-            let status = sender.answer(soon()).unwrap().status;
-            assert!(status == 200 || clear(at, &path, "") == 200, "{status}");
+            // Until the replica has quorum contact again it answers 503, and the call is retried.
+            let status = sender.answer(deadline()).unwrap().status;
+            assert!(
+                status == 200 || call_until_final(address, &path, "") == 200,
+                "{status}"
+            );
         }
         assert_eq!(
-            items(at) - before,
-            u64::from(!gone),
-            "the sender has left: {gone}"
+            chosen_count(address) - before,
+            u64::from(!disconnects),
+            "the sender has disconnected: {disconnects}"
         );
     }
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
 
-/// A change of an item that exists from the start.
-fn order_of_limits(ver: u64) -> Value {
+/// A change of an item that exists in every configuration.
+fn change_of_limits(ver: u64) -> Value {
     let spec =
         json!({"hdr_bytes": 16384, "body_bytes": 1_048_576, "hdr": "3000ms", "idle": "15000ms"});
     json!({"upsert": {"objs": [{"type": "limits", "meta": {"ver": ver}, "spec": spec}]}})
--- a/crates/control/tests/roles.rs
+++ b/crates/control/tests/roles.rs
@@ -1,4 +1,5 @@
-//! Singleton roles and restarts of all replicas: timelines of six replicas, one column each, two to a region.
+//! Singleton roles and restarts of all replicas: timelines of six replicas, one column each, two
+//! per region.
 
 mod common;
 
@@ -14,8 +15,8 @@
 fn brief_zone_loss_keeps_one_lease_holder_and_acknowledged_items() {
     let mut cluster = started(17);
     assert_eq!(cluster.ask(3, service("s", 7, 1)), Some(Reply::Done));
-    // The owner of the counter loses power, and is back before its grants have expired by the
-    // others' clocks.
+    // The holder of the counter's lease loses power, and restarts before its grants have expired by
+    // the clocks of the others.
     cluster.power(3);
     let mut lines = vec![cluster.line(&["s"])];
     assert_eq!(cluster.ask(0, service("s", 8, 2)), Some(Reply::Done));
@@ -49,10 +50,10 @@
         Some(Reply::Done)
     );
     let terms = cluster.terms.clone();
-    ALL.iter().for_each(|at| cluster.kill(*at));
+    ALL.iter().for_each(|replica| cluster.kill(*replica));
     let mut lines = vec![cluster.line(&["s", "c"])];
     cluster.run(500 * MS);
-    ALL.iter().for_each(|at| cluster.start(*at));
+    ALL.iter().for_each(|replica| cluster.start(*replica));
     cluster.run(SECOND);
     lines.push(cluster.line(&["s", "c"]));
     cluster.run(2 * SECOND);
@@ -65,30 +66,30 @@
         7.0s   oP71 o71  o71  oC71 o71  o71",
     );
     // The terms of the roles keep increasing.
-    for duty in SingletonRole::ALL {
-        let before = terms
+    for role in SingletonRole::ALL {
+        let last_term = terms
             .keys()
-            .filter(|(of, _)| *of == duty)
+            .filter(|(of_role, _)| *of_role == role)
             .map(|(_, term)| *term)
             .max();
-        assert!(Some(cluster.holders(duty)[0].1) > before, "{duty:?}");
+        assert!(Some(cluster.holders(role)[0].1) > last_term, "{role:?}");
     }
 }
 
-/// Until there is a counter, proxies keep tenants to their local shares. After all were killed, the
-/// replica that owned the counter takes it over again at once, as nobody else can hold a grant of
-/// those that voted for it. A later one finds the role taken.
+/// Without a counter, proxies limit tenants to their local quota shares. After a restart of all
+/// replicas the former lease holder resumes the counter at once, as no other replica can hold
+/// grants of the voters that granted it. A holder that restarts later finds the role taken.
 #[test]
 fn former_counter_resumes_after_a_full_restart() {
     let mut cluster = started(5);
     let before = cluster.holders(SingletonRole::Counter)[0];
-    ALL.iter().for_each(|at| cluster.power(*at));
+    ALL.iter().for_each(|replica| cluster.power(*replica));
     let mut lines = vec![cluster.line(&[])];
     cluster.run(500 * MS);
-    ALL.iter().for_each(|at| cluster.start(*at));
+    ALL.iter().for_each(|replica| cluster.start(*replica));
     cluster.run(700 * MS);
     lines.push(cluster.line(&[]));
-    // It ends once more, alone, and is back while the others' grants to it are valid.
+    // It is killed alone, and restarts while the grants of the others to it are valid.
     cluster.run(SECOND);
     cluster.kill(before.0);
     cluster.run(300 * MS);
@@ -114,48 +115,54 @@
     assert!(cluster.faults.is_empty(), "{:?}", cluster.faults);
 }
 
-/// Proxies that have lost power serve nothing until they know servers: a replica reads the list as
-/// it starts.
+/// Restarted proxies serve nothing until they know servers. So replicas read the list of servers at
+/// their start, before the lease of the poller is granted.
 #[test]
 fn server_list_is_read_before_any_lease_after_a_full_restart() {
     let mut cluster = started(5);
-    let polls = |cluster: &Cluster, at: usize| {
-        cluster.nodes[at]
+    let is_polling = |cluster: &Cluster, replica: usize| {
+        cluster.nodes[replica]
             .core
             .as_ref()
             .is_some_and(|core| core.should_poll_platform(cluster.now))
     };
-    ALL.iter().for_each(|at| cluster.kill(*at));
-    ALL.iter().for_each(|at| cluster.start(*at));
+    ALL.iter().for_each(|replica| cluster.kill(*replica));
+    ALL.iter().for_each(|replica| cluster.start(*replica));
     cluster.feed(
         2,
         Input::AgentMessage(1, AgentMessage::Hello(edge("e1", "c"))),
     );
-    // Two of six, so that many replicas keep to the platform's rate limit.
-    assert_eq!(ALL.iter().filter(|at| polls(&cluster, **at)).count(), 2);
+    // Only two of six replicas poll, so that a large cluster keeps within the platform's rate
+    // limit.
+    assert_eq!(
+        ALL.iter()
+            .filter(|replica| is_polling(&cluster, **replica))
+            .count(),
+        2
+    );
     cluster.run(500 * MS);
     assert!(cluster.holders(SingletonRole::PlatformPoller).is_empty());
     cluster.feed(0, Input::ServerListRead(vec![]));
     cluster.run(100 * MS);
-    let told = |cluster: &Cluster| {
-        let told = cluster.nodes[2].told.iter().rev();
-        told.into_iter().find_map(|(_, down)| {
-            if let ControlMessage::Servers { version, .. } = down {
+    let last_list_version = |cluster: &Cluster| {
+        let messages = cluster.nodes[2].told.iter().rev();
+        messages.into_iter().find_map(|(_, message)| {
+            if let ControlMessage::Servers { version, .. } = message {
                 Some(*version)
             } else {
                 None
             }
         })
     };
-    assert_eq!(told(&cluster), Some((0, 1)));
+    assert_eq!(last_list_version(&cluster), Some((0, 1)));
     assert!(
-        ALL.iter().all(|at| !polls(&cluster, *at)),
-        "a list is known"
+        ALL.iter().all(|replica| !is_polling(&cluster, *replica)),
+        "a replica polls although a list is known"
     );
-    // Any list of a poller supersedes it.
+    // A list of the lease holder supersedes the one that was read at the start.
     cluster.run(2 * SECOND);
     let (holder, term) = cluster.holders(SingletonRole::PlatformPoller)[0];
-    let one = protocol::platform::Server {
+    let server = protocol::platform::Server {
         id: "i".into(),
         svc: "s".into(),
         addr: "10.9.0.1:80".parse().unwrap(),
@@ -164,9 +171,9 @@
         accepts_requests: true,
         warm_up_left: 0,
     };
-    cluster.feed(holder, Input::ServerListRead(vec![one]));
+    cluster.feed(holder, Input::ServerListRead(vec![server]));
     cluster.run(100 * MS);
-    assert_eq!(told(&cluster), Some((term, 1)));
+    assert_eq!(last_list_version(&cluster), Some((term, 1)));
 }
 
 #[test]
@@ -202,20 +209,21 @@
     );
     cluster.cut(&[5], &[0, 1, 2, 3, 4]);
     cluster.feed(0, Input::ServerListRead(vec![]));
-    // A replica without the role has no say.
+    // A list from a replica without the role is ignored.
     cluster.feed(1, Input::ServerListRead(vec![]));
     cluster.run(1_500 * MS);
-    let heard = |cluster: &Cluster| {
-        let told = cluster.nodes[5].told.iter();
-        told.filter_map(|(_, down)| match down {
-            ControlMessage::Servers { version, .. } => Some(*version),
-            _ => None,
-        })
-        .collect::<Vec<_>>()
+    let list_versions = |cluster: &Cluster| {
+        let messages = cluster.nodes[5].told.iter();
+        messages
+            .filter_map(|(_, message)| match message {
+                ControlMessage::Servers { version, .. } => Some(*version),
+                _ => None,
+            })
+            .collect::<Vec<_>>()
     };
-    assert!(heard(&cluster).is_empty());
+    assert!(list_versions(&cluster).is_empty());
     cluster.heal();
     cluster.run(SECOND);
     let term = cluster.holders(SingletonRole::PlatformPoller)[0].1;
-    assert_eq!(heard(&cluster), [(term, 1)]);
+    assert_eq!(list_versions(&cluster), [(term, 1)]);
 }
--- a/crates/control/tests/second_loss.rs
+++ b/crates/control/tests/second_loss.rs
@@ -1,15 +1,16 @@
-//! A second loss right after a repair or a replacement: timelines of six replicas, two to a region,
-//! and the number of disks that hold acknowledged changes.
+//! A second disk loss right after a recovery or a replacement: sequences of faults in a cluster of
+//! six replicas, two per region, and the number of disks that hold an acknowledged change.
 
 use control::operator_api::{Command, Reply};
 use protocol::items::{ItemKind, ItemName};
 use simulation::cluster::{Cluster, MS, SECOND, service};
 use test_case::test_case;
 
-/// Longest time from the signal to the end, which the process chooses.
-const GRACE: i64 = 5 * SECOND;
-/// After a return, or a start with an empty disk, everything is there by then.
-const SYNC: i64 = 4 * SECOND;
+/// The longest time from SIGTERM to the end of the process.
+const GRACE_PERIOD: i64 = 5 * SECOND;
+/// The time within which a replica is up to date after a restart, or after a start with an empty
+/// disk.
+const SYNC_TIME: i64 = 4 * SECOND;
 
 fn started(seed: u64, replicas: usize) -> Cluster {
     let mut cluster = Cluster::with(seed, replicas, None);
@@ -17,23 +18,23 @@
     cluster
 }
 
-/// How many of the replicas' disks hold this version of the service `s`.
+/// The number of replicas whose disks hold this version or a later one of the service `s`.
 fn copies(cluster: &Cluster, ver: u64) -> usize {
     let name = ItemName {
         kind: ItemKind::Service,
         name: "s".to_string(),
     };
-    let holds = |at: &&usize| cluster.nodes[**at].disk.version(&name) >= Some(ver);
+    let holds = |replica: &&usize| cluster.nodes[**replica].disk.version(&name) >= Some(ver);
     cluster.holding().iter().filter(holds).count()
 }
 
-/// Whether a machine's process has ended.
-fn ended(cluster: &Cluster, at: usize) -> bool {
-    cluster.nodes[at].core.is_none()
+/// Whether the process of a node has ended.
+fn has_ended(cluster: &Cluster, node: usize) -> bool {
+    cluster.nodes[node].core.is_none()
 }
 
-/// A change on the bare majority `c` to `f`, acknowledged by `e`.
-fn bare_majority(cluster: &mut Cluster) {
+/// Commits a change on a minimal majority, the replicas `c` to `f`; `e` acknowledges it.
+fn commit_on_minimal_majority(cluster: &mut Cluster) {
     cluster.cut(&[0, 1], &[2, 3, 4, 5]);
     cluster.run(1_500 * MS);
     assert_eq!(cluster.ask(4, service("s", 7, 1)), Some(Reply::Done));
@@ -42,15 +43,15 @@
 }
 
 #[test]
-fn shutdown_waits_until_a_quorum_has_everything() {
+fn shutdown_waits_until_a_quorum_holds_all_items() {
     let mut cluster = started(11, 6);
-    bare_majority(&mut cluster);
+    commit_on_minimal_majority(&mut cluster);
     cluster.stop(4);
     cluster.run(3 * SECOND);
-    assert!(!ended(&cluster, 4) && copies(&cluster, 7) == 4);
+    assert!(!has_ended(&cluster, 4) && copies(&cluster, 7) == 4);
     cluster.heal();
     cluster.run(1_500 * MS);
-    assert!(ended(&cluster, 4));
+    assert!(has_ended(&cluster, 4));
     cluster.wipe(4);
     assert_eq!(copies(&cluster, 7), 5);
     assert!(cluster.faults.is_empty(), "{:?}", cluster.faults);
@@ -59,33 +60,33 @@
 #[test]
 fn shutdown_without_handover_ends_within_the_grace_period() {
     let mut cluster = started(12, 6);
-    bare_majority(&mut cluster);
+    commit_on_minimal_majority(&mut cluster);
     cluster.stop(4);
-    cluster.run(GRACE - 100 * MS);
-    assert!(!ended(&cluster, 4));
+    cluster.run(GRACE_PERIOD - 100 * MS);
+    assert!(!has_ended(&cluster, 4));
     cluster.run(200 * MS);
-    assert!(ended(&cluster, 4));
+    assert!(has_ended(&cluster, 4));
 }
 
 #[test]
-fn calm_shutdown_ends_at_once() {
+fn shutdown_without_pending_handover_ends_at_once() {
     let mut cluster = started(13, 6);
     assert_eq!(cluster.ask(4, service("s", 7, 1)), Some(Reply::Done));
     cluster.stop(4);
     cluster.run(200 * MS);
     assert_eq!(cluster.ask(0, service("s", 8, 2)), Some(Reply::Done));
     cluster.run(400 * MS);
-    assert!(ended(&cluster, 4) && copies(&cluster, 8) >= 4);
+    assert!(has_ended(&cluster, 4) && copies(&cluster, 8) >= 4);
     assert!(cluster.faults.is_empty(), "{:?}", cluster.faults);
 }
 
 #[test]
-fn superseded_replica_stays_until_its_successor_takes_part() {
+fn superseded_replica_runs_until_its_successor_participates() {
     let mut cluster = started(14, 6);
     assert_eq!(cluster.ask(4, service("s", 7, 1)), Some(Reply::Done));
     let new = cluster.add(4);
-    // It reaches two of the other five: its incarnation supersedes the old one, and it can't become
-    // up to date.
+    // The new node reaches two of the other five: its incarnation supersedes the old one, but it
+    // can't become up to date.
     cluster.cut(&[new], &[2, 3, 5]);
     cluster.start(new);
     cluster.run(SECOND);
@@ -97,11 +98,11 @@
     );
     cluster.stop(4);
     cluster.run(2 * SECOND);
-    assert!(!ended(&cluster, 4));
+    assert!(!has_ended(&cluster, 4));
     cluster.heal();
     cluster.run(2 * SECOND);
     assert!(
-        ended(&cluster, 4)
+        has_ended(&cluster, 4)
             && cluster.nodes[new]
                 .core
                 .as_ref()
@@ -113,9 +114,9 @@
 #[test]
 fn replica_that_recovers_during_shutdown_hands_over() {
     let mut cluster = started(15, 6);
-    bare_majority(&mut cluster);
-    // The new disk receives the change from its holders, and is the only one that reaches the other
-    // two replicas.
+    commit_on_minimal_majority(&mut cluster);
+    // The new disk receives the change from the replicas that hold it, and only this replica
+    // reaches the other two.
     cluster.wipe(4);
     cluster.heal();
     cluster.cut(&[0, 1], &[2, 3, 5]);
@@ -124,7 +125,7 @@
     assert!(!cluster.nodes[4].core.as_ref().unwrap().is_participant());
     cluster.stop(4);
     cluster.run(3 * SECOND);
-    assert!(ended(&cluster, 4));
+    assert!(has_ended(&cluster, 4));
     cluster.wipe(4);
     assert_eq!(copies(&cluster, 7), 5);
     assert!(cluster.faults.is_empty(), "{:?}", cluster.faults);
@@ -134,66 +135,80 @@
 #[test_case(2)]
 #[test_case(3)]
 #[test_case(4)]
-fn surviving_one_of_two_candidates_holds_the_replica(seed: u64) {
+fn remaining_one_of_two_replacements_takes_over_the_replica(seed: u64) {
     let mut cluster = started(seed, 6);
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     cluster.power(2);
-    let candidates = [cluster.add(2), cluster.add(2)];
-    candidates.iter().for_each(|at| cluster.start(*at));
+    let replacements = [cluster.add(2), cluster.add(2)];
+    replacements.iter().for_each(|node| cluster.start(*node));
     cluster.run(3 * SECOND);
-    let part =
-        |cluster: &Cluster, at: usize| cluster.nodes[at].core.as_ref().unwrap().is_participant();
-    let won: Vec<usize> = candidates
+    let is_participant = |cluster: &Cluster, node: usize| {
+        cluster.nodes[node].core.as_ref().unwrap().is_participant()
+    };
+    let winners: Vec<usize> = replacements
         .into_iter()
-        .filter(|at| part(&cluster, *at))
+        .filter(|node| is_participant(&cluster, *node))
         .collect();
-    assert_eq!(won.len(), 1, "{}", cluster.line(&["s"]));
-    let left = candidates.into_iter().find(|at| *at != won[0]).unwrap();
-    cluster.power(won[0]);
-    cluster.run(SYNC + 2_500 * MS);
-    assert!(part(&cluster, left), "{}", cluster.line(&["s"]));
-    assert_eq!(cluster.ask(left, service("s", 8, 2)), Some(Reply::Done));
+    assert_eq!(winners.len(), 1, "{}", cluster.line(&["s"]));
+    let remaining = replacements
+        .into_iter()
+        .find(|node| *node != winners[0])
+        .unwrap();
+    cluster.power(winners[0]);
+    cluster.run(SYNC_TIME + 2_500 * MS);
+    assert!(
+        is_participant(&cluster, remaining),
+        "{}",
+        cluster.line(&["s"])
+    );
+    assert_eq!(
+        cluster.ask(remaining, service("s", 8, 2)),
+        Some(Reply::Done)
+    );
     assert!(cluster.faults.is_empty(), "{:?}", cluster.faults);
 }
 
-/// How many disks hold the change at each moment of a sequence.
-struct Table(Vec<(&'static str, usize)>);
+/// The number of disks that hold the change after each step of a sequence.
+struct CopyCounts(Vec<(&'static str, usize)>);
 
-impl Table {
-    fn note(&mut self, cluster: &Cluster, moment: &'static str) {
-        self.0.push((moment, copies(cluster, 7)));
+impl CopyCounts {
+    fn record(&mut self, cluster: &Cluster, step: &'static str) {
+        self.0.push((step, copies(cluster, 7)));
     }
 }
 
 #[test]
 fn copies_during_successive_disk_losses() {
     let mut cluster = started(16, 6);
-    bare_majority(&mut cluster);
-    let mut table = Table(Vec::new());
-    table.note(&cluster, "acknowledged by a bare majority");
+    commit_on_minimal_majority(&mut cluster);
+    let mut counts = CopyCounts(Vec::new());
+    counts.record(&cluster, "acknowledged by a minimal majority");
     cluster.heal();
     cluster.wipe(4);
     cluster.wipe(5);
-    table.note(&cluster, "two of its disks lost at once");
+    counts.record(&cluster, "two of its disks lost at once");
     cluster.start(4);
     cluster.run(SECOND);
-    table.note(&cluster, "the first has rebuilt, the others heard of it");
+    counts.record(
+        &cluster,
+        "the first has recovered, and the others have received the change",
+    );
     cluster.wipe(2);
-    table.note(&cluster, "a third one lost");
+    counts.record(&cluster, "a third disk lost");
     cluster.start(5);
     cluster.start(2);
-    cluster.run(SYNC);
-    table.note(&cluster, "sync_time after");
+    cluster.run(SYNC_TIME);
+    counts.record(&cluster, "after SYNC_TIME");
     let expected = [4, 2, 5, 4, 6];
     assert_eq!(
-        table
+        counts
             .0
             .iter()
             .map(|(_, copies)| *copies)
             .collect::<Vec<_>>(),
         expected,
         "{:?}",
-        table.0
+        counts.0
     );
     assert!(matches!(
         cluster.ask(5, Command::GetConfiguration),
@@ -204,28 +219,28 @@
 #[test]
 fn copies_during_replacement_and_power_loss() {
     let mut cluster = started(17, 6);
-    bare_majority(&mut cluster);
-    let mut table = Table(Vec::new());
+    commit_on_minimal_majority(&mut cluster);
+    let mut counts = CopyCounts(Vec::new());
     cluster.heal();
     let new = cluster.add(4);
     cluster.start(new);
     cluster.stop(4);
-    table.note(
+    counts.record(
         &cluster,
-        "the new one has begun, the old one is told to end",
+        "the new node has started, the old one is shutting down",
     );
     cluster.run(150 * MS);
-    (0..=new).for_each(|at| cluster.power(at));
-    table.note(&cluster, "all without power, the old one gone for good");
+    (0..=new).for_each(|node| cluster.power(node));
+    counts.record(&cluster, "all have lost power, the old node is removed");
     [0, 1, 2, 3, 5, new]
         .into_iter()
-        .for_each(|at| cluster.start(at));
-    cluster.run(SYNC);
-    table.note(&cluster, "sync_time after");
-    let copies: Vec<usize> = table.0.iter().map(|(_, copies)| *copies).collect();
+        .for_each(|node| cluster.start(node));
+    cluster.run(SYNC_TIME);
+    counts.record(&cluster, "after SYNC_TIME");
+    let copies: Vec<usize> = counts.0.iter().map(|(_, copies)| *copies).collect();
     assert!(
         copies[0] == 3 && copies[1] >= 3 && copies[2] == 6,
         "{:?}",
-        table.0
+        counts.0
     );
 }
--- a/crates/control/tests/second_loss_system.rs
+++ b/crates/control/tests/second_loss_system.rs
@@ -1,5 +1,5 @@
-//! The built programs under a second loss right after a repair or a replacement: acknowledged
-//! changes are read back.
+//! The built programs when a disk is lost right after another one was recovered or replaced:
+//! acknowledged changes are read back.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -12,11 +12,11 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_control");
 
-fn soon() -> Instant {
+fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(12)
 }
 
-fn whole(folder: &TempDir) -> Whole {
+fn start_system(folder: &TempDir) -> Whole {
     let size = Size {
         zones: 3,
         edges: 1,
@@ -26,102 +26,105 @@
         folder.path(),
         &beside(Path::new(PROGRAM), env!("CARGO")),
         size,
-        soon(),
+        deadline(),
     )
     .unwrap()
 }
 
 #[track_caller]
-fn says(whole: &Whole, number: usize, line: &str) {
-    let said = || {
-        whole
+fn assert_logs(system: &Whole, number: usize, line: &str) {
+    let is_logged = || {
+        system
             .machines
             .log(Role::Control, number)
             .contains(line)
             .then_some(())
     };
     assert!(
-        wait_for(soon(), said).is_some(),
+        wait_for(deadline(), is_logged).is_some(),
         "{line}: {}",
-        whole.machines.log(Role::Control, number)
+        system.machines.log(Role::Control, number)
     );
 }
 
-fn change(whole: &mut Whole, ver: u64) {
+fn change(system: &mut Whole, ver: u64) {
     let change = Change::default().set(
         "routes",
         "reads",
         ver,
         route(READS, SERVICES[ver as usize % 2]),
     );
-    whole.operator.change(&change, soon()).unwrap();
+    system.operator.change(&change, deadline()).unwrap();
 }
 
 #[test]
 fn successive_disk_losses_keep_acknowledged_items() {
     let folder = TempDir::new().unwrap();
-    let mut whole = whole(&folder);
+    let mut system = start_system(&folder);
     for number in 0..3 {
-        change(&mut whole, 2 + number as u64);
-        whole.machines.kill(Role::Control, number);
+        change(&mut system, 2 + number as u64);
+        system.machines.kill(Role::Control, number);
         std::fs::remove_dir_all(folder.path().join(format!("disk-{number}"))).unwrap();
-        whole.machines.write(Role::Control, number, false).unwrap();
-        whole.machines.start(Role::Control, number).unwrap();
-        says(
-            &whole,
+        system.machines.write(Role::Control, number, false).unwrap();
+        system.machines.start(Role::Control, number).unwrap();
+        assert_logs(
+            &system,
             number,
             "INFO recovery completed incarnation=2 items=",
         );
     }
-    // None of the disks that received the changes is left.
-    assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    // None of the disks that received the changes exists any more.
+    assert_eq!(system.operator.differences(deadline()), Ok(Vec::new()));
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
 
 #[test]
 fn shutdown_waits_for_a_recovering_successor() {
     let folder = TempDir::new().unwrap();
-    let mut whole = whole(&folder);
-    change(&mut whole, 2);
-    // The successor of the first machine stands in its zone at another address; the recovery of
-    // three replicas needs both others, of which one does not run yet.
-    whole.machines.kill(Role::Control, 1);
-    whole.machines.write(Role::Control, 3, false).unwrap();
-    whole.machines.start(Role::Control, 3).unwrap();
-    says(
-        &whole,
+    let mut system = start_system(&folder);
+    change(&mut system, 2);
+    // The successor of the first machine runs in the same zone at another address. Its recovery
+    // needs both other replicas, of which one is stopped.
+    system.machines.kill(Role::Control, 1);
+    system.machines.write(Role::Control, 3, false).unwrap();
+    system.machines.start(Role::Control, 3).unwrap();
+    assert_logs(
+        &system,
         0,
         "INFO superseded by a newer incarnation of this replica",
     );
-    whole.machines.tell_to_end(Role::Control, 0);
-    // Without a successor that is up to date it stays longer than it takes to answer calls in
-    // progress.
-    let early = Instant::now() + Duration::from_millis(700);
-    assert_eq!(whole.machines.ended(Role::Control, 0, early), None);
+    system.machines.tell_to_end(Role::Control, 0);
+    // As long as the successor is not up to date, the process stays longer than calls in progress
+    // need.
+    let early_deadline = Instant::now() + Duration::from_millis(700);
+    assert_eq!(
+        system.machines.ended(Role::Control, 0, early_deadline),
+        None
+    );
     assert!(
-        !whole
+        !system
             .machines
             .log(Role::Control, 3)
             .contains("recovery completed")
     );
-    whole.machines.start(Role::Control, 1).unwrap();
-    says(&whole, 3, "INFO recovery completed incarnation=2 items=");
+    system.machines.start(Role::Control, 1).unwrap();
+    assert_logs(&system, 3, "INFO recovery completed incarnation=2 items=");
     assert!(
-        whole
+        system
             .machines
-            .ended(Role::Control, 0, soon())
+            .ended(Role::Control, 0, deadline())
             .is_some_and(|status| status.success())
     );
-    says(&whole, 0, "INFO handover complete");
-    // All remaining processes are killed at once, the successor's with its disk among them.
+    assert_logs(&system, 0, "INFO handover complete");
+    // All remaining processes are killed at once, including the successor, which keeps its disk.
     std::fs::remove_dir_all(folder.path().join("disk-0")).unwrap();
     [1, 2, 3]
         .into_iter()
-        .for_each(|number| whole.machines.kill(Role::Control, number));
+        .for_each(|number| system.machines.kill(Role::Control, number));
     [1, 2, 3]
         .into_iter()
-        .for_each(|number| whole.machines.start(Role::Control, number).unwrap());
-    assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
-    change(&mut whole, 3);
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+        .for_each(|number| system.machines.start(Role::Control, number).unwrap());
+    assert_eq!(system.operator.differences(deadline()), Ok(Vec::new()));
+    change(&mut system, 3);
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
--- a/crates/control/tests/system.rs
+++ b/crates/control/tests/system.rs
@@ -1,5 +1,5 @@
-//! The built programs as a system on loopback: what operators are told holds in the proxies, and
-//! survives all kills.
+//! The built programs as a system on loopback: an acknowledged change is served by the proxies, and
+//! survives a kill of all programs.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -14,51 +14,52 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_control");
 
-fn soon() -> Instant {
+fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(12)
 }
 
-fn whole(folder: &TempDir) -> Whole {
-    whole_of(folder, &beside(Path::new(PROGRAM), env!("CARGO")))
+fn start_system(folder: &TempDir) -> Whole {
+    start_system_with(folder, &beside(Path::new(PROGRAM), env!("CARGO")))
 }
 
-fn whole_of(folder: &TempDir, programs: &Path) -> Whole {
+fn start_system_with(folder: &TempDir, programs: &Path) -> Whole {
     let size = Size {
         zones: 3,
         edges: 1,
         net: net(),
     };
-    Whole::start(folder.path(), programs, size, soon()).unwrap()
+    Whole::start(folder.path(), programs, size, deadline()).unwrap()
 }
 
 #[test]
 fn acknowledged_change_is_served_and_read_back() {
     let folder = TempDir::new().unwrap();
-    let mut whole = whole(&folder);
-    assert_eq!(whole.served_by(0, "/read/1").as_deref(), Some(SERVICES[0]));
+    let mut system = start_system(&folder);
+    assert_eq!(system.served_by(0, "/read/1").as_deref(), Some(SERVICES[0]));
     let change = Change::default()
         .set("routes", "reads", 5, route(READS, SERVICES[1]))
         .set("routes", "more", 2, route("/more/", SERVICES[1]))
         .drop("routes", "writes", 3);
-    whole.operator.change(&change, soon()).unwrap();
-    let until = soon();
-    for edge in 0..whole.machines.edges() {
-        let moved =
-            || (whole.served_by(edge, "/read/2").as_deref() == Some(SERVICES[1])).then_some(());
+    system.operator.change(&change, deadline()).unwrap();
+    let rerouted_deadline = deadline();
+    for edge in 0..system.machines.edges() {
+        let is_rerouted =
+            || (system.served_by(edge, "/read/2").as_deref() == Some(SERVICES[1])).then_some(());
         assert!(
-            wait_for(until, moved).is_some(),
-            "edge {edge} goes by what was before"
+            wait_for(rerouted_deadline, is_rerouted).is_some(),
+            "edge {edge} still serves by the previous configuration"
         );
         assert_eq!(
-            whole.served_by(edge, "/more/1").as_deref(),
+            system.served_by(edge, "/more/1").as_deref(),
             Some(SERVICES[1])
         );
-        assert_eq!(whole.ask(edge, "/write/1").unwrap().status, 404);
+        assert_eq!(system.ask(edge, "/write/1").unwrap().status, 404);
     }
-    // Without effect: a lower version, which is valid, and a call that is invalid in one part.
+    // Neither has an effect: a valid change with a lower version, and a call of which one part is
+    // invalid.
     let older = Change::default().set("routes", "reads", 4, route(READS, SERVICES[0]));
-    whole.operator.change(&older, soon()).unwrap();
-    let wrong = Change::default()
+    system.operator.change(&older, deadline()).unwrap();
+    let invalid = Change::default()
         .set("routes", "more", 9, route("/more/", SERVICES[0]))
         .set(
             "routes",
@@ -67,76 +68,76 @@
             json!({"host": HOST, "prefix": "wrong"}),
         );
     assert!(
-        whole
+        system
             .operator
-            .change(&wrong, soon())
+            .change(&invalid, deadline())
             .unwrap_err()
             .contains("400")
     );
-    assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    assert_eq!(system.operator.differences(deadline()), Ok(Vec::new()));
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
 
 #[test]
 fn truncated_call_has_no_effect() {
     let folder = TempDir::new().unwrap();
-    let mut whole = whole(&folder);
+    let mut system = start_system(&folder);
     let route = route("/cut/", SERVICES[1]);
     let text =
         json!({"upsert": {"objs": [{"type": "routes", "meta": {"name": "cut", "ver": 9}, "spec": route}]}})
             .to_string();
-    let (part, length) = (&text[..text.len() - 20], text.len());
-    // Its length announces more, and the operator is gone; then one that is complete by its length
-    // alone.
-    for (length, status) in [(length, None), (part.len(), Some(400))] {
-        let mut connection = Connection::open(whole.machines.ctl(0), soon()).unwrap();
+    let (truncated, full_length) = (&text[..text.len() - 20], text.len());
+    // First a body that is shorter than its Content-Length, from an operator that disconnects; then
+    // one with a matching Content-Length that is truncated JSON.
+    for (length, status) in [(full_length, None), (truncated.len(), Some(400))] {
+        let mut connection = Connection::open(system.machines.ctl(0), deadline()).unwrap();
         let head = format!(
             "POST /api/cfg/patch HTTP/1.1\r\nHost: core\r\nContent-Length: {length}\r\n\r\n"
         );
         connection
-            .send(format!("{head}{part}").as_bytes(), soon())
+            .send(format!("{head}{truncated}").as_bytes(), deadline())
             .unwrap();
         if let Some(status) = status {
-            assert_eq!(connection.answer(soon()).unwrap().status, status);
+            assert_eq!(connection.answer(deadline()).unwrap().status, status);
         }
     }
-    assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
-    assert_eq!(whole.ask(0, "/cut/1").unwrap().status, 404);
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    assert_eq!(system.operator.differences(deadline()), Ok(Vec::new()));
+    assert_eq!(system.ask(0, "/cut/1").unwrap().status, 404);
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
 
 #[test]
 fn acknowledged_items_survive_a_kill_of_all_programs() {
     let folder = TempDir::new().unwrap();
-    let mut whole = whole(&folder);
+    let mut system = start_system(&folder);
     let change = Change::default().set("routes", "reads", 2, route(READS, SERVICES[1]));
-    whole.operator.change(&change, soon()).unwrap();
-    (0..whole.machines.cores()).for_each(|number| whole.machines.kill(Role::Control, number));
-    // Proxies serve on by what they know, whatever that is.
-    assert!(whole.served_by(0, "/read/1").is_some());
-    whole.machines.start_cores().unwrap();
-    assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
-    let until = soon();
-    for edge in 0..whole.machines.edges() {
-        let moved =
-            || (whole.served_by(edge, "/read/2").as_deref() == Some(SERVICES[1])).then_some(());
+    system.operator.change(&change, deadline()).unwrap();
+    (0..system.machines.cores()).for_each(|number| system.machines.kill(Role::Control, number));
+    // Proxies keep serving by their last configuration, whichever it is.
+    assert!(system.served_by(0, "/read/1").is_some());
+    system.machines.start_cores().unwrap();
+    assert_eq!(system.operator.differences(deadline()), Ok(Vec::new()));
+    let rerouted_deadline = deadline();
+    for edge in 0..system.machines.edges() {
+        let is_rerouted =
+            || (system.served_by(edge, "/read/2").as_deref() == Some(SERVICES[1])).then_some(());
         assert!(
-            wait_for(until, moved).is_some(),
-            "edge {edge} goes by what was before"
+            wait_for(rerouted_deadline, is_rerouted).is_some(),
+            "edge {edge} still serves by the previous configuration"
         );
     }
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
 
 #[test]
 fn recovery_from_a_lost_disk_is_logged_at_once_by_all() {
     let folder = TempDir::new().unwrap();
-    let mut whole = whole(&folder);
-    whole.machines.kill(Role::Control, 2);
+    let mut system = start_system(&folder);
+    system.machines.kill(Role::Control, 2);
     std::fs::remove_dir_all(folder.path().join("disk-2")).unwrap();
-    whole.machines.write(Role::Control, 2, false).unwrap();
-    whole.machines.start(Role::Control, 2).unwrap();
-    // By the programs' own log lines, as the runbook says: none of them has met an error.
+    system.machines.write(Role::Control, 2, false).unwrap();
+    system.machines.start(Role::Control, 2).unwrap();
+    // The log lines that the runbook names.
     for (replica, line) in [
         (2, "INFO recovery completed incarnation=2 items="),
         (
@@ -144,26 +145,26 @@
             "INFO replica begins a new incarnation replica=2 incarnation=2 peer=",
         ),
     ] {
-        let said = || {
-            whole
+        let is_logged = || {
+            system
                 .machines
                 .log(Role::Control, replica)
                 .contains(line)
                 .then_some(())
         };
         assert!(
-            wait_for(soon(), said).is_some(),
+            wait_for(deadline(), is_logged).is_some(),
             "{:?}",
-            whole.machines.log(Role::Control, replica)
+            system.machines.log(Role::Control, replica)
         );
     }
-    assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    assert_eq!(system.operator.differences(deadline()), Ok(Vec::new()));
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
 
-/// The built programs, each started with SIGXFSZ ignored: only then is a write beyond a limit an
-/// error.
-fn programs_that_may_be_limited(folder: &TempDir) -> std::path::PathBuf {
+/// The built programs, each started with SIGXFSZ ignored: otherwise a write beyond the file size
+/// limit ends the process instead of failing.
+fn programs_ignoring_sigxfsz(folder: &TempDir) -> std::path::PathBuf {
     let (programs, built) = (
         folder.path().join("programs"),
         beside(Path::new(PROGRAM), env!("CARGO")),
@@ -183,109 +184,117 @@
 }
 
 #[test]
-fn replica_reports_a_full_disk_and_resumes_by_itself() {
+fn replica_reports_a_full_disk_and_resumes_automatically() {
     let folder = TempDir::new().unwrap();
-    let mut whole = whole_of(&folder, &programs_that_may_be_limited(&folder));
-    let at = whole.machines.ctl(0);
+    let mut system = start_system_with(&folder, &programs_ignoring_sigxfsz(&folder));
+    let address = system.machines.ctl(0);
     let patch = |ver: u64, svc: &str| {
         let object = json!({"type": "routes", "meta": {"name": "full", "ver": ver}, "spec": route("/full/", svc)});
         let body = json!({"upsert": {"objs": [object]}}).to_string();
-        call(at, "POST", "/api/cfg/patch", "", body.as_bytes(), soon()).unwrap()
+        call(
+            address,
+            "POST",
+            "/api/cfg/patch",
+            "",
+            body.as_bytes(),
+            deadline(),
+        )
+        .unwrap()
     };
-    let says = |whole: &Whole, line: &str| {
-        let said = || {
-            whole
+    let assert_logs = |system: &Whole, line: &str| {
+        let is_logged = || {
+            system
                 .machines
                 .log(Role::Control, 0)
                 .contains(line)
                 .then_some(())
         };
         assert!(
-            wait_for(soon(), said).is_some(),
+            wait_for(deadline(), is_logged).is_some(),
             "{line}: {}",
-            whole.machines.log(Role::Control, 0)
+            system.machines.log(Role::Control, 0)
         );
     };
     assert_eq!(patch(1, SERVICES[0]).status, 200);
-    // Its log can't grow, and all writes go to its end.
-    let length = std::fs::metadata(folder.path().join("disk-0/headworks.db-wal"))
+    // The write-ahead log can't grow any more, and all writes are appended to it.
+    let wal_bytes = std::fs::metadata(folder.path().join("disk-0/headworks.db-wal"))
         .unwrap()
         .len();
-    whole
+    system
         .machines
-        .most_bytes(Role::Control, 0, Some(length))
+        .most_bytes(Role::Control, 0, Some(wal_bytes))
         .unwrap();
-    let refused = wait_for(soon(), || {
+    let rejected = wait_for(deadline(), || {
         Some(patch(2, SERVICES[1])).filter(|reply| reply.status == 503)
     });
-    let refused = refused
-        .expect("its disk is full, and it takes writes")
+    let rejected = rejected
+        .expect("a replica with a full disk still acknowledges writes")
         .text()
         .to_string();
     assert!(
-        refused.contains("the disk of this replica is full or fails"),
-        "{refused}"
+        rejected.contains("the disk of this replica is full or fails"),
+        "{rejected}"
     );
-    says(&whole, "ERRO disk rejects writes, retrying");
-    // The others are enough, and what they decide holds here too.
+    assert_logs(&system, "ERRO disk rejects writes, retrying");
+    // The other replicas are a quorum, and this one learns their changes.
     let change = Change::default().set("routes", "full", 3, route("/full/", SERVICES[1]));
-    whole.operator.change(&change, soon()).unwrap();
-    let shows = || {
-        let reply = call(at, "GET", "/api/cfg/get", "", b"", soon()).ok()?;
+    system.operator.change(&change, deadline()).unwrap();
+    let is_read_back = || {
+        let reply = call(address, "GET", "/api/cfg/get", "", b"", deadline()).ok()?;
         (reply.status == 200
             && reply.text().contains("/full/")
             && reply.text().contains(r#""ver":3"#))
         .then_some(())
     };
-    assert!(wait_for(soon(), shows).is_some());
-    whole.machines.most_bytes(Role::Control, 0, None).unwrap();
-    says(&whole, "INFO disk accepts writes again");
+    assert!(wait_for(deadline(), is_read_back).is_some());
+    system.machines.most_bytes(Role::Control, 0, None).unwrap();
+    assert_logs(&system, "INFO disk accepts writes again");
     assert_eq!(patch(4, SERVICES[0]).status, 200);
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
 
 #[test]
 fn proxy_that_connected_while_its_agent_had_no_descriptors_becomes_ready() {
     let folder = TempDir::new().unwrap();
-    let mut whole = whole(&folder);
-    let machines = &mut whole.machines;
+    let mut system = start_system(&folder);
+    let machines = &mut system.machines;
     machines.refuse_connections(Role::Agent, 0, true).unwrap();
     machines.kill(Role::Proxy, 0);
     machines.start(Role::Proxy, 0).unwrap();
-    // It has called its agent by the time at which it answers.
+    // The proxy has connected to its agent before it accepts requests.
     let answers = || machines.answers(0).then_some(());
-    assert!(wait_for(soon(), answers).is_some());
+    assert!(wait_for(deadline(), answers).is_some());
     machines.refuse_connections(Role::Agent, 0, false).unwrap();
     let ready = || machines.ready(0).then_some(());
     assert!(
-        wait_for(soon(), ready).is_some(),
-        "the agent was not told of it again"
+        wait_for(deadline(), ready).is_some(),
+        "the agent did not accept the proxy's connection afterwards"
     );
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
 
 #[test]
 fn control_program_without_descriptors_does_not_spin_and_answers_afterwards() {
     let folder = TempDir::new().unwrap();
-    let mut whole = whole(&folder);
-    let machines = &whole.machines;
+    let mut system = start_system(&folder);
+    let machines = &system.machines;
     machines.refuse_connections(Role::Control, 0, true).unwrap();
-    let used = || machines.usage(Role::Control, 0).unwrap().processor;
-    let (before, address) = (used(), machines.ctl(0));
-    // They are established by the system, and wait to be accepted.
-    let mut waiting = Connection::open(address, soon()).unwrap();
-    let call = b"GET /api/cfg/get HTTP/1.1\r\nHost: core\r\n\r\n";
-    waiting.send(call, soon()).unwrap();
-    let most = Duration::from_millis(400);
-    let spins = || (used() - before > most).then_some(());
-    let span = Instant::now() + Duration::from_millis(1_000);
+    let cpu_time = || machines.usage(Role::Control, 0).unwrap().processor;
+    let (before, address) = (cpu_time(), machines.ctl(0));
+    // The kernel establishes the connection, which then waits to be accepted.
+    let mut pending = Connection::open(address, deadline()).unwrap();
+    let request = b"GET /api/cfg/get HTTP/1.1\r\nHost: core\r\n\r\n";
+    pending.send(request, deadline()).unwrap();
+    let max_cpu_time = Duration::from_millis(400);
+    let is_spinning = || (cpu_time() - before > max_cpu_time).then_some(());
+    let window_end = Instant::now() + Duration::from_millis(1_000);
     assert!(
-        wait_for(span, spins).is_none(),
-        "it uses the processor while it waits"
+        wait_for(window_end, is_spinning).is_none(),
+        "the event loop spins while it can't accept"
     );
     machines
         .refuse_connections(Role::Control, 0, false)
         .unwrap();
-    assert_eq!(waiting.answer(soon()).unwrap().status, 200);
-    assert_eq!(whole.machines.stop(), Vec::<String>::new());
+    assert_eq!(pending.answer(deadline()).unwrap().status, 200);
+    assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
--- a/crates/control/tests/transfers.rs
+++ b/crates/control/tests/transfers.rs
@@ -1,5 +1,5 @@
-//! State transfers as one replica's core carries them out: to an agent, and in requests and chunks
-//! between replicas.
+//! State transfers by the core of one replica: to an agent, and in requests and chunks between
+//! replicas.
 
 use control::core::ids::{Ballot, Incarnation, ProcessId};
 use control::core::peer_messages::{Payload, PeerMessage};
@@ -11,12 +11,13 @@
 use protocol::messages::{AgentMessage, ControlMessage, NodeInfo};
 
 const MS: i64 = 1_000;
-const OTHER: [u8; 4] = [10, 0, 1, 0];
+/// The address of the other replica.
+const PEER: [u8; 4] = [10, 0, 1, 0];
 
-fn item(at: usize) -> Item {
+fn item(index: usize) -> Item {
     let name = ItemName {
         kind: ItemKind::Service,
-        name: format!("s{at:04}"),
+        name: format!("s{index:04}"),
     };
     Item {
         name,
@@ -25,9 +26,10 @@
     }
 }
 
-/// A core with this many replicas and items of about 100 bytes, which sends ten of them at a time.
-fn core(replicas: usize, items: usize) -> Replica {
-    let zones: Vec<String> = (0..replicas).map(|at| format!("z{at}")).collect();
+/// A replica of a cluster of this size that holds items of about 100 bytes, ten of which fill a
+/// chunk.
+fn replica_with_items(replicas: usize, items: usize) -> Replica {
+    let zones: Vec<String> = (0..replicas).map(|index| format!("z{index}")).collect();
     let ballot = Ballot {
         round: 1,
         ..Ballot::default()
@@ -42,7 +44,7 @@
         )
     };
     let incarnations = vec![Incarnation::FIRST; replicas];
-    let restored = RecoveredState {
+    let recovered = RecoveredState {
         metadata: ReplicaMetadata {
             incarnation: Incarnation::FIRST,
             run: 1,
@@ -50,10 +52,10 @@
             ..ReplicaMetadata::default()
         },
         registers: (0..items).map(item).map(register).collect(),
-        chosen: (0..items).map(|at| (ballot, item(at))).collect(),
+        chosen: (0..items).map(|index| (ballot, item(index))).collect(),
     };
     let zone = zones[0].clone();
-    let bounds = TransferLimits {
+    let transfer_limits = TransferLimits {
         chunk_bytes: 1_060,
         response_bytes: 10_600,
     };
@@ -63,24 +65,24 @@
             zones,
             zone,
             random_seed: 1,
-            recovered: restored,
-            transfer_limits: bounds,
+            recovered,
+            transfer_limits,
             ..ReplicaConfig::default()
         },
     )
 }
 
-fn take(core: &mut Replica, now: i64, input: Input) -> Vec<Output> {
-    let mut out = Vec::new();
-    core.step(now, input, &mut out);
-    out
+fn step(core: &mut Replica, now: i64, input: Input) -> Vec<Output> {
+    let mut outputs = Vec::new();
+    core.step(now, input, &mut outputs);
+    outputs
 }
 
 #[test]
 fn agent_sync_is_chunked_with_a_window() {
-    let mut core = core(1, 200);
-    take(&mut core, 0, Input::Tick);
-    take(&mut core, 400 * MS, Input::Tick);
+    let mut core = replica_with_items(1, 200);
+    step(&mut core, 0, Input::Tick);
+    step(&mut core, 400 * MS, Input::Tick);
     let http = "10.1.0.1:80".parse().unwrap();
     let edge = NodeInfo {
         name: "e".into(),
@@ -88,152 +90,170 @@
         region: "r".into(),
         http,
     };
-    let mut told = take(
+    let mut outputs = step(
         &mut core,
         500 * MS,
         Input::AgentMessage(7, AgentMessage::Hello(edge)),
     );
-    let (mut held, mut open, mut whole, mut asked) = (0, 0, false, 0);
+    let (mut received, mut unacknowledged, mut is_complete, mut rounds) = (0, 0, false, 0);
     loop {
-        for output in std::mem::take(&mut told) {
+        for output in std::mem::take(&mut outputs) {
             match output {
                 Output::SendToAgents(_, ControlMessage::Items(items)) => {
-                    assert!(items.len() <= 10 && !whole, "{}", items.len());
-                    (held, open) = (held + items.len(), open + usize::from(!items.is_empty()));
+                    assert!(items.len() <= 10 && !is_complete, "{}", items.len());
+                    (received, unacknowledged) = (
+                        received + items.len(),
+                        unacknowledged + usize::from(!items.is_empty()),
+                    );
                 }
-                Output::SendToAgents(_, ControlMessage::Complete) => whole = true,
+                Output::SendToAgents(_, ControlMessage::Complete) => is_complete = true,
                 _ => {}
             }
         }
-        assert!(open <= 4, "{open} pieces under way");
-        asked += 1;
-        if whole || asked > 50 {
+        assert!(unacknowledged <= 4, "{unacknowledged} chunks in flight");
+        rounds += 1;
+        if is_complete || rounds > 50 {
             break;
         }
-        open -= 1;
-        let holding = AgentMessage::ConfigState {
-            items: held as u32,
+        unacknowledged -= 1;
+        let config_state = AgentMessage::ConfigState {
+            items: received as u32,
             digest: 1,
         };
-        told = take(&mut core, 500 * MS + asked, Input::AgentMessage(7, holding));
+        outputs = step(
+            &mut core,
+            500 * MS + rounds,
+            Input::AgentMessage(7, config_state),
+        );
     }
-    assert_eq!((held, whole), (200, true));
+    assert_eq!((received, is_complete), (200, true));
 }
 
-fn from_other(body: Payload) -> Input {
-    let by = ProcessId {
+fn from_peer(payload: Payload) -> Input {
+    let sender = ProcessId {
         replica: 1,
         incarnation: Incarnation::FIRST,
         run: 1,
     };
     let incarnations = vec![Incarnation::FIRST; 3];
     Input::PeerMessage(
-        (OTHER, 7740).into(),
+        (PEER, 7740).into(),
         PeerMessage {
-            sender: by,
+            sender,
             incarnations,
-            payload: body,
+            payload,
         },
     )
 }
 
-fn bodies(out: Vec<Output>) -> Vec<Payload> {
-    let body = |output| {
+fn sent_payloads(outputs: Vec<Output>) -> Vec<Payload> {
+    let payload = |output| {
         if let Output::SendToReplicas(_, message) = output {
             Some(message.payload)
         } else {
             None
         }
     };
-    out.into_iter().filter_map(body).collect()
+    outputs.into_iter().filter_map(payload).collect()
 }
 
 #[test]
 fn missed_items_are_fetched_once_despite_duplicates_and_gaps() {
-    let mut core = core(3, 50);
-    let beat = |chosen| {
-        let hears = 0b11;
-        from_other(Payload::Heartbeat(
+    let mut core = replica_with_items(3, 50);
+    let heartbeat = |chosen_digest| {
+        let reachable_replicas = 0b11;
+        from_peer(Payload::Heartbeat(
             control::core::peer_messages::Heartbeat {
-                reachable_replicas: hears,
-                chosen_digest: chosen,
+                reachable_replicas,
+                chosen_digest,
                 ..Default::default()
             },
         ))
     };
-    let mut said = Vec::new();
-    for at in 0..3 {
-        said.extend(bodies(take(&mut core, at * 400 * MS, beat(99))));
+    let mut sent = Vec::new();
+    for tick in 0..3 {
+        sent.extend(sent_payloads(step(
+            &mut core,
+            tick * 400 * MS,
+            heartbeat(99),
+        )));
     }
-    let asked = said.iter().filter_map(|body| {
-        if let Payload::DigestRequest { id, .. } = body {
+    let request_ids = sent.iter().filter_map(|payload| {
+        if let Payload::DigestRequest { id, .. } = payload {
             Some(*id)
         } else {
             None
         }
     });
-    let ids: Vec<u64> = asked.collect();
-    assert_eq!(ids.len(), 1, "one question at a time");
+    let ids: Vec<u64> = request_ids.collect();
+    assert_eq!(ids.len(), 1, "more than one digest request at a time");
     let newer = Ballot {
         round: 2,
         ..Ballot::default()
     };
     let entries = |id| {
-        // Two items are newer there, one is older.
+        // Two items are newer at the peer, one is older.
         let keys = [item(3), item(4), item(5)].map(|item| digests::name_key(&item.name));
         let ballots = [newer, newer, Ballot::default()];
-        from_other(Payload::DigestEntries {
+        from_peer(Payload::DigestEntries {
             id,
             entries: keys.into_iter().zip(ballots).collect(),
         })
     };
-    let first = bodies(take(&mut core, 1_300 * MS, entries(ids[0])));
-    let fetch = first.iter().find_map(|body| match body {
-        Payload::FetchRequest { id, keys: wanted } => Some((*id, wanted.len())),
+    let payloads = sent_payloads(step(&mut core, 1_300 * MS, entries(ids[0])));
+    let fetch_request = payloads.iter().find_map(|payload| match payload {
+        Payload::FetchRequest { id, keys } => Some((*id, keys.len())),
         _ => None,
     });
-    let (id, wanted) = fetch.expect("nothing is fetched");
-    assert_eq!(wanted, 2);
-    let led = |out: Vec<Output>| {
-        bodies(out).iter().any(|body| {
+    let (id, requested_items) = fetch_request.expect("nothing is fetched");
+    assert_eq!(requested_items, 2);
+    let requests_more = |outputs: Vec<Output>| {
+        sent_payloads(outputs).iter().any(|payload| {
             matches!(
-                body,
+                payload,
                 Payload::DigestRequest { .. } | Payload::FetchRequest { .. }
             )
         })
     };
     assert!(
-        !led(take(&mut core, 1_301 * MS, entries(ids[0]))),
-        "a doubled answer is asked for again"
+        !requests_more(step(&mut core, 1_301 * MS, entries(ids[0]))),
+        "a duplicate response leads to another request"
     );
-    let learn = |id, piece, at, then| {
-        let items = vec![(newer, Item { ver: 2, ..item(at) })];
-        from_other(Payload::ChosenChunk {
+    let chunk = |id, sequence, index, continuation| {
+        let items = vec![(
+            newer,
+            Item {
+                ver: 2,
+                ..item(index)
+            },
+        )];
+        from_peer(Payload::ChosenChunk {
             id,
-            sequence: piece,
+            sequence,
             items,
-            continuation: then,
+            continuation,
         })
     };
-    // A chunk after a gap is learned from, but not continued; the next expected one is, once.
-    assert!(!led(take(
+    // The items of a chunk after a gap are learned, but only the next expected chunk leads to a
+    // request for more, and only once.
+    assert!(!requests_more(step(
         &mut core,
         1_302 * MS,
-        learn(id, 1, 4, Continuation::RequestMore)
+        chunk(id, 1, 4, Continuation::RequestMore)
     )));
-    assert!(led(take(
+    assert!(requests_more(step(
         &mut core,
         1_303 * MS,
-        learn(id, 0, 3, Continuation::RequestMore)
+        chunk(id, 0, 3, Continuation::RequestMore)
     )));
-    assert!(!led(take(
+    assert!(!requests_more(step(
         &mut core,
         1_304 * MS,
-        learn(id, 0, 3, Continuation::RequestMore)
+        chunk(id, 0, 3, Continuation::RequestMore)
     )));
-    let ver = |core: &Replica, at| {
+    let ver = |core: &Replica, index| {
         core.chosen_items()
-            .find(|other| other.name == item(at).name)
+            .find(|other| other.name == item(index).name)
             .map(|item| item.ver)
     };
     assert_eq!(
