--- a/crates/control/src/disk/quarantine.rs
+++ b/crates/control/src/disk/quarantine.rs
@@ -52,10 +52,10 @@
         )
     };
     let earlier = quarantined_files(folder).wrap_err_with(context)?;
-    let number = earlier.last().map_or(1, |(number, _)| number + 1);
+    let new_number = earlier.last().map_or(1, |(number, _)| number + 1);
     let new_path = |suffix: &str| {
         folder.join(format!(
-            "{QUARANTINE_PREFIX}{number}-{DATABASE_FILE}{suffix}"
+            "{QUARANTINE_PREFIX}{new_number}-{DATABASE_FILE}{suffix}"
         ))
     };
     // The database is renamed and that is synced before its log is renamed: after a loss of power in between, a database
--- a/crates/control/src/disk/records.rs
+++ b/crates/control/src/disk/records.rs
@@ -244,11 +244,11 @@
                 row.get::<_, Vec<u8>>(1)?,
             ))
         };
-        let found = next
+        let row = next
             .query_row([&last_key], read_row)
             .optional()
             .wrap_err_with(context)?;
-        let Some((name, value)) = found else {
+        let Some((name, value)) = row else {
             return Ok(());
         };
         let bytes = match &name {
--- a/crates/control/src/disk/schema.rs
+++ b/crates/control/src/disk/schema.rs
@@ -39,9 +39,8 @@
 
 fn table_exists(connection: &Connection, table: &str) -> eyre::Result<bool> {
     let sql = "SELECT 1 FROM sqlite_schema WHERE type = 'table' AND name = ?1";
-    let found = connection.query_row(sql, [table], |_| Ok(())).optional();
-    found
-        .map(|found| found.is_some())
+    let row = connection.query_row(sql, [table], |_| Ok(())).optional();
+    row.map(|row| row.is_some())
         .wrap_err("disk: reading the schema")
 }
 
--- a/crates/control/src/disk/tests/corruption.rs
+++ b/crates/control/src/disk/tests/corruption.rs
@@ -243,16 +243,16 @@
         "PRAGMA user_version = 7; UPDATE schema SET version = 7, sum = {sum}; DROP TABLE chosen"
     );
     connection.execute_batch(&newer).unwrap();
-    let before = if with_wal {
+    let files_before = if with_wal {
         read_files(folder.path())
     } else {
         drop(connection);
         read_files(folder.path())
     };
-    assert_eq!(before.contains_key(WAL_FILE), with_wal);
-    let folder = write_files(&before);
+    assert_eq!(files_before.contains_key(WAL_FILE), with_wal);
+    let folder = write_files(&files_before);
     std::fs::remove_file(folder.path().join("headworks.db-shm")).ok();
-    let before = read_files(folder.path());
+    let files_before = read_files(folder.path());
     for error in [
         Store::open(folder.path(), true).err(),
         verify(folder.path()).err(),
@@ -263,7 +263,7 @@
             "{error}"
         );
     }
-    assert!(read_files(folder.path()) == before);
+    assert!(read_files(folder.path()) == files_before);
 }
 
 #[test]
@@ -291,7 +291,7 @@
     let mut opened = open(folder.path(), true).unwrap();
     opened.store.commit(&initial_records()).unwrap();
     opened.store.commit(&change_records("s3", 2_000)).unwrap();
-    let before = read_files(folder.path());
+    let files_before = read_files(folder.path());
     let report = verify(folder.path()).unwrap();
     assert_eq!((report.schema, report.incarnation, report.run), (1, 1, 1));
     assert_eq!(
@@ -302,7 +302,7 @@
         (report.highest, report.faults),
         (BTreeMap::from([("svcs", 2_000)]), vec![])
     );
-    assert_eq!(read_files(folder.path()), before);
+    assert_eq!(read_files(folder.path()), files_before);
     drop(opened);
     let report = verify(folder.path()).unwrap();
     assert_eq!((report.registers, report.commits), (40, 0));
@@ -330,15 +330,15 @@
     let folder = tempfile::tempdir().unwrap();
     let mut opened = open(folder.path(), true).unwrap();
     // Enough for several pages, so that not every commit writes the same ones.
-    let first = (0..120)
+    let initial = (0..120)
         .flat_map(|n| change_records(&format!("s{n}"), 100 + n))
         .collect();
-    let changed = ["s3", "s97", "s44", "s110", "s17"];
-    let changes = changed
+    let changed_services = ["s3", "s97", "s44", "s110", "s17"];
+    let changes = changed_services
         .iter()
         .zip(2_000..)
         .map(|(service, ver)| change_records(service, ver));
-    let commits: Vec<Vec<Record>> = std::iter::once(first).chain(changes).collect();
+    let commits: Vec<Vec<Record>> = std::iter::once(initial).chain(changes).collect();
     let mut last_commit_offset = 0;
     for (number, commit) in commits.iter().enumerate() {
         last_commit_offset = std::fs::metadata(folder.path().join(WAL_FILE))
@@ -364,15 +364,15 @@
 
 #[test]
 fn flipped_bit_in_a_wal_header_is_detected() {
-    let (base, last, _) = partly_checkpointed();
+    let (base, last_commit_offset, _) = partly_checkpointed();
     let frame_bytes = 24 + 4_096;
-    let frames = (0..(last - 32) / frame_bytes)
+    let frames = (0..(last_commit_offset - 32) / frame_bytes)
         .flat_map(|number| (0..24).map(move |byte| 32 + number * frame_bytes + byte));
     let undetected = (0..32).chain(frames).filter(|offset| {
         let mut files = base.clone();
         files.get_mut(WAL_FILE).unwrap()[*offset] ^= 1;
-        let log = crate::disk::wal::read(&files[WAL_FILE], 4_096, |_, _| false);
-        log.corruption.is_none()
+        let contents = crate::disk::wal::read(&files[WAL_FILE], 4_096, |_, _| false);
+        contents.corruption.is_none()
     });
     assert_eq!(undetected.collect::<Vec<_>>(), [0; 0]);
 }
@@ -382,10 +382,10 @@
     let folder = tempfile::tempdir().unwrap();
     let mut opened = open(folder.path(), true).unwrap();
     (1..4).for_each(|ver| opened.store.commit(&change_records("s", ver)).unwrap());
-    let mut log = read_files(folder.path()).remove(WAL_FILE).unwrap();
-    let mark = log.len() - 3 * (24 + 4_096);
-    log[mark..mark + 24].fill(0);
-    let corruption = crate::disk::wal::read(&log, 4_096, |_, _| false)
+    let mut wal_bytes = read_files(folder.path()).remove(WAL_FILE).unwrap();
+    let commit_mark = wal_bytes.len() - 3 * (24 + 4_096);
+    wal_bytes[commit_mark..commit_mark + 24].fill(0);
+    let corruption = crate::disk::wal::read(&wal_bytes, 4_096, |_, _| false)
         .corruption
         .unwrap();
     assert!(
@@ -422,7 +422,7 @@
 
 #[test]
 fn corruption_is_never_read_as_valid() {
-    let (base, last, states) = partly_checkpointed();
+    let (base, last_commit_offset, states) = partly_checkpointed();
     let mut rng = Rng(29);
     let mut counts = BTreeMap::new();
     for trial in 0..1_500 {
@@ -435,14 +435,14 @@
         let sector = offset / 512 * 512;
         // Corruption in the last commit can't be distinguished from a loss of power, nor can the
         // loss of the sector with the commit mark of the commit before it.
-        let commit_mark = last.saturating_sub(4_120);
+        let commit_mark = last_commit_offset.saturating_sub(4_120);
         let has_commit_mark =
             trial % 3 == 0 && sector < commit_mark + 24 && commit_mark < sector + 512;
-        let may_be_truncated = in_wal && (sector + 512 > last || has_commit_mark);
+        let may_be_truncated = in_wal && (sector + 512 > last_commit_offset || has_commit_mark);
         if trial % 3 == 0 {
             let sector = sector..(sector + 512).min(bytes.len());
-            let other = rng.below(bytes.len() / 512 - 1) * 512;
-            let other = bytes[other..other + sector.len()].to_vec();
+            let other_offset = rng.below(bytes.len() / 512 - 1) * 512;
+            let other = bytes[other_offset..other_offset + sector.len()].to_vec();
             let zeros = vec![0; sector.len()];
             bytes[sector].copy_from_slice(if trial % 2 == 0 { &zeros } else { &other });
         } else {
@@ -470,8 +470,8 @@
         );
         *counts.entry((in_wal, result)).or_insert(0) += 1;
     }
-    // Most of the bytes of the file are unused, or are replaced by newer pages in the log. Each
-    // other result has to occur often.
+    // Most of the bytes of the file are unused, or are replaced by newer pages in the log. The
+    // results that occur at least 100 times are compared.
     let results: Vec<_> = counts
         .into_iter()
         .filter(|(_, count)| *count >= 100)
--- a/crates/control/src/disk/tests/full.rs
+++ b/crates/control/src/disk/tests/full.rs
@@ -28,8 +28,8 @@
     for successes in 0.. {
         let folder = tempfile::tempdir().unwrap();
         let mut opened = open(folder.path(), true).unwrap();
-        let first = [change_records("s", 1), change_records("t", 1)].concat();
-        opened.store.commit(&first).unwrap();
+        let initial_records = [change_records("s", 1), change_records("t", 1)].concat();
+        opened.store.commit(&initial_records).unwrap();
         start_recording(folder.path());
         set_failure(folder.path(), Some((successes, kind)));
         let mut queue = WriteQueue::new(opened.store);
@@ -46,7 +46,7 @@
         );
         // After a loss of power at this point either all of the commit is stored, or nothing.
         let commits = [
-            first.clone(),
+            initial_records.clone(),
             change_records("s", 2),
             change_records("u", 1),
         ];
--- a/crates/control/src/disk/tests/power_loss.rs
+++ b/crates/control/src/disk/tests/power_loss.rs
@@ -118,10 +118,16 @@
             ];
             for part in parts {
                 // Of the other writes only the earlier ones are present, or all of them.
-                let before = |other: usize| if other < index { (0, END) } else { (0, 0) };
+                let preceding = |other: usize| if other < index { (0, END) } else { (0, 0) };
                 combinations.push(
                     (0..count)
-                        .map(|other| if other == index { part } else { before(other) })
+                        .map(|other| {
+                            if other == index {
+                                part
+                            } else {
+                                preceding(other)
+                            }
+                        })
                         .collect(),
                 );
                 combinations.push(
@@ -254,7 +260,7 @@
     let mut opened = open(folder.path(), true).unwrap();
     let commits = commits();
     opened.store.commit(&commits[0]).unwrap();
-    let base = read_files(folder.path());
+    let base_files = read_files(folder.path());
     start_recording(folder.path());
     if matches!(interleaved, Interleaved::Checkpoint) {
         opened.store.checkpoint_bytes = 16 * 1024;
@@ -288,7 +294,7 @@
         .map(|count| state_after(&commits[..count]))
         .collect();
     let mut unreported = 0;
-    let states_checked = check_power_losses(base, &operations, |number, reported, files| {
+    let states_checked = check_power_losses(base_files, &operations, |number, reported, files| {
         let opened = open_after_power_loss(number, files, false);
         let state = state_of(&opened);
         let is_next = states.get(reported + 1) == Some(&state);
@@ -317,14 +323,14 @@
         ..ReplicaMetadata::default()
     };
     let folder = create_unversioned(&commits, &metadata);
-    let base = read_files(folder.path());
+    let base_files = read_files(folder.path());
     start_recording(folder.path());
     let opened = open(folder.path(), false).unwrap();
     record_report(folder.path());
     let operations = take_recording(folder.path());
     let expected = state_after(&commits);
     let mut versions = BTreeMap::new();
-    let states_checked = check_power_losses(base, &operations, |number, reported, files| {
+    let states_checked = check_power_losses(base_files, &operations, |number, reported, files| {
         let folder = write_files(files);
         *versions
             .entry(super::super::verify(folder.path()).unwrap().schema)
--- a/crates/control/src/disk/verify.rs
+++ b/crates/control/src/disk/verify.rs
@@ -158,7 +158,7 @@
         }
     }
     // Sets the file format versions to rollback journal: otherwise SQLite would look for a write-ahead log, which an
-    // in-memory database has not.
+    // in-memory database does not have.
     bytes[18..20].fill(1);
     Ok(bytes)
 }
--- a/crates/control/src/disk/wal.rs
+++ b/crates/control/src/disk/wal.rs
@@ -119,7 +119,8 @@
     let is_header_valid =
         read_u32(log, 0) & !1 == MAGIC && checksum == (read_u32(log, 24), read_u32(log, 28));
     if !is_header_valid || read_u32(log, 8) as usize != page_bytes {
-        // A restart of the log was interrupted: its header is torn, and everything that the log held is in the file already.
+        // An interrupted restart of the log may have torn its header; then everything that the log held is in the file already,
+        // which is checked here.
         let first_salts = slots.first().map(|slot| slot.salts);
         let frames: Vec<FrameSlot> = slots
             .iter()
@@ -149,11 +150,11 @@
     let mut uncommitted = BTreeMap::new();
     let mut valid_frames = 0;
     for slot in &slots {
-        let (head, content) = (&log[slot.offset..slot.offset + 8], content(slot.offset));
+        let (header, content) = (&log[slot.offset..slot.offset + 8], content(slot.offset));
         checksum = wal_checksum(
             content,
             big_endian,
-            wal_checksum(head, big_endian, checksum),
+            wal_checksum(header, big_endian, checksum),
         );
         let stored_checksum = (
             read_u32(log, slot.offset + 16),
--- a/crates/control/tests/cut_off_programs.rs
+++ b/crates/control/tests/cut_off_programs.rs
@@ -80,12 +80,12 @@
         Instant::now(),
         Duration::from_micros(STALL_THRESHOLD as u64 + 100_000),
     );
-    let mut late = Connection::open(system.machines.ctl(2), deadline()).unwrap();
+    let mut connection = Connection::open(system.machines.ctl(2), deadline()).unwrap();
     let request = b"POST /api/drain/z1/begin HTTP/1.1\r\nHost: core\r\nContent-Length: 0\r\n\r\n";
-    late.send(request, deadline()).unwrap();
+    connection.send(request, deadline()).unwrap();
     // The operator gets no answer and retries the call at another replica; then the evacuation is
     // ended.
-    drop(late);
+    drop(connection);
     for begin in [true, false] {
         system.operator.evacuate("z1", begin, deadline()).unwrap();
     }
--- a/crates/control/tests/distribution.rs
+++ b/crates/control/tests/distribution.rs
@@ -197,8 +197,8 @@
         matches!(messages[messages.len() - 2], (2, ControlMessage::Clock(time)) if time == LIMITER_TIME)
     );
     assert!(is_counted(&mut cluster, 2, LIMITER_TIME));
-    // After a limiter whose clock is ahead, nothing is counted until that time: nothing was counted
-    // under the counter names of the later time before.
+    // A limiter whose clock is ahead: its counter names have no earlier counts, so that nothing is
+    // counted until the time of that clock is reached.
     assert!(!is_counted(&mut cluster, 3, LIMITER_TIME + 2 * SECOND));
     cluster.run(1_900 * MS);
     assert!(!is_counted(&mut cluster, 1, LIMITER_TIME + 3_900 * MS));
--- a/crates/control/tests/repeated_calls.rs
+++ b/crates/control/tests/repeated_calls.rs
@@ -127,8 +127,8 @@
     }
     cluster.run(2 * SECOND);
     assert_done_everywhere(&mut cluster, &call, "after a loss of power");
-    let new = cluster.add(4);
-    cluster.start(new);
+    let new_node = cluster.add(4);
+    cluster.start(new_node);
     cluster.run(3 * SECOND);
     assert_done_everywhere(&mut cluster, &call, "with a replaced node");
     for evacuate in [true, false, true] {
--- a/crates/control/tests/replacement.rs
+++ b/crates/control/tests/replacement.rs
@@ -59,9 +59,9 @@
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     // The new node starts while the old one still runs, cut off from most replicas.
     cluster.cut(&[5], &[0, 1, 2, 3]);
-    let new = cluster.add(5);
-    cluster.cut(&[5], &[new]);
-    cluster.start(new);
+    let new_node = cluster.add(5);
+    cluster.cut(&[5], &[new_node]);
+    cluster.start(new_node);
     cluster.run(10 * MS);
     let mut lines = vec![cluster.line(&["s"])];
     cluster.run(2 * SECOND);
@@ -72,7 +72,7 @@
     // With three replicas stopped, the vote of the replaced node would complete the quorum of four.
     cluster.kill(0);
     cluster.kill(1);
-    cluster.kill(new);
+    cluster.kill(new_node);
     assert!(!matches!(
         cluster.ask(2, service("s", 9, 2)),
         Some(Reply::Done)
@@ -82,7 +82,7 @@
         Some(Reply::Unavailable(_))
     ));
     lines.push(cluster.line(&["s"]));
-    cluster.start(new);
+    cluster.start(new_node);
     cluster.run(2 * SECOND);
     assert_eq!(cluster.ask(2, service("s", 11, 2)), Some(Reply::Done));
     cluster.run(SECOND);
@@ -104,8 +104,8 @@
     assert_eq!(cluster.ask(0, service("s", 7, 1)), Some(Reply::Done));
     cluster.wipe(5);
     cluster.run(SECOND);
-    let new = cluster.add(5);
-    cluster.start(new);
+    let new_node = cluster.add(5);
+    cluster.start(new_node);
     cluster.run(2 * SECOND);
     let mut lines = vec![cluster.line(&["s"])];
     // With two more replicas stopped it is one of the four that a quorum needs, and operators can
@@ -113,7 +113,7 @@
     cluster.kill(0);
     cluster.kill(1);
     cluster.run(2 * SECOND);
-    assert_eq!(cluster.ask(new, service("s", 8, 2)), Some(Reply::Done));
+    assert_eq!(cluster.ask(new_node, service("s", 8, 2)), Some(Reply::Done));
     cluster.run(SECOND);
     lines.push(cluster.line(&["s"]));
     assert_timeline(
--- a/crates/control/tests/resent.rs
+++ b/crates/control/tests/resent.rs
@@ -154,7 +154,7 @@
     // The first sender has disconnected when the replica resumes, the second one still waits for
     // its answer.
     for (disconnects, zone) in [(true, 1), (false, 2)] {
-        let before = chosen_count(address);
+        let count_before = chosen_count(address);
         system.machines.stand_still(Role::Control, 0);
         let mut sender = Connection::open(address, deadline()).unwrap();
         let path = format!("/api/drain/{}/begin", zones(3)[zone].0);
@@ -178,7 +178,7 @@
             );
         }
         assert_eq!(
-            chosen_count(address) - before,
+            chosen_count(address) - count_before,
             u64::from(!disconnects),
             "the sender has disconnected: {disconnects}"
         );
--- a/crates/control/tests/roles.rs
+++ b/crates/control/tests/roles.rs
@@ -82,7 +82,7 @@
 #[test]
 fn former_counter_resumes_after_a_full_restart() {
     let mut cluster = started(5);
-    let before = cluster.holders(SingletonRole::Counter)[0];
+    let former_lease = cluster.holders(SingletonRole::Counter)[0];
     ALL.iter().for_each(|replica| cluster.power(*replica));
     let mut lines = vec![cluster.line(&[])];
     cluster.run(500 * MS);
@@ -91,12 +91,12 @@
     lines.push(cluster.line(&[]));
     // It is killed alone, and restarts while the grants of the others to it are valid.
     cluster.run(SECOND);
-    cluster.kill(before.0);
+    cluster.kill(former_lease.0);
     cluster.run(300 * MS);
-    cluster.start(before.0);
+    cluster.start(former_lease.0);
     cluster.run(800 * MS);
     lines.push(cluster.line(&[]));
-    cluster.power(before.0);
+    cluster.power(former_lease.0);
     cluster.run(2_400 * MS);
     lines.push(cluster.line(&[]));
     assert_timeline(
@@ -107,10 +107,10 @@
         6.3s  oP  o   o   oC  o   o
         8.7s  oP  o   o   .   oC  o",
     );
-    let after = cluster.holders(SingletonRole::Counter)[0];
+    let new_lease = cluster.holders(SingletonRole::Counter)[0];
     assert!(
-        after.0 != before.0 && after.1 > before.1 + 1,
-        "{before:?} {after:?}"
+        new_lease.0 != former_lease.0 && new_lease.1 > former_lease.1 + 1,
+        "{former_lease:?} {new_lease:?}"
     );
     assert!(cluster.faults.is_empty(), "{:?}", cluster.faults);
 }
--- a/crates/control/tests/second_loss.rs
+++ b/crates/control/tests/second_loss.rs
@@ -84,11 +84,11 @@
 fn superseded_replica_runs_until_its_successor_participates() {
     let mut cluster = started(14, 6);
     assert_eq!(cluster.ask(4, service("s", 7, 1)), Some(Reply::Done));
-    let new = cluster.add(4);
+    let new_node = cluster.add(4);
     // The new node reaches two of the other five: its incarnation supersedes the old one, but it
     // can't become up to date.
-    cluster.cut(&[new], &[2, 3, 5]);
-    cluster.start(new);
+    cluster.cut(&[new_node], &[2, 3, 5]);
+    cluster.start(new_node);
     cluster.run(SECOND);
     assert!(
         cluster.nodes[4]
@@ -103,7 +103,7 @@
     cluster.run(2 * SECOND);
     assert!(
         has_ended(&cluster, 4)
-            && cluster.nodes[new]
+            && cluster.nodes[new_node]
                 .core
                 .as_ref()
                 .is_some_and(|core| core.is_participant())
@@ -222,17 +222,17 @@
     commit_on_minimal_majority(&mut cluster);
     let mut counts = CopyCounts(Vec::new());
     cluster.heal();
-    let new = cluster.add(4);
-    cluster.start(new);
+    let new_node = cluster.add(4);
+    cluster.start(new_node);
     cluster.stop(4);
     counts.record(
         &cluster,
         "the new node has started, the old one is shutting down",
     );
     cluster.run(150 * MS);
-    (0..=new).for_each(|node| cluster.power(node));
+    (0..=new_node).for_each(|node| cluster.power(node));
     counts.record(&cluster, "all have lost power, the old node is removed");
-    [0, 1, 2, 3, 5, new]
+    [0, 1, 2, 3, 5, new_node]
         .into_iter()
         .for_each(|node| cluster.start(node));
     cluster.run(SYNC_TIME);
--- a/crates/control/tests/system.rs
+++ b/crates/control/tests/system.rs
@@ -265,9 +265,9 @@
     let answers = || machines.answers(0).then_some(());
     assert!(wait_for(deadline(), answers).is_some());
     machines.refuse_connections(Role::Agent, 0, false).unwrap();
-    let ready = || machines.ready(0).then_some(());
+    let is_ready = || machines.ready(0).then_some(());
     assert!(
-        wait_for(deadline(), ready).is_some(),
+        wait_for(deadline(), is_ready).is_some(),
         "the agent did not accept the proxy's connection afterwards"
     );
     assert_eq!(system.machines.stop(), Vec::<String>::new());
@@ -280,13 +280,13 @@
     let machines = &system.machines;
     machines.refuse_connections(Role::Control, 0, true).unwrap();
     let cpu_time = || machines.usage(Role::Control, 0).unwrap().processor;
-    let (before, address) = (cpu_time(), machines.ctl(0));
+    let (cpu_time_before, address) = (cpu_time(), machines.ctl(0));
     // The kernel establishes the connection, which then waits to be accepted.
     let mut pending = Connection::open(address, deadline()).unwrap();
     let request = b"GET /api/cfg/get HTTP/1.1\r\nHost: core\r\n\r\n";
     pending.send(request, deadline()).unwrap();
     let max_cpu_time = Duration::from_millis(400);
-    let is_spinning = || (cpu_time() - before > max_cpu_time).then_some(());
+    let is_spinning = || (cpu_time() - cpu_time_before > max_cpu_time).then_some(());
     let window_end = Instant::now() + Duration::from_millis(1_000);
     assert!(
         wait_for(window_end, is_spinning).is_none(),
