--- a/crates/model-check/src/bounds.rs
+++ b/crates/model-check/src/bounds.rs
@@ -1,9 +1,9 @@
 //! How far states are explored.
 
 /// The rank of an incarnation where nothing else is to be compared.
-pub const RANK: u8 = 8;
+pub const DEFAULT_RANK: u8 = 8;
 
-use crate::state::{State, Want};
+use crate::state::{Goal, State};
 use crate::steps::Fault;
 
 /// Bounds of an exploration, and the fault that is planted into it.
@@ -13,36 +13,36 @@
     pub replicas: usize,
     /// Which machine may begin rounds, and what for. The machine after the last replica's is the one that
     /// replaces another.
-    pub writers: Vec<(usize, Want)>,
+    pub writers: Vec<(usize, Goal)>,
     /// Most rounds that are begun in all.
-    pub begun: u8,
+    pub max_rounds_begun: u8,
     /// Highest round of a ballot.
-    pub round: u8,
+    pub max_round: u8,
     /// Most starts of processes that had ended.
-    pub restarts: u8,
+    pub max_restarts: u8,
     /// The replica that is given to another machine. That one runs from the beginning, and does nothing
     /// before it is heard.
-    pub replaced: Option<usize>,
+    pub replaced_replica: Option<usize>,
     /// Machines that may lose their disks...
-    pub wiped: Vec<usize>,
+    pub wipeable_machines: Vec<usize>,
     /// ...so many of them.
-    pub losses: u8,
+    pub max_disk_losses: u8,
     /// Machines may be told what is chosen.
-    pub told: bool,
+    pub learn_chosen: bool,
     /// Machines hear of incarnations by any message, not only where that lets them do more.
-    pub hearsay: bool,
+    pub learn_every_incarnation: bool,
     /// States that differ only in the numbers of machines that are alike are told apart.
-    pub apart: bool,
+    pub no_symmetry_reduction: bool,
     /// A fault.
     pub fault: Option<Fault>,
 }
 
 impl Bounds {
     /// The first state.
-    pub fn first(&self) -> State {
-        let mut state = State::first(self.replicas);
-        if let Some(replica) = self.replaced {
-            state.replace(replica, RANK, self.fault);
+    pub fn initial_state(&self) -> State {
+        let mut state = State::initial(self.replicas);
+        if let Some(replica) = self.replaced_replica {
+            state.replace(replica, DEFAULT_RANK, self.fault);
         }
         state
     }
--- a/crates/model-check/src/exploration.rs
+++ b/crates/model-check/src/exploration.rs
@@ -19,54 +19,54 @@
     /// Most steps from the first state.
     pub depth: usize,
     /// How long it took.
-    pub time: Duration,
+    pub elapsed: Duration,
     /// All states within the bounds were explored; else time ran out.
-    pub whole: bool,
+    pub complete: bool,
     /// The properties that did not hold, each with the steps to where it does not.
-    pub broken: BTreeMap<&'static str, Vec<Action>>,
+    pub violations: BTreeMap<&'static str, Vec<Action>>,
 }
 
 /// Explores all states within bounds, breadth first, or as many as there is time for.
-pub fn explore(bounds: &Bounds, threads: usize, time: Option<Duration>) -> Report {
+pub fn explore(bounds: &Bounds, threads: usize, timeout: Option<Duration>) -> Report {
     let checker = bounds.clone().checker().threads(threads);
     run(
-        time.into_iter().fold(checker, CheckerBuilder::timeout),
-        time,
+        timeout.into_iter().fold(checker, CheckerBuilder::timeout),
+        timeout,
     )
 }
 
 /// The fewest steps to where a property does not hold, if that is so anywhere.
-pub fn shortest(bounds: &Bounds, property: &'static str) -> Option<Vec<Action>> {
+pub fn shortest_violation(bounds: &Bounds, property: &'static str) -> Option<Vec<Action>> {
     // The checker gives the last of several findings: it looks again with fewer steps until there is none.
-    let mut found = None;
+    let mut violation = None;
     loop {
-        let steps = found.as_ref().map_or(0, Vec::len);
-        let until = HasDiscoveries::AllOf(BTreeSet::from([property]));
-        let mut checker = bounds.clone().checker().finish_when(until);
-        if steps > 0 {
-            checker = checker.target_max_depth(steps + 1);
+        let max_steps = violation.as_ref().map_or(0, Vec::len);
+        let stop_condition = HasDiscoveries::AllOf(BTreeSet::from([property]));
+        let mut checker = bounds.clone().checker().finish_when(stop_condition);
+        if max_steps > 0 {
+            checker = checker.target_max_depth(max_steps + 1);
         }
-        let Some(shorter) = run(checker, None).broken.remove(property) else {
-            return found;
+        let Some(shorter) = run(checker, None).violations.remove(property) else {
+            return violation;
         };
-        found = Some(shorter);
+        violation = Some(shorter);
     }
 }
 
-fn run(checker: CheckerBuilder<Bounds>, most: Option<Duration>) -> Report {
-    let began = Instant::now();
-    let done = checker.spawn_bfs().join();
-    let broken = done.discoveries().into_iter();
-    let broken = broken
+fn run(checker: CheckerBuilder<Bounds>, timeout: Option<Duration>) -> Report {
+    let began_at = Instant::now();
+    let checker = checker.spawn_bfs().join();
+    let violations = checker.discoveries().into_iter();
+    let violations = violations
         .map(|(name, path)| (name, path.into_actions()))
         .collect();
     Report {
-        states: done.unique_state_count(),
-        visits: done.state_count(),
-        depth: done.max_depth(),
-        time: began.elapsed(),
-        whole: most.is_none_or(|most| began.elapsed() < most),
-        broken,
+        states: checker.unique_state_count(),
+        visits: checker.state_count(),
+        depth: checker.max_depth(),
+        elapsed: began_at.elapsed(),
+        complete: timeout.is_none_or(|timeout| began_at.elapsed() < timeout),
+        violations,
     }
 }
 
@@ -76,20 +76,20 @@
             states,
             visits,
             depth,
-            time,
-            whole,
-            broken,
+            elapsed,
+            complete,
+            violations,
         } = self;
-        let seconds = time.as_secs_f64();
-        let whole = if *whole { "all" } else { "NOT all" };
+        let seconds = elapsed.as_secs_f64();
+        let complete = if *complete { "all" } else { "NOT all" };
         write!(
             f,
-            "{whole} within bounds: {states} states, {visits} visits, depth {depth}, {seconds:.1} s; broken: "
+            "{complete} within bounds: {states} states, {visits} visits, depth {depth}, {seconds:.1} s; broken: "
         )?;
-        if broken.is_empty() {
+        if violations.is_empty() {
             return write!(f, "none");
         }
-        for (name, steps) in broken {
+        for (name, steps) in violations {
             write!(f, "\n{name}, {} steps:", steps.len())?;
             steps
                 .iter()
--- a/crates/model-check/src/main.rs
+++ b/crates/model-check/src/main.rs
@@ -5,7 +5,7 @@
 
 use argh::FromArgs;
 use model_check::exploration::explore;
-use model_check::named;
+use model_check::named_bounds;
 use model_check::steps::Fault;
 
 /// Explores all states of the agreement of one item within named bounds; without a name, lists them.
@@ -33,29 +33,31 @@
 
 fn main() -> ExitCode {
     let options: Options = argh::from_env();
-    let all = named::all();
+    let all_bounds = named_bounds::all();
     if options.names.is_empty() {
-        all.iter().for_each(|named| println!("{}", named.name));
+        all_bounds
+            .iter()
+            .for_each(|named| println!("{}", named.name));
         return ExitCode::SUCCESS;
     }
-    let mut whole = true;
+    let mut complete = true;
     for name in &options.names {
-        let Some(mut named) = all.iter().find(|named| named.name == name).cloned() else {
+        let Some(mut named) = all_bounds.iter().find(|named| named.name == name).cloned() else {
             eprintln!("no such bounds: {name}");
             return ExitCode::from(2);
         };
         named.bounds.fault = options.fault;
-        named.bounds.hearsay = options.hearsay;
-        named.bounds.apart = options.apart;
+        named.bounds.learn_every_incarnation = options.hearsay;
+        named.bounds.no_symmetry_reduction = options.apart;
         let report = explore(
             &named.bounds,
             options.threads,
             options.seconds.map(Duration::from_secs),
         );
         println!("{name}: {report}");
-        whole &= report.whole && report.broken.is_empty();
+        complete &= report.complete && report.violations.is_empty();
     }
-    if whole {
+    if complete {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/model-check/src/model.rs
+++ b/crates/model-check/src/model.rs
@@ -2,22 +2,22 @@
 
 use stateright::{Model, Property};
 
-use crate::bounds::{Bounds, RANK};
-use crate::numbers::{Ballot, Incarnation, Value};
+use crate::bounds::{Bounds, DEFAULT_RANK};
+use crate::packed_types::{Ballot, Incarnation, Value};
 use crate::properties;
-use crate::quorums::{Counting, Quorum};
-use crate::state::{State, Status, Want};
-use crate::steps::{Fault, Verdict};
+use crate::quorums::{Quorum, VoteCounter};
+use crate::state::{Goal, State, Status};
+use crate::steps::{Fault, Response};
 
 /// Ranks that an incarnation is begun with: one that is begun anew may come after the one before, or ahead of
 /// it.
-const RANKS: [u8; 2] = [4, 12];
+const REBUILD_RANKS: [u8; 2] = [4, 12];
 
 /// A step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// A machine begins a round.
-    Begin(usize, Want, u8),
+    Begin(usize, Goal, u8),
     /// A machine takes in that a promise is asked for.
     Prepare(usize, Ballot),
     /// A machine takes in that it is to accept.
@@ -42,27 +42,32 @@
 }
 
 impl Bounds {
-    fn old_counts(&self) -> bool {
+    fn counts_old_incarnations(&self) -> bool {
         self.fault == Some(Fault::OldIncarnationCounts)
     }
 
-    fn rounds(&self, state: &State, actions: &mut Vec<Action>) {
-        for (machine, want) in self.writers.iter().filter(|_| state.begun < self.begun) {
-            let at = &state.machines[*machine];
-            if at.takes_part() {
+    fn push_round_actions(&self, state: &State, actions: &mut Vec<Action>) {
+        for (machine, goal) in self
+            .writers
+            .iter()
+            .filter(|_| state.rounds_begun < self.max_rounds_begun)
+        {
+            let local = &state.machines[*machine];
+            if local.is_participant() {
                 actions.extend(
-                    (at.round + 1..=self.round).map(|round| Action::Begin(*machine, *want, round)),
+                    (local.last_round + 1..=self.max_round)
+                        .map(|round| Action::Begin(*machine, *goal, round)),
                 );
             }
         }
-        for (machine, at) in state.machines.iter().enumerate() {
-            let Some(round) = at.leads.as_ref().filter(|_| at.takes_part()) else {
+        for (machine, local) in state.machines.iter().enumerate() {
+            let Some(round) = local.led_round.as_ref().filter(|_| local.is_participant()) else {
                 continue;
             };
-            let counting = Counting::round(state, machine, self.old_counts());
+            let counter = VoteCounter::for_round(state, machine, self.counts_old_incarnations());
             match round.proposed {
                 None => {
-                    let quorums = counting.quorums(state.promises_for(machine));
+                    let quorums = counter.quorums(state.promises_for(machine));
                     actions.extend(
                         quorums
                             .into_iter()
@@ -70,7 +75,7 @@
                     );
                 }
                 Some(_) => {
-                    let quorum = counting.quorums(state.accepted_for(machine)).pop();
+                    let quorum = counter.quorums(state.acceptances_for(machine)).pop();
                     actions.extend(quorum.map(|_| Action::Accepted(machine)));
                 }
             }
@@ -80,164 +85,186 @@
     /// Messages that are taken in. A machine answers each proposal and each incarnation once: an answer that
     /// is sent again tells more, and so does not let anything happen that the first one, or one sent only
     /// then, does not. For the same reason nobody takes in that a promise is asked for by who waits for none.
-    fn messages(&self, state: &State, actions: &mut Vec<Action>) {
-        let waits = |ballot: &&Ballot| {
-            let mut rounds = state.machines.iter().filter_map(|at| at.leads.as_ref());
+    fn push_message_actions(&self, state: &State, actions: &mut Vec<Action>) {
+        let is_awaited = |ballot: &&Ballot| {
+            let mut rounds = state
+                .machines
+                .iter()
+                .filter_map(|local| local.led_round.as_ref());
             rounds.any(|round| round.ballot == **ballot && round.proposed.is_none())
         };
-        for (machine, at) in state
+        for (machine, local) in state
             .machines
             .iter()
             .enumerate()
-            .filter(|(_, at)| at.takes_part())
+            .filter(|(_, local)| local.is_participant())
         {
-            let promised = |ballot: &&Ballot| {
+            let has_promised = |ballot: &&Ballot| {
                 let mut promises = state.promises.iter();
-                promises.any(|promise| promise.ballot == **ballot && promise.by.machine == machine)
+                promises
+                    .any(|promise| promise.ballot == **ballot && promise.sender.machine == machine)
             };
             let prepares = state
-                .prepares
+                .prepare_requests
                 .iter()
-                .filter(waits)
-                .filter(|ballot| !promised(ballot));
+                .filter(is_awaited)
+                .filter(|ballot| !has_promised(ballot));
             actions.extend(prepares.map(|ballot| Action::Prepare(machine, *ballot)));
-            let held = |(ballot, value): &&(Ballot, Value)| at.accepted == Some((*ballot, *value));
-            let accepts = state.accepts.iter().filter(|accept| !held(accept));
+            let has_accepted =
+                |(ballot, value): &&(Ballot, Value)| local.accepted == Some((*ballot, *value));
+            let accepts = state
+                .accept_requests
+                .iter()
+                .filter(|accept| !has_accepted(accept));
             actions.extend(accepts.map(|(ballot, value)| Action::Accept(machine, *ballot, *value)));
-            let recorded = |incarnation: Incarnation| {
-                let mut recorded = state.recorded.iter();
-                recorded.any(|told| told.incarnation == incarnation && told.by.machine == machine)
+            let has_recorded = |incarnation: Incarnation| {
+                let mut replies = state.incarnation_replies.iter();
+                replies.any(|reply| {
+                    reply.incarnation == incarnation && reply.sender.machine == machine
+                })
             };
             let records = state
-                .records
+                .incarnation_requests
                 .iter()
-                .filter(|(replica, _)| *replica != at.replica);
-            let records = records.filter(|(_, incarnation)| !recorded(*incarnation));
+                .filter(|(replica, _)| *replica != local.replica);
+            let records = records.filter(|(_, incarnation)| !has_recorded(*incarnation));
             actions.extend(
                 records
                     .map(|(replica, incarnation)| Action::Record(machine, *replica, *incarnation)),
             );
-            let told = state.chosen.iter().filter(|_| self.told);
-            actions.extend(told.map(|(ballot, value)| Action::Learn(machine, *ballot, *value)));
+            let chosen = state.chosen.iter().filter(|_| self.learn_chosen);
+            actions.extend(chosen.map(|(ballot, value)| Action::Learn(machine, *ballot, *value)));
         }
     }
 
     /// What machines hear of incarnations. Who knows more counts fewer votes, answers fewer messages, and
     /// tells the same to others: but for the two cases below, everything that can happen after it heard can
     /// happen without.
-    fn hearsay(&self, state: &State, actions: &mut Vec<Action>) {
-        for (machine, at) in state
+    fn push_incarnation_actions(&self, state: &State, actions: &mut Vec<Action>) {
+        for (machine, local) in state
             .machines
             .iter()
             .enumerate()
-            .filter(|(_, at)| at.status != Status::Absent)
+            .filter(|(_, local)| local.status != Status::Absent)
         {
             for replica in 0..state.replicas() {
-                let mut told: Vec<Incarnation> =
-                    state.machines.iter().map(|at| at.table[replica]).collect();
-                told.sort_unstable();
-                told.dedup();
-                let matters = |told: &Incarnation| {
-                    *told > at.table[replica]
-                        && (self.hearsay || at.hears_own(machine, replica, *told))
+                let mut incarnations: Vec<Incarnation> = state
+                    .machines
+                    .iter()
+                    .map(|local| local.table[replica])
+                    .collect();
+                incarnations.sort_unstable();
+                incarnations.dedup();
+                let is_relevant = |incarnation: &Incarnation| {
+                    *incarnation > local.table[replica]
+                        && (self.learn_every_incarnation
+                            || local.begins_new_incarnation_on(machine, replica, *incarnation))
                 };
-                let matters = told.into_iter().filter(matters);
-                actions.extend(matters.map(|told| Action::Hear(machine, replica, told)));
+                let relevant = incarnations.into_iter().filter(is_relevant);
+                actions.extend(
+                    relevant.map(|incarnation| Action::Hear(machine, replica, incarnation)),
+                );
             }
         }
     }
 
-    fn troubles(&self, state: &State, actions: &mut Vec<Action>) {
-        for (machine, at) in state.machines.iter().enumerate() {
-            match at.status {
-                Status::Rebuilds(_) => {
-                    let quorums = Counting::rebuild(state, machine, self.old_counts());
-                    let quorums = quorums.quorums(state.recorded_for(machine));
+    fn push_failure_actions(&self, state: &State, actions: &mut Vec<Action>) {
+        for (machine, local) in state.machines.iter().enumerate() {
+            match local.status {
+                Status::Rebuilding(_) => {
+                    let counter =
+                        VoteCounter::for_rebuild(state, machine, self.counts_old_incarnations());
+                    let quorums = counter.quorums(state.incarnation_replies_for(machine));
                     actions.extend(
                         quorums
                             .into_iter()
                             .map(|quorum| Action::Rebuild(machine, quorum)),
                     );
-                    if state.restarts < self.restarts {
-                        actions.extend(RANKS.map(|rank| Action::Restart(machine, rank)));
+                    if state.restarts < self.max_restarts {
+                        actions.extend(REBUILD_RANKS.map(|rank| Action::Restart(machine, rank)));
                     }
                 }
                 // Else nothing is lost with the process.
-                Status::Member if state.restarts < self.restarts && at.forgets() => {
-                    actions.push(Action::Restart(machine, RANK));
+                Status::Member
+                    if state.restarts < self.max_restarts && local.loses_state_on_restart() =>
+                {
+                    actions.push(Action::Restart(machine, DEFAULT_RANK));
                 }
                 _ => {}
             }
         }
-        if state.losses < self.losses {
-            let members = |machine: &usize| state.machines[*machine].status == Status::Member;
-            for machine in self.wiped.iter().copied().filter(members) {
+        if state.disk_losses < self.max_disk_losses {
+            let is_member = |machine: &usize| state.machines[*machine].status == Status::Member;
+            for machine in self.wipeable_machines.iter().copied().filter(is_member) {
                 let replica = state.machines[machine].replica;
-                let ranks: &[u8] = if self.replaced == Some(replica) {
-                    &RANKS
+                let ranks: &[u8] = if self.replaced_replica == Some(replica) {
+                    &REBUILD_RANKS
                 } else {
-                    &RANKS[..1]
+                    &REBUILD_RANKS[..1]
                 };
                 let others = state.machines.iter().enumerate();
-                let others = others.filter(|(_, at)| at.takes_part() && at.replica != replica);
-                let lost =
+                let others =
+                    others.filter(|(_, local)| local.is_participant() && local.replica != replica);
+                let losses =
                     others.flat_map(|(other, _)| ranks.iter().map(move |rank| (other, *rank)));
-                actions.extend(lost.map(|(other, rank)| Action::LoseDisk(machine, rank, other)));
+                actions.extend(losses.map(|(other, rank)| Action::LoseDisk(machine, rank, other)));
             }
         }
     }
 
     /// A step of a state; none where it changes nothing.
-    pub fn step(&self, last: &State, action: &Action) -> Option<State> {
-        let mut state = last.clone();
+    pub fn step(&self, previous: &State, action: &Action) -> Option<State> {
+        let mut state = previous.clone();
         let fault = self.fault;
         match action {
-            Action::Begin(machine, want, round) => _ = state.begin(*machine, *want, *round),
+            Action::Begin(machine, goal, round) => _ = state.begin_round(*machine, *goal, *round),
             Action::Prepare(machine, ballot) => {
-                let verdict = state.prepare(*machine, *ballot, fault);
-                matches!(verdict, Verdict::Promises(_)).then_some(())?;
+                let response = state.prepare(*machine, *ballot, fault);
+                matches!(response, Response::Promised(_)).then_some(())?;
             }
             Action::Accept(machine, ballot, value) => {
-                (state.accept(*machine, *ballot, *value, fault) == Verdict::Accepts)
+                (state.accept(*machine, *ballot, *value, fault) == Response::Accepted)
                     .then_some(())?;
             }
-            Action::Promised(machine, quorum) => _ = state.promised(*machine, quorum, fault),
-            Action::Accepted(machine) => _ = state.accepted(*machine),
+            Action::Promised(machine, quorum) => _ = state.handle_promises(*machine, quorum, fault),
+            Action::Accepted(machine) => _ = state.handle_acceptances(*machine),
             Action::Learn(machine, ballot, value) => {
-                state.learn(*machine, *ballot, *value).then_some(())?;
+                state
+                    .learn_chosen(*machine, *ballot, *value)
+                    .then_some(())?;
             }
             Action::Hear(machine, replica, incarnation) => {
-                state.hear(*machine, *replica, *incarnation, Some(RANK))
+                state.learn_incarnation(*machine, *replica, *incarnation, Some(DEFAULT_RANK))
             }
             Action::Restart(machine, rank) => state.restart(*machine, *rank, fault),
             Action::LoseDisk(machine, rank, other) => {
                 state.lose_disk(*machine, *rank, fault);
-                let at = &state.machines[*machine];
-                if let Status::Rebuilds(incarnation) = at.status {
-                    let replica = at.replica;
+                let local = &state.machines[*machine];
+                if let Status::Rebuilding(incarnation) = local.status {
+                    let replica = local.replica;
                     state
-                        .record(*other, replica, incarnation, fault)
+                        .record_incarnation(*other, replica, incarnation, fault)
                         .then_some(())?;
                 }
             }
             Action::Record(machine, replica, incarnation) => {
                 state
-                    .record(*machine, *replica, *incarnation, fault)
+                    .record_incarnation(*machine, *replica, *incarnation, fault)
                     .then_some(())?;
             }
             Action::Rebuild(machine, quorum) => state.rebuild(*machine, quorum, fault),
         }
-        state.tidy();
-        if !self.apart {
-            self.number(&mut state);
+        state.discard_stale_messages();
+        if !self.no_symmetry_reduction {
+            self.canonicalize(&mut state);
         }
         let restarted = matches!(action, Action::Restart(..));
-        let idle = restarted
+        let only_counted_restart = restarted
             && State {
-                restarts: last.restarts,
+                restarts: previous.restarts,
                 ..state.clone()
-            } == *last;
-        (!idle && state != *last).then_some(state)
+            } == *previous;
+        (!only_counted_restart && state != *previous).then_some(state)
     }
 }
 
@@ -246,28 +273,34 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.first()]
+        vec![self.initial_state()]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        self.rounds(state, actions);
-        self.messages(state, actions);
-        self.hearsay(state, actions);
-        self.troubles(state, actions);
+        self.push_round_actions(state, actions);
+        self.push_message_actions(state, actions);
+        self.push_incarnation_actions(state, actions);
+        self.push_failure_actions(state, actions);
     }
 
-    fn next_state(&self, last: &State, action: Action) -> Option<State> {
-        self.step(last, &action)
+    fn next_state(&self, previous: &State, action: Action) -> Option<State> {
+        self.step(previous, &action)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(properties::ONE_CONTENT, |_, state| {
-                properties::one_content(state)
+            Property::always(properties::AGREEMENT, |_, state| {
+                properties::agreement(state)
+            }),
+            Property::always(properties::DURABILITY, |_, state| {
+                properties::durability(state)
+            }),
+            Property::always(properties::NO_RESURRECTION, |_, state| {
+                properties::no_resurrection(state)
+            }),
+            Property::always(properties::NO_UNREBUILT_PARTICIPANT, |_, state| {
+                properties::no_unrebuilt_participant(state)
             }),
-            Property::always(properties::KEPT, |_, state| properties::kept(state)),
-            Property::always(properties::DROPPED, |_, state| properties::dropped(state)),
-            Property::always(properties::HOLLOW, |_, state| properties::hollow(state)),
         ]
     }
 }
--- a/crates/model-check/src/named.rs
+++ b/crates/model-check/src/named_bounds.rs
@@ -1,86 +1,86 @@
 //! The bounds that are explored, by name.
 
 use crate::bounds::Bounds;
-use crate::numbers::Value;
-use crate::state::Want;
+use crate::packed_types::Value;
+use crate::state::Goal;
 
 /// Bounds, and what they are called.
 #[derive(Clone, Debug)]
-pub struct Named {
+pub struct NamedBounds {
     /// The name.
     pub name: &'static str,
     /// They are explored by the tests; else only by the program.
-    pub tested: bool,
+    pub run_in_tests: bool,
     /// The bounds.
     pub bounds: Bounds,
 }
 
 /// Two writers that each want another content at one version.
-fn conflict() -> Vec<(usize, Want)> {
+fn conflict() -> Vec<(usize, Goal)> {
     vec![
-        (0, Want::Write(Value::new(1, 1))),
-        (1, Want::Write(Value::new(1, 2))),
+        (0, Goal::Write(Value::new(1, 1))),
+        (1, Goal::Write(Value::new(1, 2))),
     ]
 }
 
 /// One sets the item and the other drops it; what was accepted is finished by a third.
-fn drop() -> Vec<(usize, Want)> {
+fn drop_and_finish() -> Vec<(usize, Goal)> {
     vec![
-        (0, Want::Write(Value::new(1, 1))),
-        (1, Want::Write(Value::dropped(2))),
-        (2, Want::Finish),
+        (0, Goal::Write(Value::new(1, 1))),
+        (1, Goal::Write(Value::dropped(2))),
+        (2, Goal::Finish),
     ]
 }
 
 /// A call that is sent again to another replica, as its answer was lost.
-fn resent() -> Vec<(usize, Want)> {
+fn retried_on_other_replica() -> Vec<(usize, Goal)> {
     let mut writers = conflict();
     writers.extend([(1, writers[0].1), (2, writers[1].1)]);
     writers
 }
 
 /// Two writers that come to one machine.
-fn one_machine() -> Vec<(usize, Want)> {
-    conflict().into_iter().map(|(_, want)| (0, want)).collect()
+fn one_machine() -> Vec<(usize, Goal)> {
+    conflict().into_iter().map(|(_, goal)| (0, goal)).collect()
 }
 
-fn bounds(replicas: usize, writers: Vec<(usize, Want)>) -> Bounds {
+fn bounds(replicas: usize, writers: Vec<(usize, Goal)>) -> Bounds {
     Bounds {
         replicas,
         writers,
-        begun: 2,
-        round: 2,
-        restarts: 0,
-        replaced: None,
-        wiped: Vec::new(),
-        losses: 0,
-        told: false,
-        hearsay: false,
-        apart: false,
+        max_rounds_begun: 2,
+        max_round: 2,
+        max_restarts: 0,
+        replaced_replica: None,
+        wipeable_machines: Vec::new(),
+        max_disk_losses: 0,
+        learn_chosen: false,
+        learn_every_incarnation: false,
+        no_symmetry_reduction: false,
         fault: None,
     }
 }
 
 /// All named bounds.
-pub fn all() -> Vec<Named> {
-    let named = |name, tested, bounds| Named {
+pub fn all() -> Vec<NamedBounds> {
+    let named = |name, run_in_tests, bounds| NamedBounds {
         name,
-        tested,
+        run_in_tests,
         bounds,
     };
-    let lost = |bounds: Bounds, wiped: &[usize]| Bounds {
-        wiped: wiped.to_vec(),
-        losses: 1,
+    let with_disk_loss = |bounds: Bounds, wipeable: &[usize]| Bounds {
+        wipeable_machines: wipeable.to_vec(),
+        max_disk_losses: 1,
         ..bounds
     };
-    let replaced = |bounds: Bounds, replica| Bounds {
-        replaced: Some(replica),
+    let with_replacement = |bounds: Bounds, replica| Bounds {
+        replaced_replica: Some(replica),
         ..bounds
     };
-    let (conflict3, drop3) = (bounds(3, conflict()), bounds(3, drop()));
-    let (conflict5, drop5) = (bounds(5, conflict()), bounds(5, drop()));
-    let once = Bounds {
-        round: 1,
+    let (conflict3, drop3) = (bounds(3, conflict()), bounds(3, drop_and_finish()));
+    let (conflict5, drop5) = (bounds(5, conflict()), bounds(5, drop_and_finish()));
+    let single_round = Bounds {
+        max_round: 1,
         ..conflict5.clone()
     };
     vec![
@@ -88,9 +88,9 @@
             "restarts-3",
             true,
             Bounds {
-                begun: 3,
-                restarts: 2,
-                told: true,
+                max_rounds_begun: 3,
+                max_restarts: 2,
+                learn_chosen: true,
                 ..conflict3.clone()
             },
         ),
@@ -98,8 +98,8 @@
             "conflict-restart-3",
             true,
             Bounds {
-                restarts: 1,
-                told: true,
+                max_restarts: 1,
+                learn_chosen: true,
                 ..conflict3.clone()
             },
         ),
@@ -107,7 +107,7 @@
             "one-machine-3",
             true,
             Bounds {
-                restarts: 1,
+                max_restarts: 1,
                 ..bounds(3, one_machine())
             },
         ),
@@ -115,17 +115,17 @@
             "resent-3",
             false,
             Bounds {
-                begun: 3,
-                restarts: 1,
-                told: true,
-                ..bounds(3, resent())
+                max_rounds_begun: 3,
+                max_restarts: 1,
+                learn_chosen: true,
+                ..bounds(3, retried_on_other_replica())
             },
         ),
         named(
             "drop-3",
             true,
             Bounds {
-                begun: 3,
+                max_rounds_begun: 3,
                 ..drop3.clone()
             },
         ),
@@ -133,18 +133,18 @@
             "drop-restart-3",
             false,
             Bounds {
-                begun: 3,
-                restarts: 1,
-                told: true,
+                max_rounds_begun: 3,
+                max_restarts: 1,
+                learn_chosen: true,
                 ..drop3.clone()
             },
         ),
         named(
             "lost-3",
             true,
-            lost(
+            with_disk_loss(
                 Bounds {
-                    told: true,
+                    learn_chosen: true,
                     ..conflict3.clone()
                 },
                 &[0, 2],
@@ -153,9 +153,9 @@
         named(
             "replaced-3",
             true,
-            replaced(
+            with_replacement(
                 Bounds {
-                    told: true,
+                    learn_chosen: true,
                     ..conflict3.clone()
                 },
                 2,
@@ -164,9 +164,9 @@
         named(
             "replaced-writer-3",
             true,
-            replaced(
+            with_replacement(
                 Bounds {
-                    told: true,
+                    learn_chosen: true,
                     ..conflict3.clone()
                 },
                 0,
@@ -175,22 +175,22 @@
         named(
             "replaced-and-lost-3",
             true,
-            lost(replaced(conflict3.clone(), 2), &[0]),
+            with_disk_loss(with_replacement(conflict3.clone(), 2), &[0]),
         ),
         named(
             "conflict-5",
             true,
             Bounds {
-                told: true,
+                learn_chosen: true,
                 ..conflict5
             },
         ),
         named(
             "replaced-restarts-3",
             false,
-            replaced(
+            with_replacement(
                 Bounds {
-                    restarts: 1,
+                    max_restarts: 1,
                     ..conflict3.clone()
                 },
                 2,
@@ -199,19 +199,19 @@
         named(
             "replaced-and-any-lost-3",
             false,
-            lost(replaced(conflict3.clone(), 2), &[0, 1, 2, 3]),
+            with_disk_loss(with_replacement(conflict3.clone(), 2), &[0, 1, 2, 3]),
         ),
         named(
             "drop-replaced-and-lost-3",
             false,
-            lost(replaced(drop3, 2), &[0]),
+            with_disk_loss(with_replacement(drop3, 2), &[0]),
         ),
         named(
             "three-rounds-lost-3",
             false,
-            lost(
+            with_disk_loss(
                 Bounds {
-                    begun: 3,
+                    max_rounds_begun: 3,
                     ..conflict3
                 },
                 &[0, 2],
@@ -221,13 +221,25 @@
             "drop-5",
             false,
             Bounds {
-                told: true,
+                learn_chosen: true,
                 ..drop5
             },
         ),
-        named("lost-5", false, lost(once.clone(), &[4])),
-        named("lost-writer-5", false, lost(once.clone(), &[0])),
-        named("replaced-5", false, replaced(once.clone(), 4)),
-        named("replaced-and-lost-5", false, lost(replaced(once, 4), &[3])),
+        named("lost-5", false, with_disk_loss(single_round.clone(), &[4])),
+        named(
+            "lost-writer-5",
+            false,
+            with_disk_loss(single_round.clone(), &[0]),
+        ),
+        named(
+            "replaced-5",
+            false,
+            with_replacement(single_round.clone(), 4),
+        ),
+        named(
+            "replaced-and-lost-5",
+            false,
+            with_disk_loss(with_replacement(single_round, 4), &[3]),
+        ),
     ]
 }
--- a/crates/model-check/src/properties.rs
+++ b/crates/model-check/src/properties.rs
@@ -1,19 +1,19 @@
 //! What must hold in every state.
 
-use crate::numbers::{Ballot, Value};
+use crate::packed_types::{Ballot, Value};
 use crate::state::{Machine, State};
 
 /// At most one content of a version is ever chosen.
-pub const ONE_CONTENT: &str = "one content";
+pub const AGREEMENT: &str = "one content";
 /// What was chosen is found by every majority that could still answer, or something newer in its place.
-pub const KEPT: &str = "kept";
+pub const DURABILITY: &str = "kept";
 /// Nothing older is chosen, nor found by a majority, after an item was dropped.
-pub const DROPPED: &str = "dropped";
+pub const NO_RESURRECTION: &str = "dropped";
 /// A machine that has lost its disk takes part in nothing before it has rebuilt.
-pub const HOLLOW: &str = "hollow";
+pub const NO_UNREBUILT_PARTICIPANT: &str = "hollow";
 
-/// [`ONE_CONTENT`].
-pub fn one_content(state: &State) -> bool {
+/// [`AGREEMENT`].
+pub fn agreement(state: &State) -> bool {
     let chosen = &state.chosen;
     let differ = |a: Value, b: Value| a.version() == b.version() && a != b;
     !chosen
@@ -21,24 +21,27 @@
         .any(|(_, a)| chosen.iter().any(|(_, b)| differ(*a, *b)))
 }
 
-/// [`KEPT`].
-pub fn kept(state: &State) -> bool {
+/// [`DURABILITY`].
+pub fn durability(state: &State) -> bool {
     let acknowledged = state.acknowledged.iter().copied();
-    let must = state
+    let required = state
         .chosen
         .iter()
         .map(|(_, value)| *value)
         .chain(acknowledged);
-    let must: Vec<Value> = must.collect();
-    must.is_empty() || every_majority(state, |found| must.iter().all(|value| holds(found, *value)))
+    let required: Vec<Value> = required.collect();
+    required.is_empty()
+        || every_majority(state, |found| {
+            required.iter().all(|value| holds(found, *value))
+        })
 }
 
 fn holds(found: Option<(Ballot, Value)>, value: Value) -> bool {
     found.is_some_and(|(_, found)| found == value || found.version() > value.version())
 }
 
-/// [`DROPPED`].
-pub fn dropped(state: &State) -> bool {
+/// [`NO_RESURRECTION`].
+pub fn no_resurrection(state: &State) -> bool {
     let is_drop = |(_, value): &&(Ballot, Value)| value.content() == 0;
     let Some((ballot, drop)) = state
         .chosen
@@ -56,20 +59,20 @@
         && every_majority(state, |found| found.is_none_or(|(_, value)| !older(value)))
 }
 
-/// [`HOLLOW`].
-pub fn hollow(state: &State) -> bool {
+/// [`NO_UNREBUILT_PARTICIPANT`].
+pub fn no_unrebuilt_participant(state: &State) -> bool {
     !state
         .machines
         .iter()
-        .any(|machine| machine.hollow && machine.takes_part())
+        .any(|machine| machine.needs_rebuild && machine.is_participant())
 }
 
 /// Whether something is true of what each majority finds that could answer: one machine for each of its
 /// replicas, none of which knows a newer incarnation of another one's replica. More machines than a bare
 /// majority find what one of these does.
 fn every_majority(state: &State, holds: impl Fn(Option<(Ballot, Value)>) -> bool) -> bool {
-    let votes = |machine: &&Machine| machine.takes_part();
-    let machines: Vec<&Machine> = state.machines.iter().filter(votes).collect();
+    let is_voter = |machine: &&Machine| machine.is_participant();
+    let machines: Vec<&Machine> = state.machines.iter().filter(is_voter).collect();
     let sets = 0u32..1 << machines.len();
     let majorities = sets
         .filter(|set| set.count_ones() as usize == state.majority())
@@ -77,9 +80,9 @@
             let chosen = machines
                 .iter()
                 .enumerate()
-                .filter(|(at, _)| set >> at & 1 == 1);
+                .filter(|(index, _)| set >> index & 1 == 1);
             let members: Vec<&Machine> = chosen.map(|(_, machine)| *machine).collect();
-            agree(&members).then_some(members)
+            is_consistent(&members).then_some(members)
         });
     majorities.into_iter().all(|members| {
         holds(
@@ -91,14 +94,14 @@
     })
 }
 
-fn agree(members: &[&Machine]) -> bool {
-    members.iter().enumerate().all(|(at, machine)| {
-        let twice = members[..at]
+fn is_consistent(members: &[&Machine]) -> bool {
+    members.iter().enumerate().all(|(index, machine)| {
+        let is_duplicate = members[..index]
             .iter()
             .any(|other| other.replica == machine.replica);
-        let old = members
+        let is_outdated = members
             .iter()
             .any(|other| Some(other.table[machine.replica]) > machine.incarnation);
-        !twice && !old
+        !is_duplicate && !is_outdated
     })
 }
--- a/crates/model-check/src/quorums.rs
+++ b/crates/model-check/src/quorums.rs
@@ -1,13 +1,13 @@
 //! Which votes make a quorum for who asked, and what it learns from them.
 
-use crate::numbers::{Ballot, Value};
-use crate::state::{Machine, REPLICAS, Speaker, State, Status, Table, put};
+use crate::packed_types::{Ballot, Value};
+use crate::state::{IncarnationTable, MAX_REPLICAS, Machine, Sender, State, Status, insert_sorted};
 
 /// A vote, as it is counted.
 #[derive(Clone, Copy, Debug)]
 pub struct Vote {
     /// Who votes.
-    pub by: Speaker,
+    pub sender: Sender,
     /// Highest promise there, where that is told.
     pub floor: Ballot,
     /// What was accepted there, where that is told.
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Quorum {
     /// The newest incarnations that any of them, or the one that asked, knows.
-    pub table: Table,
+    pub table: IncarnationTable,
     /// Highest promise.
     pub floor: Ballot,
     /// What was accepted under the highest ballot.
@@ -26,103 +26,114 @@
 }
 
 /// Adds up the votes that one machine hears.
-pub struct Counting<'a> {
+pub struct VoteCounter<'a> {
     state: &'a State,
     machine: usize,
-    need: usize,
+    required_votes: usize,
     /// By a planted fault, votes of old incarnations count.
-    old_counts: bool,
+    count_old_incarnations: bool,
 }
 
-impl<'a> Counting<'a> {
+impl<'a> VoteCounter<'a> {
     /// For a round that a machine leads.
-    pub fn round(state: &'a State, machine: usize, old_counts: bool) -> Counting<'a> {
-        Counting {
+    pub fn for_round(
+        state: &'a State,
+        machine: usize,
+        count_old_incarnations: bool,
+    ) -> VoteCounter<'a> {
+        VoteCounter {
             state,
             machine,
-            need: state.majority(),
-            old_counts,
+            required_votes: state.majority(),
+            count_old_incarnations,
         }
     }
 
     /// For a machine that rebuilds.
-    pub fn rebuild(state: &'a State, machine: usize, old_counts: bool) -> Counting<'a> {
-        Counting {
+    pub fn for_rebuild(
+        state: &'a State,
+        machine: usize,
+        count_old_incarnations: bool,
+    ) -> VoteCounter<'a> {
+        VoteCounter {
             state,
             machine,
-            need: state.others(),
-            old_counts,
+            required_votes: state.rebuild_quorum(),
+            count_old_incarnations,
         }
     }
 
-    fn own(&self) -> &Machine {
+    fn local_machine(&self) -> &Machine {
         &self.state.machines[self.machine]
     }
 
     /// What these votes tell together, if they are a quorum just now.
     pub fn quorum(&self, votes: &[Vote]) -> Option<Quorum> {
-        let own = self.own();
+        let local = self.local_machine();
         let mut quorum = Quorum {
-            table: own.table,
+            table: local.table,
             floor: Ballot::default(),
             accepted: None,
         };
         for vote in votes {
-            for (known, told) in quorum.table.iter_mut().zip(vote.by.table) {
-                *known = told.max(*known);
+            for (newest, reported) in quorum.table.iter_mut().zip(vote.sender.table) {
+                *newest = reported.max(*newest);
             }
             quorum.floor = quorum.floor.max(vote.floor);
             quorum.accepted = quorum.accepted.max(vote.accepted);
         }
-        let aside = own.status == Status::Member
-            && own
+        let is_superseded = local.status == Status::Member
+            && local
                 .incarnation
-                .is_some_and(|incarnation| quorum.table[own.replica] > incarnation);
-        let mut counted = [false; REPLICAS];
+                .is_some_and(|incarnation| quorum.table[local.replica] > incarnation);
+        let mut counted = [false; MAX_REPLICAS];
         for vote in votes {
-            let replica = self.state.machines[vote.by.machine].replica;
-            counted[replica] |= self.old_counts || quorum.table[replica] == vote.by.incarnation;
+            let replica = self.state.machines[vote.sender.machine].replica;
+            counted[replica] |=
+                self.count_old_incarnations || quorum.table[replica] == vote.sender.incarnation;
         }
         let counted = counted.iter().filter(|counted| **counted).count();
-        (!aside && counted >= self.need).then_some(quorum)
+        (!is_superseded && counted >= self.required_votes).then_some(quorum)
     }
 
     /// All quorums that can be heard, where any of the votes may be lost, larger ones than the code waits for
     /// included. Of one machine's votes the later one tells all that the one before does, so that one of each
     /// is enough.
     pub fn quorums(&self, votes: impl Iterator<Item = Vote>) -> Vec<Quorum> {
-        let own = self.own().replica;
-        let other = |vote: &Vote| vote.by.machine == self.machine || self.replica(vote) != own;
-        let votes: Vec<Vote> = votes.filter(other).collect();
-        let mut found = Vec::new();
-        if votes.len() >= self.need {
-            self.choose(&votes, &mut Vec::new(), &mut found);
+        let local_replica = self.local_machine().replica;
+        let may_count = |vote: &Vote| {
+            vote.sender.machine == self.machine || self.replica_of(vote) != local_replica
+        };
+        let votes: Vec<Vote> = votes.filter(may_count).collect();
+        let mut quorums = Vec::new();
+        if votes.len() >= self.required_votes {
+            self.enumerate(&votes, &mut Vec::new(), &mut quorums);
         }
-        found
+        quorums
     }
 
-    fn replica(&self, vote: &Vote) -> usize {
-        self.state.machines[vote.by.machine].replica
+    fn replica_of(&self, vote: &Vote) -> usize {
+        self.state.machines[vote.sender.machine].replica
     }
 
     /// `votes` are sorted by the machine that votes.
-    fn choose(&self, votes: &[Vote], taken: &mut Vec<Vote>, found: &mut Vec<Quorum>) {
+    fn enumerate(&self, votes: &[Vote], selected: &mut Vec<Vote>, quorums: &mut Vec<Quorum>) {
         let Some(first) = votes.first() else {
-            self.quorum(taken)
+            self.quorum(selected)
                 .into_iter()
-                .for_each(|quorum| put(found, quorum));
+                .for_each(|quorum| insert_sorted(quorums, quorum));
             return;
         };
-        let same = votes
+        let machine_votes = votes
             .iter()
-            .take_while(|vote| vote.by.machine == first.by.machine)
+            .take_while(|vote| vote.sender.machine == first.sender.machine)
             .count();
-        let (these, rest) = votes.split_at(same);
-        self.choose(rest, taken, found);
-        for vote in these {
-            taken.push(*vote);
-            self.choose(rest, taken, found);
-            taken.pop();
+        let (candidates, rest) = votes.split_at(machine_votes);
+        self.enumerate(rest, selected, quorums);
+        for vote in candidates {
+            selected.push(*vote);
+            self.enumerate(rest, selected, quorums);
+            selected.pop();
         }
     }
 }
@@ -131,48 +142,48 @@
     /// The promises that came for the round that a machine leads.
     pub fn promises_for(&self, machine: usize) -> impl Iterator<Item = Vote> {
         let ballot = self.machines[machine]
-            .leads
+            .led_round
             .as_ref()
             .map(|round| round.ballot);
-        let these = self
+        let replies = self
             .promises
             .iter()
             .filter(move |promise| Some(promise.ballot) == ballot);
-        these.map(|promise| Vote {
-            by: promise.by,
+        replies.map(|promise| Vote {
+            sender: promise.sender,
             floor: Ballot::default(),
             accepted: promise.accepted,
         })
     }
 
     /// The acceptances that came for the round that a machine leads.
-    pub fn accepted_for(&self, machine: usize) -> impl Iterator<Item = Vote> {
+    pub fn acceptances_for(&self, machine: usize) -> impl Iterator<Item = Vote> {
         let ballot = self.machines[machine]
-            .leads
+            .led_round
             .as_ref()
             .map(|round| round.ballot);
-        let these = self
-            .accepted
+        let replies = self
+            .acceptances
             .iter()
-            .filter(move |accepted| Some(accepted.ballot) == ballot);
-        these.map(|accepted| Vote {
-            by: accepted.by,
+            .filter(move |acceptance| Some(acceptance.ballot) == ballot);
+        replies.map(|acceptance| Vote {
+            sender: acceptance.sender,
             floor: Ballot::default(),
             accepted: None,
         })
     }
 
     /// The answers that came to a machine that rebuilds.
-    pub fn recorded_for(&self, machine: usize) -> impl Iterator<Item = Vote> {
+    pub fn incarnation_replies_for(&self, machine: usize) -> impl Iterator<Item = Vote> {
         let status = self.machines[machine].status;
-        let these = self
-            .recorded
+        let replies = self
+            .incarnation_replies
             .iter()
-            .filter(move |told| status == Status::Rebuilds(told.incarnation));
-        these.map(|told| Vote {
-            by: told.by,
-            floor: told.floor,
-            accepted: told.accepted,
+            .filter(move |reply| status == Status::Rebuilding(reply.incarnation));
+        replies.map(|reply| Vote {
+            sender: reply.sender,
+            floor: reply.floor,
+            accepted: reply.accepted,
         })
     }
 }
--- a/crates/model-check/src/state.rs
+++ b/crates/model-check/src/state.rs
@@ -4,17 +4,17 @@
 //! is lost, one that is taken twice was doubled, and any order of taking is a reordering: no steps of their
 //! own are needed for these.
 
-use crate::numbers::{Ballot, Incarnation, Value};
+use crate::packed_types::{Ballot, Incarnation, Value};
 
 /// Most replicas.
-pub const REPLICAS: usize = 5;
+pub const MAX_REPLICAS: usize = 5;
 
 /// The newest incarnation that is known of each replica.
-pub type Table = [Incarnation; REPLICAS];
+pub type IncarnationTable = [Incarnation; MAX_REPLICAS];
 
 /// What a round is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Want {
+pub enum Goal {
     /// This is to be in force.
     Write(Value),
     /// What was accepted is to be finished.
@@ -25,13 +25,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Round {
     /// What it is for.
-    pub want: Want,
+    pub goal: Goal,
     /// Its ballot.
     pub ballot: Ballot,
     /// What it asks to accept; none while it asks for promises.
     pub proposed: Option<Value>,
     /// Acknowledged once that is chosen.
-    pub acknowledges: Option<Value>,
+    pub to_acknowledge: Option<Value>,
 }
 
 /// Whether a machine votes.
@@ -40,7 +40,7 @@
     /// Not there yet.
     Absent,
     /// It rebuilds, towards this incarnation.
-    Rebuilds(Incarnation),
+    Rebuilding(Incarnation),
     /// It holds an incarnation.
     Member,
 }
@@ -57,9 +57,9 @@
     /// Starts of its process in this incarnation, as far as they matter.
     pub run: u8,
     /// Highest round that its process has proposed with.
-    pub round: u8,
+    pub last_round: u8,
     /// The incarnations that it knows.
-    pub table: Table,
+    pub table: IncarnationTable,
     /// Nothing below this is accepted any more.
     pub promised: Ballot,
     /// The same as on disk: less only where that fault is planted.
@@ -69,18 +69,18 @@
     /// What it knows to be chosen.
     pub chosen: Option<(Ballot, Value)>,
     /// The round that it leads.
-    pub leads: Option<Round>,
+    pub led_round: Option<Round>,
     /// Its disk was lost or never held anything, and it has not rebuilt since.
-    pub hollow: bool,
+    pub needs_rebuild: bool,
 }
 
 impl Machine {
     /// A machine that has voted from the first start on.
-    pub fn first(replica: usize) -> Machine {
+    pub fn initial(replica: usize) -> Machine {
         Machine {
             status: Status::Member,
             incarnation: Some(Incarnation::FIRST),
-            hollow: false,
+            needs_rebuild: false,
             ..Machine::empty(replica, Status::Absent)
         }
     }
@@ -92,32 +92,38 @@
             status,
             incarnation: None,
             run: 0,
-            round: 0,
-            table: [Incarnation::FIRST; REPLICAS],
+            last_round: 0,
+            table: [Incarnation::FIRST; MAX_REPLICAS],
             promised: Ballot::default(),
             promised_on_disk: Ballot::default(),
             accepted: None,
             chosen: None,
-            leads: None,
-            hollow: true,
+            led_round: None,
+            needs_rebuild: true,
         }
     }
 
     /// A newer incarnation of its replica is known to it.
-    pub fn aside(&self) -> bool {
+    pub fn is_superseded(&self) -> bool {
         self.status == Status::Member
             && self
                 .incarnation
-                .is_some_and(|own| self.table[self.replica] > own)
+                .is_some_and(|current| self.table[self.replica] > current)
     }
 
     /// An incarnation is one that makes this machine begin another one: it rebuilds and this one is newer, or
     /// it began this one itself.
-    pub fn hears_own(&self, machine: usize, replica: usize, incarnation: Incarnation) -> bool {
+    pub fn begins_new_incarnation_on(
+        &self,
+        machine: usize,
+        replica: usize,
+        incarnation: Incarnation,
+    ) -> bool {
         let newer = match self.status {
-            Status::Rebuilds(wanted) => incarnation > wanted,
+            Status::Rebuilding(wanted) => incarnation > wanted,
             _ => {
-                self.incarnation.is_some_and(|own| incarnation > own)
+                self.incarnation
+                    .is_some_and(|current| incarnation > current)
                     && incarnation.machine() == machine
             }
         };
@@ -125,25 +131,25 @@
     }
 
     /// Something would be lost or undone if its process ended now.
-    pub fn forgets(&self) -> bool {
-        self.leads.is_some() || self.aside() || self.promised != self.promised_on_disk
+    pub fn loses_state_on_restart(&self) -> bool {
+        self.led_round.is_some() || self.is_superseded() || self.promised != self.promised_on_disk
     }
 
     /// It votes and proposes.
-    pub fn takes_part(&self) -> bool {
-        self.status == Status::Member && !self.aside()
+    pub fn is_participant(&self) -> bool {
+        self.status == Status::Member && !self.is_superseded()
     }
 }
 
 /// Who speaks, and the incarnations that it knew then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Speaker {
+pub struct Sender {
     /// The machine.
     pub machine: usize,
     /// The incarnation that it votes for.
     pub incarnation: Incarnation,
     /// What it knows.
-    pub table: Table,
+    pub table: IncarnationTable,
 }
 
 /// A promise, on its way to who proposes.
@@ -152,27 +158,27 @@
     /// The proposal.
     pub ballot: Ballot,
     /// Who promises.
-    pub by: Speaker,
+    pub sender: Sender,
     /// What was accepted there.
     pub accepted: Option<(Ballot, Value)>,
 }
 
 /// An acceptance, on its way to who proposes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Accepted {
+pub struct Acceptance {
     /// The proposal.
     pub ballot: Ballot,
     /// Who accepts.
-    pub by: Speaker,
+    pub sender: Sender,
 }
 
 /// An answer to a machine that rebuilds: its incarnation is written down, and this is all there is.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Recorded {
+pub struct IncarnationReply {
     /// The incarnation.
     pub incarnation: Incarnation,
     /// Who has written it down.
-    pub by: Speaker,
+    pub sender: Sender,
     /// Highest promise there.
     pub floor: Ballot,
     /// What was accepted there.
@@ -185,23 +191,23 @@
     /// The machines: that of each replica, and behind them the one that replaces another.
     pub machines: Vec<Machine>,
     /// Rounds that were begun.
-    pub begun: u8,
+    pub rounds_begun: u8,
     /// Processes that have started again.
     pub restarts: u8,
     /// Disks that were lost.
-    pub losses: u8,
+    pub disk_losses: u8,
     /// Ballots for which promises were asked.
-    pub prepares: Vec<Ballot>,
+    pub prepare_requests: Vec<Ballot>,
     /// What was asked to be accepted.
-    pub accepts: Vec<(Ballot, Value)>,
+    pub accept_requests: Vec<(Ballot, Value)>,
     /// Promises that are still waited for.
     pub promises: Vec<Promise>,
     /// Acceptances that are still waited for.
-    pub accepted: Vec<Accepted>,
+    pub acceptances: Vec<Acceptance>,
     /// Incarnations that were asked to be written down, by replica.
-    pub records: Vec<(usize, Incarnation)>,
+    pub incarnation_requests: Vec<(usize, Incarnation)>,
     /// Answers to these that are still waited for.
-    pub recorded: Vec<Recorded>,
+    pub incarnation_replies: Vec<IncarnationReply>,
     /// What some proposer saw accepted by a majority.
     pub chosen: Vec<(Ballot, Value)>,
     /// What was acknowledged to operators.
@@ -213,21 +219,24 @@
     ///
     /// # Panics
     /// There are more replicas than the state has room for.
-    pub fn first(replicas: usize) -> State {
-        assert!((1..=REPLICAS).contains(&replicas), "one to five replicas");
-        let mut machines: Vec<Machine> = (0..replicas).map(Machine::first).collect();
+    pub fn initial(replicas: usize) -> State {
+        assert!(
+            (1..=MAX_REPLICAS).contains(&replicas),
+            "one to five replicas"
+        );
+        let mut machines: Vec<Machine> = (0..replicas).map(Machine::initial).collect();
         machines.push(Machine::empty(0, Status::Absent));
         State {
             machines,
-            begun: 0,
+            rounds_begun: 0,
             restarts: 0,
-            losses: 0,
-            prepares: Vec::new(),
-            accepts: Vec::new(),
+            disk_losses: 0,
+            prepare_requests: Vec::new(),
+            accept_requests: Vec::new(),
             promises: Vec::new(),
-            accepted: Vec::new(),
-            records: Vec::new(),
-            recorded: Vec::new(),
+            acceptances: Vec::new(),
+            incarnation_requests: Vec::new(),
+            incarnation_replies: Vec::new(),
             chosen: Vec::new(),
             acknowledged: Vec::new(),
         }
@@ -244,36 +253,39 @@
     }
 
     /// More than half of the other replicas, which a machine that rebuilds needs.
-    pub fn others(&self) -> usize {
+    pub fn rebuild_quorum(&self) -> usize {
         let others = self.replicas() - 1;
         (others / 2 + 1).min(others)
     }
 
     /// Forgets messages that nobody would take any more: so that states that differ in nothing else are one.
-    pub fn tidy(&mut self) {
+    pub fn discard_stale_messages(&mut self) {
         let machines = &self.machines;
-        let leads = |ballot: Ballot, accepting: bool| {
-            let rounds = machines.iter().filter_map(|machine| machine.leads.as_ref());
+        let is_led = |ballot: Ballot, accepting: bool| {
+            let rounds = machines
+                .iter()
+                .filter_map(|machine| machine.led_round.as_ref());
             rounds
                 .clone()
                 .any(|round| round.ballot == ballot && round.proposed.is_some() == accepting)
         };
-        self.promises.retain(|promise| leads(promise.ballot, false));
-        self.accepted
-            .retain(|accepted| leads(accepted.ballot, true));
-        let rebuilds = |incarnation| {
+        self.promises
+            .retain(|promise| is_led(promise.ballot, false));
+        self.acceptances
+            .retain(|acceptance| is_led(acceptance.ballot, true));
+        let is_rebuilding = |incarnation| {
             machines
                 .iter()
-                .any(|m| m.status == Status::Rebuilds(incarnation))
+                .any(|machine| machine.status == Status::Rebuilding(incarnation))
         };
-        self.recorded
-            .retain(|recorded| rebuilds(recorded.incarnation));
+        self.incarnation_replies
+            .retain(|reply| is_rebuilding(reply.incarnation));
     }
 }
 
 /// Puts something into a sorted list, once.
-pub fn put<T: Ord>(list: &mut Vec<T>, item: T) {
-    if let Err(at) = list.binary_search(&item) {
-        list.insert(at, item);
+pub fn insert_sorted<T: Ord>(list: &mut Vec<T>, item: T) {
+    if let Err(index) = list.binary_search(&item) {
+        list.insert(index, item);
     }
 }
--- a/crates/model-check/src/steps.rs
+++ b/crates/model-check/src/steps.rs
@@ -3,10 +3,11 @@
 
 use std::str::FromStr;
 
-use crate::numbers::{Ballot, Incarnation, Value};
+use crate::packed_types::{Ballot, Incarnation, Value};
 use crate::quorums::Quorum;
 use crate::state::{
-    Accepted, Machine, Promise, Recorded, Round, Speaker, State, Status, Table, Want, put,
+    Acceptance, Goal, IncarnationReply, IncarnationTable, Machine, Promise, Round, Sender, State,
+    Status, insert_sorted,
 };
 
 /// A fault that is planted into the steps, to see that the checker finds it.
@@ -55,15 +56,15 @@
 
 /// What a machine answers to a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Response {
     /// It promises, and has accepted this before.
-    Promises(Option<(Ballot, Value)>),
+    Promised(Option<(Ballot, Value)>),
     /// It accepts.
-    Accepts,
+    Accepted,
     /// It has promised something to a higher one.
-    Refuses(Ballot),
+    Rejected(Ballot),
     /// Nothing: the proposal is not for it, or of an incarnation that it knows to be an old one.
-    Silent,
+    Ignored,
 }
 
 /// What a proposer makes of the promises of a majority.
@@ -72,88 +73,89 @@
     /// To be accepted; nothing where that is chosen already.
     pub proposed: Option<Value>,
     /// To be acknowledged once that is chosen.
-    pub acknowledges: Option<Value>,
+    pub to_acknowledge: Option<Value>,
 }
 
 /// What to propose for what is wanted, in place of what was found.
 pub fn decide(
-    want: Want,
+    goal: Goal,
     found: Option<Value>,
     chosen: Option<Value>,
     fault: Option<Fault>,
 ) -> Decision {
-    let open = found.filter(|found| chosen.is_none_or(|chosen| chosen.version() < found.version()));
-    let stands = chosen
-        .filter(|_| open.is_none() && fault != Some(Fault::FoundBeforeChosen))
+    let unchosen =
+        found.filter(|found| chosen.is_none_or(|chosen| chosen.version() < found.version()));
+    let current = chosen
+        .filter(|_| unchosen.is_none() && fault != Some(Fault::FoundBeforeChosen))
         .or(found);
-    let Want::Write(wanted) = want else {
+    let Goal::Write(wanted) = goal else {
         return Decision {
-            proposed: open,
-            acknowledges: None,
+            proposed: unchosen,
+            to_acknowledge: None,
         };
     };
-    match stands {
+    match current {
         Some(found) if found.version() == wanted.version() && found != wanted => Decision {
-            proposed: open,
-            acknowledges: None,
+            proposed: unchosen,
+            to_acknowledge: None,
         },
         Some(found) if found.version() >= wanted.version() => Decision {
-            proposed: open,
-            acknowledges: Some(wanted),
+            proposed: unchosen,
+            to_acknowledge: Some(wanted),
         },
         _ => Decision {
             proposed: Some(wanted),
-            acknowledges: Some(wanted),
+            to_acknowledge: Some(wanted),
         },
     }
 }
 
 impl State {
     /// A machine begins a round; what it led before is given up.
-    pub fn begin(&mut self, machine: usize, want: Want, round: u8) -> Ballot {
-        let at = &mut self.machines[machine];
+    pub fn begin_round(&mut self, machine: usize, goal: Goal, round: u8) -> Ballot {
+        let local = &mut self.machines[machine];
         let ballot = Ballot::new(
             round,
-            at.replica,
-            at.incarnation.unwrap_or_default(),
-            at.run,
+            local.replica,
+            local.incarnation.unwrap_or_default(),
+            local.run,
         );
-        at.round = round;
-        at.leads = Some(Round {
-            want,
+        local.last_round = round;
+        local.led_round = Some(Round {
+            goal,
             ballot,
             proposed: None,
-            acknowledges: None,
+            to_acknowledge: None,
         });
-        put(&mut self.prepares, ballot);
-        self.begun += 1;
+        insert_sorted(&mut self.prepare_requests, ballot);
+        self.rounds_begun += 1;
         ballot
     }
 
     /// A machine takes a proposal's message in, and learns of who proposes. Gives whether it deals with it.
-    fn deals_with(&mut self, machine: usize, ballot: Ballot, proposed: Option<Value>) -> bool {
-        let at = &self.machines[machine];
-        if ballot.replica() == at.replica {
+    fn admits_proposal(&mut self, machine: usize, ballot: Ballot, proposed: Option<Value>) -> bool {
+        let local = &self.machines[machine];
+        if ballot.replica() == local.replica {
             // A process asks itself without a message, and only for a round that it leads.
-            let own = |round: &Round| round.ballot == ballot && round.proposed == proposed;
-            return at.takes_part() && at.leads.as_ref().is_some_and(own);
+            let is_led = |round: &Round| round.ballot == ballot && round.proposed == proposed;
+            return local.is_participant() && local.led_round.as_ref().is_some_and(is_led);
         }
-        if !at.takes_part() || at.table[ballot.replica()] > ballot.incarnation() {
+        if !local.is_participant() || local.table[ballot.replica()] > ballot.incarnation() {
             return false;
         }
         self.machines[machine].table[ballot.replica()] = ballot.incarnation();
         true
     }
 
-    fn speaker(&self, machine: usize, fault: Option<Fault>) -> Speaker {
-        let at = &self.machines[machine];
-        let incarnation = at.incarnation.unwrap_or_default();
-        let mut table = at.table;
+    fn sender(&self, machine: usize, fault: Option<Fault>) -> Sender {
+        let local = &self.machines[machine];
+        let incarnation = local.incarnation.unwrap_or_default();
+        let mut table = local.table;
         if fault == Some(Fault::TableNotTold) {
-            table = Table::default();
-            table[at.replica] = incarnation;
+            table = IncarnationTable::default();
+            table[local.replica] = incarnation;
         }
-        Speaker {
+        Sender {
             machine,
             incarnation,
             table,
@@ -161,29 +163,29 @@
     }
 
     /// A machine is asked for a promise.
-    pub fn prepare(&mut self, machine: usize, ballot: Ballot, fault: Option<Fault>) -> Verdict {
-        if !self.deals_with(machine, ballot, None) {
-            return Verdict::Silent;
+    pub fn prepare(&mut self, machine: usize, ballot: Ballot, fault: Option<Fault>) -> Response {
+        if !self.admits_proposal(machine, ballot, None) {
+            return Response::Ignored;
         }
-        let at = &mut self.machines[machine];
-        if at.promised > ballot {
-            return Verdict::Refuses(at.promised);
+        let local = &mut self.machines[machine];
+        if local.promised > ballot {
+            return Response::Rejected(local.promised);
         }
-        at.promised = ballot;
+        local.promised = ballot;
         if fault != Some(Fault::PromiseNotOnDisk) {
-            at.promised_on_disk = ballot;
+            local.promised_on_disk = ballot;
         }
-        let accepted = at.accepted;
-        let by = self.speaker(machine, fault);
-        put(
+        let accepted = local.accepted;
+        let sender = self.sender(machine, fault);
+        insert_sorted(
             &mut self.promises,
             Promise {
                 ballot,
-                by,
+                sender,
                 accepted,
             },
         );
-        Verdict::Promises(accepted)
+        Response::Promised(accepted)
     }
 
     /// A machine is asked to accept.
@@ -193,84 +195,88 @@
         ballot: Ballot,
         value: Value,
         fault: Option<Fault>,
-    ) -> Verdict {
-        if !self.deals_with(machine, ballot, Some(value)) {
-            return Verdict::Silent;
+    ) -> Response {
+        if !self.admits_proposal(machine, ballot, Some(value)) {
+            return Response::Ignored;
         }
-        let at = &mut self.machines[machine];
-        if at.promised > ballot {
-            return Verdict::Refuses(at.promised);
+        let local = &mut self.machines[machine];
+        if local.promised > ballot {
+            return Response::Rejected(local.promised);
         }
-        (at.promised, at.promised_on_disk) = (ballot, ballot);
-        at.accepted = Some((ballot, value));
-        let by = self.speaker(machine, fault);
-        put(&mut self.accepted, Accepted { ballot, by });
-        Verdict::Accepts
+        (local.promised, local.promised_on_disk) = (ballot, ballot);
+        local.accepted = Some((ballot, value));
+        let sender = self.sender(machine, fault);
+        insert_sorted(&mut self.acceptances, Acceptance { ballot, sender });
+        Response::Accepted
     }
 
     /// A proposer has the promises of a majority.
-    pub fn promised(
+    pub fn handle_promises(
         &mut self,
         machine: usize,
         quorum: &Quorum,
         fault: Option<Fault>,
     ) -> Option<Decision> {
         // What it has heard of incarnations by that may be lost with its process: it can do more without.
-        let at = &mut self.machines[machine];
-        let chosen = at.chosen.map(|(_, value)| value);
-        let round = at.leads.as_mut().filter(|round| round.proposed.is_none())?;
+        let local = &mut self.machines[machine];
+        let chosen = local.chosen.map(|(_, value)| value);
+        let round = local
+            .led_round
+            .as_mut()
+            .filter(|round| round.proposed.is_none())?;
         let decision = decide(
-            round.want,
+            round.goal,
             quorum.accepted.map(|(_, value)| value),
             chosen,
             fault,
         );
         match decision.proposed {
             Some(value) => {
-                (round.proposed, round.acknowledges) = (Some(value), decision.acknowledges);
+                (round.proposed, round.to_acknowledge) = (Some(value), decision.to_acknowledge);
                 let ballot = round.ballot;
-                put(&mut self.accepts, (ballot, value));
+                insert_sorted(&mut self.accept_requests, (ballot, value));
             }
             None => {
-                at.leads = None;
+                local.led_round = None;
                 decision
-                    .acknowledges
+                    .to_acknowledge
                     .into_iter()
-                    .for_each(|value| put(&mut self.acknowledged, value));
+                    .for_each(|value| insert_sorted(&mut self.acknowledged, value));
             }
         }
         Some(decision)
     }
 
     /// A proposer hears that a majority has accepted.
-    pub fn accepted(&mut self, machine: usize) -> Option<Value> {
-        let at = &mut self.machines[machine];
-        let round = at.leads.take()?;
+    pub fn handle_acceptances(&mut self, machine: usize) -> Option<Value> {
+        let local = &mut self.machines[machine];
+        let round = local.led_round.take()?;
         let value = round.proposed?;
-        put(&mut self.chosen, (round.ballot, value));
+        insert_sorted(&mut self.chosen, (round.ballot, value));
         round
-            .acknowledges
+            .to_acknowledge
             .into_iter()
-            .for_each(|value| put(&mut self.acknowledged, value));
-        self.learn(machine, round.ballot, value);
+            .for_each(|value| insert_sorted(&mut self.acknowledged, value));
+        self.learn_chosen(machine, round.ballot, value);
         Some(value)
     }
 
     /// A machine is told what is chosen. Gives whether that changes anything.
-    pub fn learn(&mut self, machine: usize, ballot: Ballot, value: Value) -> bool {
-        let at = &mut self.machines[machine];
-        let known = at.chosen.is_some_and(|(known, old)| {
-            old.version() > value.version() || (old.version() == value.version() && known >= ballot)
+    pub fn learn_chosen(&mut self, machine: usize, ballot: Ballot, value: Value) -> bool {
+        let local = &mut self.machines[machine];
+        let known = local.chosen.is_some_and(|(known, old_value)| {
+            old_value.version() > value.version()
+                || (old_value.version() == value.version() && known >= ballot)
         });
-        if !at.takes_part() || known {
+        if !local.is_participant() || known {
             return false;
         }
-        at.chosen = Some((ballot, value));
-        if at.accepted.is_none_or(|(accepted, _)| accepted < ballot) {
-            at.accepted = Some((ballot, value));
+        local.chosen = Some((ballot, value));
+        if local.accepted.is_none_or(|(accepted, _)| accepted < ballot) {
+            local.accepted = Some((ballot, value));
             // As the code's `Registers::adopt`: a late proposal from before it is not accepted in its place.
-            at.promised = at.promised.max(ballot);
-            at.promised_on_disk = at.promised_on_disk.max(ballot);
+            local.promised = local.promised.max(ballot);
+            local.promised_on_disk = local.promised_on_disk.max(ballot);
         }
         true
     }
@@ -278,108 +284,110 @@
     /// A machine hears of an incarnation, by any message. `rank` is that of the incarnation that it wants
     /// then, if any; without one it does not hear, of one that it began itself, that its own address is told
     /// with it.
-    pub fn hear(
+    pub fn learn_incarnation(
         &mut self,
         machine: usize,
         replica: usize,
         incarnation: Incarnation,
         rank: Option<u8>,
     ) {
-        let at = &mut self.machines[machine];
-        at.table[replica] = at.table[replica].max(incarnation);
-        if replica != at.replica {
+        let local = &mut self.machines[machine];
+        local.table[replica] = local.table[replica].max(incarnation);
+        if replica != local.replica {
             return;
         }
         // It began this one itself, and lost its disk before it ended that: nobody else has it.
-        let abandoned = at.aside() && incarnation.machine() == machine;
-        if at.aside() {
-            at.leads = None;
+        let abandoned = local.is_superseded() && incarnation.machine() == machine;
+        if local.is_superseded() {
+            local.led_round = None;
         }
-        let overtaken = matches!(at.status, Status::Rebuilds(wanted) if at.table[replica] > wanted);
+        let overtaken =
+            matches!(local.status, Status::Rebuilding(pending) if local.table[replica] > pending);
         if let Some(rank) = rank.filter(|_| abandoned || overtaken) {
-            self.want(machine, incarnation.number() + 1, rank);
+            self.begin_incarnation(machine, incarnation.number() + 1, rank);
         }
     }
 
-    fn want(&mut self, machine: usize, number: u16, rank: u8) {
+    fn begin_incarnation(&mut self, machine: usize, number: u16, rank: u8) {
         let incarnation = Incarnation::new(number, rank, machine);
-        let at = &mut self.machines[machine];
-        at.status = Status::Rebuilds(incarnation);
-        let replica = at.replica;
-        put(&mut self.records, (replica, incarnation));
+        let local = &mut self.machines[machine];
+        local.status = Status::Rebuilding(incarnation);
+        let replica = local.replica;
+        insert_sorted(&mut self.incarnation_requests, (replica, incarnation));
     }
 
     /// A machine without a disk of its replica's: it rebuilds, or by a planted fault votes.
-    fn start_empty(&mut self, machine: usize, rank: u8, fault: Option<Fault>) {
+    fn start_with_empty_disk(&mut self, machine: usize, rank: u8, fault: Option<Fault>) {
         let replica = self.machines[machine].replica;
         if fault == Some(Fault::EmptyVotes) {
             self.machines[machine] = Machine {
-                hollow: true,
-                ..Machine::first(replica)
+                needs_rebuild: true,
+                ..Machine::initial(replica)
             };
             return;
         }
         self.machines[machine] = Machine::empty(replica, Status::Absent);
-        self.want(machine, Incarnation::FIRST.number() + 1, rank);
+        self.begin_incarnation(machine, Incarnation::FIRST.number() + 1, rank);
     }
 
     /// A process ends, and starts again with what is on its disk.
     pub fn restart(&mut self, machine: usize, rank: u8, fault: Option<Fault>) {
         self.restarts += 1;
         let Some(incarnation) = self.machines[machine].incarnation else {
-            return self.start_empty(machine, rank, fault);
+            return self.start_with_empty_disk(machine, rank, fault);
         };
-        let at = &mut self.machines[machine];
-        let used = |ballot: &Ballot| {
+        let local = &mut self.machines[machine];
+        let has_proposed = |ballot: &Ballot| {
             (ballot.replica(), ballot.incarnation(), ballot.run())
-                == (at.replica, incarnation, at.run)
+                == (local.replica, incarnation, local.run)
         };
         // Runs are told apart only where one has proposed something.
-        if fault != Some(Fault::RunNotCounted) && self.prepares.iter().any(used) {
-            at.run += 1;
+        if fault != Some(Fault::RunNotCounted) && self.prepare_requests.iter().any(has_proposed) {
+            local.run += 1;
         }
-        at.status = Status::Member;
-        at.table[at.replica] = incarnation;
-        at.promised = at.promised_on_disk;
-        if at.round > 0 {
-            at.round = at.promised.round();
+        local.status = Status::Member;
+        local.table[local.replica] = incarnation;
+        local.promised = local.promised_on_disk;
+        if local.last_round > 0 {
+            local.last_round = local.promised.round();
         }
-        at.leads = None;
+        local.led_round = None;
     }
 
     /// A machine loses its disk, and starts again.
     pub fn lose_disk(&mut self, machine: usize, rank: u8, fault: Option<Fault>) {
-        self.losses += 1;
-        self.start_empty(machine, rank, fault);
+        self.disk_losses += 1;
+        self.start_with_empty_disk(machine, rank, fault);
     }
 
     /// A machine with an empty disk starts for a replica; the one that it replaces may go on for a while.
     pub fn replace(&mut self, replica: usize, rank: u8, fault: Option<Fault>) {
         let machine = self.replicas();
         self.machines[machine].replica = replica;
-        self.start_empty(machine, rank, fault);
+        self.start_with_empty_disk(machine, rank, fault);
     }
 
     /// A machine is asked to write down that an incarnation begins. Gives whether it does.
-    pub fn record(
+    pub fn record_incarnation(
         &mut self,
         machine: usize,
         replica: usize,
         incarnation: Incarnation,
         fault: Option<Fault>,
     ) -> bool {
-        let at = &mut self.machines[machine];
-        if !at.takes_part() || at.replica == replica || at.table[replica] > incarnation {
+        let local = &mut self.machines[machine];
+        if !local.is_participant() || local.replica == replica || local.table[replica] > incarnation
+        {
             return false;
         }
-        at.table[replica] = incarnation;
-        let (floor, accepted) = (at.promised, at.accepted);
-        let by = self.speaker(machine, fault);
-        put(
-            &mut self.recorded,
-            Recorded {
+        local.table[replica] = incarnation;
+        let (floor, accepted) = (local.promised, local.accepted);
+        let sender = self.sender(machine, fault);
+        insert_sorted(
+            &mut self.incarnation_replies,
+            IncarnationReply {
                 incarnation,
-                by,
+                sender,
                 floor,
                 accepted,
             },
@@ -389,23 +397,28 @@
 
     /// A machine has gathered what a majority of the others held, and takes part from now on.
     pub fn rebuild(&mut self, machine: usize, quorum: &Quorum, fault: Option<Fault>) {
-        let at = &mut self.machines[machine];
-        let Status::Rebuilds(incarnation) = at.status else {
+        let local = &mut self.machines[machine];
+        let Status::Rebuilding(incarnation) = local.status else {
             return;
         };
-        at.table = quorum.table;
-        at.table[at.replica] = at.table[at.replica].max(incarnation);
+        local.table = quorum.table;
+        local.table[local.replica] = local.table[local.replica].max(incarnation);
         if fault != Some(Fault::NoFloor) {
-            at.promised = at.promised.max(quorum.floor);
-            at.promised_on_disk = at.promised;
+            local.promised = local.promised.max(quorum.floor);
+            local.promised_on_disk = local.promised;
         }
-        at.accepted = at.accepted.max(quorum.accepted);
+        local.accepted = local.accepted.max(quorum.accepted);
         // What is taken over is promised to its proposal, as where a machine learns.
         if let Some((ballot, _)) = quorum.accepted {
-            at.promised = at.promised.max(ballot);
-            at.promised_on_disk = at.promised;
+            local.promised = local.promised.max(ballot);
+            local.promised_on_disk = local.promised;
         }
-        (at.status, at.incarnation) = (Status::Member, Some(incarnation));
-        (at.run, at.round, at.leads, at.hollow) = (0, 0, None, false);
+        (local.status, local.incarnation) = (Status::Member, Some(incarnation));
+        (
+            local.run,
+            local.last_round,
+            local.led_round,
+            local.needs_rebuild,
+        ) = (0, 0, None, false);
     }
 }
--- a/crates/model-check/src/symmetry.rs
+++ b/crates/model-check/src/symmetry.rs
@@ -3,77 +3,90 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use crate::bounds::Bounds;
-use crate::state::{Machine, Speaker, State};
+use crate::state::{Machine, Sender, State};
 
 impl Bounds {
     /// Machines that only vote: none of them proposes, is replaced or loses its disk, so that no ballot, no
     /// incarnation but the first and no table of incarnations tells them apart.
-    fn alike(&self) -> Vec<usize> {
-        let writes = |machine: usize| self.writers.iter().any(|(writer, _)| *writer == machine);
-        let differs =
-            |machine: usize| self.wiped.contains(&machine) || self.replaced == Some(machine);
+    fn interchangeable_machines(&self) -> Vec<usize> {
+        let is_writer = |machine: usize| self.writers.iter().any(|(writer, _)| *writer == machine);
+        let is_special = |machine: usize| {
+            self.wipeable_machines.contains(&machine) || self.replaced_replica == Some(machine)
+        };
         (0..self.replicas)
-            .filter(|machine| !writes(*machine) && !differs(*machine))
+            .filter(|machine| !is_writer(*machine) && !is_special(*machine))
             .collect()
     }
 
     /// Numbers the machines that are alike by what they hold and what they have said. Where two have the same
     /// key any order will do: then at worst two states that are alike are both explored.
-    pub fn number(&self, state: &mut State) {
-        let alike = self.alike();
-        let mut sorted = alike.clone();
-        sorted.sort_by_cached_key(|machine| key(state, *machine));
-        if sorted == alike {
+    pub fn canonicalize(&self, state: &mut State) {
+        let interchangeable = self.interchangeable_machines();
+        let mut sorted = interchangeable.clone();
+        sorted.sort_by_cached_key(|machine| symmetry_key(state, *machine));
+        if sorted == interchangeable {
             return;
         }
-        let mut numbers: Vec<usize> = (0..state.machines.len()).collect();
+        let mut new_index: Vec<usize> = (0..state.machines.len()).collect();
         let machines = state.machines.clone();
-        for (to, from) in alike.into_iter().zip(sorted) {
-            numbers[from] = to;
+        for (to, from) in interchangeable.into_iter().zip(sorted) {
+            new_index[from] = to;
             state.machines[to] = Machine {
                 replica: to,
                 ..machines[from].clone()
             };
         }
-        let rename = |by: &mut Speaker| by.machine = numbers[by.machine];
+        let renumber = |sender: &mut Sender| sender.machine = new_index[sender.machine];
         state
             .promises
             .iter_mut()
-            .for_each(|promise| rename(&mut promise.by));
+            .for_each(|promise| renumber(&mut promise.sender));
         state
-            .accepted
+            .acceptances
             .iter_mut()
-            .for_each(|accepted| rename(&mut accepted.by));
+            .for_each(|acceptance| renumber(&mut acceptance.sender));
         state
-            .recorded
+            .incarnation_replies
             .iter_mut()
-            .for_each(|recorded| rename(&mut recorded.by));
+            .for_each(|reply| renumber(&mut reply.sender));
         state.promises.sort_unstable();
-        state.accepted.sort_unstable();
-        state.recorded.sort_unstable();
+        state.acceptances.sort_unstable();
+        state.incarnation_replies.sort_unstable();
     }
 }
 
-fn key(state: &State, machine: usize) -> u64 {
+fn symmetry_key(state: &State, machine: usize) -> u64 {
     let mut hasher = DefaultHasher::new();
     Machine {
         replica: 0,
         ..state.machines[machine].clone()
     }
     .hash(&mut hasher);
-    let by = |speaker: &Speaker| speaker.machine == machine;
-    for promise in state.promises.iter().filter(|promise| by(&promise.by)) {
-        (promise.ballot, promise.accepted, promise.by.table).hash(&mut hasher);
+    let is_sender = |sender: &Sender| sender.machine == machine;
+    for promise in state
+        .promises
+        .iter()
+        .filter(|promise| is_sender(&promise.sender))
+    {
+        (promise.ballot, promise.accepted, promise.sender.table).hash(&mut hasher);
     }
-    for accepted in state.accepted.iter().filter(|accepted| by(&accepted.by)) {
-        (accepted.ballot, accepted.by.table).hash(&mut hasher);
+    for acceptance in state
+        .acceptances
+        .iter()
+        .filter(|acceptance| is_sender(&acceptance.sender))
+    {
+        (acceptance.ballot, acceptance.sender.table).hash(&mut hasher);
     }
-    for recorded in state.recorded.iter().filter(|recorded| by(&recorded.by)) {
+    for reply in state
+        .incarnation_replies
+        .iter()
+        .filter(|reply| is_sender(&reply.sender))
+    {
         (
-            recorded.incarnation,
-            recorded.floor,
-            recorded.accepted,
-            recorded.by.table,
+            reply.incarnation,
+            reply.floor,
+            reply.accepted,
+            reply.sender.table,
         )
             .hash(&mut hasher);
     }
--- a/crates/model-check/tests/faults.rs
+++ b/crates/model-check/tests/faults.rs
@@ -1,14 +1,14 @@
 //! Planted faults are found, each with the fewest steps to where it shows.
 
 use model_check::bounds::Bounds;
-use model_check::exploration::shortest;
-use model_check::named;
-use model_check::properties::{HOLLOW, KEPT, ONE_CONTENT};
+use model_check::exploration::shortest_violation;
+use model_check::named_bounds;
+use model_check::properties::{AGREEMENT, DURABILITY, NO_UNREBUILT_PARTICIPANT};
 use model_check::steps::Fault;
 use test_case::test_case;
 
 fn planted(name: &str, fault: Fault) -> Bounds {
-    let named = named::all()
+    let named = named_bounds::all()
         .into_iter()
         .find(|named| named.name == name)
         .expect("named bounds");
@@ -18,16 +18,16 @@
     }
 }
 
-#[test_case("lost-3", Fault::EmptyVotes, HOLLOW)]
-#[test_case("lost-3", Fault::EmptyVotes, ONE_CONTENT)]
-#[test_case("conflict-restart-3", Fault::PromiseNotOnDisk, ONE_CONTENT)]
-#[test_case("replaced-3", Fault::OldIncarnationCounts, ONE_CONTENT)]
-#[test_case("replaced-3", Fault::TableNotTold, ONE_CONTENT)]
-#[test_case("one-machine-3", Fault::RunNotCounted, KEPT)]
-#[test_case("lost-3", Fault::NoFloor, ONE_CONTENT)]
-#[test_case("restarts-3", Fault::FoundBeforeChosen, KEPT)]
+#[test_case("lost-3", Fault::EmptyVotes, NO_UNREBUILT_PARTICIPANT)]
+#[test_case("lost-3", Fault::EmptyVotes, AGREEMENT)]
+#[test_case("conflict-restart-3", Fault::PromiseNotOnDisk, AGREEMENT)]
+#[test_case("replaced-3", Fault::OldIncarnationCounts, AGREEMENT)]
+#[test_case("replaced-3", Fault::TableNotTold, AGREEMENT)]
+#[test_case("one-machine-3", Fault::RunNotCounted, DURABILITY)]
+#[test_case("lost-3", Fault::NoFloor, AGREEMENT)]
+#[test_case("restarts-3", Fault::FoundBeforeChosen, DURABILITY)]
 fn a_planted_fault_is_found(name: &str, fault: Fault, property: &'static str) {
-    let steps = shortest(&planted(name, fault), property);
+    let steps = shortest_violation(&planted(name, fault), property);
     let steps =
         steps.unwrap_or_else(|| panic!("{fault:?} within {name}: no state breaks {property:?}"));
     println!(
