--- a/crates/model-check/src/bounds.rs
+++ b/crates/model-check/src/bounds.rs
@@ -1,44 +1,45 @@
-//! How far states are explored.
+//! Limits of an exploration.
 
-/// The rank of an incarnation where nothing else is to be compared.
+/// Rank of a new incarnation where its order relative to others of the same number does not matter.
 pub const DEFAULT_RANK: u8 = 8;
 
 use crate::state::{Goal, State};
 use crate::steps::Fault;
 
-/// Bounds of an exploration, and the fault that is planted into it.
+/// Limits of an exploration, and the fault injected into it.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// Number of replicas.
+    /// Number of replicas, the replacement machine excluded.
     pub replicas: usize,
-    /// Which machine may begin rounds, and what for. The machine after the last replica's is the one that
-    /// replaces another.
+    /// Machines that may begin rounds, each with the goal of its round. The index after the last replica
+    /// denotes the replacement machine.
     pub writers: Vec<(usize, Goal)>,
-    /// Most rounds that are begun in all.
+    /// Maximum number of rounds begun in total.
     pub max_rounds_begun: u8,
-    /// Highest round of a ballot.
+    /// Highest round number in a ballot.
     pub max_round: u8,
-    /// Most starts of processes that had ended.
+    /// Maximum number of process restarts in total.
     pub max_restarts: u8,
-    /// The replica that is given to another machine. That one runs from the beginning, and does nothing
-    /// before it is heard.
+    /// Replica that is reassigned to a replacement machine. The replacement runs from the initial state on,
+    /// and has no effect until another machine receives its messages.
     pub replaced_replica: Option<usize>,
-    /// Machines that may lose their disks...
+    /// Machines that may lose their disks.
     pub wipeable_machines: Vec<usize>,
-    /// ...so many of them.
+    /// Maximum number of disk losses in total.
     pub max_disk_losses: u8,
-    /// Machines may be told what is chosen.
+    /// Whether machines may learn chosen values from others.
     pub learn_chosen: bool,
-    /// Machines hear of incarnations by any message, not only where that lets them do more.
+    /// Whether machines learn incarnations from any message, not only where that enables further steps.
     pub learn_every_incarnation: bool,
-    /// States that differ only in the numbers of machines that are alike are told apart.
+    /// Disables symmetry reduction, so that states that differ only in the numbers of interchangeable
+    /// machines are distinct.
     pub no_symmetry_reduction: bool,
-    /// A fault.
+    /// Fault injected into the steps.
     pub fault: Option<Fault>,
 }
 
 impl Bounds {
-    /// The first state.
+    /// Returns the initial state.
     pub fn initial_state(&self) -> State {
         let mut state = State::initial(self.replicas);
         if let Some(replica) = self.replaced_replica {
--- a/crates/model-check/src/exploration.rs
+++ b/crates/model-check/src/exploration.rs
@@ -1,4 +1,4 @@
-//! An exploration of all states within bounds, and what it found.
+//! Exploration of all states within bounds, and its report.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -9,24 +9,24 @@
 use crate::bounds::Bounds;
 use crate::model::Action;
 
-/// What an exploration has found.
+/// Result of an exploration.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Different states.
+    /// Number of distinct states.
     pub states: usize,
-    /// States with those that were come to more than once.
+    /// Number of states visited, repeated visits included.
     pub visits: usize,
-    /// Most steps from the first state.
+    /// Maximum number of steps from the initial state.
     pub depth: usize,
-    /// How long it took.
+    /// Wall-clock duration of the exploration.
     pub elapsed: Duration,
-    /// All states within the bounds were explored; else time ran out.
+    /// Whether all states within the bounds were explored before the timeout.
     pub complete: bool,
-    /// The properties that did not hold, each with the steps to where it does not.
+    /// Violated properties, each with the steps that lead to the violation.
     pub violations: BTreeMap<&'static str, Vec<Action>>,
 }
 
-/// Explores all states within bounds, breadth first, or as many as there is time for.
+/// Explores all states within bounds breadth-first, or as many as the timeout allows.
 pub fn explore(bounds: &Bounds, threads: usize, timeout: Option<Duration>) -> Report {
     let checker = bounds.clone().checker().threads(threads);
     run(
@@ -35,9 +35,10 @@
     )
 }
 
-/// The fewest steps to where a property does not hold, if that is so anywhere.
+/// Returns the shortest sequence of steps that violates a property, or `None` if no state does.
 pub fn shortest_violation(bounds: &Bounds, property: &'static str) -> Option<Vec<Action>> {
-    // The checker gives the last of several findings: it looks again with fewer steps until there is none.
+    // The checker reports the last of several discoveries, so the search repeats with a lower depth limit
+    // until it finds no violation.
     let mut violation = None;
     loop {
         let max_steps = violation.as_ref().map_or(0, Vec::len);
@@ -81,10 +82,10 @@
             violations,
         } = self;
         let seconds = elapsed.as_secs_f64();
-        let complete = if *complete { "all" } else { "NOT all" };
+        let coverage = if *complete { "all" } else { "NOT all" };
         write!(
             f,
-            "{complete} within bounds: {states} states, {visits} visits, depth {depth}, {seconds:.1} s; broken: "
+            "{coverage} within bounds: {states} states, {visits} visits, depth {depth}, {seconds:.1} s; broken: "
         )?;
         if violations.is_empty() {
             return write!(f, "none");
--- a/crates/model-check/src/lib.rs
+++ b/crates/model-check/src/lib.rs
@@ -1,9 +1,9 @@
-//! Exhaustive checking of the agreement of one item among replicas, within stated bounds.
+//! Exhaustive model checking of single-item consensus among replicas, within finite bounds.
 //!
-//! [`state`] is one state of all machines and of the messages between them, [`steps`] what can change it,
-//! [`properties`] what must hold in each, [`bounds`] how far it is explored and [`model`] what the checker is
-//! given. The steps are a model of `control::core`: the test `equivalence` plays random walks of both and
-//! compares each verdict.
+//! [`state`] defines the global state: all machines and the messages between them. [`steps`] defines its
+//! transitions, [`properties`] the invariants, [`bounds`] the limits of an exploration, and [`model`] the
+//! interface to the model checker. The transitions model `control::core`: the test `equivalence` runs random
+//! walks through the implementation and the model and compares every response.
 
 pub mod bounds;
 pub mod exploration;
--- a/crates/model-check/src/main.rs
+++ b/crates/model-check/src/main.rs
@@ -1,4 +1,4 @@
-//! Explores named bounds and prints what was found.
+//! Explores named bounds and prints the states explored and the violations found.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -8,25 +8,26 @@
 use model_check::named_bounds;
 use model_check::steps::Fault;
 
-/// Explores all states of the agreement of one item within named bounds; without a name, lists them.
+/// Explore all states of single-item consensus within named bounds; without names, list the bounds
 #[derive(FromArgs)]
 struct Options {
-    /// names of bounds
+    /// names of the bounds to explore
     #[argh(positional)]
     names: Vec<String>,
-    /// threads to explore with
+    /// number of worker threads
     #[argh(option, default = "1")]
     threads: usize,
-    /// a fault to plant
+    /// fault to inject
     #[argh(option)]
     fault: Option<Fault>,
-    /// seconds for each of the bounds, after which what was explored until then is told (default: no end)
+    /// time limit for each of the bounds, in seconds, after which a partial result is printed (default: none)
     #[argh(option)]
     seconds: Option<u64>,
-    /// hear of incarnations by any message, not only where that lets a machine do more
+    /// let machines learn incarnations from any message, not only where that enables further steps
     #[argh(switch)]
     hearsay: bool,
-    /// tell states apart that differ only in the numbers of machines that are alike
+    /// disable symmetry reduction: treat states as distinct that differ only in the numbers of
+    /// interchangeable machines
     #[argh(switch)]
     apart: bool,
 }
@@ -43,7 +44,7 @@
     let mut complete = true;
     for name in &options.names {
         let Some(mut named) = all_bounds.iter().find(|named| named.name == name).cloned() else {
-            eprintln!("no such bounds: {name}");
+            eprintln!("unknown bounds: {name}");
             return ExitCode::from(2);
         };
         named.bounds.fault = options.fault;
--- a/crates/model-check/src/model.rs
+++ b/crates/model-check/src/model.rs
@@ -1,4 +1,4 @@
-//! The states and steps as the checker is given them.
+//! Interface to the model checker: the steps possible in a state, their results, and the properties.
 
 use stateright::{Model, Property};
 
@@ -9,35 +9,36 @@
 use crate::state::{Goal, State, Status};
 use crate::steps::{Fault, Response};
 
-/// Ranks that an incarnation is begun with: one that is begun anew may come after the one before, or ahead of
-/// it.
+/// Ranks of the incarnations begun on a restart or a disk loss: a new incarnation may sort before or after an
+/// earlier one of the same number.
 const REBUILD_RANKS: [u8; 2] = [4, 12];
 
-/// A step.
+/// Step of the model.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// A machine begins a round.
     Begin(usize, Goal, u8),
-    /// A machine takes in that a promise is asked for.
+    /// A machine receives a prepare request.
     Prepare(usize, Ballot),
-    /// A machine takes in that it is to accept.
+    /// A machine receives an accept request.
     Accept(usize, Ballot, Value),
-    /// A machine has the promises of a quorum.
+    /// A machine has received promises from a quorum.
     Promised(usize, Quorum),
-    /// A machine has the acceptances of a quorum.
+    /// A machine has received acceptances from a quorum.
     Accepted(usize),
-    /// A machine is told what is chosen.
+    /// A machine learns a chosen value.
     Learn(usize, Ballot, Value),
-    /// A machine hears of an incarnation of a replica.
+    /// A machine learns an incarnation of a replica.
     Hear(usize, usize, Incarnation),
-    /// A process ends and starts again.
+    /// A process ends and restarts.
     Restart(usize, u8),
-    /// A machine loses its disk, and starts again; another one is the first to write its new incarnation
-    /// down. Before that nothing that the loser does can be told from its disk being lost later.
+    /// A machine loses its disk and restarts, and another machine is the first to record its new incarnation.
+    /// These are one step: until the incarnation is recorded, nothing distinguishes the state from one in
+    /// which the disk is lost later.
     LoseDisk(usize, u8, usize),
-    /// A machine writes down that a replica begins an incarnation.
+    /// A machine records that a replica begins an incarnation.
     Record(usize, usize, Incarnation),
-    /// A machine has the answers that it needs to take part.
+    /// A machine has received the replies that it needs to become a member.
     Rebuild(usize, Quorum),
 }
 
@@ -82,9 +83,10 @@
         }
     }
 
-    /// Messages that are taken in. A machine answers each proposal and each incarnation once: an answer that
-    /// is sent again tells more, and so does not let anything happen that the first one, or one sent only
-    /// then, does not. For the same reason nobody takes in that a promise is asked for by who waits for none.
+    /// Adds the receipt of messages. A machine replies to each proposal and each incarnation only once: a
+    /// repeated reply carries newer state, and so enables nothing that the first reply, or one sent only at
+    /// the later time, does not. For the same reason a prepare request is not received once its proposer no
+    /// longer waits for promises.
     fn push_message_actions(&self, state: &State, actions: &mut Vec<Action>) {
         let is_awaited = |ballot: &&Ballot| {
             let mut rounds = state
@@ -137,9 +139,10 @@
         }
     }
 
-    /// What machines hear of incarnations. Who knows more counts fewer votes, answers fewer messages, and
-    /// tells the same to others: but for the two cases below, everything that can happen after it heard can
-    /// happen without.
+    /// Adds the learning of incarnations. A machine that knows newer incarnations counts fewer votes, replies
+    /// to fewer messages, and passes the same knowledge on to others. Except in the cases of
+    /// [`crate::state::Machine::begins_new_incarnation_on`], everything that can happen after it has learned
+    /// an incarnation can also happen without it.
     fn push_incarnation_actions(&self, state: &State, actions: &mut Vec<Action>) {
         for (machine, local) in state
             .machines
@@ -184,7 +187,7 @@
                         actions.extend(REBUILD_RANKS.map(|rank| Action::Restart(machine, rank)));
                     }
                 }
-                // Else nothing is lost with the process.
+                // Otherwise a restart loses no state, and the step is omitted.
                 Status::Member
                     if state.restarts < self.max_restarts && local.loses_state_on_restart() =>
                 {
@@ -212,7 +215,7 @@
         }
     }
 
-    /// A step of a state; none where it changes nothing.
+    /// Returns the state after a step, or `None` if the step changes nothing.
     pub fn step(&self, previous: &State, action: &Action) -> Option<State> {
         let mut state = previous.clone();
         let fault = self.fault;
--- a/crates/model-check/src/named_bounds.rs
+++ b/crates/model-check/src/named_bounds.rs
@@ -1,21 +1,21 @@
-//! The bounds that are explored, by name.
+//! Predefined bounds, selected by name.
 
 use crate::bounds::Bounds;
 use crate::packed_types::Value;
 use crate::state::Goal;
 
-/// Bounds, and what they are called.
+/// Bounds with a name.
 #[derive(Clone, Debug)]
 pub struct NamedBounds {
-    /// The name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// They are explored by the tests; else only by the program.
+    /// Whether the bounds are small enough for the tests; otherwise only the program explores them.
     pub run_in_tests: bool,
-    /// The bounds.
+    /// Limits of the exploration.
     pub bounds: Bounds,
 }
 
-/// Two writers that each want another content at one version.
+/// Two writers propose different contents of the same version.
 fn conflict() -> Vec<(usize, Goal)> {
     vec![
         (0, Goal::Write(Value::new(1, 1))),
@@ -23,7 +23,7 @@
     ]
 }
 
-/// One sets the item and the other drops it; what was accepted is finished by a third.
+/// One machine writes the item, another drops it, and a third finishes an accepted value.
 fn drop_and_finish() -> Vec<(usize, Goal)> {
     vec![
         (0, Goal::Write(Value::new(1, 1))),
@@ -32,14 +32,14 @@
     ]
 }
 
-/// A call that is sent again to another replica, as its answer was lost.
+/// Two conflicting writes, each retried on another replica because the reply was lost.
 fn retried_on_other_replica() -> Vec<(usize, Goal)> {
     let mut writers = conflict();
     writers.extend([(1, writers[0].1), (2, writers[1].1)]);
     writers
 }
 
-/// Two writers that come to one machine.
+/// Two conflicting writes that arrive at the same machine.
 fn one_machine() -> Vec<(usize, Goal)> {
     conflict().into_iter().map(|(_, goal)| (0, goal)).collect()
 }
@@ -61,7 +61,7 @@
     }
 }
 
-/// All named bounds.
+/// Returns all predefined bounds, including those that only the program explores.
 pub fn all() -> Vec<NamedBounds> {
     let named = |name, run_in_tests, bounds| NamedBounds {
         name,
--- a/crates/model-check/src/packed_types.rs
+++ b/crates/model-check/src/packed_types.rs
@@ -1,35 +1,37 @@
-//! Incarnations, ballots and values in few bits, ordered as those of `control::core::peer_messages` are.
+//! Compact incarnations, ballots and values with the same order as those of `control::core`.
 
 use std::fmt;
 
-/// An incarnation of a replica: its number, and the mark that tells apart two that begin the same number.
+/// Incarnation of a replica: its number, and a rank and machine in place of the nonce that distinguishes
+/// incarnations of the same number.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(u16);
 
 impl Incarnation {
-    /// That of every replica at the first start.
+    /// Incarnation of every replica at the first start of the cluster.
     pub const FIRST: Incarnation = Incarnation(1 << 8);
-    /// Marks have this many ranks, so that of two that begin one number either can be the newer one.
+    /// Number of ranks. With several ranks, either of two incarnations of one number can be the newer one.
     pub const RANKS: u8 = 16;
 
-    /// The incarnation of this number that a machine begins; of those of one number the higher rank is newer.
+    /// Returns the incarnation that `machine` begins. Among incarnations of the same number, the higher rank
+    /// is the newer.
     ///
     /// # Panics
-    /// A number exceeds the bits that it is packed into.
+    /// Panics if a part does not fit into its bits.
     pub fn new(number: u16, rank: u8, machine: usize) -> Incarnation {
         assert!(
             number < 16 && rank < Self::RANKS && machine < 16,
-            "beyond the bits of an incarnation"
+            "number, rank or machine too large for a packed incarnation"
         );
         Incarnation(number << 8 | u16::from(rank) << 4 | machine as u16)
     }
 
-    /// Its number.
+    /// Number, which increases with each incarnation of a replica.
     pub fn number(self) -> u16 {
         self.0 >> 8
     }
 
-    /// The machine that begins it; of [`Self::FIRST`] that is not told.
+    /// Machine that begins the incarnation; not meaningful for [`Self::FIRST`].
     pub fn machine(self) -> usize {
         usize::from(self.0 & 15)
     }
@@ -50,37 +52,37 @@
     }
 }
 
-/// The number of a proposal: round, replica, incarnation and run of its process, compared in this order.
+/// Ballot: round, replica, incarnation of the replica and run of its process, compared in this order.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ballot(u32);
 
 impl Ballot {
-    /// The proposal of this number.
+    /// Packs the parts of a ballot.
     ///
     /// # Panics
-    /// A number exceeds the bits that it is packed into.
+    /// Panics if a part does not fit into its bits.
     pub fn new(round: u8, replica: usize, incarnation: Incarnation, run: u8) -> Ballot {
-        assert!(replica < 16, "beyond the bits of a ballot");
+        assert!(replica < 16, "replica too large for a packed ballot");
         let replica = (replica as u32) << 20;
         Ballot(u32::from(round) << 24 | replica | u32::from(incarnation.0) << 8 | u32::from(run))
     }
 
-    /// Its round.
+    /// Round, the most significant part of the ballot.
     pub fn round(self) -> u8 {
         (self.0 >> 24) as u8
     }
 
-    /// The replica that proposes.
+    /// Replica that proposes.
     pub fn replica(self) -> usize {
         (self.0 >> 20 & 15) as usize
     }
 
-    /// The incarnation of that replica.
+    /// Incarnation of the proposing replica.
     pub fn incarnation(self) -> Incarnation {
         Incarnation((self.0 >> 8 & 0xfff) as u16)
     }
 
-    /// The run of its process.
+    /// Run of the proposing process within its incarnation.
     pub fn run(self) -> u8 {
         self.0 as u8
     }
@@ -99,31 +101,34 @@
     }
 }
 
-/// What a write puts into the item: a version and a content, 0 where the item is dropped.
+/// Value written to the item: a version and a content. Content 0 means that the item is dropped.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Value(u8);
 
 impl Value {
-    /// This content at this version.
+    /// Packs a version and a content.
     ///
     /// # Panics
-    /// A number exceeds the bits that it is packed into.
+    /// Panics if a part does not fit into its bits.
     pub fn new(version: u8, content: u8) -> Value {
-        assert!(version < 16 && content < 16, "beyond the bits of a value");
+        assert!(
+            version < 16 && content < 16,
+            "version or content too large for a packed value"
+        );
         Value(version << 4 | content)
     }
 
-    /// The item is dropped at this version.
+    /// Value that drops the item at this version.
     pub fn dropped(version: u8) -> Value {
         Value::new(version, 0)
     }
 
-    /// Its version.
+    /// Version, the most significant part of the value.
     pub fn version(self) -> u8 {
         self.0 >> 4
     }
 
-    /// Its content.
+    /// Content, 0 if the item is dropped.
     pub fn content(self) -> u8 {
         self.0 & 15
     }
--- a/crates/model-check/src/properties.rs
+++ b/crates/model-check/src/properties.rs
@@ -1,18 +1,18 @@
-//! What must hold in every state.
+//! Invariants that hold in every state.
 
 use crate::packed_types::{Ballot, Value};
 use crate::state::{Machine, State};
 
-/// At most one content of a version is ever chosen.
+/// Agreement: at most one content of each version is chosen.
 pub const AGREEMENT: &str = "one content";
-/// What was chosen is found by every majority that could still answer, or something newer in its place.
+/// Durability: every majority that can still respond finds each chosen or acknowledged value, or a newer one.
 pub const DURABILITY: &str = "kept";
-/// Nothing older is chosen, nor found by a majority, after an item was dropped.
+/// No resurrection: after a drop is chosen, no older version is chosen or found by a majority.
 pub const NO_RESURRECTION: &str = "dropped";
-/// A machine that has lost its disk takes part in nothing before it has rebuilt.
+/// A machine that has lost its disk participates in nothing before it has rebuilt its state.
 pub const NO_UNREBUILT_PARTICIPANT: &str = "hollow";
 
-/// [`AGREEMENT`].
+/// Checks [`AGREEMENT`].
 pub fn agreement(state: &State) -> bool {
     let chosen = &state.chosen;
     let differ = |a: Value, b: Value| a.version() == b.version() && a != b;
@@ -21,7 +21,7 @@
         .any(|(_, a)| chosen.iter().any(|(_, b)| differ(*a, *b)))
 }
 
-/// [`DURABILITY`].
+/// Checks [`DURABILITY`].
 pub fn durability(state: &State) -> bool {
     let acknowledged = state.acknowledged.iter().copied();
     let required = state
@@ -40,7 +40,7 @@
     found.is_some_and(|(_, found)| found == value || found.version() > value.version())
 }
 
-/// [`NO_RESURRECTION`].
+/// Checks [`NO_RESURRECTION`].
 pub fn no_resurrection(state: &State) -> bool {
     let is_drop = |(_, value): &&(Ballot, Value)| value.content() == 0;
     let Some((ballot, drop)) = state
@@ -59,7 +59,7 @@
         && every_majority(state, |found| found.is_none_or(|(_, value)| !older(value)))
 }
 
-/// [`NO_UNREBUILT_PARTICIPANT`].
+/// Checks [`NO_UNREBUILT_PARTICIPANT`].
 pub fn no_unrebuilt_participant(state: &State) -> bool {
     !state
         .machines
@@ -67,9 +67,9 @@
         .any(|machine| machine.needs_rebuild && machine.is_participant())
 }
 
-/// Whether something is true of what each majority finds that could answer: one machine for each of its
-/// replicas, none of which knows a newer incarnation of another one's replica. More machines than a bare
-/// majority find what one of these does.
+/// Whether a predicate holds for the accepted value found by every majority that can respond. A majority has
+/// one machine per replica, and none of its machines knows a newer incarnation of another member's replica.
+/// Sets larger than a bare majority need no check: they find the same value as one of these.
 fn every_majority(state: &State, holds: impl Fn(Option<(Ballot, Value)>) -> bool) -> bool {
     let is_voter = |machine: &&Machine| machine.is_participant();
     let machines: Vec<&Machine> = state.machines.iter().filter(is_voter).collect();
--- a/crates/model-check/src/quorums.rs
+++ b/crates/model-check/src/quorums.rs
@@ -1,41 +1,41 @@
-//! Which votes make a quorum for who asked, and what it learns from them.
+//! Counting of votes: which of them form a quorum for the requester, and the state that they report together.
 
 use crate::packed_types::{Ballot, Value};
 use crate::state::{IncarnationTable, MAX_REPLICAS, Machine, Sender, State, Status, insert_sorted};
 
-/// A vote, as it is counted.
+/// Vote as it is counted.
 #[derive(Clone, Copy, Debug)]
 pub struct Vote {
-    /// Who votes.
+    /// Voter, with the incarnations that it knew.
     pub sender: Sender,
-    /// Highest promise there, where that is told.
+    /// Highest ballot promised by the voter, where the message carries it.
     pub floor: Ballot,
-    /// What was accepted there, where that is told.
+    /// Value accepted by the voter, where the message carries it.
     pub accepted: Option<(Ballot, Value)>,
 }
 
-/// What the votes of a quorum tell together.
+/// Combined state reported by the votes of a quorum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Quorum {
-    /// The newest incarnations that any of them, or the one that asked, knows.
+    /// Newest incarnations known to the requester or any of the voters.
     pub table: IncarnationTable,
-    /// Highest promise.
+    /// Highest promised ballot.
     pub floor: Ballot,
-    /// What was accepted under the highest ballot.
+    /// Accepted value with the highest ballot.
     pub accepted: Option<(Ballot, Value)>,
 }
 
-/// Adds up the votes that one machine hears.
+/// Counts the votes received by one machine.
 pub struct VoteCounter<'a> {
     state: &'a State,
     machine: usize,
     required_votes: usize,
-    /// By a planted fault, votes of old incarnations count.
+    /// Whether votes of outdated incarnations count ([`crate::steps::Fault::OldIncarnationCounts`]).
     count_old_incarnations: bool,
 }
 
 impl<'a> VoteCounter<'a> {
-    /// For a round that a machine leads.
+    /// Counter for the round that a machine leads.
     pub fn for_round(
         state: &'a State,
         machine: usize,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// For a machine that rebuilds.
+    /// Counter for a rebuilding machine.
     pub fn for_rebuild(
         state: &'a State,
         machine: usize,
@@ -67,7 +67,7 @@
         &self.state.machines[self.machine]
     }
 
-    /// What these votes tell together, if they are a quorum just now.
+    /// Returns the combined state of the votes if they form a quorum in the current state.
     pub fn quorum(&self, votes: &[Vote]) -> Option<Quorum> {
         let local = self.local_machine();
         let mut quorum = Quorum {
@@ -96,9 +96,9 @@
         (!is_superseded && counted >= self.required_votes).then_some(quorum)
     }
 
-    /// All quorums that can be heard, where any of the votes may be lost, larger ones than the code waits for
-    /// included. Of one machine's votes the later one tells all that the one before does, so that one of each
-    /// is enough.
+    /// Returns every quorum that can result from receiving any subset of the votes, including sets larger
+    /// than the implementation waits for. At most one vote of each machine is used, since a later vote
+    /// reports everything that an earlier one does.
     pub fn quorums(&self, votes: impl Iterator<Item = Vote>) -> Vec<Quorum> {
         let local_replica = self.local_machine().replica;
         let may_count = |vote: &Vote| {
@@ -116,7 +116,7 @@
         self.state.machines[vote.sender.machine].replica
     }
 
-    /// `votes` are sorted by the machine that votes.
+    /// Extends `selected` with every subset of `votes`, which must be sorted by voting machine.
     fn enumerate(&self, votes: &[Vote], selected: &mut Vec<Vote>, quorums: &mut Vec<Quorum>) {
         let Some(first) = votes.first() else {
             self.quorum(selected)
@@ -139,7 +139,7 @@
 }
 
 impl State {
-    /// The promises that came for the round that a machine leads.
+    /// Promises received for the round that a machine leads.
     pub fn promises_for(&self, machine: usize) -> impl Iterator<Item = Vote> {
         let ballot = self.machines[machine]
             .led_round
@@ -156,7 +156,7 @@
         })
     }
 
-    /// The acceptances that came for the round that a machine leads.
+    /// Acceptances received for the round that a machine leads.
     pub fn acceptances_for(&self, machine: usize) -> impl Iterator<Item = Vote> {
         let ballot = self.machines[machine]
             .led_round
@@ -173,7 +173,7 @@
         })
     }
 
-    /// The answers that came to a machine that rebuilds.
+    /// Replies received by a rebuilding machine.
     pub fn incarnation_replies_for(&self, machine: usize) -> impl Iterator<Item = Vote> {
         let status = self.machines[machine].status;
         let replies = self
--- a/crates/model-check/src/state.rs
+++ b/crates/model-check/src/state.rs
@@ -1,81 +1,81 @@
-//! A state of all machines, of their disks, and of what is on its way between them.
+//! Global state of the model: the machines, their disks, and the messages in flight.
 //!
-//! Messages that were sent stay in the state for as long as anybody would take them. One that is never taken
-//! is lost, one that is taken twice was doubled, and any order of taking is a reordering: no steps of their
-//! own are needed for these.
+//! Sent messages stay in the state for as long as any machine would act on them. A message that is never
+//! received counts as lost, one received twice as duplicated, and any order of receipt is possible, so that
+//! loss, duplication and reordering need no steps of their own.
 
 use crate::packed_types::{Ballot, Incarnation, Value};
 
-/// Most replicas.
+/// Maximum number of replicas.
 pub const MAX_REPLICAS: usize = 5;
 
-/// The newest incarnation that is known of each replica.
+/// Newest known incarnation of each replica.
 pub type IncarnationTable = [Incarnation; MAX_REPLICAS];
 
-/// What a round is for.
+/// Goal of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Goal {
-    /// This is to be in force.
+    /// Write this value.
     Write(Value),
-    /// What was accepted is to be finished.
+    /// Finish a value that is accepted but possibly not chosen yet.
     Finish,
 }
 
-/// A round that a machine leads. It is lost when its process ends.
+/// Round led by a machine. It is lost when the process ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Round {
-    /// What it is for.
+    /// Goal that the proposal serves.
     pub goal: Goal,
-    /// Its ballot.
+    /// Ballot under which it proposes.
     pub ballot: Ballot,
-    /// What it asks to accept; none while it asks for promises.
+    /// Value in the accept requests; `None` during the prepare phase.
     pub proposed: Option<Value>,
-    /// Acknowledged once that is chosen.
+    /// Value acknowledged to the operator once `proposed` is chosen.
     pub to_acknowledge: Option<Value>,
 }
 
-/// Whether a machine votes.
+/// Membership status of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Status {
-    /// Not there yet.
+    /// Not started yet.
     Absent,
-    /// It rebuilds, towards this incarnation.
+    /// Rebuilding its state, to become a member under this incarnation.
     Rebuilding(Incarnation),
-    /// It holds an incarnation.
+    /// Member under the incarnation on its disk.
     Member,
 }
 
-/// A machine. What it writes down is on disk before anything of it is sent.
+/// State of a machine. Durable state is on disk before any message that depends on it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Machine {
-    /// The replica that it is for.
+    /// Replica that the machine runs.
     pub replica: usize,
-    /// Whether it votes.
+    /// Membership status, which decides whether it votes.
     pub status: Status,
-    /// Its incarnation, as on its disk; none where that is empty.
+    /// Incarnation on its disk; `None` if the disk is empty.
     pub incarnation: Option<Incarnation>,
-    /// Starts of its process in this incarnation, as far as they matter.
+    /// Run of the process within the incarnation. Starts are counted only where they change the behaviour.
     pub run: u8,
-    /// Highest round that its process has proposed with.
+    /// Highest round that the process has proposed with.
     pub last_round: u8,
-    /// The incarnations that it knows.
+    /// Newest incarnations known to the machine.
     pub table: IncarnationTable,
-    /// Nothing below this is accepted any more.
+    /// Highest promised ballot: proposals with lower ballots are rejected.
     pub promised: Ballot,
-    /// The same as on disk: less only where that fault is planted.
+    /// Promised ballot on disk; lower than `promised` only under [`crate::steps::Fault::PromiseNotOnDisk`].
     pub promised_on_disk: Ballot,
-    /// What was accepted last.
+    /// Value accepted last, with its ballot.
     pub accepted: Option<(Ballot, Value)>,
-    /// What it knows to be chosen.
+    /// Value known to be chosen, with its ballot.
     pub chosen: Option<(Ballot, Value)>,
-    /// The round that it leads.
+    /// Round that the machine leads.
     pub led_round: Option<Round>,
-    /// Its disk was lost or never held anything, and it has not rebuilt since.
+    /// Whether the disk is empty or was lost and the machine has not rebuilt its state since.
     pub needs_rebuild: bool,
 }
 
 impl Machine {
-    /// A machine that has voted from the first start on.
+    /// Returns a machine that is a member from the first start on.
     pub fn initial(replica: usize) -> Machine {
         Machine {
             status: Status::Member,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A machine with an empty disk.
+    /// Returns a machine with an empty disk.
     pub fn empty(replica: usize, status: Status) -> Machine {
         Machine {
             replica,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// A newer incarnation of its replica is known to it.
+    /// Whether the machine knows a newer incarnation of its own replica.
     pub fn is_superseded(&self) -> bool {
         self.status == Status::Member
             && self
@@ -111,8 +111,8 @@
                 .is_some_and(|current| self.table[self.replica] > current)
     }
 
-    /// An incarnation is one that makes this machine begin another one: it rebuilds and this one is newer, or
-    /// it began this one itself.
+    /// Whether learning `incarnation` makes this machine begin another incarnation: either it is rebuilding
+    /// and `incarnation` is newer than its own, or it began `incarnation` itself.
     pub fn begins_new_incarnation_on(
         &self,
         machine: usize,
@@ -130,99 +130,101 @@
         replica == self.replica && newer
     }
 
-    /// Something would be lost or undone if its process ended now.
+    /// Whether a restart of the process would lose or revert any state.
     pub fn loses_state_on_restart(&self) -> bool {
         self.led_round.is_some() || self.is_superseded() || self.promised != self.promised_on_disk
     }
 
-    /// It votes and proposes.
+    /// Whether the machine votes and proposes.
     pub fn is_participant(&self) -> bool {
         self.status == Status::Member && !self.is_superseded()
     }
 }
 
-/// Who speaks, and the incarnations that it knew then.
+/// Sender of a message, with the incarnations that it knew when it sent the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Sender {
-    /// The machine.
+    /// Index of the sending machine.
     pub machine: usize,
-    /// The incarnation that it votes for.
+    /// Incarnation under which it votes.
     pub incarnation: Incarnation,
-    /// What it knows.
+    /// Newest incarnations known to the sender.
     pub table: IncarnationTable,
 }
 
-/// A promise, on its way to who proposes.
+/// Promise in flight to the proposer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Promise {
-    /// The proposal.
+    /// Ballot of the proposal.
     pub ballot: Ballot,
-    /// Who promises.
+    /// Acceptor that promises.
     pub sender: Sender,
-    /// What was accepted there.
+    /// Value accepted by the sender, with its ballot.
     pub accepted: Option<(Ballot, Value)>,
 }
 
-/// An acceptance, on its way to who proposes.
+/// Acceptance in flight to the proposer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Acceptance {
-    /// The proposal.
+    /// Ballot of the proposal.
     pub ballot: Ballot,
-    /// Who accepts.
+    /// Acceptor that accepts.
     pub sender: Sender,
 }
 
-/// An answer to a machine that rebuilds: its incarnation is written down, and this is all there is.
+/// Reply to a rebuilding machine: its incarnation is recorded, and the reply carries the sender's complete
+/// state.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IncarnationReply {
-    /// The incarnation.
+    /// Incarnation that was recorded.
     pub incarnation: Incarnation,
-    /// Who has written it down.
+    /// Machine that recorded the incarnation.
     pub sender: Sender,
-    /// Highest promise there.
+    /// Highest ballot promised by the sender.
     pub floor: Ballot,
-    /// What was accepted there.
+    /// Value accepted by the sender, with its ballot.
     pub accepted: Option<(Ballot, Value)>,
 }
 
-/// A state.
+/// Global state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The machines: that of each replica, and behind them the one that replaces another.
+    /// Machines in the order of their replicas, followed by the replacement machine.
     pub machines: Vec<Machine>,
-    /// Rounds that were begun.
+    /// Number of rounds begun.
     pub rounds_begun: u8,
-    /// Processes that have started again.
+    /// Number of process restarts.
     pub restarts: u8,
-    /// Disks that were lost.
+    /// Number of disk losses.
     pub disk_losses: u8,
-    /// Ballots for which promises were asked.
+    /// Ballots of the prepare requests sent.
     pub prepare_requests: Vec<Ballot>,
-    /// What was asked to be accepted.
+    /// Ballots and values of the accept requests sent.
     pub accept_requests: Vec<(Ballot, Value)>,
-    /// Promises that are still waited for.
+    /// Promises that a proposer still waits for.
     pub promises: Vec<Promise>,
-    /// Acceptances that are still waited for.
+    /// Acceptances that a proposer still waits for.
     pub acceptances: Vec<Acceptance>,
-    /// Incarnations that were asked to be written down, by replica.
+    /// Requests to record an incarnation, with the replica that begins it.
     pub incarnation_requests: Vec<(usize, Incarnation)>,
-    /// Answers to these that are still waited for.
+    /// Replies to these requests that a rebuilding machine still waits for.
     pub incarnation_replies: Vec<IncarnationReply>,
-    /// What some proposer saw accepted by a majority.
+    /// Ballots and values that a proposer has seen accepted by a majority.
     pub chosen: Vec<(Ballot, Value)>,
-    /// What was acknowledged to operators.
+    /// Values acknowledged to operators.
     pub acknowledged: Vec<Value>,
 }
 
 impl State {
-    /// All replicas at their first start, and a machine that is not there yet.
+    /// Returns the initial state: every replica at its first start, and a replacement machine that is not
+    /// started.
     ///
     /// # Panics
-    /// There are more replicas than the state has room for.
+    /// Panics if `replicas` is not between 1 and [`MAX_REPLICAS`].
     pub fn initial(replicas: usize) -> State {
         assert!(
             (1..=MAX_REPLICAS).contains(&replicas),
-            "one to five replicas"
+            "number of replicas must be between 1 and {MAX_REPLICAS}"
         );
         let mut machines: Vec<Machine> = (0..replicas).map(Machine::initial).collect();
         machines.push(Machine::empty(0, Status::Absent));
@@ -242,23 +244,24 @@
         }
     }
 
-    /// Number of replicas.
+    /// Number of replicas, the replacement machine excluded.
     pub fn replicas(&self) -> usize {
         self.machines.len() - 1
     }
 
-    /// More than half of the replicas.
+    /// Size of a majority of the replicas.
     pub fn majority(&self) -> usize {
         self.replicas() / 2 + 1
     }
 
-    /// More than half of the other replicas, which a machine that rebuilds needs.
+    /// Number of replies that a rebuilding machine needs: a majority of the other replicas.
     pub fn rebuild_quorum(&self) -> usize {
         let others = self.replicas() - 1;
         (others / 2 + 1).min(others)
     }
 
-    /// Forgets messages that nobody would take any more: so that states that differ in nothing else are one.
+    /// Discards messages that no machine would act on any more, so that states that differ only in these are
+    /// identical.
     pub fn discard_stale_messages(&mut self) {
         let machines = &self.machines;
         let is_led = |ballot: Ballot, accepting: bool| {
@@ -283,7 +286,7 @@
     }
 }
 
-/// Puts something into a sorted list, once.
+/// Inserts an item into a sorted list without duplicates.
 pub fn insert_sorted<T: Ord>(list: &mut Vec<T>, item: T) {
     if let Err(index) = list.binary_search(&item) {
         list.insert(index, item);
--- a/crates/model-check/src/steps.rs
+++ b/crates/model-check/src/steps.rs
@@ -1,4 +1,4 @@
-//! What can change a state. Each step follows what `control::core` does with one message, one start or one
+//! Transitions of the state. Each one models how `control::core` processes one message, one start or one disk
 //! loss.
 
 use std::str::FromStr;
@@ -10,27 +10,28 @@
     Status, insert_sorted,
 };
 
-/// A fault that is planted into the steps, to see that the checker finds it.
+/// Fault injected into the steps to verify that the checker detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A machine with an empty disk takes itself for the first incarnation, and votes.
+    /// A machine with an empty disk assumes the first incarnation and votes.
     EmptyVotes,
-    /// A promise goes out without being on disk.
+    /// A promise is sent before it is on disk.
     PromiseNotOnDisk,
     /// A vote counts whatever incarnation of its replica it comes from.
     OldIncarnationCounts,
-    /// A machine that has rebuilt takes over no floor under its promises.
+    /// A rebuilt machine adopts no lower limit for its promises.
     NoFloor,
-    /// A start is not counted in ballots.
+    /// Ballots do not distinguish the runs of a process.
     RunNotCounted,
-    /// A vote does not tell which incarnations the voter knows.
+    /// A vote does not carry the incarnations that the voter knows.
     TableNotTold,
-    /// A proposer judges a version by what it found, though it knows another content of it to be chosen.
+    /// A proposer decides by the value found in the promises, although it knows another content of that
+    /// version to be chosen.
     FoundBeforeChosen,
 }
 
 impl Fault {
-    /// All of them, with their names.
+    /// All faults, with their names on the command line.
     pub const ALL: [(&'static str, Fault); 7] = [
         ("empty-votes", Fault::EmptyVotes),
         ("promise-not-on-disk", Fault::PromiseNotOnDisk),
@@ -50,33 +51,40 @@
             .iter()
             .find(|(name, _)| *name == text)
             .map(|(_, fault)| *fault);
-        fault.ok_or_else(|| format!("none of {}", Fault::ALL.map(|(name, _)| name).join(", ")))
+        fault.ok_or_else(|| {
+            format!(
+                "unknown fault; expected one of: {}",
+                Fault::ALL.map(|(name, _)| name).join(", ")
+            )
+        })
     }
 }
 
-/// What a machine answers to a proposal.
+/// Response of a machine to a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// It promises, and has accepted this before.
+    /// Promises, and reports the value that it accepted before.
     Promised(Option<(Ballot, Value)>),
-    /// It accepts.
+    /// Accepts the proposal.
     Accepted,
-    /// It has promised something to a higher one.
+    /// Rejects the proposal because of a promise for this higher ballot.
     Rejected(Ballot),
-    /// Nothing: the proposal is not for it, or of an incarnation that it knows to be an old one.
+    /// Does not respond: the machine does not participate, or the proposal comes from an outdated
+    /// incarnation.
     Ignored,
 }
 
-/// What a proposer makes of the promises of a majority.
+/// Decision of a proposer after the promises of a majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// To be accepted; nothing where that is chosen already.
+    /// Value to propose; `None` if nothing remains to be accepted.
     pub proposed: Option<Value>,
-    /// To be acknowledged once that is chosen.
+    /// Value to acknowledge once `proposed` is chosen, or at once if there is none.
     pub to_acknowledge: Option<Value>,
 }
 
-/// What to propose for what is wanted, in place of what was found.
+/// Decides what to propose for a goal, given the value found in the promises and the value known to be
+/// chosen.
 pub fn decide(
     goal: Goal,
     found: Option<Value>,
@@ -111,7 +119,7 @@
 }
 
 impl State {
-    /// A machine begins a round; what it led before is given up.
+    /// A machine begins a round and abandons any round that it led before.
     pub fn begin_round(&mut self, machine: usize, goal: Goal, round: u8) -> Ballot {
         let local = &mut self.machines[machine];
         let ballot = Ballot::new(
@@ -132,11 +140,12 @@
         ballot
     }
 
-    /// A machine takes a proposal's message in, and learns of who proposes. Gives whether it deals with it.
+    /// A machine receives a proposal and learns the proposer's incarnation. Returns whether it processes the
+    /// proposal.
     fn admits_proposal(&mut self, machine: usize, ballot: Ballot, proposed: Option<Value>) -> bool {
         let local = &self.machines[machine];
         if ballot.replica() == local.replica {
-            // A process asks itself without a message, and only for a round that it leads.
+            // A process sends itself no message, and votes in its own round only while it leads it.
             let is_led = |round: &Round| round.ballot == ballot && round.proposed == proposed;
             return local.is_participant() && local.led_round.as_ref().is_some_and(is_led);
         }
@@ -162,7 +171,7 @@
         }
     }
 
-    /// A machine is asked for a promise.
+    /// A machine receives a prepare request.
     pub fn prepare(&mut self, machine: usize, ballot: Ballot, fault: Option<Fault>) -> Response {
         if !self.admits_proposal(machine, ballot, None) {
             return Response::Ignored;
@@ -188,7 +197,7 @@
         Response::Promised(accepted)
     }
 
-    /// A machine is asked to accept.
+    /// A machine receives an accept request.
     pub fn accept(
         &mut self,
         machine: usize,
@@ -210,14 +219,15 @@
         Response::Accepted
     }
 
-    /// A proposer has the promises of a majority.
+    /// A proposer has received promises from a majority.
     pub fn handle_promises(
         &mut self,
         machine: usize,
         quorum: &Quorum,
         fault: Option<Fault>,
     ) -> Option<Decision> {
-        // What it has heard of incarnations by that may be lost with its process: it can do more without.
+        // The incarnations in the quorum are not added to the table: they may be lost with the process, and
+        // without them the machine can do more.
         let local = &mut self.machines[machine];
         let chosen = local.chosen.map(|(_, value)| value);
         let round = local
@@ -247,7 +257,7 @@
         Some(decision)
     }
 
-    /// A proposer hears that a majority has accepted.
+    /// A proposer has received acceptances from a majority.
     pub fn handle_acceptances(&mut self, machine: usize) -> Option<Value> {
         let local = &mut self.machines[machine];
         let round = local.led_round.take()?;
@@ -261,7 +271,7 @@
         Some(value)
     }
 
-    /// A machine is told what is chosen. Gives whether that changes anything.
+    /// A machine learns a chosen value. Returns whether that changes its state.
     pub fn learn_chosen(&mut self, machine: usize, ballot: Ballot, value: Value) -> bool {
         let local = &mut self.machines[machine];
         let known = local.chosen.is_some_and(|(known, old_value)| {
@@ -274,16 +284,17 @@
         local.chosen = Some((ballot, value));
         if local.accepted.is_none_or(|(accepted, _)| accepted < ballot) {
             local.accepted = Some((ballot, value));
-            // As the code's `Registers::adopt`: a late proposal from before it is not accepted in its place.
+            // As in `Registers::adopt` of the implementation: without the raised promise, a late proposal
+            // with a lower ballot would replace the chosen value.
             local.promised = local.promised.max(ballot);
             local.promised_on_disk = local.promised_on_disk.max(ballot);
         }
         true
     }
 
-    /// A machine hears of an incarnation, by any message. `rank` is that of the incarnation that it wants
-    /// then, if any; without one it does not hear, of one that it began itself, that its own address is told
-    /// with it.
+    /// A machine learns an incarnation from any message. `rank` is that of the incarnation that it begins as
+    /// a result, if any. `None` means that, for an incarnation that it began itself, it does not learn that
+    /// the incarnation is bound to its own address.
     pub fn learn_incarnation(
         &mut self,
         machine: usize,
@@ -296,7 +307,8 @@
         if replica != local.replica {
             return;
         }
-        // It began this one itself, and lost its disk before it ended that: nobody else has it.
+        // The machine began this incarnation itself and lost its disk before it finished rebuilding: no other
+        // machine holds the incarnation.
         let abandoned = local.is_superseded() && incarnation.machine() == machine;
         if local.is_superseded() {
             local.led_round = None;
@@ -316,7 +328,7 @@
         insert_sorted(&mut self.incarnation_requests, (replica, incarnation));
     }
 
-    /// A machine without a disk of its replica's: it rebuilds, or by a planted fault votes.
+    /// Starts a machine without a disk of its replica: it rebuilds, or votes under [`Fault::EmptyVotes`].
     fn start_with_empty_disk(&mut self, machine: usize, rank: u8, fault: Option<Fault>) {
         let replica = self.machines[machine].replica;
         if fault == Some(Fault::EmptyVotes) {
@@ -330,7 +342,7 @@
         self.begin_incarnation(machine, Incarnation::FIRST.number() + 1, rank);
     }
 
-    /// A process ends, and starts again with what is on its disk.
+    /// A process ends and restarts with the state on its disk.
     pub fn restart(&mut self, machine: usize, rank: u8, fault: Option<Fault>) {
         self.restarts += 1;
         let Some(incarnation) = self.machines[machine].incarnation else {
@@ -341,7 +353,7 @@
             (ballot.replica(), ballot.incarnation(), ballot.run())
                 == (local.replica, incarnation, local.run)
         };
-        // Runs are told apart only where one has proposed something.
+        // Runs are distinguished only if the previous one has proposed something.
         if fault != Some(Fault::RunNotCounted) && self.prepare_requests.iter().any(has_proposed) {
             local.run += 1;
         }
@@ -354,20 +366,21 @@
         local.led_round = None;
     }
 
-    /// A machine loses its disk, and starts again.
+    /// A machine loses its disk and restarts.
     pub fn lose_disk(&mut self, machine: usize, rank: u8, fault: Option<Fault>) {
         self.disk_losses += 1;
         self.start_with_empty_disk(machine, rank, fault);
     }
 
-    /// A machine with an empty disk starts for a replica; the one that it replaces may go on for a while.
+    /// A replacement machine with an empty disk starts for a replica; the replaced machine may continue for a
+    /// while.
     pub fn replace(&mut self, replica: usize, rank: u8, fault: Option<Fault>) {
         let machine = self.replicas();
         self.machines[machine].replica = replica;
         self.start_with_empty_disk(machine, rank, fault);
     }
 
-    /// A machine is asked to write down that an incarnation begins. Gives whether it does.
+    /// A machine is asked to record that an incarnation begins. Returns whether it does.
     pub fn record_incarnation(
         &mut self,
         machine: usize,
@@ -395,7 +408,7 @@
         true
     }
 
-    /// A machine has gathered what a majority of the others held, and takes part from now on.
+    /// A rebuilding machine has received the state of a majority of the other replicas and becomes a member.
     pub fn rebuild(&mut self, machine: usize, quorum: &Quorum, fault: Option<Fault>) {
         let local = &mut self.machines[machine];
         let Status::Rebuilding(incarnation) = local.status else {
@@ -408,7 +421,7 @@
             local.promised_on_disk = local.promised;
         }
         local.accepted = local.accepted.max(quorum.accepted);
-        // What is taken over is promised to its proposal, as where a machine learns.
+        // An adopted value also implies a promise for its ballot, as in [`State::learn_chosen`].
         if let Some((ballot, _)) = quorum.accepted {
             local.promised = local.promised.max(ballot);
             local.promised_on_disk = local.promised;
--- a/crates/model-check/src/symmetry.rs
+++ b/crates/model-check/src/symmetry.rs
@@ -1,4 +1,5 @@
-//! Machines that differ in nothing but their numbers: of states that are alike but for these one is explored.
+//! Symmetry reduction: of states that differ only in the numbers of interchangeable machines, one is
+//! explored.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -6,8 +7,8 @@
 use crate::state::{Machine, Sender, State};
 
 impl Bounds {
-    /// Machines that only vote: none of them proposes, is replaced or loses its disk, so that no ballot, no
-    /// incarnation but the first and no table of incarnations tells them apart.
+    /// Machines that only vote: none of them proposes, is replaced or loses its disk, so no ballot, no
+    /// incarnation other than the first and no incarnation table distinguishes them.
     fn interchangeable_machines(&self) -> Vec<usize> {
         let is_writer = |machine: usize| self.writers.iter().any(|(writer, _)| *writer == machine);
         let is_special = |machine: usize| {
@@ -18,8 +19,8 @@
             .collect()
     }
 
-    /// Numbers the machines that are alike by what they hold and what they have said. Where two have the same
-    /// key any order will do: then at worst two states that are alike are both explored.
+    /// Renumbers interchangeable machines in the order of their state and the messages they sent. The order
+    /// of machines with equal keys is arbitrary; at worst, two equivalent states are both explored.
     pub fn canonicalize(&self, state: &mut State) {
         let interchangeable = self.interchangeable_machines();
         let mut sorted = interchangeable.clone();
--- a/crates/model-check/tests/bounds.rs
+++ b/crates/model-check/tests/bounds.rs
@@ -1,5 +1,5 @@
-//! All states within the bounds that are small enough for each run of the tests; the program explores the
-//! larger ones.
+//! Explores all states within the bounds that are small enough for every test run; the program explores the
+//! larger ones. Guards against changes to the model that violate an invariant.
 
 use model_check::exploration::explore;
 use model_check::named_bounds;
@@ -12,11 +12,11 @@
 #[test_case("replaced-writer-3")]
 #[test_case("replaced-and-lost-3")]
 #[test_case("conflict-5")]
-fn no_state_breaks_a_property(name: &str) {
+fn all_states_satisfy_properties(name: &str) {
     let named = named_bounds::all()
         .into_iter()
         .find(|named| named.name == name)
-        .expect("named bounds");
+        .expect("bounds of this name exist");
     let report = explore(&named.bounds, 2, None);
     println!("{name}: {report}");
     assert!(report.violations.is_empty(), "{name}: {report}");
--- a/crates/model-check/tests/equivalence/main.rs
+++ b/crates/model-check/tests/equivalence/main.rs
@@ -1,5 +1,6 @@
-//! Random walks of the code and of the model side by side: at each step both promise, accept, refuse, choose,
-//! record and rebuild the same, and the disks hold the same.
+//! Random walks through the implementation and the model in lockstep. At every step both must promise,
+//! accept, reject, choose, record and rebuild alike, and hold the same state on disk. Guards against a model
+//! that no longer matches the implementation.
 
 mod mapping;
 mod world;
@@ -45,7 +46,8 @@
             }
             _ if world.in_flight.is_empty() => {}
             drawn => {
-                // Late ones come as well; each may be lost, and come again.
+                // Recent messages are preferred, but late ones are delivered as well. A message may be
+                // delivered repeatedly.
                 let in_flight = world.in_flight.len();
                 let index = if drawn < 45 {
                     in_flight - 1 - random.below(in_flight.min(12))
@@ -78,19 +80,22 @@
     println!("{replicas} replicas: {compared:?}");
     let required_kinds = [
         "promises",
-        "refusals of a promise",
+        "rejected prepare requests",
         "acceptances",
-        "refusals to accept",
-        "silence to a proposal",
+        "rejected accept requests",
+        "ignored proposals",
     ];
-    let required_kinds =
-        required_kinds
-            .into_iter()
-            .chain(["decisions", "choices", "records", "rebuilt", "learned"]);
+    let required_kinds = required_kinds.into_iter().chain([
+        "decisions",
+        "chosen values",
+        "incarnation requests",
+        "rebuilds",
+        "learned values",
+    ]);
     required_kinds.for_each(|kind| {
         assert!(
             compared.get(kind).is_some_and(|count| *count >= 20),
-            "too few: {kind}"
+            "fewer than 20 comparisons of {kind}"
         )
     });
 }
--- a/crates/model-check/tests/equivalence/mapping.rs
+++ b/crates/model-check/tests/equivalence/mapping.rs
@@ -1,4 +1,5 @@
-//! What stands for what: incarnations, ballots, items and addresses of the code, and those of the model.
+//! Mapping between the incarnations, ballots, items and addresses of the implementation and those of the
+//! model.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,7 +9,7 @@
 use model_check::state::{IncarnationTable, MAX_REPLICAS};
 use protocol::items::{Item, ItemKind, ItemName};
 
-/// The incarnations and runs that have come up.
+/// Incarnations and process runs seen so far.
 #[derive(Default)]
 pub struct Mapping {
     incarnations: BTreeMap<(usize, core_ids::Incarnation), (Incarnation, u8)>,
@@ -16,8 +17,8 @@
 }
 
 impl Mapping {
-    /// The rank of a new incarnation that a machine begins, between those of the same number that its replica
-    /// has; none where there is no room left.
+    /// Adds an incarnation that a machine begins, and returns its rank, which lies between those of the same
+    /// number and replica. Returns `None` if no rank is free between its neighbours.
     pub fn insert_incarnation(
         &mut self,
         replica: usize,
@@ -43,12 +44,12 @@
         (rank > lower_rank && rank < upper_rank).then_some(rank)
     }
 
-    /// The rank of an incarnation that has come up.
+    /// Whether an incarnation has been added.
     pub fn has_incarnation(&self, replica: usize, core: core_ids::Incarnation) -> bool {
         self.incarnations.contains_key(&(replica, core))
     }
 
-    /// A process runs: its number among those of its incarnation, as the model counts them.
+    /// Maps the run of a process to the run number that the model assigns to it.
     pub fn insert_run(
         &mut self,
         replica: usize,
@@ -59,7 +60,8 @@
         self.runs.insert((replica, core, run), model_run);
     }
 
-    /// The model's incarnation. None yet is as good as the first: nobody has an older one.
+    /// Returns the model's incarnation. [`core_ids::Incarnation::NONE`] maps to the first one, as no replica
+    /// has an older one.
     pub fn incarnation(&self, replica: usize, core: core_ids::Incarnation) -> Incarnation {
         match core {
             core_ids::Incarnation::NONE | core_ids::Incarnation::FIRST => Incarnation::FIRST,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// The incarnation of the code.
+    /// Returns the implementation's incarnation.
     pub fn core_incarnation(
         &self,
         replica: usize,
@@ -106,7 +108,7 @@
     }
 }
 
-/// The item that all is about.
+/// Name of the only item.
 pub fn item_name() -> ItemName {
     ItemName {
         kind: ItemKind::Tenant,
@@ -115,10 +117,11 @@
 }
 
 pub fn value(item: &Item) -> Value {
-    let content = item
-        .spec
-        .as_deref()
-        .map_or(0, |spec| spec[9..spec.len() - 1].parse().expect("a number"));
+    let content = item.spec.as_deref().map_or(0, |spec| {
+        spec[9..spec.len() - 1]
+            .parse()
+            .expect("content is a number")
+    });
     Value::new(item.ver as u8, content)
 }
 
@@ -134,7 +137,7 @@
     }
 }
 
-/// The body of an operator's call.
+/// Request body of an operator's call that writes the value.
 pub fn patch(value: Value) -> Vec<u8> {
     let meta = format!("{{\"name\":\"a\",\"ver\":{}}}", value.version());
     let body = match spec(value) {
@@ -155,6 +158,6 @@
 pub fn machine_of(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(address) => usize::from(address.ip().octets()[3]),
-        SocketAddr::V6(_) => panic!("no machine has such an address"),
+        SocketAddr::V6(_) => panic!("machines have IPv4 addresses"),
     }
 }
--- a/crates/model-check/tests/equivalence/world.rs
+++ b/crates/model-check/tests/equivalence/world.rs
@@ -1,5 +1,4 @@
-//! The code's cores and the model's state, fed the same; each verdict of one is compared with that of the
-//! other.
+//! Runs the implementation's replicas and the model's state on the same inputs, and compares each response.
 
 use std::collections::BTreeMap;
 
@@ -20,9 +19,9 @@
 
 use super::mapping::{Mapping, address, item, item_name, machine_of, patch, value};
 
-/// All cores are on one clock, which stands still.
+/// Time of all replicas in microseconds; the clock does not advance.
 const NOW: i64 = 1_000_000_000;
-/// Calls and rounds do not end by themselves.
+/// Far enough in the future that no call or round times out.
 const DEADLINE: i64 = NOW + 1_000_000;
 
 #[derive(Clone, Default)]
@@ -32,7 +31,7 @@
     chosen: Option<(ids::Ballot, Item)>,
 }
 
-/// A message on its way.
+/// Message in flight.
 #[derive(Clone, Debug)]
 pub struct Envelope {
     pub from: usize,
@@ -40,7 +39,7 @@
     pub message: PeerMessage,
 }
 
-/// What a core gave out for one input, but for the messages that were mailed.
+/// Output of a replica for one input.
 #[derive(Default)]
 struct StepOutput {
     sent: Vec<PeerMessage>,
@@ -56,17 +55,18 @@
 pub struct World {
     pub state: State,
     pub in_flight: Vec<Envelope>,
-    /// Verdicts that were compared.
+    /// Number of comparisons by kind.
     pub compared: BTreeMap<&'static str, usize>,
     cores: Vec<Option<Replica>>,
     disks: Vec<DiskState>,
     mapping: Mapping,
-    /// The votes that each machine has heard for what it leads or rebuilds.
+    /// Votes that each machine has received for the round it leads or for its rebuild.
     votes: Vec<Vec<Vote>>,
-    /// By machine that rebuilds: the floor and what was accepted, as it was told under the incarnation before as well.
+    /// For each rebuilding machine, the highest promise and the accepted value received so far, including
+    /// those received under its previous incarnation.
     rebuild_progress: Vec<(Ballot, Option<(Ballot, Value)>)>,
     calls: u64,
-    /// No room for a further mark between others: the walk ends.
+    /// Set when no rank is free for a new incarnation; the walk ends.
     pub ranks_exhausted: bool,
 }
 
@@ -106,7 +106,7 @@
         *self.compared.entry(kind).or_default() += 1;
     }
 
-    /// Starts a core with what is on its disk. Gives the incarnation that it asks the others to record.
+    /// Starts a replica from its disk. Returns the incarnation that it asks the others to record.
     fn start(&mut self, machine: usize, seed: u64) -> Option<ids::Incarnation> {
         let zones: Vec<String> = (0..self.state.replicas())
             .map(|zone| format!("z{zone}"))
@@ -148,7 +148,7 @@
         })
     }
 
-    /// Feeds a core; what it writes is on disk at once.
+    /// Passes an input to a replica. Its writes complete at once.
     fn step_core(&mut self, machine: usize, input: Input) -> StepOutput {
         let mut step_output = StepOutput::default();
         let mut inputs = vec![input];
@@ -193,7 +193,8 @@
         }
     }
 
-    /// The disk of a core holds what the model's machine does, and both vote or don't.
+    /// Asserts that the replica's disk equals the state of the model's machine, and that both participate or
+    /// neither does.
     fn compare(&mut self, machine: usize) {
         let (model, disk) = (&self.state.machines[machine], &self.disks[machine]);
         let Some(core) = &self.cores[machine] else {
@@ -202,7 +203,7 @@
         assert_eq!(
             core.is_participant(),
             model.is_participant(),
-            "machine {machine} takes part"
+            "whether machine {machine} participates"
         );
         if model.status == Status::Member {
             let register = disk.register.clone().unwrap_or_default();
@@ -210,37 +211,37 @@
             assert_eq!(
                 self.mapping.ballot(promised),
                 model.promised,
-                "promised by {machine}"
+                "ballot promised by machine {machine}"
             );
             assert_eq!(
                 self.mapping.accepted(register.accepted_value.as_ref()),
                 model.accepted,
-                "accepted by {machine}"
+                "value accepted by machine {machine}"
             );
             assert_eq!(
                 self.mapping.accepted(disk.chosen.as_ref()),
                 model.chosen,
-                "chosen at {machine}"
+                "value chosen at machine {machine}"
             );
             let incarnation = self.mapping.incarnation(model.replica, core.incarnation());
             assert_eq!(
                 Some(incarnation),
                 model.incarnation,
-                "incarnation of {machine}"
+                "incarnation of machine {machine}"
             );
             if model.is_participant() {
                 assert_eq!(
                     self.mapping.table(&disk.metadata.incarnations),
                     model.table,
-                    "incarnations known to {machine}"
+                    "incarnations known to machine {machine}"
                 );
             }
         }
         self.count("disks");
     }
 
-    /// Tells a core that those whose incarnations it knows as the newest live. They tell it nothing that it
-    /// does not know.
+    /// Sends heartbeats to a replica from the newest incarnations that it knows, so that it considers these
+    /// reachable. The heartbeats carry nothing that it does not know.
     pub fn refresh_liveness(&mut self, machine: usize) {
         let own_replica = self.state.machines[machine].replica;
         let table = self.state.machines[machine].table;
@@ -264,7 +265,8 @@
         }
     }
 
-    /// A message of the newest incarnation that is known of a replica, with nothing of others.
+    /// Sends a payload from the newest known incarnation of a replica, without incarnations of other
+    /// replicas.
     fn send_as(
         &mut self,
         machine: usize,
@@ -292,7 +294,7 @@
         )
     }
 
-    /// An operator's call comes to a machine that leads no round.
+    /// Passes an operator's call to a machine that leads no round.
     pub fn operator_call(&mut self, machine: usize, wanted: Value) {
         self.refresh_liveness(machine);
         let idle = self.cores[machine]
@@ -310,14 +312,18 @@
             Payload::Prepare { ballot, .. } => Some(*ballot),
             _ => None,
         });
-        let ballot = prepared_ballot
-            .unwrap_or_else(|| panic!("no round of {machine}: {:?}", step_output.replies));
+        let ballot = prepared_ballot.unwrap_or_else(|| {
+            panic!(
+                "machine {machine} began no round: {:?}",
+                step_output.replies
+            )
+        });
         self.votes[machine].clear();
         let model_ballot = self
             .state
             .begin_round(machine, Goal::Write(wanted), ballot.round as u8);
         assert_eq!(self.mapping.ballot(ballot), model_ballot);
-        self.count("begun");
+        self.count("rounds begun");
         let accepted = self.state.machines[machine].accepted;
         if let Response::Promised(found) = self.state.prepare(machine, model_ballot, None) {
             assert_eq!(found, accepted);
@@ -340,7 +346,7 @@
         });
     }
 
-    /// A process ends and starts again; `lost`: its disk is empty then.
+    /// Restarts a process; with `disk_lost`, from an empty disk.
     pub fn restart(&mut self, machine: usize, disk_lost: bool, seed: u64) {
         if disk_lost {
             self.disks[machine] = DiskState::default();
@@ -367,9 +373,10 @@
         }
     }
 
-    /// A machine writes down what it hears of incarnations only while it takes part. The model keeps the rest
-    /// as well: without hearsay, as it is explored, nothing is heard then but what makes the machine begin
-    /// another incarnation.
+    /// A machine persists the incarnations that it learns only while it participates, whereas the model keeps
+    /// all of them. In explorations without
+    /// [`learn_every_incarnation`](model_check::bounds::Bounds::learn_every_incarnation), a machine that does
+    /// not participate learns only incarnations that make it begin another one.
     fn sync_table_from_disk(&mut self, machine: usize) {
         let (model, disk) = (&mut self.state.machines[machine], &self.disks[machine]);
         if model.status != Status::Member {
@@ -380,13 +387,13 @@
         for replica in others {
             assert!(
                 table[replica] <= model.table[replica],
-                "machine {machine} knows what it never heard"
+                "machine {machine} knows an incarnation that it has not received"
             );
             model.table[replica] = table[replica];
         }
     }
 
-    /// Another machine starts for a replica.
+    /// Starts the replacement machine for a replica.
     pub fn replace(&mut self, replica: usize, seed: u64) {
         let machine = self.state.replicas();
         if self.state.machines[machine].status == Status::Absent {
@@ -406,7 +413,7 @@
         rank
     }
 
-    /// A machine is told what is chosen.
+    /// Sends a chosen value to a machine.
     pub fn learn_chosen(&mut self, machine: usize, ballot: Ballot, value: Value) {
         let Some((core_id, _)) = self.find_chosen(ballot) else {
             return;
@@ -432,7 +439,7 @@
             },
         );
         self.state.learn_chosen(machine, ballot, value);
-        self.count("learned");
+        self.count("learned values");
         self.compare(machine);
     }
 
@@ -443,7 +450,7 @@
             .cloned()
     }
 
-    /// A message arrives, at the code and at the model.
+    /// Delivers a message to the implementation and to the model.
     pub fn deliver(&mut self, envelope: &Envelope) {
         let machine = envelope.to;
         let led_round = self.state.machines[machine].led_round.clone();
@@ -541,7 +548,7 @@
         self.compare(machine);
     }
 
-    /// The incarnations that a message tells.
+    /// Passes the incarnations in a message to the model.
     fn deliver_incarnations(
         &mut self,
         machine: usize,
@@ -581,7 +588,7 @@
         assert_eq!(
             before != after,
             rank.is_some(),
-            "machine {machine} begins another incarnation"
+            "whether machine {machine} begins another incarnation"
         );
         if before != after {
             self.votes[machine].clear();
@@ -610,12 +617,12 @@
         assert_eq!(
             core_response.unwrap_or(Response::Ignored),
             model_response,
-            "machine {machine} is asked to promise {ballot:?}"
+            "response of machine {machine} to prepare request {ballot:?}"
         );
         self.count(match model_response {
             Response::Promised(_) => "promises",
-            Response::Rejected(_) => "refusals of a promise",
-            _ => "silence to a proposal",
+            Response::Rejected(_) => "rejected prepare requests",
+            _ => "ignored proposals",
         });
     }
 
@@ -637,12 +644,12 @@
         assert_eq!(
             core_response.unwrap_or(Response::Ignored),
             model_response,
-            "machine {machine} is asked to accept {ballot:?}"
+            "response of machine {machine} to accept request {ballot:?}"
         );
         self.count(match model_response {
             Response::Accepted => "acceptances",
-            Response::Rejected(_) => "refusals to accept",
-            _ => "silence to a proposal",
+            Response::Rejected(_) => "rejected accept requests",
+            _ => "ignored proposals",
         });
     }
 
@@ -665,17 +672,17 @@
         else {
             assert!(
                 core_proposal.is_none() && step_output.replies.is_empty(),
-                "machine {machine} decides without a quorum"
+                "machine {machine} proposes or replies without a quorum of promises"
             );
             return self.count("votes short of a majority");
         };
         let decision = self
             .state
             .handle_promises(machine, &quorum, None)
-            .expect("a round that prepares");
+            .expect("machine leads a round in the prepare phase");
         assert_eq!(
             core_proposal, decision.proposed,
-            "machine {machine} asks to accept"
+            "value proposed by machine {machine}"
         );
         self.votes[machine].clear();
         self.count("decisions");
@@ -706,24 +713,24 @@
         else {
             assert!(
                 chosen.is_none() && step_output.replies.is_empty(),
-                "machine {machine} ends without a quorum"
+                "machine {machine} reports a chosen value or replies without a quorum of acceptances"
             );
             return self.count("votes short of a majority");
         };
         self.state.handle_acceptances(machine);
         assert!(
             chosen.is_some(),
-            "machine {machine} has a quorum of acceptances"
+            "machine {machine} has a quorum of acceptances but reports no chosen value"
         );
         assert_eq!(step_output.replies, vec![reply(round.to_acknowledge)]);
         self.votes[machine].clear();
-        self.count("choices");
+        self.count("chosen values");
     }
 
     fn push_vote(&mut self, machine: usize, vote: Vote) {
         let replica_of = |vote: &Vote| self.state.machines[vote.sender.machine].replica;
         let voter = replica_of(&vote);
-        // Of a machine, and of a replica, the last vote counts; what it told before stays known.
+        // Only the last vote of each replica counts; what its earlier votes reported is retained.
         let previous_value = self.votes[machine]
             .iter()
             .filter(|known| replica_of(known) == voter)
@@ -746,7 +753,7 @@
         self.votes[machine] = rest.chain([merged]).collect();
     }
 
-    /// `anew`: the one that rebuilds has gathered nothing yet, so that it is told all.
+    /// `is_first_request`: the rebuilding machine has received no state yet, so the reply must be complete.
     fn handle_incarnation_request(
         &mut self,
         machine: usize,
@@ -781,9 +788,9 @@
         assert_eq!(
             core_response.is_some(),
             model_records,
-            "machine {machine} writes down {incarnation:?} of {replica}"
+            "whether machine {machine} records {incarnation:?} of replica {replica}"
         );
-        self.count("records");
+        self.count("incarnation requests");
     }
 
     fn handle_incarnation_recorded(
@@ -792,7 +799,8 @@
         incarnation: ids::Incarnation,
         vote: Vote,
     ) {
-        // One that begins anew keeps what it has gathered, and is told no more of it.
+        // A machine that begins another incarnation keeps the state that it has received, and is not sent it
+        // again.
         let (floor, accepted) = self.rebuild_progress[machine];
         let (floor, accepted) = (floor.max(vote.floor), accepted.max(vote.accepted));
         self.rebuild_progress[machine] = (floor, accepted);
@@ -809,11 +817,11 @@
         {
             self.state.rebuild(machine, &quorum, None);
             self.votes[machine].clear();
-            // One that gave its former incarnation up goes on counting runs.
+            // A machine that abandoned its previous incarnation continues to count runs.
             let run = self.disks[machine].metadata.run;
             self.mapping
                 .insert_run(self.state.machines[machine].replica, incarnation, run, 0);
-            self.count("rebuilt");
+            self.count("rebuilds");
         }
     }
 }
@@ -822,8 +830,8 @@
     to_acknowledge.map_or(Reply::Conflict, |_| Reply::Done)
 }
 
-/// Refusals are not delivered: the model's proposers begin anew whenever they like. Where the replicas are
-/// is, with the incarnations.
+/// Nacks are not delivered, since the model's proposers may begin a new round at any time. Replica addresses
+/// are delivered, since they are sent with the incarnations.
 fn is_delivered(payload: &Payload) -> bool {
     matches!(
         payload,
--- a/crates/model-check/tests/faults.rs
+++ b/crates/model-check/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Planted faults are found, each with the fewest steps to where it shows.
+//! The checker detects every injected fault and prints the shortest sequence of steps to a violation. Guards
+//! against properties or steps that are too weak to detect a fault in the protocol.
 
 use model_check::bounds::Bounds;
 use model_check::exploration::shortest_violation;
@@ -7,11 +8,11 @@
 use model_check::steps::Fault;
 use test_case::test_case;
 
-fn planted(name: &str, fault: Fault) -> Bounds {
+fn bounds_with_fault(name: &str, fault: Fault) -> Bounds {
     let named = named_bounds::all()
         .into_iter()
         .find(|named| named.name == name)
-        .expect("named bounds");
+        .expect("bounds of this name exist");
     Bounds {
         fault: Some(fault),
         ..named.bounds
@@ -26,12 +27,12 @@
 #[test_case("one-machine-3", Fault::RunNotCounted, DURABILITY)]
 #[test_case("lost-3", Fault::NoFloor, AGREEMENT)]
 #[test_case("restarts-3", Fault::FoundBeforeChosen, DURABILITY)]
-fn a_planted_fault_is_found(name: &str, fault: Fault, property: &'static str) {
-    let steps = shortest_violation(&planted(name, fault), property);
+fn injected_fault_is_detected(name: &str, fault: Fault, property: &'static str) {
+    let steps = shortest_violation(&bounds_with_fault(name, fault), property);
     let steps =
-        steps.unwrap_or_else(|| panic!("{fault:?} within {name}: no state breaks {property:?}"));
+        steps.unwrap_or_else(|| panic!("{fault:?} within {name}: no state violates {property:?}"));
     println!(
-        "{fault:?} within {name} breaks {property:?} in {} steps:",
+        "{fault:?} within {name} violates {property:?} in {} steps:",
         steps.len()
     );
     steps.iter().for_each(|step| println!("  {step:?}"));
