--- a/crates/model-check/src/model.rs
+++ b/crates/model-check/src/model.rs
@@ -92,7 +92,7 @@
             let mut rounds = state
                 .machines
                 .iter()
-                .filter_map(|local| local.led_round.as_ref());
+                .filter_map(|other| other.led_round.as_ref());
             rounds.any(|round| round.ballot == **ballot && round.proposed.is_none())
         };
         for (machine, local) in state
@@ -154,7 +154,7 @@
                 let mut incarnations: Vec<Incarnation> = state
                     .machines
                     .iter()
-                    .map(|local| local.table[replica])
+                    .map(|other| other.table[replica])
                     .collect();
                 incarnations.sort_unstable();
                 incarnations.dedup();
@@ -207,7 +207,7 @@
                 };
                 let others = state.machines.iter().enumerate();
                 let others =
-                    others.filter(|(_, local)| local.is_participant() && local.replica != replica);
+                    others.filter(|(_, other)| other.is_participant() && other.replica != replica);
                 let losses =
                     others.flat_map(|(other, _)| ranks.iter().map(move |rank| (other, *rank)));
                 actions.extend(losses.map(|(other, rank)| Action::LoseDisk(machine, rank, other)));
--- a/crates/model-check/src/state.rs
+++ b/crates/model-check/src/state.rs
@@ -120,7 +120,7 @@
         incarnation: Incarnation,
     ) -> bool {
         let newer = match self.status {
-            Status::Rebuilding(wanted) => incarnation > wanted,
+            Status::Rebuilding(pending) => incarnation > pending,
             _ => {
                 self.incarnation
                     .is_some_and(|current| incarnation > current)
--- a/crates/model-check/tests/equivalence/main.rs
+++ b/crates/model-check/tests/equivalence/main.rs
@@ -48,11 +48,11 @@
             drawn => {
                 // Recent messages are preferred, but late ones are delivered as well. A message may be
                 // delivered repeatedly.
-                let in_flight = world.in_flight.len();
+                let in_flight_count = world.in_flight.len();
                 let index = if drawn < 45 {
-                    in_flight - 1 - random.below(in_flight.min(12))
+                    in_flight_count - 1 - random.below(in_flight_count.min(12))
                 } else {
-                    random.below(in_flight)
+                    random.below(in_flight_count)
                 };
                 let envelope = world.in_flight[index].clone();
                 if random.below(4) > 0 {
