--- a/crates/model-check/src/state.rs
+++ b/crates/model-check/src/state.rs
@@ -1,279 +1,294 @@
-//! A state of all machines, of their disks, and of what is on its way between them.
+//! Global state of the model: the machines, their disks, and the messages in flight.
 //!
-//! Messages that were sent stay in the state for as long as anybody would take them. One that is never taken
-//! is lost, one that is taken twice was doubled, and any order of taking is a reordering: no steps of their
-//! own are needed for these.
+//! Sent messages stay in the state for as long as any machine would act on them. A message that is never
+//! received counts as lost, one received twice as duplicated, and any order of receipt is possible, so that
+//! loss, duplication and reordering need no steps of their own.
 
-use crate::numbers::{Ballot, Incarnation, Value};
+use crate::packed_types::{Ballot, Incarnation, Value};
 
-/// Most replicas.
-pub const REPLICAS: usize = 5;
+/// Maximum number of replicas.
+pub const MAX_REPLICAS: usize = 5;
 
-/// The newest incarnation that is known of each replica.
-pub type Table = [Incarnation; REPLICAS];
+/// Newest known incarnation of each replica.
+pub type IncarnationTable = [Incarnation; MAX_REPLICAS];
 
-/// What a round is for.
+/// Goal of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Want {
-    /// This is to be in force.
+pub enum Goal {
+    /// Write this value.
     Write(Value),
-    /// What was accepted is to be finished.
+    /// Finish a value that is accepted but possibly not chosen yet.
     Finish,
 }
 
-/// A round that a machine leads. It is lost when its process ends.
+/// Round led by a machine. It is lost when the process ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Round {
-    /// What it is for.
-    pub want: Want,
-    /// Its ballot.
+    /// Goal that the proposal serves.
+    pub goal: Goal,
+    /// Ballot under which it proposes.
     pub ballot: Ballot,
-    /// What it asks to accept; none while it asks for promises.
+    /// Value in the accept requests; `None` during the prepare phase.
     pub proposed: Option<Value>,
-    /// Acknowledged once that is chosen.
-    pub acknowledges: Option<Value>,
+    /// Value acknowledged to the operator once `proposed` is chosen.
+    pub to_acknowledge: Option<Value>,
 }
 
-/// Whether a machine votes.
+/// Membership status of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Status {
-    /// Not there yet.
+    /// Not started yet.
     Absent,
-    /// It rebuilds, towards this incarnation.
-    Rebuilds(Incarnation),
-    /// It holds an incarnation.
+    /// Rebuilding its state, to become a member under this incarnation.
+    Rebuilding(Incarnation),
+    /// Member under the incarnation on its disk.
     Member,
 }
 
-/// A machine. What it writes down is on disk before anything of it is sent.
+/// State of a machine. Durable state is on disk before any message that depends on it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Machine {
-    /// The replica that it is for.
+    /// Replica that the machine runs.
     pub replica: usize,
-    /// Whether it votes.
+    /// Membership status, which decides whether it votes.
     pub status: Status,
-    /// Its incarnation, as on its disk; none where that is empty.
+    /// Incarnation on its disk; `None` if the disk is empty.
     pub incarnation: Option<Incarnation>,
-    /// Starts of its process in this incarnation, as far as they matter.
+    /// Run of the process within the incarnation. Starts are counted only where they change the behaviour.
     pub run: u8,
-    /// Highest round that its process has proposed with.
-    pub round: u8,
-    /// The incarnations that it knows.
-    pub table: Table,
-    /// Nothing below this is accepted any more.
+    /// Highest round that the process has proposed with.
+    pub last_round: u8,
+    /// Newest incarnations known to the machine.
+    pub table: IncarnationTable,
+    /// Highest promised ballot: proposals with lower ballots are rejected.
     pub promised: Ballot,
-    /// The same as on disk: less only where that fault is planted.
+    /// Promised ballot on disk; lower than `promised` only under [`crate::steps::Fault::PromiseNotOnDisk`].
     pub promised_on_disk: Ballot,
-    /// What was accepted last.
+    /// Value accepted last, with its ballot.
     pub accepted: Option<(Ballot, Value)>,
-    /// What it knows to be chosen.
+    /// Value known to be chosen, with its ballot.
     pub chosen: Option<(Ballot, Value)>,
-    /// The round that it leads.
-    pub leads: Option<Round>,
-    /// Its disk was lost or never held anything, and it has not rebuilt since.
-    pub hollow: bool,
+    /// Round that the machine leads.
+    pub led_round: Option<Round>,
+    /// Whether the disk is empty or was lost and the machine has not rebuilt its state since.
+    pub needs_rebuild: bool,
 }
 
 impl Machine {
-    /// A machine that has voted from the first start on.
-    pub fn first(replica: usize) -> Machine {
+    /// Returns a machine that is a member from the first start on.
+    pub fn initial(replica: usize) -> Machine {
         Machine {
             status: Status::Member,
             incarnation: Some(Incarnation::FIRST),
-            hollow: false,
+            needs_rebuild: false,
             ..Machine::empty(replica, Status::Absent)
         }
     }
 
-    /// A machine with an empty disk.
+    /// Returns a machine with an empty disk.
     pub fn empty(replica: usize, status: Status) -> Machine {
         Machine {
             replica,
             status,
             incarnation: None,
             run: 0,
-            round: 0,
-            table: [Incarnation::FIRST; REPLICAS],
+            last_round: 0,
+            table: [Incarnation::FIRST; MAX_REPLICAS],
             promised: Ballot::default(),
             promised_on_disk: Ballot::default(),
             accepted: None,
             chosen: None,
-            leads: None,
-            hollow: true,
+            led_round: None,
+            needs_rebuild: true,
         }
     }
 
-    /// A newer incarnation of its replica is known to it.
-    pub fn aside(&self) -> bool {
+    /// Whether the machine knows a newer incarnation of its own replica.
+    pub fn is_superseded(&self) -> bool {
         self.status == Status::Member
             && self
                 .incarnation
-                .is_some_and(|own| self.table[self.replica] > own)
+                .is_some_and(|current| self.table[self.replica] > current)
     }
 
-    /// An incarnation is one that makes this machine begin another one: it rebuilds and this one is newer, or
-    /// it began this one itself.
-    pub fn hears_own(&self, machine: usize, replica: usize, incarnation: Incarnation) -> bool {
+    /// Whether learning `incarnation` makes this machine begin another incarnation: either it is rebuilding
+    /// and `incarnation` is newer than its own, or it began `incarnation` itself.
+    pub fn begins_new_incarnation_on(
+        &self,
+        machine: usize,
+        replica: usize,
+        incarnation: Incarnation,
+    ) -> bool {
         let newer = match self.status {
-            Status::Rebuilds(wanted) => incarnation > wanted,
+            Status::Rebuilding(pending) => incarnation > pending,
             _ => {
-                self.incarnation.is_some_and(|own| incarnation > own)
+                self.incarnation
+                    .is_some_and(|current| incarnation > current)
                     && incarnation.machine() == machine
             }
         };
         replica == self.replica && newer
     }
 
-    /// Something would be lost or undone if its process ended now.
-    pub fn forgets(&self) -> bool {
-        self.leads.is_some() || self.aside() || self.promised != self.promised_on_disk
+    /// Whether a restart of the process would lose or revert any state.
+    pub fn loses_state_on_restart(&self) -> bool {
+        self.led_round.is_some() || self.is_superseded() || self.promised != self.promised_on_disk
     }
 
-    /// It votes and proposes.
-    pub fn takes_part(&self) -> bool {
-        self.status == Status::Member && !self.aside()
+    /// Whether the machine votes and proposes.
+    pub fn is_participant(&self) -> bool {
+        self.status == Status::Member && !self.is_superseded()
     }
 }
 
-/// Who speaks, and the incarnations that it knew then.
+/// Sender of a message, with the incarnations that it knew when it sent the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Speaker {
-    /// The machine.
+pub struct Sender {
+    /// Index of the sending machine.
     pub machine: usize,
-    /// The incarnation that it votes for.
+    /// Incarnation under which it votes.
     pub incarnation: Incarnation,
-    /// What it knows.
-    pub table: Table,
+    /// Newest incarnations known to the sender.
+    pub table: IncarnationTable,
 }
 
-/// A promise, on its way to who proposes.
+/// Promise in flight to the proposer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Promise {
-    /// The proposal.
+    /// Ballot of the proposal.
     pub ballot: Ballot,
-    /// Who promises.
-    pub by: Speaker,
-    /// What was accepted there.
+    /// Acceptor that promises.
+    pub sender: Sender,
+    /// Value accepted by the sender, with its ballot.
     pub accepted: Option<(Ballot, Value)>,
 }
 
-/// An acceptance, on its way to who proposes.
+/// Acceptance in flight to the proposer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Accepted {
-    /// The proposal.
+pub struct Acceptance {
+    /// Ballot of the proposal.
     pub ballot: Ballot,
-    /// Who accepts.
-    pub by: Speaker,
+    /// Acceptor that accepts.
+    pub sender: Sender,
 }
 
-/// An answer to a machine that rebuilds: its incarnation is written down, and this is all there is.
+/// Reply to a rebuilding machine: its incarnation is recorded, and the reply carries the sender's complete
+/// state.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Recorded {
-    /// The incarnation.
+pub struct IncarnationReply {
+    /// Incarnation that was recorded.
     pub incarnation: Incarnation,
-    /// Who has written it down.
-    pub by: Speaker,
-    /// Highest promise there.
+    /// Machine that recorded the incarnation.
+    pub sender: Sender,
+    /// Highest ballot promised by the sender.
     pub floor: Ballot,
-    /// What was accepted there.
+    /// Value accepted by the sender, with its ballot.
     pub accepted: Option<(Ballot, Value)>,
 }
 
-/// A state.
+/// Global state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    /// The machines: that of each replica, and behind them the one that replaces another.
+    /// Machines in the order of their replicas, followed by the replacement machine.
     pub machines: Vec<Machine>,
-    /// Rounds that were begun.
-    pub begun: u8,
-    /// Processes that have started again.
+    /// Number of rounds begun.
+    pub rounds_begun: u8,
+    /// Number of process restarts.
     pub restarts: u8,
-    /// Disks that were lost.
-    pub losses: u8,
-    /// Ballots for which promises were asked.
-    pub prepares: Vec<Ballot>,
-    /// What was asked to be accepted.
-    pub accepts: Vec<(Ballot, Value)>,
-    /// Promises that are still waited for.
+    /// Number of disk losses.
+    pub disk_losses: u8,
+    /// Ballots of the prepare requests sent.
+    pub prepare_requests: Vec<Ballot>,
+    /// Ballots and values of the accept requests sent.
+    pub accept_requests: Vec<(Ballot, Value)>,
+    /// Promises that a proposer still waits for.
     pub promises: Vec<Promise>,
-    /// Acceptances that are still waited for.
-    pub accepted: Vec<Accepted>,
-    /// Incarnations that were asked to be written down, by replica.
-    pub records: Vec<(usize, Incarnation)>,
-    /// Answers to these that are still waited for.
-    pub recorded: Vec<Recorded>,
-    /// What some proposer saw accepted by a majority.
+    /// Acceptances that a proposer still waits for.
+    pub acceptances: Vec<Acceptance>,
+    /// Requests to record an incarnation, with the replica that begins it.
+    pub incarnation_requests: Vec<(usize, Incarnation)>,
+    /// Replies to these requests that a rebuilding machine still waits for.
+    pub incarnation_replies: Vec<IncarnationReply>,
+    /// Ballots and values that a proposer has seen accepted by a majority.
     pub chosen: Vec<(Ballot, Value)>,
-    /// What was acknowledged to operators.
+    /// Values acknowledged to operators.
     pub acknowledged: Vec<Value>,
 }
 
 impl State {
-    /// All replicas at their first start, and a machine that is not there yet.
+    /// Returns the initial state: every replica at its first start, and a replacement machine that is not
+    /// started.
     ///
     /// # Panics
-    /// There are more replicas than the state has room for.
-    pub fn first(replicas: usize) -> State {
-        assert!((1..=REPLICAS).contains(&replicas), "one to five replicas");
-        let mut machines: Vec<Machine> = (0..replicas).map(Machine::first).collect();
+    /// Panics if `replicas` is not between 1 and [`MAX_REPLICAS`].
+    pub fn initial(replicas: usize) -> State {
+        assert!(
+            (1..=MAX_REPLICAS).contains(&replicas),
+            "number of replicas must be between 1 and {MAX_REPLICAS}"
+        );
+        let mut machines: Vec<Machine> = (0..replicas).map(Machine::initial).collect();
         machines.push(Machine::empty(0, Status::Absent));
         State {
             machines,
-            begun: 0,
+            rounds_begun: 0,
             restarts: 0,
-            losses: 0,
-            prepares: Vec::new(),
-            accepts: Vec::new(),
+            disk_losses: 0,
+            prepare_requests: Vec::new(),
+            accept_requests: Vec::new(),
             promises: Vec::new(),
-            accepted: Vec::new(),
-            records: Vec::new(),
-            recorded: Vec::new(),
+            acceptances: Vec::new(),
+            incarnation_requests: Vec::new(),
+            incarnation_replies: Vec::new(),
             chosen: Vec::new(),
             acknowledged: Vec::new(),
         }
     }
 
-    /// Number of replicas.
+    /// Number of replicas, the replacement machine excluded.
     pub fn replicas(&self) -> usize {
         self.machines.len() - 1
     }
 
-    /// More than half of the replicas.
+    /// Size of a majority of the replicas.
     pub fn majority(&self) -> usize {
         self.replicas() / 2 + 1
     }
 
-    /// More than half of the other replicas, which a machine that rebuilds needs.
-    pub fn others(&self) -> usize {
+    /// Number of replies that a rebuilding machine needs: a majority of the other replicas.
+    pub fn rebuild_quorum(&self) -> usize {
         let others = self.replicas() - 1;
         (others / 2 + 1).min(others)
     }
 
-    /// Forgets messages that nobody would take any more: so that states that differ in nothing else are one.
-    pub fn tidy(&mut self) {
+    /// Discards messages that no machine would act on any more, so that states that differ only in these are
+    /// identical.
+    pub fn discard_stale_messages(&mut self) {
         let machines = &self.machines;
-        let leads = |ballot: Ballot, accepting: bool| {
-            let rounds = machines.iter().filter_map(|machine| machine.leads.as_ref());
+        let is_led = |ballot: Ballot, accepting: bool| {
+            let rounds = machines
+                .iter()
+                .filter_map(|machine| machine.led_round.as_ref());
             rounds
                 .clone()
                 .any(|round| round.ballot == ballot && round.proposed.is_some() == accepting)
         };
-        self.promises.retain(|promise| leads(promise.ballot, false));
-        self.accepted
-            .retain(|accepted| leads(accepted.ballot, true));
-        let rebuilds = |incarnation| {
+        self.promises
+            .retain(|promise| is_led(promise.ballot, false));
+        self.acceptances
+            .retain(|acceptance| is_led(acceptance.ballot, true));
+        let is_rebuilding = |incarnation| {
             machines
                 .iter()
-                .any(|m| m.status == Status::Rebuilds(incarnation))
+                .any(|machine| machine.status == Status::Rebuilding(incarnation))
         };
-        self.recorded
-            .retain(|recorded| rebuilds(recorded.incarnation));
+        self.incarnation_replies
+            .retain(|reply| is_rebuilding(reply.incarnation));
     }
 }
 
-/// Puts something into a sorted list, once.
-pub fn put<T: Ord>(list: &mut Vec<T>, item: T) {
-    if let Err(at) = list.binary_search(&item) {
-        list.insert(at, item);
+/// Inserts an item into a sorted list without duplicates.
+pub fn insert_sorted<T: Ord>(list: &mut Vec<T>, item: T) {
+    if let Err(index) = list.binary_search(&item) {
+        list.insert(index, item);
     }
 }
