--- a/crates/agent/tests/beside.rs
+++ b/crates/agent/tests/beside.rs
@@ -4,32 +4,32 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use emulator::system::machines::{Role, beside, net};
+use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
+use emulator::system::test_system::{READS, SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
-use emulator::system::whole::{READS, SERVICES, Size, Whole, route};
 use tempfile::TempDir;
 
 fn test_deadline() -> Instant {
     Instant::now() + Duration::from_secs(12)
 }
 
-fn start_one_edge(folder: &TempDir) -> Whole {
-    let programs = beside(Path::new(env!("CARGO_BIN_EXE_agent")), env!("CARGO"));
+fn start_one_edge(folder: &TempDir) -> TestSystem {
+    let programs = built_programs_folder(Path::new(env!("CARGO_BIN_EXE_agent")), env!("CARGO"));
     let size = Size {
         zones: 1,
         edges: 1,
-        net: net(),
+        net: unused_net(),
     };
-    Whole::start(folder.path(), &programs, size, test_deadline()).unwrap()
+    TestSystem::start(folder.path(), &programs, size, test_deadline()).unwrap()
 }
 
-fn route_reads_to(system: &mut Whole, version: u64, service: &str) {
+fn route_reads_to(system: &mut TestSystem, version: u64, service: &str) {
     let change = Change::default().set("routes", "reads", version, route(READS, service));
     system.operator.change(&change, test_deadline()).unwrap();
 }
 
-fn reads_are_served_by(system: &Whole, service: &str) -> bool {
+fn reads_are_served_by(system: &TestSystem, service: &str) -> bool {
     wait_for(test_deadline(), || {
         (system.served_by(0, "/read/1").as_deref() == Some(service)).then_some(())
     })
@@ -44,7 +44,7 @@
     system.machines.kill(Role::Proxy, 0);
     route_reads_to(&mut system, 2, SERVICES[1]);
     system.machines.start(Role::Proxy, 0).unwrap();
-    assert!(system.machines.all_ready(test_deadline()));
+    assert!(system.machines.wait_until_ready(test_deadline()));
     assert_eq!(system.served_by(0, "/read/1").as_deref(), Some(SERVICES[1]));
 
     system.machines.kill(Role::Agent, 0);
@@ -61,7 +61,7 @@
     let mut system = start_one_edge(&folder);
     std::fs::write(system.machines.file(Role::Agent, 0, "yaml"), "node: [").unwrap();
     for role in [Role::Control, Role::Proxy, Role::Agent] {
-        system.machines.tell_to_read(role, 0);
+        system.machines.reload_settings(role, 0);
     }
     let rejection_logged = || {
         system
--- a/crates/control/tests/cut_off_programs.rs
+++ b/crates/control/tests/cut_off_programs.rs
@@ -4,11 +4,11 @@
 use std::time::{Duration, Instant};
 
 use control::limits::STALL_THRESHOLD;
-use emulator::system::calls::{Connection, Reply, call};
-use emulator::system::machines::{Role, beside, net};
+use emulator::system::client::{Connection, Reply, call};
+use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
+use emulator::system::test_system::{READS, SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
-use emulator::system::whole::{READS, SERVICES, Size, Whole, route};
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
@@ -16,22 +16,22 @@
     Instant::now() + Duration::from_secs(12)
 }
 
-fn whole(folder: &TempDir) -> Whole {
-    let programs = beside(Path::new(env!("CARGO_BIN_EXE_control")), env!("CARGO"));
-    Whole::start(
+fn whole(folder: &TempDir) -> TestSystem {
+    let programs = built_programs_folder(Path::new(env!("CARGO_BIN_EXE_control")), env!("CARGO"));
+    TestSystem::start(
         folder.path(),
         &programs,
         Size {
             zones: 3,
             edges: 1,
-            net: net(),
+            net: unused_net(),
         },
         soon(),
     )
     .unwrap()
 }
 
-fn asked(whole: &Whole, replica: usize, method: &str, path: &str, body: &str) -> Reply {
+fn asked(whole: &TestSystem, replica: usize, method: &str, path: &str, body: &str) -> Reply {
     call(
         whole.machines.ctl(replica),
         method,
@@ -44,7 +44,7 @@
 }
 
 /// How a replica sees the system; `None` while it does not answer.
-fn status(whole: &Whole, replica: usize) -> Value {
+fn status(whole: &TestSystem, replica: usize) -> Value {
     let until = Instant::now() + Duration::from_millis(500);
     let reply = call(
         whole.machines.ctl(replica),
@@ -72,7 +72,7 @@
     let folder = TempDir::new().unwrap();
     let mut whole = whole(&folder);
     until(|| status(&whole, 2)["in_touch"] == true, "it is in touch");
-    whole.machines.stand_still(Role::Control, 2);
+    whole.machines.pause(Role::Control, 2);
     let (stopped, stood) = (
         Instant::now(),
         Duration::from_micros(STALL_THRESHOLD as u64 + 100_000),
@@ -88,12 +88,12 @@
     }
     let digest = status(&whole, 0)["digest"].clone();
     assert!(digest.is_string(), "{}", status(&whole, 0));
-    let misses = |whole: &Whole| status(whole, 0)["replicas"][2]["heard"] == false;
+    let misses = |whole: &TestSystem| status(whole, 0)["replicas"][2]["heard"] == false;
     until(
         || misses(&whole) && stopped.elapsed() > stood,
         "the others miss it, and it stood still for long enough",
     );
-    whole.machines.go_on(Role::Control, 2);
+    whole.machines.resume(Role::Control, 2);
     until(
         || !misses(&whole) && status(&whole, 2)["in_touch"] == true,
         "it is back",
@@ -153,7 +153,7 @@
     // The edges are ready and serve by what they know.
     for edge in 0..whole.machines.edges() {
         assert!(
-            whole.machines.ready(edge) && whole.served_by(edge, "/read/1").is_some(),
+            whole.machines.is_ready(edge) && whole.served_by(edge, "/read/1").is_some(),
             "edge {edge}"
         );
     }
--- a/crates/control/tests/many_changes.rs
+++ b/crates/control/tests/many_changes.rs
@@ -3,10 +3,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use emulator::system::calls::call;
-use emulator::system::machines::{Role, beside, net};
+use emulator::system::client::call;
+use emulator::system::machines::{Role, built_programs_folder, unused_net};
+use emulator::system::test_system::{Size, TestSystem};
 use emulator::system::wait_for;
-use emulator::system::whole::{Size, Whole};
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
@@ -21,7 +21,7 @@
     Instant::now() + Duration::from_secs(12)
 }
 
-fn read(whole: &Whole, replica: usize, path: &str) -> Option<Value> {
+fn read(whole: &TestSystem, replica: usize, path: &str) -> Option<Value> {
     let reply = call(whole.machines.ctl(replica), "GET", path, "", b"", soon()).ok()?;
     serde_json::from_slice(reply.body())
         .ok()
@@ -29,7 +29,7 @@
 }
 
 /// A change of one service, or its removal, by the number of the change.
-fn change(whole: &Whole, number: u64) {
+fn change(whole: &TestSystem, number: u64) {
     let (name, ver) = (format!("many-{:02}", number % ITEMS), 1 + number / ITEMS);
     let body = match number % 5 {
         0 => json!({"remove": {"svcs": [{"name": name, "ver": ver}]}}),
@@ -61,11 +61,11 @@
     let size = Size {
         zones: 3,
         edges: 1,
-        net: net(),
+        net: unused_net(),
     };
-    let mut whole = Whole::start(
+    let mut whole = TestSystem::start(
         folder.path(),
-        &beside(Path::new(PROGRAM), env!("CARGO")),
+        &built_programs_folder(Path::new(PROGRAM), env!("CARGO")),
         size,
         soon(),
     )
--- a/crates/control/tests/resent.rs
+++ b/crates/control/tests/resent.rs
@@ -6,10 +6,10 @@
 use std::sync::Barrier;
 use std::time::{Duration, Instant};
 
-use emulator::system::calls::{Connection, call};
-use emulator::system::machines::{Role, beside, net, zones};
+use emulator::system::client::{Connection, call};
+use emulator::system::machines::{Role, built_programs_folder, unused_net, zones};
+use emulator::system::test_system::{SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
-use emulator::system::whole::{SERVICES, Size, Whole, route};
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
@@ -41,7 +41,7 @@
     ]}})
 }
 
-struct Replicas(Whole);
+struct Replicas(TestSystem);
 
 impl Replicas {
     fn ctl(&self) -> Vec<SocketAddr> {
@@ -65,10 +65,10 @@
     let size = Size {
         zones: 3,
         edges: 0,
-        net: net(),
+        net: unused_net(),
     };
-    let programs = beside(Path::new(PROGRAM), env!("CARGO"));
-    let mut replicas = Replicas(Whole::start(folder.path(), &programs, size, soon()).unwrap());
+    let programs = built_programs_folder(Path::new(PROGRAM), env!("CARGO"));
+    let mut replicas = Replicas(TestSystem::start(folder.path(), &programs, size, soon()).unwrap());
     let ctl = replicas.ctl();
     for ver in 2..5 {
         let start = Barrier::new(2);
@@ -104,7 +104,11 @@
     replicas.everywhere(&taken, 200, "after all were killed");
     replicas.0.machines.kill(Role::Control, 2);
     std::fs::remove_dir_all(folder.path().join("disk-2")).unwrap();
-    replicas.0.machines.write(Role::Control, 2, false).unwrap();
+    replicas
+        .0
+        .machines
+        .write_settings(Role::Control, 2, false)
+        .unwrap();
     replicas.0.machines.start(Role::Control, 2).unwrap();
     replicas.everywhere(&taken, 200, "after a disk was lost");
     for ver in 1..=60 {
@@ -137,28 +141,28 @@
     let size = Size {
         zones: 3,
         edges: 0,
-        net: net(),
+        net: unused_net(),
     };
-    let programs = beside(Path::new(PROGRAM), env!("CARGO"));
-    let mut whole = Whole::start(folder.path(), &programs, size, soon()).unwrap();
+    let programs = built_programs_folder(Path::new(PROGRAM), env!("CARGO"));
+    let mut whole = TestSystem::start(folder.path(), &programs, size, soon()).unwrap();
     let at = whole.machines.ctl(0);
     // The first sender is gone when the replica resumes, the second one still waits for its answer.
     for (gone, zone) in [(true, 1), (false, 2)] {
         let before = items(at);
-        whole.machines.stand_still(Role::Control, 0);
+        whole.machines.pause(Role::Control, 0);
         let mut sender = Connection::open(at, soon()).unwrap();
         let path = format!("/api/drain/{}/begin", zones(3)[zone].0);
         let order = format!("POST {path} HTTP/1.1\r\nHost: core\r\nContent-Length: 0\r\n\r\n");
         sender.send(order.as_bytes(), soon()).unwrap();
         let sender = (!gone).then_some(sender);
-        whole.machines.go_on(Role::Control, 0);
+        whole.machines.resume(Role::Control, 0);
         // More calls follow, so that everything begun is finished.
         for ver in 1..=5 {
             assert_eq!(patch(at, &order_of_limits(ver + zone as u64 * 10)), 200);
         }
         if let Some(mut sender) = sender {
             // While it hears nobody yet it answers 503, and the call is sent again.
-            let status = sender.answer(soon()).unwrap().status;
+            let status = sender.read_reply(soon()).unwrap().status;
             assert!(status == 200 || clear(at, &path, "") == 200, "{status}");
         }
         assert_eq!(
--- a/crates/control/tests/second_loss_system.rs
+++ b/crates/control/tests/second_loss_system.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use emulator::system::machines::{Role, beside, net};
+use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
+use emulator::system::test_system::{READS, SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
-use emulator::system::whole::{READS, SERVICES, Size, Whole, route};
 use tempfile::TempDir;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_control");
@@ -16,15 +16,15 @@
     Instant::now() + Duration::from_secs(12)
 }
 
-fn whole(folder: &TempDir) -> Whole {
+fn whole(folder: &TempDir) -> TestSystem {
     let size = Size {
         zones: 3,
         edges: 1,
-        net: net(),
+        net: unused_net(),
     };
-    Whole::start(
+    TestSystem::start(
         folder.path(),
-        &beside(Path::new(PROGRAM), env!("CARGO")),
+        &built_programs_folder(Path::new(PROGRAM), env!("CARGO")),
         size,
         soon(),
     )
@@ -32,7 +32,7 @@
 }
 
 #[track_caller]
-fn says(whole: &Whole, number: usize, line: &str) {
+fn says(whole: &TestSystem, number: usize, line: &str) {
     let said = || {
         whole
             .machines
@@ -47,7 +47,7 @@
     );
 }
 
-fn change(whole: &mut Whole, ver: u64) {
+fn change(whole: &mut TestSystem, ver: u64) {
     let change = Change::default().set(
         "routes",
         "reads",
@@ -65,7 +65,10 @@
         change(&mut whole, 2 + number as u64);
         whole.machines.kill(Role::Control, number);
         std::fs::remove_dir_all(folder.path().join(format!("disk-{number}"))).unwrap();
-        whole.machines.write(Role::Control, number, false).unwrap();
+        whole
+            .machines
+            .write_settings(Role::Control, number, false)
+            .unwrap();
         whole.machines.start(Role::Control, number).unwrap();
         says(
             &whole,
@@ -86,18 +89,21 @@
     // The successor of the first machine stands in its zone at another address; the recovery of
     // three replicas needs both others, of which one does not run yet.
     whole.machines.kill(Role::Control, 1);
-    whole.machines.write(Role::Control, 3, false).unwrap();
+    whole
+        .machines
+        .write_settings(Role::Control, 3, false)
+        .unwrap();
     whole.machines.start(Role::Control, 3).unwrap();
     says(
         &whole,
         0,
         "INFO superseded by a newer incarnation of this replica",
     );
-    whole.machines.tell_to_end(Role::Control, 0);
+    whole.machines.terminate(Role::Control, 0);
     // Without a successor that is up to date it stays longer than it takes to answer calls in
     // progress.
     let early = Instant::now() + Duration::from_millis(700);
-    assert_eq!(whole.machines.ended(Role::Control, 0, early), None);
+    assert_eq!(whole.machines.wait_for_exit(Role::Control, 0, early), None);
     assert!(
         !whole
             .machines
@@ -109,7 +115,7 @@
     assert!(
         whole
             .machines
-            .ended(Role::Control, 0, soon())
+            .wait_for_exit(Role::Control, 0, soon())
             .is_some_and(|status| status.success())
     );
     says(&whole, 0, "INFO handover complete");
--- a/crates/control/tests/stored.rs
+++ b/crates/control/tests/stored.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use control::disk;
-use emulator::system::calls::call;
-use emulator::system::machines::{Machines, Plan, Role, net, zones};
+use emulator::system::client::call;
+use emulator::system::machines::{Layout, Machines, Role, unused_net, zones};
 use emulator::system::wait_for;
 use serde_json::{Value, json};
 use tempfile::TempDir;
@@ -43,10 +43,10 @@
 #[test]
 fn program_reads_a_stored_database() {
     let folder = TempDir::new().unwrap();
-    let plan = Plan {
+    let plan = Layout {
         folder: folder.path().to_path_buf(),
         programs: Path::new(PROGRAM).parent().unwrap().to_path_buf(),
-        net: net(),
+        net: unused_net(),
         zones: zones(1),
         edges: 0,
         platform: "127.0.0.1:9".parse().unwrap(),
@@ -54,7 +54,7 @@
     };
     let mut machines = Machines::new(plan).unwrap();
     copy_to(&folder.path().join("disk-0"));
-    machines.write(Role::Control, 0, false).unwrap();
+    machines.write_settings(Role::Control, 0, false).unwrap();
     machines.start(Role::Control, 0).unwrap();
     let get = |path: &str| {
         let answer = call(machines.ctl(0), "GET", path, "", b"", soon()).ok()?;
--- a/crates/control/tests/system.rs
+++ b/crates/control/tests/system.rs
@@ -4,11 +4,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use emulator::system::calls::{Connection, call};
-use emulator::system::machines::{Role, beside, net};
+use emulator::system::client::{Connection, call};
+use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
+use emulator::system::test_system::{HOST, READS, SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
-use emulator::system::whole::{HOST, READS, SERVICES, Size, Whole, route};
 use serde_json::json;
 use tempfile::TempDir;
 
@@ -18,17 +18,20 @@
     Instant::now() + Duration::from_secs(12)
 }
 
-fn whole(folder: &TempDir) -> Whole {
-    whole_of(folder, &beside(Path::new(PROGRAM), env!("CARGO")))
+fn whole(folder: &TempDir) -> TestSystem {
+    whole_of(
+        folder,
+        &built_programs_folder(Path::new(PROGRAM), env!("CARGO")),
+    )
 }
 
-fn whole_of(folder: &TempDir, programs: &Path) -> Whole {
+fn whole_of(folder: &TempDir, programs: &Path) -> TestSystem {
     let size = Size {
         zones: 3,
         edges: 1,
-        net: net(),
+        net: unused_net(),
     };
-    Whole::start(folder.path(), programs, size, soon()).unwrap()
+    TestSystem::start(folder.path(), programs, size, soon()).unwrap()
 }
 
 #[test]
@@ -53,7 +56,7 @@
             whole.served_by(edge, "/more/1").as_deref(),
             Some(SERVICES[1])
         );
-        assert_eq!(whole.ask(edge, "/write/1").unwrap().status, 404);
+        assert_eq!(whole.send_request(edge, "/write/1").unwrap().status, 404);
     }
     // Without effect: a lower version, which is valid, and a call that is invalid in one part.
     let older = Change::default().set("routes", "reads", 4, route(READS, SERVICES[0]));
@@ -97,11 +100,11 @@
             .send(format!("{head}{part}").as_bytes(), soon())
             .unwrap();
         if let Some(status) = status {
-            assert_eq!(connection.answer(soon()).unwrap().status, status);
+            assert_eq!(connection.read_reply(soon()).unwrap().status, status);
         }
     }
     assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
-    assert_eq!(whole.ask(0, "/cut/1").unwrap().status, 404);
+    assert_eq!(whole.send_request(0, "/cut/1").unwrap().status, 404);
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
 }
 
@@ -134,7 +137,10 @@
     let mut whole = whole(&folder);
     whole.machines.kill(Role::Control, 2);
     std::fs::remove_dir_all(folder.path().join("disk-2")).unwrap();
-    whole.machines.write(Role::Control, 2, false).unwrap();
+    whole
+        .machines
+        .write_settings(Role::Control, 2, false)
+        .unwrap();
     whole.machines.start(Role::Control, 2).unwrap();
     // By the programs' own log lines, as the runbook says: none of them has met an error.
     for (replica, line) in [
@@ -166,7 +172,7 @@
 fn programs_that_may_be_limited(folder: &TempDir) -> std::path::PathBuf {
     let (programs, built) = (
         folder.path().join("programs"),
-        beside(Path::new(PROGRAM), env!("CARGO")),
+        built_programs_folder(Path::new(PROGRAM), env!("CARGO")),
     );
     std::fs::create_dir(&programs).unwrap();
     for role in [Role::Control, Role::Agent, Role::Proxy] {
@@ -192,7 +198,7 @@
         let body = json!({"upsert": {"objs": [object]}}).to_string();
         call(at, "POST", "/api/cfg/patch", "", body.as_bytes(), soon()).unwrap()
     };
-    let says = |whole: &Whole, line: &str| {
+    let says = |whole: &TestSystem, line: &str| {
         let said = || {
             whole
                 .machines
@@ -213,7 +219,7 @@
         .len();
     whole
         .machines
-        .most_bytes(Role::Control, 0, Some(length))
+        .limit_file_size(Role::Control, 0, Some(length))
         .unwrap();
     let refused = wait_for(soon(), || {
         Some(patch(2, SERVICES[1])).filter(|reply| reply.status == 503)
@@ -238,7 +244,10 @@
         .then_some(())
     };
     assert!(wait_for(soon(), shows).is_some());
-    whole.machines.most_bytes(Role::Control, 0, None).unwrap();
+    whole
+        .machines
+        .limit_file_size(Role::Control, 0, None)
+        .unwrap();
     says(&whole, "INFO disk accepts writes again");
     assert_eq!(patch(4, SERVICES[0]).status, 200);
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
@@ -253,10 +262,10 @@
     machines.kill(Role::Proxy, 0);
     machines.start(Role::Proxy, 0).unwrap();
     // It has called its agent by the time at which it answers.
-    let answers = || machines.answers(0).then_some(());
+    let answers = || machines.answers_readiness_check(0).then_some(());
     assert!(wait_for(soon(), answers).is_some());
     machines.refuse_connections(Role::Agent, 0, false).unwrap();
-    let ready = || machines.ready(0).then_some(());
+    let ready = || machines.is_ready(0).then_some(());
     assert!(
         wait_for(soon(), ready).is_some(),
         "the agent was not told of it again"
@@ -270,7 +279,7 @@
     let mut whole = whole(&folder);
     let machines = &whole.machines;
     machines.refuse_connections(Role::Control, 0, true).unwrap();
-    let used = || machines.usage(Role::Control, 0).unwrap().processor;
+    let used = || machines.usage(Role::Control, 0).unwrap().cpu_time;
     let (before, address) = (used(), machines.ctl(0));
     // They are established by the system, and wait to be accepted.
     let mut waiting = Connection::open(address, soon()).unwrap();
@@ -286,6 +295,6 @@
     machines
         .refuse_connections(Role::Control, 0, false)
         .unwrap();
-    assert_eq!(waiting.answer(soon()).unwrap().status, 200);
+    assert_eq!(waiting.read_reply(soon()).unwrap().status, 200);
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
 }
--- a/crates/ctl/tests/system.rs
+++ b/crates/ctl/tests/system.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 use ctl::status::{SystemStatus, query_replicas};
-use emulator::system::machines::{Role, beside, net};
+use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
+use emulator::system::test_system::{KEY, SERVICES, Size, TENANT, TestSystem, route};
 use emulator::system::wait_for;
-use emulator::system::whole::{KEY, SERVICES, Size, TENANT, Whole, route};
 use serde_json::Value;
 use tempfile::TempDir;
 
@@ -35,13 +35,13 @@
 #[test]
 fn status_export_and_diff_of_a_running_system() {
     let folder = TempDir::new().unwrap();
-    let programs = beside(Path::new(PROGRAM), env!("CARGO"));
+    let programs = built_programs_folder(Path::new(PROGRAM), env!("CARGO"));
     let size = Size {
         zones: 3,
         edges: 1,
-        net: net(),
+        net: unused_net(),
     };
-    let mut system = Whole::start(folder.path(), &programs, size, test_deadline()).unwrap();
+    let mut system = TestSystem::start(folder.path(), &programs, size, test_deadline()).unwrap();
     let addresses: Vec<SocketAddr> = (0..3).map(|number| system.machines.ctl(number)).collect();
     let all_addresses = addresses
         .iter()
--- a/crates/emulator/src/system/calls.rs
+++ b/crates/emulator/src/system/client.rs
@@ -27,7 +27,7 @@
 
 impl Reply {
     /// A line of its head.
-    pub fn line(&self, name: &str) -> Option<&str> {
+    pub fn header(&self, name: &str) -> Option<&str> {
         http::line(&self.bytes, name)
     }
 
@@ -52,9 +52,9 @@
     /// It broke, or what came is no answer.
     Broken(io::Error),
     /// Nothing whole came in time.
-    Late,
+    TimedOut,
     /// Bytes came that belong to no request.
-    Surplus,
+    UnexpectedBytes,
 }
 
 /// A connection.
@@ -62,7 +62,7 @@
 pub struct Connection {
     stream: TcpStream,
     /// Calls that were answered on it.
-    pub used: usize,
+    pub answered_calls: usize,
 }
 
 fn left(until: Instant) -> Option<Duration> {
@@ -75,10 +75,13 @@
     /// # Errors
     /// It does not come up in time.
     pub fn open(to: SocketAddr, until: Instant) -> Result<Connection, Failure> {
-        let wait = left(until).ok_or(Failure::Late)?.min(CONNECT);
+        let wait = left(until).ok_or(Failure::TimedOut)?.min(CONNECT);
         let stream = TcpStream::connect_timeout(&to, wait).map_err(Failure::NotSent)?;
         stream.set_nodelay(true).map_err(Failure::NotSent)?;
-        Ok(Connection { stream, used: 0 })
+        Ok(Connection {
+            stream,
+            answered_calls: 0,
+        })
     }
 
     /// Sends a request; [`Connection::answer`] brings its answer.
@@ -87,7 +90,7 @@
     /// It was not written whole in time.
     pub fn send(&mut self, request: &[u8], until: Instant) -> Result<(), Failure> {
         self.stream
-            .set_write_timeout(Some(left(until).ok_or(Failure::Late)?))
+            .set_write_timeout(Some(left(until).ok_or(Failure::TimedOut)?))
             .map_err(Failure::NotSent)?;
         self.stream.write_all(request).map_err(Failure::NotSent)
     }
@@ -96,12 +99,12 @@
     ///
     /// # Errors
     /// None came whole in time.
-    pub fn answer(&mut self, until: Instant) -> Result<Reply, Failure> {
+    pub fn read_reply(&mut self, until: Instant) -> Result<Reply, Failure> {
         let mut bytes = Vec::new();
         let mut room = vec![0; READ];
         loop {
             self.stream
-                .set_read_timeout(Some(left(until).ok_or(Failure::Late)?))
+                .set_read_timeout(Some(left(until).ok_or(Failure::TimedOut)?))
                 .map_err(Failure::Broken)?;
             let length = match self.stream.read(&mut room) {
                 Ok(0) if bytes.is_empty() => return Err(Failure::Closed),
@@ -113,7 +116,7 @@
                         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
                     ) =>
                 {
-                    return Err(Failure::Late);
+                    return Err(Failure::TimedOut);
                 }
                 Err(error) => return Err(Failure::Broken(error)),
             };
@@ -131,9 +134,9 @@
                 continue;
             };
             if bytes.len() > length {
-                return Err(Failure::Surplus);
+                return Err(Failure::UnexpectedBytes);
             }
-            self.used += 1;
+            self.answered_calls += 1;
             return Ok(Reply {
                 status,
                 retry_after,
@@ -170,5 +173,5 @@
     .into_bytes();
     request.extend_from_slice(body);
     connection.send(&request, until)?;
-    connection.answer(until)
+    connection.read_reply(until)
 }
--- a/crates/emulator/src/system/town.rs
+++ b/crates/emulator/src/system/fleet.rs
@@ -13,7 +13,7 @@
 use socket2::SockRef;
 
 use super::platform::{self, Entry, Platform};
-use super::server::{Asked, Counts, Given, Ledger, Make, Server, Then, Trouble};
+use super::server::{AnswerFault, Asked, Counts, Given, Ledger, Server, ServerConfig, Then};
 use crate::Micros;
 use crate::http;
 use crate::reactor::{Reactor, Ready, WOKEN, Waker};
@@ -54,7 +54,7 @@
 }
 
 /// The platform's list and the servers, served on a thread of their own.
-pub struct Town {
+pub struct Fleet {
     host: Arc<Mutex<Host>>,
     platform: SocketAddr,
     waker: Waker,
@@ -62,12 +62,12 @@
     thread: Option<JoinHandle<()>>,
 }
 
-impl Town {
+impl Fleet {
     /// Begins without servers. `drain`: so long after a server is told to be leaving, nothing may come to it.
     ///
     /// # Errors
     /// The system's, most often for want of descriptors.
-    pub fn start(make: platform::Make, drain: Micros) -> io::Result<Town> {
+    pub fn start(make: platform::Make, drain: Micros) -> io::Result<Fleet> {
         let reactor = Arc::new(Reactor::new()?);
         let waker = reactor.waker();
         let mut host = Host {
@@ -89,7 +89,7 @@
         let thread = std::thread::Builder::new()
             .name("town".into())
             .spawn(move || run(&served, &reactor, &told))?;
-        Ok(Town {
+        Ok(Fleet {
             host,
             platform,
             waker,
@@ -111,7 +111,12 @@
     ///
     /// # Errors
     /// No address is to be had.
-    pub fn found(&self, make: Make, warm: bool, at: Option<SocketAddr>) -> io::Result<usize> {
+    pub fn start_server(
+        &self,
+        make: ServerConfig,
+        warm: bool,
+        at: Option<SocketAddr>,
+    ) -> io::Result<usize> {
         let mut host = self.host();
         let number = host.found;
         let at = host.open(
@@ -139,7 +144,7 @@
     }
 
     /// A server is to leave: it is told to be draining and serves on.
-    pub fn leave(&self, number: usize) {
+    pub fn drain_server(&self, number: usize) {
         let mut host = self.host();
         let (now, drain) = (host.now(), host.drain);
         let Some((_, server)) = host.servers.get_mut(&number) else {
@@ -161,7 +166,7 @@
     }
 
     /// A server ends, and all its connections with it; gives where it was.
-    pub fn end(&self, number: usize) -> Option<SocketAddr> {
+    pub fn stop_server(&self, number: usize) -> Option<SocketAddr> {
         let mut host = self.host();
         let now = host.now();
         let (at, server) = host.servers.remove(&number)?;
@@ -176,7 +181,7 @@
     }
 
     /// The next answers of a server suffer these.
-    pub fn trouble(&self, number: usize, troubles: &[Trouble]) {
+    pub fn inject_faults(&self, number: usize, troubles: &[AnswerFault]) {
         let mut host = self.host();
         host.servers
             .get_mut(&number)
@@ -203,12 +208,12 @@
     }
 
     /// How often a request ran.
-    pub fn runs(&self, id: &str) -> u32 {
+    pub fn run_count(&self, id: &str) -> u32 {
         self.host().ledger.runs(id)
     }
 }
 
-impl Drop for Town {
+impl Drop for Fleet {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         self.waker.wake();
--- a/crates/emulator/src/system/machines.rs
+++ b/crates/emulator/src/system/machines.rs
@@ -15,7 +15,7 @@
 use rustix::process::{Pid, Resource, Rlimit, Signal, getrlimit, kill_process, prlimit};
 use serde_json::json;
 
-use super::calls::call;
+use super::client::call;
 use super::wait_for;
 
 /// Ports, the same on all machines.
@@ -57,14 +57,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
     /// Processor time, its own and the system's on its behalf.
-    pub processor: Duration,
+    pub cpu_time: Duration,
     /// Resident bytes.
-    pub resident: u64,
+    pub resident_bytes: u64,
 }
 
 /// What the machines are.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Layout {
     /// Where settings, logs and disks are kept.
     pub folder: PathBuf,
     /// Where the built programs are.
@@ -89,7 +89,7 @@
 }
 
 /// A network that no other test uses at the same time, by this process's number and how often this was asked.
-pub fn net() -> (u8, u8) {
+pub fn unused_net() -> (u8, u8) {
     static ASKED: AtomicU32 = AtomicU32::new(0);
     let number = std::process::id()
         .wrapping_mul(8)
@@ -100,7 +100,7 @@
 
 /// The machines and what runs on them. Dropped, it kills what is left.
 pub struct Machines {
-    plan: Plan,
+    plan: Layout,
     running: BTreeMap<(Role, usize), Child>,
     /// Those that were told to end and were not seen to end yet.
     shutting_down: BTreeSet<(Role, usize)>,
@@ -111,18 +111,18 @@
     ///
     /// # Errors
     /// The folder can't be written.
-    pub fn new(plan: Plan) -> io::Result<Machines> {
+    pub fn new(plan: Layout) -> io::Result<Machines> {
         let machines = Machines {
             plan,
             running: BTreeMap::new(),
             shutting_down: BTreeSet::new(),
         };
         for number in 0..machines.cores() {
-            machines.write(Role::Control, number, true)?;
+            machines.write_settings(Role::Control, number, true)?;
         }
         for number in 0..machines.edges() {
-            machines.write(Role::Proxy, number, true)?;
-            machines.write(Role::Agent, number, true)?;
+            machines.write_settings(Role::Proxy, number, true)?;
+            machines.write_settings(Role::Agent, number, true)?;
         }
         Ok(machines)
     }
@@ -170,7 +170,7 @@
     ///
     /// # Errors
     /// The folder can't be written.
-    pub fn write(&self, role: Role, number: usize, bootstrap: bool) -> io::Result<()> {
+    pub fn write_settings(&self, role: Role, number: usize, bootstrap: bool) -> io::Result<()> {
         let core = role == Role::Control;
         let (ip, (zone, region)) = (self.ip(core, number), self.zone(number));
         let at = |port: u16| Some(SocketAddr::from((ip, port)).to_string());
@@ -261,7 +261,7 @@
     }
 
     /// Tells a program to end (SIGTERM).
-    pub fn tell_to_end(&mut self, role: Role, number: usize) {
+    pub fn terminate(&mut self, role: Role, number: usize) {
         if self.is_running(role, number) {
             self.shutting_down.insert((role, number));
         }
@@ -269,17 +269,17 @@
     }
 
     /// Tells a program that its settings file may have changed (SIGHUP).
-    pub fn tell_to_read(&self, role: Role, number: usize) {
+    pub fn reload_settings(&self, role: Role, number: usize) {
         self.signal(role, number, Signal::HUP);
     }
 
     /// Lets a program stand still (SIGSTOP): its connections stay up, and what comes waits.
-    pub fn stand_still(&self, role: Role, number: usize) {
+    pub fn pause(&self, role: Role, number: usize) {
         self.signal(role, number, Signal::STOP);
     }
 
     /// Lets a program that stands still go on (SIGCONT).
-    pub fn go_on(&self, role: Role, number: usize) {
+    pub fn resume(&self, role: Role, number: usize) {
         self.signal(role, number, Signal::CONT);
     }
 
@@ -288,7 +288,7 @@
     ///
     /// # Errors
     /// It does not run, or the system refuses.
-    pub fn most_bytes(&self, role: Role, number: usize, most: Option<u64>) -> io::Result<()> {
+    pub fn limit_file_size(&self, role: Role, number: usize, most: Option<u64>) -> io::Result<()> {
         let pid = self.pid(role, number).ok_or(io::ErrorKind::NotFound)?;
         prlimit(
             Some(pid),
@@ -338,8 +338,8 @@
         let ticks = number(USER_TICKS)? + number(SYSTEM_TICKS)?;
         let processor = Duration::from_secs_f64(ticks as f64 / clock_ticks_per_second() as f64);
         Ok(Usage {
-            processor,
-            resident: number(RESIDENT_PAGES)? * page_size() as u64,
+            cpu_time: processor,
+            resident_bytes: number(RESIDENT_PAGES)? * page_size() as u64,
         })
     }
 
@@ -357,7 +357,12 @@
     }
 
     /// How a program ended, if it does in time.
-    pub fn ended(&mut self, role: Role, number: usize, until: Instant) -> Option<ExitStatus> {
+    pub fn wait_for_exit(
+        &mut self,
+        role: Role,
+        number: usize,
+        until: Instant,
+    ) -> Option<ExitStatus> {
         let child = self.running.get_mut(&(role, number))?;
         let status = wait_for(until, || child.try_wait().ok().flatten())?;
         self.running.remove(&(role, number));
@@ -376,7 +381,7 @@
     }
 
     /// Programs that have ended without being told, and the last that they wrote.
-    pub fn fallen(&mut self) -> Vec<String> {
+    pub fn unexpected_exits(&mut self) -> Vec<String> {
         let ended = |(at, child): (&(Role, usize), &mut Child)| {
             Some((*at, child.try_wait().ok().flatten()?))
         };
@@ -391,12 +396,12 @@
     }
 
     /// Whether an edge says that it is ready.
-    pub fn ready(&self, edge: usize) -> bool {
+    pub fn is_ready(&self, edge: usize) -> bool {
         self.readiness(edge) == Some(200)
     }
 
     /// Whether an edge answers the readiness check, ready or not.
-    pub fn answers(&self, edge: usize) -> bool {
+    pub fn answers_readiness_check(&self, edge: usize) -> bool {
         self.readiness(edge).is_some()
     }
 
@@ -408,8 +413,9 @@
     }
 
     /// Waits until all edges are ready.
-    pub fn all_ready(&self, until: Instant) -> bool {
-        (0..self.edges()).all(|edge| wait_for(until, || self.ready(edge).then_some(())).is_some())
+    pub fn wait_until_ready(&self, until: Instant) -> bool {
+        (0..self.edges())
+            .all(|edge| wait_for(until, || self.is_ready(edge).then_some(())).is_some())
     }
 
     /// What a program has written so far.
@@ -420,7 +426,7 @@
 
     /// Tells all to end, edges first, and kills what does not within its grace; names what did not end in order.
     pub fn stop(&mut self) -> Vec<String> {
-        let mut wrong = self.fallen();
+        let mut wrong = self.unexpected_exits();
         for role in [Role::Proxy, Role::Agent, Role::Control] {
             let all: Vec<_> = self
                 .running
@@ -429,10 +435,10 @@
                 .filter(|(of, _)| *of == role)
                 .collect();
             all.iter()
-                .for_each(|(role, number)| self.tell_to_end(*role, *number));
+                .for_each(|(role, number)| self.terminate(*role, *number));
             let until = Instant::now() + GRACE;
             for (role, number) in all {
-                match self.ended(role, number, until) {
+                match self.wait_for_exit(role, number, until) {
                     Some(status) if status.success() => {}
                     Some(status) => wrong.push(format!("{} {number}: {status}", role.program())),
                     None => {
@@ -459,7 +465,7 @@
 ///
 /// # Panics
 /// They can't be built.
-pub fn beside(program: &Path, cargo: &str) -> PathBuf {
+pub fn built_programs_folder(program: &Path, cargo: &str) -> PathBuf {
     let folder = program.parent().unwrap_or(Path::new(".")).to_path_buf();
     let roles = [Role::Control, Role::Agent, Role::Proxy];
     let missing: Vec<_> = roles
--- a/crates/emulator/src/system/mod.rs
+++ b/crates/emulator/src/system/mod.rs
@@ -5,13 +5,13 @@
 //! configurations. `machines` writes settings files, starts the built programs and ends them; `whole` is all of it
 //! together, small, with a first configuration.
 
-pub mod calls;
+pub mod client;
+pub mod fleet;
 pub mod machines;
 pub mod operator;
 pub mod platform;
 pub mod server;
-pub mod town;
-pub mod whole;
+pub mod test_system;
 
 use std::time::{Duration, Instant};
 
--- a/crates/emulator/src/system/operator.rs
+++ b/crates/emulator/src/system/operator.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{Value, json};
 
-use super::calls::{Failure, Reply, call};
+use super::client::{Failure, Reply, call};
 
 /// A call without an answer is given up after this.
 const SILENCE: Duration = Duration::from_secs(1);
@@ -182,7 +182,7 @@
     let mut path = path.to_string();
     for _ in 0..2 {
         let reply = one(to, method, &path, body, until)?;
-        let place = reply.line("Location").filter(|_| reply.status == 307);
+        let place = reply.header("Location").filter(|_| reply.status == 307);
         let place = place.and_then(|place| place.strip_prefix("http://")?.split_once('/'));
         let Some((address, rest)) = place.and_then(|(at, rest)| Some((at.parse().ok()?, rest)))
         else {
--- a/crates/emulator/src/system/server.rs
+++ b/crates/emulator/src/system/server.rs
@@ -11,7 +11,7 @@
 
 /// What a server is.
 #[derive(Clone, Debug)]
-pub struct Make {
+pub struct ServerConfig {
     /// Its service.
     pub svc: String,
     /// Its zone.
@@ -33,21 +33,21 @@
 
 /// What a server does wrong with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum AnswerFault {
     /// It resets the connection instead.
     Reset,
     /// It ends the connection in the middle of the body.
-    Cut,
+    Truncated,
     /// It sends what is no answer.
-    Garbled,
+    Malformed,
     /// It sends another answer behind it, which nobody asked for.
-    Extra,
+    Unsolicited,
     /// It sends the answer twice.
-    Twice,
+    Duplicated,
     /// It never answers, and keeps the connection.
-    Silent,
+    NoAnswer,
     /// It answers and forgets the connection at once, without a word.
-    Forgets,
+    ClosedUnannounced,
 }
 
 /// A request as a server reads it.
@@ -115,19 +115,19 @@
     /// Ids that ran.
     pub ran: u64,
     /// Ids of requests that may be repeated and ran more than once.
-    pub again: u64,
+    pub repeated_idempotent: u64,
     /// Ids of requests that may not be repeated and ran more than once.
-    pub twice: u64,
+    pub repeated_mutating: u64,
     /// Requests turned away.
-    pub turned_away: u64,
+    pub rejected: u64,
     /// Requests for another server.
-    pub mistaken: u64,
+    pub misdirected: u64,
     /// Requests that showed a client's key.
-    pub keys: u64,
+    pub with_client_key: u64,
     /// Requests that came too long after a server was told to be leaving.
-    pub late: u64,
+    pub after_drain: u64,
     /// Answers that troubles befell.
-    pub spoilt: u64,
+    pub faulty_answers: u64,
 }
 
 /// What ran, by id.
@@ -144,8 +144,8 @@
         *runs += 1;
         match (*runs, repeatable) {
             (1, _) => self.counts.ran += 1,
-            (2, true) => self.counts.again += 1,
-            (2, false) => self.counts.twice += 1,
+            (2, true) => self.counts.repeated_idempotent += 1,
+            (2, false) => self.counts.repeated_mutating += 1,
             _ => {}
         }
     }
@@ -183,7 +183,7 @@
 /// A server in one life.
 #[derive(Debug)]
 pub struct Server {
-    make: Make,
+    make: ServerConfig,
     id: String,
     node: Node,
     held: BTreeMap<u64, Held>,
@@ -192,14 +192,14 @@
     /// What comes after this is late.
     pub told_off: Option<Micros>,
     /// What the next answers suffer.
-    pub troubles: VecDeque<Trouble>,
+    pub troubles: VecDeque<AnswerFault>,
     /// It stands still until then.
     pub frozen: Micros,
 }
 
 impl Server {
     /// A server that starts now; `warm`: it has been there for long.
-    pub fn new(make: Make, id: String, now: Micros, warm: bool) -> Server {
+    pub fn new(make: ServerConfig, id: String, now: Micros, warm: bool) -> Server {
         let cores = Cores {
             cores: make.slots,
             speed: 1.0,
@@ -223,7 +223,7 @@
     }
 
     /// Its id and what it is.
-    pub fn known(&self) -> (&str, &Make) {
+    pub fn known(&self) -> (&str, &ServerConfig) {
         (&self.id, &self.make)
     }
 
@@ -263,14 +263,14 @@
         };
         if !health {
             ledger.counts.arrived += 1;
-            ledger.counts.keys += u64::from(asked.key);
+            ledger.counts.with_client_key += u64::from(asked.key);
         }
         if asked.wanted.is_some_and(|wanted| wanted != self.id) {
-            ledger.counts.mistaken += 1;
+            ledger.counts.misdirected += 1;
             return Some(not_run(421, "another"));
         }
         if !health && self.told_off.is_some_and(|at| now > at) {
-            ledger.counts.late += 1;
+            ledger.counts.after_drain += 1;
         }
         let Some(id) = asked
             .id
@@ -288,7 +288,7 @@
             asked.work.unwrap_or(self.make.work)
         };
         if self.node.arrive(now, Job { token, work }) == Taken::TurnedAway {
-            ledger.counts.turned_away += u64::from(!health);
+            ledger.counts.rejected += u64::from(!health);
             return Some(self.answer(503, asked.id, "X-Not-Run: full\r\n", b"", asked.close));
         }
         let held = Held {
@@ -332,7 +332,7 @@
             .0;
         let held = self.held.remove(&token)?;
         if self.node.give_up(now, token) {
-            ledger.counts.turned_away += 1;
+            ledger.counts.rejected += 1;
             return Some((
                 token,
                 self.answer(503, Some(&held.id), "X-Not-Run: late\r\n", b"", held.close),
@@ -365,24 +365,24 @@
         let Some(trouble) = self.troubles.pop_front() else {
             return (bytes, then);
         };
-        ledger.counts.spoilt += 1;
+        ledger.counts.faulty_answers += 1;
         match trouble {
-            Trouble::Reset => (Vec::new(), Then::Reset),
-            Trouble::Garbled => (NOISE.to_vec(), Then::Close),
-            Trouble::Cut => {
+            AnswerFault::Reset => (Vec::new(), Then::Reset),
+            AnswerFault::Malformed => (NOISE.to_vec(), Then::Close),
+            AnswerFault::Truncated => {
                 bytes.truncate(bytes.len() - body.len() / 2);
                 (bytes, Then::Close)
             }
-            Trouble::Extra => {
+            AnswerFault::Unsolicited => {
                 bytes.extend(
                     self.answer(200, Some("nobody"), &seal, b"of nobody\n", held.close)
                         .0,
                 );
                 (bytes, then)
             }
-            Trouble::Twice => (bytes.repeat(2), then),
-            Trouble::Silent => (Vec::new(), Then::Keep),
-            Trouble::Forgets => (bytes, Then::Close),
+            AnswerFault::Duplicated => (bytes.repeat(2), then),
+            AnswerFault::NoAnswer => (Vec::new(), Then::Keep),
+            AnswerFault::ClosedUnannounced => (bytes, Then::Close),
         }
     }
 
--- a/crates/emulator/src/system/server/tests.rs
+++ b/crates/emulator/src/system/server/tests.rs
@@ -2,7 +2,7 @@
 
 fn server() -> (Server, Ledger) {
     let (svc, zone) = ("s".to_string(), "a".to_string());
-    let make = Make {
+    let make = ServerConfig {
         svc,
         zone,
         slots: 1,
@@ -62,9 +62,9 @@
     let Counts {
         arrived,
         ran,
-        twice,
-        turned_away,
-        mistaken,
+        repeated_mutating: twice,
+        rejected: turned_away,
+        misdirected: mistaken,
         ..
     } = ledger.counts;
     assert_eq!(
@@ -108,15 +108,16 @@
 fn troubles_befall_the_next_answers_in_their_order() {
     let (mut server, mut ledger) = server();
     let all = [
-        Trouble::Reset,
-        Trouble::Cut,
-        Trouble::Garbled,
-        Trouble::Extra,
-        Trouble::Twice,
+        AnswerFault::Reset,
+        AnswerFault::Truncated,
+        AnswerFault::Malformed,
+        AnswerFault::Unsolicited,
+        AnswerFault::Duplicated,
     ];
-    server
-        .troubles
-        .extend(all.into_iter().chain([Trouble::Silent, Trouble::Forgets]));
+    server.troubles.extend(
+        all.into_iter()
+            .chain([AnswerFault::NoAnswer, AnswerFault::ClosedUnannounced]),
+    );
     let mut ends = Vec::new();
     for token in 0..8 {
         ask(
@@ -147,5 +148,5 @@
             (1, true, keep)
         ]
     );
-    assert_eq!((ledger.counts.spoilt, ledger.counts.ran), (7, 8));
+    assert_eq!((ledger.counts.faulty_answers, ledger.counts.ran), (7, 8));
 }
--- a/crates/emulator/src/system/whole.rs
+++ b/crates/emulator/src/system/test_system.rs
@@ -7,12 +7,12 @@
 
 use serde_json::{Value, json};
 
-use super::calls::{Failure, Reply, call};
-use super::machines::{Machines, Plan, zones};
+use super::client::{Failure, Reply, call};
+use super::fleet::Fleet;
+use super::machines::{Layout, Machines, zones};
 use super::operator::{Change, Operator};
 use super::platform;
-use super::server::{HEALTH, Make};
-use super::town::Town;
+use super::server::{HEALTH, ServerConfig};
 
 /// The host of all routes.
 pub const HOST: &str = "town.example";
@@ -47,9 +47,9 @@
 }
 
 /// All of it.
-pub struct Whole {
+pub struct TestSystem {
     /// The platform's list and the servers.
-    pub town: Town,
+    pub fleet: Fleet,
     /// The machines.
     pub machines: Machines,
     /// The operator.
@@ -57,9 +57,9 @@
 }
 
 /// A server of a service.
-pub fn make(svc: &str, zone: &str) -> Make {
+pub fn server_config(svc: &str, zone: &str) -> ServerConfig {
     let (svc, zone) = (svc.to_string(), zone.to_string());
-    Make {
+    ServerConfig {
         svc,
         zone,
         slots: 8,
@@ -78,7 +78,7 @@
 }
 
 /// The first configuration, all of version 1.
-pub fn first() -> Change {
+pub fn initial_configuration() -> Change {
     let service = json!({"hcheck": HEALTH, "maxconn": 200, "proto": "h1", "tls": false, "warmup": "1s", "cold_rate_s": 20.0});
     let services = SERVICES.iter().fold(Change::default(), |change, svc| {
         change.set("svcs", svc, 1, service.clone())
@@ -100,7 +100,7 @@
         )
 }
 
-impl Whole {
+impl TestSystem {
     /// Starts all and waits until the first configuration is taken and all edges are ready.
     ///
     /// # Errors
@@ -110,9 +110,9 @@
         programs: &Path,
         size: Size,
         until: Instant,
-    ) -> Result<Whole, String> {
+    ) -> Result<TestSystem, String> {
         let system = |error: std::io::Error| error.to_string();
-        let town = Town::start(
+        let town = Fleet::start(
             platform::Make {
                 lag: LAG,
                 page: 5,
@@ -124,12 +124,13 @@
         let zones = zones(size.zones);
         for (zone, _) in &zones {
             for svc in SERVICES.iter().flat_map(|svc| [svc; SERVERS]) {
-                town.found(make(svc, zone), true, None).map_err(system)?;
+                town.start_server(server_config(svc, zone), true, None)
+                    .map_err(system)?;
             }
         }
         let (folder, programs) = (folder.to_path_buf(), programs.to_path_buf());
         let (net, edges, platform) = (size.net, size.edges, town.platform());
-        let plan = Plan {
+        let plan = Layout {
             folder,
             programs,
             net,
@@ -142,16 +143,16 @@
         machines.start_cores().map_err(system)?;
         machines.start_edges().map_err(system)?;
         let operator = Operator::new((0..machines.cores()).map(|n| machines.ctl(n)).collect());
-        let mut whole = Whole {
-            town,
+        let mut whole = TestSystem {
+            fleet: town,
             machines,
             operator,
         };
-        whole.operator.change(&first(), until)?;
-        if !whole.machines.all_ready(until) {
+        whole.operator.change(&initial_configuration(), until)?;
+        if !whole.machines.wait_until_ready(until) {
             return Err(format!(
                 "not all edges were ready in time; ended: {}",
-                whole.machines.fallen().join("\n")
+                whole.machines.unexpected_exits().join("\n")
             ));
         }
         Ok(whole)
@@ -161,7 +162,7 @@
     ///
     /// # Errors
     /// There is no answer in time.
-    pub fn ask(&self, edge: usize, path: &str) -> Result<Reply, Failure> {
+    pub fn send_request(&self, edge: usize, path: &str) -> Result<Reply, Failure> {
         static ASKED: AtomicU64 = AtomicU64::new(0);
         let id = format!("once-{}", ASKED.fetch_add(1, Ordering::Relaxed));
         let method = if path.starts_with(WRITES) {
@@ -173,7 +174,7 @@
             self.machines.http(edge),
             method,
             path,
-            &lines(&id, 3_000),
+            &request_headers(&id, 3_000),
             b"",
             Instant::now() + Duration::from_secs(4),
         )
@@ -182,7 +183,7 @@
     /// The service that runs a request to an edge; none where it has no success.
     pub fn served_by(&self, edge: usize, path: &str) -> Option<String> {
         let reply = self
-            .ask(edge, path)
+            .send_request(edge, path)
             .ok()
             .filter(|reply| reply.status == 200)?;
         Some(reply.text().split(' ').next()?.to_string())
@@ -190,7 +191,7 @@
 }
 
 /// Lines of a client's request; `left`: the time it will wait, in milliseconds.
-pub fn lines(id: &str, left: u128) -> String {
+pub fn request_headers(id: &str, left: u128) -> String {
     format!(
         "Host: {HOST}\r\nAuthorization: Bearer {KEY}\r\nX-Request-Id: {id}\r\nX-Time-Left: {left}\r\n"
     )
--- a/crates/load/src/soak/faults.rs
+++ b/crates/load/src/soak/faults.rs
@@ -149,27 +149,31 @@
             Action::Kill => machines.kill(role, machine),
             Action::Terminate => {
                 // One that is paused would not hear it.
-                machines.go_on(role, machine);
-                machines.tell_to_end(role, machine);
+                machines.resume(role, machine);
+                machines.terminate(role, machine);
             }
-            Action::Pause => machines.stand_still(role, machine),
-            Action::Resume | Action::RunCutOff => machines.go_on(role, machine),
+            Action::Pause => machines.pause(role, machine),
+            Action::Resume | Action::RunCutOff => machines.resume(role, machine),
             // One that has been killed meanwhile is not there to be cut off or healed.
             Action::Cut => {
                 if machines.refuse_connections(role, machine, true).is_ok() {
-                    machines.stand_still(role, machine);
+                    machines.pause(role, machine);
                 }
             }
             Action::Heal => {
                 let _ = machines.refuse_connections(role, machine, false);
-                machines.go_on(role, machine);
+                machines.resume(role, machine);
             }
-            Action::Reload => machines.tell_to_read(role, machine),
+            Action::Reload => machines.reload_settings(role, machine),
             Action::Start => {
                 let was_told = machines.is_shutting_down(role, machine);
-                if was_told && machines.ended(role, machine, Instant::now()).is_none() {
+                if was_told
+                    && machines
+                        .wait_for_exit(role, machine, Instant::now())
+                        .is_none()
+                {
                     // It may have been paused meanwhile.
-                    machines.go_on(role, machine);
+                    machines.resume(role, machine);
                     step.at = began.elapsed() + RECHECK;
                     let place = due.partition_point(|other| other.at <= step.at);
                     due.insert(place, step);
--- a/crates/load/src/soak/mod.rs
+++ b/crates/load/src/soak/mod.rs
@@ -20,11 +20,13 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use emulator::system::calls::{Connection, Failure, Reply, call};
-use emulator::system::machines::{net, zones};
+use emulator::system::client::{Connection, Failure, Reply, call};
+use emulator::system::machines::{unused_net, zones};
 use emulator::system::operator::{Change, Operator};
+use emulator::system::test_system::{
+    READS, SERVICES, Size, TestSystem, WRITES, request_headers, route,
+};
 use emulator::system::wait_for;
-use emulator::system::whole::{READS, SERVICES, Size, WRITES, Whole, lines, route};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -158,10 +160,10 @@
     let size = Size {
         zones: plan.zones,
         edges: plan.edges,
-        net: net(),
+        net: unused_net(),
     };
     let until = Instant::now() + READY;
-    let mut whole = Whole::start(folder.path(), &plan.programs, size, until)?;
+    let mut whole = TestSystem::start(folder.path(), &plan.programs, size, until)?;
     let (cores, edges) = (whole.machines.cores(), whole.machines.edges());
     let ctl: Vec<SocketAddr> = (0..cores).map(|core| whole.machines.ctl(core)).collect();
     let http: Vec<SocketAddr> = (0..edges).map(|edge| whole.machines.http(edge)).collect();
@@ -221,15 +223,19 @@
     for what in wrong.mixed.iter() {
         shared.violate(format!("an answer that is not the server's: {what}"));
     }
-    let counts = whole.town.counts();
-    if counts.twice > 0 {
-        shared.violate(format!("{} requests ran twice", counts.twice));
+    let counts = whole.fleet.counts();
+    if counts.repeated_mutating > 0 {
+        shared.violate(format!("{} requests ran twice", counts.repeated_mutating));
     }
-    for id in wrong.refused.iter().filter(|id| whole.town.runs(id) > 0) {
+    for id in wrong
+        .refused
+        .iter()
+        .filter(|id| whole.fleet.run_count(id) > 0)
+    {
         shared.violate(format!("{id} was refused and ran"));
     }
     let own_checks = check_programs(&shared, &http);
-    for line in whole.machines.fallen() {
+    for line in whole.machines.unexpected_exits() {
         shared.violate(format!("ended by itself: {line}"));
     }
     report.checks = vec![
@@ -243,7 +249,7 @@
 }
 
 /// Clients on the routes that never change.
-fn clients(plan: &Plan, whole: &Whole, length: Duration) -> Clients {
+fn clients(plan: &Plan, whole: &TestSystem, length: Duration) -> Clients {
     let places = zones(plan.zones)
         .into_iter()
         .enumerate()
@@ -347,9 +353,12 @@
         Some(open) => open,
         None => Connection::open(edge, until)?,
     };
-    let request = format!("GET {prefix}x HTTP/1.1\r\n{}\r\n", lines(id, 3_000));
+    let request = format!(
+        "GET {prefix}x HTTP/1.1\r\n{}\r\n",
+        request_headers(id, 3_000)
+    );
     open.send(request.as_bytes(), until)?;
-    let reply = open.answer(until)?;
+    let reply = open.read_reply(until)?;
     *connection = Some(open).filter(|_| !reply.close);
     Ok(reply)
 }
@@ -469,11 +478,11 @@
 }
 
 /// After the last fault each edge serves each route by its newest version.
-fn check_settled(shared: &Shared, whole: &Whole, http: &[SocketAddr]) {
+fn check_settled(shared: &Shared, whole: &TestSystem, http: &[SocketAddr]) {
     let until = Instant::now() + SETTLE;
     let (mut rng, mut number) = (ChaCha8Rng::seed_from_u64(7), 0_u64);
     for (edge, address) in http.iter().enumerate() {
-        if wait_for(until, || whole.machines.ready(edge).then_some(())).is_none() {
+        if wait_for(until, || whole.machines.is_ready(edge).then_some(())).is_none() {
             shared.violate(format!(
                 "edge {edge} is not ready {SETTLE:?} after the last fault"
             ));
--- a/crates/load/src/system/clients.rs
+++ b/crates/load/src/system/clients.rs
@@ -8,9 +8,9 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use emulator::system::calls::{Connection, Failure, Reply, call};
+use emulator::system::client::{Connection, Failure, Reply, call};
 use emulator::system::server::echo;
-use emulator::system::whole::{HOST, READS, TENANT, WRITES, lines};
+use emulator::system::test_system::{HOST, READS, TENANT, WRITES, request_headers};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -220,8 +220,10 @@
             let outcome = match &answer {
                 Ok(reply) => Outcome::of(reply.status),
                 Err(Failure::NotSent(_)) => Outcome::NotSent,
-                Err(Failure::Late) => Outcome::Unanswered,
-                Err(Failure::Closed | Failure::Broken(_) | Failure::Surplus) => Outcome::Failed,
+                Err(Failure::TimedOut) => Outcome::Unanswered,
+                Err(Failure::Closed | Failure::Broken(_) | Failure::UnexpectedBytes) => {
+                    Outcome::Failed
+                }
             };
             let status = answer.as_ref().map_or(0, |reply| reply.status);
             tries.push(self.ended(request, number, intended, sent, status, outcome));
@@ -289,8 +291,8 @@
                 let (who, ran) = reply.text().trim_end().split_once('\n').unwrap_or_default();
                 let own = ran == echo(id, method, path, TENANT, body.as_bytes());
                 if !own
-                    || reply.line("X-Server-Seal").is_none()
-                    || reply.line("X-Request-Id") != Some(id)
+                    || reply.header("X-Server-Seal").is_none()
+                    || reply.header("X-Request-Id") != Some(id)
                 {
                     wrong.mixed.push(format!("{id} {path}: {:?}", reply.text()));
                 }
@@ -315,7 +317,7 @@
                     reply.text().trim_end()
                 ));
             }
-            Err(Failure::Surplus) => wrong
+            Err(Failure::UnexpectedBytes) => wrong
                 .mixed
                 .push(format!("{id} {path}: bytes behind the answer")),
             _ => {}
@@ -340,7 +342,7 @@
         Err(failure) => return (None, Err(failure)),
     };
     let method = if body.is_empty() { "GET" } else { "POST" };
-    let lines = lines(
+    let lines = request_headers(
         id,
         until.saturating_duration_since(Instant::now()).as_millis(),
     );
@@ -352,7 +354,7 @@
         return (None, Err(failure));
     }
     let sent = Some(Instant::now());
-    let answer = connection.answer(until);
+    let answer = connection.read_reply(until);
     if answer.as_ref().is_ok_and(|reply| !reply.close) {
         open.insert(to, connection);
     }
--- a/crates/load/src/system/mod.rs
+++ b/crates/load/src/system/mod.rs
@@ -12,9 +12,11 @@
 
 use emulator::system::machines::{Role, zones};
 use emulator::system::operator::Change;
-use emulator::system::server::{Counts, Trouble};
+use emulator::system::server::{AnswerFault, Counts};
+use emulator::system::test_system::{
+    READS, SERVICES, Size, TestSystem, WRITES, route, server_config,
+};
 use emulator::system::wait_for;
-use emulator::system::whole::{READS, SERVICES, Size, WRITES, Whole, make, route};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -111,10 +113,10 @@
             ms(times.max),
             counts.arrived,
             counts.ran,
-            counts.again,
-            counts.twice,
-            counts.turned_away,
-            counts.spoilt
+            counts.repeated_idempotent,
+            counts.repeated_mutating,
+            counts.rejected,
+            counts.faulty_answers
         );
         for (what, held) in &self.held {
             let _ = writeln!(
@@ -129,7 +131,7 @@
 
 /// A day that is under way.
 struct Day<'a> {
-    whole: Whole,
+    whole: TestSystem,
     clients: &'a Clients,
     stop: &'a AtomicBool,
     scale: f64,
@@ -149,7 +151,7 @@
         edges: plan.edges,
         net: NET,
     };
-    let whole = Whole::start(folder.path(), &plan.programs, size, began + READY)?;
+    let whole = TestSystem::start(folder.path(), &plan.programs, size, began + READY)?;
     let ready = format!(
         "{} control programs, {} edges, each with agent and proxy: ready after {:.1} s",
         whole.machines.cores(),
@@ -275,14 +277,15 @@
 
         // The first server found is of the first service, in the first zone.
         self.at(6.2);
-        self.whole.town.leave(0);
+        self.whole.fleet.drain_server(0);
         self.note("a server is to leave");
         self.at(6.6);
         self.whole.machines.kill(Role::Control, victim);
         self.note(format!("control program {victim} is killed"));
-        let keys = json!({"apikeys": [emulator::system::whole::KEY, "another-key"], "prio": 1, "per_s": 0, "burst": 0,
+        let keys = json!({"apikeys": [emulator::system::test_system::KEY, "another-key"], "prio": 1, "per_s": 0, "burst": 0,
             "pins": []});
-        let change = Change::default().set("tenants", emulator::system::whole::TENANT, 4, keys);
+        let change =
+            Change::default().set("tenants", emulator::system::test_system::TENANT, 4, keys);
         self.change("a key is added without it", &change);
         self.at(8.5);
         let started = self.whole.machines.start(Role::Control, victim);
@@ -293,25 +296,26 @@
         self.note("it is started again");
         self.at(9.5);
         let all = [
-            Trouble::Reset,
-            Trouble::Cut,
-            Trouble::Garbled,
-            Trouble::Extra,
+            AnswerFault::Reset,
+            AnswerFault::Truncated,
+            AnswerFault::Malformed,
+            AnswerFault::Unsolicited,
         ];
         for server in 1..4 {
-            self.whole.town.trouble(server, &all.repeat(3));
+            self.whole.fleet.inject_faults(server, &all.repeat(3));
         }
-        self.whole.town.freeze(2, 700_000);
+        self.whole.fleet.freeze(2, 700_000);
         self.note(
             "three servers reset, cut short, garble and add answers; one of them freezes for 0.7 s",
         );
         self.at(12.0);
-        if let Some(address) = self.whole.town.end(0) {
+        if let Some(address) = self.whole.fleet.stop_server(0) {
             let zone = &zones(1)[0].0;
-            let found = self
-                .whole
-                .town
-                .found(make(SERVICES[1], zone), false, Some(address));
+            let found = self.whole.fleet.start_server(
+                server_config(SERVICES[1], zone),
+                false,
+                Some(address),
+            );
             self.held
                 .push(("the address is to be had again".into(), found.is_ok()));
             self.note(
@@ -324,7 +328,7 @@
         let requests = self.clients.instants.len();
         let differences = self.whole.operator.differences(Instant::now() + ACK);
         let ended = self.whole.machines.stop();
-        let counts = self.whole.town.counts();
+        let counts = self.whole.fleet.counts();
         let mut played = Played {
             asked: requests,
             tries: tries.len(),
@@ -348,7 +352,7 @@
         let ran: Vec<&String> = wrong
             .refused
             .iter()
-            .filter(|id| self.whole.town.runs(id) > 0)
+            .filter(|id| self.whole.fleet.run_count(id) > 0)
             .collect();
         let mut must = |what: &str, held: bool, why: String| {
             let why = if held {
@@ -367,8 +371,8 @@
         );
         must(
             "nothing that may run once ran twice",
-            counts.twice == 0,
-            counts.twice.to_string(),
+            counts.repeated_mutating == 0,
+            counts.repeated_mutating.to_string(),
         );
         must(
             "nothing that was refused ran",
@@ -387,13 +391,13 @@
         );
         must(
             "no key went on to a server",
-            counts.keys == 0,
-            counts.keys.to_string(),
+            counts.with_client_key == 0,
+            counts.with_client_key.to_string(),
         );
         must(
             "nothing came to a server that left",
-            counts.late == 0,
-            counts.late.to_string(),
+            counts.after_drain == 0,
+            counts.after_drain.to_string(),
         );
         let same = differences.as_ref().is_ok_and(Vec::is_empty);
         must(
--- a/crates/load/tests/soak.rs
+++ b/crates/load/tests/soak.rs
@@ -3,12 +3,12 @@
 use std::path::Path;
 use std::sync::atomic::AtomicBool;
 
-use emulator::system::machines::beside;
+use emulator::system::machines::built_programs_folder;
 use load::soak::{Plan, run};
 
 #[test]
 fn nothing_that_must_hold_is_violated_under_faults_that_overlap() {
-    let programs = beside(
+    let programs = built_programs_folder(
         Path::new(env!("CARGO_BIN_EXE_streamarch-load")),
         env!("CARGO"),
     );
--- a/crates/proxy/tests/server_faults_system.rs
+++ b/crates/proxy/tests/server_faults_system.rs
@@ -5,10 +5,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use emulator::system::calls::{Connection, Failure};
-use emulator::system::machines::{Role, beside, net};
-use emulator::system::server::{Trouble, echo};
-use emulator::system::whole::{Size, TENANT, Whole, lines};
+use emulator::system::client::{Connection, Failure};
+use emulator::system::machines::{Role, built_programs_folder, unused_net};
+use emulator::system::server::{AnswerFault, echo};
+use emulator::system::test_system::{Size, TENANT, TestSystem, request_headers};
 use tempfile::TempDir;
 
 /// Number of requests of each client, which sends them one by one.
@@ -18,14 +18,14 @@
 /// Clients' timeout in milliseconds, which is how long each silent server delays the test.
 const CLIENT_TIMEOUT_MS: u128 = 400;
 /// All kinds of server faults.
-const SERVER_FAULTS: [Trouble; 7] = [
-    Trouble::Twice,
-    Trouble::Reset,
-    Trouble::Extra,
-    Trouble::Forgets,
-    Trouble::Cut,
-    Trouble::Garbled,
-    Trouble::Silent,
+const SERVER_FAULTS: [AnswerFault; 7] = [
+    AnswerFault::Duplicated,
+    AnswerFault::Reset,
+    AnswerFault::Unsolicited,
+    AnswerFault::ClosedUnannounced,
+    AnswerFault::Truncated,
+    AnswerFault::Malformed,
+    AnswerFault::NoAnswer,
 ];
 /// Statuses that promise that the request has not run and never will.
 const NOT_RUN_STATUSES: [u16; 4] = [503, 429, 408, 421];
@@ -44,7 +44,7 @@
 
 /// Sends the requests of a client one by one. A successful response echoes its request, by which it
 /// is checked that it belongs to the request.
-fn run_client(system: &Whole, client_index: usize) -> Vec<SentRequest> {
+fn run_client(system: &TestSystem, client_index: usize) -> Vec<SentRequest> {
     let (mut connection, mut sent_requests) = (None, Vec::new());
     for index in 0..REQUESTS_PER_CLIENT {
         let (id, is_write) = (format!("c{client_index}-{index}"), index % 3 > 0);
@@ -65,7 +65,7 @@
         };
         let text = format!(
             "{method} {path} HTTP/1.1\r\n{}{content_length}\r\n{body}",
-            lines(&id, CLIENT_TIMEOUT_MS)
+            request_headers(&id, CLIENT_TIMEOUT_MS)
         );
         let deadline = Instant::now() + Duration::from_secs(4);
         let mut open_connection = match connection.take() {
@@ -74,7 +74,7 @@
         };
         let result = open_connection
             .send(text.as_bytes(), deadline)
-            .and_then(|()| open_connection.answer(deadline));
+            .and_then(|()| open_connection.read_reply(deadline));
         let status = match result {
             Ok(reply) => {
                 if reply.status == 200 {
@@ -84,12 +84,12 @@
                         "{id}: response to another request: {}",
                         reply.text()
                     );
-                    assert_eq!(reply.line("X-Request-Id"), Some(id.as_str()));
+                    assert_eq!(reply.header("X-Request-Id"), Some(id.as_str()));
                 }
                 connection = Some(open_connection).filter(|_| !reply.close);
                 Some(reply.status)
             }
-            Err(Failure::Surplus) => panic!("{id}: surplus bytes after the response"),
+            Err(Failure::UnexpectedBytes) => panic!("{id}: surplus bytes after the response"),
             Err(_) => None,
         };
         sent_requests.push(SentRequest {
@@ -104,19 +104,19 @@
 #[test]
 fn each_response_reaches_its_own_caller_and_no_write_runs_twice() {
     let directory = TempDir::new().unwrap();
-    let programs = beside(Path::new(env!("CARGO_BIN_EXE_proxy")), env!("CARGO"));
+    let programs = built_programs_folder(Path::new(env!("CARGO_BIN_EXE_proxy")), env!("CARGO"));
     let size = Size {
         zones: 1,
         edges: 1,
-        net: net(),
+        net: unused_net(),
     };
-    let mut system = Whole::start(directory.path(), &programs, size, deadline()).unwrap();
+    let mut system = TestSystem::start(directory.path(), &programs, size, deadline()).unwrap();
     // All routes go to one service with two servers. Each has the same faults, starting with
     // another one.
     for server in 0..2 {
-        let mut faults: Vec<Trouble> = SERVER_FAULTS.repeat(2);
+        let mut faults: Vec<AnswerFault> = SERVER_FAULTS.repeat(2);
         faults.rotate_left(3 * server);
-        system.town.trouble(server, &faults);
+        system.fleet.inject_faults(server, &faults);
     }
     let requests: Vec<SentRequest> = std::thread::scope(|scope| {
         let system = &system;
@@ -128,16 +128,19 @@
             .flat_map(|client| client.join().unwrap())
             .collect()
     });
-    let counts = system.town.counts();
-    assert_eq!(counts.twice, 0, "{counts:?}");
-    assert!(counts.spoilt >= 14, "too few faults occurred: {counts:?}");
+    let counts = system.fleet.counts();
+    assert_eq!(counts.repeated_mutating, 0, "{counts:?}");
+    assert!(
+        counts.faulty_answers >= 14,
+        "too few faults occurred: {counts:?}"
+    );
     for SentRequest {
         id,
         is_write,
         status,
     } in requests.iter().filter(|request| request.is_write)
     {
-        let runs = system.town.runs(id);
+        let runs = system.fleet.run_count(id);
         assert!(*is_write && runs <= 1, "{id} ran {runs} times");
         if status.is_some_and(|status| NOT_RUN_STATUSES.contains(&status)) {
             assert_eq!(
@@ -169,7 +172,8 @@
     assert!(
         requests
             .iter()
-            .all(|request| system.town.runs(&request.id) <= if request.is_write { 1 } else { 3 })
+            .all(|request| system.fleet.run_count(&request.id)
+                <= if request.is_write { 1 } else { 3 })
     );
     assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
--- a/crates/proxy/tests/shedding.rs
+++ b/crates/proxy/tests/shedding.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use emulator::system::calls::call;
-use emulator::system::machines::{beside, net};
+use emulator::system::client::call;
+use emulator::system::machines::{built_programs_folder, unused_net};
 use emulator::system::operator::Change;
-use emulator::system::whole::{HOST, SERVICES, Size, WRITES, Whole, route};
+use emulator::system::test_system::{HOST, SERVICES, Size, TestSystem, WRITES, route};
 use serde_json::json;
 use tempfile::TempDir;
 use test_case::test_case;
@@ -33,7 +33,12 @@
 type RequestResult = (String, Option<u16>, Duration);
 
 /// Sends the requests of a client, which honors `Retry-After`.
-fn run_client(system: &Whole, name: &str, key: &str, started_at: Instant) -> Vec<RequestResult> {
+fn run_client(
+    system: &TestSystem,
+    name: &str,
+    key: &str,
+    started_at: Instant,
+) -> Vec<RequestResult> {
     let mut results = Vec::new();
     while started_at.elapsed() < LOAD_DURATION {
         let (id, sent_after) = (format!("{name}-{}", results.len()), started_at.elapsed());
@@ -70,13 +75,13 @@
     is_protected: bool,
 ) {
     let directory = TempDir::new().unwrap();
-    let programs = beside(Path::new(env!("CARGO_BIN_EXE_proxy")), env!("CARGO"));
+    let programs = built_programs_folder(Path::new(env!("CARGO_BIN_EXE_proxy")), env!("CARGO"));
     let size = Size {
         zones: 1,
         edges: 2,
-        net: net(),
+        net: unused_net(),
     };
-    let mut system = Whole::start(directory.path(), &programs, size, deadline()).unwrap();
+    let mut system = TestSystem::start(directory.path(), &programs, size, deadline()).unwrap();
     let tenant = |key: &str, tier: u32| json!({"apikeys": [key], "prio": tier, "per_s": 0, "burst": 0, "pins": []});
     let change = Change::default()
         .set(
@@ -113,13 +118,13 @@
         });
     let is_rejected = |status: &Option<u16>| matches!(status, Some(429 | 503));
     for (id, status, _) in protected.iter().chain(&guests) {
-        let runs = system.town.runs(id);
+        let runs = system.fleet.run_count(id);
         assert!(
             runs <= 1 && !(is_rejected(status) && runs > 0),
             "{id}: {status:?}, ran {runs} times"
         );
     }
-    assert_eq!(system.town.counts().twice, 0);
+    assert_eq!(system.fleet.counts().repeated_mutating, 0);
     let success_ratio = |results: &[RequestResult]| {
         let measured: Vec<&RequestResult> = results
             .iter()
