--- a/crates/agent/tests/beside.rs
+++ b/crates/agent/tests/beside.rs
@@ -6,7 +6,7 @@
 
 use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
-use emulator::system::test_system::{READS, SERVICES, Size, TestSystem, route};
+use emulator::system::test_system::{READ_PREFIX, SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
 use tempfile::TempDir;
 
@@ -25,7 +25,7 @@
 }
 
 fn route_reads_to(system: &mut TestSystem, version: u64, service: &str) {
-    let change = Change::default().set("routes", "reads", version, route(READS, service));
+    let change = Change::default().set("routes", "reads", version, route(READ_PREFIX, service));
     system.operator.change(&change, test_deadline()).unwrap();
 }
 
--- a/crates/control/tests/cut_off_programs.rs
+++ b/crates/control/tests/cut_off_programs.rs
@@ -7,7 +7,7 @@
 use emulator::system::client::{Connection, Reply, call};
 use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
-use emulator::system::test_system::{READS, SERVICES, Size, TestSystem, route};
+use emulator::system::test_system::{READ_PREFIX, SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
 use serde_json::{Value, json};
 use tempfile::TempDir;
@@ -158,7 +158,7 @@
         );
     }
     (0..2).for_each(|replica| whole.machines.start(Role::Control, replica).unwrap());
-    let change = Change::default().set("routes", "reads", 2, route(READS, SERVICES[1]));
+    let change = Change::default().set("routes", "reads", 2, route(READ_PREFIX, SERVICES[1]));
     whole.operator.change(&change, soon()).unwrap();
     assert_eq!(whole.operator.differences(soon()), Ok(Vec::new()));
     assert_eq!(whole.machines.stop(), Vec::<String>::new());
--- a/crates/control/tests/second_loss_system.rs
+++ b/crates/control/tests/second_loss_system.rs
@@ -6,7 +6,7 @@
 
 use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
-use emulator::system::test_system::{READS, SERVICES, Size, TestSystem, route};
+use emulator::system::test_system::{READ_PREFIX, SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
 use tempfile::TempDir;
 
@@ -52,7 +52,7 @@
         "routes",
         "reads",
         ver,
-        route(READS, SERVICES[ver as usize % 2]),
+        route(READ_PREFIX, SERVICES[ver as usize % 2]),
     );
     whole.operator.change(&change, soon()).unwrap();
 }
--- a/crates/control/tests/system.rs
+++ b/crates/control/tests/system.rs
@@ -7,7 +7,7 @@
 use emulator::system::client::{Connection, call};
 use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
-use emulator::system::test_system::{HOST, READS, SERVICES, Size, TestSystem, route};
+use emulator::system::test_system::{HOST, READ_PREFIX, SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
 use serde_json::json;
 use tempfile::TempDir;
@@ -40,7 +40,7 @@
     let mut whole = whole(&folder);
     assert_eq!(whole.served_by(0, "/read/1").as_deref(), Some(SERVICES[0]));
     let change = Change::default()
-        .set("routes", "reads", 5, route(READS, SERVICES[1]))
+        .set("routes", "reads", 5, route(READ_PREFIX, SERVICES[1]))
         .set("routes", "more", 2, route("/more/", SERVICES[1]))
         .drop("routes", "writes", 3);
     whole.operator.change(&change, soon()).unwrap();
@@ -59,7 +59,7 @@
         assert_eq!(whole.send_request(edge, "/write/1").unwrap().status, 404);
     }
     // Without effect: a lower version, which is valid, and a call that is invalid in one part.
-    let older = Change::default().set("routes", "reads", 4, route(READS, SERVICES[0]));
+    let older = Change::default().set("routes", "reads", 4, route(READ_PREFIX, SERVICES[0]));
     whole.operator.change(&older, soon()).unwrap();
     let wrong = Change::default()
         .set("routes", "more", 9, route("/more/", SERVICES[0]))
@@ -112,7 +112,7 @@
 fn acknowledged_items_survive_a_kill_of_all_programs() {
     let folder = TempDir::new().unwrap();
     let mut whole = whole(&folder);
-    let change = Change::default().set("routes", "reads", 2, route(READS, SERVICES[1]));
+    let change = Change::default().set("routes", "reads", 2, route(READ_PREFIX, SERVICES[1]));
     whole.operator.change(&change, soon()).unwrap();
     (0..whole.machines.cores()).for_each(|number| whole.machines.kill(Role::Control, number));
     // Proxies serve on by what they know, whatever that is.
--- a/crates/ctl/tests/system.rs
+++ b/crates/ctl/tests/system.rs
@@ -8,7 +8,7 @@
 use ctl::status::{SystemStatus, query_replicas};
 use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
-use emulator::system::test_system::{KEY, SERVICES, Size, TENANT, TestSystem, route};
+use emulator::system::test_system::{SERVICES, Size, TENANT, TENANT_KEY, TestSystem, route};
 use emulator::system::wait_for;
 use serde_json::Value;
 use tempfile::TempDir;
@@ -72,7 +72,10 @@
 
     let (code, before) = run_ctl(&["export", "--at", &addresses[0].to_string()]);
     assert_eq!(code, Some(0), "{before}");
-    assert!(before.contains(TENANT) && !before.contains(KEY), "{before}");
+    assert!(
+        before.contains(TENANT) && !before.contains(TENANT_KEY),
+        "{before}"
+    );
     let path = folder.path().join("before.json");
     std::fs::write(&path, &before).unwrap();
     let path = path.to_str().unwrap();
--- a/crates/emulator/src/counter.rs
+++ b/crates/emulator/src/counter.rs
@@ -5,11 +5,11 @@
 use crate::Micros;
 
 /// Longest life of a name.
-const LONGEST: Micros = 60_000_000;
+const MAX_LIFE: Micros = 60_000_000;
 /// Longest name, in bytes.
-const NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 /// Names that have ended are swept out after so many calls.
-const SWEEP: u32 = 4_096;
+const SWEEP_INTERVAL_CALLS: u32 = 4_096;
 
 /// The counter.
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
     /// When each part is free again.
     free: Vec<Micros>,
     turn: f64,
-    beside: Micros,
+    extra_latency: Micros,
     slower: f64,
     calls: u32,
 }
@@ -39,7 +39,7 @@
     let (path, query) = target.split_once('?')?;
     let name = path
         .strip_prefix("/v2/numbers/")
-        .filter(|n| !n.is_empty() && n.len() <= NAME)?;
+        .filter(|n| !n.is_empty() && n.len() <= MAX_NAME_BYTES)?;
     let get = |key: &str| {
         query
             .split('&')
@@ -66,7 +66,7 @@
             totals: HashMap::new(),
             free: vec![0; parts],
             turn,
-            beside,
+            extra_latency: beside,
             slower: 1.0,
             calls: 0,
         }
@@ -75,7 +75,7 @@
     /// Adds, and gives the total and when it is told: a call waits for its part's turn.
     pub fn add(&mut self, now: Micros, call: Call<'_>) -> (f64, Micros) {
         self.calls += 1;
-        if self.calls.is_multiple_of(SWEEP) {
+        if self.calls.is_multiple_of(SWEEP_INTERVAL_CALLS) {
             self.totals.retain(|_, (_, end)| *end > now);
         }
         let hash = call
@@ -86,8 +86,8 @@
         let free = &mut self.free[hash % parts];
         let begin = (*free).max(now);
         *free = begin + (self.turn * self.slower).round() as Micros;
-        let told = *free + (self.beside as f64 * self.slower) as Micros;
-        let end = now + call.life.min(LONGEST);
+        let told = *free + (self.extra_latency as f64 * self.slower) as Micros;
+        let end = now + call.life.min(MAX_LIFE);
         let entry = self
             .totals
             .entry(call.name.to_string())
@@ -105,7 +105,7 @@
     }
 
     /// Forgets everything.
-    pub fn empty(&mut self, now: Micros) {
+    pub fn clear(&mut self, now: Micros) {
         self.totals.clear();
         self.free.fill(now);
     }
--- a/crates/emulator/src/counter/tests.rs
+++ b/crates/emulator/src/counter/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(counter.add(0, one), (5.0, 2_500));
     assert_eq!(counter.add(9_999, one), (7.5, 11_499));
     assert_eq!(counter.add(10_000, one).0, 2.5);
-    counter.empty(10_000);
+    counter.clear(10_000);
     assert_eq!(counter.add(10_000, one).0, 2.5);
     assert!(call("/v2/numbers/a?delta=nan&life_ms=1").is_none());
     assert!(call("/v2/numbers/?delta=1&life_ms=1").is_none());
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -13,7 +13,7 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Everything stands still: nothing is read, nothing is answered, nothing is lost.
     Freeze,
     /// New connections are refused, open ones stay.
@@ -41,7 +41,7 @@
 
 /// Who is struck.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Party {
+pub enum FaultTarget {
     /// One records node, by its number.
     Node(usize),
     /// A share of the records nodes, drawn by the seed.
@@ -54,47 +54,49 @@
     Limiter(usize),
 }
 
-impl FromStr for Party {
+impl FromStr for FaultTarget {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Party, String> {
+    fn from_str(text: &str) -> Result<FaultTarget, String> {
         let bad = || {
             format!(
                 "'{text}' is none of 'node:N', 'nodes:SHARE', 'counter', 'discovery', 'limiter:N'"
             )
         };
         match text.split_once(':') {
-            None if text == "counter" => Ok(Party::Counter),
-            None if text == "discovery" => Ok(Party::Discovery),
-            Some(("node", number)) => number.parse().map(Party::Node).map_err(|_| bad()),
-            Some(("nodes", share)) => share.parse().map(Party::Nodes).map_err(|_| bad()),
-            Some(("limiter", number)) => number.parse().map(Party::Limiter).map_err(|_| bad()),
+            None if text == "counter" => Ok(FaultTarget::Counter),
+            None if text == "discovery" => Ok(FaultTarget::Discovery),
+            Some(("node", number)) => number.parse().map(FaultTarget::Node).map_err(|_| bad()),
+            Some(("nodes", share)) => share.parse().map(FaultTarget::Nodes).map_err(|_| bad()),
+            Some(("limiter", number)) => {
+                number.parse().map(FaultTarget::Limiter).map_err(|_| bad())
+            }
             _ => Err(bad()),
         }
     }
 }
 
-impl fmt::Display for Party {
+impl fmt::Display for FaultTarget {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Party::Node(number) => write!(f, "node:{number}"),
-            Party::Nodes(share) => write!(f, "nodes:{share}"),
-            Party::Counter => f.write_str("counter"),
-            Party::Discovery => f.write_str("discovery"),
-            Party::Limiter(number) => write!(f, "limiter:{number}"),
+            FaultTarget::Node(number) => write!(f, "node:{number}"),
+            FaultTarget::Nodes(share) => write!(f, "nodes:{share}"),
+            FaultTarget::Counter => f.write_str("counter"),
+            FaultTarget::Discovery => f.write_str("discovery"),
+            FaultTarget::Limiter(number) => write!(f, "limiter:{number}"),
         }
     }
 }
 
-impl<'de> Deserialize<'de> for Party {
-    fn deserialize<D: serde::Deserializer<'de>>(reader: D) -> Result<Party, D::Error> {
+impl<'de> Deserialize<'de> for FaultTarget {
+    fn deserialize<D: serde::Deserializer<'de>>(reader: D) -> Result<FaultTarget, D::Error> {
         String::deserialize(reader)?
             .parse()
             .map_err(serde::de::Error::custom)
     }
 }
 
-impl Serialize for Party {
+impl Serialize for FaultTarget {
     fn serialize<S: serde::Serializer>(&self, writer: S) -> Result<S::Ok, S::Error> {
         writer.collect_str(self)
     }
@@ -105,9 +107,9 @@
 #[serde(deny_unknown_fields)]
 pub struct FaultPlan {
     /// What goes wrong.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Who is struck.
-    pub on: Party,
+    pub on: FaultTarget,
     /// When, in seconds since the start of the load.
     #[serde(default)]
     pub at_s: f64,
@@ -155,31 +157,31 @@
             return Err(Fault::at("every_s", "comes again before it is over"));
         }
         match self.on {
-            Party::Node(number) if number >= nodes => {
+            FaultTarget::Node(number) if number >= nodes => {
                 return Err(Fault::at(
                     "on",
                     format!("there is no node {number}: they are 0 to {}", nodes - 1),
                 ));
             }
-            Party::Nodes(share) => within("on", share, 0.0, 1.0)?,
+            FaultTarget::Nodes(share) => within("on", share, 0.0, 1.0)?,
             _ => {}
         }
-        let node = matches!(self.on, Party::Node(_) | Party::Nodes(_));
-        if matches!(self.kind, Kind::Drain | Kind::Replace) && !node {
+        let node = matches!(self.on, FaultTarget::Node(_) | FaultTarget::Nodes(_));
+        if matches!(self.kind, FaultKind::Drain | FaultKind::Replace) && !node {
             return Err(Fault::at("on", "only records nodes drain or are replaced"));
         }
-        if (self.kind == Kind::Pause) != matches!(self.on, Party::Limiter(_)) {
+        if (self.kind == FaultKind::Pause) != matches!(self.on, FaultTarget::Limiter(_)) {
             return Err(Fault::at(
                 "on",
                 "only a limiter pauses, and a limiter does nothing else",
             ));
         }
-        if let Party::Limiter(number) = self.on
+        if let FaultTarget::Limiter(number) = self.on
             && number >= limiters
         {
             return Err(Fault::at("on", format!("there is no limiter {number}")));
         }
-        if self.kind == Kind::Partition && self.limiter >= limiters {
+        if self.kind == FaultKind::Partition && self.limiter >= limiters {
             return Err(Fault::at(
                 "limiter",
                 format!("there is no limiter {}", self.limiter),
@@ -191,15 +193,15 @@
 
 /// A fault's begin or end, for one party.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Turn {
+pub struct FaultEvent {
     /// When, since the start of the load.
     pub at: Micros,
     /// Whether it begins or ends.
     pub begins: bool,
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Who; never [`Party::Nodes`].
-    pub party: Party,
+    pub party: FaultTarget,
     /// For `slow`: how many times; for `spoil`: the share.
     pub amount: f64,
     /// For `partition`: the limiter.
@@ -209,20 +211,25 @@
 }
 
 /// The plan of all faults laid out in time, up to `until`.
-pub fn turns(plan: &[FaultPlan], nodes: usize, until: Micros, rng: &mut impl Rng) -> Vec<Turn> {
+pub fn schedule_faults(
+    plan: &[FaultPlan],
+    nodes: usize,
+    until: Micros,
+    rng: &mut impl Rng,
+) -> Vec<FaultEvent> {
     let mut turns = Vec::new();
     for fault in plan {
-        let parties: Vec<Party> = match fault.on {
-            Party::Nodes(share) => {
+        let parties: Vec<FaultTarget> = match fault.on {
+            FaultTarget::Nodes(share) => {
                 let count = ((nodes as f64 * share).round() as usize).min(nodes);
                 index::sample(rng, nodes, count)
                     .iter()
-                    .map(Party::Node)
+                    .map(FaultTarget::Node)
                     .collect()
             }
             party => vec![party],
         };
-        let amount = if fault.kind == Kind::Spoil {
+        let amount = if fault.kind == FaultKind::Spoil {
             fault.share
         } else {
             fault.times
@@ -231,7 +238,7 @@
         let mut at = (fault.at_s * 1e6) as Micros;
         while at < until {
             for party in &parties {
-                let turn = Turn {
+                let turn = FaultEvent {
                     at,
                     begins: true,
                     kind: fault.kind,
@@ -241,8 +248,8 @@
                     span,
                 };
                 turns.push(turn);
-                if fault.kind != Kind::Reset {
-                    turns.push(Turn {
+                if fault.kind != FaultKind::Reset {
+                    turns.push(FaultEvent {
                         at: at + span,
                         begins: false,
                         ..turn
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -4,11 +4,11 @@
 use crate::Micros;
 
 /// Longest head.
-const HEAD: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// Longest body of a request to a stand-in.
-const BODY: u64 = 1024 * 1024;
+const MAX_BODY_BYTES: u64 = 1024 * 1024;
 /// Most header lines.
-const LINES: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// Bytes that are no HTTP message; the connection is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     pub length: usize,
 }
 
-fn text(value: &[u8]) -> Option<&str> {
+fn trimmed_text(value: &[u8]) -> Option<&str> {
     std::str::from_utf8(value).ok().map(str::trim)
 }
 
@@ -44,31 +44,33 @@
 /// # Errors
 /// Bytes that are no request, a head or body too long, or a body whose end is not given by its length.
 pub fn request(bytes: &[u8]) -> Result<Option<Request<'_>>, Malformed> {
-    let mut lines = [httparse::EMPTY_HEADER; LINES];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut lines);
     let size = match head.parse(bytes).map_err(|_| Malformed)? {
         httparse::Status::Complete(size) => size,
-        httparse::Status::Partial if bytes.len() > HEAD => return Err(Malformed),
+        httparse::Status::Partial if bytes.len() > MAX_HEAD_BYTES => return Err(Malformed),
         httparse::Status::Partial => return Ok(None),
     };
     let (mut id, mut key, mut work, mut close, mut body) = (None, None, None, false, 0_u64);
     for line in head.headers.iter() {
         match line.name.len() {
-            10 if line.name.eq_ignore_ascii_case("X-Trace-Id") => id = text(line.value),
-            15 if line.name.eq_ignore_ascii_case("Idempotency-Key") => key = text(line.value),
+            10 if line.name.eq_ignore_ascii_case("X-Trace-Id") => id = trimmed_text(line.value),
+            15 if line.name.eq_ignore_ascii_case("Idempotency-Key") => {
+                key = trimmed_text(line.value)
+            }
             9 if line.name.eq_ignore_ascii_case("X-Work-Ms") => {
-                let ms = text(line.value)
+                let ms = trimmed_text(line.value)
                     .and_then(|t| t.parse::<f64>().ok())
                     .filter(|ms| (0.0..1e6).contains(ms));
                 work = Some((ms.ok_or(Malformed)? * 1e3) as Micros);
             }
             10 if line.name.eq_ignore_ascii_case("Connection") => {
-                close = text(line.value).is_some_and(|t| t.eq_ignore_ascii_case("close"));
+                close = trimmed_text(line.value).is_some_and(|t| t.eq_ignore_ascii_case("close"));
             }
             14 if line.name.eq_ignore_ascii_case("Content-Length") => {
-                body = text(line.value)
+                body = trimmed_text(line.value)
                     .and_then(|t| t.parse().ok())
-                    .filter(|n| *n <= BODY)
+                    .filter(|n| *n <= MAX_BODY_BYTES)
                     .ok_or(Malformed)?;
             }
             17 if line.name.eq_ignore_ascii_case("Transfer-Encoding") => return Err(Malformed),
@@ -115,11 +117,13 @@
     let mut skipped = 0;
     loop {
         let part = &bytes[skipped..];
-        let mut lines = [httparse::EMPTY_HEADER; LINES];
+        let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut lines);
         let size = match head.parse(part).map_err(|_| Malformed)? {
             httparse::Status::Complete(size) => size,
-            httparse::Status::Partial if ended || part.len() > HEAD => return Err(Malformed),
+            httparse::Status::Partial if ended || part.len() > MAX_HEAD_BYTES => {
+                return Err(Malformed);
+            }
             httparse::Status::Partial => return Ok(None),
         };
         let status = head.code.ok_or(Malformed)?;
@@ -132,19 +136,19 @@
         for line in head.headers.iter() {
             if line.name.eq_ignore_ascii_case("Content-Length") {
                 length = Some(
-                    text(line.value)
+                    trimmed_text(line.value)
                         .and_then(|t| t.parse::<usize>().ok())
                         .ok_or(Malformed)?,
                 );
             } else if line.name.eq_ignore_ascii_case("Transfer-Encoding") {
-                chunked =
-                    text(line.value).is_some_and(|t| t.to_ascii_lowercase().ends_with("chunked"));
+                chunked = trimmed_text(line.value)
+                    .is_some_and(|t| t.to_ascii_lowercase().ends_with("chunked"));
             } else if line.name.eq_ignore_ascii_case("Connection") {
-                let told = text(line.value).unwrap_or_default();
+                let told = trimmed_text(line.value).unwrap_or_default();
                 close = told.eq_ignore_ascii_case("close")
                     || (close && !told.eq_ignore_ascii_case("keep-alive"));
             } else if line.name.eq_ignore_ascii_case("Retry-After") {
-                let seconds = text(line.value).and_then(|t| t.parse::<f64>().ok());
+                let seconds = trimmed_text(line.value).and_then(|t| t.parse::<f64>().ok());
                 retry_after = seconds
                     .filter(|s| (0.0..=86_400.0).contains(s))
                     .map(|s| (s * 1e6) as Micros);
@@ -153,7 +157,7 @@
         let rest = &part[size..];
         let body = match (chunked, length) {
             _ if status == 204 || status == 304 => Some(0),
-            (true, _) => chunks(rest)?,
+            (true, _) => chunked_body_length(rest)?,
             (false, Some(length)) => Some(length).filter(|l| rest.len() >= *l),
             (false, None) => {
                 close = true;
@@ -178,7 +182,7 @@
 }
 
 /// Bytes of a chunked body, its end included; `None` until it is whole.
-fn chunks(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
+fn chunked_body_length(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
     let mut at = 0;
     loop {
         match httparse::parse_chunk_size(&bytes[at..]).map_err(|_| Malformed)? {
@@ -211,15 +215,15 @@
 }
 
 /// A line of a message's head by its name; the first, if there are several.
-pub fn line<'a>(bytes: &'a [u8], name: &str) -> Option<&'a str> {
+pub fn header<'a>(bytes: &'a [u8], name: &str) -> Option<&'a str> {
     let first = bytes.iter().position(|b| *b == b'\n')? + 1;
-    let mut lines = [httparse::EMPTY_HEADER; LINES];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let httparse::Status::Complete((_, lines)) =
         httparse::parse_headers(&bytes[first..], &mut lines).ok()?
     else {
         return None;
     };
-    text(
+    trimmed_text(
         lines
             .iter()
             .find(|line| line.name.eq_ignore_ascii_case(name))?
--- a/crates/emulator/src/http/tests.rs
+++ b/crates/emulator/src/http/tests.rs
@@ -12,7 +12,7 @@
         (Some("t"), Some("k"), bytes.len() - 3)
     );
     assert_eq!(
-        (&bytes[read.head..read.length], line(bytes, "x-trace-id")),
+        (&bytes[read.head..read.length], header(bytes, "x-trace-id")),
         (&b"hi"[..], Some("t"))
     );
     assert_eq!(
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -6,7 +6,7 @@
 
 /// What a node is.
 #[derive(Clone, Copy, Debug)]
-pub struct Make {
+pub struct NodeConfig {
     /// Requests that run at a time.
     pub cores: usize,
     /// Speed of a core, 1 for work in its own time.
@@ -16,9 +16,9 @@
     /// Share of the speed at the start.
     pub cold_from: f64,
     /// Time until it is warm.
-    pub cold_for: Micros,
+    pub warm_up: Micros,
     /// How often the load that it shows is taken anew.
-    pub util_every: Micros,
+    pub util_interval: Micros,
     /// Giving up ends running work too.
     pub cancel_running: bool,
 }
@@ -35,7 +35,7 @@
 /// A records node. It is told the time, which never goes back.
 #[derive(Clone, Debug)]
 pub struct Node {
-    make: Make,
+    make: NodeConfig,
     started: Micros,
     waiting: VecDeque<Job>,
     /// End and job, by core; a core without work has none.
@@ -45,67 +45,67 @@
     draining: bool,
     /// Busy time of all cores, up to `marked`.
     busy: Micros,
-    marked: Micros,
+    busy_accounted_until: Micros,
     util: f64,
-    util_from: (Micros, Micros),
+    util_window: (Micros, Micros),
 }
 
 /// What becomes of a request that comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Admission {
     /// It will run.
-    Yes,
+    Admitted,
     /// The queue is full or the node drains: it never ran.
-    TurnedAway,
+    Rejected,
 }
 
 impl Node {
     /// A node that started at an instant; `warm` if long before it.
-    pub fn new(make: Make, now: Micros, warm: bool) -> Node {
+    pub fn new(make: NodeConfig, now: Micros, warm: bool) -> Node {
         Node {
             make,
-            started: if warm { now - make.cold_for } else { now },
+            started: if warm { now - make.warm_up } else { now },
             waiting: VecDeque::new(),
             running: vec![None; make.cores],
             frozen_until: None,
             slower: 1.0,
             draining: false,
             busy: 0,
-            marked: now,
+            busy_accounted_until: now,
             util: 0.0,
-            util_from: (now, 0),
+            util_window: (now, 0),
         }
     }
 
     /// The share of its speed that it has now.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    pub fn speed_share(&self, now: Micros) -> f64 {
         let age = now - self.started;
-        if self.make.cold_for <= 0 || age >= self.make.cold_for {
+        if self.make.warm_up <= 0 || age >= self.make.warm_up {
             return 1.0;
         }
-        let grown = age.max(0) as f64 / self.make.cold_for as f64;
+        let grown = age.max(0) as f64 / self.make.warm_up as f64;
         self.make.cold_from + (1.0 - self.make.cold_from) * grown
     }
 
-    fn mark(&mut self, now: Micros) {
+    fn update_utilization(&mut self, now: Micros) {
         let cores = self.running.iter().flatten().count() as Micros;
         if self.frozen_until.is_none() {
-            self.busy += cores * (now - self.marked).max(0);
+            self.busy += cores * (now - self.busy_accounted_until).max(0);
         }
-        self.marked = self.marked.max(now);
-        let (since, busy) = self.util_from;
-        if now - since >= self.make.util_every {
+        self.busy_accounted_until = self.busy_accounted_until.max(now);
+        let (since, busy) = self.util_window;
+        if now - since >= self.make.util_interval {
             let room = (now - since) * self.make.cores as Micros;
             self.util = ((self.busy - busy) as f64 / room as f64).clamp(0.0, 1.0);
-            self.util_from = (now, self.busy);
+            self.util_window = (now, self.busy);
         }
     }
 
-    fn fill(&mut self, now: Micros) {
+    fn start_waiting_jobs(&mut self, now: Micros) {
         if self.frozen_until.is_some() {
             return;
         }
-        let speed = self.make.speed * self.warmth(now) / self.slower;
+        let speed = self.make.speed * self.speed_share(now) / self.slower;
         for core in self.running.iter_mut().filter(|core| core.is_none()) {
             let Some(job) = self.waiting.pop_front() else {
                 break;
@@ -115,15 +115,15 @@
     }
 
     /// A request comes. While the node stands still nothing is decided: the caller keeps what comes until then.
-    pub fn arrive(&mut self, now: Micros, job: Job) -> Taken {
-        self.mark(now);
+    pub fn arrive(&mut self, now: Micros, job: Job) -> Admission {
+        self.update_utilization(now);
         let free = self.running.iter().filter(|core| core.is_none()).count();
         if self.draining || self.waiting.len() >= self.make.queue + free {
-            return Taken::TurnedAway;
+            return Admission::Rejected;
         }
         self.waiting.push_back(job);
-        self.fill(now);
-        Taken::Yes
+        self.start_waiting_jobs(now);
+        Admission::Admitted
     }
 
     /// When something ends next.
@@ -135,12 +135,12 @@
     }
 
     /// Takes one request that has ended by now; to be called until there is none.
-    pub fn ended(&mut self, now: Micros) -> Option<Job> {
+    pub fn take_finished(&mut self, now: Micros) -> Option<Job> {
         if self.frozen_until.is_some_and(|until| until <= now) {
             self.frozen_until = None;
-            self.marked = self.marked.max(now);
+            self.busy_accounted_until = self.busy_accounted_until.max(now);
             // What came meanwhile begins now, also if nothing else ever comes.
-            self.fill(now);
+            self.start_waiting_jobs(now);
         }
         if self.frozen_until.is_some() {
             return None;
@@ -149,7 +149,7 @@
             return None;
         }
         // Before the core is free: the time until now was busy.
-        self.mark(now);
+        self.update_utilization(now);
         let due = |core: &&mut Option<(Micros, Job)>| core.is_some_and(|(end, _)| end <= now);
         let first = self
             .running
@@ -157,13 +157,13 @@
             .filter(due)
             .min_by_key(|core| core.map(|(end, _)| end))?;
         let (_, job) = first.take()?;
-        self.fill(now);
+        self.start_waiting_jobs(now);
         Some(job)
     }
 
     /// Whoever brought a request no longer waits for it. Tells whether it had not begun, and never will.
-    pub fn give_up(&mut self, now: Micros, token: u64) -> bool {
-        self.mark(now);
+    pub fn abandon(&mut self, now: Micros, token: u64) -> bool {
+        self.update_utilization(now);
         let before = self.waiting.len();
         self.waiting.retain(|job| job.token != token);
         let waited = self.waiting.len() < before;
@@ -174,14 +174,14 @@
                 .iter_mut()
                 .filter(of)
                 .for_each(|core| *core = None);
-            self.fill(now);
+            self.start_waiting_jobs(now);
         }
         waited
     }
 
     /// Stands still until an instant; what runs ends so much later.
     pub fn freeze(&mut self, now: Micros, until: Micros) {
-        self.mark(now);
+        self.update_utilization(now);
         let before = self.frozen_until.unwrap_or(now);
         let longer = (until - before).max(0);
         self.running
@@ -218,7 +218,7 @@
 
     /// How busy its cores were in the last span, 0 to 1.
     pub fn util(&mut self, now: Micros) -> f64 {
-        self.mark(now);
+        self.update_utilization(now);
         self.util
     }
 
--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-const MAKE: Make = Make {
+const MAKE: NodeConfig = NodeConfig {
     cores: 2,
     speed: 1.0,
     queue: 1,
     cold_from: 0.5,
-    cold_for: 1_000,
-    util_every: 100,
+    warm_up: 1_000,
+    util_interval: 100,
     cancel_running: false,
 };
 
@@ -17,11 +17,11 @@
 #[test]
 fn a_freeze_shifts_what_runs_by_its_length() {
     let mut node = Node::new(MAKE, 0, true);
-    assert_eq!(node.arrive(0, job(1, 100)), Taken::Yes);
+    assert_eq!(node.arrive(0, job(1, 100)), Admission::Admitted);
     node.freeze(40, 540);
-    assert_eq!((node.next(), node.ended(300)), (Some(540), None));
-    assert_eq!((node.ended(540), node.next()), (None, Some(600)));
-    assert_eq!(node.ended(600), Some(job(1, 100)));
+    assert_eq!((node.next(), node.take_finished(300)), (Some(540), None));
+    assert_eq!((node.take_finished(540), node.next()), (None, Some(600)));
+    assert_eq!(node.take_finished(600), Some(job(1, 100)));
 }
 
 #[test]
@@ -29,7 +29,7 @@
     let mut node = Node::new(MAKE, 0, true);
     node.freeze(0, 500);
     node.arrive(100, job(1, 100));
-    assert_eq!((node.ended(500), node.next()), (None, Some(600)));
+    assert_eq!((node.take_finished(500), node.next()), (None, Some(600)));
 }
 
 #[test]
@@ -38,18 +38,23 @@
     let took: Vec<_> = (0..4).map(|n| node.arrive(0, job(n, 100))).collect();
     assert_eq!(
         took,
-        [Taken::Yes, Taken::Yes, Taken::Yes, Taken::TurnedAway]
+        [
+            Admission::Admitted,
+            Admission::Admitted,
+            Admission::Admitted,
+            Admission::Rejected
+        ]
     );
     assert_eq!(node.next(), Some(200));
-    assert!(node.give_up(10, 2) && !node.give_up(10, 1));
+    assert!(node.abandon(10, 2) && !node.abandon(10, 1));
     assert_eq!(node.held(), 2);
-    assert!(node.warmth(500) > 0.74 && node.warmth(1_000) == 1.0);
+    assert!(node.speed_share(500) > 0.74 && node.speed_share(1_000) == 1.0);
 }
 
 #[test]
 fn util_is_the_busy_share_of_the_cores() {
     let mut node = Node::new(MAKE, 0, true);
     node.arrive(0, job(1, 50));
-    node.ended(50);
+    node.take_finished(50);
     assert!((node.util(100) - 0.25).abs() < 1e-9);
 }
--- a/crates/emulator/src/roster.rs
+++ b/crates/emulator/src/node_list.rs
@@ -34,19 +34,19 @@
 
 /// The list and its changes.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct NodeList {
     entries: Vec<Entry>,
     /// Changes by version: the version after, and the entry as it is then.
     changes: Vec<(u64, Entry)>,
     pending: VecDeque<(Micros, Entry)>,
 }
 
-impl Roster {
+impl NodeList {
     /// A list as it stands at the start.
-    pub fn new(entries: Vec<Entry>) -> Roster {
-        Roster {
+    pub fn new(entries: Vec<Entry>) -> NodeList {
+        NodeList {
             entries,
-            ..Roster::default()
+            ..NodeList::default()
         }
     }
 
@@ -81,7 +81,7 @@
 
     /// What a watch from a version is told first, or next: the changes behind it, or the whole list if that version
     /// is not ours. `address` gives a node's address as the one who asks sees it.
-    pub fn since(&self, from: Option<u64>, address: impl Fn(usize) -> String) -> String {
+    pub fn changes_since(&self, from: Option<u64>, address: impl Fn(usize) -> String) -> String {
         let known = from.filter(|from| (1..=self.index()).contains(from));
         let told: Vec<&Entry> = match known {
             Some(from) => self
--- a/crates/emulator/src/roster/tests.rs
+++ b/crates/emulator/src/node_list/tests.rs
@@ -9,10 +9,10 @@
         status,
         since_ms: 0,
     };
-    let mut roster = Roster::new(vec![entry(0, Status::Ready), entry(1, Status::Ready)]);
+    let mut roster = NodeList::new(vec![entry(0, Status::Ready), entry(1, Status::Ready)]);
     roster.change(50, entry(0, Status::Gone));
     assert!(!roster.tell(49) && roster.next() == Some(50) && roster.tell(50));
-    let told = |from| roster.since(from, |n| format!("127.0.0.1:{n}"));
+    let told = |from| roster.changes_since(from, |n| format!("127.0.0.1:{n}"));
     assert!(told(None).contains("\"snapshot\":true") && !told(None).contains("s-0"));
     assert!(told(Some(1)).contains("Gone") && told(Some(1)).contains("\"index\":2"));
     assert!(told(Some(2)).contains("\"endpoints\":[]"));
--- a/crates/emulator/src/reactor.rs
+++ b/crates/emulator/src/reactor.rs
@@ -70,7 +70,7 @@
 
 /// Makes room for so many descriptors ahead, or for as many as the system allows. A process with several threads else
 /// stands still for some 20 ms each time its table of descriptors grows (at 256, 512 and so on), in the middle of the run.
-pub fn room_for(descriptors: usize) {
+pub fn reserve_descriptors(descriptors: usize) {
     let Ok(any) = eventfd(0, EventfdFlags::CLOEXEC) else {
         return;
     };
@@ -81,9 +81,9 @@
 }
 
 /// Told when a [`Waker`] was used.
-pub const WOKEN: u64 = u64::MAX;
+pub const WAKE_TOKEN: u64 = u64::MAX;
 /// Most events taken at once.
-const AT_ONCE: usize = 512;
+const MAX_EVENTS: usize = 512;
 
 impl Reactor {
     /// A reactor without sockets.
@@ -96,7 +96,7 @@
         epoll::add(
             &epoll,
             &wake,
-            epoll::EventData::new_u64(WOKEN),
+            epoll::EventData::new_u64(WAKE_TOKEN),
             epoll::EventFlags::IN | epoll::EventFlags::ET,
         )?;
         Ok(Reactor {
@@ -111,7 +111,7 @@
     }
 
     /// Asks the system to wake this thread within a microsecond or so of the time, not within its usual 50.
-    pub fn exact(&self) {
+    pub fn set_precise_timer(&self) {
         // Without it waits are a little longer: nothing else is lost.
         let _ = rustix::thread::set_current_timer_slack(NonZeroU64::new(1_000));
     }
@@ -145,7 +145,7 @@
                 tv_nsec: (us % 1_000_000 * 1_000) as _,
             }
         });
-        let mut room = [const { MaybeUninit::uninit() }; AT_ONCE];
+        let mut room = [const { MaybeUninit::uninit() }; MAX_EVENTS];
         let events: &[epoll::Event] = match epoll::wait(&self.epoll, &mut room, time.as_ref()) {
             Ok((events, _)) => events,
             Err(rustix::io::Errno::INTR) => return Ok(()),
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -15,21 +15,21 @@
 use crate::counter;
 use crate::http;
 use crate::plan::WorldPlan;
-use crate::reactor::{Reactor, Ready, WOKEN, Waker, room_for};
-use crate::world::{Ask, Counts, Reply, Service, Word, World};
+use crate::reactor::{Reactor, Ready, WAKE_TOKEN, Waker, reserve_descriptors};
+use crate::world::{Counts, NodeRequest, Reply, Service, World, WorldEvent};
 
 /// Bytes taken from a socket at once.
-pub(crate) const READ: usize = 16 * 1024;
+pub(crate) const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// Connections that may wait with the system.
-const BACKLOG: i32 = 4_096;
+const LISTEN_BACKLOG: i32 = 4_096;
 /// Descriptors that room is made for ahead.
-const DESCRIPTORS: usize = 16_384;
+const RESERVED_DESCRIPTORS: usize = 16_384;
 /// Connections taken at a listener before others have their turn.
-const ACCEPTS: usize = 32;
+const MAX_ACCEPTS_PER_TURN: usize = 32;
 /// An answer that is none.
-pub(crate) const NOISE: &[u8] = b"\x00\x01noise that is no answer\r\n\r\n";
+pub(crate) const MALFORMED_ANSWER: &[u8] = b"\x00\x01noise that is no answer\r\n\r\n";
 
-enum Order {
+enum Command {
     Begin(Micros),
     Stop,
 }
@@ -38,26 +38,26 @@
 pub type Addresses = BTreeMap<(Service, usize), SocketAddr>;
 
 /// A world that is being served on a thread of its own.
-pub struct Serving {
+pub struct WorldServer {
     addresses: Arc<Mutex<Addresses>>,
     lists: Vec<String>,
-    orders: mpsc::Sender<Order>,
+    orders: mpsc::Sender<Command>,
     waker: Waker,
     thread: Option<JoinHandle<Counts>>,
 }
 
-impl Serving {
+impl WorldServer {
     /// Opens all sockets and serves. The plan must have been checked.
     ///
     /// # Errors
     /// The system's, most often for want of descriptors.
-    pub fn start(plan: &WorldPlan, seed: u64, limiters: usize) -> io::Result<Serving> {
+    pub fn start(plan: &WorldPlan, seed: u64, limiters: usize) -> io::Result<WorldServer> {
         let unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis() as i64;
         let world = World::new(plan, seed, limiters, unix_ms);
-        room_for(DESCRIPTORS);
+        reserve_descriptors(RESERVED_DESCRIPTORS);
         let reactor = Reactor::new()?;
         let waker = reactor.waker();
         let addresses = Arc::new(Mutex::new(Addresses::new()));
@@ -70,7 +70,7 @@
             doors: Slab::new(),
             addresses: addresses.clone(),
             watchers: Vec::new(),
-            buffer: vec![0; READ],
+            buffer: vec![0; READ_BUFFER_BYTES],
             serial: 0,
             more: Vec::new(),
         };
@@ -84,7 +84,7 @@
         let thread = std::thread::Builder::new()
             .name("stand-ins".into())
             .spawn(move || host.run(&received))?;
-        Ok(Serving {
+        Ok(WorldServer {
             addresses,
             lists,
             orders,
@@ -110,7 +110,7 @@
     /// The load begins: faults come by the plan from now on, over so long.
     pub fn begin(&self, span: Micros) {
         // A world that has ended has no faults any more.
-        let _ = self.orders.send(Order::Begin(span));
+        let _ = self.orders.send(Command::Begin(span));
         self.waker.wake();
     }
 
@@ -120,7 +120,7 @@
     }
 
     fn end(&mut self) -> Counts {
-        let _ = self.orders.send(Order::Stop);
+        let _ = self.orders.send(Command::Stop);
         self.waker.wake();
         self.thread
             .take()
@@ -129,7 +129,7 @@
     }
 }
 
-impl Drop for Serving {
+impl Drop for WorldServer {
     fn drop(&mut self) {
         if self.thread.is_some() {
             self.end();
@@ -137,23 +137,23 @@
     }
 }
 
-enum Door {
+enum Endpoint {
     Listener {
         service: Service,
         limiter: usize,
         socket: TcpListener,
     },
-    Line(Line),
+    Line(Connection),
 }
 
 /// A connection. What it is owed goes out in order.
-struct Line {
+struct Connection {
     service: Service,
     limiter: usize,
     socket: TcpStream,
     read: Vec<u8>,
     write: Vec<u8>,
-    owed: VecDeque<(u64, Option<Vec<u8>>)>,
+    pending_answers: VecDeque<(u64, Option<Vec<u8>>)>,
     /// A watch, and the version it has been told.
     watch: Option<u64>,
     close: bool,
@@ -163,7 +163,7 @@
     world: World,
     reactor: Reactor,
     start: Instant,
-    doors: Slab<Door>,
+    doors: Slab<Endpoint>,
     addresses: Arc<Mutex<Addresses>>,
     watchers: Vec<usize>,
     buffer: Vec<u8>,
@@ -184,7 +184,7 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&at.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
@@ -219,7 +219,7 @@
             drop(addresses);
             let slot = self.doors.vacant_key();
             self.reactor.add(&socket, slot as u64)?;
-            self.doors.insert(Door::Listener {
+            self.doors.insert(Endpoint::Listener {
                 service,
                 limiter,
                 socket,
@@ -228,10 +228,10 @@
         Ok(())
     }
 
-    fn run(mut self, orders: &mpsc::Receiver<Order>) -> Counts {
+    fn run(mut self, orders: &mpsc::Receiver<Command>) -> Counts {
         let mut ready: Vec<Ready> = Vec::new();
         let mut beat_at = self.beat;
-        self.reactor.exact();
+        self.reactor.set_precise_timer();
         loop {
             let next = self.world.next().map_or(beat_at, |at| at.min(beat_at));
             let wait = if self.more.is_empty() {
@@ -244,11 +244,11 @@
                 std::thread::sleep(Duration::from_millis(1));
             }
             for event in &ready {
-                if event.token == WOKEN {
+                if event.token == WAKE_TOKEN {
                     while let Ok(order) = orders.try_recv() {
                         match order {
-                            Order::Begin(span) => self.world.begin(self.now(), span),
-                            Order::Stop => return self.world.counts().clone(),
+                            Command::Begin(span) => self.world.begin(self.now(), span),
+                            Command::Stop => return self.world.counts().clone(),
                         }
                     }
                 } else {
@@ -256,17 +256,17 @@
                 }
             }
             for at in std::mem::take(&mut self.more) {
-                if let Some(Door::Listener { .. }) = self.doors.get(at) {
+                if let Some(Endpoint::Listener { .. }) = self.doors.get(at) {
                     self.accept(at);
                 }
             }
             let now = self.now();
             while let Some(word) = self.world.poll(now) {
-                self.happen(now, word);
+                self.apply_event(now, word);
             }
             if now >= beat_at {
                 beat_at = now + self.beat;
-                self.tell_watchers(now, true);
+                self.notify_watchers(now, true);
             }
         }
     }
@@ -274,8 +274,8 @@
     fn ready(&mut self, event: &Ready) {
         let at = event.token as usize;
         match self.doors.get_mut(at) {
-            Some(Door::Listener { .. }) => self.accept(at),
-            Some(Door::Line(line)) => {
+            Some(Endpoint::Listener { .. }) => self.accept(at),
+            Some(Endpoint::Line(line)) => {
                 let kept = !event.writable || line.flush();
                 if !kept || (event.readable && !self.read(at, event.ended)) {
                     self.close(at);
@@ -286,8 +286,8 @@
     }
 
     fn accept(&mut self, at: usize) {
-        for _ in 0..ACCEPTS {
-            let Some(Door::Listener {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            let Some(Endpoint::Listener {
                 service,
                 limiter,
                 socket,
@@ -313,17 +313,17 @@
                 continue;
             }
             let (read, write, owed) = (Vec::new(), Vec::new(), VecDeque::new());
-            let line = Line {
+            let line = Connection {
                 service,
                 limiter,
                 socket,
                 read,
                 write,
-                owed,
+                pending_answers: owed,
                 watch: None,
                 close: false,
             };
-            self.doors.insert(Door::Line(line));
+            self.doors.insert(Endpoint::Line(line));
         }
         self.more.push(at);
     }
@@ -331,7 +331,7 @@
     /// Takes in what has come; whether the line stays.
     fn read(&mut self, at: usize, to_the_end: bool) -> bool {
         loop {
-            let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+            let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
                 return true;
             };
             match line.socket.read(&mut self.buffer) {
@@ -341,7 +341,7 @@
                     if !self.requests(at) {
                         return false;
                     }
-                    if length < READ && !to_the_end {
+                    if length < READ_BUFFER_BYTES && !to_the_end {
                         return true;
                     }
                 }
@@ -355,7 +355,7 @@
     /// Takes up whole requests; whether the line stays.
     fn requests(&mut self, at: usize) -> bool {
         let now = self.now();
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
             return true;
         };
         // Taken out, so that what it holds can be lent to the world beside the line.
@@ -368,7 +368,7 @@
                 Err(http::Malformed) => break false,
             };
             used += request.length;
-            let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+            let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
                 break true;
             };
             if line.close {
@@ -378,14 +378,14 @@
             self.serial += 1;
             let token = ((at as u64) << 32) | (self.serial & 0xffff_ffff);
             let (service, limiter) = (line.service, line.limiter);
-            line.owed.push_back((token, None));
+            line.pending_answers.push_back((token, None));
             let refused = match service {
                 Service::Node(node) => match (request.id, request.target) {
                     (Some(id), _) => {
                         let (key, work) = (request.key, request.work);
                         self.world.ask(
                             now,
-                            Ask {
+                            NodeRequest {
                                 node,
                                 limiter,
                                 token,
@@ -412,7 +412,7 @@
                 },
                 Service::Discovery => {
                     let target = request.target.to_string();
-                    self.discover(at, token, &target);
+                    self.answer_discovery(at, token, &target);
                     None
                 }
             };
@@ -423,14 +423,14 @@
             }
         };
         bytes.drain(..used);
-        if let Some(Door::Line(line)) = self.doors.get_mut(at) {
+        if let Some(Endpoint::Line(line)) = self.doors.get_mut(at) {
             line.read = bytes;
         }
         kept
     }
 
-    fn discover(&mut self, at: usize, token: u64, target: &str) {
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+    fn answer_discovery(&mut self, at: usize, token: u64, target: &str) {
+        let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
             return;
         };
         let limiter = line.limiter;
@@ -449,7 +449,7 @@
             let list = self.list(get("from").and_then(|f| f.parse().ok()), limiter);
             out.extend_from_slice(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             chunk(&mut out, &list);
-            if let Some(Door::Line(line)) = self.doors.get_mut(at) {
+            if let Some(Endpoint::Line(line)) = self.doors.get_mut(at) {
                 line.watch = Some(self.world.index());
             }
         } else {
@@ -458,10 +458,10 @@
         self.answer(token, out);
     }
 
-    fn tell_watchers(&mut self, now: Micros, beat: bool) {
+    fn notify_watchers(&mut self, now: Micros, beat: bool) {
         let index = self.world.index();
         for at in std::mem::take(&mut self.watchers) {
-            let Some(Door::Line(line)) = self.doors.get(at) else {
+            let Some(Endpoint::Line(line)) = self.doors.get(at) else {
                 continue;
             };
             let (limiter, Some(told)) = (line.limiter, line.watch) else {
@@ -471,7 +471,7 @@
             // Silence while it is cut off or stands still; the next beat tells what was missed.
             if self
                 .world
-                .blocked(Service::Discovery, limiter, now)
+                .blocked_until(Service::Discovery, limiter, now)
                 .is_some()
             {
                 continue;
@@ -484,7 +484,7 @@
             if text.is_empty() && !beat {
                 continue;
             }
-            let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+            let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
                 continue;
             };
             line.watch = Some(index);
@@ -495,16 +495,14 @@
         }
     }
 
-    fn happen(&mut self, now: Micros, word: Word) {
+    fn apply_event(&mut self, now: Micros, word: WorldEvent) {
         match word {
-            Word::Answer(token, reply) => {
+            WorldEvent::Answer(token, reply) => {
                 let mut out = Vec::with_capacity(128 + self.body.len());
                 match reply {
                     Reply::Served => http::write_answer(&mut out, 200, "", &self.body),
                     Reply::Error => http::write_answer(&mut out, 500, "", b""),
-                    Reply::TurnedAway => {
-                        http::write_answer(&mut out, 503, "X-Never-Ran: 1\r\n", b"")
-                    }
+                    Reply::Rejected => http::write_answer(&mut out, 503, "X-Never-Ran: 1\r\n", b""),
                     Reply::Total(total) => {
                         http::write_answer(&mut out, 200, "", total.to_string().as_bytes())
                     }
@@ -516,54 +514,54 @@
                             format!("TEXT util={util:.3}").as_bytes(),
                         );
                     }
-                    Reply::Noise => out.extend_from_slice(NOISE),
+                    Reply::Noise => out.extend_from_slice(MALFORMED_ANSWER),
                 }
                 self.answer(token, out);
             }
-            Word::Reset(service) => {
-                let of = |(at, door): (usize, &Door)| match door {
-                    Door::Line(line) if line.service == service => Some(at),
+            WorldEvent::Reset(service) => {
+                let of = |(at, door): (usize, &Endpoint)| match door {
+                    Endpoint::Line(line) if line.service == service => Some(at),
                     _ => None,
                 };
                 let lines: Vec<usize> = self.doors.iter().filter_map(of).collect();
                 for at in lines {
-                    if let Some(Door::Line(line)) = self.doors.get(at) {
+                    if let Some(Endpoint::Line(line)) = self.doors.get(at) {
                         // With no time to linger a close is a reset.
                         let _ = SockRef::from(&line.socket).set_linger(Some(Duration::ZERO));
                     }
                     self.close(at);
                 }
             }
-            Word::Shut(service) => {
+            WorldEvent::StopListening(service) => {
                 self.doors.retain(
-                    |_, door| !matches!(door, Door::Listener { service: s, .. } if *s == service),
+                    |_, door| !matches!(door, Endpoint::Listener { service: s, .. } if *s == service),
                 );
             }
-            Word::Open(service) => {
-                let listens = |door: &Door| matches!(door, Door::Listener { service: s, .. } if *s == service);
+            WorldEvent::Open(service) => {
+                let listens = |door: &Endpoint| matches!(door, Endpoint::Listener { service: s, .. } if *s == service);
                 if !self.doors.iter().any(|(_, door)| listens(door)) && self.open(service).is_err()
                 {
                     eprintln!("stand-ins: cannot listen again for {service:?}");
                 }
             }
-            Word::Told => self.tell_watchers(now, false),
+            WorldEvent::ListChanged => self.notify_watchers(now, false),
         }
     }
 
     fn answer(&mut self, token: u64, bytes: Vec<u8>) {
         let at = slot(token);
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
             return;
         };
-        let Some(owed) = line.owed.iter_mut().find(|(t, _)| *t == token) else {
+        let Some(owed) = line.pending_answers.iter_mut().find(|(t, _)| *t == token) else {
             return;
         };
         owed.1 = Some(bytes);
-        while let Some((_, Some(bytes))) = line.owed.front_mut() {
+        while let Some((_, Some(bytes))) = line.pending_answers.front_mut() {
             line.write.append(bytes);
-            line.owed.pop_front();
+            line.pending_answers.pop_front();
         }
-        let ends = line.close && line.owed.is_empty() && line.watch.is_none();
+        let ends = line.close && line.pending_answers.is_empty() && line.watch.is_none();
         if !line.flush() || (ends && line.write.is_empty()) {
             self.close(at);
         }
@@ -574,10 +572,10 @@
         if !self.doors.contains(at) {
             return;
         }
-        if let Door::Line(line) = self.doors.remove(at) {
-            line.owed
+        if let Endpoint::Line(line) = self.doors.remove(at) {
+            line.pending_answers
                 .iter()
-                .for_each(|(token, _)| self.world.left(now, *token));
+                .for_each(|(token, _)| self.world.connection_closed(now, *token));
         }
     }
 }
@@ -586,7 +584,7 @@
     out.extend_from_slice(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes());
 }
 
-impl Line {
+impl Connection {
     fn flush(&mut self) -> bool {
         flush(&mut self.socket, &mut self.write)
     }
--- a/crates/emulator/src/system/client.rs
+++ b/crates/emulator/src/system/client.rs
@@ -8,9 +8,9 @@
 use crate::http;
 
 /// Bytes taken from a socket at once.
-const READ: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// A connection must come up within this.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An answer.
 #[derive(Clone, Debug)]
@@ -28,7 +28,7 @@
 impl Reply {
     /// A line of its head.
     pub fn header(&self, name: &str) -> Option<&str> {
-        http::line(&self.bytes, name)
+        http::header(&self.bytes, name)
     }
 
     /// Its body.
@@ -75,7 +75,7 @@
     /// # Errors
     /// It does not come up in time.
     pub fn open(to: SocketAddr, until: Instant) -> Result<Connection, Failure> {
-        let wait = left(until).ok_or(Failure::TimedOut)?.min(CONNECT);
+        let wait = left(until).ok_or(Failure::TimedOut)?.min(CONNECT_TIMEOUT);
         let stream = TcpStream::connect_timeout(&to, wait).map_err(Failure::NotSent)?;
         stream.set_nodelay(true).map_err(Failure::NotSent)?;
         Ok(Connection {
@@ -101,7 +101,7 @@
     /// None came whole in time.
     pub fn read_reply(&mut self, until: Instant) -> Result<Reply, Failure> {
         let mut bytes = Vec::new();
-        let mut room = vec![0; READ];
+        let mut room = vec![0; READ_BUFFER_BYTES];
         loop {
             self.stream
                 .set_read_timeout(Some(left(until).ok_or(Failure::TimedOut)?))
--- a/crates/emulator/src/system/fleet.rs
+++ b/crates/emulator/src/system/fleet.rs
@@ -13,23 +13,26 @@
 use socket2::SockRef;
 
 use super::platform::{self, Entry, Platform};
-use super::server::{AnswerFault, Asked, Counts, Given, Ledger, Server, ServerConfig, Then};
+use super::server::{
+    AnswerAction, AnswerFault, ConnectionAction, Counts, RunLedger, Server, ServerConfig,
+    ServerRequest,
+};
 use crate::Micros;
 use crate::http;
-use crate::reactor::{Reactor, Ready, WOKEN, Waker};
-use crate::serving::{READ, flush, listen, slot};
+use crate::reactor::{Reactor, Ready, WAKE_TOKEN, Waker};
+use crate::serving::{READ_BUFFER_BYTES, flush, listen, slot};
 
 /// Longest wait of the loop: idle connections are looked at so often.
-const LOOK: Micros = 100_000;
+const IDLE_CHECK_INTERVAL: Micros = 100_000;
 
-enum Door {
+enum Endpoint {
     /// Where a server listens, or the platform.
     Listener(Option<usize>, TcpListener),
-    Line(Line),
+    Line(Connection),
 }
 
 /// A connection to a server or to the platform; one request at a time.
-struct Line {
+struct Connection {
     at: Option<usize>,
     socket: TcpStream,
     read: Vec<u8>,
@@ -42,11 +45,11 @@
 struct Host {
     start: Instant,
     reactor: Arc<Reactor>,
-    doors: Slab<Door>,
+    doors: Slab<Endpoint>,
     platform: Platform,
     servers: BTreeMap<usize, (SocketAddr, Server)>,
     found: usize,
-    ledger: Ledger,
+    ledger: RunLedger,
     drain: Micros,
     serial: u64,
     /// Servers that stand still.
@@ -67,7 +70,7 @@
     ///
     /// # Errors
     /// The system's, most often for want of descriptors.
-    pub fn start(make: platform::Make, drain: Micros) -> io::Result<Fleet> {
+    pub fn start(make: platform::PlatformConfig, drain: Micros) -> io::Result<Fleet> {
         let reactor = Arc::new(Reactor::new()?);
         let waker = reactor.waker();
         let mut host = Host {
@@ -77,7 +80,7 @@
             platform: Platform::new(make),
             servers: BTreeMap::new(),
             found: 0,
-            ledger: Ledger::default(),
+            ledger: RunLedger::default(),
             drain,
             serial: 0,
             frozen: Vec::new(),
@@ -125,7 +128,7 @@
         )?;
         let now = host.now();
         let server = Server::new(make, format!("i-{number:04x}"), now, warm);
-        let (id, make) = server.known();
+        let (id, make) = server.identity();
         let (svc, zone, slots) = (make.svc.clone(), make.zone.clone(), make.slots);
         let warm_at = server.warm_at();
         let entry = Entry {
@@ -151,7 +154,7 @@
             return;
         };
         server.leave();
-        let id = server.known().0.to_string();
+        let id = server.identity().0.to_string();
         let leaving = |entries: &mut Vec<Entry>| {
             entries
                 .iter_mut()
@@ -162,7 +165,7 @@
         host.servers
             .get_mut(&number)
             .into_iter()
-            .for_each(|(_, server)| server.told_off = Some(told + drain));
+            .for_each(|(_, server)| server.drain_announced_at = Some(told + drain));
     }
 
     /// A server ends, and all its connections with it; gives where it was.
@@ -170,12 +173,12 @@
         let mut host = self.host();
         let now = host.now();
         let (at, server) = host.servers.remove(&number)?;
-        let id = server.known().0.to_string();
+        let id = server.identity().0.to_string();
         host.platform
             .change(now, |entries| entries.retain(|e| e.id != id));
         host.doors.retain(|_, door| match door {
-            Door::Listener(of, _) => *of != Some(number),
-            Door::Line(line) => line.at != Some(number),
+            Endpoint::Listener(of, _) => *of != Some(number),
+            Endpoint::Line(line) => line.at != Some(number),
         });
         Some(at)
     }
@@ -186,7 +189,7 @@
         host.servers
             .get_mut(&number)
             .into_iter()
-            .for_each(|(_, server)| server.troubles.extend(troubles));
+            .for_each(|(_, server)| server.pending_faults.extend(troubles));
     }
 
     /// A server stands still for so long.
@@ -226,7 +229,7 @@
 
 fn run(host: &Mutex<Host>, reactor: &Reactor, stop: &AtomicBool) {
     let mut ready: Vec<Ready> = Vec::new();
-    let mut room = vec![0; READ];
+    let mut room = vec![0; READ_BUFFER_BYTES];
     let lock = || host.lock().unwrap_or_else(PoisonError::into_inner);
     while !stop.load(Ordering::Relaxed) {
         let wait = lock().wait();
@@ -237,7 +240,7 @@
         let mut host = lock();
         ready
             .iter()
-            .filter(|event| event.token != WOKEN)
+            .filter(|event| event.token != WAKE_TOKEN)
             .for_each(|event| host.ready(event, &mut room));
         host.turn(&mut room);
     }
@@ -254,7 +257,9 @@
             .values()
             .filter_map(|(_, server)| server.next())
             .min();
-        next.map_or(LOOK, |at| (at - self.now()).clamp(0, LOOK))
+        next.map_or(IDLE_CHECK_INTERVAL, |at| {
+            (at - self.now()).clamp(0, IDLE_CHECK_INTERVAL)
+        })
     }
 
     fn open(&mut self, of: Option<usize>, at: SocketAddr) -> io::Result<SocketAddr> {
@@ -262,13 +267,13 @@
         let at = socket.local_addr()?;
         let slot = self.doors.vacant_key();
         self.reactor.add(&socket, slot as u64)?;
-        self.doors.insert(Door::Listener(of, socket));
+        self.doors.insert(Endpoint::Listener(of, socket));
         Ok(at)
     }
 
     fn turn(&mut self, room: &mut [u8]) {
         let now = self.now();
-        let mut given: Vec<(u64, Given)> = Vec::new();
+        let mut given: Vec<(u64, AnswerAction)> = Vec::new();
         for (_, server) in self.servers.values_mut() {
             while let Some(one) = server.poll(now, &mut self.ledger) {
                 given.push(one);
@@ -277,17 +282,20 @@
         given
             .into_iter()
             .for_each(|(token, given)| self.give(token, given));
-        let stands =
-            |host: &Host, n: &usize| host.servers.get(n).is_some_and(|(_, s)| s.frozen > now);
+        let stands = |host: &Host, n: &usize| {
+            host.servers
+                .get(n)
+                .is_some_and(|(_, s)| s.frozen_until > now)
+        };
         let (frozen, thawed): (Vec<_>, Vec<_>) = std::mem::take(&mut self.frozen)
             .into_iter()
             .partition(|n| stands(self, n));
         self.frozen = frozen;
-        let of = |line: &Line| line.at.is_some_and(|at| thawed.contains(&at));
+        let of = |line: &Connection| line.at.is_some_and(|at| thawed.contains(&at));
         let lines: Vec<usize> = self
             .doors
             .iter()
-            .filter(|(_, d)| matches!(d, Door::Line(l) if of(l)))
+            .filter(|(_, d)| matches!(d, Endpoint::Line(l) if of(l)))
             .map(|(at, _)| at)
             .collect();
         for at in lines {
@@ -295,7 +303,7 @@
         }
         let servers = &self.servers;
         self.doors.retain(|_, door| match door {
-            Door::Line(Line {
+            Endpoint::Line(Connection {
                 at: Some(at),
                 owed: None,
                 heard,
@@ -303,7 +311,7 @@
             }) => {
                 let keep = servers
                     .get(at)
-                    .map_or(0, |(_, server)| server.known().1.keep_s * 1_000_000);
+                    .map_or(0, |(_, server)| server.identity().1.keep_s * 1_000_000);
                 now - *heard < keep
             }
             _ => true,
@@ -313,15 +321,15 @@
     fn ready(&mut self, event: &Ready, room: &mut [u8]) {
         let at = event.token as usize;
         match self.doors.get(at) {
-            Some(Door::Listener(..)) => self.accept(at),
-            Some(Door::Line(_)) => self.look(at, event.readable, room),
+            Some(Endpoint::Listener(..)) => self.accept(at),
+            Some(Endpoint::Line(_)) => self.look(at, event.readable, room),
             None => {}
         }
     }
 
     fn accept(&mut self, at: usize) {
         let now = self.now();
-        while let Some(Door::Listener(of, listener)) = self.doors.get(at) {
+        while let Some(Endpoint::Listener(of, listener)) = self.doors.get(at) {
             let of = *of;
             // Any error ends this turn: no more are waiting, or the next one that comes tries again.
             let Ok((socket, _)) = listener.accept() else {
@@ -336,7 +344,7 @@
                 .is_ok()
             {
                 let (read, write) = (Vec::new(), Vec::new());
-                let line = Line {
+                let line = Connection {
                     at: of,
                     socket,
                     read,
@@ -345,7 +353,7 @@
                     close: false,
                     heard: now,
                 };
-                self.doors.insert(Door::Line(line));
+                self.doors.insert(Endpoint::Line(line));
             }
         }
     }
@@ -353,13 +361,13 @@
     /// Writes and reads what can be; nothing at a server that stands still.
     fn look(&mut self, at: usize, readable: bool, room: &mut [u8]) {
         let now = self.now();
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
             return;
         };
         if line
             .at
             .and_then(|at| self.servers.get(&at))
-            .is_some_and(|(_, server)| server.frozen > now)
+            .is_some_and(|(_, server)| server.frozen_until > now)
         {
             return;
         }
@@ -383,7 +391,7 @@
     /// Takes up the next request if it is whole and none is owed.
     fn request(&mut self, at: usize) {
         let now = self.now();
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
             return;
         };
         if line.owed.is_some() || line.close || line.read.is_empty() {
@@ -412,9 +420,9 @@
                 Some((
                     out,
                     if request.close {
-                        Then::Close
+                        ConnectionAction::Close
                     } else {
-                        Then::Keep
+                        ConnectionAction::Keep
                     },
                 ))
             }
@@ -422,45 +430,50 @@
                 let Some((_, server)) = self.servers.get_mut(&number) else {
                     return;
                 };
-                server.ask(now, token, &Asked::of(&request, &bytes), &mut self.ledger)
+                server.ask(
+                    now,
+                    token,
+                    &ServerRequest::of(&request, &bytes),
+                    &mut self.ledger,
+                )
             }
         };
         bytes.drain(..length);
-        if let Some(Door::Line(line)) = self.doors.get_mut(at) {
+        if let Some(Endpoint::Line(line)) = self.doors.get_mut(at) {
             line.read = bytes;
         }
         given.into_iter().for_each(|given| self.give(token, given));
     }
 
-    fn give(&mut self, token: u64, (bytes, then): Given) {
+    fn give(&mut self, token: u64, (bytes, then): AnswerAction) {
         let (at, now) = (slot(token), self.now());
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
             return;
         };
         if line.owed != Some(token) {
             return;
         }
         (line.owed, line.heard) = (None, now);
-        if then == Then::Reset {
+        if then == ConnectionAction::Reset {
             // Where this fails the connection ends in order, which is a failure as well.
             let _ = SockRef::from(&line.socket).set_linger(Some(Duration::ZERO));
             return self.close(at);
         }
         line.write.extend_from_slice(&bytes);
-        line.close = then == Then::Close;
+        line.close = then == ConnectionAction::Close;
         self.look(at, false, &mut []);
     }
 
     fn close(&mut self, at: usize) {
         let now = self.now();
-        if let Some(Door::Line(Line {
+        if let Some(Endpoint::Line(Connection {
             at: Some(number),
             owed: Some(token),
             ..
         })) = self.doors.try_remove(at)
             && let Some((_, server)) = self.servers.get_mut(&number)
         {
-            server.left(now, token, &mut self.ledger);
+            server.connection_closed(now, token, &mut self.ledger);
         }
     }
 }
--- a/crates/emulator/src/system/machines.rs
+++ b/crates/emulator/src/system/machines.rs
@@ -19,17 +19,17 @@
 use super::wait_for;
 
 /// Ports, the same on all machines.
-const HTTP: u16 = 8686;
-const READYZ: u16 = 8680;
-const CTL: u16 = 8688;
-const DIR: u16 = 8684;
-const PORTS: [u16; 2] = [7740, 7755];
+const HTTP_PORT: u16 = 8686;
+const READYZ_PORT: u16 = 8680;
+const CTL_PORT: u16 = 8688;
+const DIR_PORT: u16 = 8684;
+const PORT_RANGE: [u16; 2] = [7740, 7755];
 /// Fields of `/proc/PID/stat` after the program's name: its processor time, the system's for it, resident pages.
 const USER_TICKS: usize = 11;
 const SYSTEM_TICKS: usize = 12;
 const RESIDENT_PAGES: usize = 21;
 /// Grace after SIGTERM, as the settings tell it.
-const GRACE: Duration = Duration::from_secs(6);
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(6);
 
 /// A program of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -153,17 +153,17 @@
 
     /// Where operators call a core machine.
     pub fn ctl(&self, number: usize) -> SocketAddr {
-        SocketAddr::from((self.ip(true, number), CTL))
+        SocketAddr::from((self.ip(true, number), CTL_PORT))
     }
 
     /// Where clients ask a core machine where to go.
     pub fn dir(&self, number: usize) -> SocketAddr {
-        SocketAddr::from((self.ip(true, number), DIR))
+        SocketAddr::from((self.ip(true, number), DIR_PORT))
     }
 
     /// Where an edge takes requests.
     pub fn http(&self, number: usize) -> SocketAddr {
-        SocketAddr::from((self.ip(false, number), HTTP))
+        SocketAddr::from((self.ip(false, number), HTTP_PORT))
     }
 
     /// Writes a program's settings file.
@@ -175,8 +175,8 @@
         let (ip, (zone, region)) = (self.ip(core, number), self.zone(number));
         let at = |port: u16| Some(SocketAddr::from((ip, port)).to_string());
         let bind: BTreeMap<&str, Option<String>> = match role {
-            Role::Control => [("ctl", at(CTL)), ("dir", at(DIR))].into(),
-            Role::Proxy => [("http", at(HTTP)), ("readyz", at(READYZ))].into(),
+            Role::Control => [("ctl", at(CTL_PORT)), ("dir", at(DIR_PORT))].into(),
+            Role::Proxy => [("http", at(HTTP_PORT)), ("readyz", at(READYZ_PORT))].into(),
             Role::Agent => BTreeMap::new(),
         };
         let folder = self.plan.folder.join(format!("disk-{number}"));
@@ -188,7 +188,7 @@
             "mclass": if core { "core" } else { "edge" }, "serves": bind.keys().collect::<Vec<_>>(),
             "ip": ip.to_string(), "zone": zone, "region": region,
             "zones": self.plan.zones.iter().cloned().collect::<BTreeMap<_, _>>(), "bind": bind,
-            "port_range": PORTS, "bootstrap": bootstrap, "quorum": core,
+            "port_range": PORT_RANGE, "bootstrap": bootstrap, "quorum": core,
             "seed_peers": (0..self.cores().min(3)).map(|n| self.ctl(n).to_string()).collect::<Vec<_>>(),
             "limits": {"cpu_quota": 1.0, "ncpu": 1, "mem_mb": 260, "nofile": 4096, "disk_mb": 64},
             "datadir": core.then_some(folder),
@@ -406,7 +406,7 @@
     }
 
     fn readiness(&self, edge: usize) -> Option<u16> {
-        let to = SocketAddr::from((self.ip(false, edge), READYZ));
+        let to = SocketAddr::from((self.ip(false, edge), READYZ_PORT));
         let until = Instant::now() + Duration::from_secs(1);
         let reply = call(to, "GET", "/api/readyz", "", b"", until).ok()?;
         Some(reply.status)
@@ -436,7 +436,7 @@
                 .collect();
             all.iter()
                 .for_each(|(role, number)| self.terminate(*role, *number));
-            let until = Instant::now() + GRACE;
+            let until = Instant::now() + SHUTDOWN_GRACE;
             for (role, number) in all {
                 match self.wait_for_exit(role, number, until) {
                     Some(status) if status.success() => {}
--- a/crates/emulator/src/system/operator.rs
+++ b/crates/emulator/src/system/operator.rs
@@ -10,9 +10,9 @@
 use super::client::{Failure, Reply, call};
 
 /// A call without an answer is given up after this.
-const SILENCE: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// First pause after a call that came to nothing; each is longer by half.
-const PAUSE: Duration = Duration::from_millis(50);
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Items that are set or dropped by one call.
 #[derive(Clone, Debug, Default)]
@@ -75,7 +75,7 @@
     /// # Errors
     /// It was refused, or not taken in time.
     pub fn change(&mut self, change: &Change, until: Instant) -> Result<(), String> {
-        self.order("POST", "/api/cfg/patch", &change.body(), until)?;
+        self.call_until_accepted("POST", "/api/cfg/patch", &change.body(), until)?;
         for (kind, name, ver, spec) in &change.0 {
             let held = self
                 .acknowledged
@@ -94,7 +94,7 @@
     /// It was refused, or not taken in time.
     pub fn evacuate(&mut self, zone: &str, begin: bool, until: Instant) -> Result<(), String> {
         let word = if begin { "begin" } else { "finish" };
-        self.order("POST", &format!("/api/drain/{zone}/{word}"), "", until)
+        self.call_until_accepted("POST", &format!("/api/drain/{zone}/{word}"), "", until)
             .map(drop)
     }
 
@@ -103,7 +103,7 @@
     /// # Errors
     /// There is no answer in time.
     pub fn differences(&mut self, until: Instant) -> Result<Vec<String>, String> {
-        let reply = self.order("GET", "/api/cfg/get", "", until)?;
+        let reply = self.call_until_accepted("GET", "/api/cfg/get", "", until)?;
         let read: Value =
             serde_json::from_slice(reply.body()).map_err(|e| format!("reading back: {e}"))?;
         let item = |object: &Value| {
@@ -139,18 +139,18 @@
     }
 
     /// Calls one control program after the other.
-    fn order(
+    fn call_until_accepted(
         &mut self,
         method: &str,
         path: &str,
         body: &str,
         until: Instant,
     ) -> Result<Reply, String> {
-        let (mut pause, mut refused) = (PAUSE, 0);
+        let (mut pause, mut refused) = (FIRST_RETRY_PAUSE, 0);
         let mut last = "no control program is known".to_string();
         while Instant::now() < until && !self.ctl.is_empty() {
             let to = self.ctl[self.turn % self.ctl.len()];
-            match follow(to, method, path, body, until) {
+            match call_following_redirects(to, method, path, body, until) {
                 Ok(reply) if (200..300).contains(&reply.status) => return Ok(reply),
                 Ok(reply) => {
                     last = format!("{method} {path} at {to}: {} {}", reply.status, reply.text());
@@ -172,7 +172,7 @@
 }
 
 /// A call that follows 307 twice.
-fn follow(
+fn call_following_redirects(
     mut to: SocketAddr,
     method: &str,
     path: &str,
@@ -181,7 +181,7 @@
 ) -> Result<Reply, Failure> {
     let mut path = path.to_string();
     for _ in 0..2 {
-        let reply = one(to, method, &path, body, until)?;
+        let reply = call_once(to, method, &path, body, until)?;
         let place = reply.header("Location").filter(|_| reply.status == 307);
         let place = place.and_then(|place| place.strip_prefix("http://")?.split_once('/'));
         let Some((address, rest)) = place.and_then(|(at, rest)| Some((at.parse().ok()?, rest)))
@@ -190,17 +190,17 @@
         };
         (to, path) = (address, format!("/{rest}"));
     }
-    one(to, method, &path, body, until)
+    call_once(to, method, &path, body, until)
 }
 
-fn one(
+fn call_once(
     to: SocketAddr,
     method: &str,
     path: &str,
     body: &str,
     until: Instant,
 ) -> Result<Reply, Failure> {
-    let until = until.min(Instant::now() + SILENCE);
+    let until = until.min(Instant::now() + CALL_TIMEOUT);
     call(
         to,
         method,
--- a/crates/emulator/src/system/platform.rs
+++ b/crates/emulator/src/system/platform.rs
@@ -11,7 +11,7 @@
 
 /// How the list is told.
 #[derive(Clone, Copy, Debug)]
-pub struct Make {
+pub struct PlatformConfig {
     /// What has changed is told so much later.
     pub lag: Micros,
     /// Servers on a page.
@@ -42,7 +42,7 @@
 /// The list.
 #[derive(Debug)]
 pub struct Platform {
-    make: Make,
+    make: PlatformConfig,
     entries: Vec<Entry>,
     /// What is told from an instant on; the first holds now.
     told: VecDeque<(Micros, Vec<Entry>)>,
@@ -51,7 +51,7 @@
 
 impl Platform {
     /// An empty list.
-    pub fn new(make: Make) -> Platform {
+    pub fn new(make: PlatformConfig) -> Platform {
         Platform {
             make,
             entries: Vec::new(),
--- a/crates/emulator/src/system/platform/tests.rs
+++ b/crates/emulator/src/system/platform/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn the_list_lags_comes_in_pages_and_takes_so_many_calls() {
-    let mut platform = Platform::new(Make {
+    let mut platform = Platform::new(PlatformConfig {
         lag: 500,
         page: 2,
         per_s: 5,
--- a/crates/emulator/src/system/server.rs
+++ b/crates/emulator/src/system/server.rs
@@ -6,8 +6,8 @@
 
 use crate::Micros;
 use crate::http;
-use crate::node::{Job, Make as Cores, Node, Taken};
-use crate::serving::NOISE;
+use crate::node::{Admission, Job, Node, NodeConfig as Cores};
+use crate::serving::MALFORMED_ANSWER;
 
 /// What a server is.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
 }
 
 /// The path of health checks.
-pub const HEALTH: &str = "/healthz";
+pub const HEALTH_PATH: &str = "/healthz";
 
 /// What a server does wrong with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,7 +52,7 @@
 
 /// A request as a server reads it.
 #[derive(Clone, Debug)]
-pub struct Asked<'a> {
+pub struct ServerRequest<'a> {
     method: &'a str,
     target: &'a str,
     close: bool,
@@ -65,9 +65,9 @@
     body: &'a [u8],
 }
 
-impl<'a> Asked<'a> {
+impl<'a> ServerRequest<'a> {
     /// Of a request at the start of these bytes.
-    pub fn of(request: &http::Request<'a>, bytes: &'a [u8]) -> Asked<'a> {
+    pub fn of(request: &http::Request<'a>, bytes: &'a [u8]) -> ServerRequest<'a> {
         let http::Request {
             method,
             target,
@@ -77,11 +77,11 @@
             length,
             ..
         } = *request;
-        let line = |name| http::line(bytes, name);
+        let line = |name| http::header(bytes, name);
         let left = line("X-Time-Left")
             .and_then(|t| t.parse::<f64>().ok())
             .map(|ms| (ms * 1e3) as Micros);
-        Asked {
+        ServerRequest {
             method,
             target,
             work,
@@ -132,13 +132,13 @@
 
 /// What ran, by id.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct RunLedger {
     runs: HashMap<String, u32>,
     /// The numbers so far.
     pub counts: Counts,
 }
 
-impl Ledger {
+impl RunLedger {
     fn run(&mut self, id: &str, repeatable: bool) {
         let runs = self.runs.entry(id.to_string()).or_default();
         *runs += 1;
@@ -158,7 +158,7 @@
 
 /// What becomes of the connection behind an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Then {
+pub enum ConnectionAction {
     /// It stays.
     Keep,
     /// It ends.
@@ -168,10 +168,10 @@
 }
 
 /// An answer, and what becomes of its connection.
-pub type Given = (Vec<u8>, Then);
+pub type AnswerAction = (Vec<u8>, ConnectionAction);
 
 #[derive(Debug)]
-struct Held {
+struct PendingRequest {
     id: String,
     /// None: a health check.
     echo: Option<String>,
@@ -186,15 +186,15 @@
     make: ServerConfig,
     id: String,
     node: Node,
-    held: BTreeMap<u64, Held>,
+    held: BTreeMap<u64, PendingRequest>,
     leaving: bool,
     warm_at: Micros,
     /// What comes after this is late.
-    pub told_off: Option<Micros>,
+    pub drain_announced_at: Option<Micros>,
     /// What the next answers suffer.
-    pub troubles: VecDeque<AnswerFault>,
+    pub pending_faults: VecDeque<AnswerFault>,
     /// It stands still until then.
-    pub frozen: Micros,
+    pub frozen_until: Micros,
 }
 
 impl Server {
@@ -205,8 +205,8 @@
             speed: 1.0,
             queue: make.queue,
             cold_from: 0.3,
-            cold_for: make.warmup,
-            util_every: 1_000_000,
+            warm_up: make.warmup,
+            util_interval: 1_000_000,
             cancel_running: true,
         };
         Server {
@@ -215,15 +215,15 @@
             held: BTreeMap::new(),
             leaving: false,
             warm_at: if warm { now } else { now + make.warmup },
-            told_off: None,
-            troubles: VecDeque::new(),
-            frozen: Micros::MIN,
+            drain_announced_at: None,
+            pending_faults: VecDeque::new(),
+            frozen_until: Micros::MIN,
             make,
         }
     }
 
     /// Its id and what it is.
-    pub fn known(&self) -> (&str, &ServerConfig) {
+    pub fn identity(&self) -> (&str, &ServerConfig) {
         (&self.id, &self.make)
     }
 
@@ -240,7 +240,7 @@
     /// Stands still until an instant.
     pub fn freeze(&mut self, now: Micros, until: Micros) {
         self.node.freeze(now, until);
-        self.frozen = until;
+        self.frozen_until = until;
     }
 
     /// A request has come whole; gives the answer if there is one at once.
@@ -248,10 +248,10 @@
         &mut self,
         now: Micros,
         token: u64,
-        asked: &Asked<'_>,
-        ledger: &mut Ledger,
-    ) -> Option<Given> {
-        let health = asked.method == "GET" && asked.target == HEALTH;
+        asked: &ServerRequest<'_>,
+        ledger: &mut RunLedger,
+    ) -> Option<AnswerAction> {
+        let health = asked.method == "GET" && asked.target == HEALTH_PATH;
         let not_run = |status, why: &str| {
             self.answer(
                 status,
@@ -269,7 +269,7 @@
             ledger.counts.misdirected += 1;
             return Some(not_run(421, "another"));
         }
-        if !health && self.told_off.is_some_and(|at| now > at) {
+        if !health && self.drain_announced_at.is_some_and(|at| now > at) {
             ledger.counts.after_drain += 1;
         }
         let Some(id) = asked
@@ -287,11 +287,11 @@
         } else {
             asked.work.unwrap_or(self.make.work)
         };
-        if self.node.arrive(now, Job { token, work }) == Taken::TurnedAway {
+        if self.node.arrive(now, Job { token, work }) == Admission::Rejected {
             ledger.counts.rejected += u64::from(!health);
             return Some(self.answer(503, asked.id, "X-Not-Run: full\r\n", b"", asked.close));
         }
-        let held = Held {
+        let held = PendingRequest {
             id: id.to_string(),
             echo: (!health).then(|| echo(id, asked.method, asked.target, asked.tenant, asked.body)),
             repeatable: asked.method == "GET",
@@ -307,17 +307,17 @@
         let deadline = self
             .held
             .values()
-            .map(|held| held.until.max(self.frozen))
+            .map(|held| held.until.max(self.frozen_until))
             .min();
         self.node.next().into_iter().chain(deadline).min()
     }
 
     /// What has happened by now, one at a time: whoever brought the request, and the answer.
-    pub fn poll(&mut self, now: Micros, ledger: &mut Ledger) -> Option<(u64, Given)> {
-        if now < self.frozen {
+    pub fn poll(&mut self, now: Micros, ledger: &mut RunLedger) -> Option<(u64, AnswerAction)> {
+        if now < self.frozen_until {
             return None;
         }
-        while let Some(job) = self.node.ended(now) {
+        while let Some(job) = self.node.take_finished(now) {
             let Some(held) = self.held.remove(&job.token) else {
                 continue;
             };
@@ -331,7 +331,7 @@
             .find(|(_, held)| held.until <= now)?
             .0;
         let held = self.held.remove(&token)?;
-        if self.node.give_up(now, token) {
+        if self.node.abandon(now, token) {
             ledger.counts.rejected += 1;
             return Some((
                 token,
@@ -343,16 +343,16 @@
     }
 
     /// Nobody waits any more: the connection has ended.
-    pub fn left(&mut self, now: Micros, token: u64, ledger: &mut Ledger) {
+    pub fn connection_closed(&mut self, now: Micros, token: u64, ledger: &mut RunLedger) {
         let Some(held) = self.held.remove(&token) else {
             return;
         };
-        if !self.node.give_up(now, token) && held.echo.is_some() {
+        if !self.node.abandon(now, token) && held.echo.is_some() {
             ledger.run(&held.id, held.repeatable);
         }
     }
 
-    fn done(&mut self, now: Micros, held: &Held, ledger: &mut Ledger) -> Given {
+    fn done(&mut self, now: Micros, held: &PendingRequest, ledger: &mut RunLedger) -> AnswerAction {
         let Some(echo) = &held.echo else {
             let cold = format!("X-Cold-Ms: {}\r\n", (self.warm_at - now).max(0) / 1_000);
             return self.answer(200, None, &cold, b"", held.close);
@@ -362,16 +362,16 @@
         let seal = format!("X-Server-Seal: {}.{}\r\n", self.id, ledger.counts.ran);
         let (mut bytes, then) =
             self.answer(200, Some(&held.id), &seal, body.as_bytes(), held.close);
-        let Some(trouble) = self.troubles.pop_front() else {
+        let Some(trouble) = self.pending_faults.pop_front() else {
             return (bytes, then);
         };
         ledger.counts.faulty_answers += 1;
         match trouble {
-            AnswerFault::Reset => (Vec::new(), Then::Reset),
-            AnswerFault::Malformed => (NOISE.to_vec(), Then::Close),
+            AnswerFault::Reset => (Vec::new(), ConnectionAction::Reset),
+            AnswerFault::Malformed => (MALFORMED_ANSWER.to_vec(), ConnectionAction::Close),
             AnswerFault::Truncated => {
                 bytes.truncate(bytes.len() - body.len() / 2);
-                (bytes, Then::Close)
+                (bytes, ConnectionAction::Close)
             }
             AnswerFault::Unsolicited => {
                 bytes.extend(
@@ -381,8 +381,8 @@
                 (bytes, then)
             }
             AnswerFault::Duplicated => (bytes.repeat(2), then),
-            AnswerFault::NoAnswer => (Vec::new(), Then::Keep),
-            AnswerFault::ClosedUnannounced => (bytes, Then::Close),
+            AnswerFault::NoAnswer => (Vec::new(), ConnectionAction::Keep),
+            AnswerFault::ClosedUnannounced => (bytes, ConnectionAction::Close),
         }
     }
 
@@ -393,7 +393,7 @@
         lines: &str,
         body: &[u8],
         close: bool,
-    ) -> Given {
+    ) -> AnswerAction {
         let mut bytes = Vec::new();
         let id = id
             .map(|id| format!("X-Request-Id: {id}\r\n"))
@@ -406,7 +406,14 @@
         };
         let lines = format!("{id}X-Instance-Id: {}\r\n{kept}\r\n{lines}", self.id);
         http::write_answer(&mut bytes, status, &lines, body);
-        (bytes, if close { Then::Close } else { Then::Keep })
+        (
+            bytes,
+            if close {
+                ConnectionAction::Close
+            } else {
+                ConnectionAction::Keep
+            },
+        )
     }
 }
 
--- a/crates/emulator/src/system/server/tests.rs
+++ b/crates/emulator/src/system/server/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn server() -> (Server, Ledger) {
+fn server() -> (Server, RunLedger) {
     let (svc, zone) = ("s".to_string(), "a".to_string());
     let make = ServerConfig {
         svc,
@@ -11,23 +11,31 @@
         warmup: 0,
         keep_s: 5,
     };
-    (Server::new(make, "i-1".into(), 0, true), Ledger::default())
+    (
+        Server::new(make, "i-1".into(), 0, true),
+        RunLedger::default(),
+    )
 }
 
 fn ask(
     server: &mut Server,
-    ledger: &mut Ledger,
+    ledger: &mut RunLedger,
     token: u64,
     method: &str,
     lines: &str,
 ) -> Option<String> {
     let text = format!("{method} /p HTTP/1.1\r\n{lines}\r\n");
     let request = http::request(text.as_bytes()).unwrap().unwrap();
-    let given = server.ask(0, token, &Asked::of(&request, text.as_bytes()), ledger);
+    let given = server.ask(
+        0,
+        token,
+        &ServerRequest::of(&request, text.as_bytes()),
+        ledger,
+    );
     given.map(|(bytes, _)| String::from_utf8(bytes).unwrap())
 }
 
-fn next(server: &mut Server, ledger: &mut Ledger) -> Option<(u64, String, Then)> {
+fn next(server: &mut Server, ledger: &mut RunLedger) -> Option<(u64, String, ConnectionAction)> {
     let now = server.next()?;
     let (token, (bytes, then)) = server.poll(now, ledger)?;
     Some((token, String::from_utf8_lossy(&bytes).into(), then))
@@ -53,7 +61,7 @@
     .unwrap();
     assert!(other.starts_with("HTTP/1.1 421"), "{other}");
     let (token, text, then) = next(&mut server, &mut ledger).unwrap();
-    assert_eq!((token, then), (1, Then::Keep));
+    assert_eq!((token, then), (1, ConnectionAction::Keep));
     assert!(
         text.contains("X-Server-Seal") && text.contains(&echo("a", "POST", "/p", "", b"")),
         "{text}"
@@ -114,7 +122,7 @@
         AnswerFault::Unsolicited,
         AnswerFault::Duplicated,
     ];
-    server.troubles.extend(
+    server.pending_faults.extend(
         all.into_iter()
             .chain([AnswerFault::NoAnswer, AnswerFault::ClosedUnannounced]),
     );
@@ -134,11 +142,11 @@
             then,
         ));
     }
-    let (keep, close) = (Then::Keep, Then::Close);
+    let (keep, close) = (ConnectionAction::Keep, ConnectionAction::Close);
     assert_eq!(
         ends,
         [
-            (0, false, Then::Reset),
+            (0, false, ConnectionAction::Reset),
             (1, false, close),
             (0, false, close),
             (2, true, keep),
--- a/crates/emulator/src/system/test_system.rs
+++ b/crates/emulator/src/system/test_system.rs
@@ -12,28 +12,28 @@
 use super::machines::{Layout, Machines, zones};
 use super::operator::{Change, Operator};
 use super::platform;
-use super::server::{HEALTH, ServerConfig};
+use super::server::{HEALTH_PATH, ServerConfig};
 
 /// The host of all routes.
 pub const HOST: &str = "town.example";
 /// The tenant.
 pub const TENANT: &str = "guild";
 /// Its key.
-pub const KEY: &str = "key-of-the-guild";
+pub const TENANT_KEY: &str = "key-of-the-guild";
 /// Services.
 pub const SERVICES: [&str; 2] = ["bakery", "press"];
 /// The prefix of requests that may be repeated, and of those that may not.
-pub const READS: &str = "/read/";
+pub const READ_PREFIX: &str = "/read/";
 /// Of those that may not.
-pub const WRITES: &str = "/write/";
+pub const WRITE_PREFIX: &str = "/write/";
 /// Calls a second that the platform takes.
-const PER_S: usize = 20;
+const PLATFORM_CALLS_PER_S: usize = 20;
 /// The platform tells what changes so much later, in microseconds.
-const LAG: i64 = 300_000;
+const PLATFORM_LAG_US: i64 = 300_000;
 /// Nothing comes to a server so long after it was told to be leaving, in microseconds.
-const DRAIN: i64 = 4_000_000;
+const DRAIN_US: i64 = 4_000_000;
 /// Servers of a service in each zone.
-const SERVERS: usize = 2;
+const SERVERS_PER_ZONE: usize = 2;
 
 /// How large it is.
 #[derive(Clone, Copy, Debug)]
@@ -72,25 +72,29 @@
 
 /// A route to a service.
 pub fn route(prefix: &str, svc: &str) -> Value {
-    let kind = if prefix == WRITES { "mutating" } else { "idem" };
+    let kind = if prefix == WRITE_PREFIX {
+        "mutating"
+    } else {
+        "idem"
+    };
     json!({"host": HOST, "prefix": prefix, "kind": kind, "timeout": "3000ms", "target_time": "500ms", "prio": 1,
         "svc": svc, "tries": 3, "public": false, "pins": []})
 }
 
 /// The first configuration, all of version 1.
 pub fn initial_configuration() -> Change {
-    let service = json!({"hcheck": HEALTH, "maxconn": 200, "proto": "h1", "tls": false, "warmup": "1s", "cold_rate_s": 20.0});
+    let service = json!({"hcheck": HEALTH_PATH, "maxconn": 200, "proto": "h1", "tls": false, "warmup": "1s", "cold_rate_s": 20.0});
     let services = SERVICES.iter().fold(Change::default(), |change, svc| {
         change.set("svcs", svc, 1, service.clone())
     });
     services
-        .set("routes", "reads", 1, route(READS, SERVICES[0]))
-        .set("routes", "writes", 1, route(WRITES, SERVICES[0]))
+        .set("routes", "reads", 1, route(READ_PREFIX, SERVICES[0]))
+        .set("routes", "writes", 1, route(WRITE_PREFIX, SERVICES[0]))
         .set(
             "tenants",
             TENANT,
             1,
-            json!({"apikeys": [KEY], "prio": 1, "per_s": 0, "burst": 0, "pins": []}),
+            json!({"apikeys": [TENANT_KEY], "prio": 1, "per_s": 0, "burst": 0, "pins": []}),
         )
         .set(
             "limits",
@@ -113,17 +117,17 @@
     ) -> Result<TestSystem, String> {
         let system = |error: std::io::Error| error.to_string();
         let town = Fleet::start(
-            platform::Make {
-                lag: LAG,
+            platform::PlatformConfig {
+                lag: PLATFORM_LAG_US,
                 page: 5,
-                per_s: PER_S,
+                per_s: PLATFORM_CALLS_PER_S,
             },
-            DRAIN,
+            DRAIN_US,
         )
         .map_err(system)?;
         let zones = zones(size.zones);
         for (zone, _) in &zones {
-            for svc in SERVICES.iter().flat_map(|svc| [svc; SERVERS]) {
+            for svc in SERVICES.iter().flat_map(|svc| [svc; SERVERS_PER_ZONE]) {
                 town.start_server(server_config(svc, zone), true, None)
                     .map_err(system)?;
             }
@@ -137,7 +141,7 @@
             zones,
             edges,
             platform,
-            per_s: PER_S,
+            per_s: PLATFORM_CALLS_PER_S,
         };
         let mut machines = Machines::new(plan).map_err(system)?;
         machines.start_cores().map_err(system)?;
@@ -165,7 +169,7 @@
     pub fn send_request(&self, edge: usize, path: &str) -> Result<Reply, Failure> {
         static ASKED: AtomicU64 = AtomicU64::new(0);
         let id = format!("once-{}", ASKED.fetch_add(1, Ordering::Relaxed));
-        let method = if path.starts_with(WRITES) {
+        let method = if path.starts_with(WRITE_PREFIX) {
             "POST"
         } else {
             "GET"
@@ -193,6 +197,6 @@
 /// Lines of a client's request; `left`: the time it will wait, in milliseconds.
 pub fn request_headers(id: &str, left: u128) -> String {
     format!(
-        "Host: {HOST}\r\nAuthorization: Bearer {KEY}\r\nX-Request-Id: {id}\r\nX-Time-Left: {left}\r\n"
+        "Host: {HOST}\r\nAuthorization: Bearer {TENANT_KEY}\r\nX-Request-Id: {id}\r\nX-Time-Left: {left}\r\n"
     )
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -10,10 +10,10 @@
 
 use crate::Micros;
 use crate::counter::{Call, Counter};
-use crate::faults::{Kind, Party, Turn, turns};
-use crate::node::{Job, Make, Node, Taken};
+use crate::faults::{FaultEvent, FaultKind, FaultTarget, schedule_faults};
+use crate::node::{Admission, Job, Node, NodeConfig};
+use crate::node_list::{Entry, NodeList, Status};
 use crate::plan::WorldPlan;
-use crate::roster::{Entry, Roster, Status};
 
 /// After a drain has been told, a limiter has this long; then what still comes is counted.
 const DRAIN_GRACE: Micros = 2_050_000;
@@ -31,7 +31,7 @@
 
 /// A request to a records node.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct NodeRequest<'a> {
     /// The node.
     pub node: usize,
     /// The limiter that it came from, by its number.
@@ -54,7 +54,7 @@
     /// A node has failed at it.
     Error,
     /// A node has not begun it.
-    TurnedAway,
+    Rejected,
     /// The counter's total.
     Total(f64),
     /// A probe's: how busy.
@@ -65,17 +65,17 @@
 
 /// What happens.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum WorldEvent {
     /// An answer goes out.
     Answer(u64, Reply),
     /// All open connections of a service are reset.
     Reset(Service),
     /// A service takes no new connections.
-    Shut(Service),
+    StopListening(Service),
     /// A service takes connections (again).
     Open(Service),
     /// Discovery has news for its watches.
-    Told,
+    ListChanged,
 }
 
 /// What arrived at the nodes and what came of it, as numbers.
@@ -120,32 +120,32 @@
 struct Served {
     node: Node,
     entry: Entry,
-    told_off: Option<Micros>,
+    drain_announced_at: Option<Micros>,
     keys: HashMap<u64, Micros>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Gate {
+struct ServiceState {
     frozen: Micros,
-    refuse: Micros,
-    hang: Micros,
+    refuse_until: Micros,
+    hang_until: Micros,
     spoil: (Micros, f64),
     slow: Micros,
-    down: Micros,
+    down_until: Micros,
     gone: bool,
 }
 
-const OPEN: Gate = Gate {
+const NO_FAULTS: ServiceState = ServiceState {
     frozen: Micros::MIN,
-    refuse: Micros::MIN,
-    hang: Micros::MIN,
+    refuse_until: Micros::MIN,
+    hang_until: Micros::MIN,
     spoil: (Micros::MIN, 0.0),
     slow: Micros::MIN,
-    down: Micros::MIN,
+    down_until: Micros::MIN,
     gone: false,
 };
 
-enum Held {
+enum PendingRequest {
     Work(Job, Option<u64>),
     Count(u64, String, f64, Micros),
     Probe(u64),
@@ -158,16 +158,16 @@
     rng: ChaCha8Rng,
     nodes: Vec<Served>,
     counter: Counter,
-    roster: Roster,
-    gates: BTreeMap<Service, Gate>,
-    cut: BTreeMap<(Service, usize), Micros>,
-    turns: VecDeque<Turn>,
-    held: VecDeque<(Service, usize, Held)>,
+    roster: NodeList,
+    gates: BTreeMap<Service, ServiceState>,
+    partitioned_until: BTreeMap<(Service, usize), Micros>,
+    turns: VecDeque<FaultEvent>,
+    held: VecDeque<(Service, usize, PendingRequest)>,
     due: BTreeMap<(Micros, u64), (Service, usize, u64, Reply)>,
     out: BTreeMap<u64, (usize, usize, u64)>,
-    words: VecDeque<Word>,
-    ids: Spread<(u32, u32)>,
-    runs: Spread<u32>,
+    words: VecDeque<WorldEvent>,
+    ids: ShardedMap<(u32, u32)>,
+    runs: ShardedMap<u32>,
     counts: Counts,
     serial: u64,
     unix_ms: i64,
@@ -175,22 +175,22 @@
 
 /// A map in many parts: one part that grows stands still for a thousandth of the time that the whole would, which at
 /// some hundred thousand ids is tens of milliseconds in which nobody is answered.
-struct Spread<T>(Vec<HashMap<u64, T>>);
+struct ShardedMap<T>(Vec<HashMap<u64, T>>);
 
 /// Parts of such a map.
-const PARTS: u64 = 1_024;
+const SHARDS: u64 = 1_024;
 
-impl<T: Default> Spread<T> {
-    fn new() -> Spread<T> {
-        Spread((0..PARTS).map(|_| HashMap::new()).collect())
+impl<T: Default> ShardedMap<T> {
+    fn new() -> ShardedMap<T> {
+        ShardedMap((0..SHARDS).map(|_| HashMap::new()).collect())
     }
 
     fn of(&mut self, hash: u64) -> &mut T {
-        self.0[(hash % PARTS) as usize].entry(hash).or_default()
+        self.0[(hash % SHARDS) as usize].entry(hash).or_default()
     }
 }
 
-fn hashed(value: impl Hash) -> u64 {
+fn hash_of(value: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
     hasher.finish()
@@ -209,16 +209,16 @@
                 plan.counter.per_s,
                 (plan.counter.ms * 1e3) as Micros,
             ),
-            roster: Roster::default(),
+            roster: NodeList::default(),
             gates: BTreeMap::new(),
-            cut: BTreeMap::new(),
+            partitioned_until: BTreeMap::new(),
             turns: VecDeque::new(),
             held: VecDeque::new(),
             due: BTreeMap::new(),
             out: BTreeMap::new(),
             words: VecDeque::new(),
-            ids: Spread::new(),
-            runs: Spread::new(),
+            ids: ShardedMap::new(),
+            runs: ShardedMap::new(),
             counts: Counts::default(),
             serial: 0,
             unix_ms,
@@ -226,19 +226,19 @@
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
         (0..plan.nodes.count).for_each(|n| world.found(0, n / plan.nodes.rack, true));
-        world.roster = Roster::new(world.nodes.iter().map(|n| n.entry.clone()).collect());
+        world.roster = NodeList::new(world.nodes.iter().map(|n| n.entry.clone()).collect());
         world
     }
 
     fn found(&mut self, now: Micros, rack: usize, warm: bool) {
         let p = &self.plan.nodes;
-        let make = Make {
+        let make = NodeConfig {
             cores: p.cores,
             speed: self.rng.random_range(p.speed[0]..=p.speed[1]),
             queue: p.queue,
             cold_from: p.cold_from,
-            cold_for: (p.cold_s * 1e6) as Micros,
-            util_every: (p.util_ms * 1e3) as Micros,
+            warm_up: (p.cold_s * 1e6) as Micros,
+            util_interval: (p.util_ms * 1e3) as Micros,
             cancel_running: p.cancel_running,
         };
         let number = self.nodes.len();
@@ -254,14 +254,14 @@
         self.nodes.push(Served {
             node: Node::new(make, now, warm),
             entry,
-            told_off: None,
+            drain_announced_at: None,
             keys: HashMap::new(),
         });
     }
 
     /// The load begins: the faults of the plan come from now on, over so long.
     pub fn begin(&mut self, now: Micros, span: Micros) {
-        let laid = turns(
+        let laid = schedule_faults(
             &self.plan.faults,
             self.plan.nodes.count,
             span,
@@ -269,7 +269,7 @@
         );
         self.turns = laid
             .into_iter()
-            .map(|t| Turn {
+            .map(|t| FaultEvent {
                 at: t.at + now,
                 ..t
             })
@@ -291,7 +291,7 @@
 
     /// What a watch or a look at the list is told.
     pub fn list(&self, from: Option<u64>, address: impl Fn(usize) -> String) -> String {
-        self.roster.since(from, address)
+        self.roster.changes_since(from, address)
     }
 
     /// Version of the list.
@@ -300,9 +300,9 @@
     }
 
     /// Until when nothing passes between a service and a limiter, if so.
-    pub fn blocked(&self, service: Service, limiter: usize, now: Micros) -> Option<Micros> {
+    pub fn blocked_until(&self, service: Service, limiter: usize, now: Micros) -> Option<Micros> {
         let cut = self
-            .cut
+            .partitioned_until
             .get(&(service, limiter))
             .copied()
             .unwrap_or(Micros::MIN);
@@ -310,22 +310,25 @@
         (until > now).then_some(until)
     }
 
-    fn gate(&self, service: Service) -> Gate {
-        self.gates.get(&service).copied().unwrap_or(OPEN)
+    fn gate(&self, service: Service) -> ServiceState {
+        self.gates.get(&service).copied().unwrap_or(NO_FAULTS)
     }
 
-    fn gate_mut(&mut self, service: Service) -> &mut Gate {
-        self.gates.entry(service).or_insert(OPEN)
+    fn gate_mut(&mut self, service: Service) -> &mut ServiceState {
+        self.gates.entry(service).or_insert(NO_FAULTS)
     }
 
     /// A request has arrived whole at a node.
-    pub fn ask(&mut self, now: Micros, ask: Ask<'_>) {
-        let id = hashed(ask.id);
+    pub fn ask(&mut self, now: Micros, ask: NodeRequest<'_>) {
+        let id = hash_of(ask.id);
         let Some(served) = self.nodes.get_mut(ask.node) else {
             return;
         };
         self.counts.arrived += 1;
-        if served.told_off.is_some_and(|told| now > told + DRAIN_GRACE) {
+        if served
+            .drain_announced_at
+            .is_some_and(|told| now > told + DRAIN_GRACE)
+        {
             self.counts.after_drain += 1;
         }
         let (times, open) = self.ids.of(id);
@@ -340,24 +343,30 @@
         self.out.insert(ask.token, (ask.node, ask.limiter, id));
         let work = ask
             .work
-            .unwrap_or_else(|| self.plan.nodes.drawn(&mut self.rng));
-        let key = ask.key.map(hashed);
+            .unwrap_or_else(|| self.plan.nodes.draw_work(&mut self.rng));
+        let key = ask.key.map(hash_of);
         self.counts.keyed += u64::from(key.is_some());
         let job = Job {
             token: ask.token,
             work,
         };
-        self.come(
+        self.deliver(
             now,
             Service::Node(ask.node),
             ask.limiter,
-            Held::Work(job, key),
+            PendingRequest::Work(job, key),
         );
     }
 
     /// A node takes a request up: work that its rack knows by the key is dropped, and what is turned away leaves no
     /// trace, since it never ran.
-    fn take_up(&mut self, now: Micros, number: usize, job: Job, key: Option<u64>) -> Taken {
+    fn start_request(
+        &mut self,
+        now: Micros,
+        number: usize,
+        job: Job,
+        key: Option<u64>,
+    ) -> Admission {
         let keys_for = (self.plan.nodes.keys_ms * 1e3) as Micros;
         let rack = self.nodes[number].entry.rack;
         let known = |key: &u64| {
@@ -369,9 +378,9 @@
         let repeat = key.as_ref().is_some_and(known);
         let work = if repeat { 0 } else { job.work };
         let taken = self.nodes[number].node.arrive(now, Job { work, ..job });
-        if taken == Taken::Yes && repeat {
+        if taken == Admission::Admitted && repeat {
             self.counts.dropped += 1;
-        } else if let Some(key) = key.filter(|_| taken == Taken::Yes) {
+        } else if let Some(key) = key.filter(|_| taken == Admission::Admitted) {
             let runs = self.runs.of(key);
             *runs += 1;
             self.counts.keys_twice += u64::from(*runs == 2);
@@ -389,34 +398,39 @@
         let seconds = &mut by[limiter];
         seconds.resize(seconds.len().max(second + 1), 0);
         seconds[second] += 1;
-        let held = Held::Count(token, call.name.to_string(), call.delta, call.life);
-        self.come(now, Service::Counter, limiter, held);
+        let held = PendingRequest::Count(token, call.name.to_string(), call.delta, call.life);
+        self.deliver(now, Service::Counter, limiter, held);
     }
 
     /// A probe has arrived whole.
     pub fn probe(&mut self, now: Micros, node: usize, limiter: usize, token: u64) {
         self.counts.probes += 1;
-        self.come(now, Service::Node(node), limiter, Held::Probe(token));
+        self.deliver(
+            now,
+            Service::Node(node),
+            limiter,
+            PendingRequest::Probe(token),
+        );
     }
 
-    fn come(&mut self, now: Micros, service: Service, limiter: usize, held: Held) {
-        if self.blocked(service, limiter, now).is_some() {
+    fn deliver(&mut self, now: Micros, service: Service, limiter: usize, held: PendingRequest) {
+        if self.blocked_until(service, limiter, now).is_some() {
             self.held.push_back((service, limiter, held));
             return;
         }
         let gate = self.gate(service);
         let (token, reply, at) = match held {
-            _ if gate.hang > now => return,
-            Held::Work(job, key) => {
+            _ if gate.hang_until > now => return,
+            PendingRequest::Work(job, key) => {
                 let Service::Node(number) = service else {
                     return;
                 };
-                match self.take_up(now, number, job, key) {
-                    Taken::Yes => return,
-                    Taken::TurnedAway => (job.token, Reply::TurnedAway, now),
+                match self.start_request(now, number, job, key) {
+                    Admission::Admitted => return,
+                    Admission::Rejected => (job.token, Reply::Rejected, now),
                 }
             }
-            Held::Count(token, name, delta, life) => {
+            PendingRequest::Count(token, name, delta, life) => {
                 let (total, at) = self.counter.add(
                     now,
                     Call {
@@ -427,26 +441,33 @@
                 );
                 (token, Reply::Total(total), at)
             }
-            Held::Probe(token) => {
+            PendingRequest::Probe(token) => {
                 let Service::Node(number) = service else {
                     return;
                 };
                 (token, Reply::Util(self.nodes[number].node.util(now)), now)
             }
         };
-        self.owe(at, service, limiter, token, reply);
+        self.schedule_reply(at, service, limiter, token, reply);
     }
 
-    fn owe(&mut self, at: Micros, service: Service, limiter: usize, token: u64, reply: Reply) {
+    fn schedule_reply(
+        &mut self,
+        at: Micros,
+        service: Service,
+        limiter: usize,
+        token: u64,
+        reply: Reply,
+    ) {
         self.serial += 1;
         self.due
             .insert((at, self.serial), (service, limiter, token, reply));
     }
 
     /// Nobody waits for this any more: its connection has ended.
-    pub fn left(&mut self, now: Micros, token: u64) {
+    pub fn connection_closed(&mut self, now: Micros, token: u64) {
         if let Some((node, _, id)) = self.out.remove(&token) {
-            self.nodes[node].node.give_up(now, token);
+            self.nodes[node].node.abandon(now, token);
             self.closed(id);
         }
     }
@@ -468,7 +489,7 @@
     }
 
     /// What has happened by now, one at a time; `None` when there is nothing more.
-    pub fn poll(&mut self, now: Micros) -> Option<Word> {
+    pub fn poll(&mut self, now: Micros) -> Option<WorldEvent> {
         loop {
             if let Some(word) = self.words.pop_front() {
                 return Some(word);
@@ -479,9 +500,12 @@
                 continue;
             }
             if self.roster.next().is_some_and(|at| at <= now) && self.roster.tell(now) {
-                return Some(Word::Told);
+                return Some(WorldEvent::ListChanged);
             }
-            let ended = self.nodes.iter_mut().find_map(|n| n.node.ended(now));
+            let ended = self
+                .nodes
+                .iter_mut()
+                .find_map(|n| n.node.take_finished(now));
             if let Some(job) = ended {
                 let Some((number, limiter, _)) = self.out.get(&job.token).copied() else {
                     self.counts.for_nobody += 1;
@@ -490,7 +514,7 @@
                 let failed = self.plan.nodes.errors > 0.0
                     && self.rng.random::<f64>() < self.plan.nodes.errors;
                 let reply = if failed { Reply::Error } else { Reply::Served };
-                self.owe(now, Service::Node(number), limiter, job.token, reply);
+                self.schedule_reply(now, Service::Node(number), limiter, job.token, reply);
                 continue;
             }
             let (at, serial) = *self.due.keys().next()?;
@@ -498,12 +522,15 @@
                 return None;
             }
             let (service, limiter, token, reply) = self.due.remove(&(at, serial))?;
-            if let Some(until) = self.blocked(service, limiter, now) {
+            if let Some(until) = self.blocked_until(service, limiter, now) {
                 self.due
                     .insert((until, serial), (service, limiter, token, reply));
                 continue;
             }
-            return Some(Word::Answer(token, self.sent(now, service, token, reply)));
+            return Some(WorldEvent::Answer(
+                token,
+                self.sent(now, service, token, reply),
+            ));
         }
     }
 
@@ -519,117 +546,121 @@
         match reply {
             Reply::Served => self.counts.served += 1,
             Reply::Error => self.counts.errors += 1,
-            Reply::TurnedAway => self.counts.turned_away += 1,
+            Reply::Rejected => self.counts.turned_away += 1,
             _ => {}
         }
         reply
     }
 
-    fn turn(&mut self, now: Micros, turn: Turn) {
+    fn turn(&mut self, now: Micros, turn: FaultEvent) {
         let service = match turn.party {
-            Party::Node(number) => Service::Node(number),
-            Party::Counter => Service::Counter,
-            Party::Discovery => Service::Discovery,
-            Party::Nodes(_) | Party::Limiter(_) => return,
+            FaultTarget::Node(number) => Service::Node(number),
+            FaultTarget::Counter => Service::Counter,
+            FaultTarget::Discovery => Service::Discovery,
+            FaultTarget::Nodes(_) | FaultTarget::Limiter(_) => return,
         };
         if self.gate(service).gone {
             return;
         }
         let until = turn.at + turn.span;
         if !turn.begins {
-            return self.over(now, service, turn);
+            return self.end_fault(now, service, turn);
         }
         match turn.kind {
-            Kind::Freeze => {
+            FaultKind::Freeze => {
                 let gate = self.gate_mut(service);
                 gate.frozen = gate.frozen.max(until);
                 if let Service::Node(number) = service {
                     self.nodes[number].node.freeze(now, until);
                 }
             }
-            Kind::Refuse => {
+            FaultKind::Refuse => {
                 let gate = self.gate_mut(service);
-                gate.refuse = gate.refuse.max(until);
-                self.words.push_back(Word::Shut(service));
+                gate.refuse_until = gate.refuse_until.max(until);
+                self.words.push_back(WorldEvent::StopListening(service));
             }
-            Kind::Reset => self.reset(service),
-            Kind::Hang => {
+            FaultKind::Reset => self.reset(service),
+            FaultKind::Hang => {
                 let gate = self.gate_mut(service);
-                gate.hang = gate.hang.max(until);
+                gate.hang_until = gate.hang_until.max(until);
             }
-            Kind::Spoil => self.gate_mut(service).spoil = (until, turn.amount),
-            Kind::Slow => {
+            FaultKind::Spoil => self.gate_mut(service).spoil = (until, turn.amount),
+            FaultKind::Slow => {
                 let gate = self.gate_mut(service);
                 gate.slow = gate.slow.max(until);
-                self.pace(service, turn.amount);
+                self.set_slowdown(service, turn.amount);
             }
-            Kind::Die => {
+            FaultKind::Die => {
                 let gate = self.gate_mut(service);
-                gate.down = gate.down.max(until);
-                self.words.push_back(Word::Shut(service));
+                gate.down_until = gate.down_until.max(until);
+                self.words.push_back(WorldEvent::StopListening(service));
                 self.reset(service);
             }
-            Kind::Drain | Kind::Replace => {
+            FaultKind::Drain | FaultKind::Replace => {
                 let Service::Node(number) = service else {
                     return;
                 };
-                if turn.kind == Kind::Replace {
+                if turn.kind == FaultKind::Replace {
                     let rack = self.nodes[number].entry.rack;
                     self.found(now, rack, false);
                     let newest = self.nodes.len() - 1;
-                    self.words.push_back(Word::Open(Service::Node(newest)));
+                    self.words
+                        .push_back(WorldEvent::Open(Service::Node(newest)));
                     self.tell(now, newest, Status::Ready);
                 }
                 self.nodes[number].node.drain(true);
                 self.tell(now, number, Status::Terminating);
             }
-            Kind::Partition => {
-                let cut = self.cut.entry((service, turn.limiter)).or_insert(until);
+            FaultKind::Partition => {
+                let cut = self
+                    .partitioned_until
+                    .entry((service, turn.limiter))
+                    .or_insert(until);
                 *cut = (*cut).max(until);
             }
             // Only a limiter pauses, and that is not the world's to do.
-            Kind::Pause => {}
+            FaultKind::Pause => {}
         }
     }
 
     /// A fault's end, unless another one of its kind goes on.
-    fn over(&mut self, now: Micros, service: Service, turn: Turn) {
+    fn end_fault(&mut self, now: Micros, service: Service, turn: FaultEvent) {
         let gate = self.gate(service);
         match turn.kind {
-            Kind::Refuse | Kind::Die if gate.refuse.max(gate.down) > now => {}
-            Kind::Refuse => self.words.push_back(Word::Open(service)),
-            Kind::Die => {
-                self.forget(now, service);
+            FaultKind::Refuse | FaultKind::Die if gate.refuse_until.max(gate.down_until) > now => {}
+            FaultKind::Refuse => self.words.push_back(WorldEvent::Open(service)),
+            FaultKind::Die => {
+                self.restart_service(now, service);
                 if let Service::Node(number) = service {
                     self.tell(now, number, Status::Ready);
                 }
-                self.words.push_back(Word::Open(service));
+                self.words.push_back(WorldEvent::Open(service));
             }
-            Kind::Slow if gate.slow <= now => self.pace(service, 1.0),
-            Kind::Drain | Kind::Replace => {
+            FaultKind::Slow if gate.slow <= now => self.set_slowdown(service, 1.0),
+            FaultKind::Drain | FaultKind::Replace => {
                 let Service::Node(number) = service else {
                     return;
                 };
                 self.reset(service);
-                if turn.kind == Kind::Replace {
+                if turn.kind == FaultKind::Replace {
                     self.gate_mut(service).gone = true;
-                    self.words.push_back(Word::Shut(service));
+                    self.words.push_back(WorldEvent::StopListening(service));
                     self.tell(now, number, Status::Gone);
                 } else {
-                    self.forget(now, service);
+                    self.restart_service(now, service);
                     self.tell(now, number, Status::Ready);
                 }
             }
-            Kind::Freeze | Kind::Partition => {
+            FaultKind::Freeze | FaultKind::Partition => {
                 let held: Vec<_> = self.held.drain(..).collect();
                 held.into_iter()
-                    .for_each(|(service, limiter, held)| self.come(now, service, limiter, held));
+                    .for_each(|(service, limiter, held)| self.deliver(now, service, limiter, held));
             }
             _ => {}
         }
     }
 
-    fn pace(&mut self, service: Service, times: f64) {
+    fn set_slowdown(&mut self, service: Service, times: f64) {
         match service {
             Service::Node(number) => self.nodes[number].node.slow(times),
             Service::Counter => self.counter.slow(times),
@@ -637,7 +668,7 @@
         }
     }
 
-    fn forget(&mut self, now: Micros, service: Service) {
+    fn restart_service(&mut self, now: Micros, service: Service) {
         match service {
             Service::Node(number) => {
                 let served = &mut self.nodes[number];
@@ -645,7 +676,7 @@
                 served.keys.clear();
                 served.entry.since_ms = self.unix_ms + now / 1_000;
             }
-            Service::Counter => self.counter.empty(now),
+            Service::Counter => self.counter.clear(now),
             Service::Discovery => {}
         }
     }
@@ -654,15 +685,15 @@
     fn reset(&mut self, service: Service) {
         self.due.retain(|_, (s, ..)| *s != service);
         self.held.retain(|(s, ..)| *s != service);
-        self.words.push_back(Word::Reset(service));
+        self.words.push_back(WorldEvent::Reset(service));
     }
 
     fn tell(&mut self, now: Micros, number: usize, status: Status) {
         let told = now + (self.plan.discovery.notice_ms * 1e3) as Micros;
         let served = &mut self.nodes[number];
         served.entry.status = status;
-        served.told_off =
-            (status != Status::Ready).then(|| served.told_off.unwrap_or(told).min(told));
+        served.drain_announced_at =
+            (status != Status::Ready).then(|| served.drain_announced_at.unwrap_or(told).min(told));
         self.roster.change(told, served.entry.clone());
     }
 
@@ -674,7 +705,7 @@
 
 impl crate::plan::NodesPlan {
     /// The work of a request that names none.
-    fn drawn(&self, rng: &mut impl Rng) -> Micros {
+    fn draw_work(&self, rng: &mut impl Rng) -> Micros {
         let mean = self.work_ms * 1e3;
         if self.work_cv <= 0.0 || mean <= 0.0 {
             return mean as Micros;
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -3,7 +3,7 @@
 use emulator::Micros;
 use emulator::counter;
 use emulator::plan::WorldPlan;
-use emulator::world::{Ask, Reply, Service, Word, World};
+use emulator::world::{NodeRequest, Reply, Service, World, WorldEvent};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const MS: Micros = 1_000;
@@ -24,7 +24,7 @@
 fn ask(world: &mut World, now: Micros, node: usize, token: u64, id: &str, key: Option<&str>) {
     world.ask(
         now,
-        Ask {
+        NodeRequest {
             node,
             limiter: 0,
             token,
@@ -36,7 +36,7 @@
 }
 
 /// All that happens up to an instant.
-fn until(world: &mut World, end: Micros) -> Vec<(Micros, Word)> {
+fn until(world: &mut World, end: Micros) -> Vec<(Micros, WorldEvent)> {
     let mut words = Vec::new();
     while let Some(at) = world.next().filter(|at| *at <= end) {
         while let Some(word) = world.poll(at) {
@@ -53,8 +53,8 @@
     assert_eq!(until(&mut world, 100 * MS), []);
     ask(&mut world, 100 * MS, 0, 2, "b", None);
     let served = [
-        (510 * MS, Word::Answer(1, Reply::Served)),
-        (520 * MS, Word::Answer(2, Reply::Served)),
+        (510 * MS, WorldEvent::Answer(1, Reply::Served)),
+        (520 * MS, WorldEvent::Answer(2, Reply::Served)),
     ];
     assert_eq!(until(&mut world, SECOND), served);
 }
@@ -66,21 +66,21 @@
     world.count(0, 0, 1, call);
     assert_eq!(
         until(&mut world, 500 * MS),
-        [(MS, Word::Answer(1, Reply::Total(3.0)))]
+        [(MS, WorldEvent::Answer(1, Reply::Total(3.0)))]
     );
     let fell = [
-        (SECOND, Word::Shut(Service::Counter)),
-        (SECOND, Word::Reset(Service::Counter)),
+        (SECOND, WorldEvent::StopListening(Service::Counter)),
+        (SECOND, WorldEvent::Reset(Service::Counter)),
     ];
     assert_eq!(until(&mut world, SECOND), fell);
     assert_eq!(
         until(&mut world, 2 * SECOND),
-        [(2 * SECOND, Word::Open(Service::Counter))]
+        [(2 * SECOND, WorldEvent::Open(Service::Counter))]
     );
     world.count(2 * SECOND, 0, 2, call);
     assert_eq!(
         until(&mut world, 3 * SECOND)[0].1,
-        Word::Answer(2, Reply::Total(3.0))
+        WorldEvent::Answer(2, Reply::Total(3.0))
     );
     assert_eq!(
         world.counts().calls_by,
@@ -98,9 +98,12 @@
     world.count(MS, 0, 1, call);
     world.count(MS, 1, 2, call);
     let words = until(&mut world, SECOND);
-    assert_eq!(words[0], (2 * MS, Word::Answer(1, Reply::Total(1.0))));
+    assert_eq!(words[0], (2 * MS, WorldEvent::Answer(1, Reply::Total(1.0))));
     // The call of the one that was cut off arrives when the way is open again.
-    assert_eq!(words[1], (301 * MS, Word::Answer(2, Reply::Total(2.0))));
+    assert_eq!(
+        words[1],
+        (301 * MS, WorldEvent::Answer(2, Reply::Total(2.0)))
+    );
 }
 
 #[test]
@@ -112,7 +115,7 @@
     let words = until(&mut world, 30 * MS);
     assert_eq!(
         words,
-        [(20 * MS, Word::Answer(2, Reply::Served))],
+        [(20 * MS, WorldEvent::Answer(2, Reply::Served))],
         "a dropped repeat is answered at once"
     );
     ask(&mut world, 30 * MS, 1, 3, "c", Some("k"));
@@ -135,13 +138,14 @@
     assert_eq!((world.counts().again, world.counts().copies), (1, 1));
     let words = until(&mut world, 3 * SECOND);
     // Told 1.5 s after it began, and 2 s of grace from there.
-    assert!(words.contains(&(2_500 * MS, Word::Told)));
+    assert!(words.contains(&(2_500 * MS, WorldEvent::ListChanged)));
     for (token, at) in [(3, 4_400), (4, 4_600)] {
         ask(&mut world, at * MS, 0, token, &token.to_string(), None);
     }
     assert_eq!(world.counts().after_drain, 1);
     assert!(
-        until(&mut world, 5 * SECOND).contains(&(4_600 * MS, Word::Answer(4, Reply::TurnedAway)))
+        until(&mut world, 5 * SECOND)
+            .contains(&(4_600 * MS, WorldEvent::Answer(4, Reply::Rejected)))
     );
 }
 
@@ -149,8 +153,8 @@
 fn a_replaced_node_has_a_cold_successor_of_another_name() {
     let mut world = world(r#"{"kind":"replace","on":"node:1","at_s":1,"for_ms":2000}"#);
     let words = until(&mut world, 10 * SECOND);
-    assert!(words.contains(&(SECOND, Word::Open(Service::Node(2)))));
-    assert!(words.contains(&(3 * SECOND, Word::Shut(Service::Node(1)))));
+    assert!(words.contains(&(SECOND, WorldEvent::Open(Service::Node(2)))));
+    assert!(words.contains(&(3 * SECOND, WorldEvent::StopListening(Service::Node(1)))));
     let list = world.list(None, |n| format!("127.0.0.1:{n}"));
     assert!(
         list.contains("s-0002") && !list.contains("s-0001"),
@@ -173,7 +177,7 @@
     ask(&mut world, MS, 0, 1, "a", Some("k"));
     assert_eq!(
         until(&mut world, MS),
-        [(MS, Word::Answer(1, Reply::TurnedAway))]
+        [(MS, WorldEvent::Answer(1, Reply::Rejected))]
     );
     ask(&mut world, 2 * MS, 1, 2, "a", Some("k"));
     until(&mut world, 200 * MS);
@@ -221,7 +225,7 @@
         let settle =
             |world: &mut World, open: &mut std::collections::BTreeSet<u64>, end: Micros| {
                 until(world, end).iter().all(|(_, word)| match word {
-                    Word::Answer(token, _) => open.remove(token),
+                    WorldEvent::Answer(token, _) => open.remove(token),
                     _ => true,
                 })
             };
@@ -258,7 +262,7 @@
                         .nth(usize::from(which) % open.len().max(1))
                         .copied();
                     if let Some(token) = of {
-                        world.left(now, token);
+                        world.connection_closed(now, token);
                     }
                 }
                 Step::Pass(micros) => {
--- a/crates/load/src/cli/mod.rs
+++ b/crates/load/src/cli/mod.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use emulator::serving::Serving;
+use emulator::serving::WorldServer;
 use indicatif::{ProgressBar, ProgressStyle};
 use serde_json::Value as Json;
 
@@ -496,7 +496,8 @@
 
 fn stand_ins(options: &Options, scenario: &Scenario) -> Result<(), Failure> {
     let seed = options.seed.unwrap_or(scenario.seed);
-    let world = Serving::start(&scenario.world, seed, scenario.limiters.count).map_err(fault)?;
+    let world =
+        WorldServer::start(&scenario.world, seed, scenario.limiters.count).map_err(fault)?;
     let peers = trial::datagram_addresses(scenario.limiters.count).map_err(fault)?;
     for number in 0..scenario.limiters.count {
         let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -68,7 +68,7 @@
     progress: &Progress,
 ) -> io::Result<Outcomes> {
     let most = (setup.scenario.generator.connections / threads).max(1);
-    reactor::room_for(setup.scenario.generator.connections + 64 * threads);
+    reactor::reserve_descriptors(setup.scenario.generator.connections + 64 * threads);
     let start = Instant::now();
     let reactors: Vec<Reactor> = (0..threads)
         .map(|_| Reactor::new())
@@ -167,7 +167,7 @@
     }
 
     fn run(mut self, progress: &Progress) -> Outcomes {
-        self.reactor.exact();
+        self.reactor.set_precise_timer();
         let mut ready: Vec<Ready> = Vec::new();
         let mut ends: Option<Micros> = None;
         let (mut taken, mut ended) = (0, 0);
--- a/crates/load/src/pauses.rs
+++ b/crates/load/src/pauses.rs
@@ -6,7 +6,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use emulator::faults::{Kind, Party, turns};
+use emulator::faults::{FaultKind, FaultTarget, schedule_faults};
 use emulator::plan::WorldPlan;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -33,8 +33,11 @@
     /// Begins now with the load, for `span`; `pids` are the limiters' by their numbers.
     pub fn begin(plan: &WorldPlan, pids: Vec<i32>, span: Micros) -> Pauses {
         let mut rng = ChaCha8Rng::seed_from_u64(0);
-        let laid = turns(&plan.faults, plan.nodes.count, span, &mut rng);
-        let mut laid: Vec<_> = laid.into_iter().filter(|t| t.kind == Kind::Pause).collect();
+        let laid = schedule_faults(&plan.faults, plan.nodes.count, span, &mut rng);
+        let mut laid: Vec<_> = laid
+            .into_iter()
+            .filter(|t| t.kind == FaultKind::Pause)
+            .collect();
         let ended = Arc::new(Mutex::new(false));
         let (told, known) = (ended.clone(), pids.clone());
         let start = Instant::now();
@@ -43,7 +46,7 @@
             thread::spawn(move || {
                 let mut sent = 0;
                 for turn in laid {
-                    let Party::Limiter(number) = turn.party else {
+                    let FaultTarget::Limiter(number) = turn.party else {
                         continue;
                     };
                     let at = start + Duration::from_micros(turn.at.max(0) as u64);
--- a/crates/load/src/soak/mod.rs
+++ b/crates/load/src/soak/mod.rs
@@ -24,7 +24,7 @@
 use emulator::system::machines::{unused_net, zones};
 use emulator::system::operator::{Change, Operator};
 use emulator::system::test_system::{
-    READS, SERVICES, Size, TestSystem, WRITES, request_headers, route,
+    READ_PREFIX, SERVICES, Size, TestSystem, WRITE_PREFIX, request_headers, route,
 };
 use emulator::system::wait_for;
 use rand::seq::IndexedRandom;
@@ -257,7 +257,10 @@
             let replicas = (0..plan.zones).map(|n| whole.machines.dir((at + n) % plan.zones));
             (zone, region, replicas.collect())
         });
-    let allowed = HashMap::from([(READS, vec![SERVICES[0]]), (WRITES, vec![SERVICES[0]])]);
+    let allowed = HashMap::from([
+        (READ_PREFIX, vec![SERVICES[0]]),
+        (WRITE_PREFIX, vec![SERVICES[0]]),
+    ]);
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let rates = [(0.0, RATE), (length.as_secs_f64(), RATE)];
     let mut clients = Clients::new(
--- a/crates/load/src/system/clients.rs
+++ b/crates/load/src/system/clients.rs
@@ -10,7 +10,7 @@
 
 use emulator::system::client::{Connection, Failure, Reply, call};
 use emulator::system::server::echo;
-use emulator::system::test_system::{HOST, READS, TENANT, WRITES, request_headers};
+use emulator::system::test_system::{HOST, READ_PREFIX, TENANT, WRITE_PREFIX, request_headers};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -184,13 +184,13 @@
         );
         let rules = lock(&self.rules).clone();
         let written = rng.random::<f64>() < WRITTEN;
-        let reads: Vec<&str> = std::iter::once(READS)
+        let reads: Vec<&str> = std::iter::once(READ_PREFIX)
             .chain(rules.more.iter().copied())
             .collect();
         let prefix = if written {
-            WRITES
+            WRITE_PREFIX
         } else {
-            reads.choose(&mut rng).copied().unwrap_or(READS)
+            reads.choose(&mut rng).copied().unwrap_or(READ_PREFIX)
         };
         let path = format!("{prefix}{request}?of={}", rng.random::<u32>());
         let body = if written {
@@ -284,7 +284,11 @@
         (path, prefix, body): (&str, &str, &str),
         rules: &Rules,
     ) {
-        let method = if prefix == WRITES { "POST" } else { "GET" };
+        let method = if prefix == WRITE_PREFIX {
+            "POST"
+        } else {
+            "GET"
+        };
         let mut wrong = lock(&self.wrong);
         match answer {
             Ok(reply) if reply.status == 200 => {
--- a/crates/load/src/system/mod.rs
+++ b/crates/load/src/system/mod.rs
@@ -14,7 +14,7 @@
 use emulator::system::operator::Change;
 use emulator::system::server::{AnswerFault, Counts};
 use emulator::system::test_system::{
-    READS, SERVICES, Size, TestSystem, WRITES, route, server_config,
+    READ_PREFIX, SERVICES, Size, TestSystem, WRITE_PREFIX, route, server_config,
 };
 use emulator::system::wait_for;
 use rand::SeedableRng;
@@ -167,7 +167,10 @@
                 .collect();
             (zone, region, replicas)
         });
-    let allowed = HashMap::from([(READS, vec![SERVICES[0]]), (WRITES, vec![SERVICES[0]])]);
+    let allowed = HashMap::from([
+        (READ_PREFIX, vec![SERVICES[0]]),
+        (WRITE_PREFIX, vec![SERVICES[0]]),
+    ]);
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let instants = instants(&[(0.0, RATE), (plan.seconds, RATE)], true, &mut rng);
     let clients = Clients::new(
@@ -245,9 +248,15 @@
     fn pass(&mut self) {
         let victim = 1 % self.whole.machines.cores();
         self.at(2.0);
-        self.rules(|rules| rules.allowed.entry(READS).or_default().push(SERVICES[1]));
+        self.rules(|rules| {
+            rules
+                .allowed
+                .entry(READ_PREFIX)
+                .or_default()
+                .push(SERVICES[1])
+        });
         let change = Change::default()
-            .set("routes", "reads", 3, route(READS, SERVICES[1]))
+            .set("routes", "reads", 3, route(READ_PREFIX, SERVICES[1]))
             .set("routes", "more", 2, route(MORE, SERVICES[1]));
         self.change("reads go to another service, and a route is added", &change);
         let (began, edges) = (Instant::now(), self.whole.machines.edges());
@@ -269,8 +278,10 @@
                 .min(APPLY),
         );
         self.rules(|rules| {
-            rules.allowed =
-                HashMap::from([(READS, vec![SERVICES[1]]), (WRITES, vec![SERVICES[0]])]);
+            rules.allowed = HashMap::from([
+                (READ_PREFIX, vec![SERVICES[1]]),
+                (WRITE_PREFIX, vec![SERVICES[0]]),
+            ]);
             rules.allowed.insert(MORE, vec![SERVICES[1]]);
             rules.more.push(MORE);
         });
@@ -282,7 +293,7 @@
         self.at(6.6);
         self.whole.machines.kill(Role::Control, victim);
         self.note(format!("control program {victim} is killed"));
-        let keys = json!({"apikeys": [emulator::system::test_system::KEY, "another-key"], "prio": 1, "per_s": 0, "burst": 0,
+        let keys = json!({"apikeys": [emulator::system::test_system::TENANT_KEY, "another-key"], "prio": 1, "per_s": 0, "burst": 0,
             "pins": []});
         let change =
             Change::default().set("tenants", emulator::system::test_system::TENANT, 4, keys);
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-use emulator::serving::Serving;
+use emulator::serving::WorldServer;
 use emulator::world::{Counts, Service};
 use serde_json::{Value, json};
 use tempfile::TempDir;
@@ -50,7 +50,7 @@
 
 /// A world and limiters in it. Dropped, it ends them.
 pub struct Trial {
-    world: Option<Serving>,
+    world: Option<WorldServer>,
     limiters: Vec<Limiter>,
     pauses: Option<Pauses>,
     _folder: TempDir,
@@ -116,7 +116,7 @@
     number: usize,
     listen: SocketAddr,
     peers: &[SocketAddr],
-    world: &Serving,
+    world: &WorldServer,
 ) -> Value {
     let address = |service| world.address(service, number).map(|a| a.to_string());
     let known: Value = world
@@ -157,8 +157,8 @@
         logs: Option<&Path>,
     ) -> Result<Trial, TrialError> {
         let count = scenario.limiters.count;
-        let world =
-            Serving::start(&scenario.world, seed, count).map_err(system("the emulated world"))?;
+        let world = WorldServer::start(&scenario.world, seed, count)
+            .map_err(system("the emulated world"))?;
         let folder = TempDir::new().map_err(system("a folder for configurations"))?;
         let peers = datagram_addresses(count).map_err(system("sockets for datagrams"))?;
         let mut limiters = Vec::new();
@@ -236,7 +236,7 @@
             }
         }
         self.limiters.clear();
-        self.world.take().map(Serving::stop).unwrap_or_default()
+        self.world.take().map(WorldServer::stop).unwrap_or_default()
     }
 }
 
--- a/crates/load/tests/sockets.rs
+++ b/crates/load/tests/sockets.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc;
 use std::thread;
 
-use emulator::serving::Serving;
+use emulator::serving::WorldServer;
 use emulator::world::Service;
 use load::driver::{self, Progress};
 use load::generator::Setup;
@@ -42,7 +42,7 @@
 #[test]
 fn what_was_sent_is_what_arrived() {
     let setup = setup(QUICK, 1);
-    let world = Serving::start(&setup.scenario.world, 1, 1).unwrap();
+    let world = WorldServer::start(&setup.scenario.world, 1, 1).unwrap();
     let node = world.address(Service::Node(0), 0).unwrap();
     world.begin(1_000_000);
     let summary = run(&setup, &[node], 2);
@@ -62,7 +62,7 @@
          {\"kind\":\"spoil\",\"on\":\"node:0\",\"at_s\":0.2,\"for_ms\":9000,\"share\":0.5}]",
     );
     let setup = setup(&text, 1);
-    let world = Serving::start(&setup.scenario.world, 1, 1).unwrap();
+    let world = WorldServer::start(&setup.scenario.world, 1, 1).unwrap();
     let node = world.address(Service::Node(0), 0).unwrap();
     world.begin(10_000_000);
     let summary = run(&setup, &[node], 1);
@@ -107,7 +107,7 @@
         "\"generator\":{\"connections\":2},\"retries\"",
     );
     let setup = setup(&text, 1);
-    let world = Serving::start(&setup.scenario.world, 1, 1).unwrap();
+    let world = WorldServer::start(&setup.scenario.world, 1, 1).unwrap();
     let node = world.address(Service::Node(0), 0).unwrap();
     world.begin(10_000_000);
     let summary = run(&setup, &[node], 1);
--- a/crates/load/tests/virtual_time.rs
+++ b/crates/load/tests/virtual_time.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use emulator::world::{Ask, Reply, Word, World};
+use emulator::world::{NodeRequest, Reply, World, WorldEvent};
 use load::Micros;
 use load::driver::Outcomes;
 use load::generator::{End, Generator, Order, Setup};
@@ -43,7 +43,7 @@
                     let key = Some(sending.key.to_string());
                     world.ask(
                         now,
-                        Ask {
+                        NodeRequest {
                             node,
                             limiter: 0,
                             token: token as u64,
@@ -53,11 +53,11 @@
                         },
                     );
                 }
-                Order::GiveUp(token) => world.left(now, token as u64),
+                Order::GiveUp(token) => world.connection_closed(now, token as u64),
             }
         }
         while let Some(word) = world.poll(now) {
-            let Word::Answer(token, reply) = word else {
+            let WorldEvent::Answer(token, reply) = word else {
                 continue;
             };
             let end = match reply {
@@ -65,7 +65,7 @@
                     status: 200,
                     retry_after: None,
                 },
-                Reply::TurnedAway => End::Answered {
+                Reply::Rejected => End::Answered {
                     status: 503,
                     retry_after: Some(200_000),
                 },
@@ -126,7 +126,7 @@
         let sent = now;
         world.ask(
             now,
-            Ask {
+            NodeRequest {
                 node: 0,
                 limiter: 0,
                 token,
@@ -135,7 +135,7 @@
                 work: None,
             },
         );
-        while !std::iter::from_fn(|| world.poll(now)).any(|w| matches!(w, Word::Answer(..))) {
+        while !std::iter::from_fn(|| world.poll(now)).any(|w| matches!(w, WorldEvent::Answer(..))) {
             now = world.next().expect("an answer is owed").max(now);
         }
         closed.add(now - sent);
--- a/crates/proxy/tests/shedding.rs
+++ b/crates/proxy/tests/shedding.rs
@@ -7,7 +7,7 @@
 use emulator::system::client::call;
 use emulator::system::machines::{built_programs_folder, unused_net};
 use emulator::system::operator::Change;
-use emulator::system::test_system::{HOST, SERVICES, Size, TestSystem, WRITES, route};
+use emulator::system::test_system::{HOST, SERVICES, Size, TestSystem, WRITE_PREFIX, route};
 use serde_json::json;
 use tempfile::TempDir;
 use test_case::test_case;
@@ -91,7 +91,7 @@
             tenant("key-of-inspectors", protected_tier),
         )
         .set("tenants", "guests", 2, tenant("key-of-guests", guest_tier));
-    let mut write_route = route(WRITES, SERVICES[0]);
+    let mut write_route = route(WRITE_PREFIX, SERVICES[0]);
     write_route["target_time"] = json!("600ms");
     let change = change.set("routes", "writes", 2, write_route);
     system.operator.change(&change, deadline()).unwrap();
