--- a/crates/emulator/src/counter.rs
+++ b/crates/emulator/src/counter.rs
@@ -1,21 +1,21 @@
-//! The counter: named totals with a life, served in turn, so many a second over so many parts.
+//! The counter: named totals that expire, in partitions that each serve their calls one at a time at a fixed rate.
 
 use std::collections::HashMap;
 
 use crate::Micros;
 
-/// Longest life of a name.
+/// Longest lifetime of a total, in microseconds.
 const MAX_LIFE: Micros = 60_000_000;
-/// Longest name, in bytes.
+/// Maximum length of a name.
 const MAX_NAME_BYTES: usize = 64;
-/// Names that have ended are swept out after so many calls.
+/// Number of calls after which expired totals are removed.
 const SWEEP_INTERVAL_CALLS: u32 = 4_096;
 
-/// The counter.
+/// The emulated counter.
 #[derive(Clone, Debug)]
 pub struct Counter {
     totals: HashMap<String, (f64, Micros)>,
-    /// When each part is free again.
+    /// When each partition is free again.
     free: Vec<Micros>,
     turn: f64,
     extra_latency: Micros,
@@ -23,18 +23,18 @@
     calls: u32,
 }
 
-/// A call as it stands on the wire.
+/// A call as received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call<'a> {
-    /// The count's name.
+    /// Name of the total.
     pub name: &'a str,
-    /// What is added.
+    /// Amount to add.
     pub delta: f64,
-    /// Incarnation of a new name.
+    /// Lifetime of the total if the call creates it, in microseconds.
     pub life: Micros,
 }
 
-/// Reads a call's target.
+/// Parses a call from the request target.
 pub fn call(target: &str) -> Option<Call<'_>> {
     let (path, query) = target.split_once('?')?;
     let name = path
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Adds, and gives the total and when it is told: a call waits for its part's turn.
+    /// Adds, and returns the total and when it is answered: a call waits until its partition is free.
     pub fn add(&mut self, now: Micros, call: Call<'_>) -> (f64, Micros) {
         self.calls += 1;
         if self.calls.is_multiple_of(SWEEP_INTERVAL_CALLS) {
@@ -99,12 +99,12 @@
         (entry.0, told)
     }
 
-    /// Calls take so many times as long.
+    /// Makes calls take `times` as long.
     pub fn slow(&mut self, times: f64) {
         self.slower = times;
     }
 
-    /// Forgets everything.
+    /// Removes all totals.
     pub fn clear(&mut self, now: Micros) {
         self.totals.clear();
         self.free.fill(now);
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults by a timed plan: which party, when, for how long. The same plan and seed give the same faults.
+//! The fault schedule: target, time and duration. The same plan and seed give the same faults.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,41 +10,41 @@
 use crate::Micros;
 use config_check::{Fault, within};
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Everything stands still: nothing is read, nothing is answered, nothing is lost.
+    /// The target freezes: nothing is read or answered, and nothing is lost.
     Freeze,
-    /// New connections are refused, open ones stay.
+    /// New connections are refused; open ones stay.
     Refuse,
     /// All open connections are reset, once.
     Reset,
-    /// Requests are taken and never answered.
+    /// Requests are accepted and never answered.
     Hang,
-    /// A share of the answers is noise.
+    /// A share of the answers is replaced by malformed bytes.
     Spoil,
     /// Work takes `times` as long.
     Slow,
-    /// The process dies: connections are reset, new ones refused; it returns with nothing that it knew.
+    /// The process crashes: connections are reset and new ones refused; it returns with its state lost.
     Die,
-    /// Discovery lists a node as draining, and it turns new work away.
+    /// Discovery lists a node as draining, and the node rejects new requests.
     Drain,
-    /// A node is replaced by a cold one of another name, at an address of its own.
+    /// A node is replaced by a cold one with a new name and address.
     Replace,
-    /// Nothing passes between one limiter and the party, either way.
+    /// No data passes between one limiter and the target in either direction.
     Partition,
-    /// A limiter's process stands still (SIGSTOP) and goes on (SIGCONT) with all it had: the grey failure. Done by
-    /// whoever started the limiters; the world has no part in it.
+    /// A limiter's process is paused (SIGSTOP) and resumed (SIGCONT) with its state intact: a grey failure. Carried out
+    /// by the process that started the limiters; the world ignores it.
     Pause,
 }
 
-/// Who is struck.
+/// Target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultTarget {
     /// One records node, by its number.
     Node(usize),
-    /// A share of the records nodes, drawn by the seed.
+    /// A share of the records nodes, chosen at random with the seed.
     Nodes(f64),
     /// The counter.
     Counter,
@@ -102,13 +102,13 @@
     }
 }
 
-/// One fault of the plan.
+/// One fault of the schedule.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultPlan {
-    /// What goes wrong.
+    /// Kind of a fault.
     pub kind: FaultKind,
-    /// Who is struck.
+    /// Target of a fault.
     pub on: FaultTarget,
     /// When, in seconds since the start of the load.
     #[serde(default)]
@@ -116,16 +116,16 @@
     /// For how long, in milliseconds; for `drain` and `replace` how long the old node stays.
     #[serde(default = "second")]
     pub for_ms: f64,
-    /// It comes again after so many seconds; 0: once.
+    /// Interval between repetitions in seconds; 0 for a single occurrence.
     #[serde(default)]
     pub every_s: f64,
-    /// For `slow`: how many times as long work takes.
+    /// For `slow`: the factor by which work takes longer.
     #[serde(default = "five")]
     pub times: f64,
-    /// For `spoil`: the share of the answers, 0 to 1.
+    /// For `spoil`: share of malformed answers, 0 to 1.
     #[serde(default = "one")]
     pub share: f64,
-    /// For `partition`: the limiter that is cut off, by its number.
+    /// For `partition`: number of the isolated limiter.
     #[serde(default)]
     pub limiter: usize,
 }
@@ -143,10 +143,10 @@
 }
 
 impl FaultPlan {
-    /// Checks what types can't say; `nodes` and `limiters` there are.
+    /// Checks values against their ranges and the numbers of nodes and limiters.
     ///
     /// # Errors
-    /// The first value that makes no fault, by its key.
+    /// The first invalid value, with its key.
     pub fn check(&self, (nodes, limiters): (usize, usize)) -> Result<(), Fault> {
         within("at_s", self.at_s, 0.0, 86_400.0)?;
         within("for_ms", self.for_ms, 1.0, 8.64e7)?;
@@ -191,26 +191,26 @@
     }
 }
 
-/// A fault's begin or end, for one party.
+/// Start or end of a fault at one target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultEvent {
-    /// When, since the start of the load.
+    /// Instant since the start of the load.
     pub at: Micros,
-    /// Whether it begins or ends.
+    /// Whether the fault begins (or ends).
     pub begins: bool,
-    /// What.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Who; never [`Party::Nodes`].
+    /// Target; never [`FaultTarget::Nodes`].
     pub party: FaultTarget,
-    /// For `slow`: how many times; for `spoil`: the share.
+    /// For `spoil` the share, else the factor of `slow`.
     pub amount: f64,
-    /// For `partition`: the limiter.
+    /// For `partition`: number of the limiter.
     pub limiter: usize,
-    /// How long the fault is, begin to end.
+    /// Duration of the fault.
     pub span: Micros,
 }
 
-/// The plan of all faults laid out in time, up to `until`.
+/// Expands the plan into events in order of time, for faults that begin before `until`.
 pub fn schedule_faults(
     plan: &[FaultPlan],
     nodes: usize,
@@ -262,7 +262,7 @@
             at += (fault.every_s * 1e6) as Micros;
         }
     }
-    // What ends at an instant ends before what begins there.
+    // Ends sort before starts at the same instant.
     turns.sort_by_key(|t| (t.at, t.begins));
     turns
 }
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -1,20 +1,20 @@
-//! As much of HTTP/1.1 as a stand-in and a load generator need, on httparse. Parsers of their own, apart from the
-//! limiter's, so that a fault in the limiter's is not shared by what tests it.
+//! The subset of HTTP/1.1 that the mock servers and the load generator need, on httparse. Separate from the limiter's
+//! parsers, so that a bug in those is not shared by the code that tests them.
 
 use crate::Micros;
 
-/// Longest head.
+/// Maximum size of a message head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Longest body of a request to a stand-in.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: u64 = 1024 * 1024;
-/// Most header lines.
+/// Maximum number of header lines.
 const MAX_HEADERS: usize = 64;
 
-/// Bytes that are no HTTP message; the connection is of no further use.
+/// The bytes are not a valid HTTP message; the connection can't be used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// A whole request at the start of some bytes.
+/// A complete request at the start of a buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request<'a> {
     /// Method.
@@ -25,13 +25,13 @@
     pub id: Option<&'a str>,
     /// `Idempotency-Key`.
     pub key: Option<&'a str>,
-    /// `X-Work-Ms`, the work that a load run asks for, in microseconds.
+    /// `X-Work-Ms`, the work requested by a load run, converted to microseconds.
     pub work: Option<Micros>,
-    /// The connection ends with the answer.
+    /// Whether the connection closes after the answer.
     pub close: bool,
-    /// Bytes ahead of its body.
+    /// Size of the head in bytes.
     pub head: usize,
-    /// Bytes of the whole message.
+    /// Size of the whole message in bytes.
     pub length: usize,
 }
 
@@ -39,10 +39,10 @@
     std::str::from_utf8(value).ok().map(str::trim)
 }
 
-/// Reads a request; `None` until it is whole.
+/// Parses a request; `None` while it is incomplete.
 ///
 /// # Errors
-/// Bytes that are no request, a head or body too long, or a body whose end is not given by its length.
+/// Bytes that are not a request, a head or body that is too long, or a body without `Content-Length` framing.
 pub fn request(bytes: &[u8]) -> Result<Option<Request<'_>>, Malformed> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut lines);
@@ -94,25 +94,25 @@
     }))
 }
 
-/// A whole answer at the start of some bytes.
+/// A complete answer at the start of a buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// Status.
     pub status: u16,
     /// `Retry-After` in microseconds.
     pub retry_after: Option<Micros>,
-    /// The connection ends with it.
+    /// Whether the connection closes after it.
     pub close: bool,
-    /// Bytes ahead of its body, interim answers included.
+    /// Bytes before the body, including interim answers.
     pub head: usize,
-    /// Bytes of the whole message.
+    /// Size of the whole message in bytes.
     pub length: usize,
 }
 
-/// Reads a final answer, passing over interim ones; `None` until it is whole. `ended`: the connection brings no more.
+/// Parses a final answer, skipping interim ones; `None` while it is incomplete. `ended`: the peer has closed its side.
 ///
 /// # Errors
-/// Bytes that are no answer; an answer that ended short.
+/// Bytes that are not an answer, or a truncated answer.
 pub fn answer(bytes: &[u8], ended: bool) -> Result<Option<Answer>, Malformed> {
     let mut skipped = 0;
     loop {
@@ -181,7 +181,7 @@
     }
 }
 
-/// Bytes of a chunked body, its end included; `None` until it is whole.
+/// Size of a chunked body including its terminator; `None` while it is incomplete.
 fn chunked_body_length(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
     let mut at = 0;
     loop {
@@ -214,7 +214,7 @@
     }
 }
 
-/// A line of a message's head by its name; the first, if there are several.
+/// Value of a header by its name; the first if there are several.
 pub fn header<'a>(bytes: &'a [u8], name: &str) -> Option<&'a str> {
     let first = bytes.iter().position(|b| *b == b'\n')? + 1;
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -231,7 +231,7 @@
     )
 }
 
-/// Writes an answer with a body whose length is told.
+/// Writes an answer framed by `Content-Length`.
 pub fn write_answer(out: &mut Vec<u8>, status: u16, headers: &str, body: &[u8]) {
     out.extend_from_slice(
         format!(
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! The emulated world of the limiter, for load runs and tests: records nodes, the counter and discovery, with faults
-//! that come by a timed plan.
+//! Emulated backends of the limiter for load runs and tests: records nodes, the counter and discovery, with faults
+//! injected on a schedule.
 //!
-//! `node`, `counter` and `roster` decide without I/O and without a clock of their own: they are told the time. `world`
-//! joins them and applies the `faults`. `serving` puts a world on loopback sockets, one event loop for all of it.
-//! `system` is the world of the whole system: the platform's list, servers and the operator, and the machines that the
-//! built programs run on. `http` and `reactor` are what a server and a load generator need of the wire and of the system.
+//! `node`, `counter` and `node_list` do no I/O and read no clock: callers pass the time. `world` combines them and
+//! applies the `faults`. `serving` serves a world on loopback sockets from one event loop. `system` emulates the
+//! environment of the whole system: the platform's instance list, servers, the operator, and the machines that run the
+//! built programs. `http` and `reactor` hold the HTTP and epoll code shared by the servers and the load generator.
 
 pub mod counter;
 pub mod faults;
@@ -17,5 +17,5 @@
 pub mod system;
 pub mod world;
 
-/// Microseconds: an instant since the world's start, or a span.
+/// Microseconds: an instant since the start of the world, or a duration.
 pub type Micros = i64;
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,66 +1,66 @@
-//! A records node: cores that do work in turn, a queue, a cold start, keys that are dropped when they repeat.
+//! A records node: cores that run requests, a queue, and a cold start.
 
 use std::collections::VecDeque;
 
 use crate::Micros;
 
-/// What a node is.
+/// Configuration of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeConfig {
-    /// Requests that run at a time.
+    /// Number of requests that run concurrently.
     pub cores: usize,
-    /// Speed of a core, 1 for work in its own time.
+    /// Speed of a core; at 1, work takes its nominal time.
     pub speed: f64,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub queue: usize,
-    /// Share of the speed at the start.
+    /// Share of the full speed right after a start.
     pub cold_from: f64,
-    /// Time until it is warm.
+    /// Time from a start to full speed, in microseconds.
     pub warm_up: Micros,
-    /// How often the load that it shows is taken anew.
+    /// Interval at which the reported utilization is updated, in microseconds.
     pub util_interval: Micros,
-    /// Giving up ends running work too.
+    /// Whether abandoning a request also cancels it if it is running.
     pub cancel_running: bool,
 }
 
-/// A request that has come.
+/// A request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Whoever brought it knows it by this.
+    /// Identifies the request to the caller.
     pub token: u64,
-    /// Its work on a core of speed 1.
+    /// Its work on a core of speed 1, in microseconds.
     pub work: Micros,
 }
 
-/// A records node. It is told the time, which never goes back.
+/// A records node. Callers pass the time, which must not decrease.
 #[derive(Clone, Debug)]
 pub struct Node {
     make: NodeConfig,
     started: Micros,
     waiting: VecDeque<Job>,
-    /// End and job, by core; a core without work has none.
+    /// End and job per core; `None` for an idle core.
     running: Vec<Option<(Micros, Job)>>,
     frozen_until: Option<Micros>,
     slower: f64,
     draining: bool,
-    /// Busy time of all cores, up to `marked`.
+    /// Busy time of all cores up to `busy_accounted_until`.
     busy: Micros,
     busy_accounted_until: Micros,
     util: f64,
     util_window: (Micros, Micros),
 }
 
-/// What becomes of a request that comes.
+/// Outcome of the admission of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It will run.
+    /// It is admitted.
     Admitted,
-    /// The queue is full or the node drains: it never ran.
+    /// It is rejected without being run: the queue is full or the node is draining.
     Rejected,
 }
 
 impl Node {
-    /// A node that started at an instant; `warm` if long before it.
+    /// A node that starts now; if `warm`, it is at full speed.
     pub fn new(make: NodeConfig, now: Micros, warm: bool) -> Node {
         Node {
             make,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The share of its speed that it has now.
+    /// Share of the full speed that the node has now.
     pub fn speed_share(&self, now: Micros) -> f64 {
         let age = now - self.started;
         if self.make.warm_up <= 0 || age >= self.make.warm_up {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// A request comes. While the node stands still nothing is decided: the caller keeps what comes until then.
+    /// Admits or rejects a request. While the node is frozen, callers must hold back arriving requests.
     pub fn arrive(&mut self, now: Micros, job: Job) -> Admission {
         self.update_utilization(now);
         let free = self.running.iter().filter(|core| core.is_none()).count();
@@ -126,7 +126,7 @@
         Admission::Admitted
     }
 
-    /// When something ends next.
+    /// When a request or a freeze ends next.
     pub fn next(&self) -> Option<Micros> {
         match self.frozen_until {
             Some(until) => Some(until),
@@ -134,12 +134,12 @@
         }
     }
 
-    /// Takes one request that has ended by now; to be called until there is none.
+    /// Takes one request that has finished by now; to be called until there is none.
     pub fn take_finished(&mut self, now: Micros) -> Option<Job> {
         if self.frozen_until.is_some_and(|until| until <= now) {
             self.frozen_until = None;
             self.busy_accounted_until = self.busy_accounted_until.max(now);
-            // What came meanwhile begins now, also if nothing else ever comes.
+            // Queued requests start now even if no further request arrives.
             self.start_waiting_jobs(now);
         }
         if self.frozen_until.is_some() {
@@ -148,7 +148,7 @@
         if self.next().is_none_or(|end| end > now) {
             return None;
         }
-        // Before the core is free: the time until now was busy.
+        // Before the core is released, since it was busy until now.
         self.update_utilization(now);
         let due = |core: &&mut Option<(Micros, Job)>| core.is_some_and(|(end, _)| end <= now);
         let first = self
@@ -161,7 +161,7 @@
         Some(job)
     }
 
-    /// Whoever brought a request no longer waits for it. Tells whether it had not begun, and never will.
+    /// Abandons a request that nobody waits for any more. Returns whether it was still queued and so will never run.
     pub fn abandon(&mut self, now: Micros, token: u64) -> bool {
         self.update_utilization(now);
         let before = self.waiting.len();
@@ -179,7 +179,7 @@
         waited
     }
 
-    /// Stands still until an instant; what runs ends so much later.
+    /// Freezes the node until an instant; running requests end later by that time.
     pub fn freeze(&mut self, now: Micros, until: Micros) {
         self.update_utilization(now);
         let before = self.frozen_until.unwrap_or(now);
@@ -191,38 +191,38 @@
         self.frozen_until = Some(until.max(before));
     }
 
-    /// Whether it stands still.
+    /// Whether the node is frozen.
     pub fn frozen(&self) -> bool {
         self.frozen_until.is_some()
     }
 
-    /// Work that starts from now on takes so many times as long.
+    /// Work that starts from now on takes `times` as long.
     pub fn slow(&mut self, times: f64) {
         self.slower = times.max(1e-3);
     }
 
-    /// Turns new work away, or no more.
+    /// Starts or ends rejecting new requests.
     pub fn drain(&mut self, drains: bool) {
         self.draining = drains;
     }
 
-    /// Dies and starts anew, cold: all work is lost.
+    /// Restarts the node cold; all its requests are lost.
     pub fn restart(&mut self, now: Micros) {
         *self = Node::new(self.make, now, false);
     }
 
-    /// When it started last.
+    /// When the node last started.
     pub fn started(&self) -> Micros {
         self.started
     }
 
-    /// How busy its cores were in the last span, 0 to 1.
+    /// Utilization of the cores in the last interval, 0 to 1.
     pub fn util(&mut self, now: Micros) -> f64 {
         self.update_utilization(now);
         self.util
     }
 
-    /// Requests that run or wait.
+    /// Number of running and waiting requests.
     pub fn held(&self) -> usize {
         self.waiting.len() + self.running.iter().flatten().count()
     }
--- a/crates/emulator/src/node_list.rs
+++ b/crates/emulator/src/node_list.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of the records nodes, told with a delay, and a watch of its changes.
+//! Discovery: the list of the records nodes, published with a delay, and watches of its changes.
 
 use std::collections::VecDeque;
 
@@ -6,43 +6,43 @@
 
 use crate::Micros;
 
-/// What the list says of a node.
+/// Status of a node in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Status {
-    /// It takes work.
+    /// It accepts work.
     Ready,
-    /// It finishes what it has.
+    /// It only finishes the work it has.
     Terminating,
-    /// It is no longer there; only among changes.
+    /// It was removed; appears only among changes.
     Gone,
 }
 
-/// A node as the list names it.
+/// A node's entry in the list.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Its number in the world.
+    /// Number of the node in the world.
     pub node: usize,
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its rack.
+    /// Number of its rack.
     pub rack: usize,
-    /// What is said of it.
+    /// Published status.
     pub status: Status,
-    /// Unix time of its last start in milliseconds; 0 for long ago.
+    /// Unix time of its last start in milliseconds; 0 if it started long ago.
     pub since_ms: i64,
 }
 
-/// The list and its changes.
+/// The list of nodes and its changes.
 #[derive(Clone, Debug, Default)]
 pub struct NodeList {
     entries: Vec<Entry>,
-    /// Changes by version: the version after, and the entry as it is then.
+    /// Changes with the resulting version and the entry as of that version.
     changes: Vec<(u64, Entry)>,
     pending: VecDeque<(Micros, Entry)>,
 }
 
 impl NodeList {
-    /// A list as it stands at the start.
+    /// A list with its initial entries.
     pub fn new(entries: Vec<Entry>) -> NodeList {
         NodeList {
             entries,
@@ -55,17 +55,17 @@
         1 + self.changes.len() as u64
     }
 
-    /// A node has changed; it will be told at an instant.
+    /// Schedules the changed entry of a node for publication at an instant.
     pub fn change(&mut self, told: Micros, entry: Entry) {
         self.pending.push_back((told, entry));
     }
 
-    /// When a change is told next.
+    /// When the next change is published.
     pub fn next(&self) -> Option<Micros> {
         self.pending.iter().map(|(at, _)| *at).min()
     }
 
-    /// Tells what is due; whether there was anything.
+    /// Publishes the changes that are due; returns whether there were any.
     pub fn tell(&mut self, now: Micros) -> bool {
         let (due, rest): (Vec<_>, Vec<_>) = self.pending.drain(..).partition(|(at, _)| *at <= now);
         self.pending = rest.into();
@@ -79,8 +79,8 @@
         !due.is_empty()
     }
 
-    /// What a watch from a version is told first, or next: the changes behind it, or the whole list if that version
-    /// is not ours. `address` gives a node's address as the one who asks sees it.
+    /// The JSON message for a watch at a version: the changes after it, or the whole list if the version is unknown.
+    /// `address` returns a node's address as the requesting limiter sees it.
     pub fn changes_since(&self, from: Option<u64>, address: impl Fn(usize) -> String) -> String {
         let known = from.filter(|from| (1..=self.index()).contains(from));
         let told: Vec<&Entry> = match known {
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,11 +1,11 @@
-//! What a world is made of, as a scenario says it.
+//! Configuration of a world in a scenario.
 
 use serde::{Deserialize, Serialize};
 
 use crate::faults::FaultPlan;
 use config_check::{Fault, range, within};
 
-/// The emulated world. Everything has a default.
+/// The emulated world. Every field has a default.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WorldPlan {
@@ -15,7 +15,7 @@
     pub counter: CounterPlan,
     /// Discovery.
     pub discovery: DiscoveryPlan,
-    /// What goes wrong, and when.
+    /// Scheduled faults.
     pub faults: Vec<FaultPlan>,
 }
 
@@ -23,33 +23,33 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NodesPlan {
-    /// How many there are at the start, 1 to 1000.
+    /// Number of nodes at the start, 1 to 1000.
     pub count: usize,
-    /// Cores of each: so many requests run at a time.
+    /// Cores per node: requests that run concurrently.
     pub cores: usize,
-    /// Speed of a core, drawn from this range for each node; 1 does a request's work in its time.
+    /// Range from which each node's core speed is drawn; at 1, work takes its nominal time.
     pub speed: [f64; 2],
-    /// Requests that may wait for a core; further ones are turned away.
+    /// Requests that may wait for a core; further ones are rejected.
     pub queue: usize,
-    /// Work of a request that names none, in milliseconds on a core of speed 1.
+    /// Mean work of a request that sets none, in milliseconds on a core of speed 1.
     pub work_ms: f64,
-    /// Coefficient of variation of the work (lognormal); 0: always the same.
+    /// Coefficient of variation of the work (lognormal); 0 for constant work.
     pub work_cv: f64,
-    /// A node that has just started does this share of its speed.
+    /// Share of the full speed that a node has right after a start.
     pub cold_from: f64,
-    /// It is warm after this many seconds.
+    /// Warm-up time in seconds.
     pub cold_s: f64,
-    /// So many nodes in a row form a rack that drops repeats of a key together.
+    /// Consecutive nodes per rack; a rack drops repeats of an idempotency key that any of its nodes knows.
     pub rack: usize,
-    /// For how long a key is remembered, in milliseconds.
+    /// How long an idempotency key is remembered, in milliseconds.
     pub keys_ms: f64,
     /// Share of the answers that are errors, 0 to 1.
     pub errors: f64,
-    /// How often the load that probes show is taken anew, in milliseconds.
+    /// Interval at which the utilization reported to probes is updated, in milliseconds.
     pub util_ms: f64,
-    /// Bytes of an answer's body.
+    /// Size of an answer's body in bytes.
     pub body_bytes: usize,
-    /// A client's giving up ends work that waits; with this also work that runs.
+    /// Whether a client's abandoning a request cancels it also while it runs; while it waits it is always cancelled.
     pub cancel_running: bool,
 }
 
@@ -78,11 +78,11 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CounterPlan {
-    /// Parts that names are split over, each serving its calls in turn.
+    /// Partitions over which names are spread, each serving one call at a time.
     pub parts: usize,
-    /// Calls a second that all parts together take.
+    /// Calls per second that all partitions together can serve.
     pub per_s: f64,
-    /// Time of a call beside its turn, in milliseconds.
+    /// Additional latency of a call, in milliseconds.
     pub ms: f64,
 }
 
@@ -100,9 +100,9 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DiscoveryPlan {
-    /// A change is told so long after it happened, in milliseconds.
+    /// Delay from a change to its publication, in milliseconds.
     pub notice_ms: f64,
-    /// An empty line comes so often, in milliseconds.
+    /// Interval of the empty heartbeat lines on watches, in milliseconds.
     pub beat_ms: f64,
 }
 
@@ -116,10 +116,10 @@
 }
 
 impl WorldPlan {
-    /// Checks what types can't say.
+    /// Checks values against their ranges.
     ///
     /// # Errors
-    /// The first value that makes no world, by its key.
+    /// The first invalid value, with its key.
     pub fn check(&self, limiters: usize) -> Result<(), Fault> {
         let n = &self.nodes;
         within("nodes.count", n.count as f64, 1.0, 1_000.0)?;
--- a/crates/emulator/src/reactor.rs
+++ b/crates/emulator/src/reactor.rs
@@ -1,7 +1,6 @@
-//! Readiness of sockets with waits that are exact to microseconds: epoll through rustix.
+//! Socket readiness with waits of microsecond resolution: epoll through rustix.
 //!
-//! Waits in whole milliseconds, as the usual loops have them, would put up to a millisecond of lag of our own on
-//! every request that is sent by a schedule.
+//! Waits in whole milliseconds, as in common event loops, would delay every scheduled request by up to a millisecond.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -16,22 +15,21 @@
 
 use crate::Micros;
 
-/// What the system says of a socket.
+/// Readiness of a socket.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
     /// As given to [`Reactor::add`].
     pub token: u64,
-    /// There is something to read, an end included.
+    /// There is data to read, or the end of the stream.
     pub readable: bool,
-    /// Something can be written.
+    /// Data can be written.
     pub writable: bool,
-    /// The peer has ended its side, or the connection is broken: reading must go on to the end, since this is told
-    /// but once.
+    /// The peer has closed its side, or the connection has failed: read to the end, since this is reported only once.
     pub ended: bool,
 }
 
-/// Tells of sockets that have become ready; each change once (edge-triggered), so that a socket is named to the system
-/// once and never again.
+/// Reports sockets that have become ready, each change once (edge-triggered), so that each socket is registered only
+/// once.
 #[derive(Debug)]
 pub struct Reactor {
     epoll: OwnedFd,
@@ -45,15 +43,15 @@
 impl Waker {
     /// Ends the wait.
     pub fn wake(&self) {
-        // A full counter means that a wake is under way already.
+        // A write to a full eventfd fails, which means that a wake-up is already pending.
         let _ = rustix::io::write(&*self.0, &1_u64.to_ne_bytes());
     }
 }
 
-/// Begins a connection; it is up once it can be written.
+/// Starts a non-blocking connect; the connection is established once it is writable.
 ///
 /// # Errors
-/// The system's: no descriptor, no port, or a refusal that is known at once.
+/// Errors of the operating system: no descriptor, no port, or an immediate refusal.
 pub fn connect(to: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(to), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
@@ -68,8 +66,8 @@
     }
 }
 
-/// Makes room for so many descriptors ahead, or for as many as the system allows. A process with several threads else
-/// stands still for some 20 ms each time its table of descriptors grows (at 256, 512 and so on), in the middle of the run.
+/// Grows the descriptor table in advance to `descriptors`, or to what the system allows. Otherwise a process with
+/// several threads stalls for some 20 ms each time the table grows (at 256, 512 and so on), in the middle of a run.
 pub fn reserve_descriptors(descriptors: usize) {
     let Ok(any) = eventfd(0, EventfdFlags::CLOEXEC) else {
         return;
@@ -80,16 +78,16 @@
     }
 }
 
-/// Told when a [`Waker`] was used.
+/// Token reported after a [`Waker`] was used.
 pub const WAKE_TOKEN: u64 = u64::MAX;
-/// Most events taken at once.
+/// Maximum number of events per wait.
 const MAX_EVENTS: usize = 512;
 
 impl Reactor {
     /// A reactor without sockets.
     ///
     /// # Errors
-    /// The system's, most often for want of descriptors.
+    /// Errors of the operating system, most often a lack of file descriptors.
     pub fn new() -> io::Result<Reactor> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let wake = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
@@ -105,21 +103,21 @@
         })
     }
 
-    /// Lets other threads end a wait.
+    /// A handle by which other threads end a wait.
     pub fn waker(&self) -> Waker {
         Waker(self.wake.clone())
     }
 
-    /// Asks the system to wake this thread within a microsecond or so of the time, not within its usual 50.
+    /// Sets this thread's timer slack to 1 µs instead of the default of 50 µs.
     pub fn set_precise_timer(&self) {
-        // Without it waits are a little longer: nothing else is lost.
+        // If this fails, waits are slightly longer, with no other effect.
         let _ = rustix::thread::set_current_timer_slack(NonZeroU64::new(1_000));
     }
 
     /// Watches a socket until it is closed.
     ///
     /// # Errors
-    /// The system's.
+    /// Errors of the operating system.
     pub fn add(&self, socket: impl AsFd, token: u64) -> io::Result<()> {
         use epoll::EventFlags as F;
         epoll::add(
@@ -131,10 +129,10 @@
         Ok(())
     }
 
-    /// Waits until something is ready, or so long, forever without an end; `ready` then holds what is.
+    /// Waits until a socket is ready or `longest` microseconds have passed (`None`: no limit), and fills `ready`.
     ///
     /// # Errors
-    /// The system's; an interruption is none.
+    /// Errors of the operating system; an interruption is not an error.
     pub fn wait(&self, longest: Option<Micros>, ready: &mut Vec<Ready>) -> io::Result<()> {
         use epoll::EventFlags as F;
         ready.clear();
--- a/crates/emulator/src/system/client.rs
+++ b/crates/emulator/src/system/client.rs
@@ -1,4 +1,4 @@
-//! A plain client: one call at a time on a connection, each with an absolute deadline.
+//! A plain HTTP client: one call at a time on a connection, each with an absolute deadline.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,61 +7,61 @@
 use crate::Micros;
 use crate::http;
 
-/// Bytes taken from a socket at once.
+/// Bytes read from a socket at once.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// A connection must come up within this.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An answer.
+/// An HTTP answer.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its `Retry-After`, in microseconds.
+    /// Value of `Retry-After`, in microseconds.
     pub retry_after: Option<Micros>,
-    /// The connection ends with it.
+    /// Whether the connection closes after it.
     pub close: bool,
     bytes: Vec<u8>,
     head: usize,
 }
 
 impl Reply {
-    /// A line of its head.
+    /// Value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         http::header(&self.bytes, name)
     }
 
-    /// Its body.
+    /// The body.
     pub fn body(&self) -> &[u8] {
         &self.bytes[self.head..]
     }
 
-    /// Its body, where it is text.
+    /// The body as text; empty if it isn't UTF-8.
     pub fn text(&self) -> &str {
         std::str::from_utf8(self.body()).unwrap_or_default()
     }
 }
 
-/// Why there is no answer.
+/// Why a call has no answer.
 #[derive(Debug)]
 pub enum Failure {
-    /// The request was not written whole.
+    /// The connection failed to open, or the request was not completely written.
     NotSent(io::Error),
-    /// The connection ended in order before any byte of an answer.
+    /// The connection was closed in order before any byte of an answer.
     Closed,
-    /// It broke, or what came is no answer.
+    /// The connection failed, or the bytes received are not an HTTP answer.
     Broken(io::Error),
-    /// Nothing whole came in time.
+    /// No complete answer arrived before the deadline.
     TimedOut,
-    /// Bytes came that belong to no request.
+    /// Bytes followed the answer that belong to no request.
     UnexpectedBytes,
 }
 
-/// A connection.
+/// A client connection.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
-    /// Calls that were answered on it.
+    /// Calls answered on it so far.
     pub answered_calls: usize,
 }
 
@@ -70,10 +70,10 @@
 }
 
 impl Connection {
-    /// Opens one.
+    /// Opens a connection.
     ///
     /// # Errors
-    /// It does not come up in time.
+    /// It can't be opened before the deadline.
     pub fn open(to: SocketAddr, until: Instant) -> Result<Connection, Failure> {
         let wait = left(until).ok_or(Failure::TimedOut)?.min(CONNECT_TIMEOUT);
         let stream = TcpStream::connect_timeout(&to, wait).map_err(Failure::NotSent)?;
@@ -84,10 +84,10 @@
         })
     }
 
-    /// Sends a request; [`Connection::answer`] brings its answer.
+    /// Sends a request; [`Connection::read_reply`] reads the answer.
     ///
     /// # Errors
-    /// It was not written whole in time.
+    /// It was not completely written before the deadline.
     pub fn send(&mut self, request: &[u8], until: Instant) -> Result<(), Failure> {
         self.stream
             .set_write_timeout(Some(left(until).ok_or(Failure::TimedOut)?))
@@ -95,10 +95,10 @@
         self.stream.write_all(request).map_err(Failure::NotSent)
     }
 
-    /// Waits for an answer. After a failure the connection is of no more use.
+    /// Waits for an answer. After a failure the connection can't be used again.
     ///
     /// # Errors
-    /// None came whole in time.
+    /// No complete answer arrived before the deadline.
     pub fn read_reply(&mut self, until: Instant) -> Result<Reply, Failure> {
         let mut bytes = Vec::new();
         let mut room = vec![0; READ_BUFFER_BYTES];
@@ -122,7 +122,7 @@
             };
             bytes.extend_from_slice(&room[..length]);
             let read = http::answer(&bytes, length == 0);
-            let none = |_| Failure::Broken(io::Error::other("no answer in the protocol"));
+            let none = |_| Failure::Broken(io::Error::other("response is not valid HTTP/1.1"));
             let Some(http::Answer {
                 status,
                 retry_after,
@@ -148,10 +148,10 @@
     }
 }
 
-/// One call on a connection of its own; its `Host` is the address unless `lines` name one.
+/// Makes one call on a new connection; `Host` is the address unless `lines` contain one.
 ///
 /// # Errors
-/// There is no answer in time.
+/// There is no answer before the deadline.
 pub fn call(
     to: SocketAddr,
     method: &str,
--- a/crates/emulator/src/system/fleet.rs
+++ b/crates/emulator/src/system/fleet.rs
@@ -1,5 +1,5 @@
-//! The platform's list and servers on loopback sockets: one thread, one loop. Whoever holds the town may call servers
-//! into being, have them leave, and order troubles.
+//! The platform's instance list and the servers on loopback sockets, in one event loop on one thread. The holder of a
+//! [`Fleet`] starts, drains and stops servers and injects faults.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read};
@@ -22,16 +22,16 @@
 use crate::reactor::{Reactor, Ready, WAKE_TOKEN, Waker};
 use crate::serving::{READ_BUFFER_BYTES, flush, listen, slot};
 
-/// Longest wait of the loop: idle connections are looked at so often.
+/// Longest wait of the event loop in microseconds, and so the interval at which idle connections are checked.
 const IDLE_CHECK_INTERVAL: Micros = 100_000;
 
 enum Endpoint {
-    /// Where a server listens, or the platform.
+    /// A listener of a server, by its number, or of the platform (`None`).
     Listener(Option<usize>, TcpListener),
     Line(Connection),
 }
 
-/// A connection to a server or to the platform; one request at a time.
+/// A connection to a server or to the platform; it handles one request at a time.
 struct Connection {
     at: Option<usize>,
     socket: TcpStream,
@@ -52,11 +52,11 @@
     ledger: RunLedger,
     drain: Micros,
     serial: u64,
-    /// Servers that stand still.
+    /// Servers that are frozen.
     frozen: Vec<usize>,
 }
 
-/// The platform's list and the servers, served on a thread of their own.
+/// The platform's instance list and the servers, served on a dedicated thread.
 pub struct Fleet {
     host: Arc<Mutex<Host>>,
     platform: SocketAddr,
@@ -66,10 +66,11 @@
 }
 
 impl Fleet {
-    /// Begins without servers. `drain`: so long after a server is told to be leaving, nothing may come to it.
+    /// Starts without servers. `drain`: time in microseconds after the list shows a server as draining, from which on
+    /// arriving requests are counted as too late.
     ///
     /// # Errors
-    /// The system's, most often for want of descriptors.
+    /// Errors of the operating system, most often a lack of file descriptors.
     pub fn start(make: platform::PlatformConfig, drain: Micros) -> io::Result<Fleet> {
         let reactor = Arc::new(Reactor::new()?);
         let waker = reactor.waker();
@@ -105,15 +106,15 @@
         self.host.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where the list is asked for.
+    /// Address at which the instance list is served.
     pub fn platform(&self) -> SocketAddr {
         self.platform
     }
 
-    /// A server starts, at the address of one that has ended if one is given; gives its number.
+    /// Starts a server, at `at` if given (the address of one that was stopped), and returns its number.
     ///
     /// # Errors
-    /// No address is to be had.
+    /// The address can't be bound.
     pub fn start_server(
         &self,
         make: ServerConfig,
@@ -146,7 +147,7 @@
         Ok(number)
     }
 
-    /// A server is to leave: it is told to be draining and serves on.
+    /// Drains a server: the list shows it as draining, and it continues to serve.
     pub fn drain_server(&self, number: usize) {
         let mut host = self.host();
         let (now, drain) = (host.now(), host.drain);
@@ -168,7 +169,7 @@
             .for_each(|(_, server)| server.drain_announced_at = Some(told + drain));
     }
 
-    /// A server ends, and all its connections with it; gives where it was.
+    /// Stops a server and closes all its connections; returns its address.
     pub fn stop_server(&self, number: usize) -> Option<SocketAddr> {
         let mut host = self.host();
         let now = host.now();
@@ -183,7 +184,7 @@
         Some(at)
     }
 
-    /// The next answers of a server suffer these.
+    /// Applies these faults to the server's next answers, one each.
     pub fn inject_faults(&self, number: usize, troubles: &[AnswerFault]) {
         let mut host = self.host();
         host.servers
@@ -192,7 +193,7 @@
             .for_each(|(_, server)| server.pending_faults.extend(troubles));
     }
 
-    /// A server stands still for so long.
+    /// Freezes a server for `span` microseconds.
     pub fn freeze(&self, number: usize, span: Micros) {
         let mut host = self.host();
         let now = host.now();
@@ -205,12 +206,12 @@
         self.waker.wake();
     }
 
-    /// What has arrived so far.
+    /// Counts of all servers so far.
     pub fn counts(&self) -> Counts {
         self.host().ledger.counts
     }
 
-    /// How often a request ran.
+    /// Number of times that a request ran.
     pub fn run_count(&self, id: &str) -> u32 {
         self.host().ledger.runs(id)
     }
@@ -221,7 +222,7 @@
         self.stop.store(true, Ordering::Relaxed);
         self.waker.wake();
         if let Some(thread) = self.thread.take() {
-            // One that has panicked has said so.
+            // A panic of the thread has been printed already.
             let _ = thread.join();
         }
     }
@@ -234,7 +235,7 @@
     while !stop.load(Ordering::Relaxed) {
         let wait = lock().wait();
         if reactor.wait(Some(wait), &mut ready).is_err() {
-            // Guards against a loop that fails at once for ever.
+            // Keeps a persistent error from turning into a busy loop.
             std::thread::sleep(Duration::from_millis(1));
         }
         let mut host = lock();
@@ -331,7 +332,7 @@
         let now = self.now();
         while let Some(Endpoint::Listener(of, listener)) = self.doors.get(at) {
             let of = *of;
-            // Any error ends this turn: no more are waiting, or the next one that comes tries again.
+            // Any error ends this pass: either none are pending, or the next arrival triggers another attempt.
             let Ok((socket, _)) = listener.accept() else {
                 return;
             };
@@ -358,7 +359,7 @@
         }
     }
 
-    /// Writes and reads what can be; nothing at a server that stands still.
+    /// Writes and reads as far as possible; does nothing at a frozen server.
     fn look(&mut self, at: usize, readable: bool, room: &mut [u8]) {
         let now = self.now();
         let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
@@ -388,7 +389,7 @@
         self.request(at);
     }
 
-    /// Takes up the next request if it is whole and none is owed.
+    /// Handles the next request if it is complete and no answer is pending.
     fn request(&mut self, at: usize) {
         let now = self.now();
         let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
@@ -455,7 +456,7 @@
         }
         (line.owed, line.heard) = (None, now);
         if then == ConnectionAction::Reset {
-            // Where this fails the connection ends in order, which is a failure as well.
+            // If this fails the connection closes in order, which the client sees as a failure too.
             let _ = SockRef::from(&line.socket).set_linger(Some(Duration::ZERO));
             return self.close(at);
         }
--- a/crates/emulator/src/system/machines.rs
+++ b/crates/emulator/src/system/machines.rs
@@ -1,5 +1,5 @@
-//! Machines of the whole system on one host, each at a loopback address of its own: settings files, the built programs
-//! as child processes, signals to them by their numbers, and an end for all.
+//! The system's machines on one host, each at its own loopback address: settings files, the built programs as child
+//! processes, signals to them by machine number, and an orderly stop of all.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::File;
@@ -18,20 +18,20 @@
 use super::client::call;
 use super::wait_for;
 
-/// Ports, the same on all machines.
+/// Listening ports, the same on all machines.
 const HTTP_PORT: u16 = 8686;
 const READYZ_PORT: u16 = 8680;
 const CTL_PORT: u16 = 8688;
 const DIR_PORT: u16 = 8684;
 const PORT_RANGE: [u16; 2] = [7740, 7755];
-/// Fields of `/proc/PID/stat` after the program's name: its processor time, the system's for it, resident pages.
+/// Indices of the fields of `/proc/PID/stat` after the program's name: user time, system time, resident pages.
 const USER_TICKS: usize = 11;
 const SYSTEM_TICKS: usize = 12;
 const RESIDENT_PAGES: usize = 21;
-/// Grace after SIGTERM, as the settings tell it.
+/// Time to exit after SIGTERM, equal to `bounds.grace` in the settings.
 const SHUTDOWN_GRACE: Duration = Duration::from_secs(6);
 
-/// A program of the system.
+/// One of the system's programs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// The control program, on a core machine.
@@ -53,42 +53,42 @@
     }
 }
 
-/// What a program has used.
+/// Resource usage of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time, its own and the system's on its behalf.
+    /// CPU time in user and system mode.
     pub cpu_time: Duration,
-    /// Resident bytes.
+    /// Resident set size in bytes.
     pub resident_bytes: u64,
 }
 
-/// What the machines are.
+/// Layout of the machines.
 #[derive(Clone, Debug)]
 pub struct Layout {
-    /// Where settings, logs and disks are kept.
+    /// Folder for settings, logs and data directories.
     pub folder: PathBuf,
-    /// Where the built programs are.
+    /// Folder of the built programs.
     pub programs: PathBuf,
-    /// Core machines stand at 127.A.B.x, edges at 127.A.(B+1).x.
+    /// `(A, B)`: core machines have addresses 127.A.B.x, edges 127.A.(B+1).x.
     pub net: (u8, u8),
-    /// Zones and their regions; a core machine stands in each.
+    /// Zones and their regions; each has one core machine.
     pub zones: Vec<(String, String)>,
-    /// Edges in each zone.
+    /// Edge machines per zone.
     pub edges: usize,
-    /// The platform's list.
+    /// Address of the platform's instance list.
     pub platform: SocketAddr,
-    /// Calls a second that it takes.
+    /// Calls per second that the platform accepts.
     pub per_s: usize,
 }
 
-/// Zones `z1`, `z2` and so on, each of a region of its own.
+/// Zones `z1`, `z2` and so on, each in its own region.
 pub fn zones(count: usize) -> Vec<(String, String)> {
     (1..=count)
         .map(|n| (format!("z{n}"), format!("r{n}")))
         .collect()
 }
 
-/// A network that no other test uses at the same time, by this process's number and how often this was asked.
+/// A loopback network that concurrent tests are unlikely to use, derived from the process id and a call counter.
 pub fn unused_net() -> (u8, u8) {
     static ASKED: AtomicU32 = AtomicU32::new(0);
     let number = std::process::id()
@@ -98,16 +98,16 @@
     ((16 + number / 100) as u8, (number % 100 * 2) as u8)
 }
 
-/// The machines and what runs on them. Dropped, it kills what is left.
+/// The machines and the programs running on them. Dropping it kills the remaining programs.
 pub struct Machines {
     plan: Layout,
     running: BTreeMap<(Role, usize), Child>,
-    /// Those that were told to end and were not seen to end yet.
+    /// Programs that were sent SIGTERM and whose exit has not been observed yet.
     shutting_down: BTreeSet<(Role, usize)>,
 }
 
 impl Machines {
-    /// Machines on which nothing runs yet. Writes their settings files.
+    /// Writes the settings files of all machines; starts no program.
     ///
     /// # Errors
     /// The folder can't be written.
@@ -127,12 +127,12 @@
         Ok(machines)
     }
 
-    /// How many core machines there are.
+    /// Number of core machines.
     pub fn cores(&self) -> usize {
         self.plan.zones.len()
     }
 
-    /// How many edges there are.
+    /// Number of edge machines.
     pub fn edges(&self) -> usize {
         self.plan.zones.len() * self.plan.edges
     }
@@ -151,17 +151,17 @@
         &self.plan.zones[number % self.plan.zones.len()]
     }
 
-    /// Where operators call a core machine.
+    /// Address for operators' calls to a core machine.
     pub fn ctl(&self, number: usize) -> SocketAddr {
         SocketAddr::from((self.ip(true, number), CTL_PORT))
     }
 
-    /// Where clients ask a core machine where to go.
+    /// Address of a core machine's directory for clients.
     pub fn dir(&self, number: usize) -> SocketAddr {
         SocketAddr::from((self.ip(true, number), DIR_PORT))
     }
 
-    /// Where an edge takes requests.
+    /// Address at which an edge accepts requests.
     pub fn http(&self, number: usize) -> SocketAddr {
         SocketAddr::from((self.ip(false, number), HTTP_PORT))
     }
@@ -195,21 +195,21 @@
             "bounds": {"grace": "6s", "drain": "4000ms", "apply": "4000ms", "ttl_max": "5s"},
             "cloud_api": {"addr": self.plan.platform.to_string(), "per_s": self.plan.per_s, "max_lag": "500ms"}
         });
-        // What is JSON is YAML too.
+        // JSON is valid YAML.
         std::fs::write(self.file(role, number, "yaml"), settings.to_string())
     }
 
-    /// A program's settings file (`yaml`), or what it has written (`log`).
+    /// Path of a program's settings file (`yaml`) or log (`log`).
     pub fn file(&self, role: Role, number: usize, end: &str) -> PathBuf {
         self.plan
             .folder
             .join(format!("{}-{number}.{end}", role.program()))
     }
 
-    /// Starts a program, with the settings file as it stands.
+    /// Starts a program with its current settings file.
     ///
     /// # Errors
-    /// The program is not there, or can't be started.
+    /// The program is missing or can't be started.
     pub fn start(&mut self, role: Role, number: usize) -> io::Result<()> {
         let program = self.plan.programs.join(role.program());
         let log = File::options()
@@ -221,7 +221,7 @@
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log)
-            // A terminal's interrupt is for whoever started them.
+            // A terminal's interrupt must reach only the process that started the programs.
             .process_group(0)
             .spawn()
             .map_err(|error| {
@@ -250,17 +250,17 @@
         })
     }
 
-    /// Kills a program (SIGKILL) and waits for its end.
+    /// Kills a program (SIGKILL) and waits for its exit.
     pub fn kill(&mut self, role: Role, number: usize) {
         self.shutting_down.remove(&(role, number));
         if let Some(mut child) = self.running.remove(&(role, number)) {
-            // One that has ended already can't be killed, and that is as good.
+            // Killing a program that has already exited fails, which is harmless.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Tells a program to end (SIGTERM).
+    /// Asks a program to exit (SIGTERM).
     pub fn terminate(&mut self, role: Role, number: usize) {
         if self.is_running(role, number) {
             self.shutting_down.insert((role, number));
@@ -268,26 +268,26 @@
         self.signal(role, number, Signal::TERM);
     }
 
-    /// Tells a program that its settings file may have changed (SIGHUP).
+    /// Makes a program reload its settings file (SIGHUP).
     pub fn reload_settings(&self, role: Role, number: usize) {
         self.signal(role, number, Signal::HUP);
     }
 
-    /// Lets a program stand still (SIGSTOP): its connections stay up, and what comes waits.
+    /// Pauses a program (SIGSTOP): its connections stay open, and incoming data waits.
     pub fn pause(&self, role: Role, number: usize) {
         self.signal(role, number, Signal::STOP);
     }
 
-    /// Lets a program that stands still go on (SIGCONT).
+    /// Resumes a paused program (SIGCONT).
     pub fn resume(&self, role: Role, number: usize) {
         self.signal(role, number, Signal::CONT);
     }
 
-    /// Lets no file of a program grow beyond so many bytes; none: beyond any. A program that does not ignore SIGXFSZ
-    /// is ended by the first write beyond.
+    /// Limits the size of a program's files to `most` bytes; `None` lifts the limit. A program that does not ignore
+    /// SIGXFSZ is terminated by the first write beyond it.
     ///
     /// # Errors
-    /// It does not run, or the system refuses.
+    /// The program is not running, or the operating system refuses.
     pub fn limit_file_size(&self, role: Role, number: usize, most: Option<u64>) -> io::Result<()> {
         let pid = self.pid(role, number).ok_or(io::ErrorKind::NotFound)?;
         prlimit(
@@ -301,11 +301,11 @@
         Ok(())
     }
 
-    /// Lets a program open no further descriptor, so that it neither accepts nor opens connections; or as many as before. Its
-    /// present connections stay: one that is paused meanwhile loses them too, and is cut off while it runs.
+    /// Lets a program open no further descriptors, so that it neither accepts nor opens connections, or restores the
+    /// limit. Open connections stay; a program that is also paused loses them, and is then isolated while it runs.
     ///
     /// # Errors
-    /// It does not run, or the system refuses.
+    /// The program is not running, or the operating system refuses.
     pub fn refuse_connections(&self, role: Role, number: usize, refuse: bool) -> io::Result<()> {
         let pid = self.pid(role, number).ok_or(io::ErrorKind::NotFound)?;
         let own = getrlimit(Resource::Nofile);
@@ -315,10 +315,10 @@
         Ok(())
     }
 
-    /// What a program has used so far.
+    /// Resource usage of a program so far.
     ///
     /// # Errors
-    /// It does not run, or the system does not tell.
+    /// The program is not running, or `/proc` can't be read.
     pub fn usage(&self, role: Role, number: usize) -> io::Result<Usage> {
         let pid = self
             .pid(role, number)
@@ -351,12 +351,12 @@
 
     fn signal(&self, role: Role, number: usize, signal: Signal) {
         if let Some(pid) = self.pid(role, number) {
-            // One that has ended already is not there to be told.
+            // A program that has already exited needs no signal.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// How a program ended, if it does in time.
+    /// Waits for a program's exit and returns its status; `None` if it is still running at the deadline.
     pub fn wait_for_exit(
         &mut self,
         role: Role,
@@ -370,17 +370,17 @@
         Some(status)
     }
 
-    /// Whether a program was started and was not seen to end.
+    /// Whether a program was started and its exit has not been observed.
     pub fn is_running(&self, role: Role, number: usize) -> bool {
         self.running.contains_key(&(role, number))
     }
 
-    /// Whether a program was told to end and was not seen to end yet.
+    /// Whether a program was sent SIGTERM and its exit has not been observed yet.
     pub fn is_shutting_down(&self, role: Role, number: usize) -> bool {
         self.shutting_down.contains(&(role, number))
     }
 
-    /// Programs that have ended without being told, and the last that they wrote.
+    /// Programs whose exit has not been collected, with their status and last 30 log lines.
     pub fn unexpected_exits(&mut self) -> Vec<String> {
         let ended = |(at, child): (&(Role, usize), &mut Child)| {
             Some((*at, child.try_wait().ok().flatten()?))
@@ -395,7 +395,7 @@
         told.collect()
     }
 
-    /// Whether an edge says that it is ready.
+    /// Whether an edge reports ready.
     pub fn is_ready(&self, edge: usize) -> bool {
         self.readiness(edge) == Some(200)
     }
@@ -418,13 +418,14 @@
             .all(|edge| wait_for(until, || self.is_ready(edge).then_some(())).is_some())
     }
 
-    /// What a program has written so far.
+    /// A program's log so far.
     pub fn log(&self, role: Role, number: usize) -> String {
-        // Where there is none, nothing was written.
+        // Without a log file nothing has been written.
         std::fs::read_to_string(self.file(role, number, "log")).unwrap_or_default()
     }
 
-    /// Tells all to end, edges first, and kills what does not within its grace; names what did not end in order.
+    /// Asks all programs to exit, edges first, and kills those that do not within the shutdown grace; returns
+    /// those that did not exit in order.
     pub fn stop(&mut self) -> Vec<String> {
         let mut wrong = self.unexpected_exits();
         for role in [Role::Proxy, Role::Agent, Role::Control] {
@@ -460,8 +461,8 @@
     }
 }
 
-/// The folder of the built programs, by one that Cargo names to a test. Those of other packages stand beside it where
-/// the whole workspace is tested; where one package is, they are built first.
+/// The folder of the built programs, from the path of one that Cargo passes to a test. If the whole workspace is
+/// tested, programs of other packages are already there; if only one package is, they are built first.
 ///
 /// # Panics
 /// They can't be built.
--- a/crates/emulator/src/system/mod.rs
+++ b/crates/emulator/src/system/mod.rs
@@ -1,9 +1,9 @@
-//! The world of the whole system on loopback, by the protocol that the platform publishes.
+//! An emulated environment for the whole system on loopback, following the protocol that the platform publishes.
 //!
-//! `platform` and `server` decide without I/O and without a clock of their own; `town` puts both on sockets, on one
-//! thread, and counts what ran by the requests' ids. `calls` is a plain client, `operator` the one who sends
-//! configurations. `machines` writes settings files, starts the built programs and ends them; `whole` is all of it
-//! together, small, with a first configuration.
+//! `platform` and `server` do no I/O and read no clock; `fleet` serves both on sockets from one thread
+//! and counts executions by request id. `client` is a plain HTTP client, `operator` sends configurations. `machines`
+//! writes settings files, starts the built programs and stops them; `test_system` combines all of these into a small
+//! system with an initial configuration.
 
 pub mod client;
 pub mod fleet;
@@ -15,7 +15,7 @@
 
 use std::time::{Duration, Instant};
 
-/// Asks again and again until there is something or the time is up.
+/// Polls `ask` every 10 ms until it returns a value or `until` has passed.
 pub fn wait_for<T>(until: Instant, mut ask: impl FnMut() -> Option<T>) -> Option<T> {
     loop {
         match ask() {
--- a/crates/emulator/src/system/operator.rs
+++ b/crates/emulator/src/system/operator.rs
@@ -1,5 +1,5 @@
-//! The operator: sends configurations and evacuations to any control program until they are taken, and knows what must
-//! be read back.
+//! The operator: sends configurations and evacuations to any control program until they are accepted, and keeps what
+//! must be read back.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,17 +9,17 @@
 
 use super::client::{Failure, Reply, call};
 
-/// A call without an answer is given up after this.
+/// Time limit for the answer to one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// First pause after a call that came to nothing; each is longer by half.
+/// Pause after the first failed call; each further pause is longer by half.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Items that are set or dropped by one call.
+/// Items that one call sets or drops.
 #[derive(Clone, Debug, Default)]
 pub struct Change(Vec<(String, String, u64, Option<Value>)>);
 
 impl Change {
-    /// Sets an item; `kind` is the word for it in calls, and the name is empty for the limits.
+    /// Sets an item; `kind` is its type as named in calls, and the name is empty for the limits.
     #[must_use]
     pub fn set(mut self, kind: &str, name: &str, ver: u64, spec: Value) -> Change {
         self.0.push((kind.into(), name.into(), ver, Some(spec)));
@@ -56,12 +56,12 @@
 pub struct Operator {
     ctl: Vec<SocketAddr>,
     turn: usize,
-    /// What was acknowledged, by kind and name.
+    /// Acknowledged version and content, by kind and name.
     acknowledged: BTreeMap<(String, String), (u64, Option<Value>)>,
 }
 
 impl Operator {
-    /// One who knows these control programs.
+    /// An operator that calls the control programs at these addresses.
     pub fn new(ctl: Vec<SocketAddr>) -> Operator {
         Operator {
             ctl,
@@ -70,10 +70,10 @@
         }
     }
 
-    /// Sends a change until it is taken.
+    /// Sends a change until it is accepted.
     ///
     /// # Errors
-    /// It was refused, or not taken in time.
+    /// It was refused, or not accepted before the deadline.
     pub fn change(&mut self, change: &Change, until: Instant) -> Result<(), String> {
         self.call_until_accepted("POST", "/api/cfg/patch", &change.body(), until)?;
         for (kind, name, ver, spec) in &change.0 {
@@ -88,20 +88,20 @@
         Ok(())
     }
 
-    /// Has a zone evacuated, or taken back.
+    /// Begins or finishes the evacuation of a zone.
     ///
     /// # Errors
-    /// It was refused, or not taken in time.
+    /// It was refused, or not accepted before the deadline.
     pub fn evacuate(&mut self, zone: &str, begin: bool, until: Instant) -> Result<(), String> {
         let word = if begin { "begin" } else { "finish" };
         self.call_until_accepted("POST", &format!("/api/drain/{zone}/{word}"), "", until)
             .map(drop)
     }
 
-    /// What is read back and is not what was acknowledged, by name; nothing where all is well.
+    /// Names of the items that read back different from what was acknowledged.
     ///
     /// # Errors
-    /// There is no answer in time.
+    /// There is no answer before the deadline.
     pub fn differences(&mut self, until: Instant) -> Result<Vec<String>, String> {
         let reply = self.call_until_accepted("GET", "/api/cfg/get", "", until)?;
         let read: Value =
@@ -138,7 +138,7 @@
             .collect())
     }
 
-    /// Calls one control program after the other.
+    /// Calls the control programs in turn until one accepts.
     fn call_until_accepted(
         &mut self,
         method: &str,
@@ -147,7 +147,7 @@
         until: Instant,
     ) -> Result<Reply, String> {
         let (mut pause, mut refused) = (FIRST_RETRY_PAUSE, 0);
-        let mut last = "no control program is known".to_string();
+        let mut last = "no address of a control program configured".to_string();
         while Instant::now() < until && !self.ctl.is_empty() {
             let to = self.ctl[self.turn % self.ctl.len()];
             match call_following_redirects(to, method, path, body, until) {
@@ -171,7 +171,7 @@
     }
 }
 
-/// A call that follows 307 twice.
+/// Makes a call that follows at most two redirects with status 307.
 fn call_following_redirects(
     mut to: SocketAddr,
     method: &str,
--- a/crates/emulator/src/system/platform.rs
+++ b/crates/emulator/src/system/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers: told late, in pages, to so many calls a second.
+//! The platform's instance list: delayed, paginated and rate limited.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,42 +9,42 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// How the list is told.
+/// Configuration of the instance list.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformConfig {
-    /// What has changed is told so much later.
+    /// Delay after which a change becomes visible, in microseconds.
     pub lag: Micros,
-    /// Servers on a page.
+    /// Servers per page.
     pub page: usize,
-    /// Calls that are answered within a second.
+    /// Calls answered within any second; further ones get status 429.
     pub per_s: usize,
 }
 
-/// A server as the list names it.
+/// A server's entry in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its life's id.
+    /// Id of this incarnation of the server.
     pub id: String,
-    /// Its service.
+    /// Name of its service.
     pub svc: String,
-    /// Where it is reached.
+    /// Address at which it is reached.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Requests that it works on at a time.
+    /// Requests that it runs concurrently.
     pub slots: usize,
-    /// It leaves.
+    /// Whether it is draining.
     pub draining: bool,
-    /// When it is warm.
+    /// When its warm-up ends.
     pub warm_at: Micros,
 }
 
-/// The list.
+/// The instance list.
 #[derive(Debug)]
 pub struct Platform {
     make: PlatformConfig,
     entries: Vec<Entry>,
-    /// What is told from an instant on; the first holds now.
+    /// States of the list, each visible from its instant on; the first is the current one once its instant has passed.
     told: VecDeque<(Micros, Vec<Entry>)>,
     calls: VecDeque<Micros>,
 }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Changes the list; gives when that is told.
+    /// Changes the list; returns when the change becomes visible.
     pub fn change(&mut self, now: Micros, change: impl FnOnce(&mut Vec<Entry>)) -> Micros {
         change(&mut self.entries);
         let at = now + self.make.lag;
@@ -68,7 +68,7 @@
         at
     }
 
-    /// Answers a call: status and body.
+    /// Answers a call with a status and a body.
     pub fn answer(&mut self, now: Micros, method: &str, target: &str) -> (u16, String) {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         if method != "GET" || path != "/insts" {
--- a/crates/emulator/src/system/server.rs
+++ b/crates/emulator/src/system/server.rs
@@ -1,5 +1,5 @@
-//! A server of a service, without I/O: slots and a queue, the word on what it did not run, a seal on what it did, and
-//! troubles on order. What ran is counted by the requests' ids.
+//! A server of a service, without I/O: slots and a queue, a header that marks requests it did not run, a seal on those
+//! it ran, and injected faults. Executions are counted by request id.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -9,48 +9,48 @@
 use crate::node::{Admission, Job, Node, NodeConfig as Cores};
 use crate::serving::MALFORMED_ANSWER;
 
-/// What a server is.
+/// Configuration of a server.
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
-    /// Its service.
+    /// Name of its service.
     pub svc: String,
     /// Its zone.
     pub zone: String,
-    /// Requests that it works on at a time.
+    /// Requests that run concurrently.
     pub slots: usize,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub queue: usize,
-    /// Work of a request, unless it says otherwise in `X-Work-Ms`.
+    /// Work of a request in microseconds, unless `X-Work-Ms` sets another.
     pub work: Micros,
-    /// After a start it is cold for so long.
+    /// Warm-up time after a start, in microseconds.
     pub warmup: Micros,
-    /// It keeps an idle connection for so many seconds.
+    /// Seconds after which an idle connection is closed.
     pub keep_s: i64,
 }
 
 /// The path of health checks.
 pub const HEALTH_PATH: &str = "/healthz";
 
-/// What a server does wrong with an answer.
+/// A fault injected into an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerFault {
-    /// It resets the connection instead.
+    /// The connection is reset instead.
     Reset,
-    /// It ends the connection in the middle of the body.
+    /// The connection is closed in the middle of the body.
     Truncated,
-    /// It sends what is no answer.
+    /// Bytes that are not an HTTP answer are sent.
     Malformed,
-    /// It sends another answer behind it, which nobody asked for.
+    /// A second answer follows that belongs to no request.
     Unsolicited,
-    /// It sends the answer twice.
+    /// The answer is sent twice.
     Duplicated,
-    /// It never answers, and keeps the connection.
+    /// No answer is sent, and the connection stays open.
     NoAnswer,
-    /// It answers and forgets the connection at once, without a word.
+    /// The connection is closed right after the answer without `Connection: close`.
     ClosedUnannounced,
 }
 
-/// A request as a server reads it.
+/// The parts of a request that a server uses.
 #[derive(Clone, Debug)]
 pub struct ServerRequest<'a> {
     method: &'a str,
@@ -66,7 +66,7 @@
 }
 
 impl<'a> ServerRequest<'a> {
-    /// Of a request at the start of these bytes.
+    /// Extracts them from a request that is parsed from the start of `bytes`.
     pub fn of(request: &http::Request<'a>, bytes: &'a [u8]) -> ServerRequest<'a> {
         let http::Request {
             method,
@@ -96,7 +96,7 @@
     }
 }
 
-/// What a server's body says of the request that it ran: who sent it knows by this whether anything was changed.
+/// The description of a request that the server returns in the body, by which the sender detects alterations.
 pub fn echo(id: &str, method: &str, target: &str, tenant: &str, body: &[u8]) -> String {
     let mut hasher = DefaultHasher::new();
     body.hash(&mut hasher);
@@ -107,34 +107,34 @@
     )
 }
 
-/// What arrived at all servers and what came of it.
+/// Counts of arrivals and outcomes over all servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests, health checks left out.
+    /// Requests, not including health checks.
     pub arrived: u64,
     /// Ids that ran.
     pub ran: u64,
-    /// Ids of requests that may be repeated and ran more than once.
+    /// Ids of idempotent requests that ran more than once.
     pub repeated_idempotent: u64,
-    /// Ids of requests that may not be repeated and ran more than once.
+    /// Ids of non-idempotent requests that ran more than once.
     pub repeated_mutating: u64,
-    /// Requests turned away.
+    /// Requests rejected without being run.
     pub rejected: u64,
-    /// Requests for another server.
+    /// Requests meant for another instance.
     pub misdirected: u64,
-    /// Requests that showed a client's key.
+    /// Requests that carried a client's key.
     pub with_client_key: u64,
-    /// Requests that came too long after a server was told to be leaving.
+    /// Requests that arrived too long after the list showed the server as draining.
     pub after_drain: u64,
-    /// Answers that troubles befell.
+    /// Answers with an injected fault.
     pub faulty_answers: u64,
 }
 
-/// What ran, by id.
+/// Executions by request id.
 #[derive(Clone, Debug, Default)]
 pub struct RunLedger {
     runs: HashMap<String, u32>,
-    /// The numbers so far.
+    /// Counts so far.
     pub counts: Counts,
 }
 
@@ -150,37 +150,37 @@
         }
     }
 
-    /// How often a request ran.
+    /// Number of times that a request ran.
     pub fn runs(&self, id: &str) -> u32 {
         self.runs.get(id).copied().unwrap_or(0)
     }
 }
 
-/// What becomes of the connection behind an answer.
+/// What happens to the connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
-    /// It stays.
+    /// It stays open.
     Keep,
-    /// It ends.
+    /// It is closed.
     Close,
-    /// It is reset, and nothing of the answer goes out.
+    /// It is reset, and nothing of the answer is sent.
     Reset,
 }
 
-/// An answer, and what becomes of its connection.
+/// The bytes of an answer, and what happens to the connection after it.
 pub type AnswerAction = (Vec<u8>, ConnectionAction);
 
 #[derive(Debug)]
 struct PendingRequest {
     id: String,
-    /// None: a health check.
+    /// `None` for a health check.
     echo: Option<String>,
     repeatable: bool,
     close: bool,
     until: Micros,
 }
 
-/// A server in one life.
+/// One incarnation of a server.
 #[derive(Debug)]
 pub struct Server {
     make: ServerConfig,
@@ -189,16 +189,16 @@
     held: BTreeMap<u64, PendingRequest>,
     leaving: bool,
     warm_at: Micros,
-    /// What comes after this is late.
+    /// Requests that arrive after this instant are counted as too late.
     pub drain_announced_at: Option<Micros>,
-    /// What the next answers suffer.
+    /// Faults for the next answers, one each.
     pub pending_faults: VecDeque<AnswerFault>,
-    /// It stands still until then.
+    /// The server is frozen until this instant.
     pub frozen_until: Micros,
 }
 
 impl Server {
-    /// A server that starts now; `warm`: it has been there for long.
+    /// A server that starts now; if `warm`, without a warm-up.
     pub fn new(make: ServerConfig, id: String, now: Micros, warm: bool) -> Server {
         let cores = Cores {
             cores: make.slots,
@@ -222,28 +222,28 @@
         }
     }
 
-    /// Its id and what it is.
+    /// Its instance id and configuration.
     pub fn identity(&self) -> (&str, &ServerConfig) {
         (&self.id, &self.make)
     }
 
-    /// When it is warm.
+    /// When its warm-up ends.
     pub fn warm_at(&self) -> Micros {
         self.warm_at
     }
 
-    /// It leaves: it serves on, and its answers end their connections.
+    /// Starts draining: it continues to serve, and its answers close their connections.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Stands still until an instant.
+    /// Freezes the server until an instant.
     pub fn freeze(&mut self, now: Micros, until: Micros) {
         self.node.freeze(now, until);
         self.frozen_until = until;
     }
 
-    /// A request has come whole; gives the answer if there is one at once.
+    /// Handles a complete request; returns the answer if it is immediate.
     pub fn ask(
         &mut self,
         now: Micros,
@@ -302,7 +302,7 @@
         None
     }
 
-    /// When something happens next by itself.
+    /// When [`Server::poll`] has something to do next.
     pub fn next(&self) -> Option<Micros> {
         let deadline = self
             .held
@@ -312,7 +312,7 @@
         self.node.next().into_iter().chain(deadline).min()
     }
 
-    /// What has happened by now, one at a time: whoever brought the request, and the answer.
+    /// Returns what is due by now, one at a time: the token of the request, and the answer.
     pub fn poll(&mut self, now: Micros, ledger: &mut RunLedger) -> Option<(u64, AnswerAction)> {
         if now < self.frozen_until {
             return None;
@@ -323,7 +323,7 @@
             };
             return Some((job.token, self.done(now, &held, ledger)));
         }
-        // The last to have come first: it waits for those before it, and must not begin in their place now.
+        // Newest first: removing an older request first would let a newer, expired one start in its place.
         let token = *self
             .held
             .iter()
@@ -342,7 +342,7 @@
         Some((token, self.answer(504, Some(&held.id), "", b"", held.close)))
     }
 
-    /// Nobody waits any more: the connection has ended.
+    /// The connection of a request was closed: nobody waits for the answer any more.
     pub fn connection_closed(&mut self, now: Micros, token: u64, ledger: &mut RunLedger) {
         let Some(held) = self.held.remove(&token) else {
             return;
--- a/crates/emulator/src/system/test_system.rs
+++ b/crates/emulator/src/system/test_system.rs
@@ -1,5 +1,5 @@
-//! A whole system in small: the town, the machines with the built programs, the operator, and a first configuration of
-//! two services, two routes and a tenant.
+//! A small but complete system: the servers, the machines with the built programs, the operator, and an initial
+//! configuration of two services, two routes and a tenant.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,41 +14,41 @@
 use super::platform;
 use super::server::{HEALTH_PATH, ServerConfig};
 
-/// The host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "town.example";
-/// The tenant.
+/// Name of the tenant.
 pub const TENANT: &str = "guild";
-/// Its key.
+/// API key of the tenant.
 pub const TENANT_KEY: &str = "key-of-the-guild";
-/// Services.
+/// Names of the services.
 pub const SERVICES: [&str; 2] = ["bakery", "press"];
-/// The prefix of requests that may be repeated, and of those that may not.
+/// Path prefix of idempotent requests.
 pub const READ_PREFIX: &str = "/read/";
-/// Of those that may not.
+/// Path prefix of requests that must not be repeated.
 pub const WRITE_PREFIX: &str = "/write/";
-/// Calls a second that the platform takes.
+/// Calls per second that the platform accepts.
 const PLATFORM_CALLS_PER_S: usize = 20;
-/// The platform tells what changes so much later, in microseconds.
+/// Delay after which the platform's list shows a change, in microseconds.
 const PLATFORM_LAG_US: i64 = 300_000;
-/// Nothing comes to a server so long after it was told to be leaving, in microseconds.
+/// Time after the list shows a server as draining from which on no request may reach it, in microseconds.
 const DRAIN_US: i64 = 4_000_000;
-/// Servers of a service in each zone.
+/// Servers per service and zone.
 const SERVERS_PER_ZONE: usize = 2;
 
-/// How large it is.
+/// Size of the system.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Zones, each of a region of its own, with a core machine.
+    /// Number of zones, each in its own region and with one core machine.
     pub zones: usize,
-    /// Edges in each.
+    /// Edge machines per zone.
     pub edges: usize,
-    /// See [`Plan::net`].
+    /// See [`Layout::net`].
     pub net: (u8, u8),
 }
 
-/// All of it.
+/// A running system.
 pub struct TestSystem {
-    /// The platform's list and the servers.
+    /// The platform's instance list and the servers.
     pub fleet: Fleet,
     /// The machines.
     pub machines: Machines,
@@ -56,7 +56,7 @@
     pub operator: Operator,
 }
 
-/// A server of a service.
+/// Configuration of a server of a service.
 pub fn server_config(svc: &str, zone: &str) -> ServerConfig {
     let (svc, zone) = (svc.to_string(), zone.to_string());
     ServerConfig {
@@ -70,7 +70,7 @@
     }
 }
 
-/// A route to a service.
+/// Configuration of a route to a service.
 pub fn route(prefix: &str, svc: &str) -> Value {
     let kind = if prefix == WRITE_PREFIX {
         "mutating"
@@ -81,7 +81,7 @@
         "svc": svc, "tries": 3, "public": false, "pins": []})
 }
 
-/// The first configuration, all of version 1.
+/// The initial configuration, with all items at version 1.
 pub fn initial_configuration() -> Change {
     let service = json!({"hcheck": HEALTH_PATH, "maxconn": 200, "proto": "h1", "tls": false, "warmup": "1s", "cold_rate_s": 20.0});
     let services = SERVICES.iter().fold(Change::default(), |change, svc| {
@@ -105,10 +105,10 @@
 }
 
 impl TestSystem {
-    /// Starts all and waits until the first configuration is taken and all edges are ready.
+    /// Starts everything and waits until the initial configuration is accepted and all edges are ready.
     ///
     /// # Errors
-    /// What could not be had, or did not come about in time.
+    /// What could not be started, or was not ready in time.
     pub fn start(
         folder: &Path,
         programs: &Path,
@@ -155,17 +155,17 @@
         whole.operator.change(&initial_configuration(), until)?;
         if !whole.machines.wait_until_ready(until) {
             return Err(format!(
-                "not all edges were ready in time; ended: {}",
+                "not all edges became ready before the deadline; programs that exited: {}",
                 whole.machines.unexpected_exits().join("\n")
             ));
         }
         Ok(whole)
     }
 
-    /// Sends one request to an edge, without any further try.
+    /// Sends one request to an edge, without a retry.
     ///
     /// # Errors
-    /// There is no answer in time.
+    /// There is no answer before the deadline.
     pub fn send_request(&self, edge: usize, path: &str) -> Result<Reply, Failure> {
         static ASKED: AtomicU64 = AtomicU64::new(0);
         let id = format!("once-{}", ASKED.fetch_add(1, Ordering::Relaxed));
@@ -184,7 +184,7 @@
         )
     }
 
-    /// The service that runs a request to an edge; none where it has no success.
+    /// The service that answers a request to an edge; `None` unless the status is 200.
     pub fn served_by(&self, edge: usize, path: &str) -> Option<String> {
         let reply = self
             .send_request(edge, path)
@@ -194,7 +194,7 @@
     }
 }
 
-/// Lines of a client's request; `left`: the time it will wait, in milliseconds.
+/// Headers of a client's request; `left`: how long the client waits, in milliseconds.
 pub fn request_headers(id: &str, left: u128) -> String {
     format!(
         "Host: {HOST}\r\nAuthorization: Bearer {TENANT_KEY}\r\nX-Request-Id: {id}\r\nX-Time-Left: {left}\r\n"
