--- a/crates/emulator/src/counter/tests.rs
+++ b/crates/emulator/src/counter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn totals_end_with_their_incarnation_and_calls_wait_their_turn() {
+fn totals_expire_and_calls_wait_for_their_partition() {
     let mut counter = Counter::new(1, 1_000.0, 500);
     let one = call("/v2/numbers/a?delta=2.5&life_ms=10").unwrap();
     assert_eq!(counter.add(0, one), (2.5, 1_500));
--- a/crates/emulator/src/http/tests.rs
+++ b/crates/emulator/src/http/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn requests_are_whole_or_awaited() {
+fn incomplete_requests_are_awaited() {
     let bytes = b"POST /sign-off?a=1 HTTP/1.1\r\nX-Trace-Id: t\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhiGET";
     for cut in 0..bytes.len() - 3 {
         assert_eq!(request(&bytes[..cut]), Ok(None), "cut at {cut}");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn answers_of_every_framing_end_where_they_end() {
+fn answers_of_every_framing_have_the_right_length() {
     let cases: [(&[u8], usize); 4] = [
             (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 0),
             (b"HTTP/1.1 100 -\r\n\r\nHTTP/1.1 503 -\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n", 0),
--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_freeze_shifts_what_runs_by_its_length() {
+fn a_freeze_delays_running_requests_by_its_length() {
     let mut node = Node::new(MAKE, 0, true);
     assert_eq!(node.arrive(0, job(1, 100)), Admission::Admitted);
     node.freeze(40, 540);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_came_during_a_freeze_runs_without_anything_else_coming() {
+fn requests_queued_during_a_freeze_run_without_further_arrivals() {
     let mut node = Node::new(MAKE, 0, true);
     node.freeze(0, 500);
     node.arrive(100, job(1, 100));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_full_queue_turns_away_and_a_cold_node_takes_longer() {
+fn a_full_queue_rejects_and_a_cold_node_is_slower() {
     let mut node = Node::new(MAKE, 0, false);
     let took: Vec<_> = (0..4).map(|n| node.arrive(0, job(n, 100))).collect();
     assert_eq!(
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn util_is_the_busy_share_of_the_cores() {
+fn utilization_is_the_busy_share_of_the_cores() {
     let mut node = Node::new(MAKE, 0, true);
     node.arrive(0, job(1, 50));
     node.take_finished(50);
--- a/crates/emulator/src/node_list/tests.rs
+++ b/crates/emulator/src/node_list/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_watch_is_told_what_it_lacks() {
+fn a_watch_receives_the_changes_after_its_version() {
     let entry = |node, status| Entry {
         node,
         name: format!("s-{node}"),
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -1,5 +1,5 @@
-//! A world on loopback sockets: one thread, one loop. Each limiter reaches each party at an address of its own, so that
-//! a partition between two of them can be played, and what comes is known by whom it came from.
+//! Serves a world on loopback sockets from one event loop on one thread. Each limiter reaches each service at a
+//! separate address, so that partitions between the two can be emulated and the sender of each request is known.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Read, Write};
@@ -18,15 +18,15 @@
 use crate::reactor::{Reactor, Ready, WAKE_TOKEN, Waker, reserve_descriptors};
 use crate::world::{Counts, NodeRequest, Reply, Service, World, WorldEvent};
 
-/// Bytes taken from a socket at once.
+/// Bytes read from a socket at once.
 pub(crate) const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Connections that may wait with the system.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 4_096;
-/// Descriptors that room is made for ahead.
+/// Size to which the descriptor table is grown in advance.
 const RESERVED_DESCRIPTORS: usize = 16_384;
-/// Connections taken at a listener before others have their turn.
+/// Connections accepted at a listener before other events are handled.
 const MAX_ACCEPTS_PER_TURN: usize = 32;
-/// An answer that is none.
+/// Bytes sent in place of an HTTP answer.
 pub(crate) const MALFORMED_ANSWER: &[u8] = b"\x00\x01noise that is no answer\r\n\r\n";
 
 enum Command {
@@ -34,10 +34,10 @@
     Stop,
 }
 
-/// Addresses by service and limiter.
+/// Listening addresses by service and limiter.
 pub type Addresses = BTreeMap<(Service, usize), SocketAddr>;
 
-/// A world that is being served on a thread of its own.
+/// A world served on a dedicated thread.
 pub struct WorldServer {
     addresses: Arc<Mutex<Addresses>>,
     lists: Vec<String>,
@@ -47,10 +47,10 @@
 }
 
 impl WorldServer {
-    /// Opens all sockets and serves. The plan must have been checked.
+    /// Opens all listeners and starts serving. The plan must have been validated.
     ///
     /// # Errors
-    /// The system's, most often for want of descriptors.
+    /// Errors of the operating system, most often a lack of file descriptors.
     pub fn start(plan: &WorldPlan, seed: u64, limiters: usize) -> io::Result<WorldServer> {
         let unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Where a limiter reaches a service.
+    /// Address at which a limiter reaches a service.
     pub fn address(&self, service: Service, limiter: usize) -> Option<SocketAddr> {
         let addresses = self
             .addresses
@@ -102,19 +102,19 @@
         addresses.get(&(service, limiter)).copied()
     }
 
-    /// The list of nodes at the start, as discovery tells it to a limiter.
+    /// The initial list of nodes, as discovery sends it to a limiter.
     pub fn list(&self, limiter: usize) -> Option<&str> {
         self.lists.get(limiter).map(String::as_str)
     }
 
-    /// The load begins: faults come by the plan from now on, over so long.
+    /// Starts the load: schedules the plan's faults from now on for `span` microseconds.
     pub fn begin(&self, span: Micros) {
-        // A world that has ended has no faults any more.
+        // The send fails only after the thread has ended, when there are no faults to start.
         let _ = self.orders.send(Command::Begin(span));
         self.waker.wake();
     }
 
-    /// Ends the world, and says what had arrived.
+    /// Stops the world and returns its counts.
     pub fn stop(mut self) -> Counts {
         self.end()
     }
@@ -146,7 +146,7 @@
     Line(Connection),
 }
 
-/// A connection. What it is owed goes out in order.
+/// A connection. Its answers are sent in the order of the requests.
 struct Connection {
     service: Service,
     limiter: usize,
@@ -154,7 +154,7 @@
     read: Vec<u8>,
     write: Vec<u8>,
     pending_answers: VecDeque<(u64, Option<Vec<u8>>)>,
-    /// A watch, and the version it has been told.
+    /// For a watch, the version last sent.
     watch: Option<u64>,
     close: bool,
 }
@@ -170,11 +170,11 @@
     body: Vec<u8>,
     beat: Micros,
     serial: u64,
-    /// Listeners that have more to be taken.
+    /// Listeners with possibly more connections to accept.
     more: Vec<usize>,
 }
 
-/// A token holds the line's slot and a serial number, so that a late answer finds no other line.
+/// The slot in a token. A token also holds a serial number, so that a late answer can't reach another connection.
 pub(crate) fn slot(token: u64) -> usize {
     (token >> 32) as usize
 }
@@ -206,7 +206,7 @@
         self.world.list(from, address)
     }
 
-    /// Listens for a service, at the addresses that it had if it had any.
+    /// Listens for a service, at its previous addresses if it had any.
     fn open(&mut self, service: Service) -> io::Result<()> {
         for limiter in 0..self.world.limiters().max(1) {
             let mut addresses = self
@@ -230,17 +230,20 @@
 
     fn run(mut self, orders: &mpsc::Receiver<Command>) -> Counts {
         let mut ready: Vec<Ready> = Vec::new();
-        let mut beat_at = self.beat;
+        let mut heartbeat_at = self.beat;
         self.reactor.set_precise_timer();
         loop {
-            let next = self.world.next().map_or(beat_at, |at| at.min(beat_at));
+            let next = self
+                .world
+                .next()
+                .map_or(heartbeat_at, |at| at.min(heartbeat_at));
             let wait = if self.more.is_empty() {
                 next - self.now()
             } else {
                 0
             };
             if self.reactor.wait(Some(wait), &mut ready).is_err() {
-                // Guards against a loop that fails at once for ever.
+                // Keeps a persistent error from turning into a busy loop.
                 std::thread::sleep(Duration::from_millis(1));
             }
             for event in &ready {
@@ -252,7 +255,7 @@
                         }
                     }
                 } else {
-                    self.ready(event);
+                    self.handle_readiness(event);
                 }
             }
             for at in std::mem::take(&mut self.more) {
@@ -261,23 +264,23 @@
                 }
             }
             let now = self.now();
-            while let Some(word) = self.world.poll(now) {
-                self.apply_event(now, word);
+            while let Some(event) = self.world.poll(now) {
+                self.apply_event(now, event);
             }
-            if now >= beat_at {
-                beat_at = now + self.beat;
+            if now >= heartbeat_at {
+                heartbeat_at = now + self.beat;
                 self.notify_watchers(now, true);
             }
         }
     }
 
-    fn ready(&mut self, event: &Ready) {
+    fn handle_readiness(&mut self, event: &Ready) {
         let at = event.token as usize;
         match self.doors.get_mut(at) {
             Some(Endpoint::Listener { .. }) => self.accept(at),
             Some(Endpoint::Line(line)) => {
-                let kept = !event.writable || line.flush();
-                if !kept || (event.readable && !self.read(at, event.ended)) {
+                let is_open = !event.writable || line.flush();
+                if !is_open || (event.readable && !self.read(at, event.ended)) {
                     self.close(at);
                 }
             }
@@ -296,8 +299,8 @@
                 return;
             };
             let (service, limiter) = (*service, *limiter);
-            // Any error ends this turn: no more are waiting, or the system has no room now and the next one that
-            // comes tries again.
+            // Any error ends this pass: either none are pending, or the system lacks resources and the next arrival
+            // triggers another attempt.
             let Ok((socket, _)) = socket.accept() else {
                 return;
             };
@@ -328,8 +331,8 @@
         self.more.push(at);
     }
 
-    /// Takes in what has come; whether the line stays.
-    fn read(&mut self, at: usize, to_the_end: bool) -> bool {
+    /// Reads and handles available data; returns whether the connection stays open.
+    fn read(&mut self, at: usize, until_eof: bool) -> bool {
         loop {
             let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
                 return true;
@@ -338,10 +341,10 @@
                 Ok(0) => return false,
                 Ok(length) => {
                     line.read.extend_from_slice(&self.buffer[..length]);
-                    if !self.requests(at) {
+                    if !self.handle_requests(at) {
                         return false;
                     }
-                    if length < READ_BUFFER_BYTES && !to_the_end {
+                    if length < READ_BUFFER_BYTES && !until_eof {
                         return true;
                     }
                 }
@@ -352,16 +355,16 @@
         }
     }
 
-    /// Takes up whole requests; whether the line stays.
-    fn requests(&mut self, at: usize) -> bool {
+    /// Handles complete requests; returns whether the connection stays open.
+    fn handle_requests(&mut self, at: usize) -> bool {
         let now = self.now();
         let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
             return true;
         };
-        // Taken out, so that what it holds can be lent to the world beside the line.
+        // Moved out so that requests borrowed from it can be passed to the world while the connection is modified.
         let mut bytes = std::mem::take(&mut line.read);
         let mut used = 0;
-        let kept = loop {
+        let is_open = loop {
             let request = match http::request(&bytes[used..]) {
                 Ok(Some(request)) => request,
                 Ok(None) => break true,
@@ -426,7 +429,7 @@
         if let Some(Endpoint::Line(line)) = self.doors.get_mut(at) {
             line.read = bytes;
         }
-        kept
+        is_open
     }
 
     fn answer_discovery(&mut self, at: usize, token: u64, target: &str) {
@@ -468,7 +471,7 @@
                 continue;
             };
             self.watchers.push(at);
-            // Silence while it is cut off or stands still; the next beat tells what was missed.
+            // Nothing is sent during a partition or freeze; the next heartbeat carries the missed changes.
             if self
                 .world
                 .blocked_until(Service::Discovery, limiter, now)
@@ -495,8 +498,8 @@
         }
     }
 
-    fn apply_event(&mut self, now: Micros, word: WorldEvent) {
-        match word {
+    fn apply_event(&mut self, now: Micros, event: WorldEvent) {
+        match event {
             WorldEvent::Answer(token, reply) => {
                 let mut out = Vec::with_capacity(128 + self.body.len());
                 match reply {
@@ -526,7 +529,7 @@
                 let lines: Vec<usize> = self.doors.iter().filter_map(of).collect();
                 for at in lines {
                     if let Some(Endpoint::Line(line)) = self.doors.get(at) {
-                        // With no time to linger a close is a reset.
+                        // With a linger time of zero, closing resets the connection.
                         let _ = SockRef::from(&line.socket).set_linger(Some(Duration::ZERO));
                     }
                     self.close(at);
@@ -541,7 +544,7 @@
                 let listens = |door: &Endpoint| matches!(door, Endpoint::Listener { service: s, .. } if *s == service);
                 if !self.doors.iter().any(|(_, door)| listens(door)) && self.open(service).is_err()
                 {
-                    eprintln!("stand-ins: cannot listen again for {service:?}");
+                    eprintln!("emulator: cannot reopen the listeners of {service:?}");
                 }
             }
             WorldEvent::ListChanged => self.notify_watchers(now, false),
@@ -590,7 +593,7 @@
     }
 }
 
-/// Writes what can be written; whether the line stays.
+/// Writes as much as possible; returns whether the connection stays open.
 pub(crate) fn flush(socket: &mut TcpStream, bytes: &mut Vec<u8>) -> bool {
     while !bytes.is_empty() {
         match socket.write(bytes) {
--- a/crates/emulator/src/system/fleet.rs
+++ b/crates/emulator/src/system/fleet.rs
@@ -111,7 +111,7 @@
         self.platform
     }
 
-    /// Starts a server, at `at` if given (the address of one that was stopped), and returns its number.
+    /// Starts a server, at `at` if answers (the address of one that was stopped), and returns its number.
     ///
     /// # Errors
     /// The address can't be bound.
@@ -230,7 +230,7 @@
 
 fn run(host: &Mutex<Host>, reactor: &Reactor, stop: &AtomicBool) {
     let mut ready: Vec<Ready> = Vec::new();
-    let mut room = vec![0; READ_BUFFER_BYTES];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     let lock = || host.lock().unwrap_or_else(PoisonError::into_inner);
     while !stop.load(Ordering::Relaxed) {
         let wait = lock().wait();
@@ -242,8 +242,8 @@
         ready
             .iter()
             .filter(|event| event.token != WAKE_TOKEN)
-            .for_each(|event| host.ready(event, &mut room));
-        host.turn(&mut room);
+            .for_each(|event| host.ready(event, &mut buffer));
+        host.run_due_work(&mut buffer);
     }
 }
 
@@ -272,35 +272,35 @@
         Ok(at)
     }
 
-    fn turn(&mut self, room: &mut [u8]) {
+    fn run_due_work(&mut self, buffer: &mut [u8]) {
         let now = self.now();
-        let mut given: Vec<(u64, AnswerAction)> = Vec::new();
+        let mut answers: Vec<(u64, AnswerAction)> = Vec::new();
         for (_, server) in self.servers.values_mut() {
             while let Some(one) = server.poll(now, &mut self.ledger) {
-                given.push(one);
+                answers.push(one);
             }
         }
-        given
+        answers
             .into_iter()
-            .for_each(|(token, given)| self.give(token, given));
+            .for_each(|(token, answers)| self.send_answer(token, answers));
         let stands = |host: &Host, n: &usize| {
             host.servers
                 .get(n)
                 .is_some_and(|(_, s)| s.frozen_until > now)
         };
-        let (frozen, thawed): (Vec<_>, Vec<_>) = std::mem::take(&mut self.frozen)
+        let (frozen, resumed): (Vec<_>, Vec<_>) = std::mem::take(&mut self.frozen)
             .into_iter()
             .partition(|n| stands(self, n));
         self.frozen = frozen;
-        let of = |line: &Connection| line.at.is_some_and(|at| thawed.contains(&at));
-        let lines: Vec<usize> = self
+        let of = |line: &Connection| line.at.is_some_and(|at| resumed.contains(&at));
+        let connections: Vec<usize> = self
             .doors
             .iter()
             .filter(|(_, d)| matches!(d, Endpoint::Line(l) if of(l)))
             .map(|(at, _)| at)
             .collect();
-        for at in lines {
-            self.look(at, true, room);
+        for at in connections {
+            self.drive_connection(at, true, buffer);
         }
         let servers = &self.servers;
         self.doors.retain(|_, door| match door {
@@ -319,11 +319,11 @@
         });
     }
 
-    fn ready(&mut self, event: &Ready, room: &mut [u8]) {
+    fn ready(&mut self, event: &Ready, buffer: &mut [u8]) {
         let at = event.token as usize;
         match self.doors.get(at) {
             Some(Endpoint::Listener(..)) => self.accept(at),
-            Some(Endpoint::Line(_)) => self.look(at, event.readable, room),
+            Some(Endpoint::Line(_)) => self.drive_connection(at, event.readable, buffer),
             None => {}
         }
     }
@@ -360,7 +360,7 @@
     }
 
     /// Writes and reads as far as possible; does nothing at a frozen server.
-    fn look(&mut self, at: usize, readable: bool, room: &mut [u8]) {
+    fn drive_connection(&mut self, at: usize, readable: bool, buffer: &mut [u8]) {
         let now = self.now();
         let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
             return;
@@ -372,18 +372,18 @@
         {
             return;
         }
-        let mut stays = flush(&mut line.socket, &mut line.write);
-        while stays && readable {
-            match line.socket.read(room) {
-                Ok(0) => stays = false,
-                Ok(length) => line.read.extend_from_slice(&room[..length]),
+        let mut is_open = flush(&mut line.socket, &mut line.write);
+        while is_open && readable {
+            match line.socket.read(buffer) {
+                Ok(0) => is_open = false,
+                Ok(length) => line.read.extend_from_slice(&buffer[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => stays = false,
+                Err(_) => is_open = false,
             }
         }
         line.heard = now;
-        if !stays || (line.close && line.write.is_empty()) {
+        if !is_open || (line.close && line.write.is_empty()) {
             return self.close(at);
         }
         self.request(at);
@@ -408,7 +408,7 @@
         let token = ((at as u64) << 32) | (self.serial & 0xffff_ffff);
         line.owed = Some(token);
         let length = request.length;
-        let given = match line.at {
+        let answers = match line.at {
             None => {
                 let (status, body) = self.platform.answer(now, request.method, request.target);
                 let mut out = Vec::new();
@@ -443,10 +443,12 @@
         if let Some(Endpoint::Line(line)) = self.doors.get_mut(at) {
             line.read = bytes;
         }
-        given.into_iter().for_each(|given| self.give(token, given));
+        answers
+            .into_iter()
+            .for_each(|answers| self.send_answer(token, answers));
     }
 
-    fn give(&mut self, token: u64, (bytes, then): AnswerAction) {
+    fn send_answer(&mut self, token: u64, (bytes, then): AnswerAction) {
         let (at, now) = (slot(token), self.now());
         let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
             return;
@@ -462,7 +464,7 @@
         }
         line.write.extend_from_slice(&bytes);
         line.close = then == ConnectionAction::Close;
-        self.look(at, false, &mut []);
+        self.drive_connection(at, false, &mut []);
     }
 
     fn close(&mut self, at: usize) {
--- a/crates/emulator/src/system/platform/tests.rs
+++ b/crates/emulator/src/system/platform/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_list_lags_comes_in_pages_and_takes_so_many_calls() {
+fn the_list_is_delayed_paginated_and_rate_limited() {
     let mut platform = Platform::new(PlatformConfig {
         lag: 500,
         page: 2,
--- a/crates/emulator/src/system/server/tests.rs
+++ b/crates/emulator/src/system/server/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_was_not_run_is_said_and_what_ran_is_sealed_and_counted() {
+fn rejected_requests_are_marked_and_executed_ones_are_sealed_and_counted() {
     let (mut server, mut ledger) = server();
     assert!(ask(&mut server, &mut ledger, 1, "POST", "X-Request-Id: a\r\n").is_none());
     assert!(ask(&mut server, &mut ledger, 2, "POST", "X-Request-Id: a\r\n").is_none());
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_waited_until_its_time_was_up_has_not_run_and_what_ran_so_long_has() {
+fn requests_that_expire_in_the_queue_have_not_run_and_running_ones_have() {
     let (mut server, mut ledger) = server();
     ask(
         &mut server,
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn troubles_befall_the_next_answers_in_their_order() {
+fn injected_faults_apply_to_the_next_answers_in_order() {
     let (mut server, mut ledger) = server();
     let all = [
         AnswerFault::Reset,
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,4 +1,4 @@
-//! The world's parties together, without I/O: what comes is told with the time, what happens is asked for.
+//! The emulated services together, without I/O: callers report arrivals with the time and poll for events.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -15,10 +15,10 @@
 use crate::node_list::{Entry, NodeList, Status};
 use crate::plan::WorldPlan;
 
-/// After a drain has been told, a limiter has this long; then what still comes is counted.
+/// Time after the publication of a drain in which requests may still arrive; later ones are counted.
 const DRAIN_GRACE: Micros = 2_050_000;
 
-/// Someone who listens.
+/// An emulated service with listeners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Service {
     /// A records node, by its number.
@@ -32,85 +32,85 @@
 /// A request to a records node.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeRequest<'a> {
-    /// The node.
+    /// Number of the node.
     pub node: usize,
-    /// The limiter that it came from, by its number.
+    /// Number of the limiter that sent it.
     pub limiter: usize,
-    /// Whoever brings it knows it by this.
+    /// Identifies the request to the caller.
     pub token: u64,
-    /// The request's id.
+    /// Request id.
     pub id: &'a str,
-    /// Its key, where it has one.
+    /// Idempotency key, if any.
     pub key: Option<&'a str>,
-    /// Its work, if it names one.
+    /// Requested work in microseconds, if any.
     pub work: Option<Micros>,
 }
 
-/// What is answered.
+/// Content of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
-    /// A node has done the work.
+    /// A node completed the work.
     Served,
-    /// A node has failed at it.
+    /// A node failed.
     Error,
-    /// A node has not begun it.
+    /// A node rejected the request without running it.
     Rejected,
-    /// The counter's total.
+    /// Total of a counter call.
     Total(f64),
-    /// A probe's: how busy.
+    /// Utilization for a probe, 0 to 1.
     Util(f64),
-    /// Bytes that are no answer.
+    /// Bytes that are not an HTTP answer.
     Noise,
 }
 
-/// What happens.
+/// An event for the code that serves the world.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorldEvent {
-    /// An answer goes out.
+    /// Send an answer to the request with this token.
     Answer(u64, Reply),
-    /// All open connections of a service are reset.
+    /// Reset all open connections of a service.
     Reset(Service),
-    /// A service takes no new connections.
+    /// Stop accepting connections for a service.
     StopListening(Service),
-    /// A service takes connections (again).
+    /// Start accepting connections for a service.
     Open(Service),
-    /// Discovery has news for its watches.
+    /// The list of nodes has changed: notify the watches.
     ListChanged,
 }
 
-/// What arrived at the nodes and what came of it, as numbers.
+/// Counts of arrivals and outcomes at the nodes, the counter and discovery.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Counts {
-    /// Requests that arrived whole at a node.
+    /// Complete requests that arrived at a node.
     pub arrived: u64,
-    /// Ids that arrived, each counted once.
+    /// Distinct ids that arrived.
     pub ids: u64,
-    /// Arrivals of an id that had arrived before.
+    /// Arrivals of an id that had already arrived.
     pub again: u64,
-    /// Arrivals while an earlier attempt of the same id was out.
+    /// Arrivals while an earlier attempt with the same id was outstanding.
     pub copies: u64,
-    /// Arrivals with a key.
+    /// Arrivals with an idempotency key.
     pub keyed: u64,
-    /// Of these, repeats that a rack knew and dropped.
+    /// Of these, repeats dropped because their rack knew the key.
     pub dropped: u64,
-    /// Keys whose work was begun more than once.
+    /// Keys whose work was started more than once.
     pub keys_twice: u64,
     /// Requests served.
     pub served: u64,
     /// Requests that ended in an error.
     pub errors: u64,
-    /// Requests turned away.
+    /// Requests rejected without being run.
     pub turned_away: u64,
-    /// Requests that nobody waited for any more when their work ended.
+    /// Requests whose client had stopped waiting when their work ended.
     pub for_nobody: u64,
-    /// Arrivals at a node later than 2 s after its drain or end was told.
+    /// Arrivals at a node later than the grace of 2.05 s after its drain or removal was published.
     pub after_drain: u64,
-    /// Answers spoilt.
+    /// Answers replaced by malformed bytes.
     pub spoilt: u64,
-    /// Calls of the counter.
+    /// Calls to the counter.
     pub calls: u64,
-    /// Calls of the counter by limiter, second by second from instant 0: who calls it when. Bounded by the run's
-    /// length and the limiters' count.
+    /// Calls to the counter per limiter and second from instant 0. Its size is bounded by the run's length and the
+    /// number of limiters.
     #[serde(default)]
     pub calls_by: Vec<Vec<u64>>,
     /// Probes.
@@ -173,11 +173,11 @@
     unix_ms: i64,
 }
 
-/// A map in many parts: one part that grows stands still for a thousandth of the time that the whole would, which at
-/// some hundred thousand ids is tens of milliseconds in which nobody is answered.
+/// A map split into shards: growing one shard takes a thousandth of the time of growing the whole map, which at some
+/// hundred thousand ids would stop all answers for tens of milliseconds.
 struct ShardedMap<T>(Vec<HashMap<u64, T>>);
 
-/// Parts of such a map.
+/// Shards of a [`ShardedMap`].
 const SHARDS: u64 = 1_024;
 
 impl<T: Default> ShardedMap<T> {
@@ -197,8 +197,8 @@
 }
 
 impl World {
-    /// A world at rest at an instant. Its faults begin with [`World::begin`]. `unix_ms`: what a wall clock would say
-    /// at instant 0, for the starts that discovery tells.
+    /// A world at instant 0 without faults; [`World::begin`] starts them. `unix_ms`: Unix time at instant 0, from which
+    /// discovery's start times are computed.
     pub fn new(plan: &WorldPlan, seed: u64, limiters: usize, unix_ms: i64) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut world = World {
@@ -225,12 +225,12 @@
             plan: plan.clone(),
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
-        (0..plan.nodes.count).for_each(|n| world.found(0, n / plan.nodes.rack, true));
+        (0..plan.nodes.count).for_each(|n| world.add_node(0, n / plan.nodes.rack, true));
         world.roster = NodeList::new(world.nodes.iter().map(|n| n.entry.clone()).collect());
         world
     }
 
-    fn found(&mut self, now: Micros, rack: usize, warm: bool) {
+    fn add_node(&mut self, now: Micros, rack: usize, warm: bool) {
         let p = &self.plan.nodes;
         let make = NodeConfig {
             cores: p.cores,
@@ -259,15 +259,15 @@
         });
     }
 
-    /// The load begins: the faults of the plan come from now on, over so long.
+    /// Starts the load: schedules the plan's faults from now on for `span` microseconds.
     pub fn begin(&mut self, now: Micros, span: Micros) {
-        let laid = schedule_faults(
+        let scheduled = schedule_faults(
             &self.plan.faults,
             self.plan.nodes.count,
             span,
             &mut self.rng,
         );
-        self.turns = laid
+        self.turns = scheduled
             .into_iter()
             .map(|t| FaultEvent {
                 at: t.at + now,
@@ -276,7 +276,7 @@
             .collect();
     }
 
-    /// Everyone who listens.
+    /// All services, including those of replaced nodes.
     pub fn services(&self) -> Vec<Service> {
         (0..self.nodes.len())
             .map(Service::Node)
@@ -284,12 +284,12 @@
             .collect()
     }
 
-    /// Limiters that the world serves.
+    /// Number of limiters that the world serves.
     pub fn limiters(&self) -> usize {
         self.limiters
     }
 
-    /// What a watch or a look at the list is told.
+    /// The JSON list of nodes for a watch or a single request.
     pub fn list(&self, from: Option<u64>, address: impl Fn(usize) -> String) -> String {
         self.roster.changes_since(from, address)
     }
@@ -299,7 +299,7 @@
         self.roster.index()
     }
 
-    /// Until when nothing passes between a service and a limiter, if so.
+    /// Until when no data passes between a service and a limiter; `None` if it does.
     pub fn blocked_until(&self, service: Service, limiter: usize, now: Micros) -> Option<Micros> {
         let cut = self
             .partitioned_until
@@ -318,7 +318,7 @@
         self.gates.entry(service).or_insert(NO_FAULTS)
     }
 
-    /// A request has arrived whole at a node.
+    /// Handles a complete request to a node.
     pub fn ask(&mut self, now: Micros, ask: NodeRequest<'_>) {
         let id = hash_of(ask.id);
         let Some(served) = self.nodes.get_mut(ask.node) else {
@@ -358,8 +358,8 @@
         );
     }
 
-    /// A node takes a request up: work that its rack knows by the key is dropped, and what is turned away leaves no
-    /// trace, since it never ran.
+    /// Submits a request to a node. Work whose key its rack knows is dropped; the key of a rejected request is not
+    /// recorded, since the request never ran.
     fn start_request(
         &mut self,
         now: Micros,
@@ -389,7 +389,7 @@
         taken
     }
 
-    /// A call of the counter has arrived whole.
+    /// Handles a complete call to the counter.
     pub fn count(&mut self, now: Micros, limiter: usize, token: u64, call: Call<'_>) {
         self.counts.calls += 1;
         let second = usize::try_from(now / 1_000_000).unwrap_or(0);
@@ -402,7 +402,7 @@
         self.deliver(now, Service::Counter, limiter, held);
     }
 
-    /// A probe has arrived whole.
+    /// Handles a complete probe of a node.
     pub fn probe(&mut self, now: Micros, node: usize, limiter: usize, token: u64) {
         self.counts.probes += 1;
         self.deliver(
@@ -464,7 +464,7 @@
             .insert((at, self.serial), (service, limiter, token, reply));
     }
 
-    /// Nobody waits for this any more: its connection has ended.
+    /// The connection of a request was closed: nobody waits for the answer any more.
     pub fn connection_closed(&mut self, now: Micros, token: u64) {
         if let Some((node, _, id)) = self.out.remove(&token) {
             self.nodes[node].node.abandon(now, token);
@@ -477,7 +477,7 @@
         *open = open.saturating_sub(1);
     }
 
-    /// When something happens next by itself.
+    /// When [`World::poll`] has something to do next.
     pub fn next(&self) -> Option<Micros> {
         let nodes = self.nodes.iter().filter_map(|n| n.node.next());
         let firsts = [
@@ -488,7 +488,7 @@
         nodes.chain(firsts.into_iter().flatten()).min()
     }
 
-    /// What has happened by now, one at a time; `None` when there is nothing more.
+    /// Returns the events that are due by now, one at a time; `None` if there are no more.
     pub fn poll(&mut self, now: Micros) -> Option<WorldEvent> {
         loop {
             if let Some(word) = self.words.pop_front() {
@@ -496,7 +496,7 @@
             }
             if self.turns.front().is_some_and(|t| t.at <= now) {
                 let turn = self.turns.pop_front()?;
-                self.turn(now, turn);
+                self.apply_fault_event(now, turn);
                 continue;
             }
             if self.roster.next().is_some_and(|at| at <= now) && self.roster.tell(now) {
@@ -529,12 +529,12 @@
             }
             return Some(WorldEvent::Answer(
                 token,
-                self.sent(now, service, token, reply),
+                self.finish_reply(now, service, token, reply),
             ));
         }
     }
 
-    fn sent(&mut self, now: Micros, service: Service, token: u64, reply: Reply) -> Reply {
+    fn finish_reply(&mut self, now: Micros, service: Service, token: u64, reply: Reply) -> Reply {
         if let Some((_, _, id)) = self.out.remove(&token) {
             self.closed(id);
         }
@@ -552,7 +552,7 @@
         reply
     }
 
-    fn turn(&mut self, now: Micros, turn: FaultEvent) {
+    fn apply_fault_event(&mut self, now: Micros, turn: FaultEvent) {
         let service = match turn.party {
             FaultTarget::Node(number) => Service::Node(number),
             FaultTarget::Counter => Service::Counter,
@@ -579,7 +579,7 @@
                 gate.refuse_until = gate.refuse_until.max(until);
                 self.words.push_back(WorldEvent::StopListening(service));
             }
-            FaultKind::Reset => self.reset(service),
+            FaultKind::Reset => self.reset_connections(service),
             FaultKind::Hang => {
                 let gate = self.gate_mut(service);
                 gate.hang_until = gate.hang_until.max(until);
@@ -594,7 +594,7 @@
                 let gate = self.gate_mut(service);
                 gate.down_until = gate.down_until.max(until);
                 self.words.push_back(WorldEvent::StopListening(service));
-                self.reset(service);
+                self.reset_connections(service);
             }
             FaultKind::Drain | FaultKind::Replace => {
                 let Service::Node(number) = service else {
@@ -602,14 +602,14 @@
                 };
                 if turn.kind == FaultKind::Replace {
                     let rack = self.nodes[number].entry.rack;
-                    self.found(now, rack, false);
+                    self.add_node(now, rack, false);
                     let newest = self.nodes.len() - 1;
                     self.words
                         .push_back(WorldEvent::Open(Service::Node(newest)));
-                    self.tell(now, newest, Status::Ready);
+                    self.publish_status(now, newest, Status::Ready);
                 }
                 self.nodes[number].node.drain(true);
-                self.tell(now, number, Status::Terminating);
+                self.publish_status(now, number, Status::Terminating);
             }
             FaultKind::Partition => {
                 let cut = self
@@ -618,12 +618,12 @@
                     .or_insert(until);
                 *cut = (*cut).max(until);
             }
-            // Only a limiter pauses, and that is not the world's to do.
+            // Pauses apply to limiters only and are carried out outside the world.
             FaultKind::Pause => {}
         }
     }
 
-    /// A fault's end, unless another one of its kind goes on.
+    /// Ends a fault unless another one of its kind is still active.
     fn end_fault(&mut self, now: Micros, service: Service, turn: FaultEvent) {
         let gate = self.gate(service);
         match turn.kind {
@@ -632,7 +632,7 @@
             FaultKind::Die => {
                 self.restart_service(now, service);
                 if let Service::Node(number) = service {
-                    self.tell(now, number, Status::Ready);
+                    self.publish_status(now, number, Status::Ready);
                 }
                 self.words.push_back(WorldEvent::Open(service));
             }
@@ -641,14 +641,14 @@
                 let Service::Node(number) = service else {
                     return;
                 };
-                self.reset(service);
+                self.reset_connections(service);
                 if turn.kind == FaultKind::Replace {
                     self.gate_mut(service).gone = true;
                     self.words.push_back(WorldEvent::StopListening(service));
-                    self.tell(now, number, Status::Gone);
+                    self.publish_status(now, number, Status::Gone);
                 } else {
                     self.restart_service(now, service);
-                    self.tell(now, number, Status::Ready);
+                    self.publish_status(now, number, Status::Ready);
                 }
             }
             FaultKind::Freeze | FaultKind::Partition => {
@@ -681,14 +681,14 @@
         }
     }
 
-    /// What was out at a service is lost with its connections.
-    fn reset(&mut self, service: Service) {
+    /// Resets a service's connections; its outstanding requests and answers are lost.
+    fn reset_connections(&mut self, service: Service) {
         self.due.retain(|_, (s, ..)| *s != service);
         self.held.retain(|(s, ..)| *s != service);
         self.words.push_back(WorldEvent::Reset(service));
     }
 
-    fn tell(&mut self, now: Micros, number: usize, status: Status) {
+    fn publish_status(&mut self, now: Micros, number: usize, status: Status) {
         let told = now + (self.plan.discovery.notice_ms * 1e3) as Micros;
         let served = &mut self.nodes[number];
         served.entry.status = status;
@@ -697,14 +697,14 @@
         self.roster.change(told, served.entry.clone());
     }
 
-    /// What has arrived and what came of it, so far.
+    /// Counts so far.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 }
 
 impl crate::plan::NodesPlan {
-    /// The work of a request that names none.
+    /// Draws the work of a request that sets none, in microseconds.
     fn draw_work(&self, rng: &mut impl Rng) -> Micros {
         let mean = self.work_ms * 1e3;
         if self.work_cv <= 0.0 || mean <= 0.0 {
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -1,4 +1,4 @@
-//! The world without sockets: what its faults do, and what it counts, in a time of its own.
+//! Tests of the world without sockets, in virtual time: the effects of faults, and the counts.
 
 use emulator::Micros;
 use emulator::counter;
@@ -21,7 +21,14 @@
     world
 }
 
-fn ask(world: &mut World, now: Micros, node: usize, token: u64, id: &str, key: Option<&str>) {
+fn send_request(
+    world: &mut World,
+    now: Micros,
+    node: usize,
+    token: u64,
+    id: &str,
+    key: Option<&str>,
+) {
     world.ask(
         now,
         NodeRequest {
@@ -35,51 +42,51 @@
     );
 }
 
-/// All that happens up to an instant.
-fn until(world: &mut World, end: Micros) -> Vec<(Micros, WorldEvent)> {
-    let mut words = Vec::new();
+/// All events up to an instant.
+fn run_until(world: &mut World, end: Micros) -> Vec<(Micros, WorldEvent)> {
+    let mut events = Vec::new();
     while let Some(at) = world.next().filter(|at| *at <= end) {
-        while let Some(word) = world.poll(at) {
-            words.push((at, word));
+        while let Some(event) = world.poll(at) {
+            events.push((at, event));
         }
     }
-    words
+    events
 }
 
 #[test]
 fn a_freeze_delays_answers_by_its_length_and_loses_none() {
     let mut world = world(r#"{"kind":"freeze","on":"node:0","at_s":0.005,"for_ms":500}"#);
-    ask(&mut world, 0, 0, 1, "a", None);
-    assert_eq!(until(&mut world, 100 * MS), []);
-    ask(&mut world, 100 * MS, 0, 2, "b", None);
+    send_request(&mut world, 0, 0, 1, "a", None);
+    assert_eq!(run_until(&mut world, 100 * MS), []);
+    send_request(&mut world, 100 * MS, 0, 2, "b", None);
     let served = [
         (510 * MS, WorldEvent::Answer(1, Reply::Served)),
         (520 * MS, WorldEvent::Answer(2, Reply::Served)),
     ];
-    assert_eq!(until(&mut world, SECOND), served);
+    assert_eq!(run_until(&mut world, SECOND), served);
 }
 
 #[test]
-fn a_dead_counter_is_shut_and_reset_and_returns_empty() {
+fn a_crashed_counter_is_reset_and_restarts_empty() {
     let mut world = world(r#"{"kind":"die","on":"counter","at_s":1,"for_ms":1000}"#);
     let call = counter::call("/v2/numbers/n?delta=3&life_ms=60000").unwrap();
     world.count(0, 0, 1, call);
     assert_eq!(
-        until(&mut world, 500 * MS),
+        run_until(&mut world, 500 * MS),
         [(MS, WorldEvent::Answer(1, Reply::Total(3.0)))]
     );
     let fell = [
         (SECOND, WorldEvent::StopListening(Service::Counter)),
         (SECOND, WorldEvent::Reset(Service::Counter)),
     ];
-    assert_eq!(until(&mut world, SECOND), fell);
+    assert_eq!(run_until(&mut world, SECOND), fell);
     assert_eq!(
-        until(&mut world, 2 * SECOND),
+        run_until(&mut world, 2 * SECOND),
         [(2 * SECOND, WorldEvent::Open(Service::Counter))]
     );
     world.count(2 * SECOND, 0, 2, call);
     assert_eq!(
-        until(&mut world, 3 * SECOND)[0].1,
+        run_until(&mut world, 3 * SECOND)[0].1,
         WorldEvent::Answer(2, Reply::Total(3.0))
     );
     assert_eq!(
@@ -90,18 +97,21 @@
 }
 
 #[test]
-fn a_partition_cuts_one_limiter_off_and_the_other_goes_on() {
+fn a_partition_isolates_one_limiter_and_not_the_other() {
     let mut world =
         world(r#"{"kind":"partition","on":"counter","at_s":0,"for_ms":300,"limiter":1}"#);
-    until(&mut world, 0);
+    run_until(&mut world, 0);
     let call = counter::call("/v2/numbers/n?delta=1&life_ms=60000").unwrap();
     world.count(MS, 0, 1, call);
     world.count(MS, 1, 2, call);
-    let words = until(&mut world, SECOND);
-    assert_eq!(words[0], (2 * MS, WorldEvent::Answer(1, Reply::Total(1.0))));
-    // The call of the one that was cut off arrives when the way is open again.
+    let events = run_until(&mut world, SECOND);
     assert_eq!(
-        words[1],
+        events[0],
+        (2 * MS, WorldEvent::Answer(1, Reply::Total(1.0)))
+    );
+    // The call of the partitioned limiter arrives when the partition ends.
+    assert_eq!(
+        events[1],
         (301 * MS, WorldEvent::Answer(2, Reply::Total(2.0)))
     );
 }
@@ -109,20 +119,20 @@
 #[test]
 fn repeats_of_a_key_are_dropped_in_one_rack_and_counted_where_they_run_twice() {
     let mut world = world("");
-    ask(&mut world, 0, 0, 1, "a", Some("k"));
-    until(&mut world, 20 * MS);
-    ask(&mut world, 20 * MS, 0, 2, "b", Some("k"));
-    let words = until(&mut world, 30 * MS);
+    send_request(&mut world, 0, 0, 1, "a", Some("k"));
+    run_until(&mut world, 20 * MS);
+    send_request(&mut world, 20 * MS, 0, 2, "b", Some("k"));
+    let events = run_until(&mut world, 30 * MS);
     assert_eq!(
-        words,
+        events,
         [(20 * MS, WorldEvent::Answer(2, Reply::Served))],
         "a dropped repeat is answered at once"
     );
-    ask(&mut world, 30 * MS, 1, 3, "c", Some("k"));
-    until(&mut world, SECOND);
+    send_request(&mut world, 30 * MS, 1, 3, "c", Some("k"));
+    run_until(&mut world, SECOND);
     let counts = world.counts();
     assert_eq!((counts.keyed, counts.dropped, counts.keys_twice), (3, 1, 1));
-    ask(&mut world, 9 * SECOND, 0, 4, "d", Some("k"));
+    send_request(&mut world, 9 * SECOND, 0, 4, "d", Some("k"));
     assert_eq!(
         world.counts().dropped,
         1,
@@ -131,30 +141,30 @@
 }
 
 #[test]
-fn a_second_copy_and_work_after_a_drain_are_counted() {
+fn concurrent_copies_and_requests_after_a_drain_are_counted() {
     let mut world = world(r#"{"kind":"drain","on":"node:0","at_s":1,"for_ms":9000}"#);
-    ask(&mut world, 0, 0, 1, "a", None);
-    ask(&mut world, MS, 1, 2, "a", None);
+    send_request(&mut world, 0, 0, 1, "a", None);
+    send_request(&mut world, MS, 1, 2, "a", None);
     assert_eq!((world.counts().again, world.counts().copies), (1, 1));
-    let words = until(&mut world, 3 * SECOND);
-    // Told 1.5 s after it began, and 2 s of grace from there.
-    assert!(words.contains(&(2_500 * MS, WorldEvent::ListChanged)));
+    let events = run_until(&mut world, 3 * SECOND);
+    // Published 1.5 s after the drain began; the grace of 2.05 s starts from there.
+    assert!(events.contains(&(2_500 * MS, WorldEvent::ListChanged)));
     for (token, at) in [(3, 4_400), (4, 4_600)] {
-        ask(&mut world, at * MS, 0, token, &token.to_string(), None);
+        send_request(&mut world, at * MS, 0, token, &token.to_string(), None);
     }
     assert_eq!(world.counts().after_drain, 1);
     assert!(
-        until(&mut world, 5 * SECOND)
+        run_until(&mut world, 5 * SECOND)
             .contains(&(4_600 * MS, WorldEvent::Answer(4, Reply::Rejected)))
     );
 }
 
 #[test]
-fn a_replaced_node_has_a_cold_successor_of_another_name() {
+fn a_replaced_node_gets_a_cold_successor_with_a_new_name() {
     let mut world = world(r#"{"kind":"replace","on":"node:1","at_s":1,"for_ms":2000}"#);
-    let words = until(&mut world, 10 * SECOND);
-    assert!(words.contains(&(SECOND, WorldEvent::Open(Service::Node(2)))));
-    assert!(words.contains(&(3 * SECOND, WorldEvent::StopListening(Service::Node(1)))));
+    let events = run_until(&mut world, 10 * SECOND);
+    assert!(events.contains(&(SECOND, WorldEvent::Open(Service::Node(2)))));
+    assert!(events.contains(&(3 * SECOND, WorldEvent::StopListening(Service::Node(1)))));
     let list = world.list(None, |n| format!("127.0.0.1:{n}"));
     assert!(
         list.contains("s-0002") && !list.contains("s-0001"),
@@ -165,29 +175,29 @@
 #[test]
 fn the_same_seed_gives_the_same_faults() {
     let faults = r#"{"kind":"die","on":"nodes:0.5","at_s":1,"for_ms":100,"every_s":1}"#;
-    let seen = || until(&mut world(faults), 20 * SECOND);
+    let seen = || run_until(&mut world(faults), 20 * SECOND);
     assert!(!seen().is_empty());
     assert_eq!(seen(), seen());
 }
 
 #[test]
-fn a_key_that_was_turned_away_never_ran_and_is_not_dropped_later() {
+fn the_key_of_a_rejected_request_is_not_dropped_later() {
     let mut world = world(r#"{"kind":"drain","on":"node:0","at_s":0,"for_ms":100}"#);
-    until(&mut world, 0);
-    ask(&mut world, MS, 0, 1, "a", Some("k"));
+    run_until(&mut world, 0);
+    send_request(&mut world, MS, 0, 1, "a", Some("k"));
     assert_eq!(
-        until(&mut world, MS),
+        run_until(&mut world, MS),
         [(MS, WorldEvent::Answer(1, Reply::Rejected))]
     );
-    ask(&mut world, 2 * MS, 1, 2, "a", Some("k"));
-    until(&mut world, 200 * MS);
-    // Back and cold, the node runs it as any other: nobody in its rack had begun it.
-    ask(&mut world, 200 * MS, 0, 3, "a", Some("k"));
+    send_request(&mut world, 2 * MS, 1, 2, "a", Some("k"));
+    run_until(&mut world, 200 * MS);
+    // After its restart the node runs the request, since no node in its rack had started it.
+    send_request(&mut world, 200 * MS, 0, 3, "a", Some("k"));
     let counts = world.counts();
     assert_eq!((counts.dropped, counts.keys_twice, counts.again), (0, 1, 2));
 }
 
-/// A random step of what limiters do.
+/// A random action of a limiter.
 #[derive(Clone, Debug)]
 enum Step {
     Ask(u8, u8),
@@ -210,11 +220,11 @@
     }
 }
 
-/// Whatever comes in whatever order, every request is answered once, or lost with a reset or a silence that the plan
-/// names, and nothing is answered that was not asked.
+/// In any order of actions, every request is answered once or lost to a reset or hang from the plan, and no answer is
+/// sent without a request.
 #[test]
-fn random_steps_are_answered_once_at_the_most() {
-    fn holds(steps: Vec<Step>) -> bool {
+fn random_actions_are_answered_at_most_once() {
+    fn is_answered_at_most_once(steps: Vec<Step>) -> bool {
         let mut world = world(
             r#"{"kind":"freeze","on":"node:0","at_s":0.1,"for_ms":50,"every_s":0.2},
                {"kind":"die","on":"node:1","at_s":0.15,"for_ms":30,"every_s":0.3},
@@ -224,7 +234,7 @@
         let mut open = std::collections::BTreeSet::new();
         let settle =
             |world: &mut World, open: &mut std::collections::BTreeSet<u64>, end: Micros| {
-                until(world, end).iter().all(|(_, word)| match word {
+                run_until(world, end).iter().all(|(_, event)| match event {
                     WorldEvent::Answer(token, _) => open.remove(token),
                     _ => true,
                 })
@@ -233,7 +243,7 @@
             token += 1;
             match step {
                 Step::Ask(node, id) => {
-                    ask(
+                    send_request(
                         &mut world,
                         now,
                         usize::from(node % 2),
@@ -273,11 +283,11 @@
                 }
             }
         }
-        // After the last fault nothing is owed but what resets and leavers took with them.
+        // After the last fault every request is answered, except those lost to resets or closed connections.
         settle(&mut world, &mut open, now + 70 * SECOND) && world.next().is_none()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 11))
         .tests(300)
-        .quickcheck(holds as fn(Vec<Step>) -> bool);
+        .quickcheck(is_answered_at_most_once as fn(Vec<Step>) -> bool);
 }
