--- a/crates/control/tests/cut_off_programs.rs
+++ b/crates/control/tests/cut_off_programs.rs
@@ -84,7 +84,10 @@
     // is ended.
     drop(late);
     for begin in [true, false] {
-        whole.operator.evacuate("z1", begin, soon()).unwrap();
+        whole
+            .operator
+            .set_zone_evacuation("z1", begin, soon())
+            .unwrap();
     }
     let digest = status(&whole, 0)["digest"].clone();
     assert!(digest.is_string(), "{}", status(&whole, 0));
--- a/crates/control/tests/stored.rs
+++ b/crates/control/tests/stored.rs
@@ -45,7 +45,7 @@
     let folder = TempDir::new().unwrap();
     let plan = Layout {
         folder: folder.path().to_path_buf(),
-        programs: Path::new(PROGRAM).parent().unwrap().to_path_buf(),
+        programs_folder: Path::new(PROGRAM).parent().unwrap().to_path_buf(),
         net: unused_net(),
         zones: zones(1),
         edges: 0,
--- a/crates/emulator/src/counter.rs
+++ b/crates/emulator/src/counter.rs
@@ -16,10 +16,10 @@
 pub struct Counter {
     totals: HashMap<String, (f64, Micros)>,
     /// When each partition is free again.
-    free: Vec<Micros>,
-    turn: f64,
+    free_at: Vec<Micros>,
+    service_time: f64,
     extra_latency: Micros,
-    slower: f64,
+    slowdown: f64,
     calls: u32,
 }
 
@@ -64,10 +64,10 @@
         let turn = parts as f64 * 1e6 / per_s;
         Counter {
             totals: HashMap::new(),
-            free: vec![0; parts],
-            turn,
+            free_at: vec![0; parts],
+            service_time: turn,
             extra_latency: beside,
-            slower: 1.0,
+            slowdown: 1.0,
             calls: 0,
         }
     }
@@ -82,11 +82,11 @@
             .name
             .bytes()
             .fold(5_381_usize, |h, b| h.wrapping_mul(33) ^ usize::from(b));
-        let parts = self.free.len();
-        let free = &mut self.free[hash % parts];
+        let parts = self.free_at.len();
+        let free = &mut self.free_at[hash % parts];
         let begin = (*free).max(now);
-        *free = begin + (self.turn * self.slower).round() as Micros;
-        let told = *free + (self.extra_latency as f64 * self.slower) as Micros;
+        *free = begin + (self.service_time * self.slowdown).round() as Micros;
+        let told = *free + (self.extra_latency as f64 * self.slowdown) as Micros;
         let end = now + call.life.min(MAX_LIFE);
         let entry = self
             .totals
@@ -101,13 +101,13 @@
 
     /// Makes calls take `times` as long.
     pub fn slow(&mut self, times: f64) {
-        self.slower = times;
+        self.slowdown = times;
     }
 
     /// Removes all totals.
     pub fn clear(&mut self, now: Micros) {
         self.totals.clear();
-        self.free.fill(now);
+        self.free_at.fill(now);
     }
 }
 
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -197,17 +197,17 @@
     /// Instant since the start of the load.
     pub at: Micros,
     /// Whether the fault begins (or ends).
-    pub begins: bool,
+    pub is_start: bool,
     /// Kind of the fault.
     pub kind: FaultKind,
     /// Target; never [`FaultTarget::Nodes`].
-    pub party: FaultTarget,
+    pub target: FaultTarget,
     /// For `spoil` the share, else the factor of `slow`.
     pub amount: f64,
     /// For `partition`: number of the limiter.
     pub limiter: usize,
     /// Duration of the fault.
-    pub span: Micros,
+    pub duration: Micros,
 }
 
 /// Expands the plan into events in order of time, for faults that begin before `until`.
@@ -240,18 +240,18 @@
             for party in &parties {
                 let turn = FaultEvent {
                     at,
-                    begins: true,
+                    is_start: true,
                     kind: fault.kind,
-                    party: *party,
+                    target: *party,
                     amount,
                     limiter: fault.limiter,
-                    span,
+                    duration: span,
                 };
                 turns.push(turn);
                 if fault.kind != FaultKind::Reset {
                     turns.push(FaultEvent {
                         at: at + span,
-                        begins: false,
+                        is_start: false,
                         ..turn
                     });
                 }
@@ -263,6 +263,6 @@
         }
     }
     // Ends sort before starts at the same instant.
-    turns.sort_by_key(|t| (t.at, t.begins));
+    turns.sort_by_key(|t| (t.at, t.is_start));
     turns
 }
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -35,16 +35,16 @@
 /// A records node. Callers pass the time, which must not decrease.
 #[derive(Clone, Debug)]
 pub struct Node {
-    make: NodeConfig,
+    config: NodeConfig,
     started: Micros,
     waiting: VecDeque<Job>,
     /// End and job per core; `None` for an idle core.
     running: Vec<Option<(Micros, Job)>>,
     frozen_until: Option<Micros>,
-    slower: f64,
+    slowdown: f64,
     draining: bool,
     /// Busy time of all cores up to `busy_accounted_until`.
-    busy: Micros,
+    busy_time: Micros,
     busy_accounted_until: Micros,
     util: f64,
     util_window: (Micros, Micros),
@@ -63,14 +63,14 @@
     /// A node that starts now; if `warm`, it is at full speed.
     pub fn new(make: NodeConfig, now: Micros, warm: bool) -> Node {
         Node {
-            make,
+            config: make,
             started: if warm { now - make.warm_up } else { now },
             waiting: VecDeque::new(),
             running: vec![None; make.cores],
             frozen_until: None,
-            slower: 1.0,
+            slowdown: 1.0,
             draining: false,
-            busy: 0,
+            busy_time: 0,
             busy_accounted_until: now,
             util: 0.0,
             util_window: (now, 0),
@@ -80,24 +80,24 @@
     /// Share of the full speed that the node has now.
     pub fn speed_share(&self, now: Micros) -> f64 {
         let age = now - self.started;
-        if self.make.warm_up <= 0 || age >= self.make.warm_up {
+        if self.config.warm_up <= 0 || age >= self.config.warm_up {
             return 1.0;
         }
-        let grown = age.max(0) as f64 / self.make.warm_up as f64;
-        self.make.cold_from + (1.0 - self.make.cold_from) * grown
+        let grown = age.max(0) as f64 / self.config.warm_up as f64;
+        self.config.cold_from + (1.0 - self.config.cold_from) * grown
     }
 
     fn update_utilization(&mut self, now: Micros) {
         let cores = self.running.iter().flatten().count() as Micros;
         if self.frozen_until.is_none() {
-            self.busy += cores * (now - self.busy_accounted_until).max(0);
+            self.busy_time += cores * (now - self.busy_accounted_until).max(0);
         }
         self.busy_accounted_until = self.busy_accounted_until.max(now);
         let (since, busy) = self.util_window;
-        if now - since >= self.make.util_interval {
-            let room = (now - since) * self.make.cores as Micros;
-            self.util = ((self.busy - busy) as f64 / room as f64).clamp(0.0, 1.0);
-            self.util_window = (now, self.busy);
+        if now - since >= self.config.util_interval {
+            let room = (now - since) * self.config.cores as Micros;
+            self.util = ((self.busy_time - busy) as f64 / room as f64).clamp(0.0, 1.0);
+            self.util_window = (now, self.busy_time);
         }
     }
 
@@ -105,7 +105,7 @@
         if self.frozen_until.is_some() {
             return;
         }
-        let speed = self.make.speed * self.speed_share(now) / self.slower;
+        let speed = self.config.speed * self.speed_share(now) / self.slowdown;
         for core in self.running.iter_mut().filter(|core| core.is_none()) {
             let Some(job) = self.waiting.pop_front() else {
                 break;
@@ -115,10 +115,10 @@
     }
 
     /// Admits or rejects a request. While the node is frozen, callers must hold back arriving requests.
-    pub fn arrive(&mut self, now: Micros, job: Job) -> Admission {
+    pub fn admit(&mut self, now: Micros, job: Job) -> Admission {
         self.update_utilization(now);
         let free = self.running.iter().filter(|core| core.is_none()).count();
-        if self.draining || self.waiting.len() >= self.make.queue + free {
+        if self.draining || self.waiting.len() >= self.config.queue + free {
             return Admission::Rejected;
         }
         self.waiting.push_back(job);
@@ -127,7 +127,7 @@
     }
 
     /// When a request or a freeze ends next.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_event_at(&self) -> Option<Micros> {
         match self.frozen_until {
             Some(until) => Some(until),
             None => self.running.iter().flatten().map(|(end, _)| *end).min(),
@@ -145,7 +145,7 @@
         if self.frozen_until.is_some() {
             return None;
         }
-        if self.next().is_none_or(|end| end > now) {
+        if self.next_event_at().is_none_or(|end| end > now) {
             return None;
         }
         // Before the core is released, since it was busy until now.
@@ -167,7 +167,7 @@
         let before = self.waiting.len();
         self.waiting.retain(|job| job.token != token);
         let waited = self.waiting.len() < before;
-        if self.make.cancel_running {
+        if self.config.cancel_running {
             let of =
                 |core: &&mut Option<(Micros, Job)>| core.is_some_and(|(_, job)| job.token == token);
             self.running
@@ -198,17 +198,17 @@
 
     /// Work that starts from now on takes `times` as long.
     pub fn slow(&mut self, times: f64) {
-        self.slower = times.max(1e-3);
+        self.slowdown = times.max(1e-3);
     }
 
     /// Starts or ends rejecting new requests.
-    pub fn drain(&mut self, drains: bool) {
+    pub fn set_draining(&mut self, drains: bool) {
         self.draining = drains;
     }
 
     /// Restarts the node cold; all its requests are lost.
     pub fn restart(&mut self, now: Micros) {
-        *self = Node::new(self.make, now, false);
+        *self = Node::new(self.config, now, false);
     }
 
     /// When the node last started.
--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -17,10 +17,16 @@
 #[test]
 fn a_freeze_delays_running_requests_by_its_length() {
     let mut node = Node::new(MAKE, 0, true);
-    assert_eq!(node.arrive(0, job(1, 100)), Admission::Admitted);
+    assert_eq!(node.admit(0, job(1, 100)), Admission::Admitted);
     node.freeze(40, 540);
-    assert_eq!((node.next(), node.take_finished(300)), (Some(540), None));
-    assert_eq!((node.take_finished(540), node.next()), (None, Some(600)));
+    assert_eq!(
+        (node.next_event_at(), node.take_finished(300)),
+        (Some(540), None)
+    );
+    assert_eq!(
+        (node.take_finished(540), node.next_event_at()),
+        (None, Some(600))
+    );
     assert_eq!(node.take_finished(600), Some(job(1, 100)));
 }
 
@@ -28,14 +34,17 @@
 fn requests_queued_during_a_freeze_run_without_further_arrivals() {
     let mut node = Node::new(MAKE, 0, true);
     node.freeze(0, 500);
-    node.arrive(100, job(1, 100));
-    assert_eq!((node.take_finished(500), node.next()), (None, Some(600)));
+    node.admit(100, job(1, 100));
+    assert_eq!(
+        (node.take_finished(500), node.next_event_at()),
+        (None, Some(600))
+    );
 }
 
 #[test]
 fn a_full_queue_rejects_and_a_cold_node_is_slower() {
     let mut node = Node::new(MAKE, 0, false);
-    let took: Vec<_> = (0..4).map(|n| node.arrive(0, job(n, 100))).collect();
+    let took: Vec<_> = (0..4).map(|n| node.admit(0, job(n, 100))).collect();
     assert_eq!(
         took,
         [
@@ -45,7 +54,7 @@
             Admission::Rejected
         ]
     );
-    assert_eq!(node.next(), Some(200));
+    assert_eq!(node.next_event_at(), Some(200));
     assert!(node.abandon(10, 2) && !node.abandon(10, 1));
     assert_eq!(node.held(), 2);
     assert!(node.speed_share(500) > 0.74 && node.speed_share(1_000) == 1.0);
@@ -54,7 +63,7 @@
 #[test]
 fn utilization_is_the_busy_share_of_the_cores() {
     let mut node = Node::new(MAKE, 0, true);
-    node.arrive(0, job(1, 50));
+    node.admit(0, job(1, 50));
     node.take_finished(50);
     assert!((node.util(100) - 0.25).abs() < 1e-9);
 }
--- a/crates/emulator/src/node_list.rs
+++ b/crates/emulator/src/node_list.rs
@@ -56,17 +56,17 @@
     }
 
     /// Schedules the changed entry of a node for publication at an instant.
-    pub fn change(&mut self, told: Micros, entry: Entry) {
+    pub fn schedule_change(&mut self, told: Micros, entry: Entry) {
         self.pending.push_back((told, entry));
     }
 
     /// When the next change is published.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_event_at(&self) -> Option<Micros> {
         self.pending.iter().map(|(at, _)| *at).min()
     }
 
     /// Publishes the changes that are due; returns whether there were any.
-    pub fn tell(&mut self, now: Micros) -> bool {
+    pub fn publish_due(&mut self, now: Micros) -> bool {
         let (due, rest): (Vec<_>, Vec<_>) = self.pending.drain(..).partition(|(at, _)| *at <= now);
         self.pending = rest.into();
         for (_, entry) in &due {
--- a/crates/emulator/src/reactor.rs
+++ b/crates/emulator/src/reactor.rs
@@ -25,7 +25,7 @@
     /// Data can be written.
     pub writable: bool,
     /// The peer has closed its side, or the connection has failed: read to the end, since this is reported only once.
-    pub ended: bool,
+    pub peer_closed: bool,
 }
 
 /// Reports sockets that have become ready, each change once (edge-triggered), so that each socket is registered only
@@ -155,7 +155,7 @@
                 token: event.data.u64(),
                 readable: flags.intersects(F::IN | F::RDHUP | F::HUP | F::ERR),
                 writable: flags.intersects(F::OUT | F::HUP | F::ERR),
-                ended: flags.intersects(F::RDHUP | F::HUP | F::ERR),
+                peer_closed: flags.intersects(F::RDHUP | F::HUP | F::ERR),
             }
         }));
         Ok(())
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -61,18 +61,18 @@
         let reactor = Reactor::new()?;
         let waker = reactor.waker();
         let addresses = Arc::new(Mutex::new(Addresses::new()));
-        let mut host = Host {
-            beat: (plan.discovery.beat_ms * 1e3) as Micros,
+        let mut host = EventLoop {
+            heartbeat_interval: (plan.discovery.beat_ms * 1e3) as Micros,
             body: vec![b'a'; plan.nodes.body_bytes],
             world,
             reactor,
             start: Instant::now(),
-            doors: Slab::new(),
+            endpoints: Slab::new(),
             addresses: addresses.clone(),
             watchers: Vec::new(),
             buffer: vec![0; READ_BUFFER_BYTES],
             serial: 0,
-            more: Vec::new(),
+            accept_again: Vec::new(),
         };
         for service in host.world.services() {
             host.open(service)?;
@@ -159,19 +159,19 @@
     close: bool,
 }
 
-struct Host {
+struct EventLoop {
     world: World,
     reactor: Reactor,
     start: Instant,
-    doors: Slab<Endpoint>,
+    endpoints: Slab<Endpoint>,
     addresses: Arc<Mutex<Addresses>>,
     watchers: Vec<usize>,
     buffer: Vec<u8>,
     body: Vec<u8>,
-    beat: Micros,
+    heartbeat_interval: Micros,
     serial: u64,
     /// Listeners with possibly more connections to accept.
-    more: Vec<usize>,
+    accept_again: Vec<usize>,
 }
 
 /// The slot in a token. A token also holds a serial number, so that a late answer can't reach another connection.
@@ -188,7 +188,7 @@
     Ok(socket.into())
 }
 
-impl Host {
+impl EventLoop {
     fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
@@ -217,9 +217,9 @@
             let socket = listen(before.unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))))?;
             addresses.insert((service, limiter), socket.local_addr()?);
             drop(addresses);
-            let slot = self.doors.vacant_key();
+            let slot = self.endpoints.vacant_key();
             self.reactor.add(&socket, slot as u64)?;
-            self.doors.insert(Endpoint::Listener {
+            self.endpoints.insert(Endpoint::Listener {
                 service,
                 limiter,
                 socket,
@@ -230,14 +230,14 @@
 
     fn run(mut self, orders: &mpsc::Receiver<Command>) -> Counts {
         let mut ready: Vec<Ready> = Vec::new();
-        let mut heartbeat_at = self.beat;
+        let mut heartbeat_at = self.heartbeat_interval;
         self.reactor.set_precise_timer();
         loop {
             let next = self
                 .world
-                .next()
+                .next_event_at()
                 .map_or(heartbeat_at, |at| at.min(heartbeat_at));
-            let wait = if self.more.is_empty() {
+            let wait = if self.accept_again.is_empty() {
                 next - self.now()
             } else {
                 0
@@ -258,8 +258,8 @@
                     self.handle_readiness(event);
                 }
             }
-            for at in std::mem::take(&mut self.more) {
-                if let Some(Endpoint::Listener { .. }) = self.doors.get(at) {
+            for at in std::mem::take(&mut self.accept_again) {
+                if let Some(Endpoint::Listener { .. }) = self.endpoints.get(at) {
                     self.accept(at);
                 }
             }
@@ -268,7 +268,7 @@
                 self.apply_event(now, event);
             }
             if now >= heartbeat_at {
-                heartbeat_at = now + self.beat;
+                heartbeat_at = now + self.heartbeat_interval;
                 self.notify_watchers(now, true);
             }
         }
@@ -276,11 +276,11 @@
 
     fn handle_readiness(&mut self, event: &Ready) {
         let at = event.token as usize;
-        match self.doors.get_mut(at) {
+        match self.endpoints.get_mut(at) {
             Some(Endpoint::Listener { .. }) => self.accept(at),
             Some(Endpoint::Line(line)) => {
                 let is_open = !event.writable || line.flush();
-                if !is_open || (event.readable && !self.read(at, event.ended)) {
+                if !is_open || (event.readable && !self.read(at, event.peer_closed)) {
                     self.close(at);
                 }
             }
@@ -294,7 +294,7 @@
                 service,
                 limiter,
                 socket,
-            }) = self.doors.get(at)
+            }) = self.endpoints.get(at)
             else {
                 return;
             };
@@ -311,7 +311,7 @@
             {
                 continue;
             }
-            let slot = self.doors.vacant_key();
+            let slot = self.endpoints.vacant_key();
             if self.reactor.add(&socket, slot as u64).is_err() {
                 continue;
             }
@@ -326,15 +326,15 @@
                 watch: None,
                 close: false,
             };
-            self.doors.insert(Endpoint::Line(line));
+            self.endpoints.insert(Endpoint::Line(line));
         }
-        self.more.push(at);
+        self.accept_again.push(at);
     }
 
     /// Reads and handles available data; returns whether the connection stays open.
     fn read(&mut self, at: usize, until_eof: bool) -> bool {
         loop {
-            let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
+            let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
                 return true;
             };
             match line.socket.read(&mut self.buffer) {
@@ -358,7 +358,7 @@
     /// Handles complete requests; returns whether the connection stays open.
     fn handle_requests(&mut self, at: usize) -> bool {
         let now = self.now();
-        let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
             return true;
         };
         // Moved out so that requests borrowed from it can be passed to the world while the connection is modified.
@@ -371,7 +371,7 @@
                 Err(http::Malformed) => break false,
             };
             used += request.length;
-            let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
+            let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
                 break true;
             };
             if line.close {
@@ -386,7 +386,7 @@
                 Service::Node(node) => match (request.id, request.target) {
                     (Some(id), _) => {
                         let (key, work) = (request.key, request.work);
-                        self.world.ask(
+                        self.world.handle_request(
                             now,
                             NodeRequest {
                                 node,
@@ -400,7 +400,7 @@
                         None
                     }
                     (None, "/alive" | "/metrics/load") => {
-                        self.world.probe(now, node, limiter, token);
+                        self.world.handle_probe(now, node, limiter, token);
                         None
                     }
                     (None, _) => Some(404),
@@ -408,7 +408,7 @@
                 Service::Counter if request.method != "POST" => Some(404),
                 Service::Counter => match counter::call(request.target) {
                     Some(call) => {
-                        self.world.count(now, limiter, token, call);
+                        self.world.handle_counter_call(now, limiter, token, call);
                         None
                     }
                     None => Some(400),
@@ -426,14 +426,14 @@
             }
         };
         bytes.drain(..used);
-        if let Some(Endpoint::Line(line)) = self.doors.get_mut(at) {
+        if let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) {
             line.read = bytes;
         }
         is_open
     }
 
     fn answer_discovery(&mut self, at: usize, token: u64, target: &str) {
-        let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
             return;
         };
         let limiter = line.limiter;
@@ -452,7 +452,7 @@
             let list = self.list(get("from").and_then(|f| f.parse().ok()), limiter);
             out.extend_from_slice(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             chunk(&mut out, &list);
-            if let Some(Endpoint::Line(line)) = self.doors.get_mut(at) {
+            if let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) {
                 line.watch = Some(self.world.index());
             }
         } else {
@@ -464,7 +464,7 @@
     fn notify_watchers(&mut self, now: Micros, beat: bool) {
         let index = self.world.index();
         for at in std::mem::take(&mut self.watchers) {
-            let Some(Endpoint::Line(line)) = self.doors.get(at) else {
+            let Some(Endpoint::Line(line)) = self.endpoints.get(at) else {
                 continue;
             };
             let (limiter, Some(told)) = (line.limiter, line.watch) else {
@@ -487,7 +487,7 @@
             if text.is_empty() && !beat {
                 continue;
             }
-            let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
+            let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
                 continue;
             };
             line.watch = Some(index);
@@ -526,9 +526,9 @@
                     Endpoint::Line(line) if line.service == service => Some(at),
                     _ => None,
                 };
-                let lines: Vec<usize> = self.doors.iter().filter_map(of).collect();
+                let lines: Vec<usize> = self.endpoints.iter().filter_map(of).collect();
                 for at in lines {
-                    if let Some(Endpoint::Line(line)) = self.doors.get(at) {
+                    if let Some(Endpoint::Line(line)) = self.endpoints.get(at) {
                         // With a linger time of zero, closing resets the connection.
                         let _ = SockRef::from(&line.socket).set_linger(Some(Duration::ZERO));
                     }
@@ -536,13 +536,14 @@
                 }
             }
             WorldEvent::StopListening(service) => {
-                self.doors.retain(
+                self.endpoints.retain(
                     |_, door| !matches!(door, Endpoint::Listener { service: s, .. } if *s == service),
                 );
             }
             WorldEvent::Open(service) => {
                 let listens = |door: &Endpoint| matches!(door, Endpoint::Listener { service: s, .. } if *s == service);
-                if !self.doors.iter().any(|(_, door)| listens(door)) && self.open(service).is_err()
+                if !self.endpoints.iter().any(|(_, door)| listens(door))
+                    && self.open(service).is_err()
                 {
                     eprintln!("emulator: cannot reopen the listeners of {service:?}");
                 }
@@ -553,7 +554,7 @@
 
     fn answer(&mut self, token: u64, bytes: Vec<u8>) {
         let at = slot(token);
-        let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
             return;
         };
         let Some(owed) = line.pending_answers.iter_mut().find(|(t, _)| *t == token) else {
@@ -572,10 +573,10 @@
 
     fn close(&mut self, at: usize) {
         let now = self.now();
-        if !self.doors.contains(at) {
+        if !self.endpoints.contains(at) {
             return;
         }
-        if let Endpoint::Line(line) = self.doors.remove(at) {
+        if let Endpoint::Line(line) = self.endpoints.remove(at) {
             line.pending_answers
                 .iter()
                 .for_each(|(token, _)| self.world.connection_closed(now, *token));
--- a/crates/emulator/src/system/client.rs
+++ b/crates/emulator/src/system/client.rs
@@ -22,7 +22,7 @@
     /// Whether the connection closes after it.
     pub close: bool,
     bytes: Vec<u8>,
-    head: usize,
+    head_len: usize,
 }
 
 impl Reply {
@@ -33,7 +33,7 @@
 
     /// The body.
     pub fn body(&self) -> &[u8] {
-        &self.bytes[self.head..]
+        &self.bytes[self.head_len..]
     }
 
     /// The body as text; empty if it isn't UTF-8.
@@ -142,7 +142,7 @@
                 retry_after,
                 close,
                 bytes,
-                head,
+                head_len: head,
             });
         }
     }
--- a/crates/emulator/src/system/fleet.rs
+++ b/crates/emulator/src/system/fleet.rs
@@ -45,7 +45,7 @@
 struct Host {
     start: Instant,
     reactor: Arc<Reactor>,
-    doors: Slab<Endpoint>,
+    endpoints: Slab<Endpoint>,
     platform: Platform,
     servers: BTreeMap<usize, (SocketAddr, Server)>,
     found: usize,
@@ -77,7 +77,7 @@
         let mut host = Host {
             start: Instant::now(),
             reactor: reactor.clone(),
-            doors: Slab::new(),
+            endpoints: Slab::new(),
             platform: Platform::new(make),
             servers: BTreeMap::new(),
             found: 0,
@@ -130,7 +130,7 @@
         let now = host.now();
         let server = Server::new(make, format!("i-{number:04x}"), now, warm);
         let (id, make) = server.identity();
-        let (svc, zone, slots) = (make.svc.clone(), make.zone.clone(), make.slots);
+        let (svc, zone, slots) = (make.svc.clone(), make.zone.clone(), make.max_concurrent);
         let warm_at = server.warm_at();
         let entry = Entry {
             id: id.to_string(),
@@ -177,7 +177,7 @@
         let id = server.identity().0.to_string();
         host.platform
             .change(now, |entries| entries.retain(|e| e.id != id));
-        host.doors.retain(|_, door| match door {
+        host.endpoints.retain(|_, door| match door {
             Endpoint::Listener(of, _) => *of != Some(number),
             Endpoint::Line(line) => line.at != Some(number),
         });
@@ -256,7 +256,7 @@
         let next = self
             .servers
             .values()
-            .filter_map(|(_, server)| server.next())
+            .filter_map(|(_, server)| server.next_event_at())
             .min();
         next.map_or(IDLE_CHECK_INTERVAL, |at| {
             (at - self.now()).clamp(0, IDLE_CHECK_INTERVAL)
@@ -266,9 +266,9 @@
     fn open(&mut self, of: Option<usize>, at: SocketAddr) -> io::Result<SocketAddr> {
         let socket = listen(at)?;
         let at = socket.local_addr()?;
-        let slot = self.doors.vacant_key();
+        let slot = self.endpoints.vacant_key();
         self.reactor.add(&socket, slot as u64)?;
-        self.doors.insert(Endpoint::Listener(of, socket));
+        self.endpoints.insert(Endpoint::Listener(of, socket));
         Ok(at)
     }
 
@@ -294,7 +294,7 @@
         self.frozen = frozen;
         let of = |line: &Connection| line.at.is_some_and(|at| resumed.contains(&at));
         let connections: Vec<usize> = self
-            .doors
+            .endpoints
             .iter()
             .filter(|(_, d)| matches!(d, Endpoint::Line(l) if of(l)))
             .map(|(at, _)| at)
@@ -303,16 +303,16 @@
             self.drive_connection(at, true, buffer);
         }
         let servers = &self.servers;
-        self.doors.retain(|_, door| match door {
+        self.endpoints.retain(|_, door| match door {
             Endpoint::Line(Connection {
                 at: Some(at),
                 owed: None,
                 heard,
                 ..
             }) => {
-                let keep = servers
-                    .get(at)
-                    .map_or(0, |(_, server)| server.identity().1.keep_s * 1_000_000);
+                let keep = servers.get(at).map_or(0, |(_, server)| {
+                    server.identity().1.keep_alive_s * 1_000_000
+                });
                 now - *heard < keep
             }
             _ => true,
@@ -321,7 +321,7 @@
 
     fn ready(&mut self, event: &Ready, buffer: &mut [u8]) {
         let at = event.token as usize;
-        match self.doors.get(at) {
+        match self.endpoints.get(at) {
             Some(Endpoint::Listener(..)) => self.accept(at),
             Some(Endpoint::Line(_)) => self.drive_connection(at, event.readable, buffer),
             None => {}
@@ -330,13 +330,13 @@
 
     fn accept(&mut self, at: usize) {
         let now = self.now();
-        while let Some(Endpoint::Listener(of, listener)) = self.doors.get(at) {
+        while let Some(Endpoint::Listener(of, listener)) = self.endpoints.get(at) {
             let of = *of;
             // Any error ends this pass: either none are pending, or the next arrival triggers another attempt.
             let Ok((socket, _)) = listener.accept() else {
                 return;
             };
-            let slot = self.doors.vacant_key();
+            let slot = self.endpoints.vacant_key();
             let able = socket
                 .set_nonblocking(true)
                 .and_then(|()| socket.set_nodelay(true));
@@ -354,7 +354,7 @@
                     close: false,
                     heard: now,
                 };
-                self.doors.insert(Endpoint::Line(line));
+                self.endpoints.insert(Endpoint::Line(line));
             }
         }
     }
@@ -362,7 +362,7 @@
     /// Writes and reads as far as possible; does nothing at a frozen server.
     fn drive_connection(&mut self, at: usize, readable: bool, buffer: &mut [u8]) {
         let now = self.now();
-        let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
             return;
         };
         if line
@@ -392,7 +392,7 @@
     /// Handles the next request if it is complete and no answer is pending.
     fn request(&mut self, at: usize) {
         let now = self.now();
-        let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
             return;
         };
         if line.owed.is_some() || line.close || line.read.is_empty() {
@@ -431,7 +431,7 @@
                 let Some((_, server)) = self.servers.get_mut(&number) else {
                     return;
                 };
-                server.ask(
+                server.handle_request(
                     now,
                     token,
                     &ServerRequest::of(&request, &bytes),
@@ -440,7 +440,7 @@
             }
         };
         bytes.drain(..length);
-        if let Some(Endpoint::Line(line)) = self.doors.get_mut(at) {
+        if let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) {
             line.read = bytes;
         }
         answers
@@ -450,7 +450,7 @@
 
     fn send_answer(&mut self, token: u64, (bytes, then): AnswerAction) {
         let (at, now) = (slot(token), self.now());
-        let Some(Endpoint::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
             return;
         };
         if line.owed != Some(token) {
@@ -473,7 +473,7 @@
             at: Some(number),
             owed: Some(token),
             ..
-        })) = self.doors.try_remove(at)
+        })) = self.endpoints.try_remove(at)
             && let Some((_, server)) = self.servers.get_mut(&number)
         {
             server.connection_closed(now, token, &mut self.ledger);
--- a/crates/emulator/src/system/machines.rs
+++ b/crates/emulator/src/system/machines.rs
@@ -68,7 +68,7 @@
     /// Folder for settings, logs and data directories.
     pub folder: PathBuf,
     /// Folder of the built programs.
-    pub programs: PathBuf,
+    pub programs_folder: PathBuf,
     /// `(A, B)`: core machines have addresses 127.A.B.x, edges 127.A.(B+1).x.
     pub net: (u8, u8),
     /// Zones and their regions; each has one core machine.
@@ -211,7 +211,7 @@
     /// # Errors
     /// The program is missing or can't be started.
     pub fn start(&mut self, role: Role, number: usize) -> io::Result<()> {
-        let program = self.plan.programs.join(role.program());
+        let program = self.plan.programs_folder.join(role.program());
         let log = File::options()
             .create(true)
             .append(true)
--- a/crates/emulator/src/system/operator.rs
+++ b/crates/emulator/src/system/operator.rs
@@ -92,7 +92,12 @@
     ///
     /// # Errors
     /// It was refused, or not accepted before the deadline.
-    pub fn evacuate(&mut self, zone: &str, begin: bool, until: Instant) -> Result<(), String> {
+    pub fn set_zone_evacuation(
+        &mut self,
+        zone: &str,
+        begin: bool,
+        until: Instant,
+    ) -> Result<(), String> {
         let word = if begin { "begin" } else { "finish" };
         self.call_until_accepted("POST", &format!("/api/drain/{zone}/{word}"), "", until)
             .map(drop)
--- a/crates/emulator/src/system/platform.rs
+++ b/crates/emulator/src/system/platform.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformConfig {
     /// Delay after which a change becomes visible, in microseconds.
-    pub lag: Micros,
+    pub visibility_delay: Micros,
     /// Servers per page.
-    pub page: usize,
+    pub page_size: usize,
     /// Calls answered within any second; further ones get status 429.
     pub per_s: usize,
 }
@@ -45,7 +45,7 @@
     make: PlatformConfig,
     entries: Vec<Entry>,
     /// States of the list, each visible from its instant on; the first is the current one once its instant has passed.
-    told: VecDeque<(Micros, Vec<Entry>)>,
+    published: VecDeque<(Micros, Vec<Entry>)>,
     calls: VecDeque<Micros>,
 }
 
@@ -55,7 +55,7 @@
         Platform {
             make,
             entries: Vec::new(),
-            told: VecDeque::new(),
+            published: VecDeque::new(),
             calls: VecDeque::new(),
         }
     }
@@ -63,8 +63,8 @@
     /// Changes the list; returns when the change becomes visible.
     pub fn change(&mut self, now: Micros, change: impl FnOnce(&mut Vec<Entry>)) -> Micros {
         change(&mut self.entries);
-        let at = now + self.make.lag;
-        self.told.push_back((at, self.entries.clone()));
+        let at = now + self.make.visibility_delay;
+        self.published.push_back((at, self.entries.clone()));
         at
     }
 
@@ -81,8 +81,8 @@
             return (429, "{}".into());
         }
         self.calls.push_back(now);
-        while self.told.get(1).is_some_and(|(at, _)| *at <= now) {
-            self.told.pop_front();
+        while self.published.get(1).is_some_and(|(at, _)| *at <= now) {
+            self.published.pop_front();
         }
         let get = |key: &str| {
             query
@@ -90,7 +90,7 @@
                 .find_map(|p| p.strip_prefix(key)?.strip_prefix('='))
         };
         let told = self
-            .told
+            .published
             .front()
             .filter(|(at, _)| *at <= now)
             .map_or(&[][..], |(_, entries)| entries);
@@ -101,7 +101,7 @@
         let from = get("pagetok")
             .and_then(|t| t.strip_prefix("p-")?.parse().ok())
             .unwrap_or(0);
-        let until = of.len().min(from + self.make.page);
+        let until = of.len().min(from + self.make.page_size);
         let row = |e: &&Entry| {
             let state = if e.draining { "draining" } else { "up" };
             let cold = format!("{}ms", (e.warm_at - now).max(0) / 1_000);
--- a/crates/emulator/src/system/platform/tests.rs
+++ b/crates/emulator/src/system/platform/tests.rs
@@ -3,8 +3,8 @@
 #[test]
 fn the_list_is_delayed_paginated_and_rate_limited() {
     let mut platform = Platform::new(PlatformConfig {
-        lag: 500,
-        page: 2,
+        visibility_delay: 500,
+        page_size: 2,
         per_s: 5,
     });
     let entry = |n: u16| Entry {
--- a/crates/emulator/src/system/server.rs
+++ b/crates/emulator/src/system/server.rs
@@ -17,15 +17,15 @@
     /// Its zone.
     pub zone: String,
     /// Requests that run concurrently.
-    pub slots: usize,
+    pub max_concurrent: usize,
     /// Maximum number of waiting requests.
-    pub queue: usize,
+    pub max_waiting: usize,
     /// Work of a request in microseconds, unless `X-Work-Ms` sets another.
     pub work: Micros,
     /// Warm-up time after a start, in microseconds.
-    pub warmup: Micros,
+    pub warm_up: Micros,
     /// Seconds after which an idle connection is closed.
-    pub keep_s: i64,
+    pub keep_alive_s: i64,
 }
 
 /// The path of health checks.
@@ -58,10 +58,10 @@
     close: bool,
     work: Option<Micros>,
     id: Option<&'a str>,
-    wanted: Option<&'a str>,
-    left: Option<Micros>,
+    wanted_instance: Option<&'a str>,
+    time_left: Option<Micros>,
     tenant: &'a str,
-    key: bool,
+    has_key: bool,
     body: &'a [u8],
 }
 
@@ -86,11 +86,11 @@
             target,
             work,
             close,
-            left,
+            time_left: left,
             id: line("X-Request-Id"),
-            wanted: line("X-Want-Instance"),
+            wanted_instance: line("X-Want-Instance"),
             tenant: line("X-Tenant").unwrap_or_default(),
-            key: line("Authorization").is_some(),
+            has_key: line("Authorization").is_some(),
             body: &bytes[head..length],
         }
     }
@@ -177,13 +177,13 @@
     echo: Option<String>,
     repeatable: bool,
     close: bool,
-    until: Micros,
+    deadline: Micros,
 }
 
 /// One incarnation of a server.
 #[derive(Debug)]
 pub struct Server {
-    make: ServerConfig,
+    config: ServerConfig,
     id: String,
     node: Node,
     held: BTreeMap<u64, PendingRequest>,
@@ -201,11 +201,11 @@
     /// A server that starts now; if `warm`, without a warm-up.
     pub fn new(make: ServerConfig, id: String, now: Micros, warm: bool) -> Server {
         let cores = Cores {
-            cores: make.slots,
+            cores: make.max_concurrent,
             speed: 1.0,
-            queue: make.queue,
+            queue: make.max_waiting,
             cold_from: 0.3,
-            warm_up: make.warmup,
+            warm_up: make.warm_up,
             util_interval: 1_000_000,
             cancel_running: true,
         };
@@ -214,17 +214,17 @@
             id,
             held: BTreeMap::new(),
             leaving: false,
-            warm_at: if warm { now } else { now + make.warmup },
+            warm_at: if warm { now } else { now + make.warm_up },
             drain_announced_at: None,
             pending_faults: VecDeque::new(),
             frozen_until: Micros::MIN,
-            make,
+            config: make,
         }
     }
 
     /// Its instance id and configuration.
     pub fn identity(&self) -> (&str, &ServerConfig) {
-        (&self.id, &self.make)
+        (&self.id, &self.config)
     }
 
     /// When its warm-up ends.
@@ -244,7 +244,7 @@
     }
 
     /// Handles a complete request; returns the answer if it is immediate.
-    pub fn ask(
+    pub fn handle_request(
         &mut self,
         now: Micros,
         token: u64,
@@ -263,9 +263,12 @@
         };
         if !health {
             ledger.counts.arrived += 1;
-            ledger.counts.with_client_key += u64::from(asked.key);
+            ledger.counts.with_client_key += u64::from(asked.has_key);
         }
-        if asked.wanted.is_some_and(|wanted| wanted != self.id) {
+        if asked
+            .wanted_instance
+            .is_some_and(|wanted| wanted != self.id)
+        {
             ledger.counts.misdirected += 1;
             return Some(not_run(421, "another"));
         }
@@ -285,9 +288,9 @@
         let work = if health {
             0
         } else {
-            asked.work.unwrap_or(self.make.work)
+            asked.work.unwrap_or(self.config.work)
         };
-        if self.node.arrive(now, Job { token, work }) == Admission::Rejected {
+        if self.node.admit(now, Job { token, work }) == Admission::Rejected {
             ledger.counts.rejected += u64::from(!health);
             return Some(self.answer(503, asked.id, "X-Not-Run: full\r\n", b"", asked.close));
         }
@@ -296,20 +299,20 @@
             echo: (!health).then(|| echo(id, asked.method, asked.target, asked.tenant, asked.body)),
             repeatable: asked.method == "GET",
             close: asked.close,
-            until: now + asked.left.unwrap_or(60_000_000).clamp(0, 60_000_000),
+            deadline: now + asked.time_left.unwrap_or(60_000_000).clamp(0, 60_000_000),
         };
         self.held.insert(token, held);
         None
     }
 
     /// When [`Server::poll`] has something to do next.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_event_at(&self) -> Option<Micros> {
         let deadline = self
             .held
             .values()
-            .map(|held| held.until.max(self.frozen_until))
+            .map(|held| held.deadline.max(self.frozen_until))
             .min();
-        self.node.next().into_iter().chain(deadline).min()
+        self.node.next_event_at().into_iter().chain(deadline).min()
     }
 
     /// Returns what is due by now, one at a time: the token of the request, and the answer.
@@ -328,7 +331,7 @@
             .held
             .iter()
             .rev()
-            .find(|(_, held)| held.until <= now)?
+            .find(|(_, held)| held.deadline <= now)?
             .0;
         let held = self.held.remove(&token)?;
         if self.node.abandon(now, token) {
@@ -358,7 +361,7 @@
             return self.answer(200, None, &cold, b"", held.close);
         };
         ledger.run(&held.id, held.repeatable);
-        let body = format!("{} {}\n{echo}\n", self.make.svc, self.id);
+        let body = format!("{} {}\n{echo}\n", self.config.svc, self.id);
         let seal = format!("X-Server-Seal: {}.{}\r\n", self.id, ledger.counts.ran);
         let (mut bytes, then) =
             self.answer(200, Some(&held.id), &seal, body.as_bytes(), held.close);
@@ -402,7 +405,7 @@
         let kept = if close {
             "Connection: close".into()
         } else {
-            format!("Keep-Alive: timeout={}", self.make.keep_s)
+            format!("Keep-Alive: timeout={}", self.config.keep_alive_s)
         };
         let lines = format!("{id}X-Instance-Id: {}\r\n{kept}\r\n{lines}", self.id);
         http::write_answer(&mut bytes, status, &lines, body);
--- a/crates/emulator/src/system/server/tests.rs
+++ b/crates/emulator/src/system/server/tests.rs
@@ -5,11 +5,11 @@
     let make = ServerConfig {
         svc,
         zone,
-        slots: 1,
-        queue: 1,
+        max_concurrent: 1,
+        max_waiting: 1,
         work: 100,
-        warmup: 0,
-        keep_s: 5,
+        warm_up: 0,
+        keep_alive_s: 5,
     };
     (
         Server::new(make, "i-1".into(), 0, true),
@@ -26,7 +26,7 @@
 ) -> Option<String> {
     let text = format!("{method} /p HTTP/1.1\r\n{lines}\r\n");
     let request = http::request(text.as_bytes()).unwrap().unwrap();
-    let given = server.ask(
+    let given = server.handle_request(
         0,
         token,
         &ServerRequest::of(&request, text.as_bytes()),
@@ -36,7 +36,7 @@
 }
 
 fn next(server: &mut Server, ledger: &mut RunLedger) -> Option<(u64, String, ConnectionAction)> {
-    let now = server.next()?;
+    let now = server.next_event_at()?;
     let (token, (bytes, then)) = server.poll(now, ledger)?;
     Some((token, String::from_utf8_lossy(&bytes).into(), then))
 }
--- a/crates/emulator/src/system/test_system.rs
+++ b/crates/emulator/src/system/test_system.rs
@@ -62,11 +62,11 @@
     ServerConfig {
         svc,
         zone,
-        slots: 8,
-        queue: 16,
+        max_concurrent: 8,
+        max_waiting: 16,
         work: 8_000,
-        warmup: 1_000_000,
-        keep_s: 5,
+        warm_up: 1_000_000,
+        keep_alive_s: 5,
     }
 }
 
@@ -118,8 +118,8 @@
         let system = |error: std::io::Error| error.to_string();
         let town = Fleet::start(
             platform::PlatformConfig {
-                lag: PLATFORM_LAG_US,
-                page: 5,
+                visibility_delay: PLATFORM_LAG_US,
+                page_size: 5,
                 per_s: PLATFORM_CALLS_PER_S,
             },
             DRAIN_US,
@@ -136,7 +136,7 @@
         let (net, edges, platform) = (size.net, size.edges, town.platform());
         let plan = Layout {
             folder,
-            programs,
+            programs_folder: programs,
             net,
             zones,
             edges,
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -119,7 +119,7 @@
 
 struct Served {
     node: Node,
-    entry: Entry,
+    listed: Entry,
     drain_announced_at: Option<Micros>,
     keys: HashMap<u64, Micros>,
 }
@@ -161,13 +161,13 @@
     roster: NodeList,
     gates: BTreeMap<Service, ServiceState>,
     partitioned_until: BTreeMap<(Service, usize), Micros>,
-    turns: VecDeque<FaultEvent>,
-    held: VecDeque<(Service, usize, PendingRequest)>,
-    due: BTreeMap<(Micros, u64), (Service, usize, u64, Reply)>,
-    out: BTreeMap<u64, (usize, usize, u64)>,
-    words: VecDeque<WorldEvent>,
+    fault_events: VecDeque<FaultEvent>,
+    delayed_requests: VecDeque<(Service, usize, PendingRequest)>,
+    due_replies: BTreeMap<(Micros, u64), (Service, usize, u64, Reply)>,
+    outstanding: BTreeMap<u64, (usize, usize, u64)>,
+    events: VecDeque<WorldEvent>,
     ids: ShardedMap<(u32, u32)>,
-    runs: ShardedMap<u32>,
+    key_runs: ShardedMap<u32>,
     counts: Counts,
     serial: u64,
     unix_ms: i64,
@@ -212,13 +212,13 @@
             roster: NodeList::default(),
             gates: BTreeMap::new(),
             partitioned_until: BTreeMap::new(),
-            turns: VecDeque::new(),
-            held: VecDeque::new(),
-            due: BTreeMap::new(),
-            out: BTreeMap::new(),
-            words: VecDeque::new(),
+            fault_events: VecDeque::new(),
+            delayed_requests: VecDeque::new(),
+            due_replies: BTreeMap::new(),
+            outstanding: BTreeMap::new(),
+            events: VecDeque::new(),
             ids: ShardedMap::new(),
-            runs: ShardedMap::new(),
+            key_runs: ShardedMap::new(),
             counts: Counts::default(),
             serial: 0,
             unix_ms,
@@ -226,7 +226,7 @@
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
         (0..plan.nodes.count).for_each(|n| world.add_node(0, n / plan.nodes.rack, true));
-        world.roster = NodeList::new(world.nodes.iter().map(|n| n.entry.clone()).collect());
+        world.roster = NodeList::new(world.nodes.iter().map(|n| n.listed.clone()).collect());
         world
     }
 
@@ -253,7 +253,7 @@
         };
         self.nodes.push(Served {
             node: Node::new(make, now, warm),
-            entry,
+            listed: entry,
             drain_announced_at: None,
             keys: HashMap::new(),
         });
@@ -267,7 +267,7 @@
             span,
             &mut self.rng,
         );
-        self.turns = scheduled
+        self.fault_events = scheduled
             .into_iter()
             .map(|t| FaultEvent {
                 at: t.at + now,
@@ -319,7 +319,7 @@
     }
 
     /// Handles a complete request to a node.
-    pub fn ask(&mut self, now: Micros, ask: NodeRequest<'_>) {
+    pub fn handle_request(&mut self, now: Micros, ask: NodeRequest<'_>) {
         let id = hash_of(ask.id);
         let Some(served) = self.nodes.get_mut(ask.node) else {
             return;
@@ -340,7 +340,8 @@
         }
         *times += 1;
         *open += 1;
-        self.out.insert(ask.token, (ask.node, ask.limiter, id));
+        self.outstanding
+            .insert(ask.token, (ask.node, ask.limiter, id));
         let work = ask
             .work
             .unwrap_or_else(|| self.plan.nodes.draw_work(&mut self.rng));
@@ -368,20 +369,20 @@
         key: Option<u64>,
     ) -> Admission {
         let keys_for = (self.plan.nodes.keys_ms * 1e3) as Micros;
-        let rack = self.nodes[number].entry.rack;
+        let rack = self.nodes[number].listed.rack;
         let known = |key: &u64| {
             let of = |s: &Served| {
-                s.entry.rack == rack && s.keys.get(key).is_some_and(|at| now - at < keys_for)
+                s.listed.rack == rack && s.keys.get(key).is_some_and(|at| now - at < keys_for)
             };
             self.nodes.iter().any(of)
         };
         let repeat = key.as_ref().is_some_and(known);
         let work = if repeat { 0 } else { job.work };
-        let taken = self.nodes[number].node.arrive(now, Job { work, ..job });
+        let taken = self.nodes[number].node.admit(now, Job { work, ..job });
         if taken == Admission::Admitted && repeat {
             self.counts.dropped += 1;
         } else if let Some(key) = key.filter(|_| taken == Admission::Admitted) {
-            let runs = self.runs.of(key);
+            let runs = self.key_runs.of(key);
             *runs += 1;
             self.counts.keys_twice += u64::from(*runs == 2);
             self.nodes[number].keys.insert(key, now);
@@ -390,7 +391,7 @@
     }
 
     /// Handles a complete call to the counter.
-    pub fn count(&mut self, now: Micros, limiter: usize, token: u64, call: Call<'_>) {
+    pub fn handle_counter_call(&mut self, now: Micros, limiter: usize, token: u64, call: Call<'_>) {
         self.counts.calls += 1;
         let second = usize::try_from(now / 1_000_000).unwrap_or(0);
         let by = &mut self.counts.calls_by;
@@ -403,7 +404,7 @@
     }
 
     /// Handles a complete probe of a node.
-    pub fn probe(&mut self, now: Micros, node: usize, limiter: usize, token: u64) {
+    pub fn handle_probe(&mut self, now: Micros, node: usize, limiter: usize, token: u64) {
         self.counts.probes += 1;
         self.deliver(
             now,
@@ -415,7 +416,7 @@
 
     fn deliver(&mut self, now: Micros, service: Service, limiter: usize, held: PendingRequest) {
         if self.blocked_until(service, limiter, now).is_some() {
-            self.held.push_back((service, limiter, held));
+            self.delayed_requests.push_back((service, limiter, held));
             return;
         }
         let gate = self.gate(service);
@@ -460,13 +461,13 @@
         reply: Reply,
     ) {
         self.serial += 1;
-        self.due
+        self.due_replies
             .insert((at, self.serial), (service, limiter, token, reply));
     }
 
     /// The connection of a request was closed: nobody waits for the answer any more.
     pub fn connection_closed(&mut self, now: Micros, token: u64) {
-        if let Some((node, _, id)) = self.out.remove(&token) {
+        if let Some((node, _, id)) = self.outstanding.remove(&token) {
             self.nodes[node].node.abandon(now, token);
             self.closed(id);
         }
@@ -478,12 +479,12 @@
     }
 
     /// When [`World::poll`] has something to do next.
-    pub fn next(&self) -> Option<Micros> {
-        let nodes = self.nodes.iter().filter_map(|n| n.node.next());
+    pub fn next_event_at(&self) -> Option<Micros> {
+        let nodes = self.nodes.iter().filter_map(|n| n.node.next_event_at());
         let firsts = [
-            self.turns.front().map(|t| t.at),
-            self.due.keys().next().map(|k| k.0),
-            self.roster.next(),
+            self.fault_events.front().map(|t| t.at),
+            self.due_replies.keys().next().map(|k| k.0),
+            self.roster.next_event_at(),
         ];
         nodes.chain(firsts.into_iter().flatten()).min()
     }
@@ -491,15 +492,17 @@
     /// Returns the events that are due by now, one at a time; `None` if there are no more.
     pub fn poll(&mut self, now: Micros) -> Option<WorldEvent> {
         loop {
-            if let Some(word) = self.words.pop_front() {
+            if let Some(word) = self.events.pop_front() {
                 return Some(word);
             }
-            if self.turns.front().is_some_and(|t| t.at <= now) {
-                let turn = self.turns.pop_front()?;
+            if self.fault_events.front().is_some_and(|t| t.at <= now) {
+                let turn = self.fault_events.pop_front()?;
                 self.apply_fault_event(now, turn);
                 continue;
             }
-            if self.roster.next().is_some_and(|at| at <= now) && self.roster.tell(now) {
+            if self.roster.next_event_at().is_some_and(|at| at <= now)
+                && self.roster.publish_due(now)
+            {
                 return Some(WorldEvent::ListChanged);
             }
             let ended = self
@@ -507,7 +510,7 @@
                 .iter_mut()
                 .find_map(|n| n.node.take_finished(now));
             if let Some(job) = ended {
-                let Some((number, limiter, _)) = self.out.get(&job.token).copied() else {
+                let Some((number, limiter, _)) = self.outstanding.get(&job.token).copied() else {
                     self.counts.for_nobody += 1;
                     continue;
                 };
@@ -517,13 +520,13 @@
                 self.schedule_reply(now, Service::Node(number), limiter, job.token, reply);
                 continue;
             }
-            let (at, serial) = *self.due.keys().next()?;
+            let (at, serial) = *self.due_replies.keys().next()?;
             if at > now {
                 return None;
             }
-            let (service, limiter, token, reply) = self.due.remove(&(at, serial))?;
+            let (service, limiter, token, reply) = self.due_replies.remove(&(at, serial))?;
             if let Some(until) = self.blocked_until(service, limiter, now) {
-                self.due
+                self.due_replies
                     .insert((until, serial), (service, limiter, token, reply));
                 continue;
             }
@@ -535,7 +538,7 @@
     }
 
     fn finish_reply(&mut self, now: Micros, service: Service, token: u64, reply: Reply) -> Reply {
-        if let Some((_, _, id)) = self.out.remove(&token) {
+        if let Some((_, _, id)) = self.outstanding.remove(&token) {
             self.closed(id);
         }
         let (until, share) = self.gate(service).spoil;
@@ -553,7 +556,7 @@
     }
 
     fn apply_fault_event(&mut self, now: Micros, turn: FaultEvent) {
-        let service = match turn.party {
+        let service = match turn.target {
             FaultTarget::Node(number) => Service::Node(number),
             FaultTarget::Counter => Service::Counter,
             FaultTarget::Discovery => Service::Discovery,
@@ -562,8 +565,8 @@
         if self.gate(service).gone {
             return;
         }
-        let until = turn.at + turn.span;
-        if !turn.begins {
+        let until = turn.at + turn.duration;
+        if !turn.is_start {
             return self.end_fault(now, service, turn);
         }
         match turn.kind {
@@ -577,7 +580,7 @@
             FaultKind::Refuse => {
                 let gate = self.gate_mut(service);
                 gate.refuse_until = gate.refuse_until.max(until);
-                self.words.push_back(WorldEvent::StopListening(service));
+                self.events.push_back(WorldEvent::StopListening(service));
             }
             FaultKind::Reset => self.reset_connections(service),
             FaultKind::Hang => {
@@ -593,7 +596,7 @@
             FaultKind::Die => {
                 let gate = self.gate_mut(service);
                 gate.down_until = gate.down_until.max(until);
-                self.words.push_back(WorldEvent::StopListening(service));
+                self.events.push_back(WorldEvent::StopListening(service));
                 self.reset_connections(service);
             }
             FaultKind::Drain | FaultKind::Replace => {
@@ -601,14 +604,14 @@
                     return;
                 };
                 if turn.kind == FaultKind::Replace {
-                    let rack = self.nodes[number].entry.rack;
+                    let rack = self.nodes[number].listed.rack;
                     self.add_node(now, rack, false);
                     let newest = self.nodes.len() - 1;
-                    self.words
+                    self.events
                         .push_back(WorldEvent::Open(Service::Node(newest)));
                     self.publish_status(now, newest, Status::Ready);
                 }
-                self.nodes[number].node.drain(true);
+                self.nodes[number].node.set_draining(true);
                 self.publish_status(now, number, Status::Terminating);
             }
             FaultKind::Partition => {
@@ -628,13 +631,13 @@
         let gate = self.gate(service);
         match turn.kind {
             FaultKind::Refuse | FaultKind::Die if gate.refuse_until.max(gate.down_until) > now => {}
-            FaultKind::Refuse => self.words.push_back(WorldEvent::Open(service)),
+            FaultKind::Refuse => self.events.push_back(WorldEvent::Open(service)),
             FaultKind::Die => {
                 self.restart_service(now, service);
                 if let Service::Node(number) = service {
                     self.publish_status(now, number, Status::Ready);
                 }
-                self.words.push_back(WorldEvent::Open(service));
+                self.events.push_back(WorldEvent::Open(service));
             }
             FaultKind::Slow if gate.slow <= now => self.set_slowdown(service, 1.0),
             FaultKind::Drain | FaultKind::Replace => {
@@ -644,7 +647,7 @@
                 self.reset_connections(service);
                 if turn.kind == FaultKind::Replace {
                     self.gate_mut(service).gone = true;
-                    self.words.push_back(WorldEvent::StopListening(service));
+                    self.events.push_back(WorldEvent::StopListening(service));
                     self.publish_status(now, number, Status::Gone);
                 } else {
                     self.restart_service(now, service);
@@ -652,7 +655,7 @@
                 }
             }
             FaultKind::Freeze | FaultKind::Partition => {
-                let held: Vec<_> = self.held.drain(..).collect();
+                let held: Vec<_> = self.delayed_requests.drain(..).collect();
                 held.into_iter()
                     .for_each(|(service, limiter, held)| self.deliver(now, service, limiter, held));
             }
@@ -674,7 +677,7 @@
                 let served = &mut self.nodes[number];
                 served.node.restart(now);
                 served.keys.clear();
-                served.entry.since_ms = self.unix_ms + now / 1_000;
+                served.listed.since_ms = self.unix_ms + now / 1_000;
             }
             Service::Counter => self.counter.clear(now),
             Service::Discovery => {}
@@ -683,18 +686,18 @@
 
     /// Resets a service's connections; its outstanding requests and answers are lost.
     fn reset_connections(&mut self, service: Service) {
-        self.due.retain(|_, (s, ..)| *s != service);
-        self.held.retain(|(s, ..)| *s != service);
-        self.words.push_back(WorldEvent::Reset(service));
+        self.due_replies.retain(|_, (s, ..)| *s != service);
+        self.delayed_requests.retain(|(s, ..)| *s != service);
+        self.events.push_back(WorldEvent::Reset(service));
     }
 
     fn publish_status(&mut self, now: Micros, number: usize, status: Status) {
         let told = now + (self.plan.discovery.notice_ms * 1e3) as Micros;
         let served = &mut self.nodes[number];
-        served.entry.status = status;
+        served.listed.status = status;
         served.drain_announced_at =
             (status != Status::Ready).then(|| served.drain_announced_at.unwrap_or(told).min(told));
-        self.roster.change(told, served.entry.clone());
+        self.roster.schedule_change(told, served.listed.clone());
     }
 
     /// Counts so far.
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -29,7 +29,7 @@
     id: &str,
     key: Option<&str>,
 ) {
-    world.ask(
+    world.handle_request(
         now,
         NodeRequest {
             node,
@@ -45,7 +45,7 @@
 /// All events up to an instant.
 fn run_until(world: &mut World, end: Micros) -> Vec<(Micros, WorldEvent)> {
     let mut events = Vec::new();
-    while let Some(at) = world.next().filter(|at| *at <= end) {
+    while let Some(at) = world.next_event_at().filter(|at| *at <= end) {
         while let Some(event) = world.poll(at) {
             events.push((at, event));
         }
@@ -70,7 +70,7 @@
 fn a_crashed_counter_is_reset_and_restarts_empty() {
     let mut world = world(r#"{"kind":"die","on":"counter","at_s":1,"for_ms":1000}"#);
     let call = counter::call("/v2/numbers/n?delta=3&life_ms=60000").unwrap();
-    world.count(0, 0, 1, call);
+    world.handle_counter_call(0, 0, 1, call);
     assert_eq!(
         run_until(&mut world, 500 * MS),
         [(MS, WorldEvent::Answer(1, Reply::Total(3.0)))]
@@ -84,7 +84,7 @@
         run_until(&mut world, 2 * SECOND),
         [(2 * SECOND, WorldEvent::Open(Service::Counter))]
     );
-    world.count(2 * SECOND, 0, 2, call);
+    world.handle_counter_call(2 * SECOND, 0, 2, call);
     assert_eq!(
         run_until(&mut world, 3 * SECOND)[0].1,
         WorldEvent::Answer(2, Reply::Total(3.0))
@@ -102,8 +102,8 @@
         world(r#"{"kind":"partition","on":"counter","at_s":0,"for_ms":300,"limiter":1}"#);
     run_until(&mut world, 0);
     let call = counter::call("/v2/numbers/n?delta=1&life_ms=60000").unwrap();
-    world.count(MS, 0, 1, call);
-    world.count(MS, 1, 2, call);
+    world.handle_counter_call(MS, 0, 1, call);
+    world.handle_counter_call(MS, 1, 2, call);
     let events = run_until(&mut world, SECOND);
     assert_eq!(
         events[0],
@@ -254,7 +254,7 @@
                     open.insert(token);
                 }
                 Step::Count => {
-                    world.count(
+                    world.handle_counter_call(
                         now,
                         0,
                         token,
@@ -263,7 +263,7 @@
                     open.insert(token);
                 }
                 Step::Probe(node) => {
-                    world.probe(now, usize::from(node % 2), 0, token);
+                    world.handle_probe(now, usize::from(node % 2), 0, token);
                     open.insert(token);
                 }
                 Step::Left(which) => {
@@ -284,7 +284,7 @@
             }
         }
         // After the last fault every request is answered, except those lost to resets or closed connections.
-        settle(&mut world, &mut open, now + 70 * SECOND) && world.next().is_none()
+        settle(&mut world, &mut open, now + 70 * SECOND) && world.next_event_at().is_none()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 11))
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -348,7 +348,7 @@
             self.write(at);
         }
         if event.readable {
-            self.read(at, event.ended);
+            self.read(at, event.peer_closed);
         }
     }
 
--- a/crates/load/src/pauses.rs
+++ b/crates/load/src/pauses.rs
@@ -46,7 +46,7 @@
             thread::spawn(move || {
                 let mut sent = 0;
                 for turn in laid {
-                    let FaultTarget::Limiter(number) = turn.party else {
+                    let FaultTarget::Limiter(number) = turn.target else {
                         continue;
                     };
                     let at = start + Duration::from_micros(turn.at.max(0) as u64);
@@ -63,13 +63,13 @@
                     };
                     signal(
                         pid,
-                        if turn.begins {
+                        if turn.is_start {
                             Signal::STOP
                         } else {
                             Signal::CONT
                         },
                     );
-                    sent += u64::from(turn.begins);
+                    sent += u64::from(turn.is_start);
                 }
                 sent
             })
--- a/crates/load/tests/virtual_time.rs
+++ b/crates/load/tests/virtual_time.rs
@@ -41,7 +41,7 @@
                     clients.written(token, now);
                     let (id, node) = (sending.id.to_string(), usize::from(sending.target));
                     let key = Some(sending.key.to_string());
-                    world.ask(
+                    world.handle_request(
                         now,
                         NodeRequest {
                             node,
@@ -77,7 +77,7 @@
             };
             clients.ended(token as usize, now, end);
         }
-        let next = [clients.next().map(|at| at + lag(at)), world.next()]
+        let next = [clients.next().map(|at| at + lag(at)), world.next_event_at()]
             .into_iter()
             .flatten()
             .min();
@@ -124,7 +124,7 @@
     let (mut now, mut closed) = (0, Counted::default());
     for token in 0..5_000_u64 {
         let sent = now;
-        world.ask(
+        world.handle_request(
             now,
             NodeRequest {
                 node: 0,
@@ -136,7 +136,7 @@
             },
         );
         while !std::iter::from_fn(|| world.poll(now)).any(|w| matches!(w, WorldEvent::Answer(..))) {
-            now = world.next().expect("an answer is owed").max(now);
+            now = world.next_event_at().expect("an answer is owed").max(now);
         }
         closed.add(now - sent);
         now = now.max(sent + 2_000);
