--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -114,31 +114,31 @@
     #[serde(default)]
     pub at_s: f64,
     /// For how long, in milliseconds; for `drain` and `replace` how long the old node stays.
-    #[serde(default = "second")]
+    #[serde(default = "default_for_ms")]
     pub for_ms: f64,
     /// Interval between repetitions in seconds; 0 for a single occurrence.
     #[serde(default)]
     pub every_s: f64,
     /// For `slow`: the factor by which work takes longer.
-    #[serde(default = "five")]
+    #[serde(default = "default_times")]
     pub times: f64,
     /// For `spoil`: share of malformed answers, 0 to 1.
-    #[serde(default = "one")]
+    #[serde(default = "default_share")]
     pub share: f64,
     /// For `partition`: number of the isolated limiter.
     #[serde(default)]
     pub limiter: usize,
 }
 
-fn second() -> f64 {
+fn default_for_ms() -> f64 {
     1_000.0
 }
 
-fn five() -> f64 {
+fn default_times() -> f64 {
     5.0
 }
 
-fn one() -> f64 {
+fn default_share() -> f64 {
     1.0
 }
 
