--- a/crates/emulator/src/counter.rs
+++ b/crates/emulator/src/counter.rs
@@ -86,7 +86,7 @@
         let free = &mut self.free_at[hash % parts];
         let begin = (*free).max(now);
         *free = begin + (self.service_time * self.slowdown).round() as Micros;
-        let told = *free + (self.extra_latency as f64 * self.slowdown) as Micros;
+        let answered_at = *free + (self.extra_latency as f64 * self.slowdown) as Micros;
         let end = now + call.life.min(MAX_LIFE);
         let entry = self
             .totals
@@ -96,7 +96,7 @@
             *entry = (0.0, end);
         }
         entry.0 += call.delta;
-        (entry.0, told)
+        (entry.0, answered_at)
     }
 
     /// Makes calls take `times` as long.
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -58,7 +58,7 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<FaultTarget, String> {
-        let bad = || {
+        let invalid = || {
             format!(
                 "'{text}' is none of 'node:N', 'nodes:SHARE', 'counter', 'discovery', 'limiter:N'"
             )
@@ -66,12 +66,13 @@
         match text.split_once(':') {
             None if text == "counter" => Ok(FaultTarget::Counter),
             None if text == "discovery" => Ok(FaultTarget::Discovery),
-            Some(("node", number)) => number.parse().map(FaultTarget::Node).map_err(|_| bad()),
-            Some(("nodes", share)) => share.parse().map(FaultTarget::Nodes).map_err(|_| bad()),
-            Some(("limiter", number)) => {
-                number.parse().map(FaultTarget::Limiter).map_err(|_| bad())
-            }
-            _ => Err(bad()),
+            Some(("node", number)) => number.parse().map(FaultTarget::Node).map_err(|_| invalid()),
+            Some(("nodes", share)) => share.parse().map(FaultTarget::Nodes).map_err(|_| invalid()),
+            Some(("limiter", number)) => number
+                .parse()
+                .map(FaultTarget::Limiter)
+                .map_err(|_| invalid()),
+            _ => Err(invalid()),
         }
     }
 }
@@ -217,9 +218,9 @@
     until: Micros,
     rng: &mut impl Rng,
 ) -> Vec<FaultEvent> {
-    let mut turns = Vec::new();
+    let mut events = Vec::new();
     for fault in plan {
-        let parties: Vec<FaultTarget> = match fault.on {
+        let targets: Vec<FaultTarget> = match fault.on {
             FaultTarget::Nodes(share) => {
                 let count = ((nodes as f64 * share).round() as usize).min(nodes);
                 index::sample(rng, nodes, count)
@@ -227,7 +228,7 @@
                     .map(FaultTarget::Node)
                     .collect()
             }
-            party => vec![party],
+            target => vec![target],
         };
         let amount = if fault.kind == FaultKind::Spoil {
             fault.share
@@ -237,22 +238,22 @@
         let span = (fault.for_ms * 1e3) as Micros;
         let mut at = (fault.at_s * 1e6) as Micros;
         while at < until {
-            for party in &parties {
-                let turn = FaultEvent {
+            for target in &targets {
+                let event = FaultEvent {
                     at,
                     is_start: true,
                     kind: fault.kind,
-                    target: *party,
+                    target: *target,
                     amount,
                     limiter: fault.limiter,
                     duration: span,
                 };
-                turns.push(turn);
+                events.push(event);
                 if fault.kind != FaultKind::Reset {
-                    turns.push(FaultEvent {
+                    events.push(FaultEvent {
                         at: at + span,
                         is_start: false,
-                        ..turn
+                        ..event
                     });
                 }
             }
@@ -263,6 +264,6 @@
         }
     }
     // Ends sort before starts at the same instant.
-    turns.sort_by_key(|t| (t.at, t.is_start));
-    turns
+    events.sort_by_key(|t| (t.at, t.is_start));
+    events
 }
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -83,8 +83,8 @@
         if self.config.warm_up <= 0 || age >= self.config.warm_up {
             return 1.0;
         }
-        let grown = age.max(0) as f64 / self.config.warm_up as f64;
-        self.config.cold_from + (1.0 - self.config.cold_from) * grown
+        let progress = age.max(0) as f64 / self.config.warm_up as f64;
+        self.config.cold_from + (1.0 - self.config.cold_from) * progress
     }
 
     fn update_utilization(&mut self, now: Micros) {
@@ -95,8 +95,8 @@
         self.busy_accounted_until = self.busy_accounted_until.max(now);
         let (since, busy) = self.util_window;
         if now - since >= self.config.util_interval {
-            let room = (now - since) * self.config.cores as Micros;
-            self.util = ((self.busy_time - busy) as f64 / room as f64).clamp(0.0, 1.0);
+            let capacity = (now - since) * self.config.cores as Micros;
+            self.util = ((self.busy_time - busy) as f64 / capacity as f64).clamp(0.0, 1.0);
             self.util_window = (now, self.busy_time);
         }
     }
@@ -166,7 +166,7 @@
         self.update_utilization(now);
         let before = self.waiting.len();
         self.waiting.retain(|job| job.token != token);
-        let waited = self.waiting.len() < before;
+        let was_waiting = self.waiting.len() < before;
         if self.config.cancel_running {
             let of =
                 |core: &&mut Option<(Micros, Job)>| core.is_some_and(|(_, job)| job.token == token);
@@ -176,18 +176,18 @@
                 .for_each(|core| *core = None);
             self.start_waiting_jobs(now);
         }
-        waited
+        was_waiting
     }
 
     /// Freezes the node until an instant; running requests end later by that time.
     pub fn freeze(&mut self, now: Micros, until: Micros) {
         self.update_utilization(now);
         let before = self.frozen_until.unwrap_or(now);
-        let longer = (until - before).max(0);
+        let extension = (until - before).max(0);
         self.running
             .iter_mut()
             .flatten()
-            .for_each(|(end, _)| *end += longer);
+            .for_each(|(end, _)| *end += extension);
         self.frozen_until = Some(until.max(before));
     }
 
@@ -202,8 +202,8 @@
     }
 
     /// Starts or ends rejecting new requests.
-    pub fn set_draining(&mut self, drains: bool) {
-        self.draining = drains;
+    pub fn set_draining(&mut self, draining: bool) {
+        self.draining = draining;
     }
 
     /// Restarts the node cold; all its requests are lost.
@@ -223,7 +223,7 @@
     }
 
     /// Number of running and waiting requests.
-    pub fn held(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.waiting.len() + self.running.iter().flatten().count()
     }
 }
--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -56,7 +56,7 @@
     );
     assert_eq!(node.next_event_at(), Some(200));
     assert!(node.abandon(10, 2) && !node.abandon(10, 1));
-    assert_eq!(node.held(), 2);
+    assert_eq!(node.pending_requests(), 2);
     assert!(node.speed_share(500) > 0.74 && node.speed_share(1_000) == 1.0);
 }
 
--- a/crates/emulator/src/node_list.rs
+++ b/crates/emulator/src/node_list.rs
@@ -56,8 +56,8 @@
     }
 
     /// Schedules the changed entry of a node for publication at an instant.
-    pub fn schedule_change(&mut self, told: Micros, entry: Entry) {
-        self.pending.push_back((told, entry));
+    pub fn schedule_change(&mut self, visible_at: Micros, entry: Entry) {
+        self.pending.push_back((visible_at, entry));
     }
 
     /// When the next change is published.
@@ -83,7 +83,7 @@
     /// `address` returns a node's address as the requesting limiter sees it.
     pub fn changes_since(&self, from: Option<u64>, address: impl Fn(usize) -> String) -> String {
         let known = from.filter(|from| (1..=self.index()).contains(from));
-        let told: Vec<&Entry> = match known {
+        let visible: Vec<&Entry> = match known {
             Some(from) => self
                 .changes
                 .iter()
@@ -92,11 +92,11 @@
                 .collect(),
             None => self.entries.iter().collect(),
         };
-        let one = |e: &&Entry| {
+        let endpoint_json = |e: &&Entry| {
             serde_json::json!({"name": e.name, "address": address(e.node), "zone": "a", "type": "std-2c",
                 "group": e.rack, "status": e.status, "weight": 1.0, "since_ms": e.since_ms})
         };
-        let endpoints: Vec<_> = told.iter().map(one).collect();
+        let endpoints: Vec<_> = visible.iter().map(endpoint_json).collect();
         let whole = known.is_none();
         serde_json::json!({"index": self.index(), "snapshot": whole, "endpoints": endpoints})
             .to_string()
--- a/crates/emulator/src/reactor.rs
+++ b/crates/emulator/src/reactor.rs
@@ -69,11 +69,11 @@
 /// Grows the descriptor table in advance to `descriptors`, or to what the system allows. Otherwise a process with
 /// several threads stalls for some 20 ms each time the table grows (at 256, 512 and so on), in the middle of a run.
 pub fn reserve_descriptors(descriptors: usize) {
-    let Ok(any) = eventfd(0, EventfdFlags::CLOEXEC) else {
+    let Ok(descriptor) = eventfd(0, EventfdFlags::CLOEXEC) else {
         return;
     };
     let mut highest = descriptors.min(i32::MAX as usize) as i32;
-    while highest > 64 && rustix::io::fcntl_dupfd_cloexec(&any, highest).is_err() {
+    while highest > 64 && rustix::io::fcntl_dupfd_cloexec(&descriptor, highest).is_err() {
         highest /= 2;
     }
 }
@@ -143,8 +143,8 @@
                 tv_nsec: (us % 1_000_000 * 1_000) as _,
             }
         });
-        let mut room = [const { MaybeUninit::uninit() }; MAX_EVENTS];
-        let events: &[epoll::Event] = match epoll::wait(&self.epoll, &mut room, time.as_ref()) {
+        let mut buffer = [const { MaybeUninit::uninit() }; MAX_EVENTS];
+        let events: &[epoll::Event] = match epoll::wait(&self.epoll, &mut buffer, time.as_ref()) {
             Ok((events, _)) => events,
             Err(rustix::io::Errno::INTR) => return Ok(()),
             Err(error) => return Err(error.into()),
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -143,7 +143,7 @@
         limiter: usize,
         socket: TcpListener,
     },
-    Line(Connection),
+    Connection(Connection),
 }
 
 /// A connection. Its answers are sent in the order of the requests.
@@ -153,7 +153,7 @@
     socket: TcpStream,
     read: Vec<u8>,
     write: Vec<u8>,
-    pending_answers: VecDeque<(u64, Option<Vec<u8>>)>,
+    pending: VecDeque<(u64, Option<Vec<u8>>)>,
     /// For a watch, the version last sent.
     watch: Option<u64>,
     close: bool,
@@ -278,8 +278,8 @@
         let at = event.token as usize;
         match self.endpoints.get_mut(at) {
             Some(Endpoint::Listener { .. }) => self.accept(at),
-            Some(Endpoint::Line(line)) => {
-                let is_open = !event.writable || line.flush();
+            Some(Endpoint::Connection(connection)) => {
+                let is_open = !event.writable || connection.flush();
                 if !is_open || (event.readable && !self.read(at, event.peer_closed)) {
                     self.close(at);
                 }
@@ -315,18 +315,18 @@
             if self.reactor.add(&socket, slot as u64).is_err() {
                 continue;
             }
-            let (read, write, owed) = (Vec::new(), Vec::new(), VecDeque::new());
-            let line = Connection {
+            let (read, write, pending) = (Vec::new(), Vec::new(), VecDeque::new());
+            let connection = Connection {
                 service,
                 limiter,
                 socket,
                 read,
                 write,
-                pending_answers: owed,
+                pending,
                 watch: None,
                 close: false,
             };
-            self.endpoints.insert(Endpoint::Line(line));
+            self.endpoints.insert(Endpoint::Connection(connection));
         }
         self.accept_again.push(at);
     }
@@ -334,13 +334,13 @@
     /// Reads and handles available data; returns whether the connection stays open.
     fn read(&mut self, at: usize, until_eof: bool) -> bool {
         loop {
-            let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
+            let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
                 return true;
             };
-            match line.socket.read(&mut self.buffer) {
+            match connection.socket.read(&mut self.buffer) {
                 Ok(0) => return false,
                 Ok(length) => {
-                    line.read.extend_from_slice(&self.buffer[..length]);
+                    connection.read.extend_from_slice(&self.buffer[..length]);
                     if !self.handle_requests(at) {
                         return false;
                     }
@@ -358,30 +358,30 @@
     /// Handles complete requests; returns whether the connection stays open.
     fn handle_requests(&mut self, at: usize) -> bool {
         let now = self.now();
-        let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
+        let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
             return true;
         };
         // Moved out so that requests borrowed from it can be passed to the world while the connection is modified.
-        let mut bytes = std::mem::take(&mut line.read);
-        let mut used = 0;
+        let mut bytes = std::mem::take(&mut connection.read);
+        let mut consumed = 0;
         let is_open = loop {
-            let request = match http::request(&bytes[used..]) {
+            let request = match http::request(&bytes[consumed..]) {
                 Ok(Some(request)) => request,
                 Ok(None) => break true,
                 Err(http::Malformed) => break false,
             };
-            used += request.length;
-            let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
+            consumed += request.length;
+            let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
                 break true;
             };
-            if line.close {
+            if connection.close {
                 break true;
             }
-            line.close = request.close;
+            connection.close = request.close;
             self.serial += 1;
             let token = ((at as u64) << 32) | (self.serial & 0xffff_ffff);
-            let (service, limiter) = (line.service, line.limiter);
-            line.pending_answers.push_back((token, None));
+            let (service, limiter) = (connection.service, connection.limiter);
+            connection.pending.push_back((token, None));
             let refused = match service {
                 Service::Node(node) => match (request.id, request.target) {
                     (Some(id), _) => {
@@ -425,18 +425,18 @@
                 self.answer(token, out);
             }
         };
-        bytes.drain(..used);
-        if let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) {
-            line.read = bytes;
+        bytes.drain(..consumed);
+        if let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) {
+            connection.read = bytes;
         }
         is_open
     }
 
     fn answer_discovery(&mut self, at: usize, token: u64, target: &str) {
-        let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
+        let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
             return;
         };
-        let limiter = line.limiter;
+        let limiter = connection.limiter;
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let get = |key: &str| {
             query
@@ -447,13 +447,13 @@
         if path != "/discovery/hosts" {
             http::write_answer(&mut out, 404, "", b"");
         } else if get("watch") == Some("1") {
-            line.watch = Some(0);
+            connection.watch = Some(0);
             self.watchers.push(at);
             let list = self.list(get("from").and_then(|f| f.parse().ok()), limiter);
             out.extend_from_slice(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             chunk(&mut out, &list);
-            if let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) {
-                line.watch = Some(self.world.index());
+            if let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) {
+                connection.watch = Some(self.world.index());
             }
         } else {
             http::write_answer(&mut out, 200, "", self.list(None, limiter).as_bytes());
@@ -464,10 +464,10 @@
     fn notify_watchers(&mut self, now: Micros, beat: bool) {
         let index = self.world.index();
         for at in std::mem::take(&mut self.watchers) {
-            let Some(Endpoint::Line(line)) = self.endpoints.get(at) else {
+            let Some(Endpoint::Connection(connection)) = self.endpoints.get(at) else {
                 continue;
             };
-            let (limiter, Some(told)) = (line.limiter, line.watch) else {
+            let (limiter, Some(told)) = (connection.limiter, connection.watch) else {
                 continue;
             };
             self.watchers.push(at);
@@ -487,12 +487,12 @@
             if text.is_empty() && !beat {
                 continue;
             }
-            let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
+            let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
                 continue;
             };
-            line.watch = Some(index);
-            chunk(&mut line.write, &text);
-            if !line.flush() {
+            connection.watch = Some(index);
+            chunk(&mut connection.write, &text);
+            if !connection.flush() {
                 self.close(at);
             }
         }
@@ -522,27 +522,27 @@
                 self.answer(token, out);
             }
             WorldEvent::Reset(service) => {
-                let of = |(at, door): (usize, &Endpoint)| match door {
-                    Endpoint::Line(line) if line.service == service => Some(at),
+                let of = |(at, endpoint): (usize, &Endpoint)| match endpoint {
+                    Endpoint::Connection(connection) if connection.service == service => Some(at),
                     _ => None,
                 };
-                let lines: Vec<usize> = self.endpoints.iter().filter_map(of).collect();
-                for at in lines {
-                    if let Some(Endpoint::Line(line)) = self.endpoints.get(at) {
+                let slots: Vec<usize> = self.endpoints.iter().filter_map(of).collect();
+                for at in slots {
+                    if let Some(Endpoint::Connection(connection)) = self.endpoints.get(at) {
                         // With a linger time of zero, closing resets the connection.
-                        let _ = SockRef::from(&line.socket).set_linger(Some(Duration::ZERO));
+                        let _ = SockRef::from(&connection.socket).set_linger(Some(Duration::ZERO));
                     }
                     self.close(at);
                 }
             }
             WorldEvent::StopListening(service) => {
                 self.endpoints.retain(
-                    |_, door| !matches!(door, Endpoint::Listener { service: s, .. } if *s == service),
+                    |_, endpoint| !matches!(endpoint, Endpoint::Listener { service: s, .. } if *s == service),
                 );
             }
             WorldEvent::Open(service) => {
-                let listens = |door: &Endpoint| matches!(door, Endpoint::Listener { service: s, .. } if *s == service);
-                if !self.endpoints.iter().any(|(_, door)| listens(door))
+                let listens = |endpoint: &Endpoint| matches!(endpoint, Endpoint::Listener { service: s, .. } if *s == service);
+                if !self.endpoints.iter().any(|(_, endpoint)| listens(endpoint))
                     && self.open(service).is_err()
                 {
                     eprintln!("emulator: cannot reopen the listeners of {service:?}");
@@ -554,19 +554,19 @@
 
     fn answer(&mut self, token: u64, bytes: Vec<u8>) {
         let at = slot(token);
-        let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
+        let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
             return;
         };
-        let Some(owed) = line.pending_answers.iter_mut().find(|(t, _)| *t == token) else {
+        let Some(pending) = connection.pending.iter_mut().find(|(t, _)| *t == token) else {
             return;
         };
-        owed.1 = Some(bytes);
-        while let Some((_, Some(bytes))) = line.pending_answers.front_mut() {
-            line.write.append(bytes);
-            line.pending_answers.pop_front();
+        pending.1 = Some(bytes);
+        while let Some((_, Some(bytes))) = connection.pending.front_mut() {
+            connection.write.append(bytes);
+            connection.pending.pop_front();
         }
-        let ends = line.close && line.pending_answers.is_empty() && line.watch.is_none();
-        if !line.flush() || (ends && line.write.is_empty()) {
+        let ends = connection.close && connection.pending.is_empty() && connection.watch.is_none();
+        if !connection.flush() || (ends && connection.write.is_empty()) {
             self.close(at);
         }
     }
@@ -576,8 +576,9 @@
         if !self.endpoints.contains(at) {
             return;
         }
-        if let Endpoint::Line(line) = self.endpoints.remove(at) {
-            line.pending_answers
+        if let Endpoint::Connection(connection) = self.endpoints.remove(at) {
+            connection
+                .pending
                 .iter()
                 .for_each(|(token, _)| self.world.connection_closed(now, *token));
         }
--- a/crates/emulator/src/system/client.rs
+++ b/crates/emulator/src/system/client.rs
@@ -65,8 +65,8 @@
     pub answered_calls: usize,
 }
 
-fn left(until: Instant) -> Option<Duration> {
-    Some(until.saturating_duration_since(Instant::now())).filter(|left| !left.is_zero())
+fn remaining(until: Instant) -> Option<Duration> {
+    Some(until.saturating_duration_since(Instant::now())).filter(|remaining| !remaining.is_zero())
 }
 
 impl Connection {
@@ -75,7 +75,9 @@
     /// # Errors
     /// It can't be opened before the deadline.
     pub fn open(to: SocketAddr, until: Instant) -> Result<Connection, Failure> {
-        let wait = left(until).ok_or(Failure::TimedOut)?.min(CONNECT_TIMEOUT);
+        let wait = remaining(until)
+            .ok_or(Failure::TimedOut)?
+            .min(CONNECT_TIMEOUT);
         let stream = TcpStream::connect_timeout(&to, wait).map_err(Failure::NotSent)?;
         stream.set_nodelay(true).map_err(Failure::NotSent)?;
         Ok(Connection {
@@ -90,7 +92,7 @@
     /// It was not completely written before the deadline.
     pub fn send(&mut self, request: &[u8], until: Instant) -> Result<(), Failure> {
         self.stream
-            .set_write_timeout(Some(left(until).ok_or(Failure::TimedOut)?))
+            .set_write_timeout(Some(remaining(until).ok_or(Failure::TimedOut)?))
             .map_err(Failure::NotSent)?;
         self.stream.write_all(request).map_err(Failure::NotSent)
     }
@@ -101,12 +103,12 @@
     /// No complete answer arrived before the deadline.
     pub fn read_reply(&mut self, until: Instant) -> Result<Reply, Failure> {
         let mut bytes = Vec::new();
-        let mut room = vec![0; READ_BUFFER_BYTES];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
             self.stream
-                .set_read_timeout(Some(left(until).ok_or(Failure::TimedOut)?))
+                .set_read_timeout(Some(remaining(until).ok_or(Failure::TimedOut)?))
                 .map_err(Failure::Broken)?;
-            let length = match self.stream.read(&mut room) {
+            let length = match self.stream.read(&mut buffer) {
                 Ok(0) if bytes.is_empty() => return Err(Failure::Closed),
                 Ok(length) => length,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
@@ -120,16 +122,16 @@
                 }
                 Err(error) => return Err(Failure::Broken(error)),
             };
-            bytes.extend_from_slice(&room[..length]);
+            bytes.extend_from_slice(&buffer[..length]);
             let read = http::answer(&bytes, length == 0);
-            let none = |_| Failure::Broken(io::Error::other("response is not valid HTTP/1.1"));
+            let invalid = |_| Failure::Broken(io::Error::other("response is not valid HTTP/1.1"));
             let Some(http::Answer {
                 status,
                 retry_after,
                 close,
                 head,
                 length,
-            }) = read.map_err(none)?
+            }) = read.map_err(invalid)?
             else {
                 continue;
             };
--- a/crates/emulator/src/system/fleet.rs
+++ b/crates/emulator/src/system/fleet.rs
@@ -28,27 +28,27 @@
 enum Endpoint {
     /// A listener of a server, by its number, or of the platform (`None`).
     Listener(Option<usize>, TcpListener),
-    Line(Connection),
+    Connection(Connection),
 }
 
 /// A connection to a server or to the platform; it handles one request at a time.
 struct Connection {
-    at: Option<usize>,
+    server: Option<usize>,
     socket: TcpStream,
     read: Vec<u8>,
     write: Vec<u8>,
-    owed: Option<u64>,
+    pending: Option<u64>,
     close: bool,
-    heard: Micros,
+    last_active_at: Micros,
 }
 
-struct Host {
+struct FleetState {
     start: Instant,
     reactor: Arc<Reactor>,
     endpoints: Slab<Endpoint>,
     platform: Platform,
     servers: BTreeMap<usize, (SocketAddr, Server)>,
-    found: usize,
+    next_number: usize,
     ledger: RunLedger,
     drain: Micros,
     serial: u64,
@@ -58,7 +58,7 @@
 
 /// The platform's instance list and the servers, served on a dedicated thread.
 pub struct Fleet {
-    host: Arc<Mutex<Host>>,
+    host: Arc<Mutex<FleetState>>,
     platform: SocketAddr,
     waker: Waker,
     stop: Arc<AtomicBool>,
@@ -74,13 +74,13 @@
     pub fn start(make: platform::PlatformConfig, drain: Micros) -> io::Result<Fleet> {
         let reactor = Arc::new(Reactor::new()?);
         let waker = reactor.waker();
-        let mut host = Host {
+        let mut host = FleetState {
             start: Instant::now(),
             reactor: reactor.clone(),
             endpoints: Slab::new(),
             platform: Platform::new(make),
             servers: BTreeMap::new(),
-            found: 0,
+            next_number: 0,
             ledger: RunLedger::default(),
             drain,
             serial: 0,
@@ -89,10 +89,10 @@
         let platform = host.open(None, SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
         let host = Arc::new(Mutex::new(host));
         let stop = Arc::new(AtomicBool::new(false));
-        let (served, told) = (host.clone(), stop.clone());
+        let (shared_state, stop_flag) = (host.clone(), stop.clone());
         let thread = std::thread::Builder::new()
             .name("town".into())
-            .spawn(move || run(&served, &reactor, &told))?;
+            .spawn(move || run(&shared_state, &reactor, &stop_flag))?;
         Ok(Fleet {
             host,
             platform,
@@ -102,7 +102,7 @@
         })
     }
 
-    fn host(&self) -> MutexGuard<'_, Host> {
+    fn host(&self) -> MutexGuard<'_, FleetState> {
         self.host.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -122,7 +122,7 @@
         at: Option<SocketAddr>,
     ) -> io::Result<usize> {
         let mut host = self.host();
-        let number = host.found;
+        let number = host.next_number;
         let at = host.open(
             Some(number),
             at.unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
@@ -143,7 +143,7 @@
         };
         host.platform.change(now, |entries| entries.push(entry));
         host.servers.insert(number, (at, server));
-        host.found += 1;
+        host.next_number += 1;
         Ok(number)
     }
 
@@ -177,9 +177,9 @@
         let id = server.identity().0.to_string();
         host.platform
             .change(now, |entries| entries.retain(|e| e.id != id));
-        host.endpoints.retain(|_, door| match door {
+        host.endpoints.retain(|_, endpoint| match endpoint {
             Endpoint::Listener(of, _) => *of != Some(number),
-            Endpoint::Line(line) => line.at != Some(number),
+            Endpoint::Connection(connection) => connection.server != Some(number),
         });
         Some(at)
     }
@@ -228,7 +228,7 @@
     }
 }
 
-fn run(host: &Mutex<Host>, reactor: &Reactor, stop: &AtomicBool) {
+fn run(host: &Mutex<FleetState>, reactor: &Reactor, stop: &AtomicBool) {
     let mut ready: Vec<Ready> = Vec::new();
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     let lock = || host.lock().unwrap_or_else(PoisonError::into_inner);
@@ -247,7 +247,7 @@
     }
 }
 
-impl Host {
+impl FleetState {
     fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
@@ -283,31 +283,32 @@
         answers
             .into_iter()
             .for_each(|(token, answers)| self.send_answer(token, answers));
-        let stands = |host: &Host, n: &usize| {
+        let is_frozen = |host: &FleetState, n: &usize| {
             host.servers
                 .get(n)
                 .is_some_and(|(_, s)| s.frozen_until > now)
         };
         let (frozen, resumed): (Vec<_>, Vec<_>) = std::mem::take(&mut self.frozen)
             .into_iter()
-            .partition(|n| stands(self, n));
+            .partition(|n| is_frozen(self, n));
         self.frozen = frozen;
-        let of = |line: &Connection| line.at.is_some_and(|at| resumed.contains(&at));
+        let of =
+            |connection: &Connection| connection.server.is_some_and(|at| resumed.contains(&at));
         let connections: Vec<usize> = self
             .endpoints
             .iter()
-            .filter(|(_, d)| matches!(d, Endpoint::Line(l) if of(l)))
+            .filter(|(_, d)| matches!(d, Endpoint::Connection(l) if of(l)))
             .map(|(at, _)| at)
             .collect();
         for at in connections {
             self.drive_connection(at, true, buffer);
         }
         let servers = &self.servers;
-        self.endpoints.retain(|_, door| match door {
-            Endpoint::Line(Connection {
-                at: Some(at),
-                owed: None,
-                heard,
+        self.endpoints.retain(|_, endpoint| match endpoint {
+            Endpoint::Connection(Connection {
+                server: Some(at),
+                pending: None,
+                last_active_at: heard,
                 ..
             }) => {
                 let keep = servers.get(at).map_or(0, |(_, server)| {
@@ -323,7 +324,7 @@
         let at = event.token as usize;
         match self.endpoints.get(at) {
             Some(Endpoint::Listener(..)) => self.accept(at),
-            Some(Endpoint::Line(_)) => self.drive_connection(at, event.readable, buffer),
+            Some(Endpoint::Connection(_)) => self.drive_connection(at, event.readable, buffer),
             None => {}
         }
     }
@@ -337,24 +338,24 @@
                 return;
             };
             let slot = self.endpoints.vacant_key();
-            let able = socket
+            let configured = socket
                 .set_nonblocking(true)
                 .and_then(|()| socket.set_nodelay(true));
-            if able
+            if configured
                 .and_then(|()| self.reactor.add(&socket, slot as u64))
                 .is_ok()
             {
                 let (read, write) = (Vec::new(), Vec::new());
-                let line = Connection {
-                    at: of,
+                let connection = Connection {
+                    server: of,
                     socket,
                     read,
                     write,
-                    owed: None,
+                    pending: None,
                     close: false,
-                    heard: now,
+                    last_active_at: now,
                 };
-                self.endpoints.insert(Endpoint::Line(line));
+                self.endpoints.insert(Endpoint::Connection(connection));
             }
         }
     }
@@ -362,28 +363,28 @@
     /// Writes and reads as far as possible; does nothing at a frozen server.
     fn drive_connection(&mut self, at: usize, readable: bool, buffer: &mut [u8]) {
         let now = self.now();
-        let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
+        let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
             return;
         };
-        if line
-            .at
+        if connection
+            .server
             .and_then(|at| self.servers.get(&at))
             .is_some_and(|(_, server)| server.frozen_until > now)
         {
             return;
         }
-        let mut is_open = flush(&mut line.socket, &mut line.write);
+        let mut is_open = flush(&mut connection.socket, &mut connection.write);
         while is_open && readable {
-            match line.socket.read(buffer) {
+            match connection.socket.read(buffer) {
                 Ok(0) => is_open = false,
-                Ok(length) => line.read.extend_from_slice(&buffer[..length]),
+                Ok(length) => connection.read.extend_from_slice(&buffer[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => is_open = false,
             }
         }
-        line.heard = now;
-        if !is_open || (line.close && line.write.is_empty()) {
+        connection.last_active_at = now;
+        if !is_open || (connection.close && connection.write.is_empty()) {
             return self.close(at);
         }
         self.request(at);
@@ -392,23 +393,23 @@
     /// Handles the next request if it is complete and no answer is pending.
     fn request(&mut self, at: usize) {
         let now = self.now();
-        let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
+        let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
             return;
         };
-        if line.owed.is_some() || line.close || line.read.is_empty() {
+        if connection.pending.is_some() || connection.close || connection.read.is_empty() {
             return;
         }
-        let mut bytes = std::mem::take(&mut line.read);
+        let mut bytes = std::mem::take(&mut connection.read);
         let request = match http::request(&bytes) {
             Ok(Some(request)) => request,
-            Ok(None) => return line.read = bytes,
+            Ok(None) => return connection.read = bytes,
             Err(http::Malformed) => return self.close(at),
         };
         self.serial += 1;
         let token = ((at as u64) << 32) | (self.serial & 0xffff_ffff);
-        line.owed = Some(token);
+        connection.pending = Some(token);
         let length = request.length;
-        let answers = match line.at {
+        let answers = match connection.server {
             None => {
                 let (status, body) = self.platform.answer(now, request.method, request.target);
                 let mut out = Vec::new();
@@ -440,8 +441,8 @@
             }
         };
         bytes.drain(..length);
-        if let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) {
-            line.read = bytes;
+        if let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) {
+            connection.read = bytes;
         }
         answers
             .into_iter()
@@ -450,28 +451,28 @@
 
     fn send_answer(&mut self, token: u64, (bytes, then): AnswerAction) {
         let (at, now) = (slot(token), self.now());
-        let Some(Endpoint::Line(line)) = self.endpoints.get_mut(at) else {
+        let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
             return;
         };
-        if line.owed != Some(token) {
+        if connection.pending != Some(token) {
             return;
         }
-        (line.owed, line.heard) = (None, now);
+        (connection.pending, connection.last_active_at) = (None, now);
         if then == ConnectionAction::Reset {
             // If this fails the connection closes in order, which the client sees as a failure too.
-            let _ = SockRef::from(&line.socket).set_linger(Some(Duration::ZERO));
+            let _ = SockRef::from(&connection.socket).set_linger(Some(Duration::ZERO));
             return self.close(at);
         }
-        line.write.extend_from_slice(&bytes);
-        line.close = then == ConnectionAction::Close;
+        connection.write.extend_from_slice(&bytes);
+        connection.close = then == ConnectionAction::Close;
         self.drive_connection(at, false, &mut []);
     }
 
     fn close(&mut self, at: usize) {
         let now = self.now();
-        if let Some(Endpoint::Line(Connection {
-            at: Some(number),
-            owed: Some(token),
+        if let Some(Endpoint::Connection(Connection {
+            server: Some(number),
+            pending: Some(token),
             ..
         })) = self.endpoints.try_remove(at)
             && let Some((_, server)) = self.servers.get_mut(&number)
--- a/crates/emulator/src/system/machines.rs
+++ b/crates/emulator/src/system/machines.rs
@@ -308,9 +308,16 @@
     /// The program is not running, or the operating system refuses.
     pub fn refuse_connections(&self, role: Role, number: usize, refuse: bool) -> io::Result<()> {
         let pid = self.pid(role, number).ok_or(io::ErrorKind::NotFound)?;
-        let own = getrlimit(Resource::Nofile);
-        let current = if refuse { Some(0) } else { own.current };
-        let limit = Rlimit { current, ..own };
+        let process_limit = getrlimit(Resource::Nofile);
+        let current = if refuse {
+            Some(0)
+        } else {
+            process_limit.current
+        };
+        let limit = Rlimit {
+            current,
+            ..process_limit
+        };
         prlimit(Some(pid), Resource::Nofile, limit)?;
         Ok(())
     }
@@ -324,16 +331,16 @@
             .pid(role, number)
             .ok_or(io::ErrorKind::NotFound)?
             .as_raw_nonzero();
-        let wrong = || io::Error::from(io::ErrorKind::InvalidData);
+        let invalid = || io::Error::from(io::ErrorKind::InvalidData);
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
         // The second field is the program's name in brackets, which may hold spaces.
-        let (_, fields) = stat.rsplit_once(") ").ok_or_else(wrong)?;
+        let (_, fields) = stat.rsplit_once(") ").ok_or_else(invalid)?;
         let fields: Vec<&str> = fields.split(' ').collect();
         let number = |at: usize| {
             fields
                 .get(at)
                 .and_then(|field| field.parse::<u64>().ok())
-                .ok_or_else(wrong)
+                .ok_or_else(invalid)
         };
         let ticks = number(USER_TICKS)? + number(SYSTEM_TICKS)?;
         let processor = Duration::from_secs_f64(ticks as f64 / clock_ticks_per_second() as f64);
@@ -386,13 +393,17 @@
             Some((*at, child.try_wait().ok().flatten()?))
         };
         let ended: Vec<_> = self.running.iter_mut().filter_map(ended).collect();
-        let told = ended.into_iter().map(|((role, number), status)| {
+        let reports = ended.into_iter().map(|((role, number), status)| {
             let log = self.log(role, number);
-            let last: Vec<&str> = log.lines().rev().take(30).collect();
-            let last: Vec<&str> = last.into_iter().rev().collect();
-            format!("{} {number}: {status}\n{}", role.program(), last.join("\n"))
+            let last_lines: Vec<&str> = log.lines().rev().take(30).collect();
+            let last_lines: Vec<&str> = last_lines.into_iter().rev().collect();
+            format!(
+                "{} {number}: {status}\n{}",
+                role.program(),
+                last_lines.join("\n")
+            )
         });
-        told.collect()
+        reports.collect()
     }
 
     /// Whether an edge reports ready.
@@ -427,7 +438,7 @@
     /// Asks all programs to exit, edges first, and kills those that do not within the shutdown grace; returns
     /// those that did not exit in order.
     pub fn stop(&mut self) -> Vec<String> {
-        let mut wrong = self.unexpected_exits();
+        let mut failures = self.unexpected_exits();
         for role in [Role::Proxy, Role::Agent, Role::Control] {
             let all: Vec<_> = self
                 .running
@@ -441,22 +452,23 @@
             for (role, number) in all {
                 match self.wait_for_exit(role, number, until) {
                     Some(status) if status.success() => {}
-                    Some(status) => wrong.push(format!("{} {number}: {status}", role.program())),
+                    Some(status) => failures.push(format!("{} {number}: {status}", role.program())),
                     None => {
-                        wrong.push(format!("{} {number}: killed", role.program()));
+                        failures.push(format!("{} {number}: killed", role.program()));
                         self.kill(role, number);
                     }
                 }
             }
         }
-        wrong
+        failures
     }
 }
 
 impl Drop for Machines {
     fn drop(&mut self) {
-        let left: Vec<_> = self.running.keys().copied().collect();
-        left.into_iter()
+        let remaining: Vec<_> = self.running.keys().copied().collect();
+        remaining
+            .into_iter()
             .for_each(|(role, number)| self.kill(role, number));
     }
 }
--- a/crates/emulator/src/system/operator.rs
+++ b/crates/emulator/src/system/operator.rs
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct Operator {
     ctl: Vec<SocketAddr>,
-    turn: usize,
+    next_ctl: usize,
     /// Acknowledged version and content, by kind and name.
     acknowledged: BTreeMap<(String, String), (u64, Option<Value>)>,
 }
@@ -65,7 +65,7 @@
     pub fn new(ctl: Vec<SocketAddr>) -> Operator {
         Operator {
             ctl,
-            turn: 0,
+            next_ctl: 0,
             acknowledged: BTreeMap::new(),
         }
     }
@@ -77,12 +77,12 @@
     pub fn change(&mut self, change: &Change, until: Instant) -> Result<(), String> {
         self.call_until_accepted("POST", "/api/cfg/patch", &change.body(), until)?;
         for (kind, name, ver, spec) in &change.0 {
-            let held = self
+            let acknowledged = self
                 .acknowledged
                 .entry((kind.clone(), name.clone()))
                 .or_insert((0, None));
-            if *ver > held.0 {
-                *held = (*ver, spec.clone());
+            if *ver > acknowledged.0 {
+                *acknowledged = (*ver, spec.clone());
             }
         }
         Ok(())
@@ -109,7 +109,7 @@
     /// There is no answer before the deadline.
     pub fn differences(&mut self, until: Instant) -> Result<Vec<String>, String> {
         let reply = self.call_until_accepted("GET", "/api/cfg/get", "", until)?;
-        let read: Value =
+        let read_back: Value =
             serde_json::from_slice(reply.body()).map_err(|e| format!("reading back: {e}"))?;
         let item = |object: &Value| {
             let text = |v: &Value| v.as_str().unwrap_or_default().to_string();
@@ -122,23 +122,25 @@
                 ),
             ))
         };
-        let objects = read["objs"].as_array().ok_or("reading back: no objs")?;
-        let read: BTreeMap<_, _> = objects.iter().filter_map(item).collect();
-        let stands = self
+        let objects = read_back["objs"]
+            .as_array()
+            .ok_or("reading back: no objs")?;
+        let read_back: BTreeMap<_, _> = objects.iter().filter_map(item).collect();
+        let is_set = self
             .acknowledged
             .iter()
             .filter(|(_, (_, spec))| spec.is_some());
-        let differs = stands
-            .filter(|(name, item)| read.get(*name) != Some(*item))
+        let differs = is_set
+            .filter(|(name, item)| read_back.get(*name) != Some(*item))
             .map(|(name, _)| name);
-        let stands = |name: &(String, String)| {
+        let is_set = |name: &(String, String)| {
             self.acknowledged
                 .get(name)
                 .is_some_and(|(_, spec)| spec.is_some())
         };
-        let more = read.keys().filter(|name| !stands(name));
+        let unexpected = read_back.keys().filter(|name| !is_set(name));
         Ok(differs
-            .chain(more)
+            .chain(unexpected)
             .map(|(kind, name)| format!("{kind}/{name}"))
             .collect())
     }
@@ -152,27 +154,28 @@
         until: Instant,
     ) -> Result<Reply, String> {
         let (mut pause, mut refused) = (FIRST_RETRY_PAUSE, 0);
-        let mut last = "no address of a control program configured".to_string();
+        let mut last_error = "no address of a control program configured".to_string();
         while Instant::now() < until && !self.ctl.is_empty() {
-            let to = self.ctl[self.turn % self.ctl.len()];
+            let to = self.ctl[self.next_ctl % self.ctl.len()];
             match call_following_redirects(to, method, path, body, until) {
                 Ok(reply) if (200..300).contains(&reply.status) => return Ok(reply),
                 Ok(reply) => {
-                    last = format!("{method} {path} at {to}: {} {}", reply.status, reply.text());
+                    last_error =
+                        format!("{method} {path} at {to}: {} {}", reply.status, reply.text());
                     refused += u32::from(
                         (400..500).contains(&reply.status) && !matches!(reply.status, 408 | 429),
                     );
                     if refused >= 3 || matches!(reply.status, 400 | 409 | 412 | 413 | 422) {
-                        return Err(last);
+                        return Err(last_error);
                     }
                 }
-                Err(failure) => last = format!("{method} {path} at {to}: {failure:?}"),
+                Err(failure) => last_error = format!("{method} {path} at {to}: {failure:?}"),
             }
-            self.turn += 1;
+            self.next_ctl += 1;
             std::thread::sleep(pause.min(until.saturating_duration_since(Instant::now())));
             pause = pause * 3 / 2;
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
@@ -187,9 +190,10 @@
     let mut path = path.to_string();
     for _ in 0..2 {
         let reply = call_once(to, method, &path, body, until)?;
-        let place = reply.header("Location").filter(|_| reply.status == 307);
-        let place = place.and_then(|place| place.strip_prefix("http://")?.split_once('/'));
-        let Some((address, rest)) = place.and_then(|(at, rest)| Some((at.parse().ok()?, rest)))
+        let location = reply.header("Location").filter(|_| reply.status == 307);
+        let location =
+            location.and_then(|location| location.strip_prefix("http://")?.split_once('/'));
+        let Some((address, rest)) = location.and_then(|(at, rest)| Some((at.parse().ok()?, rest)))
         else {
             return Ok(reply);
         };
--- a/crates/emulator/src/system/platform.rs
+++ b/crates/emulator/src/system/platform.rs
@@ -89,19 +89,19 @@
                 .split('&')
                 .find_map(|p| p.strip_prefix(key)?.strip_prefix('='))
         };
-        let told = self
+        let visible = self
             .published
             .front()
             .filter(|(at, _)| *at <= now)
             .map_or(&[][..], |(_, entries)| entries);
-        let of: Vec<&Entry> = told
+        let matching: Vec<&Entry> = visible
             .iter()
             .filter(|e| get("zone").is_none_or(|zone| zone == e.zone))
             .collect();
         let from = get("pagetok")
             .and_then(|t| t.strip_prefix("p-")?.parse().ok())
             .unwrap_or(0);
-        let until = of.len().min(from + self.make.page_size);
+        let until = matching.len().min(from + self.make.page_size);
         let row = |e: &&Entry| {
             let state = if e.draining { "draining" } else { "up" };
             let cold = format!("{}ms", (e.warm_at - now).max(0) / 1_000);
@@ -116,13 +116,13 @@
                 e.id
             ])
         };
-        let rows: Vec<Value> = of
+        let rows: Vec<Value> = matching
             .get(from..until)
             .unwrap_or_default()
             .iter()
             .map(row)
             .collect();
-        let next = (until < of.len()).then(|| format!("p-{until}"));
+        let next = (until < matching.len()).then(|| format!("p-{until}"));
         let cols = [
             "svc",
             "addr",
--- a/crates/emulator/src/system/server.rs
+++ b/crates/emulator/src/system/server.rs
@@ -186,7 +186,7 @@
     config: ServerConfig,
     id: String,
     node: Node,
-    held: BTreeMap<u64, PendingRequest>,
+    pending_requests: BTreeMap<u64, PendingRequest>,
     leaving: bool,
     warm_at: Micros,
     /// Requests that arrive after this instant are counted as too late.
@@ -212,7 +212,7 @@
         Server {
             node: Node::new(cores, now, warm),
             id,
-            held: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             leaving: false,
             warm_at: if warm { now } else { now + make.warm_up },
             drain_announced_at: None,
@@ -301,14 +301,14 @@
             close: asked.close,
             deadline: now + asked.time_left.unwrap_or(60_000_000).clamp(0, 60_000_000),
         };
-        self.held.insert(token, held);
+        self.pending_requests.insert(token, held);
         None
     }
 
     /// When [`Server::poll`] has something to do next.
     pub fn next_event_at(&self) -> Option<Micros> {
         let deadline = self
-            .held
+            .pending_requests
             .values()
             .map(|held| held.deadline.max(self.frozen_until))
             .min();
@@ -321,19 +321,19 @@
             return None;
         }
         while let Some(job) = self.node.take_finished(now) {
-            let Some(held) = self.held.remove(&job.token) else {
+            let Some(held) = self.pending_requests.remove(&job.token) else {
                 continue;
             };
             return Some((job.token, self.done(now, &held, ledger)));
         }
         // Newest first: removing an older request first would let a newer, expired one start in its place.
         let token = *self
-            .held
+            .pending_requests
             .iter()
             .rev()
             .find(|(_, held)| held.deadline <= now)?
             .0;
-        let held = self.held.remove(&token)?;
+        let held = self.pending_requests.remove(&token)?;
         if self.node.abandon(now, token) {
             ledger.counts.rejected += 1;
             return Some((
@@ -347,7 +347,7 @@
 
     /// The connection of a request was closed: nobody waits for the answer any more.
     pub fn connection_closed(&mut self, now: Micros, token: u64, ledger: &mut RunLedger) {
-        let Some(held) = self.held.remove(&token) else {
+        let Some(held) = self.pending_requests.remove(&token) else {
             return;
         };
         if !self.node.abandon(now, token) && held.echo.is_some() {
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -117,7 +117,7 @@
     pub probes: u64,
 }
 
-struct Served {
+struct ListedNode {
     node: Node,
     listed: Entry,
     drain_announced_at: Option<Micros>,
@@ -156,9 +156,9 @@
     plan: WorldPlan,
     limiters: usize,
     rng: ChaCha8Rng,
-    nodes: Vec<Served>,
+    nodes: Vec<ListedNode>,
     counter: Counter,
-    roster: NodeList,
+    node_list: NodeList,
     gates: BTreeMap<Service, ServiceState>,
     partitioned_until: BTreeMap<(Service, usize), Micros>,
     fault_events: VecDeque<FaultEvent>,
@@ -209,7 +209,7 @@
                 plan.counter.per_s,
                 (plan.counter.ms * 1e3) as Micros,
             ),
-            roster: NodeList::default(),
+            node_list: NodeList::default(),
             gates: BTreeMap::new(),
             partitioned_until: BTreeMap::new(),
             fault_events: VecDeque::new(),
@@ -226,7 +226,7 @@
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
         (0..plan.nodes.count).for_each(|n| world.add_node(0, n / plan.nodes.rack, true));
-        world.roster = NodeList::new(world.nodes.iter().map(|n| n.listed.clone()).collect());
+        world.node_list = NodeList::new(world.nodes.iter().map(|n| n.listed.clone()).collect());
         world
     }
 
@@ -251,7 +251,7 @@
             status: Status::Ready,
             since_ms,
         };
-        self.nodes.push(Served {
+        self.nodes.push(ListedNode {
             node: Node::new(make, now, warm),
             listed: entry,
             drain_announced_at: None,
@@ -291,12 +291,12 @@
 
     /// The JSON list of nodes for a watch or a single request.
     pub fn list(&self, from: Option<u64>, address: impl Fn(usize) -> String) -> String {
-        self.roster.changes_since(from, address)
+        self.node_list.changes_since(from, address)
     }
 
     /// Version of the list.
     pub fn index(&self) -> u64 {
-        self.roster.index()
+        self.node_list.index()
     }
 
     /// Until when no data passes between a service and a limiter; `None` if it does.
@@ -319,15 +319,15 @@
     }
 
     /// Handles a complete request to a node.
-    pub fn handle_request(&mut self, now: Micros, ask: NodeRequest<'_>) {
-        let id = hash_of(ask.id);
-        let Some(served) = self.nodes.get_mut(ask.node) else {
+    pub fn handle_request(&mut self, now: Micros, request: NodeRequest<'_>) {
+        let id = hash_of(request.id);
+        let Some(listed_node) = self.nodes.get_mut(request.node) else {
             return;
         };
         self.counts.arrived += 1;
-        if served
+        if listed_node
             .drain_announced_at
-            .is_some_and(|told| now > told + DRAIN_GRACE)
+            .is_some_and(|published_at| now > published_at + DRAIN_GRACE)
         {
             self.counts.after_drain += 1;
         }
@@ -341,20 +341,20 @@
         *times += 1;
         *open += 1;
         self.outstanding
-            .insert(ask.token, (ask.node, ask.limiter, id));
-        let work = ask
+            .insert(request.token, (request.node, request.limiter, id));
+        let work = request
             .work
             .unwrap_or_else(|| self.plan.nodes.draw_work(&mut self.rng));
-        let key = ask.key.map(hash_of);
+        let key = request.key.map(hash_of);
         self.counts.keyed += u64::from(key.is_some());
         let job = Job {
-            token: ask.token,
+            token: request.token,
             work,
         };
         self.deliver(
             now,
-            Service::Node(ask.node),
-            ask.limiter,
+            Service::Node(request.node),
+            request.limiter,
             PendingRequest::Work(job, key),
         );
     }
@@ -371,7 +371,7 @@
         let keys_for = (self.plan.nodes.keys_ms * 1e3) as Micros;
         let rack = self.nodes[number].listed.rack;
         let known = |key: &u64| {
-            let of = |s: &Served| {
+            let of = |s: &ListedNode| {
                 s.listed.rack == rack && s.keys.get(key).is_some_and(|at| now - at < keys_for)
             };
             self.nodes.iter().any(of)
@@ -484,7 +484,7 @@
         let firsts = [
             self.fault_events.front().map(|t| t.at),
             self.due_replies.keys().next().map(|k| k.0),
-            self.roster.next_event_at(),
+            self.node_list.next_event_at(),
         ];
         nodes.chain(firsts.into_iter().flatten()).min()
     }
@@ -492,16 +492,16 @@
     /// Returns the events that are due by now, one at a time; `None` if there are no more.
     pub fn poll(&mut self, now: Micros) -> Option<WorldEvent> {
         loop {
-            if let Some(word) = self.events.pop_front() {
-                return Some(word);
+            if let Some(event) = self.events.pop_front() {
+                return Some(event);
             }
             if self.fault_events.front().is_some_and(|t| t.at <= now) {
-                let turn = self.fault_events.pop_front()?;
-                self.apply_fault_event(now, turn);
+                let fault_event = self.fault_events.pop_front()?;
+                self.apply_fault_event(now, fault_event);
                 continue;
             }
-            if self.roster.next_event_at().is_some_and(|at| at <= now)
-                && self.roster.publish_due(now)
+            if self.node_list.next_event_at().is_some_and(|at| at <= now)
+                && self.node_list.publish_due(now)
             {
                 return Some(WorldEvent::ListChanged);
             }
@@ -555,8 +555,8 @@
         reply
     }
 
-    fn apply_fault_event(&mut self, now: Micros, turn: FaultEvent) {
-        let service = match turn.target {
+    fn apply_fault_event(&mut self, now: Micros, fault_event: FaultEvent) {
+        let service = match fault_event.target {
             FaultTarget::Node(number) => Service::Node(number),
             FaultTarget::Counter => Service::Counter,
             FaultTarget::Discovery => Service::Discovery,
@@ -565,11 +565,11 @@
         if self.gate(service).gone {
             return;
         }
-        let until = turn.at + turn.duration;
-        if !turn.is_start {
-            return self.end_fault(now, service, turn);
+        let until = fault_event.at + fault_event.duration;
+        if !fault_event.is_start {
+            return self.end_fault(now, service, fault_event);
         }
-        match turn.kind {
+        match fault_event.kind {
             FaultKind::Freeze => {
                 let gate = self.gate_mut(service);
                 gate.frozen = gate.frozen.max(until);
@@ -587,11 +587,11 @@
                 let gate = self.gate_mut(service);
                 gate.hang_until = gate.hang_until.max(until);
             }
-            FaultKind::Spoil => self.gate_mut(service).spoil = (until, turn.amount),
+            FaultKind::Spoil => self.gate_mut(service).spoil = (until, fault_event.amount),
             FaultKind::Slow => {
                 let gate = self.gate_mut(service);
                 gate.slow = gate.slow.max(until);
-                self.set_slowdown(service, turn.amount);
+                self.set_slowdown(service, fault_event.amount);
             }
             FaultKind::Die => {
                 let gate = self.gate_mut(service);
@@ -603,7 +603,7 @@
                 let Service::Node(number) = service else {
                     return;
                 };
-                if turn.kind == FaultKind::Replace {
+                if fault_event.kind == FaultKind::Replace {
                     let rack = self.nodes[number].listed.rack;
                     self.add_node(now, rack, false);
                     let newest = self.nodes.len() - 1;
@@ -617,7 +617,7 @@
             FaultKind::Partition => {
                 let cut = self
                     .partitioned_until
-                    .entry((service, turn.limiter))
+                    .entry((service, fault_event.limiter))
                     .or_insert(until);
                 *cut = (*cut).max(until);
             }
@@ -627,9 +627,9 @@
     }
 
     /// Ends a fault unless another one of its kind is still active.
-    fn end_fault(&mut self, now: Micros, service: Service, turn: FaultEvent) {
+    fn end_fault(&mut self, now: Micros, service: Service, fault_event: FaultEvent) {
         let gate = self.gate(service);
-        match turn.kind {
+        match fault_event.kind {
             FaultKind::Refuse | FaultKind::Die if gate.refuse_until.max(gate.down_until) > now => {}
             FaultKind::Refuse => self.events.push_back(WorldEvent::Open(service)),
             FaultKind::Die => {
@@ -645,7 +645,7 @@
                     return;
                 };
                 self.reset_connections(service);
-                if turn.kind == FaultKind::Replace {
+                if fault_event.kind == FaultKind::Replace {
                     self.gate_mut(service).gone = true;
                     self.events.push_back(WorldEvent::StopListening(service));
                     self.publish_status(now, number, Status::Gone);
@@ -674,10 +674,10 @@
     fn restart_service(&mut self, now: Micros, service: Service) {
         match service {
             Service::Node(number) => {
-                let served = &mut self.nodes[number];
-                served.node.restart(now);
-                served.keys.clear();
-                served.listed.since_ms = self.unix_ms + now / 1_000;
+                let listed_node = &mut self.nodes[number];
+                listed_node.node.restart(now);
+                listed_node.keys.clear();
+                listed_node.listed.since_ms = self.unix_ms + now / 1_000;
             }
             Service::Counter => self.counter.clear(now),
             Service::Discovery => {}
@@ -692,12 +692,17 @@
     }
 
     fn publish_status(&mut self, now: Micros, number: usize, status: Status) {
-        let told = now + (self.plan.discovery.notice_ms * 1e3) as Micros;
-        let served = &mut self.nodes[number];
-        served.listed.status = status;
-        served.drain_announced_at =
-            (status != Status::Ready).then(|| served.drain_announced_at.unwrap_or(told).min(told));
-        self.roster.schedule_change(told, served.listed.clone());
+        let published_at = now + (self.plan.discovery.notice_ms * 1e3) as Micros;
+        let listed_node = &mut self.nodes[number];
+        listed_node.listed.status = status;
+        listed_node.drain_announced_at = (status != Status::Ready).then(|| {
+            listed_node
+                .drain_announced_at
+                .unwrap_or(published_at)
+                .min(published_at)
+        });
+        self.node_list
+            .schedule_change(published_at, listed_node.listed.clone());
     }
 
     /// Counts so far.
