--- a/crates/emulator/src/counter.rs
+++ b/crates/emulator/src/counter.rs
@@ -59,14 +59,14 @@
 
 impl Counter {
     /// An empty counter.
-    pub fn new(parts: usize, per_s: f64, beside: Micros) -> Counter {
+    pub fn new(parts: usize, per_s: f64, extra_latency: Micros) -> Counter {
         let parts = parts.max(1);
-        let turn = parts as f64 * 1e6 / per_s;
+        let service_time = parts as f64 * 1e6 / per_s;
         Counter {
             totals: HashMap::new(),
             free_at: vec![0; parts],
-            service_time: turn,
-            extra_latency: beside,
+            service_time,
+            extra_latency,
             slowdown: 1.0,
             calls: 0,
         }
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -61,12 +61,12 @@
 
 impl Node {
     /// A node that starts now; if `warm`, it is at full speed.
-    pub fn new(make: NodeConfig, now: Micros, warm: bool) -> Node {
+    pub fn new(config: NodeConfig, now: Micros, warm: bool) -> Node {
         Node {
-            config: make,
-            started: if warm { now - make.warm_up } else { now },
+            config,
+            started: if warm { now - config.warm_up } else { now },
             waiting: VecDeque::new(),
-            running: vec![None; make.cores],
+            running: vec![None; config.cores],
             frozen_until: None,
             slowdown: 1.0,
             draining: false,
@@ -168,11 +168,11 @@
         self.waiting.retain(|job| job.token != token);
         let was_waiting = self.waiting.len() < before;
         if self.config.cancel_running {
-            let of =
+            let is_job =
                 |core: &&mut Option<(Micros, Job)>| core.is_some_and(|(_, job)| job.token == token);
             self.running
                 .iter_mut()
-                .filter(of)
+                .filter(is_job)
                 .for_each(|core| *core = None);
             self.start_waiting_jobs(now);
         }
@@ -192,7 +192,7 @@
     }
 
     /// Whether the node is frozen.
-    pub fn frozen(&self) -> bool {
+    pub fn is_frozen(&self) -> bool {
         self.frozen_until.is_some()
     }
 
@@ -217,7 +217,7 @@
     }
 
     /// Utilization of the cores in the last interval, 0 to 1.
-    pub fn util(&mut self, now: Micros) -> f64 {
+    pub fn utilization(&mut self, now: Micros) -> f64 {
         self.update_utilization(now);
         self.util
     }
--- a/crates/emulator/src/node/tests.rs
+++ b/crates/emulator/src/node/tests.rs
@@ -65,5 +65,5 @@
     let mut node = Node::new(MAKE, 0, true);
     node.admit(0, job(1, 50));
     node.take_finished(50);
-    assert!((node.util(100) - 0.25).abs() < 1e-9);
+    assert!((node.utilization(100) - 0.25).abs() < 1e-9);
 }
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -41,7 +41,7 @@
 pub struct WorldServer {
     addresses: Arc<Mutex<Addresses>>,
     lists: Vec<String>,
-    orders: mpsc::Sender<Command>,
+    commands: mpsc::Sender<Command>,
     waker: Waker,
     thread: Option<JoinHandle<Counts>>,
 }
@@ -61,7 +61,7 @@
         let reactor = Reactor::new()?;
         let waker = reactor.waker();
         let addresses = Arc::new(Mutex::new(Addresses::new()));
-        let mut host = EventLoop {
+        let mut event_loop = EventLoop {
             heartbeat_interval: (plan.discovery.beat_ms * 1e3) as Micros,
             body: vec![b'a'; plan.nodes.body_bytes],
             world,
@@ -74,20 +74,20 @@
             serial: 0,
             accept_again: Vec::new(),
         };
-        for service in host.world.services() {
-            host.open(service)?;
+        for service in event_loop.world.services() {
+            event_loop.open(service)?;
         }
         let lists = (0..limiters.max(1))
-            .map(|limiter| host.list(None, limiter))
+            .map(|limiter| event_loop.list(None, limiter))
             .collect();
-        let (orders, received) = mpsc::channel();
+        let (commands, received) = mpsc::channel();
         let thread = std::thread::Builder::new()
             .name("stand-ins".into())
-            .spawn(move || host.run(&received))?;
+            .spawn(move || event_loop.run(&received))?;
         Ok(WorldServer {
             addresses,
             lists,
-            orders,
+            commands,
             waker,
             thread: Some(thread),
         })
@@ -110,7 +110,7 @@
     /// Starts the load: schedules the plan's faults from now on for `span` microseconds.
     pub fn begin(&self, span: Micros) {
         // The send fails only after the thread has ended, when there are no faults to start.
-        let _ = self.orders.send(Command::Begin(span));
+        let _ = self.commands.send(Command::Begin(span));
         self.waker.wake();
     }
 
@@ -120,7 +120,7 @@
     }
 
     fn end(&mut self) -> Counts {
-        let _ = self.orders.send(Command::Stop);
+        let _ = self.commands.send(Command::Stop);
         self.waker.wake();
         self.thread
             .take()
@@ -228,7 +228,7 @@
         Ok(())
     }
 
-    fn run(mut self, orders: &mpsc::Receiver<Command>) -> Counts {
+    fn run(mut self, commands: &mpsc::Receiver<Command>) -> Counts {
         let mut ready: Vec<Ready> = Vec::new();
         let mut heartbeat_at = self.heartbeat_interval;
         self.reactor.set_precise_timer();
@@ -248,7 +248,7 @@
             }
             for event in &ready {
                 if event.token == WAKE_TOKEN {
-                    while let Ok(order) = orders.try_recv() {
+                    while let Ok(order) = commands.try_recv() {
                         match order {
                             Command::Begin(span) => self.world.begin(self.now(), span),
                             Command::Stop => return self.world.counts().clone(),
@@ -461,7 +461,7 @@
         self.answer(token, out);
     }
 
-    fn notify_watchers(&mut self, now: Micros, beat: bool) {
+    fn notify_watchers(&mut self, now: Micros, is_heartbeat: bool) {
         let index = self.world.index();
         for at in std::mem::take(&mut self.watchers) {
             let Some(Endpoint::Connection(connection)) = self.endpoints.get(at) else {
@@ -484,7 +484,7 @@
             } else {
                 String::new()
             };
-            if text.is_empty() && !beat {
+            if text.is_empty() && !is_heartbeat {
                 continue;
             }
             let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
@@ -522,11 +522,11 @@
                 self.answer(token, out);
             }
             WorldEvent::Reset(service) => {
-                let of = |(at, endpoint): (usize, &Endpoint)| match endpoint {
+                let slot_of_service = |(at, endpoint): (usize, &Endpoint)| match endpoint {
                     Endpoint::Connection(connection) if connection.service == service => Some(at),
                     _ => None,
                 };
-                let slots: Vec<usize> = self.endpoints.iter().filter_map(of).collect();
+                let slots: Vec<usize> = self.endpoints.iter().filter_map(slot_of_service).collect();
                 for at in slots {
                     if let Some(Endpoint::Connection(connection)) = self.endpoints.get(at) {
                         // With a linger time of zero, closing resets the connection.
--- a/crates/emulator/src/system/fleet.rs
+++ b/crates/emulator/src/system/fleet.rs
@@ -14,7 +14,7 @@
 
 use super::platform::{self, Entry, Platform};
 use super::server::{
-    AnswerAction, AnswerFault, ConnectionAction, Counts, RunLedger, Server, ServerConfig,
+    AnswerAction, AnswerFault, ConnectionAction, Counts, RunCounts, Server, ServerConfig,
     ServerRequest,
 };
 use crate::Micros;
@@ -49,7 +49,7 @@
     platform: Platform,
     servers: BTreeMap<usize, (SocketAddr, Server)>,
     next_number: usize,
-    ledger: RunLedger,
+    run_counts: RunCounts,
     drain: Micros,
     serial: u64,
     /// Servers that are frozen.
@@ -58,7 +58,7 @@
 
 /// The platform's instance list and the servers, served on a dedicated thread.
 pub struct Fleet {
-    host: Arc<Mutex<FleetState>>,
+    state: Arc<Mutex<FleetState>>,
     platform: SocketAddr,
     waker: Waker,
     stop: Arc<AtomicBool>,
@@ -71,30 +71,30 @@
     ///
     /// # Errors
     /// Errors of the operating system, most often a lack of file descriptors.
-    pub fn start(make: platform::PlatformConfig, drain: Micros) -> io::Result<Fleet> {
+    pub fn start(config: platform::PlatformConfig, drain: Micros) -> io::Result<Fleet> {
         let reactor = Arc::new(Reactor::new()?);
         let waker = reactor.waker();
-        let mut host = FleetState {
+        let mut state = FleetState {
             start: Instant::now(),
             reactor: reactor.clone(),
             endpoints: Slab::new(),
-            platform: Platform::new(make),
+            platform: Platform::new(config),
             servers: BTreeMap::new(),
             next_number: 0,
-            ledger: RunLedger::default(),
+            run_counts: RunCounts::default(),
             drain,
             serial: 0,
             frozen: Vec::new(),
         };
-        let platform = host.open(None, SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
-        let host = Arc::new(Mutex::new(host));
+        let platform = state.open(None, SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
+        let state = Arc::new(Mutex::new(state));
         let stop = Arc::new(AtomicBool::new(false));
-        let (shared_state, stop_flag) = (host.clone(), stop.clone());
+        let (shared_state, stop_flag) = (state.clone(), stop.clone());
         let thread = std::thread::Builder::new()
             .name("town".into())
             .spawn(move || run(&shared_state, &reactor, &stop_flag))?;
         Ok(Fleet {
-            host,
+            state,
             platform,
             waker,
             stop,
@@ -102,8 +102,8 @@
         })
     }
 
-    fn host(&self) -> MutexGuard<'_, FleetState> {
-        self.host.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_state(&self) -> MutexGuard<'_, FleetState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Address at which the instance list is served.
@@ -117,20 +117,24 @@
     /// The address can't be bound.
     pub fn start_server(
         &self,
-        make: ServerConfig,
+        config: ServerConfig,
         warm: bool,
         at: Option<SocketAddr>,
     ) -> io::Result<usize> {
-        let mut host = self.host();
-        let number = host.next_number;
-        let at = host.open(
+        let mut state = self.lock_state();
+        let number = state.next_number;
+        let at = state.open(
             Some(number),
             at.unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))),
         )?;
-        let now = host.now();
-        let server = Server::new(make, format!("i-{number:04x}"), now, warm);
-        let (id, make) = server.identity();
-        let (svc, zone, slots) = (make.svc.clone(), make.zone.clone(), make.max_concurrent);
+        let now = state.now();
+        let server = Server::new(config, format!("i-{number:04x}"), now, warm);
+        let (id, config) = server.identity();
+        let (svc, zone, slots) = (
+            config.svc.clone(),
+            config.zone.clone(),
+            config.max_concurrent,
+        );
         let warm_at = server.warm_at();
         let entry = Entry {
             id: id.to_string(),
@@ -141,20 +145,20 @@
             draining: false,
             warm_at,
         };
-        host.platform.change(now, |entries| entries.push(entry));
-        host.servers.insert(number, (at, server));
-        host.next_number += 1;
+        state.platform.change(now, |entries| entries.push(entry));
+        state.servers.insert(number, (at, server));
+        state.next_number += 1;
         Ok(number)
     }
 
     /// Drains a server: the list shows it as draining, and it continues to serve.
     pub fn drain_server(&self, number: usize) {
-        let mut host = self.host();
-        let (now, drain) = (host.now(), host.drain);
-        let Some((_, server)) = host.servers.get_mut(&number) else {
+        let mut state = self.lock_state();
+        let (now, drain) = (state.now(), state.drain);
+        let Some((_, server)) = state.servers.get_mut(&number) else {
             return;
         };
-        server.leave();
+        server.start_draining();
         let id = server.identity().0.to_string();
         let leaving = |entries: &mut Vec<Entry>| {
             entries
@@ -162,8 +166,9 @@
                 .filter(|e| e.id == id)
                 .for_each(|e| e.draining = true);
         };
-        let told = host.platform.change(now, leaving);
-        host.servers
+        let told = state.platform.change(now, leaving);
+        state
+            .servers
             .get_mut(&number)
             .into_iter()
             .for_each(|(_, server)| server.drain_announced_at = Some(told + drain));
@@ -171,13 +176,14 @@
 
     /// Stops a server and closes all its connections; returns its address.
     pub fn stop_server(&self, number: usize) -> Option<SocketAddr> {
-        let mut host = self.host();
-        let now = host.now();
-        let (at, server) = host.servers.remove(&number)?;
+        let mut state = self.lock_state();
+        let now = state.now();
+        let (at, server) = state.servers.remove(&number)?;
         let id = server.identity().0.to_string();
-        host.platform
+        state
+            .platform
             .change(now, |entries| entries.retain(|e| e.id != id));
-        host.endpoints.retain(|_, endpoint| match endpoint {
+        state.endpoints.retain(|_, endpoint| match endpoint {
             Endpoint::Listener(of, _) => *of != Some(number),
             Endpoint::Connection(connection) => connection.server != Some(number),
         });
@@ -185,35 +191,37 @@
     }
 
     /// Applies these faults to the server's next answers, one each.
-    pub fn inject_faults(&self, number: usize, troubles: &[AnswerFault]) {
-        let mut host = self.host();
-        host.servers
+    pub fn inject_faults(&self, number: usize, faults: &[AnswerFault]) {
+        let mut state = self.lock_state();
+        state
+            .servers
             .get_mut(&number)
             .into_iter()
-            .for_each(|(_, server)| server.pending_faults.extend(troubles));
+            .for_each(|(_, server)| server.pending_faults.extend(faults));
     }
 
     /// Freezes a server for `span` microseconds.
     pub fn freeze(&self, number: usize, span: Micros) {
-        let mut host = self.host();
-        let now = host.now();
-        host.servers
+        let mut state = self.lock_state();
+        let now = state.now();
+        state
+            .servers
             .get_mut(&number)
             .into_iter()
             .for_each(|(_, server)| server.freeze(now, now + span));
-        host.frozen.push(number);
-        drop(host);
+        state.frozen.push(number);
+        drop(state);
         self.waker.wake();
     }
 
     /// Counts of all servers so far.
     pub fn counts(&self) -> Counts {
-        self.host().ledger.counts
+        self.lock_state().run_counts.counts
     }
 
     /// Number of times that a request ran.
     pub fn run_count(&self, id: &str) -> u32 {
-        self.host().ledger.runs(id)
+        self.lock_state().run_counts.runs(id)
     }
 }
 
@@ -228,22 +236,22 @@
     }
 }
 
-fn run(host: &Mutex<FleetState>, reactor: &Reactor, stop: &AtomicBool) {
+fn run(state: &Mutex<FleetState>, reactor: &Reactor, stop: &AtomicBool) {
     let mut ready: Vec<Ready> = Vec::new();
     let mut buffer = vec![0; READ_BUFFER_BYTES];
-    let lock = || host.lock().unwrap_or_else(PoisonError::into_inner);
+    let lock = || state.lock().unwrap_or_else(PoisonError::into_inner);
     while !stop.load(Ordering::Relaxed) {
-        let wait = lock().wait();
+        let wait = lock().next_wait();
         if reactor.wait(Some(wait), &mut ready).is_err() {
             // Keeps a persistent error from turning into a busy loop.
             std::thread::sleep(Duration::from_millis(1));
         }
-        let mut host = lock();
+        let mut state = lock();
         ready
             .iter()
             .filter(|event| event.token != WAKE_TOKEN)
-            .for_each(|event| host.ready(event, &mut buffer));
-        host.run_due_work(&mut buffer);
+            .for_each(|event| state.handle_readiness(event, &mut buffer));
+        state.run_due_work(&mut buffer);
     }
 }
 
@@ -252,7 +260,7 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    fn wait(&self) -> Micros {
+    fn next_wait(&self) -> Micros {
         let next = self
             .servers
             .values()
@@ -276,15 +284,16 @@
         let now = self.now();
         let mut answers: Vec<(u64, AnswerAction)> = Vec::new();
         for (_, server) in self.servers.values_mut() {
-            while let Some(one) = server.poll(now, &mut self.ledger) {
+            while let Some(one) = server.poll(now, &mut self.run_counts) {
                 answers.push(one);
             }
         }
         answers
             .into_iter()
             .for_each(|(token, answers)| self.send_answer(token, answers));
-        let is_frozen = |host: &FleetState, n: &usize| {
-            host.servers
+        let is_frozen = |state: &FleetState, n: &usize| {
+            state
+                .servers
                 .get(n)
                 .is_some_and(|(_, s)| s.frozen_until > now)
         };
@@ -292,12 +301,12 @@
             .into_iter()
             .partition(|n| is_frozen(self, n));
         self.frozen = frozen;
-        let of =
+        let belongs_to_resumed =
             |connection: &Connection| connection.server.is_some_and(|at| resumed.contains(&at));
         let connections: Vec<usize> = self
             .endpoints
             .iter()
-            .filter(|(_, d)| matches!(d, Endpoint::Connection(l) if of(l)))
+            .filter(|(_, d)| matches!(d, Endpoint::Connection(l) if belongs_to_resumed(l)))
             .map(|(at, _)| at)
             .collect();
         for at in connections {
@@ -320,7 +329,7 @@
         });
     }
 
-    fn ready(&mut self, event: &Ready, buffer: &mut [u8]) {
+    fn handle_readiness(&mut self, event: &Ready, buffer: &mut [u8]) {
         let at = event.token as usize;
         match self.endpoints.get(at) {
             Some(Endpoint::Listener(..)) => self.accept(at),
@@ -387,11 +396,11 @@
         if !is_open || (connection.close && connection.write.is_empty()) {
             return self.close(at);
         }
-        self.request(at);
+        self.handle_next_request(at);
     }
 
     /// Handles the next request if it is complete and no answer is pending.
-    fn request(&mut self, at: usize) {
+    fn handle_next_request(&mut self, at: usize) {
         let now = self.now();
         let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
             return;
@@ -435,8 +444,8 @@
                 server.handle_request(
                     now,
                     token,
-                    &ServerRequest::of(&request, &bytes),
-                    &mut self.ledger,
+                    &ServerRequest::from_http(&request, &bytes),
+                    &mut self.run_counts,
                 )
             }
         };
@@ -477,7 +486,7 @@
         })) = self.endpoints.try_remove(at)
             && let Some((_, server)) = self.servers.get_mut(&number)
         {
-            server.connection_closed(now, token, &mut self.ledger);
+            server.connection_closed(now, token, &mut self.run_counts);
         }
     }
 }
--- a/crates/emulator/src/system/platform.rs
+++ b/crates/emulator/src/system/platform.rs
@@ -42,7 +42,7 @@
 /// The instance list.
 #[derive(Debug)]
 pub struct Platform {
-    make: PlatformConfig,
+    config: PlatformConfig,
     entries: Vec<Entry>,
     /// States of the list, each visible from its instant on; the first is the current one once its instant has passed.
     published: VecDeque<(Micros, Vec<Entry>)>,
@@ -51,9 +51,9 @@
 
 impl Platform {
     /// An empty list.
-    pub fn new(make: PlatformConfig) -> Platform {
+    pub fn new(config: PlatformConfig) -> Platform {
         Platform {
-            make,
+            config,
             entries: Vec::new(),
             published: VecDeque::new(),
             calls: VecDeque::new(),
@@ -63,7 +63,7 @@
     /// Changes the list; returns when the change becomes visible.
     pub fn change(&mut self, now: Micros, change: impl FnOnce(&mut Vec<Entry>)) -> Micros {
         change(&mut self.entries);
-        let at = now + self.make.visibility_delay;
+        let at = now + self.config.visibility_delay;
         self.published.push_back((at, self.entries.clone()));
         at
     }
@@ -77,7 +77,7 @@
         while self.calls.front().is_some_and(|at| *at <= now - SECOND) {
             self.calls.pop_front();
         }
-        if self.calls.len() >= self.make.per_s {
+        if self.calls.len() >= self.config.per_s {
             return (429, "{}".into());
         }
         self.calls.push_back(now);
@@ -101,7 +101,7 @@
         let from = get("pagetok")
             .and_then(|t| t.strip_prefix("p-")?.parse().ok())
             .unwrap_or(0);
-        let until = matching.len().min(from + self.make.page_size);
+        let until = matching.len().min(from + self.config.page_size);
         let row = |e: &&Entry| {
             let state = if e.draining { "draining" } else { "up" };
             let cold = format!("{}ms", (e.warm_at - now).max(0) / 1_000);
--- a/crates/emulator/src/system/server.rs
+++ b/crates/emulator/src/system/server.rs
@@ -67,7 +67,7 @@
 
 impl<'a> ServerRequest<'a> {
     /// Extracts them from a request that is parsed from the start of `bytes`.
-    pub fn of(request: &http::Request<'a>, bytes: &'a [u8]) -> ServerRequest<'a> {
+    pub fn from_http(request: &http::Request<'a>, bytes: &'a [u8]) -> ServerRequest<'a> {
         let http::Request {
             method,
             target,
@@ -78,7 +78,7 @@
             ..
         } = *request;
         let line = |name| http::header(bytes, name);
-        let left = line("X-Time-Left")
+        let time_left = line("X-Time-Left")
             .and_then(|t| t.parse::<f64>().ok())
             .map(|ms| (ms * 1e3) as Micros);
         ServerRequest {
@@ -86,7 +86,7 @@
             target,
             work,
             close,
-            time_left: left,
+            time_left,
             id: line("X-Request-Id"),
             wanted_instance: line("X-Want-Instance"),
             tenant: line("X-Tenant").unwrap_or_default(),
@@ -132,17 +132,17 @@
 
 /// Executions by request id.
 #[derive(Clone, Debug, Default)]
-pub struct RunLedger {
+pub struct RunCounts {
     runs: HashMap<String, u32>,
     /// Counts so far.
     pub counts: Counts,
 }
 
-impl RunLedger {
-    fn run(&mut self, id: &str, repeatable: bool) {
+impl RunCounts {
+    fn record_run(&mut self, id: &str, idempotent: bool) {
         let runs = self.runs.entry(id.to_string()).or_default();
         *runs += 1;
-        match (*runs, repeatable) {
+        match (*runs, idempotent) {
             (1, _) => self.counts.ran += 1,
             (2, true) => self.counts.repeated_idempotent += 1,
             (2, false) => self.counts.repeated_mutating += 1,
@@ -175,7 +175,7 @@
     id: String,
     /// `None` for a health check.
     echo: Option<String>,
-    repeatable: bool,
+    idempotent: bool,
     close: bool,
     deadline: Micros,
 }
@@ -187,7 +187,7 @@
     id: String,
     node: Node,
     pending_requests: BTreeMap<u64, PendingRequest>,
-    leaving: bool,
+    draining: bool,
     warm_at: Micros,
     /// Requests that arrive after this instant are counted as too late.
     pub drain_announced_at: Option<Micros>,
@@ -199,13 +199,13 @@
 
 impl Server {
     /// A server that starts now; if `warm`, without a warm-up.
-    pub fn new(make: ServerConfig, id: String, now: Micros, warm: bool) -> Server {
+    pub fn new(config: ServerConfig, id: String, now: Micros, warm: bool) -> Server {
         let cores = Cores {
-            cores: make.max_concurrent,
+            cores: config.max_concurrent,
             speed: 1.0,
-            queue: make.max_waiting,
+            queue: config.max_waiting,
             cold_from: 0.3,
-            warm_up: make.warm_up,
+            warm_up: config.warm_up,
             util_interval: 1_000_000,
             cancel_running: true,
         };
@@ -213,12 +213,12 @@
             node: Node::new(cores, now, warm),
             id,
             pending_requests: BTreeMap::new(),
-            leaving: false,
-            warm_at: if warm { now } else { now + make.warm_up },
+            draining: false,
+            warm_at: if warm { now } else { now + config.warm_up },
             drain_announced_at: None,
             pending_faults: VecDeque::new(),
             frozen_until: Micros::MIN,
-            config: make,
+            config,
         }
     }
 
@@ -233,8 +233,8 @@
     }
 
     /// Starts draining: it continues to serve, and its answers close their connections.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    pub fn start_draining(&mut self) {
+        self.draining = true;
     }
 
     /// Freezes the server until an instant.
@@ -248,60 +248,68 @@
         &mut self,
         now: Micros,
         token: u64,
-        asked: &ServerRequest<'_>,
-        ledger: &mut RunLedger,
+        request: &ServerRequest<'_>,
+        run_counts: &mut RunCounts,
     ) -> Option<AnswerAction> {
-        let health = asked.method == "GET" && asked.target == HEALTH_PATH;
+        let health = request.method == "GET" && request.target == HEALTH_PATH;
         let not_run = |status, why: &str| {
             self.answer(
                 status,
-                asked.id,
+                request.id,
                 &format!("X-Not-Run: {why}\r\n"),
                 b"",
-                asked.close,
+                request.close,
             )
         };
         if !health {
-            ledger.counts.arrived += 1;
-            ledger.counts.with_client_key += u64::from(asked.has_key);
+            run_counts.counts.arrived += 1;
+            run_counts.counts.with_client_key += u64::from(request.has_key);
         }
-        if asked
+        if request
             .wanted_instance
             .is_some_and(|wanted| wanted != self.id)
         {
-            ledger.counts.misdirected += 1;
+            run_counts.counts.misdirected += 1;
             return Some(not_run(421, "another"));
         }
         if !health && self.drain_announced_at.is_some_and(|at| now > at) {
-            ledger.counts.after_drain += 1;
+            run_counts.counts.after_drain += 1;
         }
-        let Some(id) = asked
+        let Some(id) = request
             .id
             .filter(|id| !id.is_empty())
             .or(health.then_some(""))
         else {
             return Some(not_run(400, "no id"));
         };
-        if health && self.leaving {
-            return Some(self.answer(503, None, "", b"", asked.close));
+        if health && self.draining {
+            return Some(self.answer(503, None, "", b"", request.close));
         }
         let work = if health {
             0
         } else {
-            asked.work.unwrap_or(self.config.work)
+            request.work.unwrap_or(self.config.work)
         };
         if self.node.admit(now, Job { token, work }) == Admission::Rejected {
-            ledger.counts.rejected += u64::from(!health);
-            return Some(self.answer(503, asked.id, "X-Not-Run: full\r\n", b"", asked.close));
+            run_counts.counts.rejected += u64::from(!health);
+            return Some(self.answer(503, request.id, "X-Not-Run: full\r\n", b"", request.close));
         }
-        let held = PendingRequest {
+        let pending = PendingRequest {
             id: id.to_string(),
-            echo: (!health).then(|| echo(id, asked.method, asked.target, asked.tenant, asked.body)),
-            repeatable: asked.method == "GET",
-            close: asked.close,
-            deadline: now + asked.time_left.unwrap_or(60_000_000).clamp(0, 60_000_000),
+            echo: (!health).then(|| {
+                echo(
+                    id,
+                    request.method,
+                    request.target,
+                    request.tenant,
+                    request.body,
+                )
+            }),
+            idempotent: request.method == "GET",
+            close: request.close,
+            deadline: now + request.time_left.unwrap_or(60_000_000).clamp(0, 60_000_000),
         };
-        self.pending_requests.insert(token, held);
+        self.pending_requests.insert(token, pending);
         None
     }
 
@@ -310,66 +318,85 @@
         let deadline = self
             .pending_requests
             .values()
-            .map(|held| held.deadline.max(self.frozen_until))
+            .map(|pending| pending.deadline.max(self.frozen_until))
             .min();
         self.node.next_event_at().into_iter().chain(deadline).min()
     }
 
     /// Returns what is due by now, one at a time: the token of the request, and the answer.
-    pub fn poll(&mut self, now: Micros, ledger: &mut RunLedger) -> Option<(u64, AnswerAction)> {
+    pub fn poll(&mut self, now: Micros, run_counts: &mut RunCounts) -> Option<(u64, AnswerAction)> {
         if now < self.frozen_until {
             return None;
         }
         while let Some(job) = self.node.take_finished(now) {
-            let Some(held) = self.pending_requests.remove(&job.token) else {
+            let Some(pending) = self.pending_requests.remove(&job.token) else {
                 continue;
             };
-            return Some((job.token, self.done(now, &held, ledger)));
+            return Some((job.token, self.complete(now, &pending, run_counts)));
         }
         // Newest first: removing an older request first would let a newer, expired one start in its place.
         let token = *self
             .pending_requests
             .iter()
             .rev()
-            .find(|(_, held)| held.deadline <= now)?
+            .find(|(_, pending)| pending.deadline <= now)?
             .0;
-        let held = self.pending_requests.remove(&token)?;
+        let pending = self.pending_requests.remove(&token)?;
         if self.node.abandon(now, token) {
-            ledger.counts.rejected += 1;
+            run_counts.counts.rejected += 1;
             return Some((
                 token,
-                self.answer(503, Some(&held.id), "X-Not-Run: late\r\n", b"", held.close),
+                self.answer(
+                    503,
+                    Some(&pending.id),
+                    "X-Not-Run: late\r\n",
+                    b"",
+                    pending.close,
+                ),
             ));
         }
-        ledger.run(&held.id, held.repeatable);
-        Some((token, self.answer(504, Some(&held.id), "", b"", held.close)))
+        run_counts.record_run(&pending.id, pending.idempotent);
+        Some((
+            token,
+            self.answer(504, Some(&pending.id), "", b"", pending.close),
+        ))
     }
 
     /// The connection of a request was closed: nobody waits for the answer any more.
-    pub fn connection_closed(&mut self, now: Micros, token: u64, ledger: &mut RunLedger) {
-        let Some(held) = self.pending_requests.remove(&token) else {
+    pub fn connection_closed(&mut self, now: Micros, token: u64, run_counts: &mut RunCounts) {
+        let Some(pending) = self.pending_requests.remove(&token) else {
             return;
         };
-        if !self.node.abandon(now, token) && held.echo.is_some() {
-            ledger.run(&held.id, held.repeatable);
+        if !self.node.abandon(now, token) && pending.echo.is_some() {
+            run_counts.record_run(&pending.id, pending.idempotent);
         }
     }
 
-    fn done(&mut self, now: Micros, held: &PendingRequest, ledger: &mut RunLedger) -> AnswerAction {
-        let Some(echo) = &held.echo else {
+    fn complete(
+        &mut self,
+        now: Micros,
+        pending: &PendingRequest,
+        run_counts: &mut RunCounts,
+    ) -> AnswerAction {
+        let Some(echo) = &pending.echo else {
             let cold = format!("X-Cold-Ms: {}\r\n", (self.warm_at - now).max(0) / 1_000);
-            return self.answer(200, None, &cold, b"", held.close);
+            return self.answer(200, None, &cold, b"", pending.close);
         };
-        ledger.run(&held.id, held.repeatable);
+        run_counts.record_run(&pending.id, pending.idempotent);
         let body = format!("{} {}\n{echo}\n", self.config.svc, self.id);
-        let seal = format!("X-Server-Seal: {}.{}\r\n", self.id, ledger.counts.ran);
-        let (mut bytes, then) =
-            self.answer(200, Some(&held.id), &seal, body.as_bytes(), held.close);
-        let Some(trouble) = self.pending_faults.pop_front() else {
+        let seal = format!("X-Server-Seal: {}.{}\r\n", self.id, run_counts.counts.ran);
+        let (mut bytes, then) = self.answer(
+            200,
+            Some(&pending.id),
+            &seal,
+            body.as_bytes(),
+            pending.close,
+        );
+        let Some(fault) = self.pending_faults.pop_front() else {
             return (bytes, then);
         };
-        ledger.counts.faulty_answers += 1;
-        match trouble {
+        run_counts.counts.faulty_answers += 1;
+        match fault {
             AnswerFault::Reset => (Vec::new(), ConnectionAction::Reset),
             AnswerFault::Malformed => (MALFORMED_ANSWER.to_vec(), ConnectionAction::Close),
             AnswerFault::Truncated => {
@@ -378,7 +405,7 @@
             }
             AnswerFault::Unsolicited => {
                 bytes.extend(
-                    self.answer(200, Some("nobody"), &seal, b"of nobody\n", held.close)
+                    self.answer(200, Some("nobody"), &seal, b"of nobody\n", pending.close)
                         .0,
                 );
                 (bytes, then)
@@ -401,13 +428,16 @@
         let id = id
             .map(|id| format!("X-Request-Id: {id}\r\n"))
             .unwrap_or_default();
-        let close = close || self.leaving;
-        let kept = if close {
+        let close = close || self.draining;
+        let connection_header = if close {
             "Connection: close".into()
         } else {
             format!("Keep-Alive: timeout={}", self.config.keep_alive_s)
         };
-        let lines = format!("{id}X-Instance-Id: {}\r\n{kept}\r\n{lines}", self.id);
+        let lines = format!(
+            "{id}X-Instance-Id: {}\r\n{connection_header}\r\n{lines}",
+            self.id
+        );
         http::write_answer(&mut bytes, status, &lines, body);
         (
             bytes,
--- a/crates/emulator/src/system/server/tests.rs
+++ b/crates/emulator/src/system/server/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn server() -> (Server, RunLedger) {
+fn server() -> (Server, RunCounts) {
     let (svc, zone) = ("s".to_string(), "a".to_string());
-    let make = ServerConfig {
+    let config = ServerConfig {
         svc,
         zone,
         max_concurrent: 1,
@@ -12,14 +12,14 @@
         keep_alive_s: 5,
     };
     (
-        Server::new(make, "i-1".into(), 0, true),
-        RunLedger::default(),
+        Server::new(config, "i-1".into(), 0, true),
+        RunCounts::default(),
     )
 }
 
-fn ask(
+fn send_request(
     server: &mut Server,
-    ledger: &mut RunLedger,
+    run_counts: &mut RunCounts,
     token: u64,
     method: &str,
     lines: &str,
@@ -29,44 +29,72 @@
     let given = server.handle_request(
         0,
         token,
-        &ServerRequest::of(&request, text.as_bytes()),
-        ledger,
+        &ServerRequest::from_http(&request, text.as_bytes()),
+        run_counts,
     );
     given.map(|(bytes, _)| String::from_utf8(bytes).unwrap())
 }
 
-fn next(server: &mut Server, ledger: &mut RunLedger) -> Option<(u64, String, ConnectionAction)> {
+fn poll_next(
+    server: &mut Server,
+    run_counts: &mut RunCounts,
+) -> Option<(u64, String, ConnectionAction)> {
     let now = server.next_event_at()?;
-    let (token, (bytes, then)) = server.poll(now, ledger)?;
+    let (token, (bytes, then)) = server.poll(now, run_counts)?;
     Some((token, String::from_utf8_lossy(&bytes).into(), then))
 }
 
 #[test]
 fn rejected_requests_are_marked_and_executed_ones_are_sealed_and_counted() {
-    let (mut server, mut ledger) = server();
-    assert!(ask(&mut server, &mut ledger, 1, "POST", "X-Request-Id: a\r\n").is_none());
-    assert!(ask(&mut server, &mut ledger, 2, "POST", "X-Request-Id: a\r\n").is_none());
-    let full = ask(&mut server, &mut ledger, 3, "GET", "X-Request-Id: b\r\n").unwrap();
+    let (mut server, mut run_counts) = server();
+    assert!(
+        send_request(
+            &mut server,
+            &mut run_counts,
+            1,
+            "POST",
+            "X-Request-Id: a\r\n"
+        )
+        .is_none()
+    );
+    assert!(
+        send_request(
+            &mut server,
+            &mut run_counts,
+            2,
+            "POST",
+            "X-Request-Id: a\r\n"
+        )
+        .is_none()
+    );
+    let full = send_request(
+        &mut server,
+        &mut run_counts,
+        3,
+        "GET",
+        "X-Request-Id: b\r\n",
+    )
+    .unwrap();
     assert!(
         full.starts_with("HTTP/1.1 503") && full.contains("X-Not-Run"),
         "{full}"
     );
-    let other = ask(
+    let other = send_request(
         &mut server,
-        &mut ledger,
+        &mut run_counts,
         4,
         "GET",
         "X-Request-Id: c\r\nX-Want-Instance: i-0\r\n",
     )
     .unwrap();
     assert!(other.starts_with("HTTP/1.1 421"), "{other}");
-    let (token, text, then) = next(&mut server, &mut ledger).unwrap();
+    let (token, text, then) = poll_next(&mut server, &mut run_counts).unwrap();
     assert_eq!((token, then), (1, ConnectionAction::Keep));
     assert!(
         text.contains("X-Server-Seal") && text.contains(&echo("a", "POST", "/p", "", b"")),
         "{text}"
     );
-    assert!(next(&mut server, &mut ledger).is_some());
+    assert!(poll_next(&mut server, &mut run_counts).is_some());
     let Counts {
         arrived,
         ran,
@@ -74,7 +102,7 @@
         rejected: turned_away,
         misdirected: mistaken,
         ..
-    } = ledger.counts;
+    } = run_counts.counts;
     assert_eq!(
         (arrived, ran, twice, turned_away, mistaken),
         (4, 1, 1, 1, 1)
@@ -83,38 +111,38 @@
 
 #[test]
 fn requests_that_expire_in_the_queue_have_not_run_and_running_ones_have() {
-    let (mut server, mut ledger) = server();
-    ask(
+    let (mut server, mut run_counts) = server();
+    send_request(
         &mut server,
-        &mut ledger,
+        &mut run_counts,
         1,
         "GET",
         "X-Request-Id: a\r\nX-Time-Left: 0.05\r\n",
     );
-    ask(
+    send_request(
         &mut server,
-        &mut ledger,
+        &mut run_counts,
         2,
         "GET",
         "X-Request-Id: b\r\nX-Time-Left: 0.05\r\n",
     );
-    let (token, text, _) = next(&mut server, &mut ledger).unwrap();
+    let (token, text, _) = poll_next(&mut server, &mut run_counts).unwrap();
     assert!(
         token == 2 && text.starts_with("HTTP/1.1 503") && text.contains("X-Not-Run"),
         "{text}"
     );
     assert!(
-        next(&mut server, &mut ledger)
+        poll_next(&mut server, &mut run_counts)
             .unwrap()
             .1
             .starts_with("HTTP/1.1 504")
     );
-    assert_eq!((ledger.runs("a"), ledger.runs("b")), (1, 0));
+    assert_eq!((run_counts.runs("a"), run_counts.runs("b")), (1, 0));
 }
 
 #[test]
 fn injected_faults_apply_to_the_next_answers_in_order() {
-    let (mut server, mut ledger) = server();
+    let (mut server, mut run_counts) = server();
     let all = [
         AnswerFault::Reset,
         AnswerFault::Truncated,
@@ -128,14 +156,14 @@
     );
     let mut ends = Vec::new();
     for token in 0..8 {
-        ask(
+        send_request(
             &mut server,
-            &mut ledger,
+            &mut run_counts,
             token,
             "GET",
             &format!("X-Request-Id: {token}\r\n"),
         );
-        let (_, text, then) = next(&mut server, &mut ledger).unwrap();
+        let (_, text, then) = poll_next(&mut server, &mut run_counts).unwrap();
         ends.push((
             text.matches("HTTP/1.1").count(),
             http::answer(text.as_bytes(), true).is_ok(),
@@ -156,5 +184,8 @@
             (1, true, keep)
         ]
     );
-    assert_eq!((ledger.counts.faulty_answers, ledger.counts.ran), (7, 8));
+    assert_eq!(
+        (run_counts.counts.faulty_answers, run_counts.counts.ran),
+        (7, 8)
+    );
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -232,7 +232,7 @@
 
     fn add_node(&mut self, now: Micros, rack: usize, warm: bool) {
         let p = &self.plan.nodes;
-        let make = NodeConfig {
+        let config = NodeConfig {
             cores: p.cores,
             speed: self.rng.random_range(p.speed[0]..=p.speed[1]),
             queue: p.queue,
@@ -252,7 +252,7 @@
             since_ms,
         };
         self.nodes.push(ListedNode {
-            node: Node::new(make, now, warm),
+            node: Node::new(config, now, warm),
             listed: entry,
             drain_announced_at: None,
             keys: HashMap::new(),
@@ -399,8 +399,8 @@
         let seconds = &mut by[limiter];
         seconds.resize(seconds.len().max(second + 1), 0);
         seconds[second] += 1;
-        let held = PendingRequest::Count(token, call.name.to_string(), call.delta, call.life);
-        self.deliver(now, Service::Counter, limiter, held);
+        let pending = PendingRequest::Count(token, call.name.to_string(), call.delta, call.life);
+        self.deliver(now, Service::Counter, limiter, pending);
     }
 
     /// Handles a complete probe of a node.
@@ -414,13 +414,13 @@
         );
     }
 
-    fn deliver(&mut self, now: Micros, service: Service, limiter: usize, held: PendingRequest) {
+    fn deliver(&mut self, now: Micros, service: Service, limiter: usize, pending: PendingRequest) {
         if self.blocked_until(service, limiter, now).is_some() {
-            self.delayed_requests.push_back((service, limiter, held));
+            self.delayed_requests.push_back((service, limiter, pending));
             return;
         }
         let gate = self.gate(service);
-        let (token, reply, at) = match held {
+        let (token, reply, at) = match pending {
             _ if gate.hang_until > now => return,
             PendingRequest::Work(job, key) => {
                 let Service::Node(number) = service else {
@@ -446,7 +446,11 @@
                 let Service::Node(number) = service else {
                     return;
                 };
-                (token, Reply::Util(self.nodes[number].node.util(now)), now)
+                (
+                    token,
+                    Reply::Util(self.nodes[number].node.utilization(now)),
+                    now,
+                )
             }
         };
         self.schedule_reply(at, service, limiter, token, reply);
@@ -469,11 +473,11 @@
     pub fn connection_closed(&mut self, now: Micros, token: u64) {
         if let Some((node, _, id)) = self.outstanding.remove(&token) {
             self.nodes[node].node.abandon(now, token);
-            self.closed(id);
+            self.attempt_closed(id);
         }
     }
 
-    fn closed(&mut self, id: u64) {
+    fn attempt_closed(&mut self, id: u64) {
         let (_, open) = self.ids.of(id);
         *open = open.saturating_sub(1);
     }
@@ -539,7 +543,7 @@
 
     fn finish_reply(&mut self, now: Micros, service: Service, token: u64, reply: Reply) -> Reply {
         if let Some((_, _, id)) = self.outstanding.remove(&token) {
-            self.closed(id);
+            self.attempt_closed(id);
         }
         let (until, share) = self.gate(service).spoil;
         if until > now && self.rng.random::<f64>() < share {
@@ -655,9 +659,10 @@
                 }
             }
             FaultKind::Freeze | FaultKind::Partition => {
-                let held: Vec<_> = self.delayed_requests.drain(..).collect();
-                held.into_iter()
-                    .for_each(|(service, limiter, held)| self.deliver(now, service, limiter, held));
+                let pending: Vec<_> = self.delayed_requests.drain(..).collect();
+                pending.into_iter().for_each(|(service, limiter, pending)| {
+                    self.deliver(now, service, limiter, pending)
+                });
             }
             _ => {}
         }
