--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -144,9 +144,9 @@
                 chunked = trimmed_text(line.value)
                     .is_some_and(|t| t.to_ascii_lowercase().ends_with("chunked"));
             } else if line.name.eq_ignore_ascii_case("Connection") {
-                let told = trimmed_text(line.value).unwrap_or_default();
-                close = told.eq_ignore_ascii_case("close")
-                    || (close && !told.eq_ignore_ascii_case("keep-alive"));
+                let value = trimmed_text(line.value).unwrap_or_default();
+                close = value.eq_ignore_ascii_case("close")
+                    || (close && !value.eq_ignore_ascii_case("keep-alive"));
             } else if line.name.eq_ignore_ascii_case("Retry-After") {
                 let seconds = trimmed_text(line.value).and_then(|t| t.parse::<f64>().ok());
                 retry_after = seconds
--- a/crates/emulator/src/node_list/tests.rs
+++ b/crates/emulator/src/node_list/tests.rs
@@ -9,14 +9,16 @@
         status,
         since_ms: 0,
     };
-    let mut roster = NodeList::new(vec![entry(0, Status::Ready), entry(1, Status::Ready)]);
-    roster.schedule_change(50, entry(0, Status::Gone));
+    let mut node_list = NodeList::new(vec![entry(0, Status::Ready), entry(1, Status::Ready)]);
+    node_list.schedule_change(50, entry(0, Status::Gone));
     assert!(
-        !roster.publish_due(49) && roster.next_event_at() == Some(50) && roster.publish_due(50)
+        !node_list.publish_due(49)
+            && node_list.next_event_at() == Some(50)
+            && node_list.publish_due(50)
     );
-    let told = |from| roster.changes_since(from, |n| format!("127.0.0.1:{n}"));
-    assert!(told(None).contains("\"snapshot\":true") && !told(None).contains("s-0"));
-    assert!(told(Some(1)).contains("Gone") && told(Some(1)).contains("\"index\":2"));
-    assert!(told(Some(2)).contains("\"endpoints\":[]"));
-    assert!(told(Some(9)).contains("\"snapshot\":true"));
+    let message = |from| node_list.changes_since(from, |n| format!("127.0.0.1:{n}"));
+    assert!(message(None).contains("\"snapshot\":true") && !message(None).contains("s-0"));
+    assert!(message(Some(1)).contains("Gone") && message(Some(1)).contains("\"index\":2"));
+    assert!(message(Some(2)).contains("\"endpoints\":[]"));
+    assert!(message(Some(9)).contains("\"snapshot\":true"));
 }
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -467,7 +467,7 @@
             let Some(Endpoint::Connection(connection)) = self.endpoints.get(at) else {
                 continue;
             };
-            let (limiter, Some(told)) = (connection.limiter, connection.watch) else {
+            let (limiter, Some(sent_version)) = (connection.limiter, connection.watch) else {
                 continue;
             };
             self.watchers.push(at);
@@ -479,8 +479,8 @@
             {
                 continue;
             }
-            let text = if told < index {
-                self.list(Some(told), limiter)
+            let text = if sent_version < index {
+                self.list(Some(sent_version), limiter)
             } else {
                 String::new()
             };
--- a/crates/emulator/src/system/fleet.rs
+++ b/crates/emulator/src/system/fleet.rs
@@ -160,18 +160,18 @@
         };
         server.start_draining();
         let id = server.identity().0.to_string();
-        let leaving = |entries: &mut Vec<Entry>| {
+        let mark_draining = |entries: &mut Vec<Entry>| {
             entries
                 .iter_mut()
                 .filter(|e| e.id == id)
                 .for_each(|e| e.draining = true);
         };
-        let told = state.platform.change(now, leaving);
+        let visible_at = state.platform.change(now, mark_draining);
         state
             .servers
             .get_mut(&number)
             .into_iter()
-            .for_each(|(_, server)| server.drain_announced_at = Some(told + drain));
+            .for_each(|(_, server)| server.drain_announced_at = Some(visible_at + drain));
     }
 
     /// Stops a server and closes all its connections; returns its address.
@@ -184,7 +184,7 @@
             .platform
             .change(now, |entries| entries.retain(|e| e.id != id));
         state.endpoints.retain(|_, endpoint| match endpoint {
-            Endpoint::Listener(of, _) => *of != Some(number),
+            Endpoint::Listener(owner, _) => *owner != Some(number),
             Endpoint::Connection(connection) => connection.server != Some(number),
         });
         Some(at)
@@ -271,12 +271,12 @@
         })
     }
 
-    fn open(&mut self, of: Option<usize>, at: SocketAddr) -> io::Result<SocketAddr> {
+    fn open(&mut self, owner: Option<usize>, at: SocketAddr) -> io::Result<SocketAddr> {
         let socket = listen(at)?;
         let at = socket.local_addr()?;
         let slot = self.endpoints.vacant_key();
         self.reactor.add(&socket, slot as u64)?;
-        self.endpoints.insert(Endpoint::Listener(of, socket));
+        self.endpoints.insert(Endpoint::Listener(owner, socket));
         Ok(at)
     }
 
@@ -284,13 +284,13 @@
         let now = self.now();
         let mut answers: Vec<(u64, AnswerAction)> = Vec::new();
         for (_, server) in self.servers.values_mut() {
-            while let Some(one) = server.poll(now, &mut self.run_counts) {
-                answers.push(one);
+            while let Some(answer) = server.poll(now, &mut self.run_counts) {
+                answers.push(answer);
             }
         }
         answers
             .into_iter()
-            .for_each(|(token, answers)| self.send_answer(token, answers));
+            .for_each(|(token, answer)| self.send_answer(token, answer));
         let is_frozen = |state: &FleetState, n: &usize| {
             state
                 .servers
@@ -317,13 +317,13 @@
             Endpoint::Connection(Connection {
                 server: Some(at),
                 pending: None,
-                last_active_at: heard,
+                last_active_at,
                 ..
             }) => {
-                let keep = servers.get(at).map_or(0, |(_, server)| {
+                let keep_alive = servers.get(at).map_or(0, |(_, server)| {
                     server.identity().1.keep_alive_s * 1_000_000
                 });
-                now - *heard < keep
+                now - *last_active_at < keep_alive
             }
             _ => true,
         });
@@ -340,8 +340,8 @@
 
     fn accept(&mut self, at: usize) {
         let now = self.now();
-        while let Some(Endpoint::Listener(of, listener)) = self.endpoints.get(at) {
-            let of = *of;
+        while let Some(Endpoint::Listener(owner, listener)) = self.endpoints.get(at) {
+            let owner = *owner;
             // Any error ends this pass: either none are pending, or the next arrival triggers another attempt.
             let Ok((socket, _)) = listener.accept() else {
                 return;
@@ -356,7 +356,7 @@
             {
                 let (read, write) = (Vec::new(), Vec::new());
                 let connection = Connection {
-                    server: of,
+                    server: owner,
                     socket,
                     read,
                     write,
@@ -418,7 +418,7 @@
         let token = ((at as u64) << 32) | (self.serial & 0xffff_ffff);
         connection.pending = Some(token);
         let length = request.length;
-        let answers = match connection.server {
+        let immediate_answer = match connection.server {
             None => {
                 let (status, body) = self.platform.answer(now, request.method, request.target);
                 let mut out = Vec::new();
@@ -453,9 +453,9 @@
         if let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) {
             connection.read = bytes;
         }
-        answers
+        immediate_answer
             .into_iter()
-            .for_each(|answers| self.send_answer(token, answers));
+            .for_each(|answer| self.send_answer(token, answer));
     }
 
     fn send_answer(&mut self, token: u64, (bytes, then): AnswerAction) {
--- a/crates/emulator/src/system/mod.rs
+++ b/crates/emulator/src/system/mod.rs
@@ -15,11 +15,11 @@
 
 use std::time::{Duration, Instant};
 
-/// Polls `ask` every 10 ms until it returns a value or `until` has passed.
-pub fn wait_for<T>(until: Instant, mut ask: impl FnMut() -> Option<T>) -> Option<T> {
+/// Calls `poll` every 10 ms until it returns a value or `until` has passed.
+pub fn wait_for<T>(until: Instant, mut poll: impl FnMut() -> Option<T>) -> Option<T> {
     loop {
-        match ask() {
-            Some(found) => return Some(found),
+        match poll() {
+            Some(value) => return Some(value),
             None if Instant::now() >= until => return None,
             None => std::thread::sleep(Duration::from_millis(10)),
         }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -126,21 +126,21 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ServiceState {
-    frozen: Micros,
+    frozen_until: Micros,
     refuse_until: Micros,
     hang_until: Micros,
-    spoil: (Micros, f64),
-    slow: Micros,
+    spoil_until_and_share: (Micros, f64),
+    slow_until: Micros,
     down_until: Micros,
     gone: bool,
 }
 
 const NO_FAULTS: ServiceState = ServiceState {
-    frozen: Micros::MIN,
+    frozen_until: Micros::MIN,
     refuse_until: Micros::MIN,
     hang_until: Micros::MIN,
-    spoil: (Micros::MIN, 0.0),
-    slow: Micros::MIN,
+    spoil_until_and_share: (Micros::MIN, 0.0),
+    slow_until: Micros::MIN,
     down_until: Micros::MIN,
     gone: false,
 };
@@ -159,7 +159,7 @@
     nodes: Vec<ListedNode>,
     counter: Counter,
     node_list: NodeList,
-    gates: BTreeMap<Service, ServiceState>,
+    service_states: BTreeMap<Service, ServiceState>,
     partitioned_until: BTreeMap<(Service, usize), Micros>,
     fault_events: VecDeque<FaultEvent>,
     delayed_requests: VecDeque<(Service, usize, PendingRequest)>,
@@ -185,7 +185,7 @@
         ShardedMap((0..SHARDS).map(|_| HashMap::new()).collect())
     }
 
-    fn of(&mut self, hash: u64) -> &mut T {
+    fn entry(&mut self, hash: u64) -> &mut T {
         self.0[(hash % SHARDS) as usize].entry(hash).or_default()
     }
 }
@@ -210,7 +210,7 @@
                 (plan.counter.ms * 1e3) as Micros,
             ),
             node_list: NodeList::default(),
-            gates: BTreeMap::new(),
+            service_states: BTreeMap::new(),
             partitioned_until: BTreeMap::new(),
             fault_events: VecDeque::new(),
             delayed_requests: VecDeque::new(),
@@ -306,16 +306,19 @@
             .get(&(service, limiter))
             .copied()
             .unwrap_or(Micros::MIN);
-        let until = cut.max(self.gate(service).frozen);
+        let until = cut.max(self.service_state(service).frozen_until);
         (until > now).then_some(until)
     }
 
-    fn gate(&self, service: Service) -> ServiceState {
-        self.gates.get(&service).copied().unwrap_or(NO_FAULTS)
+    fn service_state(&self, service: Service) -> ServiceState {
+        self.service_states
+            .get(&service)
+            .copied()
+            .unwrap_or(NO_FAULTS)
     }
 
-    fn gate_mut(&mut self, service: Service) -> &mut ServiceState {
-        self.gates.entry(service).or_insert(NO_FAULTS)
+    fn service_state_mut(&mut self, service: Service) -> &mut ServiceState {
+        self.service_states.entry(service).or_insert(NO_FAULTS)
     }
 
     /// Handles a complete request to a node.
@@ -331,7 +334,7 @@
         {
             self.counts.after_drain += 1;
         }
-        let (times, open) = self.ids.of(id);
+        let (times, open) = self.ids.entry(id);
         if *times == 0 {
             self.counts.ids += 1;
         } else {
@@ -371,10 +374,10 @@
         let keys_for = (self.plan.nodes.keys_ms * 1e3) as Micros;
         let rack = self.nodes[number].listed.rack;
         let known = |key: &u64| {
-            let of = |s: &ListedNode| {
+            let in_rack_and_known = |s: &ListedNode| {
                 s.listed.rack == rack && s.keys.get(key).is_some_and(|at| now - at < keys_for)
             };
-            self.nodes.iter().any(of)
+            self.nodes.iter().any(in_rack_and_known)
         };
         let repeat = key.as_ref().is_some_and(known);
         let work = if repeat { 0 } else { job.work };
@@ -382,7 +385,7 @@
         if taken == Admission::Admitted && repeat {
             self.counts.dropped += 1;
         } else if let Some(key) = key.filter(|_| taken == Admission::Admitted) {
-            let runs = self.key_runs.of(key);
+            let runs = self.key_runs.entry(key);
             *runs += 1;
             self.counts.keys_twice += u64::from(*runs == 2);
             self.nodes[number].keys.insert(key, now);
@@ -394,9 +397,9 @@
     pub fn handle_counter_call(&mut self, now: Micros, limiter: usize, token: u64, call: Call<'_>) {
         self.counts.calls += 1;
         let second = usize::try_from(now / 1_000_000).unwrap_or(0);
-        let by = &mut self.counts.calls_by;
-        by.resize_with(by.len().max(limiter + 1), Vec::new);
-        let seconds = &mut by[limiter];
+        let calls_by_limiter = &mut self.counts.calls_by;
+        calls_by_limiter.resize_with(calls_by_limiter.len().max(limiter + 1), Vec::new);
+        let seconds = &mut calls_by_limiter[limiter];
         seconds.resize(seconds.len().max(second + 1), 0);
         seconds[second] += 1;
         let pending = PendingRequest::Count(token, call.name.to_string(), call.delta, call.life);
@@ -419,9 +422,9 @@
             self.delayed_requests.push_back((service, limiter, pending));
             return;
         }
-        let gate = self.gate(service);
+        let state = self.service_state(service);
         let (token, reply, at) = match pending {
-            _ if gate.hang_until > now => return,
+            _ if state.hang_until > now => return,
             PendingRequest::Work(job, key) => {
                 let Service::Node(number) = service else {
                     return;
@@ -478,7 +481,7 @@
     }
 
     fn attempt_closed(&mut self, id: u64) {
-        let (_, open) = self.ids.of(id);
+        let (_, open) = self.ids.entry(id);
         *open = open.saturating_sub(1);
     }
 
@@ -545,7 +548,7 @@
         if let Some((_, _, id)) = self.outstanding.remove(&token) {
             self.attempt_closed(id);
         }
-        let (until, share) = self.gate(service).spoil;
+        let (until, share) = self.service_state(service).spoil_until_and_share;
         if until > now && self.rng.random::<f64>() < share {
             self.counts.spoilt += 1;
             return Reply::Noise;
@@ -566,7 +569,7 @@
             FaultTarget::Discovery => Service::Discovery,
             FaultTarget::Nodes(_) | FaultTarget::Limiter(_) => return,
         };
-        if self.gate(service).gone {
+        if self.service_state(service).gone {
             return;
         }
         let until = fault_event.at + fault_event.duration;
@@ -575,31 +578,33 @@
         }
         match fault_event.kind {
             FaultKind::Freeze => {
-                let gate = self.gate_mut(service);
-                gate.frozen = gate.frozen.max(until);
+                let state = self.service_state_mut(service);
+                state.frozen_until = state.frozen_until.max(until);
                 if let Service::Node(number) = service {
                     self.nodes[number].node.freeze(now, until);
                 }
             }
             FaultKind::Refuse => {
-                let gate = self.gate_mut(service);
-                gate.refuse_until = gate.refuse_until.max(until);
+                let state = self.service_state_mut(service);
+                state.refuse_until = state.refuse_until.max(until);
                 self.events.push_back(WorldEvent::StopListening(service));
             }
             FaultKind::Reset => self.reset_connections(service),
             FaultKind::Hang => {
-                let gate = self.gate_mut(service);
-                gate.hang_until = gate.hang_until.max(until);
+                let state = self.service_state_mut(service);
+                state.hang_until = state.hang_until.max(until);
+            }
+            FaultKind::Spoil => {
+                self.service_state_mut(service).spoil_until_and_share = (until, fault_event.amount)
             }
-            FaultKind::Spoil => self.gate_mut(service).spoil = (until, fault_event.amount),
             FaultKind::Slow => {
-                let gate = self.gate_mut(service);
-                gate.slow = gate.slow.max(until);
+                let state = self.service_state_mut(service);
+                state.slow_until = state.slow_until.max(until);
                 self.set_slowdown(service, fault_event.amount);
             }
             FaultKind::Die => {
-                let gate = self.gate_mut(service);
-                gate.down_until = gate.down_until.max(until);
+                let state = self.service_state_mut(service);
+                state.down_until = state.down_until.max(until);
                 self.events.push_back(WorldEvent::StopListening(service));
                 self.reset_connections(service);
             }
@@ -632,9 +637,10 @@
 
     /// Ends a fault unless another one of its kind is still active.
     fn end_fault(&mut self, now: Micros, service: Service, fault_event: FaultEvent) {
-        let gate = self.gate(service);
+        let state = self.service_state(service);
         match fault_event.kind {
-            FaultKind::Refuse | FaultKind::Die if gate.refuse_until.max(gate.down_until) > now => {}
+            FaultKind::Refuse | FaultKind::Die
+                if state.refuse_until.max(state.down_until) > now => {}
             FaultKind::Refuse => self.events.push_back(WorldEvent::Open(service)),
             FaultKind::Die => {
                 self.restart_service(now, service);
@@ -643,14 +649,14 @@
                 }
                 self.events.push_back(WorldEvent::Open(service));
             }
-            FaultKind::Slow if gate.slow <= now => self.set_slowdown(service, 1.0),
+            FaultKind::Slow if state.slow_until <= now => self.set_slowdown(service, 1.0),
             FaultKind::Drain | FaultKind::Replace => {
                 let Service::Node(number) = service else {
                     return;
                 };
                 self.reset_connections(service);
                 if fault_event.kind == FaultKind::Replace {
-                    self.gate_mut(service).gone = true;
+                    self.service_state_mut(service).gone = true;
                     self.events.push_back(WorldEvent::StopListening(service));
                     self.publish_status(now, number, Status::Gone);
                 } else {
--- a/crates/emulator/tests/world.rs
+++ b/crates/emulator/tests/world.rs
@@ -200,28 +200,28 @@
 /// A random action of a limiter.
 #[derive(Clone, Debug)]
 enum Step {
-    Ask(u8, u8),
+    Request(u8, u8),
     Count,
     Probe(u8),
-    Left(u8),
-    Pass(u16),
+    Disconnect(u8),
+    Advance(u16),
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
         let (a, b) = (u8::arbitrary(g), u8::arbitrary(g));
         match a % 6 {
-            0 | 1 => Step::Ask(b, u8::arbitrary(g)),
+            0 | 1 => Step::Request(b, u8::arbitrary(g)),
             2 => Step::Count,
             3 => Step::Probe(b),
-            4 => Step::Left(b),
-            _ => Step::Pass(u16::arbitrary(g)),
+            4 => Step::Disconnect(b),
+            _ => Step::Advance(u16::arbitrary(g)),
         }
     }
 }
 
-/// In any order of actions, every request is answered once or lost to a reset or hang from the plan, and no answer is
-/// sent without a request.
+/// In any order of actions, every request is answered at most once, unanswered ones were lost to a reset or a silence
+/// that the plan causes, and no answer is sent without a request.
 #[test]
 fn random_actions_are_answered_at_most_once() {
     fn is_answered_at_most_once(steps: Vec<Step>) -> bool {
@@ -231,18 +231,18 @@
                {"kind":"partition","on":"counter","at_s":0.1,"for_ms":40,"every_s":0.11}"#,
         );
         let (mut now, mut token) = (0, 0_u64);
-        let mut open = std::collections::BTreeSet::new();
+        let mut unanswered = std::collections::BTreeSet::new();
         let settle =
-            |world: &mut World, open: &mut std::collections::BTreeSet<u64>, end: Micros| {
+            |world: &mut World, unanswered: &mut std::collections::BTreeSet<u64>, end: Micros| {
                 run_until(world, end).iter().all(|(_, event)| match event {
-                    WorldEvent::Answer(token, _) => open.remove(token),
+                    WorldEvent::Answer(token, _) => unanswered.remove(token),
                     _ => true,
                 })
             };
         for step in steps {
             token += 1;
             match step {
-                Step::Ask(node, id) => {
+                Step::Request(node, id) => {
                     send_request(
                         &mut world,
                         now,
@@ -251,7 +251,7 @@
                         &id.to_string(),
                         None,
                     );
-                    open.insert(token);
+                    unanswered.insert(token);
                 }
                 Step::Count => {
                     world.handle_counter_call(
@@ -260,31 +260,31 @@
                         token,
                         counter::call("/v2/numbers/n?delta=1&life_ms=5").unwrap(),
                     );
-                    open.insert(token);
+                    unanswered.insert(token);
                 }
                 Step::Probe(node) => {
                     world.handle_probe(now, usize::from(node % 2), 0, token);
-                    open.insert(token);
+                    unanswered.insert(token);
                 }
-                Step::Left(which) => {
-                    let of = open
+                Step::Disconnect(which) => {
+                    let chosen = unanswered
                         .iter()
-                        .nth(usize::from(which) % open.len().max(1))
+                        .nth(usize::from(which) % unanswered.len().max(1))
                         .copied();
-                    if let Some(token) = of {
+                    if let Some(token) = chosen {
                         world.connection_closed(now, token);
                     }
                 }
-                Step::Pass(micros) => {
+                Step::Advance(micros) => {
                     now += Micros::from(micros);
-                    if !settle(&mut world, &mut open, now) {
+                    if !settle(&mut world, &mut unanswered, now) {
                         return false;
                     }
                 }
             }
         }
         // After the last fault every request is answered, except those lost to resets or closed connections.
-        settle(&mut world, &mut open, now + 70 * SECOND) && world.next_event_at().is_none()
+        settle(&mut world, &mut unanswered, now + 70 * SECOND) && world.next_event_at().is_none()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 11))
