--- a/crates/control/tests/cut_off_programs.rs
+++ b/crates/control/tests/cut_off_programs.rs
@@ -4,11 +4,11 @@
 use std::time::{Duration, Instant};
 
 use control::limits::STALL_THRESHOLD;
-use emulator::system::calls::{Connection, Reply, call};
-use emulator::system::machines::{Role, beside, net};
+use emulator::system::client::{Connection, Reply, call};
+use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
+use emulator::system::test_system::{READ_PREFIX, SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
-use emulator::system::whole::{READS, SERVICES, Size, Whole, route};
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
@@ -16,22 +16,22 @@
     Instant::now() + Duration::from_secs(12)
 }
 
-fn start_system(folder: &TempDir) -> Whole {
-    let programs = beside(Path::new(env!("CARGO_BIN_EXE_control")), env!("CARGO"));
-    Whole::start(
+fn start_system(folder: &TempDir) -> TestSystem {
+    let programs = built_programs_folder(Path::new(env!("CARGO_BIN_EXE_control")), env!("CARGO"));
+    TestSystem::start(
         folder.path(),
         &programs,
         Size {
             zones: 3,
             edges: 1,
-            net: net(),
+            net: unused_net(),
         },
         deadline(),
     )
     .unwrap()
 }
 
-fn send_call(system: &Whole, replica: usize, method: &str, path: &str, body: &str) -> Reply {
+fn send_call(system: &TestSystem, replica: usize, method: &str, path: &str, body: &str) -> Reply {
     call(
         system.machines.ctl(replica),
         method,
@@ -44,7 +44,7 @@
 }
 
 /// The status that a replica reports; null while it does not answer.
-fn status(system: &Whole, replica: usize) -> Value {
+fn status(system: &TestSystem, replica: usize) -> Value {
     let reply_deadline = Instant::now() + Duration::from_millis(500);
     let reply = call(
         system.machines.ctl(replica),
@@ -75,7 +75,7 @@
         || status(&system, 2)["in_touch"] == true,
         "the replica has quorum contact",
     );
-    system.machines.stand_still(Role::Control, 2);
+    system.machines.pause(Role::Control, 2);
     let (stalled_at, min_stall) = (
         Instant::now(),
         Duration::from_micros(STALL_THRESHOLD as u64 + 100_000),
@@ -87,16 +87,19 @@
     // ended.
     drop(connection);
     for begin in [true, false] {
-        system.operator.evacuate("z1", begin, deadline()).unwrap();
+        system
+            .operator
+            .set_zone_evacuation("z1", begin, deadline())
+            .unwrap();
     }
     let digest = status(&system, 0)["digest"].clone();
     assert!(digest.is_string(), "{}", status(&system, 0));
-    let is_missing = |system: &Whole| status(system, 0)["replicas"][2]["heard"] == false;
+    let is_missing = |system: &TestSystem| status(system, 0)["replicas"][2]["heard"] == false;
     wait_until(
         || is_missing(&system) && stalled_at.elapsed() > min_stall,
         "the others have noticed the stall, and it lasted for longer than the threshold",
     );
-    system.machines.go_on(Role::Control, 2);
+    system.machines.resume(Role::Control, 2);
     wait_until(
         || !is_missing(&system) && status(&system, 2)["in_touch"] == true,
         "the replica has quorum contact again",
@@ -157,12 +160,12 @@
     // The edges stay ready and serve by their last configuration.
     for edge in 0..system.machines.edges() {
         assert!(
-            system.machines.ready(edge) && system.served_by(edge, "/read/1").is_some(),
+            system.machines.is_ready(edge) && system.served_by(edge, "/read/1").is_some(),
             "edge {edge}"
         );
     }
     (0..2).for_each(|replica| system.machines.start(Role::Control, replica).unwrap());
-    let change = Change::default().set("routes", "reads", 2, route(READS, SERVICES[1]));
+    let change = Change::default().set("routes", "reads", 2, route(READ_PREFIX, SERVICES[1]));
     system.operator.change(&change, deadline()).unwrap();
     assert_eq!(system.operator.differences(deadline()), Ok(Vec::new()));
     assert_eq!(system.machines.stop(), Vec::<String>::new());
--- a/crates/control/tests/many_changes.rs
+++ b/crates/control/tests/many_changes.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use emulator::system::calls::call;
-use emulator::system::machines::{Role, beside, net};
+use emulator::system::client::call;
+use emulator::system::machines::{Role, built_programs_folder, unused_net};
+use emulator::system::test_system::{Size, TestSystem};
 use emulator::system::wait_for;
-use emulator::system::whole::{Size, Whole};
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
@@ -24,7 +24,7 @@
     Instant::now() + Duration::from_secs(12)
 }
 
-fn get_json(system: &Whole, replica: usize, path: &str) -> Option<Value> {
+fn get_json(system: &TestSystem, replica: usize, path: &str) -> Option<Value> {
     let reply = call(
         system.machines.ctl(replica),
         "GET",
@@ -40,7 +40,7 @@
 }
 
 /// A change of one service, or its removal, by the number of the change.
-fn change(system: &Whole, number: u64) {
+fn change(system: &TestSystem, number: u64) {
     let (name, ver) = (format!("many-{:02}", number % ITEMS), 1 + number / ITEMS);
     let body = match number % 5 {
         0 => json!({"remove": {"svcs": [{"name": name, "ver": ver}]}}),
@@ -72,11 +72,11 @@
     let size = Size {
         zones: 3,
         edges: 1,
-        net: net(),
+        net: unused_net(),
     };
-    let mut system = Whole::start(
+    let mut system = TestSystem::start(
         folder.path(),
-        &beside(Path::new(PROGRAM), env!("CARGO")),
+        &built_programs_folder(Path::new(PROGRAM), env!("CARGO")),
         size,
         deadline(),
     )
--- a/crates/control/tests/resent.rs
+++ b/crates/control/tests/resent.rs
@@ -7,10 +7,10 @@
 use std::sync::Barrier;
 use std::time::{Duration, Instant};
 
-use emulator::system::calls::{Connection, call};
-use emulator::system::machines::{Role, beside, net, zones};
+use emulator::system::client::{Connection, call};
+use emulator::system::machines::{Role, built_programs_folder, unused_net, zones};
+use emulator::system::test_system::{SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
-use emulator::system::whole::{SERVICES, Size, Whole, route};
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
@@ -42,7 +42,7 @@
     ]}})
 }
 
-struct Replicas(Whole);
+struct Replicas(TestSystem);
 
 impl Replicas {
     fn operator_addresses(&self) -> Vec<SocketAddr> {
@@ -66,10 +66,11 @@
     let size = Size {
         zones: 3,
         edges: 0,
-        net: net(),
+        net: unused_net(),
     };
-    let programs = beside(Path::new(PROGRAM), env!("CARGO"));
-    let mut replicas = Replicas(Whole::start(folder.path(), &programs, size, deadline()).unwrap());
+    let programs = built_programs_folder(Path::new(PROGRAM), env!("CARGO"));
+    let mut replicas =
+        Replicas(TestSystem::start(folder.path(), &programs, size, deadline()).unwrap());
     let ctl = replicas.operator_addresses();
     for ver in 2..5 {
         let start = Barrier::new(2);
@@ -113,7 +114,11 @@
     replicas.assert_status_everywhere(&accepted, 200, "after all were killed");
     replicas.0.machines.kill(Role::Control, 2);
     std::fs::remove_dir_all(folder.path().join("disk-2")).unwrap();
-    replicas.0.machines.write(Role::Control, 2, false).unwrap();
+    replicas
+        .0
+        .machines
+        .write_settings(Role::Control, 2, false)
+        .unwrap();
     replicas.0.machines.start(Role::Control, 2).unwrap();
     replicas.assert_status_everywhere(&accepted, 200, "after a disk was lost");
     for ver in 1..=60 {
@@ -146,22 +151,22 @@
     let size = Size {
         zones: 3,
         edges: 0,
-        net: net(),
+        net: unused_net(),
     };
-    let programs = beside(Path::new(PROGRAM), env!("CARGO"));
-    let mut system = Whole::start(folder.path(), &programs, size, deadline()).unwrap();
+    let programs = built_programs_folder(Path::new(PROGRAM), env!("CARGO"));
+    let mut system = TestSystem::start(folder.path(), &programs, size, deadline()).unwrap();
     let address = system.machines.ctl(0);
     // The first sender has disconnected when the replica resumes, the second one still waits for
     // its answer.
     for (disconnects, zone) in [(true, 1), (false, 2)] {
         let count_before = chosen_count(address);
-        system.machines.stand_still(Role::Control, 0);
+        system.machines.pause(Role::Control, 0);
         let mut sender = Connection::open(address, deadline()).unwrap();
         let path = format!("/api/drain/{}/begin", zones(3)[zone].0);
         let request = format!("POST {path} HTTP/1.1\r\nHost: core\r\nContent-Length: 0\r\n\r\n");
         sender.send(request.as_bytes(), deadline()).unwrap();
         let sender = (!disconnects).then_some(sender);
-        system.machines.go_on(Role::Control, 0);
+        system.machines.resume(Role::Control, 0);
         // Later calls complete only after the pending one was handled.
         for ver in 1..=5 {
             assert_eq!(
@@ -171,7 +176,7 @@
         }
         if let Some(mut sender) = sender {
             // Until the replica has quorum contact again it answers 503, and the call is retried.
-            let status = sender.answer(deadline()).unwrap().status;
+            let status = sender.read_reply(deadline()).unwrap().status;
             assert!(
                 status == 200 || call_until_final(address, &path, "") == 200,
                 "{status}"
--- a/crates/control/tests/second_loss_system.rs
+++ b/crates/control/tests/second_loss_system.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use emulator::system::machines::{Role, beside, net};
+use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
+use emulator::system::test_system::{READ_PREFIX, SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
-use emulator::system::whole::{READS, SERVICES, Size, Whole, route};
 use tempfile::TempDir;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_control");
@@ -16,15 +16,15 @@
     Instant::now() + Duration::from_secs(12)
 }
 
-fn start_system(folder: &TempDir) -> Whole {
+fn start_system(folder: &TempDir) -> TestSystem {
     let size = Size {
         zones: 3,
         edges: 1,
-        net: net(),
+        net: unused_net(),
     };
-    Whole::start(
+    TestSystem::start(
         folder.path(),
-        &beside(Path::new(PROGRAM), env!("CARGO")),
+        &built_programs_folder(Path::new(PROGRAM), env!("CARGO")),
         size,
         deadline(),
     )
@@ -32,7 +32,7 @@
 }
 
 #[track_caller]
-fn assert_logs(system: &Whole, number: usize, line: &str) {
+fn assert_logs(system: &TestSystem, number: usize, line: &str) {
     let is_logged = || {
         system
             .machines
@@ -47,12 +47,12 @@
     );
 }
 
-fn change(system: &mut Whole, ver: u64) {
+fn change(system: &mut TestSystem, ver: u64) {
     let change = Change::default().set(
         "routes",
         "reads",
         ver,
-        route(READS, SERVICES[ver as usize % 2]),
+        route(READ_PREFIX, SERVICES[ver as usize % 2]),
     );
     system.operator.change(&change, deadline()).unwrap();
 }
@@ -65,7 +65,10 @@
         change(&mut system, 2 + number as u64);
         system.machines.kill(Role::Control, number);
         std::fs::remove_dir_all(folder.path().join(format!("disk-{number}"))).unwrap();
-        system.machines.write(Role::Control, number, false).unwrap();
+        system
+            .machines
+            .write_settings(Role::Control, number, false)
+            .unwrap();
         system.machines.start(Role::Control, number).unwrap();
         assert_logs(
             &system,
@@ -86,19 +89,24 @@
     // The successor of the first machine runs in the same zone at another address. Its recovery
     // needs both other replicas, of which one is stopped.
     system.machines.kill(Role::Control, 1);
-    system.machines.write(Role::Control, 3, false).unwrap();
+    system
+        .machines
+        .write_settings(Role::Control, 3, false)
+        .unwrap();
     system.machines.start(Role::Control, 3).unwrap();
     assert_logs(
         &system,
         0,
         "INFO superseded by a newer incarnation of this replica",
     );
-    system.machines.tell_to_end(Role::Control, 0);
+    system.machines.terminate(Role::Control, 0);
     // As long as the successor is not up to date, the process stays longer than calls in progress
     // need.
     let early_deadline = Instant::now() + Duration::from_millis(700);
     assert_eq!(
-        system.machines.ended(Role::Control, 0, early_deadline),
+        system
+            .machines
+            .wait_for_exit(Role::Control, 0, early_deadline),
         None
     );
     assert!(
@@ -112,7 +120,7 @@
     assert!(
         system
             .machines
-            .ended(Role::Control, 0, deadline())
+            .wait_for_exit(Role::Control, 0, deadline())
             .is_some_and(|status| status.success())
     );
     assert_logs(&system, 0, "INFO handover complete");
--- a/crates/control/tests/system.rs
+++ b/crates/control/tests/system.rs
@@ -4,11 +4,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use emulator::system::calls::{Connection, call};
-use emulator::system::machines::{Role, beside, net};
+use emulator::system::client::{Connection, call};
+use emulator::system::machines::{Role, built_programs_folder, unused_net};
 use emulator::system::operator::Change;
+use emulator::system::test_system::{HOST, READ_PREFIX, SERVICES, Size, TestSystem, route};
 use emulator::system::wait_for;
-use emulator::system::whole::{HOST, READS, SERVICES, Size, Whole, route};
 use serde_json::json;
 use tempfile::TempDir;
 
@@ -18,17 +18,20 @@
     Instant::now() + Duration::from_secs(12)
 }
 
-fn start_system(folder: &TempDir) -> Whole {
-    start_system_with(folder, &beside(Path::new(PROGRAM), env!("CARGO")))
+fn start_system(folder: &TempDir) -> TestSystem {
+    start_system_with(
+        folder,
+        &built_programs_folder(Path::new(PROGRAM), env!("CARGO")),
+    )
 }
 
-fn start_system_with(folder: &TempDir, programs: &Path) -> Whole {
+fn start_system_with(folder: &TempDir, programs: &Path) -> TestSystem {
     let size = Size {
         zones: 3,
         edges: 1,
-        net: net(),
+        net: unused_net(),
     };
-    Whole::start(folder.path(), programs, size, deadline()).unwrap()
+    TestSystem::start(folder.path(), programs, size, deadline()).unwrap()
 }
 
 #[test]
@@ -37,7 +40,7 @@
     let mut system = start_system(&folder);
     assert_eq!(system.served_by(0, "/read/1").as_deref(), Some(SERVICES[0]));
     let change = Change::default()
-        .set("routes", "reads", 5, route(READS, SERVICES[1]))
+        .set("routes", "reads", 5, route(READ_PREFIX, SERVICES[1]))
         .set("routes", "more", 2, route("/more/", SERVICES[1]))
         .drop("routes", "writes", 3);
     system.operator.change(&change, deadline()).unwrap();
@@ -53,11 +56,11 @@
             system.served_by(edge, "/more/1").as_deref(),
             Some(SERVICES[1])
         );
-        assert_eq!(system.ask(edge, "/write/1").unwrap().status, 404);
+        assert_eq!(system.send_request(edge, "/write/1").unwrap().status, 404);
     }
     // Neither has an effect: a valid change with a lower version, and a call of which one part is
     // invalid.
-    let older = Change::default().set("routes", "reads", 4, route(READS, SERVICES[0]));
+    let older = Change::default().set("routes", "reads", 4, route(READ_PREFIX, SERVICES[0]));
     system.operator.change(&older, deadline()).unwrap();
     let invalid = Change::default()
         .set("routes", "more", 9, route("/more/", SERVICES[0]))
@@ -98,11 +101,11 @@
             .send(format!("{head}{truncated}").as_bytes(), deadline())
             .unwrap();
         if let Some(status) = status {
-            assert_eq!(connection.answer(deadline()).unwrap().status, status);
+            assert_eq!(connection.read_reply(deadline()).unwrap().status, status);
         }
     }
     assert_eq!(system.operator.differences(deadline()), Ok(Vec::new()));
-    assert_eq!(system.ask(0, "/cut/1").unwrap().status, 404);
+    assert_eq!(system.send_request(0, "/cut/1").unwrap().status, 404);
     assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
 
@@ -110,7 +113,7 @@
 fn acknowledged_items_survive_a_kill_of_all_programs() {
     let folder = TempDir::new().unwrap();
     let mut system = start_system(&folder);
-    let change = Change::default().set("routes", "reads", 2, route(READS, SERVICES[1]));
+    let change = Change::default().set("routes", "reads", 2, route(READ_PREFIX, SERVICES[1]));
     system.operator.change(&change, deadline()).unwrap();
     (0..system.machines.cores()).for_each(|number| system.machines.kill(Role::Control, number));
     // Proxies keep serving by their last configuration, whichever it is.
@@ -135,7 +138,10 @@
     let mut system = start_system(&folder);
     system.machines.kill(Role::Control, 2);
     std::fs::remove_dir_all(folder.path().join("disk-2")).unwrap();
-    system.machines.write(Role::Control, 2, false).unwrap();
+    system
+        .machines
+        .write_settings(Role::Control, 2, false)
+        .unwrap();
     system.machines.start(Role::Control, 2).unwrap();
     // The log lines that the runbook names.
     for (replica, line) in [
@@ -167,7 +173,7 @@
 fn programs_ignoring_sigxfsz(folder: &TempDir) -> std::path::PathBuf {
     let (programs, built) = (
         folder.path().join("programs"),
-        beside(Path::new(PROGRAM), env!("CARGO")),
+        built_programs_folder(Path::new(PROGRAM), env!("CARGO")),
     );
     std::fs::create_dir(&programs).unwrap();
     for role in [Role::Control, Role::Agent, Role::Proxy] {
@@ -201,7 +207,7 @@
         )
         .unwrap()
     };
-    let assert_logs = |system: &Whole, line: &str| {
+    let assert_logs = |system: &TestSystem, line: &str| {
         let is_logged = || {
             system
                 .machines
@@ -222,7 +228,7 @@
         .len();
     system
         .machines
-        .most_bytes(Role::Control, 0, Some(wal_bytes))
+        .limit_file_size(Role::Control, 0, Some(wal_bytes))
         .unwrap();
     let rejected = wait_for(deadline(), || {
         Some(patch(2, SERVICES[1])).filter(|reply| reply.status == 503)
@@ -247,7 +253,10 @@
         .then_some(())
     };
     assert!(wait_for(deadline(), is_read_back).is_some());
-    system.machines.most_bytes(Role::Control, 0, None).unwrap();
+    system
+        .machines
+        .limit_file_size(Role::Control, 0, None)
+        .unwrap();
     assert_logs(&system, "INFO disk accepts writes again");
     assert_eq!(patch(4, SERVICES[0]).status, 200);
     assert_eq!(system.machines.stop(), Vec::<String>::new());
@@ -262,10 +271,10 @@
     machines.kill(Role::Proxy, 0);
     machines.start(Role::Proxy, 0).unwrap();
     // The proxy has connected to its agent before it accepts requests.
-    let answers = || machines.answers(0).then_some(());
+    let answers = || machines.answers_readiness_check(0).then_some(());
     assert!(wait_for(deadline(), answers).is_some());
     machines.refuse_connections(Role::Agent, 0, false).unwrap();
-    let is_ready = || machines.ready(0).then_some(());
+    let is_ready = || machines.is_ready(0).then_some(());
     assert!(
         wait_for(deadline(), is_ready).is_some(),
         "the agent did not accept the proxy's connection afterwards"
@@ -279,7 +288,7 @@
     let mut system = start_system(&folder);
     let machines = &system.machines;
     machines.refuse_connections(Role::Control, 0, true).unwrap();
-    let cpu_time = || machines.usage(Role::Control, 0).unwrap().processor;
+    let cpu_time = || machines.usage(Role::Control, 0).unwrap().cpu_time;
     let (cpu_time_before, address) = (cpu_time(), machines.ctl(0));
     // The kernel establishes the connection, which then waits to be accepted.
     let mut pending = Connection::open(address, deadline()).unwrap();
@@ -295,6 +304,6 @@
     machines
         .refuse_connections(Role::Control, 0, false)
         .unwrap();
-    assert_eq!(pending.answer(deadline()).unwrap().status, 200);
+    assert_eq!(pending.read_reply(deadline()).unwrap().status, 200);
     assert_eq!(system.machines.stop(), Vec::<String>::new());
 }
--- a/crates/emulator/src/counter.rs
+++ b/crates/emulator/src/counter.rs
@@ -1,45 +1,45 @@
-//! The counter: named totals with a life, served in turn, so many a second over so many parts.
+//! The counter: named totals that expire, in partitions that each serve their calls one at a time at a fixed rate.
 
 use std::collections::HashMap;
 
 use crate::Micros;
 
-/// Longest life of a name.
-const LONGEST: Micros = 60_000_000;
-/// Longest name, in bytes.
-const NAME: usize = 64;
-/// Names that have ended are swept out after so many calls.
-const SWEEP: u32 = 4_096;
+/// Longest lifetime of a total, in microseconds.
+const MAX_LIFE: Micros = 60_000_000;
+/// Maximum length of a name.
+const MAX_NAME_BYTES: usize = 64;
+/// Number of calls after which expired totals are removed.
+const SWEEP_INTERVAL_CALLS: u32 = 4_096;
 
-/// The counter.
+/// The emulated counter.
 #[derive(Clone, Debug)]
 pub struct Counter {
     totals: HashMap<String, (f64, Micros)>,
-    /// When each part is free again.
-    free: Vec<Micros>,
-    turn: f64,
-    beside: Micros,
-    slower: f64,
+    /// When each partition is free again.
+    free_at: Vec<Micros>,
+    service_time: f64,
+    extra_latency: Micros,
+    slowdown: f64,
     calls: u32,
 }
 
-/// A call as it stands on the wire.
+/// A call as received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call<'a> {
-    /// The count's name.
+    /// Name of the total.
     pub name: &'a str,
-    /// What is added.
+    /// Amount to add.
     pub delta: f64,
-    /// Incarnation of a new name.
+    /// Lifetime of the total if the call creates it, in microseconds.
     pub life: Micros,
 }
 
-/// Reads a call's target.
+/// Parses a call from the request target.
 pub fn call(target: &str) -> Option<Call<'_>> {
     let (path, query) = target.split_once('?')?;
     let name = path
         .strip_prefix("/v2/numbers/")
-        .filter(|n| !n.is_empty() && n.len() <= NAME)?;
+        .filter(|n| !n.is_empty() && n.len() <= MAX_NAME_BYTES)?;
     let get = |key: &str| {
         query
             .split('&')
@@ -59,35 +59,35 @@
 
 impl Counter {
     /// An empty counter.
-    pub fn new(parts: usize, per_s: f64, beside: Micros) -> Counter {
+    pub fn new(parts: usize, per_s: f64, extra_latency: Micros) -> Counter {
         let parts = parts.max(1);
-        let turn = parts as f64 * 1e6 / per_s;
+        let service_time = parts as f64 * 1e6 / per_s;
         Counter {
             totals: HashMap::new(),
-            free: vec![0; parts],
-            turn,
-            beside,
-            slower: 1.0,
+            free_at: vec![0; parts],
+            service_time,
+            extra_latency,
+            slowdown: 1.0,
             calls: 0,
         }
     }
 
-    /// Adds, and gives the total and when it is told: a call waits for its part's turn.
+    /// Adds, and returns the total and when it is answered: a call waits until its partition is free.
     pub fn add(&mut self, now: Micros, call: Call<'_>) -> (f64, Micros) {
         self.calls += 1;
-        if self.calls.is_multiple_of(SWEEP) {
+        if self.calls.is_multiple_of(SWEEP_INTERVAL_CALLS) {
             self.totals.retain(|_, (_, end)| *end > now);
         }
         let hash = call
             .name
             .bytes()
             .fold(5_381_usize, |h, b| h.wrapping_mul(33) ^ usize::from(b));
-        let parts = self.free.len();
-        let free = &mut self.free[hash % parts];
+        let parts = self.free_at.len();
+        let free = &mut self.free_at[hash % parts];
         let begin = (*free).max(now);
-        *free = begin + (self.turn * self.slower).round() as Micros;
-        let told = *free + (self.beside as f64 * self.slower) as Micros;
-        let end = now + call.life.min(LONGEST);
+        *free = begin + (self.service_time * self.slowdown).round() as Micros;
+        let answered_at = *free + (self.extra_latency as f64 * self.slowdown) as Micros;
+        let end = now + call.life.min(MAX_LIFE);
         let entry = self
             .totals
             .entry(call.name.to_string())
@@ -96,18 +96,18 @@
             *entry = (0.0, end);
         }
         entry.0 += call.delta;
-        (entry.0, told)
+        (entry.0, answered_at)
     }
 
-    /// Calls take so many times as long.
+    /// Makes calls take `times` as long.
     pub fn slow(&mut self, times: f64) {
-        self.slower = times;
+        self.slowdown = times;
     }
 
-    /// Forgets everything.
-    pub fn empty(&mut self, now: Micros) {
+    /// Removes all totals.
+    pub fn clear(&mut self, now: Micros) {
         self.totals.clear();
-        self.free.fill(now);
+        self.free_at.fill(now);
     }
 }
 
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,111 +1,111 @@
-//! A records node: cores that do work in turn, a queue, a cold start, keys that are dropped when they repeat.
+//! A records node: cores that run requests, a queue, and a cold start.
 
 use std::collections::VecDeque;
 
 use crate::Micros;
 
-/// What a node is.
+/// Configuration of a node.
 #[derive(Clone, Copy, Debug)]
-pub struct Make {
-    /// Requests that run at a time.
+pub struct NodeConfig {
+    /// Number of requests that run concurrently.
     pub cores: usize,
-    /// Speed of a core, 1 for work in its own time.
+    /// Speed of a core; at 1, work takes its nominal time.
     pub speed: f64,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub queue: usize,
-    /// Share of the speed at the start.
+    /// Share of the full speed right after a start.
     pub cold_from: f64,
-    /// Time until it is warm.
-    pub cold_for: Micros,
-    /// How often the load that it shows is taken anew.
-    pub util_every: Micros,
-    /// Giving up ends running work too.
+    /// Time from a start to full speed, in microseconds.
+    pub warm_up: Micros,
+    /// Interval at which the reported utilization is updated, in microseconds.
+    pub util_interval: Micros,
+    /// Whether abandoning a request also cancels it if it is running.
     pub cancel_running: bool,
 }
 
-/// A request that has come.
+/// A request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Whoever brought it knows it by this.
+    /// Identifies the request to the caller.
     pub token: u64,
-    /// Its work on a core of speed 1.
+    /// Its work on a core of speed 1, in microseconds.
     pub work: Micros,
 }
 
-/// A records node. It is told the time, which never goes back.
+/// A records node. Callers pass the time, which must not decrease.
 #[derive(Clone, Debug)]
 pub struct Node {
-    make: Make,
+    config: NodeConfig,
     started: Micros,
     waiting: VecDeque<Job>,
-    /// End and job, by core; a core without work has none.
+    /// End and job per core; `None` for an idle core.
     running: Vec<Option<(Micros, Job)>>,
     frozen_until: Option<Micros>,
-    slower: f64,
+    slowdown: f64,
     draining: bool,
-    /// Busy time of all cores, up to `marked`.
-    busy: Micros,
-    marked: Micros,
+    /// Busy time of all cores up to `busy_accounted_until`.
+    busy_time: Micros,
+    busy_accounted_until: Micros,
     util: f64,
-    util_from: (Micros, Micros),
+    util_window: (Micros, Micros),
 }
 
-/// What becomes of a request that comes.
+/// Outcome of the admission of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// It will run.
-    Yes,
-    /// The queue is full or the node drains: it never ran.
-    TurnedAway,
+pub enum Admission {
+    /// It is admitted.
+    Admitted,
+    /// It is rejected without being run: the queue is full or the node is draining.
+    Rejected,
 }
 
 impl Node {
-    /// A node that started at an instant; `warm` if long before it.
-    pub fn new(make: Make, now: Micros, warm: bool) -> Node {
+    /// A node that starts now; if `warm`, it is at full speed.
+    pub fn new(config: NodeConfig, now: Micros, warm: bool) -> Node {
         Node {
-            make,
-            started: if warm { now - make.cold_for } else { now },
+            config,
+            started: if warm { now - config.warm_up } else { now },
             waiting: VecDeque::new(),
-            running: vec![None; make.cores],
+            running: vec![None; config.cores],
             frozen_until: None,
-            slower: 1.0,
+            slowdown: 1.0,
             draining: false,
-            busy: 0,
-            marked: now,
+            busy_time: 0,
+            busy_accounted_until: now,
             util: 0.0,
-            util_from: (now, 0),
+            util_window: (now, 0),
         }
     }
 
-    /// The share of its speed that it has now.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    /// Share of the full speed that the node has now.
+    pub fn speed_share(&self, now: Micros) -> f64 {
         let age = now - self.started;
-        if self.make.cold_for <= 0 || age >= self.make.cold_for {
+        if self.config.warm_up <= 0 || age >= self.config.warm_up {
             return 1.0;
         }
-        let grown = age.max(0) as f64 / self.make.cold_for as f64;
-        self.make.cold_from + (1.0 - self.make.cold_from) * grown
+        let progress = age.max(0) as f64 / self.config.warm_up as f64;
+        self.config.cold_from + (1.0 - self.config.cold_from) * progress
     }
 
-    fn mark(&mut self, now: Micros) {
+    fn update_utilization(&mut self, now: Micros) {
         let cores = self.running.iter().flatten().count() as Micros;
         if self.frozen_until.is_none() {
-            self.busy += cores * (now - self.marked).max(0);
+            self.busy_time += cores * (now - self.busy_accounted_until).max(0);
         }
-        self.marked = self.marked.max(now);
-        let (since, busy) = self.util_from;
-        if now - since >= self.make.util_every {
-            let room = (now - since) * self.make.cores as Micros;
-            self.util = ((self.busy - busy) as f64 / room as f64).clamp(0.0, 1.0);
-            self.util_from = (now, self.busy);
+        self.busy_accounted_until = self.busy_accounted_until.max(now);
+        let (since, busy) = self.util_window;
+        if now - since >= self.config.util_interval {
+            let capacity = (now - since) * self.config.cores as Micros;
+            self.util = ((self.busy_time - busy) as f64 / capacity as f64).clamp(0.0, 1.0);
+            self.util_window = (now, self.busy_time);
         }
     }
 
-    fn fill(&mut self, now: Micros) {
+    fn start_waiting_jobs(&mut self, now: Micros) {
         if self.frozen_until.is_some() {
             return;
         }
-        let speed = self.make.speed * self.warmth(now) / self.slower;
+        let speed = self.config.speed * self.speed_share(now) / self.slowdown;
         for core in self.running.iter_mut().filter(|core| core.is_none()) {
             let Some(job) = self.waiting.pop_front() else {
                 break;
@@ -114,42 +114,42 @@
         }
     }
 
-    /// A request comes. While the node stands still nothing is decided: the caller keeps what comes until then.
-    pub fn arrive(&mut self, now: Micros, job: Job) -> Taken {
-        self.mark(now);
+    /// Admits or rejects a request. While the node is frozen, callers must hold back arriving requests.
+    pub fn admit(&mut self, now: Micros, job: Job) -> Admission {
+        self.update_utilization(now);
         let free = self.running.iter().filter(|core| core.is_none()).count();
-        if self.draining || self.waiting.len() >= self.make.queue + free {
-            return Taken::TurnedAway;
+        if self.draining || self.waiting.len() >= self.config.queue + free {
+            return Admission::Rejected;
         }
         self.waiting.push_back(job);
-        self.fill(now);
-        Taken::Yes
+        self.start_waiting_jobs(now);
+        Admission::Admitted
     }
 
-    /// When something ends next.
-    pub fn next(&self) -> Option<Micros> {
+    /// When a request or a freeze ends next.
+    pub fn next_event_at(&self) -> Option<Micros> {
         match self.frozen_until {
             Some(until) => Some(until),
             None => self.running.iter().flatten().map(|(end, _)| *end).min(),
         }
     }
 
-    /// Takes one request that has ended by now; to be called until there is none.
-    pub fn ended(&mut self, now: Micros) -> Option<Job> {
+    /// Takes one request that has finished by now; to be called until there is none.
+    pub fn take_finished(&mut self, now: Micros) -> Option<Job> {
         if self.frozen_until.is_some_and(|until| until <= now) {
             self.frozen_until = None;
-            self.marked = self.marked.max(now);
-            // What came meanwhile begins now, also if nothing else ever comes.
-            self.fill(now);
+            self.busy_accounted_until = self.busy_accounted_until.max(now);
+            // Queued requests start now even if no further request arrives.
+            self.start_waiting_jobs(now);
         }
         if self.frozen_until.is_some() {
             return None;
         }
-        if self.next().is_none_or(|end| end > now) {
+        if self.next_event_at().is_none_or(|end| end > now) {
             return None;
         }
-        // Before the core is free: the time until now was busy.
-        self.mark(now);
+        // Before the core is released, since it was busy until now.
+        self.update_utilization(now);
         let due = |core: &&mut Option<(Micros, Job)>| core.is_some_and(|(end, _)| end <= now);
         let first = self
             .running
@@ -157,73 +157,73 @@
             .filter(due)
             .min_by_key(|core| core.map(|(end, _)| end))?;
         let (_, job) = first.take()?;
-        self.fill(now);
+        self.start_waiting_jobs(now);
         Some(job)
     }
 
-    /// Whoever brought a request no longer waits for it. Tells whether it had not begun, and never will.
-    pub fn give_up(&mut self, now: Micros, token: u64) -> bool {
-        self.mark(now);
+    /// Abandons a request that nobody waits for any more. Returns whether it was still queued and so will never run.
+    pub fn abandon(&mut self, now: Micros, token: u64) -> bool {
+        self.update_utilization(now);
         let before = self.waiting.len();
         self.waiting.retain(|job| job.token != token);
-        let waited = self.waiting.len() < before;
-        if self.make.cancel_running {
-            let of =
+        let was_waiting = self.waiting.len() < before;
+        if self.config.cancel_running {
+            let is_job =
                 |core: &&mut Option<(Micros, Job)>| core.is_some_and(|(_, job)| job.token == token);
             self.running
                 .iter_mut()
-                .filter(of)
+                .filter(is_job)
                 .for_each(|core| *core = None);
-            self.fill(now);
+            self.start_waiting_jobs(now);
         }
-        waited
+        was_waiting
     }
 
-    /// Stands still until an instant; what runs ends so much later.
+    /// Freezes the node until an instant; running requests end later by that time.
     pub fn freeze(&mut self, now: Micros, until: Micros) {
-        self.mark(now);
+        self.update_utilization(now);
         let before = self.frozen_until.unwrap_or(now);
-        let longer = (until - before).max(0);
+        let extension = (until - before).max(0);
         self.running
             .iter_mut()
             .flatten()
-            .for_each(|(end, _)| *end += longer);
+            .for_each(|(end, _)| *end += extension);
         self.frozen_until = Some(until.max(before));
     }
 
-    /// Whether it stands still.
-    pub fn frozen(&self) -> bool {
+    /// Whether the node is frozen.
+    pub fn is_frozen(&self) -> bool {
         self.frozen_until.is_some()
     }
 
-    /// Work that starts from now on takes so many times as long.
+    /// Work that starts from now on takes `times` as long.
     pub fn slow(&mut self, times: f64) {
-        self.slower = times.max(1e-3);
+        self.slowdown = times.max(1e-3);
     }
 
-    /// Turns new work away, or no more.
-    pub fn drain(&mut self, drains: bool) {
-        self.draining = drains;
+    /// Starts or ends rejecting new requests.
+    pub fn set_draining(&mut self, draining: bool) {
+        self.draining = draining;
     }
 
-    /// Dies and starts anew, cold: all work is lost.
+    /// Restarts the node cold; all its requests are lost.
     pub fn restart(&mut self, now: Micros) {
-        *self = Node::new(self.make, now, false);
+        *self = Node::new(self.config, now, false);
     }
 
-    /// When it started last.
+    /// When the node last started.
     pub fn started(&self) -> Micros {
         self.started
     }
 
-    /// How busy its cores were in the last span, 0 to 1.
-    pub fn util(&mut self, now: Micros) -> f64 {
-        self.mark(now);
+    /// Utilization of the cores in the last interval, 0 to 1.
+    pub fn utilization(&mut self, now: Micros) -> f64 {
+        self.update_utilization(now);
         self.util
     }
 
-    /// Requests that run or wait.
-    pub fn held(&self) -> usize {
+    /// Number of running and waiting requests.
+    pub fn pending_requests(&self) -> usize {
         self.waiting.len() + self.running.iter().flatten().count()
     }
 }
--- a/crates/emulator/src/roster.rs
+++ b/crates/emulator/src/node_list.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of the records nodes, told with a delay, and a watch of its changes.
+//! Discovery: the list of the records nodes, published with a delay, and watches of its changes.
 
 use std::collections::VecDeque;
 
@@ -6,47 +6,47 @@
 
 use crate::Micros;
 
-/// What the list says of a node.
+/// Status of a node in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Status {
-    /// It takes work.
+    /// It accepts work.
     Ready,
-    /// It finishes what it has.
+    /// It only finishes the work it has.
     Terminating,
-    /// It is no longer there; only among changes.
+    /// It was removed; appears only among changes.
     Gone,
 }
 
-/// A node as the list names it.
+/// A node's entry in the list.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Its number in the world.
+    /// Number of the node in the world.
     pub node: usize,
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its rack.
+    /// Number of its rack.
     pub rack: usize,
-    /// What is said of it.
+    /// Published status.
     pub status: Status,
-    /// Unix time of its last start in milliseconds; 0 for long ago.
+    /// Unix time of its last start in milliseconds; 0 if it started long ago.
     pub since_ms: i64,
 }
 
-/// The list and its changes.
+/// The list of nodes and its changes.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct NodeList {
     entries: Vec<Entry>,
-    /// Changes by version: the version after, and the entry as it is then.
+    /// Changes with the resulting version and the entry as of that version.
     changes: Vec<(u64, Entry)>,
     pending: VecDeque<(Micros, Entry)>,
 }
 
-impl Roster {
-    /// A list as it stands at the start.
-    pub fn new(entries: Vec<Entry>) -> Roster {
-        Roster {
+impl NodeList {
+    /// A list with its initial entries.
+    pub fn new(entries: Vec<Entry>) -> NodeList {
+        NodeList {
             entries,
-            ..Roster::default()
+            ..NodeList::default()
         }
     }
 
@@ -55,18 +55,18 @@
         1 + self.changes.len() as u64
     }
 
-    /// A node has changed; it will be told at an instant.
-    pub fn change(&mut self, told: Micros, entry: Entry) {
-        self.pending.push_back((told, entry));
+    /// Schedules the changed entry of a node for publication at an instant.
+    pub fn schedule_change(&mut self, visible_at: Micros, entry: Entry) {
+        self.pending.push_back((visible_at, entry));
     }
 
-    /// When a change is told next.
-    pub fn next(&self) -> Option<Micros> {
+    /// When the next change is published.
+    pub fn next_event_at(&self) -> Option<Micros> {
         self.pending.iter().map(|(at, _)| *at).min()
     }
 
-    /// Tells what is due; whether there was anything.
-    pub fn tell(&mut self, now: Micros) -> bool {
+    /// Publishes the changes that are due; returns whether there were any.
+    pub fn publish_due(&mut self, now: Micros) -> bool {
         let (due, rest): (Vec<_>, Vec<_>) = self.pending.drain(..).partition(|(at, _)| *at <= now);
         self.pending = rest.into();
         for (_, entry) in &due {
@@ -79,11 +79,11 @@
         !due.is_empty()
     }
 
-    /// What a watch from a version is told first, or next: the changes behind it, or the whole list if that version
-    /// is not ours. `address` gives a node's address as the one who asks sees it.
-    pub fn since(&self, from: Option<u64>, address: impl Fn(usize) -> String) -> String {
+    /// The JSON message for a watch at a version: the changes after it, or the whole list if the version is unknown.
+    /// `address` returns a node's address as the requesting limiter sees it.
+    pub fn changes_since(&self, from: Option<u64>, address: impl Fn(usize) -> String) -> String {
         let known = from.filter(|from| (1..=self.index()).contains(from));
-        let told: Vec<&Entry> = match known {
+        let visible: Vec<&Entry> = match known {
             Some(from) => self
                 .changes
                 .iter()
@@ -92,11 +92,11 @@
                 .collect(),
             None => self.entries.iter().collect(),
         };
-        let one = |e: &&Entry| {
+        let endpoint_json = |e: &&Entry| {
             serde_json::json!({"name": e.name, "address": address(e.node), "zone": "a", "type": "std-2c",
                 "group": e.rack, "status": e.status, "weight": 1.0, "since_ms": e.since_ms})
         };
-        let endpoints: Vec<_> = told.iter().map(one).collect();
+        let endpoints: Vec<_> = visible.iter().map(endpoint_json).collect();
         let whole = known.is_none();
         serde_json::json!({"index": self.index(), "snapshot": whole, "endpoints": endpoints})
             .to_string()
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -1,5 +1,5 @@
-//! A world on loopback sockets: one thread, one loop. Each limiter reaches each party at an address of its own, so that
-//! a partition between two of them can be played, and what comes is known by whom it came from.
+//! Serves a world on loopback sockets from one event loop on one thread. Each limiter reaches each service at a
+//! separate address, so that partitions between the two can be emulated and the sender of each request is known.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Read, Write};
@@ -15,85 +15,85 @@
 use crate::counter;
 use crate::http;
 use crate::plan::WorldPlan;
-use crate::reactor::{Reactor, Ready, WOKEN, Waker, room_for};
-use crate::world::{Ask, Counts, Reply, Service, Word, World};
-
-/// Bytes taken from a socket at once.
-pub(crate) const READ: usize = 16 * 1024;
-/// Connections that may wait with the system.
-const BACKLOG: i32 = 4_096;
-/// Descriptors that room is made for ahead.
-const DESCRIPTORS: usize = 16_384;
-/// Connections taken at a listener before others have their turn.
-const ACCEPTS: usize = 32;
-/// An answer that is none.
-pub(crate) const NOISE: &[u8] = b"\x00\x01noise that is no answer\r\n\r\n";
-
-enum Order {
+use crate::reactor::{Reactor, Ready, WAKE_TOKEN, Waker, reserve_descriptors};
+use crate::world::{Counts, NodeRequest, Reply, Service, World, WorldEvent};
+
+/// Bytes read from a socket at once.
+pub(crate) const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: i32 = 4_096;
+/// Size to which the descriptor table is grown in advance.
+const RESERVED_DESCRIPTORS: usize = 16_384;
+/// Connections accepted at a listener before other events are handled.
+const MAX_ACCEPTS_PER_TURN: usize = 32;
+/// Bytes sent in place of an HTTP answer.
+pub(crate) const MALFORMED_ANSWER: &[u8] = b"\x00\x01noise that is no answer\r\n\r\n";
+
+enum Command {
     Begin(Micros),
     Stop,
 }
 
-/// Addresses by service and limiter.
+/// Listening addresses by service and limiter.
 pub type Addresses = BTreeMap<(Service, usize), SocketAddr>;
 
-/// A world that is being served on a thread of its own.
-pub struct Serving {
+/// A world served on a dedicated thread.
+pub struct WorldServer {
     addresses: Arc<Mutex<Addresses>>,
     lists: Vec<String>,
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<Command>,
     waker: Waker,
     thread: Option<JoinHandle<Counts>>,
 }
 
-impl Serving {
-    /// Opens all sockets and serves. The plan must have been checked.
+impl WorldServer {
+    /// Opens all listeners and starts serving. The plan must have been validated.
     ///
     /// # Errors
-    /// The system's, most often for want of descriptors.
-    pub fn start(plan: &WorldPlan, seed: u64, limiters: usize) -> io::Result<Serving> {
+    /// Errors of the operating system, most often a lack of file descriptors.
+    pub fn start(plan: &WorldPlan, seed: u64, limiters: usize) -> io::Result<WorldServer> {
         let unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis() as i64;
         let world = World::new(plan, seed, limiters, unix_ms);
-        room_for(DESCRIPTORS);
+        reserve_descriptors(RESERVED_DESCRIPTORS);
         let reactor = Reactor::new()?;
         let waker = reactor.waker();
         let addresses = Arc::new(Mutex::new(Addresses::new()));
-        let mut host = Host {
-            beat: (plan.discovery.beat_ms * 1e3) as Micros,
+        let mut event_loop = EventLoop {
+            heartbeat_interval: (plan.discovery.beat_ms * 1e3) as Micros,
             body: vec![b'a'; plan.nodes.body_bytes],
             world,
             reactor,
             start: Instant::now(),
-            doors: Slab::new(),
+            endpoints: Slab::new(),
             addresses: addresses.clone(),
             watchers: Vec::new(),
-            buffer: vec![0; READ],
+            buffer: vec![0; READ_BUFFER_BYTES],
             serial: 0,
-            more: Vec::new(),
+            accept_again: Vec::new(),
         };
-        for service in host.world.services() {
-            host.open(service)?;
+        for service in event_loop.world.services() {
+            event_loop.open(service)?;
         }
         let lists = (0..limiters.max(1))
-            .map(|limiter| host.list(None, limiter))
+            .map(|limiter| event_loop.list(None, limiter))
             .collect();
-        let (orders, received) = mpsc::channel();
+        let (commands, received) = mpsc::channel();
         let thread = std::thread::Builder::new()
             .name("stand-ins".into())
-            .spawn(move || host.run(&received))?;
-        Ok(Serving {
+            .spawn(move || event_loop.run(&received))?;
+        Ok(WorldServer {
             addresses,
             lists,
-            orders,
+            commands,
             waker,
             thread: Some(thread),
         })
     }
 
-    /// Where a limiter reaches a service.
+    /// Address at which a limiter reaches a service.
     pub fn address(&self, service: Service, limiter: usize) -> Option<SocketAddr> {
         let addresses = self
             .addresses
@@ -102,25 +102,25 @@
         addresses.get(&(service, limiter)).copied()
     }
 
-    /// The list of nodes at the start, as discovery tells it to a limiter.
+    /// The initial list of nodes, as discovery sends it to a limiter.
     pub fn list(&self, limiter: usize) -> Option<&str> {
         self.lists.get(limiter).map(String::as_str)
     }
 
-    /// The load begins: faults come by the plan from now on, over so long.
+    /// Starts the load: schedules the plan's faults from now on for `span` microseconds.
     pub fn begin(&self, span: Micros) {
-        // A world that has ended has no faults any more.
-        let _ = self.orders.send(Order::Begin(span));
+        // The send fails only after the thread has ended, when there are no faults to start.
+        let _ = self.commands.send(Command::Begin(span));
         self.waker.wake();
     }
 
-    /// Ends the world, and says what had arrived.
+    /// Stops the world and returns its counts.
     pub fn stop(mut self) -> Counts {
         self.end()
     }
 
     fn end(&mut self) -> Counts {
-        let _ = self.orders.send(Order::Stop);
+        let _ = self.commands.send(Command::Stop);
         self.waker.wake();
         self.thread
             .take()
@@ -129,7 +129,7 @@
     }
 }
 
-impl Drop for Serving {
+impl Drop for WorldServer {
     fn drop(&mut self) {
         if self.thread.is_some() {
             self.end();
@@ -137,44 +137,44 @@
     }
 }
 
-enum Door {
+enum Endpoint {
     Listener {
         service: Service,
         limiter: usize,
         socket: TcpListener,
     },
-    Line(Line),
+    Connection(Connection),
 }
 
-/// A connection. What it is owed goes out in order.
-struct Line {
+/// A connection. Its answers are sent in the order of the requests.
+struct Connection {
     service: Service,
     limiter: usize,
     socket: TcpStream,
     read: Vec<u8>,
     write: Vec<u8>,
-    owed: VecDeque<(u64, Option<Vec<u8>>)>,
-    /// A watch, and the version it has been told.
+    pending: VecDeque<(u64, Option<Vec<u8>>)>,
+    /// For a watch, the version last sent.
     watch: Option<u64>,
     close: bool,
 }
 
-struct Host {
+struct EventLoop {
     world: World,
     reactor: Reactor,
     start: Instant,
-    doors: Slab<Door>,
+    endpoints: Slab<Endpoint>,
     addresses: Arc<Mutex<Addresses>>,
     watchers: Vec<usize>,
     buffer: Vec<u8>,
     body: Vec<u8>,
-    beat: Micros,
+    heartbeat_interval: Micros,
     serial: u64,
-    /// Listeners that have more to be taken.
-    more: Vec<usize>,
+    /// Listeners with possibly more connections to accept.
+    accept_again: Vec<usize>,
 }
 
-/// A token holds the line's slot and a serial number, so that a late answer finds no other line.
+/// The slot in a token. A token also holds a serial number, so that a late answer can't reach another connection.
 pub(crate) fn slot(token: u64) -> usize {
     (token >> 32) as usize
 }
@@ -184,11 +184,11 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&at.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
-impl Host {
+impl EventLoop {
     fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
@@ -206,7 +206,7 @@
         self.world.list(from, address)
     }
 
-    /// Listens for a service, at the addresses that it had if it had any.
+    /// Listens for a service, at its previous addresses if it had any.
     fn open(&mut self, service: Service) -> io::Result<()> {
         for limiter in 0..self.world.limiters().max(1) {
             let mut addresses = self
@@ -217,9 +217,9 @@
             let socket = listen(before.unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))))?;
             addresses.insert((service, limiter), socket.local_addr()?);
             drop(addresses);
-            let slot = self.doors.vacant_key();
+            let slot = self.endpoints.vacant_key();
             self.reactor.add(&socket, slot as u64)?;
-            self.doors.insert(Door::Listener {
+            self.endpoints.insert(Endpoint::Listener {
                 service,
                 limiter,
                 socket,
@@ -228,56 +228,59 @@
         Ok(())
     }
 
-    fn run(mut self, orders: &mpsc::Receiver<Order>) -> Counts {
+    fn run(mut self, commands: &mpsc::Receiver<Command>) -> Counts {
         let mut ready: Vec<Ready> = Vec::new();
-        let mut beat_at = self.beat;
-        self.reactor.exact();
+        let mut heartbeat_at = self.heartbeat_interval;
+        self.reactor.set_precise_timer();
         loop {
-            let next = self.world.next().map_or(beat_at, |at| at.min(beat_at));
-            let wait = if self.more.is_empty() {
+            let next = self
+                .world
+                .next_event_at()
+                .map_or(heartbeat_at, |at| at.min(heartbeat_at));
+            let wait = if self.accept_again.is_empty() {
                 next - self.now()
             } else {
                 0
             };
             if self.reactor.wait(Some(wait), &mut ready).is_err() {
-                // Guards against a loop that fails at once for ever.
+                // Keeps a persistent error from turning into a busy loop.
                 std::thread::sleep(Duration::from_millis(1));
             }
             for event in &ready {
-                if event.token == WOKEN {
-                    while let Ok(order) = orders.try_recv() {
+                if event.token == WAKE_TOKEN {
+                    while let Ok(order) = commands.try_recv() {
                         match order {
-                            Order::Begin(span) => self.world.begin(self.now(), span),
-                            Order::Stop => return self.world.counts().clone(),
+                            Command::Begin(span) => self.world.begin(self.now(), span),
+                            Command::Stop => return self.world.counts().clone(),
                         }
                     }
                 } else {
-                    self.ready(event);
+                    self.handle_readiness(event);
                 }
             }
-            for at in std::mem::take(&mut self.more) {
-                if let Some(Door::Listener { .. }) = self.doors.get(at) {
+            for at in std::mem::take(&mut self.accept_again) {
+                if let Some(Endpoint::Listener { .. }) = self.endpoints.get(at) {
                     self.accept(at);
                 }
             }
             let now = self.now();
-            while let Some(word) = self.world.poll(now) {
-                self.happen(now, word);
+            while let Some(event) = self.world.poll(now) {
+                self.apply_event(now, event);
             }
-            if now >= beat_at {
-                beat_at = now + self.beat;
-                self.tell_watchers(now, true);
+            if now >= heartbeat_at {
+                heartbeat_at = now + self.heartbeat_interval;
+                self.notify_watchers(now, true);
             }
         }
     }
 
-    fn ready(&mut self, event: &Ready) {
+    fn handle_readiness(&mut self, event: &Ready) {
         let at = event.token as usize;
-        match self.doors.get_mut(at) {
-            Some(Door::Listener { .. }) => self.accept(at),
-            Some(Door::Line(line)) => {
-                let kept = !event.writable || line.flush();
-                if !kept || (event.readable && !self.read(at, event.ended)) {
+        match self.endpoints.get_mut(at) {
+            Some(Endpoint::Listener { .. }) => self.accept(at),
+            Some(Endpoint::Connection(connection)) => {
+                let is_open = !event.writable || connection.flush();
+                if !is_open || (event.readable && !self.read(at, event.peer_closed)) {
                     self.close(at);
                 }
             }
@@ -286,18 +289,18 @@
     }
 
     fn accept(&mut self, at: usize) {
-        for _ in 0..ACCEPTS {
-            let Some(Door::Listener {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            let Some(Endpoint::Listener {
                 service,
                 limiter,
                 socket,
-            }) = self.doors.get(at)
+            }) = self.endpoints.get(at)
             else {
                 return;
             };
             let (service, limiter) = (*service, *limiter);
-            // Any error ends this turn: no more are waiting, or the system has no room now and the next one that
-            // comes tries again.
+            // Any error ends this pass: either none are pending, or the system lacks resources and the next arrival
+            // triggers another attempt.
             let Ok((socket, _)) = socket.accept() else {
                 return;
             };
@@ -308,40 +311,40 @@
             {
                 continue;
             }
-            let slot = self.doors.vacant_key();
+            let slot = self.endpoints.vacant_key();
             if self.reactor.add(&socket, slot as u64).is_err() {
                 continue;
             }
-            let (read, write, owed) = (Vec::new(), Vec::new(), VecDeque::new());
-            let line = Line {
+            let (read, write, pending) = (Vec::new(), Vec::new(), VecDeque::new());
+            let connection = Connection {
                 service,
                 limiter,
                 socket,
                 read,
                 write,
-                owed,
+                pending,
                 watch: None,
                 close: false,
             };
-            self.doors.insert(Door::Line(line));
+            self.endpoints.insert(Endpoint::Connection(connection));
         }
-        self.more.push(at);
+        self.accept_again.push(at);
     }
 
-    /// Takes in what has come; whether the line stays.
-    fn read(&mut self, at: usize, to_the_end: bool) -> bool {
+    /// Reads and handles available data; returns whether the connection stays open.
+    fn read(&mut self, at: usize, until_eof: bool) -> bool {
         loop {
-            let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+            let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
                 return true;
             };
-            match line.socket.read(&mut self.buffer) {
+            match connection.socket.read(&mut self.buffer) {
                 Ok(0) => return false,
                 Ok(length) => {
-                    line.read.extend_from_slice(&self.buffer[..length]);
-                    if !self.requests(at) {
+                    connection.read.extend_from_slice(&self.buffer[..length]);
+                    if !self.handle_requests(at) {
                         return false;
                     }
-                    if length < READ && !to_the_end {
+                    if length < READ_BUFFER_BYTES && !until_eof {
                         return true;
                     }
                 }
@@ -352,40 +355,40 @@
         }
     }
 
-    /// Takes up whole requests; whether the line stays.
-    fn requests(&mut self, at: usize) -> bool {
+    /// Handles complete requests; returns whether the connection stays open.
+    fn handle_requests(&mut self, at: usize) -> bool {
         let now = self.now();
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
             return true;
         };
-        // Taken out, so that what it holds can be lent to the world beside the line.
-        let mut bytes = std::mem::take(&mut line.read);
-        let mut used = 0;
-        let kept = loop {
-            let request = match http::request(&bytes[used..]) {
+        // Moved out so that requests borrowed from it can be passed to the world while the connection is modified.
+        let mut bytes = std::mem::take(&mut connection.read);
+        let mut consumed = 0;
+        let is_open = loop {
+            let request = match http::request(&bytes[consumed..]) {
                 Ok(Some(request)) => request,
                 Ok(None) => break true,
                 Err(http::Malformed) => break false,
             };
-            used += request.length;
-            let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+            consumed += request.length;
+            let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
                 break true;
             };
-            if line.close {
+            if connection.close {
                 break true;
             }
-            line.close = request.close;
+            connection.close = request.close;
             self.serial += 1;
             let token = ((at as u64) << 32) | (self.serial & 0xffff_ffff);
-            let (service, limiter) = (line.service, line.limiter);
-            line.owed.push_back((token, None));
+            let (service, limiter) = (connection.service, connection.limiter);
+            connection.pending.push_back((token, None));
             let refused = match service {
                 Service::Node(node) => match (request.id, request.target) {
                     (Some(id), _) => {
                         let (key, work) = (request.key, request.work);
-                        self.world.ask(
+                        self.world.handle_request(
                             now,
-                            Ask {
+                            NodeRequest {
                                 node,
                                 limiter,
                                 token,
@@ -397,7 +400,7 @@
                         None
                     }
                     (None, "/alive" | "/metrics/load") => {
-                        self.world.probe(now, node, limiter, token);
+                        self.world.handle_probe(now, node, limiter, token);
                         None
                     }
                     (None, _) => Some(404),
@@ -405,14 +408,14 @@
                 Service::Counter if request.method != "POST" => Some(404),
                 Service::Counter => match counter::call(request.target) {
                     Some(call) => {
-                        self.world.count(now, limiter, token, call);
+                        self.world.handle_counter_call(now, limiter, token, call);
                         None
                     }
                     None => Some(400),
                 },
                 Service::Discovery => {
                     let target = request.target.to_string();
-                    self.discover(at, token, &target);
+                    self.answer_discovery(at, token, &target);
                     None
                 }
             };
@@ -422,18 +425,18 @@
                 self.answer(token, out);
             }
         };
-        bytes.drain(..used);
-        if let Some(Door::Line(line)) = self.doors.get_mut(at) {
-            line.read = bytes;
+        bytes.drain(..consumed);
+        if let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) {
+            connection.read = bytes;
         }
-        kept
+        is_open
     }
 
-    fn discover(&mut self, at: usize, token: u64, target: &str) {
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+    fn answer_discovery(&mut self, at: usize, token: u64, target: &str) {
+        let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
             return;
         };
-        let limiter = line.limiter;
+        let limiter = connection.limiter;
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let get = |key: &str| {
             query
@@ -444,13 +447,13 @@
         if path != "/discovery/hosts" {
             http::write_answer(&mut out, 404, "", b"");
         } else if get("watch") == Some("1") {
-            line.watch = Some(0);
+            connection.watch = Some(0);
             self.watchers.push(at);
             let list = self.list(get("from").and_then(|f| f.parse().ok()), limiter);
             out.extend_from_slice(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             chunk(&mut out, &list);
-            if let Some(Door::Line(line)) = self.doors.get_mut(at) {
-                line.watch = Some(self.world.index());
+            if let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) {
+                connection.watch = Some(self.world.index());
             }
         } else {
             http::write_answer(&mut out, 200, "", self.list(None, limiter).as_bytes());
@@ -458,53 +461,51 @@
         self.answer(token, out);
     }
 
-    fn tell_watchers(&mut self, now: Micros, beat: bool) {
+    fn notify_watchers(&mut self, now: Micros, is_heartbeat: bool) {
         let index = self.world.index();
         for at in std::mem::take(&mut self.watchers) {
-            let Some(Door::Line(line)) = self.doors.get(at) else {
+            let Some(Endpoint::Connection(connection)) = self.endpoints.get(at) else {
                 continue;
             };
-            let (limiter, Some(told)) = (line.limiter, line.watch) else {
+            let (limiter, Some(sent_version)) = (connection.limiter, connection.watch) else {
                 continue;
             };
             self.watchers.push(at);
-            // Silence while it is cut off or stands still; the next beat tells what was missed.
+            // Nothing is sent during a partition or freeze; the next heartbeat carries the missed changes.
             if self
                 .world
-                .blocked(Service::Discovery, limiter, now)
+                .blocked_until(Service::Discovery, limiter, now)
                 .is_some()
             {
                 continue;
             }
-            let text = if told < index {
-                self.list(Some(told), limiter)
+            let text = if sent_version < index {
+                self.list(Some(sent_version), limiter)
             } else {
                 String::new()
             };
-            if text.is_empty() && !beat {
+            if text.is_empty() && !is_heartbeat {
                 continue;
             }
-            let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+            let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
                 continue;
             };
-            line.watch = Some(index);
-            chunk(&mut line.write, &text);
-            if !line.flush() {
+            connection.watch = Some(index);
+            chunk(&mut connection.write, &text);
+            if !connection.flush() {
                 self.close(at);
             }
         }
     }
 
-    fn happen(&mut self, now: Micros, word: Word) {
-        match word {
-            Word::Answer(token, reply) => {
+    fn apply_event(&mut self, now: Micros, event: WorldEvent) {
+        match event {
+            WorldEvent::Answer(token, reply) => {
                 let mut out = Vec::with_capacity(128 + self.body.len());
                 match reply {
                     Reply::Served => http::write_answer(&mut out, 200, "", &self.body),
                     Reply::Error => http::write_answer(&mut out, 500, "", b""),
-                    Reply::TurnedAway => {
-                        http::write_answer(&mut out, 503, "X-Never-Ran: 1\r\n", b"")
-                    }
+                    Reply::Rejected => http::write_answer(&mut out, 503, "X-Never-Ran: 1\r\n", b""),
                     Reply::Total(total) => {
                         http::write_answer(&mut out, 200, "", total.to_string().as_bytes())
                     }
@@ -516,68 +517,70 @@
                             format!("TEXT util={util:.3}").as_bytes(),
                         );
                     }
-                    Reply::Noise => out.extend_from_slice(NOISE),
+                    Reply::Noise => out.extend_from_slice(MALFORMED_ANSWER),
                 }
                 self.answer(token, out);
             }
-            Word::Reset(service) => {
-                let of = |(at, door): (usize, &Door)| match door {
-                    Door::Line(line) if line.service == service => Some(at),
+            WorldEvent::Reset(service) => {
+                let slot_of_service = |(at, endpoint): (usize, &Endpoint)| match endpoint {
+                    Endpoint::Connection(connection) if connection.service == service => Some(at),
                     _ => None,
                 };
-                let lines: Vec<usize> = self.doors.iter().filter_map(of).collect();
-                for at in lines {
-                    if let Some(Door::Line(line)) = self.doors.get(at) {
-                        // With no time to linger a close is a reset.
-                        let _ = SockRef::from(&line.socket).set_linger(Some(Duration::ZERO));
+                let slots: Vec<usize> = self.endpoints.iter().filter_map(slot_of_service).collect();
+                for at in slots {
+                    if let Some(Endpoint::Connection(connection)) = self.endpoints.get(at) {
+                        // With a linger time of zero, closing resets the connection.
+                        let _ = SockRef::from(&connection.socket).set_linger(Some(Duration::ZERO));
                     }
                     self.close(at);
                 }
             }
-            Word::Shut(service) => {
-                self.doors.retain(
-                    |_, door| !matches!(door, Door::Listener { service: s, .. } if *s == service),
+            WorldEvent::StopListening(service) => {
+                self.endpoints.retain(
+                    |_, endpoint| !matches!(endpoint, Endpoint::Listener { service: s, .. } if *s == service),
                 );
             }
-            Word::Open(service) => {
-                let listens = |door: &Door| matches!(door, Door::Listener { service: s, .. } if *s == service);
-                if !self.doors.iter().any(|(_, door)| listens(door)) && self.open(service).is_err()
+            WorldEvent::Open(service) => {
+                let listens = |endpoint: &Endpoint| matches!(endpoint, Endpoint::Listener { service: s, .. } if *s == service);
+                if !self.endpoints.iter().any(|(_, endpoint)| listens(endpoint))
+                    && self.open(service).is_err()
                 {
-                    eprintln!("stand-ins: cannot listen again for {service:?}");
+                    eprintln!("emulator: cannot reopen the listeners of {service:?}");
                 }
             }
-            Word::Told => self.tell_watchers(now, false),
+            WorldEvent::ListChanged => self.notify_watchers(now, false),
         }
     }
 
     fn answer(&mut self, token: u64, bytes: Vec<u8>) {
         let at = slot(token);
-        let Some(Door::Line(line)) = self.doors.get_mut(at) else {
+        let Some(Endpoint::Connection(connection)) = self.endpoints.get_mut(at) else {
             return;
         };
-        let Some(owed) = line.owed.iter_mut().find(|(t, _)| *t == token) else {
+        let Some(pending) = connection.pending.iter_mut().find(|(t, _)| *t == token) else {
             return;
         };
-        owed.1 = Some(bytes);
-        while let Some((_, Some(bytes))) = line.owed.front_mut() {
-            line.write.append(bytes);
-            line.owed.pop_front();
+        pending.1 = Some(bytes);
+        while let Some((_, Some(bytes))) = connection.pending.front_mut() {
+            connection.write.append(bytes);
+            connection.pending.pop_front();
         }
-        let ends = line.close && line.owed.is_empty() && line.watch.is_none();
-        if !line.flush() || (ends && line.write.is_empty()) {
+        let ends = connection.close && connection.pending.is_empty() && connection.watch.is_none();
+        if !connection.flush() || (ends && connection.write.is_empty()) {
             self.close(at);
         }
     }
 
     fn close(&mut self, at: usize) {
         let now = self.now();
-        if !self.doors.contains(at) {
+        if !self.endpoints.contains(at) {
             return;
         }
-        if let Door::Line(line) = self.doors.remove(at) {
-            line.owed
+        if let Endpoint::Connection(connection) = self.endpoints.remove(at) {
+            connection
+                .pending
                 .iter()
-                .for_each(|(token, _)| self.world.left(now, *token));
+                .for_each(|(token, _)| self.world.connection_closed(now, *token));
         }
     }
 }
@@ -586,13 +589,13 @@
     out.extend_from_slice(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes());
 }
 
-impl Line {
+impl Connection {
     fn flush(&mut self) -> bool {
         flush(&mut self.socket, &mut self.write)
     }
 }
 
-/// Writes what can be written; whether the line stays.
+/// Writes as much as possible; returns whether the connection stays open.
 pub(crate) fn flush(socket: &mut TcpStream, bytes: &mut Vec<u8>) -> bool {
     while !bytes.is_empty() {
         match socket.write(bytes) {
--- a/crates/emulator/src/system/machines.rs
+++ b/crates/emulator/src/system/machines.rs
@@ -1,5 +1,5 @@
-//! Machines of the whole system on one host, each at a loopback address of its own: settings files, the built programs
-//! as child processes, signals to them by their numbers, and an end for all.
+//! The system's machines on one host, each at its own loopback address: settings files, the built programs as child
+//! processes, signals to them by machine number, and an orderly stop of all.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::File;
@@ -15,23 +15,23 @@
 use rustix::process::{Pid, Resource, Rlimit, Signal, getrlimit, kill_process, prlimit};
 use serde_json::json;
 
-use super::calls::call;
+use super::client::call;
 use super::wait_for;
 
-/// Ports, the same on all machines.
-const HTTP: u16 = 8686;
-const READYZ: u16 = 8680;
-const CTL: u16 = 8688;
-const DIR: u16 = 8684;
-const PORTS: [u16; 2] = [7740, 7755];
-/// Fields of `/proc/PID/stat` after the program's name: its processor time, the system's for it, resident pages.
+/// Listening ports, the same on all machines.
+const HTTP_PORT: u16 = 8686;
+const READYZ_PORT: u16 = 8680;
+const CTL_PORT: u16 = 8688;
+const DIR_PORT: u16 = 8684;
+const PORT_RANGE: [u16; 2] = [7740, 7755];
+/// Indices of the fields of `/proc/PID/stat` after the program's name: user time, system time, resident pages.
 const USER_TICKS: usize = 11;
 const SYSTEM_TICKS: usize = 12;
 const RESIDENT_PAGES: usize = 21;
-/// Grace after SIGTERM, as the settings tell it.
-const GRACE: Duration = Duration::from_secs(6);
+/// Time to exit after SIGTERM, equal to `bounds.grace` in the settings.
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(6);
 
-/// A program of the system.
+/// One of the system's programs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// The control program, on a core machine.
@@ -53,43 +53,43 @@
     }
 }
 
-/// What a program has used.
+/// Resource usage of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time, its own and the system's on its behalf.
-    pub processor: Duration,
-    /// Resident bytes.
-    pub resident: u64,
+    /// CPU time in user and system mode.
+    pub cpu_time: Duration,
+    /// Resident set size in bytes.
+    pub resident_bytes: u64,
 }
 
-/// What the machines are.
+/// Layout of the machines.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// Where settings, logs and disks are kept.
+pub struct Layout {
+    /// Folder for settings, logs and data directories.
     pub folder: PathBuf,
-    /// Where the built programs are.
-    pub programs: PathBuf,
-    /// Core machines stand at 127.A.B.x, edges at 127.A.(B+1).x.
+    /// Folder of the built programs.
+    pub programs_folder: PathBuf,
+    /// `(A, B)`: core machines have addresses 127.A.B.x, edges 127.A.(B+1).x.
     pub net: (u8, u8),
-    /// Zones and their regions; a core machine stands in each.
+    /// Zones and their regions; each has one core machine.
     pub zones: Vec<(String, String)>,
-    /// Edges in each zone.
+    /// Edge machines per zone.
     pub edges: usize,
-    /// The platform's list.
+    /// Address of the platform's instance list.
     pub platform: SocketAddr,
-    /// Calls a second that it takes.
+    /// Calls per second that the platform accepts.
     pub per_s: usize,
 }
 
-/// Zones `z1`, `z2` and so on, each of a region of its own.
+/// Zones `z1`, `z2` and so on, each in its own region.
 pub fn zones(count: usize) -> Vec<(String, String)> {
     (1..=count)
         .map(|n| (format!("z{n}"), format!("r{n}")))
         .collect()
 }
 
-/// A network that no other test uses at the same time, by this process's number and how often this was asked.
-pub fn net() -> (u8, u8) {
+/// A loopback network that concurrent tests are unlikely to use, derived from the process id and a call counter.
+pub fn unused_net() -> (u8, u8) {
     static ASKED: AtomicU32 = AtomicU32::new(0);
     let number = std::process::id()
         .wrapping_mul(8)
@@ -98,41 +98,41 @@
     ((16 + number / 100) as u8, (number % 100 * 2) as u8)
 }
 
-/// The machines and what runs on them. Dropped, it kills what is left.
+/// The machines and the programs running on them. Dropping it kills the remaining programs.
 pub struct Machines {
-    plan: Plan,
+    plan: Layout,
     running: BTreeMap<(Role, usize), Child>,
-    /// Those that were told to end and were not seen to end yet.
+    /// Programs that were sent SIGTERM and whose exit has not been observed yet.
     shutting_down: BTreeSet<(Role, usize)>,
 }
 
 impl Machines {
-    /// Machines on which nothing runs yet. Writes their settings files.
+    /// Writes the settings files of all machines; starts no program.
     ///
     /// # Errors
     /// The folder can't be written.
-    pub fn new(plan: Plan) -> io::Result<Machines> {
+    pub fn new(plan: Layout) -> io::Result<Machines> {
         let machines = Machines {
             plan,
             running: BTreeMap::new(),
             shutting_down: BTreeSet::new(),
         };
         for number in 0..machines.cores() {
-            machines.write(Role::Control, number, true)?;
+            machines.write_settings(Role::Control, number, true)?;
         }
         for number in 0..machines.edges() {
-            machines.write(Role::Proxy, number, true)?;
-            machines.write(Role::Agent, number, true)?;
+            machines.write_settings(Role::Proxy, number, true)?;
+            machines.write_settings(Role::Agent, number, true)?;
         }
         Ok(machines)
     }
 
-    /// How many core machines there are.
+    /// Number of core machines.
     pub fn cores(&self) -> usize {
         self.plan.zones.len()
     }
 
-    /// How many edges there are.
+    /// Number of edge machines.
     pub fn edges(&self) -> usize {
         self.plan.zones.len() * self.plan.edges
     }
@@ -151,32 +151,32 @@
         &self.plan.zones[number % self.plan.zones.len()]
     }
 
-    /// Where operators call a core machine.
+    /// Address for operators' calls to a core machine.
     pub fn ctl(&self, number: usize) -> SocketAddr {
-        SocketAddr::from((self.ip(true, number), CTL))
+        SocketAddr::from((self.ip(true, number), CTL_PORT))
     }
 
-    /// Where clients ask a core machine where to go.
+    /// Address of a core machine's directory for clients.
     pub fn dir(&self, number: usize) -> SocketAddr {
-        SocketAddr::from((self.ip(true, number), DIR))
+        SocketAddr::from((self.ip(true, number), DIR_PORT))
     }
 
-    /// Where an edge takes requests.
+    /// Address at which an edge accepts requests.
     pub fn http(&self, number: usize) -> SocketAddr {
-        SocketAddr::from((self.ip(false, number), HTTP))
+        SocketAddr::from((self.ip(false, number), HTTP_PORT))
     }
 
     /// Writes a program's settings file.
     ///
     /// # Errors
     /// The folder can't be written.
-    pub fn write(&self, role: Role, number: usize, bootstrap: bool) -> io::Result<()> {
+    pub fn write_settings(&self, role: Role, number: usize, bootstrap: bool) -> io::Result<()> {
         let core = role == Role::Control;
         let (ip, (zone, region)) = (self.ip(core, number), self.zone(number));
         let at = |port: u16| Some(SocketAddr::from((ip, port)).to_string());
         let bind: BTreeMap<&str, Option<String>> = match role {
-            Role::Control => [("ctl", at(CTL)), ("dir", at(DIR))].into(),
-            Role::Proxy => [("http", at(HTTP)), ("readyz", at(READYZ))].into(),
+            Role::Control => [("ctl", at(CTL_PORT)), ("dir", at(DIR_PORT))].into(),
+            Role::Proxy => [("http", at(HTTP_PORT)), ("readyz", at(READYZ_PORT))].into(),
             Role::Agent => BTreeMap::new(),
         };
         let folder = self.plan.folder.join(format!("disk-{number}"));
@@ -188,30 +188,30 @@
             "mclass": if core { "core" } else { "edge" }, "serves": bind.keys().collect::<Vec<_>>(),
             "ip": ip.to_string(), "zone": zone, "region": region,
             "zones": self.plan.zones.iter().cloned().collect::<BTreeMap<_, _>>(), "bind": bind,
-            "port_range": PORTS, "bootstrap": bootstrap, "quorum": core,
+            "port_range": PORT_RANGE, "bootstrap": bootstrap, "quorum": core,
             "seed_peers": (0..self.cores().min(3)).map(|n| self.ctl(n).to_string()).collect::<Vec<_>>(),
             "limits": {"cpu_quota": 1.0, "ncpu": 1, "mem_mb": 260, "nofile": 4096, "disk_mb": 64},
             "datadir": core.then_some(folder),
             "bounds": {"grace": "6s", "drain": "4000ms", "apply": "4000ms", "ttl_max": "5s"},
             "cloud_api": {"addr": self.plan.platform.to_string(), "per_s": self.plan.per_s, "max_lag": "500ms"}
         });
-        // What is JSON is YAML too.
+        // JSON is valid YAML.
         std::fs::write(self.file(role, number, "yaml"), settings.to_string())
     }
 
-    /// A program's settings file (`yaml`), or what it has written (`log`).
+    /// Path of a program's settings file (`yaml`) or log (`log`).
     pub fn file(&self, role: Role, number: usize, end: &str) -> PathBuf {
         self.plan
             .folder
             .join(format!("{}-{number}.{end}", role.program()))
     }
 
-    /// Starts a program, with the settings file as it stands.
+    /// Starts a program with its current settings file.
     ///
     /// # Errors
-    /// The program is not there, or can't be started.
+    /// The program is missing or can't be started.
     pub fn start(&mut self, role: Role, number: usize) -> io::Result<()> {
-        let program = self.plan.programs.join(role.program());
+        let program = self.plan.programs_folder.join(role.program());
         let log = File::options()
             .create(true)
             .append(true)
@@ -221,7 +221,7 @@
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log)
-            // A terminal's interrupt is for whoever started them.
+            // A terminal's interrupt must reach only the process that started the programs.
             .process_group(0)
             .spawn()
             .map_err(|error| {
@@ -250,45 +250,45 @@
         })
     }
 
-    /// Kills a program (SIGKILL) and waits for its end.
+    /// Kills a program (SIGKILL) and waits for its exit.
     pub fn kill(&mut self, role: Role, number: usize) {
         self.shutting_down.remove(&(role, number));
         if let Some(mut child) = self.running.remove(&(role, number)) {
-            // One that has ended already can't be killed, and that is as good.
+            // Killing a program that has already exited fails, which is harmless.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Tells a program to end (SIGTERM).
-    pub fn tell_to_end(&mut self, role: Role, number: usize) {
+    /// Asks a program to exit (SIGTERM).
+    pub fn terminate(&mut self, role: Role, number: usize) {
         if self.is_running(role, number) {
             self.shutting_down.insert((role, number));
         }
         self.signal(role, number, Signal::TERM);
     }
 
-    /// Tells a program that its settings file may have changed (SIGHUP).
-    pub fn tell_to_read(&self, role: Role, number: usize) {
+    /// Makes a program reload its settings file (SIGHUP).
+    pub fn reload_settings(&self, role: Role, number: usize) {
         self.signal(role, number, Signal::HUP);
     }
 
-    /// Lets a program stand still (SIGSTOP): its connections stay up, and what comes waits.
-    pub fn stand_still(&self, role: Role, number: usize) {
+    /// Pauses a program (SIGSTOP): its connections stay open, and incoming data waits.
+    pub fn pause(&self, role: Role, number: usize) {
         self.signal(role, number, Signal::STOP);
     }
 
-    /// Lets a program that stands still go on (SIGCONT).
-    pub fn go_on(&self, role: Role, number: usize) {
+    /// Resumes a paused program (SIGCONT).
+    pub fn resume(&self, role: Role, number: usize) {
         self.signal(role, number, Signal::CONT);
     }
 
-    /// Lets no file of a program grow beyond so many bytes; none: beyond any. A program that does not ignore SIGXFSZ
-    /// is ended by the first write beyond.
+    /// Limits the size of a program's files to `most` bytes; `None` lifts the limit. A program that does not ignore
+    /// SIGXFSZ is terminated by the first write beyond it.
     ///
     /// # Errors
-    /// It does not run, or the system refuses.
-    pub fn most_bytes(&self, role: Role, number: usize, most: Option<u64>) -> io::Result<()> {
+    /// The program is not running, or the operating system refuses.
+    pub fn limit_file_size(&self, role: Role, number: usize, most: Option<u64>) -> io::Result<()> {
         let pid = self.pid(role, number).ok_or(io::ErrorKind::NotFound)?;
         prlimit(
             Some(pid),
@@ -301,45 +301,52 @@
         Ok(())
     }
 
-    /// Lets a program open no further descriptor, so that it neither accepts nor opens connections; or as many as before. Its
-    /// present connections stay: one that is paused meanwhile loses them too, and is cut off while it runs.
+    /// Lets a program open no further descriptors, so that it neither accepts nor opens connections, or restores the
+    /// limit. Open connections stay; a program that is also paused loses them, and is then isolated while it runs.
     ///
     /// # Errors
-    /// It does not run, or the system refuses.
+    /// The program is not running, or the operating system refuses.
     pub fn refuse_connections(&self, role: Role, number: usize, refuse: bool) -> io::Result<()> {
         let pid = self.pid(role, number).ok_or(io::ErrorKind::NotFound)?;
-        let own = getrlimit(Resource::Nofile);
-        let current = if refuse { Some(0) } else { own.current };
-        let limit = Rlimit { current, ..own };
+        let process_limit = getrlimit(Resource::Nofile);
+        let current = if refuse {
+            Some(0)
+        } else {
+            process_limit.current
+        };
+        let limit = Rlimit {
+            current,
+            ..process_limit
+        };
         prlimit(Some(pid), Resource::Nofile, limit)?;
         Ok(())
     }
 
-    /// What a program has used so far.
+    /// Resource usage of a program so far.
     ///
     /// # Errors
-    /// It does not run, or the system does not tell.
+    /// The program is not running, or `/proc` can't be read.
     pub fn usage(&self, role: Role, number: usize) -> io::Result<Usage> {
         let pid = self
             .pid(role, number)
             .ok_or(io::ErrorKind::NotFound)?
             .as_raw_nonzero();
-        let wrong = || io::Error::from(io::ErrorKind::InvalidData);
+        let invalid = || io::Error::from(io::ErrorKind::InvalidData);
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
         // The second field is the program's name in brackets, which may hold spaces.
-        let (_, fields) = stat.rsplit_once(") ").ok_or_else(wrong)?;
+        let (_, fields) = stat.rsplit_once(") ").ok_or_else(invalid)?;
         let fields: Vec<&str> = fields.split(' ').collect();
         let number = |at: usize| {
             fields
                 .get(at)
                 .and_then(|field| field.parse::<u64>().ok())
-                .ok_or_else(wrong)
+                .ok_or_else(invalid)
         };
         let ticks = number(USER_TICKS)? + number(SYSTEM_TICKS)?;
         let processor = Duration::from_secs_f64(ticks as f64 / clock_ticks_per_second() as f64);
         Ok(Usage {
-            processor,
-            resident: number(RESIDENT_PAGES)? * page_size() as u64,
+            cpu_time: processor,
+            resident_bytes: number(RESIDENT_PAGES)? * page_size() as u64,
         })
     }
 
@@ -351,13 +358,18 @@
 
     fn signal(&self, role: Role, number: usize, signal: Signal) {
         if let Some(pid) = self.pid(role, number) {
-            // One that has ended already is not there to be told.
+            // A program that has already exited needs no signal.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// How a program ended, if it does in time.
-    pub fn ended(&mut self, role: Role, number: usize, until: Instant) -> Option<ExitStatus> {
+    /// Waits for a program's exit and returns its status; `None` if it is still running at the deadline.
+    pub fn wait_for_exit(
+        &mut self,
+        role: Role,
+        number: usize,
+        until: Instant,
+    ) -> Option<ExitStatus> {
         let child = self.running.get_mut(&(role, number))?;
         let status = wait_for(until, || child.try_wait().ok().flatten())?;
         self.running.remove(&(role, number));
@@ -365,62 +377,68 @@
         Some(status)
     }
 
-    /// Whether a program was started and was not seen to end.
+    /// Whether a program was started and its exit has not been observed.
     pub fn is_running(&self, role: Role, number: usize) -> bool {
         self.running.contains_key(&(role, number))
     }
 
-    /// Whether a program was told to end and was not seen to end yet.
+    /// Whether a program was sent SIGTERM and its exit has not been observed yet.
     pub fn is_shutting_down(&self, role: Role, number: usize) -> bool {
         self.shutting_down.contains(&(role, number))
     }
 
-    /// Programs that have ended without being told, and the last that they wrote.
-    pub fn fallen(&mut self) -> Vec<String> {
+    /// Programs whose exit has not been collected, with their status and last 30 log lines.
+    pub fn unexpected_exits(&mut self) -> Vec<String> {
         let ended = |(at, child): (&(Role, usize), &mut Child)| {
             Some((*at, child.try_wait().ok().flatten()?))
         };
         let ended: Vec<_> = self.running.iter_mut().filter_map(ended).collect();
-        let told = ended.into_iter().map(|((role, number), status)| {
+        let reports = ended.into_iter().map(|((role, number), status)| {
             let log = self.log(role, number);
-            let last: Vec<&str> = log.lines().rev().take(30).collect();
-            let last: Vec<&str> = last.into_iter().rev().collect();
-            format!("{} {number}: {status}\n{}", role.program(), last.join("\n"))
+            let last_lines: Vec<&str> = log.lines().rev().take(30).collect();
+            let last_lines: Vec<&str> = last_lines.into_iter().rev().collect();
+            format!(
+                "{} {number}: {status}\n{}",
+                role.program(),
+                last_lines.join("\n")
+            )
         });
-        told.collect()
+        reports.collect()
     }
 
-    /// Whether an edge says that it is ready.
-    pub fn ready(&self, edge: usize) -> bool {
+    /// Whether an edge reports ready.
+    pub fn is_ready(&self, edge: usize) -> bool {
         self.readiness(edge) == Some(200)
     }
 
     /// Whether an edge answers the readiness check, ready or not.
-    pub fn answers(&self, edge: usize) -> bool {
+    pub fn answers_readiness_check(&self, edge: usize) -> bool {
         self.readiness(edge).is_some()
     }
 
     fn readiness(&self, edge: usize) -> Option<u16> {
-        let to = SocketAddr::from((self.ip(false, edge), READYZ));
+        let to = SocketAddr::from((self.ip(false, edge), READYZ_PORT));
         let until = Instant::now() + Duration::from_secs(1);
         let reply = call(to, "GET", "/api/readyz", "", b"", until).ok()?;
         Some(reply.status)
     }
 
     /// Waits until all edges are ready.
-    pub fn all_ready(&self, until: Instant) -> bool {
-        (0..self.edges()).all(|edge| wait_for(until, || self.ready(edge).then_some(())).is_some())
+    pub fn wait_until_ready(&self, until: Instant) -> bool {
+        (0..self.edges())
+            .all(|edge| wait_for(until, || self.is_ready(edge).then_some(())).is_some())
     }
 
-    /// What a program has written so far.
+    /// A program's log so far.
     pub fn log(&self, role: Role, number: usize) -> String {
-        // Where there is none, nothing was written.
+        // Without a log file nothing has been written.
         std::fs::read_to_string(self.file(role, number, "log")).unwrap_or_default()
     }
 
-    /// Tells all to end, edges first, and kills what does not within its grace; names what did not end in order.
+    /// Asks all programs to exit, edges first, and kills those that do not within the shutdown grace; returns
+    /// those that did not exit in order.
     pub fn stop(&mut self) -> Vec<String> {
-        let mut wrong = self.fallen();
+        let mut failures = self.unexpected_exits();
         for role in [Role::Proxy, Role::Agent, Role::Control] {
             let all: Vec<_> = self
                 .running
@@ -429,37 +447,38 @@
                 .filter(|(of, _)| *of == role)
                 .collect();
             all.iter()
-                .for_each(|(role, number)| self.tell_to_end(*role, *number));
-            let until = Instant::now() + GRACE;
+                .for_each(|(role, number)| self.terminate(*role, *number));
+            let until = Instant::now() + SHUTDOWN_GRACE;
             for (role, number) in all {
-                match self.ended(role, number, until) {
+                match self.wait_for_exit(role, number, until) {
                     Some(status) if status.success() => {}
-                    Some(status) => wrong.push(format!("{} {number}: {status}", role.program())),
+                    Some(status) => failures.push(format!("{} {number}: {status}", role.program())),
                     None => {
-                        wrong.push(format!("{} {number}: killed", role.program()));
+                        failures.push(format!("{} {number}: killed", role.program()));
                         self.kill(role, number);
                     }
                 }
             }
         }
-        wrong
+        failures
     }
 }
 
 impl Drop for Machines {
     fn drop(&mut self) {
-        let left: Vec<_> = self.running.keys().copied().collect();
-        left.into_iter()
+        let remaining: Vec<_> = self.running.keys().copied().collect();
+        remaining
+            .into_iter()
             .for_each(|(role, number)| self.kill(role, number));
     }
 }
 
-/// The folder of the built programs, by one that Cargo names to a test. Those of other packages stand beside it where
-/// the whole workspace is tested; where one package is, they are built first.
+/// The folder of the built programs, from the path of one that Cargo passes to a test. If the whole workspace is
+/// tested, programs of other packages are already there; if only one package is, they are built first.
 ///
 /// # Panics
 /// They can't be built.
-pub fn beside(program: &Path, cargo: &str) -> PathBuf {
+pub fn built_programs_folder(program: &Path, cargo: &str) -> PathBuf {
     let folder = program.parent().unwrap_or(Path::new(".")).to_path_buf();
     let roles = [Role::Control, Role::Agent, Role::Proxy];
     let missing: Vec<_> = roles
--- a/crates/emulator/src/system/operator.rs
+++ b/crates/emulator/src/system/operator.rs
@@ -1,5 +1,5 @@
-//! The operator: sends configurations and evacuations to any control program until they are taken, and knows what must
-//! be read back.
+//! The operator: sends configurations and evacuations to any control program until they are accepted, and keeps what
+//! must be read back.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,19 +7,19 @@
 
 use serde_json::{Value, json};
 
-use super::calls::{Failure, Reply, call};
+use super::client::{Failure, Reply, call};
 
-/// A call without an answer is given up after this.
-const SILENCE: Duration = Duration::from_secs(1);
-/// First pause after a call that came to nothing; each is longer by half.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Time limit for the answer to one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause after the first failed call; each further pause is longer by half.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Items that are set or dropped by one call.
+/// Items that one call sets or drops.
 #[derive(Clone, Debug, Default)]
 pub struct Change(Vec<(String, String, u64, Option<Value>)>);
 
 impl Change {
-    /// Sets an item; `kind` is the word for it in calls, and the name is empty for the limits.
+    /// Sets an item; `kind` is its type as named in calls, and the name is empty for the limits.
     #[must_use]
     pub fn set(mut self, kind: &str, name: &str, ver: u64, spec: Value) -> Change {
         self.0.push((kind.into(), name.into(), ver, Some(spec)));
@@ -55,56 +55,61 @@
 #[derive(Debug)]
 pub struct Operator {
     ctl: Vec<SocketAddr>,
-    turn: usize,
-    /// What was acknowledged, by kind and name.
+    next_ctl: usize,
+    /// Acknowledged version and content, by kind and name.
     acknowledged: BTreeMap<(String, String), (u64, Option<Value>)>,
 }
 
 impl Operator {
-    /// One who knows these control programs.
+    /// An operator that calls the control programs at these addresses.
     pub fn new(ctl: Vec<SocketAddr>) -> Operator {
         Operator {
             ctl,
-            turn: 0,
+            next_ctl: 0,
             acknowledged: BTreeMap::new(),
         }
     }
 
-    /// Sends a change until it is taken.
+    /// Sends a change until it is accepted.
     ///
     /// # Errors
-    /// It was refused, or not taken in time.
+    /// It was refused, or not accepted before the deadline.
     pub fn change(&mut self, change: &Change, until: Instant) -> Result<(), String> {
-        self.order("POST", "/api/cfg/patch", &change.body(), until)?;
+        self.call_until_accepted("POST", "/api/cfg/patch", &change.body(), until)?;
         for (kind, name, ver, spec) in &change.0 {
-            let held = self
+            let acknowledged = self
                 .acknowledged
                 .entry((kind.clone(), name.clone()))
                 .or_insert((0, None));
-            if *ver > held.0 {
-                *held = (*ver, spec.clone());
+            if *ver > acknowledged.0 {
+                *acknowledged = (*ver, spec.clone());
             }
         }
         Ok(())
     }
 
-    /// Has a zone evacuated, or taken back.
+    /// Begins or finishes the evacuation of a zone.
     ///
     /// # Errors
-    /// It was refused, or not taken in time.
-    pub fn evacuate(&mut self, zone: &str, begin: bool, until: Instant) -> Result<(), String> {
+    /// It was refused, or not accepted before the deadline.
+    pub fn set_zone_evacuation(
+        &mut self,
+        zone: &str,
+        begin: bool,
+        until: Instant,
+    ) -> Result<(), String> {
         let word = if begin { "begin" } else { "finish" };
-        self.order("POST", &format!("/api/drain/{zone}/{word}"), "", until)
+        self.call_until_accepted("POST", &format!("/api/drain/{zone}/{word}"), "", until)
             .map(drop)
     }
 
-    /// What is read back and is not what was acknowledged, by name; nothing where all is well.
+    /// Names of the items that read back different from what was acknowledged.
     ///
     /// # Errors
-    /// There is no answer in time.
+    /// There is no answer before the deadline.
     pub fn differences(&mut self, until: Instant) -> Result<Vec<String>, String> {
-        let reply = self.order("GET", "/api/cfg/get", "", until)?;
-        let read: Value =
+        let reply = self.call_until_accepted("GET", "/api/cfg/get", "", until)?;
+        let read_back: Value =
             serde_json::from_slice(reply.body()).map_err(|e| format!("reading back: {e}"))?;
         let item = |object: &Value| {
             let text = |v: &Value| v.as_str().unwrap_or_default().to_string();
@@ -117,62 +122,65 @@
                 ),
             ))
         };
-        let objects = read["objs"].as_array().ok_or("reading back: no objs")?;
-        let read: BTreeMap<_, _> = objects.iter().filter_map(item).collect();
-        let stands = self
+        let objects = read_back["objs"]
+            .as_array()
+            .ok_or("reading back: no objs")?;
+        let read_back: BTreeMap<_, _> = objects.iter().filter_map(item).collect();
+        let is_set = self
             .acknowledged
             .iter()
             .filter(|(_, (_, spec))| spec.is_some());
-        let differs = stands
-            .filter(|(name, item)| read.get(*name) != Some(*item))
+        let differs = is_set
+            .filter(|(name, item)| read_back.get(*name) != Some(*item))
             .map(|(name, _)| name);
-        let stands = |name: &(String, String)| {
+        let is_set = |name: &(String, String)| {
             self.acknowledged
                 .get(name)
                 .is_some_and(|(_, spec)| spec.is_some())
         };
-        let more = read.keys().filter(|name| !stands(name));
+        let unexpected = read_back.keys().filter(|name| !is_set(name));
         Ok(differs
-            .chain(more)
+            .chain(unexpected)
             .map(|(kind, name)| format!("{kind}/{name}"))
             .collect())
     }
 
-    /// Calls one control program after the other.
-    fn order(
+    /// Calls the control programs in turn until one accepts.
+    fn call_until_accepted(
         &mut self,
         method: &str,
         path: &str,
         body: &str,
         until: Instant,
     ) -> Result<Reply, String> {
-        let (mut pause, mut refused) = (PAUSE, 0);
-        let mut last = "no control program is known".to_string();
+        let (mut pause, mut refused) = (FIRST_RETRY_PAUSE, 0);
+        let mut last_error = "no address of a control program configured".to_string();
         while Instant::now() < until && !self.ctl.is_empty() {
-            let to = self.ctl[self.turn % self.ctl.len()];
-            match follow(to, method, path, body, until) {
+            let to = self.ctl[self.next_ctl % self.ctl.len()];
+            match call_following_redirects(to, method, path, body, until) {
                 Ok(reply) if (200..300).contains(&reply.status) => return Ok(reply),
                 Ok(reply) => {
-                    last = format!("{method} {path} at {to}: {} {}", reply.status, reply.text());
+                    last_error =
+                        format!("{method} {path} at {to}: {} {}", reply.status, reply.text());
                     refused += u32::from(
                         (400..500).contains(&reply.status) && !matches!(reply.status, 408 | 429),
                     );
                     if refused >= 3 || matches!(reply.status, 400 | 409 | 412 | 413 | 422) {
-                        return Err(last);
+                        return Err(last_error);
                     }
                 }
-                Err(failure) => last = format!("{method} {path} at {to}: {failure:?}"),
+                Err(failure) => last_error = format!("{method} {path} at {to}: {failure:?}"),
             }
-            self.turn += 1;
+            self.next_ctl += 1;
             std::thread::sleep(pause.min(until.saturating_duration_since(Instant::now())));
             pause = pause * 3 / 2;
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
-/// A call that follows 307 twice.
-fn follow(
+/// Makes a call that follows at most two redirects with status 307.
+fn call_following_redirects(
     mut to: SocketAddr,
     method: &str,
     path: &str,
@@ -181,26 +189,27 @@
 ) -> Result<Reply, Failure> {
     let mut path = path.to_string();
     for _ in 0..2 {
-        let reply = one(to, method, &path, body, until)?;
-        let place = reply.line("Location").filter(|_| reply.status == 307);
-        let place = place.and_then(|place| place.strip_prefix("http://")?.split_once('/'));
-        let Some((address, rest)) = place.and_then(|(at, rest)| Some((at.parse().ok()?, rest)))
+        let reply = call_once(to, method, &path, body, until)?;
+        let location = reply.header("Location").filter(|_| reply.status == 307);
+        let location =
+            location.and_then(|location| location.strip_prefix("http://")?.split_once('/'));
+        let Some((address, rest)) = location.and_then(|(at, rest)| Some((at.parse().ok()?, rest)))
         else {
             return Ok(reply);
         };
         (to, path) = (address, format!("/{rest}"));
     }
-    one(to, method, &path, body, until)
+    call_once(to, method, &path, body, until)
 }
 
-fn one(
+fn call_once(
     to: SocketAddr,
     method: &str,
     path: &str,
     body: &str,
     until: Instant,
 ) -> Result<Reply, Failure> {
-    let until = until.min(Instant::now() + SILENCE);
+    let until = until.min(Instant::now() + CALL_TIMEOUT);
     call(
         to,
         method,
--- a/crates/emulator/src/system/platform.rs
+++ b/crates/emulator/src/system/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers: told late, in pages, to so many calls a second.
+//! The platform's instance list: delayed, paginated and rate limited.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,66 +9,66 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// How the list is told.
+/// Configuration of the instance list.
 #[derive(Clone, Copy, Debug)]
-pub struct Make {
-    /// What has changed is told so much later.
-    pub lag: Micros,
-    /// Servers on a page.
-    pub page: usize,
-    /// Calls that are answered within a second.
+pub struct PlatformConfig {
+    /// Delay after which a change becomes visible, in microseconds.
+    pub visibility_delay: Micros,
+    /// Servers per page.
+    pub page_size: usize,
+    /// Calls answered within any second; further ones get status 429.
     pub per_s: usize,
 }
 
-/// A server as the list names it.
+/// A server's entry in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its life's id.
+    /// Id of this incarnation of the server.
     pub id: String,
-    /// Its service.
+    /// Name of its service.
     pub svc: String,
-    /// Where it is reached.
+    /// Address at which it is reached.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Requests that it works on at a time.
+    /// Requests that it runs concurrently.
     pub slots: usize,
-    /// It leaves.
+    /// Whether it is draining.
     pub draining: bool,
-    /// When it is warm.
+    /// When its warm-up ends.
     pub warm_at: Micros,
 }
 
-/// The list.
+/// The instance list.
 #[derive(Debug)]
 pub struct Platform {
-    make: Make,
+    config: PlatformConfig,
     entries: Vec<Entry>,
-    /// What is told from an instant on; the first holds now.
-    told: VecDeque<(Micros, Vec<Entry>)>,
+    /// States of the list, each visible from its instant on; the first is the current one once its instant has passed.
+    published: VecDeque<(Micros, Vec<Entry>)>,
     calls: VecDeque<Micros>,
 }
 
 impl Platform {
     /// An empty list.
-    pub fn new(make: Make) -> Platform {
+    pub fn new(config: PlatformConfig) -> Platform {
         Platform {
-            make,
+            config,
             entries: Vec::new(),
-            told: VecDeque::new(),
+            published: VecDeque::new(),
             calls: VecDeque::new(),
         }
     }
 
-    /// Changes the list; gives when that is told.
+    /// Changes the list; returns when the change becomes visible.
     pub fn change(&mut self, now: Micros, change: impl FnOnce(&mut Vec<Entry>)) -> Micros {
         change(&mut self.entries);
-        let at = now + self.make.lag;
-        self.told.push_back((at, self.entries.clone()));
+        let at = now + self.config.visibility_delay;
+        self.published.push_back((at, self.entries.clone()));
         at
     }
 
-    /// Answers a call: status and body.
+    /// Answers a call with a status and a body.
     pub fn answer(&mut self, now: Micros, method: &str, target: &str) -> (u16, String) {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         if method != "GET" || path != "/insts" {
@@ -77,31 +77,31 @@
         while self.calls.front().is_some_and(|at| *at <= now - SECOND) {
             self.calls.pop_front();
         }
-        if self.calls.len() >= self.make.per_s {
+        if self.calls.len() >= self.config.per_s {
             return (429, "{}".into());
         }
         self.calls.push_back(now);
-        while self.told.get(1).is_some_and(|(at, _)| *at <= now) {
-            self.told.pop_front();
+        while self.published.get(1).is_some_and(|(at, _)| *at <= now) {
+            self.published.pop_front();
         }
         let get = |key: &str| {
             query
                 .split('&')
                 .find_map(|p| p.strip_prefix(key)?.strip_prefix('='))
         };
-        let told = self
-            .told
+        let visible = self
+            .published
             .front()
             .filter(|(at, _)| *at <= now)
             .map_or(&[][..], |(_, entries)| entries);
-        let of: Vec<&Entry> = told
+        let matching: Vec<&Entry> = visible
             .iter()
             .filter(|e| get("zone").is_none_or(|zone| zone == e.zone))
             .collect();
         let from = get("pagetok")
             .and_then(|t| t.strip_prefix("p-")?.parse().ok())
             .unwrap_or(0);
-        let until = of.len().min(from + self.make.page);
+        let until = matching.len().min(from + self.config.page_size);
         let row = |e: &&Entry| {
             let state = if e.draining { "draining" } else { "up" };
             let cold = format!("{}ms", (e.warm_at - now).max(0) / 1_000);
@@ -116,13 +116,13 @@
                 e.id
             ])
         };
-        let rows: Vec<Value> = of
+        let rows: Vec<Value> = matching
             .get(from..until)
             .unwrap_or_default()
             .iter()
             .map(row)
             .collect();
-        let next = (until < of.len()).then(|| format!("p-{until}"));
+        let next = (until < matching.len()).then(|| format!("p-{until}"));
         let cols = [
             "svc",
             "addr",
--- a/crates/emulator/src/system/platform/tests.rs
+++ b/crates/emulator/src/system/platform/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn the_list_lags_comes_in_pages_and_takes_so_many_calls() {
-    let mut platform = Platform::new(Make {
-        lag: 500,
-        page: 2,
+fn the_list_is_delayed_paginated_and_rate_limited() {
+    let mut platform = Platform::new(PlatformConfig {
+        visibility_delay: 500,
+        page_size: 2,
         per_s: 5,
     });
     let entry = |n: u16| Entry {
--- a/crates/emulator/src/system/server.rs
+++ b/crates/emulator/src/system/server.rs
@@ -1,73 +1,73 @@
-//! A server of a service, without I/O: slots and a queue, the word on what it did not run, a seal on what it did, and
-//! troubles on order. What ran is counted by the requests' ids.
+//! A server of a service, without I/O: slots and a queue, a header that marks requests it did not run, a seal on those
+//! it ran, and injected faults. Executions are counted by request id.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use crate::Micros;
 use crate::http;
-use crate::node::{Job, Make as Cores, Node, Taken};
-use crate::serving::NOISE;
+use crate::node::{Admission, Job, Node, NodeConfig as Cores};
+use crate::serving::MALFORMED_ANSWER;
 
-/// What a server is.
+/// Configuration of a server.
 #[derive(Clone, Debug)]
-pub struct Make {
-    /// Its service.
+pub struct ServerConfig {
+    /// Name of its service.
     pub svc: String,
     /// Its zone.
     pub zone: String,
-    /// Requests that it works on at a time.
-    pub slots: usize,
-    /// Requests that may wait.
-    pub queue: usize,
-    /// Work of a request, unless it says otherwise in `X-Work-Ms`.
+    /// Requests that run concurrently.
+    pub max_concurrent: usize,
+    /// Maximum number of waiting requests.
+    pub max_waiting: usize,
+    /// Work of a request in microseconds, unless `X-Work-Ms` sets another.
     pub work: Micros,
-    /// After a start it is cold for so long.
-    pub warmup: Micros,
-    /// It keeps an idle connection for so many seconds.
-    pub keep_s: i64,
+    /// Warm-up time after a start, in microseconds.
+    pub warm_up: Micros,
+    /// Seconds after which an idle connection is closed.
+    pub keep_alive_s: i64,
 }
 
 /// The path of health checks.
-pub const HEALTH: &str = "/healthz";
+pub const HEALTH_PATH: &str = "/healthz";
 
-/// What a server does wrong with an answer.
+/// A fault injected into an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// It resets the connection instead.
+pub enum AnswerFault {
+    /// The connection is reset instead.
     Reset,
-    /// It ends the connection in the middle of the body.
-    Cut,
-    /// It sends what is no answer.
-    Garbled,
-    /// It sends another answer behind it, which nobody asked for.
-    Extra,
-    /// It sends the answer twice.
-    Twice,
-    /// It never answers, and keeps the connection.
-    Silent,
-    /// It answers and forgets the connection at once, without a word.
-    Forgets,
+    /// The connection is closed in the middle of the body.
+    Truncated,
+    /// Bytes that are not an HTTP answer are sent.
+    Malformed,
+    /// A second answer follows that belongs to no request.
+    Unsolicited,
+    /// The answer is sent twice.
+    Duplicated,
+    /// No answer is sent, and the connection stays open.
+    NoAnswer,
+    /// The connection is closed right after the answer without `Connection: close`.
+    ClosedUnannounced,
 }
 
-/// A request as a server reads it.
+/// The parts of a request that a server uses.
 #[derive(Clone, Debug)]
-pub struct Asked<'a> {
+pub struct ServerRequest<'a> {
     method: &'a str,
     target: &'a str,
     close: bool,
     work: Option<Micros>,
     id: Option<&'a str>,
-    wanted: Option<&'a str>,
-    left: Option<Micros>,
+    wanted_instance: Option<&'a str>,
+    time_left: Option<Micros>,
     tenant: &'a str,
-    key: bool,
+    has_key: bool,
     body: &'a [u8],
 }
 
-impl<'a> Asked<'a> {
-    /// Of a request at the start of these bytes.
-    pub fn of(request: &http::Request<'a>, bytes: &'a [u8]) -> Asked<'a> {
+impl<'a> ServerRequest<'a> {
+    /// Extracts them from a request that is parsed from the start of `bytes`.
+    pub fn from_http(request: &http::Request<'a>, bytes: &'a [u8]) -> ServerRequest<'a> {
         let http::Request {
             method,
             target,
@@ -77,26 +77,26 @@
             length,
             ..
         } = *request;
-        let line = |name| http::line(bytes, name);
-        let left = line("X-Time-Left")
+        let line = |name| http::header(bytes, name);
+        let time_left = line("X-Time-Left")
             .and_then(|t| t.parse::<f64>().ok())
             .map(|ms| (ms * 1e3) as Micros);
-        Asked {
+        ServerRequest {
             method,
             target,
             work,
             close,
-            left,
+            time_left,
             id: line("X-Request-Id"),
-            wanted: line("X-Want-Instance"),
+            wanted_instance: line("X-Want-Instance"),
             tenant: line("X-Tenant").unwrap_or_default(),
-            key: line("Authorization").is_some(),
+            has_key: line("Authorization").is_some(),
             body: &bytes[head..length],
         }
     }
 }
 
-/// What a server's body says of the request that it ran: who sent it knows by this whether anything was changed.
+/// The description of a request that the server returns in the body, by which the sender detects alterations.
 pub fn echo(id: &str, method: &str, target: &str, tenant: &str, body: &[u8]) -> String {
     let mut hasher = DefaultHasher::new();
     body.hash(&mut hasher);
@@ -107,282 +107,312 @@
     )
 }
 
-/// What arrived at all servers and what came of it.
+/// Counts of arrivals and outcomes over all servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests, health checks left out.
+    /// Requests, not including health checks.
     pub arrived: u64,
     /// Ids that ran.
     pub ran: u64,
-    /// Ids of requests that may be repeated and ran more than once.
-    pub again: u64,
-    /// Ids of requests that may not be repeated and ran more than once.
-    pub twice: u64,
-    /// Requests turned away.
-    pub turned_away: u64,
-    /// Requests for another server.
-    pub mistaken: u64,
-    /// Requests that showed a client's key.
-    pub keys: u64,
-    /// Requests that came too long after a server was told to be leaving.
-    pub late: u64,
-    /// Answers that troubles befell.
-    pub spoilt: u64,
+    /// Ids of idempotent requests that ran more than once.
+    pub repeated_idempotent: u64,
+    /// Ids of non-idempotent requests that ran more than once.
+    pub repeated_mutating: u64,
+    /// Requests rejected without being run.
+    pub rejected: u64,
+    /// Requests meant for another instance.
+    pub misdirected: u64,
+    /// Requests that carried a client's key.
+    pub with_client_key: u64,
+    /// Requests that arrived too long after the list showed the server as draining.
+    pub after_drain: u64,
+    /// Answers with an injected fault.
+    pub faulty_answers: u64,
 }
 
-/// What ran, by id.
+/// Executions by request id.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct RunCounts {
     runs: HashMap<String, u32>,
-    /// The numbers so far.
+    /// Counts so far.
     pub counts: Counts,
 }
 
-impl Ledger {
-    fn run(&mut self, id: &str, repeatable: bool) {
+impl RunCounts {
+    fn record_run(&mut self, id: &str, idempotent: bool) {
         let runs = self.runs.entry(id.to_string()).or_default();
         *runs += 1;
-        match (*runs, repeatable) {
+        match (*runs, idempotent) {
             (1, _) => self.counts.ran += 1,
-            (2, true) => self.counts.again += 1,
-            (2, false) => self.counts.twice += 1,
+            (2, true) => self.counts.repeated_idempotent += 1,
+            (2, false) => self.counts.repeated_mutating += 1,
             _ => {}
         }
     }
 
-    /// How often a request ran.
+    /// Number of times that a request ran.
     pub fn runs(&self, id: &str) -> u32 {
         self.runs.get(id).copied().unwrap_or(0)
     }
 }
 
-/// What becomes of the connection behind an answer.
+/// What happens to the connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Then {
-    /// It stays.
+pub enum ConnectionAction {
+    /// It stays open.
     Keep,
-    /// It ends.
+    /// It is closed.
     Close,
-    /// It is reset, and nothing of the answer goes out.
+    /// It is reset, and nothing of the answer is sent.
     Reset,
 }
 
-/// An answer, and what becomes of its connection.
-pub type Given = (Vec<u8>, Then);
+/// The bytes of an answer, and what happens to the connection after it.
+pub type AnswerAction = (Vec<u8>, ConnectionAction);
 
 #[derive(Debug)]
-struct Held {
+struct PendingRequest {
     id: String,
-    /// None: a health check.
+    /// `None` for a health check.
     echo: Option<String>,
-    repeatable: bool,
+    idempotent: bool,
     close: bool,
-    until: Micros,
+    deadline: Micros,
 }
 
-/// A server in one life.
+/// One incarnation of a server.
 #[derive(Debug)]
 pub struct Server {
-    make: Make,
+    config: ServerConfig,
     id: String,
     node: Node,
-    held: BTreeMap<u64, Held>,
-    leaving: bool,
+    pending_requests: BTreeMap<u64, PendingRequest>,
+    draining: bool,
     warm_at: Micros,
-    /// What comes after this is late.
-    pub told_off: Option<Micros>,
-    /// What the next answers suffer.
-    pub troubles: VecDeque<Trouble>,
-    /// It stands still until then.
-    pub frozen: Micros,
+    /// Requests that arrive after this instant are counted as too late.
+    pub drain_announced_at: Option<Micros>,
+    /// Faults for the next answers, one each.
+    pub pending_faults: VecDeque<AnswerFault>,
+    /// The server is frozen until this instant.
+    pub frozen_until: Micros,
 }
 
 impl Server {
-    /// A server that starts now; `warm`: it has been there for long.
-    pub fn new(make: Make, id: String, now: Micros, warm: bool) -> Server {
+    /// A server that starts now; if `warm`, without a warm-up.
+    pub fn new(config: ServerConfig, id: String, now: Micros, warm: bool) -> Server {
         let cores = Cores {
-            cores: make.slots,
+            cores: config.max_concurrent,
             speed: 1.0,
-            queue: make.queue,
+            queue: config.max_waiting,
             cold_from: 0.3,
-            cold_for: make.warmup,
-            util_every: 1_000_000,
+            warm_up: config.warm_up,
+            util_interval: 1_000_000,
             cancel_running: true,
         };
         Server {
             node: Node::new(cores, now, warm),
             id,
-            held: BTreeMap::new(),
-            leaving: false,
-            warm_at: if warm { now } else { now + make.warmup },
-            told_off: None,
-            troubles: VecDeque::new(),
-            frozen: Micros::MIN,
-            make,
+            pending_requests: BTreeMap::new(),
+            draining: false,
+            warm_at: if warm { now } else { now + config.warm_up },
+            drain_announced_at: None,
+            pending_faults: VecDeque::new(),
+            frozen_until: Micros::MIN,
+            config,
         }
     }
 
-    /// Its id and what it is.
-    pub fn known(&self) -> (&str, &Make) {
-        (&self.id, &self.make)
+    /// Its instance id and configuration.
+    pub fn identity(&self) -> (&str, &ServerConfig) {
+        (&self.id, &self.config)
     }
 
-    /// When it is warm.
+    /// When its warm-up ends.
     pub fn warm_at(&self) -> Micros {
         self.warm_at
     }
 
-    /// It leaves: it serves on, and its answers end their connections.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    /// Starts draining: it continues to serve, and its answers close their connections.
+    pub fn start_draining(&mut self) {
+        self.draining = true;
     }
 
-    /// Stands still until an instant.
+    /// Freezes the server until an instant.
     pub fn freeze(&mut self, now: Micros, until: Micros) {
         self.node.freeze(now, until);
-        self.frozen = until;
+        self.frozen_until = until;
     }
 
-    /// A request has come whole; gives the answer if there is one at once.
-    pub fn ask(
+    /// Handles a complete request; returns the answer if it is immediate.
+    pub fn handle_request(
         &mut self,
         now: Micros,
         token: u64,
-        asked: &Asked<'_>,
-        ledger: &mut Ledger,
-    ) -> Option<Given> {
-        let health = asked.method == "GET" && asked.target == HEALTH;
+        request: &ServerRequest<'_>,
+        run_counts: &mut RunCounts,
+    ) -> Option<AnswerAction> {
+        let health = request.method == "GET" && request.target == HEALTH_PATH;
         let not_run = |status, why: &str| {
             self.answer(
                 status,
-                asked.id,
+                request.id,
                 &format!("X-Not-Run: {why}\r\n"),
                 b"",
-                asked.close,
+                request.close,
             )
         };
         if !health {
-            ledger.counts.arrived += 1;
-            ledger.counts.keys += u64::from(asked.key);
+            run_counts.counts.arrived += 1;
+            run_counts.counts.with_client_key += u64::from(request.has_key);
         }
-        if asked.wanted.is_some_and(|wanted| wanted != self.id) {
-            ledger.counts.mistaken += 1;
+        if request
+            .wanted_instance
+            .is_some_and(|wanted| wanted != self.id)
+        {
+            run_counts.counts.misdirected += 1;
             return Some(not_run(421, "another"));
         }
-        if !health && self.told_off.is_some_and(|at| now > at) {
-            ledger.counts.late += 1;
+        if !health && self.drain_announced_at.is_some_and(|at| now > at) {
+            run_counts.counts.after_drain += 1;
         }
-        let Some(id) = asked
+        let Some(id) = request
             .id
             .filter(|id| !id.is_empty())
             .or(health.then_some(""))
         else {
             return Some(not_run(400, "no id"));
         };
-        if health && self.leaving {
-            return Some(self.answer(503, None, "", b"", asked.close));
+        if health && self.draining {
+            return Some(self.answer(503, None, "", b"", request.close));
         }
         let work = if health {
             0
         } else {
-            asked.work.unwrap_or(self.make.work)
+            request.work.unwrap_or(self.config.work)
         };
-        if self.node.arrive(now, Job { token, work }) == Taken::TurnedAway {
-            ledger.counts.turned_away += u64::from(!health);
-            return Some(self.answer(503, asked.id, "X-Not-Run: full\r\n", b"", asked.close));
+        if self.node.admit(now, Job { token, work }) == Admission::Rejected {
+            run_counts.counts.rejected += u64::from(!health);
+            return Some(self.answer(503, request.id, "X-Not-Run: full\r\n", b"", request.close));
         }
-        let held = Held {
+        let pending = PendingRequest {
             id: id.to_string(),
-            echo: (!health).then(|| echo(id, asked.method, asked.target, asked.tenant, asked.body)),
-            repeatable: asked.method == "GET",
-            close: asked.close,
-            until: now + asked.left.unwrap_or(60_000_000).clamp(0, 60_000_000),
+            echo: (!health).then(|| {
+                echo(
+                    id,
+                    request.method,
+                    request.target,
+                    request.tenant,
+                    request.body,
+                )
+            }),
+            idempotent: request.method == "GET",
+            close: request.close,
+            deadline: now + request.time_left.unwrap_or(60_000_000).clamp(0, 60_000_000),
         };
-        self.held.insert(token, held);
+        self.pending_requests.insert(token, pending);
         None
     }
 
-    /// When something happens next by itself.
-    pub fn next(&self) -> Option<Micros> {
+    /// When [`Server::poll`] has something to do next.
+    pub fn next_event_at(&self) -> Option<Micros> {
         let deadline = self
-            .held
+            .pending_requests
             .values()
-            .map(|held| held.until.max(self.frozen))
+            .map(|pending| pending.deadline.max(self.frozen_until))
             .min();
-        self.node.next().into_iter().chain(deadline).min()
+        self.node.next_event_at().into_iter().chain(deadline).min()
     }
 
-    /// What has happened by now, one at a time: whoever brought the request, and the answer.
-    pub fn poll(&mut self, now: Micros, ledger: &mut Ledger) -> Option<(u64, Given)> {
-        if now < self.frozen {
+    /// Returns what is due by now, one at a time: the token of the request, and the answer.
+    pub fn poll(&mut self, now: Micros, run_counts: &mut RunCounts) -> Option<(u64, AnswerAction)> {
+        if now < self.frozen_until {
             return None;
         }
-        while let Some(job) = self.node.ended(now) {
-            let Some(held) = self.held.remove(&job.token) else {
+        while let Some(job) = self.node.take_finished(now) {
+            let Some(pending) = self.pending_requests.remove(&job.token) else {
                 continue;
             };
-            return Some((job.token, self.done(now, &held, ledger)));
+            return Some((job.token, self.complete(now, &pending, run_counts)));
         }
-        // The last to have come first: it waits for those before it, and must not begin in their place now.
+        // Newest first: removing an older request first would let a newer, expired one start in its place.
         let token = *self
-            .held
+            .pending_requests
             .iter()
             .rev()
-            .find(|(_, held)| held.until <= now)?
+            .find(|(_, pending)| pending.deadline <= now)?
             .0;
-        let held = self.held.remove(&token)?;
-        if self.node.give_up(now, token) {
-            ledger.counts.turned_away += 1;
+        let pending = self.pending_requests.remove(&token)?;
+        if self.node.abandon(now, token) {
+            run_counts.counts.rejected += 1;
             return Some((
                 token,
-                self.answer(503, Some(&held.id), "X-Not-Run: late\r\n", b"", held.close),
+                self.answer(
+                    503,
+                    Some(&pending.id),
+                    "X-Not-Run: late\r\n",
+                    b"",
+                    pending.close,
+                ),
             ));
         }
-        ledger.run(&held.id, held.repeatable);
-        Some((token, self.answer(504, Some(&held.id), "", b"", held.close)))
+        run_counts.record_run(&pending.id, pending.idempotent);
+        Some((
+            token,
+            self.answer(504, Some(&pending.id), "", b"", pending.close),
+        ))
     }
 
-    /// Nobody waits any more: the connection has ended.
-    pub fn left(&mut self, now: Micros, token: u64, ledger: &mut Ledger) {
-        let Some(held) = self.held.remove(&token) else {
+    /// The connection of a request was closed: nobody waits for the answer any more.
+    pub fn connection_closed(&mut self, now: Micros, token: u64, run_counts: &mut RunCounts) {
+        let Some(pending) = self.pending_requests.remove(&token) else {
             return;
         };
-        if !self.node.give_up(now, token) && held.echo.is_some() {
-            ledger.run(&held.id, held.repeatable);
+        if !self.node.abandon(now, token) && pending.echo.is_some() {
+            run_counts.record_run(&pending.id, pending.idempotent);
         }
     }
 
-    fn done(&mut self, now: Micros, held: &Held, ledger: &mut Ledger) -> Given {
-        let Some(echo) = &held.echo else {
+    fn complete(
+        &mut self,
+        now: Micros,
+        pending: &PendingRequest,
+        run_counts: &mut RunCounts,
+    ) -> AnswerAction {
+        let Some(echo) = &pending.echo else {
             let cold = format!("X-Cold-Ms: {}\r\n", (self.warm_at - now).max(0) / 1_000);
-            return self.answer(200, None, &cold, b"", held.close);
+            return self.answer(200, None, &cold, b"", pending.close);
         };
-        ledger.run(&held.id, held.repeatable);
-        let body = format!("{} {}\n{echo}\n", self.make.svc, self.id);
-        let seal = format!("X-Server-Seal: {}.{}\r\n", self.id, ledger.counts.ran);
-        let (mut bytes, then) =
-            self.answer(200, Some(&held.id), &seal, body.as_bytes(), held.close);
-        let Some(trouble) = self.troubles.pop_front() else {
+        run_counts.record_run(&pending.id, pending.idempotent);
+        let body = format!("{} {}\n{echo}\n", self.config.svc, self.id);
+        let seal = format!("X-Server-Seal: {}.{}\r\n", self.id, run_counts.counts.ran);
+        let (mut bytes, then) = self.answer(
+            200,
+            Some(&pending.id),
+            &seal,
+            body.as_bytes(),
+            pending.close,
+        );
+        let Some(fault) = self.pending_faults.pop_front() else {
             return (bytes, then);
         };
-        ledger.counts.spoilt += 1;
-        match trouble {
-            Trouble::Reset => (Vec::new(), Then::Reset),
-            Trouble::Garbled => (NOISE.to_vec(), Then::Close),
-            Trouble::Cut => {
+        run_counts.counts.faulty_answers += 1;
+        match fault {
+            AnswerFault::Reset => (Vec::new(), ConnectionAction::Reset),
+            AnswerFault::Malformed => (MALFORMED_ANSWER.to_vec(), ConnectionAction::Close),
+            AnswerFault::Truncated => {
                 bytes.truncate(bytes.len() - body.len() / 2);
-                (bytes, Then::Close)
+                (bytes, ConnectionAction::Close)
             }
-            Trouble::Extra => {
+            AnswerFault::Unsolicited => {
                 bytes.extend(
-                    self.answer(200, Some("nobody"), &seal, b"of nobody\n", held.close)
+                    self.answer(200, Some("nobody"), &seal, b"of nobody\n", pending.close)
                         .0,
                 );
                 (bytes, then)
             }
-            Trouble::Twice => (bytes.repeat(2), then),
-            Trouble::Silent => (Vec::new(), Then::Keep),
-            Trouble::Forgets => (bytes, Then::Close),
+            AnswerFault::Duplicated => (bytes.repeat(2), then),
+            AnswerFault::NoAnswer => (Vec::new(), ConnectionAction::Keep),
+            AnswerFault::ClosedUnannounced => (bytes, ConnectionAction::Close),
         }
     }
 
@@ -393,20 +423,30 @@
         lines: &str,
         body: &[u8],
         close: bool,
-    ) -> Given {
+    ) -> AnswerAction {
         let mut bytes = Vec::new();
         let id = id
             .map(|id| format!("X-Request-Id: {id}\r\n"))
             .unwrap_or_default();
-        let close = close || self.leaving;
-        let kept = if close {
+        let close = close || self.draining;
+        let connection_header = if close {
             "Connection: close".into()
         } else {
-            format!("Keep-Alive: timeout={}", self.make.keep_s)
+            format!("Keep-Alive: timeout={}", self.config.keep_alive_s)
         };
-        let lines = format!("{id}X-Instance-Id: {}\r\n{kept}\r\n{lines}", self.id);
+        let lines = format!(
+            "{id}X-Instance-Id: {}\r\n{connection_header}\r\n{lines}",
+            self.id
+        );
         http::write_answer(&mut bytes, status, &lines, body);
-        (bytes, if close { Then::Close } else { Then::Keep })
+        (
+            bytes,
+            if close {
+                ConnectionAction::Close
+            } else {
+                ConnectionAction::Keep
+            },
+        )
     }
 }
 
