--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -4,8 +4,8 @@
 //! A front end submits an [`Authorisation`]; the host carries out the [`EngineAction`]s and reports
 //! their results. The engine maintains these invariants whatever the module or the host does:
 //!
-//! 1. Each authorisation gets one final answer.
-//! 2. An authorisation never has two attempts in flight, and none after its final answer.
+//! 1. Each authorisation gets one final response.
+//! 2. An authorisation never has two attempts in flight, and none after its final response.
 
 use std::fmt;
 
@@ -26,25 +26,25 @@
     pub plan: usize,
     /// The customer whose quota it uses.
     pub customer: CustomerId,
-    /// Deadline of the final answer.
+    /// Deadline of the final response.
     pub deadline: Micros,
     /// Units that it takes from the quota.
     pub units: f64,
     /// Number of limiters that the customer's requests are spread over.
-    pub limiter_count: u32,
+    pub customer_limiters: u32,
     /// Number of the first of these limiters.
     pub first_limiter: u32,
     /// Whether it is a client's retry; known only where clients say so.
-    pub is_retry: bool,
+    pub is_client_retry: bool,
     /// When the client's token expires; no attempt starts then or later.
     pub token_expires_at: Option<Micros>,
-    /// Its position in the priority order under overload, from 0 (shed last) to below 1.
-    pub priority_position: f64,
-    /// The share of the priority order, from its end, that is shed now.
+    /// Its rank in the shedding order, from 0 (shed last) to below 1.
+    pub shed_rank: f64,
+    /// The share of the shedding order, from its end, that is shed now.
     pub shed_share: f64,
 }
 
-/// A final answer that is not a server's response.
+/// A final response that is not a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineRejection {
     /// Declined: a retry is safe.
@@ -84,18 +84,18 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Send the final answer.
+    /// Send the final response.
     Reject {
         /// The authorisation.
         key: AuthorisationKey,
-        /// The answer.
+        /// The rejection.
         rejection: EngineRejection,
     },
     /// Add to a counter. Report the result with [`Engine::handle_counter_result`].
     AddToCounter {
         /// The counter.
-        name: CounterKey,
-        /// The amount.
+        key: CounterKey,
+        /// The amount to add.
         amount: f64,
         /// Lifetime of the counter, in microseconds, if the call creates it.
         ttl: Micros,
@@ -146,7 +146,7 @@
     may_have_run: bool,
     /// Part of the body was streamed and discarded: there can be no other attempt.
     is_body_discarded: bool,
-    /// The final answer was given, or is not owed any more.
+    /// The final response was given, or is not owed any more.
     is_finished: bool,
 }
 
@@ -167,7 +167,7 @@
     actions: Vec<Action>,
     /// Abandoned by their clients since the module last ran: it may still decide to send them.
     abandoned: Vec<AuthorisationKey>,
-    /// Number of authorisations whose final answer is owed.
+    /// Number of authorisations whose final response is owed.
     open_request_count: usize,
     plan_resolver: Option<PlanResolver>,
 }
@@ -203,12 +203,12 @@
         }
     }
 
-    /// Number of authorisations whose final answer is owed.
+    /// Number of authorisations whose final response is owed.
     pub fn open_request_count(&self) -> usize {
         self.open_request_count
     }
 
-    /// Deadline of an authorisation's final answer, while it is in the table.
+    /// Deadline of an authorisation's final response, while it is in the table.
     pub fn deadline(&self, key: AuthorisationKey) -> Option<Micros> {
         self.requests
             .get(key)
@@ -238,8 +238,8 @@
         self.requests.get(key)?.plan.as_ref()
     }
 
-    /// Submits an authorisation; from now on one final answer is owed. Its plan is the one in force
-    /// now, and does not change.
+    /// Submits an authorisation; from now on one final response is owed. Its plan is the one in
+    /// force now, and does not change.
     ///
     /// # Errors
     /// [`EngineError::TableFull`] if the table is full.
@@ -284,16 +284,16 @@
             customer: authorisation.customer,
             deadline: authorisation.deadline,
             units: authorisation.units,
-            customer_gateways: authorisation.limiter_count,
+            customer_gateways: authorisation.customer_limiters,
             first_gateway: authorisation.first_limiter,
-            is_client_retry: authorisation.is_retry,
-            shed_rank: authorisation.priority_position,
+            is_client_retry: authorisation.is_client_retry,
+            shed_rank: authorisation.shed_rank,
             shed_share: authorisation.shed_share,
         }));
         Ok(key)
     }
 
-    /// Handles the end of an attempt. Returns whether its answer is the final answer, to be
+    /// Handles the end of an attempt. Returns whether its response is the final response, to be
     /// forwarded now.
     pub fn handle_attempt_ended(
         &mut self,
@@ -301,7 +301,7 @@
         key: AuthorisationKey,
         attempt: u32,
         outcome: Outcome,
-        report: Option<LoadReport>,
+        load_report: Option<LoadReport>,
     ) -> bool {
         let Some(state) = self.requests.get_mut(key) else {
             return false;
@@ -309,8 +309,8 @@
         let Some(ended) = state.in_flight.take_if(|current| current.number == attempt) else {
             return false;
         };
-        let is_final_answer = outcome == Outcome::Ok && !state.is_finished;
-        state.is_finished |= is_final_answer;
+        let is_final_response = outcome == Outcome::Ok && !state.is_finished;
+        state.is_finished |= is_final_response;
         state.may_have_run |= !matches!(
             outcome,
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
@@ -319,7 +319,7 @@
         if finished {
             self.requests.remove(key);
         }
-        self.open_request_count -= usize::from(is_final_answer);
+        self.open_request_count -= usize::from(is_final_response);
         self.events.push(Event::AttemptEnd(AttemptEnd {
             request: request_id(key),
             attempt,
@@ -328,9 +328,9 @@
             elapsed: now - ended.sent_at,
             request_finished: finished,
             actual_units: None,
-            load_report: report,
+            load_report,
         }));
-        is_final_answer
+        is_final_response
     }
 
     /// The last byte of an attempt is written. Its duration is measured from now on, so that a slow
@@ -353,7 +353,7 @@
         }
     }
 
-    /// The client disconnected: no answer is owed, and an attempt in flight is cancelled.
+    /// The client disconnected: no response is owed, and an attempt in flight is cancelled.
     pub fn handle_client_disconnected(
         &mut self,
         now: Micros,
@@ -367,9 +367,9 @@
     }
 
     /// Handles the result of a counter call.
-    pub fn handle_counter_result(&mut self, name: CounterKey, outcome: Outcome, total: f64) {
-        self.events.push(Event::CounterAnswered {
-            key: name,
+    pub fn handle_counter_result(&mut self, key: CounterKey, outcome: Outcome, total: f64) {
+        self.events.push(Event::CounterResult {
+            key,
             outcome,
             total,
         });
@@ -377,7 +377,7 @@
 
     /// Handles the result of a counter call that had timed out.
     pub fn handle_late_counter_result(&mut self) {
-        self.events.push(Event::LateCounterAnswer);
+        self.events.push(Event::LateCounterResult);
     }
 
     /// Another counter has taken over, and starts without counts.
@@ -390,12 +390,12 @@
         &mut self,
         server: ServerId,
         outcome: Outcome,
-        report: Option<LoadReport>,
+        load_report: Option<LoadReport>,
     ) {
         self.events.push(Event::ProbeEnd {
             server,
             outcome,
-            load_report: report,
+            load_report,
         });
     }
 
@@ -466,13 +466,13 @@
             ),
             Action::Shed {
                 request,
-                retry_after: stay_away,
+                retry_after,
                 over_quota,
             } => self.reject(
                 now,
                 authorisation_key(request),
                 EngineRejection::Declined {
-                    retry_after: stay_away,
+                    retry_after,
                     over_quota,
                 },
                 engine_actions,
@@ -500,15 +500,9 @@
                     self.handle_attempt_ended(now, key, attempt, Outcome::Cancelled, None);
                 }
             }
-            Action::AddToCounter {
-                key: name,
-                amount: add,
-                expires_in: expires,
-            } => engine_actions.push(EngineAction::AddToCounter {
-                name,
-                amount: add,
-                ttl: expires,
-            }),
+            Action::AddToCounter { key, amount, ttl } => {
+                engine_actions.push(EngineAction::AddToCounter { key, amount, ttl })
+            }
             Action::NotifyGateway(limiter, notice) => {
                 engine_actions.push(EngineAction::Notify(limiter, notice))
             }
@@ -536,7 +530,7 @@
         };
         let attempt = state.attempt_count;
         state.attempt_count += 1;
-        // Invariant 2: never two attempts in flight, and none after the final answer. The module
+        // Invariant 2: never two attempts in flight, and none after the final response. The module
         // must be told that this attempt has ended: otherwise it would count it as in flight at
         // that server for ever.
         if state.in_flight.is_some() || state.is_finished {
@@ -622,7 +616,7 @@
         rejection: EngineRejection,
         engine_actions: &mut Vec<EngineAction>,
     ) {
-        // Invariant 1: a second final answer is dropped.
+        // Invariant 1: a second final response is dropped.
         if self.finish_request(key, false) {
             engine_actions.push(EngineAction::Reject { key, rejection });
             self.cancel_attempt(now, key, engine_actions);
--- a/crates/limiter/src/counter_client.rs
+++ b/crates/limiter/src/counter_client.rs
@@ -14,9 +14,9 @@
 struct PendingCall {
     /// Index of the engine of the host that made the call.
     engine_index: usize,
-    name: CounterKey,
+    key: CounterKey,
     /// Amount to add to the counter.
-    delta: f64,
+    amount: f64,
     /// Lifetime of the counter, if the call creates it.
     ttl: Micros,
     deadline: Micros,
@@ -32,7 +32,7 @@
     /// Index of the engine of the host that made the call.
     pub engine_index: usize,
     /// The counter.
-    pub name: CounterKey,
+    pub key: CounterKey,
     /// How the call ended.
     pub outcome: Outcome,
     /// The counter's total after the call if it succeeded, else 0.
@@ -57,7 +57,7 @@
     fn result(&self, outcome: Outcome) -> CounterResult {
         CounterResult {
             engine_index: self.engine_index,
-            name: self.name,
+            key: self.key,
             outcome,
             total: 0.0,
         }
@@ -101,20 +101,20 @@
 }
 
 impl CounterConnection {
-    /// Queues a call that adds `delta` to the counter `name`; a counter that it creates lives for `ttl`. The call fails if
+    /// Queues a call that adds `amount` to the counter `key`; a counter that it creates lives for `ttl`. The call fails if
     /// it has no response by `deadline`.
     pub fn enqueue(
         &mut self,
         engine_index: usize,
-        name: CounterKey,
-        delta: f64,
+        key: CounterKey,
+        amount: f64,
         ttl: Micros,
         deadline: Micros,
     ) {
         self.unsent.push_back(PendingCall {
             engine_index,
-            name,
-            delta,
+            key,
+            amount,
             ttl,
             deadline,
             written_at: 0,
@@ -139,7 +139,7 @@
             let _ = write!(
                 out,
                 "POST /v2/numbers/{}?delta={}&life_ms={ttl_ms} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n",
-                call.name.0, call.delta
+                call.key.0, call.amount
             );
             self.in_flight.push_back(call);
         }
--- a/crates/limiter/src/frontend/platform.rs
+++ b/crates/limiter/src/frontend/platform.rs
@@ -38,10 +38,10 @@
 pub struct CommonFields {
     /// Position of the class.
     pub class: usize,
-    /// Deadline of the final answer.
+    /// Deadline of the final response.
     pub deadline: Micros,
     /// Whether it is a client's retry.
-    pub is_retry: bool,
+    pub is_client_retry: bool,
 }
 
 impl PlatformFrontend {
@@ -103,11 +103,11 @@
         Ok(CommonFields {
             class,
             deadline,
-            is_retry: headers.get("X-Second-Try") == Some("1"),
+            is_client_retry: headers.get("X-Second-Try") == Some("1"),
         })
     }
 
-    /// The deadline of the final answer by `X-Expires-In`, which gives the client's time-out in seconds; `None` if it is
+    /// The deadline of the final response by `X-Expires-In`, which gives the client's time-out in seconds; `None` if it is
     /// missing or invalid.
     pub fn parse_deadline(
         &self,
@@ -121,7 +121,7 @@
             .filter(|s| *s > 0.0 && *s <= MAX_WAIT_S)?;
         let wait = (wait_s * 1e6) as Micros;
         // The client's time-out runs from when it sent the request, and the answer takes time to travel back: without this
-        // margin the final answer could arrive after the client has given up.
+        // margin the final response could arrive after the client has given up.
         Some(now + wait - limits.response_margin.min(wait / 2))
     }
 
@@ -145,16 +145,17 @@
         let terms = headers
             .get("X-Call-Terms")
             .ok_or(reject(400, "X-Call-Terms"))?;
-        let (units, (spread, first)) = self.parse_call_terms(terms, limits, None)?;
+        let (units, (customer_limiters, first_limiter)) =
+            self.parse_call_terms(terms, limits, None)?;
         Ok(Authorisation {
             class: fields.class,
             plan,
             customer: customer_in_query(&request.target).ok_or(reject(400, "account"))?,
             deadline: fields.deadline,
             units,
-            limiter_count: spread,
-            first_limiter: first,
-            is_retry: fields.is_retry,
+            customer_limiters,
+            first_limiter,
+            is_client_retry: fields.is_client_retry,
             token_expires_at: None,
             ..Authorisation::default()
         })
--- a/crates/limiter/src/net/host/counter_calls.rs
+++ b/crates/limiter/src/net/host/counter_calls.rs
@@ -117,7 +117,7 @@
         for result in results {
             self.services[result.engine_index]
                 .engine
-                .handle_counter_result(result.name, result.outcome, result.total);
+                .handle_counter_result(result.key, result.outcome, result.total);
         }
     }
 }
--- a/crates/limiter/src/net/host/introspection.rs
+++ b/crates/limiter/src/net/host/introspection.rs
@@ -133,7 +133,7 @@
                     customer: introspection::internal_customer(),
                     deadline: bearer_request.common_fields.deadline,
                     units: 1.0,
-                    limiter_count: 1,
+                    customer_limiters: 1,
                     ..Authorisation::default()
                 };
                 let upstream_request = frontend.endpoint.build_request(&bearer_request.token);
@@ -176,9 +176,9 @@
             customer: identity.customer,
             deadline: common_fields.deadline,
             units,
-            limiter_count: self.platform.limiter_count.max(1),
+            customer_limiters: self.platform.limiter_count.max(1),
             first_limiter: 0,
-            is_retry: common_fields.is_retry,
+            is_client_retry: common_fields.is_client_retry,
             token_expires_at: identity.expires_at,
             ..Authorisation::default()
         };
@@ -223,7 +223,7 @@
             customer: caller.customer,
             deadline: requested_deadline.unwrap_or(now + self.limits.introspection_timeout),
             units: 1.0,
-            limiter_count: self.platform.limiter_count.max(1),
+            customer_limiters: self.platform.limiter_count.max(1),
             ..Authorisation::default()
         };
         let upstream_request = frontend.endpoint.build_request(&token);
--- a/crates/limiter/src/net/host/mod.rs
+++ b/crates/limiter/src/net/host/mod.rs
@@ -721,8 +721,8 @@
             EngineAction::Reject { key, rejection } => {
                 self.handle_engine_rejection((service, key), rejection)
             }
-            EngineAction::AddToCounter { name, amount, ttl } => {
-                let index = (name.0 % self.counter_connections.len().max(1) as u64) as usize;
+            EngineAction::AddToCounter { key, amount, ttl } => {
+                let index = (key.0 % self.counter_connections.len().max(1) as u64) as usize;
                 let deadline = now + self.limits.counter_timeout;
                 let (counter_connection, limits) = (&self.counter_connections[index], &self.limits);
                 let is_unusable = counter_connection
@@ -733,7 +733,7 @@
                     // behind calls that a dead counter never answers.
                     self.handle_broken_connection(old);
                 }
-                self.counter_connections[index].enqueue(service, name, amount, ttl, deadline);
+                self.counter_connections[index].enqueue(service, key, amount, ttl, deadline);
                 self.deadlines
                     .schedule(deadline, Timer::CounterTimeout(index));
                 if self.counter_connections[index].connection.is_none() {
--- a/crates/limiter/tests/models.rs
+++ b/crates/limiter/tests/models.rs
@@ -179,7 +179,7 @@
             }
             if !reported
                 .iter()
-                .map(|c| (c.name.0, c.outcome))
+                .map(|c| (c.key.0, c.outcome))
                 .eq(expected.iter().copied())
             {
                 return false;
@@ -471,7 +471,7 @@
                         customer: CustomerId(u64::from(choice % 4)),
                         deadline: now_us + 1_000_000,
                         units: 1.0,
-                        limiter_count: 1,
+                        customer_limiters: 1,
                         token_expires_at: (choice > 200).then_some(now_us + 100_000),
                         ..Authorisation::default()
                     };
@@ -558,8 +558,8 @@
                     }
                     EngineAction::Reject { key, .. } => find_request(&mut requests, key)
                         .is_some_and(|request| !std::mem::replace(&mut request.is_ended, true)),
-                    EngineAction::AddToCounter { name, .. } => {
-                        counter_calls.push_back(name);
+                    EngineAction::AddToCounter { key, .. } => {
+                        counter_calls.push_back(key);
                         true
                     }
                     EngineAction::Probe(_) | EngineAction::Notify(..) | EngineAction::Log(_) => {
@@ -603,7 +603,7 @@
             customer: CustomerId(customer),
             deadline: now_us + 1_000_000,
             units: 1.0,
-            limiter_count: 1,
+            customer_limiters: 1,
             ..Authorisation::default()
         };
         let key = engine.submit(now_us, authorisation).unwrap();
@@ -611,8 +611,8 @@
         now_us += 10_000;
         engine.run(now_us, &mut actions);
         for action in std::mem::take(&mut actions) {
-            if let EngineAction::AddToCounter { name, .. } = action {
-                engine.handle_counter_result(name, Outcome::Ok, 1.0);
+            if let EngineAction::AddToCounter { key, .. } = action {
+                engine.handle_counter_result(key, Outcome::Ok, 1.0);
             }
         }
         // The counter's response and the client's disconnect reach the engine in the same run.
--- a/crates/limiter/tests/plan_changes.rs
+++ b/crates/limiter/tests/plan_changes.rs
@@ -108,7 +108,7 @@
             customer: CustomerId(9),
             deadline: self.now_us + 4 * SECOND_US,
             units: 1.0,
-            limiter_count: 2,
+            customer_limiters: 2,
             ..Authorisation::default()
         };
         self.engines[limiter]
@@ -139,9 +139,9 @@
                             None,
                         );
                     }
-                    EngineAction::AddToCounter { name, amount, .. } => {
-                        *self.totals.entry(name).or_default() += amount;
-                        self.pending_counter_calls.push((limiter, name));
+                    EngineAction::AddToCounter { key, amount, .. } => {
+                        *self.totals.entry(key).or_default() += amount;
+                        self.pending_counter_calls.push((limiter, key));
                     }
                     EngineAction::Reject {
                         rejection: EngineRejection::Declined { .. },
--- a/crates/load/src/fleet/mod.rs
+++ b/crates/load/src/fleet/mod.rs
@@ -615,7 +615,7 @@
                 self.later(
                     wait,
                     gateway,
-                    Event::CounterAnswered {
+                    Event::CounterResult {
                         key: name,
                         outcome,
                         total,
--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    /// The number of requests without a final answer.
+    /// The number of requests without a final response.
     pub fn open_request_count(&self) -> usize {
         self.0.lock().engine.open_request_count()
     }
@@ -187,12 +187,12 @@
                     .remove(&key)
                     .map(|sender| sender.send(Decision::Reject(rejection)));
             }
-            EngineAction::AddToCounter { name, amount, ttl } => {
+            EngineAction::AddToCounter { key, amount, ttl } => {
                 let (shared, counter) = (shared.clone(), counter.clone());
                 tokio::spawn(async move {
                     let ttl = Duration::from_micros(ttl.max(0) as u64);
                     let total =
-                        tokio::time::timeout(counter_timeout, counter.add(name, amount, ttl))
+                        tokio::time::timeout(counter_timeout, counter.add(key, amount, ttl))
                             .await
                             .ok()
                             .flatten();
@@ -204,7 +204,7 @@
                     shared
                         .lock()
                         .engine
-                        .handle_counter_result(name, outcome, total.unwrap_or(0.0));
+                        .handle_counter_result(key, outcome, total.unwrap_or(0.0));
                     shared.wake.notify_one();
                 });
             }
--- a/crates/middleware/tests/axum.rs
+++ b/crates/middleware/tests/axum.rs
@@ -59,7 +59,7 @@
             customer,
             deadline,
             units: 1.0,
-            limiter_count: 1,
+            customer_limiters: 1,
             ..Authorisation::default()
         })
     });
--- a/crates/overload/src/admission_controller.rs
+++ b/crates/overload/src/admission_controller.rs
@@ -2,7 +2,7 @@
 //!
 //! The admitted rate decreases with the share of attempts that were slow or rejected, though not
 //! below what the servers answer in time, and increases in small steps while there is little
-//! queueing. Each evaluation computes the threshold in the priority order from the load offered
+//! queueing. Each evaluation computes the threshold in the shedding order from the load offered
 //! at that time, so that a surge is shed at once and not only by the next decrease of the rate.
 
 use std::collections::BTreeMap;
@@ -71,7 +71,7 @@
 pub struct AdmissionLevel {
     /// Name of the service.
     pub service: String,
-    /// Requests beyond this position in the priority order are rejected.
+    /// Requests beyond this rank in the shedding order are rejected.
     pub threshold: f64,
     /// Requests per second that all limiters together admit. With `None` they admit all requests
     /// and only report.
--- a/crates/overload/src/overload_detector.rs
+++ b/crates/overload/src/overload_detector.rs
@@ -2,7 +2,7 @@
 //!
 //! In each iteration of its event loop the host records how long the input has waited and how full
 //! its tables are. A long mean wait decreases the admitted rate, which increases again while the
-//! node keeps up. Rejections follow the same priority order as for services, so that an overloaded
+//! node keeps up. Rejections follow the same shedding order as for services, so that an overloaded
 //! node rejects the lowest tiers first, before the work that it has accepted is late.
 
 use crate::priority::{BANDS, threshold};
@@ -109,7 +109,7 @@
         self.admitted += u32::from(is_admitted);
     }
 
-    /// The threshold: requests beyond this position in the priority order are rejected.
+    /// The threshold: requests beyond this rank in the shedding order are rejected.
     pub fn threshold(&self) -> f64 {
         let offered: f64 = self.offered_rates.iter().sum();
         let shed_share = ((self.fill_level - SHEDDING_FILL_LEVEL) / (1.0 - SHEDDING_FILL_LEVEL))
--- a/crates/overload/src/priority.rs
+++ b/crates/overload/src/priority.rs
@@ -1,4 +1,4 @@
-//! The priority order of requests, the same at every limiter.
+//! The shedding order of requests, the same at every limiter.
 
 /// Number of tiers. Higher tier numbers count as the last tier.
 pub const TIERS: u32 = 4;
@@ -11,17 +11,17 @@
     (tier.min(TIERS - 1) * TIERS + rank.min(TIERS - 1)) as usize
 }
 
-/// The position of a request in the priority order, from 0 (rejected last) to below 1: by band, and
-/// within the band by a hash of its id. All limiters compute the same position for a request; a
+/// The rank of a request in the shedding order, from 0 (rejected last) to below 1: by band, and
+/// within the band by a hash of its id. All limiters compute the same rank for a request; a
 /// retry under a new id gets a new one.
-pub fn position(band: usize, id: &str) -> f64 {
+pub fn shed_rank(band: usize, id: &str) -> f64 {
     // FNV-1a with a finalizer, which spreads ids that differ only in their last character.
     let mut hash = id.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     });
     hash = (hash ^ (hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let position_in_band = ((hash ^ (hash >> 32)) >> 11) as f64 / (1_u64 << 53) as f64;
-    (band as f64 + position_in_band) / BANDS as f64
+    let rank_in_band = ((hash ^ (hash >> 32)) >> 11) as f64 / (1_u64 << 53) as f64;
+    (band as f64 + rank_in_band) / BANDS as f64
 }
 
 /// The threshold that admits `admitted_rate` requests per second of the rates offered in each band.
--- a/crates/overload/src/priority/tests.rs
+++ b/crates/overload/src/priority/tests.rs
@@ -3,11 +3,11 @@
 
 #[test]
 fn tier_precedes_rank_and_ids_spread_evenly() {
-    assert!(position(band(0, 3), "x") < position(band(1, 0), "y"));
-    assert!(position(band(2, 1), "x") < position(band(2, 2), "x"));
-    assert!(position(band(9, 9), "x") < 1.0);
+    assert!(shed_rank(band(0, 3), "x") < shed_rank(band(1, 0), "y"));
+    assert!(shed_rank(band(2, 1), "x") < shed_rank(band(2, 2), "x"));
+    assert!(shed_rank(band(9, 9), "x") < 1.0);
     let count = (0..1_000)
-        .filter(|n| position(0, &format!("id-{n}")) * (BANDS as f64) < 0.3)
+        .filter(|n| shed_rank(0, &format!("id-{n}")) * (BANDS as f64) < 0.3)
         .count();
     assert!((260..340).contains(&count), "{count}");
 }
--- a/crates/overload/tests/node.rs
+++ b/crates/overload/tests/node.rs
@@ -99,7 +99,7 @@
         self.last_id += 1;
         let band = priority::band(kind as u32 * 2, 1);
         let is_admitted = !self.sheds
-            || priority::position(band, &self.last_id.to_string()) < self.detector.threshold();
+            || priority::shed_rank(band, &self.last_id.to_string()) < self.detector.threshold();
         self.detector.record_request(band, is_admitted);
         self.windows[second].offered[kind] += 1.0;
         self.windows[second].admitted[kind] += f64::from(u8::from(is_admitted));
--- a/crates/overload/tests/overload.rs
+++ b/crates/overload/tests/overload.rs
@@ -172,7 +172,7 @@
         } else {
             admission.threshold(now, "s")
         };
-        let is_admitted = priority::position(band, &self.last_id.to_string()) < threshold;
+        let is_admitted = priority::shed_rank(band, &self.last_id.to_string()) < threshold;
         admission.record_request("s", band, is_admitted);
         if !is_admitted {
             return self.handle_rejection(request);
@@ -192,7 +192,7 @@
     fn send_attempt(&mut self, request: ClientRequest, limiter: usize, attempt: u64) -> bool {
         let now = self.now;
         let draw = |salt: u64| {
-            priority::position(0, &format!("{} {attempt} {salt}", self.last_id)) * BANDS as f64
+            priority::shed_rank(0, &format!("{} {attempt} {salt}", self.last_id)) * BANDS as f64
         };
         let (first, second) = (self.server_index(draw(1)), self.server_index(draw(2)));
         let work = MEAN_WORK as f64 * self.slowdown * (0.4 + 1.2 * draw(3));
--- a/crates/proxy/src/router/mod.rs
+++ b/crates/proxy/src/router/mod.rs
@@ -297,8 +297,8 @@
             customer: customer_id(tenant_name),
             deadline: request.deadline,
             units: 1.0,
-            limiter_count: divisor,
-            priority_position: priority.position,
+            customer_limiters: divisor,
+            shed_rank: priority.shed_rank,
             shed_share: priority.shed_share,
             ..Authorisation::default()
         };
@@ -409,9 +409,9 @@
                 RequestHandle { engine_index, key },
                 rejection,
             )),
-            EngineAction::AddToCounter { name, amount, ttl } => {
+            EngineAction::AddToCounter { key, amount, ttl } => {
                 actions.push(RouterAction::AddToCounter(CounterAdd {
-                    counter: name.0,
+                    counter: key.0,
                     units: amount,
                     ttl_us: ttl,
                 }));
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -171,15 +171,15 @@
             ..
         } = pending;
         let SheddingPriority {
-            position: priority_position,
+            shed_rank,
             shed_share,
             ..
         } = priority;
         let authorisation = Authorisation {
             class,
             deadline,
-            limiter_count: 1,
-            priority_position,
+            customer_limiters: 1,
+            shed_rank,
             shed_share,
             ..Authorisation::default()
         };
--- a/crates/proxy/src/shedding.rs
+++ b/crates/proxy/src/shedding.rs
@@ -39,8 +39,8 @@
 pub struct SheddingPriority {
     /// Its priority band.
     pub band: usize,
-    /// Its position in the priority order, from 0 to below 1.
-    pub position: f64,
+    /// Its rank in the shedding order, from 0 to below 1.
+    pub shed_rank: f64,
     /// The share of the order, from its end, that is currently rejected.
     pub shed_share: f64,
 }
@@ -49,14 +49,14 @@
     /// The priority of a request that is to be rejected in any case.
     pub const REJECTED: SheddingPriority = SheddingPriority {
         band: 0,
-        position: 0.0,
+        shed_rank: 0.0,
         shed_share: 1.0,
     };
 
     /// Whether the decision module rejects the request.
     pub fn is_shed(&self) -> bool {
         streamarch::should_shed(&Request {
-            shed_rank: self.position,
+            shed_rank: self.shed_rank,
             shed_share: self.shed_share,
             ..Request::default()
         })
@@ -90,7 +90,7 @@
                 .min(self.overload_detector.threshold());
         SheddingPriority {
             band,
-            position: priority::position(band, request.request_id),
+            shed_rank: priority::shed_rank(band, request.request_id),
             shed_share,
         }
     }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -136,14 +136,10 @@
                     self.request_name(*request)
                 )
             }
-            Action::AddToCounter {
-                key,
-                amount,
-                expires_in,
-            } => {
+            Action::AddToCounter { key, amount, ttl } => {
                 writeln!(
                     out,
-                    "tally\tAdd={amount}\tSlotName={}\tExpireInUs={expires_in}",
+                    "tally\tAdd={amount}\tSlotName={}\tExpireInUs={ttl}",
                     key.0
                 )
             }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -217,7 +217,7 @@
 
 /// Parses the answer to a call to the counter service.
 pub fn counter_answer(fields: &Fields) -> Result<Event, InputError> {
-    Ok(Event::CounterAnswered {
+    Ok(Event::CounterResult {
         key: CounterKey(fields.required_integer("SlotName")?),
         outcome: outcome(fields)?,
         total: fields.optional_float("Total")?.unwrap_or(0.0),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -370,7 +370,7 @@
     /// The client disconnected; it gets no response.
     ClientDisconnected(RequestId),
     /// A call to the counter service ended.
-    CounterAnswered {
+    CounterResult {
         /// Key of the counter.
         key: CounterKey,
         /// Outcome of the call.
@@ -378,8 +378,8 @@
         /// Value of the counter after the call, where the call succeeded.
         total: f64,
     },
-    /// The counter service answered a call after its timeout: it is alive but slow.
-    LateCounterAnswer,
+    /// A call to the counter service was answered after its timeout: it is alive but slow.
+    LateCounterResult,
     /// Another counter service has taken over; it starts empty.
     CounterReplaced,
     /// A probe ended.
@@ -436,7 +436,7 @@
         /// The amount to add; negative to give units back, 0 to read the total.
         amount: f64,
         /// Lifetime of the counter, if this call creates it.
-        expires_in: Micros,
+        ttl: Micros,
     },
     /// Send a notice to the gateway with this index.
     NotifyGateway(u32, OverQuotaNotice),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -120,14 +120,14 @@
                     .map(|state| state.is_streaming = true)
             }
             Event::ClientDisconnected(id) => self.on_client_disconnected(*id),
-            Event::CounterAnswered {
+            Event::CounterResult {
                 key: name,
                 outcome,
                 total,
             } => self.on_counter_answer(*name, *outcome, *total),
             // A slow or overloaded counter must not count as lost: it gets fewer calls until it answers in
             // time.
-            Event::LateCounterAnswer => {
+            Event::LateCounterResult => {
                 self.counter_health.consecutive_failures *= u32::from(self.is_counter_lost())
             }
             Event::CounterReplaced => {
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -409,7 +409,7 @@
         self.actions.push(Action::AddToCounter {
             key,
             amount: call.amount,
-            expires_in: 2 * window + SECOND,
+            ttl: 2 * window + SECOND,
         });
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -225,7 +225,7 @@
             for (key, amount) in pending {
                 let total = self.0.entry(key).or_default();
                 *total += amount;
-                follow_ups.extend(gateway.handle_event(Event::CounterAnswered {
+                follow_ups.extend(gateway.handle_event(Event::CounterResult {
                     key,
                     outcome: Outcome::Ok,
                     total: *total,
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -112,7 +112,7 @@
         gateway.now += 10 * MS;
         let (id, mut actions) = gateway.send_request(0, 1, customer);
         for (key, _) in counter_calls(&actions) {
-            actions.extend(gateway.handle_event(Event::CounterAnswered {
+            actions.extend(gateway.handle_event(Event::CounterResult {
                 key,
                 outcome: Outcome::TimedOut,
                 total: 0.0,
@@ -145,7 +145,7 @@
         calls.extend(counter_calls(&gateway.send_request(0, 1, customer).1));
     }
     assert!(calls.len() >= 8);
-    let timed_out = |(key, _)| Event::CounterAnswered {
+    let timed_out = |(key, _)| Event::CounterResult {
         key,
         outcome: Outcome::TimedOut,
         total: 0.0,
@@ -177,12 +177,12 @@
             } else {
                 Outcome::Ok
             };
-            actions.extend(gateway.handle_event(Event::CounterAnswered {
+            actions.extend(gateway.handle_event(Event::CounterResult {
                 key,
                 outcome,
                 total: 0.0,
             }));
-            gateway.handle_event(Event::LateCounterAnswer);
+            gateway.handle_event(Event::LateCounterResult);
         }
         for (_, server) in sent_attempts(&actions) {
             sent += 1;
@@ -201,12 +201,12 @@
         let (id, mut actions) = gateway.send_request(0, 1, customer);
         for (key, _) in counter_calls(&actions) {
             calls[usize::from(customer >= 200)] += 1;
-            actions.extend(gateway.handle_event(Event::CounterAnswered {
+            actions.extend(gateway.handle_event(Event::CounterResult {
                 key,
                 outcome: Outcome::TimedOut,
                 total: 0.0,
             }));
-            gateway.handle_event(Event::LateCounterAnswer);
+            gateway.handle_event(Event::LateCounterResult);
         }
         for (_, server) in sent_attempts(&actions) {
             gateway.end_attempt(id, 0, server, Outcome::Ok);
@@ -332,13 +332,11 @@
         let (id, actions) = gateway.send_request(0, 1, 1_000 + n);
         let mut sent = sent_attempts(&actions);
         for (key, _) in counter_calls(&actions) {
-            sent.extend(sent_attempts(&gateway.handle_event(
-                Event::CounterAnswered {
-                    key,
-                    outcome: Outcome::Rejected,
-                    total: 0.0,
-                },
-            )));
+            sent.extend(sent_attempts(&gateway.handle_event(Event::CounterResult {
+                key,
+                outcome: Outcome::Rejected,
+                total: 0.0,
+            })));
         }
         sent.into_iter()
             .for_each(|(_, server)| drop(gateway.end_attempt(id, 0, server, Outcome::Ok)));
@@ -395,7 +393,7 @@
         let is_new = |(key, _): &(CounterKey, f64)| !counter.0.contains_key(key);
         if let Some((key, amount)) = counter_calls(&actions).into_iter().find(is_new) {
             *counter.0.entry(key).or_default() += amount;
-            actions.extend(gateway.handle_event(Event::CounterAnswered {
+            actions.extend(gateway.handle_event(Event::CounterResult {
                 key,
                 outcome: Outcome::TimedOut,
                 total: 0.0,
@@ -435,13 +433,11 @@
             } else {
                 Outcome::Rejected
             };
-            sent.extend(sent_attempts(&gateway.handle_event(
-                Event::CounterAnswered {
-                    key,
-                    outcome,
-                    total: 1.0,
-                },
-            )));
+            sent.extend(sent_attempts(&gateway.handle_event(Event::CounterResult {
+                key,
+                outcome,
+                total: 1.0,
+            })));
         }
         sent.into_iter()
             .for_each(|(_, server)| drop(gateway.end_attempt(id, 0, server, Outcome::Ok)));
@@ -573,7 +569,7 @@
             actions = counter.answer(&mut gateway, actions);
         } else {
             for (key, _) in counter_calls(&actions) {
-                actions.extend(gateway.handle_event(Event::CounterAnswered {
+                actions.extend(gateway.handle_event(Event::CounterResult {
                     key,
                     outcome: Outcome::TimedOut,
                     total: 0.0,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -10,7 +10,7 @@
 fn answer_all(gateway: &mut Gateway, actions: &[Action], outcome: Outcome) -> Vec<Action> {
     let keys = counter_calls(actions).into_iter().map(|(key, _)| key);
     keys.flat_map(|key| {
-        gateway.handle_event(Event::CounterAnswered {
+        gateway.handle_event(Event::CounterResult {
             key,
             outcome,
             total: 1.0,
@@ -200,7 +200,7 @@
     let mut gateway = Gateway::new(settings());
     let (_, first) = gateway.send_request(0, 1, 9);
     let key = counter_calls(&first)[0].0;
-    let answer = |total| Event::CounterAnswered {
+    let answer = |total| Event::CounterResult {
         key,
         outcome: Outcome::Ok,
         total,
@@ -308,7 +308,7 @@
         let (id, actions) = gateway.send_request(0, 1, 9);
         let keys = counter_calls(&actions).into_iter().map(|(key, _)| key);
         let answer = |key| {
-            gateway.handle_event(Event::CounterAnswered {
+            gateway.handle_event(Event::CounterResult {
                 key,
                 outcome,
                 total: 9.5,
@@ -345,7 +345,7 @@
     for _ in 0..400 {
         let (_, actions) = gateway.send_request(0, 1, customer);
         if let Some((key, _)) = counter_calls(&actions).first().copied() {
-            return gateway.handle_event(Event::CounterAnswered {
+            return gateway.handle_event(Event::CounterResult {
                 key,
                 outcome: Outcome::Ok,
                 total: 900.0,
@@ -481,7 +481,7 @@
             answer_all(gateway, &actions, Outcome::Rejected);
         }
         let (_, actions) = gateway.send_request(0, 2, 9);
-        let answer = |key| Event::CounterAnswered {
+        let answer = |key| Event::CounterResult {
             key,
             outcome: Outcome::Ok,
             total: 4.0,
@@ -516,7 +516,7 @@
         counter_calls(&actions)
             .first()
             .is_some_and(|(key, amount)| {
-                let follow_ups = gateway.handle_event(Event::CounterAnswered {
+                let follow_ups = gateway.handle_event(Event::CounterResult {
                     key: *key,
                     outcome: Outcome::Ok,
                     total: *amount,
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -217,7 +217,7 @@
         kind: ListKind::Failed,
         entries: vec![],
     });
-    gateway.handle_event(Event::CounterAnswered {
+    gateway.handle_event(Event::CounterResult {
         key: CounterKey(5),
         outcome: Outcome::Ok,
         total: f64::MAX,
