--- a/crates/dataplane/src/engine.rs
+++ b/crates/dataplane/src/engine.rs
@@ -138,7 +138,7 @@
 #[derive(Debug)]
 struct RequestState {
     authorisation: Authorisation,
-    /// The plan that the plan book resolved, where there is a book.
+    /// The plan that the plan resolver found, where there is one.
     plan: Option<ResolvedPlan>,
     /// Number of attempts that the module has ordered.
     attempt_count: u32,
@@ -306,7 +306,8 @@
         let Some(state) = self.requests.get_mut(key) else {
             return false;
         };
-        let Some(ended) = state.in_flight.take_if(|current| current.number == attempt) else {
+        let Some(ended_attempt) = state.in_flight.take_if(|current| current.number == attempt)
+        else {
             return false;
         };
         let is_final_response = outcome == Outcome::Ok && !state.is_finished;
@@ -315,18 +316,18 @@
             outcome,
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
-        let finished = state.is_finished;
-        if finished {
+        let request_finished = state.is_finished;
+        if request_finished {
             self.requests.remove(key);
         }
         self.open_request_count -= usize::from(is_final_response);
         self.events.push(Event::AttemptEnd(AttemptEnd {
             request: request_id(key),
             attempt,
-            server: ended.server,
+            server: ended_attempt.server,
             outcome,
-            elapsed: now - ended.sent_at,
-            request_finished: finished,
+            elapsed: now - ended_attempt.sent_at,
+            request_finished,
             actual_units: None,
             load_report,
         }));
@@ -531,7 +532,7 @@
         let attempt = state.attempt_count;
         state.attempt_count += 1;
         // Invariant 2: never two attempts in flight, and none after the final response. The module
-        // must be told that this attempt has ended: otherwise it would count it as in flight at
+        // must learn that this attempt has ended: otherwise it would count it as in flight at
         // that server for ever.
         if state.in_flight.is_some() || state.is_finished {
             let end = AttemptEnd {
--- a/crates/dataplane/src/plan_resolver.rs
+++ b/crates/dataplane/src/plan_resolver.rs
@@ -148,7 +148,7 @@
             return (*position, plan);
         }
         let Figures { rate, burst } = terms.figures;
-        let added = Plan {
+        let added_plan = Plan {
             rate_per_s: rate,
             burst,
             inherited_window: window,
@@ -156,9 +156,9 @@
             ..self.plans[plan].clone()
         };
         let position = self.plans.len();
-        self.plans.push(added.clone());
+        self.plans.push(added_plan.clone());
         self.added_positions.insert(key, position);
-        new_plans.push(added);
+        new_plans.push(added_plan);
         (position, plan)
     }
 }
--- a/crates/limiter/src/frontend/introspection.rs
+++ b/crates/limiter/src/frontend/introspection.rs
@@ -126,7 +126,7 @@
                 .iter()
                 .position(|name| name == plan)
                 .ok_or(InvalidIntrospectionResponse("unknown plan"))?;
-            let expires = match members.get("exp") {
+            let expires_at = match members.get("exp") {
                 None => None,
                 Some(exp) => {
                     let seconds = exp
@@ -137,13 +137,13 @@
                 }
             };
             // A server may call a token active although it has expired.
-            if expires.is_some_and(|at| at <= now) {
+            if expires_at.is_some_and(|at| at <= now) {
                 return Err(InvalidIntrospectionResponse("token active but expired"));
             }
             Ok(IntrospectionResult::Active(Identity {
                 customer: subject,
                 plan,
-                expires_at: expires,
+                expires_at,
             }))
         }
     }
--- a/crates/limiter/src/routing_table/tests.rs
+++ b/crates/limiter/src/routing_table/tests.rs
@@ -139,11 +139,14 @@
             .all(|(a, b)| a.server == b.server)
     );
     assert!(!table.has_usable_server());
-    let gone = table
+    let removal_update = table
         .apply_line(&list_line(3, false, &all("Gone")))
         .unwrap()
         .unwrap();
-    assert_eq!((gone.entries.len(), gone.removed.len()), (60, 60));
+    assert_eq!(
+        (removal_update.entries.len(), removal_update.removed.len()),
+        (60, 60)
+    );
     // Repeating the removals, or sending an empty full list, changes nothing.
     for again in [list_line(3, false, &all("Gone")), list_line(4, true, &[])] {
         let update = table.apply_line(&again).unwrap().unwrap();
--- a/crates/proxy/src/host/agent_link.rs
+++ b/crates/proxy/src/host/agent_link.rs
@@ -112,15 +112,14 @@
     fn handle_control_message(&mut self, now: Micros, message: ControlMessage) {
         match message {
             ControlMessage::ClusterView(ClusterView {
-                limiter_count: limiters,
-                counter: counter_owner,
+                limiter_count,
+                counter,
                 has_quorum,
                 ..
             }) => {
-                self.router.set_limiter_count(now, limiters);
+                self.router.set_limiter_count(now, limiter_count);
                 self.router.set_isolated(!has_quorum);
-                self.router
-                    .set_counter_term(counter_owner.map(|(_, term)| term));
+                self.router.set_counter_term(counter.map(|(_, term)| term));
             }
             ControlMessage::Items(items) => {
                 let (change, errors) = self.config_store.apply(items);
@@ -135,9 +134,9 @@
                 }
             }
             ControlMessage::Complete => self.has_complete_state = true,
-            ControlMessage::Confirmed { age_us: age } => {
+            ControlMessage::Confirmed { age_us } => {
                 // The clock may have jumped since this iteration began.
-                let confirmed_at = self.clock.now() - age;
+                let confirmed_at = self.clock.now() - age_us;
                 self.config_freshness.confirm(confirmed_at);
             }
             ControlMessage::Clock(advanced_to) => {
@@ -149,13 +148,10 @@
                 self.router
                     .handle_clock_jump(advanced_to, advanced_to - now);
             }
-            ControlMessage::AdmissionLevels {
-                age_us: age,
-                levels,
-            } => self
+            ControlMessage::AdmissionLevels { age_us, levels } => self
                 .router
                 .shedding()
-                .set_admission_levels(now, age, levels),
+                .set_admission_levels(now, age_us, levels),
             ControlMessage::CounterTotals { batch, totals } => {
                 self.handle_counter_totals(batch, &totals)
             }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -11,11 +11,9 @@
         "proxy",
         proxy::host::check_settings,
         |ProgramContext {
-             settings,
-             log_ring: ring,
-             ..
+             settings, log_ring, ..
          }| {
-            let mut host = Host::open(settings, Clock::steady(), ring)?;
+            let mut host = Host::open(settings, Clock::steady(), log_ring)?;
             host.serve_metrics();
             host.run()
         },
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -165,7 +165,7 @@
         priority: SheddingPriority,
     ) -> Option<RequestHandle> {
         let &PendingPlacement {
-            engine_index: service_engine,
+            engine_index,
             class,
             deadline,
             ..
@@ -183,17 +183,14 @@
             shed_share,
             ..Authorisation::default()
         };
-        let key = self.engines[service_engine]
+        let key = self.engines[engine_index]
             .engine
             .submit(now, authorisation)
             .ok()?;
-        self.engines[service_engine].requests.insert(key, request);
+        self.engines[engine_index].requests.insert(key, request);
         if priority.is_shed() {
-            self.engines[service_engine].shed_requests.insert(key, ());
+            self.engines[engine_index].shed_requests.insert(key, ());
         }
-        Some(RequestHandle {
-            engine_index: service_engine,
-            key,
-        })
+        Some(RequestHandle { engine_index, key })
     }
 }
--- a/crates/proxy/src/router/tests.rs
+++ b/crates/proxy/src/router/tests.rs
@@ -324,13 +324,13 @@
         .router
         .create_engine("empty", &[], 500 * MS, Vec::new());
     let (limited, route, deadline) = (tenant(100.0), route("idem"), START + 3 * SECOND);
-    let mut submit = |svc, tenant| {
+    let mut submit = |service, tenant| {
         let request = bench.keys.insert(());
         let routing_request = RoutingRequest {
             key: request,
             request_id: "i",
             route: &route,
-            service: svc,
+            service,
             tenant,
             allowed_regions: &[],
             deadline,
--- a/crates/proxy/tests/stale_configuration.rs
+++ b/crates/proxy/tests/stale_configuration.rs
@@ -68,13 +68,13 @@
     assert_eq!(response_status(&mut harness, "/other/", ""), 503);
     assert_eq!(response_status(&mut harness, "/k/", other_key), 503);
     assert_known_route_is_served(&mut harness);
-    for (age, expected) in [(5_000_000, 503), (100_000, 404)] {
-        harness.send_control(ControlMessage::Confirmed { age_us: age });
+    for (age_us, expected) in [(5_000_000, 503), (100_000, 404)] {
+        harness.send_control(ControlMessage::Confirmed { age_us });
         harness.settle();
         assert_eq!(
             response_status(&mut harness, "/other/", ""),
             expected,
-            "age {age}"
+            "age {age_us}"
         );
     }
 }
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -21,9 +21,9 @@
     child.wait_with_output().expect("the program ends")
 }
 
-fn boot(who: &str) -> String {
+fn boot(host_name: &str) -> String {
     format!(
-        "on\tWho={who}\nboot\tRngSeed=1\tParams={SETTINGS}\npool\tSheet=0\tItems=1\n\
+        "on\tWho={host_name}\nboot\tRngSeed=1\tParams={SETTINGS}\npool\tSheet=0\tItems=1\n\
          item\tServer=7\tReadiness=1\tHeft=1\tFuture=x\nmembership\tKind=2\tSerial=1\tSheet=0\n"
     )
 }
