--- a/crates/agent/src/host/control_link.rs
+++ b/crates/agent/src/host/control_link.rs
@@ -153,7 +153,7 @@
             .for_each(|registered_at| *registered_at = Some(now));
     }
 
-    /// Registers the edge anew after the proxy has sent information about the edge that differs from before.
+    /// Registers the edge again after the proxy has sent information about the edge that differs from before.
     pub(super) fn handle_node_changed(&mut self, now: i64) {
         if let Some(link) = &self.link {
             let id = link.connection;
--- a/crates/dataplane/src/limits.rs
+++ b/crates/dataplane/src/limits.rs
@@ -106,9 +106,9 @@
     pub max_watch_retry_delay: Micros,
     /// Time-out of an introspection call, unless the call names one.
     pub introspection_timeout: Micros,
-    /// Delay that clients are told to wait before a retry, unless the module gives one.
+    /// Retry delay that is sent to clients, unless the module gives one.
     pub default_retry_after: Micros,
-    /// Delay before accepting is retried after the system refused it.
+    /// Delay before accepting is retried after it failed.
     pub accept_retry_delay: Micros,
     /// Interval between two ticks of the Raft protocol.
     pub raft_tick_interval: Micros,
--- a/crates/limiter/src/frontend/platform.rs
+++ b/crates/limiter/src/frontend/platform.rs
@@ -10,7 +10,7 @@
 
 /// Ids of customers are below this.
 pub(crate) const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
-/// Maximum time that a client may wait for its answer, in seconds.
+/// Maximum time that a client may wait for its response, in seconds.
 const MAX_WAIT_S: f64 = 3_600.0;
 
 /// The settings of the deployment that requests are checked against.
@@ -120,7 +120,7 @@
             .and_then(parse_decimal)
             .filter(|s| *s > 0.0 && *s <= MAX_WAIT_S)?;
         let wait = (wait_s * 1e6) as Micros;
-        // The client's time-out runs from when it sent the request, and the answer takes time to travel back: without this
+        // The client's time-out runs from when it sent the request, and the response takes time to travel back: without this
         // margin the final response could arrive after the client has given up.
         Some(now + wait - limits.response_margin.min(wait / 2))
     }
--- a/crates/limiter/tests/process.rs
+++ b/crates/limiter/tests/process.rs
@@ -153,7 +153,7 @@
     let mut old_process = InheritingProcess::start(directory.path(), &config_text, &socket);
     old_process.wait_until_ready();
     let stop_requested = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
-    // Each client keeps its connection until a response announces its close, then connects anew for the next request.
+    // Each client keeps its connection until a response announces its close, then opens a new one for the next request.
     let client_threads: Vec<_> = (0..4)
         .map(|number| {
             let stop_requested = stop_requested.clone();
--- a/crates/middleware/src/lib.rs
+++ b/crates/middleware/src/lib.rs
@@ -73,7 +73,7 @@
     /// Wakes the engine's task after an event.
     wake: Notify,
     started_at: Instant,
-    /// The least delay that a rejected client is told to wait before a retry.
+    /// The minimum retry delay that is sent to a rejected client.
     min_retry_after: Micros,
 }
 
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -1,4 +1,4 @@
-//! Load shedding: how many requests of each service are admitted under overload, with one priority
+//! Load shedding: how many requests of each service are admitted under overload, with one shedding
 //! order for all limiters. Without I/O.
 //!
 //! Each limiter counts the requests to a service and their outcomes ([`load`]) and reports the
