--- a/crates/dataplane/src/plan_resolver.rs
+++ b/crates/dataplane/src/plan_resolver.rs
@@ -151,7 +151,7 @@
             rate_per_s: rate,
             burst,
         } = terms.rate_limit;
-        let added = Plan {
+        let added_plan = Plan {
             rate_per_s: rate,
             burst,
             inherited_window: window,
@@ -159,9 +159,9 @@
             ..self.plans[plan].clone()
         };
         let position = self.plans.len();
-        self.plans.push(added.clone());
+        self.plans.push(added_plan.clone());
         self.added_positions.insert(key, position);
-        new_plans.push(added);
+        new_plans.push(added_plan);
         (position, plan)
     }
 }
--- a/crates/proxy/src/router/placement_engine.rs
+++ b/crates/proxy/src/router/placement_engine.rs
@@ -165,35 +165,32 @@
         priority: SheddingPriority,
     ) -> Option<RequestHandle> {
         let &PendingPlacement {
-            engine_index: service_engine,
+            engine_index,
             class,
             deadline,
             ..
         } = pending;
         let SheddingPriority {
-            position: priority_position,
+            shed_rank,
             shed_share,
             ..
         } = priority;
         let authorisation = Authorisation {
             class,
             deadline,
-            limiter_count: 1,
-            priority_position,
+            customer_limiters: 1,
+            shed_rank,
             shed_share,
             ..Authorisation::default()
         };
-        let key = self.engines[service_engine]
+        let key = self.engines[engine_index]
             .engine
             .submit(now, authorisation)
             .ok()?;
-        self.engines[service_engine].requests.insert(key, request);
+        self.engines[engine_index].requests.insert(key, request);
         if priority.is_shed() {
-            self.engines[service_engine].shed_requests.insert(key, ());
+            self.engines[engine_index].shed_requests.insert(key, ());
         }
-        Some(RequestHandle {
-            engine_index: service_engine,
-            key,
-        })
+        Some(RequestHandle { engine_index, key })
     }
 }
