--- a/crates/emulator/src/counter.rs
+++ b/crates/emulator/src/counter.rs
@@ -6,7 +6,7 @@
 
 /// Longest lifetime of a total, in microseconds.
 const MAX_LIFE: Micros = 60_000_000;
-/// Maximum length of a name.
+/// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 /// Number of calls after which expired totals are removed.
 const SWEEP_INTERVAL_CALLS: u32 = 4_096;
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -179,7 +179,7 @@
         was_waiting
     }
 
-    /// Freezes the node until an instant; running requests end later by that time.
+    /// Freezes the node until an instant; running requests end later by the length of the freeze.
     pub fn freeze(&mut self, now: Micros, until: Micros) {
         self.update_utilization(now);
         let before = self.frozen_until.unwrap_or(now);
--- a/crates/emulator/src/system/fleet.rs
+++ b/crates/emulator/src/system/fleet.rs
@@ -111,7 +111,7 @@
         self.platform
     }
 
-    /// Starts a server, at `at` if answers (the address of one that was stopped), and returns its number.
+    /// Starts a server, at `at` if given (the address of one that was stopped), and returns its number.
     ///
     /// # Errors
     /// The address can't be bound.
--- a/crates/emulator/src/system/operator.rs
+++ b/crates/emulator/src/system/operator.rs
@@ -103,7 +103,7 @@
             .map(drop)
     }
 
-    /// Names of the items that read back different from what was acknowledged.
+    /// Names of the items whose state read back differs from what was acknowledged; empty if there are none.
     ///
     /// # Errors
     /// There is no answer before the deadline.
--- a/crates/emulator/src/system/server.rs
+++ b/crates/emulator/src/system/server.rs
@@ -66,7 +66,7 @@
 }
 
 impl<'a> ServerRequest<'a> {
-    /// Extracts them from a request that is parsed from the start of `bytes`.
+    /// Extracts these parts from a request that was parsed from the start of `bytes`.
     pub fn from_http(request: &http::Request<'a>, bytes: &'a [u8]) -> ServerRequest<'a> {
         let http::Request {
             method,
